--- a/cedarwick/events/witness.py
+++ b/cedarwick/events/witness.py
@@ -57,7 +57,7 @@
         if kept.tenant:
             fields["tenant"] = kept.tenant[:LONGEST_TEXT]
         if band is not None:
-            fields |= {"worth": float(band.importance), "at_most_once": band.at_most_once}
+            fields |= {"worth": float(band.priority_weight), "at_most_once": band.at_most_once}
         if kind == "taken":
             life.taken_at = now
             return fields
--- a/cedarwick/net/desk.py
+++ b/cedarwick/net/desk.py
@@ -18,7 +18,7 @@
 from cedarwick.net.notices import Notices
 from cedarwick.net.shots import Call, Ending, Shots
 from cedarwick.net.sockets import Polled
-from cedarwick.policy import Handle, Sender, band_of
+from cedarwick.policy import Handle, Sender, priority_class_of
 from cedarwick.state import FAR
 from cedarwick.store.files import DiskFault
 from cedarwick.store.journal import Lost, NoRoom, Store
@@ -83,7 +83,7 @@
         self.zones = [zone_mark(name) for name in row(assignment.settings, "zones")]
         self.sender = Sender(assignment.settings, assignment.seed, clock.now())
         # One more stands for what a restart finds of a band that is no more; as the settings lack it, at most once.
-        self.sender.bands.append(band_of(assignment.settings, len(self.sender.bands)))
+        self.sender.bands.append(priority_class_of(assignment.settings, len(self.sender.bands)))
         counters.figures.bands = list(self.bands)
         # Danger: shots that the decisions hold to share a call would each count at the destination's limit.
         self.sender.per_call = []
--- a/cedarwick/policy.py
+++ b/cedarwick/policy.py
@@ -4,7 +4,19 @@
 from collections.abc import Mapping, Sequence
 
 from cedarwick.interface import ListChange, Listing, Outcome, Owed, Phase, Verdicts, flag, number, row, span
-from cedarwick.state import FAR, Band, Bucket, Chance, Destination, Envelope, Keys, Pace, Plan, Receiver, note
+from cedarwick.state import (
+    FAR,
+    Bucket,
+    Chance,
+    Destination,
+    Envelope,
+    Keys,
+    Pace,
+    Plan,
+    PriorityClass,
+    Receiver,
+    note,
+)
 
 SECOND = 1_000_000
 
@@ -50,12 +62,12 @@
 PART = 0.6  # of this sender's even part of a listed rate, which may be listed too high
 
 
-def band_of(settings: Mapping[str, str], index: int) -> Band:
+def priority_class_of(settings: Mapping[str, str], index: int) -> PriorityClass:
     head = f"classes.{index}."
     halves = settings.get("family-info.late") == "by_half"
     repeat = settings.get(head + "repeat", "single_shot")
-    return Band(
-        importance=number(settings, head + "worth", 1.0),
+    return PriorityClass(
+        priority_weight=number(settings, head + "worth", 1.0),
         expected_time=span(settings, head + "slo-ms", 1000.0),
         outer_limit=span(settings, head + "deadline-ms", 10_000.0),
         late_share=number(settings, head + "late-worth"),
@@ -135,7 +147,7 @@
     def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None:
         self.settings = settings
         self.chance = Chance(seed)
-        self.bands = [band_of(settings, index) for index in range(int(number(settings, "classes.count")))]
+        self.bands = [priority_class_of(settings, index) for index in range(int(number(settings, "classes.count")))]
         self.senders = max(1, int(number(settings, "balancers", 1)))
         self.many = self.senders > MANY
         self.slowest = TRICKLE / self.senders
@@ -650,13 +662,13 @@
         if now < envelope.rank_until:
             return envelope.rank
         band = envelope.band
-        left, loses = band.worth(now - envelope.expected_by)
+        left, loses = band.delivery_value(now - envelope.expected_by)
         if envelope.outer_limit - now < 3 * SECOND:
-            loses += (left if band.halves_in else band.importance * band.late_share) / 3
+            loses += (left if band.halves_in else band.priority_weight * band.late_share) / 3
         if now < envelope.expected_by - SECOND:
             loses /= 2
         if envelope.ran_at and not band.reissuable:
-            loses += band.importance  # its window of repeats is running out
+            loses += band.priority_weight  # its window of repeats is running out
         if envelope.over_share:
             loses *= number(self.settings, "over-share-worth", 1.0)
         times = envelope.expected_by - SECOND, envelope.outer_limit - 3 * SECOND + 1  # else only a shot tells
@@ -690,7 +702,7 @@
                 return
             # Danger: once the least important have had a shot, nacks alone would cost the most important.
             self.give_up(now, max(spare, key=lambda held: (
-                -held.band.importance, not held.ran_at, self._urgency(now, held))))
+                -held.band.priority_weight, not held.ran_at, self._urgency(now, held))))
 
     def _drain(self, now: int, place: Destination) -> float:
         """About how many seconds the backlog of a destination takes to leave."""
--- a/cedarwick/state.py
+++ b/cedarwick/state.py
@@ -123,10 +123,10 @@
 
 
 @dataclass(slots=True)
-class Band:
-    """What the settings say of one band of envelopes."""
+class PriorityClass:
+    """What the settings say of one priority class (`classes.N.*`) of messages."""
 
-    importance: float
+    priority_weight: float
     expected_time: int
     outer_limit: int
     late_share: float
@@ -137,14 +137,14 @@
     in_turn: bool
     halves_in: int = 0  # after the expected time the worth falls by half in this time; 0: evenly
 
-    def worth(self, late: int) -> tuple[float, float]:
+    def delivery_value(self, late: int) -> tuple[float, float]:
         """What delivery is worth so long after the expected time, and what is lost of it in a second."""
-        least, late = self.importance * self.late_share, max(late, 0)
+        least, late = self.priority_weight * self.late_share, max(late, 0)
         if not self.halves_in:
             fades = max(1_000_000, self.outer_limit - self.expected_time)
-            lost = (self.importance - least) / fades
-            return max(least, self.importance - lost * late), lost * 1_000_000
-        left = float(self.importance * 2.0 ** (-late / self.halves_in))
+            lost = (self.priority_weight - least) / fades
+            return max(least, self.priority_weight - lost * late), lost * 1_000_000
+        left = float(self.priority_weight * 2.0 ** (-late / self.halves_in))
         return (left, left * log(2) * 1_000_000 / self.halves_in) if left > least else (least, 0.0)
 
 
@@ -227,7 +227,7 @@
 
     id: int
     destination: int
-    band: Band
+    band: PriorityClass
     outer_limit: int
     expected_by: int
     tenant: int
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -14,14 +14,14 @@
 
 def repeats_at_most_once() -> None:
     """Every band is taken for a reissuable one."""
-    honest = policy.band_of
+    honest = policy.priority_class_of
 
-    def band_of(settings: Any, index: int) -> state.Band:
+    def priority_class_of(settings: Any, index: int) -> state.PriorityClass:
         band = honest(settings, index)
         band.reissuable, band.at_most_once = True, False
         return band
 
-    policy.band_of = band_of
+    policy.priority_class_of = priority_class_of
 
 
 def ignores_waits() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -339,7 +339,7 @@
         for late, seconds, left, lost in (("by_half", 2, 0.5, 0.173), ("by_half", 9, 0.1, 0.0),
                                           ("by_half", -1, 1.0, 0.347), ("even", 7, 0.55, 0.064)):
             band = sender(family_info__late=late, classes__0__late_worth="0.1").bands[FREE]
-            worth = band.worth(seconds * 1_000 * MS)
+            worth = band.delivery_value(seconds * 1_000 * MS)
             self.assertAlmostEqual(worth[0], left, 3, (late, seconds))
             self.assertAlmostEqual(worth[1], lost, 3, (late, seconds))
 
