--- a/cedarwick/events/witness.py
+++ b/cedarwick/events/witness.py
@@ -97,7 +97,7 @@
         held_out = set(self.directory.held_out)
         found: list[Happened] = []
         if self.begun:
-            waits = {self._uid(receiver): until for receiver, until in self.desk.sender.told_waits(now)}
+            waits = {self._uid(receiver): until for receiver, until in self.desk.sender.retry_after_waits(now)}
             for uid in sorted((out.keys() - self.out.keys()) - {""}):
                 fields = self._receiver(uid, out[uid][0])
                 found.append(("receiver-out", fields | ({"wait": waits[uid] - now} if waits.get(uid, 0) > now else {})))
--- a/cedarwick/interface.py
+++ b/cedarwick/interface.py
@@ -15,7 +15,7 @@
     handles = sender.resume(now, owed)            once, at the start after a restart
     sender.heed(now, receiver, until)             a wait that was told, apart from an outcome
     sender.room                                   set before a round: how many more envelopes can be kept
-    sender.told_waits(now)                        the waits that a replaced process hands to its successor
+    sender.retry_after_waits(now)                 the waits that a replaced process hands to its successor
     handle.on_new_link()                          whether an ordered shot may not go over a kept link
     handle.may_start(now, receiver)               whether an ordered shot may still go, before its first byte
     handle.whole_by()                             when the last byte of an ordered shot must have gone
@@ -116,7 +116,7 @@
     """What taking an envelope gives."""
 
     def shot_ended(
-        self, now: int, outcome: Outcome, shot: int, receiver: int, took: int, told_wait: int,
+        self, now: int, outcome: Outcome, shot: int, receiver: int, took: int, retry_after: int,
         last: bool, report: Sequence[float], kept_link: bool = False,
     ) -> None: ...
 
--- a/cedarwick/policy.py
+++ b/cedarwick/policy.py
@@ -57,7 +57,7 @@
 LAST_CHANCE = SECOND  # of an envelope's time a rest for others leaves so much
 LONE = 0.5  # calls a second: an even part below this makes a lone envelope wait longer than it lives
 TRICKLE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
-COLD_BATCH = 4  # envelopes in one call during a ramp, and from a refusal to the next completion
+WARMING_UP_BATCH = 4  # envelopes in one call during a ramp, and from a refusal to the next completion
 LINK_PART = 0.9  # of the time after which a receiver closes an idle link: a shot must not cross its close
 PART = 0.6  # of this sender's even part of a listed rate, which may be listed too high
 
@@ -86,7 +86,7 @@
     __slots__ = ("sender",)
     sender: "Sender"
 
-    def shot_ended(self, now: int, outcome: Outcome, shot: int, receiver: int, took: int, told_wait: int,
+    def shot_ended(self, now: int, outcome: Outcome, shot: int, receiver: int, took: int, retry_after: int,
                    last: bool, report: Sequence[float], kept_link: bool = False) -> None:
         """Record the outcome of the shot that was out and settle what may follow it."""
         sender = self.sender
@@ -96,7 +96,7 @@
         record = sender.receivers[receiver]
         stale = kept_link and outcome is Outcome.RESET
         sender.stale_links += (stale - sender.stale_links) / MANY if kept_link else 0.0
-        sender.learn(now, self, record, Outcome.MOOT if stale else outcome, took, told_wait, report)
+        sender.learn(now, self, record, Outcome.MOOT if stale else outcome, took, retry_after, report)
         if outcome in (Outcome.TIME_OUT, Outcome.RESET, Outcome.CANCELLED):
             self.doubtful_at = now
         if not outcome.never_ran and outcome is not Outcome.COMPLETED and not self.ran_at:
@@ -107,7 +107,7 @@
             return
         window = min(WINDOW_CAP, WINDOW_BASE << min(self.shots - 1, 16))
         # Danger: a receiver closes an idle link and the next call breaks: no evidence, so no backing off.
-        wait = told_wait if told_wait and not sender.many else told_wait + sender.chance.below(window)
+        wait = retry_after if retry_after and not sender.many else retry_after + sender.chance.below(window)
         self.due = now + (1 if outcome is Outcome.MOOT or stale else wait)
         # Danger: past its last useful start it is given up at once, with tries and most of its time left.
         useful = self.outer_limit - round(sender.destinations[self.destination].quickest or SECOND / 2)
@@ -215,7 +215,7 @@
                     handle.ran_at, handle.ran_zone, handle.doubtful_at = shot.sent_at, shot.zone, now
         return handles
 
-    def told_waits(self, now: int) -> list[tuple[int, int]]:
+    def retry_after_waits(self, now: int) -> list[tuple[int, int]]:
         """Receivers whose told wait is not over, and its end: for a process that replaces this one."""
         return [(known.id, known.pace.wait_until) for known in self.receivers.values()
                 if known.pace.wait_until > now]
@@ -392,7 +392,7 @@
             self.changed.update(each.destination for each in after)  # its next one may wait at another
 
     def learn(self, now: int, envelope: Envelope, receiver: Receiver, outcome: Outcome, took: int,
-              told_wait: int, report: Sequence[float]) -> None:
+              retry_after: int, report: Sequence[float]) -> None:
         pace = receiver.pace
         self.changed |= {receiver.destination} | self.starved
         self.starved.clear()
@@ -420,15 +420,15 @@
         if outcome is Outcome.COMPLETED:
             self._completed(now, envelope, receiver, took)
         elif outcome is Outcome.FULL:
-            pace.wait_until = max(pace.wait_until, now + min(told_wait, LONGEST_WAIT))
+            pace.wait_until = max(pace.wait_until, now + min(retry_after, LONGEST_WAIT))
             receiver.fulls += 1
             receiver.full_since = receiver.full_since or now
             # Danger: what is shut tells a long wait or refuses everything; all push it as it opens, cold.
             sparse = self.many and self._stale(now, receiver)
             shut = receiver.fulls >= SHUT_FULLS // (1 + sparse) and now - receiver.full_since > SHUT_AFTER
             shut |= sparse and told.get("x0", 0.0) > ROOM  # it has room, so its queue is full: it hangs
-            mates = self._mates(place, pace) if told_wait > SHUT_AFTER else [receiver]
-            for mate in mates if told_wait > SHUT_AFTER or receiver.out_since or shut else []:
+            mates = self._mates(place, pace) if retry_after > SHUT_AFTER else [receiver]
+            for mate in mates if retry_after > SHUT_AFTER or receiver.out_since or shut else []:
                 self._out(now, mate, provable=True)
             if not receiver.out_since:
                 self._throttle(now, pace, receiver.fulls > 1)
@@ -598,7 +598,7 @@
         """A shot of this round to the same receiver shares a call that is not full."""
         joined = receiver.calls.get(now, 0) % self._batch(receiver)
         # Danger: a full call weighs as several and would push over a route that is still cold.
-        return 0 < joined < (COLD_BATCH if receiver.back_at or receiver.fulls else FAR)
+        return 0 < joined < (WARMING_UP_BATCH if receiver.back_at or receiver.fulls else FAR)
 
     def _room(self, now: int, receiver: Receiver) -> int:
         pace = receiver.pace
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -290,7 +290,8 @@
 def leave_waits(folder: str, directory: Directory, desk: Desk) -> None:
     """The waits that receivers told this process, for the one that replaces it; written before the folder goes."""
     uids = {number: uid for uid, number in directory.numbers.items()}
-    waits = {uids[receiver]: until for receiver, until in desk.sender.told_waits(desk.clock.now()) if receiver in uids}
+    heeded = desk.sender.retry_after_waits(desk.clock.now())
+    waits = {uids[receiver]: until for receiver, until in heeded if receiver in uids}
     try:
         lasting.write_waits(folder, waits)
     except OSError as error:
