--- a/cedarwick/interface.py
+++ b/cedarwick/interface.py
@@ -5,7 +5,7 @@
     sender = Sender(settings, seed, now)          settings: a plain map of names to values, as text
     sender.listed(now, change, listings)          news of the list of receivers
     sender.list_call_failed(now)                  a list call failed or the subscription broke
-    handle = sender.take(now, id, ...)            a new envelope
+    handle = sender.take(now, id, ...)            a new message
     handle.shot_ended(now, outcome, shot, ...)    an outcome of one of its shots
     handle.withdrawn(now)                         nobody wants it any more
     verdicts = sender.decide(now)                 once, after the events of a round
@@ -14,7 +14,7 @@
 
     handles = sender.resume(now, owed)            once, at the start after a restart
     sender.heed(now, receiver, until)             a wait that was told, apart from an outcome
-    sender.room                                   set before a round: how many more envelopes can be kept
+    sender.room                                   set before a round: how many more messages can be kept
     sender.retry_after_waits(now)                 the waits that a replaced process hands to its successor
     handle.on_new_link()                          whether an ordered shot may not go over a kept link
     handle.may_start(now, receiver)               whether an ordered shot may still go, before its first byte
@@ -22,10 +22,10 @@
     handle.never_left()                           after an outcome: that shot was held back, and is no try
     sender.link_life                              how long an idle link is used
     sender.list_wait                              the longest wait after a call for the list that failed
-    sender.per_call                               envelopes a call by kind; cleared where a call carries one
+    sender.per_call                               messages a call by kind; cleared where a call carries one
 
 `decide` also serves a wake-up: waking needs no call of its own. Times are whole microseconds of the
-protocol's clock. Envelope and receiver ids are returned as they were given.
+protocol's clock. Message and receiver ids are returned as they were given.
 """
 
 from collections.abc import Mapping, Sequence
@@ -88,9 +88,9 @@
 
 
 class Owed(NamedTuple):
-    """An envelope that a restart has left; in the order in which they were taken."""
+    """An message that a restart has left; in the order in which they were taken."""
 
-    envelope: int
+    message_id: int
     destination: int
     band: int
     outer_limit: int
@@ -103,17 +103,17 @@
 class Verdicts:
     """What one round decided. Nacks and write-offs come before shots; shots keep their order."""
 
-    nacks: list[tuple[int, int]] = field(default_factory=list)  # envelope, advised wait (0: none)
+    nacks: list[tuple[int, int]] = field(default_factory=list)  # message, advised wait (0: none)
     write_offs: list[int] = field(default_factory=list)
-    shots: list[tuple[int, int, int]] = field(default_factory=list)  # envelope, receiver, time-out
+    shots: list[tuple[int, int, int]] = field(default_factory=list)  # message, receiver, time-out
     freed_links: list[int] = field(default_factory=list)  # receivers whose idle connections are let go
     log_lines: list[str] = field(default_factory=list)
     subscribe: bool = False
     wake_at: int | None = None  # the next time at which `decide` should be called without an event
 
 
-class EnvelopeHandle(Protocol):
-    """What taking an envelope gives."""
+class MessageHandle(Protocol):
+    """What taking an message gives."""
 
     def shot_ended(
         self, now: int, outcome: Outcome, shot: int, receiver: int, took: int, retry_after: int,
@@ -146,11 +146,11 @@
     def list_call_failed(self, now: int) -> None: ...
 
     def take(
-        self, now: int, envelope: int, destination: int, band: int, outer_limit: int, tenant: int,
+        self, now: int, message_id: int, destination: int, band: int, outer_limit: int, tenant: int,
         key: int,
-    ) -> EnvelopeHandle: ...
+    ) -> MessageHandle: ...
 
-    def resume(self, now: int, owed: Sequence[Owed]) -> Sequence[EnvelopeHandle]: ...
+    def resume(self, now: int, owed: Sequence[Owed]) -> Sequence[MessageHandle]: ...
 
     def decide(self, now: int) -> Verdicts: ...
 
--- a/cedarwick/net/desk.py
+++ b/cedarwick/net/desk.py
@@ -272,11 +272,11 @@
         if quietly and all(shot.outcome is not None and shot.outcome.never_ran for each in owed for shot in each.shots):
             # Danger: sessions come one after another, and each `resume` has the keys of all others rest.
             for each in owed:
-                handle = self.handles[each.envelope] = self.sender.take(now, *each[:-1])
+                handle = self.handles[each.message_id] = self.sender.take(now, *each[:-1])
                 handle.shots = len(each.shots)
             return len(owed)
         for each, handle in zip(owed, self.sender.resume(now, owed), strict=True):
-            self.handles[each.envelope] = handle
+            self.handles[each.message_id] = handle
         return len(owed)
 
     def _place_of(self, mark: int) -> int:
--- a/cedarwick/policy.py
+++ b/cedarwick/policy.py
@@ -9,8 +9,8 @@
     Bucket,
     Chance,
     Destination,
-    Envelope,
     Keys,
+    Message,
     Pace,
     Plan,
     PriorityClass,
@@ -54,10 +54,10 @@
 FORGET = 20 * SECOND  # after a receiver has left the list; its outage is told to a replacement until then
 LONGEST_WAIT = 3600 * SECOND  # a longer told wait is looked into after this; no outer limit comes near it
 RESTED = 300_000  # for so long a key rests that is owed elsewhere, unless it is told again
-LAST_CHANCE = SECOND  # of an envelope's time a rest for others leaves so much
-LONE = 0.5  # calls a second: an even part below this makes a lone envelope wait longer than it lives
+LAST_CHANCE = SECOND  # of an message's time a rest for others leaves so much
+LONE = 0.5  # calls a second: an even part below this makes a lone message wait longer than it lives
 TRICKLE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
-WARMING_UP_BATCH = 4  # envelopes in one call during a ramp, and from a refusal to the next completion
+WARMING_UP_BATCH = 4  # messages in one call during a ramp, and from a refusal to the next completion
 LINK_PART = 0.9  # of the time after which a receiver closes an idle link: a shot must not cross its close
 PART = 0.6  # of this sender's even part of a listed rate, which may be listed too high
 
@@ -80,8 +80,8 @@
     )
 
 
-class Handle(Envelope):
-    """An envelope in a sender's care."""
+class Handle(Message):
+    """An message in a sender's care."""
 
     __slots__ = ("sender",)
     sender: "Sender"
@@ -130,7 +130,7 @@
         return record.ready and record.pace.wait_until <= now < self.whole_by() and not self.ended
 
     def on_new_link(self) -> bool:
-        """Danger: an at-most-once envelope is lost when the kept link breaks on which it went."""
+        """Danger: an at-most-once message is lost when the kept link breaks on which it went."""
         return self.band.at_most_once and self.sender.stale_links > STALE_LINKS
 
     def whole_by(self) -> int:
@@ -173,7 +173,7 @@
         self.shares: dict[int, Bucket] = {}  # what a tenant has left of its share
         self.started = now
         self.open = 0
-        self.room = FAR  # envelopes that may still be kept, as the protocol tells
+        self.room = FAR  # messages that may still be kept, as the protocol tells
         self.taken = 0
         self.calls_out = 0
         self.changed: set[int] = set()  # destinations that need a look in this round
@@ -187,12 +187,12 @@
         self.list_wait = span(settings, "rules.ask-within-ms") or LIST_WAIT  # on sockets no longer than that
         self.verdicts = Verdicts()
 
-    def take(self, now: int, envelope: int, destination: int, band: int, outer_limit: int, tenant: int,
+    def take(self, now: int, message_id: int, destination: int, band: int, outer_limit: int, tenant: int,
              key: int) -> Handle:
         kept = self.bands[band]
         expected_by = outer_limit - kept.outer_limit + kept.expected_time
         self.taken += 1
-        handle = Handle(envelope, destination, kept, outer_limit, expected_by, tenant, key, self.taken)
+        handle = Handle(message_id, destination, kept, outer_limit, expected_by, tenant, key, self.taken)
         handle.sender = self
         handle.over_share = self._over_share(now, tenant)
         if kept.in_turn and key:
@@ -203,7 +203,7 @@
 
     def resume(self, now: int, owed: Sequence[Owed]) -> list[Handle]:
         """After a restart: what is owed from before it. A shot without an outcome may have run."""
-        # Danger: a shot that was out when the process ended may still run, of an ended envelope's key too.
+        # Danger: a shot that was out when the process ended may still run, of an ended message's key too.
         self.turns.all_rest = now + span(self.settings, "rules.turn-gap-ms")
         handles = [self.take(now, *each[:-1]) for each in owed]
         # Danger: under settings that hold less, all that is beyond them would be given up without a call.
@@ -228,7 +228,7 @@
             self.changed.add(known.destination)
 
     def rest(self, now: int, key: int) -> list[Handle]:
-        """Another sender owes earlier envelopes of a key: those here rest until it is told again, or for a
+        """Another sender owes earlier messages of a key: those here rest until it is told again, or for a
         moment. Gives those that had no shot yet."""
         line = self.turns.lines.get(key) or ()
         if line:
@@ -286,7 +286,7 @@
         self.asked_in_vain += 1
 
     def decide(self, now: int) -> Verdicts:
-        """Look at every destination that something happened to, the most urgent envelopes first."""
+        """Look at every destination that something happened to, the most urgent messages first."""
         self.changed.update(self.looks.due(now))
         places = [self.destinations[each] for each in sorted(self.changed)]
         self.changed.clear()
@@ -298,14 +298,14 @@
         next_look: dict[int, int] = {}
         alone = max(self.per_call, default=1) == 1
         waiting = [held for place in places for held in place.held if not (held.out or held.ended)]
-        for envelope in sorted(waiting, key=lambda held: self._urgency(now, held)):
-            place = self.destinations[envelope.destination]
-            known = now < envelope.look_at and place.room.get(envelope.asks)
+        for message in sorted(waiting, key=lambda held: self._urgency(now, held)):
+            place = self.destinations[message.destination]
+            known = now < message.look_at and place.room.get(message.asks)
             if known and (alone or not known[0]):  # no room, or no slot
-                place.turn(envelope.asks)
-                look_at = envelope.look_at if known[0] else min(known[1], envelope.look_at)
+                place.turn(message.asks)
+                look_at = message.look_at if known[0] else min(known[1], message.look_at)
             else:
-                look_at = self.advance(now, envelope)
+                look_at = self.advance(now, message)
             next_look[place.id] = min(look_at, next_look.get(place.id, FAR))
         self._shed(now)
         for place in places:
@@ -324,30 +324,30 @@
         verdicts.wake_at = wake_at if wake_at < FAR else None
         return verdicts
 
-    def advance(self, now: int, envelope: Handle) -> int:
-        """Take a held envelope as far as it goes now; the time of its next look, FAR when it needs none."""
-        band = envelope.band
-        place = self.destinations[envelope.destination]
-        last_start = envelope.outer_limit - max(self.tick * 4, round(place.quickest / 2))
-        last_start = min(last_start, envelope.repeat_until() - 1)
-        start = max(now, envelope.due, place.waits_until)
+    def advance(self, now: int, message: Handle) -> int:
+        """Take a held message as far as it goes now; the time of its next look, FAR when it needs none."""
+        band = message.band
+        place = self.destinations[message.destination]
+        last_start = message.outer_limit - max(self.tick * 4, round(place.quickest / 2))
+        last_start = min(last_start, message.repeat_until() - 1)
+        start = max(now, message.due, place.waits_until)
         # Terminal: out of shots, or a further one could take effect twice, or cannot finish in time.
-        if (envelope.shots >= self.most_shots or envelope.cancelled >= CANCELLED_CAP
-                or (band.at_most_once and envelope.ran_at) or start > last_start):
-            self.give_up(now, envelope)
+        if (message.shots >= self.most_shots or message.cancelled >= CANCELLED_CAP
+                or (band.at_most_once and message.ran_at) or start > last_start):
+            self.give_up(now, message)
             return FAR
         if start > now:
             return min(start, last_start + 1)
-        if band.in_turn and envelope.key:
-            turn_at = self.turns.turn_at(envelope.key, envelope)
+        if band.in_turn and message.key:
+            turn_at = self.turns.turn_at(message.key, message)
             if turn_at > now:
                 return min(turn_at, last_start + 1)
-        zone = envelope.ran_zone if envelope.ran_at and band.one_zone and not band.reissuable else None
+        zone = message.ran_zone if message.ran_at and band.one_zone and not band.reissuable else None
         asking = zone, band.at_most_once
         if asking not in place.room:  # Danger: each event would cost a full look for everything that is held
             members = [member for member in place.ready if zone is None or member.zone == zone]
-            place.room[asking] = self._with_room(now, envelope, members)
-        envelope.look_at, envelope.asks = last_start + 1, asking
+            place.room[asking] = self._with_room(now, message, members)
+        message.look_at, message.asks = last_start + 1, asking
         receiver = next((member for member, _ in place.room[asking][0] if self._joins(now, member)), None)
         receiver = receiver or place.turn(asking)
         if receiver is None:
@@ -358,45 +358,45 @@
             return last_start + 1
         place.room.clear()
         self._spend(now, receiver, joins)
-        envelope.out, envelope.sent_at = True, now
-        envelope.shots += 1
-        patience = self._patience(now, envelope, receiver)
-        self.verdicts.shots.append((envelope.id, receiver.id, patience))
+        message.out, message.sent_at = True, now
+        message.shots += 1
+        patience = self._patience(now, message, receiver)
+        self.verdicts.shots.append((message.id, receiver.id, patience))
         return FAR
 
-    def give_up(self, now: int, envelope: Handle) -> None:
+    def give_up(self, now: int, message: Handle) -> None:
         """The final answer, at once: a nack only when every shot provably never ran."""
-        if envelope.ran_at:
-            self.verdicts.write_offs.append(envelope.id)
+        if message.ran_at:
+            self.verdicts.write_offs.append(message.id)
         else:
             longest = span(self.settings, "policy-limits.max-retry-after-ms")
             longest *= flag(self.settings, "policy-limits.retry-after")
-            wait = min(longest, max(0, self.destinations[envelope.destination].pace.wait_until - now))
-            self.verdicts.nacks.append((envelope.id, wait))
-        self.close(now, envelope)
-
-    def hold(self, now: int, envelope: Handle) -> None:
-        self._destination(envelope.destination).held.append(envelope)
-        self.changed.add(envelope.destination)
-        envelope.look_at = envelope.rank_until = 0
-
-    def close(self, now: int, envelope: Handle) -> None:
-        """The envelope has ended and none of its shots is out: let its key go on."""
-        envelope.ended = True
+            wait = min(longest, max(0, self.destinations[message.destination].pace.wait_until - now))
+            self.verdicts.nacks.append((message.id, wait))
+        self.close(now, message)
+
+    def hold(self, now: int, message: Handle) -> None:
+        self._destination(message.destination).held.append(message)
+        self.changed.add(message.destination)
+        message.look_at = message.rank_until = 0
+
+    def close(self, now: int, message: Handle) -> None:
+        """The message has ended and none of its shots is out: let its key go on."""
+        message.ended = True
         self.open -= 1
-        self.changed.add(envelope.destination)
-        if envelope.band.in_turn and envelope.key:
+        self.changed.add(message.destination)
+        if message.band.in_turn and message.key:
             # Danger: the shot that timed out may still run and be overtaken by the next of its key.
-            rest = (envelope.doubtful_at or -FAR) + span(self.settings, "rules.turn-gap-ms")
-            after = self.turns.leave(envelope.key, envelope, now, rest)
+            rest = (message.doubtful_at or -FAR) + span(self.settings, "rules.turn-gap-ms")
+            after = self.turns.leave(message.key, message, now, rest)
             self.changed.update(each.destination for each in after)  # its next one may wait at another
 
-    def learn(self, now: int, envelope: Envelope, receiver: Receiver, outcome: Outcome, took: int,
+    def learn(self, now: int, message: Message, receiver: Receiver, outcome: Outcome, took: int,
               retry_after: int, report: Sequence[float]) -> None:
         pace = receiver.pace
         self.changed |= {receiver.destination} | self.starved
         self.starved.clear()
-        over = receiver.shot_over(envelope.sent_at) % self._batch(receiver) == 0
+        over = receiver.shot_over(message.sent_at) % self._batch(receiver) == 0
         self.calls_out -= over
         pace.calls_out -= over
         self.idle.add(receiver.id)
@@ -418,7 +418,7 @@
         if outcome is not Outcome.TIME_OUT:
             receiver.answered_at = now
         if outcome is Outcome.COMPLETED:
-            self._completed(now, envelope, receiver, took)
+            self._completed(now, message, receiver, took)
         elif outcome is Outcome.FULL:
             pace.wait_until = max(pace.wait_until, now + min(retry_after, LONGEST_WAIT))
             receiver.fulls += 1
@@ -439,16 +439,16 @@
             # Danger: one lost call among good ones is no outage; a ramp after each would cost more.
             judged = list(receiver.recent)
             ill = (outcome is Outcome.CONNECT_FAILED and len(judged) > 1 and not any(judged[-2:])
-                   and receiver.completed_sent_at < envelope.sent_at)
+                   and receiver.completed_sent_at < message.sent_at)
             if receiver.back_at and sum(judged) * 3 <= len(judged) * 2:
                 receiver.back_at = now  # Danger: some calls pass in an outage, and a ramp would run on in it
-            # Danger: at a few calls a minute outcomes never gather, and each envelope spends its shots alone.
-            ill = ill or self.many and self._stale(envelope.sent_at, receiver)
+            # Danger: at a few calls a minute outcomes never gather, and each message spends its shots alone.
+            ill = ill or self.many and self._stale(message.sent_at, receiver)
             if ill or receiver.out_since or (len(judged) >= 3 and sum(judged) * 5 <= len(judged) * 2):
                 self._out(now, receiver, provable=outcome is Outcome.CONNECT_FAILED)
                 self._out_with(now, receiver)
 
-    def _completed(self, now: int, envelope: Envelope, receiver: Receiver, took: int) -> None:
+    def _completed(self, now: int, message: Message, receiver: Receiver, took: int) -> None:
         pace = receiver.pace
         note(pace.answers, now, SPAN)
         pace.proven = True
@@ -468,9 +468,9 @@
                     pace.rate = max(pace.rate, receiver.managed, pace.reference)
             receiver.out_since, receiver.failed = 0, False
             receiver.recent = deque([True], FEW)
-        if receiver.completed_sent_at != envelope.sent_at:  # the shots of one call count once
+        if receiver.completed_sent_at != message.sent_at:  # the shots of one call count once
             note(receiver.completions, now, self.seen_over)
-        receiver.completed_sent_at = max(receiver.completed_sent_at, envelope.sent_at)
+        receiver.completed_sent_at = max(receiver.completed_sent_at, message.sent_at)
         receiver.managed = max(receiver.managed * 0.98, len(receiver.completions) * SECOND / self.seen_over)
         steps = (now - max(pace.raised_at, pace.cut_at)) // STEP_EVERY
         if pace.rate is not None and steps:
@@ -561,7 +561,7 @@
             pace.rate = min(rate, max(least, pace.rate * rate / pace.limit))
         pace.reference, pace.limit = part, rate
 
-    def _with_room(self, now: int, envelope: Envelope,
+    def _with_room(self, now: int, message: Message,
                    members: list[Receiver]) -> tuple[list[tuple[Receiver, float]], int]:
         """Who takes turns now, by weight (a canary alone), and the time at which one has or may have room."""
         open_now: list[tuple[Receiver, float]] = []
@@ -573,7 +573,7 @@
                 member.out_since, member.provable = now, False
                 member.canary_at = self._next_canary(now, member)
             if member.out_since:
-                room_at = self._canary_room(now, envelope, member)
+                room_at = self._canary_room(now, message, member)
                 if room_at <= now:
                     canary = canary or [(member, 0.0)]
             else:
@@ -623,9 +623,9 @@
             room_at = max(room_at, now + receiver.ramp.fill(now, rate, 1.0))
         return room_at
 
-    def _canary_room(self, now: int, envelope: Envelope, receiver: Receiver) -> int:
+    def _canary_room(self, now: int, message: Message, receiver: Receiver) -> int:
         # An at-most-once canary could be lost without a second try.
-        lost = envelope.band.at_most_once and not receiver.provable
+        lost = message.band.at_most_once and not receiver.provable
         soonest = max(now, receiver.canary_at, receiver.pace.canary_at, receiver.pace.wait_until)
         return FAR if receiver.canary_out or lost else soonest
 
@@ -643,44 +643,44 @@
         usual = 2 * receiver.mean + 4 * receiver.stray if receiver.mean else 2 * SECOND
         return len(receiver.calls) > 1 and now - since > max(SILENCE, usual)  # one lost call says too little
 
-    def _patience(self, now: int, envelope: Envelope, receiver: Receiver) -> int:
+    def _patience(self, now: int, message: Message, receiver: Receiver) -> int:
         """How long a shot may take. Danger: a dead destination holds all slots, a window closes unused."""
-        left = envelope.outer_limit - now - 2 * self.tick
+        left = message.outer_limit - now - 2 * self.tick
         usual = receiver.mean + 4 * receiver.stray if receiver.mean else 2 * SECOND
-        soon = max(SECOND, round(2 * usual)) << min(envelope.shots - 1, 4)
+        soon = max(SECOND, round(2 * usual)) << min(message.shots - 1, 4)
         crowded = 2 * self.calls_out >= self.slots
-        if envelope.band.at_most_once or envelope.band.reissuable:
-            return min(left, soon if envelope.band.reissuable else 3 * soon if crowded else FAR)
-        window = envelope.band.window if not envelope.ran_at else envelope.ran_at + envelope.band.window - now
+        if message.band.at_most_once or message.band.reissuable:
+            return min(left, soon if message.band.reissuable else 3 * soon if crowded else FAR)
+        window = message.band.window if not message.ran_at else message.ran_at + message.band.window - now
         patience = min(window - SECOND // 2, soon if receiver.out_since or crowded else 2 * soon)
         # Danger: in a short window a hang would hold its slot to the end, and never be repeated.
         enough = patience >= min(SECOND, usual)
-        return min(left, patience) if enough and envelope.shots < self.most_shots else left
-
-    def _urgency(self, now: int, envelope: Envelope) -> tuple[float, int, int]:
-        """Sorts the envelope first that loses most by waiting; over-share tenants go last."""
-        if now < envelope.rank_until:
-            return envelope.rank
-        band = envelope.band
-        left, loses = band.delivery_value(now - envelope.expected_by)
-        if envelope.outer_limit - now < 3 * SECOND:
+        return min(left, patience) if enough and message.shots < self.most_shots else left
+
+    def _urgency(self, now: int, message: Message) -> tuple[float, int, int]:
+        """Sorts the message first that loses most by waiting; over-share tenants go last."""
+        if now < message.rank_until:
+            return message.rank
+        band = message.band
+        left, loses = band.delivery_value(now - message.expected_by)
+        if message.outer_limit - now < 3 * SECOND:
             loses += (left if band.halves_in else band.priority_weight * band.late_share) / 3
-        if now < envelope.expected_by - SECOND:
+        if now < message.expected_by - SECOND:
             loses /= 2
-        if envelope.ran_at and not band.reissuable:
+        if message.ran_at and not band.reissuable:
             loses += band.priority_weight  # its window of repeats is running out
-        if envelope.over_share:
+        if message.over_share:
             loses *= number(self.settings, "over-share-worth", 1.0)
-        times = envelope.expected_by - SECOND, envelope.outer_limit - 3 * SECOND + 1  # else only a shot tells
-        envelope.rank_until = min((time for time in times if time > now), default=FAR)
+        times = message.expected_by - SECOND, message.outer_limit - 3 * SECOND + 1  # else only a shot tells
+        message.rank_until = min((time for time in times if time > now), default=FAR)
         if band.halves_in:
-            envelope.rank_until = min(envelope.rank_until, now + band.halves_in // 4)
+            message.rank_until = min(message.rank_until, now + band.halves_in // 4)
         if self.many:  # Danger: a sender's part is two or three slots, and one slow call takes them from many
-            if band.in_turn and envelope.key:
-                loses *= len(self.turns.lines[envelope.key])  # all that wait for their turn wait with it
-            loses /= self.destinations[envelope.destination].quickest or SECOND / 2
-        envelope.rank = -loses, envelope.expected_by, envelope.order
-        return envelope.rank
+            if band.in_turn and message.key:
+                loses *= len(self.turns.lines[message.key])  # all that wait for their turn wait with it
+            loses /= self.destinations[message.destination].quickest or SECOND / 2
+        message.rank = -loses, message.expected_by, message.order
+        return message.rank
 
     def _over_share(self, now: int, tenant: int) -> bool:
         allowance = number(self.settings, f"realms.{tenant}.allowance-per-s") / self.senders
--- a/cedarwick/state.py
+++ b/cedarwick/state.py
@@ -49,21 +49,21 @@
 
 
 class Keys:
-    """The envelopes of each key in the order in which they were taken, and until when a key rests."""
+    """The messages of each key in the order in which they were taken, and until when a key rests."""
 
     def __init__(self) -> None:
         self.lines: dict[int, deque[Any]] = {}
         self.rests: dict[int, int] = {}
-        self.resting: deque[int] = deque()  # keys as their envelopes ended
+        self.resting: deque[int] = deque()  # keys as their messages ended
         self.all_rest = 0  # no key goes before this
 
-    def join(self, key: int, envelope: Any) -> None:
-        self.lines.setdefault(key, deque()).append(envelope)
+    def join(self, key: int, message: Any) -> None:
+        self.lines.setdefault(key, deque()).append(message)
 
-    def leave(self, key: int, envelope: Any, now: int, rest: int) -> list[Any]:
-        """The envelope has ended; the key rests until a time, which may have passed. Whose turn it is now, if any's."""
+    def leave(self, key: int, message: Any, now: int, rest: int) -> list[Any]:
+        """The message has ended; the key rests until a time, which may have passed. Whose turn it is now, if any's."""
         line = self.lines[key]
-        line.remove(envelope)
+        line.remove(message)
         self.rest(key, rest)
         self.resting.append(key)
         # Danger: keys are always new, and one that nobody uses again would rest for ever.
@@ -78,19 +78,19 @@
         line = self.lines[key]
         for _ in joined:
             line.pop()
-        for envelope in joined:
+        for message in joined:
             index = len(line)
-            while index and not line[index - 1].out and before(envelope, line[index - 1]):
+            while index and not line[index - 1].out and before(message, line[index - 1]):
                 index -= 1
-            line.insert(index, envelope)
+            line.insert(index, message)
 
     def rest(self, key: int, until: int) -> None:
         """A key rests until a time at least."""
         self.rests[key] = max(until, self.rests.get(key, 0))
 
-    def turn_at(self, key: int, envelope: Any) -> int:
-        """When it is this envelope's turn; FAR while another stands before it."""
-        if self.lines[key][0] is not envelope:
+    def turn_at(self, key: int, message: Any) -> int:
+        """When it is this message's turn; FAR while another stands before it."""
+        if self.lines[key][0] is not message:
             return FAR
         return max(self.all_rest, self.rests.get(key, 0))
 
@@ -132,7 +132,7 @@
     late_share: float
     reissuable: bool
     at_most_once: bool
-    window: int  # for numbered envelopes: how long a destination remembers the number
+    window: int  # for numbered messages: how long a destination remembers the number
     one_zone: bool  # repeats only within the zone of the first shot that may have run
     in_turn: bool
     halves_in: int = 0  # after the expected time the worth falls by half in this time; 0: evenly
@@ -222,8 +222,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Envelope:
-    """One envelope from its taking to its final answer."""
+class Message:
+    """One message from its taking to its final answer."""
 
     id: int
     destination: int
@@ -251,7 +251,7 @@
 
 @dataclass(slots=True)
 class Destination:
-    """The receivers of a destination by id and the envelopes held for it."""
+    """The receivers of a destination by id and the messages held for it."""
 
     id: int
     pace: Pace
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -60,7 +60,7 @@
 
 def overtakes() -> None:
     """It is everyone's turn."""
-    state.Keys.turn_at = lambda self, key, envelope: 0  # type: ignore[method-assign]
+    state.Keys.turn_at = lambda self, key, message: 0  # type: ignore[method-assign]
 
 
 def pushes_the_cold() -> None:
