--- a/tests/test_fleet_leases.py
+++ b/tests/test_fleet_leases.py
@@ -148,7 +148,6 @@
         holder.look(SPAN)
         self.assertEqual((holder.state, holder.newer), (Tenure.LOST, (2, "c")))
 
-
     def test_what_a_member_that_has_gone_had_granted_counts_no_more(self) -> None:
         holder = Holder("r", "a", "abcd")
         holder.begin(0, Grant("r", 0, ""))
