--- a/cedarwick/adapter/__main__.py
+++ b/cedarwick/adapter/__main__.py
@@ -3,13 +3,13 @@
 import sys
 
 from cedarwick.adapter.host import serve
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 
 def main() -> int:
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except Trouble as error:
+    except CedarwickError as error:
         print(f"cedarwick.adapter: {error.line}", file=sys.stderr)
         return 2
     return 0
--- a/cedarwick/adapter/codec.py
+++ b/cedarwick/adapter/codec.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.interface import ListChange, Listing, Outcome, Phase
 
 BATCH_HEADER = struct.Struct("<dII")
@@ -25,7 +25,7 @@
 LIST_CHANGES = {0: ListChange.CHANGES, 1: ListChange.WHOLE, 2: ListChange.SAVED, 3: None}
 
 
-class WireError(Trouble):
+class WireError(CedarwickError):
     """Bytes that the wire's page does not allow."""
 
     code = "CW501"
--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -44,7 +44,7 @@
             touched[number] = None
             try:
                 self._pass_on(now, code, values, extra)
-            except (codec.WireError, bounds.BadSetting):
+            except (codec.WireError, bounds.SettingError):
                 raise
             except Exception as error:
                 broken[number] = f"{type(error).__name__}: {error}"
--- a/cedarwick/bounds.py
+++ b/cedarwick/bounds.py
@@ -3,7 +3,7 @@
 import math
 from collections.abc import Mapping
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 ANY = (0.0, math.inf)
 SHARE = (0.0, 1.0)
@@ -45,7 +45,7 @@
 }
 
 
-class BadSetting(Trouble):
+class SettingError(CedarwickError):
     """A setting of the decisions has a wrong type or lies out of its range."""
 
     code = "CW106"
@@ -53,7 +53,7 @@
 
 
 def check(settings: Mapping[str, str]) -> None:
-    """`BadSetting` names the first setting that the decisions cannot use; absent and empty ones have defaults."""
+    """`SettingError` names the first setting that the decisions cannot use; absent and empty ones have defaults."""
     for name, bounds in SPANS_AND_FIGURES.items():
         _figure(settings, name, bounds)
     for name, bounds in COUNTS.items():
@@ -79,14 +79,14 @@
     try:
         value = float(text)
     except ValueError:
-        raise BadSetting(f"{name} is no number: {text[:40]!r}") from None
+        raise SettingError(f"{name} is no number: {text[:40]!r}") from None
     if not (math.isfinite(value) and bounds[0] <= value <= bounds[1] and (not whole or value == int(value))):
         kind = "whole number" if whole else "number"
         most = f" and at most {bounds[1]:g}" if bounds[1] < math.inf else ""
-        raise BadSetting(f"{name} is {text[:40]}, not a {kind} of at least {bounds[0]:g}{most}")
+        raise SettingError(f"{name} is {text[:40]}, not a {kind} of at least {bounds[0]:g}{most}")
 
 
 def _word(settings: Mapping[str, str], name: str, words: tuple[str, ...]) -> None:
     text = settings.get(name)
     if text and text not in words:
-        raise BadSetting(f"{name} is {text[:40]!r}, not one of {', '.join(words)}")
+        raise SettingError(f"{name} is {text[:40]!r}, not one of {', '.join(words)}")
--- a/cedarwick/cli/config.py
+++ b/cedarwick/cli/config.py
@@ -9,11 +9,11 @@
 
 from cedarwick.cli.say import unusable
 from cedarwick.config import texts
-from cedarwick.config.files import BadFile, read_toml
+from cedarwick.config.files import ConfigFileError, read_toml
 from cedarwick.config.operator import Operator, load
 from cedarwick.lab.scenario import Scenario, sender_settings
 from cedarwick.lab.scenario import load as load_scenario
-from cedarwick.net.assignment import BadAssignment, read
+from cedarwick.net.assignment import AssignmentError, read
 
 WHOLES: dict[str, type[msgspec.Struct]] = {"operator": Operator, "scenario": Scenario}
 of_kind = click.option(
@@ -37,12 +37,12 @@
     """Check FILE: a platform's configuration (.json), an operator file or a scenario (.toml)."""
     try:
         click.echo(f"{file}: a good {checked(file)}")
-    except (BadFile, BadAssignment) as error:
+    except (ConfigFileError, AssignmentError) as error:
         unusable(error)
 
 
 def checked(file: str) -> str:
-    """What kind of file it is; `BadFile` or `BadAssignment` where it cannot be used as that."""
+    """What kind of file it is; `ConfigFileError` or `AssignmentError` where it cannot be used as that."""
     if file.endswith(".json"):
         with tempfile.TemporaryDirectory() as folder:  # the folder that lasts is not the file's matter
             read({"RELAY_CONFIG": file, "RELAY_STATE": folder})
@@ -61,7 +61,7 @@
     file = file or os.environ.get("CEDARWICK_OPERATOR") or None
     try:
         click.echo(texts.effective(load(file), read_toml(file)) if file else texts.effective(Operator(), {}))
-    except BadFile as error:
+    except ConfigFileError as error:
         unusable(error)
 
 
--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -12,13 +12,13 @@
 from rich.table import Table
 
 from cedarwick.cli.say import Progress, console, unusable, write_json
-from cedarwick.config.files import BadFile
+from cedarwick.config.files import ConfigFileError
 from cedarwick.lab import scenario as scenarios
 from cedarwick.lab.audit import Account
 from cedarwick.lab.clients import Clients
 from cedarwick.lab.day import Day
 from cedarwick.lab.run import Result, head_of, play, stop_on_signals
-from cedarwick.lab.senders import NotReady
+from cedarwick.lab.senders import SenderNotReadyError
 
 RULES = {
     0: "protocol",
@@ -74,7 +74,7 @@
     """
     try:
         chosen = scenarios.load(scenario)
-    except BadFile as error:
+    except ConfigFileError as error:
         unusable(error)
     if out and os.path.exists(os.path.join(out, "run.json")):
         unusable(f"{out}: holds a run already")
@@ -106,7 +106,7 @@
     stop_on_signals(lambda: os._exit(1))
     try:
         return play(chosen, seed, senders, short, out, progress=say)
-    except (NotReady, OSError) as error:
+    except (SenderNotReadyError, OSError) as error:
         unusable(error, "the day could not begin")
     finally:
         progress.end()
@@ -182,7 +182,7 @@
     try:
         for name in names:
             scenarios.load(name)
-    except BadFile as error:
+    except ConfigFileError as error:
         unusable(error)
 
     def one(day: tuple[str, int]) -> tuple[str, int, int, str, float]:
@@ -269,9 +269,9 @@
     try:
         chosen = scenarios.load(scenario)
         until_ended(chosen, seed, senders or chosen.senders, seconds, click.echo)
-    except BadFile as error:
+    except ConfigFileError as error:
         unusable(error)
-    except (NotReady, OSError) as error:
+    except (SenderNotReadyError, OSError) as error:
         unusable(error, "could not begin")
 
 
--- a/cedarwick/cli/say.py
+++ b/cedarwick/cli/say.py
@@ -7,12 +7,12 @@
 import msgspec
 from rich.console import Console
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 USABLE = 2  # the exit status for arguments or files that cannot be used
 
 
-class BadArgument(Trouble):
+class ArgumentError(CedarwickError):
     """An argument of a sub-command, or what it names, cannot be used."""
 
     code = "CW105"
@@ -21,7 +21,7 @@
 
 def unusable(found: str | Exception, doing: str = "") -> NoReturn:
     """One line on standard error with code and remedy, and status 2; an error says in what it came up."""
-    trouble = found if isinstance(found, Trouble) else BadArgument(str(found))
+    trouble = found if isinstance(found, CedarwickError) else ArgumentError(str(found))
     click.echo(f"cedarwick: {(trouble.within(doing) if doing else trouble).line}", err=True)
     sys.exit(USABLE)
 
--- a/cedarwick/cli/store.py
+++ b/cedarwick/cli/store.py
@@ -10,8 +10,8 @@
 
 from cedarwick.cli.say import console, unusable
 from cedarwick.store import tools
-from cedarwick.store.files import InUse
-from cedarwick.store.journal import NoRoom
+from cedarwick.store.files import FolderInUseError
+from cedarwick.store.journal import NoSpaceError
 
 
 @click.group()
@@ -61,7 +61,7 @@
     try:
         limit = round(disk_mb * (1 << 20)) or 2 * tools.verify(folder).used_bytes + (1 << 24)
         before, after = tools.compact(folder, limit, lambda: time.time_ns() // 1000)
-    except (InUse, NoRoom, OSError) as error:
+    except (FolderInUseError, NoSpaceError, OSError) as error:
         unusable(error)
     click.echo(f"{before} bytes before, {after} after")
 
--- a/cedarwick/config/files.py
+++ b/cedarwick/config/files.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 PLACE = re.compile(r"^(?P<what>.*?)(?: - at `\$\.?(?P<where>.*?)`)?$", re.DOTALL)
 LARGEST = 1 << 20  # bytes of a file that a person writes
@@ -15,7 +15,7 @@
 Made = TypeVar("Made")
 
 
-class BadFile(Trouble):
+class ConfigFileError(CedarwickError):
     """A file that cannot be used; the text is one line."""
 
     code = "CW102"
@@ -23,21 +23,21 @@
 
 
 def load_toml(path: str, into: type[Made]) -> Made:
-    """The file at the path as one `into`; `BadFile` names file, key path and what was expected."""
+    """The file at the path as one `into`; `ConfigFileError` names file, key path and what was expected."""
     return decoded(read_toml(path), into, path)
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """The plain tables of a TOML file; `BadFile` where it cannot be read as such."""
+    """The plain tables of a TOML file; `ConfigFileError` where it cannot be read as such."""
     try:
         if os.path.getsize(path) > LARGEST:
-            raise BadFile(f"{path}: larger than {LARGEST} bytes")
+            raise ConfigFileError(f"{path}: larger than {LARGEST} bytes")
         with open(path, "rb") as file:
             return tomllib.load(file)
     except OSError as error:
-        raise BadFile(f"{path}: {error.strerror}") from None
+        raise ConfigFileError(f"{path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadFile(f"{path}: no TOML: {error}") from None
+        raise ConfigFileError(f"{path}: no TOML: {error}") from None
 
 
 def decoded(tables: dict[str, Any], into: type[Made], path: str) -> Made:
@@ -48,4 +48,4 @@
         found = PLACE.match(str(error))
         assert found is not None
         where = found["where"] or "the top"
-        raise BadFile(f"{path}: {where}: {found['what']}") from None
+        raise ConfigFileError(f"{path}: {where}: {found['what']}") from None
--- a/cedarwick/config/operator.py
+++ b/cedarwick/config/operator.py
@@ -9,9 +9,9 @@
 import msgspec
 from msgspec import Meta
 
-from cedarwick.config.files import BadFile, load_toml
+from cedarwick.config.files import ConfigFileError, load_toml
 
-__all__ = ["BadFile", "Counting", "Fleet", "Lasting", "Log", "Member", "Operator", "load"]
+__all__ = ["ConfigFileError", "Counting", "Fleet", "Lasting", "Log", "Member", "Operator", "load"]
 
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
 
@@ -182,7 +182,7 @@
 
 
 def load(path: str) -> Operator:
-    """The operator file at a path; `BadFile` says in one line what is wrong with it."""
+    """The operator file at a path; `ConfigFileError` says in one line what is wrong with it."""
     made = load_toml(path, Operator)
     if made.fleet is not None:
         check(made.fleet, path)
@@ -190,7 +190,7 @@
 
 
 def check(fleet: Fleet, path: str) -> None:
-    """What no type says of a fleet; `BadFile` names the first key that does not fit."""
+    """What no type says of a fleet; `ConfigFileError` names the first key that does not fit."""
     # Only a file with a fleet pays for the hash and the rest.
     from cedarwick.fleet.messages import slot_of
     from cedarwick.net.assignment import address
@@ -203,15 +203,17 @@
         try:
             listens = address(member.address)
         except ValueError:
-            raise BadFile(f"{where}.address: Expected `host:port`, got {member.address!r}") from None
+            raise ConfigFileError(f"{where}.address: Expected `host:port`, got {member.address!r}") from None
         if (first := names.setdefault(member.name, index)) != index:
-            raise BadFile(f"{where}.name: {member.name!r} is given twice, first in member[{first}]")
+            raise ConfigFileError(f"{where}.name: {member.name!r} is given twice, first in member[{first}]")
         if (first := addresses.setdefault(listens, index)) != index:
-            raise BadFile(f"{where}.address: {member.address!r} is given twice, first in member[{first}]")
+            raise ConfigFileError(f"{where}.address: {member.address!r} is given twice, first in member[{first}]")
         # Danger: two members with one slot would give two envelopes one number.
         if (first := slots.setdefault(slot_of(member.name), index)) != index:
-            raise BadFile(f"{where}.name: {member.name!r} has the slot of {fleet.member[first].name!r}; rename one")
+            raise ConfigFileError(
+                f"{where}.name: {member.name!r} has the slot of {fleet.member[first].name!r}; rename one"
+            )
     if fleet.copies >= len(fleet.member):
-        raise BadFile(f"{path}: fleet.copies: {fleet.copies} copies need {fleet.copies + 1} members")
+        raise ConfigFileError(f"{path}: fleet.copies: {fleet.copies} copies need {fleet.copies + 1} members")
     if fleet.ack == "copy" and not fleet.copies:
-        raise BadFile(f"{path}: fleet.copies: `ack` by copy needs 1 at least")
+        raise ConfigFileError(f"{path}: fleet.copies: `ack` by copy needs 1 at least")
--- a/cedarwick/config/remedies.py
+++ b/cedarwick/config/remedies.py
@@ -5,7 +5,7 @@
 import pkgutil
 
 import cedarwick
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 
 def types() -> tuple[list[type[Exception]], list[str]]:
@@ -21,7 +21,7 @@
             left_out.append(module.name)
             continue
         for _, each in inspect.getmembers(loaded, inspect.isclass):
-            if issubclass(each, Exception) and each.__module__ == module.name and each is not Trouble:
+            if issubclass(each, Exception) and each.__module__ == module.name and each is not CedarwickError:
                 found[name(each)] = each
     return list(found.values()), left_out
 
@@ -31,11 +31,11 @@
     return f"{each.__module__.removeprefix('cedarwick.')}.{each.__name__}"
 
 
-def row(each: type[Trouble]) -> str:
+def row(each: type[CedarwickError]) -> str:
     """A type's line of the table: code, type, what happened, what to do."""
     return f"| {each.code} | `{name(each)}` | {str(each.__doc__).splitlines()[0]} | {each.remedy} |"
 
 
 def rows() -> list[str]:
     """The table, by code."""
-    return sorted(row(each) for each in types()[0] if issubclass(each, Trouble))
+    return sorted(row(each) for each in types()[0] if issubclass(each, CedarwickError))
--- a/cedarwick/errors.py
+++ b/cedarwick/errors.py
@@ -2,8 +2,8 @@
 
 A new type is made in the module whose work it belongs to (not here), in four steps:
 
-1. `class Sealed(Trouble)`, and a second base such as OSError or ValueError only where code already catches that
-   (`class Sealed(Trouble, OSError)`, Trouble first). Its docstring's first line says what has happened.
+1. `class Sealed(CedarwickError)`, and a second base such as OSError or ValueError only where code already catches that
+   (`class Sealed(CedarwickError, OSError)`, CedarwickError first). Its docstring's first line says what has happened.
 2. A `code` and a `remedy` of its own, on the class: the code is "CW" and the next free number of its range, never
    given to another type, not even when the type has gone. The remedy is one line in the imperative, with no full
    stop or bracket at its end and no `|`: what to look at or to do, nothing about what has happened.
@@ -22,7 +22,7 @@
 from typing import ClassVar, Self
 
 
-class Trouble(Exception):
+class CedarwickError(Exception):
     """What an operator can meet: a text that says what happened and where, a stable code, and what to do."""
 
     code: ClassVar[str]
@@ -38,6 +38,6 @@
         return type(self)(f"{doing}: {self}")
 
 
-def told(found: object) -> object:
-    """What a log line shows of something: the line of a `Trouble`, anything else as it is."""
-    return found.line if isinstance(found, Trouble) else found
+def describe(found: object) -> object:
+    """What a log line shows of something: the line of a `CedarwickError`, anything else as it is."""
+    return found.line if isinstance(found, CedarwickError) else found
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -14,10 +14,10 @@
 import gevent.socket
 from loguru import logger
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.events.kept import Keeper
-from cedarwick.events.kinds import BadEvent, Value
-from cedarwick.events.registry import FORGET, SECOND, NotFollowed, Registry, Verdict
+from cedarwick.events.kinds import InvalidEventError, Value
+from cedarwick.events.registry import FORGET, SECOND, NotFollowedError, Registry, Verdict
 from cedarwick.events.sources import Sources
 from cedarwick.events.spreading import Spread
 from cedarwick.events.witness import Witness
@@ -47,42 +47,42 @@
 MOST_READERS = 128  # subscribers that are connected here
 
 
-class BadFollow(Trouble):
+class InvalidFollowError(CedarwickError):
     """A call of `FOLLOW` or `UNFOLLOW` that cannot be read."""
 
     code = "CW831"
     remedy = "write FOLLOW NAME WHERE FILTER, FOLLOW NAME SOURCE:NUMBER ... WHERE FILTER, or UNFOLLOW NAME"
 
 
-class MovedAway(Trouble):
+class SubscriptionMovedError(CedarwickError):
     """The subscriber has followed at another member since."""
 
     code = "CW833"
     remedy = "read there; two subscribers need two names"
 
 
-class Unfollowed(Trouble):
+class UnfollowedError(CedarwickError):
     """The subscription has ended: somebody has said so, or nobody has followed it for long."""
 
     code = "CW834"
     remedy = "follow with the filter to begin a new one"
 
 
-class Forgotten(Trouble):
+class SubscriptionExpiredError(CedarwickError):
     """This member was cut off for so long that it could not know what had ended meanwhile, and begins anew."""
 
     code = "CW835"
     remedy = "follow again with cursors and filter, here or at any other member"
 
 
-class TooManyReaders(Trouble):
+class TooManyReadersError(CedarwickError):
     """As many subscribers are connected to this member as may be."""
 
     code = "CW830"
     remedy = "follow at another member, or end connections that nobody needs"
 
 
-class NotJoined(Trouble):
+class NotJoinedError(CedarwickError):
     """The registry of another member is not taken over."""
 
     code = "CW838"
@@ -209,7 +209,7 @@
         assert self.serving is not None
         try:
             self.serving.happened(wall(), kind, fields)
-        except BadEvent as error:
+        except InvalidEventError as error:
             self.counters.trouble("an event that cannot be told", error)
 
     def _cleared(self, clear: Callable[[Shot], bool], call: Shot) -> bool:
@@ -278,7 +278,7 @@
             self.offset = at - now
         lost = self.registry.tick(at, with_majority)
         for name in lost:
-            self._end(name, Forgotten(f"{name}: this member was cut off for too long"))
+            self._end(name, SubscriptionExpiredError(f"{name}: this member was cut off for too long"))
         if count != len(self.registry.entries):
             self._changed()
         if self.serving is not None:
@@ -337,11 +337,11 @@
         for name in list(self.serving.connections):
             entry = self.registry.entries.get(name)
             if entry is None or not self.registry.lives(at, name):
-                self._end(name, Unfollowed(f"{name} has ended"))
+                self._end(name, UnfollowedError(f"{name} has ended"))
             elif entry.member != self.name:
-                self._end(name, MovedAway(f"{name} is followed at {entry.member}"))
+                self._end(name, SubscriptionMovedError(f"{name} is followed at {entry.member}"))
 
-    def _end(self, name: str, why: Trouble) -> None:
+    def _end(self, name: str, why: CedarwickError) -> None:
         if self.serving is not None and name in self.serving.connections:
             self.serving.connections[name].end(why)
 
@@ -350,7 +350,7 @@
         before = dict(self.registry.entries) if told.entries else {}
         verdict = self.spread.join(wall(), told)
         if verdict is not Verdict.JOINED:
-            self.counters.trouble("subscriptions of another member", NotJoined(f"{sender}: {verdict.value}"))
+            self.counters.trouble("subscriptions of another member", NotJoinedError(f"{sender}: {verdict.value}"))
             return
         entries = self.registry.entries
         changed = [name for name in told.entries if name in entries and before.get(name) is not entries[name]]
@@ -386,7 +386,7 @@
     # ---- staff and subscribers ----
 
     def answer(self, call: Call) -> str | Talk:
-        """`FOLLOW` and `UNFOLLOW`; a `Trouble` says why not."""
+        """`FOLLOW` and `UNFOLLOW`; a `CedarwickError` says why not."""
         if call.name == "UNFOLLOW":
             return self._unfollow(call.argument)
         if self.serving is None:
@@ -397,7 +397,7 @@
     def _load_and_follow(self, told: str, sock: gevent.socket.socket) -> None:
         try:
             talk = self._follow(self._load(), told)
-        except Trouble as error:
+        except CedarwickError as error:
             self.counters.add(f"management calls refused: {error.code}")
             sock.sendall(f"NO {error.line}\n".encode("ascii", "replace"))
         else:
@@ -414,9 +414,9 @@
         name, cursors = decoded(" ".join(word for word in words[:place] if word))
         text = " ".join(words[place + 1 :])
         if place < len(words) and not text.strip():
-            raise BadFollow("no filter after WHERE")
+            raise InvalidFollowError("no filter after WHERE")
         if len(serving.connections) >= MOST_READERS and name not in serving.connections:
-            raise TooManyReaders(f"{MOST_READERS} subscribers are connected here")
+            raise TooManyReadersError(f"{MOST_READERS} subscribers are connected here")
         at = wall()
         if place < len(words):
             found = read(text)
@@ -431,7 +431,7 @@
             text = found.text
         else:
             if not self.registry.lives(at, name):
-                raise NotFollowed(f"no subscription is called '{name}' here")
+                raise NotFollowedError(f"no subscription is called '{name}' here")
             text = self.registry.entries[name].filter
         self.registry.follow(at, name, text)
         self.began = max(self.began + 1, at)
@@ -442,7 +442,7 @@
     def _unfollow(self, told: str) -> str:
         name = told.strip()
         if not name or " " in name:
-            raise BadFollow("UNFOLLOW takes one name")
+            raise InvalidFollowError("UNFOLLOW takes one name")
         self.registry.end(wall(), name)
         self._changed(name)
         letter = self.spread.letter([name])
--- a/cedarwick/events/kept.py
+++ b/cedarwick/events/kept.py
@@ -13,9 +13,9 @@
 import msgspec
 from loguru import logger
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.events.registry import MOST, Entry, Registry, join
-from cedarwick.fleet.lasting import FOLDER, FleetFileSpoilt
+from cedarwick.fleet.lasting import FOLDER, CorruptFleetFileError
 from cedarwick.net.counters import Counters
 from cedarwick.store.records import Damage, framed, may_go_on, scan
 
@@ -27,7 +27,7 @@
 RETRY = 1_000_000  # until a write that failed is made again
 
 
-class SubscriptionsNotKept(Trouble):
+class SubscriptionsNotSavedError(CedarwickError):
     """The subscriptions cannot be written to the folder; after a restart this member learns them from the others."""
 
     code = "CW840"
@@ -104,7 +104,7 @@
         except FileNotFoundError:
             return
         except (OSError, ValueError) as error:
-            logger.error(FleetFileSpoilt(f"{self.path}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.path}: {error}").line)
             return
         if held is None:
             return
@@ -184,7 +184,7 @@
             # Danger: a page that is there in part would hide those behind it.
             self.room = 0
             self.look_at = 0
-            self.counters.trouble("the subscriptions are not kept", SubscriptionsNotKept(f"{self.path}: {error}"))
+            self.counters.trouble("the subscriptions are not kept", SubscriptionsNotSavedError(f"{self.path}: {error}"))
             return False
         self.writes += 1
         self.bytes += size
--- a/cedarwick/events/kinds.py
+++ b/cedarwick/events/kinds.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.interface import Outcome
 
 LONGEST_TEXT = 256  # characters of a text field
@@ -71,7 +71,7 @@
 }
 
 
-class BadEvent(Trouble, ValueError):
+class InvalidEventError(CedarwickError, ValueError):
     """An event holds what its kind may not carry, or a value of another type or size."""
 
     code = "CW820"
@@ -79,9 +79,9 @@
 
 
 class Event(msgspec.Struct, frozen=True, gc=False):
-    """One thing that happened. `at` is the source's wall clock in microseconds. Raises BadEvent.
+    """One thing that happened. `at` is the source's wall clock in microseconds. Raises InvalidEventError.
 
-    msgspec turns BadEvent into its own ValidationError where an event is read from the wire.
+    msgspec turns InvalidEventError into its own ValidationError where an event is read from the wire.
     """
 
     source: str  # a sender's name and boot
@@ -94,12 +94,12 @@
         # Danger: a text where a number belongs, or a NaN, would make filter and index differ, or raise in mid-match.
         allowed = KINDS.get(self.kind)
         if allowed is None:
-            raise BadEvent(f"no kind of event is called {self.kind[:LONGEST_TEXT]!r}")
+            raise InvalidEventError(f"no kind of event is called {self.kind[:LONGEST_TEXT]!r}")
         for name, value in self.fields.items():
             if name not in allowed:
-                raise BadEvent(f"an event '{self.kind}' carries no field {name[:LONGEST_TEXT]!r}")
+                raise InvalidEventError(f"an event '{self.kind}' carries no field {name[:LONGEST_TEXT]!r}")
             if not fits(FIELDS[name], value):
-                raise BadEvent(f"the field '{name}' is no {FIELDS[name].value} in bounds: {str(value)[:80]!r}")
+                raise InvalidEventError(f"the field '{name}' is no {FIELDS[name].value} in bounds: {str(value)[:80]!r}")
 
     def values(self) -> dict[str, Value]:
         """The fields that filters see, its kind among them."""
--- a/cedarwick/events/language.py
+++ b/cedarwick/events/language.py
@@ -15,18 +15,18 @@
 from cedarwick.events import terms
 from cedarwick.events.bad import (
     WHOLE,
-    BadFilter,
-    BadGlob,
-    OutOfBounds,
-    TooCostly,
-    TooDeep,
-    TooLong,
-    TooMany,
-    TooNew,
-    UnknownField,
-    UnknownWord,
-    Unread,
-    WrongType,
+    FilterError,
+    FilterSyntaxError,
+    FilterTooCostlyError,
+    FilterTooDeepError,
+    FilterTooLongError,
+    FilterTooNewError,
+    InvalidGlobError,
+    OutOfBoundsError,
+    TooManyTermsError,
+    UnknownFieldError,
+    UnknownValueError,
+    WrongTypeError,
 )
 from cedarwick.events.kinds import FIELDS, LARGEST, LONGEST_TEXT, WORDS, Type, Value
 from cedarwick.events.terms import UNITS, Among, And, Compare, Has, Like, Not, Or, Range, Sample, Term
@@ -80,7 +80,7 @@
 
 
 def read(text: str) -> Filter:
-    """A filter from its text. Raises BadFilter."""
+    """A filter from its text. Raises FilterError."""
     _bounded(text, "")
     try:
         term: Term = PARSER.parse(text)  # type: ignore[assignment]
@@ -90,17 +90,17 @@
 
 
 def checked(term: Term) -> Filter:
-    """A filter from its terms, with the bounds that hold for all of it. Raises BadFilter."""
+    """A filter from its terms, with the bounds that hold for all of it. Raises FilterError."""
     count = terms.size(term)
     if count > MOST_TERMS:
-        raise TooMany(
+        raise TooManyTermsError(
             f"{count} comparisons and listed values, {MOST_TERMS} are allowed",
             WHOLE,
             "split it into several subscriptions",
         )
     costs = terms.cost(term)
     if costs > MOST_COST:
-        raise TooCostly(
+        raise FilterTooCostlyError(
             f"it costs {costs} for each event, {MOST_COST} are allowed",
             WHOLE,
             'use fewer globs; one like "abc*" costs 2, others 64',
@@ -122,10 +122,10 @@
 
 
 def check_levels(filter_: Filter, levels: Mapping[str, int]) -> None:
-    """Refuse a filter that some member can't evaluate, `levels` being theirs by name. Raises TooNew."""
+    """Refuse a filter that some member can't evaluate, `levels` being theirs by name. Raises FilterTooNewError."""
     lacking = [f"{name} (level {levels[name]})" for name in sorted(levels) if levels[name] < filter_.level]
     if lacking:
-        raise TooNew(
+        raise FilterTooNewError(
             f"it needs feature level {filter_.level}, which these members lack: {', '.join(lacking)}",
             WHOLE,
             "renew them, or write it without 'like' and 'sample'",
@@ -142,14 +142,16 @@
 def _bounded(text: str, how: str) -> None:
     length = len(text) if len(text) > LONGEST else len(text.encode(errors="replace"))
     if length > LONGEST:
-        raise TooLong(f"{length} bytes{how}, {LONGEST} are allowed", WHOLE, "split it into several subscriptions")
+        raise FilterTooLongError(
+            f"{length} bytes{how}, {LONGEST} are allowed", WHOLE, "split it into several subscriptions"
+        )
 
 
 def _place(token: Token) -> tuple[int, int]:
     return token.line or 1, token.column or 1
 
 
-def _unread(text: str, error: UnexpectedInput) -> Unread:
+def _unread(text: str, error: UnexpectedInput) -> FilterSyntaxError:
     """What lark found, in a reader's words."""
     names: Iterable[str] = ()
     place = (error.line, error.column)
@@ -169,12 +171,12 @@
         remedy = f"write '{word}' in small letters"
     else:
         remedy = INSTEAD.get(found[1], "") or "write one of these instead"
-    return Unread(f"{found} is not expected here, but {' | '.join(words)}", place, remedy)
+    return FilterSyntaxError(f"{found} is not expected here, but {' | '.join(words)}", place, remedy)
 
 
 def _field(token: Token) -> str:
     if token not in FIELDS:
-        raise UnknownField(f"no field is called '{token[:40]}'", _place(token), nearest(token, FIELDS))
+        raise UnknownFieldError(f"no field is called '{token[:40]}'", _place(token), nearest(token, FIELDS))
     return str(token)
 
 
@@ -183,11 +185,11 @@
     type_, place = FIELDS[field], _place(token)
     if token.type == "NAME":
         instead = f'"{token[:40]}"' if type_ is Type.TEXT else EXAMPLES[type_]
-        raise WrongType(f"a {type_.value} is expected for '{field}'", place, f"write {instead}")
+        raise WrongTypeError(f"a {type_.value} is expected for '{field}'", place, f"write {instead}")
     if token.type == "STRING" and type_ is Type.TEXT:
         text = _text(token)
         if field in WORDS and text not in WORDS[field]:
-            raise UnknownWord(f"'{field}' is never \"{text[:40]}\"", place, nearest(text, WORDS[field]))
+            raise UnknownValueError(f"'{field}' is never \"{text[:40]}\"", place, nearest(text, WORDS[field]))
         return text
     if token.type == "FLAG" and type_ is Type.FLAG:
         return bool(token == "true")
@@ -198,20 +200,20 @@
     if token.type == "NUMBER" and type_ is Type.WHOLE and re.fullmatch("-?[0-9]+", token):
         return _whole(token)
     instead = f"{token}s" if token.type == "NUMBER" and type_ is Type.SPAN else EXAMPLES[type_]
-    raise WrongType(f"'{field}' is a {type_.value}, {token[:40]} is not", place, f"write it like {instead}")
+    raise WrongTypeError(f"'{field}' is a {type_.value}, {token[:40]} is not", place, f"write it like {instead}")
 
 
 def _text(token: Token) -> str:
     try:
         text: str = msgspec.json.decode(str(token), type=str)
     except msgspec.DecodeError:
-        raise Unread(
+        raise FilterSyntaxError(
             "the text is not written as JSON writes text",
             _place(token),
             "write \\\" \\\\ \\n \\t or \\u00e9 for what can't stand as it is",
         ) from None
     if len(text) > LONGEST_TEXT:
-        raise OutOfBounds(
+        raise OutOfBoundsError(
             f"{len(text)} characters, no field has more than {LONGEST_TEXT}", _place(token), "write a shorter text"
         )
     return text
@@ -223,7 +225,7 @@
 
 def _bound(token: Token, number: int | float) -> int | float:
     if not abs(number) <= LARGEST:
-        raise OutOfBounds(f"{token[:40]} is too large", _place(token), f"write at most {LARGEST}")
+        raise OutOfBoundsError(f"{token[:40]} is too large", _place(token), f"write at most {LARGEST}")
     return number
 
 
@@ -232,11 +234,11 @@
     assert split is not None
     whole, part, unit = split.groups()
     if unit not in UNITS:
-        raise WrongType(
+        raise WrongTypeError(
             f"no span is counted in '{unit[:40]}'", _place(token), "write us, ms, s, m or h: 1500ms, 2s, 5m"
         )
     if part:
-        raise WrongType(f"{token[:40]} is not whole", _place(token), "write it in a smaller unit: 1500ms for 1.5s")
+        raise WrongTypeError(f"{token[:40]} is not whole", _place(token), "write it in a smaller unit: 1500ms for 1.5s")
     return int(_bound(token, int(whole) * UNITS[unit]))
 
 
@@ -256,9 +258,11 @@
     def compare(self, name: Token, sign: Token, value: Token) -> Term:
         field = _field(name)
         if sign in ("==", "<>"):
-            raise Unread(f"'{sign}' compares nothing", _place(sign), "write " + {"==": "=", "<>": "!="}[sign])
+            raise FilterSyntaxError(
+                f"'{sign}' compares nothing", _place(sign), "write " + {"==": "=", "<>": "!="}[sign]
+            )
         if sign not in ("=", "!=") and not FIELDS[field].ordered:
-            raise WrongType(
+            raise WrongTypeError(
                 f"'{field}' is a {FIELDS[field].value} and has no order",
                 _place(sign),
                 "write = or !=" + (" or like" if FIELDS[field] is Type.TEXT else ""),
@@ -272,11 +276,13 @@
     def range(self, name: Token, first: Token, last: Token) -> Term:
         field = _field(name)
         if not FIELDS[field].ordered:
-            raise WrongType(f"'{field}' is a {FIELDS[field].value} and has no ranges", _place(name), "write in (a, b)")
+            raise WrongTypeError(
+                f"'{field}' is a {FIELDS[field].value} and has no ranges", _place(name), "write in (a, b)"
+            )
         low, high = _value(field, first), _value(field, last)
         assert not isinstance(low, str) and not isinstance(high, str)
         if low > high:
-            raise OutOfBounds(
+            raise OutOfBoundsError(
                 f"nothing lies in {first[:20]}..{last[:20]}", _place(first), f"write {last[:20]}..{first[:20]}"
             )
         return Range(field, low, high)
@@ -284,10 +290,12 @@
     def like(self, name: Token, pattern: Token) -> Term:
         field = _field(name)
         if FIELDS[field] is not Type.TEXT:
-            raise WrongType(f"'{field}' is a {FIELDS[field].value} and has no patterns", _place(name), "write = or in")
+            raise WrongTypeError(
+                f"'{field}' is a {FIELDS[field].value} and has no patterns", _place(name), "write = or in"
+            )
         glob = _text(pattern)
         if not 0 < len(glob) <= LONGEST_GLOB:
-            raise BadGlob(
+            raise InvalidGlobError(
                 f"a pattern of {len(glob)} characters",
                 _place(pattern),
                 f"write 1 to {LONGEST_GLOB} of them, * for any text and ? for one character",
@@ -300,10 +308,10 @@
     def sample(self, word: Token, part: Token, whole: Token) -> Term:
         for token in (part, whole):
             if not re.fullmatch("[0-9]+", token):
-                raise WrongType(f"{token[:40]} is no whole number", _place(token), "write sample(1/100)")
+                raise WrongTypeError(f"{token[:40]} is no whole number", _place(token), "write sample(1/100)")
         share = _whole(part), _whole(whole)
         if not 0 < share[0] <= share[1] <= LARGEST_SAMPLE:
-            raise OutOfBounds(
+            raise OutOfBoundsError(
                 f"{part[:20]}/{whole[:20]} is no share",
                 _place(part),
                 f"write more than 0, at most all, of at most {LARGEST_SAMPLE}: sample(1/100)",
@@ -313,9 +321,11 @@
     def _held(self, term: Term) -> Term:
         # Danger: what is nested deeper than this would nest the calls of whoever walks the terms.
         if terms.depth(term) > DEEPEST:
-            raise TooDeep(f"terms are nested more than {DEEPEST} deep", WHOLE, "leave out parentheses and 'not not'")
+            raise FilterTooDeepError(
+                f"terms are nested more than {DEEPEST} deep", WHOLE, "leave out parentheses and 'not not'"
+            )
         return term
 
 
 PARSER = Lark.open("grammar.lark", rel_to=__file__, parser="lalr", transformer=Maker())
-__all__ = ["BadFilter", "Filter", "check_levels", "checked", "needed_level", "printed", "read"]
+__all__ = ["FilterError", "Filter", "check_levels", "checked", "needed_level", "printed", "read"]
--- a/cedarwick/events/reading.py
+++ b/cedarwick/events/reading.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.events.pushing import NOWHERE, Reached
 from cedarwick.events.streams import Ended, Inbox, Item, Match, position
 
@@ -22,7 +22,7 @@
         self.inbox = Inbox(cursors)
         self.given = dict(cursors)  # by source: the last number that was written
         self.pending: deque[Item | Ended] = deque()
-        self.over: Trouble | None = None
+        self.over: CedarwickError | None = None
 
     def take(self, source: str, after: int, items: Iterable[Item]) -> bool:
         """Items of a source, which follow the number `after` with nothing missing; whether they were looked at."""
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 SECOND = 1_000_000
 FORGET = 3600 * SECOND  # a subscription that nobody has followed for so long has ended, where nothing else is told
@@ -36,21 +36,21 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 
 
-class BadName(Trouble):
+class SubscriptionNameError(CedarwickError):
     """A subscription's name can't be used."""
 
     code = "CW821"
     remedy = "name it with 1 to 64 letters, digits, dots, dashes and underscores, a letter or digit first"
 
 
-class NotFollowed(Trouble):
+class NotFollowedError(CedarwickError):
     """No subscription has the name."""
 
     code = "CW822"
     remedy = "follow it with its filter first; one that nobody followed for fleet.follow_s has ended"
 
 
-class TooManyFollowed(Trouble):
+class TooManySubscriptionsError(CedarwickError):
     """The fleet holds as many subscriptions as it may, ended ones of the last day among them."""
 
     code = "CW823"
@@ -130,17 +130,20 @@
             self.jumped[name] = now - entry.followed_at - age
 
     def follow(self, now: int, name: str, text: str) -> Entry:
-        """A subscriber is here with a filter's canonical text. Raises BadName and TooManyFollowed."""
+        """A subscriber is here with a filter's canonical text.
+
+        Raises SubscriptionNameError and TooManySubscriptionsError.
+        """
         if not NAME.fullmatch(name):
-            raise BadName(f"'{name[:80]}' can't name a subscription")
+            raise SubscriptionNameError(f"'{name[:80]}' can't name a subscription")
         held = self.entries.get(name)
         if held is None and len(self.entries) >= MOST:
-            raise TooManyFollowed(f"{MOST} subscriptions are held, '{name}' would be one more")
+            raise TooManySubscriptionsError(f"{MOST} subscriptions are held, '{name}' would be one more")
         # Danger: without a version of its own, this would give way to an older following at a member not yet heard.
         return self._put(now, name, Entry(self._counter(now, held), self.member, False, text, now, self.lasts))
 
     def followed(self, now: int, name: str) -> Entry:
-        """The subscriber is still here: said at least once in a quarter of what it lasts. Raises NotFollowed."""
+        """The subscriber is still here: said at least once in a quarter of what it lasts. Raises NotFollowedError."""
         held = self._living(now, name)
         # Danger: after a clock was set back its time would stand still for the others, and end there.
         at = max(now, held.followed_at + max(0, self.age(now, name)))
@@ -152,7 +155,7 @@
         return lasts != self.lasts or self.age(now, name) > lasts // 4
 
     def end(self, now: int, name: str) -> Entry:
-        """End a subscription for everyone. Raises NotFollowed."""
+        """End a subscription for everyone. Raises NotFollowedError."""
         held = self._living(now, name)
         return self._put(now, name, Entry(self._counter(now, held), self.member, True, held.filter, now, held.lasts))
 
@@ -225,7 +228,7 @@
 
     def _living(self, now: int, name: str) -> Entry:
         if not self.lives(now, name):
-            raise NotFollowed(f"no subscription is called '{name[:80]}'")
+            raise NotFollowedError(f"no subscription is called '{name[:80]}'")
         return self.entries[name]
 
     def _forgotten(self, entry: Entry) -> bool:
--- a/cedarwick/events/serving.py
+++ b/cedarwick/events/serving.py
@@ -15,7 +15,7 @@
 import msgspec
 from loguru import logger
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.events.kinds import Value
 from cedarwick.events.pushing import NOWHERE, Lane, Reached
 from cedarwick.events.reading import Reader
@@ -39,28 +39,28 @@
 _items: msgspec.msgpack.Decoder[list[Item]] = msgspec.msgpack.Decoder(list[Item])
 
 
-class Superseded(Trouble):
+class SupersededError(CedarwickError):
     """Another connection follows under the same name at this member."""
 
     code = "CW832"
     remedy = "let one subscriber follow under a name; give the other one a name of its own"
 
 
-class CannotEvaluate(Trouble):
+class CannotEvaluateError(CedarwickError):
     """A subscription has a filter that this sender cannot read."""
 
     code = "CW837"
     remedy = "bring all members to one version of the program; until then its subscribers get nothing of this sender"
 
 
-class ReadsTooSlowly(Trouble):
+class SlowReaderError(CedarwickError):
     """A subscriber has not taken what was written to it, and its connection is closed."""
 
     code = "CW839"
     remedy = "follow again with the cursors; read faster, or write a filter that matches less"
 
 
-class UnreadableMatches(Trouble):
+class UnreadableMatchesError(CedarwickError):
     """Matches of another member cannot be read."""
 
     code = "CW836"
@@ -74,7 +74,7 @@
     reader: Reader
     news: gevent.event.Event = field(default_factory=gevent.event.Event)
 
-    def end(self, why: Trouble) -> None:
+    def end(self, why: CedarwickError) -> None:
         self.reader.over = self.reader.over or why
         self.news.set()
 
@@ -122,7 +122,9 @@
         found = self.source.evaluate({name: entry for name, entry in living.items() if name not in left})
         for name in fresh[:READ_AT_ONCE]:
             if name in found:
-                self.counters.trouble("a filter that cannot be evaluated", CannotEvaluate(f"{name}: {found[name]}"))
+                self.counters.trouble(
+                    "a filter that cannot be evaluated", CannotEvaluateError(f"{name}: {found[name]}")
+                )
         outboxes = self.source.outboxes
         self.lanes = {name: lane for name, lane in self.lanes.items() if outboxes.get(name) is lane.outbox}
         self.asked = {name: member for name, member in self.asked.items() if name in self.lanes}
@@ -276,7 +278,7 @@
             try:
                 items = _items.decode(stream.items)
             except msgspec.DecodeError as error:
-                self.counters.trouble("matches that cannot be read", UnreadableMatches(f"{sender}: {error}"))
+                self.counters.trouble("matches that cannot be read", UnreadableMatchesError(f"{sender}: {error}"))
                 continue
             if connection.reader.take(body.source, stream.after, items):
                 connection.news.set()
@@ -288,7 +290,7 @@
         """A subscriber is here; one that was connected under its name is let go."""
         before = self.connections.get(reader.name)
         if before is not None:
-            before.end(Superseded(f"a newer connection follows {reader.name}"))
+            before.end(SupersededError(f"a newer connection follows {reader.name}"))
         self.connections[reader.name] = made = Connection(reader)
         self._owe(reader.name, alive)
         return made
@@ -314,7 +316,9 @@
                 self._owe(reader.name, told)
             sock.sendall(f"NO {reader.over.line}\n".encode("ascii", "replace"))
         except TimeoutError:
-            self.counters.trouble("a subscriber reads too slowly", ReadsTooSlowly(f"{reader.name}: {WRITE_WITHIN:g} s"))
+            self.counters.trouble(
+                "a subscriber reads too slowly", SlowReaderError(f"{reader.name}: {WRITE_WITHIN:g} s")
+            )
         except OSError as error:
             self.counters.add(f"subscribers lost: {type(error).__name__}")
         finally:
--- a/cedarwick/events/streams.py
+++ b/cedarwick/events/streams.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from cedarwick.errors import Trouble
-from cedarwick.events.bad import BadFilter
+from cedarwick.errors import CedarwickError
+from cedarwick.events.bad import FilterError
 from cedarwick.events.index import Index
 from cedarwick.events.kinds import LARGEST, Event, Value
 from cedarwick.events.language import read
@@ -24,7 +24,7 @@
 MOST_SOURCES = 256
 
 
-class BadCursors(Trouble):
+class InvalidCursorsError(CedarwickError):
     """What a subscriber gave as its cursors can't be read."""
 
     code = "CW824"
@@ -125,9 +125,9 @@
         self.next = 1
         self.index = Index()
         self.outboxes: dict[str, Outbox] = {}
-        self.unread: dict[str, tuple[str, BadFilter]] = {}  # filters that can't be evaluated here
+        self.unread: dict[str, tuple[str, FilterError]] = {}  # filters that can't be evaluated here
 
-    def evaluate(self, subscriptions: Mapping[str, Entry]) -> dict[str, BadFilter]:
+    def evaluate(self, subscriptions: Mapping[str, Entry]) -> dict[str, FilterError]:
         """From the next event on these are the living subscriptions, by name.
 
         One that has a new filter begins anew: what the old one matched and nobody has seen is dropped. Gives those
@@ -142,7 +142,7 @@
                 self.unread.pop(name, None)
                 try:
                     self.index.add(name, read(entry.filter))
-                except BadFilter as error:
+                except FilterError as error:
                     self.unread[name] = entry.filter, error
                 else:
                     self.outboxes[name] = Outbox(self.name, self.next)
@@ -201,17 +201,17 @@
 
 
 def decoded(text: str) -> tuple[str, dict[str, int]]:
-    """A subscription's name and cursors from their text. Raises BadCursors."""
+    """A subscription's name and cursors from their text. Raises InvalidCursorsError."""
     name, *parts = text.split(" ", MOST_SOURCES + 1)
     if not NAME.fullmatch(name):
-        raise BadCursors(f"'{name[:80]}' can't name a subscription")
+        raise InvalidCursorsError(f"'{name[:80]}' can't name a subscription")
     if len(parts) > MOST_SOURCES:
-        raise BadCursors(f"more than {MOST_SOURCES} sources")
+        raise InvalidCursorsError(f"more than {MOST_SOURCES} sources")
     cursors: dict[str, int] = {}
     for part in parts:
         source, _, number = part.rpartition(":")
         plain = number.isascii() and number.isdigit() and len(number) < 20 and int(number) <= LARGEST
         if not plain or not NAME.fullmatch(source) or source in cursors:
-            raise BadCursors(f"'{part[:80]}' is no cursor, or the source is named twice")
+            raise InvalidCursorsError(f"'{part[:80]}' is no cursor, or the source is named twice")
         cursors[source] = int(number)
     return name, cursors
--- a/cedarwick/fleet/adoption.py
+++ b/cedarwick/fleet/adoption.py
@@ -20,7 +20,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.fleet.leases import EPOCH_BITS, SPAN, Grantor, Holder, Tenure, right_of
 from cedarwick.fleet.members import Standing
 from cedarwick.fleet.messages import Grant
@@ -63,7 +63,7 @@
 AWAY = (Standing.DEAD, Standing.LEFT)
 
 
-class BooksUsedUp(Trouble):
+class BooksExhaustedError(CedarwickError):
     """A sender has opened all the books that its name has numbers for."""
 
     code = "CW731"
@@ -192,7 +192,7 @@
         """A book's adoption that begins now, for the node to run with all others; None: none begins.
 
         While the own grantor learns nothing is opened: the table may know books that this member has forgotten.
-        Raises `BooksUsedUp`.
+        Raises `BooksExhaustedError`.
         """
         if self.current is not None and not self._is_lost(self.current) and not self.full:
             return None
@@ -205,7 +205,7 @@
         # Danger: a number that was used before would make two envelopes one.
         epoch = max(grantor.newest(self.slot), self._newest) + 1
         if epoch >> EPOCH_BITS:
-            raise BooksUsedUp(f"{self.me}: all {1 << EPOCH_BITS} books of its slot have been opened")
+            raise BooksExhaustedError(f"{self.me}: all {1 << EPOCH_BITS} books of its slot have been opened")
         self.full = False
         if self.current is not None:
             self.current.open = False  # if it comes back, it is closed once nothing is owed
--- a/cedarwick/fleet/book.py
+++ b/cedarwick/fleet/book.py
@@ -13,7 +13,7 @@
 
 import gevent.event
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.fleet.adoption import Adoption
 from cedarwick.fleet.facts import (
     Fact,
@@ -31,7 +31,7 @@
 )
 from cedarwick.fleet.shipping import Log
 from cedarwick.interface import Outcome
-from cedarwick.store.journal import Lost, NoRoom, Store
+from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
 from cedarwick.store.records import Kept
 
 STARVED = 500_000  # microseconds that a copy may lag before its book is not fired for, and nothing waits for it
@@ -39,7 +39,7 @@
 PER_BOOK = 1 << 32
 
 
-class NotCopied(Trouble, OSError):
+class NotReplicatedError(CedarwickError, OSError):
     """No copy has taken a record in time."""
 
     code = "CW741"
@@ -92,7 +92,7 @@
             return None
         try:
             return Fact(number, base_of(kept, store.body(number) if kept.end is None else b""), known)
-        except Lost:
+        except BodyLostError:
             return Fact(number, None, known)
 
     def told(self, store: "Shared", number: int) -> Fact | None:
@@ -205,7 +205,10 @@
         super().over(number)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
-        """With `by_copy`, besides: wait until every heir has all that was told; `NotCopied` where one has not."""
+        """With `by_copy`, besides: wait until every heir has all that was told.
+
+        `NotReplicatedError` where one has not.
+        """
         if self.durable or not self.by_copy:
             super().flush(call)
         if not self.by_copy:
@@ -216,7 +219,7 @@
             while holding.log.acked(self.heirs_of(holding)) < index:
                 if holding.starving(boot_time()) or not self._wait(until):
                     self.starved(holding)
-                    raise NotCopied(
+                    raise NotReplicatedError(
                         f"book {holding.book}: {index - holding.log.acked(self.heirs_of(holding))} records "
                         f"are not at {', '.join(sorted(self.heirs_of(holding)))}"
                     )
@@ -226,7 +229,7 @@
                 holding.starved_at = 0
             # Danger: the lease may have run out meanwhile, and an heir that has adopted would not know of this.
             if not holding.adoption.holder.may_fire(boot_time()):
-                raise NotCopied(f"book {holding.book}: the right over it has run out")
+                raise NotReplicatedError(f"book {holding.book}: the right over it has run out")
 
     def heirs_of(self, holding: Holding) -> frozenset[str]:
         """The copies that must have a record before it counts as told."""
@@ -245,7 +248,7 @@
     def stage(self, kept: Kept, sequence: int, text: str) -> None:
         """Keep an envelope that is on its way to this sender: inert from its first record on, here and at every heir.
 
-        `NoRoom` where there is none for it. The mark is on the disk already (`marking`).
+        `NoSpaceError` where there is none for it. The mark is on the disk already (`marking`).
         """
         holding = self.holdings[kept.number >> 32]
         self.inert[kept.number] = sequence, text
@@ -293,7 +296,7 @@
         perhaps: Iterable[int] = (),
         late: int = 0,
     ) -> None:
-        """What a copy knew of a book goes into this folder, under a new term. `NoRoom` leaves what fits.
+        """What a copy knew of a book goes into this folder, under a new term. `NoSpaceError` leaves what fits.
 
         `doubt_at`: wall microseconds from which on news may be missing; 0: none is. `mine`, `perhaps`: see
         `only_here`, where this member has held the book before and could not offer what it knew. `late`: what ends
@@ -366,7 +369,7 @@
         ended = [number for number in told if number not in holding.ledger.known]
         for number in ended:
             self._tell(holding, Fact(number, None, told[number].known))
-            with suppress(NoRoom):  # it is over; the record of that is owed
+            with suppress(NoSpaceError):  # it is over; the record of that is owed
                 super().over(number)
         problem, left = "", all_news
         try:
@@ -382,7 +385,7 @@
                     self._take_news(joined, joined.number not in before)
                     self._tell(holding, joined)
                     news.append(joined.number)
-        except (OSError, NoRoom) as error:
+        except (OSError, NoSpaceError) as error:
             problem = str(error) or type(error).__name__
             # Danger: what the ledger knows is no news when it is offered again; it would be in no folder, and no desk.
             for fact in left:
@@ -403,16 +406,19 @@
                 self.inert = marks
 
     def _take_news(self, fact: Fact, new: bool) -> None:
-        """Bring the folder's own record of an adopted envelope up to what is known now; `NoRoom` for a new one."""
+        """Bring the folder's own record of an adopted envelope up to what is known now.
+
+        `NoSpaceError` for a new one.
+        """
         if new:
             super().keep(kept_of(fact))
             return
         kept = self.kept[fact.number]
         if fact.known.ran is not None and (not kept.ran_at or fact.known.ran[0] < kept.ran_at):
-            with suppress(NoRoom):  # it is known from here on, and its record is owed
+            with suppress(NoSpaceError):  # it is known from here on, and its record is owed
                 self.may_have_run(fact.number, *fact.known.ran)
         if fact.known.end[0] is not Rank.NONE and kept.end is None:
-            with suppress(NoRoom):
+            with suppress(NoSpaceError):
                 super().ended(fact.number, fact.known.end[0] is Rank.RETURNED, fact.known.end[1])
 
     def known_here(self, holding: Holding) -> list[Fact]:
@@ -442,7 +448,8 @@
         return mine, perhaps
 
     def rekey(self, numbers: Iterable[int], failed: bool = False) -> Iterator[int]:
-        """Envelopes that nobody else has become ones of the open book; their new numbers. `NoRoom` stops on the way.
+        """Envelopes that nobody else has become ones of the open book; their new numbers. `NoSpaceError` stops on the
+        way.
 
         `failed`: they end so, since somebody else may have had them. So does one whose body cannot be read.
         """
@@ -452,11 +459,11 @@
             if end is None:
                 try:
                     end, body = ((False, 0), b"") if failed else (None, self.body(number))
-                except Lost:
+                except BodyLostError:
                     end = False, 0
             new = replace(old, number=self.next_number, home=0, at=0, weight=0, noted=[], body=body, end=end)
             if not self.has_room(new):
-                raise NoRoom("an envelope cannot be taken over into the open book")
+                raise NoSpaceError("an envelope cannot be taken over into the open book")
             self.next_number += 1
             if number in self.inert:
                 self.marking(self.inert | {new.number: self.inert[number]})
--- a/cedarwick/fleet/copies.py
+++ b/cedarwick/fleet/copies.py
@@ -14,8 +14,8 @@
 import msgspec
 from loguru import logger
 
-from cedarwick.errors import Trouble
-from cedarwick.fleet.facts import Fact, Spoilt, decode_facts
+from cedarwick.errors import CedarwickError
+from cedarwick.fleet.facts import CorruptFactsError, Fact, decode_facts
 from cedarwick.fleet.messages import Digests, Facts, Have, Piece
 from cedarwick.fleet.shipping import EVERYTHING, NO_ROOM, Entry, Replica, Step
 from cedarwick.store.files import Folder, quietly
@@ -32,21 +32,21 @@
 TOP, ENTRY = b"\x01", b"\x02"
 
 
-class CopyRefused(Trouble):
+class ReplicaRefusedError(CedarwickError):
     """A copy for another member cannot be written."""
 
     code = "CW722"
     remedy = "raise fleet.copies_mb or free the disk; until then the other member has one copy less"
 
 
-class CopyDamaged(Trouble):
+class ReplicaDamagedError(CedarwickError):
     """The file of a copy is damaged; what can be read is kept and put in doubt, the rest is asked for anew."""
 
     code = "CW723"
     remedy = "look at the disk; the holder sends everything again, without it what is in doubt is answered by itself"
 
 
-class CopyForeign(Trouble):
+class ReplicaVersionError(CedarwickError):
     """The file of a copy was written by another version of the program and is put aside."""
 
     code = "CW724"
@@ -121,7 +121,7 @@
                 try:
                     self._read(int(found[1]))
                 except OSError as error:  # its holder is told that there is no room, until somebody has looked
-                    logger.error(CopyDamaged(f"{name}: {error}").line)
+                    logger.error(ReplicaDamagedError(f"{name}: {error}").line)
 
     def replica(self, book: int) -> Replica | None:
         """What is known of a book, for whoever adopts it."""
@@ -204,10 +204,10 @@
             return step.have
         try:
             self._append(copy, framed(ENTRY + ENCODER.encode(step.entry)))
-        except (CopyRefused, OSError) as error:
+        except (ReplicaRefusedError, OSError) as error:
             if copy.replica.book not in self.refusing:
                 self.refusing.add(copy.replica.book)
-                logger.error(CopyRefused(f"{copy.name}: {error}").line)
+                logger.error(ReplicaRefusedError(f"{copy.name}: {error}").line)
             return copy.replica.have(NO_ROOM)
         self.refusing.discard(copy.replica.book)
         copy.replica.take(step.entry, step.facts)
@@ -215,12 +215,15 @@
         return step.have
 
     def _append(self, copy: Copy, frame: bytes) -> None:
-        """Write an entry to a copy's file, and to its fresh one; `CopyRefused` or OSError, and it is in neither."""
+        """Write an entry to a copy's file, and to its fresh one.
+
+        `ReplicaRefusedError` or OSError, and it is in neither.
+        """
         largest = max((each.replica.live for each in self.copies.values()), default=0)
         if self.used + 2 * len(frame) + largest > self.limit:  # room for the largest to be written anew
-            raise CopyRefused(f"{self.used} bytes are in use, and {self.limit} are the most")
+            raise ReplicaRefusedError(f"{self.used} bytes are in use, and {self.limit} are the most")
         if len(frame) > LONGEST or copy.torn:
-            raise CopyRefused("it is too long" if len(frame) > LONGEST else "the file has a torn end for now")
+            raise ReplicaRefusedError("it is too long" if len(frame) > LONGEST else "the file has a torn end for now")
         if copy.file < 0:
             self._create(copy)
         self._write(copy, frame)
@@ -326,7 +329,7 @@
                 if each.payload[:1] == TOP and not made_at:
                     top = TOPS.decode(each.payload[1:])
                     if top.version != VERSION or top.book != book:
-                        logger.error(CopyForeign(f"{copy.name}: version {top.version}, book {top.book}").line)
+                        logger.error(ReplicaVersionError(f"{copy.name}: version {top.version}, book {top.book}").line)
                         self._close(copy.file)
                         quietly(self.folder.replace, copy.name + OTHER, copy.name)
                         return
@@ -336,17 +339,17 @@
                     replica.take(entry, decode_facts(entry.facts))
                 else:
                     damaged = True
-            except (msgspec.MsgspecError, Spoilt):
+            except (msgspec.MsgspecError, CorruptFactsError):
                 damaged = True
             end = each.at + FRAME.size + len(each.payload)
         if not made_at and not replica.held:  # nothing was ever promised, or nothing of it can be read
             if damaged:
-                logger.error(CopyDamaged(f"{copy.name}: nothing of it can be read").line)
+                logger.error(ReplicaDamagedError(f"{copy.name}: nothing of it can be read").line)
             self._close(copy.file)
             quietly(self.folder.unlink, copy.name)
             return
         if damaged or not made_at:
-            logger.error(CopyDamaged(f"{copy.name}: {len(replica.held)} envelopes are put in doubt").line)
+            logger.error(ReplicaDamagedError(f"{copy.name}: {len(replica.held)} envelopes are put in doubt").line)
             replica.doubt(made_at or 1)
             copy.torn = True
         copy.size = size
--- a/cedarwick/fleet/facts.py
+++ b/cedarwick/fleet/facts.py
@@ -23,7 +23,7 @@
 import msgspec
 import xxhash
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.store.records import NOWHERE, Kept
 
 VERSION = 1  # of the encoding
@@ -38,14 +38,14 @@
 Body = Annotated[bytes, msgspec.Meta(max_length=1 << 19)]
 
 
-class Spoilt(Trouble):
+class CorruptFactsError(CedarwickError):
     """Facts that another sender told cannot be read, or do not match their digest."""
 
     code = "CW720"
     remedy = "it is dropped whole and asked for anew; where it comes back, look at the network and the other sender"
 
 
-class OtherFormat(Spoilt):
+class FactsVersionError(CorruptFactsError):
     """Facts were told in the format of another version of the program."""
 
     code = "CW721"
@@ -137,14 +137,14 @@
 
 
 def decode_facts(data: bytes) -> list[Fact]:
-    """The facts of a message; `Spoilt` or `OtherFormat` where they are none."""
+    """The facts of a message; `CorruptFactsError` or `FactsVersionError` where they are none."""
     try:
         batch = BATCH.decode(data)
         if batch.version != VERSION:
-            raise OtherFormat(f"facts of format {batch.version}, this program knows {VERSION}")
+            raise FactsVersionError(f"facts of format {batch.version}, this program knows {VERSION}")
         return FACTS.decode(batch.facts)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise Spoilt(f"facts that cannot be read: {error}") from None
+        raise CorruptFactsError(f"facts that cannot be read: {error}") from None
 
 
 def digest(data: bytes) -> int:
--- a/cedarwick/fleet/gate.py
+++ b/cedarwick/fleet/gate.py
@@ -2,39 +2,39 @@
 
 from collections.abc import Iterable
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.fleet.messages import LEVEL, VERSION, Body, Head, Letter
 
 
-class OtherVersion(Trouble):
+class ProtocolVersionError(CedarwickError):
     """A letter in another version of the fleet's messages."""
 
     code = "CW702"
     remedy = "bring all members to one version of the program"
 
 
-class OtherGroup(Trouble):
+class OtherGroupError(CedarwickError):
     """A letter of another fleet."""
 
     code = "CW703"
     remedy = "compare `fleet.group` and the addresses in the operator files of both senders"
 
 
-class UnknownSender(Trouble):
+class UnknownMemberError(CedarwickError):
     """A letter from a sender that is no other member here."""
 
     code = "CW704"
     remedy = "give all members one list of members in their operator files, each a name of its own; then SIGHUP"
 
 
-class Misdirected(Trouble):
+class MisdirectedLetterError(CedarwickError):
     """A letter to another member than the one that it has reached."""
 
     code = "CW705"
     remedy = "compare the member's address in the operator files with the one it listens on"
 
 
-class OldIncarnation(Trouble):
+class StaleIncarnationError(CedarwickError):
     """A letter from a boot of a member that a newer boot has replaced."""
 
     code = "CW706"
@@ -61,23 +61,27 @@
         return Letter(VERSION, LEVEL, self.group, self.me, self.incarnation, to, body)
 
     def same_version(self, head: Head) -> None:
-        """`OtherVersion` where the rest of the letter means something else."""
+        """`ProtocolVersionError` where the rest of the letter means something else."""
         if head.version != VERSION:
-            raise OtherVersion(f"version {head.version} from {head.sender!r}, where {self.me!r} speaks {VERSION}")
+            raise ProtocolVersionError(
+                f"version {head.version} from {head.sender!r}, where {self.me!r} speaks {VERSION}"
+            )
 
     def check(self, head: Head) -> None:
         """Let a letter in: else one of the errors of this module says why it is not read."""
         self.same_version(head)
         if head.group != self.group:
-            raise OtherGroup(f"group {head.group!r} from {head.sender!r}, where {self.me!r} is of {self.group!r}")
+            raise OtherGroupError(f"group {head.group!r} from {head.sender!r}, where {self.me!r} is of {self.group!r}")
         # Danger: a second process under this sender's own name would hold its rights as well.
         if head.sender == self.me:
-            raise UnknownSender(f"a letter to {self.me!r} from a sender of the same name")
+            raise UnknownMemberError(f"a letter to {self.me!r} from a sender of the same name")
         if head.sender not in self.others:
-            raise UnknownSender(f"{head.sender!r} is no member of {self.group!r} at {self.me!r}")
+            raise UnknownMemberError(f"{head.sender!r} is no member of {self.group!r} at {self.me!r}")
         if head.to != self.me:
-            raise Misdirected(f"a letter from {head.sender!r} to {head.to!r} has reached {self.me!r}")
+            raise MisdirectedLetterError(f"a letter from {head.sender!r} to {head.to!r} has reached {self.me!r}")
         newest = self.newest.get(head.sender, 0)
         if head.incarnation < newest:
-            raise OldIncarnation(f"boot {head.incarnation} of {head.sender!r}, where {self.me!r} has seen {newest}")
+            raise StaleIncarnationError(
+                f"boot {head.incarnation} of {head.sender!r}, where {self.me!r} has seen {newest}"
+            )
         self.newest[head.sender], self.levels[head.sender] = head.incarnation, head.level
--- a/cedarwick/fleet/lasting.py
+++ b/cedarwick/fleet/lasting.py
@@ -11,7 +11,7 @@
 import msgspec
 from loguru import logger
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.fleet.marks import Saved
 from cedarwick.fleet.messages import Table
 from cedarwick.store.records import LONGEST, Damage, framed, scan
@@ -26,14 +26,14 @@
 LARGEST = 1 << 26  # bytes of a file that are read
 
 
-class FleetFileSpoilt(Trouble):
+class CorruptFleetFileError(CedarwickError):
     """A small file of the fleet's folder cannot be read and counts as gone."""
 
     code = "CW740"
     remedy = "look at the disk; this member learns from the others before it grants or opens anything"
 
 
-class FolderOfAnother(Trouble):
+class ForeignFolderError(CedarwickError):
     """The folder is that of another member, or of a member of another group."""
 
     code = "CW747"
@@ -77,7 +77,7 @@
         try:
             return TABLE.decode(data) if data is not None else None
         except msgspec.MsgspecError as error:
-            logger.error(FleetFileSpoilt(f"{self.path}/{GRANTS}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.path}/{GRANTS}: {error}").line)
             return None
 
     def write_table(self, table: Table) -> None:
@@ -89,7 +89,7 @@
         try:
             return HELD_FILE.decode(data) if data is not None else []
         except msgspec.MsgspecError as error:
-            logger.error(FleetFileSpoilt(f"{self.path}/{HELD}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.path}/{HELD}: {error}").line)
             return []
 
     def write_held(self, held: list[Held]) -> None:
@@ -98,33 +98,35 @@
     def marks(self) -> Saved | None:
         """The receivers taken out by hand, with their versions; None where there is no file.
 
-        `FleetFileSpoilt` where there is one that cannot be read; it is not to be taken for a first start.
+        `CorruptFleetFileError` where there is one that cannot be read; it is not to be taken for a first start.
         """
         path = os.path.join(self.path, MARKS)
         if not os.path.exists(path):
             return None
         data = self.read(MARKS)
         if data is None:
-            raise FleetFileSpoilt(f"{path}: what is out by hand is kept until a member that knows says otherwise")
+            raise CorruptFleetFileError(f"{path}: what is out by hand is kept until a member that knows says otherwise")
         try:
             return SAVED.decode(data)
         except msgspec.MsgspecError as error:
-            raise FleetFileSpoilt(f"{path}: {error}") from None
+            raise CorruptFleetFileError(f"{path}: {error}") from None
 
     def write_marks(self, saved: Saved) -> None:
         self.write(MARKS, ENCODER.encode(saved))
 
     def claim(self, group: str, name: str) -> None:
-        """The folder is this member's from now on; `FolderOfAnother` where it was another one's."""
+        """The folder is this member's from now on; `ForeignFolderError` where it was another one's."""
         data = self.read(WHOSE)
         try:
             owner = OWNER.decode(data) if data is not None else (group, name)
         except msgspec.MsgspecError as error:
-            logger.error(FleetFileSpoilt(f"{self.path}/{WHOSE}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.path}/{WHOSE}: {error}").line)
             owner = group, name
         # Danger: what another has granted binds nobody here, and what it has ended long ago would be offered as owed.
         if owner != (group, name):
-            raise FolderOfAnother(f"{self.path} is that of {owner[1]!r} in {owner[0]!r}, not of {name!r} in {group!r}")
+            raise ForeignFolderError(
+                f"{self.path} is that of {owner[1]!r} in {owner[0]!r}, not of {name!r} in {group!r}"
+            )
         if data is None:
             self.write(WHOSE, ENCODER.encode(owner))
 
@@ -153,7 +155,7 @@
                 break
             payloads.append(found.payload)
         if not payloads:
-            logger.error(FleetFileSpoilt(f"{path}: {len(data)} bytes that are not whole records").line)
+            logger.error(CorruptFleetFileError(f"{path}: {len(data)} bytes that are not whole records").line)
             return None
         return b"".join(payloads)
 
--- a/cedarwick/fleet/link.py
+++ b/cedarwick/fleet/link.py
@@ -15,7 +15,7 @@
 from gevent.pool import Pool
 from gevent.server import StreamServer
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.fleet.gate import Gate
 from cedarwick.fleet.messages import (
     LARGEST,
@@ -23,9 +23,9 @@
     Beat,
     Body,
     Head,
+    InvalidLetterError,
     Letter,
     Refused,
-    Unreadable,
     decode,
     encode,
     head_of,
@@ -52,49 +52,49 @@
 Handling = Callable[[Letter], Letter]
 
 
-class WrongPlace(Trouble):
+class NotALetterError(CedarwickError):
     """A request to the fleet's address that brings no letter."""
 
     code = "CW707"
     remedy = "ask who calls the fleet's address: only members do, by POST with a Content-Length"
 
 
-class TooLarge(Trouble):
+class LetterTooLargeError(CedarwickError):
     """A letter larger than any member reads."""
 
     code = "CW708"
     remedy = "report it, with the log of the sender that wrote it"
 
 
-class TooMany(Trouble):
+class TooManyRequestsError(CedarwickError):
     """As many letters are being answered as may be at once."""
 
     code = "CW709"
     remedy = "the caller tries again by itself; if it lasts, look at the load and lag of this member"
 
 
-class Late(Trouble):
+class RequestTimeoutError(CedarwickError):
     """A request on the fleet's address that did not come in time."""
 
     code = "CW710"
     remedy = "look at the network between the two senders"
 
 
-class AnswerFailed(Trouble):
+class AnswerFailedError(CedarwickError):
     """A letter met an error in the program; the sender goes on."""
 
     code = "CW711"
     remedy = "see the log of the member that was called for the trace, and report it"
 
 
-class Unreachable(Trouble):
+class PeerUnreachableError(CedarwickError):
     """A member did not answer, or not with a letter: the request may have got through."""
 
     code = "CW712"
     remedy = "look at that member's process and at the network between the two"
 
 
-class Refusal(Trouble):
+class PeerRefusedError(CedarwickError):
     """A member read the letter and refused it; `refused` is its answer."""
 
     code = "CW713"
@@ -102,13 +102,13 @@
     refused: Refused
 
 
-STATUS: dict[type[Trouble], bytes] = {
-    WrongPlace: b"404 Not Found",
-    TooLarge: b"413 Content Too Large",
-    TooMany: b"503 Service Unavailable",
-    Late: b"408 Request Timeout",
-    Unreadable: b"400 Bad Request",
-    AnswerFailed: b"500 Internal Server Error",
+STATUS: dict[type[CedarwickError], bytes] = {
+    NotALetterError: b"404 Not Found",
+    LetterTooLargeError: b"413 Content Too Large",
+    TooManyRequestsError: b"503 Service Unavailable",
+    RequestTimeoutError: b"408 Request Timeout",
+    InvalidLetterError: b"400 Bad Request",
+    AnswerFailedError: b"500 Internal Server Error",
 }
 AT_FAULT = b"409 Conflict"  # every other refusal
 
@@ -131,7 +131,7 @@
 
     def on_message_begin(self) -> None:
         if self.complete:
-            raise http.Unreadable("bytes after the request")
+            raise http.InvalidResponseError("bytes after the request")
 
     def on_url(self, part: bytes) -> None:
         self.url += part
@@ -152,17 +152,17 @@
         self.keep_alive = self.parser.should_keep_alive()
 
     def feed(self, told: bytes) -> None:
-        """Read on; `http.Unreadable` where it is no request, or its head is too long."""
+        """Read on; `http.InvalidResponseError` where it is no request, or its head is too long."""
         first = told if self.method else told[: LONGEST_HEAD - self.fed]
         self.fed += len(first)
         try:
             self.parser.feed_data(first)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError) as error:
             if not self.complete:
-                raise http.Unreadable(str(error) or type(error).__name__) from None
+                raise http.InvalidResponseError(str(error) or type(error).__name__) from None
             self.keep_alive = False  # bytes after a whole request: members never write any
         if not self.method and self.fed >= LONGEST_HEAD:
-            raise http.Unreadable("a head without an end")
+            raise http.InvalidResponseError("a head without an end")
         if self.complete:
             self.keep_alive &= len(first) == len(told)
         elif len(first) < len(told):
@@ -215,8 +215,8 @@
                 )
                 if not stays:
                     return  # Danger: the rest of a body that nobody wants would be read on for ever
-        except http.Unreadable as error:
-            self.counters.trouble("a request on the fleet's address that cannot be read", WrongPlace(str(error)))
+        except http.InvalidResponseError as error:
+            self.counters.trouble("a request on the fleet's address that cannot be read", NotALetterError(str(error)))
             with contextlib.suppress(OSError):
                 sock.sendall(b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
         except OSError:
@@ -248,7 +248,7 @@
         self.busy += 1
         try:
             return b"200 OK", self._answered(request, sock, caller[0], head)
-        except Trouble as error:
+        except CedarwickError as error:
             self.counters.trouble("a letter was refused", error)
             refused = Refused(error.code, str(error)[:512])
             told = encode(self.gate.letter(head[0].sender if head else "", refused))
@@ -259,18 +259,18 @@
     def _answered(self, request: Request, sock: gevent.socket.socket, caller: str, head: list[Head]) -> bytes:
         """The handler's answer, encoded; every refusal is raised."""
         if (request.method, request.url) != (b"POST", PATH) or request.size < 0:
-            raise WrongPlace(f"{request.method.decode()} {request.url[:100].decode('latin-1')} of {caller}")
+            raise NotALetterError(f"{request.method.decode()} {request.url[:100].decode('latin-1')} of {caller}")
         if request.size > LARGEST:
-            raise TooLarge(f"a letter of {request.size} bytes from {caller}, where {LARGEST} is the most")
+            raise LetterTooLargeError(f"a letter of {request.size} bytes from {caller}, where {LARGEST} is the most")
         many = self.busy > MOST_AT_ONCE
         if many and request.size > SMALL:
             request.kept = None
             read(request, sock)
-            raise TooMany(f"{MOST_AT_ONCE} letters are being answered at {self.gate.me!r}")
+            raise TooManyRequestsError(f"{MOST_AT_ONCE} letters are being answered at {self.gate.me!r}")
         told = read(request, sock)
         try:
             letter = decode(told)
-        except Unreadable:
+        except InvalidLetterError:
             if (begin := head_of(told)) is not None:
                 head.append(begin)
                 self.gate.same_version(begin)
@@ -279,16 +279,18 @@
         self.gate.check(letter)
         # Danger: those that wait for copies and frozen sessions would keep them out, and members' rights would lapse.
         if many and not isinstance(letter.body, Beat | Ask):
-            raise TooMany(f"{MOST_AT_ONCE} letters are being answered at {self.gate.me!r}")
+            raise TooManyRequestsError(f"{MOST_AT_ONCE} letters are being answered at {self.gate.me!r}")
         try:
             said = encode(self.answer(letter))
-        except Trouble:
+        except CedarwickError:
             raise
         except Exception:  # one failing letter must not end the link: beats and leases are still owed
             self.counters.failed("answering a letter failed")
-            raise AnswerFailed(f"{self.gate.me!r} failed to answer a {type(letter.body).__name__}") from None
+            raise AnswerFailedError(f"{self.gate.me!r} failed to answer a {type(letter.body).__name__}") from None
         if len(said) > LARGEST:
-            raise TooLarge(f"{self.gate.me!r} has an answer of {len(said)} bytes, where {LARGEST} is the most")
+            raise LetterTooLargeError(
+                f"{self.gate.me!r} has an answer of {len(said)} bytes, where {LARGEST} is the most"
+            )
         return said
 
 
@@ -302,18 +304,18 @@
 
 
 def read(request: Request, sock: gevent.socket.socket) -> bytes:
-    """A request's body, whole and in time; `Late` and `Unreadable` otherwise."""
+    """A request's body, whole and in time; `RequestTimeoutError` and `InvalidLetterError` otherwise."""
     end = time.monotonic() + READ_WITHIN
     try:
         while not request.complete:
             told = received(sock, end - time.monotonic())
             if not told:
-                raise Unreadable(f"a letter of {request.size} bytes was cut")
+                raise InvalidLetterError(f"a letter of {request.size} bytes was cut")
             request.feed(told)
     except TimeoutError:
-        raise Late(f"{request.size} bytes of a letter did not come within {READ_WITHIN:g} s") from None
+        raise RequestTimeoutError(f"{request.size} bytes of a letter did not come within {READ_WITHIN:g} s") from None
     except OSError as error:
-        raise Unreadable(f"a letter of {request.size} bytes was cut: {error}") from None
+        raise InvalidLetterError(f"a letter of {request.size} bytes was cut: {error}") from None
     return bytes(request.kept or b"")
 
 
@@ -364,7 +366,7 @@
         kept.sock.close()
 
     def leave(self) -> None:
-        """Close all; a call that is out ends as `Unreachable`."""
+        """Close all; a call that is out ends as `PeerUnreachableError`."""
         self.gone = True
         self.idle.clear()
         for kept in list(self.open):
@@ -394,7 +396,7 @@
         return self.peers.keys()
 
     def close(self) -> None:
-        """Close every connection; calls that are out end as `Unreachable`."""
+        """Close every connection; calls that are out end as `PeerUnreachableError`."""
         for peer in self.peers.values():
             peer.leave()
         self.peers.clear()
@@ -406,16 +408,19 @@
     def letter(self, member: str, body: Body, within_s: float) -> Letter:
         """The member's answer within so many seconds, the wait in the queue counted.
 
-        `Unreachable`: no answer, or none that can be read. `Refusal`: the member says why not. `TooLarge`: not sent.
+        `PeerUnreachableError`: no answer, or none that can be read. `PeerRefusedError`: the member says why not.
+        `LetterTooLargeError`: not sent.
         """
         peer = self.peers.get(member)
         if peer is None:
-            raise Unreachable(f"{member!r} is no other member")
+            raise PeerUnreachableError(f"{member!r} is no other member")
         if peer.calls >= QUEUE:
-            raise Unreachable(f"{peer}: {QUEUE} calls are out or wait already")
+            raise PeerUnreachableError(f"{peer}: {QUEUE} calls are out or wait already")
         letter = encode(self.gate.letter(member, body))
         if len(letter) > LARGEST:
-            raise TooLarge(f"a {type(body).__name__} of {len(letter)} bytes to {member!r}, where {LARGEST} is the most")
+            raise LetterTooLargeError(
+                f"a {type(body).__name__} of {len(letter)} bytes to {member!r}, where {LARGEST} is the most"
+            )
         limit = gevent.Timeout(within_s)
         peer.calls += 1
         try:
@@ -425,9 +430,9 @@
         except gevent.Timeout as late:
             if late is not limit:
                 raise
-            raise Unreachable(f"{peer}: no answer within {within_s:g} s") from None
-        except (OSError, http.Unreadable, Unreadable) as error:
-            raise Unreachable(f"{peer}: {error or type(error).__name__}") from None
+            raise PeerUnreachableError(f"{peer}: no answer within {within_s:g} s") from None
+        except (OSError, http.InvalidResponseError, InvalidLetterError) as error:
+            raise PeerUnreachableError(f"{peer}: {error or type(error).__name__}") from None
         finally:
             peer.calls -= 1
         return self._judged(peer, status, answer)
@@ -435,20 +440,20 @@
     def _judged(self, peer: Peer, status: int, answer: Letter) -> Letter:
         """An answer that is one of this member, for this sender."""
         if isinstance(answer.body, Refused):
-            refusal = Refusal(f"{peer} refused: {answer.body.why} ({answer.body.code})")
+            refusal = PeerRefusedError(f"{peer} refused: {answer.body.why} ({answer.body.code})")
             refusal.refused = answer.body
             raise refusal
         try:
             self.gate.check(answer)
-        except Trouble as error:
-            raise Unreachable(f"{peer}: the answer is not its: {error}") from None
+        except CedarwickError as error:
+            raise PeerUnreachableError(f"{peer}: the answer is not its: {error}") from None
         if (status, answer.sender) != (200, peer.name):
-            raise Unreachable(f"{peer}: an answer of {answer.sender!r} with status {status}")
+            raise PeerUnreachableError(f"{peer}: an answer of {answer.sender!r} with status {status}")
         return answer
 
 
 def exchange(peer: Peer, letter: bytes, within_s: float) -> tuple[int, bytes]:
-    """Status and body of the answer to one letter; OSError and `http.Unreadable` where there is none."""
+    """Status and body of the answer to one letter; OSError and `http.InvalidResponseError` where there is none."""
     if peer.gone:
         raise ConnectionAbortedError("no member any more")
     kept = peer.connection(within_s)
@@ -465,9 +470,9 @@
             if kept.buffer.fill(kept.sock):
                 answer.feed(kept.buffer)
             elif not answer.ended():
-                raise http.Unreadable("the connection ended before the answer did")
+                raise http.InvalidResponseError("the connection ended before the answer did")
             if len(told) > LARGEST:
-                raise http.Unreadable(f"an answer of more than {LARGEST} bytes")
+                raise http.InvalidResponseError(f"an answer of more than {LARGEST} bytes")
         # Danger: bytes behind this answer would be read as that to the next letter; `keep_alive` is false then.
         whole = answer.keep_alive
     finally:
--- a/cedarwick/fleet/messages.py
+++ b/cedarwick/fleet/messages.py
@@ -12,7 +12,7 @@
 import xxhash
 from msgspec import Meta
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.events.registry import Entry
 
 VERSION = 1  # of the wire; another one is refused
@@ -38,7 +38,7 @@
 Names = Annotated[tuple[Name, ...], Meta(max_length=MEMBERS)]
 
 
-class Unreadable(Trouble):
+class InvalidLetterError(CedarwickError):
     """Bytes that are no letter of a fleet."""
 
     code = "CW701"
@@ -474,13 +474,13 @@
 
 
 def decode(told: bytes) -> Letter:
-    """The letter in these bytes; `Unreadable` names the place that does not fit."""
+    """The letter in these bytes; `InvalidLetterError` names the place that does not fit."""
     if len(told) > LARGEST:
-        raise Unreadable(f"a letter of {len(told)} bytes, where {LARGEST} is the most")
+        raise InvalidLetterError(f"a letter of {len(told)} bytes, where {LARGEST} is the most")
     try:
         return _letters.decode(told)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise Unreadable(f"no letter: {str(error)[:300]}") from None
+        raise InvalidLetterError(f"no letter: {str(error)[:300]}") from None
 
 
 def head_of(told: bytes) -> Head | None:
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -16,18 +16,18 @@
 from loguru import logger
 
 from cedarwick.config.operator import Fleet
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.events.exchange import Exchange
 from cedarwick.fleet import facts as known_facts
 from cedarwick.fleet import placement
-from cedarwick.fleet.adoption import AWAY, Adoption, BooksUsedUp, Do, Ownership, Stage
+from cedarwick.fleet.adoption import AWAY, Adoption, BooksExhaustedError, Do, Ownership, Stage
 from cedarwick.fleet.book import BLOCK, STARVED, Holding, Shared, boot_time
 from cedarwick.fleet.copies import Copies, CopyFolder
 from cedarwick.fleet.facts import Rank
 from cedarwick.fleet.gate import Gate
 from cedarwick.fleet.lasting import Held, Lasting
 from cedarwick.fleet.leases import SPAN, Grantor, Tenure, right_of
-from cedarwick.fleet.link import Peers, Refusal, Server, Unreachable
+from cedarwick.fleet.link import PeerRefusedError, Peers, PeerUnreachableError, Server
 from cedarwick.fleet.members import Members, Standing
 from cedarwick.fleet.messages import (
     OWING,
@@ -63,7 +63,7 @@
 from cedarwick.net.assignment import address
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.store.journal import NoRoom
+from cedarwick.store.journal import NoSpaceError
 
 if TYPE_CHECKING:
     from cedarwick.fleet.traffic import Traffic
@@ -109,7 +109,7 @@
     def rest_of(self, key: int) -> int: ...
 
 
-class UnknownLetter(Trouble):
+class UnknownLetterError(CedarwickError):
     """A letter whose kind this member does not answer."""
 
     code = "CW742"
@@ -120,7 +120,7 @@
     """This sender as a member. Made before the desk is; `serve` begins once the folder is read."""
 
     def __init__(self, name: str, told: Fleet, state: str, store: Shared, clock: Clock, counters: Counters) -> None:
-        """OSError where the folder or the address cannot be used; `NotAMember` where the file lacks this sender;
+        """OSError where the folder or the address cannot be used; `NotAMemberError` where the file lacks this sender;
         `FolderOfAnother`."""
         self.name = name
         self.told = told
@@ -129,7 +129,7 @@
         self.counters = counters
         self.halls = {member.name: member.hall for member in told.member}
         if name not in self.halls:
-            raise NotAMember(f"fleet.member: no entry has the name of this sender, {name!r}")
+            raise NotAMemberError(f"fleet.member: no entry has the name of this sender, {name!r}")
         self.where = {member.name: address(member.address) for member in told.member}
         self.lasting = Lasting(state, store.durable)
         self.lasting.claim(told.group, name)
@@ -250,12 +250,14 @@
     def replace(self, told: Fleet) -> None:
         """Take over another list of members, and what else of the table may change in service."""
         if self.name not in {member.name for member in told.member}:
-            error: Trouble = NotAMember(f"fleet.member: no entry has the name of this sender, {self.name!r}")
+            error: CedarwickError = NotAMemberError(
+                f"fleet.member: no entry has the name of this sender, {self.name!r}"
+            )
             logger.error("the members stay as they were: {}", error.line)
             return
         try:
             self._one_at_a_time({member.name for member in told.member})
-        except MembersApart as error:
+        except MembershipChangeError as error:
             logger.error("the members stay as they were: {}", error.line)
             return
         before, now = set(self.halls), boot_time()
@@ -284,16 +286,16 @@
         logger.info("members of {}: {}", told.group, ", ".join(sorted(self.halls)))
 
     def _one_at_a_time(self, names: set[str]) -> None:
-        """`MembersApart` where majorities of a list in use and of the next one might share no member."""
+        """`MembershipChangeError` where majorities of a list in use and of the next one might share no member."""
         mine = self.members.names
         if len(mine ^ names) > 1:
-            raise MembersApart(f"the file changes {', '.join(sorted(mine ^ names))} at once")
+            raise MembershipChangeError(f"the file changes {', '.join(sorted(mine ^ names))} at once")
         # Danger: two changes in turn here are two at once for a member that has taken over neither.
         behind = [name for name in sorted(mine) if self.members.list_of(name) not in (None, mine, frozenset(names))]
         if mine > names:  # who is dead takes over nothing; several of them are taken out in turn
             behind = [name for name in behind if self.members.state(boot_time(), name) not in AWAY]
         if mine != names and behind:
-            raise MembersApart(f"{', '.join(behind)} have not taken over the change before this one")
+            raise MembershipChangeError(f"{', '.join(behind)} have not taken over the change before this one")
 
     # ---- beats ----
 
@@ -344,11 +346,11 @@
     def _letter(self, name: str, body: Body, within_s: float) -> Letter | None:
         try:
             return self.peers.letter(name, body, within_s)
-        except Unreachable:
+        except PeerUnreachableError:
             self.counters.add(f"letters without an answer: {name}")
-        except Refusal as error:
+        except PeerRefusedError as error:
             self.counters.trouble(f"{name} refused a letter", error)
-        except Trouble as error:
+        except CedarwickError as error:
             self.counters.trouble("a letter that was not sent", error)
         return None
 
@@ -366,7 +368,9 @@
             apart = self.members.apart(sender)
             if len(apart) > 1:
                 # Danger: a majority of its list, with this member, and one of ours, without, could hold one right.
-                raise MembersApart(f"{sender!r} has another list than {self.name!r}, by {', '.join(sorted(apart))}")
+                raise MembershipChangeError(
+                    f"{sender!r} has another list than {self.name!r}, by {', '.join(sorted(apart))}"
+                )
             return self._answer_ask(body)
         if isinstance(body, Tables):
             return self.grantor.table()
@@ -383,7 +387,7 @@
             return self.exchange.heard(sender, boot_time(), body)
         if self.traffic is not None and (said := self.traffic.heard(sender, incarnation, body)) is not None:
             return said
-        raise UnknownLetter(f"a {type(body).__name__} from {sender!r}")
+        raise UnknownLetterError(f"a {type(body).__name__} from {sender!r}")
 
     def _answer_ask(self, ask: Ask) -> Told:
         told = self._granted(ask)
@@ -496,7 +500,7 @@
         """Danger: one book that cannot be written would keep all others from being renewed, and from their answers."""
         try:
             call(*told)
-        except (OSError, NoRoom) as error:
+        except (OSError, NoSpaceError) as error:
             self.counters.trouble("the fleet's folder cannot be used", error)
         except Exception:  # the process would end, and again after each start for as long as the folder is the same
             self.counters.failed(f"the fleet failed in {call.__name__}")
@@ -573,7 +577,7 @@
             return
         try:
             begun = self.ownership.step(self.grantor)
-        except BooksUsedUp as error:
+        except BooksExhaustedError as error:
             self.counters.trouble("no book can be opened", error)
             return
         if begun is not None:
@@ -750,7 +754,7 @@
                         self.traffic.adopted(book)
                     owner = next((name for name in self.halls if slot_of(name) == book >> 12), "")
                     self.exchange.adopted([self.store.kept[number] for number in self.store.numbers(book)], owner)
-            except NoRoom as error:
+            except NoSpaceError as error:
                 self.counters.trouble("a book cannot be adopted", error)
                 ask = adoption.holder.release()
                 if ask is not None:
@@ -993,7 +997,7 @@
             facts = known_facts.decode_facts(body.facts)
             facts = self.traffic.offered(holding, facts) if self.traffic is not None else facts
             ended, news, problem = self.store.offered(holding, facts, body.term)
-        except known_facts.Spoilt as error:
+        except known_facts.CorruptFactsError as error:
             return Taken(body.book, body.part, str(error)[:512])
         logger.info("book {}: {} told of {} ends and {} news", body.book, sender, len(ended), len(news))
         holding.heard_out = boot_time() if body.last and not problem else holding.heard_out
@@ -1048,7 +1052,7 @@
         try:
             for number in self.store.rekey(numbers, failed):
                 made.append(number)
-        except (OSError, NoRoom) as error:
+        except (OSError, NoSpaceError) as error:
             self.counters.trouble("envelopes cannot be taken over into the open book", error)
             return False
         finally:
@@ -1125,14 +1129,14 @@
             self.desk.answer_late(late)
 
 
-class NotAMember(Trouble):
+class NotAMemberError(CedarwickError):
     """The operator file has a fleet of which this sender is no member."""
 
     code = "CW743"
     remedy = "give the sender an entry in `[[fleet.member]]` under the name that the platform's configuration has"
 
 
-class MembersApart(Trouble):
+class MembershipChangeError(CedarwickError):
     """Two lists of members differ by more than one, so a majority of each could grant one right twice."""
 
     code = "CW744"
--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -10,7 +10,7 @@
 
 from cedarwick.fleet.decrees import Row
 from cedarwick.fleet.decrees import Table as Decrees
-from cedarwick.fleet.lasting import ENCODER, FleetFileSpoilt, Lasting
+from cedarwick.fleet.lasting import ENCODER, CorruptFleetFileError, Lasting
 from cedarwick.store.records import Damage, scan
 
 INERT = "moves"
@@ -53,7 +53,7 @@
         try:
             return INERT_FILE.decode(data) if data is not None else {}
         except msgspec.MsgspecError as error:
-            logger.error(FleetFileSpoilt(f"{self.lasting.path}/{INERT}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.lasting.path}/{INERT}: {error}").line)
             return {}
 
     def write_inert(self, inert: dict[int, tuple[int, str]]) -> None:
@@ -69,7 +69,7 @@
         try:
             return SESSIONS_FILE.decode(data) if data is not None else None
         except msgspec.MsgspecError as error:
-            logger.error(FleetFileSpoilt(f"{self.lasting.path}/{SESSIONS}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.lasting.path}/{SESSIONS}: {error}").line)
             return None
 
     def write_sessions(self, sessions: Sessions) -> None:
@@ -94,7 +94,7 @@
             rows = {row.move: row for row in [*table.rows, *map(ROW.decode, payloads[1:])]}
             return Decrees(list(rows.values()), table.floors)
         except (msgspec.MsgspecError, IndexError) as error:
-            logger.error(FleetFileSpoilt(f"{path}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{path}: {error}").line)
             return None
 
     def write_decrees(self, table: Decrees) -> None:
--- a/cedarwick/fleet/sharing.py
+++ b/cedarwick/fleet/sharing.py
@@ -12,8 +12,8 @@
 import gevent
 from loguru import logger
 
-from cedarwick.errors import Trouble
-from cedarwick.fleet.lasting import FleetFileSpoilt, Lasting
+from cedarwick.errors import CedarwickError
+from cedarwick.fleet.lasting import CorruptFleetFileError, Lasting
 from cedarwick.fleet.marks import LONGEST, MOST_CALLS, Marks, newer
 from cedarwick.fleet.messages import Body, Hint, Noted, Wait
 from cedarwick.fleet.messages import Marks as Told
@@ -35,14 +35,14 @@
 MOST_HINTS = 64  # the newest
 
 
-class NotShared(Trouble):
+class NotSharedError(CedarwickError):
     """Receivers are out by hand here, and the other members cannot be told of all of them."""
 
     code = "CW745"
     remedy = "restore some, or suspend at each member those with a uid over 128 characters or not in ASCII"
 
 
-class MarksNotKept(Trouble):
+class MarksNotSavedError(CedarwickError):
     """The versions of what is out by hand cannot be written; the members go on with what they hold in memory."""
 
     code = "CW746"
@@ -95,7 +95,7 @@
         now, told = wall(), self._file()
         try:
             self.marks = Marks(self.name, self.lasting.marks())
-        except FleetFileSpoilt as error:
+        except CorruptFleetFileError as error:
             logger.error(error.line)
             self.marks.doubt(told or {})
         self.marks.turn(now)
@@ -209,7 +209,7 @@
             return None
         try:
             return {uid: min(calls, MOST_CALLS) for uid, calls in files.read(self.staff.folder).items() if calls > 0}
-        except files.Unreadable as error:
+        except files.UnreadableFileError as error:
             self.counters.trouble("the receivers taken out by hand cannot be read", error)
             return None
 
@@ -223,7 +223,7 @@
         if count := self.marks.untold():
             self.counters.trouble(
                 "receivers out by hand that the other members are not told of",
-                NotShared(f"{count} of {len(calls)}, at most {LONGEST} characters of ASCII each"),
+                NotSharedError(f"{count} of {len(calls)}, at most {LONGEST} characters of ASCII each"),
             )
 
     def _write(self) -> None:
@@ -231,7 +231,7 @@
         try:
             self.lasting.write_marks(self.marks.saved())
         except OSError as error:
-            self.counters.trouble("the fleet's marks are not kept", MarksNotKept(str(error)))
+            self.counters.trouble("the fleet's marks are not kept", MarksNotSavedError(str(error)))
 
     # ---- told waits ----
 
--- a/cedarwick/fleet/shipping.py
+++ b/cedarwick/fleet/shipping.py
@@ -25,9 +25,9 @@
 import xxhash
 
 from cedarwick.fleet.facts import (
+    CorruptFactsError,
     Fact,
-    OtherFormat,
-    Spoilt,
+    FactsVersionError,
     decode_facts,
     digest,
     encode_facts,
@@ -504,9 +504,9 @@
             return SPOILT
         try:
             facts = decode_facts(message.facts)
-        except OtherFormat:
+        except FactsVersionError:
             return OTHER
-        except Spoilt:
+        except CorruptFactsError:
             return SPOILT
         if any(fact.number >> 32 != self.book or not after < fact.number <= upto for fact in facts):
             return SPOILT
--- a/cedarwick/fleet/traffic.py
+++ b/cedarwick/fleet/traffic.py
@@ -13,11 +13,11 @@
 import gevent.event
 from loguru import logger
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.fleet.book import Holding, boot_time
 from cedarwick.fleet.facts import Fact, Rank
 from cedarwick.fleet.leases import EPOCH_BITS, right_of
-from cedarwick.fleet.link import Peers, Refusal, Unreachable
+from cedarwick.fleet.link import PeerRefusedError, Peers, PeerUnreachableError
 from cedarwick.fleet.members import Standing
 from cedarwick.fleet.memory import UNKNOWN, Memory
 from cedarwick.fleet.messages import (
@@ -68,21 +68,21 @@
 BUSY: Handed = (Answered.BUSY, 0, None)
 
 
-class BadMove(Trouble):
+class InvalidMoveError(CedarwickError):
     """Staff name a session or a sender that cannot be."""
 
     code = "CW751"
     remedy = "send MOVE KEY SENDER: the key in 1 to 16 hexadecimal digits, not zero, and another member's name"
 
 
-class NotHeld(Trouble):
+class SessionNotHeldError(CedarwickError):
     """Staff ask for the move of a session that this sender does not hold."""
 
     code = "CW752"
     remedy = "ask the sender that is named; a session without one is opened where its client comes next"
 
 
-class NotMoved(Trouble):
+class SessionNotMovedError(CedarwickError):
     """A session stays where it was."""
 
     code = "CW753"
@@ -309,12 +309,12 @@
             )
             try:
                 answer = self.lane.call(to, body, min(left / SECOND, TRY))
-            except Unreachable:
+            except PeerUnreachableError:
                 sure = False
                 self.counters.add(f"submissions passed on without an answer: {to}")
                 gevent.sleep(0.005)
                 continue
-            except Trouble as error:
+            except CedarwickError as error:
                 self.counters.trouble(f"{to} refused a submission that was passed on", error)
                 break
             if isinstance(answer, Passed):
@@ -543,11 +543,11 @@
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
         try:
             return self.lane.call(name, body, within_s)
-        except Unreachable:
+        except PeerUnreachableError:
             self.counters.add(f"letters about sessions without an answer: {name}")
-        except Refusal as error:
+        except PeerRefusedError as error:
             self.counters.trouble(f"{name} refused a letter about sessions", error)
-        except Trouble as error:
+        except CedarwickError as error:
             self.counters.trouble("a letter about sessions that was not sent", error)
         return None
 
@@ -648,16 +648,16 @@
         except ValueError:
             key = 0
         if not key:
-            raise BadMove(f"{text[:40]!r} is no key of a session")
+            raise InvalidMoveError(f"{text[:40]!r} is no key of a session")
         if to not in self.node.halls or to == self.name:
-            raise BadMove(f"{to[:64]!r} is no other member")
+            raise InvalidMoveError(f"{to[:64]!r} is no other member")
         if key not in self.directory.sessions:
-            raise NotHeld(f"{key:016x} is held by {self.directory.where(key) or 'nobody'}")
+            raise SessionNotHeldError(f"{key:016x} is held by {self.directory.where(key) or 'nobody'}")
         self.wishes[key] = Wish(key, Why.STAFF, to), boot_time() + SECOND
         end = self.ends.setdefault(key, gevent.event.AsyncResult())
         if not end.wait(MOVED_IN):
             self.ends.pop(key, None)
-            raise NotMoved(f"{key:016x} stays at {self.name}")
+            raise SessionNotMovedError(f"{key:016x} stays at {self.name}")
         return f"YES {key:016x} moved to {end.get()}\n"
 
     def _see_ends(self) -> None:
--- a/cedarwick/fleet/transfers.py
+++ b/cedarwick/fleet/transfers.py
@@ -14,7 +14,7 @@
 import gevent.event
 from loguru import logger
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.fleet.book import boot_time
 from cedarwick.fleet.decrees import ABSTAINS, Acceptor, Answer, Ask, Ballot, Proposer, Value, name_move, parts
 from cedarwick.fleet.facts import Fact, decode_facts, encode_facts, kept_of
@@ -37,7 +37,7 @@
 from cedarwick.fleet.session_files import SessionFiles
 from cedarwick.fleet.sessions import LAPSES, Directory
 from cedarwick.net.desk import Desk
-from cedarwick.store.journal import NoRoom
+from cedarwick.store.journal import NoSpaceError
 
 if TYPE_CHECKING:
     from cedarwick.fleet.node import Node
@@ -56,21 +56,21 @@
 GIVEN, TAKEN = "<", ">"
 
 
-class TooMuchQueued(Trouble):
+class SessionTooLargeError(CedarwickError):
     """A session's envelopes do not fit one letter, so that it cannot be moved."""
 
     code = "CW754"
     remedy = "wait until some of the session's envelopes have ended; until then it stays where it is"
 
 
-class NotAMove(Trouble):
+class InvalidMoveNameError(CedarwickError):
     """A letter about a move whose name cannot be one."""
 
     code = "CW755"
     remedy = "bring all members to one version of the program"
 
 
-class DecreesNotKept(Trouble):
+class DecreesNotSavedError(CedarwickError):
     """This member's votes on moves cannot be written, and it gives none; moves are settled by the others."""
 
     code = "CW756"
@@ -210,18 +210,18 @@
     # ---- letters ----
 
     def answer(self, body: Stage | Prepare | Accept | Settled, now: int) -> Body:
-        """What another member is told about a move; `NotAMove` where there cannot be such a one."""
+        """What another member is told about a move; `InvalidMoveNameError` where there cannot be such a one."""
         try:
             parts(body.move)
         except ValueError as error:
-            raise NotAMove(str(error)[:200]) from None
+            raise InvalidMoveNameError(str(error)[:200]) from None
         if isinstance(body, Stage):
             return self._staged(body, now)
         if isinstance(body, Prepare):
             return voted(body.move, self.vote(body.move, ballot_of(body.ballot), None, body.key))
         value = value_of(body.value)
         if value is None:
-            raise NotAMove(f"no value of a decree: {body.value!r}")
+            raise InvalidMoveNameError(f"no value of a decree: {body.value!r}")
         if isinstance(body, Accept):
             return voted(body.move, self.vote(body.move, ballot_of(body.ballot), value, body.key))
         row = self.acceptor.settled(body.move, value, now)
@@ -236,7 +236,7 @@
         try:
             write(*told)
         except OSError as error:
-            self.counters.trouble("votes on moves cannot be written", DecreesNotKept(str(error)))
+            self.counters.trouble("votes on moves cannot be written", DecreesNotSavedError(str(error)))
             return False
         return True
 
@@ -367,7 +367,7 @@
             facts.append(fact)
         data = encode_facts(facts)
         if len(data) > LARGEST_STAGE:
-            self.counters.trouble("a session stays", TooMuchQueued(f"{len(facts)} envelopes of {key:016x}"))
+            self.counters.trouble("a session stays", SessionTooLargeError(f"{len(facts)} envelopes of {key:016x}"))
             self.act(self.moves.call_off(name, boot_time()))
             return
         ids = self.directory.ids(key, boot_time())
@@ -432,7 +432,7 @@
         for number in numbers:
             try:
                 self.store.over(number)
-            except NoRoom as error:  # Danger: it is written once there is room; the others must not wait for that
+            except NoSpaceError as error:  # Danger: it is written once there is room; the others must not wait for that
                 self.counters.trouble("no room for the record of an end", error)
             self.store.inert.pop(number, None)
         self._save_without(numbers)
--- a/cedarwick/lab/ceiling.py
+++ b/cedarwick/lab/ceiling.py
@@ -17,7 +17,7 @@
 import msgspec
 import psutil
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.lab.day import Day
 from cedarwick.lab.load import pongs
 from cedarwick.lab.quick import STEP
@@ -111,7 +111,7 @@
     return answered, used / (time.monotonic() - begun), process.memory_info().rss / (1 << 20)
 
 
-class NotStarted(Trouble, OSError):
+class ProgramNotStartedError(CedarwickError, OSError):
     """A program that the measurement needs did not come up."""
 
     code = "CW604"
@@ -126,7 +126,7 @@
         psutil.Process(process.pid).cpu_affinity([core])
         assert process.stdout is not None
         if process.stdout.readline().strip() != b"ready":
-            raise NotStarted(f"{words[0]} did not start")
+            raise ProgramNotStartedError(f"{words[0]} did not start")
         yield process
     finally:
         process.kill()
--- a/cedarwick/lab/fleet.py
+++ b/cedarwick/lab/fleet.py
@@ -40,7 +40,7 @@
 from cedarwick.lab.relay import Fault, Relay
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.schedule import LINKS, Plan, Trouble
-from cedarwick.lab.senders import COMMAND, Instance, NotReady
+from cedarwick.lab.senders import COMMAND, Instance, SenderNotReadyError
 from cedarwick.lab.stands import listen
 from cedarwick.lab.world import World
 
@@ -211,7 +211,10 @@
     # ---- their lives ----
 
     def begin(self) -> None:
-        """Start all; the day's time counts from here. `NotReady` names the log of one that does not answer."""
+        """Start all; the day's time counts from here.
+
+        `SenderNotReadyError` names the log of one that does not answer.
+        """
         self.watches.append(gevent.spawn(self._watch_processors))
         gevent.joinall([gevent.spawn(member.start) for member in self.members], raise_error=True)
         shift = self.day.now()
@@ -223,7 +226,7 @@
         self.watches += [gevent.spawn(self.day.watch_lag), gevent.spawn(self.front.watch)]
 
     def start(self, number: int) -> None:
-        """A new process on the same folder; `NotReady` as at the begin."""
+        """A new process on the same folder; `SenderNotReadyError` as at the begin."""
         # Danger: an end that is noticed only after the next start would be taken for a crash.
         self.until(
             lambda: self._lives(number, "started") == self._lives(number, "ended", "crashed"),
@@ -363,7 +366,7 @@
         try:
             self.day.sleep_until(since + trouble.begin)
             self._one(trouble, since + trouble.end)
-        except (OSError, NotReady) as error:  # OSError: a TimeoutError, too
+        except (OSError, SenderNotReadyError) as error:  # OSError: a TimeoutError, too
             self.failed.append(f"{trouble.line().strip()}: {error}")
         finally:
             self.under_way -= 1
--- a/cedarwick/lab/folder.py
+++ b/cedarwick/lab/folder.py
@@ -15,7 +15,7 @@
 
 from cedarwick.interface import Outcome
 from cedarwick.store.files import Folder
-from cedarwick.store.journal import NoRoom, Store
+from cedarwick.store.journal import NoSpaceError, Store
 from cedarwick.store.records import Kept
 
 ROUND = 8  # envelopes of one round
@@ -118,7 +118,7 @@
     """Whether there was room for a new envelope."""
     try:
         made.keep(fresh)
-    except NoRoom:
+    except NoSpaceError:
         return False
     return True
 
--- a/cedarwick/lab/history.py
+++ b/cedarwick/lab/history.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 NEVER = -1
 
@@ -168,7 +168,7 @@
                 file.write(encoder.encode(record) + b"\n")
 
 
-class SpoiltHistory(Trouble, ValueError):
+class CorruptHistoryError(CedarwickError, ValueError):
     """A kept history of a day has a line that cannot be read."""
 
     code = "CW602"
@@ -176,7 +176,7 @@
 
 
 def read(path: str) -> History:
-    """A history that was written before; `SpoiltHistory` names the line that cannot be read."""
+    """A history that was written before; `CorruptHistoryError` names the line that cannot be read."""
     history = History()
     decoder: msgspec.json.Decoder[Any_] = msgspec.json.Decoder(Any_)
     with open(path, "rb") as file:
@@ -184,7 +184,7 @@
             try:
                 history.add(decoder.decode(line))
             except (msgspec.DecodeError, ValueError) as error:
-                raise SpoiltHistory(f"{path}: line {number}: {error}") from None
+                raise CorruptHistoryError(f"{path}: line {number}: {error}") from None
     return history
 
 
--- a/cedarwick/lab/relay.py
+++ b/cedarwick/lab/relay.py
@@ -221,11 +221,11 @@
                 sock.sendall(raw)
                 Message(httptools.HttpResponseParser).read(sock)
             self.did["given twice"] += 1
-        except (OSError, Unreadable):
+        except (OSError, UnreadableFrameError):
             self.did["given twice in vain"] += 1
 
 
-class Unreadable(Exception):
+class UnreadableFrameError(Exception):
     """A message that is no HTTP or too large to be kept."""
 
 
@@ -240,7 +240,7 @@
         self.complete = True
 
     def read(self, sock: gevent.socket.socket) -> tuple[bytes, bool]:
-        """All its bytes, and whether it is whole: a connection may end before. `Unreadable`, OSError."""
+        """All its bytes, and whether it is whole: a connection may end before. `UnreadableFrameError`, OSError."""
         parts: list[bytes] = []
         size = 0
         while not self.complete:
@@ -250,11 +250,11 @@
             parts.append(data)
             size += len(data)
             if size > MOST:
-                raise Unreadable(f"a message of more than {MOST} bytes")
+                raise UnreadableFrameError(f"a message of more than {MOST} bytes")
             try:
                 self.parser.feed_data(data)
             except httptools.HttpParserError as error:
-                raise Unreadable(str(error)) from None
+                raise UnreadableFrameError(str(error)) from None
         return b"".join(parts), True
 
 
@@ -287,7 +287,7 @@
             # Danger: on a silent network nobody learns that the other side has gone.
             self._wait_open("asks" if work == self._pass_asks else "answers")
             self.end()
-        except Unreadable:
+        except UnreadableFrameError:
             self.relay.did["unreadable"] += 1
             self.end()
 
--- a/cedarwick/lab/scenario.py
+++ b/cedarwick/lab/scenario.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from cedarwick.config.files import BadFile, decoded, read_toml
+from cedarwick.config.files import ConfigFileError, decoded, read_toml
 
 SHIPPED = os.path.join(os.path.dirname(__file__), "scenarios")
 MOST_ARRIVALS = 2_000_000
@@ -253,12 +253,12 @@
 
 
 def load(name_or_path: str) -> Scenario:
-    """A shipped scenario by its name or a file by its path; `BadFile` says in one line what is wrong."""
+    """A shipped scenario by its name or a file by its path; `ConfigFileError` says in one line what is wrong."""
     path = os.path.join(SHIPPED, f"{name_or_path}.toml")
     if not name_or_path.replace("-", "").isalnum() or not os.path.exists(path):
         path = name_or_path
         if not os.path.exists(path):
-            raise BadFile(f"{path}: neither a file nor one of {', '.join(shipped())}")
+            raise ConfigFileError(f"{path}: neither a file nor one of {', '.join(shipped())}")
     return checked(decoded(read_toml(path), Scenario, path), path)
 
 
@@ -268,10 +268,10 @@
 
 
 def checked(scenario: Scenario, path: str) -> Scenario:
-    """What the types cannot say; `BadFile` names the key."""
+    """What the types cannot say; `ConfigFileError` names the key."""
 
     def bad(where: str, expected: str) -> None:
-        raise BadFile(f"{path}: {where}: {expected}")
+        raise ConfigFileError(f"{path}: {where}: {expected}")
 
     for kind, names in (
         ("band", [band.name for band in scenario.band]),
--- a/cedarwick/lab/senders.py
+++ b/cedarwick/lab/senders.py
@@ -12,7 +12,7 @@
 import gevent.socket
 import psutil
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.lab.day import Day
 from cedarwick.lab.history import Life, Sampled
 from cedarwick.lab.register import Agent
@@ -27,7 +27,7 @@
 COMMAND = (sys.executable, "-m", "cedarwick")
 
 
-class NotReady(Trouble):
+class SenderNotReadyError(CedarwickError):
     """A sender did not start; the text names its log."""
 
     code = "CW601"
@@ -79,7 +79,7 @@
     # ---- its life ----
 
     def start(self) -> None:
-        """A new process on the same folder; `NotReady` where it does not answer PING in time."""
+        """A new process on the same folder; `SenderNotReadyError` where it does not answer PING in time."""
         self.starts += 1
         self.configure()
         self.expected_to_end = False
@@ -99,7 +99,7 @@
             if self.held_down:
                 return  # another trouble has ended it meanwhile, and will start it again
             if self.day.now() > end_at or self.process.poll() is not None:
-                raise NotReady(f"sender n{self.number} does not answer PING; its log is {self.log}")
+                raise SenderNotReadyError(f"sender n{self.number} does not answer PING; its log is {self.log}")
             gevent.sleep(0.02)
         self.ready_at = self.day.now()
         self._life("ready")
--- a/cedarwick/lab/stands.py
+++ b/cedarwick/lab/stands.py
@@ -12,7 +12,7 @@
 import gevent.socket
 import httptools
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.lab.day import Day, body_of
 from cedarwick.lab.history import Away, Called
 from cedarwick.lab.partner import Effect, Endpoint, Reply, Work
@@ -47,7 +47,7 @@
     return sock
 
 
-class NoPort(Trouble, OSError):
+class PortTakenError(CedarwickError, OSError):
     """A port that the laboratory needs is taken."""
 
     code = "CW603"
@@ -68,7 +68,7 @@
             gevent.sleep(0.02)  # the port of a listener that has just gone is in use for a moment
             continue
         return found, made
-    raise NoPort(f"no port is free at {hosts[0]} and all others" if not port else f"port {port} stays in use")
+    raise PortTakenError(f"no port is free at {hosts[0]} and all others" if not port else f"port {port} stays in use")
 
 
 def reset(sock: gevent.socket.socket) -> None:
--- a/cedarwick/lab/troubles.py
+++ b/cedarwick/lab/troubles.py
@@ -4,14 +4,14 @@
 
 import gevent
 
-from cedarwick.errors import told
+from cedarwick.errors import describe
 from cedarwick.lab.clients import be_rude, rude_forms
 from cedarwick.lab.day import Day
 from cedarwick.lab.draw import Planned
 from cedarwick.lab.history import Gone
 from cedarwick.lab.partner import Effect
 from cedarwick.lab.scenario import PARTNER_TROUBLES
-from cedarwick.lab.senders import Instance, NotReady
+from cedarwick.lab.senders import Instance, SenderNotReadyError
 from cedarwick.lab.world import World
 
 RESTART = 0.6  # seconds after its end until a sender is started again, at the least
@@ -49,8 +49,8 @@
         on: list[str] = []
         try:
             on = self._one(trouble)
-        except (OSError, NotReady) as error:
-            self.day.failed = f"the trouble {trouble.kind} could not be carried out: {told(error)}"
+        except (OSError, SenderNotReadyError) as error:
+            self.day.failed = f"the trouble {trouble.kind} could not be carried out: {describe(error)}"
         finally:
             self.under_way -= 1
             self.day.history.add(Gone(trouble.number, trouble.kind, began, self.day.now(), on, trouble.size))
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -21,11 +21,11 @@
 
 import greenlet  # type: ignore[import-untyped]
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.events import exchange, serving
 from cedarwick.fleet import book, node, traffic, transfers
 from cedarwick.fleet.gate import Gate
-from cedarwick.fleet.link import IN_FLIGHT, QUEUE, Refusal, Unreachable
+from cedarwick.fleet.link import IN_FLIGHT, QUEUE, PeerRefusedError, PeerUnreachableError
 from cedarwick.fleet.messages import Ask, Beat, Body, Letter, Refused, decode, encode
 from cedarwick.net import desk, notices
 
@@ -148,7 +148,7 @@
             get_hub=lambda: hub,
             GreenletExit=greenlet.GreenletExit,
             event=SimpleNamespace(Event=Event, AsyncResult=AsyncResult),
-            queue=SimpleNamespace(Queue=Queue, Empty=Empty),
+            queue=SimpleNamespace(Queue=Queue, Empty=QueueEmptyError),
             socket=SimpleNamespace(SOL_SOCKET=0, SO_SNDBUF=0),
         )
 
@@ -254,7 +254,7 @@
             link(self)
 
 
-class Empty(Exception):
+class QueueEmptyError(Exception):
     """Nothing came into the queue in time."""
 
 
@@ -279,7 +279,7 @@
         if not self.held:
             self.news.clear()
             if not self.news.wait(timeout):
-                raise Empty
+                raise QueueEmptyError
         return self.held[0]
 
 
@@ -311,9 +311,12 @@
         return self.letter(member, body, within_s).body
 
     def letter(self, member: str, body: Body, within_s: float) -> Letter:
-        """As the link's: `Unreachable` without an answer in time, `Refusal` where the member says why not."""
+        """As the link's:
+
+        `PeerUnreachableError` without an answer in time, `PeerRefusedError` where the member says why not.
+        """
         if member not in self.members or self.calls[member] >= QUEUE:
-            raise Unreachable(member)
+            raise PeerUnreachableError(member)
         letter, end = encode(self.gate.letter(member, body)), self.kernel.now + int(within_s * SECOND)
         room, place = self.rooms[member, isinstance(body, Ask | Beat)], object()
         self.calls[member] += 1
@@ -321,27 +324,27 @@
         try:
             while room.index(place) >= self.at_once:
                 if self.kernel.now >= end:
-                    raise Unreachable(member)
+                    raise PeerUnreachableError(member)
                 self.kernel.sleep(LOOK)
             box = AsyncResult()
             self.carry(self.gate.me, member, letter, box)
             told = box.get(max(0, end - self.kernel.now) / SECOND)
         except TimeoutError:
-            raise Unreachable(member) from None
+            raise PeerUnreachableError(member) from None
         finally:
             self.calls[member] -= 1
             room.remove(place)
         if told is None:
-            raise Unreachable(member)
+            raise PeerUnreachableError(member)
         answer = decode(told)
         if isinstance(answer.body, Refused):
-            refusal = Refusal(f"{answer.body.code} {answer.body.why}")
+            refusal = PeerRefusedError(f"{answer.body.code} {answer.body.why}")
             refusal.refused = answer.body
             raise refusal
         try:
             self.gate.check(answer)
-        except Trouble as error:
-            raise Unreachable(f"{member}: {error}") from None
+        except CedarwickError as error:
+            raise PeerUnreachableError(f"{member}: {error}") from None
         return answer
 
 
--- a/cedarwick/lab/virtualday.py
+++ b/cedarwick/lab/virtualday.py
@@ -25,7 +25,7 @@
 from loguru import logger
 
 from cedarwick.config.operator import Fleet, Member
-from cedarwick.errors import Trouble as Refusing
+from cedarwick.errors import CedarwickError
 from cedarwick.fleet.book import Shared
 from cedarwick.fleet.messages import Refused, decode, digest_of, encode
 from cedarwick.fleet.node import Node
@@ -359,7 +359,7 @@
         """A call of staff, in a task of its own; what it answers is of no interest."""
 
         def call() -> None:
-            with suppress(Refusing):
+            with suppress(CedarwickError):
                 self.staff.moves(Said(name, argument))
 
         self.day.kernel.spawn_as(self.owner, call)
@@ -373,7 +373,7 @@
         try:
             gate.check(read)
             told = self.node.answer(read)
-        except Refusing as error:
+        except CedarwickError as error:
             told = gate.letter(read.sender, Refused(error.code, str(error)[:512]))
         box.set(encode(told))
 
--- a/cedarwick/lab/virtualwatch.py
+++ b/cedarwick/lab/virtualwatch.py
@@ -6,7 +6,7 @@
 import json
 from typing import TYPE_CHECKING
 
-from cedarwick.errors import Trouble as Refusing
+from cedarwick.errors import CedarwickError
 from cedarwick.events import naive
 from cedarwick.events.exchange import Exchange
 from cedarwick.events.kinds import Event, Value
@@ -146,7 +146,7 @@
         answer = sender.staff.follows(Call("FOLLOW", words))
         if not isinstance(answer, str):
             answer(cable)
-    except Refusing as error:
+    except CedarwickError as error:
         cable.sendall(f"NO {error.line}\n".encode("ascii", "replace"))
     finally:
         cable.over = True
@@ -159,7 +159,7 @@
     def ask() -> None:
         try:
             told.append(str(sender.staff.follows(Call("UNFOLLOW", name))))
-        except Refusing:
+        except CedarwickError:
             told.append("")
 
     kernel, owner = sender.day.kernel, sender.owner
--- a/cedarwick/net/assignment.py
+++ b/cedarwick/net/assignment.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from cedarwick import bounds
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 
-class BadAssignment(Trouble):
+class AssignmentError(CedarwickError):
     """The program cannot start with what it was told."""
 
     code = "CW101"
@@ -42,18 +42,18 @@
 
 
 def read(environment: Mapping[str, str]) -> Assignment:
-    """The assignment that the environment names; `BadAssignment` says in one line what is wrong with it."""
+    """The assignment that the environment names; `AssignmentError` says in one line what is wrong with it."""
     path = environment.get("RELAY_CONFIG", "")
     if not path:
-        raise BadAssignment("RELAY_CONFIG is not set")
+        raise AssignmentError("RELAY_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
     except (OSError, ValueError) as error:
-        raise BadAssignment(f"{path}: {error}") from None
+        raise AssignmentError(f"{path}: {error}") from None
     folder = environment.get("RELAY_STATE", "")
     if not os.path.isdir(folder):
-        raise BadAssignment(f"RELAY_STATE is no folder: {folder!r}")
+        raise AssignmentError(f"RELAY_STATE is no folder: {folder!r}")
     try:
         limits = told.get("limits", {})
         made = Assignment(
@@ -73,15 +73,15 @@
             else None,
         )
     except KeyError as error:
-        raise BadAssignment(f"{path}: {error.args[0]} is missing") from None
+        raise AssignmentError(f"{path}: {error.args[0]} is missing") from None
     except (TypeError, ValueError, AttributeError) as error:
-        raise BadAssignment(f"{path}: {error}") from None
+        raise AssignmentError(f"{path}: {error}") from None
     if "classes.count" not in made.settings:
-        raise BadAssignment(f"{path}: the settings name no classes")
+        raise AssignmentError(f"{path}: the settings name no classes")
     try:
         bounds.check(made.settings)
-    except bounds.BadSetting as error:
-        raise BadAssignment(f"{path}: settings.{error}") from None
+    except bounds.SettingError as error:
+        raise AssignmentError(f"{path}: settings.{error}") from None
     return made
 
 
--- a/cedarwick/net/counters.py
+++ b/cedarwick/net/counters.py
@@ -8,7 +8,7 @@
 import gevent
 from loguru import logger
 
-from cedarwick.errors import told
+from cedarwick.errors import describe
 from cedarwick.net.figures import Figures
 
 QUIET = 10.0  # seconds between two log lines on the same kind of trouble, where the operator names no other
@@ -35,7 +35,7 @@
         now = time.monotonic()
         if now - self.logged.get(kind, -self.quiet) >= self.quiet:
             self.logged[kind] = now
-            logger.warning("{} (seen {} times): {}", kind, self.counts[f"trouble: {kind}"], told(detail))
+            logger.warning("{} (seen {} times): {}", kind, self.counts[f"trouble: {kind}"], describe(detail))
 
     def failed(self, kind: str) -> None:
         """An error that should not be, told with its trace from within the handler."""
--- a/cedarwick/net/desk.py
+++ b/cedarwick/net/desk.py
@@ -10,7 +10,7 @@
 import gevent.queue
 from loguru import logger
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.interface import ListChange, Listing, Outcome, Owed, row
 from cedarwick.net.assignment import Assignment, place
 from cedarwick.net.clock import Clock
@@ -20,8 +20,8 @@
 from cedarwick.net.sockets import Polled
 from cedarwick.policy import Handle, Sender, priority_class_of
 from cedarwick.state import FAR
-from cedarwick.store.files import DiskFault
-from cedarwick.store.journal import Lost, NoRoom, Store
+from cedarwick.store.files import DiskError
+from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
 from cedarwick.store.records import NOWHERE, Kept, zone_mark
 
 REMEMBERED = 15_000_000  # for so long after it was handed in, an id is not taken once more
@@ -460,7 +460,7 @@
         """Whether the body could be read back; it may lie in the folder only."""
         try:
             call.body = self.store.body(call.kept.number)
-        except Lost as error:
+        except BodyLostError as error:
             self.counters.trouble("a body cannot be read back", error)
             return False
         return True
@@ -550,7 +550,7 @@
         """Write to the folder; False, and a count of the trouble, where there is no room."""
         try:
             write(*told)
-        except NoRoom as error:
+        except NoSpaceError as error:
             self.counters.trouble(f"no room for {what}", error)
             return False
         return True
@@ -673,7 +673,8 @@
             self.store.flush(in_thread)
         except OSError as error:
             self.counters.trouble(
-                "what was written does not last yet", error if isinstance(error, Trouble) else DiskFault(str(error))
+                "what was written does not last yet",
+                error if isinstance(error, CedarwickError) else DiskError(str(error)),
             )
             for _, otherwise in waiting:
                 otherwise()
--- a/cedarwick/net/directory.py
+++ b/cedarwick/net/directory.py
@@ -7,12 +7,12 @@
 import gevent
 import gevent.event
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.interface import ListChange, Listing, Phase, row
 from cedarwick.net.assignment import Assignment, address, place
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
-from cedarwick.net.http import Answer, Unreadable
+from cedarwick.net.http import Answer, InvalidResponseError
 from cedarwick.net.objects import Objects
 from cedarwick.net.sockets import connected
 
@@ -28,7 +28,7 @@
 FORGET = 60.0  # seconds after a receiver has gone: longer than any shot to it, and than the decisions know it
 
 
-class BadNews(Trouble, ValueError):
+class InvalidUpdateError(CedarwickError, ValueError):
     """News of the list that cannot be read or believed; the list stays as it was."""
 
     code = "CW303"
@@ -72,17 +72,20 @@
         self.held_out: set[str] = set()  # uids that the operators took out: draining, whatever the list says
 
     def learn(self, news: dict[str, Any], saved: bool = False) -> bool:
-        """Pass on one piece of list news; False where a line of it is unclear, `BadNews` where all of it is."""
+        """Pass on one piece of list news.
+
+        False where a line of it is unclear, `InvalidUpdateError` where all of it is.
+        """
         try:
             entries, version, whole = list(news["targets"]), int(news["rev"]), news["all"]
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise BadNews(f"list news without {error}") from None
+            raise InvalidUpdateError(f"list news without {error}") from None
         if not isinstance(whole, bool):
-            raise BadNews(f"whole or changes: {str(whole)[:40]!r}")
+            raise InvalidUpdateError(f"whole or changes: {str(whole)[:40]!r}")
         if version < self.version:
             # Danger: a list that comes late would undo a drain; one that counts anew would never be heard again.
             self.unsure = True
-            raise BadNews(f"version {version} after {self.version}")
+            raise InvalidUpdateError(f"version {version} after {self.version}")
         listings, named, clear = [], set(), True
         for entry in entries:
             uid = ""
@@ -91,7 +94,9 @@
                 listing = self._listing(uid, entry)
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
                 # Danger: one line that cannot be read would keep all others from being heard.
-                self.counters.trouble("a line of the list cannot be read", BadNews(f"{type(error).__name__}: {error}"))
+                self.counters.trouble(
+                    "a line of the list cannot be read", InvalidUpdateError(f"{type(error).__name__}: {error}")
+                )
                 clear = False
                 if uid not in self.last:
                     continue
@@ -102,7 +107,7 @@
                 named.add(uid)
         if whole and not listings and self.known:
             # Danger: platforms that start anew have an empty list for a moment; believed, it would end all traffic.
-            raise BadNews("a whole list with nothing in it")
+            raise InvalidUpdateError("a whole list with nothing in it")
         self._forget(named, whole)
         self.version = version
         # Danger: what a spoilt line said is in no later change; only a whole list tells it.
@@ -187,10 +192,12 @@
     def _follow_to_its_end(self) -> None:
         try:
             self._follow()
-        except (OSError, Unreadable, BadNews) as error:
+        except (OSError, InvalidResponseError, InvalidUpdateError) as error:
             self.counters.trouble("the watch of the list broke", error)
         except ValueError as error:
-            self.counters.trouble("the watch of the list broke", BadNews(f"news that cannot be read: {error}"))
+            self.counters.trouble(
+                "the watch of the list broke", InvalidUpdateError(f"news that cannot be read: {error}")
+            )
 
     def _follow(self) -> None:
         text, raw = Buffer(), Buffer()
@@ -216,7 +223,7 @@
                 answer.feed(raw)
                 self.refused = answer.status not in (0, 200)
                 if self.refused:
-                    raise Unreadable(f"status {answer.status}")
+                    raise InvalidResponseError(f"status {answer.status}")
                 if not answer.status:
                     continue
                 self.doubted = False
@@ -225,15 +232,15 @@
                 came = text.take(len(text))
                 for news in objects.read(came):
                     if not self.learn(news) and (told or not self.renewed):
-                        raise BadNews("unclear changes: the whole list is asked for")
+                        raise InvalidUpdateError("unclear changes: the whole list is asked for")
                     told, alive = True, time.monotonic()
                 if came and not objects.depth:
                     self.first_news.set()  # an empty line says that there is nothing new
                     alive = time.monotonic()
                 # Danger: what follows an object that was torn would be taken for its inside.
                 if time.monotonic() - alive > SILENT:
-                    raise Unreadable("no line ended")
-            raise Unreadable("the watch ended")
+                    raise InvalidResponseError("no line ended")
+            raise InvalidResponseError("the watch ended")
         finally:
             sock.close()
             self.stood = bool(answered) and time.monotonic() - answered >= STOOD
@@ -270,7 +277,9 @@
             if phase is Phase.READY or uid not in self.last:
                 raise
             # Danger: a field that is spoilt would hide the drain that stands in the same line.
-            self.counters.trouble("a line of the list is spoilt", BadNews(f"{uid}: {type(error).__name__}: {error}"))
+            self.counters.trouble(
+                "a line of the list is spoilt", InvalidUpdateError(f"{uid}: {type(error).__name__}: {error}")
+            )
             at, (_, zone, kind, group, *_) = None, self.last[uid]
         if uid not in self.numbers:
             self.numbers[uid] = self.next_number
@@ -287,7 +296,7 @@
         if isinstance(hint, int | float) and 0 <= hint <= LARGEST_RATE:
             return float(hint)
         # Danger: one spoilt figure would hide a drain that stands in the same line, or let everything go at once.
-        self.counters.trouble("a listed rate that is none", BadNews(f"{uid}: {str(hint)[:40]}"))
+        self.counters.trouble("a listed rate that is none", InvalidUpdateError(f"{uid}: {str(hint)[:40]}"))
         return self.last[uid].rate if uid in self.last else 0.0
 
 
--- a/cedarwick/net/http.py
+++ b/cedarwick/net/http.py
@@ -4,7 +4,7 @@
 
 import httptools
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.net.buffer import Buffer
 
 LONGEST_HEAD = 1 << 16
@@ -12,7 +12,7 @@
 INTERIM = (b"HTTP/1.1 1", b"HTTP/1.0 1")  # how answers in front of the real one begin
 
 
-class Unreadable(Trouble):
+class InvalidResponseError(CedarwickError):
     """Bytes that are no HTTP answer."""
 
     code = "CW301"
@@ -35,7 +35,7 @@
 
     def on_message_begin(self) -> None:
         if self.complete:  # a further answer: nobody asked for it, and it must not be read as this one
-            raise Unreadable("bytes after the answer")
+            raise InvalidResponseError("bytes after the answer")
 
     def on_status(self, _: bytes) -> None:
         self.status = self.parser.get_status_code()
@@ -65,18 +65,18 @@
         """Use up what the buffer holds."""
         self.begun = self.begun or self._nothing_in_front(buffer)
         if not self.headed and self.fed + len(buffer) > LONGEST_HEAD:
-            raise Unreadable("a head without an end")
+            raise InvalidResponseError("a head without an end")
         if not self.begun:
             return
         part = buffer.take(len(buffer))
         self.fed += len(part)
         if self.pass_on is None and self.fed > LONGEST_ANSWER and not self.complete:
-            raise Unreadable("an answer without an end")
+            raise InvalidResponseError("an answer without an end")
         try:
             self.parser.feed_data(part)
-        except (Unreadable, httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError) as error:
+        except (InvalidResponseError, httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError) as error:
             if not self.complete:
-                raise Unreadable(str(error) or type(error).__name__) from None
+                raise InvalidResponseError(str(error) or type(error).__name__) from None
             self.keep_alive = False  # bytes after a whole answer: nobody asked for them
 
     def _nothing_in_front(self, buffer: Buffer) -> bool:
--- a/cedarwick/net/intake.py
+++ b/cedarwick/net/intake.py
@@ -9,13 +9,13 @@
 import gevent.event
 import gevent.socket
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.net.assignment import word
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Answered, Desk, Submission
-from cedarwick.net.links import Descriptors, NoDescriptor
+from cedarwick.net.links import Descriptors, NoDescriptorError
 from cedarwick.net.sockets import lies_there
 from cedarwick.store.records import Kept
 
@@ -65,21 +65,21 @@
 Handed = tuple[Answered, int, Callable[[], None] | None]
 
 
-class Malformed(Trouble):
+class MalformedRequestError(CedarwickError):
     """Bytes that are no RESP2 command."""
 
     code = "CW901"
     remedy = "ask who connects to the clients' address: the bytes are not the clients' protocol"
 
 
-class Crowded(Trouble):
+class ConnectionShedError(CedarwickError):
     """The buffers of all clients together are as large as they may be."""
 
     code = "CW902"
     remedy = "start another sender, or have clients send smaller bodies and fewer at once"
 
 
-class BadSubmit(Trouble, ValueError):
+class InvalidSubmitError(CedarwickError, ValueError):
     """A SUBMIT whose arguments cannot be used; its text is the client's answer after `-ERR`."""
 
     code = "CW903"
@@ -163,7 +163,7 @@
             try:
                 self._make_room()
                 self.descriptors.claim()
-            except NoDescriptor as error:
+            except NoDescriptorError as error:
                 self.counters.trouble("no descriptor for a client", error)
                 gevent.sleep(0.005)
                 continue
@@ -218,7 +218,7 @@
     def _take_in_waiting(self) -> None:
         """Danger: a connection that waits to be accepted is reset with the listener, its request unanswered."""
         self.listener.settimeout(0.0)
-        with contextlib.suppress(NoDescriptor):
+        with contextlib.suppress(NoDescriptorError):
             while True:
                 self.descriptors.claim()
                 try:
@@ -231,7 +231,7 @@
     def _turn_away(self, client: Client) -> None:
         """All that was read of a client is refused, what is not whole yet too, and it is told the end."""
         owed = 0
-        with contextlib.suppress(Malformed):
+        with contextlib.suppress(MalformedRequestError):
             while command(client.buffer) is not None:
                 owed += 1
         owed += len(client.buffer) > 0
@@ -291,7 +291,7 @@
                 self._cut(client)
                 client.leave.set()
         if self.descriptors.used >= limit or not any(each.cut for each in self.clients):
-            raise NoDescriptor(f"{len(self.clients)} clients hold all that they may")
+            raise NoDescriptorError(f"{len(self.clients)} clients hold all that they may")
 
     def _let_go(self, client: Client) -> None:
         """The client reads the end and goes. Danger: what crosses that must stay unread: the client sends it once more
@@ -332,7 +332,7 @@
                 if last:
                     break
                 if client.unusable >= UNUSABLE:
-                    raise Malformed("too many requests that cannot be used")
+                    raise MalformedRequestError("too many requests that cannot be used")
                 if client.unusable:
                     # Danger: who sends the same again as soon as it is turned away would fill the core.
                     client.waiting, client.idle_since = not len(client.buffer), self.clock.now()
@@ -340,10 +340,10 @@
                 elif len(client.buffer):
                     gevent.sleep(0)  # hundreds of commands at once must not hold up all others
             self._see_off(client)
-        except Malformed as error:
+        except MalformedRequestError as error:
             self.counters.trouble("a malformed request", error)
             self._refuse(client, f"-ERR {error}\r\n".encode())
-        except Crowded as error:
+        except ConnectionShedError as error:
             self.counters.trouble("no memory for a request", error)
             self._refuse(client, BUSY)
         except OSError as error:
@@ -365,7 +365,7 @@
                 if len(client.buffer.data) > SMALL and MOST_BUFFERED < sum(
                     len(other.buffer.data) for other in self.clients
                 ):
-                    raise Crowded(f"a request of more than {len(client.buffer)} bytes")
+                    raise ConnectionShedError(f"a request of more than {len(client.buffer)} bytes")
             try:
                 if left <= 0:
                     raise TimeoutError
@@ -378,7 +378,7 @@
                     return None
             except TimeoutError:
                 if begun:
-                    raise Malformed("Protocol error: the request did not end") from None
+                    raise MalformedRequestError("Protocol error: the request did not end") from None
                 if not self._silent(client):
                     continue  # it came as the time ran out
                 self.counters.add("clients let go that asked for nothing")
@@ -441,7 +441,7 @@
             return b"-ERR unknown command\r\n"
         try:
             kept, again = read_submission(parts, self.clock.now())
-        except BadSubmit as error:
+        except InvalidSubmitError as error:
             client.unusable += 1
             self.counters.trouble("a request that cannot be taken", error)
             return f"-ERR {error}\r\n".encode()
@@ -480,7 +480,7 @@
         return None
     count, at = head
     if count > MOST_PARTS:
-        raise Malformed("Protocol error: too many parts")
+        raise MalformedRequestError("Protocol error: too many parts")
     spans = []
     for _ in range(count):
         head = count_at(buffer, at, b"$")
@@ -488,11 +488,11 @@
             return None
         size, at = head
         if size > LONGEST_BODY or at + size > LONGEST_COMMAND:
-            raise Malformed("Protocol error: a part is too long")
+            raise MalformedRequestError("Protocol error: a part is too long")
         if len(buffer) < at + size + 2:
             return None
         if buffer.peek(at + size, 2) != b"\r\n":
-            raise Malformed("Protocol error: a part does not end where it should")
+            raise MalformedRequestError("Protocol error: a part does not end where it should")
         spans.append((at, size))
         at += size + 2
     parts = [buffer.peek(begin, size) for begin, size in spans]
@@ -504,15 +504,15 @@
     """The number on a line that starts with the mark, and where the next line starts."""
     first = buffer.peek(at, 1)
     if first and first != mark:
-        raise Malformed(f"Protocol error: expected '{mark.decode()}'")
+        raise MalformedRequestError(f"Protocol error: expected '{mark.decode()}'")
     end = buffer.find(b"\r\n", at)
     if end < 0 or end - at > LONGEST_HEAD:
         if len(buffer) - at > LONGEST_HEAD:
-            raise Malformed("Protocol error: a number is too long")
+            raise MalformedRequestError("Protocol error: a number is too long")
         return None
     digits = buffer.peek(at + 1, end - at - 1)
     if not NUMBER.fullmatch(digits):
-        raise Malformed("Protocol error: invalid number")
+        raise MalformedRequestError("Protocol error: invalid number")
     return int(digits), end + 2
 
 
@@ -523,28 +523,28 @@
     except UnicodeDecodeError:
         name = "\0"
     if name and not NAME.fullmatch(name):
-        raise BadSubmit(f"{which.decode()} cannot be read")
+        raise InvalidSubmitError(f"{which.decode()} cannot be read")
     return word(name)
 
 
 def read_submission(parts: list[bytes], now: int) -> tuple[Kept, bool]:
-    """The envelope of a SUBMIT, and whether a sender had it before; `BadSubmit` says what is wrong."""
+    """The envelope of a SUBMIT, and whether a sender had it before; `InvalidSubmitError` says what is wrong."""
     if len(parts) != 5:
-        raise BadSubmit("wrong number of arguments for SUBMIT")
+        raise InvalidSubmitError("wrong number of arguments for SUBMIT")
     _, turn, envelope, pairs, body = parts
     told = dict(pair.partition(b"=")[::2] for pair in pairs.split(b","))
     if not WORD.fullmatch(envelope):
-        raise BadSubmit("the id cannot be read")
+        raise InvalidSubmitError("the id cannot be read")
     if not TURN.fullmatch(turn):
-        raise BadSubmit("the key of the order cannot be read")
+        raise InvalidSubmitError("the key of the order cannot be read")
     key = told.get(b"k", b"")
     if key and not WORD.fullmatch(key):
-        raise BadSubmit("the key cannot be read")
+        raise InvalidSubmitError("the key cannot be read")
     if not NUMBER.fullmatch(told.get(b"d", b"")) or not NUMBER.fullmatch(told.get(b"dest", b"")):
-        raise BadSubmit("d and dest must be whole numbers")
+        raise InvalidSubmitError("d and dest must be whole numbers")
     band, tenant = name_in(told, b"c"), name_in(told, b"t")
     if not band:
-        raise BadSubmit("c is missing")
+        raise InvalidSubmitError("c is missing")
     limit = now + int(told[b"d"]) * 1000 - READ_LATE
     kept = Kept(0, envelope.decode(), key.decode(), int(turn, 16), band, tenant, int(told[b"dest"]), limit, body)
     return kept, told.get(b"again") == b"1"
--- a/cedarwick/net/links.py
+++ b/cedarwick/net/links.py
@@ -6,7 +6,7 @@
 import gevent
 import gevent.socket
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
@@ -18,7 +18,7 @@
 FREE_LOOK = 0.02  # seconds between two looks
 
 
-class NoDescriptor(Trouble):
+class NoDescriptorError(CedarwickError):
     """All descriptors are taken, and no idle link could give way."""
 
     code = "CW302"
@@ -38,7 +38,7 @@
 
     def claim(self) -> None:
         if self.used >= self.limit and not self.make_way():
-            raise NoDescriptor(f"all {self.limit} are taken")
+            raise NoDescriptorError(f"all {self.limit} are taken")
         self.used += 1
 
     def give_back(self) -> None:
@@ -82,14 +82,14 @@
         descriptors.make_way = self._give_way
 
     def obtain(self, receiver: int, until: int, new: bool = False) -> Link:
-        """An idle link or a new one; OSError where none comes up in time, NoDescriptor where none may."""
+        """An idle link or a new one; OSError where none comes up in time, NoDescriptorError where none may."""
         address = self.address_of(receiver)
         free_by = min(until, self.clock.now() + FREE_WITHIN)
         while (link := None if new else self._kept(receiver, address)) is None:
             try:
                 self.descriptors.claim()
                 break
-            except NoDescriptor:
+            except NoDescriptorError:
                 # Danger: while idle clients hold them all, an envelope would be through its tries at once.
                 if self.clock.now() >= free_by:
                     raise
--- a/cedarwick/net/notices.py
+++ b/cedarwick/net/notices.py
@@ -9,7 +9,7 @@
 
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
-from cedarwick.net.http import Answer, Unreadable
+from cedarwick.net.http import Answer, InvalidResponseError
 from cedarwick.net.sockets import connected, ended
 
 LIMIT = 2.0  # seconds for a post and its answer
@@ -78,7 +78,7 @@
         try:
             with gevent.Timeout(LIMIT, TimeoutError("no answer in time")):
                 return self._send(body)
-        except (OSError, Unreadable) as error:
+        except (OSError, InvalidResponseError) as error:
             self._close()
             self.counters.trouble("a notice could not be posted", error)
             return 0
@@ -100,7 +100,7 @@
         answer, buffer = Answer(), Buffer()
         while not answer.complete:
             if not buffer.fill(self.sock):
-                raise Unreadable("the connection ended before the answer")
+                raise InvalidResponseError("the connection ended before the answer")
             answer.feed(buffer)
         if not answer.keep_alive:
             self._close()
--- a/cedarwick/net/shots.py
+++ b/cedarwick/net/shots.py
@@ -10,8 +10,8 @@
 from cedarwick.interface import Outcome
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.http import Answer, Unreadable
-from cedarwick.net.links import Link, Links, NoDescriptor
+from cedarwick.net.http import Answer, InvalidResponseError
+from cedarwick.net.links import Link, Links, NoDescriptorError
 from cedarwick.net.sockets import Polled, ended
 from cedarwick.state import FAR
 from cedarwick.store.records import Kept
@@ -111,7 +111,7 @@
     def _go(self, call: Call) -> None:
         try:
             link = self.links.obtain(call.receiver, call.until, call.new_link)
-        except NoDescriptor as error:
+        except NoDescriptorError as error:
             self.counters.trouble("no descriptor for a shot", error.within(f"receiver {call.receiver}"))
             self._hold_back(call)
             return
@@ -213,7 +213,7 @@
             # Danger: after a pause of the process, answers that came in time lie unread.
             self._read_what_lies_there(call, link, answer)
             return Outcome.RESET if answer.status else Outcome.TIME_OUT
-        except (OSError, Unreadable) as error:
+        except (OSError, InvalidResponseError) as error:
             self.counters.trouble("a link broke during a shot", error)
             return Outcome.RESET
         return None
@@ -238,7 +238,7 @@
                 if not link.buffer.fill(link.sock):
                     return
                 answer.feed(link.buffer)
-        except (OSError, Unreadable):
+        except (OSError, InvalidResponseError):
             pass
 
     def _heed_early(self, call: Call, answer: Answer) -> None:
--- a/cedarwick/ops/address.py
+++ b/cedarwick/ops/address.py
@@ -5,10 +5,10 @@
 import gevent
 import gevent.socket
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
-from cedarwick.ops.calls import BadCall, Call, most, parse
+from cedarwick.ops.calls import Call, InvalidCallError, most, parse
 from cedarwick.ops.staff import Talk
 
 DEADLINE = 2.0  # seconds in which a caller must finish its line; a few connect and say nothing for 4 s
@@ -20,14 +20,14 @@
 Answer = Callable[[Call], str | Talk]
 
 
-class TooManyCallers(Trouble):
+class TooManyCallersError(CedarwickError):
     """As many callers as may be are connected to the management address."""
 
     code = "CW404"
     remedy = "call again in 2 s; find out who keeps connections to the management address open"
 
 
-class CallFailed(Trouble):
+class CallFailedError(CedarwickError):
     """A management call met an error in the program; the sender goes on."""
 
     code = "CW405"
@@ -68,7 +68,7 @@
             # Danger: a caller that never finishes its line would hold its descriptor and greenlet for ever.
             sock.settimeout(DEADLINE)
             if self.callers > MOST_CALLERS:
-                sock.sendall(refusal(TooManyCallers("too many callers")).encode("ascii", "replace"))
+                sock.sendall(refusal(TooManyCallersError("too many callers")).encode("ascii", "replace"))
                 return
             with gevent.Timeout(DEADLINE):
                 reply = self._reply(sock)
@@ -78,7 +78,7 @@
             sock.sendall(reply.encode("ascii", "replace"))
             read_out(sock)
         except gevent.Timeout:
-            late = BadCall("the line did not come in time")
+            late = InvalidCallError("the line did not come in time")
             self.counters.trouble("a management call that cannot be read", late)
             with gevent.Timeout(0.1, False):
                 sock.sendall(refusal(late).encode("ascii", "replace"))
@@ -97,30 +97,30 @@
         buffer = Buffer()
         while (end := buffer.find(b"\n")) < 0:
             if len(buffer) > most(buffer.peek(0, 7)):
-                return self._unread(BadCall("the line is too long"))
+                return self._unread(InvalidCallError("the line is too long"))
             if not buffer.fill(sock):
-                return self._unread(BadCall("the line did not end"))
+                return self._unread(InvalidCallError("the line did not end"))
         line = buffer.take(end + 1).rstrip(b"\r\n")
         try:
             call = parse(line)
-        except BadCall as error:
+        except InvalidCallError as error:
             return self._unread(error)
         self.counters.add(f"management calls: {call.name}")
         try:
             return self.answer(call)
-        except Trouble as error:
+        except CedarwickError as error:
             self.counters.add(f"management calls refused: {error.code}")
             return refusal(error)
         except Exception:  # one failing call must not end the address: STATUS is still owed to others
             self.counters.failed(f"the management call {call.name} failed")
-            return refusal(CallFailed("the call failed"))
+            return refusal(CallFailedError("the call failed"))
 
-    def _unread(self, error: BadCall) -> str:
+    def _unread(self, error: InvalidCallError) -> str:
         self.counters.trouble("a management call that cannot be read", error)
         return refusal(error)
 
 
-def refusal(error: Trouble) -> str:
+def refusal(error: CedarwickError) -> str:
     """The answer to a call that is refused: `NO`, the reason, code and remedy, on one line."""
     return f"NO {error.line}\n"
 
--- a/cedarwick/ops/calls.py
+++ b/cedarwick/ops/calls.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 LONGEST_LINE = 256  # bytes of a call with its line end; what is longer is refused and the connection closed
 LONGEST_FOLLOW = 40 << 10  # of one with a filter and a subscriber's cursors
@@ -11,7 +11,7 @@
 FOLLOWING = ("FOLLOW", "UNFOLLOW")  # the rest of the line is their argument
 
 
-class BadCall(Trouble):
+class InvalidCallError(CedarwickError):
     """A line that is no call; its text is the reason given after `NO`."""
 
     code = "CW401"
@@ -21,14 +21,14 @@
     )
 
 
-class NotInAFleet(Trouble):
+class NotInFleetError(CedarwickError):
     """Events can be followed at a member of a fleet only."""
 
     code = "CW406"
     remedy = "give the operator file a table `[fleet]`, or follow at a sender that has one"
 
 
-class NoSessions(Trouble):
+class SessionsDisabledError(CedarwickError):
     """Only members of a fleet whose sessions are told have any to move."""
 
     code = "CW750"
@@ -43,26 +43,26 @@
 
 
 def parse(line: bytes) -> Call:
-    """The call on one line, without its line end; `BadCall` says what is wrong with it."""
+    """The call on one line, without its line end; `InvalidCallError` says what is wrong with it."""
     if len(line) > most(line):
-        raise BadCall("the line is too long")
+        raise InvalidCallError("the line is too long")
     try:
         text = line.decode("ascii")
     except UnicodeDecodeError:
-        raise BadCall("the line is not ASCII text") from None
+        raise InvalidCallError("the line is not ASCII text") from None
     if not text.isprintable():
-        raise BadCall("the line holds control characters")
+        raise InvalidCallError("the line holds control characters")
     words = text.split()
     if not words:
-        raise BadCall("an empty line")
+        raise InvalidCallError("an empty line")
     name = words[0].upper()
     if name in FOLLOWING and len(words) > 1:
         return Call(name, text.split(maxsplit=1)[1])
     wanted = ARGUMENTS.get(name, 1 if name in FOLLOWING else None)
     if wanted is None:
-        raise BadCall(f"unknown call {words[0][:40]!r}")
+        raise InvalidCallError(f"unknown call {words[0][:40]!r}")
     if len(words) - 1 != wanted:
-        raise BadCall(f"{name} takes {('no argument', 'one argument', 'two arguments')[wanted]}")
+        raise InvalidCallError(f"{name} takes {('no argument', 'one argument', 'two arguments')[wanted]}")
     return Call(name, " ".join(words[1:]))
 
 
--- a/cedarwick/ops/handover.py
+++ b/cedarwick/ops/handover.py
@@ -4,12 +4,12 @@
 
 import gevent.socket
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 SOCKET_FD = "RELAY_SOCKET_FD"
 
 
-class BadSocket(Trouble, ValueError):
+class InheritedSocketError(CedarwickError, ValueError):
     """The clients' socket that was to be handed over cannot be used."""
 
     code = "CW104"
@@ -17,16 +17,19 @@
 
 
 def inherited_listener(environment: Mapping[str, str]) -> gevent.socket.socket | None:
-    """The listening socket named in `$RELAY_SOCKET_FD`; None where it is not set, `BadSocket` if unusable."""
+    """The listening socket named in `$RELAY_SOCKET_FD`.
+
+    None where it is not set, `InheritedSocketError` if unusable.
+    """
     text = environment.get(SOCKET_FD, "")
     if not text:
         return None
     if not text.isdecimal() or int(text) < 3:
-        raise BadSocket(f"{SOCKET_FD} is no descriptor: {text!r}")
+        raise InheritedSocketError(f"{SOCKET_FD} is no descriptor: {text!r}")
     try:
         sock = gevent.socket.socket(fileno=int(text))
     except OSError as error:
-        raise BadSocket(f"{SOCKET_FD} {text}: {error.strerror}") from None
+        raise InheritedSocketError(f"{SOCKET_FD} {text}: {error.strerror}") from None
     try:
         usable = (
             sock.family == gevent.socket.AF_INET
@@ -37,5 +40,5 @@
         usable = False
     if not usable:
         sock.detach()  # Danger: closing a descriptor that is not ours could end another file of the process.
-        raise BadSocket(f"{SOCKET_FD} {text} is no listening TCP socket")
+        raise InheritedSocketError(f"{SOCKET_FD} {text} is no listening TCP socket")
     return sock
--- a/cedarwick/ops/lasting.py
+++ b/cedarwick/ops/lasting.py
@@ -4,14 +4,14 @@
 import json
 import os
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 SUSPENDED = "suspended.json"  # calls out by uid; kept until RESTORE, over restarts too
 WAITS = "waits.json"  # by uid: the end of a told wait in wall microseconds; read once, by the next process
 LARGEST = 1 << 20  # bytes; a larger file is no file of ours
 
 
-class Unreadable(Trouble):
+class UnreadableFileError(CedarwickError):
     """The file is there and cannot be used; its text names the file."""
 
     code = "CW205"
@@ -45,18 +45,18 @@
     except FileNotFoundError:
         return {}
     except OSError as error:
-        raise Unreadable(f"{path}: {error.strerror}") from None
+        raise UnreadableFileError(f"{path}: {error.strerror}") from None
     if len(data) > LARGEST:
-        raise Unreadable(f"{path}: larger than {LARGEST} bytes")
+        raise UnreadableFileError(f"{path}: larger than {LARGEST} bytes")
     # Danger: msgspec would be the only reason for the lean sender to load it; the standard library reads this.
     try:
         told = json.loads(data)
     except ValueError as error:
-        raise Unreadable(f"{path}: {error}") from None
+        raise UnreadableFileError(f"{path}: {error}") from None
     if not isinstance(told, dict) or not all(
         isinstance(key, str) and type(value) is int for key, value in told.items()
     ):
-        raise Unreadable(f"{path}: not an object of whole numbers")
+        raise UnreadableFileError(f"{path}: not an object of whole numbers")
     return told
 
 
--- a/cedarwick/ops/staff.py
+++ b/cedarwick/ops/staff.py
@@ -6,22 +6,22 @@
 import gevent.socket
 from loguru import logger
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.ops import lasting
-from cedarwick.ops.calls import FOLLOWING, Call, NoSessions, NotInAFleet, Suspensions
-from cedarwick.store.files import DiskFault
+from cedarwick.ops.calls import FOLLOWING, Call, NotInFleetError, SessionsDisabledError, Suspensions
+from cedarwick.store.files import DiskError
 
 Talk = Callable[[gevent.socket.socket], None]  # an answer that goes on for as long as the caller stays
 
 
-class Unlisted(Trouble):
+class UnlistedReceiverError(CedarwickError):
     """The list names no such receiver, and none such is suspended."""
 
     code = "CW402"
     remedy = "give the receiver's uid as the platform's list has it"
 
 
-class NotSuspended(Trouble):
+class NotSuspendedError(CedarwickError):
     """A receiver that is to be restored was not suspended."""
 
     code = "CW403"
@@ -63,7 +63,7 @@
         self.taking = False  # whether this process takes clients, or will once the folder is handed over
 
     def answer(self, call: Call) -> str | Talk:
-        """The answer; a `Trouble` says why a call is refused."""
+        """The answer; a `CedarwickError` says why a call is refused."""
         if call.name == "STATUS":
             return "YES taking clients\n" if self.taking and self.ready() else "NO not ready yet\n"
         if call.name == "PAUSE":
@@ -88,7 +88,7 @@
         """Take the receivers out that the file names: at the start, and once the folder is this process's."""
         try:
             self.listed.hold_out(set(lasting.read(self.folder)))
-        except lasting.Unreadable as error:
+        except lasting.UnreadableFileError as error:
             logger.error("the receivers taken out by hand cannot be read: {}", error.line)
 
     def _take_out(self, call: Call) -> str:
@@ -96,18 +96,18 @@
         try:
             # Danger: a process that replaces this one, or is replaced, may have changed the file meanwhile.
             out = Suspensions(lasting.read(self.folder).items())
-        except lasting.Unreadable as error:
+        except lasting.UnreadableFileError as error:
             logger.error("the receivers taken out by hand cannot be read: {}", error.line)
             out = Suspensions()
         if call.name == "SUSPEND":
             if not self.listed.knows(uid) and uid not in out:
-                raise Unlisted(f"nobody has {uid}")
+                raise UnlistedReceiverError(f"nobody has {uid}")
             count = out.suspend(uid)
             answer = f"YES {uid} suspended, {count} calls out\n"
         elif out.restore(uid):
             answer = f"YES {uid} restored\n"
         else:
-            raise NotSuspended(f"{uid} is not suspended")
+            raise NotSuspendedError(f"{uid} is not suspended")
         self.keep(out.calls)
         self.changed(uid, out.calls.get(uid, 0))
         return answer
@@ -119,16 +119,16 @@
             lasting.write(self.folder, calls)
         except OSError as error:
             written = False
-            logger.error(DiskFault(f"the receivers taken out by hand cannot be kept: {error}").line)
+            logger.error(DiskError(f"the receivers taken out by hand cannot be kept: {error}").line)
         self.listed.hold_out(set(calls))
         return written
 
 
 def no_sessions(call: Call) -> str:
     """The answer where this sender holds no sessions."""
-    raise NoSessions(f"{call.name} at a sender whose `fleet.sessions` is off")
+    raise SessionsDisabledError(f"{call.name} at a sender whose `fleet.sessions` is off")
 
 
 def not_in_a_fleet(call: Call) -> str:
     """The answer where no part of this sender has anything to follow."""
-    raise NotInAFleet(f"{call.name} at a sender without a fleet, or one that has only begun to start")
+    raise NotInFleetError(f"{call.name} at a sender without a fleet, or one that has only begun to start")
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -9,9 +9,9 @@
 import gevent.event
 from loguru import logger
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.interface import Phase, span
-from cedarwick.net.assignment import Assignment, BadAssignment, read
+from cedarwick.net.assignment import Assignment, AssignmentError, read
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Desk
@@ -26,7 +26,7 @@
 from cedarwick.ops.handover import inherited_listener
 from cedarwick.ops.staff import Staff
 from cedarwick.policy import LIST_WAIT
-from cedarwick.store.files import DiskFault, InUse
+from cedarwick.store.files import DiskError, FolderInUseError
 from cedarwick.store.journal import BODIES, Store
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
 LOOK = 0.01  # seconds between two looks at a folder that another process still holds
 
 
-class CannotStart(Trouble):
+class StartupError(CedarwickError):
     """The system or the folder does not let the program start."""
 
     code = "CW103"
@@ -60,7 +60,7 @@
     try:
         assignment, operator = read(os.environ), read_operator()
         return serve(assignment, operator, replaced)
-    except Trouble as error:
+    except CedarwickError as error:
         print(f"cedarwick: {error.line}", file=sys.stderr)
         return 2
 
@@ -120,16 +120,16 @@
         staff.taking = True
         management = Management(assignment.management, counters, staff.answer) if assignment.management else None
         held = hold(store, replacing=inherited is not None)
-    except Trouble as error:
+    except CedarwickError as error:
         raise error.within("cannot start") from None
     except (OSError, ValueError, KeyError) as error:
-        raise CannotStart(f"cannot start: {type(error).__name__}: {error}") from None
+        raise StartupError(f"cannot start: {type(error).__name__}: {error}") from None
     if assignment.known:
         # Danger: the saved list replaces the whole list; told after the watch's news it would undo them.
         try:
             directory.learn(assignment.known, saved=True)
         except ValueError as error:
-            raise BadAssignment(f"the known list cannot be read: {error}") from None
+            raise AssignmentError(f"the known list cannot be read: {error}") from None
     staff.take_over()
     early = []
     if management is not None:
@@ -141,10 +141,10 @@
         try:
             while not hold(store, replacing=True):
                 gevent.sleep(LOOK)
-        except Trouble as error:
+        except CedarwickError as error:
             raise error.within("cannot start") from None
         except (OSError, ValueError, KeyError) as error:
-            raise CannotStart(f"cannot start: {type(error).__name__}: {error}") from None
+            raise StartupError(f"cannot start: {type(error).__name__}: {error}") from None
         logger.info("{} holds the folder", assignment.name)
         staff.take_over()
         # Danger: no round has run yet that could have wanted a call which failed in the meantime made anew.
@@ -176,7 +176,7 @@
             replaced.clear()
             try:
                 told, operated = read(os.environ), read_operator()
-            except Trouble as error:
+            except CedarwickError as error:
                 logger.error("the configuration stays as it was: {}", error.line)
                 continue
             if told.platform != now_held.platform:
@@ -310,7 +310,7 @@
     try:
         return Node(assignment.name, operator.fleet, assignment.folder, store, clock, counters)
     except OSError as error:
-        raise CannotStart(f"cannot start: the fleet's address or folder: {error}") from None
+        raise StartupError(f"cannot start: the fleet's address or folder: {error}") from None
 
 
 def gauges(desk: Desk, directory: Directory) -> tuple[int, int, int]:
@@ -329,14 +329,14 @@
     try:
         lasting.write_waits(folder, waits)
     except OSError as error:
-        logger.error(DiskFault(f"the told waits cannot be handed over: {error}").line)
+        logger.error(DiskError(f"the told waits cannot be handed over: {error}").line)
 
 
 def take_waits(folder: str, directory: Directory, desk: Desk) -> None:
     """The waits that the replaced process heeded, told to the decisions after the saved list."""
     try:
         waits = lasting.take_waits(folder)
-    except lasting.Unreadable as error:
+    except lasting.UnreadableFileError as error:
         logger.error("the told waits of the replaced process cannot be read: {}", error.line)
         return
     desk.heed([(directory.numbers[uid], until) for uid, until in waits.items() if uid in directory.numbers])
@@ -346,7 +346,7 @@
     """Whether the folder is held and read; False where the process that is replaced holds it still."""
     try:
         store.load()
-    except InUse:
+    except FolderInUseError:
         if not replacing:
             raise
         return False
--- a/cedarwick/store/files.py
+++ b/cedarwick/store/files.py
@@ -6,21 +6,21 @@
 import re
 from collections.abc import Callable
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 
 NAME = re.compile(r"([0-9]{8})\.seg")
 OLD_NAME = re.compile(r"([0-9]{8})\.log")
 LOCK = "lock"
 
 
-class InUse(Trouble):
+class FolderInUseError(CedarwickError):
     """Another process holds the folder."""
 
     code = "CW201"
     remedy = "end the other process, or give this one a folder of its own"
 
 
-class DiskFault(Trouble):
+class DiskError(CedarwickError):
     """The system refused a write, a sync or a deletion; the sender goes on without it."""
 
     code = "CW207"
@@ -35,14 +35,14 @@
         self.lock = -1
 
     def claim(self) -> None:
-        """Hold the folder until the process ends; `InUse` where another one does."""
+        """Hold the folder until the process ends; `FolderInUseError` where another one does."""
         self.lock = os.open(os.path.join(self.path, LOCK), os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.lock)
             self.lock = -1
-            raise InUse(f"{self.path} is in use by another process") from None
+            raise FolderInUseError(f"{self.path} is in use by another process") from None
 
     def release(self) -> None:
         if self.lock >= 0:
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -10,10 +10,10 @@
 
 from loguru import logger
 
-from cedarwick.errors import Trouble, told
+from cedarwick.errors import CedarwickError, describe
 from cedarwick.interface import Outcome
 from cedarwick.store import old, planner, records
-from cedarwick.store.files import OLD_NAME, DiskFault, Folder, numbers, quietly, segment_name
+from cedarwick.store.files import OLD_NAME, DiskError, Folder, numbers, quietly, segment_name
 from cedarwick.store.planner import BLOCK
 from cedarwick.store.records import (
     DROP,
@@ -42,14 +42,14 @@
 PRESSES = 16  # steps on the spot for one short record
 
 
-class NoRoom(Trouble):
+class NoSpaceError(CedarwickError):
     """The folder has no room for a record, or the disk does not take it."""
 
     code = "CW202"
     remedy = "raise limits.disk_mb or free the disk; `cedarwick store verify` says what lives in the folder"
 
 
-class Lost(Trouble):
+class BodyLostError(CedarwickError):
     """A body cannot be read back."""
 
     code = "CW203"
@@ -124,7 +124,10 @@
     # ---- at the start ----
 
     def load(self) -> None:
-        """Hold the folder, read what is owed, and go on. `InUse`, `NoRoom` and OSError where that is impossible."""
+        """Hold the folder, read what is owed, and go on.
+
+        `InUse`, `NoSpaceError` and OSError where that is impossible.
+        """
         self.folder.claim()
         found = recover(self.folder, logger.error)
         self.book, self.next_number, self.old_until = found.book, found.next_envelope, found.old_until
@@ -172,10 +175,10 @@
                 self.active, self.file = newest, file
                 return
             except OSError as error:
-                logger.error(DiskFault(f"{segment_name(newest.number)} cannot be gone on with: {error}").line)
+                logger.error(DiskError(f"{segment_name(newest.number)} cannot be gone on with: {error}").line)
         try:
             self._roll()
-        except NoRoom as error:
+        except NoSpaceError as error:
             # Danger: a sender that does not start for want of room could never end what fills the folder.
             logger.error("the folder takes no records so far: {}", error.line)
 
@@ -218,17 +221,17 @@
         return max(0, self.spare) // mean
 
     def keep(self, kept: Kept) -> None:
-        """Write the record of a taken envelope; `NoRoom` where there is none for it."""
+        """Write the record of a taken envelope; `NoSpaceError` where there is none for it."""
         body = kept.body or b""
         kept.size, kept.checksum = len(body), zlib.crc32(body)
         if not self.fits(kept):
-            raise NoRoom("too much is kept")
+            raise NoSpaceError("too much is kept")
         self._base(kept, body, NEW)
         self.spare -= self.weighed(kept)
         self._hold(kept)
 
     def shot(self, number: int, sent_at: int, zone: int) -> None:
-        """A shot is about to go out; `NoRoom` where that cannot be recorded, so that it must not."""
+        """A shot is about to go out; `NoSpaceError` where that cannot be recorded, so that it must not."""
         kept = self.kept[number]
         self._note(kept, SHOT_BODY.pack(SHOT, number, sent_at, zone), SHORT)
         kept.shot(sent_at, zone)
@@ -279,7 +282,7 @@
         return True
 
     def body(self, number: int) -> bytes:
-        """The body of an envelope, from memory or from the folder; `Lost` where it cannot be read."""
+        """The body of an envelope, from memory or from the folder; `BodyLostError` where it cannot be read."""
         kept = self.kept[number]
         return kept.body if kept.body is not None else self._read_body(kept)
 
@@ -341,9 +344,9 @@
                 segment.file = self.folder.open(segment_name(segment.number), append=False)
             body = self.folder.read(segment.file, kept.size, kept.at)
         except OSError as error:
-            raise Lost(f"{segment_name(kept.home)} at {kept.at}: {error}") from None
+            raise BodyLostError(f"{segment_name(kept.home)} at {kept.at}: {error}") from None
         if zlib.crc32(body) != kept.checksum:
-            raise Lost(f"{segment_name(kept.home)} at {kept.at}: the body's checksum is wrong")
+            raise BodyLostError(f"{segment_name(kept.home)} at {kept.at}: the body's checksum is wrong")
         return body
 
     # ---- records ----
@@ -376,7 +379,7 @@
             return
         try:
             segment, _ = self._append(payload, SHORT)
-        except NoRoom:
+        except NoSpaceError:
             self.owing.append((payload, then))
             raise
         then(segment)
@@ -404,10 +407,10 @@
         try:
             written = self.folder.append(self.file, record)
         except OSError as error:
-            raise NoRoom(str(error)) from None
+            raise NoSpaceError(str(error)) from None
         if written < len(record):
             self._undo(active, written)
-            raise NoRoom("a record was cut short")
+            raise NoSpaceError("a record was cut short")
         begin = active.size
         active.physical += len(record)
         active.size = active.physical
@@ -427,7 +430,7 @@
         try:
             self.folder.truncate(self.file, active.size)
         except OSError as error:
-            logger.error(DiskFault(f"{segment_name(active.number)}: a torn record stays: {error}").line)
+            logger.error(DiskError(f"{segment_name(active.number)}: a torn record stays: {error}").line)
             self._grow(active, written)
             self.active = None
             quietly(self.folder.close, self.file)
@@ -439,7 +442,7 @@
         segment.physical += size
 
     def _find_room(self, grows: int, use: str) -> None:
-        """Compact on the spot where a record does not fit; `NoRoom` where that is not enough."""
+        """Compact on the spot where a record does not fit; `NoSpaceError` where that is not enough."""
         floor = planner.reserve(self.sizes()) - (0 if use == NEW else planner.SLACK)
         turns = 0 if use == SHORT else self.pressed
         while grows and self.limit - self.used - grows < floor:
@@ -450,7 +453,7 @@
             if turns > (PRESSES if use == SHORT else 1) or not self._work(self.most_step, short=True):
                 if use == SHORT and self.limit - self.used - grows >= 0:
                     return  # the reserve is for this
-                raise NoRoom("the folder is full")
+                raise NoSpaceError("the folder is full")
 
     # ---- segments ----
 
@@ -458,14 +461,14 @@
         """A new segment to append to; the old one where there is no room for another."""
         try:
             self._roll()
-        except NoRoom:
+        except NoSpaceError:
             if active is None or self.file < 0:
                 raise
         assert self.active is not None
         return self.active
 
     def _roll(self) -> None:
-        """Seal the active segment and begin another; `NoRoom` where that cannot be written."""
+        """Seal the active segment and begin another; `NoSpaceError` where that cannot be written."""
         number = self.last_segment + 1
         others = {each.number: each.size for each in self.book.segments.values()}
         made = Header(records.VERSION, number, self.now(), self.next_number, self.old_until, others)
@@ -484,7 +487,7 @@
                     self.condemned.append((name, planner.BLOCK))
                     self.used += planner.BLOCK
                     self.last_segment = number
-            raise NoRoom(f"a new segment: {error}") from None
+            raise NoSpaceError(f"a new segment: {error}") from None
         if self.file >= 0:
             if self.file in self.unsynced:
                 quietly(self.folder.sync, self.file)  # Danger: once closed, nobody can sync it
@@ -510,7 +513,7 @@
             self._delete_condemned()
         try:
             self._write_owing()
-        except NoRoom:
+        except NoSpaceError:
             pass
         victim = self._choose(short=False)
         if victim is None:
@@ -551,8 +554,8 @@
                 moved += self._move_strange(victim)
             if not self.todo and not victim.strange:
                 self._finish(victim)
-        except (NoRoom, Lost, OSError) as error:
-            logger.error("{} cannot be compacted now: {}", segment_name(victim.number), told(error))
+        except (NoSpaceError, BodyLostError, OSError) as error:
+            logger.error("{} cannot be compacted now: {}", segment_name(victim.number), describe(error))
             self._leave(victim)
             return False
         return True
@@ -617,6 +620,6 @@
             except FileNotFoundError:
                 self.used -= size
             except OSError as error:
-                logger.error(DiskFault(f"{name} cannot be deleted: {error}").line)
+                logger.error(DiskError(f"{name} cannot be deleted: {error}").line)
                 left.append((name, size))
         self.condemned = left
--- a/cedarwick/store/old.py
+++ b/cedarwick/store/old.py
@@ -8,7 +8,7 @@
 
 from cedarwick.interface import Outcome
 from cedarwick.store.files import OLD_NAME, Folder, numbers
-from cedarwick.store.records import OUTCOMES, Kept, Unreadable
+from cedarwick.store.records import OUTCOMES, InvalidRecordError, Kept
 
 HEAD = struct.Struct("<II")  # length of the payload, checksum
 KEPT, SHOT, OUTCOME, END, OVER, WHOLE = range(1, 7)
@@ -37,7 +37,7 @@
                 next_number = max(next_number, replay(kept, payload))
             except (struct.error, ValueError, IndexError, UnicodeDecodeError) as error:
                 # Danger: one record of another version would keep the sender from starting.
-                logger.error(Unreadable(f"a record of the first format in {name} cannot be read: {error}").line)
+                logger.error(InvalidRecordError(f"a record of the first format in {name} cannot be read: {error}").line)
     return kept, next_number, files
 
 
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.interface import EarlierShot, Outcome
 
 VERSION = 2  # of the format; the one file of the first version is read by `old.py`
@@ -39,7 +39,7 @@
 SHORTEST = STATE_HEAD.size  # of a payload that names an envelope
 
 
-class Unreadable(Trouble):
+class InvalidRecordError(CedarwickError):
     """A payload that its kind does not allow."""
 
     code = "CW204"
@@ -137,7 +137,7 @@
             for place in range(count if version == VERSION else 0)
         )
     except struct.error as error:
-        raise Unreadable(f"a header: {error}") from None
+        raise InvalidRecordError(f"a header: {error}") from None
     return Header(version, number, made_at, next_envelope, old_until, others)
 
 
@@ -192,9 +192,9 @@
         )
         take_state(kept, payload, ENVELOPE_BODY.size)
     except (struct.error, UnicodeDecodeError, ValueError) as error:
-        raise Unreadable(f"an envelope: {error}") from None
+        raise InvalidRecordError(f"an envelope: {error}") from None
     if place > len(payload):
-        raise Unreadable("an envelope that is shorter than its texts")
+        raise InvalidRecordError("an envelope that is shorter than its texts")
     return kept
 
 
@@ -205,7 +205,7 @@
             STATE_BODY.unpack_from(payload, at)
         )
     except struct.error as error:
-        raise Unreadable(f"a state: {error}") from None
+        raise InvalidRecordError(f"a state: {error}") from None
     # Danger: what damage has put in doubt stays so, whatever an older record says.
     kept.doubt_at = min(filter(None, (kept.doubt_at, doubt_at)), default=0)
     kept.end = None if end == NO_END else (end == NACKED, wait)
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.interface import Outcome
 from cedarwick.store.files import Folder, numbers, segment_name
 from cedarwick.store.records import (
@@ -33,8 +33,8 @@
     Damage,
     Found,
     Header,
+    InvalidRecordError,
     Kept,
-    Unreadable,
     read_envelope,
     read_header,
     scan,
@@ -46,14 +46,14 @@
 SECTOR = 1 << 12  # and where the disk gives an error
 
 
-class Damaged(Trouble):
+class FolderDamagedError(CedarwickError):
     """A part of the folder is missing or does not match its checksums; the rest is gone on with."""
 
     code = "CW208"
     remedy = "keep a copy of the folder and look at the disk; what is in doubt is answered by itself"
 
 
-class OtherVersion(Trouble):
+class StoreVersionError(CedarwickError):
     """A segment was written by another version of the program."""
 
     code = "CW209"
@@ -98,7 +98,7 @@
         made = headers.get(number)
         if number not in present:
             say(
-                Damaged(
+                FolderDamagedError(
                     f"{segment_name(number)} is missing: what it held is lost, {len(found.book.kept)} envelopes "
                     "are put in doubt"
                 ).line
@@ -141,7 +141,7 @@
         if isinstance(each, Found) and each.at == 0 and each.payload[0] == HEADER:
             try:
                 return read_header(each.payload)
-            except Unreadable:
+            except InvalidRecordError:
                 return None
         return None
     return None
@@ -164,7 +164,7 @@
     found.book.add(segment)
     if made is not None and made.version != VERSION:
         say(
-            OtherVersion(
+            StoreVersionError(
                 f"{name} is of version {made.version}, this program knows {VERSION}: it is left alone, and "
                 f"{len(found.book.kept)} envelopes are put in doubt"
             ).line
@@ -175,7 +175,7 @@
         put_in_doubt(found, doubt_from)
         return
     if length is not None and physical < length:
-        say(Damaged(f"{name} is cut off at {physical}, {length} bytes were written").line)
+        say(FolderDamagedError(f"{name} is cut off at {physical}, {length} bytes were written").line)
         put_in_doubt(found, doubt_from)
     ended = 0
     for each in read_through(folder, name, length):
@@ -190,9 +190,9 @@
             say(f"{name}: {each.until - each.at} bytes of a last record that was cut off are left out")
             continue
         if made is None and each.at == 0 and not last:
-            say(Damaged(f"{name}: the header cannot be read").line)
+            say(FolderDamagedError(f"{name}: the header cannot be read").line)
         say(
-            Damaged(
+            FolderDamagedError(
                 f"{name}: bytes {each.at} to {each.until} are damaged; {len(found.book.kept)} envelopes are "
                 "put in doubt"
             ).line
@@ -239,10 +239,18 @@
                 book.reburied(number, segment)
             return  # news of an envelope that has ended, or whose record is lost
         take_news(book, segment, kept, kind, payload)
-    except (Unreadable, ValueError, IndexError) as error:
-        say(Unreadable(f"{segment_name(segment.number)}: the record at {record.at} cannot be read: {error}").line)
+    except (InvalidRecordError, ValueError, IndexError) as error:
+        say(
+            InvalidRecordError(
+                f"{segment_name(segment.number)}: the record at {record.at} cannot be read: {error}"
+            ).line
+        )
     except Exception as error:  # struct.error, which is a class of its own
-        say(Unreadable(f"{segment_name(segment.number)}: the record at {record.at} has a wrong length: {error}").line)
+        say(
+            InvalidRecordError(
+                f"{segment_name(segment.number)}: the record at {record.at} has a wrong length: {error}"
+            ).line
+        )
 
 
 def take_envelope(book: Book, segment: Segment, fresh: Kept) -> None:
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.store.files import NAME, Folder, segment_name
 from cedarwick.store.journal import Store
 from cedarwick.store.recovery import Recovered, recover
@@ -15,7 +15,7 @@
 PART = 1 << 20
 
 
-class NoCopy(Trouble, OSError):
+class BackupError(CedarwickError, OSError):
     """No copy of the folder could be made that is of one moment and without findings."""
 
     code = "CW206"
@@ -117,7 +117,7 @@
         for name in files:
             os.unlink(os.path.join(to, name))
     os.rmdir(to)
-    raise NoCopy(f"{path} changed too fast for a copy, or is damaged")
+    raise BackupError(f"{path} changed too fast for a copy, or is damaged")
 
 
 def opened(path: str) -> dict[str, tuple[int, int]] | None:
--- a/tests/explore.py
+++ b/tests/explore.py
@@ -7,7 +7,8 @@
 the time goes on, so a member that is stopped and wakes is among the histories. How many messages are late, and how
 many crashes there are, is bounded for each history.
 
-`judge` holds each state against the claims; `Broken` names the one that fails, with the actions that led there.
+`judge` holds each state against the claims; `InvariantBrokenError` names the one that fails, with the actions that led
+there.
 """
 
 from collections.abc import Callable, Iterator
@@ -28,7 +29,7 @@
 SET = (1 << SET_BITS) - 1
 
 
-class Broken(Exception):
+class InvariantBrokenError(Exception):
     """A claim that a state does not keep."""
 
 
@@ -286,21 +287,21 @@
     # ---- the claims ----
 
     def judge(self, world: World) -> World:
-        """The world with what it adds to the history; `Broken` where a claim does not hold."""
+        """The world with what it adds to the history; `InvariantBrokenError` where a claim does not hold."""
         fired, legit, closed = world.fired, world.legit, world.closed
         looks = {name: node.look(world.tick) for name, node in world.nodes.items()}
         firing = [name for name, look in looks.items() if look.fires]
         if closed and any(look.valid for look in looks.values()):
-            raise Broken("a closed book has a holder")
+            raise InvariantBrokenError("a closed book has a holder")
         if len(firing) > 1:
-            raise Broken(f"{' and '.join(firing)} may fire at once")
+            raise InvariantBrokenError(f"{' and '.join(firing)} may fire at once")
         holders = {name: node.holder for name, node in world.nodes.items() if node.holder}
         if firing and (firing[0], holders[firing[0]].term) != fired:
             name, term = firing[0], holders[firing[0]].term
             if fired[1] and name not in legit:
-                raise Broken(f"{name} adopts from {fired[0]} and is no heir")
+                raise InvariantBrokenError(f"{name} adopts from {fired[0]} and is no heir")
             if term <= fired[1]:
-                raise Broken(f"{name} fires in term {term} after {fired}")
+                raise InvariantBrokenError(f"{name} fires in term {term} after {fired}")
             fired = (name, term)
         if fired[0] in holders and holders[fired[0]].term == fired[1]:
             legit = named(holders[fired[0]])
@@ -343,7 +344,7 @@
                 way = (before, name)
                 try:
                     new = model.judge(act())
-                except Broken as error:
+                except InvariantBrokenError as error:
                     return Found(len(seen), str(error), _unrolled(way))
                 told = hash(model.key(new))
                 if told not in seen:
--- a/tests/processes/test_events.py
+++ b/tests/processes/test_events.py
@@ -13,7 +13,7 @@
 from cedarwick.lab import claims
 from cedarwick.lab.claims import Watched
 from cedarwick.lab.fleet import Fleet
-from cedarwick.lab.senders import COMMAND, NotReady
+from cedarwick.lab.senders import COMMAND, SenderNotReadyError
 from tests.processes import rig
 
 FILTER = 'kind in ("completed", "outcome") and destination = 1'
@@ -124,7 +124,7 @@
                         rig.SCENARIO, seed, ("east", "east", "west"), ack="copy", keys='alone = "own"', say=rig.unsaid
                     ),
                     whole,
-                    excused=(OSError, NotReady),
+                    excused=(OSError, SenderNotReadyError),
                 )
 
     def wait(self, fleet: Fleet, subscriber: Subscriber, but: Iterable[int] = ()) -> None:
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -20,7 +20,7 @@
 from cedarwick.lab.partner import Effect
 from cedarwick.lab.relay import Fault, Way, named
 from cedarwick.lab.schedule import draw
-from cedarwick.lab.senders import NotReady
+from cedarwick.lab.senders import SenderNotReadyError
 from tests.processes import rig
 
 KEY = "00000000000000a1"
@@ -97,7 +97,7 @@
             ),
             whole,
         )
-    except (OSError, AssertionError, NotReady) as error:
+    except (OSError, AssertionError, SenderNotReadyError) as error:
         return f"seed {seed}: {error!r}"
     return ""
 
