--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -15,7 +15,7 @@
 
 from cedarwick.cli import command
 from cedarwick.config import texts
-from cedarwick.config.files import BadFile, load_toml
+from cedarwick.config.files import ConfigFileError, load_toml
 from cedarwick.config.operator import Fleet, Operator, load
 from cedarwick.lab import scenario as scenarios
 from cedarwick.lab.scenario import Scenario, sender_settings
@@ -49,7 +49,7 @@
 
 class Operators(Written):
     def bad(self, text: str | bytes, *parts: str) -> None:
-        with self.assertRaises(BadFile) as caught:
+        with self.assertRaises(ConfigFileError) as caught:
             load(self.write(text))
         said = str(caught.exception)
         self.assertNotIn("\n", said)
@@ -68,7 +68,7 @@
         self.bad("# " + "x" * (1 << 20), "larger than")
 
     def test_a_file_that_is_not_there(self) -> None:
-        with self.assertRaisesRegex(BadFile, "No such file"):
+        with self.assertRaisesRegex(ConfigFileError, "No such file"):
             load(self.path)
 
     def test_an_empty_file_is_the_defaults_and_so_is_the_example(self) -> None:
@@ -134,7 +134,7 @@
 
 class Scenarios(Written):
     def bad(self, more: str, *parts: str) -> None:
-        with self.assertRaises(BadFile) as caught:
+        with self.assertRaises(ConfigFileError) as caught:
             scenarios.load(self.write(GOOD + more))
         for part in (self.path, *parts):
             self.assertIn(part, str(caught.exception))
@@ -152,7 +152,7 @@
         self.bad('[drawn]\ncount = 2\nkinds = ["hang"]\n', "drawn.count")
 
     def test_an_unknown_name_lists_those_that_ship(self) -> None:
-        with self.assertRaisesRegex(BadFile, "calm"):
+        with self.assertRaisesRegex(ConfigFileError, "calm"):
             scenarios.load("no-such-day")
 
     def test_the_shipped_ones_are_good_and_senders_can_use_their_settings(self) -> None:
@@ -266,7 +266,7 @@
             path = os.path.join(folder, "x.toml")
             with open(path, "w", encoding="utf-8") as file:
                 file.write('at = [1, "two"]\n')
-            with self.assertRaisesRegex(BadFile, r"x\.toml: at\[1\]: Expected `int`"):
+            with self.assertRaisesRegex(ConfigFileError, r"x\.toml: at\[1\]: Expected `int`"):
                 load_toml(path, Whole)
 
 
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -24,7 +24,7 @@
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Answered, Desk
 from cedarwick.net.intake import Client, Handed, Intake
-from cedarwick.net.links import Descriptors, Links, NoDescriptor
+from cedarwick.net.links import Descriptors, Links, NoDescriptorError
 from cedarwick.net.notices import Notices
 from cedarwick.net.shots import Shots
 from cedarwick.net.sockets import Polled, lies_there
@@ -203,7 +203,7 @@
                     mock.patch.object(module, "LEFT_FREE", 8),
                     mock.patch.object(self.door, "clients", Crowd(self.door.clients)),
                 ):
-                    self.assertRaises(NoDescriptor, self.door._make_room)
+                    self.assertRaises(NoDescriptorError, self.door._make_room)
                 self.assertEqual(self.heard(sock, 1.0), expected)
 
     def test_who_was_told_the_end_makes_way_before_a_connection_that_has_not_asked_yet(self) -> None:
@@ -215,7 +215,7 @@
         for client in self.door.clients:
             client.idle_since -= 1_000_000
         with mock.patch.object(self.door, "clients", Crowd(self.door.clients)):
-            self.assertRaises(NoDescriptor, self.door._make_room)
+            self.assertRaises(NoDescriptorError, self.door._make_room)
         self.assertEqual(self.heard(crossed), (BUSY, "end"))
         fresh.sendall(submit("c"))
         self.assertEqual(self.heard(fresh), (BUSY, "end"))
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -9,7 +9,7 @@
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Desk, Submission
 from cedarwick.net.directory import Directory
-from cedarwick.net.intake import BadSubmit, read_submission
+from cedarwick.net.intake import InvalidSubmitError, read_submission
 from cedarwick.net.shots import Shots
 from tests.build import NESTED, desk_alone
 
@@ -61,7 +61,7 @@
 
     def test_names_that_are_no_text_are_refused(self) -> None:
         for band, tenant in ((b"", b""), (b"\xff", b""), (b"once", b"\xc3("), (b"o\nnce", b""), (b"x" * 201, b"")):
-            with self.subTest(band=band, tenant=tenant), self.assertRaises(BadSubmit):
+            with self.subTest(band=band, tenant=tenant), self.assertRaises(InvalidSubmitError):
                 self.submit(band, tenant)
 
     def test_zones_and_kinds_are_known_by_name_and_unknown_ones_are_a_place_of_their_own(self) -> None:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -9,10 +9,10 @@
 from loguru import logger
 
 from cedarwick.config.remedies import name, row, types
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.net.counters import Counters
 from cedarwick.ops.address import refusal
-from cedarwick.ops.calls import BadCall, parse
+from cedarwick.ops.calls import InvalidCallError, parse
 from tests.build import Program, Receiver, free_port, reply
 from tests.test_ops import call
 
@@ -25,7 +25,7 @@
 
     def setUp(self) -> None:
         self.found, self.left_out = types()
-        self.troubles = [each for each in self.found if issubclass(each, Trouble)]
+        self.troubles = [each for each in self.found if issubclass(each, CedarwickError)]
         with open("docs/errors.md", encoding="utf-8") as file:
             self.page = file.read()
 
@@ -46,7 +46,7 @@
         self.assertEqual(listed, made, "`cedarwick config reference --of errors` prints the rows anew")
 
     def test_the_page_names_every_type_that_stays_outside(self) -> None:
-        outside = sorted(name(each) for each in self.found if not issubclass(each, Trouble))
+        outside = sorted(name(each) for each in self.found if not issubclass(each, CedarwickError))
         self.assertEqual(OUTSIDE.findall(self.page.partition("## No operator meets these")[2]), outside)
 
 
@@ -77,10 +77,10 @@
         self.assertIn(" [CW102: ", ended.stderr)
 
     def test_a_refused_management_call_is_one_line_whatever_it_holds(self) -> None:
-        with self.assertRaises(BadCall) as caught:
+        with self.assertRaises(InvalidCallError) as caught:
             parse(b"NONSENSE")
-        self.assertEqual(refusal(caught.exception), f"NO unknown call 'NONSENSE' [CW401: {BadCall.remedy}]\n")
-        self.assertEqual(refusal(BadCall("a\nb\r\n  c")), f"NO a b c [CW401: {BadCall.remedy}]\n")
+        self.assertEqual(refusal(caught.exception), f"NO unknown call 'NONSENSE' [CW401: {InvalidCallError.remedy}]\n")
+        self.assertEqual(refusal(InvalidCallError("a\nb\r\n  c")), f"NO a b c [CW401: {InvalidCallError.remedy}]\n")
         program, manage = self.program(), free_port()
         program.start(RELAY_MANAGEMENT=f"127.0.0.1:{manage}")
         for line, code in ((b"NONSENSE\n", b"CW401"), (b"SUSPEND s-9\n", b"CW402"), (b"RESTORE s-0\n", b"CW403")):
@@ -90,9 +90,9 @@
         lines: list[str] = []
         sink = logger.add(lines.append, format="{message}")
         self.addCleanup(logger.remove, sink)
-        Counters().trouble("a kind", BadCall("{0} {x}"))
-        logger.error(BadCall("{0} {x}").line)
-        self.assertEqual([f"{{0}} {{x}} [CW401: {BadCall.remedy}]" in line for line in lines], [True, True])
+        Counters().trouble("a kind", InvalidCallError("{0} {x}"))
+        logger.error(InvalidCallError("{0} {x}").line)
+        self.assertEqual([f"{{0}} {{x}} [CW401: {InvalidCallError.remedy}]" in line for line in lines], [True, True])
 
 
 if __name__ == "__main__":
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -8,9 +8,9 @@
 
 import gevent
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.events import exchange, registry, streams
-from cedarwick.events.bad import TooNew
+from cedarwick.events.bad import FilterTooNewError
 from cedarwick.events.exchange import Exchange
 from cedarwick.events.kinds import Event
 from cedarwick.events.pushing import Lane, Reached
@@ -219,7 +219,7 @@
         net.turn(60)
         for member in net.members.values():
             self.assertEqual((member.registry.living(exchange.wall()), member.watching), ({}, False))
-            self.assertRaises(registry.NotFollowed, member.answer, Call("FOLLOW", "desk"))
+            self.assertRaises(registry.NotFollowedError, member.answer, Call("FOLLOW", "desk"))
 
     def test_many_subscriptions_reach_one_that_was_away(self) -> None:
         net = Net()
@@ -247,7 +247,7 @@
     def test_a_filter_that_a_member_is_too_old_for_is_refused_by_its_name(self) -> None:
         net = Net()
         net.gates["n0"].levels["n2"] = 1
-        with self.assertRaisesRegex(TooNew, r"n2 \(level 1\)"):
+        with self.assertRaisesRegex(FilterTooNewError, r"n2 \(level 1\)"):
             net.members["n0"].answer(Call("FOLLOW", 'desk WHERE id like "a*"'))
         self.assertTrue(callable(net.members["n0"].answer(Call("FOLLOW", 'desk WHERE id = "a"'))))
 
@@ -263,9 +263,9 @@
             "desk has id",
             "desk n0:-1",
         ):
-            with self.subTest(told), self.assertRaises(Trouble):
+            with self.subTest(told), self.assertRaises(CedarwickError):
                 net.members["n0"].answer(Call("FOLLOW", told))
-        self.assertRaises(Trouble, net.members["n0"].answer, Call("UNFOLLOW", "desk more"))
+        self.assertRaises(CedarwickError, net.members["n0"].answer, Call("UNFOLLOW", "desk more"))
         self.assertEqual(net.members["n0"].registry.entries, {})
         self.assertEqual(parse(b'follow desk WHERE  id =  "a  b"'), Call("FOLLOW", 'desk WHERE  id =  "a  b"'))
 
--- a/tests/test_filters.py
+++ b/tests/test_filters.py
@@ -6,10 +6,10 @@
 from hypothesis import strategies as st
 
 from cedarwick.events import bad, language, naive, terms
-from cedarwick.events.bad import BadFilter, TooNew
+from cedarwick.events.bad import FilterError, FilterTooNewError
 from cedarwick.events.compiled import compiled, globber
 from cedarwick.events.index import MOST_KEYS, MOST_SETS, Index
-from cedarwick.events.kinds import FIELDS, KINDS, WORDS, BadEvent, Event, Type
+from cedarwick.events.kinds import FIELDS, KINDS, WORDS, Event, InvalidEventError, Type
 
 DRAWN = settings(derandomize=True, max_examples=120, deadline=None)
 TEXTS = ["a", "ab", "abc", "b", "", 'é"\\\n']
@@ -77,40 +77,45 @@
         self.assertEqual(language.read(language.printed(made)), made)
 
     def test_every_error_names_code_place_and_what_to_write(self) -> None:
-        cases: list[tuple[str, type[BadFilter], tuple[int, int], str]] = [
-            ("destinaton = 5", bad.UnknownField, (1, 1), "write 'destination'"),
-            ("tenant =\n acme", bad.WrongType, (2, 2), 'write "acme"'),
-            ('tenant == "a"', bad.Unread, (1, 8), "write ="),
-            ("age > 5", bad.WrongType, (1, 7), "like 5s"),
-            ("age > 1.5s", bad.WrongType, (1, 7), "1500ms"),
-            ("age > 5sec", bad.WrongType, (1, 7), "ms, s, m or h"),
-            ("age > 9999999999999h", bad.OutOfBounds, (1, 7), "at most"),
-            ('kind = "take"', bad.UnknownWord, (1, 8), "write 'taken'"),
-            ('outcome = "timeout"', bad.UnknownWord, (1, 11), "write 'time-out'"),
-            ('tenant < "b"', bad.WrongType, (1, 8), "= or !="),
-            ('tenant in "a".."b"', bad.WrongType, (1, 1), "in (a, b)"),
-            ('shots like "1*"', bad.WrongType, (1, 1), "= or in"),
-            ("shots = 2.5", bad.WrongType, (1, 9), "like 5"),
-            ("shots = 2 && age > 2s", bad.Unread, (1, 11), "write 'and'"),
-            ("shots = 2 AND age > 2s", bad.Unread, (1, 11), "'and' in small"),
-            ("tenant = 'a'", bad.Unread, (1, 10), "double quotes"),
-            ('tenant = "\\x"', bad.Unread, (1, 10), "\\u00e9"),
-            ("(shots = 1", bad.Unread, (1, 11), "but )"),
-            ("shots in 5..2", bad.OutOfBounds, (1, 10), "2..5"),
-            ("shots = 99999999999999999999", bad.OutOfBounds, (1, 9), "at most"),
-            ("worth < 1e999", bad.OutOfBounds, (1, 9), "at most"),
-            ("sample(2/1)", bad.OutOfBounds, (1, 8), "sample(1/100)"),
-            ("sample(0/0)", bad.OutOfBounds, (1, 8), "sample(1/100)"),
-            ("sample(.5/1)", bad.Unread, (1, 8), "instead"),
-            ("sample(1/2.5)", bad.WrongType, (1, 10), "sample(1/100)"),
-            ('id like ""', bad.BadGlob, (1, 9), "1 to 64"),
-            ('id like "' + "a" * 65 + '"', bad.BadGlob, (1, 9), "1 to 64"),
-            ('id = "' + "a" * 257 + '"', bad.OutOfBounds, (1, 6), "shorter"),
-            ("not " * 33 + "has id", bad.TooDeep, (1, 0), "not not"),
-            ("shots in (" + ",".join(map(str, range(257))) + ")", bad.TooMany, (1, 0), "split"),
-            (" or ".join(['id like "*a"'] * 9), bad.TooCostly, (1, 0), "fewer globs"),
-            ("has id" + " " * 4096, bad.TooLong, (1, 0), "split"),
-            ('id="123456"or ' * 255 + "has id", bad.TooLong, (1, 0), "split"),  # it fits, its canonical text doesn't
+        cases: list[tuple[str, type[FilterError], tuple[int, int], str]] = [
+            ("destinaton = 5", bad.UnknownFieldError, (1, 1), "write 'destination'"),
+            ("tenant =\n acme", bad.WrongTypeError, (2, 2), 'write "acme"'),
+            ('tenant == "a"', bad.FilterSyntaxError, (1, 8), "write ="),
+            ("age > 5", bad.WrongTypeError, (1, 7), "like 5s"),
+            ("age > 1.5s", bad.WrongTypeError, (1, 7), "1500ms"),
+            ("age > 5sec", bad.WrongTypeError, (1, 7), "ms, s, m or h"),
+            ("age > 9999999999999h", bad.OutOfBoundsError, (1, 7), "at most"),
+            ('kind = "take"', bad.UnknownValueError, (1, 8), "write 'taken'"),
+            ('outcome = "timeout"', bad.UnknownValueError, (1, 11), "write 'time-out'"),
+            ('tenant < "b"', bad.WrongTypeError, (1, 8), "= or !="),
+            ('tenant in "a".."b"', bad.WrongTypeError, (1, 1), "in (a, b)"),
+            ('shots like "1*"', bad.WrongTypeError, (1, 1), "= or in"),
+            ("shots = 2.5", bad.WrongTypeError, (1, 9), "like 5"),
+            ("shots = 2 && age > 2s", bad.FilterSyntaxError, (1, 11), "write 'and'"),
+            ("shots = 2 AND age > 2s", bad.FilterSyntaxError, (1, 11), "'and' in small"),
+            ("tenant = 'a'", bad.FilterSyntaxError, (1, 10), "double quotes"),
+            ('tenant = "\\x"', bad.FilterSyntaxError, (1, 10), "\\u00e9"),
+            ("(shots = 1", bad.FilterSyntaxError, (1, 11), "but )"),
+            ("shots in 5..2", bad.OutOfBoundsError, (1, 10), "2..5"),
+            ("shots = 99999999999999999999", bad.OutOfBoundsError, (1, 9), "at most"),
+            ("worth < 1e999", bad.OutOfBoundsError, (1, 9), "at most"),
+            ("sample(2/1)", bad.OutOfBoundsError, (1, 8), "sample(1/100)"),
+            ("sample(0/0)", bad.OutOfBoundsError, (1, 8), "sample(1/100)"),
+            ("sample(.5/1)", bad.FilterSyntaxError, (1, 8), "instead"),
+            ("sample(1/2.5)", bad.WrongTypeError, (1, 10), "sample(1/100)"),
+            ('id like ""', bad.InvalidGlobError, (1, 9), "1 to 64"),
+            ('id like "' + "a" * 65 + '"', bad.InvalidGlobError, (1, 9), "1 to 64"),
+            ('id = "' + "a" * 257 + '"', bad.OutOfBoundsError, (1, 6), "shorter"),
+            ("not " * 33 + "has id", bad.FilterTooDeepError, (1, 0), "not not"),
+            ("shots in (" + ",".join(map(str, range(257))) + ")", bad.TooManyTermsError, (1, 0), "split"),
+            (" or ".join(['id like "*a"'] * 9), bad.FilterTooCostlyError, (1, 0), "fewer globs"),
+            ("has id" + " " * 4096, bad.FilterTooLongError, (1, 0), "split"),
+            (
+                'id="123456"or ' * 255 + "has id",
+                bad.FilterTooLongError,
+                (1, 0),
+                "split",
+            ),  # it fits, its canonical text doesn't
         ]
         for text, kind, place, instead in cases:
             with self.subTest(text[:40]), self.assertRaises(kind) as caught:
@@ -132,19 +137,19 @@
             page = file.read()
         shown = [line for block in re.findall(r"```filter\n(.*?)```", page, re.DOTALL) for line in block.splitlines()]
         self.assertEqual(len([language.read(line) for line in shown]), 8)
-        words = {*FIELDS, *KINDS, *WORDS["outcome"], *(f"{each.code}" for each in BadFilter.__subclasses__())}
+        words = {*FIELDS, *KINDS, *WORDS["outcome"], *(f"{each.code}" for each in FilterError.__subclasses__())}
         self.assertEqual([word for word in sorted(words) if not re.search(rf"\b{word}\b", page)], [])
 
     def test_deep_parentheses_and_any_text_end_in_an_answer(self) -> None:
         self.assertEqual(language.read("(" * 2000 + "has id" + ")" * 2000).text, "has id")
         for text in ("", "\x00", "\ud800 = 1", '"', "9" * 4000, "shots = " + "9" * 4000, "(" * 4096, "sample(1/1) has"):
-            with self.subTest(text[:9]), self.assertRaises(BadFilter):
+            with self.subTest(text[:9]), self.assertRaises(FilterError):
                 language.read(text)
 
     def test_a_member_that_is_too_old_is_named(self) -> None:
         language.check_levels(language.read("shots > 2"), {"elm": 1, "fir": 1})
         for text in ("not sample(1/100) and shots > 2", 'id like "a*"'):
-            with self.assertRaisesRegex(TooNew, r"level 2.*lack: elm \(level 1\); "):
+            with self.assertRaisesRegex(FilterTooNewError, r"level 2.*lack: elm \(level 1\); "):
                 language.check_levels(language.read(text), {"elm": 1, "fir": 2})
 
 
@@ -212,7 +217,7 @@
             ("taken", {"at_most_once": 1}),
         ]
         for kind, fields in cases:
-            with self.subTest(fields), self.assertRaises(BadEvent):
+            with self.subTest(fields), self.assertRaises(InvalidEventError):
                 event(kind, **fields)
 
     def test_kinds_and_fields_agree(self) -> None:
--- a/tests/test_fleet_facts.py
+++ b/tests/test_fleet_facts.py
@@ -9,7 +9,18 @@
 from hypothesis import strategies as st
 
 from cedarwick.fleet import facts
-from cedarwick.fleet.facts import Base, Fact, Head, Known, Ledger, OtherFormat, Rank, Spoilt, join, join_facts
+from cedarwick.fleet.facts import (
+    Base,
+    CorruptFactsError,
+    Fact,
+    FactsVersionError,
+    Head,
+    Known,
+    Ledger,
+    Rank,
+    join,
+    join_facts,
+)
 from cedarwick.store.records import Kept
 
 FEW = st.integers(0, 3)
@@ -148,7 +159,7 @@
         for data in (noise, bytes(good), bytes(good[:-1])):
             try:
                 facts.decode_facts(data)
-            except Spoilt:
+            except CorruptFactsError:
                 continue  # nothing else may come
 
     def test_what_the_folder_could_not_hold_is_refused(self) -> None:
@@ -159,10 +170,10 @@
             Fact(5, msgspec.structs.replace(BASE, id="x" * 17000), Known()),
         ]
         for fact in wrong:
-            with self.assertRaises(Spoilt):
+            with self.assertRaises(CorruptFactsError):
                 facts.decode_facts(facts.encode_facts([fact]))
         other = msgspec.msgpack.encode([facts.VERSION + 1, []])
-        self.assertRaises(OtherFormat, facts.decode_facts, other)
+        self.assertRaises(FactsVersionError, facts.decode_facts, other)
 
 
 class TheFolder(unittest.TestCase):
--- a/tests/test_fleet_leases.py
+++ b/tests/test_fleet_leases.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cedarwick.fleet.adoption import PATIENCE, TURN, Adoption, BooksUsedUp, Do, Ownership, Stage
+from cedarwick.fleet.adoption import PATIENCE, TURN, Adoption, BooksExhaustedError, Do, Ownership, Stage
 from cedarwick.fleet.leases import SET_BITS, SPAN, Grantor, Holder, Tenure, right_of
 from cedarwick.fleet.members import Members, Standing
 from cedarwick.fleet.messages import Ask, Grant, Table, Told
@@ -221,5 +221,5 @@
         ownership = Ownership("a", 9, NAMES, {})
         self.assertIsNone(ownership.step(Grantor("a", NAMES, 0, None)))
         last = Grant(right_of(BOOK + 4095), 1, "a")
-        with self.assertRaises(BooksUsedUp):
+        with self.assertRaises(BooksExhaustedError):
             ownership.step(Grantor("a", NAMES, 0, (last,)))
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -14,11 +14,22 @@
 from hypothesis import strategies as st
 from loguru import logger
 
-from cedarwick.errors import Trouble
+from cedarwick.errors import CedarwickError
 from cedarwick.fleet import gate, link, messages
 from cedarwick.fleet.gate import Gate
-from cedarwick.fleet.link import Peers, Refusal, Server, Unreachable
-from cedarwick.fleet.messages import LARGEST, Beat, Facts, Have, Letter, Noted, Refused, Unreadable, decode, encode
+from cedarwick.fleet.link import PeerRefusedError, Peers, PeerUnreachableError, Server
+from cedarwick.fleet.messages import (
+    LARGEST,
+    Beat,
+    Facts,
+    Have,
+    InvalidLetterError,
+    Letter,
+    Noted,
+    Refused,
+    decode,
+    encode,
+)
 from cedarwick.fleet.retry import Waits
 from cedarwick.net.counters import Counters
 from tests.build import Receiver, free_port, reply, until
@@ -49,7 +60,7 @@
     def test_what_does_not_fit_names_its_place(self) -> None:
         def bad(body: Any, place: str, **head: Any) -> None:
             whole = {"version": 1, "level": 1, "group": "g", "sender": "a", "incarnation": 1, "to": "b", **head}
-            with self.assertRaises(Unreadable) as caught:
+            with self.assertRaises(InvalidLetterError) as caught:
                 decode(msgspec.msgpack.encode([*whole.values(), body]))
             self.assertIn(place, str(caught.exception))
             self.assertNotIn("\n", caught.exception.line)
@@ -67,7 +78,7 @@
         bad(["Lodgings", [[1, "a", 1 << 62, 0]]], "$[6][1][0][2]")
         bad(["Noted"], "$[3]", sender="x" * 65)
         bad(["Noted"], "$[4]", incarnation=-1)
-        with self.assertRaisesRegex(Unreadable, "the most"):
+        with self.assertRaisesRegex(InvalidLetterError, "the most"):
             decode(b"\x90" * (LARGEST + 1))
 
     @given(st.binary(max_size=64), st.integers(0, 40))
@@ -75,7 +86,7 @@
     def test_any_bytes_are_a_letter_or_unreadable(self, noise: bytes, at: int) -> None:
         good = encode(Letter(1, 1, "g", "a", 1, "b", Facts(1, 2, 3, b"facts", 5)))
         for told in (noise, good[:at], good[:at] + noise):
-            with contextlib.suppress(Unreadable):
+            with contextlib.suppress(InvalidLetterError):
                 self.assertIsInstance(decode(told), Letter)
             messages.head_of(told)
 
@@ -120,13 +131,13 @@
         return peers
 
     def refused(self, code: str, peers: Peers | None = None, body: messages.Body | None = None) -> str:
-        with self.assertRaises(Refusal) as caught:
+        with self.assertRaises(PeerRefusedError) as caught:
             (peers or self.peers).call("b", body or Noted(), 5)
         self.assertEqual(caught.exception.refused.code, code)
         return caught.exception.refused.why
 
     def unreachable(self, why: str, peers: Peers, within_s: float = 5) -> None:
-        with self.assertRaisesRegex(Unreachable, why):
+        with self.assertRaisesRegex(PeerUnreachableError, why):
             peers.call("b", Noted(), within_s)
 
     def until_busy(self, letters: int) -> None:
@@ -167,18 +178,18 @@
 
     def test_each_wrong_letter_is_refused_with_its_reason(self) -> None:
         port = self.server.port
-        self.assertIn("'other'", self.refused(gate.OtherGroup.code, self.peers_of(port, group="other")))
-        self.assertIn("'z'", self.refused(gate.UnknownSender.code, self.peers_of(port, me="z")))
+        self.assertIn("'other'", self.refused(gate.OtherGroupError.code, self.peers_of(port, group="other")))
+        self.assertIn("'z'", self.refused(gate.UnknownMemberError.code, self.peers_of(port, me="z")))
         same = self.peers_of(port)
         same.gate.me = "b"
-        self.assertIn("same name", self.refused(gate.UnknownSender.code, same))
+        self.assertIn("same name", self.refused(gate.UnknownMemberError.code, same))
         astray = self.peers_of(port)
         astray.gate.letter = lambda to, body: Gate.letter(astray.gate, "c", body)  # type: ignore[method-assign]
-        self.assertIn("'c'", self.refused(gate.Misdirected.code, astray))
+        self.assertIn("'c'", self.refused(gate.MisdirectedLetterError.code, astray))
         self.peers_of(port, incarnation=7).call("b", Noted(), 5)
-        self.assertIn("boot 5", self.refused(gate.OldIncarnation.code))
+        self.assertIn("boot 5", self.refused(gate.StaleIncarnationError.code))
         # Refused letters of strangers must not move what is known of members.
-        self.refused(gate.OtherGroup.code, self.peers_of(port, group="other", incarnation=99))
+        self.refused(gate.OtherGroupError.code, self.peers_of(port, group="other", incarnation=99))
         self.peers_of(port, incarnation=7).call("b", Noted(), 5)
 
     def test_another_version_is_told_so_even_where_its_body_is_unknown(self) -> None:
@@ -225,7 +236,7 @@
         def failing(letter: Letter) -> messages.Body:
             if letter.body == Noted():
                 raise ZeroDivisionError
-            raise Unreadable("of its own")
+            raise InvalidLetterError("of its own")
 
         self.answer = failing
         self.assertIn("Noted", self.refused("CW711"))
@@ -283,7 +294,7 @@
     def ends(self, peers: Peers) -> str:
         try:
             return type(peers.call("b", Noted(), 5)).__name__
-        except Trouble as error:
+        except CedarwickError as error:
             return error.code
 
     def test_a_member_that_says_nothing_ends_in_time_and_leaves_nothing_open(self) -> None:
@@ -371,13 +382,13 @@
         self.peers.replace({"b": (HOST, self.server.port), "c": (HOST, 2)})
         self.assertIs(self.peers.peers["b"].idle[0], kept)  # who stays keeps its connections
         self.gate.replace(["b", "c"])
-        self.refused(gate.UnknownSender.code)
+        self.refused(gate.UnknownMemberError.code)
         self.gate.replace(NAMES)
         self.peers.gate.incarnation = 4
-        self.refused(gate.OldIncarnation.code)  # what was seen outlives the list
+        self.refused(gate.StaleIncarnationError.code)  # what was seen outlives the list
 
     def test_a_letter_that_is_too_large_is_not_sent(self) -> None:
-        with self.assertRaises(link.TooLarge):
+        with self.assertRaises(link.LetterTooLargeError):
             self.peers.call("b", Facts(1, 2, 3, b"x" * LARGEST, 4), 5)
         self.assertEqual(self.peers.peers["b"].open, set())
 
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_moves.py
@@ -254,7 +254,7 @@
         return votes, ("answer", by, ask, answer._replace(write=None))
 
 
-class Unsafe(Exception):
+class UnsafeMoveError(Exception):
     pass
 
 
@@ -370,7 +370,7 @@
         return (*members[:place], number, *members[place + 1 :]), sent | new, restarts, adoptions
 
     def judge(self, state: State) -> None:
-        """Raises Unsafe where a claim is broken."""
+        """Raises UnsafeMoveError where a claim is broken."""
         members, sent, _, _ = state
         views = [self.views[number] for number in members]
         votes: dict[tuple[Ballot, Value], set[str]] = {}
@@ -380,23 +380,23 @@
                 votes.setdefault(message[2:], set()).add(message[1])
             fired = fired or message[0] == "fired"
             if message[0] == "again":
-                raise Unsafe("taken again")
+                raise UnsafeMoveError("taken again")
         decided = {value for (_, value), voters in votes.items() if len(voters) > 1}
         if len(decided) > 1:
-            raise Unsafe("decided twice")
+            raise UnsafeMoveError("decided twice")
         gives = any(view[1] for view in views)
         if gives and (fired or any(view[2] for view in views)):
-            raise Unsafe("both may fire")
+            raise UnsafeMoveError("both may fire")
         if sum(view[1] for view in views) > 1 or sum(view[2] for view in views) > 1:
-            raise Unsafe("two holders fire")
+            raise UnsafeMoveError("two holders fire")
         givers = {view[3] for view in views if view[5]}
         takers = {view[4] for view in views if view[6]}
         if not givers & {"live", "marked"} and not takers & {"staged", "live"}:
-            raise Unsafe("lost")
+            raise UnsafeMoveError("lost")
         if decided == {"off"} and not givers & {"live", "marked"}:
-            raise Unsafe("called off, and the giver's gone")
+            raise UnsafeMoveError("called off, and the giver's gone")
         if decided == {"taker"} and not takers & {"staged", "live"} or fired and decided != {"taker"}:
-            raise Unsafe("the taker's without the decree, or the decree without the taker's")
+            raise UnsafeMoveError("the taker's without the decree, or the decree without the taker's")
 
     def explore(self, depth: int, restarts: int, adoptions: int, every: int = 0, after: Way = ()) -> int:
         """States seen; each is judged, and one in `every` is run to its fair end. `after`: begin with these events."""
@@ -438,7 +438,7 @@
         takes = [member.takes for member in members if member.takes_held]
         fires = sum(member.fires_as_giver() + member.fires_as_taker() for member in members)
         if fires != 1 or "staged" in takes or (gives != ["live"] and takes != ["live"]):
-            raise Unsafe(f"no end: {gives} {takes} {fires}")
+            raise UnsafeMoveError(f"no end: {gives} {takes} {fires}")
 
 
 class Hasty(Moves):
@@ -513,9 +513,9 @@
             (Giddy, Acceptor, STAGED, 5),
             (Moves, Forgetful, STAGED, 8),
         ):
-            with self.subTest(made=made, acceptor=acceptor), self.assertRaises(Unsafe):
+            with self.subTest(made=made, acceptor=acceptor), self.assertRaises(UnsafeMoveError):
                 Explorer(made, acceptor).explore(depth, 1, 0, 0, after)
-        with unittest.mock.patch.object(moves_module, "Proposer", Deaf), self.assertRaises(Unsafe):
+        with unittest.mock.patch.object(moves_module, "Proposer", Deaf), self.assertRaises(UnsafeMoveError):
             Explorer().explore(8, 0, 0, 0, STAGED)
 
     def test_the_clock(self) -> None:
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -15,10 +15,10 @@
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.fleet import node as module
 from cedarwick.fleet.adoption import NOTHING, Adoption, Stage
-from cedarwick.fleet.book import BLOCK, STARVED, Holding, NotCopied, Shared, boot_time
+from cedarwick.fleet.book import BLOCK, STARVED, Holding, NotReplicatedError, Shared, boot_time
 from cedarwick.fleet.decrees import parts
-from cedarwick.fleet.facts import Base, Fact, Head, Known, Rank, Spoilt, decode_facts, encode_facts, kept_of
-from cedarwick.fleet.lasting import FolderOfAnother, Lasting
+from cedarwick.fleet.facts import Base, CorruptFactsError, Fact, Head, Known, Rank, decode_facts, encode_facts, kept_of
+from cedarwick.fleet.lasting import ForeignFolderError, Lasting
 from cedarwick.fleet.leases import SPAN, UPTO, Grantor, right_of
 from cedarwick.fleet.members import Standing
 from cedarwick.fleet.messages import (
@@ -40,14 +40,14 @@
     slot_of,
 )
 from cedarwick.fleet.messages import Held as Right
-from cedarwick.fleet.node import MembersApart, Node
+from cedarwick.fleet.node import MembershipChangeError, Node
 from cedarwick.fleet.owing import EVERY, LASTS
 from cedarwick.fleet.shipping import EVERYTHING, GAP, Place, Replica
 from cedarwick.interface import Outcome
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.notices import Notices
-from cedarwick.store.journal import Lost, NoRoom, Store
+from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
 from cedarwick.store.records import Kept, envelope
 from tests.build import free_port
 
@@ -245,7 +245,7 @@
             self.assertEqual(reload("a", "b", "c"), {"a", "b", "c"})
             self.assertEqual(reload("a", "b", "c", "f"), {"a", "b", "c"})  # it may come back with five
         node._heard("b", 8, Beat(False, dict.fromkeys("acde", 0)))
-        with self.assertRaises(MembersApart):
+        with self.assertRaises(MembershipChangeError):
             ask("ac")
 
     def test_a_book_without_numbers_is_followed_by_the_next(self) -> None:
@@ -362,7 +362,7 @@
         holding = self.holding(node)
         holding.log.term, holding.adoption._resume = 0, False
         with (
-            mock.patch.object(node.store, "resume_own", side_effect=NoRoom("full")),
+            mock.patch.object(node.store, "resume_own", side_effect=NoSpaceError("full")),
             mock.patch("cedarwick.fleet.node.gevent.spawn"),
         ):
             node._import(boot_time(), holding.adoption)
@@ -464,10 +464,10 @@
         self.assertEqual(holding.ledger.known[number(1)].end[0], Rank.NONE)  # it may yet be read here
 
     def fail_to_read(self) -> bytes:
-        raise Lost("cut")
+        raise BodyLostError("cut")
 
     def fail_to_write(self) -> None:
-        raise NoRoom("full")
+        raise NoSpaceError("full")
 
     def test_a_book_that_cannot_be_looked_at_holds_up_neither_the_others_nor_the_late_answers(self) -> None:
         node = self.member()
@@ -524,7 +524,7 @@
             heir.have(boot_time(), Have(BOOK, 1, index, "", EVERYTHING), 1)
 
         node.store.keep(kept(1))
-        with mock.patch.object(node.store, "within_us", 0), self.assertRaisesRegex(NotCopied, "are not at b"):
+        with mock.patch.object(node.store, "within_us", 0), self.assertRaisesRegex(NotReplicatedError, "are not at b"):
             node.store.flush()
         self.assertTrue(holding.starved_at)
         has(1)
@@ -532,7 +532,7 @@
         node.store.keep(kept(2))  # under load something is always on its way
         self.assertTrue(node._copied(boot_time() + STARVED, holding))
         holding.starved_at = boot_time() - 2 * STARVED
-        with self.assertRaisesRegex(NotCopied, "are not at b"):
+        with self.assertRaisesRegex(NotReplicatedError, "are not at b"):
             node.store.flush()
         self.assertFalse(node._copied(boot_time(), holding))
 
@@ -675,7 +675,7 @@
 
             def kept_if(store: Store, each: Kept, room: tuple[int, ...] = room) -> None:
                 if each.number not in map(number, room):
-                    raise NoRoom("full")
+                    raise NoSpaceError("full")
                 keep(store, each)
 
             with mock.patch.object(Store, "keep", kept_if):
@@ -745,7 +745,7 @@
         folder = self.enterContext(tempfile.TemporaryDirectory())
         Lasting(folder).claim("g", "a")
         for group, name in (("g", "b"), ("h", "a")):
-            with self.assertRaises(FolderOfAnother):
+            with self.assertRaises(ForeignFolderError):
                 Lasting(folder).claim(group, name)
         Lasting(folder).claim("g", "a")
 
@@ -757,7 +757,7 @@
             if fits:
                 envelope(kept_of(decode_facts(data)[0]), b"")
             else:
-                self.assertRaises(Spoilt, decode_facts, data)
+                self.assertRaises(CorruptFactsError, decode_facts, data)
         self.assertRaises(ValueError, parts, f"{1 << 62}/a/b")
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -21,8 +21,8 @@
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import BOOK, NEAR, Answered, Submission
 from cedarwick.net.directory import Directory
-from cedarwick.net.http import Answer, Unreadable
-from cedarwick.net.links import Descriptors, NoDescriptor
+from cedarwick.net.http import Answer, InvalidResponseError
+from cedarwick.net.links import Descriptors, NoDescriptorError
 from cedarwick.net.shots import Call, Ending, Shots, wait_of
 from cedarwick.net.sockets import ended
 from cedarwick.store.records import Kept
@@ -318,7 +318,7 @@
         answer, buffer = Answer(), Buffer()
         buffer.append(b"HTTP/1.1 200 OK\r\nX: ")
         answer.feed(buffer)
-        with self.assertRaises(Unreadable):
+        with self.assertRaises(InvalidResponseError):
             for _ in range(20):
                 buffer.append(b"x" * 4096)
                 answer.feed(buffer)
@@ -326,7 +326,7 @@
     def test_bytes_that_are_no_answer(self) -> None:
         buffer = Buffer()
         buffer.append(b"\x00\x01 not http\r\n\r\n")
-        with self.assertRaises(Unreadable):
+        with self.assertRaises(InvalidResponseError):
             Answer().feed(buffer)
 
     def test_waits_that_cannot_be_read_are_none(self) -> None:
@@ -350,7 +350,7 @@
         made = Descriptors(66)
         for _ in range(8):
             made.claim()
-        with self.assertRaises(NoDescriptor):
+        with self.assertRaises(NoDescriptorError):
             made.claim()
 
 
@@ -392,7 +392,7 @@
                 try:
                     assignment.read({"RELAY_CONFIG": path, "RELAY_STATE": folder})
                     self.assertEqual(named, "")
-                except assignment.BadAssignment as error:
+                except assignment.AssignmentError as error:
                     self.assertTrue(named and named in str(error), str(error))
 
     def directory(self) -> tuple[Directory, list[Any]]:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -13,8 +13,8 @@
 
 from cedarwick.interface import ListChange, Listing, Phase
 from cedarwick.ops import lasting
-from cedarwick.ops.calls import LONGEST_LINE, BadCall, Call, Suspensions, parse
-from cedarwick.ops.staff import NotSuspended, Unlisted
+from cedarwick.ops.calls import LONGEST_LINE, Call, InvalidCallError, Suspensions, parse
+from cedarwick.ops.staff import NotSuspendedError, UnlistedReceiverError
 from tests.build import NOW, Program, Receiver, ask, free_port, line_of, reply, sender, submit, until
 
 OK = b"+OK\r\n"
@@ -47,14 +47,14 @@
             (b"STATUS\x00", "control"),
             (b"S" * (LONGEST_LINE + 1), "too long"),
         ):
-            with self.subTest(line=line[:20]), self.assertRaisesRegex(BadCall, why):
+            with self.subTest(line=line[:20]), self.assertRaisesRegex(InvalidCallError, why):
                 parse(line)
 
     @given(st.binary(max_size=2 * LONGEST_LINE))
     def test_any_bytes_are_a_call_or_a_reason(self, line: bytes) -> None:
         try:
             made = parse(line)
-        except BadCall as error:
+        except InvalidCallError as error:
             self.assertTrue(str(error))
         else:
             self.assertIn(made.name, ("STATUS", "METRICS", "SUSPEND", "RESTORE", "PAUSE", "RESUME"))
@@ -79,7 +79,7 @@
             for spoilt in (b"\xff{", b"[1]", b'{"s-1": "two"}', b'{"s-1": true}'):
                 with self.subTest(spoilt=spoilt), open(os.path.join(folder, lasting.SUSPENDED), "wb") as file:
                     file.write(spoilt)
-                with self.assertRaisesRegex(lasting.Unreadable, lasting.SUSPENDED):
+                with self.assertRaisesRegex(lasting.UnreadableFileError, lasting.SUSPENDED):
                     lasting.read(folder)
 
 
@@ -265,10 +265,11 @@
         manage = free_port()
         program.start(RELAY_MANAGEMENT=f"127.0.0.1:{manage}")
         self.assertEqual(
-            call(manage, b"SUSPEND s-nobody\n").decode(), f"NO nobody has s-nobody [CW402: {Unlisted.remedy}]\n"
+            call(manage, b"SUSPEND s-nobody\n").decode(),
+            f"NO nobody has s-nobody [CW402: {UnlistedReceiverError.remedy}]\n",
         )
         self.assertEqual(
-            call(manage, b"RESTORE s-0\n").decode(), f"NO s-0 is not suspended [CW403: {NotSuspended.remedy}]\n"
+            call(manage, b"RESTORE s-0\n").decode(), f"NO s-0 is not suspended [CW403: {NotSuspendedError.remedy}]\n"
         )
         self.assertEqual(call(manage, b"SUSPEND s-0\n"), b"YES s-0 suspended, 1 calls out\n")
         self.assertEqual(call(manage, b"SUSPEND s-0\n"), b"YES s-0 suspended, 2 calls out\n")
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,8 +13,8 @@
 
 from cedarwick.interface import Outcome
 from cedarwick.store import old, planner, records
-from cedarwick.store.files import Folder, InUse, segment_name
-from cedarwick.store.journal import Lost, NoRoom, Store
+from cedarwick.store.files import Folder, FolderInUseError, segment_name
+from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
 from cedarwick.store.records import Damage, Found, Kept, framed, scan
 from cedarwick.store.recovery import Recovered, recover
 
@@ -183,7 +183,7 @@
         body = fresh.body or b""
         try:
             self.store.keep(fresh)
-        except NoRoom:
+        except NoSpaceError:
             return
         self.model[fresh.number] = State(body)
 
@@ -209,14 +209,14 @@
             self.doing = "shot", number
             try:
                 self.store.shot(number, self.chance.randrange(1, 10**9), number % 2)
-            except NoRoom:
+            except NoSpaceError:
                 return
             state.shots, state.out = state.shots + 1, True
 
     def _owed(self, number: int, call: Any) -> None:
         try:
             call()
-        except NoRoom:
+        except NoSpaceError:
             self.unsure.add(number)
 
     def _end(self, number: int, what: str, call: Any) -> None:
@@ -375,7 +375,7 @@
                 made.keep(kept(number, size))
                 number += 1
                 made.next_number = number
-        except NoRoom:
+        except NoSpaceError:
             return number - 1
 
 
@@ -425,11 +425,11 @@
         for number in range(1, count + 1):
             try:
                 made.shot(number, 5, 0)
-            except NoRoom:
+            except NoSpaceError:
                 pass  # it must not go out, then
             try:
                 made.ended(number, True, 0) if number % 2 else made.over(number)
-            except NoRoom:
+            except NoSpaceError:
                 pass  # it is owed, and written as room returns
             made.step()
         for _ in range(400):
@@ -443,9 +443,9 @@
         made = store(folder)
         made.keep(kept(1))
         folder.room = 0
-        with self.assertRaises(NoRoom):
+        with self.assertRaises(NoSpaceError):
             made.over(1)
-        with self.assertRaises(NoRoom):
+        with self.assertRaises(NoSpaceError):
             made.keep(kept(2))
         folder.room = 1 << 60
         made.step()
@@ -466,7 +466,7 @@
         made = store(folder, bodies=0)
         made.keep(kept(1))
         folder.files[segment_name(1)][-5] ^= 1
-        with self.assertRaises(Lost):
+        with self.assertRaises(BodyLostError):
             made.body(1)
 
 
@@ -671,7 +671,7 @@
 
     def test_two_processes_never_hold_one_folder(self) -> None:
         made = store(Folder(self.path))
-        with self.assertRaisesRegex(InUse, "in use by another process"):
+        with self.assertRaisesRegex(FolderInUseError, "in use by another process"):
             store(Folder(self.path))
         made.close()
         store(Folder(self.path)).close()
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -80,7 +80,7 @@
         later = NOW + FORGET
         self.assertIn("x", elm.living(later))
         self.assertFalse({*elm.living(later + 1), *fir.living(later + 1)})
-        with self.assertRaises(registry.NotFollowed):
+        with self.assertRaises(registry.NotFollowedError):
             elm.followed(later + 1, "x")
         fir.followed(later, "x")
         fir.followed(NOW, "x")  # a clock that steps back takes nothing away
@@ -128,13 +128,13 @@
         ]
         self.assertIs(elm.merge(NOW, elm.epoch, bad), Verdict.JOINED)
         self.assertEqual(elm.entries, {})
-        with self.assertRaises(registry.BadName):
+        with self.assertRaises(registry.SubscriptionNameError):
             elm.follow(NOW, "x y", "has id")
 
     def test_subscriptions_are_bounded(self) -> None:
         elm = Registry("elm", NOW)
         elm.entries = {f"n{n}": Entry(NOW, "elm", False, "has id", NOW) for n in range(registry.MOST)}
-        with self.assertRaises(registry.TooManyFollowed):
+        with self.assertRaises(registry.TooManySubscriptionsError):
             elm.follow(NOW, "x", "has id")
         elm.merge(NOW, elm.epoch, [("x", Entry(NOW, "fir", False, "has id", NOW))])
         self.assertEqual(len(elm.entries), registry.MOST)
@@ -266,5 +266,5 @@
             "x " + many,
             "x" * 40_000,
         ):
-            with self.subTest(text[:20]), self.assertRaises(streams.BadCursors):
+            with self.subTest(text[:20]), self.assertRaises(streams.InvalidCursorsError):
                 streams.decoded(text)
--- a/tests/test_subscriptions_kept.py
+++ b/tests/test_subscriptions_kept.py
@@ -483,7 +483,7 @@
             net.turn(20)
             for name in NAMES:
                 net.members[name]._load()
-                self.assertRaises(registry.NotFollowed, net.members[name].answer, Call("FOLLOW", "desk"))
+                self.assertRaises(registry.NotFollowedError, net.members[name].answer, Call("FOLLOW", "desk"))
 
     def test_another_follow_s_holds_for_who_is_connected(self) -> None:
         net = Restarted(self.folder, 1)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -17,7 +17,7 @@
 from cedarwick.fleet.facts import Fact, Known, Ledger, Rank, base_of
 from cedarwick.fleet.lasting import Lasting
 from cedarwick.fleet.leases import right_of
-from cedarwick.fleet.link import Unreachable
+from cedarwick.fleet.link import PeerUnreachableError
 from cedarwick.fleet.members import Standing
 from cedarwick.fleet.memory import Memory
 from cedarwick.fleet.messages import Body, Grant, Passed, Recall, Stage, Staged, slot_of
@@ -33,7 +33,7 @@
 from cedarwick.net.desk import Answered, Submission
 from cedarwick.net.shots import Ending
 from cedarwick.ops.calls import Call
-from cedarwick.store.journal import NoRoom
+from cedarwick.store.journal import NoSpaceError
 from cedarwick.store.records import Kept
 from tests import test_net
 from tests.build import free_port
@@ -124,10 +124,10 @@
         gevent.sleep(0)
         lost = self.lose(to, body)
         if lost == "ask":
-            raise Unreachable(to)
+            raise PeerUnreachableError(to)
         answer = self.traffic[to].heard(by, 1, body)
         if lost == "answer" or answer is None:
-            raise Unreachable(to)
+            raise PeerUnreachableError(to)
         return answer
 
     def news(self) -> None:
@@ -176,7 +176,7 @@
 
         def full(number: int) -> None:
             over(number)
-            raise NoRoom("the folder is full")  # as the store does: the record is owed
+            raise NoSpaceError("the folder is full")  # as the store does: the record is owed
 
         with mock.patch.object(a.store, "over", full):
             self.move("a", "b")
