--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -80,12 +80,12 @@
                 now, message, int(destination), band, codec.micros(limit), tenant, key
             )
         elif code == 70:
-            _, message, rc, shot, note, receiver, last, took, _ = values
+            _, message, rc, attempt, note, receiver, last, took, _ = values
             outcome = codec.outcome_of(rc)
             handle = instance.handles.get(message)
             if handle is not None:
                 told = codec.micros(note) if outcome is Outcome.FULL else 0
-                handle.shot_ended(now, outcome, shot, receiver, codec.micros(took), told, bool(last), extra)
+                handle.attempt_ended(now, outcome, attempt, receiver, codec.micros(took), told, bool(last), extra)
                 if handle.ended and not handle.out:
                     del instance.handles[message]
         elif code == 80:
@@ -121,7 +121,7 @@
             yield codec.report_failure(number, message)
         for receiver in verdicts.freed_links:
             yield codec.free_links(number, receiver)
-        for message, receiver, time_out in verdicts.shots:
+        for message, receiver, time_out in verdicts.attempts:
             yield codec.hand_off(number, message, receiver, time_out)
         for line in verdicts.log_lines:
             yield codec.write_log(number, line)
--- a/cedarwick/config/operator.py
+++ b/cedarwick/config/operator.py
@@ -71,7 +71,7 @@
         Meta(
             ge=0,
             description="Bodies of waiting messages that are held in memory; the rest is read from the folder for "
-            "the shot. Taken over at a start only.",
+            "the attempt. Taken over at a start only.",
             extra={"unit": "MB"},
         ),
     ] = 64.0
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -24,11 +24,11 @@
 from cedarwick.fleet.gate import Gate
 from cedarwick.fleet.members import Change, Standing
 from cedarwick.fleet.messages import Body, Cursors, Matches, Noted, Subscribe
+from cedarwick.net.attempts import Call as Attempt
+from cedarwick.net.attempts import Ending
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Desk
 from cedarwick.net.directory import Directory
-from cedarwick.net.shots import Call as Shot
-from cedarwick.net.shots import Ending
 from cedarwick.ops.calls import Call
 from cedarwick.ops.staff import Staff, Talk
 from cedarwick.store.records import Kept
@@ -141,11 +141,11 @@
         self.registry.lasts = lasts
 
     def attach(self, staff: Staff, directory: Directory, desk: Desk, hall: str) -> None:
-        """Once the shots are made, after everybody else who listens to them."""
+        """Once the attempts are made, after everybody else who listens to them."""
         self.witness = Witness(self.name, hall, desk, directory)
         staff.follows = self.answer
-        desk.shots.clear = partial(self._cleared, desk.shots.clear)
-        desk.shots.tell = partial(self._told, desk.shots.tell)
+        desk.attempts.clear = partial(self._cleared, desk.attempts.clear)
+        desk.attempts.tell = partial(self._told, desk.attempts.tell)
         self.begin()
 
     def begin(self) -> None:
@@ -212,12 +212,12 @@
         except InvalidEventError as error:
             self.counters.trouble("an event that cannot be told", error)
 
-    def _cleared(self, clear: Callable[[Shot], bool], call: Shot) -> bool:
+    def _cleared(self, clear: Callable[[Attempt], bool], call: Attempt) -> bool:
         if self.watching and self.witness is not None:
             self.witness.cleared(call)
         return clear(call)
 
-    def _told(self, tell: Callable[[Shot, Ending], None], call: Shot, ending: Ending) -> None:
+    def _told(self, tell: Callable[[Attempt, Ending], None], call: Attempt, ending: Ending) -> None:
         if self.watching and self.witness is not None:
             self.witness.told(call, ending)
         tell(call, ending)
--- a/cedarwick/events/witness.py
+++ b/cedarwick/events/witness.py
@@ -4,9 +4,9 @@
 
 from cedarwick.events.kinds import LONGEST_TEXT, Value
 from cedarwick.interface import Outcome
+from cedarwick.net.attempts import Call, Ending
 from cedarwick.net.desk import Desk
 from cedarwick.net.directory import Directory
-from cedarwick.net.shots import Call, Ending
 from cedarwick.store.records import Kept
 
 Happened = tuple[str, dict[str, Value]]
@@ -19,8 +19,8 @@
     """Of a message, what its record in the folder does not hold."""
 
     taken_at: int = 0  # 0: before anybody followed
-    receiver: int = -1  # of its last shot; -1: unknown
-    wait: int = 0  # that this shot was told
+    receiver: int = -1  # of its last attempt; -1: unknown
+    wait: int = 0  # that this attempt was told
 
 
 class Witness:
@@ -39,14 +39,14 @@
     # ---- messages ----
 
     def cleared(self, call: Call) -> None:
-        """A shot wants to go out to its receiver."""
+        """An attempt wants to go out to its receiver."""
         life = self._life(call.kept.number)
         life.receiver, life.wait = call.receiver, 0
 
     def told(self, call: Call, ending: Ending) -> None:
-        """A shot has ended; its outcome is seen in a moment."""
+        """An attempt has ended; its outcome is seen in a moment."""
         if call.kept.number in self.lives:
-            self.lives[call.kept.number].wait = ending.told_wait
+            self.lives[call.kept.number].wait = ending.retry_after
 
     def message(self, kind: str, kept: Kept, figure: int) -> dict[str, Value]:
         """The fields of an event of a message; `figure` as `Shared.seen` has it."""
@@ -65,7 +65,7 @@
         if kind == "taken":
             life.taken_at = now
             return fields
-        fields["shots"] = kept.shots
+        fields["shots"] = kept.attempts
         if life.taken_at:
             fields["age"] = max(0, now - life.taken_at)
         if kind in ("shot", "outcome") and (uid := self._uid(life.receiver)):
--- a/cedarwick/fleet/adoption.py
+++ b/cedarwick/fleet/adoption.py
@@ -162,7 +162,8 @@
             self._away = (holder, now)
         if self._resume and holder in ("", self.me):
             return True  # nobody was promised anything but we, in a boot before this one
-        # Danger: a copy that is no heir lacks shots; grantors would refuse it, but its asks would cost them the term.
+        # Danger: a copy that is no heir lacks attempts; grantors would refuse it, but its asks would cost them the
+        # term.
         if self.me not in grant.heirs:
             return grant.set == 0 and self._held and now >= max(promised, self._lost + SPAN)
         before = grant.heirs[: grant.heirs.index(self.me)]
--- a/cedarwick/fleet/book.py
+++ b/cedarwick/fleet/book.py
@@ -123,7 +123,7 @@
         self.starved: Callable[[Holding], None] = lambda _: None
         self.seen: Callable[[str, Kept, int], None] = lambda *_: None  # events: kind, message, a figure
         self.marking: Callable[[dict[int, tuple[int, str]]], None] = lambda _: None  # on the disk before they count
-        self.out: dict[int, Kept] = {}  # a shot of this process is out, though the record may have gone meanwhile
+        self.out: dict[int, Kept] = {}  # an attempt of this process is out, though the record may have gone meanwhile
 
     # ---- the right ----
 
@@ -169,11 +169,11 @@
         self._tell(holding, holding.ledger.kept(kept, kept.body or b""))
         self.seen("taken", kept, 0)
 
-    def shot(self, number: int, sent_at: int, zone: int) -> None:
-        super().shot(number, sent_at, zone)
+    def attempt(self, number: int, sent_at: int, zone: int) -> None:
+        super().attempt(number, sent_at, zone)
         holding = self._knows(number)
         if holding is not None:
-            self._tell(holding, holding.ledger.shot(number, sent_at, zone))
+            self._tell(holding, holding.ledger.attempt(number, sent_at, zone))
         self.out[number] = self.kept[number]
         self.seen("shot", self.kept[number], zone)
 
@@ -182,7 +182,8 @@
         if kept is not None and kept.out_at and holding is not None:
             # Danger: told after the folder's own record, a completed one would already be over, as any other end.
             self._tell(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
-        # Danger: its record may have gone while the shot was out, since its client has left or another sender has its
+        # Danger: its record may have gone while the attempt was out, since its client has left or another sender has
+        # its
         # book by now; what the receiver said would be told by nobody. A full folder raises, and owes its own record.
         sent = self.out.pop(number, kept)
         if sent is not None:
--- a/cedarwick/fleet/facts.py
+++ b/cedarwick/fleet/facts.py
@@ -5,14 +5,14 @@
 
 | part    | joined                                       | because |
 | ------- | -------------------------------------------- | ------- |
-| `heads` | by term the larger (shots, settled, at, zone) | one holder a term: of its shots the newest is known to whoever heard last, and its outcome comes after it; heads of other terms stay, so a shot known to one is known |
+| `heads` | by term the larger (attempts, settled, at, zone) | one holder a term: of its attempts the newest is known to whoever heard last, and its outcome comes after it; heads of other terms stay, so an attempt known to one is known |
 | `ran`   | the earliest (at, zone)                      | 'may have run' beats 'never ran'; nothing takes it back |
 | `doubt` | the earliest that is not 0                   | what damage or a lag put in doubt stays so |
-| `end`   | the larger (rank, wait in ms)                | an end beats none; *failed* beats *returned*, which tells the client that nothing happened, while somebody knew of a shot; *told* (the platform has a final answer) beats both, for a second answer would be a second end; *completed* is the receiver's own word and beats all |
+| `end`   | the larger (rank, wait in ms)                | an end beats none; *failed* beats *returned*, which tells the client that nothing happened, while somebody knew of an attempt; *told* (the platform has a final answer) beats both, for a second answer would be a second end; *completed* is the receiver's own word and beats all |
 | `move`  | the larger (sequence, text)                  | the newer move; the message is inert until that one's decree is known |
 | `base`  | the one that is there                        | it never changes; after an end nobody needs the body, and it is left out |
 
-A head that is not settled is a shot that is out. Its own term may still say that it never ran; once a newer term has
+A head that is not settled is an attempt that is out. Its own term may still say that it never ran; once a newer term has
 taken the message over (`folded`), it counts as one that may have run, for good.
 """  # noqa: E501
 
@@ -28,7 +28,7 @@
 
 VERSION = 1  # of the encoding
 MOST_FACTS = 1 << 14  # in one message
-MOST_SHOTS = 0xFFFF  # what the folder counts to
+MOST_ATTEMPTS = 0xFFFF  # what the folder counts to
 ROUGH = 96  # bytes of an encoded fact without its base, about
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
@@ -63,9 +63,9 @@
 
 
 class Head(NamedTuple):
-    """What one term knows of the newest shot of a message; of two the larger one knows more."""
+    """What one term knows of the newest attempt of a message; of two the larger one knows more."""
 
-    shots: Count  # in that term
+    attempts: Count  # in that term
     settled: bool  # whether its outcome is known; one that may have run is in `Known.ran` then
     at: Count  # when it was sent, wall microseconds
     zone: Zone
@@ -85,10 +85,10 @@
 
 
 class Known(msgspec.Struct, array_like=True, frozen=True):
-    """What is known of a message's shots and end."""
+    """What is known of a message's attempts and end."""
 
     heads: Annotated[dict[Count, Head], msgspec.Meta(max_length=256)] = {}
-    ran: tuple[Count, Zone] | None = None  # when and where the first shot was sent that may have run
+    ran: tuple[Count, Zone] | None = None  # when and where the first attempt was sent that may have run
     doubt: Count = 0  # records are lost from then on; 0: none are
     end: tuple[Rank, Wait] = (Rank.NONE, 0)  # and the advised wait in milliseconds
     move: tuple[Count, Text] | None = None  # the newest move
@@ -194,7 +194,7 @@
 
 
 def may_have_run(known: Known) -> bool:
-    """Whether a shot may have run for all that any term can still say."""
+    """Whether an attempt may have run for all that any term can still say."""
     return known.ran is not None or known.doubt > 0
 
 
@@ -203,18 +203,18 @@
     return known.end[0] >= Rank.TOLD
 
 
-def shots_of(known: Known) -> int:
-    """How many shots are known; one that two lives of a sender both know may be counted twice, none is left out."""
-    return sum(head.shots for head in known.heads.values())
+def attempts_of(known: Known) -> int:
+    """How many attempts are known; one that two lives of a sender both know may be counted twice, none is left out."""
+    return sum(head.attempts for head in known.heads.values())
 
 
 def outs(known: Known, term: int) -> list[tuple[int, int]]:
-    """Times and zones of the shots of terms before this one whose outcome nobody knows, the earliest first."""
+    """Times and zones of the attempts of terms before this one whose outcome nobody knows, the earliest first."""
     return sorted((head.at, head.zone) for of, head in known.heads.items() if of < term and not head.settled)
 
 
 def folded(known: Known, term: int) -> Known:
-    """Before a term goes on with a message: a shot of an older one that is out may have run, whatever comes later.
+    """Before a term goes on with a message: an attempt of an older one that is out may have run, whatever comes later.
 
     Danger: an outcome of the older term that comes late would otherwise make 'never ran' of what has been decided,
     and answered, on 'may have run'.
@@ -245,14 +245,14 @@
 
 
 def known_of(kept: Kept, term: int) -> Known:
-    """What the folder knows; all shots count as one head of `term`, which is one that nobody has told of before.
+    """What the folder knows; all attempts count as one head of `term`, which is one that nobody has told of before.
 
     Danger: under a term that was told of before, this head and the one told would be taken for one, and the larger
-    would hide a shot that is out. A shot counted twice does no harm, one that is forgotten does.
+    would hide an attempt that is out. An attempt counted twice does no harm, one that is forgotten does.
     """
     heads = {}
-    if kept.shots:
-        heads[term] = Head(kept.shots, not kept.out_at, kept.out_at, kept.out_zone if kept.out_at else NOWHERE)
+    if kept.attempts:
+        heads[term] = Head(kept.attempts, not kept.out_at, kept.out_at, kept.out_zone if kept.out_at else NOWHERE)
     end = (Rank.NONE, 0)
     if kept.end is not None:
         end = (Rank.RETURNED if kept.end[0] else Rank.FAILED, kept.end[1])
@@ -260,7 +260,7 @@
 
 
 def kept_of(fact: Fact, doubt_at: int = 0) -> Kept:
-    """The folder's record of what another sender owed, with every shot that is out as one that may have run.
+    """The folder's record of what another sender owed, with every attempt that is out as one that may have run.
 
     `doubt_at`: wall microseconds from which on news may be missing, 0 where none is. ValueError without a base and
     where nothing more is owed.
@@ -284,7 +284,7 @@
         base.destination,
         base.outer_limit,
         base.body,
-        min(shots_of(known), MOST_SHOTS),
+        min(attempts_of(known), MOST_ATTEMPTS),
         *ran,
         *last,
         min(filter(None, (known.doubt, doubt_at)), default=0),
@@ -310,17 +310,20 @@
         self.known[kept.number] = known = known_of(kept, self.term)
         return Fact(kept.number, base_of(kept, body), known)
 
-    def shot(self, number: int, at: int, zone: int) -> Fact:
-        """A shot is about to go out, at a wall time in microseconds. One before it without an outcome may have run."""
+    def attempt(self, number: int, at: int, zone: int) -> Fact:
+        """An attempt is about to go out, at a wall time in microseconds.
+
+        One before it without an outcome may have run.
+        """
         known = self.known[number]
         head = known.heads.get(self.term)
         ran = known.ran
         if head is not None and not head.settled:
             ran = min(ran or (head.at, head.zone), (head.at, head.zone))
-        return self._tell(number, Head(head.shots + 1 if head else 1, False, at, zone), ran)
+        return self._tell(number, Head(head.attempts + 1 if head else 1, False, at, zone), ran)
 
     def outcome(self, number: int, never_ran: bool, completed: bool) -> Fact:
-        """The shot that was out has ended."""
+        """The attempt that was out has ended."""
         known = self.known[number]
         head = known.heads.get(self.term)
         if completed:
--- a/cedarwick/fleet/leases.py
+++ b/cedarwick/fleet/leases.py
@@ -10,7 +10,7 @@
 Why only an heir follows. A set of heirs names the members (the holder first) whose copies are whole. Sets are numbered
 `term << 20 | n`, so those of a newer term are newer. A grantor keeps the newest it was told, and grants a newer term to
 members of it only. A holder may fire only from when a majority knows a set of *its own* term: from then on members
-of older sets, who can't know its shots, are refused by a majority. What a holder that fired nothing has named binds
+of older sets, who can't know its attempts, are refused by a majority. What a holder that fired nothing has named binds
 nobody, so the heirs of its predecessor may still go on when it dies between grant and naming.
 
 What must survive: the rows of a grantor's table are in its folder before the answer is sent (`dirty`); the own grantor
@@ -349,7 +349,7 @@
         self._count()
 
     def may_fire(self, now: int) -> bool:
-        """Whether a shot's first byte may be written now: the last look before the write."""
+        """Whether an attempt's first byte may be written now: the last look before the write."""
         return self.state is Tenure.HELD and self.known > 0 and now < self.valid_until
 
     @property
@@ -375,7 +375,7 @@
         return sent_at
 
     def _own(self, number: int) -> bool:
-        """Danger: until a majority knows a set of this term, it may yet grant to heirs that can't know our shots."""
+        """Danger: until a majority knows a set of this term, it may yet grant to heirs that can't know our attempts."""
         return number >> SET_BITS == self.term
 
     def _after_majority(self, values: list[int], more: int, none: int) -> int:
--- a/cedarwick/fleet/memory.py
+++ b/cedarwick/fleet/memory.py
@@ -28,7 +28,7 @@
     id: str
     at: int  # when it came here: not before it was handed in
     hashed: int
-    ended: bool = False  # an end was told of, or a shot
+    ended: bool = False  # an end was told of, or an attempt
 
 
 class Memory:
@@ -71,7 +71,7 @@
                 self.order.append((now, fact.number))
             return
         if known.end[0] is Rank.TOLD and not known.heads and not seen.ended:
-            # Danger: withdrawn without a shot or an end, its client was turned away; it must not be told +OK next.
+            # Danger: withdrawn without an attempt or an end, its client was turned away; it must not be told +OK next.
             del self.taken[fact.number]
         else:
             seen.ended |= bool(known.heads) or known.end[0] is not Rank.NONE
--- a/cedarwick/fleet/messages.py
+++ b/cedarwick/fleet/messages.py
@@ -228,7 +228,7 @@
     facts: Bulk
     digest: Count
     ids: Annotated[tuple[Recent, ...], Meta(max_length=1 << 14)] = ()
-    rest: Count = 0  # microseconds in which a shot of the session may still run
+    rest: Count = 0  # microseconds in which an attempt of the session may still run
 
 
 class Staged(Message, frozen=True):
--- a/cedarwick/fleet/moves.py
+++ b/cedarwick/fleet/moves.py
@@ -3,7 +3,7 @@
 At the giver: held, freezing, offered, forwarding, closed. At the taker: staged, granted, active, or dropped. From the
 first mark to the decree the session's messages are inert on both sides. The steps, and what is on the disk before:
 
-1. The giver freezes: no new shot; what is out is awaited for `FREEZE`, then goes along as may-have-run. It marks
+1. The giver freezes: no new attempt; what is out is awaited for `FREEZE`, then goes along as may-have-run. It marks
    the facts (own folder and every heir of its book: an heir without the mark would fire), and sends `Stage`.
 2. The taker keeps them, marked, under its own numbers (own folder and every heir), answers `Staged`, and asks for the
    decree with ballot 1.
@@ -52,8 +52,8 @@
 class Do(Enum):
     """What the caller is to do; all of it may be done twice."""
 
-    FREEZE = "freeze"  # no new shot of the key; call `idle` once nothing of it is out
-    MARK = "mark"  # unsettled shots become may-have-run; mark in own folder and at every heir; then `marked`
+    FREEZE = "freeze"  # no new attempt of the key; call `idle` once nothing of it is out
+    MARK = "mark"  # unsettled attempts become may-have-run; mark in own folder and at every heir; then `marked`
     STAGE = "stage"  # send the facts and ids to `to`
     WRITE = "write"  # keep what was staged, marked, in own folder and at every heir; then `written`
     STAGED = "staged"  # answer the giver
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -515,7 +515,7 @@
                 holding.backlog = {number: key for number, key in holding.backlog.items() if number in known}
                 # Danger: a book that is lost, or not fired for yet, has earlier ones of a key than the open one.
                 (here if holding.serving else lying).update(holding.backlog.values())
-        # A shot of a key that has ended may still run.
+        # An attempt of a key that has ended may still run.
         here |= {key for key in self.owing.told - here - lying - self.owing.elsewhere if self.desk.rest_of(key) > 0}
         others = [name for name in self.alive if self.gate.levels.get(name, 0) >= OWING and name != self.name]
         if (keys := self.owing.tell(now, here | lying, others)) is not None:
@@ -741,8 +741,8 @@
                     self.store.resume_own(holding, term)
                 else:
                     holding.from_term = replica.place.term
-                    # Danger: a copy that follows behind may lack a shot; what it holds may have run, since the last
-                    # shot that it was told of: they are told in their order.
+                    # Danger: a copy that follows behind may lack an attempt; what it holds may have run, since the last
+                    # attempt that it was told of: they are told in their order.
                     heard = (head.at for fact in replica.held.values() for head in fact.known.heads.values())
                     behind = self.told.ack == "own" or replica.behind  # its holder may have been started before us
                     doubt_at = max(heard, default=1) if behind else 0
@@ -859,7 +859,7 @@
     def _joined(self, now: int, holding: Holding, whole: list[str]) -> list[str]:
         """Those of some whole copies that are heirs, or may be named for ones.
 
-        Danger: an heir that was named with records on their way to it would go on without them, shots among them, if
+        Danger: an heir that was named with records on their way to it would go on without them, attempts among them, if
         this sender died in that moment. So what comes waits for it first, and it is named once it has what came before.
         """
         bound, log = holding.adoption.holder.bound, holding.log
@@ -1018,7 +1018,7 @@
                     # are answered when late.
                     return
                 if any(self.store.kept[number].out_at for number in mine + perhaps):
-                    return  # Danger: under its new number a second shot would go out beside the one that is out
+                    return  # Danger: under its new number a second attempt would go out beside the one that is out
                 if not (self._rekey(mine) and self._rekey(perhaps, failed=True)):
                     return  # Danger: what has found no room is nowhere else; it is tried again at the next look
         adoption = self.adoptions.pop(book)
--- a/cedarwick/fleet/sharing.py
+++ b/cedarwick/fleet/sharing.py
@@ -17,11 +17,11 @@
 from cedarwick.fleet.marks import LONGEST, MOST_CALLS, Marks, newer
 from cedarwick.fleet.messages import Body, Hint, Noted, Wait
 from cedarwick.fleet.messages import Marks as Told
+from cedarwick.net.attempts import Call, Ending
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Desk
 from cedarwick.net.directory import Directory
-from cedarwick.net.shots import Call, Ending
 from cedarwick.ops import lasting as files
 from cedarwick.ops.staff import Staff
 
@@ -88,10 +88,10 @@
         self.desk: Desk
 
     def attach(self, staff: Staff, directory: Directory, desk: Desk) -> None:
-        """Once the folder is this process's, and its shots are made: take up what is kept, and listen to both."""
+        """Once the folder is this process's, and its attempts are made: take up what is kept, and listen to both."""
         self.staff, self.directory, self.desk = staff, directory, desk
         staff.changed = self._changed
-        desk.shots.heed, desk.shots.tell = self._heeded, self._ended
+        desk.attempts.heed, desk.attempts.tell = self._heeded, self._ended
         now, told = wall(), self._file()
         try:
             self.marks = Marks(self.name, self.lasting.marks())
@@ -233,17 +233,17 @@
         except OSError as error:
             self.counters.trouble("the fleet's marks are not kept", MarksNotSavedError(str(error)))
 
-    # ---- told waits ----
+    # ---- Retry-After waits ----
 
     def _heeded(self, waits: list[tuple[int, int]]) -> None:
-        """A wait that is told apart from its shot's ending."""
+        """A wait that is told apart from its attempt's ending."""
         self.desk.heed(waits)
         self._learned(waits)
 
     def _ended(self, call: Call, ending: Ending) -> None:
-        self.desk.shot_ended(call, ending)
-        if ending.told_wait:
-            self._learned([(call.receiver, self.clock.now() + ending.told_wait)])
+        self.desk.attempt_ended(call, ending)
+        if ending.retry_after:
+            self._learned([(call.receiver, self.clock.now() + ending.retry_after)])
 
     def _learned(self, waits: list[tuple[int, int]]) -> None:
         """Receivers have told this sender to wait; what other members were told does not come here."""
--- a/cedarwick/fleet/transfers.py
+++ b/cedarwick/fleet/transfers.py
@@ -503,7 +503,7 @@
             # Danger: the giver may have answered what was about to end while the decree was not known.
             late = [number for number in numbers if self.store.kept[number].outer_limit <= soon]
             self.desk.answer_late(late)
-            # Danger: a shot of before the move may still run, of a message that has ended, too; then all keys rest.
+            # Danger: an attempt of before the move may still run, of a message that has ended, too; then all keys rest.
             quietly = offer is not None and not offer[0].rest
             if numbers or not quietly:
                 self.desk.adopt([number for number in numbers if number not in late], quietly)
--- a/cedarwick/interface.py
+++ b/cedarwick/interface.py
@@ -6,7 +6,7 @@
     sender.listed(now, change, listings)          news of the list of receivers
     sender.list_call_failed(now)                  a list call failed or the subscription broke
     handle = sender.take(now, id, ...)            a new message
-    handle.shot_ended(now, outcome, shot, ...)    an outcome of one of its shots
+    handle.attempt_ended(now, outcome, attempt, ...)    an outcome of one of its attempts
     handle.withdrawn(now)                         nobody wants it any more
     verdicts = sender.decide(now)                 once, after the events of a round
 
@@ -16,10 +16,10 @@
     sender.heed(now, receiver, until)             a wait that was told, apart from an outcome
     sender.room                                   set before a round: how many more messages can be kept
     sender.retry_after_waits(now)                 the waits that a replaced process hands to its successor
-    handle.on_new_link()                          whether an ordered shot may not go over a kept link
-    handle.may_start(now, receiver)               whether an ordered shot may still go, before its first byte
-    handle.whole_by()                             when the last byte of an ordered shot must have gone
-    handle.never_left()                           after an outcome: that shot was held back, and is no try
+    handle.on_new_link()                          whether an ordered attempt may not go over a kept link
+    handle.may_start(now, receiver)               whether an ordered attempt may still go, before its first byte
+    handle.whole_by()                             when the last byte of an ordered attempt must have gone
+    handle.never_left()                           after an outcome: that attempt was held back, and is no try
     sender.link_life                              how long an idle link is used
     sender.list_wait                              the longest wait after a call for the list that failed
     sender.per_call                               messages a call by kind; cleared where a call carries one
@@ -35,7 +35,7 @@
 
 
 class Outcome(Enum):
-    """How a shot ended."""
+    """How an attempt ended."""
 
     COMPLETED = "completed"
     ERROR = "error"
@@ -48,7 +48,7 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether it proves that the shot had no effect."""
+        """Whether it proves that the attempt had no effect."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
@@ -79,8 +79,8 @@
     rate: float
 
 
-class EarlierShot(NamedTuple):
-    """What is known of a shot from before a restart."""
+class EarlierAttempt(NamedTuple):
+    """What is known of an attempt from before a restart."""
 
     sent_at: int
     zone: int
@@ -96,16 +96,16 @@
     outer_limit: int
     tenant: int
     key: int
-    shots: Sequence[EarlierShot]
+    attempts: Sequence[EarlierAttempt]
 
 
 @dataclass
 class Verdicts:
-    """What one round decided. Nacks and write-offs come before shots; shots keep their order."""
+    """What one round decided. Nacks and write-offs come before attempts; attempts keep their order."""
 
     nacks: list[tuple[int, int]] = field(default_factory=list)  # message, advised wait (0: none)
     write_offs: list[int] = field(default_factory=list)
-    shots: list[tuple[int, int, int]] = field(default_factory=list)  # message, receiver, time-out
+    attempts: list[tuple[int, int, int]] = field(default_factory=list)  # message, receiver, time-out
     freed_links: list[int] = field(default_factory=list)  # receivers whose idle connections are let go
     log_lines: list[str] = field(default_factory=list)
     subscribe: bool = False
@@ -115,11 +115,11 @@
 class MessageHandle(Protocol):
     """What taking an message gives."""
 
-    def shot_ended(
+    def attempt_ended(
         self,
         now: int,
         outcome: Outcome,
-        shot: int,
+        attempt: int,
         receiver: int,
         took: int,
         retry_after: int,
--- a/cedarwick/lab/audit.py
+++ b/cedarwick/lab/audit.py
@@ -308,7 +308,7 @@
 
 
 def two_out(cases: dict[str, Case], lives: Lives) -> Iterator[Finding]:
-    """Never two shots of a message out at once. A call ends with its answer, its connection or its sender."""
+    """Never two attempts of a message out at once. A call ends with its answer, its connection or its sender."""
     for case in cases.values():
         until = NEVER
         for call in case.calls:
--- a/cedarwick/lab/claims.py
+++ b/cedarwick/lab/claims.py
@@ -7,7 +7,7 @@
 
     11  one final answer in time, whoever gives it, though any one sender dies for good
     12  one sender at a time fires for a message
-    13  'returned' says never ran: knowledge of shots only grows
+    13  'returned' says never ran: knowledge of attempts only grows
     14  order by key across senders
     15  each match of a subscriber once, in the order of its source, none missing outside a told gap
     16  an ended subscription delivers nothing
@@ -289,11 +289,11 @@
 def one_fires(
     scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[Span], terms: Terms
 ) -> Iterator[Finding]:
-    """Never two shots of a message out at once.
+    """Never two attempts of a message out at once.
 
-    A shot ends with its answer, its connection or its sender's process. Allowed between two senders, and never for
+    An attempt ends with its answer, its connection or its sender's process. Allowed between two senders, and never for
     an at-most-once message: the earlier one's sender had been out for `lease_ms` when the later one began, so its
-    shot is a call that may have run and that nobody waits for.
+    attempt is a call that may have run and that nobody waits for.
     """
     bands = scenario.bands()
     lease = round(terms.lease_ms * MS)
@@ -311,7 +311,7 @@
                 if once or not let_go:
                     yield finding(
                         12,
-                        f"n{later.sender} fired at {seconds(later.first)} while the shot of n{earlier.sender} "
+                        f"n{later.sender} fired at {seconds(later.first)} while the attempt of n{earlier.sender} "
                         f"from {seconds(earlier.first)} was out",
                         case,
                     )
--- a/cedarwick/lab/draw.py
+++ b/cedarwick/lab/draw.py
@@ -40,7 +40,7 @@
     key: str  # the idempotency mark; empty for none
     turn: str  # the order key, hexadecimal; zeros for none
     size: int  # bytes of the body
-    waits: tuple[int, ...]  # microseconds before each further try, where a refusal tells none
+    waits: tuple[int, ...]  # microseconds before each retry, where a refusal tells none
 
 
 class Planned(msgspec.Struct, frozen=True):
--- a/cedarwick/lab/folder.py
+++ b/cedarwick/lab/folder.py
@@ -1,6 +1,6 @@
 """What the lasting folder costs: longest stop, throughput beside a folder that needs no compaction, start, room.
 
-The store is called as the desk calls it, in one process without sockets: rounds of a few messages, each kept, shot
+The store is called as the desk calls it, in one process without sockets: rounds of a few messages, each kept, attempt
 at and ended, while as many as wanted stay alive.
 """
 
@@ -29,7 +29,7 @@
 
     fill: float  # live data over the limit
     live: int
-    per_second: float  # messages kept, shot at and ended
+    per_second: float  # messages kept, attempt at and ended
     longest_ms: float  # of one round's calls
     p999_ms: float
     amplification: float  # bytes written over bytes of new records
@@ -80,7 +80,7 @@
         for _ in range(ROUND):
             place = chance.randrange(len(numbers))
             ended = numbers[place]
-            made.shot(ended, 1, 0)
+            made.attempt(ended, 1, 0)
             made.outcome(ended, Outcome.COMPLETED)
             fresh = message(made.next_number, size)
             made.next_number += 1
--- a/cedarwick/lab/history.py
+++ b/cedarwick/lab/history.py
@@ -27,7 +27,7 @@
     destination: int
     mark: str
     turn: str
-    due: int  # when the thing was due by the schedule, or this further try
+    due: int  # when the thing was due by the schedule, or this retry
     sent: int  # the last byte of the request was written
     outer: int  # its outer limit
     sender: int
--- a/cedarwick/lab/partner.py
+++ b/cedarwick/lab/partner.py
@@ -36,7 +36,7 @@
     """What the caller is to read."""
 
     status: int
-    wait: int = 0  # told wait; 0: none
+    wait: int = 0  # Retry-After wait; 0: none
     ran: bool = False  # the call had its effect now
     repeat: bool = False  # its mark was known: no second effect
     report: tuple[float, float] | None = None  # share left, limit in calls a second
--- a/cedarwick/lab/scenario.py
+++ b/cedarwick/lab/scenario.py
@@ -77,7 +77,7 @@
 
     name: Annotated[Name, told("Its name.")]
     share: Annotated[Positive, told("Its part of all messages, beside the other bands' shares.")] = 1.0
-    repeat: Annotated[Literal["reissuable", "numbered", "at-most-once"], told("Whether a shot may go again.")] = (
+    repeat: Annotated[Literal["reissuable", "numbered", "at-most-once"], told("Whether an attempt may go again.")] = (
         "reissuable"
     )
     expected_ms: Annotated[Positive, told("The time within which a delivery has its full worth.", "ms")] = 2000.0
@@ -200,18 +200,18 @@
     memory_mb: Annotated[Positive, told("Memory; told to the sender, not enforced here.", "MB")] = 192.0
     slots: Annotated[int, Meta(ge=1), told("Calls out at once.")] = 64
     most_open: Annotated[int, Meta(ge=2), told("Messages held at once.")] = 600
-    most_tries: Annotated[int, Meta(ge=1), told("Shots of one message.")] = 12
+    most_tries: Annotated[int, Meta(ge=1), told("Attempts of one message.")] = 12
 
 
 class Rules(Table, frozen=True, kw_only=True):
     """The figures by which the audit judges; senders are told them."""
 
     drain_grace_ms: Annotated[Positive, told("Sends to a draining endpoint end within this.", "ms")] = 1000.0
-    turn_gap_ms: Annotated[Positive, told("An order key rests so long after a doubtful shot.", "ms")] = 300.0
+    turn_gap_ms: Annotated[Positive, told("An order key rests so long after a doubtful attempt.", "ms")] = 300.0
     fall_multiple: Annotated[Positive, told("A cold destination bears this multiple of its capacity.")] = 1.5
     fall_ms: Annotated[Positive, told("Within windows of this length.", "ms")] = 2000.0
     end_grace_ms: Annotated[Positive, told("So long after the outer limit an end is in time.", "ms")] = 350.0
-    wait_grace_ms: Annotated[Positive, told("Calls that cross a told wait pass for so long.", "ms")] = 150.0
+    wait_grace_ms: Annotated[Positive, told("Calls that cross a Retry-After wait pass for so long.", "ms")] = 150.0
     restart_grace_ms: Annotated[Positive, told("After a restart, so long from readiness no end is overdue.", "ms")] = (
         1550.0
     )
--- a/cedarwick/lab/virtualday.py
+++ b/cedarwick/lab/virtualday.py
@@ -38,6 +38,7 @@
 from cedarwick.lab.schedule import KINDS, LINKS, Trouble, draw
 from cedarwick.lab.virtual import SECOND, WALL, AsyncResult, Kernel, Owner, Task, standing_in
 from cedarwick.net.assignment import Assignment, plain
+from cedarwick.net.attempts import Attempts, Call, Ending
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Answered, Desk, Submission
@@ -45,7 +46,6 @@
 from cedarwick.net.intake import Handed as Answer
 from cedarwick.net.intake import Intake
 from cedarwick.net.notices import Notices
-from cedarwick.net.shots import Call, Ending, Shots
 from cedarwick.net.sockets import Polled
 from cedarwick.ops.calls import Call as Said
 from cedarwick.ops.staff import Staff, no_sessions, not_in_a_fleet
@@ -146,14 +146,14 @@
         return 204
 
 
-class DrawnShots(Shots):
-    """Shots at partners whose answers are drawn, with the looks before the first byte that the real ones make."""
+class DrawnAttempts(Attempts):
+    """Attempts at partners whose answers are drawn, with the looks before the first byte that the real ones make."""
 
     def __init__(self, day: "Day", sender: "Sender") -> None:
         self.day = day
         self.sender = sender
         self.clear = sender.desk.clear
-        self.tell = sender.desk.shot_ended
+        self.tell = sender.desk.attempt_ended
         self.out = {}
         self.seen: dict[int, Called] = {}  # by message: the call that its partner has
 
@@ -184,9 +184,9 @@
             return self._ended(call, Outcome.MOOT)
         if not sender.desk.may_fire(call.kept.number):
             return self._ended(call, Outcome.MOOT)
-        self._ended(call, self._shot(call))
+        self._ended(call, self._attempt(call))
 
-    def _shot(self, call: Call) -> Outcome:
+    def _attempt(self, call: Call) -> Outcome:
         day, kept = self.day, call.kept
         answer = day.chance.choices(ANSWERS, day.mood(call.receiver))[0]
         took = round(day.chance.uniform(0.004, 0.08) * SECOND) if answer != "hang" else LONGEST
@@ -278,7 +278,7 @@
             ListChange.SAVED, [Listing(1 + each, 0, 0, each // RECEIVERS, Phase.READY, 100.0) for each in receivers]
         )
         desk.notices = DrawnNotices(day, self.number, counters, desk.acknowledged)
-        desk.shots = DrawnShots(day, self)
+        desk.attempts = DrawnAttempts(day, self)
         desk.free_links = lambda _: None
         desk.ask_for_list = lambda: None
         desk.resume()
--- a/cedarwick/net/shots.py
+++ b/cedarwick/net/attempts.py
@@ -21,7 +21,7 @@
 # A wait binds from 100 ms after its answer was written (the protocol page): a first byte may rest on a look at the
 # sockets that is half as old.
 FRESH = 50_000
-MOST_ASKED = 3  # times that a shot asks anew because its clearance grew old, before it is decided on anew
+MOST_ASKED = 3  # times that an attempt asks anew because its clearance grew old, before it is decided on anew
 HEARD_OUT = 1_000_000  # for what is on its way as a call is given up; its receiver hears of that and ends sooner
 MILLISECONDS = re.compile(r"([0-9]{1,300})(\.[0-9]{1,300})?")
 FIGURE = re.compile(r"-?[0-9]{1,9}(\.[0-9]{1,30})?(e-[0-9]{1,2})?")  # of a report
@@ -29,15 +29,15 @@
 
 @dataclass(slots=True)
 class Call:
-    """One shot that the decisions have ordered."""
+    """One attempt that the decisions have ordered."""
 
     kept: Kept
-    shot: int
+    attempt: int
     receiver: int
     ordered_at: int
     until: int
     whole_by: int = FAR  # its last byte must have gone then
-    body: bytes = b""  # read from the folder as the shot may go
+    body: bytes = b""  # read from the folder as the attempt may go
     recorded: bool = False  # the folder knows that it goes out
     flushed: bool = False  # and so does the disk, where the folder is durable
     looked_at: int = 0  # the look at the sockets that its clearance rests on
@@ -53,15 +53,15 @@
 
     outcome: Outcome
     took: int = 0
-    told_wait: int = 0
+    retry_after: int = 0
     last: bool = False
     report: Sequence[float] = ()
     kept_link: bool = False  # it went over a link that had been used before
     held_back: bool = False  # no byte of it left, for a reason that a further look at it takes into account
 
 
-class Shots:
-    """Takes ordered shots to their receivers; each ends in one `Ending`."""
+class Attempts:
+    """Takes ordered attempts to their receivers; each ends in one `Ending`."""
 
     def __init__(
         self,
@@ -96,15 +96,15 @@
         for greenlet, call in list(self.out.items()):
             if call.kept.number in numbers and not call.told:
                 greenlet.kill(block=False)
-                self.counters.add("shots cut off: their session moves")
+                self.counters.add("attempts cut off: their session moves")
                 self._end(call, Outcome.RESET if call.recorded else Outcome.MOOT)
 
     def _run(self, call: Call) -> None:
         try:
             self._go(call)
         except Exception:
-            # Danger: a shot that never ends holds its slot and its message for ever.
-            self.counters.failed("a shot failed")
+            # Danger: an attempt that never ends holds its slot and its message for ever.
+            self.counters.failed("an attempt failed")
             if not call.told:
                 self._end(call, Outcome.RESET)
 
@@ -112,7 +112,7 @@
         try:
             link = self.links.obtain(call.receiver, call.until, call.new_link)
         except NoDescriptorError as error:
-            self.counters.trouble("no descriptor for a shot", error.within(f"receiver {call.receiver}"))
+            self.counters.trouble("no descriptor for an attempt", error.within(f"receiver {call.receiver}"))
             self._hold_back(call)
             return
         except OSError as error:
@@ -139,7 +139,7 @@
                 self._end(call, Outcome.CONNECT_FAILED)
             return False
         if self.clock.now() >= call.whole_by:
-            self.counters.add("shots held back: their time was over")
+            self.counters.add("attempts held back: their time was over")
             self._hold_back(call)
             return True
         call.kept_link = link.idle_since > 0
@@ -150,7 +150,7 @@
         for _ in range(MOST_ASKED):
             if not self.clear(call):
                 call.told = True
-                self.counters.add("shots held back before their first byte")
+                self.counters.add("attempts held back before their first byte")
                 return False
             if self.clock.now() - call.looked_at <= FRESH:
                 return True
@@ -169,11 +169,11 @@
             whole = request(call, self.clock.now())
             # Danger: the right to fire may have run out since the desk was asked; another sender has it then.
             if not self.may_fire(call.kept.number):
-                self.counters.add("shots held back: no right to fire")
+                self.counters.add("attempts held back: no right to fire")
                 self._end(call, Outcome.MOOT)
                 return True
             link.sock.sendall(whole)
-            self.counters.add("shots sent")
+            self.counters.add("attempts sent")
             self.counters.figures.tries += 1
             broken = self._read(call, link, answer)
         except OSError:
@@ -184,8 +184,8 @@
             if not call.told:
                 self._tell(call, answer)
             return usable
-        # Danger: with the call still on its way, a further shot would be a second copy out. Danger: what follows a
-        # refusal's head may show that it was spoilt, and then the shot may have run.
+        # Danger: with the call still on its way, a further attempt would be a second copy out. Danger: what follows a
+        # refusal's head may show that it was spoilt, and then the attempt may have run.
         if broken is Outcome.TIME_OUT and self.links.end_sending(link):
             self._end(call, broken)
             self._hear_out(call, link, answer)
@@ -195,7 +195,7 @@
         return False
 
     def _read(self, call: Call, link: Link, answer: Answer) -> Outcome | None:
-        """Read the answer to its end; how the shot ended if it broke before that."""
+        """Read the answer to its end; how the attempt ended if it broke before that."""
         until = call.until
         try:
             while not answer.complete:
@@ -214,7 +214,7 @@
             self._read_what_lies_there(call, link, answer)
             return Outcome.RESET if answer.status else Outcome.TIME_OUT
         except (OSError, InvalidResponseError) as error:
-            self.counters.trouble("a link broke during a shot", error)
+            self.counters.trouble("a link broke during an attempt", error)
             return Outcome.RESET
         return None
 
@@ -242,7 +242,10 @@
             pass
 
     def _heed_early(self, call: Call, answer: Answer) -> None:
-        """A refusal's wait counts from its head on: whether the rest comes only tells whether the shot may have run."""
+        """A refusal's wait counts from its head on:
+
+        whether the rest comes only tells whether the attempt may have run.
+        """
         if answer.headed and not answer.complete and answer.status == 429 and not call.heeded:
             self._heed(call, answer)
 
@@ -253,7 +256,7 @@
     def _hear_out(self, call: Call, link: Link, answer: Answer) -> None:
         """Read on for a moment on the link of a call that was given up and has ended.
 
-        Danger: a refusal that crosses the giving up tells a wait all the same, and further shots would break it.
+        Danger: a refusal that crosses the giving up tells a wait all the same, and further attempts would break it.
         """
         self.out.pop(gevent.getcurrent(), None)
         self._read_on(link, answer, self.clock.now() + HEARD_OUT)
@@ -285,7 +288,7 @@
         self.tell(call, ending)
 
     def _end(self, call: Call, outcome: Outcome, held_back: bool = False) -> None:
-        self.counters.add(f"shots without an answer: {outcome.value}")
+        self.counters.add(f"attempts without an answer: {outcome.value}")
         call.told = True
         took = self.clock.now() - call.ordered_at
         self.tell(call, Ending(outcome, took, kept_link=call.kept_link, held_back=held_back))
@@ -307,7 +310,7 @@
 
 
 def wait_of(text: str) -> int:
-    """A told wait in microseconds, the longest where a head tells several; 0 where none can be read."""
+    """A Retry-After wait in microseconds, the longest where a head tells several; 0 where none can be read."""
     told = [MILLISECONDS.fullmatch(part.strip()) for part in text.split(",")]
     return max((int(each[1]) * 1000 + bool(each[2]) * 1000 for each in told if each), default=0)
 
--- a/cedarwick/net/desk.py
+++ b/cedarwick/net/desk.py
@@ -13,10 +13,10 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.interface import ListChange, Listing, Outcome, Owed, row
 from cedarwick.net.assignment import Assignment, place
+from cedarwick.net.attempts import Attempts, Call, Ending
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.notices import Notices
-from cedarwick.net.shots import Call, Ending, Shots
 from cedarwick.net.sockets import Polled
 from cedarwick.policy import Handle, Sender, priority_class_of
 from cedarwick.state import FAR
@@ -88,27 +88,27 @@
         # One more stands for what a restart finds of a band that is no more; as the settings lack it, at most once.
         self.sender.bands.append(priority_class_of(assignment.settings, len(self.sender.bands)))
         counters.figures.bands = list(self.bands)
-        # Danger: shots that the decisions hold to share a call would each count at the destination's limit.
+        # Danger: attempts that the decisions hold to share a call would each count at the destination's limit.
         self.sender.per_call = []
         self.handles: dict[int, Handle] = {}
         self.numbers: dict[str, int] = {}  # by id: messages that are kept
         self.recent: dict[str, tuple[int, int]] = {}  # ids of late: when, and what came with it
         self.fresh: dict[int, Submission] = {}  # taken in this round
         self.queue: gevent.queue.Queue = gevent.queue.Queue()
-        self.asked: list[tuple[Call, gevent.event.AsyncResult]] = []  # shots that want to go in this round
+        self.asked: list[tuple[Call, gevent.event.AsyncResult]] = []  # attempts that want to go in this round
         self.after_flush: list[tuple[Callable[[], None], Callable[[], None]]] = []  # once on the disk; if it fails
         self.wake_at: int | None = None
         self.holding_fire = False
         self.ending = False  # while holding fire: what reaches its outer limit ends here
         self.keeping = False  # while holding fire: messages that come are still kept, for the next process
-        self.parked: dict[int, Handle] = {}  # given up while a shot was out: it still ends
+        self.parked: dict[int, Handle] = {}  # given up while an attempt was out: it still ends
         self.to_adopt: set[int] = set()  # of these: to be gone on with once it has ended
         self.frozen: dict[int, Frozen] = {}  # sessions on the move, by key
         self.elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
-        self.held_back: set[int] = set()  # messages that had no shot while their key was among these
+        self.held_back: set[int] = set()  # messages that had no attempt while their key was among these
         self.leaving: set[int] = set()  # withdrawn in this moment: the queue has yet to say so
         self.untold: set[int] = set()  # an end was chosen, and is told once the copies have it
-        self.shots: Shots
+        self.attempts: Attempts
         self.notices: Notices
         self.free_links: Callable[[int], None]
         self.ask_for_list: Callable[[], None]
@@ -123,7 +123,7 @@
         self.queue.put((self._withdraw, (submission.kept,)))
 
     def clear(self, call: Call) -> bool:
-        """Whether the shot may still go out; its record is written then."""
+        """Whether the attempt may still go out; its record is written then."""
         answer: gevent.event.AsyncResult = gevent.event.AsyncResult()
         self.queue.put((self._asks, (call, answer)))
         return bool(answer.get())
@@ -131,12 +131,12 @@
     def may_fire(self, number: int) -> bool:
         """Asked as the last thing before the first byte.
 
-        Danger: while a shot's record was waited for, the client may have left, and hands the same in elsewhere.
+        Danger: while an attempt's record was waited for, the client may have left, and hands the same in elsewhere.
         """
         return number in self.store.kept and number not in self.leaving and self.store.may_fire(number)
 
-    def shot_ended(self, call: Call, ending: Ending) -> None:
-        self.queue.put((self._shot_ended, (call, ending)))
+    def attempt_ended(self, call: Call, ending: Ending) -> None:
+        self.queue.put((self._attempt_ended, (call, ending)))
 
     def listed(self, change: ListChange, listings: Sequence[Listing]) -> None:
         self.queue.put((self._listed, (change, listings)))
@@ -148,7 +148,7 @@
         self.queue.put((self._acknowledged, (numbers,)))
 
     def hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
-        """The end of the process is near: no shot begins any more, what is out goes on; messages that come
+        """The end of the process is near: no attempt begins any more, what is out goes on; messages that come
         are kept where `keeping` says so, else turned away. `ending`: other senders go on with what is kept; what
         reaches its outer limit before they can is written off."""
         self.queue.put((self._hold_fire, (keeping, ending)))
@@ -156,12 +156,13 @@
     def adopt(self, numbers: list[int], quietly: bool = False) -> None:
         """Go on with messages that are kept in the folder, as after a restart: this sender has the right to.
 
-        `quietly`: no shot of their keys is out or in doubt but what they tell themselves, so other keys need not rest.
+        `quietly`: no attempt of their keys is out or in doubt but what they tell themselves, so other keys need not
+        rest.
         """
         self.queue.put((self._adopt, (numbers, quietly)))
 
     def rest_of(self, key: int) -> int:
-        """For how many microseconds a key is to rest here: a shot of it, or of one before this process, may run."""
+        """For how many microseconds a key is to rest here: an attempt of it, or of one before this process, may run."""
         turns = self.sender.turns
         return max(0, turns.all_rest - self.clock.now(), turns.rests.get(key, 0) - self.clock.now())
 
@@ -178,13 +179,13 @@
         self.queue.put((self._park, (numbers,)))
 
     def freeze(self, key: int) -> gevent.event.AsyncResult:
-        """From now on no shot of a session begins, and nothing of it is taken; set once none is out any more."""
+        """From now on no attempt of a session begins, and nothing of it is taken; set once none is out any more."""
         frozen = Frozen()
         self.queue.put((self._freeze, (key, frozen)))
         return frozen.still
 
     def cut(self, key: int) -> None:
-        """The shots of a frozen session that are still out are given up, their links closed: they may have run."""
+        """The attempts of a frozen session that are still out are given up, their links closed: they may have run."""
         self.queue.put((self._cut, (key,)))
 
     def thaw(self, key: int) -> None:
@@ -202,8 +203,8 @@
         self.queue.put((self._answer_late, (numbers,)))
 
     def idle(self) -> bool:
-        """Whether nothing is under way: no shot is out, no call is queued."""
-        return not self.shots.out and self.queue.empty()
+        """Whether nothing is under way: no attempt is out, no call is queued."""
+        return not self.attempts.out and self.queue.empty()
 
     # ---- the one greenlet ----
 
@@ -268,19 +269,27 @@
                 self.untold.discard(number)
                 self.notices.post(number, kept.id, *kept.end)
                 continue
-            shots = [shot._replace(zone=self._place_of(shot.zone)) for shot in kept.earlier_shots()]
+            attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in kept.earlier_attempts()]
             band = self.bands.get(kept.band, len(self.sender.bands) - 1)
             owed.append(
                 Owed(
-                    number, kept.destination, band, kept.outer_limit, place(self.tenants, kept.tenant), kept.turn, shots
+                    number,
+                    kept.destination,
+                    band,
+                    kept.outer_limit,
+                    place(self.tenants, kept.tenant),
+                    kept.turn,
+                    attempts,
                 )
             )
         now = self.clock.now()
-        if quietly and all(shot.outcome is not None and shot.outcome.never_ran for each in owed for shot in each.shots):
+        if quietly and all(
+            attempt.outcome is not None and attempt.outcome.never_ran for each in owed for attempt in each.attempts
+        ):
             # Danger: sessions come one after another, and each `resume` has the keys of all others rest.
             for each in owed:
                 handle = self.handles[each.message_id] = self.sender.take(now, *each[:-1])
-                handle.shots = len(each.shots)
+                handle.attempts = len(each.attempts)
             return len(owed)
         for each, handle in zip(owed, self.sender.resume(now, owed), strict=True):
             self.handles[each.message_id] = handle
@@ -299,7 +308,7 @@
             and number not in self.store.inert
             and self.store.kept[number].turn not in self.frozen
         ]
-        # Danger: a shot of before the message was parked may still be out, and a second would run beside it.
+        # Danger: an attempt of before the message was parked may still be out, and a second would run beside it.
         self.to_adopt.update(number for number in known if number in self.parked)
         taken_up = [number for number in known if number not in self.parked]
         self._take_up(taken_up, quietly)
@@ -311,7 +320,7 @@
         held_back = self.held_back.difference(taken_up)
 
         def before(one: Handle, other: Handle) -> bool:
-            # Danger: one whose shot was out when its book was parked comes back after all others of its key.
+            # Danger: one whose attempt was out when its book was parked comes back after all others of its key.
             return other.id in held_back or other.id > one.id and other.id >> BOOK == one.id >> BOOK
 
         for key, handles in joined.items():
@@ -359,7 +368,7 @@
     def _cut(self, key: int) -> None:
         frozen = self.frozen.get(key)
         if frozen is not None and frozen.out:
-            self.shots.cut(frozen.out)
+            self.attempts.cut(frozen.out)
 
     def _thaw(self, key: int) -> None:
         self.frozen.pop(key, None)
@@ -445,11 +454,13 @@
             zone = self.sender.receivers[call.receiver].zone
             mark = self.zones[zone] if zone < len(self.zones) else NOWHERE
             may = self._with_body(call)
-            may = call.recorded = may and self._recorded("the record of a shot", self.store.shot, number, now, mark)
+            may = call.recorded = may and self._recorded(
+                "the record of an attempt", self.store.attempt, number, now, mark
+            )
         if not may:
             answer.set(False)
             # Danger: what the folder does not take, or may not be fired for, would be looked at anew at once for ever.
-            self._shot_ended(call, Ending(Outcome.MOOT, held_back=not free))
+            self._attempt_ended(call, Ending(Outcome.MOOT, held_back=not free))
         elif self.store.awaited and not call.flushed:
             call.flushed = True
             self.after_flush.append((lambda: answer.set(True), lambda: self._held_back(call, answer)))
@@ -467,21 +478,21 @@
 
     def _held_back(self, call: Call, answer: gevent.event.AsyncResult) -> None:
         answer.set(False)
-        self._shot_ended(call, Ending(Outcome.MOOT))
+        self._attempt_ended(call, Ending(Outcome.MOOT))
 
-    def _shot_ended(self, call: Call, ending: Ending) -> None:
+    def _attempt_ended(self, call: Call, ending: Ending) -> None:
         number = call.kept.number
         if call.recorded:
             self._recorded("the record of an outcome", self.store.outcome, number, ending.outcome)
         handle = self.handles.get(number)
         if handle is None and (parked := self.parked.pop(number, None)) is not None:
-            parked.shot_ended(
+            parked.attempt_ended(
                 self.clock.now(),
                 ending.outcome,
-                call.shot,
+                call.attempt,
                 call.receiver,
                 ending.took,
-                ending.told_wait,
+                ending.retry_after,
                 ending.last,
                 ending.report,
                 ending.kept_link,
@@ -496,13 +507,13 @@
                 self._adopt([number])
         if handle is None:
             return
-        handle.shot_ended(
+        handle.attempt_ended(
             self.clock.now(),
             ending.outcome,
-            call.shot,
+            call.attempt,
             call.receiver,
             ending.took,
-            ending.told_wait,
+            ending.retry_after,
             ending.last,
             ending.report,
             ending.kept_link,
@@ -582,20 +593,20 @@
         self.fresh.clear()
         for receiver in verdicts.freed_links:
             self.free_links(receiver)
-        for number, receiver, patience in verdicts.shots:
+        for number, receiver, patience in verdicts.attempts:
             handle = self.handles[number]
             if number in self.store.kept:
                 call = Call(
                     self.store.kept[number],
-                    handle.shots - 1,
+                    handle.attempts - 1,
                     receiver,
                     now,
                     now + patience,
                     new_link=handle.on_new_link(),
                 )
-                self.shots.start(call)
+                self.attempts.start(call)
             else:  # it could not be kept
-                handle.shot_ended(now, Outcome.MOOT, handle.shots - 1, receiver, 0, 0, True, ())
+                handle.attempt_ended(now, Outcome.MOOT, handle.attempts - 1, receiver, 0, 0, True, ())
                 self.handles.pop(number, None)
         for line in verdicts.log_lines:
             logger.info("{}", line)
@@ -640,7 +651,7 @@
         self.fresh.clear()
 
     def _keep(self, submission: Submission) -> None:
-        """The record first, then the answer; shots may leave after that."""
+        """The record first, then the answer; attempts may leave after that."""
         kept = submission.kept
         if not self._recorded("a message", self.store.keep, kept):
             del self.numbers[kept.id]
@@ -702,7 +713,7 @@
             self.notices.post(number, kept.id, nacked, wait_ms)
 
     def _post_once_copied(self, kept: Kept) -> None:
-        """Danger: told before a copy knows of it, the end would be followed by a shot of whoever takes over."""
+        """Danger: told before a copy knows of it, the end would be followed by an attempt of whoever takes over."""
 
         def post() -> None:
             if not self.store.may_fire(kept.number):
--- a/cedarwick/net/directory.py
+++ b/cedarwick/net/directory.py
@@ -25,7 +25,7 @@
 MOVED = 4.0  # seconds after a move at which the new agent's news counts as told, whether or not it is up by then
 LONGEST_LINE = 1 << 22  # bytes of an object
 LARGEST_RATE = 1_000_000  # calls a second; what is listed above that is no rate
-FORGET = 60.0  # seconds after a receiver has gone: longer than any shot to it, and than the decisions know it
+FORGET = 60.0  # seconds after a receiver has gone: longer than any attempt to it, and than the decisions know it
 
 
 class InvalidUpdateError(CedarwickError, ValueError):
--- a/cedarwick/net/links.py
+++ b/cedarwick/net/links.py
@@ -14,7 +14,7 @@
 
 KEPT_BACK = 64  # descriptors for the interpreter, the loop, the folder and the platform
 SWEEP = 0.25  # seconds between two looks at the idle links
-FREE_WITHIN = 400_000  # a shot waits so long for a descriptor; for longer, its receiver would seem to be silent
+FREE_WITHIN = 400_000  # an attempt waits so long for a descriptor; for longer, its receiver would seem to be silent
 FREE_LOOK = 0.02  # seconds between two looks
 
 
@@ -110,7 +110,7 @@
         waiting = self.idle.get(receiver)
         while waiting:
             link = waiting.pop()
-            # Danger: a receiver closes what stood idle, and a shot written to it then is lost unseen.
+            # Danger: a receiver closes what stood idle, and an attempt written to it then is lost unseen.
             fresh = link.address == address and self.clock.now() - link.idle_since < self.life
             if fresh and not ended(link.sock):
                 return link
--- a/cedarwick/ops/lasting.py
+++ b/cedarwick/ops/lasting.py
@@ -7,7 +7,7 @@
 from cedarwick.errors import CedarwickError
 
 SUSPENDED = "suspended.json"  # calls out by uid; kept until RESTORE, over restarts too
-WAITS = "waits.json"  # by uid: the end of a told wait in wall microseconds; read once, by the next process
+WAITS = "waits.json"  # by uid: the end of a Retry-After wait in wall microseconds; read once, by the next process
 LARGEST = 1 << 20  # bytes; a larger file is no file of ours
 
 
--- a/cedarwick/policy.py
+++ b/cedarwick/policy.py
@@ -24,12 +24,12 @@
 WINDOW_CAP = 60 * SECOND
 LIST_GAP = SECOND // 4  # of a window for the next call for the list, for each sender
 LIST_WAIT = 4 * SECOND  # and the longest: with 1 s for a call that hangs, news comes before it counts as told
-CANCELLED_CAP = 2  # shots with an unclassified end
+CANCELLED_CAP = 2  # attempts with an unclassified end
 SPAN = 2 * SECOND  # the share of refusals is measured over this
 THROTTLED = 0.15  # a larger share of refusals as full halves the pace: one in seven is more than chance
 STEP = 0.05  # of the reference rate, for each half second that stays clean
 STEP_EVERY = SECOND // 2
-GATHER = 4  # shots at least that tell the recent send rate
+GATHER = 4  # attempts at least that tell the recent send rate
 SPENT = 0.05  # of the limit left, or less: it is used up by all senders together
 ROOM = 0.5  # where reports tell that more than this share of the limit is left, others do not use it
 MOST_STEPS = 4  # and so many are taken at once; or those of the clean time, where no limit is known
@@ -52,13 +52,13 @@
 RAMP_PART = 0.8  # of what the fail-back rule allows
 STALE_LINKS = 0.04  # a larger share of kept links that break under a call
 FORGET = 20 * SECOND  # after a receiver has left the list; its outage is told to a replacement until then
-LONGEST_WAIT = 3600 * SECOND  # a longer told wait is looked into after this; no outer limit comes near it
+LONGEST_WAIT = 3600 * SECOND  # a longer Retry-After wait is looked into after this; no outer limit comes near it
 RESTED = 300_000  # for so long a key rests that is owed elsewhere, unless it is told again
 LAST_CHANCE = SECOND  # of an message's time a rest for others leaves so much
 LONE = 0.5  # calls a second: an even part below this makes a lone message wait longer than it lives
 TRICKLE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
 WARMING_UP_BATCH = 4  # messages in one call during a ramp, and from a refusal to the next completion
-LINK_PART = 0.9  # of the time after which a receiver closes an idle link: a shot must not cross its close
+LINK_PART = 0.9  # of the time after which a receiver closes an idle link: an attempt must not cross its close
 PART = 0.6  # of this sender's even part of a listed rate, which may be listed too high
 
 
@@ -86,11 +86,11 @@
     __slots__ = ("sender",)
     sender: "Sender"
 
-    def shot_ended(
+    def attempt_ended(
         self,
         now: int,
         outcome: Outcome,
-        shot: int,
+        attempt: int,
         receiver: int,
         took: int,
         retry_after: int,
@@ -98,7 +98,7 @@
         report: Sequence[float],
         kept_link: bool = False,
     ) -> None:
-        """Record the outcome of the shot that was out and settle what may follow it."""
+        """Record the outcome of the attempt that was out and settle what may follow it."""
         sender = self.sender
         if not self.out:
             return
@@ -115,7 +115,7 @@
         if last or self.ended or outcome is Outcome.COMPLETED:
             sender.close(now, self)
             return
-        window = min(WINDOW_CAP, WINDOW_BASE << min(self.shots - 1, 16))
+        window = min(WINDOW_CAP, WINDOW_BASE << min(self.attempts - 1, 16))
         # Danger: a receiver closes an idle link and the next call breaks: no evidence, so no backing off.
         wait = retry_after if retry_after and not sender.many else retry_after + sender.chance.below(window)
         self.due = now + (1 if outcome is Outcome.MOOT or stale else wait)
@@ -125,14 +125,14 @@
         sender.hold(now, self)
 
     def withdrawn(self, now: int) -> None:
-        """Nobody wants it any more; a shot that is out still ends."""
+        """Nobody wants it any more; an attempt that is out still ends."""
         if not (self.ended or self.out):
             self.sender.close(now, self)
         self.ended = True
 
     def never_left(self) -> None:
-        """The shot whose ending was told was held back on the way out: it was none of the tries."""
-        self.shots -= 1
+        """The attempt whose ending was told was held back on the way out: it was none of the tries."""
+        self.attempts -= 1
 
     def may_start(self, now: int, receiver: int) -> bool:
         """Asked before the first byte: while a link came up a wait, a drain or an end may have been heard."""
@@ -163,7 +163,7 @@
         self.slowest = TRICKLE / self.senders
         self.tick = max(1000, span(settings, "resolution-ms", 5.0))
         self.slots = int(number(settings, "family-info.max-calls", 1 << 30))
-        self.most_shots = int(number(settings, "policy-limits.most-tries", 1 << 30))
+        self.most_attempts = int(number(settings, "policy-limits.most-tries", 1 << 30))
         self.most_open = int(number(settings, "policy-limits.max-open", 1 << 30))
         self.per_call = [int(part) for part in row(settings, "family-info.per-call")]
         self.ramp_time = max(SECOND, span(settings, "rules.ramp-time-ms", 10_000))
@@ -213,25 +213,25 @@
         return handle
 
     def resume(self, now: int, owed: Sequence[Owed]) -> list[Handle]:
-        """After a restart: what is owed from before it. A shot without an outcome may have run."""
-        # Danger: a shot that was out when the process ended may still run, of an ended message's key too.
+        """After a restart: what is owed from before it. An attempt without an outcome may have run."""
+        # Danger: an attempt that was out when the process ended may still run, of an ended message's key too.
         self.turns.all_rest = now + span(self.settings, "rules.turn-gap-ms")
         handles = [self.take(now, *each[:-1]) for each in owed]
         # Danger: under settings that hold less, all that is beyond them would be given up without a call.
         self.most_open = max(self.most_open, self.open + 2)
         for handle, each in zip(handles, owed, strict=True):
-            handle.shots = len(each.shots)
-            for shot in reversed(each.shots):
-                if shot.outcome is None or not shot.outcome.never_ran:
-                    handle.ran_at, handle.ran_zone, handle.doubtful_at = shot.sent_at, shot.zone, now
+            handle.attempts = len(each.attempts)
+            for attempt in reversed(each.attempts):
+                if attempt.outcome is None or not attempt.outcome.never_ran:
+                    handle.ran_at, handle.ran_zone, handle.doubtful_at = attempt.sent_at, attempt.zone, now
         return handles
 
     def retry_after_waits(self, now: int) -> list[tuple[int, int]]:
-        """Receivers whose told wait is not over, and its end: for a process that replaces this one."""
+        """Receivers whose Retry-After wait is not over, and its end: for a process that replaces this one."""
         return [(known.id, known.pace.wait_until) for known in self.receivers.values() if known.pace.wait_until > now]
 
     def heed(self, now: int, receiver: int, until: int) -> None:
-        """A wait told ahead of its shot's ending, or after it, or to the process that this one replaces."""
+        """A wait told ahead of its attempt's ending, or after it, or to the process that this one replaces."""
         if receiver in self.receivers and until > now:
             known = self.receivers[receiver]
             known.pace.wait_until = max(known.pace.wait_until, min(until, now + LONGEST_WAIT))
@@ -239,12 +239,12 @@
 
     def rest(self, now: int, key: int) -> list[Handle]:
         """Another sender owes earlier messages of a key: those here rest until it is told again, or for a
-        moment. Gives those that had no shot yet."""
+        moment. Gives those that had no attempt yet."""
         line = self.turns.lines.get(key) or ()
         if line:
             # Danger: what the other has may never end; the last of the first one's time is its own.
             self.turns.rest(key, min(now + RESTED, line[0].outer_limit - LAST_CHANCE))
-        return [each for each in line if not each.shots]
+        return [each for each in line if not each.attempts]
 
     def listed(self, now: int, change: ListChange, listings: Sequence[Listing]) -> None:
         if change is not ListChange.CHANGES:
@@ -279,7 +279,7 @@
         # Danger: where receivers are replaced all day, the records of those that have gone add up.
         for record in list(self.receivers.values()):
             record.left_at = 0 if record.ready else record.left_at or now
-            # Danger: one that comes back before its told wait is over is still to be spared.
+            # Danger: one that comes back before its Retry-After wait is over is still to be spared.
             kept = record.calls or record.pace.wait_until > now
             if record.left_at and now - record.left_at > FORGET and not kept:
                 self.destinations[record.destination].members.remove(record.id)
@@ -342,9 +342,9 @@
         last_start = message.outer_limit - max(self.tick * 4, round(place.quickest / 2))
         last_start = min(last_start, message.repeat_until() - 1)
         start = max(now, message.due, place.waits_until)
-        # Terminal: out of shots, or a further one could take effect twice, or cannot finish in time.
+        # Terminal: out of attempts, or a further one could take effect twice, or cannot finish in time.
         if (
-            message.shots >= self.most_shots
+            message.attempts >= self.most_attempts
             or message.cancelled >= CANCELLED_CAP
             or (band.at_most_once and message.ran_at)
             or start > last_start
@@ -374,13 +374,13 @@
         place.room.clear()
         self._spend(now, receiver, joins)
         message.out, message.sent_at = True, now
-        message.shots += 1
+        message.attempts += 1
         patience = self._patience(now, message, receiver)
-        self.verdicts.shots.append((message.id, receiver.id, patience))
+        self.verdicts.attempts.append((message.id, receiver.id, patience))
         return FAR
 
     def give_up(self, now: int, message: Handle) -> None:
-        """The final answer, at once: a nack only when every shot provably never ran."""
+        """The final answer, at once: a nack only when every attempt provably never ran."""
         if message.ran_at:
             self.verdicts.write_offs.append(message.id)
         else:
@@ -396,12 +396,12 @@
         message.look_at = message.rank_until = 0
 
     def close(self, now: int, message: Handle) -> None:
-        """The message has ended and none of its shots is out: let its key go on."""
+        """The message has ended and none of its attempts is out: let its key go on."""
         message.ended = True
         self.open -= 1
         self.changed.add(message.destination)
         if message.band.in_turn and message.key:
-            # Danger: the shot that timed out may still run and be overtaken by the next of its key.
+            # Danger: the attempt that timed out may still run and be overtaken by the next of its key.
             rest = (message.doubtful_at or -FAR) + span(self.settings, "rules.turn-gap-ms")
             after = self.turns.leave(message.key, message, now, rest)
             self.changed.update(each.destination for each in after)  # its next one may wait at another
@@ -419,7 +419,7 @@
         pace = receiver.pace
         self.changed |= {receiver.destination} | self.starved
         self.starved.clear()
-        over = receiver.shot_over(message.sent_at) % self._batch(receiver) == 0
+        over = receiver.attempt_over(message.sent_at) % self._batch(receiver) == 0
         self.calls_out -= over
         pace.calls_out -= over
         self.idle.add(receiver.id)
@@ -469,7 +469,7 @@
             )
             if receiver.back_at and sum(judged) * 3 <= len(judged) * 2:
                 receiver.back_at = now  # Danger: some calls pass in an outage, and a ramp would run on in it
-            # Danger: at a few calls a minute outcomes never gather, and each message spends its shots alone.
+            # Danger: at a few calls a minute outcomes never gather, and each message spends its attempts alone.
             ill = ill or self.many and self._stale(message.sent_at, receiver)
             if ill or receiver.out_since or (len(judged) >= 3 and sum(judged) * 5 <= len(judged) * 2):
                 self._out(now, receiver, provable=outcome is Outcome.CONNECT_FAILED)
@@ -495,7 +495,7 @@
                     pace.rate = max(pace.rate, receiver.managed, pace.reference)
             receiver.out_since, receiver.failed = 0, False
             receiver.recent = deque([True], FEW)
-        if receiver.completed_sent_at != message.sent_at:  # the shots of one call count once
+        if receiver.completed_sent_at != message.sent_at:  # the attempts of one call count once
             note(receiver.completions, now, self.seen_over)
         receiver.completed_sent_at = max(receiver.completed_sent_at, message.sent_at)
         receiver.managed = max(receiver.managed * 0.98, len(receiver.completions) * SECOND / self.seen_over)
@@ -539,7 +539,7 @@
         receiver.out_since = receiver.out_since or now
         receiver.failed, receiver.provable, receiver.back_at = True, provable, 0
         receiver.canary_at = self._next_canary(now, receiver)
-        # Danger: idle connections to a dead machine swallow shots; a new one fails and so proves it.
+        # Danger: idle connections to a dead machine swallow attempts; a new one fails and so proves it.
         self.verdicts.freed_links.append(receiver.id)
 
     def _out_with(self, now: int, receiver: Receiver) -> None:
@@ -623,7 +623,7 @@
         return self.per_call[receiver.kind] if receiver.kind < len(self.per_call) else 1
 
     def _joins(self, now: int, receiver: Receiver) -> bool:
-        """A shot of this round to the same receiver shares a call that is not full."""
+        """An attempt of this round to the same receiver shares a call that is not full."""
         joined = receiver.calls.get(now, 0) % self._batch(receiver)
         # Danger: a full call weighs as several and would push over a route that is still cold.
         return 0 < joined < (WARMING_UP_BATCH if receiver.back_at or receiver.fulls else FAR)
@@ -658,7 +658,7 @@
         return FAR if receiver.canary_out or lost else soonest
 
     def _spend(self, now: int, receiver: Receiver, joins: bool) -> None:
-        receiver.shot_sent(now, joins)
+        receiver.attempt_sent(now, joins)
         if receiver.out_since:
             receiver.canary_out = True
             receiver.canary_at = self._next_canary(now, receiver)
@@ -672,10 +672,10 @@
         return len(receiver.calls) > 1 and now - since > max(SILENCE, usual)  # one lost call says too little
 
     def _patience(self, now: int, message: Message, receiver: Receiver) -> int:
-        """How long a shot may take. Danger: a dead destination holds all slots, a window closes unused."""
+        """How long an attempt may take. Danger: a dead destination holds all slots, a window closes unused."""
         left = message.outer_limit - now - 2 * self.tick
         usual = receiver.mean + 4 * receiver.stray if receiver.mean else 2 * SECOND
-        soon = max(SECOND, round(2 * usual)) << min(message.shots - 1, 4)
+        soon = max(SECOND, round(2 * usual)) << min(message.attempts - 1, 4)
         crowded = 2 * self.calls_out >= self.slots
         if message.band.at_most_once or message.band.reissuable:
             return min(left, soon if message.band.reissuable else 3 * soon if crowded else FAR)
@@ -683,7 +683,7 @@
         patience = min(window - SECOND // 2, soon if receiver.out_since or crowded else 2 * soon)
         # Danger: in a short window a hang would hold its slot to the end, and never be repeated.
         enough = patience >= min(SECOND, usual)
-        return min(left, patience) if enough and message.shots < self.most_shots else left
+        return min(left, patience) if enough and message.attempts < self.most_attempts else left
 
     def _urgency(self, now: int, message: Message) -> tuple[float, int, int]:
         """Sorts the message first that loses most by waiting; over-share tenants go last."""
@@ -699,7 +699,7 @@
             loses += band.priority_weight  # its window of repeats is running out
         if message.over_share:
             loses *= number(self.settings, "over-share-worth", 1.0)
-        times = message.expected_by - SECOND, message.outer_limit - 3 * SECOND + 1  # else only a shot tells
+        times = message.expected_by - SECOND, message.outer_limit - 3 * SECOND + 1  # else only an attempt tells
         message.rank_until = min((time for time in times if time > now), default=FAR)
         if band.halves_in:
             message.rank_until = min(message.rank_until, now + band.halves_in // 4)
@@ -728,7 +728,7 @@
             spare = next((line for line in lines if line), None)
             if spare is None:
                 return
-            # Danger: once the least important have had a shot, nacks alone would cost the most important.
+            # Danger: once the least important have had an attempt, nacks alone would cost the most important.
             self.give_up(
                 now,
                 max(spare, key=lambda held: (-held.band.priority_weight, not held.ran_at, self._urgency(now, held))),
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -12,6 +12,7 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.interface import Phase, span
 from cedarwick.net.assignment import Assignment, AssignmentError, read
+from cedarwick.net.attempts import Attempts
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Desk
@@ -19,7 +20,6 @@
 from cedarwick.net.intake import Intake
 from cedarwick.net.links import Descriptors, Links
 from cedarwick.net.notices import Notices
-from cedarwick.net.shots import Shots
 from cedarwick.net.sockets import Polled
 from cedarwick.ops import lasting
 from cedarwick.ops.address import Management
@@ -37,11 +37,13 @@
 STAY = 2.2  # seconds from SIGTERM in which the decisions go on with what is kept; a second is left to what is out
 DRAIN = 3.2  # seconds from SIGTERM to the end; SIGKILL may come half a second later
 LAST = 0.15  # seconds after that for the answers to requests that were read
-# At a replacement: seconds for requests that were read to be answered, then for shots that are out to end,
+# At a replacement: seconds for requests that were read to be answered, then for attempts that are out to end,
 # then for clients that were let go to close, before the folder is the next process's.
 HANDOVER, ANSWERING, LINGERING = 0.2, 0.05, 1.1
 FIRST_NEWS = 0.2  # seconds that the decisions wait for it; a client that has its PONG waits 0.4 for an answer
-FIRST_SHOT = 0.8  # and seconds more for which messages are kept and answered, but not shot; silence is told by then
+FIRST_ATTEMPT = (
+    0.8  # and seconds more for which messages are kept and answered, but not attempt; silence is told by then
+)
 LOOK = 0.01  # seconds between two looks at a folder that another process still holds
 
 
@@ -158,8 +160,8 @@
         span(assignment.settings, "policy-limits.connect-timeout-ms", 1000.0),
     )
     notices = desk.notices = Notices(assignment.platform, counters, desk.acknowledged)
-    desk.shots = Shots(
-        clock, counters, links, desk.sender.columns, polled, desk.clear, desk.shot_ended, desk.heed, desk.may_fire
+    desk.attempts = Attempts(
+        clock, counters, links, desk.sender.columns, polled, desk.clear, desk.attempt_ended, desk.heed, desk.may_fire
     )
     desk.free_links, desk.ask_for_list = links.free, directory.ask
     desk.resume()
@@ -199,14 +201,14 @@
 
     def decide() -> None:
         """Never returns: the desk, once the agent has said what it has; that counts as told from the first moment."""
-        # Danger: a shot of a kept message would go to a receiver that the saved list does not know to be draining.
+        # Danger: an attempt of a kept message would go to a receiver that the saved list does not know to be draining.
         if not directory.first_news.wait(FIRST_NEWS):
             desk.holding_fire = desk.keeping = True
             gevent.spawn(fire)
         desk.run()
 
     def fire() -> None:
-        directory.first_news.wait(FIRST_SHOT)
+        directory.first_news.wait(FIRST_ATTEMPT)
         desk.queue.put((begin, ()))
 
     def begin() -> None:
@@ -329,7 +331,7 @@
     try:
         lasting.write_waits(folder, waits)
     except OSError as error:
-        logger.error(DiskError(f"the told waits cannot be handed over: {error}").line)
+        logger.error(DiskError(f"the Retry-After waits cannot be handed over: {error}").line)
 
 
 def take_waits(folder: str, directory: Directory, desk: Desk) -> None:
@@ -337,7 +339,7 @@
     try:
         waits = lasting.take_waits(folder)
     except lasting.UnreadableFileError as error:
-        logger.error("the told waits of the replaced process cannot be read: {}", error.line)
+        logger.error("the Retry-After waits of the replaced process cannot be read: {}", error.line)
         return
     desk.heed([(directory.numbers[uid], until) for uid, until in waits.items() if uid in directory.numbers])
 
@@ -358,7 +360,7 @@
     accepting.kill()
     intake.listener.close()  # only this process's descriptor: the platform's socket stays open
     # Danger: the next process accepts nobody while this one holds the folder; clients wait 400 ms at most.
-    # Kept connections are served meanwhile, each let go after its answer; messages are kept, not shot.
+    # Kept connections are served meanwhile, each let go after its answer; messages are kept, not attempt.
     intake.still_taking = intake.closing = True
     desk.hold_fire(keeping=True)
     with gevent.Timeout(HANDOVER, False):
@@ -369,9 +371,11 @@
         while intake.mid_request():
             gevent.sleep(LOOK)
     intake.still_taking = False
-    logger.info("handing over: {} messages kept, {} shots without an outcome", len(store.kept), len(desk.shots.out))
+    logger.info(
+        "handing over: {} messages kept, {} attempts without an outcome", len(store.kept), len(desk.attempts.out)
+    )
     # Danger: a call still out on an open link, sent again by the next process, would be a second copy.
-    gevent.killall(list(desk.shots.out))
+    gevent.killall(list(desk.attempts.out))
 
 
 def broken(part: gevent.Greenlet) -> None:
--- a/cedarwick/state.py
+++ b/cedarwick/state.py
@@ -74,7 +74,10 @@
         return [line[0]] if line else []
 
     def line_up(self, key: int, joined: Sequence[Any], before: Callable[[Any, Any], bool]) -> None:
-        """Of the last of a line, those that go on here: each stands before all that `before` says, behind shots out."""
+        """Of the last of a line, those that go on here:
+
+        each stands before all that `before` says, behind attempts out.
+        """
         line = self.lines[key]
         for _ in joined:
             line.pop()
@@ -133,7 +136,7 @@
     reissuable: bool
     at_most_once: bool
     window: int  # for numbered messages: how long a destination remembers the number
-    one_zone: bool  # repeats only within the zone of the first shot that may have run
+    one_zone: bool  # repeats only within the zone of the first attempt that may have run
     in_turn: bool
     halves_in: int = 0  # after the expected time the worth falls by half in this time; 0: evenly
 
@@ -192,7 +195,7 @@
     completions: deque[int] = field(default_factory=deque)
     completed_sent_at: int = -1  # send time of the newest call that was completed
     answered_at: int = 0
-    used_at: int = 0  # the newest shot, and how long after the one before it
+    used_at: int = 0  # the newest attempt, and how long after the one before it
     gap: int = 0
     out_since: int = 0  # 0: in service
     failed: bool = False  # the outage showed in an outcome, not in silence alone
@@ -202,9 +205,9 @@
     back_at: int = 0  # when it returned from an outage; 0: not within its ramp
     warm_at: int = 0  # its ramp does not end before this
     ramp: Bucket = field(default_factory=Bucket)
-    calls: dict[int, int] = field(default_factory=dict)  # send time: shots without an outcome
+    calls: dict[int, int] = field(default_factory=dict)  # send time: attempts without an outcome
 
-    def shot_sent(self, now: int, joins: bool) -> None:
+    def attempt_sent(self, now: int, joins: bool) -> None:
         self.calls[now] = self.calls.get(now, 0) + 1
         self.gap, self.used_at = now - self.used_at, now
         if not joins:
@@ -212,8 +215,8 @@
             self.pace.bucket.take()
             self.ramp.take()
 
-    def shot_over(self, sent_at: int) -> int:
-        """How many shots of the same time are still without an outcome."""
+    def attempt_over(self, sent_at: int) -> int:
+        """How many attempts of the same time are still without an outcome."""
         left = self.calls.get(sent_at, 1) - 1
         self.calls[sent_at] = left
         if left <= 0:
@@ -234,14 +237,14 @@
     key: int
     order: int
     over_share: bool = False
-    shots: int = 0
+    attempts: int = 0
     cancelled: int = 0
     out: bool = False
     sent_at: int = 0
     due: int = 0  # not before this
-    ran_at: int = 0  # send time of the first shot that may have run; 0: none has
+    ran_at: int = 0  # send time of the first attempt that may have run; 0: none has
     ran_zone: int = 0
-    doubtful_at: int = 0  # when a shot ended that may still be running
+    doubtful_at: int = 0  # when an attempt ended that may still be running
     ended: bool = False
     rank: tuple[float, int, int] = (0.0, 0, 0)  # sorts the most urgent first, and until when it holds
     rank_until: int = 0
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -1,4 +1,4 @@
-"""The lasting folder: what is owed, and what is known of its shots, in segments that are compacted while they serve.
+"""The lasting folder: what is owed, and what is known of its attempts, in segments that are compacted while they serve.
 
 One greenlet calls it. Every call that returns has written its record; `step`, called between rounds, moves a
 bounded number of bytes. `planner.py` says what and how much, `segments.py` knows what still matters where.
@@ -16,6 +16,8 @@
 from cedarwick.store.files import OLD_NAME, DiskError, Folder, numbers, quietly, segment_name
 from cedarwick.store.planner import BLOCK
 from cedarwick.store.records import (
+    ATTEMPT,
+    ATTEMPT_BODY,
     DROP,
     END,
     END_BODY,
@@ -25,8 +27,6 @@
     OUTCOMES,
     OVER,
     OVER_BODY,
-    SHOT,
-    SHOT_BODY,
     Header,
     Kept,
     framed,
@@ -230,14 +230,14 @@
         self.spare -= self.weighed(kept)
         self._hold(kept)
 
-    def shot(self, number: int, sent_at: int, zone: int) -> None:
-        """A shot is about to go out; `NoSpaceError` where that cannot be recorded, so that it must not."""
+    def attempt(self, number: int, sent_at: int, zone: int) -> None:
+        """An attempt is about to go out; `NoSpaceError` where that cannot be recorded, so that it must not."""
         kept = self.kept[number]
-        self._note(kept, SHOT_BODY.pack(SHOT, number, sent_at, zone), SHORT)
-        kept.shot(sent_at, zone)
+        self._note(kept, ATTEMPT_BODY.pack(ATTEMPT, number, sent_at, zone), SHORT)
+        kept.attempt(sent_at, zone)
 
     def outcome(self, number: int, outcome: Outcome) -> None:
-        """The recorded shot that was out has ended; a completed one ends its message."""
+        """The recorded attempt that was out has ended; a completed one ends its message."""
         kept = self.kept.get(number)
         if kept is None or not kept.out_at:
             return
@@ -248,7 +248,7 @@
         self._owe(OUTCOME_BODY.pack(OUTCOME, number, OUTCOMES.index(outcome)), self._noting(kept))
 
     def may_have_run(self, number: int, at: int, zone: int) -> None:
-        """Another sender has told of a shot that may have run, before all that are known here."""
+        """Another sender has told of an attempt that may have run, before all that are known here."""
         kept = self.kept[number]
         kept.ran_at, kept.ran_zone = at, zone
         self._owe(records.state(kept), self._noting(kept))
@@ -278,7 +278,7 @@
         return True
 
     def may_fire(self, number: int) -> bool:
-        """Whether a shot of this message may begin now: always, where no other sender has a say."""
+        """Whether an attempt of this message may begin now: always, where no other sender has a say."""
         return True
 
     def body(self, number: int) -> bytes:
--- a/cedarwick/store/old.py
+++ b/cedarwick/store/old.py
@@ -11,9 +11,9 @@
 from cedarwick.store.records import OUTCOMES, InvalidRecordError, Kept
 
 HEAD = struct.Struct("<II")  # length of the payload, checksum
-KEPT, SHOT, OUTCOME, END, OVER, WHOLE = range(1, 7)
+KEPT, ATTEMPT, OUTCOME, END, OVER, WHOLE = range(1, 7)
 KEPT_BODY = struct.Struct("<BQQQIHHHH")
-SHOT_BODY = struct.Struct("<BQQH")
+ATTEMPT_BODY = struct.Struct("<BQQH")
 OUTCOME_BODY = struct.Struct("<BQB")
 END_BODY = struct.Struct("<BQBI")
 OVER_BODY = struct.Struct("<BQ")
@@ -58,10 +58,10 @@
             number, id, key, turn, band, tenant, destination, limit, body, size=len(body), checksum=zlib.crc32(body)
         )
         return int(number) + 1
-    elif kind == SHOT:
-        _, number, sent_at, zone = SHOT_BODY.unpack(payload)
+    elif kind == ATTEMPT:
+        _, number, sent_at, zone = ATTEMPT_BODY.unpack(payload)
         if number in kept:
-            kept[number].shot(sent_at, zone)
+            kept[number].attempt(sent_at, zone)
     elif kind == OUTCOME:
         _, number, outcome = OUTCOME_BODY.unpack(payload)
         if number in kept:
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -2,7 +2,7 @@
 
 A frame is a mark of two bytes, the payload's length, a checksum over length and payload, the payload. A payload
 begins with its kind and, but for headers and drops, the message's number. An unknown kind is passed on, not
-dropped; by its number one can tell whether it may speak of shots (below `HARMLESS`) or not.
+dropped; by its number one can tell whether it may speak of attempts (below `HARMLESS`) or not.
 """
 
 import struct
@@ -12,27 +12,27 @@
 from typing import NamedTuple
 
 from cedarwick.errors import CedarwickError
-from cedarwick.interface import EarlierShot, Outcome
+from cedarwick.interface import EarlierAttempt, Outcome
 
 VERSION = 2  # of the format; the one file of the first version is read by `old.py`
 MARK = b"\xce\xda"
 FRAME = struct.Struct("<2sII")
 LENGTH = struct.Struct("<I")
 LONGEST = 1 << 20  # bytes of a payload
-HEADER, MESSAGE, STATE, SHOT, OUTCOME, END, OVER, DROP = range(1, 9)
-HARMLESS = 64  # kinds from here on say nothing of shots or ends
+HEADER, MESSAGE, STATE, ATTEMPT, OUTCOME, END, OVER, DROP = range(1, 9)
+HARMLESS = 64  # kinds from here on say nothing of attempts or ends
 HEADER_BODY = struct.Struct("<BHQQQQI")  # kind, version, number, made at, next message, old files until, lines
 HEADER_LINE = struct.Struct("<QQ")  # a segment that lives beside this one, and its valid length
 MESSAGE_BODY = struct.Struct("<BQQQIIHHHH")  # number, limit, turn, destination, body's checksum, four texts
-STATE_BODY = struct.Struct("<HQhQhQBI")  # shots, ran at and zone, out at and zone, doubt, end, wait
+STATE_BODY = struct.Struct("<HQhQhQBI")  # attempts, ran at and zone, out at and zone, doubt, end, wait
 STATE_HEAD = struct.Struct("<BQ")
-SHOT_BODY = struct.Struct("<BQQh")
+ATTEMPT_BODY = struct.Struct("<BQQh")
 OUTCOME_BODY = struct.Struct("<BQB")
 END_BODY = struct.Struct("<BQBI")
 OVER_BODY = struct.Struct("<BQ")
 OUTCOMES = list(Outcome)
 NO_END, WRITTEN_OFF, NACKED = range(3)
-NOWHERE = -1  # the zone of a shot that nobody knows: no receiver is there
+NOWHERE = -1  # the zone of an attempt that nobody knows: no receiver is there
 FIRST_MARK, MARKS = 1 << 10, 31 << 10  # of zones; what is below is a place among the zones of some settings
 OF_OVER = FRAME.size + OVER_BODY.size
 OF_STATE = FRAME.size + STATE_HEAD.size + STATE_BODY.size
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, eq=False)
 class Kept:
-    """A message that this sender owes its end, and what the folder knows of its shots."""
+    """A message that this sender owes its end, and what the folder knows of its attempts."""
 
     number: int  # 0 until it is taken
     id: str
@@ -59,12 +59,12 @@
     destination: int
     outer_limit: int  # wall time
     body: bytes | None  # None: it lies in the folder only
-    shots: int = 0
-    ran_at: int = 0  # when the first shot left that may have run; 0: none did
+    attempts: int = 0
+    ran_at: int = 0  # when the first attempt left that may have run; 0: none did
     ran_zone: int = 0  # by its mark
-    out_at: int = 0  # the shot that has no outcome yet; 0: none is out
+    out_at: int = 0  # the attempt that has no outcome yet; 0: none is out
     out_zone: int = 0
-    doubt_at: int = 0  # records are lost from then on, so a shot may have run; 0: none are
+    doubt_at: int = 0  # records are lost from then on, so an attempt may have run; 0: none are
     end: tuple[bool, int] | None = None  # nacked (not written off), advised wait in ms; its notice is owed
     # Where its record lies; of the journal's own concern.
     home: int = 0  # the segment; 0: nowhere yet
@@ -74,24 +74,24 @@
     weight: int = 0  # bytes of the record
     noted: list[int] = field(default_factory=list)  # segments with news of it that its record does not hold
 
-    def shot(self, sent_at: int, zone: int) -> None:
-        """A shot goes out. One before it without an outcome may have run."""
+    def attempt(self, sent_at: int, zone: int) -> None:
+        """An attempt goes out. One before it without an outcome may have run."""
         if self.out_at and not self.ran_at:
             self.ran_at, self.ran_zone = self.out_at, self.out_zone
-        self.shots += 1
+        self.attempts += 1
         self.out_at, self.out_zone = sent_at, zone
 
     def outcome(self, never_ran: bool) -> None:
-        """The shot that was out has ended."""
+        """The attempt that was out has ended."""
         if not never_ran and not self.ran_at:
             self.ran_at, self.ran_zone = self.out_at, self.out_zone
         self.out_at = 0
 
-    def earlier_shots(self) -> list[EarlierShot]:
+    def earlier_attempts(self) -> list[EarlierAttempt]:
         """What the decisions are told of them after a restart."""
         may_have = [(self.doubt_at, NOWHERE), (self.ran_at, self.ran_zone), (self.out_at, self.out_zone)]
-        told = [EarlierShot(at, zone, None) for at, zone in sorted(may_have) if at]
-        return told + [EarlierShot(0, 0, Outcome.MOOT)] * (self.shots - len(told))
+        told = [EarlierAttempt(at, zone, None) for at, zone in sorted(may_have) if at]
+        return told + [EarlierAttempt(0, 0, Outcome.MOOT)] * (self.attempts - len(told))
 
 
 class Header(NamedTuple):
@@ -156,12 +156,12 @@
     if kept.end is not None:
         end, wait = NACKED if kept.end[0] else WRITTEN_OFF, kept.end[1]
     return STATE_BODY.pack(
-        min(kept.shots, 0xFFFF), kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone, kept.doubt_at, end, wait
+        min(kept.attempts, 0xFFFF), kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone, kept.doubt_at, end, wait
     )
 
 
 def state(kept: Kept) -> bytes:
-    """All that is known of a message's shots and end, without its body."""
+    """All that is known of a message's attempts and end, without its body."""
     return STATE_HEAD.pack(STATE, kept.number) + state_of(kept)
 
 
@@ -199,9 +199,9 @@
 
 
 def take_state(kept: Kept, payload: bytes, at: int) -> None:
-    """Replace what is known of a message's shots and end by what a payload says."""
+    """Replace what is known of a message's attempts and end by what a payload says."""
     try:
-        (kept.shots, kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone, doubt_at, end, wait) = (
+        (kept.attempts, kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone, doubt_at, end, wait) = (
             STATE_BODY.unpack_from(payload, at)
         )
     except struct.error as error:
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -2,7 +2,7 @@
 
 The newest segment's header names every segment that lives beside it, and its drop records name those that have
 gone since; so what is missing, what is left over and what is damaged can be told apart. Where records may be
-lost, every message that lived then is put in doubt: a shot of it may have run that nobody knows of.
+lost, every message that lived then is put in doubt: an attempt of it may have run that nobody knows of.
 """
 
 from collections.abc import Iterator
@@ -12,6 +12,8 @@
 from cedarwick.interface import Outcome
 from cedarwick.store.files import Folder, numbers, segment_name
 from cedarwick.store.records import (
+    ATTEMPT,
+    ATTEMPT_BODY,
     DROP,
     END,
     END_BODY,
@@ -25,8 +27,6 @@
     OVER,
     OVER_BODY,
     SHORTEST,
-    SHOT,
-    SHOT_BODY,
     STATE,
     STATE_HEAD,
     VERSION,
@@ -204,7 +204,7 @@
 
 
 def put_in_doubt(found: Recovered, since: int) -> None:
-    """Records are lost: any message may have had a shot that nobody knows of."""
+    """Records are lost: any message may have had an attempt that nobody knows of."""
     found.damaged = True
     for kept in found.book.kept.values():
         kept.doubt_at = min(filter(None, (kept.doubt_at, since)), default=1)
@@ -274,9 +274,9 @@
     if kind == OVER:
         book.buried(kept.number, book.over(kept), segment)
         return
-    if kind == SHOT:
-        _, _, sent_at, zone = SHOT_BODY.unpack(payload)
-        kept.shot(sent_at, zone)
+    if kind == ATTEMPT:
+        _, _, sent_at, zone = ATTEMPT_BODY.unpack(payload)
+        kept.attempt(sent_at, zone)
     elif kind == OUTCOME:
         outcome = OUTCOMES[OUTCOME_BODY.unpack(payload)[2]]
         kept.outcome(outcome.never_ran)
--- a/cedarwick/store/segments.py
+++ b/cedarwick/store/segments.py
@@ -3,7 +3,7 @@
 A segment may be deleted once nothing in it is needed to rebuild the present state from the rest:
 
 - the newest record of a message that lives (`bases`);
-- news of a message's shots or end that its newest record does not hold (`notes`);
+- news of a message's attempts or end that its newest record does not hold (`notes`);
 - the record of an end, as long as an older record of the message lies in another segment (`tombs`): without it
   that older record would bring the message back;
 - records that this version does not know (`strange`).
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -29,7 +29,7 @@
     records: int
     messages: int
     notices: int  # of these: ended, the notice owed
-    doubtful: int  # of these: a shot may have run that nobody knows of
+    doubtful: int  # of these: an attempt may have run that nobody knows of
     unknown: int  # records of kinds that this version does not know
     live_bytes: int
     used_bytes: int
@@ -70,7 +70,7 @@
             "outer_limit": kept.outer_limit,
             "bytes": kept.size,
             "segment": segment_name(kept.home),
-            "shots": kept.shots,
+            "shots": kept.attempts,
             "ran_at": kept.ran_at,
             "out_at": kept.out_at,
             "doubt_at": kept.doubt_at,
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -8,7 +8,7 @@
 
 from cedarwick import policy, program, state
 from cedarwick.interface import ListChange, Listing, Phase
-from cedarwick.net import desk, notices, shots
+from cedarwick.net import attempts, desk, notices
 from cedarwick.net.sockets import connected
 
 
@@ -25,8 +25,8 @@
 
 
 def ignores_waits() -> None:
-    """No told wait is read."""
-    shots.wait_of = lambda text: 0
+    """No Retry-After wait is read."""
+    attempts.wait_of = lambda text: 0
 
 
 def ignores_drains() -> None:
@@ -70,19 +70,19 @@
 
 
 def two_out() -> None:
-    """Every shot goes out a second time over a link of its own, while the first one is out."""
-    honest = shots.Shots._over
+    """Every attempt goes out a second time over a link of its own, while the first one is out."""
+    honest = attempts.Attempts._over
 
-    def over(self: shots.Shots, call: shots.Call, link: Any) -> bool:
+    def over(self: attempts.Attempts, call: attempts.Call, link: Any) -> bool:
         gevent.spawn(copy, self, call)
         return honest(self, call, link)
 
-    def copy(self: shots.Shots, call: shots.Call) -> None:
+    def copy(self: attempts.Attempts, call: attempts.Call) -> None:
         with connected(self.links.address_of(call.receiver), 1.0) as sock:
-            sock.sendall(shots.request(call, self.clock.now()))
+            sock.sendall(attempts.request(call, self.clock.now()))
             sock.recv(100)
 
-    shots.Shots._over = over  # type: ignore[method-assign]
+    attempts.Attempts._over = over  # type: ignore[method-assign]
 
 
 FAULTS: dict[str, Callable[[], None]] = {
--- a/tests/build.py
+++ b/tests/build.py
@@ -72,7 +72,7 @@
 
 
 def out(made: Sender, message: int, band: int = FREE, key: int = 0, now: int = NOW) -> Handle:
-    """A message whose first shot is out."""
+    """A message whose first attempt is out."""
     handle = take(made, message, band, key, now)
     made.decide(now)
     return handle
@@ -80,7 +80,7 @@
 
 def end(handle: Handle, outcome: Outcome, now: int, told: int = 0, receiver: int = 1) -> None:
     last = outcome is Outcome.COMPLETED
-    handle.shot_ended(now, outcome, handle.shots - 1, receiver, 100 * MS, told, last, ())
+    handle.attempt_ended(now, outcome, handle.attempts - 1, receiver, 100 * MS, told, last, ())
 
 
 # ---- stand-ins for the other parties, and the program itself ----
--- a/tests/processes/test_events.py
+++ b/tests/processes/test_events.py
@@ -130,7 +130,7 @@
     def wait(self, fleet: Fleet, subscriber: Subscriber, but: Iterable[int] = ()) -> None:
         """Until nothing is owed to clients, and nothing to the subscriber by the sources that have not ended.
 
-        Whatever a receiver has delivered, its sender tells as completed, or as a shot whose answer it never read.
+        Whatever a receiver has delivered, its sender tells as completed, or as an attempt whose answer it never read.
         """
 
         def missing() -> dict[int, set[str]]:
@@ -144,7 +144,7 @@
         while fleet.under_way:
             gevent.sleep(0.05)
         fleet.until(lambda: not fleet.owed(), 15.0, "the last ends")
-        # A sender that has not read a partner's answer in time says so once its shot is given up.
+        # A sender that has not read a partner's answer in time says so once its attempt is given up.
         with contextlib.suppress(TimeoutError):
             fleet.until(lambda: not missing(), 9.0)
         self.assertEqual(missing(), {}, "delivered, and never told")
@@ -244,7 +244,7 @@
             self.assertEqual({each.since for each in subscriber.watched.evaluates if each.source not in before}, {1})
 
             def missing() -> set[str]:
-                # One that was withdrawn as its client hung up, its shot out, tells no end.
+                # One that was withdrawn as its client hung up, its attempt out, tells no end.
                 taken = {each.id for each in fleet.history.handed if each.answer == "ok"}
                 return taken & set().union(
                     *(completed(fleet, number) - known[number] - subscriber.ids(f"n{number}") for number in range(3))
--- a/tests/processes/test_order.py
+++ b/tests/processes/test_order.py
@@ -58,7 +58,7 @@
         taken(fleet, 1, QUICK, "0" * 16)
         end = fleet.trouble(SLOW, Effect("hang"))
         first = taken(fleet, 1, SLOW)
-        fleet.until(lambda: calls(fleet, first), 3.0, "the first shot")
+        fleet.until(lambda: calls(fleet, first), 3.0, "the first attempt")
         since = fleet.day.now()
         if hands_on:
             fleet.kill(1)
@@ -67,7 +67,7 @@
         else:
             later = [taken(fleet, 1, QUICK), taken(fleet, 1, QUICK)]
             fleet.kill(HEIR)
-        fleet.until(lambda: len(calls(fleet, first)) > 1, 9.0, "another shot of the first one")
+        fleet.until(lambda: len(calls(fleet, first)) > 1, 9.0, "another attempt of the first one")
         end()
         fleet.settle()
         verdict = fleet.judge()
@@ -77,7 +77,7 @@
         # On a loaded machine the adoption may take longer than a key rests for others.
         self.assertGreater(begun, min(calls(fleet, first)[-1].ended, since + MOST if hands_on else claims.FOREVER))
 
-    def test_a_sender_whose_copy_dies_keeps_the_order_around_a_shot_that_is_out(self) -> None:
+    def test_a_sender_whose_copy_dies_keeps_the_order_around_a_attempt_that_is_out(self) -> None:
         self.play(hands_on=False)
 
     def test_a_client_of_a_dead_sender_that_goes_to_another_does_not_overtake_itself(self) -> None:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -270,7 +270,7 @@
 
 
 class Waits(Judging):
-    def test_a_told_wait_binds_the_sender_for_the_whole_destination(self) -> None:
+    def test_a_retry_after_wait_binds_the_sender_for_the_whole_destination(self) -> None:
         told = handed(), called(status=429, wait=800 * MS, took=0), called(at=2 * SECOND)
         self.broken(6, *told, handed("b", sent=300 * MS), called("b", at=310 * MS, endpoint="f"))
         self.kept(*told, handed("b", sent=100 * MS), called("b", at=159 * MS))  # it crossed the wait
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -147,24 +147,24 @@
     ),
     ("adopted when its stopped holder's lease was over", [], COPY, [handed(), ON, Life(0, "stopped", SECOND), LATER]),
     (
-        "woken, it fires beside its own shot",
+        "woken, it fires beside its own attempt",
         [12],
         COPY,
         [handed(), ON, Life(0, "stopped", SECOND), Life(0, "continued", 3 * SECOND), called(at=4 * SECOND)],
     ),
     (
-        "at-most-once fired beside a doubtful shot, whatever the lease",
+        "at-most-once fired beside a doubtful attempt, whatever the lease",
         [2, 12],
         COPY,
         [handed(band="once"), called(took=9 * SECOND, status=500), Life(0, "stopped", SECOND), LATER],
     ),
     (
-        "a merge that forgets a shot: returned though it may have run",
+        "a merge that forgets an attempt: returned though it may have run",
         [13],
         COPY,
         [handed(), called(status=0), *lost(SECOND), returned(4 * SECOND)],
     ),
-    ("returned after shots that never ran", [], COPY, [handed(), called(status=503), returned(4 * SECOND)]),
+    ("returned after attempts that never ran", [], COPY, [handed(), called(status=503), returned(4 * SECOND)]),
     (
         "a mover that closes too early: the new holder overtakes",
         [14],
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -20,13 +20,13 @@
 from cedarwick.interface import ListChange, Listing, Phase
 from cedarwick.net import intake as module
 from cedarwick.net.assignment import Assignment, plain
+from cedarwick.net.attempts import Attempts
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Answered, Desk
 from cedarwick.net.intake import Client, Handed, Intake
 from cedarwick.net.links import Descriptors, Links, NoDescriptorError
 from cedarwick.net.notices import Notices
-from cedarwick.net.shots import Shots
 from cedarwick.net.sockets import Polled, lies_there
 from cedarwick.store.journal import Store
 from cedarwick.store.records import Kept
@@ -299,7 +299,9 @@
             self.order.append("first byte" if desk.may_fire(number) else "held back")
             return desk.may_fire(number)
 
-        desk.shots = Shots(clock, counters, links, [], polled, desk.clear, desk.shot_ended, desk.heed, may_fire)
+        desk.attempts = Attempts(
+            clock, counters, links, [], polled, desk.clear, desk.attempt_ended, desk.heed, may_fire
+        )
         desk._listed(ListChange.SAVED, [Listing(1, 0, 0, 0, Phase.READY, 0.0)])
         door = Intake(("127.0.0.1", 0), clock, counters, descriptors, desk, lambda: True)
         self.addCleanup(door.listener.close)
@@ -324,7 +326,7 @@
         if kept_link:
             client.sendall(submit("first", body=b"1"))
             self.assertEqual(client.recv(9), OK)
-            passes(lambda: not desk.store.kept and not desk.shots.out)
+            passes(lambda: not desk.store.kept and not desk.attempts.out)
         self.bodies.clear()
         self.order.clear()
 
--- a/tests/test_crossings_restarts.py
+++ b/tests/test_crossings_restarts.py
@@ -24,12 +24,12 @@
 from cedarwick.interface import Outcome, Owed
 from cedarwick.net import assignment
 from cedarwick.net.assignment import Assignment
+from cedarwick.net.attempts import Call, Ending
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Desk, Submission
 from cedarwick.net.directory import Directory
 from cedarwick.net.notices import Notices
-from cedarwick.net.shots import Call, Ending
 from cedarwick.net.sockets import Polled, connected
 from cedarwick.store.journal import Store
 from cedarwick.store.records import Kept
@@ -62,7 +62,7 @@
 
 
 class Process:
-    """One process of a sender on its folder, without sockets: shots that are ordered stand in `calls`."""
+    """One process of a sender on its folder, without sockets: attempts that are ordered stand in `calls`."""
 
     def __init__(self, folder: str, settings: dict[str, Any], receivers: dict[str, str], later: int = 0) -> None:
         """`receivers`: the zone of each, by its uid; all are up, at destination 0. `later`: wall time has gone on by
@@ -74,7 +74,7 @@
         made = Assignment("n", ("", 0), ("", 0), folder, 1, 64, 1 << 20, {}, assignment.plain(copy.deepcopy(settings)))
         self.desk = Desk(made, self.clock, self.counters, self.store, Polled(self.clock))
         self.calls: list[Call] = []
-        self.desk.shots = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
+        self.desk.attempts = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
         self.desk.notices = Notices(("", 0), self.counters, self.desk.acknowledged)
         self.desk.free_links = lambda receiver: None
         self.directory = Directory(made, self.counters, self.desk._listed, lambda: None)
@@ -121,16 +121,16 @@
         *zones: str,
         spoil: int | None = None,
     ) -> tuple[set[str], list[tuple[bool, int] | None], set[int]]:
-        """A message has a shot at one zone under earlier settings: the zones to which it goes under later ones,
+        """A message has an attempt at one zone under earlier settings: the zones to which it goes under later ones,
         how it ends there, and the place of its tenant. `spoil`: what an older version recorded as the zone."""
         with tempfile.TemporaryDirectory() as folder:
             first = self.process(folder, EARLIER, only=earlier)
             first.submit("a", band, "second")
             if spoil is not None:
-                first.store.shot(1, first.clock.now(), spoil)
+                first.store.attempt(1, first.clock.now(), spoil)
             self.assertTrue(first.cleared(first.calls[0]))
             if outcome is not None:
-                first.desk._shot_ended(first.calls[0], Ending(outcome))
+                first.desk._attempt_ended(first.calls[0], Ending(outcome))
             first.store.close()
             second = self.process(folder, later, **{zone: zone for zone in zones})
             tenants = {handle.tenant for handle in second.desk.handles.values()}
@@ -142,12 +142,12 @@
                 second.desk._decide()
                 for call in second.calls:
                     gone.add(second.at(call))
-                    second.desk._shot_ended(call, Ending(Outcome.MOOT))
+                    second.desk._attempt_ended(call, Ending(Outcome.MOOT))
                 second.calls.clear()
             second.store.close()
             return gone, [kept.end for kept in second.store.kept.values()], tenants
 
-    def test_a_repeat_stays_in_the_zone_of_its_first_shot_whatever_place_that_has(self) -> None:
+    def test_a_repeat_stays_in_the_zone_of_its_first_attempt_whatever_place_that_has(self) -> None:
         for outcome in (None, Outcome.TIME_OUT):
             for zone in ("north", "south"):
                 with self.subTest(outcome=outcome, zone=zone):
@@ -188,7 +188,7 @@
     READ, KEPT, RECORDED, SENT, OUTCOME, ENDED, POSTED, ACKNOWLEDGED = range(8)
 
     def steps(self, process: Process, band: str, outcome: Outcome, told: list[str]) -> Iterator[int]:
-        """One message with one shot, one step after another; `told` gets what other parties see."""
+        """One message with one attempt, one step after another; `told` gets what other parties see."""
         process.desk._take(Submission(Kept(0, "a", "", 0, band, "", 0, process.clock.now() + 8_000_000, b"x")))
         yield self.READ
         process.desk._decide()
@@ -197,7 +197,7 @@
         yield self.RECORDED
         told.append("call")
         yield self.SENT  # whether the answer has been read or not
-        process.desk._shot_ended(process.calls[0], Ending(outcome, last=outcome is Outcome.COMPLETED))
+        process.desk._attempt_ended(process.calls[0], Ending(outcome, last=outcome is Outcome.COMPLETED))
         yield self.OUTCOME
         process.desk._decide()
         yield self.ENDED
@@ -229,7 +229,7 @@
                     for call in second.calls:
                         self.assertTrue(second.cleared(call))
                         told.append("call")
-                        second.desk._shot_ended(call, Ending(Outcome.COMPLETED, last=True))
+                        second.desk._attempt_ended(call, Ending(Outcome.COMPLETED, last=True))
                     second.calls.clear()
                 told.extend(self.posted(second))
                 second.desk._acknowledged(list(second.desk.notices.owed))
@@ -304,7 +304,7 @@
                 for now in range(NOW, NOW + 4_000 * MS, 100 * MS):
                     verdicts = made.decide(now)
                     self.assertEqual((verdicts.nacks, verdicts.write_offs), ([], []))
-                    untried -= {number for number, _, _ in verdicts.shots}
+                    untried -= {number for number, _, _ in verdicts.attempts}
                 self.assertEqual(len(untried), max(0, owed - 1))  # the one slot stays taken: all others are still held
                 made.room = 0
                 take(made, 1000)
@@ -312,22 +312,22 @@
 
 
 class InAShortWindow(unittest.TestCase):
-    """How long a numbered shot may take where the window for its repeats is as short as a second, or none."""
+    """How long a numbered attempt may take where the window for its repeats is as short as a second, or none."""
 
-    def patience(self, window: int, ran_ago: int | None, mean: int, shots: int = 0) -> int:
-        """In milliseconds, of 16 s; `ran_ago`: when an earlier shot was sent that may have run."""
+    def patience(self, window: int, ran_ago: int | None, mean: int, attempts: int = 0) -> int:
+        """In milliseconds, of 16 s; `ran_ago`: when an earlier attempt was sent that may have run."""
         made = sender(classes__1__dedup_window_ms=str(window), classes__1__in_turn="false")
         made.receivers[1].mean = mean * MS
         handle = take(made, 1, NUMBERED)
-        handle.shots = shots
+        handle.attempts = attempts
         if ran_ago is not None:
             handle.ran_at = NOW - ran_ago * MS
-        ordered = made.decide(NOW).shots
+        ordered = made.decide(NOW).attempts
         return ordered[0][2] // MS if ordered else 0
 
     def test_a_hang_leaves_room_for_a_repeat_where_the_usual_time_allows_it(self) -> None:
         left = 16_000 - 10
-        for window, ran_ago, mean, shots, expected in (
+        for window, ran_ago, mean, attempts, expected in (
             (1000, None, 100, 0, 500),
             (1400, None, 300, 0, 900),
             (1000, None, 0, 0, left),
@@ -342,8 +342,8 @@
             (100, None, 1, 0, left),
             (0, None, 1, 0, left),
         ):
-            with self.subTest(window=window, ran_ago=ran_ago, mean=mean, shots=shots):
-                self.assertEqual(self.patience(window, ran_ago, mean, shots), expected)
+            with self.subTest(window=window, ran_ago=ran_ago, mean=mean, attempts=attempts):
+                self.assertEqual(self.patience(window, ran_ago, mean, attempts), expected)
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.integers(0, 8000), st.one_of(st.none(), st.integers(0, 8000)), st.integers(0, 20_000))
@@ -387,12 +387,12 @@
         sock.close()
 
 
-@mock.patch("cedarwick.net.shots.FRESH", 60_000_000)  # no clearance grows old, however busy the machine is
+@mock.patch("cedarwick.net.attempts.FRESH", 60_000_000)  # no clearance grows old, however busy the machine is
 class OnTheWay(unittest.TestCase):
-    """What happens between the decision for a shot and its last byte."""
+    """What happens between the decision for an attempt and its last byte."""
 
     def start(self, buffers: int = 0) -> None:
-        """The desk, its shots and its links, against a partner that completes all calls."""
+        """The desk, its attempts and its links, against a partner that completes all calls."""
         self.made = test_waits.AgainstAPartner("kept_to_the_wait")
         self.addCleanup(self.made.doCleanups)
         play = lambda partner, sock, number: sock.sendall(reply(200))  # noqa: E731
@@ -404,8 +404,8 @@
         self.band.reissuable, self.band.window = False, 1_000_000  # numbered
 
     def before_clearing(self, then: Callable[[Call], None], after: Callable[[Call], None] = lambda call: None) -> None:
-        """Do something on the way to the desk of each shot, and on the way back."""
-        clear = self.desk.shots.clear
+        """Do something on the way to the desk of each attempt, and on the way back."""
+        clear = self.desk.attempts.clear
 
         def crossed(call: Call) -> bool:
             then(call)
@@ -413,13 +413,13 @@
             after(call)
             return may
 
-        self.desk.shots.clear = crossed
+        self.desk.attempts.clear = crossed
 
     def wait_for(self, true: Callable[[], Any]) -> None:
         until(lambda: gevent.sleep(0.005) or true(), 5.0)
 
     def window_left(self, left: int) -> Callable[[Call], None]:
-        """An earlier shot of the message may have run: its window is open for so long from now on."""
+        """An earlier attempt of the message may have run: its window is open for so long from now on."""
 
         def then(call: Call) -> None:
             handle = self.desk.handles[call.kept.number]
@@ -440,7 +440,7 @@
                 self.made.submit("a")
                 self.wait_for(lambda: self.partner.arrived or self.made.store.kept[1].end)
                 self.assertEqual([name for _, name in self.partner.arrived], ["a"] * goes)
-                self.assertEqual(self.counts["shots held back: their time was over"], not goes)
+                self.assertEqual(self.counts["attempts held back: their time was over"], not goes)
 
     def test_a_window_that_closes_within_the_write_keeps_the_last_byte_back(self) -> None:
         for goes in (False, True):
@@ -453,7 +453,7 @@
                 )
                 self.wait_for(lambda: self.partner.socks)
                 if not goes:
-                    self.wait_for(lambda: self.counts["shots without an answer: connect failed"])
+                    self.wait_for(lambda: self.counts["attempts without an answer: connect failed"])
                 self.partner.reads.set()
                 self.wait_for(lambda: not self.made.store.kept or self.made.store.kept[1].end)
                 self.assertEqual(len(self.partner.arrived), goes)
@@ -479,7 +479,7 @@
                             act(self.partner.socks[0])
                             acted.append(1)
                         elif self.desk.handles:
-                            acted.append(self.desk.handles[call.kept.number].shots)
+                            acted.append(self.desk.handles[call.kept.number].attempts)
 
                     self.before_clearing(cross)
                     self.made.submit("a", band="once")
@@ -494,15 +494,15 @@
         self.links.descriptors.limit = 0
         for name in "abc":
             self.made.submit(name, band="once")
-        self.wait_for(lambda: self.counts["trouble: no descriptor for a shot"] >= 3)
-        self.assertEqual({handle.shots - handle.out for handle in self.desk.handles.values()}, {0})
+        self.wait_for(lambda: self.counts["trouble: no descriptor for an attempt"] >= 3)
+        self.assertEqual({handle.attempts - handle.out for handle in self.desk.handles.values()}, {0})
         self.links.descriptors.limit = 8
         self.wait_for(lambda: len(self.partner.arrived) == 3)
         self.wait_for(lambda: not self.made.store.kept)
         self.assertEqual(self.desk.notices.owed, {})
-        self.assertLess(self.counts["trouble: no descriptor for a shot"], 9)
+        self.assertLess(self.counts["trouble: no descriptor for an attempt"], 9)
 
-    def test_a_shot_that_is_cut_while_the_desk_is_asked_gives_its_link_back(self) -> None:
+    def test_a_attempt_that_is_cut_while_the_desk_is_asked_gives_its_link_back(self) -> None:
         self.start()
         asked, never = gevent.event.Event(), gevent.event.Event()
 
@@ -514,8 +514,8 @@
         self.before_clearing(waits)
         self.made.submit("a")
         self.assertTrue(asked.wait(2.0))
-        self.desk.shots.cut({1})
-        self.wait_for(lambda: not self.made.store.kept and not self.desk.shots.out)
+        self.desk.attempts.cut({1})
+        self.wait_for(lambda: not self.made.store.kept and not self.desk.attempts.out)
         self.links.free(1)
         self.assertEqual(self.links.descriptors.used, 0)
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -245,7 +245,7 @@
         sock.sendall(HEAD + spoilt)
         sock, line = self.opened(within=0.3)
         self.assertIn(b"since=0 ", line)
-        self.assertFalse(self.made.first_news.is_set())  # shots would go by the saved list
+        self.assertFalse(self.made.first_news.is_set())  # attempts would go by the saved list
         sock.sendall(HEAD + spoilt)  # that is how it is: this one is listened to
         sock.sendall(self.piece(4, self.line("a", state="draining")))
         self.happens(lambda: self.phases() == "a-")
@@ -343,7 +343,7 @@
 
 
 class FirstShots(unittest.TestCase):
-    def test_while_the_first_answer_is_late_messages_are_kept_and_not_shot_on_the_saved_list(self) -> None:
+    def test_while_the_first_answer_is_late_messages_are_kept_and_not_attempt_on_the_saved_list(self) -> None:
         program = Program([Receiver(None), Receiver(reply(200))])
         self.addCleanup(program.close)
         program.configure(known={"rev": 0, "all": True, "targets": [program.target(0), program.target(1)]})
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -6,11 +6,11 @@
 
 from cedarwick.interface import ListChange, Listing, Outcome, Phase
 from cedarwick.net.assignment import Assignment
+from cedarwick.net.attempts import Attempts
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Desk, Submission
 from cedarwick.net.directory import Directory
 from cedarwick.net.intake import InvalidSubmitError, read_submission
-from cedarwick.net.shots import Shots
 from tests.build import NESTED, desk_alone
 
 OTHER: dict[str, Any] = {
@@ -32,7 +32,7 @@
 class Names(unittest.TestCase):
     def setUp(self) -> None:
         self.assignment, self.store, self.desk = desk_alone(self, OTHER)
-        self.desk.shots = SimpleNamespace(start=lambda call: None)  # type: ignore[assignment]
+        self.desk.attempts = SimpleNamespace(start=lambda call: None)  # type: ignore[assignment]
 
     def submit(self, band: bytes, tenant: bytes, name: bytes = b"a") -> Submission:
         pairs = b"c=" + band + b",d=8000,dest=0,t=" + tenant
@@ -84,10 +84,10 @@
                     self.desk.polled,
                 )
                 desk._listed(ListChange.SAVED, [Listing(1, 0, 0, 0, Phase.READY, 0.0)])
-                shots: Any = SimpleNamespace(columns=desk.sender.columns, counters=Counters())
+                attempts: Any = SimpleNamespace(columns=desk.sender.columns, counters=Counters())
                 now = desk.clock.now()
                 handle = desk.sender.take(now, 1, 0, 1, now + 8_000_000, 0, 0)
                 desk.sender.decide(now)
-                handle.shot_ended(now, Outcome.COMPLETED, 0, 1, 1000, 0, True, Shots._report(shots, text))
+                handle.attempt_ended(now, Outcome.COMPLETED, 0, 1, 1000, 0, True, Attempts._report(attempts, text))
                 pace = desk.sender.receivers[1].pace
                 self.assertEqual((pace.limit, pace.left), (80.0, 0.4))
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -222,7 +222,7 @@
 
 
 class FirstNews(unittest.TestCase):
-    def test_no_shot_of_a_kept_message_leaves_on_the_saved_list(self) -> None:
+    def test_no_attempt_of_a_kept_message_leaves_on_the_saved_list(self) -> None:
         program = Program([Receiver(None), Receiver(None)])
         self.addCleanup(program.close)
         program.start()
--- a/tests/test_fleet_facts.py
+++ b/tests/test_fleet_facts.py
@@ -66,25 +66,25 @@
 
 
 def may_have(kept: Kept) -> list[tuple[int, int]]:
-    """The shots that the decisions take for ones that may have run."""
-    return [(shot.sent_at, shot.zone) for shot in kept.earlier_shots() if shot.outcome is None]
+    """The attempts that the decisions take for ones that may have run."""
+    return [(attempt.sent_at, attempt.zone) for attempt in kept.earlier_attempts() if attempt.outcome is None]
 
 
 def knows_no_less(after: Kept, before: Kept) -> None:
-    assert after.shots >= before.shots, "a shot is forgotten"
+    assert after.attempts >= before.attempts, "an attempt is forgotten"
     if may_have(before):
         assert may_have(after) and min(may_have(after))[0] <= min(may_have(before))[0], "'never ran'"
 
 
 def grows(by: Join) -> None:
-    """Whatever one of two knew of shots and ends is known after they are joined."""
+    """Whatever one of two knew of attempts and ends is known after they are joined."""
 
     @quick
     @given(KNOWN, KNOWN)
     def each(a: Known, b: Known) -> None:
         both = by(a, b)
         assert facts.may_have_run(both) >= facts.may_have_run(a) and facts.over(both) >= facts.over(a)
-        assert facts.shots_of(both) >= facts.shots_of(a) and both.end >= a.end
+        assert facts.attempts_of(both) >= facts.attempts_of(a) and both.end >= a.end
         assert all(both.heads[term] >= head for term, head in a.heads.items())
         if not facts.over(both):
             knows_no_less(
@@ -198,8 +198,8 @@
         copy = ledger.kept(kept, b"x")
         for at, (what, zone) in enumerate(happened, 1):
             if what == "shot":
-                kept.shot(at, zone)
-                copy = join_facts(copy, ledger.shot(5, at, zone))
+                kept.attempt(at, zone)
+                copy = join_facts(copy, ledger.attempt(5, at, zone))
             elif what == "restart":
                 ledger = Ledger(ledger.term + 1)
                 copy = join_facts(copy, ledger.kept(kept, b"x"))
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -387,12 +387,12 @@
                 again._look_at(at, again.adoptions[BOOK])
                 self.assertEqual(again.adoptions[BOOK].stage is Stage.ASKING, asks)
 
-    def test_no_second_shot_goes_out_under_a_new_number_beside_the_first(self) -> None:
+    def test_no_second_attempt_goes_out_under_a_new_number_beside_the_first(self) -> None:
         node = self.member("own")
         holding = self.holding(node)
         holding.serving, node.store.current = True, holding
         node.store.keep(kept(1))
-        node.store.shot(number(1), CLOCK.now(), 0)
+        node.store.attempt(number(1), CLOCK.now(), 0)
         with mock.patch.object(node, "_rekey") as rekey:
             node._drop(BOOK)
             rekey.assert_not_called()
@@ -413,7 +413,7 @@
                 store = node.store
                 store.seen = seen
                 store.keep(kept(1))
-                store.shot(number(1), CLOCK.now(), 0)
+                store.attempt(number(1), CLOCK.now(), 0)
                 gone(store)
                 store.outcome(number(1), outcome)
                 self.assertEqual(
@@ -599,12 +599,12 @@
         self.assertEqual([each.number for each in decode_facts(offer.facts)], [number(1)])
         self.assertEqual((offer.term, adoption.stage), (1, Stage.GONE))
 
-    def test_a_copy_that_followed_behind_is_in_doubt_since_the_last_shot_it_heard_of(self) -> None:
-        shot = Fact(number(1), fact(1).base, Known({1: Head(1, True, 77, 0)}))
+    def test_a_copy_that_followed_behind_is_in_doubt_since_the_last_attempt_it_heard_of(self) -> None:
+        attempt = Fact(number(1), fact(1).base, Known({1: Head(1, True, 77, 0)}))
         for ack, behind, doubt in (("own", True, 77), ("copy", True, 77), ("own", False, 77), ("copy", False, 0)):
             node = self.member(ack)
             adoption = node.adoptions[BOOK] = Adoption(BOOK, "a", NAMES)
-            data, tail = encode_facts([shot]), encode_facts([fact(2)])
+            data, tail = encode_facts([attempt]), encode_facts([fact(2)])
             node.copies.piece(Piece(BOOK, 1, 0, EVERYTHING, data, 0, digest_of(data), behind))
             node.copies.facts(Facts(BOOK, 1, 0, tail, digest_of(tail)))
             node.copies.close()
--- a/tests/test_fleet_shipping.py
+++ b/tests/test_fleet_shipping.py
@@ -111,7 +111,7 @@
             if not number or what < 0.3:
                 self.take(self.draw.choice([0, 60, 900]))
             elif what < 0.5:
-                self.tell(self.ledger.shot(number, self.now + 1, self.draw.randrange(3)))
+                self.tell(self.ledger.attempt(number, self.now + 1, self.draw.randrange(3)))
             elif what < 0.65:
                 self.tell(self.ledger.outcome(number, self.draw.random() < 0.5, completed=self.draw.random() < 0.3))
             elif what < 0.75:
@@ -269,7 +269,7 @@
         with unittest.mock.patch.object(Copies, "_done", done):
             self.caught("an answer before writing")
 
-    def test_a_join_that_forgets_a_shot_is_noticed(self) -> None:
+    def test_a_join_that_forgets_a_attempt_is_noticed(self) -> None:
         with unittest.mock.patch.object(shipping, "join_facts", lambda a, b: a):
             self.caught("a join that forgets")
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -88,7 +88,7 @@
         self.assertEqual((found.status, found.void), (3, ""))
         self.assertEqual((clean.verdict.findings, clean.status), ([], 0))
 
-    def test_an_at_most_once_shot_that_is_repeated(self) -> None:
+    def test_an_at_most_once_attempt_that_is_repeated(self) -> None:
         self.check(
             "repeats_at_most_once", 2, day(band=[ONCE], partner=[msgspec.structs.replace(HOTEL, error_share=0.2)])
         )
@@ -111,7 +111,7 @@
         )
 
     def test_messages_that_are_lost(self) -> None:
-        self.check("loses_envelopes", 1, day())
+        self.check("loses_messages", 1, day())
 
     def test_ends_that_are_never_told(self) -> None:
         self.check("tells_no_end", 1, day(band=[ONCE], partner=[msgspec.structs.replace(HOTEL, error_share=0.2)]))
@@ -122,7 +122,7 @@
             "overtakes", 5, day(band=[line], partner=[msgspec.structs.replace(HOTEL, service=Service(mean_ms=80))])
         )
 
-    def test_two_shots_out_at_once(self) -> None:
+    def test_two_attempts_out_at_once(self) -> None:
         self.check(
             "two_out", 2, day(partner=[msgspec.structs.replace(HOTEL, service=Service(kind="fixed", mean_ms=60))])
         )
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,6 +16,7 @@
 from cedarwick.interface import ListChange, Listing, Outcome, Phase
 from cedarwick.net import assignment, intake
 from cedarwick.net.assignment import Assignment
+from cedarwick.net.attempts import Attempts, Call, Ending, wait_of
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
@@ -23,7 +24,6 @@
 from cedarwick.net.directory import Directory
 from cedarwick.net.http import Answer, InvalidResponseError
 from cedarwick.net.links import Descriptors, NoDescriptorError
-from cedarwick.net.shots import Call, Ending, Shots, wait_of
 from cedarwick.net.sockets import ended
 from cedarwick.store.records import Kept
 from tests.build import NESTED, desk_alone, reply, words
@@ -37,7 +37,7 @@
     def setUp(self) -> None:
         _, self.store, self.desk = desk_alone(self, NESTED)
         self.calls: list[Call] = []
-        self.desk.shots = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
+        self.desk.attempts = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
 
     def taken(
         self,
@@ -79,9 +79,9 @@
         self.desk.sender.bands[0].in_turn = True
         for name in "abc":
             self.taken(name=name, key=5)
-        self.desk._park([1, 2, 3])  # while the shot of the first is out
+        self.desk._park([1, 2, 3])  # while the attempt of the first is out
         self.desk._adopt([1, 2, 3])
-        self.desk._shot_ended(self.calls[0], Ending(Outcome.TIME_OUT))
+        self.desk._attempt_ended(self.calls[0], Ending(Outcome.TIME_OUT))
         line = self.desk.sender.turns.lines[5]
         self.assertEqual([handle.id for handle in line], [1, 2, 3])
         self.desk._park([2])  # somebody has told news of it
@@ -90,12 +90,12 @@
         line[2].out = True
         self.desk._park([2])
         self.desk._adopt([2])
-        self.assertEqual([handle.id for handle in line], [1, 3, 2])  # nothing begins while a shot of the key is out
+        self.assertEqual([handle.id for handle in line], [1, 3, 2])  # nothing begins while an attempt of the key is out
 
     def test_what_is_owed_elsewhere_goes_first_as_long_as_there_is_time(self) -> None:
         self.desk.sender.bands[0].in_turn = True
-        self.taken(name="held", key=5)  # number 1: its shot is out
-        self.desk._shot_ended(self.calls[0], Ending(Outcome.MOOT))
+        self.taken(name="held", key=5)  # number 1: its attempt is out
+        self.desk._attempt_ended(self.calls[0], Ending(Outcome.MOOT))
         self.desk._rest(frozenset([5, 6, 7]))
         for name, key, life in (("b", 5, 8_000_000), ("c", 6, 8_000_000), ("d", 7, 900_000), ("e", 8, 8_000_000)):
             self.taken(name=name, key=key, life=life)
@@ -121,11 +121,11 @@
         self.desk._adopt([1, 2, 3], quietly=True)
         self.assertEqual([each.id for each in self.desk.sender.turns.lines[5]], [1, 2, 3])
 
-    def test_an_message_is_kept_before_its_shot_starts(self) -> None:
+    def test_an_message_is_kept_before_its_attempt_starts(self) -> None:
         self.assertEqual(self.taken().answer.get(block=False), (Answered.KEPT, 0))
         self.assertEqual((list(self.store.kept), self.calls[0].kept), ([1], self.store.kept[1]))
 
-    def test_each_shot_is_a_call_of_its_own_whatever_the_settings_say(self) -> None:
+    def test_each_attempt_is_a_call_of_its_own_whatever_the_settings_say(self) -> None:
         self.assertEqual(self.desk.sender.settings["family-info.per-call"], "20")
         self.assertEqual(self.desk.sender.per_call, [])
 
@@ -151,7 +151,7 @@
     def test_a_completed_message_leaves_nothing_behind(self) -> None:
         self.taken()
         self.desk._clear(self.calls[0], AsyncResult())
-        self.desk._shot_ended(self.calls[0], Ending(Outcome.COMPLETED, last=True))
+        self.desk._attempt_ended(self.calls[0], Ending(Outcome.COMPLETED, last=True))
         self.assertEqual(
             (self.store.kept, self.desk.handles, self.desk.numbers, self.desk.sender.open), ({}, {}, {}, 0)
         )
@@ -189,7 +189,7 @@
         self.assertIs(cleared.get(block=False), False)
         self.assertEqual((self.store.kept, self.desk.handles, self.desk.sender.open), ({}, {}, 0))
 
-    def test_one_withdrawn_while_the_record_of_its_shot_was_waited_for_does_not_go_out(self) -> None:
+    def test_one_withdrawn_while_the_record_of_its_attempt_was_waited_for_does_not_go_out(self) -> None:
         self.store.awaited = True
         submission = self.taken()
         cleared: AsyncResult = AsyncResult()
@@ -203,15 +203,15 @@
             if not self.desk.queue.empty():
                 call, told = self.desk.queue.get()
                 call(*told)
-        self.desk._shot_ended(self.calls[0], Ending(Outcome.MOOT))
+        self.desk._attempt_ended(self.calls[0], Ending(Outcome.MOOT))
         self.assertEqual((self.store.kept, self.desk.handles, self.desk.leaving), ({}, {}, set()))
 
-    def test_the_record_of_a_shot_comes_before_its_first_byte(self) -> None:
+    def test_the_record_of_a_attempt_comes_before_its_first_byte(self) -> None:
         self.taken()
         cleared: AsyncResult = AsyncResult()
         self.desk._clear(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), True)
-        self.assertEqual(self.store.kept[1].shots, 1)
+        self.assertEqual(self.store.kept[1].attempts, 1)
 
     def test_what_reaches_its_limit_while_calls_hold_up_the_end_is_written_off(self) -> None:
         for name, life in (("out", 8_000_000), ("near", 40_000), ("later", 8_000_000)):
@@ -224,15 +224,15 @@
             self.assertEqual(sorted(self.desk.notices.owed), [2] * ending)
         self.assertEqual(self.desk.wake_at, self.store.kept[3].outer_limit - NEAR)
 
-    def test_no_shot_begins_when_the_end_is_near(self) -> None:
+    def test_no_attempt_begins_when_the_end_is_near(self) -> None:
         self.taken()
         self.desk._hold_fire()
         cleared: AsyncResult = AsyncResult()
         self.desk._clear(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
-        self.assertEqual(self.store.kept[1].shots, 0)
+        self.assertEqual(self.store.kept[1].attempts, 0)
 
-    def test_at_a_hand_over_what_comes_is_kept_and_not_shot(self) -> None:
+    def test_at_a_hand_over_what_comes_is_kept_and_not_attempt(self) -> None:
         self.desk._hold_fire(keeping=True)
         submission = Submission(Kept(0, "a", "", 0, "free", "second", 0, self.desk.clock.now() + 8_000_000, b"x"))
         self.desk._take(submission)
@@ -300,7 +300,7 @@
                     )
 
     def test_a_report_that_cannot_be_read_reaches_no_decision(self) -> None:
-        made = Shots(Clock(), Counters(), None, ["x0", "x1"], None, None, None, None)  # type: ignore[arg-type]
+        made = Attempts(Clock(), Counters(), None, ["x0", "x1"], None, None, None, None)  # type: ignore[arg-type]
         for text, expected in (
             ("x0=0.4,x1=25", [0.4, 25.0]),
             ("x1=25, x0=-1e-07", [-1e-07, 25.0]),
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from cedarwick.interface import EarlierShot, ListChange, Listing, Outcome, Owed, Phase
+from cedarwick.interface import EarlierAttempt, ListChange, Listing, Outcome, Owed, Phase
 from cedarwick.policy import SPAN, STEP_EVERY, WINDOW_BASE, Sender
 from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, end, out, sender, take
 
@@ -23,17 +23,17 @@
         end(handle, Outcome.TIME_OUT, NOW + 16_000 * MS)
         self.assertEqual(made.decide(NOW + 16_000 * MS).write_offs, [1])
 
-    def test_out_of_shots_is_answered_at_once(self) -> None:
+    def test_out_of_attempts_is_answered_at_once(self) -> None:
         made = sender()
         handle = out(made, 1)
-        handle.shots = 6
+        handle.attempts = 6
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(made.decide(NOW + 100 * MS).nacks, [(1, 0)])
 
-    def test_withdrawn_message_gets_no_shot(self) -> None:
+    def test_withdrawn_message_gets_no_attempt(self) -> None:
         made = sender()
         take(made, 1).withdrawn(NOW)
-        self.assertEqual(made.decide(NOW).shots, [])
+        self.assertEqual(made.decide(NOW).attempts, [])
 
 
 class NoEffectTwice(unittest.TestCase):
@@ -46,37 +46,37 @@
         made = sender()
         handle = out(made, 1, ONCE)
         end(handle, Outcome.FULL, NOW + 100 * MS)
-        self.assertEqual([shot[0] for shot in made.decide(handle.due + 9_000 * MS).shots], [1])
+        self.assertEqual([attempt[0] for attempt in made.decide(handle.due + 9_000 * MS).attempts], [1])
 
     def test_numbered_is_not_sent_past_its_window(self) -> None:
         made = sender()
         handle = out(made, 1, NUMBERED)
         end(handle, Outcome.ERROR, NOW + 6_001 * MS)
         verdicts = made.decide(NOW + 6_001 * MS)
-        self.assertEqual((verdicts.shots, verdicts.write_offs), ([], [1]))
+        self.assertEqual((verdicts.attempts, verdicts.write_offs), ([], [1]))
 
     def test_numbered_time_out_leaves_room_in_the_window(self) -> None:
         made = sender()
         take(made, 1, NUMBERED)
-        self.assertLess(made.decide(NOW).shots[0][2], 6_000 * MS)
+        self.assertLess(made.decide(NOW).attempts[0][2], 6_000 * MS)
 
     def test_where_slots_are_short_at_most_once_does_not_wait_to_the_end(self) -> None:
         made = sender(family_info__max_calls="2")
         made.receivers[1].mean = 500.0 * MS
         take(made, 1, ONCE)
         take(made, 2, ONCE)
-        self.assertEqual([shot[2] for shot in made.decide(NOW).shots], [3_000 * MS, 3_000 * MS])
+        self.assertEqual([attempt[2] for attempt in made.decide(NOW).attempts], [3_000 * MS, 3_000 * MS])
 
-    def test_a_lone_numbered_shot_does_not_hold_its_slot_to_the_end(self) -> None:
+    def test_a_lone_numbered_attempt_does_not_hold_its_slot_to_the_end(self) -> None:
         made = sender(classes__1__dedup_window_ms="16000")
         made.receivers[1].mean = 500.0 * MS
         take(made, 1, NUMBERED)
-        self.assertEqual(made.decide(NOW).shots[0][2], 2_000 * MS)
+        self.assertEqual(made.decide(NOW).attempts[0][2], 2_000 * MS)
 
-    def test_one_shot_at_a_time(self) -> None:
+    def test_one_attempt_at_a_time(self) -> None:
         made = sender()
         out(made, 1)
-        self.assertEqual(made.decide(NOW + 1_000 * MS).shots, [])
+        self.assertEqual(made.decide(NOW + 1_000 * MS).attempts, [])
 
 
 class Drains(unittest.TestCase):
@@ -84,13 +84,13 @@
         made = sender()
         made.listed(NOW, ListChange.CHANGES, [Listing(1, 0, 0, 7, Phase.DRAINING, 0.0)])
         take(made, 1)
-        self.assertEqual(made.decide(NOW).shots, [])
+        self.assertEqual(made.decide(NOW).attempts, [])
 
     def test_a_whole_list_replaces(self) -> None:
         made = sender(receivers=2)
         made.listed(NOW, ListChange.WHOLE, [Listing(2, 0, 0, 7, Phase.READY, 0.0)])
         take(made, 1)
-        self.assertEqual([shot[1] for shot in made.decide(NOW).shots], [2])
+        self.assertEqual([attempt[1] for attempt in made.decide(NOW).attempts], [2])
 
 
 class Returning(unittest.TestCase):
@@ -100,7 +100,7 @@
         end(out(made, 9), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
         for message in (2, 3, 4):
             take(made, message, now=NOW + 1_000 * MS)
-        self.assertEqual(len(made.decide(NOW + 5_000 * MS).shots), 1)
+        self.assertEqual(len(made.decide(NOW + 5_000 * MS).attempts), 1)
 
     def test_a_canary_that_found_no_slot_is_not_held_to_be_out(self) -> None:
         made = sender()
@@ -117,7 +117,7 @@
         end(handle, Outcome.COMPLETED, NOW + 3_000 * MS)
         for message in range(2, 9):
             take(made, message, now=NOW + 3_000 * MS)
-        self.assertEqual(made.decide(NOW + 3_000 * MS).shots, [])
+        self.assertEqual(made.decide(NOW + 3_000 * MS).attempts, [])
 
     def test_a_failure_starts_a_ramp_again(self) -> None:
         made = sender()
@@ -133,7 +133,7 @@
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertTrue(made.receivers[1].out_since)
 
-    def test_a_long_told_wait_is_an_outage_of_the_whole_destination(self) -> None:
+    def test_a_long_retry_after_wait_is_an_outage_of_the_whole_destination(self) -> None:
         made = sender(receivers=2)
         end(out(made, 1), Outcome.FULL, NOW + 100 * MS, told=5_000 * MS)
         self.assertTrue(all(receiver.out_since for receiver in made.receivers.values()))
@@ -143,22 +143,22 @@
         made.receivers[1].fulls, made.receivers[1].pace.rate = 1, 0.5
         for message in range(1, 10):
             take(made, message)
-        self.assertEqual(len(made.decide(NOW).shots), 4)
+        self.assertEqual(len(made.decide(NOW).attempts), 4)
 
     def test_an_message_joins_a_call_of_its_round_before_it_takes_a_slot(self) -> None:
         made = sender(receivers=2, kind=1, family_info__max_calls="1")
         for message in (1, 2, 3):
             take(made, message)
-        self.assertEqual(len({shot[1] for shot in made.decide(NOW).shots}), 1)
+        self.assertEqual(len({attempt[1] for attempt in made.decide(NOW).attempts}), 1)
         self.assertEqual(len(made.destinations[7].held), 0)
 
-    def test_silence_holds_further_shots(self) -> None:
+    def test_silence_holds_further_attempts(self) -> None:
         made = sender()
         out(made, 1)
         out(made, 2, now=NOW + MS)
         made.receivers[1].pace.proven = True
         take(made, 3, now=NOW + 2_500 * MS)
-        self.assertEqual(made.decide(NOW + 2_500 * MS).shots, [])
+        self.assertEqual(made.decide(NOW + 2_500 * MS).attempts, [])
 
     def test_a_replacement_of_a_lost_machine_starts_out(self) -> None:
         made = sender()
@@ -181,9 +181,9 @@
         made = sender(rate=4.0, balancers="200", weight_source="nominal")
         end(out(made, 1), Outcome.COMPLETED, NOW + 100 * MS)
         take(made, 2, now=NOW + 1_000 * MS)
-        self.assertEqual([shot[0] for shot in made.decide(NOW + 1_000 * MS).shots], [2])
+        self.assertEqual([attempt[0] for attempt in made.decide(NOW + 1_000 * MS).attempts], [2])
 
-    def test_a_cut_goes_by_the_shots_seen_however_long_ago(self) -> None:
+    def test_a_cut_goes_by_the_attempts_seen_however_long_ago(self) -> None:
         made = sender(balancers="200")
         made.started = NOW - 20_000 * MS
         end(out(made, 1), Outcome.FULL, NOW + 100 * MS)
@@ -209,7 +209,7 @@
             made = sender(balancers=senders, report__columns="x0,x1", rate=40.0, weight_source="nominal")
             handle = out(made, 1)
             made.receivers[1].pace.rate = 1.2 * 40 / int(senders)
-            handle.shot_ended(NOW + 100 * MS, Outcome.FULL, 0, 1, 100 * MS, 0, False, (left, 40.0))
+            handle.attempt_ended(NOW + 100 * MS, Outcome.FULL, 0, 1, 100 * MS, 0, False, (left, 40.0))
             self.assertAlmostEqual(made.receivers[1].pace.rate or 0.0, expected, 6, (senders, left))
 
     def test_a_sender_of_many_begins_little_above_its_even_part(self) -> None:
@@ -217,7 +217,7 @@
         self.assertAlmostEqual(made.receivers[1].pace.reference, 1.2 * 400 / 200)
 
     def told(self, made: Sender, *limits: float) -> float:
-        """The pace after reports that tell these limits, one after another; all come before the next shot."""
+        """The pace after reports that tell these limits, one after another; all come before the next attempt."""
         handle = out(made, 1)
         receiver = made.receivers[1]
         for limit in limits:
@@ -256,7 +256,7 @@
         for left, lost in ((0.1, False), (0.8, True)):
             made = sender(balancers="200", report__columns="x0,x1", rate=8.0, weight_source="nominal")
             handle = out(made, 1)
-            handle.shot_ended(NOW + 100 * MS, Outcome.FULL, 0, 1, 100 * MS, 0, False, (left, 8.0))
+            handle.attempt_ended(NOW + 100 * MS, Outcome.FULL, 0, 1, 100 * MS, 0, False, (left, 8.0))
             self.assertEqual(bool(made.receivers[1].out_since), lost)
 
     def test_gaps_between_canaries_grow_with_the_outage(self) -> None:
@@ -286,7 +286,7 @@
             end(handle, Outcome.COMPLETED, NOW + 100 * MS)
             self.assertEqual(receiver.back_at, NOW + back_at * MS, (senders, gap))
 
-    def test_a_told_wait_does_not_end_for_all_in_the_same_instant(self) -> None:
+    def test_a_retry_after_wait_does_not_end_for_all_in_the_same_instant(self) -> None:
         for senders, spread in (("2", False), ("200", True)):
             made = sender(balancers=senders)
             end(out(made, 1), Outcome.FULL, NOW + 100 * MS, told=4_000 * MS)
@@ -333,7 +333,7 @@
     def test_what_may_have_run_makes_way_before_what_is_more_important(self) -> None:
         made = sender(policy_limits__max_open="3", classes__2__worth="4")
         handle = out(made, 1)
-        handle.shot_ended(NOW, Outcome.ERROR, 0, 1, MS, 0, False, ())
+        handle.attempt_ended(NOW, Outcome.ERROR, 0, 1, MS, 0, False, ())
         made.receivers[1].pace.wait_until = NOW + 5_000 * MS
         take(made, 2, ONCE)
         verdicts = made.decide(NOW)
@@ -359,7 +359,7 @@
             made = sender(family_info__late=late, classes__0__late_worth="0.3", family_info__max_calls="1")
             take(made, 1)
             take(made, 2, now=now)
-            self.assertEqual([shot[0] for shot in made.decide(now).shots], [first])
+            self.assertEqual([attempt[0] for attempt in made.decide(now).attempts], [first])
 
     def test_where_senders_are_many_a_short_slot_goes_to_the_destination_that_answers_soon(self) -> None:
         for senders, first in (("2", 1), ("200", 2)):
@@ -368,14 +368,14 @@
             made.receivers[1].mean, made.receivers[8].mean = 2_000.0 * MS, 200.0 * MS
             take(made, 1)
             made.take(NOW, 2, 8, FREE, NOW + 16_000 * MS, 0, 0)
-            self.assertEqual([shot[0] for shot in made.decide(NOW).shots], [first])
+            self.assertEqual([attempt[0] for attempt in made.decide(NOW).attempts], [first])
 
     def test_the_first_of_a_key_counts_for_all_that_wait_behind_it(self) -> None:
         made = sender(family_info__max_calls="1", balancers="200")
         take(made, 1)
         for message in (2, 3, 4):
             take(made, message, NUMBERED, key=9)
-        self.assertEqual([shot[0] for shot in made.decide(NOW).shots], [2])
+        self.assertEqual([attempt[0] for attempt in made.decide(NOW).attempts], [2])
 
 
 class Order(unittest.TestCase):
@@ -383,7 +383,7 @@
         made = sender()
         out(made, 1, NUMBERED, key=9)
         take(made, 2, NUMBERED, key=9)
-        self.assertEqual(made.decide(NOW).shots, [])
+        self.assertEqual(made.decide(NOW).attempts, [])
 
     def test_the_next_of_a_key_goes_on_at_another_destination(self) -> None:
         made = sender()
@@ -392,16 +392,16 @@
         made.take(NOW, 2, 8, NUMBERED, NOW + 16_000 * MS, 0, 9)
         made.decide(NOW)
         end(handle, Outcome.COMPLETED, NOW + 100 * MS)
-        self.assertEqual([shot[0] for shot in made.decide(NOW + 100 * MS).shots], [2])
+        self.assertEqual([attempt[0] for attempt in made.decide(NOW + 100 * MS).attempts], [2])
 
     def test_a_key_rests_after_a_time_out_that_a_refusal_followed(self) -> None:
         made = sender()
         handle = out(made, 1, NUMBERED, key=9)
         take(made, 2, NUMBERED, key=9)
-        handle.shots, handle.ran_at, handle.doubtful_at = 6, NOW, NOW + 90 * MS
+        handle.attempts, handle.ran_at, handle.doubtful_at = 6, NOW, NOW + 90 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
         verdicts = made.decide(NOW + 100 * MS)
-        self.assertEqual((verdicts.shots, verdicts.write_offs), ([], [1]))
+        self.assertEqual((verdicts.attempts, verdicts.write_offs), ([], [1]))
         self.assertEqual(made.turns.rests[9], NOW + 390 * MS)
 
 
@@ -409,7 +409,7 @@
     def test_a_break_on_a_kept_link_is_no_evidence_and_needs_no_backing_off(self) -> None:
         made = sender()
         handle = out(made, 1)
-        handle.shot_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), kept_link=True)
+        handle.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), kept_link=True)
         self.assertEqual((list(made.receivers[1].recent), handle.due), ([], NOW + 9 * MS + 1))
         self.assertEqual(handle.ran_at, NOW)
 
@@ -417,13 +417,13 @@
         made = sender()
         once, free = take(made, 2, ONCE), out(made, 1)
         self.assertFalse(once.on_new_link())
-        free.shot_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), kept_link=True)
+        free.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), kept_link=True)
         self.assertEqual((once.on_new_link(), free.on_new_link()), (True, False))
         made.receivers[1].pace.proven = True
         for message in range(3, 30):
             now = NOW + message * 100 * MS
             handle = out(made, message, now=now)
-            handle.shot_ended(now, Outcome.COMPLETED, 0, 1, MS, 0, True, (), kept_link=True)
+            handle.attempt_ended(now, Outcome.COMPLETED, 0, 1, MS, 0, True, (), kept_link=True)
         self.assertFalse(once.on_new_link())
 
 
@@ -433,7 +433,7 @@
         for message in range(60):
             take(made, message, (FREE, ONCE)[message % 2])
         with mock.patch.object(made, "_with_room", wraps=made._with_room) as asked:
-            self.assertEqual(len(made.decide(NOW).shots), 2)
+            self.assertEqual(len(made.decide(NOW).attempts), 2)
             self.assertLess(asked.call_count, 10)
 
     def test_a_receiver_that_has_left_is_forgotten_once_nothing_is_out_there(self) -> None:
@@ -458,18 +458,18 @@
 
 
 class WaitsAndPace(unittest.TestCase):
-    def test_a_told_wait_binds_every_receiver_and_message(self) -> None:
+    def test_a_retry_after_wait_binds_every_receiver_and_message(self) -> None:
         made = sender(receivers=2)
         end(out(made, 1), Outcome.FULL, NOW + 100 * MS, told=800 * MS)
         take(made, 2, now=NOW + 200 * MS)
-        self.assertEqual(made.decide(NOW + 899 * MS).shots, [])
+        self.assertEqual(made.decide(NOW + 899 * MS).attempts, [])
 
-    def test_a_told_wait_binds_one_route_where_routes_are_apart(self) -> None:
+    def test_a_retry_after_wait_binds_one_route_where_routes_are_apart(self) -> None:
         made = sender(receivers=2, kind=1)
         handle = out(made, 1)
         end(handle, Outcome.FULL, NOW + 100 * MS, told=800 * MS, receiver=1)
         take(made, 2, now=NOW + 200 * MS)
-        self.assertEqual([shot[1] for shot in made.decide(NOW + 200 * MS).shots], [2])
+        self.assertEqual([attempt[1] for attempt in made.decide(NOW + 200 * MS).attempts], [2])
 
     def test_refusals_halve_the_pace_once_a_span(self) -> None:
         made = sender(rate=10.0, weight_source="nominal")
@@ -508,7 +508,7 @@
         handle = out(made, 1)
         pace = made.receivers[1].pace
         pace.rate, pace.cut_at = 1.0, NOW - SPAN
-        handle.shot_ended(NOW + STEP_EVERY, Outcome.COMPLETED, 0, 1, 100 * MS, 0, True, (0.9, 8.0))
+        handle.attempt_ended(NOW + STEP_EVERY, Outcome.COMPLETED, 0, 1, 100 * MS, 0, True, (0.9, 8.0))
         self.assertAlmostEqual(pace.rate, 1.0 + 4.8 * 0.2)
 
     def test_retry_waits_are_jittered_inside_the_doubling_window(self) -> None:
@@ -517,7 +517,7 @@
             made = sender()
             made.chance.state = seed
             handle = out(made, 1)
-            handle.shots = 2
+            handle.attempts = 2
             end(handle, Outcome.FULL, NOW)
             dues.append(handle.due - NOW)
         self.assertLess(max(dues), WINDOW_BASE * 2)
@@ -528,23 +528,23 @@
             made = sender(policy_limits__most_tries="12")
             made.chance.state, made.receivers[1].mean = seed, quickest
             handle = out(made, 1)
-            handle.shots = 8
+            handle.attempts = 8
             end(handle, Outcome.CONNECT_FAILED, NOW + 4_000 * MS)
             verdicts = made.decide(NOW + 4_000 * MS)
             self.assertEqual((verdicts.nacks, verdicts.write_offs), ([], []), (seed, quickest))
             self.assertLess(handle.due, NOW + 16_000 * MS - quickest)
 
-    def test_a_told_wait_beyond_its_time_ends_it_at_once(self) -> None:
+    def test_a_retry_after_wait_beyond_its_time_ends_it_at_once(self) -> None:
         made = sender()
         end(out(made, 1), Outcome.FULL, NOW + 100 * MS, told=17_000 * MS)
         self.assertEqual(made.decide(NOW + 100 * MS).nacks, [(1, 0)])
 
-    def test_shots_of_a_round_share_a_call_and_a_slot(self) -> None:
+    def test_attempts_of_a_round_share_a_call_and_a_slot(self) -> None:
         made = sender(kind=1)
         made.receivers[1].pace.rate = 0.5
         for message in (1, 2, 3):
             take(made, message, FREE)
-        self.assertEqual((len(made.decide(NOW).shots), made.calls_out), (3, 1))
+        self.assertEqual((len(made.decide(NOW).attempts), made.calls_out), (3, 1))
 
     def test_a_call_to_a_cold_route_stays_small(self) -> None:
         made = sender(kind=1)
@@ -552,50 +552,50 @@
         made.receivers[1].ramp.tokens = 1.0
         for message in range(1, 10):
             take(made, message)
-        self.assertEqual(len(made.decide(NOW).shots), 4)
+        self.assertEqual(len(made.decide(NOW).attempts), 4)
 
     def test_an_unproven_destination_gets_few_calls(self) -> None:
         made = sender()
         for message in range(1, 6):
             take(made, message)
-        self.assertEqual(len(made.decide(NOW).shots), 2)
+        self.assertEqual(len(made.decide(NOW).attempts), 2)
 
 
 class Restarts(unittest.TestCase):
-    def resumed(self, band: int, *shots: EarlierShot, key: int = 0, limit: int = 16_000) -> Sender:
+    def resumed(self, band: int, *attempts: EarlierAttempt, key: int = 0, limit: int = 16_000) -> Sender:
         made = sender()
-        made.resume(NOW, [Owed(1, 7, band, NOW + limit * MS, 0, key, shots)])
+        made.resume(NOW, [Owed(1, 7, band, NOW + limit * MS, 0, key, attempts)])
         return made
 
-    def test_at_most_once_with_a_shot_without_outcome_is_written_off(self) -> None:
-        verdicts = self.resumed(ONCE, EarlierShot(NOW - 900 * MS, 0, None)).decide(NOW)
-        self.assertEqual((verdicts.shots, verdicts.write_offs), ([], [1]))
+    def test_at_most_once_with_a_attempt_without_outcome_is_written_off(self) -> None:
+        verdicts = self.resumed(ONCE, EarlierAttempt(NOW - 900 * MS, 0, None)).decide(NOW)
+        self.assertEqual((verdicts.attempts, verdicts.write_offs), ([], [1]))
 
     def test_at_most_once_goes_again_when_nothing_ran(self) -> None:
-        verdicts = self.resumed(ONCE, EarlierShot(NOW - 900 * MS, 0, Outcome.FULL)).decide(NOW)
-        self.assertEqual([shot[0] for shot in verdicts.shots], [1])
+        verdicts = self.resumed(ONCE, EarlierAttempt(NOW - 900 * MS, 0, Outcome.FULL)).decide(NOW)
+        self.assertEqual([attempt[0] for attempt in verdicts.attempts], [1])
 
-    def test_numbered_counts_its_window_from_the_first_shot_that_may_have_run(self) -> None:
-        first, second = EarlierShot(NOW - 6_001 * MS, 0, Outcome.RESET), EarlierShot(NOW - 900 * MS, 0, None)
+    def test_numbered_counts_its_window_from_the_first_attempt_that_may_have_run(self) -> None:
+        first, second = EarlierAttempt(NOW - 6_001 * MS, 0, Outcome.RESET), EarlierAttempt(NOW - 900 * MS, 0, None)
         self.assertEqual(self.resumed(NUMBERED, first, second).decide(NOW).write_offs, [1])
-        self.assertEqual(len(self.resumed(NUMBERED, second).decide(NOW).shots), 1)
+        self.assertEqual(len(self.resumed(NUMBERED, second).decide(NOW).attempts), 1)
 
-    def test_the_count_of_shots_survives(self) -> None:
-        shots = [EarlierShot(NOW - 900 * MS, 0, Outcome.FULL)] * 6
-        self.assertEqual(self.resumed(FREE, *shots).decide(NOW).nacks, [(1, 0)])
+    def test_the_count_of_attempts_survives(self) -> None:
+        attempts = [EarlierAttempt(NOW - 900 * MS, 0, Outcome.FULL)] * 6
+        self.assertEqual(self.resumed(FREE, *attempts).decide(NOW).nacks, [(1, 0)])
 
     def test_past_its_outer_limit_it_ends_at_once(self) -> None:
         self.assertEqual(self.resumed(FREE, limit=-5).decide(NOW).nacks, [(1, 0)])
 
     def test_keys_rest_after_a_restart(self) -> None:
-        made = self.resumed(NUMBERED, EarlierShot(NOW - 900 * MS, 0, None), key=9)
+        made = self.resumed(NUMBERED, EarlierAttempt(NOW - 900 * MS, 0, None), key=9)
         verdicts = made.decide(NOW)
-        self.assertEqual((verdicts.shots, verdicts.wake_at), ([], NOW + 300 * MS))
-        self.assertEqual(len(made.decide(NOW + 300 * MS).shots), 1)
+        self.assertEqual((verdicts.attempts, verdicts.wake_at), ([], NOW + 300 * MS))
+        self.assertEqual(len(made.decide(NOW + 300 * MS).attempts), 1)
 
 
 class BeforeTheFirstByte(unittest.TestCase):
-    def test_a_shot_may_start_unless_something_was_heard(self) -> None:
+    def test_a_attempt_may_start_unless_something_was_heard(self) -> None:
         self.assertTrue(out(sender(), 1).may_start(NOW, 1))
 
     def test_not_after_a_wait_was_told(self) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -128,7 +128,7 @@
                 time.sleep(0.05)
         self.assertEqual([receiver.connections for receiver in program.receivers], [1, 3])
 
-    def test_a_told_wait_is_heeded(self) -> None:
+    def test_a_retry_after_wait_is_heeded(self) -> None:
         program = self.begin(lambda call: reply(200) if call > 1 else reply(429, "X-Backoff-Ms: 400"))
         self.hand_in(program, submit("a"))
         calls = until(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls)
@@ -226,7 +226,7 @@
         until(lambda: len(program.platform.notices) == 2)
         self.assertEqual(sorted(told["id"] for told in program.platform.notices), ["a", "b"])
 
-    def test_a_time_out_closes_its_link_before_a_further_shot(self) -> None:
+    def test_a_time_out_closes_its_link_before_a_further_attempt(self) -> None:
         program = self.begin(lambda call: None if call == 1 else reply(200))
         self.hand_in(program, submit("a"))
         until(lambda: len(program.receivers[0].calls) == 2)
--- a/tests/test_ramp_sum.py
+++ b/tests/test_ramp_sum.py
@@ -147,7 +147,7 @@
     def round(self, sender: int) -> None:
         made = self.senders[sender]
         verdicts = made.decide(self.now)
-        for message, receiver, patience in verdicts.shots:
+        for message, receiver, patience in verdicts.attempts:
             self.at(
                 self.now + TRIP // 2,
                 partial(
@@ -183,7 +183,7 @@
         if self.now >= self.down and sent_at < self.back and outcome not in (Outcome.COMPLETED, Outcome.MOOT):
             self.told[sender] = True
         done = outcome is Outcome.COMPLETED
-        handle.shot_ended(self.now, outcome, handle.shots - 1, receiver, self.now - sent_at, wait, done, report)
+        handle.attempt_ended(self.now, outcome, handle.attempts - 1, receiver, self.now - sent_at, wait, done, report)
         if done:
             self.served += 1
             self.in_time += self.now <= handle.expected_by
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -145,7 +145,7 @@
 
     def __init__(self, body: bytes) -> None:
         self.body = body
-        self.shots = 0
+        self.attempts = 0
         self.may_have_run = False
         self.out = False
         self.end: tuple[bool, int] | None = None
@@ -208,10 +208,10 @@
         else:
             self.doing = "shot", number
             try:
-                self.store.shot(number, self.chance.randrange(1, 10**9), number % 2)
+                self.store.attempt(number, self.chance.randrange(1, 10**9), number % 2)
             except NoSpaceError:
                 return
-            state.shots, state.out = state.shots + 1, True
+            state.attempts, state.out = state.attempts + 1, True
 
     def _owed(self, number: int, call: Any) -> None:
         try:
@@ -236,16 +236,16 @@
             found, state = again.kept[number], self.model[number]
             may_have_run = bool(found.ran_at or found.out_at or found.doubt_at)
             out = state.out and self.doing != ("outcome", number)  # that one may be told as 'never ran' by now
-            case.assertTrue(may_have_run or not (state.may_have_run or out), "a shot is forgotten")
+            case.assertTrue(may_have_run or not (state.may_have_run or out), "an attempt is forgotten")
             if number not in loose:
                 case.assertEqual(
-                    (found.shots, bool(found.out_at), bool(found.ran_at), found.end),
-                    (state.shots, state.out, state.may_have_run, state.end),
+                    (found.attempts, bool(found.out_at), bool(found.ran_at), found.end),
+                    (state.attempts, state.out, state.may_have_run, state.end),
                     number,
                 )
             if found.end is None:
                 case.assertEqual(again.body(number), state.body)
-            case.assertEqual(len(found.earlier_shots()), max(found.shots, may_have_run))
+            case.assertEqual(len(found.earlier_attempts()), max(found.attempts, may_have_run))
 
 
 class CrashAtEveryPoint(unittest.TestCase):
@@ -292,7 +292,7 @@
     def state_of(self, made: Store, number: int) -> State:
         found = made.kept[number]
         state = State(made.body(number) if found.end is None else b"")
-        state.shots, state.out, state.end = found.shots, bool(found.out_at), found.end
+        state.attempts, state.out, state.end = found.attempts, bool(found.out_at), found.end
         state.may_have_run = bool(found.ran_at)
         return state
 
@@ -388,7 +388,7 @@
         self.assertGreater(live, 0.8 * 400_000)
         for _ in range(6):  # many short records, in a folder that is full
             for number in range(1, count + 1):
-                made.shot(number, 5, 0)
+                made.attempt(number, 5, 0)
                 made.outcome(number, Outcome.FULL)
                 made.step()
         self.assertLessEqual(sum(map(len, folder.files.values())), 400_000)
@@ -424,7 +424,7 @@
         self.assertFalse(made.has_room(kept(count + 1)))
         for number in range(1, count + 1):
             try:
-                made.shot(number, 5, 0)
+                made.attempt(number, 5, 0)
             except NoSpaceError:
                 pass  # it must not go out, then
             try:
@@ -451,7 +451,7 @@
         made.step()
         self.assertEqual(dict(store(Fake(folder.files)).kept), {})
 
-    def test_bodies_beyond_the_bound_lie_on_disk_only_and_are_read_for_the_shot(self) -> None:
+    def test_bodies_beyond_the_bound_lie_on_disk_only_and_are_read_for_the_attempt(self) -> None:
         made = store(Fake(), bodies=350)
         for number in range(1, 8):
             made.keep(kept(number))
@@ -480,7 +480,7 @@
         for number in range(1, 41):
             made.keep(kept(number))
             made.next_number = number + 1
-            made.shot(number, 1000 + number, 0)
+            made.attempt(number, 1000 + number, 0)
             made.outcome(number, Outcome.FULL)
         made.over(7)
 
@@ -525,7 +525,7 @@
         # The doubt is written down: it does not go when the program starts again.
         again = store(Fake(self.folder.files), limit=1_000_000)
         self.assertTrue(
-            all(each.earlier_shots()[0].outcome is None for number, each in again.kept.items() if number in doubted)
+            all(each.earlier_attempts()[0].outcome is None for number, each in again.kept.items() if number in doubted)
         )
         third = store(Fake(self.folder.files), limit=1_000_000)
         self.assertEqual({n for n, each in third.kept.items() if each.doubt_at}, set(doubted))
@@ -572,7 +572,7 @@
         self.assertNotIn(segment.number, made.book.segments)
         self.assertTrue(any(b"\x63future" in data for data in self.folder.files.values()))
 
-    def test_an_unknown_kind_that_may_speak_of_a_shot_puts_its_message_in_doubt(self) -> None:
+    def test_an_unknown_kind_that_may_speak_of_a_attempt_puts_its_message_in_doubt(self) -> None:
         made = store(self.folder, limit=1_000_000)
         made._append(b"\x20" + (12).to_bytes(8, "little") + b"?", "short")
         self.assertEqual(self.doubtful(), [12])
@@ -590,7 +590,7 @@
             again.step()
         self.assertIn(name, self.folder.files)
 
-    def test_at_random_never_a_forgotten_shot_and_never_an_exception(self) -> None:
+    def test_at_random_never_a_forgotten_attempt_and_never_an_exception(self) -> None:
         whole = {name: bytes(data) for name, data in self.folder.files.items()}
         for seed in range(300):
             chance = random.Random(seed)
@@ -603,7 +603,7 @@
             made = store(Fake(files), limit=1_000_000)
             made.book.check()
             for each in made.kept.values():
-                each.earlier_shots()
+                each.earlier_attempts()
 
 
 class FirstFormat(unittest.TestCase):
@@ -616,8 +616,8 @@
             head = old.KEPT_BODY.pack(old.KEPT, number, 10**15, 0, 0, *map(len, texts))
             parts.append(head + b"".join(texts) + b"body")
         parts += [
-            old.SHOT_BODY.pack(old.SHOT, 1, 50, 0),
-            old.SHOT_BODY.pack(old.SHOT, 2, 60, 0),
+            old.ATTEMPT_BODY.pack(old.ATTEMPT, 1, 50, 0),
+            old.ATTEMPT_BODY.pack(old.ATTEMPT, 2, 60, 0),
             old.OUTCOME_BODY.pack(old.OUTCOME, 2, list(Outcome).index(Outcome.FULL)),
             old.END_BODY.pack(old.END, 3, 1, 250),
             old.OVER_BODY.pack(old.OVER, 4),
@@ -627,7 +627,7 @@
     def check(self, made: Store) -> None:
         self.assertEqual(sorted(made.kept), [1, 2, 3])
         self.assertEqual(
-            (made.kept[1].out_at, made.kept[2].shots, made.kept[2].ran_at, made.kept[3].end), (50, 1, 0, (True, 250))
+            (made.kept[1].out_at, made.kept[2].attempts, made.kept[2].ran_at, made.kept[3].end), (50, 1, 0, (True, 250))
         )
         self.assertEqual((made.body(1), made.restarted), (b"body", True))
 
@@ -676,14 +676,14 @@
         made.close()
         store(Folder(self.path)).close()
 
-    def test_what_is_kept_comes_back_with_its_shots_and_numbers_are_not_used_again(self) -> None:
+    def test_what_is_kept_comes_back_with_its_attempts_and_numbers_are_not_used_again(self) -> None:
         made = store(Folder(self.path))
         for number in (1, 2, 3, 4):
             made.keep(Kept(number, f"id-{number}", "k", 7, "band", "tenant", 3, 99, b"body"))
-        made.shot(1, 500, 2)
+        made.attempt(1, 500, 2)
         made.outcome(1, Outcome.FULL)
-        made.shot(1, 900, 1)
-        made.shot(2, 500, 0)
+        made.attempt(1, 900, 1)
+        made.attempt(2, 500, 0)
         made.outcome(2, Outcome.COMPLETED)
         made.ended(3, True, 40)
         made.over(4)
@@ -695,7 +695,7 @@
             ("id-1", "k", 7, "band", "tenant", 3, 99, b"body"),
         )
         self.assertEqual(
-            [(shot.sent_at, shot.zone, shot.outcome) for shot in back.earlier_shots()],
+            [(attempt.sent_at, attempt.zone, attempt.outcome) for attempt in back.earlier_attempts()],
             [(900, 1, None), (0, 0, Outcome.MOOT)],
         )
         self.assertEqual(
@@ -762,23 +762,23 @@
 
 
 class Folding(unittest.TestCase):
-    def test_a_shot_without_an_outcome_before_another_may_have_run(self) -> None:
+    def test_a_attempt_without_an_outcome_before_another_may_have_run(self) -> None:
         made = kept(1)
-        made.shot(50, 2)
-        made.shot(90, 1)
+        made.attempt(50, 2)
+        made.attempt(90, 1)
         made.outcome(never_ran=True)
-        self.assertEqual((made.shots, made.ran_at, made.ran_zone, made.out_at), (2, 50, 2, 0))
+        self.assertEqual((made.attempts, made.ran_at, made.ran_zone, made.out_at), (2, 50, 2, 0))
         self.assertEqual(
-            [(each.sent_at, each.outcome) for each in made.earlier_shots()], [(50, None), (0, Outcome.MOOT)]
+            [(each.sent_at, each.outcome) for each in made.earlier_attempts()], [(50, None), (0, Outcome.MOOT)]
         )
 
-    def test_the_first_that_may_have_run_counts_and_doubt_is_a_shot_that_no_zone_can_repeat(self) -> None:
+    def test_the_first_that_may_have_run_counts_and_doubt_is_a_attempt_that_no_zone_can_repeat(self) -> None:
         made = kept(1)
         for at in (10, 20):
-            made.shot(at, 0)
+            made.attempt(at, 0)
             made.outcome(never_ran=False)
         made.doubt_at = 5
-        self.assertEqual([(each.sent_at, each.zone) for each in made.earlier_shots()], [(5, -1), (10, 0)])
+        self.assertEqual([(each.sent_at, each.zone) for each in made.earlier_attempts()], [(5, -1), (10, 0)])
 
 
 class Codec(unittest.TestCase):
--- a/tests/test_store_tools.py
+++ b/tests/test_store_tools.py
@@ -50,7 +50,7 @@
     def test_dump_tells_every_message(self) -> None:
         rows = [json.loads(line) for line in self.run_("dump", self.path).output.splitlines()]
         self.assertEqual([row["number"] for row in rows], sorted(self.made.kept))
-        self.assertEqual([row["shots"] for row in rows], [self.made.kept[row["number"]].shots for row in rows])
+        self.assertEqual([row["shots"] for row in rows], [self.made.kept[row["number"]].attempts for row in rows])
 
     def test_compact_needs_the_folder_for_itself_and_leaves_what_lives(self) -> None:
         held = self.run_("compact", self.path)
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -148,8 +148,8 @@
     return made, box
 
 
-def happen(made: Source, *shots: int) -> None:
-    for each in shots:
+def happen(made: Source, *attempts: int) -> None:
+    for each in attempts:
         made.happened(0, "nacked", {"shots": each})
 
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -28,10 +28,10 @@
 from cedarwick.fleet.shipping import Entry as Step
 from cedarwick.fleet.traffic import HEIRS, Estate, Traffic
 from cedarwick.interface import Outcome
+from cedarwick.net.attempts import Ending
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Answered, Submission
-from cedarwick.net.shots import Ending
 from cedarwick.ops.calls import Call
 from cedarwick.store.journal import NoSpaceError
 from cedarwick.store.records import Kept
@@ -467,7 +467,7 @@
         self.assertEqual((fresh.answer.get()[0], fresh.kept.number), (Answered.FROZEN, 0))
         self.assertEqual(self.submission("c").answer.get()[0], Answered.FROZEN)
         self.assertFalse(still.ready())
-        self.desk._shot_ended(self.calls[0], Ending(Outcome.RESET))
+        self.desk._attempt_ended(self.calls[0], Ending(Outcome.RESET))
         self.assertTrue(still.ready())
         self.assertTrue(self.store.kept[1].ran_at)
         self.desk._adopt([1])
@@ -485,7 +485,7 @@
         self.submission("a")
         self.desk._decide()
         self.frozen()
-        self.desk._shot_ended(self.calls[0], Ending(Outcome.MOOT))
+        self.desk._attempt_ended(self.calls[0], Ending(Outcome.MOOT))
         self.desk._thaw(KEY)
         before = self.desk.sender.turns.all_rest
         self.desk._adopt([1], quietly=True)
--- a/tests/test_virtual_days.py
+++ b/tests/test_virtual_days.py
@@ -35,9 +35,9 @@
 
 
 def forgetful(fact: Fact, doubt_at: int = 0) -> Kept:
-    """Who takes a message over knows nothing of its shots."""
+    """Who takes a message over knows nothing of its attempts."""
     kept = kept_of(fact, doubt_at)
-    kept.shots = kept.ran_at = kept.out_at = kept.doubt_at = 0
+    kept.attempts = kept.ran_at = kept.out_at = kept.doubt_at = 0
     return kept
 
 
@@ -117,7 +117,7 @@
         account = play(3, ack="copy", seconds=SECONDS, sessions=True, subscribers=2).account
         self.assertEqual(told, {"seed": 3, "findings": [], "account": msgspec.to_builtins(account)})
 
-    def test_an_adopter_that_forgets_shots_is_found(self) -> None:
+    def test_an_adopter_that_forgets_attempts_is_found(self) -> None:
         told: dict[str, Any] = {"seconds": SECONDS, "kinds": ("kill", "folder-lost"), "level": "worst"}
         self.assertEqual([], play(4, **told).findings)
         with patch.object(book, "kept_of", forgetful):
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -1,4 +1,4 @@
-"""Told waits hold: every way from a refusal's head to the decisions, and from a decision to a first byte."""
+"""Retry-After waits hold: every way from a refusal's head to the decisions, and from a decision to a first byte."""
 
 import socket
 import tempfile
@@ -10,15 +10,15 @@
 import gevent
 
 from cedarwick.interface import ListChange, Listing, Outcome, Phase
-from cedarwick.net import assignment, shots
+from cedarwick.net import assignment, attempts
 from cedarwick.net.assignment import Assignment
+from cedarwick.net.attempts import Attempts, Call, Ending, wait_of
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.desk import Desk, Submission
 from cedarwick.net.http import Answer
 from cedarwick.net.links import Descriptors, Link, Links
 from cedarwick.net.notices import Notices
-from cedarwick.net.shots import Call, Ending, Shots, wait_of
 from cedarwick.net.sockets import Polled
 from cedarwick.store.journal import Store
 from cedarwick.store.records import Kept
@@ -58,7 +58,7 @@
         self.told.append(time.monotonic())
 
     def too_soon(self) -> list[str]:
-        """Ids of calls that arrived within a told wait, as the protocol page counts it."""
+        """Ids of calls that arrived within a Retry-After wait, as the protocol page counts it."""
         return [name for at, name in self.arrived for told in self.told if told + SLACK < at < told + WAIT / 1e6]
 
 
@@ -76,7 +76,7 @@
 
 
 class AgainstAPartner(unittest.TestCase):
-    """The desk, its shots and its links against one scripted partner."""
+    """The desk, its attempts and its links against one scripted partner."""
 
     def start(self, play: Play, once: bool = False) -> None:
         self.partner = Partner(play)
@@ -95,14 +95,14 @@
         )
         self.desk.notices = Notices(("", 0), self.counters, lambda numbers: None)
         self.desk.free_links = lambda receiver: None
-        self.desk.shots = Shots(
+        self.desk.attempts = Attempts(
             self.clock,
             self.counters,
             self.links,
             self.desk.sender.columns,
             polled,
             self.desk.clear,
-            self.desk.shot_ended,
+            self.desk.attempt_ended,
             self.desk.heed,
         )
         self.desk._listed(ListChange.SAVED, [Listing(1, 0, 0, 0, Phase.READY, 0.0)])
@@ -155,7 +155,7 @@
         given_up = threading.Event()
         self.start(refuses_first(given_up))
         self.submit("first", life=250 * MS)
-        until(lambda: gevent.sleep(0.005) or self.counters.counts["shots without an answer: time-out"], 2.0)
+        until(lambda: gevent.sleep(0.005) or self.counters.counts["attempts without an answer: time-out"], 2.0)
         given_up.set()
         gevent.sleep(0.02)
         self.feed(0.5)
@@ -188,7 +188,7 @@
     def test_a_process_stopped_between_clearance_and_first_byte_asks_again(self) -> None:
         second_cleared = threading.Event()
         self.start(refuses_first(second_cleared))
-        clear = self.desk.shots.clear
+        clear = self.desk.attempts.clear
 
         def stopped(call: Call) -> bool:
             may = clear(call)
@@ -197,7 +197,7 @@
                 time.sleep(0.25)  # as SIGSTOP does: the refusal comes meanwhile, and nothing is read
             return may
 
-        self.desk.shots.clear = stopped
+        self.desk.attempts.clear = stopped
         self.submit("first")
         until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
         self.submit("second")
@@ -205,21 +205,21 @@
         self.assertGreaterEqual(self.counters.counts["clearances that grew old"], 1)
         self.kept_to_the_wait()
 
-    def test_a_shot_whose_clearances_all_grow_old_is_decided_on_anew(self) -> None:
+    def test_a_attempt_whose_clearances_all_grow_old_is_decided_on_anew(self) -> None:
         self.start(lambda partner, sock, number: sock.sendall(reply(200)))
-        clear = self.desk.shots.clear
-        slow = iter([True] * shots.MOST_ASKED)
+        clear = self.desk.attempts.clear
+        slow = iter([True] * attempts.MOST_ASKED)
 
         def stopped(call: Call) -> bool:
             may = clear(call)
             if next(slow, False):
-                time.sleep(shots.FRESH * 1.2 / 1e6)
+                time.sleep(attempts.FRESH * 1.2 / 1e6)
             return may
 
-        self.desk.shots.clear = stopped
+        self.desk.attempts.clear = stopped
         self.submit("first", band="once")
         until(lambda: gevent.sleep(0.005) or self.counters.counts["answers 200"], 2.0)
-        self.assertEqual(self.counters.counts["shots without an answer: moot"], 1)
+        self.assertEqual(self.counters.counts["attempts without an answer: moot"], 1)
         self.assertEqual([name for _, name in self.partner.arrived], ["first"])
 
     def test_a_refusal_read_in_the_same_round_goes_before_a_clearance(self) -> None:
@@ -228,13 +228,13 @@
         self.submit("second")
         until(lambda: gevent.sleep(0.005) or len(self.partner.arrived) == 2, 2.0)
         handles = list(self.desk.handles.values())
-        handles[1].shot_ended(self.clock.now(), Outcome.MOOT, 0, 1, 0, 0, False, ())
+        handles[1].attempt_ended(self.clock.now(), Outcome.MOOT, 0, 1, 0, 0, False, ())
         kept = self.store.kept[1], self.store.kept[2]
         call = Call(kept[1], 1, 1, self.clock.now(), self.clock.now() + 1_000_000)
         asking = gevent.spawn(self.desk.clear, call)
         gevent.sleep(0)  # the question stands in the queue, and the refusal behind it
         refused = Call(kept[0], 0, 1, self.clock.now(), self.clock.now() + 1_000_000)
-        self.desk.shot_ended(refused, Ending(Outcome.FULL, 1000, WAIT))
+        self.desk.attempt_ended(refused, Ending(Outcome.FULL, 1000, WAIT))
         self.assertIs(asking.get(timeout=1.0), False)
 
 
@@ -250,14 +250,14 @@
             far.shutdown(socket.SHUT_WR)
             told: list[int] = []
             clock = Clock()
-            made = Shots(
+            made = Attempts(
                 clock,
                 Counters(),
                 None,  # type: ignore[arg-type]
                 [],
                 None,  # type: ignore[arg-type]
                 None,  # type: ignore[arg-type]
-                lambda call, ending: told.append(ending.told_wait),
+                lambda call, ending: told.append(ending.retry_after),
                 lambda waits: None,
             )
             link = Link(near, 1, ("", 0))
@@ -285,11 +285,11 @@
         end(out(made, 1), Outcome.FULL, NOW, told=10**30)
         self.assertLessEqual(made.receivers[1].pace.wait_until, NOW + 3_600_000 * MS)
         handle = out(made, 2, now=NOW)
-        self.assertEqual(handle.shots, 0)  # it ends at once: nothing may go in its time
+        self.assertEqual(handle.attempts, 0)  # it ends at once: nothing may go in its time
         later = NOW + 3_600_000 * MS + 20_000 * MS
         made.take(later, 3, 7, FREE, later + 16_000 * MS, 0, 0)
         for step in range(200):
-            if made.decide(later + step * 100 * MS).shots:
+            if made.decide(later + step * 100 * MS).attempts:
                 return
         self.fail("the sender stays silent")
 
@@ -297,16 +297,16 @@
         made = sender()
         made.heed(NOW, 1, NOW + WAIT)
         take(made, 1)
-        self.assertEqual(made.decide(NOW).shots, [])
-        self.assertEqual(made.decide(NOW + WAIT - 1).shots, [])
-        self.assertEqual(len(made.decide(NOW + WAIT).shots), 1)
+        self.assertEqual(made.decide(NOW).attempts, [])
+        self.assertEqual(made.decide(NOW + WAIT - 1).attempts, [])
+        self.assertEqual(len(made.decide(NOW + WAIT).attempts), 1)
 
     def test_a_wait_that_is_told_while_a_call_is_out_stops_the_next(self) -> None:
         made = sender()
         first = out(made, 1, ONCE)
         made.heed(NOW, 1, NOW + WAIT)
         second = take(made, 2)
-        self.assertEqual(made.decide(NOW).shots, [])
+        self.assertEqual(made.decide(NOW).attempts, [])
         self.assertFalse(second.may_start(NOW + WAIT - 1, 1))
         end(first, Outcome.TIME_OUT, NOW + 1)
         self.assertEqual(made.decide(NOW + 2).write_offs, [1])
@@ -321,5 +321,5 @@
             back = NOW + 55_000 * MS
             made.listed(back, ListChange.CHANGES, [gone._replace(phase=Phase.READY)])
             handle = made.take(back, 1, 7, FREE, back + 16_000 * MS, 0, 0)
-            self.assertEqual(made.decide(back).shots, [], kind)
+            self.assertEqual(made.decide(back).attempts, [], kind)
             self.assertFalse(handle.may_start(back, 1))
