--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -75,9 +75,9 @@
         elif code == 20:
             instance.notes_dropped += 1
         elif code == 50:
-            _, message, tenant, _, limit, _, key, destination, band = values
+            _, message, tenant, _, limit, _, key, destination, priority_class = values
             instance.handles[message] = sender.take(
-                now, message, int(destination), band, codec.micros(limit), tenant, key
+                now, message, int(destination), priority_class, codec.micros(limit), tenant, key
             )
         elif code == 70:
             _, message, rc, attempt, note, receiver, last, took, _ = values
--- a/cedarwick/events/measure.py
+++ b/cedarwick/events/measure.py
@@ -21,22 +21,23 @@
 ROUNDS = 3
 BUDGET = 200_000  # filters times events that one round of the slower kinds tests
 DESTINATIONS, TENANTS = 400, 200
-BANDS = ("free", "guarded", "single")
+PRIORITY_CLASSES = ("free", "guarded", "single")
 
 
 def typical(chance: random.Random) -> str:
-    """Most name a destination or a tenant, with a band, a kind or an age beside it; some are loose."""
+    """Most name a destination or a tenant, with a priority class, a kind or an age beside it; some are loose."""
     destination = f"destination = {chance.randrange(DESTINATIONS)}"
     tenant = f'tenant = "t{chance.randrange(TENANTS)}"'
-    band = f'band = "{chance.choice(BANDS)}"'
+    priority_class = f'band = "{chance.choice(PRIORITY_CLASSES)}"'
     kind = f'kind = "{chance.choice(("nacked", "written-off", "completed", "outcome"))}"'
     shapes = [
         f"{destination} and {tenant}",
         f"{destination} and {kind} and age > {chance.randrange(100, 9000)}ms",
-        f"{tenant} and {kind} and {band}",
+        f"{tenant} and {kind} and {priority_class}",
         f"{tenant} and {destination} and shots in 2..{chance.randrange(3, 9)}",
-        f"({destination} or {tenant}) and {kind} and not {band}",
-        f'tenant in ("t{chance.randrange(TENANTS)}", "t{chance.randrange(TENANTS)}") and {band} and {destination}',
+        f"({destination} or {tenant}) and {kind} and not {priority_class}",
+        f'tenant in ("t{chance.randrange(TENANTS)}", "t{chance.randrange(TENANTS)}") '
+        f"and {priority_class} and {destination}",
         f'id like "{chance.randrange(1 << 20):05x}*"',
         f'receiver = "r{chance.randrange(2000)}" and {kind}',
     ]
@@ -59,7 +60,7 @@
     kind = chance.choice(["taken", "shot", "outcome", "outcome", "completed", "completed", "nacked", "written-off"])
     fields: dict[str, Any] = {
         "id": f"{chance.getrandbits(128):032x}",
-        "band": chance.choice(BANDS),
+        "band": chance.choice(PRIORITY_CLASSES),
         "hall": "north",
         "sender": "s1",
         "tenant": f"t{chance.randrange(TENANTS)}",
--- a/cedarwick/events/witness.py
+++ b/cedarwick/events/witness.py
@@ -51,17 +51,21 @@
     def message(self, kind: str, kept: Kept, figure: int) -> dict[str, Value]:
         """The fields of an event of a message; `figure` as `Shared.seen` has it."""
         now, life = self.desk.clock.now(), self._life(kept.number)
-        band = self.desk.sender.bands[self.desk.bands[kept.band]] if kept.band in self.desk.bands else None
+        priority_class = (
+            self.desk.sender.priority_classes[self.desk.priority_classes[kept.priority_class]]
+            if kept.priority_class in self.desk.priority_classes
+            else None
+        )
         fields: dict[str, Value] = {
             **self.here,
             "id": kept.id[:LONGEST_TEXT],
-            "band": kept.band[:LONGEST_TEXT],
+            "band": kept.priority_class[:LONGEST_TEXT],
             "destination": kept.destination,
         }
         if kept.tenant:
             fields["tenant"] = kept.tenant[:LONGEST_TEXT]
-        if band is not None:
-            fields |= {"worth": float(band.priority_weight), "at_most_once": band.at_most_once}
+        if priority_class is not None:
+            fields |= {"worth": float(priority_class.priority_weight), "at_most_once": priority_class.at_most_once}
         if kind == "taken":
             life.taken_at = now
             return fields
--- a/cedarwick/fleet/book.py
+++ b/cedarwick/fleet/book.py
@@ -309,7 +309,7 @@
         marked = [
             with_end(fact, Rank.FAILED)
             if fact.base is not None
-            and fact.base.outer_limit <= late
+            and fact.base.deadline <= late
             and fact.known.end[0] is Rank.NONE
             and not (fact.known.move or (0, ""))[1]
             else fact
--- a/cedarwick/fleet/facts.py
+++ b/cedarwick/fleet/facts.py
@@ -77,10 +77,10 @@
     id: Text
     key: Text
     turn: Annotated[int, msgspec.Meta(ge=0)]  # 0 for none; the whole of 64 bits
-    band: Text
+    priority_class: Text
     tenant: Text
     destination: Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]  # what the folder's record holds
-    outer_limit: Count  # wall microseconds
+    deadline: Count  # wall microseconds
     body: Body
 
 
@@ -156,7 +156,7 @@
     base = fact.base
     if base is None:
         return ROUGH
-    return ROUGH + len(base.body) + len(base.id) + len(base.key) + len(base.band) + len(base.tenant)
+    return ROUGH + len(base.body) + len(base.id) + len(base.key) + len(base.priority_class) + len(base.tenant)
 
 
 # ---- the join ----
@@ -236,10 +236,10 @@
         kept.id,
         kept.key,
         kept.turn,
-        kept.band,
+        kept.priority_class,
         kept.tenant,
         kept.destination,
-        kept.outer_limit,
+        kept.deadline,
         body if kept.end is None else b"",
     )
 
@@ -279,10 +279,10 @@
         base.id,
         base.key,
         base.turn,
-        base.band,
+        base.priority_class,
         base.tenant,
         base.destination,
-        base.outer_limit,
+        base.deadline,
         base.body,
         min(attempts_of(known), MOST_ATTEMPTS),
         *ran,
--- a/cedarwick/fleet/memory.py
+++ b/cedarwick/fleet/memory.py
@@ -92,4 +92,4 @@
     """As at the holder; of what has ended the body is not told any more."""
     if end is not Rank.NONE:
         return UNKNOWN
-    return contents(base.key, base.band, base.tenant, base.destination, base.body)
+    return contents(base.key, base.priority_class, base.tenant, base.destination, base.body)
--- a/cedarwick/fleet/messages.py
+++ b/cedarwick/fleet/messages.py
@@ -319,10 +319,10 @@
     key: Count
     id: Id
     mark: Id  # of a repeat
-    band: Id
+    priority_class: Id
     tenant: Id
     destination: Count
-    left: Annotated[int, Meta(ge=-(1 << 62), lt=1 << 62)]  # microseconds to its outer limit
+    left: Annotated[int, Meta(ge=-(1 << 62), lt=1 << 62)]  # microseconds to its deadline
     within: Count  # microseconds in which the client's answer is wanted
     body: Request
     moved: bool = False  # passed on by the last holder, on the connection that stayed there
--- a/cedarwick/fleet/moves.py
+++ b/cedarwick/fleet/moves.py
@@ -281,7 +281,7 @@
         return ("wait" if frozen else "here"), ""
 
     def near_limit(self, name: str) -> Literal["failed", "over"] | None:
-        """What becomes of a marked message within 300 ms of its outer limit.
+        """What becomes of a marked message within 300 ms of its deadline.
 
         'failed': the holder of the giver's book answers so, it may have run at the taker. 'over': the taker has it, no
         answer from here. None: the taker's own, undecided; the giver answers.
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -76,7 +76,7 @@
 EARLIER = 10_000  # microseconds in which a message of a log's tail may be overtaken by the next
 OFFER_IN = 1.0
 GATHER = 400_000  # microseconds in which the copies of a book that begins may come up before it goes on without them
-LATE = 300_000  # microseconds before its outer limit a message that nobody may fire for is answered
+LATE = 300_000  # microseconds before its deadline a message that nobody may fire for is answered
 LOOK_LATE = 0.1
 ALONE = 1_000_000  # microseconds without a majority until nobody can be asked who has the right
 UNKNOWN = 3_000_000  # the same, for a book that this process has not held
@@ -102,7 +102,7 @@
 
     def answer_late(self, numbers: list[int]) -> None: ...
 
-    def in_turn(self, band: str) -> bool: ...
+    def ordered(self, priority_class: str) -> bool: ...
 
     def rest(self, keys: frozenset[int]) -> None: ...
 
@@ -540,7 +540,9 @@
                 [
                     fact.base.turn
                     for fact in facts[:MOST_OWED]
-                    if fact.base is not None and fact.known.end[0] is Rank.NONE and self.desk.in_turn(fact.base.band)
+                    if fact.base is not None
+                    and fact.known.end[0] is Rank.NONE
+                    and self.desk.ordered(fact.base.priority_class)
                 ]
             )
         return self.lying[book]
@@ -549,7 +551,7 @@
         """What is owed in a book now is from before a trouble, but for what rests in the open one for others."""
         for number in islice(holding.ledger.known, MOST_OWED):
             kept = self.store.kept.get(number)
-            if kept is not None and kept.turn and kept.end is None and self.desk.in_turn(kept.band):
+            if kept is not None and kept.turn and kept.end is None and self.desk.ordered(kept.priority_class):
                 # Danger: what was just adopted rested here as a copy's, and would be told no more.
                 if holding is not self.store.current or kept.turn not in self.owing.elsewhere:
                     holding.backlog[number] = kept.turn
@@ -1097,7 +1099,7 @@
             late = [
                 number
                 for number in numbers
-                if self.store.kept[number].outer_limit <= soon and number not in self.store.inert
+                if self.store.kept[number].deadline <= soon and number not in self.store.inert
             ]
             if late:
                 self.desk.answer_late(late)
@@ -1123,7 +1125,7 @@
         late = [
             number
             for number in numbers
-            if number in self.store.kept and (number not in owed or self.store.kept[number].outer_limit <= soon)
+            if number in self.store.kept and (number not in owed or self.store.kept[number].deadline <= soon)
         ]
         if late:
             self.desk.answer_late(late)
--- a/cedarwick/fleet/traffic.py
+++ b/cedarwick/fleet/traffic.py
@@ -298,10 +298,10 @@
                 kept.turn,
                 kept.id,
                 kept.key,
-                kept.band,
+                kept.priority_class,
                 kept.tenant,
                 kept.destination,
-                kept.outer_limit - self.clock.now(),
+                kept.deadline - self.clock.now(),
                 left - LEAST,
                 kept.body or b"",
                 moved,
@@ -333,7 +333,17 @@
         """Another member passes a client's submission on."""
         until = boot_time() + min(body.within, WAITS)
         limit = self.clock.now() + body.left
-        kept = Kept(0, body.id, body.mark, body.key, body.band, body.tenant, body.destination, max(0, limit), body.body)
+        kept = Kept(
+            0,
+            body.id,
+            body.mark,
+            body.key,
+            body.priority_class,
+            body.tenant,
+            body.destination,
+            max(0, limit),
+            body.body,
+        )
         hashed, claims = hash_of(kept), 0
         if (gone := entry_of(body.entry)) is not None:
             self.directory.heard([gone], boot_time())
@@ -508,7 +518,7 @@
                     continue  # Danger: no copy had it, so its client saw no answer and may have come here with it
             elif kept is not None and kept.turn in estate.keys and known.end[0] is Rank.NONE:
                 withdrawn = fact.known.end[0] is Rank.TOLD and not (fact.known.move and fact.known.move[1])
-                if withdrawn and kept.outer_limit > soon:  # later it may have been told 'failed' without a copy
+                if withdrawn and kept.deadline > soon:  # later it may have been told 'failed' without a copy
                     continue  # Danger: its client was turned away there, and may have been told +OK here since
             counts.append(fact)
         return counts
@@ -671,7 +681,7 @@
 
 def hash_of(kept: Kept) -> int:
     """What came with an id; the same wherever it comes."""
-    return contents(kept.key, kept.band, kept.tenant, kept.destination, kept.body or b"")
+    return contents(kept.key, kept.priority_class, kept.tenant, kept.destination, kept.body or b"")
 
 
 def entry_of(told: Lodging | None) -> Entry | None:
--- a/cedarwick/fleet/transfers.py
+++ b/cedarwick/fleet/transfers.py
@@ -48,7 +48,7 @@
 RELEASE_AGAIN = 1.0  # seconds until marks that could not be lifted are lifted again
 CUT = 0.1  # seconds until calls that were cut off have ended
 SESSIONS = 10_000  # that a sender bears
-LATE = 300_000  # microseconds before its outer limit a message on the move is answered
+LATE = 300_000  # microseconds before its deadline a message on the move is answered
 LOOK_LATE = 100_000
 SECOND = 1_000_000
 LARGEST_STAGE = LARGEST - (1 << 17)  # bytes of a session's facts: the rest of the letter is for its ids
@@ -501,7 +501,7 @@
                 self.store.mark(number, sequence, "")
             soon = self.clock.now() + LATE
             # Danger: the giver may have answered what was about to end while the decree was not known.
-            late = [number for number in numbers if self.store.kept[number].outer_limit <= soon]
+            late = [number for number in numbers if self.store.kept[number].deadline <= soon]
             self.desk.answer_late(late)
             # Danger: an attempt of before the move may still run, of a message that has ended, too; then all keys rest.
             quietly = offer is not None and not offer[0].rest
@@ -634,7 +634,7 @@
         soon = self.clock.now() + LATE
         for number, (_, text) in list(self.store.inert.items()):
             kept, holding = self.store.kept.get(number), self.store.holdings.get(number >> 32)
-            if kept is None or kept.end is not None or kept.outer_limit > soon or holding is None:
+            if kept is None or kept.end is not None or kept.deadline > soon or holding is None:
                 continue
             if holding.serving and self.moves.near_limit(text[1:]) == "failed" and text[:1] == GIVEN:
                 self.counters.add("messages on the move that were answered by their limit")
--- a/cedarwick/interface.py
+++ b/cedarwick/interface.py
@@ -92,8 +92,8 @@
 
     message_id: int
     destination: int
-    band: int
-    outer_limit: int
+    priority_class: int
+    deadline: int
     tenant: int
     key: int
     attempts: Sequence[EarlierAttempt]
@@ -158,8 +158,8 @@
         now: int,
         message_id: int,
         destination: int,
-        band: int,
-        outer_limit: int,
+        priority_class: int,
+        deadline: int,
         tenant: int,
         key: int,
     ) -> MessageHandle: ...
--- a/cedarwick/lab/audit.py
+++ b/cedarwick/lab/audit.py
@@ -48,8 +48,8 @@
     cut: int = 0  # the connection ended, no answer
     down: int = 0  # no connection came up
     delivered: int = 0  # of those taken
-    in_time: int = 0  # of those delivered: within the expected time
-    late: int = 0  # of those delivered: after the outer limit
+    in_time: int = 0  # of those delivered: within the latency objective
+    late: int = 0  # of those delivered: after the deadline
     returned: int = 0
     written_off: int = 0
     lost: int = 0
@@ -235,7 +235,7 @@
 def sent_after_end(scenario: Scenario, cases: dict[str, Case], lives: Lives) -> Iterator[Finding]:
     """Nothing goes out after the final answer.
 
-    Allowed: a reissuable or numbered message comes once more where its sender's process ended after the good
+    Allowed: an idempotent or numbered message comes once more where its sender's process ended after the good
     answer was written, since the record of that may be gone with it.
     """
     bands = scenario.bands()
@@ -549,7 +549,7 @@
 
 
 def worth_of(expected_ms: float, outer_ms: float, late_share: float, took: int) -> float:
-    """The part of its worth that a delivery earns: all within the expected time, then evenly less."""
+    """The part of its worth that a delivery earns: all within the latency objective, then evenly less."""
     if took <= expected_ms * MS:
         return 1.0
     if took > outer_ms * MS:
--- a/cedarwick/lab/claims.py
+++ b/cedarwick/lab/claims.py
@@ -28,7 +28,7 @@
 from cedarwick.lab.schedule import DOWN, LINKS, LOSING, SPLITS
 
 FOREVER = 1 << 62
-CUT_OFF = 500 * MS  # so near to its outer limit a holder that is cut off answers by itself
+CUT_OFF = 500 * MS  # so near to its deadline a holder that is cut off answers by itself
 
 
 class Terms(msgspec.Struct, frozen=True, kw_only=True):
@@ -210,7 +210,7 @@
 
 
 def cut_off_answer(case: Case, notice: Noticed, spans: list[Span]) -> bool:
-    """Whether a 'failed' is that of a holder that was cut off, as its outer limit came.
+    """Whether a 'failed' is that of a holder that was cut off, as its deadline came.
 
     It can't know whether others have adopted the message, and may not wait until it can ask: an end in time that
     says 'may have run' is what it owes. So whoever has adopted may deliver it, or give another end, beside this one.
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -225,7 +225,7 @@
         "a negative length": b"*-7\r\n",
         "a huge length": b"*2\r\n$6\r\nSUBMIT\r\n$99999999999\r\n",
         "a value of 2 MB": b"*2\r\n$6\r\nSUBMIT\r\n$2000000\r\n" + b"v" * 2_000_000,
-        "an unknown band": command(*submit, b"rude1", b"c=nobody,d=4000,dest=0", b"x"),
+        "an unknown priority class": command(*submit, b"rude1", b"c=nobody,d=4000,dest=0", b"x"),
         "an unknown destination": command(*submit, b"rude2", f"c={band},d=4000,dest=999999".encode(), b"x"),
         "a time that is no number": command(*submit, b"rude3", f"c={band},d=soon,dest=0".encode(), b"x"),
         "no id": command(b"SUBMIT", b"0" * 16, pairs, b"x"),
--- a/cedarwick/lab/figures.py
+++ b/cedarwick/lab/figures.py
@@ -24,7 +24,7 @@
 
 
 class BandFigures(msgspec.Struct):
-    """One band over the day."""
+    """One priority class over the day."""
 
     things: int
     delivered: int
@@ -135,7 +135,10 @@
 
 
 def things_of(history: History, done: dict[str, int]) -> list[tuple[str, int, int]]:
-    """Each thing that clients wanted delivered: band, when it was due, when it was delivered (NEVER if not)."""
+    """Each thing that clients wanted delivered:
+
+    priority class, when it was due, when it was delivered (NEVER if not).
+    """
     things: dict[str, tuple[str, int, int]] = {}
     for handed in history.handed:
         band, due, at = things.get(handed.first, (handed.band, handed.due, NEVER))
--- a/cedarwick/lab/fleet.py
+++ b/cedarwick/lab/fleet.py
@@ -557,7 +557,7 @@
     # ---- the end ----
 
     def settle(self, most: float = 0.0) -> None:
-        """Wait until loads and troubles have ended and nothing is owed, all outer limits and excuses have passed,
+        """Wait until loads and troubles have ended and nothing is owed, all deadlines and excuses have passed,
         or so many seconds; watch a second more, then end all senders with SIGTERM."""
         longest = max(band.outer_ms + self.scenario.rules.end_grace_ms for band in self.scenario.band) / 1000
         while self.under_way:
--- a/cedarwick/lab/history.py
+++ b/cedarwick/lab/history.py
@@ -29,7 +29,7 @@
     turn: str
     due: int  # when the thing was due by the schedule, or this retry
     sent: int  # the last byte of the request was written
-    outer: int  # its outer limit
+    outer: int  # its deadline
     sender: int
     answer: str = ""  # ok, busy, error, none (patience ran out), cut (the connection ended), down (none came up)
     answered: int = NEVER
--- a/cedarwick/lab/report.py
+++ b/cedarwick/lab/report.py
@@ -245,7 +245,7 @@
 
 PLOTS: list[tuple[str, str, Callable[[Played, Axes], None]]] = [
     (
-        "Service by band",
+        "Service by priority class",
         "What was earned of the worth asked for, by when a thing was due. Shaded: troubles.",
         service,
     ),
@@ -262,7 +262,7 @@
 
 
 def band_rows(runs: list[Played]) -> list[tuple[str, list[str]]]:
-    """Rows of the bands' table: a name, and a cell for each run."""
+    """Rows of the priority classes' table: a name, and a cell for each run."""
     names = dict.fromkeys(name for run in runs for name in run.head.figures.bands)
     rows = []
     for name in names:
--- a/cedarwick/lab/scenario.py
+++ b/cedarwick/lab/scenario.py
@@ -73,7 +73,7 @@
 
 
 class Band(Table, frozen=True, kw_only=True):
-    """A band of messages, as clients hand them in and as senders are told of it."""
+    """A priority class of messages, as clients hand them in and as senders are told of it."""
 
     name: Annotated[Name, told("Its name.")]
     share: Annotated[Positive, told("Its part of all messages, beside the other bands' shares.")] = 1.0
--- a/cedarwick/net/counters.py
+++ b/cedarwick/net/counters.py
@@ -24,7 +24,7 @@
         self.logged: dict[str, float] = {}
         self.quiet = QUIET
         self.every = 0.0  # seconds between two reports of all counters; 0: only when asked
-        self.figures = Figures()  # the operators' figures, by band
+        self.figures = Figures()  # the operators' figures, by priority class
 
     def add(self, name: str) -> None:
         self.counts[name] += 1
--- a/cedarwick/net/desk.py
+++ b/cedarwick/net/desk.py
@@ -26,7 +26,7 @@
 
 REMEMBERED = 15_000_000  # for so long after it was handed in, an id is not taken once more
 NO_RIGHT = 20_000  # until the next look whether this sender may decide, or its copies follow
-NEAR = 50_000  # before its outer limit a message is written off at the end of a process that others take over from
+NEAR = 50_000  # before its deadline a message is written off at the end of a process that others take over from
 BOOK = 32  # bits of a number within its book: below them numbers grow as messages are taken
 AFTER_ERROR = 100_000  # until the next round: an error that comes again must not fill the core
 
@@ -36,7 +36,7 @@
 
     KEPT = "kept"
     BUSY = "busy"  # with an advised wait in milliseconds, or 0
-    UNKNOWN_BAND = "unknown band"
+    UNKNOWN_PRIORITY_CLASS = "unknown priority class"
     UNKNOWN_DESTINATION = "unknown destination"  # as far as the list tells, which may be old
     REPEATED = "repeated"  # an id that was handed in before, and not the same request
     FROZEN = "frozen"  # its session is on the move to another sender: not taken, to be handed in after that
@@ -75,7 +75,7 @@
         self.counters = counters
         self.polled = polled
         self.store = store
-        self.bands = {
+        self.priority_classes = {
             assignment.settings[f"classes.{index}.name"]: index
             for index in range(int(assignment.settings["classes.count"]))
         }
@@ -85,9 +85,10 @@
         ]
         self.zones = [zone_mark(name) for name in row(assignment.settings, "zones")]
         self.sender = Sender(assignment.settings, assignment.seed, clock.now())
-        # One more stands for what a restart finds of a band that is no more; as the settings lack it, at most once.
-        self.sender.bands.append(priority_class_of(assignment.settings, len(self.sender.bands)))
-        counters.figures.bands = list(self.bands)
+        # One more stands for what a restart finds of a priority class that is no more; as the settings lack it, at
+        # most once.
+        self.sender.priority_classes.append(priority_class_of(assignment.settings, len(self.sender.priority_classes)))
+        counters.figures.priority_classes = list(self.priority_classes)
         # Danger: attempts that the decisions hold to share a call would each count at the destination's limit.
         self.sender.per_call = []
         self.handles: dict[int, Handle] = {}
@@ -99,7 +100,7 @@
         self.after_flush: list[tuple[Callable[[], None], Callable[[], None]]] = []  # once on the disk; if it fails
         self.wake_at: int | None = None
         self.holding_fire = False
-        self.ending = False  # while holding fire: what reaches its outer limit ends here
+        self.ending = False  # while holding fire: what reaches its deadline ends here
         self.keeping = False  # while holding fire: messages that come are still kept, for the next process
         self.parked: dict[int, Handle] = {}  # given up while an attempt was out: it still ends
         self.to_adopt: set[int] = set()  # of these: to be gone on with once it has ended
@@ -150,7 +151,7 @@
     def hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
         """The end of the process is near: no attempt begins any more, what is out goes on; messages that come
         are kept where `keeping` says so, else turned away. `ending`: other senders go on with what is kept; what
-        reaches its outer limit before they can is written off."""
+        reaches its deadline before they can is written off."""
         self.queue.put((self._hold_fire, (keeping, ending)))
 
     def adopt(self, numbers: list[int], quietly: bool = False) -> None:
@@ -166,9 +167,12 @@
         turns = self.sender.turns
         return max(0, turns.all_rest - self.clock.now(), turns.rests.get(key, 0) - self.clock.now())
 
-    def in_turn(self, band: str) -> bool:
-        """Whether messages of a band go one after another within a key."""
-        return band in self.bands and self.sender.bands[self.bands[band]].in_turn
+    def ordered(self, priority_class: str) -> bool:
+        """Whether messages of a priority class go one after another within a key."""
+        return (
+            priority_class in self.priority_classes
+            and self.sender.priority_classes[self.priority_classes[priority_class]].ordered
+        )
 
     def rest(self, keys: frozenset[int]) -> None:
         """Earlier messages of these keys are owed elsewhere: later ones rest here until this is told no more."""
@@ -199,7 +203,7 @@
         return answer
 
     def answer_late(self, numbers: list[int]) -> None:
-        """Write parked messages off: their outer limit is near, and nobody is known to have the right."""
+        """Write parked messages off: their deadline is near, and nobody is known to have the right."""
         self.queue.put((self._answer_late, (numbers,)))
 
     def idle(self) -> bool:
@@ -263,20 +267,22 @@
         for number in numbers:
             kept = self.store.kept[number]
             self.numbers[kept.id] = number
-            if kept.end is None and kept.band not in self.bands:
-                self.counters.trouble("a message of a band that is no more goes once at most", kept.band)
+            if kept.end is None and kept.priority_class not in self.priority_classes:
+                self.counters.trouble(
+                    "a message of a priority class that is no more goes once at most", kept.priority_class
+                )
             if kept.end is not None:
                 self.untold.discard(number)
                 self.notices.post(number, kept.id, *kept.end)
                 continue
             attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in kept.earlier_attempts()]
-            band = self.bands.get(kept.band, len(self.sender.bands) - 1)
+            priority_class = self.priority_classes.get(kept.priority_class, len(self.sender.priority_classes) - 1)
             owed.append(
                 Owed(
                     number,
                     kept.destination,
-                    band,
-                    kept.outer_limit,
+                    priority_class,
+                    kept.deadline,
                     place(self.tenants, kept.tenant),
                     kept.turn,
                     attempts,
@@ -314,7 +320,7 @@
         self._take_up(taken_up, quietly)
         joined: dict[int, list[Handle]] = {}
         for handle in [self.handles[number] for number in taken_up if number in self.handles]:
-            if handle.band.in_turn and handle.key:
+            if handle.priority_class.ordered and handle.key:
                 joined.setdefault(handle.key, []).append(handle)
         # Danger: of those that come back together each would stand before the one that was taken before it.
         held_back = self.held_back.difference(taken_up)
@@ -389,9 +395,9 @@
 
     def _take(self, submission: Submission) -> None:
         kept = submission.kept
-        band = self.bands.get(kept.band)
-        if band is None:
-            submission.answered(Answered.UNKNOWN_BAND)
+        priority_class = self.priority_classes.get(kept.priority_class)
+        if priority_class is None:
+            submission.answered(Answered.UNKNOWN_PRIORITY_CLASS)
             return
         if kept.destination not in self.sender.destinations:
             self.counters.add("turned away: a destination that nobody listed")
@@ -402,7 +408,7 @@
             submission.answered(Answered.FROZEN)
             return
         # Danger: a copy of an id that has ended would go out again, with whatever body it brings.
-        copied = hash((kept.key, kept.turn, kept.band, kept.tenant, kept.destination, kept.body))
+        copied = hash((kept.key, kept.turn, kept.priority_class, kept.tenant, kept.destination, kept.body))
         known = self.recent.get(kept.id)
         if known is not None or kept.id in self.numbers:
             same = known is not None and known[1] == copied and kept.id in self.numbers
@@ -421,11 +427,11 @@
         self.fresh[number] = submission
         self.numbers[kept.id] = number
         # Danger: an absurd time to live would be held, and take up its room, for ever.
-        kept.outer_limit = min(kept.outer_limit, now + self.sender.bands[band].outer_limit)
+        kept.deadline = min(kept.deadline, now + self.sender.priority_classes[priority_class].deadline)
         self.handles[number] = self.sender.take(
-            now, number, kept.destination, band, kept.outer_limit, place(self.tenants, kept.tenant), kept.turn
+            now, number, kept.destination, priority_class, kept.deadline, place(self.tenants, kept.tenant), kept.turn
         )
-        if kept.turn in self.elsewhere and self.sender.bands[band].in_turn:
+        if kept.turn in self.elsewhere and self.sender.priority_classes[priority_class].ordered:
             self.counters.add("messages that waited for others of their key elsewhere")
             self._let_rest(kept.turn)
 
@@ -523,7 +529,7 @@
         if handle.ended:
             self.counters.add(f"messages over: {ending.outcome.value}")
             if ending.outcome is Outcome.COMPLETED:
-                self.counters.figures.passed[call.kept.band] += 1
+                self.counters.figures.passed[call.kept.priority_class] += 1
             del self.handles[number]
             self._over(call.kept)
 
@@ -632,7 +638,7 @@
         """Danger: a call that hangs holds up the end of the process, and with it the ends of all else that is kept."""
         now = self.clock.now()
         limits = {
-            number: self.store.kept[number].outer_limit - NEAR
+            number: self.store.kept[number].deadline - NEAR
             for number, handle in self.handles.items()
             if not handle.out and number in self.store.kept
         }
@@ -704,7 +710,7 @@
             return
         self._recorded("the record of an end", self.store.ended, number, nacked, wait_ms)
         self.counters.add("nacked" if nacked else "written off")
-        (self.counters.figures.dropped if nacked else self.counters.figures.bad_gateway)[kept.band] += 1
+        (self.counters.figures.dropped if nacked else self.counters.figures.bad_gateway)[kept.priority_class] += 1
         self.untold.discard(number)
         if self.store.by_copy and not alone:
             self.untold.add(number)
@@ -724,7 +730,7 @@
 
         def again() -> None:
             if kept.number in self.store.kept and kept.number in self.untold:
-                if self.clock.now() >= kept.outer_limit and self.store.may_fire(kept.number):
+                if self.clock.now() >= kept.deadline and self.store.may_fire(kept.number):
                     # Whoever takes over fires nothing any more, and says that it failed, too.
                     self._final(kept.number, False, 0, alone=True)
                     return
--- a/cedarwick/net/figures.py
+++ b/cedarwick/net/figures.py
@@ -4,12 +4,12 @@
 
 
 class Figures:
-    """Counts by band name; the gauges are read when the figures are asked for."""
+    """Counts by priority class name; the gauges are read when the figures are asked for."""
 
-    __slots__ = ("bands", "passed", "dropped", "bad_gateway", "tries")
+    __slots__ = ("priority_classes", "passed", "dropped", "bad_gateway", "tries")
 
-    def __init__(self, bands: list[str] | None = None) -> None:
-        self.bands = list(bands or [])
+    def __init__(self, priority_classes: list[str] | None = None) -> None:
+        self.priority_classes = list(priority_classes or [])
         self.passed: Counter[str] = Counter()  # messages completed
         self.dropped: Counter[str] = Counter()  # refused at the door, or nacked later
         self.bad_gateway: Counter[str] = Counter()  # written off
@@ -31,8 +31,8 @@
                     ("sender_bad_gateway", figures.bad_gateway, "messages written off"),
                 ):
                     family = CounterMetricFamily(name, meaning, labels=["category"])
-                    for band in sorted(set(figures.bands) | set(counted)):
-                        family.add_metric([band], counted[band])
+                    for priority_class in sorted(set(figures.priority_classes) | set(counted)):
+                        family.add_metric([priority_class], counted[priority_class])
                     made.append(family)
                 made.append(
                     CounterMetricFamily(
--- a/cedarwick/net/intake.py
+++ b/cedarwick/net/intake.py
@@ -55,7 +55,7 @@
 REPLIES = {
     Answered.KEPT: b"+OK\r\n",
     Answered.BUSY: BUSY,
-    Answered.UNKNOWN_BAND: b"-ERR unknown class\r\n",
+    Answered.UNKNOWN_PRIORITY_CLASS: b"-ERR unknown class\r\n",
     Answered.UNKNOWN_DESTINATION: BUSY,
     Answered.REPEATED: BUSY,
     Answered.FROZEN: BUSY,
@@ -422,13 +422,13 @@
             wasted += got
 
     def _dropped(self, pairs: bytes) -> None:
-        """A SUBMIT that was refused at the door, counted by its band where that is one of ours."""
+        """A SUBMIT that was refused at the door, counted by its priority class where that is one of ours."""
         for pair in pairs.split(b","):
             name, _, value = pair.partition(b"=")
             if name == b"c":
-                band = word(value.decode("utf-8", "replace"))
-                if band in self.counters.figures.bands:
-                    self.counters.figures.dropped[band] += 1
+                priority_class = word(value.decode("utf-8", "replace"))
+                if priority_class in self.counters.figures.priority_classes:
+                    self.counters.figures.dropped[priority_class] += 1
                 return
 
     def _answer(self, client: Client, parts: list[bytes]) -> bytes:
@@ -453,7 +453,7 @@
         answered, wait_ms, withdraw = self.hand_in(kept)
         if answered in (Answered.KEPT, Answered.BUSY):
             client.served, client.unusable = True, 0
-        elif answered in (Answered.UNKNOWN_BAND, Answered.REPEATED) or client.unusable < DOUBTED:
+        elif answered in (Answered.UNKNOWN_PRIORITY_CLASS, Answered.REPEATED) or client.unusable < DOUBTED:
             client.unusable += 1
         if withdraw is not None and lies_there(client.sock) == b"":
             # Danger: who has gone before the answer hands it in elsewhere; nothing has gone out yet.
@@ -542,9 +542,11 @@
         raise InvalidSubmitError("the key cannot be read")
     if not NUMBER.fullmatch(told.get(b"d", b"")) or not NUMBER.fullmatch(told.get(b"dest", b"")):
         raise InvalidSubmitError("d and dest must be whole numbers")
-    band, tenant = name_in(told, b"c"), name_in(told, b"t")
-    if not band:
+    priority_class, tenant = name_in(told, b"c"), name_in(told, b"t")
+    if not priority_class:
         raise InvalidSubmitError("c is missing")
     limit = now + int(told[b"d"]) * 1000 - READ_LATE
-    kept = Kept(0, message.decode(), key.decode(), int(turn, 16), band, tenant, int(told[b"dest"]), limit, body)
+    kept = Kept(
+        0, message.decode(), key.decode(), int(turn, 16), priority_class, tenant, int(told[b"dest"]), limit, body
+    )
     return kept, told.get(b"again") == b"1"
--- a/cedarwick/policy.py
+++ b/cedarwick/policy.py
@@ -52,7 +52,7 @@
 RAMP_PART = 0.8  # of what the fail-back rule allows
 STALE_LINKS = 0.04  # a larger share of kept links that break under a call
 FORGET = 20 * SECOND  # after a receiver has left the list; its outage is told to a replacement until then
-LONGEST_WAIT = 3600 * SECOND  # a longer Retry-After wait is looked into after this; no outer limit comes near it
+LONGEST_WAIT = 3600 * SECOND  # a longer Retry-After wait is looked into after this; no deadline comes near it
 RESTED = 300_000  # for so long a key rests that is owed elsewhere, unless it is told again
 LAST_CHANCE = SECOND  # of an message's time a rest for others leaves so much
 LONE = 0.5  # calls a second: an even part below this makes a lone message wait longer than it lives
@@ -68,15 +68,15 @@
     repeat = settings.get(head + "repeat", "single_shot")
     return PriorityClass(
         priority_weight=number(settings, head + "worth", 1.0),
-        expected_time=span(settings, head + "slo-ms", 1000.0),
-        outer_limit=span(settings, head + "deadline-ms", 10_000.0),
+        latency_objective=span(settings, head + "slo-ms", 1000.0),
+        deadline=span(settings, head + "deadline-ms", 10_000.0),
         late_share=number(settings, head + "late-worth"),
         halves_in=span(settings, head + "slo-ms", 1000.0) if halves else 0,
-        reissuable=repeat == "free",
+        idempotent=repeat == "free",
         at_most_once=repeat not in ("free", "guarded"),
         window=span(settings, head + "dedup-window-ms"),
-        one_zone=settings.get(head + "group", "all") != "all",
-        in_turn=flag(settings, head + "in-turn"),
+        single_zone=settings.get(head + "group", "all") != "all",
+        ordered=flag(settings, head + "in-turn"),
     )
 
 
@@ -120,7 +120,7 @@
         wait = retry_after if retry_after and not sender.many else retry_after + sender.chance.below(window)
         self.due = now + (1 if outcome is Outcome.MOOT or stale else wait)
         # Danger: past its last useful start it is given up at once, with tries and most of its time left.
-        useful = self.outer_limit - round(sender.destinations[self.destination].quickest or SECOND / 2)
+        useful = self.deadline - round(sender.destinations[self.destination].quickest or SECOND / 2)
         self.due = max(now, min(self.due, min(self.repeat_until(), useful) - sender.tick * 4))
         sender.hold(now, self)
 
@@ -141,14 +141,14 @@
 
     def on_new_link(self) -> bool:
         """Danger: an at-most-once message is lost when the kept link breaks on which it went."""
-        return self.band.at_most_once and self.sender.stale_links > STALE_LINKS
+        return self.priority_class.at_most_once and self.sender.stale_links > STALE_LINKS
 
     def whole_by(self) -> int:
         """Danger: a receiver counts a call from its last byte, and forgets its number in time."""
-        return min(self.outer_limit, self.repeat_until())
+        return min(self.deadline, self.repeat_until())
 
     def repeat_until(self) -> int:
-        return FAR if self.band.reissuable or not self.ran_at else self.ran_at + self.band.window
+        return FAR if self.priority_class.idempotent or not self.ran_at else self.ran_at + self.priority_class.window
 
 
 class Sender:
@@ -157,7 +157,9 @@
     def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None:
         self.settings = settings
         self.chance = Chance(seed)
-        self.bands = [priority_class_of(settings, index) for index in range(int(number(settings, "classes.count")))]
+        self.priority_classes = [
+            priority_class_of(settings, index) for index in range(int(number(settings, "classes.count")))
+        ]
         self.senders = max(1, int(number(settings, "balancers", 1)))
         self.many = self.senders > MANY
         self.slowest = TRICKLE / self.senders
@@ -198,15 +200,15 @@
         self.verdicts = Verdicts()
 
     def take(
-        self, now: int, message_id: int, destination: int, band: int, outer_limit: int, tenant: int, key: int
+        self, now: int, message_id: int, destination: int, priority_class: int, deadline: int, tenant: int, key: int
     ) -> Handle:
-        kept = self.bands[band]
-        expected_by = outer_limit - kept.outer_limit + kept.expected_time
+        kept = self.priority_classes[priority_class]
+        objective_by = deadline - kept.deadline + kept.latency_objective
         self.taken += 1
-        handle = Handle(message_id, destination, kept, outer_limit, expected_by, tenant, key, self.taken)
+        handle = Handle(message_id, destination, kept, deadline, objective_by, tenant, key, self.taken)
         handle.sender = self
         handle.over_share = self._over_share(now, tenant)
-        if kept.in_turn and key:
+        if kept.ordered and key:
             self.turns.join(key, handle)
         self.open += 1
         self.hold(now, handle)
@@ -243,7 +245,7 @@
         line = self.turns.lines.get(key) or ()
         if line:
             # Danger: what the other has may never end; the last of the first one's time is its own.
-            self.turns.rest(key, min(now + RESTED, line[0].outer_limit - LAST_CHANCE))
+            self.turns.rest(key, min(now + RESTED, line[0].deadline - LAST_CHANCE))
         return [each for each in line if not each.attempts]
 
     def listed(self, now: int, change: ListChange, listings: Sequence[Listing]) -> None:
@@ -337,28 +339,32 @@
 
     def advance(self, now: int, message: Handle) -> int:
         """Take a held message as far as it goes now; the time of its next look, FAR when it needs none."""
-        band = message.band
+        priority_class = message.priority_class
         place = self.destinations[message.destination]
-        last_start = message.outer_limit - max(self.tick * 4, round(place.quickest / 2))
+        last_start = message.deadline - max(self.tick * 4, round(place.quickest / 2))
         last_start = min(last_start, message.repeat_until() - 1)
         start = max(now, message.due, place.waits_until)
         # Terminal: out of attempts, or a further one could take effect twice, or cannot finish in time.
         if (
             message.attempts >= self.most_attempts
             or message.cancelled >= CANCELLED_CAP
-            or (band.at_most_once and message.ran_at)
+            or (priority_class.at_most_once and message.ran_at)
             or start > last_start
         ):
             self.give_up(now, message)
             return FAR
         if start > now:
             return min(start, last_start + 1)
-        if band.in_turn and message.key:
+        if priority_class.ordered and message.key:
             turn_at = self.turns.turn_at(message.key, message)
             if turn_at > now:
                 return min(turn_at, last_start + 1)
-        zone = message.ran_zone if message.ran_at and band.one_zone and not band.reissuable else None
-        asking = zone, band.at_most_once
+        zone = (
+            message.ran_zone
+            if message.ran_at and priority_class.single_zone and not priority_class.idempotent
+            else None
+        )
+        asking = zone, priority_class.at_most_once
         if asking not in place.room:  # Danger: each event would cost a full look for everything that is held
             members = [member for member in place.ready if zone is None or member.zone == zone]
             place.room[asking] = self._with_room(now, message, members)
@@ -400,7 +406,7 @@
         message.ended = True
         self.open -= 1
         self.changed.add(message.destination)
-        if message.band.in_turn and message.key:
+        if message.priority_class.ordered and message.key:
             # Danger: the attempt that timed out may still run and be overtaken by the next of its key.
             rest = (message.doubtful_at or -FAR) + span(self.settings, "rules.turn-gap-ms")
             after = self.turns.leave(message.key, message, now, rest)
@@ -653,7 +659,7 @@
 
     def _canary_room(self, now: int, message: Message, receiver: Receiver) -> int:
         # An at-most-once canary could be lost without a second try.
-        lost = message.band.at_most_once and not receiver.provable
+        lost = message.priority_class.at_most_once and not receiver.provable
         soonest = max(now, receiver.canary_at, receiver.pace.canary_at, receiver.pace.wait_until)
         return FAR if receiver.canary_out or lost else soonest
 
@@ -673,13 +679,17 @@
 
     def _patience(self, now: int, message: Message, receiver: Receiver) -> int:
         """How long an attempt may take. Danger: a dead destination holds all slots, a window closes unused."""
-        left = message.outer_limit - now - 2 * self.tick
+        left = message.deadline - now - 2 * self.tick
         usual = receiver.mean + 4 * receiver.stray if receiver.mean else 2 * SECOND
         soon = max(SECOND, round(2 * usual)) << min(message.attempts - 1, 4)
         crowded = 2 * self.calls_out >= self.slots
-        if message.band.at_most_once or message.band.reissuable:
-            return min(left, soon if message.band.reissuable else 3 * soon if crowded else FAR)
-        window = message.band.window if not message.ran_at else message.ran_at + message.band.window - now
+        if message.priority_class.at_most_once or message.priority_class.idempotent:
+            return min(left, soon if message.priority_class.idempotent else 3 * soon if crowded else FAR)
+        window = (
+            message.priority_class.window
+            if not message.ran_at
+            else message.ran_at + message.priority_class.window - now
+        )
         patience = min(window - SECOND // 2, soon if receiver.out_since or crowded else 2 * soon)
         # Danger: in a short window a hang would hold its slot to the end, and never be repeated.
         enough = patience >= min(SECOND, usual)
@@ -689,25 +699,27 @@
         """Sorts the message first that loses most by waiting; over-share tenants go last."""
         if now < message.rank_until:
             return message.rank
-        band = message.band
-        left, loses = band.delivery_value(now - message.expected_by)
-        if message.outer_limit - now < 3 * SECOND:
-            loses += (left if band.halves_in else band.priority_weight * band.late_share) / 3
-        if now < message.expected_by - SECOND:
+        priority_class = message.priority_class
+        left, loses = priority_class.delivery_value(now - message.objective_by)
+        if message.deadline - now < 3 * SECOND:
+            loses += (
+                left if priority_class.halves_in else priority_class.priority_weight * priority_class.late_share
+            ) / 3
+        if now < message.objective_by - SECOND:
             loses /= 2
-        if message.ran_at and not band.reissuable:
-            loses += band.priority_weight  # its window of repeats is running out
+        if message.ran_at and not priority_class.idempotent:
+            loses += priority_class.priority_weight  # its window of repeats is running out
         if message.over_share:
             loses *= number(self.settings, "over-share-worth", 1.0)
-        times = message.expected_by - SECOND, message.outer_limit - 3 * SECOND + 1  # else only an attempt tells
+        times = message.objective_by - SECOND, message.deadline - 3 * SECOND + 1  # else only an attempt tells
         message.rank_until = min((time for time in times if time > now), default=FAR)
-        if band.halves_in:
-            message.rank_until = min(message.rank_until, now + band.halves_in // 4)
+        if priority_class.halves_in:
+            message.rank_until = min(message.rank_until, now + priority_class.halves_in // 4)
         if self.many:  # Danger: a sender's part is two or three slots, and one slow call takes them from many
-            if band.in_turn and message.key:
+            if priority_class.ordered and message.key:
                 loses *= len(self.turns.lines[message.key])  # all that wait for their turn wait with it
             loses /= self.destinations[message.destination].quickest or SECOND / 2
-        message.rank = -loses, message.expected_by, message.order
+        message.rank = -loses, message.objective_by, message.order
         return message.rank
 
     def _over_share(self, now: int, tenant: int) -> bool:
@@ -731,7 +743,10 @@
             # Danger: once the least important have had an attempt, nacks alone would cost the most important.
             self.give_up(
                 now,
-                max(spare, key=lambda held: (-held.band.priority_weight, not held.ran_at, self._urgency(now, held))),
+                max(
+                    spare,
+                    key=lambda held: (-held.priority_class.priority_weight, not held.ran_at, self._urgency(now, held)),
+                ),
             )
 
     def _drain(self, now: int, place: Destination) -> float:
--- a/cedarwick/state.py
+++ b/cedarwick/state.py
@@ -130,21 +130,21 @@
     """What the settings say of one priority class (`classes.N.*`) of messages."""
 
     priority_weight: float
-    expected_time: int
-    outer_limit: int
+    latency_objective: int
+    deadline: int
     late_share: float
-    reissuable: bool
+    idempotent: bool
     at_most_once: bool
     window: int  # for numbered messages: how long a destination remembers the number
-    one_zone: bool  # repeats only within the zone of the first attempt that may have run
-    in_turn: bool
-    halves_in: int = 0  # after the expected time the worth falls by half in this time; 0: evenly
+    single_zone: bool  # repeats only within the zone of the first attempt that may have run
+    ordered: bool
+    halves_in: int = 0  # after the latency objective the worth falls by half in this time; 0: evenly
 
     def delivery_value(self, late: int) -> tuple[float, float]:
-        """What delivery is worth so long after the expected time, and what is lost of it in a second."""
+        """What delivery is worth so long after the latency objective, and what is lost of it in a second."""
         least, late = self.priority_weight * self.late_share, max(late, 0)
         if not self.halves_in:
-            fades = max(1_000_000, self.outer_limit - self.expected_time)
+            fades = max(1_000_000, self.deadline - self.latency_objective)
             lost = (self.priority_weight - least) / fades
             return max(least, self.priority_weight - lost * late), lost * 1_000_000
         left = float(self.priority_weight * 2.0 ** (-late / self.halves_in))
@@ -230,9 +230,9 @@
 
     id: int
     destination: int
-    band: PriorityClass
-    outer_limit: int
-    expected_by: int
+    priority_class: PriorityClass
+    deadline: int
+    objective_by: int
     tenant: int
     key: int
     order: int
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -193,7 +193,7 @@
 
     def weighed(self, kept: Kept) -> int:
         """The bytes that a message takes."""
-        texts = len(kept.id) + len(kept.key) + len(kept.band) + len(kept.tenant)
+        texts = len(kept.id) + len(kept.key) + len(kept.priority_class) + len(kept.tenant)
         body = len(kept.body) if kept.body is not None else kept.size
         return FRAME.size + records.MESSAGE_BODY.size + records.STATE_BODY.size + texts + body + records.OF_STATE
 
--- a/cedarwick/store/old.py
+++ b/cedarwick/store/old.py
@@ -52,10 +52,20 @@
         for size in sizes:
             texts.append(payload[at : at + size].decode())
             at += size
-        id, key, band, tenant = texts
+        id, key, priority_class, tenant = texts
         body = payload[at:]
         kept[number] = Kept(
-            number, id, key, turn, band, tenant, destination, limit, body, size=len(body), checksum=zlib.crc32(body)
+            number,
+            id,
+            key,
+            turn,
+            priority_class,
+            tenant,
+            destination,
+            limit,
+            body,
+            size=len(body),
+            checksum=zlib.crc32(body),
         )
         return int(number) + 1
     elif kind == ATTEMPT:
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -54,10 +54,10 @@
     id: str
     key: str  # marks a repeat
     turn: int  # the key of the order; 0 for none
-    band: str
+    priority_class: str
     tenant: str  # empty for none
     destination: int
-    outer_limit: int  # wall time
+    deadline: int  # wall time
     body: bytes | None  # None: it lies in the folder only
     attempts: int = 0
     ran_at: int = 0  # when the first attempt left that may have run; 0: none did
@@ -143,9 +143,9 @@
 
 def message(kept: Kept, body: bytes) -> tuple[bytes, int]:
     """The record of a message with all that is known of it, and the body's place in the payload."""
-    texts = [text.encode() for text in (kept.id, kept.key, kept.band, kept.tenant)]
+    texts = [text.encode() for text in (kept.id, kept.key, kept.priority_class, kept.tenant)]
     head = MESSAGE_BODY.pack(
-        MESSAGE, kept.number, kept.outer_limit, kept.turn, kept.destination, kept.checksum, *map(len, texts)
+        MESSAGE, kept.number, kept.deadline, kept.turn, kept.destination, kept.checksum, *map(len, texts)
     )
     whole = head + state_of(kept) + b"".join(texts)
     return whole + body, len(whole)
@@ -173,13 +173,13 @@
         for size in sizes:
             texts.append(payload[place : place + size].decode())
             place += size
-        id, key, band, tenant = texts
+        id, key, priority_class, tenant = texts
         kept = Kept(
             number,
             id,
             key,
             turn,
-            band,
+            priority_class,
             tenant,
             destination,
             limit,
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -13,13 +13,13 @@
 
 
 def repeats_at_most_once() -> None:
-    """Every band is taken for a reissuable one."""
+    """Every priority class is taken for an idempotent one."""
     honest = policy.priority_class_of
 
     def priority_class_of(settings: Any, index: int) -> state.PriorityClass:
-        band = honest(settings, index)
-        band.reissuable, band.at_most_once = True, False
-        return band
+        priority_class = honest(settings, index)
+        priority_class.idempotent, priority_class.at_most_once = True, False
+        return priority_class
 
     policy.priority_class_of = priority_class_of
 
--- a/tests/build.py
+++ b/tests/build.py
@@ -67,13 +67,13 @@
     return made
 
 
-def take(made: Sender, message: int, band: int = FREE, key: int = 0, now: int = NOW) -> Handle:
-    return made.take(now, message, 7, band, now + 16_000 * MS, 0, key)
+def take(made: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
+    return made.take(now, message, 7, priority_class, now + 16_000 * MS, 0, key)
 
 
-def out(made: Sender, message: int, band: int = FREE, key: int = 0, now: int = NOW) -> Handle:
+def out(made: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
     """A message whose first attempt is out."""
-    handle = take(made, message, band, key, now)
+    handle = take(made, message, priority_class, key, now)
     made.decide(now)
     return handle
 
@@ -342,8 +342,8 @@
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
-def submit(message: str, band: str = "free", d: int = 8000, dest: int = 0, body: bytes = b"x") -> bytes:
-    pairs = f"c={band},d={d},dest={dest}".encode()
+def submit(message: str, priority_class: str = "free", d: int = 8000, dest: int = 0, body: bytes = b"x") -> bytes:
+    pairs = f"c={priority_class},d={d},dest={dest}".encode()
     return words(b"SUBMIT", b"0000000000000000", message.encode(), pairs, body)
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -162,7 +162,8 @@
             self.assertEqual((told.name, bool(told.about)), (name, True))
             made = Sender(plain(sender_settings(told, 2)), 1, 0)
             self.assertEqual(
-                [band.at_most_once for band in made.bands], [band.repeat == "at-most-once" for band in told.band]
+                [priority_class.at_most_once for priority_class in made.priority_classes],
+                [band.repeat == "at-most-once" for band in told.band],
             )
 
 
--- a/tests/test_crossings_restarts.py
+++ b/tests/test_crossings_restarts.py
@@ -90,8 +90,8 @@
         )
         self.desk.resume()
 
-    def submit(self, name: str, band: str, tenant: str = "") -> None:
-        self.desk._take(Submission(Kept(0, name, "", 0, band, tenant, 0, self.clock.now() + 8_000_000, b"x")))
+    def submit(self, name: str, priority_class: str, tenant: str = "") -> None:
+        self.desk._take(Submission(Kept(0, name, "", 0, priority_class, tenant, 0, self.clock.now() + 8_000_000, b"x")))
         self.desk._decide()
 
     def at(self, call: Call) -> str:
@@ -114,7 +114,7 @@
 
     def repeats(
         self,
-        band: str,
+        priority_class: str,
         outcome: Outcome | None,
         earlier: str,
         later: dict[str, Any],
@@ -125,7 +125,7 @@
         how it ends there, and the place of its tenant. `spoil`: what an older version recorded as the zone."""
         with tempfile.TemporaryDirectory() as folder:
             first = self.process(folder, EARLIER, only=earlier)
-            first.submit("a", band, "second")
+            first.submit("a", priority_class, "second")
             if spoil is not None:
                 first.store.attempt(1, first.clock.now(), spoil)
             self.assertTrue(first.cleared(first.calls[0]))
@@ -165,9 +165,9 @@
         with mock.patch("cedarwick.net.desk.zone_mark", lambda name: 2000):
             self.assertEqual(self.repeats("zonal", None, "north", LATER, *LATER["zones"])[0], set())
 
-    def test_a_band_and_a_tenant_go_by_their_names_and_an_effect_by_the_settings_of_now(self) -> None:
+    def test_a_priority_class_and_a_tenant_go_by_their_names_and_an_effect_by_the_settings_of_now(self) -> None:
         failed, reset = [(False, 0)], Outcome.RESET
-        for band, outcome, goes, ends in (
+        for priority_class, outcome, goes, ends in (
             ("free", None, True, [None]),
             ("once", None, False, failed),
             ("once", Outcome.FULL, True, [None]),
@@ -176,8 +176,8 @@
             ("given-up", reset, False, failed),
             ("given-up", None, False, failed),
         ):
-            with self.subTest(band=band, outcome=outcome):
-                gone, ended, tenants = self.repeats(band, outcome, "north", LATER, "south")
+            with self.subTest(priority_class=priority_class, outcome=outcome):
+                gone, ended, tenants = self.repeats(priority_class, outcome, "north", LATER, "south")
                 self.assertEqual((gone, ended, tenants), ({"south"} if goes else set(), ends, {1}))
 
 
@@ -187,9 +187,11 @@
 
     READ, KEPT, RECORDED, SENT, OUTCOME, ENDED, POSTED, ACKNOWLEDGED = range(8)
 
-    def steps(self, process: Process, band: str, outcome: Outcome, told: list[str]) -> Iterator[int]:
+    def steps(self, process: Process, priority_class: str, outcome: Outcome, told: list[str]) -> Iterator[int]:
         """One message with one attempt, one step after another; `told` gets what other parties see."""
-        process.desk._take(Submission(Kept(0, "a", "", 0, band, "", 0, process.clock.now() + 8_000_000, b"x")))
+        process.desk._take(
+            Submission(Kept(0, "a", "", 0, priority_class, "", 0, process.clock.now() + 8_000_000, b"x"))
+        )
         yield self.READ
         process.desk._decide()
         yield self.KEPT  # whether its client has read the answer or not
@@ -209,13 +211,13 @@
     def posted(self, process: Process) -> list[str]:
         return [json.loads(line)["state"] for line in process.desk.notices.owed.values()]
 
-    def seen(self, band: str, outcome: Outcome, at: int, later: int = 0) -> list[str]:
+    def seen(self, priority_class: str, outcome: Outcome, at: int, later: int = 0) -> list[str]:
         """What other parties see in all, where the next process completes what it sends."""
         told: list[str] = []
         with tempfile.TemporaryDirectory() as folder:
             first = Process(folder, {**EARLIER, "classes": CLASSES + [ZONAL]}, {"one": "north"})
             self.addCleanup(first.store.close)
-            for step in self.steps(first, band, outcome, told):
+            for step in self.steps(first, priority_class, outcome, told):
                 if step == at:
                     break
             with tempfile.TemporaryDirectory() as found:
@@ -285,10 +287,10 @@
             ),
             ("free", reset, 20_000, {self.KEPT: ["returned"], self.RECORDED: ["failed"], self.SENT: failed}),
         ]
-        for band, outcome, later, expected in table:
+        for priority_class, outcome, later, expected in table:
             for at, seen in expected.items():
-                with self.subTest(band=band, outcome=outcome, later=later, at=at):
-                    self.assertEqual(self.seen(band, outcome, at, later), seen)
+                with self.subTest(priority_class=priority_class, outcome=outcome, later=later, at=at):
+                    self.assertEqual(self.seen(priority_class, outcome, at, later), seen)
 
 
 class TakenUp(unittest.TestCase):
@@ -400,8 +402,8 @@
             self.made.start(play)
         self.partner = cast(Accepting, self.made.partner)
         self.desk, self.links, self.counts = self.made.desk, self.made.links, self.made.counters.counts
-        self.band = self.desk.sender.bands[0]
-        self.band.reissuable, self.band.window = False, 1_000_000  # numbered
+        self.priority_class = self.desk.sender.priority_classes[0]
+        self.priority_class.idempotent, self.priority_class.window = False, 1_000_000  # numbered
 
     def before_clearing(self, then: Callable[[Call], None], after: Callable[[Call], None] = lambda call: None) -> None:
         """Do something on the way to the desk of each attempt, and on the way back."""
@@ -423,7 +425,7 @@
 
         def then(call: Call) -> None:
             handle = self.desk.handles[call.kept.number]
-            handle.ran_at = handle.ran_at or self.made.clock.now() + left - self.band.window
+            handle.ran_at = handle.ran_at or self.made.clock.now() + left - self.priority_class.window
 
         return then
 
@@ -436,7 +438,7 @@
                     self.made.clock.base += 0 if goes else 3_000_000_000
 
                 self.before_clearing(self.window_left(3_000_000), then)
-                self.band.window = 4_000_000
+                self.priority_class.window = 4_000_000
                 self.made.submit("a")
                 self.wait_for(lambda: self.partner.arrived or self.made.store.kept[1].end)
                 self.assertEqual([name for _, name in self.partner.arrived], ["a"] * goes)
@@ -469,7 +471,7 @@
                 with self.subTest(kept=kept, act=which):
                     self.start()
                     if kept:
-                        self.made.submit("first", band="once")
+                        self.made.submit("first", priority_class="once")
                         self.wait_for(lambda: self.links.idle)
                     acted: list[int] = []
 
@@ -482,7 +484,7 @@
                             acted.append(self.desk.handles[call.kept.number].attempts)
 
                     self.before_clearing(cross)
-                    self.made.submit("a", band="once")
+                    self.made.submit("a", priority_class="once")
                     self.wait_for(lambda: self.counts["answers 200"] == 1 + kept)  # noqa: B023
                     self.wait_for(lambda: not self.made.store.kept)
                     self.assertEqual([name for _, name in self.partner.arrived], ["first"] * kept + ["a"])
@@ -493,7 +495,7 @@
         self.start()
         self.links.descriptors.limit = 0
         for name in "abc":
-            self.made.submit(name, band="once")
+            self.made.submit(name, priority_class="once")
         self.wait_for(lambda: self.counts["trouble: no descriptor for an attempt"] >= 3)
         self.assertEqual({handle.attempts - handle.out for handle in self.desk.handles.values()}, {0})
         self.links.descriptors.limit = 8
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -34,12 +34,12 @@
         self.assignment, self.store, self.desk = desk_alone(self, OTHER)
         self.desk.attempts = SimpleNamespace(start=lambda call: None)  # type: ignore[assignment]
 
-    def submit(self, band: bytes, tenant: bytes, name: bytes = b"a") -> Submission:
-        pairs = b"c=" + band + b",d=8000,dest=0,t=" + tenant
+    def submit(self, priority_class: bytes, tenant: bytes, name: bytes = b"a") -> Submission:
+        pairs = b"c=" + priority_class + b",d=8000,dest=0,t=" + tenant
         return Submission(read_submission([b"SUBMIT", b"0", name, pairs, b"x"], self.desk.clock.now())[0])
 
     def test_classes_and_tenants_are_known_by_name_whatever_letters_it_has(self) -> None:
-        for index, (band, tenant, places) in enumerate(
+        for index, (priority_class, tenant, places) in enumerate(
             (
                 ("once", "first", (0, 1)),
                 ("door open", "first", (1, 1)),
@@ -48,21 +48,31 @@
                 ("door open", "møbel__hus", (1, 0)),
             )
         ):
-            with self.subTest(band=band, tenant=tenant):
-                submission = self.submit(band.encode(), tenant.encode(), b"%d" % index)
+            with self.subTest(priority_class=priority_class, tenant=tenant):
+                submission = self.submit(priority_class.encode(), tenant.encode(), b"%d" % index)
                 self.desk._take(submission)
                 self.desk._decide()
                 handle = self.desk.handles[submission.kept.number]
-                self.assertEqual((self.desk.sender.bands.index(handle.band), handle.tenant), places)
+                self.assertEqual(
+                    (self.desk.sender.priority_classes.index(handle.priority_class), handle.tenant), places
+                )
                 # Only a tenant that the settings know can be over its share; this one's is next to nothing.
                 self.assertEqual(handle.over_share, tenant == "møbel__hus")
                 back = self.store.kept[submission.kept.number]
-                self.assertEqual((back.band, back.tenant), (band.replace(" ", "_"), tenant.replace(" ", "_")))
+                self.assertEqual(
+                    (back.priority_class, back.tenant), (priority_class.replace(" ", "_"), tenant.replace(" ", "_"))
+                )
 
     def test_names_that_are_no_text_are_refused(self) -> None:
-        for band, tenant in ((b"", b""), (b"\xff", b""), (b"once", b"\xc3("), (b"o\nnce", b""), (b"x" * 201, b"")):
-            with self.subTest(band=band, tenant=tenant), self.assertRaises(InvalidSubmitError):
-                self.submit(band, tenant)
+        for priority_class, tenant in (
+            (b"", b""),
+            (b"\xff", b""),
+            (b"once", b"\xc3("),
+            (b"o\nnce", b""),
+            (b"x" * 201, b""),
+        ):
+            with self.subTest(priority_class=priority_class, tenant=tenant), self.assertRaises(InvalidSubmitError):
+                self.submit(priority_class, tenant)
 
     def test_zones_and_kinds_are_known_by_name_and_unknown_ones_are_a_place_of_their_own(self) -> None:
         told: list[Any] = []
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -618,12 +618,16 @@
     def test_keys_of_before_a_trouble_are_told_and_those_told_by_others_rest(self) -> None:
         node, now = self.member(), boot_time()
         node.desk.rest_of.return_value = 0  # type: ignore[attr-defined]
-        node.desk.in_turn = lambda band: band == "free"  # type: ignore[method-assign]
+        node.desk.ordered = lambda priority_class: priority_class == "free"  # type: ignore[method-assign]
         node.alive, node.gate.levels = list(NAMES), {"a": OWING, "b": OWING - 1, "c": OWING}
         data = encode_facts(
             [
-                Fact(each.number, msgspec.structs.replace(each.base, turn=turn, band=band), each.known)
-                for each, turn, band in ((fact(1), 8, "free"), (fact(2), 9, "marked"))
+                Fact(
+                    each.number,
+                    msgspec.structs.replace(each.base, turn=turn, priority_class=priority_class),
+                    each.known,
+                )
+                for each, turn, priority_class in ((fact(1), 8, "free"), (fact(2), 9, "marked"))
                 if each.base
             ]
         )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -38,7 +38,7 @@
 
 
 def day(**told: Any) -> Scenario:
-    """A day of four seconds, one sender, one band, three destinations."""
+    """A day of four seconds, one sender, one priority class, three destinations."""
     return Scenario(
         **{
             "name": "t",
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -41,7 +41,7 @@
 
     def taken(
         self,
-        band: str = "free",
+        priority_class: str = "free",
         size: int = 1,
         name: str = "a",
         destination: int = 0,
@@ -49,7 +49,7 @@
         key: int = 0,
     ) -> Submission:
         limit = self.desk.clock.now() + life
-        submission = Submission(Kept(0, name, "", key, band, "second", destination, limit, bytes(size)))
+        submission = Submission(Kept(0, name, "", key, priority_class, "second", destination, limit, bytes(size)))
         self.desk._take(submission)
         self.desk._decide()
         return submission
@@ -76,7 +76,7 @@
         self.assertEqual(len(self.desk.notices.owed), 3)  # the right was back in a moment
 
     def test_what_is_adopted_alone_stands_before_those_of_its_key_that_were_taken_after_it(self) -> None:
-        self.desk.sender.bands[0].in_turn = True
+        self.desk.sender.priority_classes[0].ordered = True
         for name in "abc":
             self.taken(name=name, key=5)
         self.desk._park([1, 2, 3])  # while the attempt of the first is out
@@ -93,7 +93,7 @@
         self.assertEqual([handle.id for handle in line], [1, 3, 2])  # nothing begins while an attempt of the key is out
 
     def test_what_is_owed_elsewhere_goes_first_as_long_as_there_is_time(self) -> None:
-        self.desk.sender.bands[0].in_turn = True
+        self.desk.sender.priority_classes[0].ordered = True
         self.taken(name="held", key=5)  # number 1: its attempt is out
         self.desk._attempt_ended(self.calls[0], Ending(Outcome.MOOT))
         self.desk._rest(frozenset([5, 6, 7]))
@@ -112,7 +112,7 @@
         self.assertEqual(self.desk.sender.turns.rests.get(9), None)  # nothing is kept for keys without a message
 
     def test_what_was_held_back_comes_back_in_its_order_where_its_move_is_called_off(self) -> None:
-        self.desk.sender.bands[0].in_turn = True
+        self.desk.sender.priority_classes[0].ordered = True
         self.desk._rest(frozenset([5]))
         for name in "abc":
             self.taken(name=name, key=5)
@@ -178,7 +178,7 @@
 
     def test_no_time_to_live_is_longer_than_the_settings_allow(self) -> None:
         self.taken(life=10**15)
-        self.assertLess(self.desk.handles[1].outer_limit, self.desk.clock.now() + 17_000_000)
+        self.assertLess(self.desk.handles[1].deadline, self.desk.clock.now() + 17_000_000)
 
     def test_a_withdrawn_message_does_not_go_out(self) -> None:
         self.desk.withdraw(self.taken())
@@ -222,7 +222,7 @@
             self.desk._hold_fire(ending=ending)
             self.desk._turn_away()
             self.assertEqual(sorted(self.desk.notices.owed), [2] * ending)
-        self.assertEqual(self.desk.wake_at, self.store.kept[3].outer_limit - NEAR)
+        self.assertEqual(self.desk.wake_at, self.store.kept[3].deadline - NEAR)
 
     def test_no_attempt_begins_when_the_end_is_near(self) -> None:
         self.taken()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -314,7 +314,7 @@
                 self.assertEqual(line_of_submit(sock, f"good-{number}"), OK)
             sock.sendall(submit("nowhere", dest=9))
             self.assertEqual(line_of(sock)[:5], b"-BUSY")
-            sock.sendall(submit("bad", band="once", dest=1))
+            sock.sendall(submit("bad", priority_class="once", dest=1))
             self.assertEqual(line_of(sock), OK)
         until(lambda: figures(manage)['sender_bad_gateway_total{category="once"}'] == 1)
         last = figures(manage)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -348,8 +348,8 @@
             ("by_half", -1, 1.0, 0.347),
             ("even", 7, 0.55, 0.064),
         ):
-            band = sender(family_info__late=late, classes__0__late_worth="0.1").bands[FREE]
-            worth = band.delivery_value(seconds * 1_000 * MS)
+            priority_class = sender(family_info__late=late, classes__0__late_worth="0.1").priority_classes[FREE]
+            worth = priority_class.delivery_value(seconds * 1_000 * MS)
             self.assertAlmostEqual(worth[0], left, 3, (late, seconds))
             self.assertAlmostEqual(worth[1], lost, 3, (late, seconds))
 
@@ -562,9 +562,9 @@
 
 
 class Restarts(unittest.TestCase):
-    def resumed(self, band: int, *attempts: EarlierAttempt, key: int = 0, limit: int = 16_000) -> Sender:
+    def resumed(self, priority_class: int, *attempts: EarlierAttempt, key: int = 0, limit: int = 16_000) -> Sender:
         made = sender()
-        made.resume(NOW, [Owed(1, 7, band, NOW + limit * MS, 0, key, attempts)])
+        made.resume(NOW, [Owed(1, 7, priority_class, NOW + limit * MS, 0, key, attempts)])
         return made
 
     def test_at_most_once_with_a_attempt_without_outcome_is_written_off(self) -> None:
@@ -613,7 +613,7 @@
     def test_not_when_withdrawn_or_past_its_limit_or_window(self) -> None:
         made = sender()
         handle, numbered = out(made, 1), out(made, 2, NUMBERED)
-        self.assertFalse(handle.may_start(handle.outer_limit, 1))
+        self.assertFalse(handle.may_start(handle.deadline, 1))
         numbered.ran_at = NOW - 6_000 * MS
         self.assertFalse(numbered.may_start(NOW, 1))
         handle.withdrawn(NOW)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -104,7 +104,7 @@
             submit("a"),
             submit("b"),
             words(b"NONSENSE"),
-            submit("c", band="unheard-of"),
+            submit("c", priority_class="unheard-of"),
             words(b"ping"),
         )
         self.assertEqual(
@@ -171,7 +171,7 @@
 
     def test_an_unreadable_answer_is_a_reset_and_not_repeated_when_at_most_once(self) -> None:
         program = self.begin(b"SSH-2.0-nothing\r\n\r\n" * 50)
-        self.hand_in(program, submit("a", band="once"))
+        self.hand_in(program, submit("a", priority_class="once"))
         until(lambda: program.platform.notices)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "failed"}])
         self.assertEqual(len(program.receivers[0].calls), 1)
@@ -192,7 +192,7 @@
             spoilt = [head(status, rest) for status in (200, 429, 410, 503, 504)]
             with self.subTest(rest=rest[:40]):
                 program = self.begin(*spoilt)
-                self.hand_in(program, *(submit(str(dest), band="once", dest=dest) for dest in range(5)))
+                self.hand_in(program, *(submit(str(dest), priority_class="once", dest=dest) for dest in range(5)))
                 until(lambda: len(program.platform.notices) == 4)  # noqa: B023
                 self.assertEqual(
                     {(told["id"], told["state"]) for told in program.platform.notices},
@@ -214,7 +214,7 @@
         program = self.begin(reply(200))
         program.receivers[0].close()
         begun = time.monotonic()
-        self.assertEqual(self.hand_in(program, submit("a", band="once", d=900)), [OK])
+        self.assertEqual(self.hand_in(program, submit("a", priority_class="once", d=900)), [OK])
         until(lambda: program.platform.notices)
         self.assertLess(time.monotonic() - begun, 2.0)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "returned"}])
@@ -222,7 +222,7 @@
     def test_a_notice_is_kept_until_it_is_acknowledged(self) -> None:
         program = self.begin(reply(500))
         program.platform.refusals = 2
-        self.hand_in(program, submit("a", band="once"), submit("b", band="once"))
+        self.hand_in(program, submit("a", priority_class="once"), submit("b", priority_class="once"))
         until(lambda: len(program.platform.notices) == 2)
         self.assertEqual(sorted(told["id"] for told in program.platform.notices), ["a", "b"])
 
@@ -273,7 +273,7 @@
     def test_who_sends_the_same_nonsense_again_is_slowed_down_and_let_go(self) -> None:
         program = self.begin(reply(200))
         with program.connect() as rude:
-            rude.sendall(submit("a", band="unheard-of") * 300)
+            rude.sendall(submit("a", priority_class="unheard-of") * 300)
             self.assertTrue(line_of(rude).startswith(b"-ERR"))
             begun = time.monotonic()
             self.assertEqual(self.hand_in(program, submit("b")), [OK])
@@ -308,7 +308,7 @@
             return reply(200)
 
         program = self.begin(soon)
-        self.hand_in(program, submit("a", band="once", d=1000))
+        self.hand_in(program, submit("a", priority_class="once", d=1000))
         until(lambda: program.receivers[0].calls)
         program.signal(signal.SIGSTOP)
         time.sleep(1.2)
@@ -349,7 +349,7 @@
 
     def test_after_a_kill_an_at_most_once_message_that_was_out_is_written_off(self) -> None:
         program = self.begin(None)
-        self.hand_in(program, submit("a", band="once"))
+        self.hand_in(program, submit("a", priority_class="once"))
         until(lambda: program.receivers[0].calls)
         program.kill()
         program.start()
@@ -377,8 +377,8 @@
         for life, end in enumerate((program.kill, program.terminate, program.kill)):
             with program.connect() as sock:
                 for number in range(16):
-                    name, band = f"{life}-{number}", ("free", "once")[number % 2]
-                    sock.sendall(submit(name, band=band, dest=number // 2 % 2))
+                    name, priority_class = f"{life}-{number}", ("free", "once")[number % 2]
+                    sock.sendall(submit(name, priority_class=priority_class, dest=number // 2 % 2))
                     if line_of(sock) == OK:
                         taken.append(name)
             end()
@@ -412,7 +412,7 @@
             return reply(200)
 
         program = self.begin(slow)
-        self.hand_in(program, submit("a", band="once"))
+        self.hand_in(program, submit("a", priority_class="once"))
         until(lambda: program.receivers[0].calls)
         program.signal(signal.SIGTERM)
         time.sleep(0.1)
@@ -481,7 +481,7 @@
         platform = self.moved(program)
         until(lambda: platform.watches)
         time.sleep(0.1)
-        self.hand_in(program, submit("gone", d=400), submit("a", band="once", dest=1))
+        self.hand_in(program, submit("gone", d=400), submit("a", priority_class="once", dest=1))
         until(lambda: len(platform.notices) == 2)
         self.assertEqual(sorted(told["id"] for told in platform.notices), ["a", "gone"])
         self.assertEqual((program.receivers[0].calls, program.platform.notices), ([], []))
@@ -489,7 +489,7 @@
     def test_a_notice_without_its_answer_goes_again_to_the_new_address(self) -> None:
         program = self.begin(reply(200), reply(500))
         program.platform.deaf = True
-        self.hand_in(program, submit("a", band="once", dest=1))
+        self.hand_in(program, submit("a", priority_class="once", dest=1))
         until(lambda: program.platform.posts)
         begun = time.monotonic()
         platform = self.moved(program)
--- a/tests/test_ramp_sum.py
+++ b/tests/test_ramp_sum.py
@@ -39,7 +39,10 @@
     ramp_ms: str
     weights: str = "nominal"
     limited: bool = True  # above its rate it refuses, and reports tell how much is left
-    bands: tuple[tuple[str, int, int, float], ...] = (("free", 3000, 16_000, 0.7), ("guarded", 4000, 20_000, 0.3))
+    priority_classes: tuple[tuple[str, int, int, float], ...] = (
+        ("free", 3000, 16_000, 0.7),
+        ("guarded", 4000, 20_000, 0.3),
+    )
 
     def settings(self, senders: int) -> dict[str, str]:
         told = {
@@ -47,7 +50,7 @@
             "resolution-ms": "5.0",
             "locality": "0",
             "weight-source": self.weights,
-            "classes.count": str(len(self.bands)),
+            "classes.count": str(len(self.priority_classes)),
             "family-info.kind-apart": "false",
             "family-info.per-call": "1",
             "family-info.max-calls": str(max(2, round(0.9 * self.rate / senders) + 1)),
@@ -60,7 +63,7 @@
             "rules.fall-ms": self.fall_ms,
             "rules.ramp-time-ms": self.ramp_ms,
         }
-        for index, (repeat, wanted, limit, _) in enumerate(self.bands):
+        for index, (repeat, wanted, limit, _) in enumerate(self.priority_classes):
             told |= {
                 f"classes.{index}.repeat": repeat,
                 f"classes.{index}.slo-ms": str(wanted),
@@ -134,12 +137,14 @@
                 self.at(now, partial(self.arrive, sender, message))
 
     def arrive(self, sender: int, message: int) -> None:
-        band = self.chance.choices(range(len(self.site.bands)), [each[3] for each in self.site.bands])[0]
-        made, limit = self.senders[sender], self.site.bands[band][2]
+        priority_class = self.chance.choices(
+            range(len(self.site.priority_classes)), [each[3] for each in self.site.priority_classes]
+        )[0]
+        made, limit = self.senders[sender], self.site.priority_classes[priority_class][2]
         self.offered += 1
         if made.open < made.most_open:
             until = self.now + limit * MS
-            self.handles[sender][message] = made.take(self.now, message, 7, band, until, 0, 0)
+            self.handles[sender][message] = made.take(self.now, message, 7, priority_class, until, 0, 0)
             self.round(sender)
 
     # ---- senders ----
@@ -186,7 +191,7 @@
         handle.attempt_ended(self.now, outcome, handle.attempts - 1, receiver, self.now - sent_at, wait, done, report)
         if done:
             self.served += 1
-            self.in_time += self.now <= handle.expected_by
+            self.in_time += self.now <= handle.objective_by
         self.round(sender)
 
     def restarted(self) -> None:
@@ -198,7 +203,7 @@
             for message, handle in old.items():
                 if not handle.ended and not handle.out:
                     self.handles[sender][message] = made.take(
-                        self.now, message, 7, made.bands.index(handle.band), handle.outer_limit, 0, 0
+                        self.now, message, 7, made.priority_classes.index(handle.priority_class), handle.deadline, 0, 0
                     )
             self.wakes[sender] = 0
             self.round(sender)
@@ -278,7 +283,13 @@
 # Three customers' settings, of the kinds that are about; the first one's again where no rate is listed or limited.
 KIOSK = Site(4, 2, "0.31", "1.5", "2000", "10000")
 FERRY = Site(
-    9, 1, "0.2", "2", "3000", "9500", bands=(("free", 3000, 28_000, 0.78), ("single_shot", 3000, 24_000, 0.22))
+    9,
+    1,
+    "0.2",
+    "2",
+    "3000",
+    "9500",
+    priority_classes=(("free", 3000, 28_000, 0.78), ("single_shot", 3000, 24_000, 0.22)),
 )
 DEPOT = Site(
     14,
@@ -289,7 +300,7 @@
     "14000",
     weights="rough",
     limited=False,
-    bands=(("free", 1500, 5000, 0.6), ("single_shot", 2000, 28_000, 0.4)),
+    priority_classes=(("free", 1500, 5000, 0.6), ("single_shot", 2000, 28_000, 0.4)),
 )
 PLAIN = replace(KIOSK, rate=12, weights="off", limited=False)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -691,7 +691,16 @@
         again = store(Folder(self.path))
         back = again.kept[1]
         self.assertEqual(
-            (back.id, back.key, back.turn, back.band, back.tenant, back.destination, back.outer_limit, again.body(1)),
+            (
+                back.id,
+                back.key,
+                back.turn,
+                back.priority_class,
+                back.tenant,
+                back.destination,
+                back.deadline,
+                again.body(1),
+            ),
             ("id-1", "k", 7, "band", "tenant", 3, 99, b"body"),
         )
         self.assertEqual(
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -299,7 +299,7 @@
                 key=KEY + 1,
                 id="3",
                 mark="",
-                band="line",
+                priority_class="line",
                 tenant="",
                 destination=0,
                 left=1,
@@ -363,7 +363,7 @@
         gone = Fact(number, None, Known(end=(Rank.TOLD, 0)))
         done = Fact(number, None, Known(end=(Rank.COMPLETED, 0)))
         self.assertEqual(c.offered(holding, [gone, done]), [done])
-        kept.outer_limit = 0
+        kept.deadline = 0
         self.assertEqual(c.offered(holding, [gone]), [gone])
 
     def test_nobody_inherits_from_an_older_member_nor_what_a_vote_or_a_young_copy_speaks_against(self) -> None:
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -109,8 +109,8 @@
         running = gevent.spawn(self.desk.run)
         self.addCleanup(running.kill)
 
-    def submit(self, name: str, band: str = "free", life: int = 8_000_000) -> None:
-        self.desk.submit(Submission(Kept(0, name, "", 0, band, "", 0, self.clock.now() + life, b"x")))
+    def submit(self, name: str, priority_class: str = "free", life: int = 8_000_000) -> None:
+        self.desk.submit(Submission(Kept(0, name, "", 0, priority_class, "", 0, self.clock.now() + life, b"x")))
 
     def feed(self, seconds: float, every: float = 0.02, **told: int) -> None:
         """Hand in a message every now and then."""
@@ -142,7 +142,7 @@
             partner.tell(sock, REFUSAL[:-5]) if number == 1 else sock.sendall(reply(200))
 
         self.start(play)
-        self.submit("first", band="once")
+        self.submit("first", priority_class="once")
         gevent.sleep(0.05)
         self.feed(0.7)
         self.kept_to_the_wait()
@@ -217,7 +217,7 @@
             return may
 
         self.desk.attempts.clear = stopped
-        self.submit("first", band="once")
+        self.submit("first", priority_class="once")
         until(lambda: gevent.sleep(0.005) or self.counters.counts["answers 200"], 2.0)
         self.assertEqual(self.counters.counts["attempts without an answer: moot"], 1)
         self.assertEqual([name for _, name in self.partner.arrived], ["first"])
