--- a/cedarwick/adapter/codec.py
+++ b/cedarwick/adapter/codec.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
 from cedarwick.errors import CedarwickError
-from cedarwick.interface import ListChange, Listing, Outcome, Phase
 
 BATCH_HEADER = struct.Struct("<dII")
 REPLY_HEADER = struct.Struct("<II")
@@ -21,8 +21,8 @@
     250: Outcome.CANCELLED,
     249: Outcome.MOOT,
 }
-PHASES = {0: Phase.GONE, 1: Phase.READY, 2: Phase.DRAINING}
-LIST_CHANGES = {0: ListChange.CHANGES, 1: ListChange.WHOLE, 2: ListChange.SAVED, 3: None}
+PHASES = {0: EndpointState.REMOVED, 1: EndpointState.READY, 2: EndpointState.DRAINING}
+LIST_CHANGES = {0: EndpointUpdate.DELTA, 1: EndpointUpdate.FULL, 2: EndpointUpdate.CACHED, 3: None}
 
 
 class WireError(CedarwickError):
@@ -128,12 +128,12 @@
         raise WireError(f"{len(body) - cursor.at} bytes after the last record")
 
 
-def listing(entry: tuple[Any, ...]) -> Listing:
+def listing(entry: tuple[Any, ...]) -> ListedEndpoint:
     """A line of the list from an entry of `register`."""
     receiver, zone, kind, destination, phase, rate, _ = entry
     if phase not in PHASES:
         raise WireError(f"unknown phase {phase}")
-    return Listing(receiver, zone, kind, destination, PHASES[phase], rate)
+    return ListedEndpoint(receiver, zone, kind, destination, PHASES[phase], rate)
 
 
 def outcome_of(code: int) -> Outcome:
--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-from cedarwick import bounds
 from cedarwick.adapter import codec
-from cedarwick.interface import Listing, Outcome, Verdicts
-from cedarwick.policy import Handle, Sender
+from cedarwick.decisions import setting_rules
+from cedarwick.decisions.interface import Decisions, ListedEndpoint, Outcome
+from cedarwick.decisions.policy import Handle, Sender
 
 LONGEST_SLEEP = 70 * 60 * 1_000_000  # the wire allows 71 minutes
 
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.lists: dict[int, list[Listing]] = {}
+        self.lists: dict[int, list[ListedEndpoint]] = {}
 
     def answer(self, now: int, count: int, body: bytes) -> bytes:
         """The reply to one batch."""
@@ -44,7 +44,7 @@
             touched[number] = None
             try:
                 self._pass_on(now, code, values, extra)
-            except (codec.WireError, bounds.SettingError):
+            except (codec.WireError, setting_rules.SettingError):
                 raise
             except Exception as error:
                 broken[number] = f"{type(error).__name__}: {error}"
@@ -63,7 +63,7 @@
         number = values[0]
         if code == 30:
             settings = codec.settings_of(extra)
-            bounds.check(settings)
+            setting_rules.check(settings)
             self.instances[number] = Instance(Sender(settings, values[1], now))
             return
         instance = self.instances.get(number)
@@ -100,7 +100,7 @@
                 raise codec.WireError(f"unknown kind of list news {how}")
             change = codec.LIST_CHANGES[how]
             if change is None:
-                sender.list_call_failed(now)
+                sender.list_poll_failed(now)
             elif slot not in self.lists:
                 raise codec.WireError(f"list {slot} was never declared")
             else:
@@ -112,14 +112,14 @@
         instance = self.instances.get(number)
         if instance is None:
             return
-        verdicts: Verdicts = instance.sender.decide(now)
+        verdicts: Decisions = instance.sender.decide(now)
         for message, wait in verdicts.nacks:
             instance.handles.pop(message, None)
             yield codec.deny(number, message, wait)
-        for message in verdicts.write_offs:
+        for message in verdicts.abandoned:
             instance.handles.pop(message, None)
             yield codec.report_failure(number, message)
-        for receiver in verdicts.freed_links:
+        for receiver in verdicts.released_connections:
             yield codec.free_links(number, receiver)
         for message, receiver, time_out in verdicts.attempts:
             yield codec.hand_off(number, message, receiver, time_out)
--- a/cedarwick/interface.py
+++ b/cedarwick/decisions/interface.py
@@ -1,10 +1,10 @@
 """The call surface between a protocol in front and the decisions behind it.
 
-A protocol makes one `Sender` (see `cedarwick.policy`) an instance and then, in the order things happened:
+A protocol makes one `Sender` (see `cedarwick.decisions.policy`) an instance and then, in the order things happened:
 
     sender = Sender(settings, seed, now)          settings: a plain map of names to values, as text
     sender.listed(now, change, listings)          news of the list of receivers
-    sender.list_call_failed(now)                  a list call failed or the subscription broke
+    sender.list_poll_failed(now)                  a list call failed or the subscription broke
     handle = sender.take(now, id, ...)            a new message
     handle.attempt_ended(now, outcome, attempt, ...)    an outcome of one of its attempts
     handle.withdrawn(now)                         nobody wants it any more
@@ -16,12 +16,12 @@
     sender.heed(now, receiver, until)             a wait that was told, apart from an outcome
     sender.room                                   set before a round: how many more messages can be kept
     sender.retry_after_waits(now)                 the waits that a replaced process hands to its successor
-    handle.on_new_link()                          whether an ordered attempt may not go over a kept link
+    handle.needs_new_connection()                          whether an ordered attempt may not go over a kept link
     handle.may_start(now, receiver)               whether an ordered attempt may still go, before its first byte
-    handle.whole_by()                             when the last byte of an ordered attempt must have gone
-    handle.never_left()                           after an outcome: that attempt was held back, and is no try
-    sender.link_life                              how long an idle link is used
-    sender.list_wait                              the longest wait after a call for the list that failed
+    handle.send_by()                             when the last byte of an ordered attempt must have gone
+    handle.attempt_not_sent()                           after an outcome: that attempt was held back, and is no try
+    sender.connection_lifetime                              how long an idle link is used
+    sender.max_poll_backoff                              the longest wait after a call for the list that failed
     sender.per_call                               messages a call by kind; cleared where a call carries one
 
 `decide` also serves a wake-up: waking needs no call of its own. Times are whole microseconds of the
@@ -52,30 +52,30 @@
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
-class ListChange(Enum):
+class EndpointUpdate(Enum):
     """What a piece of list news holds."""
 
-    CHANGES = "changes"
-    WHOLE = "whole"
-    SAVED = "saved"
+    DELTA = "changes"
+    FULL = "whole"
+    CACHED = "saved"
 
 
-class Phase(Enum):
+class EndpointState(Enum):
     """How the list marks a receiver."""
 
-    GONE = "gone"
+    REMOVED = "gone"
     READY = "ready"
     DRAINING = "draining"
 
 
-class Listing(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """One line of the list of receivers."""
 
     receiver: int
     zone: int
     kind: int
     destination: int
-    phase: Phase
+    phase: EndpointState
     rate: float
 
 
@@ -87,7 +87,7 @@
     outcome: Outcome | None  # None: it was out when the process ended
 
 
-class Owed(NamedTuple):
+class UnfinishedMessage(NamedTuple):
     """An message that a restart has left; in the order in which they were taken."""
 
     message_id: int
@@ -100,13 +100,13 @@
 
 
 @dataclass
-class Verdicts:
+class Decisions:
     """What one round decided. Nacks and write-offs come before attempts; attempts keep their order."""
 
     nacks: list[tuple[int, int]] = field(default_factory=list)  # message, advised wait (0: none)
-    write_offs: list[int] = field(default_factory=list)
+    abandoned: list[int] = field(default_factory=list)
     attempts: list[tuple[int, int, int]] = field(default_factory=list)  # message, receiver, time-out
-    freed_links: list[int] = field(default_factory=list)  # receivers whose idle connections are let go
+    released_connections: list[int] = field(default_factory=list)  # receivers whose idle connections are let go
     log_lines: list[str] = field(default_factory=list)
     subscribe: bool = False
     wake_at: int | None = None  # the next time at which `decide` should be called without an event
@@ -125,33 +125,33 @@
         retry_after: int,
         last: bool,
         report: Sequence[float],
-        kept_link: bool = False,
+        reused_connection: bool = False,
     ) -> None: ...
 
     def withdrawn(self, now: int) -> None: ...
 
     def may_start(self, now: int, receiver: int) -> bool: ...
 
-    def whole_by(self) -> int: ...
+    def send_by(self) -> int: ...
 
-    def never_left(self) -> None: ...
+    def attempt_not_sent(self) -> None: ...
 
-    def on_new_link(self) -> bool: ...
+    def needs_new_connection(self) -> bool: ...
 
 
 class DeliverySender(Protocol):
     """What a protocol may ask of the decisions."""
 
-    link_life: int
-    list_wait: int
+    connection_lifetime: int
+    max_poll_backoff: int
     per_call: list[int]
     room: int
 
     def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None: ...
 
-    def listed(self, now: int, change: ListChange, listings: Sequence[Listing]) -> None: ...
+    def listed(self, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None: ...
 
-    def list_call_failed(self, now: int) -> None: ...
+    def list_poll_failed(self, now: int) -> None: ...
 
     def take(
         self,
@@ -164,26 +164,26 @@
         key: int,
     ) -> MessageHandle: ...
 
-    def resume(self, now: int, owed: Sequence[Owed]) -> Sequence[MessageHandle]: ...
+    def resume(self, now: int, owed: Sequence[UnfinishedMessage]) -> Sequence[MessageHandle]: ...
 
-    def decide(self, now: int) -> Verdicts: ...
+    def decide(self, now: int) -> Decisions: ...
 
 
-def number(settings: Mapping[str, str], name: str, default: float = 0.0) -> float:
+def float_setting(settings: Mapping[str, str], name: str, default: float = 0.0) -> float:
     """A figure, or the default where the setting is absent."""
     return float(settings.get(name) or default)
 
 
-def span(settings: Mapping[str, str], name: str, default_ms: float = 0.0) -> int:
+def duration_setting(settings: Mapping[str, str], name: str, default_ms: float = 0.0) -> int:
     """A span that the settings give in milliseconds, in microseconds."""
-    return round(number(settings, name, default_ms) * 1000)
+    return round(float_setting(settings, name, default_ms) * 1000)
 
 
-def flag(settings: Mapping[str, str], name: str) -> bool:
+def flag_setting(settings: Mapping[str, str], name: str) -> bool:
     """Whether a setting says true."""
     return settings.get(name) == "true"
 
 
-def row(settings: Mapping[str, str], name: str) -> list[str]:
+def list_setting(settings: Mapping[str, str], name: str) -> list[str]:
     """The plain values of a list."""
     return [part for part in settings.get(name, "").split(",") if part]
--- a/cedarwick/policy.py
+++ b/cedarwick/decisions/policy.py
@@ -3,19 +3,30 @@
 from collections import deque
 from collections.abc import Mapping, Sequence
 
-from cedarwick.interface import ListChange, Listing, Outcome, Owed, Phase, Verdicts, flag, number, row, span
-from cedarwick.state import (
-    FAR,
-    Bucket,
-    Chance,
+from cedarwick.decisions.interface import (
+    Decisions,
+    EndpointState,
+    EndpointUpdate,
+    ListedEndpoint,
+    Outcome,
+    UnfinishedMessage,
+    duration_setting,
+    flag_setting,
+    float_setting,
+    list_setting,
+)
+from cedarwick.decisions.state import (
+    NEVER,
     Destination,
-    Keys,
+    KeyOrder,
     Message,
-    Pace,
-    Plan,
     PriorityClass,
+    RandomSource,
+    RateControl,
     Receiver,
-    note,
+    TokenBucket,
+    WakeSchedule,
+    record_recent,
 )
 
 SECOND = 1_000_000
@@ -67,16 +78,16 @@
     halves = settings.get("family-info.late") == "by_half"
     repeat = settings.get(head + "repeat", "single_shot")
     return PriorityClass(
-        priority_weight=number(settings, head + "worth", 1.0),
-        latency_objective=span(settings, head + "slo-ms", 1000.0),
-        deadline=span(settings, head + "deadline-ms", 10_000.0),
-        late_share=number(settings, head + "late-worth"),
-        halves_in=span(settings, head + "slo-ms", 1000.0) if halves else 0,
+        priority_weight=float_setting(settings, head + "worth", 1.0),
+        latency_objective=duration_setting(settings, head + "slo-ms", 1000.0),
+        deadline=duration_setting(settings, head + "deadline-ms", 10_000.0),
+        late_share=float_setting(settings, head + "late-worth"),
+        halves_in=duration_setting(settings, head + "slo-ms", 1000.0) if halves else 0,
         idempotent=repeat == "free",
         at_most_once=repeat not in ("free", "guarded"),
-        window=span(settings, head + "dedup-window-ms"),
+        window=duration_setting(settings, head + "dedup-window-ms"),
         single_zone=settings.get(head + "group", "all") != "all",
-        ordered=flag(settings, head + "in-turn"),
+        ordered=flag_setting(settings, head + "in-turn"),
     )
 
 
@@ -96,7 +107,7 @@
         retry_after: int,
         last: bool,
         report: Sequence[float],
-        kept_link: bool = False,
+        reused_connection: bool = False,
     ) -> None:
         """Record the outcome of the attempt that was out and settle what may follow it."""
         sender = self.sender
@@ -104,8 +115,8 @@
             return
         self.out = False
         record = sender.receivers[receiver]
-        stale = kept_link and outcome is Outcome.RESET
-        sender.stale_links += (stale - sender.stale_links) / MANY if kept_link else 0.0
+        stale = reused_connection and outcome is Outcome.RESET
+        sender.stale_links += (stale - sender.stale_links) / MANY if reused_connection else 0.0
         sender.learn(now, self, record, Outcome.MOOT if stale else outcome, took, retry_after, report)
         if outcome in (Outcome.TIME_OUT, Outcome.RESET, Outcome.CANCELLED):
             self.doubtful_at = now
@@ -130,25 +141,25 @@
             self.sender.close(now, self)
         self.ended = True
 
-    def never_left(self) -> None:
+    def attempt_not_sent(self) -> None:
         """The attempt whose ending was told was held back on the way out: it was none of the tries."""
         self.attempts -= 1
 
     def may_start(self, now: int, receiver: int) -> bool:
         """Asked before the first byte: while a link came up a wait, a drain or an end may have been heard."""
         record = self.sender.receivers[receiver]
-        return record.ready and record.pace.wait_until <= now < self.whole_by() and not self.ended
+        return record.ready and record.pace.wait_until <= now < self.send_by() and not self.ended
 
-    def on_new_link(self) -> bool:
+    def needs_new_connection(self) -> bool:
         """Danger: an at-most-once message is lost when the kept link breaks on which it went."""
         return self.priority_class.at_most_once and self.sender.stale_links > STALE_LINKS
 
-    def whole_by(self) -> int:
+    def send_by(self) -> int:
         """Danger: a receiver counts a call from its last byte, and forgets its number in time."""
         return min(self.deadline, self.repeat_until())
 
     def repeat_until(self) -> int:
-        return FAR if self.priority_class.idempotent or not self.ran_at else self.ran_at + self.priority_class.window
+        return NEVER if self.priority_class.idempotent or not self.ran_at else self.ran_at + self.priority_class.window
 
 
 class Sender:
@@ -156,36 +167,36 @@
 
     def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None:
         self.settings = settings
-        self.chance = Chance(seed)
+        self.chance = RandomSource(seed)
         self.priority_classes = [
-            priority_class_of(settings, index) for index in range(int(number(settings, "classes.count")))
+            priority_class_of(settings, index) for index in range(int(float_setting(settings, "classes.count")))
         ]
-        self.senders = max(1, int(number(settings, "balancers", 1)))
+        self.senders = max(1, int(float_setting(settings, "balancers", 1)))
         self.many = self.senders > MANY
         self.slowest = TRICKLE / self.senders
-        self.tick = max(1000, span(settings, "resolution-ms", 5.0))
-        self.slots = int(number(settings, "family-info.max-calls", 1 << 30))
-        self.most_attempts = int(number(settings, "policy-limits.most-tries", 1 << 30))
-        self.most_open = int(number(settings, "policy-limits.max-open", 1 << 30))
-        self.per_call = [int(part) for part in row(settings, "family-info.per-call")]
-        self.ramp_time = max(SECOND, span(settings, "rules.ramp-time-ms", 10_000))
-        self.fall_time = span(settings, "rules.fall-ms")
+        self.tick = max(1000, duration_setting(settings, "resolution-ms", 5.0))
+        self.slots = int(float_setting(settings, "family-info.max-calls", 1 << 30))
+        self.most_attempts = int(float_setting(settings, "policy-limits.most-tries", 1 << 30))
+        self.most_open = int(float_setting(settings, "policy-limits.max-open", 1 << 30))
+        self.per_call = [int(part) for part in list_setting(settings, "family-info.per-call")]
+        self.ramp_time = max(SECOND, duration_setting(settings, "rules.ramp-time-ms", 10_000))
+        self.fall_time = duration_setting(settings, "rules.fall-ms")
         # Danger: a single call counts as one in this time; with each of many senders that is mostly chance.
         self.seen_over = 2 * SPAN * (1 + self.many)
-        self.locality = int(number(settings, "locality"))
-        self.far_fee = number(settings, "tariffs.cross-zone")
-        self.apart = {n for n, part in enumerate(row(settings, "family-info.kind-apart")) if part == "true"}
-        self.columns = row(settings, "report.columns")
-        self.fees = dict(enumerate(row(settings, "family-info.fee-by-zone")))
-        self.links_last = span(settings, "policy-limits.conn-idle-ms", 15_000)
-        self.link_life = round(self.links_last * LINK_PART)
+        self.locality = int(float_setting(settings, "locality"))
+        self.far_fee = float_setting(settings, "tariffs.cross-zone")
+        self.apart = {n for n, part in enumerate(list_setting(settings, "family-info.kind-apart")) if part == "true"}
+        self.columns = list_setting(settings, "report.columns")
+        self.fees = dict(enumerate(list_setting(settings, "family-info.fee-by-zone")))
+        self.links_last = duration_setting(settings, "policy-limits.conn-idle-ms", 15_000)
+        self.connection_lifetime = round(self.links_last * LINK_PART)
         self.receivers: dict[int, Receiver] = {}
         self.destinations: dict[int, Destination] = {}
-        self.turns = Keys()
-        self.shares: dict[int, Bucket] = {}  # what a tenant has left of its share
+        self.turns = KeyOrder()
+        self.shares: dict[int, TokenBucket] = {}  # what a tenant has left of its share
         self.started = now
         self.open = 0
-        self.room = FAR  # messages that may still be kept, as the protocol tells
+        self.room = NEVER  # messages that may still be kept, as the protocol tells
         self.taken = 0
         self.calls_out = 0
         self.changed: set[int] = set()  # destinations that need a look in this round
@@ -193,11 +204,13 @@
         self.unlinked: dict[int, float] = {}  # by kind: how often one failed just before a completion
         self.idle: set[int] = set()  # receivers at which a call has ended in this round
         self.starved: set[int] = set()  # destinations that found no slot free
-        self.looks = Plan()
-        self.subscribe_at = now if settings.get("discovery") == "ask" else FAR
+        self.looks = WakeSchedule()
+        self.subscribe_at = now if settings.get("discovery") == "ask" else NEVER
         self.asked_at, self.asked_in_vain = now, 0  # for the list: when last, how often of late
-        self.list_wait = span(settings, "rules.ask-within-ms") or LIST_WAIT  # on sockets no longer than that
-        self.verdicts = Verdicts()
+        self.max_poll_backoff = (
+            duration_setting(settings, "rules.ask-within-ms") or LIST_WAIT
+        )  # on sockets no longer than that
+        self.verdicts = Decisions()
 
     def take(
         self, now: int, message_id: int, destination: int, priority_class: int, deadline: int, tenant: int, key: int
@@ -214,10 +227,10 @@
         self.hold(now, handle)
         return handle
 
-    def resume(self, now: int, owed: Sequence[Owed]) -> list[Handle]:
+    def resume(self, now: int, owed: Sequence[UnfinishedMessage]) -> list[Handle]:
         """After a restart: what is owed from before it. An attempt without an outcome may have run."""
         # Danger: an attempt that was out when the process ended may still run, of an ended message's key too.
-        self.turns.all_rest = now + span(self.settings, "rules.turn-gap-ms")
+        self.turns.all_rest = now + duration_setting(self.settings, "rules.turn-gap-ms")
         handles = [self.take(now, *each[:-1]) for each in owed]
         # Danger: under settings that hold less, all that is beyond them would be given up without a call.
         self.most_open = max(self.most_open, self.open + 2)
@@ -248,15 +261,15 @@
             self.turns.rest(key, min(now + RESTED, line[0].deadline - LAST_CHANCE))
         return [each for each in line if not each.attempts]
 
-    def listed(self, now: int, change: ListChange, listings: Sequence[Listing]) -> None:
-        if change is not ListChange.CHANGES:
+    def listed(self, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
+        if change is not EndpointUpdate.DELTA:
             named = {listing.receiver for listing in listings}
             for receiver in self.receivers.values():
                 receiver.ready &= receiver.id in named  # a whole list replaces: what it leaves out is gone
         for listing in listings:
             place = self._destination(listing.destination)
             if listing.receiver not in self.receivers:
-                pace = Pace() if listing.kind in self.apart else place.pace
+                pace = RateControl() if listing.kind in self.apart else place.pace
                 new = Receiver(
                     listing.receiver, listing.zone, listing.kind, listing.destination, pace, recent=deque(maxlen=FEW)
                 )
@@ -269,11 +282,11 @@
                     new.canary_at = max(now, pace.canary_at)
                 place.members.append(listing.receiver)
             known = self.receivers[listing.receiver]
-            back = listing.phase is Phase.READY and not known.ready and known.left_at
-            known.ready = listing.phase is Phase.READY
+            back = listing.phase is EndpointState.READY and not known.ready and known.left_at
+            known.ready = listing.phase is EndpointState.READY
             if back and now - known.left_at > self.fall_time:
                 # Danger: a receiver that was taken out for a while has been restarted, and returns cold.
-                known.back_at, known.ramp = now, Bucket(0.0, now)
+                known.back_at, known.ramp = now, TokenBucket(0.0, now)
             if self.settings.get("weight-source", "off") != "off" and listing.rate > 0:
                 self._list_rate(known.pace, listing.rate)
         # Danger: each piece of news would cost a look at every destination; only what is held needs one.
@@ -287,18 +300,18 @@
                 self.destinations[record.destination].members.remove(record.id)
                 del self.receivers[record.id]
 
-    def list_call_failed(self, now: int) -> None:
+    def list_poll_failed(self, now: int) -> None:
         """Danger: all senders lose the list at once; a call that discovery turns away has cost it work too,
         and as long as all together ask faster than it answers, it answers nobody."""
-        recent = now - self.asked_at < self.list_wait
+        recent = now - self.asked_at < self.max_poll_backoff
         self.asked_in_vain = min(self.asked_in_vain, 16) if recent else 0
         window = max(WINDOW_BASE << self.asked_in_vain, self.senders * LIST_GAP)
         # Danger: in a window that is cut short more come than are answered; so its lower half is left out.
-        least = min(LIST_WAIT, self.list_wait) // 2 if window > self.list_wait else 0
-        self.subscribe_at = now + 1 + least + self.chance.below(max(1, min(self.list_wait, window) - least))
+        least = min(LIST_WAIT, self.max_poll_backoff) // 2 if window > self.max_poll_backoff else 0
+        self.subscribe_at = now + 1 + least + self.chance.below(max(1, min(self.max_poll_backoff, window) - least))
         self.asked_in_vain += 1
 
-    def decide(self, now: int) -> Verdicts:
+    def decide(self, now: int) -> Decisions:
         """Look at every destination that something happened to, the most urgent messages first."""
         self.changed.update(self.looks.due(now))
         places = [self.destinations[each] for each in sorted(self.changed)]
@@ -319,26 +332,26 @@
                 look_at = message.look_at if known[0] else min(known[1], message.look_at)
             else:
                 look_at = self.advance(now, message)
-            next_look[place.id] = min(look_at, next_look.get(place.id, FAR))
+            next_look[place.id] = min(look_at, next_look.get(place.id, NEVER))
         self._shed(now)
         for place in places:
             place.held = [held for held in place.held if not (held.out or held.ended)]
-            self.looks.plan(place.id, max(next_look.get(place.id, FAR), now + self.tick))
+            self.looks.plan(place.id, max(next_look.get(place.id, NEVER), now + self.tick))
         for each in sorted(self.idle & self.receivers.keys()):
             record = self.receivers[each]
             crowded = self.unlinked.get(record.kind, 0.0) > UNLINKED
             if not record.calls and (crowded or self.many and record.gap > self.links_last):
-                self.verdicts.freed_links.append(each)
+                self.verdicts.released_connections.append(each)
         self.idle.clear()
-        verdicts, self.verdicts = self.verdicts, Verdicts()
+        verdicts, self.verdicts = self.verdicts, Decisions()
         if now >= self.subscribe_at:
-            verdicts.subscribe, self.subscribe_at, self.asked_at = True, FAR, now
-        wake_at = min(self.looks.soonest(), self.subscribe_at, now + self.tick if self.changed else FAR)
-        verdicts.wake_at = wake_at if wake_at < FAR else None
+            verdicts.subscribe, self.subscribe_at, self.asked_at = True, NEVER, now
+        wake_at = min(self.looks.soonest(), self.subscribe_at, now + self.tick if self.changed else NEVER)
+        verdicts.wake_at = wake_at if wake_at < NEVER else None
         return verdicts
 
     def advance(self, now: int, message: Handle) -> int:
-        """Take a held message as far as it goes now; the time of its next look, FAR when it needs none."""
+        """Take a held message as far as it goes now; the time of its next look, NEVER when it needs none."""
         priority_class = message.priority_class
         place = self.destinations[message.destination]
         last_start = message.deadline - max(self.tick * 4, round(place.quickest / 2))
@@ -352,7 +365,7 @@
             or start > last_start
         ):
             self.give_up(now, message)
-            return FAR
+            return NEVER
         if start > now:
             return min(start, last_start + 1)
         if priority_class.ordered and message.key:
@@ -383,15 +396,15 @@
         message.attempts += 1
         patience = self._patience(now, message, receiver)
         self.verdicts.attempts.append((message.id, receiver.id, patience))
-        return FAR
+        return NEVER
 
     def give_up(self, now: int, message: Handle) -> None:
         """The final answer, at once: a nack only when every attempt provably never ran."""
         if message.ran_at:
-            self.verdicts.write_offs.append(message.id)
+            self.verdicts.abandoned.append(message.id)
         else:
-            longest = span(self.settings, "policy-limits.max-retry-after-ms")
-            longest *= flag(self.settings, "policy-limits.retry-after")
+            longest = duration_setting(self.settings, "policy-limits.max-retry-after-ms")
+            longest *= flag_setting(self.settings, "policy-limits.retry-after")
             wait = min(longest, max(0, self.destinations[message.destination].pace.wait_until - now))
             self.verdicts.nacks.append((message.id, wait))
         self.close(now, message)
@@ -408,7 +421,7 @@
         self.changed.add(message.destination)
         if message.priority_class.ordered and message.key:
             # Danger: the attempt that timed out may still run and be overtaken by the next of its key.
-            rest = (message.doubtful_at or -FAR) + span(self.settings, "rules.turn-gap-ms")
+            rest = (message.doubtful_at or -NEVER) + duration_setting(self.settings, "rules.turn-gap-ms")
             after = self.turns.leave(message.key, message, now, rest)
             self.changed.update(each.destination for each in after)  # its next one may wait at another
 
@@ -483,7 +496,7 @@
 
     def _completed(self, now: int, message: Message, receiver: Receiver, took: int) -> None:
         pace = receiver.pace
-        note(pace.answers, now, SPAN)
+        record_recent(pace.answers, now, SPAN)
         pace.proven = True
         receiver.recent.append(True)
         receiver.fulls = receiver.full_since = 0
@@ -496,13 +509,13 @@
                 # Where many look seldom, it has returned somewhere between the last two looks.
                 looked = min(receiver.gap, now - receiver.out_since) if self.many else 0
                 receiver.back_at, receiver.warm_at = now - looked // 2, now + self.ramp_time
-                receiver.ramp = Bucket(0.0, now)
+                receiver.ramp = TokenBucket(0.0, now)
                 if pace.rate is not None:  # its refusals while it was shut say nothing of its limit
                     pace.rate = max(pace.rate, receiver.managed, pace.reference)
             receiver.out_since, receiver.failed = 0, False
             receiver.recent = deque([True], FEW)
         if receiver.completed_sent_at != message.sent_at:  # the attempts of one call count once
-            note(receiver.completions, now, self.seen_over)
+            record_recent(receiver.completions, now, self.seen_over)
         receiver.completed_sent_at = max(receiver.completed_sent_at, message.sent_at)
         receiver.managed = max(receiver.managed * 0.98, len(receiver.completions) * SECOND / self.seen_over)
         steps = (now - max(pace.raised_at, pace.cut_at)) // STEP_EVERY
@@ -514,10 +527,10 @@
                 pace.rate = min(pace.rate, pace.limit or pace.rate)
             pace.short, pace.raised_at = False, now
 
-    def _throttle(self, now: int, pace: Pace, repeated: bool) -> None:
+    def _throttle(self, now: int, pace: RateControl, repeated: bool) -> None:
         """Halve the pace when the share of refusals over the span is past the threshold."""
-        note(pace.answers, now, SPAN)
-        note(pace.fulls, now, SPAN)
+        record_recent(pace.answers, now, SPAN)
+        record_recent(pace.fulls, now, SPAN)
         pace.bucket.tokens = 0.0  # what was saved up before the refusal is not there any more
         # Danger: with a few calls a second one refusal is chance, or another sender's doing.
         lone = len(pace.fulls) < 2 and not repeated and (pace.rate or 0.0) * self.senders < pace.limit
@@ -546,7 +559,7 @@
         receiver.failed, receiver.provable, receiver.back_at = True, provable, 0
         receiver.canary_at = self._next_canary(now, receiver)
         # Danger: idle connections to a dead machine swallow attempts; a new one fails and so proves it.
-        self.verdicts.freed_links.append(receiver.id)
+        self.verdicts.released_connections.append(receiver.id)
 
     def _out_with(self, now: int, receiver: Receiver) -> None:
         """Danger: an outage mostly takes all receivers of a destination. Each of many senders would try them
@@ -573,16 +586,16 @@
 
     def _returning_rate(self, receiver: Receiver, since: int) -> float:
         """Calls a second that this sender may send so long after the receiver's return."""
-        cold = number(self.settings, "rules.cold-share", 0.25)
+        cold = float_setting(self.settings, "rules.cold-share", 0.25)
         share = cold + (1 - cold) * min(1.0, since / self.ramp_time)
         managed = max(receiver.managed, receiver.pace.limit * PART / self.senders)
-        share *= RAMP_PART * number(self.settings, "rules.fall-multiple", 1.5)
+        share *= RAMP_PART * float_setting(self.settings, "rules.fall-multiple", 1.5)
         return max(self.slowest, share * managed)
 
     def _distrust(self, now: int, receiver: Receiver) -> float:
         return float(receiver.distrust * 2.0 ** (-(now - receiver.distrust_at) / TRUST_HALVES))
 
-    def _list_rate(self, pace: Pace, rate: float) -> None:
+    def _list_rate(self, pace: RateControl, rate: float) -> None:
         if pace.limit:  # Danger: a single absurd figure would free this sender, or stop it for long.
             rate = min(max(rate, pace.limit / 4), pace.limit * 2)
         part = max(rate * HEADROOM / self.senders, min(rate, LONE))
@@ -600,7 +613,7 @@
         """Who takes turns now, by weight (a canary alone), and the time at which one has or may have room."""
         open_now: list[tuple[Receiver, float]] = []
         canary: list[tuple[Receiver, float]] = []
-        soonest = FAR
+        soonest = NEVER
         for member in members:
             if not member.out_since and self._silent(now, member):
                 # Danger: a hanging destination fills the slots with calls that nobody answers.
@@ -632,7 +645,7 @@
         """An attempt of this round to the same receiver shares a call that is not full."""
         joined = receiver.calls.get(now, 0) % self._batch(receiver)
         # Danger: a full call weighs as several and would push over a route that is still cold.
-        return 0 < joined < (WARMING_UP_BATCH if receiver.back_at or receiver.fulls else FAR)
+        return 0 < joined < (WARMING_UP_BATCH if receiver.back_at or receiver.fulls else NEVER)
 
     def _room(self, now: int, receiver: Receiver) -> int:
         pace = receiver.pace
@@ -661,7 +674,7 @@
         # An at-most-once canary could be lost without a second try.
         lost = message.priority_class.at_most_once and not receiver.provable
         soonest = max(now, receiver.canary_at, receiver.pace.canary_at, receiver.pace.wait_until)
-        return FAR if receiver.canary_out or lost else soonest
+        return NEVER if receiver.canary_out or lost else soonest
 
     def _spend(self, now: int, receiver: Receiver, joins: bool) -> None:
         receiver.attempt_sent(now, joins)
@@ -670,7 +683,7 @@
             receiver.canary_at = self._next_canary(now, receiver)
         if not joins:
             self.calls_out += 1
-            note(receiver.pace.sends, now, SPAN, GATHER + 1)
+            record_recent(receiver.pace.sends, now, SPAN, GATHER + 1)
 
     def _silent(self, now: int, receiver: Receiver) -> bool:
         since = max(next(iter(receiver.calls), now), receiver.answered_at)
@@ -684,7 +697,7 @@
         soon = max(SECOND, round(2 * usual)) << min(message.attempts - 1, 4)
         crowded = 2 * self.calls_out >= self.slots
         if message.priority_class.at_most_once or message.priority_class.idempotent:
-            return min(left, soon if message.priority_class.idempotent else 3 * soon if crowded else FAR)
+            return min(left, soon if message.priority_class.idempotent else 3 * soon if crowded else NEVER)
         window = (
             message.priority_class.window
             if not message.ran_at
@@ -710,9 +723,9 @@
         if message.ran_at and not priority_class.idempotent:
             loses += priority_class.priority_weight  # its window of repeats is running out
         if message.over_share:
-            loses *= number(self.settings, "over-share-worth", 1.0)
+            loses *= float_setting(self.settings, "over-share-worth", 1.0)
         times = message.objective_by - SECOND, message.deadline - 3 * SECOND + 1  # else only an attempt tells
-        message.rank_until = min((time for time in times if time > now), default=FAR)
+        message.rank_until = min((time for time in times if time > now), default=NEVER)
         if priority_class.halves_in:
             message.rank_until = min(message.rank_until, now + priority_class.halves_in // 4)
         if self.many:  # Danger: a sender's part is two or three slots, and one slow call takes them from many
@@ -723,10 +736,10 @@
         return message.rank
 
     def _over_share(self, now: int, tenant: int) -> bool:
-        allowance = number(self.settings, f"realms.{tenant}.allowance-per-s") / self.senders
+        allowance = float_setting(self.settings, f"realms.{tenant}.allowance-per-s") / self.senders
         if allowance <= 0:
             return False
-        unused = self.shares.setdefault(tenant, Bucket(allowance * 2, now))
+        unused = self.shares.setdefault(tenant, TokenBucket(allowance * 2, now))
         unused.fill(now, allowance, allowance * 2)
         return not unused.take()
 
@@ -757,10 +770,10 @@
             return len(place.held) / max(member.pace.rate or 1.0 for member in ready)
         return len(place.held) * (3.0 + lost / SECOND)  # an outage may last as long again as it has
 
-    def _mates(self, place: Destination, pace: Pace) -> list[Receiver]:
+    def _mates(self, place: Destination, pace: RateControl) -> list[Receiver]:
         return [self.receivers[mate] for mate in place.members if self.receivers[mate].pace is pace]
 
     def _destination(self, place: int) -> Destination:
         if place not in self.destinations:
-            self.destinations[place] = Destination(place, Pace())
+            self.destinations[place] = Destination(place, RateControl())
         return self.destinations[place]
--- a/cedarwick/state.py
+++ b/cedarwick/decisions/state.py
@@ -7,10 +7,10 @@
 from math import log
 from typing import Any
 
-FAR = 1 << 62  # later than any time
+NEVER = 1 << 62  # later than any time
 
 
-class Chance:
+class RandomSource:
     """A linear congruential generator; only its high bits are used."""
 
     def __init__(self, seed: int) -> None:
@@ -22,11 +22,11 @@
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """Tokens that gather at a rate, up to a depth."""
 
     tokens: float = 1.0
-    filled_at: int = -FAR  # never yet: the first filling reaches the depth
+    filled_at: int = -NEVER  # never yet: the first filling reaches the depth
 
     def fill(self, now: int, rate: float, depth: float) -> int:
         """Add what has gathered since; how long until there is a whole token, 0 when there is one."""
@@ -41,14 +41,14 @@
         return whole
 
 
-def note(times: deque[int], now: int, within: int, least: int = 0) -> None:
+def record_recent(times: deque[int], now: int, within: int, least: int = 0) -> None:
     """Add a time and forget those older than a span, but for the newest few."""
     times.append(now)
     while len(times) > least and times[0] < now - within:
         times.popleft()
 
 
-class Keys:
+class KeyOrder:
     """The messages of each key in the order in which they were taken, and until when a key rests."""
 
     def __init__(self) -> None:
@@ -92,13 +92,13 @@
         self.rests[key] = max(until, self.rests.get(key, 0))
 
     def turn_at(self, key: int, message: Any) -> int:
-        """When it is this message's turn; FAR while another stands before it."""
+        """When it is this message's turn; NEVER while another stands before it."""
         if self.lines[key][0] is not message:
-            return FAR
+            return NEVER
         return max(self.all_rest, self.rests.get(key, 0))
 
 
-class Plan:
+class WakeSchedule:
     """Which destination needs its next look when; a later plan for one replaces the one before."""
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
         self.heap: list[tuple[int, int]] = []
 
     def plan(self, place: int, at: int) -> None:
-        if at >= FAR:
+        if at >= NEVER:
             self.planned.pop(place, None)
         elif self.planned.get(place) != at:
             self.planned[place] = at
@@ -122,7 +122,7 @@
         return found
 
     def soonest(self) -> int:
-        return self.heap[0][0] if self.heap else FAR
+        return self.heap[0][0] if self.heap else NEVER
 
 
 @dataclass(slots=True)
@@ -152,14 +152,14 @@
 
 
 @dataclass(slots=True)
-class Pace:
+class RateControl:
     """How fast one destination (or one route, where routes are apart) is sent to."""
 
     rate: float | None = None  # calls a second; None: unbounded
     reference: float = 0.0  # the rate that small steps are measured by
     limit: float = 0.0  # what the destination is said to take from all senders; 0: unknown
     left: float = 0.0  # the share of it that was last reported to be left
-    bucket: Bucket = field(default_factory=Bucket)
+    bucket: TokenBucket = field(default_factory=TokenBucket)
     wait_until: int = 0
     cut_at: int = 0
     raised_at: int = 0
@@ -180,7 +180,7 @@
     zone: int
     kind: int
     destination: int
-    pace: Pace
+    pace: RateControl
     ready: bool = True
     left_at: int = 0  # since when it is not; 0: it is
     credit: float = 0.0  # its place in the rotation
@@ -204,7 +204,7 @@
     canary_out: bool = False
     back_at: int = 0  # when it returned from an outage; 0: not within its ramp
     warm_at: int = 0  # its ramp does not end before this
-    ramp: Bucket = field(default_factory=Bucket)
+    ramp: TokenBucket = field(default_factory=TokenBucket)
     calls: dict[int, int] = field(default_factory=dict)  # send time: attempts without an outcome
 
     def attempt_sent(self, now: int, joins: bool) -> None:
@@ -257,7 +257,7 @@
     """The receivers of a destination by id and the messages held for it."""
 
     id: int
-    pace: Pace
+    pace: RateControl
     members: list[int] = field(default_factory=list)
     held: list[Any] = field(default_factory=list)
     # Of the round under way: who may be sent to, the shortest time to answer, the first end of a wait, and
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -24,14 +24,13 @@
 from cedarwick.fleet.gate import Gate
 from cedarwick.fleet.members import Change, Standing
 from cedarwick.fleet.messages import Body, Cursors, Matches, Noted, Subscribe
-from cedarwick.net.attempts import Call as Attempt
-from cedarwick.net.attempts import Ending
+from cedarwick.net.attempts import AttemptCall, AttemptResult
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Desk
-from cedarwick.net.directory import Directory
-from cedarwick.ops.calls import Call
+from cedarwick.net.dispatcher import Dispatcher
+from cedarwick.net.endpoint_list import EndpointList
+from cedarwick.ops import calls
 from cedarwick.ops.staff import Staff, Talk
-from cedarwick.store.records import Kept
+from cedarwick.store.records import StoredMessage
 
 if TYPE_CHECKING:
     from cedarwick.events.serving import Serving
@@ -140,12 +139,12 @@
         """Another word of how long what is followed here lasts without a follower: for all who are connected, too."""
         self.registry.lasts = lasts
 
-    def attach(self, staff: Staff, directory: Directory, desk: Desk, hall: str) -> None:
+    def attach(self, staff: Staff, endpoint_list: EndpointList, dispatcher: Dispatcher, hall: str) -> None:
         """Once the attempts are made, after everybody else who listens to them."""
-        self.witness = Witness(self.name, hall, desk, directory)
+        self.witness = Witness(self.name, hall, dispatcher, endpoint_list)
         staff.follows = self.answer
-        desk.attempts.clear = partial(self._cleared, desk.attempts.clear)
-        desk.attempts.tell = partial(self._told, desk.attempts.tell)
+        dispatcher.attempts.clear = partial(self._cleared, dispatcher.attempts.clear)
+        dispatcher.attempts.tell = partial(self._told, dispatcher.attempts.tell)
         self.begin()
 
     def begin(self) -> None:
@@ -163,7 +162,7 @@
         """Whether anybody follows: else events are numbered, and not made."""
         return self.serving is not None and bool(self.serving.source.outboxes)
 
-    def seen(self, kind: str, kept: Kept, figure: int) -> None:
+    def seen(self, kind: str, kept: StoredMessage, figure: int) -> None:
         """As `Shared.seen`: something has happened to a message."""
         witness = self.witness
         if witness is None or not self.watching:
@@ -174,7 +173,7 @@
         except Exception:  # Danger: a delivery must not fail because somebody watches it
             self.counters.failed("an event was not told")
 
-    def adopted(self, kept: Iterable[Kept], member: str) -> None:
+    def adopted(self, kept: Iterable[StoredMessage], member: str) -> None:
         """Messages of another member are this one's from now on."""
         for each in kept:
             if self.watching and self.witness is not None:
@@ -212,12 +211,14 @@
         except InvalidEventError as error:
             self.counters.trouble("an event that cannot be told", error)
 
-    def _cleared(self, clear: Callable[[Attempt], bool], call: Attempt) -> bool:
+    def _cleared(self, clear: Callable[[AttemptCall], bool], call: AttemptCall) -> bool:
         if self.watching and self.witness is not None:
             self.witness.cleared(call)
         return clear(call)
 
-    def _told(self, tell: Callable[[Attempt, Ending], None], call: Attempt, ending: Ending) -> None:
+    def _told(
+        self, tell: Callable[[AttemptCall, AttemptResult], None], call: AttemptCall, ending: AttemptResult
+    ) -> None:
         if self.watching and self.witness is not None:
             self.witness.told(call, ending)
         tell(call, ending)
@@ -385,7 +386,7 @@
 
     # ---- staff and subscribers ----
 
-    def answer(self, call: Call) -> str | Talk:
+    def answer(self, call: calls.Call) -> str | Talk:
         """`FOLLOW` and `UNFOLLOW`; a `CedarwickError` says why not."""
         if call.name == "UNFOLLOW":
             return self._unfollow(call.argument)
--- a/cedarwick/events/kept.py
+++ b/cedarwick/events/kept.py
@@ -17,7 +17,7 @@
 from cedarwick.events.registry import MOST, Entry, Registry, join
 from cedarwick.fleet.lasting import FOLDER, CorruptFleetFileError
 from cedarwick.net.counters import Counters
-from cedarwick.store.records import Damage, framed, may_go_on, scan
+from cedarwick.store.records import DamagedRange, framed, may_go_on, scan
 
 NAME = "subscriptions"
 LARGEST = 1 << 28  # bytes: twice as much as the longest filters of all subscriptions take
@@ -62,7 +62,7 @@
     entries: dict[str, Entry] = {}
     count = 0
     for found in scan(data, 0, whole=True):
-        if isinstance(found, Damage):
+        if isinstance(found, DamagedRange):
             if found.until == len(data) and may_go_on(data, found.at):
                 break
             # Danger: a lost page may hold that a subscription has ended which another page holds alive.
--- a/cedarwick/events/kinds.py
+++ b/cedarwick/events/kinds.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
+from cedarwick.decisions.interface import Outcome
 from cedarwick.errors import CedarwickError
-from cedarwick.interface import Outcome
 
 LONGEST_TEXT = 256  # characters of a text field
 LARGEST = (1 << 63) - 1
--- a/cedarwick/events/witness.py
+++ b/cedarwick/events/witness.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass
 
+from cedarwick.decisions.interface import Outcome
 from cedarwick.events.kinds import LONGEST_TEXT, Value
-from cedarwick.interface import Outcome
-from cedarwick.net.attempts import Call, Ending
-from cedarwick.net.desk import Desk
-from cedarwick.net.directory import Directory
-from cedarwick.store.records import Kept
+from cedarwick.net.attempts import AttemptCall, AttemptResult
+from cedarwick.net.dispatcher import Dispatcher
+from cedarwick.net.endpoint_list import EndpointList
+from cedarwick.store.records import StoredMessage
 
 Happened = tuple[str, dict[str, Value]]
 ENDS = ("completed", "nacked", "written-off")
@@ -26,10 +26,10 @@
 class Witness:
     """One sender's eyes. Times are microseconds of the sender's clock."""
 
-    def __init__(self, name: str, hall: str, desk: Desk, directory: Directory) -> None:
+    def __init__(self, name: str, hall: str, dispatcher: Dispatcher, endpoint_list: EndpointList) -> None:
         self.here: dict[str, Value] = {"sender": name, "hall": hall}
-        self.desk = desk
-        self.directory = directory
+        self.dispatcher = dispatcher
+        self.endpoint_list = endpoint_list
         self.lives: dict[int, Life] = {}
         self.uids: dict[int, str] = {}
         self.out: dict[str, tuple[int, int]] = {}  # by uid: destination, and since when
@@ -38,22 +38,22 @@
 
     # ---- messages ----
 
-    def cleared(self, call: Call) -> None:
+    def cleared(self, call: AttemptCall) -> None:
         """An attempt wants to go out to its receiver."""
         life = self._life(call.kept.number)
         life.receiver, life.wait = call.receiver, 0
 
-    def told(self, call: Call, ending: Ending) -> None:
+    def told(self, call: AttemptCall, ending: AttemptResult) -> None:
         """An attempt has ended; its outcome is seen in a moment."""
         if call.kept.number in self.lives:
             self.lives[call.kept.number].wait = ending.retry_after
 
-    def message(self, kind: str, kept: Kept, figure: int) -> dict[str, Value]:
+    def message(self, kind: str, kept: StoredMessage, figure: int) -> dict[str, Value]:
         """The fields of an event of a message; `figure` as `Shared.seen` has it."""
-        now, life = self.desk.clock.now(), self._life(kept.number)
+        now, life = self.dispatcher.clock.now(), self._life(kept.number)
         priority_class = (
-            self.desk.sender.priority_classes[self.desk.priority_classes[kept.priority_class]]
-            if kept.priority_class in self.desk.priority_classes
+            self.dispatcher.sender.priority_classes[self.dispatcher.priority_classes[kept.priority_class]]
+            if kept.priority_class in self.dispatcher.priority_classes
             else None
         )
         fields: dict[str, Value] = {
@@ -89,8 +89,8 @@
         if life is None:
             life = self.lives[number] = Life()
             # Danger: messages that end elsewhere tell no end here, and would be remembered for ever.
-            if len(self.lives) > 2 * len(self.desk.store.kept) + SPARE:
-                self.lives = {each: life for each, life in self.lives.items() if each in self.desk.store.kept}
+            if len(self.lives) > 2 * len(self.dispatcher.store.kept) + SPARE:
+                self.lives = {each: life for each, life in self.lives.items() if each in self.dispatcher.store.kept}
                 self.lives[number] = life
         return life
 
@@ -98,17 +98,17 @@
 
     def looked(self) -> list[Happened]:
         """Receivers that went out or came back since the last look, and those taken out by hand or restored."""
-        now = self.desk.clock.now()
-        self.uids = {number: uid for uid, number in self.directory.numbers.items()}
+        now = self.dispatcher.clock.now()
+        self.uids = {number: uid for uid, number in self.endpoint_list.numbers.items()}
         out = {
             self._uid(each.id): (each.destination, each.out_since)
-            for each in self.desk.sender.receivers.values()
+            for each in self.dispatcher.sender.receivers.values()
             if each.out_since
         }
-        held_out = set(self.directory.held_out)
+        held_out = set(self.endpoint_list.held_out)
         found: list[Happened] = []
         if self.begun:
-            waits = {self._uid(receiver): until for receiver, until in self.desk.sender.retry_after_waits(now)}
+            waits = {self._uid(receiver): until for receiver, until in self.dispatcher.sender.retry_after_waits(now)}
             for uid in sorted((out.keys() - self.out.keys()) - {""}):
                 fields = self._receiver(uid, out[uid][0])
                 found.append(("receiver-out", fields | ({"wait": waits[uid] - now} if waits.get(uid, 0) > now else {})))
@@ -131,12 +131,12 @@
 
     def _receiver(self, uid: str, destination: int | None = None) -> dict[str, Value]:
         if destination is None:
-            receiver = self.desk.sender.receivers.get(self.directory.numbers.get(uid, -1))
+            receiver = self.dispatcher.sender.receivers.get(self.endpoint_list.numbers.get(uid, -1))
             destination = receiver.destination if receiver is not None else None
         known: dict[str, Value] = {} if destination is None else {"destination": destination}
         return {**self.here, "receiver": uid[:LONGEST_TEXT], **known}
 
     def _uid(self, receiver: int) -> str:
-        if receiver not in self.uids and receiver in self.desk.sender.receivers:
-            self.uids = {number: uid for uid, number in self.directory.numbers.items()}
+        if receiver not in self.uids and receiver in self.dispatcher.sender.receivers:
+            self.uids = {number: uid for uid, number in self.endpoint_list.numbers.items()}
         return self.uids.get(receiver, "")[:LONGEST_TEXT]
--- a/cedarwick/fleet/book.py
+++ b/cedarwick/fleet/book.py
@@ -1,7 +1,7 @@
 """The folder of a sender that belongs to a fleet: what is written there is told to the copies as well.
 
-`Shared` is the folder as the desk knows it. Besides, it keeps for each book that this sender holds the ledger of facts
-and the log that ships them (`Holding`), and answers for the right to fire. The node decides which books are held.
+`Shared` is the folder as the dispatcher knows it. Besides, it keeps for each book that this sender holds the ledger of
+facts and the log that ships them (`Holding`), and answers for the right to fire. The node decides which books are held.
 """
 
 import time
@@ -13,6 +13,7 @@
 
 import gevent.event
 
+from cedarwick.decisions.interface import Outcome
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.adoption import Adoption
 from cedarwick.fleet.facts import (
@@ -30,9 +31,8 @@
     together,
 )
 from cedarwick.fleet.shipping import Log
-from cedarwick.interface import Outcome
 from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
-from cedarwick.store.records import Kept
+from cedarwick.store.records import StoredMessage
 
 STARVED = 500_000  # microseconds that a copy may lag before its book is not fired for, and nothing waits for it
 BLOCK = 1 << 16  # numbers that are reserved at once: so many are skipped at a restart
@@ -66,7 +66,7 @@
         self.log = Log(book, 0, lambda _: None)
         self.begun_at = 0  # when its log began: its copies have some time until it goes on without them
         self.imported = False  # its messages are in the folder, the ledger knows them
-        self.serving = False  # the desk fires for it
+        self.serving = False  # the dispatcher fires for it
         # Copies that are to be heirs: once they have all below an index, and since when that is so.
         self.joining: dict[str, tuple[int, int]] = {}
         self.starved_at = 0  # since when its copies do not follow, by the boot clock; 0: they do
@@ -121,9 +121,11 @@
         self.reserve: Callable[[Holding], None] = lambda _: None  # write down that a block of numbers is given
         self.news = gevent.event.Event()  # a fact was appended, or an answer of a copy came
         self.starved: Callable[[Holding], None] = lambda _: None
-        self.seen: Callable[[str, Kept, int], None] = lambda *_: None  # events: kind, message, a figure
+        self.seen: Callable[[str, StoredMessage, int], None] = lambda *_: None  # events: kind, message, a figure
         self.marking: Callable[[dict[int, tuple[int, str]]], None] = lambda _: None  # on the disk before they count
-        self.out: dict[int, Kept] = {}  # an attempt of this process is out, though the record may have gone meanwhile
+        self.out: dict[
+            int, StoredMessage
+        ] = {}  # an attempt of this process is out, though the record may have gone meanwhile
 
     # ---- the right ----
 
@@ -138,7 +140,7 @@
         )
 
     def deciding(self) -> bool:
-        """Whether the right over every book that the desk serves is held at this moment."""
+        """Whether the right over every book that the dispatcher serves is held at this moment."""
         now = boot_time()
         return all(each.adoption.holder.may_fire(now) for each in self.holdings.values() if each.serving)
 
@@ -147,7 +149,7 @@
         current = self.current
         return current is not None and current.serving and current.adoption.holder.may_fire(boot_time())
 
-    def has_room(self, kept: Kept) -> bool:
+    def has_room(self, kept: StoredMessage) -> bool:
         if not self.taking() or not super().has_room(kept):
             return False
         assert self.current is not None
@@ -161,9 +163,9 @@
         holding.reserved = self.next_number = first
         self.reserve(holding)
 
-    # ---- what the desk tells ----
+    # ---- what the dispatcher tells ----
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: StoredMessage) -> None:
         super().keep(kept)
         holding = self.holdings[kept.number >> 32]
         self._tell(holding, holding.ledger.kept(kept, kept.body or b""))
@@ -246,7 +248,7 @@
 
     # ---- sessions that move ----
 
-    def stage(self, kept: Kept, sequence: int, text: str) -> None:
+    def stage(self, kept: StoredMessage, sequence: int, text: str) -> None:
         """Keep a message that is on its way to this sender: inert from its first record on, here and at every heir.
 
         `NoSpaceError` where there is none for it. The mark is on the disk already (`marking`).
@@ -388,7 +390,8 @@
                     news.append(joined.number)
         except (OSError, NoSpaceError) as error:
             problem = str(error) or type(error).__name__
-            # Danger: what the ledger knows is no news when it is offered again; it would be in no folder, and no desk.
+            # Danger: what the ledger knows is no news when it is offered again; it would be in no folder, and no
+            # dispatcher.
             for fact in left:
                 if fact.number in before:
                     holding.ledger.known[fact.number] = before[fact.number]
--- a/cedarwick/fleet/copies.py
+++ b/cedarwick/fleet/copies.py
@@ -19,7 +19,7 @@
 from cedarwick.fleet.messages import Digests, Facts, Have, Piece
 from cedarwick.fleet.shipping import EVERYTHING, NO_ROOM, Entry, Replica, Step
 from cedarwick.store.files import Folder, quietly
-from cedarwick.store.records import FRAME, LONGEST, Damage, framed, may_go_on
+from cedarwick.store.records import FRAME, LONGEST, DamagedRange, framed, may_go_on
 from cedarwick.store.recovery import read_through
 
 VERSION = 1  # of the files
@@ -322,7 +322,7 @@
         copy.file = self.folder.open(copy.name, append=True)
         size = self.folder.size(copy.name)
         for each in read_through(self.folder, copy.name, None):
-            if isinstance(each, Damage):
+            if isinstance(each, DamagedRange):
                 damaged |= not (each.until == size and self._torn(copy.name, each))
                 continue
             try:
@@ -358,7 +358,7 @@
             copy.size = size if copy.torn else end
         self.copies[book] = copy
 
-    def _torn(self, name: str, damage: Damage) -> bool:
+    def _torn(self, name: str, damage: DamagedRange) -> bool:
         """Whether what ends a file is the begin of a record whose writing was cut off: nobody was promised it."""
         try:
             file = self.folder.open(name, append=False)
--- a/cedarwick/fleet/facts.py
+++ b/cedarwick/fleet/facts.py
@@ -24,7 +24,7 @@
 import xxhash
 
 from cedarwick.errors import CedarwickError
-from cedarwick.store.records import NOWHERE, Kept
+from cedarwick.store.records import NOWHERE, StoredMessage
 
 VERSION = 1  # of the encoding
 MOST_FACTS = 1 << 14  # in one message
@@ -231,7 +231,7 @@
 # ---- from and to the folder ----
 
 
-def base_of(kept: Kept, body: bytes) -> Base:
+def base_of(kept: StoredMessage, body: bytes) -> Base:
     return Base(
         kept.id,
         kept.key,
@@ -244,7 +244,7 @@
     )
 
 
-def known_of(kept: Kept, term: int) -> Known:
+def known_of(kept: StoredMessage, term: int) -> Known:
     """What the folder knows; all attempts count as one head of `term`, which is one that nobody has told of before.
 
     Danger: under a term that was told of before, this head and the one told would be taken for one, and the larger
@@ -259,7 +259,7 @@
     return Known(heads, (kept.ran_at, kept.ran_zone) if kept.ran_at else None, kept.doubt_at, end)
 
 
-def kept_of(fact: Fact, doubt_at: int = 0) -> Kept:
+def kept_of(fact: Fact, doubt_at: int = 0) -> StoredMessage:
     """The folder's record of what another sender owed, with every attempt that is out as one that may have run.
 
     `doubt_at`: wall microseconds from which on news may be missing, 0 where none is. ValueError without a base and
@@ -274,7 +274,7 @@
     if last == ran:
         last = (0, 0)
     rank, wait = known.end
-    return Kept(
+    return StoredMessage(
         fact.number,
         base.id,
         base.key,
@@ -305,7 +305,7 @@
         self.term = term
         self.known: dict[int, Known] = {}
 
-    def kept(self, kept: Kept, body: bytes) -> Fact:
+    def kept(self, kept: StoredMessage, body: bytes) -> Fact:
         """A message was taken, or a restart has left it."""
         self.known[kept.number] = known = known_of(kept, self.term)
         return Fact(kept.number, base_of(kept, body), known)
--- a/cedarwick/fleet/lasting.py
+++ b/cedarwick/fleet/lasting.py
@@ -14,7 +14,7 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.marks import Saved
 from cedarwick.fleet.messages import Table
-from cedarwick.store.records import LONGEST, Damage, framed, scan
+from cedarwick.store.records import LONGEST, DamagedRange, framed, scan
 
 FOLDER = "fleet"
 COPIES = "copies"
@@ -150,7 +150,7 @@
             return None
         payloads: list[bytes] = []
         for found in scan(data, 0, whole=True):
-            if isinstance(found, Damage):
+            if isinstance(found, DamagedRange):
                 payloads.clear()
                 break
             payloads.append(found.payload)
--- a/cedarwick/fleet/link.py
+++ b/cedarwick/fleet/link.py
@@ -33,7 +33,7 @@
 from cedarwick.net import http
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
-from cedarwick.net.sockets import connected, ended
+from cedarwick.net.sockets import is_closed, open_connection
 
 PATH = b"/fleet/1"
 MOST_AT_ONCE = 64  # letters that are read and answered; those beyond get 503, but for beats and asks
@@ -354,10 +354,10 @@
         """An idle connection that still stands, or a new one; OSError where none comes up."""
         while self.idle:
             kept = self.idle.pop()
-            if time.monotonic() - kept.used < KEPT and not ended(kept.sock):
+            if time.monotonic() - kept.used < KEPT and not is_closed(kept.sock):
                 return kept
             self.close(kept)  # nothing was written on it: no failure
-        kept = Kept(connected(self.address, within_s))
+        kept = Kept(open_connection(self.address, within_s))
         self.open.add(kept)
         return kept
 
@@ -465,7 +465,7 @@
             b"Content-Length: %d\r\n\r\n%s" % (PATH, peer.address[0].encode(), peer.address[1], len(letter), letter)
         )
         told = bytearray()
-        answer = http.Answer(told.extend)
+        answer = http.ResponseParser(told.extend)
         while not answer.complete:
             if kept.buffer.fill(kept.sock):
                 answer.feed(kept.buffer)
--- a/cedarwick/fleet/moves.py
+++ b/cedarwick/fleet/moves.py
@@ -268,7 +268,7 @@
             if self.by_key.get(move.key) == name:
                 del self.by_key[move.key]
 
-    # ---- for the desk ----
+    # ---- for the dispatcher ----
 
     def standing(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
         """What to do with a request for a session that this member holds or is to hold; whom to pass it to."""
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -1,4 +1,4 @@
-"""One member of a fleet: ties members, leases, books and copies to the network, the folder and the desk.
+"""One member of a fleet: ties members, leases, books and copies to the network, the folder and the dispatcher.
 
 The greenlet `run` looks at everything every few milliseconds; letters of other members are answered in the greenlets of
 the link; calls to them are made in greenlets of their own. None of them waits between a look at a state and the change
@@ -94,7 +94,7 @@
 
 
 class Upkeep(Protocol):
-    """What the desk does for a book."""
+    """What the dispatcher does for a book."""
 
     def adopt(self, numbers: list[int]) -> None: ...
 
@@ -117,7 +117,7 @@
 
 
 class Node:
-    """This sender as a member. Made before the desk is; `serve` begins once the folder is read."""
+    """This sender as a member. Made before the dispatcher is; `serve` begins once the folder is read."""
 
     def __init__(self, name: str, told: Fleet, state: str, store: Shared, clock: Clock, counters: Counters) -> None:
         """OSError where the folder or the address cannot be used; `NotAMemberError` where the file lacks this sender;
@@ -150,7 +150,7 @@
         self.adoptions: dict[int, Adoption] = {}
         self.held = {held.book: held for held in self.lasting.held()}
         self.ownership: Ownership | None = None
-        self.desk: Upkeep
+        self.dispatcher: Upkeep
         self.shipped_at: dict[int, int] = {}  # by book: when its holder last wrote to the copy here
         self.begun_at = now
         self.before = True  # whether messages may be left that were taken before this sender was a member
@@ -181,9 +181,9 @@
 
     # ---- life ----
 
-    def start(self, desk: Upkeep) -> list[gevent.Greenlet]:
+    def start(self, dispatcher: Upkeep) -> list[gevent.Greenlet]:
         """Once the folder is read: load the copies, take letters, and run. The greenlets never return."""
-        self.desk = desk
+        self.dispatcher = dispatcher
         self.copies.load()
         for book in self.copies.copies:
             self._follow(book)
@@ -516,14 +516,16 @@
                 # Danger: a book that is lost, or not fired for yet, has earlier ones of a key than the open one.
                 (here if holding.serving else lying).update(holding.backlog.values())
         # An attempt of a key that has ended may still run.
-        here |= {key for key in self.owing.told - here - lying - self.owing.elsewhere if self.desk.rest_of(key) > 0}
+        here |= {
+            key for key in self.owing.told - here - lying - self.owing.elsewhere if self.dispatcher.rest_of(key) > 0
+        }
         others = [name for name in self.alive if self.gate.levels.get(name, 0) >= OWING and name != self.name]
         if (keys := self.owing.tell(now, here | lying, others)) is not None:
             for name in others:
                 gevent.spawn(self._call, name, Owed(keys), ANSWER_IN)
         before = self.owing.elsewhere
         if self.owing.rests(now, here, lying) or before:
-            self.desk.rest(self.owing.elsewhere)
+            self.dispatcher.rest(self.owing.elsewhere)
 
     def _lying(self, now: int, adoption: Adoption) -> frozenset[int]:
         """Keys that are owed in a copy here, if its holder is silent."""
@@ -542,7 +544,7 @@
                     for fact in facts[:MOST_OWED]
                     if fact.base is not None
                     and fact.known.end[0] is Rank.NONE
-                    and self.desk.ordered(fact.base.priority_class)
+                    and self.dispatcher.ordered(fact.base.priority_class)
                 ]
             )
         return self.lying[book]
@@ -551,7 +553,7 @@
         """What is owed in a book now is from before a trouble, but for what rests in the open one for others."""
         for number in islice(holding.ledger.known, MOST_OWED):
             kept = self.store.kept.get(number)
-            if kept is not None and kept.turn and kept.end is None and self.desk.ordered(kept.priority_class):
+            if kept is not None and kept.turn and kept.end is None and self.dispatcher.ordered(kept.priority_class):
                 # Danger: what was just adopted rested here as a copy's, and would be told no more.
                 if holding is not self.store.current or kept.turn not in self.owing.elsewhere:
                     holding.backlog[number] = kept.turn
@@ -806,7 +808,7 @@
         return found
 
     def _serve(self, now: int, holding: Holding) -> None:
-        """Keep the heirs right, and let the desk fire while the right is held."""
+        """Keep the heirs right, and let the dispatcher fire while the right is held."""
         holder = holding.adoption.holder
         if holding.adoption.stage is Stage.HOLDING and holding.imported:
             self._ship(now, holding)
@@ -830,7 +832,7 @@
                 len(numbers),
                 ", ".join(holder.heirs[1:]) or "none",
             )
-            self.desk.adopt(numbers)
+            self.dispatcher.adopt(numbers)
         else:
             logger.warning(
                 "book {}: not fired for, {} messages ({})",
@@ -839,7 +841,7 @@
                 holding.adoption.stage.value if holder.may_fire(now) is False else "no copy follows",
             )
             self.counters.add("books that were not fired for any more")
-            self.desk.park(numbers)
+            self.dispatcher.park(numbers)
 
     def _name_heirs(self, now: int, holding: Holding) -> None:
         holder = holding.adoption.holder
@@ -1005,8 +1007,8 @@
         holding.heard_out = boot_time() if body.last and not problem else holding.heard_out
         if holding.serving and (ended or news):
             # What was decided on less is decided anew.
-            self.desk.park(ended + news)
-            self.desk.adopt(news)
+            self.dispatcher.park(ended + news)
+            self.dispatcher.adopt(news)
         return Taken(body.book, body.part, problem[:512])
 
     def _drop(self, book: int) -> None:
@@ -1027,7 +1029,7 @@
         self.doubted.discard(book)
         if holding is not None:
             numbers = self.store.numbers(book)
-            self.desk.park(numbers)
+            self.dispatcher.park(numbers)
             for name in list(holding.log.followers):
                 holding.log.unfollow(name)
             self.store.forget(book)
@@ -1049,7 +1051,7 @@
 
     def _rekey(self, numbers: list[int], failed: bool = False) -> bool:
         """Messages that only this member has go on in the open book; whether all of them do."""
-        self.desk.park(numbers)
+        self.dispatcher.park(numbers)
         made: list[int] = []
         try:
             for number in self.store.rekey(numbers, failed):
@@ -1061,7 +1063,7 @@
             # Danger: those that found room before one that did not are nobody's else.
             if made:
                 logger.info("{} messages go on in book {}", len(made), made[0] >> 32)
-                self.desk.adopt(made)
+                self.dispatcher.adopt(made)
         return True
 
     def _answer_late(self, now: int, few: bool) -> None:
@@ -1102,7 +1104,7 @@
                 if self.store.kept[number].deadline <= soon and number not in self.store.inert
             ]
             if late:
-                self.desk.answer_late(late)
+                self.dispatcher.answer_late(late)
 
     def _nobodys(self, adoption: Adoption) -> bool:
         """Whether a book that lies here is asked for, or to be, and nobody else is known to have had it after us."""
@@ -1128,7 +1130,7 @@
             if number in self.store.kept and (number not in owed or self.store.kept[number].deadline <= soon)
         ]
         if late:
-            self.desk.answer_late(late)
+            self.dispatcher.answer_late(late)
 
 
 class NotAMemberError(CedarwickError):
--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -11,7 +11,7 @@
 from cedarwick.fleet.decrees import Row
 from cedarwick.fleet.decrees import Table as Decrees
 from cedarwick.fleet.lasting import ENCODER, CorruptFleetFileError, Lasting
-from cedarwick.store.records import Damage, scan
+from cedarwick.store.records import DamagedRange, scan
 
 INERT = "moves"
 DECREES = "decrees"
@@ -86,7 +86,7 @@
         try:
             payloads = []
             for found in scan(data, 0, whole=True):
-                if isinstance(found, Damage):
+                if isinstance(found, DamagedRange):
                     # Danger: the row that is lost may be a promise that was answered.
                     raise msgspec.DecodeError(f"damage at {found.at}")
                 payloads.append(found.payload)
--- a/cedarwick/fleet/sharing.py
+++ b/cedarwick/fleet/sharing.py
@@ -17,11 +17,11 @@
 from cedarwick.fleet.marks import LONGEST, MOST_CALLS, Marks, newer
 from cedarwick.fleet.messages import Body, Hint, Noted, Wait
 from cedarwick.fleet.messages import Marks as Told
-from cedarwick.net.attempts import Call, Ending
+from cedarwick.net.attempts import AttemptCall, AttemptResult
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Desk
-from cedarwick.net.directory import Directory
+from cedarwick.net.dispatcher import Dispatcher
+from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.ops import lasting as files
 from cedarwick.ops.staff import Staff
 
@@ -84,14 +84,14 @@
         self.waits: dict[int, int] = {}  # by receiver: ends to be told, the newest last
         self.hinted: dict[int, int] = {}  # by receiver: the end that was told
         self.staff: Staff
-        self.directory: Directory
-        self.desk: Desk
+        self.endpoint_list: EndpointList
+        self.dispatcher: Dispatcher
 
-    def attach(self, staff: Staff, directory: Directory, desk: Desk) -> None:
+    def attach(self, staff: Staff, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
         """Once the folder is this process's, and its attempts are made: take up what is kept, and listen to both."""
-        self.staff, self.directory, self.desk = staff, directory, desk
+        self.staff, self.endpoint_list, self.dispatcher = staff, endpoint_list, dispatcher
         staff.changed = self._changed
-        desk.attempts.heed, desk.attempts.tell = self._heeded, self._ended
+        dispatcher.attempts.heed, dispatcher.attempts.tell = self._heeded, self._ended
         now, told = wall(), self._file()
         try:
             self.marks = Marks(self.name, self.lasting.marks())
@@ -134,8 +134,8 @@
         if not self.attached:
             return Noted()
         if isinstance(body, Hint):
-            now, numbers = self.clock.now(), self.directory.numbers
-            self.desk.heed([(numbers[each.uid], now + each.left) for each in body.waits if each.uid in numbers])
+            now, numbers = self.clock.now(), self.endpoint_list.numbers
+            self.dispatcher.heed([(numbers[each.uid], now + each.left) for each in body.waits if each.uid in numbers])
             self.counters.add("hints heard")
             return Noted()
         self.marks.turn(wall())
@@ -217,7 +217,7 @@
         """Take out what the marks say, and write it."""
         calls = self.marks.calls()
         # Danger: the marks first, and what the file lacks after a crash would pass for restored by staff.
-        if calls != (self._file() or {}) or calls.keys() != self.directory.held_out:
+        if calls != (self._file() or {}) or calls.keys() != self.endpoint_list.held_out:
             self.unwritten = not self.staff.keep(calls)
         self._write()
         if count := self.marks.untold():
@@ -237,11 +237,11 @@
 
     def _heeded(self, waits: list[tuple[int, int]]) -> None:
         """A wait that is told apart from its attempt's ending."""
-        self.desk.heed(waits)
+        self.dispatcher.heed(waits)
         self._learned(waits)
 
-    def _ended(self, call: Call, ending: Ending) -> None:
-        self.desk.attempt_ended(call, ending)
+    def _ended(self, call: AttemptCall, ending: AttemptResult) -> None:
+        self.dispatcher.attempt_ended(call, ending)
         if ending.retry_after:
             self._learned([(call.receiver, self.clock.now() + ending.retry_after)])
 
@@ -261,7 +261,7 @@
         waits, self.waits = self.waits, {}
         if not waits:
             return ()
-        uids = {number: uid for uid, number in self.directory.numbers.items() if number in waits}
+        uids = {number: uid for uid, number in self.endpoint_list.numbers.items() if number in waits}
         found = [
             Wait(uids[receiver], until - now)
             for receiver, until in waits.items()
--- a/cedarwick/fleet/traffic.py
+++ b/cedarwick/fleet/traffic.py
@@ -42,11 +42,11 @@
 from cedarwick.fleet.sessions import CLAIM, LAPSES, REMEMBERED, Asking, Claim, Directory, Entry, Ruling, contents
 from cedarwick.fleet.shipping import Entry as Step
 from cedarwick.fleet.transfers import LATE, SECOND, SESSIONS, SETTLE_IN, Transfers
-from cedarwick.net.desk import Answered, Desk, Submission
-from cedarwick.net.intake import Handed, Intake
+from cedarwick.net.client_listener import ClientListener, SubmitResult
+from cedarwick.net.dispatcher import AdmissionResult, Dispatcher, Submission
 from cedarwick.ops.calls import Call
 from cedarwick.ops.staff import Staff
-from cedarwick.store.records import Kept
+from cedarwick.store.records import StoredMessage
 
 if TYPE_CHECKING:
     from cedarwick.fleet.node import Node
@@ -64,8 +64,8 @@
 HANDED_OVER = 5_000_000  # microseconds after the end of a process in which its successor goes on with its sessions
 MOVED_IN = 1.5  # seconds in which staff are told what became of a move
 HEIRS = 3  # the level of members whose sessions can be inherited: they claim them anew when they have lost their book
-UNSURE: Handed = (Answered.UNSURE, 0, None)
-BUSY: Handed = (Answered.BUSY, 0, None)
+UNSURE: SubmitResult = (AdmissionResult.UNSURE, 0, None)
+BUSY: SubmitResult = (AdmissionResult.BUSY, 0, None)
 
 
 class InvalidMoveError(CedarwickError):
@@ -113,11 +113,11 @@
         self.directory = Directory(self.name, len(node.halls), now)
         self.transfers = Transfers(node, self.directory, self._call, self._takes, self._change)
         self.moves = self.transfers.moves
-        self.desk: Desk
-        self.intake: Intake
+        self.dispatcher: Dispatcher
+        self.client_listener: ClientListener
         self.leaving = False
         self.changed = gevent.event.Event()  # something that a submission may wait for
-        self.pending: dict[str, Submission] = {}  # by id: at the desk
+        self.pending: dict[str, Submission] = {}  # by id: at the dispatcher
         self.wishes: dict[int, tuple[Wish, int]] = {}  # and until when
         self.ends: dict[int, gevent.event.AsyncResult] = {}  # by key: staff wait for the end of its move
         self.neighbours: dict[str, Lodgings] = {}  # what each member told last
@@ -131,12 +131,12 @@
         if self.store.by_copy:
             node.copies.heard = self._copied
 
-    def attach(self, staff: Staff, intake: Intake, desk: Desk) -> None:
+    def attach(self, staff: Staff, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
         """Before the first letter: from now on clients' submissions and the calls of staff come here."""
-        self.desk = self.transfers.desk = desk
+        self.dispatcher = self.transfers.dispatcher = dispatcher
         self.take_up()
-        self.intake = intake
-        intake.hand_in = self.hand_in
+        self.client_listener = client_listener
+        client_listener.hand_in = self.hand_in
         staff.moves = self.moved_by_hand
 
     def stop(self) -> None:
@@ -183,10 +183,10 @@
 
     # ---- submissions ----
 
-    def hand_in(self, kept: Kept) -> Handed:
+    def hand_in(self, kept: StoredMessage) -> SubmitResult:
         """What becomes of a client's submission; in the greenlet of its connection."""
         if not kept.turn:
-            return self.intake.to_desk(kept)
+            return self.client_listener.to_dispatcher(kept)
         began = boot_time()
         key, hashed, claims, hops = kept.turn, hash_of(kept), 0, 0
         while (now := boot_time()) < began + PATIENCE:
@@ -226,8 +226,8 @@
             if isinstance(answer, tuple):
                 return answer
             if answer.answer:
-                taken = answer.answer == Answered.KEPT.value
-                return Answered(answer.answer), answer.wait_ms, self._recalling(kept, to) if taken else None
+                taken = answer.answer == AdmissionResult.KEPT.value
+                return AdmissionResult(answer.answer), answer.wait_ms, self._recalling(kept, to) if taken else None
             told = Claim(answer.disowned, entry_of(answer.entry))
             after = self.directory.refused(key, to, told, boot_time())
             if after is Ruling.CLAIM:
@@ -255,29 +255,29 @@
         changed, self.changed = self.changed, gevent.event.Event()
         changed.set()
 
-    def _take(self, kept: Kept, hashed: int, ruling: Ruling, now: int) -> Handed | None:
+    def _take(self, kept: StoredMessage, hashed: int, ruling: Ruling, now: int) -> SubmitResult | None:
         """Of a session that is held here; None where it was frozen meanwhile."""
         pending = self.pending.get(kept.id)
         if ruling is Ruling.REPEATED:
-            return Answered.REPEATED, 0, None
+            return AdmissionResult.REPEATED, 0, None
         if ruling is Ruling.SAME:
             # Danger: one that is passed on twice must not be told it was turned away when the first was taken.
-            answered, wait_ms = pending.answer.get() if pending is not None else (Answered.KEPT, 0)
-            return None if answered is Answered.FROZEN else (answered, wait_ms, None)
+            answered, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.KEPT, 0)
+            return None if answered is AdmissionResult.FROZEN else (answered, wait_ms, None)
         if not self.store.taking():
             return BUSY  # Danger: who is cut off may not have heard that the session has another holder
         self.directory.took(kept.turn, kept.id, hashed, now)
         submission = self.pending[kept.id] = Submission(kept)
         try:
-            self.desk.submit(submission)
+            self.dispatcher.submit(submission)
             answered, wait_ms = submission.answer.get()
         finally:
             del self.pending[kept.id]
-        if answered is not Answered.KEPT and (session := self.directory.sessions.get(kept.turn)) is not None:
+        if answered is not AdmissionResult.KEPT and (session := self.directory.sessions.get(kept.turn)) is not None:
             session.ids.pop(kept.id, None)
-        if answered is Answered.FROZEN:
+        if answered is AdmissionResult.FROZEN:
             return None
-        taken = answered is Answered.KEPT and kept.number
+        taken = answered is AdmissionResult.KEPT and kept.number
         return answered, wait_ms, (lambda: self._withdraw(submission)) if taken else None
 
     def _withdraw(self, submission: Submission) -> None:
@@ -285,9 +285,9 @@
         session = self.directory.sessions.get(submission.kept.turn)
         if session is not None and submission.kept.id in session.ids:
             session.ids[submission.kept.id] = session.ids[submission.kept.id][0], UNKNOWN
-        self.desk.withdraw(submission)
+        self.dispatcher.withdraw(submission)
 
-    def _pass(self, kept: Kept, to: str, until: int, moved: bool, gone: Entry | None) -> Passed | Handed:
+    def _pass(self, kept: StoredMessage, to: str, until: int, moved: bool, gone: Entry | None) -> Passed | SubmitResult:
         """The holder's answer; `BUSY` where it surely has taken nothing, `UNSURE` where nobody can tell.
 
         `gone`: the holder is dead, and `to` has its book.
@@ -323,7 +323,7 @@
             break
         return BUSY if sure else UNSURE
 
-    def _recalling(self, kept: Kept, to: str) -> Callable[[], None]:
+    def _recalling(self, kept: StoredMessage, to: str) -> Callable[[], None]:
         def recall() -> None:
             gevent.spawn(self._call, to, Recall(kept.turn, kept.id), SETTLE_IN)
 
@@ -333,7 +333,7 @@
         """Another member passes a client's submission on."""
         until = boot_time() + min(body.within, WAITS)
         limit = self.clock.now() + body.left
-        kept = Kept(
+        kept = StoredMessage(
             0,
             body.id,
             body.mark,
@@ -378,10 +378,10 @@
             handed = self._take(kept, hashed, ruling, now)
             if handed is not None:
                 return Passed(handed[0].value, handed[1])
-        return Passed(Answered.BUSY.value)
+        return Passed(AdmissionResult.BUSY.value)
 
     def _recalled(self, body: Recall) -> Noted:
-        kept = self.store.kept.get(self.desk.numbers.get(body.id, 0))
+        kept = self.store.kept.get(self.dispatcher.numbers.get(body.id, 0))
         if kept is not None and kept.turn == body.key and kept.number not in self.store.inert:
             self.counters.add("clients gone before their answer")
             self._withdraw(Submission(kept))
@@ -614,7 +614,7 @@
         return Lodgings(news, len(self.directory.sessions), self._takes(), self.transfers.stamp, first)
 
     def _takes(self) -> bool:
-        return not (self.leaving or self.node.leaving or self.intake.paused) and self.store.taking()
+        return not (self.leaving or self.node.leaving or self.client_listener.paused) and self.store.taking()
 
     def _told(self, name: str, body: Lodgings, now: int) -> None:
         self.neighbours[name] = body
@@ -640,7 +640,7 @@
     def _plan(self, now: int) -> None:
         self.wishes = {key: each for key, each in self.wishes.items() if each[1] > now}
         wishes = [wish for wish, _ in self.wishes.values()]
-        if self.leaving or self.intake.paused:
+        if self.leaving or self.client_listener.paused:
             why = Why.LEAVING if self.leaving else Why.FAILING
             wishes += [
                 Wish(key, why)
@@ -679,7 +679,7 @@
 # ---- from and to letters ----
 
 
-def hash_of(kept: Kept) -> int:
+def hash_of(kept: StoredMessage) -> int:
     """What came with an id; the same wherever it comes."""
     return contents(kept.key, kept.priority_class, kept.tenant, kept.destination, kept.body or b"")
 
--- a/cedarwick/fleet/transfers.py
+++ b/cedarwick/fleet/transfers.py
@@ -1,6 +1,8 @@
-"""The I/O of moves: what `moves.py` and `decrees.py` ask for, done with greenlets, letters, the folder and the desk.
+"""The I/O of moves: what `moves.py` and `decrees.py` ask for, done with greenlets, letters, the folder and the
+dispatcher.
 
-What touches the folder and the desk at once is done between two of the desk's rounds. A message on the move carries a
+What touches the folder and the dispatcher at once is done between two of the dispatcher's rounds. A message on the
+move carries a
 mark in the ledger of its book, for the heirs, and in a file of this member, for its next boot: the sequence of its
 session, and `<` (it is given) or `>` (it is taken) before the name of the move.
 """
@@ -36,7 +38,7 @@
 from cedarwick.fleet.moves import FREEZE, MOST_OUT, Act, Do, Giving, Moves, Planner, Taking
 from cedarwick.fleet.session_files import SessionFiles
 from cedarwick.fleet.sessions import LAPSES, Directory
-from cedarwick.net.desk import Desk
+from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.store.journal import NoSpaceError
 
 if TYPE_CHECKING:
@@ -122,7 +124,7 @@
         marks = self.files.inert()
         self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.kept}
         self.store.marking = self.files.write_inert
-        self.desk: Desk
+        self.dispatcher: Dispatcher
         self.offers: dict[str, tuple[Stage, int]] = {}  # by move: what was staged here, and when
         self.slept: set[str] = set()  # of these, staged in a book that was adopted since
         self.sequences: dict[str, int] = {}  # by move: of its session, since it began
@@ -314,16 +316,16 @@
 
     def _freeze(self, name: str) -> None:
         key = self._key(name)
-        still = self.desk.freeze(key)
+        still = self.dispatcher.freeze(key)
         if not still.wait(FREEZE / SECOND):
-            self.desk.cut(key)
+            self.dispatcher.cut(key)
             still.wait(CUT)
         self.act(self.moves.idle(name, boot_time()))
 
     def _mark(self, name: str) -> None:
         key = self._key(name)
-        self.desk.cut(key)
-        self.desk.between(lambda: True).get()  # what was cut off has told its end before the marks are made
+        self.dispatcher.cut(key)
+        self.dispatcher.between(lambda: True).get()  # what was cut off has told its end before the marks are made
         books: set[int] = set()
 
         def mark() -> bool:
@@ -342,7 +344,7 @@
             books.update(kept.number >> 32 for kept in owed)
             return True
 
-        if self.desk.between(mark).get() and self._copied(books):
+        if self.dispatcher.between(mark).get() and self._copied(books):
             self.act(self.moves.marked(name, boot_time()))
         else:
             self.act(self.moves.call_off(name, boot_time()))
@@ -375,7 +377,7 @@
             self.act(self.moves.call_off(name, boot_time()))
             return
         recent = tuple(Recent(each, age, hashed) for each, (age, hashed) in ids.items())
-        stage = Stage(name, key, self.sequences[name], data, digest_of(data), recent, self.desk.rest_of(key))
+        stage = Stage(name, key, self.sequences[name], data, digest_of(data), recent, self.dispatcher.rest_of(key))
         answer = self.call(to, stage, STAGE_IN)
         if isinstance(answer, Staged):
             now = boot_time()
@@ -388,7 +390,7 @@
         if self._mine(act.move):
             self.directory.gone(key, act.to, self.sequences[act.move] + 1, now)
             self.planner.ended(key, True, now)
-            self.desk.thaw(key)
+            self.dispatcher.thaw(key)
             self.counters.add("sessions given away")
         self.change()
 
@@ -407,24 +409,24 @@
                     self.directory.hold(
                         key, max(sequence, session.sequence), self.directory.ids(key, now), now, session.sure
                     )
-                self.desk.thaw(key)
+                self.dispatcher.thaw(key)
             owed = [
                 kept.number
                 for kept in self.store.kept.values()
                 if kept.turn == key and kept.end is None and self.store.may_fire(kept.number)
             ]
-            self.desk.adopt(owed, quietly=True)
+            self.dispatcher.adopt(owed, quietly=True)
             return True
 
         # Danger: with the file not written the messages would stay inert, and the session frozen, for good.
-        while not self.desk.between(release).get():
+        while not self.dispatcher.between(release).get():
             gevent.sleep(RELEASE_AGAIN)
         if mine:
             self.planner.ended(key, False, boot_time())
         self.counters.add("moves called off")
 
     def _over(self, name: str) -> None:
-        self.desk.between(lambda: self._give_up(name, GIVEN)).get()
+        self.dispatcher.between(lambda: self._give_up(name, GIVEN)).get()
 
     def _give_up(self, name: str, side: str) -> bool:
         """The messages of one side are the other side's; nothing is told of them."""
@@ -480,7 +482,7 @@
                 self.store.stage(kept, stage.sequence, TAKEN + name)
             return True
 
-        kept = self.desk.between(write).get()
+        kept = self.dispatcher.between(write).get()
         current = self.store.current
         if kept and current is not None and self._copied({current.book}):
             self.act(self.moves.written(name, boot_time()))
@@ -502,11 +504,11 @@
             soon = self.clock.now() + LATE
             # Danger: the giver may have answered what was about to end while the decree was not known.
             late = [number for number in numbers if self.store.kept[number].deadline <= soon]
-            self.desk.answer_late(late)
+            self.dispatcher.answer_late(late)
             # Danger: an attempt of before the move may still run, of a message that has ended, too; then all keys rest.
             quietly = offer is not None and not offer[0].rest
             if numbers or not quietly:
-                self.desk.adopt([number for number in numbers if number not in late], quietly)
+                self.dispatcher.adopt([number for number in numbers if number not in late], quietly)
             # Danger: decided late, the session may have been inherited from a giver that died; the messages were not.
             if offer is not None and not self.directory.superseded(key, parts(name)[1], offer[0].sequence):
                 stage, at = offer  # without it the ids of late are not known here, and it is claimed later
@@ -515,12 +517,12 @@
                 self.planner.arrived(key, now)
             return True
 
-        if self.desk.between(activate).get():
+        if self.dispatcher.between(activate).get():
             self.counters.add("sessions taken over")
             self.act(self.moves.activated(name, boot_time()))
 
     def _drop(self, name: str) -> None:
-        self.desk.between(lambda: self._give_up(name, TAKEN)).get()
+        self.dispatcher.between(lambda: self._give_up(name, TAKEN)).get()
 
     # ---- decrees ----
 
@@ -638,7 +640,7 @@
                 continue
             if holding.serving and self.moves.near_limit(text[1:]) == "failed" and text[:1] == GIVEN:
                 self.counters.add("messages on the move that were answered by their limit")
-                self.desk.answer_late([number])
+                self.dispatcher.answer_late([number])
 
 
 # ---- from and to letters ----
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -15,7 +15,7 @@
 from cedarwick.lab.history import Handed, Rude
 from cedarwick.lab.scenario import Band, Scenario
 from cedarwick.lab.senders import Instance
-from cedarwick.net.sockets import connected
+from cedarwick.net.sockets import open_connection
 
 MS = 1000
 BACK_IN = 0.2  # seconds after readiness until the front uses a sender again
@@ -210,7 +210,7 @@
                 pass
             sock.close()
         try:
-            return connected(address, CONNECT), False
+            return open_connection(address, CONNECT), False
         except OSError:
             return None, False
 
--- a/cedarwick/lab/folder.py
+++ b/cedarwick/lab/folder.py
@@ -1,7 +1,7 @@
 """What the lasting folder costs: longest stop, throughput beside a folder that needs no compaction, start, room.
 
-The store is called as the desk calls it, in one process without sockets: rounds of a few messages, each kept, attempt
-at and ended, while as many as wanted stay alive.
+The store is called as the dispatcher calls it, in one process without sockets: rounds of a few messages, each kept,
+attempt at and ended, while as many as wanted stay alive.
 """
 
 import gc
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from cedarwick.interface import Outcome
+from cedarwick.decisions.interface import Outcome
 from cedarwick.store.files import Folder
 from cedarwick.store.journal import NoSpaceError, Store
-from cedarwick.store.records import Kept
+from cedarwick.store.records import StoredMessage
 
 ROUND = 8  # messages of one round
 FILLS = (0.02, 0.5, 0.7, 0.9)
@@ -47,8 +47,8 @@
     memory_mb: float
 
 
-def message(number: int, size: int) -> Kept:
-    return Kept(number, f"{number:016x}", "", 0, "band", "", number % 50, FAR, bytes(size))
+def message(number: int, size: int) -> StoredMessage:
+    return StoredMessage(number, f"{number:016x}", "", 0, "band", "", number % 50, FAR, bytes(size))
 
 
 def churn(path: str, live: int, size: int, fill: float, rounds: int, seed: int = 1, durable: bool = False) -> Churn:
@@ -114,7 +114,7 @@
     return found
 
 
-def kept(made: Store, fresh: Kept) -> bool:
+def kept(made: Store, fresh: StoredMessage) -> bool:
     """Whether there was room for a new message."""
     try:
         made.keep(fresh)
--- a/cedarwick/lab/load.py
+++ b/cedarwick/lab/load.py
@@ -20,7 +20,7 @@
 from cedarwick.lab.day import Day, body_of
 from cedarwick.lab.draw import source
 from cedarwick.lab.figures import LONGEST, Quantiles, quantiles, recorder
-from cedarwick.net.sockets import connected
+from cedarwick.net.sockets import open_connection
 
 LATE = 10_000  # microseconds: a request begun so much after it was due was late by the tool's own fault
 SPARE = 1_500  # microseconds until the next request in which histograms may be filled
@@ -160,7 +160,7 @@
         kept = sock is not None
         try:
             if sock is None:
-                sock = connected(line.address, self.plan.patience)
+                sock = open_connection(line.address, self.plan.patience)
         except OSError:
             return "down"
         try:
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -27,7 +27,7 @@
 from cedarwick.fleet.gate import Gate
 from cedarwick.fleet.link import IN_FLIGHT, QUEUE, PeerRefusedError, PeerUnreachableError
 from cedarwick.fleet.messages import Ask, Beat, Body, Letter, Refused, decode, encode
-from cedarwick.net import desk, notices
+from cedarwick.net import dispatcher, notifications
 
 SECOND = 1_000_000
 WALL = 1_790_000_000 * SECOND  # wall time at the kernel's begin
@@ -369,8 +369,8 @@
 
     # Their classes have the real events for a default.
     made: list[tuple[object, str, Any]] = [
-        (traffic, "Submission", lambda kept: desk.Submission(kept, AsyncResult())),
-        (desk, "Frozen", lambda frozen=desk.Frozen: frozen(AsyncResult())),
+        (traffic, "Submission", lambda kept: dispatcher.Submission(kept, AsyncResult())),
+        (dispatcher, "FrozenSession", lambda frozen=dispatcher.FrozenSession: frozen(AsyncResult())),
         (serving, "Connection", lambda reader, connection=serving.Connection: connection(reader, Event())),
     ]
     changes: list[tuple[object, str, Any]] = [
@@ -378,7 +378,7 @@
         *made,
         *(
             (module, "gevent", greenlets)
-            for module in (node, book, desk, notices, traffic, transfers, exchange, serving)
+            for module in (node, book, dispatcher, notifications, traffic, transfers, exchange, serving)
         ),
         *((module, "time", clocks) for module in (node, book, traffic, exchange)),
         (node, "Server", Unused),
--- a/cedarwick/lab/virtualday.py
+++ b/cedarwick/lab/virtualday.py
@@ -25,11 +25,11 @@
 from loguru import logger
 
 from cedarwick.config.operator import Fleet, Member
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.book import Shared
 from cedarwick.fleet.messages import Refused, decode, digest_of, encode
 from cedarwick.fleet.node import Node
-from cedarwick.interface import ListChange, Listing, Outcome, Phase
 from cedarwick.lab import claims, virtualwatch
 from cedarwick.lab.audit import Finding, Verdict
 from cedarwick.lab.history import NEVER, Called, Gone, Handed, History, Life, Noticed
@@ -38,18 +38,18 @@
 from cedarwick.lab.schedule import KINDS, LINKS, Trouble, draw
 from cedarwick.lab.virtual import SECOND, WALL, AsyncResult, Kernel, Owner, Task, standing_in
 from cedarwick.net.assignment import Assignment, plain
-from cedarwick.net.attempts import Attempts, Call, Ending
+from cedarwick.net.attempts import AttemptCall, AttemptResult, AttemptRunner
+from cedarwick.net.client_listener import ClientListener
+from cedarwick.net.client_listener import SubmitResult as Answer
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Answered, Desk, Submission
-from cedarwick.net.directory import Directory
-from cedarwick.net.intake import Handed as Answer
-from cedarwick.net.intake import Intake
-from cedarwick.net.notices import Notices
-from cedarwick.net.sockets import Polled
-from cedarwick.ops.calls import Call as Said
+from cedarwick.net.dispatcher import AdmissionResult, Dispatcher, Submission
+from cedarwick.net.endpoint_list import EndpointList
+from cedarwick.net.notifications import Notifier
+from cedarwick.net.sockets import PollClock
+from cedarwick.ops import calls
 from cedarwick.ops.staff import Staff, no_sessions, not_in_a_fleet
-from cedarwick.store.records import Kept
+from cedarwick.store.records import StoredMessage
 
 Ack = Literal["own", "copy"]
 Alone = Literal["busy", "own"]
@@ -109,7 +109,7 @@
 
     @property
     def at(self) -> int:
-        """As of `Polled`."""
+        """As of `PollClock`."""
         return self.now()
 
 
@@ -125,7 +125,7 @@
         self.kernel.errors.append(f"{kind}: {traceback.format_exc()}")
 
 
-class DrawnNotices(Notices):
+class DrawnNotices(Notifier):
     """Posts to a platform that takes a moment, and sometimes loses an answer."""
 
     def __init__(self, day: "Day", sender: int, counters: Counters, acknowledged: Callable[[list[int]], None]) -> None:
@@ -146,18 +146,18 @@
         return 204
 
 
-class DrawnAttempts(Attempts):
+class DrawnAttempts(AttemptRunner):
     """Attempts at partners whose answers are drawn, with the looks before the first byte that the real ones make."""
 
     def __init__(self, day: "Day", sender: "Sender") -> None:
         self.day = day
         self.sender = sender
-        self.clear = sender.desk.clear
-        self.tell = sender.desk.attempt_ended
+        self.clear = sender.dispatcher.clear
+        self.tell = sender.dispatcher.attempt_ended
         self.out = {}
         self.seen: dict[int, Called] = {}  # by message: the call that its partner has
 
-    def start(self, call: Call) -> None:
+    def start(self, call: AttemptCall) -> None:
         task = self.day.kernel.spawn(self._run, call)
         self.out[task] = call
         task.rawlink(lambda ended: self.out.pop(ended, None))
@@ -170,7 +170,7 @@
                     seen.ended = self.day.now()
                 self._ended(call, Outcome.RESET if call.recorded else Outcome.MOOT)
 
-    def _run(self, call: Call) -> None:
+    def _run(self, call: AttemptCall) -> None:
         day, sender = self.day, self.sender
         day.kernel.sleep(day.chance.uniform(0.0002, 0.002))
         for _ in range(3):
@@ -182,11 +182,11 @@
             day.kernel.sleep()
         else:
             return self._ended(call, Outcome.MOOT)
-        if not sender.desk.may_fire(call.kept.number):
+        if not sender.dispatcher.may_fire(call.kept.number):
             return self._ended(call, Outcome.MOOT)
         self._ended(call, self._attempt(call))
 
-    def _attempt(self, call: Call) -> Outcome:
+    def _attempt(self, call: AttemptCall) -> Outcome:
         day, kept = self.day, call.kept
         answer = day.chance.choices(ANSWERS, day.mood(call.receiver))[0]
         took = round(day.chance.uniform(0.004, 0.08) * SECOND) if answer != "hang" else LONGEST
@@ -204,26 +204,26 @@
             seen.ended = day.now()
         return Outcome.TIME_OUT
 
-    def _ended(self, call: Call, outcome: Outcome) -> None:
+    def _ended(self, call: AttemptCall, outcome: Outcome) -> None:
         call.told = True
         self.seen.pop(call.kept.number, None)
-        self.tell(call, Ending(outcome, took=1000, last=outcome is Outcome.COMPLETED))
+        self.tell(call, AttemptResult(outcome, took=1000, last=outcome is Outcome.COMPLETED))
 
 
 class Door:
-    """Stands in for the clients' intake, as far as sessions and drains concern it."""
+    """Stands in for the clients' client listener, as far as sessions and drains concern it."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, dispatcher: Dispatcher) -> None:
+        self.dispatcher = dispatcher
         self.paused = False
-        self.hand_in: Callable[[Kept], Answer] = self.to_desk
+        self.hand_in: Callable[[StoredMessage], Answer] = self.to_dispatcher
 
-    def to_desk(self, kept: Kept) -> Answer:
+    def to_dispatcher(self, kept: StoredMessage) -> Answer:
         submission = Submission(kept, AsyncResult())
-        self.desk.submit(submission)
+        self.dispatcher.submit(submission)
         answered, wait_ms = submission.answer.get()
-        taken = answered is Answered.KEPT and kept.number
-        return answered, wait_ms, (lambda: self.desk.withdraw(submission)) if taken else None
+        taken = answered is AdmissionResult.KEPT and kept.number
+        return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
 
 
 class Sender:
@@ -241,7 +241,7 @@
         self.disk = usual_disk()
         self.ended_at = 0
         self.store: Shared
-        self.desk: Desk
+        self.dispatcher: Dispatcher
         self.door: Door
         self.staff: SimpleNamespace  # what the management address calls
 
@@ -271,27 +271,28 @@
             by_copy=day.table.ack == "copy",
             within_us=round(day.table.ack_within_ms * 1000),
         )
-        self.desk = desk = Desk(told, clock, counters, self.store, cast(Polled, clock))
+        self.dispatcher = dispatcher = Dispatcher(told, clock, counters, self.store, cast(PollClock, clock))
         self.store.load()
         receivers = range(SCENARIO.destinations() * RECEIVERS)
-        desk.listed(
-            ListChange.SAVED, [Listing(1 + each, 0, 0, each // RECEIVERS, Phase.READY, 100.0) for each in receivers]
+        dispatcher.listed(
+            EndpointUpdate.CACHED,
+            [ListedEndpoint(1 + each, 0, 0, each // RECEIVERS, EndpointState.READY, 100.0) for each in receivers],
         )
-        desk.notices = DrawnNotices(day, self.number, counters, desk.acknowledged)
-        desk.attempts = DrawnAttempts(day, self)
-        desk.free_links = lambda _: None
-        desk.ask_for_list = lambda: None
-        desk.resume()
+        dispatcher.notices = DrawnNotices(day, self.number, counters, dispatcher.acknowledged)
+        dispatcher.attempts = DrawnAttempts(day, self)
+        dispatcher.free_links = lambda _: None
+        dispatcher.ask_for_list = lambda: None
+        dispatcher.resume()
         node = Node(self.name, day.table, self.folder, self.store, clock, counters)
-        self.door, self.staff = Door(desk), SimpleNamespace(follows=not_in_a_fleet, moves=no_sessions)
+        self.door, self.staff = Door(dispatcher), SimpleNamespace(follows=not_in_a_fleet, moves=no_sessions)
         staff = cast(Staff, self.staff)
         listed = SimpleNamespace(numbers={f"s-{1 + each}": 1 + each for each in receivers}, held_out=set())
-        node.exchange.attach(staff, cast(Directory, listed), desk, node.halls[self.name])
+        node.exchange.attach(staff, cast(EndpointList, listed), dispatcher, node.halls[self.name])
         if node.traffic is not None:
-            node.traffic.attach(staff, cast(Intake, self.door), desk)
-        day.kernel.spawn(desk.run)
-        day.kernel.spawn(desk.notices.run)
-        node.start(desk)
+            node.traffic.attach(staff, cast(ClientListener, self.door), dispatcher)
+        day.kernel.spawn(dispatcher.run)
+        day.kernel.spawn(dispatcher.notices.run)
+        node.start(dispatcher)
         self.node = node
         self._life("ready")
 
@@ -313,10 +314,10 @@
             if traffic is not None:
                 traffic.leave()
             kernel.sleep(STAY)
-            self.desk.hold_fire(ending=True)
+            self.dispatcher.hold_fire(ending=True)
             end = kernel.now + DRAIN
             while kernel.now < end and not (
-                self.desk.idle() and not self.desk.notices.owed and (traffic is None or traffic.left())
+                self.dispatcher.idle() and not self.dispatcher.notices.owed and (traffic is None or traffic.left())
             ):
                 kernel.sleep(LOOK)
             self.node.leave()
@@ -344,7 +345,7 @@
             self.store.close()
         self.node = None
 
-    def submit(self, kept: Kept, box: AsyncResult, gone: Callable[[], bool]) -> None:
+    def submit(self, kept: StoredMessage, box: AsyncResult, gone: Callable[[], bool]) -> None:
         """What a client is answered, into the box; `gone`: whether it has given up."""
         if self.node is None or self.leaving or not self.store.taking():
             box.set("busy")
@@ -352,15 +353,15 @@
         what, _, withdraw = self.door.hand_in(kept)
         if withdraw is not None and gone():
             withdraw()
-        elif what is not Answered.UNSURE:
-            box.set("ok" if what is Answered.KEPT else "busy")
+        elif what is not AdmissionResult.UNSURE:
+            box.set("ok" if what is AdmissionResult.KEPT else "busy")
 
     def said(self, name: str, argument: str) -> None:
         """A call of staff, in a task of its own; what it answers is of no interest."""
 
         def call() -> None:
             with suppress(CedarwickError):
-                self.staff.moves(Said(name, argument))
+                self.staff.moves(calls.Call(name, argument))
 
         self.day.kernel.spawn_as(self.owner, call)
 
@@ -600,7 +601,9 @@
             number, number, band.name, destination, mark, f"{turn:016x}", self.now(), self.now(), outer, sender.number
         )
         self.history.add(handed)
-        kept = Kept(0, number, mark, turn, band.name, "", destination, WALL + outer, bytes(self.chance.randint(1, 400)))
+        kept = StoredMessage(
+            0, number, mark, turn, band.name, "", destination, WALL + outer, bytes(self.chance.randint(1, 400))
+        )
         self._ask(handed, kept, sender, hasty=True)
         if self.table.sessions and handed.answer != "none" and self.chance.random() < AGAIN:
             # The same once more, under the same id: it must not be taken twice, wherever its session is by then.
@@ -614,7 +617,7 @@
                     hasty=False,
                 )
 
-    def _ask(self, handed: Handed, kept: Kept, sender: Sender, hasty: bool) -> None:
+    def _ask(self, handed: Handed, kept: StoredMessage, sender: Sender, hasty: bool) -> None:
         """Hand in at a sender, and note its answer, but where another one has taken it before.
 
         `hasty`: what is taken for a client that has gone by then is withdrawn.
@@ -633,7 +636,7 @@
         handed.answer = answer if answer in ("ok", "none") or not handed.answer else handed.answer
         handed.answered, handed.sender = self.now(), sender.number
         if answer == "ok" and self.table.sessions:
-            has = [each.number for each in self.senders if each.node is not None and kept.id in each.desk.numbers]
+            has = [each.number for each in self.senders if each.node is not None and kept.id in each.dispatcher.numbers]
             handed.taker = has[0] if len(has) == 1 else -1
 
     # ---- staff ----
--- a/cedarwick/net/assignment.py
+++ b/cedarwick/net/assignment.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cedarwick import bounds
+from cedarwick.decisions import setting_rules
 from cedarwick.errors import CedarwickError
 
 
@@ -79,8 +79,8 @@
     if "classes.count" not in made.settings:
         raise AssignmentError(f"{path}: the settings name no classes")
     try:
-        bounds.check(made.settings)
-    except bounds.SettingError as error:
+        setting_rules.check(made.settings)
+    except setting_rules.SettingError as error:
         raise AssignmentError(f"{path}: settings.{error}") from None
     return made
 
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -7,14 +7,14 @@
 import gevent
 import gevent.socket
 
-from cedarwick.interface import Outcome
+from cedarwick.decisions.interface import Outcome
+from cedarwick.decisions.state import NEVER
 from cedarwick.net.clock import Clock
+from cedarwick.net.connections import Connection, ConnectionPool, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.http import Answer, InvalidResponseError
-from cedarwick.net.links import Link, Links, NoDescriptorError
-from cedarwick.net.sockets import Polled, ended
-from cedarwick.state import FAR
-from cedarwick.store.records import Kept
+from cedarwick.net.http import InvalidResponseError, ResponseParser
+from cedarwick.net.sockets import PollClock, is_closed
+from cedarwick.store.records import StoredMessage
 
 REPORT_HEADER = "x-pressure"
 REST_OF_ANSWER = 500_000  # for what follows the first line of an answer
@@ -28,27 +28,27 @@
 
 
 @dataclass(slots=True)
-class Call:
+class AttemptCall:
     """One attempt that the decisions have ordered."""
 
-    kept: Kept
+    kept: StoredMessage
     attempt: int
     receiver: int
     ordered_at: int
     until: int
-    whole_by: int = FAR  # its last byte must have gone then
+    send_by: int = NEVER  # its last byte must have gone then
     body: bytes = b""  # read from the folder as the attempt may go
     recorded: bool = False  # the folder knows that it goes out
     flushed: bool = False  # and so does the disk, where the folder is durable
     looked_at: int = 0  # the look at the sockets that its clearance rests on
     heeded: bool = False  # the wait of its refusal has been told, ahead of the ending
     told: bool = False  # its ending has been told
-    new_link: bool = False  # no kept one is good enough
-    kept_link: bool = False  # it goes over a link that was used before
+    new_connection: bool = False  # no kept one is good enough
+    reused_connection: bool = False  # it goes over a link that was used before
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class AttemptResult:
     """How it ended, as the decisions are told."""
 
     outcome: Outcome
@@ -56,22 +56,22 @@
     retry_after: int = 0
     last: bool = False
     report: Sequence[float] = ()
-    kept_link: bool = False  # it went over a link that had been used before
-    held_back: bool = False  # no byte of it left, for a reason that a further look at it takes into account
+    reused_connection: bool = False  # it went over a link that had been used before
+    not_sent: bool = False  # no byte of it left, for a reason that a further look at it takes into account
 
 
-class Attempts:
-    """Takes ordered attempts to their receivers; each ends in one `Ending`."""
+class AttemptRunner:
+    """Takes ordered attempts to their receivers; each ends in one `AttemptResult`."""
 
     def __init__(
         self,
         clock: Clock,
         counters: Counters,
-        links: Links,
+        links: ConnectionPool,
         columns: list[str],
-        polled: Polled,
-        clear: Callable[[Call], bool],
-        tell: Callable[[Call, Ending], None],
+        polled: PollClock,
+        clear: Callable[[AttemptCall], bool],
+        tell: Callable[[AttemptCall, AttemptResult], None],
         heed: Callable[[list[tuple[int, int]]], None],
         may_fire: Callable[[int], bool] = lambda _: True,
     ) -> None:
@@ -84,12 +84,12 @@
         self.tell = tell
         self.heed = heed
         self.may_fire = may_fire
-        self.out: dict[gevent.Greenlet, Call] = {}
+        self.out: dict[gevent.Greenlet, AttemptCall] = {}
 
-    def start(self, call: Call) -> None:
+    def start(self, call: AttemptCall) -> None:
         greenlet = gevent.spawn(self._run, call)
         self.out[greenlet] = call
-        greenlet.rawlink(lambda ended: self.out.pop(ended, None))
+        greenlet.rawlink(lambda finished: self.out.pop(finished, None))
 
     def cut(self, numbers: Collection[int]) -> None:
         """Give up the calls of some messages at once, and close their links: they may have run."""
@@ -99,7 +99,7 @@
                 self.counters.add("attempts cut off: their session moves")
                 self._end(call, Outcome.RESET if call.recorded else Outcome.MOOT)
 
-    def _run(self, call: Call) -> None:
+    def _run(self, call: AttemptCall) -> None:
         try:
             self._go(call)
         except Exception:
@@ -108,9 +108,9 @@
             if not call.told:
                 self._end(call, Outcome.RESET)
 
-    def _go(self, call: Call) -> None:
+    def _go(self, call: AttemptCall) -> None:
         try:
-            link = self.links.obtain(call.receiver, call.until, call.new_link)
+            link = self.links.obtain(call.receiver, call.until, call.new_connection)
         except NoDescriptorError as error:
             self.counters.trouble("no descriptor for an attempt", error.within(f"receiver {call.receiver}"))
             self._hold_back(call)
@@ -128,9 +128,9 @@
         finally:
             self.links.give_back(link, usable)
 
-    def _unless_crossed(self, call: Call, link: Link) -> bool:
-        """The call, unless something came while the desk was asked; whether the link can be used again."""
-        if ended(link.sock):
+    def _unless_crossed(self, call: AttemptCall, link: Connection) -> bool:
+        """The call, unless something came while the dispatcher was asked; whether the link can be used again."""
+        if is_closed(link.sock):
             # Danger: what lies there before the request would be read as its answer.
             if link.idle_since:
                 self._hold_back(call)
@@ -138,14 +138,14 @@
                 self.counters.add("new links that ended or spoke before their request")
                 self._end(call, Outcome.CONNECT_FAILED)
             return False
-        if self.clock.now() >= call.whole_by:
+        if self.clock.now() >= call.send_by:
             self.counters.add("attempts held back: their time was over")
             self._hold_back(call)
             return True
-        call.kept_link = link.idle_since > 0
+        call.reused_connection = link.idle_since > 0
         return self._over(call, link)
 
-    def _cleared(self, call: Call) -> bool:
+    def _cleared(self, call: AttemptCall) -> bool:
         """Whether it may go now; where it may not, it has ended."""
         for _ in range(MOST_ASKED):
             if not self.clear(call):
@@ -160,14 +160,14 @@
         self._hold_back(call)
         return False
 
-    def _over(self, call: Call, link: Link) -> bool:
+    def _over(self, call: AttemptCall, link: Connection) -> bool:
         """Write the request, read the answer; whether the link can be used again."""
-        answer = Answer()
+        answer = ResponseParser()
         broken: Outcome | None = Outcome.CONNECT_FAILED
         try:
-            self._wait_until(link, min(call.until, call.whole_by))
-            whole = request(call, self.clock.now())
-            # Danger: the right to fire may have run out since the desk was asked; another sender has it then.
+            self._wait_until(link, min(call.until, call.send_by))
+            whole = encode_request(call, self.clock.now())
+            # Danger: the right to fire may have run out since the dispatcher was asked; another sender has it then.
             if not self.may_fire(call.kept.number):
                 self.counters.add("attempts held back: no right to fire")
                 self._end(call, Outcome.MOOT)
@@ -194,7 +194,7 @@
             self._end(call, broken or Outcome.RESET)
         return False
 
-    def _read(self, call: Call, link: Link, answer: Answer) -> Outcome | None:
+    def _read(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> Outcome | None:
         """Read the answer to its end; how the attempt ended if it broke before that."""
         until = call.until
         try:
@@ -218,17 +218,17 @@
             return Outcome.RESET
         return None
 
-    def _wait_until(self, link: Link, until: int) -> None:
+    def _wait_until(self, link: Connection, until: int) -> None:
         left = until - self.clock.now()
         if left <= 0:
             raise TimeoutError
         link.sock.settimeout(left / 1_000_000)
 
-    def _read_what_lies_there(self, call: Call, link: Link, answer: Answer) -> None:
+    def _read_what_lies_there(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
         self._read_on(link, answer, 0)
         self._heed_early(call, answer)
 
-    def _read_on(self, link: Link, answer: Answer, until: int) -> None:
+    def _read_on(self, link: Connection, answer: ResponseParser, until: int) -> None:
         """Read the head of an answer that may come up to a time; with 0, all of it that lies there."""
         link.sock.settimeout(0.0)
         try:
@@ -241,7 +241,7 @@
         except (OSError, InvalidResponseError):
             pass
 
-    def _heed_early(self, call: Call, answer: Answer) -> None:
+    def _heed_early(self, call: AttemptCall, answer: ResponseParser) -> None:
         """A refusal's wait counts from its head on:
 
         whether the rest comes only tells whether the attempt may have run.
@@ -249,11 +249,11 @@
         if answer.headed and not answer.complete and answer.status == 429 and not call.heeded:
             self._heed(call, answer)
 
-    def _heed(self, call: Call, answer: Answer) -> None:
+    def _heed(self, call: AttemptCall, answer: ResponseParser) -> None:
         call.heeded = True
-        self.heed([(call.receiver, self.clock.now() + wait_of(answer.headers.get("x-backoff-ms", "")))])
+        self.heed([(call.receiver, self.clock.now() + parse_retry_after(answer.headers.get("x-backoff-ms", "")))])
 
-    def _hear_out(self, call: Call, link: Link, answer: Answer) -> None:
+    def _hear_out(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
         """Read on for a moment on the link of a call that was given up and has ended.
 
         Danger: a refusal that crosses the giving up tells a wait all the same, and further attempts would break it.
@@ -264,37 +264,37 @@
             self.counters.add("waits told after the call was given up")
             self._heed(call, answer)
 
-    def _tell(self, call: Call, answer: Answer) -> None:
+    def _tell(self, call: AttemptCall, answer: ResponseParser) -> None:
         """What an answer says: its first line at least."""
         took = self.clock.now() - call.ordered_at
         report = self._report(answer.headers.get(REPORT_HEADER, ""))
         if answer.status == 200:
-            ending = Ending(Outcome.COMPLETED, took, 0, True, report, call.kept_link)
+            ending = AttemptResult(Outcome.COMPLETED, took, 0, True, report, call.reused_connection)
         elif answer.status == 429:
-            wait = wait_of(answer.headers.get("x-backoff-ms", ""))
-            ending = Ending(Outcome.FULL, took, wait, False, report)
+            wait = parse_retry_after(answer.headers.get("x-backoff-ms", ""))
+            ending = AttemptResult(Outcome.FULL, took, wait, False, report)
         elif answer.status == 503 and answer.headers.get("x-egress-full") != "1":
-            ending = Ending(Outcome.FULL, took, 0, False, report)
+            ending = AttemptResult(Outcome.FULL, took, 0, False, report)
         elif answer.status in (503, 504):
-            ending = Ending(Outcome.MOOT, took, 0, False, report)
+            ending = AttemptResult(Outcome.MOOT, took, 0, False, report)
         elif answer.status == 410:
-            ending = Ending(Outcome.MOOT, took, 0, True, report)
+            ending = AttemptResult(Outcome.MOOT, took, 0, True, report)
         else:
             if answer.status != 500:
                 self.counters.trouble("a receiver answered with an unknown status", answer.status)
-            ending = Ending(Outcome.ERROR, took, 0, False, report)
+            ending = AttemptResult(Outcome.ERROR, took, 0, False, report)
         self.counters.add(f"answers {answer.status}")
         call.told = True
         self.tell(call, ending)
 
-    def _end(self, call: Call, outcome: Outcome, held_back: bool = False) -> None:
+    def _end(self, call: AttemptCall, outcome: Outcome, not_sent: bool = False) -> None:
         self.counters.add(f"attempts without an answer: {outcome.value}")
         call.told = True
         took = self.clock.now() - call.ordered_at
-        self.tell(call, Ending(outcome, took, kept_link=call.kept_link, held_back=held_back))
+        self.tell(call, AttemptResult(outcome, took, reused_connection=call.reused_connection, not_sent=not_sent))
 
-    def _hold_back(self, call: Call) -> None:
-        self._end(call, Outcome.MOOT, held_back=True)
+    def _hold_back(self, call: AttemptCall) -> None:
+        self._end(call, Outcome.MOOT, not_sent=True)
 
     def _report(self, text: str) -> Sequence[float]:
         """The values that an answer reports, in the order of the settings; nothing if it cannot be read."""
@@ -309,13 +309,13 @@
         return [float(figure) for figure in figures]
 
 
-def wait_of(text: str) -> int:
+def parse_retry_after(text: str) -> int:
     """A Retry-After wait in microseconds, the longest where a head tells several; 0 where none can be read."""
     told = [MILLISECONDS.fullmatch(part.strip()) for part in text.split(",")]
     return max((int(each[1]) * 1000 + bool(each[2]) * 1000 for each in told if each), default=0)
 
 
-def request(call: Call, now: int) -> bytes:
+def encode_request(call: AttemptCall, now: int) -> bytes:
     kept = call.kept
     lines = ["POST /receive HTTP/1.1", "Host: receiver", f"X-Txn: {kept.id}"]
     if kept.key:
--- a/cedarwick/net/intake.py
+++ b/cedarwick/net/client_listener.py
@@ -13,11 +13,11 @@
 from cedarwick.net.assignment import word
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.clock import Clock
+from cedarwick.net.connections import DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Answered, Desk, Submission
-from cedarwick.net.links import Descriptors, NoDescriptorError
-from cedarwick.net.sockets import lies_there
-from cedarwick.store.records import Kept
+from cedarwick.net.dispatcher import AdmissionResult, Dispatcher, Submission
+from cedarwick.net.sockets import peek_byte
+from cedarwick.store.records import StoredMessage
 
 MOST_PARTS = 16
 LONGEST_BODY = 1 << 16
@@ -53,16 +53,16 @@
 BUSY, PONG, LOADING = b"-BUSY\r\n", b"+PONG\r\n", b"-LOADING not ready yet\r\n"
 PAUSED = b"-LOADING paused by the operators\r\n"
 REPLIES = {
-    Answered.KEPT: b"+OK\r\n",
-    Answered.BUSY: BUSY,
-    Answered.UNKNOWN_PRIORITY_CLASS: b"-ERR unknown class\r\n",
-    Answered.UNKNOWN_DESTINATION: BUSY,
-    Answered.REPEATED: BUSY,
-    Answered.FROZEN: BUSY,
-    Answered.UNSURE: b"",
+    AdmissionResult.KEPT: b"+OK\r\n",
+    AdmissionResult.BUSY: BUSY,
+    AdmissionResult.UNKNOWN_PRIORITY_CLASS: b"-ERR unknown class\r\n",
+    AdmissionResult.UNKNOWN_DESTINATION: BUSY,
+    AdmissionResult.REPEATED: BUSY,
+    AdmissionResult.FROZEN: BUSY,
+    AdmissionResult.UNSURE: b"",
 }
 # What became of a message, the advised wait, and what takes it back where it was taken just now.
-Handed = tuple[Answered, int, Callable[[], None] | None]
+SubmitResult = tuple[AdmissionResult, int, Callable[[], None] | None]
 
 
 class MalformedRequestError(CedarwickError):
@@ -86,7 +86,7 @@
     remedy = "correct the client: the text says which argument cannot be read"
 
 
-class Client:
+class ClientConnection:
     """One connection from a client."""
 
     __slots__ = (
@@ -123,7 +123,7 @@
         return SILENT if not self.served else QUIET
 
 
-class Intake:
+class ClientListener:
     """Accepts clients, reads their requests one after another, and writes each one's answer."""
 
     def __init__(
@@ -131,22 +131,22 @@
         listen: tuple[str, int],
         clock: Clock,
         counters: Counters,
-        descriptors: Descriptors,
-        desk: Desk,
+        descriptors: DescriptorBudget,
+        dispatcher: Dispatcher,
         ready: Callable[[], bool],
         listener: gevent.socket.socket | None = None,
     ) -> None:
         self.clock = clock
         self.counters = counters
         self.descriptors = descriptors
-        self.desk = desk
-        self.clients: set[Client] = set()
+        self.dispatcher = dispatcher
+        self.clients: set[ClientConnection] = set()
         self.ready = ready  # whether the folder is read and the list known
         self.closing = False
         self.paused = False  # drained by the operators: PING says no, clients are let go between requests
         self.still_taking = False  # while closing: requests that were read are still kept, for a hand-over
         self.waste = bytearray(1 << 16)
-        self.hand_in: Callable[[Kept], Handed] = self.to_desk
+        self.hand_in: Callable[[StoredMessage], SubmitResult] = self.to_dispatcher
         if listener is not None:
             self.listener = listener  # the platform's, shared with a process that replaces this one
             return
@@ -178,7 +178,7 @@
 
     def _take_in(self, sock: gevent.socket.socket) -> None:
         self.counters.add("clients accepted")
-        client = Client(sock, self.clock.now())
+        client = ClientConnection(sock, self.clock.now())
         self.clients.add(client)
         gevent.spawn(self._serve, client)
 
@@ -228,7 +228,7 @@
                     return
                 self._take_in(sock)
 
-    def _turn_away(self, client: Client) -> None:
+    def _turn_away(self, client: ClientConnection) -> None:
         """All that was read of a client is refused, what is not whole yet too, and it is told the end."""
         owed = 0
         with contextlib.suppress(MalformedRequestError):
@@ -249,10 +249,10 @@
             if idle and (client.asked or fresh):
                 self._let_go(client)
 
-    def _silent(self, client: Client) -> bool:
+    def _silent(self, client: ClientConnection) -> bool:
         """Whether nothing lies there unread. Danger: a request that was written before the end is owed its answer."""
         patience = client.sock.gettimeout()
-        lies = lies_there(client.sock)
+        lies = peek_byte(client.sock)
         client.sock.settimeout(patience)
         return lies is None
 
@@ -293,7 +293,7 @@
         if self.descriptors.used >= limit or not any(each.cut for each in self.clients):
             raise NoDescriptorError(f"{len(self.clients)} clients hold all that they may")
 
-    def _let_go(self, client: Client) -> None:
+    def _let_go(self, client: ClientConnection) -> None:
         """The client reads the end and goes. Danger: what crosses that must stay unread: the client sends it once more
         on a new connection, but a request that was read is lost without its answer."""
         client.waiting, client.let_go, client.idle_since = False, True, self.clock.now()
@@ -303,7 +303,7 @@
             pass
         gevent.spawn_later(LINGER, self._cut, client)
 
-    def _cut(self, client: Client) -> None:
+    def _cut(self, client: ClientConnection) -> None:
         """The client goes at once: it was let go and does not close, or its descriptor is wanted."""
         if client in self.clients:
             client.cut = True
@@ -312,7 +312,7 @@
             except OSError:
                 pass
 
-    def _serve(self, client: Client) -> None:
+    def _serve(self, client: ClientConnection) -> None:
         try:
             client.sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
             while (parts := self._next(client)) is not None:
@@ -353,7 +353,7 @@
             client.sock.close()
             self.descriptors.give_back()
 
-    def _next(self, client: Client) -> list[bytes] | None:
+    def _next(self, client: ClientConnection) -> list[bytes] | None:
         """The next request; None at the end of the connection, or where none came for long enough."""
         while (parts := command(client.buffer)) is None:
             begun = len(client.buffer) > 0
@@ -386,13 +386,13 @@
         client.waiting, client.begun_at, client.asked = False, 0, True
         return parts
 
-    def _outlast(self, client: Client) -> None:
+    def _outlast(self, client: ClientConnection) -> None:
         """Returns once the client has given up its request, or should have."""
         until = self.clock.now() + GIVES_UP
-        while self.clock.now() < until and lies_there(client.sock) != b"":
+        while self.clock.now() < until and peek_byte(client.sock) != b"":
             gevent.sleep(LOOK)
 
-    def _see_off(self, client: Client) -> None:
+    def _see_off(self, client: ClientConnection) -> None:
         """The client is told the end, where it was not, and may close first; what it still sends stays unread."""
         if client.cut:
             return
@@ -403,7 +403,7 @@
             if client.sock.recv(1, gevent.socket.MSG_PEEK):
                 client.leave.wait(CROSSED)
 
-    def _refuse(self, client: Client, reply: bytes) -> None:
+    def _refuse(self, client: ClientConnection, reply: bytes) -> None:
         """Answer, then read on to the end for a moment: unread input would turn the close into a reset."""
         client.waiting, client.begun_at = False, 0
         client.buffer.skip(len(client.buffer))
@@ -415,7 +415,7 @@
         except OSError:
             pass
 
-    def _read_out(self, client: Client) -> None:
+    def _read_out(self, client: ClientConnection) -> None:
         """Danger: 60 MB at full speed would take the core from everyone; then a reset is good enough."""
         wasted = 0
         while wasted < WASTED and (got := client.sock.recv_into(self.waste)):
@@ -431,7 +431,7 @@
                     self.counters.figures.dropped[priority_class] += 1
                 return
 
-    def _answer(self, client: Client, parts: list[bytes]) -> bytes:
+    def _answer(self, client: ClientConnection, parts: list[bytes]) -> bytes:
         name = parts[0].upper() if parts else b""
         if name == b"PING":
             return PAUSED if self.paused else PONG if self.ready() else LOADING
@@ -451,26 +451,28 @@
             client.unusable += not self.closing and client.unusable < DOUBTED
             return BUSY
         answered, wait_ms, withdraw = self.hand_in(kept)
-        if answered in (Answered.KEPT, Answered.BUSY):
+        if answered in (AdmissionResult.KEPT, AdmissionResult.BUSY):
             client.served, client.unusable = True, 0
-        elif answered in (Answered.UNKNOWN_PRIORITY_CLASS, Answered.REPEATED) or client.unusable < DOUBTED:
+        elif (
+            answered in (AdmissionResult.UNKNOWN_PRIORITY_CLASS, AdmissionResult.REPEATED) or client.unusable < DOUBTED
+        ):
             client.unusable += 1
-        if withdraw is not None and lies_there(client.sock) == b"":
+        if withdraw is not None and peek_byte(client.sock) == b"":
             # Danger: who has gone before the answer hands it in elsewhere; nothing has gone out yet.
             self.counters.add("clients gone before their answer")
             withdraw()
             return BUSY
-        if answered is Answered.BUSY and wait_ms:
+        if answered is AdmissionResult.BUSY and wait_ms:
             return b"-BUSY %d\r\n" % wait_ms
         return REPLIES[answered]
 
-    def to_desk(self, kept: Kept) -> Handed:
-        """Hand a message to this sender's own desk."""
+    def to_dispatcher(self, kept: StoredMessage) -> SubmitResult:
+        """Hand a message to this sender's own dispatcher."""
         submission = Submission(kept)
-        self.desk.submit(submission)
+        self.dispatcher.submit(submission)
         answered, wait_ms = submission.answer.get()
-        taken = answered is Answered.KEPT and kept.number
-        return answered, wait_ms, (lambda: self.desk.withdraw(submission)) if taken else None
+        taken = answered is AdmissionResult.KEPT and kept.number
+        return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
 
 
 def command(buffer: Buffer) -> list[bytes] | None:
@@ -527,7 +529,7 @@
     return word(name)
 
 
-def read_submission(parts: list[bytes], now: int) -> tuple[Kept, bool]:
+def read_submission(parts: list[bytes], now: int) -> tuple[StoredMessage, bool]:
     """The message of a SUBMIT, and whether a sender had it before; `InvalidSubmitError` says what is wrong."""
     if len(parts) != 5:
         raise InvalidSubmitError("wrong number of arguments for SUBMIT")
@@ -546,7 +548,7 @@
     if not priority_class:
         raise InvalidSubmitError("c is missing")
     limit = now + int(told[b"d"]) * 1000 - READ_LATE
-    kept = Kept(
+    kept = StoredMessage(
         0, message.decode(), key.decode(), int(turn, 16), priority_class, tenant, int(told[b"dest"]), limit, body
     )
     return kept, told.get(b"again") == b"1"
--- a/cedarwick/net/links.py
+++ b/cedarwick/net/connections.py
@@ -10,7 +10,7 @@
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.sockets import connected, ended
+from cedarwick.net.sockets import is_closed, open_connection
 
 KEPT_BACK = 64  # descriptors for the interpreter, the loop, the folder and the platform
 SWEEP = 0.25  # seconds between two looks at the idle links
@@ -25,7 +25,7 @@
     remedy = "raise limits.sockets, or start another sender"
 
 
-class Descriptors:
+class DescriptorBudget:
     """Counts the descriptors of clients and receivers; at the bound the longest idle link gives way."""
 
     def __init__(self, limit: int) -> None:
@@ -45,7 +45,7 @@
         self.used -= 1
 
 
-class Link:
+class Connection:
     """One connection to a receiver."""
 
     __slots__ = ("sock", "receiver", "address", "buffer", "idle_since", "closed")
@@ -59,14 +59,14 @@
         self.closed = False
 
 
-class Links:
+class ConnectionPool:
     """Opens links, keeps the idle ones, and is the only place where one is closed."""
 
     def __init__(
         self,
         clock: Clock,
         counters: Counters,
-        descriptors: Descriptors,
+        descriptors: DescriptorBudget,
         address_of: Callable[[int], tuple[str, int]],
         life: int,
         connect_limit: int,
@@ -77,11 +77,11 @@
         self.address_of = address_of
         self.life = life
         self.connect_limit = connect_limit
-        self.idle: dict[int, deque[Link]] = {}  # by receiver, the newest last
-        self.ending: dict[Link, None] = {}  # links that are only read any more, the newest last
+        self.idle: dict[int, deque[Connection]] = {}  # by receiver, the newest last
+        self.ending: dict[Connection, None] = {}  # links that are only read any more, the newest last
         descriptors.make_way = self._give_way
 
-    def obtain(self, receiver: int, until: int, new: bool = False) -> Link:
+    def obtain(self, receiver: int, until: int, new: bool = False) -> Connection:
         """An idle link or a new one; OSError where none comes up in time, NoDescriptorError where none may."""
         address = self.address_of(receiver)
         free_by = min(until, self.clock.now() + FREE_WITHIN)
@@ -98,33 +98,33 @@
             return link
         try:
             limit = min(self.connect_limit, until - self.clock.now())
-            sock = connected(address, max(limit, 1000) / 1_000_000)
+            sock = open_connection(address, max(limit, 1000) / 1_000_000)
         except BaseException:
             self.descriptors.give_back()
             raise
         self.counters.add("links opened")
-        return Link(sock, receiver, address)
+        return Connection(sock, receiver, address)
 
-    def _kept(self, receiver: int, address: tuple[str, int]) -> Link | None:
+    def _kept(self, receiver: int, address: tuple[str, int]) -> Connection | None:
         """An idle link that can still be used; what cannot is closed on the way."""
         waiting = self.idle.get(receiver)
         while waiting:
             link = waiting.pop()
             # Danger: a receiver closes what stood idle, and an attempt written to it then is lost unseen.
             fresh = link.address == address and self.clock.now() - link.idle_since < self.life
-            if fresh and not ended(link.sock):
+            if fresh and not is_closed(link.sock):
                 return link
             self._close(link)
         return None
 
-    def give_back(self, link: Link, usable: bool) -> None:
+    def give_back(self, link: Connection, usable: bool) -> None:
         if not usable or len(link.buffer):
             self._close(link)
             return
         link.idle_since = self.clock.now()
         self.idle.setdefault(link.receiver, deque()).append(link)
 
-    def end_sending(self, link: Link) -> bool:
+    def end_sending(self, link: Connection) -> bool:
         """Give up the call on a link and read on, until it is given back; False where the link has broken."""
         try:
             link.sock.shutdown(gevent.socket.SHUT_WR)
@@ -145,7 +145,7 @@
             now = self.clock.now()
             for receiver, waiting in list(self.idle.items()):
                 for link in list(waiting):
-                    if now - link.idle_since >= self.life or ended(link.sock):
+                    if now - link.idle_since >= self.life or is_closed(link.sock):
                         waiting.remove(link)
                         self._close(link)
                 if not waiting:
@@ -163,7 +163,7 @@
             self._close(longest)
         return longest is not None
 
-    def _close(self, link: Link) -> None:
+    def _close(self, link: Connection) -> None:
         if link.closed:
             return
         link.closed = True
--- a/cedarwick/net/counters.py
+++ b/cedarwick/net/counters.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from cedarwick.errors import describe
-from cedarwick.net.figures import Figures
+from cedarwick.net.metrics import Metrics
 
 QUIET = 10.0  # seconds between two log lines on the same kind of trouble, where the operator names no other
 LOOK = 0.1  # seconds between two looks at the lag of the loop
@@ -24,7 +24,7 @@
         self.logged: dict[str, float] = {}
         self.quiet = QUIET
         self.every = 0.0  # seconds between two reports of all counters; 0: only when asked
-        self.figures = Figures()  # the operators' figures, by priority class
+        self.figures = Metrics()  # the operators' figures, by priority class
 
     def add(self, name: str) -> None:
         self.counts[name] += 1
--- a/cedarwick/net/desk.py
+++ b/cedarwick/net/dispatcher.py
@@ -10,28 +10,30 @@
 import gevent.queue
 from loguru import logger
 
+from cedarwick.decisions.interface import EndpointUpdate, ListedEndpoint, Outcome, UnfinishedMessage, list_setting
+from cedarwick.decisions.policy import Handle, Sender, priority_class_of
+from cedarwick.decisions.state import NEVER
 from cedarwick.errors import CedarwickError
-from cedarwick.interface import ListChange, Listing, Outcome, Owed, row
 from cedarwick.net.assignment import Assignment, place
-from cedarwick.net.attempts import Attempts, Call, Ending
+from cedarwick.net.attempts import AttemptCall, AttemptResult, AttemptRunner
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.notices import Notices
-from cedarwick.net.sockets import Polled
-from cedarwick.policy import Handle, Sender, priority_class_of
-from cedarwick.state import FAR
+from cedarwick.net.notifications import Notifier
+from cedarwick.net.sockets import PollClock
 from cedarwick.store.files import DiskError
 from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
-from cedarwick.store.records import NOWHERE, Kept, zone_mark
+from cedarwick.store.records import NOWHERE, StoredMessage, zone_mark
 
-REMEMBERED = 15_000_000  # for so long after it was handed in, an id is not taken once more
-NO_RIGHT = 20_000  # until the next look whether this sender may decide, or its copies follow
-NEAR = 50_000  # before its deadline a message is written off at the end of a process that others take over from
+RECENT_ID_LIFETIME = 15_000_000  # for so long after it was handed in, an id is not taken once more
+LEASE_RECHECK_DELAY = 20_000  # until the next look whether this sender may decide, or its copies follow
+DEADLINE_MARGIN = (
+    50_000  # before its deadline a message is written off at the end of a process that others take over from
+)
 BOOK = 32  # bits of a number within its book: below them numbers grow as messages are taken
-AFTER_ERROR = 100_000  # until the next round: an error that comes again must not fill the core
+ERROR_BACKOFF = 100_000  # until the next round: an error that comes again must not fill the core
 
 
-class Answered(Enum):
+class AdmissionResult(Enum):
     """What becomes of a message at the door."""
 
     KEPT = "kept"
@@ -45,17 +47,17 @@
 
 @dataclass(slots=True)
 class Submission:
-    """A message as a client hands it in; the desk gives it its number and sets the answer."""
+    """A message as a client hands it in; the dispatcher gives it its number and sets the answer."""
 
-    kept: Kept
+    kept: StoredMessage
     answer: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
 
-    def answered(self, what: Answered, wait_ms: int = 0) -> None:
+    def answered(self, what: AdmissionResult, wait_ms: int = 0) -> None:
         self.answer.set((what, wait_ms))
 
 
 @dataclass(slots=True)
-class Frozen:
+class FrozenSession:
     """A session on the move: what of it is still out."""
 
     still: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
@@ -67,10 +69,12 @@
     gevent.get_hub().threadpool.apply(call, told)
 
 
-class Desk:
+class Dispatcher:
     """All that happens reaches the decisions here, in the order in which it came."""
 
-    def __init__(self, assignment: Assignment, clock: Clock, counters: Counters, store: Store, polled: Polled) -> None:
+    def __init__(
+        self, assignment: Assignment, clock: Clock, counters: Counters, store: Store, polled: PollClock
+    ) -> None:
         self.clock = clock
         self.counters = counters
         self.polled = polled
@@ -83,7 +87,7 @@
             assignment.settings.get(f"realms.{index}.name", "")
             for index in range(int(assignment.settings.get("realms.count") or 0))
         ]
-        self.zones = [zone_mark(name) for name in row(assignment.settings, "zones")]
+        self.zones = [zone_mark(name) for name in list_setting(assignment.settings, "zones")]
         self.sender = Sender(assignment.settings, assignment.seed, clock.now())
         # One more stands for what a restart finds of a priority class that is no more; as the settings lack it, at
         # most once.
@@ -96,7 +100,7 @@
         self.recent: dict[str, tuple[int, int]] = {}  # ids of late: when, and what came with it
         self.fresh: dict[int, Submission] = {}  # taken in this round
         self.queue: gevent.queue.Queue = gevent.queue.Queue()
-        self.asked: list[tuple[Call, gevent.event.AsyncResult]] = []  # attempts that want to go in this round
+        self.asked: list[tuple[AttemptCall, gevent.event.AsyncResult]] = []  # attempts that want to go in this round
         self.after_flush: list[tuple[Callable[[], None], Callable[[], None]]] = []  # once on the disk; if it fails
         self.wake_at: int | None = None
         self.holding_fire = False
@@ -104,13 +108,13 @@
         self.keeping = False  # while holding fire: messages that come are still kept, for the next process
         self.parked: dict[int, Handle] = {}  # given up while an attempt was out: it still ends
         self.to_adopt: set[int] = set()  # of these: to be gone on with once it has ended
-        self.frozen: dict[int, Frozen] = {}  # sessions on the move, by key
+        self.frozen: dict[int, FrozenSession] = {}  # sessions on the move, by key
         self.elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
-        self.held_back: set[int] = set()  # messages that had no attempt while their key was among these
+        self.not_sent: set[int] = set()  # messages that had no attempt while their key was among these
         self.leaving: set[int] = set()  # withdrawn in this moment: the queue has yet to say so
         self.untold: set[int] = set()  # an end was chosen, and is told once the copies have it
-        self.attempts: Attempts
-        self.notices: Notices
+        self.attempts: AttemptRunner
+        self.notices: Notifier
         self.free_links: Callable[[int], None]
         self.ask_for_list: Callable[[], None]
 
@@ -123,7 +127,7 @@
         self.leaving.add(submission.kept.number)
         self.queue.put((self._withdraw, (submission.kept,)))
 
-    def clear(self, call: Call) -> bool:
+    def clear(self, call: AttemptCall) -> bool:
         """Whether the attempt may still go out; its record is written then."""
         answer: gevent.event.AsyncResult = gevent.event.AsyncResult()
         self.queue.put((self._asks, (call, answer)))
@@ -136,14 +140,14 @@
         """
         return number in self.store.kept and number not in self.leaving and self.store.may_fire(number)
 
-    def attempt_ended(self, call: Call, ending: Ending) -> None:
+    def attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
         self.queue.put((self._attempt_ended, (call, ending)))
 
-    def listed(self, change: ListChange, listings: Sequence[Listing]) -> None:
+    def listed(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
         self.queue.put((self._listed, (change, listings)))
 
-    def list_call_failed(self) -> None:
-        self.queue.put((self._list_call_failed, ()))
+    def list_poll_failed(self) -> None:
+        self.queue.put((self._list_poll_failed, ()))
 
     def acknowledged(self, numbers: list[int]) -> None:
         self.queue.put((self._acknowledged, (numbers,)))
@@ -184,7 +188,7 @@
 
     def freeze(self, key: int) -> gevent.event.AsyncResult:
         """From now on no attempt of a session begins, and nothing of it is taken; set once none is out any more."""
-        frozen = Frozen()
+        frozen = FrozenSession()
         self.queue.put((self._freeze, (key, frozen)))
         return frozen.still
 
@@ -244,13 +248,13 @@
         try:
             call(*told)
         except Exception:  # one bad event must not end the process: all else is still owed
-            self.counters.failed(f"the desk failed in {call.__name__}")
-            self.wake_at = self.clock.now() + AFTER_ERROR
+            self.counters.failed(f"the dispatcher failed in {call.__name__}")
+            self.wake_at = self.clock.now() + ERROR_BACKOFF
             for thing in told:
                 if isinstance(thing, gevent.event.AsyncResult) and not thing.ready():
                     thing.set(False)
                 if isinstance(thing, Submission) and not thing.answer.ready():
-                    thing.answered(Answered.BUSY)
+                    thing.answered(AdmissionResult.BUSY)
 
     # ---- what may happen ----
 
@@ -262,7 +266,7 @@
             logger.info("restarted with {} messages owed, {} notices", taken_up, len(self.notices.owed))
 
     def _take_up(self, numbers: Sequence[int], quietly: bool = False) -> int:
-        """Kept messages become owed by the decisions; how many have no end yet."""
+        """Stored messages become owed by the decisions; how many have no end yet."""
         owed = []
         for number in numbers:
             kept = self.store.kept[number]
@@ -278,7 +282,7 @@
             attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in kept.earlier_attempts()]
             priority_class = self.priority_classes.get(kept.priority_class, len(self.sender.priority_classes) - 1)
             owed.append(
-                Owed(
+                UnfinishedMessage(
                     number,
                     kept.destination,
                     priority_class,
@@ -323,23 +327,23 @@
             if handle.priority_class.ordered and handle.key:
                 joined.setdefault(handle.key, []).append(handle)
         # Danger: of those that come back together each would stand before the one that was taken before it.
-        held_back = self.held_back.difference(taken_up)
+        not_sent = self.not_sent.difference(taken_up)
 
         def before(one: Handle, other: Handle) -> bool:
             # Danger: one whose attempt was out when its book was parked comes back after all others of its key.
-            return other.id in held_back or other.id > one.id and other.id >> BOOK == one.id >> BOOK
+            return other.id in not_sent or other.id > one.id and other.id >> BOOK == one.id >> BOOK
 
         for key, handles in joined.items():
             self.sender.turns.line_up(key, handles, before)
 
     def _rest(self, keys: frozenset[int]) -> None:
         self.elsewhere = keys
-        self.held_back &= self.handles.keys()
+        self.not_sent &= self.handles.keys()
         for key in keys & self.sender.turns.lines.keys():
             self._let_rest(key)
 
     def _let_rest(self, key: int) -> None:
-        self.held_back.update(each.id for each in self.sender.rest(self.clock.now(), key))
+        self.not_sent.update(each.id for each in self.sender.rest(self.clock.now(), key))
 
     def _park(self, numbers: list[int]) -> None:
         now, given_up = self.clock.now(), set(numbers)
@@ -349,14 +353,14 @@
             self.notices.owed.pop(number, None)
             submission = self.fresh.pop(number, None)
             if submission is not None:
-                submission.answered(Answered.BUSY)
+                submission.answered(AdmissionResult.BUSY)
             handle = self.handles.pop(number, None)
             if handle is not None:
                 handle.withdrawn(now)
                 if handle.out:
                     self.parked[number] = handle
 
-    def _freeze(self, key: int, frozen: "Frozen") -> None:
+    def _freeze(self, key: int, frozen: "FrozenSession") -> None:
         self.frozen[key] = frozen
         numbers = [number for number, handle in self.handles.items() if handle.key == key]
         for number in numbers:
@@ -365,7 +369,7 @@
                 # It is not kept yet, and neither is anything known of it that its next holder must not take.
                 self.recent.pop(submission.kept.id, None)
                 submission.kept.number = 0
-                submission.answered(Answered.FROZEN)
+                submission.answered(AdmissionResult.FROZEN)
         self._park(numbers)
         frozen.out = {number for number, handle in self.parked.items() if handle.key == key}
         if not frozen.out:
@@ -397,15 +401,15 @@
         kept = submission.kept
         priority_class = self.priority_classes.get(kept.priority_class)
         if priority_class is None:
-            submission.answered(Answered.UNKNOWN_PRIORITY_CLASS)
+            submission.answered(AdmissionResult.UNKNOWN_PRIORITY_CLASS)
             return
         if kept.destination not in self.sender.destinations:
             self.counters.add("turned away: a destination that nobody listed")
-            submission.answered(Answered.UNKNOWN_DESTINATION)
+            submission.answered(AdmissionResult.UNKNOWN_DESTINATION)
             return
         now = self.clock.now()
         if kept.turn in self.frozen:
-            submission.answered(Answered.FROZEN)
+            submission.answered(AdmissionResult.FROZEN)
             return
         # Danger: a copy of an id that has ended would go out again, with whatever body it brings.
         copied = hash((kept.key, kept.turn, kept.priority_class, kept.tenant, kept.destination, kept.body))
@@ -413,14 +417,14 @@
         if known is not None or kept.id in self.numbers:
             same = known is not None and known[1] == copied and kept.id in self.numbers
             same = same and self.numbers[kept.id] not in self.fresh
-            submission.answered(Answered.KEPT if same else Answered.REPEATED)
+            submission.answered(AdmissionResult.KEPT if same else AdmissionResult.REPEATED)
             return
-        while self.recent and next(iter(self.recent.values()))[0] < now - REMEMBERED:
+        while self.recent and next(iter(self.recent.values()))[0] < now - RECENT_ID_LIFETIME:
             del self.recent[next(iter(self.recent))]
         self.recent[kept.id] = now, copied
         if not self.store.has_room(kept):
             self.counters.add("turned away: no room in the folder")
-            submission.answered(Answered.BUSY)
+            submission.answered(AdmissionResult.BUSY)
             return
         kept.number = number = self.store.next_number
         self.store.next_number += 1
@@ -435,7 +439,7 @@
             self.counters.add("messages that waited for others of their key elsewhere")
             self._let_rest(kept.turn)
 
-    def _withdraw(self, kept: Kept) -> None:
+    def _withdraw(self, kept: StoredMessage) -> None:
         self.leaving.discard(kept.number)
         if kept.number in self.store.inert:
             return  # it is on its way to another sender, who knows nothing of this
@@ -446,16 +450,16 @@
                 del self.handles[kept.number]
         self._over(kept)
 
-    def _asks(self, call: Call, answer: gevent.event.AsyncResult) -> None:
+    def _asks(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
         self.asked.append((call, answer))
 
-    def _clear(self, call: Call, answer: gevent.event.AsyncResult) -> None:
+    def _clear(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
         call.looked_at = self.polled.at
         now, number = self.clock.now(), call.kept.number
         handle = self.handles.get(number)
         may = free = handle is not None and handle.may_start(now, call.receiver) and not self.holding_fire
         may = may and self.store.may_fire(number)
-        call.whole_by = handle.whole_by() if handle is not None else 0
+        call.send_by = handle.send_by() if handle is not None else 0
         if may and number in self.store.kept and not call.recorded:
             zone = self.sender.receivers[call.receiver].zone
             mark = self.zones[zone] if zone < len(self.zones) else NOWHERE
@@ -466,14 +470,14 @@
         if not may:
             answer.set(False)
             # Danger: what the folder does not take, or may not be fired for, would be looked at anew at once for ever.
-            self._attempt_ended(call, Ending(Outcome.MOOT, held_back=not free))
+            self._attempt_ended(call, AttemptResult(Outcome.MOOT, not_sent=not free))
         elif self.store.awaited and not call.flushed:
             call.flushed = True
             self.after_flush.append((lambda: answer.set(True), lambda: self._held_back(call, answer)))
         else:
             answer.set(True)
 
-    def _with_body(self, call: Call) -> bool:
+    def _with_body(self, call: AttemptCall) -> bool:
         """Whether the body could be read back; it may lie in the folder only."""
         try:
             call.body = self.store.body(call.kept.number)
@@ -482,11 +486,11 @@
             return False
         return True
 
-    def _held_back(self, call: Call, answer: gevent.event.AsyncResult) -> None:
+    def _held_back(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
         answer.set(False)
-        self._attempt_ended(call, Ending(Outcome.MOOT))
+        self._attempt_ended(call, AttemptResult(Outcome.MOOT))
 
-    def _attempt_ended(self, call: Call, ending: Ending) -> None:
+    def _attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
         number = call.kept.number
         if call.recorded:
             self._recorded("the record of an outcome", self.store.outcome, number, ending.outcome)
@@ -501,7 +505,7 @@
                 ending.retry_after,
                 ending.last,
                 ending.report,
-                ending.kept_link,
+                ending.reused_connection,
             )
             frozen = self.frozen.get(call.kept.turn)
             if frozen is not None:
@@ -522,10 +526,10 @@
             ending.retry_after,
             ending.last,
             ending.report,
-            ending.kept_link,
+            ending.reused_connection,
         )
-        if ending.held_back:
-            handle.never_left()
+        if ending.not_sent:
+            handle.attempt_not_sent()
         if handle.ended:
             self.counters.add(f"messages over: {ending.outcome.value}")
             if ending.outcome is Outcome.COMPLETED:
@@ -533,11 +537,11 @@
             del self.handles[number]
             self._over(call.kept)
 
-    def _listed(self, change: ListChange, listings: Sequence[Listing]) -> None:
+    def _listed(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
         self.sender.listed(self.clock.now(), change, listings)
 
-    def _list_call_failed(self) -> None:
-        self.sender.list_call_failed(self.clock.now())
+    def _list_poll_failed(self) -> None:
+        self.sender.list_poll_failed(self.clock.now())
 
     def heed(self, waits: list[tuple[int, int]]) -> None:
         """Waits told to the process that this one replaces, by receiver."""
@@ -557,7 +561,7 @@
             if number in self.store.kept:
                 self._over(self.store.kept[number])
 
-    def _over(self, kept: Kept) -> None:
+    def _over(self, kept: StoredMessage) -> None:
         """Nothing more is owed for this message."""
         self.numbers.pop(kept.id, None)
         self.untold.discard(kept.number)
@@ -578,7 +582,7 @@
         now = self.clock.now()
         if not self.store.deciding():
             # Danger: after a stop of this process another sender may answer for what is held; ours would be a second.
-            self.wake_at = now + NO_RIGHT
+            self.wake_at = now + LEASE_RECHECK_DELAY
             self._take_none(now)
             return
         # Danger: what has been given up takes its room until its 204; each round would give up more for it.
@@ -591,24 +595,24 @@
                 continue
             del self.handles[number], self.numbers[fresh.kept.id]
             self.counters.add("nacked at the door")
-            fresh.answered(Answered.BUSY, wait // 1000)
-        for number in verdicts.write_offs:
+            fresh.answered(AdmissionResult.BUSY, wait // 1000)
+        for number in verdicts.abandoned:
             self._final(number, False, 0)
         for submission in self.fresh.values():
             self._keep(submission)
         self.fresh.clear()
-        for receiver in verdicts.freed_links:
+        for receiver in verdicts.released_connections:
             self.free_links(receiver)
         for number, receiver, patience in verdicts.attempts:
             handle = self.handles[number]
             if number in self.store.kept:
-                call = Call(
+                call = AttemptCall(
                     self.store.kept[number],
                     handle.attempts - 1,
                     receiver,
                     now,
                     now + patience,
-                    new_link=handle.on_new_link(),
+                    new_connection=handle.needs_new_connection(),
                 )
                 self.attempts.start(call)
             else:  # it could not be kept
@@ -629,7 +633,7 @@
     def _turn_away(self) -> None:
         for submission in self.fresh.values():
             self.numbers.pop(submission.kept.id, None)
-            submission.answered(Answered.BUSY)
+            submission.answered(AdmissionResult.BUSY)
         self.fresh.clear()
         if self.ending:
             self._end_near()
@@ -638,7 +642,7 @@
         """Danger: a call that hangs holds up the end of the process, and with it the ends of all else that is kept."""
         now = self.clock.now()
         limits = {
-            number: self.store.kept[number].deadline - NEAR
+            number: self.store.kept[number].deadline - DEADLINE_MARGIN
             for number, handle in self.handles.items()
             if not handle.out and number in self.store.kept
         }
@@ -653,7 +657,7 @@
         for number, submission in self.fresh.items():
             self.numbers.pop(submission.kept.id, None)
             self.handles.pop(number).withdrawn(now)
-            submission.answered(Answered.BUSY)
+            submission.answered(AdmissionResult.BUSY)
         self.fresh.clear()
 
     def _keep(self, submission: Submission) -> None:
@@ -664,7 +668,7 @@
             self.handles[kept.number].withdrawn(self.clock.now())
             if not self.handles[kept.number].out:
                 del self.handles[kept.number]
-            submission.answered(Answered.BUSY)
+            submission.answered(AdmissionResult.BUSY)
             return
         if self.store.awaited:
             self.after_flush.append((lambda: self._taken(submission), lambda: self._not_taken(submission)))
@@ -677,11 +681,11 @@
             self._not_taken(submission)
             return
         self.counters.add("taken")
-        submission.answered(Answered.KEPT)
+        submission.answered(AdmissionResult.KEPT)
 
     def _not_taken(self, submission: Submission) -> None:
         self._withdraw(submission.kept)
-        submission.answered(Answered.BUSY)
+        submission.answered(AdmissionResult.BUSY)
 
     def _flush(self) -> None:
         """With a durable folder: one fsync for all that this round has written, then what waits for it."""
@@ -718,7 +722,7 @@
         else:
             self.notices.post(number, kept.id, nacked, wait_ms)
 
-    def _post_once_copied(self, kept: Kept) -> None:
+    def _post_once_copied(self, kept: StoredMessage) -> None:
         """Danger: told before a copy knows of it, the end would be followed by an attempt of whoever takes over."""
 
         def post() -> None:
@@ -735,6 +739,6 @@
                     self._final(kept.number, False, 0, alone=True)
                     return
                 self.after_flush.append((post, again))
-                self.wake_at = min(self.wake_at or FAR, self.clock.now() + NO_RIGHT)
+                self.wake_at = min(self.wake_at or NEVER, self.clock.now() + LEASE_RECHECK_DELAY)
 
         self.after_flush.append((post, again))
--- a/cedarwick/net/directory.py
+++ b/cedarwick/net/endpoint_list.py
@@ -7,16 +7,16 @@
 import gevent
 import gevent.event
 
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, list_setting
 from cedarwick.errors import CedarwickError
-from cedarwick.interface import ListChange, Listing, Phase, row
 from cedarwick.net.assignment import Assignment, address, place
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
-from cedarwick.net.http import Answer, InvalidResponseError
-from cedarwick.net.objects import Objects
-from cedarwick.net.sockets import connected
+from cedarwick.net.http import InvalidResponseError, ResponseParser
+from cedarwick.net.json_objects import JsonObjectReader
+from cedarwick.net.sockets import open_connection
 
-PHASES = {"up": Phase.READY, "draining": Phase.DRAINING, "removed": Phase.GONE}
+PHASES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
 CONNECT = 1.0  # seconds in which a connection to the platform must come up
 FIRST = 1.0  # seconds in which a call for the list must begin to be answered: the agent answers at once
 SILENT = 4.2  # seconds in which a line must end: an empty one comes every two, so two of them are missing
@@ -35,19 +35,19 @@
     remedy = "ask the platform what its list says; until then the sender goes on with the last good list"
 
 
-class Directory:
-    """Owns the watch; tells the desk what changed, in the numbers that the decisions know."""
+class EndpointList:
+    """Owns the watch; tells the dispatcher what changed, in the numbers that the decisions know."""
 
     def __init__(
         self,
         assignment: Assignment,
         counters: Counters,
-        tell: Callable[[ListChange, list[Listing]], None],
+        tell: Callable[[EndpointUpdate, list[ListedEndpoint]], None],
         tell_failed: Callable[[], None],
     ) -> None:
         self.platform = assignment.platform
-        self.zones = row(assignment.settings, "zones")
-        self.kinds = row(assignment.settings, "kinds")
+        self.zones = list_setting(assignment.settings, "zones")
+        self.kinds = list_setting(assignment.settings, "kinds")
         self.counters = counters
         self.tell = tell
         self.tell_failed = tell_failed
@@ -68,7 +68,7 @@
         self.first_news = gevent.event.Event()  # the agent has said what it has, or does not say it
         self.following: gevent.Greenlet | None = None
         self.known = False  # whether any receiver has been learned of
-        self.last: dict[str, Listing] = {}  # by uid: the newest line of the list as the platform gave it
+        self.last: dict[str, ListedEndpoint] = {}  # by uid: the newest line of the list as the platform gave it
         self.held_out: set[str] = set()  # uids that the operators took out: draining, whatever the list says
 
     def learn(self, news: dict[str, Any], saved: bool = False) -> bool:
@@ -103,7 +103,7 @@
                 listing = self.last[uid]  # Danger: named, it would be taken for one that has gone
             self.last[uid] = listing
             listings.append(self._as_held(uid, listing))
-            if listing.phase is not Phase.GONE:
+            if listing.phase is not EndpointState.REMOVED:
                 named.add(uid)
         if whole and not listings and self.known:
             # Danger: platforms that start anew have an empty list for a moment; believed, it would end all traffic.
@@ -113,7 +113,7 @@
         # Danger: what a spoilt line said is in no later change; only a whole list tells it.
         self.unsure = not clear or self.unsure and not whole
         self.known = self.known or bool(listings)
-        self.tell(ListChange.SAVED if saved else ListChange.WHOLE if whole else ListChange.CHANGES, listings)
+        self.tell(EndpointUpdate.CACHED if saved else EndpointUpdate.FULL if whole else EndpointUpdate.DELTA, listings)
         return clear
 
     def _forget(self, named: set[str], whole: bool) -> None:
@@ -140,11 +140,11 @@
         self.held_out = set(uids)
         told = [self._as_held(uid, self.last[uid]) for uid in sorted(changed) if uid in self.last]
         if told:
-            self.tell(ListChange.CHANGES, told)
+            self.tell(EndpointUpdate.DELTA, told)
 
-    def _as_held(self, uid: str, listing: Listing) -> Listing:
-        held = uid in self.held_out and listing.phase is Phase.READY
-        return listing._replace(phase=Phase.DRAINING) if held else listing
+    def _as_held(self, uid: str, listing: ListedEndpoint) -> ListedEndpoint:
+        held = uid in self.held_out and listing.phase is EndpointState.READY
+        return listing._replace(phase=EndpointState.DRAINING) if held else listing
 
     def address_of(self, receiver: int) -> tuple[str, int]:
         return self.addresses[receiver]
@@ -201,10 +201,10 @@
 
     def _follow(self) -> None:
         text, raw = Buffer(), Buffer()
-        answer, objects = Answer(text.append), Objects(LONGEST_LINE)
+        answer, objects = ResponseParser(text.append), JsonObjectReader(LONGEST_LINE)
         if self.unsure:
             self.version = 0
-        sock = connected(self.platform, CONNECT)
+        sock = open_connection(self.platform, CONNECT)
         self.reached = True
         alive = time.monotonic()  # the call, then its answer, each object that ends and each empty line
         answered = 0.0
@@ -245,7 +245,7 @@
             sock.close()
             self.stood = bool(answered) and time.monotonic() - answered >= STOOD
 
-    def _more(self, sock: gevent.socket.socket, raw: Buffer, answer: Answer, alive: float) -> int:
+    def _more(self, sock: gevent.socket.socket, raw: Buffer, answer: ResponseParser, alive: float) -> int:
         """Read once; 0 at the end, TimeoutError where an answered watch says nothing whole any more."""
         if not self.doubted:
             # Danger: a dead platform says nothing, or a byte now and then, and its list would be believed for ever.
@@ -265,16 +265,16 @@
         sock.settimeout(None)
         return raw.fill(sock)
 
-    def _listing(self, uid: str, entry: dict[str, Any]) -> Listing:
+    def _listing(self, uid: str, entry: dict[str, Any]) -> ListedEndpoint:
         phase = PHASES.get(entry["state"])
         if phase is None:
             raise ValueError(f"unknown state {entry['state']!r}")
         try:
-            at = address(str(entry["endpoint"])) if phase is not Phase.GONE or "endpoint" in entry else None
+            at = address(str(entry["endpoint"])) if phase is not EndpointState.REMOVED or "endpoint" in entry else None
             group = int(entry.get("pod_group", 0))
             zone, kind = place(self.zones, entry.get("az")), place(self.kinds, entry.get("model"))
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-            if phase is Phase.READY or uid not in self.last:
+            if phase is EndpointState.READY or uid not in self.last:
                 raise
             # Danger: a field that is spoilt would hide the drain that stands in the same line.
             self.counters.trouble(
@@ -285,11 +285,11 @@
             self.numbers[uid] = self.next_number
             self.next_number += 1
         number = self.numbers[uid]
-        if phase is Phase.GONE:
+        if phase is EndpointState.REMOVED:
             self.gone_since.setdefault(uid, time.monotonic())
         if at is not None:
             self.addresses[number] = at
-        return Listing(number, zone, kind, group, phase, self._rate(uid, entry.get("capacity_hint", 0.0)))
+        return ListedEndpoint(number, zone, kind, group, phase, self._rate(uid, entry.get("capacity_hint", 0.0)))
 
     def _rate(self, uid: str, hint: object) -> float:
         """The listed rate; where it is no rate, the one that was listed before, or none."""
--- a/cedarwick/net/http.py
+++ b/cedarwick/net/http.py
@@ -19,7 +19,7 @@
     remedy = "ask whose address this is: the partner's endpoint or the platform's list answers wrongly"
 
 
-class Answer:
+class ResponseParser:
     """An answer as it comes in; the parser calls the `on_` methods."""
 
     def __init__(self, on_body: Callable[[bytes], None] | None = None) -> None:
--- a/cedarwick/net/objects.py
+++ b/cedarwick/net/json_objects.py
@@ -10,7 +10,7 @@
 QUOTED = re.compile(rb'"|\\(?s:.)?|[\x00-\x1f]')  # and inside one
 
 
-class Objects:
+class JsonObjectReader:
     """Holds the object that has not ended yet; each byte is looked at once, JSON itself is read by `json`."""
 
     def __init__(self, longest: int) -> None:
--- a/cedarwick/net/figures.py
+++ b/cedarwick/net/metrics.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 
-class Figures:
+class Metrics:
     """Counts by priority class name; the gauges are read when the figures are asked for."""
 
     __slots__ = ("priority_classes", "passed", "dropped", "bad_gateway", "tries")
--- a/cedarwick/net/notices.py
+++ b/cedarwick/net/notifications.py
@@ -9,15 +9,15 @@
 
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
-from cedarwick.net.http import Answer, InvalidResponseError
-from cedarwick.net.sockets import connected, ended
+from cedarwick.net.http import InvalidResponseError, ResponseParser
+from cedarwick.net.sockets import is_closed, open_connection
 
 LIMIT = 2.0  # seconds for a post and its answer
 AGAIN = 0.25  # seconds before a failed post is tried again
 MOST = 100  # lines in one post
 
 
-class Notices:
+class Notifier:
     """Owns the notices that have not been acknowledged, and the connection they travel on."""
 
     def __init__(
@@ -87,17 +87,17 @@
             raise
 
     def _send(self, body: bytes) -> int:
-        if self.sock is not None and (self.sock_leads_to != self.platform or ended(self.sock)):
+        if self.sock is not None and (self.sock_leads_to != self.platform or is_closed(self.sock)):
             self._close()
         if self.sock is None:
-            self.sock, self.sock_leads_to = connected(self.platform, LIMIT), self.platform
+            self.sock, self.sock_leads_to = open_connection(self.platform, LIMIT), self.platform
         self.sock.settimeout(None)
         head = (
             f"POST /status HTTP/1.1\r\nHost: {self.platform[0]}:{self.platform[1]}\r\n"
             f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         self.sock.sendall(head.encode() + body)
-        answer, buffer = Answer(), Buffer()
+        answer, buffer = ResponseParser(), Buffer()
         while not answer.complete:
             if not buffer.fill(self.sock):
                 raise InvalidResponseError("the connection ended before the answer")
--- a/cedarwick/net/sockets.py
+++ b/cedarwick/net/sockets.py
@@ -6,7 +6,7 @@
 from cedarwick.net.clock import Clock
 
 
-class Polled:
+class PollClock:
     """When the loop last asked the system which sockets hold something; those are read before all else."""
 
     def __init__(self, clock: Clock) -> None:
@@ -27,7 +27,7 @@
             gevent.sleep(0)
 
 
-def connected(address: tuple[str, int], seconds: float) -> gevent.socket.socket:
+def open_connection(address: tuple[str, int], seconds: float) -> gevent.socket.socket:
     """A new connection; OSError where none comes up in time."""
     sock = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
     try:
@@ -40,7 +40,7 @@
     return sock
 
 
-def lies_there(sock: gevent.socket.socket) -> bytes | None:
+def peek_byte(sock: gevent.socket.socket) -> bytes | None:
     """The next byte of a connection, left where it is: None if it is silent, nothing if it has ended."""
     sock.settimeout(0.0)
     try:
@@ -51,6 +51,6 @@
         return b""
 
 
-def ended(sock: gevent.socket.socket) -> bool:
+def is_closed(sock: gevent.socket.socket) -> bool:
     """Whether an idle connection has ended, or holds bytes that nobody asked for."""
-    return lies_there(sock) is not None
+    return peek_byte(sock) is not None
--- a/cedarwick/ops/address.py
+++ b/cedarwick/ops/address.py
@@ -35,7 +35,7 @@
 
 
 class Management:
-    """Listens where the operators' staff call; answers from its own greenlets, never through the desk's queue."""
+    """Listens where the operators' staff call; answers from its own greenlets, never through the dispatcher's queue."""
 
     def __init__(self, where: tuple[str, int], counters: Counters, answer: Answer) -> None:
         self.counters = counters
--- a/cedarwick/ops/staff.py
+++ b/cedarwick/ops/staff.py
@@ -29,7 +29,7 @@
 
 
 class Door(Protocol):
-    """The clients' intake as far as a drain concerns it."""
+    """The clients' client listener as far as a drain concerns it."""
 
     paused: bool
 
@@ -47,7 +47,7 @@
 
 
 class Staff:
-    """Answers the operators' calls; STATUS reads a flag and never waits on the desk."""
+    """Answers the operators' calls; STATUS reads a flag and never waits on the dispatcher."""
 
     def __init__(
         self, ready: Callable[[], bool], door: Door, listed: List, folder: str, figures: Callable[[], str]
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -9,23 +9,23 @@
 import gevent.event
 from loguru import logger
 
+from cedarwick.decisions.interface import EndpointState, duration_setting
+from cedarwick.decisions.policy import LIST_WAIT
 from cedarwick.errors import CedarwickError
-from cedarwick.interface import Phase, span
 from cedarwick.net.assignment import Assignment, AssignmentError, read
-from cedarwick.net.attempts import Attempts
+from cedarwick.net.attempts import AttemptRunner
+from cedarwick.net.client_listener import ClientListener
 from cedarwick.net.clock import Clock
+from cedarwick.net.connections import ConnectionPool, DescriptorBudget
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Desk
-from cedarwick.net.directory import Directory
-from cedarwick.net.intake import Intake
-from cedarwick.net.links import Descriptors, Links
-from cedarwick.net.notices import Notices
-from cedarwick.net.sockets import Polled
+from cedarwick.net.dispatcher import Dispatcher
+from cedarwick.net.endpoint_list import EndpointList
+from cedarwick.net.notifications import Notifier
+from cedarwick.net.sockets import PollClock
 from cedarwick.ops import lasting
 from cedarwick.ops.address import Management
 from cedarwick.ops.handover import inherited_listener
 from cedarwick.ops.staff import Staff
-from cedarwick.policy import LIST_WAIT
 from cedarwick.store.files import DiskError, FolderInUseError
 from cedarwick.store.journal import BODIES, Store
 
@@ -95,29 +95,29 @@
     clock, counters = Clock(), Counters()
     obey(operator, counters)
     inherited = inherited_listener(os.environ)
-    descriptors = Descriptors(assignment.descriptors)
+    descriptors = DescriptorBudget(assignment.descriptors)
     store = folder_of(assignment, operator, clock)
     try:
-        polled = Polled(clock)
-        desk = Desk(assignment, clock, counters, store, polled)
+        polled = PollClock(clock)
+        dispatcher = Dispatcher(assignment, clock, counters, store, polled)
         # On sockets news counts as told by one clock, whatever the settings allow after a call that failed.
-        desk.sender.list_wait = min(desk.sender.list_wait, LIST_WAIT)
-        directory = Directory(assignment, counters, desk.listed, desk.list_call_failed)
-        intake = Intake(
+        dispatcher.sender.max_poll_backoff = min(dispatcher.sender.max_poll_backoff, LIST_WAIT)
+        endpoint_list = EndpointList(assignment, counters, dispatcher.listed, dispatcher.list_poll_failed)
+        client_listener = ClientListener(
             assignment.listen,
             clock,
             counters,
             descriptors,
-            desk,
-            lambda: directory.known and store.taking(),
+            dispatcher,
+            lambda: endpoint_list.known and store.taking(),
             listener=inherited,
         )
         staff = Staff(
-            lambda: directory.known and store.taking(),
-            intake,
-            directory,
+            lambda: endpoint_list.known and store.taking(),
+            client_listener,
+            endpoint_list,
             assignment.folder,
-            lambda: counters.figures.text(*gauges(desk, directory)),
+            lambda: counters.figures.text(*gauges(dispatcher, endpoint_list)),
         )
         staff.taking = True
         management = Management(assignment.management, counters, staff.answer) if assignment.management else None
@@ -129,7 +129,7 @@
     if assignment.known:
         # Danger: the saved list replaces the whole list; told after the watch's news it would undo them.
         try:
-            directory.learn(assignment.known, saved=True)
+            endpoint_list.learn(assignment.known, saved=True)
         except ValueError as error:
             raise AssignmentError(f"the known list cannot be read: {error}") from None
     staff.take_over()
@@ -139,7 +139,7 @@
     if not held:
         # Danger: the process that is replaced ends only once this one says yes, and holds the folder until then.
         logger.info("{} waits for the folder of the process it replaces", assignment.name)
-        early.append(gevent.spawn(directory.watch))
+        early.append(gevent.spawn(endpoint_list.watch))
         try:
             while not hold(store, replacing=True):
                 gevent.sleep(LOOK)
@@ -150,22 +150,30 @@
         logger.info("{} holds the folder", assignment.name)
         staff.take_over()
         # Danger: no round has run yet that could have wanted a call which failed in the meantime made anew.
-        directory.ask()
-    links = Links(
+        endpoint_list.ask()
+    links = ConnectionPool(
         clock,
         counters,
         descriptors,
-        directory.address_of,
-        desk.sender.link_life,
-        span(assignment.settings, "policy-limits.connect-timeout-ms", 1000.0),
+        endpoint_list.address_of,
+        dispatcher.sender.connection_lifetime,
+        duration_setting(assignment.settings, "policy-limits.connect-timeout-ms", 1000.0),
     )
-    notices = desk.notices = Notices(assignment.platform, counters, desk.acknowledged)
-    desk.attempts = Attempts(
-        clock, counters, links, desk.sender.columns, polled, desk.clear, desk.attempt_ended, desk.heed, desk.may_fire
+    notices = dispatcher.notices = Notifier(assignment.platform, counters, dispatcher.acknowledged)
+    dispatcher.attempts = AttemptRunner(
+        clock,
+        counters,
+        links,
+        dispatcher.sender.columns,
+        polled,
+        dispatcher.clear,
+        dispatcher.attempt_ended,
+        dispatcher.heed,
+        dispatcher.may_fire,
     )
-    desk.free_links, desk.ask_for_list = links.free, directory.ask
-    desk.resume()
-    take_waits(assignment.folder, directory, desk)
+    dispatcher.free_links, dispatcher.ask_for_list = links.free, endpoint_list.ask
+    dispatcher.resume()
+    take_waits(assignment.folder, endpoint_list, dispatcher)
     node = join_fleet(assignment, operator, store, clock, counters)
     if not clock.in_step():
         logger.error("the clock does not move on while the process waits")
@@ -182,7 +190,7 @@
                 logger.error("the configuration stays as it was: {}", error.line)
                 continue
             if told.platform != now_held.platform:
-                directory.move(told.platform)
+                endpoint_list.move(told.platform)
                 notices.move(told.platform)
             obey(operated, counters)
             if node is not None and operated is not None and operated.fleet is not None:
@@ -200,34 +208,45 @@
             now_held = told
 
     def decide() -> None:
-        """Never returns: the desk, once the agent has said what it has; that counts as told from the first moment."""
+        """Never returns: the dispatcher, once the agent has said what it has.
+
+        That counts as told from the first moment.
+        """
         # Danger: an attempt of a kept message would go to a receiver that the saved list does not know to be draining.
-        if not directory.first_news.wait(FIRST_NEWS):
-            desk.holding_fire = desk.keeping = True
+        if not endpoint_list.first_news.wait(FIRST_NEWS):
+            dispatcher.holding_fire = dispatcher.keeping = True
             gevent.spawn(fire)
-        desk.run()
+        dispatcher.run()
 
     def fire() -> None:
-        directory.first_news.wait(FIRST_ATTEMPT)
-        desk.queue.put((begin, ()))
+        endpoint_list.first_news.wait(FIRST_ATTEMPT)
+        dispatcher.queue.put((begin, ()))
 
     def begin() -> None:
-        # Danger: at the end of the process the desk holds fire for good.
+        # Danger: at the end of the process the dispatcher holds fire for good.
         if not stopping.is_set():
-            desk.holding_fire = desk.keeping = False
+            dispatcher.holding_fire = dispatcher.keeping = False
 
     stopping = gevent.event.Event()
     gevent.signal_handler(signal.SIGTERM, stopping.set)
     gevent.signal_handler(signal.SIGINT, stopping.set)
     gevent.signal_handler(signal.SIGUSR1, counters.print)
-    later = (decide, intake.accept, links.sweep, notices.run, counters.watch_lag, counters.report, follow_configuration)
-    parts = early + [gevent.spawn(part) for part in (*later, *((directory.watch,) if held else ()))]
+    later = (
+        decide,
+        client_listener.accept,
+        links.sweep,
+        notices.run,
+        counters.watch_lag,
+        counters.report,
+        follow_configuration,
+    )
+    parts = early + [gevent.spawn(part) for part in (*later, *((endpoint_list.watch,) if held else ()))]
     if node is not None:
-        node.sharing.attach(staff, directory, desk)
-        node.exchange.attach(staff, directory, desk, node.halls[assignment.name])
+        node.sharing.attach(staff, endpoint_list, dispatcher)
+        node.exchange.attach(staff, endpoint_list, dispatcher, node.halls[assignment.name])
         if node.traffic is not None:
-            node.traffic.attach(staff, intake, desk)
-        parts += node.start(desk)
+            node.traffic.attach(staff, client_listener, dispatcher)
+        parts += node.start(dispatcher)
     for part in parts:
         part.link_exception(broken)
     logger.info("{} listens on {}:{}", assignment.name, *assignment.listen)
@@ -236,34 +255,34 @@
     staff.taking = False
     logger.info("ending: {} messages kept", len(store.kept))
     if inherited is not None:
-        hand_over(parts[len(early) + later.index(intake.accept)], intake, desk, store)
+        hand_over(parts[len(early) + later.index(client_listener.accept)], client_listener, dispatcher, store)
         gevent.killall(parts)
         if node is not None:
             node.hand_over()
             node.stop()
-        leave_waits(assignment.folder, directory, desk)
+        leave_waits(assignment.folder, endpoint_list, dispatcher)
         store.close()  # the next process takes the folder from here on
         with gevent.Timeout(LINGERING, False):
-            while intake.clients:
+            while client_listener.clients:
                 gevent.sleep(LOOK)
-        intake.end(LAST)
+        client_listener.end(LAST)
         counters.print()
         return 0
     if node is not None and node.traffic is not None:
         node.traffic.leave()
-    intake.stop()
+    client_listener.stop()
     gevent.sleep(STAY)
-    desk.hold_fire(ending=node is not None)
+    dispatcher.hold_fire(ending=node is not None)
     with gevent.Timeout(DRAIN - STAY, False):
         while not (
-            desk.idle()
+            dispatcher.idle()
             and not notices.owed
-            and not intake.clients
+            and not client_listener.clients
             and (node is None or node.traffic is None or node.traffic.left())
         ):
             gevent.sleep(0.02)
-    parts[len(early) + later.index(intake.accept)].kill()
-    intake.end(LAST)
+    parts[len(early) + later.index(client_listener.accept)].kill()
+    client_listener.end(LAST)
     if node is not None:
         node.leave()
     gevent.killall(parts)
@@ -315,18 +334,22 @@
         raise StartupError(f"cannot start: the fleet's address or folder: {error}") from None
 
 
-def gauges(desk: Desk, directory: Directory) -> tuple[int, int, int]:
+def gauges(dispatcher: Dispatcher, endpoint_list: EndpointList) -> tuple[int, int, int]:
     """Messages taken and not ended, receivers listed, and those of them avoided by hand or by choice."""
-    listed = {directory.numbers[uid] for uid, listing in directory.last.items() if listing.phase is not Phase.GONE}
-    avoided = {directory.numbers[uid] for uid in directory.held_out if uid in directory.numbers}
-    avoided |= {receiver.id for receiver in desk.sender.receivers.values() if receiver.out_since}
-    return len(desk.handles), len(listed), len(avoided & listed)
+    listed = {
+        endpoint_list.numbers[uid]
+        for uid, listing in endpoint_list.last.items()
+        if listing.phase is not EndpointState.REMOVED
+    }
+    avoided = {endpoint_list.numbers[uid] for uid in endpoint_list.held_out if uid in endpoint_list.numbers}
+    avoided |= {receiver.id for receiver in dispatcher.sender.receivers.values() if receiver.out_since}
+    return len(dispatcher.handles), len(listed), len(avoided & listed)
 
 
-def leave_waits(folder: str, directory: Directory, desk: Desk) -> None:
+def leave_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
     """The waits that receivers told this process, for the one that replaces it; written before the folder goes."""
-    uids = {number: uid for uid, number in directory.numbers.items()}
-    heeded = desk.sender.retry_after_waits(desk.clock.now())
+    uids = {number: uid for uid, number in endpoint_list.numbers.items()}
+    heeded = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
     waits = {uids[receiver]: until for receiver, until in heeded if receiver in uids}
     try:
         lasting.write_waits(folder, waits)
@@ -334,14 +357,16 @@
         logger.error(DiskError(f"the Retry-After waits cannot be handed over: {error}").line)
 
 
-def take_waits(folder: str, directory: Directory, desk: Desk) -> None:
+def take_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
     """The waits that the replaced process heeded, told to the decisions after the saved list."""
     try:
         waits = lasting.take_waits(folder)
     except lasting.UnreadableFileError as error:
         logger.error("the Retry-After waits of the replaced process cannot be read: {}", error.line)
         return
-    desk.heed([(directory.numbers[uid], until) for uid, until in waits.items() if uid in directory.numbers])
+    dispatcher.heed(
+        [(endpoint_list.numbers[uid], until) for uid, until in waits.items() if uid in endpoint_list.numbers]
+    )
 
 
 def hold(store: Store, replacing: bool) -> bool:
@@ -355,27 +380,29 @@
     return True
 
 
-def hand_over(accepting: gevent.Greenlet, intake: Intake, desk: Desk, store: Store) -> None:
+def hand_over(
+    accepting: gevent.Greenlet, client_listener: ClientListener, dispatcher: Dispatcher, store: Store
+) -> None:
     """At SIGTERM with the platform's socket: new clients go to the next process, this one lets the folder go."""
     accepting.kill()
-    intake.listener.close()  # only this process's descriptor: the platform's socket stays open
+    client_listener.listener.close()  # only this process's descriptor: the platform's socket stays open
     # Danger: the next process accepts nobody while this one holds the folder; clients wait 400 ms at most.
     # Kept connections are served meanwhile, each let go after its answer; messages are kept, not attempt.
-    intake.still_taking = intake.closing = True
-    desk.hold_fire(keeping=True)
+    client_listener.still_taking = client_listener.closing = True
+    dispatcher.hold_fire(keeping=True)
     with gevent.Timeout(HANDOVER, False):
-        while not desk.idle():
+        while not dispatcher.idle():
             gevent.sleep(LOOK)
-    intake.stop()
+    client_listener.stop()
     with gevent.Timeout(ANSWERING, False):
-        while intake.mid_request():
+        while client_listener.mid_request():
             gevent.sleep(LOOK)
-    intake.still_taking = False
+    client_listener.still_taking = False
     logger.info(
-        "handing over: {} messages kept, {} attempts without an outcome", len(store.kept), len(desk.attempts.out)
+        "handing over: {} messages kept, {} attempts without an outcome", len(store.kept), len(dispatcher.attempts.out)
     )
     # Danger: a call still out on an open link, sent again by the next process, would be a second copy.
-    gevent.killall(list(desk.attempts.out))
+    gevent.killall(list(dispatcher.attempts.out))
 
 
 def broken(part: gevent.Greenlet) -> None:
--- a/cedarwick/store/planner.py
+++ b/cedarwick/store/compaction_planner.py
@@ -31,7 +31,7 @@
     promised: int = 0  # what short records on all that lives may come to take, beyond what they take now
 
 
-class Candidate(NamedTuple):
+class CompactionCandidate(NamedTuple):
     """A sealed segment."""
 
     number: int
@@ -61,7 +61,7 @@
     return max(0, sizes.limit - reserve(sizes) - lost - sizes.live - sizes.promised)
 
 
-def choose(candidates: Iterable[Candidate], short: bool) -> Candidate | None:
+def choose(candidates: Iterable[CompactionCandidate], short: bool) -> CompactionCandidate | None:
     """The segment that frees most for what it costs; None where none is worth it. `short`: room is short."""
     best = None
     for each in candidates:
@@ -73,7 +73,7 @@
     return best
 
 
-def pace(sizes: Sizes, victim: Candidate, appended: int) -> int:
+def pace(sizes: Sizes, victim: CompactionCandidate, appended: int) -> int:
     """Bytes of a victim to move in this step, `appended` having come in since the step before."""
     free = sizes.limit - sizes.used
     floor = reserve(sizes)
