--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -1,7 +1,7 @@
 """The lasting folder: what is owed, and what is known of its attempts, in segments that are compacted while they serve.
 
 One greenlet calls it. Every call that returns has written its record; `step`, called between rounds, moves a
-bounded number of bytes. `planner.py` says what and how much, `segments.py` knows what still matters where.
+bounded number of bytes. `compaction_planner.py` says what and how much, `segments.py` knows what still matters where.
 """
 
 import zlib
@@ -10,11 +10,11 @@
 
 from loguru import logger
 
+from cedarwick.decisions.interface import Outcome
 from cedarwick.errors import CedarwickError, describe
-from cedarwick.interface import Outcome
-from cedarwick.store import old, planner, records
+from cedarwick.store import compaction_planner, legacy_format, records
+from cedarwick.store.compaction_planner import BLOCK
 from cedarwick.store.files import OLD_NAME, DiskError, Folder, numbers, quietly, segment_name
-from cedarwick.store.planner import BLOCK
 from cedarwick.store.records import (
     ATTEMPT,
     ATTEMPT_BODY,
@@ -28,11 +28,11 @@
     OVER,
     OVER_BODY,
     Header,
-    Kept,
+    StoredMessage,
     framed,
 )
 from cedarwick.store.recovery import recover
-from cedarwick.store.segments import Book, Segment
+from cedarwick.store.segments import Segment, SegmentIndex
 
 BODIES = 1 << 26  # bytes of bodies that are held in memory, where nobody names a bound
 GRAIN = 1 << 13  # bytes that come in before a step looks whether anything is to be done
@@ -73,7 +73,7 @@
         durable: bool = False,
         bodies: int = BODIES,
         segment: int = 0,
-        step: int = planner.STEP,
+        step: int = compaction_planner.STEP,
     ) -> None:
         """`now` tells wall time in microseconds; `segment` and `step` are bytes, chosen by the limit if 0."""
         self.folder = Folder(folder) if isinstance(folder, str) else folder
@@ -84,7 +84,7 @@
         self.bodies = bodies
         self.wanted_segment = segment
         self.most_step = step
-        self.book = Book()
+        self.book = SegmentIndex()
         self.active: Segment | None = None
         self.file = -1
         self.next_number = 1
@@ -111,7 +111,7 @@
         self.set_limit(disk_bytes)
 
     @property
-    def kept(self) -> dict[int, Kept]:
+    def kept(self) -> dict[int, StoredMessage]:
         """Everything that is owed, by number."""
         return self.book.kept
 
@@ -119,7 +119,7 @@
         """Bytes that all files may take; it may be lowered below what is in use, which then shrinks."""
         self.limit = disk_bytes
         self.floor, self.spare = 1 << 62, -1  # what must stay free, and what new messages may take: to be reckoned
-        self.segment_size = self.wanted_segment or planner.segment_size(disk_bytes)
+        self.segment_size = self.wanted_segment or compaction_planner.segment_size(disk_bytes)
 
     # ---- at the start ----
 
@@ -133,11 +133,11 @@
         self.book, self.next_number, self.old_until = found.book, found.next_message, found.old_until
         self.last_segment = found.last
         leftover = [name for name in found.leftover if not quietly(self.folder.unlink, name)]
-        taken_over, next_number, files = old.read(self.folder, self.old_until)
+        taken_over, next_number, files = legacy_format.read(self.folder, self.old_until)
         self.restarted = bool(self.book.segments or files)
         self.next_number = max(self.next_number, next_number)
         self._count()
-        self.condemned = [(name, planner.blocks(self.folder.size(name))) for name in leftover]
+        self.condemned = [(name, compaction_planner.blocks(self.folder.size(name))) for name in leftover]
         self._go_on(found.tail)
         if files:
             logger.info("a folder of the first format is taken over: {} messages", len(taken_over))
@@ -161,7 +161,7 @@
 
     def _count(self) -> None:
         """What is on the disk, by looking."""
-        self.used = sum(planner.blocks(self.folder.size(name)) for name in self.folder.names())
+        self.used = sum(compaction_planner.blocks(self.folder.size(name)) for name in self.folder.names())
 
     def _go_on(self, tail: int) -> None:
         """Append to the newest segment, cut off behind its last good record, or to a new one."""
@@ -170,7 +170,7 @@
             try:
                 file = self.folder.open(segment_name(newest.number), append=True)
                 self.folder.truncate(file, tail)
-                self.used += planner.blocks(tail) - planner.blocks(newest.physical)
+                self.used += compaction_planner.blocks(tail) - compaction_planner.blocks(newest.physical)
                 newest.size = newest.physical = tail
                 self.active, self.file = newest, file
                 return
@@ -184,24 +184,24 @@
 
     # ---- in service ----
 
-    def sizes(self) -> planner.Sizes:
+    def sizes(self) -> compaction_planner.Sizes:
         """How the folder stands, for the planner."""
         head = FRAME.size + records.HEADER_BODY.size + records.HEADER_LINE.size * (len(self.book.segments) + 1)
-        return planner.Sizes(
+        return compaction_planner.Sizes(
             self.limit, self.used, self.book.live, self.segment_size, self.book.largest, head, self.book.promised()
         )
 
-    def weighed(self, kept: Kept) -> int:
+    def weighed(self, kept: StoredMessage) -> int:
         """The bytes that a message takes."""
         texts = len(kept.id) + len(kept.key) + len(kept.priority_class) + len(kept.tenant)
         body = len(kept.body) if kept.body is not None else kept.size
         return FRAME.size + records.MESSAGE_BODY.size + records.STATE_BODY.size + texts + body + records.OF_STATE
 
-    def has_room(self, kept: Kept) -> bool:
+    def has_room(self, kept: StoredMessage) -> bool:
         """Whether a new message can be taken."""
         return self.fits(kept)
 
-    def fits(self, kept: Kept) -> bool:
+    def fits(self, kept: StoredMessage) -> bool:
         """Whether a message can be kept, with room for the short records that it will need."""
         weighed = self.weighed(kept)
         if weighed > self.spare:
@@ -211,7 +211,7 @@
     def _look(self) -> None:
         """Reckon anew what room there is; in between it is only ever taken to be less than it is."""
         sizes = self.sizes()
-        self.floor, self.spare = planner.reserve(sizes), planner.room(sizes)
+        self.floor, self.spare = compaction_planner.reserve(sizes), compaction_planner.room(sizes)
 
     def room_for(self) -> int:
         """How many more messages like those that are kept the folder has room for; reckoned anew where few."""
@@ -220,7 +220,7 @@
             self._look()
         return max(0, self.spare) // mean
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: StoredMessage) -> None:
         """Write the record of a taken message; `NoSpaceError` where there is none for it."""
         body = kept.body or b""
         kept.size, kept.checksum = len(body), zlib.crc32(body)
@@ -313,7 +313,7 @@
 
     # ---- bodies ----
 
-    def _hold(self, kept: Kept) -> None:
+    def _hold(self, kept: StoredMessage) -> None:
         """Bodies stay in memory up to the bound; beyond it those that came first lie in the folder only."""
         self.held.append(kept.number)
         self.held_bytes += kept.size
@@ -330,12 +330,12 @@
                 if number in self.kept and self.kept[number].body is not None:
                     self.held.append(number)
 
-    def _let_go(self, kept: Kept) -> None:
+    def _let_go(self, kept: StoredMessage) -> None:
         if kept.body is not None:
             kept.body = None
             self.held_bytes -= kept.size
 
-    def _read_body(self, kept: Kept) -> bytes:
+    def _read_body(self, kept: StoredMessage) -> bytes:
         if not kept.size:
             return b""
         segment = self.book.segments[kept.home]
@@ -351,7 +351,7 @@
 
     # ---- records ----
 
-    def _base(self, kept: Kept, body: bytes, use: str) -> int:
+    def _base(self, kept: StoredMessage, body: bytes, use: str) -> int:
         """Write all that is known of a message; how many bytes that took."""
         payload, at = records.message(kept, body)
         segment, begin = self._append(payload, use)
@@ -359,12 +359,12 @@
         self.book.based(kept, segment, begin + FRAME.size + at, FRAME.size + len(payload))
         return FRAME.size + len(payload)
 
-    def _note(self, kept: Kept, payload: bytes, use: str) -> int:
+    def _note(self, kept: StoredMessage, payload: bytes, use: str) -> int:
         segment, _ = self._append(payload, use)
         self.book.noted(kept, segment, whole=payload[0] == records.STATE)
         return FRAME.size + len(payload)
 
-    def _noting(self, kept: Kept) -> Callable[[Segment], None]:
+    def _noting(self, kept: StoredMessage) -> Callable[[Segment], None]:
         def then(segment: Segment) -> None:
             if kept.number in self.kept:
                 self.book.noted(kept, segment)
@@ -443,7 +443,7 @@
 
     def _find_room(self, grows: int, use: str) -> None:
         """Compact on the spot where a record does not fit; `NoSpaceError` where that is not enough."""
-        floor = planner.reserve(self.sizes()) - (0 if use == NEW else planner.SLACK)
+        floor = compaction_planner.reserve(self.sizes()) - (0 if use == NEW else compaction_planner.SLACK)
         turns = 0 if use == SHORT else self.pressed
         while grows and self.limit - self.used - grows < floor:
             turns += 1
@@ -484,8 +484,8 @@
             if file >= 0:
                 quietly(self.folder.close, file)
                 if not quietly(self.folder.unlink, name):
-                    self.condemned.append((name, planner.BLOCK))
-                    self.used += planner.BLOCK
+                    self.condemned.append((name, compaction_planner.BLOCK))
+                    self.used += compaction_planner.BLOCK
                     self.last_segment = number
             raise NoSpaceError(f"a new segment: {error}") from None
         if self.file >= 0:
@@ -518,8 +518,8 @@
         victim = self._choose(short=False)
         if victim is None:
             return
-        size = planner.Candidate(victim.number, victim.physical, victim.live)
-        wanted = planner.pace(self.sizes(), size, appended)
+        size = compaction_planner.CompactionCandidate(victim.number, victim.physical, victim.live)
+        wanted = compaction_planner.pace(self.sizes(), size, appended)
         if wanted or victim.done:
             self._work(min(wanted, self.most_step), short=False)
 
@@ -529,11 +529,11 @@
             return self.victim
         self.stuck = {number: until for number, until in self.stuck.items() if until > self.steps}
         candidates = (
-            planner.Candidate(each.number, each.physical, each.live)
+            compaction_planner.CompactionCandidate(each.number, each.physical, each.live)
             for each in self.book.segments.values()
             if each is not self.active and not each.foreign and each.number not in self.stuck
         )
-        best = planner.choose(candidates, short)
+        best = compaction_planner.choose(candidates, short)
         if best is None:
             return None
         self.victim = self.book.segments[best.number]
@@ -606,7 +606,7 @@
             quietly(self.folder.close, victim.file)
             victim.file = -1
         self.book.dropped(victim)
-        self.condemned.append((segment_name(victim.number), planner.blocks(victim.physical)))
+        self.condemned.append((segment_name(victim.number), compaction_planner.blocks(victim.physical)))
         # Danger: deleted before its moved records are on the disk, a power cut would lose them.
         if not self.durable:
             self._delete_condemned()
--- a/cedarwick/store/old.py
+++ b/cedarwick/store/legacy_format.py
@@ -6,9 +6,9 @@
 
 from loguru import logger
 
-from cedarwick.interface import Outcome
+from cedarwick.decisions.interface import Outcome
 from cedarwick.store.files import OLD_NAME, Folder, numbers
-from cedarwick.store.records import OUTCOMES, InvalidRecordError, Kept
+from cedarwick.store.records import OUTCOMES, InvalidRecordError, StoredMessage
 
 HEAD = struct.Struct("<II")  # length of the payload, checksum
 KEPT, ATTEMPT, OUTCOME, END, OVER, WHOLE = range(1, 7)
@@ -20,9 +20,9 @@
 LONGEST = 1 << 20
 
 
-def read(folder: Folder, until: int) -> tuple[dict[int, Kept], int, list[int]]:
+def read(folder: Folder, until: int) -> tuple[dict[int, StoredMessage], int, list[int]]:
     """What files with a number above `until` hold: messages by number, the next number, and the files."""
-    kept: dict[int, Kept] = {}
+    kept: dict[int, StoredMessage] = {}
     next_number = 1
     files = [number for number in numbers(folder.names(), OLD_NAME) if number > until]
     for number in files:
@@ -41,7 +41,7 @@
     return kept, next_number, files
 
 
-def replay(kept: dict[int, Kept], payload: bytes) -> int:
+def replay(kept: dict[int, StoredMessage], payload: bytes) -> int:
     """One record of the first format; the next free number as far as it tells."""
     kind = payload[0]
     if kind == WHOLE:
@@ -54,7 +54,7 @@
             at += size
         id, key, priority_class, tenant = texts
         body = payload[at:]
-        kept[number] = Kept(
+        kept[number] = StoredMessage(
             number,
             id,
             key,
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from cedarwick.decisions.interface import EarlierAttempt, Outcome
 from cedarwick.errors import CedarwickError
-from cedarwick.interface import EarlierAttempt, Outcome
 
-VERSION = 2  # of the format; the one file of the first version is read by `old.py`
+VERSION = 2  # of the format; the one file of the first version is read by `legacy_format.py`
 MARK = b"\xce\xda"
 FRAME = struct.Struct("<2sII")
 LENGTH = struct.Struct("<I")
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Kept:
+class StoredMessage:
     """A message that this sender owes its end, and what the folder knows of its attempts."""
 
     number: int  # 0 until it is taken
@@ -141,7 +141,7 @@
     return Header(version, number, made_at, next_message, old_until, others)
 
 
-def message(kept: Kept, body: bytes) -> tuple[bytes, int]:
+def message(kept: StoredMessage, body: bytes) -> tuple[bytes, int]:
     """The record of a message with all that is known of it, and the body's place in the payload."""
     texts = [text.encode() for text in (kept.id, kept.key, kept.priority_class, kept.tenant)]
     head = MESSAGE_BODY.pack(
@@ -151,7 +151,7 @@
     return whole + body, len(whole)
 
 
-def state_of(kept: Kept) -> bytes:
+def state_of(kept: StoredMessage) -> bytes:
     end, wait = NO_END, 0
     if kept.end is not None:
         end, wait = NACKED if kept.end[0] else WRITTEN_OFF, kept.end[1]
@@ -160,12 +160,12 @@
     )
 
 
-def state(kept: Kept) -> bytes:
+def state(kept: StoredMessage) -> bytes:
     """All that is known of a message's attempts and end, without its body."""
     return STATE_HEAD.pack(STATE, kept.number) + state_of(kept)
 
 
-def read_message(payload: bytes, segment: int, at: int) -> Kept:
+def read_message(payload: bytes, segment: int, at: int) -> StoredMessage:
     """The message of a record that lies at a place of a segment; the body stays in the payload."""
     try:
         _, number, limit, turn, destination, checksum, *sizes = MESSAGE_BODY.unpack_from(payload)
@@ -174,7 +174,7 @@
             texts.append(payload[place : place + size].decode())
             place += size
         id, key, priority_class, tenant = texts
-        kept = Kept(
+        kept = StoredMessage(
             number,
             id,
             key,
@@ -198,7 +198,7 @@
     return kept
 
 
-def take_state(kept: Kept, payload: bytes, at: int) -> None:
+def take_state(kept: StoredMessage, payload: bytes, at: int) -> None:
     """Replace what is known of a message's attempts and end by what a payload says."""
     try:
         (kept.attempts, kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone, doubt_at, end, wait) = (
@@ -211,21 +211,21 @@
     kept.end = None if end == NO_END else (end == NACKED, wait)
 
 
-class Found(NamedTuple):
+class Frame(NamedTuple):
     """A whole record, and where its frame begins."""
 
     at: int
     payload: bytes
 
 
-class Damage(NamedTuple):
+class DamagedRange(NamedTuple):
     """Bytes that are no record."""
 
     at: int
     until: int
 
 
-def scan(data: bytes, begin: int, whole: bool) -> Iterator[Found | Damage]:
+def scan(data: bytes, begin: int, whole: bool) -> Iterator[Frame | DamagedRange]:
     """The records of a part of a file, which begins at a place; `whole`: nothing follows that part.
 
     A frame that goes on past the part's end is left to the next part, unless the part is whole. After damage
@@ -235,7 +235,7 @@
     while at < len(data):
         found = frame_at(data, at)
         if found is not None:
-            yield Found(begin + at, found)
+            yield Frame(begin + at, found)
             at += FRAME.size + len(found)
             continue
         if not whole and may_go_on(data, at):
@@ -247,7 +247,7 @@
             after += 1
         if after < 0:
             after = len(data) if whole else max(at + 1, len(data) - FRAME.size)
-        yield Damage(begin + at, begin + after)
+        yield DamagedRange(begin + at, begin + after)
         at = after
 
 
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from cedarwick.decisions.interface import Outcome
 from cedarwick.errors import CedarwickError
-from cedarwick.interface import Outcome
 from cedarwick.store.files import Folder, numbers, segment_name
 from cedarwick.store.records import (
     ATTEMPT,
@@ -30,17 +30,17 @@
     STATE,
     STATE_HEAD,
     VERSION,
-    Damage,
-    Found,
+    DamagedRange,
+    Frame,
     Header,
     InvalidRecordError,
-    Kept,
+    StoredMessage,
     read_header,
     read_message,
     scan,
     take_state,
 )
-from cedarwick.store.segments import Book, Say, Segment
+from cedarwick.store.segments import Say, Segment, SegmentIndex
 
 CHUNK = 1 << 20  # bytes that are read at once
 SECTOR = 1 << 12  # and where the disk gives an error
@@ -64,7 +64,7 @@
 class Recovered:
     """What a folder holds."""
 
-    book: Book = field(default_factory=Book)
+    book: SegmentIndex = field(default_factory=SegmentIndex)
     next_message: int = 1
     old_until: int = 0
     last: int = 0  # the highest number of a segment that was seen, alive or not
@@ -122,11 +122,11 @@
         lengths = dict(top.others)
         expected = {newest, *lengths} | {number for number in present if number > newest}
         for each in read_through(folder, segment_name(newest), None):
-            if isinstance(each, Found) and each.payload[0] == DROP and len(each.payload) == OVER_BODY.size:
+            if isinstance(each, Frame) and each.payload[0] == DROP and len(each.payload) == OVER_BODY.size:
                 expected.discard(OVER_BODY.unpack(each.payload)[1])
         found.leftover = [segment_name(number) for number in present if number not in expected]
     for number in [number for number in expected if number > newest and number in present]:
-        records = [each for each in read_through(folder, segment_name(number), None) if isinstance(each, Found)]
+        records = [each for each in read_through(folder, segment_name(number), None) if isinstance(each, Frame)]
         if not records:  # a segment whose making was cut off holds nothing that was ever promised
             expected.discard(number)
             found.leftover.append(segment_name(number))
@@ -138,7 +138,7 @@
 def first_header(folder: Folder, number: int) -> Header | None:
     """The header of a segment; None where it has none that can be read."""
     for each in read_through(folder, segment_name(number), None):
-        if isinstance(each, Found) and each.at == 0 and each.payload[0] == HEADER:
+        if isinstance(each, Frame) and each.at == 0 and each.payload[0] == HEADER:
             try:
                 return read_header(each.payload)
             except InvalidRecordError:
@@ -179,7 +179,7 @@
         put_in_doubt(found, doubt_from)
     ended = 0
     for each in read_through(folder, name, length):
-        if isinstance(each, Found):
+        if isinstance(each, Frame):
             found.records += 1
             segment.head = segment.head or FRAME.size + len(each.payload)
             ended = each.at + FRAME.size + len(each.payload)
@@ -210,7 +210,7 @@
         kept.doubt_at = min(filter(None, (kept.doubt_at, since)), default=1)
 
 
-def replay(found: Recovered, segment: Segment, record: Found, say: Say) -> None:
+def replay(found: Recovered, segment: Segment, record: Frame, say: Say) -> None:
     """Take one record into account."""
     payload, book = record.payload, found.book
     kind = payload[0]
@@ -253,7 +253,7 @@
         )
 
 
-def take_message(book: Book, segment: Segment, fresh: Kept) -> None:
+def take_message(book: SegmentIndex, segment: Segment, fresh: StoredMessage) -> None:
     """The newest record of a message; what an older one said is replaced."""
     before = book.kept.get(fresh.number)
     at, weight = fresh.at, fresh.weight
@@ -265,7 +265,7 @@
     book.based(fresh, segment, at, weight)
 
 
-def take_news(book: Book, segment: Segment, kept: Kept, kind: int, payload: bytes) -> None:
+def take_news(book: SegmentIndex, segment: Segment, kept: StoredMessage, kind: int, payload: bytes) -> None:
     """A short record about a message that lives."""
     if kind == STATE:
         take_state(kept, payload, STATE_HEAD.size)
@@ -286,7 +286,7 @@
     book.noted(kept, segment)
 
 
-def read_through(folder: Folder, name: str, until: int | None) -> Iterator[Found | Damage]:
+def read_through(folder: Folder, name: str, until: int | None) -> Iterator[Frame | DamagedRange]:
     """The records of a file up to a place; what the disk does not give back counts as damage."""
     try:
         file = folder.open(name, append=False)
@@ -303,7 +303,7 @@
             whole = not part or at + len(part) >= end
             used = begin
             for each in scan(held, begin, whole):
-                used = each.at + FRAME.size + len(each.payload) if isinstance(each, Found) else each.until
+                used = each.at + FRAME.size + len(each.payload) if isinstance(each, Frame) else each.until
                 yield each
             if whole:
                 return
--- a/cedarwick/store/segments.py
+++ b/cedarwick/store/segments.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cedarwick.store.records import OF_OVER, OF_STATE, Kept
+from cedarwick.store.records import OF_OVER, OF_STATE, StoredMessage
 
 
 @dataclass(slots=True, eq=False)
@@ -48,12 +48,12 @@
         return not (self.foreign or self.bases or self.notes or self.tombs or self.strange)
 
 
-class Book:
+class SegmentIndex:
     """All segments, all messages that live, and the ends that still need a record."""
 
     def __init__(self) -> None:
         self.segments: dict[int, Segment] = {}
-        self.kept: dict[int, Kept] = {}
+        self.kept: dict[int, StoredMessage] = {}
         self.tombs: dict[int, tuple[int, set[int]]] = {}  # where the record of the end lies; who holds an older one
         self.live = 0  # what all segments' live bytes add up to
         self.largest = 0  # the largest record seen
@@ -64,7 +64,7 @@
         self.segments[segment.number] = segment
         self.live += segment.live
 
-    def based(self, kept: Kept, segment: Segment, at: int, weight: int) -> None:
+    def based(self, kept: StoredMessage, segment: Segment, at: int, weight: int) -> None:
         """The newest record of a message lies here now, with all that is known of it."""
         with_old = self.segments.get(kept.home)
         self.unnote(kept)
@@ -81,7 +81,7 @@
         self.largest = max(self.largest, weight)
         self.kept[kept.number] = kept
 
-    def noted(self, kept: Kept, segment: Segment, whole: bool = False) -> None:
+    def noted(self, kept: StoredMessage, segment: Segment, whole: bool = False) -> None:
         """News of a message lies here; `whole`: all that is known of it, so that older news does not matter."""
         if whole:
             self.unnote(kept)
@@ -91,7 +91,7 @@
             self.notes += 1
             self.live += OF_STATE
 
-    def unnote(self, kept: Kept) -> None:
+    def unnote(self, kept: StoredMessage) -> None:
         for number in kept.noted:
             segment = self.segments.get(number)
             if segment is not None and kept.number in segment.notes:
@@ -100,7 +100,7 @@
                 self.live -= OF_STATE
         kept.noted.clear()
 
-    def over(self, kept: Kept) -> set[int]:
+    def over(self, kept: StoredMessage) -> set[int]:
         """A message has ended; the segments that hold a record of it."""
         self.kept.pop(kept.number, None)
         self.unnote(kept)
@@ -167,7 +167,7 @@
         """Everything in a segment that must be moved, by number."""
         return [*segment.bases, *(segment.notes - segment.bases), *segment.tombs]
 
-    def _less(self, segment: Segment, kept: Kept) -> None:
+    def _less(self, segment: Segment, kept: StoredMessage) -> None:
         if kept.number in segment.bases:
             segment.bases.discard(kept.number)
             segment.weight -= kept.weight
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -6,10 +6,11 @@
 
 import gevent
 
-from cedarwick import policy, program, state
-from cedarwick.interface import ListChange, Listing, Phase
-from cedarwick.net import attempts, desk, notices
-from cedarwick.net.sockets import connected
+from cedarwick import program
+from cedarwick.decisions import policy, state
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
+from cedarwick.net import attempts, dispatcher, notifications
+from cedarwick.net.sockets import open_connection
 
 
 def repeats_at_most_once() -> None:
@@ -26,41 +27,41 @@
 
 def ignores_waits() -> None:
     """No Retry-After wait is read."""
-    attempts.wait_of = lambda text: 0
+    attempts.parse_retry_after = lambda text: 0
 
 
 def ignores_drains() -> None:
     """What drains or goes is taken for ready."""
     honest = policy.Sender.listed
 
-    def listed(self: policy.Sender, now: int, change: ListChange, listings: Sequence[Listing]) -> None:
-        honest(self, now, ListChange.CHANGES, [each._replace(phase=Phase.READY) for each in listings])
+    def listed(self: policy.Sender, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
+        honest(self, now, EndpointUpdate.DELTA, [each._replace(phase=EndpointState.READY) for each in listings])
 
     policy.Sender.listed = listed  # type: ignore[method-assign]
 
 
 def loses_messages() -> None:
     """Every tenth message is answered +OK and forgotten."""
-    honest, count = desk.Desk._take, [0]
+    honest, count = dispatcher.Dispatcher._take, [0]
 
-    def take(self: desk.Desk, submission: desk.Submission) -> None:
+    def take(self: dispatcher.Dispatcher, submission: dispatcher.Submission) -> None:
         count[0] += 1
         if count[0] % 10 == 0:
-            submission.answered(desk.Answered.KEPT)
+            submission.answered(dispatcher.AdmissionResult.KEPT)
         else:
             honest(self, submission)
 
-    desk.Desk._take = take  # type: ignore[method-assign]
+    dispatcher.Dispatcher._take = take  # type: ignore[method-assign]
 
 
 def tells_no_end() -> None:
     """No notice is ever posted."""
-    notices.Notices.post = lambda *_: None  # type: ignore[method-assign]
+    notifications.Notifier.post = lambda *_: None  # type: ignore[method-assign]
 
 
 def overtakes() -> None:
     """It is everyone's turn."""
-    state.Keys.turn_at = lambda self, key, message: 0  # type: ignore[method-assign]
+    state.KeyOrder.turn_at = lambda self, key, message: 0  # type: ignore[method-assign]
 
 
 def pushes_the_cold() -> None:
@@ -71,18 +72,18 @@
 
 def two_out() -> None:
     """Every attempt goes out a second time over a link of its own, while the first one is out."""
-    honest = attempts.Attempts._over
+    honest = attempts.AttemptRunner._over
 
-    def over(self: attempts.Attempts, call: attempts.Call, link: Any) -> bool:
+    def over(self: attempts.AttemptRunner, call: attempts.AttemptCall, link: Any) -> bool:
         gevent.spawn(copy, self, call)
         return honest(self, call, link)
 
-    def copy(self: attempts.Attempts, call: attempts.Call) -> None:
-        with connected(self.links.address_of(call.receiver), 1.0) as sock:
-            sock.sendall(attempts.request(call, self.clock.now()))
+    def copy(self: attempts.AttemptRunner, call: attempts.AttemptCall) -> None:
+        with open_connection(self.links.address_of(call.receiver), 1.0) as sock:
+            sock.sendall(attempts.encode_request(call, self.clock.now()))
             sock.recv(100)
 
-    attempts.Attempts._over = over  # type: ignore[method-assign]
+    attempts.AttemptRunner._over = over  # type: ignore[method-assign]
 
 
 FAULTS: dict[str, Callable[[], None]] = {
--- a/tests/build.py
+++ b/tests/build.py
@@ -15,14 +15,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from cedarwick.interface import ListChange, Listing, Outcome, Phase
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
+from cedarwick.decisions.policy import Handle, Sender
 from cedarwick.net.assignment import Assignment, plain
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Desk
-from cedarwick.net.notices import Notices
-from cedarwick.net.sockets import Polled
-from cedarwick.policy import Handle, Sender
+from cedarwick.net.dispatcher import Dispatcher
+from cedarwick.net.notifications import Notifier
+from cedarwick.net.sockets import PollClock
 from cedarwick.store.journal import Store
 
 MS = 1000
@@ -62,8 +62,8 @@
     """A sender whose destination 7 has receivers 1, 2, ...; a dot in a name is written as two underscores."""
     more = {name.replace("__", ".").replace("_", "-"): value for name, value in settings.items()}
     made = Sender({**SETTINGS, **more}, 5, NOW)
-    lines = [Listing(1 + n, 0, kind, 7, Phase.READY, rate) for n in range(receivers)]
-    made.listed(NOW, ListChange.SAVED, lines)
+    lines = [ListedEndpoint(1 + n, 0, kind, 7, EndpointState.READY, rate) for n in range(receivers)]
+    made.listed(NOW, EndpointUpdate.CACHED, lines)
     return made
 
 
@@ -102,8 +102,8 @@
 }
 
 
-def desk_alone(case: unittest.TestCase, told: dict[str, Any]) -> tuple[Assignment, Store, Desk]:
-    """A desk over a folder of its own: nested settings, one receiver at destination 0, nobody around it."""
+def dispatcher_alone(case: unittest.TestCase, told: dict[str, Any]) -> tuple[Assignment, Store, Dispatcher]:
+    """A dispatcher over a folder of its own: nested settings, one receiver at destination 0, nobody around it."""
     folder = tempfile.TemporaryDirectory()
     case.addCleanup(folder.cleanup)
     clock = Clock()
@@ -111,11 +111,11 @@
     store.load()
     case.addCleanup(store.close)
     made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, plain(told))
-    desk = Desk(made, clock, Counters(), store, Polled(clock))
-    desk.notices = Notices(("", 0), Counters(), lambda numbers: None)
-    desk.free_links = lambda receiver: None
-    desk._listed(ListChange.SAVED, [Listing(1, 0, 0, 0, Phase.READY, 0.0)])
-    return made, store, desk
+    dispatcher = Dispatcher(made, clock, Counters(), store, PollClock(clock))
+    dispatcher.notices = Notifier(("", 0), Counters(), lambda numbers: None)
+    dispatcher.free_links = lambda receiver: None
+    dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
+    return made, store, dispatcher
 
 
 def free_port() -> int:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,10 +17,10 @@
 from cedarwick.config import texts
 from cedarwick.config.files import ConfigFileError, load_toml
 from cedarwick.config.operator import Fleet, Operator, load
+from cedarwick.decisions.policy import Sender
 from cedarwick.lab import scenario as scenarios
 from cedarwick.lab.scenario import Scenario, sender_settings
 from cedarwick.net.assignment import plain
-from cedarwick.policy import Sender
 from tests.build import Program, Receiver, reply
 
 GOOD = """
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -17,19 +17,19 @@
 import gevent
 import gevent.socket
 
-from cedarwick.interface import ListChange, Listing, Phase
-from cedarwick.net import intake as module
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
+from cedarwick.net import client_listener as module
 from cedarwick.net.assignment import Assignment, plain
-from cedarwick.net.attempts import Attempts
+from cedarwick.net.attempts import AttemptRunner
+from cedarwick.net.client_listener import ClientConnection, ClientListener, SubmitResult
 from cedarwick.net.clock import Clock
+from cedarwick.net.connections import ConnectionPool, DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Answered, Desk
-from cedarwick.net.intake import Client, Handed, Intake
-from cedarwick.net.links import Descriptors, Links, NoDescriptorError
-from cedarwick.net.notices import Notices
-from cedarwick.net.sockets import Polled, lies_there
+from cedarwick.net.dispatcher import AdmissionResult, Dispatcher
+from cedarwick.net.notifications import Notifier
+from cedarwick.net.sockets import PollClock, peek_byte
 from cedarwick.store.journal import Store
-from cedarwick.store.records import Kept
+from cedarwick.store.records import StoredMessage
 from tests.build import NESTED, Program, Receiver, ask, line_of, reply, submit, until, words
 
 OK, BUSY, NO = b"+OK\r\n", b"-BUSY\r\n", b"-ERR unknown command\r\n"
@@ -44,19 +44,19 @@
 
 
 class Door(unittest.TestCase):
-    """The intake on a real listener, in one thread with its clients: nothing runs but where a test lets it."""
+    """The client listener on a real listener, in one thread with its clients: nothing runs but where a test lets it."""
 
     def setUp(self) -> None:
         self.taken: list[str] = []
-        self.answer: Callable[[Kept], Handed] = lambda kept: (Answered.KEPT, 0, None)
+        self.answer: Callable[[StoredMessage], SubmitResult] = lambda kept: (AdmissionResult.KEPT, 0, None)
         self.open()
 
     def open(self, sockets: int = 256) -> None:
-        self.door = Intake(
+        self.door = ClientListener(
             ("127.0.0.1", 0),
             Clock(),
             Counters(),
-            Descriptors(sockets),
+            DescriptorBudget(sockets),
             None,  # type: ignore[arg-type]
             lambda: True,
         )
@@ -66,7 +66,7 @@
         self.addCleanup(self.accepting.kill)
         self.addCleanup(self.door.listener.close)
 
-    def hand_in(self, kept: Kept) -> Handed:
+    def hand_in(self, kept: StoredMessage) -> SubmitResult:
         self.taken.append(kept.id)
         return self.answer(kept)
 
@@ -135,7 +135,7 @@
 
     def test_nothing_is_written_before_an_answer_that_is_under_way(self) -> None:
         gate = gevent.event.Event()
-        self.answer = lambda kept: (Answered.KEPT, 0, None) if gate.wait() else (Answered.BUSY, 0, None)
+        self.answer = lambda kept: (AdmissionResult.KEPT, 0, None) if gate.wait() else (AdmissionResult.BUSY, 0, None)
         sock = self.connect(submit("a") + submit("b"))
         self.door.stop()
         self.end()
@@ -161,7 +161,9 @@
                 sock = self.connect(submit("a"))
                 silent = self.door._silent
 
-                def cross(client: Client, crossing: bytes = crossing, sock: gevent.socket.socket = sock) -> bool:
+                def cross(
+                    client: ClientConnection, crossing: bytes = crossing, sock: gevent.socket.socket = sock
+                ) -> bool:
                     was = silent(client)  # noqa: B023
                     sock.setblocking(False)
                     sock.send(crossing)  # between the look and the answer
@@ -237,9 +239,9 @@
 
     def test_who_may_be_right_is_answered_in_time_and_never_ended(self) -> None:
         for answered, closing in (
-            (Answered.UNKNOWN_DESTINATION, False),
-            (Answered.FROZEN, False),
-            (Answered.KEPT, True),
+            (AdmissionResult.UNKNOWN_DESTINATION, False),
+            (AdmissionResult.FROZEN, False),
+            (AdmissionResult.KEPT, True),
         ):
             with self.subTest(answered=answered, closing=closing):
                 self.answer = mock.Mock(return_value=(answered, 0, None))
@@ -250,7 +252,7 @@
                 self.door.closing = False
 
 
-class Crowd(set[Client]):
+class Crowd(set[ClientConnection]):
     """Clients that count as most of the descriptors."""
 
     def __len__(self) -> int:
@@ -282,32 +284,32 @@
                 self.bodies.append(stream.read(1))
                 sock.sendall(reply(200))
 
-    def begin(self, durable: bool) -> tuple[Intake, Desk]:
+    def begin(self, durable: bool) -> tuple[ClientListener, Dispatcher]:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        clock, counters, descriptors = Clock(), Counters(), Descriptors(256)
-        polled = Polled(clock)
+        clock, counters, descriptors = Clock(), Counters(), DescriptorBudget(256)
+        polled = PollClock(clock)
         store = Store(folder.name, 1 << 20, now=clock.now, durable=durable)
         store.load()
         self.addCleanup(store.close)
         made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, plain(NESTED))
-        desk = Desk(made, clock, counters, store, polled)
-        links = Links(clock, counters, descriptors, lambda _: self.receiver.getsockname(), 5_000_000, 500_000)
-        desk.notices, desk.free_links = Notices(("", 0), counters, lambda numbers: None), links.free
+        dispatcher = Dispatcher(made, clock, counters, store, polled)
+        links = ConnectionPool(clock, counters, descriptors, lambda _: self.receiver.getsockname(), 5_000_000, 500_000)
+        dispatcher.notices, dispatcher.free_links = Notifier(("", 0), counters, lambda numbers: None), links.free
 
         def may_fire(number: int) -> bool:
-            self.order.append("first byte" if desk.may_fire(number) else "held back")
-            return desk.may_fire(number)
+            self.order.append("first byte" if dispatcher.may_fire(number) else "held back")
+            return dispatcher.may_fire(number)
 
-        desk.attempts = Attempts(
-            clock, counters, links, [], polled, desk.clear, desk.attempt_ended, desk.heed, may_fire
+        dispatcher.attempts = AttemptRunner(
+            clock, counters, links, [], polled, dispatcher.clear, dispatcher.attempt_ended, dispatcher.heed, may_fire
         )
-        desk._listed(ListChange.SAVED, [Listing(1, 0, 0, 0, Phase.READY, 0.0)])
-        door = Intake(("127.0.0.1", 0), clock, counters, descriptors, desk, lambda: True)
+        dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
+        door = ClientListener(("127.0.0.1", 0), clock, counters, descriptors, dispatcher, lambda: True)
         self.addCleanup(door.listener.close)
-        for part in (desk.run, door.accept):
+        for part in (dispatcher.run, door.accept):
             self.addCleanup(gevent.spawn(part).kill)
-        return door, desk
+        return door, dispatcher
 
     def test_it_is_told_kept_and_sent_once_or_never_sent(self) -> None:
         for told in itertools.product(
@@ -319,14 +321,14 @@
             with self.subTest(durable_keptlink_leave_step=told):
                 self.leave(*told)
 
-    def leave(self, durable: bool, kept_link: bool, how: str, step: str) -> None:
-        door, desk = self.begin(durable)
+    def leave(self, durable: bool, reused_connection: bool, how: str, step: str) -> None:
+        door, dispatcher = self.begin(durable)
         client = gevent.socket.create_connection(door.listener.getsockname())
         self.addCleanup(client.close)
-        if kept_link:
+        if reused_connection:
             client.sendall(submit("first", body=b"1"))
             self.assertEqual(client.recv(9), OK)
-            passes(lambda: not desk.store.kept and not desk.attempts.out)
+            passes(lambda: not dispatcher.store.kept and not dispatcher.attempts.out)
         self.bodies.clear()
         self.order.clear()
 
@@ -351,17 +353,17 @@
             return crossed
 
         with (
-            mock.patch.object(module, "lies_there", crossing("before the look", lies_there)),
-            mock.patch.object(desk, "_take", crossing("as it is taken", desk._take)),
-            mock.patch.object(desk, "_keep", crossing("as it is recorded", desk._keep)),
+            mock.patch.object(module, "peek_byte", crossing("before the look", peek_byte)),
+            mock.patch.object(dispatcher, "_take", crossing("as it is taken", dispatcher._take)),
+            mock.patch.object(dispatcher, "_keep", crossing("as it is recorded", dispatcher._keep)),
         ):
             client.sendall(submit("left", body=b"2"))
             if step == "before it is read":
                 go()
-            passes(lambda: self.order and not desk.store.kept and desk.idle())
+            passes(lambda: self.order and not dispatcher.store.kept and dispatcher.idle())
         stays = step == "after the look"
         self.assertEqual(self.bodies, [b"2"] * stays)
-        self.assertEqual((desk.store.kept, desk.handles, desk.leaving), ({}, {}, set()))
+        self.assertEqual((dispatcher.store.kept, dispatcher.handles, dispatcher.leaving), ({}, {}, set()))
         self.assertEqual([each for each in self.order if each != "held back"], ["look"] + ["first byte"] * stays)
         if how == "end sending":
             client.settimeout(1.0)
--- a/tests/test_crossings_restarts.py
+++ b/tests/test_crossings_restarts.py
@@ -21,18 +21,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cedarwick.interface import Outcome, Owed
+from cedarwick.decisions.interface import Outcome, UnfinishedMessage
 from cedarwick.net import assignment
 from cedarwick.net.assignment import Assignment
-from cedarwick.net.attempts import Call, Ending
+from cedarwick.net.attempts import AttemptCall, AttemptResult
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Desk, Submission
-from cedarwick.net.directory import Directory
-from cedarwick.net.notices import Notices
-from cedarwick.net.sockets import Polled, connected
+from cedarwick.net.dispatcher import Dispatcher, Submission
+from cedarwick.net.endpoint_list import EndpointList
+from cedarwick.net.notifications import Notifier
+from cedarwick.net.sockets import PollClock, open_connection
 from cedarwick.store.journal import Store
-from cedarwick.store.records import Kept
+from cedarwick.store.records import StoredMessage
 from tests import test_waits
 from tests.build import MS, NESTED, NOW, NUMBERED, reply, sender, take, until
 from tests.test_waits import Partner, Play
@@ -72,13 +72,13 @@
         self.store = Store(folder, 1 << 20, now=self.clock.now)
         self.store.load()
         made = Assignment("n", ("", 0), ("", 0), folder, 1, 64, 1 << 20, {}, assignment.plain(copy.deepcopy(settings)))
-        self.desk = Desk(made, self.clock, self.counters, self.store, Polled(self.clock))
-        self.calls: list[Call] = []
-        self.desk.attempts = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
-        self.desk.notices = Notices(("", 0), self.counters, self.desk.acknowledged)
-        self.desk.free_links = lambda receiver: None
-        self.directory = Directory(made, self.counters, self.desk._listed, lambda: None)
-        self.directory.learn(
+        self.dispatcher = Dispatcher(made, self.clock, self.counters, self.store, PollClock(self.clock))
+        self.calls: list[AttemptCall] = []
+        self.dispatcher.attempts = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
+        self.dispatcher.notices = Notifier(("", 0), self.counters, self.dispatcher.acknowledged)
+        self.dispatcher.free_links = lambda receiver: None
+        self.endpoint_list = EndpointList(made, self.counters, self.dispatcher._listed, lambda: None)
+        self.endpoint_list.learn(
             {
                 "rev": 1,
                 "all": True,
@@ -88,19 +88,21 @@
                 ],
             }
         )
-        self.desk.resume()
+        self.dispatcher.resume()
 
     def submit(self, name: str, priority_class: str, tenant: str = "") -> None:
-        self.desk._take(Submission(Kept(0, name, "", 0, priority_class, tenant, 0, self.clock.now() + 8_000_000, b"x")))
-        self.desk._decide()
+        self.dispatcher._take(
+            Submission(StoredMessage(0, name, "", 0, priority_class, tenant, 0, self.clock.now() + 8_000_000, b"x"))
+        )
+        self.dispatcher._decide()
 
-    def at(self, call: Call) -> str:
+    def at(self, call: AttemptCall) -> str:
         """The receiver of a call."""
-        return next(uid for uid, number in self.directory.numbers.items() if number == call.receiver)
+        return next(uid for uid, number in self.endpoint_list.numbers.items() if number == call.receiver)
 
-    def cleared(self, call: Call) -> bool:
+    def cleared(self, call: AttemptCall) -> bool:
         answer: AsyncResult = AsyncResult()
-        self.desk._clear(call, answer)
+        self.dispatcher._clear(call, answer)
         return bool(answer.get(block=False))
 
 
@@ -130,19 +132,19 @@
                 first.store.attempt(1, first.clock.now(), spoil)
             self.assertTrue(first.cleared(first.calls[0]))
             if outcome is not None:
-                first.desk._attempt_ended(first.calls[0], Ending(outcome))
+                first.dispatcher._attempt_ended(first.calls[0], AttemptResult(outcome))
             first.store.close()
             second = self.process(folder, later, **{zone: zone for zone in zones})
-            tenants = {handle.tenant for handle in second.desk.handles.values()}
+            tenants = {handle.tenant for handle in second.dispatcher.handles.values()}
             gone = set()
             for _ in range(4):
-                for handle in second.desk.handles.values():
+                for handle in second.dispatcher.handles.values():
                     handle.due = 0
-                second.desk.sender.turns.all_rest = 0
-                second.desk._decide()
+                second.dispatcher.sender.turns.all_rest = 0
+                second.dispatcher._decide()
                 for call in second.calls:
                     gone.add(second.at(call))
-                    second.desk._attempt_ended(call, Ending(Outcome.MOOT))
+                    second.dispatcher._attempt_ended(call, AttemptResult(Outcome.MOOT))
                 second.calls.clear()
             second.store.close()
             return gone, [kept.end for kept in second.store.kept.values()], tenants
@@ -162,7 +164,7 @@
                 self.assertEqual(self.repeats("zonal", None, "north", told, *LATER["zones"], spoil=spoil)[0], set())
 
     def test_zones_that_share_a_mark_are_no_zone_to_repeat_in(self) -> None:
-        with mock.patch("cedarwick.net.desk.zone_mark", lambda name: 2000):
+        with mock.patch("cedarwick.net.dispatcher.zone_mark", lambda name: 2000):
             self.assertEqual(self.repeats("zonal", None, "north", LATER, *LATER["zones"])[0], set())
 
     def test_a_priority_class_and_a_tenant_go_by_their_names_and_an_effect_by_the_settings_of_now(self) -> None:
@@ -189,27 +191,27 @@
 
     def steps(self, process: Process, priority_class: str, outcome: Outcome, told: list[str]) -> Iterator[int]:
         """One message with one attempt, one step after another; `told` gets what other parties see."""
-        process.desk._take(
-            Submission(Kept(0, "a", "", 0, priority_class, "", 0, process.clock.now() + 8_000_000, b"x"))
+        process.dispatcher._take(
+            Submission(StoredMessage(0, "a", "", 0, priority_class, "", 0, process.clock.now() + 8_000_000, b"x"))
         )
         yield self.READ
-        process.desk._decide()
+        process.dispatcher._decide()
         yield self.KEPT  # whether its client has read the answer or not
         self.assertTrue(process.cleared(process.calls[0]))
         yield self.RECORDED
         told.append("call")
         yield self.SENT  # whether the answer has been read or not
-        process.desk._attempt_ended(process.calls[0], Ending(outcome, last=outcome is Outcome.COMPLETED))
+        process.dispatcher._attempt_ended(process.calls[0], AttemptResult(outcome, last=outcome is Outcome.COMPLETED))
         yield self.OUTCOME
-        process.desk._decide()
+        process.dispatcher._decide()
         yield self.ENDED
         told.extend(self.posted(process))
         yield self.POSTED
-        process.desk._acknowledged(list(process.desk.notices.owed))
+        process.dispatcher._acknowledged(list(process.dispatcher.notices.owed))
         yield self.ACKNOWLEDGED
 
     def posted(self, process: Process) -> list[str]:
-        return [json.loads(line)["state"] for line in process.desk.notices.owed.values()]
+        return [json.loads(line)["state"] for line in process.dispatcher.notices.owed.values()]
 
     def seen(self, priority_class: str, outcome: Outcome, at: int, later: int = 0) -> list[str]:
         """What other parties see in all, where the next process completes what it sends."""
@@ -225,17 +227,17 @@
                     shutil.copy(os.path.join(folder, name), found)
                 second = Process(found, {**EARLIER, "classes": CLASSES + [ZONAL]}, {"one": "north"}, later)
                 for _ in range(3):
-                    for handle in second.desk.handles.values():
+                    for handle in second.dispatcher.handles.values():
                         handle.due = 0
-                    second.desk._decide()
+                    second.dispatcher._decide()
                     for call in second.calls:
                         self.assertTrue(second.cleared(call))
                         told.append("call")
-                        second.desk._attempt_ended(call, Ending(Outcome.COMPLETED, last=True))
+                        second.dispatcher._attempt_ended(call, AttemptResult(Outcome.COMPLETED, last=True))
                     second.calls.clear()
                 told.extend(self.posted(second))
-                second.desk._acknowledged(list(second.desk.notices.owed))
-                self.assertEqual((second.store.kept, second.desk.handles), ({}, {}))
+                second.dispatcher._acknowledged(list(second.dispatcher.notices.owed))
+                self.assertEqual((second.store.kept, second.dispatcher.handles), ({}, {}))
                 second.store.close()
         return told
 
@@ -301,11 +303,14 @@
             with self.subTest(most_open=most_open, room=room, owed=owed):
                 made = sender(policy_limits__max_open=most_open, family_info__max_calls="1")
                 made.room = room
-                made.resume(NOW, [Owed(number, 7, number % 3, NOW + 8_000 * MS, 0, 0, ()) for number in range(owed)])
+                made.resume(
+                    NOW,
+                    [UnfinishedMessage(number, 7, number % 3, NOW + 8_000 * MS, 0, 0, ()) for number in range(owed)],
+                )
                 untried = set(range(owed))
                 for now in range(NOW, NOW + 4_000 * MS, 100 * MS):
                     verdicts = made.decide(now)
-                    self.assertEqual((verdicts.nacks, verdicts.write_offs), ([], []))
+                    self.assertEqual((verdicts.nacks, verdicts.abandoned), ([], []))
                     untried -= {number for number, _, _ in verdicts.attempts}
                 self.assertEqual(len(untried), max(0, owed - 1))  # the one slot stays taken: all others are still held
                 made.room = 0
@@ -394,37 +399,39 @@
     """What happens between the decision for an attempt and its last byte."""
 
     def start(self, buffers: int = 0) -> None:
-        """The desk, its attempts and its links, against a partner that completes all calls."""
+        """The dispatcher, its attempts and its links, against a partner that completes all calls."""
         self.made = test_waits.AgainstAPartner("kept_to_the_wait")
         self.addCleanup(self.made.doCleanups)
         play = lambda partner, sock, number: sock.sendall(reply(200))  # noqa: E731
         with mock.patch("tests.test_waits.Partner", lambda _: Accepting(play, buffers)):
             self.made.start(play)
         self.partner = cast(Accepting, self.made.partner)
-        self.desk, self.links, self.counts = self.made.desk, self.made.links, self.made.counters.counts
-        self.priority_class = self.desk.sender.priority_classes[0]
+        self.dispatcher, self.links, self.counts = self.made.dispatcher, self.made.links, self.made.counters.counts
+        self.priority_class = self.dispatcher.sender.priority_classes[0]
         self.priority_class.idempotent, self.priority_class.window = False, 1_000_000  # numbered
 
-    def before_clearing(self, then: Callable[[Call], None], after: Callable[[Call], None] = lambda call: None) -> None:
-        """Do something on the way to the desk of each attempt, and on the way back."""
-        clear = self.desk.attempts.clear
+    def before_clearing(
+        self, then: Callable[[AttemptCall], None], after: Callable[[AttemptCall], None] = lambda call: None
+    ) -> None:
+        """Do something on the way to the dispatcher of each attempt, and on the way back."""
+        clear = self.dispatcher.attempts.clear
 
-        def crossed(call: Call) -> bool:
+        def crossed(call: AttemptCall) -> bool:
             then(call)
             may = clear(call)
             after(call)
             return may
 
-        self.desk.attempts.clear = crossed
+        self.dispatcher.attempts.clear = crossed
 
     def wait_for(self, true: Callable[[], Any]) -> None:
         until(lambda: gevent.sleep(0.005) or true(), 5.0)
 
-    def window_left(self, left: int) -> Callable[[Call], None]:
+    def window_left(self, left: int) -> Callable[[AttemptCall], None]:
         """An earlier attempt of the message may have run: its window is open for so long from now on."""
 
-        def then(call: Call) -> None:
-            handle = self.desk.handles[call.kept.number]
+        def then(call: AttemptCall) -> None:
+            handle = self.dispatcher.handles[call.kept.number]
             handle.ran_at = handle.ran_at or self.made.clock.now() + left - self.priority_class.window
 
         return then
@@ -434,7 +441,7 @@
             with self.subTest(goes=goes):
                 self.start()
 
-                def then(call: Call, goes: bool = goes) -> None:
+                def then(call: AttemptCall, goes: bool = goes) -> None:
                     self.made.clock.base += 0 if goes else 3_000_000_000
 
                 self.before_clearing(self.window_left(3_000_000), then)
@@ -446,12 +453,14 @@
 
     def test_a_window_that_closes_within_the_write_keeps_the_last_byte_back(self) -> None:
         for goes in (False, True):
-            with self.subTest(goes=goes), mock.patch("cedarwick.net.links.connected", narrow):
+            with self.subTest(goes=goes), mock.patch("cedarwick.net.connections.open_connection", narrow):
                 self.start(buffers=4096)
                 self.before_clearing(self.window_left(900_000))
                 self.partner.reads.clear()
-                self.desk.submit(
-                    Submission(Kept(0, "a", "", 0, "free", "", 0, self.made.clock.now() + 8_000_000, bytes(LARGE)))
+                self.dispatcher.submit(
+                    Submission(
+                        StoredMessage(0, "a", "", 0, "free", "", 0, self.made.clock.now() + 8_000_000, bytes(LARGE))
+                    )
                 )
                 self.wait_for(lambda: self.partner.socks)
                 if not goes:
@@ -475,13 +484,15 @@
                         self.wait_for(lambda: self.links.idle)
                     acted: list[int] = []
 
-                    def cross(call: Call, act: Callable[[socket.socket], None] = act, acted: list[int] = acted) -> None:
+                    def cross(
+                        call: AttemptCall, act: Callable[[socket.socket], None] = act, acted: list[int] = acted
+                    ) -> None:
                         if not acted:
                             self.wait_for(lambda: self.partner.socks)
                             act(self.partner.socks[0])
                             acted.append(1)
-                        elif self.desk.handles:
-                            acted.append(self.desk.handles[call.kept.number].attempts)
+                        elif self.dispatcher.handles:
+                            acted.append(self.dispatcher.handles[call.kept.number].attempts)
 
                     self.before_clearing(cross)
                     self.made.submit("a", priority_class="once")
@@ -497,18 +508,18 @@
         for name in "abc":
             self.made.submit(name, priority_class="once")
         self.wait_for(lambda: self.counts["trouble: no descriptor for an attempt"] >= 3)
-        self.assertEqual({handle.attempts - handle.out for handle in self.desk.handles.values()}, {0})
+        self.assertEqual({handle.attempts - handle.out for handle in self.dispatcher.handles.values()}, {0})
         self.links.descriptors.limit = 8
         self.wait_for(lambda: len(self.partner.arrived) == 3)
         self.wait_for(lambda: not self.made.store.kept)
-        self.assertEqual(self.desk.notices.owed, {})
+        self.assertEqual(self.dispatcher.notices.owed, {})
         self.assertLess(self.counts["trouble: no descriptor for an attempt"], 9)
 
-    def test_a_attempt_that_is_cut_while_the_desk_is_asked_gives_its_link_back(self) -> None:
+    def test_a_attempt_that_is_cut_while_the_dispatcher_is_asked_gives_its_link_back(self) -> None:
         self.start()
         asked, never = gevent.event.Event(), gevent.event.Event()
 
-        def waits(call: Call) -> None:
+        def waits(call: AttemptCall) -> None:
             if not asked.is_set():
                 asked.set()
                 never.wait()
@@ -516,15 +527,15 @@
         self.before_clearing(waits)
         self.made.submit("a")
         self.assertTrue(asked.wait(2.0))
-        self.desk.attempts.cut({1})
-        self.wait_for(lambda: not self.made.store.kept and not self.desk.attempts.out)
+        self.dispatcher.attempts.cut({1})
+        self.wait_for(lambda: not self.made.store.kept and not self.dispatcher.attempts.out)
         self.links.free(1)
         self.assertEqual(self.links.descriptors.used, 0)
 
 
 def narrow(address: tuple[str, int], seconds: float) -> gevent.socket.socket:
     """A connection whose peer has to read for a request to be written."""
-    sock = connected(address, seconds)
+    sock = open_connection(address, seconds)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return sock
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -13,11 +13,11 @@
 
 import gevent
 
-from cedarwick.interface import ListChange, Phase
-from cedarwick.net import directory as module
-from cedarwick.policy import LIST_WAIT, SECOND, Sender
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate
+from cedarwick.decisions.policy import LIST_WAIT, SECOND, Sender
+from cedarwick.net import endpoint_list as module
 from tests.build import NESTED, NOW, SETTINGS, Program, Receiver, free_port, line_of, reply, submit, until
-from tests.test_directory import HEAD, Watched, chunk
+from tests.test_endpoint_list import HEAD, Watched, chunk
 
 
 class Fleet:
@@ -68,7 +68,7 @@
 
     def failed(self, sender: int, now: float) -> None:
         made = self.senders[sender]
-        made.list_call_failed(NOW + round(now * SECOND))
+        made.list_poll_failed(NOW + round(now * SECOND))
         self.at((made.subscribe_at - NOW) / SECOND + 1e-6, sender, self.call)
 
     def answered(self, sender: int, now: float) -> None:
@@ -96,7 +96,7 @@
             waits = []
             for seed in range(100):
                 made = Sender({**SETTINGS, "balancers": "200", "rules.ask-within-ms": name}, seed, NOW)
-                made.list_call_failed(NOW)
+                made.list_poll_failed(NOW)
                 waits.append((made.subscribe_at - NOW) / SECOND)
             self.assertLessEqual(max(waits), longest + 1e-5)
             self.assertGreater(max(waits) - min(waits), (longest - 2.0) * 0.9)
@@ -182,11 +182,11 @@
     def phases(self) -> str:
         """How the decisions take each receiver, by uid."""
         uids = {number: uid for uid, number in self.made.numbers.items()}
-        state: dict[str, Phase] = {}
+        state: dict[str, EndpointState] = {}
         for change, listings in self.told:
-            state = state if change is ListChange.CHANGES else {}
+            state = state if change is EndpointUpdate.DELTA else {}
             state.update({uids[each.receiver]: each.phase for each in listings})
-        marks = {Phase.READY: "+", Phase.DRAINING: "-", Phase.GONE: "x"}
+        marks = {EndpointState.READY: "+", EndpointState.DRAINING: "-", EndpointState.REMOVED: "x"}
         return " ".join(uid + marks[phase] for uid, phase in sorted(state.items()))
 
     def test_what_is_unclear_is_taken_carefully_and_the_whole_list_asked_for_at_once(self) -> None:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -4,14 +4,14 @@
 from types import SimpleNamespace
 from typing import Any
 
-from cedarwick.interface import ListChange, Listing, Outcome, Phase
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
 from cedarwick.net.assignment import Assignment
-from cedarwick.net.attempts import Attempts
+from cedarwick.net.attempts import AttemptRunner
+from cedarwick.net.client_listener import InvalidSubmitError, read_submission
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Desk, Submission
-from cedarwick.net.directory import Directory
-from cedarwick.net.intake import InvalidSubmitError, read_submission
-from tests.build import NESTED, desk_alone
+from cedarwick.net.dispatcher import Dispatcher, Submission
+from cedarwick.net.endpoint_list import EndpointList
+from tests.build import NESTED, dispatcher_alone
 
 OTHER: dict[str, Any] = {
     **NESTED,
@@ -31,12 +31,12 @@
 
 class Names(unittest.TestCase):
     def setUp(self) -> None:
-        self.assignment, self.store, self.desk = desk_alone(self, OTHER)
-        self.desk.attempts = SimpleNamespace(start=lambda call: None)  # type: ignore[assignment]
+        self.assignment, self.store, self.dispatcher = dispatcher_alone(self, OTHER)
+        self.dispatcher.attempts = SimpleNamespace(start=lambda call: None)  # type: ignore[assignment]
 
     def submit(self, priority_class: bytes, tenant: bytes, name: bytes = b"a") -> Submission:
         pairs = b"c=" + priority_class + b",d=8000,dest=0,t=" + tenant
-        return Submission(read_submission([b"SUBMIT", b"0", name, pairs, b"x"], self.desk.clock.now())[0])
+        return Submission(read_submission([b"SUBMIT", b"0", name, pairs, b"x"], self.dispatcher.clock.now())[0])
 
     def test_classes_and_tenants_are_known_by_name_whatever_letters_it_has(self) -> None:
         for index, (priority_class, tenant, places) in enumerate(
@@ -50,11 +50,11 @@
         ):
             with self.subTest(priority_class=priority_class, tenant=tenant):
                 submission = self.submit(priority_class.encode(), tenant.encode(), b"%d" % index)
-                self.desk._take(submission)
-                self.desk._decide()
-                handle = self.desk.handles[submission.kept.number]
+                self.dispatcher._take(submission)
+                self.dispatcher._decide()
+                handle = self.dispatcher.handles[submission.kept.number]
                 self.assertEqual(
-                    (self.desk.sender.priority_classes.index(handle.priority_class), handle.tenant), places
+                    (self.dispatcher.sender.priority_classes.index(handle.priority_class), handle.tenant), places
                 )
                 # Only a tenant that the settings know can be over its share; this one's is next to nothing.
                 self.assertEqual(handle.over_share, tenant == "møbel__hus")
@@ -76,7 +76,7 @@
 
     def test_zones_and_kinds_are_known_by_name_and_unknown_ones_are_a_place_of_their_own(self) -> None:
         told: list[Any] = []
-        made = Directory(self.assignment, Counters(), lambda *news: told.append(news), lambda: None)
+        made = EndpointList(self.assignment, Counters(), lambda *news: told.append(news), lambda: None)
         for zone, kind, places in (("yard", "plain", (2, 0)), ("ä,b", "big, old", (1, 1)), ("elsewhere", None, (3, 2))):
             line = {"uid": zone, "endpoint": "127.0.0.1:9", "az": zone, "model": kind, "pod_group": 1, "state": "up"}
             made.learn({"rev": 1, "all": False, "targets": [line]})
@@ -86,18 +86,18 @@
         for columns, text in (("x1,x0", "x0=0.4,x1=80"), ("x0,x1", "x1=80,x0=0.4"), ("q,x1,x0", "x1=80, q=3, x0=0.4")):
             with self.subTest(columns=columns):
                 settings = {**self.assignment.settings, "report.columns": columns}
-                desk = Desk(
+                dispatcher = Dispatcher(
                     Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, settings),
-                    self.desk.clock,
+                    self.dispatcher.clock,
                     Counters(),
                     self.store,
-                    self.desk.polled,
+                    self.dispatcher.polled,
                 )
-                desk._listed(ListChange.SAVED, [Listing(1, 0, 0, 0, Phase.READY, 0.0)])
-                attempts: Any = SimpleNamespace(columns=desk.sender.columns, counters=Counters())
-                now = desk.clock.now()
-                handle = desk.sender.take(now, 1, 0, 1, now + 8_000_000, 0, 0)
-                desk.sender.decide(now)
-                handle.attempt_ended(now, Outcome.COMPLETED, 0, 1, 1000, 0, True, Attempts._report(attempts, text))
-                pace = desk.sender.receivers[1].pace
+                dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
+                attempts: Any = SimpleNamespace(columns=dispatcher.sender.columns, counters=Counters())
+                now = dispatcher.clock.now()
+                handle = dispatcher.sender.take(now, 1, 0, 1, now + 8_000_000, 0, 0)
+                dispatcher.sender.decide(now)
+                handle.attempt_ended(now, Outcome.COMPLETED, 0, 1, 1000, 0, True, AttemptRunner._report(attempts, text))
+                pace = dispatcher.sender.receivers[1].pace
                 self.assertEqual((pace.limit, pace.left), (80.0, 0.4))
--- a/tests/test_directory.py
+++ b/tests/test_endpoint_list.py
@@ -13,11 +13,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cedarwick.net import directory as module
+from cedarwick.net import endpoint_list as module
 from cedarwick.net.assignment import Assignment
 from cedarwick.net.counters import Counters
-from cedarwick.net.directory import Directory
-from cedarwick.net.objects import Objects
+from cedarwick.net.endpoint_list import EndpointList
+from cedarwick.net.json_objects import JsonObjectReader
 from tests.build import Program, Receiver, line_of, submit, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -50,7 +50,7 @@
         text = "".join(written).encode()
         cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=6)))
         for places in (cuts, range(len(text))):
-            made = Objects(1 << 20)
+            made = JsonObjectReader(1 << 20)
             parts = [text[begin:end] for begin, end in zip([0, *places], [*places, len(text)], strict=True)]
             self.assertEqual([found for part in parts for found in made.read(part)], [each for each, _, _ in told])
             self.assertEqual((made.depth, len(made.held)), (0, 0))
@@ -59,14 +59,14 @@
         deep = b'{"a":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
         for spoilt in (b"]", b"}", b"7", b'{"a":1,}', b'{"a":\xff}', b'{"a":"b\n{}', deep, b'{"a":' + b" " * 300_000):
             with self.subTest(spoilt=spoilt[:20]):
-                found = Objects(1 << 18).read(b'{"a":1}\n' + spoilt)
+                found = JsonObjectReader(1 << 18).read(b'{"a":1}\n' + spoilt)
                 self.assertEqual(next(found), {"a": 1})
                 with self.assertRaises(ValueError):
                     next(found)
 
     def test_a_large_object_in_small_chunks_is_decoded_once_and_looked_at_once(self) -> None:
         text = json.dumps({"rev": 1, "targets": [{"uid": f"s-{n}"} for n in range(20_000)]}, indent=2).encode()
-        made, looked = Objects(1 << 22), 0
+        made, looked = JsonObjectReader(1 << 22), 0
         found: list[Any] = []
         with mock.patch("json.loads", wraps=json.loads) as loads:
             for at in range(0, len(text), 4096):
@@ -88,7 +88,7 @@
         self.failed: list[float] = []
         self.told: list[Any] = []
         made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, {"zones": "a,b", "kinds": "k"})
-        self.made = Directory(
+        self.made = EndpointList(
             made, Counters(), lambda *news: self.told.append(news), lambda: self.failed.append(time.monotonic())
         )
         self.listener = self.agent()
--- a/tests/test_filters.py
+++ b/tests/test_filters.py
@@ -262,7 +262,7 @@
         ):
             index.add(str(number), language.read(text))
         self.assertEqual(
-            index.matches(event(tenant="a", destination=2, attempts=3, age=5_000_000, worth=2)),
+            index.matches(event(tenant="a", destination=2, shots=3, age=5_000_000, worth=2)),
             [str(n) for n in sorted([0, 2, 3, 5, 6, 7, 9, 10, 12, 13], key=str)],
         )
         for number in range(14):
@@ -272,7 +272,7 @@
         self.assertFalse([each for held in left for each in held.values() if each], left)
 
     def test_at_the_edges_all_three_agree(self) -> None:
-        drawn = [event(attempts=n, worth=n / 2, id=text) for n in range(7, 14) for text in ("ab", "abc", "abd", "b")]
+        drawn = [event(shots=n, worth=n / 2, id=text) for n in range(7, 14) for text in ("ab", "abc", "abd", "b")]
         drawn += [event(worth=9007199254740993), event()]
         for leaf in [
             *(
@@ -309,12 +309,12 @@
             self.assertLessEqual(len(keys), MOST_KEYS)
             self.assertLess(len(repr(tables)), 64 * 400)
             attempts = 4611686018427387950 if ".." in text else 7
-            self.assertEqual(index.matches(event(destination=5, tenant="t5", attempts=attempts)), ["x"])
+            self.assertEqual(index.matches(event(destination=5, tenant="t5", shots=attempts)), ["x"])
 
     def test_keys_of_two_kinds_are_not_taken_for_one(self) -> None:
         index = Index()
         index.add("x", language.read("shots in 1..5 or shots >= 5"))
-        self.assertEqual(index.matches(event(attempts=9)), ["x"])
+        self.assertEqual(index.matches(event(shots=9)), ["x"])
 
     def test_sets_of_fields_that_are_looked_up_stay_few(self) -> None:
         index = Index()
--- a/tests/test_fleet_facts.py
+++ b/tests/test_fleet_facts.py
@@ -21,7 +21,7 @@
     join,
     join_facts,
 )
-from cedarwick.store.records import Kept
+from cedarwick.store.records import StoredMessage
 
 FEW = st.integers(0, 3)
 HEADS = st.builds(Head, st.integers(1, 3), st.booleans(), st.integers(1, 4), st.integers(-1, 2))
@@ -36,7 +36,7 @@
 BASE = Base("id-1", "", (1 << 64) - 1, "free", "", 7, 99, b"body")
 FACTS = st.builds(Fact, st.just(5), st.sampled_from([None, BASE]), KNOWN).map(facts.trimmed)
 KEPT = st.builds(
-    Kept,
+    StoredMessage,
     st.just(5),
     st.just("id-1"),
     st.just(""),
@@ -65,12 +65,12 @@
 Join = Callable[[Known, Known], Known]
 
 
-def may_have(kept: Kept) -> list[tuple[int, int]]:
+def may_have(kept: StoredMessage) -> list[tuple[int, int]]:
     """The attempts that the decisions take for ones that may have run."""
     return [(attempt.sent_at, attempt.zone) for attempt in kept.earlier_attempts() if attempt.outcome is None]
 
 
-def knows_no_less(after: Kept, before: Kept) -> None:
+def knows_no_less(after: StoredMessage, before: StoredMessage) -> None:
     assert after.attempts >= before.attempts, "an attempt is forgotten"
     if may_have(before):
         assert may_have(after) and min(may_have(after))[0] <= min(may_have(before))[0], "'never ran'"
@@ -179,7 +179,7 @@
 class TheFolder(unittest.TestCase):
     @quick
     @given(KEPT, st.integers(0, 3))
-    def test_through_facts_and_back_nothing_is_forgotten(self, kept: Kept, doubt: int) -> None:
+    def test_through_facts_and_back_nothing_is_forgotten(self, kept: StoredMessage, doubt: int) -> None:
         fact = Fact(5, facts.base_of(kept, b"x"), facts.known_of(kept, 3))
         back = facts.kept_of(fact, doubt)
         knows_no_less(back, kept)
@@ -193,7 +193,7 @@
         )
     )
     def test_an_adopter_knows_what_the_folder_knows(self, happened: list[tuple[str, int]]) -> None:
-        kept = Kept(5, "id-1", "", 0, "free", "", 7, 99, b"x")
+        kept = StoredMessage(5, "id-1", "", 0, "free", "", 7, 99, b"x")
         ledger = Ledger(1)
         copy = ledger.kept(kept, b"x")
         for at, (what, zone) in enumerate(happened, 1):
--- a/tests/test_fleet_marks.py
+++ b/tests/test_fleet_marks.py
@@ -129,8 +129,8 @@
         self.begin()
 
     def begin(self) -> None:
-        """A process on the folder; its desk, its list and its links are made up."""
-        self.desk: Any = Made(heed=mock.Mock(), attempt_ended=mock.Mock(), attempts=Made())
+        """A process on the folder; its dispatcher, its list and its links are made up."""
+        self.dispatcher: Any = Made(heed=mock.Mock(), attempt_ended=mock.Mock(), attempts=Made())
         self.listed: Any = Made(
             numbers={f"u{i}": i for i in range(100)},
             held_out=set(),
@@ -141,7 +141,7 @@
         self.staff.take_over()
         clock: Any = Made(now=lambda: NOW)
         self.sharing = sharing.Sharing("m", Lasting(self.state), clock, Counters(), self.told)
-        self.sharing.attach(self.staff, self.listed, self.desk)
+        self.sharing.attach(self.staff, self.listed, self.dispatcher)
 
     def told(self, name: str, body: Body, within_s: float) -> Body:
         self.sent.append(body)
@@ -189,15 +189,15 @@
         self.assertEqual([len(body.rows) for body in self.sent], [0, 1])
 
     def test_hints_are_few_say_what_is_left_and_are_not_passed_on(self) -> None:
-        self.desk.attempts.heed([(1, NOW + 300_000), *((i, NOW + S) for i in range(2, 70))])
-        self.desk.attempts.tell(Made(receiver=70), Made(retry_after=S))
-        self.assertEqual((self.desk.heed.call_count, self.desk.attempt_ended.call_count), (1, 1))
+        self.dispatcher.attempts.heed([(1, NOW + 300_000), *((i, NOW + S) for i in range(2, 70))])
+        self.dispatcher.attempts.tell(Made(receiver=70), Made(retry_after=S))
+        self.assertEqual((self.dispatcher.heed.call_count, self.dispatcher.attempt_ended.call_count), (1, 1))
         told = self.sharing._hints()
         self.assertEqual(told, tuple(Wait(f"u{i}", S) for i in range(7, 71)))
-        self.desk.attempts.heed([(69, NOW + S + 9)])  # the same again
+        self.dispatcher.attempts.heed([(69, NOW + S + 9)])  # the same again
         self.assertEqual(self.sharing._hints(), ())
         self.sharing.heard("n", Hint((*told, Wait("unlisted", 5))))
-        self.assertEqual(self.desk.heed.call_args.args[0], [(i, NOW + S) for i in range(7, 71)])
+        self.assertEqual(self.dispatcher.heed.call_args.args[0], [(i, NOW + S) for i in range(7, 71)])
         self.assertEqual(self.sharing._hints(), ())
 
 
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -1,4 +1,4 @@
-"""A member's own steps that tie rules, files and desk together, each without the network."""
+"""A member's own steps that tie rules, files and dispatcher together, each without the network."""
 
 import tempfile
 import threading
@@ -13,6 +13,7 @@
 from loguru import logger
 
 from cedarwick.config.operator import Fleet, Member
+from cedarwick.decisions.interface import Outcome
 from cedarwick.fleet import node as module
 from cedarwick.fleet.adoption import NOTHING, Adoption, Stage
 from cedarwick.fleet.book import BLOCK, STARVED, Holding, NotReplicatedError, Shared, boot_time
@@ -43,12 +44,11 @@
 from cedarwick.fleet.node import MembershipChangeError, Node
 from cedarwick.fleet.owing import EVERY, LASTS
 from cedarwick.fleet.shipping import EVERYTHING, GAP, Place, Replica
-from cedarwick.interface import Outcome
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.notices import Notices
+from cedarwick.net.notifications import Notifier
 from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
-from cedarwick.store.records import Kept, message
+from cedarwick.store.records import StoredMessage, message
 from tests.build import free_port
 
 NAMES = ("a", "b", "c")
@@ -60,8 +60,8 @@
     return (BOOK << 32) + index
 
 
-def kept(index: int, life: int = 60_000_000) -> Kept:
-    return Kept(number(index), f"id-{index}", "k", 0, "free", "", 0, CLOCK.now() + life, b"body")
+def kept(index: int, life: int = 60_000_000) -> StoredMessage:
+    return StoredMessage(number(index), f"id-{index}", "k", 0, "free", "", 0, CLOCK.now() + life, b"body")
 
 
 def fact(index: int, life: int = 60_000_000) -> Fact:
@@ -87,7 +87,7 @@
             member=[Member(name=name, address=f"127.0.0.1:{free_port()}", hall=name) for name in NAMES],
         )
         node = Node("a", told, folder, store, CLOCK, Counters())
-        node.desk = mock.Mock()
+        node.dispatcher = mock.Mock()
         self.addCleanup(node.stop)
         return node
 
@@ -281,7 +281,7 @@
         late, ours, others = [number(1)], True, False
         for granted, serving, offered, few, ack, answered in (
             (True, False, False, False, "copy", ours),  # no copy follows
-            (True, True, False, False, "copy", others),  # the desk sees to it
+            (True, True, False, False, "copy", others),  # the dispatcher sees to it
             (False, False, False, False, "copy", others),  # whoever is granted it answers
             (False, False, False, True, "copy", ours),
             (None, False, False, False, "own", ours),  # lost, and told to nobody
@@ -301,7 +301,7 @@
                 node._heard("c", 7, Beat(False, {}))
                 holding.adoption.stage, holding.adoption.holder.newer = Stage.OFFERING, (2, granted)
             node._answer_late(boot_time(), few)
-            self.assertEqual(node.desk.answer_late.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
+            self.assertEqual(node.dispatcher.answer_late.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
 
     def test_a_right_that_no_majority_speaks_of_any_more_is_as_good_as_gone(self) -> None:
         node = self.member()
@@ -309,7 +309,7 @@
         node.store.keep(kept(1, life=100_000))
         for after, calls in ((0, 0), (module.ALONE - 1, 0), (module.ALONE, 1)):
             node._answer_late(1_000_000_000 + after, few=False)
-            self.assertEqual(len(node.desk.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
+            self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
         holding = node.store.holdings[BOOK]
         with mock.patch.object(holding.adoption.holder, "may_fire", return_value=True):
             node._answer_late(2_000_000_000, few=False)
@@ -325,17 +325,19 @@
             node.store.keep(kept(1, life=100_000))
             for after in (0, module.UNKNOWN):
                 node._answer_late(1_000_000_000 + after, few=False)
-            self.assertEqual(len(node.desk.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
+            self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
 
     def test_what_was_taken_before_the_fleet_goes_on_in_the_first_book_or_is_answered_in_time(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
-        desk: Any = node.desk
+        dispatcher: Any = node.dispatcher
         for index, life in ((1, 100_000), (2, 60_000_000), (3, 60_000_000)):
             Store.keep(node.store, replace(kept(index, life), number=index))
         Store.ended(node.store, 3, True, 0)
         node.look(boot_time())
-        desk.answer_late.assert_called_once_with([1, 3])  # no majority grants a book: one ends, one has its notice owed
+        dispatcher.answer_late.assert_called_once_with(
+            [1, 3]
+        )  # no majority grants a book: one ends, one has its notice owed
         holding = self.holding(node)
         holding.serving, node.store.current = True, holding
         node.store.next_number, holding.reserved = number(1), number(9)
@@ -343,7 +345,7 @@
             for left in ([2, 3], [3]):
                 node._answer_late(boot_time(), few=False)
                 self.assertEqual(node.store.numbers(0), left)
-        self.assertEqual(desk.adopt.mock_calls, [mock.call([number(index)]) for index in (1, 2)])
+        self.assertEqual(dispatcher.adopt.mock_calls, [mock.call([number(index)]) for index in (1, 2)])
 
     def test_who_asked_in_vain_gives_its_own_promise_back(self) -> None:
         node = self.member()
@@ -439,7 +441,7 @@
         with mock.patch.object(node.store, "keep") as full:
             full.side_effect = lambda each: keep(each) if full.call_count == 1 else self.fail_to_write()
             node._drop(BOOK)
-        node.desk.adopt.assert_called_once_with([(BOOK + 1 << 32) + 1])  # type: ignore[attr-defined]
+        node.dispatcher.adopt.assert_called_once_with([(BOOK + 1 << 32) + 1])  # type: ignore[attr-defined]
         self.assertEqual(node.store.numbers(BOOK), [number(2), number(3)])
         node.leaving = True
         node._drop(BOOK)
@@ -617,8 +619,8 @@
 
     def test_keys_of_before_a_trouble_are_told_and_those_told_by_others_rest(self) -> None:
         node, now = self.member(), boot_time()
-        node.desk.rest_of.return_value = 0  # type: ignore[attr-defined]
-        node.desk.ordered = lambda priority_class: priority_class == "free"  # type: ignore[method-assign]
+        node.dispatcher.rest_of.return_value = 0  # type: ignore[attr-defined]
+        node.dispatcher.ordered = lambda priority_class: priority_class == "free"  # type: ignore[method-assign]
         node.alive, node.gate.levels = list(NAMES), {"a": OWING, "b": OWING - 1, "c": OWING}
         data = encode_facts(
             [
@@ -640,7 +642,7 @@
             self.assertEqual((spawn.call_args, node.owing.elsewhere), (None, frozenset()))
             node._owe(now)  # b is silent: what a copy here says is owed is told, and rests here, too
             self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", Owed((8,)))])
-            node.desk.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
+            node.dispatcher.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
             node.grantor = Grantor("a", NAMES, now, (Grant(right_of(BOOK), 3, "a", ("b", "a"), 1),))
             node._owe(now)  # this member has asked for the book, and has not taken it in yet
             self.assertEqual(node.owing.elsewhere, {8})
@@ -666,18 +668,18 @@
             node._owe(now + EVERY)
             self.assertEqual(spawn.call_args.args[1:3], ("c", Owed()))
             node._owe(now + LASTS + SPAN)
-            self.assertEqual(node.desk.rest.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
+            self.assertEqual(node.dispatcher.rest.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
 
     def test_an_offer_that_finds_room_for_a_part_is_taken_whole_when_it_comes_again(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.serving = True
-        desk: Any = node.desk
+        dispatcher: Any = node.dispatcher
         data = encode_facts([fact(1), fact(2), fact(3)])
         keep, problems = Store.keep, []
         for room in ((1,), (1, 2, 3)):
 
-            def kept_if(store: Store, each: Kept, room: tuple[int, ...] = room) -> None:
+            def kept_if(store: Store, each: StoredMessage, room: tuple[int, ...] = room) -> None:
                 if each.number not in map(number, room):
                     raise NoSpaceError("full")
                 keep(store, each)
@@ -685,7 +687,7 @@
             with mock.patch.object(Store, "keep", kept_if):
                 problems.append(node._offered("b", Offer(BOOK, 0, True, data, digest_of(data), 1)))
         self.assertEqual(problems, [Taken(BOOK, 0, "full"), Taken(BOOK, 0)])
-        self.assertEqual(desk.adopt.mock_calls, [mock.call([number(1)]), mock.call([number(2), number(3)])])
+        self.assertEqual(dispatcher.adopt.mock_calls, [mock.call([number(1)]), mock.call([number(2), number(3)])])
         self.assertEqual(sorted(node.store.kept), sorted(holding.ledger.known))
 
     def test_an_owner_that_comes_back_after_others_waits_for_what_they_may_offer(self) -> None:
@@ -768,15 +770,15 @@
 class Posts(unittest.TestCase):
     def test_a_notice_that_was_given_up_during_its_post_does_no_harm(self) -> None:
         for status in (204, 500):
-            notices = Notices(("", 0), Counters(), mock.Mock(side_effect=KeyboardInterrupt))
+            notices = Notifier(("", 0), Counters(), mock.Mock(side_effect=KeyboardInterrupt))
 
-            def post(_: bytes, notices: Notices = notices, status: int = status) -> int:
+            def post(_: bytes, notices: Notifier = notices, status: int = status) -> int:
                 notices.owed.clear()
                 return status
 
             with (
                 mock.patch.object(notices, "_post", post),
-                mock.patch("cedarwick.net.notices.gevent.sleep", side_effect=KeyboardInterrupt),
+                mock.patch("cedarwick.net.notifications.gevent.sleep", side_effect=KeyboardInterrupt),
             ):
                 notices.post(1, "id", True, 0)
                 with self.assertRaises(KeyboardInterrupt):  # it came to its next step
--- a/tests/test_fleet_shipping.py
+++ b/tests/test_fleet_shipping.py
@@ -12,7 +12,7 @@
 from cedarwick.fleet.facts import Fact, Known, Ledger, digest, encode_facts, in_doubt, join_facts, together, trimmed
 from cedarwick.fleet.messages import Digests, Facts, Piece
 from cedarwick.fleet.shipping import EVERYTHING, NO_ROOM, OTHER, SPOILT, TERM, Log, Replica
-from cedarwick.store.records import FRAME, Kept, framed
+from cedarwick.store.records import FRAME, StoredMessage, framed
 from tests.test_store import Crash, Fake
 
 BOOK = 3
@@ -99,7 +99,7 @@
 
     def take(self, size: int = 60) -> int:
         self.number += 1
-        kept = Kept(self.number, f"i{self.number}", "", 0, "free", "", 7, 10**9, b"x" * size)
+        kept = StoredMessage(self.number, f"i{self.number}", "", 0, "free", "", 7, 10**9, b"x" * size)
         self.tell(self.ledger.kept(kept, kept.body or b""))
         return self.number
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,31 +13,31 @@
 from gevent.event import AsyncResult
 
 from cedarwick.adapter.codec import settings_of
-from cedarwick.interface import ListChange, Listing, Outcome, Phase
-from cedarwick.net import assignment, intake
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
+from cedarwick.net import assignment, client_listener
 from cedarwick.net.assignment import Assignment
-from cedarwick.net.attempts import Attempts, Call, Ending, wait_of
+from cedarwick.net.attempts import AttemptCall, AttemptResult, AttemptRunner, parse_retry_after
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.clock import Clock
+from cedarwick.net.connections import DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import BOOK, NEAR, Answered, Submission
-from cedarwick.net.directory import Directory
-from cedarwick.net.http import Answer, InvalidResponseError
-from cedarwick.net.links import Descriptors, NoDescriptorError
-from cedarwick.net.sockets import ended
-from cedarwick.store.records import Kept
-from tests.build import NESTED, desk_alone, reply, words
+from cedarwick.net.dispatcher import BOOK, DEADLINE_MARGIN, AdmissionResult, Submission
+from cedarwick.net.endpoint_list import EndpointList
+from cedarwick.net.http import InvalidResponseError, ResponseParser
+from cedarwick.net.sockets import is_closed
+from cedarwick.store.records import StoredMessage
+from tests.build import NESTED, dispatcher_alone, reply, words
 
 
-def kept(number: int, body: bytes = b"body") -> Kept:
-    return Kept(number, f"id-{number}", "k", 7, "band", "tenant", 3, 1_000_000, body)
+def kept(number: int, body: bytes = b"body") -> StoredMessage:
+    return StoredMessage(number, f"id-{number}", "k", 7, "band", "tenant", 3, 1_000_000, body)
 
 
 class AtTheDesk(unittest.TestCase):
     def setUp(self) -> None:
-        _, self.store, self.desk = desk_alone(self, NESTED)
-        self.calls: list[Call] = []
-        self.desk.attempts = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
+        _, self.store, self.dispatcher = dispatcher_alone(self, NESTED)
+        self.calls: list[AttemptCall] = []
+        self.dispatcher.attempts = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
 
     def taken(
         self,
@@ -48,10 +48,12 @@
         life: int = 8_000_000,
         key: int = 0,
     ) -> Submission:
-        limit = self.desk.clock.now() + life
-        submission = Submission(Kept(0, name, "", key, priority_class, "second", destination, limit, bytes(size)))
-        self.desk._take(submission)
-        self.desk._decide()
+        limit = self.dispatcher.clock.now() + life
+        submission = Submission(
+            StoredMessage(0, name, "", key, priority_class, "second", destination, limit, bytes(size))
+        )
+        self.dispatcher._take(submission)
+        self.dispatcher._decide()
         return submission
 
     def test_without_the_right_nothing_is_taken_and_what_ends_is_told_without_a_copy(self) -> None:
@@ -59,200 +61,209 @@
         self.taken()
         returned = self.taken(name="b")
         self.store.may_fire = lambda number: False  # type: ignore[method-assign]
-        self.desk._park([1, 2])
-        self.desk._final(2, True, 0)  # chosen, but no copy has it, and it was not told
-        self.desk._flush()
-        self.desk._answer_late([1, 2])
-        self.assertEqual(returned.answer.get()[0], Answered.KEPT)
-        self.assertEqual([json.loads(line)["state"] for line in self.desk.notices.owed.values()], ["failed", "failed"])
-        self.assertEqual(self.taken(name="c").answer.get()[0], Answered.BUSY)
+        self.dispatcher._park([1, 2])
+        self.dispatcher._final(2, True, 0)  # chosen, but no copy has it, and it was not told
+        self.dispatcher._flush()
+        self.dispatcher._answer_late([1, 2])
+        self.assertEqual(returned.answer.get()[0], AdmissionResult.KEPT)
+        self.assertEqual(
+            [json.loads(line)["state"] for line in self.dispatcher.notices.owed.values()], ["failed", "failed"]
+        )
+        self.assertEqual(self.taken(name="c").answer.get()[0], AdmissionResult.BUSY)
         del self.store.may_fire
         self.taken(name="d")
         with mock.patch.object(self.store, "may_fire", return_value=False):
-            self.desk._final(self.desk.numbers["d"], True, 0)
-            self.desk._flush()
-        self.assertEqual(len(self.desk.notices.owed), 2)
-        self.desk._flush()
-        self.assertEqual(len(self.desk.notices.owed), 3)  # the right was back in a moment
+            self.dispatcher._final(self.dispatcher.numbers["d"], True, 0)
+            self.dispatcher._flush()
+        self.assertEqual(len(self.dispatcher.notices.owed), 2)
+        self.dispatcher._flush()
+        self.assertEqual(len(self.dispatcher.notices.owed), 3)  # the right was back in a moment
 
     def test_what_is_adopted_alone_stands_before_those_of_its_key_that_were_taken_after_it(self) -> None:
-        self.desk.sender.priority_classes[0].ordered = True
+        self.dispatcher.sender.priority_classes[0].ordered = True
         for name in "abc":
             self.taken(name=name, key=5)
-        self.desk._park([1, 2, 3])  # while the attempt of the first is out
-        self.desk._adopt([1, 2, 3])
-        self.desk._attempt_ended(self.calls[0], Ending(Outcome.TIME_OUT))
-        line = self.desk.sender.turns.lines[5]
+        self.dispatcher._park([1, 2, 3])  # while the attempt of the first is out
+        self.dispatcher._adopt([1, 2, 3])
+        self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.TIME_OUT))
+        line = self.dispatcher.sender.turns.lines[5]
         self.assertEqual([handle.id for handle in line], [1, 2, 3])
-        self.desk._park([2])  # somebody has told news of it
-        self.desk._adopt([2])
+        self.dispatcher._park([2])  # somebody has told news of it
+        self.dispatcher._adopt([2])
         self.assertEqual([handle.id for handle in line], [1, 2, 3])
         line[2].out = True
-        self.desk._park([2])
-        self.desk._adopt([2])
+        self.dispatcher._park([2])
+        self.dispatcher._adopt([2])
         self.assertEqual([handle.id for handle in line], [1, 3, 2])  # nothing begins while an attempt of the key is out
 
     def test_what_is_owed_elsewhere_goes_first_as_long_as_there_is_time(self) -> None:
-        self.desk.sender.priority_classes[0].ordered = True
+        self.dispatcher.sender.priority_classes[0].ordered = True
         self.taken(name="held", key=5)  # number 1: its attempt is out
-        self.desk._attempt_ended(self.calls[0], Ending(Outcome.MOOT))
-        self.desk._rest(frozenset([5, 6, 7]))
+        self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
+        self.dispatcher._rest(frozenset([5, 6, 7]))
         for name, key, life in (("b", 5, 8_000_000), ("c", 6, 8_000_000), ("d", 7, 900_000), ("e", 8, 8_000_000)):
             self.taken(name=name, key=key, life=life)
-        self.desk._decide()
+        self.dispatcher._decide()
         self.assertEqual([call.kept.id for call in self.calls], ["held", "d", "e"])  # d has no second to spare
-        self.assertLess(0, self.desk.rest_of(6))
+        self.assertLess(0, self.dispatcher.rest_of(6))
         other = 9 << BOOK
         for number in (other + 1, other + 2):  # what a dead sender owed of the key, adopted here
             self.store.keep(
-                Kept(number, f"id-{number}", "", 6, "free", "second", 0, self.desk.clock.now() + 8_000_000, b"")
+                StoredMessage(
+                    number, f"id-{number}", "", 6, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b""
+                )
             )
-        self.desk._adopt([other + 1, other + 2])
-        self.assertEqual([each.id for each in self.desk.sender.turns.lines[6]], [other + 1, other + 2, 3])
-        self.assertEqual(self.desk.sender.turns.rests.get(9), None)  # nothing is kept for keys without a message
+        self.dispatcher._adopt([other + 1, other + 2])
+        self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[6]], [other + 1, other + 2, 3])
+        self.assertEqual(self.dispatcher.sender.turns.rests.get(9), None)  # nothing is kept for keys without a message
 
     def test_what_was_held_back_comes_back_in_its_order_where_its_move_is_called_off(self) -> None:
-        self.desk.sender.priority_classes[0].ordered = True
-        self.desk._rest(frozenset([5]))
+        self.dispatcher.sender.priority_classes[0].ordered = True
+        self.dispatcher._rest(frozenset([5]))
         for name in "abc":
             self.taken(name=name, key=5)
-        self.assertEqual(self.desk.held_back, {1, 2, 3})
-        self.desk._park([1, 2, 3])
-        self.desk._adopt([1, 2, 3], quietly=True)
-        self.assertEqual([each.id for each in self.desk.sender.turns.lines[5]], [1, 2, 3])
+        self.assertEqual(self.dispatcher.not_sent, {1, 2, 3})
+        self.dispatcher._park([1, 2, 3])
+        self.dispatcher._adopt([1, 2, 3], quietly=True)
+        self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[5]], [1, 2, 3])
 
     def test_an_message_is_kept_before_its_attempt_starts(self) -> None:
-        self.assertEqual(self.taken().answer.get(block=False), (Answered.KEPT, 0))
+        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.KEPT, 0))
         self.assertEqual((list(self.store.kept), self.calls[0].kept), ([1], self.store.kept[1]))
 
     def test_each_attempt_is_a_call_of_its_own_whatever_the_settings_say(self) -> None:
-        self.assertEqual(self.desk.sender.settings["family-info.per-call"], "20")
-        self.assertEqual(self.desk.sender.per_call, [])
+        self.assertEqual(self.dispatcher.sender.settings["family-info.per-call"], "20")
+        self.assertEqual(self.dispatcher.sender.per_call, [])
 
     def test_the_tenant_reaches_the_decisions(self) -> None:
         self.taken()
-        self.assertEqual(self.desk.handles[1].tenant, 1)
+        self.assertEqual(self.dispatcher.handles[1].tenant, 1)
 
     def test_what_finds_no_room_is_not_sent(self) -> None:
-        self.assertEqual(self.taken(size=50_000).answer.get(block=False), (Answered.BUSY, 0))
-        self.assertEqual((self.calls, self.desk.handles, self.desk.numbers), ([], {}, {}))
+        self.assertEqual(self.taken(size=50_000).answer.get(block=False), (AdmissionResult.BUSY, 0))
+        self.assertEqual((self.calls, self.dispatcher.handles, self.dispatcher.numbers), ([], {}, {}))
 
     def test_the_decisions_are_told_of_the_room_each_round(self) -> None:
-        before = self.desk.sender.room
+        before = self.dispatcher.sender.room
         self.taken()
-        self.assertLess(self.desk.sender.room, before)
+        self.assertLess(self.dispatcher.sender.room, before)
         self.store.set_limit(1)
-        self.desk._decide()
-        self.assertEqual(self.desk.sender.room, 0)
-        self.desk.notices.post(9, "i", True, 0)
-        self.desk._decide()
-        self.assertEqual(self.desk.sender.room, 1)  # it leaves as it is acknowledged
+        self.dispatcher._decide()
+        self.assertEqual(self.dispatcher.sender.room, 0)
+        self.dispatcher.notices.post(9, "i", True, 0)
+        self.dispatcher._decide()
+        self.assertEqual(self.dispatcher.sender.room, 1)  # it leaves as it is acknowledged
 
     def test_a_completed_message_leaves_nothing_behind(self) -> None:
         self.taken()
-        self.desk._clear(self.calls[0], AsyncResult())
-        self.desk._attempt_ended(self.calls[0], Ending(Outcome.COMPLETED, last=True))
+        self.dispatcher._clear(self.calls[0], AsyncResult())
+        self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.COMPLETED, last=True))
         self.assertEqual(
-            (self.store.kept, self.desk.handles, self.desk.numbers, self.desk.sender.open), ({}, {}, {}, 0)
+            (self.store.kept, self.dispatcher.handles, self.dispatcher.numbers, self.dispatcher.sender.open),
+            ({}, {}, {}, 0),
         )
 
     def test_a_copy_of_an_id_that_has_ended_is_not_taken(self) -> None:
         self.test_a_completed_message_leaves_nothing_behind()
-        self.assertEqual(self.taken(size=4).answer.get(block=False), (Answered.REPEATED, 0))
+        self.assertEqual(self.taken(size=4).answer.get(block=False), (AdmissionResult.REPEATED, 0))
         self.assertEqual((self.store.kept, len(self.calls)), ({}, 1))
 
     def test_another_body_under_an_open_id_is_not_taken_for_the_same(self) -> None:
         self.taken()
-        self.assertEqual(self.taken().answer.get(block=False), (Answered.KEPT, 0))
-        self.assertEqual(self.taken(size=4).answer.get(block=False), (Answered.REPEATED, 0))
+        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.KEPT, 0))
+        self.assertEqual(self.taken(size=4).answer.get(block=False), (AdmissionResult.REPEATED, 0))
 
     def test_ids_are_remembered_for_a_while_only(self) -> None:
         for number in range(3):
-            with mock.patch.object(self.desk.clock, "now", return_value=number * 10_000_000):
+            with mock.patch.object(self.dispatcher.clock, "now", return_value=number * 10_000_000):
                 self.taken(name=f"a{number}")
-        self.assertEqual(list(self.desk.recent), ["a1", "a2"])
+        self.assertEqual(list(self.dispatcher.recent), ["a1", "a2"])
 
     def test_a_destination_that_nobody_listed_is_turned_away(self) -> None:
-        self.assertEqual(self.taken(destination=9).answer.get(block=False), (Answered.UNKNOWN_DESTINATION, 0))
-        self.assertEqual((self.store.kept, list(self.desk.sender.destinations)), ({}, [0]))
+        self.assertEqual(self.taken(destination=9).answer.get(block=False), (AdmissionResult.UNKNOWN_DESTINATION, 0))
+        self.assertEqual((self.store.kept, list(self.dispatcher.sender.destinations)), ({}, [0]))
 
     def test_no_time_to_live_is_longer_than_the_settings_allow(self) -> None:
         self.taken(life=10**15)
-        self.assertLess(self.desk.handles[1].deadline, self.desk.clock.now() + 17_000_000)
+        self.assertLess(self.dispatcher.handles[1].deadline, self.dispatcher.clock.now() + 17_000_000)
 
     def test_a_withdrawn_message_does_not_go_out(self) -> None:
-        self.desk.withdraw(self.taken())
-        call, told = self.desk.queue.get()
+        self.dispatcher.withdraw(self.taken())
+        call, told = self.dispatcher.queue.get()
         call(*told)
         cleared: AsyncResult = AsyncResult()
-        self.desk._clear(self.calls[0], cleared)
+        self.dispatcher._clear(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
-        self.assertEqual((self.store.kept, self.desk.handles, self.desk.sender.open), ({}, {}, 0))
+        self.assertEqual((self.store.kept, self.dispatcher.handles, self.dispatcher.sender.open), ({}, {}, 0))
 
     def test_one_withdrawn_while_the_record_of_its_attempt_was_waited_for_does_not_go_out(self) -> None:
         self.store.awaited = True
         submission = self.taken()
         cleared: AsyncResult = AsyncResult()
-        self.desk._clear(self.calls[0], cleared)
-        self.assertTrue(self.desk.may_fire(1))
-        with mock.patch.object(self.store, "flush", lambda call: self.desk.withdraw(submission)):
-            self.desk._flush()
+        self.dispatcher._clear(self.calls[0], cleared)
+        self.assertTrue(self.dispatcher.may_fire(1))
+        with mock.patch.object(self.store, "flush", lambda call: self.dispatcher.withdraw(submission)):
+            self.dispatcher._flush()
         self.assertIs(cleared.get(block=False), True)
-        for _ in range(2):  # whether the desk has come to it or not
-            self.assertFalse(self.desk.may_fire(1))
-            if not self.desk.queue.empty():
-                call, told = self.desk.queue.get()
+        for _ in range(2):  # whether the dispatcher has come to it or not
+            self.assertFalse(self.dispatcher.may_fire(1))
+            if not self.dispatcher.queue.empty():
+                call, told = self.dispatcher.queue.get()
                 call(*told)
-        self.desk._attempt_ended(self.calls[0], Ending(Outcome.MOOT))
-        self.assertEqual((self.store.kept, self.desk.handles, self.desk.leaving), ({}, {}, set()))
+        self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
+        self.assertEqual((self.store.kept, self.dispatcher.handles, self.dispatcher.leaving), ({}, {}, set()))
 
     def test_the_record_of_a_attempt_comes_before_its_first_byte(self) -> None:
         self.taken()
         cleared: AsyncResult = AsyncResult()
-        self.desk._clear(self.calls[0], cleared)
+        self.dispatcher._clear(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), True)
         self.assertEqual(self.store.kept[1].attempts, 1)
 
     def test_what_reaches_its_limit_while_calls_hold_up_the_end_is_written_off(self) -> None:
         for name, life in (("out", 8_000_000), ("near", 40_000), ("later", 8_000_000)):
             self.taken(name=name, life=life)
-        for number, handle in self.desk.handles.items():
+        for number, handle in self.dispatcher.handles.items():
             handle.out = number == 1
         for ending in (False, True):
-            self.desk._hold_fire(ending=ending)
-            self.desk._turn_away()
-            self.assertEqual(sorted(self.desk.notices.owed), [2] * ending)
-        self.assertEqual(self.desk.wake_at, self.store.kept[3].deadline - NEAR)
+            self.dispatcher._hold_fire(ending=ending)
+            self.dispatcher._turn_away()
+            self.assertEqual(sorted(self.dispatcher.notices.owed), [2] * ending)
+        self.assertEqual(self.dispatcher.wake_at, self.store.kept[3].deadline - DEADLINE_MARGIN)
 
     def test_no_attempt_begins_when_the_end_is_near(self) -> None:
         self.taken()
-        self.desk._hold_fire()
+        self.dispatcher._hold_fire()
         cleared: AsyncResult = AsyncResult()
-        self.desk._clear(self.calls[0], cleared)
+        self.dispatcher._clear(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
         self.assertEqual(self.store.kept[1].attempts, 0)
 
     def test_at_a_hand_over_what_comes_is_kept_and_not_attempt(self) -> None:
-        self.desk._hold_fire(keeping=True)
-        submission = Submission(Kept(0, "a", "", 0, "free", "second", 0, self.desk.clock.now() + 8_000_000, b"x"))
-        self.desk._take(submission)
-        self.desk._keep_fresh()
-        self.assertEqual(submission.answer.get(block=False), (Answered.KEPT, 0))
+        self.dispatcher._hold_fire(keeping=True)
+        submission = Submission(
+            StoredMessage(0, "a", "", 0, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
+        )
+        self.dispatcher._take(submission)
+        self.dispatcher._keep_fresh()
+        self.assertEqual(submission.answer.get(block=False), (AdmissionResult.KEPT, 0))
         self.assertEqual((list(self.store.kept), self.calls), ([1], []))
 
     def test_at_an_end_what_comes_is_turned_away(self) -> None:
-        self.desk._hold_fire()
-        submission = Submission(Kept(0, "a", "", 0, "free", "second", 0, self.desk.clock.now() + 8_000_000, b"x"))
-        self.desk._take(submission)
-        self.desk._turn_away()
-        self.assertEqual(submission.answer.get(block=False), (Answered.BUSY, 0))
+        self.dispatcher._hold_fire()
+        submission = Submission(
+            StoredMessage(0, "a", "", 0, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
+        )
+        self.dispatcher._take(submission)
+        self.dispatcher._turn_away()
+        self.assertEqual(submission.answer.get(block=False), (AdmissionResult.BUSY, 0))
         self.assertEqual(self.store.kept, {})
 
     def test_an_error_in_one_event_answers_it_and_ends_nothing(self) -> None:
-        self.desk.sender = None  # type: ignore[assignment]
-        submission = Submission(Kept(0, "a", "", 0, "free", "", 0, 1, b""))
-        self.desk._guarded(self.desk._take, submission)
-        self.assertEqual(submission.answer.get(block=False), (Answered.BUSY, 0))
+        self.dispatcher.sender = None  # type: ignore[assignment]
+        submission = Submission(StoredMessage(0, "a", "", 0, "free", "", 0, 1, b""))
+        self.dispatcher._guarded(self.dispatcher._take, submission)
+        self.assertEqual(submission.answer.get(block=False), (AdmissionResult.BUSY, 0))
 
 
 class Reading(unittest.TestCase):
@@ -274,13 +285,13 @@
         for at in range(len(text)):
             buffer = Buffer()
             buffer.append(text[:at])
-            self.assertIsNone(intake.command(buffer))
+            self.assertIsNone(client_listener.command(buffer))
             buffer.append(text[at:] + b"*1")
-            self.assertEqual(intake.command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
+            self.assertEqual(client_listener.command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
             self.assertEqual(len(buffer), 2)
 
     def test_a_second_answer_is_not_read_as_the_first(self) -> None:
-        answer, buffer = Answer(), Buffer()
+        answer, buffer = ResponseParser(), Buffer()
         buffer.append(reply(500) + reply(200))
         answer.feed(buffer)
         self.assertEqual((answer.status, answer.complete, answer.keep_alive), (500, True, False))
@@ -290,7 +301,7 @@
             text = b"HTTP/1.1 %d Wait\r\nLink: x\r\n\r\n" % code * 2 + reply(429, "X-Backoff-Ms: 70")
             for at in range(len(text)):
                 with self.subTest(code=code, at=at):
-                    answer, buffer = Answer(), Buffer()
+                    answer, buffer = ResponseParser(), Buffer()
                     for part in (text[:at], text[at:]):
                         buffer.append(part)
                         answer.feed(buffer)
@@ -300,7 +311,7 @@
                     )
 
     def test_a_report_that_cannot_be_read_reaches_no_decision(self) -> None:
-        made = Attempts(Clock(), Counters(), None, ["x0", "x1"], None, None, None, None)  # type: ignore[arg-type]
+        made = AttemptRunner(Clock(), Counters(), None, ["x0", "x1"], None, None, None, None)  # type: ignore[arg-type]
         for text, expected in (
             ("x0=0.4,x1=25", [0.4, 25.0]),
             ("x1=25, x0=-1e-07", [-1e-07, 25.0]),
@@ -315,7 +326,7 @@
                 self.assertEqual(made._report(text), expected)
 
     def test_a_head_without_an_end_is_given_up(self) -> None:
-        answer, buffer = Answer(), Buffer()
+        answer, buffer = ResponseParser(), Buffer()
         buffer.append(b"HTTP/1.1 200 OK\r\nX: ")
         answer.feed(buffer)
         with self.assertRaises(InvalidResponseError):
@@ -327,11 +338,11 @@
         buffer = Buffer()
         buffer.append(b"\x00\x01 not http\r\n\r\n")
         with self.assertRaises(InvalidResponseError):
-            Answer().feed(buffer)
+            ResponseParser().feed(buffer)
 
     def test_waits_that_cannot_be_read_are_none(self) -> None:
         self.assertEqual(
-            [wait_of(text) for text in ("250", "", "-1", "1e3", "9" * 40, "\u0661")],
+            [parse_retry_after(text) for text in ("250", "", "-1", "1e3", "9" * 40, "\u0661")],
             [250_000, 0, 0, 0, (10**40 - 1) * 1000, 0],
         )
 
@@ -344,10 +355,10 @@
             near, far = socket.socketpair()
             with near, gevent.socket.socket(fileno=far.detach()) as end:
                 act(near)
-                self.assertIs(ended(end), expected)
+                self.assertIs(is_closed(end), expected)
 
     def test_descriptors_are_bounded(self) -> None:
-        made = Descriptors(66)
+        made = DescriptorBudget(66)
         for _ in range(8):
             made.claim()
         with self.assertRaises(NoDescriptorError):
@@ -395,13 +406,13 @@
                 except assignment.AssignmentError as error:
                     self.assertTrue(named and named in str(error), str(error))
 
-    def directory(self) -> tuple[Directory, list[Any]]:
+    def endpoint_list(self) -> tuple[EndpointList, list[Any]]:
         told: list[Any] = []
         made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, {"zones": "a,b", "kinds": "k"})
-        return Directory(made, Counters(), lambda *news: told.append(news), lambda: None), told
+        return EndpointList(made, Counters(), lambda *news: told.append(news), lambda: None), told
 
     def test_list_news_in_the_numbers_of_the_decisions(self) -> None:
-        made, told = self.directory()
+        made, told = self.endpoint_list()
         entry = {
             "uid": "s",
             "endpoint": "127.0.0.1:9",
@@ -413,12 +424,15 @@
         }
         made.learn({"rev": 3, "all": True, "targets": [entry]}, saved=True)
         made.learn({"rev": 5, "all": False, "targets": [{**entry, "state": "removed"}]})
-        line = Listing(1, 1, 0, 4, Phase.READY, 2.5)
-        self.assertEqual(told, [(ListChange.SAVED, [line]), (ListChange.CHANGES, [line._replace(phase=Phase.GONE)])])
+        line = ListedEndpoint(1, 1, 0, 4, EndpointState.READY, 2.5)
+        self.assertEqual(
+            told,
+            [(EndpointUpdate.CACHED, [line]), (EndpointUpdate.DELTA, [line._replace(phase=EndpointState.REMOVED)])],
+        )
         self.assertEqual((made.version, made.address_of(1)), (5, ("127.0.0.1", 9)))
 
     def test_receivers_that_have_gone_are_forgotten_and_their_numbers_not_used_again(self) -> None:
-        made, told = self.directory()
+        made, told = self.endpoint_list()
         for day in range(1, 51):
             with mock.patch("time.monotonic", return_value=day * 10.0):
                 entry = {"uid": f"s-{day}", "endpoint": "127.0.0.1:9", "state": "up"}
@@ -428,14 +442,14 @@
         self.assertEqual((sorted(made.numbers.values()), len(made.addresses)), ([*range(43, 51)], 8))
 
     def test_list_news_that_cannot_be_read_changes_nothing(self) -> None:
-        made, told = self.directory()
+        made, told = self.endpoint_list()
         for news in ({}, {"rev": "x", "all": True, "targets": []}, json.loads("[]"), {"rev": 1, "all": True}):
             with self.subTest(news=news), self.assertRaises(ValueError):
                 made.learn(news)
         self.assertEqual((told, made.version), ([], 0))
 
     def test_a_line_that_cannot_be_read_does_not_hide_the_others(self) -> None:
-        made, told = self.directory()
+        made, told = self.endpoint_list()
         good = {"uid": "s", "endpoint": "127.0.0.1:9", "az": "a", "model": "k", "pod_group": 4, "state": "up"}
         made.learn({"rev": 3, "all": False, "targets": [{}, 7, {**good, "endpoint": "no"}, good]})
         self.assertEqual([line.destination for _, lines in told for line in lines], [4])
@@ -451,7 +465,7 @@
     }
 
     def test_an_empty_whole_list_is_not_believed_once_any_receiver_is_known(self) -> None:
-        made, told = self.directory()
+        made, told = self.endpoint_list()
         made.learn({"rev": 1, "all": True, "targets": []}, saved=True)
         made.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
         with self.assertRaises(ValueError):
@@ -459,10 +473,10 @@
         self.assertEqual((len(told), made.version, made.knows("s")), (2, 2, True))
 
     def test_in_a_whole_list_a_receiver_with_a_spoilt_line_is_kept_and_one_left_out_is_gone(self) -> None:
-        made, told = self.directory()
+        made, told = self.endpoint_list()
         made.learn({"rev": 2, "all": True, "targets": [{**self.GOOD, "uid": uid} for uid in "stu"]})
         made.learn({"rev": 3, "all": True, "targets": [self.GOOD, {"uid": "t", "state": 7}]})
-        self.assertEqual([change for change, _ in told], [ListChange.WHOLE, ListChange.WHOLE])
+        self.assertEqual([change for change, _ in told], [EndpointUpdate.FULL, EndpointUpdate.FULL])
         self.assertEqual(told[1][1], told[0][1][:2])
         self.assertEqual((sorted(made.numbers), sorted(made.gone_since)), (["s", "t", "u"], ["u"]))
 
@@ -470,13 +484,13 @@
         hints: list[Any] = ["nine", None, -3, float("nan"), float("inf"), 1e300, [], 10**400]
         for hint in hints:
             with self.subTest(hint=hint):
-                made, told = self.directory()
+                made, told = self.endpoint_list()
                 made.learn({"rev": 1, "all": True, "targets": [self.GOOD]})
                 made.learn(
                     {"rev": 2, "all": False, "targets": [{**self.GOOD, "state": "draining", "capacity_hint": hint}]}
                 )
                 line = told[-1][1][0]
-                self.assertEqual((line.rate, line.phase), (7.5, Phase.DRAINING))
+                self.assertEqual((line.rate, line.phase), (7.5, EndpointState.DRAINING))
 
     def test_discovery_that_refuses_stalls_or_answers_half_leaves_the_last_list(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -492,7 +506,7 @@
             with self.subTest(answer=answer), gevent.socket.socket() as listener:
                 listener.bind(("127.0.0.1", 0))
                 listener.listen()
-                made, told = self.directory()
+                made, told = self.endpoint_list()
                 made.platform = listener.getsockname()
                 made.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
                 failed = AsyncResult()
@@ -508,19 +522,19 @@
                 sock.close()
 
     def test_a_broken_watch_opens_anew_when_the_decisions_say_and_at_once_at_a_new_address(self) -> None:
-        directory, _ = self.directory()
+        endpoint_list, _ = self.endpoint_list()
         failed: list[int] = []
-        directory.tell_failed = lambda: failed.append(1)
-        directory.platform = ("127.0.0.1", 1)  # nobody listens there
-        directory.ask()  # as at the start, while the first watch is opened
-        watching = gevent.spawn(directory.watch)
+        endpoint_list.tell_failed = lambda: failed.append(1)
+        endpoint_list.platform = ("127.0.0.1", 1)  # nobody listens there
+        endpoint_list.ask()  # as at the start, while the first watch is opened
+        watching = gevent.spawn(endpoint_list.watch)
         self.addCleanup(watching.kill)
         gevent.sleep(0.6)
         self.assertEqual(len(failed), 1)
-        directory.ask()
+        endpoint_list.ask()
         gevent.sleep(0.1)
         self.assertEqual(len(failed), 2)
-        directory.move(("127.0.0.1", 2))
+        endpoint_list.move(("127.0.0.1", 2))
         gevent.sleep(0.1)
         self.assertEqual(len(failed), 3)
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cedarwick.interface import ListChange, Listing, Phase
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
 from cedarwick.ops import lasting
 from cedarwick.ops.calls import LONGEST_LINE, Call, InvalidCallError, Suspensions, parse
 from cedarwick.ops.staff import NotSuspendedError, UnlistedReceiverError
@@ -244,17 +244,17 @@
 class ColdReturn(unittest.TestCase):
     def test_a_receiver_back_after_a_drain_is_ramped(self) -> None:
         made = sender()
-        made.listed(NOW, ListChange.CHANGES, [Listing(1, 0, 0, 7, Phase.DRAINING, 0.0)])
+        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
         made.decide(NOW)
         later = NOW + 3_000_000  # longer than rules.fall-ms
-        made.listed(later, ListChange.CHANGES, [Listing(1, 0, 0, 7, Phase.READY, 0.0)])
+        made.listed(later, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)])
         self.assertEqual(made.receivers[1].back_at, later)
 
     def test_a_moment_out_is_no_return(self) -> None:
         made = sender()
-        made.listed(NOW, ListChange.CHANGES, [Listing(1, 0, 0, 7, Phase.DRAINING, 0.0)])
+        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
         made.decide(NOW)
-        made.listed(NOW + 500_000, ListChange.CHANGES, [Listing(1, 0, 0, 7, Phase.READY, 0.0)])
+        made.listed(NOW + 500_000, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)])
         self.assertEqual(made.receivers[1].back_at, 0)
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -3,8 +3,15 @@
 import unittest
 from unittest import mock
 
-from cedarwick.interface import EarlierAttempt, ListChange, Listing, Outcome, Owed, Phase
-from cedarwick.policy import SPAN, STEP_EVERY, WINDOW_BASE, Sender
+from cedarwick.decisions.interface import (
+    EarlierAttempt,
+    EndpointState,
+    EndpointUpdate,
+    ListedEndpoint,
+    Outcome,
+    UnfinishedMessage,
+)
+from cedarwick.decisions.policy import SPAN, STEP_EVERY, WINDOW_BASE, Sender
 from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, end, out, sender, take
 
 
@@ -21,7 +28,7 @@
         made = sender()
         handle = out(made, 1)
         end(handle, Outcome.TIME_OUT, NOW + 16_000 * MS)
-        self.assertEqual(made.decide(NOW + 16_000 * MS).write_offs, [1])
+        self.assertEqual(made.decide(NOW + 16_000 * MS).abandoned, [1])
 
     def test_out_of_attempts_is_answered_at_once(self) -> None:
         made = sender()
@@ -40,7 +47,7 @@
     def test_at_most_once_is_written_off_after_a_time_out(self) -> None:
         made = sender()
         end(out(made, 1, ONCE), Outcome.TIME_OUT, NOW + 900 * MS)
-        self.assertEqual(made.decide(NOW + 900 * MS).write_offs, [1])
+        self.assertEqual(made.decide(NOW + 900 * MS).abandoned, [1])
 
     def test_at_most_once_goes_again_after_a_refusal(self) -> None:
         made = sender()
@@ -53,7 +60,7 @@
         handle = out(made, 1, NUMBERED)
         end(handle, Outcome.ERROR, NOW + 6_001 * MS)
         verdicts = made.decide(NOW + 6_001 * MS)
-        self.assertEqual((verdicts.attempts, verdicts.write_offs), ([], [1]))
+        self.assertEqual((verdicts.attempts, verdicts.abandoned), ([], [1]))
 
     def test_numbered_time_out_leaves_room_in_the_window(self) -> None:
         made = sender()
@@ -82,13 +89,13 @@
 class Drains(unittest.TestCase):
     def test_nothing_goes_to_a_draining_receiver(self) -> None:
         made = sender()
-        made.listed(NOW, ListChange.CHANGES, [Listing(1, 0, 0, 7, Phase.DRAINING, 0.0)])
+        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
         take(made, 1)
         self.assertEqual(made.decide(NOW).attempts, [])
 
     def test_a_whole_list_replaces(self) -> None:
         made = sender(receivers=2)
-        made.listed(NOW, ListChange.WHOLE, [Listing(2, 0, 0, 7, Phase.READY, 0.0)])
+        made.listed(NOW, EndpointUpdate.FULL, [ListedEndpoint(2, 0, 0, 7, EndpointState.READY, 0.0)])
         take(made, 1)
         self.assertEqual([attempt[1] for attempt in made.decide(NOW).attempts], [2])
 
@@ -163,7 +170,7 @@
     def test_a_replacement_of_a_lost_machine_starts_out(self) -> None:
         made = sender()
         made.receivers[1].out_since = NOW
-        made.listed(NOW, ListChange.CHANGES, [Listing(2, 0, 0, 7, Phase.READY, 0.0)])
+        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(2, 0, 0, 7, EndpointState.READY, 0.0)])
         self.assertEqual(made.receivers[2].out_since, NOW)
 
     def test_lost_calls_among_good_ones_are_no_outage(self) -> None:
@@ -295,7 +302,7 @@
     def test_a_link_that_will_not_be_used_again_is_given_back(self) -> None:
         made = sender(balancers="200")
         end(out(made, 1), Outcome.COMPLETED, NOW + 100 * MS)
-        self.assertEqual(made.decide(NOW + 100 * MS).freed_links, [1])
+        self.assertEqual(made.decide(NOW + 100 * MS).released_connections, [1])
 
 
 class CrowdedTables(unittest.TestCase):
@@ -304,13 +311,13 @@
             made = sender()
             made.destinations[7].unlinked_at = failed_at
             end(out(made, 1), Outcome.COMPLETED, NOW + 100 * MS)
-            self.assertEqual(made.decide(NOW + 100 * MS).freed_links, freed)
+            self.assertEqual(made.decide(NOW + 100 * MS).released_connections, freed)
 
 
 class MakingWay(unittest.TestCase):
     def test_the_backlog_of_a_lost_destination_goes_first(self) -> None:
         made = sender(policy_limits__max_open="6")
-        made.listed(NOW, ListChange.CHANGES, [Listing(8, 0, 0, 8, Phase.READY, 0.0)])
+        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)])
         made.receivers[8].out_since, made.receivers[8].canary_at = NOW - 9_000 * MS, NOW + 60_000 * MS
         made.take(NOW, 50, 8, FREE, NOW + 16_000 * MS, 0, 0)
         for message in range(1, 5):
@@ -337,7 +344,7 @@
         made.receivers[1].pace.wait_until = NOW + 5_000 * MS
         take(made, 2, ONCE)
         verdicts = made.decide(NOW)
-        self.assertEqual((verdicts.nacks, verdicts.write_offs), ([], [1]))
+        self.assertEqual((verdicts.nacks, verdicts.abandoned), ([], [1]))
 
 
 class Urgency(unittest.TestCase):
@@ -364,7 +371,7 @@
     def test_where_senders_are_many_a_short_slot_goes_to_the_destination_that_answers_soon(self) -> None:
         for senders, first in (("2", 1), ("200", 2)):
             made = sender(family_info__max_calls="1", balancers=senders)
-            made.listed(NOW, ListChange.CHANGES, [Listing(8, 0, 0, 8, Phase.READY, 0.0)])
+            made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)])
             made.receivers[1].mean, made.receivers[8].mean = 2_000.0 * MS, 200.0 * MS
             take(made, 1)
             made.take(NOW, 2, 8, FREE, NOW + 16_000 * MS, 0, 0)
@@ -387,7 +394,7 @@
 
     def test_the_next_of_a_key_goes_on_at_another_destination(self) -> None:
         made = sender()
-        made.listed(NOW, ListChange.CHANGES, [Listing(9, 0, 0, 8, Phase.READY, 0.0)])
+        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(9, 0, 0, 8, EndpointState.READY, 0.0)])
         handle = out(made, 1, NUMBERED, key=9)
         made.take(NOW, 2, 8, NUMBERED, NOW + 16_000 * MS, 0, 9)
         made.decide(NOW)
@@ -401,7 +408,7 @@
         handle.attempts, handle.ran_at, handle.doubtful_at = 6, NOW, NOW + 90 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
         verdicts = made.decide(NOW + 100 * MS)
-        self.assertEqual((verdicts.attempts, verdicts.write_offs), ([], [1]))
+        self.assertEqual((verdicts.attempts, verdicts.abandoned), ([], [1]))
         self.assertEqual(made.turns.rests[9], NOW + 390 * MS)
 
 
@@ -409,22 +416,22 @@
     def test_a_break_on_a_kept_link_is_no_evidence_and_needs_no_backing_off(self) -> None:
         made = sender()
         handle = out(made, 1)
-        handle.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), kept_link=True)
+        handle.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
         self.assertEqual((list(made.receivers[1].recent), handle.due), ([], NOW + 9 * MS + 1))
         self.assertEqual(handle.ran_at, NOW)
 
     def test_at_most_once_goes_on_a_new_link_while_kept_ones_break(self) -> None:
         made = sender()
         once, free = take(made, 2, ONCE), out(made, 1)
-        self.assertFalse(once.on_new_link())
-        free.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), kept_link=True)
-        self.assertEqual((once.on_new_link(), free.on_new_link()), (True, False))
+        self.assertFalse(once.needs_new_connection())
+        free.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
+        self.assertEqual((once.needs_new_connection(), free.needs_new_connection()), (True, False))
         made.receivers[1].pace.proven = True
         for message in range(3, 30):
             now = NOW + message * 100 * MS
             handle = out(made, message, now=now)
-            handle.attempt_ended(now, Outcome.COMPLETED, 0, 1, MS, 0, True, (), kept_link=True)
-        self.assertFalse(once.on_new_link())
+            handle.attempt_ended(now, Outcome.COMPLETED, 0, 1, MS, 0, True, (), reused_connection=True)
+        self.assertFalse(once.needs_new_connection())
 
 
 class Bounds(unittest.TestCase):
@@ -441,10 +448,12 @@
         handle = out(made, 1)
         held = next(each for each in made.receivers if made.receivers[each].calls)
         for after in (0, 21):
-            made.listed(NOW + after * 1000 * MS, ListChange.WHOLE, [Listing(9, 0, 0, 7, Phase.READY, 0.0)])
+            made.listed(
+                NOW + after * 1000 * MS, EndpointUpdate.FULL, [ListedEndpoint(9, 0, 0, 7, EndpointState.READY, 0.0)]
+            )
         self.assertEqual((sorted(made.receivers), made.destinations[7].members), ([held, 9], [held, 9]))
         end(handle, Outcome.COMPLETED, NOW + 21_000 * MS, receiver=held)
-        made.listed(NOW + 22_000 * MS, ListChange.CHANGES, [])
+        made.listed(NOW + 22_000 * MS, EndpointUpdate.DELTA, [])
         made.decide(NOW + 22_000 * MS)
         self.assertEqual((list(made.receivers), made.destinations[7].members), ([9], [9]))
 
@@ -531,7 +540,7 @@
             handle.attempts = 8
             end(handle, Outcome.CONNECT_FAILED, NOW + 4_000 * MS)
             verdicts = made.decide(NOW + 4_000 * MS)
-            self.assertEqual((verdicts.nacks, verdicts.write_offs), ([], []), (seed, quickest))
+            self.assertEqual((verdicts.nacks, verdicts.abandoned), ([], []), (seed, quickest))
             self.assertLess(handle.due, NOW + 16_000 * MS - quickest)
 
     def test_a_retry_after_wait_beyond_its_time_ends_it_at_once(self) -> None:
@@ -564,12 +573,12 @@
 class Restarts(unittest.TestCase):
     def resumed(self, priority_class: int, *attempts: EarlierAttempt, key: int = 0, limit: int = 16_000) -> Sender:
         made = sender()
-        made.resume(NOW, [Owed(1, 7, priority_class, NOW + limit * MS, 0, key, attempts)])
+        made.resume(NOW, [UnfinishedMessage(1, 7, priority_class, NOW + limit * MS, 0, key, attempts)])
         return made
 
     def test_at_most_once_with_a_attempt_without_outcome_is_written_off(self) -> None:
         verdicts = self.resumed(ONCE, EarlierAttempt(NOW - 900 * MS, 0, None)).decide(NOW)
-        self.assertEqual((verdicts.attempts, verdicts.write_offs), ([], [1]))
+        self.assertEqual((verdicts.attempts, verdicts.abandoned), ([], [1]))
 
     def test_at_most_once_goes_again_when_nothing_ran(self) -> None:
         verdicts = self.resumed(ONCE, EarlierAttempt(NOW - 900 * MS, 0, Outcome.FULL)).decide(NOW)
@@ -577,7 +586,7 @@
 
     def test_numbered_counts_its_window_from_the_first_attempt_that_may_have_run(self) -> None:
         first, second = EarlierAttempt(NOW - 6_001 * MS, 0, Outcome.RESET), EarlierAttempt(NOW - 900 * MS, 0, None)
-        self.assertEqual(self.resumed(NUMBERED, first, second).decide(NOW).write_offs, [1])
+        self.assertEqual(self.resumed(NUMBERED, first, second).decide(NOW).abandoned, [1])
         self.assertEqual(len(self.resumed(NUMBERED, second).decide(NOW).attempts), 1)
 
     def test_the_count_of_attempts_survives(self) -> None:
@@ -626,19 +635,19 @@
         made = sender()
         made.decide(NOW)
         made.receivers[1].pace.wait_until = NOW + 5_000 * MS
-        news = [Listing(8, 0, 0, 8, Phase.READY, 0.0)]
-        made.listed(NOW, ListChange.CHANGES, news)
+        news = [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)]
+        made.listed(NOW, EndpointUpdate.DELTA, news)
         self.assertEqual(made.changed, set())
         take(made, 1)
         made.decide(NOW)
-        made.listed(NOW, ListChange.CHANGES, news)
+        made.listed(NOW, EndpointUpdate.DELTA, news)
         self.assertEqual(made.changed, {7})
 
     def asks(self, made: Sender, failures: int) -> list[int]:
         """How long the sender waits with its next call for the list, after each of so many in a row that failed."""
         waits, now = [], NOW
         for _ in range(failures):
-            made.list_call_failed(now)
+            made.list_poll_failed(now)
             at = made.decide(now).wake_at
             assert at is not None
             self.assertFalse(made.decide(at - 1).subscribe)
@@ -665,7 +674,7 @@
     def test_a_watch_that_held_is_asked_for_anew_soon(self) -> None:
         made = Sender({**SETTINGS, "rules.ask-within-ms": "10000"}, 5, NOW)
         self.asks(made, 8)
-        made.list_call_failed(NOW + 200_000 * MS)
+        made.list_poll_failed(NOW + 200_000 * MS)
         self.assertLessEqual(made.decide(NOW + 200_000 * MS).wake_at or 0, NOW + 200_500 * MS + 1)
 
 
--- a/tests/test_ramp_sum.py
+++ b/tests/test_ramp_sum.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from cedarwick.interface import ListChange, Listing, Outcome, Phase
-from cedarwick.policy import Handle, Sender
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
+from cedarwick.decisions.policy import Handle, Sender
 
 MS = 1000
 SECOND = 1000 * MS
@@ -110,8 +110,11 @@
         new = Sender(self.settings, seed, self.now)
         new.listed(
             self.now,
-            ListChange.SAVED,
-            [Listing(1 + each, 0, 0, 7, Phase.READY, self.listed_rate) for each in range(self.site.receivers)],
+            EndpointUpdate.CACHED,
+            [
+                ListedEndpoint(1 + each, 0, 0, 7, EndpointState.READY, self.listed_rate)
+                for each in range(self.site.receivers)
+            ],
         )
         return new
 
@@ -159,7 +162,7 @@
                     self.call, sender, made, self.handles[sender][message], receiver, self.now, self.now + patience
                 ),
             )
-        for message in [each for each, _ in verdicts.nacks] + verdicts.write_offs:
+        for message in [each for each, _ in verdicts.nacks] + verdicts.abandoned:
             self.handles[sender].pop(message, None)
         if verdicts.wake_at is not None:
             at = max(verdicts.wake_at, self.now + 5 * MS)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 from loguru import logger
 
-from cedarwick.interface import Outcome
-from cedarwick.store import old, planner, records
+from cedarwick.decisions.interface import Outcome
+from cedarwick.store import compaction_planner, legacy_format, records
 from cedarwick.store.files import Folder, FolderInUseError, segment_name
 from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
-from cedarwick.store.records import Damage, Found, Kept, framed, scan
+from cedarwick.store.records import DamagedRange, Frame, StoredMessage, framed, scan
 from cedarwick.store.recovery import Recovered, recover
 
 ENDING, SPAN = [Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.TIME_OUT, Outcome.CONNECT_FAILED], 1000
@@ -133,9 +133,9 @@
     return made
 
 
-def kept(number: int, size: int = 100) -> Kept:
+def kept(number: int, size: int = 100) -> StoredMessage:
     body = (b"%08d" % number) * (size // 8 + 1)
-    return Kept(
+    return StoredMessage(
         number, f"id-{number}", "mark" if number % 2 else "", number % 3, "band", "", number % 5, 10**15, body[:size]
     )
 
@@ -610,19 +610,19 @@
     """Folders of the version before: one file, rewritten whole."""
 
     def old_file(self) -> bytearray:
-        parts = [old.OVER_BODY.pack(old.WHOLE, 0)]
+        parts = [legacy_format.OVER_BODY.pack(legacy_format.WHOLE, 0)]
         for number in (1, 2, 3, 4):
             texts = [b"id-%d" % number, b"", b"band", b""]
-            head = old.KEPT_BODY.pack(old.KEPT, number, 10**15, 0, 0, *map(len, texts))
+            head = legacy_format.KEPT_BODY.pack(legacy_format.KEPT, number, 10**15, 0, 0, *map(len, texts))
             parts.append(head + b"".join(texts) + b"body")
         parts += [
-            old.ATTEMPT_BODY.pack(old.ATTEMPT, 1, 50, 0),
-            old.ATTEMPT_BODY.pack(old.ATTEMPT, 2, 60, 0),
-            old.OUTCOME_BODY.pack(old.OUTCOME, 2, list(Outcome).index(Outcome.FULL)),
-            old.END_BODY.pack(old.END, 3, 1, 250),
-            old.OVER_BODY.pack(old.OVER, 4),
+            legacy_format.ATTEMPT_BODY.pack(legacy_format.ATTEMPT, 1, 50, 0),
+            legacy_format.ATTEMPT_BODY.pack(legacy_format.ATTEMPT, 2, 60, 0),
+            legacy_format.OUTCOME_BODY.pack(legacy_format.OUTCOME, 2, list(Outcome).index(Outcome.FULL)),
+            legacy_format.END_BODY.pack(legacy_format.END, 3, 1, 250),
+            legacy_format.OVER_BODY.pack(legacy_format.OVER, 4),
         ]
-        return bytearray(b"".join(old.HEAD.pack(len(each), zlib.crc32(each)) + each for each in parts))
+        return bytearray(b"".join(legacy_format.HEAD.pack(len(each), zlib.crc32(each)) + each for each in parts))
 
     def check(self, made: Store) -> None:
         self.assertEqual(sorted(made.kept), [1, 2, 3])
@@ -679,7 +679,7 @@
     def test_what_is_kept_comes_back_with_its_attempts_and_numbers_are_not_used_again(self) -> None:
         made = store(Folder(self.path))
         for number in (1, 2, 3, 4):
-            made.keep(Kept(number, f"id-{number}", "k", 7, "band", "tenant", 3, 99, b"body"))
+            made.keep(StoredMessage(number, f"id-{number}", "k", 7, "band", "tenant", 3, 99, b"body"))
         made.attempt(1, 500, 2)
         made.outcome(1, Outcome.FULL)
         made.attempt(1, 900, 1)
@@ -723,33 +723,38 @@
                 made = store(Folder(self.path), limit=30_000)
                 history.compare(self, made)
                 history.store = made
-        on_disk = sum(planner.blocks(os.stat(os.path.join(self.path, name)).st_size) for name in os.listdir(self.path))
+        on_disk = sum(
+            compaction_planner.blocks(os.stat(os.path.join(self.path, name)).st_size) for name in os.listdir(self.path)
+        )
         self.assertEqual((made.used, made.used <= 30_000), (on_disk, True))
         made.close()
 
 
 class Planning(unittest.TestCase):
-    SIZES = planner.Sizes(limit=1_000_000, used=0, live=0, segment=31_250, largest=1000, header=100)
+    SIZES = compaction_planner.Sizes(limit=1_000_000, used=0, live=0, segment=31_250, largest=1000, header=100)
 
     def test_the_emptiest_goes_first_the_older_of_two_alike_and_none_that_gains_nothing(self) -> None:
         some = [
-            planner.Candidate(1, 1000, 900),
-            planner.Candidate(2, 1000, 300),
-            planner.Candidate(3, 2000, 600),
-            planner.Candidate(4, 1000, 1000),
+            compaction_planner.CompactionCandidate(1, 1000, 900),
+            compaction_planner.CompactionCandidate(2, 1000, 300),
+            compaction_planner.CompactionCandidate(3, 2000, 600),
+            compaction_planner.CompactionCandidate(4, 1000, 1000),
         ]
-        self.assertEqual(planner.choose(some, short=False), some[1])
-        self.assertIsNone(planner.choose(some[3:], short=True))
+        self.assertEqual(compaction_planner.choose(some, short=False), some[1])
+        self.assertIsNone(compaction_planner.choose(some[3:], short=True))
 
     def test_a_nearly_full_one_is_moved_only_where_room_is_short(self) -> None:
-        full = [planner.Candidate(1, 1000, 960)]
-        self.assertIsNone(planner.choose(full, short=False))
-        self.assertEqual(planner.choose(full, short=True), full[0])
+        full = [compaction_planner.CompactionCandidate(1, 1000, 960)]
+        self.assertIsNone(compaction_planner.choose(full, short=False))
+        self.assertEqual(compaction_planner.choose(full, short=True), full[0])
 
     def test_nothing_moves_while_there_is_room_and_more_the_less_there_is(self) -> None:
-        victim, floor = planner.Candidate(1, 31_250, 15_625), planner.reserve(self.SIZES)
+        victim, floor = (
+            compaction_planner.CompactionCandidate(1, 31_250, 15_625),
+            compaction_planner.reserve(self.SIZES),
+        )
         paces = [
-            planner.pace(self.SIZES._replace(used=1_000_000 - floor - free), victim, 1000)
+            compaction_planner.pace(self.SIZES._replace(used=1_000_000 - floor - free), victim, 1000)
             for free in (300_000, 250_000, 150_000, 50_000, 0)
         ]
         self.assertEqual(paces[:2], [0, 0])
@@ -759,14 +764,16 @@
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.integers(0, 1_000_000), st.integers(0, 31_250), st.integers(0, 1 << 20))
     def test_a_step_is_bounded(self, used: int, live: int, appended: int) -> None:
-        step = planner.pace(self.SIZES._replace(used=used), planner.Candidate(1, 31_250, live), appended)
-        self.assertTrue(0 <= step <= planner.STEP)
+        step = compaction_planner.pace(
+            self.SIZES._replace(used=used), compaction_planner.CompactionCandidate(1, 31_250, live), appended
+        )
+        self.assertTrue(0 <= step <= compaction_planner.STEP)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.integers(200_000, 1 << 34))
     def test_nine_tenths_of_a_large_folder_can_live_and_four_fifths_of_a_small_one(self, limit: int) -> None:
-        sizes = planner.Sizes(limit, 0, 0, planner.segment_size(limit), 1100, 700)
-        share = planner.room(sizes) / limit
+        sizes = compaction_planner.Sizes(limit, 0, 0, compaction_planner.segment_size(limit), 1100, 700)
+        share = compaction_planner.room(sizes) / limit
         self.assertGreater(share, 0.9 if limit > 1 << 22 else 0.55 if limit < 1 << 20 else 0.8)
 
 
@@ -797,10 +804,10 @@
         self, payloads: list[bytes], cut: int, noise: bytes
     ) -> None:
         data = noise + b"".join(map(framed, payloads))
-        found = [each.payload for each in scan(data, 0, True) if isinstance(each, Found)]
+        found = [each.payload for each in scan(data, 0, True) if isinstance(each, Frame)]
         self.assertEqual(found[-len(payloads) :] if payloads else [], payloads)
         spans = [
-            (each.at, each.until if isinstance(each, Damage) else each.at + 10 + len(each.payload))
+            (each.at, each.until if isinstance(each, DamagedRange) else each.at + 10 + len(each.payload))
             for each in scan(data, 0, True)
         ]
         self.assertEqual([begin for begin, _ in spans], [0, *[end for _, end in spans]][: len(spans)])
@@ -808,7 +815,7 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.binary(max_size=300))
     def test_noise_is_never_a_record(self, noise: bytes) -> None:
-        self.assertFalse([each for each in scan(noise, 0, True) if isinstance(each, Found)])
+        self.assertFalse([each for each in scan(noise, 0, True) if isinstance(each, Frame)])
 
 
 if __name__ == "__main__":
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -11,6 +11,7 @@
 from gevent.event import AsyncResult
 
 from cedarwick.config.operator import Fleet, Member
+from cedarwick.decisions.interface import Outcome
 from cedarwick.fleet import transfers
 from cedarwick.fleet.book import Holding, Shared, boot_time
 from cedarwick.fleet.decrees import OLD, Acceptor, Row, Table, name_move
@@ -27,14 +28,13 @@
 from cedarwick.fleet.shipping import EVERYTHING
 from cedarwick.fleet.shipping import Entry as Step
 from cedarwick.fleet.traffic import HEIRS, Estate, Traffic
-from cedarwick.interface import Outcome
-from cedarwick.net.attempts import Ending
+from cedarwick.net.attempts import AttemptResult
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Answered, Submission
+from cedarwick.net.dispatcher import AdmissionResult, Submission
 from cedarwick.ops.calls import Call
 from cedarwick.store.journal import NoSpaceError
-from cedarwick.store.records import Kept
+from cedarwick.store.records import StoredMessage
 from tests import test_net
 from tests.build import free_port
 
@@ -43,8 +43,8 @@
 CLOCK = Clock()
 
 
-def message(id: str, body: bytes = b"x") -> Kept:
-    return Kept(0, id, "", KEY, "line", "", 0, CLOCK.now() + 6_000_000, body)
+def message(id: str, body: bytes = b"x") -> StoredMessage:
+    return StoredMessage(0, id, "", KEY, "line", "", 0, CLOCK.now() + 6_000_000, body)
 
 
 class Desk:
@@ -63,7 +63,7 @@
         submission.kept.number = self.store.next_number
         self.store.next_number += 1
         self.store.keep(submission.kept)
-        submission.answered(Answered.KEPT)
+        submission.answered(AdmissionResult.KEPT)
 
     def between(self, call: Callable[[], bool]) -> AsyncResult:
         answer: AsyncResult = AsyncResult()
@@ -98,7 +98,7 @@
             member=[Member(name=each, address=f"127.0.0.1:{free_port()}", hall=each) for each in NAMES],
         )
         node = Node(name, told, self.folders[name], store, CLOCK, Counters())
-        node.desk = mock.Mock()
+        node.dispatcher = mock.Mock()
         self.addCleanup(store.close)
         self.addCleanup(node.stop)
         node.members.state = lambda now, name: Standing.ALIVE  # type: ignore[method-assign]
@@ -112,8 +112,8 @@
         store.next_number = max([book << 32, *store.numbers(book)]) + 1
         assert node.traffic is not None
         made = node.traffic
-        intake: Any = SimpleNamespace(paused=False)
-        made.attach(mock.Mock(), intake, Desk(store))  # type: ignore[arg-type]
+        client_listener: Any = SimpleNamespace(paused=False)
+        made.attach(mock.Mock(), client_listener, Desk(store))  # type: ignore[arg-type]
         made.lane = SimpleNamespace(
             call=lambda to, body, within: self.call(name, to, body),  # type: ignore[assignment]
             close=lambda: None,
@@ -153,19 +153,19 @@
     def test_a_session_moves_with_its_messages_and_ids_and_no_id_is_taken_twice(self) -> None:
         a, b, c = (self.traffic[name] for name in NAMES)
         for id in ("1", "2"):
-            self.assertEqual(a.hand_in(message(id))[0], Answered.KEPT)
+            self.assertEqual(a.hand_in(message(id))[0], AdmissionResult.KEPT)
         self.assertEqual(self.move("a", "b"), "YES 00000000000000a1 moved to b\n")
         self.turn()
         self.assertEqual(
             [sorted(kept.id for kept in each.store.kept.values()) for each in (a, b, c)], [[], ["1", "2"], []]
         )
-        self.assertEqual(len(b.desk.adopted), 2)  # type: ignore[attr-defined]
+        self.assertEqual(len(b.dispatcher.adopted), 2)  # type: ignore[attr-defined]
         self.assertEqual([each.store.inert for each in (a, b)], [{}, {}])
         self.assertEqual([each.transfers.files.inert() for each in (a, b)], [{}, {}])
         for who in (a, c):  # the connection that stayed, and a client that comes elsewhere
-            self.assertEqual(who.hand_in(message("1"))[0], Answered.KEPT)
-            self.assertEqual(who.hand_in(message("2", b"other"))[0], Answered.REPEATED)
-            self.assertEqual(who.hand_in(message(f"3{who.name}"))[0], Answered.KEPT)
+            self.assertEqual(who.hand_in(message("1"))[0], AdmissionResult.KEPT)
+            self.assertEqual(who.hand_in(message("2", b"other"))[0], AdmissionResult.REPEATED)
+            self.assertEqual(who.hand_in(message(f"3{who.name}"))[0], AdmissionResult.KEPT)
         self.assertEqual(sorted(kept.id for kept in b.store.kept.values()), ["1", "2", "3a", "3c"])
 
     def test_a_full_folder_at_the_giver_keeps_no_message_from_being_given_up(self) -> None:
@@ -197,12 +197,12 @@
             return ""
 
         self.lose = once
-        self.assertEqual((c.hand_in(message("2"))[0], len(lost)), (Answered.KEPT, 1))
-        self.assertEqual(a.desk.submitted, 2)  # type: ignore[attr-defined]
+        self.assertEqual((c.hand_in(message("2"))[0], len(lost)), (AdmissionResult.KEPT, 1))
+        self.assertEqual(a.dispatcher.submitted, 2)  # type: ignore[attr-defined]
         self.lose = lambda to, body: "answer" if to == "a" else ""
-        self.assertEqual(c.hand_in(message("3"))[0], Answered.UNSURE)
+        self.assertEqual(c.hand_in(message("3"))[0], AdmissionResult.UNSURE)
         c.node.members.state = lambda now, name: Standing.DEAD  # type: ignore[method-assign]
-        self.assertEqual(c.hand_in(message("4"))[0], Answered.BUSY)
+        self.assertEqual(c.hand_in(message("4"))[0], AdmissionResult.BUSY)
 
     def test_a_client_gone_before_its_answer_is_withdrawn_at_the_holder(self) -> None:
         a, c = self.traffic["a"], self.traffic["c"]
@@ -211,14 +211,14 @@
         answered, _, withdraw = c.hand_in(message("2"))
         assert withdraw is not None
         number = max(a.store.kept)
-        a.desk.numbers["2"] = number
-        a.desk.withdraw = mock.Mock()  # type: ignore[method-assign]
+        a.dispatcher.numbers["2"] = number
+        a.dispatcher.withdraw = mock.Mock()  # type: ignore[method-assign]
         withdraw()
         gevent.sleep(0.02)
-        self.assertEqual(a.desk.withdraw.call_args[0][0].kept.number, number)
+        self.assertEqual(a.dispatcher.withdraw.call_args[0][0].kept.number, number)
         a.store.inert[number] = 1, ">1/b/a"
         a.heard("c", 1, Recall(KEY, "2"))  # Danger: on the move it may be another sender's already
-        self.assertEqual(a.desk.withdraw.call_count, 1)
+        self.assertEqual(a.dispatcher.withdraw.call_count, 1)
 
     def test_marks_outlive_a_restart_and_the_move_is_settled_then(self) -> None:
         a = self.traffic["a"]
@@ -236,10 +236,10 @@
         assert known is not None
         self.assertEqual(known[1][:1], "<")
         self.turn(0.1)
-        self.assertEqual(again.desk.adopted, [])  # type: ignore[attr-defined]
+        self.assertEqual(again.dispatcher.adopted, [])  # type: ignore[attr-defined]
         self.lose = lambda to, body: ""
         self.turn(1.0)
-        self.assertEqual((again.desk.adopted, again.store.may_fire(number)), ([number], True))  # type: ignore[attr-defined]
+        self.assertEqual((again.dispatcher.adopted, again.store.may_fire(number)), ([number], True))  # type: ignore[attr-defined]
         self.assertEqual(self.traffic["b"].store.kept, {})
 
     def test_the_process_that_replaces_this_one_goes_on_with_its_sessions_once(self) -> None:
@@ -249,9 +249,11 @@
         a.node.stop()
         a.store.close()
         again = self.member("a")
-        desk: Any = again.desk
-        self.assertEqual([again.hand_in(message(id))[0] for id in ("1", "2")], [Answered.KEPT, Answered.KEPT])
-        self.assertEqual(desk.submitted, 1)
+        dispatcher: Any = again.dispatcher
+        self.assertEqual(
+            [again.hand_in(message(id))[0] for id in ("1", "2")], [AdmissionResult.KEPT, AdmissionResult.KEPT]
+        )
+        self.assertEqual(dispatcher.submitted, 1)
         self.assertIsNone(again.transfers.files.take_sessions())
 
     def test_a_stage_that_comes_spoilt_or_late_is_not_kept(self) -> None:
@@ -265,7 +267,7 @@
     def test_a_session_whose_move_is_called_off_on_a_full_disk_is_taken_up_once_there_is_room(self) -> None:
         a = self.traffic["a"]
         a.hand_in(message("1"))
-        thawed = a.desk.thaw = mock.Mock()  # type: ignore[method-assign]
+        thawed = a.dispatcher.thaw = mock.Mock()  # type: ignore[method-assign]
         self.lose = lambda to, body: "ask" if isinstance(body, Stage) else ""
         with mock.patch.object(transfers, "RELEASE_AGAIN", 0.05):
             a.transfers.begin(KEY, "b", boot_time())
@@ -275,7 +277,7 @@
                 self.assertTrue(save.called)
                 self.assertEqual((len(a.store.inert), thawed.called), (1, False))
             self.turn(0.3)
-        self.assertEqual((a.store.inert, thawed.called, len(a.desk.adopted)), ({}, True, 1))  # type: ignore[attr-defined]
+        self.assertEqual((a.store.inert, thawed.called, len(a.dispatcher.adopted)), ({}, True, 1))  # type: ignore[attr-defined]
 
     def test_a_vote_that_was_not_written_is_not_granted_when_it_is_asked_again(self) -> None:
         made, move = self.traffic["b"].transfers, name_move(self.traffic["a"].transfers.stamp, "a", "b")
@@ -292,7 +294,7 @@
         a = self.traffic["a"]
         a.hand_in(message("1"))
         with mock.patch.object(a.store, "taking", return_value=False):
-            self.assertEqual(a.hand_in(message("2"))[0], Answered.BUSY)
+            self.assertEqual(a.hand_in(message("2"))[0], AdmissionResult.BUSY)
         passed = a._passed(
             "c",
             SimpleNamespace(  # type: ignore[arg-type]
@@ -345,15 +347,15 @@
                     who.hand_in(message("1", b"other"))[0],
                     who.hand_in(message(f"2{who.name}"))[0],
                 ],
-                [Answered.KEPT, Answered.REPEATED, Answered.KEPT],
+                [AdmissionResult.KEPT, AdmissionResult.REPEATED, AdmissionResult.KEPT],
             )
         self.assertEqual(sorted(kept.id for kept in c.store.kept.values()), ["2b", "2c"])
         # It wakes, and has its next book; what it had taken and told to nobody is neither answered nor delivered.
         self.lose = lambda to, body: ""
         a.store.current = Holding(book + 1, a.store.holdings[book].adoption)
         a.store.current.serving = True
-        self.assertEqual(a.hand_in(message("2b"))[0], Answered.KEPT)
-        self.assertEqual((a.desk.submitted, a.directory.where(KEY)), (1, "c"))  # type: ignore[attr-defined]
+        self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.KEPT)
+        self.assertEqual((a.dispatcher.submitted, a.directory.where(KEY)), (1, "c"))  # type: ignore[attr-defined]
         ((number, kept),) = a.store.kept.items()
         holding = c.store.holdings[book]
         fact = Fact(number, base_of(kept, b"x"), Known())
@@ -368,18 +370,18 @@
 
     def test_nobody_inherits_from_an_older_member_nor_what_a_vote_or_a_young_copy_speaks_against(self) -> None:
         a, b, c, book = self.adopted(HEIRS - 1)
-        self.assertEqual(b.hand_in(message("2"))[0], Answered.BUSY)
+        self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         c.estates[book] = estate = Estate("a", boot_time() + 60_000_000, {}, set())
-        self.assertEqual(b.hand_in(message("2"))[0], Answered.BUSY)
+        self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         c.estates[book] = estate._replace(whole_at=0)
         b.transfers.vote(name_move(b.transfers.stamp, "b", "a"), (1, "a"), "taker", KEY)
-        self.assertEqual(b.hand_in(message("2"))[0], Answered.BUSY)
+        self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         b.transfers.acceptor.rows.clear()
         b.transfers.acceptor.by_key.clear()
         b.node.grantor._grants[right_of(book + 1)] = Grant(right_of(book + 1), 1, "a")
-        self.assertEqual(c.hand_in(message("2"))[0], Answered.BUSY)
+        self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
         del b.node.grantor._grants[right_of(book + 1)]
-        self.assertEqual(c.hand_in(message("2"))[0], Answered.KEPT)
+        self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.KEPT)
         b.transfers.acceptor.learned("a", 1)
         self.assertEqual(
             [
@@ -445,55 +447,57 @@
 
 
 class Frozen(test_net.AtTheDesk):
-    """The desk's side; what the base class tests holds as before."""
+    """The dispatcher's side; what the base class tests holds as before."""
 
     def submission(self, name: str) -> Submission:
-        made = Submission(Kept(0, name, "", KEY, "free", "second", 0, self.desk.clock.now() + 8_000_000, b"x"))
-        self.desk._take(made)
+        made = Submission(
+            StoredMessage(0, name, "", KEY, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
+        )
+        self.dispatcher._take(made)
         return made
 
     def frozen(self) -> AsyncResult:
-        still = self.desk.freeze(KEY)
-        call, told = self.desk.queue.get()
+        still = self.dispatcher.freeze(KEY)
+        call, told = self.dispatcher.queue.get()
         call(*told)
         return still
 
     def test_what_is_out_is_awaited_and_what_comes_is_to_be_handed_in_again(self) -> None:
         self.submission("a")
-        self.desk._decide()
-        self.desk._clear(self.calls[0], AsyncResult())
+        self.dispatcher._decide()
+        self.dispatcher._clear(self.calls[0], AsyncResult())
         fresh = self.submission("b")
         still = self.frozen()
-        self.assertEqual((fresh.answer.get()[0], fresh.kept.number), (Answered.FROZEN, 0))
-        self.assertEqual(self.submission("c").answer.get()[0], Answered.FROZEN)
+        self.assertEqual((fresh.answer.get()[0], fresh.kept.number), (AdmissionResult.FROZEN, 0))
+        self.assertEqual(self.submission("c").answer.get()[0], AdmissionResult.FROZEN)
         self.assertFalse(still.ready())
-        self.desk._attempt_ended(self.calls[0], Ending(Outcome.RESET))
+        self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.RESET))
         self.assertTrue(still.ready())
         self.assertTrue(self.store.kept[1].ran_at)
-        self.desk._adopt([1])
-        self.assertEqual(self.desk.handles, {})  # not while it is frozen
-        self.desk._thaw(KEY)
+        self.dispatcher._adopt([1])
+        self.assertEqual(self.dispatcher.handles, {})  # not while it is frozen
+        self.dispatcher._thaw(KEY)
         self.store.inert[1] = 2, "<1/a/b"
-        self.desk._adopt([1])
-        self.assertEqual(self.desk.handles, {})  # nor while it is marked
+        self.dispatcher._adopt([1])
+        self.assertEqual(self.dispatcher.handles, {})  # nor while it is marked
         del self.store.inert[1]
-        self.desk._adopt([1])
-        self.assertEqual(list(self.desk.handles), [1])
+        self.dispatcher._adopt([1])
+        self.assertEqual(list(self.dispatcher.handles), [1])
         self.assertEqual(self.submission("b").answer.ready(), False)  # its id was not remembered
 
     def test_a_session_that_comes_quietly_lets_the_keys_of_others_go_on(self) -> None:
         self.submission("a")
-        self.desk._decide()
+        self.dispatcher._decide()
         self.frozen()
-        self.desk._attempt_ended(self.calls[0], Ending(Outcome.MOOT))
-        self.desk._thaw(KEY)
-        before = self.desk.sender.turns.all_rest
-        self.desk._adopt([1], quietly=True)
-        self.assertEqual((list(self.desk.handles), self.desk.sender.turns.all_rest), ([1], before))
-        self.desk._park([1])
+        self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
+        self.dispatcher._thaw(KEY)
+        before = self.dispatcher.sender.turns.all_rest
+        self.dispatcher._adopt([1], quietly=True)
+        self.assertEqual((list(self.dispatcher.handles), self.dispatcher.sender.turns.all_rest), ([1], before))
+        self.dispatcher._park([1])
         self.store.kept[1].ran_at = 5
-        self.desk._adopt([1], quietly=True)
-        self.assertGreater(self.desk.sender.turns.all_rest, before)
+        self.dispatcher._adopt([1], quietly=True)
+        self.assertGreater(self.dispatcher.sender.turns.all_rest, before)
 
 
 if __name__ == "__main__":
--- a/tests/test_virtual_days.py
+++ b/tests/test_virtual_days.py
@@ -20,8 +20,8 @@
 from cedarwick.fleet.traffic import Traffic
 from cedarwick.fleet.transfers import GIVEN, Transfers
 from cedarwick.lab.virtualday import play
-from cedarwick.net.intake import Handed
-from cedarwick.store.records import Kept
+from cedarwick.net.client_listener import SubmitResult
+from cedarwick.store.records import StoredMessage
 
 SECONDS = 4.0
 SETTINGS: dict[str, dict[str, Any]] = {
@@ -34,7 +34,7 @@
 }
 
 
-def forgetful(fact: Fact, doubt_at: int = 0) -> Kept:
+def forgetful(fact: Fact, doubt_at: int = 0) -> StoredMessage:
     """Who takes a message over knows nothing of its attempts."""
     kept = kept_of(fact, doubt_at)
     kept.attempts = kept.ran_at = kept.out_at = kept.doubt_at = 0
@@ -45,9 +45,9 @@
     raise ValueError("a beat")
 
 
-def taken_anywhere(self: Traffic, kept: Kept) -> Handed:
+def taken_anywhere(self: Traffic, kept: StoredMessage) -> SubmitResult:
     """No session has a holder: who is asked takes."""
-    return self.intake.to_desk(kept)
+    return self.client_listener.to_dispatcher(kept)
 
 
 def released_early(self: Moves, name: str, now: int) -> list[Act]:
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -9,19 +9,19 @@
 
 import gevent
 
-from cedarwick.interface import ListChange, Listing, Outcome, Phase
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
 from cedarwick.net import assignment, attempts
 from cedarwick.net.assignment import Assignment
-from cedarwick.net.attempts import Attempts, Call, Ending, wait_of
+from cedarwick.net.attempts import AttemptCall, AttemptResult, AttemptRunner, parse_retry_after
 from cedarwick.net.clock import Clock
+from cedarwick.net.connections import Connection, ConnectionPool, DescriptorBudget
 from cedarwick.net.counters import Counters
-from cedarwick.net.desk import Desk, Submission
-from cedarwick.net.http import Answer
-from cedarwick.net.links import Descriptors, Link, Links
-from cedarwick.net.notices import Notices
-from cedarwick.net.sockets import Polled
+from cedarwick.net.dispatcher import Dispatcher, Submission
+from cedarwick.net.http import ResponseParser
+from cedarwick.net.notifications import Notifier
+from cedarwick.net.sockets import PollClock
 from cedarwick.store.journal import Store
-from cedarwick.store.records import Kept
+from cedarwick.store.records import StoredMessage
 from tests.build import FREE, MS, NESTED, NOW, ONCE, Receiver, end, out, reply, sender, take, until
 
 WAIT = 600 * MS
@@ -76,7 +76,7 @@
 
 
 class AgainstAPartner(unittest.TestCase):
-    """The desk, its attempts and its links against one scripted partner."""
+    """The dispatcher, its attempts and its links against one scripted partner."""
 
     def start(self, play: Play, once: bool = False) -> None:
         self.partner = Partner(play)
@@ -88,29 +88,36 @@
         self.store.load()
         self.addCleanup(self.store.close)
         made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.plain(NESTED))
-        polled = Polled(self.clock)
-        self.desk = Desk(made, self.clock, self.counters, self.store, polled)
-        self.links = Links(
-            self.clock, self.counters, Descriptors(200), lambda _: ("127.0.0.1", self.partner.port), 5_000_000, 500_000
+        polled = PollClock(self.clock)
+        self.dispatcher = Dispatcher(made, self.clock, self.counters, self.store, polled)
+        self.links = ConnectionPool(
+            self.clock,
+            self.counters,
+            DescriptorBudget(200),
+            lambda _: ("127.0.0.1", self.partner.port),
+            5_000_000,
+            500_000,
         )
-        self.desk.notices = Notices(("", 0), self.counters, lambda numbers: None)
-        self.desk.free_links = lambda receiver: None
-        self.desk.attempts = Attempts(
+        self.dispatcher.notices = Notifier(("", 0), self.counters, lambda numbers: None)
+        self.dispatcher.free_links = lambda receiver: None
+        self.dispatcher.attempts = AttemptRunner(
             self.clock,
             self.counters,
             self.links,
-            self.desk.sender.columns,
+            self.dispatcher.sender.columns,
             polled,
-            self.desk.clear,
-            self.desk.attempt_ended,
-            self.desk.heed,
+            self.dispatcher.clear,
+            self.dispatcher.attempt_ended,
+            self.dispatcher.heed,
         )
-        self.desk._listed(ListChange.SAVED, [Listing(1, 0, 0, 0, Phase.READY, 0.0)])
-        running = gevent.spawn(self.desk.run)
+        self.dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
+        running = gevent.spawn(self.dispatcher.run)
         self.addCleanup(running.kill)
 
     def submit(self, name: str, priority_class: str = "free", life: int = 8_000_000) -> None:
-        self.desk.submit(Submission(Kept(0, name, "", 0, priority_class, "", 0, self.clock.now() + life, b"x")))
+        self.dispatcher.submit(
+            Submission(StoredMessage(0, name, "", 0, priority_class, "", 0, self.clock.now() + life, b"x"))
+        )
 
     def feed(self, seconds: float, every: float = 0.02, **told: int) -> None:
         """Hand in a message every now and then."""
@@ -174,7 +181,7 @@
         self.submit("first", life=250 * MS)
         until(lambda: gevent.sleep(0.005) or ended, 2.0)
         self.assertEqual(ended, [b""])
-        self.assertTrue(self.desk.idle())  # nothing is out any more, though the link is still read
+        self.assertTrue(self.dispatcher.idle())  # nothing is out any more, though the link is still read
         until(lambda: gevent.sleep(0.01) or not self.links.descriptors.used, 2.0)
 
     def test_links_that_are_only_read_any_more_give_way_first(self) -> None:
@@ -188,16 +195,16 @@
     def test_a_process_stopped_between_clearance_and_first_byte_asks_again(self) -> None:
         second_cleared = threading.Event()
         self.start(refuses_first(second_cleared))
-        clear = self.desk.attempts.clear
+        clear = self.dispatcher.attempts.clear
 
-        def stopped(call: Call) -> bool:
+        def stopped(call: AttemptCall) -> bool:
             may = clear(call)
             if may and self.partner.arrived and not second_cleared.is_set():
                 second_cleared.set()
                 time.sleep(0.25)  # as SIGSTOP does: the refusal comes meanwhile, and nothing is read
             return may
 
-        self.desk.attempts.clear = stopped
+        self.dispatcher.attempts.clear = stopped
         self.submit("first")
         until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
         self.submit("second")
@@ -207,16 +214,16 @@
 
     def test_a_attempt_whose_clearances_all_grow_old_is_decided_on_anew(self) -> None:
         self.start(lambda partner, sock, number: sock.sendall(reply(200)))
-        clear = self.desk.attempts.clear
+        clear = self.dispatcher.attempts.clear
         slow = iter([True] * attempts.MOST_ASKED)
 
-        def stopped(call: Call) -> bool:
+        def stopped(call: AttemptCall) -> bool:
             may = clear(call)
             if next(slow, False):
                 time.sleep(attempts.FRESH * 1.2 / 1e6)
             return may
 
-        self.desk.attempts.clear = stopped
+        self.dispatcher.attempts.clear = stopped
         self.submit("first", priority_class="once")
         until(lambda: gevent.sleep(0.005) or self.counters.counts["answers 200"], 2.0)
         self.assertEqual(self.counters.counts["attempts without an answer: moot"], 1)
@@ -227,14 +234,14 @@
         self.submit("first")
         self.submit("second")
         until(lambda: gevent.sleep(0.005) or len(self.partner.arrived) == 2, 2.0)
-        handles = list(self.desk.handles.values())
+        handles = list(self.dispatcher.handles.values())
         handles[1].attempt_ended(self.clock.now(), Outcome.MOOT, 0, 1, 0, 0, False, ())
         kept = self.store.kept[1], self.store.kept[2]
-        call = Call(kept[1], 1, 1, self.clock.now(), self.clock.now() + 1_000_000)
-        asking = gevent.spawn(self.desk.clear, call)
+        call = AttemptCall(kept[1], 1, 1, self.clock.now(), self.clock.now() + 1_000_000)
+        asking = gevent.spawn(self.dispatcher.clear, call)
         gevent.sleep(0)  # the question stands in the queue, and the refusal behind it
-        refused = Call(kept[0], 0, 1, self.clock.now(), self.clock.now() + 1_000_000)
-        self.desk.attempt_ended(refused, Ending(Outcome.FULL, 1000, WAIT))
+        refused = AttemptCall(kept[0], 0, 1, self.clock.now(), self.clock.now() + 1_000_000)
+        self.dispatcher.attempt_ended(refused, AttemptResult(Outcome.FULL, 1000, WAIT))
         self.assertIs(asking.get(timeout=1.0), False)
 
 
@@ -250,7 +257,7 @@
             far.shutdown(socket.SHUT_WR)
             told: list[int] = []
             clock = Clock()
-            made = Attempts(
+            made = AttemptRunner(
                 clock,
                 Counters(),
                 None,  # type: ignore[arg-type]
@@ -260,9 +267,11 @@
                 lambda call, ending: told.append(ending.retry_after),
                 lambda waits: None,
             )
-            link = Link(near, 1, ("", 0))
-            call = Call(Kept(1, "a", "", 0, "b", "", 0, 0, b""), 0, 1, clock.now(), clock.now() + 1_000_000)
-            answer = Answer()
+            link = Connection(near, 1, ("", 0))
+            call = AttemptCall(
+                StoredMessage(1, "a", "", 0, "b", "", 0, 0, b""), 0, 1, clock.now(), clock.now() + 1_000_000
+            )
+            answer = ResponseParser()
             made._read(call, link, answer)
             made._tell(call, answer)
         return told[0]
@@ -272,11 +281,11 @@
 
     def test_waits_that_are_none(self) -> None:
         for text in ("-5", "soon", "", "1e3", "0x10", "NaN", "\u0661", "5 5"):
-            self.assertEqual(wait_of(text), 0, text)
+            self.assertEqual(parse_retry_after(text), 0, text)
         self.assertEqual(self.wait_in("X-Backoff-Ms: -700"), 0)
 
     def test_parts_of_a_millisecond_are_waited_for(self) -> None:
-        self.assertEqual(wait_of("718.2"), 719 * MS)
+        self.assertEqual(parse_retry_after("718.2"), 719 * MS)
 
 
 class InTheDecisions(unittest.TestCase):
@@ -309,17 +318,17 @@
         self.assertEqual(made.decide(NOW).attempts, [])
         self.assertFalse(second.may_start(NOW + WAIT - 1, 1))
         end(first, Outcome.TIME_OUT, NOW + 1)
-        self.assertEqual(made.decide(NOW + 2).write_offs, [1])
+        self.assertEqual(made.decide(NOW + 2).abandoned, [1])
 
     def test_a_receiver_that_leaves_and_comes_back_is_spared_to_the_end_of_its_wait(self) -> None:
         for kind in (0, 1):  # of a pace that its destination shares, and of one of its own
             made = sender(kind=kind)
             made.heed(NOW, 1, NOW + 60_000 * MS)
-            gone = Listing(1, 0, kind, 7, Phase.GONE, 0.0)
+            gone = ListedEndpoint(1, 0, kind, 7, EndpointState.REMOVED, 0.0)
             for at in (NOW, NOW + 25_000 * MS, NOW + 50_000 * MS):
-                made.listed(at, ListChange.CHANGES, [gone])
+                made.listed(at, EndpointUpdate.DELTA, [gone])
             back = NOW + 55_000 * MS
-            made.listed(back, ListChange.CHANGES, [gone._replace(phase=Phase.READY)])
+            made.listed(back, EndpointUpdate.DELTA, [gone._replace(phase=EndpointState.READY)])
             handle = made.take(back, 1, 7, FREE, back + 16_000 * MS, 0, 0)
             self.assertEqual(made.decide(back).attempts, [], kind)
             self.assertFalse(handle.may_start(back, 1))
