--- a/cedarwick/events/measure.py
+++ b/cedarwick/events/benchmark.py
@@ -1,6 +1,6 @@
 """What an event costs with 1, 100 and 10,000 filters: index, each compiled filter in turn, and the reference.
 
-    python -m cedarwick.events.measure [SEED]
+    python -m cedarwick.events.benchmark [SEED]
 
 One run, one process, the three kinds taken in turn; the middle of several rounds, in microseconds of the processor's
 time for each event.
@@ -13,7 +13,7 @@
 from statistics import median
 from typing import Any
 
-from cedarwick.events import language, naive
+from cedarwick.events import language, reference_matcher
 from cedarwick.events.compiled import compiled
 from cedarwick.events.index import Index
 from cedarwick.events.kinds import Event
@@ -106,7 +106,7 @@
             (
                 timed(index.matches, events if mix is typical else some),
                 timed(lambda each: [test(each) for test in tests], some),
-                timed(lambda each: [naive.matches(made.term, each) for made in filters], some),
+                timed(lambda each: [reference_matcher.matches(made.term, each) for made in filters], some),
             )
         )
     indexed, turned, walked = (median(column) for column in zip(*times, strict=True))
--- a/cedarwick/events/compiled.py
+++ b/cedarwick/events/compiled.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 from cedarwick.events.kinds import Event, Value
-from cedarwick.events.naive import sampled
-from cedarwick.events.normal import normal
+from cedarwick.events.normalization import normal
+from cedarwick.events.reference_matcher import sampled
 from cedarwick.events.terms import Among, And, Compare, Has, Like, Not, Or, Range, Sample, Term, cost
 
 Values = dict[str, Value]
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -1,7 +1,9 @@
 """A member's part in what subscribers are told: the registry among the members, `FOLLOW`, and the events here.
 
-Made with the fleet, and costs next to nothing until somebody follows: then `serving.py` is loaded, and with it lark.
-The registry is told as in `spreading.py` and kept as in `kept.py`; what its entries mean is settled in `registry.py`.
+Made with the fleet, and costs next to nothing until somebody follows: then `subscription_server.py` is loaded, and
+with it lark.
+The registry is told as in `anti_entropy.py` and kept as in `subscription_store.py`; what its entries mean is settled
+in `registry.py`.
 """
 
 import importlib
@@ -15,25 +17,25 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.events.kept import Keeper
+from cedarwick.events.anti_entropy import Spread
+from cedarwick.events.event_source import Witness
 from cedarwick.events.kinds import InvalidEventError, Value
 from cedarwick.events.registry import FORGET, SECOND, NotFollowedError, Registry, Verdict
 from cedarwick.events.sources import Sources
-from cedarwick.events.spreading import Spread
-from cedarwick.events.witness import Witness
-from cedarwick.fleet.gate import Gate
-from cedarwick.fleet.members import Change, Standing
-from cedarwick.fleet.messages import Body, Cursors, Matches, Noted, Subscribe
+from cedarwick.events.subscription_store import Keeper
+from cedarwick.fleet.membership import MemberChange, MemberStatus
+from cedarwick.fleet.messages import Acknowledged, Body, Cursors, Matches, Subscribe
+from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.net.attempts import AttemptCall, AttemptResult
 from cedarwick.net.counters import Counters
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.endpoint_list import EndpointList
-from cedarwick.ops import calls
-from cedarwick.ops.staff import Staff, Talk
+from cedarwick.ops import commands
+from cedarwick.ops.management import Staff, Talk
 from cedarwick.store.records import StoredMessage
 
 if TYPE_CHECKING:
-    from cedarwick.events.serving import Serving
+    from cedarwick.events.subscription_server import Serving
 
 TURN = 250_000  # microseconds between two looks at registry and receivers
 AGAIN = 5_000_000  # between two comparisons with a member with which nothing is new
@@ -99,7 +101,7 @@
     def __init__(
         self,
         name: str,
-        gate: Gate,
+        gate: PeerVerifier,
         counters: Counters,
         call: Callable[[str, Body, float], Body | None],
         state: str = "",
@@ -185,11 +187,11 @@
         """A session has moved to a member; `age` microseconds after the move began."""
         self._of_member("moved", member, {"id": key, "age": age, **({"tenant": tenant} if tenant else {})})
 
-    def member(self, change: Change, silent: int) -> None:
+    def member(self, change: MemberChange, silent: int) -> None:
         """A member stands otherwise; it was silent for so many microseconds."""
-        if change.now is Standing.ALIVE:
+        if change.now is MemberStatus.ALIVE:
             self._of_member("member-came", change.name, {})
-        elif change.now in (Standing.DEAD, Standing.LEFT):
+        elif change.now in (MemberStatus.DEAD, MemberStatus.LEFT):
             self._of_member("member-went", change.name, {"age": silent})
 
     def _of_member(self, kind: str, member: str, more: dict[str, Value]) -> None:
@@ -257,11 +259,11 @@
             self._take(sender, body)
             return self.spread.answer(body)
         if self.serving is None:
-            return Cursors(body.source, ()) if isinstance(body, Matches) else Noted()
+            return Cursors(body.source, ()) if isinstance(body, Matches) else Acknowledged()
         if isinstance(body, Matches):
             return self.serving.matched(sender, body)
         self.serving.places(now, sender, body)
-        return Noted()
+        return Acknowledged()
 
     def stop(self) -> None:
         """The sender ends; what is kept in the folder is another process's from now on."""
@@ -306,7 +308,9 @@
     def _load(self) -> "Serving":
         """The part that evaluates; reading its grammar takes too long for the loop."""
         try:
-            module = gevent.get_hub().threadpool.apply(importlib.import_module, ("cedarwick.events.serving",))
+            module = gevent.get_hub().threadpool.apply(
+                importlib.import_module, ("cedarwick.events.subscription_server",)
+            )
         finally:
             self.loading = False
         if self.serving is None:
@@ -386,7 +390,7 @@
 
     # ---- staff and subscribers ----
 
-    def answer(self, call: calls.Call) -> str | Talk:
+    def answer(self, call: commands.Call) -> str | Talk:
         """`FOLLOW` and `UNFOLLOW`; a `CedarwickError` says why not."""
         if call.name == "UNFOLLOW":
             return self._unfollow(call.argument)
@@ -406,8 +410,8 @@
 
     def _follow(self, serving: "Serving", told: str) -> Talk:
         from cedarwick.events.language import check_levels, read
-        from cedarwick.events.reading import Reader
         from cedarwick.events.streams import decoded
+        from cedarwick.events.subscriber_reader import Reader
 
         # A cursor has a colon: the first word without one, after the name, begins the filter.
         words = told.split(" ")
--- a/cedarwick/events/index.py
+++ b/cedarwick/events/index.py
@@ -18,7 +18,7 @@
 from cedarwick.events.compiled import Test, Values, tested
 from cedarwick.events.kinds import FIELDS, Event, Type, Value
 from cedarwick.events.language import Filter
-from cedarwick.events.normal import normal
+from cedarwick.events.normalization import normal
 from cedarwick.events.terms import Among, And, Compare, Has, Like, Not, Or, Range, Sample, Term, joined
 
 MOST_KEYS = 64  # of one filter
--- a/cedarwick/events/language.py
+++ b/cedarwick/events/language.py
@@ -13,7 +13,7 @@
 from lark import Lark, Token, Transformer, UnexpectedCharacters, UnexpectedInput, UnexpectedToken, v_args
 
 from cedarwick.events import terms
-from cedarwick.events.bad import (
+from cedarwick.events.filter_errors import (
     WHOLE,
     FilterError,
     FilterSyntaxError,
--- a/cedarwick/events/pushing.py
+++ b/cedarwick/events/match_delivery.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from cedarwick.events.streams import WINDOW, From, Item, Match, Outbox, position, weight
-from cedarwick.fleet.retry import Waits
+from cedarwick.fleet.backoff import Backoff
 
 PRESENT = 6_000_000  # microseconds: a subscriber of which nothing was heard for so long is taken for gone
 AGAIN = 300_000  # after which what has not come is sent again, and a wait drawn on top
@@ -40,7 +40,7 @@
         self.reader: Reached | None = None
         self.until = 0  # the reader counts as present
         self.next_at = 0
-        self.waits = Waits(seed)
+        self.waits = Backoff(seed)
 
     def told(self, now: int, reached: Reached) -> None:
         """The subscriber's member says how far it is; what an older connection had is of no interest any more."""
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -9,7 +9,8 @@
 it still holds alive, so every registry carries an epoch: the slice of time in which its member last was with a
 majority, or began with nothing. One that is more than MOST_AWAY behind is refused; its member throws away what it
 holds alive once it is with a majority again, and takes the others' entries from there. What a member reads from its
-folder at a start (`kept.py`) is what it was at an earlier time: a restart is a sleep since then, and no more is needed.
+folder at a start (`subscription_store.py`) is what it was at an earlier time: a restart is a sleep since then, and no
+more is needed.
 
 Whether a subscription that nobody follows has ended is seen from its entry alone, which says how long it lasts without
 a follower. Its age is counted by the wall clock, but for what that has jumped since the entry came here.
--- a/cedarwick/events/sources.py
+++ b/cedarwick/events/sources.py
@@ -1,8 +1,8 @@
 """What sources are called, and which have ended: one for each boot of each member."""
 
 from cedarwick.events.registry import NAME
-from cedarwick.fleet.gate import Gate
 from cedarwick.fleet.messages import slot_of
+from cedarwick.fleet.peer_verifier import PeerVerifier
 
 LONGEST_STEM = 47  # characters: the name of a source is one that a subscriber's cursors can hold
 
@@ -10,7 +10,7 @@
 class Sources:
     """The members' boots, as the gate has seen them."""
 
-    def __init__(self, gate: Gate) -> None:
+    def __init__(self, gate: PeerVerifier) -> None:
         self.gate = gate
 
     def of(self, member: str) -> str:
--- a/cedarwick/events/streams.py
+++ b/cedarwick/events/streams.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cedarwick.errors import CedarwickError
-from cedarwick.events.bad import FilterError
+from cedarwick.events.filter_errors import FilterError
 from cedarwick.events.index import Index
 from cedarwick.events.kinds import LARGEST, Event, Value
 from cedarwick.events.language import read
--- a/cedarwick/events/reading.py
+++ b/cedarwick/events/subscriber_reader.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from cedarwick.errors import CedarwickError
-from cedarwick.events.pushing import NOWHERE, Reached
+from cedarwick.events.match_delivery import NOWHERE, Reached
 from cedarwick.events.streams import Ended, Inbox, Item, Match, position
 
 MOST_PENDING = 1000  # items that wait to be written; beyond that nothing is taken, and the sources keep it
--- a/cedarwick/events/serving.py
+++ b/cedarwick/events/subscription_server.py
@@ -1,8 +1,8 @@
 """The subscriptions at work in one member: evaluated here, sent on to where subscribers are, written to those here.
 
 Loaded with the first subscription, and with it the grammar. What a lane owes and what a reader has is settled in
-`pushing.py` and `reading.py`; this calls other members and writes to sockets. Deliveries never wait for any of it:
-events go into bounded buffers, and everything else happens in greenlets of its own.
+`match_delivery.py` and `subscriber_reader.py`; this calls other members and writes to sockets. Deliveries never wait
+for any of it: events go into bounded buffers, and everything else happens in greenlets of its own.
 """
 
 import zlib
@@ -17,11 +17,11 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.events.kinds import Value
-from cedarwick.events.pushing import NOWHERE, Lane, Reached
-from cedarwick.events.reading import Reader
+from cedarwick.events.match_delivery import NOWHERE, Lane, Reached
 from cedarwick.events.registry import Entry
 from cedarwick.events.sources import Sources
 from cedarwick.events.streams import Item, Source
+from cedarwick.events.subscriber_reader import Reader
 from cedarwick.fleet.messages import Body, Cursor, Cursors, Matches, Stream
 from cedarwick.net.counters import Counters
 
--- a/cedarwick/events/kept.py
+++ b/cedarwick/events/subscription_store.py
@@ -15,7 +15,7 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.events.registry import MOST, Entry, Registry, join
-from cedarwick.fleet.lasting import FOLDER, CorruptFleetFileError
+from cedarwick.fleet.fleet_files import FOLDER, CorruptFleetFileError
 from cedarwick.net.counters import Counters
 from cedarwick.store.records import DamagedRange, framed, may_go_on, scan
 
--- a/cedarwick/fleet/retry.py
+++ b/cedarwick/fleet/backoff.py
@@ -6,7 +6,7 @@
 MOST = 2_000_000  # microseconds that any wait is at most
 
 
-class Waits:
+class Backoff:
     """Waits with full jitter under a bound that doubles (Brooker, "Exponential Backoff And Jitter", 2015)."""
 
     def __init__(self, seed: int, first: int = FIRST, most: int = MOST) -> None:
--- a/cedarwick/fleet/decrees.py
+++ b/cedarwick/fleet/consensus.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Row:
+class InstanceState:
     """What an acceptor has promised and accepted for one move; written before any answer that tells of it."""
 
     move: str
@@ -48,14 +48,14 @@
     key: int = 0  # of the session; 0: nobody has told it
 
 
-class Table(NamedTuple):
+class AcceptorTable(NamedTuple):
     """All that an acceptor must have on the disk."""
 
-    rows: list[Row]
+    rows: list[InstanceState]
     floors: dict[str, int]  # by giver: of moves with a lower stamp and no row here this acceptor knows nothing
 
 
-class Answer(NamedTuple):
+class AcceptorReply(NamedTuple):
     """An acceptor's answer to `prepare` and `accept`."""
 
     granted: bool
@@ -63,10 +63,10 @@
     accepted: Ballot
     value: Value | None
     decided: bool  # then `value` is what was decided, whatever was asked
-    write: Row | None = None  # to be on the disk before the answer leaves; not a part of what is sent
+    write: InstanceState | None = None  # to be on the disk before the answer leaves; not a part of what is sent
 
 
-ABSTAINS = Answer(False, NO_BALLOT, NO_BALLOT, None, False)
+ABSTENTION = AcceptorReply(False, NO_BALLOT, NO_BALLOT, None, False)
 
 
 class Acceptor:
@@ -78,22 +78,22 @@
         table: what was loaded, where there was one.
     """
 
-    def __init__(self, now: int, lost: bool = False, table: Table | None = None) -> None:
-        self.rows: dict[str, Row] = {}
+    def __init__(self, now: int, lost: bool = False, table: AcceptorTable | None = None) -> None:
+        self.rows: dict[str, InstanceState] = {}
         self.floors: dict[str, int] = {}
         self.by_key: dict[int, dict[str, None]] = {}  # moves of which there are rows, by session
         self.lost = lost
         if table is not None:
             self.load(table, now)
 
-    def table(self) -> Table:
+    def table(self) -> AcceptorTable:
         """What must be on the disk, whole."""
         floors = dict(self.floors)
         if self.lost:
             floors[""] = 1
-        return Table(list(self.rows.values()), floors)
+        return AcceptorTable(list(self.rows.values()), floors)
 
-    def load(self, table: Table, now: int) -> None:
+    def load(self, table: AcceptorTable, now: int) -> None:
         """Take up a table after a restart. Ages begin anew: the clock of an earlier boot means nothing."""
         self.rows = {row.move: replace(row, at=now) for row in table.rows}
         self.by_key = {}
@@ -107,21 +107,21 @@
         if next_stamp > self.floors.get(giver, 0):
             self.floors[giver] = next_stamp
 
-    def prepare(self, move: str, ballot: Ballot, now: int, key: int = 0) -> Answer:
+    def prepare(self, move: str, ballot: Ballot, now: int, key: int = 0) -> AcceptorReply:
         """The first phase: promise to accept nothing below `ballot`. `key`: of the session, where it is told."""
         row = self._row(move, ballot, key)
         if row is None:
-            return ABSTAINS
+            return ABSTENTION
         # Danger: a ballot that was promised already may come twice; to the same question the same answer.
         if row.decided or ballot < row.promised or ballot[0] < 2:
             return self._answer(row, False)
         return self._answer(row, True, self._changed(row, now, promised=ballot))
 
-    def accept(self, move: str, ballot: Ballot, value: Value, now: int, key: int = 0) -> Answer:
+    def accept(self, move: str, ballot: Ballot, value: Value, now: int, key: int = 0) -> AcceptorReply:
         """The second phase: accept `value` unless something higher was promised."""
         row = self._row(move, ballot, key)
         if row is None:
-            return ABSTAINS
+            return ABSTENTION
         # Danger: round 1 has no first phase; a value of anybody else's in it could be a second one.
         ours = ballot[0] >= 2 or (ballot == (1, parts(move)[2]) and value == "taker")
         if row.decided or ballot < row.promised or not ours:
@@ -146,7 +146,7 @@
         # Danger: members of an older level do not tell whose session it is.
         return any(self.rows[move].at >= since and holder in parts(move)[1:] for move in self.by_key.get(0, ()))
 
-    def settled(self, move: str, value: Value, now: int) -> Row | None:
+    def settled(self, move: str, value: Value, now: int) -> InstanceState | None:
         """Somebody has told what was decided; the row to be written, if that is news."""
         row = self.rows.get(move)
         if row is None or row.decided:
@@ -168,21 +168,21 @@
         """Moves that have been undecided for so long that whoever sees them should settle them."""
         return [row.move for row in self.rows.values() if not row.decided and row.at <= now - OLD]
 
-    def _row(self, move: str, ballot: Ballot, key: int) -> Row | None:
+    def _row(self, move: str, ballot: Ballot, key: int) -> InstanceState | None:
         """The row of a move, a new one where it may be opened; None: this acceptor abstains."""
         if move not in self.rows and (ballot[0] < 1 or not self.may_open(move)):
             return None
-        return self.rows.get(move) or Row(move, key=key)
+        return self.rows.get(move) or InstanceState(move, key=key)
 
-    def _forget_key(self, row: Row) -> None:
+    def _forget_key(self, row: InstanceState) -> None:
         moves = self.by_key.get(row.key, {})
         moves.pop(row.move, None)
         if not moves:
             self.by_key.pop(row.key, None)
 
     def _changed(
-        self, row: Row, now: int, promised: Ballot, accepted: Ballot | None = None, value: Value | None = None
-    ) -> Row | None:
+        self, row: InstanceState, now: int, promised: Ballot, accepted: Ballot | None = None, value: Value | None = None
+    ) -> InstanceState | None:
         if promised == row.promised and accepted in (None, row.accepted):
             return None
         row.promised, row.at = promised, now
@@ -193,11 +193,11 @@
         return row
 
     @staticmethod
-    def _answer(row: Row, granted: bool, write: Row | None = None) -> Answer:
-        return Answer(granted, row.promised, row.accepted, row.value, row.decided, write)
+    def _answer(row: InstanceState, granted: bool, write: InstanceState | None = None) -> AcceptorReply:
+        return AcceptorReply(granted, row.promised, row.accepted, row.value, row.decided, write)
 
 
-class Ask(NamedTuple):
+class ProposerRequest(NamedTuple):
     """A question to one acceptor: `prepare` where `value` is None, else `accept`."""
 
     to: str
@@ -221,22 +221,24 @@
     ballot: Ballot = NO_BALLOT
     value: Value | None = None  # asked for in the second phase; None: in the first, or resting
     decided: Value | None = None
-    answers: dict[str, Answer] = field(default_factory=dict)
+    answers: dict[str, AcceptorReply] = field(default_factory=dict)
     highest: int = 1  # the highest round heard of
     failed: int = 0  # rounds
     resting: bool = False
     next_at: int = 0  # ask again, or start the next round
     ends_at: int = 0  # the round is given up
 
-    def as_taker(self, now: int) -> list[Ask]:
+    def as_taker(self, now: int) -> list[ProposerRequest]:
         """Ballot 1, the taker's own: no first phase, 'taker'. Asked again after a restart it is the same vote."""
         return self._begin((1, parts(self.move)[2]), "taker", now)
 
-    def settle(self, now: int) -> list[Ask]:
+    def settle(self, now: int) -> list[ProposerRequest]:
         """Both phases in a round above all that was heard of; proposes 'off' unless a value was accepted."""
         return self._begin((self.highest + 1, self.mark), None, now)
 
-    def answered(self, voter: str, ballot: Ballot, value: Value | None, answer: Answer, now: int) -> list[Ask]:
+    def answered(
+        self, voter: str, ballot: Ballot, value: Value | None, answer: AcceptorReply, now: int
+    ) -> list[ProposerRequest]:
         """An answer to the question `ballot` and `value`, which may be an old one or come twice."""
         if self.decided is not None or voter not in self.voters:
             return []
@@ -263,7 +265,7 @@
             return self._asks(self.voters, now)
         return []
 
-    def due(self, now: int) -> list[Ask]:
+    def due(self, now: int) -> list[ProposerRequest]:
         """Called when `next_at` has come: ask those who are silent again, or go on to the next round."""
         if self.decided is not None or self.ballot == NO_BALLOT or now < self.next_at:
             return []
@@ -274,15 +276,15 @@
             return []
         return self._asks([voter for voter in self.voters if voter not in self.answers], now)
 
-    def _begin(self, ballot: Ballot, value: Value | None, now: int) -> list[Ask]:
+    def _begin(self, ballot: Ballot, value: Value | None, now: int) -> list[ProposerRequest]:
         self.ballot, self.value, self.answers, self.resting = ballot, value, {}, False
         self.highest = max(self.highest, ballot[0])
         self.ends_at = now + ROUND
         return self._asks(self.voters, now)
 
-    def _asks(self, voters: Iterable[str], now: int) -> list[Ask]:
+    def _asks(self, voters: Iterable[str], now: int) -> list[ProposerRequest]:
         self.next_at = now + PATIENCE
-        return [Ask(voter, self.move, self.ballot, self.value) for voter in voters]
+        return [ProposerRequest(voter, self.move, self.ballot, self.value) for voter in voters]
 
     def _rest(self, now: int) -> None:
         self.failed += 1
--- a/cedarwick/fleet/lasting.py
+++ b/cedarwick/fleet/fleet_files.py
@@ -1,7 +1,7 @@
 """The small files of `$RELAY_STATE/fleet`: what this member has granted, and the books that it holds.
 
 Each is MessagePack in frames of the folder's (`store/records.py`), one unless it is long, and replaced whole: a crash
-leaves the old one or the new one. Copies of other members' books lie beside them, in `copies/` (`copies.py`).
+leaves the old one or the new one. Copies of other members' books lie beside them, in `copies/` (`replica_files.py`).
 """
 
 import os
@@ -12,8 +12,8 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.marks import Saved
-from cedarwick.fleet.messages import Table
+from cedarwick.fleet.messages import GrantTable
+from cedarwick.fleet.suspensions import SavedMarks
 from cedarwick.store.records import LONGEST, DamagedRange, framed, scan
 
 FOLDER = "fleet"
@@ -40,7 +40,7 @@
     remedy = "give each sender its own $RELAY_STATE, an empty one for a new name; for a new group delete fleet/whose"
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True):
+class LeaseRecord(msgspec.Struct, array_like=True, frozen=True):
     """A book that this member has held."""
 
     book: int
@@ -48,14 +48,14 @@
     upto: int  # numbers of it up to this one may have been given
 
 
-HELD_FILE: msgspec.msgpack.Decoder[list[Held]] = msgspec.msgpack.Decoder(list[Held])
-TABLE: msgspec.msgpack.Decoder[Table] = msgspec.msgpack.Decoder(Table)
+HELD_FILE: msgspec.msgpack.Decoder[list[LeaseRecord]] = msgspec.msgpack.Decoder(list[LeaseRecord])
+TABLE: msgspec.msgpack.Decoder[GrantTable] = msgspec.msgpack.Decoder(GrantTable)
 OWNER: msgspec.msgpack.Decoder[tuple[str, str]] = msgspec.msgpack.Decoder(tuple[str, str])
-SAVED: msgspec.msgpack.Decoder[Saved] = msgspec.msgpack.Decoder(Saved)
+SAVED: msgspec.msgpack.Decoder[SavedMarks] = msgspec.msgpack.Decoder(SavedMarks)
 ENCODER = msgspec.msgpack.Encoder()
 
 
-class Lasting:
+class FleetFiles:
     """Reads and replaces the files. OSError where the folder cannot be used.
 
     `durable`: what a call has written is on the disk when it returns.
@@ -71,7 +71,7 @@
     def copies(self) -> str:
         return os.path.join(self.path, COPIES)
 
-    def table(self) -> Table | None:
+    def table(self) -> GrantTable | None:
         """What this member has granted; None where it is gone, or this is the first start."""
         data = self.read(GRANTS)
         try:
@@ -80,10 +80,10 @@
             logger.error(CorruptFleetFileError(f"{self.path}/{GRANTS}: {error}").line)
             return None
 
-    def write_table(self, table: Table) -> None:
+    def write_table(self, table: GrantTable) -> None:
         self.write(GRANTS, ENCODER.encode(table))
 
-    def held(self) -> list[Held]:
+    def held(self) -> list[LeaseRecord]:
         """The books that this member has held, the newest state of each; empty where the file is gone."""
         data = self.read(HELD)
         try:
@@ -92,10 +92,10 @@
             logger.error(CorruptFleetFileError(f"{self.path}/{HELD}: {error}").line)
             return []
 
-    def write_held(self, held: list[Held]) -> None:
+    def write_held(self, held: list[LeaseRecord]) -> None:
         self.write(HELD, ENCODER.encode(held))
 
-    def marks(self) -> Saved | None:
+    def marks(self) -> SavedMarks | None:
         """The receivers taken out by hand, with their versions; None where there is no file.
 
         `CorruptFleetFileError` where there is one that cannot be read; it is not to be taken for a first start.
@@ -111,7 +111,7 @@
         except msgspec.MsgspecError as error:
             raise CorruptFleetFileError(f"{path}: {error}") from None
 
-    def write_marks(self, saved: Saved) -> None:
+    def write_marks(self, saved: SavedMarks) -> None:
         self.write(MARKS, ENCODER.encode(saved))
 
     def claim(self, group: str, name: str) -> None:
--- a/cedarwick/fleet/sharing.py
+++ b/cedarwick/fleet/gossip.py
@@ -1,6 +1,7 @@
 """What a member tells the others beside its books: receivers taken out by hand, and waits that it was told.
 
-Marks (`marks.py`) go at once to each member that lacks them, and digests every few seconds, so that members that were
+Marks (`suspensions.py`) go at once to each member that lacks them, and digests every few seconds, so that members that
+were
 cut off, or are new, come to the same map. A waits' hint is sent once and may be lost: it makes a sender more careful
 than it would be, never less, and ends with the wait.
 """
@@ -13,17 +14,17 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.lasting import CorruptFleetFileError, Lasting
-from cedarwick.fleet.marks import LONGEST, MOST_CALLS, Marks, newer
-from cedarwick.fleet.messages import Body, Hint, Noted, Wait
-from cedarwick.fleet.messages import Marks as Told
+from cedarwick.fleet.fleet_files import CorruptFleetFileError, FleetFiles
+from cedarwick.fleet.messages import Acknowledged, Body, RetryAfterEntry, RetryAfterHint
+from cedarwick.fleet.messages import SuspensionMarks as Told
+from cedarwick.fleet.suspensions import LONGEST, MOST_CALLS, SuspensionTable, newer
 from cedarwick.net.attempts import AttemptCall, AttemptResult
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.endpoint_list import EndpointList
-from cedarwick.ops import lasting as files
-from cedarwick.ops.staff import Staff
+from cedarwick.ops import saved_state as files
+from cedarwick.ops.management import Staff
 
 TURN = 250_000  # microseconds between two letters of a kind to one member
 AGAIN = 5_000_000  # between two letters with nothing new
@@ -54,13 +55,13 @@
     return time.time_ns() // 1000
 
 
-class Sharing:
+class Gossip:
     """Nothing is told or taken before `attach`."""
 
     def __init__(
         self,
         name: str,
-        lasting: Lasting,
+        lasting: FleetFiles,
         clock: Clock,
         counters: Counters,
         call: Callable[[str, Body, float], Body | None],
@@ -71,7 +72,7 @@
         self.counters = counters
         self.call = call
         self.attached = False
-        self.marks = Marks(name)
+        self.marks = SuspensionTable(name)
         self.unwritten = False  # suspended.json says less than this process knows
         self.saved_at = 0
         self.lacks: dict[str, set[str]] = {}  # by member: uids whose rows it is to be told
@@ -94,7 +95,7 @@
         dispatcher.attempts.heed, dispatcher.attempts.tell = self._heeded, self._ended
         now, told = wall(), self._file()
         try:
-            self.marks = Marks(self.name, self.lasting.marks())
+            self.marks = SuspensionTable(self.name, self.lasting.marks())
         except CorruptFleetFileError as error:
             logger.error(error.line)
             self.marks.doubt(told or {})
@@ -112,7 +113,7 @@
         if self.waits and now >= self.hint_at and (waits := self._hints()):
             self.hint_at = now + TURN
             for name in others:
-                gevent.spawn(self.call, name, Hint(waits), ANSWER_IN)
+                gevent.spawn(self.call, name, RetryAfterHint(waits), ANSWER_IN)
         if not self.attached or now < self.turn_at:
             return
         self.turn_at = now + TURN
@@ -129,15 +130,15 @@
                 self.talking.add(name)
                 gevent.spawn(self._talk, now, name)
 
-    def heard(self, sender: str, body: Told | Hint) -> Body:
+    def heard(self, sender: str, body: Told | RetryAfterHint) -> Body:
         """The answer to another member's letter."""
         if not self.attached:
-            return Noted()
-        if isinstance(body, Hint):
+            return Acknowledged()
+        if isinstance(body, RetryAfterHint):
             now, numbers = self.clock.now(), self.endpoint_list.numbers
             self.dispatcher.heed([(numbers[each.uid], now + each.left) for each in body.waits if each.uid in numbers])
             self.counters.add("hints heard")
-            return Noted()
+            return Acknowledged()
         self.marks.turn(wall())
         self._take(sender, lambda now: self.marks.told(now, body.rows))
         mine = self.marks.digest()
@@ -254,7 +255,7 @@
         while len(self.waits) > MOST_HINTS:
             del self.waits[next(iter(self.waits))]
 
-    def _hints(self) -> tuple[Wait, ...]:
+    def _hints(self) -> tuple[RetryAfterEntry, ...]:
         """Those that are to be told now."""
         now = self.clock.now()
         self.hinted = {receiver: until for receiver, until in self.hinted.items() if until > now}
@@ -263,7 +264,7 @@
             return ()
         uids = {number: uid for uid, number in self.endpoint_list.numbers.items() if number in waits}
         found = [
-            Wait(uids[receiver], until - now)
+            RetryAfterEntry(uids[receiver], until - now)
             for receiver, until in waits.items()
             if until - now > SHORTEST and receiver in uids and len(uids[receiver]) <= LONGEST
         ]
--- a/cedarwick/fleet/leases.py
+++ b/cedarwick/fleet/leases.py
@@ -1,6 +1,7 @@
 """Who holds a right: grantors that promise, holders that ask (Gray and Cheriton 1989, with a majority of grantors).
 
-Every member is a `Grantor`; whoever wants a right has a `Holder` for it. Both are told the time, whole microseconds of
+Every member is a `LeaseGrantor`; whoever wants a right has a `LeaseHolder` for it. Both are told the time, whole
+microseconds of
 the member's own clock that goes on while the machine sleeps; no time of one member is ever compared with another's.
 
 Why at most one holder may fire. A promise runs for a span from when the ask *arrived*; the right lasts for less than
@@ -27,7 +28,7 @@
 from collections.abc import Collection, Iterable
 from enum import Enum
 
-from cedarwick.fleet.messages import Ask, Grant, Table, Told
+from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
 
 SPAN = 1_200_000  # microseconds: four asks fit in, so three may be lost; long enough for a pause of a process
 DRIFT = 20  # one part in so many: clocks of two machines may differ in pace by 5%, a hundred times what NTP bears
@@ -55,7 +56,7 @@
     return int(number) if number != right and number.isdecimal() else None
 
 
-class Grantor:
+class LeaseGrantor:
     """One member's table of rights, by right the newest term that it has granted.
 
     `grants` is what the folder has (None: it has no table, or a spoilt one; an empty one is a table). While `dirty`,
@@ -82,7 +83,7 @@
         if self.learning and len(self._names) == 1:
             self.learning, self.dirty = False, True
 
-    def ask(self, now: int, ask: Ask) -> Told:
+    def ask(self, now: int, ask: LeaseRequest) -> LeaseReply:
         """Grant the right or refuse it; look at `dirty` before the answer is sent."""
         known = self.grant(ask.right)
         granted = (
@@ -94,7 +95,7 @@
         )
         if granted:
             # Danger: an heir's set may be newer than ours: a majority knew it, and some of that may be down now.
-            newest: Ask | Grant = ask if ask.set > known.set else known
+            newest: LeaseRequest | Grant = ask if ask.set > known.set else known
             kept = Grant(ask.right, ask.term, ask.holder, newest.heirs, newest.set, known.closed or ask.closed)
             until = now + ask.span
             self._until[ask.right] = max(until, self.promised(ask.right)) if ask.span else now
@@ -103,23 +104,23 @@
                 self.dirty = True
             if kept.closed:
                 self._prune(ask.right)
-        return Told(granted, known.term, known.holder, known.heirs, known.set, known.closed)
+        return LeaseReply(granted, known.term, known.holder, known.heirs, known.set, known.closed)
 
-    def _open(self, known: Grant, ask: Ask) -> bool:
+    def _open(self, known: Grant, ask: LeaseRequest) -> bool:
         """A closed right is never granted again; closing it twice is the same closing."""
         return not known.closed or (ask.closed and (ask.term, ask.holder) == (known.term, known.holder))
 
-    def _term_fits(self, known: Grant, ask: Ask) -> bool:
+    def _term_fits(self, known: Grant, ask: LeaseRequest) -> bool:
         """Each term has one holder at a grantor; an older one never comes back."""
         return ask.term > known.term or (ask.term == known.term and ask.holder == known.holder)
 
-    def _promise_over(self, now: int, known: Grant, ask: Ask) -> bool:
+    def _promise_over(self, now: int, known: Grant, ask: LeaseRequest) -> bool:
         """The holder may renew, and may follow itself: it asks for a newer term only when it has given up the older."""
         if ask.span > self.span:
             return False  # Danger: we could not keep this promise over a restart
         return ask.holder == known.holder or now >= self.promised(ask.right)
 
-    def _is_heir(self, known: Grant, ask: Ask) -> bool:
+    def _is_heir(self, known: Grant, ask: LeaseRequest) -> bool:
         """A newer term is for members of the newest set that the two know; a right that nobody held has none."""
         if ask.term == known.term:
             return True
@@ -141,10 +142,10 @@
         """Until when the right is promised; 0 where it never was."""
         return self._until.get(right, 0)
 
-    def table(self) -> Table:
+    def table(self) -> GrantTable:
         """The whole table: for the folder, and for a member that learns."""
         upto = (Grant(f"{UPTO}{slot}", epoch, "", closed=True) for slot, epoch in sorted(self._upto.items()))
-        return Table(self.learning, (*self._grants.values(), *upto))
+        return GrantTable(self.learning, (*self._grants.values(), *upto))
 
     def newest(self, slot: int) -> int:
         """The largest epoch of a slot that this table knows; -1: none."""
@@ -170,7 +171,7 @@
             return ()
         return tuple(sorted(name for name in self._names - {self.me} if not self._told.get(name)))
 
-    def learned(self, sent_at: int, name: str, table: Table) -> bool:
+    def learned(self, sent_at: int, name: str, table: GrantTable) -> bool:
         """Another's table, asked for at that time; whether it is the one that made this table whole."""
         # Danger: an older table may lack what a holder counts as granted by us, from before we forgot.
         if not self.learning or name not in self._names - {self.me} or sent_at < self._promised_at_boot():
@@ -184,7 +185,7 @@
         self._look()
         return not self.learning
 
-    def closed_elsewhere(self, table: Table) -> None:
+    def closed_elsewhere(self, table: GrantTable) -> None:
         """Another's table says which books were closed while this member was away; nothing else of it is taken over.
 
         A closed book's holder had stopped firing, and owed nothing.
@@ -246,7 +247,7 @@
             self._until.pop(following, None)
 
 
-class Tenure(Enum):
+class LeaseState(Enum):
     """How a holder stands to its right."""
 
     IDLE = "idle"  # it asks for nothing
@@ -257,14 +258,14 @@
     LOST = "lost"  # it has run out, and another one has a newer term or none could be had
 
 
-class Holder:
+class LeaseHolder:
     """One member's side of one right, through all its terms there. Times are microseconds of the member's clock."""
 
     def __init__(self, right: str, me: str, names: Collection[str], span: int = SPAN) -> None:
         self.right = right
         self.me = me
         self.span = span
-        self.state = Tenure.IDLE
+        self.state = LeaseState.IDLE
         self.term = 0
         self.newer: tuple[int, str] = (0, "")  # the newest term that somebody else was said to hold, and who
         self.known = 0  # the newest set of this term that a majority knows; 0: none yet
@@ -284,26 +285,28 @@
         Only for a member whose copy is whole, or for a right that nobody has held.
         """
         self.term = self._heard = max(grant.term, self.term, self._heard) + 1
-        self.state = Tenure.ASKING
+        self.state = LeaseState.ASKING
         self._begun = self._due = now
         self.known, self.set, self._sets = 0, grant.set, {grant.set: grant.heirs}
         self._granted, self._closed = {}, {}
         self._count()
 
-    def asks(self, now: int) -> Ask | None:
+    def asks(self, now: int) -> LeaseRequest | None:
         """What is to be sent to all members now, the own grantor before any other; None: it is not due."""
         self._settle(now)
-        if self.state not in (Tenure.ASKING, Tenure.HELD, Tenure.CLOSING) or now < self._due:
+        if self.state not in (LeaseState.ASKING, LeaseState.HELD, LeaseState.CLOSING) or now < self._due:
             return None
         self._due = now + self.span // ASKS
         heirs = self._sets[self.set]
-        return Ask(self.right, self.term, self.me, self.span, heirs, self.set, self.state is Tenure.CLOSING)
+        return LeaseRequest(
+            self.right, self.term, self.me, self.span, heirs, self.set, self.state is LeaseState.CLOSING
+        )
 
     def look(self, now: int) -> None:
         """Let the time that has passed count."""
         self._settle(now)
 
-    def answered(self, now: int, sent_at: int, grantor: str, told: Told) -> None:
+    def answered(self, now: int, sent_at: int, grantor: str, told: LeaseReply) -> None:
         """A grantor's answer to the ask that was sent at `sent_at`, which is the time given to `asks`."""
         if grantor not in self._names:
             return
@@ -322,7 +325,7 @@
     def name(self, now: int, heirs: Collection[str]) -> None:
         """Name the set of heirs from now on: the members whose copies are whole, in the order in which they adopt."""
         named = (self.me, *(name for name in heirs if name != self.me))
-        if self.state is not Tenure.HELD or named == self._sets[self.set] and self._own(self.set):
+        if self.state is not LeaseState.HELD or named == self._sets[self.set] and self._own(self.set):
             return
         self.set = max(self.set, self.term << SET_BITS) + 1
         self._sets[self.set] = named
@@ -330,15 +333,15 @@
 
     def close(self, now: int) -> None:
         """Nothing is owed any more: close the right for good."""
-        if self.state is Tenure.HELD:
-            self.state = Tenure.CLOSING
+        if self.state is LeaseState.HELD:
+            self.state = LeaseState.CLOSING
             self._due = now
 
-    def release(self) -> Ask | None:
+    def release(self) -> LeaseRequest | None:
         """Give the right up at once, so that an heir needs not wait; what is to be sent to all, None: nothing."""
-        held = self.state in (Tenure.ASKING, Tenure.HELD)
-        self.state = Tenure.IDLE
-        return Ask(self.right, self.term, self.me, 0, self._sets[self.set], self.set) if held else None
+        held = self.state in (LeaseState.ASKING, LeaseState.HELD)
+        self.state = LeaseState.IDLE
+        return LeaseRequest(self.right, self.term, self.me, 0, self._sets[self.set], self.set) if held else None
 
     def replace(self, names: Collection[str]) -> None:
         """The members from now on; see `Grantor.replace`."""
@@ -350,7 +353,7 @@
 
     def may_fire(self, now: int) -> bool:
         """Whether an attempt's first byte may be written now: the last look before the write."""
-        return self.state is Tenure.HELD and self.known > 0 and now < self.valid_until
+        return self.state is LeaseState.HELD and self.known > 0 and now < self.valid_until
 
     @property
     def heirs(self) -> tuple[str, ...]:
@@ -392,15 +395,17 @@
         closed = [sent for sent in self._closed.values() if sent > oldest]
         majority = majority_of(len(self._names))
         if len(closed) >= majority:
-            self.state = Tenure.CLOSED
-        elif self.state is Tenure.ASKING:
+            self.state = LeaseState.CLOSED
+        elif self.state is LeaseState.ASKING:
             if len(sets) >= majority:
-                self.state = Tenure.HELD
+                self.state = LeaseState.HELD
             elif self._heard > self.term or now >= self._begun + self.span:
-                self.state = Tenure.LOST  # so promises of a vote that was split run out
-        elif self.state in (Tenure.HELD, Tenure.CLOSING) and now >= self.valid_until and self._heard > self.term:
-            self.state = Tenure.LOST
+                self.state = LeaseState.LOST  # so promises of a vote that was split run out
+        elif (
+            self.state in (LeaseState.HELD, LeaseState.CLOSING) and now >= self.valid_until and self._heard > self.term
+        ):
+            self.state = LeaseState.LOST
         number = self._after_majority(sets, 0, 0)
-        if self.state is Tenure.HELD and number > self.known and self._own(number):
+        if self.state is LeaseState.HELD and number > self.known and self._own(number):
             self.known = number
             self._sets = {one: heirs for one, heirs in self._sets.items() if one >= number}
--- a/cedarwick/fleet/members.py
+++ b/cedarwick/fleet/membership.py
@@ -21,7 +21,7 @@
 SLOW_AFTER = 500_000  # what an answer may take
 
 
-class Standing(Enum):
+class MemberStatus(Enum):
     """How a member stands."""
 
     ALIVE = "alive"
@@ -31,12 +31,12 @@
     UNKNOWN = "unknown"  # never heard since my boot, and no majority says it is dead
 
 
-class Change(NamedTuple):
+class MemberChange(NamedTuple):
     """A member that stands otherwise than at the last look."""
 
     name: str
-    before: Standing
-    now: Standing
+    before: MemberStatus
+    now: MemberStatus
 
 
 @dataclass
@@ -49,7 +49,7 @@
     took: int = 0  # its last answer
 
 
-class Members:
+class Membership:
     """What one member knows of the group. `names_to_halls` has all members, `me` among them."""
 
     def __init__(self, me: str, names_to_halls: Mapping[str, str], incarnation: int, now: int) -> None:
@@ -59,7 +59,7 @@
         self._boot = now
         self._members = {name: _Member(hall) for name, hall in names_to_halls.items() if name != me}
         self._since = dict.fromkeys(self._members, now)  # when each began to be a member here
-        self._last = dict.fromkeys(self._members, Standing.UNKNOWN)
+        self._last = dict.fromkeys(self._members, MemberStatus.UNKNOWN)
 
     @property
     def names(self) -> frozenset[str]:
@@ -89,19 +89,19 @@
         if name in self._members:
             self._members[name].took = took
 
-    def state(self, now: int, name: str) -> Standing:
+    def state(self, now: int, name: str) -> MemberStatus:
         """How a member stands; I am alive, and who is no member has left."""
         if name == self.me:
-            return Standing.ALIVE
+            return MemberStatus.ALIVE
         member = self._members.get(name)
         if member is None or member.leaving:
-            return Standing.LEFT
+            return MemberStatus.LEFT
         if self._age(now, name) < ALIVE_WITHIN:
-            return Standing.ALIVE if member.heard is not None else Standing.UNKNOWN
+            return MemberStatus.ALIVE if member.heard is not None else MemberStatus.UNKNOWN
         votes = sum(one.ages.get(name, 0) >= DEAD_AFTER for one in self._speakers(now, name))
         if self._age(now, name) >= DEAD_AFTER and votes + 1 >= self.majority:
-            return Standing.DEAD
-        return Standing.SUSPECTED if member.heard is not None else Standing.UNKNOWN
+            return MemberStatus.DEAD
+        return MemberStatus.SUSPECTED if member.heard is not None else MemberStatus.UNKNOWN
 
     def notes(self, now: int, name: str) -> tuple[str, ...]:
         """For on-call staff: `cut` where one direction alone works, `slow` where answers take long."""
@@ -117,9 +117,9 @@
         """For the next beat: how long ago each other member was heard; since my boot where it never was."""
         return {name: self._age(now, name) for name in self._members}
 
-    def changes(self, now: int) -> list[Change]:
+    def changes(self, now: int) -> list[MemberChange]:
         """Who stands otherwise than at the last call, by name."""
-        found = [Change(name, self._last[name], self.state(now, name)) for name in sorted(self._members)]
+        found = [MemberChange(name, self._last[name], self.state(now, name)) for name in sorted(self._members)]
         self._last = {change.name: change.now for change in found}
         return [change for change in found if change.before is not change.now]
 
@@ -149,7 +149,7 @@
                 members[name].hall = hall
         self._members = members
         self._since = {name: self._since.get(name, now) for name in members}
-        self._last = {name: self._last.get(name, Standing.UNKNOWN) for name in members}
+        self._last = {name: self._last.get(name, MemberStatus.UNKNOWN) for name in members}
 
     def _age(self, now: int, name: str) -> int:
         heard = self._members[name].heard
--- a/cedarwick/fleet/messages.py
+++ b/cedarwick/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What members of a fleet say to one another: one `Letter` in each request and each answer, as MessagePack.
+"""What members of a fleet say to one another: one `PeerMessage` in each request and each answer, as MessagePack.
 
 All are arrays on the wire, with a tag in front of each body; fields are added at the end only, with a default, so an
 older member reads a newer one's letter as far as it knows it. `VERSION` goes up where that does not hold, and letters
@@ -17,8 +17,8 @@
 
 VERSION = 1  # of the wire; another one is refused
 LEVEL = 3  # of what a member can do; told, and looked at where a feature needs it
-OWING = 3  # from this level on a member reads `Owed`
-LARGEST = 1 << 20  # bytes of a letter
+OWING = 3  # from this level on a member reads `OwedKeys`
+MAX_MESSAGE_BYTES = 1 << 20  # bytes of a letter
 SLOT_BITS = 18
 MEMBERS = 64  # at most in a group
 MOST_KEYS = 4096  # of a letter that tells what is owed
@@ -33,37 +33,37 @@
 Term = Annotated[int, Meta(ge=0, lt=1 << 40)]  # one a second for 30,000 years
 Order = Annotated[int, Meta(ge=0, lt=1 << 62)]  # of sets of heirs, of a session's holders, of moves
 Place = Annotated[int, Meta(ge=-1)]  # the number of an event that was reached; -1: none
-Bulk = Annotated[bytes, Meta(max_length=LARGEST - (1 << 14))]  # leaves room for the rest of the letter
+Bulk = Annotated[bytes, Meta(max_length=MAX_MESSAGE_BYTES - (1 << 14))]  # leaves room for the rest of the letter
 Request = Annotated[bytes, Meta(max_length=1 << 18)]  # one request of a client, or its answer
 Names = Annotated[tuple[Name, ...], Meta(max_length=MEMBERS)]
 
 
-class InvalidLetterError(CedarwickError):
+class InvalidPeerMessageError(CedarwickError):
     """Bytes that are no letter of a fleet."""
 
     code = "CW701"
     remedy = "ask who sends this to the fleet's address; compare the versions of the members"
 
 
-class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class PeerBody(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """A body; its tag is the name of its type."""
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True):
+class PeerBodyPart(msgspec.Struct, frozen=True, array_like=True):
     """A row within a body."""
 
 
 # ---- members and leases ----
 
 
-class Held(Part, frozen=True):
+class HeldLease(PeerBodyPart, frozen=True):
     """A book that the sender of the beat holds."""
 
     book: Count
     term: Term
 
 
-class Lodging(Part, frozen=True):
+class SessionLocation(PeerBodyPart, frozen=True):
     """Who holds the session of a key; the larger sequence is the newer news."""
 
     key: Count
@@ -72,16 +72,16 @@
     age: Count  # microseconds since its last use
 
 
-class Beat(Message, frozen=True):
-    """I am here. Answered by a `Beat`."""
+class Heartbeat(PeerBody, frozen=True, tag="Beat"):
+    """I am here. Answered by a `Heartbeat`."""
 
     leaving: bool
     heard: Annotated[dict[Name, Count], Meta(max_length=MEMBERS)]  # microseconds ago, by member
-    rights: Annotated[tuple[Held, ...], Meta(max_length=4096)] = ()
+    rights: Annotated[tuple[HeldLease, ...], Meta(max_length=4096)] = ()
 
 
-class Ask(Message, frozen=True):
-    """Grant me this right for a span of microseconds. Answered by `Told`."""
+class LeaseRequest(PeerBody, frozen=True, tag="Ask"):
+    """Grant me this right for a span of microseconds. Answered by `LeaseReply`."""
 
     right: Word
     term: Term
@@ -92,7 +92,7 @@
     closed: bool = False
 
 
-class Told(Message, frozen=True):
+class LeaseReply(PeerBody, frozen=True, tag="Told"):
     """What the grantor's table says of the right, and whether it was granted."""
 
     granted: bool
@@ -103,11 +103,11 @@
     closed: bool = False
 
 
-class Tables(Message, frozen=True):
-    """Tell me your whole table of grants: mine is gone. Answered by `Table`."""
+class GrantTableRequest(PeerBody, frozen=True, tag="Tables"):
+    """Tell me your whole table of grants: mine is gone. Answered by `GrantTable`."""
 
 
-class Grant(Part, frozen=True):
+class Grant(PeerBodyPart, frozen=True):
     """A line of a grantor's table."""
 
     right: Word
@@ -118,7 +118,7 @@
     closed: bool = False
 
 
-class Table(Message, frozen=True):
+class GrantTable(PeerBody, frozen=True, tag="Table"):
     """A whole table; `learning` where the grantor's own is gone too."""
 
     learning: bool
@@ -128,8 +128,8 @@
 # ---- copies ----
 
 
-class Facts(Message, frozen=True):
-    """The tail of a book's log from index `first` on. Answered by `Have`."""
+class ReplicateFacts(PeerBody, frozen=True, tag="Facts"):
+    """The tail of a book's log from index `first` on. Answered by `ReplicaAck`."""
 
     book: Count
     term: Term
@@ -138,8 +138,11 @@
     digest: Count
 
 
-class Piece(Message, frozen=True):
-    """All that is owed with numbers over `after` up to `upto`; `next`: the log goes on there. Answered by `Have`."""
+class ReplicatePiece(PeerBody, frozen=True, tag="Piece"):
+    """All that is owed with numbers over `after` up to `upto`; `next`: the log goes on there.
+
+    Answered by `ReplicaAck`.
+    """
 
     book: Count
     term: Term
@@ -151,7 +154,7 @@
     behind: bool = False  # the holder answers for what no copy has yet
 
 
-class Have(Message, frozen=True):
+class ReplicaAck(PeerBody, frozen=True, tag="Have"):
     """A copy's position; a problem says why the message was dropped whole."""
 
     book: Count
@@ -161,7 +164,7 @@
     covered: Count = 0  # up to this number the walk of this term has told it everything
 
 
-class Span(Part, frozen=True):
+class DigestRange(PeerBodyPart, frozen=True):
     """What is owed with numbers over `after` up to `upto`, as its count and digest."""
 
     after: Count
@@ -170,17 +173,17 @@
     digest: Count
 
 
-class Digests(Message, frozen=True):
+class Digests(PeerBody, frozen=True):
     """Ranges of a book as the holder has them. Answered by the `Digests` of the copy's own, over the same ranges."""
 
     book: Count
     term: Term
-    ranges: Annotated[tuple[Span, ...], Meta(max_length=4096)]
+    ranges: Annotated[tuple[DigestRange, ...], Meta(max_length=4096)]
     next: Count = 0  # the index at which they were taken; a copy at another one answers with no ranges
 
 
-class Offer(Message, frozen=True):
-    """What the last holder of a book knows, part by part, to the one that has adopted it. Answered by `Taken`."""
+class TakeoverOffer(PeerBody, frozen=True, tag="Offer"):
+    """What the last holder of a book knows, part by part, to the one that has adopted it. Answered by `OfferReply`."""
 
     book: Count
     part: Count
@@ -190,7 +193,7 @@
     term: Term = 0  # the newest in which the one that offers has held the book
 
 
-class Taken(Message, frozen=True):
+class OfferReply(PeerBody, frozen=True, tag="Taken"):
     """The part was joined and is in the taker's folder; a problem says why not."""
 
     book: Count
@@ -201,17 +204,17 @@
 # ---- sessions that move ----
 
 
-class Lodgings(Message, frozen=True):
+class SessionLocations(PeerBody, frozen=True, tag="Lodgings"):
     """Sessions that are held, and how the sender stands to taking more. Answered by its like, without news."""
 
-    news: Annotated[tuple[Lodging, ...], Meta(max_length=4096)] = ()
+    news: Annotated[tuple[SessionLocation, ...], Meta(max_length=4096)] = ()
     held: Count = 0  # sessions
     takes: bool = False  # more of them
     stamp: Order = 0  # of the next move that the sender begins
     first: bool = False  # as far as the sender knows, neither it nor the other has run before
 
 
-class Recent(Part, frozen=True):
+class RecentIdEntry(PeerBodyPart, frozen=True):
     """An id that was taken a short while ago: not to be taken again."""
 
     id: Id
@@ -219,19 +222,19 @@
     hashed: Count  # what came with it
 
 
-class Stage(Message, frozen=True):
-    """Keep this session's messages, inert, until the move is decided. Answered by `Staged`."""
+class StageSession(PeerBody, frozen=True, tag="Stage"):
+    """Keep this session's messages, inert, until the move is decided. Answered by `StageReply`."""
 
     move: Move
     key: Count
     sequence: Order  # since the move began
     facts: Bulk
     digest: Count
-    ids: Annotated[tuple[Recent, ...], Meta(max_length=1 << 14)] = ()
+    ids: Annotated[tuple[RecentIdEntry, ...], Meta(max_length=1 << 14)] = ()
     rest: Count = 0  # microseconds in which an attempt of the session may still run
 
 
-class Staged(Message, frozen=True):
+class StageReply(PeerBody, frozen=True, tag="Staged"):
     """Whether the session is in the taker's folder; `why` not."""
 
     move: Move
@@ -239,42 +242,42 @@
     why: Text = ""
 
 
-class Vote(Part, frozen=True):
+class BallotNumber(PeerBodyPart, frozen=True):
     """A ballot: its round, and the text of one proposer of one boot."""
 
     round: Order
     mark: Word
 
 
-class Prepare(Message, frozen=True):
-    """First phase of a decree. Answered by `Voted`."""
+class PrepareRequest(PeerBody, frozen=True, tag="Prepare"):
+    """First phase of a decree. Answered by `VoteReply`."""
 
     move: Move
-    ballot: Vote
+    ballot: BallotNumber
     key: Count = 0  # of the session; 0: told by a member of a level below 3
 
 
-class Accept(Message, frozen=True):
-    """Second phase: accept the value. Answered by `Voted`."""
+class AcceptRequest(PeerBody, frozen=True, tag="Accept"):
+    """Second phase: accept the value. Answered by `VoteReply`."""
 
     move: Move
-    ballot: Vote
+    ballot: BallotNumber
     value: Name
-    key: Count = 0  # as in `Prepare`
+    key: Count = 0  # as in `PrepareRequest`
 
 
-class Voted(Message, frozen=True):
+class VoteReply(PeerBody, frozen=True, tag="Voted"):
     """An acceptor's answer to both phases."""
 
     move: Move
     granted: bool
-    promised: Vote  # the highest
-    accepted: Vote
+    promised: BallotNumber  # the highest
+    accepted: BallotNumber
     value: Name = ""  # accepted, or decided; empty: none
     decided: bool = False
 
 
-class Settled(Message, frozen=True):
+class MigrationDecided(PeerBody, frozen=True, tag="Settled"):
     """The decree's one value, and whether the taker's side is live. Answered by what the other knows of it."""
 
     move: Move
@@ -282,8 +285,8 @@
     active: bool = False
 
 
-class Claims(Message, frozen=True):
-    """May I open the session of a key? Answered by `Claimed`."""
+class SessionClaim(PeerBody, frozen=True, tag="Claims"):
+    """May I open the session of a key? Answered by `ClaimReply`."""
 
     key: Count
     sequence: Order
@@ -292,8 +295,8 @@
     at: Count
 
 
-class Inherits(Message, frozen=True):
-    """I hold the book of a session's last holder, and know the ids of late: may I have it? Answered by `Claimed`.
+class SessionInheritance(PeerBody, frozen=True, tag="Inherits"):
+    """I hold the book of a session's last holder, and know the ids of late: may I have it? Answered by `ClaimReply`.
 
     Not read below level 3, so that nobody grants it who would also vote on a move of the session.
     """
@@ -306,15 +309,15 @@
     at: Count
 
 
-class Claimed(Message, frozen=True):
+class ClaimReply(PeerBody, frozen=True, tag="Claimed"):
     """Whether it may; else who stands in the way, where that is known."""
 
     granted: bool
-    entry: Lodging | None = None
+    entry: SessionLocation | None = None
 
 
-class Pass(Message, frozen=True):
-    """A client's submission for the session's holder; it makes no further hop. Answered by `Passed`."""
+class ForwardedSubmit(PeerBody, frozen=True, tag="Pass"):
+    """A client's submission for the session's holder; it makes no further hop. Answered by `ForwardReply`."""
 
     key: Count
     id: Id
@@ -326,20 +329,23 @@
     within: Count  # microseconds in which the client's answer is wanted
     body: Request
     moved: bool = False  # passed on by the last holder, on the connection that stayed there
-    entry: Lodging | None = None  # the holder, who is gone: for whoever holds its book
+    entry: SessionLocation | None = None  # the holder, who is gone: for whoever holds its book
 
 
-class Passed(Message, frozen=True):
+class ForwardReply(PeerBody, frozen=True, tag="Passed"):
     """The answer for the client; empty: the session isn't held here, but there, or is disowned."""
 
     answer: Name
     wait_ms: Count = 0
     disowned: bool = False
-    entry: Lodging | None = None
+    entry: SessionLocation | None = None
 
 
-class Recall(Message, frozen=True):
-    """The client that handed in a message by `Pass` was gone before its answer. Answered by `Noted`."""
+class RecallForward(PeerBody, frozen=True, tag="Recall"):
+    """The client that handed in a message by `ForwardedSubmit` was gone before its answer.
+
+    Answered by `Acknowledged`.
+    """
 
     key: Count
     id: Id
@@ -350,7 +356,7 @@
 MOST_ENTRIES = 1 << 12  # subscriptions in one letter
 
 
-class Subscribe(Message, frozen=True):
+class Subscribe(PeerBody, frozen=True):
     """Entries of the registry beside the digest of all. Answered by `Subscribe`."""
 
     epoch: Count
@@ -360,22 +366,22 @@
     buckets: Annotated[tuple[Count, ...], Meta(max_length=256)] = ()  # in an answer: their digests, where all differ
 
 
-class Stream(Part, frozen=True):
+class Stream(PeerBodyPart, frozen=True):
     """Items for one subscriber that follow the number `after` with nothing missing between."""
 
     name: Name
     after: Place
-    items: Annotated[bytes, Meta(max_length=LARGEST >> 1)]  # none: the answer alone is wanted
+    items: Annotated[bytes, Meta(max_length=MAX_MESSAGE_BYTES >> 1)]  # none: the answer alone is wanted
 
 
-class Matches(Message, frozen=True):
+class Matches(PeerBody, frozen=True):
     """What subscriptions are owed by one source. Answered by the `Cursors` of those named."""
 
     source: Word
     streams: Annotated[tuple[Stream, ...], Meta(max_length=1 << 10)]
 
 
-class Cursor(Part, frozen=True):
+class Cursor(PeerBodyPart, frozen=True):
     """How far a subscriber is with a source, by the word of the member where it is."""
 
     name: Name
@@ -385,8 +391,8 @@
     room: bool = True  # whether more may come now
 
 
-class Cursors(Message, frozen=True):
-    """Places of subscribers in one source. Answered by `Noted` where it is not an answer itself."""
+class Cursors(PeerBody, frozen=True):
+    """Places of subscribers in one source. Answered by `Acknowledged` where it is not an answer itself."""
 
     source: Word
     cursors: Annotated[tuple[Cursor, ...], Meta(max_length=1 << 12)]
@@ -395,26 +401,29 @@
 # ---- keys, hints, suspensions, and what answers anything ----
 
 
-class Owed(Message, frozen=True):
-    """Keys of which the sender of the letter owes something from before a trouble: all of them. Answered by `Noted`."""
+class OwedKeys(PeerBody, frozen=True, tag="Owed"):
+    """Keys of which the sender of the letter owes something from before a trouble: all of them.
+
+    Answered by `Acknowledged`.
+    """
 
     keys: Annotated[tuple[Count, ...], Meta(max_length=MOST_KEYS)] = ()
 
 
-class Wait(Part, frozen=True):
+class RetryAfterEntry(PeerBodyPart, frozen=True):
     """A receiver that asked to be left alone for so many microseconds from now on."""
 
     uid: Word
     left: Annotated[int, Meta(ge=0, lt=1 << 40)]  # not the end: the clocks of two machines differ
 
 
-class Hint(Message, frozen=True):
-    """Waits that receivers told the sender of the letter. Answered by `Noted`."""
+class RetryAfterHint(PeerBody, frozen=True, tag="Hint"):
+    """Waits that receivers told the sender of the letter. Answered by `Acknowledged`."""
 
-    waits: Annotated[tuple[Wait, ...], Meta(max_length=4096)] = ()
+    waits: Annotated[tuple[RetryAfterEntry, ...], Meta(max_length=4096)] = ()
 
 
-class Mark(Part, frozen=True):
+class SuspensionMark(PeerBodyPart, frozen=True):
     """A receiver taken out by hand, or restored; the larger (counter, member) stands."""
 
     uid: Word
@@ -423,19 +432,22 @@
     calls: Annotated[int, Meta(ge=0, le=1000)]  # out; 0: restored
 
 
-class Marks(Message, frozen=True):
-    """Marks that the other may lack, and the digest of all. Answered by `Marks`: all its own if the digests differ."""
+class SuspensionMarks(PeerBody, frozen=True, tag="Marks"):
+    """Marks that the other may lack, and the digest of all. Answered by `SuspensionMarks`:
+
+    all its own if the digests differ.
+    """
 
     digest: Count
-    rows: Annotated[tuple[Mark, ...], Meta(max_length=4096)] = ()
+    rows: Annotated[tuple[SuspensionMark, ...], Meta(max_length=4096)] = ()
     whole: bool = False  # in an answer: what is not there has been restored, or was never out
 
 
-class Noted(Message, frozen=True):
+class Acknowledged(PeerBody, frozen=True, tag="Noted"):
     """Read; there is nothing to say."""
 
 
-class Refused(Message, frozen=True):
+class RequestRefused(PeerBody, frozen=True, tag="Refused"):
     """The letter was not acted on: the code of the error and its text."""
 
     code: Word
@@ -443,15 +455,15 @@
 
 
 Body = (
-    Beat | Ask | Told | Tables | Table
-    | Facts | Piece | Have | Digests | Offer | Taken
-    | Lodgings | Stage | Staged | Prepare | Accept | Voted | Settled
-    | Claims | Inherits | Claimed | Pass | Passed | Recall
-    | Subscribe | Matches | Cursors | Owed | Hint | Marks | Noted | Refused
+    Heartbeat | LeaseRequest | LeaseReply | GrantTableRequest | GrantTable
+    | ReplicateFacts | ReplicatePiece | ReplicaAck | Digests | TakeoverOffer | OfferReply
+    | SessionLocations | StageSession | StageReply | PrepareRequest | AcceptRequest | VoteReply | MigrationDecided
+    | SessionClaim | SessionInheritance | ClaimReply | ForwardedSubmit | ForwardReply | RecallForward
+    | Subscribe | Matches | Cursors | OwedKeys | RetryAfterHint | SuspensionMarks | Acknowledged | RequestRefused
 )  # fmt: skip
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True):
+class PeerMessageHeader(msgspec.Struct, frozen=True, array_like=True):
     """How a letter of any version begins; a refusal that names it can be read by all of them."""
 
     version: Count
@@ -462,28 +474,28 @@
     to: Name
 
 
-class Letter(Head, frozen=True, array_like=True):
+class PeerMessage(PeerMessageHeader, frozen=True, array_like=True):
     """A body with who says it, in which group, to whom."""
 
     body: Body
 
 
 encode = msgspec.msgpack.Encoder().encode
-_letters: msgspec.msgpack.Decoder[Letter] = msgspec.msgpack.Decoder(Letter)
-_heads: msgspec.msgpack.Decoder[Head] = msgspec.msgpack.Decoder(Head)
+_letters: msgspec.msgpack.Decoder[PeerMessage] = msgspec.msgpack.Decoder(PeerMessage)
+_heads: msgspec.msgpack.Decoder[PeerMessageHeader] = msgspec.msgpack.Decoder(PeerMessageHeader)
 
 
-def decode(told: bytes) -> Letter:
-    """The letter in these bytes; `InvalidLetterError` names the place that does not fit."""
-    if len(told) > LARGEST:
-        raise InvalidLetterError(f"a letter of {len(told)} bytes, where {LARGEST} is the most")
+def decode(told: bytes) -> PeerMessage:
+    """The letter in these bytes; `InvalidPeerMessageError` names the place that does not fit."""
+    if len(told) > MAX_MESSAGE_BYTES:
+        raise InvalidPeerMessageError(f"a letter of {len(told)} bytes, where {MAX_MESSAGE_BYTES} is the most")
     try:
         return _letters.decode(told)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise InvalidLetterError(f"no letter: {str(error)[:300]}") from None
+        raise InvalidPeerMessageError(f"no letter: {str(error)[:300]}") from None
 
 
-def head_of(told: bytes) -> Head | None:
+def head_of(told: bytes) -> PeerMessageHeader | None:
     """How a letter begins whose body cannot be read: None where not even that can."""
     try:
         return _heads.decode(told)
@@ -496,7 +508,7 @@
     return xxhash.xxh3_64_intdigest(told)
 
 
-def whole(body: Facts | Piece | Offer | Stage) -> bool:
+def whole(body: ReplicateFacts | ReplicatePiece | TakeoverOffer | StageSession) -> bool:
     """Whether facts came as they were sent."""
     return digest_of(body.facts) == body.digest
 
--- a/cedarwick/fleet/moves.py
+++ b/cedarwick/fleet/migration_table.py
@@ -20,7 +20,7 @@
 from enum import Enum
 from typing import Literal, NamedTuple
 
-from cedarwick.fleet.decrees import Acceptor, Answer, Ask, Proposer, Value, parts
+from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Proposer, ProposerRequest, Value, parts
 from cedarwick.fleet.placement import weight
 
 FREEZE = 100_000  # what is out is awaited for so long
@@ -34,7 +34,7 @@
 MOST_IN = 20  # staged at once at a taker
 
 
-class Giving(Enum):
+class SourceStage(Enum):
     FREEZING = "freezing"
     OFFERED = "offered"
     FORWARDING = "forwarding"
@@ -42,14 +42,14 @@
     HELD = "held"  # called off
 
 
-class Taking(Enum):
+class TargetStage(Enum):
     STAGED = "staged"
     GRANTED = "granted"
     ACTIVE = "active"
     DROPPED = "dropped"
 
 
-class Do(Enum):
+class MigrationAction(Enum):
     """What the caller is to do; all of it may be done twice."""
 
     FREEZE = "freeze"  # no new attempt of the key; call `idle` once nothing of it is out
@@ -68,23 +68,23 @@
     CLOSE = "close"  # no longer
 
 
-class Act(NamedTuple):
-    do: Do
+class MigrationStep(NamedTuple):
+    do: MigrationAction
     move: str
     to: str = ""
-    ask: Ask | None = None
+    ask: ProposerRequest | None = None
     value: Value | None = None
     active: bool = False
 
 
 @dataclass(slots=True)
-class Move:
+class Migration:
     """What one member knows of one move; it may have either side, by adoption both."""
 
     name: str
     key: int
-    giving: Giving | None = None
-    taking: Taking | None = None
+    giving: SourceStage | None = None
+    taking: TargetStage | None = None
     marking: bool = False  # the marks are being written
     written: bool = False  # what was staged is kept
     heard: bool = False  # the taker has answered `Staged`
@@ -97,7 +97,7 @@
     asked: int = 0  # times
 
 
-class Moves:
+class MigrationTable:
     """All moves that this member has a side of.
 
     Args:
@@ -116,97 +116,97 @@
         self.voters = voters
         self.acceptor = acceptor
         self.wait = wait
-        self.moves: dict[str, Move] = {}
+        self.moves: dict[str, Migration] = {}
         self.by_key: dict[int, str] = {}  # the newest move of a session
         self.proposers = 0
 
     # ---- the giver ----
 
-    def begin(self, name: str, key: int, now: int) -> list[Act]:
+    def begin(self, name: str, key: int, now: int) -> list[MigrationStep]:
         """Start to give a session away; nothing where it is on the move or too many are."""
         open_one = self.moves.get(self.by_key.get(key, ""))
-        giving = sum(1 for move in self.moves.values() if move.giving in (Giving.FREEZING, Giving.OFFERED))
+        giving = sum(1 for move in self.moves.values() if move.giving in (SourceStage.FREEZING, SourceStage.OFFERED))
         if (open_one is not None and not self._finished(open_one)) or giving >= MOST_OUT or name in self.moves:
             return []
-        self.moves[name] = Move(name, key, Giving.FREEZING, began=now)
+        self.moves[name] = Migration(name, key, SourceStage.FREEZING, began=now)
         self.by_key[key] = name
-        return [Act(Do.FREEZE, name)]
+        return [MigrationStep(MigrationAction.FREEZE, name)]
 
-    def idle(self, name: str, now: int) -> list[Act]:
+    def idle(self, name: str, now: int) -> list[MigrationStep]:
         """Nothing of the session is out any more, or has been awaited for long enough."""
         move = self.moves.get(name)
-        if move is None or move.giving is not Giving.FREEZING or move.marking:
+        if move is None or move.giving is not SourceStage.FREEZING or move.marking:
             return []
         move.marking = True
-        return [Act(Do.MARK, name)]
+        return [MigrationStep(MigrationAction.MARK, name)]
 
-    def marked(self, name: str, now: int) -> list[Act]:
+    def marked(self, name: str, now: int) -> list[MigrationStep]:
         """Own folder and every heir of the book have the marks."""
         move = self.moves.get(name)
-        if move is None or move.giving is not Giving.FREEZING:
+        if move is None or move.giving is not SourceStage.FREEZING:
             return []
-        move.giving = Giving.OFFERED
+        move.giving = SourceStage.OFFERED
         move.next_at = now + AGAIN
-        return [Act(Do.STAGE, name, parts(name)[2])]
+        return [MigrationStep(MigrationAction.STAGE, name, parts(name)[2])]
 
-    def staged(self, name: str, now: int) -> list[Act]:
+    def staged(self, name: str, now: int) -> list[MigrationStep]:
         """The taker has kept it. It asks for the decree itself; the giver only stops to send."""
         move = self.moves.get(name)
         if move is not None:
             move.heard = True
         return []
 
-    def call_off(self, name: str, now: int) -> list[Act]:
+    def call_off(self, name: str, now: int) -> list[MigrationStep]:
         """The giver wants it back: its time is over, the taker has refused, or staff say so."""
         move = self.moves.get(name)
-        if move is None or move.giving not in (Giving.FREEZING, Giving.OFFERED):
+        if move is None or move.giving not in (SourceStage.FREEZING, SourceStage.OFFERED):
             return []
-        if move.giving is Giving.FREEZING:  # no taker has ever heard of it
+        if move.giving is SourceStage.FREEZING:  # no taker has ever heard of it
             return self._decided(move, "off", now)
         # Danger: a `Stage` that was refused or got no answer may have come twice, and been kept the other time.
         return self._settle(move, now)
 
-    def client_gone(self, key: int, now: int) -> list[Act]:
+    def client_gone(self, key: int, now: int) -> list[MigrationStep]:
         """The live connection has ended."""
         move = self.moves.get(self.by_key.get(key, ""))
-        return self._close(move, now) if move is not None and move.giving is Giving.FORWARDING else []
+        return self._close(move, now) if move is not None and move.giving is SourceStage.FORWARDING else []
 
     # ---- the taker ----
 
-    def stage(self, name: str, key: int, room: bool, now: int) -> list[Act]:
+    def stage(self, name: str, key: int, room: bool, now: int) -> list[MigrationStep]:
         """A giver offers a session. `room`: whether the folder and the load allow for it."""
         move = self.moves.get(name)
         if move is not None and move.taking is not None:
-            return [Act(Do.STAGED, name, parts(name)[1])] if move.written else []
-        staged = sum(1 for each in self.moves.values() if each.taking is Taking.STAGED)
+            return [MigrationStep(MigrationAction.STAGED, name, parts(name)[1])] if move.written else []
+        staged = sum(1 for each in self.moves.values() if each.taking is TargetStage.STAGED)
         # Danger: a `Stage` that comes late or twice would be taken again after its messages have gone out or been
         # dropped. The own acceptor votes as soon as it is kept: a move that it knows was staged, or is being settled.
         if not room or staged >= MOST_IN or parts(name)[2] != self.name or not self.acceptor.may_open(name):
-            return [Act(Do.REFUSE, name, parts(name)[1])]
-        self._open(name, key, now).taking = Taking.STAGED
-        return [Act(Do.WRITE, name)]
+            return [MigrationStep(MigrationAction.REFUSE, name, parts(name)[1])]
+        self._open(name, key, now).taking = TargetStage.STAGED
+        return [MigrationStep(MigrationAction.WRITE, name)]
 
-    def written(self, name: str, now: int) -> list[Act]:
+    def written(self, name: str, now: int) -> list[MigrationStep]:
         """What was staged is in the own folder and at every heir of the own book."""
         move = self.moves.get(name)
-        if move is None or move.taking is not Taking.STAGED or move.written:
+        if move is None or move.taking is not TargetStage.STAGED or move.written:
             return []
         move.written = True
         asks = self._proposer(move).as_taker(now) if move.proposer is None else []
-        return [Act(Do.STAGED, name, parts(name)[1]), *self._asks(asks)]
+        return [MigrationStep(MigrationAction.STAGED, name, parts(name)[1]), *self._asks(asks)]
 
-    def activated(self, name: str, now: int) -> list[Act]:
+    def activated(self, name: str, now: int) -> list[MigrationStep]:
         """The messages are live here."""
         move = self.moves.get(name)
-        if move is None or move.taking is not Taking.GRANTED:
+        if move is None or move.taking is not TargetStage.GRANTED:
             return []
-        move.taking = Taking.ACTIVE
-        told = Act(Do.TELL, name, value="taker", active=True)
+        move.taking = TargetStage.ACTIVE
+        told = MigrationStep(MigrationAction.TELL, name, value="taker", active=True)
         return [told, *self._confirmed(move, now)]
 
     # ---- the decree ----
 
-    def answered(self, ask: Ask, answer: Answer, now: int) -> list[Act]:
+    def answered(self, ask: ProposerRequest, answer: AcceptorReply, now: int) -> list[MigrationStep]:
         """An acceptor's answer."""
         move = self.moves.get(ask.move)
         if move is None or move.proposer is None or move.value is not None:
@@ -215,9 +215,9 @@
         if move.proposer.decided is None:
             return self._asks(asks)
         value = move.proposer.decided
-        return [Act(Do.TELL, ask.move, value=value), *self._decided(move, value, now)]
+        return [MigrationStep(MigrationAction.TELL, ask.move, value=value), *self._decided(move, value, now)]
 
-    def settled(self, name: str, value: Value, active: bool, now: int) -> list[Act]:
+    def settled(self, name: str, value: Value, active: bool, now: int) -> list[MigrationStep]:
         """Somebody tells the decree; `active`: and that the taker's side is live. Also the answer to a `TELL`."""
         move = self.moves.get(name)
         if move is None:
@@ -230,26 +230,26 @@
     def said(self, name: str) -> tuple[Value | None, bool]:
         """What to answer to somebody's `Settled`: the decree as far as known, and whether it is active here."""
         move = self.moves.get(name)
-        return (None, False) if move is None else (move.value, move.taking is Taking.ACTIVE)
+        return (None, False) if move is None else (move.value, move.taking is TargetStage.ACTIVE)
 
     # ---- restarts and books that change hands ----
 
-    def found(self, name: str, key: int, giving: bool, now: int) -> list[Act]:
+    def found(self, name: str, key: int, giving: bool, now: int) -> list[MigrationStep]:
         """Marked facts lie in a book that this member holds: after its restart, or adopted.
 
         For the taker's side only once every heir of that book has them (again): it may ask for the decree at once.
         """
         move = self._open(name, key, now)
         if giving and move.giving is None:
-            move.giving = Giving.OFFERED
+            move.giving = SourceStage.OFFERED
         elif not giving and move.taking is None:
-            move.taking, move.written = Taking.STAGED, True
+            move.taking, move.written = TargetStage.STAGED, True
         else:
             return []
         if move.value is not None:
             value, move.value = move.value, None
             acts = self._decided(move, value, now)
-            return acts + (self._confirmed(move, now) if move.taking is Taking.ACTIVE else [])
+            return acts + (self._confirmed(move, now) if move.taking is TargetStage.ACTIVE else [])
         if not giving and parts(name)[2] == self.name and move.proposer is None:
             return self._asks(self._proposer(move).as_taker(now))
         return self._settle(move, now)
@@ -275,9 +275,12 @@
         move = self.moves.get(self.by_key.get(key, ""))
         if move is None:
             return "here", ""
-        if move.giving is Giving.FORWARDING:
+        if move.giving is SourceStage.FORWARDING:
             return "pass", parts(move.name)[2]
-        frozen = move.giving in (Giving.FREEZING, Giving.OFFERED) or move.taking in (Taking.STAGED, Taking.GRANTED)
+        frozen = move.giving in (SourceStage.FREEZING, SourceStage.OFFERED) or move.taking in (
+            TargetStage.STAGED,
+            TargetStage.GRANTED,
+        )
         return ("wait" if frozen else "here"), ""
 
     def near_limit(self, name: str) -> Literal["failed", "over"] | None:
@@ -287,7 +290,7 @@
         answer from here. None: the taker's own, undecided; the giver answers.
         """
         move = self.moves.get(name)
-        if move is None or move.giving in (None, Giving.CLOSED):
+        if move is None or move.giving in (None, SourceStage.CLOSED):
             return None
         return "over" if move.value == "taker" else "failed"
 
@@ -297,117 +300,119 @@
         """When `due` wants to be called."""
         return min((self._due_at(move) for move in self.moves.values()), default=None)
 
-    def due(self, now: int) -> list[Act]:
+    def due(self, now: int) -> list[MigrationStep]:
         """What the time asks for."""
-        acts: list[Act] = []
+        acts: list[MigrationStep] = []
         for move in [each for each in self.moves.values() if self._due_at(each) <= now]:
             if self._finished(move):
                 del self.moves[move.name]
                 if self.by_key.get(move.key) == move.name:
                     del self.by_key[move.key]
-            elif move.giving is Giving.FORWARDING and now >= move.settled_at + FORWARDS:
+            elif move.giving is SourceStage.FORWARDING and now >= move.settled_at + FORWARDS:
                 acts += self._close(move, now)
-            elif move.giving is Giving.FORWARDING and not move.confirmed:
+            elif move.giving is SourceStage.FORWARDING and not move.confirmed:
                 self._again(move, now)
-                acts.append(Act(Do.TELL, move.name, parts(move.name)[2], value="taker"))
+                acts.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value="taker"))
             elif move.value is not None:
                 self._again(move, now)
-                acts.append(Act(Do.ACTIVATE, move.name))
+                acts.append(MigrationStep(MigrationAction.ACTIVATE, move.name))
             elif move.proposer is not None:
                 acts += self._asks(move.proposer.due(now))
             elif move.giving is not None and now >= move.began + CALL_OFF:
                 acts += self.call_off(move.name, now)
             elif move.giving is None:  # it can't be kept here, or not at every heir
                 acts += self._settle(move, now)
-            elif move.giving is Giving.FREEZING:
+            elif move.giving is SourceStage.FREEZING:
                 acts += self.idle(move.name, now)
-            elif move.giving is Giving.OFFERED and not move.heard:
+            elif move.giving is SourceStage.OFFERED and not move.heard:
                 self._again(move, now)
-                acts.append(Act(Do.STAGE, move.name, parts(move.name)[2]))
+                acts.append(MigrationStep(MigrationAction.STAGE, move.name, parts(move.name)[2]))
         return acts
 
-    def _due_at(self, move: Move) -> int:
+    def _due_at(self, move: Migration) -> int:
         if self._finished(move):
             return move.settled_at + KEPT
-        if move.giving is Giving.FORWARDING:
+        if move.giving is SourceStage.FORWARDING:
             return move.settled_at + FORWARDS if move.confirmed else min(move.next_at, move.settled_at + FORWARDS)
         if move.value is not None:
             return move.next_at
         if move.proposer is not None:
             return move.proposer.next_at
-        if move.giving is Giving.FREEZING and not move.marking:
+        if move.giving is SourceStage.FREEZING and not move.marking:
             return move.began + FREEZE
-        if move.giving is Giving.OFFERED and not move.heard:
+        if move.giving is SourceStage.OFFERED and not move.heard:
             return min(move.next_at, move.began + CALL_OFF)
         return move.began + CALL_OFF
 
     # ---- within ----
 
-    def _open(self, name: str, key: int, now: int) -> Move:
+    def _open(self, name: str, key: int, now: int) -> Migration:
         if name not in self.moves:
-            self.moves[name] = Move(name, key, began=now)
+            self.moves[name] = Migration(name, key, began=now)
             self.by_key[key] = name
         return self.moves[name]
 
     @staticmethod
-    def _finished(move: Move) -> bool:
-        return move.giving in (None, Giving.CLOSED, Giving.HELD) and move.taking in (
+    def _finished(move: Migration) -> bool:
+        return move.giving in (None, SourceStage.CLOSED, SourceStage.HELD) and move.taking in (
             None,
-            Taking.ACTIVE,
-            Taking.DROPPED,
+            TargetStage.ACTIVE,
+            TargetStage.DROPPED,
         )
 
     @staticmethod
-    def _again(move: Move, now: int) -> None:
+    def _again(move: Migration, now: int) -> None:
         move.next_at = now + min(AGAIN << min(move.asked, 10), AGAIN_MOST)
         move.asked += 1
 
     @staticmethod
-    def _asks(asks: Iterable[Ask]) -> list[Act]:
-        return [Act(Do.ASK, ask.move, ask.to, ask) for ask in asks]
+    def _asks(asks: Iterable[ProposerRequest]) -> list[MigrationStep]:
+        return [MigrationStep(MigrationAction.ASK, ask.move, ask.to, ask) for ask in asks]
 
-    def _proposer(self, move: Move) -> Proposer:
+    def _proposer(self, move: Migration) -> Proposer:
         if move.proposer is None:
             # Danger: a second proposer of one boot, after the first was lost with its book, must not share a ballot.
             self.proposers += 1
             move.proposer = Proposer(move.name, f"{self.mark}.{self.proposers}", self.voters, self.wait)
         return move.proposer
 
-    def _settle(self, move: Move, now: int) -> list[Act]:
+    def _settle(self, move: Migration, now: int) -> list[MigrationStep]:
         return self._asks(self._proposer(move).settle(now)) if move.proposer is None else []
 
-    def _decided(self, move: Move, value: Value, now: int) -> list[Act]:
+    def _decided(self, move: Migration, value: Value, now: int) -> list[MigrationStep]:
         """The decree is known; each side does its part, once."""
         if move.value is not None:
             return []
         move.value, move.settled_at, move.next_at, move.asked = value, now, now + AGAIN, 0
         acts = []
-        if move.giving in (Giving.FREEZING, Giving.OFFERED):
+        if move.giving in (SourceStage.FREEZING, SourceStage.OFFERED):
             if value == "taker":
-                move.giving = Giving.FORWARDING
-                acts.append(Act(Do.FORWARD, move.name, parts(move.name)[2]))
-                if move.taking is not Taking.ACTIVE:
-                    acts.append(Act(Do.TELL, move.name, parts(move.name)[2], value="taker"))
+                move.giving = SourceStage.FORWARDING
+                acts.append(MigrationStep(MigrationAction.FORWARD, move.name, parts(move.name)[2]))
+                if move.taking is not TargetStage.ACTIVE:
+                    acts.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value="taker"))
             else:
-                move.giving = Giving.HELD
-                acts.append(Act(Do.RELEASE, move.name))
-        if move.taking is Taking.STAGED:
-            move.taking = Taking.GRANTED if value == "taker" else Taking.DROPPED
-            acts.append(Act(Do.ACTIVATE if value == "taker" else Do.DROP, move.name))
+                move.giving = SourceStage.HELD
+                acts.append(MigrationStep(MigrationAction.RELEASE, move.name))
+        if move.taking is TargetStage.STAGED:
+            move.taking = TargetStage.GRANTED if value == "taker" else TargetStage.DROPPED
+            acts.append(
+                MigrationStep(MigrationAction.ACTIVATE if value == "taker" else MigrationAction.DROP, move.name)
+            )
         return acts
 
-    def _confirmed(self, move: Move, now: int) -> list[Act]:
+    def _confirmed(self, move: Migration, now: int) -> list[MigrationStep]:
         """The taker's side is live: what the giver still keeps, inert, is over."""
-        if move.giving is not Giving.FORWARDING or move.confirmed:
+        if move.giving is not SourceStage.FORWARDING or move.confirmed:
             return []
         move.confirmed = True
-        return [Act(Do.OVER, move.name)]
+        return [MigrationStep(MigrationAction.OVER, move.name)]
 
-    def _close(self, move: Move, now: int) -> list[Act]:
+    def _close(self, move: Migration, now: int) -> list[MigrationStep]:
         over = self._confirmed(move, now)  # decided long ago: the taker's book has them, whoever holds it
-        move.giving = Giving.CLOSED
+        move.giving = SourceStage.CLOSED
         move.settled_at = now
-        return [*over, Act(Do.CLOSE, move.name)]
+        return [*over, MigrationStep(MigrationAction.CLOSE, move.name)]
 
 
 # ---- which sessions move, to whom, and when ----
@@ -417,7 +422,7 @@
 FULL = 0.8  # of what a sender bears: so much it takes
 
 
-class Why(Enum):
+class MigrationReason(Enum):
     """Why a session is to move; the most urgent first."""
 
     STAFF = "staff say so"
@@ -426,9 +431,9 @@
     CLIENT = "its client has come to another sender"
 
 
-class Wish(NamedTuple):
+class MigrationRequest(NamedTuple):
     key: int
-    why: Why
+    why: MigrationReason
     to: str = ""  # this one only; empty: to whoever is preferred
 
 
@@ -459,7 +464,7 @@
     )
 
 
-class Planner:
+class MigrationPlanner:
     """Chooses the moves of the sessions that this sender holds."""
 
     def __init__(self, hall: str) -> None:
@@ -478,7 +483,9 @@
         if not moved:
             self.off[key] = now + AFTER_OFF
 
-    def plan(self, wishes: Sequence[Wish], neighbours: Sequence[Neighbour], now: int) -> list[tuple[int, str]]:
+    def plan(
+        self, wishes: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
+    ) -> list[tuple[int, str]]:
         """The moves to begin now, as key and taker; the others are asked for again later. At most `MOST_OUT` are on
         the move from here at once, and `MOST_IN` to each taker."""
         self.stays = {key: until for key, until in self.stays.items() if until > now}
@@ -487,8 +494,8 @@
         for to in self.out.values():
             more[to] = more.get(to, 0) + 1
         chosen = []
-        for wish in sorted(wishes, key=lambda each: list(Why).index(each.why)):
-            stays = wish.key in self.stays and wish.why not in (Why.STAFF, Why.LEAVING)
+        for wish in sorted(wishes, key=lambda each: list(MigrationReason).index(each.why)):
+            stays = wish.key in self.stays and wish.why not in (MigrationReason.STAFF, MigrationReason.LEAVING)
             # Danger: with a client at each of two senders, a session would go to and fro, frozen most of the time.
             if len(self.out) >= MOST_OUT or wish.key in self.out or wish.key in self.off or stays or not wish.key:
                 continue
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -2,7 +2,7 @@
 
 The greenlet `run` looks at everything every few milliseconds; letters of other members are answered in the greenlets of
 the link; calls to them are made in greenlets of their own. None of them waits between a look at a state and the change
-that rests on it. What is settled, and why, stands in `adoption.py`, `leases.py`, `members.py` and `shipping.py`.
+that rests on it. What is settled, and why, stands in `takeover.py`, `leases.py`, `membership.py` and `replication.py`.
 """
 
 import time
@@ -18,55 +18,55 @@
 from cedarwick.config.operator import Fleet
 from cedarwick.errors import CedarwickError
 from cedarwick.events.exchange import Exchange
-from cedarwick.fleet import facts as known_facts
 from cedarwick.fleet import placement
-from cedarwick.fleet.adoption import AWAY, Adoption, BooksExhaustedError, Do, Ownership, Stage
-from cedarwick.fleet.book import BLOCK, STARVED, Holding, Shared, boot_time
-from cedarwick.fleet.copies import Copies, CopyFolder
-from cedarwick.fleet.facts import Rank
-from cedarwick.fleet.gate import Gate
-from cedarwick.fleet.lasting import Held, Lasting
-from cedarwick.fleet.leases import SPAN, Grantor, Tenure, right_of
-from cedarwick.fleet.link import PeerRefusedError, Peers, PeerUnreachableError, Server
-from cedarwick.fleet.members import Members, Standing
+from cedarwick.fleet import replication_facts as known_facts
+from cedarwick.fleet.fleet_files import FleetFiles, LeaseRecord
+from cedarwick.fleet.gossip import Gossip
+from cedarwick.fleet.leases import SPAN, LeaseGrantor, LeaseState, right_of
+from cedarwick.fleet.membership import Membership, MemberStatus
 from cedarwick.fleet.messages import (
     OWING,
-    Ask,
-    Beat,
+    Acknowledged,
     Body,
     Cursors,
     Digests,
-    Facts,
-    Have,
-    Hint,
-    Letter,
-    Marks,
+    GrantTable,
+    GrantTableRequest,
+    Heartbeat,
+    LeaseReply,
+    LeaseRequest,
     Matches,
-    Noted,
-    Offer,
-    Owed,
-    Piece,
+    OfferReply,
+    OwedKeys,
+    PeerMessage,
+    ReplicaAck,
+    ReplicateFacts,
+    ReplicatePiece,
+    RetryAfterHint,
     Subscribe,
-    Table,
-    Tables,
-    Taken,
-    Told,
+    SuspensionMarks,
+    TakeoverOffer,
     digest_of,
     slot_of,
 )
 from cedarwick.fleet.messages import (
-    Held as Right,
+    HeldLease as Right,
 )
-from cedarwick.fleet.owing import Owing
-from cedarwick.fleet.sharing import Sharing
-from cedarwick.fleet.shipping import NO_ROOM, OTHER, TERM, Follower
+from cedarwick.fleet.order_key_hints import OrderKeyHints
+from cedarwick.fleet.peer_verifier import PeerVerifier
+from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
+from cedarwick.fleet.replicated_store import BLOCK, STARVED, LeasedPartition, ReplicatedStore, monotonic_time
+from cedarwick.fleet.replication import NO_ROOM, OTHER, TERM, FollowerProgress
+from cedarwick.fleet.replication_facts import EndRank
+from cedarwick.fleet.takeover import AWAY, BooksExhaustedError, Ownership, Takeover, TakeoverAction, TakeoverStage
+from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerServer, PeerUnreachableError
 from cedarwick.net.assignment import address
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.store.journal import NoSpaceError
 
 if TYPE_CHECKING:
-    from cedarwick.fleet.traffic import Traffic
+    from cedarwick.fleet.session_routing import SessionRouter
 
 TURN = 0.02  # seconds between two looks at everything
 BEAT = 0.25  # seconds between two beats
@@ -93,7 +93,7 @@
 CLOSED = "closed"  # the problem of an offer for a book of which nothing is owed any more
 
 
-class Upkeep(Protocol):
+class PartitionDispatcher(Protocol):
     """What the dispatcher does for a book."""
 
     def adopt(self, numbers: list[int]) -> None: ...
@@ -109,17 +109,19 @@
     def rest_of(self, key: int) -> int: ...
 
 
-class UnknownLetterError(CedarwickError):
+class UnknownPeerMessageError(CedarwickError):
     """A letter whose kind this member does not answer."""
 
     code = "CW742"
     remedy = "bring all members to one version of the program"
 
 
-class Node:
+class FleetNode:
     """This sender as a member. Made before the dispatcher is; `serve` begins once the folder is read."""
 
-    def __init__(self, name: str, told: Fleet, state: str, store: Shared, clock: Clock, counters: Counters) -> None:
+    def __init__(
+        self, name: str, told: Fleet, state: str, store: ReplicatedStore, clock: Clock, counters: Counters
+    ) -> None:
         """OSError where the folder or the address cannot be used; `NotAMemberError` where the file lacks this sender;
         `FolderOfAnother`."""
         self.name = name
@@ -131,26 +133,26 @@
         if name not in self.halls:
             raise NotAMemberError(f"fleet.member: no entry has the name of this sender, {name!r}")
         self.where = {member.name: address(member.address) for member in told.member}
-        self.lasting = Lasting(state, store.durable)
+        self.lasting = FleetFiles(state, store.durable)
         self.lasting.claim(told.group, name)
         self.incarnation = self.lasting.boot(time.time_ns() // 1000)
-        self.gate = Gate(told.group, name, self.incarnation, self.where)
+        self.gate = PeerVerifier(told.group, name, self.incarnation, self.where)
         self.peers = Peers(self.gate, self.where)
-        now = boot_time()
-        self.members = Members(name, self.halls, self.incarnation, now)
+        now = monotonic_time()
+        self.members = Membership(name, self.halls, self.incarnation, now)
         table = self.lasting.table()
         known = table.grants if table is not None and not table.learning else None
-        self.grantor = Grantor(name, self.halls, now, known)
+        self.grantor = LeaseGrantor(name, self.halls, now, known)
         self.changed = self.written = 0  # counts the states of its table: the newest, and that on the disk
         self.changed_at: dict[str, int] = {}  # by right: the state with its newest row, where that is not on the disk
         self.writing = False
-        self.copies = Copies(
-            CopyFolder(self.lasting.copies), round(told.copies_mb * (1 << 20)), now=clock.now, durable=store.durable
+        self.copies = ReplicaStore(
+            ReplicaFolder(self.lasting.copies), round(told.copies_mb * (1 << 20)), now=clock.now, durable=store.durable
         )
-        self.adoptions: dict[int, Adoption] = {}
+        self.adoptions: dict[int, Takeover] = {}
         self.held = {held.book: held for held in self.lasting.held()}
         self.ownership: Ownership | None = None
-        self.dispatcher: Upkeep
+        self.dispatcher: PartitionDispatcher
         self.shipped_at: dict[int, int] = {}  # by book: when its holder last wrote to the copy here
         self.begun_at = now
         self.before = True  # whether messages may be left that were taken before this sender was a member
@@ -166,22 +168,22 @@
         self.looked_late = 0.0
         self.few_since = 0  # since when too few members are alive to grant anything; 0: enough are
         self.leaving = False
-        self.sharing = Sharing(name, self.lasting, clock, counters, self._call)
-        self.owing = Owing()
+        self.sharing = Gossip(name, self.lasting, clock, counters, self._call)
+        self.owing = OrderKeyHints()
         self.lying: dict[int, frozenset[int]] = {}  # by book: keys in a copy here whose holder is silent
         self.exchange = Exchange(name, self.gate, counters, self._call, state, round(told.follow_s * 1e6))
         store.seen = self.exchange.seen
         store.reserve, store.starved = self._reserve, self._starved
-        self.traffic: Traffic | None = None
+        self.traffic: SessionRouter | None = None
         if told.sessions:
-            from cedarwick.fleet import traffic  # nothing of sessions is loaded where they are off
+            from cedarwick.fleet import session_routing  # nothing of sessions is loaded where they are off
 
-            self.traffic = traffic.Traffic(self)
-        self.server = Server(self.where[name], self.gate, counters, self.answer)
+            self.traffic = session_routing.SessionRouter(self)
+        self.server = PeerServer(self.where[name], self.gate, counters, self.answer)
 
     # ---- life ----
 
-    def start(self, dispatcher: Upkeep) -> list[gevent.Greenlet]:
+    def start(self, dispatcher: PartitionDispatcher) -> list[gevent.Greenlet]:
         """Once the folder is read: load the copies, take letters, and run. The greenlets never return."""
         self.dispatcher = dispatcher
         self.copies.load()
@@ -192,11 +194,11 @@
         mine = {number >> 32 for number in self.store.kept} - {0}
         for book in sorted(mine - kept.keys()):
             # A book that was adopted, or one whose line is lost: taken up again if nobody else has it by now.
-            self.adoptions[book] = Adoption(book, self.name, self.halls, self._term_of(book), resume=True)
+            self.adoptions[book] = Takeover(book, self.name, self.halls, self._term_of(book), resume=True)
         self.ownership = Ownership(self.name, slot, self.halls, kept)
         for book in sorted(kept)[:-1]:
             if book not in self.adoptions and book in mine:
-                self.adoptions[book] = Adoption(book, self.name, self.halls, kept[book], resume=True)
+                self.adoptions[book] = Takeover(book, self.name, self.halls, kept[book], resume=True)
         for book in sorted(mine & set(self.adoptions)):  # a copy is none: it may not be whole
             self._hold(book)
         if self.store.damaged:
@@ -217,7 +219,7 @@
     def run(self) -> None:
         """Never returns: looks at everything, again and again."""
         while True:
-            self.look(boot_time())
+            self.look(monotonic_time())
             gevent.sleep(TURN)
 
     def leave(self) -> None:
@@ -260,7 +262,7 @@
         except MembershipChangeError as error:
             logger.error("the members stay as they were: {}", error.line)
             return
-        before, now = set(self.halls), boot_time()
+        before, now = set(self.halls), monotonic_time()
         kept = msgspec.structs.replace(self.told, member=told.member, follow_s=told.follow_s)
         moved = self.where[self.name] not in [address(each.address) for each in told.member if each.name == self.name]
         if kept != told or moved:
@@ -293,7 +295,7 @@
         # Danger: two changes in turn here are two at once for a member that has taken over neither.
         behind = [name for name in sorted(mine) if self.members.list_of(name) not in (None, mine, frozenset(names))]
         if mine > names:  # who is dead takes over nothing; several of them are taken out in turn
-            behind = [name for name in behind if self.members.state(boot_time(), name) not in AWAY]
+            behind = [name for name in behind if self.members.state(monotonic_time(), name) not in AWAY]
         if mine != names and behind:
             raise MembershipChangeError(f"{', '.join(behind)} have not taken over the change before this one")
 
@@ -302,17 +304,17 @@
     def _beat(self, name: str) -> None:
         """Returns once the other is no member any more: says that this one lives, and hears it in the answer."""
         while name in self.halls:
-            began = boot_time()
+            began = monotonic_time()
             answer = self._call(name, self._own_beat(), ANSWER_IN)
-            took = boot_time() - began
-            if isinstance(answer, Beat):
+            took = monotonic_time() - began
+            if isinstance(answer, Heartbeat):
                 self._heard(name, self.gate.newest.get(name, 0), answer)
-            self.members.slow(boot_time(), name, took)
+            self.members.slow(monotonic_time(), name, took)
             gevent.sleep(max(0.0, BEAT - took / 1e6))
 
-    def _heard(self, name: str, incarnation: int, beat: Beat) -> None:
+    def _heard(self, name: str, incarnation: int, beat: Heartbeat) -> None:
         before = self.members.incarnation_of(name)
-        now = boot_time()
+        now = monotonic_time()
         if self.members.heard(now, name, incarnation, beat.heard, beat.leaving):
             terms = {right.book: right.term for right in beat.rights}
             for book, adoption in self.adoptions.items():
@@ -329,21 +331,21 @@
                 if name in holding.log.followers:
                     holding.log.followers[name].lost()  # its copy may have gone with the boot before
 
-    def _own_beat(self) -> Beat:
-        now = boot_time()
+    def _own_beat(self) -> Heartbeat:
+        now = monotonic_time()
         rights = tuple(
             Right(holding.book, holding.adoption.holder.term)
             for holding in self.store.holdings.values()
             if holding.serving and not self.leaving
         )
-        return Beat(self.leaving, self.members.beat_ages(now), rights)
+        return Heartbeat(self.leaving, self.members.beat_ages(now), rights)
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
         """The answer of another member; None where there is none."""
         answer = self._letter(name, body, within_s)
         return answer.body if answer is not None else None
 
-    def _letter(self, name: str, body: Body, within_s: float) -> Letter | None:
+    def _letter(self, name: str, body: Body, within_s: float) -> PeerMessage | None:
         try:
             return self.peers.letter(name, body, within_s)
         except PeerUnreachableError:
@@ -356,15 +358,15 @@
 
     # ---- letters of others ----
 
-    def answer(self, letter: Letter) -> Letter:
+    def answer(self, letter: PeerMessage) -> PeerMessage:
         """What another member is told; in the greenlet of its connection."""
         return self.gate.letter(letter.sender, self._answer(letter.sender, letter.incarnation, letter.body))
 
     def _answer(self, sender: str, incarnation: int, body: Body) -> Body:
-        if isinstance(body, Beat):
+        if isinstance(body, Heartbeat):
             self._heard(sender, incarnation, body)
             return self._own_beat()
-        if isinstance(body, Ask):
+        if isinstance(body, LeaseRequest):
             apart = self.members.apart(sender)
             if len(apart) > 1:
                 # Danger: a majority of its list, with this member, and one of ours, without, could hold one right.
@@ -372,31 +374,31 @@
                     f"{sender!r} has another list than {self.name!r}, by {', '.join(sorted(apart))}"
                 )
             return self._answer_ask(body)
-        if isinstance(body, Tables):
+        if isinstance(body, GrantTableRequest):
             return self.grantor.table()
-        if isinstance(body, Facts | Piece | Digests):
+        if isinstance(body, ReplicateFacts | ReplicatePiece | Digests):
             return self._copy(body)
-        if isinstance(body, Offer):
+        if isinstance(body, TakeoverOffer):
             return self._offered(sender, body)
-        if isinstance(body, Owed):
-            self.owing.heard(boot_time(), sender, body.keys)
-            return Noted()
-        if isinstance(body, Hint | Marks):
+        if isinstance(body, OwedKeys):
+            self.owing.heard(monotonic_time(), sender, body.keys)
+            return Acknowledged()
+        if isinstance(body, RetryAfterHint | SuspensionMarks):
             return self.sharing.heard(sender, body)
         if isinstance(body, Subscribe | Matches | Cursors):
-            return self.exchange.heard(sender, boot_time(), body)
+            return self.exchange.heard(sender, monotonic_time(), body)
         if self.traffic is not None and (said := self.traffic.heard(sender, incarnation, body)) is not None:
             return said
-        raise UnknownLetterError(f"a {type(body).__name__} from {sender!r}")
+        raise UnknownPeerMessageError(f"a {type(body).__name__} from {sender!r}")
 
-    def _answer_ask(self, ask: Ask) -> Told:
+    def _answer_ask(self, ask: LeaseRequest) -> LeaseReply:
         told = self._granted(ask)
         self._write_table(ask.right)
         return told
 
-    def _granted(self, ask: Ask) -> Told:
+    def _granted(self, ask: LeaseRequest) -> LeaseReply:
         """The own grantor's answer, which nobody may be told before `_write_table` of its right has returned."""
-        told = self.grantor.ask(boot_time(), ask)
+        told = self.grantor.ask(monotonic_time(), ask)
         if self.grantor.dirty:
             self.changed += 1
             self.changed_at[ask.right] = self.changed
@@ -425,43 +427,43 @@
             self.written = upto
             self.changed_at = {each: at for each, at in self.changed_at.items() if at > upto}
 
-    def _copy(self, body: Facts | Piece | Digests) -> Body:
+    def _copy(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
         holding = self.store.holdings.get(body.book)
-        if holding is not None and holding.adoption.stage in (Stage.HOLDING, Stage.CLOSING):
+        if holding is not None and holding.adoption.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
             # Danger: an owner that slept would take our answer for its copy's, while we go on with the book.
             if isinstance(body, Digests):
                 return Digests(body.book, holding.adoption.holder.term, ())
-            return Have(body.book, holding.adoption.holder.term, 0, TERM)
-        self.shipped_at[body.book] = boot_time()
+            return ReplicaAck(body.book, holding.adoption.holder.term, 0, TERM)
+        self.shipped_at[body.book] = monotonic_time()
         if isinstance(body, Digests):
             return self.copies.digests(body)
-        if isinstance(body, Facts):
+        if isinstance(body, ReplicateFacts):
             self._let_earlier_come(body)
-        have = self.copies.facts(body) if isinstance(body, Facts) else self.copies.piece(body)
+        have = self.copies.facts(body) if isinstance(body, ReplicateFacts) else self.copies.piece(body)
         if self.copies.unsynced:
             self.copies.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
         if body.book not in self.adoptions and self.copies.replica(body.book) is not None:
             self._follow(body.book)
         return have
 
-    def _let_earlier_come(self, body: Facts) -> None:
+    def _let_earlier_come(self, body: ReplicateFacts) -> None:
         """Messages out at once come on connections of their own, and need not be read in their order.
 
         Danger: each one refused has the holder send all again that is out, beside what is still on its way.
         """
-        until = boot_time() + EARLIER
+        until = monotonic_time() + EARLIER
         while (
             (replica := self.copies.replica(body.book)) is not None
             and replica.place.term == body.term
             and replica.place.next < body.first
-            and boot_time() < until
+            and monotonic_time() < until
         ):
             gevent.sleep(0.0005)
 
     def _follow(self, book: int) -> None:
         """A copy lies here: look after it."""
         if book not in self.adoptions:
-            self.adoptions[book] = Adoption(book, self.name, self.halls, self._term_of(book))
+            self.adoptions[book] = Takeover(book, self.name, self.halls, self._term_of(book))
 
     def _term_of(self, book: int) -> int:
         return self.held[book].term if book in self.held else 0
@@ -472,9 +474,9 @@
         for change in (changes := self.members.changes(now)):
             logger.info("member {} is {} (was {})", change.name, change.now.value, change.before.value)
             self.exchange.member(change, self.members.beat_ages(now).get(change.name, 0))
-            if change.now is Standing.ALIVE and not self.grantor.learning:
+            if change.now is MemberStatus.ALIVE and not self.grantor.learning:
                 gevent.spawn(self._closed_elsewhere, change.name)
-        self.alive = [name for name in self.halls if self.members.state(now, name) is Standing.ALIVE]
+        self.alive = [name for name in self.halls if self.members.state(now, name) is MemberStatus.ALIVE]
         # Counted from the look that saw it: a process that slept has heard nobody, and is answered in a moment.
         self.few_since = 0 if len(self.alive) >= self.members.majority else self.few_since or now
         few = self.few_since > 0 and now - self.few_since >= ALONE
@@ -487,7 +489,7 @@
         if self.traffic is not None:
             self._guarded(self.traffic.look, now)
         self._guarded(self.copies.step)
-        if any(change.now is Standing.ALIVE for change in changes):  # whoever it is may get back its clients
+        if any(change.now is MemberStatus.ALIVE for change in changes):  # whoever it is may get back its clients
             for holding in self.store.holdings.values():
                 self._backlog(holding)
         if changes or time.monotonic() - self.looked_late >= LOOK_LATE:
@@ -522,17 +524,17 @@
         others = [name for name in self.alive if self.gate.levels.get(name, 0) >= OWING and name != self.name]
         if (keys := self.owing.tell(now, here | lying, others)) is not None:
             for name in others:
-                gevent.spawn(self._call, name, Owed(keys), ANSWER_IN)
+                gevent.spawn(self._call, name, OwedKeys(keys), ANSWER_IN)
         before = self.owing.elsewhere
         if self.owing.rests(now, here, lying) or before:
             self.dispatcher.rest(self.owing.elsewhere)
 
-    def _lying(self, now: int, adoption: Adoption) -> frozenset[int]:
+    def _lying(self, now: int, adoption: Takeover) -> frozenset[int]:
         """Keys that are owed in a copy here, if its holder is silent."""
         book, grant = adoption.book, self.grantor.grant(right_of(adoption.book))
         replica = self.copies.replica(book)
         # The own name stands there from when this member asks for the book until it has taken it in.
-        alive = grant.holder != self.name and self._standing(now, grant.holder, adoption) is Standing.ALIVE
+        alive = grant.holder != self.name and self._standing(now, grant.holder, adoption) is MemberStatus.ALIVE
         if replica is None or book in self.store.holdings or self.name not in grant.heirs or alive:
             self.lying.pop(book, None)
             return frozenset()
@@ -543,13 +545,13 @@
                     fact.base.turn
                     for fact in facts[:MOST_OWED]
                     if fact.base is not None
-                    and fact.known.end[0] is Rank.NONE
+                    and fact.known.end[0] is EndRank.NONE
                     and self.dispatcher.ordered(fact.base.priority_class)
                 ]
             )
         return self.lying[book]
 
-    def _backlog(self, holding: Holding) -> None:
+    def _backlog(self, holding: LeasedPartition) -> None:
         """What is owed in a book now is from before a trouble, but for what rests in the open one for others."""
         for number in islice(holding.ledger.known, MOST_OWED):
             kept = self.store.kept.get(number)
@@ -565,12 +567,12 @@
                 gevent.spawn(self._ask_table, name)
 
     def _ask_table(self, name: str) -> None:
-        sent_at = boot_time()
-        answer = self._call(name, Tables(), ANSWER_IN)
-        if isinstance(answer, Table) and self.grantor.learned(sent_at, name, answer):
+        sent_at = monotonic_time()
+        answer = self._call(name, GrantTableRequest(), ANSWER_IN)
+        if isinstance(answer, GrantTable) and self.grantor.learned(sent_at, name, answer):
             logger.info("the table of grants is whole")
             self._write_table()
-        if not isinstance(answer, Table) or answer.learning:
+        if not isinstance(answer, GrantTable) or answer.learning:
             gevent.sleep(BEAT)
         self.asking.discard(name)
 
@@ -594,7 +596,7 @@
         upto = self.held[book].upto if book in self.held else book << 32
         return max([upto, book << 32, *self.store.numbers(book)]) + 1
 
-    def _reserve(self, holding: Holding) -> None:
+    def _reserve(self, holding: LeasedPartition) -> None:
         """Write down that a block of numbers is given, before the first of them is."""
         upto = self.store.next_number + BLOCK
         if (upto >> 32) != holding.book:
@@ -606,19 +608,19 @@
         holding.reserved = upto
 
     def _note(self, book: int, term: int, upto: int) -> None:
-        before = self.held.get(book, Held(book, 0, 0))
-        self.held[book] = Held(book, max(term, before.term), max(upto, before.upto))
+        before = self.held.get(book, LeaseRecord(book, 0, 0))
+        self.held[book] = LeaseRecord(book, max(term, before.term), max(upto, before.upto))
         self.lasting.write_held(list(self.held.values()))
 
-    def _hold(self, book: int) -> Holding:
+    def _hold(self, book: int) -> LeasedPartition:
         """The records of a book that this sender is about to hold."""
         if book not in self.store.holdings:
-            self.store.holdings[book] = Holding(book, self.adoptions[book])
+            self.store.holdings[book] = LeasedPartition(book, self.adoptions[book])
         holding = self.store.holdings[book]
         holding.adoption = self.adoptions[book]
         return holding
 
-    def _look_at(self, now: int, adoption: Adoption) -> None:
+    def _look_at(self, now: int, adoption: Takeover) -> None:
         """One book: what the rules say is done."""
         book, holder = adoption.book, adoption.holder
         replica, holding = self.copies.replica(book), self.store.holdings.get(book)
@@ -632,7 +634,7 @@
             owed = owed or 1
         # Danger: the own grantor knows nothing of a holder whose term it has given to somebody else, in vain.
         served = self.served[book][1] + SPAN if book in self.served else 0
-        asked = holder.term if adoption.stage is Stage.ASKING else 0
+        asked = holder.term if adoption.stage is TakeoverStage.ASKING else 0
         step = adoption.step(
             now,
             self.grantor.grant(right),
@@ -641,18 +643,22 @@
             whole,
             owed,
         )
-        if asked and adoption.stage is not Stage.HOLDING and (holder.term, holder.state) != (asked, Tenure.ASKING):
+        if (
+            asked
+            and adoption.stage is not TakeoverStage.HOLDING
+            and (holder.term, holder.state) != (asked, LeaseState.ASKING)
+        ):
             # Danger: two that ask in vain, each promised by itself, would keep each other from it for ever.
-            self._give_up(Ask(right, asked, self.name, 0))
-        if step.do is Do.ASK:
+            self._give_up(LeaseRequest(right, asked, self.name, 0))
+        if step.do is TakeoverAction.ASK:
             logger.info("book {}: asking for term {}", book, holder.term)
-        elif step.do is Do.IMPORT:
+        elif step.do is TakeoverAction.IMPORT:
             self._import(now, adoption)
-        elif step.do is Do.CLOSE:
+        elif step.do is TakeoverAction.CLOSE:
             logger.info("book {}: nothing is owed, it is closed", book)
-        elif step.do is Do.OFFER and book not in self.offers and not self.leaving:
+        elif step.do is TakeoverAction.OFFER and book not in self.offers and not self.leaving:
             self.offers[book] = gevent.spawn(self._offer, adoption, step.to)
-        elif step.do is Do.DROP:
+        elif step.do is TakeoverAction.DROP:
             self._drop(book)
             return
         ask = None if self.leaving else holder.asks(now)
@@ -667,14 +673,14 @@
         elif replica is not None and self._unwanted(now, book, adoption):
             self._drop(book)
 
-    def _expects_offer(self, now: int, holding: Holding) -> bool:
+    def _expects_offer(self, now: int, holding: LeasedPartition) -> bool:
         """Whether who held an adopted book before may come back with what no copy was told."""
         if not holding.from_term:
             return False
         # Danger: closed before it has the answer to its offer, it would end all of that itself.
         return now - holding.heard_out < 3 * OFFER_IN * 1e6 if holding.heard_out else now - holding.begun_at < EXPECTED
 
-    def _standing(self, now: int, name: str, adoption: Adoption) -> Standing:
+    def _standing(self, now: int, name: str, adoption: Takeover) -> MemberStatus:
         """How a member stands; one that is said to hold the book, and does not fire for it, is as good as gone."""
         book, grant = adoption.book, self.grantor.grant(right_of(adoption.book))
         term, holder = adoption.holder.newer
@@ -682,7 +688,7 @@
         if self.claimed.get(book, ("", 0))[0] != holder:
             self.claimed[book] = holder, now
         state = self.members.state(now, name)
-        if name == holder and state is Standing.ALIVE:
+        if name == holder and state is MemberStatus.ALIVE:
             who, at = self.served.get(book, ("", 0))
             reborn = self.reborn.get(name, 0)
             # Danger: its first beats after a boot name no book; without that boot it would be idle at once, and lose
@@ -690,16 +696,16 @@
             idle_since = max(self.claimed[book][1], at if who == name else 0, reborn)
             # Alive under another incarnation, it would have asked for the book by now; or it has asked in vain.
             if at < reborn <= now - REBORN or idle_since <= now - IDLE:
-                return Standing.DEAD
+                return MemberStatus.DEAD
         return state
 
-    def _give_up(self, ask: Ask) -> None:
+    def _give_up(self, ask: LeaseRequest) -> None:
         """Tell all that they need not keep their promise of a right."""
         self._guarded(self._answer_ask, ask)
         for name in self.peers.names():
             gevent.spawn(self._call, name, ask, ANSWER_IN)
 
-    def _ask_all(self, adoption: Adoption, ask: Ask, told: Told, sent_at: int) -> None:
+    def _ask_all(self, adoption: Takeover, ask: LeaseRequest, told: LeaseReply, sent_at: int) -> None:
         """Ask the others once the own grantor's answer lasts."""
         try:
             # Danger: the own grantor first, so that a restart knows each term that was ever asked for.
@@ -709,16 +715,16 @@
             return
         if self.leaving or adoption.holder.term != ask.term:
             return  # it was given up meanwhile
-        adoption.holder.answered(boot_time(), sent_at, self.name, told)
+        adoption.holder.answered(monotonic_time(), sent_at, self.name, told)
         for name in self.peers.names():
             gevent.spawn(self._ask, adoption, name, ask, sent_at)
 
-    def _ask(self, adoption: Adoption, name: str, ask: Ask, sent_at: int) -> None:
+    def _ask(self, adoption: Takeover, name: str, ask: LeaseRequest, sent_at: int) -> None:
         answer = self._call(name, ask, ANSWER_IN)
-        if isinstance(answer, Told):
-            adoption.holder.answered(boot_time(), sent_at, name, answer)
+        if isinstance(answer, LeaseReply):
+            adoption.holder.answered(monotonic_time(), sent_at, name, answer)
 
-    def _unwanted(self, now: int, book: int, adoption: Adoption) -> bool:
+    def _unwanted(self, now: int, book: int, adoption: Takeover) -> bool:
         grant = self.grantor.grant(right_of(book))
         # Danger: this member's row may lag; a copy that its holder still counts on is written to all the time.
         return (
@@ -730,7 +736,7 @@
 
     # ---- a book that is held ----
 
-    def _import(self, now: int, adoption: Adoption) -> None:
+    def _import(self, now: int, adoption: Takeover) -> None:
         """Granted: the book's messages into the own folder, then its copies up, then its heirs named."""
         book, term = adoption.book, adoption.holder.term
         holding = self._hold(book)
@@ -763,7 +769,7 @@
                 ask = adoption.holder.release()
                 if ask is not None:
                     self._give_up(ask)
-                adoption.holder.state = Tenure.LOST  # asked for again after a while, if nobody else has it by then
+                adoption.holder.state = LeaseState.LOST  # asked for again after a while, if nobody else has it by then
                 return
             self._note(book, term, 0)
             self.store.begin_log(holding, term)
@@ -777,14 +783,14 @@
             holding.imported = True
             adoption.imported(now, whole)
 
-    def _wanted(self, holding: Holding) -> list[str]:
+    def _wanted(self, holding: LeasedPartition) -> list[str]:
         """The members that are to have copies of a book."""
-        now = boot_time()
+        now = monotonic_time()
         able = [name for name in self.alive if now - self.full_at.get(name, -BACK) >= BACK]
         able = able if len(able) > self.told.copies else self.alive
         return placement.copies(holding.book, self.name, self.halls, able, self.told.copies)
 
-    def _ship(self, now: int, holding: Holding) -> None:
+    def _ship(self, now: int, holding: LeasedPartition) -> None:
         """Have a pump for each copy that is wanted or still an heir."""
         heirs = self.store.heirs_of(holding)
         wanted = set(self._wanted(holding))
@@ -796,7 +802,7 @@
             # The old copy stays until a majority knows a set of heirs without it.
             holding.log.unfollow(name)
 
-    def _whole(self, now: int, holding: Holding, names: Iterable[str]) -> list[str]:
+    def _whole(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
         """Those of some members whose copies have all but a short tail."""
         found = []
         for name in names:
@@ -807,14 +813,14 @@
                     found.append(name)
         return found
 
-    def _serve(self, now: int, holding: Holding) -> None:
+    def _serve(self, now: int, holding: LeasedPartition) -> None:
         """Keep the heirs right, and let the dispatcher fire while the right is held."""
         holder = holding.adoption.holder
-        if holding.adoption.stage is Stage.HOLDING and holding.imported:
+        if holding.adoption.stage is TakeoverStage.HOLDING and holding.imported:
             self._ship(now, holding)
             self._name_heirs(now, holding)
         may = (
-            holding.adoption.stage is Stage.HOLDING
+            holding.adoption.stage is TakeoverStage.HOLDING
             and holding.imported
             and not self.leaving
             and holder.may_fire(now)
@@ -843,7 +849,7 @@
             self.counters.add("books that were not fired for any more")
             self.dispatcher.park(numbers)
 
-    def _name_heirs(self, now: int, holding: Holding) -> None:
+    def _name_heirs(self, now: int, holding: LeasedPartition) -> None:
         holder = holding.adoption.holder
         wanted = self._wanted(holding)
         whole = self._whole(now, holding, wanted)
@@ -860,7 +866,7 @@
             return  # Danger: without an heir, what was promised to be on two folders would be on one
         holder.name(now, placement.order(holding.book, self.name, self.halls, whole))
 
-    def _joined(self, now: int, holding: Holding, whole: list[str]) -> list[str]:
+    def _joined(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
         """Those of some whole copies that are heirs, or may be named for ones.
 
         Danger: an heir that was named with records on their way to it would go on without them, attempts among them, if
@@ -881,20 +887,20 @@
             if name in bound or name in holding.joining and log.acked([name]) >= holding.joining[name][0]
         ]
 
-    def _starved(self, holding: Holding) -> None:
+    def _starved(self, holding: LeasedPartition) -> None:
         """A copy has not taken a record in time."""
         if not holding.starved_at:
-            holding.starved_at = boot_time()
+            holding.starved_at = monotonic_time()
             self.counters.trouble("a copy does not follow", f"book {holding.book}")
 
-    def _back(self, now: int, holding: Holding, whole: list[str]) -> bool:
+    def _back(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
         """Whether a sender that goes on alone may count on copies again: they have followed for long enough."""
         if not whole:
             holding.alone_since = now
             return False
         return now - holding.alone_since >= BACK
 
-    def _copied(self, now: int, holding: Holding) -> bool:
+    def _copied(self, now: int, holding: LeasedPartition) -> bool:
         """Under `ack = "copy"`: whether the heirs have what was told, or the file says to go on without."""
         if not self.store.by_copy:
             return True
@@ -912,10 +918,10 @@
             holding.starved_at = holding.alone_since = 0
         return not holding.starving(now)
 
-    def _pump(self, holding: Holding, term: int, name: str, follower: Follower) -> None:
+    def _pump(self, holding: LeasedPartition, term: int, name: str, follower: FollowerProgress) -> None:
         """Returns once the copy is not followed any more: sends what it lacks."""
         while holding.log.followers.get(name) is follower and name in self.halls:
-            message = follower.next(boot_time())
+            message = follower.next(monotonic_time())
             if message is None:
                 self.store.news.clear()
                 self.store.news.wait(0.05)
@@ -925,20 +931,20 @@
             gevent.sleep(0 if self.store.by_copy else LINGER)
         self.pumps.pop((holding.book, name), None)
 
-    def _send(self, follower: Follower, name: str, message: Facts | Piece | Digests) -> None:
+    def _send(self, follower: FollowerProgress, name: str, message: ReplicateFacts | ReplicatePiece | Digests) -> None:
         answer = self._letter(name, message, SHIP_IN)
         # Danger: by the newest boot heard of, an old one's answer that comes late would speak for the new one's files.
-        if answer is not None and isinstance(answer.body, Have):
+        if answer is not None and isinstance(answer.body, ReplicaAck):
             if answer.body.problem in (NO_ROOM, OTHER):
-                self.full_at[name] = boot_time()
-            follower.have(boot_time(), answer.body, answer.incarnation)
+                self.full_at[name] = monotonic_time()
+            follower.have(monotonic_time(), answer.body, answer.incarnation)
         elif answer is not None and isinstance(answer.body, Digests):
-            follower.digests(boot_time(), answer.body, answer.incarnation)
+            follower.digests(monotonic_time(), answer.body, answer.incarnation)
         self.store.news.set()
 
     # ---- a book that was lost, and one that is over ----
 
-    def _offer(self, adoption: Adoption, to: str) -> None:
+    def _offer(self, adoption: Takeover, to: str) -> None:
         """Tell the newer holder what only this member knows, until it has taken all."""
         holding = self.store.holdings.get(adoption.book)
         if holding is not None and not holding.ledger.term:
@@ -956,7 +962,7 @@
         logger.info("book {}: {} messages offered to {}", adoption.book, len(told), to)
         try:
             for index, data in enumerate(parts):
-                offer = Offer(
+                offer = TakeoverOffer(
                     adoption.book,
                     index,
                     index + 1 == len(parts),
@@ -967,8 +973,8 @@
                 if holding is not None:
                     holding.approached = True
                 answer = self._call(to, offer, OFFER_IN)
-                if not isinstance(answer, Taken) or answer.problem:
-                    if isinstance(answer, Taken) and answer.problem == CLOSED:
+                if not isinstance(answer, OfferReply) or answer.problem:
+                    if isinstance(answer, OfferReply) and answer.problem == CLOSED:
                         self._closed_elsewhere(to)
                     gevent.sleep(BEAT)
                     return  # it is asked again at the next look, of whoever holds the book then
@@ -983,33 +989,33 @@
 
         Danger: with one that it takes for open, no later book of that sender goes from its table, and the table grows.
         """
-        answer = self._call(name, Tables(), ANSWER_IN)
-        if isinstance(answer, Table):
+        answer = self._call(name, GrantTableRequest(), ANSWER_IN)
+        if isinstance(answer, GrantTable):
             self.grantor.closed_elsewhere(answer)
             self._guarded(self._write_table)
 
-    def _offered(self, sender: str, body: Offer) -> Taken:
+    def _offered(self, sender: str, body: TakeoverOffer) -> OfferReply:
         """The last holder of a book that is held here tells what it knows."""
         holding = self.store.holdings.get(body.book)
         if holding is None and self.grantor.grant(right_of(body.book)).closed:
-            return Taken(body.book, body.part, CLOSED)
-        if holding is None or not holding.imported or holding.adoption.stage is not Stage.HOLDING:
-            return Taken(body.book, body.part, "it is not held here")
+            return OfferReply(body.book, body.part, CLOSED)
+        if holding is None or not holding.imported or holding.adoption.stage is not TakeoverStage.HOLDING:
+            return OfferReply(body.book, body.part, "it is not held here")
         if digest_of(body.facts) != body.digest:
-            return Taken(body.book, body.part, "spoilt")
+            return OfferReply(body.book, body.part, "spoilt")
         try:
             facts = known_facts.decode_facts(body.facts)
             facts = self.traffic.offered(holding, facts) if self.traffic is not None else facts
             ended, news, problem = self.store.offered(holding, facts, body.term)
         except known_facts.CorruptFactsError as error:
-            return Taken(body.book, body.part, str(error)[:512])
+            return OfferReply(body.book, body.part, str(error)[:512])
         logger.info("book {}: {} told of {} ends and {} news", body.book, sender, len(ended), len(news))
-        holding.heard_out = boot_time() if body.last and not problem else holding.heard_out
+        holding.heard_out = monotonic_time() if body.last and not problem else holding.heard_out
         if holding.serving and (ended or news):
             # What was decided on less is decided anew.
             self.dispatcher.park(ended + news)
             self.dispatcher.adopt(news)
-        return Taken(body.book, body.part, problem[:512])
+        return OfferReply(body.book, body.part, problem[:512])
 
     def _drop(self, book: int) -> None:
         """The book is over, or somebody else's for good."""
@@ -1039,7 +1045,7 @@
         if self.held.pop(book, None) is not None:
             self.lasting.write_held(list(self.held.values()))
         replica = self.copies.replica(book)
-        closed = adoption.holder.state is Tenure.CLOSED or self.grantor.grant(right_of(book)).closed
+        closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(right_of(book)).closed
         if holding is not None and replica is not None and replica.place.term > holding.log.term and not closed:
             self._follow(book)  # Danger: the newer holder counts on this copy by now, it is none of ours
             return
@@ -1077,7 +1083,7 @@
         self._before_the_fleet(soon)
         for holding in list(self.store.holdings.values()):
             stage = holding.adoption.stage
-            held = stage is Stage.HOLDING and holding.imported
+            held = stage is TakeoverStage.HOLDING and holding.imported
             ours = held and holding.adoption.holder.may_fire(now)
             # Danger: after a restart a book that no majority grants to anybody would end unanswered.
             unheld = held and not ours or self._nobodys(holding.adoption)
@@ -1088,15 +1094,15 @@
             wait = ALONE if held else UNKNOWN  # who has not held it since its start may have much to hear
             ours = ours or holding.unheld_since > 0 and now - holding.unheld_since >= wait
             numbers: list[int] = []
-            if stage is Stage.OFFERING:
+            if stage is TakeoverStage.OFFERING:
                 # What no copy was sent, and nobody was offered, nobody else can answer. Danger: an offer without an
                 # answer may have been taken, and the taker may have told another end.
-                heard = self.members.state(now, self._newest(holding.adoption)) is Standing.ALIVE
+                heard = self.members.state(now, self._newest(holding.adoption)) is MemberStatus.ALIVE
                 if not heard and not holding.approached:
                     numbers, _ = self.store.only_here(holding)
             elif ours or few:
                 numbers = self.store.numbers(holding.book)
-            elif stage is Stage.GONE and not holding.offered:
+            elif stage is TakeoverStage.GONE and not holding.offered:
                 numbers = sum(self.store.only_here(holding), [])
             late = [
                 number
@@ -1106,12 +1112,12 @@
             if late:
                 self.dispatcher.answer_late(late)
 
-    def _nobodys(self, adoption: Adoption) -> bool:
+    def _nobodys(self, adoption: Takeover) -> bool:
         """Whether a book that lies here is asked for, or to be, and nobody else is known to have had it after us."""
-        waits = adoption.stage in (Stage.FOLLOWING, Stage.WAITING, Stage.ASKING)
+        waits = adoption.stage in (TakeoverStage.FOLLOWING, TakeoverStage.WAITING, TakeoverStage.ASKING)
         return waits and self._newest(adoption) in ("", self.name)
 
-    def _newest(self, adoption: Adoption) -> str:
+    def _newest(self, adoption: Takeover) -> str:
         """Who is said to hold a book."""
         grant, (term, holder) = self.grantor.grant(right_of(adoption.book)), adoption.holder.newer
         # Danger: a term may be another's at the grantors that count and ours at our own; then the other one holds it.
--- a/cedarwick/fleet/owing.py
+++ b/cedarwick/fleet/order_key_hints.py
@@ -16,7 +16,7 @@
 MOST = 5_000_000  # a key rests no longer for others, whatever they tell
 
 
-class Owing:
+class OrderKeyHints:
     """What is told to the others, and what they have told."""
 
     def __init__(self) -> None:
--- a/cedarwick/fleet/gate.py
+++ b/cedarwick/fleet/peer_verifier.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.messages import LEVEL, VERSION, Body, Head, Letter
+from cedarwick.fleet.messages import LEVEL, VERSION, Body, PeerMessage, PeerMessageHeader
 
 
 class ProtocolVersionError(CedarwickError):
@@ -27,7 +27,7 @@
     remedy = "give all members one list of members in their operator files, each a name of its own; then SIGHUP"
 
 
-class MisdirectedLetterError(CedarwickError):
+class MisdirectedMessageError(CedarwickError):
     """A letter to another member than the one that it has reached."""
 
     code = "CW705"
@@ -41,7 +41,7 @@
     remedy = "end the older process of that member; if there is none, set the machine's clock"
 
 
-class Gate:
+class PeerVerifier:
     """Whom this sender speaks with, and the newest boot of each that it has seen."""
 
     def __init__(self, group: str, me: str, incarnation: int, members: Iterable[str]) -> None:
@@ -56,18 +56,18 @@
         """Take over another list of members; what was seen of their boots stays."""
         self.others = frozenset(members) - {self.me}
 
-    def letter(self, to: str, body: Body) -> Letter:
+    def letter(self, to: str, body: Body) -> PeerMessage:
         """What this sender says, ready to be encoded."""
-        return Letter(VERSION, LEVEL, self.group, self.me, self.incarnation, to, body)
+        return PeerMessage(VERSION, LEVEL, self.group, self.me, self.incarnation, to, body)
 
-    def same_version(self, head: Head) -> None:
+    def same_version(self, head: PeerMessageHeader) -> None:
         """`ProtocolVersionError` where the rest of the letter means something else."""
         if head.version != VERSION:
             raise ProtocolVersionError(
                 f"version {head.version} from {head.sender!r}, where {self.me!r} speaks {VERSION}"
             )
 
-    def check(self, head: Head) -> None:
+    def check(self, head: PeerMessageHeader) -> None:
         """Let a letter in: else one of the errors of this module says why it is not read."""
         self.same_version(head)
         if head.group != self.group:
@@ -78,7 +78,7 @@
         if head.sender not in self.others:
             raise UnknownMemberError(f"{head.sender!r} is no member of {self.group!r} at {self.me!r}")
         if head.to != self.me:
-            raise MisdirectedLetterError(f"a letter from {head.sender!r} to {head.to!r} has reached {self.me!r}")
+            raise MisdirectedMessageError(f"a letter from {head.sender!r} to {head.to!r} has reached {self.me!r}")
         newest = self.newest.get(head.sender, 0)
         if head.incarnation < newest:
             raise StaleIncarnationError(
--- a/cedarwick/fleet/memory.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cedarwick.fleet.facts import Base, Fact, Rank, over
+from cedarwick.fleet.replication import ReplicaEntry
+from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, over
 from cedarwick.fleet.sessions import REMEMBERED, contents
-from cedarwick.fleet.shipping import Entry
 
 MOST = 1 << 16  # ids of one book; beyond, the oldest go, and with them the time that the memory covers
 # No contents are told by this: what comes with an id whose contents are not known is another request. Danger: a hash
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class RecentId:
     """A message of a session, as it was first told of."""
 
     key: int  # of the session
@@ -31,16 +31,16 @@
     ended: bool = False  # an end was told of, or an attempt
 
 
-class Memory:
+class RecentIds:
     """What a copy remembers of one book; times are those of the copy's own clock."""
 
     def __init__(self, now: int) -> None:
         self.since = now  # each id that was taken later is here, if it is of late
         self.term = self.next = -1
-        self.taken: dict[int, Taken] = {}  # by number
+        self.taken: dict[int, RecentId] = {}  # by number
         self.order: deque[tuple[int, int]] = deque()  # when they came, and their numbers
 
-    def heard(self, entry: Entry, facts: Iterable[Fact], now: int) -> None:
+    def heard(self, entry: ReplicaEntry, facts: Iterable[Fact], now: int) -> None:
         """A step of the copy that is in its file."""
         told = list(facts)
         tail = entry.upto <= entry.after
@@ -61,20 +61,20 @@
         known, seen = fact.known, self.taken.get(fact.number)
         if seen is None:
             if fact.base is not None and fact.base.turn and not over(known):
-                self.taken[fact.number] = Taken(
+                self.taken[fact.number] = RecentId(
                     fact.base.turn,
                     fact.base.id,
                     now,
                     hash_of(fact.base, known.end[0]),
-                    bool(known.heads) or known.end[0] is not Rank.NONE,
+                    bool(known.heads) or known.end[0] is not EndRank.NONE,
                 )
                 self.order.append((now, fact.number))
             return
-        if known.end[0] is Rank.TOLD and not known.heads and not seen.ended:
+        if known.end[0] is EndRank.TOLD and not known.heads and not seen.ended:
             # Danger: withdrawn without an attempt or an end, its client was turned away; it must not be told +OK next.
             del self.taken[fact.number]
         else:
-            seen.ended |= bool(known.heads) or known.end[0] is not Rank.NONE
+            seen.ended |= bool(known.heads) or known.end[0] is not EndRank.NONE
 
     def whole_at(self) -> int:
         """From when on every id that may not be taken once more is here."""
@@ -88,8 +88,8 @@
         return found
 
 
-def hash_of(base: Base, end: Rank = Rank.NONE) -> int:
+def hash_of(base: MessageBase, end: EndRank = EndRank.NONE) -> int:
     """As at the holder; of what has ended the body is not told any more."""
-    if end is not Rank.NONE:
+    if end is not EndRank.NONE:
         return UNKNOWN
     return contents(base.key, base.priority_class, base.tenant, base.destination, base.body)
--- a/cedarwick/fleet/copies.py
+++ b/cedarwick/fleet/replica_files.py
@@ -3,7 +3,7 @@
 A file is a top (version, book, when it was made) and entries, each in a frame of the folder's. Read again, the entries
 bring the same copy forward. A file that is over twice what is owed is written anew in small steps while entries go on
 coming: each step writes a part of what is owed now, each entry goes to both files, and the fresh one then takes the
-name. That is how a copy is walked over the network (see `shipping.py`), from the member's own memory. Every append
+name. That is how a copy is walked over the network (see `replication.py`), from the member's own memory. Every append
 that returned is in the system's hands and outlives the process; with `durable`, `flush` brings it to the disk.
 """
 
@@ -15,9 +15,9 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.facts import CorruptFactsError, Fact, decode_facts
-from cedarwick.fleet.messages import Digests, Facts, Have, Piece
-from cedarwick.fleet.shipping import EVERYTHING, NO_ROOM, Entry, Replica, Step
+from cedarwick.fleet.messages import Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
+from cedarwick.fleet.replication import EVERYTHING, NO_ROOM, Replica, ReplicaEntry, ReplicaStep
+from cedarwick.fleet.replication_facts import CorruptFactsError, Fact, decode_facts
 from cedarwick.store.files import Folder, quietly
 from cedarwick.store.records import FRAME, LONGEST, DamagedRange, framed, may_go_on
 from cedarwick.store.recovery import read_through
@@ -53,7 +53,7 @@
     remedy = "delete the file that is named once its holder lives; before that the version that wrote it can read it"
 
 
-class Top(msgspec.Struct, array_like=True):
+class FileHeader(msgspec.Struct, array_like=True):
     """How a file begins."""
 
     version: int
@@ -62,11 +62,11 @@
 
 
 ENCODER = msgspec.msgpack.Encoder()
-TOPS: msgspec.msgpack.Decoder[Top] = msgspec.msgpack.Decoder(Top)
-ENTRIES: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(Entry)
+TOPS: msgspec.msgpack.Decoder[FileHeader] = msgspec.msgpack.Decoder(FileHeader)
+ENTRIES: msgspec.msgpack.Decoder[ReplicaEntry] = msgspec.msgpack.Decoder(ReplicaEntry)
 
 
-class CopyFolder(Folder):
+class ReplicaFolder(Folder):
     """`$RELAY_STATE/fleet/copies`."""
 
     def replace(self, name: str, by: str) -> None:
@@ -74,7 +74,7 @@
         os.replace(os.path.join(self.path, by), os.path.join(self.path, name))
 
 
-class Copy:
+class ReplicaFile:
     """One book's copy and its file."""
 
     def __init__(self, book: int) -> None:
@@ -90,21 +90,21 @@
         self.rest_until = 0  # the step until which that is not tried again
 
 
-class Copies:
+class ReplicaStore:
     """All copies that this member keeps. One greenlet at a time calls it."""
 
-    def __init__(self, folder: CopyFolder, limit: int, *, now: Callable[[], int], durable: bool = False) -> None:
+    def __init__(self, folder: ReplicaFolder, limit: int, *, now: Callable[[], int], durable: bool = False) -> None:
         """`limit`: bytes of all files together; `now` tells wall microseconds."""
         self.folder = folder
         self.limit = limit
         self.now = now
         self.durable = durable
-        self.copies: dict[int, Copy] = {}
+        self.copies: dict[int, ReplicaFile] = {}
         self.unsynced: dict[int, int] = {}  # files with bytes that no sync has followed: `written` after the last
         self.refusing: set[int] = set()  # books whose holders are told that there is no room; said in the log once
         self.steps = 0
         self.written = 0  # bytes ever
-        self.heard: Callable[[int, Entry, list[Fact]], None] = lambda *_: None  # a step of a book is in its file
+        self.heard: Callable[[int, ReplicaEntry, list[Fact]], None] = lambda *_: None  # a step of a book is in its file
 
     @property
     def used(self) -> int:
@@ -128,12 +128,12 @@
         copy = self.copies.get(book)
         return copy.replica if copy is not None else None
 
-    def facts(self, message: Facts) -> Have:
+    def facts(self, message: ReplicateFacts) -> ReplicaAck:
         """A part of a book's tail; what the answer claims is written."""
         copy = self._copy(message.book)
         return self._done(copy, copy.replica.facts(message))
 
-    def piece(self, message: Piece) -> Have:
+    def piece(self, message: ReplicatePiece) -> ReplicaAck:
         """All that a book owes in a range; what the answer claims is written."""
         copy = self._copy(message.book)
         return self._done(copy, copy.replica.piece(message))
@@ -194,12 +194,12 @@
 
     # ---- writing ----
 
-    def _copy(self, book: int) -> Copy:
+    def _copy(self, book: int) -> ReplicaFile:
         if book not in self.copies:
-            return Copy(book)  # it is kept once something is written
+            return ReplicaFile(book)  # it is kept once something is written
         return self.copies[book]
 
-    def _done(self, copy: Copy, step: Step) -> Have:
+    def _done(self, copy: ReplicaFile, step: ReplicaStep) -> ReplicaAck:
         if step.entry is None:
             return step.have
         try:
@@ -214,7 +214,7 @@
         self.heard(copy.replica.book, step.entry, step.facts)
         return step.have
 
-    def _append(self, copy: Copy, frame: bytes) -> None:
+    def _append(self, copy: ReplicaFile, frame: bytes) -> None:
         """Write an entry to a copy's file, and to its fresh one.
 
         `ReplicaRefusedError` or OSError, and it is in neither.
@@ -230,7 +230,7 @@
         if copy.fresh >= 0 and not self._write_fresh(copy, frame):
             self._abandon(copy)
 
-    def _write(self, copy: Copy, frame: bytes) -> None:
+    def _write(self, copy: ReplicaFile, frame: bytes) -> None:
         written = 0
         try:
             written = self.folder.append(copy.file, frame)
@@ -245,7 +245,7 @@
         if self.durable:
             self.unsynced[copy.file] = self.written
 
-    def _create(self, copy: Copy) -> None:
+    def _create(self, copy: ReplicaFile) -> None:
         copy.file = self.folder.create(copy.name)
         self.copies[copy.replica.book] = copy
         try:
@@ -255,8 +255,8 @@
             copy.file = -1
             raise
 
-    def _top(self, copy: Copy) -> bytes:
-        return framed(TOP + ENCODER.encode(Top(VERSION, copy.replica.book, self.now())))
+    def _top(self, copy: ReplicaFile) -> bytes:
+        return framed(TOP + ENCODER.encode(FileHeader(VERSION, copy.replica.book, self.now())))
 
     def _close(self, file: int) -> None:
         self.unsynced.pop(file, None)
@@ -264,7 +264,7 @@
 
     # ---- written anew ----
 
-    def _begin(self, copy: Copy) -> bool:
+    def _begin(self, copy: ReplicaFile) -> bool:
         quietly(self.folder.unlink, copy.name + FRESH)
         try:
             copy.fresh, copy.fresh_size, copy.after = self.folder.create(copy.name + FRESH), 0, 0
@@ -272,7 +272,7 @@
             return False
         return self._write_fresh(copy, self._top(copy)) or self._abandon(copy)
 
-    def _go_on(self, copy: Copy) -> None:
+    def _go_on(self, copy: ReplicaFile) -> None:
         """Write the next part of what is owed; with the last one the fresh file takes the name."""
         part = copy.replica.part(copy.after, PART)
         if not self._write_fresh(copy, framed(ENTRY + ENCODER.encode(part))):
@@ -293,7 +293,7 @@
         copy.file, copy.size, copy.least, copy.torn = copy.fresh, copy.fresh_size, copy.fresh_size, False
         copy.fresh, copy.fresh_size = -1, 0
 
-    def _write_fresh(self, copy: Copy, frame: bytes) -> bool:
+    def _write_fresh(self, copy: ReplicaFile, frame: bytes) -> bool:
         try:
             written = self.folder.append(copy.fresh, frame)
         except OSError:
@@ -302,7 +302,7 @@
         self.written += written
         return written == len(frame)
 
-    def _abandon(self, copy: Copy) -> bool:
+    def _abandon(self, copy: ReplicaFile) -> bool:
         """The fresh file cannot be gone on with; the old one stands. Tried again at a later step."""
         if copy.fresh >= 0:
             self._close(copy.fresh)
@@ -316,7 +316,7 @@
 
     def _read(self, book: int) -> None:
         """Bring a copy to where its file ends."""
-        copy = Copy(book)
+        copy = ReplicaFile(book)
         replica, end, made_at, damaged = copy.replica, 0, 0, False
         # Danger: a file that cannot be opened now would be taken for one that holds nothing.
         copy.file = self.folder.open(copy.name, append=True)
--- a/cedarwick/fleet/book.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -1,7 +1,9 @@
 """The folder of a sender that belongs to a fleet: what is written there is told to the copies as well.
 
-`Shared` is the folder as the dispatcher knows it. Besides, it keeps for each book that this sender holds the ledger of
-facts and the log that ships them (`Holding`), and answers for the right to fire. The node decides which books are held.
+`ReplicatedStore` is the folder as the dispatcher knows it. Besides, it keeps for each book that this sender holds the
+ledger of
+facts and the log that ships them (`LeasedPartition`), and answers for the right to fire. The node decides which books
+are held.
 """
 
 import time
@@ -15,12 +17,12 @@
 
 from cedarwick.decisions.interface import Outcome
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.adoption import Adoption
-from cedarwick.fleet.facts import (
+from cedarwick.fleet.replication import ReplicationLog
+from cedarwick.fleet.replication_facts import (
+    EndRank,
     Fact,
-    Known,
-    Ledger,
-    Rank,
+    FactLedger,
+    MessageKnowledge,
     base_of,
     decode_facts,
     in_doubt,
@@ -30,7 +32,7 @@
     over,
     together,
 )
-from cedarwick.fleet.shipping import Log
+from cedarwick.fleet.takeover import Takeover
 from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
 from cedarwick.store.records import StoredMessage
 
@@ -46,24 +48,24 @@
     remedy = "look at the members that have the copies, and at the network to them; `fleet.alone` says what follows"
 
 
-def with_end(fact: Fact, rank: Rank) -> Fact:
+def with_end(fact: Fact, rank: EndRank) -> Fact:
     """A fact that ends so, if it has no end that beats it."""
-    return Fact(fact.number, fact.base, join(fact.known, Known(end=(rank, 0))))
+    return Fact(fact.number, fact.base, join(fact.known, MessageKnowledge(end=(rank, 0))))
 
 
-def boot_time() -> int:
+def monotonic_time() -> int:
     """Whole microseconds of the clock that goes on while the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-class Holding:
+class LeasedPartition:
     """A book that this sender holds, or has held and not given up: its ledger, its log, and how it stands."""
 
-    def __init__(self, book: int, adoption: Adoption) -> None:
+    def __init__(self, book: int, adoption: Takeover) -> None:
         self.book = book
         self.adoption = adoption
-        self.ledger = Ledger(0)
-        self.log = Log(book, 0, lambda _: None)
+        self.ledger = FactLedger(0)
+        self.log = ReplicationLog(book, 0, lambda _: None)
         self.begun_at = 0  # when its log began: its copies have some time until it goes on without them
         self.imported = False  # its messages are in the folder, the ledger knows them
         self.serving = False  # the dispatcher fires for it
@@ -85,7 +87,7 @@
         """Whether its copies have been behind for too long, by the boot clock."""
         return self.starved_at > 0 and now - self.starved_at > STARVED
 
-    def read(self, store: "Shared", number: int) -> Fact | None:
+    def read(self, store: "ReplicatedStore", number: int) -> Fact | None:
         """All that is known of an owed message, for the log."""
         kept, known = store.kept.get(number), self.ledger.known.get(number)
         if kept is None or known is None:
@@ -95,7 +97,7 @@
         except BodyLostError:
             return Fact(number, None, known)
 
-    def told(self, store: "Shared", number: int) -> Fact | None:
+    def told(self, store: "ReplicatedStore", number: int) -> Fact | None:
         """The same for another member; what cannot be read has failed there.
 
         Danger: without its base a copy leaves the message out and counts as whole; whoever adopts it then owes nobody
@@ -104,10 +106,10 @@
         fact = self.read(store, number)
         if fact is None or fact.base is not None:
             return fact
-        return with_end(Fact(number, base_of(store.kept[number], b""), fact.known), Rank.FAILED)
+        return with_end(Fact(number, base_of(store.kept[number], b""), fact.known), EndRank.FAILED)
 
 
-class Shared(Store):
+class ReplicatedStore(Store):
     """Owns the folder, as `Store` does, and tells the books what happens to their messages."""
 
     def __init__(self, *told: Any, by_copy: bool = False, within_us: int = 150_000, **more: Any) -> None:
@@ -116,11 +118,11 @@
         self.awaited = self.awaited or by_copy
         self.by_copy = by_copy
         self.within_us = within_us
-        self.holdings: dict[int, Holding] = {}
-        self.current: Holding | None = None  # new messages are taken in this one
-        self.reserve: Callable[[Holding], None] = lambda _: None  # write down that a block of numbers is given
+        self.holdings: dict[int, LeasedPartition] = {}
+        self.current: LeasedPartition | None = None  # new messages are taken in this one
+        self.reserve: Callable[[LeasedPartition], None] = lambda _: None  # write down that a block of numbers is given
         self.news = gevent.event.Event()  # a fact was appended, or an answer of a copy came
-        self.starved: Callable[[Holding], None] = lambda _: None
+        self.starved: Callable[[LeasedPartition], None] = lambda _: None
         self.seen: Callable[[str, StoredMessage, int], None] = lambda *_: None  # events: kind, message, a figure
         self.marking: Callable[[dict[int, tuple[int, str]]], None] = lambda _: None  # on the disk before they count
         self.out: dict[
@@ -136,18 +138,18 @@
             holding is not None
             and holding.serving
             and number not in self.inert
-            and holding.adoption.holder.may_fire(boot_time())
+            and holding.adoption.holder.may_fire(monotonic_time())
         )
 
     def deciding(self) -> bool:
         """Whether the right over every book that the dispatcher serves is held at this moment."""
-        now = boot_time()
+        now = monotonic_time()
         return all(each.adoption.holder.may_fire(now) for each in self.holdings.values() if each.serving)
 
     def taking(self) -> bool:
         """Whether new messages can be taken: the right over the book that is open is held."""
         current = self.current
-        return current is not None and current.serving and current.adoption.holder.may_fire(boot_time())
+        return current is not None and current.serving and current.adoption.holder.may_fire(monotonic_time())
 
     def has_room(self, kept: StoredMessage) -> bool:
         if not self.taking() or not super().has_room(kept):
@@ -157,7 +159,7 @@
             self.reserve(self.current)
         return self.next_number < self.current.reserved
 
-    def open(self, holding: Holding, first: int) -> None:
+    def open(self, holding: LeasedPartition, first: int) -> None:
         """New messages are taken in this book from now on, from a number that was never given."""
         self.current = holding
         holding.reserved = self.next_number = first
@@ -220,21 +222,21 @@
         for holding in [each for each in self.holdings.values() if each.serving]:
             index = holding.log.next
             while holding.log.acked(self.heirs_of(holding)) < index:
-                if holding.starving(boot_time()) or not self._wait(until):
+                if holding.starving(monotonic_time()) or not self._wait(until):
                     self.starved(holding)
                     raise NotReplicatedError(
                         f"book {holding.book}: {index - holding.log.acked(self.heirs_of(holding))} records "
                         f"are not at {', '.join(sorted(self.heirs_of(holding)))}"
                     )
-            if not holding.alone_since and not holding.starving(boot_time()):
+            if not holding.alone_since and not holding.starving(monotonic_time()):
                 # Danger: under load copies never have all at the moment of a look; a book that starved once would be
                 # given up half a second later, with all its messages.
                 holding.starved_at = 0
             # Danger: the lease may have run out meanwhile, and an heir that has adopted would not know of this.
-            if not holding.adoption.holder.may_fire(boot_time()):
+            if not holding.adoption.holder.may_fire(monotonic_time()):
                 raise NotReplicatedError(f"book {holding.book}: the right over it has run out")
 
-    def heirs_of(self, holding: Holding) -> frozenset[str]:
+    def heirs_of(self, holding: LeasedPartition) -> frozenset[str]:
         """The copies that must have a record before it counts as told."""
         return (holding.adoption.holder.bound | holding.joining.keys()) - {holding.adoption.me}
 
@@ -291,7 +293,7 @@
 
     def take_in(
         self,
-        holding: Holding,
+        holding: LeasedPartition,
         facts: Iterable[Fact],
         term: int,
         doubt_at: int,
@@ -309,10 +311,10 @@
         # Danger: a holder that was cut off has said 'failed' of what ended meanwhile; 'returned' would be another end.
         # Danger: one on the move is told no end while it is inert; its move's rules answer it in time.
         marked = [
-            with_end(fact, Rank.FAILED)
+            with_end(fact, EndRank.FAILED)
             if fact.base is not None
             and fact.base.deadline <= late
-            and fact.known.end[0] is Rank.NONE
+            and fact.known.end[0] is EndRank.NONE
             and not (fact.known.move or (0, ""))[1]
             else fact
             for fact in marked
@@ -333,25 +335,27 @@
         for fact in news:
             self._take_news(fact, fact.number not in self.kept)
 
-    def resume_own(self, holding: Holding, term: int) -> None:
+    def resume_own(self, holding: LeasedPartition, term: int) -> None:
         """The folder of this process has the book's messages already: the ledger learns them, under a new term."""
         if holding.ledger.term:
             holding.ledger.renew(term)
             return
-        holding.ledger = Ledger(term)
+        holding.ledger = FactLedger(term)
         for number in self.numbers(holding.book):
             holding.ledger.kept(self.kept[number], b"")
             if number in self.inert:
                 holding.ledger.moved(number, *self.inert[number])
 
-    def begin_log(self, holding: Holding, term: int) -> None:
+    def begin_log(self, holding: LeasedPartition, term: int) -> None:
         """Ship the book under a term from now on."""
-        holding.log = Log(holding.book, term, lambda number: holding.told(self, number), sorted(holding.ledger.known))
+        holding.log = ReplicationLog(
+            holding.book, term, lambda number: holding.told(self, number), sorted(holding.ledger.known)
+        )
         holding.log.behind = not self.by_copy
-        holding.begun_at = boot_time()
+        holding.begun_at = monotonic_time()
         holding.sent, holding.joining = 0, {}  # an index is one of its log
 
-    def offered(self, holding: Holding, facts: list[Fact], term: int) -> tuple[list[int], list[int], str]:
+    def offered(self, holding: LeasedPartition, facts: list[Fact], term: int) -> tuple[list[int], list[int], str]:
         """What an earlier holder knew: joined. Numbers that are over by it, those that are new here or changed, and why
         some could not be taken: they are to be offered again.
 
@@ -383,7 +387,7 @@
                     if joined.number not in before and not straight:
                         # Danger: between the two somebody else has held the book, and may have ended it: whoever took
                         # it over from that one knows nothing of it. Only 'failed' is honest then.
-                        joined = with_end(joined, Rank.FAILED)
+                        joined = with_end(joined, EndRank.FAILED)
                         holding.ledger.known[joined.number] = joined.known
                     self._take_news(joined, joined.number not in before)
                     self._tell(holding, joined)
@@ -421,11 +425,11 @@
         if fact.known.ran is not None and (not kept.ran_at or fact.known.ran[0] < kept.ran_at):
             with suppress(NoSpaceError):  # it is known from here on, and its record is owed
                 self.may_have_run(fact.number, *fact.known.ran)
-        if fact.known.end[0] is not Rank.NONE and kept.end is None:
+        if fact.known.end[0] is not EndRank.NONE and kept.end is None:
             with suppress(NoSpaceError):
-                super().ended(fact.number, fact.known.end[0] is Rank.RETURNED, fact.known.end[1])
+                super().ended(fact.number, fact.known.end[0] is EndRank.RETURNED, fact.known.end[1])
 
-    def known_here(self, holding: Holding) -> list[Fact]:
+    def known_here(self, holding: LeasedPartition) -> list[Fact]:
         """All that this member knows of a book that it has lost: what is owed, and what ended of late."""
         facts: dict[int, Fact] = {}
         for data, _ in holding.log.window:
@@ -437,7 +441,7 @@
                 facts[number] = join_facts(facts[number], owed) if number in facts else owed
         return [facts[number] for number in sorted(facts)]
 
-    def only_here(self, holding: Holding) -> tuple[list[int], list[int]]:
+    def only_here(self, holding: LeasedPartition) -> tuple[list[int], list[int]]:
         """Owed messages of a lost book that no copy was sent, and those that may or may not have reached one."""
         if not holding.log.term:  # of an earlier process: nobody knows what that has sent
             return [], [] if self.by_copy else self.numbers(holding.book)
@@ -486,12 +490,12 @@
         if self.current is not None and self.current.book == book:
             self.current = None
 
-    def _knows(self, number: int) -> Holding | None:
+    def _knows(self, number: int) -> LeasedPartition | None:
         holding = self.holdings.get(number >> 32)
         return holding if holding is not None and number in holding.ledger.known else None
 
-    def _tell(self, holding: Holding, fact: Fact) -> None:
-        holding.log.append(fact, boot_time())
+    def _tell(self, holding: LeasedPartition, fact: Fact) -> None:
+        holding.log.append(fact, monotonic_time())
         if over(fact.known) and holding.from_term:
             holding.finished.add(fact.number)
         self.news.set()
--- a/cedarwick/fleet/shipping.py
+++ b/cedarwick/fleet/replication.py
@@ -24,7 +24,8 @@
 import msgspec
 import xxhash
 
-from cedarwick.fleet.facts import (
+from cedarwick.fleet.messages import DigestRange, Digests, ReplicaAck, ReplicateFacts, ReplicatePiece, whole
+from cedarwick.fleet.replication_facts import (
     CorruptFactsError,
     Fact,
     FactsVersionError,
@@ -39,7 +40,6 @@
     trimmed,
     weight,
 )
-from cedarwick.fleet.messages import Digests, Facts, Have, Piece, Span, whole
 
 EVERYTHING = (1 << 63) - 1  # above every number
 WINDOW = 4096  # facts of the tail that the holder keeps
@@ -61,7 +61,7 @@
 RESTS = {TERM: 100_000, SPOILT: 100_000, OTHER: 1_000_000, NO_ROOM: 1_000_000}  # before a copy that refused is asked
 
 
-class Place(NamedTuple):
+class ReplicaPosition(NamedTuple):
     """What a copy has; the larger one is the newer."""
 
     term: int
@@ -69,7 +69,7 @@
     covered: int
 
 
-NO_PLACE = Place(-1, 0, 0)
+NO_PLACE = ReplicaPosition(-1, 0, 0)
 
 
 def summed(facts: Iterable[bytes]) -> tuple[int, int]:
@@ -84,7 +84,7 @@
 # ---- the holder ----
 
 
-class Log:
+class ReplicationLog:
     """The facts of one term of a book, numbered from 0 on, and the numbers that are owed. A term has one log, ever."""
 
     def __init__(self, book: int, term: int, read: Callable[[int], Fact | None], owed: Iterable[int] = ()) -> None:
@@ -99,7 +99,7 @@
         self.bytes = 0  # of the window
         self.told = 0  # bytes appended ever
         self.behind = False  # nothing that is answered waits for a copy
-        self.followers: dict[str, Follower] = {}
+        self.followers: dict[str, FollowerProgress] = {}
 
     @property
     def next(self) -> int:
@@ -124,9 +124,9 @@
             self.oldest += 1
         return self.next - 1
 
-    def follow(self, name: str, now: int) -> "Follower":
+    def follow(self, name: str, now: int) -> "FollowerProgress":
         """Ship to a copy from now on."""
-        self.followers[name] = Follower(self, now)
+        self.followers[name] = FollowerProgress(self, now)
         return self.followers[name]
 
     def unfollow(self, name: str) -> None:
@@ -159,7 +159,7 @@
             if fact is not None:
                 yield number, encoded(trimmed(fact))
 
-    def piece(self, after: int, upto: int) -> Piece:
+    def piece(self, after: int, upto: int) -> ReplicatePiece:
         """All that is owed in a range, or in a first part of it."""
         taken: list[bytes] = []
         size, last = 0, after
@@ -171,46 +171,48 @@
             taken.append(data)
             last = number
         facts = together(taken)
-        return Piece(self.book, self.term, after, upto, facts, self.next, digest(facts), self.behind)
+        return ReplicatePiece(self.book, self.term, after, upto, facts, self.next, digest(facts), self.behind)
 
-    def spans(self, after: int) -> tuple[Span, ...]:
+    def spans(self, after: int) -> tuple[DigestRange, ...]:
         """Ranges from a number on, with what they hold; the last one of all ends at `EVERYTHING`."""
-        made: list[Span] = []
+        made: list[DigestRange] = []
         while len(made) < RANGES and after < EVERYTHING:
             place = bisect_right(self.owed, after) + RANGE - 1
             upto = self.owed[place] if place + 1 < len(self.owed) else EVERYTHING
-            made.append(Span(after, upto, *summed(data for _, data in self.walk(after, upto))))
+            made.append(DigestRange(after, upto, *summed(data for _, data in self.walk(after, upto))))
             after = upto
         return tuple(made)
 
 
-class Out(NamedTuple):
+class SentRange(NamedTuple):
     """A message that is not answered yet."""
 
     upto: int  # the index behind a message of the tail, the last number of a piece
     until: int  # when it is given up
 
 
-class Follower:
+class FollowerProgress:
     """One copy as its holder sees it. Whole microseconds of any clock that never runs backwards."""
 
-    def __init__(self, log: Log, now: int) -> None:
+    def __init__(self, log: ReplicationLog, now: int) -> None:
         self.log = log
         self.place = NO_PLACE
         self.life = -1  # the copy's incarnation
         self.problem = NO_PROBLEM  # of its last answer
         self.superseded = False  # it knows a newer term: the holder has lost the book
         self.sent = 0  # the index that is sent next
-        self.out: deque[Out] = deque()  # of the tail
-        self.piece: Out | None = None
+        self.out: deque[SentRange] = deque()  # of the tail
+        self.piece: SentRange | None = None
         self.mends: deque[tuple[int, int]] = deque()  # ranges that differ
-        self.standing: dict[tuple[int, int], tuple[Span, Span, int]] = {}  # by range: as seen last, and tries
+        self.standing: dict[
+            tuple[int, int], tuple[DigestRange, DigestRange, int]
+        ] = {}  # by range: as seen last, and tries
         self.mended = 0  # ranges sent again
         self.pieces = 0  # taken by the copy, walks and mends
         self.rest_until = 0
         self.credit = float(PART)  # bytes of pieces that may go out
         self.counted = now, log.told
-        self.compared: tuple[Span, ...] = ()  # out for comparison
+        self.compared: tuple[DigestRange, ...] = ()  # out for comparison
         self.compare_at = now + COMPARE  # when the next part of a comparison, or its answer, is due
         self.compare_from = log.book << 32
         self.pass_at = now  # when the comparison of everything began
@@ -238,7 +240,7 @@
             return 0, 0
         return missing, now - self.log.window[max(0, first - self.log.oldest)][1]
 
-    def next(self, now: int) -> Facts | Piece | Digests | None:
+    def next(self, now: int) -> ReplicateFacts | ReplicatePiece | Digests | None:
         """The message to send now; None while there is nothing to send or answers are awaited.
 
         Called until it gives None whenever a fact was appended or an answer came, and every 50 ms or so.
@@ -260,11 +262,11 @@
             return self._tail(now, self.sent) if len(self.out) < FEW else None
         return self._compare(now)
 
-    def have(self, now: int, message: Have, life: int) -> None:
+    def have(self, now: int, message: ReplicaAck, life: int) -> None:
         """An answer of the copy in one of its incarnations."""
         if life < self.life or message.book != self.log.book:
             return
-        place = Place(message.term, message.next, message.covered)
+        place = ReplicaPosition(message.term, message.next, message.covered)
         if life > self.life:
             # Danger: its file may be gone; what an earlier life had says nothing.
             self.life, self.place = life, place
@@ -328,14 +330,14 @@
         self.piece = None
         self.sent = self.place.next if self.place.term == self.log.term else self.log.next
 
-    def _tail(self, now: int, first: int) -> Facts:
+    def _tail(self, now: int, first: int) -> ReplicateFacts:
         taken = self.log.tail(first)
         facts = together(taken)
         self.sent = first + len(taken)
-        self.out.append(Out(self.sent, now + PATIENCE))
-        return Facts(self.log.book, self.log.term, first, facts, digest(facts))
+        self.out.append(SentRange(self.sent, now + PATIENCE))
+        return ReplicateFacts(self.log.book, self.log.term, first, facts, digest(facts))
 
-    def _piece(self, now: int) -> Piece | None:
+    def _piece(self, now: int) -> ReplicatePiece | None:
         """The next piece of a walk or of what differs, where one is due and the pace allows it."""
         if not self._follows():
             span = 0, EVERYTHING
@@ -357,7 +359,7 @@
             if piece.upto < span[1]:
                 self.mends.appendleft((piece.upto, span[1]))
         self.credit -= len(piece.facts)
-        self.piece = Out(piece.upto, now + PATIENCE)
+        self.piece = SentRange(piece.upto, now + PATIENCE)
         return piece
 
     def _compare(self, now: int) -> Digests | None:
@@ -371,7 +373,7 @@
 # ---- the copy ----
 
 
-class Entry(msgspec.Struct, array_like=True, frozen=True):
+class ReplicaEntry(msgspec.Struct, array_like=True, frozen=True):
     """A step of a copy as it lies in its file: facts to be joined, and the place after that."""
 
     term: int
@@ -380,14 +382,14 @@
     after: int  # what is held in this range and not among the facts is over; an empty range: the tail
     upto: int
     facts: bytes
-    behind: bool = False  # as in `Piece`
+    behind: bool = False  # as in `ReplicatePiece`
 
 
-class Step(NamedTuple):
+class ReplicaStep(NamedTuple):
     """What a message comes to: write `entry`, then `take` the step, then answer `have`. No entry: answer at once."""
 
-    have: Have
-    entry: Entry | None = None
+    have: ReplicaAck
+    entry: ReplicaEntry | None = None
     facts: list[Fact] = []
 
 
@@ -396,7 +398,7 @@
 
     def __init__(self, book: int) -> None:
         self.book = book
-        self.place = Place(0, 0, 0)
+        self.place = ReplicaPosition(0, 0, 0)
         self.held: dict[int, Fact] = {}  # what is owed, with bases
         self.live = 0  # about the bytes of that
         self.behind = False  # its holder has answered for more than it was told
@@ -406,7 +408,7 @@
         """Whether it was told everything of its term."""
         return self.place.covered == EVERYTHING
 
-    def facts(self, message: Facts) -> Step:
+    def facts(self, message: ReplicateFacts) -> ReplicaStep:
         """A part of the tail."""
         place = self.place
         if message.term != place.term:
@@ -418,11 +420,11 @@
             return self._no(read)
         fresh = read[place.next - message.first :]
         if not fresh:
-            return Step(self.have())
+            return ReplicaStep(self.have())
         data = message.facts if len(fresh) == len(read) else encode_facts(fresh)
         return self._step(place._replace(next=place.next + len(fresh)), 0, 0, data, fresh, self.behind)
 
-    def piece(self, message: Piece) -> Step:
+    def piece(self, message: ReplicatePiece) -> ReplicaStep:
         """All that is owed in a range."""
         place = self.place
         if message.term < place.term:
@@ -436,7 +438,12 @@
         covered = message.upto if jumps else max(place.covered, message.upto)
         index = message.next if jumps else place.next
         return self._step(
-            Place(message.term, index, covered), message.after, message.upto, message.facts, read, message.behind
+            ReplicaPosition(message.term, index, covered),
+            message.after,
+            message.upto,
+            message.facts,
+            read,
+            message.behind,
         )
 
     def digests(self, message: Digests) -> Digests:
@@ -446,13 +453,13 @@
         numbers, made = sorted(self.held), []
         for span in message.ranges:
             inside = numbers[bisect_right(numbers, span.after) : bisect_right(numbers, span.upto)]
-            made.append(Span(span.after, span.upto, *summed(encoded(self.held[number]) for number in inside)))
+            made.append(DigestRange(span.after, span.upto, *summed(encoded(self.held[number]) for number in inside)))
         return Digests(self.book, self.place.term, tuple(made), self.place.next)
 
-    def have(self, problem: str = NO_PROBLEM) -> Have:
-        return Have(self.book, self.place.term, self.place.next, problem, self.place.covered)
+    def have(self, problem: str = NO_PROBLEM) -> ReplicaAck:
+        return ReplicaAck(self.book, self.place.term, self.place.next, problem, self.place.covered)
 
-    def take(self, entry: Entry, facts: Iterable[Fact]) -> None:
+    def take(self, entry: ReplicaEntry, facts: Iterable[Fact]) -> None:
         """Bring the copy forward by a step that is in its file."""
         if entry.upto > entry.after:
             listed = {fact.number for fact in facts}
@@ -467,14 +474,14 @@
             if not over(joined.known):
                 self.held[fact.number] = joined
                 self.live += weight(joined)
-        self.place, self.behind = Place(entry.term, entry.next, entry.covered), entry.behind
+        self.place, self.behind = ReplicaPosition(entry.term, entry.next, entry.covered), entry.behind
 
     def doubt(self, since: int) -> None:
         """A part of its file is lost: news may be missing from a wall time on, and it must be walked anew."""
         self.held = {number: in_doubt(fact, since) for number, fact in self.held.items()}
-        self.place = Place(self.place.term, 0, 0)
+        self.place = ReplicaPosition(self.place.term, 0, 0)
 
-    def part(self, after: int, size: int) -> Entry:
+    def part(self, after: int, size: int) -> ReplicaEntry:
         """A part of what is held, from a number on, with the present place: for a fresh file."""
         taken: list[Fact] = []
         upto, left = EVERYTHING, size
@@ -484,21 +491,23 @@
                 break
             taken.append(self.held[number])
             left -= weight(taken[-1])
-        return Entry(*self.place, after, upto, encode_facts(taken), self.behind)
+        return ReplicaEntry(*self.place, after, upto, encode_facts(taken), self.behind)
 
     def _drop(self, number: int) -> None:
         before = self.held.pop(number, None)
         if before is not None:
             self.live -= weight(before)
 
-    def _no(self, problem: str) -> Step:
-        return Step(self.have(problem))
+    def _no(self, problem: str) -> ReplicaStep:
+        return ReplicaStep(self.have(problem))
 
-    def _step(self, place: Place, after: int, upto: int, data: bytes, facts: list[Fact], behind: bool) -> Step:
-        entry = Entry(*place, after, upto, data, behind)
-        return Step(Have(self.book, place.term, place.next, NO_PROBLEM, place.covered), entry, facts)
+    def _step(
+        self, place: ReplicaPosition, after: int, upto: int, data: bytes, facts: list[Fact], behind: bool
+    ) -> ReplicaStep:
+        entry = ReplicaEntry(*place, after, upto, data, behind)
+        return ReplicaStep(ReplicaAck(self.book, place.term, place.next, NO_PROBLEM, place.covered), entry, facts)
 
-    def _read(self, message: Facts | Piece, after: int, upto: int) -> list[Fact] | str:
+    def _read(self, message: ReplicateFacts | ReplicatePiece, after: int, upto: int) -> list[Fact] | str:
         """The facts of a message, or why it is dropped whole."""
         if not whole(message):
             return SPOILT
--- a/cedarwick/fleet/facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -1,6 +1,6 @@
 """What senders tell one another of a message, and the join of what two of them know. No I/O.
 
-A `Fact` is a message's number, its base (what the client handed in) and what is `Known`. What is known only grows:
+A `Fact` is a message's number, its base (what the client handed in) and what is `MessageKnowledge`. What is known only grows:
 a state-based replicated type whose merge is a join (Shapiro et al. 2011). Rule by rule:
 
 | part    | joined                                       | because |
@@ -52,7 +52,7 @@
     remedy = "run the same version of the program on all members; until then this book has one copy less"
 
 
-class Rank(IntEnum):
+class EndRank(IntEnum):
     """How a message ended; the larger one is kept."""
 
     NONE = 0
@@ -62,7 +62,7 @@
     COMPLETED = 4
 
 
-class Head(NamedTuple):
+class LifeSummary(NamedTuple):
     """What one term knows of the newest attempt of a message; of two the larger one knows more."""
 
     attempts: Count  # in that term
@@ -71,7 +71,7 @@
     zone: Zone
 
 
-class Base(msgspec.Struct, array_like=True, frozen=True, order=True):
+class MessageBase(msgspec.Struct, array_like=True, frozen=True, order=True):
     """What the client handed in."""
 
     id: Text
@@ -84,13 +84,13 @@
     body: Body
 
 
-class Known(msgspec.Struct, array_like=True, frozen=True):
+class MessageKnowledge(msgspec.Struct, array_like=True, frozen=True):
     """What is known of a message's attempts and end."""
 
-    heads: Annotated[dict[Count, Head], msgspec.Meta(max_length=256)] = {}
+    heads: Annotated[dict[Count, LifeSummary], msgspec.Meta(max_length=256)] = {}
     ran: tuple[Count, Zone] | None = None  # when and where the first attempt was sent that may have run
     doubt: Count = 0  # records are lost from then on; 0: none are
-    end: tuple[Rank, Wait] = (Rank.NONE, 0)  # and the advised wait in milliseconds
+    end: tuple[EndRank, Wait] = (EndRank.NONE, 0)  # and the advised wait in milliseconds
     move: tuple[Count, Text] | None = None  # the newest move
 
 
@@ -98,23 +98,23 @@
     """A message's number and all that is known of it; without its base it is news of one that was told before."""
 
     number: Count
-    base: Base | None
-    known: Known
+    base: MessageBase | None
+    known: MessageKnowledge
 
 
-class Batch(msgspec.Struct, array_like=True):
+class FactBatch(msgspec.Struct, array_like=True):
     """Facts as they travel and lie in files."""
 
     version: int
     facts: msgspec.Raw
 
 
-NOTHING = Known()
+NOTHING = MessageKnowledge()
 ENCODER = msgspec.msgpack.Encoder()
 FACTS: msgspec.msgpack.Decoder[list[Fact]] = msgspec.msgpack.Decoder(
     Annotated[list[Fact], msgspec.Meta(max_length=MOST_FACTS)]
 )
-BATCH: msgspec.msgpack.Decoder[Batch] = msgspec.msgpack.Decoder(Batch)
+BATCH: msgspec.msgpack.Decoder[FactBatch] = msgspec.msgpack.Decoder(FactBatch)
 
 
 def encoded(fact: Fact) -> bytes:
@@ -133,7 +133,7 @@
 def together(facts: Iterable[bytes]) -> bytes:
     """What `encode_facts` gives, of facts that were `encoded` one by one."""
     raw = msgspec.Raw(ENCODER.encode([msgspec.Raw(each) for each in facts]))
-    return ENCODER.encode(Batch(VERSION, raw))
+    return ENCODER.encode(FactBatch(VERSION, raw))
 
 
 def decode_facts(data: bytes) -> list[Fact]:
@@ -162,7 +162,7 @@
 # ---- the join ----
 
 
-def join(a: Known, b: Known) -> Known:
+def join(a: MessageKnowledge, b: MessageKnowledge) -> MessageKnowledge:
     """What two know together."""
     if a == b:
         return a
@@ -176,7 +176,7 @@
         doubt = b.doubt
     if b.move is not None and (move is None or b.move > move):
         move = b.move
-    return Known(heads, ran, doubt, a.end if a.end > b.end else b.end, move)
+    return MessageKnowledge(heads, ran, doubt, a.end if a.end > b.end else b.end, move)
 
 
 def join_facts(a: Fact, b: Fact) -> Fact:
@@ -188,51 +188,51 @@
 def trimmed(fact: Fact) -> Fact:
     """Without the body, where an end is known and nobody needs it."""
     base = fact.base
-    if base is None or not base.body or fact.known.end[0] is Rank.NONE:
+    if base is None or not base.body or fact.known.end[0] is EndRank.NONE:
         return fact
     return Fact(fact.number, msgspec.structs.replace(base, body=b""), fact.known)
 
 
-def may_have_run(known: Known) -> bool:
+def may_have_run(known: MessageKnowledge) -> bool:
     """Whether an attempt may have run for all that any term can still say."""
     return known.ran is not None or known.doubt > 0
 
 
-def over(known: Known) -> bool:
+def over(known: MessageKnowledge) -> bool:
     """Whether nothing more is owed."""
-    return known.end[0] >= Rank.TOLD
+    return known.end[0] >= EndRank.TOLD
 
 
-def attempts_of(known: Known) -> int:
+def attempts_of(known: MessageKnowledge) -> int:
     """How many attempts are known; one that two lives of a sender both know may be counted twice, none is left out."""
     return sum(head.attempts for head in known.heads.values())
 
 
-def outs(known: Known, term: int) -> list[tuple[int, int]]:
+def outs(known: MessageKnowledge, term: int) -> list[tuple[int, int]]:
     """Times and zones of the attempts of terms before this one whose outcome nobody knows, the earliest first."""
     return sorted((head.at, head.zone) for of, head in known.heads.items() if of < term and not head.settled)
 
 
-def folded(known: Known, term: int) -> Known:
+def folded(known: MessageKnowledge, term: int) -> MessageKnowledge:
     """Before a term goes on with a message: an attempt of an older one that is out may have run, whatever comes later.
 
     Danger: an outcome of the older term that comes late would otherwise make 'never ran' of what has been decided,
     and answered, on 'may have run'.
     """
     out = outs(known, term)
-    return join(known, Known(ran=out[0])) if out else known
+    return join(known, MessageKnowledge(ran=out[0])) if out else known
 
 
 def in_doubt(fact: Fact, since: int) -> Fact:
     """A fact some of whose news may be lost, from a time on."""
-    return Fact(fact.number, fact.base, join(fact.known, Known(doubt=since)))
+    return Fact(fact.number, fact.base, join(fact.known, MessageKnowledge(doubt=since)))
 
 
 # ---- from and to the folder ----
 
 
-def base_of(kept: StoredMessage, body: bytes) -> Base:
-    return Base(
+def base_of(kept: StoredMessage, body: bytes) -> MessageBase:
+    return MessageBase(
         kept.id,
         kept.key,
         kept.turn,
@@ -244,7 +244,7 @@
     )
 
 
-def known_of(kept: StoredMessage, term: int) -> Known:
+def known_of(kept: StoredMessage, term: int) -> MessageKnowledge:
     """What the folder knows; all attempts count as one head of `term`, which is one that nobody has told of before.
 
     Danger: under a term that was told of before, this head and the one told would be taken for one, and the larger
@@ -252,11 +252,13 @@
     """
     heads = {}
     if kept.attempts:
-        heads[term] = Head(kept.attempts, not kept.out_at, kept.out_at, kept.out_zone if kept.out_at else NOWHERE)
-    end = (Rank.NONE, 0)
+        heads[term] = LifeSummary(
+            kept.attempts, not kept.out_at, kept.out_at, kept.out_zone if kept.out_at else NOWHERE
+        )
+    end = (EndRank.NONE, 0)
     if kept.end is not None:
-        end = (Rank.RETURNED if kept.end[0] else Rank.FAILED, kept.end[1])
-    return Known(heads, (kept.ran_at, kept.ran_zone) if kept.ran_at else None, kept.doubt_at, end)
+        end = (EndRank.RETURNED if kept.end[0] else EndRank.FAILED, kept.end[1])
+    return MessageKnowledge(heads, (kept.ran_at, kept.ran_zone) if kept.ran_at else None, kept.doubt_at, end)
 
 
 def kept_of(fact: Fact, doubt_at: int = 0) -> StoredMessage:
@@ -288,14 +290,14 @@
         *ran,
         *last,
         min(filter(None, (known.doubt, doubt_at)), default=0),
-        None if rank is Rank.NONE else (rank is Rank.RETURNED, wait),
+        None if rank is EndRank.NONE else (rank is EndRank.RETURNED, wait),
     )
 
 
 # ---- at the holder ----
 
 
-class Ledger:
+class FactLedger:
     """What the holder of a book knows of each message it owes; each call returns the fact that tells the news.
 
     KeyError where a number is not owed.
@@ -303,7 +305,7 @@
 
     def __init__(self, term: int) -> None:
         self.term = term
-        self.known: dict[int, Known] = {}
+        self.known: dict[int, MessageKnowledge] = {}
 
     def kept(self, kept: StoredMessage, body: bytes) -> Fact:
         """A message was taken, or a restart has left it."""
@@ -320,14 +322,14 @@
         ran = known.ran
         if head is not None and not head.settled:
             ran = min(ran or (head.at, head.zone), (head.at, head.zone))
-        return self._tell(number, Head(head.attempts + 1 if head else 1, False, at, zone), ran)
+        return self._tell(number, LifeSummary(head.attempts + 1 if head else 1, False, at, zone), ran)
 
     def outcome(self, number: int, never_ran: bool, completed: bool) -> Fact:
         """The attempt that was out has ended."""
         known = self.known[number]
         head = known.heads.get(self.term)
         if completed:
-            return self._end(number, (Rank.COMPLETED, 0))
+            return self._end(number, (EndRank.COMPLETED, 0))
         if head is None or head.settled:
             return Fact(number, None, known)  # of a term before, which `renew` has taken for one that may have run
         ran = known.ran if never_ran else min(known.ran or (head.at, head.zone), (head.at, head.zone))
@@ -335,15 +337,15 @@
 
     def ended(self, number: int, nacked: bool, wait_ms: int) -> Fact:
         """The final answer has been chosen and its notice is owed."""
-        return self._end(number, (Rank.RETURNED if nacked else Rank.FAILED, wait_ms))
+        return self._end(number, (EndRank.RETURNED if nacked else EndRank.FAILED, wait_ms))
 
     def over(self, number: int) -> Fact:
         """Nothing more is owed."""
-        return self._end(number, (Rank.TOLD, self.known[number].end[1]))
+        return self._end(number, (EndRank.TOLD, self.known[number].end[1]))
 
     def moved(self, number: int, sequence: int, text: str) -> Fact:
         """The message is part of a move."""
-        return self._join(number, Known(move=(sequence, text)))
+        return self._join(number, MessageKnowledge(move=(sequence, text)))
 
     def adopt(self, facts: Iterable[Fact], term: int) -> list[Fact]:
         """Go on under a term with what others knew, each fact with its base; what is over is dropped and left out.
@@ -367,13 +369,13 @@
         self.term = term
         self.known = {number: folded(known, term) for number, known in self.known.items()}
 
-    def _tell(self, number: int, head: Head, ran: tuple[int, int] | None) -> Fact:
-        return self._join(number, Known({self.term: head}, ran))
+    def _tell(self, number: int, head: LifeSummary, ran: tuple[int, int] | None) -> Fact:
+        return self._join(number, MessageKnowledge({self.term: head}, ran))
 
-    def _end(self, number: int, end: tuple[Rank, int]) -> Fact:
-        return self._join(number, Known(end=end))
+    def _end(self, number: int, end: tuple[EndRank, int]) -> Fact:
+        return self._join(number, MessageKnowledge(end=end))
 
-    def _join(self, number: int, news: Known) -> Fact:
+    def _join(self, number: int, news: MessageKnowledge) -> Fact:
         """All that is known goes along, not the news alone, so that a fact that is joined late forgets nothing."""
         known = join(self.known[number], news)
         if over(known):
--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -1,6 +1,6 @@
 """The small files of sessions in `$RELAY_STATE/fleet`: marks of moves, votes, and what a process hands on.
 
-As in `lasting.py`, but that votes are appended, a frame each, to the table that was written at the start.
+As in `fleet_files.py`, but that votes are appended, a frame each, to the table that was written at the start.
 """
 
 import os
@@ -8,9 +8,9 @@
 import msgspec
 from loguru import logger
 
-from cedarwick.fleet.decrees import Row
-from cedarwick.fleet.decrees import Table as Decrees
-from cedarwick.fleet.lasting import ENCODER, CorruptFleetFileError, Lasting
+from cedarwick.fleet.consensus import AcceptorTable as Decrees
+from cedarwick.fleet.consensus import InstanceState
+from cedarwick.fleet.fleet_files import ENCODER, CorruptFleetFileError, FleetFiles
 from cedarwick.store.records import DamagedRange, scan
 
 INERT = "moves"
@@ -19,7 +19,7 @@
 
 INERT_FILE: msgspec.msgpack.Decoder[dict[int, tuple[int, str]]] = msgspec.msgpack.Decoder(dict[int, tuple[int, str]])
 DECREES_FILE: msgspec.msgpack.Decoder[Decrees] = msgspec.msgpack.Decoder(Decrees)
-ROW: msgspec.msgpack.Decoder[Row] = msgspec.msgpack.Decoder(Row)
+ROW: msgspec.msgpack.Decoder[InstanceState] = msgspec.msgpack.Decoder(InstanceState)
 
 
 class HeldSession(msgspec.Struct, array_like=True, frozen=True):
@@ -44,7 +44,7 @@
 class SessionFiles:
     """Reads and replaces them. OSError where the folder cannot be used."""
 
-    def __init__(self, lasting: Lasting) -> None:
+    def __init__(self, lasting: FleetFiles) -> None:
         self.lasting = lasting
 
     def inert(self) -> dict[int, tuple[int, str]]:
@@ -101,6 +101,6 @@
         rows = (ENCODER.encode(row) for row in table.rows)
         self.lasting.replace(DECREES, [ENCODER.encode(Decrees([], table.floors)), *rows])
 
-    def add_decree(self, row: Row) -> None:
+    def add_decree(self, row: InstanceState) -> None:
         """One row, behind the table that was written whole at the start."""
         self.lasting.append(DECREES, ENCODER.encode(row))
