--- a/cedarwick/events/anti_entropy.py
+++ b/cedarwick/events/anti_entropy.py
@@ -14,7 +14,7 @@
 from cedarwick.fleet.messages import MOST_ENTRIES, Subscribe
 
 BUCKETS = 256
-BYTES = 1 << 18  # of entries in one letter, about; one bucket at least
+BYTES = 1 << 18  # of entries in one peer message, about; one bucket at least
 MOST_BYTES = 3 * BYTES  # a bucket with more of the longest filters than chance would give it is cut here
 _encode = msgspec.msgpack.Encoder().encode
 
@@ -50,8 +50,11 @@
         """Of everything."""
         return xxhash.xxh3_64_intdigest(_encode(self.digests()))
 
-    def letter(self, names: Iterable[str] = (), asked: Iterable[int] = ()) -> Subscribe:
-        """Some entries for another member, beside the digest, as far as a letter has room; and what is asked of it."""
+    def peer_message(self, names: Iterable[str] = (), asked: Iterable[int] = ()) -> Subscribe:
+        """Some entries for another member, beside the digest, as far as a peer message has room.
+
+        And what is asked of it.
+        """
         found: dict[str, Entry] = {}
         size = 0
         for name in names:
@@ -65,8 +68,8 @@
         """What another member is answered, once its entries were taken in."""
         asked = {each for each in told.asked if each < BUCKETS}
         if asked:
-            return self.letter(self._within(asked))
-        answer = self.letter()
+            return self.peer_message(self._within(asked))
+        answer = self.peer_message()
         return answer if answer.digest == told.digest else msgspec.structs.replace(answer, buckets=self.digests())
 
     def join(self, now: int, told: Subscribe) -> Verdict:
@@ -77,7 +80,7 @@
         return verdict
 
     def differing(self, answer: Subscribe) -> Subscribe | None:
-        """What to say to one whose buckets differ: those that a letter has room for, and the wish for its own."""
+        """What to say to one whose buckets differ: those that a peer message has room for, and the wish for its own."""
         differ = [
             place for place, (mine, its) in enumerate(zip(self.digests(), answer.buckets, strict=False)) if mine != its
         ]
@@ -89,7 +92,7 @@
             if asked and sum(sizes[each] for each in asked) + sizes[place] > BYTES:
                 break
             asked.append(place)
-        return self.letter(self._within(set(asked)), asked) if asked else None
+        return self.peer_message(self._within(set(asked)), asked) if asked else None
 
     def _within(self, buckets: set[int]) -> list[str]:
         return [
--- a/cedarwick/events/event_source.py
+++ b/cedarwick/events/event_source.py
@@ -40,36 +40,36 @@
 
     def cleared(self, call: AttemptCall) -> None:
         """An attempt wants to go out to its receiver."""
-        life = self._life(call.kept.number)
+        life = self._life(call.message.number)
         life.receiver, life.wait = call.receiver, 0
 
     def told(self, call: AttemptCall, ending: AttemptResult) -> None:
         """An attempt has ended; its outcome is seen in a moment."""
-        if call.kept.number in self.lives:
-            self.lives[call.kept.number].wait = ending.retry_after
+        if call.message.number in self.lives:
+            self.lives[call.message.number].wait = ending.retry_after
 
-    def message(self, kind: str, kept: StoredMessage, figure: int) -> dict[str, Value]:
+    def message(self, kind: str, stored: StoredMessage, figure: int) -> dict[str, Value]:
         """The fields of an event of a message; `figure` as `Shared.seen` has it."""
-        now, life = self.dispatcher.clock.now(), self._life(kept.number)
+        now, life = self.dispatcher.clock.now(), self._life(stored.number)
         priority_class = (
-            self.dispatcher.sender.priority_classes[self.dispatcher.priority_classes[kept.priority_class]]
-            if kept.priority_class in self.dispatcher.priority_classes
+            self.dispatcher.sender.priority_classes[self.dispatcher.priority_classes[stored.priority_class]]
+            if stored.priority_class in self.dispatcher.priority_classes
             else None
         )
         fields: dict[str, Value] = {
             **self.here,
-            "id": kept.id[:LONGEST_TEXT],
-            "band": kept.priority_class[:LONGEST_TEXT],
-            "destination": kept.destination,
+            "id": stored.id[:LONGEST_TEXT],
+            "band": stored.priority_class[:LONGEST_TEXT],
+            "destination": stored.destination,
         }
-        if kept.tenant:
-            fields["tenant"] = kept.tenant[:LONGEST_TEXT]
+        if stored.tenant:
+            fields["tenant"] = stored.tenant[:LONGEST_TEXT]
         if priority_class is not None:
             fields |= {"worth": float(priority_class.priority_weight), "at_most_once": priority_class.at_most_once}
         if kind == "taken":
             life.taken_at = now
             return fields
-        fields["shots"] = kept.attempts
+        fields["shots"] = stored.attempts
         if life.taken_at:
             fields["age"] = max(0, now - life.taken_at)
         if kind in ("shot", "outcome") and (uid := self._uid(life.receiver)):
@@ -81,7 +81,7 @@
         if kind == "nacked" and figure:
             fields["wait"] = figure * 1000
         if kind in ENDS:
-            del self.lives[kept.number]
+            del self.lives[stored.number]
         return fields
 
     def _life(self, number: int) -> Life:
@@ -89,8 +89,8 @@
         if life is None:
             life = self.lives[number] = Life()
             # Danger: messages that end elsewhere tell no end here, and would be remembered for ever.
-            if len(self.lives) > 2 * len(self.dispatcher.store.kept) + SPARE:
-                self.lives = {each: life for each, life in self.lives.items() if each in self.dispatcher.store.kept}
+            if len(self.lives) > 2 * len(self.dispatcher.store.messages) + SPARE:
+                self.lives = {each: life for each, life in self.lives.items() if each in self.dispatcher.store.messages}
                 self.lives[number] = life
         return life
 
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -123,7 +123,7 @@
         self.began = gate.incarnation  # of the newest connection here
         self.turn_at = self.tick_at = self.expiry_at = 0
         self.lacks: dict[str, set[str]] = {}  # by member: subscriptions that it is to be told
-        self.agreed: dict[str, int] = {}  # by member: the digest at the last letter
+        self.agreed: dict[str, int] = {}  # by member: the digest at the last peer message
         self.next_at: dict[str, int] = {}  # by member: when the two compare, where nothing is new
         self.failed_until: dict[str, int] = {}  # by member that has not answered
         self.talking: set[str] = set()
@@ -164,20 +164,20 @@
         """Whether anybody follows: else events are numbered, and not made."""
         return self.serving is not None and bool(self.serving.source.outboxes)
 
-    def seen(self, kind: str, kept: StoredMessage, figure: int) -> None:
+    def seen(self, kind: str, stored: StoredMessage, figure: int) -> None:
         """As `Shared.seen`: something has happened to a message."""
         witness = self.witness
         if witness is None or not self.watching:
             self._unseen()
             return
         try:
-            self._happened(kind, witness.message(kind, kept, figure))
+            self._happened(kind, witness.message(kind, stored, figure))
         except Exception:  # Danger: a delivery must not fail because somebody watches it
             self.counters.failed("an event was not told")
 
-    def adopted(self, kept: Iterable[StoredMessage], member: str) -> None:
+    def adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
         """Messages of another member are this one's from now on."""
-        for each in kept:
+        for each in stored:
             if self.watching and self.witness is not None:
                 self._happened("adopted", self.witness.message("adopted", each, 0) | self.witness.member(member))
             else:
@@ -254,7 +254,7 @@
                 gevent.spawn(self._talk, now, name)
 
     def heard(self, sender: str, now: int, body: Subscribe | Matches | Cursors) -> Body:
-        """The answer to another member's letter."""
+        """The answer to another member's peer message."""
         if isinstance(body, Subscribe):
             self._take(sender, body)
             return self.spread.answer(body)
@@ -371,7 +371,7 @@
     def _say(self, now: int, name: str) -> bool:
         """Tell another member what it lacks, and compare; whether the two are at one."""
         names = self.lacks.pop(name, set())
-        answer = self._ask(name, self.spread.letter(names))
+        answer = self._ask(name, self.spread.peer_message(names))
         if answer is None:
             self.lacks.setdefault(name, set()).update(names)
             self.failed_until[name] = now + RETRY
@@ -381,8 +381,8 @@
         self.agreed[name] = self.spread.digest()
         return answer.digest == self.agreed[name]
 
-    def _ask(self, name: str, letter: Subscribe) -> Subscribe | None:
-        answer = self.call(name, letter, ANSWER_IN)
+    def _ask(self, name: str, peer_message: Subscribe) -> Subscribe | None:
+        answer = self.call(name, peer_message, ANSWER_IN)
         if not isinstance(answer, Subscribe):
             return None
         self._take(name, answer)
@@ -450,10 +450,10 @@
             raise InvalidFollowError("UNFOLLOW takes one name")
         self.registry.end(wall(), name)
         self._changed(name)
-        letter = self.spread.letter([name])
+        peer_message = self.spread.peer_message([name])
         # Danger: who is alive may change while the answers are awaited.
         calls = {
-            member: gevent.spawn(self._ask, member, letter)
+            member: gevent.spawn(self._ask, member, peer_message)
             for member in sorted(self.gate.others)
             if member in self.alive
         }
--- a/cedarwick/events/match_delivery.py
+++ b/cedarwick/events/match_delivery.py
@@ -48,7 +48,7 @@
         if before is not None and before.member == reached.member:
             if reached.began < before.began:
                 return
-            if reached.began == before.began:  # Danger: letters overtake one another; a place only moves on
+            if reached.began == before.began:  # Danger: peer messages overtake one another; a place only moves on
                 reached = reached._replace(
                     held=max(reached.held, before.held), written=max(reached.written, before.written)
                 )
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -28,12 +28,12 @@
 BEAT = 2.0  # seconds without a line until a reader is sent an empty one
 WRITE_WITHIN = 10.0  # seconds in which what is written must be taken
 SEND_BUFFER = 1 << 16  # bytes that the system holds for a reader
-PLACES = 2_000_000  # microseconds between two letters that tell the places of all readers
+PLACES = 2_000_000  # microseconds between two peer messages that tell the places of all readers
 ENDINGS = 250_000  # between two looks for sources that have ended
 ANSWER_IN = 1.0  # seconds
-LETTER = 1 << 18  # bytes of matches in one letter, about
-STREAMS = 500  # subscriptions in one letter
-ROWS = 2000  # places in one letter
+PEER_MESSAGE = 1 << 18  # bytes of matches in one peer message, about
+STREAMS = 500  # subscriptions in one peer message
+ROWS = 2000  # places in one peer message
 READ_AT_ONCE = 10  # filters that are compiled in one look: each takes up to a millisecond
 _encode = msgspec.msgpack.Encoder().encode
 _items: msgspec.msgpack.Decoder[list[Item]] = msgspec.msgpack.Decoder(list[Item])
@@ -102,8 +102,8 @@
         self.active: dict[str, None] = {}  # lanes that may have something to send, in their turn
         self.strange: dict[str, None] = {}  # new lanes: where their subscribers are with this source is not known
         self.asked: dict[str, str] = {}  # by lane: the member that was asked last, and may have known nothing
-        self.pushing: set[str] = set()  # members with a letter of matches on its way
-        self.telling: set[str] = set()  # members with a letter of places on its way
+        self.pushing: set[str] = set()  # members with a peer message of matches on its way
+        self.telling: set[str] = set()  # members with a peer message of places on its way
         self.owed: dict[str, dict[str, None]] = {}  # by member: readers whose places it is to be told
         self.connections: dict[str, Connection] = {}
         self.places_at = self.endings_at = 0
@@ -198,8 +198,8 @@
         return Cursor(name, reached.began, reached.held, reached.written, reached.room)
 
     def _push(self, now: int, alive: set[str]) -> None:
-        """Send what is owed: one letter at a time to each member."""
-        letters: dict[str, list[Stream]] = {}
+        """Send what is owed: one peer message at a time to each member."""
+        peer_messages: dict[str, list[Stream]] = {}
         sizes: dict[str, int] = {}
         for name in [*self.strange, *self.active]:
             lane, entry = self.lanes.get(name), self.entry(name)
@@ -208,8 +208,8 @@
                 self.strange.pop(name, None)
                 continue
             member = entry.member
-            streams = letters.setdefault(member, [])
-            if member in self.pushing or sizes.get(member, 0) >= LETTER or len(streams) >= STREAMS:
+            streams = peer_messages.setdefault(member, [])
+            if member in self.pushing or sizes.get(member, 0) >= PEER_MESSAGE or len(streams) >= STREAMS:
                 continue
             if name in self.strange:
                 if member in alive:
@@ -228,7 +228,7 @@
                 streams.append(Stream(name, reader.held, data))
                 del self.active[name]
                 self.active[name] = None  # the others come first the next time
-        for member, streams in letters.items():
+        for member, streams in peer_messages.items():
             if streams:
                 self.bytes[member] = self.bytes.get(member, 0) + sizes.get(member, 0)
                 self._send(now, member, Matches(self.source.name, tuple(streams)))
@@ -249,7 +249,7 @@
 
         gevent.spawn(send)
 
-    # ---- letters of others ----
+    # ---- peer messages of others ----
 
     def places(self, now: int, sender: str, body: Cursors) -> None:
         """Where the readers at a member are with the source here."""
--- a/cedarwick/fleet/fleet_files.py
+++ b/cedarwick/fleet/fleet_files.py
@@ -1,7 +1,8 @@
-"""The small files of `$RELAY_STATE/fleet`: what this member has granted, and the books that it holds.
+"""The small files of `$RELAY_STATE/fleet`: what this member has granted, and the partitions that it holds.
 
 Each is MessagePack in frames of the folder's (`store/records.py`), one unless it is long, and replaced whole: a crash
-leaves the old one or the new one. Copies of other members' books lie beside them, in `copies/` (`replica_files.py`).
+leaves the old one or the new one. Copies of other members' partitions lie beside them, in `copies/`
+(`replica_files.py`).
 """
 
 import os
@@ -41,9 +42,9 @@
 
 
 class LeaseRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A book that this member has held."""
+    """A partition that this member has held."""
 
-    book: int
+    partition: int
     term: int  # the newest
     upto: int  # numbers of it up to this one may have been given
 
@@ -84,7 +85,7 @@
         self.write(GRANTS, ENCODER.encode(table))
 
     def held(self) -> list[LeaseRecord]:
-        """The books that this member has held, the newest state of each; empty where the file is gone."""
+        """The partitions that this member has held, the newest state of each; empty where the file is gone."""
         data = self.read(HELD)
         try:
             return HELD_FILE.decode(data) if data is not None else []
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""What a member tells the others beside its books: receivers taken out by hand, and waits that it was told.
+"""What a member tells the others beside its partitions: receivers taken out by hand, and waits that it was told.
 
 Marks (`suspensions.py`) go at once to each member that lacks them, and digests every few seconds, so that members that
 were
@@ -26,8 +26,8 @@
 from cedarwick.ops import saved_state as files
 from cedarwick.ops.management import Staff
 
-TURN = 250_000  # microseconds between two letters of a kind to one member
-AGAIN = 5_000_000  # between two letters with nothing new
+TURN = 250_000  # microseconds between two peer messages of a kind to one member
+AGAIN = 5_000_000  # between two peer messages with nothing new
 ANSWER_IN = 0.4  # seconds
 RETRY = 10_000_000  # between two tries to write what could not be written
 SAVE = 3_600_000_000  # microseconds: how far behind the file may be on when a member was met last
@@ -77,7 +77,7 @@
         self.saved_at = 0
         self.lacks: dict[str, set[str]] = {}  # by member: uids whose rows it is to be told
         self.next_at: dict[str, int] = {}  # by member: when it is written to where nothing is new
-        self.agreed: dict[str, int] = {}  # by member: the digest at the last letter
+        self.agreed: dict[str, int] = {}  # by member: the digest at the last peer message
         self.talking: set[str] = set()
         self.sleepers: set[str] = set()  # members that may have missed something, too
         self.turn_at = 0
@@ -131,7 +131,7 @@
                 gevent.spawn(self._talk, now, name)
 
     def heard(self, sender: str, body: Told | RetryAfterHint) -> Body:
-        """The answer to another member's letter."""
+        """The answer to another member's peer message."""
         if not self.attached:
             return Acknowledged()
         if isinstance(body, RetryAfterHint):
--- a/cedarwick/fleet/leases.py
+++ b/cedarwick/fleet/leases.py
@@ -8,11 +8,12 @@
 that span from when it was *sent*. Two majorities share a grantor, and that one grants the second holder only when its
 promise to the first has run out: `DRIFT` keeps this true where one clock is up to 5% slower than another.
 
-Why only an heir follows. A set of heirs names the members (the holder first) whose copies are whole. Sets are numbered
+Why only a successor follows. A set of successors names the members (the holder first) whose copies are whole. Sets are
+numbered
 `term << 20 | n`, so those of a newer term are newer. A grantor keeps the newest it was told, and grants a newer term to
 members of it only. A holder may fire only from when a majority knows a set of *its own* term: from then on members
 of older sets, who can't know its attempts, are refused by a majority. What a holder that fired nothing has named binds
-nobody, so the heirs of its predecessor may still go on when it dies between grant and naming.
+nobody, so the successors of its predecessor may still go on when it dies between grant and naming.
 
 What must survive: the rows of a grantor's table are in its folder before the answer is sent (`dirty`); the own grantor
 is asked before any other one, so a restarted member knows each term it ever asked for and never asks for it again.
@@ -36,8 +37,8 @@
 ASKS = 4  # in a span
 SET_BITS = 20  # of a set's number; over them the term that named it
 EPOCH_BITS = 12
-BOOK = "book:"
-UPTO = "closed:"  # a row `closed:<slot>` says in `term` up to which epoch all books of the slot are closed
+PARTITION = "book:"
+UPTO = "closed:"  # a row `closed:<slot>` says in `term` up to which epoch all partitions of the slot are closed
 
 
 def majority_of(members: int) -> int:
@@ -45,14 +46,14 @@
     return members // 2 + 1
 
 
-def right_of(book: int) -> str:
-    """The right over a book."""
-    return f"{BOOK}{book}"
+def right_of(partition: int) -> str:
+    """The right over a partition."""
+    return f"{PARTITION}{partition}"
 
 
-def book_of(right: str) -> int | None:
-    """The book that a right is over; None for any other right."""
-    number = right.removeprefix(BOOK)
+def partition_of(right: str) -> int | None:
+    """The partition that a right is over; None for any other right."""
+    number = right.removeprefix(PARTITION)
     return int(number) if number != right and number.isdecimal() else None
 
 
@@ -74,7 +75,7 @@
         self._names = frozenset(names) | {me}
         self._grants: dict[str, Grant] = {}
         self._until: dict[str, int] = {}  # when a promise runs out, by right
-        self._upto: dict[int, int] = {}  # the epoch up to which all books are closed, by slot
+        self._upto: dict[int, int] = {}  # the epoch up to which all partitions are closed, by slot
         self._told: dict[str, bool] = {}  # whose tables came, and whether they were whole
         for grant in grants or ():
             self._join(grant)
@@ -91,20 +92,20 @@
             and self._open(known, ask)
             and self._term_fits(known, ask)
             and self._promise_over(now, known, ask)
-            and self._is_heir(known, ask)
+            and self._is_successor(known, ask)
         )
         if granted:
-            # Danger: an heir's set may be newer than ours: a majority knew it, and some of that may be down now.
+            # Danger: a successor's set may be newer than ours: a majority knew it, and some of that may be down now.
             newest: LeaseRequest | Grant = ask if ask.set > known.set else known
-            kept = Grant(ask.right, ask.term, ask.holder, newest.heirs, newest.set, known.closed or ask.closed)
+            stored = Grant(ask.right, ask.term, ask.holder, newest.successors, newest.set, known.closed or ask.closed)
             until = now + ask.span
             self._until[ask.right] = max(until, self.promised(ask.right)) if ask.span else now
-            if kept != known:
-                self._grants[ask.right] = known = kept
+            if stored != known:
+                self._grants[ask.right] = known = stored
                 self.dirty = True
-            if kept.closed:
+            if stored.closed:
                 self._prune(ask.right)
-        return LeaseReply(granted, known.term, known.holder, known.heirs, known.set, known.closed)
+        return LeaseReply(granted, known.term, known.holder, known.successors, known.set, known.closed)
 
     def _open(self, known: Grant, ask: LeaseRequest) -> bool:
         """A closed right is never granted again; closing it twice is the same closing."""
@@ -120,12 +121,12 @@
             return False  # Danger: we could not keep this promise over a restart
         return ask.holder == known.holder or now >= self.promised(ask.right)
 
-    def _is_heir(self, known: Grant, ask: LeaseRequest) -> bool:
+    def _is_successor(self, known: Grant, ask: LeaseRequest) -> bool:
         """A newer term is for members of the newest set that the two know; a right that nobody held has none."""
         if ask.term == known.term:
             return True
-        heirs = ask.heirs if ask.set > known.set else known.heirs
-        return ask.holder in heirs or not known.set
+        successors = ask.successors if ask.set > known.set else known.successors
+        return ask.holder in successors or not known.set
 
     # ---- what the table says ----
 
@@ -134,8 +135,8 @@
         found = self._grants.get(right)
         if found is not None:
             return found
-        book = book_of(right)
-        closed = book is not None and book % (1 << EPOCH_BITS) <= self._upto.get(book >> EPOCH_BITS, -1)
+        partition = partition_of(right)
+        closed = partition is not None and partition % (1 << EPOCH_BITS) <= self._upto.get(partition >> EPOCH_BITS, -1)
         return Grant(right, 0, "", closed=closed)
 
     def promised(self, right: str) -> int:
@@ -149,8 +150,12 @@
 
     def newest(self, slot: int) -> int:
         """The largest epoch of a slot that this table knows; -1: none."""
-        books = (book_of(right) for right in self._grants)
-        epochs = [book % (1 << EPOCH_BITS) for book in books if book is not None and book >> EPOCH_BITS == slot]
+        partitions = (partition_of(right) for right in self._grants)
+        epochs = [
+            partition % (1 << EPOCH_BITS)
+            for partition in partitions
+            if partition is not None and partition >> EPOCH_BITS == slot
+        ]
         return max([*epochs, self._upto.get(slot, -1)])
 
     def replace(self, names: Collection[str]) -> None:
@@ -186,9 +191,10 @@
         return not self.learning
 
     def closed_elsewhere(self, table: GrantTable) -> None:
-        """Another's table says which books were closed while this member was away; nothing else of it is taken over.
+        """Another's table says which partitions were closed while this member was away; nothing else of it is taken
+        over.
 
-        A closed book's holder had stopped firing, and owed nothing.
+        A closed partition's holder had stopped firing, and owed nothing.
         """
         before = self.table()
         for grant in table.grants:
@@ -223,20 +229,20 @@
         # Danger: two members had the same term from parts of the grantors; we can't tell which was promised by us.
         tie = (known.term, known.set) == (grant.term, grant.set) and known.holder != grant.holder
         holder = "" if tie else newer.holder
-        self._grants[grant.right] = Grant(grant.right, newer.term, holder, newer.heirs, newer.set, closed)
+        self._grants[grant.right] = Grant(grant.right, newer.term, holder, newer.successors, newer.set, closed)
         if closed:
             self._prune(grant.right)
 
     def _passed(self, right: str) -> bool:
-        book = book_of(right)
-        return book is not None and book % (1 << EPOCH_BITS) <= self._upto.get(book >> EPOCH_BITS, -1)
+        partition = partition_of(right)
+        return partition is not None and partition % (1 << EPOCH_BITS) <= self._upto.get(partition >> EPOCH_BITS, -1)
 
     def _prune(self, right: str) -> None:
-        """Keep one number for the closed books of a slot: the epoch up to which all are closed, without a gap."""
-        book = book_of(right)
-        if book is None:
+        """Keep one number for the closed partitions of a slot: the epoch up to which all are closed, without a gap."""
+        partition = partition_of(right)
+        if partition is None:
             return
-        slot = book >> EPOCH_BITS
+        slot = partition >> EPOCH_BITS
         while True:
             following = right_of(slot << EPOCH_BITS | (self._upto.get(slot, -1) + 1))
             grant = self._grants.get(following)
@@ -280,14 +286,14 @@
         self._closed: dict[str, int] = {}  # when the ask was sent, by grantor
 
     def begin(self, now: int, grant: Grant) -> None:
-        """Ask for the next term. `grant` is the own grantor's row: from it come the heirs, for grantors that lag.
+        """Ask for the next term. `grant` is the own grantor's row: from it come the successors, for grantors that lag.
 
         Only for a member whose copy is whole, or for a right that nobody has held.
         """
         self.term = self._heard = max(grant.term, self.term, self._heard) + 1
         self.state = LeaseState.ASKING
         self._begun = self._due = now
-        self.known, self.set, self._sets = 0, grant.set, {grant.set: grant.heirs}
+        self.known, self.set, self._sets = 0, grant.set, {grant.set: grant.successors}
         self._granted, self._closed = {}, {}
         self._count()
 
@@ -297,9 +303,9 @@
         if self.state not in (LeaseState.ASKING, LeaseState.HELD, LeaseState.CLOSING) or now < self._due:
             return None
         self._due = now + self.span // ASKS
-        heirs = self._sets[self.set]
+        successors = self._sets[self.set]
         return LeaseRequest(
-            self.right, self.term, self.me, self.span, heirs, self.set, self.state is LeaseState.CLOSING
+            self.right, self.term, self.me, self.span, successors, self.set, self.state is LeaseState.CLOSING
         )
 
     def look(self, now: int) -> None:
@@ -322,9 +328,12 @@
             self._closed[grantor] = max(self._closed.get(grantor, 0), at)
         self._settle(now)
 
-    def name(self, now: int, heirs: Collection[str]) -> None:
-        """Name the set of heirs from now on: the members whose copies are whole, in the order in which they adopt."""
-        named = (self.me, *(name for name in heirs if name != self.me))
+    def name(self, now: int, successors: Collection[str]) -> None:
+        """Name the set of successors from now on:
+
+        the members whose copies are whole, in the order in which they adopt.
+        """
+        named = (self.me, *(name for name in successors if name != self.me))
         if self.state is not LeaseState.HELD or named == self._sets[self.set] and self._own(self.set):
             return
         self.set = max(self.set, self.term << SET_BITS) + 1
@@ -338,7 +347,7 @@
             self._due = now
 
     def release(self) -> LeaseRequest | None:
-        """Give the right up at once, so that an heir needs not wait; what is to be sent to all, None: nothing."""
+        """Give the right up at once, so that a successor needs not wait; what is to be sent to all, None: nothing."""
         held = self.state in (LeaseState.ASKING, LeaseState.HELD)
         self.state = LeaseState.IDLE
         return LeaseRequest(self.right, self.term, self.me, 0, self._sets[self.set], self.set) if held else None
@@ -356,14 +365,14 @@
         return self.state is LeaseState.HELD and self.known > 0 and now < self.valid_until
 
     @property
-    def heirs(self) -> tuple[str, ...]:
+    def successors(self) -> tuple[str, ...]:
         """The set that a majority knows, the holder first; empty while there is none of this term."""
         return self._sets[self.known] if self.known else ()
 
     @property
     def bound(self) -> frozenset[str]:
-        """All that may be granted the next term: each must have a record before it counts as on every heir."""
-        return frozenset(name for heirs in self._sets.values() for name in heirs)
+        """All that may be granted the next term: each must have a record before it counts as on every successor."""
+        return frozenset(name for successors in self._sets.values() for name in successors)
 
     def _count(self) -> None:
         """Reckon `valid_until` where an answer or the members have changed: it is looked at far more often."""
@@ -378,7 +387,10 @@
         return sent_at
 
     def _own(self, number: int) -> bool:
-        """Danger: until a majority knows a set of this term, it may yet grant to heirs that can't know our attempts."""
+        """Danger:
+
+        until a majority knows a set of this term, it may yet grant to successors that can't know our attempts.
+        """
         return number >> SET_BITS == self.term
 
     def _after_majority(self, values: list[int], more: int, none: int) -> int:
@@ -408,4 +420,4 @@
         number = self._after_majority(sets, 0, 0)
         if self.state is LeaseState.HELD and number > self.known and self._own(number):
             self.known = number
-            self._sets = {one: heirs for one, heirs in self._sets.items() if one >= number}
+            self._sets = {one: successors for one, successors in self._sets.items() if one >= number}
--- a/cedarwick/fleet/messages.py
+++ b/cedarwick/fleet/messages.py
@@ -1,9 +1,10 @@
 """What members of a fleet say to one another: one `PeerMessage` in each request and each answer, as MessagePack.
 
 All are arrays on the wire, with a tag in front of each body; fields are added at the end only, with a default, so an
-older member reads a newer one's letter as far as it knows it. `VERSION` goes up where that does not hold, and letters
-of another version are refused. Whoever reads a letter holds it whole, so each text, list and run of bytes has a bound.
-Facts and events travel as the bytes that their own modules made, with a digest where they are kept.
+older member reads a newer one's peer message as far as it knows it. `VERSION` goes up where that does not hold, and
+peer messages
+of another version are refused. Whoever reads a peer message holds it whole, so each text, list and run of bytes has a
+bound. Facts and events travel as the bytes that their own modules made, with a digest where they are kept.
 """
 
 from typing import Annotated
@@ -18,10 +19,10 @@
 VERSION = 1  # of the wire; another one is refused
 LEVEL = 3  # of what a member can do; told, and looked at where a feature needs it
 OWING = 3  # from this level on a member reads `OwedKeys`
-MAX_MESSAGE_BYTES = 1 << 20  # bytes of a letter
+MAX_MESSAGE_BYTES = 1 << 20  # bytes of a peer message
 SLOT_BITS = 18
 MEMBERS = 64  # at most in a group
-MOST_KEYS = 4096  # of a letter that tells what is owed
+MOST_KEYS = 4096  # of a peer message that tells what is owed
 
 Name = Annotated[str, Meta(max_length=64)]  # of a member, a group, a subscription; empty: nobody
 Text = Annotated[str, Meta(max_length=512)]  # for a person
@@ -29,17 +30,18 @@
 Move = Annotated[str, Meta(max_length=200)]  # the name of a move: a stamp and two members
 Id = Annotated[str, Meta(max_length=200)]  # of a message, as a client may give it
 Count = Annotated[int, Meta(ge=0)]  # numbers, terms, microseconds
-# Danger: whoever goes one further, or packs it with others, would have a number that no letter and no file can hold.
+# Danger: whoever goes one further, or packs it with others, would have a number that no peer message and no file can
+# hold.
 Term = Annotated[int, Meta(ge=0, lt=1 << 40)]  # one a second for 30,000 years
-Order = Annotated[int, Meta(ge=0, lt=1 << 62)]  # of sets of heirs, of a session's holders, of moves
+Order = Annotated[int, Meta(ge=0, lt=1 << 62)]  # of sets of successors, of a session's holders, of moves
 Place = Annotated[int, Meta(ge=-1)]  # the number of an event that was reached; -1: none
-Bulk = Annotated[bytes, Meta(max_length=MAX_MESSAGE_BYTES - (1 << 14))]  # leaves room for the rest of the letter
+Bulk = Annotated[bytes, Meta(max_length=MAX_MESSAGE_BYTES - (1 << 14))]  # leaves room for the rest of the peer message
 Request = Annotated[bytes, Meta(max_length=1 << 18)]  # one request of a client, or its answer
 Names = Annotated[tuple[Name, ...], Meta(max_length=MEMBERS)]
 
 
 class InvalidPeerMessageError(CedarwickError):
-    """Bytes that are no letter of a fleet."""
+    """Bytes that are no peer message of a fleet."""
 
     code = "CW701"
     remedy = "ask who sends this to the fleet's address; compare the versions of the members"
@@ -57,9 +59,9 @@
 
 
 class HeldLease(PeerBodyPart, frozen=True):
-    """A book that the sender of the beat holds."""
+    """A partition that the sender of the beat holds."""
 
-    book: Count
+    partition: Count
     term: Term
 
 
@@ -87,8 +89,8 @@
     term: Term
     holder: Name
     span: Count
-    heirs: Names = ()
-    set: Order = 0  # the larger number is the newer list of heirs
+    successors: Names = ()
+    set: Order = 0  # the larger number is the newer list of successors
     closed: bool = False
 
 
@@ -98,7 +100,7 @@
     granted: bool
     term: Term
     holder: Name
-    heirs: Names = ()
+    successors: Names = ()
     set: Order = 0
     closed: bool = False
 
@@ -113,7 +115,7 @@
     right: Word
     term: Term
     holder: Name
-    heirs: Names = ()
+    successors: Names = ()
     set: Order = 0
     closed: bool = False
 
@@ -129,9 +131,9 @@
 
 
 class ReplicateFacts(PeerBody, frozen=True, tag="Facts"):
-    """The tail of a book's log from index `first` on. Answered by `ReplicaAck`."""
+    """The tail of a partition's log from index `first` on. Answered by `ReplicaAck`."""
 
-    book: Count
+    partition: Count
     term: Term
     first: Count
     facts: Bulk
@@ -144,7 +146,7 @@
     Answered by `ReplicaAck`.
     """
 
-    book: Count
+    partition: Count
     term: Term
     after: Count
     upto: Count
@@ -157,7 +159,7 @@
 class ReplicaAck(PeerBody, frozen=True, tag="Have"):
     """A copy's position; a problem says why the message was dropped whole."""
 
-    book: Count
+    partition: Count
     term: Term
     next: Count
     problem: Text = ""
@@ -174,29 +176,35 @@
 
 
 class Digests(PeerBody, frozen=True):
-    """Ranges of a book as the holder has them. Answered by the `Digests` of the copy's own, over the same ranges."""
+    """Ranges of a partition as the holder has them.
 
-    book: Count
+    Answered by the `Digests` of the copy's own, over the same ranges.
+    """
+
+    partition: Count
     term: Term
     ranges: Annotated[tuple[DigestRange, ...], Meta(max_length=4096)]
     next: Count = 0  # the index at which they were taken; a copy at another one answers with no ranges
 
 
 class TakeoverOffer(PeerBody, frozen=True, tag="Offer"):
-    """What the last holder of a book knows, part by part, to the one that has adopted it. Answered by `OfferReply`."""
+    """What the last holder of a partition knows, part by part, to the one that has adopted it.
+
+    Answered by `OfferReply`.
+    """
 
-    book: Count
+    partition: Count
     part: Count
     last: bool
     facts: Bulk
     digest: Count
-    term: Term = 0  # the newest in which the one that offers has held the book
+    term: Term = 0  # the newest in which the one that offers has held the partition
 
 
 class OfferReply(PeerBody, frozen=True, tag="Taken"):
     """The part was joined and is in the taker's folder; a problem says why not."""
 
-    book: Count
+    partition: Count
     part: Count
     problem: Text = ""
 
@@ -238,7 +246,7 @@
     """Whether the session is in the taker's folder; `why` not."""
 
     move: Move
-    kept: bool
+    stored: bool
     why: Text = ""
 
 
@@ -296,7 +304,8 @@
 
 
 class SessionInheritance(PeerBody, frozen=True, tag="Inherits"):
-    """I hold the book of a session's last holder, and know the ids of late: may I have it? Answered by `ClaimReply`.
+    """I hold the partition of a session's last holder, and know the ids of late: may I have it? Answered by
+    `ClaimReply`.
 
     Not read below level 3, so that nobody grants it who would also vote on a move of the session.
     """
@@ -305,7 +314,7 @@
     sequence: Count
     over: Count  # sequence and name of the last holder
     over_holder: Name
-    book: Count  # the newest that it had
+    partition: Count  # the newest that it had
     at: Count
 
 
@@ -329,7 +338,7 @@
     within: Count  # microseconds in which the client's answer is wanted
     body: Request
     moved: bool = False  # passed on by the last holder, on the connection that stayed there
-    entry: SessionLocation | None = None  # the holder, who is gone: for whoever holds its book
+    entry: SessionLocation | None = None  # the holder, who is gone: for whoever holds its partition
 
 
 class ForwardReply(PeerBody, frozen=True, tag="Passed"):
@@ -353,7 +362,7 @@
 
 # ---- events ----
 
-MOST_ENTRIES = 1 << 12  # subscriptions in one letter
+MOST_ENTRIES = 1 << 12  # subscriptions in one peer message
 
 
 class Subscribe(PeerBody, frozen=True):
@@ -402,7 +411,7 @@
 
 
 class OwedKeys(PeerBody, frozen=True, tag="Owed"):
-    """Keys of which the sender of the letter owes something from before a trouble: all of them.
+    """Keys of which the sender of the peer message owes something from before a trouble: all of them.
 
     Answered by `Acknowledged`.
     """
@@ -418,7 +427,7 @@
 
 
 class RetryAfterHint(PeerBody, frozen=True, tag="Hint"):
-    """Waits that receivers told the sender of the letter. Answered by `Acknowledged`."""
+    """Waits that receivers told the sender of the peer message. Answered by `Acknowledged`."""
 
     waits: Annotated[tuple[RetryAfterEntry, ...], Meta(max_length=4096)] = ()
 
@@ -448,7 +457,7 @@
 
 
 class RequestRefused(PeerBody, frozen=True, tag="Refused"):
-    """The letter was not acted on: the code of the error and its text."""
+    """The peer message was not acted on: the code of the error and its text."""
 
     code: Word
     why: Text
@@ -464,7 +473,7 @@
 
 
 class PeerMessageHeader(msgspec.Struct, frozen=True, array_like=True):
-    """How a letter of any version begins; a refusal that names it can be read by all of them."""
+    """How a peer message of any version begins; a refusal that names it can be read by all of them."""
 
     version: Count
     level: Count
@@ -481,22 +490,22 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-_letters: msgspec.msgpack.Decoder[PeerMessage] = msgspec.msgpack.Decoder(PeerMessage)
+_peer_messages: msgspec.msgpack.Decoder[PeerMessage] = msgspec.msgpack.Decoder(PeerMessage)
 _heads: msgspec.msgpack.Decoder[PeerMessageHeader] = msgspec.msgpack.Decoder(PeerMessageHeader)
 
 
 def decode(told: bytes) -> PeerMessage:
-    """The letter in these bytes; `InvalidPeerMessageError` names the place that does not fit."""
+    """The peer message in these bytes; `InvalidPeerMessageError` names the place that does not fit."""
     if len(told) > MAX_MESSAGE_BYTES:
-        raise InvalidPeerMessageError(f"a letter of {len(told)} bytes, where {MAX_MESSAGE_BYTES} is the most")
+        raise InvalidPeerMessageError(f"a peer message of {len(told)} bytes, where {MAX_MESSAGE_BYTES} is the most")
     try:
-        return _letters.decode(told)
+        return _peer_messages.decode(told)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise InvalidPeerMessageError(f"no letter: {str(error)[:300]}") from None
+        raise InvalidPeerMessageError(f"no peer message: {str(error)[:300]}") from None
 
 
 def head_of(told: bytes) -> PeerMessageHeader | None:
-    """How a letter begins whose body cannot be read: None where not even that can."""
+    """How a peer message begins whose body cannot be read: None where not even that can."""
     try:
         return _heads.decode(told)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -4,14 +4,15 @@
 first mark to the decree the session's messages are inert on both sides. The steps, and what is on the disk before:
 
 1. The giver freezes: no new attempt; what is out is awaited for `FREEZE`, then goes along as may-have-run. It marks
-   the facts (own folder and every heir of its book: an heir without the mark would fire), and sends `Stage`.
-2. The taker keeps them, marked, under its own numbers (own folder and every heir), answers `Staged`, and asks for the
-   decree with ballot 1.
+   the facts (own folder and every successor of its partition: a successor without the mark would fire), and sends
+   `Stage`.
+2. The taker keeps them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks for
+the decree with ballot 1.
 3. Decided for the taker: it goes active and tells all; the giver forwards, and its facts are over without a notice once
    the taker has said that it is active. Decided 'off': the giver's live again, the taker's are dropped.
 
 Whoever holds marked facts without knowing the decree (giver or taker after a while or a restart, the adopter of
-either book) settles it; a decree is on a majority's disks, so what it lets happen needs no record of its own.
+either partition) settles it; a decree is on a majority's disks, so what it lets happen needs no record of its own.
 The sequence of a session grows by one at each move begun, called off or taken, so that a cleared mark wins any join.
 """
 
@@ -53,13 +54,13 @@
     """What the caller is to do; all of it may be done twice."""
 
     FREEZE = "freeze"  # no new attempt of the key; call `idle` once nothing of it is out
-    MARK = "mark"  # unsettled attempts become may-have-run; mark in own folder and at every heir; then `marked`
+    MARK = "mark"  # unsettled attempts become may-have-run; mark in own folder and at every successor; then `marked`
     STAGE = "stage"  # send the facts and ids to `to`
-    WRITE = "write"  # keep what was staged, marked, in own folder and at every heir; then `written`
+    WRITE = "write"  # keep what was staged, marked, in own folder and at every successor; then `written`
     STAGED = "staged"  # answer the giver
     REFUSE = "refuse"  # answer the giver that it is not taken
     ASK = "ask"  # put `ask` to an acceptor (its own too), give the answer to `answered`
-    TELL = "tell"  # send `Settled(move, value, active)` to whoever holds the book of `to`; empty: to all members
+    TELL = "tell"  # send `Settled(move, value, active)` to whoever holds the partition of `to`; empty: to all members
     ACTIVATE = "activate"  # clear the taker's marks, resume the messages; then `activated`
     DROP = "drop"  # the taker's are over without a notice
     RELEASE = "release"  # clear the giver's marks, thaw the key
@@ -141,7 +142,7 @@
         return [MigrationStep(MigrationAction.MARK, name)]
 
     def marked(self, name: str, now: int) -> list[MigrationStep]:
-        """Own folder and every heir of the book have the marks."""
+        """Own folder and every successor of the partition have the marks."""
         move = self.moves.get(name)
         if move is None or move.giving is not SourceStage.FREEZING:
             return []
@@ -187,7 +188,7 @@
         return [MigrationStep(MigrationAction.WRITE, name)]
 
     def written(self, name: str, now: int) -> list[MigrationStep]:
-        """What was staged is in the own folder and at every heir of the own book."""
+        """What was staged is in the own folder and at every successor of the own partition."""
         move = self.moves.get(name)
         if move is None or move.taking is not TargetStage.STAGED or move.written:
             return []
@@ -232,12 +233,13 @@
         move = self.moves.get(name)
         return (None, False) if move is None else (move.value, move.taking is TargetStage.ACTIVE)
 
-    # ---- restarts and books that change hands ----
+    # ---- restarts and partitions that change hands ----
 
     def found(self, name: str, key: int, giving: bool, now: int) -> list[MigrationStep]:
-        """Marked facts lie in a book that this member holds: after its restart, or adopted.
+        """Marked facts lie in a partition that this member holds: after its restart, or adopted.
 
-        For the taker's side only once every heir of that book has them (again): it may ask for the decree at once.
+        For the taker's side only once every successor of that partition has them (again): it may ask for the decree at
+        once.
         """
         move = self._open(name, key, now)
         if giving and move.giving is None:
@@ -255,7 +257,7 @@
         return self._settle(move, now)
 
     def lost(self, name: str, giving: bool) -> None:
-        """The book with this side has another holder now; nothing of it is done here any more."""
+        """The partition with this side has another holder now; nothing of it is done here any more."""
         move = self.moves.get(name)
         if move is None:
             return
@@ -286,8 +288,8 @@
     def near_limit(self, name: str) -> Literal["failed", "over"] | None:
         """What becomes of a marked message within 300 ms of its deadline.
 
-        'failed': the holder of the giver's book answers so, it may have run at the taker. 'over': the taker has it, no
-        answer from here. None: the taker's own, undecided; the giver answers.
+        'failed': the holder of the giver's partition answers so, it may have run at the taker. 'over': the taker has
+        it, no answer from here. None: the taker's own, undecided; the giver answers.
         """
         move = self.moves.get(name)
         if move is None or move.giving in (None, SourceStage.CLOSED):
@@ -320,7 +322,7 @@
                 acts += self._asks(move.proposer.due(now))
             elif move.giving is not None and now >= move.began + CALL_OFF:
                 acts += self.call_off(move.name, now)
-            elif move.giving is None:  # it can't be kept here, or not at every heir
+            elif move.giving is None:  # it can't be kept here, or not at every successor
                 acts += self._settle(move, now)
             elif move.giving is SourceStage.FREEZING:
                 acts += self.idle(move.name, now)
@@ -371,7 +373,8 @@
 
     def _proposer(self, move: Migration) -> Proposer:
         if move.proposer is None:
-            # Danger: a second proposer of one boot, after the first was lost with its book, must not share a ballot.
+            # Danger: a second proposer of one boot, after the first was lost with its partition, must not share a
+            # ballot.
             self.proposers += 1
             move.proposer = Proposer(move.name, f"{self.mark}.{self.proposers}", self.voters, self.wait)
         return move.proposer
@@ -409,7 +412,7 @@
         return [MigrationStep(MigrationAction.OVER, move.name)]
 
     def _close(self, move: Migration, now: int) -> list[MigrationStep]:
-        over = self._confirmed(move, now)  # decided long ago: the taker's book has them, whoever holds it
+        over = self._confirmed(move, now)  # decided long ago: the taker's partition has them, whoever holds it
         move.giving = SourceStage.CLOSED
         move.settled_at = now
         return [*over, MigrationStep(MigrationAction.CLOSE, move.name)]
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -1,6 +1,7 @@
-"""One member of a fleet: ties members, leases, books and copies to the network, the folder and the dispatcher.
+"""One member of a fleet: ties members, leases, partitions and copies to the network, the folder and the dispatcher.
 
-The greenlet `run` looks at everything every few milliseconds; letters of other members are answered in the greenlets of
+The greenlet `run` looks at everything every few milliseconds; peer messages of other members are answered in the
+greenlets of
 the link; calls to them are made in greenlets of their own. None of them waits between a look at a state and the change
 that rests on it. What is settled, and why, stands in `takeover.py`, `leases.py`, `membership.py` and `replication.py`.
 """
@@ -75,26 +76,30 @@
 LINGER = 0.005  # seconds between two messages to a copy that nobody waits for: each takes more facts along
 EARLIER = 10_000  # microseconds in which a message of a log's tail may be overtaken by the next
 OFFER_IN = 1.0
-GATHER = 400_000  # microseconds in which the copies of a book that begins may come up before it goes on without them
+GATHER = (
+    400_000  # microseconds in which the copies of a partition that begins may come up before it goes on without them
+)
 LATE = 300_000  # microseconds before its deadline a message that nobody may fire for is answered
 LOOK_LATE = 0.1
 ALONE = 1_000_000  # microseconds without a majority until nobody can be asked who has the right
-UNKNOWN = 3_000_000  # the same, for a book that this process has not held
+UNKNOWN = 3_000_000  # the same, for a partition that this process has not held
 BACK = 10_000_000  # a copy must have been whole for so long before a sender that went on alone counts on it again
-REBORN = 600_000  # in which a member that was started again asks for the book that it still has
-DOUBTED = 5_000_000  # so long the heirs of what a damaged folder has may adopt it, before it goes on with what is left
-IDLE = 1_800_000  # in which a member that is granted a book begins to fire for it
-EXPECTED = 60_000_000  # so long an adopted book is kept for what its last holder may still offer
-UNWANTED = 30_000_000  # a copy that its holder has not written to for so long, and names no heir, is dropped
+REBORN = 600_000  # in which a member that was started again asks for the partition that it still has
+DOUBTED = (
+    5_000_000  # so long the successors of what a damaged folder has may adopt it, before it goes on with what is left
+)
+IDLE = 1_800_000  # in which a member that is granted a partition begins to fire for it
+EXPECTED = 60_000_000  # so long an adopted partition is kept for what its last holder may still offer
+UNWANTED = 30_000_000  # a copy that its holder has not written to for so long, and names no successor, is dropped
 OFFER_PART = 1 << 17  # bytes of facts in one part of an offer
-MOST_OWED = 1 << 14  # messages of a book that are looked at for keys that others let rest
-LAG_FACTS = 2048  # an heir that lacks more, or for longer than `LAG`, is an heir no more under `ack = "own"`
+MOST_OWED = 1 << 14  # messages of a partition that are looked at for keys that others let rest
+LAG_FACTS = 2048  # a successor that lacks more, or for longer than `LAG`, is a successor no more under `ack = "own"`
 LAG = 2_000_000
-CLOSED = "closed"  # the problem of an offer for a book of which nothing is owed any more
+CLOSED = "closed"  # the problem of an offer for a partition of which nothing is owed any more
 
 
 class PartitionDispatcher(Protocol):
-    """What the dispatcher does for a book."""
+    """What the dispatcher does for a partition."""
 
     def adopt(self, numbers: list[int]) -> None: ...
 
@@ -110,7 +115,7 @@
 
 
 class UnknownPeerMessageError(CedarwickError):
-    """A letter whose kind this member does not answer."""
+    """A peer message whose kind this member does not answer."""
 
     code = "CW742"
     remedy = "bring all members to one version of the program"
@@ -150,16 +155,16 @@
             ReplicaFolder(self.lasting.copies), round(told.copies_mb * (1 << 20)), now=clock.now, durable=store.durable
         )
         self.adoptions: dict[int, Takeover] = {}
-        self.held = {held.book: held for held in self.lasting.held()}
+        self.held = {held.partition: held for held in self.lasting.held()}
         self.ownership: Ownership | None = None
         self.dispatcher: PartitionDispatcher
-        self.shipped_at: dict[int, int] = {}  # by book: when its holder last wrote to the copy here
+        self.shipped_at: dict[int, int] = {}  # by partition: when its holder last wrote to the copy here
         self.begun_at = now
         self.before = True  # whether messages may be left that were taken before this sender was a member
-        self.doubted: set[int] = set()  # books of a folder with damage: the heirs may have more of them
+        self.doubted: set[int] = set()  # partitions of a folder with damage: the successors may have more of them
         self.reborn: dict[str, int] = {}  # when a member was first heard under a newer incarnation than before
-        self.served: dict[int, tuple[str, int]] = {}  # by book: who has said that it fires for it, and when
-        self.claimed: dict[int, tuple[str, int]] = {}  # by book: who is said to hold it, and since when
+        self.served: dict[int, tuple[str, int]] = {}  # by partition: who has said that it fires for it, and when
+        self.claimed: dict[int, tuple[str, int]] = {}  # by partition: who is said to hold it, and since when
         self.full_at: dict[str, int] = {}  # when a member has refused to keep a copy
         self.asking: set[str] = set()  # grantors whose tables were asked for and have not come
         self.pumps: dict[tuple[int, str], gevent.Greenlet] = {}
@@ -170,7 +175,7 @@
         self.leaving = False
         self.sharing = Gossip(name, self.lasting, clock, counters, self._call)
         self.owing = OrderKeyHints()
-        self.lying: dict[int, frozenset[int]] = {}  # by book: keys in a copy here whose holder is silent
+        self.lying: dict[int, frozenset[int]] = {}  # by partition: keys in a copy here whose holder is silent
         self.exchange = Exchange(name, self.gate, counters, self._call, state, round(told.follow_s * 1e6))
         store.seen = self.exchange.seen
         store.reserve, store.starved = self._reserve, self._starved
@@ -184,26 +189,28 @@
     # ---- life ----
 
     def start(self, dispatcher: PartitionDispatcher) -> list[gevent.Greenlet]:
-        """Once the folder is read: load the copies, take letters, and run. The greenlets never return."""
+        """Once the folder is read: load the copies, take peer messages, and run. The greenlets never return."""
         self.dispatcher = dispatcher
         self.copies.load()
-        for book in self.copies.copies:
-            self._follow(book)
+        for partition in self.copies.copies:
+            self._follow(partition)
         slot = slot_of(self.name)
-        kept = {held.book: held.term for held in self.held.values() if held.book >> 12 == slot}
-        mine = {number >> 32 for number in self.store.kept} - {0}
-        for book in sorted(mine - kept.keys()):
-            # A book that was adopted, or one whose line is lost: taken up again if nobody else has it by now.
-            self.adoptions[book] = Takeover(book, self.name, self.halls, self._term_of(book), resume=True)
-        self.ownership = Ownership(self.name, slot, self.halls, kept)
-        for book in sorted(kept)[:-1]:
-            if book not in self.adoptions and book in mine:
-                self.adoptions[book] = Takeover(book, self.name, self.halls, kept[book], resume=True)
-        for book in sorted(mine & set(self.adoptions)):  # a copy is none: it may not be whole
-            self._hold(book)
+        stored = {held.partition: held.term for held in self.held.values() if held.partition >> 12 == slot}
+        mine = {number >> 32 for number in self.store.messages} - {0}
+        for partition in sorted(mine - stored.keys()):
+            # A partition that was adopted, or one whose line is lost: taken up again if nobody else has it by now.
+            self.adoptions[partition] = Takeover(
+                partition, self.name, self.halls, self._term_of(partition), resume=True
+            )
+        self.ownership = Ownership(self.name, slot, self.halls, stored)
+        for partition in sorted(stored)[:-1]:
+            if partition not in self.adoptions and partition in mine:
+                self.adoptions[partition] = Takeover(partition, self.name, self.halls, stored[partition], resume=True)
+        for partition in sorted(mine & set(self.adoptions)):  # a copy is none: it may not be whole
+            self._hold(partition)
         if self.store.damaged:
             # Danger: a copy may have what this folder has lost, and would drop it to be like the folder.
-            self.doubted = mine | set(kept)
+            self.doubted = mine | set(stored)
         self.server.start()
         parts = [gevent.spawn(self.run)]
         parts += [gevent.spawn(self._beat, name) for name in self.peers.names()]
@@ -223,12 +230,12 @@
             gevent.sleep(TURN)
 
     def leave(self) -> None:
-        """This sender ends: the heirs may go on at once. What is said reaches whom it can within a moment."""
+        """This sender ends: the successors may go on at once. What is said reaches whom it can within a moment."""
         self.leaving = True
         calls = [gevent.spawn(self._call, name, self._own_beat(), ANSWER_IN) for name in self.peers.names()]
         for holding in self.store.holdings.values():
-            holding.serving = False  # Danger: once it is released, an heir may fire
-            if len(holding.adoption.holder.heirs) > 1 and (ask := holding.adoption.holder.release()) is not None:
+            holding.serving = False  # Danger: once it is released, a successor may fire
+            if len(holding.adoption.holder.successors) > 1 and (ask := holding.adoption.holder.release()) is not None:
                 self._guarded(self._answer_ask, ask)
                 calls += [gevent.spawn(self._call, name, ask, ANSWER_IN) for name in self.peers.names()]
         gevent.joinall(calls, timeout=ANSWER_IN)
@@ -263,14 +270,14 @@
             logger.error("the members stay as they were: {}", error.line)
             return
         before, now = set(self.halls), monotonic_time()
-        kept = msgspec.structs.replace(self.told, member=told.member, follow_s=told.follow_s)
+        stored = msgspec.structs.replace(self.told, member=told.member, follow_s=told.follow_s)
         moved = self.where[self.name] not in [address(each.address) for each in told.member if each.name == self.name]
-        if kept != told or moved:
+        if stored != told or moved:
             logger.warning(
                 "but for the members and follow_s, the fleet's table and its own address are taken "
                 "over at a start only"
             )
-        self.told = kept
+        self.told = stored
         self.halls = {member.name: member.hall for member in told.member}
         self.where = {member.name: address(member.address) for member in told.member}
         self.peers.replace(self.where)
@@ -282,7 +289,7 @@
         for adoption in self.adoptions.values():
             adoption.holder.replace(self.halls)
         if self.ownership is not None:
-            self.ownership.names = self.halls  # of the books that it opens from now on
+            self.ownership.names = self.halls  # of the partitions that it opens from now on
         for name in sorted(set(self.halls) - before):
             gevent.spawn(self._beat, name)
         logger.info("members of {}: {}", told.group, ", ".join(sorted(self.halls)))
@@ -316,15 +323,15 @@
         before = self.members.incarnation_of(name)
         now = monotonic_time()
         if self.members.heard(now, name, incarnation, beat.heard, beat.leaving):
-            terms = {right.book: right.term for right in beat.rights}
-            for book, adoption in self.adoptions.items():
-                if book in terms:
-                    self.served[book] = name, now
-                    # Danger: a term that was asked for here, in vain, would hide who holds the book.
-                    term = max(terms[book], adoption.holder.term, self.grantor.grant(right_of(book)).term)
+            terms = {right.partition: right.term for right in beat.rights}
+            for partition, adoption in self.adoptions.items():
+                if partition in terms:
+                    self.served[partition] = name, now
+                    # Danger: a term that was asked for here, in vain, would hide who holds the partition.
+                    term = max(terms[partition], adoption.holder.term, self.grantor.grant(right_of(partition)).term)
                     adoption.holder.newer = max(adoption.holder.newer, (term, name))
-                elif book in self.served and self.served[book][0] == name:
-                    del self.served[book]
+                elif partition in self.served and self.served[partition][0] == name:
+                    del self.served[partition]
         if 0 < before < incarnation:
             self.reborn[name] = now
             for holding in self.store.holdings.values():
@@ -334,7 +341,7 @@
     def _own_beat(self) -> Heartbeat:
         now = monotonic_time()
         rights = tuple(
-            Right(holding.book, holding.adoption.holder.term)
+            Right(holding.partition, holding.adoption.holder.term)
             for holding in self.store.holdings.values()
             if holding.serving and not self.leaving
         )
@@ -342,25 +349,27 @@
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
         """The answer of another member; None where there is none."""
-        answer = self._letter(name, body, within_s)
+        answer = self._peer_message(name, body, within_s)
         return answer.body if answer is not None else None
 
-    def _letter(self, name: str, body: Body, within_s: float) -> PeerMessage | None:
+    def _peer_message(self, name: str, body: Body, within_s: float) -> PeerMessage | None:
         try:
-            return self.peers.letter(name, body, within_s)
+            return self.peers.peer_message(name, body, within_s)
         except PeerUnreachableError:
-            self.counters.add(f"letters without an answer: {name}")
+            self.counters.add(f"peer messages without an answer: {name}")
         except PeerRefusedError as error:
-            self.counters.trouble(f"{name} refused a letter", error)
+            self.counters.trouble(f"{name} refused a peer message", error)
         except CedarwickError as error:
-            self.counters.trouble("a letter that was not sent", error)
+            self.counters.trouble("a peer message that was not sent", error)
         return None
 
-    # ---- letters of others ----
+    # ---- peer messages of others ----
 
-    def answer(self, letter: PeerMessage) -> PeerMessage:
+    def answer(self, peer_message: PeerMessage) -> PeerMessage:
         """What another member is told; in the greenlet of its connection."""
-        return self.gate.letter(letter.sender, self._answer(letter.sender, letter.incarnation, letter.body))
+        return self.gate.peer_message(
+            peer_message.sender, self._answer(peer_message.sender, peer_message.incarnation, peer_message.body)
+        )
 
     def _answer(self, sender: str, incarnation: int, body: Body) -> Body:
         if isinstance(body, Heartbeat):
@@ -428,13 +437,13 @@
             self.changed_at = {each: at for each, at in self.changed_at.items() if at > upto}
 
     def _copy(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
-        holding = self.store.holdings.get(body.book)
+        holding = self.store.holdings.get(body.partition)
         if holding is not None and holding.adoption.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
-            # Danger: an owner that slept would take our answer for its copy's, while we go on with the book.
+            # Danger: an owner that slept would take our answer for its copy's, while we go on with the partition.
             if isinstance(body, Digests):
-                return Digests(body.book, holding.adoption.holder.term, ())
-            return ReplicaAck(body.book, holding.adoption.holder.term, 0, TERM)
-        self.shipped_at[body.book] = monotonic_time()
+                return Digests(body.partition, holding.adoption.holder.term, ())
+            return ReplicaAck(body.partition, holding.adoption.holder.term, 0, TERM)
+        self.shipped_at[body.partition] = monotonic_time()
         if isinstance(body, Digests):
             return self.copies.digests(body)
         if isinstance(body, ReplicateFacts):
@@ -442,8 +451,8 @@
         have = self.copies.facts(body) if isinstance(body, ReplicateFacts) else self.copies.piece(body)
         if self.copies.unsynced:
             self.copies.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
-        if body.book not in self.adoptions and self.copies.replica(body.book) is not None:
-            self._follow(body.book)
+        if body.partition not in self.adoptions and self.copies.replica(body.partition) is not None:
+            self._follow(body.partition)
         return have
 
     def _let_earlier_come(self, body: ReplicateFacts) -> None:
@@ -453,20 +462,20 @@
         """
         until = monotonic_time() + EARLIER
         while (
-            (replica := self.copies.replica(body.book)) is not None
+            (replica := self.copies.replica(body.partition)) is not None
             and replica.place.term == body.term
             and replica.place.next < body.first
             and monotonic_time() < until
         ):
             gevent.sleep(0.0005)
 
-    def _follow(self, book: int) -> None:
+    def _follow(self, partition: int) -> None:
         """A copy lies here: look after it."""
-        if book not in self.adoptions:
-            self.adoptions[book] = Takeover(book, self.name, self.halls, self._term_of(book))
+        if partition not in self.adoptions:
+            self.adoptions[partition] = Takeover(partition, self.name, self.halls, self._term_of(partition))
 
-    def _term_of(self, book: int) -> int:
-        return self.held[book].term if book in self.held else 0
+    def _term_of(self, partition: int) -> int:
+        return self.held[partition].term if partition in self.held else 0
 
     # ---- everything, again and again ----
 
@@ -499,7 +508,10 @@
             self._guarded(self._answer_late, now, few)
 
     def _guarded(self, call: Callable[..., object], *told: object) -> None:
-        """Danger: one book that cannot be written would keep all others from being renewed, and from their answers."""
+        """Danger:
+
+        one partition that cannot be written would keep all others from being renewed, and from their answers.
+        """
         try:
             call(*told)
         except (OSError, NoSpaceError) as error:
@@ -515,7 +527,7 @@
             if holding.backlog:
                 known = holding.ledger.known
                 holding.backlog = {number: key for number, key in holding.backlog.items() if number in known}
-                # Danger: a book that is lost, or not fired for yet, has earlier ones of a key than the open one.
+                # Danger: a partition that is lost, or not fired for yet, has earlier ones of a key than the open one.
                 (here if holding.serving else lying).update(holding.backlog.values())
         # An attempt of a key that has ended may still run.
         here |= {
@@ -531,16 +543,16 @@
 
     def _lying(self, now: int, adoption: Takeover) -> frozenset[int]:
         """Keys that are owed in a copy here, if its holder is silent."""
-        book, grant = adoption.book, self.grantor.grant(right_of(adoption.book))
-        replica = self.copies.replica(book)
-        # The own name stands there from when this member asks for the book until it has taken it in.
+        partition, grant = adoption.partition, self.grantor.grant(right_of(adoption.partition))
+        replica = self.copies.replica(partition)
+        # The own name stands there from when this member asks for the partition until it has taken it in.
         alive = grant.holder != self.name and self._standing(now, grant.holder, adoption) is MemberStatus.ALIVE
-        if replica is None or book in self.store.holdings or self.name not in grant.heirs or alive:
-            self.lying.pop(book, None)
+        if replica is None or partition in self.store.holdings or self.name not in grant.successors or alive:
+            self.lying.pop(partition, None)
             return frozenset()
-        if book not in self.lying:  # a silent holder tells nothing new
+        if partition not in self.lying:  # a silent holder tells nothing new
             facts = [fact for fact in replica.held.values() if fact.base is not None and fact.base.turn]
-            self.lying[book] = frozenset(
+            self.lying[partition] = frozenset(
                 [
                     fact.base.turn
                     for fact in facts[:MOST_OWED]
@@ -549,16 +561,21 @@
                     and self.dispatcher.ordered(fact.base.priority_class)
                 ]
             )
-        return self.lying[book]
+        return self.lying[partition]
 
     def _backlog(self, holding: LeasedPartition) -> None:
-        """What is owed in a book now is from before a trouble, but for what rests in the open one for others."""
+        """What is owed in a partition now is from before a trouble, but for what rests in the open one for others."""
         for number in islice(holding.ledger.known, MOST_OWED):
-            kept = self.store.kept.get(number)
-            if kept is not None and kept.turn and kept.end is None and self.dispatcher.ordered(kept.priority_class):
+            stored = self.store.messages.get(number)
+            if (
+                stored is not None
+                and stored.turn
+                and stored.end is None
+                and self.dispatcher.ordered(stored.priority_class)
+            ):
                 # Danger: what was just adopted rested here as a copy's, and would be told no more.
-                if holding is not self.store.current or kept.turn not in self.owing.elsewhere:
-                    holding.backlog[number] = kept.turn
+                if holding is not self.store.current or stored.turn not in self.owing.elsewhere:
+                    holding.backlog[number] = stored.turn
 
     def _learn(self, now: int) -> None:
         for name in self.grantor.wants(now):
@@ -577,55 +594,56 @@
         self.asking.discard(name)
 
     def _own(self, now: int) -> None:
-        """Have a book in which new messages can be taken."""
+        """Have a partition in which new messages can be taken."""
         assert self.ownership is not None
         if self.leaving:
             return
         try:
             begun = self.ownership.step(self.grantor)
         except BooksExhaustedError as error:
-            self.counters.trouble("no book can be opened", error)
+            self.counters.trouble("no partition can be opened", error)
             return
         if begun is not None:
-            self.adoptions[begun.book] = begun
-            holding = self._hold(begun.book)
-            logger.info("book {} is to be held", begun.book)
-            self.store.open(holding, self._first_number(begun.book))
+            self.adoptions[begun.partition] = begun
+            holding = self._hold(begun.partition)
+            logger.info("partition {} is to be held", begun.partition)
+            self.store.open(holding, self._first_number(begun.partition))
 
-    def _first_number(self, book: int) -> int:
-        upto = self.held[book].upto if book in self.held else book << 32
-        return max([upto, book << 32, *self.store.numbers(book)]) + 1
+    def _first_number(self, partition: int) -> int:
+        upto = self.held[partition].upto if partition in self.held else partition << 32
+        return max([upto, partition << 32, *self.store.numbers(partition)]) + 1
 
     def _reserve(self, holding: LeasedPartition) -> None:
         """Write down that a block of numbers is given, before the first of them is."""
         upto = self.store.next_number + BLOCK
-        if (upto >> 32) != holding.book:
-            # Danger: nothing more is taken in a book that is full, 2**32 numbers from its begin on; the next is opened.
+        if (upto >> 32) != holding.partition:
+            # Danger: nothing more is taken in a partition that is full, 2**32 numbers from its begin on; the next is
+            # opened.
             if self.ownership is not None:
                 self.ownership.full = holding is self.store.current
             return
-        self._note(holding.book, holding.adoption.holder.term, upto)
+        self._note(holding.partition, holding.adoption.holder.term, upto)
         holding.reserved = upto
 
-    def _note(self, book: int, term: int, upto: int) -> None:
-        before = self.held.get(book, LeaseRecord(book, 0, 0))
-        self.held[book] = LeaseRecord(book, max(term, before.term), max(upto, before.upto))
+    def _note(self, partition: int, term: int, upto: int) -> None:
+        before = self.held.get(partition, LeaseRecord(partition, 0, 0))
+        self.held[partition] = LeaseRecord(partition, max(term, before.term), max(upto, before.upto))
         self.lasting.write_held(list(self.held.values()))
 
-    def _hold(self, book: int) -> LeasedPartition:
-        """The records of a book that this sender is about to hold."""
-        if book not in self.store.holdings:
-            self.store.holdings[book] = LeasedPartition(book, self.adoptions[book])
-        holding = self.store.holdings[book]
-        holding.adoption = self.adoptions[book]
+    def _hold(self, partition: int) -> LeasedPartition:
+        """The records of a partition that this sender is about to hold."""
+        if partition not in self.store.holdings:
+            self.store.holdings[partition] = LeasedPartition(partition, self.adoptions[partition])
+        holding = self.store.holdings[partition]
+        holding.adoption = self.adoptions[partition]
         return holding
 
     def _look_at(self, now: int, adoption: Takeover) -> None:
-        """One book: what the rules say is done."""
-        book, holder = adoption.book, adoption.holder
-        replica, holding = self.copies.replica(book), self.store.holdings.get(book)
-        right = right_of(book)
-        doubted = book in self.doubted and now - self.begun_at < DOUBTED
+        """One partition: what the rules say is done."""
+        partition, holder = adoption.partition, adoption.holder
+        replica, holding = self.copies.replica(partition), self.store.holdings.get(partition)
+        right = right_of(partition)
+        doubted = partition in self.doubted and now - self.begun_at < DOUBTED
         whole = holding is not None and not doubted or (replica is not None and replica.whole)
         # Danger: alone nobody is granted a term, and asks in vain would cost the holder its own once the cut is healed.
         whole = whole and not self.few_since
@@ -633,7 +651,7 @@
         if holding is not None and self._expects_offer(now, holding):
             owed = owed or 1
         # Danger: the own grantor knows nothing of a holder whose term it has given to somebody else, in vain.
-        served = self.served[book][1] + SPAN if book in self.served else 0
+        served = self.served[partition][1] + SPAN if partition in self.served else 0
         asked = holder.term if adoption.stage is TakeoverStage.ASKING else 0
         step = adoption.step(
             now,
@@ -651,15 +669,15 @@
             # Danger: two that ask in vain, each promised by itself, would keep each other from it for ever.
             self._give_up(LeaseRequest(right, asked, self.name, 0))
         if step.do is TakeoverAction.ASK:
-            logger.info("book {}: asking for term {}", book, holder.term)
+            logger.info("partition {}: asking for term {}", partition, holder.term)
         elif step.do is TakeoverAction.IMPORT:
             self._import(now, adoption)
         elif step.do is TakeoverAction.CLOSE:
-            logger.info("book {}: nothing is owed, it is closed", book)
-        elif step.do is TakeoverAction.OFFER and book not in self.offers and not self.leaving:
-            self.offers[book] = gevent.spawn(self._offer, adoption, step.to)
+            logger.info("partition {}: nothing is owed, it is closed", partition)
+        elif step.do is TakeoverAction.OFFER and partition not in self.offers and not self.leaving:
+            self.offers[partition] = gevent.spawn(self._offer, adoption, step.to)
         elif step.do is TakeoverAction.DROP:
-            self._drop(book)
+            self._drop(partition)
             return
         ask = None if self.leaving else holder.asks(now)
         if ask is not None:
@@ -670,31 +688,31 @@
                 self._ask_all(adoption, ask, told, now)
         if holding is not None:
             self._serve(now, holding)
-        elif replica is not None and self._unwanted(now, book, adoption):
-            self._drop(book)
+        elif replica is not None and self._unwanted(now, partition, adoption):
+            self._drop(partition)
 
     def _expects_offer(self, now: int, holding: LeasedPartition) -> bool:
-        """Whether who held an adopted book before may come back with what no copy was told."""
+        """Whether who held an adopted partition before may come back with what no copy was told."""
         if not holding.from_term:
             return False
         # Danger: closed before it has the answer to its offer, it would end all of that itself.
         return now - holding.heard_out < 3 * OFFER_IN * 1e6 if holding.heard_out else now - holding.begun_at < EXPECTED
 
     def _standing(self, now: int, name: str, adoption: Takeover) -> MemberStatus:
-        """How a member stands; one that is said to hold the book, and does not fire for it, is as good as gone."""
-        book, grant = adoption.book, self.grantor.grant(right_of(adoption.book))
+        """How a member stands; one that is said to hold the partition, and does not fire for it, is as good as gone."""
+        partition, grant = adoption.partition, self.grantor.grant(right_of(adoption.partition))
         term, holder = adoption.holder.newer
         holder = grant.holder if grant.term > term else holder
-        if self.claimed.get(book, ("", 0))[0] != holder:
-            self.claimed[book] = holder, now
+        if self.claimed.get(partition, ("", 0))[0] != holder:
+            self.claimed[partition] = holder, now
         state = self.members.state(now, name)
         if name == holder and state is MemberStatus.ALIVE:
-            who, at = self.served.get(book, ("", 0))
+            who, at = self.served.get(partition, ("", 0))
             reborn = self.reborn.get(name, 0)
-            # Danger: its first beats after a boot name no book; without that boot it would be idle at once, and lose
-            # the book before it can ask, with ends that no copy was told.
-            idle_since = max(self.claimed[book][1], at if who == name else 0, reborn)
-            # Alive under another incarnation, it would have asked for the book by now; or it has asked in vain.
+            # Danger: its first beats after a boot name no partition; without that boot it would be idle at once, and
+            # lose the partition before it can ask, with ends that no copy was told.
+            idle_since = max(self.claimed[partition][1], at if who == name else 0, reborn)
+            # Alive under another incarnation, it would have asked for the partition by now; or it has asked in vain.
             if at < reborn <= now - REBORN or idle_since <= now - IDLE:
                 return MemberStatus.DEAD
         return state
@@ -724,28 +742,28 @@
         if isinstance(answer, LeaseReply):
             adoption.holder.answered(monotonic_time(), sent_at, name, answer)
 
-    def _unwanted(self, now: int, book: int, adoption: Takeover) -> bool:
-        grant = self.grantor.grant(right_of(book))
+    def _unwanted(self, now: int, partition: int, adoption: Takeover) -> bool:
+        grant = self.grantor.grant(right_of(partition))
         # Danger: this member's row may lag; a copy that its holder still counts on is written to all the time.
         return (
             grant.set > 0
-            and self.name not in grant.heirs
+            and self.name not in grant.successors
             and grant.holder != self.name
-            and now - self.shipped_at.setdefault(book, now) > UNWANTED
+            and now - self.shipped_at.setdefault(partition, now) > UNWANTED
         )
 
-    # ---- a book that is held ----
+    # ---- a partition that is held ----
 
     def _import(self, now: int, adoption: Takeover) -> None:
-        """Granted: the book's messages into the own folder, then its copies up, then its heirs named."""
-        book, term = adoption.book, adoption.holder.term
-        holding = self._hold(book)
+        """Granted: the partition's messages into the own folder, then its copies up, then its successors named."""
+        partition, term = adoption.partition, adoption.holder.term
+        holding = self._hold(partition)
         if holding.log.term != term:
             holding.imported = False
-            replica = self.copies.replica(book)
+            replica = self.copies.replica(partition)
             try:
                 if replica is None:
-                    last = self._term_of(book)
+                    last = self._term_of(partition)
                     if 0 < last < term - 1:
                         holding.from_term = last  # somebody else may have held it between
                     self.store.resume_own(holding, term)
@@ -761,21 +779,25 @@
                     late = self.clock.now() + LATE
                     self.store.take_in(holding, facts, term, doubt_at, mine, perhaps, late)
                     if self.traffic is not None:
-                        self.traffic.adopted(book)
-                    owner = next((name for name in self.halls if slot_of(name) == book >> 12), "")
-                    self.exchange.adopted([self.store.kept[number] for number in self.store.numbers(book)], owner)
+                        self.traffic.adopted(partition)
+                    owner = next((name for name in self.halls if slot_of(name) == partition >> 12), "")
+                    self.exchange.adopted(
+                        [self.store.messages[number] for number in self.store.numbers(partition)], owner
+                    )
             except NoSpaceError as error:
-                self.counters.trouble("a book cannot be adopted", error)
+                self.counters.trouble("a partition cannot be adopted", error)
                 ask = adoption.holder.release()
                 if ask is not None:
                     self._give_up(ask)
                 adoption.holder.state = LeaseState.LOST  # asked for again after a while, if nobody else has it by then
                 return
-            self._note(book, term, 0)
+            self._note(partition, term, 0)
             self.store.begin_log(holding, term)
             self._backlog(holding)
-            self.copies.drop(book)
-            logger.info("book {}: held under term {}, {} messages owed", book, term, len(holding.ledger.known))
+            self.copies.drop(partition)
+            logger.info(
+                "partition {}: held under term {}, {} messages owed", partition, term, len(holding.ledger.known)
+            )
         self._ship(now, holding)
         wanted = self._wanted(holding)
         whole = self._whole(now, holding, wanted)
@@ -784,22 +806,24 @@
             adoption.imported(now, whole)
 
     def _wanted(self, holding: LeasedPartition) -> list[str]:
-        """The members that are to have copies of a book."""
+        """The members that are to have copies of a partition."""
         now = monotonic_time()
         able = [name for name in self.alive if now - self.full_at.get(name, -BACK) >= BACK]
         able = able if len(able) > self.told.copies else self.alive
-        return placement.copies(holding.book, self.name, self.halls, able, self.told.copies)
+        return placement.copies(holding.partition, self.name, self.halls, able, self.told.copies)
 
     def _ship(self, now: int, holding: LeasedPartition) -> None:
-        """Have a pump for each copy that is wanted or still an heir."""
-        heirs = self.store.heirs_of(holding)
+        """Have a pump for each copy that is wanted or still a successor."""
+        successors = self.store.successors_of(holding)
         wanted = set(self._wanted(holding))
-        for name in sorted(wanted | (heirs & set(self.halls))):
-            if (holding.book, name) not in self.pumps:
+        for name in sorted(wanted | (successors & set(self.halls))):
+            if (holding.partition, name) not in self.pumps:
                 follower = holding.log.followers.get(name) or holding.log.follow(name, now)
-                self.pumps[holding.book, name] = gevent.spawn(self._pump, holding, holding.log.term, name, follower)
-        for name in set(holding.log.followers) - wanted - heirs:
-            # The old copy stays until a majority knows a set of heirs without it.
+                self.pumps[holding.partition, name] = gevent.spawn(
+                    self._pump, holding, holding.log.term, name, follower
+                )
+        for name in set(holding.log.followers) - wanted - successors:
+            # The old copy stays until a majority knows a set of successors without it.
             holding.log.unfollow(name)
 
     def _whole(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
@@ -814,11 +838,11 @@
         return found
 
     def _serve(self, now: int, holding: LeasedPartition) -> None:
-        """Keep the heirs right, and let the dispatcher fire while the right is held."""
+        """Keep the successors right, and let the dispatcher fire while the right is held."""
         holder = holding.adoption.holder
         if holding.adoption.stage is TakeoverStage.HOLDING and holding.imported:
             self._ship(now, holding)
-            self._name_heirs(now, holding)
+            self._name_successors(now, holding)
         may = (
             holding.adoption.stage is TakeoverStage.HOLDING
             and holding.imported
@@ -830,26 +854,26 @@
             return
         holding.serving = may
         self._backlog(holding)
-        numbers = self.store.numbers(holding.book)
+        numbers = self.store.numbers(holding.partition)
         if may:
             logger.info(
-                "book {}: fired for from now on, {} messages, heirs {}",
-                holding.book,
+                "partition {}: fired for from now on, {} messages, successors {}",
+                holding.partition,
                 len(numbers),
-                ", ".join(holder.heirs[1:]) or "none",
+                ", ".join(holder.successors[1:]) or "none",
             )
             self.dispatcher.adopt(numbers)
         else:
             logger.warning(
-                "book {}: not fired for, {} messages ({})",
-                holding.book,
+                "partition {}: not fired for, {} messages ({})",
+                holding.partition,
                 len(numbers),
                 holding.adoption.stage.value if holder.may_fire(now) is False else "no copy follows",
             )
-            self.counters.add("books that were not fired for any more")
+            self.counters.add("partitions that were not fired for any more")
             self.dispatcher.park(numbers)
 
-    def _name_heirs(self, now: int, holding: LeasedPartition) -> None:
+    def _name_successors(self, now: int, holding: LeasedPartition) -> None:
         holder = holding.adoption.holder
         wanted = self._wanted(holding)
         whole = self._whole(now, holding, wanted)
@@ -859,17 +883,18 @@
             return
         if self.store.by_copy:
             whole = self._joined(now, holding, whole)
-        old = [name for name in holder.heirs[1:] if name in holding.log.followers and name not in wanted]
+        old = [name for name in holder.successors[1:] if name in holding.log.followers and name not in wanted]
         if len(whole) < len(wanted):
             whole += [name for name in self._whole(now, holding, old) if name not in whole]
-        if self.store.by_copy and not whole and holder.heirs[1:] and self.told.alone == "busy":
-            return  # Danger: without an heir, what was promised to be on two folders would be on one
-        holder.name(now, placement.order(holding.book, self.name, self.halls, whole))
+        if self.store.by_copy and not whole and holder.successors[1:] and self.told.alone == "busy":
+            return  # Danger: without a successor, what was promised to be on two folders would be on one
+        holder.name(now, placement.order(holding.partition, self.name, self.halls, whole))
 
     def _joined(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
-        """Those of some whole copies that are heirs, or may be named for ones.
+        """Those of some whole copies that are successors, or may be named for ones.
 
-        Danger: an heir that was named with records on their way to it would go on without them, attempts among them, if
+        Danger: a successor that was named with records on their way to it would go on without them, attempts among
+        them, if
         this sender died in that moment. So what comes waits for it first, and it is named once it has what came before.
         """
         bound, log = holding.adoption.holder.bound, holding.log
@@ -878,7 +903,7 @@
             if log.acked([name]) < index and now - since > STARVED:
                 self.full_at[name] = now  # it does not keep up: another one is asked
         if joining.keys() - holding.joining.keys() and holding.alone_since:
-            logger.info("book {}: copies follow again", holding.book)
+            logger.info("partition {}: copies follow again", holding.partition)
             holding.starved_at = holding.alone_since = 0
         holding.joining = {name: each for name, each in joining.items() if self.full_at.get(name) != now}
         return [
@@ -891,7 +916,7 @@
         """A copy has not taken a record in time."""
         if not holding.starved_at:
             holding.starved_at = monotonic_time()
-            self.counters.trouble("a copy does not follow", f"book {holding.book}")
+            self.counters.trouble("a copy does not follow", f"partition {holding.partition}")
 
     def _back(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
         """Whether a sender that goes on alone may count on copies again: they have followed for long enough."""
@@ -901,20 +926,20 @@
         return now - holding.alone_since >= BACK
 
     def _copied(self, now: int, holding: LeasedPartition) -> bool:
-        """Under `ack = "copy"`: whether the heirs have what was told, or the file says to go on without."""
+        """Under `ack = "copy"`: whether the successors have what was told, or the file says to go on without."""
         if not self.store.by_copy:
             return True
-        heirs = self.store.heirs_of(holding)
-        # Danger: one that no majority knows for an heir yet would not be granted what it has a copy of.
-        if not heirs or self.told.alone == "busy" and not holding.adoption.holder.heirs[1:]:
+        successors = self.store.successors_of(holding)
+        # Danger: one that no majority knows for a successor yet would not be granted what it has a copy of.
+        if not successors or self.told.alone == "busy" and not holding.adoption.holder.successors[1:]:
             if self.told.alone == "own" and not holding.alone_since:
-                logger.warning("book {}: goes on without a copy", holding.book)
+                logger.warning("partition {}: goes on without a copy", holding.partition)
                 holding.alone_since = now
                 holding.starved_at = holding.starved_at or now - STARVED
             return self.told.alone == "own"
-        if holding.starved_at and holding.log.acked(heirs) >= holding.log.next:
+        if holding.starved_at and holding.log.acked(successors) >= holding.log.next:
             if holding.alone_since or holding.starving(now):
-                logger.info("book {}: copies follow again", holding.book)
+                logger.info("partition {}: copies follow again", holding.partition)
             holding.starved_at = holding.alone_since = 0
         return not holding.starving(now)
 
@@ -929,10 +954,10 @@
             holding.sent = max(holding.sent, follower.sent)
             gevent.spawn(self._send, follower, name, message)
             gevent.sleep(0 if self.store.by_copy else LINGER)
-        self.pumps.pop((holding.book, name), None)
+        self.pumps.pop((holding.partition, name), None)
 
     def _send(self, follower: FollowerProgress, name: str, message: ReplicateFacts | ReplicatePiece | Digests) -> None:
-        answer = self._letter(name, message, SHIP_IN)
+        answer = self._peer_message(name, message, SHIP_IN)
         # Danger: by the newest boot heard of, an old one's answer that comes late would speak for the new one's files.
         if answer is not None and isinstance(answer.body, ReplicaAck):
             if answer.body.problem in (NO_ROOM, OTHER):
@@ -942,14 +967,14 @@
             follower.digests(monotonic_time(), answer.body, answer.incarnation)
         self.store.news.set()
 
-    # ---- a book that was lost, and one that is over ----
+    # ---- a partition that was lost, and one that is over ----
 
     def _offer(self, adoption: Takeover, to: str) -> None:
         """Tell the newer holder what only this member knows, until it has taken all."""
-        holding = self.store.holdings.get(adoption.book)
+        holding = self.store.holdings.get(adoption.partition)
         if holding is not None and not holding.ledger.term:
             # Danger: what an earlier process of this sender has taken, or heard of, may be nowhere but in this folder.
-            self.store.resume_own(holding, self._term_of(adoption.book))
+            self.store.resume_own(holding, self._term_of(adoption.partition))
         told = self.store.known_here(holding) if holding is not None else []
         parts: list[bytes] = []
         part: list[bytes] = []
@@ -959,11 +984,11 @@
                 parts.append(known_facts.together(part))
                 part = []
         parts.append(known_facts.together(part))
-        logger.info("book {}: {} messages offered to {}", adoption.book, len(told), to)
+        logger.info("partition {}: {} messages offered to {}", adoption.partition, len(told), to)
         try:
             for index, data in enumerate(parts):
                 offer = TakeoverOffer(
-                    adoption.book,
+                    adoption.partition,
                     index,
                     index + 1 == len(parts),
                     data,
@@ -977,17 +1002,18 @@
                     if isinstance(answer, OfferReply) and answer.problem == CLOSED:
                         self._closed_elsewhere(to)
                     gevent.sleep(BEAT)
-                    return  # it is asked again at the next look, of whoever holds the book then
+                    return  # it is asked again at the next look, of whoever holds the partition then
             adoption.offered()
             if holding is not None:
                 holding.offered = True
         finally:
-            self.offers.pop(adoption.book, None)
+            self.offers.pop(adoption.partition, None)
 
     def _closed_elsewhere(self, name: str) -> None:
-        """Learn which books were closed while this member was away.
+        """Learn which partitions were closed while this member was away.
 
-        Danger: with one that it takes for open, no later book of that sender goes from its table, and the table grows.
+        Danger: with one that it takes for open, no later partition of that sender goes from its table, and the table
+        grows.
         """
         answer = self._call(name, GrantTableRequest(), ANSWER_IN)
         if isinstance(answer, GrantTable):
@@ -995,80 +1021,83 @@
             self._guarded(self._write_table)
 
     def _offered(self, sender: str, body: TakeoverOffer) -> OfferReply:
-        """The last holder of a book that is held here tells what it knows."""
-        holding = self.store.holdings.get(body.book)
-        if holding is None and self.grantor.grant(right_of(body.book)).closed:
-            return OfferReply(body.book, body.part, CLOSED)
+        """The last holder of a partition that is held here tells what it knows."""
+        holding = self.store.holdings.get(body.partition)
+        if holding is None and self.grantor.grant(right_of(body.partition)).closed:
+            return OfferReply(body.partition, body.part, CLOSED)
         if holding is None or not holding.imported or holding.adoption.stage is not TakeoverStage.HOLDING:
-            return OfferReply(body.book, body.part, "it is not held here")
+            return OfferReply(body.partition, body.part, "it is not held here")
         if digest_of(body.facts) != body.digest:
-            return OfferReply(body.book, body.part, "spoilt")
+            return OfferReply(body.partition, body.part, "spoilt")
         try:
             facts = known_facts.decode_facts(body.facts)
             facts = self.traffic.offered(holding, facts) if self.traffic is not None else facts
             ended, news, problem = self.store.offered(holding, facts, body.term)
         except known_facts.CorruptFactsError as error:
-            return OfferReply(body.book, body.part, str(error)[:512])
-        logger.info("book {}: {} told of {} ends and {} news", body.book, sender, len(ended), len(news))
+            return OfferReply(body.partition, body.part, str(error)[:512])
+        logger.info("partition {}: {} told of {} ends and {} news", body.partition, sender, len(ended), len(news))
         holding.heard_out = monotonic_time() if body.last and not problem else holding.heard_out
         if holding.serving and (ended or news):
             # What was decided on less is decided anew.
             self.dispatcher.park(ended + news)
             self.dispatcher.adopt(news)
-        return OfferReply(body.book, body.part, problem[:512])
+        return OfferReply(body.partition, body.part, problem[:512])
 
-    def _drop(self, book: int) -> None:
-        """The book is over, or somebody else's for good."""
-        holding = self.store.holdings.get(book)
+    def _drop(self, partition: int) -> None:
+        """The partition is over, or somebody else's for good."""
+        holding = self.store.holdings.get(partition)
         if holding is not None:
             mine, perhaps = self.store.only_here(holding) if not holding.offered else ([], [])
             if mine or perhaps:
                 if self.leaving or not self.store.taking():
-                    # They are moved to the open book once there is one, of the next process if need be; till then they
-                    # are answered when late.
+                    # They are moved to the open partition once there is one, of the next process if need be; till then
+                    # they are answered when late.
                     return
-                if any(self.store.kept[number].out_at for number in mine + perhaps):
+                if any(self.store.messages[number].out_at for number in mine + perhaps):
                     return  # Danger: under its new number a second attempt would go out beside the one that is out
                 if not (self._rekey(mine) and self._rekey(perhaps, failed=True)):
                     return  # Danger: what has found no room is nowhere else; it is tried again at the next look
-        adoption = self.adoptions.pop(book)
-        self.doubted.discard(book)
+        adoption = self.adoptions.pop(partition)
+        self.doubted.discard(partition)
         if holding is not None:
-            numbers = self.store.numbers(book)
+            numbers = self.store.numbers(partition)
             self.dispatcher.park(numbers)
             for name in list(holding.log.followers):
                 holding.log.unfollow(name)
-            self.store.forget(book)
+            self.store.forget(partition)
             logger.info(
-                "book {}: given up ({}), {} messages are another sender's", book, adoption.stage.value, len(numbers)
+                "partition {}: given up ({}), {} messages are another sender's",
+                partition,
+                adoption.stage.value,
+                len(numbers),
             )
-        if self.held.pop(book, None) is not None:
+        if self.held.pop(partition, None) is not None:
             self.lasting.write_held(list(self.held.values()))
-        replica = self.copies.replica(book)
-        closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(right_of(book)).closed
+        replica = self.copies.replica(partition)
+        closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(right_of(partition)).closed
         if holding is not None and replica is not None and replica.place.term > holding.log.term and not closed:
-            self._follow(book)  # Danger: the newer holder counts on this copy by now, it is none of ours
+            self._follow(partition)  # Danger: the newer holder counts on this copy by now, it is none of ours
             return
-        self.copies.drop(book)
-        self.lying.pop(book, None)
-        self.shipped_at.pop(book, None)
-        self.served.pop(book, None)
-        self.claimed.pop(book, None)
+        self.copies.drop(partition)
+        self.lying.pop(partition, None)
+        self.shipped_at.pop(partition, None)
+        self.served.pop(partition, None)
+        self.claimed.pop(partition, None)
 
     def _rekey(self, numbers: list[int], failed: bool = False) -> bool:
-        """Messages that only this member has go on in the open book; whether all of them do."""
+        """Messages that only this member has go on in the open partition; whether all of them do."""
         self.dispatcher.park(numbers)
         made: list[int] = []
         try:
             for number in self.store.rekey(numbers, failed):
                 made.append(number)
         except (OSError, NoSpaceError) as error:
-            self.counters.trouble("messages cannot be taken over into the open book", error)
+            self.counters.trouble("messages cannot be taken over into the open partition", error)
             return False
         finally:
             # Danger: those that found room before one that did not are nobody's else.
             if made:
-                logger.info("{} messages go on in book {}", len(made), made[0] >> 32)
+                logger.info("{} messages go on in partition {}", len(made), made[0] >> 32)
                 self.dispatcher.adopt(made)
         return True
 
@@ -1085,7 +1114,7 @@
             stage = holding.adoption.stage
             held = stage is TakeoverStage.HOLDING and holding.imported
             ours = held and holding.adoption.holder.may_fire(now)
-            # Danger: after a restart a book that no majority grants to anybody would end unanswered.
+            # Danger: after a restart a partition that no majority grants to anybody would end unanswered.
             unheld = held and not ours or self._nobodys(holding.adoption)
             holding.unheld_since = (holding.unheld_since or now) if unheld else 0
             if holding.serving or self.leaving:
@@ -1101,25 +1130,25 @@
                 if not heard and not holding.approached:
                     numbers, _ = self.store.only_here(holding)
             elif ours or few:
-                numbers = self.store.numbers(holding.book)
+                numbers = self.store.numbers(holding.partition)
             elif stage is TakeoverStage.GONE and not holding.offered:
                 numbers = sum(self.store.only_here(holding), [])
             late = [
                 number
                 for number in numbers
-                if self.store.kept[number].deadline <= soon and number not in self.store.inert
+                if self.store.messages[number].deadline <= soon and number not in self.store.inert
             ]
             if late:
                 self.dispatcher.answer_late(late)
 
     def _nobodys(self, adoption: Takeover) -> bool:
-        """Whether a book that lies here is asked for, or to be, and nobody else is known to have had it after us."""
+        """Whether a partition here is asked for, or will be, and nobody else is known to have held it after us."""
         waits = adoption.stage in (TakeoverStage.FOLLOWING, TakeoverStage.WAITING, TakeoverStage.ASKING)
         return waits and self._newest(adoption) in ("", self.name)
 
     def _newest(self, adoption: Takeover) -> str:
-        """Who is said to hold a book."""
-        grant, (term, holder) = self.grantor.grant(right_of(adoption.book)), adoption.holder.newer
+        """Who is said to hold a partition."""
+        grant, (term, holder) = self.grantor.grant(right_of(adoption.partition)), adoption.holder.newer
         # Danger: a term may be another's at the grantors that count and ours at our own; then the other one holds it.
         return grant.holder if grant.term > term else holder
 
@@ -1127,13 +1156,13 @@
         """Messages that were taken before this sender was a member: nobody else has heard of them."""
         numbers = self.store.numbers(0) if self.before else []
         self.before = bool(numbers)
-        owed = [number for number in numbers if self.store.kept[number].end is None]
+        owed = [number for number in numbers if self.store.messages[number].end is None]
         if owed and self.store.taking():
             self._rekey(owed)
         late = [
             number
             for number in numbers
-            if number in self.store.kept and (number not in owed or self.store.kept[number].deadline <= soon)
+            if number in self.store.messages and (number not in owed or self.store.messages[number].deadline <= soon)
         ]
         if late:
             self.dispatcher.answer_late(late)
--- a/cedarwick/fleet/order_key_hints.py
+++ b/cedarwick/fleet/order_key_hints.py
@@ -3,7 +3,7 @@
 From a trouble on a client may hand in a message of a key at another sender than the one that still has earlier ones.
 So each member tells the others, as `Owed`, the keys of what it owes from before the last change among the members (its
 *backlog*), and of what lies in a copy here whose holder is silent. What is taken of such a key elsewhere rests: as
-long as it is told anew, `MOST` at most. A letter that is lost or late costs the order and nothing else.
+long as it is told anew, `MOST` at most. A peer message that is lost or late costs the order and nothing else.
 All times are whole microseconds of the member's own clock that goes on while the machine sleeps.
 """
 
@@ -11,8 +11,8 @@
 
 from cedarwick.fleet.messages import MOST_KEYS
 
-EVERY = 250_000  # between two letters while anything is owed
-LASTS = 1_000_000  # what was told counts for so long: three letters in a row may be lost
+EVERY = 250_000  # between two peer messages while anything is owed
+LASTS = 1_000_000  # what was told counts for so long: three peer messages in a row may be lost
 MOST = 5_000_000  # a key rests no longer for others, whatever they tell
 
 
@@ -20,7 +20,7 @@
     """What is told to the others, and what they have told."""
 
     def __init__(self) -> None:
-        self.told: Set[int] = frozenset()  # keys in the last letters
+        self.told: Set[int] = frozenset()  # keys in the last peer messages
         self.elsewhere: frozenset[int] = frozenset()  # keys that rest here
         self._told_at = 0
         self._told_to: Collection[str] = ()
@@ -32,7 +32,7 @@
         self._heard[sender] = now, frozenset(keys)
 
     def tell(self, now: int, keys: Set[int], others: Collection[str]) -> tuple[int, ...] | None:
-        """The keys of a letter that is due to others now; None: none is. The last one of a trouble is empty."""
+        """The keys of a peer message that is due to others now; None: none is. The last one of a trouble is empty."""
         news = keys - self.told or set(others) - set(self._told_to)
         if not (keys or self.told) or now < self._told_at + EVERY and not (keys and news):
             return None
--- a/cedarwick/fleet/peer_verifier.py
+++ b/cedarwick/fleet/peer_verifier.py
@@ -1,4 +1,4 @@
-"""Which letters are read: those of a known member of this group, of its newest boot, to this sender."""
+"""Which peer messages are read: those of a known member of this group, of its newest boot, to this sender."""
 
 from collections.abc import Iterable
 
@@ -7,35 +7,35 @@
 
 
 class ProtocolVersionError(CedarwickError):
-    """A letter in another version of the fleet's messages."""
+    """A peer message in another version of the fleet's messages."""
 
     code = "CW702"
     remedy = "bring all members to one version of the program"
 
 
 class OtherGroupError(CedarwickError):
-    """A letter of another fleet."""
+    """A peer message of another fleet."""
 
     code = "CW703"
     remedy = "compare `fleet.group` and the addresses in the operator files of both senders"
 
 
 class UnknownMemberError(CedarwickError):
-    """A letter from a sender that is no other member here."""
+    """A peer message from a sender that is no other member here."""
 
     code = "CW704"
     remedy = "give all members one list of members in their operator files, each a name of its own; then SIGHUP"
 
 
 class MisdirectedMessageError(CedarwickError):
-    """A letter to another member than the one that it has reached."""
+    """A peer message to another member than the one that it has reached."""
 
     code = "CW705"
     remedy = "compare the member's address in the operator files with the one it listens on"
 
 
 class StaleIncarnationError(CedarwickError):
-    """A letter from a boot of a member that a newer boot has replaced."""
+    """A peer message from a boot of a member that a newer boot has replaced."""
 
     code = "CW706"
     remedy = "end the older process of that member; if there is none, set the machine's clock"
@@ -56,29 +56,29 @@
         """Take over another list of members; what was seen of their boots stays."""
         self.others = frozenset(members) - {self.me}
 
-    def letter(self, to: str, body: Body) -> PeerMessage:
+    def peer_message(self, to: str, body: Body) -> PeerMessage:
         """What this sender says, ready to be encoded."""
         return PeerMessage(VERSION, LEVEL, self.group, self.me, self.incarnation, to, body)
 
     def same_version(self, head: PeerMessageHeader) -> None:
-        """`ProtocolVersionError` where the rest of the letter means something else."""
+        """`ProtocolVersionError` where the rest of the peer message means something else."""
         if head.version != VERSION:
             raise ProtocolVersionError(
                 f"version {head.version} from {head.sender!r}, where {self.me!r} speaks {VERSION}"
             )
 
     def check(self, head: PeerMessageHeader) -> None:
-        """Let a letter in: else one of the errors of this module says why it is not read."""
+        """Let a peer message in: else one of the errors of this module says why it is not read."""
         self.same_version(head)
         if head.group != self.group:
             raise OtherGroupError(f"group {head.group!r} from {head.sender!r}, where {self.me!r} is of {self.group!r}")
         # Danger: a second process under this sender's own name would hold its rights as well.
         if head.sender == self.me:
-            raise UnknownMemberError(f"a letter to {self.me!r} from a sender of the same name")
+            raise UnknownMemberError(f"a peer message to {self.me!r} from a sender of the same name")
         if head.sender not in self.others:
             raise UnknownMemberError(f"{head.sender!r} is no member of {self.group!r} at {self.me!r}")
         if head.to != self.me:
-            raise MisdirectedMessageError(f"a letter from {head.sender!r} to {head.to!r} has reached {self.me!r}")
+            raise MisdirectedMessageError(f"a peer message from {head.sender!r} to {head.to!r} has reached {self.me!r}")
         newest = self.newest.get(head.sender, 0)
         if head.incarnation < newest:
             raise StaleIncarnationError(
--- a/cedarwick/fleet/placement.py
+++ b/cedarwick/fleet/placement.py
@@ -1,29 +1,32 @@
-"""Where the copies of a book lie: rendezvous hashing (Thaler and Ravishankar 1998), another hall first."""
+"""Where the copies of a partition lie: rendezvous hashing (Thaler and Ravishankar 1998), another hall first."""
 
 from collections.abc import Collection, Iterable, Mapping
 
 import xxhash
 
 
-def weight(book: int, name: str) -> int:
-    """How much a member wants a book: the same at every member, and independent of who else there is."""
-    return xxhash.xxh3_64_intdigest(f"{book}/{name}".encode())
+def weight(partition: int, name: str) -> int:
+    """How much a member wants a partition: the same at every member, and independent of who else there is."""
+    return xxhash.xxh3_64_intdigest(f"{partition}/{name}".encode())
 
 
-def order(book: int, holder: str, halls: Mapping[str, str], names: Iterable[str]) -> list[str]:
-    """Members in the order in which they are to have copies: those of other halls first; also the order of heirs."""
+def order(partition: int, holder: str, halls: Mapping[str, str], names: Iterable[str]) -> list[str]:
+    """Members in the order in which they are to have copies: those of other halls first.
+
+    Also the order of successors.
+    """
     # Danger: with the own hall first, one power cut would take the messages and their copy.
     home = halls.get(holder)
     return sorted(
         (name for name in names if name != holder and name in halls),
-        key=lambda name: (halls[name] == home, -weight(book, name), name),
+        key=lambda name: (halls[name] == home, -weight(partition, name), name),
     )
 
 
-def copies(book: int, holder: str, halls: Mapping[str, str], alive: Collection[str], count: int) -> list[str]:
-    """The members that are to have a copy of a book which `holder` holds, `count` at most.
+def copies(partition: int, holder: str, halls: Mapping[str, str], alive: Collection[str], count: int) -> list[str]:
+    """The members that are to have a copy of a partition which `holder` holds, `count` at most.
 
     `halls` has all members, `alive` those that may be chosen. A member that comes takes only what it now wants most; of
     one that goes, only what it had moves.
     """
-    return order(book, holder, halls, alive)[:count]
+    return order(partition, holder, halls, alive)[:count]
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -1,7 +1,7 @@
-"""Ids of late, as a copy of a book can know them: for whoever adopts the book; no I/O, no clock.
+"""Ids of late, as a copy of a partition can know them: for whoever adopts the partition; no I/O, no clock.
 
 Under `ack = "copy"` every message that was answered +OK is in the copy's file by then. So a copy that has followed a
-book's tail without a gap knows each id that was taken since, ended or not: `since` says from when on. What a piece
+partition's tail without a gap knows each id that was taken since, ended or not: `since` says from when on. What a piece
 brought in its place lacks the ids that have ended, so each jump begins anew. Ids that were taken before `since` are
 older than that; once `REMEMBERED` has passed from then on the memory is whole.
 """
@@ -14,9 +14,9 @@
 from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, over
 from cedarwick.fleet.sessions import REMEMBERED, contents
 
-MOST = 1 << 16  # ids of one book; beyond, the oldest go, and with them the time that the memory covers
+MOST = 1 << 16  # ids of one partition; beyond, the oldest go, and with them the time that the memory covers
 # No contents are told by this: what comes with an id whose contents are not known is another request. Danger: a hash
-# is a count; what is none makes a letter that nobody reads, and a session with such an id could not be moved.
+# is a count; what is none makes a peer message that nobody reads, and a session with such an id could not be moved.
 UNKNOWN = 0
 
 
@@ -32,7 +32,7 @@
 
 
 class RecentIds:
-    """What a copy remembers of one book; times are those of the copy's own clock."""
+    """What a copy remembers of one partition; times are those of the copy's own clock."""
 
     def __init__(self, now: int) -> None:
         self.since = now  # each id that was taken later is here, if it is of late
--- a/cedarwick/fleet/replica_files.py
+++ b/cedarwick/fleet/replica_files.py
@@ -1,6 +1,7 @@
-"""The files of the copies that this member keeps: one a book, the steps that brought its copy forward, in order.
+"""The files of the copies that this member keeps: one a partition, the steps that brought its copy forward, in order.
 
-A file is a top (version, book, when it was made) and entries, each in a frame of the folder's. Read again, the entries
+A file is a top (version, partition, when it was made) and entries, each in a frame of the folder's. Read again, the
+entries
 bring the same copy forward. A file that is over twice what is owed is written anew in small steps while entries go on
 coming: each step writes a part of what is owed now, each entry goes to both files, and the fresh one then takes the
 name. That is how a copy is walked over the network (see `replication.py`), from the member's own memory. Every append
@@ -57,7 +58,7 @@
     """How a file begins."""
 
     version: int
-    book: int
+    partition: int
     made_at: int  # wall microseconds
 
 
@@ -75,11 +76,11 @@
 
 
 class ReplicaFile:
-    """One book's copy and its file."""
+    """One partition's copy and its file."""
 
-    def __init__(self, book: int) -> None:
-        self.name = f"{book}.log"
-        self.replica = Replica(book)
+    def __init__(self, partition: int) -> None:
+        self.name = f"{partition}.log"
+        self.replica = Replica(partition)
         self.file = -1
         self.size = 0
         self.fresh = -1  # the file that is being written anew
@@ -101,10 +102,12 @@
         self.durable = durable
         self.copies: dict[int, ReplicaFile] = {}
         self.unsynced: dict[int, int] = {}  # files with bytes that no sync has followed: `written` after the last
-        self.refusing: set[int] = set()  # books whose holders are told that there is no room; said in the log once
+        self.refusing: set[int] = set()  # partitions whose holders are told that there is no room; said in the log once
         self.steps = 0
         self.written = 0  # bytes ever
-        self.heard: Callable[[int, ReplicaEntry, list[Fact]], None] = lambda *_: None  # a step of a book is in its file
+        self.heard: Callable[[int, ReplicaEntry, list[Fact]], None] = (
+            lambda *_: None
+        )  # a step of a partition is in its file
 
     @property
     def used(self) -> int:
@@ -123,28 +126,28 @@
                 except OSError as error:  # its holder is told that there is no room, until somebody has looked
                     logger.error(ReplicaDamagedError(f"{name}: {error}").line)
 
-    def replica(self, book: int) -> Replica | None:
-        """What is known of a book, for whoever adopts it."""
-        copy = self.copies.get(book)
+    def replica(self, partition: int) -> Replica | None:
+        """What is known of a partition, for whoever adopts it."""
+        copy = self.copies.get(partition)
         return copy.replica if copy is not None else None
 
     def facts(self, message: ReplicateFacts) -> ReplicaAck:
-        """A part of a book's tail; what the answer claims is written."""
-        copy = self._copy(message.book)
+        """A part of a partition's tail; what the answer claims is written."""
+        copy = self._copy(message.partition)
         return self._done(copy, copy.replica.facts(message))
 
     def piece(self, message: ReplicatePiece) -> ReplicaAck:
-        """All that a book owes in a range; what the answer claims is written."""
-        copy = self._copy(message.book)
+        """All that a partition owes in a range; what the answer claims is written."""
+        copy = self._copy(message.partition)
         return self._done(copy, copy.replica.piece(message))
 
     def digests(self, message: Digests) -> Digests:
-        return self._copy(message.book).replica.digests(message)
+        return self._copy(message.partition).replica.digests(message)
 
-    def drop(self, book: int) -> None:
-        """Nothing of a book is wanted here any more."""
-        self.refusing.discard(book)
-        copy = self.copies.pop(book, None)
+    def drop(self, partition: int) -> None:
+        """Nothing of a partition is wanted here any more."""
+        self.refusing.discard(partition)
+        copy = self.copies.pop(partition, None)
         if copy is not None:
             self._abandon(copy)
             if copy.file >= 0:
@@ -194,10 +197,10 @@
 
     # ---- writing ----
 
-    def _copy(self, book: int) -> ReplicaFile:
-        if book not in self.copies:
-            return ReplicaFile(book)  # it is kept once something is written
-        return self.copies[book]
+    def _copy(self, partition: int) -> ReplicaFile:
+        if partition not in self.copies:
+            return ReplicaFile(partition)  # it is kept once something is written
+        return self.copies[partition]
 
     def _done(self, copy: ReplicaFile, step: ReplicaStep) -> ReplicaAck:
         if step.entry is None:
@@ -205,13 +208,13 @@
         try:
             self._append(copy, framed(ENTRY + ENCODER.encode(step.entry)))
         except (ReplicaRefusedError, OSError) as error:
-            if copy.replica.book not in self.refusing:
-                self.refusing.add(copy.replica.book)
+            if copy.replica.partition not in self.refusing:
+                self.refusing.add(copy.replica.partition)
                 logger.error(ReplicaRefusedError(f"{copy.name}: {error}").line)
             return copy.replica.have(NO_ROOM)
-        self.refusing.discard(copy.replica.book)
+        self.refusing.discard(copy.replica.partition)
         copy.replica.take(step.entry, step.facts)
-        self.heard(copy.replica.book, step.entry, step.facts)
+        self.heard(copy.replica.partition, step.entry, step.facts)
         return step.have
 
     def _append(self, copy: ReplicaFile, frame: bytes) -> None:
@@ -247,16 +250,16 @@
 
     def _create(self, copy: ReplicaFile) -> None:
         copy.file = self.folder.create(copy.name)
-        self.copies[copy.replica.book] = copy
+        self.copies[copy.replica.partition] = copy
         try:
             self._write(copy, self._top(copy))
         except OSError:
-            self.drop(copy.replica.book)
+            self.drop(copy.replica.partition)
             copy.file = -1
             raise
 
     def _top(self, copy: ReplicaFile) -> bytes:
-        return framed(TOP + ENCODER.encode(FileHeader(VERSION, copy.replica.book, self.now())))
+        return framed(TOP + ENCODER.encode(FileHeader(VERSION, copy.replica.partition, self.now())))
 
     def _close(self, file: int) -> None:
         self.unsynced.pop(file, None)
@@ -314,9 +317,9 @@
 
     # ---- at the start ----
 
-    def _read(self, book: int) -> None:
+    def _read(self, partition: int) -> None:
         """Bring a copy to where its file ends."""
-        copy = ReplicaFile(book)
+        copy = ReplicaFile(partition)
         replica, end, made_at, damaged = copy.replica, 0, 0, False
         # Danger: a file that cannot be opened now would be taken for one that holds nothing.
         copy.file = self.folder.open(copy.name, append=True)
@@ -328,8 +331,10 @@
             try:
                 if each.payload[:1] == TOP and not made_at:
                     top = TOPS.decode(each.payload[1:])
-                    if top.version != VERSION or top.book != book:
-                        logger.error(ReplicaVersionError(f"{copy.name}: version {top.version}, book {top.book}").line)
+                    if top.version != VERSION or top.partition != partition:
+                        logger.error(
+                            ReplicaVersionError(f"{copy.name}: version {top.version}, partition {top.partition}").line
+                        )
                         self._close(copy.file)
                         quietly(self.folder.replace, copy.name + OTHER, copy.name)
                         return
@@ -356,7 +361,7 @@
         if not copy.torn:
             copy.torn = not quietly(self.folder.truncate, copy.file, end)
             copy.size = size if copy.torn else end
-        self.copies[book] = copy
+        self.copies[partition] = copy
 
     def _torn(self, name: str, damage: DamagedRange) -> bool:
         """Whether what ends a file is the begin of a record whose writing was cut off: nobody was promised it."""
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -1,9 +1,9 @@
 """The folder of a sender that belongs to a fleet: what is written there is told to the copies as well.
 
-`ReplicatedStore` is the folder as the dispatcher knows it. Besides, it keeps for each book that this sender holds the
-ledger of
-facts and the log that ships them (`LeasedPartition`), and answers for the right to fire. The node decides which books
-are held.
+`ReplicatedStore` is the folder as the dispatcher knows it. Besides, it keeps for each partition that this sender holds
+the ledger of
+facts and the log that ships them (`LeasedPartition`), and answers for the right to fire. The node decides which
+partitions are held.
 """
 
 import time
@@ -28,17 +28,17 @@
     in_doubt,
     join,
     join_facts,
-    kept_of,
     over,
+    stored_message_of,
     together,
 )
 from cedarwick.fleet.takeover import Takeover
 from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
 from cedarwick.store.records import StoredMessage
 
-STARVED = 500_000  # microseconds that a copy may lag before its book is not fired for, and nothing waits for it
+STARVED = 500_000  # microseconds that a copy may lag before its partition is not fired for, and nothing waits for it
 BLOCK = 1 << 16  # numbers that are reserved at once: so many are skipped at a restart
-PER_BOOK = 1 << 32
+PER_PARTITION = 1 << 32
 
 
 class NotReplicatedError(CedarwickError, OSError):
@@ -59,17 +59,17 @@
 
 
 class LeasedPartition:
-    """A book that this sender holds, or has held and not given up: its ledger, its log, and how it stands."""
+    """A partition that this sender holds, or has held and not given up: its ledger, its log, and how it stands."""
 
-    def __init__(self, book: int, adoption: Takeover) -> None:
-        self.book = book
+    def __init__(self, partition: int, adoption: Takeover) -> None:
+        self.partition = partition
         self.adoption = adoption
         self.ledger = FactLedger(0)
-        self.log = ReplicationLog(book, 0, lambda _: None)
+        self.log = ReplicationLog(partition, 0, lambda _: None)
         self.begun_at = 0  # when its log began: its copies have some time until it goes on without them
         self.imported = False  # its messages are in the folder, the ledger knows them
         self.serving = False  # the dispatcher fires for it
-        # Copies that are to be heirs: once they have all below an index, and since when that is so.
+        # Copies that are to be successors: once they have all below an index, and since when that is so.
         self.joining: dict[str, tuple[int, int]] = {}
         self.starved_at = 0  # since when its copies do not follow, by the boot clock; 0: they do
         self.alone_since = 0  # it goes on without copies
@@ -78,10 +78,12 @@
         self.approached = False  # some newer holder was sent an offer
         self.offered = False  # the newer holder has taken all that was known here
         self.unheld_since = 0  # since when the right has run out and no majority says more; 0: it is held, or lost
-        self.heard_out = 0  # of an adopted book: when its last holder has offered all that it knew
+        self.heard_out = 0  # of an adopted partition: when its last holder has offered all that it knew
         self.sent = 0  # facts below this index were sent to some copy
         self.backlog: dict[int, int] = {}  # owed since before the last change among the members: their order keys
-        self.finished: set[int] = set()  # of an adopted book: ended here, so that old news does not bring them back
+        self.finished: set[int] = (
+            set()
+        )  # of an adopted partition: ended here, so that old news does not bring them back
 
     def starving(self, now: int) -> bool:
         """Whether its copies have been behind for too long, by the boot clock."""
@@ -89,11 +91,11 @@
 
     def read(self, store: "ReplicatedStore", number: int) -> Fact | None:
         """All that is known of an owed message, for the log."""
-        kept, known = store.kept.get(number), self.ledger.known.get(number)
-        if kept is None or known is None:
+        stored, known = store.messages.get(number), self.ledger.known.get(number)
+        if stored is None or known is None:
             return None
         try:
-            return Fact(number, base_of(kept, store.body(number) if kept.end is None else b""), known)
+            return Fact(number, base_of(stored, store.body(number) if stored.end is None else b""), known)
         except BodyLostError:
             return Fact(number, None, known)
 
@@ -106,14 +108,14 @@
         fact = self.read(store, number)
         if fact is None or fact.base is not None:
             return fact
-        return with_end(Fact(number, base_of(store.kept[number], b""), fact.known), EndRank.FAILED)
+        return with_end(Fact(number, base_of(store.messages[number], b""), fact.known), EndRank.FAILED)
 
 
 class ReplicatedStore(Store):
-    """Owns the folder, as `Store` does, and tells the books what happens to their messages."""
+    """Owns the folder, as `Store` does, and tells the partitions what happens to their messages."""
 
     def __init__(self, *told: Any, by_copy: bool = False, within_us: int = 150_000, **more: Any) -> None:
-        """As `Store`; `by_copy`: what is answered waits for the heirs, `within_us` microseconds at most."""
+        """As `Store`; `by_copy`: what is answered waits for the successors, `within_us` microseconds at most."""
         super().__init__(*told, **more)
         self.awaited = self.awaited or by_copy
         self.by_copy = by_copy
@@ -142,17 +144,17 @@
         )
 
     def deciding(self) -> bool:
-        """Whether the right over every book that the dispatcher serves is held at this moment."""
+        """Whether the right over every partition that the dispatcher serves is held at this moment."""
         now = monotonic_time()
         return all(each.adoption.holder.may_fire(now) for each in self.holdings.values() if each.serving)
 
     def taking(self) -> bool:
-        """Whether new messages can be taken: the right over the book that is open is held."""
+        """Whether new messages can be taken: the right over the partition that is open is held."""
         current = self.current
         return current is not None and current.serving and current.adoption.holder.may_fire(monotonic_time())
 
-    def has_room(self, kept: StoredMessage) -> bool:
-        if not self.taking() or not super().has_room(kept):
+    def has_room(self, stored: StoredMessage) -> bool:
+        if not self.taking() or not super().has_room(stored):
             return False
         assert self.current is not None
         if self.next_number >= self.current.reserved:
@@ -160,36 +162,37 @@
         return self.next_number < self.current.reserved
 
     def open(self, holding: LeasedPartition, first: int) -> None:
-        """New messages are taken in this book from now on, from a number that was never given."""
+        """New messages are taken in this partition from now on, from a number that was never given."""
         self.current = holding
         holding.reserved = self.next_number = first
         self.reserve(holding)
 
     # ---- what the dispatcher tells ----
 
-    def keep(self, kept: StoredMessage) -> None:
-        super().keep(kept)
-        holding = self.holdings[kept.number >> 32]
-        self._tell(holding, holding.ledger.kept(kept, kept.body or b""))
-        self.seen("taken", kept, 0)
+    def keep(self, stored: StoredMessage) -> None:
+        super().keep(stored)
+        holding = self.holdings[stored.number >> 32]
+        self._tell(holding, holding.ledger.record_message(stored, stored.body or b""))
+        self.seen("taken", stored, 0)
 
     def attempt(self, number: int, sent_at: int, zone: int) -> None:
         super().attempt(number, sent_at, zone)
         holding = self._knows(number)
         if holding is not None:
             self._tell(holding, holding.ledger.attempt(number, sent_at, zone))
-        self.out[number] = self.kept[number]
-        self.seen("shot", self.kept[number], zone)
+        self.out[number] = self.messages[number]
+        self.seen("shot", self.messages[number], zone)
 
     def outcome(self, number: int, outcome: Outcome) -> None:
-        kept, holding = self.kept.get(number), self._knows(number)
-        if kept is not None and kept.out_at and holding is not None:
+        stored, holding = self.messages.get(number), self._knows(number)
+        if stored is not None and stored.out_at and holding is not None:
             # Danger: told after the folder's own record, a completed one would already be over, as any other end.
             self._tell(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
         # Danger: its record may have gone while the attempt was out, since its client has left or another sender has
         # its
-        # book by now; what the receiver said would be told by nobody. A full folder raises, and owes its own record.
-        sent = self.out.pop(number, kept)
+        # partition by now; what the receiver said would be told by nobody. A full folder raises, and owes its own
+        # record.
+        sent = self.out.pop(number, stored)
         if sent is not None:
             self.seen("completed" if outcome is Outcome.COMPLETED else "outcome", sent, list(Outcome).index(outcome))
         super().outcome(number, outcome)
@@ -198,10 +201,10 @@
         holding = self._knows(number)
         if holding is not None:
             self._tell(holding, holding.ledger.ended(number, nacked, wait_ms))
-        kept = self.kept.get(number)
+        stored = self.messages.get(number)
         super().ended(number, nacked, wait_ms)
-        if kept is not None:
-            self.seen("nacked" if nacked else "written-off", kept, wait_ms)
+        if stored is not None:
+            self.seen("nacked" if nacked else "written-off", stored, wait_ms)
 
     def over(self, number: int) -> None:
         holding = self._knows(number)
@@ -210,7 +213,7 @@
         super().over(number)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
-        """With `by_copy`, besides: wait until every heir has all that was told.
+        """With `by_copy`, besides: wait until every successor has all that was told.
 
         `NotReplicatedError` where one has not.
         """
@@ -221,22 +224,23 @@
         until = time.monotonic() + self.within_us / 1e6
         for holding in [each for each in self.holdings.values() if each.serving]:
             index = holding.log.next
-            while holding.log.acked(self.heirs_of(holding)) < index:
+            while holding.log.acked(self.successors_of(holding)) < index:
                 if holding.starving(monotonic_time()) or not self._wait(until):
                     self.starved(holding)
                     raise NotReplicatedError(
-                        f"book {holding.book}: {index - holding.log.acked(self.heirs_of(holding))} records "
-                        f"are not at {', '.join(sorted(self.heirs_of(holding)))}"
+                        f"partition {holding.partition}: "
+                        f"{index - holding.log.acked(self.successors_of(holding))} records "
+                        f"are not at {', '.join(sorted(self.successors_of(holding)))}"
                     )
             if not holding.alone_since and not holding.starving(monotonic_time()):
-                # Danger: under load copies never have all at the moment of a look; a book that starved once would be
-                # given up half a second later, with all its messages.
+                # Danger: under load copies never have all at the moment of a look; a partition that starved once would
+                # be given up half a second later, with all its messages.
                 holding.starved_at = 0
-            # Danger: the lease may have run out meanwhile, and an heir that has adopted would not know of this.
+            # Danger: the lease may have run out meanwhile, and a successor that has adopted would not know of this.
             if not holding.adoption.holder.may_fire(monotonic_time()):
-                raise NotReplicatedError(f"book {holding.book}: the right over it has run out")
+                raise NotReplicatedError(f"partition {holding.partition}: the right over it has run out")
 
-    def heirs_of(self, holding: LeasedPartition) -> frozenset[str]:
+    def successors_of(self, holding: LeasedPartition) -> frozenset[str]:
         """The copies that must have a record before it counts as told."""
         return (holding.adoption.holder.bound | holding.joining.keys()) - {holding.adoption.me}
 
@@ -250,17 +254,18 @@
 
     # ---- sessions that move ----
 
-    def stage(self, kept: StoredMessage, sequence: int, text: str) -> None:
-        """Keep a message that is on its way to this sender: inert from its first record on, here and at every heir.
+    def stage(self, stored: StoredMessage, sequence: int, text: str) -> None:
+        """Keep a message that is on its way to this sender: inert from its first record on, here and at every
+        successor.
 
         `NoSpaceError` where there is none for it. The mark is on the disk already (`marking`).
         """
-        holding = self.holdings[kept.number >> 32]
-        self.inert[kept.number] = sequence, text
-        super().keep(kept)
-        fact = holding.ledger.kept(kept, kept.body or b"")
-        # Danger: an heir that is told of the message before its mark might fire for it.
-        self._tell(holding, Fact(kept.number, fact.base, holding.ledger.moved(kept.number, sequence, text).known))
+        holding = self.holdings[stored.number >> 32]
+        self.inert[stored.number] = sequence, text
+        super().keep(stored)
+        fact = holding.ledger.record_message(stored, stored.body or b"")
+        # Danger: a successor that is told of the message before its mark might fire for it.
+        self._tell(holding, Fact(stored.number, fact.base, holding.ledger.moved(stored.number, sequence, text).known))
 
     def mark(self, number: int, sequence: int, text: str) -> None:
         """A message is inert from now on, or with an empty text is not any more."""
@@ -272,24 +277,24 @@
         if holding is not None:
             self._tell(holding, holding.ledger.moved(number, sequence, text))
 
-    def copied(self, books: Iterable[int]) -> Callable[[], bool]:
-        """Whether every heir of some books has by then what is told of them now."""
-        upto = {book: self.holdings[book].log.next for book in books}
+    def copied(self, partitions: Iterable[int]) -> Callable[[], bool]:
+        """Whether every successor of some partitions has by then what is told of them now."""
+        upto = {partition: self.holdings[partition].log.next for partition in partitions}
 
         def now() -> bool:
-            held = {book: self.holdings.get(book) for book in upto}
+            held = {partition: self.holdings.get(partition) for partition in upto}
             return all(
-                each is not None and each.serving and each.log.acked(self.heirs_of(each)) >= upto[book]
-                for book, each in held.items()
+                each is not None and each.serving and each.log.acked(self.successors_of(each)) >= upto[partition]
+                for partition, each in held.items()
             )
 
         return now
 
-    # ---- books that come and go ----
+    # ---- partitions that come and go ----
 
-    def numbers(self, book: int) -> list[int]:
-        """Messages of a book in the folder, in the order in which they were taken."""
-        return sorted(number for number in self.kept if number >> 32 == book)
+    def numbers(self, partition: int) -> list[int]:
+        """Messages of a partition in the folder, in the order in which they were taken."""
+        return sorted(number for number in self.messages if number >> 32 == partition)
 
     def take_in(
         self,
@@ -301,10 +306,10 @@
         perhaps: Iterable[int] = (),
         late: int = 0,
     ) -> None:
-        """What a copy knew of a book goes into this folder, under a new term. `NoSpaceError` leaves what fits.
+        """What a copy knew of a partition goes into this folder, under a new term. `NoSpaceError` leaves what fits.
 
         `doubt_at`: wall microseconds from which on news may be missing; 0: none is. `mine`, `perhaps`: see
-        `only_here`, where this member has held the book before and could not offer what it knew. `late`: what ends
+        `only_here`, where this member has held the partition before and could not offer what it knew. `late`: what ends
         before this wall time ends now.
         """
         marked = [in_doubt(fact, doubt_at) if doubt_at else fact for fact in facts]
@@ -320,36 +325,36 @@
             for fact in marked
         ]
         told = {fact.number for fact in marked}
-        for number in self.numbers(holding.book):  # this member has held it before: what the copy lacks is over
+        for number in self.numbers(holding.partition):  # this member has held it before: what the copy lacks is over
             if number in told or number in mine:
-                holding.ledger.kept(self.kept[number], b"")
+                holding.ledger.record_message(self.messages[number], b"")
             elif number in perhaps:
                 # Danger: whoever has held it between may have ended it, and nobody can be asked.
-                if self.kept[number].end is None:
+                if self.messages[number].end is None:
                     super().ended(number, False, 0)
-                holding.ledger.kept(self.kept[number], b"")
+                holding.ledger.record_message(self.messages[number], b"")
             else:
                 super().over(number)
         news = holding.ledger.adopt(marked, term)
         self._take_marks(news)
         for fact in news:
-            self._take_news(fact, fact.number not in self.kept)
+            self._take_news(fact, fact.number not in self.messages)
 
     def resume_own(self, holding: LeasedPartition, term: int) -> None:
-        """The folder of this process has the book's messages already: the ledger learns them, under a new term."""
+        """The folder of this process has the partition's messages already: the ledger learns them, under a new term."""
         if holding.ledger.term:
             holding.ledger.renew(term)
             return
         holding.ledger = FactLedger(term)
-        for number in self.numbers(holding.book):
-            holding.ledger.kept(self.kept[number], b"")
+        for number in self.numbers(holding.partition):
+            holding.ledger.record_message(self.messages[number], b"")
             if number in self.inert:
                 holding.ledger.moved(number, *self.inert[number])
 
     def begin_log(self, holding: LeasedPartition, term: int) -> None:
-        """Ship the book under a term from now on."""
+        """Ship the partition under a term from now on."""
         holding.log = ReplicationLog(
-            holding.book, term, lambda number: holding.told(self, number), sorted(holding.ledger.known)
+            holding.partition, term, lambda number: holding.told(self, number), sorted(holding.ledger.known)
         )
         holding.log.behind = not self.by_copy
         holding.begun_at = monotonic_time()
@@ -359,14 +364,14 @@
         """What an earlier holder knew: joined. Numbers that are over by it, those that are new here or changed, and why
         some could not be taken: they are to be offered again.
 
-        `term`: the newest in which it has held the book.
+        `term`: the newest in which it has held the partition.
         """
         straight = holding.from_term == term > 0
         before = dict(holding.ledger.known)
         told = {
             fact.number: fact
             for fact in facts
-            if fact.number >> 32 == holding.book
+            if fact.number >> 32 == holding.partition
             # Danger: what has ended here would come back as owed.
             and fact.number not in holding.finished
             and (fact.number in before or fact.base is not None and not over(fact.known))
@@ -385,8 +390,8 @@
                 left = all_news[place:]
                 if joined.known != before.get(joined.number):
                     if joined.number not in before and not straight:
-                        # Danger: between the two somebody else has held the book, and may have ended it: whoever took
-                        # it over from that one knows nothing of it. Only 'failed' is honest then.
+                        # Danger: between the two somebody else has held the partition, and may have ended it: whoever
+                        # took it over from that one knows nothing of it. Only 'failed' is honest then.
                         joined = with_end(joined, EndRank.FAILED)
                         holding.ledger.known[joined.number] = joined.known
                     self._take_news(joined, joined.number not in before)
@@ -419,18 +424,18 @@
         `NoSpaceError` for a new one.
         """
         if new:
-            super().keep(kept_of(fact))
+            super().keep(stored_message_of(fact))
             return
-        kept = self.kept[fact.number]
-        if fact.known.ran is not None and (not kept.ran_at or fact.known.ran[0] < kept.ran_at):
+        stored = self.messages[fact.number]
+        if fact.known.ran is not None and (not stored.ran_at or fact.known.ran[0] < stored.ran_at):
             with suppress(NoSpaceError):  # it is known from here on, and its record is owed
                 self.may_have_run(fact.number, *fact.known.ran)
-        if fact.known.end[0] is not EndRank.NONE and kept.end is None:
+        if fact.known.end[0] is not EndRank.NONE and stored.end is None:
             with suppress(NoSpaceError):
                 super().ended(fact.number, fact.known.end[0] is EndRank.RETURNED, fact.known.end[1])
 
     def known_here(self, holding: LeasedPartition) -> list[Fact]:
-        """All that this member knows of a book that it has lost: what is owed, and what ended of late."""
+        """All that this member knows of a partition that it has lost: what is owed, and what ended of late."""
         facts: dict[int, Fact] = {}
         for data, _ in holding.log.window:
             for fact in decode_facts(together([data])):
@@ -442,27 +447,27 @@
         return [facts[number] for number in sorted(facts)]
 
     def only_here(self, holding: LeasedPartition) -> tuple[list[int], list[int]]:
-        """Owed messages of a lost book that no copy was sent, and those that may or may not have reached one."""
+        """Owed messages of a lost partition that no copy was sent, and those that may or may not have reached one."""
         if not holding.log.term:  # of an earlier process: nobody knows what that has sent
-            return [], [] if self.by_copy else self.numbers(holding.book)
+            return [], [] if self.by_copy else self.numbers(holding.partition)
         acked = max((follower.acked for follower in holding.log.followers.values()), default=holding.sent)
         mine: list[int] = []
         perhaps: list[int] = []
         first = max(0, min(holding.sent, acked) - holding.log.oldest)
         for index, (data, _) in enumerate(islice(holding.log.window, first, None), holding.log.oldest + first):
             for fact in decode_facts(together([data])):
-                if fact.base is not None and fact.number in holding.ledger.known and fact.number in self.kept:
+                if fact.base is not None and fact.number in holding.ledger.known and fact.number in self.messages:
                     (mine if index >= holding.sent else perhaps).append(fact.number)
         return mine, perhaps
 
     def rekey(self, numbers: Iterable[int], failed: bool = False) -> Iterator[int]:
-        """Messages that nobody else has become ones of the open book; their new numbers. `NoSpaceError` stops on the
-        way.
+        """Messages that nobody else has become ones of the open partition; their new numbers. `NoSpaceError` stops on
+        the way.
 
         `failed`: they end so, since somebody else may have had them. So does one whose body cannot be read.
         """
         for number in numbers:
-            old = self.kept[number]
+            old = self.messages[number]
             end, body = old.end, b""
             if end is None:
                 try:
@@ -471,7 +476,7 @@
                     end = False, 0
             new = replace(old, number=self.next_number, home=0, at=0, weight=0, noted=[], body=body, end=end)
             if not self.has_room(new):
-                raise NoSpaceError("a message cannot be taken over into the open book")
+                raise NoSpaceError("a message cannot be taken over into the open partition")
             self.next_number += 1
             if number in self.inert:
                 self.marking(self.inert | {new.number: self.inert[number]})
@@ -482,12 +487,12 @@
             yield new.number
             super().over(number)
 
-    def forget(self, book: int) -> None:
-        """Give up what the folder has of a book that somebody else answers for; nothing is told."""
-        for number in self.numbers(book):
+    def forget(self, partition: int) -> None:
+        """Give up what the folder has of a partition that somebody else answers for; nothing is told."""
+        for number in self.numbers(partition):
             super().over(number)
-        self.holdings.pop(book, None)
-        if self.current is not None and self.current.book == book:
+        self.holdings.pop(partition, None)
+        if self.current is not None and self.current.partition == partition:
             self.current = None
 
     def _knows(self, number: int) -> LeasedPartition | None:
--- a/cedarwick/fleet/replication.py
+++ b/cedarwick/fleet/replication.py
@@ -1,4 +1,5 @@
-"""A book's facts on their way from its holder to its copies: a log with a window, and what is owed in pieces. No I/O.
+"""A partition's facts on their way from its holder to its copies: a log with a window, and what is owed in pieces. No
+I/O.
 
 A primary-copy log with terms (viewstamped replication, Liskov and Cowling 2012). The holder numbers each fact; a copy
 takes a term's facts in that order without a gap. A copy that is new to the term, or behind the window, is walked: it
@@ -85,12 +86,15 @@
 
 
 class ReplicationLog:
-    """The facts of one term of a book, numbered from 0 on, and the numbers that are owed. A term has one log, ever."""
+    """The facts of one term of a partition, numbered from 0 on, and the numbers that are owed.
 
-    def __init__(self, book: int, term: int, read: Callable[[int], Fact | None], owed: Iterable[int] = ()) -> None:
+    A term has one log, ever.
+    """
+
+    def __init__(self, partition: int, term: int, read: Callable[[int], Fact | None], owed: Iterable[int] = ()) -> None:
         """`read` tells all that is known of an owed message as of the newest fact appended, None where it has ended;
         one whose body cannot be read comes without a base. `owed`: what the term begins with."""
-        self.book = book
+        self.partition = partition
         self.term = term
         self.read = read
         self.owed = sorted(owed)
@@ -132,9 +136,9 @@
     def unfollow(self, name: str) -> None:
         self.followers.pop(name, None)
 
-    def acked(self, heirs: Iterable[str]) -> int:
+    def acked(self, successors: Iterable[str]) -> int:
         """Facts below this index are in the file of each of these copies; -1: one lacks what the term began with."""
-        found = [self.followers.get(name) for name in heirs]
+        found = [self.followers.get(name) for name in successors]
         return min((each.acked if each is not None and each.covers else -1 for each in found), default=self.next)
 
     def tail(self, first: int) -> list[bytes]:
@@ -171,7 +175,7 @@
             taken.append(data)
             last = number
         facts = together(taken)
-        return ReplicatePiece(self.book, self.term, after, upto, facts, self.next, digest(facts), self.behind)
+        return ReplicatePiece(self.partition, self.term, after, upto, facts, self.next, digest(facts), self.behind)
 
     def spans(self, after: int) -> tuple[DigestRange, ...]:
         """Ranges from a number on, with what they hold; the last one of all ends at `EVERYTHING`."""
@@ -199,7 +203,7 @@
         self.place = NO_PLACE
         self.life = -1  # the copy's incarnation
         self.problem = NO_PROBLEM  # of its last answer
-        self.superseded = False  # it knows a newer term: the holder has lost the book
+        self.superseded = False  # it knows a newer term: the holder has lost the partition
         self.sent = 0  # the index that is sent next
         self.out: deque[SentRange] = deque()  # of the tail
         self.piece: SentRange | None = None
@@ -214,7 +218,7 @@
         self.counted = now, log.told
         self.compared: tuple[DigestRange, ...] = ()  # out for comparison
         self.compare_at = now + COMPARE  # when the next part of a comparison, or its answer, is due
-        self.compare_from = log.book << 32
+        self.compare_from = log.partition << 32
         self.pass_at = now  # when the comparison of everything began
 
     @property
@@ -264,7 +268,7 @@
 
     def have(self, now: int, message: ReplicaAck, life: int) -> None:
         """An answer of the copy in one of its incarnations."""
-        if life < self.life or message.book != self.log.book:
+        if life < self.life or message.partition != self.log.partition:
             return
         place = ReplicaPosition(message.term, message.next, message.covered)
         if life > self.life:
@@ -292,7 +296,7 @@
         if life > self.life:
             self.lost()
         sent, self.compared = self.compared, ()
-        if life != self.life or message.book != self.log.book or message.term != self.log.term:
+        if life != self.life or message.partition != self.log.partition or message.term != self.log.term:
             return
         if [(each.after, each.upto) for each in message.ranges] != [(each.after, each.upto) for each in sent]:
             return  # it was at another index, or this answers an older question; asked again when due
@@ -310,7 +314,7 @@
         self.compare_from = sent[-1].upto if sent else self.compare_from
         self.compare_at = now + BREATH
         if self.compare_from == EVERYTHING:
-            self.compare_from = self.log.book << 32
+            self.compare_from = self.log.partition << 32
             self.compare_at = max(now, self.pass_at + COMPARE)
             self.pass_at = self.compare_at
             self.standing = dict(list(self.standing.items())[-FEW_STANDING:])
@@ -335,7 +339,7 @@
         facts = together(taken)
         self.sent = first + len(taken)
         self.out.append(SentRange(self.sent, now + PATIENCE))
-        return ReplicateFacts(self.log.book, self.log.term, first, facts, digest(facts))
+        return ReplicateFacts(self.log.partition, self.log.term, first, facts, digest(facts))
 
     def _piece(self, now: int) -> ReplicatePiece | None:
         """The next piece of a walk or of what differs, where one is due and the pace allows it."""
@@ -367,7 +371,7 @@
             return None
         self.compare_at = now + REST  # where no answer comes
         self.compared = self.log.spans(self.compare_from)
-        return Digests(self.log.book, self.log.term, self.compared, self.log.next)
+        return Digests(self.log.partition, self.log.term, self.compared, self.log.next)
 
 
 # ---- the copy ----
@@ -394,10 +398,10 @@
 
 
 class Replica:
-    """One copy of a book, which is brought forward by steps."""
+    """One copy of a partition, which is brought forward by steps."""
 
-    def __init__(self, book: int) -> None:
-        self.book = book
+    def __init__(self, partition: int) -> None:
+        self.partition = partition
         self.place = ReplicaPosition(0, 0, 0)
         self.held: dict[int, Fact] = {}  # what is owed, with bases
         self.live = 0  # about the bytes of that
@@ -449,15 +453,15 @@
     def digests(self, message: Digests) -> Digests:
         """The copy's own ranges, where it is at the same place."""
         if (message.term, message.next) != self.place[:2]:
-            return Digests(self.book, self.place.term, (), self.place.next)
+            return Digests(self.partition, self.place.term, (), self.place.next)
         numbers, made = sorted(self.held), []
         for span in message.ranges:
             inside = numbers[bisect_right(numbers, span.after) : bisect_right(numbers, span.upto)]
             made.append(DigestRange(span.after, span.upto, *summed(encoded(self.held[number]) for number in inside)))
-        return Digests(self.book, self.place.term, tuple(made), self.place.next)
+        return Digests(self.partition, self.place.term, tuple(made), self.place.next)
 
     def have(self, problem: str = NO_PROBLEM) -> ReplicaAck:
-        return ReplicaAck(self.book, self.place.term, self.place.next, problem, self.place.covered)
+        return ReplicaAck(self.partition, self.place.term, self.place.next, problem, self.place.covered)
 
     def take(self, entry: ReplicaEntry, facts: Iterable[Fact]) -> None:
         """Bring the copy forward by a step that is in its file."""
@@ -505,7 +509,7 @@
         self, place: ReplicaPosition, after: int, upto: int, data: bytes, facts: list[Fact], behind: bool
     ) -> ReplicaStep:
         entry = ReplicaEntry(*place, after, upto, data, behind)
-        return ReplicaStep(ReplicaAck(self.book, place.term, place.next, NO_PROBLEM, place.covered), entry, facts)
+        return ReplicaStep(ReplicaAck(self.partition, place.term, place.next, NO_PROBLEM, place.covered), entry, facts)
 
     def _read(self, message: ReplicateFacts | ReplicatePiece, after: int, upto: int) -> list[Fact] | str:
         """The facts of a message, or why it is dropped whole."""
@@ -517,6 +521,6 @@
             return OTHER
         except CorruptFactsError:
             return SPOILT
-        if any(fact.number >> 32 != self.book or not after < fact.number <= upto for fact in facts):
+        if any(fact.number >> 32 != self.partition or not after < fact.number <= upto for fact in facts):
             return SPOILT
         return facts
--- a/cedarwick/fleet/replication_facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -49,7 +49,7 @@
     """Facts were told in the format of another version of the program."""
 
     code = "CW721"
-    remedy = "run the same version of the program on all members; until then this book has one copy less"
+    remedy = "run the same version of the program on all members; until then this partition has one copy less"
 
 
 class EndRank(IntEnum):
@@ -231,37 +231,37 @@
 # ---- from and to the folder ----
 
 
-def base_of(kept: StoredMessage, body: bytes) -> MessageBase:
+def base_of(stored: StoredMessage, body: bytes) -> MessageBase:
     return MessageBase(
-        kept.id,
-        kept.key,
-        kept.turn,
-        kept.priority_class,
-        kept.tenant,
-        kept.destination,
-        kept.deadline,
-        body if kept.end is None else b"",
+        stored.id,
+        stored.key,
+        stored.turn,
+        stored.priority_class,
+        stored.tenant,
+        stored.destination,
+        stored.deadline,
+        body if stored.end is None else b"",
     )
 
 
-def known_of(kept: StoredMessage, term: int) -> MessageKnowledge:
+def known_of(stored: StoredMessage, term: int) -> MessageKnowledge:
     """What the folder knows; all attempts count as one head of `term`, which is one that nobody has told of before.
 
     Danger: under a term that was told of before, this head and the one told would be taken for one, and the larger
     would hide an attempt that is out. An attempt counted twice does no harm, one that is forgotten does.
     """
     heads = {}
-    if kept.attempts:
+    if stored.attempts:
         heads[term] = LifeSummary(
-            kept.attempts, not kept.out_at, kept.out_at, kept.out_zone if kept.out_at else NOWHERE
+            stored.attempts, not stored.out_at, stored.out_at, stored.out_zone if stored.out_at else NOWHERE
         )
     end = (EndRank.NONE, 0)
-    if kept.end is not None:
-        end = (EndRank.RETURNED if kept.end[0] else EndRank.FAILED, kept.end[1])
-    return MessageKnowledge(heads, (kept.ran_at, kept.ran_zone) if kept.ran_at else None, kept.doubt_at, end)
+    if stored.end is not None:
+        end = (EndRank.RETURNED if stored.end[0] else EndRank.FAILED, stored.end[1])
+    return MessageKnowledge(heads, (stored.ran_at, stored.ran_zone) if stored.ran_at else None, stored.doubt_at, end)
 
 
-def kept_of(fact: Fact, doubt_at: int = 0) -> StoredMessage:
+def stored_message_of(fact: Fact, doubt_at: int = 0) -> StoredMessage:
     """The folder's record of what another sender owed, with every attempt that is out as one that may have run.
 
     `doubt_at`: wall microseconds from which on news may be missing, 0 where none is. ValueError without a base and
@@ -298,7 +298,7 @@
 
 
 class FactLedger:
-    """What the holder of a book knows of each message it owes; each call returns the fact that tells the news.
+    """What the holder of a partition knows of each message it owes; each call returns the fact that tells the news.
 
     KeyError where a number is not owed.
     """
@@ -307,10 +307,10 @@
         self.term = term
         self.known: dict[int, MessageKnowledge] = {}
 
-    def kept(self, kept: StoredMessage, body: bytes) -> Fact:
+    def record_message(self, stored: StoredMessage, body: bytes) -> Fact:
         """A message was taken, or a restart has left it."""
-        self.known[kept.number] = known = known_of(kept, self.term)
-        return Fact(kept.number, base_of(kept, body), known)
+        self.known[stored.number] = known = known_of(stored, self.term)
+        return Fact(stored.number, base_of(stored, body), known)
 
     def attempt(self, number: int, at: int, zone: int) -> Fact:
         """An attempt is about to go out, at a wall time in microseconds.
--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -35,7 +35,7 @@
 
     at: int
     held: list[HeldSession]
-    book: int = 0  # in which they were taken; 0: told by an older version, from whom nobody inherits
+    partition: int = 0  # in which they were taken; 0: told by an older version, from whom nobody inherits
 
 
 SESSIONS_FILE: msgspec.msgpack.Decoder[Sessions] = msgspec.msgpack.Decoder(Sessions)
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -1,10 +1,10 @@
-"""The I/O of moves: what `migration_table.py` and `consensus.py` ask for, done with greenlets, letters, the folder and
-the dispatcher.
+"""The I/O of moves: what `migration_table.py` and `consensus.py` ask for, done with greenlets, peer messages, the
+folder and the dispatcher.
 
 What touches the folder and the dispatcher at once is done between two of the dispatcher's rounds. A message on the
 move carries a
-mark in the ledger of its book, for the heirs, and in a file of this member, for its next boot: the sequence of its
-session, and `<` (it is given) or `>` (it is taken) before the name of the move.
+mark in the ledger of its partition, for the successors, and in a file of this member, for its next boot: the sequence
+of its session, and `<` (it is given) or `>` (it is taken) before the name of the move.
 """
 
 import random
@@ -54,7 +54,7 @@
     TargetStage,
 )
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.replication_facts import Fact, decode_facts, encode_facts, kept_of
+from cedarwick.fleet.replication_facts import Fact, decode_facts, encode_facts, stored_message_of
 from cedarwick.fleet.session_files import SessionFiles
 from cedarwick.fleet.sessions import LAPSES, SessionDirectory
 from cedarwick.net.dispatcher import Dispatcher
@@ -72,20 +72,20 @@
 LATE = 300_000  # microseconds before its deadline a message on the move is answered
 LOOK_LATE = 100_000
 SECOND = 1_000_000
-LARGEST_STAGE = MAX_MESSAGE_BYTES - (1 << 17)  # bytes of a session's facts: the rest of the letter is for its ids
+LARGEST_STAGE = MAX_MESSAGE_BYTES - (1 << 17)  # bytes of a session's facts: the rest of the peer message is for its ids
 MOST_IDS = 1 << 12
 GIVEN, TAKEN = "<", ">"
 
 
 class SessionTooLargeError(CedarwickError):
-    """A session's messages do not fit one letter, so that it cannot be moved."""
+    """A session's messages do not fit one peer message, so that it cannot be moved."""
 
     code = "CW754"
     remedy = "wait until some of the session's messages have ended; until then it stays where it is"
 
 
 class InvalidMoveNameError(CedarwickError):
-    """A letter about a move whose name cannot be one."""
+    """A peer message about a move whose name cannot be one."""
 
     code = "CW755"
     remedy = "bring all members to one version of the program"
@@ -102,7 +102,7 @@
     """The moves that this member has a side of. Nothing is done before `desk` is set.
 
     Args:
-        call: a letter to another member and its answer within so many seconds; None where there is none.
+        call: a peer message to another member and its answer within so many seconds; None where there is none.
         takes: whether this sender takes sessions now.
         change: to be called when something has changed that a submission may wait for.
     """
@@ -141,11 +141,11 @@
         )
         self.planner = MigrationPlanner(node.halls[self.name])
         marks = self.files.inert()
-        self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.kept}
+        self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.messages}
         self.store.marking = self.files.write_inert
         self.dispatcher: Dispatcher
         self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
-        self.slept: set[str] = set()  # of these, staged in a book that was adopted since
+        self.slept: set[str] = set()  # of these, staged in a partition that was adopted since
         self.sequences: dict[str, int] = {}  # by move: of its session, since it began
         self.answers: dict[str, gevent.event.AsyncResult] = {}  # by move: whether it was staged
         self.under_way: set[tuple[str, MigrationAction]] = set()
@@ -162,9 +162,9 @@
         if self.acceptor.prune(now):
             self._guarded(self.files.write_decrees, self.acceptor.table())
         self._settle_strays(now)
-        for kept in (self.offers, self.sequences, self.answers):
-            for name in [name for name in kept if name not in self.moves.moves]:
-                del kept[name]
+        for stored in (self.offers, self.sequences, self.answers):
+            for name in [name for name in stored if name not in self.moves.moves]:
+                del stored[name]
 
     def _settle_strays(self, now: int) -> None:
         """Of moves that nobody with a side of them has had decided for long: both may have lost it."""
@@ -198,7 +198,7 @@
     def learned(self, giver: str, stamp: int) -> None:
         """A giver has answered with the stamp of its next move.
 
-        Danger: from a letter of its own, which may have been written before this boot, nothing is learned.
+        Danger: from a peer message of its own, which may have been written before this boot, nothing is learned.
         """
         if stamp and self.acceptor.lost and giver not in self.acceptor.floors:
             self.acceptor.learned(giver, stamp)
@@ -230,7 +230,7 @@
         self.counters.add("moves begun")
         self.act(acts)
 
-    # ---- letters ----
+    # ---- peer messages ----
 
     def answer(self, body: StageSession | PrepareRequest | AcceptRequest | MigrationDecided, now: int) -> Body:
         """What another member is told about a move; `InvalidMoveNameError` where there cannot be such a one."""
@@ -317,11 +317,14 @@
         return sorted(
             number
             for number, (_, text) in self.store.inert.items()
-            if text == side + name and number in self.store.kept
+            if text == side + name and number in self.store.messages
         )
 
     def _mine(self, name: str) -> bool:
-        """Whether this process began the move; else it has found it after a restart, or adopted the giver's book."""
+        """Whether this process began the move.
+
+        Else it has found it after a restart, or adopted the giver's partition.
+        """
         return parts(name)[1] == self.name and name in self.sequences
 
     def _sequence(self, name: str, numbers: Iterable[int]) -> int:
@@ -347,32 +350,32 @@
         key = self._key(name)
         self.dispatcher.cut(key)
         self.dispatcher.between(lambda: True).get()  # what was cut off has told its end before the marks are made
-        books: set[int] = set()
+        partitions: set[int] = set()
 
         def mark() -> bool:
             owed = [
-                kept
-                for kept in self.store.kept.values()
-                if kept.turn == key and kept.end is None and kept.number not in self.store.inert
+                stored
+                for stored in self.store.messages.values()
+                if stored.turn == key and stored.end is None and stored.number not in self.store.inert
             ]
-            if not self.store.taking() or not all(self.store.may_fire(kept.number) for kept in owed):
+            if not self.store.taking() or not all(self.store.may_fire(stored.number) for stored in owed):
                 return False
             sequence, text = self.sequences[name], GIVEN + name
             if owed:
-                self.files.write_inert(self.store.inert | {kept.number: (sequence, text) for kept in owed})
-            for kept in owed:
-                self.store.mark(kept.number, sequence, text)
-            books.update(kept.number >> 32 for kept in owed)
+                self.files.write_inert(self.store.inert | {stored.number: (sequence, text) for stored in owed})
+            for stored in owed:
+                self.store.mark(stored.number, sequence, text)
+            partitions.update(stored.number >> 32 for stored in owed)
             return True
 
-        if self.dispatcher.between(mark).get() and self._copied(books):
+        if self.dispatcher.between(mark).get() and self._copied(partitions):
             self.act(self.moves.marked(name, monotonic_time()))
         else:
             self.act(self.moves.call_off(name, monotonic_time()))
 
-    def _copied(self, books: set[int]) -> bool:
-        """Whether every heir gets what is told of some books, before long."""
-        done, until = self.store.copied(books), monotonic_time() + WHOLE
+    def _copied(self, partitions: set[int]) -> bool:
+        """Whether every successor gets what is told of some partitions, before long."""
+        done, until = self.store.copied(partitions), monotonic_time() + WHOLE
         while not done():
             if monotonic_time() > until:
                 return False
@@ -404,9 +407,9 @@
         answer = self.call(to, stage, STAGE_IN)
         if isinstance(answer, StageReply):
             now = monotonic_time()
-            if not answer.kept:
+            if not answer.stored:
                 self.counters.add("moves refused by the taker")
-            self.act(self.moves.staged(name, now) if answer.kept else self.moves.call_off(name, now))
+            self.act(self.moves.staged(name, now) if answer.stored else self.moves.call_off(name, now))
 
     def _forward(self, act: MigrationStep) -> None:
         key, now = self._key(act.move), monotonic_time()
@@ -434,9 +437,9 @@
                     )
                 self.dispatcher.thaw(key)
             owed = [
-                kept.number
-                for kept in self.store.kept.values()
-                if kept.turn == key and kept.end is None and self.store.may_fire(kept.number)
+                stored.number
+                for stored in self.store.messages.values()
+                if stored.turn == key and stored.end is None and self.store.may_fire(stored.number)
             ]
             self.dispatcher.adopt(owed, quietly=True)
             return True
@@ -478,8 +481,8 @@
             self.answers.pop(body.move, None)
             return StageReply(body.move, False, "no room")
         self.act(acts)
-        kept = answer.wait(STAGE_IN)
-        return StageReply(body.move, bool(kept), "" if kept else "it is not kept")
+        stored = answer.wait(STAGE_IN)
+        return StageReply(body.move, bool(stored), "" if stored else "it is not kept")
 
     def _answer(self, name: str, staged: bool) -> None:
         answer = self.answers.setdefault(name, gevent.event.AsyncResult())
@@ -490,24 +493,24 @@
         stage, _ = self.offers[name]
 
         def write() -> bool:
-            made = [kept_of(fact) for fact in sorted(decode_facts(stage.facts), key=lambda fact: fact.number)]
+            made = [stored_message_of(fact) for fact in sorted(decode_facts(stage.facts), key=lambda fact: fact.number)]
             if not self.store.taking():
                 return False
-            for place, kept in enumerate(made):
-                kept.number = self.store.next_number + place
-                if not self.store.has_room(kept):
+            for place, stored in enumerate(made):
+                stored.number = self.store.next_number + place
+                if not self.store.has_room(stored):
                     return False
             if made:
                 mark = stage.sequence, TAKEN + name
-                self.files.write_inert(self.store.inert | {kept.number: mark for kept in made})
-            for kept in made:
+                self.files.write_inert(self.store.inert | {stored.number: mark for stored in made})
+            for stored in made:
                 self.store.next_number += 1
-                self.store.stage(kept, stage.sequence, TAKEN + name)
+                self.store.stage(stored, stage.sequence, TAKEN + name)
             return True
 
-        kept = self.dispatcher.between(write).get()
+        stored = self.dispatcher.between(write).get()
         current = self.store.current
-        if kept and current is not None and self._copied({current.book}):
+        if stored and current is not None and self._copied({current.partition}):
             self.act(self.moves.written(name, monotonic_time()))
         else:
             self._answer(name, False)
@@ -526,7 +529,7 @@
                 self.store.mark(number, sequence, "")
             soon = self.clock.now() + LATE
             # Danger: the giver may have answered what was about to end while the decree was not known.
-            late = [number for number in numbers if self.store.kept[number].deadline <= soon]
+            late = [number for number in numbers if self.store.messages[number].deadline <= soon]
             self.dispatcher.answer_late(late)
             # Danger: an attempt of before the move may still run, of a message that has ended, too; then all keys rest.
             quietly = offer is not None and not offer[0].rest
@@ -606,7 +609,10 @@
             self.act(self.moves.answered(ask, answer, now))
 
     def _tell(self, act: MigrationStep) -> None:
-        """The decree to one member, or to all; where the one knows nothing of an active side, its book is another's."""
+        """The decree to one member, or to all.
+
+        Where the one knows nothing of an active side, its partition is another's.
+        """
         assert act.value is not None
         others = [name for name in self.node.halls if name != self.name]
         for name in [act.to] if act.to in others else others:
@@ -627,10 +633,10 @@
         self.act(self.moves.settled(act.move, value, answer.active, monotonic_time()))
         return answer.active
 
-    # ---- marks of before, and books that change hands ----
+    # ---- marks of before, and partitions that change hands ----
 
     def _look_at_marks(self, now: int) -> None:
-        gone = [number for number in self.store.inert if number not in self.store.kept]
+        gone = [number for number in self.store.inert if number not in self.store.messages]
         for number in gone:
             del self.store.inert[number]
         sides: dict[str, list[int]] = {}
@@ -641,18 +647,20 @@
             move = self.moves.moves.get(name)
             if move is not None and (move.giving if giving else move.taking) is not None:
                 continue
-            books = {number >> 32 for number in numbers}
-            if not all(book in self.store.holdings and self.store.holdings[book].serving for book in books):
+            partitions = {number >> 32 for number in numbers}
+            if not all(
+                partition in self.store.holdings and self.store.holdings[partition].serving for partition in partitions
+            ):
                 continue
-            if not giving and not self.store.copied(books)():
+            if not giving and not self.store.copied(partitions)():
                 continue
             logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
-            self.act(self.moves.found(name, self.store.kept[numbers[0]].turn, giving, now))
+            self.act(self.moves.found(name, self.store.messages[numbers[0]].turn, giving, now))
         for name, move in list(self.moves.moves.items()):
             for giving, side, text in ((True, move.giving, GIVEN), (False, move.taking, TAKEN)):
                 open_side = side in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
                 if open_side and name not in self.sequences and text + name not in sides:
-                    self.moves.lost(name, giving)  # found before, and its book is another's by now
+                    self.moves.lost(name, giving)  # found before, and its partition is another's by now
         if now - self.limits_at >= LOOK_LATE:
             self.limits_at = now
             self._answer_late()
@@ -660,15 +668,15 @@
     def _answer_late(self) -> None:
         soon = self.clock.now() + LATE
         for number, (_, text) in list(self.store.inert.items()):
-            kept, holding = self.store.kept.get(number), self.store.holdings.get(number >> 32)
-            if kept is None or kept.end is not None or kept.deadline > soon or holding is None:
+            stored, holding = self.store.messages.get(number), self.store.holdings.get(number >> 32)
+            if stored is None or stored.end is not None or stored.deadline > soon or holding is None:
                 continue
             if holding.serving and self.moves.near_limit(text[1:]) == "failed" and text[:1] == GIVEN:
                 self.counters.add("messages on the move that were answered by their limit")
                 self.dispatcher.answer_late([number])
 
 
-# ---- from and to letters ----
+# ---- from and to peer messages ----
 
 
 def ballot_of(vote: BallotNumber) -> Ballot:
