--- /dev/null
+++ b/cedarwick/decisions/recovery.py
@@ -0,0 +1,53 @@
+"""Ejection of receivers that fail, the canaries that look for their return, and the ramp after it."""
+
+from cedarwick.decisions.interface import float_setting
+from cedarwick.decisions.sender_state import PART, SenderState
+from cedarwick.decisions.state import SECOND, Receiver
+
+CHANCE = 2  # calls more than a cold destination bears within `rules.fall-ms`
+CANARY_SOONEST = 800_000  # between two canaries of this sender to one destination, where it is large
+CANARY_AGE = 2.5  # gaps between canaries grow to this multiple of the outage's age where senders are many
+CANARY_LATEST = 6 * SECOND  # and where it is small or the senders are many
+RAMP_PART = 0.8  # of what the fail-back rule allows
+
+
+class Recovery(SenderState):
+    """Takes receivers out of service and says how soon and how fast they are tried again."""
+
+    def _out(self, now: int, receiver: Receiver, provable: bool) -> None:
+        receiver.out_since = receiver.out_since or now
+        receiver.failed, receiver.provable, receiver.back_at = True, provable, 0
+        receiver.canary_at = self._next_canary(now, receiver)
+        # Danger: idle connections to a dead machine swallow attempts; a new one fails and so proves it.
+        self.verdicts.released_connections.append(receiver.id)
+
+    def _out_with(self, now: int, receiver: Receiver) -> None:
+        """Danger: an outage mostly takes all receivers of a destination. Each of many senders would try them
+        in turn, knowing of it, and all together push over what returns."""
+        mates = self._mates(self.destinations[receiver.destination], receiver.pace)
+        if self.many and sum(mate.out_since > 0 for mate in mates) > 1:
+            for mate in mates:
+                if not mate.out_since and self._stale(now, mate):
+                    self._out(now, mate, receiver.provable)
+
+    def _next_canary(self, now: int, receiver: Receiver) -> int:
+        """Danger: the canaries of many senders add up and push over what comes back; gaps grow with age."""
+        # Nothing weighs on what takes no connection, until the moment of its return: then all of many do.
+        dead = receiver.provable and not receiver.fulls and not self.many
+        aged = round((now - receiver.out_since) * (0.0 if dead else CANARY_AGE))
+        gap = max(CANARY_SOONEST, round(SECOND / self._returning_rate(receiver, 0)))
+        gap = min(gap, max(CANARY_LATEST * (1 + self.many), aged))
+        receiver.pace.canary_at = max(receiver.pace.canary_at, now + gap * 3 // 4)
+        borne = self._returning_rate(receiver, 0) * self.senders * self.fall_time / SECOND
+        if (self.many or self.senders > borne + CHANCE) and receiver.pace.wait_until > now:
+            # Danger: all were told the same end of the wait and would come back in the same instant.
+            return receiver.pace.wait_until + self.chance.below(gap)
+        return now + gap * 3 // 4 + self.chance.below(gap // 2)
+
+    def _returning_rate(self, receiver: Receiver, since: int) -> float:
+        """Calls a second that this sender may send so long after the receiver's return."""
+        cold = float_setting(self.settings, "rules.cold-share", 0.25)
+        share = cold + (1 - cold) * min(1.0, since / self.ramp_time)
+        managed = max(receiver.managed, receiver.pace.limit * PART / self.senders)
+        share *= RAMP_PART * float_setting(self.settings, "rules.fall-multiple", 1.5)
+        return max(self.slowest, share * managed)
--- /dev/null
+++ b/cedarwick/decisions/selection.py
@@ -0,0 +1,107 @@
+"""Which receiver an attempt goes to: who has room, by what weight they take turns, and how long it may take."""
+
+from cedarwick.decisions.health import HealthTracking
+from cedarwick.decisions.rate_control import GATHER
+from cedarwick.decisions.sender_state import SPAN
+from cedarwick.decisions.state import NEVER, SECOND, Message, Receiver, record_recent
+
+IDLE_DROP = 60 * SECOND
+FIRST_CALLS = 2  # calls out at a destination from which nothing has been completed yet
+WARMING_UP_BATCH = 4  # messages in one call during a ramp, and from a refusal to the next completion
+
+
+class Selection(HealthTracking):
+    """Chooses receivers and accounts for the attempts that go to them."""
+
+    def _with_room(
+        self, now: int, message: Message, members: list[Receiver]
+    ) -> tuple[list[tuple[Receiver, float]], int]:
+        """Who takes turns now, by weight (a canary alone), and the time at which one has or may have room."""
+        open_now: list[tuple[Receiver, float]] = []
+        canary: list[tuple[Receiver, float]] = []
+        soonest = NEVER
+        for member in members:
+            if not member.out_since and self._silent(now, member):
+                # Danger: a hanging destination fills the slots with calls that nobody answers.
+                member.out_since, member.provable = now, False
+                member.canary_at = self._next_canary(now, member)
+            if member.out_since:
+                room_at = self._canary_room(now, message, member)
+                if room_at <= now:
+                    canary = canary or [(member, 0.0)]
+            else:
+                room_at = self._room(now, member)
+                if room_at <= now:
+                    open_now.append((member, self._weight(now, member)))
+            soonest = min(soonest, room_at)
+        return canary or open_now, soonest
+
+    def _weight(self, now: int, receiver: Receiver) -> float:
+        """A receiver's share of the turns: what it has been seen to manage, less what it costs."""
+        success = (sum(receiver.recent) + 1) / (len(receiver.recent) + 1)
+        pace = SECOND / (receiver.mean or SECOND / 2)
+        fee = float(self.fees.get(receiver.zone, 0.0)) if receiver.kind in self.apart else 0.0
+        fee += self.far_fee if receiver.zone != self.locality else 0.0
+        return float(pace * success * 2.0 ** -self._distrust(now, receiver) / (1 + fee * 50))
+
+    def _joins(self, now: int, receiver: Receiver) -> bool:
+        """An attempt of this round to the same receiver shares a call that is not full."""
+        joined = receiver.calls.get(now, 0) % self._batch(receiver)
+        # Danger: a full call weighs as several and would push over a route that is still cold.
+        return 0 < joined < (WARMING_UP_BATCH if receiver.back_at or receiver.fulls else NEVER)
+
+    def _room(self, now: int, receiver: Receiver) -> int:
+        pace = receiver.pace
+        if pace.wait_until > now:
+            return pace.wait_until
+        if self._joins(now, receiver):
+            return now
+        # Danger: a restarted sender has forgotten its pace and would hit a throttled destination full on.
+        if pace.calls_out >= max(FIRST_CALLS, self.slots // 3 if pace.proven else 0):
+            return now + SECOND
+        if pace.sends and now - pace.sends[-1] > IDLE_DROP and not pace.limit:
+            pace.rate, pace.reference = None, 0.0
+        room_at = now
+        if pace.rate is not None:
+            room_at = now + pace.bucket.fill(now, pace.rate, max(1.0, pace.rate))
+            pace.short |= room_at > now
+        # Danger: half of many senders take the return for earlier than it was, and would let go early.
+        if now >= max(receiver.warm_at, receiver.back_at + self.ramp_time):
+            receiver.back_at = 0
+        if receiver.back_at:
+            rate = self._returning_rate(receiver, now - receiver.back_at)
+            room_at = max(room_at, now + receiver.ramp.fill(now, rate, 1.0))
+        return room_at
+
+    def _canary_room(self, now: int, message: Message, receiver: Receiver) -> int:
+        # An at-most-once canary could be lost without a second try.
+        lost = message.priority_class.at_most_once and not receiver.provable
+        soonest = max(now, receiver.canary_at, receiver.pace.canary_at, receiver.pace.wait_until)
+        return NEVER if receiver.canary_out or lost else soonest
+
+    def _spend(self, now: int, receiver: Receiver, joins: bool) -> None:
+        receiver.attempt_sent(now, joins)
+        if receiver.out_since:
+            receiver.canary_out = True
+            receiver.canary_at = self._next_canary(now, receiver)
+        if not joins:
+            self.calls_out += 1
+            record_recent(receiver.pace.sends, now, SPAN, GATHER + 1)
+
+    def _patience(self, now: int, message: Message, receiver: Receiver) -> int:
+        """How long an attempt may take. Danger: a dead destination holds all slots, a window closes unused."""
+        left = message.deadline - now - 2 * self.tick
+        usual = receiver.mean + 4 * receiver.stray if receiver.mean else 2 * SECOND
+        soon = max(SECOND, round(2 * usual)) << min(message.attempts - 1, 4)
+        crowded = 2 * self.calls_out >= self.slots
+        if message.priority_class.at_most_once or message.priority_class.idempotent:
+            return min(left, soon if message.priority_class.idempotent else 3 * soon if crowded else NEVER)
+        window = (
+            message.priority_class.window
+            if not message.ran_at
+            else message.ran_at + message.priority_class.window - now
+        )
+        patience = min(window - SECOND // 2, soon if receiver.out_since or crowded else 2 * soon)
+        # Danger: in a short window a hang would hold its slot to the end, and never be repeated.
+        enough = patience >= min(SECOND, usual)
+        return min(left, patience) if enough and message.attempts < self.most_attempts else left
--- /dev/null
+++ b/cedarwick/decisions/sender_state.py
@@ -0,0 +1,105 @@
+"""What one sender keeps: its settings, receivers, destinations and held messages, with the steps all parts share."""
+
+from collections.abc import Mapping
+
+from cedarwick.decisions.interface import Decisions, duration_setting, float_setting, list_setting
+from cedarwick.decisions.state import (
+    NEVER,
+    SECOND,
+    Destination,
+    KeyOrder,
+    Message,
+    RandomSource,
+    RateControl,
+    Receiver,
+    TokenBucket,
+    WakeSchedule,
+)
+
+SPAN = 2 * SECOND  # the share of refusals is measured over this
+MANY = 16  # where senders are more, each sees too few outcomes of a receiver to gather them
+STALE = 5 * SECOND  # completions older than this say little of a receiver's health
+WINDOW_BASE = SECOND // 2
+LIST_WAIT = 4 * SECOND  # and the longest: with 1 s for a call that hangs, news comes before it counts as told
+LONGEST_WAIT = 3600 * SECOND  # a longer Retry-After wait is looked into after this; no deadline comes near it
+TRICKLE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
+LINK_PART = 0.9  # of the time after which a receiver closes an idle link: an attempt must not cross its close
+PART = 0.6  # of this sender's even part of a listed rate, which may be listed too high
+
+
+class SenderState:
+    """The settings and records of one sender; every other part of `Sender` derives from it."""
+
+    def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None:
+        self.settings = settings
+        self.chance = RandomSource(seed)
+        self.senders = max(1, int(float_setting(settings, "balancers", 1)))
+        self.many = self.senders > MANY
+        self.slowest = TRICKLE / self.senders
+        self.tick = max(1000, duration_setting(settings, "resolution-ms", 5.0))
+        self.slots = int(float_setting(settings, "family-info.max-calls", 1 << 30))
+        self.most_attempts = int(float_setting(settings, "policy-limits.most-tries", 1 << 30))
+        self.most_open = int(float_setting(settings, "policy-limits.max-open", 1 << 30))
+        self.per_call = [int(part) for part in list_setting(settings, "family-info.per-call")]
+        self.ramp_time = max(SECOND, duration_setting(settings, "rules.ramp-time-ms", 10_000))
+        self.fall_time = duration_setting(settings, "rules.fall-ms")
+        # Danger: a single call counts as one in this time; with each of many senders that is mostly chance.
+        self.seen_over = 2 * SPAN * (1 + self.many)
+        self.locality = int(float_setting(settings, "locality"))
+        self.far_fee = float_setting(settings, "tariffs.cross-zone")
+        self.apart = {n for n, part in enumerate(list_setting(settings, "family-info.kind-apart")) if part == "true"}
+        self.columns = list_setting(settings, "report.columns")
+        self.fees = dict(enumerate(list_setting(settings, "family-info.fee-by-zone")))
+        self.links_last = duration_setting(settings, "policy-limits.conn-idle-ms", 15_000)
+        self.connection_lifetime = round(self.links_last * LINK_PART)
+        self.receivers: dict[int, Receiver] = {}
+        self.destinations: dict[int, Destination] = {}
+        self.turns = KeyOrder()
+        self.shares: dict[int, TokenBucket] = {}  # what a tenant has left of its share
+        self.started = now
+        self.open = 0
+        self.room = NEVER  # messages that may still be kept, as the protocol tells
+        self.taken = 0
+        self.calls_out = 0
+        self.changed: set[int] = set()  # destinations that need a look in this round
+        self.stale_links = 0.0  # how often a call on a kept link broke of late
+        self.unlinked: dict[int, float] = {}  # by kind: how often one failed just before a completion
+        self.idle: set[int] = set()  # receivers at which a call has ended in this round
+        self.starved: set[int] = set()  # destinations that found no slot free
+        self.looks = WakeSchedule()
+        self.subscribe_at = now if settings.get("discovery") == "ask" else NEVER
+        self.asked_at, self.asked_in_vain = now, 0  # for the list: when last, how often of late
+        self.max_poll_backoff = (
+            duration_setting(settings, "rules.ask-within-ms") or LIST_WAIT
+        )  # on sockets no longer than that
+        self.verdicts = Decisions()
+
+    def hold(self, now: int, message: Message) -> None:
+        self._destination(message.destination).held.append(message)
+        self.changed.add(message.destination)
+        message.look_at = message.rank_until = 0
+
+    def close(self, now: int, message: Message) -> None:
+        """The message has ended and none of its attempts is out: let its key go on."""
+        message.ended = True
+        self.open -= 1
+        self.changed.add(message.destination)
+        if message.priority_class.ordered and message.key:
+            # Danger: the attempt that timed out may still run and be overtaken by the next of its key.
+            rest = (message.doubtful_at or -NEVER) + duration_setting(self.settings, "rules.turn-gap-ms")
+            after = self.turns.leave(message.key, message, now, rest)
+            self.changed.update(each.destination for each in after)  # its next one may wait at another
+
+    def _destination(self, place: int) -> Destination:
+        if place not in self.destinations:
+            self.destinations[place] = Destination(place, RateControl())
+        return self.destinations[place]
+
+    def _mates(self, place: Destination, pace: RateControl) -> list[Receiver]:
+        return [self.receivers[mate] for mate in place.members if self.receivers[mate].pace is pace]
+
+    def _batch(self, receiver: Receiver) -> int:
+        return self.per_call[receiver.kind] if receiver.kind < len(self.per_call) else 1
+
+    def _stale(self, now: int, receiver: Receiver) -> bool:
+        return not receiver.completions or receiver.completions[-1] < now - STALE
--- a/cedarwick/decisions/state.py
+++ b/cedarwick/decisions/state.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 NEVER = 1 << 62  # later than any time
+SECOND = 1_000_000  # microseconds, the unit of every time and duration here
 
 
 class RandomSource:
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from cedarwick.decisions.interface import EndpointState, duration_setting
-from cedarwick.decisions.policy import LIST_WAIT
+from cedarwick.decisions.sender_state import LIST_WAIT
 from cedarwick.errors import CedarwickError
 from cedarwick.net.assignment import Assignment, AssignmentError, read
 from cedarwick.net.attempts import AttemptRunner
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -37,7 +37,7 @@
     def listed(self: policy.Sender, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
         honest(self, now, EndpointUpdate.DELTA, [each._replace(phase=EndpointState.READY) for each in listings])
 
-    policy.Sender.listed = listed  # type: ignore[method-assign]
+    policy.Sender.listed = listed  # type: ignore[assignment, method-assign]
 
 
 def loses_messages() -> None:
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -14,7 +14,9 @@
 import gevent
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate
-from cedarwick.decisions.policy import LIST_WAIT, SECOND, Sender
+from cedarwick.decisions.policy import Sender
+from cedarwick.decisions.sender_state import LIST_WAIT
+from cedarwick.decisions.state import SECOND
 from cedarwick.net import endpoint_list as module
 from tests.build import NESTED, NOW, SETTINGS, Program, Receiver, free_port, line_of, reply, submit, until
 from tests.test_endpoint_list import HEAD, Watched, chunk
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,7 +11,9 @@
     Outcome,
     UnfinishedMessage,
 )
-from cedarwick.decisions.policy import SPAN, STEP_EVERY, WINDOW_BASE, Sender
+from cedarwick.decisions.policy import Sender
+from cedarwick.decisions.rate_control import STEP_EVERY
+from cedarwick.decisions.sender_state import SPAN, WINDOW_BASE
 from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, end, out, sender, take
 
 
