--- a/cedarwick/decisions/endpoint_updates.py
+++ b/cedarwick/decisions/endpoint_updates.py
@@ -3,14 +3,14 @@
 from collections import deque
 from collections.abc import Sequence
 
-from cedarwick.decisions.health import FEW
+from cedarwick.decisions.health import JUDGED_OUTCOMES
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
 from cedarwick.decisions.rate_control import RateAdjustment
-from cedarwick.decisions.sender_state import LIST_WAIT, LONGEST_WAIT, WINDOW_BASE
+from cedarwick.decisions.sender_state import BACKOFF_BASE, LIST_WAIT, MAX_RETRY_AFTER
 from cedarwick.decisions.state import SECOND, RateControl, Receiver, TokenBucket
 
-LIST_GAP = SECOND // 4  # of a window for the next call for the list, for each sender
-FORGET = 20 * SECOND  # after a receiver has left the list; its outage is told to a replacement until then
+LIST_POLL_GAP = SECOND // 4  # of a window for the next call for the list, for each sender
+FORGET_AFTER = 20 * SECOND  # after a receiver has left the list; its outage is told to a replacement until then
 
 
 class EndpointUpdates(RateAdjustment):
@@ -24,9 +24,14 @@
         for listing in listings:
             place = self._destination(listing.destination)
             if listing.receiver not in self.receivers:
-                pace = RateControl() if listing.kind in self.apart else place.pace
+                pace = RateControl() if listing.kind in self.separate_kinds else place.pace
                 new = Receiver(
-                    listing.receiver, listing.zone, listing.kind, listing.destination, pace, recent=deque(maxlen=FEW)
+                    listing.receiver,
+                    listing.zone,
+                    listing.kind,
+                    listing.destination,
+                    pace,
+                    recent_successes=deque(maxlen=JUDGED_OUTCOMES),
                 )
                 self.receivers[new.id] = new
                 mates = self._mates(place, pace)
@@ -50,21 +55,21 @@
         for record in list(self.receivers.values()):
             record.left_at = 0 if record.ready else record.left_at or now
             # Danger: one that comes back before its Retry-After wait is over is still to be spared.
-            kept = record.calls or record.pace.wait_until > now
-            if record.left_at and now - record.left_at > FORGET and not kept:
+            still_needed = record.calls or record.pace.wait_until > now
+            if record.left_at and now - record.left_at > FORGET_AFTER and not still_needed:
                 self.destinations[record.destination].members.remove(record.id)
                 del self.receivers[record.id]
 
     def list_poll_failed(self, now: int) -> None:
         """Danger: all senders lose the list at once; a call that discovery turns away has cost it work too,
         and as long as all together ask faster than it answers, it answers nobody."""
-        recent = now - self.asked_at < self.max_poll_backoff
-        self.asked_in_vain = min(self.asked_in_vain, 16) if recent else 0
-        window = max(WINDOW_BASE << self.asked_in_vain, self.senders * LIST_GAP)
+        recent = now - self.polled_at < self.max_poll_backoff
+        self.failed_polls = min(self.failed_polls, 16) if recent else 0
+        window = max(BACKOFF_BASE << self.failed_polls, self.senders * LIST_POLL_GAP)
         # Danger: in a window that is cut short more come than are answered; so its lower half is left out.
         least = min(LIST_WAIT, self.max_poll_backoff) // 2 if window > self.max_poll_backoff else 0
         self.subscribe_at = now + 1 + least + self.chance.below(max(1, min(self.max_poll_backoff, window) - least))
-        self.asked_in_vain += 1
+        self.failed_polls += 1
 
     def retry_after_waits(self, now: int) -> list[tuple[int, int]]:
         """Receivers whose Retry-After wait is not over, and its end: for a process that replaces this one."""
@@ -74,5 +79,5 @@
         """A wait told ahead of its attempt's ending, or after it, or to the process that this one replaces."""
         if receiver in self.receivers and until > now:
             known = self.receivers[receiver]
-            known.pace.wait_until = max(known.pace.wait_until, min(until, now + LONGEST_WAIT))
+            known.pace.wait_until = max(known.pace.wait_until, min(until, now + MAX_RETRY_AFTER))
             self.changed.add(known.destination)
--- a/cedarwick/decisions/health.py
+++ b/cedarwick/decisions/health.py
@@ -4,16 +4,16 @@
 from collections.abc import Sequence
 
 from cedarwick.decisions.interface import Outcome
-from cedarwick.decisions.rate_control import ROOM, RateAdjustment
+from cedarwick.decisions.rate_control import LIMIT_HAS_ROOM, RateAdjustment
 from cedarwick.decisions.recovery import Recovery
-from cedarwick.decisions.sender_state import LONGEST_WAIT, SPAN, STALE
+from cedarwick.decisions.sender_state import COMPLETIONS_STALE_AFTER, MAX_RETRY_AFTER, REFUSAL_WINDOW
 from cedarwick.decisions.state import SECOND, Message, Receiver, TokenBucket, record_recent
 
-FEW = 8  # outcomes that judge a receiver
-TRUST_HALVES = 5 * SECOND  # distrust fades by half in this time
-SILENCE = SECOND  # no answer for this long, and longer than usual, counts as silence
+JUDGED_OUTCOMES = 8  # outcomes that judge a receiver
+FAILURE_SCORE_HALF_LIFE = 5 * SECOND  # distrust fades by half in this time
+MIN_SILENCE = SECOND  # no answer for this long, and longer than usual, counts as silence
 SHUT_AFTER = 2_500_000  # fulls alone for longer than any limit's span of a second or two: it is shut
-SHUT_FULLS = 6  # and so many at least: at a crowded limit a few in a row are others' doing
+SHUT_THROTTLES = 6  # and so many at least: at a crowded limit a few in a row are others' doing
 
 
 class HealthTracking(RateAdjustment, Recovery):
@@ -39,63 +39,70 @@
         receiver.canary_out = False
         if outcome in (Outcome.MOOT, Outcome.CANCELLED):
             return
-        told = dict(zip(self.columns, report, strict=False))
-        if told.get("x1", 0.0) > 0:
-            self._list_rate(pace, told["x1"])
-            pace.left = told.get("x0", 0.0)
+        reported = dict(zip(self.columns, report, strict=False))
+        if reported.get("x1", 0.0) > 0:
+            self._list_rate(pace, reported["x1"])
+            pace.left = reported.get("x0", 0.0)
         # Danger: idle links of many senders fill a receiver's table; unlike a dead machine it lets some pass.
         place = self.destinations[receiver.destination]
         if outcome is Outcome.CONNECT_FAILED:
-            place.unlinked_at = now
+            place.connect_failed_at = now
         elif outcome is Outcome.COMPLETED:
-            share = self.unlinked.get(receiver.kind, 0.0)
-            self.unlinked[receiver.kind] = share + ((now - place.unlinked_at < 2 * STALE) - share) / 12
-            place.unlinked_at = 0
+            share = self.connect_failure_shares.get(receiver.kind, 0.0)
+            self.connect_failure_shares[receiver.kind] = (
+                share + ((now - place.connect_failed_at < 2 * COMPLETIONS_STALE_AFTER) - share) / 12
+            )
+            place.connect_failed_at = 0
         if outcome is not Outcome.TIME_OUT:
             receiver.answered_at = now
         if outcome is Outcome.COMPLETED:
             self._completed(now, message, receiver, took)
         elif outcome is Outcome.FULL:
-            pace.wait_until = max(pace.wait_until, now + min(retry_after, LONGEST_WAIT))
-            receiver.fulls += 1
-            receiver.full_since = receiver.full_since or now
+            pace.wait_until = max(pace.wait_until, now + min(retry_after, MAX_RETRY_AFTER))
+            receiver.consecutive_throttles += 1
+            receiver.throttled_since = receiver.throttled_since or now
             # Danger: what is shut tells a long wait or refuses everything; all push it as it opens, cold.
             sparse = self.many and self._stale(now, receiver)
-            shut = receiver.fulls >= SHUT_FULLS // (1 + sparse) and now - receiver.full_since > SHUT_AFTER
-            shut |= sparse and told.get("x0", 0.0) > ROOM  # it has room, so its queue is full: it hangs
+            shut = (
+                receiver.consecutive_throttles >= SHUT_THROTTLES // (1 + sparse)
+                and now - receiver.throttled_since > SHUT_AFTER
+            )
+            shut |= sparse and reported.get("x0", 0.0) > LIMIT_HAS_ROOM  # it has room, so its queue is full: it hangs
             mates = self._mates(place, pace) if retry_after > SHUT_AFTER else [receiver]
             for mate in mates if retry_after > SHUT_AFTER or receiver.out_since or shut else []:
                 self._out(now, mate, provable=True)
             if not receiver.out_since:
-                self._throttle(now, pace, receiver.fulls > 1)
+                self._throttle(now, pace, receiver.consecutive_throttles > 1)
         else:
-            receiver.recent.append(False)
-            receiver.distrust = self._distrust(now, receiver) + 1
-            receiver.distrust_at = now
+            receiver.recent_successes.append(False)
+            receiver.failure_score = self._current_failure_score(now, receiver) + 1
+            receiver.failure_score_at = now
             # Danger: one lost call among good ones is no outage; a ramp after each would cost more.
-            judged = list(receiver.recent)
-            ill = (
+            outcomes = list(receiver.recent_successes)
+            failing = (
                 outcome is Outcome.CONNECT_FAILED
-                and len(judged) > 1
-                and not any(judged[-2:])
+                and len(outcomes) > 1
+                and not any(outcomes[-2:])
                 and receiver.completed_sent_at < message.sent_at
             )
-            if receiver.back_at and sum(judged) * 3 <= len(judged) * 2:
+            if receiver.back_at and sum(outcomes) * 3 <= len(outcomes) * 2:
                 receiver.back_at = now  # Danger: some calls pass in an outage, and a ramp would run on in it
             # Danger: at a few calls a minute outcomes never gather, and each message spends its attempts alone.
-            ill = ill or self.many and self._stale(message.sent_at, receiver)
-            if ill or receiver.out_since or (len(judged) >= 3 and sum(judged) * 5 <= len(judged) * 2):
+            failing = failing or self.many and self._stale(message.sent_at, receiver)
+            if failing or receiver.out_since or (len(outcomes) >= 3 and sum(outcomes) * 5 <= len(outcomes) * 2):
                 self._out(now, receiver, provable=outcome is Outcome.CONNECT_FAILED)
                 self._out_with(now, receiver)
 
     def _completed(self, now: int, message: Message, receiver: Receiver, took: int) -> None:
         pace = receiver.pace
-        record_recent(pace.answers, now, SPAN)
+        record_recent(pace.answers, now, REFUSAL_WINDOW)
         pace.proven = True
-        receiver.recent.append(True)
-        receiver.fulls = receiver.full_since = 0
-        stray = abs(took - receiver.mean) if receiver.mean else took / 2
-        receiver.stray += (stray - receiver.stray) / (4 if receiver.stray else 1)
+        receiver.recent_successes.append(True)
+        receiver.consecutive_throttles = receiver.throttled_since = 0
+        deviation = abs(took - receiver.mean) if receiver.mean else took / 2
+        receiver.latency_deviation += (deviation - receiver.latency_deviation) / (
+            4 if receiver.latency_deviation else 1
+        )
         receiver.mean += (took - receiver.mean) / (8 if receiver.mean else 1)
         if receiver.out_since:
             # Danger: a destination that returns cold falls over under its old traffic.
@@ -105,19 +112,21 @@
                 receiver.back_at, receiver.warm_at = now - looked // 2, now + self.ramp_time
                 receiver.ramp = TokenBucket(0.0, now)
                 if pace.rate is not None:  # its refusals while it was shut say nothing of its limit
-                    pace.rate = max(pace.rate, receiver.managed, pace.reference)
+                    pace.rate = max(pace.rate, receiver.observed_rate, pace.reference)
             receiver.out_since, receiver.failed = 0, False
-            receiver.recent = deque([True], FEW)
+            receiver.recent_successes = deque([True], JUDGED_OUTCOMES)
         if receiver.completed_sent_at != message.sent_at:  # the attempts of one call count once
-            record_recent(receiver.completions, now, self.seen_over)
+            record_recent(receiver.completions, now, self.observation_window)
         receiver.completed_sent_at = max(receiver.completed_sent_at, message.sent_at)
-        receiver.managed = max(receiver.managed * 0.98, len(receiver.completions) * SECOND / self.seen_over)
+        receiver.observed_rate = max(
+            receiver.observed_rate * 0.98, len(receiver.completions) * SECOND / self.observation_window
+        )
         self._raise_rate(now, pace)
 
-    def _distrust(self, now: int, receiver: Receiver) -> float:
-        return float(receiver.distrust * 2.0 ** (-(now - receiver.distrust_at) / TRUST_HALVES))
+    def _current_failure_score(self, now: int, receiver: Receiver) -> float:
+        return float(receiver.failure_score * 2.0 ** (-(now - receiver.failure_score_at) / FAILURE_SCORE_HALF_LIFE))
 
     def _silent(self, now: int, receiver: Receiver) -> bool:
         since = max(next(iter(receiver.calls), now), receiver.answered_at)
-        usual = 2 * receiver.mean + 4 * receiver.stray if receiver.mean else 2 * SECOND
-        return len(receiver.calls) > 1 and now - since > max(SILENCE, usual)  # one lost call says too little
+        usual = 2 * receiver.mean + 4 * receiver.latency_deviation if receiver.mean else 2 * SECOND
+        return len(receiver.calls) > 1 and now - since > max(MIN_SILENCE, usual)  # one lost call says too little
--- a/cedarwick/decisions/load_shedding.py
+++ b/cedarwick/decisions/load_shedding.py
@@ -13,7 +13,7 @@
         allowance = float_setting(self.settings, f"realms.{tenant}.allowance-per-s") / self.senders
         if allowance <= 0:
             return False
-        unused = self.shares.setdefault(tenant, TokenBucket(allowance * 2, now))
+        unused = self.tenant_allowances.setdefault(tenant, TokenBucket(allowance * 2, now))
         unused.fill(now, allowance, allowance * 2)
         return not unused.take()
 
--- a/cedarwick/decisions/message_handle.py
+++ b/cedarwick/decisions/message_handle.py
@@ -4,11 +4,11 @@
 
 from cedarwick.decisions.health import HealthTracking
 from cedarwick.decisions.interface import Outcome
-from cedarwick.decisions.sender_state import MANY, WINDOW_BASE
+from cedarwick.decisions.sender_state import BACKOFF_BASE, MANY
 from cedarwick.decisions.state import NEVER, SECOND, Message
 
-WINDOW_CAP = 60 * SECOND
-STALE_LINKS = 0.04  # a larger share of kept links that break under a call
+BACKOFF_CAP = 60 * SECOND
+BROKEN_REUSE_LIMIT = 0.04  # a larger share of kept links that break under a call
 
 
 class Handle(Message):
@@ -36,7 +36,7 @@
         self.out = False
         record = sender.receivers[receiver]
         stale = reused_connection and outcome is Outcome.RESET
-        sender.stale_links += (stale - sender.stale_links) / MANY if reused_connection else 0.0
+        sender.broken_reuse_share += (stale - sender.broken_reuse_share) / MANY if reused_connection else 0.0
         sender.learn(now, self, record, Outcome.MOOT if stale else outcome, took, retry_after, report)
         if outcome in (Outcome.TIME_OUT, Outcome.RESET, Outcome.CANCELLED):
             self.doubtful_at = now
@@ -46,7 +46,7 @@
         if last or self.ended or outcome is Outcome.COMPLETED:
             sender.close(now, self)
             return
-        window = min(WINDOW_CAP, WINDOW_BASE << min(self.attempts - 1, 16))
+        window = min(BACKOFF_CAP, BACKOFF_BASE << min(self.attempts - 1, 16))
         # Danger: a receiver closes an idle link and the next call breaks: no evidence, so no backing off.
         wait = retry_after if retry_after and not sender.many else retry_after + sender.chance.below(window)
         self.due = now + (1 if outcome is Outcome.MOOT or stale else wait)
@@ -72,7 +72,7 @@
 
     def needs_new_connection(self) -> bool:
         """Danger: an at-most-once message is lost when the kept link breaks on which it went."""
-        return self.priority_class.at_most_once and self.sender.stale_links > STALE_LINKS
+        return self.priority_class.at_most_once and self.sender.broken_reuse_share > BROKEN_REUSE_LIMIT
 
     def send_by(self) -> int:
         """Danger: a receiver counts a call from its last byte, and forgets its number in time."""
--- a/cedarwick/decisions/policy.py
+++ b/cedarwick/decisions/policy.py
@@ -16,10 +16,10 @@
 
 __all__ = ["Handle", "Sender", "priority_class_of"]
 
-CANCELLED_CAP = 2  # attempts with an unclassified end
-UNLINKED = 0.05  # a larger share of completions right after a failed connection: tables are full
-RESTED = 300_000  # for so long a key rests that is owed elsewhere, unless it is told again
-LAST_CHANCE = SECOND  # of an message's time a rest for others leaves so much
+MAX_CANCELLED_ATTEMPTS = 2  # attempts with an unclassified end
+CONNECT_FAILURE_LIMIT = 0.05  # a larger share of completions right after a failed connection: tables are full
+KEY_REST = 300_000  # for so long a key rests that is owed elsewhere, unless it is told again
+KEY_REST_RESERVE = SECOND  # of an message's time a rest for others leaves so much
 
 
 def priority_class_of(settings: Mapping[str, str], index: int) -> PriorityClass:
@@ -52,13 +52,13 @@
     def take(
         self, now: int, message_id: int, destination: int, priority_class: int, deadline: int, tenant: int, key: int
     ) -> Handle:
-        kept = self.priority_classes[priority_class]
-        objective_by = deadline - kept.deadline + kept.latency_objective
+        chosen_class = self.priority_classes[priority_class]
+        objective_by = deadline - chosen_class.deadline + chosen_class.latency_objective
         self.taken += 1
-        handle = Handle(message_id, destination, kept, deadline, objective_by, tenant, key, self.taken)
+        handle = Handle(message_id, destination, chosen_class, deadline, objective_by, tenant, key, self.taken)
         handle.sender = self
         handle.over_share = self._over_share(now, tenant)
-        if kept.ordered and key:
+        if chosen_class.ordered and key:
             self.turns.join(key, handle)
         self.open += 1
         self.hold(now, handle)
@@ -84,7 +84,7 @@
         line = self.turns.lines.get(key) or ()
         if line:
             # Danger: what the other has may never end; the last of the first one's time is its own.
-            self.turns.rest(key, min(now + RESTED, line[0].deadline - LAST_CHANCE))
+            self.turns.rest(key, min(now + KEY_REST, line[0].deadline - KEY_REST_RESERVE))
         return [each for each in line if not each.attempts]
 
     def decide(self, now: int) -> Decisions:
@@ -115,13 +115,13 @@
             self.looks.plan(place.id, max(next_look.get(place.id, NEVER), now + self.tick))
         for each in sorted(self.idle & self.receivers.keys()):
             record = self.receivers[each]
-            crowded = self.unlinked.get(record.kind, 0.0) > UNLINKED
-            if not record.calls and (crowded or self.many and record.gap > self.links_last):
+            crowded = self.connect_failure_shares.get(record.kind, 0.0) > CONNECT_FAILURE_LIMIT
+            if not record.calls and (crowded or self.many and record.gap > self.connection_idle_limit):
                 self.verdicts.released_connections.append(each)
         self.idle.clear()
         verdicts, self.verdicts = self.verdicts, Decisions()
         if now >= self.subscribe_at:
-            verdicts.subscribe, self.subscribe_at, self.asked_at = True, NEVER, now
+            verdicts.subscribe, self.subscribe_at, self.polled_at = True, NEVER, now
         wake_at = min(self.looks.soonest(), self.subscribe_at, now + self.tick if self.changed else NEVER)
         verdicts.wake_at = wake_at if wake_at < NEVER else None
         return verdicts
@@ -136,7 +136,7 @@
         # Terminal: out of attempts, or a further one could take effect twice, or cannot finish in time.
         if (
             message.attempts >= self.most_attempts
-            or message.cancelled >= CANCELLED_CAP
+            or message.cancelled >= MAX_CANCELLED_ATTEMPTS
             or (priority_class.at_most_once and message.ran_at)
             or start > last_start
         ):
--- a/cedarwick/decisions/recovery.py
+++ b/cedarwick/decisions/recovery.py
@@ -1,14 +1,14 @@
 """Ejection of receivers that fail, the canaries that look for their return, and the ramp after it."""
 
 from cedarwick.decisions.interface import float_setting
-from cedarwick.decisions.sender_state import PART, SenderState
+from cedarwick.decisions.sender_state import CERTAIN_SHARE, SenderState
 from cedarwick.decisions.state import SECOND, Receiver
 
-CHANCE = 2  # calls more than a cold destination bears within `rules.fall-ms`
-CANARY_SOONEST = 800_000  # between two canaries of this sender to one destination, where it is large
-CANARY_AGE = 2.5  # gaps between canaries grow to this multiple of the outage's age where senders are many
-CANARY_LATEST = 6 * SECOND  # and where it is small or the senders are many
-RAMP_PART = 0.8  # of what the fail-back rule allows
+COLD_CALL_ALLOWANCE = 2  # calls more than a cold destination bears within `rules.fall-ms`
+MIN_CANARY_GAP = 800_000  # between two canaries of this sender to one destination, where it is large
+CANARY_GAP_PER_AGE = 2.5  # gaps between canaries grow to this multiple of the outage's age where senders are many
+MAX_CANARY_GAP = 6 * SECOND  # and where it is small or the senders are many
+RAMP_SAFETY_SHARE = 0.8  # of what the fail-back rule allows
 
 
 class Recovery(SenderState):
@@ -33,21 +33,21 @@
     def _next_canary(self, now: int, receiver: Receiver) -> int:
         """Danger: the canaries of many senders add up and push over what comes back; gaps grow with age."""
         # Nothing weighs on what takes no connection, until the moment of its return: then all of many do.
-        dead = receiver.provable and not receiver.fulls and not self.many
-        aged = round((now - receiver.out_since) * (0.0 if dead else CANARY_AGE))
-        gap = max(CANARY_SOONEST, round(SECOND / self._returning_rate(receiver, 0)))
-        gap = min(gap, max(CANARY_LATEST * (1 + self.many), aged))
+        dead = receiver.provable and not receiver.consecutive_throttles and not self.many
+        aged = round((now - receiver.out_since) * (0.0 if dead else CANARY_GAP_PER_AGE))
+        gap = max(MIN_CANARY_GAP, round(SECOND / self._returning_rate(receiver, 0)))
+        gap = min(gap, max(MAX_CANARY_GAP * (1 + self.many), aged))
         receiver.pace.canary_at = max(receiver.pace.canary_at, now + gap * 3 // 4)
-        borne = self._returning_rate(receiver, 0) * self.senders * self.fall_time / SECOND
-        if (self.many or self.senders > borne + CHANCE) and receiver.pace.wait_until > now:
+        withstood = self._returning_rate(receiver, 0) * self.senders * self.fall_time / SECOND
+        if (self.many or self.senders > withstood + COLD_CALL_ALLOWANCE) and receiver.pace.wait_until > now:
             # Danger: all were told the same end of the wait and would come back in the same instant.
             return receiver.pace.wait_until + self.chance.below(gap)
         return now + gap * 3 // 4 + self.chance.below(gap // 2)
 
     def _returning_rate(self, receiver: Receiver, since: int) -> float:
         """Calls a second that this sender may send so long after the receiver's return."""
-        cold = float_setting(self.settings, "rules.cold-share", 0.25)
-        share = cold + (1 - cold) * min(1.0, since / self.ramp_time)
-        managed = max(receiver.managed, receiver.pace.limit * PART / self.senders)
-        share *= RAMP_PART * float_setting(self.settings, "rules.fall-multiple", 1.5)
-        return max(self.slowest, share * managed)
+        cold_share = float_setting(self.settings, "rules.cold-share", 0.25)
+        share = cold_share + (1 - cold_share) * min(1.0, since / self.ramp_time)
+        observed_rate = max(receiver.observed_rate, receiver.pace.limit * CERTAIN_SHARE / self.senders)
+        share *= RAMP_SAFETY_SHARE * float_setting(self.settings, "rules.fall-multiple", 1.5)
+        return max(self.min_rate, share * observed_rate)
--- a/cedarwick/decisions/selection.py
+++ b/cedarwick/decisions/selection.py
@@ -1,13 +1,13 @@
 """Which receiver an attempt goes to: who has room, by what weight they take turns, and how long it may take."""
 
 from cedarwick.decisions.health import HealthTracking
-from cedarwick.decisions.rate_control import GATHER
-from cedarwick.decisions.sender_state import SPAN
+from cedarwick.decisions.rate_control import MIN_SENDS_FOR_RATE
+from cedarwick.decisions.sender_state import REFUSAL_WINDOW
 from cedarwick.decisions.state import NEVER, SECOND, Message, Receiver, record_recent
 
-IDLE_DROP = 60 * SECOND
-FIRST_CALLS = 2  # calls out at a destination from which nothing has been completed yet
-WARMING_UP_BATCH = 4  # messages in one call during a ramp, and from a refusal to the next completion
+IDLE_RATE_RESET = 60 * SECOND
+UNPROVEN_CALLS = 2  # calls out at a destination from which nothing has been completed yet
+WARM_UP_BATCH = 4  # messages in one call during a ramp, and from a refusal to the next completion
 
 
 class Selection(HealthTracking):
@@ -38,17 +38,17 @@
 
     def _weight(self, now: int, receiver: Receiver) -> float:
         """A receiver's share of the turns: what it has been seen to manage, less what it costs."""
-        success = (sum(receiver.recent) + 1) / (len(receiver.recent) + 1)
+        success = (sum(receiver.recent_successes) + 1) / (len(receiver.recent_successes) + 1)
         pace = SECOND / (receiver.mean or SECOND / 2)
-        fee = float(self.fees.get(receiver.zone, 0.0)) if receiver.kind in self.apart else 0.0
-        fee += self.far_fee if receiver.zone != self.locality else 0.0
-        return float(pace * success * 2.0 ** -self._distrust(now, receiver) / (1 + fee * 50))
+        fee = float(self.fees.get(receiver.zone, 0.0)) if receiver.kind in self.separate_kinds else 0.0
+        fee += self.cross_zone_fee if receiver.zone != self.locality else 0.0
+        return float(pace * success * 2.0 ** -self._current_failure_score(now, receiver) / (1 + fee * 50))
 
     def _joins(self, now: int, receiver: Receiver) -> bool:
         """An attempt of this round to the same receiver shares a call that is not full."""
         joined = receiver.calls.get(now, 0) % self._batch(receiver)
         # Danger: a full call weighs as several and would push over a route that is still cold.
-        return 0 < joined < (WARMING_UP_BATCH if receiver.back_at or receiver.fulls else NEVER)
+        return 0 < joined < (WARM_UP_BATCH if receiver.back_at or receiver.consecutive_throttles else NEVER)
 
     def _room(self, now: int, receiver: Receiver) -> int:
         pace = receiver.pace
@@ -57,14 +57,14 @@
         if self._joins(now, receiver):
             return now
         # Danger: a restarted sender has forgotten its pace and would hit a throttled destination full on.
-        if pace.calls_out >= max(FIRST_CALLS, self.slots // 3 if pace.proven else 0):
+        if pace.calls_out >= max(UNPROVEN_CALLS, self.slots // 3 if pace.proven else 0):
             return now + SECOND
-        if pace.sends and now - pace.sends[-1] > IDLE_DROP and not pace.limit:
+        if pace.sends and now - pace.sends[-1] > IDLE_RATE_RESET and not pace.limit:
             pace.rate, pace.reference = None, 0.0
         room_at = now
         if pace.rate is not None:
             room_at = now + pace.bucket.fill(now, pace.rate, max(1.0, pace.rate))
-            pace.short |= room_at > now
+            pace.tokens_ran_out |= room_at > now
         # Danger: half of many senders take the return for earlier than it was, and would let go early.
         if now >= max(receiver.warm_at, receiver.back_at + self.ramp_time):
             receiver.back_at = 0
@@ -86,12 +86,12 @@
             receiver.canary_at = self._next_canary(now, receiver)
         if not joins:
             self.calls_out += 1
-            record_recent(receiver.pace.sends, now, SPAN, GATHER + 1)
+            record_recent(receiver.pace.sends, now, REFUSAL_WINDOW, MIN_SENDS_FOR_RATE + 1)
 
     def _patience(self, now: int, message: Message, receiver: Receiver) -> int:
         """How long an attempt may take. Danger: a dead destination holds all slots, a window closes unused."""
         left = message.deadline - now - 2 * self.tick
-        usual = receiver.mean + 4 * receiver.stray if receiver.mean else 2 * SECOND
+        usual = receiver.mean + 4 * receiver.latency_deviation if receiver.mean else 2 * SECOND
         soon = max(SECOND, round(2 * usual)) << min(message.attempts - 1, 4)
         crowded = 2 * self.calls_out >= self.slots
         if message.priority_class.at_most_once or message.priority_class.idempotent:
--- a/cedarwick/decisions/sender_state.py
+++ b/cedarwick/decisions/sender_state.py
@@ -16,15 +16,17 @@
     WakeSchedule,
 )
 
-SPAN = 2 * SECOND  # the share of refusals is measured over this
+REFUSAL_WINDOW = 2 * SECOND  # the share of refusals is measured over this
 MANY = 16  # where senders are more, each sees too few outcomes of a receiver to gather them
-STALE = 5 * SECOND  # completions older than this say little of a receiver's health
-WINDOW_BASE = SECOND // 2
+COMPLETIONS_STALE_AFTER = 5 * SECOND  # completions older than this say little of a receiver's health
+BACKOFF_BASE = SECOND // 2
 LIST_WAIT = 4 * SECOND  # and the longest: with 1 s for a call that hangs, news comes before it counts as told
-LONGEST_WAIT = 3600 * SECOND  # a longer Retry-After wait is looked into after this; no deadline comes near it
-TRICKLE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
-LINK_PART = 0.9  # of the time after which a receiver closes an idle link: an attempt must not cross its close
-PART = 0.6  # of this sender's even part of a listed rate, which may be listed too high
+MAX_RETRY_AFTER = 3600 * SECOND  # a longer Retry-After wait is looked into after this; no deadline comes near it
+MIN_TOTAL_RATE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
+IDLE_CONNECTION_SHARE = (
+    0.9  # of the time after which a receiver closes an idle link: an attempt must not cross its close
+)
+CERTAIN_SHARE = 0.6  # of this sender's even part of a listed rate, which may be listed too high
 
 
 class SenderState:
@@ -35,7 +37,7 @@
         self.chance = RandomSource(seed)
         self.senders = max(1, int(float_setting(settings, "balancers", 1)))
         self.many = self.senders > MANY
-        self.slowest = TRICKLE / self.senders
+        self.min_rate = MIN_TOTAL_RATE / self.senders
         self.tick = max(1000, duration_setting(settings, "resolution-ms", 5.0))
         self.slots = int(float_setting(settings, "family-info.max-calls", 1 << 30))
         self.most_attempts = int(float_setting(settings, "policy-limits.most-tries", 1 << 30))
@@ -44,31 +46,33 @@
         self.ramp_time = max(SECOND, duration_setting(settings, "rules.ramp-time-ms", 10_000))
         self.fall_time = duration_setting(settings, "rules.fall-ms")
         # Danger: a single call counts as one in this time; with each of many senders that is mostly chance.
-        self.seen_over = 2 * SPAN * (1 + self.many)
+        self.observation_window = 2 * REFUSAL_WINDOW * (1 + self.many)
         self.locality = int(float_setting(settings, "locality"))
-        self.far_fee = float_setting(settings, "tariffs.cross-zone")
-        self.apart = {n for n, part in enumerate(list_setting(settings, "family-info.kind-apart")) if part == "true"}
+        self.cross_zone_fee = float_setting(settings, "tariffs.cross-zone")
+        self.separate_kinds = {
+            n for n, part in enumerate(list_setting(settings, "family-info.kind-apart")) if part == "true"
+        }
         self.columns = list_setting(settings, "report.columns")
         self.fees = dict(enumerate(list_setting(settings, "family-info.fee-by-zone")))
-        self.links_last = duration_setting(settings, "policy-limits.conn-idle-ms", 15_000)
-        self.connection_lifetime = round(self.links_last * LINK_PART)
+        self.connection_idle_limit = duration_setting(settings, "policy-limits.conn-idle-ms", 15_000)
+        self.connection_lifetime = round(self.connection_idle_limit * IDLE_CONNECTION_SHARE)
         self.receivers: dict[int, Receiver] = {}
         self.destinations: dict[int, Destination] = {}
         self.turns = KeyOrder()
-        self.shares: dict[int, TokenBucket] = {}  # what a tenant has left of its share
+        self.tenant_allowances: dict[int, TokenBucket] = {}  # what a tenant has left of its share
         self.started = now
         self.open = 0
         self.room = NEVER  # messages that may still be kept, as the protocol tells
         self.taken = 0
         self.calls_out = 0
         self.changed: set[int] = set()  # destinations that need a look in this round
-        self.stale_links = 0.0  # how often a call on a kept link broke of late
-        self.unlinked: dict[int, float] = {}  # by kind: how often one failed just before a completion
+        self.broken_reuse_share = 0.0  # how often a call on a kept link broke of late
+        self.connect_failure_shares: dict[int, float] = {}  # by kind: how often one failed just before a completion
         self.idle: set[int] = set()  # receivers at which a call has ended in this round
         self.starved: set[int] = set()  # destinations that found no slot free
         self.looks = WakeSchedule()
         self.subscribe_at = now if settings.get("discovery") == "ask" else NEVER
-        self.asked_at, self.asked_in_vain = now, 0  # for the list: when last, how often of late
+        self.polled_at, self.failed_polls = now, 0  # for the list: when last, how often of late
         self.max_poll_backoff = (
             duration_setting(settings, "rules.ask-within-ms") or LIST_WAIT
         )  # on sockets no longer than that
@@ -102,4 +106,4 @@
         return self.per_call[receiver.kind] if receiver.kind < len(self.per_call) else 1
 
     def _stale(self, now: int, receiver: Receiver) -> bool:
-        return not receiver.completions or receiver.completions[-1] < now - STALE
+        return not receiver.completions or receiver.completions[-1] < now - COMPLETIONS_STALE_AFTER
--- a/cedarwick/decisions/state.py
+++ b/cedarwick/decisions/state.py
@@ -164,13 +164,13 @@
     wait_until: int = 0
     cut_at: int = 0
     raised_at: int = 0
-    short: bool = False  # tokens ran out since the last raise
+    tokens_ran_out: bool = False  # tokens ran out since the last raise
     proven: bool = False  # a call has been completed here
     canary_at: int = 0
     calls_out: int = 0
     sends: deque[int] = field(default_factory=deque)
     answers: deque[int] = field(default_factory=deque)
-    fulls: deque[int] = field(default_factory=deque)  # those answers that were refusals as full
+    throttles: deque[int] = field(default_factory=deque)  # those answers that were refusals as full
 
 
 @dataclass(slots=True)
@@ -186,13 +186,13 @@
     left_at: int = 0  # since when it is not; 0: it is
     credit: float = 0.0  # its place in the rotation
     mean: float = 0.0  # time to answer, and how far it strays; 0: nothing seen
-    stray: float = 0.0
-    recent: deque[bool] = field(default_factory=deque)  # its last few outcomes: completed or failed
-    distrust: float = 0.0
-    distrust_at: int = 0
-    full_since: int = 0  # fulls with no completion between them: since when, how many
-    fulls: int = 0
-    managed: float = 0.0  # calls a second it was seen to complete for this sender
+    latency_deviation: float = 0.0
+    recent_successes: deque[bool] = field(default_factory=deque)  # its last few outcomes: completed or failed
+    failure_score: float = 0.0
+    failure_score_at: int = 0
+    throttled_since: int = 0  # fulls with no completion between them: since when, how many
+    consecutive_throttles: int = 0
+    observed_rate: float = 0.0  # calls a second it was seen to complete for this sender
     completions: deque[int] = field(default_factory=deque)
     completed_sent_at: int = -1  # send time of the newest call that was completed
     answered_at: int = 0
@@ -267,7 +267,7 @@
     quickest: float = 0.0
     waits_until: int = 0
     room: dict[tuple[int | None, bool], tuple[list[tuple[Receiver, float]], int]] = field(default_factory=dict)
-    unlinked_at: int = 0  # when a connection failed, until the next completion
+    connect_failed_at: int = 0  # when a connection failed, until the next completion
 
     def turn(self, asking: tuple[int | None, bool]) -> Receiver | None:
         """One step of a weighted rotation among those with room; None where nobody has any."""
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -12,8 +12,8 @@
     UnfinishedMessage,
 )
 from cedarwick.decisions.policy import Sender
-from cedarwick.decisions.rate_control import STEP_EVERY
-from cedarwick.decisions.sender_state import SPAN, WINDOW_BASE
+from cedarwick.decisions.rate_control import RATE_STEP_INTERVAL
+from cedarwick.decisions.sender_state import BACKOFF_BASE, REFUSAL_WINDOW
 from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, end, out, sender, take
 
 
@@ -122,7 +122,7 @@
         made = sender()
         handle = out(made, 1)
         record = made.receivers[1]
-        record.out_since, record.failed, record.managed = NOW, True, 4.0
+        record.out_since, record.failed, record.observed_rate = NOW, True, 4.0
         end(handle, Outcome.COMPLETED, NOW + 3_000 * MS)
         for message in range(2, 9):
             take(made, message, now=NOW + 3_000 * MS)
@@ -138,7 +138,7 @@
     def test_fulls_alone_for_long_are_an_outage(self) -> None:
         made = sender()
         handle = out(made, 1)
-        made.receivers[1].fulls, made.receivers[1].full_since = 6, NOW - 3_000 * MS
+        made.receivers[1].consecutive_throttles, made.receivers[1].throttled_since = 6, NOW - 3_000 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertTrue(made.receivers[1].out_since)
 
@@ -149,7 +149,7 @@
 
     def test_a_call_after_a_refusal_stays_small(self) -> None:
         made = sender(kind=1)
-        made.receivers[1].fulls, made.receivers[1].pace.rate = 1, 0.5
+        made.receivers[1].consecutive_throttles, made.receivers[1].pace.rate = 1, 0.5
         for message in range(1, 10):
             take(made, message)
         self.assertEqual(len(made.decide(NOW).attempts), 4)
@@ -178,7 +178,7 @@
     def test_lost_calls_among_good_ones_are_no_outage(self) -> None:
         made = sender()
         handle = out(made, 1)
-        made.receivers[1].recent.extend([True, False, True, True, True, False])
+        made.receivers[1].recent_successes.extend([True, False, True, True, True, False])
         end(handle, Outcome.TIME_OUT, NOW + 3_000 * MS)
         self.assertFalse(made.receivers[1].out_since)
 
@@ -209,7 +209,7 @@
     def test_three_refusals_with_no_fresh_completion_are_an_outage(self) -> None:
         made = sender(balancers="200")
         handle = out(made, 1)
-        made.receivers[1].fulls, made.receivers[1].full_since = 2, NOW - 3_000 * MS
+        made.receivers[1].consecutive_throttles, made.receivers[1].throttled_since = 2, NOW - 3_000 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertTrue(made.receivers[1].out_since)
 
@@ -311,7 +311,7 @@
     def test_links_are_given_back_where_connections_fail_between_completions(self) -> None:
         for failed_at, freed in ((0, []), (NOW - 3_000 * MS, [1])):
             made = sender()
-            made.destinations[7].unlinked_at = failed_at
+            made.destinations[7].connect_failed_at = failed_at
             end(out(made, 1), Outcome.COMPLETED, NOW + 100 * MS)
             self.assertEqual(made.decide(NOW + 100 * MS).released_connections, freed)
 
@@ -419,7 +419,7 @@
         made = sender()
         handle = out(made, 1)
         handle.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
-        self.assertEqual((list(made.receivers[1].recent), handle.due), ([], NOW + 9 * MS + 1))
+        self.assertEqual((list(made.receivers[1].recent_successes), handle.due), ([], NOW + 9 * MS + 1))
         self.assertEqual(handle.ran_at, NOW)
 
     def test_at_most_once_goes_on_a_new_link_while_kept_ones_break(self) -> None:
@@ -489,7 +489,7 @@
         handle = out(made, 1)
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(made.receivers[1].pace.rate, before / 2)
-        made._throttle(NOW + SPAN // 2, made.receivers[1].pace, True)
+        made._throttle(NOW + REFUSAL_WINDOW // 2, made.receivers[1].pace, True)
         self.assertEqual(made.receivers[1].pace.rate, before / 2)
 
     def test_a_lone_refusal_spares_a_pace_under_its_even_part(self) -> None:
@@ -511,15 +511,15 @@
         handle = out(made, 1)
         pace = made.receivers[1].pace
         pace.rate, pace.reference, pace.raised_at = 2.0, 4.0, NOW
-        end(handle, Outcome.COMPLETED, NOW + STEP_EVERY)
+        end(handle, Outcome.COMPLETED, NOW + RATE_STEP_INTERVAL)
         self.assertAlmostEqual(pace.rate, 2.2)
 
     def test_reported_room_makes_larger_steps(self) -> None:
         made = sender(report__columns="x0,x1", rate=8.0, weight_source="nominal")
         handle = out(made, 1)
         pace = made.receivers[1].pace
-        pace.rate, pace.cut_at = 1.0, NOW - SPAN
-        handle.attempt_ended(NOW + STEP_EVERY, Outcome.COMPLETED, 0, 1, 100 * MS, 0, True, (0.9, 8.0))
+        pace.rate, pace.cut_at = 1.0, NOW - REFUSAL_WINDOW
+        handle.attempt_ended(NOW + RATE_STEP_INTERVAL, Outcome.COMPLETED, 0, 1, 100 * MS, 0, True, (0.9, 8.0))
         self.assertAlmostEqual(pace.rate, 1.0 + 4.8 * 0.2)
 
     def test_retry_waits_are_jittered_inside_the_doubling_window(self) -> None:
@@ -531,7 +531,7 @@
             handle.attempts = 2
             end(handle, Outcome.FULL, NOW)
             dues.append(handle.due - NOW)
-        self.assertLess(max(dues), WINDOW_BASE * 2)
+        self.assertLess(max(dues), BACKOFF_BASE * 2)
         self.assertGreater(len(set(dues)), 20)
 
     def test_a_drawn_wait_ends_while_a_try_can_still_be_finished(self) -> None:
