--- a/cedarwick/decisions/interface.py
+++ b/cedarwick/decisions/interface.py
@@ -3,7 +3,7 @@
 A protocol makes one `Sender` (see `cedarwick.decisions.policy`) an instance and then, in the order things happened:
 
     sender = Sender(settings, seed, now)          settings: a plain map of names to values, as text
-    sender.listed(now, change, listings)          news of the list of receivers
+    sender.listed(now, change, listings)          an update of the list of receivers
     sender.list_poll_failed(now)                  a list call failed or the subscription broke
     handle = sender.take(now, id, ...)            a new message
     handle.attempt_ended(now, outcome, attempt, ...)    an outcome of one of its attempts
@@ -13,15 +13,15 @@
 A protocol on sockets uses besides:
 
     handles = sender.resume(now, owed)            once, at the start after a restart
-    sender.heed(now, receiver, until)             a wait that was told, apart from an outcome
-    sender.room                                   set before a round: how many more messages can be kept
+    sender.heed(now, receiver, until)             a Retry-After wait, apart from an outcome
+    sender.room                                   set before a round: how many more messages can be stored
     sender.retry_after_waits(now)                 the waits that a replaced process hands to its successor
-    handle.needs_new_connection()                          whether an ordered attempt may not go over a kept link
+    handle.needs_new_connection()                 whether an ordered attempt may not reuse a connection
     handle.may_start(now, receiver)               whether an ordered attempt may still go, before its first byte
-    handle.send_by()                             when the last byte of an ordered attempt must have gone
-    handle.attempt_not_sent()                           after an outcome: that attempt was held back, and is no try
-    sender.connection_lifetime                              how long an idle link is used
-    sender.max_poll_backoff                              the longest wait after a call for the list that failed
+    handle.send_by()                              when the last byte of an ordered attempt must have gone
+    handle.attempt_not_sent()                     after an outcome: that attempt was held back, and does not count
+    sender.connection_lifetime                    how long an idle connection is used
+    sender.max_poll_backoff                       the longest wait after a call for the list that failed
     sender.per_call                               messages a call by kind; cleared where a call carries one
 
 `decide` also serves a wake-up: waking needs no call of its own. Times are whole microseconds of the
@@ -53,7 +53,7 @@
 
 
 class EndpointUpdate(Enum):
-    """What a piece of list news holds."""
+    """What an update of the list holds."""
 
     DELTA = "changes"
     FULL = "whole"
@@ -88,7 +88,7 @@
 
 
 class UnfinishedMessage(NamedTuple):
-    """An message that a restart has left; in the order in which they were taken."""
+    """A message that a restart has left; in the order in which they were taken."""
 
     message_id: int
     destination: int
@@ -101,7 +101,7 @@
 
 @dataclass
 class Decisions:
-    """What one round decided. Nacks and write-offs come before attempts; attempts keep their order."""
+    """What one round decided. Nacks and abandoned messages come before attempts; attempts keep their order."""
 
     nacks: list[tuple[int, int]] = field(default_factory=list)  # message, advised wait (0: none)
     abandoned: list[int] = field(default_factory=list)
@@ -113,7 +113,7 @@
 
 
 class MessageHandle(Protocol):
-    """What taking an message gives."""
+    """What taking a message gives."""
 
     def attempt_ended(
         self,
--- a/cedarwick/decisions/load_shedding.py
+++ b/cedarwick/decisions/load_shedding.py
@@ -10,6 +10,7 @@
     """Gives messages up, and keeps the number of open ones within its bound."""
 
     def _over_share(self, now: int, tenant: int) -> bool:
+        """Whether a tenant has used up its allowance (messages a second) with this sender."""
         allowance = float_setting(self.settings, f"realms.{tenant}.allowance-per-s") / self.senders
         if allowance <= 0:
             return False
@@ -18,7 +19,10 @@
         return not unused.take()
 
     def _shed(self, now: int) -> None:
-        """Danger: a backlog for one lost destination fills the sender and turns all others away."""
+        """Give messages up until the number of open ones is within its bound.
+
+        Danger: a backlog for one lost destination fills the sender and turns all others away.
+        """
         bound = max(2, min(self.most_open - 1, self.open + self.room))  # a full folder turns all away as well
         while self.open >= bound:
             holding = [place for place in self.destinations.values() if place.held]
--- a/cedarwick/decisions/policy.py
+++ b/cedarwick/decisions/policy.py
@@ -12,17 +12,18 @@
 from cedarwick.decisions.load_shedding import LoadShedding
 from cedarwick.decisions.message_handle import Handle
 from cedarwick.decisions.selection import Selection
-from cedarwick.decisions.state import NEVER, SECOND, PriorityClass
+from cedarwick.decisions.state import NEVER, SECOND, Destination, PriorityClass
 
 __all__ = ["Handle", "Sender", "priority_class_of"]
 
 MAX_CANCELLED_ATTEMPTS = 2  # attempts with an unclassified end
 CONNECT_FAILURE_LIMIT = 0.05  # a larger share of completions right after a failed connection: tables are full
-KEY_REST = 300_000  # for so long a key rests that is owed elsewhere, unless it is told again
-KEY_REST_RESERVE = SECOND  # of an message's time a rest for others leaves so much
+KEY_REST = 300_000  # for so long a key rests that is owed elsewhere, unless its rest is renewed
+KEY_REST_RESERVE = SECOND  # a rest for others leaves so much of a message's time
 
 
 def priority_class_of(settings: Mapping[str, str], index: int) -> PriorityClass:
+    """One priority class as the settings give it under `classes.INDEX.`."""
     head = f"classes.{index}."
     halves = settings.get("family-info.late") == "by_half"
     repeat = settings.get(head + "repeat", "single_shot")
@@ -52,6 +53,7 @@
     def take(
         self, now: int, message_id: int, destination: int, priority_class: int, deadline: int, tenant: int, key: int
     ) -> Handle:
+        """Accept a message; `deadline` is a time in microseconds, `key` 0 where order does not matter."""
         chosen_class = self.priority_classes[priority_class]
         objective_by = deadline - chosen_class.deadline + chosen_class.latency_objective
         self.taken += 1
@@ -65,7 +67,7 @@
         return handle
 
     def resume(self, now: int, owed: Sequence[UnfinishedMessage]) -> list[Handle]:
-        """After a restart: what is owed from before it. An attempt without an outcome may have run."""
+        """Accept what a restart left unfinished; an attempt without an outcome may have run."""
         # Danger: an attempt that was out when the process ended may still run, of an ended message's key too.
         self.turns.all_rest = now + duration_setting(self.settings, "rules.turn-gap-ms")
         handles = [self.take(now, *each[:-1]) for each in owed]
@@ -79,8 +81,10 @@
         return handles
 
     def rest(self, now: int, key: int) -> list[Handle]:
-        """Another sender owes earlier messages of a key: those here rest until it is told again, or for a
-        moment. Gives those that had no attempt yet."""
+        """Let the messages of a key rest for a moment, since another sender owes earlier ones.
+
+        Returns those that had no attempt yet.
+        """
         line = self.turns.lines.get(key) or ()
         if line:
             # Danger: what the other has may never end; the last of the first one's time is its own.
@@ -93,10 +97,29 @@
         places = [self.destinations[each] for each in sorted(self.changed)]
         self.changed.clear()
         for place in places:
-            place.ready = [self.receivers[each] for each in place.members if self.receivers[each].ready]
-            place.quickest = min((member.mean for member in place.ready), default=0.0)
-            place.waits_until = min((member.pace.wait_until for member in place.ready), default=0)
-            place.room.clear()
+            self._begin_round(place)
+        next_look = self._look_at_held(now, places)
+        self._shed(now)
+        for place in places:
+            place.held = [held for held in place.held if not (held.out or held.ended)]
+            self.looks.plan(place.id, max(next_look.get(place.id, NEVER), now + self.tick))
+        self._release_connections()
+        verdicts, self.verdicts = self.verdicts, Decisions()
+        if now >= self.subscribe_at:
+            verdicts.subscribe, self.subscribe_at, self.polled_at = True, NEVER, now
+        wake_at = min(self.looks.soonest(), self.subscribe_at, now + self.tick if self.changed else NEVER)
+        verdicts.wake_at = wake_at if wake_at < NEVER else None
+        return verdicts
+
+    def _begin_round(self, place: Destination) -> None:
+        """Note what holds for a destination through the whole round."""
+        place.ready = [self.receivers[each] for each in place.members if self.receivers[each].ready]
+        place.quickest = min((member.mean for member in place.ready), default=0.0)
+        place.waits_until = min((member.pace.wait_until for member in place.ready), default=0)
+        place.room.clear()
+
+    def _look_at_held(self, now: int, places: Sequence[Destination]) -> dict[int, int]:
+        """Take the held messages as far as they go, most urgent first; by destination, the time of its next look."""
         next_look: dict[int, int] = {}
         alone = max(self.per_call, default=1) == 1
         waiting = [held for place in places for held in place.held if not (held.out or held.ended)]
@@ -109,22 +132,16 @@
             else:
                 look_at = self.advance(now, message)
             next_look[place.id] = min(look_at, next_look.get(place.id, NEVER))
-        self._shed(now)
-        for place in places:
-            place.held = [held for held in place.held if not (held.out or held.ended)]
-            self.looks.plan(place.id, max(next_look.get(place.id, NEVER), now + self.tick))
+        return next_look
+
+    def _release_connections(self) -> None:
+        """Let go of idle connections that crowd a receiver's table, or will have been closed by their next use."""
         for each in sorted(self.idle & self.receivers.keys()):
             record = self.receivers[each]
             crowded = self.connect_failure_shares.get(record.kind, 0.0) > CONNECT_FAILURE_LIMIT
             if not record.calls and (crowded or self.many and record.gap > self.connection_idle_limit):
                 self.verdicts.released_connections.append(each)
         self.idle.clear()
-        verdicts, self.verdicts = self.verdicts, Decisions()
-        if now >= self.subscribe_at:
-            verdicts.subscribe, self.subscribe_at, self.polled_at = True, NEVER, now
-        wake_at = min(self.looks.soonest(), self.subscribe_at, now + self.tick if self.changed else NEVER)
-        verdicts.wake_at = wake_at if wake_at < NEVER else None
-        return verdicts
 
     def advance(self, now: int, message: Handle) -> int:
         """Take a held message as far as it goes now; the time of its next look, NEVER when it needs none."""
--- a/cedarwick/decisions/rate_control.py
+++ b/cedarwick/decisions/rate_control.py
@@ -5,10 +5,10 @@
 
 REFUSAL_SHARE_LIMIT = 0.15  # a larger share of refusals as full halves the pace: one in seven is more than chance
 RATE_STEP = 0.05  # of the reference rate, for each half second that stays clean
-RATE_STEP_INTERVAL = SECOND // 2
-MIN_SENDS_FOR_RATE = 4  # attempts at least that tell the recent send rate
+RATE_STEP_INTERVAL = SECOND // 2  # microseconds
+MIN_SENDS_FOR_RATE = 4  # attempts at least from which a recent send rate is taken
 LIMIT_USED_UP = 0.05  # of the limit left, or less: it is used up by all senders together
-LIMIT_HAS_ROOM = 0.5  # where reports tell that more than this share of the limit is left, others do not use it
+LIMIT_HAS_ROOM = 0.5  # where reports say that more than this share of the limit is left, others do not use it
 MAX_RATE_STEPS = 4  # and so many are taken at once; or those of the clean time, where no limit is known
 INITIAL_HEADROOM = 1.2  # a sender starts at this multiple of its even part of a listed rate
 LONE_MESSAGE_RATE = 0.5  # calls a second: an even part below this makes a lone message wait longer than it lives
@@ -18,6 +18,7 @@
     """Keeps the rate (calls a second) of every `RateControl`."""
 
     def _list_rate(self, pace: RateControl, rate: float) -> None:
+        """Take a listed or reported limit (calls a second of all senders) over into the rate of this one."""
         if pace.limit:  # Danger: a single absurd figure would free this sender, or stop it for long.
             rate = min(max(rate, pace.limit / 4), pace.limit * 2)
         part = max(rate * INITIAL_HEADROOM / self.senders, min(rate, LONE_MESSAGE_RATE))
--- a/cedarwick/decisions/recovery.py
+++ b/cedarwick/decisions/recovery.py
@@ -15,6 +15,7 @@
     """Takes receivers out of service and says how soon and how fast they are tried again."""
 
     def _out(self, now: int, receiver: Receiver, provable: bool) -> None:
+        """Eject a receiver; `provable` says that its last failure proved that nothing ran."""
         receiver.out_since = receiver.out_since or now
         receiver.failed, receiver.provable, receiver.back_at = True, provable, 0
         receiver.canary_at = self._next_canary(now, receiver)
@@ -22,8 +23,11 @@
         self.verdicts.released_connections.append(receiver.id)
 
     def _out_with(self, now: int, receiver: Receiver) -> None:
-        """Danger: an outage mostly takes all receivers of a destination. Each of many senders would try them
-        in turn, knowing of it, and all together push over what returns."""
+        """Eject the other receivers of a destination as well, once a second one of them is out.
+
+        Danger: an outage mostly takes all receivers of a destination. Each of many senders would try them in turn,
+        knowing of it, and all together push over what returns.
+        """
         mates = self._mates(self.destinations[receiver.destination], receiver.pace)
         if self.many and sum(mate.out_since > 0 for mate in mates) > 1:
             for mate in mates:
@@ -31,7 +35,10 @@
                     self._out(now, mate, receiver.provable)
 
     def _next_canary(self, now: int, receiver: Receiver) -> int:
-        """Danger: the canaries of many senders add up and push over what comes back; gaps grow with age."""
+        """When the next canary may go (microseconds).
+
+        Danger: the canaries of many senders add up and push over what comes back; gaps grow with the outage's age.
+        """
         # Nothing weighs on what takes no connection, until the moment of its return: then all of many do.
         dead = receiver.provable and not receiver.consecutive_throttles and not self.many
         aged = round((now - receiver.out_since) * (0.0 if dead else CANARY_GAP_PER_AGE))
@@ -40,7 +47,7 @@
         receiver.pace.canary_at = max(receiver.pace.canary_at, now + gap * 3 // 4)
         withstood = self._returning_rate(receiver, 0) * self.senders * self.fall_time / SECOND
         if (self.many or self.senders > withstood + COLD_CALL_ALLOWANCE) and receiver.pace.wait_until > now:
-            # Danger: all were told the same end of the wait and would come back in the same instant.
+            # Danger: all senders know the same end of the wait and would come back in the same instant.
             return receiver.pace.wait_until + self.chance.below(gap)
         return now + gap * 3 // 4 + self.chance.below(gap // 2)
 
--- a/cedarwick/decisions/selection.py
+++ b/cedarwick/decisions/selection.py
@@ -5,7 +5,7 @@
 from cedarwick.decisions.sender_state import REFUSAL_WINDOW
 from cedarwick.decisions.state import NEVER, SECOND, Message, Receiver, record_recent
 
-IDLE_RATE_RESET = 60 * SECOND
+IDLE_RATE_RESET = 60 * SECOND  # after so long without a call a rate without a known limit is forgotten
 UNPROVEN_CALLS = 2  # calls out at a destination from which nothing has been completed yet
 WARM_UP_BATCH = 4  # messages in one call during a ramp, and from a refusal to the next completion
 
@@ -51,6 +51,7 @@
         return 0 < joined < (WARM_UP_BATCH if receiver.back_at or receiver.consecutive_throttles else NEVER)
 
     def _room(self, now: int, receiver: Receiver) -> int:
+        """When a receiver in service may get its next call; `now` where it may at once."""
         pace = receiver.pace
         if pace.wait_until > now:
             return pace.wait_until
@@ -74,12 +75,14 @@
         return room_at
 
     def _canary_room(self, now: int, message: Message, receiver: Receiver) -> int:
-        # An at-most-once canary could be lost without a second try.
+        """When a receiver that is out may get this message as its canary."""
+        # An at-most-once canary could be lost without a second attempt.
         lost = message.priority_class.at_most_once and not receiver.provable
         soonest = max(now, receiver.canary_at, receiver.pace.canary_at, receiver.pace.wait_until)
         return NEVER if receiver.canary_out or lost else soonest
 
     def _spend(self, now: int, receiver: Receiver, joins: bool) -> None:
+        """Account for an attempt that goes to the receiver now, in a call of its own or one that it joins."""
         receiver.attempt_sent(now, joins)
         if receiver.out_since:
             receiver.canary_out = True
@@ -89,7 +92,10 @@
             record_recent(receiver.pace.sends, now, REFUSAL_WINDOW, MIN_SENDS_FOR_RATE + 1)
 
     def _patience(self, now: int, message: Message, receiver: Receiver) -> int:
-        """How long an attempt may take. Danger: a dead destination holds all slots, a window closes unused."""
+        """How long an attempt may take (microseconds).
+
+        Danger: a dead destination holds all slots, a window closes unused.
+        """
         left = message.deadline - now - 2 * self.tick
         usual = receiver.mean + 4 * receiver.latency_deviation if receiver.mean else 2 * SECOND
         soon = max(SECOND, round(2 * usual)) << min(message.attempts - 1, 4)
--- a/cedarwick/decisions/sender_state.py
+++ b/cedarwick/decisions/sender_state.py
@@ -16,16 +16,18 @@
     WakeSchedule,
 )
 
+# Times are microseconds, rates are calls a second.
 REFUSAL_WINDOW = 2 * SECOND  # the share of refusals is measured over this
 MANY = 16  # where senders are more, each sees too few outcomes of a receiver to gather them
 COMPLETIONS_STALE_AFTER = 5 * SECOND  # completions older than this say little of a receiver's health
-BACKOFF_BASE = SECOND // 2
-LIST_WAIT = 4 * SECOND  # and the longest: with 1 s for a call that hangs, news comes before it counts as told
+BACKOFF_BASE = SECOND // 2  # the first window that a random wait is drawn from; it doubles with each failure
+# The longest wait between calls for the list: with 1 s for a call that hangs, a change arrives before it counts as
+# known.
+LIST_WAIT = 4 * SECOND
 MAX_RETRY_AFTER = 3600 * SECOND  # a longer Retry-After wait is looked into after this; no deadline comes near it
 MIN_TOTAL_RATE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
-IDLE_CONNECTION_SHARE = (
-    0.9  # of the time after which a receiver closes an idle link: an attempt must not cross its close
-)
+# Of the time after which a receiver closes an idle connection: an attempt must not cross its close.
+IDLE_CONNECTION_SHARE = 0.9
 CERTAIN_SHARE = 0.6  # of this sender's even part of a listed rate, which may be listed too high
 
 
@@ -62,23 +64,23 @@
         self.tenant_allowances: dict[int, TokenBucket] = {}  # what a tenant has left of its share
         self.started = now
         self.open = 0
-        self.room = NEVER  # messages that may still be kept, as the protocol tells
+        self.room = NEVER  # messages that may still be stored, as the protocol says
         self.taken = 0
         self.calls_out = 0
         self.changed: set[int] = set()  # destinations that need a look in this round
-        self.broken_reuse_share = 0.0  # how often a call on a kept link broke of late
+        self.broken_reuse_share = 0.0  # moving share of calls on reused connections that broke
         self.connect_failure_shares: dict[int, float] = {}  # by kind: how often one failed just before a completion
         self.idle: set[int] = set()  # receivers at which a call has ended in this round
         self.starved: set[int] = set()  # destinations that found no slot free
         self.looks = WakeSchedule()
         self.subscribe_at = now if settings.get("discovery") == "ask" else NEVER
         self.polled_at, self.failed_polls = now, 0  # for the list: when last, how often of late
-        self.max_poll_backoff = (
-            duration_setting(settings, "rules.ask-within-ms") or LIST_WAIT
-        )  # on sockets no longer than that
+        # On sockets no longer than `LIST_WAIT`.
+        self.max_poll_backoff = duration_setting(settings, "rules.ask-within-ms") or LIST_WAIT
         self.verdicts = Decisions()
 
     def hold(self, now: int, message: Message) -> None:
+        """Put a message among those held for its destination, for a look in the coming round."""
         self._destination(message.destination).held.append(message)
         self.changed.add(message.destination)
         message.look_at = message.rank_until = 0
@@ -95,15 +97,19 @@
             self.changed.update(each.destination for each in after)  # its next one may wait at another
 
     def _destination(self, place: int) -> Destination:
+        """The record of a destination, new where there is none yet."""
         if place not in self.destinations:
             self.destinations[place] = Destination(place, RateControl())
         return self.destinations[place]
 
     def _mates(self, place: Destination, pace: RateControl) -> list[Receiver]:
+        """The receivers of a destination that share a rate control."""
         return [self.receivers[mate] for mate in place.members if self.receivers[mate].pace is pace]
 
     def _batch(self, receiver: Receiver) -> int:
+        """How many messages one call to the receiver carries."""
         return self.per_call[receiver.kind] if receiver.kind < len(self.per_call) else 1
 
     def _stale(self, now: int, receiver: Receiver) -> bool:
+        """Whether the receiver has completed nothing of late."""
         return not receiver.completions or receiver.completions[-1] < now - COMPLETIONS_STALE_AFTER
--- a/cedarwick/decisions/state.py
+++ b/cedarwick/decisions/state.py
@@ -18,6 +18,7 @@
         self.state = seed
 
     def below(self, bound: int) -> int:
+        """The next draw: a whole number of at least 0 and below the bound."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % (1 << 64)
         return (self.state >> 32) * bound >> 32
 
@@ -59,6 +60,7 @@
         self.all_rest = 0  # no key goes before this
 
     def join(self, key: int, message: Any) -> None:
+        """Put a message last in the line of its key."""
         self.lines.setdefault(key, deque()).append(message)
 
     def leave(self, key: int, message: Any, now: int, rest: int) -> list[Any]:
@@ -75,9 +77,9 @@
         return [line[0]] if line else []
 
     def line_up(self, key: int, joined: Sequence[Any], before: Callable[[Any, Any], bool]) -> None:
-        """Of the last of a line, those that go on here:
+        """Move the last messages of a line, those that go on here, to their places.
 
-        each stands before all that `before` says, behind attempts out.
+        Each goes ahead of all those that `before` says, but stays behind those with an attempt out.
         """
         line = self.lines[key]
         for _ in joined:
@@ -107,6 +109,7 @@
         self.heap: list[tuple[int, int]] = []
 
     def plan(self, place: int, at: int) -> None:
+        """Plan the next look at a destination; NEVER drops its plan."""
         if at >= NEVER:
             self.planned.pop(place, None)
         elif self.planned.get(place) != at:
@@ -114,6 +117,7 @@
             heapq.heappush(self.heap, (at, place))
 
     def due(self, now: int) -> list[int]:
+        """Destinations whose planned look has come; their plans are dropped."""
         found = []
         while self.heap and self.heap[0][0] <= now:
             at, place = heapq.heappop(self.heap)
@@ -123,6 +127,7 @@
         return found
 
     def soonest(self) -> int:
+        """A time before which no look is due; NEVER where none is planned."""
         return self.heap[0][0] if self.heap else NEVER
 
 
@@ -139,7 +144,7 @@
     window: int  # for numbered messages: how long a destination remembers the number
     single_zone: bool  # repeats only within the zone of the first attempt that may have run
     ordered: bool
-    halves_in: int = 0  # after the latency objective the worth falls by half in this time; 0: evenly
+    halves_in: int = 0  # after the latency objective the value falls by half in this time; 0: evenly
 
     def delivery_value(self, late: int) -> tuple[float, float]:
         """What delivery is worth so long after the latency objective, and what is lost of it in a second."""
@@ -185,12 +190,12 @@
     ready: bool = True
     left_at: int = 0  # since when it is not; 0: it is
     credit: float = 0.0  # its place in the rotation
-    mean: float = 0.0  # time to answer, and how far it strays; 0: nothing seen
+    mean: float = 0.0  # mean time to answer, and its mean deviation (microseconds); 0: nothing seen
     latency_deviation: float = 0.0
     recent_successes: deque[bool] = field(default_factory=deque)  # its last few outcomes: completed or failed
     failure_score: float = 0.0
     failure_score_at: int = 0
-    throttled_since: int = 0  # fulls with no completion between them: since when, how many
+    throttled_since: int = 0  # throttles with no completion between them: since when, how many
     consecutive_throttles: int = 0
     observed_rate: float = 0.0  # calls a second it was seen to complete for this sender
     completions: deque[int] = field(default_factory=deque)
@@ -209,6 +214,7 @@
     calls: dict[int, int] = field(default_factory=dict)  # send time: attempts without an outcome
 
     def attempt_sent(self, now: int, joins: bool) -> None:
+        """Record an attempt that goes out now; one that joins a call takes no tokens."""
         self.calls[now] = self.calls.get(now, 0) + 1
         self.gap, self.used_at = now - self.used_at, now
         if not joins:
