--- a/cedarwick/decisions/health.py
+++ b/cedarwick/decisions/health.py
@@ -109,7 +109,7 @@
         pace.wait_until = max(pace.wait_until, now + min(retry_after, MAX_RETRY_AFTER))
         receiver.consecutive_throttles += 1
         receiver.throttled_since = receiver.throttled_since or now
-        # Danger: what is shut tells a long wait or refuses everything; all push it as it opens, cold.
+        # Danger: what is shut asks for a long wait or refuses everything; all push it as it opens, cold.
         sparse = self.many and self._stale(now, receiver)
         shut = (
             receiver.consecutive_throttles >= SHUT_THROTTLES // (1 + sparse)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -225,8 +225,8 @@
         made = sender(balancers="200", rate=400.0, weight_source="nominal")
         self.assertAlmostEqual(made.receivers[1].pace.reference, 1.2 * 400 / 200)
 
-    def told(self, made: Sender, *limits: float) -> float:
-        """The pace after reports that tell these limits, one after another; all come before the next attempt."""
+    def rate_after_reports(self, made: Sender, *limits: float) -> float:
+        """The rate after reports of these limits, one after another; all come before the next attempt."""
         handle = out(made, 1)
         receiver = made.receivers[1]
         for limit in limits:
@@ -244,7 +244,7 @@
             made = sender(balancers="40", report__columns="x0,x1", rate=40.0, weight_source="nominal")
             pace = made.receivers[1].pace
             pace.rate, pace.cut_at = 1.2, NOW  # cut just now: these refusals cut it no further
-            self.assertAlmostEqual(self.told(made, *limits), expected, 6, limits)
+            self.assertAlmostEqual(self.rate_after_reports(made, *limits), expected, 6, limits)
 
     def test_an_absurd_limit_neither_frees_nor_stops_a_sender(self) -> None:
         for limits, low, high in (
@@ -257,7 +257,7 @@
             made = sender(balancers="40", report__columns="x0,x1", rate=40.0, weight_source="nominal")
             pace = made.receivers[1].pace
             pace.rate, pace.cut_at = 1.2, NOW
-            rate = self.told(made, *limits)
+            rate = self.rate_after_reports(made, *limits)
             self.assertGreaterEqual(rate, low, limits)
             self.assertLessEqual(rate, high, limits)
 
@@ -358,9 +358,9 @@
             ("even", 7, 0.55, 0.064),
         ):
             priority_class = sender(family_info__late=late, classes__0__late_worth="0.1").priority_classes[FREE]
-            worth = priority_class.delivery_value(seconds * 1_000 * MS)
-            self.assertAlmostEqual(worth[0], left, 3, (late, seconds))
-            self.assertAlmostEqual(worth[1], lost, 3, (late, seconds))
+            value = priority_class.delivery_value(seconds * 1_000 * MS)
+            self.assertAlmostEqual(value[0], left, 3, (late, seconds))
+            self.assertAlmostEqual(value[1], lost, 3, (late, seconds))
 
     def test_what_time_takes_no_more_worth_from_lets_the_fresh_go_first(self) -> None:
         now = NOW + 9_000 * MS
@@ -637,12 +637,12 @@
         made = sender()
         made.decide(NOW)
         made.receivers[1].pace.wait_until = NOW + 5_000 * MS
-        news = [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)]
-        made.listed(NOW, EndpointUpdate.DELTA, news)
+        update = [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)]
+        made.listed(NOW, EndpointUpdate.DELTA, update)
         self.assertEqual(made.changed, set())
         take(made, 1)
         made.decide(NOW)
-        made.listed(NOW, EndpointUpdate.DELTA, news)
+        made.listed(NOW, EndpointUpdate.DELTA, update)
         self.assertEqual(made.changed, {7})
 
     def asks(self, made: Sender, failures: int) -> list[int]:
--- a/tests/test_ramp_sum.py
+++ b/tests/test_ramp_sum.py
@@ -45,7 +45,7 @@
     )
 
     def settings(self, senders: int) -> dict[str, str]:
-        told = {
+        values = {
             "balancers": str(senders),
             "resolution-ms": "5.0",
             "locality": "0",
@@ -64,7 +64,7 @@
             "rules.ramp-time-ms": self.ramp_ms,
         }
         for index, (repeat, wanted, limit, _) in enumerate(self.priority_classes):
-            told |= {
+            values |= {
                 f"classes.{index}.repeat": repeat,
                 f"classes.{index}.slo-ms": str(wanted),
                 f"classes.{index}.deadline-ms": str(limit),
@@ -72,7 +72,7 @@
                 f"classes.{index}.worth": "1",
                 f"classes.{index}.late-worth": "0.4",
             }
-        return told
+        return values
 
 
 class Day:
@@ -94,15 +94,17 @@
         self.listed_rate = site.rate * (self.chance.uniform(0.67, 1.5) if site.weights == "rough" else 1)
         self.senders: list[Sender] = []
         self.wakes = [0] * senders
-        self.told = [False] * senders  # of the outage
+        self.outage_known = [False] * senders  # whether one has seen the outage
         self.handles: list[dict[int, Handle]] = []
         for sender in range(senders):
             self.senders.append(self.made(seed * 1000 + sender))
             self.handles.append({})
         self.limit_span, self.within = 0, 0
         self.free_at = [BEGIN] * max(2, round(self.capacity * 0.4))
-        self.recent: deque[tuple[int, bool]] = deque()  # calls in the span, and whether from one that was told
-        self.fell_at, self.fell_told, self.fullest = 0, 0.0, 0.0
+        self.recent: deque[tuple[int, bool]] = (
+            deque()
+        )  # calls in the span, and whether from one that knew of the outage
+        self.fell_at, self.fell_knowing, self.fullest = 0, 0.0, 0.0
         self.offered, self.served, self.in_time = 0, 0, 0
         self.arrivals(0.6 + 0.3 * random.Random(seed * 7).random())
 
@@ -189,7 +191,7 @@
         if self.senders[sender] is not made:
             return  # that process is gone
         if self.now >= self.down and sent_at < self.back and outcome not in (Outcome.COMPLETED, Outcome.MOOT):
-            self.told[sender] = True
+            self.outage_known[sender] = True
         done = outcome is Outcome.COMPLETED
         handle.attempt_ended(self.now, outcome, handle.attempts - 1, receiver, self.now - sent_at, wait, done, report)
         if done:
@@ -201,7 +203,7 @@
         """A third of the senders are new processes, which hold what the old ones held and know nothing."""
         for sender in range(0, len(self.senders), 3):
             old, self.senders[sender] = self.handles[sender], self.made(sender + 77)
-            self.told[sender] = False  # what the old process was told is gone with it
+            self.outage_known[sender] = False  # what the old process knew is gone with it
             self.handles[sender], made = {}, self.senders[sender]
             for message, handle in old.items():
                 if not handle.ended and not handle.out:
@@ -237,7 +239,7 @@
     def work(self, sender: int, end: Callable[..., None], until: int) -> None:
         share = self.share()
         if share < 1:
-            self.weigh(self.told[sender], share)
+            self.weigh(self.outage_known[sender], share)
         if self.fell_at:
             return self.at(until, partial(end, Outcome.TIME_OUT))
         over = False
@@ -259,8 +261,8 @@
             return self.at(until, partial(end, Outcome.TIME_OUT))
         self.at(done, partial(end, Outcome.COMPLETED, 0, report))
 
-    def weigh(self, told: bool, share: float) -> None:
-        self.recent.append((self.now, told))
+    def weigh(self, knows: bool, share: float) -> None:
+        self.recent.append((self.now, knows))
         while self.recent[0][0] <= self.now - self.span:
             self.recent.popleft()
         allowed = self.multiple * share * self.capacity * self.span / SECOND
@@ -268,7 +270,7 @@
         self.fullest = max(self.fullest, part)
         if part > 1:
             self.fell_at = self.now
-            self.fell_told = sum(told for _, told in self.recent) / len(self.recent)
+            self.fell_knowing = sum(knows for _, knows in self.recent) / len(self.recent)
 
     def play(self) -> "Day":
         if self.restart:
@@ -280,7 +282,7 @@
 
     @property
     def broken(self) -> bool:
-        return bool(self.fell_at) and self.fell_told > 2 / 3
+        return bool(self.fell_at) and self.fell_knowing > 2 / 3
 
 
 # Three customers' settings, of the kinds that are about; the first one's again where no rate is listed or limited.
