--- /dev/null
+++ b/cedarwick/decisions/sender_state.py
@@ -0,0 +1,115 @@
+"""What one sender keeps: its settings, receivers, destinations and held messages, with the steps all parts share."""
+
+from collections.abc import Mapping
+
+from cedarwick.decisions.interface import Decisions, duration_setting, float_setting, list_setting
+from cedarwick.decisions.state import (
+    NEVER,
+    SECOND,
+    Destination,
+    KeyOrder,
+    Message,
+    RandomSource,
+    RateControl,
+    Receiver,
+    TokenBucket,
+    WakeSchedule,
+)
+
+# Times are microseconds, rates are calls a second.
+REFUSAL_WINDOW = 2 * SECOND  # the share of refusals is measured over this
+MANY = 16  # where senders are more, each sees too few outcomes of a receiver to gather them
+COMPLETIONS_STALE_AFTER = 5 * SECOND  # completions older than this say little of a receiver's health
+BACKOFF_BASE = SECOND // 2  # the first window that a random wait is drawn from; it doubles with each failure
+# The longest wait between calls for the list: with 1 s for a call that hangs, a change arrives before it counts as
+# known.
+LIST_WAIT = 4 * SECOND
+MAX_RETRY_AFTER = 3600 * SECOND  # a longer Retry-After wait is looked into after this; no deadline comes near it
+MIN_TOTAL_RATE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
+# Of the time after which a receiver closes an idle connection: an attempt must not cross its close.
+IDLE_CONNECTION_SHARE = 0.9
+CERTAIN_SHARE = 0.6  # of this sender's even part of a listed rate, which may be listed too high
+
+
+class SenderState:
+    """The settings and records of one sender; every other part of `Sender` derives from it."""
+
+    def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None:
+        self.settings = settings
+        self.chance = RandomSource(seed)
+        self.senders = max(1, int(float_setting(settings, "balancers", 1)))
+        self.many = self.senders > MANY
+        self.min_rate = MIN_TOTAL_RATE / self.senders
+        self.tick = max(1000, duration_setting(settings, "resolution-ms", 5.0))
+        self.slots = int(float_setting(settings, "family-info.max-calls", 1 << 30))
+        self.most_attempts = int(float_setting(settings, "policy-limits.most-tries", 1 << 30))
+        self.most_open = int(float_setting(settings, "policy-limits.max-open", 1 << 30))
+        self.per_call = [int(part) for part in list_setting(settings, "family-info.per-call")]
+        self.ramp_time = max(SECOND, duration_setting(settings, "rules.ramp-time-ms", 10_000))
+        self.fall_time = duration_setting(settings, "rules.fall-ms")
+        # Danger: a single call counts as one in this time; with each of many senders that is mostly chance.
+        self.observation_window = 2 * REFUSAL_WINDOW * (1 + self.many)
+        self.locality = int(float_setting(settings, "locality"))
+        self.cross_zone_fee = float_setting(settings, "tariffs.cross-zone")
+        self.separate_kinds = {
+            n for n, part in enumerate(list_setting(settings, "family-info.kind-apart")) if part == "true"
+        }
+        self.columns = list_setting(settings, "report.columns")
+        self.fees = dict(enumerate(list_setting(settings, "family-info.fee-by-zone")))
+        self.connection_idle_limit = duration_setting(settings, "policy-limits.conn-idle-ms", 15_000)
+        self.connection_lifetime = round(self.connection_idle_limit * IDLE_CONNECTION_SHARE)
+        self.receivers: dict[int, Receiver] = {}
+        self.destinations: dict[int, Destination] = {}
+        self.turns = KeyOrder()
+        self.tenant_allowances: dict[int, TokenBucket] = {}  # what a tenant has left of its share
+        self.started = now
+        self.open = 0
+        self.room = NEVER  # messages that may still be stored, as the protocol says
+        self.taken = 0
+        self.calls_out = 0
+        self.changed: set[int] = set()  # destinations that need a look in this round
+        self.broken_reuse_share = 0.0  # moving share of calls on reused connections that broke
+        self.connect_failure_shares: dict[int, float] = {}  # by kind: how often one failed just before a completion
+        self.idle: set[int] = set()  # receivers at which a call has ended in this round
+        self.starved: set[int] = set()  # destinations that found no slot free
+        self.looks = WakeSchedule()
+        self.subscribe_at = now if settings.get("discovery") == "ask" else NEVER
+        self.polled_at, self.failed_polls = now, 0  # for the list: when last, how often of late
+        # On sockets no longer than `LIST_WAIT`.
+        self.max_poll_backoff = duration_setting(settings, "rules.ask-within-ms") or LIST_WAIT
+        self.verdicts = Decisions()
+
+    def hold(self, now: int, message: Message) -> None:
+        """Put a message among those held for its destination, for a look in the coming round."""
+        self._destination(message.destination).held.append(message)
+        self.changed.add(message.destination)
+        message.look_at = message.rank_until = 0
+
+    def close(self, now: int, message: Message) -> None:
+        """The message has ended and none of its attempts is out: let its key go on."""
+        message.ended = True
+        self.open -= 1
+        self.changed.add(message.destination)
+        if message.priority_class.ordered and message.key:
+            # Danger: the attempt that timed out may still run and be overtaken by the next of its key.
+            rest = (message.doubtful_at or -NEVER) + duration_setting(self.settings, "rules.turn-gap-ms")
+            after = self.turns.leave(message.key, message, now, rest)
+            self.changed.update(each.destination for each in after)  # its next one may wait at another
+
+    def _destination(self, place: int) -> Destination:
+        """The record of a destination, new where there is none yet."""
+        if place not in self.destinations:
+            self.destinations[place] = Destination(place, RateControl())
+        return self.destinations[place]
+
+    def _mates(self, place: Destination, pace: RateControl) -> list[Receiver]:
+        """The receivers of a destination that share a rate control."""
+        return [self.receivers[mate] for mate in place.members if self.receivers[mate].pace is pace]
+
+    def _batch(self, receiver: Receiver) -> int:
+        """How many messages one call to the receiver carries."""
+        return self.per_call[receiver.kind] if receiver.kind < len(self.per_call) else 1
+
+    def _stale(self, now: int, receiver: Receiver) -> bool:
+        """Whether the receiver has completed nothing of late."""
+        return not receiver.completions or receiver.completions[-1] < now - COMPLETIONS_STALE_AFTER
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,7 +11,9 @@
     Outcome,
     UnfinishedMessage,
 )
-from cedarwick.decisions.policy import SPAN, STEP_EVERY, WINDOW_BASE, Sender
+from cedarwick.decisions.policy import Sender
+from cedarwick.decisions.rate_control import RATE_STEP_INTERVAL
+from cedarwick.decisions.sender_state import BACKOFF_BASE, REFUSAL_WINDOW
 from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, end, out, sender, take
 
 
@@ -120,7 +122,7 @@
         made = sender()
         handle = out(made, 1)
         record = made.receivers[1]
-        record.out_since, record.failed, record.managed = NOW, True, 4.0
+        record.out_since, record.failed, record.observed_rate = NOW, True, 4.0
         end(handle, Outcome.COMPLETED, NOW + 3_000 * MS)
         for message in range(2, 9):
             take(made, message, now=NOW + 3_000 * MS)
@@ -136,7 +138,7 @@
     def test_fulls_alone_for_long_are_an_outage(self) -> None:
         made = sender()
         handle = out(made, 1)
-        made.receivers[1].fulls, made.receivers[1].full_since = 6, NOW - 3_000 * MS
+        made.receivers[1].consecutive_throttles, made.receivers[1].throttled_since = 6, NOW - 3_000 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertTrue(made.receivers[1].out_since)
 
@@ -147,7 +149,7 @@
 
     def test_a_call_after_a_refusal_stays_small(self) -> None:
         made = sender(kind=1)
-        made.receivers[1].fulls, made.receivers[1].pace.rate = 1, 0.5
+        made.receivers[1].consecutive_throttles, made.receivers[1].pace.rate = 1, 0.5
         for message in range(1, 10):
             take(made, message)
         self.assertEqual(len(made.decide(NOW).attempts), 4)
@@ -176,7 +178,7 @@
     def test_lost_calls_among_good_ones_are_no_outage(self) -> None:
         made = sender()
         handle = out(made, 1)
-        made.receivers[1].recent.extend([True, False, True, True, True, False])
+        made.receivers[1].recent_successes.extend([True, False, True, True, True, False])
         end(handle, Outcome.TIME_OUT, NOW + 3_000 * MS)
         self.assertFalse(made.receivers[1].out_since)
 
@@ -207,7 +209,7 @@
     def test_three_refusals_with_no_fresh_completion_are_an_outage(self) -> None:
         made = sender(balancers="200")
         handle = out(made, 1)
-        made.receivers[1].fulls, made.receivers[1].full_since = 2, NOW - 3_000 * MS
+        made.receivers[1].consecutive_throttles, made.receivers[1].throttled_since = 2, NOW - 3_000 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertTrue(made.receivers[1].out_since)
 
@@ -223,8 +225,8 @@
         made = sender(balancers="200", rate=400.0, weight_source="nominal")
         self.assertAlmostEqual(made.receivers[1].pace.reference, 1.2 * 400 / 200)
 
-    def told(self, made: Sender, *limits: float) -> float:
-        """The pace after reports that tell these limits, one after another; all come before the next attempt."""
+    def rate_after_reports(self, made: Sender, *limits: float) -> float:
+        """The rate after reports of these limits, one after another; all come before the next attempt."""
         handle = out(made, 1)
         receiver = made.receivers[1]
         for limit in limits:
@@ -242,7 +244,7 @@
             made = sender(balancers="40", report__columns="x0,x1", rate=40.0, weight_source="nominal")
             pace = made.receivers[1].pace
             pace.rate, pace.cut_at = 1.2, NOW  # cut just now: these refusals cut it no further
-            self.assertAlmostEqual(self.told(made, *limits), expected, 6, limits)
+            self.assertAlmostEqual(self.rate_after_reports(made, *limits), expected, 6, limits)
 
     def test_an_absurd_limit_neither_frees_nor_stops_a_sender(self) -> None:
         for limits, low, high in (
@@ -255,7 +257,7 @@
             made = sender(balancers="40", report__columns="x0,x1", rate=40.0, weight_source="nominal")
             pace = made.receivers[1].pace
             pace.rate, pace.cut_at = 1.2, NOW
-            rate = self.told(made, *limits)
+            rate = self.rate_after_reports(made, *limits)
             self.assertGreaterEqual(rate, low, limits)
             self.assertLessEqual(rate, high, limits)
 
@@ -309,7 +311,7 @@
     def test_links_are_given_back_where_connections_fail_between_completions(self) -> None:
         for failed_at, freed in ((0, []), (NOW - 3_000 * MS, [1])):
             made = sender()
-            made.destinations[7].unlinked_at = failed_at
+            made.destinations[7].connect_failed_at = failed_at
             end(out(made, 1), Outcome.COMPLETED, NOW + 100 * MS)
             self.assertEqual(made.decide(NOW + 100 * MS).released_connections, freed)
 
@@ -356,9 +358,9 @@
             ("even", 7, 0.55, 0.064),
         ):
             priority_class = sender(family_info__late=late, classes__0__late_worth="0.1").priority_classes[FREE]
-            worth = priority_class.delivery_value(seconds * 1_000 * MS)
-            self.assertAlmostEqual(worth[0], left, 3, (late, seconds))
-            self.assertAlmostEqual(worth[1], lost, 3, (late, seconds))
+            value = priority_class.delivery_value(seconds * 1_000 * MS)
+            self.assertAlmostEqual(value[0], left, 3, (late, seconds))
+            self.assertAlmostEqual(value[1], lost, 3, (late, seconds))
 
     def test_what_time_takes_no_more_worth_from_lets_the_fresh_go_first(self) -> None:
         now = NOW + 9_000 * MS
@@ -417,7 +419,7 @@
         made = sender()
         handle = out(made, 1)
         handle.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
-        self.assertEqual((list(made.receivers[1].recent), handle.due), ([], NOW + 9 * MS + 1))
+        self.assertEqual((list(made.receivers[1].recent_successes), handle.due), ([], NOW + 9 * MS + 1))
         self.assertEqual(handle.ran_at, NOW)
 
     def test_at_most_once_goes_on_a_new_link_while_kept_ones_break(self) -> None:
@@ -487,7 +489,7 @@
         handle = out(made, 1)
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(made.receivers[1].pace.rate, before / 2)
-        made._throttle(NOW + SPAN // 2, made.receivers[1].pace, True)
+        made._throttle(NOW + REFUSAL_WINDOW // 2, made.receivers[1].pace, True)
         self.assertEqual(made.receivers[1].pace.rate, before / 2)
 
     def test_a_lone_refusal_spares_a_pace_under_its_even_part(self) -> None:
@@ -509,15 +511,15 @@
         handle = out(made, 1)
         pace = made.receivers[1].pace
         pace.rate, pace.reference, pace.raised_at = 2.0, 4.0, NOW
-        end(handle, Outcome.COMPLETED, NOW + STEP_EVERY)
+        end(handle, Outcome.COMPLETED, NOW + RATE_STEP_INTERVAL)
         self.assertAlmostEqual(pace.rate, 2.2)
 
     def test_reported_room_makes_larger_steps(self) -> None:
         made = sender(report__columns="x0,x1", rate=8.0, weight_source="nominal")
         handle = out(made, 1)
         pace = made.receivers[1].pace
-        pace.rate, pace.cut_at = 1.0, NOW - SPAN
-        handle.attempt_ended(NOW + STEP_EVERY, Outcome.COMPLETED, 0, 1, 100 * MS, 0, True, (0.9, 8.0))
+        pace.rate, pace.cut_at = 1.0, NOW - REFUSAL_WINDOW
+        handle.attempt_ended(NOW + RATE_STEP_INTERVAL, Outcome.COMPLETED, 0, 1, 100 * MS, 0, True, (0.9, 8.0))
         self.assertAlmostEqual(pace.rate, 1.0 + 4.8 * 0.2)
 
     def test_retry_waits_are_jittered_inside_the_doubling_window(self) -> None:
@@ -529,7 +531,7 @@
             handle.attempts = 2
             end(handle, Outcome.FULL, NOW)
             dues.append(handle.due - NOW)
-        self.assertLess(max(dues), WINDOW_BASE * 2)
+        self.assertLess(max(dues), BACKOFF_BASE * 2)
         self.assertGreater(len(set(dues)), 20)
 
     def test_a_drawn_wait_ends_while_a_try_can_still_be_finished(self) -> None:
@@ -635,12 +637,12 @@
         made = sender()
         made.decide(NOW)
         made.receivers[1].pace.wait_until = NOW + 5_000 * MS
-        news = [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)]
-        made.listed(NOW, EndpointUpdate.DELTA, news)
+        update = [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)]
+        made.listed(NOW, EndpointUpdate.DELTA, update)
         self.assertEqual(made.changed, set())
         take(made, 1)
         made.decide(NOW)
-        made.listed(NOW, EndpointUpdate.DELTA, news)
+        made.listed(NOW, EndpointUpdate.DELTA, update)
         self.assertEqual(made.changed, {7})
 
     def asks(self, made: Sender, failures: int) -> list[int]:
