--- /dev/null
+++ b/cedarwick/fleet/messages/gossip.py
@@ -0,0 +1,52 @@
+"""Hints that members spread: keys that are owed, Retry-After waits, suspensions by hand."""
+
+from typing import Annotated
+
+from msgspec import Meta
+
+from cedarwick.fleet.messages.fields import Count, Name, PeerBody, PeerBodyPart, Word
+
+OWING = 3  # the level from which on a member reads `OwedKeys`
+MOST_KEYS = 4096  # keys in one `OwedKeys`, at most
+
+
+class OwedKeys(PeerBody, frozen=True, tag="Owed"):
+    """All keys of which the sender owes messages from before a change among the members.
+
+    Answered by `Acknowledged`.
+    """
+
+    keys: Annotated[tuple[Count, ...], Meta(max_length=MOST_KEYS)] = ()
+
+
+class RetryAfterEntry(PeerBodyPart, frozen=True):
+    """A receiver that asked, by Retry-After, for a pause of `left` microseconds from now on."""
+
+    uid: Word
+    left: Annotated[int, Meta(ge=0, lt=1 << 40)]  # a span, not a time: the clocks of two machines differ
+
+
+class RetryAfterHint(PeerBody, frozen=True, tag="Hint"):
+    """Retry-After waits that receivers asked of the sender. Answered by `Acknowledged`."""
+
+    waits: Annotated[tuple[RetryAfterEntry, ...], Meta(max_length=4096)] = ()
+
+
+class SuspensionMark(PeerBodyPart, frozen=True):
+    """A receiver suspended by hand, or restored; the mark with the larger (counter, member) wins."""
+
+    uid: Word
+    counter: Annotated[int, Meta(ge=0, lt=1 << 62)]  # wall clock microseconds, or more
+    member: Name  # where staff set it
+    calls: Annotated[int, Meta(ge=0, le=1000)]  # suspensions in force; 0: restored
+
+
+class SuspensionMarks(PeerBody, frozen=True, tag="Marks"):
+    """Marks that the receiver may lack, and the digest of all.
+
+    Answered by `SuspensionMarks`, with all marks of the receiver if the digests differ.
+    """
+
+    digest: Count
+    rows: Annotated[tuple[SuspensionMark, ...], Meta(max_length=4096)] = ()
+    whole: bool = False  # in an answer: a receiver that is not listed was restored, or never suspended
--- /dev/null
+++ b/cedarwick/fleet/messages/membership.py
@@ -0,0 +1,67 @@
+"""Heartbeats, and the leases that a majority of the members grants."""
+
+from typing import Annotated
+
+from msgspec import Meta
+
+from cedarwick.fleet.messages.fields import MEMBERS, Count, Name, Names, Order, PeerBody, PeerBodyPart, Term, Word
+
+
+class HeldLease(PeerBodyPart, frozen=True):
+    """A partition whose lease the sender of the heartbeat holds."""
+
+    partition: Count
+    term: Term
+
+
+class Heartbeat(PeerBody, frozen=True, tag="Beat"):
+    """Says that the sender is alive. Answered by a `Heartbeat`."""
+
+    leaving: bool
+    heard: Annotated[dict[Name, Count], Meta(max_length=MEMBERS)]  # microseconds ago, by member
+    rights: Annotated[tuple[HeldLease, ...], Meta(max_length=4096)] = ()
+
+
+class LeaseRequest(PeerBody, frozen=True, tag="Ask"):
+    """Asks for a lease of `span` microseconds. Answered by `LeaseReply`."""
+
+    right: Word
+    term: Term
+    holder: Name
+    span: Count
+    successors: Names = ()
+    set: Order = 0  # the larger number is the newer list of successors
+    closed: bool = False
+
+
+class LeaseReply(PeerBody, frozen=True, tag="Told"):
+    """The grantor's entry for the lease, and whether it was granted."""
+
+    granted: bool
+    term: Term
+    holder: Name
+    successors: Names = ()
+    set: Order = 0
+    closed: bool = False
+
+
+class GrantTableRequest(PeerBody, frozen=True, tag="Tables"):
+    """Asks for a whole table of grants, since the sender's own is lost. Answered by `GrantTable`."""
+
+
+class Grant(PeerBodyPart, frozen=True):
+    """A row of a grantor's table."""
+
+    right: Word
+    term: Term
+    holder: Name
+    successors: Names = ()
+    set: Order = 0
+    closed: bool = False
+
+
+class GrantTable(PeerBody, frozen=True, tag="Table"):
+    """A whole table of grants; `learning` where the grantor has lost its own too."""
+
+    learning: bool
+    grants: Annotated[tuple[Grant, ...], Meta(max_length=1 << 14)] = ()
--- /dev/null
+++ b/cedarwick/fleet/messages/replication.py
@@ -0,0 +1,86 @@
+"""Replication of a partition: the log, the pieces of a full transfer, comparison, and the offer after a takeover."""
+
+from typing import Annotated
+
+from msgspec import Meta
+
+from cedarwick.fleet.messages.fields import Bulk, Count, PeerBody, PeerBodyPart, Term, Text
+
+
+class ReplicateFacts(PeerBody, frozen=True, tag="Facts"):
+    """The tail of a partition's log from index `first` on. Answered by `ReplicaAck`."""
+
+    partition: Count
+    term: Term
+    first: Count
+    facts: Bulk
+    digest: Count
+
+
+class ReplicatePiece(PeerBody, frozen=True, tag="Piece"):
+    """All owed messages with numbers above `after`, up to `upto`; the log continues at index `next`.
+
+    Answered by `ReplicaAck`.
+    """
+
+    partition: Count
+    term: Term
+    after: Count
+    upto: Count
+    facts: Bulk
+    next: Count
+    digest: Count
+    behind: bool = False  # the holder acknowledges to clients what no copy has yet
+
+
+class ReplicaAck(PeerBody, frozen=True, tag="Have"):
+    """A copy's position; `problem` says why the message was dropped as a whole."""
+
+    partition: Count
+    term: Term
+    next: Count
+    problem: Text = ""
+    covered: Count = 0  # the full transfer of this term has reached it up to this number
+
+
+class DigestRange(PeerBodyPart, frozen=True):
+    """The owed messages with numbers above `after`, up to `upto`, as their count and digest."""
+
+    after: Count
+    upto: Count
+    count: Count
+    digest: Count
+
+
+class Digests(PeerBody, frozen=True):
+    """Ranges of a partition as the holder has them.
+
+    Answered by the copy's own `Digests` over the same ranges.
+    """
+
+    partition: Count
+    term: Term
+    ranges: Annotated[tuple[DigestRange, ...], Meta(max_length=4096)]
+    next: Count = 0  # the log index at which they were taken; a copy at another one answers with no ranges
+
+
+class TakeoverOffer(PeerBody, frozen=True, tag="Offer"):
+    """What the previous holder of a partition knows, part by part, for the member that took it over.
+
+    Answered by `OfferReply`.
+    """
+
+    partition: Count
+    part: Count
+    last: bool
+    facts: Bulk
+    digest: Count
+    term: Term = 0  # the newest in which the sender has held the partition
+
+
+class OfferReply(PeerBody, frozen=True, tag="Taken"):
+    """The part was joined and is in the new holder's folder; `problem` says why not."""
+
+    partition: Count
+    part: Count
+    problem: Text = ""
--- /dev/null
+++ b/cedarwick/fleet/messages/sessions.py
@@ -0,0 +1,182 @@
+"""Sessions: where they are held, their migration and its decree, claims, and forwarded submissions."""
+
+from typing import Annotated
+
+from msgspec import Meta
+
+from cedarwick.fleet.messages.fields import (
+    Bulk,
+    Count,
+    Id,
+    Move,
+    Name,
+    Order,
+    PeerBody,
+    PeerBodyPart,
+    Request,
+    Text,
+    Word,
+)
+
+
+class SessionLocation(PeerBodyPart, frozen=True):
+    """The holder of the session of a key; the entry with the larger sequence is the newer one."""
+
+    key: Count
+    holder: Name
+    sequence: Order
+    age: Count  # microseconds since its last use
+
+
+class SessionLocations(PeerBody, frozen=True, tag="Lodgings"):
+    """Changed session locations, and whether the sender takes more sessions.
+
+    Answered by `SessionLocations` without `news`.
+    """
+
+    news: Annotated[tuple[SessionLocation, ...], Meta(max_length=4096)] = ()
+    held: Count = 0  # sessions
+    takes: bool = False  # whether the sender takes more sessions
+    stamp: Order = 0  # of the next migration that the sender begins
+    first: bool = False  # as far as the sender knows, neither member has run before
+
+
+class RecentIdEntry(PeerBodyPart, frozen=True):
+    """The id of a message accepted a short while ago, so that a repeat is recognised."""
+
+    id: Id
+    age: Count  # microseconds
+    hashed: Count  # digest of the submission that came with it
+
+
+class StageSession(PeerBody, frozen=True, tag="Stage"):
+    """The messages of a session, to be stored inert until its migration is decided. Answered by `StageReply`."""
+
+    move: Move
+    key: Count
+    sequence: Order  # of the session since the migration began
+    facts: Bulk
+    digest: Count
+    ids: Annotated[tuple[RecentIdEntry, ...], Meta(max_length=1 << 14)] = ()
+    rest: Count = 0  # microseconds in which an attempt of the session may still run
+
+
+class StageReply(PeerBody, frozen=True, tag="Staged"):
+    """Whether the session is in the target's folder; `why` it is not."""
+
+    move: Move
+    stored: bool
+    why: Text = ""
+
+
+class BallotNumber(PeerBodyPart, frozen=True):
+    """A ballot: its round, and the text of one proposer of one boot."""
+
+    round: Order
+    mark: Word
+
+
+class PrepareRequest(PeerBody, frozen=True, tag="Prepare"):
+    """First phase of a Paxos decree. Answered by `VoteReply`."""
+
+    move: Move
+    ballot: BallotNumber
+    key: Count = 0  # of the session; 0: sent by a member of a level below 3
+
+
+class AcceptRequest(PeerBody, frozen=True, tag="Accept"):
+    """Second phase of a Paxos decree: accept the value. Answered by `VoteReply`."""
+
+    move: Move
+    ballot: BallotNumber
+    value: Name
+    key: Count = 0  # as in `PrepareRequest`
+
+
+class VoteReply(PeerBody, frozen=True, tag="Voted"):
+    """An acceptor's answer to either phase."""
+
+    move: Move
+    granted: bool
+    promised: BallotNumber  # the highest
+    accepted: BallotNumber
+    value: Name = ""  # accepted, or decided; empty: none
+    decided: bool = False
+
+
+class MigrationDecided(PeerBody, frozen=True, tag="Settled"):
+    """The decided value of a migration, and whether the target is active.
+
+    Answered by a `MigrationDecided` with what the receiver knows.
+    """
+
+    move: Move
+    value: Name  # empty, in an answer: not known
+    active: bool = False
+
+
+class SessionClaim(PeerBody, frozen=True, tag="Claims"):
+    """Asks whether the sender may open the session of a key. Answered by `ClaimReply`."""
+
+    key: Count
+    sequence: Order
+    over: Order  # sequence and holder of the entry that it replaces
+    over_holder: Name
+    at: Count
+
+
+class SessionInheritance(PeerBody, frozen=True, tag="Inherits"):
+    """Asks for the session of a lost holder whose partition, and recent ids, the sender has.
+
+    Answered by `ClaimReply`. Members below level 3 cannot read it, so that nobody grants it who would also vote on a
+    migration of the session.
+    """
+
+    key: Count
+    sequence: Count
+    over: Count  # sequence and name of the last holder
+    over_holder: Name
+    partition: Count  # the newest that the last holder had
+    at: Count
+
+
+class ClaimReply(PeerBody, frozen=True, tag="Claimed"):
+    """Whether the claim is granted; if not, the entry that stands against it, where known."""
+
+    granted: bool
+    entry: SessionLocation | None = None
+
+
+class ForwardedSubmit(PeerBody, frozen=True, tag="Pass"):
+    """A client's submission for the session's holder; it is not forwarded again. Answered by `ForwardReply`."""
+
+    key: Count
+    id: Id
+    mark: Id  # the idempotency mark of a repeat
+    priority_class: Id
+    tenant: Id
+    destination: Count
+    left: Annotated[int, Meta(ge=-(1 << 62), lt=1 << 62)]  # microseconds to its deadline
+    within: Count  # microseconds in which the client's answer is wanted
+    body: Request
+    moved: bool = False  # forwarded by the previous holder, whose client connection stayed open
+    entry: SessionLocation | None = None  # the lost holder, for the member that holds its partition now
+
+
+class ForwardReply(PeerBody, frozen=True, tag="Passed"):
+    """The answer for the client; empty: the session is held elsewhere (`entry`), or disowned."""
+
+    answer: Name
+    wait_ms: Count = 0
+    disowned: bool = False
+    entry: SessionLocation | None = None
+
+
+class RecallForward(PeerBody, frozen=True, tag="Recall"):
+    """The client of a `ForwardedSubmit` disconnected before it was answered.
+
+    Answered by `Acknowledged`.
+    """
+
+    key: Count
+    id: Id
