--- /dev/null
+++ b/cedarwick/fleet/leased_partition.py
@@ -0,0 +1,65 @@
+"""A partition that this sender holds, or has held: its ledger of facts, its replication log, and how it stands. No I/O.
+
+`ReplicatedStore` has one `LeasedPartition` for each such partition; the node decides which ones there are.
+"""
+
+from cedarwick.fleet.replication import ReplicationLog
+from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, base_of, with_end
+from cedarwick.fleet.takeover import Takeover
+from cedarwick.store.journal import BodyLostError, Store
+
+# Microseconds that a copy may lag before its partition is not fired for, and nothing waits for the copy any more.
+STARVED = 500_000
+
+
+class LeasedPartition:
+    """A partition that this sender holds, or has held and not given up: its ledger, its log, and how it stands."""
+
+    def __init__(self, partition: int, adoption: Takeover) -> None:
+        self.partition = partition
+        self.adoption = adoption
+        self.ledger = FactLedger(0)
+        self.log = ReplicationLog(partition, 0, lambda _: None)
+        self.begun_at = 0  # when its log began: its copies have some time until it goes on without them
+        self.imported = False  # its messages are in the folder, the ledger knows them
+        self.serving = False  # the dispatcher fires for it
+        # Copies that are to be successors: once they have all below an index, and since when that is so.
+        self.joining: dict[str, tuple[int, int]] = {}
+        self.starved_at = 0  # since when its copies do not follow, by the boot clock; 0: they do
+        self.alone_since = 0  # it goes on without copies
+        self.reserved = 0  # numbers below this one are written down as given
+        self.from_term = 0  # the term of the copy that it was adopted from in this process; 0: it was not
+        self.approached = False  # some newer holder was sent an offer
+        self.offered = False  # the newer holder has taken all that was known here
+        self.unheld_since = 0  # since when the right has run out and no majority says more; 0: it is held, or lost
+        self.heard_out = 0  # of an adopted partition: when its last holder has offered all that it knew
+        self.sent = 0  # facts below this index were sent to some copy
+        self.backlog: dict[int, int] = {}  # owed since before the last change among the members: their order keys
+        self.finished: set[int] = (
+            set()
+        )  # of an adopted partition: ended here, so that old news does not bring them back
+
+    def starving(self, now: int) -> bool:
+        """Whether its copies have been behind for too long, by the boot clock."""
+        return self.starved_at > 0 and now - self.starved_at > STARVED
+
+    def read(self, store: Store, number: int) -> Fact | None:
+        """All that is known of an owed message, for the log."""
+        stored, known = store.messages.get(number), self.ledger.known.get(number)
+        if stored is None or known is None:
+            return None
+        try:
+            return Fact(number, base_of(stored, store.body(number) if stored.end is None else b""), known)
+        except BodyLostError:
+            return Fact(number, None, known)
+
+    def told(self, store: Store, number: int) -> Fact | None:
+        """The same for another member; what cannot be read has failed there.
+
+        Danger: without its base a copy leaves the message out and counts as whole; whoever adopts it then owes nobody
+        an answer.
+        """
+        fact = self.read(store, number)
+        if fact is None or fact.base is not None:
+            return fact
+        return with_end(Fact(number, base_of(store.messages[number], b""), fact.known), EndRank.FAILED)
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -23,6 +23,7 @@
 from cedarwick.fleet import replication_facts as known_facts
 from cedarwick.fleet.fleet_files import FleetFiles, LeaseRecord
 from cedarwick.fleet.gossip import Gossip
+from cedarwick.fleet.leased_partition import STARVED, LeasedPartition
 from cedarwick.fleet.leases import SPAN, LeaseGrantor, LeaseState, right_of
 from cedarwick.fleet.membership import Membership, MemberStatus
 from cedarwick.fleet.messages import (
@@ -56,7 +57,7 @@
 from cedarwick.fleet.order_key_hints import OrderKeyHints
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
-from cedarwick.fleet.replicated_store import BLOCK, STARVED, LeasedPartition, ReplicatedStore, monotonic_time
+from cedarwick.fleet.replicated_store import BLOCK, ReplicatedStore, monotonic_time
 from cedarwick.fleet.replication import NO_ROOM, OTHER, TERM, FollowerProgress
 from cedarwick.fleet.replication_facts import EndRank
 from cedarwick.fleet.takeover import AWAY, BooksExhaustedError, Ownership, Takeover, TakeoverAction, TakeoverStage
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cedarwick.fleet.replication import ReplicaEntry
+from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, over
 from cedarwick.fleet.sessions import REMEMBERED, contents
 
--- a/cedarwick/fleet/replica_files.py
+++ b/cedarwick/fleet/replica_files.py
@@ -17,7 +17,8 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.messages import Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
-from cedarwick.fleet.replication import EVERYTHING, NO_ROOM, Replica, ReplicaEntry, ReplicaStep
+from cedarwick.fleet.replica import Replica, ReplicaEntry, ReplicaStep
+from cedarwick.fleet.replication import EVERYTHING, NO_ROOM
 from cedarwick.fleet.replication_facts import CorruptFactsError, Fact, decode_facts
 from cedarwick.store.files import Folder, quietly
 from cedarwick.store.records import FRAME, LONGEST, DamagedRange, framed, may_go_on
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -1,9 +1,8 @@
-"""The folder of a sender that belongs to a fleet: what is written there is told to the copies as well.
+"""The folder of a sender that belongs to a fleet: what is written there also goes to the copies.
 
-`ReplicatedStore` is the folder as the dispatcher knows it. Besides, it keeps for each partition that this sender holds
-the ledger of
-facts and the log that ships them (`LeasedPartition`), and answers for the right to fire. The node decides which
-partitions are held.
+`ReplicatedStore` is the folder as the dispatcher knows it. Besides, it has a `LeasedPartition` (ledger of facts and
+replication log) for each partition that this sender holds, and says whether the lease allows it to fire. The node
+decides which partitions are held.
 """
 
 import time
@@ -17,26 +16,23 @@
 
 from cedarwick.decisions.interface import Outcome
 from cedarwick.errors import CedarwickError
+from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.replication import ReplicationLog
 from cedarwick.fleet.replication_facts import (
     EndRank,
     Fact,
     FactLedger,
-    MessageKnowledge,
-    base_of,
     decode_facts,
     in_doubt,
-    join,
     join_facts,
     over,
     stored_message_of,
     together,
+    with_end,
 )
-from cedarwick.fleet.takeover import Takeover
 from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
 from cedarwick.store.records import StoredMessage
 
-STARVED = 500_000  # microseconds that a copy may lag before its partition is not fired for, and nothing waits for it
 BLOCK = 1 << 16  # numbers that are reserved at once: so many are skipped at a restart
 PER_PARTITION = 1 << 32
 
@@ -48,69 +44,11 @@
     remedy = "look at the members that have the copies, and at the network to them; `fleet.alone` says what follows"
 
 
-def with_end(fact: Fact, rank: EndRank) -> Fact:
-    """A fact that ends so, if it has no end that beats it."""
-    return Fact(fact.number, fact.base, join(fact.known, MessageKnowledge(end=(rank, 0))))
-
-
 def monotonic_time() -> int:
     """Whole microseconds of the clock that goes on while the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-class LeasedPartition:
-    """A partition that this sender holds, or has held and not given up: its ledger, its log, and how it stands."""
-
-    def __init__(self, partition: int, adoption: Takeover) -> None:
-        self.partition = partition
-        self.adoption = adoption
-        self.ledger = FactLedger(0)
-        self.log = ReplicationLog(partition, 0, lambda _: None)
-        self.begun_at = 0  # when its log began: its copies have some time until it goes on without them
-        self.imported = False  # its messages are in the folder, the ledger knows them
-        self.serving = False  # the dispatcher fires for it
-        # Copies that are to be successors: once they have all below an index, and since when that is so.
-        self.joining: dict[str, tuple[int, int]] = {}
-        self.starved_at = 0  # since when its copies do not follow, by the boot clock; 0: they do
-        self.alone_since = 0  # it goes on without copies
-        self.reserved = 0  # numbers below this one are written down as given
-        self.from_term = 0  # the term of the copy that it was adopted from in this process; 0: it was not
-        self.approached = False  # some newer holder was sent an offer
-        self.offered = False  # the newer holder has taken all that was known here
-        self.unheld_since = 0  # since when the right has run out and no majority says more; 0: it is held, or lost
-        self.heard_out = 0  # of an adopted partition: when its last holder has offered all that it knew
-        self.sent = 0  # facts below this index were sent to some copy
-        self.backlog: dict[int, int] = {}  # owed since before the last change among the members: their order keys
-        self.finished: set[int] = (
-            set()
-        )  # of an adopted partition: ended here, so that old news does not bring them back
-
-    def starving(self, now: int) -> bool:
-        """Whether its copies have been behind for too long, by the boot clock."""
-        return self.starved_at > 0 and now - self.starved_at > STARVED
-
-    def read(self, store: "ReplicatedStore", number: int) -> Fact | None:
-        """All that is known of an owed message, for the log."""
-        stored, known = store.messages.get(number), self.ledger.known.get(number)
-        if stored is None or known is None:
-            return None
-        try:
-            return Fact(number, base_of(stored, store.body(number) if stored.end is None else b""), known)
-        except BodyLostError:
-            return Fact(number, None, known)
-
-    def told(self, store: "ReplicatedStore", number: int) -> Fact | None:
-        """The same for another member; what cannot be read has failed there.
-
-        Danger: without its base a copy leaves the message out and counts as whole; whoever adopts it then owes nobody
-        an answer.
-        """
-        fact = self.read(store, number)
-        if fact is None or fact.base is not None:
-            return fact
-        return with_end(Fact(number, base_of(store.messages[number], b""), fact.known), EndRank.FAILED)
-
-
 class ReplicatedStore(Store):
     """Owns the folder, as `Store` does, and tells the partitions what happens to their messages."""
 
--- a/cedarwick/fleet/replication.py
+++ b/cedarwick/fleet/replication.py
@@ -1,20 +1,20 @@
-"""A partition's facts on their way from its holder to its copies: a log with a window, and what is owed in pieces. No
-I/O.
+"""Replication of a partition, the holder's side: a log of facts and the progress of each follower. No I/O.
 
 A primary-copy log with terms (viewstamped replication, Liskov and Cowling 2012). The holder numbers each fact; a copy
-takes a term's facts in that order without a gap. A copy that is new to the term, or behind the window, is walked: it
-gets all that is owed in pieces, ranges of numbers in ascending order, while the tail goes on. A copy's place is
-(term, next index, covered number) and only grows while its file lives:
+(`replica.py`) takes a term's facts in that order without a gap. A copy that is new to the term, or behind the window,
+is walked: it gets a full transfer of what is owed in pieces, ranges of message numbers in ascending order, while the
+tail of the log goes on. The position of a copy is (term, next index, covered number). It only grows while the copy's
+file lives:
 
 - covered numbers are at least as new as index `next`, every one that is owed there; above them it has the tail alone;
 - a piece that begins at 0 begins a walk: the copy's index jumps to the piece's;
-- a piece that was taken before something the copy has already is refused ('gap'), as is one that leaves a hole;
+- a piece that was read before something that the copy has already is refused ('gap'), as is one that leaves a hole;
 - in the middle of a walk a copy holds all that it held before, but for what its holder says is over.
 
-Danger: a piece is authoritative for its range only as of its index. Taken by a copy that is further on it would bring
-back what has ended since, and drop what the tail has brought since. So the holder sends no tail while a piece is out,
-and the copy refuses a piece that is older than its place; a piece that is newer does no harm, since all that a copy
-holds is older, and the tail that it repeats ends as it ended.
+A piece is authoritative for its range only as of its index. A copy that is further on would, by taking it, bring back
+what has ended since and drop what the tail has brought since. So the holder sends no tail while a piece is out, and the
+copy refuses a piece that is older than its position. A piece that is newer does no harm: all that the copy holds is
+older, and the tail that is repeated ends as it ended before.
 """
 
 from bisect import bisect_left, bisect_right, insort
@@ -22,25 +22,10 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
-import msgspec
 import xxhash
 
-from cedarwick.fleet.messages import DigestRange, Digests, ReplicaAck, ReplicateFacts, ReplicatePiece, whole
-from cedarwick.fleet.replication_facts import (
-    CorruptFactsError,
-    Fact,
-    FactsVersionError,
-    decode_facts,
-    digest,
-    encode_facts,
-    encoded,
-    in_doubt,
-    join_facts,
-    over,
-    together,
-    trimmed,
-    weight,
-)
+from cedarwick.fleet.messages import DigestRange, Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
+from cedarwick.fleet.replication_facts import Fact, digest, encoded, over, together, trimmed
 
 EVERYTHING = (1 << 63) - 1  # above every number
 WINDOW = 4096  # facts of the tail that the holder keeps
@@ -82,9 +67,6 @@
     return count, hashed.intdigest()
 
 
-# ---- the holder ----
-
-
 class ReplicationLog:
     """The facts of one term of a partition, numbered from 0 on, and the numbers that are owed.
 
@@ -372,155 +354,3 @@
         self.compare_at = now + REST  # where no answer comes
         self.compared = self.log.spans(self.compare_from)
         return Digests(self.log.partition, self.log.term, self.compared, self.log.next)
-
-
-# ---- the copy ----
-
-
-class ReplicaEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A step of a copy as it lies in its file: facts to be joined, and the place after that."""
-
-    term: int
-    next: int
-    covered: int
-    after: int  # what is held in this range and not among the facts is over; an empty range: the tail
-    upto: int
-    facts: bytes
-    behind: bool = False  # as in `ReplicatePiece`
-
-
-class ReplicaStep(NamedTuple):
-    """What a message comes to: write `entry`, then `take` the step, then answer `have`. No entry: answer at once."""
-
-    have: ReplicaAck
-    entry: ReplicaEntry | None = None
-    facts: list[Fact] = []
-
-
-class Replica:
-    """One copy of a partition, which is brought forward by steps."""
-
-    def __init__(self, partition: int) -> None:
-        self.partition = partition
-        self.place = ReplicaPosition(0, 0, 0)
-        self.held: dict[int, Fact] = {}  # what is owed, with bases
-        self.live = 0  # about the bytes of that
-        self.behind = False  # its holder has answered for more than it was told
-
-    @property
-    def whole(self) -> bool:
-        """Whether it was told everything of its term."""
-        return self.place.covered == EVERYTHING
-
-    def facts(self, message: ReplicateFacts) -> ReplicaStep:
-        """A part of the tail."""
-        place = self.place
-        if message.term != place.term:
-            return self._no(TERM if message.term < place.term else GAP)
-        if message.first > place.next:
-            return self._no(GAP)
-        read = self._read(message, 0, EVERYTHING)
-        if isinstance(read, str):
-            return self._no(read)
-        fresh = read[place.next - message.first :]
-        if not fresh:
-            return ReplicaStep(self.have())
-        data = message.facts if len(fresh) == len(read) else encode_facts(fresh)
-        return self._step(place._replace(next=place.next + len(fresh)), 0, 0, data, fresh, self.behind)
-
-    def piece(self, message: ReplicatePiece) -> ReplicaStep:
-        """All that is owed in a range."""
-        place = self.place
-        if message.term < place.term:
-            return self._no(TERM)
-        jumps = message.after == 0 and (message.term > place.term or message.next > place.next)
-        if not jumps and (message.term > place.term or message.next < place.next or message.after > place.covered):
-            return self._no(GAP)
-        read = self._read(message, message.after, message.upto)
-        if isinstance(read, str):
-            return self._no(read)
-        covered = message.upto if jumps else max(place.covered, message.upto)
-        index = message.next if jumps else place.next
-        return self._step(
-            ReplicaPosition(message.term, index, covered),
-            message.after,
-            message.upto,
-            message.facts,
-            read,
-            message.behind,
-        )
-
-    def digests(self, message: Digests) -> Digests:
-        """The copy's own ranges, where it is at the same place."""
-        if (message.term, message.next) != self.place[:2]:
-            return Digests(self.partition, self.place.term, (), self.place.next)
-        numbers, made = sorted(self.held), []
-        for span in message.ranges:
-            inside = numbers[bisect_right(numbers, span.after) : bisect_right(numbers, span.upto)]
-            made.append(DigestRange(span.after, span.upto, *summed(encoded(self.held[number]) for number in inside)))
-        return Digests(self.partition, self.place.term, tuple(made), self.place.next)
-
-    def have(self, problem: str = NO_PROBLEM) -> ReplicaAck:
-        return ReplicaAck(self.partition, self.place.term, self.place.next, problem, self.place.covered)
-
-    def take(self, entry: ReplicaEntry, facts: Iterable[Fact]) -> None:
-        """Bring the copy forward by a step that is in its file."""
-        if entry.upto > entry.after:
-            listed = {fact.number for fact in facts}
-            for number in [each for each in self.held if entry.after < each <= entry.upto and each not in listed]:
-                self._drop(number)
-        for fact in facts:
-            before = self.held.get(fact.number)
-            if before is None and fact.base is None:
-                continue  # news of what has ended, or of what a piece is still to bring
-            joined = trimmed(fact) if before is None else join_facts(before, fact)
-            self._drop(fact.number)
-            if not over(joined.known):
-                self.held[fact.number] = joined
-                self.live += weight(joined)
-        self.place, self.behind = ReplicaPosition(entry.term, entry.next, entry.covered), entry.behind
-
-    def doubt(self, since: int) -> None:
-        """A part of its file is lost: news may be missing from a wall time on, and it must be walked anew."""
-        self.held = {number: in_doubt(fact, since) for number, fact in self.held.items()}
-        self.place = ReplicaPosition(self.place.term, 0, 0)
-
-    def part(self, after: int, size: int) -> ReplicaEntry:
-        """A part of what is held, from a number on, with the present place: for a fresh file."""
-        taken: list[Fact] = []
-        upto, left = EVERYTHING, size
-        for number in sorted(each for each in self.held if each > after):
-            if taken and left <= 0:
-                upto = taken[-1].number
-                break
-            taken.append(self.held[number])
-            left -= weight(taken[-1])
-        return ReplicaEntry(*self.place, after, upto, encode_facts(taken), self.behind)
-
-    def _drop(self, number: int) -> None:
-        before = self.held.pop(number, None)
-        if before is not None:
-            self.live -= weight(before)
-
-    def _no(self, problem: str) -> ReplicaStep:
-        return ReplicaStep(self.have(problem))
-
-    def _step(
-        self, place: ReplicaPosition, after: int, upto: int, data: bytes, facts: list[Fact], behind: bool
-    ) -> ReplicaStep:
-        entry = ReplicaEntry(*place, after, upto, data, behind)
-        return ReplicaStep(ReplicaAck(self.partition, place.term, place.next, NO_PROBLEM, place.covered), entry, facts)
-
-    def _read(self, message: ReplicateFacts | ReplicatePiece, after: int, upto: int) -> list[Fact] | str:
-        """The facts of a message, or why it is dropped whole."""
-        if not whole(message):
-            return SPOILT
-        try:
-            facts = decode_facts(message.facts)
-        except FactsVersionError:
-            return OTHER
-        except CorruptFactsError:
-            return SPOILT
-        if any(fact.number >> 32 != self.partition or not after < fact.number <= upto for fact in facts):
-            return SPOILT
-        return facts
--- a/cedarwick/fleet/replication_facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -228,6 +228,11 @@
     return Fact(fact.number, fact.base, join(fact.known, MessageKnowledge(doubt=since)))
 
 
+def with_end(fact: Fact, rank: EndRank) -> Fact:
+    """A fact that ends so, if it has no end that beats it."""
+    return Fact(fact.number, fact.base, join(fact.known, MessageKnowledge(end=(rank, 0))))
+
+
 # ---- from and to the folder ----
 
 
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -43,11 +43,11 @@
     digest_of,
     whole,
 )
+from cedarwick.fleet.migration_planner import MigrationPlanner
 from cedarwick.fleet.migration_table import (
     FREEZE,
     MOST_OUT,
     MigrationAction,
-    MigrationPlanner,
     MigrationStep,
     MigrationTable,
     SourceStage,
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -15,6 +15,7 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
+from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.leases import EPOCH_BITS, right_of
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
@@ -34,10 +35,11 @@
     StageSession,
     slot_of,
 )
-from cedarwick.fleet.migration_table import WAITS, MigrationReason, MigrationRequest, Neighbour
+from cedarwick.fleet.migration_planner import MigrationReason, MigrationRequest, Neighbour
+from cedarwick.fleet.migration_table import WAITS
 from cedarwick.fleet.recent_ids import UNKNOWN, RecentIds
-from cedarwick.fleet.replicated_store import LeasedPartition, monotonic_time
-from cedarwick.fleet.replication import ReplicaEntry as Step
+from cedarwick.fleet.replica import ReplicaEntry as Step
+from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.replication_facts import EndRank, Fact
 from cedarwick.fleet.session_files import HeldSession, Sessions
 from cedarwick.fleet.session_migration import LATE, SECOND, SESSIONS, SETTLE_IN, SessionMigrations
--- a/cedarwick/lab/claims.py
+++ b/cedarwick/lab/claims.py
@@ -357,7 +357,8 @@
     take or call, besides: a trouble anywhere from when the earlier one was taken on, since it held up that one's
     partition
     (a copy's trouble holds up its holder, too). Then a key rests elsewhere by what members tell, as far as peer
-    messages come and for some seconds, which is no promise; `tests/test_fleet_owing.py` counts how often that does.
+    messages come and for some seconds, which is no promise; `tests/test_fleet_order_key_hints.py` counts how often that
+    does.
     """
     bands, adopt = scenario.bands(), round(terms.adopt_ms * MS)
     lines: defaultdict[tuple[str, int], list[Case]] = defaultdict(list)
--- a/tests/test_fleet_inherit.py
+++ b/tests/test_fleet_inherit.py
@@ -10,7 +10,8 @@
 from cedarwick.fleet.consensus import Acceptor, name_move
 from cedarwick.fleet.messages import LEVEL, VERSION, PeerMessage, RecentIdEntry, StageSession, decode, encode
 from cedarwick.fleet.recent_ids import UNKNOWN, RecentIds, hash_of
-from cedarwick.fleet.replication import EVERYTHING, ReplicaEntry
+from cedarwick.fleet.replica import ReplicaEntry
+from cedarwick.fleet.replication import EVERYTHING
 from cedarwick.fleet.replication_facts import EndRank, Fact, LifeSummary, MessageBase, MessageKnowledge
 from cedarwick.fleet.sessions import FORGOTTEN, LAPSES, REMEMBERED, Claim, ClaimRequest, ClaimRuling, SessionDirectory
 
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_migration.py
@@ -13,23 +13,25 @@
 
 from cedarwick.fleet import migration_table as moves_module
 from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Ballot, Proposer, ProposerRequest, Value, name_move
-from cedarwick.fleet.migration_table import (
+from cedarwick.fleet.migration_planner import (
     AFTER_OFF,
+    FULL,
+    STAYS,
+    MigrationPlanner,
+    MigrationReason,
+    MigrationRequest,
+    Neighbour,
+)
+from cedarwick.fleet.migration_table import (
     CALL_OFF,
     FORWARDS,
     FREEZE,
-    FULL,
     MOST_IN,
     MOST_OUT,
-    STAYS,
     Migration,
     MigrationAction,
-    MigrationPlanner,
-    MigrationReason,
-    MigrationRequest,
     MigrationStep,
     MigrationTable,
-    Neighbour,
     SourceStage,
     TargetStage,
 )
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -17,6 +17,7 @@
 from cedarwick.fleet import node as module
 from cedarwick.fleet.consensus import parts
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError
+from cedarwick.fleet.leased_partition import STARVED, LeasedPartition
 from cedarwick.fleet.leases import SPAN, UPTO, LeaseGrantor, right_of
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
@@ -40,15 +41,14 @@
 from cedarwick.fleet.messages import HeldLease as Right
 from cedarwick.fleet.node import FleetNode, MembershipChangeError
 from cedarwick.fleet.order_key_hints import EVERY, LASTS
+from cedarwick.fleet.replica import Replica
 from cedarwick.fleet.replicated_store import (
     BLOCK,
-    STARVED,
-    LeasedPartition,
     NotReplicatedError,
     ReplicatedStore,
     monotonic_time,
 )
-from cedarwick.fleet.replication import EVERYTHING, GAP, Replica, ReplicaPosition
+from cedarwick.fleet.replication import EVERYTHING, GAP, ReplicaPosition
 from cedarwick.fleet.replication_facts import (
     CorruptFactsError,
     EndRank,
--- a/tests/test_fleet_shipping.py
+++ b/tests/test_fleet_replication.py
@@ -8,10 +8,12 @@
 
 from loguru import logger
 
+from cedarwick.fleet import replica as replica_module
 from cedarwick.fleet import replica_files, replication
 from cedarwick.fleet.messages import Digests, ReplicateFacts, ReplicatePiece
+from cedarwick.fleet.replica import Replica, ReplicaEntry, ReplicaStep
 from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
-from cedarwick.fleet.replication import EVERYTHING, NO_ROOM, OTHER, SPOILT, TERM, Replica, ReplicationLog
+from cedarwick.fleet.replication import EVERYTHING, NO_ROOM, OTHER, SPOILT, TERM, ReplicationLog
 from cedarwick.fleet.replication_facts import (
     Fact,
     FactLedger,
@@ -260,7 +262,7 @@
     def test_an_old_piece_that_drops_what_the_tail_brought_is_noticed(self) -> None:
         honest = Replica.piece
 
-        def piece(self: Replica, message: ReplicatePiece) -> replication.ReplicaStep:
+        def piece(self: Replica, message: ReplicatePiece) -> ReplicaStep:
             place = self.place
             if message.term == place.term and message.next < place.next and message.after <= place.covered:
                 self.place = place._replace(next=message.next)
@@ -268,7 +270,7 @@
                 self.place = place
                 return step._replace(
                     entry=step.entry
-                    and replication.ReplicaEntry(
+                    and ReplicaEntry(
                         place.term, place.next, step.entry.covered, message.after, message.upto, message.facts
                     )
                 )
@@ -278,7 +280,7 @@
             self.caught("an old piece")
 
     def test_an_answer_before_writing_is_noticed(self) -> None:
-        def done(self: ReplicaStore, copy: replica_files.ReplicaFile, step: replication.ReplicaStep) -> Any:
+        def done(self: ReplicaStore, copy: replica_files.ReplicaFile, step: ReplicaStep) -> Any:
             if step.entry is not None:
                 copy.replica.take(step.entry, step.facts)
                 self.copies[copy.replica.partition] = copy
@@ -288,7 +290,7 @@
             self.caught("an answer before writing")
 
     def test_a_join_that_forgets_a_attempt_is_noticed(self) -> None:
-        with unittest.mock.patch.object(replication, "join_facts", lambda a, b: a):
+        with unittest.mock.patch.object(replica_module, "join_facts", lambda a, b: a):
             self.caught("a join that forgets")
 
     def test_an_earlier_life_taken_at_its_word_is_noticed(self) -> None:
@@ -362,7 +364,7 @@
             self.assertEqual(step.have.problem, problem)
             if step.entry is not None:
                 replica.take(step.entry, step.facts)
-        replica.take(replication.ReplicaEntry(1, 6, low, 0, 0, b""), [Fact(high, None, MessageKnowledge())])
+        replica.take(ReplicaEntry(1, 6, low, 0, 0, b""), [Fact(high, None, MessageKnowledge())])
         self.assertEqual((replica.held, replica.place), ({}, (1, 6, low)))  # news of what a piece is still to bring
 
     def test_behind_a_torn_record_nothing_is_written(self) -> None:
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -15,14 +15,15 @@
 from cedarwick.fleet import session_migration
 from cedarwick.fleet.consensus import OLD, Acceptor, AcceptorTable, InstanceState, name_move
 from cedarwick.fleet.fleet_files import FleetFiles
+from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.leases import right_of
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Body, ForwardReply, Grant, RecallForward, StageReply, StageSession, slot_of
 from cedarwick.fleet.node import FleetNode
 from cedarwick.fleet.recent_ids import RecentIds
-from cedarwick.fleet.replicated_store import LeasedPartition, ReplicatedStore, monotonic_time
+from cedarwick.fleet.replica import ReplicaEntry as Step
+from cedarwick.fleet.replicated_store import ReplicatedStore, monotonic_time
 from cedarwick.fleet.replication import EVERYTHING
-from cedarwick.fleet.replication import ReplicaEntry as Step
 from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, MessageKnowledge, base_of
 from cedarwick.fleet.session_files import SessionFiles
 from cedarwick.fleet.session_routing import SUCCESSORS, InheritedSessions, SessionRouter
