--- a/cedarwick/fleet/consensus.py
+++ b/cedarwick/fleet/consensus.py
@@ -13,7 +13,7 @@
 Value = Literal["taker", "off"]
 Ballot = tuple[int, str]
 NO_BALLOT: Ballot = (0, "")
-KEPT = 3_600_000_000  # a decided row is kept for so long, in microseconds
+DECIDED_FOR = 3_600_000_000  # microseconds that a decided row is remembered
 OLD = 60_000_000  # an undecided row of this age wants somebody to settle it
 MOST = 100_000  # rows
 PATIENCE = 100_000  # until a proposer asks once more those who have not answered
@@ -156,7 +156,7 @@
 
     def prune(self, now: int) -> bool:
         """Forget decided rows that are old; True: `table` must be written whole before the next vote."""
-        old = [row.move for row in self.rows.values() if row.decided and row.at <= now - KEPT]
+        old = [row.move for row in self.rows.values() if row.decided and row.at <= now - DECIDED_FOR]
         for move in old:
             stamp, giver, _ = parts(move)
             # Danger: a late message would find an empty row, and a decided move could be decided once more.
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -93,15 +93,15 @@
         self.staff, self.endpoint_list, self.dispatcher = staff, endpoint_list, dispatcher
         staff.changed = self._changed
         dispatcher.attempts.heed, dispatcher.attempts.tell = self._heeded, self._ended
-        now, told = wall(), self._file()
+        now, saved = wall(), self._file()
         try:
             self.marks = SuspensionTable(self.name, self.lasting.marks())
         except CorruptFleetFileError as error:
             logger.error(error.line)
-            self.marks.doubt(told or {})
+            self.marks.doubt(saved or {})
         self.marks.turn(now)
-        if told is not None:
-            self.marks.noticed(now, told)
+        if saved is not None:
+            self.marks.noticed(now, saved)
         self.attached = True
         self._keep()
 
@@ -140,7 +140,7 @@
             self.counters.add("hints heard")
             return Acknowledged()
         self.marks.turn(wall())
-        self._take(sender, lambda now: self.marks.told(now, body.rows))
+        self._take(sender, lambda now: self.marks.merge(now, body.rows))
         mine = self.marks.digest()
         return Told(mine, () if body.digest == mine else self.marks.offered(), self.marks.whole())
 
@@ -174,7 +174,7 @@
             self._take(name, lambda at: self.marks.met(at, theirs))
         else:
             self.sleepers.add(name)
-            self._take(name, lambda at: self.marks.told(at, theirs))
+            self._take(name, lambda at: self.marks.merge(at, theirs))
         have = {row.uid: row for row in theirs}
         missing = {row.uid for row in self.marks.offered() if row.uid not in have or newer(row, have[row.uid])}
         # Danger: what the other does not take would be sent to it four times a second for ever.
@@ -186,15 +186,15 @@
     def _take(self, sender: str, joined: Callable[[int], list[str]]) -> None:
         """Join what another member says, and act on it."""
         now, met_at = wall(), self.marks.met_at
-        told = None if self.unwritten else self._file()
-        if told is not None:
+        saved = None if self.unwritten else self._file()
+        if saved is not None:
             # Danger: a process that replaces this one may have changed the file; ours would undo it.
-            self._spread(self.marks.noticed(now, told))
+            self._spread(self.marks.noticed(now, saved))
         changed = joined(now)
         self._spread(changed, but=sender)
         for uid in changed:
-            logger.info("{} {}, told by {}", uid, "suspended" if uid in self.marks.calls() else "restored", sender)
-        if changed or (told is not None and told != self.marks.calls()):
+            logger.info("{} {}, reported by {}", uid, "suspended" if uid in self.marks.calls() else "restored", sender)
+        if changed or (saved is not None and saved != self.marks.calls()):
             self._keep()
         elif met_at != self.marks.met_at and now - self.saved_at > SAVE:
             self._write()
@@ -221,7 +221,7 @@
         if calls != (self._file() or {}) or calls.keys() != self.endpoint_list.held_out:
             self.unwritten = not self.staff.keep(calls)
         self._write()
-        if count := self.marks.untold():
+        if count := self.marks.unshared():
             self.counters.trouble(
                 "receivers out by hand that the other members are not told of",
                 NotSharedError(f"{count} of {len(calls)}, at most {LONGEST} characters of ASCII each"),
--- a/cedarwick/fleet/leased_partition.py
+++ b/cedarwick/fleet/leased_partition.py
@@ -53,7 +53,7 @@
         except BodyLostError:
             return Fact(number, None, known)
 
-    def told(self, store: Store, number: int) -> Fact | None:
+    def read_for_member(self, store: Store, number: int) -> Fact | None:
         """The same for another member; what cannot be read has failed there.
 
         Danger: without its base a copy leaves the message out and counts as whole; whoever adopts it then owes nobody
--- a/cedarwick/fleet/leases.py
+++ b/cedarwick/fleet/leases.py
@@ -204,8 +204,8 @@
 
     def _look(self) -> None:
         others = self._names - {self.me}
-        told = others & set(self._told)
-        if self.learning and (sum(self._told[name] for name in told) >= self.needed or told == others):
+        seen = others & set(self._told)
+        if self.learning and (sum(self._told[name] for name in seen) >= self.needed or seen == others):
             self.learning, self.dirty = False, True
 
     def _promised_at_boot(self) -> int:
@@ -312,19 +312,19 @@
         """Let the time that has passed count."""
         self._settle(now)
 
-    def answered(self, now: int, sent_at: int, grantor: str, told: LeaseReply) -> None:
+    def answered(self, now: int, sent_at: int, grantor: str, reply: LeaseReply) -> None:
         """A grantor's answer to the ask that was sent at `sent_at`, which is the time given to `asks`."""
         if grantor not in self._names:
             return
-        self._heard = max(self._heard, told.term)
-        if told.holder not in ("", self.me):
-            self.newer = max(self.newer, (told.term, told.holder))
+        self._heard = max(self._heard, reply.term)
+        if reply.holder not in ("", self.me):
+            self.newer = max(self.newer, (reply.term, reply.holder))
         at = self._counted_from(sent_at, now)
-        if sent_at >= self._begun and told.granted and told.term == self.term:
+        if sent_at >= self._begun and reply.granted and reply.term == self.term:
             # Danger: an answer that comes late, or twice, must not take away what a newer one has given.
-            self._granted[grantor] = max(self._granted.get(grantor, (0, 0)), (at, told.set))
+            self._granted[grantor] = max(self._granted.get(grantor, (0, 0)), (at, reply.set))
             self._count()
-        if told.closed:
+        if reply.closed:
             self._closed[grantor] = max(self._closed.get(grantor, 0), at)
         self._settle(now)
 
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -28,7 +28,7 @@
 AGAIN = 100_000  # a question without an answer is asked again, then at doubled spans up to
 AGAIN_MOST = 2_000_000
 FORWARDS = 60_000_000  # the old sender passes on what comes on the live connection for so long
-KEPT = 60_000_000  # a finished move is remembered for so long
+REMEMBERED_FOR = 60_000_000  # microseconds that a finished migration is remembered
 WAITS = 250_000  # a client's request on a frozen session waits for so long, then it is answered -BUSY
 MOST_OUT = 20  # moves at once at a giver
 MOST_IN = 20  # staged at once at a taker
@@ -201,8 +201,8 @@
         if move is None or move.taking is not TargetStage.GRANTED:
             return []
         move.taking = TargetStage.ACTIVE
-        told = MigrationStep(MigrationAction.TELL, name, value="taker", active=True)
-        return [told, *self._confirmed(move, now)]
+        step = MigrationStep(MigrationAction.TELL, name, value="taker", active=True)
+        return [step, *self._confirmed(move, now)]
 
     # ---- the decree ----
 
@@ -332,7 +332,7 @@
 
     def _due_at(self, move: Migration) -> int:
         if self._finished(move):
-            return move.settled_at + KEPT
+            return move.settled_at + REMEMBERED_FOR
         if move.giving is SourceStage.FORWARDING:
             return move.settled_at + FORWARDS if move.confirmed else min(move.next_at, move.settled_at + FORWARDS)
         if move.value is not None:
--- a/cedarwick/fleet/order_key_hints.py
+++ b/cedarwick/fleet/order_key_hints.py
@@ -22,8 +22,8 @@
     def __init__(self) -> None:
         self.told: Set[int] = frozenset()  # keys in the last peer messages
         self.elsewhere: frozenset[int] = frozenset()  # keys that rest here
-        self._told_at = 0
-        self._told_to: Collection[str] = ()
+        self._sent_at = 0
+        self._sent_to: Collection[str] = ()
         self._heard: dict[str, tuple[int, frozenset[int]]] = {}
         self._since: dict[int, int] = {}  # by key: since when it has been owed elsewhere without a break
 
@@ -33,10 +33,10 @@
 
     def tell(self, now: int, keys: Set[int], others: Collection[str]) -> tuple[int, ...] | None:
         """The keys of a peer message that is due to others now; None: none is. The last one of a trouble is empty."""
-        news = keys - self.told or set(others) - set(self._told_to)
-        if not (keys or self.told) or now < self._told_at + EVERY and not (keys and news):
+        changed = keys - self.told or set(others) - set(self._sent_to)
+        if not (keys or self.told) or now < self._sent_at + EVERY and not (keys and changed):
             return None
-        self.told, self._told_at, self._told_to = frozenset(keys), now, tuple(others)
+        self.told, self._sent_at, self._sent_to = frozenset(keys), now, tuple(others)
         return tuple(sorted(keys)[:MOST_KEYS])
 
     def rests(self, now: int, here: Set[int], lying: Set[int]) -> frozenset[int]:
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -42,14 +42,14 @@
 
     def heard(self, entry: ReplicaEntry, facts: Iterable[Fact], now: int) -> None:
         """A step of the copy that is in its file."""
-        told = list(facts)
+        received = list(facts)
         tail = entry.upto <= entry.after
-        begins = entry.next - len(told) if tail else entry.next
+        begins = entry.next - len(received) if tail else entry.next
         if (entry.term, begins) != (self.term, self.next):
             # Danger: what was told between was taken, has perhaps ended, and nobody here has heard of it.
             self.since = now
         self.term, self.next = entry.term, entry.next
-        for fact in told:
+        for fact in received:
             self._fact(fact, now)
         while self.order and (self.order[0][0] < now - REMEMBERED or len(self.order) > MOST):
             at, number = self.order.popleft()
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -52,9 +52,9 @@
 class ReplicatedStore(Store):
     """Owns the folder, as `Store` does, and tells the partitions what happens to their messages."""
 
-    def __init__(self, *told: Any, by_copy: bool = False, within_us: int = 150_000, **more: Any) -> None:
+    def __init__(self, *args: Any, by_copy: bool = False, within_us: int = 150_000, **more: Any) -> None:
         """As `Store`; `by_copy`: what is answered waits for the successors, `within_us` microseconds at most."""
-        super().__init__(*told, **more)
+        super().__init__(*args, **more)
         self.awaited = self.awaited or by_copy
         self.by_copy = by_copy
         self.within_us = within_us
@@ -110,14 +110,14 @@
     def keep(self, stored: StoredMessage) -> None:
         super().keep(stored)
         holding = self.holdings[stored.number >> 32]
-        self._tell(holding, holding.ledger.record_message(stored, stored.body or b""))
+        self._replicate(holding, holding.ledger.record_message(stored, stored.body or b""))
         self.seen("taken", stored, 0)
 
     def attempt(self, number: int, sent_at: int, zone: int) -> None:
         super().attempt(number, sent_at, zone)
         holding = self._knows(number)
         if holding is not None:
-            self._tell(holding, holding.ledger.attempt(number, sent_at, zone))
+            self._replicate(holding, holding.ledger.attempt(number, sent_at, zone))
         self.out[number] = self.messages[number]
         self.seen("shot", self.messages[number], zone)
 
@@ -125,7 +125,7 @@
         stored, holding = self.messages.get(number), self._knows(number)
         if stored is not None and stored.out_at and holding is not None:
             # Danger: told after the folder's own record, a completed one would already be over, as any other end.
-            self._tell(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
+            self._replicate(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
         # Danger: its record may have gone while the attempt was out, since its client has left or another sender has
         # its
         # partition by now; what the receiver said would be told by nobody. A full folder raises, and owes its own
@@ -138,7 +138,7 @@
     def ended(self, number: int, nacked: bool, wait_ms: int) -> None:
         holding = self._knows(number)
         if holding is not None:
-            self._tell(holding, holding.ledger.ended(number, nacked, wait_ms))
+            self._replicate(holding, holding.ledger.ended(number, nacked, wait_ms))
         stored = self.messages.get(number)
         super().ended(number, nacked, wait_ms)
         if stored is not None:
@@ -147,7 +147,7 @@
     def over(self, number: int) -> None:
         holding = self._knows(number)
         if holding is not None:
-            self._tell(holding, holding.ledger.over(number))
+            self._replicate(holding, holding.ledger.over(number))
         super().over(number)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
@@ -203,7 +203,8 @@
         super().keep(stored)
         fact = holding.ledger.record_message(stored, stored.body or b"")
         # Danger: a successor that is told of the message before its mark might fire for it.
-        self._tell(holding, Fact(stored.number, fact.base, holding.ledger.moved(stored.number, sequence, text).known))
+        known = holding.ledger.moved(stored.number, sequence, text).known
+        self._replicate(holding, Fact(stored.number, fact.base, known))
 
     def mark(self, number: int, sequence: int, text: str) -> None:
         """A message is inert from now on, or with an empty text is not any more."""
@@ -213,7 +214,7 @@
             self.inert.pop(number, None)
         holding = self._knows(number)
         if holding is not None:
-            self._tell(holding, holding.ledger.moved(number, sequence, text))
+            self._replicate(holding, holding.ledger.moved(number, sequence, text))
 
     def copied(self, partitions: Iterable[int]) -> Callable[[], bool]:
         """Whether every successor of some partitions has by then what is told of them now."""
@@ -262,9 +263,9 @@
             else fact
             for fact in marked
         ]
-        told = {fact.number for fact in marked}
+        listed = {fact.number for fact in marked}
         for number in self.numbers(holding.partition):  # this member has held it before: what the copy lacks is over
-            if number in told or number in mine:
+            if number in listed or number in mine:
                 holding.ledger.record_message(self.messages[number], b"")
             elif number in perhaps:
                 # Danger: whoever has held it between may have ended it, and nobody can be asked.
@@ -273,10 +274,10 @@
                 holding.ledger.record_message(self.messages[number], b"")
             else:
                 super().over(number)
-        news = holding.ledger.adopt(marked, term)
-        self._take_marks(news)
-        for fact in news:
-            self._take_news(fact, fact.number not in self.messages)
+        changed = holding.ledger.adopt(marked, term)
+        self._take_marks(changed)
+        for fact in changed:
+            self._take_change(fact, fact.number not in self.messages)
 
     def resume_own(self, holding: LeasedPartition, term: int) -> None:
         """The folder of this process has the partition's messages already: the ledger learns them, under a new term."""
@@ -292,7 +293,7 @@
     def begin_log(self, holding: LeasedPartition, term: int) -> None:
         """Ship the partition under a term from now on."""
         holding.log = ReplicationLog(
-            holding.partition, term, lambda number: holding.told(self, number), sorted(holding.ledger.known)
+            holding.partition, term, lambda number: holding.read_for_member(self, number), sorted(holding.ledger.known)
         )
         holding.log.behind = not self.by_copy
         holding.begun_at = monotonic_time()
@@ -306,7 +307,7 @@
         """
         straight = holding.from_term == term > 0
         before = dict(holding.ledger.known)
-        told = {
+        listed = {
             fact.number: fact
             for fact in facts
             if fact.number >> 32 == holding.partition
@@ -314,27 +315,27 @@
             and fact.number not in holding.finished
             and (fact.number in before or fact.base is not None and not over(fact.known))
         }
-        news: list[int] = []
-        all_news = holding.ledger.adopt(told.values(), holding.ledger.term)
-        ended = [number for number in told if number not in holding.ledger.known]
+        changed: list[int] = []
+        all_changed = holding.ledger.adopt(listed.values(), holding.ledger.term)
+        ended = [number for number in listed if number not in holding.ledger.known]
         for number in ended:
-            self._tell(holding, Fact(number, None, told[number].known))
+            self._replicate(holding, Fact(number, None, listed[number].known))
             with suppress(NoSpaceError):  # it is over; the record of that is owed
                 super().over(number)
-        problem, left = "", all_news
+        problem, left = "", all_changed
         try:
-            self._take_marks(all_news)
-            for place, joined in enumerate(all_news):
-                left = all_news[place:]
+            self._take_marks(all_changed)
+            for place, joined in enumerate(all_changed):
+                left = all_changed[place:]
                 if joined.known != before.get(joined.number):
                     if joined.number not in before and not straight:
                         # Danger: between the two somebody else has held the partition, and may have ended it: whoever
                         # took it over from that one knows nothing of it. Only 'failed' is honest then.
                         joined = with_end(joined, EndRank.FAILED)
                         holding.ledger.known[joined.number] = joined.known
-                    self._take_news(joined, joined.number not in before)
-                    self._tell(holding, joined)
-                    news.append(joined.number)
+                    self._take_change(joined, joined.number not in before)
+                    self._replicate(holding, joined)
+                    changed.append(joined.number)
         except (OSError, NoSpaceError) as error:
             problem = str(error) or type(error).__name__
             # Danger: what the ledger knows is no news when it is offered again; it would be in no folder, and no
@@ -344,7 +345,7 @@
                     holding.ledger.known[fact.number] = before[fact.number]
                 else:
                     holding.ledger.known.pop(fact.number, None)
-        return ended, news, problem
+        return ended, changed, problem
 
     def _take_marks(self, facts: Iterable[Fact]) -> None:
         """What others knew of moves under way, before the messages themselves are kept."""
@@ -356,7 +357,7 @@
                 self.marking(marks)
                 self.inert = marks
 
-    def _take_news(self, fact: Fact, new: bool) -> None:
+    def _take_change(self, fact: Fact, new: bool) -> None:
         """Bring the folder's own record of an adopted message up to what is known now.
 
         `NoSpaceError` for a new one.
@@ -379,7 +380,7 @@
             for fact in decode_facts(together([data])):
                 facts[fact.number] = join_facts(facts[fact.number], fact) if fact.number in facts else fact
         for number in list(holding.ledger.known):
-            owed = holding.told(self, number)
+            owed = holding.read_for_member(self, number)
             if owed is not None:
                 facts[number] = join_facts(facts[number], owed) if number in facts else owed
         return [facts[number] for number in sorted(facts)]
@@ -437,7 +438,7 @@
         holding = self.holdings.get(number >> 32)
         return holding if holding is not None and number in holding.ledger.known else None
 
-    def _tell(self, holding: LeasedPartition, fact: Fact) -> None:
+    def _replicate(self, holding: LeasedPartition, fact: Fact) -> None:
         holding.log.append(fact, monotonic_time())
         if over(fact.known) and holding.from_term:
             holding.finished.add(fact.number)
--- a/cedarwick/fleet/replication.py
+++ b/cedarwick/fleet/replication.py
@@ -42,7 +42,7 @@
 RANGE = 128  # facts in a range that is compared
 RANGES = 2  # in one message
 FEW_STANDING = 64  # differences that are remembered
-TRIES = 3  # pieces for one difference that stays the same: then the copy knows more, which a join keeps
+MOST_RESENDS = 3  # pieces for one difference that stays the same: then the copy knows more, which a join keeps
 NO_PROBLEM, GAP, TERM, SPOILT, OTHER, NO_ROOM = "", "gap", "term", "spoilt", "version", "no room"
 RESTS = {TERM: 100_000, SPOILT: 100_000, OTHER: 1_000_000, NO_ROOM: 1_000_000}  # before a copy that refused is asked
 
@@ -83,7 +83,7 @@
         self.window: deque[tuple[bytes, int]] = deque()  # encoded, when appended
         self.oldest = 0  # the index of the window's first
         self.bytes = 0  # of the window
-        self.told = 0  # bytes appended ever
+        self.appended = 0  # bytes appended ever
         self.behind = False  # nothing that is answered waits for a copy
         self.followers: dict[str, FollowerProgress] = {}
 
@@ -104,7 +104,7 @@
         data = encoded(trimmed(fact))
         self.window.append((data, now))
         self.bytes += len(data)
-        self.told += len(data)
+        self.appended += len(data)
         while len(self.window) > WINDOW or self.bytes > WINDOW_BYTES and len(self.window) > 1:
             self.bytes -= len(self.window.popleft()[0])
             self.oldest += 1
@@ -197,7 +197,7 @@
         self.pieces = 0  # taken by the copy, walks and mends
         self.rest_until = 0
         self.credit = float(PART)  # bytes of pieces that may go out
-        self.counted = now, log.told
+        self.counted = now, log.appended
         self.compared: tuple[DigestRange, ...] = ()  # out for comparison
         self.compare_at = now + COMPARE  # when the next part of a comparison, or its answer, is due
         self.compare_from = log.partition << 32
@@ -288,9 +288,9 @@
                 self.standing.pop(span, None)
                 continue
             before = self.standing.get(span)
-            tries = before[2] if before is not None and before[:2] == (ours, theirs) else 0
-            if tries < TRIES:
-                self.standing[span] = ours, theirs, tries + 1
+            resends = before[2] if before is not None and before[:2] == (ours, theirs) else 0
+            if resends < MOST_RESENDS:
+                self.standing[span] = ours, theirs, resends + 1
                 self.mends.append(span)
                 self.mended += 1
         self.compare_from = sent[-1].upto if sent else self.compare_from
@@ -333,9 +333,9 @@
             span = self.mends[0]
         else:
             return None
-        before, told = self.counted
-        self.counted = now, self.log.told
-        grown = (self.log.told - told) / SHARE + FLOOR * (now - before) / 1e6
+        before, appended = self.counted
+        self.counted = now, self.log.appended
+        grown = (self.log.appended - appended) / SHARE + FLOOR * (now - before) / 1e6
         self.credit = min(self.credit + grown, PART)
         if self.credit <= 0:
             return None
--- a/cedarwick/fleet/replication_facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -327,7 +327,7 @@
         ran = known.ran
         if head is not None and not head.settled:
             ran = min(ran or (head.at, head.zone), (head.at, head.zone))
-        return self._tell(number, LifeSummary(head.attempts + 1 if head else 1, False, at, zone), ran)
+        return self._attempted(number, LifeSummary(head.attempts + 1 if head else 1, False, at, zone), ran)
 
     def outcome(self, number: int, never_ran: bool, completed: bool) -> Fact:
         """The attempt that was out has ended."""
@@ -338,11 +338,11 @@
         if head is None or head.settled:
             return Fact(number, None, known)  # of a term before, which `renew` has taken for one that may have run
         ran = known.ran if never_ran else min(known.ran or (head.at, head.zone), (head.at, head.zone))
-        return self._tell(number, head._replace(settled=True), ran)
+        return self._attempted(number, head._replace(settled=True), ran)
 
-    def ended(self, number: int, nacked: bool, wait_ms: int) -> Fact:
+    def ended(self, number: int, returned: bool, wait_ms: int) -> Fact:
         """The final answer has been chosen and its notice is owed."""
-        return self._end(number, (EndRank.RETURNED if nacked else EndRank.FAILED, wait_ms))
+        return self._end(number, (EndRank.RETURNED if returned else EndRank.FAILED, wait_ms))
 
     def over(self, number: int) -> Fact:
         """Nothing more is owed."""
@@ -374,15 +374,15 @@
         self.term = term
         self.known = {number: folded(known, term) for number, known in self.known.items()}
 
-    def _tell(self, number: int, head: LifeSummary, ran: tuple[int, int] | None) -> Fact:
+    def _attempted(self, number: int, head: LifeSummary, ran: tuple[int, int] | None) -> Fact:
         return self._join(number, MessageKnowledge({self.term: head}, ran))
 
     def _end(self, number: int, end: tuple[EndRank, int]) -> Fact:
         return self._join(number, MessageKnowledge(end=end))
 
-    def _join(self, number: int, news: MessageKnowledge) -> Fact:
+    def _join(self, number: int, added: MessageKnowledge) -> Fact:
         """All that is known goes along, not the news alone, so that a fact that is joined late forgets nothing."""
-        known = join(self.known[number], news)
+        known = join(self.known[number], added)
         if over(known):
             del self.known[number]
         else:
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -43,8 +43,8 @@
     """A hash of what came with an id, the same in every process (that of Python isn't)."""
     whole = xxhash.xxh3_64()
     for part in parts:
-        told = part if isinstance(part, bytes) else str(part).encode()
-        whole.update(len(told).to_bytes(8, "big") + told)
+        data = part if isinstance(part, bytes) else str(part).encode()
+        whole.update(len(data).to_bytes(8, "big") + data)
     return whole.intdigest()
 
 
@@ -62,7 +62,7 @@
     holder: str
     sequence: int
     used: int
-    told: bool = True  # by its holder in the end; else it was granted here, and nobody has said that it was by enough
+    confirmed: bool = True  # by the holder itself; else granted here, and no majority is known to have granted it
 
 
 @dataclass(slots=True)
@@ -140,7 +140,7 @@
         """What is known of a session, to be told to another member."""
         known = self.entries.get(key)
         # Danger: a claim that was granted here alone would be taken for a holder, by the real one for its successor.
-        if known is None or not known.told:
+        if known is None or not known.confirmed:
             return None
         return Entry(key, known.holder, known.sequence, max(0, now - known.used))
 
@@ -377,8 +377,8 @@
             key = self.round.pop()
             if key in self.sessions and self.sessions[key].sure and key not in keys:
                 keys.append(key)
-        told = (self.entry(key, now) for key in keys)
-        return [each for each in told if each is not None]
+        entries = (self.entry(key, now) for key in keys)
+        return [each for each in entries if each is not None]
 
     def heard(self, entries: Iterable[Entry], now: int) -> None:
         """Join what another member has told; any order, any number of times."""
@@ -388,30 +388,31 @@
 
     def forget(self, now: int) -> None:
         """Drop what is old; to be called about once a second."""
-        self.inherited = {key: told for key, told in self.inherited.items() if told[0] >= now - REMEMBERED}
+        self.inherited = {key: grant for key, grant in self.inherited.items() if grant[0] >= now - REMEMBERED}
         for key in [each for each, session in self.sessions.items() if session.used < now - LAPSES]:
             del self.sessions[key]
         for key in [each for each, known in self.entries.items() if known.used < now - FORGOTTEN]:
             del self.entries[key]
 
-    def _know(self, key: int, holder: str, sequence: int, used: int, told: bool = True) -> bool:
+    def _know(self, key: int, holder: str, sequence: int, used: int, confirmed: bool = True) -> bool:
         """Join an entry by (sequence, holder), then the later use; whether it is another one now.
 
         Of two claims at once the one that its holder has told of was granted; then nobody else's was.
         """
         known = self.entries.get(key)
-        beats = known is not None and told and not known.told and sequence == known.sequence
+        beats = known is not None and confirmed and not known.confirmed and sequence == known.sequence
         if known is not None and not beats and (sequence, holder) < (known.sequence, known.holder):
             return False
-        news = known is None or beats or (sequence, holder) > (known.sequence, known.holder)
-        if known is not None and not news and used <= known.used:
+        changed = known is None or beats or (sequence, holder) > (known.sequence, known.holder)
+        if known is not None and not changed and used <= known.used:
             return False
-        if news and holder != self.name and key in self.sessions:
+        if changed and holder != self.name and key in self.sessions:
             # Danger: it moved on, or was adopted, while this member slept; it must not take ids any more.
             del self.sessions[key]
         self.entries.pop(key, None)
-        self.entries[key] = KnownHolder(holder, sequence, used, told or known is not None and not news and known.told)
+        confirmed = confirmed or known is not None and not changed and known.confirmed
+        self.entries[key] = KnownHolder(holder, sequence, used, confirmed)
         if len(self.entries) > MOST:
             oldest = next((each for each in self.entries if each not in self.sessions), key)
             del self.entries[oldest]
-        return news
+        return changed
--- a/cedarwick/fleet/suspensions.py
+++ b/cedarwick/fleet/suspensions.py
@@ -86,20 +86,20 @@
         self.fresh = self.fresh | {row.uid} if fresh else self.fresh - {row.uid}
         self._offered = None
 
-    def noticed(self, now: int, told: Mapping[str, int]) -> list[str]:
+    def noticed(self, now: int, calls: Mapping[str, int]) -> list[str]:
         """What the member's own file says, which another process of it may have changed; the uids that differ."""
         mine = self.calls()
-        changed = sorted(uid for uid in mine.keys() | told.keys() if mine.get(uid, 0) != told.get(uid, 0))
+        changed = sorted(uid for uid in mine.keys() | calls.keys() if mine.get(uid, 0) != calls.get(uid, 0))
         for uid in changed:
-            self.set(now, uid, told.get(uid, 0))
+            self.set(now, uid, calls.get(uid, 0))
         return changed
 
-    def doubt(self, told: Mapping[str, int]) -> None:
+    def doubt(self, saved: Mapping[str, int]) -> None:
         """The versions are lost and these receivers are out: they stay so until a member that knows says otherwise."""
-        self.rows = {uid: SuspensionMark(uid, 0, "", calls) for uid, calls in told.items()}
+        self.rows = {uid: SuspensionMark(uid, 0, "", calls) for uid, calls in saved.items()}
         self.met_at, self.fresh, self._offered = 0, set(), None
 
-    def told(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
+    def merge(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
         """Rows of another member; the uids of those that were news here."""
         changed = []
         for row in rows:
@@ -122,7 +122,7 @@
             dropped = sorted(self.calls().keys() - self.fresh - theirs.keys())
             for uid in dropped:
                 del self.rows[uid]
-        changed = self.told(now, theirs.values())
+        changed = self.merge(now, theirs.values())
         self.fresh = {uid for uid in self.fresh if theirs.get(uid) != self.rows.get(uid)}
         self.awake(now)
         return dropped + changed
@@ -134,17 +134,17 @@
     def offered(self) -> tuple[SuspensionMark, ...]:
         """The rows for others, by uid: all but those in doubt, and no more than `MOST`, those that are out first."""
         if self._offered is None:
-            told = [row for row in self.rows.values() if self._tells(row)]
-            told.sort(key=lambda row: (not row.calls, -row.counter, row.uid))
-            self._offered = tuple(sorted(told[:MOST], key=lambda row: row.uid))
+            shared = [row for row in self.rows.values() if self._is_shared(row)]
+            shared.sort(key=lambda row: (not row.calls, -row.counter, row.uid))
+            self._offered = tuple(sorted(shared[:MOST], key=lambda row: row.uid))
         return self._offered
 
-    def _tells(self, row: SuspensionMark) -> bool:
+    def _is_shared(self, row: SuspensionMark) -> bool:
         if len(row.uid) > LONGEST or not row.uid.isascii():
             return False
         return not self.asleep or not row.calls or row.uid in self.fresh
 
-    def untold(self) -> int:
+    def unshared(self) -> int:
         """How many receivers are out here that no other member can be told of."""
         return len(self.calls().keys() - {row.uid for row in self.offered()}) if not self.asleep else 0
 
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -197,7 +197,7 @@
         self.names = names
         self.current: Takeover | None = None
         self.full = False  # the open partition has no numbers left
-        self._kept = dict(stored)
+        self._stored = dict(stored)
         self._newest = max((partition % (1 << EPOCH_BITS) for partition in stored), default=-1)
 
     def step(self, grantor: LeaseGrantor) -> Takeover | None:
@@ -208,9 +208,9 @@
         """
         if self.current is not None and not self._is_lost(self.current) and not self.full:
             return None
-        if self.current is None and self._kept:
-            partition = max(self._kept)
-            self.current = Takeover(partition, self.me, self.names, self._kept[partition], resume=True, open=True)
+        if self.current is None and self._stored:
+            partition = max(self._stored)
+            self.current = Takeover(partition, self.me, self.names, self._stored[partition], resume=True, open=True)
             return self.current
         if grantor.learning:
             return None
--- a/cedarwick/fleet/transport.py
+++ b/cedarwick/fleet/transport.py
@@ -46,7 +46,9 @@
 READ = 1 << 16  # bytes at once
 READ_WITHIN = 2.0  # seconds for a body, and for a head on top of the idle time
 SILENT = 15.0  # seconds that a connection may be idle at the server
-KEPT = 10.0  # seconds that one is kept by the client: less, so that it is not met as it closes
+IDLE_LIMIT = (
+    10.0  # seconds that the client keeps an idle connection: less than SILENT, so that it isn't met as it closes
+)
 IN_FLIGHT = 4  # calls to one member at once, each on a connection of its own
 QUEUE = 64  # calls to one member in flight and waiting
 
@@ -153,9 +155,9 @@
         self.complete = True
         self.keep_alive = self.parser.should_keep_alive()
 
-    def feed(self, told: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         """Read on; `http.InvalidResponseError` where it is no request, or its head is too long."""
-        first = told if self.method else told[: LONGEST_HEAD - self.fed]
+        first = data if self.method else data[: LONGEST_HEAD - self.fed]
         self.fed += len(first)
         try:
             self.parser.feed_data(first)
@@ -166,9 +168,9 @@
         if not self.method and self.fed >= LONGEST_HEAD:
             raise http.InvalidResponseError("a head without an end")
         if self.complete:
-            self.keep_alive &= len(first) == len(told)
-        elif len(first) < len(told):
-            self.feed(told[len(first) :])
+            self.keep_alive &= len(first) == len(data)
+        elif len(first) < len(data):
+            self.feed(data[len(first) :])
 
 
 class PeerServer:
@@ -208,12 +210,12 @@
         try:
             sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
             while (request := self._head(sock)) is not None:
-                status, told = self._said(request, sock, caller)
+                status, data = self._said(request, sock, caller)
                 stays = request.complete and request.keep_alive
                 sock.settimeout(SILENT)
                 sock.sendall(
                     b"HTTP/1.1 %s\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n%s\r\n%s"
-                    % (status, len(told), b"" if stays else b"Connection: close\r\n", told)
+                    % (status, len(data), b"" if stays else b"Connection: close\r\n", data)
                 )
                 if not stays:
                     return  # Danger: the rest of a body that nobody wants would be read on for ever
@@ -236,14 +238,14 @@
         while not request.method:
             left = min(SILENT, end - time.monotonic())
             try:
-                told = received(sock, left)
+                data = received(sock, left)
             except TimeoutError:
                 if request.fed:
                     self.counters.add("fleet connections that were silent")
                 return None
-            if not told:
+            if not data:
                 return None
-            request.feed(told)
+            request.feed(data)
         return request
 
     def _said(self, request: HttpRequest, sock: gevent.socket.socket, caller: Address) -> tuple[bytes, bytes]:
@@ -255,8 +257,8 @@
         except CedarwickError as error:
             self.counters.trouble("a peer message was refused", error)
             refused = RequestRefused(error.code, str(error)[:512])
-            told = encode(self.gate.peer_message(head[0].sender if head else "", refused))
-            return STATUS.get(type(error), AT_FAULT), told
+            data = encode(self.gate.peer_message(head[0].sender if head else "", refused))
+            return STATUS.get(type(error), AT_FAULT), data
         finally:
             self.busy -= 1
 
@@ -275,11 +277,11 @@
             request.messages = None
             read(request, sock)
             raise TooManyRequestsError(f"{MOST_AT_ONCE} peer messages are being answered at {self.gate.me!r}")
-        told = read(request, sock)
+        data = read(request, sock)
         try:
-            peer_message = decode(told)
+            peer_message = decode(data)
         except InvalidPeerMessageError:
-            if (begin := head_of(told)) is not None:
+            if (begin := head_of(data)) is not None:
                 head.append(begin)
                 self.gate.same_version(begin)
             raise
@@ -307,8 +309,8 @@
     if within_s <= 0:
         raise TimeoutError
     sock.settimeout(within_s)
-    told: bytes = sock.recv(READ)
-    return told
+    data: bytes = sock.recv(READ)
+    return data
 
 
 def read(request: HttpRequest, sock: gevent.socket.socket) -> bytes:
@@ -316,10 +318,10 @@
     end = time.monotonic() + READ_WITHIN
     try:
         while not request.complete:
-            told = received(sock, end - time.monotonic())
-            if not told:
+            data = received(sock, end - time.monotonic())
+            if not data:
                 raise InvalidPeerMessageError(f"a peer message of {request.size} bytes was cut")
-            request.feed(told)
+            request.feed(data)
     except TimeoutError:
         raise RequestTimeoutError(
             f"{request.size} bytes of a peer message did not come within {READ_WITHIN:g} s"
@@ -363,24 +365,24 @@
     def connection(self, within_s: float) -> PooledConnection:
         """An idle connection that still stands, or a new one; OSError where none comes up."""
         while self.idle:
-            stored = self.idle.pop()
-            if time.monotonic() - stored.used < KEPT and not is_closed(stored.sock):
-                return stored
-            self.close(stored)  # nothing was written on it: no failure
-        stored = PooledConnection(open_connection(self.address, within_s))
-        self.open.add(stored)
-        return stored
-
-    def close(self, stored: PooledConnection) -> None:
-        self.open.discard(stored)
-        stored.sock.close()
+            connection = self.idle.pop()
+            if time.monotonic() - connection.used < IDLE_LIMIT and not is_closed(connection.sock):
+                return connection
+            self.close(connection)  # nothing was written on it: no failure
+        connection = PooledConnection(open_connection(self.address, within_s))
+        self.open.add(connection)
+        return connection
+
+    def close(self, connection: PooledConnection) -> None:
+        self.open.discard(connection)
+        connection.sock.close()
 
     def leave(self) -> None:
         """Close all; a call that is out ends as `PeerUnreachableError`."""
         self.gone = True
         self.idle.clear()
-        for stored in list(self.open):
-            self.close(stored)
+        for connection in list(self.open):
+            self.close(connection)
 
 
 class Peers:
@@ -436,8 +438,8 @@
         peer.calls += 1
         try:
             with limit, peer.urgent if isinstance(body, LeaseRequest | Heartbeat) else peer.room:
-                status, told = exchange(peer, peer_message, within_s)
-            answer = decode(told)
+                status, data = exchange(peer, peer_message, within_s)
+            answer = decode(data)
         except gevent.Timeout as late:
             if late is not limit:
                 raise
@@ -470,30 +472,30 @@
     """
     if peer.gone:
         raise ConnectionAbortedError("no member any more")
-    stored = peer.connection(within_s)
+    connection = peer.connection(within_s)
     whole = False
     try:
-        stored.sock.settimeout(None)  # the time limit is the whole call's
-        stored.sock.sendall(
+        connection.sock.settimeout(None)  # the time limit is the whole call's
+        connection.sock.sendall(
             b"POST %s HTTP/1.1\r\nHost: %s:%d\r\nContent-Type: application/msgpack\r\n"
             b"Content-Length: %d\r\n\r\n%s"
             % (PATH, peer.address[0].encode(), peer.address[1], len(peer_message), peer_message)
         )
-        told = bytearray()
-        answer = http.ResponseParser(told.extend)
+        data = bytearray()
+        answer = http.ResponseParser(data.extend)
         while not answer.complete:
-            if stored.buffer.fill(stored.sock):
-                answer.feed(stored.buffer)
+            if connection.buffer.fill(connection.sock):
+                answer.feed(connection.buffer)
             elif not answer.ended():
                 raise http.InvalidResponseError("the connection ended before the answer did")
-            if len(told) > MAX_MESSAGE_BYTES:
+            if len(data) > MAX_MESSAGE_BYTES:
                 raise http.InvalidResponseError(f"an answer of more than {MAX_MESSAGE_BYTES} bytes")
         # Danger: bytes behind this answer would be read as that to the next peer message; `keep_alive` is false then.
         whole = answer.keep_alive
     finally:
         if whole:
-            stored.used = time.monotonic()
-            peer.idle.append(stored)
+            connection.used = time.monotonic()
+            peer.idle.append(connection)
         else:
-            peer.close(stored)
-    return answer.status, bytes(told)
+            peer.close(connection)
+    return answer.status, bytes(data)
--- a/tests/test_fleet_consensus.py
+++ b/tests/test_fleet_consensus.py
@@ -7,7 +7,7 @@
 
 from cedarwick.fleet.consensus import (
     ABSTENTION,
-    KEPT,
+    DECIDED_FOR,
     OLD,
     ROUND,
     Acceptor,
@@ -88,14 +88,14 @@
     def test_a_pruned_decree_is_not_decided_once_more(self) -> None:
         voter = Acceptor(0)
         voter.accept(MOVE, TAKERS, "taker", 0)
-        self.assertEqual((voter.stale(OLD), voter.prune(KEPT)), ([MOVE], False))
+        self.assertEqual((voter.stale(OLD), voter.prune(DECIDED_FOR)), ([MOVE], False))
         settled = voter.settled(MOVE, "taker", 0)
         self.assertTrue(settled is not None and settled.decided)
         self.assertTrue(voter.prepare(MOVE, (9, "A#1"), 0).decided)
-        self.assertTrue(voter.prune(KEPT))
+        self.assertTrue(voter.prune(DECIDED_FOR))
         voter = Acceptor(0, table=voter.table())
         self.assertEqual((voter.table(), voter.stale(OLD)), (AcceptorTable([], {"A": 11}), []))
-        self.assertIs(voter.accept(MOVE, TAKERS, "taker", KEPT), ABSTENTION)
+        self.assertIs(voter.accept(MOVE, TAKERS, "taker", DECIDED_FOR), ABSTENTION)
 
     def test_silent_voters_are_asked_again_then_a_higher_round_follows(self) -> None:
         proposer = Proposer(MOVE, "A#1", ("A", "B", "C"), lambda failed: 7)
--- a/tests/test_fleet_migration.py
+++ b/tests/test_fleet_migration.py
@@ -541,7 +541,7 @@
         self.assertEqual(
             [act.do for act in moves.due(CALL_OFF + FORWARDS)], [MigrationAction.OVER, MigrationAction.CLOSE]
         )
-        moves.due(CALL_OFF + FORWARDS + moves_module.KEPT)
+        moves.due(CALL_OFF + FORWARDS + moves_module.REMEMBERED_FOR)
         self.assertEqual((moves.moves, moves.by_key, moves.standing(KEY)), ({}, {}, ("here", "")))
 
     def test_a_partition_that_comes_back_is_settled_under_ballots_of_its_own(self) -> None:
--- a/tests/test_fleet_replication.py
+++ b/tests/test_fleet_replication.py
@@ -322,7 +322,7 @@
         more[number] = in_doubt(more[number], 7)  # the copy knows more: a join keeps that, so it is not sent for ever
         for _ in range(400):
             link.turn()
-        self.assertEqual(link.log.followers["c"].mended, replication.TRIES)
+        self.assertEqual(link.log.followers["c"].mended, replication.MOST_RESENDS)
 
 
 class AtTheCopy(unittest.TestCase):
--- a/tests/test_fleet_suspensions.py
+++ b/tests/test_fleet_suspensions.py
@@ -36,8 +36,8 @@
     """A talk: `one` asks, and tells what the other lacks."""
     for each in (one, other):
         each.turn(now)
-    (one.met if other.whole() else one.told)(now, other.offered())
-    other.told(now, one.offered())
+    (one.met if other.whole() else one.merge)(now, other.offered())
+    other.merge(now, one.offered())
 
 
 def awake(name: str) -> SuspensionTable:
@@ -116,8 +116,8 @@
         for i in range(MOST + 9):
             m.set(NOW, f"{i:0128}", i % 2)
         m.set(NOW, "long" * 33, 1)
-        n.told(NOW, (*m.offered(), SuspensionMark("new", NOW, "m", 1)))
-        self.assertEqual((len(n.rows), m.untold(), m.whole()), (MOST, 1, False))
+        n.merge(NOW, (*m.offered(), SuspensionMark("new", NOW, "m", 1)))
+        self.assertEqual((len(n.rows), m.unshared(), m.whole()), (MOST, 1, False))
         peer_message = PeerMessage(1, 1, "g" * 64, "m" * 64, 1, "n" * 64, Told(m.digest(), m.offered()))
         self.assertEqual(decode(encode(peer_message)), peer_message)
 
--- a/tests/test_fleet_transport.py
+++ b/tests/test_fleet_transport.py
@@ -378,7 +378,7 @@
         kept.sock.shutdown(gevent.socket.SHUT_RDWR)
         self.assertEqual(self.peers.call("b", Acknowledged(), 5), Acknowledged())
         self.assertIsNot(self.peers.peers["b"].idle[0], kept)
-        with patch.object(transport, "KEPT", 0.0):
+        with patch.object(transport, "IDLE_LIMIT", 0.0):
             self.peers.call("b", Acknowledged(), 5)
         self.assertEqual(len(self.peers.peers["b"].open), 1)
 
