--- a/cedarwick/fleet/consensus.py
+++ b/cedarwick/fleet/consensus.py
@@ -1,9 +1,10 @@
-"""Decrees: one value for each move of a session, decided once by a majority; no I/O, no clock.
+"""Consensus: one value for each migration of a session, decided once by a majority. No I/O, no clock.
 
-Single-decree Paxos (Lamport 1998, 2001), an instance a move. A move's name is `stamp/giver/taker`; a giver's stamps
-only grow, over restarts too (they begin at its incarnation). A ballot is `(round, mark)`: round 1 belongs to the taker
-of the move alone, for the value 'taker', and needs no first phase; everybody else, and the taker after a while, starts
-at round 2 with both phases. A mark is the text of one proposer of one boot: no ballot is ever used for two values.
+Single-decree Paxos (Lamport 1998, 2001), one instance for each move. A move's name is `stamp/giver/taker`; a giver's
+stamps only grow, over restarts too (they begin at its incarnation). A ballot is `(round, mark)`: round 1 belongs to
+the taker of the move alone, for the value 'taker', and needs no first phase; everybody else, and the taker after a
+while, starts at round 2 with both phases. A mark is the text of one proposer of one boot: no ballot is ever used for
+two values.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,10 +15,10 @@
 Ballot = tuple[int, str]
 NO_BALLOT: Ballot = (0, "")
 DECIDED_FOR = 3_600_000_000  # microseconds that a decided row is remembered
-OLD = 60_000_000  # an undecided row of this age wants somebody to settle it
-MOST = 100_000  # rows
-PATIENCE = 100_000  # until a proposer asks once more those who have not answered
-ROUND = 400_000  # until it goes on to a higher round
+OLD = 60_000_000  # microseconds after which somebody should settle an undecided row
+MOST = 100_000  # rows, at most
+PATIENCE = 100_000  # microseconds until a proposer asks again those that have not answered
+ROUND = 400_000  # microseconds until it goes on to a higher round
 
 
 def name_move(stamp: int, giver: str, taker: str) -> str:
@@ -45,7 +46,7 @@
     value: Value | None = None  # accepted, or decided
     decided: bool = False
     at: int = 0  # last changed, in the time of this boot
-    key: int = 0  # of the session; 0: nobody has told it
+    key: int = 0  # of the session; 0: not known
 
 
 class AcceptorTable(NamedTuple):
@@ -70,7 +71,7 @@
 
 
 class Acceptor:
-    """One member's votes. Every call answers at once; where `Answer.write` is set the row is written first.
+    """One member's votes. Every call answers at once; where `AcceptorReply.write` is set the row is written first.
 
     Args:
         lost: there is no table, though this member may have voted before. Then it abstains from a giver's moves until
@@ -103,12 +104,12 @@
         self.lost = self.floors.pop("", 0) > 0
 
     def learned(self, giver: str, next_stamp: int) -> None:
-        """A giver has told the stamp that its next move will have; `table` must be written before the next vote."""
+        """Note the stamp that a giver's next move will have; `table` must be written before the next vote."""
         if next_stamp > self.floors.get(giver, 0):
             self.floors[giver] = next_stamp
 
     def prepare(self, move: str, ballot: Ballot, now: int, key: int = 0) -> AcceptorReply:
-        """The first phase: promise to accept nothing below `ballot`. `key`: of the session, where it is told."""
+        """The first phase: promise to accept nothing below `ballot`. `key`: of the session, 0 where it is not known."""
         row = self._row(move, ballot, key)
         if row is None:
             return ABSTENTION
@@ -143,11 +144,11 @@
             last = max(rows, key=lambda row: row.at)
             if last.at >= since or parts(last.move)[2] != holder:
                 return True
-        # Danger: members of an older level do not tell whose session it is.
+        # Danger: members of an older level do not send the key of the session.
         return any(self.rows[move].at >= since and holder in parts(move)[1:] for move in self.by_key.get(0, ()))
 
     def settled(self, move: str, value: Value, now: int) -> InstanceState | None:
-        """Somebody has told what was decided; the row to be written, if that is news."""
+        """Note what was decided; the row to be written, if that was not known."""
         row = self.rows.get(move)
         if row is None or row.decided:
             return None
--- a/cedarwick/fleet/fleet_files.py
+++ b/cedarwick/fleet/fleet_files.py
@@ -1,4 +1,4 @@
-"""The small files of `$RELAY_STATE/fleet`: what this member has granted, and the partitions that it holds.
+"""The small files of `$RELAY_STATE/fleet`: the leases this member has granted and the partitions that it holds.
 
 Each is MessagePack in frames of the folder's (`store/records.py`), one unless it is long, and replaced whole: a crash
 leaves the old one or the new one. Copies of other members' partitions lie beside them, in `copies/`
@@ -97,7 +97,7 @@
         self.write(HELD, ENCODER.encode(held))
 
     def marks(self) -> SavedMarks | None:
-        """The receivers taken out by hand, with their versions; None where there is no file.
+        """The receivers suspended by hand, with their versions; None where there is no file.
 
         `CorruptFleetFileError` where there is one that cannot be read; it is not to be taken for a first start.
         """
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -1,9 +1,8 @@
-"""What a member tells the others beside its partitions: receivers taken out by hand, and waits that it was told.
+"""Gossip between members beside the partitions: receivers suspended by hand, and Retry-After waits.
 
-Marks (`suspensions.py`) go at once to each member that lacks them, and digests every few seconds, so that members that
-were
-cut off, or are new, come to the same map. A waits' hint is sent once and may be lost: it makes a sender more careful
-than it would be, never less, and ends with the wait.
+Suspension marks (`suspensions.py`) go at once to each member that lacks them, and digests every few seconds, so that
+members that were cut off, or are new, converge to the same map. A hint of Retry-After waits is sent once and may be
+lost: it only makes a sender more careful, and ends with the wait.
 """
 
 import os
@@ -27,13 +26,13 @@
 from cedarwick.ops.management import Staff
 
 TURN = 250_000  # microseconds between two peer messages of a kind to one member
-AGAIN = 5_000_000  # between two peer messages with nothing new
-ANSWER_IN = 0.4  # seconds
-RETRY = 10_000_000  # between two tries to write what could not be written
+AGAIN = 5_000_000  # microseconds between two peer messages without changes
+ANSWER_IN = 0.4  # seconds until a call is given up
+RETRY = 10_000_000  # microseconds between two attempts to write what could not be written
 SAVE = 3_600_000_000  # microseconds: how far behind the file may be on when a member was met last
-SHORTEST = 300_000  # a wait that is over sooner is not told
-SAME = 50_000  # an end so little later than the one that was told is not told again
-MOST_HINTS = 64  # the newest
+SHORTEST = 300_000  # microseconds: a wait that is over sooner is not sent
+SAME = 50_000  # microseconds: an end that is only so much later than the one sent is not sent again
+MOST_HINTS = 64  # waits in a hint, at most: the newest
 
 
 class NotSharedError(CedarwickError):
@@ -51,12 +50,12 @@
 
 
 def wall() -> int:
-    """Danger: the sender's own clock stands while the machine sleeps, and a call made after that would be older."""
+    """Wall clock microseconds. The sender's own clock stops while the machine sleeps; later marks would look older."""
     return time.time_ns() // 1000
 
 
 class Gossip:
-    """Nothing is told or taken before `attach`."""
+    """Sends and answers the gossip of one member. Nothing is sent or merged before `attach`."""
 
     def __init__(
         self,
@@ -75,21 +74,21 @@
         self.marks = SuspensionTable(name)
         self.unwritten = False  # suspended.json says less than this process knows
         self.saved_at = 0
-        self.lacks: dict[str, set[str]] = {}  # by member: uids whose rows it is to be told
+        self.lacks: dict[str, set[str]] = {}  # by member: uids whose rows it lacks
         self.next_at: dict[str, int] = {}  # by member: when it is written to where nothing is new
         self.agreed: dict[str, int] = {}  # by member: the digest at the last peer message
         self.talking: set[str] = set()
         self.sleepers: set[str] = set()  # members that may have missed something, too
         self.turn_at = 0
         self.hint_at = 0
-        self.waits: dict[int, int] = {}  # by receiver: ends to be told, the newest last
-        self.hinted: dict[int, int] = {}  # by receiver: the end that was told
+        self.waits: dict[int, int] = {}  # by receiver: ends of waits to be sent, the newest last
+        self.hinted: dict[int, int] = {}  # by receiver: the end that was sent
         self.staff: Staff
         self.endpoint_list: EndpointList
         self.dispatcher: Dispatcher
 
     def attach(self, staff: Staff, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-        """Once the folder is this process's, and its attempts are made: take up what is kept, and listen to both."""
+        """Once the folder is this process's, and its attempts are made: load what is saved, and listen to both."""
         self.staff, self.endpoint_list, self.dispatcher = staff, endpoint_list, dispatcher
         staff.changed = self._changed
         dispatcher.attempts.heed, dispatcher.attempts.tell = self._heeded, self._ended
@@ -237,7 +236,7 @@
     # ---- Retry-After waits ----
 
     def _heeded(self, waits: list[tuple[int, int]]) -> None:
-        """A wait that is told apart from its attempt's ending."""
+        """A wait that is reported apart from its attempt's ending."""
         self.dispatcher.heed(waits)
         self._learned(waits)
 
@@ -247,7 +246,7 @@
             self._learned([(call.receiver, self.clock.now() + ending.retry_after)])
 
     def _learned(self, waits: list[tuple[int, int]]) -> None:
-        """Receivers have told this sender to wait; what other members were told does not come here."""
+        """Receivers have asked this sender to wait; waits from other members' hints do not come here."""
         for receiver, until in waits:
             if until > max(self.waits.get(receiver, 0), self.hinted.get(receiver, 0) + SAME):
                 self.waits.pop(receiver, None)
@@ -256,7 +255,7 @@
             del self.waits[next(iter(self.waits))]
 
     def _hints(self) -> tuple[RetryAfterEntry, ...]:
-        """Those that are to be told now."""
+        """The waits that are to be sent now."""
         now = self.clock.now()
         self.hinted = {receiver: until for receiver, until in self.hinted.items() if until > now}
         waits, self.waits = self.waits, {}
--- a/cedarwick/fleet/leased_partition.py
+++ b/cedarwick/fleet/leased_partition.py
@@ -35,9 +35,8 @@
         self.heard_out = 0  # of an adopted partition: when its last holder has offered all that it knew
         self.sent = 0  # facts below this index were sent to some copy
         self.backlog: dict[int, int] = {}  # owed since before the last change among the members: their order keys
-        self.finished: set[int] = (
-            set()
-        )  # of an adopted partition: ended here, so that old news does not bring them back
+        # Of an adopted partition: ended here, so that an old update does not bring them back.
+        self.finished: set[int] = set()
 
     def starving(self, now: int) -> bool:
         """Whether its copies have been behind for too long, by the boot clock."""
@@ -54,10 +53,10 @@
             return Fact(number, None, known)
 
     def read_for_member(self, store: Store, number: int) -> Fact | None:
-        """The same for another member; what cannot be read has failed there.
+        """The same for another member; a message whose body cannot be read counts as failed there.
 
-        Danger: without its base a copy leaves the message out and counts as whole; whoever adopts it then owes nobody
-        an answer.
+        Without its base a copy would leave the message out and count as whole; whoever takes it over would then owe
+        nobody an answer.
         """
         fact = self.read(store, number)
         if fact is None or fact.base is not None:
--- a/cedarwick/fleet/leases.py
+++ b/cedarwick/fleet/leases.py
@@ -1,29 +1,28 @@
-"""Who holds a right: grantors that promise, holders that ask (Gray and Cheriton 1989, with a majority of grantors).
+"""Leases (Gray and Cheriton 1989, granted by a majority): grantors promise, holders ask. No I/O, no clock.
 
-Every member is a `LeaseGrantor`; whoever wants a right has a `LeaseHolder` for it. Both are told the time, whole
-microseconds of
-the member's own clock that goes on while the machine sleeps; no time of one member is ever compared with another's.
+Every member is a `LeaseGrantor`; whoever wants a lease (a "right") has a `LeaseHolder` for it. Callers pass the time,
+whole microseconds of the member's own clock that goes on while the machine sleeps; times of two members are never
+compared.
 
-Why at most one holder may fire. A promise runs for a span from when the ask *arrived*; the right lasts for less than
-that span from when it was *sent*. Two majorities share a grantor, and that one grants the second holder only when its
-promise to the first has run out: `DRIFT` keeps this true where one clock is up to 5% slower than another.
+Why at most one holder may fire. A promise runs for a span from when the request *arrived*; the lease lasts for less
+than that span from when the request was *sent*. Two majorities share a grantor, and that one grants the second holder
+only when its promise to the first has run out. `DRIFT` keeps this true where one clock is up to 5% slower than another.
 
 Why only a successor follows. A set of successors names the members (the holder first) whose copies are whole. Sets are
-numbered
-`term << 20 | n`, so those of a newer term are newer. A grantor keeps the newest it was told, and grants a newer term to
-members of it only. A holder may fire only from when a majority knows a set of *its own* term: from then on members
-of older sets, who can't know its attempts, are refused by a majority. What a holder that fired nothing has named binds
-nobody, so the successors of its predecessor may still go on when it dies between grant and naming.
-
-What must survive: the rows of a grantor's table are in its folder before the answer is sent (`dirty`); the own grantor
-is asked before any other one, so a restarted member knows each term it ever asked for and never asks for it again.
-
-A grantor whose table is gone learns it from others and grants nothing meanwhile. It reads their tables only after one
-whole span: an ask that it granted before it forgot counts for its holder no longer then, so whoever else granted that
-ask has it in its table by now. It has learned enough when members that are not learning, as many as every majority
-must share one with (3 members: 2, 4: 2, 5: 3), have told theirs, or when all others have told theirs, learning or not.
-So: the first start of a fleet needs every member up at the same time, once; a member whose folder was deleted needs
-`needed` others that have their tables, and one span. Two tables gone at the same time need all others up.
+numbered `term << 20 | n`, so those of a newer term are newer. A grantor stores the newest set that it has received, and
+grants a newer term to members of that set only. A holder may fire only once a majority knows a set of *its own* term:
+from then on members of older sets, who can't know its attempts, are refused by a majority. A set named by a holder that
+fired nothing binds nobody, so its predecessor's successors may still take over if it dies between grant and naming.
+
+What must survive a restart: the rows of a grantor's table are in its folder before the answer is sent (`dirty`). The
+own grantor is asked before any other one, so a restarted member knows each term it ever asked for and never asks again.
+
+A grantor that has lost its table learns it from others and grants nothing meanwhile. It reads their tables only after
+one whole span: a request that it granted before the loss no longer counts for its holder then, so whoever else granted
+that request has it in its table by now. It has learned enough when it has the tables of as many members that are not
+learning as every majority must share one with (3 members: 2, 4: 2, 5: 3), or the tables of all others. So the first
+start of a fleet needs every member up at the same time, once. A member whose folder was deleted needs `needed` others
+that have their tables, and one span. Two tables lost at the same time need all others up.
 """
 
 from collections.abc import Collection, Iterable
@@ -31,34 +30,34 @@
 
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
 
-SPAN = 1_200_000  # microseconds: four asks fit in, so three may be lost; long enough for a pause of a process
-DRIFT = 20  # one part in so many: clocks of two machines may differ in pace by 5%, a hundred times what NTP bears
-STOPS = 50_000  # microseconds: between the look at the lease and the first byte a process may be off the processor
-ASKS = 4  # in a span
-SET_BITS = 20  # of a set's number; over them the term that named it
+SPAN = 1_200_000  # microseconds of a lease: four requests fit in, so three may be lost; longer than a process pauses
+DRIFT = 20  # one part in 20: clocks of two machines may differ in pace by 5%, a hundred times what NTP tolerates
+STOPS = 50_000  # microseconds that a process may be descheduled between the check of its lease and the first byte
+ASKS = 4  # requests in a span
+SET_BITS = 20  # low bits of a set's number; the bits above are the term that named it
 EPOCH_BITS = 12
 PARTITION = "book:"
 UPTO = "closed:"  # a row `closed:<slot>` says in `term` up to which epoch all partitions of the slot are closed
 
 
 def majority_of(members: int) -> int:
-    """How many of so many are a majority."""
+    """The size of a majority of so many members."""
     return members // 2 + 1
 
 
 def right_of(partition: int) -> str:
-    """The right over a partition."""
+    """The name of the lease of a partition."""
     return f"{PARTITION}{partition}"
 
 
 def partition_of(right: str) -> int | None:
-    """The partition that a right is over; None for any other right."""
+    """The partition that a lease is for; None for any other lease."""
     number = right.removeprefix(PARTITION)
     return int(number) if number != right and number.isdecimal() else None
 
 
 class LeaseGrantor:
-    """One member's table of rights, by right the newest term that it has granted.
+    """One member's table of leases: for each the newest term that it has granted.
 
     `grants` is what the folder has (None: it has no table, or a spoilt one; an empty one is a table). While `dirty`,
     `table()` must be written to the folder before the answer that made it so is sent; then `dirty` is set to False.
@@ -191,10 +190,9 @@
         return not self.learning
 
     def closed_elsewhere(self, table: GrantTable) -> None:
-        """Another's table says which partitions were closed while this member was away; nothing else of it is taken
-        over.
+        """Take over from another's table which partitions were closed while this member was away, and nothing else.
 
-        A closed partition's holder had stopped firing, and owed nothing.
+        The holder of a closed partition had stopped firing, and owed nothing.
         """
         before = self.table()
         for grant in table.grants:
@@ -212,7 +210,7 @@
         return self.boot + self.span
 
     def _join(self, grant: Grant) -> None:
-        """What one more table says of a right."""
+        """Merge a row of another table."""
         if grant.right.startswith(UPTO):
             slot = int(grant.right.removeprefix(UPTO))
             self._upto[slot] = max(grant.term, self._upto.get(slot, -1))
@@ -329,10 +327,7 @@
         self._settle(now)
 
     def name(self, now: int, successors: Collection[str]) -> None:
-        """Name the set of successors from now on:
-
-        the members whose copies are whole, in the order in which they adopt.
-        """
+        """Name the set of successors from now on: the members whose copies are whole, in the order of takeover."""
         named = (self.me, *(name for name in successors if name != self.me))
         if self.state is not LeaseState.HELD or named == self._sets[self.set] and self._own(self.set):
             return
@@ -353,7 +348,7 @@
         return LeaseRequest(self.right, self.term, self.me, 0, self._sets[self.set], self.set) if held else None
 
     def replace(self, names: Collection[str]) -> None:
-        """The members from now on; see `Grantor.replace`."""
+        """The members from now on; see `LeaseGrantor.replace`."""
         self._names = frozenset(names) | {self.me}
         # Danger: what one that has gone has granted is no part of a majority of those that stay.
         self._granted = {name: each for name, each in self._granted.items() if name in self._names}
@@ -383,13 +378,13 @@
         return self.span - self.span // DRIFT - STOPS
 
     def _counted_from(self, sent_at: int, now: int) -> int:
-        """Danger: the promise began somewhere between sending and answer; only the sending is surely before it."""
+        """When a lease counts from. The promise began between sending and answer; only the sending is surely before."""
         return sent_at
 
     def _own(self, number: int) -> bool:
-        """Danger:
+        """Whether a set is of this term.
 
-        until a majority knows a set of this term, it may yet grant to successors that can't know our attempts.
+        Until a majority knows such a set, it may still grant the lease to successors that can't know our attempts.
         """
         return number >> SET_BITS == self.term
 
--- a/cedarwick/fleet/membership.py
+++ b/cedarwick/fleet/membership.py
@@ -1,10 +1,10 @@
-"""Who is alive: silence seen by a majority (suspicion and incarnations as in SWIM, Das et al. 2002), no I/O.
+"""Failure detection: silence seen by a majority (suspicion and incarnations as in SWIM, Das et al. 2002). No I/O.
 
-Each member tells every other one how long ago it has heard each. A member is dead where a majority of all members say
-that they have not heard it for 1.5 s. Only what members say counts whom I hear now: the last words of one that has
-fallen silent itself may be from the wrong side of a cut, or from before the other spoke again. Ages count as they were
-told and are not made older here: since the telling the other may have been heard. The member in question has no
-say. So in a group of two nobody is ever dead, only suspected: there is no majority without it.
+Each member reports to every other one how long ago it has heard each. A member is dead once a majority of all members
+report that they have not heard it for 1.5 s. Only reports of members that are heard now count: the last report of one
+that has fallen silent may be from the wrong side of a network partition, or from before the other spoke again. Reported
+ages count as received and are not made older here: since the report the other may have been heard. The member in
+question has no vote. So in a group of two nobody is ever dead, only suspected: there is no majority without it.
 
 All times are whole microseconds of the member's own clock that goes on while the machine sleeps.
 """
@@ -16,9 +16,9 @@
 
 from cedarwick.fleet.leases import majority_of
 
-ALIVE_WITHIN = 1_000_000  # microseconds: three beats may be lost
-DEAD_AFTER = 1_500_000
-SLOW_AFTER = 500_000  # what an answer may take
+ALIVE_WITHIN = 1_000_000  # microseconds since the last heartbeat: three may be lost
+DEAD_AFTER = 1_500_000  # microseconds since the last heartbeat, as seen by a majority
+SLOW_AFTER = 500_000  # microseconds that an answer may take
 
 
 class MemberStatus(Enum):
@@ -45,7 +45,7 @@
     incarnation: int = 0
     heard: int | None = None  # when
     leaving: bool = False
-    ages: Mapping[str, int] = field(default_factory=dict)  # as it told them in its last beat
+    ages: Mapping[str, int] = field(default_factory=dict)  # as reported in its last heartbeat
     took: int = 0  # its last answer
 
 
@@ -124,7 +124,7 @@
         return [change for change in found if change.before is not change.now]
 
     def list_of(self, name: str) -> frozenset[str] | None:
-        """Whom another one has for members, as it told in its last beat; None where it was never heard."""
+        """Whom another one has for members, as reported in its last heartbeat; None where it was never heard."""
         member = self._members.get(name)
         return None if member is None or member.heard is None else frozenset(member.ages) | {name}
 
--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -10,9 +10,9 @@
 from cedarwick.fleet.migration_table import MOST_IN, MOST_OUT
 from cedarwick.fleet.placement import weight
 
-STAYS = 10_000_000  # a session that has just moved stays for so long, but for staff and a sender that leaves
-AFTER_OFF = 1_000_000  # a session whose move was called off is not offered again for so long
-FULL = 0.8  # of what a sender bears: so much it takes
+STAYS = 10_000_000  # microseconds that a session stays after a move, but for staff and a sender that leaves
+AFTER_OFF = 1_000_000  # microseconds until a session whose move was called off is offered again
+FULL = 0.8  # share of its capacity up to which a sender takes sessions
 
 
 class MigrationReason(Enum):
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -1,4 +1,4 @@
-"""Moves: a session goes from one sender, the giver, to another, the taker; no I/O, no clock.
+"""Migration of a session (a "move") from one sender, the giver, to another, the taker. No I/O, no clock.
 
 At the giver: held, freezing, offered, forwarding, closed. At the taker: staged, granted, active, or dropped. From the
 first mark to the decree the session's messages are inert on both sides. The steps, and what is on the disk before:
@@ -6,8 +6,8 @@
 1. The giver freezes: no new attempt; what is out is awaited for `FREEZE`, then goes along as may-have-run. It marks
    the facts (own folder and every successor of its partition: a successor without the mark would fire), and sends
    `Stage`.
-2. The taker keeps them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks for
-the decree with ballot 1.
+2. The taker stores them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks for
+   the decree with ballot 1.
 3. Decided for the taker: it goes active and tells all; the giver forwards, and its facts are over without a notice once
    the taker has said that it is active. Decided 'off': the giver's live again, the taker's are dropped.
 
@@ -23,13 +23,13 @@
 
 from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Proposer, ProposerRequest, Value, parts
 
-FREEZE = 100_000  # what is out is awaited for so long
-CALL_OFF = 500_000  # after the freeze began: the giver settles what is undecided
-AGAIN = 100_000  # a question without an answer is asked again, then at doubled spans up to
-AGAIN_MOST = 2_000_000
-FORWARDS = 60_000_000  # the old sender passes on what comes on the live connection for so long
+FREEZE = 100_000  # microseconds for which attempts that are out are awaited
+CALL_OFF = 500_000  # microseconds after the freeze began: the giver settles what is undecided
+AGAIN = 100_000  # microseconds until a request without an answer is repeated, doubled each time up to
+AGAIN_MOST = 2_000_000  # microseconds
+FORWARDS = 60_000_000  # microseconds for which the giver forwards what comes on the live connection
 REMEMBERED_FOR = 60_000_000  # microseconds that a finished migration is remembered
-WAITS = 250_000  # a client's request on a frozen session waits for so long, then it is answered -BUSY
+WAITS = 250_000  # microseconds that a client's request on a frozen session waits before it is answered -BUSY
 MOST_OUT = 20  # moves at once at a giver
 MOST_IN = 20  # staged at once at a taker
 
@@ -86,7 +86,7 @@
     giving: SourceStage | None = None
     taking: TargetStage | None = None
     marking: bool = False  # the marks are being written
-    written: bool = False  # what was staged is kept
+    written: bool = False  # what was staged is stored
     heard: bool = False  # the taker has answered `Staged`
     confirmed: bool = False  # the taker is active
     value: Value | None = None  # the decree, once known
@@ -237,8 +237,8 @@
     def found(self, name: str, key: int, giving: bool, now: int) -> list[MigrationStep]:
         """Marked facts lie in a partition that this member holds: after its restart, or adopted.
 
-        For the taker's side only once every successor of that partition has them (again): it may ask for the decree at
-        once.
+        For the taker's side only once every successor of that partition has them (again): it may then ask for the
+        decree at once.
         """
         move = self._open(name, key, now)
         if giving and move.giving is None:
@@ -321,7 +321,7 @@
                 acts += self._asks(move.proposer.due(now))
             elif move.giving is not None and now >= move.began + CALL_OFF:
                 acts += self.call_off(move.name, now)
-            elif move.giving is None:  # it can't be kept here, or not at every successor
+            elif move.giving is None:  # it can't be stored here, or not at every successor
                 acts += self._settle(move, now)
             elif move.giving is SourceStage.FREEZING:
                 acts += self.idle(move.name, now)
@@ -372,8 +372,7 @@
 
     def _proposer(self, move: Migration) -> Proposer:
         if move.proposer is None:
-            # Danger: a second proposer of one boot, after the first was lost with its partition, must not share a
-            # ballot.
+            # Danger: a second proposer of one boot, after the first went with its partition, must not share a ballot.
             self.proposers += 1
             move.proposer = Proposer(move.name, f"{self.mark}.{self.proposers}", self.voters, self.wait)
         return move.proposer
--- a/cedarwick/fleet/order_key_hints.py
+++ b/cedarwick/fleet/order_key_hints.py
@@ -1,9 +1,9 @@
-"""Keys that are owed at another sender: what each member tells of them, and which keys rest here for it. No I/O.
+"""Hints on order keys: keys with older messages at another sender, and which keys rest here because of them. No I/O.
 
-From a trouble on a client may hand in a message of a key at another sender than the one that still has earlier ones.
-So each member tells the others, as `Owed`, the keys of what it owes from before the last change among the members (its
-*backlog*), and of what lies in a copy here whose holder is silent. What is taken of such a key elsewhere rests: as
-long as it is told anew, `MOST` at most. A peer message that is lost or late costs the order and nothing else.
+After a change among the members a client may submit a message of a key at another sender than the one that still has
+earlier ones. So each member sends the others, as `OwedKeys`, the keys of what it owes from before the last change (its
+*backlog*), and of what is in a copy here whose holder is silent. New messages of such a key rest at the other senders
+as long as the hint is repeated, for `MOST` at most. A hint that is lost or late costs the order and nothing else.
 All times are whole microseconds of the member's own clock that goes on while the machine sleeps.
 """
 
@@ -11,13 +11,13 @@
 
 from cedarwick.fleet.messages import MOST_KEYS
 
-EVERY = 250_000  # between two peer messages while anything is owed
-LASTS = 1_000_000  # what was told counts for so long: three peer messages in a row may be lost
-MOST = 5_000_000  # a key rests no longer for others, whatever they tell
+EVERY = 250_000  # microseconds between two peer messages while anything is owed
+LASTS = 1_000_000  # microseconds that a hint counts: three peer messages in a row may be lost
+MOST = 5_000_000  # microseconds that a key rests for others, at most
 
 
 class OrderKeyHints:
-    """What is told to the others, and what they have told."""
+    """The hints sent to the others, and those received from them."""
 
     def __init__(self) -> None:
         self.told: Set[int] = frozenset()  # keys in the last peer messages
@@ -28,11 +28,11 @@
         self._since: dict[int, int] = {}  # by key: since when it has been owed elsewhere without a break
 
     def heard(self, now: int, sender: str, keys: Iterable[int]) -> None:
-        """All that a member owes by its word; it replaces what it said before."""
+        """All keys that a member owes; they replace what it sent before."""
         self._heard[sender] = now, frozenset(keys)
 
     def tell(self, now: int, keys: Set[int], others: Collection[str]) -> tuple[int, ...] | None:
-        """The keys of a peer message that is due to others now; None: none is. The last one of a trouble is empty."""
+        """The keys of a peer message that is due to others now; None: none is. The last one of a backlog is empty."""
         changed = keys - self.told or set(others) - set(self._sent_to)
         if not (keys or self.told) or now < self._sent_at + EVERY and not (keys and changed):
             return None
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -1,4 +1,4 @@
-"""Ids of late, as a copy of a partition can know them: for whoever adopts the partition; no I/O, no clock.
+"""Recent message ids as a copy of a partition knows them, for whoever takes the partition over. No I/O, no clock.
 
 Under `ack = "copy"` every message that was answered +OK is in the copy's file by then. So a copy that has followed a
 partition's tail without a gap knows each id that was taken since, ended or not: `since` says from when on. What a piece
@@ -14,28 +14,28 @@
 from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, over
 from cedarwick.fleet.sessions import REMEMBERED, contents
 
-MOST = 1 << 16  # ids of one partition; beyond, the oldest go, and with them the time that the memory covers
-# No contents are told by this: what comes with an id whose contents are not known is another request. Danger: a hash
-# is a count; what is none makes a peer message that nobody reads, and a session with such an id could not be moved.
+MOST = 1 << 16  # ids of one partition; above it the oldest are dropped, and the time that the memory covers shrinks
+# Stands for contents that are not known: whatever is submitted with such an id counts as another request. It must be a
+# valid hash (a count), or no peer could read the message, and a session with such an id could not be moved.
 UNKNOWN = 0
 
 
 @dataclass(slots=True)
 class RecentId:
-    """A message of a session, as it was first told of."""
+    """A message of a session, as it was first received."""
 
     key: int  # of the session
     id: str
     at: int  # when it came here: not before it was handed in
     hashed: int
-    ended: bool = False  # an end was told of, or an attempt
+    ended: bool = False  # an end or an attempt is known
 
 
 class RecentIds:
     """What a copy remembers of one partition; times are those of the copy's own clock."""
 
     def __init__(self, now: int) -> None:
-        self.since = now  # each id that was taken later is here, if it is of late
+        self.since = now  # each recent id that was taken later is here
         self.term = self.next = -1
         self.taken: dict[int, RecentId] = {}  # by number
         self.order: deque[tuple[int, int]] = deque()  # when they came, and their numbers
@@ -89,7 +89,7 @@
 
 
 def hash_of(base: MessageBase, end: EndRank = EndRank.NONE) -> int:
-    """As at the holder; of what has ended the body is not told any more."""
+    """The hash of a submission, as at the holder; `UNKNOWN` for an ended message, whose body is not sent any more."""
     if end is not EndRank.NONE:
         return UNKNOWN
     return contents(base.key, base.priority_class, base.tenant, base.destination, base.body)
--- a/cedarwick/fleet/replica.py
+++ b/cedarwick/fleet/replica.py
@@ -56,11 +56,11 @@
         self.place = ReplicaPosition(0, 0, 0)
         self.held: dict[int, Fact] = {}  # what is owed, with bases
         self.live = 0  # about the bytes of that
-        self.behind = False  # its holder has answered for more than it was told
+        self.behind = False  # its holder has acknowledged to clients more than the copy has
 
     @property
     def whole(self) -> bool:
-        """Whether it was told everything of its term."""
+        """Whether it has received everything of its term."""
         return self.place.covered == EVERYTHING
 
     def facts(self, message: ReplicateFacts) -> ReplicaStep:
@@ -123,7 +123,7 @@
         for fact in facts:
             before = self.held.get(fact.number)
             if before is None and fact.base is None:
-                continue  # news of what has ended, or of what a piece is still to bring
+                continue  # an update of what has ended, or of what a piece is still to bring
             joined = trimmed(fact) if before is None else join_facts(before, fact)
             self._drop(fact.number)
             if not over(joined.known):
@@ -132,7 +132,7 @@
         self.place, self.behind = ReplicaPosition(entry.term, entry.next, entry.covered), entry.behind
 
     def doubt(self, since: int) -> None:
-        """A part of its file is lost: news may be missing from a wall time on, and it must be walked anew."""
+        """A part of its file is lost: updates may be missing from a wall time on, and it must be walked anew."""
         self.held = {number: in_doubt(fact, since) for number, fact in self.held.items()}
         self.place = ReplicaPosition(self.place.term, 0, 0)
 
--- a/cedarwick/fleet/replica_files.py
+++ b/cedarwick/fleet/replica_files.py
@@ -1,11 +1,10 @@
-"""The files of the copies that this member keeps: one a partition, the steps that brought its copy forward, in order.
-
-A file is a top (version, partition, when it was made) and entries, each in a frame of the folder's. Read again, the
-entries
-bring the same copy forward. A file that is over twice what is owed is written anew in small steps while entries go on
-coming: each step writes a part of what is owed now, each entry goes to both files, and the fresh one then takes the
-name. That is how a copy is walked over the network (see `replication.py`), from the member's own memory. Every append
-that returned is in the system's hands and outlives the process; with `durable`, `flush` brings it to the disk.
+"""The files of this member's copies: one for each partition, with the steps that brought its copy forward, in order.
+
+A file has a header (version, partition, when it was made) and entries, each in a frame as in the store's files. Reading
+the entries again rebuilds the copy. A file of more than twice what is owed is compacted in small steps while entries go
+on coming: each step writes a part of what is owed now into a fresh file, each entry goes to both files, and at the end
+the fresh file takes the name. It is the walk of `replication.py` from the member's own memory. An append that returned
+outlives the process; with `durable`, `flush` also brings it to the disk.
 """
 
 import os
@@ -26,11 +25,11 @@
 
 VERSION = 1  # of the files
 NAME = re.compile(r"([0-9]{1,10})\.log")
-FRESH = ".new"  # a file that is being written anew
-OTHER = ".other"  # one that another version has written
-PART = 1 << 16  # bytes that one step writes anew
-LOOK_BACK = 64  # steps after which a file that could not be written anew is looked at again
-SMALL = 1 << 17  # bytes of a file that is never written anew for its size
+FRESH = ".new"  # suffix of the fresh file of a compaction
+OTHER = ".other"  # suffix of a file that another version has written
+PART = 1 << 16  # bytes that one step of a compaction writes
+LOOK_BACK = 64  # steps after which a failed compaction is tried again
+SMALL = 1 << 17  # bytes above twice what is owed from which a file is compacted
 TOP, ENTRY = b"\x01", b"\x02"
 
 
@@ -93,22 +92,21 @@
 
 
 class ReplicaStore:
-    """All copies that this member keeps. One greenlet at a time calls it."""
+    """All copies of this member. One greenlet at a time calls it."""
 
     def __init__(self, folder: ReplicaFolder, limit: int, *, now: Callable[[], int], durable: bool = False) -> None:
-        """`limit`: bytes of all files together; `now` tells wall microseconds."""
+        """`limit`: bytes of all files together; `now` returns wall clock microseconds."""
         self.folder = folder
         self.limit = limit
         self.now = now
         self.durable = durable
         self.copies: dict[int, ReplicaFile] = {}
         self.unsynced: dict[int, int] = {}  # files with bytes that no sync has followed: `written` after the last
-        self.refusing: set[int] = set()  # partitions whose holders are told that there is no room; said in the log once
+        self.refusing: set[int] = set()  # partitions whose holders got `NO_ROOM`; logged once
         self.steps = 0
         self.written = 0  # bytes ever
-        self.heard: Callable[[int, ReplicaEntry, list[Fact]], None] = (
-            lambda *_: None
-        )  # a step of a partition is in its file
+        # Called once a step of a partition is in its file.
+        self.heard: Callable[[int, ReplicaEntry, list[Fact]], None] = lambda *_: None
 
     @property
     def used(self) -> int:
@@ -124,7 +122,7 @@
             elif found is not None:
                 try:
                     self._read(int(found[1]))
-                except OSError as error:  # its holder is told that there is no room, until somebody has looked
+                except OSError as error:  # its holder gets `NO_ROOM` until somebody has looked
                     logger.error(ReplicaDamagedError(f"{name}: {error}").line)
 
     def replica(self, partition: int) -> Replica | None:
@@ -200,7 +198,7 @@
 
     def _copy(self, partition: int) -> ReplicaFile:
         if partition not in self.copies:
-            return ReplicaFile(partition)  # it is kept once something is written
+            return ReplicaFile(partition)  # stored once something is written
         return self.copies[partition]
 
     def _done(self, copy: ReplicaFile, step: ReplicaStep) -> ReplicaAck:
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -50,7 +50,7 @@
 
 
 class ReplicatedStore(Store):
-    """Owns the folder, as `Store` does, and tells the partitions what happens to their messages."""
+    """The folder, as `Store`, with the changes of each message replicated through its partition's log."""
 
     def __init__(self, *args: Any, by_copy: bool = False, within_us: int = 150_000, **more: Any) -> None:
         """As `Store`; `by_copy`: what is answered waits for the successors, `within_us` microseconds at most."""
@@ -65,9 +65,8 @@
         self.starved: Callable[[LeasedPartition], None] = lambda _: None
         self.seen: Callable[[str, StoredMessage, int], None] = lambda *_: None  # events: kind, message, a figure
         self.marking: Callable[[dict[int, tuple[int, str]]], None] = lambda _: None  # on the disk before they count
-        self.out: dict[
-            int, StoredMessage
-        ] = {}  # an attempt of this process is out, though the record may have gone meanwhile
+        # Messages with an attempt of this process out; the record may have gone meanwhile.
+        self.out: dict[int, StoredMessage] = {}
 
     # ---- the right ----
 
@@ -105,7 +104,7 @@
         holding.reserved = self.next_number = first
         self.reserve(holding)
 
-    # ---- what the dispatcher tells ----
+    # ---- called by the dispatcher ----
 
     def keep(self, stored: StoredMessage) -> None:
         super().keep(stored)
@@ -127,9 +126,7 @@
             # Danger: told after the folder's own record, a completed one would already be over, as any other end.
             self._replicate(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
         # Danger: its record may have gone while the attempt was out, since its client has left or another sender has
-        # its
-        # partition by now; what the receiver said would be told by nobody. A full folder raises, and owes its own
-        # record.
+        # its partition by now; nobody would report the receiver's answer. A full folder raises, and owes its record.
         sent = self.out.pop(number, stored)
         if sent is not None:
             self.seen("completed" if outcome is Outcome.COMPLETED else "outcome", sent, list(Outcome).index(outcome))
@@ -151,7 +148,7 @@
         super().over(number)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
-        """With `by_copy`, besides: wait until every successor has all that was told.
+        """With `by_copy`, besides: wait until every successor has all records so far.
 
         `NotReplicatedError` where one has not.
         """
@@ -179,7 +176,7 @@
                 raise NotReplicatedError(f"partition {holding.partition}: the right over it has run out")
 
     def successors_of(self, holding: LeasedPartition) -> frozenset[str]:
-        """The copies that must have a record before it counts as told."""
+        """The copies that must have a record before it counts as replicated."""
         return (holding.adoption.holder.bound | holding.joining.keys()) - {holding.adoption.me}
 
     def _wait(self, until: float) -> bool:
@@ -193,8 +190,7 @@
     # ---- sessions that move ----
 
     def stage(self, stored: StoredMessage, sequence: int, text: str) -> None:
-        """Keep a message that is on its way to this sender: inert from its first record on, here and at every
-        successor.
+        """Store a message of a session that moves here: inert from its first record on, here and at every successor.
 
         `NoSpaceError` where there is none for it. The mark is on the disk already (`marking`).
         """
@@ -247,7 +243,7 @@
     ) -> None:
         """What a copy knew of a partition goes into this folder, under a new term. `NoSpaceError` leaves what fits.
 
-        `doubt_at`: wall microseconds from which on news may be missing; 0: none is. `mine`, `perhaps`: see
+        `doubt_at`: wall microseconds from which on updates may be missing; 0: none are. `mine`, `perhaps`: see
         `only_here`, where this member has held the partition before and could not offer what it knew. `late`: what ends
         before this wall time ends now.
         """
@@ -338,8 +334,8 @@
                     changed.append(joined.number)
         except (OSError, NoSpaceError) as error:
             problem = str(error) or type(error).__name__
-            # Danger: what the ledger knows is no news when it is offered again; it would be in no folder, and no
-            # dispatcher.
+            # Danger: what the ledger knows would count as unchanged when it is offered again; it would be in no folder,
+            # and at no dispatcher.
             for fact in left:
                 if fact.number in before:
                     holding.ledger.known[fact.number] = before[fact.number]
@@ -400,10 +396,10 @@
         return mine, perhaps
 
     def rekey(self, numbers: Iterable[int], failed: bool = False) -> Iterator[int]:
-        """Messages that nobody else has become ones of the open partition; their new numbers. `NoSpaceError` stops on
-        the way.
+        """Messages that nobody else has become ones of the open partition; their new numbers.
 
-        `failed`: they end so, since somebody else may have had them. So does one whose body cannot be read.
+        `NoSpaceError` may come after some of them. `failed`: they end so, since somebody else may have had them. So
+        does one whose body cannot be read.
         """
         for number in numbers:
             old = self.messages[number]
--- a/cedarwick/fleet/replication.py
+++ b/cedarwick/fleet/replication.py
@@ -28,20 +28,20 @@
 from cedarwick.fleet.replication_facts import Fact, digest, encoded, over, together, trimmed
 
 EVERYTHING = (1 << 63) - 1  # above every number
-WINDOW = 4096  # facts of the tail that the holder keeps
-WINDOW_BYTES = 1 << 23
+WINDOW = 4096  # facts of the log that the holder keeps in memory
+WINDOW_BYTES = 1 << 23  # bytes of them
 PART = 1 << 16  # bytes of facts in a message; more only where a single one is larger
-PART_FACTS = 1024
+PART_FACTS = 1024  # facts in a message
 FEW = 4  # messages of the tail that may be out to one copy
 PATIENCE = 500_000  # microseconds until an unanswered message is given up
-REST = 1_000_000  # before a comparison that was not answered is asked for again
-SHARE = 2  # a byte of pieces for so many bytes of live traffic
+REST = 1_000_000  # microseconds before a comparison that was not answered is sent again
+SHARE = 2  # bytes of live traffic that allow one byte of pieces
 FLOOR = 1 << 20  # bytes a second of pieces where there is little live traffic
 COMPARE = 10_000_000  # microseconds between two comparisons of everything
-BREATH = 20_000  # and between two parts of one
+BREATH = 20_000  # microseconds between two parts of one comparison
 RANGE = 128  # facts in a range that is compared
-RANGES = 2  # in one message
-FEW_STANDING = 64  # differences that are remembered
+RANGES = 2  # ranges in one message
+FEW_STANDING = 64  # differences that are remembered from one comparison to the next
 MOST_RESENDS = 3  # pieces for one difference that stays the same: then the copy knows more, which a join keeps
 NO_PROBLEM, GAP, TERM, SPOILT, OTHER, NO_ROOM = "", "gap", "term", "spoilt", "version", "no room"
 RESTS = {TERM: 100_000, SPOILT: 100_000, OTHER: 1_000_000, NO_ROOM: 1_000_000}  # before a copy that refused is asked
@@ -74,7 +74,7 @@
     """
 
     def __init__(self, partition: int, term: int, read: Callable[[int], Fact | None], owed: Iterable[int] = ()) -> None:
-        """`read` tells all that is known of an owed message as of the newest fact appended, None where it has ended;
+        """`read` gives all that is known of an owed message as of the newest fact appended, None where it has ended;
         one whose body cannot be read comes without a base. `owed`: what the term begins with."""
         self.partition = partition
         self.term = term
@@ -190,9 +190,8 @@
         self.out: deque[SentRange] = deque()  # of the tail
         self.piece: SentRange | None = None
         self.mends: deque[tuple[int, int]] = deque()  # ranges that differ
-        self.standing: dict[
-            tuple[int, int], tuple[DigestRange, DigestRange, int]
-        ] = {}  # by range: as seen last, and tries
+        # By range: the holder's and the copy's digests as seen last, and how often it was sent again.
+        self.standing: dict[tuple[int, int], tuple[DigestRange, DigestRange, int]] = {}
         self.mended = 0  # ranges sent again
         self.pieces = 0  # taken by the copy, walks and mends
         self.rest_until = 0
@@ -311,7 +310,7 @@
         return self.place.term == self.log.term and self.place.next >= self.log.oldest
 
     def _again(self) -> None:
-        """Go on from the place that it has told."""
+        """Go on from the place that it has reported."""
         self.out.clear()
         self.piece = None
         self.sent = self.place.next if self.place.term == self.log.term else self.log.next
--- a/cedarwick/fleet/replication_facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -1,7 +1,7 @@
-"""What senders tell one another of a message, and the join of what two of them know. No I/O.
+"""Facts: what senders know of a message, and the join of what two of them know. No I/O.
 
-A `Fact` is a message's number, its base (what the client handed in) and what is `MessageKnowledge`. What is known only grows:
-a state-based replicated type whose merge is a join (Shapiro et al. 2011). Rule by rule:
+A `Fact` is a message's number, its base (what the client submitted) and its `MessageKnowledge`. Knowledge only grows: it
+is a state-based replicated data type whose merge is a join (Shapiro et al. 2011). Rule by rule:
 
 | part    | joined                                       | because |
 | ------- | -------------------------------------------- | ------- |
@@ -27,9 +27,9 @@
 from cedarwick.store.records import NOWHERE, StoredMessage
 
 VERSION = 1  # of the encoding
-MOST_FACTS = 1 << 14  # in one message
-MOST_ATTEMPTS = 0xFFFF  # what the folder counts to
-ROUGH = 96  # bytes of an encoded fact without its base, about
+MOST_FACTS = 1 << 14  # facts in one message, at most
+MOST_ATTEMPTS = 0xFFFF  # the largest count that a stored record holds
+ROUGH = 96  # approximate bytes of an encoded fact without its base
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Zone = Annotated[int, msgspec.Meta(ge=-(1 << 15), lt=1 << 15)]
@@ -53,7 +53,7 @@
 
 
 class EndRank(IntEnum):
-    """How a message ended; the larger one is kept."""
+    """How a message ended; of two the larger one stands."""
 
     NONE = 0
     RETURNED = 1
@@ -95,7 +95,7 @@
 
 
 class Fact(msgspec.Struct, array_like=True, frozen=True):
-    """A message's number and all that is known of it; without its base it is news of one that was told before."""
+    """A message's number and all that is known of it; without its base it updates one that was sent before."""
 
     number: Count
     base: MessageBase | None
@@ -163,7 +163,7 @@
 
 
 def join(a: MessageKnowledge, b: MessageKnowledge) -> MessageKnowledge:
-    """What two know together."""
+    """The join of what two members know."""
     if a == b:
         return a
     heads = dict(a.heads)
@@ -180,7 +180,7 @@
 
 
 def join_facts(a: Fact, b: Fact) -> Fact:
-    """What two say of one message."""
+    """The join of two facts of one message."""
     bases = [each.base for each in (a, b) if each.base is not None]
     return trimmed(Fact(a.number, max(bases, default=None), join(a.known, b.known)))
 
@@ -216,15 +216,15 @@
 def folded(known: MessageKnowledge, term: int) -> MessageKnowledge:
     """Before a term goes on with a message: an attempt of an older one that is out may have run, whatever comes later.
 
-    Danger: an outcome of the older term that comes late would otherwise make 'never ran' of what has been decided,
-    and answered, on 'may have run'.
+    Otherwise a late outcome of the older term could turn into 'never ran' what has been decided, and answered, on
+    'may have run'.
     """
     out = outs(known, term)
     return join(known, MessageKnowledge(ran=out[0])) if out else known
 
 
 def in_doubt(fact: Fact, since: int) -> Fact:
-    """A fact some of whose news may be lost, from a time on."""
+    """A fact of which updates may be lost, from a wall time on."""
     return Fact(fact.number, fact.base, join(fact.known, MessageKnowledge(doubt=since)))
 
 
@@ -250,10 +250,10 @@
 
 
 def known_of(stored: StoredMessage, term: int) -> MessageKnowledge:
-    """What the folder knows; all attempts count as one head of `term`, which is one that nobody has told of before.
+    """What the folder knows; all attempts count as one head of `term`, which nobody has sent before.
 
-    Danger: under a term that was told of before, this head and the one told would be taken for one, and the larger
-    would hide an attempt that is out. An attempt counted twice does no harm, one that is forgotten does.
+    Under a term that was sent before, this head and the one sent would be taken for one, and the larger would hide an
+    attempt that is out. An attempt counted twice does no harm, one that is forgotten does.
     """
     heads = {}
     if stored.attempts:
@@ -269,8 +269,8 @@
 def stored_message_of(fact: Fact, doubt_at: int = 0) -> StoredMessage:
     """The folder's record of what another sender owed, with every attempt that is out as one that may have run.
 
-    `doubt_at`: wall microseconds from which on news may be missing, 0 where none is. ValueError without a base and
-    where nothing more is owed.
+    `doubt_at`: wall microseconds from which on updates may be missing, 0 where none are. ValueError without a base
+    and where nothing more is owed.
     """
     base, known = fact.base, fact.known
     if base is None or over(known):
@@ -303,7 +303,7 @@
 
 
 class FactLedger:
-    """What the holder of a partition knows of each message it owes; each call returns the fact that tells the news.
+    """What the holder of a partition knows of each message it owes; each call returns the fact with the change.
 
     KeyError where a number is not owed.
     """
@@ -355,8 +355,8 @@
     def adopt(self, facts: Iterable[Fact], term: int) -> list[Fact]:
         """Go on under a term with what others knew, each fact with its base; what is over is dropped and left out.
 
-        Danger: a number that is not known here is taken for one that is owed. Whoever passes on what an earlier holder
-        offers leaves out what has ended since, at this holder or at one between.
+        A number that is not known here is taken for one that is owed, so the caller must leave out of an earlier
+        holder's offer what has ended since, at this holder or at one between.
         """
         self.renew(term)
         taken = []
@@ -381,7 +381,7 @@
         return self._join(number, MessageKnowledge(end=end))
 
     def _join(self, number: int, added: MessageKnowledge) -> Fact:
-        """All that is known goes along, not the news alone, so that a fact that is joined late forgets nothing."""
+        """All that is known goes along, not the change alone, so that a fact that is joined late forgets nothing."""
         known = join(self.known[number], added)
         if over(known):
             del self.known[number]
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: who holds which, and which ids were taken of late; no I/O, no clock.
+"""Sessions: which member holds which, and which ids were taken recently. No I/O, no clock.
 
 A session has a key (64 bits; 0: none), one holder and a sequence that grows by one with each change of its holder. Who
 holds it alone takes its submissions, and it alone remembers their ids. Everybody else keeps an `Entry`, perhaps old:
@@ -7,21 +7,22 @@
   session takes nothing, but names the entry it knows, or disowns the session where it should be the holder and is not;
   who passed it may pass it once to a holder so named, or claim what was disowned; else the client gets -BUSY.
 - Who knows of no holder claims the session: it asks all members, and opens it once a majority, itself counted, has
-  granted that. A grant is an entry, so a second claimer is told of the first: no id can be taken twice while a majority
+  granted that. A grant is an entry, so a second claimer learns of the first: no id can be taken twice while a majority
   remembers, that is for `FORGOTTEN` after the session's last use. A member that has just started neither grants,
   claims nor disowns until ids of the time before can't come any more (`REMEMBERED`).
 
-- Of a sender whose partition was adopted the adopter may *inherit* sessions at once, where it knows the ids of late
-  (`recent_ids.py`). Each acceptor of that claim grants it only if, as far as it knows, the asker holds the newest
-  partition
-  of the dead one, nobody else the session, and no move of it was voted on of late: ids that came with a move are not in
-  the partition. Whoever has granted it votes on no move of that session for `REMEMBERED`. So an inheritance and a
-  move, or a new partition of the dead one, which each need a majority as well, meet at one member at least.
-- So who has lost its partition to an adopter holds nothing for sure (`unsure`): when it has the next one it claims
-each of its sessions anew before it takes anything more, and goes on with the ids that it knows.
+- The member that took over a sender's partition may *inherit* its sessions at once, where it knows the recent ids
+  (`recent_ids.py`). Each acceptor of that claim grants it only if, as far as it knows, the claimer holds the newest
+  partition of the lost sender, nobody else holds the session, and no move of it was voted on recently: ids that came
+  with a move are not in the partition. Whoever has granted it votes on no move of that session for `REMEMBERED`. So an
+  inheritance and a move, or a new partition of the lost sender, which each need a majority as well, meet at one member
+  at least.
+- So a sender that has lost its partition is sure of none of its sessions (`unsure`): once it has the next partition it
+  claims each of them anew before it takes anything more, and goes on with the ids that it knows.
 
 The caller takes nothing for a session while it has no lease on its own partition: one that is cut off might not hear
-that its sessions were claimed or adopted. Held sessions must be told in turn (`news`) within `REMEMBERED`.
+that its sessions were claimed or adopted. Held sessions must be sent to all others in turn (`news`) within
+`REMEMBERED`.
 """
 
 from collections.abc import Iterable
@@ -31,12 +32,12 @@
 
 import xxhash
 
-REMEMBERED = 15_000_000  # an id is not taken once more for so long after it was handed in
-FORGOTTEN = 120_000_000  # an entry that nobody has used for so long is forgotten
-LAPSES = 60_000_000  # a held session without use is held no more; well before anybody else forgets its holder
-MOST = 100_000  # entries; beyond, the one unused for longest is forgotten
-CLAIM = 100_000  # a claim that has no majority by then has failed
-AHEAD = 64  # an inherited session's sequence goes so far ahead: over what its last holder may not have told any more
+REMEMBERED = 15_000_000  # microseconds after its submission in which an id is not taken again
+FORGOTTEN = 120_000_000  # microseconds without use after which an entry is forgotten
+LAPSES = 60_000_000  # microseconds without use after which a session lapses; well before others forget its holder
+MOST = 100_000  # entries; above it the one unused for longest is forgotten
+CLAIM = 100_000  # microseconds after which a claim without a majority has failed
+AHEAD = 64  # added to an inherited session's sequence: above what its last holder may not have sent any more
 
 
 def contents(*parts: object) -> int:
@@ -54,7 +55,7 @@
     key: int
     holder: str
     sequence: int
-    age: int  # since its last use, when this was told
+    age: int  # microseconds since its last use, when this was sent
 
 
 @dataclass(slots=True)
@@ -127,8 +128,8 @@
         self.entries: dict[int, KnownHolder] = {}  # the newest heard of or used last
         self.sessions: dict[int, Session] = {}
         self.claims: dict[int, PendingClaim] = {}
-        self.fresh: dict[int, None] = {}  # changed here and not told yet
-        self.round: list[int] = []  # of the held ones, those that are to be told again
+        self.fresh: dict[int, None] = {}  # changed here and not sent yet
+        self.round: list[int] = []  # of the held ones, those that are to be sent again
         self.inherited: dict[int, tuple[int, str, str]] = {}  # granted of late: when, to whom, and whose it was
 
     def where(self, key: int) -> str | None:
@@ -137,7 +138,7 @@
         return known.holder if known is not None else None
 
     def entry(self, key: int, now: int) -> Entry | None:
-        """What is known of a session, to be told to another member."""
+        """What is known of a session, to be sent to another member."""
         known = self.entries.get(key)
         # Danger: a claim that was granted here alone would be taken for a holder, by the real one for its successor.
         if known is None or not known.confirmed:
@@ -198,8 +199,10 @@
         return ClaimRuling.PASS if self.where(key) not in (None, by, self.name) else ClaimRuling.BUSY
 
     def claim(self, key: int, now: int) -> ClaimRequest | None:
-        """Begin to claim a session after `Ruling.CLAIM`; what to ask all other members, or None where it can't be now.
-        Where this member is alone in its fleet it holds the session at once."""
+        """Begin to claim a session after `ClaimRuling.CLAIM`; what to ask all other members, None where it can't be.
+
+        Where this member is alone in its fleet it holds the session at once.
+        """
         self.claims = {each: claim for each, claim in self.claims.items() if claim.until > now}
         if key in self.claims or self.grants_at > now:
             return None
@@ -367,7 +370,7 @@
     # ---- gossip ----
 
     def news(self, limit: int, now: int) -> list[Entry]:
-        """What to tell all others next: what has changed here, then the held sessions in turn."""
+        """What to send to all others next: what has changed here, then the held sessions in turn."""
         keys = [key for key in self.fresh if key not in self.sessions or self.sessions[key].sure][:limit]
         for key in keys:
             del self.fresh[key]
@@ -381,7 +384,7 @@
         return [each for each in entries if each is not None]
 
     def heard(self, entries: Iterable[Entry], now: int) -> None:
-        """Join what another member has told; any order, any number of times."""
+        """Join entries of another member; any order, any number of times."""
         for entry in entries:
             if 0 < entry.key < 1 << 64 and entry.sequence > 0 and 0 <= entry.age <= FORGOTTEN and entry.holder:
                 self._know(entry.key, entry.holder, entry.sequence, now - entry.age)
@@ -397,7 +400,7 @@
     def _know(self, key: int, holder: str, sequence: int, used: int, confirmed: bool = True) -> bool:
         """Join an entry by (sequence, holder), then the later use; whether it is another one now.
 
-        Of two claims at once the one that its holder has told of was granted; then nobody else's was.
+        Of two claims at once the one that its holder has confirmed was granted; then nobody else's was.
         """
         known = self.entries.get(key)
         beats = known is not None and confirmed and not known.confirmed and sequence == known.sequence
--- a/cedarwick/fleet/suspensions.py
+++ b/cedarwick/fleet/suspensions.py
@@ -1,4 +1,4 @@
-"""The receivers taken out by hand as all members have them: no sockets, no files, no clock, no greenlets.
+"""Receivers suspended by hand, replicated to all members. No I/O, no clock, no greenlets.
 
 A map in which the last writer wins (Shapiro et al. 2011), row by row. A version is (counter, member): the counter is
 the wall time of the call at least, and larger than the one it replaces (hybrid logical clocks, Kulkarni et al. 2014),
@@ -13,18 +13,18 @@
 
 from cedarwick.fleet.messages import SuspensionMark
 
-KEEP = 30 * 86_400_000_000  # so long a restored receiver is remembered
-ASLEEP = KEEP - 86_400_000_000  # who has met nobody for so long may have missed what nobody remembers
-MOST = 4096  # rows that are told to others, and taken from them
-LONGEST = 128  # characters of a uid that can be told
-MOST_CALLS = 1000  # counted for one receiver
+KEEP = 30 * 86_400_000_000  # microseconds (30 days) that a restored receiver is remembered
+ASLEEP = KEEP - 86_400_000_000  # microseconds without contact after which a member may have missed a tombstone
+MOST = 4096  # rows that are sent to others, and accepted from them
+LONGEST = 128  # characters of a uid that can be sent
+MOST_CALLS = 1000  # suspensions counted for one receiver
 LAST = (1 << 62) - 1
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class SavedMarks(msgspec.Struct, array_like=True, frozen=True):
-    """What is kept over restarts."""
+    """What is saved over restarts."""
 
     rows: tuple[SuspensionMark, ...]
     met_at: int
@@ -51,8 +51,8 @@
     def __init__(self, me: str, saved: SavedMarks | None = None) -> None:
         self.me = me
         self.rows = {row.uid: row for row in saved.rows} if saved is not None else {}
-        self.met_at = saved.met_at if saved is not None else 0  # when a member that knows told it all here
-        self.fresh = set(saved.fresh) if saved is not None else set()  # told or done here since: beyond doubt
+        self.met_at = saved.met_at if saved is not None else 0  # when a member that is not asleep last sent everything
+        self.fresh = set(saved.fresh) if saved is not None else set()  # uids received or set here since: beyond doubt
         self.asleep = True  # as of the last `turn`
         self._offered: tuple[SuspensionMark, ...] | None = None
 
@@ -60,11 +60,11 @@
         return SavedMarks(tuple(self.rows.values()), self.met_at, tuple(sorted(self.fresh)))
 
     def calls(self) -> dict[str, int]:
-        """The calls out by uid."""
+        """The suspensions in force, by uid."""
         return {uid: row.calls for uid, row in self.rows.items() if row.calls}
 
     def turn(self, now: int) -> None:
-        """Before anything is told or taken: forget old tombstones, and see whether this member was away too long."""
+        """Called before sending or merging: forget old tombstones, and see whether this member was away too long."""
         self.asleep = self.met_at + ASLEEP < now
         old = [uid for uid, row in self.rows.items() if self._over(now, row)]
         for uid in old:
@@ -100,7 +100,7 @@
         self.met_at, self.fresh, self._offered = 0, set(), None
 
     def merge(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
-        """Rows of another member; the uids of those that were news here."""
+        """Merge rows of another member; the uids of those that changed here."""
         changed = []
         for row in rows:
             known = self.rows.get(row.uid)
@@ -145,7 +145,7 @@
         return not self.asleep or not row.calls or row.uid in self.fresh
 
     def unshared(self) -> int:
-        """How many receivers are out here that no other member can be told of."""
+        """How many suspended receivers cannot be shared with the other members."""
         return len(self.calls().keys() - {row.uid for row in self.offered()}) if not self.asleep else 0
 
     def whole(self) -> bool:
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -1,8 +1,7 @@
-"""Who goes on with a partition: the successors of one whose holder is gone, and the owner at its boot. No I/O, no
-clock.
+"""Takeover of a partition: by a successor of a lost holder, or by its owner at start. No I/O, no clock.
 
-One `Takeover` a partition at each member that has the partition's records, as holder or as copy. The node asks `step`
-at each turn what is to be done, sends what `holder.asks` gives, and tells `holder.answered` of the answers.
+Each member that has the partition's records, as holder or as copy, has one `Takeover` for it. At each turn the node
+calls `step` for what is to be done, sends what `holder.asks` returns, and passes the answers to `holder.answered`.
 
     following  another member holds it and its promise runs
     waiting    the promise has run out; asks when it is this member's turn
@@ -12,9 +11,9 @@
     offering   it held the partition and another one does now: OFFER what only it knows, until `offered`
     gone       DROP all of it
 
-Turns: a successor waits 300 ms for each successor before it in the set that may be alive. Where the holder is not
-known to be
-dead but has not renewed, it may come back at any moment (a restart, a cut): then a successor has `PATIENCE` first.
+Turns: a successor waits 300 ms (`TURN`) for each successor before it in the set that may be alive. A holder that is not
+known to be dead but has not renewed may come back at any moment (a restart, a partitioned network): then a successor
+first waits for `PATIENCE`.
 All times are whole microseconds of the member's own clock that goes on while the machine sleeps.
 """
 
@@ -27,8 +26,8 @@
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant
 
-TURN = 300_000  # microseconds that each successor has before the next one asks: an ask, its answers, and an ask again
-PATIENCE = 3 * SPAN  # for a holder that is alive and does not renew; a restart takes about a second
+TURN = 300_000  # microseconds that each successor has before the next one asks: a request, its answers, one retry
+PATIENCE = 3 * SPAN  # microseconds for a holder that is alive and does not renew; a restart takes about a second
 
 
 class TakeoverStage(Enum):
@@ -47,9 +46,9 @@
     """What is to be done now."""
 
     NOTHING = "nothing"
-    ASK = "ask"  # told once, for the log: a new term is asked for
+    ASK = "ask"  # returned once, for the log: a new term is requested
     IMPORT = "import"  # take the copy's facts into the own folder, then call `imported`
-    CLOSE = "close"  # told once, for the log: nothing is owed, the right is being closed
+    CLOSE = "close"  # returned once, for the log: nothing is owed, the lease is being closed
     OFFER = "offer"  # send what is known to `to`; once it has taken all, call `offered`
     DROP = "drop"  # the partition's records and this object
 
@@ -95,7 +94,7 @@
         self._lost = 0  # when the right was lost, or not got
 
     def imported(self, now: int, successors: Collection[str]) -> None:
-        """The facts are in the own folder. `heirs`: whose copies are whole by them, in the order of adoption."""
+        """The facts are in the own folder. `successors`: members with whole copies, in the order of takeover."""
         self._imported = True
         self.holder.name(now, successors)
 
@@ -109,8 +108,8 @@
     ) -> TakeoverStep:
         """What is to be done now.
 
-        `grant` and `promised` are the own grantor's (`Grantor.grant`, `Grantor.promised`); `standing` tells how a
-        member stands; `whole`: this member's records of the partition are all that the holder named it a successor
+        `grant` and `promised` are the own grantor's (`LeaseGrantor.grant`, `LeaseGrantor.promised`); `standing` gives
+        a member's status; `whole`: this member's records of the partition are all that the holder named it a successor
         for, and none was lost since; `owed`: messages without an end.
         """
         self.holder.look(now)
@@ -172,8 +171,7 @@
             self._away = (holder, now)
         if self._resume and holder in ("", self.me):
             return True  # nobody was promised anything but we, in a boot before this one
-        # Danger: a copy that is no successor lacks attempts; grantors would refuse it, but its asks would cost them the
-        # term.
+        # Danger: a copy that is no successor lacks attempts; grantors would refuse it, but its asks would use up terms.
         if self.me not in grant.successors:
             return grant.set == 0 and self._held and now >= max(promised, self._lost + SPAN)
         before = grant.successors[: grant.successors.index(self.me)]
@@ -185,10 +183,9 @@
 
 
 class Ownership:
-    """In which partition a member takes new messages: the newest of its folder while that can be resumed, else a new
-    one.
+    """The partition that takes a member's new messages: the newest of its folder if it can be resumed, else a new one.
 
-    `kept`: the partitions of the own slot that the folder says this member held, with the newest term of each.
+    `stored`: the partitions of the own slot that this member held, by its folder, with the newest term of each.
     """
 
     def __init__(self, me: str, slot: int, names: Collection[str], stored: dict[int, int]) -> None:
@@ -201,7 +198,7 @@
         self._newest = max((partition % (1 << EPOCH_BITS) for partition in stored), default=-1)
 
     def step(self, grantor: LeaseGrantor) -> Takeover | None:
-        """A partition's adoption that begins now, for the node to run with all others; None: none begins.
+        """The takeover of a partition that begins now, for the node to run with all others; None: none begins.
 
         While the own grantor learns nothing is opened: the table may know partitions that this member has forgotten.
         Raises `BooksExhaustedError`.
@@ -226,7 +223,7 @@
         return self.current
 
     def partition(self, now: int) -> int | None:
-        """The partition in which new messages may be taken now; None: there is none, and clients are told `-BUSY`."""
+        """The partition in which new messages may be taken now; None: there is none, and clients get `-BUSY`."""
         return self.current.partition if self.current is not None and self.current.holder.may_fire(now) else None
 
     def _is_lost(self, current: Takeover) -> bool:
--- a/cedarwick/fleet/transport.py
+++ b/cedarwick/fleet/transport.py
@@ -1,9 +1,8 @@
-"""Peer messages between members over HTTP/1.1: a server on the member's own address, and kept connections to the
-others.
+"""Peer messages between members over HTTP/1.1: a server on the member's own address, a connection pool to the others.
 
 A refusal is a peer message with `RequestRefused`, whatever the status beside it: 4xx where the peer message is at
-fault, 503 where
-there are too many, 500 where its handler failed. Who calls tries again by `retry.Waits`; nothing is sent twice here.
+fault, 503 where there are too many, 500 where its handler failed. Callers retry with `backoff.Backoff`; nothing is sent
+twice here.
 """
 
 import contextlib
@@ -38,17 +37,15 @@
 from cedarwick.net.sockets import is_closed, open_connection
 
 PATH = b"/fleet/1"
-MOST_AT_ONCE = 64  # peer messages that are read and answered; those beyond get 503, but for beats and asks
-SMALL = 1 << 13  # bytes of a beat or an ask, at most
+MOST_AT_ONCE = 64  # peer messages being answered; those above get 503, but for heartbeats and lease requests
+SMALL = 1 << 13  # bytes of a heartbeat or a lease request, at most
 MOST_CONNECTIONS = 256  # further ones wait in the backlog
 BACKLOG = 256
 LONGEST_HEAD = 1 << 13  # bytes of header lines
-READ = 1 << 16  # bytes at once
+READ = 1 << 16  # bytes read at once
 READ_WITHIN = 2.0  # seconds for a body, and for a head on top of the idle time
 SILENT = 15.0  # seconds that a connection may be idle at the server
-IDLE_LIMIT = (
-    10.0  # seconds that the client keeps an idle connection: less than SILENT, so that it isn't met as it closes
-)
+IDLE_LIMIT = 10.0  # seconds that a client keeps an idle connection: less than SILENT, or it would meet the close
 IN_FLIGHT = 4  # calls to one member at once, each on a connection of its own
 QUEUE = 64  # calls to one member in flight and waiting
 
@@ -128,7 +125,7 @@
         self.fed = 0  # bytes, up to the end of the head at least
         self.url = b""
         self.method = b""  # once the head was read
-        self.size = -1  # of the body as the head tells it; -1: it does not
+        self.size = -1  # of the body according to the head; -1: not given
         self.messages: bytearray | None = bytearray()  # the body so far; None: nobody wants it
         self.complete = False
         self.keep_alive = False
@@ -346,7 +343,7 @@
 
 
 class PeerPool:
-    """What is known and open to one other member."""
+    """The address of one other member, and the connections to it."""
 
     def __init__(self, name: str, address: Address, at_once: int) -> None:
         self.name = name
@@ -414,7 +411,7 @@
         self.peers.clear()
 
     def call(self, member: str, body: Body, within_s: float) -> Body:
-        """What the member answers; as `letter`."""
+        """The body of the member's answer; errors as in `peer_message`."""
         return self.peer_message(member, body, within_s).body
 
     def peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
