--- a/cedarwick/fleet/messages/sessions.py
+++ b/cedarwick/fleet/messages/sessions.py
@@ -152,7 +152,7 @@
 
     key: Count
     id: Id
-    mark: Id  # the idempotency mark of a repeat
+    mark: Id  # equal for repeats of one message: `key` of the stored record
     priority_class: Id
     tenant: Id
     destination: Count
--- a/tests/test_fleet_replication.py
+++ b/tests/test_fleet_replication.py
@@ -289,7 +289,7 @@
         with unittest.mock.patch.object(ReplicaStore, "_done", done):
             self.caught("an answer before writing")
 
-    def test_a_join_that_forgets_a_attempt_is_noticed(self) -> None:
+    def test_a_join_that_forgets_an_attempt_is_noticed(self) -> None:
         with unittest.mock.patch.object(replica_module, "join_facts", lambda a, b: a):
             self.caught("a join that forgets")
 
--- a/tests/test_fleet_transport.py
+++ b/tests/test_fleet_transport.py
@@ -51,7 +51,7 @@
     return (get_origin(kind) or kind)()
 
 
-class Letters(unittest.TestCase):
+class PeerMessages(unittest.TestCase):
     def test_every_body_comes_back_as_it_went(self) -> None:
         for kind in get_args(messages.Body):
             body = made(kind)
