--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -1,4 +1,4 @@
-"""Moves: a session goes from one sender, the giver, to another, the taker; no I/O, no clock.
+"""Migration of a session (a "move") from one sender, the giver, to another, the taker. No I/O, no clock.
 
 At the giver: held, freezing, offered, forwarding, closed. At the taker: staged, granted, active, or dropped. From the
 first mark to the decree the session's messages are inert on both sides. The steps, and what is on the disk before:
@@ -6,8 +6,8 @@
 1. The giver freezes: no new attempt; what is out is awaited for `FREEZE`, then goes along as may-have-run. It marks
    the facts (own folder and every successor of its partition: a successor without the mark would fire), and sends
    `Stage`.
-2. The taker keeps them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks for
-the decree with ballot 1.
+2. The taker stores them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks for
+   the decree with ballot 1.
 3. Decided for the taker: it goes active and tells all; the giver forwards, and its facts are over without a notice once
    the taker has said that it is active. Decided 'off': the giver's live again, the taker's are dropped.
 
@@ -16,21 +16,20 @@
 The sequence of a session grows by one at each move begun, called off or taken, so that a cleared mark wins any join.
 """
 
-from collections.abc import Callable, Iterable, Mapping, Sequence
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from enum import Enum
 from typing import Literal, NamedTuple
 
 from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Proposer, ProposerRequest, Value, parts
-from cedarwick.fleet.placement import weight
-
-FREEZE = 100_000  # what is out is awaited for so long
-CALL_OFF = 500_000  # after the freeze began: the giver settles what is undecided
-AGAIN = 100_000  # a question without an answer is asked again, then at doubled spans up to
-AGAIN_MOST = 2_000_000
-FORWARDS = 60_000_000  # the old sender passes on what comes on the live connection for so long
-KEPT = 60_000_000  # a finished move is remembered for so long
-WAITS = 250_000  # a client's request on a frozen session waits for so long, then it is answered -BUSY
+
+FREEZE = 100_000  # microseconds for which attempts that are out are awaited
+CALL_OFF = 500_000  # microseconds after the freeze began: the giver settles what is undecided
+AGAIN = 100_000  # microseconds until a request without an answer is repeated, doubled each time up to
+AGAIN_MOST = 2_000_000  # microseconds
+FORWARDS = 60_000_000  # microseconds for which the giver forwards what comes on the live connection
+REMEMBERED_FOR = 60_000_000  # microseconds that a finished migration is remembered
+WAITS = 250_000  # microseconds that a client's request on a frozen session waits before it is answered -BUSY
 MOST_OUT = 20  # moves at once at a giver
 MOST_IN = 20  # staged at once at a taker
 
@@ -87,7 +86,7 @@
     giving: SourceStage | None = None
     taking: TargetStage | None = None
     marking: bool = False  # the marks are being written
-    written: bool = False  # what was staged is kept
+    written: bool = False  # what was staged is stored
     heard: bool = False  # the taker has answered `Staged`
     confirmed: bool = False  # the taker is active
     value: Value | None = None  # the decree, once known
@@ -202,8 +201,8 @@
         if move is None or move.taking is not TargetStage.GRANTED:
             return []
         move.taking = TargetStage.ACTIVE
-        told = MigrationStep(MigrationAction.TELL, name, value="taker", active=True)
-        return [told, *self._confirmed(move, now)]
+        step = MigrationStep(MigrationAction.TELL, name, value="taker", active=True)
+        return [step, *self._confirmed(move, now)]
 
     # ---- the decree ----
 
@@ -238,8 +237,8 @@
     def found(self, name: str, key: int, giving: bool, now: int) -> list[MigrationStep]:
         """Marked facts lie in a partition that this member holds: after its restart, or adopted.
 
-        For the taker's side only once every successor of that partition has them (again): it may ask for the decree at
-        once.
+        For the taker's side only once every successor of that partition has them (again): it may then ask for the
+        decree at once.
         """
         move = self._open(name, key, now)
         if giving and move.giving is None:
@@ -322,7 +321,7 @@
                 acts += self._asks(move.proposer.due(now))
             elif move.giving is not None and now >= move.began + CALL_OFF:
                 acts += self.call_off(move.name, now)
-            elif move.giving is None:  # it can't be kept here, or not at every successor
+            elif move.giving is None:  # it can't be stored here, or not at every successor
                 acts += self._settle(move, now)
             elif move.giving is SourceStage.FREEZING:
                 acts += self.idle(move.name, now)
@@ -333,7 +332,7 @@
 
     def _due_at(self, move: Migration) -> int:
         if self._finished(move):
-            return move.settled_at + KEPT
+            return move.settled_at + REMEMBERED_FOR
         if move.giving is SourceStage.FORWARDING:
             return move.settled_at + FORWARDS if move.confirmed else min(move.next_at, move.settled_at + FORWARDS)
         if move.value is not None:
@@ -373,8 +372,7 @@
 
     def _proposer(self, move: Migration) -> Proposer:
         if move.proposer is None:
-            # Danger: a second proposer of one boot, after the first was lost with its partition, must not share a
-            # ballot.
+            # Danger: a second proposer of one boot, after the first went with its partition, must not share a ballot.
             self.proposers += 1
             move.proposer = Proposer(move.name, f"{self.mark}.{self.proposers}", self.voters, self.wait)
         return move.proposer
@@ -416,96 +414,3 @@
         move.giving = SourceStage.CLOSED
         move.settled_at = now
         return [*over, MigrationStep(MigrationAction.CLOSE, move.name)]
-
-
-# ---- which sessions move, to whom, and when ----
-
-STAYS = 10_000_000  # a session that has just moved stays for so long, but for staff and a sender that leaves
-AFTER_OFF = 1_000_000  # a session whose move was called off is not offered again for so long
-FULL = 0.8  # of what a sender bears: so much it takes
-
-
-class MigrationReason(Enum):
-    """Why a session is to move; the most urgent first."""
-
-    STAFF = "staff say so"
-    LEAVING = "this sender leaves"
-    FAILING = "this hall is drained or failing"
-    CLIENT = "its client has come to another sender"
-
-
-class MigrationRequest(NamedTuple):
-    key: int
-    why: MigrationReason
-    to: str = ""  # this one only; empty: to whoever is preferred
-
-
-class Neighbour(NamedTuple):
-    """Another sender as this one sees it now."""
-
-    name: str
-    hall: str
-    held: int  # sessions
-    most: int  # sessions that it bears
-    well: bool = True  # not suspected, cut or slow
-    takes: bool = True  # alive, its hall not drained, not leaving
-
-
-def preferred(key: int, hall: str, neighbours: Iterable[Neighbour], more: Mapping[str, int]) -> list[Neighbour]:
-    """Who may take a session, the best first: the same hall, the lower load in tenths, well before not, and last
-    rendezvous hashing (Thaler and Ravishankar 1998), so that every sender finds the same order.
-
-    `more`: sessions by name that are on their way there and not among `held`.
-    """
-
-    def order(each: Neighbour) -> tuple[bool, int, bool, int]:
-        load = (each.held + more.get(each.name, 0)) * 10 // max(each.most, 1)
-        return each.hall != hall, load, not each.well, -weight(key, each.name)
-
-    return sorted(
-        (each for each in neighbours if each.takes and each.held + more.get(each.name, 0) < FULL * each.most), key=order
-    )
-
-
-class MigrationPlanner:
-    """Chooses the moves of the sessions that this sender holds."""
-
-    def __init__(self, hall: str) -> None:
-        self.hall = hall
-        self.out: dict[int, str] = {}  # on the move, by key: to whom
-        self.stays: dict[int, int] = {}  # until then
-        self.off: dict[int, int] = {}  # not offered until then
-
-    def arrived(self, key: int, now: int) -> None:
-        """A session has become active here."""
-        self.stays[key] = now + STAYS
-
-    def ended(self, key: int, moved: bool, now: int) -> None:
-        """A move from here is over; not `moved`: it was called off."""
-        self.out.pop(key, None)
-        if not moved:
-            self.off[key] = now + AFTER_OFF
-
-    def plan(
-        self, wishes: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
-    ) -> list[tuple[int, str]]:
-        """The moves to begin now, as key and taker; the others are asked for again later. At most `MOST_OUT` are on
-        the move from here at once, and `MOST_IN` to each taker."""
-        self.stays = {key: until for key, until in self.stays.items() if until > now}
-        self.off = {key: until for key, until in self.off.items() if until > now}
-        more: dict[str, int] = {}
-        for to in self.out.values():
-            more[to] = more.get(to, 0) + 1
-        chosen = []
-        for wish in sorted(wishes, key=lambda each: list(MigrationReason).index(each.why)):
-            stays = wish.key in self.stays and wish.why not in (MigrationReason.STAFF, MigrationReason.LEAVING)
-            # Danger: with a client at each of two senders, a session would go to and fro, frozen most of the time.
-            if len(self.out) >= MOST_OUT or wish.key in self.out or wish.key in self.off or stays or not wish.key:
-                continue
-            for each in preferred(wish.key, self.hall, neighbours, more):
-                if wish.to in ("", each.name) and more.get(each.name, 0) < MOST_IN:
-                    self.out[wish.key] = each.name
-                    more[each.name] = more.get(each.name, 0) + 1
-                    chosen.append((wish.key, each.name))
-                    break
-        return chosen
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -1,9 +1,8 @@
-"""The folder of a sender that belongs to a fleet: what is written there is told to the copies as well.
+"""The folder of a sender that belongs to a fleet: what is written there also goes to the copies.
 
-`ReplicatedStore` is the folder as the dispatcher knows it. Besides, it keeps for each partition that this sender holds
-the ledger of
-facts and the log that ships them (`LeasedPartition`), and answers for the right to fire. The node decides which
-partitions are held.
+`ReplicatedStore` is the folder as the dispatcher knows it. Besides, it has a `LeasedPartition` (ledger of facts and
+replication log) for each partition that this sender holds, and says whether the lease allows it to fire. The node
+decides which partitions are held.
 """
 
 import time
@@ -17,26 +16,23 @@
 
 from cedarwick.decisions.interface import Outcome
 from cedarwick.errors import CedarwickError
+from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.replication import ReplicationLog
 from cedarwick.fleet.replication_facts import (
     EndRank,
     Fact,
     FactLedger,
-    MessageKnowledge,
-    base_of,
     decode_facts,
     in_doubt,
-    join,
     join_facts,
     over,
     stored_message_of,
     together,
+    with_end,
 )
-from cedarwick.fleet.takeover import Takeover
 from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
 from cedarwick.store.records import StoredMessage
 
-STARVED = 500_000  # microseconds that a copy may lag before its partition is not fired for, and nothing waits for it
 BLOCK = 1 << 16  # numbers that are reserved at once: so many are skipped at a restart
 PER_PARTITION = 1 << 32
 
@@ -48,75 +44,17 @@
     remedy = "look at the members that have the copies, and at the network to them; `fleet.alone` says what follows"
 
 
-def with_end(fact: Fact, rank: EndRank) -> Fact:
-    """A fact that ends so, if it has no end that beats it."""
-    return Fact(fact.number, fact.base, join(fact.known, MessageKnowledge(end=(rank, 0))))
-
-
 def monotonic_time() -> int:
     """Whole microseconds of the clock that goes on while the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-class LeasedPartition:
-    """A partition that this sender holds, or has held and not given up: its ledger, its log, and how it stands."""
-
-    def __init__(self, partition: int, adoption: Takeover) -> None:
-        self.partition = partition
-        self.adoption = adoption
-        self.ledger = FactLedger(0)
-        self.log = ReplicationLog(partition, 0, lambda _: None)
-        self.begun_at = 0  # when its log began: its copies have some time until it goes on without them
-        self.imported = False  # its messages are in the folder, the ledger knows them
-        self.serving = False  # the dispatcher fires for it
-        # Copies that are to be successors: once they have all below an index, and since when that is so.
-        self.joining: dict[str, tuple[int, int]] = {}
-        self.starved_at = 0  # since when its copies do not follow, by the boot clock; 0: they do
-        self.alone_since = 0  # it goes on without copies
-        self.reserved = 0  # numbers below this one are written down as given
-        self.from_term = 0  # the term of the copy that it was adopted from in this process; 0: it was not
-        self.approached = False  # some newer holder was sent an offer
-        self.offered = False  # the newer holder has taken all that was known here
-        self.unheld_since = 0  # since when the right has run out and no majority says more; 0: it is held, or lost
-        self.heard_out = 0  # of an adopted partition: when its last holder has offered all that it knew
-        self.sent = 0  # facts below this index were sent to some copy
-        self.backlog: dict[int, int] = {}  # owed since before the last change among the members: their order keys
-        self.finished: set[int] = (
-            set()
-        )  # of an adopted partition: ended here, so that old news does not bring them back
-
-    def starving(self, now: int) -> bool:
-        """Whether its copies have been behind for too long, by the boot clock."""
-        return self.starved_at > 0 and now - self.starved_at > STARVED
-
-    def read(self, store: "ReplicatedStore", number: int) -> Fact | None:
-        """All that is known of an owed message, for the log."""
-        stored, known = store.messages.get(number), self.ledger.known.get(number)
-        if stored is None or known is None:
-            return None
-        try:
-            return Fact(number, base_of(stored, store.body(number) if stored.end is None else b""), known)
-        except BodyLostError:
-            return Fact(number, None, known)
-
-    def told(self, store: "ReplicatedStore", number: int) -> Fact | None:
-        """The same for another member; what cannot be read has failed there.
-
-        Danger: without its base a copy leaves the message out and counts as whole; whoever adopts it then owes nobody
-        an answer.
-        """
-        fact = self.read(store, number)
-        if fact is None or fact.base is not None:
-            return fact
-        return with_end(Fact(number, base_of(store.messages[number], b""), fact.known), EndRank.FAILED)
-
-
 class ReplicatedStore(Store):
-    """Owns the folder, as `Store` does, and tells the partitions what happens to their messages."""
+    """The folder, as `Store`, with the changes of each message replicated through its partition's log."""
 
-    def __init__(self, *told: Any, by_copy: bool = False, within_us: int = 150_000, **more: Any) -> None:
+    def __init__(self, *args: Any, by_copy: bool = False, within_us: int = 150_000, **more: Any) -> None:
         """As `Store`; `by_copy`: what is answered waits for the successors, `within_us` microseconds at most."""
-        super().__init__(*told, **more)
+        super().__init__(*args, **more)
         self.awaited = self.awaited or by_copy
         self.by_copy = by_copy
         self.within_us = within_us
@@ -127,9 +65,8 @@
         self.starved: Callable[[LeasedPartition], None] = lambda _: None
         self.seen: Callable[[str, StoredMessage, int], None] = lambda *_: None  # events: kind, message, a figure
         self.marking: Callable[[dict[int, tuple[int, str]]], None] = lambda _: None  # on the disk before they count
-        self.out: dict[
-            int, StoredMessage
-        ] = {}  # an attempt of this process is out, though the record may have gone meanwhile
+        # Messages with an attempt of this process out; the record may have gone meanwhile.
+        self.out: dict[int, StoredMessage] = {}
 
     # ---- the right ----
 
@@ -167,19 +104,19 @@
         holding.reserved = self.next_number = first
         self.reserve(holding)
 
-    # ---- what the dispatcher tells ----
+    # ---- called by the dispatcher ----
 
     def keep(self, stored: StoredMessage) -> None:
         super().keep(stored)
         holding = self.holdings[stored.number >> 32]
-        self._tell(holding, holding.ledger.record_message(stored, stored.body or b""))
+        self._replicate(holding, holding.ledger.record_message(stored, stored.body or b""))
         self.seen("taken", stored, 0)
 
     def attempt(self, number: int, sent_at: int, zone: int) -> None:
         super().attempt(number, sent_at, zone)
         holding = self._knows(number)
         if holding is not None:
-            self._tell(holding, holding.ledger.attempt(number, sent_at, zone))
+            self._replicate(holding, holding.ledger.attempt(number, sent_at, zone))
         self.out[number] = self.messages[number]
         self.seen("shot", self.messages[number], zone)
 
@@ -187,11 +124,9 @@
         stored, holding = self.messages.get(number), self._knows(number)
         if stored is not None and stored.out_at and holding is not None:
             # Danger: told after the folder's own record, a completed one would already be over, as any other end.
-            self._tell(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
+            self._replicate(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
         # Danger: its record may have gone while the attempt was out, since its client has left or another sender has
-        # its
-        # partition by now; what the receiver said would be told by nobody. A full folder raises, and owes its own
-        # record.
+        # its partition by now; nobody would report the receiver's answer. A full folder raises, and owes its record.
         sent = self.out.pop(number, stored)
         if sent is not None:
             self.seen("completed" if outcome is Outcome.COMPLETED else "outcome", sent, list(Outcome).index(outcome))
@@ -200,7 +135,7 @@
     def ended(self, number: int, nacked: bool, wait_ms: int) -> None:
         holding = self._knows(number)
         if holding is not None:
-            self._tell(holding, holding.ledger.ended(number, nacked, wait_ms))
+            self._replicate(holding, holding.ledger.ended(number, nacked, wait_ms))
         stored = self.messages.get(number)
         super().ended(number, nacked, wait_ms)
         if stored is not None:
@@ -209,11 +144,11 @@
     def over(self, number: int) -> None:
         holding = self._knows(number)
         if holding is not None:
-            self._tell(holding, holding.ledger.over(number))
+            self._replicate(holding, holding.ledger.over(number))
         super().over(number)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
-        """With `by_copy`, besides: wait until every successor has all that was told.
+        """With `by_copy`, besides: wait until every successor has all records so far.
 
         `NotReplicatedError` where one has not.
         """
@@ -241,7 +176,7 @@
                 raise NotReplicatedError(f"partition {holding.partition}: the right over it has run out")
 
     def successors_of(self, holding: LeasedPartition) -> frozenset[str]:
-        """The copies that must have a record before it counts as told."""
+        """The copies that must have a record before it counts as replicated."""
         return (holding.adoption.holder.bound | holding.joining.keys()) - {holding.adoption.me}
 
     def _wait(self, until: float) -> bool:
@@ -255,8 +190,7 @@
     # ---- sessions that move ----
 
     def stage(self, stored: StoredMessage, sequence: int, text: str) -> None:
-        """Keep a message that is on its way to this sender: inert from its first record on, here and at every
-        successor.
+        """Store a message of a session that moves here: inert from its first record on, here and at every successor.
 
         `NoSpaceError` where there is none for it. The mark is on the disk already (`marking`).
         """
@@ -265,7 +199,8 @@
         super().keep(stored)
         fact = holding.ledger.record_message(stored, stored.body or b"")
         # Danger: a successor that is told of the message before its mark might fire for it.
-        self._tell(holding, Fact(stored.number, fact.base, holding.ledger.moved(stored.number, sequence, text).known))
+        known = holding.ledger.moved(stored.number, sequence, text).known
+        self._replicate(holding, Fact(stored.number, fact.base, known))
 
     def mark(self, number: int, sequence: int, text: str) -> None:
         """A message is inert from now on, or with an empty text is not any more."""
@@ -275,7 +210,7 @@
             self.inert.pop(number, None)
         holding = self._knows(number)
         if holding is not None:
-            self._tell(holding, holding.ledger.moved(number, sequence, text))
+            self._replicate(holding, holding.ledger.moved(number, sequence, text))
 
     def copied(self, partitions: Iterable[int]) -> Callable[[], bool]:
         """Whether every successor of some partitions has by then what is told of them now."""
@@ -308,7 +243,7 @@
     ) -> None:
         """What a copy knew of a partition goes into this folder, under a new term. `NoSpaceError` leaves what fits.
 
-        `doubt_at`: wall microseconds from which on news may be missing; 0: none is. `mine`, `perhaps`: see
+        `doubt_at`: wall microseconds from which on updates may be missing; 0: none are. `mine`, `perhaps`: see
         `only_here`, where this member has held the partition before and could not offer what it knew. `late`: what ends
         before this wall time ends now.
         """
@@ -324,9 +259,9 @@
             else fact
             for fact in marked
         ]
-        told = {fact.number for fact in marked}
+        listed = {fact.number for fact in marked}
         for number in self.numbers(holding.partition):  # this member has held it before: what the copy lacks is over
-            if number in told or number in mine:
+            if number in listed or number in mine:
                 holding.ledger.record_message(self.messages[number], b"")
             elif number in perhaps:
                 # Danger: whoever has held it between may have ended it, and nobody can be asked.
@@ -335,10 +270,10 @@
                 holding.ledger.record_message(self.messages[number], b"")
             else:
                 super().over(number)
-        news = holding.ledger.adopt(marked, term)
-        self._take_marks(news)
-        for fact in news:
-            self._take_news(fact, fact.number not in self.messages)
+        changed = holding.ledger.adopt(marked, term)
+        self._take_marks(changed)
+        for fact in changed:
+            self._take_change(fact, fact.number not in self.messages)
 
     def resume_own(self, holding: LeasedPartition, term: int) -> None:
         """The folder of this process has the partition's messages already: the ledger learns them, under a new term."""
@@ -354,7 +289,7 @@
     def begin_log(self, holding: LeasedPartition, term: int) -> None:
         """Ship the partition under a term from now on."""
         holding.log = ReplicationLog(
-            holding.partition, term, lambda number: holding.told(self, number), sorted(holding.ledger.known)
+            holding.partition, term, lambda number: holding.read_for_member(self, number), sorted(holding.ledger.known)
         )
         holding.log.behind = not self.by_copy
         holding.begun_at = monotonic_time()
@@ -368,7 +303,7 @@
         """
         straight = holding.from_term == term > 0
         before = dict(holding.ledger.known)
-        told = {
+        listed = {
             fact.number: fact
             for fact in facts
             if fact.number >> 32 == holding.partition
@@ -376,37 +311,37 @@
             and fact.number not in holding.finished
             and (fact.number in before or fact.base is not None and not over(fact.known))
         }
-        news: list[int] = []
-        all_news = holding.ledger.adopt(told.values(), holding.ledger.term)
-        ended = [number for number in told if number not in holding.ledger.known]
+        changed: list[int] = []
+        all_changed = holding.ledger.adopt(listed.values(), holding.ledger.term)
+        ended = [number for number in listed if number not in holding.ledger.known]
         for number in ended:
-            self._tell(holding, Fact(number, None, told[number].known))
+            self._replicate(holding, Fact(number, None, listed[number].known))
             with suppress(NoSpaceError):  # it is over; the record of that is owed
                 super().over(number)
-        problem, left = "", all_news
+        problem, left = "", all_changed
         try:
-            self._take_marks(all_news)
-            for place, joined in enumerate(all_news):
-                left = all_news[place:]
+            self._take_marks(all_changed)
+            for place, joined in enumerate(all_changed):
+                left = all_changed[place:]
                 if joined.known != before.get(joined.number):
                     if joined.number not in before and not straight:
                         # Danger: between the two somebody else has held the partition, and may have ended it: whoever
                         # took it over from that one knows nothing of it. Only 'failed' is honest then.
                         joined = with_end(joined, EndRank.FAILED)
                         holding.ledger.known[joined.number] = joined.known
-                    self._take_news(joined, joined.number not in before)
-                    self._tell(holding, joined)
-                    news.append(joined.number)
+                    self._take_change(joined, joined.number not in before)
+                    self._replicate(holding, joined)
+                    changed.append(joined.number)
         except (OSError, NoSpaceError) as error:
             problem = str(error) or type(error).__name__
-            # Danger: what the ledger knows is no news when it is offered again; it would be in no folder, and no
-            # dispatcher.
+            # Danger: what the ledger knows would count as unchanged when it is offered again; it would be in no folder,
+            # and at no dispatcher.
             for fact in left:
                 if fact.number in before:
                     holding.ledger.known[fact.number] = before[fact.number]
                 else:
                     holding.ledger.known.pop(fact.number, None)
-        return ended, news, problem
+        return ended, changed, problem
 
     def _take_marks(self, facts: Iterable[Fact]) -> None:
         """What others knew of moves under way, before the messages themselves are kept."""
@@ -418,7 +353,7 @@
                 self.marking(marks)
                 self.inert = marks
 
-    def _take_news(self, fact: Fact, new: bool) -> None:
+    def _take_change(self, fact: Fact, new: bool) -> None:
         """Bring the folder's own record of an adopted message up to what is known now.
 
         `NoSpaceError` for a new one.
@@ -441,7 +376,7 @@
             for fact in decode_facts(together([data])):
                 facts[fact.number] = join_facts(facts[fact.number], fact) if fact.number in facts else fact
         for number in list(holding.ledger.known):
-            owed = holding.told(self, number)
+            owed = holding.read_for_member(self, number)
             if owed is not None:
                 facts[number] = join_facts(facts[number], owed) if number in facts else owed
         return [facts[number] for number in sorted(facts)]
@@ -461,10 +396,10 @@
         return mine, perhaps
 
     def rekey(self, numbers: Iterable[int], failed: bool = False) -> Iterator[int]:
-        """Messages that nobody else has become ones of the open partition; their new numbers. `NoSpaceError` stops on
-        the way.
+        """Messages that nobody else has become ones of the open partition; their new numbers.
 
-        `failed`: they end so, since somebody else may have had them. So does one whose body cannot be read.
+        `NoSpaceError` may come after some of them. `failed`: they end so, since somebody else may have had them. So
+        does one whose body cannot be read.
         """
         for number in numbers:
             old = self.messages[number]
@@ -499,7 +434,7 @@
         holding = self.holdings.get(number >> 32)
         return holding if holding is not None and number in holding.ledger.known else None
 
-    def _tell(self, holding: LeasedPartition, fact: Fact) -> None:
+    def _replicate(self, holding: LeasedPartition, fact: Fact) -> None:
         holding.log.append(fact, monotonic_time())
         if over(fact.known) and holding.from_term:
             holding.finished.add(fact.number)
--- a/cedarwick/fleet/suspensions.py
+++ b/cedarwick/fleet/suspensions.py
@@ -1,4 +1,4 @@
-"""The receivers taken out by hand as all members have them: no sockets, no files, no clock, no greenlets.
+"""Receivers suspended by hand, replicated to all members. No I/O, no clock, no greenlets.
 
 A map in which the last writer wins (Shapiro et al. 2011), row by row. A version is (counter, member): the counter is
 the wall time of the call at least, and larger than the one it replaces (hybrid logical clocks, Kulkarni et al. 2014),
@@ -13,18 +13,18 @@
 
 from cedarwick.fleet.messages import SuspensionMark
 
-KEEP = 30 * 86_400_000_000  # so long a restored receiver is remembered
-ASLEEP = KEEP - 86_400_000_000  # who has met nobody for so long may have missed what nobody remembers
-MOST = 4096  # rows that are told to others, and taken from them
-LONGEST = 128  # characters of a uid that can be told
-MOST_CALLS = 1000  # counted for one receiver
+KEEP = 30 * 86_400_000_000  # microseconds (30 days) that a restored receiver is remembered
+ASLEEP = KEEP - 86_400_000_000  # microseconds without contact after which a member may have missed a tombstone
+MOST = 4096  # rows that are sent to others, and accepted from them
+LONGEST = 128  # characters of a uid that can be sent
+MOST_CALLS = 1000  # suspensions counted for one receiver
 LAST = (1 << 62) - 1
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class SavedMarks(msgspec.Struct, array_like=True, frozen=True):
-    """What is kept over restarts."""
+    """What is saved over restarts."""
 
     rows: tuple[SuspensionMark, ...]
     met_at: int
@@ -51,8 +51,8 @@
     def __init__(self, me: str, saved: SavedMarks | None = None) -> None:
         self.me = me
         self.rows = {row.uid: row for row in saved.rows} if saved is not None else {}
-        self.met_at = saved.met_at if saved is not None else 0  # when a member that knows told it all here
-        self.fresh = set(saved.fresh) if saved is not None else set()  # told or done here since: beyond doubt
+        self.met_at = saved.met_at if saved is not None else 0  # when a member that is not asleep last sent everything
+        self.fresh = set(saved.fresh) if saved is not None else set()  # uids received or set here since: beyond doubt
         self.asleep = True  # as of the last `turn`
         self._offered: tuple[SuspensionMark, ...] | None = None
 
@@ -60,11 +60,11 @@
         return SavedMarks(tuple(self.rows.values()), self.met_at, tuple(sorted(self.fresh)))
 
     def calls(self) -> dict[str, int]:
-        """The calls out by uid."""
+        """The suspensions in force, by uid."""
         return {uid: row.calls for uid, row in self.rows.items() if row.calls}
 
     def turn(self, now: int) -> None:
-        """Before anything is told or taken: forget old tombstones, and see whether this member was away too long."""
+        """Called before sending or merging: forget old tombstones, and see whether this member was away too long."""
         self.asleep = self.met_at + ASLEEP < now
         old = [uid for uid, row in self.rows.items() if self._over(now, row)]
         for uid in old:
@@ -86,21 +86,21 @@
         self.fresh = self.fresh | {row.uid} if fresh else self.fresh - {row.uid}
         self._offered = None
 
-    def noticed(self, now: int, told: Mapping[str, int]) -> list[str]:
+    def noticed(self, now: int, calls: Mapping[str, int]) -> list[str]:
         """What the member's own file says, which another process of it may have changed; the uids that differ."""
         mine = self.calls()
-        changed = sorted(uid for uid in mine.keys() | told.keys() if mine.get(uid, 0) != told.get(uid, 0))
+        changed = sorted(uid for uid in mine.keys() | calls.keys() if mine.get(uid, 0) != calls.get(uid, 0))
         for uid in changed:
-            self.set(now, uid, told.get(uid, 0))
+            self.set(now, uid, calls.get(uid, 0))
         return changed
 
-    def doubt(self, told: Mapping[str, int]) -> None:
+    def doubt(self, saved: Mapping[str, int]) -> None:
         """The versions are lost and these receivers are out: they stay so until a member that knows says otherwise."""
-        self.rows = {uid: SuspensionMark(uid, 0, "", calls) for uid, calls in told.items()}
+        self.rows = {uid: SuspensionMark(uid, 0, "", calls) for uid, calls in saved.items()}
         self.met_at, self.fresh, self._offered = 0, set(), None
 
-    def told(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
-        """Rows of another member; the uids of those that were news here."""
+    def merge(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
+        """Merge rows of another member; the uids of those that changed here."""
         changed = []
         for row in rows:
             known = self.rows.get(row.uid)
@@ -122,7 +122,7 @@
             dropped = sorted(self.calls().keys() - self.fresh - theirs.keys())
             for uid in dropped:
                 del self.rows[uid]
-        changed = self.told(now, theirs.values())
+        changed = self.merge(now, theirs.values())
         self.fresh = {uid for uid in self.fresh if theirs.get(uid) != self.rows.get(uid)}
         self.awake(now)
         return dropped + changed
@@ -134,18 +134,18 @@
     def offered(self) -> tuple[SuspensionMark, ...]:
         """The rows for others, by uid: all but those in doubt, and no more than `MOST`, those that are out first."""
         if self._offered is None:
-            told = [row for row in self.rows.values() if self._tells(row)]
-            told.sort(key=lambda row: (not row.calls, -row.counter, row.uid))
-            self._offered = tuple(sorted(told[:MOST], key=lambda row: row.uid))
+            shared = [row for row in self.rows.values() if self._is_shared(row)]
+            shared.sort(key=lambda row: (not row.calls, -row.counter, row.uid))
+            self._offered = tuple(sorted(shared[:MOST], key=lambda row: row.uid))
         return self._offered
 
-    def _tells(self, row: SuspensionMark) -> bool:
+    def _is_shared(self, row: SuspensionMark) -> bool:
         if len(row.uid) > LONGEST or not row.uid.isascii():
             return False
         return not self.asleep or not row.calls or row.uid in self.fresh
 
-    def untold(self) -> int:
-        """How many receivers are out here that no other member can be told of."""
+    def unshared(self) -> int:
+        """How many suspended receivers cannot be shared with the other members."""
         return len(self.calls().keys() - {row.uid for row in self.offered()}) if not self.asleep else 0
 
     def whole(self) -> bool:
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_migration.py
@@ -13,23 +13,25 @@
 
 from cedarwick.fleet import migration_table as moves_module
 from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Ballot, Proposer, ProposerRequest, Value, name_move
-from cedarwick.fleet.migration_table import (
+from cedarwick.fleet.migration_planner import (
     AFTER_OFF,
+    FULL,
+    STAYS,
+    MigrationPlanner,
+    MigrationReason,
+    MigrationRequest,
+    Neighbour,
+)
+from cedarwick.fleet.migration_table import (
     CALL_OFF,
     FORWARDS,
     FREEZE,
-    FULL,
     MOST_IN,
     MOST_OUT,
-    STAYS,
     Migration,
     MigrationAction,
-    MigrationPlanner,
-    MigrationReason,
-    MigrationRequest,
     MigrationStep,
     MigrationTable,
-    Neighbour,
     SourceStage,
     TargetStage,
 )
@@ -539,7 +541,7 @@
         self.assertEqual(
             [act.do for act in moves.due(CALL_OFF + FORWARDS)], [MigrationAction.OVER, MigrationAction.CLOSE]
         )
-        moves.due(CALL_OFF + FORWARDS + moves_module.KEPT)
+        moves.due(CALL_OFF + FORWARDS + moves_module.REMEMBERED_FOR)
         self.assertEqual((moves.moves, moves.by_key, moves.standing(KEY)), ({}, {}, ("here", "")))
 
     def test_a_partition_that_comes_back_is_settled_under_ballots_of_its_own(self) -> None:
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_transport.py
@@ -51,7 +51,7 @@
     return (get_origin(kind) or kind)()
 
 
-class Letters(unittest.TestCase):
+class PeerMessages(unittest.TestCase):
     def test_every_body_comes_back_as_it_went(self) -> None:
         for kind in get_args(messages.Body):
             body = made(kind)
@@ -378,7 +378,7 @@
         kept.sock.shutdown(gevent.socket.SHUT_RDWR)
         self.assertEqual(self.peers.call("b", Acknowledged(), 5), Acknowledged())
         self.assertIsNot(self.peers.peers["b"].idle[0], kept)
-        with patch.object(transport, "KEPT", 0.0):
+        with patch.object(transport, "IDLE_LIMIT", 0.0):
             self.peers.call("b", Acknowledged(), 5)
         self.assertEqual(len(self.peers.peers["b"].open), 1)
 
