--- a/cedarwick/cli/store.py
+++ b/cedarwick/cli/store.py
@@ -10,8 +10,7 @@
 
 from cedarwick.cli.say import console, unusable
 from cedarwick.store import tools
-from cedarwick.store.files import FolderInUseError
-from cedarwick.store.journal import NoSpaceError
+from cedarwick.store.files import FolderInUseError, NoSpaceError
 
 
 @click.group()
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -64,7 +64,7 @@
 from cedarwick.net.assignment import address
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.store.journal import NoSpaceError
+from cedarwick.store.files import NoSpaceError
 
 if TYPE_CHECKING:
     from cedarwick.fleet.session_routing import SessionRouter
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -33,7 +33,9 @@
     together,
 )
 from cedarwick.fleet.takeover import Takeover
-from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
+from cedarwick.store.bodies import BodyLostError
+from cedarwick.store.files import NoSpaceError
+from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
 
 STARVED = 500_000  # microseconds that a copy may lag before its partition is not fired for, and nothing waits for it
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -58,7 +58,7 @@
 from cedarwick.fleet.session_files import SessionFiles
 from cedarwick.fleet.sessions import LAPSES, SessionDirectory
 from cedarwick.net.dispatcher import Dispatcher
-from cedarwick.store.journal import NoSpaceError
+from cedarwick.store.files import NoSpaceError
 
 if TYPE_CHECKING:
     from cedarwick.fleet.node import FleetNode
--- a/cedarwick/lab/folder.py
+++ b/cedarwick/lab/folder.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from cedarwick.decisions.interface import Outcome
-from cedarwick.store.files import Folder
-from cedarwick.store.journal import NoSpaceError, Store
+from cedarwick.store.files import Folder, NoSpaceError
+from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
 
 ROUND = 8  # messages of one round
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -20,8 +20,9 @@
 from cedarwick.net.counters import Counters
 from cedarwick.net.notifications import Notifier
 from cedarwick.net.sockets import PollClock
-from cedarwick.store.files import DiskError
-from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
+from cedarwick.store.bodies import BodyLostError
+from cedarwick.store.files import DiskError, NoSpaceError
+from cedarwick.store.journal import Store
 from cedarwick.store.records import NOWHERE, StoredMessage, zone_mark
 
 RECENT_ID_LIFETIME = 15_000_000  # for so long after it was handed in, an id is not taken once more
--- /dev/null
+++ b/cedarwick/store/compaction.py
@@ -0,0 +1,189 @@
+"""Compaction: moving what lives in old segments to the active one, in bounded steps, and deleting them whole.
+
+`compaction_planner.py` decides which segment and how many bytes; this module does it. It runs between two rounds, by
+`step`, and on the spot where a record does not fit, by `find_room`.
+"""
+
+from typing import TYPE_CHECKING
+
+from loguru import logger
+
+from cedarwick.errors import describe
+from cedarwick.store import compaction_planner, records
+from cedarwick.store.bodies import BodyLostError
+from cedarwick.store.compaction_planner import RecordUse
+from cedarwick.store.files import DiskError, NoSpaceError, quietly, segment_name
+from cedarwick.store.records import DROP, FRAME, OVER, OVER_BODY
+from cedarwick.store.segments import Segment
+
+if TYPE_CHECKING:
+    from cedarwick.store.journal import Store
+
+MIN_STEP_BYTES = 1 << 13  # bytes that come in before a step looks whether anything is to be done
+RETRY_STEPS = 64  # steps after which a segment that could not be moved is looked at again
+MAX_INLINE_STEPS = 16  # steps on the spot for one short record
+
+
+class Compactor:
+    """Moves one segment at a time, the victim; every move is a record that the store appends."""
+
+    def __init__(self, store: "Store", most_step: int) -> None:
+        """`most_step`: bytes that one step moves at the most."""
+        self.store = store
+        self.most_step = most_step
+        self.victim: Segment | None = None
+        self.todo: list[int] = []  # numbers of messages whose records in the victim are to be moved
+        self.stuck: dict[int, int] = {}  # segments that cannot be moved now: until which step
+        self.steps = 0
+        self.inline_steps = 0  # steps on the spot, ever
+        self.inline_steps_since_step = 0  # of these, since the last step between two rounds
+
+    def step(self) -> None:
+        """Between two rounds: move a bounded number of bytes, as many as the planner says."""
+        self.inline_steps_since_step = 0
+        if (
+            self.store.appended < min(MIN_STEP_BYTES, self.store.segment_size // 8)
+            and not self.store.owing
+            and not self.store.condemned
+        ):
+            return
+        self.steps += 1
+        appended, self.store.appended = self.store.appended, 0
+        self.store.estimate_room()
+        if self.store.condemned and not self.store.durable:
+            self.delete_condemned()
+        try:
+            self.store.write_owing()
+        except NoSpaceError:
+            pass
+        victim = self._choose(short=False)
+        if victim is None:
+            return
+        size = compaction_planner.CompactionCandidate(victim.number, victim.physical, victim.live)
+        wanted = compaction_planner.pace(self.store.sizes(), size, appended)
+        if wanted or victim.done:
+            self.work(min(wanted, self.most_step), short=False)
+
+    def _choose(self, short: bool) -> Segment | None:
+        """The segment to move next; the one under way first."""
+        if self.victim is not None:
+            return self.victim
+        self.stuck = {number: until for number, until in self.stuck.items() if until > self.steps}
+        candidates = (
+            compaction_planner.CompactionCandidate(each.number, each.physical, each.live)
+            for each in self.store.segment_index.segments.values()
+            if each is not self.store.active and not each.foreign and each.number not in self.stuck
+        )
+        best = compaction_planner.choose(candidates, short)
+        if best is None:
+            return None
+        self.victim = self.store.segment_index.segments[best.number]
+        self.todo = self.store.segment_index.walk(self.victim)
+        return self.victim
+
+    def work(self, budget: int, short: bool) -> bool:
+        """Move so many bytes of what lives in the segment under way; whether anything came of it."""
+        victim = self._choose(short)
+        if victim is None:
+            return False
+        moved = 0
+        try:
+            while self.todo and moved <= budget:
+                moved += self._move(victim, self.todo[-1])
+                self.todo.pop()
+            while victim.strange and moved <= budget and not self.todo:
+                moved += self._move_strange(victim)
+            if not self.todo and not victim.strange:
+                self._finish(victim)
+        except (NoSpaceError, BodyLostError, OSError) as error:
+            logger.error("{} cannot be compacted now: {}", segment_name(victim.number), describe(error))
+            self._leave(victim)
+            return False
+        return True
+
+    def _leave(self, victim: Segment) -> None:
+        self.stuck[victim.number] = self.steps + RETRY_STEPS
+        self.victim, self.todo = None, []
+
+    def _move(self, victim: Segment, number: int) -> int:
+        """Write anew what a segment holds of a message; the bytes that took."""
+        stored = self.store.messages.get(number)
+        if stored is not None and stored.home == victim.number:
+            if stored.end is not None:
+                stored.checksum = 0
+                return self.store.write_message(stored, b"", RecordUse.MOVE)  # nobody needs the body of what has ended
+            body = (
+                stored.body
+                if stored.body is not None
+                else self.store.body_cache.read(stored, self.store.segment_index.segments)
+            )
+            return self.store.write_message(stored, body, RecordUse.MOVE)
+        if stored is not None and victim.number in stored.noted:
+            return self.store.write_note(stored, records.state(stored), RecordUse.MOVE)
+        if number in victim.tombs:
+            segment, _ = self.store.append_record(OVER_BODY.pack(OVER, number), RecordUse.MOVE)
+            self.store.segment_index.reburied(number, segment)
+            return records.OF_OVER
+        return 0
+
+    def _move_strange(self, victim: Segment) -> int:
+        at, size = victim.strange[-1]
+        if victim.file < 0:
+            victim.file = self.store.folder.open(segment_name(victim.number), append=False)
+        payload = self.store.folder.read(victim.file, size, at)
+        segment, begin = self.store.append_record(payload, RecordUse.MOVE)
+        self.store.segment_index.strange(segment, begin + FRAME.size, size)
+        victim.strange.pop()
+        victim.strange_bytes -= size
+        self.store.segment_index.live -= size
+        return size
+
+    def _finish(self, victim: Segment) -> None:
+        """Nothing in a segment matters any more: record that, and delete its file."""
+        if not victim.done:  # something joined while it was under way, which only a failure brings
+            self.todo = self.store.segment_index.walk(victim)
+            if not self.todo:
+                self._leave(victim)
+            return
+        self.store.append_record(OVER_BODY.pack(DROP, victim.number), RecordUse.MOVE)
+        self.victim, self.todo = None, []
+        if victim.file >= 0:
+            quietly(self.store.folder.close, victim.file)
+            victim.file = -1
+        self.store.segment_index.dropped(victim)
+        self.store.condemned.append((segment_name(victim.number), compaction_planner.blocks(victim.physical)))
+        # Danger: deleted before its moved records are on the disk, a power cut would lose them.
+        if not self.store.durable:
+            self.delete_condemned()
+
+    def delete_condemned(self) -> None:
+        """Delete the files of segments that were dropped; what cannot be deleted stays listed."""
+        left = []
+        for name, size in self.store.condemned:
+            try:
+                self.store.folder.unlink(name)
+                self.store.used -= size
+            except FileNotFoundError:
+                self.store.used -= size
+            except OSError as error:
+                logger.error(DiskError(f"{name} cannot be deleted: {error}").line)
+                left.append((name, size))
+        self.store.condemned = left
+
+    def find_room(self, grows: int, use: RecordUse) -> None:
+        """Compact on the spot where a record does not fit; `NoSpaceError` where that is not enough."""
+        floor = compaction_planner.reserve(self.store.sizes()) - (
+            0 if use is RecordUse.NEW_MESSAGE else compaction_planner.SLACK
+        )
+        turns = 0 if use is RecordUse.SHORT_RECORD else self.inline_steps_since_step
+        while grows and self.store.limit - self.store.used - grows < floor:
+            turns += 1
+            self.inline_steps += 1
+            self.inline_steps_since_step += 1
+            # Danger: each new message of a round would compact on its own account, and the round would stand still.
+            if turns > (MAX_INLINE_STEPS if use is RecordUse.SHORT_RECORD else 1) or not self.work(
+                self.most_step, short=True
+            ):
+                if use is RecordUse.SHORT_RECORD and self.store.limit - self.store.used - grows >= 0:
+                    return  # the reserve is for this
+                raise NoSpaceError("the folder is full")
--- a/cedarwick/store/compaction_planner.py
+++ b/cedarwick/store/compaction_planner.py
@@ -6,6 +6,7 @@
 """
 
 from collections.abc import Iterable
+from enum import Enum
 from typing import NamedTuple
 
 BLOCK = 512  # a file counts in whole blocks of this
@@ -19,6 +20,14 @@
 URGENT = 4.0  # times the pace of use, where the reserve is reached
 
 
+class RecordUse(Enum):
+    """What a record is for: how much of the reserve it may use."""
+
+    NEW_MESSAGE = "new"  # none of it
+    SHORT_RECORD = "short"  # all of it, once compaction on the spot has not won enough
+    MOVE = "move"  # all of it, at once: that is how room is won
+
+
 class Sizes(NamedTuple):
     """How a folder stands, in bytes."""
 
--- a/cedarwick/store/files.py
+++ b/cedarwick/store/files.py
@@ -20,6 +20,13 @@
     remedy = "end the other process, or give this one a folder of its own"
 
 
+class NoSpaceError(CedarwickError):
+    """The folder has no room for a record, or the disk does not take it."""
+
+    code = "CW202"
+    remedy = "raise limits.disk_mb or free the disk; `cedarwick store verify` says what lives in the folder"
+
+
 class DiskError(CedarwickError):
     """The system refused a write, a sync or a deletion; the sender goes on without it."""
 
--- a/cedarwick/store/segments.py
+++ b/cedarwick/store/segments.py
@@ -12,6 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from cedarwick.store.compaction_planner import blocks
 from cedarwick.store.records import OF_OVER, OF_STATE, StoredMessage
 
 
@@ -47,6 +48,10 @@
         """Whether nothing in it matters any more."""
         return not (self.foreign or self.bases or self.notes or self.tombs or self.strange)
 
+    def growth(self, size: int) -> int:
+        """By how much its blocks on the disk grow with so many bytes more."""
+        return blocks(self.physical + size) - blocks(self.physical)
+
 
 class SegmentIndex:
     """All segments, all messages that live, and the ends that still need a record."""
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -84,9 +84,9 @@
     made.load()
     try:
         before = made.used
-        made._roll()
+        made.begin_segment()
         for _ in range(4 * len(made.segment_index.segments) + 4):
-            if not made._work(1 << 62, short=True):
+            if not made.compactor.work(1 << 62, short=True):
                 break
         made.flush()
         return before, made.used
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -64,7 +64,9 @@
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.notifications import Notifier
-from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
+from cedarwick.store.bodies import BodyLostError
+from cedarwick.store.files import NoSpaceError
+from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage, message
 from tests.build import free_port
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,8 +13,10 @@
 
 from cedarwick.decisions.interface import Outcome
 from cedarwick.store import compaction_planner, legacy_format, records
-from cedarwick.store.files import Folder, FolderInUseError, segment_name
-from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
+from cedarwick.store.bodies import BodyLostError
+from cedarwick.store.compaction_planner import RecordUse
+from cedarwick.store.files import Folder, FolderInUseError, NoSpaceError, segment_name
+from cedarwick.store.journal import Store
 from cedarwick.store.records import DamagedRange, Frame, StoredMessage, framed, scan
 from cedarwick.store.recovery import Recovered, recover
 
@@ -459,7 +461,7 @@
         self.assertEqual([made.body(number)[:8] for number in (1, 7)], [b"00000001", b"00000007"])
         for number in range(1, 8):
             made.over(number)
-        self.assertEqual(made.held_bytes, 0)
+        self.assertEqual(made.body_cache.held_bytes, 0)
 
     def test_a_body_that_is_damaged_on_disk_is_never_sent(self) -> None:
         folder = Fake()
@@ -563,7 +565,7 @@
 
     def test_a_record_of_an_unknown_kind_is_kept_through_compaction(self) -> None:
         made = store(self.folder, limit=60_000)
-        made._append(b"\x63" + b"future", "short")
+        made.append_record(b"\x63" + b"future", RecordUse.SHORT_RECORD)
         segment = made.active
         assert segment is not None
         made.segment_index.strange(segment, segment.size - 7, 7)
@@ -578,7 +580,7 @@
 
     def test_an_unknown_kind_that_may_speak_of_a_attempt_puts_its_message_in_doubt(self) -> None:
         made = store(self.folder, limit=1_000_000)
-        made._append(b"\x20" + (12).to_bytes(8, "little") + b"?", "short")
+        made.append_record(b"\x20" + (12).to_bytes(8, "little") + b"?", RecordUse.SHORT_RECORD)
         self.assertEqual(self.doubtful(), [12])
 
     def test_a_segment_of_another_version_is_left_alone(self) -> None:
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -33,7 +33,7 @@
 from cedarwick.net.counters import Counters
 from cedarwick.net.dispatcher import AdmissionResult, Submission
 from cedarwick.ops.commands import Call
-from cedarwick.store.journal import NoSpaceError
+from cedarwick.store.files import NoSpaceError
 from cedarwick.store.records import StoredMessage
 from tests import test_net
 from tests.build import free_port
