--- a/cedarwick/store/compaction.py
+++ b/cedarwick/store/compaction.py
@@ -78,7 +78,7 @@
         if best is None:
             return None
         self.victim = self.store.segment_index.segments[best.number]
-        self.todo = self.store.segment_index.walk(self.victim)
+        self.todo = self.store.segment_index.records_to_move(self.victim)
         return self.victim
 
     def work(self, budget: int, short: bool) -> bool:
@@ -91,9 +91,9 @@
             while self.todo and moved <= budget:
                 moved += self._move(victim, self.todo[-1])
                 self.todo.pop()
-            while victim.strange and moved <= budget and not self.todo:
-                moved += self._move_strange(victim)
-            if not self.todo and not victim.strange:
+            while victim.unknown and moved <= budget and not self.todo:
+                moved += self._move_unknown(victim)
+            if not self.todo and not victim.unknown:
                 self._finish(victim)
         except (NoSpaceError, BodyLostError, OSError) as error:
             logger.error("{} cannot be compacted now: {}", segment_name(victim.number), describe(error))
@@ -102,6 +102,7 @@
         return True
 
     def _leave(self, victim: Segment) -> None:
+        """Give a segment up for some steps."""
         self.stuck[victim.number] = self.steps + RETRY_STEPS
         self.victim, self.todo = None, []
 
@@ -120,28 +121,29 @@
             return self.store.write_message(stored, body, RecordUse.MOVE)
         if stored is not None and victim.number in stored.noted:
             return self.store.write_note(stored, records.state(stored), RecordUse.MOVE)
-        if number in victim.tombs:
+        if number in victim.tombstones:
             segment, _ = self.store.append_record(OVER_BODY.pack(OVER, number), RecordUse.MOVE)
-            self.store.segment_index.reburied(number, segment)
-            return records.OF_OVER
+            self.store.segment_index.end_rewritten(number, segment)
+            return records.OVER_RECORD_BYTES
         return 0
 
-    def _move_strange(self, victim: Segment) -> int:
-        at, size = victim.strange[-1]
+    def _move_unknown(self, victim: Segment) -> int:
+        """Write anew one record of a kind that this version does not know; its bytes."""
+        at, size = victim.unknown[-1]
         if victim.file < 0:
             victim.file = self.store.folder.open(segment_name(victim.number), append=False)
         payload = self.store.folder.read(victim.file, size, at)
         segment, begin = self.store.append_record(payload, RecordUse.MOVE)
-        self.store.segment_index.strange(segment, begin + FRAME.size, size)
-        victim.strange.pop()
-        victim.strange_bytes -= size
+        self.store.segment_index.add_unknown(segment, begin + FRAME.size, size)
+        victim.unknown.pop()
+        victim.unknown_bytes -= size
         self.store.segment_index.live -= size
         return size
 
     def _finish(self, victim: Segment) -> None:
         """Nothing in a segment matters any more: record that, and delete its file."""
         if not victim.done:  # something joined while it was under way, which only a failure brings
-            self.todo = self.store.segment_index.walk(victim)
+            self.todo = self.store.segment_index.records_to_move(victim)
             if not self.todo:
                 self._leave(victim)
             return
--- a/cedarwick/store/compaction_planner.py
+++ b/cedarwick/store/compaction_planner.py
@@ -10,14 +10,14 @@
 from typing import NamedTuple
 
 BLOCK = 512  # a file counts in whole blocks of this
-LEAST_SEGMENT = 1 << 16
-MOST_SEGMENT = 1 << 26
+MIN_SEGMENT_BYTES = 1 << 16
+MAX_SEGMENT_BYTES = 1 << 26
 SEGMENTS = 64  # a folder at its limit holds about so many
-LEAST_GAIN = 1 / 16  # a segment with a smaller part of dead bytes is not worth its moving, unless room is short
+MIN_DEAD_SHARE = 1 / 16  # a segment with a smaller part of dead bytes is not worth its moving, unless room is short
 STEP = 1 << 15  # bytes that one step moves at the most; a millisecond or so
 SLACK = 1 << 12  # for short records between two steps
-EASY = 8  # segments' worth of free room beyond the reserve, from which on nothing needs moving
-URGENT = 4.0  # times the pace of use, where the reserve is reached
+EASY_SEGMENTS = 8  # segments' worth of free room beyond the reserve, from which on nothing needs moving
+MAX_PACE = 4.0  # times the pace of use, where the reserve is reached
 
 
 class RecordUse(Enum):
@@ -50,7 +50,7 @@
 
 def segment_size(limit: int) -> int:
     """The size at which segments are sealed in a folder of a limit."""
-    return min(MOST_SEGMENT, max(LEAST_SEGMENT, limit // SEGMENTS))
+    return min(MAX_SEGMENT_BYTES, max(MIN_SEGMENT_BYTES, limit // SEGMENTS))
 
 
 def blocks(size: int) -> int:
@@ -75,7 +75,7 @@
     best = None
     for each in candidates:
         gain = each.size - each.live
-        if gain <= 0 or not short and gain < LEAST_GAIN * each.size:
+        if gain <= 0 or not short and gain < MIN_DEAD_SHARE * each.size:
             continue
         if best is None or (each.live * best.size, each.number) < (best.live * each.size, best.number):
             best = each
@@ -86,10 +86,10 @@
     """Bytes of a victim to move in this step, `appended` having come in since the step before."""
     free = sizes.limit - sizes.used
     floor = reserve(sizes)
-    ease = min(1.0, max(0.0, (free - floor) / (EASY * sizes.segment)))
+    ease = min(1.0, max(0.0, (free - floor) / (EASY_SEGMENTS * sizes.segment)))
     if ease >= 1.0:
         return 0
     # Danger: dead bytes alone decide what is won; a nearly full segment is moved many times its gain.
     for_each = victim.live / max(1, victim.size - victim.live)
-    wanted = appended * for_each * (1 + (URGENT - 1) * (1 - ease)) + 1
+    wanted = appended * for_each * (1 + (MAX_PACE - 1) * (1 - ease)) + 1
     return round(min(STEP, wanted))
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -35,11 +35,11 @@
 from cedarwick.store.segments import Segment, SegmentIndex
 
 BODIES = 1 << 26  # bytes of bodies that are held in memory, where nobody names a bound
-FEW_MESSAGES_LEFT = 64  # with room for fewer the room is reckoned anew each time it is asked for
+FEW_MESSAGES_LEFT = 64  # with room for fewer the estimate of free room is made anew each time it is asked for
 
 
 class Store:
-    """Owns the folder."""
+    """The journal of one folder, which it alone writes: messages are kept from their taking until nothing is owed."""
 
     def __init__(
         self,
@@ -168,14 +168,16 @@
             self.segment_size,
             self.segment_index.largest,
             head,
-            self.segment_index.promised(),
+            self.segment_index.promised_bytes(),
         )
 
     def weighed(self, stored: StoredMessage) -> int:
         """The bytes that a message takes."""
         texts = len(stored.id) + len(stored.key) + len(stored.priority_class) + len(stored.tenant)
         body = len(stored.body) if stored.body is not None else stored.size
-        return FRAME.size + records.MESSAGE_BODY.size + records.STATE_BODY.size + texts + body + records.OF_STATE
+        return (
+            FRAME.size + records.MESSAGE_BODY.size + records.STATE_BODY.size + texts + body + records.STATE_RECORD_BYTES
+        )
 
     def has_room(self, stored: StoredMessage) -> bool:
         """Whether a new message can be taken."""
@@ -189,15 +191,15 @@
         return weighed <= self.spare and not self.owing
 
     def estimate_room(self) -> None:
-        """Reckon anew what room there is; in between it is only ever taken to be less than it is."""
+        """Compute anew how many bytes are free; in between the estimate only ever errs on the low side."""
         sizes = self.sizes()
         self.floor, self.spare = compaction_planner.reserve(sizes), compaction_planner.room(sizes)
 
     def room_for(self) -> int:
         """How many more messages like those that are kept the folder has room for; reckoned anew where few."""
         mean = max(
-            (self.segment_index.live + self.segment_index.promised()) // max(1, len(self.messages)) + 1,
-            records.OF_STATE,
+            (self.segment_index.live + self.segment_index.promised_bytes()) // max(1, len(self.messages)) + 1,
+            records.STATE_RECORD_BYTES,
         )
         if self.spare < FEW_MESSAGES_LEFT * mean:
             self.estimate_room()
@@ -249,9 +251,9 @@
         stored = self.messages.get(number)
         if stored is not None:
             self.body_cache.release(stored)
-            holders = self.segment_index.over(stored)
+            holders = self.segment_index.message_over(stored)
             self._write_or_owe(
-                OVER_BODY.pack(OVER, number), lambda segment: self.segment_index.buried(number, holders, segment)
+                OVER_BODY.pack(OVER, number), lambda segment: self.segment_index.end_written(number, holders, segment)
             )
 
     def step(self) -> None:
@@ -307,18 +309,21 @@
         payload, at = records.message(stored, body)
         segment, begin = self.append_record(payload, use)
         stored.size = len(body)
-        self.segment_index.based(stored, segment, begin + FRAME.size + at, FRAME.size + len(payload))
+        self.segment_index.message_written(stored, segment, begin + FRAME.size + at, FRAME.size + len(payload))
         return FRAME.size + len(payload)
 
     def write_note(self, stored: StoredMessage, payload: bytes, use: RecordUse) -> int:
+        """Write a short record of a message; how many bytes that took."""
         segment, _ = self.append_record(payload, use)
-        self.segment_index.noted(stored, segment, whole=payload[0] == records.STATE)
+        self.segment_index.note_written(stored, segment, whole=payload[0] == records.STATE)
         return FRAME.size + len(payload)
 
     def _when_written(self, stored: StoredMessage) -> Callable[[Segment], None]:
+        """What is done once a short record of a message is written: its place is noted, if it is still owed."""
+
         def then(segment: Segment) -> None:
             if stored.number in self.messages:
-                self.segment_index.noted(stored, segment)
+                self.segment_index.note_written(stored, segment)
 
         return then
 
@@ -336,6 +341,7 @@
         then(segment)
 
     def write_owing(self) -> None:
+        """Write the short records that had no room so far; `NoSpaceError` at the first that still has none."""
         while self.owing:
             payload, then = self.owing[0]
             segment, _ = self.append_record(payload, RecordUse.SHORT_RECORD, owed=True)
@@ -343,7 +349,10 @@
             self.owing.popleft()
 
     def append_record(self, payload: bytes, use: RecordUse, owed: bool = False) -> tuple[Segment, int]:
-        """Write one record; its segment, and where its frame begins there."""
+        """Write one record; its segment, and where its frame begins there. `owed`: it is the first of `owing`.
+
+        `NoSpaceError` where there is no room, or the disk does not take it.
+        """
         if self.owing and not owed and use is not RecordUse.MOVE:
             self.write_owing()  # Danger: of two records on one message the later must not come first
         record = framed(payload)
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -34,8 +34,8 @@
 NO_END, WRITTEN_OFF, NACKED = range(3)
 NOWHERE = -1  # the zone of an attempt that nobody knows: no receiver is there
 FIRST_MARK, MARKS = 1 << 10, 31 << 10  # of zones; what is below is a place among the zones of some settings
-OF_OVER = FRAME.size + OVER_BODY.size
-OF_STATE = FRAME.size + STATE_HEAD.size + STATE_BODY.size
+OVER_RECORD_BYTES = FRAME.size + OVER_BODY.size
+STATE_RECORD_BYTES = FRAME.size + STATE_HEAD.size + STATE_BODY.size
 SHORTEST = STATE_HEAD.size  # of a payload that names a message
 
 
@@ -72,7 +72,7 @@
     size: int = 0  # bytes of the body
     checksum: int = 0  # of the body
     weight: int = 0  # bytes of the record
-    noted: list[int] = field(default_factory=list)  # segments with news of it that its record does not hold
+    noted: list[int] = field(default_factory=list)  # segments with short records of it that its record does not include
 
     def attempt(self, sent_at: int, zone: int) -> None:
         """An attempt goes out. One before it without an outcome may have run."""
@@ -106,20 +106,26 @@
 
 
 def zone_mark(name: str) -> int:
-    """What stands for a zone in a record. Danger: other settings give the place of a zone to another one, and a
-    repeat would go where nobody remembers its number."""
+    """What stands for a zone in a record: a number from the zone's name.
+
+    Danger: its place among the zones changes with the settings, and a repeat would then go to a zone where nobody
+    remembers the message's number.
+    """
     return FIRST_MARK + zlib.crc32(name.encode()) % MARKS
 
 
 def framed(payload: bytes) -> bytes:
+    """A payload as a frame."""
     return FRAME.pack(MARK, len(payload), check(payload)) + payload
 
 
 def check(payload: bytes) -> int:
+    """The checksum of a frame, over length and payload."""
     return zlib.crc32(payload, zlib.crc32(LENGTH.pack(len(payload))))
 
 
 def header(made: Header) -> bytes:
+    """The payload of a segment's first record."""
     lines = b"".join(HEADER_LINE.pack(number, size) for number, size in made.others.items())
     return (
         HEADER_BODY.pack(
@@ -130,6 +136,7 @@
 
 
 def read_header(payload: bytes) -> Header:
+    """The header in a payload; `InvalidRecordError` where it cannot be read."""
     try:
         _, version, number, made_at, next_message, old_until, count = HEADER_BODY.unpack_from(payload)
         others = dict(
@@ -147,11 +154,12 @@
     head = MESSAGE_BODY.pack(
         MESSAGE, stored.number, stored.deadline, stored.turn, stored.destination, stored.checksum, *map(len, texts)
     )
-    whole = head + state_of(stored) + b"".join(texts)
+    whole = head + encode_state(stored) + b"".join(texts)
     return whole + body, len(whole)
 
 
-def state_of(stored: StoredMessage) -> bytes:
+def encode_state(stored: StoredMessage) -> bytes:
+    """What is known of a message's attempts and end, as `STATE_BODY`."""
     end, wait = NO_END, 0
     if stored.end is not None:
         end, wait = NACKED if stored.end[0] else WRITTEN_OFF, stored.end[1]
@@ -169,7 +177,7 @@
 
 def state(stored: StoredMessage) -> bytes:
     """All that is known of a message's attempts and end, without its body."""
-    return STATE_HEAD.pack(STATE, stored.number) + state_of(stored)
+    return STATE_HEAD.pack(STATE, stored.number) + encode_state(stored)
 
 
 def read_message(payload: bytes, segment: int, at: int) -> StoredMessage:
@@ -197,7 +205,7 @@
             checksum=checksum,
             weight=FRAME.size + len(payload),
         )
-        take_state(stored, payload, MESSAGE_BODY.size)
+        apply_state(stored, payload, MESSAGE_BODY.size)
     except (struct.error, UnicodeDecodeError, ValueError) as error:
         raise InvalidRecordError(f"a message: {error}") from None
     if place > len(payload):
@@ -205,7 +213,7 @@
     return stored
 
 
-def take_state(stored: StoredMessage, payload: bytes, at: int) -> None:
+def apply_state(stored: StoredMessage, payload: bytes, at: int) -> None:
     """Replace what is known of a message's attempts and end by what a payload says."""
     try:
         (stored.attempts, stored.ran_at, stored.ran_zone, stored.out_at, stored.out_zone, doubt_at, end, wait) = (
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -35,10 +35,10 @@
     Header,
     InvalidRecordError,
     StoredMessage,
+    apply_state,
     read_header,
     read_message,
     scan,
-    take_state,
 )
 from cedarwick.store.segments import Say, Segment, SegmentIndex
 
@@ -72,7 +72,7 @@
     tail: int = -1  # the good length of the newest segment; -1: it cannot be gone on with
     damaged: bool = False
     records: int = 0
-    strangers: int = 0
+    unknown_records: int = 0
 
 
 def recover(folder: Folder, say: Say) -> Recovered:
@@ -100,8 +100,7 @@
             say(
                 FolderDamagedError(
                     f"{segment_name(number)} is missing: what it held is lost, "
-                    f"{len(found.segment_index.messages)} messages "
-                    "are put in doubt"
+                    f"{len(found.segment_index.messages)} messages are put in doubt"
                 ).line
             )
             put_in_doubt(found, doubt_from)
@@ -195,8 +194,7 @@
         say(
             FolderDamagedError(
                 f"{name}: bytes {each.at} to {each.until} are damaged; "
-                f"{len(found.segment_index.messages)} messages are "
-                "put in doubt"
+                f"{len(found.segment_index.messages)} messages are put in doubt"
             ).line
         )
         put_in_doubt(found, doubt_from)
@@ -219,10 +217,10 @@
     if kind in (HEADER, DROP):
         return
     if kind > DROP:
-        found.strangers += 1
-        if found.strangers == 1:
+        found.unknown_records += 1
+        if found.unknown_records == 1:
             say(f"{segment_name(segment.number)}: a record of the unknown kind {kind} at {record.at} is kept as it is")
-        segment_index.strange(segment, record.at + FRAME.size, len(payload))
+        segment_index.add_unknown(segment, record.at + FRAME.size, len(payload))
         if kind < HARMLESS and len(payload) >= SHORTEST:
             doubtful = segment_index.messages.get(STATE_HEAD.unpack_from(payload)[1])
             if doubtful is not None:
@@ -232,15 +230,15 @@
         if kind == MESSAGE:
             fresh = read_message(payload, segment.number, record.at)
             found.next_message = max(found.next_message, fresh.number + 1)
-            take_message(segment_index, segment, fresh)
+            apply_message(segment_index, segment, fresh)
             return
         number = STATE_HEAD.unpack_from(payload)[1]
         stored = segment_index.messages.get(number)
         if stored is None:
             if kind == OVER or kind == OUTCOME and OUTCOMES[OUTCOME_BODY.unpack(payload)[2]] is Outcome.COMPLETED:
-                segment_index.reburied(number, segment)
-            return  # news of a message that has ended, or whose record is lost
-        take_news(segment_index, segment, stored, kind, payload)
+                segment_index.end_rewritten(number, segment)
+            return  # a record of a message that has ended, or whose own record is lost
+        apply_short_record(segment_index, segment, stored, kind, payload)
     except (InvalidRecordError, ValueError, IndexError) as error:
         say(
             InvalidRecordError(
@@ -255,7 +253,7 @@
         )
 
 
-def take_message(segment_index: SegmentIndex, segment: Segment, fresh: StoredMessage) -> None:
+def apply_message(segment_index: SegmentIndex, segment: Segment, fresh: StoredMessage) -> None:
     """The newest record of a message; what an older one said is replaced."""
     before = segment_index.messages.get(fresh.number)
     at, weight = fresh.at, fresh.weight
@@ -264,17 +262,19 @@
         fresh.home, fresh.weight, fresh.noted = before.home, before.weight, before.noted
     else:
         fresh.home = fresh.weight = 0
-    segment_index.based(fresh, segment, at, weight)
+    segment_index.message_written(fresh, segment, at, weight)
 
 
-def take_news(segment_index: SegmentIndex, segment: Segment, stored: StoredMessage, kind: int, payload: bytes) -> None:
+def apply_short_record(
+    segment_index: SegmentIndex, segment: Segment, stored: StoredMessage, kind: int, payload: bytes
+) -> None:
     """A short record about a message that lives."""
     if kind == STATE:
-        take_state(stored, payload, STATE_HEAD.size)
-        segment_index.noted(stored, segment, whole=True)
+        apply_state(stored, payload, STATE_HEAD.size)
+        segment_index.note_written(stored, segment, whole=True)
         return
     if kind == OVER:
-        segment_index.buried(stored.number, segment_index.over(stored), segment)
+        segment_index.end_written(stored.number, segment_index.message_over(stored), segment)
         return
     if kind == ATTEMPT:
         _, _, sent_at, zone = ATTEMPT_BODY.unpack(payload)
@@ -285,7 +285,7 @@
     elif kind == END:
         _, _, nacked, wait = END_BODY.unpack(payload)
         stored.end = (bool(nacked), wait)
-    segment_index.noted(stored, segment)
+    segment_index.note_written(stored, segment)
 
 
 def read_through(folder: Folder, name: str, until: int | None) -> Iterator[Frame | DamagedRange]:
--- a/cedarwick/store/segments.py
+++ b/cedarwick/store/segments.py
@@ -1,19 +1,19 @@
-"""What each segment holds that still matters: the book-keeping of the journal, without I/O.
+"""Which records of each segment still matter: the journal's index, without I/O.
 
 A segment may be deleted once nothing in it is needed to rebuild the present state from the rest:
 
 - the newest record of a message that lives (`bases`);
-- news of a message's attempts or end that its newest record does not hold (`notes`);
-- the record of an end, as long as an older record of the message lies in another segment (`tombs`): without it
+- short records of a message's attempts or end that its newest record does not include (`notes`);
+- the record of an end, as long as an older record of the message lies in another segment (`tombstones`): without it
   that older record would bring the message back;
-- records that this version does not know (`strange`).
+- records that this version does not know (`unknown`).
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from cedarwick.store.compaction_planner import blocks
-from cedarwick.store.records import OF_OVER, OF_STATE, StoredMessage
+from cedarwick.store.records import OVER_RECORD_BYTES, STATE_RECORD_BYTES, StoredMessage
 
 
 @dataclass(slots=True, eq=False)
@@ -28,11 +28,11 @@
     bases: set[int] = field(default_factory=set)
     weight: int = 0  # bytes of the bases
     notes: set[int] = field(default_factory=set)
-    tombs: set[int] = field(default_factory=set)
+    tombstones: set[int] = field(default_factory=set)
     dead: set[int] = field(default_factory=set)  # ended elsewhere, while a record of them lies here
     moved: set[int] = field(default_factory=set)  # live elsewhere by now, while an older record lies here
-    strange: list[tuple[int, int]] = field(default_factory=list)  # place and length of payloads
-    strange_bytes: int = 0
+    unknown: list[tuple[int, int]] = field(default_factory=list)  # place and length of payloads
+    unknown_bytes: int = 0
     foreign: bool = False  # of another version: it is never touched
     file: int = -1  # for reading
 
@@ -41,12 +41,17 @@
         """Bytes that would have to be written elsewhere before it can go."""
         if self.foreign:
             return self.physical
-        return self.weight + OF_STATE * len(self.notes) + OF_OVER * len(self.tombs) + self.strange_bytes
+        return (
+            self.weight
+            + STATE_RECORD_BYTES * len(self.notes)
+            + OVER_RECORD_BYTES * len(self.tombstones)
+            + self.unknown_bytes
+        )
 
     @property
     def done(self) -> bool:
         """Whether nothing in it matters any more."""
-        return not (self.foreign or self.bases or self.notes or self.tombs or self.strange)
+        return not (self.foreign or self.bases or self.notes or self.tombstones or self.unknown)
 
     def growth(self, size: int) -> int:
         """By how much its blocks on the disk grow with so many bytes more."""
@@ -59,26 +64,28 @@
     def __init__(self) -> None:
         self.segments: dict[int, Segment] = {}
         self.messages: dict[int, StoredMessage] = {}
-        self.tombs: dict[int, tuple[int, set[int]]] = {}  # where the record of the end lies; who holds an older one
+        # By message: the segment with the record of its end, and the segments with an older record of it.
+        self.tombstones: dict[int, tuple[int, set[int]]] = {}
         self.live = 0  # what all segments' live bytes add up to
         self.largest = 0  # the largest record seen
         self.moving: set[int] = set()  # segments that records have been moved out of
         self.notes = 0  # how many notes all segments hold
 
     def add(self, segment: Segment) -> None:
+        """A segment was begun or found."""
         self.segments[segment.number] = segment
         self.live += segment.live
 
-    def based(self, stored: StoredMessage, segment: Segment, at: int, weight: int) -> None:
+    def message_written(self, stored: StoredMessage, segment: Segment, at: int, weight: int) -> None:
         """The newest record of a message lies here now, with all that is known of it."""
         with_old = self.segments.get(stored.home)
-        self.unnote(stored)
+        self.clear_notes(stored)
         if with_old is not None and with_old.number != segment.number:
-            self._less(with_old, stored)
+            self._subtract_base(with_old, stored)
             with_old.moved.add(stored.number)
             self.moving.add(with_old.number)
         elif with_old is not None:
-            self._less(with_old, stored)
+            self._subtract_base(with_old, stored)
         stored.home, stored.at, stored.weight = segment.number, at, weight
         segment.bases.add(stored.number)
         segment.weight += weight
@@ -86,53 +93,54 @@
         self.largest = max(self.largest, weight)
         self.messages[stored.number] = stored
 
-    def noted(self, stored: StoredMessage, segment: Segment, whole: bool = False) -> None:
-        """News of a message lies here; `whole`: all that is known of it, so that older news does not matter."""
+    def note_written(self, stored: StoredMessage, segment: Segment, whole: bool = False) -> None:
+        """A short record of a message lies here; `whole`: it holds all that is known, so older ones do not matter."""
         if whole:
-            self.unnote(stored)
+            self.clear_notes(stored)
         if segment.number not in stored.noted:
             stored.noted.append(segment.number)
             segment.notes.add(stored.number)
             self.notes += 1
-            self.live += OF_STATE
+            self.live += STATE_RECORD_BYTES
 
-    def unnote(self, stored: StoredMessage) -> None:
+    def clear_notes(self, stored: StoredMessage) -> None:
+        """No short record of a message matters any more."""
         for number in stored.noted:
             segment = self.segments.get(number)
             if segment is not None and stored.number in segment.notes:
                 segment.notes.discard(stored.number)
                 self.notes -= 1
-                self.live -= OF_STATE
+                self.live -= STATE_RECORD_BYTES
         stored.noted.clear()
 
-    def over(self, stored: StoredMessage) -> set[int]:
+    def message_over(self, stored: StoredMessage) -> set[int]:
         """A message has ended; the segments that hold a record of it."""
         self.messages.pop(stored.number, None)
-        self.unnote(stored)
+        self.clear_notes(stored)
         holders = {number for number in self.moving if stored.number in self.segments[number].moved}
         home = self.segments.get(stored.home)
         if home is not None:
-            self._less(home, stored)
+            self._subtract_base(home, stored)
             holders.add(home.number)
         return holders
 
-    def buried(self, number: int, holders: set[int], segment: Segment) -> None:
+    def end_written(self, number: int, holders: set[int], segment: Segment) -> None:
         """The record of an end lies here; it matters while an older record of the message lies elsewhere."""
         holders = {each for each in holders if each in self.segments}
         if not holders - {segment.number}:
             return
         for each in holders:
             self.segments[each].dead.add(number)
-        self._entomb(number, segment, holders)
+        self._add_tombstone(number, segment, holders)
 
-    def reburied(self, number: int, segment: Segment) -> None:
+    def end_rewritten(self, number: int, segment: Segment) -> None:
         """The record of an end was written again, here."""
-        before = self.tombs.get(number)
+        before = self.tombstones.get(number)
         if before is None:
             return
-        self._exhume(number)
+        self._remove_tombstone(number)
         if before[1] - {segment.number}:
-            self._entomb(number, segment, before[1])
+            self._add_tombstone(number, segment, before[1])
 
     def dropped(self, segment: Segment) -> None:
         """A segment is gone, and with it every record in it."""
@@ -140,22 +148,22 @@
         del self.segments[segment.number]
         self.moving.discard(segment.number)
         for number in segment.dead:
-            place = self.tombs.get(number)
+            place = self.tombstones.get(number)
             if place is None:
                 continue
             place[1].discard(segment.number)
             if not place[1] - {place[0]}:
-                self._exhume(number)
+                self._remove_tombstone(number)
 
-    def strange(self, segment: Segment, at: int, size: int) -> None:
+    def add_unknown(self, segment: Segment, at: int, size: int) -> None:
         """A record that this version does not know lies here."""
-        segment.strange.append((at, size))
-        segment.strange_bytes += size
+        segment.unknown.append((at, size))
+        segment.unknown_bytes += size
         self.live += size
 
-    def promised(self) -> int:
+    def promised_bytes(self) -> int:
         """Bytes that short records on all that lives may come to need, beyond what they take now."""
-        return max(0, len(self.messages) - self.notes) * OF_STATE
+        return max(0, len(self.messages) - self.notes) * STATE_RECORD_BYTES
 
     def check(self) -> None:
         """Whether the sums are right; for tests and `store verify`. AssertionError where they are not."""
@@ -165,29 +173,30 @@
             assert segment.weight == sum(self.messages[number].weight for number in segment.bases)
             assert all(self.messages[number].home == segment.number for number in segment.bases)
             assert all(segment.number in self.messages[number].noted for number in segment.notes)
-            assert all(self.tombs[number][0] == segment.number for number in segment.tombs)
+            assert all(self.tombstones[number][0] == segment.number for number in segment.tombstones)
         assert all(self.segments[stored.home] for stored in self.messages.values())
 
-    def walk(self, segment: Segment) -> list[int]:
+    def records_to_move(self, segment: Segment) -> list[int]:
         """Everything in a segment that must be moved, by number."""
-        return [*segment.bases, *(segment.notes - segment.bases), *segment.tombs]
+        return [*segment.bases, *(segment.notes - segment.bases), *segment.tombstones]
 
-    def _less(self, segment: Segment, stored: StoredMessage) -> None:
+    def _subtract_base(self, segment: Segment, stored: StoredMessage) -> None:
+        """The newest record of a message is not in this segment any more."""
         if stored.number in segment.bases:
             segment.bases.discard(stored.number)
             segment.weight -= stored.weight
             self.live -= stored.weight
 
-    def _entomb(self, number: int, segment: Segment, holders: set[int]) -> None:
-        self.tombs[number] = segment.number, holders
-        segment.tombs.add(number)
-        self.live += OF_OVER
+    def _add_tombstone(self, number: int, segment: Segment, holders: set[int]) -> None:
+        self.tombstones[number] = segment.number, holders
+        segment.tombstones.add(number)
+        self.live += OVER_RECORD_BYTES
 
-    def _exhume(self, number: int) -> None:
-        segment = self.segments.get(self.tombs.pop(number)[0])
-        if segment is not None and number in segment.tombs:
-            segment.tombs.discard(number)
-            self.live -= OF_OVER
+    def _remove_tombstone(self, number: int) -> None:
+        segment = self.segments.get(self.tombstones.pop(number)[0])
+        if segment is not None and number in segment.tombstones:
+            segment.tombstones.discard(number)
+            self.live -= OVER_RECORD_BYTES
 
 
 Say = Callable[[str], None]
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -48,7 +48,7 @@
         len(found.segment_index.messages),
         sum(each.end is not None for each in stored),
         sum(bool(each.doubt_at) for each in stored),
-        found.strangers,
+        found.unknown_records,
         found.segment_index.live,
         sum(segment.physical for segment in found.segment_index.segments.values()),
         findings,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -568,7 +568,7 @@
         made.append_record(b"\x63" + b"future", RecordUse.SHORT_RECORD)
         segment = made.active
         assert segment is not None
-        made.segment_index.strange(segment, segment.size - 7, 7)
+        made.segment_index.add_unknown(segment, segment.size - 7, 7)
         for number in list(made.messages):
             made.over(number)
         for number in range(100, 300):
