--- a/cedarwick/store/files.py
+++ b/cedarwick/store/files.py
@@ -99,9 +99,9 @@
     return sorted(int(found[1]) for name in names if (found := pattern.fullmatch(name)))
 
 
-def quietly(call: Callable[..., None], *told: object) -> bool:
+def quietly(call: Callable[..., None], *arguments: object) -> bool:
     """Whether a call went well that may fail without harm."""
     with contextlib.suppress(OSError):
-        call(*told)
+        call(*arguments)
         return True
     return False
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -56,7 +56,7 @@
         self.folder = Folder(folder) if isinstance(folder, str) else folder
         self.now = now
         self.durable = durable
-        self.by_copy = False  # ends are told only once other senders know of them
+        self.by_copy = False  # ends are answered only once other senders know of them
         self.awaited = durable  # whether what is answered waits for `flush`
         self.wanted_segment = segment
         self.segment_index = SegmentIndex()
@@ -184,7 +184,7 @@
         return self.fits(stored)
 
     def fits(self, stored: StoredMessage) -> bool:
-        """Whether a message can be kept, with room for the short records that it will need."""
+        """Whether a message can be stored, with room for the short records that it will need."""
         weighed = self.weighed(stored)
         if weighed > self.spare:
             self.estimate_room()
@@ -196,7 +196,7 @@
         self.floor, self.spare = compaction_planner.reserve(sizes), compaction_planner.room(sizes)
 
     def room_for(self) -> int:
-        """How many more messages like those that are kept the folder has room for; reckoned anew where few."""
+        """How many more messages of the mean size of those stored the folder has room for."""
         mean = max(
             (self.segment_index.live + self.segment_index.promised_bytes()) // max(1, len(self.messages)) + 1,
             records.STATE_RECORD_BYTES,
@@ -233,7 +233,7 @@
         self._write_or_owe(OUTCOME_BODY.pack(OUTCOME, number, OUTCOMES.index(outcome)), self._when_written(stored))
 
     def may_have_run(self, number: int, at: int, zone: int) -> None:
-        """Another sender has told of an attempt that may have run, before all that are known here."""
+        """Another sender knows of an attempt that may have run, before all that are known here."""
         stored = self.messages[number]
         stored.ran_at, stored.ran_zone = at, zone
         self._write_or_owe(records.state(stored), self._when_written(stored))
--- a/cedarwick/store/legacy_format.py
+++ b/cedarwick/store/legacy_format.py
@@ -11,8 +11,8 @@
 from cedarwick.store.records import OUTCOMES, InvalidRecordError, StoredMessage
 
 HEAD = struct.Struct("<II")  # length of the payload, checksum
-KEPT, ATTEMPT, OUTCOME, END, OVER, WHOLE = range(1, 7)
-KEPT_BODY = struct.Struct("<BQQQIHHHH")
+MESSAGE, ATTEMPT, OUTCOME, END, OVER, WHOLE = range(1, 7)
+MESSAGE_BODY = struct.Struct("<BQQQIHHHH")
 ATTEMPT_BODY = struct.Struct("<BQQH")
 OUTCOME_BODY = struct.Struct("<BQB")
 END_BODY = struct.Struct("<BQBI")
@@ -46,9 +46,9 @@
     kind = payload[0]
     if kind == WHOLE:
         stored.clear()  # this file holds all that was live when it was begun
-    elif kind == KEPT:
-        _, number, limit, turn, destination, *sizes = KEPT_BODY.unpack_from(payload)
-        at, texts = KEPT_BODY.size, []
+    elif kind == MESSAGE:
+        _, number, limit, turn, destination, *sizes = MESSAGE_BODY.unpack_from(payload)
+        at, texts = MESSAGE_BODY.size, []
         for size in sizes:
             texts.append(payload[at : at + size].decode())
             at += size
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -88,10 +88,10 @@
         self.out_at = 0
 
     def earlier_attempts(self) -> list[EarlierAttempt]:
-        """What the decisions are told of them after a restart."""
+        """Its attempts, for the decisions after a restart."""
         may_have = [(self.doubt_at, NOWHERE), (self.ran_at, self.ran_zone), (self.out_at, self.out_zone)]
-        told = [EarlierAttempt(at, zone, None) for at, zone in sorted(may_have) if at]
-        return told + [EarlierAttempt(0, 0, Outcome.MOOT)] * (self.attempts - len(told))
+        uncertain = [EarlierAttempt(at, zone, None) for at, zone in sorted(may_have) if at]
+        return uncertain + [EarlierAttempt(0, 0, Outcome.MOOT)] * (self.attempts - len(uncertain))
 
 
 class Header(NamedTuple):
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -11,8 +11,8 @@
 from cedarwick.store.journal import Store
 from cedarwick.store.recovery import Recovered, recover
 
-TRIES = 20  # looks at a folder that changes under a backup
-PART = 1 << 20
+MAX_BACKUP_ROUNDS = 20  # looks at a folder that changes under a backup
+COPY_BYTES = 1 << 20  # that are copied at once
 
 
 class BackupError(CedarwickError, OSError):
@@ -101,7 +101,7 @@
     newest of them says is the state of one moment.
     """
     os.mkdir(to)
-    for _ in range(TRIES):
+    for _ in range(MAX_BACKUP_ROUNDS):
         files = opened(path)
         try:
             if files is None or not complete(path, files):
@@ -145,7 +145,7 @@
 def copy(file: int, size: int, to: str) -> None:
     with open(to, "xb") as target:
         at = 0
-        while at < size and (part := os.pread(file, min(PART, size - at), at)):
+        while at < size and (part := os.pread(file, min(COPY_BYTES, size - at), at)):
             target.write(part)
             at += len(part)
         target.flush()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -619,7 +619,7 @@
         parts = [legacy_format.OVER_BODY.pack(legacy_format.WHOLE, 0)]
         for number in (1, 2, 3, 4):
             texts = [b"id-%d" % number, b"", b"band", b""]
-            head = legacy_format.KEPT_BODY.pack(legacy_format.KEPT, number, 10**15, 0, 0, *map(len, texts))
+            head = legacy_format.MESSAGE_BODY.pack(legacy_format.MESSAGE, number, 10**15, 0, 0, *map(len, texts))
             parts.append(head + b"".join(texts) + b"body")
         parts += [
             legacy_format.ATTEMPT_BODY.pack(legacy_format.ATTEMPT, 1, 50, 0),
