--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -30,7 +30,9 @@
     together,
     with_end,
 )
-from cedarwick.store.journal import BodyLostError, NoSpaceError, Store
+from cedarwick.store.bodies import BodyLostError
+from cedarwick.store.files import NoSpaceError
+from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
 
 BLOCK = 1 << 16  # numbers that are reserved at once: so many are skipped at a restart
--- a/cedarwick/store/files.py
+++ b/cedarwick/store/files.py
@@ -20,6 +20,13 @@
     remedy = "end the other process, or give this one a folder of its own"
 
 
+class NoSpaceError(CedarwickError):
+    """The folder has no room for a record, or the disk does not take it."""
+
+    code = "CW202"
+    remedy = "raise limits.disk_mb or free the disk; `cedarwick store verify` says what lives in the folder"
+
+
 class DiskError(CedarwickError):
     """The system refused a write, a sync or a deletion; the sender goes on without it."""
 
@@ -92,9 +99,9 @@
     return sorted(int(found[1]) for name in names if (found := pattern.fullmatch(name)))
 
 
-def quietly(call: Callable[..., None], *told: object) -> bool:
+def quietly(call: Callable[..., None], *arguments: object) -> bool:
     """Whether a call went well that may fail without harm."""
     with contextlib.suppress(OSError):
-        call(*told)
+        call(*arguments)
         return True
     return False
