--- a/cedarwick/fleet/leased_partition.py
+++ b/cedarwick/fleet/leased_partition.py
@@ -6,7 +6,8 @@
 from cedarwick.fleet.replication import ReplicationLog
 from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, base_of, with_end
 from cedarwick.fleet.takeover import Takeover
-from cedarwick.store.journal import BodyLostError, Store
+from cedarwick.store.bodies import BodyLostError
+from cedarwick.store.journal import Store
 
 # Microseconds that a copy may lag before its partition is not fired for, and nothing waits for the copy any more.
 STARVED = 500_000
