--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -1,8 +1,10 @@
-"""One real sender, from its start until SIGTERM."""
+"""One sender process: wiring of its parts, start-up, reload on SIGHUP, shutdown or hand-over on SIGTERM."""
 
 import os
 import signal
 import sys
+from collections.abc import Iterator
+from contextlib import contextmanager
 from typing import TYPE_CHECKING
 
 import gevent
@@ -33,18 +35,23 @@
     from cedarwick.config.operator import Operator
     from cedarwick.fleet.node import FleetNode
 
-OPERATOR = "CEDARWICK_OPERATOR"  # names the operator file; without it nothing of that is loaded
-STAY = 2.2  # seconds from SIGTERM in which the decisions go on with what is kept; a second is left to what is out
-DRAIN = 3.2  # seconds from SIGTERM to the end; SIGKILL may come half a second later
-LAST = 0.15  # seconds after that for the answers to requests that were read
-# At a replacement: seconds for requests that were read to be answered, then for attempts that are out to end,
-# then for clients that were let go to close, before the folder is the next process's.
-HANDOVER, ANSWERING, LINGERING = 0.2, 0.05, 1.1
-FIRST_NEWS = 0.2  # seconds that the decisions wait for it; a client that has its PONG waits 0.4 for an answer
-FIRST_ATTEMPT = (
-    0.8  # and seconds more for which messages are kept and answered, but not attempt; silence is told by then
-)
-LOOK = 0.01  # seconds between two looks at a folder that another process still holds
+OPERATOR = "CEDARWICK_OPERATOR"  # names the operator file; where it is not set, the config package is not loaded
+
+# From SIGTERM on, where no next process has the clients' socket:
+DECIDING_AFTER_SIGTERM_S = 2.2  # the decisions go on with what is stored; a second is left to what is out
+DRAIN_DEADLINE_S = 3.2  # the end; SIGKILL may come half a second later
+DRAIN_POLL_INTERVAL_S = 0.02  # between two looks whether anything is still out
+LAST_ANSWERS_S = 0.15  # after that, for the answers to requests that were read
+
+# At most, from SIGTERM on where the next process has the clients' socket, one after the other:
+HANDOVER_IDLE_S = 0.2  # for requests that were read to be answered and attempts that are out to end
+HANDOVER_ANSWERS_S = 0.05  # for answers that are being written; then the folder is the next process's
+HANDOVER_CLIENT_CLOSE_S = 1.1  # for clients that were let go to close
+
+FIRST_LIST_UPDATE_S = 0.2  # that the decisions wait for it; a client that has its PONG waits 0.4 for an answer
+# And for so long after that, messages are stored and answered, but not attempted; by then silence counts as an answer.
+FIRST_ATTEMPT_S = 0.8
+POLL_INTERVAL_S = 0.01  # between two looks at a folder that another process still holds, or at what is to end
 
 
 class StartupError(CedarwickError):
@@ -55,7 +62,10 @@
 
 
 def main() -> int:
-    """Run a sender with what the environment tells; the exit status: 0, or 2 where it cannot start."""
+    """Run a sender as the environment configures it.
+
+    Returns the exit status: 0, or 2 where it cannot start; the reason is then on standard error.
+    """
     log_to_stderr("INFO", as_json=False)
     replaced = gevent.event.Event()
     gevent.signal_handler(signal.SIGHUP, replaced.set)  # first of all: it must not end a starting process
@@ -68,13 +78,16 @@
 
 
 def log_to_stderr(level: str, as_json: bool) -> None:
-    """From now on the log has this level, and is text or one JSON object a line."""
+    """Write the log to standard error from this level on, as text or as one JSON object a line."""
     logger.remove()
     logger.add(sys.stderr, format="{level} {message}", level=level, serialize=as_json, backtrace=False, diagnose=False)
 
 
 def read_operator() -> "Operator | None":
-    """What the operator file says; None where none is named, `BadFile` where it cannot be used."""
+    """The operator file that the environment names; None where it names none.
+
+    Raises a `CedarwickError` where the file cannot be used.
+    """
     path = os.environ.get(OPERATOR, "")
     if not path:
         return None
@@ -91,214 +104,296 @@
 
 
 def serve(assignment: Assignment, operator: "Operator | None", replaced: gevent.event.Event) -> int:
-    """Start the parts, wait for SIGTERM, end them; `replaced` tells of a new configuration."""
-    clock, counters = Clock(), Counters()
-    obey(operator, counters)
-    inherited = inherited_listener(os.environ)
-    descriptors = DescriptorBudget(assignment.descriptors)
-    store = folder_of(assignment, operator, clock)
-    try:
-        polled = PollClock(clock)
-        dispatcher = Dispatcher(assignment, clock, counters, store, polled)
-        # On sockets news counts as told by one clock, whatever the settings allow after a call that failed.
+    """Run one sender until SIGTERM or SIGINT and return its exit status.
+
+    `replaced` is set by SIGHUP: the configuration is then read again. Raises a `CedarwickError` where the sender cannot
+    start.
+    """
+    process = SenderProcess(assignment, operator, replaced)
+    process.start()
+    process.stopping.wait()
+    process.shut_down()
+    return 0
+
+
+class SenderProcess:
+    """The parts of one sender, wired together here, and their life: start-up, reload, shutdown or hand-over.
+
+    The constructor opens the folder's store object and the listening sockets, but starts nothing.
+    """
+
+    connections: ConnectionPool  # this and the next two exist once `start` holds the folder
+    notifier: Notifier
+    node: "FleetNode | None"
+
+    def __init__(self, assignment: Assignment, operator: "Operator | None", replaced: gevent.event.Event) -> None:
+        self.assignment = assignment
+        self.operator = operator
+        self.replaced = replaced
+        self.stopping = gevent.event.Event()
+        self.greenlets: list[gevent.Greenlet] = []  # those that must not end before the process does
+        self.clock, self.counters = Clock(), Counters()
+        obey(operator, self.counters)
+        self.inherited = inherited_listener(os.environ)
+        self.descriptors = DescriptorBudget(assignment.descriptors)
+        self.store = folder_of(assignment, operator, self.clock)
+        with startup_errors():
+            self.poll_clock = PollClock(self.clock)
+            self.dispatcher = self._new_dispatcher()
+            self.endpoint_list = EndpointList(
+                assignment, self.counters, self.dispatcher.listed, self.dispatcher.list_poll_failed
+            )
+            self.client_listener = ClientListener(
+                assignment.listen,
+                self.clock,
+                self.counters,
+                self.descriptors,
+                self.dispatcher,
+                self._ready,
+                listener=self.inherited,
+            )
+            self.staff = Staff(
+                self._ready, self.client_listener, self.endpoint_list, assignment.folder, self._metrics_text
+            )
+            self.staff.taking = True
+            self.management = (
+                Management(assignment.management, self.counters, self.staff.answer) if assignment.management else None
+            )
+
+    def start(self) -> None:
+        """Take the folder, go on with what it holds and start every part; raises a `CedarwickError` if it cannot."""
+        with startup_errors():
+            holds_folder = hold(self.store, replacing=self.inherited is not None)
+        self._learn_known_list()
+        self.staff.take_over()
+        if self.management is not None:
+            self.greenlets.append(gevent.spawn(self.management.serve))
+        if not holds_folder:
+            self._wait_for_folder()
+        self._connect_dispatcher()
+        self.dispatcher.resume()
+        take_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
+        self.node = join_fleet(self.assignment, self.operator, self.store, self.clock, self.counters)
+        if not self.clock.in_step():
+            logger.error("the clock does not move on while the process waits")
+        gevent.signal_handler(signal.SIGTERM, self.stopping.set)
+        gevent.signal_handler(signal.SIGINT, self.stopping.set)
+        gevent.signal_handler(signal.SIGUSR1, self.counters.print)
+        self._spawn_parts(watch_list=holds_folder)  # without the folder, the watch has run since the wait for it
+        self._start_node()
+        for greenlet in self.greenlets:
+            greenlet.link_exception(broken)
+        logger.info("{} listens on {}:{}", self.assignment.name, *self.assignment.listen)
+
+    def shut_down(self) -> None:
+        """End every part within the time that SIGTERM leaves, handing over where a next process has the socket."""
+        self.staff.taking = False
+        logger.info("ending: {} messages kept", len(self.store.messages))
+        if self.inherited is not None:
+            self._hand_over()
+        else:
+            self._drain()
+        self.counters.print()
+
+    def _new_dispatcher(self) -> Dispatcher:
+        dispatcher = Dispatcher(self.assignment, self.clock, self.counters, self.store, self.poll_clock)
+        # On sockets a list update counts as learned by one clock, whatever the settings allow after a failed call.
         dispatcher.sender.max_poll_backoff = min(dispatcher.sender.max_poll_backoff, LIST_WAIT)
-        endpoint_list = EndpointList(assignment, counters, dispatcher.listed, dispatcher.list_poll_failed)
-        client_listener = ClientListener(
-            assignment.listen,
-            clock,
-            counters,
-            descriptors,
-            dispatcher,
-            lambda: endpoint_list.known and store.taking(),
-            listener=inherited,
-        )
-        staff = Staff(
-            lambda: endpoint_list.known and store.taking(),
-            client_listener,
-            endpoint_list,
-            assignment.folder,
-            lambda: counters.figures.text(*gauges(dispatcher, endpoint_list)),
-        )
-        staff.taking = True
-        management = Management(assignment.management, counters, staff.answer) if assignment.management else None
-        held = hold(store, replacing=inherited is not None)
-    except CedarwickError as error:
-        raise error.within("cannot start") from None
-    except (OSError, ValueError, KeyError) as error:
-        raise StartupError(f"cannot start: {type(error).__name__}: {error}") from None
-    if assignment.known:
-        # Danger: the saved list replaces the whole list; told after the watch's news it would undo them.
+        return dispatcher
+
+    def _ready(self) -> bool:
+        return self.endpoint_list.known and self.store.taking()
+
+    def _metrics_text(self) -> str:
+        return self.counters.figures.text(*gauges(self.dispatcher, self.endpoint_list))
+
+    def _learn_known_list(self) -> None:
+        """Begin with the list of receivers that the assignment saved."""
+        if not self.assignment.known:
+            return
+        # Danger: the saved list replaces the whole list; learned after an update of the watch it would undo that.
         try:
-            endpoint_list.learn(assignment.known, saved=True)
+            self.endpoint_list.learn(self.assignment.known, saved=True)
         except ValueError as error:
             raise AssignmentError(f"the known list cannot be read: {error}") from None
-    staff.take_over()
-    early = []
-    if management is not None:
-        early.append(gevent.spawn(management.serve))
-    if not held:
+
+    def _wait_for_folder(self) -> None:
+        """Wait until the process that this one replaces has let the folder go, watching the list meanwhile."""
         # Danger: the process that is replaced ends only once this one says yes, and holds the folder until then.
-        logger.info("{} waits for the folder of the process it replaces", assignment.name)
-        early.append(gevent.spawn(endpoint_list.watch))
-        try:
-            while not hold(store, replacing=True):
-                gevent.sleep(LOOK)
-        except CedarwickError as error:
-            raise error.within("cannot start") from None
-        except (OSError, ValueError, KeyError) as error:
-            raise StartupError(f"cannot start: {type(error).__name__}: {error}") from None
-        logger.info("{} holds the folder", assignment.name)
-        staff.take_over()
+        logger.info("{} waits for the folder of the process it replaces", self.assignment.name)
+        self.greenlets.append(gevent.spawn(self.endpoint_list.watch))
+        with startup_errors():
+            while not hold(self.store, replacing=True):
+                gevent.sleep(POLL_INTERVAL_S)
+        logger.info("{} holds the folder", self.assignment.name)
+        self.staff.take_over()
         # Danger: no round has run yet that could have wanted a call which failed in the meantime made anew.
-        endpoint_list.ask()
-    links = ConnectionPool(
-        clock,
-        counters,
-        descriptors,
-        endpoint_list.address_of,
-        dispatcher.sender.connection_lifetime,
-        duration_setting(assignment.settings, "policy-limits.connect-timeout-ms", 1000.0),
-    )
-    notices = dispatcher.notices = Notifier(assignment.platform, counters, dispatcher.acknowledged)
-    dispatcher.attempts = AttemptRunner(
-        clock,
-        counters,
-        links,
-        dispatcher.sender.columns,
-        polled,
-        dispatcher.clear,
-        dispatcher.attempt_ended,
-        dispatcher.heed,
-        dispatcher.may_fire,
-    )
-    dispatcher.free_links, dispatcher.ask_for_list = links.free, endpoint_list.ask
-    dispatcher.resume()
-    take_waits(assignment.folder, endpoint_list, dispatcher)
-    node = join_fleet(assignment, operator, store, clock, counters)
-    if not clock.in_step():
-        logger.error("the clock does not move on while the process waits")
-
-    def follow_configuration() -> None:
-        """Never returns: takes over what a new configuration changes in service."""
-        now_held = assignment
+        self.endpoint_list.ask()
+
+    def _connect_dispatcher(self) -> None:
+        """Give the dispatcher its way out: connections, notifications and the attempts that use them."""
+        dispatcher = self.dispatcher
+        self.connections = ConnectionPool(
+            self.clock,
+            self.counters,
+            self.descriptors,
+            self.endpoint_list.address_of,
+            dispatcher.sender.connection_lifetime,
+            duration_setting(self.assignment.settings, "policy-limits.connect-timeout-ms", 1000.0),
+        )
+        self.notifier = dispatcher.notices = Notifier(self.assignment.platform, self.counters, dispatcher.acknowledged)
+        dispatcher.attempts = AttemptRunner(
+            self.clock,
+            self.counters,
+            self.connections,
+            dispatcher.sender.columns,
+            self.poll_clock,
+            dispatcher.clear,
+            dispatcher.attempt_ended,
+            dispatcher.heed,
+            dispatcher.may_fire,
+        )
+        dispatcher.free_links, dispatcher.ask_for_list = self.connections.free, self.endpoint_list.ask
+
+    def _spawn_parts(self, watch_list: bool) -> None:
+        """Start the parts that run until the process ends, in this order."""
+        deciding = gevent.spawn(self._decide)
+        self.accepting = gevent.spawn(self.client_listener.accept)
+        self.greenlets += [deciding, self.accepting]
+        later = [
+            self.connections.sweep,
+            self.notifier.run,
+            self.counters.watch_lag,
+            self.counters.report,
+            self._follow_configuration,
+        ]
+        if watch_list:
+            later.append(self.endpoint_list.watch)
+        self.greenlets += [gevent.spawn(part) for part in later]
+
+    def _start_node(self) -> None:
+        """Connect the member of the fleet, if there is one, to the parts it shares and start it."""
+        node = self.node
+        if node is None:
+            return
+        node.sharing.attach(self.staff, self.endpoint_list, self.dispatcher)
+        node.exchange.attach(self.staff, self.endpoint_list, self.dispatcher, node.halls[self.assignment.name])
+        if node.traffic is not None:
+            node.traffic.attach(self.staff, self.client_listener, self.dispatcher)
+        self.greenlets += node.start(self.dispatcher)
+
+    def _decide(self) -> None:
+        """Never returns: runs the dispatcher once the agent has said what it has, or has been silent for too long."""
+        # Danger: an attempt of a stored message would go to a receiver that is draining, which the saved list
+        # does not know.
+        if not self.endpoint_list.first_news.wait(FIRST_LIST_UPDATE_S):
+            self.dispatcher.holding_fire = self.dispatcher.keeping = True
+            gevent.spawn(self._attempt_after_silence)
+        self.dispatcher.run()
+
+    def _attempt_after_silence(self) -> None:
+        self.endpoint_list.first_news.wait(FIRST_ATTEMPT_S)
+        self.dispatcher.queue.put((self._allow_attempts, ()))
+
+    def _allow_attempts(self) -> None:
+        # Danger: at the end of the process the dispatcher holds fire for good.
+        if not self.stopping.is_set():
+            self.dispatcher.holding_fire = self.dispatcher.keeping = False
+
+    def _follow_configuration(self) -> None:
+        """Never returns: after each SIGHUP, takes over what a new configuration changes in service."""
+        current = self.assignment
         while True:
-            replaced.wait()
-            replaced.clear()
+            self.replaced.wait()
+            self.replaced.clear()
             try:
-                told, operated = read(os.environ), read_operator()
+                assignment, operator = read(os.environ), read_operator()
             except CedarwickError as error:
                 logger.error("the configuration stays as it was: {}", error.line)
                 continue
-            if told.platform != now_held.platform:
-                endpoint_list.move(told.platform)
-                notices.move(told.platform)
-            obey(operated, counters)
-            if node is not None and operated is not None and operated.fleet is not None:
-                node.replace(operated.fleet)
-            elif node is not None or operated is not None and operated.fleet is not None:
-                logger.error("whether this sender is a member of a fleet is taken over at a start only")
-            descriptors.set_limit(told.descriptors)
-            store.set_limit(told.disk_bytes)
-            counters.add("configurations taken over")
-            logger.info(
-                "configuration read again: platform {}:{}; for the next start: {}",
-                *told.platform,
-                ", ".join(now_held.fixed_and_other(told)) or "nothing",
-            )
-            now_held = told
-
-    def decide() -> None:
-        """Never returns: the dispatcher, once the agent has said what it has.
-
-        That counts as told from the first moment.
-        """
-        # Danger: an attempt of a kept message would go to a receiver that the saved list does not know to be draining.
-        if not endpoint_list.first_news.wait(FIRST_NEWS):
-            dispatcher.holding_fire = dispatcher.keeping = True
-            gevent.spawn(fire)
-        dispatcher.run()
-
-    def fire() -> None:
-        endpoint_list.first_news.wait(FIRST_ATTEMPT)
-        dispatcher.queue.put((begin, ()))
+            self._reload(current, assignment, operator)
+            current = assignment
+
+    def _reload(self, current: Assignment, assignment: Assignment, operator: "Operator | None") -> None:
+        """Take over what may change in service; what differs beside that is named in the log, for the next start."""
+        if assignment.platform != current.platform:
+            self.endpoint_list.move(assignment.platform)
+            self.notifier.move(assignment.platform)
+        obey(operator, self.counters)
+        if self.node is not None and operator is not None and operator.fleet is not None:
+            self.node.replace(operator.fleet)
+        elif self.node is not None or operator is not None and operator.fleet is not None:
+            logger.error("whether this sender is a member of a fleet is taken over at a start only")
+        self.descriptors.set_limit(assignment.descriptors)
+        self.store.set_limit(assignment.disk_bytes)
+        self.counters.add("configurations taken over")
+        logger.info(
+            "configuration read again: platform {}:{}; for the next start: {}",
+            *assignment.platform,
+            ", ".join(current.fixed_and_other(assignment)) or "nothing",
+        )
 
-    def begin() -> None:
-        # Danger: at the end of the process the dispatcher holds fire for good.
-        if not stopping.is_set():
-            dispatcher.holding_fire = dispatcher.keeping = False
-
-    stopping = gevent.event.Event()
-    gevent.signal_handler(signal.SIGTERM, stopping.set)
-    gevent.signal_handler(signal.SIGINT, stopping.set)
-    gevent.signal_handler(signal.SIGUSR1, counters.print)
-    later = (
-        decide,
-        client_listener.accept,
-        links.sweep,
-        notices.run,
-        counters.watch_lag,
-        counters.report,
-        follow_configuration,
-    )
-    parts = early + [gevent.spawn(part) for part in (*later, *((endpoint_list.watch,) if held else ()))]
-    if node is not None:
-        node.sharing.attach(staff, endpoint_list, dispatcher)
-        node.exchange.attach(staff, endpoint_list, dispatcher, node.halls[assignment.name])
-        if node.traffic is not None:
-            node.traffic.attach(staff, client_listener, dispatcher)
-        parts += node.start(dispatcher)
-    for part in parts:
-        part.link_exception(broken)
-    logger.info("{} listens on {}:{}", assignment.name, *assignment.listen)
-    stopping.wait()
-
-    staff.taking = False
-    logger.info("ending: {} messages kept", len(store.messages))
-    if inherited is not None:
-        hand_over(parts[len(early) + later.index(client_listener.accept)], client_listener, dispatcher, store)
-        gevent.killall(parts)
+    def _hand_over(self) -> None:
+        """End at SIGTERM where the platform holds the clients' socket: the next process takes clients and folder."""
+        hand_over(self.accepting, self.client_listener, self.dispatcher, self.store)
+        gevent.killall(self.greenlets)
+        if self.node is not None:
+            self.node.hand_over()
+            self.node.stop()
+        leave_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
+        self.store.close()  # the next process takes the folder from here on
+        with gevent.Timeout(HANDOVER_CLIENT_CLOSE_S, False):
+            while self.client_listener.clients:
+                gevent.sleep(POLL_INTERVAL_S)
+        self.client_listener.end(LAST_ANSWERS_S)
+
+    def _drain(self) -> None:
+        """End at SIGTERM without a successor: go on deciding for a while, then wait for what is still out."""
+        node = self.node
+        if node is not None and node.traffic is not None:
+            node.traffic.leave()
+        self.client_listener.stop()
+        gevent.sleep(DECIDING_AFTER_SIGTERM_S)
+        self.dispatcher.hold_fire(ending=node is not None)
+        with gevent.Timeout(DRAIN_DEADLINE_S - DECIDING_AFTER_SIGTERM_S, False):
+            while not self._drained():
+                gevent.sleep(DRAIN_POLL_INTERVAL_S)
+        self.accepting.kill()
+        self.client_listener.end(LAST_ANSWERS_S)
+        if node is not None:
+            node.leave()
+        gevent.killall(self.greenlets)
         if node is not None:
-            node.hand_over()
             node.stop()
-        leave_waits(assignment.folder, endpoint_list, dispatcher)
-        store.close()  # the next process takes the folder from here on
-        with gevent.Timeout(LINGERING, False):
-            while client_listener.clients:
-                gevent.sleep(LOOK)
-        client_listener.end(LAST)
-        counters.print()
-        return 0
-    if node is not None and node.traffic is not None:
-        node.traffic.leave()
-    client_listener.stop()
-    gevent.sleep(STAY)
-    dispatcher.hold_fire(ending=node is not None)
-    with gevent.Timeout(DRAIN - STAY, False):
-        while not (
-            dispatcher.idle()
-            and not notices.owed
-            and not client_listener.clients
-            and (node is None or node.traffic is None or node.traffic.left())
-        ):
-            gevent.sleep(0.02)
-    parts[len(early) + later.index(client_listener.accept)].kill()
-    client_listener.end(LAST)
-    if node is not None:
-        node.leave()
-    gevent.killall(parts)
-    if node is not None:
-        node.stop()
-    store.close()
-    counters.print()
-    return 0
+        self.store.close()
+
+    def _drained(self) -> bool:
+        """Whether nothing is out any more: attempts, notifications, clients and moved sessions."""
+        return (
+            self.dispatcher.idle()
+            and not self.notifier.owed
+            and not self.client_listener.clients
+            and (self.node is None or self.node.traffic is None or self.node.traffic.left())
+        )
+
+
+@contextmanager
+def startup_errors() -> Iterator[None]:
+    """Say of errors within the block that the program cannot start: as they are, or as a `StartupError`."""
+    try:
+        yield
+    except CedarwickError as error:
+        raise error.within("cannot start") from None
+    except (OSError, ValueError, KeyError) as error:
+        raise StartupError(f"cannot start: {type(error).__name__}: {error}") from None
 
 
 def folder_of(assignment: Assignment, operator: "Operator | None", clock: Clock) -> Store:
-    """The folder that lasts; one that tells the copies where the operator file has a fleet."""
-    told = operator.store if operator is not None else None
-    durable = told is not None and told.durability == "group"
-    bodies = round(told.bodies_mb * (1 << 20)) if told is not None else BODIES
-    segment = round(told.segment_kb * 1024) if told is not None else 0
+    """The store in the state folder; one that replicates to other members where the operator file has a fleet."""
+    limits = operator.store if operator is not None else None
+    durable = limits is not None and limits.durability == "group"
+    bodies = round(limits.bodies_mb * (1 << 20)) if limits is not None else BODIES
+    segment = round(limits.segment_kb * 1024) if limits is not None else 0
     fleet = operator.fleet if operator is not None else None
     if fleet is None:
         return Store(
@@ -335,7 +430,7 @@
 
 
 def gauges(dispatcher: Dispatcher, endpoint_list: EndpointList) -> tuple[int, int, int]:
-    """Messages taken and not ended, receivers listed, and those of them avoided by hand or by choice."""
+    """Messages taken and not ended, receivers listed, and how many of these are suspended by hand or avoided."""
     listed = {
         endpoint_list.numbers[uid]
         for uid, listing in endpoint_list.last.items()
@@ -347,7 +442,7 @@
 
 
 def leave_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-    """The waits that receivers told this process, for the one that replaces it; written before the folder goes."""
+    """Write the Retry-After waits of receivers for the process that replaces this one, before the folder is let go."""
     uids = {number: uid for uid, number in endpoint_list.numbers.items()}
     heeded = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
     waits = {uids[receiver]: until for receiver, until in heeded if receiver in uids}
@@ -358,7 +453,7 @@
 
 
 def take_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-    """The waits that the replaced process heeded, told to the decisions after the saved list."""
+    """Heed the Retry-After waits that the replaced process left; the saved list must be known by then."""
     try:
         waits = saved_state.take_waits(folder)
     except saved_state.UnreadableFileError as error:
@@ -370,7 +465,10 @@
 
 
 def hold(store: Store, replacing: bool) -> bool:
-    """Whether the folder is held and read; False where the process that is replaced holds it still."""
+    """Whether the folder is held and read; False where the process that is replaced holds it still.
+
+    Raises what `Store.load` raises; `FolderInUseError` only where no process is being replaced.
+    """
     try:
         store.load()
     except FolderInUseError:
@@ -383,20 +481,20 @@
 def hand_over(
     accepting: gevent.Greenlet, client_listener: ClientListener, dispatcher: Dispatcher, store: Store
 ) -> None:
-    """At SIGTERM with the platform's socket: new clients go to the next process, this one lets the folder go."""
+    """Stop taking clients and end what is out, so that the next process may take the folder."""
     accepting.kill()
     client_listener.listener.close()  # only this process's descriptor: the platform's socket stays open
     # Danger: the next process accepts nobody while this one holds the folder; clients wait 400 ms at most.
-    # Kept connections are served meanwhile, each let go after its answer; messages are kept, not attempt.
+    # Open connections are served meanwhile, each let go after its answer; messages are stored, not attempted.
     client_listener.still_taking = client_listener.closing = True
     dispatcher.hold_fire(keeping=True)
-    with gevent.Timeout(HANDOVER, False):
+    with gevent.Timeout(HANDOVER_IDLE_S, False):
         while not dispatcher.idle():
-            gevent.sleep(LOOK)
+            gevent.sleep(POLL_INTERVAL_S)
     client_listener.stop()
-    with gevent.Timeout(ANSWERING, False):
+    with gevent.Timeout(HANDOVER_ANSWERS_S, False):
         while client_listener.mid_request():
-            gevent.sleep(LOOK)
+            gevent.sleep(POLL_INTERVAL_S)
     client_listener.still_taking = False
     logger.info(
         "handing over: {} messages kept, {} attempts without an outcome",
@@ -408,6 +506,6 @@
 
 
 def broken(part: gevent.Greenlet) -> None:
-    """A part that should never return has failed: without it the sender only seems to live."""
+    """End the process at once: a part that should never return has failed, and the sender would only seem to live."""
     logger.error("a part of the sender ended: {!r}", part.exception)
     os._exit(1)
