--- a/cedarwick/adapter/__init__.py
+++ b/cedarwick/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire in front of the decisions."""
+"""The decisions behind the simulator's wire protocol."""
--- a/cedarwick/adapter/codec.py
+++ b/cedarwick/adapter/codec.py
@@ -1,4 +1,7 @@
-"""Frames and records of the wire. Milliseconds become whole microseconds here and nowhere else."""
+"""Frames and records of the simulator's wire: little-endian, without padding.
+
+Milliseconds of the wire become whole microseconds here and nowhere else.
+"""
 
 import struct
 from collections.abc import Iterator
@@ -9,6 +12,7 @@
 
 BATCH_HEADER = struct.Struct("<dII")
 REPLY_HEADER = struct.Struct("<II")
+MAX_TEXT_BYTES = 0xFFFF  # of a log line or a reason; the rest is cut off
 ENTRY = struct.Struct("<IBBHBfd")
 
 OUTCOMES = {
@@ -48,6 +52,7 @@
         self.at = 0
 
     def fields(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """The next fields of a fixed layout. Raises `WireError`."""
         end = self.at + layout.size
         if end > len(self.data):
             raise WireError(f"a record runs past its frame at byte {self.at}")
@@ -56,6 +61,7 @@
         return values
 
     def raw(self, size: int) -> bytes:
+        """The next bytes as they are. Raises `WireError`."""
         end = self.at + size
         if end > len(self.data):
             raise WireError(f"a record runs past its frame at byte {self.at}")
@@ -78,6 +84,7 @@
 ECHO = struct.Struct("<IIdBB")
 FINISHED = struct.Struct("<IQBHIIBdB")
 
+# The fixed part of each record that is read, by event code.
 FIXED = {
     10: REGISTER,
     20: DATAGRAM,
@@ -94,7 +101,10 @@
 
 
 def read_batch(stream: BinaryIO) -> tuple[int, int, bytes] | None:
-    """The clock, record count and body of the next batch; None at a clean end of input."""
+    """The clock in microseconds, record count and body of the next batch; None at a clean end of input.
+
+    Raises `WireError` where input ends inside a batch.
+    """
     header = stream.read(BATCH_HEADER.size)
     if not header:
         return None
@@ -108,7 +118,7 @@
 
 
 def records(count: int, body: bytes) -> Iterator[tuple[int, tuple[Any, ...], Any]]:
-    """Each record as its code, its fixed fields and what follows them."""
+    """Each record as its code, its fixed fields and what follows them. Raises `WireError`."""
     cursor = Cursor(body)
     for _ in range(count):
         (code,) = cursor.fields(U8)
@@ -129,7 +139,7 @@
 
 
 def listing(entry: tuple[Any, ...]) -> ListedEndpoint:
-    """A line of the list from an entry of `register`."""
+    """A listed endpoint from an entry of `register`. Raises `WireError` for an unknown phase."""
     receiver, zone, kind, destination, phase, rate, _ = entry
     if phase not in PHASES:
         raise WireError(f"unknown phase {phase}")
@@ -137,14 +147,14 @@
 
 
 def outcome_of(code: int) -> Outcome:
-    """The outcome a code stands for."""
+    """The outcome a code stands for. Raises `WireError` for an unknown one."""
     if code not in OUTCOMES:
         raise WireError(f"unknown outcome code {code}")
     return OUTCOMES[code]
 
 
 def settings_of(text: bytes) -> dict[str, str]:
-    """The map of names to values in a `power_on`."""
+    """The settings in a `power_on`, by name. Raises `WireError` where they are not UTF-8."""
     try:
         lines = text.decode("utf-8").splitlines()
     except UnicodeDecodeError:
@@ -154,39 +164,47 @@
 
 
 def hand_off(instance: int, message: int, receiver: int, time_out: int) -> bytes:
+    """Attempt a message at a receiver; `time_out` in microseconds."""
     return struct.pack("<BIQId", 100, instance, message, receiver, time_out / 1000)
 
 
 def deny(instance: int, message: int, wait: int) -> bytes:
+    """Refuse a message; `wait`, until it may be handed in again, in microseconds."""
     return struct.pack("<BIQd", 60, instance, message, wait / 1000)
 
 
 def report_failure(instance: int, message: int) -> bytes:
+    """Write a message off."""
     return struct.pack("<BIQ", 90, instance, message)
 
 
 def free_links(instance: int, receiver: int) -> bytes:
+    """Close the idle connections to a receiver."""
     return struct.pack("<BII", 50, instance, receiver)
 
 
 def subscribe(instance: int) -> bytes:
+    """Ask for updates of the list."""
     return struct.pack("<BIB", 80, instance, 1)
 
 
 def sleep(instance: int, span: int, mark: int) -> bytes:
+    """Ask for a wake-up after `span` microseconds, which brings `mark` back."""
     return struct.pack("<BIdI", 110, instance, span / 1000, mark)
 
 
 def _text(code: int, instance: int, text: str) -> bytes:
-    data = text.encode("utf-8")[:0xFFFF]
+    data = text.encode("utf-8")[:MAX_TEXT_BYTES]
     return struct.pack("<BIH", code, instance, len(data)) + data
 
 
 def write_log(instance: int, text: str) -> bytes:
+    """Write a line to the simulator's log."""
     return _text(40, instance, text)
 
 
 def bail_out(instance: int, text: str) -> bytes:
+    """Give an instance up, with the reason."""
     return _text(10, instance, text)
 
 
--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the decisions behind the wire, each kept apart from the others."""
+"""Runs many independent instances of the decisions behind the simulator's wire."""
 
 from collections.abc import Iterator
 from typing import Any, BinaryIO
@@ -8,7 +8,7 @@
 from cedarwick.decisions.interface import Decisions, ListedEndpoint, Outcome
 from cedarwick.decisions.policy import Handle, Sender
 
-LONGEST_SLEEP = 70 * 60 * 1_000_000  # the wire allows 71 minutes
+MAX_SLEEP = 70 * 60 * 1_000_000  # microseconds; the wire allows 71 minutes
 
 
 class Instance:
@@ -20,7 +20,7 @@
         self.wake_at: int | None = None
         self.mark = 0
         self.notes_dropped = 0  # of other senders: the decisions use none, so all of them
-        self.notes_told = 0
+        self.notes_logged = 0  # of those dropped, the count in the last log line
 
 
 class Host:
@@ -84,8 +84,10 @@
             outcome = codec.outcome_of(rc)
             handle = instance.handles.get(message)
             if handle is not None:
-                told = codec.micros(note) if outcome is Outcome.FULL else 0
-                handle.attempt_ended(now, outcome, attempt, receiver, codec.micros(took), told, bool(last), extra)
+                retry_after = codec.micros(note) if outcome is Outcome.FULL else 0
+                handle.attempt_ended(
+                    now, outcome, attempt, receiver, codec.micros(took), retry_after, bool(last), extra
+                )
                 if handle.ended and not handle.out:
                     del instance.handles[message]
         elif code == 80:
@@ -97,7 +99,7 @@
         elif code == 100:
             _, how, _, slot = values
             if how not in codec.LIST_CHANGES:
-                raise codec.WireError(f"unknown kind of list news {how}")
+                raise codec.WireError(f"unknown kind of list update {how}")
             change = codec.LIST_CHANGES[how]
             if change is None:
                 sender.list_poll_failed(now)
@@ -125,8 +127,8 @@
             yield codec.hand_off(number, message, receiver, time_out)
         for line in verdicts.log_lines:
             yield codec.write_log(number, line)
-        if instance.notes_dropped >= max(1, 2 * instance.notes_told):  # a line each would fill the log
-            instance.notes_told = instance.notes_dropped
+        if instance.notes_dropped >= max(1, 2 * instance.notes_logged):  # a line each would fill the log
+            instance.notes_logged = instance.notes_dropped
             yield codec.write_log(number, f"notes dropped: {instance.notes_dropped}")
         if verdicts.subscribe:
             yield codec.subscribe(number)
@@ -134,7 +136,7 @@
         if wake_at is not None and (instance.wake_at is None or wake_at < instance.wake_at):
             instance.wake_at = wake_at
             instance.mark = (instance.mark + 1) & 0xFFFFFFFF
-            yield codec.sleep(number, min(max(wake_at - now, 0), LONGEST_SLEEP), instance.mark)
+            yield codec.sleep(number, min(max(wake_at - now, 0), MAX_SLEEP), instance.mark)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- a/cedarwick/cli/__init__.py
+++ b/cedarwick/cli/__init__.py
@@ -14,7 +14,7 @@
 }
 
 
-class Late(click.Group):
+class LazyGroup(click.Group):
     """A group whose commands are imported when one of them is used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -32,7 +32,7 @@
             formatter.write_dl([(name, sentence) for name, (_, sentence) in COMMANDS.items()])
 
 
-@click.group(cls=Late, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="cedarwick")
 def command() -> None:
     """cedarwick delivers outbound messages to other firms' systems.
--- a/cedarwick/cli/config.py
+++ b/cedarwick/cli/config.py
@@ -1,4 +1,4 @@
-"""`cedarwick config`."""
+"""`cedarwick config`: check, show and explain configuration files."""
 
 import json
 import os
@@ -15,11 +15,11 @@
 from cedarwick.lab.scenario import load as load_scenario
 from cedarwick.net.assignment import AssignmentError, read
 
-WHOLES: dict[str, type[msgspec.Struct]] = {"operator": Operator, "scenario": Scenario}
-of_kind = click.option(
+FILE_TYPES: dict[str, type[msgspec.Struct]] = {"operator": Operator, "scenario": Scenario}
+of_kind_option = click.option(
     "--of",
     "kind",
-    type=click.Choice(list(WHOLES)),
+    type=click.Choice(list(FILE_TYPES)),
     default="operator",
     show_default=True,
     help="Which kind of file.",
@@ -66,10 +66,10 @@
 
 
 @command.command()
-@of_kind
+@of_kind_option
 def schema(kind: str) -> None:
     """The JSON Schema of a file."""
-    click.echo(texts.schema(WHOLES[kind]))
+    click.echo(texts.schema(FILE_TYPES[kind]))
 
 
 @command.command()
@@ -86,7 +86,7 @@
     if kind == "operator":
         click.echo(texts.example(Operator), nl=False)
         return
-    told = {
+    configuration = {
         "name": "n0",
         "listen": "127.0.0.1:6379",
         "discovery": "127.0.0.1:8500",
@@ -110,14 +110,14 @@
         },
         "settings": sender_settings(load_scenario("calm"), 1),
     }
-    click.echo(json.dumps(told, indent=2))
+    click.echo(json.dumps(configuration, indent=2))
 
 
 @command.command()
 @click.option(
     "--of",
     "kind",
-    type=click.Choice([*WHOLES, "errors"]),
+    type=click.Choice([*FILE_TYPES, "errors"]),
     default="operator",
     show_default=True,
     help="Which kind of file, or all errors with code and remedy.",
@@ -129,4 +129,4 @@
 
         click.echo("\n".join(rows()))
         return
-    click.echo(texts.reference(WHOLES[kind]))
+    click.echo(texts.reference(FILE_TYPES[kind]))
--- a/cedarwick/cli/load.py
+++ b/cedarwick/cli/load.py
@@ -1,4 +1,4 @@
-"""`cedarwick load`."""
+"""`cedarwick load`: an open-loop load against any sender."""
 
 import sys
 import time
@@ -11,12 +11,20 @@
 from cedarwick.lab.load import Loader, Plan, Report, pongs
 from cedarwick.net.assignment import address
 
+PROGRESS_INTERVAL_S = 0.2  # between two updates of the progress line
+
 
 @click.command()
 @click.argument("addresses", nargs=-1, required=True, metavar="ADDRESS...")
 @click.option("--rate", default=100.0, show_default=True, type=click.FloatRange(0.1, 1e6), help="Requests a second.")
 @click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(0.1, 86400))
-@click.option("--band", default="price", show_default=True, help="A priority class that the sender's settings name.")
+@click.option(
+    "--band",
+    "priority_class",
+    default="price",
+    show_default=True,
+    help="A priority class that the sender's settings name.",
+)
 @click.option("--destinations", default=1, show_default=True, type=click.IntRange(1), help="Number 0 and up, in turn.")
 @click.option("--bytes", "size", default=212, show_default=True, type=click.IntRange(0, 65536), help="Of a body.")
 @click.option("--outer-ms", default=8000, show_default=True, type=click.IntRange(1), help="The deadline.")
@@ -28,7 +36,7 @@
     addresses: Sequence[str],
     rate: float,
     seconds: float,
-    band: str,
+    priority_class: str,
     destinations: int,
     size: int,
     outer_ms: int,
@@ -50,14 +58,14 @@
         if not pongs(place):
             unusable(f"{text}: no sender answers PING there")
     loader = Loader(
-        Plan(places, rate, seconds, band, destinations, size, outer_ms, patience_ms / 1000, connections, seed)
+        Plan(places, rate, seconds, priority_class, destinations, size, outer_ms, patience_ms / 1000, connections, seed)
     )
     progress, begun = Progress(), time.monotonic()
     last = [0.0]
 
     def say(state: Loader) -> None:
         now = time.monotonic() - begun
-        if now - last[0] > 0.2:
+        if now - last[0] > PROGRESS_INTERVAL_S:
             last[0] = now
             progress.say(
                 now,
--- a/cedarwick/cli/run.py
+++ b/cedarwick/cli/run.py
@@ -1,4 +1,4 @@
-"""`cedarwick run`."""
+"""`cedarwick run`: a sender until SIGTERM."""
 
 import os
 import sys
--- a/cedarwick/cli/say.py
+++ b/cedarwick/cli/say.py
@@ -1,4 +1,4 @@
-"""What the sub-commands say alike."""
+"""Output that the sub-commands share: errors, tables, progress and JSON."""
 
 import sys
 from typing import NoReturn
@@ -9,7 +9,8 @@
 
 from cedarwick.errors import CedarwickError
 
-USABLE = 2  # the exit status for arguments or files that cannot be used
+UNUSABLE_STATUS = 2  # the exit status for arguments or files that cannot be used
+PLAIN_WIDTH = 118  # characters of a table that goes to no terminal
 
 
 class ArgumentError(CedarwickError):
@@ -20,29 +21,32 @@
 
 
 def unusable(found: str | Exception, doing: str = "") -> NoReturn:
-    """One line on standard error with code and remedy, and status 2; an error says in what it came up."""
-    trouble = found if isinstance(found, CedarwickError) else ArgumentError(str(found))
-    click.echo(f"cedarwick: {(trouble.within(doing) if doing else trouble).line}", err=True)
-    sys.exit(USABLE)
+    """End the program with one line on standard error, code and remedy included, and exit status 2.
+
+    `doing` is put before the text: what was being done.
+    """
+    error = found if isinstance(found, CedarwickError) else ArgumentError(str(found))
+    click.echo(f"cedarwick: {(error.within(doing) if doing else error).line}", err=True)
+    sys.exit(UNUSABLE_STATUS)
 
 
 def console() -> Console:
-    """For tables: as wide as the terminal, plain and wide enough elsewhere."""
+    """A console for tables: as wide as the terminal; elsewhere plain and `PLAIN_WIDTH` wide."""
     made = Console(highlight=False)
-    return made if made.is_terminal else Console(highlight=False, width=118)
+    return made if made.is_terminal else Console(highlight=False, width=PLAIN_WIDTH)
 
 
 class Progress:
     """One line that renews itself on a terminal; elsewhere a plain line every few seconds."""
 
-    EVERY = 5.0
+    EVERY = 5.0  # seconds between two plain lines
 
     def __init__(self) -> None:
         self.on_terminal = sys.stderr.isatty()
         self.said_at = 0.0
 
     def say(self, now: float, text: str) -> None:
-        """The state of things at a time in seconds."""
+        """Show the state at a time in seconds."""
         if self.on_terminal:
             print(f"\r\x1b[K{text}", end="", file=sys.stderr, flush=True)
         elif now - self.said_at >= self.EVERY:
@@ -50,6 +54,7 @@
             print(text, file=sys.stderr, flush=True)
 
     def end(self) -> None:
+        """Clear the line on a terminal."""
         if self.on_terminal:
             print("\r\x1b[K", end="", file=sys.stderr, flush=True)
 
--- a/cedarwick/cli/sim.py
+++ b/cedarwick/cli/sim.py
@@ -1,4 +1,4 @@
-"""`cedarwick sim`."""
+"""`cedarwick sim`: the decisions on the simulator's wire."""
 
 import sys
 
--- a/cedarwick/config/files.py
+++ b/cedarwick/config/files.py
@@ -9,8 +9,9 @@
 
 from cedarwick.errors import CedarwickError
 
+# Splits a message of msgspec into what is wrong and the key path.
 PLACE = re.compile(r"^(?P<what>.*?)(?: - at `\$\.?(?P<where>.*?)`)?$", re.DOTALL)
-LARGEST = 1 << 20  # bytes of a file that a person writes
+MAX_FILE_BYTES = 1 << 20  # of a file that a person writes
 
 Made = TypeVar("Made")
 
@@ -23,15 +24,18 @@
 
 
 def load_toml(path: str, into: type[Made]) -> Made:
-    """The file at the path as one `into`; `ConfigFileError` names file, key path and what was expected."""
+    """Read the TOML file at a path as the type `into`.
+
+    Raises `ConfigFileError`, which names file, key path and what was expected.
+    """
     return decoded(read_toml(path), into, path)
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """The plain tables of a TOML file; `ConfigFileError` where it cannot be read as such."""
+    """The plain tables of a TOML file. Raises `ConfigFileError` where it cannot be read as such."""
     try:
-        if os.path.getsize(path) > LARGEST:
-            raise ConfigFileError(f"{path}: larger than {LARGEST} bytes")
+        if os.path.getsize(path) > MAX_FILE_BYTES:
+            raise ConfigFileError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
         with open(path, "rb") as file:
             return tomllib.load(file)
     except OSError as error:
@@ -41,7 +45,7 @@
 
 
 def decoded(tables: dict[str, Any], into: type[Made], path: str) -> Made:
-    """Plain tables as one `into`; the path is for the error."""
+    """Plain tables as the type `into`. Raises `ConfigFileError`, which names the path."""
     try:
         return msgspec.convert(tables, into)
     except msgspec.ValidationError as error:
--- a/cedarwick/config/texts.py
+++ b/cedarwick/config/texts.py
@@ -163,23 +163,26 @@
     return lines
 
 
-def effective(made: msgspec.Struct, told: dict[str, Any]) -> str:
-    """What is in force, as TOML; each line says whether the file gave it."""
+def effective(made: msgspec.Struct, given: dict[str, Any]) -> str:
+    """What is in force, as TOML; each line says whether the file gave it or it is the default.
+
+    `given` holds the plain tables of the file.
+    """
     lines: list[str] = []
     for name, _, table, _ in tables(type(made)):
         held = getattr(made, name)
         if held is None:
             lines += [f"# [{name}] is off", ""]
             continue
-        lines += [f"[{name}]", *effective_keys(held, told.get(name, {}))]
+        lines += [f"[{name}]", *effective_keys(held, given.get(name, {}))]
         for inner, _, _, _ in tables(table):
             for index, row in enumerate(getattr(held, inner)):
-                lines += [f"[[{name}.{inner}]]", *effective_keys(row, told[name][inner][index])]
+                lines += [f"[[{name}.{inner}]]", *effective_keys(row, given[name][inner][index])]
         lines.append("")
     return "\n".join(lines)
 
 
-def effective_keys(held: msgspec.Struct, told: dict[str, Any]) -> Iterator[str]:
+def effective_keys(held: msgspec.Struct, given: dict[str, Any]) -> Iterator[str]:
     for key in keys(type(held)):
         if not key.type.endswith("StructType"):
-            yield f"{key.name} = {as_toml(getattr(held, key.name))}  # {'file' if key.name in told else 'default'}"
+            yield f"{key.name} = {as_toml(getattr(held, key.name))}  # {'file' if key.name in given else 'default'}"
