--- a/cedarwick/events/event_source.py
+++ b/cedarwick/events/event_source.py
@@ -33,7 +33,7 @@
         self.lives: dict[int, Life] = {}
         self.uids: dict[int, str] = {}
         self.out: dict[str, tuple[int, int]] = {}  # by uid: destination, and since when
-        self.held_out: set[str] = set()
+        self.suspended: set[str] = set()
         self.begun = False
 
     # ---- messages ----
@@ -105,7 +105,7 @@
             for each in self.dispatcher.sender.receivers.values()
             if each.out_since
         }
-        held_out = set(self.endpoint_list.held_out)
+        suspended = set(self.endpoint_list.suspended)
         found: list[Happened] = []
         if self.begun:
             waits = {self._uid(receiver): until for receiver, until in self.dispatcher.sender.retry_after_waits(now)}
@@ -115,9 +115,9 @@
             for uid in sorted((self.out.keys() - out.keys()) - {""}):
                 destination, since = self.out[uid]
                 found.append(("receiver-back", self._receiver(uid, destination) | {"age": max(0, now - since)}))
-            found += [("suspended", self._receiver(uid)) for uid in sorted(held_out - self.held_out)]
-            found += [("restored", self._receiver(uid)) for uid in sorted(self.held_out - held_out)]
-        self.out, self.held_out, self.begun = out, held_out, True
+            found += [("suspended", self._receiver(uid)) for uid in sorted(suspended - self.suspended)]
+            found += [("restored", self._receiver(uid)) for uid in sorted(self.suspended - suspended)]
+        self.out, self.suspended, self.begun = out, suspended, True
         return found
 
     def blind(self) -> None:
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -31,7 +31,7 @@
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.ops import commands
-from cedarwick.ops.management import Staff, Talk
+from cedarwick.ops.management import ManagementCommands, StreamingAnswer
 from cedarwick.store.records import StoredMessage
 
 if TYPE_CHECKING:
@@ -141,7 +141,7 @@
         """Another word of how long what is followed here lasts without a follower: for all who are connected, too."""
         self.registry.lasts = lasts
 
-    def attach(self, staff: Staff, endpoint_list: EndpointList, dispatcher: Dispatcher, hall: str) -> None:
+    def attach(self, staff: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher, hall: str) -> None:
         """Once the attempts are made, after everybody else who listens to them."""
         self.witness = Witness(self.name, hall, dispatcher, endpoint_list)
         staff.follows = self.answer
@@ -390,7 +390,7 @@
 
     # ---- staff and subscribers ----
 
-    def answer(self, call: commands.Call) -> str | Talk:
+    def answer(self, call: commands.Call) -> str | StreamingAnswer:
         """`FOLLOW` and `UNFOLLOW`; a `CedarwickError` says why not."""
         if call.name == "UNFOLLOW":
             return self._unfollow(call.argument)
@@ -408,7 +408,7 @@
         else:
             talk(sock)
 
-    def _follow(self, serving: "Serving", told: str) -> Talk:
+    def _follow(self, serving: "Serving", told: str) -> StreamingAnswer:
         from cedarwick.events.language import check_levels, read
         from cedarwick.events.streams import decoded
         from cedarwick.events.subscriber_reader import Reader
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -24,7 +24,7 @@
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.ops import saved_state as files
-from cedarwick.ops.management import Staff
+from cedarwick.ops.management import ManagementCommands
 
 TURN = 250_000  # microseconds between two peer messages of a kind to one member
 AGAIN = 5_000_000  # between two peer messages with nothing new
@@ -84,11 +84,11 @@
         self.hint_at = 0
         self.waits: dict[int, int] = {}  # by receiver: ends to be told, the newest last
         self.hinted: dict[int, int] = {}  # by receiver: the end that was told
-        self.staff: Staff
+        self.staff: ManagementCommands
         self.endpoint_list: EndpointList
         self.dispatcher: Dispatcher
 
-    def attach(self, staff: Staff, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
+    def attach(self, staff: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
         """Once the folder is this process's, and its attempts are made: take up what is kept, and listen to both."""
         self.staff, self.endpoint_list, self.dispatcher = staff, endpoint_list, dispatcher
         staff.changed = self._changed
@@ -218,7 +218,7 @@
         """Take out what the marks say, and write it."""
         calls = self.marks.calls()
         # Danger: the marks first, and what the file lacks after a crash would pass for restored by staff.
-        if calls != (self._file() or {}) or calls.keys() != self.endpoint_list.held_out:
+        if calls != (self._file() or {}) or calls.keys() != self.endpoint_list.suspended:
             self.unwritten = not self.staff.keep(calls)
         self._write()
         if count := self.marks.untold():
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -56,7 +56,7 @@
 from cedarwick.net.client_listener import ClientListener, SubmitResult
 from cedarwick.net.dispatcher import AdmissionResult, Dispatcher, Submission
 from cedarwick.ops.commands import Call
-from cedarwick.ops.management import Staff
+from cedarwick.ops.management import ManagementCommands
 from cedarwick.store.records import StoredMessage
 
 if TYPE_CHECKING:
@@ -144,7 +144,7 @@
         if self.store.by_copy:
             node.copies.heard = self._copied
 
-    def attach(self, staff: Staff, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
+    def attach(self, staff: ManagementCommands, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
         """Before the first peer message: from now on clients' submissions and the calls of staff come here."""
         self.dispatcher = self.transfers.dispatcher = dispatcher
         self.take_up()
--- a/cedarwick/lab/virtualday.py
+++ b/cedarwick/lab/virtualday.py
@@ -48,7 +48,7 @@
 from cedarwick.net.notifications import Notifier
 from cedarwick.net.sockets import PollClock
 from cedarwick.ops import commands
-from cedarwick.ops.management import Staff, no_sessions, not_in_a_fleet
+from cedarwick.ops.management import ManagementCommands, no_sessions, not_in_a_fleet
 from cedarwick.store.records import StoredMessage
 
 Ack = Literal["own", "copy"]
@@ -285,8 +285,8 @@
         dispatcher.resume()
         node = FleetNode(self.name, day.table, self.folder, self.store, clock, counters)
         self.door, self.staff = Door(dispatcher), SimpleNamespace(follows=not_in_a_fleet, moves=no_sessions)
-        staff = cast(Staff, self.staff)
-        listed = SimpleNamespace(numbers={f"s-{1 + each}": 1 + each for each in receivers}, held_out=set())
+        staff = cast(ManagementCommands, self.staff)
+        listed = SimpleNamespace(numbers={f"s-{1 + each}": 1 + each for each in receivers}, suspended=set())
         node.exchange.attach(staff, cast(EndpointList, listed), dispatcher, node.halls[self.name])
         if node.traffic is not None:
             node.traffic.attach(staff, cast(ClientListener, self.door), dispatcher)
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -69,7 +69,7 @@
         self.following: gevent.Greenlet | None = None
         self.known = False  # whether any receiver has been learned of
         self.last: dict[str, ListedEndpoint] = {}  # by uid: the newest line of the list as the platform gave it
-        self.held_out: set[str] = set()  # uids that the operators took out: draining, whatever the list says
+        self.suspended: set[str] = set()  # uids that the operators took out: draining, whatever the list says
 
     def learn(self, news: dict[str, Any], saved: bool = False) -> bool:
         """Pass on one piece of list news.
@@ -134,16 +134,16 @@
         """Whether the list has named this receiver, and not so long ago that it is forgotten."""
         return uid in self.last
 
-    def hold_out(self, uids: set[str]) -> None:
+    def set_suspended(self, uids: set[str]) -> None:
         """From now on these receivers are draining for the decisions, until they are left out of a later set."""
-        changed = self.held_out ^ uids
-        self.held_out = set(uids)
+        changed = self.suspended ^ uids
+        self.suspended = set(uids)
         told = [self._as_held(uid, self.last[uid]) for uid in sorted(changed) if uid in self.last]
         if told:
             self.tell(EndpointUpdate.DELTA, told)
 
     def _as_held(self, uid: str, listing: ListedEndpoint) -> ListedEndpoint:
-        held = uid in self.held_out and listing.phase is EndpointState.READY
+        held = uid in self.suspended and listing.phase is EndpointState.READY
         return listing._replace(phase=EndpointState.DRAINING) if held else listing
 
     def address_of(self, receiver: int) -> tuple[str, int]:
--- a/cedarwick/ops/__init__.py
+++ b/cedarwick/ops/__init__.py
@@ -1,1 +1,1 @@
-"""What the operators' staff use: the management address, its calls, the hand-over of a replaced process."""
+"""Operations: the management address and its calls, and the hand-over from a process to its replacement."""
--- a/cedarwick/ops/commands.py
+++ b/cedarwick/ops/commands.py
@@ -5,10 +5,10 @@
 
 from cedarwick.errors import CedarwickError
 
-LONGEST_LINE = 256  # bytes of a call with its line end; what is longer is refused and the connection closed
-LONGEST_FOLLOW = 40 << 10  # of one with a filter and a subscriber's cursors
-ARGUMENTS = {"STATUS": 0, "METRICS": 0, "SUSPEND": 1, "RESTORE": 1, "PAUSE": 0, "RESUME": 0, "MOVE": 2}
-FOLLOWING = ("FOLLOW", "UNFOLLOW")  # the rest of the line is their argument
+MAX_LINE_BYTES = 256  # of a call with its line end; what is longer is refused and the connection closed
+MAX_FOLLOW_LINE_BYTES = 40 << 10  # of a FOLLOW with a filter and a subscriber's cursors
+ARGUMENT_COUNTS = {"STATUS": 0, "METRICS": 0, "SUSPEND": 1, "RESTORE": 1, "PAUSE": 0, "RESUME": 0, "MOVE": 2}
+SUBSCRIPTION_CALLS = ("FOLLOW", "UNFOLLOW")  # the rest of the line is their argument
 
 
 class InvalidCallError(CedarwickError):
@@ -29,22 +29,25 @@
 
 
 class SessionsDisabledError(CedarwickError):
-    """Only members of a fleet whose sessions are told have any to move."""
+    """The sender belongs to no fleet that assigns sessions, so there is none to move."""
 
     code = "CW750"
     remedy = "set `sessions = true` in `[fleet]` of every member's operator file and restart them in turn"
 
 
 class Call(NamedTuple):
-    """One call: its name in capitals and its arguments with a blank between, empty where it takes none."""
+    """One call: its name in capitals and its arguments separated by one space, empty where it takes none."""
 
     name: str
     argument: str
 
 
 def parse(line: bytes) -> Call:
-    """The call on one line, without its line end; `InvalidCallError` says what is wrong with it."""
-    if len(line) > most(line):
+    """The call on one line, given without its line end.
+
+    Raises `InvalidCallError` with what is wrong with the line.
+    """
+    if len(line) > max_line_bytes(line):
         raise InvalidCallError("the line is too long")
     try:
         text = line.decode("ascii")
@@ -56,9 +59,9 @@
     if not words:
         raise InvalidCallError("an empty line")
     name = words[0].upper()
-    if name in FOLLOWING and len(words) > 1:
+    if name in SUBSCRIPTION_CALLS and len(words) > 1:
         return Call(name, text.split(maxsplit=1)[1])
-    wanted = ARGUMENTS.get(name, 1 if name in FOLLOWING else None)
+    wanted = ARGUMENT_COUNTS.get(name, 1 if name in SUBSCRIPTION_CALLS else None)
     if wanted is None:
         raise InvalidCallError(f"unknown call {words[0][:40]!r}")
     if len(words) - 1 != wanted:
@@ -66,24 +69,24 @@
     return Call(name, " ".join(words[1:]))
 
 
-def most(line: bytes) -> int:
-    """The bytes that a line that begins so may have."""
-    return LONGEST_FOLLOW if line[:7].upper() == b"FOLLOW " else LONGEST_LINE
+def max_line_bytes(line: bytes) -> int:
+    """How long a line that begins like this one may be, in bytes with its line end."""
+    return MAX_FOLLOW_LINE_BYTES if line[:7].upper() == b"FOLLOW " else MAX_LINE_BYTES
 
 
 class Suspensions:
-    """Receivers taken out by hand, by uid, with the number of calls out; one call back restores."""
+    """Receivers suspended by hand: by uid, how many SUSPEND calls are in force. One RESTORE ends all of them."""
 
     def __init__(self, counted: Iterable[tuple[str, int]] = ()) -> None:
         self.calls: dict[str, int] = {uid: count for uid, count in counted if count > 0}
 
     def suspend(self, uid: str) -> int:
-        """The calls out for this receiver, this one counted."""
+        """Count one more call; returns the calls in force for this receiver."""
         self.calls[uid] = self.calls.get(uid, 0) + 1
         return self.calls[uid]
 
     def restore(self, uid: str) -> bool:
-        """Whether the receiver was out by hand; it is not any more."""
+        """End the suspension; returns whether there was one."""
         return self.calls.pop(uid, None) is not None
 
     def __contains__(self, uid: object) -> bool:
--- a/cedarwick/ops/handover.py
+++ b/cedarwick/ops/handover.py
@@ -1,4 +1,4 @@
-"""Replacing the process: the clients' socket that the platform holds, and the folder handed from the old one."""
+"""The clients' listening socket that the platform holds open while one process replaces another."""
 
 from collections.abc import Mapping
 
@@ -7,6 +7,7 @@
 from cedarwick.errors import CedarwickError
 
 SOCKET_FD = "RELAY_SOCKET_FD"
+FIRST_FREE_FD = 3  # the first descriptor after standard input, output and error
 
 
 class InheritedSocketError(CedarwickError, ValueError):
@@ -17,14 +18,14 @@
 
 
 def inherited_listener(environment: Mapping[str, str]) -> gevent.socket.socket | None:
-    """The listening socket named in `$RELAY_SOCKET_FD`.
+    """The listening socket whose descriptor `$RELAY_SOCKET_FD` names; None where it is not set.
 
-    None where it is not set, `InheritedSocketError` if unusable.
+    Raises `InheritedSocketError` where the descriptor is no listening TCP socket over IPv4.
     """
     text = environment.get(SOCKET_FD, "")
     if not text:
         return None
-    if not text.isdecimal() or int(text) < 3:
+    if not text.isdecimal() or int(text) < FIRST_FREE_FD:
         raise InheritedSocketError(f"{SOCKET_FD} is no descriptor: {text!r}")
     try:
         sock = gevent.socket.socket(fileno=int(text))
--- a/cedarwick/ops/management_server.py
+++ b/cedarwick/ops/management_server.py
@@ -1,4 +1,4 @@
-"""The management address: one greenlet a caller, each with a bounded line and a deadline."""
+"""The management address: one greenlet for each caller, with a bounded line and a deadline."""
 
 from collections.abc import Callable
 
@@ -8,16 +8,18 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
-from cedarwick.ops.commands import Call, InvalidCallError, most, parse
-from cedarwick.ops.management import Talk
+from cedarwick.ops.commands import Call, InvalidCallError, max_line_bytes, parse
+from cedarwick.ops.management import StreamingAnswer
 
-DEADLINE = 2.0  # seconds in which a caller must finish its line; a few connect and say nothing for 4 s
-MOST_CALLERS = 64  # connections at once; those beyond are answered NO and closed, so none holds up STATUS
-BACKLOG = 64
-LINGER, WASTED = 0.5, 1 << 16  # at most so long and so many bytes are read after the answer
+LINE_DEADLINE_S = 2.0  # in which a caller must finish its line; some connect and say nothing for 4 s
+MAX_CALLERS = 64  # connections at once; those beyond are answered NO and closed, so none holds up STATUS
+BACKLOG = 64  # connections that wait to be accepted
+ACCEPT_RETRY_S = 0.02  # after a failed accept
+LATE_ANSWER_S = 0.1  # in which the refusal of a late line must be written
+DISCARD_S, MAX_DISCARDED_BYTES = 0.5, 1 << 16  # limits on reading what a caller sends after its line
 
-# The answer to a call: a line beginning with YES or NO, figures ending in END, or what goes on talking.
-Answer = Callable[[Call], str | Talk]
+# Answers a call: with a line beginning with YES or NO, metrics ending in END, or what goes on writing.
+Answer = Callable[[Call], str | StreamingAnswer]
 
 
 class TooManyCallersError(CedarwickError):
@@ -34,17 +36,20 @@
     remedy = "see the sender's log for the trace, and report it"
 
 
-class Management:
-    """Listens where the operators' staff call; answers from its own greenlets, never through the dispatcher's queue."""
+class ManagementServer:
+    """Listens on the management address and answers from its own greenlets, never through the dispatcher's queue.
 
-    def __init__(self, where: tuple[str, int], counters: Counters, answer: Answer) -> None:
+    Raises OSError where the address cannot be bound.
+    """
+
+    def __init__(self, address: tuple[str, int], counters: Counters, answer: Answer) -> None:
         self.counters = counters
         self.answer = answer
         self.callers = 0
         self.listener = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
         try:
             self.listener.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_REUSEADDR, 1)
-            self.listener.bind(where)
+            self.listener.bind(address)
             self.listener.listen(BACKLOG)
         except OSError:
             self.listener.close()
@@ -57,46 +62,46 @@
                 sock, _ = self.listener.accept()
             except OSError as error:
                 self.counters.trouble("accepting a management call failed", error)
-                gevent.sleep(0.02)
+                gevent.sleep(ACCEPT_RETRY_S)
                 continue
             gevent.spawn(self._serve, sock)
 
     def _serve(self, sock: gevent.socket.socket) -> None:
-        talk = None
+        streaming = None
         self.callers += 1
         try:
             # Danger: a caller that never finishes its line would hold its descriptor and greenlet for ever.
-            sock.settimeout(DEADLINE)
-            if self.callers > MOST_CALLERS:
+            sock.settimeout(LINE_DEADLINE_S)
+            if self.callers > MAX_CALLERS:
                 sock.sendall(refusal(TooManyCallersError("too many callers")).encode("ascii", "replace"))
                 return
-            with gevent.Timeout(DEADLINE):
+            with gevent.Timeout(LINE_DEADLINE_S):
                 reply = self._reply(sock)
             if callable(reply):
-                talk = reply  # one that stays is no caller any more
+                streaming = reply  # a subscriber is no longer counted as a caller
                 return
             sock.sendall(reply.encode("ascii", "replace"))
-            read_out(sock)
+            discard_input(sock)
         except gevent.Timeout:
             late = InvalidCallError("the line did not come in time")
             self.counters.trouble("a management call that cannot be read", late)
-            with gevent.Timeout(0.1, False):
+            with gevent.Timeout(LATE_ANSWER_S, False):
                 sock.sendall(refusal(late).encode("ascii", "replace"))
         except OSError as error:
             self.counters.add(f"management callers lost: {type(error).__name__}")
         finally:
             self.callers -= 1
             try:
-                if talk is not None:
-                    talk(sock)
+                if streaming is not None:
+                    streaming(sock)
             finally:
                 sock.close()
 
-    def _reply(self, sock: gevent.socket.socket) -> str | Talk:
+    def _reply(self, sock: gevent.socket.socket) -> str | StreamingAnswer:
         """The answer to the one line of this connection."""
         buffer = Buffer()
         while (end := buffer.find(b"\n")) < 0:
-            if len(buffer) > most(buffer.peek(0, 7)):
+            if len(buffer) > max_line_bytes(buffer.peek(0, 7)):
                 return self._unread(InvalidCallError("the line is too long"))
             if not buffer.fill(sock):
                 return self._unread(InvalidCallError("the line did not end"))
@@ -125,10 +130,11 @@
     return f"NO {error.line}\n"
 
 
-def read_out(sock: gevent.socket.socket) -> None:
-    """Danger: a close with unread input is a reset, and the caller would lose its answer; read a little on."""
+def discard_input(sock: gevent.socket.socket) -> None:
+    """Read and drop what a caller still sends, within bounds, before its connection is closed."""
+    # Danger: a close with unread input is a reset, and the caller would lose its answer.
     sock.shutdown(gevent.socket.SHUT_WR)
-    wasted = 0
-    with gevent.Timeout(LINGER, False):
-        while wasted < WASTED and (got := sock.recv(4096)):
-            wasted += len(got)
+    discarded = 0
+    with gevent.Timeout(DISCARD_S, False):
+        while discarded < MAX_DISCARDED_BYTES and (got := sock.recv(4096)):
+            discarded += len(got)
--- a/cedarwick/ops/saved_state.py
+++ b/cedarwick/ops/saved_state.py
@@ -1,14 +1,16 @@
-"""What a process hands to the one that replaces it, in small files of `$RELAY_STATE` beside the folder's segments
-(whose names never match these): the receivers taken out by hand, and the waits that receivers told."""
+"""Small files in `$RELAY_STATE` for the next process: suspended receivers and Retry-After waits.
+
+They lie beside the store's segments, whose names never match these.
+"""
 
 import json
 import os
 
 from cedarwick.errors import CedarwickError
 
-SUSPENDED = "suspended.json"  # calls out by uid; kept until RESTORE, over restarts too
+SUSPENDED = "suspended.json"  # SUSPEND calls in force by uid; they last until RESTORE, over restarts too
 WAITS = "waits.json"  # by uid: the end of a Retry-After wait in wall microseconds; read once, by the next process
-LARGEST = 1 << 20  # bytes; a larger file is no file of ours
+MAX_FILE_BYTES = 1 << 20  # a larger file is none that this module wrote
 
 
 class UnreadableFileError(CedarwickError):
@@ -19,45 +21,50 @@
 
 
 def read(folder: str) -> dict[str, int]:
-    """The calls out by uid; empty where no file is there."""
+    """SUSPEND calls in force by uid; empty where there is no file. Raises `UnreadableFileError`."""
     return _read(os.path.join(folder, SUSPENDED), keep=True)
 
 
 def write(folder: str, calls: dict[str, int]) -> None:
+    """Replace the SUSPEND calls in force, by uid. Raises OSError."""
     _write(os.path.join(folder, SUSPENDED), calls)
 
 
 def write_waits(folder: str, waits: dict[str, int]) -> None:
+    """Replace the ends of Retry-After waits, by uid, in wall microseconds. Raises OSError."""
     _write(os.path.join(folder, WAITS), waits)
 
 
 def take_waits(folder: str) -> dict[str, int]:
-    """The waits that a replaced process left, and the file gone: a later restart forgets waits."""
+    """Read the waits that a replaced process left and delete the file: a later restart forgets waits.
+
+    Raises `UnreadableFileError`.
+    """
     return _read(os.path.join(folder, WAITS), keep=False)
 
 
 def _read(path: str, keep: bool) -> dict[str, int]:
     try:
         with open(path, "rb") as file:
-            data = file.read(LARGEST + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
         if not keep:
             os.unlink(path)
     except FileNotFoundError:
         return {}
     except OSError as error:
         raise UnreadableFileError(f"{path}: {error.strerror}") from None
-    if len(data) > LARGEST:
-        raise UnreadableFileError(f"{path}: larger than {LARGEST} bytes")
-    # Danger: msgspec would be the only reason for the lean sender to load it; the standard library reads this.
+    if len(data) > MAX_FILE_BYTES:
+        raise UnreadableFileError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
+    # The standard library reads this: msgspec would be loaded for nothing else in a sender without extras.
     try:
-        told = json.loads(data)
+        values = json.loads(data)
     except ValueError as error:
         raise UnreadableFileError(f"{path}: {error}") from None
-    if not isinstance(told, dict) or not all(
-        isinstance(key, str) and type(value) is int for key, value in told.items()
+    if not isinstance(values, dict) or not all(
+        isinstance(key, str) and type(value) is int for key, value in values.items()
     ):
         raise UnreadableFileError(f"{path}: not an object of whole numbers")
-    return told
+    return values
 
 
 def _write(path: str, values: dict[str, int]) -> None:
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -26,8 +26,8 @@
 from cedarwick.net.sockets import PollClock
 from cedarwick.ops import saved_state
 from cedarwick.ops.handover import inherited_listener
-from cedarwick.ops.management import Staff
-from cedarwick.ops.management_server import Management
+from cedarwick.ops.management import ManagementCommands
+from cedarwick.ops.management_server import ManagementServer
 from cedarwick.store.files import DiskError, FolderInUseError
 from cedarwick.store.journal import BODIES, Store
 
@@ -152,12 +152,14 @@
                 self._ready,
                 listener=self.inherited,
             )
-            self.staff = Staff(
+            self.staff = ManagementCommands(
                 self._ready, self.client_listener, self.endpoint_list, assignment.folder, self._metrics_text
             )
             self.staff.taking = True
             self.management = (
-                Management(assignment.management, self.counters, self.staff.answer) if assignment.management else None
+                ManagementServer(assignment.management, self.counters, self.staff.answer)
+                if assignment.management
+                else None
             )
 
     def start(self) -> None:
@@ -436,7 +438,7 @@
         for uid, listing in endpoint_list.last.items()
         if listing.phase is not EndpointState.REMOVED
     }
-    avoided = {endpoint_list.numbers[uid] for uid in endpoint_list.held_out if uid in endpoint_list.numbers}
+    avoided = {endpoint_list.numbers[uid] for uid in endpoint_list.suspended if uid in endpoint_list.numbers}
     avoided |= {receiver.id for receiver in dispatcher.sender.receivers.values() if receiver.out_since}
     return len(dispatcher.handles), len(listed), len(avoided & listed)
 
--- a/tests/test_fleet_marks.py
+++ b/tests/test_fleet_marks.py
@@ -20,7 +20,7 @@
 from cedarwick.net.counters import Counters
 from cedarwick.ops import saved_state as files
 from cedarwick.ops.commands import Call
-from cedarwick.ops.management import Staff
+from cedarwick.ops.management import ManagementCommands
 
 S = 1_000_000
 NOW = 1_000 * KEEP
@@ -135,11 +135,11 @@
         self.dispatcher: Any = Made(heed=mock.Mock(), attempt_ended=mock.Mock(), attempts=Made())
         self.listed: Any = Made(
             numbers={f"u{i}": i for i in range(100)},
-            held_out=set(),
+            suspended=set(),
             knows=lambda uid: True,
-            hold_out=lambda uids: setattr(self.listed, "held_out", uids),
+            set_suspended=lambda uids: setattr(self.listed, "suspended", uids),
         )
-        self.staff = Staff(lambda: True, Made(), self.listed, self.state, lambda: "")
+        self.staff = ManagementCommands(lambda: True, Made(), self.listed, self.state, lambda: "")
         self.staff.take_over()
         clock: Any = Made(now=lambda: NOW)
         self.sharing = gossip.Gossip("m", FleetFiles(self.state), clock, Counters(), self.told)
@@ -156,7 +156,7 @@
         self.staff.answer(Call("SUSPEND", "X"))
         files.write(self.state, {"X": 1, "W": 1})  # the process that replaces this one
         self.hear("Y")
-        self.assertEqual((files.read(self.state), self.listed.held_out), ({"W": 1, "X": 1, "Y": 1}, set("WXY")))
+        self.assertEqual((files.read(self.state), self.listed.suspended), ({"W": 1, "X": 1, "Y": 1}, set("WXY")))
         with mock.patch.object(files, "write", side_effect=KeyboardInterrupt), self.assertRaises(KeyboardInterrupt):
             self.hear("Z")
         self.begin()
@@ -166,19 +166,19 @@
         self.begin()
         os.unlink(os.path.join(self.state, files.SUSPENDED))
         self.begin()
-        self.assertEqual(self.listed.held_out, set("WXYZ"))
+        self.assertEqual(self.listed.suspended, set("WXYZ"))
         with open(os.path.join(self.state, "fleet", "marks"), "wb") as file:
             file.write(b"spoilt")
         self.begin()
-        self.assertEqual((self.listed.held_out, self.sharing.marks.offered()), (set("WXYZ"), ()))
+        self.assertEqual((self.listed.suspended, self.sharing.marks.offered()), (set("WXYZ"), ()))
         self.sharing._say(0, "n")  # which knows of none
-        self.assertEqual(self.listed.held_out, set())
+        self.assertEqual(self.listed.suspended, set())
 
     def test_a_full_disk_undoes_nothing(self) -> None:
         with mock.patch.object(files, "write", side_effect=OSError):
             self.staff.answer(Call("SUSPEND", "X"))
             self.hear("Y")
-        self.assertEqual(self.listed.held_out, {"X", "Y"})
+        self.assertEqual(self.listed.suspended, {"X", "Y"})
         self.sharing.saved_at = 0
         self.sharing.look(1, (), 2)
         self.assertEqual(files.read(self.state), {"X": 1, "Y": 1})
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -13,7 +13,7 @@
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
 from cedarwick.ops import saved_state
-from cedarwick.ops.commands import LONGEST_LINE, Call, InvalidCallError, Suspensions, parse
+from cedarwick.ops.commands import MAX_LINE_BYTES, Call, InvalidCallError, Suspensions, parse
 from cedarwick.ops.management import NotSuspendedError, UnlistedReceiverError
 from tests.build import NOW, Program, Receiver, ask, free_port, line_of, reply, sender, submit, until
 
@@ -45,12 +45,12 @@
             (b"STATUS now", "no argument"),
             (b"\xff\xfe", "ASCII"),
             (b"STATUS\x00", "control"),
-            (b"S" * (LONGEST_LINE + 1), "too long"),
+            (b"S" * (MAX_LINE_BYTES + 1), "too long"),
         ):
             with self.subTest(line=line[:20]), self.assertRaisesRegex(InvalidCallError, why):
                 parse(line)
 
-    @given(st.binary(max_size=2 * LONGEST_LINE))
+    @given(st.binary(max_size=2 * MAX_LINE_BYTES))
     def test_any_bytes_are_a_call_or_a_reason(self, line: bytes) -> None:
         try:
             made = parse(line)
