--- a/cedarwick/events/event_source.py
+++ b/cedarwick/events/event_source.py
@@ -1,4 +1,7 @@
-"""What a sender's parts do, as the fields of events. Asked only while somebody follows; looks, and changes nothing."""
+"""Reads from a sender's parts what the fields of its events hold.
+
+Used only while somebody follows; reads the parts and changes nothing of them.
+"""
 
 from dataclasses import dataclass
 
@@ -10,47 +13,47 @@
 from cedarwick.store.records import StoredMessage
 
 Happened = tuple[str, dict[str, Value]]
-ENDS = ("completed", "nacked", "written-off")
-SPARE = 1000  # messages that are remembered beyond those that are kept
+FINAL_KINDS = ("completed", "nacked", "written-off")
+SPARE_HISTORIES = 1000  # histories beyond twice the stored messages, before those of ended messages are dropped
 
 
 @dataclass(slots=True)
-class Life:
-    """Of a message, what its record in the folder does not hold."""
+class MessageHistory:
+    """What the stored record of a message does not hold. Times and waits are microseconds."""
 
     taken_at: int = 0  # 0: before anybody followed
     receiver: int = -1  # of its last attempt; -1: unknown
-    wait: int = 0  # that this attempt was told
+    wait: int = 0  # the Retry-After of this attempt
 
 
-class Witness:
-    """One sender's eyes. Times are microseconds of the sender's clock."""
+class EventObserver:
+    """Observes one sender. Times are microseconds of the sender's clock."""
 
     def __init__(self, name: str, hall: str, dispatcher: Dispatcher, endpoint_list: EndpointList) -> None:
         self.here: dict[str, Value] = {"sender": name, "hall": hall}
         self.dispatcher = dispatcher
         self.endpoint_list = endpoint_list
-        self.lives: dict[int, Life] = {}
+        self.histories: dict[int, MessageHistory] = {}
         self.uids: dict[int, str] = {}
         self.out: dict[str, tuple[int, int]] = {}  # by uid: destination, and since when
         self.suspended: set[str] = set()
-        self.begun = False
+        self.observing = False
 
     # ---- messages ----
 
-    def cleared(self, call: AttemptCall) -> None:
+    def attempt_begins(self, call: AttemptCall) -> None:
         """An attempt wants to go out to its receiver."""
-        life = self._life(call.message.number)
-        life.receiver, life.wait = call.receiver, 0
+        history = self._history(call.message.number)
+        history.receiver, history.wait = call.receiver, 0
 
-    def told(self, call: AttemptCall, ending: AttemptResult) -> None:
+    def attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
         """An attempt has ended; its outcome is seen in a moment."""
-        if call.message.number in self.lives:
-            self.lives[call.message.number].wait = ending.retry_after
+        if call.message.number in self.histories:
+            self.histories[call.message.number].wait = ending.retry_after
 
     def message(self, kind: str, stored: StoredMessage, figure: int) -> dict[str, Value]:
         """The fields of an event of a message; `figure` as `Shared.seen` has it."""
-        now, life = self.dispatcher.clock.now(), self._life(stored.number)
+        now, history = self.dispatcher.clock.now(), self._history(stored.number)
         priority_class = (
             self.dispatcher.sender.priority_classes[self.dispatcher.priority_classes[stored.priority_class]]
             if stored.priority_class in self.dispatcher.priority_classes
@@ -67,37 +70,39 @@
         if priority_class is not None:
             fields |= {"worth": float(priority_class.priority_weight), "at_most_once": priority_class.at_most_once}
         if kind == "taken":
-            life.taken_at = now
+            history.taken_at = now
             return fields
         fields["shots"] = stored.attempts
-        if life.taken_at:
-            fields["age"] = max(0, now - life.taken_at)
-        if kind in ("shot", "outcome") and (uid := self._uid(life.receiver)):
+        if history.taken_at:
+            fields["age"] = max(0, now - history.taken_at)
+        if kind in ("shot", "outcome") and (uid := self._uid(history.receiver)):
             fields["receiver"] = uid
         if kind == "outcome":
             fields["outcome"] = list(Outcome)[figure].value
-            if life.wait:
-                fields["wait"] = life.wait
+            if history.wait:
+                fields["wait"] = history.wait
         if kind == "nacked" and figure:
             fields["wait"] = figure * 1000
-        if kind in ENDS:
-            del self.lives[stored.number]
+        if kind in FINAL_KINDS:
+            del self.histories[stored.number]
         return fields
 
-    def _life(self, number: int) -> Life:
-        life = self.lives.get(number)
-        if life is None:
-            life = self.lives[number] = Life()
-            # Danger: messages that end elsewhere tell no end here, and would be remembered for ever.
-            if len(self.lives) > 2 * len(self.dispatcher.store.messages) + SPARE:
-                self.lives = {each: life for each, life in self.lives.items() if each in self.dispatcher.store.messages}
-                self.lives[number] = life
-        return life
+    def _history(self, number: int) -> MessageHistory:
+        history = self.histories.get(number)
+        if history is None:
+            history = self.histories[number] = MessageHistory()
+            # Danger: of messages that end elsewhere no end is seen here, and they would be remembered for ever.
+            if len(self.histories) > 2 * len(self.dispatcher.store.messages) + SPARE_HISTORIES:
+                self.histories = {
+                    each: history for each, history in self.histories.items() if each in self.dispatcher.store.messages
+                }
+                self.histories[number] = history
+        return history
 
     # ---- receivers ----
 
-    def looked(self) -> list[Happened]:
-        """Receivers that went out or came back since the last look, and those taken out by hand or restored."""
+    def receiver_changes(self) -> list[Happened]:
+        """Receivers avoided or used again since the last call, and those suspended by hand or restored."""
         now = self.dispatcher.clock.now()
         self.uids = {number: uid for uid, number in self.endpoint_list.numbers.items()}
         out = {
@@ -106,24 +111,26 @@
             if each.out_since
         }
         suspended = set(self.endpoint_list.suspended)
-        found: list[Happened] = []
-        if self.begun:
+        events: list[Happened] = []
+        if self.observing:
             waits = {self._uid(receiver): until for receiver, until in self.dispatcher.sender.retry_after_waits(now)}
             for uid in sorted((out.keys() - self.out.keys()) - {""}):
                 fields = self._receiver(uid, out[uid][0])
-                found.append(("receiver-out", fields | ({"wait": waits[uid] - now} if waits.get(uid, 0) > now else {})))
+                events.append(
+                    ("receiver-out", fields | ({"wait": waits[uid] - now} if waits.get(uid, 0) > now else {}))
+                )
             for uid in sorted((self.out.keys() - out.keys()) - {""}):
                 destination, since = self.out[uid]
-                found.append(("receiver-back", self._receiver(uid, destination) | {"age": max(0, now - since)}))
-            found += [("suspended", self._receiver(uid)) for uid in sorted(suspended - self.suspended)]
-            found += [("restored", self._receiver(uid)) for uid in sorted(self.suspended - suspended)]
-        self.out, self.suspended, self.begun = out, suspended, True
-        return found
+                events.append(("receiver-back", self._receiver(uid, destination) | {"age": max(0, now - since)}))
+            events += [("suspended", self._receiver(uid)) for uid in sorted(suspended - self.suspended)]
+            events += [("restored", self._receiver(uid)) for uid in sorted(self.suspended - suspended)]
+        self.out, self.suspended, self.observing = out, suspended, True
+        return events
 
-    def blind(self) -> None:
+    def pause(self) -> None:
         """Nobody follows any more; what changes until somebody does is no event."""
-        self.begun = False
-        self.lives.clear()
+        self.observing = False
+        self.histories.clear()
 
     def member(self, name: str) -> dict[str, Value]:
         """The fields of an event of another member."""
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -1,9 +1,9 @@
-"""A member's part in what subscribers are told: the registry among the members, `FOLLOW`, and the events here.
+"""A member's part in subscriptions: the registry among the members, `FOLLOW` and `UNFOLLOW`, and the events here.
 
 Made with the fleet, and costs next to nothing until somebody follows: then `subscription_server.py` is loaded, and
 with it lark.
-The registry is told as in `anti_entropy.py` and kept as in `subscription_store.py`; what its entries mean is settled
-in `registry.py`.
+`anti_entropy.py` brings the registry to the other members, `subscription_store.py` to the folder; `registry.py` has
+the meaning of its entries.
 """
 
 import importlib
@@ -17,12 +17,12 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.events.anti_entropy import Spread
-from cedarwick.events.event_source import Witness
+from cedarwick.events.anti_entropy import RegistrySync
+from cedarwick.events.event_source import EventObserver
 from cedarwick.events.kinds import InvalidEventError, Value
 from cedarwick.events.registry import FORGET, SECOND, NotFollowedError, Registry, Verdict
 from cedarwick.events.sources import Sources
-from cedarwick.events.subscription_store import Keeper
+from cedarwick.events.subscription_store import SubscriptionStore
 from cedarwick.fleet.membership import MemberChange, MemberStatus
 from cedarwick.fleet.messages import Acknowledged, Body, Cursors, Matches, Subscribe
 from cedarwick.fleet.peer_verifier import PeerVerifier
@@ -35,17 +35,17 @@
 from cedarwick.store.records import StoredMessage
 
 if TYPE_CHECKING:
-    from cedarwick.events.subscription_server import Serving
+    from cedarwick.events.subscription_server import SubscriptionServer
 
-TURN = 250_000  # microseconds between two looks at registry and receivers
-AGAIN = 5_000_000  # between two comparisons with a member with which nothing is new
-RETRY = 1_000_000  # until one that failed, or left something over, is made again
-TICK = 1_000_000
-JUMP = 10_000_000  # by which the wall clock goes astray of the one that counts on, until that counts as a jump
-AT_START = 20  # portions of the filters that are kept that are read before a start goes on: 200 filters, 0.1 s
-EXPIRY = 30_000_000  # between two looks for subscriptions that nobody follows any more
-ANSWER_IN = 0.4  # seconds
-MOST_READERS = 128  # subscribers that are connected here
+TURN_INTERVAL = 250_000  # microseconds between two looks at registry and receivers
+COMPARE_INTERVAL = 5_000_000  # microseconds between two comparisons with a member with which nothing is new
+RETRY_AFTER = 1_000_000  # microseconds until one that failed, or left something over, is made again
+TICK_INTERVAL = 1_000_000  # microseconds between two ticks of the registry
+CLOCK_JUMP = 10_000_000  # microseconds between wall clock and steady clock from which the wall clock counts as set
+START_PORTIONS = 20  # of stored filters that are read before a start goes on: 200 filters, 0.1 s
+EXPIRY_INTERVAL = 30_000_000  # microseconds between two looks for subscriptions that nobody follows any more
+ANSWER_TIMEOUT_S = 0.4  # for another member's answer
+MAX_READERS = 128  # subscribers that are connected here
 
 
 class InvalidFollowError(CedarwickError):
@@ -91,12 +91,13 @@
 
 
 def wall() -> int:
-    """Danger: the sender's own clock stands while the machine sleeps, and what is said after that would be older."""
+    """The wall clock in microseconds."""
+    # Danger: the sender's own clock stands while the machine sleeps, and what is said after that would be older.
     return time.time_ns() // 1000
 
 
 class Exchange:
-    """Nothing is told or taken before `attach`."""
+    """The subscriptions of one member of a fleet; it sees no events before `attach`."""
 
     def __init__(
         self,
@@ -113,49 +114,51 @@
         self.counters = counters
         self.call = call
         self.sources = Sources(gate)
-        self.spread = Spread(Registry(name, wall(), lasts))
-        self.keeper = Keeper(state, self.registry, counters) if state else None
-        self.serving: Serving | None = None
+        self.sync = RegistrySync(Registry(name, wall(), lasts))
+        self.store = SubscriptionStore(state, self.registry, counters) if state else None
+        self.serving: SubscriptionServer | None = None
         self.loading = False
         self.first = 1  # the number of the next event, while nothing is served
         self.alive: list[str] = [name]
         self.dirty = False  # subscriptions have changed, or some are not evaluated yet
         self.began = gate.incarnation  # of the newest connection here
         self.turn_at = self.tick_at = self.expiry_at = 0
-        self.lacks: dict[str, set[str]] = {}  # by member: subscriptions that it is to be told
+        self.lacks: dict[str, set[str]] = {}  # by member: subscriptions that it has not yet been sent
         self.agreed: dict[str, int] = {}  # by member: the digest at the last peer message
         self.next_at: dict[str, int] = {}  # by member: when the two compare, where nothing is new
         self.failed_until: dict[str, int] = {}  # by member that has not answered
         self.talking: set[str] = set()
-        self.witness: Witness | None = None
+        self.observer: EventObserver | None = None
         self.offset: int | None = None  # of the wall clock to the one that counts on
-        if self.keeper is not None:
-            self.keeper.load(wall())
+        if self.store is not None:
+            self.store.load(wall())
 
     @property
     def registry(self) -> Registry:
         """All subscriptions, as this member knows them."""
-        return self.spread.registry
+        return self.sync.registry
 
     def replace(self, lasts: int) -> None:
-        """Another word of how long what is followed here lasts without a follower: for all who are connected, too."""
+        """Set how many microseconds a subscription followed here lasts without a follower, current ones included."""
         self.registry.lasts = lasts
 
-    def attach(self, staff: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher, hall: str) -> None:
+    def attach(
+        self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher, hall: str
+    ) -> None:
         """Once the attempts are made, after everybody else who listens to them."""
-        self.witness = Witness(self.name, hall, dispatcher, endpoint_list)
-        staff.follows = self.answer
+        self.observer = EventObserver(self.name, hall, dispatcher, endpoint_list)
+        management.follows = self.answer
         dispatcher.attempts.clear = partial(self._cleared, dispatcher.attempts.clear)
-        dispatcher.attempts.tell = partial(self._told, dispatcher.attempts.tell)
+        dispatcher.attempts.tell = partial(self._attempt_ended, dispatcher.attempts.tell)
         self.begin()
 
     def begin(self) -> None:
-        """Before anything happens here: evaluate what the folder has kept, as far as that takes a moment only."""
-        # Danger: the part that evaluates takes time to load; what happened till then would be told to nobody.
+        """Before anything happens here: evaluate what the folder holds, as far as that takes a moment only."""
+        # Danger: the part that evaluates takes time to load; what happened till then would reach nobody.
         living = self.registry.living(wall())
         if living:
             serving = self._load()
-            self.dirty = not any(serving.evaluate(living) for _ in range(AT_START))
+            self.dirty = not any(serving.evaluate(living) for _ in range(START_PORTIONS))
 
     # ---- events here ----
 
@@ -166,20 +169,20 @@
 
     def seen(self, kind: str, stored: StoredMessage, figure: int) -> None:
         """As `Shared.seen`: something has happened to a message."""
-        witness = self.witness
-        if witness is None or not self.watching:
+        observer = self.observer
+        if observer is None or not self.watching:
             self._unseen()
             return
         try:
-            self._happened(kind, witness.message(kind, stored, figure))
+            self._happened(kind, observer.message(kind, stored, figure))
         except Exception:  # Danger: a delivery must not fail because somebody watches it
             self.counters.failed("an event was not told")
 
     def adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
         """Messages of another member are this one's from now on."""
         for each in stored:
-            if self.watching and self.witness is not None:
-                self._happened("adopted", self.witness.message("adopted", each, 0) | self.witness.member(member))
+            if self.watching and self.observer is not None:
+                self._happened("adopted", self.observer.message("adopted", each, 0) | self.observer.member(member))
             else:
                 self._unseen()
 
@@ -195,8 +198,8 @@
             self._of_member("member-went", change.name, {"age": silent})
 
     def _of_member(self, kind: str, member: str, more: dict[str, Value]) -> None:
-        if self.watching and self.witness is not None:
-            self._happened(kind, self.witness.member(member) | more)
+        if self.watching and self.observer is not None:
+            self._happened(kind, self.observer.member(member) | more)
         else:
             self._unseen()
 
@@ -214,15 +217,15 @@
             self.counters.trouble("an event that cannot be told", error)
 
     def _cleared(self, clear: Callable[[AttemptCall], bool], call: AttemptCall) -> bool:
-        if self.watching and self.witness is not None:
-            self.witness.cleared(call)
+        if self.watching and self.observer is not None:
+            self.observer.attempt_begins(call)
         return clear(call)
 
-    def _told(
+    def _attempt_ended(
         self, tell: Callable[[AttemptCall, AttemptResult], None], call: AttemptCall, ending: AttemptResult
     ) -> None:
-        if self.watching and self.witness is not None:
-            self.witness.told(call, ending)
+        if self.watching and self.observer is not None:
+            self.observer.attempt_ended(call, ending)
         tell(call, ending)
 
     # ---- called by the node ----
@@ -231,7 +234,7 @@
         """`now` counts on while the machine sleeps; `majority` is of all members."""
         self.alive = list(alive)
         if now >= self.tick_at:
-            self.tick_at = now + TICK
+            self.tick_at = now + TICK_INTERVAL
             self._tick(now, len(self.alive) >= majority)
         if self.dirty:
             self._evaluate()
@@ -239,13 +242,13 @@
             self.serving.look(now, self.alive)
         if now < self.turn_at:
             return
-        self.turn_at = now + TURN
-        if self.watching and self.witness is not None:
-            for kind, fields in self.witness.looked():
+        self.turn_at = now + TURN_INTERVAL
+        if self.watching and self.observer is not None:
+            for kind, fields in self.observer.receiver_changes():
                 self._happened(kind, fields)
-        elif self.witness is not None and self.witness.begun:
-            self.witness.blind()
-        digest = self.spread.digest()
+        elif self.observer is not None and self.observer.observing:
+            self.observer.pause()
+        digest = self.sync.digest()
         for name in self.alive:
             new = bool(self.lacks.get(name)) or self.agreed.get(name) != digest
             due = new and now >= self.failed_until.get(name, 0) or now >= self.next_at.get(name, 0)
@@ -257,7 +260,7 @@
         """The answer to another member's peer message."""
         if isinstance(body, Subscribe):
             self._take(sender, body)
-            return self.spread.answer(body)
+            return self.sync.answer(body)
         if self.serving is None:
             return Cursors(body.source, ()) if isinstance(body, Matches) else Acknowledged()
         if isinstance(body, Matches):
@@ -267,15 +270,15 @@
 
     def stop(self) -> None:
         """The sender ends; what is kept in the folder is another process's from now on."""
-        if self.keeper is not None:
-            self.keeper.close(wall())
+        if self.store is not None:
+            self.store.close(wall())
         if self.serving is not None:
             self.serving.summary()
 
     def _tick(self, now: int, with_majority: bool) -> None:
         count, at = len(self.registry.entries), wall()
         offset = self.offset = at - now if self.offset is None else self.offset
-        if abs(at - now - offset) > JUMP:
+        if abs(at - now - offset) > CLOCK_JUMP:
             logger.warning("the wall clock has jumped by {} s", (at - now - offset) / SECOND)
             self.registry.stepped(at - now - offset)
             self.offset = at - now
@@ -290,10 +293,10 @@
                     self.registry.followed(at, name)
                     self._changed(name)
         if now >= self.expiry_at:
-            self.expiry_at = now + EXPIRY
+            self.expiry_at = now + EXPIRY_INTERVAL
             self.dirty = bool(self.registry.entries) or self.dirty
-        if self.keeper is not None:
-            self.keeper.look(at, now)
+        if self.store is not None:
+            self.store.look(at, now)
 
     def _evaluate(self) -> None:
         living = self.registry.living(wall())
@@ -305,7 +308,7 @@
             self.loading = True
             gevent.spawn(self._load)
 
-    def _load(self) -> "Serving":
+    def _load(self) -> "SubscriptionServer":
         """The part that evaluates; reading its grammar takes too long for the loop."""
         try:
             module = gevent.get_hub().threadpool.apply(
@@ -314,7 +317,7 @@
         finally:
             self.loading = False
         if self.serving is None:
-            self.serving = module.Serving(
+            self.serving = module.SubscriptionServer(
                 self.name,
                 self.sources,
                 self.first,
@@ -322,17 +325,17 @@
                 self.call,
                 self.counters,
             )
-        return cast("Serving", self.serving)
+        return cast("SubscriptionServer", self.serving)
 
     # ---- the registry ----
 
     def _changed(self, *names: str, but: str = "") -> None:
-        """Entries have changed: kept before anybody is told, told to the others at the next look, acted on here."""
+        """Entries have changed: store them first, act on them here, and send them to the others at the next look."""
         at = wall()
-        if self.keeper is not None:
+        if self.store is not None:
             # Danger: who answers that it knows of an end, and forgets it in a restart, would bring back what was ended.
-            self.keeper.changed(at, names)
-        self.spread.changed()
+            self.store.changed(at, names)
+        self.sync.changed()
         self.dirty = True
         self.turn_at = 0
         for member in (self.gate.others - {but}) if names else ():
@@ -350,45 +353,45 @@
         if self.serving is not None and name in self.serving.connections:
             self.serving.connections[name].end(why)
 
-    def _take(self, sender: str, told: Subscribe) -> None:
+    def _take(self, sender: str, received: Subscribe) -> None:
         """Join another member's entries, and act on what is new."""
-        before = dict(self.registry.entries) if told.entries else {}
-        verdict = self.spread.join(wall(), told)
+        before = dict(self.registry.entries) if received.entries else {}
+        verdict = self.sync.join(wall(), received)
         if verdict is not Verdict.JOINED:
             self.counters.trouble("subscriptions of another member", NotJoinedError(f"{sender}: {verdict.value}"))
             return
         entries = self.registry.entries
-        changed = [name for name in told.entries if name in entries and before.get(name) is not entries[name]]
+        changed = [name for name in received.entries if name in entries and before.get(name) is not entries[name]]
         if changed:
             self._changed(*changed, but=sender)
 
     def _talk(self, now: int, name: str) -> None:
         try:
-            self.next_at[name] = now + (AGAIN if self._say(now, name) else RETRY)
+            self.next_at[name] = now + (COMPARE_INTERVAL if self._say(now, name) else RETRY_AFTER)
         finally:
             self.talking.discard(name)
 
     def _say(self, now: int, name: str) -> bool:
-        """Tell another member what it lacks, and compare; whether the two are at one."""
+        """Send another member what it lacks, and compare; returns whether the two registries are equal."""
         names = self.lacks.pop(name, set())
-        answer = self._ask(name, self.spread.peer_message(names))
+        answer = self._ask(name, self.sync.peer_message(names))
         if answer is None:
             self.lacks.setdefault(name, set()).update(names)
-            self.failed_until[name] = now + RETRY
+            self.failed_until[name] = now + RETRY_AFTER
             return False
-        if answer.buckets and (wish := self.spread.differing(answer)) is not None:
+        if answer.buckets and (wish := self.sync.differing(answer)) is not None:
             answer = self._ask(name, wish) or answer
-        self.agreed[name] = self.spread.digest()
+        self.agreed[name] = self.sync.digest()
         return answer.digest == self.agreed[name]
 
     def _ask(self, name: str, peer_message: Subscribe) -> Subscribe | None:
-        answer = self.call(name, peer_message, ANSWER_IN)
+        answer = self.call(name, peer_message, ANSWER_TIMEOUT_S)
         if not isinstance(answer, Subscribe):
             return None
         self._take(name, answer)
         return answer
 
-    # ---- staff and subscribers ----
+    # ---- management calls ----
 
     def answer(self, call: commands.Call) -> str | StreamingAnswer:
         """`FOLLOW` and `UNFOLLOW`; a `CedarwickError` says why not."""
@@ -399,29 +402,29 @@
             return partial(self._load_and_follow, call.argument)
         return self._follow(self.serving, call.argument)
 
-    def _load_and_follow(self, told: str, sock: gevent.socket.socket) -> None:
+    def _load_and_follow(self, argument: str, sock: gevent.socket.socket) -> None:
         try:
-            talk = self._follow(self._load(), told)
+            talk = self._follow(self._load(), argument)
         except CedarwickError as error:
             self.counters.add(f"management calls refused: {error.code}")
             sock.sendall(f"NO {error.line}\n".encode("ascii", "replace"))
         else:
             talk(sock)
 
-    def _follow(self, serving: "Serving", told: str) -> StreamingAnswer:
+    def _follow(self, serving: "SubscriptionServer", argument: str) -> StreamingAnswer:
         from cedarwick.events.language import check_levels, read
         from cedarwick.events.streams import decoded
         from cedarwick.events.subscriber_reader import Reader
 
         # A cursor has a colon: the first word without one, after the name, begins the filter.
-        words = told.split(" ")
+        words = argument.split(" ")
         place = next((at for at, word in enumerate(words[1:], 1) if word.upper() == "WHERE"), len(words))
         name, cursors = decoded(" ".join(word for word in words[:place] if word))
         text = " ".join(words[place + 1 :])
         if place < len(words) and not text.strip():
             raise InvalidFollowError("no filter after WHERE")
-        if len(serving.connections) >= MOST_READERS and name not in serving.connections:
-            raise TooManyReadersError(f"{MOST_READERS} subscribers are connected here")
+        if len(serving.connections) >= MAX_READERS and name not in serving.connections:
+            raise TooManyReadersError(f"{MAX_READERS} subscribers are connected here")
         at = wall()
         if place < len(words):
             found = read(text)
@@ -444,20 +447,20 @@
         self._changed(name)
         return partial(serving.talk, connection, alive=lambda: self.alive)
 
-    def _unfollow(self, told: str) -> str:
-        name = told.strip()
+    def _unfollow(self, argument: str) -> str:
+        name = argument.strip()
         if not name or " " in name:
             raise InvalidFollowError("UNFOLLOW takes one name")
         self.registry.end(wall(), name)
         self._changed(name)
-        peer_message = self.spread.peer_message([name])
+        peer_message = self.sync.peer_message([name])
         # Danger: who is alive may change while the answers are awaited.
         calls = {
             member: gevent.spawn(self._ask, member, peer_message)
             for member in sorted(self.gate.others)
             if member in self.alive
         }
-        gevent.joinall(list(calls.values()), timeout=ANSWER_IN)
+        gevent.joinall(list(calls.values()), timeout=ANSWER_TIMEOUT_S)
         untold = [member for member in sorted(self.gate.others) if member not in calls or calls[member].value is None]
         logger.info("{} ended; not yet told: {}", name, ", ".join(untold) or "nobody")
         return f"YES {name} ended" + (f", not yet told: {', '.join(untold)}" if untold else "") + "\n"
--- a/cedarwick/events/index.py
+++ b/cedarwick/events/index.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 from operator import itemgetter
-from typing import Any, NamedTuple, Protocol
+from typing import Any, NamedTuple, Protocol, TypeGuard
 
 from cedarwick.events.compiled import Test, Values, tested
 from cedarwick.events.kinds import FIELDS, Event, Type, Value
@@ -21,10 +21,10 @@
 from cedarwick.events.normalization import normal
 from cedarwick.events.terms import Among, And, Compare, Has, Like, Not, Or, Range, Sample, Term, joined
 
-MOST_KEYS = 64  # of one filter
-MOST_TOGETHER = 3  # equalities that are looked up at once
-MOST_SETS = 24  # different sets of fields that are looked up, beside single ones
-CELLS = 4  # that a span is laid over, about
+MAX_KEYS = 64  # of one filter
+MAX_JOINT_EQUALITIES = 3  # that are looked up at once
+MAX_FIELD_SETS = 24  # different sets of fields that are looked up, beside single ones
+CELLS_PER_SPAN = 4  # that a span is laid over, about
 # The share of events that should meet an equality on a field: a guess that orders keys, nothing more.
 SHARES = {
     "id": 1e-5,
@@ -225,21 +225,21 @@
                     return None
                 keys |= part.keys
             share = sum(part.share for part in parts if part)
-            return Access(keys, share) if len(keys) <= MOST_KEYS else None
+            return Access(keys, share) if len(keys) <= MAX_KEYS else None
         return _leaf_access(term)
 
     def _together(self, term: And) -> Access | None:
         """Several equalities of a conjunction as one key for each combination."""
         best: dict[str, Compare | Among] = {}
         for each in term.terms:
-            if isinstance(each, Among) or isinstance(each, Compare) and each.sign == "=":
+            if _is_equality(each):
                 if each.field not in best or len(_values(each)) < len(_values(best[each.field])):
                     best[each.field] = each
         chosen: list[Compare | Among] = []
         count, share = 1, 1.0
         for name in sorted(best, key=lambda name: (SHARES[name] * len(_values(best[name])), name)):
             values = len(_values(best[name]))
-            if len(chosen) < MOST_TOGETHER and count * values <= MOST_KEYS:
+            if len(chosen) < MAX_JOINT_EQUALITIES and count * values <= MAX_KEYS:
                 chosen.append(best[name])
                 count *= values
                 share *= min(1.0, SHARES[name] * values)
@@ -267,7 +267,7 @@
     return any(_follows(each, shown) for each in term.terms) if isinstance(term, Or) else term in shown
 
 
-def _is_equality(term: Term) -> bool:
+def _is_equality(term: Term) -> TypeGuard[Compare | Among]:
     return isinstance(term, Among) or isinstance(term, Compare) and term.sign == "="
 
 
@@ -282,9 +282,9 @@
 def _leaf_access(term: Term) -> Access | None:
     if isinstance(term, Has):
         return Access({Present(term.field): frozenset({term})}, HAS_SHARE)
-    if isinstance(term, Among) or isinstance(term, Compare) and term.sign == "=":
+    if _is_equality(term):
         values = _values(term)
-        if len(values) <= MOST_KEYS:
+        if len(values) <= MAX_KEYS:
             keys: dict[Key, frozenset[Term]] = {Equal((term.field,), (value,)): frozenset({term}) for value in values}
             return Access(keys, min(1.0, SHARES[term.field] * len(values)))
     elif isinstance(term, Compare) and term.sign != "!=":
@@ -325,7 +325,7 @@
 
     def takes(self, fields: tuple[str, ...]) -> bool:
         """Whether a set of fields may be looked up together."""
-        return fields in self.sets or len(self.sets) < MOST_SETS
+        return fields in self.sets or len(self.sets) < MAX_FIELD_SETS
 
     def add(self, key: Equal, text: str, entry: Entry) -> None:
         if len(key.fields) == 1:
@@ -416,9 +416,9 @@
 
     @staticmethod
     def _cells(key: Within) -> tuple[float, Iterator[int]]:
-        """The width of cells and those that a span touches: two to CELLS + 2."""
+        """The width of cells and those that a span touches: two to CELLS_PER_SPAN + 2."""
         # Danger: the difference of two large whole numbers as floats may be far off, and the cells too many.
-        exponent = math.ceil(math.log2(max((key.high - key.low) / CELLS, 1e-9)))
+        exponent = math.ceil(math.log2(max((key.high - key.low) / CELLS_PER_SPAN, 1e-9)))
         width: float = 2.0**exponent
         if isinstance(key.low, int) and isinstance(key.high, int):
             width = max(1, int(width))
--- a/cedarwick/events/kinds.py
+++ b/cedarwick/events/kinds.py
@@ -8,7 +8,7 @@
 from cedarwick.errors import CedarwickError
 
 LONGEST_TEXT = 256  # characters of a text field
-LARGEST = (1 << 63) - 1
+LARGEST = (1 << 63) - 1  # the largest magnitude of a number
 Value = str | int | float | bool
 
 
@@ -52,7 +52,7 @@
 KINDS: dict[str, frozenset[str]] = {
     "taken": MESSAGE,
     "shot": LIVED | {"receiver"},
-    "outcome": LIVED | {"receiver", "outcome", "wait"},  # wait: what the receiver told
+    "outcome": LIVED | {"receiver", "outcome", "wait"},  # wait: its Retry-After
     "completed": LIVED,
     "nacked": LIVED | {"wait"},  # wait: what the client was advised
     "written-off": LIVED,
--- a/cedarwick/events/match_delivery.py
+++ b/cedarwick/events/match_delivery.py
@@ -1,4 +1,4 @@
-"""What a source still owes one subscriber, and what is to be sent to the member where it is: told the time, no I/O.
+"""What a source still owes one subscriber, and what is to be sent to the member where it is. No clock, no I/O.
 
 The subscriber's member says again and again how far it is (a receiver that tells the sender its place, as in
 go-back-N): `held`, the last number that has come there, and `written`, the last that the subscriber was given. What
@@ -12,10 +12,10 @@
 from cedarwick.events.streams import WINDOW, From, Item, Match, Outbox, position, weight
 from cedarwick.fleet.backoff import Backoff
 
-PRESENT = 6_000_000  # microseconds: a subscriber of which nothing was heard for so long is taken for gone
-AGAIN = 300_000  # after which what has not come is sent again, and a wait drawn on top
-TRAIL = 2 * WINDOW  # items that are kept after they were written
-TRAIL_BYTES = 1 << 16
+PRESENCE_TIMEOUT = 6_000_000  # microseconds: a subscriber of which nothing was heard for so long is taken for gone
+RESEND_AFTER = 300_000  # microseconds until what has not arrived is sent again, and a drawn wait on top
+MAX_TRAIL_ITEMS = 2 * WINDOW  # written items that stay for a subscriber that comes back
+MAX_TRAIL_BYTES = 1 << 16  # of these items, about
 NOWHERE = -1  # the place of a subscriber that has nothing of a source
 
 
@@ -29,20 +29,20 @@
     room: bool = True  # whether more may come now
 
 
-class Lane:
-    """The way from one outbox to its subscriber."""
+class MatchDelivery:
+    """The delivery from one outbox to its subscriber. Times are microseconds of a clock that never goes back."""
 
     def __init__(self, outbox: Outbox, seed: int) -> None:
         self.outbox = outbox
         self.trail: deque[Item] = deque()  # written, the newest last
         self.bytes = 0  # of the trail
-        self.gone = NOWHERE  # up to this number what was written is kept no more
+        self.dropped_up_to = NOWHERE  # written items up to this number were dropped
         self.reader: Reached | None = None
-        self.until = 0  # the reader counts as present
+        self.present_until = 0  # microseconds
         self.next_at = 0
         self.waits = Backoff(seed)
 
-    def told(self, now: int, reached: Reached) -> None:
+    def reader_reached(self, now: int, reached: Reached) -> None:
         """The subscriber's member says how far it is; what an older connection had is of no interest any more."""
         before = self.reader
         if before is not None and before.member == reached.member:
@@ -55,23 +55,23 @@
         if before is None or before != reached:
             self.waits.reset()
             self.next_at = 0
-        self.reader, self.until = reached, now + PRESENT
+        self.reader, self.present_until = reached, now + PRESENCE_TIMEOUT
         self._written(reached.written)
 
-    def gone_from(self, member: str) -> None:
+    def disconnected(self, member: str) -> None:
         """Nobody is connected there any more."""
         if self.reader is not None and self.reader.member == member:
-            self.until = 0
+            self.present_until = 0
 
     def present(self, now: int) -> bool:
         """Whether the subscriber is there to be sent to."""
-        return now < self.until
+        return now < self.present_until
 
     @property
     def done(self) -> bool:
         """Whether the subscriber has everything, and everything was written."""
         outbox = self.outbox
-        last = position(self.trail[-1]) if self.trail else self.gone
+        last = position(self.trail[-1]) if self.trail else self.dropped_up_to
         behind = self.reader is not None and self.reader.held < last
         return not (behind or outbox.window or outbox.waiting or outbox.beginning or outbox.gap)
 
@@ -81,14 +81,14 @@
         if not self.present(now) or now < self.next_at or self.reader is None or not self.reader.room:
             return []
         found = self.after(self.reader.held)
-        self.next_at = now + AGAIN + (self.waits.next() if found else 0)
+        self.next_at = now + RESEND_AFTER + (self.waits.next() if found else 0)
         return found
 
     def after(self, cursor: int) -> list[Item]:
-        """The next items in their order; `From`, where what came after the cursor is kept no more."""
+        """The next items in their order; `From` first, where items after the cursor were dropped."""
         found = [item for item in (*self.trail, *self.outbox.offer()) if position(item) > cursor]
         # Danger: without it what was written to a lost connection and never read would be missing in silence.
-        return [From(self.outbox.source, self.gone + 1), *found] if cursor < self.gone else found
+        return [From(self.outbox.source, self.dropped_up_to + 1), *found] if cursor < self.dropped_up_to else found
 
     def _written(self, cursor: int) -> None:
         passed = [item for item in self.outbox.window if position(item) <= cursor]
@@ -96,10 +96,10 @@
         for item in passed:
             self.trail.append(item)
             self.bytes += _size(item)
-        while len(self.trail) > TRAIL or self.bytes > TRAIL_BYTES:
+        while len(self.trail) > MAX_TRAIL_ITEMS or self.bytes > MAX_TRAIL_BYTES:
             item = self.trail.popleft()
             self.bytes -= _size(item)
-            self.gone = position(item)
+            self.dropped_up_to = position(item)
 
 
 def _size(item: Item) -> int:
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -1,4 +1,4 @@
-"""Which subscriptions there are, the same at every member once they have spoken; told the time, no I/O.
+"""Which subscriptions there are, the same at every member once they have exchanged them. No clock, no I/O.
 
 Each member holds all of them. Entries are joined by taking the larger in one total order, so that the join is
 commutative, associative and idempotent (a state-based CRDT: Shapiro et al., 2011). Counters of versions follow the
@@ -25,8 +25,8 @@
 from cedarwick.errors import CedarwickError
 
 SECOND = 1_000_000
-FORGET = 3600 * SECOND  # a subscription that nobody has followed for so long has ended, where nothing else is told
-LEAST_FORGET = 60 * SECOND  # what may be told
+FORGET = 3600 * SECOND  # a subscription that nobody has followed for so long has ended, where no other time is set
+LEAST_FORGET = 60 * SECOND  # the shortest time that may be set
 MOST_FORGET = 12 * 3600 * SECOND  # Danger: who holds one for longer than MOST_AWAY would lose it by being away alone
 SLICE = 3600 * SECOND  # an epoch
 KEEP = 24  # epochs for which tombstones are kept
--- a/cedarwick/events/sources.py
+++ b/cedarwick/events/sources.py
@@ -1,10 +1,10 @@
-"""What sources are called, and which have ended: one for each boot of each member."""
+"""Names of event sources, one for each boot of each member, and which of them have ended."""
 
 from cedarwick.events.registry import NAME
 from cedarwick.fleet.messages import slot_of
 from cedarwick.fleet.peer_verifier import PeerVerifier
 
-LONGEST_STEM = 47  # characters: the name of a source is one that a subscriber's cursors can hold
+MAX_STEM_LENGTH = 47  # characters: the name of a source is one that a subscriber's cursors can hold
 
 
 class Sources:
@@ -20,9 +20,9 @@
 
     def over(self, source: str) -> bool:
         """Whether a source has ended for good: its member has begun anew, or is no member any more."""
-        told, _, boot = source.rpartition("-")
+        source_stem, _, boot = source.rpartition("-")
         for member in (self.gate.me, *self.gate.others):
-            if stem(member) == told:
+            if stem(member) == source_stem:
                 newest = self._boot(member)
                 return newest > 0 and (not boot.isdecimal() or int(boot) < newest)
         return True
@@ -33,4 +33,4 @@
 
 def stem(member: str) -> str:
     """A member's name, or its slot where the name does not fit."""
-    return member if len(member) <= LONGEST_STEM and NAME.fullmatch(member) else f"m{slot_of(member)}"
+    return member if len(member) <= MAX_STEM_LENGTH and NAME.fullmatch(member) else f"m{slot_of(member)}"
--- a/cedarwick/events/streams.py
+++ b/cedarwick/events/streams.py
@@ -153,7 +153,10 @@
         self.outboxes.pop(name, None)
 
     def happened(self, at: int, kind: str, fields: dict[str, Value]) -> list[str]:
-        """Number an event and keep it for those it matches; their names. Raises BadEvent, with the number used up."""
+        """Number an event and keep it for the subscriptions it matches, whose names are returned.
+
+        Raises InvalidEventError; the number is then used up.
+        """
         number = self.next
         self.next += 1
         if not self.outboxes:
@@ -190,7 +193,7 @@
         return new
 
     def end(self, source: str) -> list[Ended]:
-        """A source has ended for good: its cursor is let go, and the subscriber is told."""
+        """A source has ended for good: its cursor is dropped; returns the item that says so to the subscriber."""
         cursor = self.cursors.pop(source, None)
         return [] if cursor is None else [Ended(source, cursor)]
 
--- a/cedarwick/events/subscriber_reader.py
+++ b/cedarwick/events/subscriber_reader.py
@@ -41,13 +41,13 @@
         return len(self.pending) < MOST_PENDING
 
     def reached(self, member: str, source: str) -> Reached:
-        """Its place in a source, as its member (this one) tells."""
+        """How far it is with a source, as `member`, where it is connected, reports it."""
         return Reached(
             member, self.began, self.inbox.cursors.get(source, NOWHERE), self.given.get(source, NOWHERE), self.room
         )
 
     def end(self, source: str) -> None:
-        """The source has ended for good: told after all that has come from it."""
+        """The source has ended for good: queue the line that says so behind all that has come from it."""
         self.pending.extend(self.inbox.end(source))
 
     def lines(self) -> tuple[bytes, dict[str, int]]:
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -1,6 +1,6 @@
 """The subscriptions at work in one member: evaluated here, sent on to where subscribers are, written to those here.
 
-Loaded with the first subscription, and with it the grammar. What a lane owes and what a reader has is settled in
+Loaded with the first subscription, and with it the grammar. What a delivery owes and what a reader has is decided in
 `match_delivery.py` and `subscriber_reader.py`; this calls other members and writes to sockets. Deliveries never wait
 for any of it: events go into bounded buffers, and everything else happens in greenlets of its own.
 """
@@ -17,7 +17,7 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.events.kinds import Value
-from cedarwick.events.match_delivery import NOWHERE, Lane, Reached
+from cedarwick.events.match_delivery import NOWHERE, MatchDelivery, Reached
 from cedarwick.events.registry import Entry
 from cedarwick.events.sources import Sources
 from cedarwick.events.streams import Item, Source
@@ -25,16 +25,16 @@
 from cedarwick.fleet.messages import Body, Cursor, Cursors, Matches, Stream
 from cedarwick.net.counters import Counters
 
-BEAT = 2.0  # seconds without a line until a reader is sent an empty one
-WRITE_WITHIN = 10.0  # seconds in which what is written must be taken
-SEND_BUFFER = 1 << 16  # bytes that the system holds for a reader
-PLACES = 2_000_000  # microseconds between two peer messages that tell the places of all readers
-ENDINGS = 250_000  # between two looks for sources that have ended
-ANSWER_IN = 1.0  # seconds
-PEER_MESSAGE = 1 << 18  # bytes of matches in one peer message, about
-STREAMS = 500  # subscriptions in one peer message
-ROWS = 2000  # places in one peer message
-READ_AT_ONCE = 10  # filters that are compiled in one look: each takes up to a millisecond
+IDLE_LINE_S = 2.0  # without a line until a reader is sent an empty one
+WRITE_TIMEOUT_S = 10.0  # in which what is written must be taken
+SEND_BUFFER_BYTES = 1 << 16  # that the system holds for a reader
+PLACES_INTERVAL = 2_000_000  # microseconds between two peer messages with the places of all readers
+ENDINGS_INTERVAL = 250_000  # microseconds between two looks for sources that have ended
+ANSWER_TIMEOUT_S = 1.0  # for another member's answer
+MATCHES_BYTES = 1 << 18  # of matches in one peer message, about
+MAX_STREAMS = 500  # subscriptions in one peer message
+MAX_PLACES = 2000  # places in one peer message
+FILTERS_PER_LOOK = 10  # that are compiled in one look: each takes up to a millisecond
 _encode = msgspec.msgpack.Encoder().encode
 _items: msgspec.msgpack.Decoder[list[Item]] = msgspec.msgpack.Decoder(list[Item])
 
@@ -69,17 +69,18 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """A reader and the word that something came for it."""
+    """A reader that is connected here, and an event set when something has arrived for it."""
 
     reader: Reader
-    news: gevent.event.Event = field(default_factory=gevent.event.Event)
+    arrived: gevent.event.Event = field(default_factory=gevent.event.Event)
 
     def end(self, why: CedarwickError) -> None:
+        """Let the subscriber go; the first reason given is the one it is sent."""
         self.reader.over = self.reader.over or why
-        self.news.set()
+        self.arrived.set()
 
 
-class Serving:
+class SubscriptionServer:
     """`call` asks another member; the numbers of the events begin with `first`."""
 
     def __init__(
@@ -98,13 +99,15 @@
         self.counters = counters
         self.source = Source(sources.of(me))
         self.source.next = first
-        self.lanes: dict[str, Lane] = {}
-        self.active: dict[str, None] = {}  # lanes that may have something to send, in their turn
-        self.strange: dict[str, None] = {}  # new lanes: where their subscribers are with this source is not known
-        self.asked: dict[str, str] = {}  # by lane: the member that was asked last, and may have known nothing
+        self.deliveries: dict[str, MatchDelivery] = {}
+        self.active: dict[str, None] = {}  # deliveries that may have something to send, in their turn
+        self.unlocated: dict[
+            str, None
+        ] = {}  # new deliveries: how far their subscribers are with this source is not known
+        self.asked: dict[str, str] = {}  # by subscription: the member that was asked last, and may have known nothing
         self.pushing: set[str] = set()  # members with a peer message of matches on its way
         self.telling: set[str] = set()  # members with a peer message of places on its way
-        self.owed: dict[str, dict[str, None]] = {}  # by member: readers whose places it is to be told
+        self.owed: dict[str, dict[str, None]] = {}  # by member: readers whose places it is to be sent
         self.connections: dict[str, Connection] = {}
         self.places_at = self.endings_at = 0
         self.bytes: dict[str, int] = {}  # of matches, by the member that they went to
@@ -118,30 +121,32 @@
             name for name, entry in living.items() if entry.filter not in (texts.get(name), unread.get(name, ("",))[0])
         ]
         # Danger: thousands of filters that come at once would hold up deliveries for seconds.
-        left = set(fresh[READ_AT_ONCE:])
+        left = set(fresh[FILTERS_PER_LOOK:])
         found = self.source.evaluate({name: entry for name, entry in living.items() if name not in left})
-        for name in fresh[:READ_AT_ONCE]:
+        for name in fresh[:FILTERS_PER_LOOK]:
             if name in found:
                 self.counters.trouble(
                     "a filter that cannot be evaluated", CannotEvaluateError(f"{name}: {found[name]}")
                 )
         outboxes = self.source.outboxes
-        self.lanes = {name: lane for name, lane in self.lanes.items() if outboxes.get(name) is lane.outbox}
-        self.asked = {name: member for name, member in self.asked.items() if name in self.lanes}
+        self.deliveries = {
+            name: delivery for name, delivery in self.deliveries.items() if outboxes.get(name) is delivery.outbox
+        }
+        self.asked = {name: member for name, member in self.asked.items() if name in self.deliveries}
         for name, outbox in outboxes.items():
-            if name not in self.lanes:
-                self.lanes[name] = Lane(outbox, zlib.crc32(f"{self.source.name} {name}".encode()))
-                self.strange[name] = None
+            if name not in self.deliveries:
+                self.deliveries[name] = MatchDelivery(outbox, zlib.crc32(f"{self.source.name} {name}".encode()))
+                self.unlocated[name] = None
         for name, entry in living.items():  # a subscriber that has moved is asked at once how far it is
-            lane = self.lanes.get(name)
-            if lane is not None:
-                known = lane.reader.member if lane.reader is not None else self.asked.get(name, entry.member)
+            delivery = self.deliveries.get(name)
+            if delivery is not None:
+                known = delivery.reader.member if delivery.reader is not None else self.asked.get(name, entry.member)
                 if known != entry.member:
-                    self.strange[name] = None
+                    self.unlocated[name] = None
         return not left
 
     def happened(self, at: int, kind: str, fields: dict[str, Value]) -> None:
-        """Raises `BadEvent`."""
+        """Number an event and queue it for the subscriptions it matches. Raises `InvalidEventError`."""
         for name in self.source.happened(at, kind, fields):
             self.active[name] = None
 
@@ -151,13 +156,13 @@
         """`now` counts on while the machine sleeps."""
         alive = list(alive)
         if now >= self.endings_at:
-            self.endings_at = now + ENDINGS
+            self.endings_at = now + ENDINGS_INTERVAL
             for connection in self.connections.values():
                 for source in [each for each in connection.reader.inbox.cursors if self.sources.over(each)]:
                     connection.reader.end(source)
-                    connection.news.set()
+                    connection.arrived.set()
         if now >= self.places_at:
-            self.places_at = now + PLACES
+            self.places_at = now + PLACES_INTERVAL
             for name in self.connections:
                 self._owe(name, alive)
         for member in alive:
@@ -173,7 +178,7 @@
         source = self.sources.of(member)
         if not self.owed.get(member) or not source or member in self.telling:
             return
-        names = list(self.owed[member])[:ROWS]
+        names = list(self.owed[member])[:MAX_PLACES]
         for name in names:
             del self.owed[member][name]
         places = Cursors(source, tuple(self._place(name, source) for name in names))
@@ -184,7 +189,7 @@
 
         def tell() -> None:
             try:
-                self.call(member, places, ANSWER_IN)
+                self.call(member, places, ANSWER_TIMEOUT_S)
             finally:
                 self.telling.discard(member)
 
@@ -201,27 +206,27 @@
         """Send what is owed: one peer message at a time to each member."""
         peer_messages: dict[str, list[Stream]] = {}
         sizes: dict[str, int] = {}
-        for name in [*self.strange, *self.active]:
-            lane, entry = self.lanes.get(name), self.entry(name)
-            if lane is None or entry is None:
+        for name in [*self.unlocated, *self.active]:
+            delivery, entry = self.deliveries.get(name), self.entry(name)
+            if delivery is None or entry is None:
                 self.active.pop(name, None)
-                self.strange.pop(name, None)
+                self.unlocated.pop(name, None)
                 continue
             member = entry.member
             streams = peer_messages.setdefault(member, [])
-            if member in self.pushing or sizes.get(member, 0) >= PEER_MESSAGE or len(streams) >= STREAMS:
+            if member in self.pushing or sizes.get(member, 0) >= MATCHES_BYTES or len(streams) >= MAX_STREAMS:
                 continue
-            if name in self.strange:
+            if name in self.unlocated:
                 if member in alive:
-                    del self.strange[name]
+                    del self.unlocated[name]
                     self.asked[name] = member
                     streams.append(Stream(name, NOWHERE, b""))
                 continue
-            reader = lane.reader
-            if lane.done or not lane.present(now) or reader is None or reader.member != member:
-                del self.active[name]  # until something happens, or its place is told
+            reader = delivery.reader
+            if delivery.done or not delivery.present(now) or reader is None or reader.member != member:
+                del self.active[name]  # until something happens, or its place is reported
                 continue
-            items = lane.send(now)
+            items = delivery.send(now)
             if items:
                 data = _encode(items)
                 sizes[member] = sizes.get(member, 0) + len(data)
@@ -241,7 +246,7 @@
 
         def send() -> None:
             try:
-                answer = self.call(member, matches, ANSWER_IN)
+                answer = self.call(member, matches, ANSWER_TIMEOUT_S)
                 if isinstance(answer, Cursors):
                     self.places(now, member, answer)
             finally:
@@ -256,15 +261,15 @@
         if body.source != self.source.name:
             return
         for row in body.cursors:
-            lane, entry = self.lanes.get(row.name), self.entry(row.name)
+            delivery, entry = self.deliveries.get(row.name), self.entry(row.name)
             # Danger: a member where the subscriber was before would speak of what another connection has read.
-            if lane is None or entry is None or entry.member != sender:
+            if delivery is None or entry is None or entry.member != sender:
                 continue
             if row.began:
-                lane.told(now, Reached(sender, row.began, row.held, row.written, row.room))
+                delivery.reader_reached(now, Reached(sender, row.began, row.held, row.written, row.room))
                 self.active[row.name] = None
             else:
-                lane.gone_from(sender)
+                delivery.disconnected(sender)
 
     def matched(self, sender: str, body: Matches) -> Cursors:
         """What another member's source owes readers here; the answer is how far they are with it."""
@@ -281,7 +286,7 @@
                 self.counters.trouble("matches that cannot be read", UnreadableMatchesError(f"{sender}: {error}"))
                 continue
             if connection.reader.take(body.source, stream.after, items):
-                connection.news.set()
+                connection.arrived.set()
         return Cursors(body.source, tuple(self._place(stream.name, body.source) for stream in body.streams))
 
     # ---- subscribers that are here ----
@@ -299,25 +304,25 @@
         """Write to a subscriber until it goes, or its following ends here."""
         reader = connection.reader
         try:
-            sock.settimeout(WRITE_WITHIN)
-            sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_SNDBUF, SEND_BUFFER)
+            sock.settimeout(WRITE_TIMEOUT_S)
+            sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_SNDBUF, SEND_BUFFER_BYTES)
             sock.sendall(f"YES following {reader.name}\n".encode())
             while reader.over is None:
                 full = not reader.room
                 data, reached = reader.lines()
                 if not data:
-                    connection.news.clear()
-                    if connection.news.wait(BEAT):
+                    connection.arrived.clear()
+                    if connection.arrived.wait(IDLE_LINE_S):
                         continue
                     data = b"\n"
                 sock.sendall(data)
                 reader.wrote(reached)
-                told = [each for each in alive() if full or self.sources.of(each) in reached]
-                self._owe(reader.name, told)
+                members = [each for each in alive() if full or self.sources.of(each) in reached]
+                self._owe(reader.name, members)
             sock.sendall(f"NO {reader.over.line}\n".encode("ascii", "replace"))
         except TimeoutError:
             self.counters.trouble(
-                "a subscriber reads too slowly", SlowReaderError(f"{reader.name}: {WRITE_WITHIN:g} s")
+                "a subscriber reads too slowly", SlowReaderError(f"{reader.name}: {WRITE_TIMEOUT_S:g} s")
             )
         except OSError as error:
             self.counters.add(f"subscribers lost: {type(error).__name__}")
--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -3,7 +3,7 @@
 The file is a row of frames as the folder's (`store/records.py`), each a `Page` of entries. Pages are joined as they are
 read, so that one more at the end is all that a change costs; once what was added outweighs what lives, the file is
 replaced whole. What it holds is what this member was at an earlier time, whatever is missing at its end: the registry
-takes that for a sleep. A version of an entry is written before anybody is told that it is kept; when a subscription was
+takes that for a sleep. A version of an entry is written before anybody hears that it is stored; when a subscription was
 last followed, and how far the epoch is, twice a minute at most.
 """
 
@@ -20,11 +20,11 @@
 from cedarwick.store.records import DamagedRange, framed, may_go_on, scan
 
 NAME = "subscriptions"
-LARGEST = 1 << 28  # bytes: twice as much as the longest filters of all subscriptions take
-PAGE = 128  # entries: with the longest filters less than a frame holds
-SPARE = 1 << 16  # bytes that are added before the file is replaced, at least
-EVERY = 30_000_000  # microseconds between two looks for what need not be written at once
-RETRY = 1_000_000  # until a write that failed is made again
+MAX_FILE_BYTES = 1 << 28  # twice as much as the longest filters of all subscriptions take
+PAGE_ENTRIES = 128  # with the longest filters less than a frame holds
+MIN_GROWTH_BYTES = 1 << 16  # that are added before the file is replaced, at least
+LOOK_INTERVAL = 30_000_000  # microseconds between two looks for what need not be written at once
+RETRY_AFTER = 1_000_000  # microseconds until a write that failed is made again
 
 
 class SubscriptionsNotSavedError(CedarwickError):
@@ -48,15 +48,15 @@
 
 def packed(at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> bytes:
     """Frames of pages with these entries, one page at least."""
-    told = list(entries)
-    pages = [dict(told[begin : begin + PAGE]) for begin in range(0, max(1, len(told)), PAGE)]
+    rows = list(entries)
+    pages = [dict(rows[begin : begin + PAGE_ENTRIES]) for begin in range(0, max(1, len(rows)), PAGE_ENTRIES)]
     return b"".join(framed(_encode(Page(at, epoch, page))) for page in pages)
 
 
 def unpacked(data: bytes) -> Page | None:
     """All pages of a file as one; None for an empty one. Raises ValueError where any is damaged.
 
-    A frame that the file breaks off in is left out: who wrote it has told nobody yet.
+    A frame that the file breaks off in is left out: nobody has heard of it yet.
     """
     at = epoch = 0
     entries: dict[str, Entry] = {}
@@ -77,8 +77,11 @@
     return Page(at, epoch, entries) if count else None
 
 
-class Keeper:
-    """Writes a registry's changes. It reads and writes only while the folder is this process's."""
+class SubscriptionStore:
+    """Writes a registry's changes to the folder, and reads them back at a start.
+
+    It reads and writes only while the folder is this process's. Times are microseconds.
+    """
 
     def __init__(self, state: str, registry: Registry, counters: Counters) -> None:
         self.path = os.path.join(state, FOLDER, NAME)
@@ -97,9 +100,9 @@
         """At a start: the registry begins with what the file holds, or with nothing."""
         try:
             with open(self.path, "rb") as file:
-                data = file.read(LARGEST + 1)
-            if len(data) > LARGEST:
-                raise ValueError(f"more than {LARGEST} bytes")
+                data = file.read(MAX_FILE_BYTES + 1)
+            if len(data) > MAX_FILE_BYTES:
+                raise ValueError(f"more than {MAX_FILE_BYTES} bytes")
             held = unpacked(data)
         except FileNotFoundError:
             return
@@ -125,7 +128,7 @@
         """`steady` counts on while the machine sleeps. Writes what can wait."""
         if steady < self.look_at:
             return
-        self.look_at = steady + EVERY
+        self.look_at = steady + LOOK_INTERVAL
         registry, living = self.registry, len(self.registry.living(now))
         names = [name for name, entry in registry.entries.items() if self.written.get(name) is not entry]
         # One that has ended since, as nobody followed: what is read again must not take it for living.
@@ -133,7 +136,7 @@
             self._write(now, names)
         self.living = living
         if not self.room and registry.entries:
-            self.look_at = steady + RETRY
+            self.look_at = steady + RETRY_AFTER
 
     def close(self, now: int) -> None:
         """The folder is another process's from now on."""
@@ -171,7 +174,7 @@
 
         if self._try(write, len(data)):
             self.size = len(data)
-            self.room = 2 * self.size + SPARE
+            self.room = 2 * self.size + MIN_GROWTH_BYTES
             self.written = entries
             self.epoch = self.registry.epoch
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -16,7 +16,7 @@
 from cedarwick.events.exchange import Exchange
 from cedarwick.events.filter_errors import FilterTooNewError
 from cedarwick.events.kinds import Event
-from cedarwick.events.match_delivery import Lane, Reached
+from cedarwick.events.match_delivery import MatchDelivery, Reached
 from cedarwick.events.registry import Entry
 from cedarwick.events.subscriber_reader import MOST_PENDING, Reader
 from cedarwick.fleet.messages import Body, Cursor, Cursors, Matches, Stream, Subscribe, decode, encode
@@ -229,7 +229,7 @@
         net.down = {"n2"}
         for place in range(400):
             net.members["n0"].registry.follow(exchange.wall(), f"s{place}", f'id = "{"x" * 2000}{place}"')
-        net.members["n0"].spread.changed()
+        net.members["n0"].sync.changed()
         net.turn(5)
         net.down = set()
         with mock.patch.object(exchange.Exchange, "_evaluate"):
@@ -292,25 +292,25 @@
         ):
             serving.matched(sender, Matches(source, (Stream("desk", after, items),)))
         self.assertEqual(reader.inbox.cursors, before)
-        lane = serving.lanes["desk"]
+        delivery = serving.deliveries["desk"]
         serving.places(net.now, "n1", Cursors("n0-100", (Cursor("desk", 1 << 60, 7, 7),)))  # the subscriber is at n0
-        self.assertEqual(lane.reader, reader.reached("n0", "n0-100"))
+        self.assertEqual(delivery.reader, reader.reached("n0", "n0-100"))
 
     def test_a_place_only_moves_on_and_what_is_on_its_way_is_not_sent_again_at_once(self) -> None:
         outbox = streams.Outbox("n0-1", 1)
-        lane, matches = Lane(outbox, 1), [Event("n0-1", number, 0, "taken", {}) for number in (1, 2)]
+        delivery, matches = MatchDelivery(outbox, 1), [Event("n0-1", number, 0, "taken", {}) for number in (1, 2)]
         outbox.add(matches[0])
-        lane.told(0, Reached("n1", 5, -1, -1))
-        self.assertEqual([streams.position(item) for item in lane.send(1)], [0, 1])
-        lane.told(2, Reached("n1", 5, -1, -1))
-        self.assertEqual(lane.send(3), [])
+        delivery.reader_reached(0, Reached("n1", 5, -1, -1))
+        self.assertEqual([streams.position(item) for item in delivery.send(1)], [0, 1])
+        delivery.reader_reached(2, Reached("n1", 5, -1, -1))
+        self.assertEqual(delivery.send(3), [])
         outbox.add(matches[1])
-        lane.told(4, Reached("n1", 5, 1, 0))
-        lane.told(5, Reached("n1", 5, 0, -1))  # overtaken
-        lane.told(6, Reached("n1", 4, 9, 9))  # of a connection before
-        self.assertEqual((outbox.window, lane.send(7)), ([streams.Match(matches[0])], []))
-        lane.told(8, Reached("n1", 5, 1, 1))
-        self.assertEqual(lane.send(9), [streams.Match(matches[1])])
+        delivery.reader_reached(4, Reached("n1", 5, 1, 0))
+        delivery.reader_reached(5, Reached("n1", 5, 0, -1))  # overtaken
+        delivery.reader_reached(6, Reached("n1", 4, 9, 9))  # of a connection before
+        self.assertEqual((outbox.window, delivery.send(7)), ([streams.Match(matches[0])], []))
+        delivery.reader_reached(8, Reached("n1", 5, 1, 1))
+        self.assertEqual(delivery.send(9), [streams.Match(matches[1])])
 
     def test_a_reader_that_has_enough_takes_nothing(self) -> None:
         reader = Reader("desk", 1, {})
--- a/tests/test_filters.py
+++ b/tests/test_filters.py
@@ -8,7 +8,7 @@
 from cedarwick.events import filter_errors, language, reference_matcher, terms
 from cedarwick.events.compiled import compiled, globber
 from cedarwick.events.filter_errors import FilterError, FilterTooNewError
-from cedarwick.events.index import MOST_KEYS, MOST_SETS, Index
+from cedarwick.events.index import MAX_FIELD_SETS, MAX_KEYS, Index
 from cedarwick.events.kinds import FIELDS, KINDS, WORDS, Event, InvalidEventError, Type
 
 DRAWN = settings(derandomize=True, max_examples=120, deadline=None)
@@ -312,7 +312,7 @@
             index = Index()
             index.add("x", language.read(text))
             keys, tables = index.groups[language.read(text).text].keys, [vars(store) for store in index.stores.values()]
-            self.assertLessEqual(len(keys), MOST_KEYS)
+            self.assertLessEqual(len(keys), MAX_KEYS)
             self.assertLess(len(repr(tables)), 64 * 400)
             attempts = 4611686018427387950 if ".." in text else 7
             self.assertEqual(index.matches(event(destination=5, tenant="t5", shots=attempts)), ["x"])
@@ -331,7 +331,7 @@
         self.assertGreater(len(pairs), 20)
         for number, (a, b) in enumerate(pairs):
             index.add(f"{number}", language.read(f'{a} = "x" and {b} = "y" and destination = 1'))
-        self.assertEqual(len(index.equals.sets), MOST_SETS)
+        self.assertEqual(len(index.equals.sets), MAX_FIELD_SETS)
         self.assertEqual(index.matches(event(id="x", tenant="y")), ["idtenant"])
         self.assertEqual(
             index.matches(event(tenant="y", id="x", destination=1)),
--- a/tests/test_subscriptions_kept.py
+++ b/tests/test_subscriptions_kept.py
@@ -15,7 +15,7 @@
 from cedarwick.events import exchange, registry, subscription_store
 from cedarwick.events.exchange import Exchange
 from cedarwick.events.registry import FORGET, KEEP, MOST_AWAY, MOST_FORGET, SECOND, SLICE, Entry, Registry, Verdict
-from cedarwick.events.subscription_store import Keeper, packed, unpacked
+from cedarwick.events.subscription_store import SubscriptionStore, packed, unpacked
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.messages import Cursors
 from cedarwick.fleet.peer_verifier import PeerVerifier
@@ -51,7 +51,7 @@
 
     def start(self, now: int) -> Registry:
         self.registry = made = Registry(self.name, now, self.lasts)
-        self.keeper = Keeper(self.state, made, Counters())
+        self.keeper = SubscriptionStore(self.state, made, Counters())
         self.keeper.load(now)
         return made
 
@@ -342,7 +342,7 @@
         for turn in range(3000):
             held.follow(NOW + turn, "x", f'id = "{"a" * 200}"')
             member.changed(NOW + turn)
-        self.assertLess(os.path.getsize(member.path), subscription_store.SPARE + 2000)
+        self.assertLess(os.path.getsize(member.path), subscription_store.MIN_GROWTH_BYTES + 2000)
         data = self.data(member)
         self.assertEqual(unpacked(data).entries, held.entries)  # type: ignore[union-attr]
         with open(member.path, "wb") as file:  # broken off in its last page: nobody was told of that
