--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -20,7 +20,7 @@
 from cedarwick.events.anti_entropy import RegistrySync
 from cedarwick.events.event_source import EventObserver
 from cedarwick.events.kinds import InvalidEventError, Value
-from cedarwick.events.registry import FORGET, SECOND, NotFollowedError, Registry, Verdict
+from cedarwick.events.registry import DEFAULT_LIFETIME, SECOND, NotFollowedError, Registry, Verdict
 from cedarwick.events.sources import Sources
 from cedarwick.events.subscription_store import SubscriptionStore
 from cedarwick.fleet.membership import MemberChange, MemberStatus
@@ -106,7 +106,7 @@
         counters: Counters,
         call: Callable[[str, Body, float], Body | None],
         state: str = "",
-        lasts: int = FORGET,
+        lasts: int = DEFAULT_LIFETIME,
     ) -> None:
         """`state`: the folder, nothing is kept without one; `lasts`: microseconds, of what is followed here."""
         self.name = name
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -5,9 +5,9 @@
 clock where it is ahead (hybrid logical clocks: Kulkarni et al., 2014), so a member that has forgotten everything
 still makes newer versions than its earlier ones.
 
-An entry that was ended stays as a tombstone for KEEP epochs. A member that was away for longer could bring back what
-it still holds alive, so every registry carries an epoch: the slice of time in which its member last was with a
-majority, or began with nothing. One that is more than MOST_AWAY behind is refused; its member throws away what it
+An entry that was ended stays as a tombstone for TOMBSTONE_EPOCHS. A member that was away for longer could bring back
+what it still holds alive, so every registry carries an epoch: the slice of time in which its member last was with a
+majority, or began with nothing. One that is more than MAX_EPOCHS_AWAY behind is refused; its member throws away what it
 holds alive once it is with a majority again, and takes the others' entries from there. What a member reads from its
 folder at a start (`subscription_store.py`) is what it was at an earlier time: a restart is a sleep since then, and no
 more is needed.
@@ -25,15 +25,17 @@
 from cedarwick.errors import CedarwickError
 
 SECOND = 1_000_000
-FORGET = 3600 * SECOND  # a subscription that nobody has followed for so long has ended, where no other time is set
-LEAST_FORGET = 60 * SECOND  # the shortest time that may be set
-MOST_FORGET = 12 * 3600 * SECOND  # Danger: who holds one for longer than MOST_AWAY would lose it by being away alone
-SLICE = 3600 * SECOND  # an epoch
-KEEP = 24  # epochs for which tombstones are kept
-MOST_AWAY = 12  # epochs; a member that was away for longer starts anew. The rest of KEEP is for it to be heard
-SKEW = 300 * SECOND  # by which members' wall clocks may differ
-MOST = 20_000  # entries, tombstones among them
-LONGEST = 4096  # bytes of a filter's text
+DEFAULT_LIFETIME = 3600 * SECOND  # microseconds without a follower until a subscription ends
+MIN_LIFETIME = 60 * SECOND  # microseconds; the least that may be set
+# Danger: a subscription that lasts longer than MAX_EPOCHS_AWAY would be lost by its member being away alone.
+MAX_LIFETIME = 12 * 3600 * SECOND  # microseconds; the most that may be set
+EPOCH_LENGTH = 3600 * SECOND  # microseconds
+TOMBSTONE_EPOCHS = 24  # how long tombstones stay
+# A member that was away for longer starts anew; the rest of TOMBSTONE_EPOCHS is for it to be heard.
+MAX_EPOCHS_AWAY = 12
+MAX_CLOCK_SKEW = 300 * SECOND  # microseconds by which members' wall clocks may differ
+MAX_ENTRIES = 20_000  # entries, tombstones among them
+MAX_FILTER_BYTES = 4096  # of a filter's text
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 
 
@@ -66,7 +68,9 @@
     ended: bool
     filter: str
     followed_at: int  # microseconds of the wall clock
-    lasts: int = FORGET  # microseconds without a follower; by the word of the member where it was followed last
+    lasts: int = (
+        DEFAULT_LIFETIME  # microseconds without a follower; by the word of the member where it was followed last
+    )
 
     @property
     def version(self) -> tuple[int, str, bool, str, int]:
@@ -77,9 +81,9 @@
     def sound(self) -> bool:
         """Whether its sizes are what a member may send."""
         return (
-            len(self.filter.encode(errors="replace")) <= LONGEST
+            len(self.filter.encode(errors="replace")) <= MAX_FILTER_BYTES
             and NAME.fullmatch(self.member) is not None
-            and LEAST_FORGET <= self.lasts <= MOST_FORGET
+            and MIN_LIFETIME <= self.lasts <= MAX_LIFETIME
         )
 
 
@@ -100,11 +104,11 @@
 class Registry:
     """All subscriptions by name, at one member. `lasts`: of those that are followed here, without a follower."""
 
-    def __init__(self, member: str, now: int, lasts: int = FORGET) -> None:
+    def __init__(self, member: str, now: int, lasts: int = DEFAULT_LIFETIME) -> None:
         self.member = member
         self.lasts = lasts
         self.entries: dict[str, Entry] = {}
-        self.epoch = now // SLICE
+        self.epoch = now // EPOCH_LENGTH
         self.jumped: dict[str, int] = {}  # by name: microseconds that are no part of its age, as the clock has jumped
 
     def restore(self, now: int, written_at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> None:
@@ -113,13 +117,19 @@
         What lived then is left a quarter of its time at least, for its subscriber to come back; what the clock says
         was away for too long is left out, but for what has ended.
         """
-        away = now // SLICE - epoch > MOST_AWAY
-        self.epoch = now // SLICE if away else min(epoch, now // SLICE)
+        away = now // EPOCH_LENGTH - epoch > MAX_EPOCHS_AWAY
+        self.epoch = now // EPOCH_LENGTH if away else min(epoch, now // EPOCH_LENGTH)
         for name, entry in entries:
-            if not entry.sound or not NAME.fullmatch(name) or away and not entry.ended or len(self.entries) >= MOST:
+            if (
+                not entry.sound
+                or not NAME.fullmatch(name)
+                or away
+                and not entry.ended
+                or len(self.entries) >= MAX_ENTRIES
+            ):
                 continue
             age = max(now, written_at) - entry.followed_at
-            if max(entry.counter, entry.followed_at) > now + SKEW:
+            if max(entry.counter, entry.followed_at) > now + MAX_CLOCK_SKEW:
                 # Danger: the others refuse all that is later than their clocks, and what it lasts would be as long as
                 # the clock was off. What lived then gives way to any other version, an end to none that is older.
                 age = max(0, written_at - entry.followed_at)
@@ -138,8 +148,8 @@
         if not NAME.fullmatch(name):
             raise SubscriptionNameError(f"'{name[:80]}' can't name a subscription")
         held = self.entries.get(name)
-        if held is None and len(self.entries) >= MOST:
-            raise TooManySubscriptionsError(f"{MOST} subscriptions are held, '{name}' would be one more")
+        if held is None and len(self.entries) >= MAX_ENTRIES:
+            raise TooManySubscriptionsError(f"{MAX_ENTRIES} subscriptions are held, '{name}' would be one more")
         # Danger: without a version of its own, this would give way to an older following at a member not yet heard.
         return self._put(now, name, Entry(self._counter(now, held), self.member, False, text, now, self.lasts))
 
@@ -187,11 +197,11 @@
         lost: list[str] = []
         # Danger: a member cut off that let its epoch go on would be trusted again after any time away.
         if with_majority:
-            if now // SLICE - self.epoch > MOST_AWAY:
+            if now // EPOCH_LENGTH - self.epoch > MAX_EPOCHS_AWAY:
                 lost = sorted(self.living(now))
                 # What has ended stays: it may be known here alone, and brings nothing back.
                 self.entries = {name: entry for name, entry in self.entries.items() if entry.ended}
-            self.epoch = max(self.epoch, now // SLICE)
+            self.epoch = max(self.epoch, now // EPOCH_LENGTH)
         self.entries = {name: entry for name, entry in self.entries.items() if not self._forgotten(entry)}
         if len(self.jumped) > len(self.entries):
             self.jumped = {name: by for name, by in self.jumped.items() if name in self.entries}
@@ -201,19 +211,19 @@
         """Join another's registry, or pieces of it, into this one. Unsound entries are left out."""
         theirs = list(theirs)
         # Danger: one clock that is far ahead would make everyone else's registry too old, or an entry live for ever.
-        if epoch * SLICE > now + SKEW or any(
-            each.counter > now + SKEW or each.followed_at > now + SKEW for _, each in theirs
+        if epoch * EPOCH_LENGTH > now + MAX_CLOCK_SKEW or any(
+            each.counter > now + MAX_CLOCK_SKEW or each.followed_at > now + MAX_CLOCK_SKEW for _, each in theirs
         ):
             return Verdict.AHEAD
         # Danger: who was away for longer than tombstones are kept may still hold alive what was ended meanwhile.
-        if epoch < self.epoch - MOST_AWAY:
+        if epoch < self.epoch - MAX_EPOCHS_AWAY:
             return Verdict.AWAY
-        if self.epoch < epoch - MOST_AWAY:
+        if self.epoch < epoch - MAX_EPOCHS_AWAY:
             return Verdict.BEHIND
         for name, entry in theirs:
             if not self._forgotten(entry) and entry.sound and NAME.fullmatch(name):
                 held = self.entries.get(name)
-                if held is not None or len(self.entries) < MOST:
+                if held is not None or len(self.entries) < MAX_ENTRIES:
                     self._put(now, name, join(held, entry))
         return Verdict.JOINED
 
@@ -234,7 +244,7 @@
 
     def _forgotten(self, entry: Entry) -> bool:
         """Whether an entry is too old to be kept: by the epoch, so that all who share it agree."""
-        return max(entry.counter, entry.followed_at) // SLICE < self.epoch - KEEP
+        return max(entry.counter, entry.followed_at) // EPOCH_LENGTH < self.epoch - TOMBSTONE_EPOCHS
 
     @staticmethod
     def _counter(now: int, held: Entry | None) -> int:
--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.events.registry import MOST, Entry, Registry, join
+from cedarwick.events.registry import MAX_ENTRIES, Entry, Registry, join
 from cedarwick.fleet.fleet_files import FOLDER, CorruptFleetFileError
 from cedarwick.net.counters import Counters
 from cedarwick.store.records import DamagedRange, framed, may_go_on, scan
@@ -72,8 +72,8 @@
         at, epoch = page.at, max(epoch, page.epoch)
         for name, entry in page.entries.items():
             entries[name] = join(entries.get(name), entry)
-        if len(entries) > MOST:
-            raise ValueError(f"more than {MOST} subscriptions")
+        if len(entries) > MAX_ENTRIES:
+            raise ValueError(f"more than {MAX_ENTRIES} subscriptions")
     return Page(at, epoch, entries) if count else None
 
 
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -6,10 +6,20 @@
 from hypothesis import strategies as st
 
 from cedarwick.events import registry, streams
-from cedarwick.events.registry import FORGET, KEEP, MOST_AWAY, SKEW, SLICE, Entry, Registry, Verdict, join
+from cedarwick.events.registry import (
+    DEFAULT_LIFETIME,
+    EPOCH_LENGTH,
+    MAX_CLOCK_SKEW,
+    MAX_EPOCHS_AWAY,
+    TOMBSTONE_EPOCHS,
+    Entry,
+    Registry,
+    Verdict,
+    join,
+)
 from cedarwick.events.streams import From, Gap, Inbox, Item, Match, Outbox, Source
 
-NOW = 500_000 * SLICE
+NOW = 500_000 * EPOCH_LENGTH
 MINUTE = 60_000_000
 TRUE = "has id or not has id"
 ENTRIES = st.builds(
@@ -53,21 +63,26 @@
         self.assertEqual(len(ends), 1)
 
     def test_an_ended_subscription_does_not_come_back_with_a_sleeper(self) -> None:
-        for slept in (MINUTE, MOST_AWAY * SLICE, (MOST_AWAY + 1) * SLICE, (KEEP + 5) * SLICE):
+        for slept in (
+            MINUTE,
+            MAX_EPOCHS_AWAY * EPOCH_LENGTH,
+            (MAX_EPOCHS_AWAY + 1) * EPOCH_LENGTH,
+            (TOMBSTONE_EPOCHS + 5) * EPOCH_LENGTH,
+        ):
             elm, fir = pair()
-            ended = NOW + SLICE
+            ended = NOW + EPOCH_LENGTH
             elm.followed(ended - 1, "x")
             elm.end(ended, "x")
             now = ended + slept
-            for hour in range(ended, now + 1, SLICE):
+            for hour in range(ended, now + 1, EPOCH_LENGTH):
                 elm.tick(hour, with_majority=True)
                 fir.tick(hour, with_majority=False)
-                if hour - ended < SLICE:
+                if hour - ended < EPOCH_LENGTH:
                     fir.followed(hour, "x")
             fir.entries["x"] = Entry(NOW, "fir", False, "has id", now)  # followed there all the time, cut off
-            self.assertEqual("x" in elm.entries, slept <= KEEP * SLICE)
+            self.assertEqual("x" in elm.entries, slept <= TOMBSTONE_EPOCHS * EPOCH_LENGTH)
             verdict = tell(fir, elm, now)
-            self.assertEqual(verdict is Verdict.JOINED, slept < MOST_AWAY * SLICE)
+            self.assertEqual(verdict is Verdict.JOINED, slept < MAX_EPOCHS_AWAY * EPOCH_LENGTH)
             self.assertNotIn("x", elm.living(now))
             self.assertEqual(tell(elm, fir, now) is Verdict.BEHIND, verdict is Verdict.AWAY)
             lost = fir.tick(now, with_majority=True)
@@ -77,7 +92,7 @@
 
     def test_what_nobody_follows_ends_everywhere_and_a_follower_keeps_it(self) -> None:
         elm, fir = pair()
-        later = NOW + FORGET
+        later = NOW + DEFAULT_LIFETIME
         self.assertIn("x", elm.living(later))
         self.assertFalse({*elm.living(later + 1), *fir.living(later + 1)})
         with self.assertRaises(registry.NotFollowedError):
@@ -85,16 +100,16 @@
         fir.followed(later, "x")
         fir.followed(NOW, "x")  # a clock that steps back takes nothing away
         tell(fir, elm, later)
-        self.assertIn("x", elm.living(later + FORGET))
-        fir.follow(later + FORGET + 1, "x", "has id")  # it ended, and begins anew
-        self.assertIn("x", fir.living(later + FORGET + 1))
-        for hour in range((KEEP + 2) * 4):
-            elm.follow(NOW + hour * SLICE // 4, "y", "has id")
-        elm.tick(NOW + hour * SLICE // 4, with_majority=False)
-        elm.epoch += KEEP + 3
+        self.assertIn("x", elm.living(later + DEFAULT_LIFETIME))
+        fir.follow(later + DEFAULT_LIFETIME + 1, "x", "has id")  # it ended, and begins anew
+        self.assertIn("x", fir.living(later + DEFAULT_LIFETIME + 1))
+        for hour in range((TOMBSTONE_EPOCHS + 2) * 4):
+            elm.follow(NOW + hour * EPOCH_LENGTH // 4, "y", "has id")
+        elm.tick(NOW + hour * EPOCH_LENGTH // 4, with_majority=False)
+        elm.epoch += TOMBSTONE_EPOCHS + 3
         elm.tick(NOW, with_majority=False)
         self.assertEqual(list(elm.entries), ["y"])  # made days ago, followed ever since
-        elm.epoch += 2 * KEEP + 9
+        elm.epoch += 2 * TOMBSTONE_EPOCHS + 9
         elm.tick(NOW, with_majority=False)
         self.assertEqual(elm.entries, {})
 
@@ -113,13 +128,13 @@
     def test_clocks_that_are_off_and_unsound_entries_are_refused(self) -> None:
         elm = Registry("elm", NOW)
         for epoch, entry in [
-            (elm.epoch, Entry(NOW + SKEW + 1, "fir", False, "has id", NOW)),
-            (elm.epoch, Entry(NOW, "fir", False, "has id", NOW + SKEW + 1)),
+            (elm.epoch, Entry(NOW + MAX_CLOCK_SKEW + 1, "fir", False, "has id", NOW)),
+            (elm.epoch, Entry(NOW, "fir", False, "has id", NOW + MAX_CLOCK_SKEW + 1)),
             (elm.epoch + 1, Entry(NOW, "fir", False, "has id", NOW)),
         ]:
             self.assertIs(elm.merge(NOW, epoch, [("x", entry)]), Verdict.AHEAD)
         good = Entry(NOW, "fir", False, "has id", NOW)
-        old = Entry(NOW - (KEEP + 1) * SLICE, "fir", True, "has id", 0)
+        old = Entry(NOW - (TOMBSTONE_EPOCHS + 1) * EPOCH_LENGTH, "fir", True, "has id", 0)
         bad = [
             ("x y", good),
             ("x", Entry(NOW, "f r", False, "", NOW)),
@@ -133,11 +148,11 @@
 
     def test_subscriptions_are_bounded(self) -> None:
         elm = Registry("elm", NOW)
-        elm.entries = {f"n{n}": Entry(NOW, "elm", False, "has id", NOW) for n in range(registry.MOST)}
+        elm.entries = {f"n{n}": Entry(NOW, "elm", False, "has id", NOW) for n in range(registry.MAX_ENTRIES)}
         with self.assertRaises(registry.TooManySubscriptionsError):
             elm.follow(NOW, "x", "has id")
         elm.merge(NOW, elm.epoch, [("x", Entry(NOW, "fir", False, "has id", NOW))])
-        self.assertEqual(len(elm.entries), registry.MOST)
+        self.assertEqual(len(elm.entries), registry.MAX_ENTRIES)
         elm.follow(NOW + 1, "n1", "has age")
 
 
--- a/tests/test_subscriptions_kept.py
+++ b/tests/test_subscriptions_kept.py
@@ -14,7 +14,17 @@
 
 from cedarwick.events import exchange, registry, subscription_store
 from cedarwick.events.exchange import Exchange
-from cedarwick.events.registry import FORGET, KEEP, MOST_AWAY, MOST_FORGET, SECOND, SLICE, Entry, Registry, Verdict
+from cedarwick.events.registry import (
+    DEFAULT_LIFETIME,
+    EPOCH_LENGTH,
+    MAX_EPOCHS_AWAY,
+    MAX_LIFETIME,
+    SECOND,
+    TOMBSTONE_EPOCHS,
+    Entry,
+    Registry,
+    Verdict,
+)
 from cedarwick.events.subscription_store import SubscriptionStore, packed, unpacked
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.messages import Cursors
@@ -23,7 +33,7 @@
 from cedarwick.ops.commands import Call
 from tests.test_exchange import NAMES, Net, Subscriber
 
-NOW = 500_000 * SLICE
+NOW = 500_000 * EPOCH_LENGTH
 MINUTE = 60 * SECOND
 HOUR = 3600 * SECOND
 PLACES = st.integers(0, 2)
@@ -70,7 +80,7 @@
         self.now = NOW
         self.members = [
             Member(f"n{place}", os.path.join(folder, f"n{place}"), lasts)
-            for place, lasts in enumerate((FORGET, FORGET, MOST_FORGET))
+            for place, lasts in enumerate((DEFAULT_LIFETIME, DEFAULT_LIFETIME, MAX_LIFETIME))
         ]
         self.cut: set[int] = set()
         self.followed: Entry | None = None  # the newest
@@ -208,7 +218,7 @@
         self.addCleanup(made.cleanup)
         self.state = made.name
 
-    def member(self, lasts: int = FORGET) -> Member:
+    def member(self, lasts: int = DEFAULT_LIFETIME) -> Member:
         made = Member("n0", self.state, lasts)
         made.start(NOW)
         return made
@@ -257,11 +267,11 @@
 
     def test_what_a_start_finds_is_left_time_for_its_subscriber_once(self) -> None:
         for away, lives in (
-            (MINUTE, FORGET - MINUTE),
-            (HOUR, FORGET // 4),
-            (10 * HOUR, FORGET // 4),
-            (-2 * HOUR, FORGET),
-            (-3 * SECOND, FORGET),
+            (MINUTE, DEFAULT_LIFETIME - MINUTE),
+            (HOUR, DEFAULT_LIFETIME // 4),
+            (10 * HOUR, DEFAULT_LIFETIME // 4),
+            (-2 * HOUR, DEFAULT_LIFETIME),
+            (-3 * SECOND, DEFAULT_LIFETIME),
         ):  # the clock may be set back meanwhile
             with self.subTest(away=away):
                 member = self.member()
@@ -274,7 +284,7 @@
                 self.assertFalse(found.lives(begun + lives + 1, "x"))
                 member.keeper.look(begun, 0)
                 ended = begun + lives + 5 * SECOND
-                member.keeper.look(ended, FORGET)
+                member.keeper.look(ended, DEFAULT_LIFETIME)
                 self.assertFalse(member.start(ended).lives(ended, "x"))
                 os.unlink(member.path)
 
@@ -284,36 +294,36 @@
             held.follow(NOW, "x", "has id")
             held.stepped(by)
             now = NOW + by
-            self.assertTrue(held.lives(now + FORGET, "x"))
-            self.assertFalse(held.lives(now + FORGET + 1, "x"))
+            self.assertTrue(held.lives(now + DEFAULT_LIFETIME, "x"))
+            self.assertFalse(held.lives(now + DEFAULT_LIFETIME + 1, "x"))
             before = held.followed(now + MINUTE, "x").followed_at
             self.assertGreaterEqual(before, NOW + MINUTE)  # moves on for the others, too
-            self.assertTrue(held.lives(now + MINUTE + FORGET, "x"))
-            self.assertFalse(held.lives(now + MINUTE + FORGET + 1, "x"))
+            self.assertTrue(held.lives(now + MINUTE + DEFAULT_LIFETIME, "x"))
+            self.assertFalse(held.lives(now + MINUTE + DEFAULT_LIFETIME + 1, "x"))
             held.follow(now + HOUR, "x", "has id")
             self.assertEqual(held.age(now + HOUR, "x"), 0)
 
     def test_what_is_later_than_the_clock_gives_way_to_any_other_and_an_end_stays_one(self) -> None:
-        ahead = NOW + 40 * SLICE
+        ahead = NOW + 40 * EPOCH_LENGTH
         entries = {"x": Entry(ahead, "n0", False, "has id", ahead), "y": Entry(ahead, "n0", True, "has id", ahead)}
         found = Registry("n0", NOW)
-        found.restore(NOW, ahead + MINUTE, ahead // SLICE, entries.items())
-        self.assertEqual((found.epoch, found.age(NOW, "x")), (NOW // SLICE, MINUTE))
+        found.restore(NOW, ahead + MINUTE, ahead // EPOCH_LENGTH, entries.items())
+        self.assertEqual((found.epoch, found.age(NOW, "x")), (NOW // EPOCH_LENGTH, MINUTE))
         other = Registry("n1", NOW)
         other.entries = {name: Entry(NOW - MINUTE, "n1", False, "has age", NOW - MINUTE) for name in ("x", "y")}
         self.assertIs(other.merge(NOW, found.epoch, found.entries.items()), Verdict.JOINED)
         self.assertEqual((other.entries["x"].filter, other.entries["y"].ended), ("has age", True))
 
     def test_a_member_that_was_down_too_long_keeps_ends_alone(self) -> None:
-        member = self.member(MOST_FORGET)
+        member = self.member(MAX_LIFETIME)
         assert member.registry is not None
         for name in ("x", "y"):
             member.registry.follow(NOW, name, "has id")
         member.registry.end(NOW, "y")
         member.changed(NOW)
-        found = member.start(NOW + (MOST_AWAY + 1) * SLICE)
-        self.assertEqual((list(found.entries), found.epoch), (["y"], NOW // SLICE + MOST_AWAY + 1))
-        found.tick(NOW + (KEEP + 1) * SLICE, with_majority=True)
+        found = member.start(NOW + (MAX_EPOCHS_AWAY + 1) * EPOCH_LENGTH)
+        self.assertEqual((list(found.entries), found.epoch), (["y"], NOW // EPOCH_LENGTH + MAX_EPOCHS_AWAY + 1))
+        found.tick(NOW + (TOMBSTONE_EPOCHS + 1) * EPOCH_LENGTH, with_majority=True)
         self.assertEqual(found.entries, {})
 
     def test_a_cursor_or_a_word_from_the_subscriber_costs_no_write_and_an_hour_few(self) -> None:
@@ -381,7 +391,7 @@
         self.assertTrue(unpacked(self.data(member)).entries["x"].ended)  # type: ignore[union-attr]
 
     def test_a_life_told_by_the_last_member_holds_at_all_and_a_shorter_one_at_once(self) -> None:
-        one, other = Registry("n0", NOW, MINUTE), Registry("n1", NOW, MOST_FORGET)
+        one, other = Registry("n0", NOW, MINUTE), Registry("n1", NOW, MAX_LIFETIME)
         one.follow(NOW, "x", "has id")
         other.merge(NOW, one.epoch, one.entries.items())
         self.assertEqual([held.lives(NOW + MINUTE + 1, "x") for held in (one, other)], [False, False])
@@ -390,7 +400,7 @@
         one.followed(NOW + 1, "x")
         other.merge(NOW + 1, one.epoch, one.entries.items())
         self.assertEqual([held.lives(NOW + HOUR, "x") for held in (one, other)], [True, True])
-        for lasts in (registry.LEAST_FORGET - 1, MOST_FORGET + 1):
+        for lasts in (registry.MIN_LIFETIME - 1, MAX_LIFETIME + 1):
             other.merge(NOW, one.epoch, [("y", Entry(NOW, "n0", False, "has id", NOW, lasts))])
         self.assertNotIn("y", other.entries)
         hour = Entry(NOW, "n0", False, "has id", NOW)  # reads the same at members that know nothing of it
