--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -96,6 +96,15 @@
     return time.time_ns() // 1000
 
 
+def split_follow(argument: str) -> tuple[str, str | None]:
+    """Name and cursors of a FOLLOW, and the filter's text; None for the latter where there is no WHERE."""
+    # A cursor has a colon: the first word WHERE after the name begins the filter.
+    words = argument.split(" ")
+    place = next((at for at, word in enumerate(words[1:], 1) if word.upper() == "WHERE"), len(words))
+    target = " ".join(word for word in words[:place] if word)
+    return target, " ".join(words[place + 1 :]) if place < len(words) else None
+
+
 class Exchange:
     """The subscriptions of one member of a fleet; it sees no events before `attach`."""
 
@@ -412,31 +421,18 @@
             talk(sock)
 
     def _follow(self, serving: "SubscriptionServer", argument: str) -> StreamingAnswer:
-        from cedarwick.events.language import check_levels, read
         from cedarwick.events.streams import decoded
         from cedarwick.events.subscriber_reader import Reader
 
-        # A cursor has a colon: the first word without one, after the name, begins the filter.
-        words = argument.split(" ")
-        place = next((at for at, word in enumerate(words[1:], 1) if word.upper() == "WHERE"), len(words))
-        name, cursors = decoded(" ".join(word for word in words[:place] if word))
-        text = " ".join(words[place + 1 :])
-        if place < len(words) and not text.strip():
+        target, where = split_follow(argument)
+        name, cursors = decoded(target)
+        if where is not None and not where.strip():
             raise InvalidFollowError("no filter after WHERE")
         if len(serving.connections) >= MAX_READERS and name not in serving.connections:
             raise TooManyReadersError(f"{MAX_READERS} subscribers are connected here")
         at = wall()
-        if place < len(words):
-            found = read(text)
-            check_levels(
-                found,
-                {
-                    member: self.gate.levels[member]
-                    for member in (self.name, *self.gate.others)
-                    if member in self.gate.levels
-                },
-            )
-            text = found.text
+        if where is not None:
+            text = self._checked_filter(where)
         else:
             if not self.registry.lives(at, name):
                 raise NotFollowedError(f"no subscription is called '{name}' here")
@@ -447,6 +443,15 @@
         self._changed(name)
         return partial(serving.talk, connection, alive=lambda: self.alive)
 
+    def _checked_filter(self, text: str) -> str:
+        """The canonical text of a filter that every member can evaluate. Raises `FilterError`."""
+        from cedarwick.events.language import check_levels, read
+
+        found = read(text)
+        levels = self.gate.levels
+        check_levels(found, {member: levels[member] for member in (self.name, *self.gate.others) if member in levels})
+        return found.text
+
     def _unfollow(self, argument: str) -> str:
         name = argument.strip()
         if not name or " " in name:
--- a/cedarwick/events/language.py
+++ b/cedarwick/events/language.py
@@ -31,12 +31,12 @@
 from cedarwick.events.kinds import FIELDS, LARGEST, LONGEST_TEXT, WORDS, Type, Value
 from cedarwick.events.terms import UNITS, Among, And, Compare, Has, Like, Not, Or, Range, Sample, Term
 
-LONGEST = 4096  # bytes of a filter's text
-DEEPEST = 32
-MOST_TERMS = 256
-MOST_COST = 512
-LONGEST_GLOB = 64
-LARGEST_SAMPLE = 1_000_000
+MAX_BYTES = 4096  # of a filter's text
+MAX_DEPTH = 32  # of nested terms
+MAX_TERMS = 256  # comparisons and listed values
+MAX_COST = 512  # of testing one event, as `terms.cost` counts it
+MAX_GLOB_LENGTH = 64  # characters of a pattern
+MAX_SAMPLE_WHOLE = 1_000_000  # the second number of a sample
 EXAMPLES = {Type.TEXT: '"..."', Type.WHOLE: "5", Type.SPAN: "5s", Type.NUMBER: "0.5", Type.FLAG: "true"}
 EXPECTED = {
     "NAME": "a field",
@@ -92,16 +92,16 @@
 def checked(term: Term) -> Filter:
     """A filter from its terms, with the bounds that hold for all of it. Raises FilterError."""
     count = terms.size(term)
-    if count > MOST_TERMS:
+    if count > MAX_TERMS:
         raise TooManyTermsError(
-            f"{count} comparisons and listed values, {MOST_TERMS} are allowed",
+            f"{count} comparisons and listed values, {MAX_TERMS} are allowed",
             WHOLE,
             "split it into several subscriptions",
         )
     costs = terms.cost(term)
-    if costs > MOST_COST:
+    if costs > MAX_COST:
         raise FilterTooCostlyError(
-            f"it costs {costs} for each event, {MOST_COST} are allowed",
+            f"it costs {costs} for each event, {MAX_COST} are allowed",
             WHOLE,
             'use fewer globs; one like "abc*" costs 2, others 64',
         )
@@ -135,15 +135,15 @@
 def nearest(word: str, known: Iterable[str]) -> str:
     """What to write instead of an unknown word."""
     known = sorted(known)
-    close = difflib.get_close_matches(word[:LONGEST_GLOB].lower(), known, n=1)
+    close = difflib.get_close_matches(word[:MAX_GLOB_LENGTH].lower(), known, n=1)
     return f"write '{close[0]}'" if close else "write one of: " + ", ".join(known)
 
 
 def _bounded(text: str, how: str) -> None:
-    length = len(text) if len(text) > LONGEST else len(text.encode(errors="replace"))
-    if length > LONGEST:
+    length = len(text) if len(text) > MAX_BYTES else len(text.encode(errors="replace"))
+    if length > MAX_BYTES:
         raise FilterTooLongError(
-            f"{length} bytes{how}, {LONGEST} are allowed", WHOLE, "split it into several subscriptions"
+            f"{length} bytes{how}, {MAX_BYTES} are allowed", WHOLE, "split it into several subscriptions"
         )
 
 
@@ -294,11 +294,11 @@
                 f"'{field}' is a {FIELDS[field].value} and has no patterns", _place(name), "write = or in"
             )
         glob = _text(pattern)
-        if not 0 < len(glob) <= LONGEST_GLOB:
+        if not 0 < len(glob) <= MAX_GLOB_LENGTH:
             raise InvalidGlobError(
                 f"a pattern of {len(glob)} characters",
                 _place(pattern),
-                f"write 1 to {LONGEST_GLOB} of them, * for any text and ? for one character",
+                f"write 1 to {MAX_GLOB_LENGTH} of them, * for any text and ? for one character",
             )
         return Like(field, re.sub(r"\*+", "*", glob))
 
@@ -310,19 +310,19 @@
             if not re.fullmatch("[0-9]+", token):
                 raise WrongTypeError(f"{token[:40]} is no whole number", _place(token), "write sample(1/100)")
         share = _whole(part), _whole(whole)
-        if not 0 < share[0] <= share[1] <= LARGEST_SAMPLE:
+        if not 0 < share[0] <= share[1] <= MAX_SAMPLE_WHOLE:
             raise OutOfBoundsError(
                 f"{part[:20]}/{whole[:20]} is no share",
                 _place(part),
-                f"write more than 0, at most all, of at most {LARGEST_SAMPLE}: sample(1/100)",
+                f"write more than 0, at most all, of at most {MAX_SAMPLE_WHOLE}: sample(1/100)",
             )
         return Sample(*share)
 
     def _held(self, term: Term) -> Term:
         # Danger: what is nested deeper than this would nest the calls of whoever walks the terms.
-        if terms.depth(term) > DEEPEST:
+        if terms.depth(term) > MAX_DEPTH:
             raise FilterTooDeepError(
-                f"terms are nested more than {DEEPEST} deep", WHOLE, "leave out parentheses and 'not not'"
+                f"terms are nested more than {MAX_DEPTH} deep", WHOLE, "leave out parentheses and 'not not'"
             )
         return term
 
--- a/cedarwick/events/streams.py
+++ b/cedarwick/events/streams.py
@@ -17,11 +17,11 @@
 from cedarwick.events.language import read
 from cedarwick.events.registry import NAME, Entry
 
-MOST_HELD = 1000  # matches of one subscription at one source
-MOST_BYTES = 1 << 18
+MAX_WAITING = 1000  # matches of one subscription at one source
+MAX_WAITING_BYTES = 1 << 18  # of these matches, about
 WINDOW = 100  # items that are offered at a time
 EVENT_BYTES = 150  # of an event besides its texts, about
-MOST_SOURCES = 256
+MAX_SOURCES = 256  # with a cursor of one subscription
 
 
 class InvalidCursorsError(CedarwickError):
@@ -73,7 +73,7 @@
 class Outbox:
     """What one subscription has matched at this source and the subscriber has not yet seen."""
 
-    def __init__(self, source: str, begins: int, most: int = MOST_HELD, most_bytes: int = MOST_BYTES) -> None:
+    def __init__(self, source: str, begins: int, most: int = MAX_WAITING, most_bytes: int = MAX_WAITING_BYTES) -> None:
         self.source = source
         self.most = most
         self.most_bytes = most_bytes
@@ -84,7 +84,7 @@
         self.bytes = 0  # of what waits
 
     def add(self, event: Event) -> None:
-        """Keep a match; the oldest that wait give way."""
+        """Queue a match; the oldest that wait are dropped where there is no room, and counted in a `Gap`."""
         size = weight(event)
         self.waiting.append((event, size))
         self.bytes += size
@@ -184,7 +184,7 @@
             named = item.event.source if isinstance(item, Match) else item.source
             # Danger: an offer that is given twice, or late, would give matches twice; one under another's name would
             # move a cursor that is not its own; sources without end would take memory.
-            again = reached <= held if held is not None else len(self.cursors) >= MOST_SOURCES
+            again = reached <= held if held is not None else len(self.cursors) >= MAX_SOURCES
             if again or named != source:
                 self.dropped += 1
                 continue
@@ -205,11 +205,11 @@
 
 def decoded(text: str) -> tuple[str, dict[str, int]]:
     """A subscription's name and cursors from their text. Raises InvalidCursorsError."""
-    name, *parts = text.split(" ", MOST_SOURCES + 1)
+    name, *parts = text.split(" ", MAX_SOURCES + 1)
     if not NAME.fullmatch(name):
         raise InvalidCursorsError(f"'{name[:80]}' can't name a subscription")
-    if len(parts) > MOST_SOURCES:
-        raise InvalidCursorsError(f"more than {MOST_SOURCES} sources")
+    if len(parts) > MAX_SOURCES:
+        raise InvalidCursorsError(f"more than {MAX_SOURCES} sources")
     cursors: dict[str, int] = {}
     for part in parts:
         source, _, number = part.rpartition(":")
--- a/cedarwick/events/subscriber_reader.py
+++ b/cedarwick/events/subscriber_reader.py
@@ -9,8 +9,8 @@
 from cedarwick.events.match_delivery import NOWHERE, Reached
 from cedarwick.events.streams import Ended, Inbox, Item, Match, position
 
-MOST_PENDING = 1000  # items that wait to be written; beyond that nothing is taken, and the sources keep it
-LINES = 1 << 15  # bytes that are written at once, about
+MAX_PENDING = 1000  # items that wait to be written; beyond that nothing is taken, and the sources keep it
+LINES_BYTES = 1 << 15  # bytes that are written at once, about
 
 
 class Reader:
@@ -38,7 +38,7 @@
     @property
     def room(self) -> bool:
         """Whether more is taken now."""
-        return len(self.pending) < MOST_PENDING
+        return len(self.pending) < MAX_PENDING
 
     def reached(self, member: str, source: str) -> Reached:
         """How far it is with a source, as `member`, where it is connected, reports it."""
@@ -53,7 +53,7 @@
     def lines(self) -> tuple[bytes, dict[str, int]]:
         """The next lines, which are not pending any more, and the last number of each source among them."""
         data, reached = bytearray(), dict[str, int]()
-        while self.pending and len(data) < LINES:
+        while self.pending and len(data) < LINES_BYTES:
             item = self.pending.popleft()
             data += msgspec.json.encode(item) + b"\n"
             if isinstance(item, Ended):
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -128,6 +128,17 @@
                 self.counters.trouble(
                     "a filter that cannot be evaluated", CannotEvaluateError(f"{name}: {found[name]}")
                 )
+        self._follow_outboxes()
+        for name, entry in living.items():  # a subscriber that has moved is asked at once how far it is
+            delivery = self.deliveries.get(name)
+            if delivery is not None:
+                known = delivery.reader.member if delivery.reader is not None else self.asked.get(name, entry.member)
+                if known != entry.member:
+                    self.unlocated[name] = None
+        return not left
+
+    def _follow_outboxes(self) -> None:
+        """Have one delivery for each outbox of the source; a new one must learn how far its subscriber is."""
         outboxes = self.source.outboxes
         self.deliveries = {
             name: delivery for name, delivery in self.deliveries.items() if outboxes.get(name) is delivery.outbox
@@ -137,13 +148,6 @@
             if name not in self.deliveries:
                 self.deliveries[name] = MatchDelivery(outbox, zlib.crc32(f"{self.source.name} {name}".encode()))
                 self.unlocated[name] = None
-        for name, entry in living.items():  # a subscriber that has moved is asked at once how far it is
-            delivery = self.deliveries.get(name)
-            if delivery is not None:
-                known = delivery.reader.member if delivery.reader is not None else self.asked.get(name, entry.member)
-                if known != entry.member:
-                    self.unlocated[name] = None
-        return not left
 
     def happened(self, at: int, kind: str, fields: dict[str, Value]) -> None:
         """Number an event and queue it for the subscriptions it matches. Raises `InvalidEventError`."""
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -18,7 +18,7 @@
 from cedarwick.events.kinds import Event
 from cedarwick.events.match_delivery import MatchDelivery, Reached
 from cedarwick.events.registry import Entry
-from cedarwick.events.subscriber_reader import MOST_PENDING, Reader
+from cedarwick.events.subscriber_reader import MAX_PENDING, Reader
 from cedarwick.fleet.messages import Body, Cursor, Cursors, Matches, Stream, Subscribe, decode, encode
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.net.counters import Counters
@@ -184,7 +184,7 @@
         assert subscriber.talk is not None
         subscriber.talk.kill()
         net.turn(2)
-        for _ in range(streams.MOST_HELD + 500):
+        for _ in range(streams.MAX_WAITING + 500):
             net.happens("n1")
         subscriber.follow("n2")
         for _ in range(80):
@@ -192,7 +192,7 @@
             subscriber.take()
         gaps = [told for told in subscriber.read if told["type"] == "gap"]
         self.assertEqual([gap["source"] for gap in gaps], ["n1-101"])
-        self.judge(subscriber, {"n0": set(), "n1": set(range(1, streams.MOST_HELD + 501)), "n2": set()})
+        self.judge(subscriber, {"n0": set(), "n1": set(range(1, streams.MAX_WAITING + 501)), "n2": set()})
 
     def test_a_member_that_dies_or_comes_while_an_end_is_told_changes_nothing_of_the_answer(self) -> None:
         net = Net()
@@ -314,10 +314,10 @@
 
     def test_a_reader_that_has_enough_takes_nothing(self) -> None:
         reader = Reader("desk", 1, {})
-        items = [streams.Match(Event("n0-1", number, 0, "taken", {})) for number in range(1, MOST_PENDING + 2)]
+        items = [streams.Match(Event("n0-1", number, 0, "taken", {})) for number in range(1, MAX_PENDING + 2)]
         self.assertTrue(reader.take("n0-1", -1, items[:-1]))
-        self.assertFalse(reader.take("n0-1", MOST_PENDING, items[-1:]))
-        self.assertEqual(reader.reached("n1", "n0-1"), Reached("n1", 1, MOST_PENDING, -1, False))
+        self.assertFalse(reader.take("n0-1", MAX_PENDING, items[-1:]))
+        self.assertEqual(reader.reached("n1", "n0-1"), Reached("n1", 1, MAX_PENDING, -1, False))
 
     def test_entries_from_a_clock_far_ahead_are_not_taken(self) -> None:
         net = Net()
--- a/tests/test_subscriptions.py
+++ b/tests/test_subscriptions.py
@@ -258,9 +258,9 @@
         self.assertEqual(inbox.receive("elm.1", [From("fir.1", 20)]), [])
         self.assertEqual((inbox.cursors, inbox.dropped), ({"elm.1": 8}, 3))
         self.assertEqual((inbox.end("elm.1"), inbox.end("elm.1")), ([streams.Ended("elm.1", 8)], []))
-        for number in range(streams.MOST_SOURCES + 9):
+        for number in range(streams.MAX_SOURCES + 9):
             inbox.receive(f"s.{number}", [From(f"s.{number}", 1)])
-        self.assertEqual(len(inbox.cursors), streams.MOST_SOURCES)
+        self.assertEqual(len(inbox.cursors), streams.MAX_SOURCES)
 
     def test_cursors_are_read_as_they_were_told(self) -> None:
         held = {"elm.1": 0, "fir.22": (1 << 63) - 1}
