--- a/cedarwick/events/index.py
+++ b/cedarwick/events/index.py
@@ -120,11 +120,14 @@
 class Store(Protocol):
     """Keeps entries under one type of key."""
 
-    def add(self, key: Any, text: str, entry: Entry) -> None: ...
+    def add(self, key: Any, text: str, entry: Entry) -> None:
+        """Put the entry of a filter, by its text, under a key."""
 
-    def remove(self, key: Any, text: str) -> None: ...
+    def remove(self, key: Any, text: str) -> None:
+        """Take a filter that was added under this key out again."""
 
-    def find(self, held: Values, found: list[Entries]) -> None: ...
+    def find(self, held: Values, found: list[Entries]) -> None:
+        """Append to `found` the entries under every key that holds for an event's values."""
 
 
 class Held(dict[str, Any]):
