--- a/cedarwick/adapter/codec.py
+++ b/cedarwick/adapter/codec.py
@@ -84,19 +84,32 @@
 ECHO = struct.Struct("<IIdBB")
 FINISHED = struct.Struct("<IQBHIIBdB")
 
+# The codes of the records that are read.
+REGISTER_CODE = 10
+DATAGRAM_CODE = 20
+POWER_ON_CODE = 30
+FLOWING_CODE = 40
+ORDER_CODE = 50
+POWER_OFF_CODE = 60
+FINISHED_CODE = 70
+LEFT_CODE = 80
+ECHO_CODE = 90
+SYNC_CODE = 100
+WAKE_CODE = 110
+
 # The fixed part of each record that is read, by event code.
 FIXED = {
-    10: REGISTER,
-    20: DATAGRAM,
-    30: POWER_ON,
-    40: FLOWING,
-    50: ORDER,
-    60: U32,
-    70: FINISHED,
-    80: LEFT,
-    90: ECHO,
-    100: SYNC,
-    110: WAKE,
+    REGISTER_CODE: REGISTER,
+    DATAGRAM_CODE: DATAGRAM,
+    POWER_ON_CODE: POWER_ON,
+    FLOWING_CODE: FLOWING,
+    ORDER_CODE: ORDER,
+    POWER_OFF_CODE: U32,
+    FINISHED_CODE: FINISHED,
+    LEFT_CODE: LEFT,
+    ECHO_CODE: ECHO,
+    SYNC_CODE: SYNC,
+    WAKE_CODE: WAKE,
 }
 
 
@@ -127,11 +140,11 @@
             raise WireError(f"unknown event code {code}")
         values = cursor.fields(layout)
         extra: Any = None
-        if code == 10:
+        if code == REGISTER_CODE:
             extra = [listing(cursor.fields(ENTRY)) for _ in range(values[1])]
-        elif code in (70, 90):
+        elif code in (FINISHED_CODE, ECHO_CODE):
             extra = cursor.fields(struct.Struct(f"<{values[-1]}f"))
-        elif code in (20, 30):
+        elif code in (DATAGRAM_CODE, POWER_ON_CODE):
             extra = cursor.raw(values[-1])
         yield code, values, extra
     if cursor.at != len(body):
--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -35,7 +35,7 @@
         touched: dict[int, None] = {}
         broken: dict[int, str] = {}
         for code, values, extra in codec.records(count, body):
-            if code == 10:
+            if code == codec.REGISTER_CODE:
                 self.lists[values[0]] = extra
                 continue
             number = values[0]
@@ -61,7 +61,7 @@
 
     def _pass_on(self, now: int, code: int, values: tuple[Any, ...], extra: Any) -> None:
         number = values[0]
-        if code == 30:
+        if code == codec.POWER_ON_CODE:
             settings = codec.settings_of(extra)
             setting_rules.check(settings)
             self.instances[number] = Instance(Sender(settings, values[1], now))
@@ -70,16 +70,16 @@
         if instance is None:
             return
         sender = instance.sender
-        if code == 60:
+        if code == codec.POWER_OFF_CODE:
             del self.instances[number]
-        elif code == 20:
+        elif code == codec.DATAGRAM_CODE:
             instance.notes_dropped += 1
-        elif code == 50:
+        elif code == codec.ORDER_CODE:
             _, message, tenant, _, limit, _, key, destination, priority_class = values
             instance.handles[message] = sender.take(
                 now, message, int(destination), priority_class, codec.micros(limit), tenant, key
             )
-        elif code == 70:
+        elif code == codec.FINISHED_CODE:
             _, message, rc, attempt, note, receiver, last, took, _ = values
             outcome = codec.outcome_of(rc)
             handle = instance.handles.get(message)
@@ -90,13 +90,13 @@
                 )
                 if handle.ended and not handle.out:
                     del instance.handles[message]
-        elif code == 80:
+        elif code == codec.LEFT_CODE:
             handle = instance.handles.get(values[1])
             if handle is not None:
                 handle.withdrawn(now)
                 if not handle.out:
                     del instance.handles[values[1]]
-        elif code == 100:
+        elif code == codec.SYNC_CODE:
             _, how, _, slot = values
             if how not in codec.LIST_CHANGES:
                 raise codec.WireError(f"unknown kind of list update {how}")
@@ -107,7 +107,7 @@
                 raise codec.WireError(f"list {slot} was never declared")
             else:
                 sender.listed(now, change, self.lists[slot])
-        elif code == 110 and values[1] == instance.mark:
+        elif code == codec.WAKE_CODE and values[1] == instance.mark:
             instance.wake_at = None
 
     def _round(self, now: int, number: int) -> Iterator[bytes]:
