--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -70,7 +70,7 @@
         if instance is None:
             return
         sender = instance.sender
-        if code == codec.POWER_OFF_CODE:
+        if code == codec.DOWN_CODE:
             del self.instances[number]
         elif code == codec.DATAGRAM_CODE:
             instance.notes_dropped += 1
