--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the decisions behind the wire, each kept apart from the others."""
+"""Runs many independent instances of the decisions behind the simulator's wire."""
 
 from collections.abc import Iterator
 from typing import Any, BinaryIO
@@ -8,7 +8,7 @@
 from cedarwick.decisions.interface import Decisions, ListedEndpoint, Outcome
 from cedarwick.decisions.policy import Handle, Sender
 
-LONGEST_SLEEP = 70 * 60 * 1_000_000  # the wire allows 71 minutes
+MAX_SLEEP = 70 * 60 * 1_000_000  # microseconds; the wire allows 71 minutes
 
 
 class Instance:
@@ -20,7 +20,7 @@
         self.wake_at: int | None = None
         self.mark = 0
         self.notes_dropped = 0  # of other senders: the decisions use none, so all of them
-        self.notes_told = 0
+        self.notes_logged = 0  # of those dropped, the count in the last log line
 
 
 class Host:
@@ -35,7 +35,7 @@
         touched: dict[int, None] = {}
         broken: dict[int, str] = {}
         for code, values, extra in codec.records(count, body):
-            if code == 10:
+            if code == codec.REGISTER_CODE:
                 self.lists[values[0]] = extra
                 continue
             number = values[0]
@@ -61,7 +61,7 @@
 
     def _pass_on(self, now: int, code: int, values: tuple[Any, ...], extra: Any) -> None:
         number = values[0]
-        if code == 30:
+        if code == codec.POWER_ON_CODE:
             settings = codec.settings_of(extra)
             setting_rules.check(settings)
             self.instances[number] = Instance(Sender(settings, values[1], now))
@@ -70,34 +70,36 @@
         if instance is None:
             return
         sender = instance.sender
-        if code == 60:
+        if code == codec.DOWN_CODE:
             del self.instances[number]
-        elif code == 20:
+        elif code == codec.DATAGRAM_CODE:
             instance.notes_dropped += 1
-        elif code == 50:
+        elif code == codec.ORDER_CODE:
             _, message, tenant, _, limit, _, key, destination, priority_class = values
             instance.handles[message] = sender.take(
                 now, message, int(destination), priority_class, codec.micros(limit), tenant, key
             )
-        elif code == 70:
+        elif code == codec.FINISHED_CODE:
             _, message, rc, attempt, note, receiver, last, took, _ = values
             outcome = codec.outcome_of(rc)
             handle = instance.handles.get(message)
             if handle is not None:
-                told = codec.micros(note) if outcome is Outcome.FULL else 0
-                handle.attempt_ended(now, outcome, attempt, receiver, codec.micros(took), told, bool(last), extra)
+                retry_after = codec.micros(note) if outcome is Outcome.FULL else 0
+                handle.attempt_ended(
+                    now, outcome, attempt, receiver, codec.micros(took), retry_after, bool(last), extra
+                )
                 if handle.ended and not handle.out:
                     del instance.handles[message]
-        elif code == 80:
+        elif code == codec.LEFT_CODE:
             handle = instance.handles.get(values[1])
             if handle is not None:
                 handle.withdrawn(now)
                 if not handle.out:
                     del instance.handles[values[1]]
-        elif code == 100:
+        elif code == codec.SYNC_CODE:
             _, how, _, slot = values
             if how not in codec.LIST_CHANGES:
-                raise codec.WireError(f"unknown kind of list news {how}")
+                raise codec.WireError(f"unknown kind of list update {how}")
             change = codec.LIST_CHANGES[how]
             if change is None:
                 sender.list_poll_failed(now)
@@ -105,7 +107,7 @@
                 raise codec.WireError(f"list {slot} was never declared")
             else:
                 sender.listed(now, change, self.lists[slot])
-        elif code == 110 and values[1] == instance.mark:
+        elif code == codec.WAKE_CODE and values[1] == instance.mark:
             instance.wake_at = None
 
     def _round(self, now: int, number: int) -> Iterator[bytes]:
@@ -125,8 +127,8 @@
             yield codec.hand_off(number, message, receiver, time_out)
         for line in verdicts.log_lines:
             yield codec.write_log(number, line)
-        if instance.notes_dropped >= max(1, 2 * instance.notes_told):  # a line each would fill the log
-            instance.notes_told = instance.notes_dropped
+        if instance.notes_dropped >= max(1, 2 * instance.notes_logged):  # a line each would fill the log
+            instance.notes_logged = instance.notes_dropped
             yield codec.write_log(number, f"notes dropped: {instance.notes_dropped}")
         if verdicts.subscribe:
             yield codec.subscribe(number)
@@ -134,7 +136,7 @@
         if wake_at is not None and (instance.wake_at is None or wake_at < instance.wake_at):
             instance.wake_at = wake_at
             instance.mark = (instance.mark + 1) & 0xFFFFFFFF
-            yield codec.sleep(number, min(max(wake_at - now, 0), LONGEST_SLEEP), instance.mark)
+            yield codec.sleep(number, min(max(wake_at - now, 0), MAX_SLEEP), instance.mark)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from cedarwick.events import subscription_store
-from cedarwick.events.registry import FORGET, Entry
+from cedarwick.events.registry import DEFAULT_LIFETIME, Entry
 from cedarwick.fleet import messages
 from cedarwick.fleet.consensus import AcceptorTable, InstanceState
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError, LeaseRecord
@@ -269,7 +269,7 @@
         self.assertEqual(
             page.entries,
             {
-                "sub-1": Entry(NOW + 16, "member-a", False, 'tenant = "a"', NOW + 17, FORGET),
+                "sub-1": Entry(NOW + 16, "member-a", False, 'tenant = "a"', NOW + 17, DEFAULT_LIFETIME),
                 "sub-2": Entry(NOW + 14, "member-b", True, "", NOW + 15, 7_200_000_000),
             },
         )
