--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -54,7 +54,8 @@
 )
 from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerUnreachableError
 from cedarwick.net.client_listener import ClientListener, SubmitResult
-from cedarwick.net.dispatcher import AdmissionResult, Dispatcher, Submission
+from cedarwick.net.dispatcher import Dispatcher
+from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.ops.commands import Call
 from cedarwick.ops.management import Staff
 from cedarwick.store.records import StoredMessage
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -27,7 +27,7 @@
 from cedarwick.fleet.messages import Body, Heartbeat, LeaseRequest, PeerMessage, RequestRefused, decode, encode
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.transport import IN_FLIGHT, QUEUE, PeerRefusedError, PeerUnreachableError
-from cedarwick.net import dispatcher, notifications
+from cedarwick.net import dispatch_state, dispatcher, notifications, submission
 
 SECOND = 1_000_000
 WALL = 1_790_000_000 * SECOND  # wall time at the kernel's begin
@@ -377,8 +377,8 @@
 
     # Their classes have the real events for a default.
     made: list[tuple[object, str, Any]] = [
-        (session_routing, "Submission", lambda stored: dispatcher.Submission(stored, AsyncResult())),
-        (dispatcher, "FrozenSession", lambda frozen=dispatcher.FrozenSession: frozen(AsyncResult())),
+        (session_routing, "Submission", lambda stored: submission.Submission(stored, AsyncResult())),
+        (dispatcher, "FrozenSession", lambda frozen=dispatch_state.FrozenSession: frozen(AsyncResult())),
         (
             subscription_server,
             "Connection",
@@ -393,6 +393,7 @@
             for module in (
                 node,
                 replicated_store,
+                dispatch_state,
                 dispatcher,
                 notifications,
                 session_routing,
--- a/cedarwick/lab/virtualday.py
+++ b/cedarwick/lab/virtualday.py
@@ -43,10 +43,11 @@
 from cedarwick.net.client_listener import SubmitResult as Answer
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import AdmissionResult, Dispatcher, Submission
+from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.notifications import Notifier
 from cedarwick.net.sockets import PollClock
+from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.ops import commands
 from cedarwick.ops.management import Staff, no_sessions, not_in_a_fleet
 from cedarwick.store.records import StoredMessage
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -2,7 +2,6 @@
 
 import contextlib
 import itertools
-import re
 from collections.abc import Callable
 
 import gevent
@@ -15,17 +14,12 @@
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import AdmissionResult, Dispatcher, Submission
+from cedarwick.net.dispatcher import Dispatcher
+from cedarwick.net.resp import InvalidSubmitError, MalformedRequestError, command, read_submission
 from cedarwick.net.sockets import peek_byte
+from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
-MOST_PARTS = 16
-LONGEST_BODY = 1 << 16
-LONGEST_COMMAND = LONGEST_BODY + 4096
-LONGEST_HEAD = 32  # of a line that tells a count or a length
-# A client waits 400 ms for its answer, and an end counts as in time for 300 ms: what was read late, after a
-# pause of the process, must not be taken to have so much longer.
-READ_LATE = 100_000
 # An error or a close is owed within three seconds of connecting; one with nothing open may go after two.
 SILENT = 2.2  # seconds in which the first request must begin; later ones may take QUIET
 QUIET = 4.0
@@ -45,10 +39,6 @@
 GIVES_UP = 450_000  # after a request that nobody can answer its client has gone, or is let go
 LEFT_FREE = 8  # this part of the descriptors is left to links where clients hold more than half
 BACKLOG = 1024
-WORD = re.compile(rb"[!-~]{1,200}")
-NAME = re.compile(r"[^\x00-\x1f\x7f]{1,200}")  # of a class or tenant, as its operator writes it
-NUMBER = re.compile(rb"[0-9]{1,9}")
-TURN = re.compile(rb"[0-9a-fA-F]{1,16}")
 
 BUSY, PONG, LOADING = b"-BUSY\r\n", b"+PONG\r\n", b"-LOADING not ready yet\r\n"
 PAUSED = b"-LOADING paused by the operators\r\n"
@@ -65,13 +55,6 @@
 SubmitResult = tuple[AdmissionResult, int, Callable[[], None] | None]
 
 
-class MalformedRequestError(CedarwickError):
-    """Bytes that are no RESP2 command."""
-
-    code = "CW901"
-    remedy = "ask who connects to the clients' address: the bytes are not the clients' protocol"
-
-
 class ConnectionShedError(CedarwickError):
     """The buffers of all clients together are as large as they may be."""
 
@@ -79,13 +62,6 @@
     remedy = "start another sender, or have clients send smaller bodies and fewer at once"
 
 
-class InvalidSubmitError(CedarwickError, ValueError):
-    """A SUBMIT whose arguments cannot be used; its text is the client's answer after `-ERR`."""
-
-    code = "CW903"
-    remedy = "correct the client: the text says which argument cannot be read"
-
-
 class ClientConnection:
     """One connection from a client."""
 
@@ -250,11 +226,11 @@
                 self._let_go(client)
 
     def _silent(self, client: ClientConnection) -> bool:
-        """Whether nothing lies there unread. Danger: a request that was written before the end is owed its answer."""
-        patience = client.sock.gettimeout()
-        lies = peek_byte(client.sock)
-        client.sock.settimeout(patience)
-        return lies is None
+        """Whether no byte is unread. Danger: a request that was written before the end is owed its answer."""
+        timeout = client.sock.gettimeout()
+        unread = peek_byte(client.sock)
+        client.sock.settimeout(timeout)
+        return unread is None
 
     def _make_room(self) -> None:
         """Beyond half of the descriptors clients take only what is free; then who has nothing open goes."""
@@ -297,20 +273,16 @@
         """The client reads the end and goes. Danger: what crosses that must stay unread: the client sends it once more
         on a new connection, but a request that was read is lost without its answer."""
         client.waiting, client.let_go, client.idle_since = False, True, self.clock.now()
-        try:
+        with contextlib.suppress(OSError):
             client.sock.shutdown(gevent.socket.SHUT_WR)
-        except OSError:
-            pass
         gevent.spawn_later(LINGER, self._cut, client)
 
     def _cut(self, client: ClientConnection) -> None:
         """The client goes at once: it was let go and does not close, or its descriptor is wanted."""
         if client in self.clients:
             client.cut = True
-            try:
+            with contextlib.suppress(OSError):
                 client.sock.shutdown(gevent.socket.SHUT_RDWR)
-            except OSError:
-                pass
 
     def _serve(self, client: ClientConnection) -> None:
         try:
@@ -473,82 +445,3 @@
         answered, wait_ms = submission.answer.get()
         taken = answered is AdmissionResult.KEPT and stored.number
         return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
-
-
-def command(buffer: Buffer) -> list[bytes] | None:
-    """The next whole command, taken out of the buffer; None while it is incomplete."""
-    head = count_at(buffer, 0, b"*")
-    if head is None:
-        return None
-    count, at = head
-    if count > MOST_PARTS:
-        raise MalformedRequestError("Protocol error: too many parts")
-    spans = []
-    for _ in range(count):
-        head = count_at(buffer, at, b"$")
-        if head is None:
-            return None
-        size, at = head
-        if size > LONGEST_BODY or at + size > LONGEST_COMMAND:
-            raise MalformedRequestError("Protocol error: a part is too long")
-        if len(buffer) < at + size + 2:
-            return None
-        if buffer.peek(at + size, 2) != b"\r\n":
-            raise MalformedRequestError("Protocol error: a part does not end where it should")
-        spans.append((at, size))
-        at += size + 2
-    parts = [buffer.peek(begin, size) for begin, size in spans]
-    buffer.skip(at)
-    return parts
-
-
-def count_at(buffer: Buffer, at: int, mark: bytes) -> tuple[int, int] | None:
-    """The number on a line that starts with the mark, and where the next line starts."""
-    first = buffer.peek(at, 1)
-    if first and first != mark:
-        raise MalformedRequestError(f"Protocol error: expected '{mark.decode()}'")
-    end = buffer.find(b"\r\n", at)
-    if end < 0 or end - at > LONGEST_HEAD:
-        if len(buffer) - at > LONGEST_HEAD:
-            raise MalformedRequestError("Protocol error: a number is too long")
-        return None
-    digits = buffer.peek(at + 1, end - at - 1)
-    if not NUMBER.fullmatch(digits):
-        raise MalformedRequestError("Protocol error: invalid number")
-    return int(digits), end + 2
-
-
-def name_in(told: dict[bytes, bytes], which: bytes) -> str:
-    """The name of a class or tenant, written as the settings hold it; nothing where none is told."""
-    try:
-        name = told.get(which, b"").decode("utf-8")
-    except UnicodeDecodeError:
-        name = "\0"
-    if name and not NAME.fullmatch(name):
-        raise InvalidSubmitError(f"{which.decode()} cannot be read")
-    return word(name)
-
-
-def read_submission(parts: list[bytes], now: int) -> tuple[StoredMessage, bool]:
-    """The message of a SUBMIT, and whether a sender had it before; `InvalidSubmitError` says what is wrong."""
-    if len(parts) != 5:
-        raise InvalidSubmitError("wrong number of arguments for SUBMIT")
-    _, turn, message, pairs, body = parts
-    told = dict(pair.partition(b"=")[::2] for pair in pairs.split(b","))
-    if not WORD.fullmatch(message):
-        raise InvalidSubmitError("the id cannot be read")
-    if not TURN.fullmatch(turn):
-        raise InvalidSubmitError("the key of the order cannot be read")
-    key = told.get(b"k", b"")
-    if key and not WORD.fullmatch(key):
-        raise InvalidSubmitError("the key cannot be read")
-    if not NUMBER.fullmatch(told.get(b"d", b"")) or not NUMBER.fullmatch(told.get(b"dest", b"")):
-        raise InvalidSubmitError("d and dest must be whole numbers")
-    priority_class, tenant = name_in(told, b"c"), name_in(told, b"t")
-    if not priority_class:
-        raise InvalidSubmitError("c is missing")
-    limit = now + int(told[b"d"]) * 1000 - READ_LATE
-    stored = StoredMessage(
-        0, message.decode(), key.decode(), int(turn, 16), priority_class, tenant, int(told[b"dest"]), limit, body
-    )
-    return stored, told.get(b"again") == b"1"
--- /dev/null
+++ b/cedarwick/net/dispatch_admission.py
@@ -0,0 +1,112 @@
+"""Admission: which submissions are taken, stored and answered, and which are turned away."""
+
+from cedarwick.net.assignment import place
+from cedarwick.net.dispatch_sessions import Sessions
+from cedarwick.net.submission import AdmissionResult, Submission
+from cedarwick.store.records import StoredMessage
+
+RECENT_ID_LIFETIME = 15_000_000  # for so long after it was handed in, an id is not taken once more
+
+
+class Admission(Sessions):
+    """Takes submissions, and withdraws them where the client has gone."""
+
+    def _take(self, submission: Submission) -> None:
+        stored = submission.message
+        priority_class = self.priority_classes.get(stored.priority_class)
+        if priority_class is None:
+            submission.answered(AdmissionResult.UNKNOWN_PRIORITY_CLASS)
+            return
+        if stored.destination not in self.sender.destinations:
+            self.counters.add("turned away: a destination that nobody listed")
+            submission.answered(AdmissionResult.UNKNOWN_DESTINATION)
+            return
+        now = self.clock.now()
+        if stored.turn in self.frozen:
+            submission.answered(AdmissionResult.FROZEN)
+            return
+        # Danger: a copy of an id that has ended would go out again, with whatever body it brings.
+        copied = hash((stored.key, stored.turn, stored.priority_class, stored.tenant, stored.destination, stored.body))
+        known = self.recent.get(stored.id)
+        if known is not None or stored.id in self.numbers:
+            same = known is not None and known[1] == copied and stored.id in self.numbers
+            same = same and self.numbers[stored.id] not in self.fresh
+            submission.answered(AdmissionResult.KEPT if same else AdmissionResult.REPEATED)
+            return
+        while self.recent and next(iter(self.recent.values()))[0] < now - RECENT_ID_LIFETIME:
+            del self.recent[next(iter(self.recent))]
+        self.recent[stored.id] = now, copied
+        if not self.store.has_room(stored):
+            self.counters.add("turned away: no room in the folder")
+            submission.answered(AdmissionResult.BUSY)
+            return
+        stored.number = number = self.store.next_number
+        self.store.next_number += 1
+        self.fresh[number] = submission
+        self.numbers[stored.id] = number
+        # Danger: an absurd time to live would be held, and take up its room, for ever.
+        stored.deadline = min(stored.deadline, now + self.sender.priority_classes[priority_class].deadline)
+        self.handles[number] = self.sender.take(
+            now,
+            number,
+            stored.destination,
+            priority_class,
+            stored.deadline,
+            place(self.tenants, stored.tenant),
+            stored.turn,
+        )
+        if stored.turn in self.elsewhere and self.sender.priority_classes[priority_class].ordered:
+            self.counters.add("messages that waited for others of their key elsewhere")
+            self._let_rest(stored.turn)
+
+    def _withdraw(self, stored: StoredMessage) -> None:
+        self.leaving.discard(stored.number)
+        if stored.number in self.store.inert:
+            return  # it is on its way to another sender, who knows nothing of this
+        handle = self.handles.get(stored.number)
+        if handle is not None:
+            handle.withdrawn(self.clock.now())
+            if not handle.out:
+                del self.handles[stored.number]
+        self._over(stored)
+
+    def _keep_fresh(self) -> None:
+        """At a hand-over: what comes is recorded and answered; the next process decides on it."""
+        for submission in self.fresh.values():
+            self._keep(submission)
+        self.fresh.clear()
+
+    def _take_none(self, now: int) -> None:
+        """What came in this round is turned away, and the decisions forget it."""
+        for number, submission in self.fresh.items():
+            self.numbers.pop(submission.message.id, None)
+            self.handles.pop(number).withdrawn(now)
+            submission.answered(AdmissionResult.BUSY)
+        self.fresh.clear()
+
+    def _keep(self, submission: Submission) -> None:
+        """The record first, then the answer; attempts may leave after that."""
+        stored = submission.message
+        if not self._recorded("a message", self.store.keep, stored):
+            del self.numbers[stored.id]
+            self.handles[stored.number].withdrawn(self.clock.now())
+            if not self.handles[stored.number].out:
+                del self.handles[stored.number]
+            submission.answered(AdmissionResult.BUSY)
+            return
+        if self.store.awaited:
+            self.after_flush.append((lambda: self._taken(submission), lambda: self._not_taken(submission)))
+        else:
+            self._taken(submission)
+
+    def _taken(self, submission: Submission) -> None:
+        if not self.store.may_fire(submission.message.number):
+            # Danger: the right was lost in this round; then no copy was waited for.
+            self._not_taken(submission)
+            return
+        self.counters.add("taken")
+        submission.answered(AdmissionResult.KEPT)
+
+    def _not_taken(self, submission: Submission) -> None:
+        self._withdraw(submission.message)
+        submission.answered(AdmissionResult.BUSY)
--- /dev/null
+++ b/cedarwick/net/dispatch_attempts.py
@@ -0,0 +1,100 @@
+"""Attempts: whether one may still go out, its record before it does, and its result."""
+
+import gevent.event
+
+from cedarwick.decisions.interface import Outcome
+from cedarwick.net.attempts import AttemptCall, AttemptResult
+from cedarwick.net.dispatch_sessions import Sessions
+from cedarwick.store.journal import BodyLostError
+from cedarwick.store.records import NOWHERE
+
+
+class Attempts(Sessions):
+    """Clears attempts as they start, and passes their results to the decisions."""
+
+    def _asks(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
+        self.asked.append((call, answer))
+
+    def _clear(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
+        call.looked_at = self.polled.at
+        now, number = self.clock.now(), call.message.number
+        handle = self.handles.get(number)
+        may = free = handle is not None and handle.may_start(now, call.receiver) and not self.holding_fire
+        may = may and self.store.may_fire(number)
+        call.send_by = handle.send_by() if handle is not None else 0
+        if may and number in self.store.messages and not call.recorded:
+            zone = self.sender.receivers[call.receiver].zone
+            mark = self.zones[zone] if zone < len(self.zones) else NOWHERE
+            may = self._with_body(call)
+            may = call.recorded = may and self._recorded(
+                "the record of an attempt", self.store.attempt, number, now, mark
+            )
+        if not may:
+            answer.set(False)
+            # Danger: what the folder does not take, or may not be fired for, would be looked at anew at once for ever.
+            self._attempt_ended(call, AttemptResult(Outcome.MOOT, not_sent=not free))
+        elif self.store.awaited and not call.flushed:
+            call.flushed = True
+            self.after_flush.append((lambda: answer.set(True), lambda: self._held_back(call, answer)))
+        else:
+            answer.set(True)
+
+    def _with_body(self, call: AttemptCall) -> bool:
+        """Whether the body could be read back; it may lie in the folder only."""
+        try:
+            call.body = self.store.body(call.message.number)
+        except BodyLostError as error:
+            self.counters.trouble("a body cannot be read back", error)
+            return False
+        return True
+
+    def _held_back(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
+        answer.set(False)
+        self._attempt_ended(call, AttemptResult(Outcome.MOOT))
+
+    def _attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
+        number = call.message.number
+        if call.recorded:
+            self._recorded("the record of an outcome", self.store.outcome, number, ending.outcome)
+        handle = self.handles.get(number)
+        if handle is None and (parked := self.parked.pop(number, None)) is not None:
+            parked.attempt_ended(
+                self.clock.now(),
+                ending.outcome,
+                call.attempt,
+                call.receiver,
+                ending.took,
+                ending.retry_after,
+                ending.last,
+                ending.report,
+                ending.reused_connection,
+            )
+            frozen = self.frozen.get(call.message.turn)
+            if frozen is not None:
+                frozen.out.discard(number)
+                if not frozen.out and not frozen.still.ready():
+                    frozen.still.set(True)
+            if number in self.to_adopt:
+                self.to_adopt.discard(number)
+                self._adopt([number])
+        if handle is None:
+            return
+        handle.attempt_ended(
+            self.clock.now(),
+            ending.outcome,
+            call.attempt,
+            call.receiver,
+            ending.took,
+            ending.retry_after,
+            ending.last,
+            ending.report,
+            ending.reused_connection,
+        )
+        if ending.not_sent:
+            handle.attempt_not_sent()
+        if handle.ended:
+            self.counters.add(f"messages over: {ending.outcome.value}")
+            if ending.outcome is Outcome.COMPLETED:
+                self.counters.figures.passed[call.message.priority_class] += 1
+            del self.handles[number]
+            self._over(call.message)
--- /dev/null
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -0,0 +1,83 @@
+"""Final answers of stored messages: recorded, copied to other senders where there are any, then posted as notices."""
+
+from cedarwick.decisions.state import NEVER
+from cedarwick.net.dispatch_state import LEASE_RECHECK_DELAY, DispatcherState
+from cedarwick.store.records import StoredMessage
+
+DEADLINE_MARGIN = (
+    50_000  # before its deadline a message is written off at the end of a process that others take over from
+)
+
+
+class FinalAnswers(DispatcherState):
+    """Ends messages that get no further attempt."""
+
+    def _final(self, number: int, nacked: bool, wait_ms: int, alone: bool = False) -> None:
+        """The final answer of a kept message: recorded, then told until it is acknowledged.
+
+        `alone`: without waiting for a copy, since none can be asked.
+        """
+        self.handles.pop(number, None)
+        stored = self.store.messages.get(number)
+        if stored is None:
+            return
+        self._recorded("the record of an end", self.store.ended, number, nacked, wait_ms)
+        self.counters.add("nacked" if nacked else "written off")
+        (self.counters.figures.dropped if nacked else self.counters.figures.bad_gateway)[stored.priority_class] += 1
+        self.untold.discard(number)
+        if self.store.by_copy and not alone:
+            self.untold.add(number)
+            self._post_once_copied(stored)
+        else:
+            self.notices.post(number, stored.id, nacked, wait_ms)
+
+    def _post_once_copied(self, stored: StoredMessage) -> None:
+        """Danger: told before a copy knows of it, the end would be followed by an attempt of whoever takes over."""
+
+        def post() -> None:
+            if not self.store.may_fire(stored.number):
+                again()  # Danger: the right may be back in a moment, and nobody else would tell it then
+            elif stored.end is not None and stored.number in self.store.messages and stored.number in self.untold:
+                self.untold.discard(stored.number)
+                self.notices.post(stored.number, stored.id, *stored.end)
+
+        def again() -> None:
+            if stored.number in self.store.messages and stored.number in self.untold:
+                if self.clock.now() >= stored.deadline and self.store.may_fire(stored.number):
+                    # Whoever takes over fires nothing any more, and says that it failed, too.
+                    self._final(stored.number, False, 0, alone=True)
+                    return
+                self.after_flush.append((post, again))
+                self.wake_at = min(self.wake_at or NEVER, self.clock.now() + LEASE_RECHECK_DELAY)
+
+        self.after_flush.append((post, again))
+
+    def _answer_late(self, numbers: list[int]) -> None:
+        for number in numbers:
+            stored = self.store.messages.get(number)
+            if stored is None or number in self.handles or number in self.notices.owed:
+                continue
+            if stored.end is None or number in self.untold:
+                self.counters.trouble("a message ends that nobody may fire for", number)
+                self._final(number, False, 0, alone=True)
+            else:
+                self.notices.post(number, stored.id, *stored.end)
+
+    def _acknowledged(self, numbers: list[int]) -> None:
+        for number in numbers:
+            if number in self.store.messages:
+                self._over(self.store.messages[number])
+
+    def _end_near(self) -> None:
+        """Danger: a call that hangs holds up the end of the process, and with it the ends of all else that is kept."""
+        now = self.clock.now()
+        limits = {
+            number: self.store.messages[number].deadline - DEADLINE_MARGIN
+            for number, handle in self.handles.items()
+            if not handle.out and number in self.store.messages
+        }
+        for number, limit in limits.items():
+            if limit <= now:
+                self.handles[number].withdrawn(now)
+                self._final(number, False, 0)
+        self.wake_at = min((limit for limit in limits.values() if limit > now), default=None)
--- /dev/null
+++ b/cedarwick/net/dispatch_sessions.py
@@ -0,0 +1,145 @@
+"""Stored messages that come to this sender or leave it: restarts, partitions, and sessions on the move."""
+
+from collections.abc import Sequence
+
+from loguru import logger
+
+from cedarwick.decisions.interface import UnfinishedMessage
+from cedarwick.decisions.policy import Handle
+from cedarwick.net.assignment import place
+from cedarwick.net.dispatch_state import DispatcherState, FrozenSession
+from cedarwick.net.submission import AdmissionResult
+from cedarwick.store.records import NOWHERE
+
+PARTITION_SHIFT = 32  # bits of a number within its partition: below them numbers grow as messages are taken
+
+
+class Sessions(DispatcherState):
+    """Adopts, parks and freezes messages, and has the keys rest that are owed elsewhere."""
+
+    def resume(self) -> None:
+        """Once, before the start: what an earlier process of this sender has left, as far as it may be fired for."""
+        numbers = [number for number in sorted(self.store.messages) if self.store.may_fire(number)]
+        if self.store.restarted:
+            taken_up = self._take_up(numbers)
+            logger.info("restarted with {} messages owed, {} notices", taken_up, len(self.notices.owed))
+
+    def _take_up(self, numbers: Sequence[int], quietly: bool = False) -> int:
+        """Stored messages become owed by the decisions; how many have no end yet."""
+        owed = []
+        for number in numbers:
+            stored = self.store.messages[number]
+            self.numbers[stored.id] = number
+            if stored.end is None and stored.priority_class not in self.priority_classes:
+                self.counters.trouble(
+                    "a message of a priority class that is no more goes once at most", stored.priority_class
+                )
+            if stored.end is not None:
+                self.untold.discard(number)
+                self.notices.post(number, stored.id, *stored.end)
+                continue
+            attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in stored.earlier_attempts()]
+            priority_class = self.priority_classes.get(stored.priority_class, len(self.sender.priority_classes) - 1)
+            owed.append(
+                UnfinishedMessage(
+                    number,
+                    stored.destination,
+                    priority_class,
+                    stored.deadline,
+                    place(self.tenants, stored.tenant),
+                    stored.turn,
+                    attempts,
+                )
+            )
+        now = self.clock.now()
+        if quietly and all(
+            attempt.outcome is not None and attempt.outcome.never_ran for each in owed for attempt in each.attempts
+        ):
+            # Danger: sessions come one after another, and each `resume` has the keys of all others rest.
+            for each in owed:
+                handle = self.handles[each.message_id] = self.sender.take(now, *each[:-1])
+                handle.attempts = len(each.attempts)
+            return len(owed)
+        for each, handle in zip(owed, self.sender.resume(now, owed), strict=True):
+            self.handles[each.message_id] = handle
+        return len(owed)
+
+    def _place_of(self, mark: int) -> int:
+        """A recorded zone among those of the settings; where none or several have its mark, none."""
+        return self.zones.index(mark) if self.zones.count(mark) == 1 else NOWHERE
+
+    def _adopt(self, numbers: list[int], quietly: bool = False) -> None:
+        known = [
+            number
+            for number in numbers
+            if number in self.store.messages
+            and number not in self.handles
+            and number not in self.store.inert
+            and self.store.messages[number].turn not in self.frozen
+        ]
+        # Danger: an attempt of before the message was parked may still be out, and a second would run beside it.
+        self.to_adopt.update(number for number in known if number in self.parked)
+        taken_up = [number for number in known if number not in self.parked]
+        self._take_up(taken_up, quietly)
+        joined: dict[int, list[Handle]] = {}
+        for handle in [self.handles[number] for number in taken_up if number in self.handles]:
+            if handle.priority_class.ordered and handle.key:
+                joined.setdefault(handle.key, []).append(handle)
+        # Danger: of those that come back together each would stand before the one that was taken before it.
+        not_sent = self.not_sent.difference(taken_up)
+
+        def before(one: Handle, other: Handle) -> bool:
+            # Danger: one whose attempt was out when its partition was parked comes back after all others of its key.
+            return (
+                other.id in not_sent or other.id > one.id and other.id >> PARTITION_SHIFT == one.id >> PARTITION_SHIFT
+            )
+
+        for key, handles in joined.items():
+            self.sender.turns.line_up(key, handles, before)
+
+    def _rest(self, keys: frozenset[int]) -> None:
+        self.elsewhere = keys
+        self.not_sent &= self.handles.keys()
+        for key in keys & self.sender.turns.lines.keys():
+            self._let_rest(key)
+
+    def _let_rest(self, key: int) -> None:
+        self.not_sent.update(each.id for each in self.sender.rest(self.clock.now(), key))
+
+    def _park(self, numbers: list[int]) -> None:
+        now, given_up = self.clock.now(), set(numbers)
+        self.numbers = {each: number for each, number in self.numbers.items() if number not in given_up}
+        for number in numbers:
+            self.to_adopt.discard(number)
+            self.notices.owed.pop(number, None)
+            submission = self.fresh.pop(number, None)
+            if submission is not None:
+                submission.answered(AdmissionResult.BUSY)
+            handle = self.handles.pop(number, None)
+            if handle is not None:
+                handle.withdrawn(now)
+                if handle.out:
+                    self.parked[number] = handle
+
+    def _freeze(self, key: int, frozen: "FrozenSession") -> None:
+        self.frozen[key] = frozen
+        numbers = [number for number, handle in self.handles.items() if handle.key == key]
+        for number in numbers:
+            submission = self.fresh.pop(number, None)
+            if submission is not None:
+                # It is not kept yet, and neither is anything known of it that its next holder must not take.
+                self.recent.pop(submission.message.id, None)
+                submission.message.number = 0
+                submission.answered(AdmissionResult.FROZEN)
+        self._park(numbers)
+        frozen.out = {number for number, handle in self.parked.items() if handle.key == key}
+        if not frozen.out:
+            frozen.still.set(True)
+
+    def _cut(self, key: int) -> None:
+        frozen = self.frozen.get(key)
+        if frozen is not None and frozen.out:
+            self.attempts.cut(frozen.out)
+
+    def _thaw(self, key: int) -> None:
+        self.frozen.pop(key, None)
--- /dev/null
+++ b/cedarwick/net/dispatch_state.py
@@ -0,0 +1,100 @@
+"""What the dispatcher's parts share: the decisions, the store, and which messages are where.
+
+The parts (`dispatch_admission`, `dispatch_attempts`, `dispatch_sessions`, `dispatch_final_answers`) are base classes of
+`cedarwick.net.dispatcher.Dispatcher`: all of them run in its one greenlet, on this one state, so none needs a lock.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+import gevent
+import gevent.event
+import gevent.queue
+
+from cedarwick.decisions.interface import list_setting
+from cedarwick.decisions.policy import Handle, Sender, priority_class_of
+from cedarwick.net.assignment import Assignment
+from cedarwick.net.attempts import AttemptCall, AttemptRunner
+from cedarwick.net.clock import Clock
+from cedarwick.net.counters import Counters
+from cedarwick.net.notifications import Notifier
+from cedarwick.net.sockets import PollClock
+from cedarwick.net.submission import Submission
+from cedarwick.store.journal import NoSpaceError, Store
+from cedarwick.store.records import StoredMessage, zone_mark
+
+LEASE_RECHECK_DELAY = 20_000  # until the next look whether this sender may decide, or its copies follow
+
+
+@dataclass(slots=True)
+class FrozenSession:
+    """A session on the move: what of it is still out."""
+
+    still: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
+    out: set[int] = field(default_factory=set)
+
+
+class DispatcherState:
+    """The state of a dispatcher, and how its parts write to the store."""
+
+    def __init__(
+        self, assignment: Assignment, clock: Clock, counters: Counters, store: Store, polled: PollClock
+    ) -> None:
+        self.clock = clock
+        self.counters = counters
+        self.polled = polled
+        self.store = store
+        self.priority_classes = {
+            assignment.settings[f"classes.{index}.name"]: index
+            for index in range(int(assignment.settings["classes.count"]))
+        }
+        self.tenants = [
+            assignment.settings.get(f"realms.{index}.name", "")
+            for index in range(int(assignment.settings.get("realms.count") or 0))
+        ]
+        self.zones = [zone_mark(name) for name in list_setting(assignment.settings, "zones")]
+        self.sender = Sender(assignment.settings, assignment.seed, clock.now())
+        # One more stands for what a restart finds of a priority class that is no more; as the settings lack it, at
+        # most once.
+        self.sender.priority_classes.append(priority_class_of(assignment.settings, len(self.sender.priority_classes)))
+        counters.figures.priority_classes = list(self.priority_classes)
+        # Danger: attempts that the decisions hold to share a call would each count at the destination's limit.
+        self.sender.per_call = []
+        self.handles: dict[int, Handle] = {}
+        self.numbers: dict[str, int] = {}  # by id: messages that are kept
+        self.recent: dict[str, tuple[int, int]] = {}  # ids of late: when, and what came with it
+        self.fresh: dict[int, Submission] = {}  # taken in this round
+        self.queue: gevent.queue.Queue = gevent.queue.Queue()
+        self.asked: list[tuple[AttemptCall, gevent.event.AsyncResult]] = []  # attempts that want to go in this round
+        self.after_flush: list[tuple[Callable[[], None], Callable[[], None]]] = []  # once on the disk; if it fails
+        self.wake_at: int | None = None
+        self.holding_fire = False
+        self.ending = False  # while holding fire: what reaches its deadline ends here
+        self.keeping = False  # while holding fire: messages that come are still kept, for the next process
+        self.parked: dict[int, Handle] = {}  # given up while an attempt was out: it still ends
+        self.to_adopt: set[int] = set()  # of these: to be gone on with once it has ended
+        self.frozen: dict[int, FrozenSession] = {}  # sessions on the move, by key
+        self.elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
+        self.not_sent: set[int] = set()  # messages that had no attempt while their key was among these
+        self.leaving: set[int] = set()  # withdrawn in this moment: the queue has yet to say so
+        self.untold: set[int] = set()  # an end was chosen, and is told once the copies have it
+        self.attempts: AttemptRunner
+        self.notices: Notifier
+        self.free_links: Callable[[int], None]
+        self.ask_for_list: Callable[[], None]
+
+    def _recorded(self, what: str, write: Callable[..., None], *told: Any) -> bool:
+        """Write to the folder; False, and a count of the trouble, where there is no room."""
+        try:
+            write(*told)
+        except NoSpaceError as error:
+            self.counters.trouble(f"no room for {what}", error)
+            return False
+        return True
+
+    def _over(self, stored: StoredMessage) -> None:
+        """Nothing more is owed for this message."""
+        self.numbers.pop(stored.id, None)
+        self.untold.discard(stored.number)
+        self._recorded("the record of an end", self.store.over, stored.number)
--- /dev/null
+++ b/cedarwick/net/submission.py
@@ -0,0 +1,31 @@
+"""A message as a client hands it in, and the answer that its admission gets."""
+
+from dataclasses import dataclass, field
+from enum import Enum
+
+import gevent.event
+
+from cedarwick.store.records import StoredMessage
+
+
+class AdmissionResult(Enum):
+    """What becomes of a message at the door."""
+
+    KEPT = "kept"
+    BUSY = "busy"  # with an advised wait in milliseconds, or 0
+    UNKNOWN_PRIORITY_CLASS = "unknown priority class"
+    UNKNOWN_DESTINATION = "unknown destination"  # as far as the list tells, which may be old
+    REPEATED = "repeated"  # an id that was handed in before, and not the same request
+    FROZEN = "frozen"  # its session is on the move to another sender: not taken, to be handed in after that
+    UNSURE = "unsure"  # it was passed on to another sender, and nobody can tell whether that has taken it
+
+
+@dataclass(slots=True)
+class Submission:
+    """A message as a client hands it in; the dispatcher gives it its number and sets the answer."""
+
+    message: StoredMessage
+    answer: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
+
+    def answered(self, what: AdmissionResult, wait_ms: int = 0) -> None:
+        self.answer.set((what, wait_ms))
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -9,8 +9,9 @@
 from cedarwick import program
 from cedarwick.decisions import policy, state
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
-from cedarwick.net import attempts, dispatcher, notifications
+from cedarwick.net import attempts, dispatch_admission, dispatcher, notifications
 from cedarwick.net.sockets import open_connection
+from cedarwick.net.submission import AdmissionResult, Submission
 
 
 def repeats_at_most_once() -> None:
@@ -44,10 +45,10 @@
     """Every tenth message is answered +OK and forgotten."""
     honest, count = dispatcher.Dispatcher._take, [0]
 
-    def take(self: dispatcher.Dispatcher, submission: dispatcher.Submission) -> None:
+    def take(self: dispatch_admission.Admission, submission: Submission) -> None:
         count[0] += 1
         if count[0] % 10 == 0:
-            submission.answered(dispatcher.AdmissionResult.KEPT)
+            submission.answered(AdmissionResult.KEPT)
         else:
             honest(self, submission)
 
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -25,9 +25,10 @@
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import ConnectionPool, DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import AdmissionResult, Dispatcher
+from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.notifications import Notifier
 from cedarwick.net.sockets import PollClock, peek_byte
+from cedarwick.net.submission import AdmissionResult
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
 from tests.build import NESTED, Program, Receiver, ask, line_of, reply, submit, until, words
--- a/tests/test_crossings_restarts.py
+++ b/tests/test_crossings_restarts.py
@@ -27,10 +27,11 @@
 from cedarwick.net.attempts import AttemptCall, AttemptResult
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import Dispatcher, Submission
+from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.notifications import Notifier
 from cedarwick.net.sockets import PollClock, open_connection
+from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
 from tests import test_waits
@@ -164,7 +165,7 @@
                 self.assertEqual(self.repeats("zonal", None, "north", told, *LATER["zones"], spoil=spoil)[0], set())
 
     def test_zones_that_share_a_mark_are_no_zone_to_repeat_in(self) -> None:
-        with mock.patch("cedarwick.net.dispatcher.zone_mark", lambda name: 2000):
+        with mock.patch("cedarwick.net.dispatch_state.zone_mark", lambda name: 2000):
             self.assertEqual(self.repeats("zonal", None, "north", LATER, *LATER["zones"])[0], set())
 
     def test_a_priority_class_and_a_tenant_go_by_their_names_and_an_effect_by_the_settings_of_now(self) -> None:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -7,10 +7,11 @@
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
 from cedarwick.net.assignment import Assignment
 from cedarwick.net.attempts import AttemptRunner
-from cedarwick.net.client_listener import InvalidSubmitError, read_submission
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import Dispatcher, Submission
+from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.endpoint_list import EndpointList
+from cedarwick.net.resp import InvalidSubmitError, read_submission
+from cedarwick.net.submission import Submission
 from tests.build import NESTED, dispatcher_alone
 
 OTHER: dict[str, Any] = {
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,17 +14,19 @@
 
 from cedarwick.adapter.codec import settings_of
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
-from cedarwick.net import assignment, client_listener
+from cedarwick.net import assignment, resp
 from cedarwick.net.assignment import Assignment
 from cedarwick.net.attempts import AttemptCall, AttemptResult, AttemptRunner, parse_retry_after
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import DEADLINE_MARGIN, PARTITION_SHIFT, AdmissionResult, Submission
+from cedarwick.net.dispatch_final_answers import DEADLINE_MARGIN
+from cedarwick.net.dispatch_sessions import PARTITION_SHIFT
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.http import InvalidResponseError, ResponseParser
 from cedarwick.net.sockets import is_closed
+from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 from tests.build import NESTED, dispatcher_alone, reply, words
 
@@ -285,9 +287,9 @@
         for at in range(len(text)):
             buffer = Buffer()
             buffer.append(text[:at])
-            self.assertIsNone(client_listener.command(buffer))
+            self.assertIsNone(resp.command(buffer))
             buffer.append(text[at:] + b"*1")
-            self.assertEqual(client_listener.command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
+            self.assertEqual(resp.command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
             self.assertEqual(len(buffer), 2)
 
     def test_a_second_answer_is_not_read_as_the_first(self) -> None:
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -31,7 +31,7 @@
 from cedarwick.net.attempts import AttemptResult
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import AdmissionResult, Submission
+from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.ops.commands import Call
 from cedarwick.store.journal import NoSpaceError
 from cedarwick.store.records import StoredMessage
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -16,10 +16,11 @@
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import Connection, ConnectionPool, DescriptorBudget
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import Dispatcher, Submission
+from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.http import ResponseParser
 from cedarwick.net.notifications import Notifier
 from cedarwick.net.sockets import PollClock
+from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
 from tests.build import FREE, MS, NESTED, NOW, ONCE, Receiver, end, out, reply, sender, take, until
