--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -17,14 +17,15 @@
 from cedarwick.store.records import StoredMessage
 
 REPORT_HEADER = "x-pressure"
-REST_OF_ANSWER = 500_000  # for what follows the first line of an answer
+ANSWER_REST_TIMEOUT_US = 500_000  # for what follows the first line of an answer
 # A wait binds from 100 ms after its answer was written (the protocol page): a first byte may rest on a look at the
 # sockets that is half as old.
-FRESH = 50_000
-MOST_ASKED = 3  # times that an attempt asks anew because its clearance grew old, before it is decided on anew
-HEARD_OUT = 1_000_000  # for what is on its way as a call is given up; its receiver hears of that and ends sooner
-MILLISECONDS = re.compile(r"([0-9]{1,300})(\.[0-9]{1,300})?")
-FIGURE = re.compile(r"-?[0-9]{1,9}(\.[0-9]{1,30})?(e-[0-9]{1,2})?")  # of a report
+CLEARANCE_LIFETIME_US = 50_000
+MAX_CLEARANCE_REQUESTS = 3  # by one attempt whose clearances grow old; then it is decided on anew
+# For an answer that is on its way as a call is given up; its receiver learns of that and ends sooner.
+LATE_ANSWER_TIMEOUT_US = 1_000_000
+MILLISECONDS_PATTERN = re.compile(r"([0-9]{1,300})(\.[0-9]{1,300})?")
+FIGURE_PATTERN = re.compile(r"-?[0-9]{1,9}(\.[0-9]{1,30})?(e-[0-9]{1,2})?")  # of a report
 
 
 @dataclass(slots=True)
@@ -147,12 +148,12 @@
 
     def _cleared(self, call: AttemptCall) -> bool:
         """Whether it may go now; where it may not, it has ended."""
-        for _ in range(MOST_ASKED):
+        for _ in range(MAX_CLEARANCE_REQUESTS):
             if not self.clear(call):
                 call.told = True
                 self.counters.add("attempts held back before their first byte")
                 return False
-            if self.clock.now() - call.looked_at <= FRESH:
+            if self.clock.now() - call.looked_at <= CLEARANCE_LIFETIME_US:
                 return True
             # Danger: the process was stopped, or a round was long: a refusal may lie unread in a socket.
             self.counters.add("clearances that grew old")
@@ -178,7 +179,7 @@
             broken = self._read(call, link, answer)
         except OSError:
             # The last byte was never handed over, so nothing ran; an early answer tells more.
-            self._read_what_lies_there(call, link, answer)
+            self._read_unread_bytes(call, link, answer)
         if answer.complete or answer.status == 200:
             usable = answer.complete and answer.keep_alive and broken is None
             if not call.told:
@@ -206,12 +207,12 @@
                 answer.feed(link.buffer)
                 self._heed_early(call, answer)
                 if answer.status and not begun:
-                    until = min(until, self.clock.now() + REST_OF_ANSWER)
+                    until = min(until, self.clock.now() + ANSWER_REST_TIMEOUT_US)
                 if answer.headed and answer.status == 200 and not call.told:
                     self._tell(call, answer)  # it is true, whatever becomes of the rest
         except TimeoutError:
             # Danger: after a pause of the process, answers that came in time lie unread.
-            self._read_what_lies_there(call, link, answer)
+            self._read_unread_bytes(call, link, answer)
             return Outcome.RESET if answer.status else Outcome.TIME_OUT
         except (OSError, InvalidResponseError) as error:
             self.counters.trouble("a link broke during an attempt", error)
@@ -224,7 +225,7 @@
             raise TimeoutError
         link.sock.settimeout(left / 1_000_000)
 
-    def _read_what_lies_there(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
+    def _read_unread_bytes(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
         self._read_on(link, answer, 0)
         self._heed_early(call, answer)
 
@@ -259,7 +260,7 @@
         Danger: a refusal that crosses the giving up tells a wait all the same, and further attempts would break it.
         """
         self.out.pop(gevent.getcurrent(), None)
-        self._read_on(link, answer, self.clock.now() + HEARD_OUT)
+        self._read_on(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
         if answer.headed and answer.status == 429 and not call.heeded:
             self.counters.add("waits told after the call was given up")
             self._heed(call, answer)
@@ -303,7 +304,7 @@
         told = {name.strip(): value for name, _, value in (pair.partition("=") for pair in text.split(","))}
         figures = [told.get(name, "") for name in self.columns]
         # Danger: one "nan" or "1e300" would stay in the pace of a destination for ever.
-        if not all(FIGURE.fullmatch(figure) for figure in figures):
+        if not all(FIGURE_PATTERN.fullmatch(figure) for figure in figures):
             self.counters.trouble("a report that cannot be read", text[:100])
             return ()
         return [float(figure) for figure in figures]
@@ -311,7 +312,7 @@
 
 def parse_retry_after(text: str) -> int:
     """A Retry-After wait in microseconds, the longest where a head tells several; 0 where none can be read."""
-    told = [MILLISECONDS.fullmatch(part.strip()) for part in text.split(",")]
+    told = [MILLISECONDS_PATTERN.fullmatch(part.strip()) for part in text.split(",")]
     return max((int(each[1]) * 1000 + bool(each[2]) * 1000 for each in told if each), default=0)
 
 
--- a/cedarwick/net/buffer.py
+++ b/cedarwick/net/buffer.py
@@ -2,8 +2,8 @@
 
 import gevent.socket
 
-LEAST = 4096
-KEPT_EMPTY = 1 << 16  # an emptied buffer larger than this shrinks again
+INITIAL_BYTES = 4096  # of an empty buffer
+MAX_EMPTY_BYTES = 1 << 16  # an emptied buffer larger than this shrinks again
 
 
 class Buffer:
@@ -12,7 +12,7 @@
     __slots__ = ("data", "start", "end")
 
     def __init__(self) -> None:
-        self.data = bytearray(LEAST)
+        self.data = bytearray(INITIAL_BYTES)
         self.start = 0
         self.end = 0
 
@@ -44,8 +44,8 @@
         self.start += size
         if self.start == self.end:
             self.start = self.end = 0
-            if len(self.data) > KEPT_EMPTY:
-                self.data = bytearray(LEAST)
+            if len(self.data) > MAX_EMPTY_BYTES:
+                self.data = bytearray(INITIAL_BYTES)
 
     def take(self, size: int) -> bytes:
         taken = self.peek(0, size)
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -21,24 +21,24 @@
 from cedarwick.store.records import StoredMessage
 
 # An error or a close is owed within three seconds of connecting; one with nothing open may go after two.
-SILENT = 2.2  # seconds in which the first request must begin; later ones may take QUIET
-QUIET = 4.0
-STALLED = 2.0  # seconds in which the rest of a begun request, or room for an answer, must come
-SLOW = 0.3  # seconds without a byte of a begun request, after which it may have to make way
-LINGER = 1.0  # seconds in which a client that was let go may close by itself
-CROSSED = 0.3  # seconds in which one whose request crossed that reads the end, before the close is a reset
-TOLD = 0.05  # seconds after which it makes way, where descriptors are short
-WASTED = 1 << 18  # bytes that are read after a refusal, so that the client can read its error
-UNUSABLE = 8  # so many requests in a row that cannot be used end the connection
-DOUBTED = 3  # so many count of those that may be right, as where the list is old: they are answered within their time
-PAUSE = 0.02  # seconds after the first of them, doubling up to LONGEST_PAUSE
-LONGEST_PAUSE = 0.5
-MOST_BUFFERED = 1 << 23  # bytes in the buffers of all clients together; what needs more is turned away
-SMALL = 1 << 13  # a buffer up to this size needs no look at the others
-LOOK = 0.01  # seconds between two looks at the requests that are not answered at the end
-GIVES_UP = 450_000  # after a request that nobody can answer its client has gone, or is let go
-LEFT_FREE = 8  # this part of the descriptors is left to links where clients hold more than half
-BACKLOG = 1024
+FIRST_REQUEST_TIMEOUT_S = 2.2  # until the first byte of the first request
+NEXT_REQUEST_TIMEOUT_S = 4.0  # until the first byte of a later one
+PARTIAL_REQUEST_TIMEOUT_S = 2.0  # for the rest of a begun request, or until there is room for an answer
+SLOW_REQUEST_S = 0.3  # without a byte of a begun request, after which its connection may have to make way
+CLOSE_TIMEOUT_S = 1.0  # in which a client that was let go may close by itself
+CROSSED_REQUEST_TIMEOUT_S = 0.3  # in which one whose request crossed the end reads it, before a reset
+CLOSE_GRACE_S = 0.05  # after which one that was let go makes way, where descriptors are short
+MAX_DISCARDED_BYTES = 1 << 18  # read after a refusal, so that the client can read its error
+MAX_UNUSABLE_REQUESTS = 8  # in a row: so many end the connection
+MAX_DOUBTFUL_REQUESTS = 3  # that count as unusable, of those that may be right, as where the list is old
+FIRST_PAUSE_S = 0.02  # after the first unusable request, doubling up to LONGEST_PAUSE_S
+LONGEST_PAUSE_S = 0.5
+MAX_BUFFERED_BYTES = 1 << 23  # in the buffers of all clients together; what needs more is turned away
+SMALL_BUFFER_BYTES = 1 << 13  # a buffer up to this size needs no look at the others
+POLL_INTERVAL_S = 0.01  # between two looks at requests that are not answered at the end
+CLIENT_ANSWER_TIMEOUT_US = 450_000  # after a request that nobody can answer its client has gone, or is let go
+CONNECTION_POOL_DIVISOR = 8  # one in so many descriptors stays free for receivers, where clients hold over half
+BACKLOG = 1024  # connections that wait to be accepted
 
 BUSY, PONG, LOADING = b"-BUSY\r\n", b"+PONG\r\n", b"-LOADING not ready yet\r\n"
 PAUSED = b"-LOADING paused by the operators\r\n"
@@ -96,7 +96,7 @@
 
     def patience(self) -> float:
         """For how many seconds nothing need come."""
-        return SILENT if not self.served else QUIET
+        return FIRST_REQUEST_TIMEOUT_S if not self.served else NEXT_REQUEST_TIMEOUT_S
 
 
 class ClientListener:
@@ -183,7 +183,7 @@
         self.listener.close()
         with gevent.Timeout(seconds, False):
             while self.clients:
-                gevent.sleep(LOOK)
+                gevent.sleep(POLL_INTERVAL_S)
                 self._let_go_idle()
         self._let_go_idle(fresh=True)
         for client in self.clients:
@@ -235,11 +235,11 @@
     def _make_room(self) -> None:
         """Beyond half of the descriptors clients take only what is free; then who has nothing open goes."""
         limit = self.descriptors.limit
-        if len(self.clients) * 2 < limit or self.descriptors.used < limit - limit // LEFT_FREE:
+        if len(self.clients) * 2 < limit or self.descriptors.used < limit - limit // CONNECTION_POOL_DIVISOR:
             return
         # Danger: one that was cut counts until its greenlet has run; cutting on would reach the newest.
         if not any(client.cut for client in self.clients):
-            slow, told = (self.clock.now() - round(each * 1_000_000) for each in (SLOW, TOLD))
+            slow, told = (self.clock.now() - round(each * 1_000_000) for each in (SLOW_REQUEST_S, CLOSE_GRACE_S))
             idle = [
                 client
                 for client in self.clients
@@ -251,7 +251,7 @@
             ]
             # Danger: a first request may be on its way on a new connection, and fails with it; who has been
             # answered asks again elsewhere. Only what has been silent for long is of less use than that.
-            late = self.clock.now() - round(SILENT * 900_000)
+            late = self.clock.now() - round(FIRST_REQUEST_TIMEOUT_S * 900_000)
             # Those that were let go come first: nobody is served on them any more.
             idle.sort(
                 key=lambda client: (
@@ -275,7 +275,7 @@
         client.waiting, client.let_go, client.idle_since = False, True, self.clock.now()
         with contextlib.suppress(OSError):
             client.sock.shutdown(gevent.socket.SHUT_WR)
-        gevent.spawn_later(LINGER, self._cut, client)
+        gevent.spawn_later(CLOSE_TIMEOUT_S, self._cut, client)
 
     def _cut(self, client: ClientConnection) -> None:
         """The client goes at once: it was let go and does not close, or its descriptor is wanted."""
@@ -298,17 +298,17 @@
                 if reply.startswith(BUSY[:5]) and len(parts) == 5:
                     self._dropped(parts[3])
                 last = (self.closing or self.paused) and not len(client.buffer) and self._silent(client)
-                client.sock.settimeout(STALLED)
+                client.sock.settimeout(PARTIAL_REQUEST_TIMEOUT_S)
                 client.sock.sendall(reply)
                 client.answering = False
                 if last:
                     break
-                if client.unusable >= UNUSABLE:
+                if client.unusable >= MAX_UNUSABLE_REQUESTS:
                     raise MalformedRequestError("too many requests that cannot be used")
                 if client.unusable:
                     # Danger: who sends the same again as soon as it is turned away would fill the core.
                     client.waiting, client.idle_since = not len(client.buffer), self.clock.now()
-                    gevent.sleep(min(LONGEST_PAUSE, PAUSE * (1 << client.unusable - 1)))
+                    gevent.sleep(min(LONGEST_PAUSE_S, FIRST_PAUSE_S * (1 << client.unusable - 1)))
                 elif len(client.buffer):
                     gevent.sleep(0)  # hundreds of commands at once must not hold up all others
             self._see_off(client)
@@ -333,8 +333,8 @@
             left = client.patience()
             if begun:
                 client.begun_at = client.begun_at or client.idle_since
-                left = STALLED - (client.idle_since - client.begun_at) / 1_000_000
-                if len(client.buffer.data) > SMALL and MOST_BUFFERED < sum(
+                left = PARTIAL_REQUEST_TIMEOUT_S - (client.idle_since - client.begun_at) / 1_000_000
+                if len(client.buffer.data) > SMALL_BUFFER_BYTES and MAX_BUFFERED_BYTES < sum(
                     len(other.buffer.data) for other in self.clients
                 ):
                     raise ConnectionShedError(f"a request of more than {len(client.buffer)} bytes")
@@ -360,9 +360,9 @@
 
     def _outlast(self, client: ClientConnection) -> None:
         """Returns once the client has given up its request, or should have."""
-        until = self.clock.now() + GIVES_UP
+        until = self.clock.now() + CLIENT_ANSWER_TIMEOUT_US
         while self.clock.now() < until and peek_byte(client.sock) != b"":
-            gevent.sleep(LOOK)
+            gevent.sleep(POLL_INTERVAL_S)
 
     def _see_off(self, client: ClientConnection) -> None:
         """The client is told the end, where it was not, and may close first; what it still sends stays unread."""
@@ -371,16 +371,16 @@
         if not client.let_go:
             self._let_go(client)
         with contextlib.suppress(OSError):
-            client.sock.settimeout(LINGER)
+            client.sock.settimeout(CLOSE_TIMEOUT_S)
             if client.sock.recv(1, gevent.socket.MSG_PEEK):
-                client.leave.wait(CROSSED)
+                client.leave.wait(CROSSED_REQUEST_TIMEOUT_S)
 
     def _refuse(self, client: ClientConnection, reply: bytes) -> None:
         """Answer, then read on to the end for a moment: unread input would turn the close into a reset."""
         client.waiting, client.begun_at = False, 0
         client.buffer.skip(len(client.buffer))
         try:
-            with gevent.Timeout(LINGER, False):
+            with gevent.Timeout(CLOSE_TIMEOUT_S, False):
                 client.sock.sendall(reply)
                 client.sock.shutdown(gevent.socket.SHUT_WR)
                 self._read_out(client)
@@ -390,7 +390,7 @@
     def _read_out(self, client: ClientConnection) -> None:
         """Danger: 60 MB at full speed would take the core from everyone; then a reset is good enough."""
         wasted = 0
-        while wasted < WASTED and (got := client.sock.recv_into(self.waste)):
+        while wasted < MAX_DISCARDED_BYTES and (got := client.sock.recv_into(self.waste)):
             wasted += got
 
     def _dropped(self, pairs: bytes) -> None:
@@ -420,13 +420,14 @@
         self.counters.add("handed in again" if again else "handed in")
         if self.closing and not self.still_taking or not self.ready():
             self.counters.add("turned away at a start or an end")
-            client.unusable += not self.closing and client.unusable < DOUBTED
+            client.unusable += not self.closing and client.unusable < MAX_DOUBTFUL_REQUESTS
             return BUSY
         answered, wait_ms, withdraw = self.hand_in(stored)
         if answered in (AdmissionResult.KEPT, AdmissionResult.BUSY):
             client.served, client.unusable = True, 0
         elif (
-            answered in (AdmissionResult.UNKNOWN_PRIORITY_CLASS, AdmissionResult.REPEATED) or client.unusable < DOUBTED
+            answered in (AdmissionResult.UNKNOWN_PRIORITY_CLASS, AdmissionResult.REPEATED)
+            or client.unusable < MAX_DOUBTFUL_REQUESTS
         ):
             client.unusable += 1
         if withdraw is not None and peek_byte(client.sock) == b"":
--- a/cedarwick/net/connections.py
+++ b/cedarwick/net/connections.py
@@ -12,10 +12,10 @@
 from cedarwick.net.counters import Counters
 from cedarwick.net.sockets import is_closed, open_connection
 
-KEPT_BACK = 64  # descriptors for the interpreter, the loop, the folder and the platform
-SWEEP = 0.25  # seconds between two looks at the idle links
-FREE_WITHIN = 400_000  # an attempt waits so long for a descriptor; for longer, its receiver would seem to be silent
-FREE_LOOK = 0.02  # seconds between two looks
+RESERVED_DESCRIPTORS = 64  # for the interpreter, the loop, the store and the platform
+IDLE_SWEEP_INTERVAL_S = 0.25  # between two looks at the idle connections
+DESCRIPTOR_TIMEOUT_US = 400_000  # for an attempt; with a longer one its receiver would seem to be silent
+DESCRIPTOR_POLL_INTERVAL_S = 0.02  # between two looks for a free one
 
 
 class NoDescriptorError(CedarwickError):
@@ -34,7 +34,7 @@
         self.make_way: Callable[[], bool] = lambda: False
 
     def set_limit(self, limit: int) -> None:
-        self.limit = max(8, limit - KEPT_BACK)
+        self.limit = max(8, limit - RESERVED_DESCRIPTORS)
 
     def claim(self) -> None:
         if self.used >= self.limit and not self.make_way():
@@ -84,7 +84,7 @@
     def obtain(self, receiver: int, until: int, new: bool = False) -> Connection:
         """An idle link or a new one; OSError where none comes up in time, NoDescriptorError where none may."""
         address = self.address_of(receiver)
-        free_by = min(until, self.clock.now() + FREE_WITHIN)
+        free_by = min(until, self.clock.now() + DESCRIPTOR_TIMEOUT_US)
         while (link := None if new else self._kept(receiver, address)) is None:
             try:
                 self.descriptors.claim()
@@ -93,7 +93,7 @@
                 # Danger: while idle clients hold them all, a message would be through its tries at once.
                 if self.clock.now() >= free_by:
                     raise
-                gevent.sleep(FREE_LOOK)
+                gevent.sleep(DESCRIPTOR_POLL_INTERVAL_S)
         if link is not None:
             return link
         try:
@@ -141,7 +141,7 @@
     def sweep(self) -> None:
         """Never returns: closes idle links ahead of the time at which their receiver would."""
         while True:
-            gevent.sleep(SWEEP)
+            gevent.sleep(IDLE_SWEEP_INTERVAL_S)
             now = self.clock.now()
             for receiver, waiting in list(self.idle.items()):
                 for link in list(waiting):
--- a/cedarwick/net/counters.py
+++ b/cedarwick/net/counters.py
@@ -11,8 +11,8 @@
 from cedarwick.errors import describe
 from cedarwick.net.metrics import Metrics
 
-QUIET = 10.0  # seconds between two log lines on the same kind of trouble, where the operator names no other
-LOOK = 0.1  # seconds between two looks at the lag of the loop
+LOG_INTERVAL_S = 10.0  # between two log lines of one kind of warning, where the operator names no other
+LAG_INTERVAL_S = 0.1  # between two looks at the lag of the loop
 
 
 class Counters:
@@ -22,7 +22,7 @@
         self.counts: Counter[str] = Counter()
         self.lag_ms = 0.0
         self.logged: dict[str, float] = {}
-        self.quiet = QUIET
+        self.quiet = LOG_INTERVAL_S
         self.every = 0.0  # seconds between two reports of all counters; 0: only when asked
         self.figures = Metrics()  # the operators' figures, by priority class
 
@@ -45,8 +45,8 @@
         """Never returns: measures how late the loop is."""
         while True:
             before = time.monotonic()
-            gevent.sleep(LOOK)
-            self.lag_ms = max(self.lag_ms, (time.monotonic() - before - LOOK) * 1000)
+            gevent.sleep(LAG_INTERVAL_S)
+            self.lag_ms = max(self.lag_ms, (time.monotonic() - before - LAG_INTERVAL_S) * 1000)
 
     def report(self) -> None:
         """Never returns: prints the counters as often as the operator wants them."""
--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -5,7 +5,7 @@
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
-RECENT_ID_LIFETIME = 15_000_000  # for so long after it was handed in, an id is not taken once more
+RECENT_ID_LIFETIME_US = 15_000_000  # for so long after it was handed in, an id is not taken once more
 
 
 class Admission(Sessions):
@@ -33,7 +33,7 @@
             same = same and self.numbers[stored.id] not in self.fresh
             submission.answered(AdmissionResult.KEPT if same else AdmissionResult.REPEATED)
             return
-        while self.recent and next(iter(self.recent.values()))[0] < now - RECENT_ID_LIFETIME:
+        while self.recent and next(iter(self.recent.values()))[0] < now - RECENT_ID_LIFETIME_US:
             del self.recent[next(iter(self.recent))]
         self.recent[stored.id] = now, copied
         if not self.store.has_room(stored):
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -1,12 +1,11 @@
 """Final answers of stored messages: recorded, copied to other senders where there are any, then posted as notices."""
 
 from cedarwick.decisions.state import NEVER
-from cedarwick.net.dispatch_state import LEASE_RECHECK_DELAY, DispatcherState
+from cedarwick.net.dispatch_state import LEASE_RECHECK_DELAY_US, DispatcherState
 from cedarwick.store.records import StoredMessage
 
-DEADLINE_MARGIN = (
-    50_000  # before its deadline a message is written off at the end of a process that others take over from
-)
+# So long before its deadline a message is written off, at the end of a process that others take over from.
+DEADLINE_MARGIN_US = 50_000
 
 
 class FinalAnswers(DispatcherState):
@@ -48,7 +47,7 @@
                     self._final(stored.number, False, 0, alone=True)
                     return
                 self.after_flush.append((post, again))
-                self.wake_at = min(self.wake_at or NEVER, self.clock.now() + LEASE_RECHECK_DELAY)
+                self.wake_at = min(self.wake_at or NEVER, self.clock.now() + LEASE_RECHECK_DELAY_US)
 
         self.after_flush.append((post, again))
 
@@ -72,7 +71,7 @@
         """Danger: a call that hangs holds up the end of the process, and with it the ends of all else that is kept."""
         now = self.clock.now()
         limits = {
-            number: self.store.messages[number].deadline - DEADLINE_MARGIN
+            number: self.store.messages[number].deadline - DEADLINE_MARGIN_US
             for number, handle in self.handles.items()
             if not handle.out and number in self.store.messages
         }
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -11,7 +11,7 @@
 from cedarwick.net.submission import AdmissionResult
 from cedarwick.store.records import NOWHERE
 
-PARTITION_SHIFT = 32  # bits of a number within its partition: below them numbers grow as messages are taken
+PARTITION_SHIFT_BITS = 32  # a message number holds its partition above these bits, and counts up below them
 
 
 class Sessions(DispatcherState):
@@ -91,7 +91,9 @@
         def before(one: Handle, other: Handle) -> bool:
             # Danger: one whose attempt was out when its partition was parked comes back after all others of its key.
             return (
-                other.id in not_sent or other.id > one.id and other.id >> PARTITION_SHIFT == one.id >> PARTITION_SHIFT
+                other.id in not_sent
+                or other.id > one.id
+                and other.id >> PARTITION_SHIFT_BITS == one.id >> PARTITION_SHIFT_BITS
             )
 
         for key, handles in joined.items():
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -24,7 +24,7 @@
 from cedarwick.store.journal import NoSpaceError, Store
 from cedarwick.store.records import StoredMessage, zone_mark
 
-LEASE_RECHECK_DELAY = 20_000  # until the next look whether this sender may decide, or its copies follow
+LEASE_RECHECK_DELAY_US = 20_000  # until the next look whether this sender may decide, or its copies follow
 
 
 @dataclass(slots=True)
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -29,11 +29,11 @@
 from cedarwick.net.dispatch_admission import Admission
 from cedarwick.net.dispatch_attempts import Attempts
 from cedarwick.net.dispatch_final_answers import FinalAnswers
-from cedarwick.net.dispatch_state import LEASE_RECHECK_DELAY, FrozenSession
+from cedarwick.net.dispatch_state import LEASE_RECHECK_DELAY_US, FrozenSession
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.files import DiskError
 
-ERROR_BACKOFF = 100_000  # until the next round: an error that comes again must not fill the core
+ERROR_BACKOFF_US = 100_000  # until the next round: an error that comes again must not fill the core
 
 
 def in_thread(call: Callable[..., None], *told: object) -> None:
@@ -179,7 +179,7 @@
             call(*told)
         except Exception:  # one bad event must not end the process: all else is still owed
             self.counters.failed(f"the dispatcher failed in {call.__name__}")
-            self.wake_at = self.clock.now() + ERROR_BACKOFF
+            self.wake_at = self.clock.now() + ERROR_BACKOFF_US
             for thing in told:
                 if isinstance(thing, gevent.event.AsyncResult) and not thing.ready():
                     thing.set(False)
@@ -212,7 +212,7 @@
         now = self.clock.now()
         if not self.store.deciding():
             # Danger: after a stop of this process another sender may answer for what is held; ours would be a second.
-            self.wake_at = now + LEASE_RECHECK_DELAY
+            self.wake_at = now + LEASE_RECHECK_DELAY_US
             self._take_none(now)
             return
         # Danger: what has been given up takes its room until its 204; each round would give up more for it.
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -17,15 +17,15 @@
 from cedarwick.net.sockets import open_connection
 
 PHASES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
-CONNECT = 1.0  # seconds in which a connection to the platform must come up
-FIRST = 1.0  # seconds in which a call for the list must begin to be answered: the agent answers at once
-SILENT = 4.2  # seconds in which a line must end: an empty one comes every two, so two of them are missing
-AT_ONCE = 0.01  # seconds to read what lies there already, as after a stop of the process
-STOOD = 1.0  # seconds: a watch that held so long after its answer was no failed call, however it ends
-MOVED = 4.0  # seconds after a move at which the new agent's news counts as told, whether or not it is up by then
-LONGEST_LINE = 1 << 22  # bytes of an object
-LARGEST_RATE = 1_000_000  # calls a second; what is listed above that is no rate
-FORGET = 60.0  # seconds after a receiver has gone: longer than any attempt to it, and than the decisions know it
+CONNECT_TIMEOUT_S = 1.0  # for a connection to the platform to come up
+ANSWER_TIMEOUT_S = 1.0  # for the first byte of the answer to a call for the list: the agent answers at once
+LINE_TIMEOUT_S = 4.2  # until a line ends: an empty one comes every two seconds, so two of them are missing
+UNREAD_BYTES_TIMEOUT_S = 0.01  # for bytes that came before the time-out, as after a stop of the process
+STABLE_WATCH_S = 1.0  # a watch that held so long after its answer was no failed call, however it ends
+MOVE_GRACE_S = 4.0  # after a move; then the new agent's list counts as heard, whether or not it is up
+MAX_OBJECT_BYTES = 1 << 22  # one JSON object of the list
+MAX_CALLS_PER_SECOND = 1_000_000  # a listed rate above this is no rate
+FORGET_GONE_AFTER_S = 60.0  # longer than any attempt to a receiver, and than the decisions know it
 
 
 class InvalidUpdateError(CedarwickError, ValueError):
@@ -59,7 +59,7 @@
         self.gone_since: dict[str, float] = {}  # by uid
         self.asked = gevent.event.Event()
         self.moved = False  # the platform has another address since the watch was opened
-        self.moved_at = -MOVED
+        self.moved_at = -MOVE_GRACE_S
         self.reached = False  # the last call found somebody at the address
         self.stood = False  # the last watch was answered, and held for a while
         self.doubted = False  # the call for the watch has been told as failed; it is still listened to
@@ -125,7 +125,7 @@
             for uid in self.numbers.keys() - named:
                 self.gone_since.setdefault(uid, now)
         for uid, since in list(self.gone_since.items()):
-            if now - since > FORGET:
+            if now - since > FORGET_GONE_AFTER_S:
                 del self.gone_since[uid]
                 self.last.pop(uid, None)
                 self.addresses.pop(self.numbers.pop(uid), None)
@@ -182,8 +182,8 @@
             if self.refused or not self.doubted:
                 self._call_failed()
             # Danger: a new address that is not up yet would be called seconds too late; a call there costs nobody.
-            soon = not self.reached and time.monotonic() - self.moved_at < MOVED
-            self.asked.wait(STOOD if soon else None)
+            soon = not self.reached and time.monotonic() - self.moved_at < MOVE_GRACE_S
+            self.asked.wait(STABLE_WATCH_S if soon else None)
 
     def _call_failed(self) -> None:
         self.asked.clear()  # Danger: what was asked before it failed would open the next one at once
@@ -201,16 +201,16 @@
 
     def _follow(self) -> None:
         text, raw = Buffer(), Buffer()
-        answer, objects = ResponseParser(text.append), JsonObjectReader(LONGEST_LINE)
+        answer, objects = ResponseParser(text.append), JsonObjectReader(MAX_OBJECT_BYTES)
         if self.unsure:
             self.version = 0
-        sock = open_connection(self.platform, CONNECT)
+        sock = open_connection(self.platform, CONNECT_TIMEOUT_S)
         self.reached = True
         alive = time.monotonic()  # the call, then its answer, each object that ends and each empty line
         answered = 0.0
         try:
             host = f"{self.platform[0]}:{self.platform[1]}"
-            sock.settimeout(FIRST)
+            sock.settimeout(ANSWER_TIMEOUT_S)
             sock.sendall(
                 f"GET /catalog/members?follow=1&since={self.version} HTTP/1.1\r\n"
                 f"Host: {host}\r\nAccept: application/json\r\n\r\n".encode()
@@ -238,19 +238,19 @@
                     self.first_news.set()  # an empty line says that there is nothing new
                     alive = time.monotonic()
                 # Danger: what follows an object that was torn would be taken for its inside.
-                if time.monotonic() - alive > SILENT:
+                if time.monotonic() - alive > LINE_TIMEOUT_S:
                     raise InvalidResponseError("no line ended")
             raise InvalidResponseError("the watch ended")
         finally:
             sock.close()
-            self.stood = bool(answered) and time.monotonic() - answered >= STOOD
+            self.stood = bool(answered) and time.monotonic() - answered >= STABLE_WATCH_S
 
     def _more(self, sock: gevent.socket.socket, raw: Buffer, answer: ResponseParser, alive: float) -> int:
         """Read once; 0 at the end, TimeoutError where an answered watch says nothing whole any more."""
         if not self.doubted:
             # Danger: a dead platform says nothing, or a byte now and then, and its list would be believed for ever.
-            left = alive + (SILENT if answer.status else FIRST) - time.monotonic()
-            sock.settimeout(max(AT_ONCE, left))
+            left = alive + (LINE_TIMEOUT_S if answer.status else ANSWER_TIMEOUT_S) - time.monotonic()
+            sock.settimeout(max(UNREAD_BYTES_TIMEOUT_S, left))
         try:
             return raw.fill(sock)
         except TimeoutError:
@@ -258,7 +258,7 @@
                 raise
         # Danger: while discovery is down the agent says nothing, and what it has later counts as told at once.
         # So the call has failed for the decisions, but is listened to until they want the next one.
-        self.counters.trouble("a call for the list without an answer", f"{FIRST} s")
+        self.counters.trouble("a call for the list without an answer", f"{ANSWER_TIMEOUT_S} s")
         self.doubted = True
         self.first_news.set()
         self._call_failed()
@@ -293,7 +293,7 @@
 
     def _rate(self, uid: str, hint: object) -> float:
         """The listed rate; where it is no rate, the one that was listed before, or none."""
-        if isinstance(hint, int | float) and 0 <= hint <= LARGEST_RATE:
+        if isinstance(hint, int | float) and 0 <= hint <= MAX_CALLS_PER_SECOND:
             return float(hint)
         # Danger: one spoilt figure would hide a drain that stands in the same line, or let everything go at once.
         self.counters.trouble("a listed rate that is none", InvalidUpdateError(f"{uid}: {str(hint)[:40]}"))
--- a/cedarwick/net/http.py
+++ b/cedarwick/net/http.py
@@ -7,9 +7,9 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.net.buffer import Buffer
 
-LONGEST_HEAD = 1 << 16
-LONGEST_ANSWER = LONGEST_HEAD + (1 << 17)  # head and body of one that is not passed on as it comes
-INTERIM = (b"HTTP/1.1 1", b"HTTP/1.0 1")  # how answers in front of the real one begin
+MAX_HEAD_BYTES = 1 << 16
+MAX_ANSWER_BYTES = MAX_HEAD_BYTES + (1 << 17)  # head and body, where the body is not passed on as it comes
+INTERIM_PREFIXES = (b"HTTP/1.1 1", b"HTTP/1.0 1")  # how answers in front of the real one begin
 
 
 class InvalidResponseError(CedarwickError):
@@ -64,13 +64,13 @@
     def feed(self, buffer: Buffer) -> None:
         """Use up what the buffer holds."""
         self.begun = self.begun or self._nothing_in_front(buffer)
-        if not self.headed and self.fed + len(buffer) > LONGEST_HEAD:
+        if not self.headed and self.fed + len(buffer) > MAX_HEAD_BYTES:
             raise InvalidResponseError("a head without an end")
         if not self.begun:
             return
         part = buffer.take(len(buffer))
         self.fed += len(part)
-        if self.pass_on is None and self.fed > LONGEST_ANSWER and not self.complete:
+        if self.pass_on is None and self.fed > MAX_ANSWER_BYTES and not self.complete:
             raise InvalidResponseError("an answer without an end")
         try:
             self.parser.feed_data(part)
@@ -84,7 +84,7 @@
 
         Danger: the parser takes a 101 for the end of HTTP.
         """
-        while any(begin.startswith(buffer.peek(0, len(begin))) for begin in INTERIM):
+        while any(begin.startswith(buffer.peek(0, len(begin))) for begin in INTERIM_PREFIXES):
             end = buffer.find(b"\r\n\r\n")
             if end < 0:
                 return False
--- a/cedarwick/net/notifications.py
+++ b/cedarwick/net/notifications.py
@@ -12,9 +12,9 @@
 from cedarwick.net.http import InvalidResponseError, ResponseParser
 from cedarwick.net.sockets import is_closed, open_connection
 
-LIMIT = 2.0  # seconds for a post and its answer
-AGAIN = 0.25  # seconds before a failed post is tried again
-MOST = 100  # lines in one post
+POST_TIMEOUT_S = 2.0  # for a post and its answer
+RETRY_DELAY_S = 0.25  # before a failed post is sent again
+MAX_LINES_PER_POST = 100
 
 
 class Notifier:
@@ -27,7 +27,7 @@
         self.counters = counters
         self.acknowledged = acknowledged
         self.owed: dict[int, bytes] = {}  # by the message's number; bounded by what the store keeps
-        self.news = gevent.event.Event()
+        self.unposted = gevent.event.Event()
         self.sock: gevent.socket.socket | None = None
         self.sock_leads_to = platform
         self.posting: gevent.Greenlet | None = None
@@ -43,14 +43,14 @@
         if nacked and wait_ms > 0:
             told["after_ms"] = wait_ms
         self.owed[number] = json.dumps(told).encode() + b"\n"
-        self.news.set()
+        self.unposted.set()
 
     def run(self) -> None:
         """Never returns: posts what is owed."""
-        most = MOST
+        most = MAX_LINES_PER_POST
         while True:
-            self.news.wait()
-            self.news.clear()
+            self.unposted.wait()
+            self.unposted.clear()
             while self.owed:
                 batch = list(self.owed)[:most]
                 self.posting = gevent.spawn(self._post, b"".join(self.owed[number] for number in batch))
@@ -58,16 +58,16 @@
                 if isinstance(status, gevent.GreenletExit):  # the platform has moved meanwhile
                     continue
                 if not status:
-                    gevent.sleep(AGAIN)
+                    gevent.sleep(RETRY_DELAY_S)
                     continue
                 if status != 204:
                     self.counters.trouble("a notice was not accepted", status)
                     most = 1  # a line that cannot be read must not hold up the others
                     if (first := self.owed.pop(batch[0], None)) is not None:
                         self.owed[batch[0]] = first
-                    gevent.sleep(AGAIN)
+                    gevent.sleep(RETRY_DELAY_S)
                     continue
-                most = MOST
+                most = MAX_LINES_PER_POST
                 for number in batch:
                     self.owed.pop(number, None)  # it may have been given up meanwhile
                 self.counters.add("posts of notices acknowledged")
@@ -76,7 +76,7 @@
     def _post(self, body: bytes) -> int:
         """The status of the answer; 0 where none came."""
         try:
-            with gevent.Timeout(LIMIT, TimeoutError("no answer in time")):
+            with gevent.Timeout(POST_TIMEOUT_S, TimeoutError("no answer in time")):
                 return self._send(body)
         except (OSError, InvalidResponseError) as error:
             self._close()
@@ -90,7 +90,7 @@
         if self.sock is not None and (self.sock_leads_to != self.platform or is_closed(self.sock)):
             self._close()
         if self.sock is None:
-            self.sock, self.sock_leads_to = open_connection(self.platform, LIMIT), self.platform
+            self.sock, self.sock_leads_to = open_connection(self.platform, POST_TIMEOUT_S), self.platform
         self.sock.settimeout(None)
         head = (
             f"POST /status HTTP/1.1\r\nHost: {self.platform[0]}:{self.platform[1]}\r\n"
--- a/cedarwick/net/resp.py
+++ b/cedarwick/net/resp.py
@@ -7,17 +7,17 @@
 from cedarwick.net.buffer import Buffer
 from cedarwick.store.records import StoredMessage
 
-MOST_PARTS = 16
-LONGEST_BODY = 1 << 16
-LONGEST_COMMAND = LONGEST_BODY + 4096
-LONGEST_HEAD = 32  # of a line that tells a count or a length
+MAX_PARTS = 16  # of one command
+MAX_BODY_BYTES = 1 << 16
+MAX_COMMAND_BYTES = MAX_BODY_BYTES + 4096
+MAX_COUNT_LINE_BYTES = 32  # a line with a count or a length
 # A client waits 400 ms for its answer, and an end counts as in time for 300 ms: what was read late, after a
 # pause of the process, must not be taken to have so much longer.
-READ_LATE = 100_000
-WORD = re.compile(rb"[!-~]{1,200}")
-NAME = re.compile(r"[^\x00-\x1f\x7f]{1,200}")  # of a class or tenant, as its operator writes it
-NUMBER = re.compile(rb"[0-9]{1,9}")
-TURN = re.compile(rb"[0-9a-fA-F]{1,16}")
+READ_DELAY_ALLOWANCE_US = 100_000
+WORD_PATTERN = re.compile(rb"[!-~]{1,200}")
+NAME_PATTERN = re.compile(r"[^\x00-\x1f\x7f]{1,200}")  # of a class or tenant, as its operator writes it
+NUMBER_PATTERN = re.compile(rb"[0-9]{1,9}")
+TURN_PATTERN = re.compile(rb"[0-9a-fA-F]{1,16}")
 
 
 class MalformedRequestError(CedarwickError):
@@ -40,7 +40,7 @@
     if head is None:
         return None
     count, at = head
-    if count > MOST_PARTS:
+    if count > MAX_PARTS:
         raise MalformedRequestError("Protocol error: too many parts")
     spans = []
     for _ in range(count):
@@ -48,7 +48,7 @@
         if head is None:
             return None
         size, at = head
-        if size > LONGEST_BODY or at + size > LONGEST_COMMAND:
+        if size > MAX_BODY_BYTES or at + size > MAX_COMMAND_BYTES:
             raise MalformedRequestError("Protocol error: a part is too long")
         if len(buffer) < at + size + 2:
             return None
@@ -67,12 +67,12 @@
     if first and first != mark:
         raise MalformedRequestError(f"Protocol error: expected '{mark.decode()}'")
     end = buffer.find(b"\r\n", at)
-    if end < 0 or end - at > LONGEST_HEAD:
-        if len(buffer) - at > LONGEST_HEAD:
+    if end < 0 or end - at > MAX_COUNT_LINE_BYTES:
+        if len(buffer) - at > MAX_COUNT_LINE_BYTES:
             raise MalformedRequestError("Protocol error: a number is too long")
         return None
     digits = buffer.peek(at + 1, end - at - 1)
-    if not NUMBER.fullmatch(digits):
+    if not NUMBER_PATTERN.fullmatch(digits):
         raise MalformedRequestError("Protocol error: invalid number")
     return int(digits), end + 2
 
@@ -83,7 +83,7 @@
         name = told.get(which, b"").decode("utf-8")
     except UnicodeDecodeError:
         name = "\0"
-    if name and not NAME.fullmatch(name):
+    if name and not NAME_PATTERN.fullmatch(name):
         raise InvalidSubmitError(f"{which.decode()} cannot be read")
     return word(name)
 
@@ -94,19 +94,19 @@
         raise InvalidSubmitError("wrong number of arguments for SUBMIT")
     _, turn, message, pairs, body = parts
     told = dict(pair.partition(b"=")[::2] for pair in pairs.split(b","))
-    if not WORD.fullmatch(message):
+    if not WORD_PATTERN.fullmatch(message):
         raise InvalidSubmitError("the id cannot be read")
-    if not TURN.fullmatch(turn):
+    if not TURN_PATTERN.fullmatch(turn):
         raise InvalidSubmitError("the key of the order cannot be read")
     key = told.get(b"k", b"")
-    if key and not WORD.fullmatch(key):
+    if key and not WORD_PATTERN.fullmatch(key):
         raise InvalidSubmitError("the key cannot be read")
-    if not NUMBER.fullmatch(told.get(b"d", b"")) or not NUMBER.fullmatch(told.get(b"dest", b"")):
+    if not NUMBER_PATTERN.fullmatch(told.get(b"d", b"")) or not NUMBER_PATTERN.fullmatch(told.get(b"dest", b"")):
         raise InvalidSubmitError("d and dest must be whole numbers")
     priority_class, tenant = name_in(told, b"c"), name_in(told, b"t")
     if not priority_class:
         raise InvalidSubmitError("c is missing")
-    limit = now + int(told[b"d"]) * 1000 - READ_LATE
+    limit = now + int(told[b"d"]) * 1000 - READ_DELAY_ALLOWANCE_US
     stored = StoredMessage(
         0, message.decode(), key.decode(), int(turn, 16), priority_class, tenant, int(told[b"dest"]), limit, body
     )
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -144,7 +144,10 @@
         self.assertEqual((self.taken, self.heard(sock)), (["a"], (OK + BUSY, "end")))
 
     def test_who_crosses_the_end_late_reads_it_before_the_reset_all_the_same(self) -> None:
-        with mock.patch.object(module, "LINGER", 0.05), mock.patch.object(module, "CROSSED", 5.0):
+        with (
+            mock.patch.object(module, "CLOSE_TIMEOUT_S", 0.05),
+            mock.patch.object(module, "CROSSED_REQUEST_TIMEOUT_S", 5.0),
+        ):
             sock = self.connect(submit("a"))
             (client,) = self.door.clients
             self.door.stop()
@@ -181,7 +184,7 @@
 
 class InService(Door):
     def test_a_cut_for_want_of_descriptors_leaves_no_request_that_was_read_without_an_answer(self) -> None:
-        late = round(module.SLOW * 1_000_000) + 1
+        late = round(module.SLOW_REQUEST_S * 1_000_000) + 1
         for name, read, crossing, expected in (
             ("silent", (), b"", (b"", "end")),
             ("one that waits to be read", (), submit("a"), (OK, "TimeoutError")),
@@ -203,7 +206,7 @@
                 if crossing:
                     sock.sendall(crossing)
                 with (
-                    mock.patch.object(module, "LEFT_FREE", 8),
+                    mock.patch.object(module, "CONNECTION_POOL_DIVISOR", 8),
                     mock.patch.object(self.door, "clients", Crowd(self.door.clients)),
                 ):
                     self.assertRaises(NoDescriptorError, self.door._make_room)
@@ -233,7 +236,10 @@
                 sock.sendall(submit("a"))
                 raise
 
-        with mock.patch.object(module, "SILENT", 0.1), mock.patch.object(gevent.socket.socket, "_wait", cross):
+        with (
+            mock.patch.object(module, "FIRST_REQUEST_TIMEOUT_S", 0.1),
+            mock.patch.object(gevent.socket.socket, "_wait", cross),
+        ):
             sock = self.connect()
             gevent.sleep(0.15)
         self.assertEqual(self.heard(sock, 0.2), (OK, "TimeoutError"))
--- a/tests/test_crossings_restarts.py
+++ b/tests/test_crossings_restarts.py
@@ -395,7 +395,8 @@
         sock.close()
 
 
-@mock.patch("cedarwick.net.attempts.FRESH", 60_000_000)  # no clearance grows old, however busy the machine is
+# No clearance grows old, however busy the machine is.
+@mock.patch("cedarwick.net.attempts.CLEARANCE_LIFETIME_US", 60_000_000)
 class OnTheWay(unittest.TestCase):
     """What happens between the decision for an attempt and its last byte."""
 
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -58,11 +58,11 @@
             return lambda each, at: then(each, at) if len(self.calls[each]) == mine else None
 
         if now < self.down:
-            self.at(now + module.FIRST, sender, unless_closed(self.failed))
+            self.at(now + module.ANSWER_TIMEOUT_S, sender, unless_closed(self.failed))
             return
         self.busy = max(self.busy, now) + 1 / self.rate
-        if self.busy - now > module.FIRST:
-            self.at(now + module.FIRST, sender, unless_closed(self.failed))
+        if self.busy - now > module.ANSWER_TIMEOUT_S:
+            self.at(now + module.ANSWER_TIMEOUT_S, sender, unless_closed(self.failed))
         late = self.busy - now > 2.0
         self.at(now + 2.0 if late else self.busy, sender, unless_closed(self.failed if late else self.answered))
 
@@ -130,17 +130,17 @@
                 def go_on(sock: Any = sock, more: bytes = more, step: int = step) -> None:
                     with contextlib.suppress(OSError):
                         for at in range(0, len(more), step):
-                            gevent.sleep(module.SILENT - 0.01)  # each within the limit since the one before
+                            gevent.sleep(module.LINE_TIMEOUT_S - 0.01)  # each within the limit since the one before
                             sock.sendall(more[at : at + step])
 
                 going = gevent.spawn(go_on)
                 self.addCleanup(going.kill)
-                again, _ = self.opened(within=module.SILENT + 0.8)
-                self.assertLess(time.monotonic() - said, module.SILENT + self.LATE)
+                again, _ = self.opened(within=module.LINE_TIMEOUT_S + 0.8)
+                self.assertLess(time.monotonic() - said, module.LINE_TIMEOUT_S + self.LATE)
                 going.kill()
                 again.sendall(HEAD + chunk(b"\n"))
                 self.happens(lambda: not self.made.doubted)
-                gevent.sleep(module.STOOD + 0.15)
+                gevent.sleep(module.STABLE_WATCH_S + 0.15)
                 again.close()
         self.assertEqual(self.failed, [])
 
@@ -151,8 +151,8 @@
             if self.failed:
                 break
             sock.sendall(bytes([byte]))
-            gevent.sleep(module.FIRST / 5)
-        self.assertLess(self.failed[0] - begun, module.FIRST + self.LATE)
+            gevent.sleep(module.ANSWER_TIMEOUT_S / 5)
+        self.assertLess(self.failed[0] - begun, module.ANSWER_TIMEOUT_S + self.LATE)
 
     def test_a_watch_that_was_answered_late_and_ended_at_once_was_no_watch(self) -> None:
         sock, _ = self.opened()
@@ -168,7 +168,7 @@
         sock.sendall(HEAD + chunk(b"\n"))
         self.happens(self.made.first_news.is_set)
         sock.sendall(chunk(self.news(4)))
-        time.sleep(module.SILENT + 0.1)  # all stands still
+        time.sleep(module.LINE_TIMEOUT_S + 0.1)  # all stands still
         self.happens(lambda: self.made.version == 4)
 
 
@@ -236,7 +236,7 @@
                 self.assertFalse(self.made.unsure)
                 self.made.version = 0
                 self.assertEqual(self.failed, [])
-                gevent.sleep(module.STOOD + 0.15)
+                gevent.sleep(module.STABLE_WATCH_S + 0.15)
                 sock.close()
 
     def test_an_agent_that_tells_spoilt_or_old_lists_again_and_again_is_not_asked_all_the_time(self) -> None:
@@ -251,7 +251,7 @@
         self.happens(lambda: self.phases() == "a-")
         with self.assertRaises(gevent.Timeout):
             self.opened(within=0.2)
-        gevent.sleep(module.STOOD)
+        gevent.sleep(module.STABLE_WATCH_S)
         sock.close()
         for nth in range(2):  # the second was asked for the whole list as well: the decisions say when
             sock, line = self.opened()
@@ -325,20 +325,24 @@
 
     def test_a_new_address_that_is_not_up_yet_is_called_each_second_at_first_then_as_the_decisions_say(self) -> None:
         for window in (9.0, 0.0):
-            with self.subTest(window=window), mock.patch.object(module, "MOVED", window), gevent.socket.socket() as new:
+            with (
+                self.subTest(window=window),
+                mock.patch.object(module, "MOVE_GRACE_S", window),
+                gevent.socket.socket() as new,
+            ):
                 new.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_REUSEADDR, 1)
                 new.bind(("127.0.0.1", 0))
                 failed, begun = len(self.failed), time.monotonic()
                 self.made.move(new.getsockname())
                 self.happens(lambda: len(self.failed) >= failed + (3 if window else 1))  # noqa: B023
                 calls = len(self.failed) - failed
-                self.assertLessEqual(calls, 1 + (time.monotonic() - begun) / module.STOOD)
+                self.assertLessEqual(calls, 1 + (time.monotonic() - begun) / module.STABLE_WATCH_S)
                 new.listen()
                 if not window:
                     with self.assertRaises(gevent.Timeout):
-                        self.opened(new, within=module.STOOD + 0.2)
+                        self.opened(new, within=module.STABLE_WATCH_S + 0.2)
                     self.made.ask()
-                _, line = self.opened(new, within=module.STOOD + 0.4)
+                _, line = self.opened(new, within=module.STABLE_WATCH_S + 0.4)
                 self.assertIn(b"since=0 ", line)
 
 
@@ -388,7 +392,7 @@
             gone.settimeout(8)
             first, _ = gone.accept()
             self.addCleanup(first.close)
-            time.sleep(module.FIRST + 0.5)
+            time.sleep(module.ANSWER_TIMEOUT_S + 0.5)
             program.signal(signal.SIGTERM)
             assert program.process is not None
             program.process.wait(8)
@@ -398,8 +402,8 @@
             self.assertLess(time.monotonic() - held, 1.0)
 
     def test_the_longest_wait_and_the_net_limits_stay_under_the_clock(self) -> None:
-        self.assertLess(module.CONNECT + LIST_WAIT / SECOND, 5.5)
-        self.assertLess(module.FIRST + LIST_WAIT / SECOND, 5.5)
+        self.assertLess(module.CONNECT_TIMEOUT_S + LIST_WAIT / SECOND, 5.5)
+        self.assertLess(module.ANSWER_TIMEOUT_S + LIST_WAIT / SECOND, 5.5)
 
 
 if __name__ == "__main__":
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -81,7 +81,7 @@
     GOOD = {"uid": "s", "endpoint": "127.0.0.1:9", "az": "a", "model": "k", "pod_group": 4, "state": "up"}
 
     def setUp(self) -> None:
-        for name, seconds in (("FIRST", 0.25), ("SILENT", 0.4), ("STOOD", 0.2)):
+        for name, seconds in (("ANSWER_TIMEOUT_S", 0.25), ("LINE_TIMEOUT_S", 0.4), ("STABLE_WATCH_S", 0.2)):
             patched = mock.patch.object(module, name, seconds)
             patched.start()
             self.addCleanup(patched.stop)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -21,8 +21,8 @@
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatch_final_answers import DEADLINE_MARGIN
-from cedarwick.net.dispatch_sessions import PARTITION_SHIFT
+from cedarwick.net.dispatch_final_answers import DEADLINE_MARGIN_US
+from cedarwick.net.dispatch_sessions import PARTITION_SHIFT_BITS
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.http import InvalidResponseError, ResponseParser
 from cedarwick.net.sockets import is_closed
@@ -108,7 +108,7 @@
         self.dispatcher._decide()
         self.assertEqual([call.message.id for call in self.calls], ["held", "d", "e"])  # d has no second to spare
         self.assertLess(0, self.dispatcher.rest_of(6))
-        other = 9 << PARTITION_SHIFT
+        other = 9 << PARTITION_SHIFT_BITS
         for number in (other + 1, other + 2):  # what a dead sender owed of the key, adopted here
             self.store.keep(
                 StoredMessage(
@@ -231,7 +231,7 @@
             self.dispatcher._hold_fire(ending=ending)
             self.dispatcher._turn_away()
             self.assertEqual(sorted(self.dispatcher.notices.owed), [2] * ending)
-        self.assertEqual(self.dispatcher.wake_at, self.store.messages[3].deadline - DEADLINE_MARGIN)
+        self.assertEqual(self.dispatcher.wake_at, self.store.messages[3].deadline - DEADLINE_MARGIN_US)
 
     def test_no_attempt_begins_when_the_end_is_near(self) -> None:
         self.taken()
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -216,12 +216,12 @@
     def test_a_attempt_whose_clearances_all_grow_old_is_decided_on_anew(self) -> None:
         self.start(lambda partner, sock, number: sock.sendall(reply(200)))
         clear = self.dispatcher.attempts.clear
-        slow = iter([True] * attempts.MOST_ASKED)
+        slow = iter([True] * attempts.MAX_CLEARANCE_REQUESTS)
 
         def stopped(call: AttemptCall) -> bool:
             may = clear(call)
             if next(slow, False):
-                time.sleep(attempts.FRESH * 1.2 / 1e6)
+                time.sleep(attempts.CLEARANCE_LIFETIME_US * 1.2 / 1e6)
             return may
 
         self.dispatcher.attempts.clear = stopped
