--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -42,15 +42,15 @@
     recorded: bool = False  # the folder knows that it goes out
     flushed: bool = False  # and so does the disk, where the folder is durable
     looked_at: int = 0  # the look at the sockets that its clearance rests on
-    heeded: bool = False  # the wait of its refusal has been told, ahead of the ending
-    told: bool = False  # its ending has been told
+    heeded: bool = False  # the wait of its refusal has been passed on, ahead of the result
+    told: bool = False  # its result has been passed on
     new_connection: bool = False  # no kept one is good enough
     reused_connection: bool = False  # it goes over a link that was used before
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How it ended, as the decisions are told."""
+    """How an attempt ended, as the decisions learn it; times are in microseconds."""
 
     outcome: Outcome
     took: int = 0
@@ -88,6 +88,7 @@
         self.out: dict[gevent.Greenlet, AttemptCall] = {}
 
     def start(self, call: AttemptCall) -> None:
+        """Make the attempt in a greenlet of its own."""
         greenlet = gevent.spawn(self._run, call)
         self.out[greenlet] = call
         greenlet.rawlink(lambda finished: self.out.pop(finished, None))
@@ -230,7 +231,7 @@
         self._heed_early(call, answer)
 
     def _read_on(self, link: Connection, answer: ResponseParser, until: int) -> None:
-        """Read the head of an answer that may come up to a time; with 0, all of it that lies there."""
+        """Read the head of an answer that may come up to a time; with 0, all of it that is unread."""
         link.sock.settimeout(0.0)
         try:
             while not (answer.headed if until else answer.complete):
@@ -243,9 +244,9 @@
             pass
 
     def _heed_early(self, call: AttemptCall, answer: ResponseParser) -> None:
-        """A refusal's wait counts from its head on:
+        """Pass on the wait of a refusal as soon as its head is there.
 
-        whether the rest comes only tells whether the attempt may have run.
+        Whether the rest comes only decides whether the attempt may have run.
         """
         if answer.headed and not answer.complete and answer.status == 429 and not call.heeded:
             self._heed(call, answer)
@@ -301,8 +302,8 @@
         """The values that an answer reports, in the order of the settings; nothing if it cannot be read."""
         if not text:
             return ()
-        told = {name.strip(): value for name, _, value in (pair.partition("=") for pair in text.split(","))}
-        figures = [told.get(name, "") for name in self.columns]
+        reported = {name.strip(): value for name, _, value in (pair.partition("=") for pair in text.split(","))}
+        figures = [reported.get(name, "") for name in self.columns]
         # Danger: one "nan" or "1e300" would stay in the pace of a destination for ever.
         if not all(FIGURE_PATTERN.fullmatch(figure) for figure in figures):
             self.counters.trouble("a report that cannot be read", text[:100])
@@ -312,11 +313,12 @@
 
 def parse_retry_after(text: str) -> int:
     """A Retry-After wait in microseconds, the longest where a head tells several; 0 where none can be read."""
-    told = [MILLISECONDS_PATTERN.fullmatch(part.strip()) for part in text.split(",")]
-    return max((int(each[1]) * 1000 + bool(each[2]) * 1000 for each in told if each), default=0)
+    waits = [MILLISECONDS_PATTERN.fullmatch(part.strip()) for part in text.split(",")]
+    return max((int(each[1]) * 1000 + bool(each[2]) * 1000 for each in waits if each), default=0)
 
 
 def encode_request(call: AttemptCall, now: int) -> bytes:
+    """The HTTP request of an attempt; `now` in microseconds, for the time that remains of it."""
     stored = call.message
     lines = ["POST /receive HTTP/1.1", "Host: receiver", f"X-Txn: {stored.id}"]
     if stored.key:
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -168,6 +168,7 @@
         self._let_go_idle()
 
     def resume(self) -> None:
+        """The end of a pause: clients are served again."""
         self.paused = False
 
     def stop(self) -> None:
@@ -239,7 +240,7 @@
             return
         # Danger: one that was cut counts until its greenlet has run; cutting on would reach the newest.
         if not any(client.cut for client in self.clients):
-            slow, told = (self.clock.now() - round(each * 1_000_000) for each in (SLOW_REQUEST_S, CLOSE_GRACE_S))
+            slow, let_go = (self.clock.now() - round(each * 1_000_000) for each in (SLOW_REQUEST_S, CLOSE_GRACE_S))
             idle = [
                 client
                 for client in self.clients
@@ -247,7 +248,7 @@
                 or client.begun_at
                 and client.idle_since < slow
                 or client.let_go
-                and client.idle_since < told
+                and client.idle_since < let_go
             ]
             # Danger: a first request may be on its way on a new connection, and fails with it; who has been
             # answered asks again elsewhere. Only what has been silent for long is of less use than that.
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -12,7 +12,7 @@
     """Ends messages that get no further attempt."""
 
     def _final(self, number: int, nacked: bool, wait_ms: int, alone: bool = False) -> None:
-        """The final answer of a kept message: recorded, then told until it is acknowledged.
+        """The final answer of a stored message: recorded, then posted until it is acknowledged.
 
         `alone`: without waiting for a copy, since none can be asked.
         """
@@ -31,11 +31,14 @@
             self.notices.post(number, stored.id, nacked, wait_ms)
 
     def _post_once_copied(self, stored: StoredMessage) -> None:
-        """Danger: told before a copy knows of it, the end would be followed by an attempt of whoever takes over."""
+        """Post the end once a copy has it.
+
+        Danger: posted before that, it would be followed by an attempt of whoever takes over.
+        """
 
         def post() -> None:
             if not self.store.may_fire(stored.number):
-                again()  # Danger: the right may be back in a moment, and nobody else would tell it then
+                again()  # Danger: the right may be back in a moment, and nobody else would post it then
             elif stored.end is not None and stored.number in self.store.messages and stored.number in self.untold:
                 self.untold.discard(stored.number)
                 self.notices.post(stored.number, stored.id, *stored.end)
@@ -68,7 +71,10 @@
                 self._over(self.store.messages[number])
 
     def _end_near(self) -> None:
-        """Danger: a call that hangs holds up the end of the process, and with it the ends of all else that is kept."""
+        """Write off what reaches its deadline before another sender can go on with it.
+
+        Danger: a call that hangs holds up the end of the process, and with it the ends of all else that is stored.
+        """
         now = self.clock.now()
         limits = {
             number: self.store.messages[number].deadline - DEADLINE_MARGIN_US
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class FrozenSession:
-    """A session on the move: what of it is still out."""
+    """A session on the move: the attempts of it that are still out, and an event that is set once there are none."""
 
     still: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
     out: set[int] = field(default_factory=set)
@@ -62,7 +62,7 @@
         # Danger: attempts that the decisions hold to share a call would each count at the destination's limit.
         self.sender.per_call = []
         self.handles: dict[int, Handle] = {}
-        self.numbers: dict[str, int] = {}  # by id: messages that are kept
+        self.numbers: dict[str, int] = {}  # by id: messages that are stored
         self.recent: dict[str, tuple[int, int]] = {}  # ids of late: when, and what came with it
         self.fresh: dict[int, Submission] = {}  # taken in this round
         self.queue: gevent.queue.Queue = gevent.queue.Queue()
@@ -71,23 +71,23 @@
         self.wake_at: int | None = None
         self.holding_fire = False
         self.ending = False  # while holding fire: what reaches its deadline ends here
-        self.keeping = False  # while holding fire: messages that come are still kept, for the next process
+        self.keeping = False  # while holding fire: new messages are still stored, for the next process
         self.parked: dict[int, Handle] = {}  # given up while an attempt was out: it still ends
         self.to_adopt: set[int] = set()  # of these: to be gone on with once it has ended
         self.frozen: dict[int, FrozenSession] = {}  # sessions on the move, by key
         self.elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
         self.not_sent: set[int] = set()  # messages that had no attempt while their key was among these
         self.leaving: set[int] = set()  # withdrawn in this moment: the queue has yet to say so
-        self.untold: set[int] = set()  # an end was chosen, and is told once the copies have it
+        self.untold: set[int] = set()  # an end was chosen, and is posted once the copies have it
         self.attempts: AttemptRunner
         self.notices: Notifier
         self.free_links: Callable[[int], None]
         self.ask_for_list: Callable[[], None]
 
-    def _recorded(self, what: str, write: Callable[..., None], *told: Any) -> bool:
-        """Write to the folder; False, and a count of the trouble, where there is no room."""
+    def _recorded(self, what: str, write: Callable[..., None], *arguments: Any) -> bool:
+        """Write to the store; False, and a counted warning, where there is no room."""
         try:
-            write(*told)
+            write(*arguments)
         except NoSpaceError as error:
             self.counters.trouble(f"no room for {what}", error)
             return False
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -36,9 +36,9 @@
 ERROR_BACKOFF_US = 100_000  # until the next round: an error that comes again must not fill the core
 
 
-def in_thread(call: Callable[..., None], *told: object) -> None:
-    """Run a blocking call where it holds up nobody but the one who asks; what it raises is raised here."""
-    gevent.get_hub().threadpool.apply(call, told)
+def in_thread(call: Callable[..., None], *arguments: object) -> None:
+    """Run a blocking call in the thread pool: only the calling greenlet waits, and gets what the call raises."""
+    gevent.get_hub().threadpool.apply(call, arguments)
 
 
 class Dispatcher(Admission, Attempts, FinalAnswers):
@@ -47,9 +47,11 @@
     # ---- the queue in: callable from any greenlet ----
 
     def submit(self, submission: Submission) -> None:
+        """A client hands a message in; `submission.answer` is set once that is decided and, if taken, stored."""
         self.queue.put((self._take, (submission,)))
 
     def withdraw(self, submission: Submission) -> None:
+        """The client left before the answer was written: no attempt begins from now on, and the message is dropped."""
         self.leaving.add(submission.message.number)
         self.queue.put((self._withdraw, (submission.message,)))
 
@@ -67,31 +69,37 @@
         return number in self.store.messages and number not in self.leaving and self.store.may_fire(number)
 
     def attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
+        """An attempt that `_decide` started has its result."""
         self.queue.put((self._attempt_ended, (call, ending)))
 
     def listed(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
+        """The endpoint list was read anew, or some of its lines have changed."""
         self.queue.put((self._listed, (change, listings)))
 
     def list_poll_failed(self) -> None:
+        """A call for the endpoint list failed; the decisions say when the next one is due."""
         self.queue.put((self._list_poll_failed, ()))
 
     def acknowledged(self, numbers: list[int]) -> None:
+        """The platform has acknowledged the notices of these messages: nothing more is owed for them."""
         self.queue.put((self._acknowledged, (numbers,)))
 
     def heed(self, waits: list[tuple[int, int]]) -> None:
-        """Waits told to the process that this one replaces, by receiver."""
+        """Retry-After waits, as (receiver, until when in microseconds): of early refusals, or of a replaced process."""
         self.queue.put((self._heed, (waits,)))
 
     def hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
-        """The end of the process is near: no attempt begins any more, what is out goes on; messages that come
-        are kept where `keeping` says so, else turned away. `ending`: other senders go on with what is kept; what
-        reaches its deadline before they can is written off."""
+        """The end of the process is near: no attempt begins any more; those that are out go on.
+
+        `keeping`: new messages are still stored, for the next process; else they are turned away.
+        `ending`: other senders take over what is stored; what reaches its deadline before that is written off.
+        """
         self.queue.put((self._hold_fire, (keeping, ending)))
 
     def adopt(self, numbers: list[int], quietly: bool = False) -> None:
-        """Go on with messages that are kept in the folder, as after a restart: this sender has the right to.
+        """Go on with stored messages, as after a restart: this sender has the right to.
 
-        `quietly`: no attempt of their keys is out or in doubt but what they tell themselves, so other keys need not
+        `quietly`: no attempt of their keys is out or in doubt beyond those in their records, so other keys need not
         rest.
         """
         self.queue.put((self._adopt, (numbers, quietly)))
@@ -109,7 +117,7 @@
         )
 
     def rest(self, keys: frozenset[int]) -> None:
-        """Earlier messages of these keys are owed elsewhere: later ones rest here until this is told no more."""
+        """Earlier messages of these keys are owed elsewhere: later ones rest here until a call without the key."""
         self.queue.put((self._rest, (keys,)))
 
     def park(self, numbers: list[int]) -> None:
@@ -151,8 +159,8 @@
         while True:
             self._wait()
             while not self.queue.empty():
-                call, told = self.queue.get()
-                self._guarded(call, *told)
+                call, arguments = self.queue.get()
+                self._guarded(call, *arguments)
             if self.asked:
                 # Danger: a refusal that was read in the same round may stand behind the question in the queue.
                 asked, self.asked = self.asked, []
@@ -174,13 +182,13 @@
             # Danger: after a pause of the process, what lies in the sockets came before this wake-up.
             gevent.sleep(0)
 
-    def _guarded(self, call: Callable[..., None], *told: Any) -> None:
+    def _guarded(self, call: Callable[..., None], *arguments: Any) -> None:
         try:
-            call(*told)
+            call(*arguments)
         except Exception:  # one bad event must not end the process: all else is still owed
             self.counters.failed(f"the dispatcher failed in {call.__name__}")
             self.wake_at = self.clock.now() + ERROR_BACKOFF_US
-            for thing in told:
+            for thing in arguments:
                 if isinstance(thing, gevent.event.AsyncResult) and not thing.ready():
                     thing.set(False)
                 if isinstance(thing, Submission) and not thing.answer.ready():
--- a/cedarwick/net/notifications.py
+++ b/cedarwick/net/notifications.py
@@ -39,10 +39,11 @@
             self.posting.kill(block=False)
 
     def post(self, number: int, message: str, nacked: bool, wait_ms: int) -> None:
-        told: dict[str, object] = {"id": message, "state": "returned" if nacked else "failed"}
+        """Owe the platform a notice: `returned`, with an advised wait in milliseconds if any, or `failed`."""
+        notice: dict[str, object] = {"id": message, "state": "returned" if nacked else "failed"}
         if nacked and wait_ms > 0:
-            told["after_ms"] = wait_ms
-        self.owed[number] = json.dumps(told).encode() + b"\n"
+            notice["after_ms"] = wait_ms
+        self.owed[number] = json.dumps(notice).encode() + b"\n"
         self.unposted.set()
 
     def run(self) -> None:
--- a/cedarwick/net/resp.py
+++ b/cedarwick/net/resp.py
@@ -77,10 +77,10 @@
     return int(digits), end + 2
 
 
-def name_in(told: dict[bytes, bytes], which: bytes) -> str:
-    """The name of a class or tenant, written as the settings hold it; nothing where none is told."""
+def name_in(fields: dict[bytes, bytes], which: bytes) -> str:
+    """The name of a class or tenant, written as the settings hold it; empty where none is given."""
     try:
-        name = told.get(which, b"").decode("utf-8")
+        name = fields.get(which, b"").decode("utf-8")
     except UnicodeDecodeError:
         name = "\0"
     if name and not NAME_PATTERN.fullmatch(name):
@@ -93,21 +93,21 @@
     if len(parts) != 5:
         raise InvalidSubmitError("wrong number of arguments for SUBMIT")
     _, turn, message, pairs, body = parts
-    told = dict(pair.partition(b"=")[::2] for pair in pairs.split(b","))
+    fields = dict(pair.partition(b"=")[::2] for pair in pairs.split(b","))
     if not WORD_PATTERN.fullmatch(message):
         raise InvalidSubmitError("the id cannot be read")
     if not TURN_PATTERN.fullmatch(turn):
         raise InvalidSubmitError("the key of the order cannot be read")
-    key = told.get(b"k", b"")
+    key = fields.get(b"k", b"")
     if key and not WORD_PATTERN.fullmatch(key):
         raise InvalidSubmitError("the key cannot be read")
-    if not NUMBER_PATTERN.fullmatch(told.get(b"d", b"")) or not NUMBER_PATTERN.fullmatch(told.get(b"dest", b"")):
+    if not NUMBER_PATTERN.fullmatch(fields.get(b"d", b"")) or not NUMBER_PATTERN.fullmatch(fields.get(b"dest", b"")):
         raise InvalidSubmitError("d and dest must be whole numbers")
-    priority_class, tenant = name_in(told, b"c"), name_in(told, b"t")
+    priority_class, tenant = name_in(fields, b"c"), name_in(fields, b"t")
     if not priority_class:
         raise InvalidSubmitError("c is missing")
-    limit = now + int(told[b"d"]) * 1000 - READ_DELAY_ALLOWANCE_US
+    limit = now + int(fields[b"d"]) * 1000 - READ_DELAY_ALLOWANCE_US
     stored = StoredMessage(
-        0, message.decode(), key.decode(), int(turn, 16), priority_class, tenant, int(told[b"dest"]), limit, body
+        0, message.decode(), key.decode(), int(turn, 16), priority_class, tenant, int(fields[b"dest"]), limit, body
     )
-    return stored, told.get(b"again") == b"1"
+    return stored, fields.get(b"again") == b"1"
--- a/cedarwick/net/submission.py
+++ b/cedarwick/net/submission.py
@@ -9,15 +9,15 @@
 
 
 class AdmissionResult(Enum):
-    """What becomes of a message at the door."""
+    """What becomes of a message that is handed in."""
 
     KEPT = "kept"
     BUSY = "busy"  # with an advised wait in milliseconds, or 0
     UNKNOWN_PRIORITY_CLASS = "unknown priority class"
-    UNKNOWN_DESTINATION = "unknown destination"  # as far as the list tells, which may be old
+    UNKNOWN_DESTINATION = "unknown destination"  # as far as the list says, which may be old
     REPEATED = "repeated"  # an id that was handed in before, and not the same request
     FROZEN = "frozen"  # its session is on the move to another sender: not taken, to be handed in after that
-    UNSURE = "unsure"  # it was passed on to another sender, and nobody can tell whether that has taken it
+    UNSURE = "unsure"  # it was passed on to another sender, and nobody knows whether that has taken it
 
 
 @dataclass(slots=True)
@@ -28,4 +28,5 @@
     answer: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
 
     def answered(self, what: AdmissionResult, wait_ms: int = 0) -> None:
+        """Set the answer, once; `wait_ms` is the advised wait of `BUSY`, 0 for none."""
         self.answer.set((what, wait_ms))
