--- a/cedarwick/net/assignment.py
+++ b/cedarwick/net/assignment.py
@@ -1,4 +1,4 @@
-"""What a sender is told when it starts."""
+"""The assignment: the settings that a sender starts with."""
 
 import json
 import os
@@ -32,12 +32,12 @@
     settings: dict[str, str]
     management: tuple[str, int] | None = None  # where the operators' staff call; None: nowhere
 
-    def fixed_and_other(self, told: "Assignment") -> list[str]:
+    def fixed_and_other(self, other: "Assignment") -> list[str]:
         """What another configuration changes that only a start takes over."""
         return [
             name
             for name in ("name", "listen", "settings", "seed", "known", "management")
-            if getattr(self, name) != getattr(told, name)
+            if getattr(self, name) != getattr(other, name)
         ]
 
 
@@ -48,28 +48,28 @@
         raise AssignmentError("RELAY_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+            document = json.load(file)
     except (OSError, ValueError) as error:
         raise AssignmentError(f"{path}: {error}") from None
     folder = environment.get("RELAY_STATE", "")
     if not os.path.isdir(folder):
         raise AssignmentError(f"RELAY_STATE is no folder: {folder!r}")
     try:
-        limits = told.get("limits", {})
+        limits = document.get("limits", {})
         made = Assignment(
-            name=str(environment.get("RELAY_NAME") or told["name"]),
-            listen=address(environment.get("RELAY_LISTEN") or told["listen"]),
+            name=str(environment.get("RELAY_NAME") or document["name"]),
+            listen=address(environment.get("RELAY_LISTEN") or document["listen"]),
             # Danger: the variable stays as it was at the start, while the file is replaced in service.
-            platform=address(told.get("discovery") or environment.get("RELAY_DISCOVERY") or ""),
+            platform=address(document.get("discovery") or environment.get("RELAY_DISCOVERY") or ""),
             folder=folder,
-            seed=int(told["seed"], 16),
+            seed=int(document["seed"], 16),
             descriptors=int(limits["sockets"]),
             disk_bytes=int(float(limits["disk_mb"]) * (1 << 20)),
-            known=dict(told.get("known") or {}),
-            settings=plain(told["settings"]),
+            known=dict(document.get("known") or {}),
+            settings=plain(document["settings"]),
             # Danger: a replacing process is started with the same file and an address of its own.
             management=address(manage)
-            if (manage := environment.get("RELAY_MANAGEMENT") or told.get("management"))
+            if (manage := environment.get("RELAY_MANAGEMENT") or document.get("management"))
             else None,
         )
     except KeyError as error:
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -23,9 +23,9 @@
         self._recorded("the record of an end", self.store.ended, number, nacked, wait_ms)
         self.counters.add("nacked" if nacked else "written off")
         (self.counters.figures.dropped if nacked else self.counters.figures.bad_gateway)[stored.priority_class] += 1
-        self.untold.discard(number)
+        self.uncopied_ends.discard(number)
         if self.store.by_copy and not alone:
-            self.untold.add(number)
+            self.uncopied_ends.add(number)
             self._post_once_copied(stored)
         else:
             self.notices.post(number, stored.id, nacked, wait_ms)
@@ -39,12 +39,14 @@
         def post() -> None:
             if not self.store.may_fire(stored.number):
                 again()  # Danger: the right may be back in a moment, and nobody else would post it then
-            elif stored.end is not None and stored.number in self.store.messages and stored.number in self.untold:
-                self.untold.discard(stored.number)
+            elif (
+                stored.end is not None and stored.number in self.store.messages and stored.number in self.uncopied_ends
+            ):
+                self.uncopied_ends.discard(stored.number)
                 self.notices.post(stored.number, stored.id, *stored.end)
 
         def again() -> None:
-            if stored.number in self.store.messages and stored.number in self.untold:
+            if stored.number in self.store.messages and stored.number in self.uncopied_ends:
                 if self.clock.now() >= stored.deadline and self.store.may_fire(stored.number):
                     # Whoever takes over fires nothing any more, and says that it failed, too.
                     self._final(stored.number, False, 0, alone=True)
@@ -59,7 +61,7 @@
             stored = self.store.messages.get(number)
             if stored is None or number in self.handles or number in self.notices.owed:
                 continue
-            if stored.end is None or number in self.untold:
+            if stored.end is None or number in self.uncopied_ends:
                 self.counters.trouble("a message ends that nobody may fire for", number)
                 self._final(number, False, 0, alone=True)
             else:
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -35,7 +35,7 @@
                     "a message of a priority class that is no more goes once at most", stored.priority_class
                 )
             if stored.end is not None:
-                self.untold.discard(number)
+                self.uncopied_ends.discard(number)
                 self.notices.post(number, stored.id, *stored.end)
                 continue
             attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in stored.earlier_attempts()]
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -78,7 +78,7 @@
         self.elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
         self.not_sent: set[int] = set()  # messages that had no attempt while their key was among these
         self.leaving: set[int] = set()  # withdrawn in this moment: the queue has yet to say so
-        self.untold: set[int] = set()  # an end was chosen, and is posted once the copies have it
+        self.uncopied_ends: set[int] = set()  # an end was chosen, and is posted once the copies have it
         self.attempts: AttemptRunner
         self.notices: Notifier
         self.free_links: Callable[[int], None]
@@ -96,5 +96,5 @@
     def _over(self, stored: StoredMessage) -> None:
         """Nothing more is owed for this message."""
         self.numbers.pop(stored.id, None)
-        self.untold.discard(stored.number)
+        self.uncopied_ends.discard(stored.number)
         self._recorded("the record of an end", self.store.over, stored.number)
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -71,13 +71,13 @@
         self.last: dict[str, ListedEndpoint] = {}  # by uid: the newest line of the list as the platform gave it
         self.held_out: set[str] = set()  # uids that the operators took out: draining, whatever the list says
 
-    def learn(self, news: dict[str, Any], saved: bool = False) -> bool:
-        """Pass on one piece of list news.
+    def learn(self, update: dict[str, Any], saved: bool = False) -> bool:
+        """Pass on one update of the list.
 
         False where a line of it is unclear, `InvalidUpdateError` where all of it is.
         """
         try:
-            entries, version, whole = list(news["targets"]), int(news["rev"]), news["all"]
+            entries, version, whole = list(update["targets"]), int(update["rev"]), update["all"]
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise InvalidUpdateError(f"list news without {error}") from None
         if not isinstance(whole, bool):
@@ -138,9 +138,9 @@
         """From now on these receivers are draining for the decisions, until they are left out of a later set."""
         changed = self.held_out ^ uids
         self.held_out = set(uids)
-        told = [self._as_held(uid, self.last[uid]) for uid in sorted(changed) if uid in self.last]
-        if told:
-            self.tell(EndpointUpdate.DELTA, told)
+        listings = [self._as_held(uid, self.last[uid]) for uid in sorted(changed) if uid in self.last]
+        if listings:
+            self.tell(EndpointUpdate.DELTA, listings)
 
     def _as_held(self, uid: str, listing: ListedEndpoint) -> ListedEndpoint:
         held = uid in self.held_out and listing.phase is EndpointState.READY
@@ -216,7 +216,7 @@
                 f"Host: {host}\r\nAccept: application/json\r\n\r\n".encode()
             )
             self.counters.add("watches opened")
-            told = False  # an object of this watch
+            learned = False  # an object of this watch
             while not answer.complete and self._more(sock, raw, answer, alive):
                 if self.moved:
                     return  # Danger: a late line of the old agent would be believed over the new one's.
@@ -230,10 +230,10 @@
                 if not answered:
                     alive = answered = time.monotonic()
                 came = text.take(len(text))
-                for news in objects.read(came):
-                    if not self.learn(news) and (told or not self.renewed):
+                for update in objects.read(came):
+                    if not self.learn(update) and (learned or not self.renewed):
                         raise InvalidUpdateError("unclear changes: the whole list is asked for")
-                    told, alive = True, time.monotonic()
+                    learned, alive = True, time.monotonic()
                 if came and not objects.depth:
                     self.first_news.set()  # an empty line says that there is nothing new
                     alive = time.monotonic()
@@ -300,7 +300,7 @@
         return self.last[uid].rate if uid in self.last else 0.0
 
 
-def _uid(told: object) -> str:
-    if not isinstance(told, str):
-        raise ValueError(f"no uid: {str(told)[:40]}")
-    return told
+def _uid(value: object) -> str:
+    if not isinstance(value, str):
+        raise ValueError(f"no uid: {str(value)[:40]}")
+    return value
--- a/cedarwick/net/http.py
+++ b/cedarwick/net/http.py
@@ -43,11 +43,11 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         if not self.status:
             self.on_status(b"")  # a first line without a phrase has no call of its own
-        field, told = name.decode("latin-1").lower(), value.decode("latin-1").strip()
+        field, content = name.decode("latin-1").lower(), value.decode("latin-1").strip()
         if field in self.headers:
-            self.headers[field] += ", " + told  # as RFC 9110 joins the lines of one field
+            self.headers[field] += ", " + content  # as RFC 9110 joins the lines of one field
         elif len(self.headers) < 100:
-            self.headers[field] = told
+            self.headers[field] = content
 
     def on_headers_complete(self) -> None:
         self.on_status(b"")
