--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -2,7 +2,6 @@
 
 import contextlib
 import itertools
-import re
 from collections.abc import Callable
 
 import gevent
@@ -15,40 +14,31 @@
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import AdmissionResult, Dispatcher, Submission
+from cedarwick.net.dispatcher import Dispatcher
+from cedarwick.net.resp import InvalidSubmitError, MalformedRequestError, command, read_submission
 from cedarwick.net.sockets import peek_byte
+from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
-MOST_PARTS = 16
-LONGEST_BODY = 1 << 16
-LONGEST_COMMAND = LONGEST_BODY + 4096
-LONGEST_HEAD = 32  # of a line that tells a count or a length
-# A client waits 400 ms for its answer, and an end counts as in time for 300 ms: what was read late, after a
-# pause of the process, must not be taken to have so much longer.
-READ_LATE = 100_000
 # An error or a close is owed within three seconds of connecting; one with nothing open may go after two.
-SILENT = 2.2  # seconds in which the first request must begin; later ones may take QUIET
-QUIET = 4.0
-STALLED = 2.0  # seconds in which the rest of a begun request, or room for an answer, must come
-SLOW = 0.3  # seconds without a byte of a begun request, after which it may have to make way
-LINGER = 1.0  # seconds in which a client that was let go may close by itself
-CROSSED = 0.3  # seconds in which one whose request crossed that reads the end, before the close is a reset
-TOLD = 0.05  # seconds after which it makes way, where descriptors are short
-WASTED = 1 << 18  # bytes that are read after a refusal, so that the client can read its error
-UNUSABLE = 8  # so many requests in a row that cannot be used end the connection
-DOUBTED = 3  # so many count of those that may be right, as where the list is old: they are answered within their time
-PAUSE = 0.02  # seconds after the first of them, doubling up to LONGEST_PAUSE
-LONGEST_PAUSE = 0.5
-MOST_BUFFERED = 1 << 23  # bytes in the buffers of all clients together; what needs more is turned away
-SMALL = 1 << 13  # a buffer up to this size needs no look at the others
-LOOK = 0.01  # seconds between two looks at the requests that are not answered at the end
-GIVES_UP = 450_000  # after a request that nobody can answer its client has gone, or is let go
-LEFT_FREE = 8  # this part of the descriptors is left to links where clients hold more than half
-BACKLOG = 1024
-WORD = re.compile(rb"[!-~]{1,200}")
-NAME = re.compile(r"[^\x00-\x1f\x7f]{1,200}")  # of a class or tenant, as its operator writes it
-NUMBER = re.compile(rb"[0-9]{1,9}")
-TURN = re.compile(rb"[0-9a-fA-F]{1,16}")
+FIRST_REQUEST_TIMEOUT_S = 2.2  # until the first byte of the first request
+NEXT_REQUEST_TIMEOUT_S = 4.0  # until the first byte of a later one
+PARTIAL_REQUEST_TIMEOUT_S = 2.0  # for the rest of a begun request, or until there is room for an answer
+SLOW_REQUEST_S = 0.3  # without a byte of a begun request, after which its connection may have to make way
+CLOSE_TIMEOUT_S = 1.0  # in which a client that was let go may close by itself
+CROSSED_REQUEST_TIMEOUT_S = 0.3  # in which one whose request crossed the end reads it, before a reset
+CLOSE_GRACE_S = 0.05  # after which one that was let go makes way, where descriptors are short
+MAX_DISCARDED_BYTES = 1 << 18  # read after a refusal, so that the client can read its error
+MAX_UNUSABLE_REQUESTS = 8  # in a row: so many end the connection
+MAX_DOUBTFUL_REQUESTS = 3  # that count as unusable, of those that may be right, as where the list is old
+FIRST_PAUSE_S = 0.02  # after the first unusable request, doubling up to LONGEST_PAUSE_S
+LONGEST_PAUSE_S = 0.5
+MAX_BUFFERED_BYTES = 1 << 23  # in the buffers of all clients together; what needs more is turned away
+SMALL_BUFFER_BYTES = 1 << 13  # a buffer up to this size needs no look at the others
+POLL_INTERVAL_S = 0.01  # between two looks at requests that are not answered at the end
+CLIENT_ANSWER_TIMEOUT_US = 450_000  # after a request that nobody can answer its client has gone, or is let go
+CONNECTION_POOL_DIVISOR = 8  # one in so many descriptors stays free for receivers, where clients hold over half
+BACKLOG = 1024  # connections that wait to be accepted
 
 BUSY, PONG, LOADING = b"-BUSY\r\n", b"+PONG\r\n", b"-LOADING not ready yet\r\n"
 PAUSED = b"-LOADING paused by the operators\r\n"
@@ -65,13 +55,6 @@
 SubmitResult = tuple[AdmissionResult, int, Callable[[], None] | None]
 
 
-class MalformedRequestError(CedarwickError):
-    """Bytes that are no RESP2 command."""
-
-    code = "CW901"
-    remedy = "ask who connects to the clients' address: the bytes are not the clients' protocol"
-
-
 class ConnectionShedError(CedarwickError):
     """The buffers of all clients together are as large as they may be."""
 
@@ -79,13 +62,6 @@
     remedy = "start another sender, or have clients send smaller bodies and fewer at once"
 
 
-class InvalidSubmitError(CedarwickError, ValueError):
-    """A SUBMIT whose arguments cannot be used; its text is the client's answer after `-ERR`."""
-
-    code = "CW903"
-    remedy = "correct the client: the text says which argument cannot be read"
-
-
 class ClientConnection:
     """One connection from a client."""
 
@@ -120,7 +96,7 @@
 
     def patience(self) -> float:
         """For how many seconds nothing need come."""
-        return SILENT if not self.served else QUIET
+        return FIRST_REQUEST_TIMEOUT_S if not self.served else NEXT_REQUEST_TIMEOUT_S
 
 
 class ClientListener:
@@ -192,6 +168,7 @@
         self._let_go_idle()
 
     def resume(self) -> None:
+        """The end of a pause: clients are served again."""
         self.paused = False
 
     def stop(self) -> None:
@@ -207,7 +184,7 @@
         self.listener.close()
         with gevent.Timeout(seconds, False):
             while self.clients:
-                gevent.sleep(LOOK)
+                gevent.sleep(POLL_INTERVAL_S)
                 self._let_go_idle()
         self._let_go_idle(fresh=True)
         for client in self.clients:
@@ -250,20 +227,20 @@
                 self._let_go(client)
 
     def _silent(self, client: ClientConnection) -> bool:
-        """Whether nothing lies there unread. Danger: a request that was written before the end is owed its answer."""
-        patience = client.sock.gettimeout()
-        lies = peek_byte(client.sock)
-        client.sock.settimeout(patience)
-        return lies is None
+        """Whether no byte is unread. Danger: a request that was written before the end is owed its answer."""
+        timeout = client.sock.gettimeout()
+        unread = peek_byte(client.sock)
+        client.sock.settimeout(timeout)
+        return unread is None
 
     def _make_room(self) -> None:
         """Beyond half of the descriptors clients take only what is free; then who has nothing open goes."""
         limit = self.descriptors.limit
-        if len(self.clients) * 2 < limit or self.descriptors.used < limit - limit // LEFT_FREE:
+        if len(self.clients) * 2 < limit or self.descriptors.used < limit - limit // CONNECTION_POOL_DIVISOR:
             return
         # Danger: one that was cut counts until its greenlet has run; cutting on would reach the newest.
         if not any(client.cut for client in self.clients):
-            slow, told = (self.clock.now() - round(each * 1_000_000) for each in (SLOW, TOLD))
+            slow, let_go = (self.clock.now() - round(each * 1_000_000) for each in (SLOW_REQUEST_S, CLOSE_GRACE_S))
             idle = [
                 client
                 for client in self.clients
@@ -271,11 +248,11 @@
                 or client.begun_at
                 and client.idle_since < slow
                 or client.let_go
-                and client.idle_since < told
+                and client.idle_since < let_go
             ]
             # Danger: a first request may be on its way on a new connection, and fails with it; who has been
             # answered asks again elsewhere. Only what has been silent for long is of less use than that.
-            late = self.clock.now() - round(SILENT * 900_000)
+            late = self.clock.now() - round(FIRST_REQUEST_TIMEOUT_S * 900_000)
             # Those that were let go come first: nobody is served on them any more.
             idle.sort(
                 key=lambda client: (
@@ -297,20 +274,16 @@
         """The client reads the end and goes. Danger: what crosses that must stay unread: the client sends it once more
         on a new connection, but a request that was read is lost without its answer."""
         client.waiting, client.let_go, client.idle_since = False, True, self.clock.now()
-        try:
+        with contextlib.suppress(OSError):
             client.sock.shutdown(gevent.socket.SHUT_WR)
-        except OSError:
-            pass
-        gevent.spawn_later(LINGER, self._cut, client)
+        gevent.spawn_later(CLOSE_TIMEOUT_S, self._cut, client)
 
     def _cut(self, client: ClientConnection) -> None:
         """The client goes at once: it was let go and does not close, or its descriptor is wanted."""
         if client in self.clients:
             client.cut = True
-            try:
+            with contextlib.suppress(OSError):
                 client.sock.shutdown(gevent.socket.SHUT_RDWR)
-            except OSError:
-                pass
 
     def _serve(self, client: ClientConnection) -> None:
         try:
@@ -326,17 +299,17 @@
                 if reply.startswith(BUSY[:5]) and len(parts) == 5:
                     self._dropped(parts[3])
                 last = (self.closing or self.paused) and not len(client.buffer) and self._silent(client)
-                client.sock.settimeout(STALLED)
+                client.sock.settimeout(PARTIAL_REQUEST_TIMEOUT_S)
                 client.sock.sendall(reply)
                 client.answering = False
                 if last:
                     break
-                if client.unusable >= UNUSABLE:
+                if client.unusable >= MAX_UNUSABLE_REQUESTS:
                     raise MalformedRequestError("too many requests that cannot be used")
                 if client.unusable:
                     # Danger: who sends the same again as soon as it is turned away would fill the core.
                     client.waiting, client.idle_since = not len(client.buffer), self.clock.now()
-                    gevent.sleep(min(LONGEST_PAUSE, PAUSE * (1 << client.unusable - 1)))
+                    gevent.sleep(min(LONGEST_PAUSE_S, FIRST_PAUSE_S * (1 << client.unusable - 1)))
                 elif len(client.buffer):
                     gevent.sleep(0)  # hundreds of commands at once must not hold up all others
             self._see_off(client)
@@ -361,8 +334,8 @@
             left = client.patience()
             if begun:
                 client.begun_at = client.begun_at or client.idle_since
-                left = STALLED - (client.idle_since - client.begun_at) / 1_000_000
-                if len(client.buffer.data) > SMALL and MOST_BUFFERED < sum(
+                left = PARTIAL_REQUEST_TIMEOUT_S - (client.idle_since - client.begun_at) / 1_000_000
+                if len(client.buffer.data) > SMALL_BUFFER_BYTES and MAX_BUFFERED_BYTES < sum(
                     len(other.buffer.data) for other in self.clients
                 ):
                     raise ConnectionShedError(f"a request of more than {len(client.buffer)} bytes")
@@ -388,9 +361,9 @@
 
     def _outlast(self, client: ClientConnection) -> None:
         """Returns once the client has given up its request, or should have."""
-        until = self.clock.now() + GIVES_UP
+        until = self.clock.now() + CLIENT_ANSWER_TIMEOUT_US
         while self.clock.now() < until and peek_byte(client.sock) != b"":
-            gevent.sleep(LOOK)
+            gevent.sleep(POLL_INTERVAL_S)
 
     def _see_off(self, client: ClientConnection) -> None:
         """The client is told the end, where it was not, and may close first; what it still sends stays unread."""
@@ -399,16 +372,16 @@
         if not client.let_go:
             self._let_go(client)
         with contextlib.suppress(OSError):
-            client.sock.settimeout(LINGER)
+            client.sock.settimeout(CLOSE_TIMEOUT_S)
             if client.sock.recv(1, gevent.socket.MSG_PEEK):
-                client.leave.wait(CROSSED)
+                client.leave.wait(CROSSED_REQUEST_TIMEOUT_S)
 
     def _refuse(self, client: ClientConnection, reply: bytes) -> None:
         """Answer, then read on to the end for a moment: unread input would turn the close into a reset."""
         client.waiting, client.begun_at = False, 0
         client.buffer.skip(len(client.buffer))
         try:
-            with gevent.Timeout(LINGER, False):
+            with gevent.Timeout(CLOSE_TIMEOUT_S, False):
                 client.sock.sendall(reply)
                 client.sock.shutdown(gevent.socket.SHUT_WR)
                 self._read_out(client)
@@ -418,7 +391,7 @@
     def _read_out(self, client: ClientConnection) -> None:
         """Danger: 60 MB at full speed would take the core from everyone; then a reset is good enough."""
         wasted = 0
-        while wasted < WASTED and (got := client.sock.recv_into(self.waste)):
+        while wasted < MAX_DISCARDED_BYTES and (got := client.sock.recv_into(self.waste)):
             wasted += got
 
     def _dropped(self, pairs: bytes) -> None:
@@ -448,13 +421,14 @@
         self.counters.add("handed in again" if again else "handed in")
         if self.closing and not self.still_taking or not self.ready():
             self.counters.add("turned away at a start or an end")
-            client.unusable += not self.closing and client.unusable < DOUBTED
+            client.unusable += not self.closing and client.unusable < MAX_DOUBTFUL_REQUESTS
             return BUSY
         answered, wait_ms, withdraw = self.hand_in(stored)
         if answered in (AdmissionResult.KEPT, AdmissionResult.BUSY):
             client.served, client.unusable = True, 0
         elif (
-            answered in (AdmissionResult.UNKNOWN_PRIORITY_CLASS, AdmissionResult.REPEATED) or client.unusable < DOUBTED
+            answered in (AdmissionResult.UNKNOWN_PRIORITY_CLASS, AdmissionResult.REPEATED)
+            or client.unusable < MAX_DOUBTFUL_REQUESTS
         ):
             client.unusable += 1
         if withdraw is not None and peek_byte(client.sock) == b"":
@@ -473,82 +447,3 @@
         answered, wait_ms = submission.answer.get()
         taken = answered is AdmissionResult.KEPT and stored.number
         return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
-
-
-def command(buffer: Buffer) -> list[bytes] | None:
-    """The next whole command, taken out of the buffer; None while it is incomplete."""
-    head = count_at(buffer, 0, b"*")
-    if head is None:
-        return None
-    count, at = head
-    if count > MOST_PARTS:
-        raise MalformedRequestError("Protocol error: too many parts")
-    spans = []
-    for _ in range(count):
-        head = count_at(buffer, at, b"$")
-        if head is None:
-            return None
-        size, at = head
-        if size > LONGEST_BODY or at + size > LONGEST_COMMAND:
-            raise MalformedRequestError("Protocol error: a part is too long")
-        if len(buffer) < at + size + 2:
-            return None
-        if buffer.peek(at + size, 2) != b"\r\n":
-            raise MalformedRequestError("Protocol error: a part does not end where it should")
-        spans.append((at, size))
-        at += size + 2
-    parts = [buffer.peek(begin, size) for begin, size in spans]
-    buffer.skip(at)
-    return parts
-
-
-def count_at(buffer: Buffer, at: int, mark: bytes) -> tuple[int, int] | None:
-    """The number on a line that starts with the mark, and where the next line starts."""
-    first = buffer.peek(at, 1)
-    if first and first != mark:
-        raise MalformedRequestError(f"Protocol error: expected '{mark.decode()}'")
-    end = buffer.find(b"\r\n", at)
-    if end < 0 or end - at > LONGEST_HEAD:
-        if len(buffer) - at > LONGEST_HEAD:
-            raise MalformedRequestError("Protocol error: a number is too long")
-        return None
-    digits = buffer.peek(at + 1, end - at - 1)
-    if not NUMBER.fullmatch(digits):
-        raise MalformedRequestError("Protocol error: invalid number")
-    return int(digits), end + 2
-
-
-def name_in(told: dict[bytes, bytes], which: bytes) -> str:
-    """The name of a class or tenant, written as the settings hold it; nothing where none is told."""
-    try:
-        name = told.get(which, b"").decode("utf-8")
-    except UnicodeDecodeError:
-        name = "\0"
-    if name and not NAME.fullmatch(name):
-        raise InvalidSubmitError(f"{which.decode()} cannot be read")
-    return word(name)
-
-
-def read_submission(parts: list[bytes], now: int) -> tuple[StoredMessage, bool]:
-    """The message of a SUBMIT, and whether a sender had it before; `InvalidSubmitError` says what is wrong."""
-    if len(parts) != 5:
-        raise InvalidSubmitError("wrong number of arguments for SUBMIT")
-    _, turn, message, pairs, body = parts
-    told = dict(pair.partition(b"=")[::2] for pair in pairs.split(b","))
-    if not WORD.fullmatch(message):
-        raise InvalidSubmitError("the id cannot be read")
-    if not TURN.fullmatch(turn):
-        raise InvalidSubmitError("the key of the order cannot be read")
-    key = told.get(b"k", b"")
-    if key and not WORD.fullmatch(key):
-        raise InvalidSubmitError("the key cannot be read")
-    if not NUMBER.fullmatch(told.get(b"d", b"")) or not NUMBER.fullmatch(told.get(b"dest", b"")):
-        raise InvalidSubmitError("d and dest must be whole numbers")
-    priority_class, tenant = name_in(told, b"c"), name_in(told, b"t")
-    if not priority_class:
-        raise InvalidSubmitError("c is missing")
-    limit = now + int(told[b"d"]) * 1000 - READ_LATE
-    stored = StoredMessage(
-        0, message.decode(), key.decode(), int(turn, 16), priority_class, tenant, int(told[b"dest"]), limit, body
-    )
-    return stored, told.get(b"again") == b"1"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,17 +14,19 @@
 
 from cedarwick.adapter.codec import settings_of
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
-from cedarwick.net import assignment, client_listener
+from cedarwick.net import assignment, resp
 from cedarwick.net.assignment import Assignment
 from cedarwick.net.attempts import AttemptCall, AttemptResult, AttemptRunner, parse_retry_after
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import DEADLINE_MARGIN, PARTITION_SHIFT, AdmissionResult, Submission
+from cedarwick.net.dispatch_final_answers import DEADLINE_MARGIN_US
+from cedarwick.net.dispatch_sessions import PARTITION_SHIFT_BITS
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.http import InvalidResponseError, ResponseParser
 from cedarwick.net.sockets import is_closed
+from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 from tests.build import NESTED, dispatcher_alone, reply, words
 
@@ -106,7 +108,7 @@
         self.dispatcher._decide()
         self.assertEqual([call.message.id for call in self.calls], ["held", "d", "e"])  # d has no second to spare
         self.assertLess(0, self.dispatcher.rest_of(6))
-        other = 9 << PARTITION_SHIFT
+        other = 9 << PARTITION_SHIFT_BITS
         for number in (other + 1, other + 2):  # what a dead sender owed of the key, adopted here
             self.store.keep(
                 StoredMessage(
@@ -229,7 +231,7 @@
             self.dispatcher._hold_fire(ending=ending)
             self.dispatcher._turn_away()
             self.assertEqual(sorted(self.dispatcher.notices.owed), [2] * ending)
-        self.assertEqual(self.dispatcher.wake_at, self.store.messages[3].deadline - DEADLINE_MARGIN)
+        self.assertEqual(self.dispatcher.wake_at, self.store.messages[3].deadline - DEADLINE_MARGIN_US)
 
     def test_no_attempt_begins_when_the_end_is_near(self) -> None:
         self.taken()
@@ -285,9 +287,9 @@
         for at in range(len(text)):
             buffer = Buffer()
             buffer.append(text[:at])
-            self.assertIsNone(client_listener.command(buffer))
+            self.assertIsNone(resp.command(buffer))
             buffer.append(text[at:] + b"*1")
-            self.assertEqual(client_listener.command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
+            self.assertEqual(resp.command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
             self.assertEqual(len(buffer), 2)
 
     def test_a_second_answer_is_not_read_as_the_first(self) -> None:
