--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -10,7 +10,6 @@
 import random
 from collections import deque
 from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING
 
 import gevent
 import gevent.event
@@ -53,6 +52,7 @@
     SourceStage,
     TargetStage,
 )
+from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.replication_facts import Fact, decode_facts, encode_facts, stored_message_of
 from cedarwick.fleet.session_files import SessionFiles
@@ -60,9 +60,6 @@
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.store.journal import NoSpaceError
 
-if TYPE_CHECKING:
-    from cedarwick.fleet.node import FleetNode
-
 SETTLE_IN = 0.3  # seconds for the answer to a question about a move
 STAGE_IN = 0.45
 WHOLE = 500_000  # microseconds that the copies have to get a mark
@@ -99,7 +96,7 @@
 
 
 class SessionMigrations:
-    """The moves that this member has a side of. Nothing is done before `desk` is set.
+    """The moves that this member has a side of. Nothing is done before `dispatcher` is set.
 
     Args:
         call: a peer message to another member and its answer within so many seconds; None where there is none.
@@ -109,7 +106,7 @@
 
     def __init__(
         self,
-        node: "FleetNode",
+        node: SessionHost,
         directory: SessionDirectory,
         call: Callable[[str, Body, float], Body | None],
         takes: Callable[[], bool],
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -8,7 +8,7 @@
 
 import time
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Literal, NamedTuple
+from typing import Literal, NamedTuple
 
 import gevent
 import gevent.event
@@ -35,6 +35,7 @@
     slot_of,
 )
 from cedarwick.fleet.migration_table import WAITS, MigrationReason, MigrationRequest, Neighbour
+from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.recent_ids import UNKNOWN, RecentIds
 from cedarwick.fleet.replicated_store import LeasedPartition, monotonic_time
 from cedarwick.fleet.replication import ReplicaEntry as Step
@@ -59,9 +60,6 @@
 from cedarwick.ops.management import Staff
 from cedarwick.store.records import StoredMessage
 
-if TYPE_CHECKING:
-    from cedarwick.fleet.node import FleetNode
-
 AT_ONCE = 16  # peer messages to one member that wait for their answers
 MOST_CLAIMS = 2  # for one submission: a claim that fails was refused, or met members that are slow
 PATIENCE = 330_000  # microseconds in which a client's request is answered, of the 400 ms that it waits
@@ -114,7 +112,7 @@
 class SessionRouter:
     """Nothing is told or taken before `attach`."""
 
-    def __init__(self, node: "FleetNode") -> None:
+    def __init__(self, node: SessionHost) -> None:
         self.node = node
         self.name = node.name
         self.store = node.store
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -83,6 +83,7 @@
 class Members(unittest.TestCase):
     def setUp(self) -> None:
         self.traffic: dict[str, SessionRouter] = {}
+        self.nodes: dict[str, FleetNode] = {}
         self.lose: Callable[[str, Body], str] = lambda to, body: ""  # "ask", "answer" or neither
         self.folders = {name: self.enterContext(tempfile.TemporaryDirectory()) for name in NAMES}
         for name in NAMES:
@@ -99,6 +100,7 @@
         )
         node = FleetNode(name, told, self.folders[name], store, CLOCK, Counters())
         node.dispatcher = mock.Mock()
+        self.nodes[name] = node
         self.addCleanup(store.close)
         self.addCleanup(node.stop)
         node.members.state = lambda now, name: MemberStatus.ALIVE  # type: ignore[method-assign]
@@ -228,7 +230,7 @@
         a.transfers.begin(KEY, "b", monotonic_time())
         self.turn(0.1)
         self.assertEqual((list(a.store.inert), a.store.may_fire(number)), ([number], False))
-        a.node.stop()
+        self.nodes["a"].stop()
         a.store.close()
         again = self.traffic["a"] = self.member("a")
         self.assertFalse(again.store.may_fire(number))
@@ -246,7 +248,7 @@
         a = self.traffic["a"]
         a.hand_in(message("1"))
         a.hand_over()
-        a.node.stop()
+        self.nodes["a"].stop()
         a.store.close()
         again = self.member("a")
         dispatcher: Any = again.dispatcher
