--- /dev/null
+++ b/cedarwick/fleet/member_state.py
@@ -0,0 +1,135 @@
+"""What one member of a fleet knows, and its calls to the others.
+
+The base of the parts of `FleetNode`; each part names the parts that it calls as its bases.
+"""
+
+import time
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+import gevent
+
+from cedarwick.config.operator import Fleet
+from cedarwick.errors import CedarwickError
+from cedarwick.events.exchange import Exchange
+from cedarwick.fleet.fleet_files import FleetFiles
+from cedarwick.fleet.gossip import Gossip
+from cedarwick.fleet.leases import LeaseGrantor
+from cedarwick.fleet.membership import Membership
+from cedarwick.fleet.messages import Body, PeerMessage
+from cedarwick.fleet.order_key_hints import OrderKeyHints
+from cedarwick.fleet.peer_verifier import PeerVerifier
+from cedarwick.fleet.ports import PartitionDispatcher
+from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
+from cedarwick.fleet.replicated_store import ReplicatedStore, monotonic_time
+from cedarwick.fleet.takeover import Ownership, Takeover
+from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerUnreachableError
+from cedarwick.net.assignment import address
+from cedarwick.net.clock import Clock
+from cedarwick.net.counters import Counters
+from cedarwick.store.journal import NoSpaceError
+
+if TYPE_CHECKING:
+    from cedarwick.fleet.session_routing import SessionRouter
+
+
+class NotAMemberError(CedarwickError):
+    """The operator file has a fleet of which this sender is no member."""
+
+    code = "CW743"
+    remedy = "give the sender an entry in `[[fleet.member]]` under the name that the platform's configuration has"
+
+
+class MembershipChangeError(CedarwickError):
+    """Two lists of members differ by more than one, so a majority of each could grant one right twice."""
+
+    code = "CW744"
+    remedy = "change one member at a time: in all files, SIGHUP to all senders, then the next one"
+
+
+class MemberState:
+    """The state that the parts of a member share, and calls of other members."""
+
+    def __init__(
+        self, name: str, told: Fleet, state: str, store: ReplicatedStore, clock: Clock, counters: Counters
+    ) -> None:
+        """OSError where the folder or the address cannot be used; `NotAMemberError` where the file lacks this sender;
+        `FolderOfAnother`."""
+        self.name = name
+        self.told = told
+        self.store = store
+        self.clock = clock
+        self.counters = counters
+        self.halls = {member.name: member.hall for member in told.member}
+        if name not in self.halls:
+            raise NotAMemberError(f"fleet.member: no entry has the name of this sender, {name!r}")
+        self.where = {member.name: address(member.address) for member in told.member}
+        self.lasting = FleetFiles(state, store.durable)
+        self.lasting.claim(told.group, name)
+        self.incarnation = self.lasting.boot(time.time_ns() // 1000)
+        self.gate = PeerVerifier(told.group, name, self.incarnation, self.where)
+        self.peers = Peers(self.gate, self.where)
+        now = monotonic_time()
+        self.members = Membership(name, self.halls, self.incarnation, now)
+        table = self.lasting.table()
+        known = table.grants if table is not None and not table.learning else None
+        self.grantor = LeaseGrantor(name, self.halls, now, known)
+        self.changed = self.written = 0  # counts the states of its table: the newest, and that on the disk
+        self.changed_at: dict[str, int] = {}  # by right: the state with its newest row, where that is not on the disk
+        self.writing = False
+        self.copies = ReplicaStore(
+            ReplicaFolder(self.lasting.copies), round(told.copies_mb * (1 << 20)), now=clock.now, durable=store.durable
+        )
+        self.adoptions: dict[int, Takeover] = {}
+        self.held = {held.partition: held for held in self.lasting.held()}
+        self.ownership: Ownership | None = None
+        self.dispatcher: PartitionDispatcher
+        self.shipped_at: dict[int, int] = {}  # by partition: when its holder last wrote to the copy here
+        self.begun_at = now
+        self.before = True  # whether messages may be left that were taken before this sender was a member
+        self.doubted: set[int] = set()  # partitions of a folder with damage: the successors may have more of them
+        self.reborn: dict[str, int] = {}  # when a member was first heard under a newer incarnation than before
+        self.served: dict[int, tuple[str, int]] = {}  # by partition: who has said that it fires for it, and when
+        self.claimed: dict[int, tuple[str, int]] = {}  # by partition: who is said to hold it, and since when
+        self.full_at: dict[str, int] = {}  # when a member has refused to keep a copy
+        self.asking: set[str] = set()  # grantors whose tables were asked for and have not come
+        self.pumps: dict[tuple[int, str], gevent.Greenlet] = {}
+        self.offers: dict[int, gevent.Greenlet] = {}
+        self.alive: list[str] = []  # as of this look
+        self.looked_late = 0.0
+        self.few_since = 0  # since when too few members are alive to grant anything; 0: enough are
+        self.leaving = False
+        self.sharing = Gossip(name, self.lasting, clock, counters, self._call)
+        self.owing = OrderKeyHints()
+        self.lying: dict[int, frozenset[int]] = {}  # by partition: keys in a copy here whose holder is silent
+        self.exchange = Exchange(name, self.gate, counters, self._call, state, round(told.follow_s * 1e6))
+        store.seen = self.exchange.seen
+        self.traffic: SessionRouter | None = None
+
+    def _call(self, name: str, body: Body, within_s: float) -> Body | None:
+        """The answer of another member; None where there is none."""
+        answer = self._peer_message(name, body, within_s)
+        return answer.body if answer is not None else None
+
+    def _peer_message(self, name: str, body: Body, within_s: float) -> PeerMessage | None:
+        try:
+            return self.peers.peer_message(name, body, within_s)
+        except PeerUnreachableError:
+            self.counters.add(f"peer messages without an answer: {name}")
+        except PeerRefusedError as error:
+            self.counters.trouble(f"{name} refused a peer message", error)
+        except CedarwickError as error:
+            self.counters.trouble("a peer message that was not sent", error)
+        return None
+
+    def _guarded(self, call: Callable[..., object], *told: object) -> None:
+        """Call it, and count and log its errors.
+
+        Danger: one partition that cannot be written would keep all others from being renewed, and from their answers.
+        """
+        try:
+            call(*told)
+        except (OSError, NoSpaceError) as error:
+            self.counters.trouble("the fleet's folder cannot be used", error)
+        except Exception:  # the process would end, and again after each start for as long as the folder is the same
+            self.counters.failed(f"the fleet failed in {call.__name__}")
--- /dev/null
+++ b/cedarwick/fleet/membership_reload.py
@@ -0,0 +1,67 @@
+"""Taking over another list of members from the operator file, one change at a time."""
+
+import gevent
+import msgspec
+from loguru import logger
+
+from cedarwick.config.operator import Fleet
+from cedarwick.errors import CedarwickError
+from cedarwick.fleet.heartbeats import Heartbeats
+from cedarwick.fleet.member_state import MembershipChangeError, NotAMemberError
+from cedarwick.fleet.replicated_store import monotonic_time
+from cedarwick.fleet.takeover import AWAY
+from cedarwick.net.assignment import address
+
+
+class MembershipReload(Heartbeats):
+    """Replaces the list of members in service."""
+
+    def replace(self, told: Fleet) -> None:
+        """Take over another list of members, and what else of the table may change in service."""
+        if self.name not in {member.name for member in told.member}:
+            error: CedarwickError = NotAMemberError(
+                f"fleet.member: no entry has the name of this sender, {self.name!r}"
+            )
+            logger.error("the members stay as they were: {}", error.line)
+            return
+        try:
+            self._one_at_a_time({member.name for member in told.member})
+        except MembershipChangeError as error:
+            logger.error("the members stay as they were: {}", error.line)
+            return
+        before, now = set(self.halls), monotonic_time()
+        stored = msgspec.structs.replace(self.told, member=told.member, follow_s=told.follow_s)
+        moved = self.where[self.name] not in [address(each.address) for each in told.member if each.name == self.name]
+        if stored != told or moved:
+            logger.warning(
+                "but for the members and follow_s, the fleet's table and its own address are taken "
+                "over at a start only"
+            )
+        self.told = stored
+        self.halls = {member.name: member.hall for member in told.member}
+        self.where = {member.name: address(member.address) for member in told.member}
+        self.peers.replace(self.where)
+        self.members.replace(now, self.halls)
+        self.grantor.replace(self.halls)
+        self.exchange.replace(round(told.follow_s * 1e6))
+        if self.traffic is not None:
+            self.traffic.replace()
+        for adoption in self.adoptions.values():
+            adoption.holder.replace(self.halls)
+        if self.ownership is not None:
+            self.ownership.names = self.halls  # of the partitions that it opens from now on
+        for name in sorted(set(self.halls) - before):
+            gevent.spawn(self._beat, name)
+        logger.info("members of {}: {}", told.group, ", ".join(sorted(self.halls)))
+
+    def _one_at_a_time(self, names: set[str]) -> None:
+        """`MembershipChangeError` where majorities of a list in use and of the next one might share no member."""
+        mine = self.members.names
+        if len(mine ^ names) > 1:
+            raise MembershipChangeError(f"the file changes {', '.join(sorted(mine ^ names))} at once")
+        # Danger: two changes in turn here are two at once for a member that has taken over neither.
+        behind = [name for name in sorted(mine) if self.members.list_of(name) not in (None, mine, frozenset(names))]
+        if mine > names:  # who is dead takes over nothing; several of them are taken out in turn
+            behind = [name for name in behind if self.members.state(monotonic_time(), name) not in AWAY]
+        if mine != names and behind:
+            raise MembershipChangeError(f"{', '.join(behind)} have not taken over the change before this one")
--- /dev/null
+++ b/cedarwick/fleet/partition_takeover.py
@@ -0,0 +1,327 @@
+"""One partition from the request for its lease to its end: what the rules of `takeover.py` say is done here."""
+
+import gevent
+from loguru import logger
+
+from cedarwick.fleet import replication_facts as known_facts
+from cedarwick.fleet.lease_exchange import LeaseExchange
+from cedarwick.fleet.leases import SPAN, LeaseState, right_of
+from cedarwick.fleet.limits import (
+    ANSWER_AHEAD_US,
+    DOUBTED_US,
+    GATHER_COPIES_US,
+    HEARTBEAT_INTERVAL_S,
+    OFFER_EXPECTED_US,
+    OFFER_PART_BYTES,
+    OFFER_TIMEOUT_S,
+    PARTITION_CLOSED,
+    UNWANTED_COPY_US,
+)
+from cedarwick.fleet.messages import LeaseRequest, OfferReply, TakeoverOffer, digest_of, slot_of
+from cedarwick.fleet.owed_keys import OwedKeyExchange
+from cedarwick.fleet.replicated_store import LeasedPartition, monotonic_time
+from cedarwick.fleet.replication_pumps import ReplicationPumps
+from cedarwick.fleet.takeover import BooksExhaustedError, Takeover, TakeoverAction, TakeoverStage
+from cedarwick.store.journal import NoSpaceError
+
+
+class PartitionTakeover(LeaseExchange, ReplicationPumps, OwedKeyExchange):
+    """Takes in, serves and gives up partitions."""
+
+    def _own(self, now: int) -> None:
+        """Have a partition in which new messages can be taken."""
+        assert self.ownership is not None
+        if self.leaving:
+            return
+        try:
+            begun = self.ownership.step(self.grantor)
+        except BooksExhaustedError as error:
+            self.counters.trouble("no partition can be opened", error)
+            return
+        if begun is not None:
+            self.adoptions[begun.partition] = begun
+            holding = self._hold(begun.partition)
+            logger.info("partition {} is to be held", begun.partition)
+            self.store.open(holding, self._first_number(begun.partition))
+
+    def _look_at(self, now: int, adoption: Takeover) -> None:
+        """One partition: what the rules say is done."""
+        partition, holder = adoption.partition, adoption.holder
+        replica, holding = self.copies.replica(partition), self.store.holdings.get(partition)
+        right = right_of(partition)
+        doubted = partition in self.doubted and now - self.begun_at < DOUBTED_US
+        whole = holding is not None and not doubted or (replica is not None and replica.whole)
+        # Danger: alone nobody is granted a term, and asks in vain would cost the holder its own once the cut is healed.
+        whole = whole and not self.few_since
+        owed = len(holding.ledger.known) if holding is not None and holding.imported else 1
+        if holding is not None and self._expects_offer(now, holding):
+            owed = owed or 1
+        # Danger: the own grantor knows nothing of a holder whose term it has given to somebody else, in vain.
+        served = self.served[partition][1] + SPAN if partition in self.served else 0
+        asked = holder.term if adoption.stage is TakeoverStage.ASKING else 0
+        step = adoption.step(
+            now,
+            self.grantor.grant(right),
+            max(self.grantor.promised(right), served),
+            lambda name: self._standing(now, name, adoption),
+            whole,
+            owed,
+        )
+        if (
+            asked
+            and adoption.stage is not TakeoverStage.HOLDING
+            and (holder.term, holder.state) != (asked, LeaseState.ASKING)
+        ):
+            # Danger: two that ask in vain, each promised by itself, would keep each other from it for ever.
+            self._give_up(LeaseRequest(right, asked, self.name, 0))
+        if step.do is TakeoverAction.ASK:
+            logger.info("partition {}: asking for term {}", partition, holder.term)
+        elif step.do is TakeoverAction.IMPORT:
+            self._import(now, adoption)
+        elif step.do is TakeoverAction.CLOSE:
+            logger.info("partition {}: nothing is owed, it is closed", partition)
+        elif step.do is TakeoverAction.OFFER and partition not in self.offers and not self.leaving:
+            self.offers[partition] = gevent.spawn(self._offer, adoption, step.to)
+        elif step.do is TakeoverAction.DROP:
+            self._drop(partition)
+            return
+        ask = None if self.leaving else holder.asks(now)
+        if ask is not None:
+            told = self._granted(ask)
+            if ask.right in self.changed_at:
+                gevent.spawn(self._ask_all, adoption, ask, told, now)
+            else:
+                self._ask_all(adoption, ask, told, now)
+        if holding is not None:
+            self._serve(now, holding)
+        elif replica is not None and self._unwanted(now, partition, adoption):
+            self._drop(partition)
+
+    def _expects_offer(self, now: int, holding: LeasedPartition) -> bool:
+        """Whether who held an adopted partition before may come back with what no copy was told."""
+        if not holding.from_term:
+            return False
+        # Danger: closed before it has the answer to its offer, it would end all of that itself.
+        return (
+            now - holding.heard_out < 3 * OFFER_TIMEOUT_S * 1e6
+            if holding.heard_out
+            else now - holding.begun_at < OFFER_EXPECTED_US
+        )
+
+    def _unwanted(self, now: int, partition: int, adoption: Takeover) -> bool:
+        grant = self.grantor.grant(right_of(partition))
+        # Danger: this member's row may lag; a copy that its holder still counts on is written to all the time.
+        return (
+            grant.set > 0
+            and self.name not in grant.successors
+            and grant.holder != self.name
+            and now - self.shipped_at.setdefault(partition, now) > UNWANTED_COPY_US
+        )
+
+    def _import(self, now: int, adoption: Takeover) -> None:
+        """Granted: the partition's messages into the own folder, then its copies up, then its successors named."""
+        partition, term = adoption.partition, adoption.holder.term
+        holding = self._hold(partition)
+        if holding.log.term != term:
+            holding.imported = False
+            replica = self.copies.replica(partition)
+            try:
+                if replica is None:
+                    last = self._term_of(partition)
+                    if 0 < last < term - 1:
+                        holding.from_term = last  # somebody else may have held it between
+                    self.store.resume_own(holding, term)
+                else:
+                    holding.from_term = replica.place.term
+                    # Danger: a copy that follows behind may lack an attempt; what it holds may have run, since the last
+                    # attempt that it was told of: they are told in their order.
+                    heard = (head.at for fact in replica.held.values() for head in fact.known.heads.values())
+                    behind = self.told.ack == "own" or replica.behind  # its holder may have been started before us
+                    doubt_at = max(heard, default=1) if behind else 0
+                    mine, perhaps = self.store.only_here(holding) if not holding.offered else ([], [])
+                    facts = list(replica.held.values())
+                    late = self.clock.now() + ANSWER_AHEAD_US
+                    self.store.take_in(holding, facts, term, doubt_at, mine, perhaps, late)
+                    if self.traffic is not None:
+                        self.traffic.adopted(partition)
+                    owner = next((name for name in self.halls if slot_of(name) == partition >> 12), "")
+                    self.exchange.adopted(
+                        [self.store.messages[number] for number in self.store.numbers(partition)], owner
+                    )
+            except NoSpaceError as error:
+                self.counters.trouble("a partition cannot be adopted", error)
+                ask = adoption.holder.release()
+                if ask is not None:
+                    self._give_up(ask)
+                adoption.holder.state = LeaseState.LOST  # asked for again after a while, if nobody else has it by then
+                return
+            self._note(partition, term, 0)
+            self.store.begin_log(holding, term)
+            self._backlog(holding)
+            self.copies.drop(partition)
+            logger.info(
+                "partition {}: held under term {}, {} messages owed", partition, term, len(holding.ledger.known)
+            )
+        self._ship(now, holding)
+        wanted = self._wanted(holding)
+        whole = self._whole(now, holding, wanted)
+        if len(whole) == len(wanted) or now - holding.begun_at >= GATHER_COPIES_US:
+            holding.imported = True
+            adoption.imported(now, whole)
+
+    def _serve(self, now: int, holding: LeasedPartition) -> None:
+        """Keep the successors right, and let the dispatcher fire while the right is held."""
+        holder = holding.adoption.holder
+        if holding.adoption.stage is TakeoverStage.HOLDING and holding.imported:
+            self._ship(now, holding)
+            self._name_successors(now, holding)
+        may = (
+            holding.adoption.stage is TakeoverStage.HOLDING
+            and holding.imported
+            and not self.leaving
+            and holder.may_fire(now)
+            and self._copied(now, holding)
+        )
+        if may == holding.serving:
+            return
+        holding.serving = may
+        self._backlog(holding)
+        numbers = self.store.numbers(holding.partition)
+        if may:
+            logger.info(
+                "partition {}: fired for from now on, {} messages, successors {}",
+                holding.partition,
+                len(numbers),
+                ", ".join(holder.successors[1:]) or "none",
+            )
+            self.dispatcher.adopt(numbers)
+        else:
+            logger.warning(
+                "partition {}: not fired for, {} messages ({})",
+                holding.partition,
+                len(numbers),
+                holding.adoption.stage.value if holder.may_fire(now) is False else "no copy follows",
+            )
+            self.counters.add("partitions that were not fired for any more")
+            self.dispatcher.park(numbers)
+
+    def _drop(self, partition: int) -> None:
+        """The partition is over, or somebody else's for good."""
+        holding = self.store.holdings.get(partition)
+        if holding is not None:
+            mine, perhaps = self.store.only_here(holding) if not holding.offered else ([], [])
+            if mine or perhaps:
+                if self.leaving or not self.store.taking():
+                    # They are moved to the open partition once there is one, of the next process if need be; till then
+                    # they are answered when late.
+                    return
+                if any(self.store.messages[number].out_at for number in mine + perhaps):
+                    return  # Danger: under its new number a second attempt would go out beside the one that is out
+                if not (self._rekey(mine) and self._rekey(perhaps, failed=True)):
+                    return  # Danger: what has found no room is nowhere else; it is tried again at the next look
+        adoption = self.adoptions.pop(partition)
+        self.doubted.discard(partition)
+        if holding is not None:
+            numbers = self.store.numbers(partition)
+            self.dispatcher.park(numbers)
+            for name in list(holding.log.followers):
+                holding.log.unfollow(name)
+            self.store.forget(partition)
+            logger.info(
+                "partition {}: given up ({}), {} messages are another sender's",
+                partition,
+                adoption.stage.value,
+                len(numbers),
+            )
+        if self.held.pop(partition, None) is not None:
+            self.lasting.write_held(list(self.held.values()))
+        replica = self.copies.replica(partition)
+        closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(right_of(partition)).closed
+        if holding is not None and replica is not None and replica.place.term > holding.log.term and not closed:
+            self._follow(partition)  # Danger: the newer holder counts on this copy by now, it is none of ours
+            return
+        self.copies.drop(partition)
+        self.lying.pop(partition, None)
+        self.shipped_at.pop(partition, None)
+        self.served.pop(partition, None)
+        self.claimed.pop(partition, None)
+
+    def _rekey(self, numbers: list[int], failed: bool = False) -> bool:
+        """Messages that only this member has go on in the open partition; whether all of them do."""
+        self.dispatcher.park(numbers)
+        made: list[int] = []
+        try:
+            for number in self.store.rekey(numbers, failed):
+                made.append(number)
+        except (OSError, NoSpaceError) as error:
+            self.counters.trouble("messages cannot be taken over into the open partition", error)
+            return False
+        finally:
+            # Danger: those that found room before one that did not are nobody's else.
+            if made:
+                logger.info("{} messages go on in partition {}", len(made), made[0] >> 32)
+                self.dispatcher.adopt(made)
+        return True
+
+    def _offer(self, adoption: Takeover, to: str) -> None:
+        """Tell the newer holder what only this member knows, until it has taken all."""
+        holding = self.store.holdings.get(adoption.partition)
+        if holding is not None and not holding.ledger.term:
+            # Danger: what an earlier process of this sender has taken, or heard of, may be nowhere but in this folder.
+            self.store.resume_own(holding, self._term_of(adoption.partition))
+        told = self.store.known_here(holding) if holding is not None else []
+        parts: list[bytes] = []
+        part: list[bytes] = []
+        for fact in told:
+            part.append(known_facts.encoded(fact))
+            if sum(map(len, part)) >= OFFER_PART_BYTES:
+                parts.append(known_facts.together(part))
+                part = []
+        parts.append(known_facts.together(part))
+        logger.info("partition {}: {} messages offered to {}", adoption.partition, len(told), to)
+        try:
+            for index, data in enumerate(parts):
+                offer = TakeoverOffer(
+                    adoption.partition,
+                    index,
+                    index + 1 == len(parts),
+                    data,
+                    digest_of(data),
+                    adoption.holder.term if holding is None else holding.ledger.term,
+                )
+                if holding is not None:
+                    holding.approached = True
+                answer = self._call(to, offer, OFFER_TIMEOUT_S)
+                if not isinstance(answer, OfferReply) or answer.problem:
+                    if isinstance(answer, OfferReply) and answer.problem == PARTITION_CLOSED:
+                        self._closed_elsewhere(to)
+                    gevent.sleep(HEARTBEAT_INTERVAL_S)
+                    return  # it is asked again at the next look, of whoever holds the partition then
+            adoption.offered()
+            if holding is not None:
+                holding.offered = True
+        finally:
+            self.offers.pop(adoption.partition, None)
+
+    def _offered(self, sender: str, body: TakeoverOffer) -> OfferReply:
+        """The last holder of a partition that is held here tells what it knows."""
+        holding = self.store.holdings.get(body.partition)
+        if holding is None and self.grantor.grant(right_of(body.partition)).closed:
+            return OfferReply(body.partition, body.part, PARTITION_CLOSED)
+        if holding is None or not holding.imported or holding.adoption.stage is not TakeoverStage.HOLDING:
+            return OfferReply(body.partition, body.part, "it is not held here")
+        if digest_of(body.facts) != body.digest:
+            return OfferReply(body.partition, body.part, "spoilt")
+        try:
+            facts = known_facts.decode_facts(body.facts)
+            facts = self.traffic.offered(holding, facts) if self.traffic is not None else facts
+            ended, news, problem = self.store.offered(holding, facts, body.term)
+        except known_facts.CorruptFactsError as error:
+            return OfferReply(body.partition, body.part, str(error)[:512])
+        logger.info("partition {}: {} told of {} ends and {} news", body.partition, sender, len(ended), len(news))
+        holding.heard_out = monotonic_time() if body.last and not problem else holding.heard_out
+        if holding.serving and (ended or news):
+            # What was decided on less is decided anew.
+            self.dispatcher.park(ended + news)
+            self.dispatcher.adopt(news)
+        return OfferReply(body.partition, body.part, problem[:512])
--- a/cedarwick/fleet/ports.py
+++ b/cedarwick/fleet/ports.py
@@ -1,7 +1,7 @@
-"""What the session modules use of the member that they run in.
+"""Protocols between a member of a fleet and what is above and below it.
 
-`FleetNode` satisfies it. The session modules depend on this protocol alone, so that imports only run downward: from
-the node to the sessions, never back.
+The dispatcher satisfies `PartitionDispatcher`, and `FleetNode` satisfies `SessionHost`: the session modules depend on
+it alone, so that imports only run downward, from the node to the sessions, never back.
 """
 
 from collections.abc import Container
@@ -17,6 +17,22 @@
 from cedarwick.net.counters import Counters
 
 
+class PartitionDispatcher(Protocol):
+    """What the dispatcher does for a partition."""
+
+    def adopt(self, numbers: list[int]) -> None: ...
+
+    def park(self, numbers: list[int]) -> None: ...
+
+    def answer_late(self, numbers: list[int]) -> None: ...
+
+    def ordered(self, priority_class: str) -> bool: ...
+
+    def rest(self, keys: frozenset[int]) -> None: ...
+
+    def rest_of(self, key: int) -> int: ...
+
+
 class SessionHost(Protocol):
     """The member of a fleet that sessions are held at. The lists of members change when the file is read again."""
 
--- /dev/null
+++ b/cedarwick/fleet/replication_pumps.py
@@ -0,0 +1,143 @@
+"""Sending a held partition to its copies, and naming its successors."""
+
+from collections.abc import Iterable
+
+import gevent
+from loguru import logger
+
+from cedarwick.fleet import placement
+from cedarwick.fleet.limits import COPY_TRUST_US, MAX_LAG_FACTS, MAX_LAG_US, REPLICATE_PAUSE_S, REPLICATE_TIMEOUT_S
+from cedarwick.fleet.member_state import MemberState
+from cedarwick.fleet.messages import Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
+from cedarwick.fleet.replicated_store import STARVED, LeasedPartition, monotonic_time
+from cedarwick.fleet.replication import NO_ROOM, OTHER, FollowerProgress
+
+
+class ReplicationPumps(MemberState):
+    """A greenlet for each copy of a partition that is held here."""
+
+    def _ship(self, now: int, holding: LeasedPartition) -> None:
+        """Have a pump for each copy that is wanted or still a successor."""
+        successors = self.store.successors_of(holding)
+        wanted = set(self._wanted(holding))
+        for name in sorted(wanted | (successors & set(self.halls))):
+            if (holding.partition, name) not in self.pumps:
+                follower = holding.log.followers.get(name) or holding.log.follow(name, now)
+                self.pumps[holding.partition, name] = gevent.spawn(
+                    self._pump, holding, holding.log.term, name, follower
+                )
+        for name in set(holding.log.followers) - wanted - successors:
+            # The old copy stays until a majority knows a set of successors without it.
+            holding.log.unfollow(name)
+
+    def _pump(self, holding: LeasedPartition, term: int, name: str, follower: FollowerProgress) -> None:
+        """Returns once the copy is not followed any more: sends what it lacks."""
+        while holding.log.followers.get(name) is follower and name in self.halls:
+            message = follower.next(monotonic_time())
+            if message is None:
+                self.store.news.clear()
+                self.store.news.wait(0.05)
+                continue
+            holding.sent = max(holding.sent, follower.sent)
+            gevent.spawn(self._send, follower, name, message)
+            gevent.sleep(0 if self.store.by_copy else REPLICATE_PAUSE_S)
+        self.pumps.pop((holding.partition, name), None)
+
+    def _send(self, follower: FollowerProgress, name: str, message: ReplicateFacts | ReplicatePiece | Digests) -> None:
+        answer = self._peer_message(name, message, REPLICATE_TIMEOUT_S)
+        # Danger: by the newest boot heard of, an old one's answer that comes late would speak for the new one's files.
+        if answer is not None and isinstance(answer.body, ReplicaAck):
+            if answer.body.problem in (NO_ROOM, OTHER):
+                self.full_at[name] = monotonic_time()
+            follower.have(monotonic_time(), answer.body, answer.incarnation)
+        elif answer is not None and isinstance(answer.body, Digests):
+            follower.digests(monotonic_time(), answer.body, answer.incarnation)
+        self.store.news.set()
+
+    def _wanted(self, holding: LeasedPartition) -> list[str]:
+        """The members that are to have copies of a partition."""
+        now = monotonic_time()
+        able = [name for name in self.alive if now - self.full_at.get(name, -COPY_TRUST_US) >= COPY_TRUST_US]
+        able = able if len(able) > self.told.copies else self.alive
+        return placement.copies(holding.partition, self.name, self.halls, able, self.told.copies)
+
+    def _whole(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
+        """Those of some members whose copies have all but a short tail."""
+        found = []
+        for name in names:
+            follower = holding.log.followers.get(name)
+            if follower is not None and follower.whole:
+                missing, behind = follower.lag(now)
+                if self.store.by_copy or missing <= MAX_LAG_FACTS and behind <= MAX_LAG_US:
+                    found.append(name)
+        return found
+
+    def _name_successors(self, now: int, holding: LeasedPartition) -> None:
+        holder = holding.adoption.holder
+        wanted = self._wanted(holding)
+        whole = self._whole(now, holding, wanted)
+        if holding.starving(now) and self.told.alone == "own" and not self._back(now, holding, whole):
+            holder.name(now, ())
+            holding.joining = {}
+            return
+        if self.store.by_copy:
+            whole = self._joined(now, holding, whole)
+        old = [name for name in holder.successors[1:] if name in holding.log.followers and name not in wanted]
+        if len(whole) < len(wanted):
+            whole += [name for name in self._whole(now, holding, old) if name not in whole]
+        if self.store.by_copy and not whole and holder.successors[1:] and self.told.alone == "busy":
+            return  # Danger: without a successor, what was promised to be on two folders would be on one
+        holder.name(now, placement.order(holding.partition, self.name, self.halls, whole))
+
+    def _joined(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
+        """Those of some whole copies that are successors, or may be named for ones.
+
+        Danger: a successor that was named with records on their way to it would go on without them, attempts among
+        them, if this sender died in that moment. So what comes waits for it first, and it is named once it has what
+        came before.
+        """
+        bound, log = holding.adoption.holder.bound, holding.log
+        joining = {name: holding.joining.get(name, (log.next, now)) for name in whole if name not in bound}
+        for name, (index, since) in joining.items():
+            if log.acked([name]) < index and now - since > STARVED:
+                self.full_at[name] = now  # it does not keep up: another one is asked
+        if joining.keys() - holding.joining.keys() and holding.alone_since:
+            logger.info("partition {}: copies follow again", holding.partition)
+            holding.starved_at = holding.alone_since = 0
+        holding.joining = {name: each for name, each in joining.items() if self.full_at.get(name) != now}
+        return [
+            name
+            for name in whole
+            if name in bound or name in holding.joining and log.acked([name]) >= holding.joining[name][0]
+        ]
+
+    def _starved(self, holding: LeasedPartition) -> None:
+        """A copy has not taken a record in time."""
+        if not holding.starved_at:
+            holding.starved_at = monotonic_time()
+            self.counters.trouble("a copy does not follow", f"partition {holding.partition}")
+
+    def _back(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
+        """Whether a sender that goes on alone may count on copies again: they have followed for long enough."""
+        if not whole:
+            holding.alone_since = now
+            return False
+        return now - holding.alone_since >= COPY_TRUST_US
+
+    def _copied(self, now: int, holding: LeasedPartition) -> bool:
+        """Under `ack = "copy"`: whether the successors have what was told, or the file says to go on without."""
+        if not self.store.by_copy:
+            return True
+        successors = self.store.successors_of(holding)
+        # Danger: one that no majority knows for a successor yet would not be granted what it has a copy of.
+        if not successors or self.told.alone == "busy" and not holding.adoption.holder.successors[1:]:
+            if self.told.alone == "own" and not holding.alone_since:
+                logger.warning("partition {}: goes on without a copy", holding.partition)
+                holding.alone_since = now
+                holding.starved_at = holding.starved_at or now - STARVED
+            return self.told.alone == "own"
+        if holding.starved_at and holding.log.acked(successors) >= holding.log.next:
+            if holding.alone_since or holding.starving(now):
+                logger.info("partition {}: copies follow again", holding.partition)
+            holding.starved_at = holding.alone_since = 0
+        return not holding.starving(now)
--- /dev/null
+++ b/cedarwick/fleet/request_handling.py
@@ -0,0 +1,110 @@
+"""The answers to the peer messages of other members; in the greenlets of their connections."""
+
+import gevent
+
+from cedarwick.errors import CedarwickError
+from cedarwick.fleet.heartbeats import Heartbeats
+from cedarwick.fleet.limits import REORDER_WAIT_US
+from cedarwick.fleet.member_state import MembershipChangeError
+from cedarwick.fleet.messages import (
+    Acknowledged,
+    Body,
+    Cursors,
+    Digests,
+    GrantTableRequest,
+    Heartbeat,
+    LeaseRequest,
+    Matches,
+    OwedKeys,
+    PeerMessage,
+    ReplicaAck,
+    ReplicateFacts,
+    ReplicatePiece,
+    RetryAfterHint,
+    Subscribe,
+    SuspensionMarks,
+    TakeoverOffer,
+)
+from cedarwick.fleet.partition_takeover import PartitionTakeover
+from cedarwick.fleet.replicated_store import monotonic_time
+from cedarwick.fleet.replication import TERM
+from cedarwick.fleet.takeover import TakeoverStage
+
+
+class UnknownPeerMessageError(CedarwickError):
+    """A peer message whose kind this member does not answer."""
+
+    code = "CW742"
+    remedy = "bring all members to one version of the program"
+
+
+class RequestHandling(Heartbeats, PartitionTakeover):
+    """Answers one peer message."""
+
+    def answer(self, peer_message: PeerMessage) -> PeerMessage:
+        """What another member is told; in the greenlet of its connection."""
+        return self.gate.peer_message(
+            peer_message.sender, self._answer(peer_message.sender, peer_message.incarnation, peer_message.body)
+        )
+
+    def _answer(self, sender: str, incarnation: int, body: Body) -> Body:
+        if isinstance(body, Heartbeat):
+            self._heard(sender, incarnation, body)
+            return self._own_beat()
+        if isinstance(body, LeaseRequest):
+            apart = self.members.apart(sender)
+            if len(apart) > 1:
+                # Danger: a majority of its list, with this member, and one of ours, without, could hold one right.
+                raise MembershipChangeError(
+                    f"{sender!r} has another list than {self.name!r}, by {', '.join(sorted(apart))}"
+                )
+            return self._answer_ask(body)
+        if isinstance(body, GrantTableRequest):
+            return self.grantor.table()
+        if isinstance(body, ReplicateFacts | ReplicatePiece | Digests):
+            return self._copy(body)
+        if isinstance(body, TakeoverOffer):
+            return self._offered(sender, body)
+        if isinstance(body, OwedKeys):
+            self.owing.heard(monotonic_time(), sender, body.keys)
+            return Acknowledged()
+        if isinstance(body, RetryAfterHint | SuspensionMarks):
+            return self.sharing.heard(sender, body)
+        if isinstance(body, Subscribe | Matches | Cursors):
+            return self.exchange.heard(sender, monotonic_time(), body)
+        if self.traffic is not None and (said := self.traffic.heard(sender, incarnation, body)) is not None:
+            return said
+        raise UnknownPeerMessageError(f"a {type(body).__name__} from {sender!r}")
+
+    def _copy(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
+        holding = self.store.holdings.get(body.partition)
+        if holding is not None and holding.adoption.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
+            # Danger: an owner that slept would take our answer for its copy's, while we go on with the partition.
+            if isinstance(body, Digests):
+                return Digests(body.partition, holding.adoption.holder.term, ())
+            return ReplicaAck(body.partition, holding.adoption.holder.term, 0, TERM)
+        self.shipped_at[body.partition] = monotonic_time()
+        if isinstance(body, Digests):
+            return self.copies.digests(body)
+        if isinstance(body, ReplicateFacts):
+            self._let_earlier_come(body)
+        have = self.copies.facts(body) if isinstance(body, ReplicateFacts) else self.copies.piece(body)
+        if self.copies.unsynced:
+            self.copies.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
+        if body.partition not in self.adoptions and self.copies.replica(body.partition) is not None:
+            self._follow(body.partition)
+        return have
+
+    def _let_earlier_come(self, body: ReplicateFacts) -> None:
+        """Messages out at once come on connections of their own, and need not be read in their order.
+
+        Danger: each one refused has the holder send all again that is out, beside what is still on its way.
+        """
+        until = monotonic_time() + REORDER_WAIT_US
+        while (
+            (replica := self.copies.replica(body.partition)) is not None
+            and replica.place.term == body.term
+            and replica.place.next < body.first
+            and monotonic_time() < until
+        ):
+            gevent.sleep(0.0005)
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -23,7 +23,20 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.events import exchange, subscription_server
-from cedarwick.fleet import node, replicated_store, session_migration, session_routing
+from cedarwick.fleet import (
+    heartbeats,
+    lease_exchange,
+    member_state,
+    membership_reload,
+    node,
+    owed_keys,
+    partition_takeover,
+    replicated_store,
+    replication_pumps,
+    request_handling,
+    session_migration,
+    session_routing,
+)
 from cedarwick.fleet.messages import Body, Heartbeat, LeaseRequest, PeerMessage, RequestRefused, decode, encode
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.transport import IN_FLIGHT, QUEUE, PeerRefusedError, PeerUnreachableError
@@ -391,6 +404,14 @@
         *(
             (module, "gevent", greenlets)
             for module in (
+                member_state,
+                heartbeats,
+                membership_reload,
+                lease_exchange,
+                replication_pumps,
+                owed_keys,
+                partition_takeover,
+                request_handling,
                 node,
                 replicated_store,
                 dispatcher,
@@ -401,12 +422,12 @@
                 subscription_server,
             )
         ),
-        *((module, "time", clocks) for module in (node, replicated_store, session_routing, exchange)),
+        *((module, "time", clocks) for module in (member_state, node, replicated_store, session_routing, exchange)),
         (node, "PeerServer", Unused),
-        (node, "Peers", peers),
+        (member_state, "Peers", peers),
         (session_routing, "Peers", peers),
-        (node, "Exchange", watching),
-        (node, "Gossip", Unused),
+        (member_state, "Exchange", watching),
+        (member_state, "Gossip", Unused),
     ]
     before = [getattr(place, name, None) for place, name, _ in changes]
     for place, name, new in changes:
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -14,10 +14,11 @@
 
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import Outcome
-from cedarwick.fleet import node as module
+from cedarwick.fleet import limits
 from cedarwick.fleet.consensus import parts
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError
 from cedarwick.fleet.leases import SPAN, UPTO, LeaseGrantor, right_of
+from cedarwick.fleet.member_state import MembershipChangeError
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
     OWING,
@@ -38,7 +39,7 @@
     slot_of,
 )
 from cedarwick.fleet.messages import HeldLease as Right
-from cedarwick.fleet.node import FleetNode, MembershipChangeError
+from cedarwick.fleet.node import FleetNode
 from cedarwick.fleet.order_key_hints import EVERY, LASTS
 from cedarwick.fleet.replicated_store import (
     BLOCK,
@@ -172,7 +173,7 @@
             self.assertIs(standing("b"), MemberStatus.ALIVE)
             node._heard("b", 8, Heartbeat(False, {}))
             self.assertIs(standing("b"), MemberStatus.ALIVE)  # it may yet ask for the partition
-            node._look_at(monotonic_time() + module.REBORN, adoption)
+            node._look_at(monotonic_time() + limits.REBORN_ASKS_US, adoption)
             self.assertIs(step.call_args.args[3]("b"), MemberStatus.DEAD)
 
     def test_who_was_started_again_may_ask_for_its_partition_however_long_it_has_held_it(self) -> None:
@@ -183,7 +184,7 @@
             node._heard("b", boot, Heartbeat(False, {}, rights))
         now = monotonic_time()
         self.assertIs(node._standing(now, "b", adoption), MemberStatus.ALIVE)
-        self.assertIs(node._standing(now + module.REBORN, "b", adoption), MemberStatus.DEAD)
+        self.assertIs(node._standing(now + limits.REBORN_ASKS_US, "b", adoption), MemberStatus.DEAD)
 
     def test_who_asked_in_vain_is_taken_for_the_holder_only_for_a_while(self) -> None:
         node = self.member()
@@ -193,9 +194,9 @@
         with mock.patch.object(node.members, "state", return_value=MemberStatus.ALIVE):
             for after, name, stands in (
                 (0, "b", MemberStatus.ALIVE),
-                (module.IDLE - 1, "b", MemberStatus.ALIVE),
-                (module.IDLE, "b", MemberStatus.DEAD),
-                (module.IDLE, "c", MemberStatus.ALIVE),
+                (limits.IDLE_HOLDER_US - 1, "b", MemberStatus.ALIVE),
+                (limits.IDLE_HOLDER_US, "b", MemberStatus.DEAD),
+                (limits.IDLE_HOLDER_US, "c", MemberStatus.ALIVE),
             ):
                 self.assertIs(node._standing(now + after, name, adoption), stands)
 
@@ -330,7 +331,7 @@
         node = self.member()
         self.holding(node, granted=False)
         node.store.keep(kept(1, life=100_000))
-        for after, calls in ((0, 0), (module.ALONE - 1, 0), (module.ALONE, 1)):
+        for after, calls in ((0, 0), (limits.NO_MAJORITY_US - 1, 0), (limits.NO_MAJORITY_US, 1)):
             node._answer_late(1_000_000_000 + after, few=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
         holding = node.store.holdings[PARTITION]
@@ -346,7 +347,7 @@
             node.grantor.grant = lambda right: Grant(right, 2, "a")  # type: ignore[method-assign]
             adoption.stage, adoption.holder.newer = TakeoverStage.ASKING, newer
             node.store.keep(kept(1, life=100_000))
-            for after in (0, module.UNKNOWN):
+            for after in (0, limits.NO_MAJORITY_UNHELD_US):
                 node._answer_late(1_000_000_000 + after, few=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
 
@@ -413,7 +414,7 @@
                 (set(again.store.holdings), set(again.adoptions)), ({PARTITION}, {PARTITION, PARTITION + 1})
             )
             again.grantor = LeaseGrantor("a", NAMES, 0, ())
-            now = again.begun_at + module.DOUBTED
+            now = again.begun_at + limits.DOUBTED_US
             for at, asks in ((now - 1, False), (now, True)):
                 again._look_at(at, again.adoptions[PARTITION])
                 self.assertEqual(again.adoptions[PARTITION].stage is TakeoverStage.ASKING, asks)
@@ -744,7 +745,7 @@
             holding.from_term = from_term
             now = monotonic_time()
             self.assertEqual(node._expects_offer(now, holding), waits)
-            self.assertFalse(node._expects_offer(now + module.EXPECTED, holding))
+            self.assertFalse(node._expects_offer(now + limits.OFFER_EXPECTED_US, holding))
             empty = encode_facts([])
             node._offered("b", TakeoverOffer(PARTITION, 0, True, empty, digest_of(empty), 1))
             self.assertEqual(node._expects_offer(now, holding), waits)  # it may not have the answer yet
