--- /dev/null
+++ b/cedarwick/fleet/session_state.py
@@ -0,0 +1,148 @@
+"""What a member knows of sessions, and its calls to the others about them.
+
+The base of the parts of `SessionRouter`.
+"""
+
+from typing import Literal, NamedTuple
+
+import gevent
+import gevent.event
+
+from cedarwick.errors import CedarwickError
+from cedarwick.fleet.membership import MemberStatus
+from cedarwick.fleet.messages import (
+    Body,
+    ClaimReply,
+    SessionClaim,
+    SessionInheritance,
+    SessionLocations,
+)
+from cedarwick.fleet.migration_table import MigrationRequest
+from cedarwick.fleet.ports import SessionHost
+from cedarwick.fleet.recent_ids import RecentIds
+from cedarwick.fleet.replicated_store import monotonic_time
+from cedarwick.fleet.session_migration import SECOND, SessionMigrations
+from cedarwick.fleet.session_wire import entry_of
+from cedarwick.fleet.sessions import (
+    CLAIM,
+    Claim,
+    ClaimRequest,
+    SessionDirectory,
+)
+from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerUnreachableError
+from cedarwick.net.client_listener import ClientListener
+from cedarwick.net.dispatcher import Dispatcher, Submission
+
+AT_ONCE = 16  # peer messages to one member that wait for their answers
+
+
+class InheritedSessions(NamedTuple):
+    """What this member knows of the ids of a partition that it has adopted."""
+
+    owner: str  # who took them
+    whole_at: int  # by the boot clock; before that ids of late may be missing
+    ids: dict[int, dict[str, tuple[int, int]]]  # by session: when they came, and the hash of what came with them
+    keys: set[int]  # inherited
+
+
+class SessionState:
+    """The state that the parts of the session router share."""
+
+    def __init__(self, node: SessionHost) -> None:
+        self.node = node
+        self.name = node.name
+        self.store = node.store
+        self.lasting = node.lasting
+        self.counters = node.counters
+        self.clock = node.clock
+        self.lane = Peers(node.gate, node.where, AT_ONCE)
+        now = monotonic_time()
+        self.directory = SessionDirectory(self.name, len(node.halls), now)
+        self.transfers = SessionMigrations(node, self.directory, self._call, self._takes, self._change)
+        self.moves = self.transfers.moves
+        self.dispatcher: Dispatcher
+        self.client_listener: ClientListener
+        self.leaving = False
+        self.changed = gevent.event.Event()  # something that a submission may wait for
+        self.pending: dict[str, Submission] = {}  # by id: at the dispatcher
+        self.wishes: dict[int, tuple[MigrationRequest, int]] = {}  # and until when
+        self.ends: dict[int, gevent.event.AsyncResult] = {}  # by key: staff wait for the end of its move
+        self.neighbours: dict[str, SessionLocations] = {}  # what each member told last
+        self.first_seen: dict[str, int] = {}  # by member: the first boot of it that was heard of
+        self.new: set[str] = set()  # members that have never run before, and know of no earlier boot of this one
+        self.void: set[str] = set()  # members whose sessions were given up
+        self.told_at = self.forgot_at = 0
+        self.partition = 0  # in which the sessions that are held for sure were taken
+        self.memories: dict[int, RecentIds] = {}  # by partition, of the copies that lie here
+        self.estates: dict[int, InheritedSessions] = {}  # by partition that was adopted here
+
+    def _standing(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
+        """As `Moves.standing`, but that a session which has come back is here."""
+        there, to = self.moves.standing(key)
+        return ("here", "") if there == "pass" and key in self.directory.sessions else (there, to)
+
+    def _lives(self, name: str) -> bool:
+        return name != self.name and self.node.members.state(monotonic_time(), name) is MemberStatus.ALIVE
+
+    def _wait(self, until: int) -> bool:
+        """Whether something has changed before a time."""
+        return self.changed.wait(max(0, until - monotonic_time()) / SECOND) is True
+
+    def _change(self) -> None:
+        changed, self.changed = self.changed, gevent.event.Event()
+        changed.set()
+
+    def _bind(self) -> None:
+        """Before anything is ruled on: sessions are held for sure in one partition alone."""
+        current = self.store.current
+        if current is not None and current.partition != self.partition:
+            if self.partition:
+                self.directory.unsure()
+                self.transfers.slept = set(self.transfers.offers)
+            self.partition = current.partition
+
+    def _takes(self) -> bool:
+        return not (self.leaving or self.node.leaving or self.client_listener.paused) and self.store.taking()
+
+    def _call(self, name: str, body: Body, within_s: float) -> Body | None:
+        try:
+            return self.lane.call(name, body, within_s)
+        except PeerUnreachableError:
+            self.counters.add(f"peer messages about sessions without an answer: {name}")
+        except PeerRefusedError as error:
+            self.counters.trouble(f"{name} refused a peer message about sessions", error)
+        except CedarwickError as error:
+            self.counters.trouble("a peer message about sessions that was not sent", error)
+        return None
+
+    def _claim(self, key: int) -> bool:
+        """Whether the session may be ruled on once more: it was claimed, or its holder is known now."""
+        # Danger: until the next partition is held a successor of the last one may still be granted what is claimed
+        # anew.
+        asking = self.directory.claim(key, monotonic_time()) if self.store.taking() else None
+        if asking is None:
+            return False
+        self._ask_all(asking, SessionClaim(asking.key, asking.sequence, *asking.over, asking.at))
+        self.counters.add("sessions claimed" if key in self.directory.sessions else "claims that failed")
+        return True
+
+    def _ask_all(self, asking: ClaimRequest, body: SessionClaim | SessionInheritance) -> None:
+        """Put a claim to all others; returns once it is granted, or all have answered, or its time is over."""
+        over = gevent.event.Event()
+        others = [name for name in self.node.halls if name != self.name]
+        answered: list[str] = []
+
+        def ask(name: str) -> None:
+            answer = self._call(name, body, CLAIM / SECOND)
+            if isinstance(answer, ClaimReply):
+                told = Claim(answer.granted, entry_of(answer.entry))
+                if self.directory.answered(asking, name, told, monotonic_time()):
+                    self._change()
+                    over.set()
+            answered.append(name)
+            if len(answered) == len(others):
+                over.set()
+
+        for name in others:
+            gevent.spawn(ask, name)
+        over.wait(CLAIM / SECOND)
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -36,6 +36,8 @@
     request_handling,
     session_migration,
     session_routing,
+    session_state,
+    session_submissions,
 )
 from cedarwick.fleet.messages import Body, Heartbeat, LeaseRequest, PeerMessage, RequestRefused, decode, encode
 from cedarwick.fleet.peer_verifier import PeerVerifier
@@ -390,7 +392,7 @@
 
     # Their classes have the real events for a default.
     made: list[tuple[object, str, Any]] = [
-        (session_routing, "Submission", lambda stored: dispatcher.Submission(stored, AsyncResult())),
+        (session_submissions, "Submission", lambda stored: dispatcher.Submission(stored, AsyncResult())),
         (dispatcher, "FrozenSession", lambda frozen=dispatcher.FrozenSession: frozen(AsyncResult())),
         (
             subscription_server,
@@ -416,6 +418,8 @@
                 replicated_store,
                 dispatcher,
                 notifications,
+                session_state,
+                session_submissions,
                 session_routing,
                 session_migration,
                 exchange,
@@ -425,7 +429,7 @@
         *((module, "time", clocks) for module in (member_state, node, replicated_store, session_routing, exchange)),
         (node, "PeerServer", Unused),
         (member_state, "Peers", peers),
-        (session_routing, "Peers", peers),
+        (session_state, "Peers", peers),
         (member_state, "Exchange", watching),
         (member_state, "Gossip", Unused),
     ]
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -25,7 +25,9 @@
 from cedarwick.fleet.replication import ReplicaEntry as Step
 from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, MessageKnowledge, base_of
 from cedarwick.fleet.session_files import SessionFiles
-from cedarwick.fleet.session_routing import SUCCESSORS, InheritedSessions, SessionRouter
+from cedarwick.fleet.session_inheritance import SUCCESSORS
+from cedarwick.fleet.session_routing import SessionRouter
+from cedarwick.fleet.session_state import InheritedSessions
 from cedarwick.fleet.sessions import REMEMBERED
 from cedarwick.fleet.transport import PeerUnreachableError
 from cedarwick.net.attempts import AttemptResult
