--- /dev/null
+++ b/cedarwick/fleet/migration_state.py
@@ -0,0 +1,160 @@
+"""What a member knows of the moves that it has a side of.
+
+The base of the parts of `SessionMigrations`.
+"""
+
+import random
+from abc import ABC, abstractmethod
+from collections.abc import Callable, Iterable
+
+import gevent
+import gevent.event
+
+from cedarwick.errors import CedarwickError
+from cedarwick.fleet.consensus import (
+    Acceptor,
+    Proposer,
+    parts,
+)
+from cedarwick.fleet.messages import (
+    Body,
+    StageSession,
+)
+from cedarwick.fleet.migration_table import (
+    MigrationAction,
+    MigrationPlanner,
+    MigrationStep,
+    MigrationTable,
+)
+from cedarwick.fleet.ports import SessionHost
+from cedarwick.fleet.replicated_store import monotonic_time
+from cedarwick.fleet.session_files import SessionFiles
+from cedarwick.fleet.sessions import SessionDirectory
+from cedarwick.net.dispatcher import Dispatcher
+from cedarwick.store.journal import NoSpaceError
+
+SETTLE_IN = 0.3  # seconds for the answer to a question about a move
+STAGE_IN = 0.45
+LATE = 300_000  # microseconds before its deadline a message on the move is answered
+SECOND = 1_000_000
+SESSIONS = 10_000  # that a sender bears
+GIVEN, TAKEN = "<", ">"
+WHOLE = 500_000  # microseconds that the copies have to get a mark
+
+
+class DecreesNotSavedError(CedarwickError):
+    """This member's votes on moves cannot be written, and it gives none; moves are settled by the others."""
+
+    code = "CW756"
+    remedy = "free the disk that holds $RELAY_STATE"
+
+
+class MigrationState(ABC):
+    """The state and the helpers that both sides of a move share."""
+
+    def __init__(
+        self,
+        node: SessionHost,
+        directory: SessionDirectory,
+        call: Callable[[str, Body, float], Body | None],
+        takes: Callable[[], bool],
+        change: Callable[[], None],
+    ) -> None:
+        self.node = node
+        self.name = node.name
+        self.directory = directory
+        self.call = call
+        self.takes = takes
+        self.change = change
+        self.store = node.store
+        self.files = SessionFiles(node.lasting)
+        self.counters = node.counters
+        self.clock = node.clock
+        table = self.files.decrees()
+        self.acceptor = Acceptor(monotonic_time(), table is None, table)
+        self.unwritten: set[str] = set()  # moves with a vote of this member that is not on the disk
+        self.stamp = node.incarnation  # of the next move
+        self.acceptor.learned(self.name, self.stamp)
+        self.files.write_decrees(self.acceptor.table())
+        chance = random.Random(node.incarnation)
+        self.moves = MigrationTable(
+            self.name,
+            f"{self.name}#{node.incarnation}",
+            tuple(sorted(node.halls)),
+            self.acceptor,
+            lambda failed: chance.randint(0, 50_000 << min(failed, 5)),
+        )
+        self.planner = MigrationPlanner(node.halls[self.name])
+        marks = self.files.inert()
+        self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.messages}
+        self.store.marking = self.files.write_inert
+        self.dispatcher: Dispatcher
+        self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
+        self.slept: set[str] = set()  # of these, staged in a partition that was adopted since
+        self.sequences: dict[str, int] = {}  # by move: of its session, since it began
+        self.answers: dict[str, gevent.event.AsyncResult] = {}  # by move: whether it was staged
+        self.under_way: set[tuple[str, MigrationAction]] = set()
+        self.strays: dict[str, Proposer] = {}  # undecided moves that this member has voted on and has no side of
+        self.limits_at = 0
+
+    @abstractmethod
+    def act(self, acts: Iterable[MigrationStep]) -> None:
+        """Do what a move's rules say; what waits for something is done in a greenlet of its own."""
+
+    def _guarded(self, write: Callable[..., None], *told: object) -> bool:
+        """Whether a small file could be written."""
+        try:
+            write(*told)
+        except OSError as error:
+            self.counters.trouble("votes on moves cannot be written", DecreesNotSavedError(str(error)))
+            return False
+        return True
+
+    def _key(self, name: str) -> int:
+        known = self.moves.moves.get(name) or self.acceptor.rows.get(name)
+        return known.key if known is not None else 0
+
+    def _marked(self, name: str, side: str) -> list[int]:
+        """Messages with the mark of one side of a move."""
+        return sorted(
+            number
+            for number, (_, text) in self.store.inert.items()
+            if text == side + name and number in self.store.messages
+        )
+
+    def _mine(self, name: str) -> bool:
+        """Whether this process began the move.
+
+        Else it has found it after a restart, or adopted the giver's partition.
+        """
+        return parts(name)[1] == self.name and name in self.sequences
+
+    def _sequence(self, name: str, numbers: Iterable[int]) -> int:
+        """Of the session, since the move began."""
+        return max([self.sequences.get(name, 0), *(self.store.inert[number][0] for number in numbers)])
+
+    def _save_without(self, numbers: Iterable[int]) -> None:
+        gone = set(numbers)
+        if gone:
+            self.files.write_inert({number: mark for number, mark in self.store.inert.items() if number not in gone})
+
+    def _copied(self, partitions: set[int]) -> bool:
+        """Whether every successor gets what is told of some partitions, before long."""
+        done, until = self.store.copied(partitions), monotonic_time() + WHOLE
+        while not done():
+            if monotonic_time() > until:
+                return False
+            gevent.sleep(0.002)
+        return True
+
+    def _give_up(self, name: str, side: str) -> bool:
+        """The messages of one side are the other side's; nothing is told of them."""
+        numbers = self._marked(name, side)
+        for number in numbers:
+            try:
+                self.store.over(number)
+            except NoSpaceError as error:  # Danger: it is written once there is room; the others must not wait for that
+                self.counters.trouble("no room for the record of an end", error)
+            self.store.inert.pop(number, None)
+        self._save_without(numbers)
+        return True
--- /dev/null
+++ b/cedarwick/fleet/migration_votes.py
@@ -0,0 +1,165 @@
+"""The decrees on moves: this member's votes, and the questions to the others."""
+
+from collections import deque
+from collections.abc import Iterable
+
+import gevent
+import gevent.event
+
+from cedarwick.fleet.consensus import (
+    ABSTENTION,
+    AcceptorReply,
+    Ballot,
+    Proposer,
+    ProposerRequest,
+    Value,
+    parts,
+)
+from cedarwick.fleet.membership import MemberStatus
+from cedarwick.fleet.messages import (
+    AcceptRequest,
+    BallotNumber,
+    Body,
+    MigrationDecided,
+    PrepareRequest,
+    VoteReply,
+)
+from cedarwick.fleet.migration_state import SETTLE_IN, MigrationState
+from cedarwick.fleet.migration_table import (
+    MOST_OUT,
+    MigrationAction,
+    MigrationStep,
+)
+from cedarwick.fleet.replicated_store import monotonic_time
+
+
+def ballot_of(vote: BallotNumber) -> Ballot:
+    return vote.round, vote.mark
+
+
+def value_of(told: str) -> Value | None:
+    return "taker" if told == "taker" else "off" if told == "off" else None
+
+
+def voted(move: str, answer: AcceptorReply) -> VoteReply:
+    return VoteReply(
+        move,
+        answer.granted,
+        BallotNumber(*answer.promised),
+        BallotNumber(*answer.accepted),
+        answer.value or "",
+        answer.decided,
+    )
+
+
+class MigrationVotes(MigrationState):
+    """Votes on moves, asks the others for their votes, and has undecided moves settled."""
+
+    def vote(self, move: str, ballot: Ballot, value: Value | None, key: int) -> AcceptorReply:
+        """This member's own answer, on the disk before anybody hears of it."""
+        now = monotonic_time()
+        if value == "taker" and self._barred(move, key, now):
+            return ABSTENTION
+        answer = (
+            self.acceptor.prepare(move, ballot, now, key)
+            if value is None
+            else self.acceptor.accept(move, ballot, value, now, key)
+        )
+        row = answer.write or (self.acceptor.rows[move] if move in self.unwritten else None)
+        if row is not None:
+            # Danger: the same question asked again changes nothing, and would be granted with nothing on the disk.
+            self.unwritten.add(move)
+            if not self._guarded(self.files.add_decree, row):
+                return ABSTENTION
+            self.unwritten.discard(move)
+        return answer
+
+    def _barred(self, move: str, key: int, now: int) -> bool:
+        """Whether a vote for the taker could make a second holder beside one that inherits the session."""
+        giver = parts(move)[1]
+        known = move in self.acceptor.rows or self.node.members.state(now, giver) is MemberStatus.ALIVE
+        return self.directory.bars(key, giver, now, known)
+
+    def learned(self, giver: str, stamp: int) -> None:
+        """A giver has answered with the stamp of its next move.
+
+        Danger: from a peer message of its own, which may have been written before this boot, nothing is learned.
+        """
+        if stamp and self.acceptor.lost and giver not in self.acceptor.floors:
+            self.acceptor.learned(giver, stamp)
+            self._guarded(self.files.write_decrees, self.acceptor.table())
+
+    def _ask(self, ask: ProposerRequest) -> None:
+        vote, key = BallotNumber(*ask.ballot), self._key(ask.move)
+        body: Body = (
+            PrepareRequest(ask.move, vote, key) if ask.value is None else AcceptRequest(ask.move, vote, ask.value, key)
+        )
+        told = self.call(ask.to, body, SETTLE_IN)
+        if isinstance(told, VoteReply):
+            value = value_of(told.value)
+            answer = AcceptorReply(
+                told.granted,
+                ballot_of(told.promised),
+                ballot_of(told.accepted),
+                value,
+                told.decided and value is not None,
+            )
+            stray, now = self.strays.get(ask.move), monotonic_time()
+            if stray is not None:
+                self._ask_for_stray(stray.answered(ask.to, ask.ballot, ask.value, answer, now), now)
+                self._see_stray(stray)
+            self.act(self.moves.answered(ask, answer, now))
+
+    def _tell(self, act: MigrationStep) -> None:
+        """The decree to one member, or to all.
+
+        Where the one knows nothing of an active side, its partition is another's.
+        """
+        assert act.value is not None
+        others = [name for name in self.node.halls if name != self.name]
+        for name in [act.to] if act.to in others else others:
+            if act.to:
+                if not self._tell_one(name, act):
+                    gevent.joinall([gevent.spawn(self._tell_one, each, act) for each in others if each != name])
+            else:
+                gevent.spawn(self._tell_one, name, act)
+        row = self.acceptor.settled(act.move, act.value, monotonic_time())
+        if row is not None:
+            self._guarded(self.files.add_decree, row)
+
+    def _tell_one(self, name: str, act: MigrationStep) -> bool:
+        """Whether the taker's side is live there."""
+        answer = self.call(name, MigrationDecided(act.move, act.value or "", act.active), SETTLE_IN)
+        if not isinstance(answer, MigrationDecided) or (value := value_of(answer.value)) is None:
+            return False
+        self.act(self.moves.settled(act.move, value, answer.active, monotonic_time()))
+        return answer.active
+
+    def _settle_strays(self, now: int) -> None:
+        """Of moves that nobody with a side of them has had decided for long: both may have lost it."""
+        for name in self.acceptor.stale(now):
+            if name not in self.moves.moves and name not in self.strays and len(self.strays) < MOST_OUT:
+                # Danger: a ballot of its own, as for each proposer of this boot.
+                self.moves.proposers += 1
+                mark = f"{self.moves.mark}.{self.moves.proposers}"
+                self.strays[name] = Proposer(name, mark, self.moves.voters, self.moves.wait)
+                self._ask_for_stray(self.strays[name].settle(now), now)
+        for stray in list(self.strays.values()):
+            self._ask_for_stray(stray.due(now), now)
+
+    def _ask_for_stray(self, asks: Iterable[ProposerRequest], now: int) -> None:
+        todo = deque(asks)
+        while todo:
+            ask = todo.popleft()
+            stray = self.strays.get(ask.move)
+            if stray is not None and ask.to == self.name:
+                answer = self.vote(ask.move, ask.ballot, ask.value, self._key(ask.move))
+                todo.extend(stray.answered(ask.to, ask.ballot, ask.value, answer, now))
+                self._see_stray(stray)
+            elif stray is not None:
+                gevent.spawn(self._ask, ask)
+
+    def _see_stray(self, stray: Proposer) -> None:
+        if stray.decided is not None and self.strays.pop(stray.move, None) is not None:
+            self.counters.add("moves settled that nobody held any more")
+            gevent.spawn(self._tell, MigrationStep(MigrationAction.TELL, stray.move, value=stray.decided))
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -7,11 +7,11 @@
     SessionInheritance,
     slot_of,
 )
+from cedarwick.fleet.migration_state import LATE, SECOND
 from cedarwick.fleet.recent_ids import RecentIds
 from cedarwick.fleet.replicated_store import LeasedPartition, monotonic_time
 from cedarwick.fleet.replication import ReplicaEntry as Step
 from cedarwick.fleet.replication_facts import EndRank, Fact
-from cedarwick.fleet.session_migration import LATE, SECOND
 from cedarwick.fleet.session_state import InheritedSessions, SessionState
 from cedarwick.fleet.sessions import (
     REMEMBERED,
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -27,11 +27,11 @@
     SessionLocations,
     StageSession,
 )
+from cedarwick.fleet.migration_state import SECOND, SESSIONS
 from cedarwick.fleet.migration_table import MigrationReason, MigrationRequest, Neighbour
 from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_files import HeldSession, Sessions
-from cedarwick.fleet.session_migration import SECOND, SESSIONS
 from cedarwick.fleet.session_submissions import SessionSubmissions
 from cedarwick.fleet.session_wire import entry_of, lodging_of
 from cedarwick.fleet.sessions import (
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -17,11 +17,12 @@
     SessionInheritance,
     SessionLocations,
 )
+from cedarwick.fleet.migration_state import SECOND
 from cedarwick.fleet.migration_table import MigrationRequest
 from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.recent_ids import RecentIds
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.session_migration import SECOND, SessionMigrations
+from cedarwick.fleet.session_migration import SessionMigrations
 from cedarwick.fleet.session_wire import entry_of
 from cedarwick.fleet.sessions import (
     CLAIM,
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -11,11 +11,11 @@
     ForwardReply,
     RecallForward,
 )
+from cedarwick.fleet.migration_state import SECOND, SETTLE_IN
 from cedarwick.fleet.migration_table import WAITS, MigrationReason, MigrationRequest
 from cedarwick.fleet.recent_ids import UNKNOWN
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_inheritance import SessionInheritances
-from cedarwick.fleet.session_migration import SECOND, SETTLE_IN
 from cedarwick.fleet.session_wire import entry_of, hash_of, lodging_of
 from cedarwick.fleet.sessions import (
     Claim,
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -12,7 +12,7 @@
 
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import Outcome
-from cedarwick.fleet import session_migration
+from cedarwick.fleet import migration_source
 from cedarwick.fleet.consensus import OLD, Acceptor, AcceptorTable, InstanceState, name_move
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.leases import right_of
@@ -273,7 +273,7 @@
         a.hand_in(message("1"))
         thawed = a.dispatcher.thaw = mock.Mock()  # type: ignore[method-assign]
         self.lose = lambda to, body: "ask" if isinstance(body, StageSession) else ""
-        with mock.patch.object(session_migration, "RELEASE_AGAIN", 0.05):
+        with mock.patch.object(migration_source, "RELEASE_AGAIN", 0.05):
             a.transfers.begin(KEY, "b", monotonic_time())
             self.turn(0.3)  # marked, and the taker does not answer
             with mock.patch.object(a.transfers, "_save_without", side_effect=OSError("full")) as save:
--- a/tests/test_virtual_days.py
+++ b/tests/test_virtual_days.py
@@ -15,9 +15,10 @@
 from cedarwick.events.kinds import Event
 from cedarwick.events.registry import Entry, Registry
 from cedarwick.fleet import node, replicated_store
+from cedarwick.fleet.migration_state import GIVEN
 from cedarwick.fleet.migration_table import MigrationAction, MigrationStep, MigrationTable
 from cedarwick.fleet.replication_facts import Fact, stored_message_of
-from cedarwick.fleet.session_migration import GIVEN, SessionMigrations
+from cedarwick.fleet.session_migration import SessionMigrations
 from cedarwick.fleet.session_routing import SessionRouter
 from cedarwick.lab.virtualday import play
 from cedarwick.net.client_listener import SubmitResult
