--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -6,7 +6,8 @@
 from cedarwick.adapter import codec
 from cedarwick.decisions import setting_rules
 from cedarwick.decisions.interface import Decisions, ListedEndpoint, Outcome
-from cedarwick.decisions.policy import Handle, Sender
+from cedarwick.decisions.message_handle import Handle
+from cedarwick.decisions.policy import Sender
 
 MAX_SLEEP = 70 * 60 * 1_000_000  # microseconds; the wire allows 71 minutes
 
--- /dev/null
+++ b/cedarwick/fleet/ports.py
@@ -0,0 +1,56 @@
+"""Protocols between a member of a fleet and what is above and below it.
+
+The dispatcher satisfies `PartitionDispatcher`, and `FleetNode` satisfies `SessionHost`: the session modules depend on
+it alone, so that imports only run downward, from the node to the sessions, never back.
+"""
+
+from collections.abc import Container
+from typing import Protocol
+
+from cedarwick.fleet.fleet_files import FleetFiles
+from cedarwick.fleet.leases import LeaseGrantor
+from cedarwick.fleet.membership import Membership
+from cedarwick.fleet.peer_verifier import PeerVerifier
+from cedarwick.fleet.replica_files import ReplicaStore
+from cedarwick.fleet.replicated_store import ReplicatedStore
+from cedarwick.net.clock import Clock
+from cedarwick.net.counters import Counters
+
+
+class PartitionDispatcher(Protocol):
+    """What the dispatcher does for a partition."""
+
+    def adopt(self, numbers: list[int]) -> None: ...
+
+    def park(self, numbers: list[int]) -> None: ...
+
+    def answer_late(self, numbers: list[int]) -> None: ...
+
+    def ordered(self, priority_class: str) -> bool: ...
+
+    def rest(self, keys: frozenset[int]) -> None: ...
+
+    def rest_of(self, key: int) -> int: ...
+
+
+class SessionHost(Protocol):
+    """The member of a fleet that sessions are held at. The lists of members change when the file is read again."""
+
+    name: str
+    incarnation: int  # of this process
+    halls: dict[str, str]  # by member
+    where: dict[str, tuple[str, int]]  # by member: its address
+    leaving: bool  # whether this member is about to end
+    store: ReplicatedStore
+    lasting: FleetFiles
+    clock: Clock
+    counters: Counters
+    gate: PeerVerifier
+    members: Membership
+    grantor: LeaseGrantor
+    copies: ReplicaStore
+
+    @property
+    def adoptions(self) -> Container[int]:
+        """The partitions that this member looks after."""
+        ...
--- a/cedarwick/fleet/suspensions.py
+++ b/cedarwick/fleet/suspensions.py
@@ -77,7 +77,7 @@
         return not row.calls and row.counter + KEEP < now
 
     def set(self, now: int, uid: str, calls: int) -> None:
-        """Staff have said so here."""
+        """ManagementCommands have said so here."""
         before = self.rows[uid].counter if uid in self.rows else 0
         self._put(SuspensionMark(uid, min(max(now, before + 1), LAST), self.me, min(calls, MOST_CALLS)), fresh=True)
 
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -23,7 +23,26 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.events import exchange, subscription_server
-from cedarwick.fleet import node, replicated_store, session_migration, session_routing
+from cedarwick.fleet import (
+    heartbeats,
+    lease_exchange,
+    member_state,
+    membership_reload,
+    migration_source,
+    migration_state,
+    migration_target,
+    migration_votes,
+    node,
+    owed_keys,
+    partition_takeover,
+    replicated_store,
+    replication_pumps,
+    request_handling,
+    session_migration,
+    session_routing,
+    session_state,
+    session_submissions,
+)
 from cedarwick.fleet.messages import Body, Heartbeat, LeaseRequest, PeerMessage, RequestRefused, decode, encode
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.transport import IN_FLIGHT, QUEUE, PeerRefusedError, PeerUnreachableError
@@ -377,7 +396,7 @@
 
     # Their classes have the real events for a default.
     made: list[tuple[object, str, Any]] = [
-        (session_routing, "Submission", lambda stored: submission.Submission(stored, AsyncResult())),
+        (session_submissions, "Submission", lambda stored: submission.Submission(stored, AsyncResult())),
         (dispatcher, "FrozenSession", lambda frozen=dispatch_state.FrozenSession: frozen(AsyncResult())),
         (
             subscription_server,
@@ -391,23 +410,37 @@
         *(
             (module, "gevent", greenlets)
             for module in (
+                member_state,
+                heartbeats,
+                membership_reload,
+                lease_exchange,
+                replication_pumps,
+                owed_keys,
+                partition_takeover,
+                request_handling,
                 node,
                 replicated_store,
                 dispatch_state,
                 dispatcher,
                 notifications,
+                session_state,
+                session_submissions,
                 session_routing,
+                migration_state,
+                migration_votes,
+                migration_source,
+                migration_target,
                 session_migration,
                 exchange,
                 subscription_server,
             )
         ),
-        *((module, "time", clocks) for module in (node, replicated_store, session_routing, exchange)),
+        *((module, "time", clocks) for module in (member_state, node, replicated_store, session_routing, exchange)),
         (node, "PeerServer", Unused),
-        (node, "Peers", peers),
-        (session_routing, "Peers", peers),
-        (node, "Exchange", watching),
-        (node, "Gossip", Unused),
+        (member_state, "Peers", peers),
+        (session_state, "Peers", peers),
+        (member_state, "Exchange", watching),
+        (member_state, "Gossip", Unused),
     ]
     before = [getattr(place, name, None) for place, name, _ in changes]
     for place, name, new in changes:
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from cedarwick.decisions.interface import UnfinishedMessage
-from cedarwick.decisions.policy import Handle
+from cedarwick.decisions.message_handle import Handle
 from cedarwick.net.assignment import place
 from cedarwick.net.dispatch_state import DispatcherState, FrozenSession
 from cedarwick.net.submission import AdmissionResult
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -13,7 +13,8 @@
 import gevent.queue
 
 from cedarwick.decisions.interface import list_setting
-from cedarwick.decisions.policy import Handle, Sender, priority_class_of
+from cedarwick.decisions.message_handle import Handle
+from cedarwick.decisions.policy import Sender, priority_class_of
 from cedarwick.net.assignment import Assignment
 from cedarwick.net.attempts import AttemptCall, AttemptRunner
 from cedarwick.net.clock import Clock
--- a/tests/build.py
+++ b/tests/build.py
@@ -16,7 +16,8 @@
 from typing import Any
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
-from cedarwick.decisions.policy import Handle, Sender
+from cedarwick.decisions.message_handle import Handle
+from cedarwick.decisions.policy import Sender
 from cedarwick.net.assignment import Assignment, plain
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
--- a/tests/test_ramp_sum.py
+++ b/tests/test_ramp_sum.py
@@ -14,7 +14,8 @@
 from functools import partial
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
-from cedarwick.decisions.policy import Handle, Sender
+from cedarwick.decisions.message_handle import Handle
+from cedarwick.decisions.policy import Sender
 
 MS = 1000
 SECOND = 1000 * MS
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -12,7 +12,7 @@
 
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import Outcome
-from cedarwick.fleet import session_migration
+from cedarwick.fleet import migration_source
 from cedarwick.fleet.consensus import OLD, Acceptor, AcceptorTable, InstanceState, name_move
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.leased_partition import LeasedPartition
@@ -26,7 +26,9 @@
 from cedarwick.fleet.replication import EVERYTHING
 from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, MessageKnowledge, base_of
 from cedarwick.fleet.session_files import SessionFiles
-from cedarwick.fleet.session_routing import SUCCESSORS, InheritedSessions, SessionRouter
+from cedarwick.fleet.session_inheritance import SUCCESSORS
+from cedarwick.fleet.session_routing import SessionRouter
+from cedarwick.fleet.session_state import InheritedSessions
 from cedarwick.fleet.sessions import REMEMBERED
 from cedarwick.fleet.transport import PeerUnreachableError
 from cedarwick.net.attempts import AttemptResult
@@ -84,6 +86,7 @@
 class Members(unittest.TestCase):
     def setUp(self) -> None:
         self.traffic: dict[str, SessionRouter] = {}
+        self.nodes: dict[str, FleetNode] = {}
         self.lose: Callable[[str, Body], str] = lambda to, body: ""  # "ask", "answer" or neither
         self.folders = {name: self.enterContext(tempfile.TemporaryDirectory()) for name in NAMES}
         for name in NAMES:
@@ -100,6 +103,7 @@
         )
         node = FleetNode(name, told, self.folders[name], store, CLOCK, Counters())
         node.dispatcher = mock.Mock()
+        self.nodes[name] = node
         self.addCleanup(store.close)
         self.addCleanup(node.stop)
         node.members.state = lambda now, name: MemberStatus.ALIVE  # type: ignore[method-assign]
@@ -229,7 +233,7 @@
         a.transfers.begin(KEY, "b", monotonic_time())
         self.turn(0.1)
         self.assertEqual((list(a.store.inert), a.store.may_fire(number)), ([number], False))
-        a.node.stop()
+        self.nodes["a"].stop()
         a.store.close()
         again = self.traffic["a"] = self.member("a")
         self.assertFalse(again.store.may_fire(number))
@@ -247,7 +251,7 @@
         a = self.traffic["a"]
         a.hand_in(message("1"))
         a.hand_over()
-        a.node.stop()
+        self.nodes["a"].stop()
         a.store.close()
         again = self.member("a")
         dispatcher: Any = again.dispatcher
@@ -270,7 +274,7 @@
         a.hand_in(message("1"))
         thawed = a.dispatcher.thaw = mock.Mock()  # type: ignore[method-assign]
         self.lose = lambda to, body: "ask" if isinstance(body, StageSession) else ""
-        with mock.patch.object(session_migration, "RELEASE_AGAIN", 0.05):
+        with mock.patch.object(migration_source, "RELEASE_AGAIN", 0.05):
             a.transfers.begin(KEY, "b", monotonic_time())
             self.turn(0.3)  # marked, and the taker does not answer
             with mock.patch.object(a.transfers, "_save_without", side_effect=OSError("full")) as save:
