--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -53,14 +53,14 @@
 
 
 class InvalidMoveError(CedarwickError):
-    """ManagementCommands name a session or a sender that cannot be."""
+    """An operator names a session or a sender that cannot be."""
 
     code = "CW751"
     remedy = "send MOVE KEY SENDER: the key in 1 to 16 hexadecimal digits, not zero, and another member's name"
 
 
 class SessionNotHeldError(CedarwickError):
-    """ManagementCommands ask for the move of a session that this sender does not hold."""
+    """An operator asks for the move of a session that this sender does not hold."""
 
     code = "CW752"
     remedy = "ask the sender that is named; a session without one is opened where its client comes next"
