--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -14,7 +14,7 @@
 from cedarwick.cli.say import Progress, console, unusable, write_json
 from cedarwick.config.files import ConfigFileError
 from cedarwick.lab import scenario as scenarios
-from cedarwick.lab.audit import Account
+from cedarwick.lab.audit_cases import Account
 from cedarwick.lab.clients import Clients
 from cedarwick.lab.day import Day
 from cedarwick.lab.run import Result, head_of, play, stop_on_signals
--- /dev/null
+++ b/cedarwick/lab/audit_cases.py
@@ -0,0 +1,143 @@
+"""What the audits judge: all that was seen of each message, the lives of senders, and what a verdict is made of."""
+
+from bisect import bisect_left, bisect_right
+from collections import Counter, defaultdict
+from collections.abc import Iterable
+from typing import Any
+
+import msgspec
+
+from cedarwick.lab.history import NEVER, Called, Handed, History, Noticed
+
+SECOND = 1_000_000
+MS = 1000
+AT_ONCE = 20 * MS  # what one loop reads so close together has no order beyond doubt
+WHOLE = ("", "pieces", "last")  # refusals that came whole, if late
+NOT_RUN = (429, 503, 504, 410)
+
+
+class Finding(msgspec.Struct, frozen=True):
+    """One broken rule, with all that was seen of the messages that it names."""
+
+    rule: int  # 1 to 6; 0: the protocol itself
+    ids: tuple[str, ...]
+    text: str
+    seen: tuple[dict[str, Any], ...] = ()
+
+
+class Account(msgspec.Struct):
+    """What became of the messages; every request is in one of the first six."""
+
+    taken: int = 0
+    refused: int = 0
+    failed: int = 0  # answered with an error
+    unanswered: int = 0  # within the client's patience
+    cut: int = 0  # the connection ended, no answer
+    down: int = 0  # no connection came up
+    delivered: int = 0  # of those taken
+    in_time: int = 0  # of those delivered: within the latency objective
+    late: int = 0  # of those delivered: after the deadline
+    returned: int = 0
+    written_off: int = 0
+    lost: int = 0
+    doubled: int = 0  # of those taken: their effect came twice
+    things: int = 0  # what clients wanted delivered, however often they handed it in
+    things_delivered: int = 0
+    worth: float = 0.0  # of all things
+    earned: float = 0.0
+
+
+class Verdict(msgspec.Struct):
+    """The audit's answer."""
+
+    account: Account
+    findings: list[Finding]
+
+    def broken(self) -> Counter[int]:
+        return Counter(finding.rule for finding in self.findings)
+
+
+class Case:
+    """All that was seen of one id."""
+
+    __slots__ = ("handed", "calls", "notices")
+
+    def __init__(self) -> None:
+        self.handed: Handed | None = None
+        self.calls: list[Called] = []
+        self.notices: list[Noticed] = []
+
+    def seen(self) -> tuple[dict[str, Any], ...]:
+        """Everything, in the order of time."""
+        records: list[tuple[int, Any]] = [(call.first, call) for call in self.calls]
+        records += [(notice.at, notice) for notice in self.notices]
+        if self.handed is not None:
+            records.append((self.handed.sent, self.handed))
+        return tuple(msgspec.to_builtins(each) for _, each in sorted(records, key=lambda pair: pair[0]))
+
+    def delivered(self) -> int:
+        """When the first good answer was written; NEVER if none was. A spoilt 200 is true by its first line."""
+        return min((call.ended for call in self.calls if call.status == 200), default=NEVER)
+
+
+def cases_of(history: History) -> dict[str, Case]:
+    """All that was seen of each message, by its id; its calls in the order in which they began."""
+    cases: defaultdict[str, Case] = defaultdict(Case)
+    for handed in history.handed:
+        cases[handed.id].handed = handed
+    for call in sorted(history.called, key=lambda call: call.first):
+        cases[call.id].calls.append(call)
+    for notice in history.noticed:
+        cases[notice.id].notices.append(notice)
+    return cases
+
+
+class Lives:
+    """When each sender's process ran, as the emulator did it to them."""
+
+    def __init__(self, history: History) -> None:
+        self.ends: defaultdict[int, list[int]] = defaultdict(list)  # the process ended
+        self.begins: defaultdict[int, list[int]] = defaultdict(list)  # a process was started
+        self.unfit: defaultdict[int, list[tuple[int, int]]] = defaultdict(list)  # from its end or stop to readiness
+        open_since: dict[int, int] = {}
+        for each in sorted(history.life, key=lambda life: life.at):
+            if each.event in ("killed", "ended", "crashed"):
+                self.ends[each.sender].append(each.at)
+            if each.event == "started":
+                self.begins[each.sender].append(each.at)
+            if each.event in ("killed", "termed", "stopped"):
+                open_since.setdefault(each.sender, each.at)
+            if each.event in ("ready", "continued") and each.sender in open_since:
+                self.unfit[each.sender].append((open_since.pop(each.sender), each.at))
+        for sender, since in open_since.items():
+            self.unfit[sender].append((since, 1 << 62))
+
+    def ended_between(self, sender: int, begin: int, end: int) -> bool:
+        """Whether the sender's process ended in a span."""
+        times = self.ends[sender]
+        return bisect_right(times, end) > bisect_left(times, begin)
+
+    def life_of(self, sender: int, at: int) -> int:
+        """Which of the sender's processes ran at a time."""
+        return bisect_right(self.begins[sender], at)
+
+    def excused_until(self, sender: int, due: int, grace: int) -> int:
+        """When an end that was due is overdue, where the sender could not act."""
+        for begin, end in self.unfit[sender]:
+            if begin <= due + grace and due <= end + grace:
+                due = max(due, end + grace)
+        return due
+
+
+def finding(rule: int, text: str, *cases: Case, ids: Iterable[str] = ()) -> Finding:
+    known = [case.handed.id if case.handed else case.calls[0].id for case in cases if case.handed or case.calls]
+    return Finding(rule, tuple([*known, *ids]), text, tuple(each for case in cases for each in case.seen()))
+
+
+def seconds(time: int) -> str:
+    return f"{time / SECOND:.3f} s"
+
+
+def may_have_run(call: Called) -> bool:
+    """Whether the caller cannot know that the call never ran. A spoilt refusal says nothing."""
+    return call.status not in NOT_RUN or call.spoilt not in WHOLE
--- a/cedarwick/lab/figures.py
+++ b/cedarwick/lab/figures.py
@@ -5,7 +5,8 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from cedarwick.lab.audit import Account, worth_of
+from cedarwick.lab.audit_account import worth_of
+from cedarwick.lab.audit_cases import Account
 from cedarwick.lab.history import NEVER, History
 from cedarwick.lab.scenario import Scenario
 
--- a/cedarwick/lab/invariants.py
+++ b/cedarwick/lab/invariants.py
@@ -3,7 +3,7 @@
     verdict = judge(scenario, history, ended, Terms(ack="copy", senders=5), watched)
 
 A pure function of what clients, partners, platform and subscribers saw, of what was done to senders and links
-(`Life`, `Gone`), and of the terms. Findings have the rules' numbers of `audit.py`, and these of the fleet's own:
+(`Life`, `Gone`), and of the terms. Findings have the rules' numbers of `audit_rules.py`, and these of the fleet's own:
 
     11  one final answer in time, whoever gives it, though any one sender dies for good
     12  one sender at a time fires for a message
@@ -21,8 +21,20 @@
 
 import msgspec
 
-from cedarwick.lab import audit
-from cedarwick.lab.audit import AT_ONCE, MS, Case, Finding, Lives, Verdict, finding, may_have_run, seconds
+from cedarwick.lab import audit_rules
+from cedarwick.lab.audit_account import account
+from cedarwick.lab.audit_cases import (
+    AT_ONCE,
+    MS,
+    Case,
+    Finding,
+    Lives,
+    Verdict,
+    cases_of,
+    finding,
+    may_have_run,
+    seconds,
+)
 from cedarwick.lab.history import NEVER, Called, History, Noticed
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.schedule import DOWN, LINKS, LOSING, SPLITS
@@ -140,18 +152,18 @@
 
 def judge(scenario: Scenario, history: History, ended: int, terms: Terms, watched: Watched | None = None) -> Verdict:
     """Account for every message and judge rules and claims; `ended` is when the watching stopped, microseconds."""
-    cases = audit.cases_of(history)
+    cases = cases_of(history)
     lives = Lives(history)
     spans = spans_of(history, lives)
     findings = [
-        *audit.strangers(cases),
-        *audit.cut_off(cases, lives),
-        *audit.effects(scenario, cases, lives),
-        *audit.drains(scenario, history, lives),
-        *audit.pushed_over(scenario, history),
-        *audit.waits(scenario, history, lives),
-        *audit.unowed(history, lives),
-        *audit.crashed(history),
+        *audit_rules.strangers(cases),
+        *audit_rules.cut_off(cases, lives),
+        *audit_rules.effects(scenario, cases, lives),
+        *audit_rules.drains(scenario, history, lives),
+        *audit_rules.pushed_over(scenario, history),
+        *audit_rules.waits(scenario, history, lives),
+        *audit_rules.unowed(history, lives),
+        *audit_rules.crashed(history),
         *one_end(scenario, cases, lives, spans, ended, terms),
         *fires_after_end(scenario, cases, spans),
         *one_fires(scenario, cases, lives, spans, terms),
@@ -159,7 +171,7 @@
         *order(scenario, cases, lives, spans, terms),
         *(subscribed(watched) if watched is not None else ()),
     ]
-    return Verdict(audit.account(scenario, cases, findings), findings)
+    return Verdict(account(scenario, cases, findings), findings)
 
 
 # ---- 11: one final answer ----
@@ -366,7 +378,7 @@
         if handed is not None and handed.answer == "ok" and bands[handed.band].in_turn and handed.turn.strip("0"):
             lines[handed.turn, -1 if terms.across else handed.sender].append(case)
     for line in lines.values():
-        for later, before in audit.in_doubtless_order(line):
+        for later, before in audit_rules.in_doubtless_order(line):
             for earlier in before:
                 assert earlier.handed is not None and later.handed is not None
                 begun = later.calls[0].first
--- a/cedarwick/lab/report.py
+++ b/cedarwick/lab/report.py
@@ -12,7 +12,7 @@
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt  # noqa: E402  Danger: a backend with windows would need a screen
 
-from cedarwick.lab.audit import worth_of  # noqa: E402
+from cedarwick.lab.audit_account import worth_of  # noqa: E402
 from cedarwick.lab.figures import deliveries, outcome_of, things_of  # noqa: E402
 from cedarwick.lab.history import NEVER, History, read  # noqa: E402
 from cedarwick.lab.run import Run, read_head  # noqa: E402
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -13,7 +13,8 @@
 import gevent
 import msgspec
 
-from cedarwick.lab.audit import Account, Finding, Verdict, judge
+from cedarwick.lab.audit import judge
+from cedarwick.lab.audit_cases import Account, Finding, Verdict
 from cedarwick.lab.clients import Clients, Front
 from cedarwick.lab.day import Day
 from cedarwick.lab.faults import Troubles
--- a/cedarwick/lab/virtual_day.py
+++ b/cedarwick/lab/virtual_day.py
@@ -19,7 +19,7 @@
 
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.lab import invariants
-from cedarwick.lab.audit import Finding, Verdict
+from cedarwick.lab.audit_cases import Finding, Verdict
 from cedarwick.lab.schedule import KINDS, Trouble, draw
 from cedarwick.lab.virtual import SECOND, Kernel, Task, standing_in
 from cedarwick.lab.virtual_clients import DrawnClients, DrawnStaff
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -6,7 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cedarwick.lab.audit import Verdict, judge, worth_of
+from cedarwick.lab.audit import judge
+from cedarwick.lab.audit_account import worth_of
+from cedarwick.lab.audit_cases import Verdict
 from cedarwick.lab.history import Away, Called, Handed, Heard, History, Life, Noticed, Rude
 from cedarwick.lab.scenario import Band, Cold, Partner, Scenario, Service
 
--- a/tests/test_fleet_owing.py
+++ b/tests/test_fleet_owing.py
@@ -10,7 +10,7 @@
 from cedarwick.fleet.messages import MOST_KEYS
 from cedarwick.fleet.order_key_hints import EVERY, LASTS, MOST, OrderKeyHints
 from cedarwick.lab import invariants, virtual_day
-from cedarwick.lab.audit import Case
+from cedarwick.lab.audit_cases import Case
 
 NOW = 1_000_000_000
 NONE: frozenset[int] = frozenset()
