--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -146,7 +146,7 @@
     # ---- receivers taken out by hand ----
 
     def _changed(self, uid: str, calls: int) -> None:
-        """ManagementCommands have said so at this member's address."""
+        """An operator has said so at this member's address."""
         self.marks.turn(wall())
         self.marks.set(wall(), uid, calls)
         self._spread([uid])
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -239,7 +239,7 @@
             self.transfers.begin(key, to, now)
 
     def moved_by_hand(self, call: Call) -> str:
-        """ManagementCommands want a session elsewhere: `MOVE KEY SENDER`."""
+        """An operator wants a session elsewhere: `MOVE KEY SENDER`."""
         text, _, to = call.argument.partition(" ")
         try:
             key = int(text, 16) if len(text) <= 16 and text.isalnum() else 0
--- a/cedarwick/lab/claims.py
+++ b/cedarwick/lab/invariants.py
@@ -3,7 +3,7 @@
     verdict = judge(scenario, history, ended, Terms(ack="copy", senders=5), watched)
 
 A pure function of what clients, partners, platform and subscribers saw, of what was done to senders and links
-(`Life`, `Gone`), and of the terms. Findings have the rules' numbers of `audit.py`, and these of the fleet's own:
+(`Life`, `Gone`), and of the terms. Findings have the rules' numbers of `audit_rules.py`, and these of the fleet's own:
 
     11  one final answer in time, whoever gives it, though any one sender dies for good
     12  one sender at a time fires for a message
@@ -21,8 +21,20 @@
 
 import msgspec
 
-from cedarwick.lab import audit
-from cedarwick.lab.audit import AT_ONCE, MS, Case, Finding, Lives, Verdict, finding, may_have_run, seconds
+from cedarwick.lab import audit_rules
+from cedarwick.lab.audit_account import account
+from cedarwick.lab.audit_cases import (
+    AT_ONCE,
+    MS,
+    Case,
+    Finding,
+    Lives,
+    Verdict,
+    cases_of,
+    finding,
+    may_have_run,
+    seconds,
+)
 from cedarwick.lab.history import NEVER, Called, History, Noticed
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.schedule import DOWN, LINKS, LOSING, SPLITS
@@ -140,18 +152,18 @@
 
 def judge(scenario: Scenario, history: History, ended: int, terms: Terms, watched: Watched | None = None) -> Verdict:
     """Account for every message and judge rules and claims; `ended` is when the watching stopped, microseconds."""
-    cases = audit.cases_of(history)
+    cases = cases_of(history)
     lives = Lives(history)
     spans = spans_of(history, lives)
     findings = [
-        *audit.strangers(cases),
-        *audit.cut_off(cases, lives),
-        *audit.effects(scenario, cases, lives),
-        *audit.drains(scenario, history, lives),
-        *audit.pushed_over(scenario, history),
-        *audit.waits(scenario, history, lives),
-        *audit.unowed(history, lives),
-        *audit.crashed(history),
+        *audit_rules.strangers(cases),
+        *audit_rules.cut_off(cases, lives),
+        *audit_rules.effects(scenario, cases, lives),
+        *audit_rules.drains(scenario, history, lives),
+        *audit_rules.pushed_over(scenario, history),
+        *audit_rules.waits(scenario, history, lives),
+        *audit_rules.unowed(history, lives),
+        *audit_rules.crashed(history),
         *one_end(scenario, cases, lives, spans, ended, terms),
         *fires_after_end(scenario, cases, spans),
         *one_fires(scenario, cases, lives, spans, terms),
@@ -159,7 +171,7 @@
         *order(scenario, cases, lives, spans, terms),
         *(subscribed(watched) if watched is not None else ()),
     ]
-    return Verdict(audit.account(scenario, cases, findings), findings)
+    return Verdict(account(scenario, cases, findings), findings)
 
 
 # ---- 11: one final answer ----
@@ -170,10 +182,10 @@
 ) -> Iterator[Finding]:
     """What was taken on has one end, in time.
 
-    Allowed: `adopt_ms` from the begin of a trouble that met anybody before it was due; the time in which a majority
+    Allowed: `adopt_ms` from the begin of a fault that met anybody before it was due; the time in which a majority
     was gone, and `adopt_ms` more; with `own`, what was taken within `lag_ms` of its sender's loss waits for that
     sender to return, and is forgiven where its folder was lost. A notice that says 'failed' beside a delivery is
-    honest only where a trouble lay between the two; one by who was cut off (`cut_off_answer`) stands beside any end.
+    honest only where a fault lay between the two; one by who was cut off (`cut_off_answer`) stands beside any end.
     """
     grace, restart = round(scenario.rules.end_grace_ms * MS), round(scenario.rules.restart_grace_ms * MS)
     adopt = round(terms.adopt_ms * MS)
@@ -187,9 +199,9 @@
         if len(others) > 1:
             yield finding(11, f"two different ends: {' and '.join(sorted(states))}", case)
         if delivered != NEVER and "failed" in states:
-            told = min(notice.at for notice in case.notices)
+            notified = min(notice.at for notice in case.notices)
             begun = min(call.first for call in case.calls if call.status == 200)
-            if not any(span.begin <= max(told, delivered) and begun <= span.end + adopt for span in spans):
+            if not any(span.begin <= max(notified, delivered) and begun <= span.end + adopt for span in spans):
                 yield finding(11, "delivered, and said to have failed, with no trouble between", case)
         if handed.answer != "ok":
             continue
@@ -254,32 +266,32 @@
 def fires_after_end(scenario: Scenario, cases: dict[str, Case], spans: list[Span]) -> Iterator[Finding]:
     """Nothing goes out after the final answer.
 
-    Allowed: a repeatable message comes once more where a trouble met the sender that had delivered it before its
+    Allowed: a repeatable message comes once more where a fault met the sender that had delivered it before its
     record of that may have got about. A `cut_off_answer` does not bind whoever has adopted the message.
     """
-    bands = scenario.bands()
+    priority_classes = scenario.bands()
     for case in cases.values():
         if case.handed is None:
             continue
-        told = min((notice.at for notice in case.notices if not cut_off_answer(case, notice, spans)), default=NEVER)
+        notified = min((notice.at for notice in case.notices if not cut_off_answer(case, notice, spans)), default=NEVER)
         good = [call for call in case.calls if call.status == 200]
         for call in case.calls:
-            if told != NEVER and call.first > told + AT_ONCE:
-                yield finding(11, f"called at {seconds(call.first)}, after its notice at {seconds(told)}", case)
+            if notified != NEVER and call.first > notified + AT_ONCE:
+                yield finding(11, f"called at {seconds(call.first)}, after its notice at {seconds(notified)}", case)
                 break
             done = [each for each in good if each.ended + AT_ONCE < call.first]
             if not done:
                 continue
-            met = all(troubled(spans, each.sender, each.first, call.first) for each in done)
-            if bands[case.handed.band].repeat == "at-most-once" or not met:
+            met = all(met_by_fault(spans, each.sender, each.first, call.first) for each in done)
+            if priority_classes[case.handed.band].repeat == "at-most-once" or not met:
                 yield finding(
                     11, f"called at {seconds(call.first)}, after its delivery at {seconds(done[0].ended)}", case
                 )
                 break
 
 
-def troubled(spans: list[Span], sender: int, begin: int, end: int) -> bool:
-    """Whether a trouble met a sender within a time, or lasted into it."""
+def met_by_fault(spans: list[Span], sender: int, begin: int, end: int) -> bool:
+    """Whether a fault met a sender within a time, or lasted into it."""
     return any(sender in span.who and span.begin <= end and begin <= span.end for span in spans)
 
 
@@ -295,12 +307,12 @@
     an at-most-once message: the earlier one's sender had been out for `lease_ms` when the later one began, so its
     attempt is a call that may have run and that nobody waits for.
     """
-    bands = scenario.bands()
+    priority_classes = scenario.bands()
     lease = round(terms.lease_ms * MS)
     for case in cases.values():
         if case.handed is None:
             continue
-        once = bands[case.handed.band].repeat == "at-most-once"
+        once = priority_classes[case.handed.band].repeat == "at-most-once"
         for place, later in enumerate(case.calls):
             both = [earlier for earlier in case.calls[:place] if out_until(earlier, lives) > later.first + AT_ONCE]
             for earlier in both:
@@ -333,12 +345,12 @@
 def never_ran(cases: dict[str, Case]) -> Iterator[Finding]:
     """'Returned' is said only of what no partner has run, or may have run."""
     for case in cases.values():
-        told = [notice for notice in case.notices if notice.state == "returned"]
+        returned = [notice for notice in case.notices if notice.state == "returned"]
         ran = [call for call in case.calls if call.ran or may_have_run(call)]
-        if told and ran:
+        if returned and ran:
             yield finding(
                 13,
-                f"returned at {seconds(told[0].at)} by n{told[0].sender}; the call of n{ran[0].sender} at "
+                f"returned at {seconds(returned[0].at)} by n{returned[0].sender}; the call of n{ran[0].sender} at "
                 f"{seconds(ran[0].first)} may have run",
                 case,
             )
@@ -354,20 +366,25 @@
 
     Judged where the earlier one was answered before the later one was sent. Allowed: the earlier one's taker was
     lost before anyone else knew of it (`own`); its call's sender died in the middle of it. Between two senders that
-    take or call, besides: a trouble anywhere from when the earlier one was taken on, since it held up that one's
+    take or call, besides: a fault anywhere from when the earlier one was taken on, since it held up that one's
     partition
-    (a copy's trouble holds up its holder, too). Then a key rests elsewhere by what members tell, as far as peer
-    messages come and for some seconds, which is no promise; `tests/test_fleet_order_key_hints.py` counts how often that
-    does.
+    (a copy's fault holds up its holder, too). Then a key rests elsewhere by what members tell, as far as peer
+    messages come and for some seconds, which is no promise; `tests/test_fleet_order_key_hints.py`
+    counts how often that does.
     """
-    bands, adopt = scenario.bands(), round(terms.adopt_ms * MS)
+    priority_classes, adopt = scenario.bands(), round(terms.adopt_ms * MS)
     lines: defaultdict[tuple[str, int], list[Case]] = defaultdict(list)
     for case in cases.values():
         handed = case.handed
-        if handed is not None and handed.answer == "ok" and bands[handed.band].in_turn and handed.turn.strip("0"):
+        if (
+            handed is not None
+            and handed.answer == "ok"
+            and priority_classes[handed.band].in_turn
+            and handed.turn.strip("0")
+        ):
             lines[handed.turn, -1 if terms.across else handed.sender].append(case)
     for line in lines.values():
-        for later, before in audit.in_doubtless_order(line):
+        for later, before in audit_rules.in_doubtless_order(line):
             for earlier in before:
                 assert earlier.handed is not None and later.handed is not None
                 begun = later.calls[0].first
@@ -398,12 +415,14 @@
         for match in sorted(matches, key=lambda match: match.at):  # stable: what came at once stays as it came
             if match.number <= last:
                 how = "twice" if match.number in [each.number for each in matches if each is not match] else "late"
-                yield told(15, f"{name} got number {match.number} of {source} {how}, after number {last}", match)
+                yield finding_of(15, f"{name} got number {match.number} of {source} {how}, after number {last}", match)
             last = max(last, match.number)
             if source in sources and (name, source, match.number) not in meant:
-                yield told(15, f"{name} got number {match.number} of {source}, which its filter does not meet", match)
+                yield finding_of(
+                    15, f"{name} got number {match.number} of {source}, which its filter does not meet", match
+                )
             if name in over and match.at > over[name] + AT_ONCE:
-                yield told(16, f"{name} ended at {seconds(over[name])} and got an event afterwards", match)
+                yield finding_of(16, f"{name} ended at {seconds(over[name])} and got an event afterwards", match)
     yield from missing(watched, got, over)
 
 
@@ -424,10 +443,10 @@
                 gap.subscription == name and gap.source == event.source and gap.first <= event.number <= gap.last
                 for gap in watched.gaps
             ):
-                yield told(
+                yield finding_of(
                     15, f"{name} never got number {event.number} of {event.source}, and no gap tells of it", event
                 )
 
 
-def told(rule: int, text: str, record: msgspec.Struct) -> Finding:
+def finding_of(rule: int, text: str, record: msgspec.Struct) -> Finding:
     return Finding(rule, (), text, (msgspec.to_builtins(record),))
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -13,15 +13,16 @@
 import gevent
 import msgspec
 
-from cedarwick.lab.audit import Account, Finding, Verdict, judge
+from cedarwick.lab.audit import judge
+from cedarwick.lab.audit_cases import Account, Finding, Verdict
 from cedarwick.lab.clients import Clients, Front
 from cedarwick.lab.day import Day
-from cedarwick.lab.draw import Schedule, schedule
+from cedarwick.lab.faults import Faults
 from cedarwick.lab.figures import Figures, figures_of
 from cedarwick.lab.history import History, write_lines
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.senders import COMMAND, Instance
-from cedarwick.lab.troubles import Troubles
+from cedarwick.lab.workload import Schedule, schedule
 from cedarwick.lab.world import World
 
 LOOK = 0.1  # seconds between two looks at how the day stands
@@ -127,8 +128,8 @@
         heard.at -= shift
     watches = [gevent.spawn(day.watch_lag), gevent.spawn(front.watch)]
     watches += [gevent.spawn(instance.sample) for instance in instances]
-    troubles = Troubles(day, world, instances)
-    troubles.start(drawn.troubles)
+    faults = Faults(day, world, instances)
+    faults.start(drawn.troubles)
     gevent.spawn(clients.run, drawn.arrivals)
     last = drawn.length + round(max(band.outer_ms + scenario.rules.end_grace_ms for band in scenario.band) * 1000)
     last += 5_000_000  # restarts may put ends off
@@ -136,7 +137,7 @@
     while day.now() < last:
         gevent.sleep(LOOK)
         progress(day, clients, last)
-        owed = not clients.done or clients.busy or troubles.under_way or _open(day.history)
+        owed = not clients.done or clients.busy or faults.under_way or _open(day.history)
         quiet_since = 0 if owed else quiet_since or day.now()
         if quiet_since and day.now() - quiet_since > WATCH_ON:
             break
--- a/cedarwick/lab/virtualwatch.py
+++ b/cedarwick/lab/virtual_subscribers.py
@@ -1,23 +1,22 @@
-"""Subscribers of a virtual day: each follows at one member after another, and what it was told is kept for the audit.
+"""Subscribers of a virtual day: each follows at one member after another, and what it received is stored for the audit.
 
 Whether an event meets a filter is settled here by `reference_matcher.py`, at the source, before the source's own part
 looks at it.
 """
 
 import json
-from typing import TYPE_CHECKING
+from collections.abc import Sequence
 
 from cedarwick.errors import CedarwickError
 from cedarwick.events import reference_matcher
 from cedarwick.events.exchange import Exchange
 from cedarwick.events.kinds import Event, Value
 from cedarwick.events.language import read
-from cedarwick.lab import claims
+from cedarwick.lab import invariants
+from cedarwick.lab.virtual_senders import Sender
+from cedarwick.lab.virtual_state import LOOK, DayState
 from cedarwick.ops.commands import Call
 
-if TYPE_CHECKING:
-    from cedarwick.lab.virtualday import Day, Sender
-
 FILTERS = (
     'kind = "completed" and destination = 1',
     "has sender",
@@ -32,9 +31,8 @@
 )
 STAYS = 3.0  # seconds that a subscriber stays at one member, on the average
 ENDS = 0.25  # how many of its leavings end the subscription
-LOOK = 0.02  # seconds between two looks at a state that is awaited
 AGAIN = 0.1  # seconds until a connection that ended is followed by another
-SETTLED = 8_000_000  # microseconds in which everybody is told all: places, then what waited, then tries again
+SETTLED = 8_000_000  # microseconds in which everybody is sent all: places, then what waited, then tries again
 PROBED = 1.0  # seconds in which what rises again would have an event
 FOREVER = (1 << 62) - 1
 
@@ -52,7 +50,7 @@
     def settimeout(self, seconds: float) -> None:
         """As a socket's."""
 
-    def setsockopt(self, *told: int) -> None:
+    def setsockopt(self, *options: int) -> None:
         """As a socket's."""
 
     def sendall(self, data: bytes) -> None:
@@ -64,20 +62,21 @@
         self.kernel.sleep(self.late)
         for line in data.decode().splitlines():
             if not self.left and line:
-                self.follower.told(self, line)
+                self.follower.received(self, line)
 
 
 class Follower:
     """One subscriber. It begins subscriptions one after another, each under a name of its own."""
 
-    def __init__(self, day: "Day", number: int, begun: int = 1) -> None:
-        self.day = day
+    def __init__(self, all_of_them: "Subscribers", number: int, begun: int = 1) -> None:
+        self.subscribers = all_of_them
+        self.day: DayState = all_of_them.day
         self.number = number
-        self.watched = day.watched
+        self.watched = self.day.watched
         self.begun = begun
         self.name = f"s{number}-{begun}"
         self.cursors: dict[str, int] = {}
-        self.filter = day.chance.choice(FILTERS)
+        self.filter = self.day.chance.choice(FILTERS)
         self.term = read(self.filter).term
 
     def meets(self, event: Event) -> bool:
@@ -87,7 +86,7 @@
         """Follow here and there, for as long as the day lasts."""
         day = self.day
         while True:
-            usable = [each for each in day.senders if each.node is not None]
+            usable = [each for each in self.subscribers.senders if each.node is not None]
             if not usable:
                 day.kernel.sleep(AGAIN)
                 continue
@@ -101,47 +100,48 @@
             cable.left = True
             if not day.resting and not cable.over and day.chance.random() < ENDS:
                 if self._ended(day.chance.choice(usable)):
-                    day.followers[self.number] = after = Follower(day, self.number, self.begun + 1)
+                    after = Follower(self.subscribers, self.number, self.begun + 1)
+                    self.subscribers.followers[self.number] = after
                     return after.run()
             day.kernel.sleep(AGAIN)
 
-    def _ended(self, sender: "Sender") -> bool:
+    def _ended(self, sender: Sender) -> bool:
         """Whether the subscription could be ended at a member."""
         answer = unfollowed(sender, self.name)
         if not answer:
             return False
-        self.day.ended[self.name] = self
+        self.subscribers.ended[self.name] = self
         if "not yet told" not in answer:
-            self.watched.ended.append(claims.Ended(self.name, self.day.now()))
+            self.watched.ended.append(invariants.Ended(self.name, self.day.now()))
         for source, at in self.cursors.items():  # it has gone, and is owed nothing more
-            self.watched.gaps.append(claims.Gap(self.name, source, at + 1, FOREVER, self.day.now()))
+            self.watched.gaps.append(invariants.Gap(self.name, source, at + 1, FOREVER, self.day.now()))
         return True
 
-    def told(self, cable: Cable, line: str) -> None:
+    def received(self, cable: Cable, line: str) -> None:
         """A line came."""
         if not line.startswith("{"):
             cable.over = cable.over or line.startswith("NO")
             return
-        told, at, watched = json.loads(line), self.day.now(), self.watched
-        if told["type"] == "match":
-            event = told["event"]
-            watched.matched.append(claims.Matched(self.name, event["source"], event["number"], at))
+        record, at, watched = json.loads(line), self.day.now(), self.watched
+        if record["type"] == "match":
+            event = record["event"]
+            watched.matched.append(invariants.Matched(self.name, event["source"], event["number"], at))
             self.cursors[event["source"]] = event["number"]
-        elif told["type"] == "gap":
-            watched.gaps.append(claims.Gap(self.name, told["source"], told["first"], told["last"], at))
-            self.cursors[told["source"]] = told["last"]
-        elif told["type"] == "from":
-            source, number = told["source"], told["number"]
+        elif record["type"] == "gap":
+            watched.gaps.append(invariants.Gap(self.name, record["source"], record["first"], record["last"], at))
+            self.cursors[record["source"]] = record["last"]
+        elif record["type"] == "from":
+            source, number = record["source"], record["number"]
             if source in self.cursors:  # what lies between is kept no more
-                watched.gaps.append(claims.Gap(self.name, source, self.cursors[source] + 1, number - 1, at))
-            watched.evaluates.append(claims.Evaluates(self.name, source, number, at))
+                watched.gaps.append(invariants.Gap(self.name, source, self.cursors[source] + 1, number - 1, at))
+            watched.evaluates.append(invariants.Evaluates(self.name, source, number, at))
             self.cursors[source] = number - 1
         else:  # the source has ended, and what it had not handed over is lost
-            watched.gaps.append(claims.Gap(self.name, told["source"], told["after"] + 1, FOREVER, at))
-            self.cursors.pop(told["source"], None)
+            watched.gaps.append(invariants.Gap(self.name, record["source"], record["after"] + 1, FOREVER, at))
+            self.cursors.pop(record["source"], None)
 
 
-def talk(sender: "Sender", cable: Cable, words: str) -> None:
+def talk(sender: Sender, cable: Cable, words: str) -> None:
     """In the member's process: a call of `FOLLOW`, as the management address answers it."""
     try:
         answer = sender.staff.follows(Call("FOLLOW", words))
@@ -153,53 +153,64 @@
         cable.over = True
 
 
-def unfollowed(sender: "Sender", name: str) -> str:
+def unfollowed(sender: Sender, name: str) -> str:
     """What a member answers to `UNFOLLOW`; empty where it refuses, or does not answer."""
-    told: list[str] = []
+    answers: list[str] = []
 
     def ask() -> None:
         try:
-            told.append(str(sender.staff.follows(Call("UNFOLLOW", name))))
+            answers.append(str(sender.staff.follows(Call("UNFOLLOW", name))))
         except CedarwickError:
-            told.append("")
+            answers.append("")
 
     kernel, owner = sender.day.kernel, sender.owner
     kernel.spawn_as(owner, ask)
-    while not told and not owner.dead:
+    while not answers and not owner.dead:
         kernel.sleep(LOOK)
-    return told[0] if told else ""
+    return answers[0] if answers else ""
+
 
+class Subscribers:
+    """All subscribers of a day, those whose subscriptions were ended among them."""
 
-def probe(day: "Day") -> None:
-    """At the end: an ended subscription can't be followed by its name alone, and gets nothing."""
-    watched = day.watched
-    known = {each.subscription for each in watched.ended}
-    for name, follower in day.ended.items():
-        if name not in known:
-            watched.ended.append(claims.Ended(name, day.now()))
-        for sender in day.senders:
-            if sender.node is not None:
-                cable = Cable(follower)
-                follower.cursors = {}
-                day.kernel.spawn_as(sender.owner, talk, sender, cable, name)
-                day.kernel.sleep(PROBED / len(day.senders))
-                cable.left = True
+    def __init__(self, day: DayState, senders: Sequence[Sender], count: int) -> None:
+        self.day = day
+        self.senders = senders
+        self.ended: dict[str, Follower] = {}  # subscriptions that were ended, by name
+        self.followers = [Follower(self, number) for number in range(count)]
+
+    def probe(self) -> None:
+        """At the end: an ended subscription can't be followed by its name alone, and gets nothing."""
+        day, watched = self.day, self.day.watched
+        known = {each.subscription for each in watched.ended}
+        for name, follower in self.ended.items():
+            if name not in known:
+                watched.ended.append(invariants.Ended(name, day.now()))
+            for sender in self.senders:
+                if sender.node is not None:
+                    cable = Cable(follower)
+                    follower.cursors = {}
+                    day.kernel.spawn_as(sender.owner, talk, sender, cable, name)
+                    day.kernel.sleep(PROBED / len(self.senders))
+                    cable.left = True
+
+    def exchange_class(self) -> type[Exchange]:
+        """The class whose events the day's history has."""
+        return type("Seen", (Seen,), {"subscribers": self})
 
 
 class Seen(Exchange):
     """An exchange whose events are known to the day."""
 
-    day: "Day"
+    subscribers: Subscribers
 
     def _happened(self, kind: str, fields: dict[str, Value]) -> None:
         assert self.serving is not None
         source, number = self.serving.source.name, self.serving.source.next
         event = Event(source, number, 0, kind, fields)
-        meets = tuple(each.name for each in (*self.day.followers, *self.day.ended.values()) if each.meets(event))
-        self.day.watched.occurred.append(claims.Occurred(source, number, self.day.now(), meets))
+        meets = tuple(
+            each.name for each in (*self.subscribers.followers, *self.subscribers.ended.values()) if each.meets(event)
+        )
+        day = self.subscribers.day
+        day.watched.occurred.append(invariants.Occurred(source, number, day.now(), meets))
         super()._happened(kind, fields)
-
-
-def seen_by(day: "Day") -> type[Exchange]:
-    """The class whose events that day is told of."""
-    return type("Seen", (Seen,), {"day": day})
--- a/tests/processes/test_fleet.py
+++ b/tests/processes/test_fleet.py
@@ -5,8 +5,8 @@
 
 import gevent
 
-from cedarwick.lab.claims import Terms
 from cedarwick.lab.fleet import Fleet
+from cedarwick.lab.invariants import Terms
 from cedarwick.lab.partner import Effect
 from cedarwick.lab.schedule import draw
 from tests.processes import rig
@@ -47,7 +47,7 @@
 
     def test_an_owner_dies_for_good_with_hundreds_held(self) -> None:
         def case(fleet: Fleet) -> None:
-            ends = [fleet.trouble(destination, Effect("hang")) for destination in range(3)]
+            ends = [fleet.begin_effect(destination, Effect("hang")) for destination in range(3)]
             handed = fleet.hand_in(0, 500 if rig.long() else 200, "free")
             self.assertGreater(sum(each.answer == "ok" for each in handed), 100)
             fleet.delete_folder(0)
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -14,13 +14,13 @@
 from cedarwick.fleet.sessions import REMEMBERED
 from cedarwick.lab.clients import command
 from cedarwick.lab.day import body_of
-from cedarwick.lab.draw import Arrival
 from cedarwick.lab.fleet import Fleet
 from cedarwick.lab.history import Handed
 from cedarwick.lab.partner import Effect
 from cedarwick.lab.relay import Fault, Way, named
 from cedarwick.lab.schedule import draw
 from cedarwick.lab.senders import SenderNotReadyError
+from cedarwick.lab.workload import Arrival
 from tests.processes import rig
 
 KEY = "00000000000000a1"
@@ -165,7 +165,7 @@
             "giver stopped": lambda: fleet.members[0].stop(),
             "link cut": lambda: fleet.cut(0, 1),
         }
-        end = fleet.trouble(0, Effect("shut", wait=300_000))
+        end = fleet.begin_effect(0, Effect("shut", wait=300_000))
         client = Client(fleet, 0)
         gevent.sleep(0.4)
         if fault == "answer lost":
