--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -120,18 +120,20 @@
         f"[bold]{result.scenario.name}[/], seed {result.seed}, {result.senders} senders, "
         f"{result.schedule.length / 1e6:g} s of arrivals, played in {result.took:.1f} s"
     )
-    bands = Table("band", "things", "delivered", "in time", "service", "p50 ms", "p99 ms", "max ms", box=None)
-    for name, band in figures.bands.items():
-        at = band.took.at
-        bands.add_row(
+    classes = Table(
+        "priority class", "things", "delivered", "in time", "service", "p50 ms", "p99 ms", "max ms", box=None
+    )
+    for name, row in figures.bands.items():
+        at = row.took.at
+        classes.add_row(
             name,
-            str(band.things),
-            str(band.delivered),
-            str(band.in_time),
-            f"{band.service:.3f}",
+            str(row.things),
+            str(row.delivered),
+            str(row.in_time),
+            f"{row.service:.3f}",
             *(f"{at[part]:.0f}" if at else "-" for part in ("50", "99", "100")),
         )
-    out.print(bands)
+    out.print(classes)
     out.print(
         f"service {figures.service:.3f}   answers "
         + ", ".join(f"{count} {name}" for name, count in sorted(figures.answers.items()))
@@ -143,11 +145,11 @@
         f"largest sender {figures.memory_mb:.1f} MB, {figures.descriptors} descriptors, "
         f"{figures.cpu_share:.2f} of a core; the emulator was at most {figures.worst_lag_ms:.0f} ms late"
     )
-    for trouble in sorted(result.history.gone, key=lambda gone: gone.began):
+    for fault in sorted(result.history.gone, key=lambda gone: gone.began):
         out.print(
-            f"  {trouble.began / 1e6:6.1f} to {trouble.ended / 1e6:5.1f} s  {trouble.kind}: "
-            + ", ".join(trouble.on[:6])
-            + (f" and {len(trouble.on) - 6} more" if len(trouble.on) > 6 else "")
+            f"  {fault.began / 1e6:6.1f} to {fault.ended / 1e6:5.1f} s  {fault.kind}: "
+            + ", ".join(fault.on[:6])
+            + (f" and {len(fault.on) - 6} more" if len(fault.on) > 6 else "")
         )
     broken = result.verdict.broken()
     for rule in sorted(broken):
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -223,7 +223,7 @@
         try:
             self.serving.happened(wall(), kind, fields)
         except InvalidEventError as error:
-            self.counters.trouble("an event that cannot be told", error)
+            self.counters.warning("an event that cannot be told", error)
 
     def _cleared(self, clear: Callable[[AttemptCall], bool], call: AttemptCall) -> bool:
         if self.watching and self.observer is not None:
@@ -367,7 +367,7 @@
         before = dict(self.registry.entries) if received.entries else {}
         verdict = self.sync.join(wall(), received)
         if verdict is not Verdict.JOINED:
-            self.counters.trouble("subscriptions of another member", NotJoinedError(f"{sender}: {verdict.value}"))
+            self.counters.warning("subscriptions of another member", NotJoinedError(f"{sender}: {verdict.value}"))
             return
         entries = self.registry.entries
         changed = [name for name in received.entries if name in entries and before.get(name) is not entries[name]]
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -125,7 +125,7 @@
         found = self.source.evaluate({name: entry for name, entry in living.items() if name not in left})
         for name in fresh[:FILTERS_PER_LOOK]:
             if name in found:
-                self.counters.trouble(
+                self.counters.warning(
                     "a filter that cannot be evaluated", CannotEvaluateError(f"{name}: {found[name]}")
                 )
         self._follow_outboxes()
@@ -287,7 +287,7 @@
             try:
                 items = _items.decode(stream.items)
             except msgspec.DecodeError as error:
-                self.counters.trouble("matches that cannot be read", UnreadableMatchesError(f"{sender}: {error}"))
+                self.counters.warning("matches that cannot be read", UnreadableMatchesError(f"{sender}: {error}"))
                 continue
             if connection.reader.take(body.source, stream.after, items):
                 connection.arrived.set()
@@ -325,7 +325,7 @@
                 self._owe(reader.name, members)
             sock.sendall(f"NO {reader.over.line}\n".encode("ascii", "replace"))
         except TimeoutError:
-            self.counters.trouble(
+            self.counters.warning(
                 "a subscriber reads too slowly", SlowReaderError(f"{reader.name}: {WRITE_TIMEOUT_S:g} s")
             )
         except OSError as error:
--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -187,7 +187,7 @@
             # Danger: a page that is there in part would hide those behind it.
             self.room = 0
             self.look_at = 0
-            self.counters.trouble("the subscriptions are not kept", SubscriptionsNotSavedError(f"{self.path}: {error}"))
+            self.counters.warning("the subscriptions are not kept", SubscriptionsNotSavedError(f"{self.path}: {error}"))
             return False
         self.writes += 1
         self.bytes += size
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -210,7 +210,7 @@
         try:
             return {uid: min(calls, MOST_CALLS) for uid, calls in files.read(self.staff.folder).items() if calls > 0}
         except files.UnreadableFileError as error:
-            self.counters.trouble("the receivers taken out by hand cannot be read", error)
+            self.counters.warning("the receivers taken out by hand cannot be read", error)
             return None
 
     def _keep(self) -> None:
@@ -221,7 +221,7 @@
             self.unwritten = not self.staff.keep(calls)
         self._write()
         if count := self.marks.unshared():
-            self.counters.trouble(
+            self.counters.warning(
                 "receivers out by hand that the other members are not told of",
                 NotSharedError(f"{count} of {len(calls)}, at most {LONGEST} characters of ASCII each"),
             )
@@ -231,7 +231,7 @@
         try:
             self.lasting.write_marks(self.marks.saved())
         except OSError as error:
-            self.counters.trouble("the fleet's marks are not kept", MarksNotSavedError(str(error)))
+            self.counters.warning("the fleet's marks are not kept", MarksNotSavedError(str(error)))
 
     # ---- Retry-After waits ----
 
--- a/cedarwick/fleet/lease_exchange.py
+++ b/cedarwick/fleet/lease_exchange.py
@@ -14,18 +14,18 @@
     """The own grantor's answers and table, and lease requests to the others."""
 
     def _answer_ask(self, ask: LeaseRequest) -> LeaseReply:
-        told = self._granted(ask)
+        reply = self._granted(ask)
         self._write_table(ask.right)
-        return told
+        return reply
 
     def _granted(self, ask: LeaseRequest) -> LeaseReply:
-        """The own grantor's answer, which nobody may be told before `_write_table` of its right has returned."""
-        told = self.grantor.ask(monotonic_time(), ask)
+        """The own grantor's answer, which nobody may be reply before `_write_table` of its right has returned."""
+        reply = self.grantor.ask(monotonic_time(), ask)
         if self.grantor.dirty:
             self.changed += 1
             self.changed_at[ask.right] = self.changed
             self.grantor.dirty = False
-        return told
+        return reply
 
     def _write_table(self, right: str = "") -> None:
         """Returns once what was granted is on the disk, of one right or of all; OSError where that fails.
@@ -82,17 +82,17 @@
         for name in self.peers.names():
             gevent.spawn(self._call, name, ask, CALL_TIMEOUT_S)
 
-    def _ask_all(self, adoption: Takeover, ask: LeaseRequest, told: LeaseReply, sent_at: int) -> None:
+    def _ask_all(self, adoption: Takeover, ask: LeaseRequest, reply: LeaseReply, sent_at: int) -> None:
         """Ask the others once the own grantor's answer lasts."""
         try:
             # Danger: the own grantor first, so that a restart knows each term that was ever asked for.
             self._write_table(ask.right)
         except OSError as error:
-            self.counters.trouble("the fleet's folder cannot be used", error)
+            self.counters.warning("the fleet's folder cannot be used", error)
             return
         if self.leaving or adoption.holder.term != ask.term:
             return  # it was given up meanwhile
-        adoption.holder.answered(monotonic_time(), sent_at, self.name, told)
+        adoption.holder.answered(monotonic_time(), sent_at, self.name, reply)
         for name in self.peers.names():
             gevent.spawn(self._ask, adoption, name, ask, sent_at)
 
--- a/cedarwick/fleet/leases.py
+++ b/cedarwick/fleet/leases.py
@@ -75,7 +75,7 @@
         self._grants: dict[str, Grant] = {}
         self._until: dict[str, int] = {}  # when a promise runs out, by right
         self._upto: dict[int, int] = {}  # the epoch up to which all partitions are closed, by slot
-        self._told: dict[str, bool] = {}  # whose tables came, and whether they were whole
+        self._learned_from: dict[str, bool] = {}  # whose tables came, and whether they were whole
         for grant in grants or ():
             self._join(grant)
         # Danger: what was promised before the restart is not in the folder; each promise may have a whole span to go.
@@ -173,7 +173,7 @@
         """Whose tables are to be asked for now."""
         if not self.learning or now < self._promised_at_boot():
             return ()
-        return tuple(sorted(name for name in self._names - {self.me} if not self._told.get(name)))
+        return tuple(sorted(name for name in self._names - {self.me} if not self._learned_from.get(name)))
 
     def learned(self, sent_at: int, name: str, table: GrantTable) -> bool:
         """Another's table, asked for at that time; whether it is the one that made this table whole."""
@@ -185,7 +185,7 @@
             if grant.right in self._grants:
                 # Danger: with no promise its holder, who lives, would be taken for one that is gone.
                 self._until[grant.right] = max(self.promised(grant.right), sent_at + self.span)
-        self._told[name] = not table.learning
+        self._learned_from[name] = not table.learning
         self._look()
         return not self.learning
 
@@ -202,8 +202,8 @@
 
     def _look(self) -> None:
         others = self._names - {self.me}
-        seen = others & set(self._told)
-        if self.learning and (sum(self._told[name] for name in seen) >= self.needed or seen == others):
+        seen = others & set(self._learned_from)
+        if self.learning and (sum(self._learned_from[name] for name in seen) >= self.needed or seen == others):
             self.learning, self.dirty = False, True
 
     def _promised_at_boot(self) -> int:
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -51,23 +51,23 @@
     """The state that the parts of a member share, and calls of other members."""
 
     def __init__(
-        self, name: str, told: Fleet, state: str, store: ReplicatedStore, clock: Clock, counters: Counters
+        self, name: str, settings: Fleet, state: str, store: ReplicatedStore, clock: Clock, counters: Counters
     ) -> None:
         """OSError where the folder or the address cannot be used; `NotAMemberError` where the file lacks this sender;
         `FolderOfAnother`."""
         self.name = name
-        self.told = told
+        self.settings = settings
         self.store = store
         self.clock = clock
         self.counters = counters
-        self.halls = {member.name: member.hall for member in told.member}
+        self.halls = {member.name: member.hall for member in settings.member}
         if name not in self.halls:
             raise NotAMemberError(f"fleet.member: no entry has the name of this sender, {name!r}")
-        self.where = {member.name: address(member.address) for member in told.member}
+        self.where = {member.name: address(member.address) for member in settings.member}
         self.lasting = FleetFiles(state, store.durable)
-        self.lasting.claim(told.group, name)
+        self.lasting.claim(settings.group, name)
         self.incarnation = self.lasting.boot(time.time_ns() // 1000)
-        self.gate = PeerVerifier(told.group, name, self.incarnation, self.where)
+        self.gate = PeerVerifier(settings.group, name, self.incarnation, self.where)
         self.peers = Peers(self.gate, self.where)
         now = monotonic_time()
         self.members = Membership(name, self.halls, self.incarnation, now)
@@ -78,7 +78,10 @@
         self.changed_at: dict[str, int] = {}  # by right: the state with its newest row, where that is not on the disk
         self.writing = False
         self.copies = ReplicaStore(
-            ReplicaFolder(self.lasting.copies), round(told.copies_mb * (1 << 20)), now=clock.now, durable=store.durable
+            ReplicaFolder(self.lasting.copies),
+            round(settings.copies_mb * (1 << 20)),
+            now=clock.now,
+            durable=store.durable,
         )
         self.adoptions: dict[int, Takeover] = {}
         self.held = {held.partition: held for held in self.lasting.held()}
@@ -102,7 +105,7 @@
         self.sharing = Gossip(name, self.lasting, clock, counters, self._call)
         self.owing = OrderKeyHints()
         self.lying: dict[int, frozenset[int]] = {}  # by partition: keys in a copy here whose holder is silent
-        self.exchange = Exchange(name, self.gate, counters, self._call, state, round(told.follow_s * 1e6))
+        self.exchange = Exchange(name, self.gate, counters, self._call, state, round(settings.follow_s * 1e6))
         store.seen = self.exchange.seen
         self.traffic: SessionRouter | None = None
 
@@ -117,19 +120,19 @@
         except PeerUnreachableError:
             self.counters.add(f"peer messages without an answer: {name}")
         except PeerRefusedError as error:
-            self.counters.trouble(f"{name} refused a peer message", error)
+            self.counters.warning(f"{name} refused a peer message", error)
         except CedarwickError as error:
-            self.counters.trouble("a peer message that was not sent", error)
+            self.counters.warning("a peer message that was not sent", error)
         return None
 
-    def _guarded(self, call: Callable[..., object], *told: object) -> None:
+    def _guarded(self, call: Callable[..., object], *arguments: object) -> None:
         """Call it, and count and log its errors.
 
         Danger: one partition that cannot be written would keep all others from being renewed, and from their answers.
         """
         try:
-            call(*told)
+            call(*arguments)
         except (OSError, NoSpaceError) as error:
-            self.counters.trouble("the fleet's folder cannot be used", error)
+            self.counters.warning("the fleet's folder cannot be used", error)
         except Exception:  # the process would end, and again after each start for as long as the folder is the same
             self.counters.failed(f"the fleet failed in {call.__name__}")
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -16,34 +16,36 @@
 class MembershipReload(Heartbeats):
     """Replaces the list of members in service."""
 
-    def replace(self, told: Fleet) -> None:
+    def replace(self, settings: Fleet) -> None:
         """Take over another list of members, and what else of the table may change in service."""
-        if self.name not in {member.name for member in told.member}:
+        if self.name not in {member.name for member in settings.member}:
             error: CedarwickError = NotAMemberError(
                 f"fleet.member: no entry has the name of this sender, {self.name!r}"
             )
             logger.error("the members stay as they were: {}", error.line)
             return
         try:
-            self._one_at_a_time({member.name for member in told.member})
+            self._one_at_a_time({member.name for member in settings.member})
         except MembershipChangeError as error:
             logger.error("the members stay as they were: {}", error.line)
             return
         before, now = set(self.halls), monotonic_time()
-        stored = msgspec.structs.replace(self.told, member=told.member, follow_s=told.follow_s)
-        moved = self.where[self.name] not in [address(each.address) for each in told.member if each.name == self.name]
-        if stored != told or moved:
+        stored = msgspec.structs.replace(self.settings, member=settings.member, follow_s=settings.follow_s)
+        moved = self.where[self.name] not in [
+            address(each.address) for each in settings.member if each.name == self.name
+        ]
+        if stored != settings or moved:
             logger.warning(
                 "but for the members and follow_s, the fleet's table and its own address are taken "
                 "over at a start only"
             )
-        self.told = stored
-        self.halls = {member.name: member.hall for member in told.member}
-        self.where = {member.name: address(member.address) for member in told.member}
+        self.settings = stored
+        self.halls = {member.name: member.hall for member in settings.member}
+        self.where = {member.name: address(member.address) for member in settings.member}
         self.peers.replace(self.where)
         self.members.replace(now, self.halls)
         self.grantor.replace(self.halls)
-        self.exchange.replace(round(told.follow_s * 1e6))
+        self.exchange.replace(round(settings.follow_s * 1e6))
         if self.traffic is not None:
             self.traffic.replace()
         for adoption in self.adoptions.values():
@@ -52,7 +54,7 @@
             self.ownership.names = self.halls  # of the partitions that it opens from now on
         for name in sorted(set(self.halls) - before):
             gevent.spawn(self._beat, name)
-        logger.info("members of {}: {}", told.group, ", ".join(sorted(self.halls)))
+        logger.info("members of {}: {}", settings.group, ", ".join(sorted(self.halls)))
 
     def _one_at_a_time(self, names: set[str]) -> None:
         """`MembershipChangeError` where majorities of a list in use and of the next one might share no member."""
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -84,7 +84,7 @@
             facts.append(fact)
         data = encode_facts(facts)
         if len(data) > LARGEST_STAGE:
-            self.counters.trouble("a session stays", SessionTooLargeError(f"{len(facts)} messages of {key:016x}"))
+            self.counters.warning("a session stays", SessionTooLargeError(f"{len(facts)} messages of {key:016x}"))
             self.act(self.moves.call_off(name, monotonic_time()))
             return
         ids = self.directory.ids(key, monotonic_time())
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -97,12 +97,12 @@
     def act(self, acts: Iterable[MigrationStep]) -> None:
         """Do what a move's rules say; what waits for something is done in a greenlet of its own."""
 
-    def _guarded(self, write: Callable[..., None], *told: object) -> bool:
+    def _guarded(self, write: Callable[..., None], *arguments: object) -> bool:
         """Whether a small file could be written."""
         try:
-            write(*told)
+            write(*arguments)
         except OSError as error:
-            self.counters.trouble("votes on moves cannot be written", DecreesNotSavedError(str(error)))
+            self.counters.warning("votes on moves cannot be written", DecreesNotSavedError(str(error)))
             return False
         return True
 
@@ -150,7 +150,7 @@
             try:
                 self.store.over(number)
             except NoSpaceError as error:  # Danger: it is written once there is room; the others must not wait for that
-                self.counters.trouble("no room for the record of an end", error)
+                self.counters.warning("no room for the record of an end", error)
             self.store.inert.pop(number, None)
         self._save_without(numbers)
         return True
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -37,8 +37,8 @@
     return vote.round, vote.mark
 
 
-def value_of(told: str) -> Value | None:
-    return "taker" if told == "taker" else "off" if told == "off" else None
+def value_of(text: str) -> Value | None:
+    return "taker" if text == "taker" else "off" if text == "off" else None
 
 
 def voted(move: str, answer: AcceptorReply) -> VoteReply:
@@ -94,15 +94,15 @@
         body: Body = (
             PrepareRequest(ask.move, vote, key) if ask.value is None else AcceptRequest(ask.move, vote, ask.value, key)
         )
-        told = self.call(ask.to, body, SETTLE_IN)
-        if isinstance(told, VoteReply):
-            value = value_of(told.value)
+        reply = self.call(ask.to, body, SETTLE_IN)
+        if isinstance(reply, VoteReply):
+            value = value_of(reply.value)
             answer = AcceptorReply(
-                told.granted,
-                ballot_of(told.promised),
-                ballot_of(told.accepted),
+                reply.granted,
+                ballot_of(reply.promised),
+                ballot_of(reply.accepted),
                 value,
-                told.decided and value is not None,
+                reply.decided and value is not None,
             )
             stray, now = self.strays.get(ask.move), monotonic_time()
             if stray is not None:
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -30,12 +30,12 @@
     """This sender as a member. Made before the dispatcher is; `start` begins once the folder is read."""
 
     def __init__(
-        self, name: str, told: Fleet, state: str, store: ReplicatedStore, clock: Clock, counters: Counters
+        self, name: str, settings: Fleet, state: str, store: ReplicatedStore, clock: Clock, counters: Counters
     ) -> None:
         """As `MemberState`; OSError also where its address cannot be listened at."""
-        super().__init__(name, told, state, store, clock, counters)
+        super().__init__(name, settings, state, store, clock, counters)
         store.reserve, store.starved = self._reserve, self._starved
-        if told.sessions:
+        if settings.sessions:
             from cedarwick.fleet import session_routing  # nothing of sessions is loaded where they are off
 
             self.traffic = session_routing.SessionRouter(self)
@@ -70,7 +70,7 @@
         logger.info(
             "member {} of {} in hall {}: {} others",
             self.name,
-            self.told.group,
+            self.settings.group,
             self.halls[self.name],
             len(self.halls) - 1,
         )
@@ -128,7 +128,7 @@
             try:
                 self.traffic.hand_over()
             except OSError as error:
-                self.counters.trouble("the sessions cannot be handed over", error)
+                self.counters.warning("the sessions cannot be handed over", error)
 
     def stop(self) -> None:
         """Close the listener, the connections and the files of the copies."""
--- a/cedarwick/fleet/order_key_hints.py
+++ b/cedarwick/fleet/order_key_hints.py
@@ -20,7 +20,7 @@
     """The hints sent to the others, and those received from them."""
 
     def __init__(self) -> None:
-        self.told: Set[int] = frozenset()  # keys in the last peer messages
+        self.sent_keys: Set[int] = frozenset()  # keys in the last peer messages
         self.elsewhere: frozenset[int] = frozenset()  # keys that rest here
         self._sent_at = 0
         self._sent_to: Collection[str] = ()
@@ -33,10 +33,10 @@
 
     def tell(self, now: int, keys: Set[int], others: Collection[str]) -> tuple[int, ...] | None:
         """The keys of a peer message that is due to others now; None: none is. The last one of a backlog is empty."""
-        changed = keys - self.told or set(others) - set(self._sent_to)
-        if not (keys or self.told) or now < self._sent_at + EVERY and not (keys and changed):
+        changed = keys - self.sent_keys or set(others) - set(self._sent_to)
+        if not (keys or self.sent_keys) or now < self._sent_at + EVERY and not (keys and changed):
             return None
-        self.told, self._sent_at, self._sent_to = frozenset(keys), now, tuple(others)
+        self.sent_keys, self._sent_at, self._sent_to = frozenset(keys), now, tuple(others)
         return tuple(sorted(keys)[:MOST_KEYS])
 
     def rests(self, now: int, here: Set[int], lying: Set[int]) -> frozenset[int]:
--- a/cedarwick/fleet/owed_keys.py
+++ b/cedarwick/fleet/owed_keys.py
@@ -1,4 +1,4 @@
-"""Keys that are owed from before a trouble, and rest elsewhere until they are not."""
+"""Keys that are owed from before a failure, and rest elsewhere until they are not."""
 
 from itertools import islice
 
@@ -18,7 +18,7 @@
     """Tells the others which keys are owed here, and lets those rest that they have told."""
 
     def _owe(self, now: int) -> None:
-        """Tell the others which keys are owed here from before a trouble, and let those rest that they have told."""
+        """Tell the others which keys are owed here from before a failure, and let those rest that they have told."""
         here: set[int] = set()
         lying: set[int] = set().union(*(self._lying(now, adoption) for adoption in self.adoptions.values()))
         for holding in self.store.holdings.values():
@@ -29,7 +29,9 @@
                 (here if holding.serving else lying).update(holding.backlog.values())
         # An attempt of a key that has ended may still run.
         here |= {
-            key for key in self.owing.told - here - lying - self.owing.elsewhere if self.dispatcher.rest_of(key) > 0
+            key
+            for key in self.owing.sent_keys - here - lying - self.owing.elsewhere
+            if self.dispatcher.rest_of(key) > 0
         }
         others = [name for name in self.alive if self.gate.levels.get(name, 0) >= OWING and name != self.name]
         if (keys := self.owing.tell(now, here | lying, others)) is not None:
@@ -62,7 +64,7 @@
         return self.lying[partition]
 
     def _backlog(self, holding: LeasedPartition) -> None:
-        """What is owed in a partition now is from before a trouble, but for what rests in the open one for others."""
+        """What is owed in a partition now is from before a failure, but for what rests in the open one for others."""
         for number in islice(holding.ledger.known, MAX_OWED_MESSAGES):
             stored = self.store.messages.get(number)
             if (
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -37,7 +37,7 @@
         try:
             begun = self.ownership.step(self.grantor)
         except BooksExhaustedError as error:
-            self.counters.trouble("no partition can be opened", error)
+            self.counters.warning("no partition can be opened", error)
             return
         if begun is not None:
             self.adoptions[begun.partition] = begun
@@ -88,11 +88,11 @@
             return
         ask = None if self.leaving else holder.asks(now)
         if ask is not None:
-            told = self._granted(ask)
+            reply = self._granted(ask)
             if ask.right in self.changed_at:
-                gevent.spawn(self._ask_all, adoption, ask, told, now)
+                gevent.spawn(self._ask_all, adoption, ask, reply, now)
             else:
-                self._ask_all(adoption, ask, told, now)
+                self._ask_all(adoption, ask, reply, now)
         if holding is not None:
             self._serve(now, holding)
         elif replica is not None and self._unwanted(now, partition, adoption):
@@ -137,7 +137,7 @@
                     # Danger: a copy that follows behind may lack an attempt; what it holds may have run, since the last
                     # attempt that it was told of: they are told in their order.
                     heard = (head.at for fact in replica.held.values() for head in fact.known.heads.values())
-                    behind = self.told.ack == "own" or replica.behind  # its holder may have been started before us
+                    behind = self.settings.ack == "own" or replica.behind  # its holder may have been started before us
                     doubt_at = max(heard, default=1) if behind else 0
                     mine, perhaps = self.store.only_here(holding) if not holding.offered else ([], [])
                     facts = list(replica.held.values())
@@ -150,7 +150,7 @@
                         [self.store.messages[number] for number in self.store.numbers(partition)], owner
                     )
             except NoSpaceError as error:
-                self.counters.trouble("a partition cannot be adopted", error)
+                self.counters.warning("a partition cannot be adopted", error)
                 ask = adoption.holder.release()
                 if ask is not None:
                     self._give_up(ask)
@@ -255,7 +255,7 @@
             for number in self.store.rekey(numbers, failed):
                 made.append(number)
         except (OSError, NoSpaceError) as error:
-            self.counters.trouble("messages cannot be taken over into the open partition", error)
+            self.counters.warning("messages cannot be taken over into the open partition", error)
             return False
         finally:
             # Danger: those that found room before one that did not are nobody's else.
@@ -270,16 +270,16 @@
         if holding is not None and not holding.ledger.term:
             # Danger: what an earlier process of this sender has taken, or heard of, may be nowhere but in this folder.
             self.store.resume_own(holding, self._term_of(adoption.partition))
-        told = self.store.known_here(holding) if holding is not None else []
+        known = self.store.known_here(holding) if holding is not None else []
         parts: list[bytes] = []
         part: list[bytes] = []
-        for fact in told:
+        for fact in known:
             part.append(known_facts.encoded(fact))
             if sum(map(len, part)) >= OFFER_PART_BYTES:
                 parts.append(known_facts.together(part))
                 part = []
         parts.append(known_facts.together(part))
-        logger.info("partition {}: {} messages offered to {}", adoption.partition, len(told), to)
+        logger.info("partition {}: {} messages offered to {}", adoption.partition, len(known), to)
         try:
             for index, data in enumerate(parts):
                 offer = TakeoverOffer(
@@ -319,7 +319,7 @@
             ended, news, problem = self.store.offered(holding, facts, body.term)
         except known_facts.CorruptFactsError as error:
             return OfferReply(body.partition, body.part, str(error)[:512])
-        logger.info("partition {}: {} told of {} ends and {} news", body.partition, sender, len(ended), len(news))
+        logger.info("partition {}: {} reported {} ends and {} updates", body.partition, sender, len(ended), len(news))
         holding.heard_out = monotonic_time() if body.last and not problem else holding.heard_out
         if holding.serving and (ended or news):
             # What was decided on less is decided anew.
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -70,7 +70,7 @@
                 )
                 self.order.append((now, fact.number))
             return
-        if known.end[0] is EndRank.TOLD and not known.heads and not seen.ended:
+        if known.end[0] is EndRank.NOTIFIED and not known.heads and not seen.ended:
             # Danger: withdrawn without an attempt or an end, its client was turned away; it must not be told +OK next.
             del self.taken[fact.number]
         else:
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -134,14 +134,14 @@
             self.seen("completed" if outcome is Outcome.COMPLETED else "outcome", sent, list(Outcome).index(outcome))
         super().outcome(number, outcome)
 
-    def ended(self, number: int, nacked: bool, wait_ms: int) -> None:
+    def ended(self, number: int, rejected: bool, wait_ms: int) -> None:
         holding = self._knows(number)
         if holding is not None:
-            self._replicate(holding, holding.ledger.ended(number, nacked, wait_ms))
+            self._replicate(holding, holding.ledger.ended(number, rejected, wait_ms))
         stored = self.messages.get(number)
-        super().ended(number, nacked, wait_ms)
+        super().ended(number, rejected, wait_ms)
         if stored is not None:
-            self.seen("nacked" if nacked else "written-off", stored, wait_ms)
+            self.seen("nacked" if rejected else "written-off", stored, wait_ms)
 
     def over(self, number: int) -> None:
         holding = self._knows(number)
--- a/cedarwick/fleet/replication_facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -58,7 +58,7 @@
     NONE = 0
     RETURNED = 1
     FAILED = 2
-    TOLD = 3
+    NOTIFIED = 3
     COMPLETED = 4
 
 
@@ -200,7 +200,7 @@
 
 def over(known: MessageKnowledge) -> bool:
     """Whether nothing more is owed."""
-    return known.end[0] >= EndRank.TOLD
+    return known.end[0] >= EndRank.NOTIFIED
 
 
 def attempts_of(known: MessageKnowledge) -> int:
@@ -346,7 +346,7 @@
 
     def over(self, number: int) -> Fact:
         """Nothing more is owed."""
-        return self._end(number, (EndRank.TOLD, self.known[number].end[1]))
+        return self._end(number, (EndRank.NOTIFIED, self.known[number].end[1]))
 
     def moved(self, number: int, sequence: int, text: str) -> Fact:
         """The message is part of a move."""
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -59,8 +59,8 @@
         """The members that are to have copies of a partition."""
         now = monotonic_time()
         able = [name for name in self.alive if now - self.full_at.get(name, -COPY_TRUST_US) >= COPY_TRUST_US]
-        able = able if len(able) > self.told.copies else self.alive
-        return placement.copies(holding.partition, self.name, self.halls, able, self.told.copies)
+        able = able if len(able) > self.settings.copies else self.alive
+        return placement.copies(holding.partition, self.name, self.halls, able, self.settings.copies)
 
     def _whole(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
         """Those of some members whose copies have all but a short tail."""
@@ -77,7 +77,7 @@
         holder = holding.adoption.holder
         wanted = self._wanted(holding)
         whole = self._whole(now, holding, wanted)
-        if holding.starving(now) and self.told.alone == "own" and not self._back(now, holding, whole):
+        if holding.starving(now) and self.settings.alone == "own" and not self._back(now, holding, whole):
             holder.name(now, ())
             holding.joining = {}
             return
@@ -86,7 +86,7 @@
         old = [name for name in holder.successors[1:] if name in holding.log.followers and name not in wanted]
         if len(whole) < len(wanted):
             whole += [name for name in self._whole(now, holding, old) if name not in whole]
-        if self.store.by_copy and not whole and holder.successors[1:] and self.told.alone == "busy":
+        if self.store.by_copy and not whole and holder.successors[1:] and self.settings.alone == "busy":
             return  # Danger: without a successor, what was promised to be on two folders would be on one
         holder.name(now, placement.order(holding.partition, self.name, self.halls, whole))
 
@@ -116,7 +116,7 @@
         """A copy has not taken a record in time."""
         if not holding.starved_at:
             holding.starved_at = monotonic_time()
-            self.counters.trouble("a copy does not follow", f"partition {holding.partition}")
+            self.counters.warning("a copy does not follow", f"partition {holding.partition}")
 
     def _back(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
         """Whether a sender that goes on alone may count on copies again: they have followed for long enough."""
@@ -131,12 +131,12 @@
             return True
         successors = self.store.successors_of(holding)
         # Danger: one that no majority knows for a successor yet would not be granted what it has a copy of.
-        if not successors or self.told.alone == "busy" and not holding.adoption.holder.successors[1:]:
-            if self.told.alone == "own" and not holding.alone_since:
+        if not successors or self.settings.alone == "busy" and not holding.adoption.holder.successors[1:]:
+            if self.settings.alone == "own" and not holding.alone_since:
                 logger.warning("partition {}: goes on without a copy", holding.partition)
                 holding.alone_since = now
                 holding.starved_at = holding.starved_at or now - STARVED
-            return self.told.alone == "own"
+            return self.settings.alone == "own"
         if holding.starved_at and holding.log.acked(successors) >= holding.log.next:
             if holding.alone_since or holding.starving(now):
                 logger.info("partition {}: copies follow again", holding.partition)
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -114,7 +114,7 @@
                 if fact.base is not None and fact.base.turn in estate.keys:
                     continue  # Danger: no copy had it, so its client saw no answer and may have come here with it
             elif stored is not None and stored.turn in estate.keys and known.end[0] is EndRank.NONE:
-                withdrawn = fact.known.end[0] is EndRank.TOLD and not (fact.known.move and fact.known.move[1])
+                withdrawn = fact.known.end[0] is EndRank.NOTIFIED and not (fact.known.move and fact.known.move[1])
                 if withdrawn and stored.deadline > soon:  # later it may have been told 'failed' without a copy
                     continue  # Danger: its client was turned away there, and may have been told +OK here since
             counts.append(fact)
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -45,8 +45,8 @@
 from cedarwick.ops.management import ManagementCommands
 
 GOSSIP = 250_000  # microseconds between two peer messages of news to each member
-TOLD = 256  # sessions in one peer message at least: a 40th of all that are held, and so all in 10 s
-MOST_TOLD = 4096
+MIN_GOSSIP_SESSIONS = 256  # sessions in one peer message at least: a 40th of all that are held, and so all in 10 s
+MAX_GOSSIP_SESSIONS = 4096
 WISHES = 256  # looked at in one turn
 HANDED_OVER = 5_000_000  # microseconds after the end of a process in which its successor goes on with its sessions
 MOVED_IN = 1.5  # seconds in which staff are told what became of a move
@@ -138,18 +138,18 @@
             return self._passed(sender, body)
         if isinstance(body, SessionLocations):
             first = self.lasting.first and self.first_seen.setdefault(sender, incarnation) == incarnation
-            self._told(sender, body, now)
+            self._locations_heard(sender, body, now)
             return self._lodgings((), first)
         if isinstance(body, SessionClaim):
             asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
             # Danger: a move that is decided late would make a second holder beside the one that claims.
             moving = self.transfers.open_move(body.key)
-            told = Claim(False, None) if moving else self.directory.claimed(asking, sender, now)
-            return ClaimReply(told.granted, lodging_of(told.entry))
+            claim = Claim(False, None) if moving else self.directory.claimed(asking, sender, now)
+            return ClaimReply(claim.granted, lodging_of(claim.entry))
         if isinstance(body, SessionInheritance):
             asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
-            told = self._successor_claims(asking, body.partition, sender, now)
-            return ClaimReply(told.granted, lodging_of(told.entry))
+            claim = self._successor_claims(asking, body.partition, sender, now)
+            return ClaimReply(claim.granted, lodging_of(claim.entry))
         if isinstance(body, RecallForward):
             return self._recalled(body)
         if isinstance(body, StageSession | PrepareRequest | AcceptRequest | MigrationDecided):
@@ -165,8 +165,8 @@
             elif name not in self.void:
                 self.void.add(name)
                 self.directory.without(name, now)
-        if now - self.told_at >= GOSSIP:
-            self.told_at = now
+        if now - self.gossiped_at >= GOSSIP:
+            self.gossiped_at = now
             self._gossip(now)
         if now - self.forgot_at >= SECOND:
             self.forgot_at = now
@@ -181,12 +181,16 @@
 
     def _gossip(self, now: int) -> None:
         # Danger: who slept would tell of sessions that others hold by now.
-        most = min(MOST_TOLD, TOLD + len(self.directory.sessions) // 40) if self.store.taking() else 0
+        most = (
+            min(MAX_GOSSIP_SESSIONS, MIN_GOSSIP_SESSIONS + len(self.directory.sessions) // 40)
+            if self.store.taking()
+            else 0
+        )
         news = self.directory.news(most, now)
-        told = tuple(lodging for entry in news if (lodging := lodging_of(entry)) is not None)
+        locations = tuple(lodging for entry in news if (lodging := lodging_of(entry)) is not None)
         for name in self.node.halls:
             if name != self.name:
-                gevent.spawn(self._tell_news, name, told)
+                gevent.spawn(self._tell_news, name, locations)
 
     def _tell_news(self, name: str, news: tuple[SessionLocation, ...]) -> None:
         first = self.lasting.first and name not in self.first_seen
@@ -194,7 +198,7 @@
         if not isinstance(answer, SessionLocations):
             return
         now = monotonic_time()
-        self._told(name, answer, now)
+        self._locations_heard(name, answer, now)
         self.transfers.learned(name, answer.stamp)
         # Danger: who forgot its sessions, or those of others, must wait until no id of that time can come any more.
         if answer.first and self.lasting.first:
@@ -206,7 +210,7 @@
     def _lodgings(self, news: tuple[SessionLocation, ...], first: bool) -> SessionLocations:
         return SessionLocations(news, len(self.directory.sessions), self._takes(), self.transfers.stamp, first)
 
-    def _told(self, name: str, body: SessionLocations, now: int) -> None:
+    def _locations_heard(self, name: str, body: SessionLocations, now: int) -> None:
         self.neighbours[name] = body
         self.directory.heard([entry for lodging in body.news if (entry := entry_of(lodging)) is not None], now)
 
@@ -216,12 +220,12 @@
             Neighbour(
                 name,
                 halls[name],
-                told.held,
+                location.held,
                 SESSIONS,
                 not members.notes(now, name),
-                told.takes and members.state(now, name) is MemberStatus.ALIVE,
+                location.takes and members.state(now, name) is MemberStatus.ALIVE,
             )
-            for name, told in self.neighbours.items()
+            for name, location in self.neighbours.items()
             if name in halls
         ]
 
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -73,7 +73,7 @@
         self.first_seen: dict[str, int] = {}  # by member: the first boot of it that was heard of
         self.new: set[str] = set()  # members that have never run before, and know of no earlier boot of this one
         self.void: set[str] = set()  # members whose sessions were given up
-        self.told_at = self.forgot_at = 0
+        self.gossiped_at = self.forgot_at = 0
         self.partition = 0  # in which the sessions that are held for sure were taken
         self.memories: dict[int, RecentIds] = {}  # by partition, of the copies that lie here
         self.estates: dict[int, InheritedSessions] = {}  # by partition that was adopted here
@@ -112,9 +112,9 @@
         except PeerUnreachableError:
             self.counters.add(f"peer messages about sessions without an answer: {name}")
         except PeerRefusedError as error:
-            self.counters.trouble(f"{name} refused a peer message about sessions", error)
+            self.counters.warning(f"{name} refused a peer message about sessions", error)
         except CedarwickError as error:
-            self.counters.trouble("a peer message about sessions that was not sent", error)
+            self.counters.warning("a peer message about sessions that was not sent", error)
         return None
 
     def _claim(self, key: int) -> bool:
@@ -137,8 +137,8 @@
         def ask(name: str) -> None:
             answer = self._call(name, body, CLAIM / SECOND)
             if isinstance(answer, ClaimReply):
-                told = Claim(answer.granted, entry_of(answer.entry))
-                if self.directory.answered(asking, name, told, monotonic_time()):
+                claim = Claim(answer.granted, entry_of(answer.entry))
+                if self.directory.answered(asking, name, claim, monotonic_time()):
                     self._change()
                     over.set()
             answered.append(name)
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -85,8 +85,8 @@
             if answer.answer:
                 taken = answer.answer == AdmissionResult.KEPT.value
                 return AdmissionResult(answer.answer), answer.wait_ms, self._recalling(stored, to) if taken else None
-            told = Claim(answer.disowned, entry_of(answer.entry))
-            after = self.directory.refused(key, to, told, monotonic_time())
+            claim = Claim(answer.disowned, entry_of(answer.entry))
+            after = self.directory.refused(key, to, claim, monotonic_time())
             if after is ClaimRuling.CLAIM:
                 self.transfers.act(self.moves.client_gone(key, monotonic_time()))
                 if self._claim(key):
@@ -162,7 +162,7 @@
                 gevent.sleep(0.005)
                 continue
             except CedarwickError as error:
-                self.counters.trouble(f"{to} refused a submission that was passed on", error)
+                self.counters.warning(f"{to} refused a submission that was passed on", error)
                 break
             if isinstance(answer, ForwardReply):
                 self.counters.add("submissions passed on")
@@ -220,8 +220,8 @@
                     claims += 1
                     if self._inherit(body.key):
                         continue
-                told = self.directory.elsewhere(body.key, now)
-                return ForwardReply("", 0, told.granted, lodging_of(told.entry))
+                claim = self.directory.elsewhere(body.key, now)
+                return ForwardReply("", 0, claim.granted, lodging_of(claim.entry))
             if not body.moved and self.node.halls.get(sender) != self.node.halls[self.name]:
                 self.wishes[body.key] = MigrationRequest(body.key, MigrationReason.CLIENT, sender), now + COMES_FOR
             handed = self._take(stored, hashed, ruling, now)
--- a/cedarwick/fleet/session_wire.py
+++ b/cedarwick/fleet/session_wire.py
@@ -15,8 +15,8 @@
     return contents(stored.key, stored.priority_class, stored.tenant, stored.destination, stored.body or b"")
 
 
-def entry_of(told: SessionLocation | None) -> Entry | None:
-    return Entry(told.key, told.holder, told.sequence, told.age) if told is not None else None
+def entry_of(location: SessionLocation | None) -> Entry | None:
+    return Entry(location.key, location.holder, location.sequence, location.age) if location is not None else None
 
 
 def lodging_of(entry: Entry | None) -> SessionLocation | None:
--- a/cedarwick/fleet/transport.py
+++ b/cedarwick/fleet/transport.py
@@ -217,7 +217,7 @@
                 if not stays:
                     return  # Danger: the rest of a body that nobody wants would be read on for ever
         except http.InvalidResponseError as error:
-            self.counters.trouble(
+            self.counters.warning(
                 "a request on the fleet's address that cannot be read", NotAPeerMessageError(str(error))
             )
             with contextlib.suppress(OSError):
@@ -252,7 +252,7 @@
         try:
             return b"200 OK", self._answered(request, sock, caller[0], head)
         except CedarwickError as error:
-            self.counters.trouble("a peer message was refused", error)
+            self.counters.warning("a peer message was refused", error)
             refused = RequestRefused(error.code, str(error)[:512])
             data = encode(self.gate.peer_message(head[0].sender if head else "", refused))
             return STATUS.get(type(error), AT_FAULT), data
--- a/cedarwick/lab/scenario.py
+++ b/cedarwick/lab/scenario.py
@@ -160,7 +160,7 @@
 
 
 class Trouble(Table, frozen=True, kw_only=True):
-    """One trouble: what, when, for how long, whom, how hard."""
+    """One fault: what, when, for how long, whom, how hard."""
 
     kind: Annotated[Kind, told("What goes wrong.")]
     begin_s: Annotated[float | Span, told("Its begin.", "s of the day")] = 5.0
--- a/cedarwick/lab/virtual_partners.py
+++ b/cedarwick/lab/virtual_partners.py
@@ -105,7 +105,7 @@
 
     def cut(self, numbers: Collection[int]) -> None:
         for task, call in list(self.out.items()):
-            if call.message.number in numbers and not call.told:
+            if call.message.number in numbers and not call.reported:
                 task.kill()
                 if (seen := self.seen.pop(call.message.number, None)) is not None and seen.ended == NEVER:
                     seen.ended = self.day.now()
@@ -116,7 +116,7 @@
         day.kernel.sleep(day.chance.uniform(0.0002, 0.002))
         for _ in range(3):
             if not self.clear(call):
-                call.told = True
+                call.reported = True
                 return
             if WALL + day.kernel.now - call.looked_at <= TOO_OLD:
                 break
@@ -146,6 +146,6 @@
         return Outcome.TIME_OUT
 
     def _ended(self, call: AttemptCall, outcome: Outcome) -> None:
-        call.told = True
+        call.reported = True
         self.seen.pop(call.message.number, None)
         self.tell(call, AttemptResult(outcome, took=1000, last=outcome is Outcome.COMPLETED))
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -43,7 +43,7 @@
     flushed: bool = False  # and so does the disk, where the folder is durable
     looked_at: int = 0  # the look at the sockets that its clearance rests on
     heeded: bool = False  # the wait of its refusal has been passed on, ahead of the result
-    told: bool = False  # its result has been passed on
+    reported: bool = False  # its result has been passed on
     new_connection: bool = False  # no kept one is good enough
     reused_connection: bool = False  # it goes over a link that was used before
 
@@ -96,7 +96,7 @@
     def cut(self, numbers: Collection[int]) -> None:
         """Give up the calls of some messages at once, and close their links: they may have run."""
         for greenlet, call in list(self.out.items()):
-            if call.message.number in numbers and not call.told:
+            if call.message.number in numbers and not call.reported:
                 greenlet.kill(block=False)
                 self.counters.add("attempts cut off: their session moves")
                 self._end(call, Outcome.RESET if call.recorded else Outcome.MOOT)
@@ -107,18 +107,18 @@
         except Exception:
             # Danger: an attempt that never ends holds its slot and its message for ever.
             self.counters.failed("an attempt failed")
-            if not call.told:
+            if not call.reported:
                 self._end(call, Outcome.RESET)
 
     def _go(self, call: AttemptCall) -> None:
         try:
             link = self.links.obtain(call.receiver, call.until, call.new_connection)
         except NoDescriptorError as error:
-            self.counters.trouble("no descriptor for an attempt", error.within(f"receiver {call.receiver}"))
+            self.counters.warning("no descriptor for an attempt", error.within(f"receiver {call.receiver}"))
             self._hold_back(call)
             return
         except OSError as error:
-            self.counters.trouble("a link did not come up", error)
+            self.counters.warning("a link did not come up", error)
             self._end(call, Outcome.CONNECT_FAILED)
             return
         usable = False
@@ -151,7 +151,7 @@
         """Whether it may go now; where it may not, it has ended."""
         for _ in range(MAX_CLEARANCE_REQUESTS):
             if not self.clear(call):
-                call.told = True
+                call.reported = True
                 self.counters.add("attempts held back before their first byte")
                 return False
             if self.clock.now() - call.looked_at <= CLEARANCE_LIFETIME_US:
@@ -183,7 +183,7 @@
             self._read_unread_bytes(call, link, answer)
         if answer.complete or answer.status == 200:
             usable = answer.complete and answer.keep_alive and broken is None
-            if not call.told:
+            if not call.reported:
                 self._tell(call, answer)
             return usable
         # Danger: with the call still on its way, a further attempt would be a second copy out. Danger: what follows a
@@ -209,14 +209,14 @@
                 self._heed_early(call, answer)
                 if answer.status and not begun:
                     until = min(until, self.clock.now() + ANSWER_REST_TIMEOUT_US)
-                if answer.headed and answer.status == 200 and not call.told:
+                if answer.headed and answer.status == 200 and not call.reported:
                     self._tell(call, answer)  # it is true, whatever becomes of the rest
         except TimeoutError:
             # Danger: after a pause of the process, answers that came in time lie unread.
             self._read_unread_bytes(call, link, answer)
             return Outcome.RESET if answer.status else Outcome.TIME_OUT
         except (OSError, InvalidResponseError) as error:
-            self.counters.trouble("a link broke during an attempt", error)
+            self.counters.warning("a link broke during an attempt", error)
             return Outcome.RESET
         return None
 
@@ -263,7 +263,7 @@
         self.out.pop(gevent.getcurrent(), None)
         self._read_on(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
         if answer.headed and answer.status == 429 and not call.heeded:
-            self.counters.add("waits told after the call was given up")
+            self.counters.add("waits heard after the call was given up")
             self._heed(call, answer)
 
     def _tell(self, call: AttemptCall, answer: ResponseParser) -> None:
@@ -283,15 +283,15 @@
             ending = AttemptResult(Outcome.MOOT, took, 0, True, report)
         else:
             if answer.status != 500:
-                self.counters.trouble("a receiver answered with an unknown status", answer.status)
+                self.counters.warning("a receiver answered with an unknown status", answer.status)
             ending = AttemptResult(Outcome.ERROR, took, 0, False, report)
         self.counters.add(f"answers {answer.status}")
-        call.told = True
+        call.reported = True
         self.tell(call, ending)
 
     def _end(self, call: AttemptCall, outcome: Outcome, not_sent: bool = False) -> None:
         self.counters.add(f"attempts without an answer: {outcome.value}")
-        call.told = True
+        call.reported = True
         took = self.clock.now() - call.ordered_at
         self.tell(call, AttemptResult(outcome, took, reused_connection=call.reused_connection, not_sent=not_sent))
 
@@ -306,7 +306,7 @@
         figures = [reported.get(name, "") for name in self.columns]
         # Danger: one "nan" or "1e300" would stay in the pace of a destination for ever.
         if not all(FIGURE_PATTERN.fullmatch(figure) for figure in figures):
-            self.counters.trouble("a report that cannot be read", text[:100])
+            self.counters.warning("a report that cannot be read", text[:100])
             return ()
         return [float(figure) for figure in figures]
 
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -140,14 +140,14 @@
                 self._make_room()
                 self.descriptors.claim()
             except NoDescriptorError as error:
-                self.counters.trouble("no descriptor for a client", error)
+                self.counters.warning("no descriptor for a client", error)
                 gevent.sleep(0.005)
                 continue
             try:
                 sock, _ = self.listener.accept()
             except OSError as error:
                 self.descriptors.give_back()
-                self.counters.trouble("accepting failed", error)
+                self.counters.warning("accepting failed", error)
                 gevent.sleep(0.02)
                 continue
             self._take_in(sock)
@@ -314,10 +314,10 @@
                     gevent.sleep(0)  # hundreds of commands at once must not hold up all others
             self._see_off(client)
         except MalformedRequestError as error:
-            self.counters.trouble("a malformed request", error)
+            self.counters.warning("a malformed request", error)
             self._refuse(client, f"-ERR {error}\r\n".encode())
         except ConnectionShedError as error:
-            self.counters.trouble("no memory for a request", error)
+            self.counters.warning("no memory for a request", error)
             self._refuse(client, BUSY)
         except OSError as error:
             self.counters.add(f"clients lost: {type(error).__name__}")
@@ -395,7 +395,7 @@
             wasted += got
 
     def _dropped(self, pairs: bytes) -> None:
-        """A SUBMIT that was refused at the door, counted by its priority class where that is one of ours."""
+        """A SUBMIT that was rejected at admission, counted by its priority class where that is one of ours."""
         for pair in pairs.split(b","):
             name, _, value = pair.partition(b"=")
             if name == b"c":
@@ -416,7 +416,7 @@
             stored, again = read_submission(parts, self.clock.now())
         except InvalidSubmitError as error:
             client.unusable += 1
-            self.counters.trouble("a request that cannot be taken", error)
+            self.counters.warning("a request that cannot be taken", error)
             return f"-ERR {error}\r\n".encode()
         self.counters.add("handed in again" if again else "handed in")
         if self.closing and not self.still_taking or not self.ready():
--- a/cedarwick/net/counters.py
+++ b/cedarwick/net/counters.py
@@ -16,7 +16,7 @@
 
 
 class Counters:
-    """Plain counts, the largest lag of the loop, and one log line a kind of trouble every while."""
+    """Plain counts, the largest lag of the loop, and one log line a kind of warning every while."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -29,17 +29,17 @@
     def add(self, name: str) -> None:
         self.counts[name] += 1
 
-    def trouble(self, kind: str, detail: object) -> None:
-        """Count a trouble, and log it unless the same kind was logged a moment ago."""
-        self.add(f"trouble: {kind}")
+    def warning(self, kind: str, detail: object) -> None:
+        """Count a warning, and log it unless the same kind was logged a moment ago."""
+        self.add(f"warning: {kind}")
         now = time.monotonic()
         if now - self.logged.get(kind, -self.quiet) >= self.quiet:
             self.logged[kind] = now
-            logger.warning("{} (seen {} times): {}", kind, self.counts[f"trouble: {kind}"], describe(detail))
+            logger.warning("{} (seen {} times): {}", kind, self.counts[f"warning: {kind}"], describe(detail))
 
     def failed(self, kind: str) -> None:
         """An error that should not be, told with its trace from within the handler."""
-        self.trouble(kind, traceback.format_exc())
+        self.warning(kind, traceback.format_exc())
 
     def watch_lag(self) -> None:
         """Never returns: measures how late the loop is."""
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -44,7 +44,7 @@
         try:
             call.body = self.store.body(call.message.number)
         except BodyLostError as error:
-            self.counters.trouble("a body cannot be read back", error)
+            self.counters.warning("a body cannot be read back", error)
             return False
         return True
 
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -11,7 +11,7 @@
 class FinalAnswers(DispatcherState):
     """Ends messages that get no further attempt."""
 
-    def _final(self, number: int, nacked: bool, wait_ms: int, alone: bool = False) -> None:
+    def _final(self, number: int, rejected: bool, wait_ms: int, alone: bool = False) -> None:
         """The final answer of a stored message: recorded, then posted until it is acknowledged.
 
         `alone`: without waiting for a copy, since none can be asked.
@@ -20,15 +20,15 @@
         stored = self.store.messages.get(number)
         if stored is None:
             return
-        self._recorded("the record of an end", self.store.ended, number, nacked, wait_ms)
-        self.counters.add("nacked" if nacked else "written off")
-        (self.counters.figures.dropped if nacked else self.counters.figures.bad_gateway)[stored.priority_class] += 1
+        self._recorded("the record of an end", self.store.ended, number, rejected, wait_ms)
+        self.counters.add("rejected" if rejected else "abandoned")
+        (self.counters.figures.dropped if rejected else self.counters.figures.bad_gateway)[stored.priority_class] += 1
         self.uncopied_ends.discard(number)
         if self.store.by_copy and not alone:
             self.uncopied_ends.add(number)
             self._post_once_copied(stored)
         else:
-            self.notices.post(number, stored.id, nacked, wait_ms)
+            self.notices.post(number, stored.id, rejected, wait_ms)
 
     def _post_once_copied(self, stored: StoredMessage) -> None:
         """Post the end once a copy has it.
@@ -62,7 +62,7 @@
             if stored is None or number in self.handles or number in self.notices.owed:
                 continue
             if stored.end is None or number in self.uncopied_ends:
-                self.counters.trouble("a message ends that nobody may fire for", number)
+                self.counters.warning("a message ends that nobody may fire for", number)
                 self._final(number, False, 0, alone=True)
             else:
                 self.notices.post(number, stored.id, *stored.end)
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -31,7 +31,7 @@
             stored = self.store.messages[number]
             self.numbers[stored.id] = number
             if stored.end is None and stored.priority_class not in self.priority_classes:
-                self.counters.trouble(
+                self.counters.warning(
                     "a message of a priority class that is no more goes once at most", stored.priority_class
                 )
             if stored.end is not None:
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -91,7 +91,7 @@
         try:
             write(*arguments)
         except NoSpaceError as error:
-            self.counters.trouble(f"no room for {what}", error)
+            self.counters.warning(f"no room for {what}", error)
             return False
         return True
 
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -232,7 +232,7 @@
                 self._final(number, True, wait // 1000)
                 continue
             del self.handles[number], self.numbers[fresh.message.id]
-            self.counters.add("nacked at the door")
+            self.counters.add("rejected at admission")
             fresh.answered(AdmissionResult.BUSY, wait // 1000)
         for number in verdicts.abandoned:
             self._final(number, False, 0)
@@ -276,7 +276,7 @@
         try:
             self.store.flush(in_thread)
         except OSError as error:
-            self.counters.trouble(
+            self.counters.warning(
                 "what was written does not last yet",
                 error if isinstance(error, CedarwickError) else DiskError(str(error)),
             )
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -94,7 +94,7 @@
                 listing = self._listing(uid, entry)
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
                 # Danger: one line that cannot be read would keep all others from being heard.
-                self.counters.trouble(
+                self.counters.warning(
                     "a line of the list cannot be read", InvalidUpdateError(f"{type(error).__name__}: {error}")
                 )
                 clear = False
@@ -193,9 +193,9 @@
         try:
             self._follow()
         except (OSError, InvalidResponseError, InvalidUpdateError) as error:
-            self.counters.trouble("the watch of the list broke", error)
+            self.counters.warning("the watch of the list broke", error)
         except ValueError as error:
-            self.counters.trouble(
+            self.counters.warning(
                 "the watch of the list broke", InvalidUpdateError(f"news that cannot be read: {error}")
             )
 
@@ -258,7 +258,7 @@
                 raise
         # Danger: while discovery is down the agent says nothing, and what it has later counts as told at once.
         # So the call has failed for the decisions, but is listened to until they want the next one.
-        self.counters.trouble("a call for the list without an answer", f"{ANSWER_TIMEOUT_S} s")
+        self.counters.warning("a call for the list without an answer", f"{ANSWER_TIMEOUT_S} s")
         self.doubted = True
         self.first_news.set()
         self._call_failed()
@@ -277,7 +277,7 @@
             if phase is EndpointState.READY or uid not in self.last:
                 raise
             # Danger: a field that is spoilt would hide the drain that stands in the same line.
-            self.counters.trouble(
+            self.counters.warning(
                 "a line of the list is spoilt", InvalidUpdateError(f"{uid}: {type(error).__name__}: {error}")
             )
             at, (_, zone, kind, group, *_) = None, self.last[uid]
@@ -296,7 +296,7 @@
         if isinstance(hint, int | float) and 0 <= hint <= MAX_CALLS_PER_SECOND:
             return float(hint)
         # Danger: one spoilt figure would hide a drain that stands in the same line, or let everything go at once.
-        self.counters.trouble("a listed rate that is none", InvalidUpdateError(f"{uid}: {str(hint)[:40]}"))
+        self.counters.warning("a listed rate that is none", InvalidUpdateError(f"{uid}: {str(hint)[:40]}"))
         return self.last[uid].rate if uid in self.last else 0.0
 
 
--- a/cedarwick/net/metrics.py
+++ b/cedarwick/net/metrics.py
@@ -11,7 +11,7 @@
     def __init__(self, priority_classes: list[str] | None = None) -> None:
         self.priority_classes = list(priority_classes or [])
         self.passed: Counter[str] = Counter()  # messages completed
-        self.dropped: Counter[str] = Counter()  # refused at the door, or nacked later
+        self.dropped: Counter[str] = Counter()  # rejected at admission, or rejected later
         self.bad_gateway: Counter[str] = Counter()  # written off
         self.tries = 0  # requests written whole to receivers
 
@@ -27,8 +27,8 @@
                 made: list[Metric] = []
                 for name, counted, meaning in (
                     ("sender_passed", figures.passed, "messages completed"),
-                    ("sender_dropped", figures.dropped, "messages refused at the door or nacked"),
-                    ("sender_bad_gateway", figures.bad_gateway, "messages written off"),
+                    ("sender_dropped", figures.dropped, "messages rejected at admission or later"),
+                    ("sender_bad_gateway", figures.bad_gateway, "messages abandoned"),
                 ):
                     family = CounterMetricFamily(name, meaning, labels=["category"])
                     for priority_class in sorted(set(figures.priority_classes) | set(counted)):
--- a/cedarwick/net/notifications.py
+++ b/cedarwick/net/notifications.py
@@ -38,10 +38,10 @@
         if self.posting is not None:
             self.posting.kill(block=False)
 
-    def post(self, number: int, message: str, nacked: bool, wait_ms: int) -> None:
+    def post(self, number: int, message: str, rejected: bool, wait_ms: int) -> None:
         """Owe the platform a notice: `returned`, with an advised wait in milliseconds if any, or `failed`."""
-        notice: dict[str, object] = {"id": message, "state": "returned" if nacked else "failed"}
-        if nacked and wait_ms > 0:
+        notice: dict[str, object] = {"id": message, "state": "returned" if rejected else "failed"}
+        if rejected and wait_ms > 0:
             notice["after_ms"] = wait_ms
         self.owed[number] = json.dumps(notice).encode() + b"\n"
         self.unposted.set()
@@ -62,7 +62,7 @@
                     gevent.sleep(RETRY_DELAY_S)
                     continue
                 if status != 204:
-                    self.counters.trouble("a notice was not accepted", status)
+                    self.counters.warning("a notice was not accepted", status)
                     most = 1  # a line that cannot be read must not hold up the others
                     if (first := self.owed.pop(batch[0], None)) is not None:
                         self.owed[batch[0]] = first
@@ -81,7 +81,7 @@
                 return self._send(body)
         except (OSError, InvalidResponseError) as error:
             self._close()
-            self.counters.trouble("a notice could not be posted", error)
+            self.counters.warning("a notice could not be posted", error)
             return 0
         except gevent.GreenletExit:
             self._close()
--- a/cedarwick/ops/management_server.py
+++ b/cedarwick/ops/management_server.py
@@ -61,7 +61,7 @@
             try:
                 sock, _ = self.listener.accept()
             except OSError as error:
-                self.counters.trouble("accepting a management call failed", error)
+                self.counters.warning("accepting a management call failed", error)
                 gevent.sleep(ACCEPT_RETRY_S)
                 continue
             gevent.spawn(self._serve, sock)
@@ -84,7 +84,7 @@
             discard_input(sock)
         except gevent.Timeout:
             late = InvalidCallError("the line did not come in time")
-            self.counters.trouble("a management call that cannot be read", late)
+            self.counters.warning("a management call that cannot be read", late)
             with gevent.Timeout(LATE_ANSWER_S, False):
                 sock.sendall(refusal(late).encode("ascii", "replace"))
         except OSError as error:
@@ -121,7 +121,7 @@
             return refusal(CallFailedError("the call failed"))
 
     def _unread(self, error: InvalidCallError) -> str:
-        self.counters.trouble("a management call that cannot be read", error)
+        self.counters.warning("a management call that cannot be read", error)
         return refusal(error)
 
 
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -24,11 +24,10 @@
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.notifications import Notifier
 from cedarwick.net.sockets import PollClock
-from cedarwick.ops import saved_state
 from cedarwick.ops.handover import inherited_listener
 from cedarwick.ops.management import ManagementCommands
 from cedarwick.ops.management_server import ManagementServer
-from cedarwick.store.files import DiskError, FolderInUseError
+from cedarwick.ops.process_handover import HANDOVER_CLIENT_CLOSE_S, hand_over, hold, leave_waits, take_waits
 from cedarwick.store.journal import BODIES, Store
 
 if TYPE_CHECKING:
@@ -43,11 +42,6 @@
 DRAIN_POLL_INTERVAL_S = 0.02  # between two looks whether anything is still out
 LAST_ANSWERS_S = 0.15  # after that, for the answers to requests that were read
 
-# At most, from SIGTERM on where the next process has the clients' socket, one after the other:
-HANDOVER_IDLE_S = 0.2  # for requests that were read to be answered and attempts that are out to end
-HANDOVER_ANSWERS_S = 0.05  # for answers that are being written; then the folder is the next process's
-HANDOVER_CLIENT_CLOSE_S = 1.1  # for clients that were let go to close
-
 FIRST_LIST_UPDATE_S = 0.2  # that the decisions wait for it; a client that has its PONG waits 0.4 for an answer
 # And for so long after that, messages are stored and answered, but not attempted; by then silence counts as an answer.
 FIRST_ATTEMPT_S = 0.8
@@ -443,70 +437,6 @@
     return len(dispatcher.handles), len(listed), len(avoided & listed)
 
 
-def leave_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-    """Write the Retry-After waits of receivers for the process that replaces this one, before the folder is let go."""
-    uids = {number: uid for uid, number in endpoint_list.numbers.items()}
-    heeded = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
-    waits = {uids[receiver]: until for receiver, until in heeded if receiver in uids}
-    try:
-        saved_state.write_waits(folder, waits)
-    except OSError as error:
-        logger.error(DiskError(f"the Retry-After waits cannot be handed over: {error}").line)
-
-
-def take_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-    """Heed the Retry-After waits that the replaced process left; the saved list must be known by then."""
-    try:
-        waits = saved_state.take_waits(folder)
-    except saved_state.UnreadableFileError as error:
-        logger.error("the Retry-After waits of the replaced process cannot be read: {}", error.line)
-        return
-    dispatcher.heed(
-        [(endpoint_list.numbers[uid], until) for uid, until in waits.items() if uid in endpoint_list.numbers]
-    )
-
-
-def hold(store: Store, replacing: bool) -> bool:
-    """Whether the folder is held and read; False where the process that is replaced holds it still.
-
-    Raises what `Store.load` raises; `FolderInUseError` only where no process is being replaced.
-    """
-    try:
-        store.load()
-    except FolderInUseError:
-        if not replacing:
-            raise
-        return False
-    return True
-
-
-def hand_over(
-    accepting: gevent.Greenlet, client_listener: ClientListener, dispatcher: Dispatcher, store: Store
-) -> None:
-    """Stop taking clients and end what is out, so that the next process may take the folder."""
-    accepting.kill()
-    client_listener.listener.close()  # only this process's descriptor: the platform's socket stays open
-    # Danger: the next process accepts nobody while this one holds the folder; clients wait 400 ms at most.
-    # Open connections are served meanwhile, each let go after its answer; messages are stored, not attempted.
-    client_listener.still_taking = client_listener.closing = True
-    dispatcher.hold_fire(keeping=True)
-    with gevent.Timeout(HANDOVER_IDLE_S, False):
-        while not dispatcher.idle():
-            gevent.sleep(POLL_INTERVAL_S)
-    client_listener.stop()
-    with gevent.Timeout(HANDOVER_ANSWERS_S, False):
-        while client_listener.mid_request():
-            gevent.sleep(POLL_INTERVAL_S)
-    client_listener.still_taking = False
-    logger.info(
-        "handing over: {} messages kept, {} attempts without an outcome",
-        len(store.messages),
-        len(dispatcher.attempts.out),
-    )
-    # Danger: a call still out on an open link, sent again by the next process, would be a second copy.
-    gevent.killall(list(dispatcher.attempts.out))
-
-
 def broken(part: gevent.Greenlet) -> None:
     """End the process at once: a part that should never return has failed, and the sender would only seem to live."""
     logger.error("a part of the sender ended: {!r}", part.exception)
--- a/cedarwick/store/compaction.py
+++ b/cedarwick/store/compaction.py
@@ -4,30 +4,60 @@
 `step`, and on the spot where a record does not fit, by `find_room`.
 """
 
-from typing import TYPE_CHECKING
+from collections import deque
+from collections.abc import Callable
+from typing import Protocol
 
 from loguru import logger
 
 from cedarwick.errors import describe
 from cedarwick.store import compaction_planner, records
-from cedarwick.store.bodies import BodyLostError
+from cedarwick.store.bodies import BodyCache, BodyLostError
 from cedarwick.store.compaction_planner import RecordUse
-from cedarwick.store.files import DiskError, NoSpaceError, quietly, segment_name
-from cedarwick.store.records import DROP, FRAME, OVER, OVER_BODY
-from cedarwick.store.segments import Segment
-
-if TYPE_CHECKING:
-    from cedarwick.store.journal import Store
+from cedarwick.store.files import DiskError, Folder, NoSpaceError, quietly, segment_name
+from cedarwick.store.records import DROP, FRAME, OVER, OVER_BODY, StoredMessage
+from cedarwick.store.segments import Segment, SegmentIndex
 
 MIN_STEP_BYTES = 1 << 13  # bytes that come in before a step looks whether anything is to be done
 RETRY_STEPS = 64  # steps after which a segment that could not be moved is looked at again
 MAX_INLINE_STEPS = 16  # steps on the spot for one short record
 
 
+class CompactedStore(Protocol):
+    """What compaction asks of the store that it works for; `journal.Store` is one. Sizes are bytes."""
+
+    durable: bool
+    limit: int
+    used: int
+    appended: int
+    segment_size: int
+    active: Segment | None
+    folder: Folder
+    body_cache: BodyCache
+    segment_index: SegmentIndex
+    owing: deque[tuple[bytes, Callable[[Segment], None]]]
+    condemned: list[tuple[str, int]]
+
+    @property
+    def messages(self) -> dict[int, StoredMessage]: ...
+
+    def sizes(self) -> compaction_planner.Sizes: ...
+
+    def estimate_room(self) -> None: ...
+
+    def write_owing(self) -> None: ...
+
+    def write_message(self, stored: StoredMessage, body: bytes, use: RecordUse) -> int: ...
+
+    def write_note(self, stored: StoredMessage, payload: bytes, use: RecordUse) -> int: ...
+
+    def append_record(self, payload: bytes, use: RecordUse) -> tuple[Segment, int]: ...
+
+
 class Compactor:
     """Moves one segment at a time, the victim; every move is a record that the store appends."""
 
-    def __init__(self, store: "Store", most_step: int) -> None:
+    def __init__(self, store: CompactedStore, most_step: int) -> None:
         """`most_step`: bytes that one step moves at the most."""
         self.store = store
         self.most_step = most_step
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -238,13 +238,13 @@
         stored.ran_at, stored.ran_zone = at, zone
         self._write_or_owe(records.state(stored), self._when_written(stored))
 
-    def ended(self, number: int, nacked: bool, wait_ms: int) -> None:
+    def ended(self, number: int, rejected: bool, wait_ms: int) -> None:
         """The final answer has been chosen; its notice is owed, its body is not needed any more."""
         stored = self.messages.get(number)
         if stored is not None:
-            stored.end = (nacked, wait_ms)
+            stored.end = (rejected, wait_ms)
             self.body_cache.release(stored)
-            self._write_or_owe(END_BODY.pack(END, number, nacked, wait_ms), self._when_written(stored))
+            self._write_or_owe(END_BODY.pack(END, number, rejected, wait_ms), self._when_written(stored))
 
     def over(self, number: int) -> None:
         """Nothing more is owed."""
--- a/cedarwick/store/legacy_format.py
+++ b/cedarwick/store/legacy_format.py
@@ -80,9 +80,9 @@
             else:
                 stored[number].outcome(OUTCOMES[outcome].never_ran)
     elif kind == END:
-        _, number, nacked, wait = END_BODY.unpack(payload)
+        _, number, rejected, wait = END_BODY.unpack(payload)
         if number in stored:
-            stored[number].end = (bool(nacked), wait)
+            stored[number].end = (bool(rejected), wait)
     elif kind == OVER:
         stored.pop(OVER_BODY.unpack(payload)[1], None)
     return 1
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -31,7 +31,7 @@
 END_BODY = struct.Struct("<BQBI")
 OVER_BODY = struct.Struct("<BQ")
 OUTCOMES = list(Outcome)
-NO_END, WRITTEN_OFF, NACKED = range(3)
+NO_END, WRITTEN_OFF, REJECTED = range(3)
 NOWHERE = -1  # the zone of an attempt that nobody knows: no receiver is there
 FIRST_MARK, MARKS = 1 << 10, 31 << 10  # of zones; what is below is a place among the zones of some settings
 OVER_RECORD_BYTES = FRAME.size + OVER_BODY.size
@@ -65,7 +65,7 @@
     out_at: int = 0  # the attempt that has no outcome yet; 0: none is out
     out_zone: int = 0
     doubt_at: int = 0  # records are lost from then on, so an attempt may have run; 0: none are
-    end: tuple[bool, int] | None = None  # nacked (not written off), advised wait in ms; its notice is owed
+    end: tuple[bool, int] | None = None  # rejected (not written off), advised wait in ms; its notice is owed
     # Where its record lies; of the journal's own concern.
     home: int = 0  # the segment; 0: nowhere yet
     at: int = 0  # the body's place in that
@@ -162,7 +162,7 @@
     """What is known of a message's attempts and end, as `STATE_BODY`."""
     end, wait = NO_END, 0
     if stored.end is not None:
-        end, wait = NACKED if stored.end[0] else WRITTEN_OFF, stored.end[1]
+        end, wait = REJECTED if stored.end[0] else WRITTEN_OFF, stored.end[1]
     return STATE_BODY.pack(
         min(stored.attempts, 0xFFFF),
         stored.ran_at,
@@ -223,7 +223,7 @@
         raise InvalidRecordError(f"a state: {error}") from None
     # Danger: what damage has put in doubt stays so, whatever an older record says.
     stored.doubt_at = min(filter(None, (stored.doubt_at, doubt_at)), default=0)
-    stored.end = None if end == NO_END else (end == NACKED, wait)
+    stored.end = None if end == NO_END else (end == REJECTED, wait)
 
 
 class Frame(NamedTuple):
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -283,8 +283,8 @@
         outcome = OUTCOMES[OUTCOME_BODY.unpack(payload)[2]]
         stored.outcome(outcome.never_ran)
     elif kind == END:
-        _, _, nacked, wait = END_BODY.unpack(payload)
-        stored.end = (bool(nacked), wait)
+        _, _, rejected, wait = END_BODY.unpack(payload)
+        stored.end = (bool(rejected), wait)
     segment_index.note_written(stored, segment)
 
 
--- a/tests/explore.py
+++ b/tests/explore.py
@@ -64,7 +64,9 @@
 
     def _look(self, now: int) -> Look:
         grantor, holder = self.grantor, self.holder
-        silence = (max(0, grantor.boot + SPAN - now), *sorted(grantor._told.items())) if grantor.learning else None
+        silence = (
+            (max(0, grantor.boot + SPAN - now), *sorted(grantor._learned_from.items())) if grantor.learning else None
+        )
         granted = grantor.grant(RIGHT)
         row = (granted.term, granted.holder, granted.successors, granted.set, granted.closed)
         key: tuple[Any, ...] = (self.whole, row, max(0, grantor.promised(RIGHT) - now), silence)
--- a/tests/test_crossings_restarts.py
+++ b/tests/test_crossings_restarts.py
@@ -509,13 +509,13 @@
         self.links.descriptors.limit = 0
         for name in "abc":
             self.made.submit(name, priority_class="once")
-        self.wait_for(lambda: self.counts["trouble: no descriptor for an attempt"] >= 3)
+        self.wait_for(lambda: self.counts["warning: no descriptor for an attempt"] >= 3)
         self.assertEqual({handle.attempts - handle.out for handle in self.dispatcher.handles.values()}, {0})
         self.links.descriptors.limit = 8
         self.wait_for(lambda: len(self.partner.arrived) == 3)
         self.wait_for(lambda: not self.made.store.messages)
         self.assertEqual(self.dispatcher.notices.owed, {})
-        self.assertLess(self.counts["trouble: no descriptor for an attempt"], 9)
+        self.assertLess(self.counts["warning: no descriptor for an attempt"], 9)
 
     def test_a_attempt_that_is_cut_while_the_dispatcher_is_asked_gives_its_link_back(self) -> None:
         self.start()
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -90,7 +90,7 @@
         lines: list[str] = []
         sink = logger.add(lines.append, format="{message}")
         self.addCleanup(logger.remove, sink)
-        Counters().trouble("a kind", InvalidCallError("{0} {x}"))
+        Counters().warning("a kind", InvalidCallError("{0} {x}"))
         logger.error(InvalidCallError("{0} {x}").line)
         self.assertEqual([f"{{0}} {{x}} [CW401: {InvalidCallError.remedy}]" in line for line in lines], [True, True])
 
--- a/tests/test_fleet_inherit.py
+++ b/tests/test_fleet_inherit.py
@@ -306,7 +306,7 @@
             *self.step(
                 8,
                 Fact(1, None, MessageKnowledge({1: LifeSummary(1, True, 5, 0)}, end=(EndRank.COMPLETED, 0))),
-                Fact(2, None, MessageKnowledge(end=(EndRank.TOLD, 0))),
+                Fact(2, None, MessageKnowledge(end=(EndRank.NOTIFIED, 0))),
             ),
             30,
         )
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -230,7 +230,7 @@
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node.start(mock.Mock())
             more = Member(name="d", address="127.0.0.1:1", hall="d")
-            node.replace(msgspec.structs.replace(node.told, member=[*node.told.member, more]))
+            node.replace(msgspec.structs.replace(node.settings, member=[*node.settings.member, more]))
         assert node.ownership is not None
         self.assertIn("d", node.ownership.names)
 
@@ -240,7 +240,7 @@
         def reload(*names: str) -> set[str]:
             node.replace(
                 msgspec.structs.replace(
-                    node.told,
+                    node.settings,
                     ack="own",
                     member=[
                         Member(name=name, address=f"127.0.0.1:{index + 1}", hall=name)
@@ -263,7 +263,7 @@
             ask("ac")
             ask("acd")
             self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c", "d", "e"})
-            self.assertEqual(node.told.ack, "copy")
+            self.assertEqual(node.settings.ack, "copy")
             ask("acde")
             self.assertEqual(reload("a", "b", "c", "e"), {"a", "b", "c", "e"})
             self.assertEqual(reload("a", "b", "c"), {"a", "b", "c", "e"})
@@ -433,7 +433,7 @@
             self.assertIn(PARTITION, node.adoptions)
 
     def test_what_a_receiver_answers_is_told_once_whatever_became_of_the_message_meanwhile(self) -> None:
-        done = Fact(number(1), None, MessageKnowledge(end=(EndRank.TOLD, 0)))
+        done = Fact(number(1), None, MessageKnowledge(end=(EndRank.NOTIFIED, 0)))
         ways: tuple[Callable[[ReplicatedStore], object], ...] = (
             lambda store: None,
             lambda store: store.over(number(1)),  # its client had left
@@ -699,7 +699,7 @@
                 node.store.current = open_partition
                 node._backlog(holding)
                 node._owe(now)
-                self.assertEqual(node.owing.told, told)
+                self.assertEqual(node.owing.sent_keys, told)
                 self.assertLessEqual(told, node.owing.elsewhere)  # a partition that is not fired for
             holding.serving = True
             node._owe(now)
--- a/tests/test_fleet_transport.py
+++ b/tests/test_fleet_transport.py
@@ -248,7 +248,7 @@
         self.refused("CW708")
         self.answer = lambda peer_message: Acknowledged()
         self.assertEqual(self.peers.call("b", Acknowledged(), 5), Acknowledged())
-        self.assertEqual(self.counters.counts["trouble: answering a peer message failed"], 1)
+        self.assertEqual(self.counters.counts["warning: answering a peer message failed"], 1)
 
     def test_beyond_the_most_at_once_peer_messages_are_refused(self) -> None:
         go = gevent.event.Event()
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -138,7 +138,7 @@
     def news(self) -> None:
         """Everybody hears from everybody."""
         for name in NAMES:
-            self.traffic[name].told_at = 0
+            self.traffic[name].gossiped_at = 0
             self.traffic[name].look(monotonic_time())
         gevent.sleep(0.02)
 
@@ -367,7 +367,7 @@
         self.assertEqual(c.offered(holding, [fact]), [])
         c.store.messages[number] = kept
         holding.ledger.known[number] = MessageKnowledge()
-        gone = Fact(number, None, MessageKnowledge(end=(EndRank.TOLD, 0)))
+        gone = Fact(number, None, MessageKnowledge(end=(EndRank.NOTIFIED, 0)))
         done = Fact(number, None, MessageKnowledge(end=(EndRank.COMPLETED, 0)))
         self.assertEqual(c.offered(holding, [gone, done]), [done])
         kept.deadline = 0
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -168,7 +168,7 @@
         gevent.sleep(0.02)
         self.feed(0.5)
         self.kept_to_the_wait()
-        self.assertEqual(self.counters.counts["waits told after the call was given up"], 1)
+        self.assertEqual(self.counters.counts["waits heard after the call was given up"], 1)
 
     def test_a_call_that_is_given_up_ends_its_sending_at_once_and_its_link_soon(self) -> None:
         ended = []
