--- a/cedarwick/decisions/health.py
+++ b/cedarwick/decisions/health.py
@@ -1,4 +1,7 @@
-"""What the outcome of each attempt says of its receiver: latency, failures, refusals, outages and returns."""
+"""Health tracking: what attempt outcomes say of a receiver's latency, failures, throttling, outages and recovery.
+
+Times are microseconds. `Handle.attempt_ended` (see `message_handle`) reports every outcome here.
+"""
 
 from collections import deque
 from collections.abc import Sequence
@@ -9,11 +12,11 @@
 from cedarwick.decisions.sender_state import COMPLETIONS_STALE_AFTER, MAX_RETRY_AFTER, REFUSAL_WINDOW
 from cedarwick.decisions.state import SECOND, Message, Receiver, TokenBucket, record_recent
 
-JUDGED_OUTCOMES = 8  # outcomes that judge a receiver
+JUDGED_OUTCOMES = 8  # the newest outcomes from which a receiver's health is judged
 FAILURE_SCORE_HALF_LIFE = 5 * SECOND  # a failure score fades by half in this time
 MIN_SILENCE = SECOND  # no answer for this long, and longer than usual, counts as silence
-SHUT_AFTER = 2_500_000  # throttles alone for longer than any limit's span of a second or two: it is shut
-SHUT_THROTTLES = 6  # and so many at least: at a crowded limit a few in a row are others' doing
+SHUT_AFTER = 2_500_000  # nothing but throttles for longer than any rate limit's window (1 to 2 s): it is shut
+SHUT_THROTTLES = 6  # at least this many: near a shared limit a few in a row are caused by other senders
 
 
 class HealthTracking(RateAdjustment, Recovery):
@@ -60,7 +63,8 @@
     def _track_connect_failures(self, now: int, receiver: Receiver, outcome: Outcome) -> None:
         """Keep the share of completions that came right after a failed connection, by kind of receiver.
 
-        Danger: idle connections of many senders fill a receiver's table; unlike a dead machine it lets some pass.
+        The idle connections of many senders can fill a receiver's connection table. Unlike a dead machine, such a
+        receiver still completes some calls, and these follow failed connections: that share tells the two apart.
         """
         place = self.destinations[receiver.destination]
         if outcome is Outcome.CONNECT_FAILED:
@@ -85,13 +89,13 @@
         )
         receiver.mean += (took - receiver.mean) / (8 if receiver.mean else 1)
         if receiver.out_since:
-            # Danger: a destination that returns cold falls over under its old traffic.
+            # A destination back from an outage would fail again under its full traffic, so it gets a ramp.
             if receiver.failed or now - receiver.out_since > self.fall_time:
-                # Where many look seldom, it has returned somewhere between the last two looks.
+                # Each of many senders sends canaries seldom: assume that it returned midway between the last two.
                 looked = min(receiver.gap, now - receiver.out_since) if self.many else 0
                 receiver.back_at, receiver.warm_at = now - looked // 2, now + self.ramp_time
                 receiver.ramp = TokenBucket(0.0, now)
-                if pace.rate is not None:  # its refusals while it was shut say nothing of its limit
+                if pace.rate is not None:  # throttles during the outage say nothing about its rate limit
                     pace.rate = max(pace.rate, receiver.observed_rate, pace.reference)
             receiver.out_since, receiver.failed = 0, False
             receiver.recent_successes = deque([True], JUDGED_OUTCOMES)
@@ -104,18 +108,22 @@
         self._raise_rate(now, pace)
 
     def _throttled(self, now: int, receiver: Receiver, retry_after: int, limit_left: float) -> None:
-        """The receiver refused as full; `limit_left` is the share of its limit that the report says is left."""
+        """The receiver throttled the attempt: keep its Retry-After wait, and cut the rate or eject it.
+
+        `retry_after` is microseconds; `limit_left` is the reported share (0 to 1) of its rate limit that is left.
+        """
         pace = receiver.pace
         pace.wait_until = max(pace.wait_until, now + min(retry_after, MAX_RETRY_AFTER))
         receiver.consecutive_throttles += 1
         receiver.throttled_since = receiver.throttled_since or now
-        # Danger: what is shut asks for a long wait or refuses everything; all push it as it opens, cold.
+        # A shut receiver asks for a long wait or refuses everything. It is ejected, since otherwise all senders
+        # would return to it at full rate in the moment it opens.
         sparse = self.many and self._stale(now, receiver)
         shut = (
             receiver.consecutive_throttles >= SHUT_THROTTLES // (1 + sparse)
             and now - receiver.throttled_since > SHUT_AFTER
         )
-        shut |= sparse and limit_left > LIMIT_HAS_ROOM  # it has room, so its queue is full: it hangs
+        shut |= sparse and limit_left > LIMIT_HAS_ROOM  # its rate limit has room, so its queue must be full: it hangs
         mates = self._mates(self.destinations[receiver.destination], pace) if retry_after > SHUT_AFTER else [receiver]
         for mate in mates if retry_after > SHUT_AFTER or receiver.out_since or shut else []:
             self._out(now, mate, provable=True)
@@ -123,11 +131,11 @@
             self._throttle(now, pace, receiver.consecutive_throttles > 1)
 
     def _failed(self, now: int, message: Message, receiver: Receiver, outcome: Outcome) -> None:
-        """The attempt failed otherwise: judge whether the receiver is out, or its ramp begins anew."""
+        """The attempt failed other than by throttling: eject the receiver or restart its ramp on enough evidence."""
         receiver.recent_successes.append(False)
         receiver.failure_score = self._current_failure_score(now, receiver) + 1
         receiver.failure_score_at = now
-        # Danger: one lost call among good ones is no outage; a ramp after each would cost more.
+        # One failed call among good ones is no outage: a ramp after each would cost more than it saves.
         outcomes = list(receiver.recent_successes)
         failing = (
             outcome is Outcome.CONNECT_FAILED
@@ -136,19 +144,22 @@
             and receiver.completed_sent_at < message.sent_at
         )
         if receiver.back_at and sum(outcomes) * 3 <= len(outcomes) * 2:
-            receiver.back_at = now  # Danger: some calls pass in an outage, and a ramp would run on in it
-        # Danger: at a few calls a minute outcomes never gather, and each message spends its attempts alone.
+            receiver.back_at = now  # some calls succeed in an outage; the ramp must not go on during it
+        # At a few calls a minute there are never enough outcomes to judge by, and every message would spend all its
+        # attempts on a dead receiver: with many senders one failure without recent completions is enough.
         failing = failing or self.many and self._stale(message.sent_at, receiver)
         if failing or receiver.out_since or (len(outcomes) >= 3 and sum(outcomes) * 5 <= len(outcomes) * 2):
             self._out(now, receiver, provable=outcome is Outcome.CONNECT_FAILED)
             self._out_with(now, receiver)
 
     def _current_failure_score(self, now: int, receiver: Receiver) -> float:
-        """The failures of late, each fading with its age."""
+        """The failure score at this time: recent failures, each halved every `FAILURE_SCORE_HALF_LIFE`."""
         return float(receiver.failure_score * 2.0 ** (-(now - receiver.failure_score_at) / FAILURE_SCORE_HALF_LIFE))
 
     def _silent(self, now: int, receiver: Receiver) -> bool:
         """Whether calls are out and nothing has come back for much longer than usual."""
         since = max(next(iter(receiver.calls), now), receiver.answered_at)
         usual = 2 * receiver.mean + 4 * receiver.latency_deviation if receiver.mean else 2 * SECOND
-        return len(receiver.calls) > 1 and now - since > max(MIN_SILENCE, usual)  # one lost call says too little
+        return len(receiver.calls) > 1 and now - since > max(
+            MIN_SILENCE, usual
+        )  # a single lost call is not enough evidence
--- a/cedarwick/decisions/interface.py
+++ b/cedarwick/decisions/interface.py
@@ -1,4 +1,4 @@
-"""The call surface between a protocol in front and the decisions behind it.
+"""The interface between a protocol in front (sockets or the laboratory) and the decisions behind it.
 
 A protocol makes one `Sender` (see `cedarwick.decisions.policy`) an instance and then, in the order things happened:
 
@@ -7,7 +7,7 @@
     sender.list_poll_failed(now)                  a list call failed or the subscription broke
     handle = sender.take(now, id, ...)            a new message
     handle.attempt_ended(now, outcome, attempt, ...)    an outcome of one of its attempts
-    handle.withdrawn(now)                         nobody wants it any more
+    handle.withdrawn(now)                         its client has given it up
     verdicts = sender.decide(now)                 once, after the events of a round
 
 A protocol on sockets uses besides:
@@ -69,7 +69,7 @@
 
 
 class ListedEndpoint(NamedTuple):
-    """One line of the list of receivers."""
+    """One line of the list of receivers; `rate` is in calls a second, 0 where none is listed."""
 
     receiver: int
     zone: int
@@ -84,11 +84,11 @@
 
     sent_at: int
     zone: int
-    outcome: Outcome | None  # None: it was out when the process ended
+    outcome: Outcome | None  # None: it had no outcome yet when the process ended
 
 
 class UnfinishedMessage(NamedTuple):
-    """A message that a restart has left; in the order in which they were taken."""
+    """A message left unfinished by a restart; `deadline` is a time in microseconds."""
 
     message_id: int
     destination: int
@@ -101,19 +101,22 @@
 
 @dataclass
 class Decisions:
-    """What one round decided. Nacks and abandoned messages come before attempts; attempts keep their order."""
+    """What one round decided; times are microseconds.
+
+    The caller carries out nacks and abandoned messages before attempts, and attempts in their order.
+    """
 
     nacks: list[tuple[int, int]] = field(default_factory=list)  # message, advised wait (0: none)
     abandoned: list[int] = field(default_factory=list)
     attempts: list[tuple[int, int, int]] = field(default_factory=list)  # message, receiver, time-out
-    released_connections: list[int] = field(default_factory=list)  # receivers whose idle connections are let go
+    released_connections: list[int] = field(default_factory=list)  # receivers whose idle connections are to be closed
     log_lines: list[str] = field(default_factory=list)
     subscribe: bool = False
     wake_at: int | None = None  # the next time at which `decide` should be called without an event
 
 
 class MessageHandle(Protocol):
-    """What taking a message gives."""
+    """An accepted message, as the protocol in front sees it; `message_handle.Handle` documents the methods."""
 
     def attempt_ended(
         self,
@@ -140,7 +143,7 @@
 
 
 class DeliverySender(Protocol):
-    """What a protocol may ask of the decisions."""
+    """The methods and attributes of `policy.Sender` that a protocol may use; documented there."""
 
     connection_lifetime: int
     max_poll_backoff: int
@@ -170,20 +173,20 @@
 
 
 def float_setting(settings: Mapping[str, str], name: str, default: float = 0.0) -> float:
-    """A figure, or the default where the setting is absent."""
+    """A numeric setting, or the default where it is absent or empty; `ValueError` where it is not a number."""
     return float(settings.get(name) or default)
 
 
 def duration_setting(settings: Mapping[str, str], name: str, default_ms: float = 0.0) -> int:
-    """A span that the settings give in milliseconds, in microseconds."""
+    """A duration setting given in milliseconds, converted to microseconds."""
     return round(float_setting(settings, name, default_ms) * 1000)
 
 
 def flag_setting(settings: Mapping[str, str], name: str) -> bool:
-    """Whether a setting says true."""
+    """Whether a setting is `true`; false where it is absent."""
     return settings.get(name) == "true"
 
 
 def list_setting(settings: Mapping[str, str], name: str) -> list[str]:
-    """The plain values of a list."""
+    """The non-empty parts of a comma-separated setting."""
     return [part for part in settings.get(name, "").split(",") if part]
--- a/cedarwick/decisions/load_shedding.py
+++ b/cedarwick/decisions/load_shedding.py
@@ -1,4 +1,7 @@
-"""Which messages get a final answer without delivery: those past hope, and those that must make way."""
+"""Load shedding: which messages get a final answer without delivery, because they cannot succeed or room is short.
+
+Times are microseconds, allowances messages a second. `Sender` (see `policy`) derives from `LoadShedding`.
+"""
 
 from cedarwick.decisions.interface import duration_setting, flag_setting, float_setting
 from cedarwick.decisions.message_handle import Handle
@@ -7,7 +10,7 @@
 
 
 class LoadShedding(Urgency):
-    """Gives messages up, and keeps the number of open ones within its bound."""
+    """Gives messages up, and holds the number of open messages below its bound."""
 
     def _over_share(self, now: int, tenant: int) -> bool:
         """Whether a tenant has used up its allowance (messages a second) with this sender."""
@@ -21,9 +24,10 @@
     def _shed(self, now: int) -> None:
         """Give messages up until the number of open ones is within its bound.
 
-        Danger: a backlog for one lost destination fills the sender and turns all others away.
+        Messages for the destination with the longest backlog go first; otherwise the backlog of one lost destination
+        would fill the sender, and messages for all others would be refused.
         """
-        bound = max(2, min(self.most_open - 1, self.open + self.room))  # a full folder turns all away as well
+        bound = max(2, min(self.most_open - 1, self.open + self.room))  # a full message store refuses everything too
         while self.open >= bound:
             holding = [place for place in self.destinations.values() if place.held]
             places = sorted(holding, key=lambda each: (-self._drain(now, each), each.id))
@@ -31,7 +35,8 @@
             spare = next((line for line in lines if line), None)
             if spare is None:
                 return
-            # Danger: once the least important have had an attempt, nacks alone would cost the most important.
+            # The lowest priority goes first, even if it was attempted already: if only messages without an attempt
+            # could go, the most important ones would be shed in their place.
             self.give_up(
                 now,
                 max(
@@ -41,15 +46,18 @@
             )
 
     def _drain(self, now: int, place: Destination) -> float:
-        """About how many seconds the backlog of a destination takes to leave."""
+        """An estimate of how many seconds a destination takes to work off its backlog."""
         ready = place.ready
         lost = max((now - member.out_since for member in ready if member.out_since), default=10 * SECOND)
         if any(not member.out_since for member in ready):
             return len(place.held) / max(member.pace.rate or 1.0 for member in ready)
-        return len(place.held) * (3.0 + lost / SECOND)  # an outage may last as long again as it has
+        return len(place.held) * (3.0 + lost / SECOND)  # expect an outage to last as long again as it already has
 
     def give_up(self, now: int, message: Handle) -> None:
-        """The final answer, at once: a nack only when every attempt provably never ran."""
+        """Close the message without delivery: nack it if no attempt can have run, otherwise abandon it.
+
+        A nack advises a wait (microseconds) where the settings allow Retry-After.
+        """
         if message.ran_at:
             self.verdicts.abandoned.append(message.id)
         else:
--- a/cedarwick/decisions/message_handle.py
+++ b/cedarwick/decisions/message_handle.py
@@ -1,4 +1,7 @@
-"""A message in a sender's care, as the protocol in front holds it: outcomes in, clearances out."""
+"""The handle of an accepted message: the protocol reports outcomes to it and asks whether an attempt may go.
+
+Times are microseconds. `Sender.take` and `Sender.resume` (see `policy`) make the handles.
+"""
 
 from collections.abc import Sequence
 
@@ -7,12 +10,12 @@
 from cedarwick.decisions.sender_state import BACKOFF_BASE, MANY
 from cedarwick.decisions.state import NEVER, SECOND, Message
 
-BACKOFF_CAP = 60 * SECOND  # the longest window that a random wait is drawn from
+BACKOFF_CAP = 60 * SECOND  # the longest window from which a random backoff is drawn
 BROKEN_REUSE_LIMIT = 0.04  # a larger share of reused connections that break under a call
 
 
 class Handle(Message):
-    """A message in a sender's care."""
+    """A message that a sender has accepted and not closed yet."""
 
     __slots__ = ("sender",)
     sender: HealthTracking
@@ -29,7 +32,11 @@
         report: Sequence[float],
         reused_connection: bool = False,
     ) -> None:
-        """Record the outcome of the attempt that was out and settle what may follow it."""
+        """Record the outcome of the running attempt, then close the message or schedule its retry.
+
+        `took` and `retry_after` are microseconds; `last` says that no retry may follow; `report` holds the values of
+        the setting `report.columns`. Does nothing where no attempt is running.
+        """
         sender = self.sender
         if not self.out:
             return
@@ -47,16 +54,16 @@
             sender.close(now, self)
             return
         window = min(BACKOFF_CAP, BACKOFF_BASE << min(self.attempts - 1, 16))
-        # Danger: a receiver closes an idle connection and the next call breaks: no evidence, so no backing off.
+        # A call that broke on a reused idle connection says nothing about the receiver's health: retry without backoff.
         wait = retry_after if retry_after and not sender.many else retry_after + sender.chance.below(window)
         self.due = now + (1 if outcome is Outcome.MOOT or stale else wait)
-        # Danger: past its last useful start it is given up at once, with attempts and most of its time left.
+        # The backoff must not pass the last useful start: there the message would be given up with attempts left.
         useful = self.deadline - round(sender.destinations[self.destination].quickest or SECOND / 2)
         self.due = max(now, min(self.due, min(self.repeat_until(), useful) - sender.tick * 4))
         sender.hold(now, self)
 
     def withdrawn(self, now: int) -> None:
-        """Nobody wants it any more; an attempt that is out still ends."""
+        """The client has given the message up; a running attempt still ends with an outcome."""
         if not (self.ended or self.out):
             self.sender.close(now, self)
         self.ended = True
@@ -76,17 +83,21 @@
     def needs_new_connection(self) -> bool:
         """Whether an ordered attempt may not reuse a connection.
 
-        Danger: an at-most-once message is lost when the reused connection breaks on which it went.
+        True for at-most-once messages where reused connections break often: such a break loses the message, since it
+        may have run and must not be repeated.
         """
         return self.priority_class.at_most_once and self.sender.broken_reuse_share > BROKEN_REUSE_LIMIT
 
     def send_by(self) -> int:
         """When the last byte of an ordered attempt must have gone (microseconds).
 
-        Danger: a receiver counts a call from its last byte, and forgets its number in time.
+        A receiver's deduplication window counts from a call's last byte: one that ends later could run twice.
         """
         return min(self.deadline, self.repeat_until())
 
     def repeat_until(self) -> int:
-        """Until when a further attempt cannot take effect twice; NEVER where none has run or all are harmless."""
+        """Until when (microseconds) a retry cannot take effect twice.
+
+        NEVER where no attempt can have run, or the message is idempotent.
+        """
         return NEVER if self.priority_class.idempotent or not self.ran_at else self.ran_at + self.priority_class.window
--- a/cedarwick/decisions/policy.py
+++ b/cedarwick/decisions/policy.py
@@ -1,6 +1,7 @@
-"""The sender that a protocol in front speaks to: it accepts and recovers messages and decides each round.
+"""`Sender`, the delivery policy of one instance: it accepts and recovers messages and decides in each round.
 
-The calls are in `interface.py`, the records in `state.py`, the reasons in `docs/design.md`. The parts of `Sender`:
+The dispatcher and the laboratory call it as `interface.py` describes. Times are microseconds, rates calls a second.
+The records are in `state.py`, the reasons in `docs/design.md`. The parts of `Sender`:
 `sender_state` (records), `rate_control`, `recovery`, `health`, `selection`, `urgency`, `load_shedding` and
 `endpoint_updates`.
 """
@@ -16,10 +17,10 @@
 
 __all__ = ["Handle", "Sender", "priority_class_of"]
 
-MAX_CANCELLED_ATTEMPTS = 2  # attempts with an unclassified end
+MAX_CANCELLED_ATTEMPTS = 2  # cancelled attempts after which a message is given up
 CONNECT_FAILURE_LIMIT = 0.05  # a larger share of completions right after a failed connection: tables are full
-KEY_REST = 300_000  # for so long a key rests that is owed elsewhere, unless its rest is renewed
-KEY_REST_RESERVE = SECOND  # a rest for others leaves so much of a message's time
+KEY_REST = 300_000  # microseconds: the rest of a key of which another sender has earlier messages; renewable
+KEY_REST_RESERVE = SECOND  # such a rest ends at least this long before the first message's deadline
 
 
 def priority_class_of(settings: Mapping[str, str], index: int) -> PriorityClass:
@@ -68,10 +69,11 @@
 
     def resume(self, now: int, owed: Sequence[UnfinishedMessage]) -> list[Handle]:
         """Accept what a restart left unfinished; an attempt without an outcome may have run."""
-        # Danger: an attempt that was out when the process ended may still run, of an ended message's key too.
+        # An attempt from before the restart may still be running, even for a key with no unfinished message: all keys
+        # rest, so that a later message of the key cannot overtake it.
         self.turns.all_rest = now + duration_setting(self.settings, "rules.turn-gap-ms")
         handles = [self.take(now, *each[:-1]) for each in owed]
-        # Danger: under settings that hold less, all that is beyond them would be given up without a call.
+        # If the settings now allow fewer open messages, the recovered ones must not be shed without an attempt.
         self.most_open = max(self.most_open, self.open + 2)
         for handle, each in zip(handles, owed, strict=True):
             handle.attempts = len(each.attempts)
@@ -81,18 +83,21 @@
         return handles
 
     def rest(self, now: int, key: int) -> list[Handle]:
-        """Let the messages of a key rest for a moment, since another sender owes earlier ones.
+        """Hold the messages of a key back for `KEY_REST`, since another sender still has earlier ones.
 
         Returns those that had no attempt yet.
         """
         line = self.turns.lines.get(key) or ()
         if line:
-            # Danger: what the other has may never end; the last of the first one's time is its own.
+            # The other sender may never finish: leave the first message enough time for its own attempt.
             self.turns.rest(key, min(now + KEY_REST, line[0].deadline - KEY_REST_RESERVE))
         return [each for each in line if not each.attempts]
 
     def decide(self, now: int) -> Decisions:
-        """Look at every destination that something happened to, the most urgent messages first."""
+        """Decide for every destination that changed or is due, most urgent messages first; call once a round.
+
+        `wake_at` of the result is when to call again (microseconds) if nothing happens before.
+        """
         self.changed.update(self.looks.due(now))
         places = [self.destinations[each] for each in sorted(self.changed)]
         self.changed.clear()
@@ -112,14 +117,14 @@
         return verdicts
 
     def _begin_round(self, place: Destination) -> None:
-        """Note what holds for a destination through the whole round."""
+        """Compute the values of a destination that stay the same through the round."""
         place.ready = [self.receivers[each] for each in place.members if self.receivers[each].ready]
         place.quickest = min((member.mean for member in place.ready), default=0.0)
         place.waits_until = min((member.pace.wait_until for member in place.ready), default=0)
         place.room.clear()
 
     def _look_at_held(self, now: int, places: Sequence[Destination]) -> dict[int, int]:
-        """Take the held messages as far as they go, most urgent first; by destination, the time of its next look."""
+        """Advance the held messages, most urgent first; returns the time of the next look by destination."""
         next_look: dict[int, int] = {}
         alone = max(self.per_call, default=1) == 1
         waiting = [held for place in places for held in place.held if not (held.out or held.ended)]
@@ -135,7 +140,7 @@
         return next_look
 
     def _release_connections(self) -> None:
-        """Let go of idle connections that crowd a receiver's table, or will have been closed by their next use."""
+        """Release idle connections that fill a receiver's table, or that it will have closed before their next use."""
         for each in sorted(self.idle & self.receivers.keys()):
             record = self.receivers[each]
             crowded = self.connect_failure_shares.get(record.kind, 0.0) > CONNECT_FAILURE_LIMIT
@@ -144,7 +149,10 @@
         self.idle.clear()
 
     def advance(self, now: int, message: Handle) -> int:
-        """Take a held message as far as it goes now; the time of its next look, NEVER when it needs none."""
+        """Order an attempt for a held message, give it up, or let it wait.
+
+        Returns the time of its next look (microseconds); NEVER where it needs none.
+        """
         priority_class = message.priority_class
         place = self.destinations[message.destination]
         last_start = message.deadline - max(self.tick * 4, round(place.quickest / 2))
@@ -171,7 +179,7 @@
             else None
         )
         asking = zone, priority_class.at_most_once
-        if asking not in place.room:  # Danger: each event would cost a full look for everything that is held
+        if asking not in place.room:  # cached: each event would otherwise scan all receivers for every held message
             members = [member for member in place.ready if zone is None or member.zone == zone]
             place.room[asking] = self._with_room(now, message, members)
         message.look_at, message.asks = last_start + 1, asking
--- a/cedarwick/decisions/rate_control.py
+++ b/cedarwick/decisions/rate_control.py
@@ -1,9 +1,12 @@
-"""How fast each destination is sent to: listed and reported limits, cuts after refusals, and raises."""
+"""Rate control for each destination: listed and reported limits, cuts after throttling, and raises.
+
+Rates are calls a second, times microseconds. `health` and `endpoint_updates` call it.
+"""
 
 from cedarwick.decisions.sender_state import CERTAIN_SHARE, REFUSAL_WINDOW, SenderState
 from cedarwick.decisions.state import SECOND, RateControl, record_recent
 
-REFUSAL_SHARE_LIMIT = 0.15  # a larger share of refusals as full halves the pace: one in seven is more than chance
+REFUSAL_SHARE_LIMIT = 0.15  # a larger share of throttled answers halves the rate: one in seven is more than chance
 RATE_STEP = 0.05  # of the reference rate, for each half second that stays clean
 RATE_STEP_INTERVAL = SECOND // 2  # microseconds
 MIN_SENDS_FOR_RATE = 4  # attempts at least from which a recent send rate is taken
@@ -19,23 +22,23 @@
 
     def _list_rate(self, pace: RateControl, rate: float) -> None:
         """Take a listed or reported limit (calls a second of all senders) over into the rate of this one."""
-        if pace.limit:  # Danger: a single absurd figure would free this sender, or stop it for long.
+        if pace.limit:  # one absurd value must not lift the limit or stop this sender for long
             rate = min(max(rate, pace.limit / 4), pace.limit * 2)
         part = max(rate * INITIAL_HEADROOM / self.senders, min(rate, LONE_MESSAGE_RATE))
         if pace.rate is None or (not pace.cut_at and not pace.raised_at):
-            pace.rate = max(part, min(rate, 2 * LONE_MESSAGE_RATE))  # whether it is crowded shows in refusals
+            pace.rate = max(part, min(rate, 2 * LONE_MESSAGE_RATE))  # whether others use the limit shows in throttling
         elif pace.limit:
-            # Danger: at a lowered limit every sender goes on as before until it has been refused by itself.
+            # Scale the rate with the limit: else every sender would go on as before until it is throttled itself.
             least = min(pace.rate, rate * CERTAIN_SHARE / self.senders)
             pace.rate = min(rate, max(least, pace.rate * rate / pace.limit))
         pace.reference, pace.limit = part, rate
 
     def _throttle(self, now: int, pace: RateControl, repeated: bool) -> None:
-        """Halve the pace when the share of refusals over the span is past the threshold."""
+        """Halve the rate when the share of throttled answers in `REFUSAL_WINDOW` is above `REFUSAL_SHARE_LIMIT`."""
         record_recent(pace.answers, now, REFUSAL_WINDOW)
         record_recent(pace.throttles, now, REFUSAL_WINDOW)
-        pace.bucket.tokens = 0.0  # what was saved up before the refusal is not there any more
-        # Danger: with a few calls a second one refusal is chance, or another sender's doing.
+        pace.bucket.tokens = 0.0  # tokens saved before the throttling no longer count
+        # At a few calls a second a single throttled call may be chance or caused by another sender.
         lone = len(pace.throttles) < 2 and not repeated and (pace.rate or 0.0) * self.senders < pace.limit
         if (
             len(pace.throttles) > REFUSAL_SHARE_LIMIT * len(pace.answers)
@@ -45,14 +48,15 @@
             recent = sum(sent >= now - REFUSAL_WINDOW for sent in pace.sends) * SECOND / REFUSAL_WINDOW
             held_to = recent if pace.rate is None else pace.rate
             if self.many:
-                # Danger: a pace above what this sender sends binds nothing: refused calls use up the limit.
+                # A rate above what this sender sends would bound nothing, and its throttled calls use up the limit.
                 since = max(
                     REFUSAL_WINDOW, now - (pace.sends[0] if len(pace.sends) > MIN_SENDS_FOR_RATE else self.started)
                 )
                 recent = len(pace.sends) * SECOND / since
                 held_to = min(held_to, max(recent, pace.reference))
                 if pace.limit and pace.left <= LIMIT_USED_UP:
-                    # Danger: where refused calls use up the limit, all senders' next ones keep it used up.
+                    # Throttled calls count against the limit: unless all senders fall back to their sure part, it
+                    # stays used up.
                     held_to = 0.0
             pace.rate = max(self.min_rate, pace.limit * CERTAIN_SHARE / self.senders, held_to / 2)
             pace.reference = pace.reference or recent
--- a/cedarwick/decisions/recovery.py
+++ b/cedarwick/decisions/recovery.py
@@ -1,10 +1,13 @@
-"""Ejection of receivers that fail, the canaries that look for their return, and the ramp after it."""
+"""Ejection of failing receivers, canaries that probe for their recovery, and the ramp after it.
+
+Times are microseconds, rates calls a second. `health` and `selection` call it.
+"""
 
 from cedarwick.decisions.interface import float_setting
 from cedarwick.decisions.sender_state import CERTAIN_SHARE, SenderState
 from cedarwick.decisions.state import SECOND, Receiver
 
-COLD_CALL_ALLOWANCE = 2  # calls more than a cold destination bears within `rules.fall-ms`
+COLD_CALL_ALLOWANCE = 2  # calls above what a restarted destination withstands within `rules.fall-ms`
 MIN_CANARY_GAP = 800_000  # between two canaries of this sender to one destination, where it is large
 CANARY_GAP_PER_AGE = 2.5  # gaps between canaries grow to this multiple of the outage's age where senders are many
 MAX_CANARY_GAP = 6 * SECOND  # and where it is small or the senders are many
@@ -12,21 +15,21 @@
 
 
 class Recovery(SenderState):
-    """Takes receivers out of service and says how soon and how fast they are tried again."""
+    """Ejects receivers, and computes when they are probed and how fast they ramp up."""
 
     def _out(self, now: int, receiver: Receiver, provable: bool) -> None:
         """Eject a receiver; `provable` says that its last failure proved that nothing ran."""
         receiver.out_since = receiver.out_since or now
         receiver.failed, receiver.provable, receiver.back_at = True, provable, 0
         receiver.canary_at = self._next_canary(now, receiver)
-        # Danger: idle connections to a dead machine swallow attempts; a new one fails and so proves it.
+        # An attempt on an idle connection to a dead machine is lost unseen; a new connection fails at once.
         self.verdicts.released_connections.append(receiver.id)
 
     def _out_with(self, now: int, receiver: Receiver) -> None:
         """Eject the other receivers of a destination as well, once a second one of them is out.
 
-        Danger: an outage mostly takes all receivers of a destination. Each of many senders would try them in turn,
-        knowing of it, and all together push over what returns.
+        An outage mostly affects all receivers of a destination. If each of many senders went on probing them one by
+        one, the senders together would overload whichever recovers first.
         """
         mates = self._mates(self.destinations[receiver.destination], receiver.pace)
         if self.many and sum(mate.out_since > 0 for mate in mates) > 1:
@@ -37,9 +40,11 @@
     def _next_canary(self, now: int, receiver: Receiver) -> int:
         """When the next canary may go (microseconds).
 
-        Danger: the canaries of many senders add up and push over what comes back; gaps grow with the outage's age.
+        The canaries of many senders add up and could overload a receiver that recovers, so the gaps grow with the
+        outage's age.
         """
-        # Nothing weighs on what takes no connection, until the moment of its return: then all of many do.
+        # Canaries do no harm while connections fail, so gaps need not grow; but with many senders all of them would
+        # hit the receiver in the moment it recovers.
         dead = receiver.provable and not receiver.consecutive_throttles and not self.many
         aged = round((now - receiver.out_since) * (0.0 if dead else CANARY_GAP_PER_AGE))
         gap = max(MIN_CANARY_GAP, round(SECOND / self._returning_rate(receiver, 0)))
@@ -47,12 +52,12 @@
         receiver.pace.canary_at = max(receiver.pace.canary_at, now + gap * 3 // 4)
         withstood = self._returning_rate(receiver, 0) * self.senders * self.fall_time / SECOND
         if (self.many or self.senders > withstood + COLD_CALL_ALLOWANCE) and receiver.pace.wait_until > now:
-            # Danger: all senders know the same end of the wait and would come back in the same instant.
+            # All senders know the same end of the wait: spread their return at random.
             return receiver.pace.wait_until + self.chance.below(gap)
         return now + gap * 3 // 4 + self.chance.below(gap // 2)
 
     def _returning_rate(self, receiver: Receiver, since: int) -> float:
-        """Calls a second that this sender may send so long after the receiver's return."""
+        """Calls a second that this sender may send `since` microseconds after the receiver's recovery."""
         cold_share = float_setting(self.settings, "rules.cold-share", 0.25)
         share = cold_share + (1 - cold_share) * min(1.0, since / self.ramp_time)
         observed_rate = max(receiver.observed_rate, receiver.pace.limit * CERTAIN_SHARE / self.senders)
--- a/cedarwick/decisions/selection.py
+++ b/cedarwick/decisions/selection.py
@@ -1,4 +1,7 @@
-"""Which receiver an attempt goes to: who has room, by what weight they take turns, and how long it may take."""
+"""Receiver selection: which receivers have room, their weights in the rotation, and the attempt's time-out.
+
+Times are microseconds, rates calls a second. `Sender` (see `policy`) derives from `Selection`.
+"""
 
 from cedarwick.decisions.health import HealthTracking
 from cedarwick.decisions.rate_control import MIN_SENDS_FOR_RATE
@@ -16,13 +19,13 @@
     def _with_room(
         self, now: int, message: Message, members: list[Receiver]
     ) -> tuple[list[tuple[Receiver, float]], int]:
-        """Who takes turns now, by weight (a canary alone), and the time at which one has or may have room."""
+        """The receivers with room and their weights, or one canary alone; and the soonest time one may have room."""
         open_now: list[tuple[Receiver, float]] = []
         canary: list[tuple[Receiver, float]] = []
         soonest = NEVER
         for member in members:
             if not member.out_since and self._silent(now, member):
-                # Danger: a hanging destination fills the slots with calls that nobody answers.
+                # Eject a hanging receiver, before its unanswered calls take all slots.
                 member.out_since, member.provable = now, False
                 member.canary_at = self._next_canary(now, member)
             if member.out_since:
@@ -37,7 +40,7 @@
         return canary or open_now, soonest
 
     def _weight(self, now: int, receiver: Receiver) -> float:
-        """A receiver's share of the turns: what it has been seen to manage, less what it costs."""
+        """A receiver's weight in the rotation: observed speed and success, reduced by failures and fees."""
         success = (sum(receiver.recent_successes) + 1) / (len(receiver.recent_successes) + 1)
         pace = SECOND / (receiver.mean or SECOND / 2)
         fee = float(self.fees.get(receiver.zone, 0.0)) if receiver.kind in self.separate_kinds else 0.0
@@ -45,9 +48,9 @@
         return float(pace * success * 2.0 ** -self._current_failure_score(now, receiver) / (1 + fee * 50))
 
     def _joins(self, now: int, receiver: Receiver) -> bool:
-        """An attempt of this round to the same receiver shares a call that is not full."""
+        """Whether an attempt of this round can share a call to the receiver that has room for more messages."""
         joined = receiver.calls.get(now, 0) % self._batch(receiver)
-        # Danger: a full call weighs as several and would push over a route that is still cold.
+        # A full call is as heavy as several; during a ramp or after throttling calls carry fewer messages.
         return 0 < joined < (WARM_UP_BATCH if receiver.back_at or receiver.consecutive_throttles else NEVER)
 
     def _room(self, now: int, receiver: Receiver) -> int:
@@ -57,7 +60,7 @@
             return pace.wait_until
         if self._joins(now, receiver):
             return now
-        # Danger: a restarted sender has forgotten its pace and would hit a throttled destination full on.
+        # A restarted sender knows no rate yet; bounding its running calls spares a throttled destination.
         if pace.calls_out >= max(UNPROVEN_CALLS, self.slots // 3 if pace.proven else 0):
             return now + SECOND
         if pace.sends and now - pace.sends[-1] > IDLE_RATE_RESET and not pace.limit:
@@ -66,7 +69,7 @@
         if pace.rate is not None:
             room_at = now + pace.bucket.fill(now, pace.rate, max(1.0, pace.rate))
             pace.tokens_ran_out |= room_at > now
-        # Danger: half of many senders take the return for earlier than it was, and would let go early.
+        # Many senders only estimate the recovery, half of them too early: the ramp lasts until `warm_at` at least.
         if now >= max(receiver.warm_at, receiver.back_at + self.ramp_time):
             receiver.back_at = 0
         if receiver.back_at:
@@ -76,7 +79,7 @@
 
     def _canary_room(self, now: int, message: Message, receiver: Receiver) -> int:
         """When a receiver that is out may get this message as its canary."""
-        # An at-most-once canary could be lost without a second attempt.
+        # An at-most-once message has no second attempt, so it is a canary only where failure proves it never ran.
         lost = message.priority_class.at_most_once and not receiver.provable
         soonest = max(now, receiver.canary_at, receiver.pace.canary_at, receiver.pace.wait_until)
         return NEVER if receiver.canary_out or lost else soonest
@@ -92,9 +95,10 @@
             record_recent(receiver.pace.sends, now, REFUSAL_WINDOW, MIN_SENDS_FOR_RATE + 1)
 
     def _patience(self, now: int, message: Message, receiver: Receiver) -> int:
-        """How long an attempt may take (microseconds).
+        """The time-out of an attempt (microseconds).
 
-        Danger: a dead destination holds all slots, a window closes unused.
+        Shorter than the time left where slots are scarce, so that a dead destination does not hold them all, or where
+        a retry must still fit into the deduplication window.
         """
         left = message.deadline - now - 2 * self.tick
         usual = receiver.mean + 4 * receiver.latency_deviation if receiver.mean else 2 * SECOND
@@ -108,6 +112,6 @@
             else message.ran_at + message.priority_class.window - now
         )
         patience = min(window - SECOND // 2, soon if receiver.out_since or crowded else 2 * soon)
-        # Danger: in a short window a hang would hold its slot to the end, and never be repeated.
+        # Cut the time-out only where what remains is enough for an answer; otherwise use all the time left.
         enough = patience >= min(SECOND, usual)
         return min(left, patience) if enough and message.attempts < self.most_attempts else left
--- a/cedarwick/decisions/sender_state.py
+++ b/cedarwick/decisions/sender_state.py
@@ -1,4 +1,7 @@
-"""What one sender keeps: its settings, receivers, destinations and held messages, with the steps all parts share."""
+"""The state of one sender (settings, receivers, destinations, held messages) and helpers that all parts use.
+
+Times are microseconds, rates calls a second. Every part of `Sender` (see `policy`) derives from `SenderState`.
+"""
 
 from collections.abc import Mapping
 
@@ -18,13 +21,13 @@
 
 # Times are microseconds, rates are calls a second.
 REFUSAL_WINDOW = 2 * SECOND  # the share of refusals is measured over this
-MANY = 16  # where senders are more, each sees too few outcomes of a receiver to gather them
+MANY = 16  # with more senders than this, each sees too few outcomes of a receiver to judge by shares
 COMPLETIONS_STALE_AFTER = 5 * SECOND  # completions older than this say little of a receiver's health
 BACKOFF_BASE = SECOND // 2  # the first window that a random wait is drawn from; it doubles with each failure
 # The longest wait between calls for the list: with 1 s for a call that hangs, a change arrives before it counts as
 # known.
 LIST_WAIT = 4 * SECOND
-MAX_RETRY_AFTER = 3600 * SECOND  # a longer Retry-After wait is looked into after this; no deadline comes near it
+MAX_RETRY_AFTER = 3600 * SECOND  # longer Retry-After waits are cut to this; no deadline comes near it
 MIN_TOTAL_RATE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
 # Of the time after which a receiver closes an idle connection: an attempt must not cross its close.
 IDLE_CONNECTION_SHARE = 0.9
@@ -47,7 +50,7 @@
         self.per_call = [int(part) for part in list_setting(settings, "family-info.per-call")]
         self.ramp_time = max(SECOND, duration_setting(settings, "rules.ramp-time-ms", 10_000))
         self.fall_time = duration_setting(settings, "rules.fall-ms")
-        # Danger: a single call counts as one in this time; with each of many senders that is mostly chance.
+        # The observed rate is completions over this window; many senders see few each, so theirs is twice as long.
         self.observation_window = 2 * REFUSAL_WINDOW * (1 + self.many)
         self.locality = int(float_setting(settings, "locality"))
         self.cross_zone_fee = float_setting(settings, "tariffs.cross-zone")
@@ -86,12 +89,12 @@
         message.look_at = message.rank_until = 0
 
     def close(self, now: int, message: Message) -> None:
-        """The message has ended and none of its attempts is out: let its key go on."""
+        """Close an ended message without a running attempt, and let the next message of its key go."""
         message.ended = True
         self.open -= 1
         self.changed.add(message.destination)
         if message.priority_class.ordered and message.key:
-            # Danger: the attempt that timed out may still run and be overtaken by the next of its key.
+            # An attempt that timed out may still run: the key rests, so that its next message cannot overtake it.
             rest = (message.doubtful_at or -NEVER) + duration_setting(self.settings, "rules.turn-gap-ms")
             after = self.turns.leave(message.key, message, now, rest)
             self.changed.update(each.destination for each in after)  # its next one may wait at another
--- a/cedarwick/decisions/setting_rules.py
+++ b/cedarwick/decisions/setting_rules.py
@@ -1,4 +1,4 @@
-"""The types and ranges of the settings that the decisions read; other settings are nobody's business here."""
+"""Types and ranges of the settings that the decisions read; other settings are not checked here."""
 
 import math
 from collections.abc import Mapping
@@ -53,7 +53,10 @@
 
 
 def check(settings: Mapping[str, str]) -> None:
-    """`SettingError` names the first setting that the decisions cannot use; absent and empty ones have defaults."""
+    """Check the settings; raises `SettingError` with the name of the first one that is wrong.
+
+    Absent and empty settings are accepted: they have defaults.
+    """
     for name, bounds in SPANS_AND_FIGURES.items():
         _figure(settings, name, bounds)
     for name, bounds in COUNTS.items():
--- a/cedarwick/decisions/state.py
+++ b/cedarwick/decisions/state.py
@@ -1,4 +1,7 @@
-"""The records that the decisions keep, and their source of chance."""
+"""The records of the decisions, and their random source.
+
+Times and durations are microseconds, rates calls a second. All modules of `cedarwick.decisions` use them.
+"""
 
 import heapq
 from collections import deque
@@ -25,33 +28,33 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that gather at a rate, up to a depth."""
+    """A token bucket: tokens accrue at a rate (a second), up to a depth."""
 
     tokens: float = 1.0
     filled_at: int = -NEVER  # never yet: the first filling reaches the depth
 
     def fill(self, now: int, rate: float, depth: float) -> int:
-        """Add what has gathered since; how long until there is a whole token, 0 when there is one."""
+        """Add the tokens accrued since the last call; returns the microseconds until a whole token is there."""
         self.tokens = min(depth, self.tokens + rate * (now - self.filled_at) / 1_000_000)
         self.filled_at = now
         return 0 if self.tokens >= 1 else 1 + int((1 - self.tokens) * 1_000_000 / rate)
 
     def take(self) -> bool:
-        """Use a token up; whether there was a whole one."""
+        """Take a token; returns whether a whole one was there."""
         whole = self.tokens >= 1
         self.tokens = max(0.0, self.tokens - 1)
         return whole
 
 
 def record_recent(times: deque[int], now: int, within: int, least: int = 0) -> None:
-    """Add a time and forget those older than a span, but for the newest few."""
+    """Append a time and drop those older than `within` microseconds, but keep the newest `least`."""
     times.append(now)
     while len(times) > least and times[0] < now - within:
         times.popleft()
 
 
 class KeyOrder:
-    """The messages of each key in the order in which they were taken, and until when a key rests."""
+    """The queue of each ordering key, and the time until which a key rests (none of its messages may go)."""
 
     def __init__(self) -> None:
         self.lines: dict[int, deque[Any]] = {}
@@ -60,16 +63,19 @@
         self.all_rest = 0  # no key goes before this
 
     def join(self, key: int, message: Any) -> None:
-        """Put a message last in the line of its key."""
+        """Append a message to the queue of its key."""
         self.lines.setdefault(key, deque()).append(message)
 
     def leave(self, key: int, message: Any, now: int, rest: int) -> list[Any]:
-        """The message has ended; the key rests until a time, which may have passed. Whose turn it is now, if any's."""
+        """Remove an ended message and let its key rest until `rest`, which may have passed.
+
+        Returns the message whose turn it is next, in a list; an empty list where there is none.
+        """
         line = self.lines[key]
         line.remove(message)
         self.rest(key, rest)
         self.resting.append(key)
-        # Danger: keys are always new, and one that nobody uses again would rest for ever.
+        # Keys are seldom used again: delete those whose rest is over, or their records would add up.
         while self.resting and self.rests.get(self.resting[0], 0) <= now:
             rested = self.resting.popleft()
             if not self.lines.get(rested, True):
@@ -77,7 +83,7 @@
         return [line[0]] if line else []
 
     def line_up(self, key: int, joined: Sequence[Any], before: Callable[[Any, Any], bool]) -> None:
-        """Move the last messages of a line, those that go on here, to their places.
+        """Move recovered messages, the last ones of a key's queue, to their places in the order.
 
         Each goes ahead of all those that `before` says, but stays behind those with an attempt out.
         """
@@ -91,18 +97,18 @@
             line.insert(index, message)
 
     def rest(self, key: int, until: int) -> None:
-        """A key rests until a time at least."""
+        """Let a key rest until a time (microseconds) at least."""
         self.rests[key] = max(until, self.rests.get(key, 0))
 
     def turn_at(self, key: int, message: Any) -> int:
-        """When it is this message's turn; NEVER while another stands before it."""
+        """When this message may go (microseconds); NEVER while another of its key is before it."""
         if self.lines[key][0] is not message:
             return NEVER
         return max(self.all_rest, self.rests.get(key, 0))
 
 
 class WakeSchedule:
-    """Which destination needs its next look when; a later plan for one replaces the one before."""
+    """When each destination is due for its next decision; a new plan for one replaces the old."""
 
     def __init__(self) -> None:
         self.planned: dict[int, int] = {}
@@ -133,7 +139,7 @@
 
 @dataclass(slots=True)
 class PriorityClass:
-    """What the settings say of one priority class (`classes.N.*`) of messages."""
+    """The settings of one priority class (`classes.N.*`) of messages; durations are microseconds."""
 
     priority_weight: float
     latency_objective: int
@@ -147,7 +153,7 @@
     halves_in: int = 0  # after the latency objective the value falls by half in this time; 0: evenly
 
     def delivery_value(self, late: int) -> tuple[float, float]:
-        """What delivery is worth so long after the latency objective, and what is lost of it in a second."""
+        """The value of delivery `late` microseconds after the latency objective, and its loss a second."""
         least, late = self.priority_weight * self.late_share, max(late, 0)
         if not self.halves_in:
             fades = max(1_000_000, self.deadline - self.latency_objective)
@@ -159,7 +165,7 @@
 
 @dataclass(slots=True)
 class RateControl:
-    """How fast one destination (or one route, where routes are apart) is sent to."""
+    """The rate state of one destination, or of one receiver where its kind has a rate of its own."""
 
     rate: float | None = None  # calls a second; None: unbounded
     reference: float = 0.0  # the rate that small steps are measured by
@@ -180,7 +186,7 @@
 
 @dataclass(slots=True)
 class Receiver:
-    """Everything known of one receiver."""
+    """Everything known of one receiver; times and durations are microseconds."""
 
     id: int
     zone: int
@@ -233,7 +239,7 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """One message from its taking to its final answer."""
+    """One message, from its acceptance to its final answer; times are microseconds."""
 
     id: int
     destination: int
--- a/cedarwick/decisions/urgency.py
+++ b/cedarwick/decisions/urgency.py
@@ -1,4 +1,7 @@
-"""The order in which held messages are looked at: by what waiting costs."""
+"""Urgency: the order in which held messages are considered, by the value that waiting costs.
+
+Times are microseconds. `policy` and `load_shedding` use it.
+"""
 
 from cedarwick.decisions.interface import float_setting
 from cedarwick.decisions.sender_state import SenderState
@@ -9,7 +12,7 @@
     """Ranks messages by the value of delivery that they lose each second."""
 
     def _urgency(self, now: int, message: Message) -> tuple[float, int, int]:
-        """Sorts the message first that loses most by waiting; over-share tenants go last."""
+        """A sort key that puts the message first that loses most by waiting; over-share tenants lose less."""
         if now < message.rank_until:
             return message.rank
         priority_class = message.priority_class
@@ -21,16 +24,16 @@
         if now < message.objective_by - SECOND:
             loses /= 2
         if message.ran_at and not priority_class.idempotent:
-            loses += priority_class.priority_weight  # its window of repeats is running out
+            loses += priority_class.priority_weight  # the window in which it may be retried is running out
         if message.over_share:
             loses *= float_setting(self.settings, "over-share-worth", 1.0)
         times = message.objective_by - SECOND, message.deadline - 3 * SECOND + 1  # else only an attempt tells
         message.rank_until = min((time for time in times if time > now), default=NEVER)
         if priority_class.halves_in:
             message.rank_until = min(message.rank_until, now + priority_class.halves_in // 4)
-        if self.many:  # Danger: a sender's part is two or three slots, and one slow call takes them from many
+        if self.many:  # each of many senders has few slots: weigh the loss by how long a call occupies one
             if priority_class.ordered and message.key:
-                loses *= len(self.turns.lines[message.key])  # all that wait for their turn wait with it
+                loses *= len(self.turns.lines[message.key])  # the other messages of its key wait for it
             loses /= self.destinations[message.destination].quickest or SECOND / 2
         message.rank = -loses, message.objective_by, message.order
         return message.rank
