--- a/cedarwick/net/assignment.py
+++ b/cedarwick/net/assignment.py
@@ -1,4 +1,7 @@
-"""The assignment: the settings that a sender starts with."""
+"""The assignment: the configuration that a sender starts with, read from a JSON file and `RELAY_` variables.
+
+The service calls `read` at the start, and again when the file has changed.
+"""
 
 import json
 import os
@@ -19,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Assignment:
-    """Name, addresses, limits, the list as it was last known, and the plain map of settings."""
+    """A configuration: name, addresses, limits, the endpoint list as last known, and the flat map of settings."""
 
     name: str
     listen: tuple[str, int]
@@ -30,10 +33,10 @@
     disk_bytes: int
     known: dict[str, Any]
     settings: dict[str, str]
-    management: tuple[str, int] | None = None  # where the operators' staff call; None: nowhere
+    management: tuple[str, int] | None = None  # the address for management calls; None: there is none
 
     def fixed_and_other(self, other: "Assignment") -> list[str]:
-        """What another configuration changes that only a start takes over."""
+        """The names of the fields that differ in another configuration and take effect only at a start."""
         return [
             name
             for name in ("name", "listen", "settings", "seed", "known", "management")
@@ -42,7 +45,7 @@
 
 
 def read(environment: Mapping[str, str]) -> Assignment:
-    """The assignment that the environment names; `AssignmentError` says in one line what is wrong with it."""
+    """Read the assignment that the environment names; raises `AssignmentError`, in one line, where it is wrong."""
     path = environment.get("RELAY_CONFIG", "")
     if not path:
         raise AssignmentError("RELAY_CONFIG is not set")
@@ -59,7 +62,7 @@
         made = Assignment(
             name=str(environment.get("RELAY_NAME") or document["name"]),
             listen=address(environment.get("RELAY_LISTEN") or document["listen"]),
-            # Danger: the variable stays as it was at the start, while the file is replaced in service.
+            # The file wins: it may be replaced while the process runs, the variable keeps its value from the start.
             platform=address(document.get("discovery") or environment.get("RELAY_DISCOVERY") or ""),
             folder=folder,
             seed=int(document["seed"], 16),
@@ -67,7 +70,7 @@
             disk_bytes=int(float(limits["disk_mb"]) * (1 << 20)),
             known=dict(document.get("known") or {}),
             settings=plain(document["settings"]),
-            # Danger: a replacing process is started with the same file and an address of its own.
+            # Here the variable wins: a replacing process gets the same file, but needs an address of its own.
             management=address(manage)
             if (manage := environment.get("RELAY_MANAGEMENT") or document.get("management"))
             else None,
@@ -86,7 +89,7 @@
 
 
 def address(text: str) -> tuple[str, int]:
-    """Host and port of `host:port`."""
+    """Host and port of `host:port`; `ValueError` where the text is no address."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isdecimal() and 0 < int(port) < 1 << 16):
         raise ValueError(f"no address: {text!r}")
@@ -94,7 +97,7 @@
 
 
 def plain(settings: Any, path: str = "") -> dict[str, str]:
-    """Nested settings as a plain map of dotted names to values, as the simulator's wire writes them."""
+    """Flatten nested settings to a map of dotted names to text, in the form of the simulator's protocol."""
     if isinstance(settings, dict):
         found = {}
         for name, value in settings.items():
@@ -120,5 +123,5 @@
 
 
 def place(names: list[str], name: object) -> int:
-    """The place of a name in a list of the settings; one past its end for a name that it lacks."""
+    """The index of a name in a list of the settings; the length of the list for a name that it lacks."""
     return names.index(word(name)) if word(name) in names else len(names)
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -1,4 +1,7 @@
-"""One call over one link: writing, reading, time-out, outcome."""
+"""Attempts: one HTTP call each over a pooled connection, from the clearance to its outcome.
+
+Times are microseconds. The dispatcher starts attempts; each runs in a greenlet of its own.
+"""
 
 import re
 from collections.abc import Callable, Collection, Sequence
@@ -18,11 +21,11 @@
 
 REPORT_HEADER = "x-pressure"
 ANSWER_REST_TIMEOUT_US = 500_000  # for what follows the first line of an answer
-# A wait binds from 100 ms after its answer was written (the protocol page): a first byte may rest on a look at the
-# sockets that is half as old.
+# A Retry-After wait binds from 100 ms after its answer was written (the protocol page): a clearance for the first byte
+# may rest on a poll of the sockets that is at most half as old.
 CLEARANCE_LIFETIME_US = 50_000
-MAX_CLEARANCE_REQUESTS = 3  # by one attempt whose clearances grow old; then it is decided on anew
-# For an answer that is on its way as a call is given up; its receiver learns of that and ends sooner.
+MAX_CLEARANCE_REQUESTS = 3  # by one attempt whose clearances expire; then the decisions choose again
+# For an answer that is on its way when a call times out; the receiver sees the end of sending and ends sooner.
 LATE_ANSWER_TIMEOUT_US = 1_000_000
 MILLISECONDS_PATTERN = re.compile(r"([0-9]{1,300})(\.[0-9]{1,300})?")
 FIGURE_PATTERN = re.compile(r"-?[0-9]{1,9}(\.[0-9]{1,30})?(e-[0-9]{1,2})?")  # of a report
@@ -38,31 +41,35 @@
     ordered_at: int
     until: int
     send_by: int = NEVER  # its last byte must have gone then
-    body: bytes = b""  # read from the folder as the attempt may go
-    recorded: bool = False  # the folder knows that it goes out
-    flushed: bool = False  # and so does the disk, where the folder is durable
-    looked_at: int = 0  # the look at the sockets that its clearance rests on
-    heeded: bool = False  # the wait of its refusal has been passed on, ahead of the result
+    body: bytes = b""  # read from the store when the attempt is cleared
+    recorded: bool = False  # the store has its record
+    flushed: bool = False  # the record is on the disk, where the store is durable
+    looked_at: int = 0  # when the sockets were polled on which its clearance rests
+    heeded: bool = False  # its Retry-After wait has been passed on, ahead of the result
     reported: bool = False  # its result has been passed on
-    new_connection: bool = False  # no kept one is good enough
-    reused_connection: bool = False  # it goes over a link that was used before
+    new_connection: bool = False  # it may not reuse an idle connection
+    reused_connection: bool = False  # it goes over a connection that was used before
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, as the decisions learn it; times are in microseconds."""
+    """How an attempt ended, as it is reported to the decisions; times are microseconds."""
 
     outcome: Outcome
     took: int = 0
     retry_after: int = 0
     last: bool = False
     report: Sequence[float] = ()
-    reused_connection: bool = False  # it went over a link that had been used before
-    not_sent: bool = False  # no byte of it left, for a reason that a further look at it takes into account
+    reused_connection: bool = False  # it went over a connection that had been used before
+    not_sent: bool = False  # no byte was sent, for a reason that the decisions take into account next time
 
 
 class AttemptRunner:
-    """Takes ordered attempts to their receivers; each ends in one `AttemptResult`."""
+    """Runs ordered attempts; each reports exactly one `AttemptResult` through `tell`.
+
+    `clear` asks the dispatcher whether an attempt may go, `may_fire` asks again right before the first byte, and
+    `heed` passes on Retry-After waits as (receiver, until in microseconds).
+    """
 
     def __init__(
         self,
@@ -94,7 +101,7 @@
         greenlet.rawlink(lambda finished: self.out.pop(finished, None))
 
     def cut(self, numbers: Collection[int]) -> None:
-        """Give up the calls of some messages at once, and close their links: they may have run."""
+        """Abort the running calls of some messages and close their connections; the messages may have run."""
         for greenlet, call in list(self.out.items()):
             if call.message.number in numbers and not call.reported:
                 greenlet.kill(block=False)
@@ -105,7 +112,7 @@
         try:
             self._go(call)
         except Exception:
-            # Danger: an attempt that never ends holds its slot and its message for ever.
+            # Without a result the attempt would hold its slot and its message for ever.
             self.counters.failed("an attempt failed")
             if not call.reported:
                 self._end(call, Outcome.RESET)
@@ -123,7 +130,7 @@
             return
         usable = False
         try:
-            # Danger: while a link came up, a wait or a drain may have been heard or the message have ended.
+            # While the connection came up, a Retry-After wait or a drain may have arrived, or the message ended.
             usable = not self._cleared(call)
             if not usable:
                 usable = self._unless_crossed(call, link)
@@ -131,9 +138,12 @@
             self.links.give_back(link, usable)
 
     def _unless_crossed(self, call: AttemptCall, link: Connection) -> bool:
-        """The call, unless something came while the dispatcher was asked; whether the link can be used again."""
+        """Make the call unless its time or connection ended during the clearance.
+
+        Returns whether the connection can be used again.
+        """
         if is_closed(link.sock):
-            # Danger: what lies there before the request would be read as its answer.
+            # Bytes that came before the request would be read as its answer.
             if link.idle_since:
                 self._hold_back(call)
             else:
@@ -148,7 +158,7 @@
         return self._over(call, link)
 
     def _cleared(self, call: AttemptCall) -> bool:
-        """Whether it may go now; where it may not, it has ended."""
+        """Whether the attempt may go now; where it may not, its result has been reported."""
         for _ in range(MAX_CLEARANCE_REQUESTS):
             if not self.clear(call):
                 call.reported = True
@@ -156,20 +166,20 @@
                 return False
             if self.clock.now() - call.looked_at <= CLEARANCE_LIFETIME_US:
                 return True
-            # Danger: the process was stopped, or a round was long: a refusal may lie unread in a socket.
+            # The process was paused, or a round was long: a refusal may be waiting unread in a socket.
             self.counters.add("clearances that grew old")
             self.polled.again()
         self._hold_back(call)
         return False
 
     def _over(self, call: AttemptCall, link: Connection) -> bool:
-        """Write the request, read the answer; whether the link can be used again."""
+        """Write the request and read the answer; returns whether the connection can be used again."""
         answer = ResponseParser()
         broken: Outcome | None = Outcome.CONNECT_FAILED
         try:
             self._wait_until(link, min(call.until, call.send_by))
             whole = encode_request(call, self.clock.now())
-            # Danger: the right to fire may have run out since the dispatcher was asked; another sender has it then.
+            # The right to send may have expired since the clearance; another sender may hold it now.
             if not self.may_fire(call.message.number):
                 self.counters.add("attempts held back: no right to fire")
                 self._end(call, Outcome.MOOT)
@@ -179,15 +189,15 @@
             self.counters.figures.tries += 1
             broken = self._read(call, link, answer)
         except OSError:
-            # The last byte was never handed over, so nothing ran; an early answer tells more.
+            # The last byte was never sent, so nothing ran; an early answer may say more.
             self._read_unread_bytes(call, link, answer)
         if answer.complete or answer.status == 200:
             usable = answer.complete and answer.keep_alive and broken is None
             if not call.reported:
                 self._tell(call, answer)
             return usable
-        # Danger: with the call still on its way, a further attempt would be a second copy out. Danger: what follows a
-        # refusal's head may show that it was spoilt, and then the attempt may have run.
+        # End the call before its result is reported: a retry must not run beside it. A refusal counts only when its
+        # answer is whole: if what follows its head is malformed, the attempt may have run.
         if broken is Outcome.TIME_OUT and self.links.end_sending(link):
             self._end(call, broken)
             self._hear_out(call, link, answer)
@@ -197,7 +207,7 @@
         return False
 
     def _read(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> Outcome | None:
-        """Read the answer to its end; how the attempt ended if it broke before that."""
+        """Read the answer to its end; returns the outcome if it broke off before that, else None."""
         until = call.until
         try:
             while not answer.complete:
@@ -210,9 +220,9 @@
                 if answer.status and not begun:
                     until = min(until, self.clock.now() + ANSWER_REST_TIMEOUT_US)
                 if answer.headed and answer.status == 200 and not call.reported:
-                    self._tell(call, answer)  # it is true, whatever becomes of the rest
+                    self._tell(call, answer)  # a success counts even if the rest of the answer is lost
         except TimeoutError:
-            # Danger: after a pause of the process, answers that came in time lie unread.
+            # After a pause of the process, answers that came in time are still unread.
             self._read_unread_bytes(call, link, answer)
             return Outcome.RESET if answer.status else Outcome.TIME_OUT
         except (OSError, InvalidResponseError) as error:
@@ -231,7 +241,7 @@
         self._heed_early(call, answer)
 
     def _read_on(self, link: Connection, answer: ResponseParser, until: int) -> None:
-        """Read the head of an answer that may come up to a time; with 0, all of it that is unread."""
+        """Read until the head of an answer is there, up to a time; with 0, read only what has arrived."""
         link.sock.settimeout(0.0)
         try:
             while not (answer.headed if until else answer.complete):
@@ -244,7 +254,7 @@
             pass
 
     def _heed_early(self, call: AttemptCall, answer: ResponseParser) -> None:
-        """Pass on the wait of a refusal as soon as its head is there.
+        """Pass on the Retry-After wait of a throttled call as soon as the answer's head is there.
 
         Whether the rest comes only decides whether the attempt may have run.
         """
@@ -256,9 +266,9 @@
         self.heed([(call.receiver, self.clock.now() + parse_retry_after(answer.headers.get("x-backoff-ms", "")))])
 
     def _hear_out(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
-        """Read on for a moment on the link of a call that was given up and has ended.
+        """Read on for a moment on the connection of a call that timed out and whose result was reported.
 
-        Danger: a refusal that crosses the giving up tells a wait all the same, and further attempts would break it.
+        A refusal that arrives just after the time-out still sets a Retry-After wait, which later attempts must respect.
         """
         self.out.pop(gevent.getcurrent(), None)
         self._read_on(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
@@ -267,7 +277,7 @@
             self._heed(call, answer)
 
     def _tell(self, call: AttemptCall, answer: ResponseParser) -> None:
-        """What an answer says: its first line at least."""
+        """Report the result that an answer gives; its first line at least has been read."""
         took = self.clock.now() - call.ordered_at
         report = self._report(answer.headers.get(REPORT_HEADER, ""))
         if answer.status == 200:
@@ -304,7 +314,7 @@
             return ()
         reported = {name.strip(): value for name, _, value in (pair.partition("=") for pair in text.split(","))}
         figures = [reported.get(name, "") for name in self.columns]
-        # Danger: one "nan" or "1e300" would stay in the pace of a destination for ever.
+        # A single "nan" or "1e300" would spoil the rate of a destination for good.
         if not all(FIGURE_PATTERN.fullmatch(figure) for figure in figures):
             self.counters.warning("a report that cannot be read", text[:100])
             return ()
@@ -312,7 +322,7 @@
 
 
 def parse_retry_after(text: str) -> int:
-    """A Retry-After wait in microseconds, the longest where a head tells several; 0 where none can be read."""
+    """A Retry-After wait in microseconds, the longest where a head has several; 0 where none can be read."""
     waits = [MILLISECONDS_PATTERN.fullmatch(part.strip()) for part in text.split(",")]
     return max((int(each[1]) * 1000 + bool(each[2]) * 1000 for each in waits if each), default=0)
 
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -1,4 +1,7 @@
-"""The listener and the clients' connections: RESP2 in, answers out."""
+"""The client listener: accepts connections, reads RESP2 requests and writes their answers.
+
+Names in `_S` are seconds, `_US` and clock times microseconds. The service makes one `ClientListener`, and stops it.
+"""
 
 import contextlib
 import itertools
@@ -20,23 +23,23 @@
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
-# An error or a close is owed within three seconds of connecting; one with nothing open may go after two.
+# An error or a close is due within 3 s of connecting; a client with no open request may be closed after 2 s.
 FIRST_REQUEST_TIMEOUT_S = 2.2  # until the first byte of the first request
 NEXT_REQUEST_TIMEOUT_S = 4.0  # until the first byte of a later one
 PARTIAL_REQUEST_TIMEOUT_S = 2.0  # for the rest of a begun request, or until there is room for an answer
 SLOW_REQUEST_S = 0.3  # without a byte of a begun request, after which its connection may have to make way
-CLOSE_TIMEOUT_S = 1.0  # in which a client that was let go may close by itself
-CROSSED_REQUEST_TIMEOUT_S = 0.3  # in which one whose request crossed the end reads it, before a reset
-CLOSE_GRACE_S = 0.05  # after which one that was let go makes way, where descriptors are short
+CLOSE_TIMEOUT_S = 1.0  # in which a client may close after our side was shut down
+CROSSED_REQUEST_TIMEOUT_S = 0.3  # in which a client whose request crossed our shutdown reads the end, before a reset
+CLOSE_GRACE_S = 0.05  # after our shutdown: then the connection may be cut where descriptors are short
 MAX_DISCARDED_BYTES = 1 << 18  # read after a refusal, so that the client can read its error
 MAX_UNUSABLE_REQUESTS = 8  # in a row: so many end the connection
 MAX_DOUBTFUL_REQUESTS = 3  # that count as unusable, of those that may be right, as where the list is old
 FIRST_PAUSE_S = 0.02  # after the first unusable request, doubling up to LONGEST_PAUSE_S
 LONGEST_PAUSE_S = 0.5
-MAX_BUFFERED_BYTES = 1 << 23  # in the buffers of all clients together; what needs more is turned away
-SMALL_BUFFER_BYTES = 1 << 13  # a buffer up to this size needs no look at the others
+MAX_BUFFERED_BYTES = 1 << 23  # in the buffers of all clients together; requests that need more are refused
+SMALL_BUFFER_BYTES = 1 << 13  # a buffer up to this size is not checked against the others
 POLL_INTERVAL_S = 0.01  # between two looks at requests that are not answered at the end
-CLIENT_ANSWER_TIMEOUT_US = 450_000  # after a request that nobody can answer its client has gone, or is let go
+CLIENT_ANSWER_TIMEOUT_US = 450_000  # after a request that cannot be answered its client is closed
 CONNECTION_POOL_DIVISOR = 8  # one in so many descriptors stays free for receivers, where clients hold over half
 BACKLOG = 1024  # connections that wait to be accepted
 
@@ -86,7 +89,7 @@
         self.waiting = True  # between requests: nothing of a next one has been read
         self.answering = False  # a request was read, and its answer is not written
         self.cut = False
-        self.let_go = False  # it is told the end; nothing more is read from it
+        self.let_go = False  # our side is shut down; nothing more is read from it
         self.leave = gevent.event.Event()  # its descriptor is wanted, also where its request crossed the end
         self.idle_since = now  # the last byte read, or the last answer; of one that was let go: when
         self.begun_at = 0  # when the first byte of a request came that is not whole yet; 0: none has
@@ -117,9 +120,9 @@
         self.descriptors = descriptors
         self.dispatcher = dispatcher
         self.clients: set[ClientConnection] = set()
-        self.ready = ready  # whether the folder is read and the list known
+        self.ready = ready  # whether the store has been read and the endpoint list is known
         self.closing = False
-        self.paused = False  # drained by the operators: PING says no, clients are let go between requests
+        self.paused = False  # paused by the operators: PING is refused, clients are closed between requests
         self.still_taking = False  # while closing: requests that were read are still kept, for a hand-over
         self.waste = bytearray(1 << 16)
         self.hand_in: Callable[[StoredMessage], SubmitResult] = self.to_dispatcher
@@ -134,7 +137,7 @@
     def accept(self) -> None:
         """Never returns: accepts clients as long as there are descriptors for them."""
         while True:
-            # Danger: accepting one after another would never let those read that were accepted before.
+            # Yield: accepting without a pause would starve the greenlets of clients accepted before.
             gevent.sleep(0)
             try:
                 self._make_room()
@@ -163,7 +166,7 @@
         return any(client.answering or len(client.buffer) for client in self.clients)
 
     def pause(self) -> None:
-        """The front is to send clients elsewhere: what is read is served, every connection goes when idle."""
+        """Pause for the operators: serve requests that were read, close connections when idle; PING is refused."""
         self.paused = True
         self._let_go_idle()
 
@@ -172,13 +175,15 @@
         self.paused = False
 
     def stop(self) -> None:
-        """New requests are turned away from now on; clients that ask for nothing are let go."""
+        """Refuse new requests from now on, and close idle connections."""
         self.closing = True
         self._let_go_idle()
 
     def end(self, seconds: float) -> None:
-        """At the very end: returns once all that was asked has its answer and every client is gone, or after so
-        long; what has not come whole by then is turned away as it is."""
+        """Close the listener, and return once every request is answered and every client gone, or after `seconds`.
+
+        Requests that are incomplete by then are refused.
+        """
         self._let_go_idle(fresh=True)
         self._take_in_waiting()
         self.listener.close()
@@ -188,12 +193,12 @@
                 self._let_go_idle()
         self._let_go_idle(fresh=True)
         for client in self.clients:
-            # Danger: of one whose answer is under way, this would be read as that answer.
+            # Not while an answer is under way: the client would take the refusal for that answer.
             if len(client.buffer) and not client.answering:
                 self._turn_away(client)
 
     def _take_in_waiting(self) -> None:
-        """Danger: a connection that waits to be accepted is reset with the listener, its request unanswered."""
+        """Accept all waiting connections: closing the listener would reset them, with their requests unanswered."""
         self.listener.settimeout(0.0)
         with contextlib.suppress(NoDescriptorError):
             while True:
@@ -206,7 +211,7 @@
                 self._take_in(sock)
 
     def _turn_away(self, client: ClientConnection) -> None:
-        """All that was read of a client is refused, what is not whole yet too, and it is told the end."""
+        """Refuse all requests read from a client, an incomplete one too, and shut down our side of its connection."""
         owed = 0
         with contextlib.suppress(MalformedRequestError):
             while command(client.buffer) is not None:
@@ -219,26 +224,29 @@
             client.sock.shutdown(gevent.socket.SHUT_WR)
 
     def _let_go_idle(self, fresh: bool = False) -> None:
-        """Every client between requests is let go; the others go after their answer, fresh ones after their first."""
+        """Close clients between requests; others close after their answer. New clients only where `fresh` is set."""
         for client in list(self.clients):
-            # Danger: a first request on a new connection that is ended counts as refused, where BUSY would answer it.
+            # A new connection is left open: its first request may be on its way, and BUSY is better than a close.
             idle = client.waiting and not len(client.buffer) and self._silent(client)
             if idle and (client.asked or fresh):
                 self._let_go(client)
 
     def _silent(self, client: ClientConnection) -> bool:
-        """Whether no byte is unread. Danger: a request that was written before the end is owed its answer."""
+        """Whether nothing is unread: a request that was written before the connection closes must be answered."""
         timeout = client.sock.gettimeout()
         unread = peek_byte(client.sock)
         client.sock.settimeout(timeout)
         return unread is None
 
     def _make_room(self) -> None:
-        """Beyond half of the descriptors clients take only what is free; then who has nothing open goes."""
+        """Close idle clients where descriptors are short and clients hold at least half of them.
+
+        Raises `NoDescriptorError` where that frees none.
+        """
         limit = self.descriptors.limit
         if len(self.clients) * 2 < limit or self.descriptors.used < limit - limit // CONNECTION_POOL_DIVISOR:
             return
-        # Danger: one that was cut counts until its greenlet has run; cutting on would reach the newest.
+        # A closed client counts until its greenlet has run; closing more meanwhile would reach the newest ones.
         if not any(client.cut for client in self.clients):
             slow, let_go = (self.clock.now() - round(each * 1_000_000) for each in (SLOW_REQUEST_S, CLOSE_GRACE_S))
             idle = [
@@ -250,10 +258,10 @@
                 or client.let_go
                 and client.idle_since < let_go
             ]
-            # Danger: a first request may be on its way on a new connection, and fails with it; who has been
-            # answered asks again elsewhere. Only what has been silent for long is of less use than that.
+            # On a new connection a first request may be on its way, and would fail; a client that was answered before
+            # can ask again elsewhere. So served clients go first, but after new ones that were silent for long.
             late = self.clock.now() - round(FIRST_REQUEST_TIMEOUT_S * 900_000)
-            # Those that were let go come first: nobody is served on them any more.
+            # Connections that are closing already come first: nobody is served on them any more.
             idle.sort(
                 key=lambda client: (
                     not client.let_go,
@@ -271,15 +279,18 @@
             raise NoDescriptorError(f"{len(self.clients)} clients hold all that they may")
 
     def _let_go(self, client: ClientConnection) -> None:
-        """The client reads the end and goes. Danger: what crosses that must stay unread: the client sends it once more
-        on a new connection, but a request that was read is lost without its answer."""
+        """Shut down our side, so that the client closes its own.
+
+        A request that arrives after that stays unread: the client sends an unread one again on a new connection, but
+        one that was read would be lost without its answer.
+        """
         client.waiting, client.let_go, client.idle_since = False, True, self.clock.now()
         with contextlib.suppress(OSError):
             client.sock.shutdown(gevent.socket.SHUT_WR)
         gevent.spawn_later(CLOSE_TIMEOUT_S, self._cut, client)
 
     def _cut(self, client: ClientConnection) -> None:
-        """The client goes at once: it was let go and does not close, or its descriptor is wanted."""
+        """Close both directions at once: the client did not close in time, or its descriptor is needed."""
         if client in self.clients:
             client.cut = True
             with contextlib.suppress(OSError):
@@ -292,7 +303,7 @@
                 client.answering = True
                 reply = self._answer(client, parts)
                 if not reply:
-                    # Danger: any answer might be wrong, and an end at once would be taken for one.
+                    # The result is not known: any answer may be wrong, and a close would be taken for a refusal.
                     self._outlast(client)
                     client.answering = False
                     break
@@ -307,7 +318,7 @@
                 if client.unusable >= MAX_UNUSABLE_REQUESTS:
                     raise MalformedRequestError("too many requests that cannot be used")
                 if client.unusable:
-                    # Danger: who sends the same again as soon as it is turned away would fill the core.
+                    # A client that repeats a bad request without a pause would use up the CPU.
                     client.waiting, client.idle_since = not len(client.buffer), self.clock.now()
                     gevent.sleep(min(LONGEST_PAUSE_S, FIRST_PAUSE_S * (1 << client.unusable - 1)))
                 elif len(client.buffer):
@@ -360,13 +371,13 @@
         return parts
 
     def _outlast(self, client: ClientConnection) -> None:
-        """Returns once the client has given up its request, or should have."""
+        """Return once the client has closed its connection, or has had time to give up its request."""
         until = self.clock.now() + CLIENT_ANSWER_TIMEOUT_US
         while self.clock.now() < until and peek_byte(client.sock) != b"":
             gevent.sleep(POLL_INTERVAL_S)
 
     def _see_off(self, client: ClientConnection) -> None:
-        """The client is told the end, where it was not, and may close first; what it still sends stays unread."""
+        """Shut down our side, unless done, and let the client close first; what it still sends stays unread."""
         if client.cut:
             return
         if not client.let_go:
@@ -377,7 +388,7 @@
                 client.leave.wait(CROSSED_REQUEST_TIMEOUT_S)
 
     def _refuse(self, client: ClientConnection, reply: bytes) -> None:
-        """Answer, then read on to the end for a moment: unread input would turn the close into a reset."""
+        """Write an error, then read and discard for a moment: unread input would turn the close into a reset."""
         client.waiting, client.begun_at = False, 0
         client.buffer.skip(len(client.buffer))
         try:
@@ -389,13 +400,13 @@
             pass
 
     def _read_out(self, client: ClientConnection) -> None:
-        """Danger: 60 MB at full speed would take the core from everyone; then a reset is good enough."""
+        """Discard input up to `MAX_DISCARDED_BYTES`; reading more would take CPU from others, and a reset will do."""
         wasted = 0
         while wasted < MAX_DISCARDED_BYTES and (got := client.sock.recv_into(self.waste)):
             wasted += got
 
     def _dropped(self, pairs: bytes) -> None:
-        """A SUBMIT that was rejected at admission, counted by its priority class where that is one of ours."""
+        """Count a SUBMIT that was refused at admission, by its priority class where the settings have it."""
         for pair in pairs.split(b","):
             name, _, value = pair.partition(b"=")
             if name == b"c":
@@ -432,7 +443,7 @@
         ):
             client.unusable += 1
         if withdraw is not None and peek_byte(client.sock) == b"":
-            # Danger: who has gone before the answer hands it in elsewhere; nothing has gone out yet.
+            # A client that left before its answer submits to another sender; no attempt has gone out yet.
             self.counters.add("clients gone before their answer")
             withdraw()
             return BUSY
@@ -441,7 +452,7 @@
         return REPLIES[answered]
 
     def to_dispatcher(self, stored: StoredMessage) -> SubmitResult:
-        """Hand a message to this sender's own dispatcher."""
+        """Submit a message to this sender's own dispatcher and wait for the result."""
         submission = Submission(stored)
         self.dispatcher.submit(submission)
         answered, wait_ms = submission.answer.get()
--- a/cedarwick/net/clock.py
+++ b/cedarwick/net/clock.py
@@ -1,10 +1,10 @@
-"""The process's clock: wall time at the start, then only forwards."""
+"""The process's clock: wall time at the start, then monotonic; microseconds."""
 
 import time
 
 import gevent
 
-STEP = 0.001  # seconds of a wait that shows whether the clock moves on while the process waits
+STEP = 0.001  # seconds of a timed wait over which the clock must advance
 MOST_STEPS = 100  # a clock that stands still for good must not keep the process from serving
 
 
@@ -15,13 +15,14 @@
         self.base = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
+        """The time in microseconds since the epoch."""
         return (self.base + time.monotonic_ns()) // 1000
 
     def in_step(self) -> bool:
-        """Wait until the clock has moved on by a timed wait; whether it has.
+        """Wait until the clock advances as much as a timed wait; returns whether it does.
 
-        Danger: where a share of a core is counted by the clock, a start that took more than its share leaves the
-        clock ahead of everybody else's; it stands until they are level. What is taken meanwhile ends too late.
+        Where a CPU share is enforced through the clock, a start that used more than its share leaves the clock ahead
+        of other processes', and it stands still until they catch up. Messages taken before that would end too late.
         """
         for _ in range(MOST_STEPS):
             before = self.now()
--- a/cedarwick/net/connections.py
+++ b/cedarwick/net/connections.py
@@ -1,4 +1,7 @@
-"""Every connection to a receiver, and the budget of descriptors."""
+"""The pool of connections to receivers, and the budget of file descriptors that clients share with it.
+
+Times are microseconds unless a name ends in `_S` (seconds). Attempts and the client listener use this module.
+"""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,7 +17,7 @@
 
 RESERVED_DESCRIPTORS = 64  # for the interpreter, the loop, the store and the platform
 IDLE_SWEEP_INTERVAL_S = 0.25  # between two looks at the idle connections
-DESCRIPTOR_TIMEOUT_US = 400_000  # for an attempt; with a longer one its receiver would seem to be silent
+DESCRIPTOR_TIMEOUT_US = 400_000  # for an attempt to get one; a longer wait would look like a silent receiver
 DESCRIPTOR_POLL_INTERVAL_S = 0.02  # between two looks for a free one
 
 
@@ -26,7 +29,7 @@
 
 
 class DescriptorBudget:
-    """Counts the descriptors of clients and receivers; at the bound the longest idle link gives way."""
+    """Counts the descriptors of clients and receivers; at the limit an idle connection is closed for another."""
 
     def __init__(self, limit: int) -> None:
         self.set_limit(limit)
@@ -34,14 +37,17 @@
         self.make_way: Callable[[], bool] = lambda: False
 
     def set_limit(self, limit: int) -> None:
+        """Set the number of descriptors of the whole process; `RESERVED_DESCRIPTORS` of them stay free."""
         self.limit = max(8, limit - RESERVED_DESCRIPTORS)
 
     def claim(self) -> None:
+        """Count one more descriptor; raises `NoDescriptorError` at the limit if no connection can be closed."""
         if self.used >= self.limit and not self.make_way():
             raise NoDescriptorError(f"all {self.limit} are taken")
         self.used += 1
 
     def give_back(self) -> None:
+        """Count one descriptor less."""
         self.used -= 1
 
 
@@ -60,7 +66,10 @@
 
 
 class ConnectionPool:
-    """Opens links, keeps the idle ones, and is the only place where one is closed."""
+    """Opens connections, pools the idle ones, and is the only place where they are closed.
+
+    `life` (how long an idle connection may be used) and `connect_limit` are microseconds.
+    """
 
     def __init__(
         self,
@@ -78,11 +87,14 @@
         self.life = life
         self.connect_limit = connect_limit
         self.idle: dict[int, deque[Connection]] = {}  # by receiver, the newest last
-        self.ending: dict[Connection, None] = {}  # links that are only read any more, the newest last
+        self.ending: dict[Connection, None] = {}  # connections that are only read from now on, the newest last
         descriptors.make_way = self._give_way
 
     def obtain(self, receiver: int, until: int, new: bool = False) -> Connection:
-        """An idle link or a new one; OSError where none comes up in time, NoDescriptorError where none may."""
+        """An idle connection or a new one, by `until`.
+
+        Raises `OSError` where none comes up in time, `NoDescriptorError` where no descriptor is free.
+        """
         address = self.address_of(receiver)
         free_by = min(until, self.clock.now() + DESCRIPTOR_TIMEOUT_US)
         while (link := None if new else self._kept(receiver, address)) is None:
@@ -90,7 +102,8 @@
                 self.descriptors.claim()
                 break
             except NoDescriptorError:
-                # Danger: while idle clients hold them all, a message would be through its tries at once.
+                # Wait a little: if it failed at once while clients hold all descriptors, a message would soon be
+                # out of attempts.
                 if self.clock.now() >= free_by:
                     raise
                 gevent.sleep(DESCRIPTOR_POLL_INTERVAL_S)
@@ -106,11 +119,11 @@
         return Connection(sock, receiver, address)
 
     def _kept(self, receiver: int, address: tuple[str, int]) -> Connection | None:
-        """An idle link that can still be used; what cannot is closed on the way."""
+        """The newest idle connection that can still be used, if any; those that cannot are closed."""
         waiting = self.idle.get(receiver)
         while waiting:
             link = waiting.pop()
-            # Danger: a receiver closes what stood idle, and an attempt written to it then is lost unseen.
+            # Receivers close idle connections, and an attempt written just then is lost without a trace.
             fresh = link.address == address and self.clock.now() - link.idle_since < self.life
             if fresh and not is_closed(link.sock):
                 return link
@@ -118,6 +131,7 @@
         return None
 
     def give_back(self, link: Connection, usable: bool) -> None:
+        """Return a connection to the pool; close it if it is not usable or has unread bytes."""
         if not usable or len(link.buffer):
             self._close(link)
             return
@@ -125,7 +139,10 @@
         self.idle.setdefault(link.receiver, deque()).append(link)
 
     def end_sending(self, link: Connection) -> bool:
-        """Give up the call on a link and read on, until it is given back; False where the link has broken."""
+        """Shut down the sending side after a time-out, to read on until the connection is given back.
+
+        False where it has broken.
+        """
         try:
             link.sock.shutdown(gevent.socket.SHUT_WR)
         except OSError:
@@ -134,12 +151,12 @@
         return True
 
     def free(self, receiver: int) -> None:
-        """Close what stands idle at a receiver."""
+        """Close the idle connections to a receiver."""
         for link in self.idle.pop(receiver, ()):
             self._close(link)
 
     def sweep(self) -> None:
-        """Never returns: closes idle links ahead of the time at which their receiver would."""
+        """Never returns: closes idle connections before their receiver would."""
         while True:
             gevent.sleep(IDLE_SWEEP_INTERVAL_S)
             now = self.clock.now()
--- a/cedarwick/net/counters.py
+++ b/cedarwick/net/counters.py
@@ -1,4 +1,4 @@
-"""What came in, went out and was answered, and the log's restraint."""
+"""Event counters and rate-limited warnings, used by all parts of the sender."""
 
 import json
 import time
@@ -16,7 +16,7 @@
 
 
 class Counters:
-    """Plain counts, the largest lag of the loop, and one log line a kind of warning every while."""
+    """Counts by name, the largest lag of the event loop (ms), and at most one log line a kind each `quiet` seconds."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -27,6 +27,7 @@
         self.figures = Metrics()  # the operators' figures, by priority class
 
     def add(self, name: str) -> None:
+        """Count one event."""
         self.counts[name] += 1
 
     def warning(self, kind: str, detail: object) -> None:
@@ -38,11 +39,11 @@
             logger.warning("{} (seen {} times): {}", kind, self.counts[f"warning: {kind}"], describe(detail))
 
     def failed(self, kind: str) -> None:
-        """An error that should not be, told with its trace from within the handler."""
+        """Log an unexpected exception with its traceback; call it from the `except` block."""
         self.warning(kind, traceback.format_exc())
 
     def watch_lag(self) -> None:
-        """Never returns: measures how late the loop is."""
+        """Never returns: measures how late the event loop runs its timers."""
         while True:
             before = time.monotonic()
             gevent.sleep(LAG_INTERVAL_S)
@@ -58,5 +59,6 @@
                 self.print()
 
     def print(self) -> None:
+        """Log all counters in one line of JSON."""
         counts = dict(sorted(self.counts.items()))
         logger.info("counters {}", json.dumps({**counts, "largest lag of the loop, ms": round(self.lag_ms, 1)}))
--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -1,15 +1,18 @@
-"""Admission: which submissions are taken, stored and answered, and which are turned away."""
+"""Admission: which submissions are accepted, stored and answered, and which are refused.
+
+A base class of `Dispatcher`; times are microseconds.
+"""
 
 from cedarwick.net.assignment import place
 from cedarwick.net.dispatch_sessions import Sessions
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
-RECENT_ID_LIFETIME_US = 15_000_000  # for so long after it was handed in, an id is not taken once more
+RECENT_ID_LIFETIME_US = 15_000_000  # for this long after a submission its id is not accepted again
 
 
 class Admission(Sessions):
-    """Takes submissions, and withdraws them where the client has gone."""
+    """Accepts submissions, and withdraws them where the client has gone."""
 
     def _take(self, submission: Submission) -> None:
         stored = submission.message
@@ -25,7 +28,7 @@
         if stored.turn in self.frozen:
             submission.answered(AdmissionResult.FROZEN)
             return
-        # Danger: a copy of an id that has ended would go out again, with whatever body it brings.
+        # A repeated id must not be sent again after its message ended, least of all with another body.
         copied = hash((stored.key, stored.turn, stored.priority_class, stored.tenant, stored.destination, stored.body))
         known = self.recent.get(stored.id)
         if known is not None or stored.id in self.numbers:
@@ -44,7 +47,7 @@
         self.store.next_number += 1
         self.fresh[number] = submission
         self.numbers[stored.id] = number
-        # Danger: an absurd time to live would be held, and take up its room, for ever.
+        # Bound the time to live: an absurd one would take up room in the store for ever.
         stored.deadline = min(stored.deadline, now + self.sender.priority_classes[priority_class].deadline)
         self.handles[number] = self.sender.take(
             now,
@@ -71,13 +74,13 @@
         self._over(stored)
 
     def _keep_fresh(self) -> None:
-        """At a hand-over: what comes is recorded and answered; the next process decides on it."""
+        """At a hand-over: store and answer new messages; the next process decides on them."""
         for submission in self.fresh.values():
             self._keep(submission)
         self.fresh.clear()
 
     def _take_none(self, now: int) -> None:
-        """What came in this round is turned away, and the decisions forget it."""
+        """Refuse the submissions of this round, and withdraw them from the decisions."""
         for number, submission in self.fresh.items():
             self.numbers.pop(submission.message.id, None)
             self.handles.pop(number).withdrawn(now)
@@ -85,7 +88,7 @@
         self.fresh.clear()
 
     def _keep(self, submission: Submission) -> None:
-        """The record first, then the answer; attempts may leave after that."""
+        """Store a message, then answer its client; attempts may go only after that."""
         stored = submission.message
         if not self._recorded("a message", self.store.keep, stored):
             del self.numbers[stored.id]
@@ -101,7 +104,7 @@
 
     def _taken(self, submission: Submission) -> None:
         if not self.store.may_fire(submission.message.number):
-            # Danger: the right was lost in this round; then no copy was waited for.
+            # The right to send was lost in this round, so no copy of the message was waited for.
             self._not_taken(submission)
             return
         self.counters.add("taken")
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -1,4 +1,7 @@
-"""Attempts: whether one may still go out, its record before it does, and its result."""
+"""Attempts in the dispatcher: their clearance, the record written before they go, and their results.
+
+A base class of `Dispatcher`; times are microseconds.
+"""
 
 import gevent.event
 
@@ -31,7 +34,8 @@
             )
         if not may:
             answer.set(False)
-            # Danger: what the folder does not take, or may not be fired for, would be looked at anew at once for ever.
+            # Refused by the decisions: it does not count as an attempt. Refused by the store or for want of the right
+            # to send: it counts, or it would be ordered again at once, for ever.
             self._attempt_ended(call, AttemptResult(Outcome.MOOT, not_sent=not free))
         elif self.store.awaited and not call.flushed:
             call.flushed = True
@@ -40,7 +44,7 @@
             answer.set(True)
 
     def _with_body(self, call: AttemptCall) -> bool:
-        """Whether the body could be read back; it may lie in the folder only."""
+        """Read the body back, which may be in the store only; returns whether that succeeded."""
         try:
             call.body = self.store.body(call.message.number)
         except BodyLostError as error:
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -1,10 +1,13 @@
-"""Final answers of stored messages: recorded, copied to other senders where there are any, then posted as notices."""
+"""Final answers of stored messages: recorded, copied to other senders where there are any, then posted as notices.
+
+A base class of `Dispatcher`; times are microseconds.
+"""
 
 from cedarwick.decisions.state import NEVER
 from cedarwick.net.dispatch_state import LEASE_RECHECK_DELAY_US, DispatcherState
 from cedarwick.store.records import StoredMessage
 
-# So long before its deadline a message is written off, at the end of a process that others take over from.
+# At the end of a process from which others take over, a message is written off this long before its deadline.
 DEADLINE_MARGIN_US = 50_000
 
 
@@ -31,14 +34,14 @@
             self.notices.post(number, stored.id, rejected, wait_ms)
 
     def _post_once_copied(self, stored: StoredMessage) -> None:
-        """Post the end once a copy has it.
+        """Post the final answer once another sender has a copy of it.
 
-        Danger: posted before that, it would be followed by an attempt of whoever takes over.
+        If it were posted earlier, a sender that takes over could still make an attempt after it.
         """
 
         def post() -> None:
             if not self.store.may_fire(stored.number):
-                again()  # Danger: the right may be back in a moment, and nobody else would post it then
+                again()  # the right may be back soon, and then nobody else would post it
             elif (
                 stored.end is not None and stored.number in self.store.messages and stored.number in self.uncopied_ends
             ):
@@ -48,7 +51,7 @@
         def again() -> None:
             if stored.number in self.store.messages and stored.number in self.uncopied_ends:
                 if self.clock.now() >= stored.deadline and self.store.may_fire(stored.number):
-                    # Whoever takes over fires nothing any more, and says that it failed, too.
+                    # After the deadline a sender that takes over makes no attempt either, and reports a failure too.
                     self._final(stored.number, False, 0, alone=True)
                     return
                 self.after_flush.append((post, again))
@@ -75,7 +78,7 @@
     def _end_near(self) -> None:
         """Write off what reaches its deadline before another sender can go on with it.
 
-        Danger: a call that hangs holds up the end of the process, and with it the ends of all else that is stored.
+        One hanging call delays the end of the process, and other messages could reach their deadline meanwhile.
         """
         now = self.clock.now()
         limits = {
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -1,4 +1,7 @@
-"""Stored messages that come to this sender or leave it: restarts, partitions, and sessions on the move."""
+"""Stored messages that come to this sender or leave it: after restarts, with partitions, and with moved sessions.
+
+A base class of `Dispatcher`; times are microseconds.
+"""
 
 from collections.abc import Sequence
 
@@ -15,17 +18,17 @@
 
 
 class Sessions(DispatcherState):
-    """Adopts, parks and freezes messages, and has the keys rest that are owed elsewhere."""
+    """Adopts, parks and freezes messages, and lets keys rest of which another sender has earlier messages."""
 
     def resume(self) -> None:
-        """Once, before the start: what an earlier process of this sender has left, as far as it may be fired for."""
+        """Take up what an earlier process of this sender left and it has the right to send; call once, at the start."""
         numbers = [number for number in sorted(self.store.messages) if self.store.may_fire(number)]
         if self.store.restarted:
             taken_up = self._take_up(numbers)
             logger.info("restarted with {} messages owed, {} notices", taken_up, len(self.notices.owed))
 
     def _take_up(self, numbers: Sequence[int], quietly: bool = False) -> int:
-        """Stored messages become owed by the decisions; how many have no end yet."""
+        """Give stored messages to the decisions, or post their final answer; returns how many were not ended."""
         owed = []
         for number in numbers:
             stored = self.store.messages[number]
@@ -55,7 +58,7 @@
         if quietly and all(
             attempt.outcome is not None and attempt.outcome.never_ran for each in owed for attempt in each.attempts
         ):
-            # Danger: sessions come one after another, and each `resume` has the keys of all others rest.
+            # Sessions arrive one by one, and each `resume` would make the keys of all others rest.
             for each in owed:
                 handle = self.handles[each.message_id] = self.sender.take(now, *each[:-1])
                 handle.attempts = len(each.attempts)
@@ -65,7 +68,7 @@
         return len(owed)
 
     def _place_of(self, mark: int) -> int:
-        """A recorded zone among those of the settings; where none or several have its mark, none."""
+        """The index of a recorded zone mark in the settings; `NOWHERE` unless exactly one zone has it."""
         return self.zones.index(mark) if self.zones.count(mark) == 1 else NOWHERE
 
     def _adopt(self, numbers: list[int], quietly: bool = False) -> None:
@@ -77,7 +80,7 @@
             and number not in self.store.inert
             and self.store.messages[number].turn not in self.frozen
         ]
-        # Danger: an attempt of before the message was parked may still be out, and a second would run beside it.
+        # An attempt from before the message was parked may still run; a second one must not run beside it.
         self.to_adopt.update(number for number in known if number in self.parked)
         taken_up = [number for number in known if number not in self.parked]
         self._take_up(taken_up, quietly)
@@ -85,11 +88,11 @@
         for handle in [self.handles[number] for number in taken_up if number in self.handles]:
             if handle.priority_class.ordered and handle.key:
                 joined.setdefault(handle.key, []).append(handle)
-        # Danger: of those that come back together each would stand before the one that was taken before it.
+        # Messages that come back together keep their order: they must not move ahead of one another.
         not_sent = self.not_sent.difference(taken_up)
 
         def before(one: Handle, other: Handle) -> bool:
-            # Danger: one whose attempt was out when its partition was parked comes back after all others of its key.
+            # A message whose attempt ran while its partition was parked comes back last: move it ahead of later ones.
             return (
                 other.id in not_sent
                 or other.id > one.id
@@ -129,7 +132,7 @@
         for number in numbers:
             submission = self.fresh.pop(number, None)
             if submission is not None:
-                # It is not kept yet, and neither is anything known of it that its next holder must not take.
+                # It is not stored yet; forget its id, so that the client can submit it again after the move.
                 self.recent.pop(submission.message.id, None)
                 submission.message.number = 0
                 submission.answered(AdmissionResult.FROZEN)
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -1,4 +1,4 @@
-"""What the dispatcher's parts share: the decisions, the store, and which messages are where.
+"""The state that the dispatcher's parts share: the decisions, the store, and the messages by state.
 
 The parts (`dispatch_admission`, `dispatch_attempts`, `dispatch_sessions`, `dispatch_final_answers`) are base classes of
 `cedarwick.net.dispatcher.Dispatcher`: all of them run in its one greenlet, on this one state, so none needs a lock.
@@ -26,12 +26,12 @@
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage, zone_mark
 
-LEASE_RECHECK_DELAY_US = 20_000  # until the next look whether this sender may decide, or its copies follow
+LEASE_RECHECK_DELAY_US = 20_000  # microseconds until the next check of this sender's lease and its copies
 
 
 @dataclass(slots=True)
 class FrozenSession:
-    """A session on the move: the attempts of it that are still out, and an event that is set once there are none."""
+    """A session that is moving: its attempts still running, and an event that is set once there are none."""
 
     still: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
     out: set[int] = field(default_factory=set)
@@ -57,29 +57,35 @@
         ]
         self.zones = [zone_mark(name) for name in list_setting(assignment.settings, "zones")]
         self.sender = Sender(assignment.settings, assignment.seed, clock.now())
-        # One more stands for what a restart finds of a priority class that is no more; as the settings lack it, at
-        # most once.
+        # One more class is for restored messages whose priority class was removed; without settings it is sent at most
+        # once.
         self.sender.priority_classes.append(priority_class_of(assignment.settings, len(self.sender.priority_classes)))
         counters.figures.priority_classes = list(self.priority_classes)
-        # Danger: attempts that the decisions hold to share a call would each count at the destination's limit.
+        # Here every attempt is a call of its own; if the decisions took some to share one, they would exceed limits.
         self.sender.per_call = []
         self.handles: dict[int, Handle] = {}
         self.numbers: dict[str, int] = {}  # by id: messages that are stored
-        self.recent: dict[str, tuple[int, int]] = {}  # ids of late: when, and what came with it
+        self.recent: dict[
+            str, tuple[int, int]
+        ] = {}  # recent ids: when they came (microseconds), and a hash of the submission
         self.fresh: dict[int, Submission] = {}  # taken in this round
         self.queue: gevent.queue.Queue = gevent.queue.Queue()
-        self.asked: list[tuple[AttemptCall, gevent.event.AsyncResult]] = []  # attempts that want to go in this round
-        self.after_flush: list[tuple[Callable[[], None], Callable[[], None]]] = []  # once on the disk; if it fails
+        self.asked: list[
+            tuple[AttemptCall, gevent.event.AsyncResult]
+        ] = []  # attempts that ask for a clearance in this round
+        self.after_flush: list[
+            tuple[Callable[[], None], Callable[[], None]]
+        ] = []  # what to call after the flush, or if it fails
         self.wake_at: int | None = None
         self.holding_fire = False
         self.ending = False  # while holding fire: what reaches its deadline ends here
         self.keeping = False  # while holding fire: new messages are still stored, for the next process
-        self.parked: dict[int, Handle] = {}  # given up while an attempt was out: it still ends
-        self.to_adopt: set[int] = set()  # of these: to be gone on with once it has ended
+        self.parked: dict[int, Handle] = {}  # parked while an attempt was running: its result is still to come
+        self.to_adopt: set[int] = set()  # parked messages to adopt once their attempt has ended
         self.frozen: dict[int, FrozenSession] = {}  # sessions on the move, by key
         self.elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
         self.not_sent: set[int] = set()  # messages that had no attempt while their key was among these
-        self.leaving: set[int] = set()  # withdrawn in this moment: the queue has yet to say so
+        self.leaving: set[int] = set()  # withdrawn, but that call is still in the queue
         self.uncopied_ends: set[int] = set()  # an end was chosen, and is posted once the copies have it
         self.attempts: AttemptRunner
         self.notices: Notifier
@@ -96,7 +102,7 @@
         return True
 
     def _over(self, stored: StoredMessage) -> None:
-        """Nothing more is owed for this message."""
+        """Delete a message for which nothing more is to be done."""
         self.numbers.pop(stored.id, None)
         self.uncopied_ends.discard(stored.number)
         self._recorded("the record of an end", self.store.over, stored.number)
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -62,9 +62,9 @@
         return bool(answer.get())
 
     def may_fire(self, number: int) -> bool:
-        """Asked as the last thing before the first byte.
+        """Whether an attempt may still go; asked right before its first byte.
 
-        Danger: while an attempt's record was waited for, the client may have left, and hands the same in elsewhere.
+        While the attempt's record was being written, the client may have left and submitted the same message elsewhere.
         """
         return number in self.store.messages and number not in self.leaving and self.store.may_fire(number)
 
@@ -73,11 +73,11 @@
         self.queue.put((self._attempt_ended, (call, ending)))
 
     def listed(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
-        """The endpoint list was read anew, or some of its lines have changed."""
+        """Pass on a full endpoint list, or changes of it."""
         self.queue.put((self._listed, (change, listings)))
 
     def list_poll_failed(self) -> None:
-        """A call for the endpoint list failed; the decisions say when the next one is due."""
+        """Report a failed call for the endpoint list; the decisions say when the next one is due."""
         self.queue.put((self._list_poll_failed, ()))
 
     def acknowledged(self, numbers: list[int]) -> None:
@@ -85,27 +85,26 @@
         self.queue.put((self._acknowledged, (numbers,)))
 
     def heed(self, waits: list[tuple[int, int]]) -> None:
-        """Retry-After waits, as (receiver, until when in microseconds): of early refusals, or of a replaced process."""
+        """Apply Retry-After waits (receiver, until in microseconds), known early or from a replaced process."""
         self.queue.put((self._heed, (waits,)))
 
     def hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
-        """The end of the process is near: no attempt begins any more; those that are out go on.
+        """Start no attempt from now on, since the process ends soon; running ones go on.
 
-        `keeping`: new messages are still stored, for the next process; else they are turned away.
-        `ending`: other senders take over what is stored; what reaches its deadline before that is written off.
+        `keeping`: new messages are still stored, for the next process; otherwise they are refused.
+        `ending`: other senders take over the stored messages; those that reach their deadline before are written off.
         """
         self.queue.put((self._hold_fire, (keeping, ending)))
 
     def adopt(self, numbers: list[int], quietly: bool = False) -> None:
-        """Go on with stored messages, as after a restart: this sender has the right to.
+        """Go on with stored messages, as after a restart, once this sender has the right to send them.
 
-        `quietly`: no attempt of their keys is out or in doubt beyond those in their records, so other keys need not
-        rest.
+        `quietly`: apart from the recorded attempts none of their keys can be running, so other keys need not rest.
         """
         self.queue.put((self._adopt, (numbers, quietly)))
 
     def rest_of(self, key: int) -> int:
-        """For how many microseconds a key is to rest here: an attempt of it, or of one before this process, may run."""
+        """For how many microseconds a key still rests here, since an earlier attempt of it may be running."""
         turns = self.sender.turns
         return max(0, turns.all_rest - self.clock.now(), turns.rests.get(key, 0) - self.clock.now())
 
@@ -117,39 +116,39 @@
         )
 
     def rest(self, keys: frozenset[int]) -> None:
-        """Earlier messages of these keys are owed elsewhere: later ones rest here until a call without the key."""
+        """Set the keys of which another sender has earlier messages: they rest here, until a later set omits them."""
         self.queue.put((self._rest, (keys,)))
 
     def park(self, numbers: list[int]) -> None:
-        """Leave messages alone from now on, without an answer: this sender has no right to fire for them."""
+        """Stop work on messages, without a final answer: this sender has lost the right to send them."""
         self.queue.put((self._park, (numbers,)))
 
     def freeze(self, key: int) -> gevent.event.AsyncResult:
-        """From now on no attempt of a session begins, and nothing of it is taken; set once none is out any more."""
+        """Stop attempts and admission of a session; the result is set once no attempt of it is running."""
         frozen = FrozenSession()
         self.queue.put((self._freeze, (key, frozen)))
         return frozen.still
 
     def cut(self, key: int) -> None:
-        """The attempts of a frozen session that are still out are given up, their links closed: they may have run."""
+        """Abort the running attempts of a frozen session and close their connections; they may have run."""
         self.queue.put((self._cut, (key,)))
 
     def thaw(self, key: int) -> None:
-        """A session is taken again; its messages are gone on with once they are adopted."""
+        """Accept messages of a frozen session again; its stored messages wait until they are adopted."""
         self.queue.put((self._thaw, (key,)))
 
     def between(self, call: Callable[[], bool]) -> gevent.event.AsyncResult:
-        """What a call returns that is made between two rounds, as nothing waits for the folder; False if it fails."""
+        """Make a call in the dispatcher's greenlet, while no flush runs; gives its result, False if it raises."""
         answer: gevent.event.AsyncResult = gevent.event.AsyncResult()
         self.queue.put((self._between, (call, answer)))
         return answer
 
     def answer_late(self, numbers: list[int]) -> None:
-        """Write parked messages off: their deadline is near, and nobody is known to have the right."""
+        """Write parked messages off: their deadline is near, and no sender is known to have the right to them."""
         self.queue.put((self._answer_late, (numbers,)))
 
     def idle(self) -> bool:
-        """Whether nothing is under way: no attempt is out, no call is queued."""
+        """Whether no attempt is running and no call is queued."""
         return not self.attempts.out and self.queue.empty()
 
     # ---- the one greenlet ----
@@ -162,11 +161,11 @@
                 call, arguments = self.queue.get()
                 self._guarded(call, *arguments)
             if self.asked:
-                # Danger: a refusal that was read in the same round may stand behind the question in the queue.
+                # Cleared only now: a refusal read in this round may have been queued behind the request for clearance.
                 asked, self.asked = self.asked, []
                 for each in asked:
                     self._guarded(self._clear, *each)
-                gevent.sleep(0)  # what may go goes now, not after a long round
+                gevent.sleep(0)  # cleared attempts go now, not after a long round
             self._guarded(
                 self._decide if not self.holding_fire else self._keep_fresh if self.keeping else self._turn_away
             )
@@ -179,7 +178,7 @@
         try:
             self.queue.peek(timeout=wait)
         except gevent.queue.Empty:
-            # Danger: after a pause of the process, what lies in the sockets came before this wake-up.
+            # After a pause of the process, read what is waiting in the sockets first: it came before this wake-up.
             gevent.sleep(0)
 
     def _guarded(self, call: Callable[..., None], *arguments: Any) -> None:
@@ -219,11 +218,12 @@
     def _decide(self) -> None:
         now = self.clock.now()
         if not self.store.deciding():
-            # Danger: after a stop of this process another sender may answer for what is held; ours would be a second.
+            # After a pause of this process another sender may have taken over: do not give a second final answer.
             self.wake_at = now + LEASE_RECHECK_DELAY_US
             self._take_none(now)
             return
-        # Danger: what has been given up takes its room until its 204; each round would give up more for it.
+        # A message that was given up takes room until its notice is acknowledged; without counting that room as free,
+        # every round would give up more.
         self.sender.room = self.store.room_for() + len(self.notices.owed)
         verdicts = self.sender.decide(now)
         for number, wait in verdicts.nacks:
@@ -271,7 +271,7 @@
             self._end_near()
 
     def _flush(self) -> None:
-        """With a durable folder: one fsync for all that this round has written, then what waits for it."""
+        """With a durable store: one fsync for all that this round has written, then the calls that waited for it."""
         waiting, self.after_flush = self.after_flush, []
         try:
             self.store.flush(in_thread)
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -1,4 +1,7 @@
-"""The platform's list of receivers: its watch, and uids to numbers and back."""
+"""Endpoint discovery: the watch of the platform's list of receivers, and the numbers that stand for their uids.
+
+Names in `_S` are seconds. The service runs `watch`; updates go to the dispatcher through `tell`.
+"""
 
 import time
 from collections.abc import Callable
@@ -21,8 +24,8 @@
 ANSWER_TIMEOUT_S = 1.0  # for the first byte of the answer to a call for the list: the agent answers at once
 LINE_TIMEOUT_S = 4.2  # until a line ends: an empty one comes every two seconds, so two of them are missing
 UNREAD_BYTES_TIMEOUT_S = 0.01  # for bytes that came before the time-out, as after a stop of the process
-STABLE_WATCH_S = 1.0  # a watch that held so long after its answer was no failed call, however it ends
-MOVE_GRACE_S = 4.0  # after a move; then the new agent's list counts as heard, whether or not it is up
+STABLE_WATCH_S = 1.0  # a watch that lasted this long after its answer does not count as a failed call
+MOVE_GRACE_S = 4.0  # after a move: for so long a new agent that is not up yet is called again soon
 MAX_OBJECT_BYTES = 1 << 22  # one JSON object of the list
 MAX_CALLS_PER_SECOND = 1_000_000  # a listed rate above this is no rate
 FORGET_GONE_AFTER_S = 60.0  # longer than any attempt to a receiver, and than the decisions know it
@@ -36,7 +39,7 @@
 
 
 class EndpointList:
-    """Owns the watch; tells the dispatcher what changed, in the numbers that the decisions know."""
+    """Owns the watch; passes changes to the dispatcher, with receiver numbers in place of uids."""
 
     def __init__(
         self,
@@ -51,8 +54,8 @@
         self.counters = counters
         self.tell = tell
         self.tell_failed = tell_failed
-        self.version = 0  # of the list as it was told; 0 asks for the whole list
-        self.unsure = False  # something in the news could not be read or was out of order
+        self.version = 0  # of the last update that was passed on; 0 asks for the full list
+        self.unsure = False  # part of an update could not be read, or was out of order
         self.numbers: dict[str, int] = {}
         self.next_number = 1  # never used twice: a new receiver must not inherit what is known of a gone one
         self.addresses: dict[int, tuple[str, int]] = {}
@@ -60,21 +63,21 @@
         self.asked = gevent.event.Event()
         self.moved = False  # the platform has another address since the watch was opened
         self.moved_at = -MOVE_GRACE_S
-        self.reached = False  # the last call found somebody at the address
-        self.stood = False  # the last watch was answered, and held for a while
-        self.doubted = False  # the call for the watch has been told as failed; it is still listened to
+        self.reached = False  # the last call got a connection
+        self.stood = False  # the last watch was answered, and lasted for `STABLE_WATCH_S`
+        self.doubted = False  # the call was reported as failed, but an answer is still awaited
         self.refused = False  # it was answered with another status
         self.renewed = False  # the call for the watch asks for the whole list, since the one before was unclear
-        self.first_news = gevent.event.Event()  # the agent has said what it has, or does not say it
+        self.first_news = gevent.event.Event()  # set once the agent has sent its first update, or has failed to
         self.following: gevent.Greenlet | None = None
         self.known = False  # whether any receiver has been learned of
         self.last: dict[str, ListedEndpoint] = {}  # by uid: the newest line of the list as the platform gave it
-        self.suspended: set[str] = set()  # uids that the operators took out: draining, whatever the list says
+        self.suspended: set[str] = set()  # uids suspended by the operators: draining even if the list says ready
 
     def learn(self, update: dict[str, Any], saved: bool = False) -> bool:
         """Pass on one update of the list.
 
-        False where a line of it is unclear, `InvalidUpdateError` where all of it is.
+        Returns False where a line of it cannot be read; raises `InvalidUpdateError` where none of it can be used.
         """
         try:
             entries, version, whole = list(update["targets"]), int(update["rev"]), update["all"]
@@ -83,7 +86,8 @@
         if not isinstance(whole, bool):
             raise InvalidUpdateError(f"whole or changes: {str(whole)[:40]!r}")
         if version < self.version:
-            # Danger: a list that comes late would undo a drain; one that counts anew would never be heard again.
+            # A late update would undo a drain. If the agent restarted its count instead, asking for the full list
+            # (`unsure`) accepts the new one.
             self.unsure = True
             raise InvalidUpdateError(f"version {version} after {self.version}")
         listings, named, clear = [], set(), True
@@ -93,31 +97,31 @@
                 uid = _uid(entry["uid"])
                 listing = self._listing(uid, entry)
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-                # Danger: one line that cannot be read would keep all others from being heard.
+                # One unreadable line must not block all others.
                 self.counters.warning(
                     "a line of the list cannot be read", InvalidUpdateError(f"{type(error).__name__}: {error}")
                 )
                 clear = False
                 if uid not in self.last:
                     continue
-                listing = self.last[uid]  # Danger: named, it would be taken for one that has gone
+                listing = self.last[uid]  # if left out of a full list, it would count as removed
             self.last[uid] = listing
             listings.append(self._as_held(uid, listing))
             if listing.phase is not EndpointState.REMOVED:
                 named.add(uid)
         if whole and not listings and self.known:
-            # Danger: platforms that start anew have an empty list for a moment; believed, it would end all traffic.
+            # A platform that restarts has an empty list for a moment; accepting it would stop all traffic.
             raise InvalidUpdateError("a whole list with nothing in it")
         self._forget(named, whole)
         self.version = version
-        # Danger: what a spoilt line said is in no later change; only a whole list tells it.
+        # Later deltas do not repeat what an unreadable line said; only a full list does.
         self.unsure = not clear or self.unsure and not whole
         self.known = self.known or bool(listings)
         self.tell(EndpointUpdate.CACHED if saved else EndpointUpdate.FULL if whole else EndpointUpdate.DELTA, listings)
         return clear
 
     def _forget(self, named: set[str], whole: bool) -> None:
-        """Danger: where receivers are replaced all day, those that have gone add up."""
+        """Delete the records of receivers that left long ago; without this, replacements add up in memory."""
         now = time.monotonic()
         for uid in named:
             self.gone_since.pop(uid, None)
@@ -135,7 +139,7 @@
         return uid in self.last
 
     def set_suspended(self, uids: set[str]) -> None:
-        """From now on these receivers are draining for the decisions, until they are left out of a later set."""
+        """Set the suspended uids: the decisions see these receivers as draining, until a later set omits them."""
         changed = self.suspended ^ uids
         self.suspended = set(uids)
         listings = [self._as_held(uid, self.last[uid]) for uid in sorted(changed) if uid in self.last]
@@ -147,18 +151,19 @@
         return listing._replace(phase=EndpointState.DRAINING) if held else listing
 
     def address_of(self, receiver: int) -> tuple[str, int]:
+        """Host and port of a receiver by number; `KeyError` where it is not known (any more)."""
         return self.addresses[receiver]
 
     def ask(self) -> None:
-        """The decisions want a watch that broke, or that was never answered, opened anew now."""
+        """Open a watch that broke, or that was never answered, again now; the decisions order this."""
         self.asked.set()
         if self.doubted and self.following is not None:
             self.following.kill(block=False)
 
     def move(self, platform: tuple[str, int]) -> None:
-        """The platform has another address: the watch leaves the old one at once."""
+        """Move the watch to another address of the platform, at once."""
         self.platform = platform
-        # Danger: another agent may count its versions anew, and what follows ours would leave something out.
+        # Another agent may count versions differently; changes since our version could omit something.
         self.version = 0
         self.moved, self.moved_at = True, time.monotonic()
         self.asked.set()
@@ -166,9 +171,11 @@
             self.following.kill(block=False)
 
     def watch(self) -> None:
-        """Never returns: keeps a watch open from the last version. One that stood opens anew at once: silence is no
-        refusal, and the agent on this machine answers at no cost; so does one that is to tell the whole list instead.
-        After a call that failed the decisions say when."""
+        """Never returns: keeps a watch open, from the last version on.
+
+        A watch that lasted is opened again at once: its end is no refusal, and the agent on this machine answers
+        cheaply. So is one that is to ask for the full list. After a failed call the decisions say when.
+        """
         while True:
             self.moved = self.stood = self.doubted = self.refused = self.reached = False
             self.following = gevent.spawn(self._follow_to_its_end)
@@ -177,16 +184,16 @@
             if self.moved or self.stood or first:
                 continue
             self.first_news.set()
-            # Danger: a call that waited and was then refused would be made anew at once by all that discovery is too
-            # busy for: its wait begins at the refusal. What only broke off has its wait since it was told as failed.
+            # Report the failure, unless `_more` has done so. A refusal is reported again, so that the wait starts with
+            # it: otherwise all senders that an overloaded discovery refuses late would call again at once.
             if self.refused or not self.doubted:
                 self._call_failed()
-            # Danger: a new address that is not up yet would be called seconds too late; a call there costs nobody.
+            # An agent at a new address may not be up yet: keep calling, which costs nobody anything.
             soon = not self.reached and time.monotonic() - self.moved_at < MOVE_GRACE_S
             self.asked.wait(STABLE_WATCH_S if soon else None)
 
     def _call_failed(self) -> None:
-        self.asked.clear()  # Danger: what was asked before it failed would open the next one at once
+        self.asked.clear()  # a request from before the failure must not open the next watch at once
         self.tell_failed()
 
     def _follow_to_its_end(self) -> None:
@@ -219,7 +226,7 @@
             learned = False  # an object of this watch
             while not answer.complete and self._more(sock, raw, answer, alive):
                 if self.moved:
-                    return  # Danger: a late line of the old agent would be believed over the new one's.
+                    return  # a late line of the old agent must not override the new one's
                 answer.feed(raw)
                 self.refused = answer.status not in (0, 200)
                 if self.refused:
@@ -235,9 +242,9 @@
                         raise InvalidUpdateError("unclear changes: the whole list is asked for")
                     learned, alive = True, time.monotonic()
                 if came and not objects.depth:
-                    self.first_news.set()  # an empty line says that there is nothing new
+                    self.first_news.set()  # an empty line means that there are no changes
                     alive = time.monotonic()
-                # Danger: what follows an object that was torn would be taken for its inside.
+                # After a truncated object, whatever follows would be read as part of it for ever.
                 if time.monotonic() - alive > LINE_TIMEOUT_S:
                     raise InvalidResponseError("no line ended")
             raise InvalidResponseError("the watch ended")
@@ -246,9 +253,9 @@
             self.stood = bool(answered) and time.monotonic() - answered >= STABLE_WATCH_S
 
     def _more(self, sock: gevent.socket.socket, raw: Buffer, answer: ResponseParser, alive: float) -> int:
-        """Read once; 0 at the end, TimeoutError where an answered watch says nothing whole any more."""
+        """Read once; returns 0 at the end. Raises `TimeoutError` where an answered watch sends no line in time."""
         if not self.doubted:
-            # Danger: a dead platform says nothing, or a byte now and then, and its list would be believed for ever.
+            # A dead platform may send nothing, or a stray byte now and then; its list must not be trusted for ever.
             left = alive + (LINE_TIMEOUT_S if answer.status else ANSWER_TIMEOUT_S) - time.monotonic()
             sock.settimeout(max(UNREAD_BYTES_TIMEOUT_S, left))
         try:
@@ -256,8 +263,8 @@
         except TimeoutError:
             if answer.status or self.doubted:
                 raise
-        # Danger: while discovery is down the agent says nothing, and what it has later counts as told at once.
-        # So the call has failed for the decisions, but is listened to until they want the next one.
+        # While discovery is down the agent does not answer, but its later answer counts from the moment it is sent. So
+        # the call is reported as failed, but an answer to it is awaited until the decisions want the next call.
         self.counters.warning("a call for the list without an answer", f"{ANSWER_TIMEOUT_S} s")
         self.doubted = True
         self.first_news.set()
@@ -276,7 +283,7 @@
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
             if phase is EndpointState.READY or uid not in self.last:
                 raise
-            # Danger: a field that is spoilt would hide the drain that stands in the same line.
+            # An unreadable field must not hide a drain or removal in the same line.
             self.counters.warning(
                 "a line of the list is spoilt", InvalidUpdateError(f"{uid}: {type(error).__name__}: {error}")
             )
@@ -292,10 +299,10 @@
         return ListedEndpoint(number, zone, kind, group, phase, self._rate(uid, entry.get("capacity_hint", 0.0)))
 
     def _rate(self, uid: str, hint: object) -> float:
-        """The listed rate; where it is no rate, the one that was listed before, or none."""
+        """The listed rate (calls a second); where it is invalid, the one listed before, or 0."""
         if isinstance(hint, int | float) and 0 <= hint <= MAX_CALLS_PER_SECOND:
             return float(hint)
-        # Danger: one spoilt figure would hide a drain that stands in the same line, or let everything go at once.
+        # One invalid number must not hide a drain in the same line, or lift the rate limit.
         self.counters.warning("a listed rate that is none", InvalidUpdateError(f"{uid}: {str(hint)[:40]}"))
         return self.last[uid].rate if uid in self.last else 0.0
 
--- a/cedarwick/net/http.py
+++ b/cedarwick/net/http.py
@@ -1,4 +1,4 @@
-"""One HTTP answer, read from a connection."""
+"""Parsing of HTTP answers, for attempts, the endpoint list and notices."""
 
 from collections.abc import Callable
 
@@ -20,7 +20,7 @@
 
 
 class ResponseParser:
-    """An answer as it comes in; the parser calls the `on_` methods."""
+    """One answer, parsed as its bytes arrive; httptools calls the `on_` methods."""
 
     def __init__(self, on_body: Callable[[bytes], None] | None = None) -> None:
         self.status = 0  # of the first line, as soon as that was read
@@ -34,13 +34,16 @@
         self.pass_on = on_body
 
     def on_message_begin(self) -> None:
+        """Parser callback: an answer begins; raises `InvalidResponseError` for a second one."""
         if self.complete:  # a further answer: nobody asked for it, and it must not be read as this one
             raise InvalidResponseError("bytes after the answer")
 
     def on_status(self, _: bytes) -> None:
+        """Parser callback: the status line was read."""
         self.status = self.parser.get_status_code()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Parser callback: keep a header field, at most 100 of them; names are lower case."""
         if not self.status:
             self.on_status(b"")  # a first line without a phrase has no call of its own
         field, content = name.decode("latin-1").lower(), value.decode("latin-1").strip()
@@ -50,19 +53,22 @@
             self.headers[field] = content
 
     def on_headers_complete(self) -> None:
+        """Parser callback: the head is complete."""
         self.on_status(b"")
         self.headed = True
 
     def on_body(self, part: bytes) -> None:
+        """Parser callback: pass a part of the body on, if anybody wants it."""
         if self.pass_on is not None:
             self.pass_on(part)
 
     def on_message_complete(self) -> None:
+        """Parser callback: the answer is complete."""
         self.complete = True
         self.keep_alive = self.parser.should_keep_alive()
 
     def feed(self, buffer: Buffer) -> None:
-        """Use up what the buffer holds."""
+        """Consume what the buffer holds; raises `InvalidResponseError` where it is no HTTP answer or too long."""
         self.begun = self.begun or self._nothing_in_front(buffer)
         if not self.headed and self.fed + len(buffer) > MAX_HEAD_BYTES:
             raise InvalidResponseError("a head without an end")
@@ -80,9 +86,9 @@
             self.keep_alive = False  # bytes after a whole answer: nobody asked for them
 
     def _nothing_in_front(self, buffer: Buffer) -> bool:
-        """Leave out interim answers; whether the real one begins here.
+        """Skip interim (1xx) answers; returns whether the final one begins here.
 
-        Danger: the parser takes a 101 for the end of HTTP.
+        They are skipped by hand, since the parser takes a 101 for the end of HTTP.
         """
         while any(begin.startswith(buffer.peek(0, len(begin))) for begin in INTERIM_PREFIXES):
             end = buffer.find(b"\r\n\r\n")
@@ -93,7 +99,7 @@
         return True
 
     def ended(self) -> bool:
-        """The connection has ended; whether the answer is whole by that."""
+        """Note the connection's end, which completes an answer without a length; returns whether it is complete."""
         if self.headed and not self.complete:
             self.complete = not {"content-length", "transfer-encoding"} & self.headers.keys()
         return self.complete
--- a/cedarwick/net/json_objects.py
+++ b/cedarwick/net/json_objects.py
@@ -1,4 +1,4 @@
-"""JSON objects out of a stream of bytes: where each one ends, whatever blanks stand in it or between them."""
+"""JSON objects from a stream of bytes, with any white space in or between them; used by the endpoint list."""
 
 import json
 import re
@@ -11,7 +11,7 @@
 
 
 class JsonObjectReader:
-    """Holds the object that has not ended yet; each byte is looked at once, JSON itself is read by `json`."""
+    """Buffers the incomplete object and finds its end, scanning each byte once; `json` parses it."""
 
     def __init__(self, longest: int) -> None:
         self.longest = longest  # bytes of an object
@@ -21,7 +21,7 @@
         self.quoted = False  # whether a string is open
 
     def read(self, more: bytes) -> Iterator[dict[str, Any]]:
-        """The objects that end in these bytes, one after another; ValueError where the text is spoilt."""
+        """Yield the objects that end in these bytes; raises `ValueError` where the text is no JSON or too long."""
         self.held += more
         while end := self._end():
             text = bytes(self.held[:end])
@@ -53,7 +53,7 @@
             if mark == b'"':
                 self.quoted = not self.quoted
             elif self.quoted and len(mark) == 1:
-                # Danger: a string that was torn would take in all that follows, and nothing more be heard.
+                # A truncated string would swallow all that follows, and no later update would be read.
                 raise ValueError("a line that ends in a string")
             elif not self.quoted:
                 self.depth += 1 if mark == b"{" else -1
--- a/cedarwick/net/metrics.py
+++ b/cedarwick/net/metrics.py
@@ -1,10 +1,10 @@
-"""The figures of the operators' page: counts kept where the events happen, from 0 at the start of the process."""
+"""Prometheus metrics: counters that start at 0 with the process, updated where the events happen."""
 
 from collections import Counter
 
 
 class Metrics:
-    """Counts by priority class name; the gauges are read when the figures are asked for."""
+    """Counters by priority class name; the gauges are passed in when the text is made."""
 
     __slots__ = ("priority_classes", "passed", "dropped", "bad_gateway", "tries")
 
@@ -16,7 +16,7 @@
         self.tries = 0  # requests written whole to receivers
 
     def text(self, in_progress: int, known: int, skipped: int) -> str:
-        """All figures in Prometheus's text format, by prometheus_client; imported here, used only when asked."""
+        """All metrics in Prometheus's text format; imports prometheus_client only when it is called."""
         from prometheus_client.core import CollectorRegistry, CounterMetricFamily, GaugeMetricFamily, Metric
         from prometheus_client.exposition import generate_latest
 
--- a/cedarwick/net/notifications.py
+++ b/cedarwick/net/notifications.py
@@ -1,4 +1,7 @@
-"""Connections to the platform's `/status`: a notice is kept until its 204."""
+"""Notices of final answers, posted to the platform's `/status` until each is acknowledged with a 204.
+
+Names in `_S` are seconds. The dispatcher calls `post`; the service runs `run`.
+"""
 
 import json
 from collections.abc import Callable
@@ -26,20 +29,20 @@
         self.platform = platform
         self.counters = counters
         self.acknowledged = acknowledged
-        self.owed: dict[int, bytes] = {}  # by the message's number; bounded by what the store keeps
+        self.owed: dict[int, bytes] = {}  # by message number; bounded by the store's size
         self.unposted = gevent.event.Event()
         self.sock: gevent.socket.socket | None = None
         self.sock_leads_to = platform
         self.posting: gevent.Greenlet | None = None
 
     def move(self, platform: tuple[str, int]) -> None:
-        """The platform has another address: a post that has no answer yet goes again, to the new one."""
+        """Change the platform's address; a post without an answer yet is repeated to the new one."""
         self.platform = platform
         if self.posting is not None:
             self.posting.kill(block=False)
 
     def post(self, number: int, message: str, rejected: bool, wait_ms: int) -> None:
-        """Owe the platform a notice: `returned`, with an advised wait in milliseconds if any, or `failed`."""
+        """Queue a notice: `returned`, with an advised wait in milliseconds if there is one, or `failed`."""
         notice: dict[str, object] = {"id": message, "state": "returned" if rejected else "failed"}
         if rejected and wait_ms > 0:
             notice["after_ms"] = wait_ms
@@ -47,7 +50,7 @@
         self.unposted.set()
 
     def run(self) -> None:
-        """Never returns: posts what is owed."""
+        """Never returns: posts the queued notices, in batches, and repeats failed posts."""
         most = MAX_LINES_PER_POST
         while True:
             self.unposted.wait()
--- a/cedarwick/net/resp.py
+++ b/cedarwick/net/resp.py
@@ -1,4 +1,4 @@
-"""RESP2 as clients write it: one command out of a buffer, and the message of a SUBMIT command."""
+"""Parsing of RESP2 requests for the client listener: commands, and the message of a SUBMIT."""
 
 import re
 
@@ -11,8 +11,8 @@
 MAX_BODY_BYTES = 1 << 16
 MAX_COMMAND_BYTES = MAX_BODY_BYTES + 4096
 MAX_COUNT_LINE_BYTES = 32  # a line with a count or a length
-# A client waits 400 ms for its answer, and an end counts as in time for 300 ms: what was read late, after a
-# pause of the process, must not be taken to have so much longer.
+# A request may be read late, after a pause of the process (a client waits 400 ms, and an end counts as in time for
+# 300 ms): its deadline, which counts from the reading, is shortened by the difference.
 READ_DELAY_ALLOWANCE_US = 100_000
 WORD_PATTERN = re.compile(rb"[!-~]{1,200}")
 NAME_PATTERN = re.compile(r"[^\x00-\x1f\x7f]{1,200}")  # of a class or tenant, as its operator writes it
@@ -35,7 +35,10 @@
 
 
 def command(buffer: Buffer) -> list[bytes] | None:
-    """The next whole command, taken out of the buffer; None while it is incomplete."""
+    """Take the next whole command out of the buffer; None while it is incomplete.
+
+    Raises `MalformedRequestError` where the bytes are no RESP2 command, or one that is too long.
+    """
     head = count_at(buffer, 0, b"*")
     if head is None:
         return None
@@ -62,7 +65,10 @@
 
 
 def count_at(buffer: Buffer, at: int, mark: bytes) -> tuple[int, int] | None:
-    """The number on a line that starts with the mark, and where the next line starts."""
+    """The number on a line that starts with the mark, and the offset of the next line; None while incomplete.
+
+    Raises `MalformedRequestError` where there is no such line.
+    """
     first = buffer.peek(at, 1)
     if first and first != mark:
         raise MalformedRequestError(f"Protocol error: expected '{mark.decode()}'")
@@ -78,7 +84,10 @@
 
 
 def name_in(fields: dict[bytes, bytes], which: bytes) -> str:
-    """The name of a class or tenant, written as the settings hold it; empty where none is given."""
+    """The name of a class or tenant as the settings write it; empty where none is given.
+
+    Raises `InvalidSubmitError` where it cannot be read.
+    """
     try:
         name = fields.get(which, b"").decode("utf-8")
     except UnicodeDecodeError:
@@ -89,7 +98,10 @@
 
 
 def read_submission(parts: list[bytes], now: int) -> tuple[StoredMessage, bool]:
-    """The message of a SUBMIT, and whether a sender had it before; `InvalidSubmitError` says what is wrong."""
+    """The message of a SUBMIT, and whether the client has submitted it before; `now` is microseconds.
+
+    Raises `InvalidSubmitError` with what is wrong.
+    """
     if len(parts) != 5:
         raise InvalidSubmitError("wrong number of arguments for SUBMIT")
     _, turn, message, pairs, body = parts
--- a/cedarwick/net/sockets.py
+++ b/cedarwick/net/sockets.py
@@ -1,4 +1,7 @@
-"""Opening a connection, looking at one without reading it, and when the loop last looked at them all."""
+"""Socket helpers: opening a connection, peeking at one, and the time of the event loop's last poll.
+
+Used by attempts, the connection pool, the client listener, the endpoint list and notices.
+"""
 
 import gevent
 import gevent.socket
@@ -7,7 +10,7 @@
 
 
 class PollClock:
-    """When the loop last asked the system which sockets hold something; those are read before all else."""
+    """The time (microseconds) of the event loop's last poll; sockets found readable are read before all else."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -21,14 +24,14 @@
         self.times += 1
 
     def again(self) -> None:
-        """Returns once all that lies in the sockets now has been read by those who wait for it."""
+        """Return after the next poll, when greenlets that wait for a socket have read what is there now."""
         before = self.times
         while self.times == before:
             gevent.sleep(0)
 
 
 def open_connection(address: tuple[str, int], seconds: float) -> gevent.socket.socket:
-    """A new connection; OSError where none comes up in time."""
+    """Open a TCP connection; raises `OSError` where none comes up within `seconds`."""
     sock = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
     try:
         sock.settimeout(seconds)
@@ -41,7 +44,10 @@
 
 
 def peek_byte(sock: gevent.socket.socket) -> bytes | None:
-    """The next byte of a connection, left where it is: None if it is silent, nothing if it has ended."""
+    """Peek at the next byte: None if nothing is there, `b""` if the connection has ended or broken.
+
+    Leaves the socket without a time-out (non-blocking).
+    """
     sock.settimeout(0.0)
     try:
         return bytes(sock.recv(1, gevent.socket.MSG_PEEK))
@@ -52,5 +58,5 @@
 
 
 def is_closed(sock: gevent.socket.socket) -> bool:
-    """Whether an idle connection has ended, or holds bytes that nobody asked for."""
+    """Whether an idle connection has ended, or has received unexpected bytes."""
     return peek_byte(sock) is not None
--- a/cedarwick/net/submission.py
+++ b/cedarwick/net/submission.py
@@ -1,4 +1,4 @@
-"""A message as a client hands it in, and the answer that its admission gets."""
+"""A submission on its way from the client listener to the dispatcher, and the result of its admission."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class AdmissionResult(Enum):
-    """What becomes of a message that is handed in."""
+    """The result of admission, which decides the client's answer."""
 
     KEPT = "kept"
     BUSY = "busy"  # with an advised wait in milliseconds, or 0
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Submission:
-    """A message as a client hands it in; the dispatcher gives it its number and sets the answer."""
+    """A submitted message; the dispatcher gives it a number and sets the answer."""
 
     message: StoredMessage
     answer: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
