--- a/cedarwick/fleet/leases.py
+++ b/cedarwick/fleet/leases.py
@@ -1,8 +1,8 @@
 """Leases (Gray and Cheriton 1989, granted by a majority): grantors promise, holders ask. No I/O, no clock.
 
-Every member is a `LeaseGrantor`; whoever wants a lease (a "right") has a `LeaseHolder` for it. Callers pass the time,
-whole microseconds of the member's own clock that goes on while the machine sleeps; times of two members are never
-compared.
+Every member is a `LeaseGrantor`; a member that wants a lease (a "right") has a `LeaseHolder` for it. Both are driven by
+`lease_exchange.py` and `takeover.py`. Callers pass the time in whole microseconds of the member's own clock, which goes
+on while the machine sleeps; times of two members are never compared.
 
 Why at most one holder may fire. A promise runs for a span from when the request *arrived*; the lease lasts for less
 than that span from when the request was *sent*. Two majorities share a grantor, and that one grants the second holder
@@ -41,7 +41,7 @@
 
 
 def majority_of(members: int) -> int:
-    """The size of a majority of so many members."""
+    """The size of a majority of this many members."""
     return members // 2 + 1
 
 
@@ -59,8 +59,9 @@
 class LeaseGrantor:
     """One member's table of leases: for each the newest term that it has granted.
 
-    `grants` is what the folder has (None: it has no table, or a spoilt one; an empty one is a table). While `dirty`,
-    `table()` must be written to the folder before the answer that made it so is sent; then `dirty` is set to False.
+    `grants` is the table in the folder (None: there is none, or it is corrupt; an empty table is a table). While
+    `dirty`, `table()` must be written to the folder before the answer that changed it is sent; then `dirty` is set to
+    False.
     """
 
     def __init__(
@@ -78,13 +79,13 @@
         self._learned_from: dict[str, bool] = {}  # whose tables came, and whether they were whole
         for grant in grants or ():
             self._join(grant)
-        # Danger: what was promised before the restart is not in the folder; each promise may have a whole span to go.
+        # The folder does not say when promises end: after a restart each one is taken to last for a whole span.
         self._until = dict.fromkeys(self._grants, self._promised_at_boot())
         if self.learning and len(self._names) == 1:
             self.learning, self.dirty = False, True
 
     def ask(self, now: int, ask: LeaseRequest) -> LeaseReply:
-        """Grant the right or refuse it; look at `dirty` before the answer is sent."""
+        """Grant the lease or refuse it. Check `dirty` before the answer is sent."""
         known = self.grant(ask.right)
         granted = (
             not self.learning
@@ -94,7 +95,8 @@
             and self._is_successor(known, ask)
         )
         if granted:
-            # Danger: a successor's set may be newer than ours: a majority knew it, and some of that may be down now.
+            # The asker's successor set may be newer than ours: a majority knew it, and part of that may be down now.
+            # Storing the older set would let a member without the newest records take over.
             newest: LeaseRequest | Grant = ask if ask.set > known.set else known
             stored = Grant(ask.right, ask.term, ask.holder, newest.successors, newest.set, known.closed or ask.closed)
             until = now + ask.span
@@ -107,21 +109,24 @@
         return LeaseReply(granted, known.term, known.holder, known.successors, known.set, known.closed)
 
     def _open(self, known: Grant, ask: LeaseRequest) -> bool:
-        """A closed right is never granted again; closing it twice is the same closing."""
+        """Whether the lease is open. A closed one is never granted again, but its closing may be repeated."""
         return not known.closed or (ask.closed and (ask.term, ask.holder) == (known.term, known.holder))
 
     def _term_fits(self, known: Grant, ask: LeaseRequest) -> bool:
-        """Each term has one holder at a grantor; an older one never comes back."""
+        """Whether the term is newer, or the known one of its holder: a grantor grants a term to one holder only."""
         return ask.term > known.term or (ask.term == known.term and ask.holder == known.holder)
 
     def _promise_over(self, now: int, known: Grant, ask: LeaseRequest) -> bool:
-        """The holder may renew, and may follow itself: it asks for a newer term only when it has given up the older."""
+        """Whether no promise to another member is in force.
+
+        The holder itself may renew, and may ask for a newer term: it does so only after giving up the older one.
+        """
         if ask.span > self.span:
-            return False  # Danger: we could not keep this promise over a restart
+            return False  # after a restart promises are assumed to last `self.span`, not longer
         return ask.holder == known.holder or now >= self.promised(ask.right)
 
     def _is_successor(self, known: Grant, ask: LeaseRequest) -> bool:
-        """A newer term is for members of the newest set that the two know; a right that nobody held has none."""
+        """Whether the asker is in the newest successor set known to either side; a lease never held has no set."""
         if ask.term == known.term:
             return True
         successors = ask.successors if ask.set > known.set else known.successors
@@ -158,7 +163,7 @@
         return max([*epochs, self._upto.get(slot, -1)])
 
     def replace(self, names: Collection[str]) -> None:
-        """The members from now on. One may come or go at a time, so that majorities before and after share one."""
+        """Set the members from now on. Only one may join or leave at a time, so that old and new majorities overlap."""
         self._names = frozenset(names) | {self.me}
         self._look()
 
@@ -166,33 +171,34 @@
 
     @property
     def needed(self) -> int:
-        """How many whole tables of others share one with each majority."""
+        """How many complete tables of others are needed so that each majority shares a member with them."""
         return min(len(self._names) - 1, len(self._names) - majority_of(len(self._names)) + 1)
 
     def wants(self, now: int) -> tuple[str, ...]:
-        """Whose tables are to be asked for now."""
+        """The members whose tables are to be requested now, by name; none unless this table was lost."""
         if not self.learning or now < self._promised_at_boot():
             return ()
         return tuple(sorted(name for name in self._names - {self.me} if not self._learned_from.get(name)))
 
     def learned(self, sent_at: int, name: str, table: GrantTable) -> bool:
-        """Another's table, asked for at that time; whether it is the one that made this table whole."""
-        # Danger: an older table may lack what a holder counts as granted by us, from before we forgot.
+        """Merge another member's table, requested at `sent_at`; True if with it this table is complete."""
+        # A table requested earlier than a span after boot may lack leases that this member granted before it lost its
+        # own table, and that their holders still count.
         if not self.learning or name not in self._names - {self.me} or sent_at < self._promised_at_boot():
             return False
         for grant in table.grants:
             self._join(grant)
             if grant.right in self._grants:
-                # Danger: with no promise its holder, who lives, would be taken for one that is gone.
+                # Without a promise this member would grant the lease to another while its holder still lives.
                 self._until[grant.right] = max(self.promised(grant.right), sent_at + self.span)
         self._learned_from[name] = not table.learning
         self._look()
         return not self.learning
 
     def closed_elsewhere(self, table: GrantTable) -> None:
-        """Take over from another's table which partitions were closed while this member was away, and nothing else.
+        """Merge from another's table only which partitions were closed while this member was away.
 
-        The holder of a closed partition had stopped firing, and owed nothing.
+        That is safe: the holder of a closed partition had stopped firing, and owed nothing.
         """
         before = self.table()
         for grant in table.grants:
@@ -224,7 +230,8 @@
         known = self._grants.get(grant.right, grant)
         newer = max(known, grant, key=lambda one: (one.term, one.set))
         closed = newer.closed or (known.term == grant.term and (known.closed or grant.closed))
-        # Danger: two members had the same term from parts of the grantors; we can't tell which was promised by us.
+        # Two members were granted the same term by different grantors, and this one cannot tell which of them it
+        # promised; with no holder recorded neither is granted that term here again.
         tie = (known.term, known.set) == (grant.term, grant.set) and known.holder != grant.holder
         holder = "" if tie else newer.holder
         self._grants[grant.right] = Grant(grant.right, newer.term, holder, newer.successors, newer.set, closed)
@@ -236,7 +243,7 @@
         return partition is not None and partition % (1 << EPOCH_BITS) <= self._upto.get(partition >> EPOCH_BITS, -1)
 
     def _prune(self, right: str) -> None:
-        """Keep one number for the closed partitions of a slot: the epoch up to which all are closed, without a gap."""
+        """Replace rows of closed partitions by one number per slot: the epoch up to which all are closed."""
         partition = partition_of(right)
         if partition is None:
             return
@@ -256,10 +263,10 @@
 
     IDLE = "idle"  # it asks for nothing
     ASKING = "asking"  # for a term that no majority has granted it yet
-    HELD = "held"  # granted; `may_fire` tells whether it still is, and whether a set is known
-    CLOSING = "closing"  # held, to be closed for good; fires nothing
-    CLOSED = "closed"  # a majority says so
-    LOST = "lost"  # it has run out, and another one has a newer term or none could be had
+    HELD = "held"  # granted by a majority; whether attempts may be made now is `may_fire`
+    CLOSING = "closing"  # held, and being closed for good; no attempt may be made
+    CLOSED = "closed"  # a majority has confirmed the closing
+    LOST = "lost"  # it ran out and a newer term exists, or no majority granted it in time
 
 
 class LeaseHolder:
@@ -296,7 +303,7 @@
         self._count()
 
     def asks(self, now: int) -> LeaseRequest | None:
-        """What is to be sent to all members now, the own grantor before any other; None: it is not due."""
+        """The request to send to all members now, to the own grantor before any other; None where none is due."""
         self._settle(now)
         if self.state not in (LeaseState.ASKING, LeaseState.HELD, LeaseState.CLOSING) or now < self._due:
             return None
@@ -307,11 +314,11 @@
         )
 
     def look(self, now: int) -> None:
-        """Let the time that has passed count."""
+        """Update the state for the time that has passed."""
         self._settle(now)
 
     def answered(self, now: int, sent_at: int, grantor: str, reply: LeaseReply) -> None:
-        """A grantor's answer to the ask that was sent at `sent_at`, which is the time given to `asks`."""
+        """Take a grantor's answer to the request made at `sent_at`, the time that was passed to `asks`."""
         if grantor not in self._names:
             return
         self._heard = max(self._heard, reply.term)
@@ -319,7 +326,7 @@
             self.newer = max(self.newer, (reply.term, reply.holder))
         at = self._counted_from(sent_at, now)
         if sent_at >= self._begun and reply.granted and reply.term == self.term:
-            # Danger: an answer that comes late, or twice, must not take away what a newer one has given.
+            # An answer that comes late or twice must not shorten the lease that a newer answer has extended.
             self._granted[grantor] = max(self._granted.get(grantor, (0, 0)), (at, reply.set))
             self._count()
         if reply.closed:
@@ -336,27 +343,30 @@
         self._due = now
 
     def close(self, now: int) -> None:
-        """Nothing is owed any more: close the right for good."""
+        """Start to close the lease for good; call it once the partition owes nothing any more."""
         if self.state is LeaseState.HELD:
             self.state = LeaseState.CLOSING
             self._due = now
 
     def release(self) -> LeaseRequest | None:
-        """Give the right up at once, so that a successor needs not wait; what is to be sent to all, None: nothing."""
+        """Give the lease up at once, so that a successor need not wait for its end.
+
+        Returns the request to send to all members; None where nothing was held or asked for.
+        """
         held = self.state in (LeaseState.ASKING, LeaseState.HELD)
         self.state = LeaseState.IDLE
         return LeaseRequest(self.right, self.term, self.me, 0, self._sets[self.set], self.set) if held else None
 
     def replace(self, names: Collection[str]) -> None:
-        """The members from now on; see `LeaseGrantor.replace`."""
+        """Set the members from now on; see `LeaseGrantor.replace`."""
         self._names = frozenset(names) | {self.me}
-        # Danger: what one that has gone has granted is no part of a majority of those that stay.
+        # Grants of a member that was removed must not count towards a majority of the remaining ones.
         self._granted = {name: each for name, each in self._granted.items() if name in self._names}
         self._closed = {name: each for name, each in self._closed.items() if name in self._names}
         self._count()
 
     def may_fire(self, now: int) -> bool:
-        """Whether an attempt's first byte may be written now: the last look before the write."""
+        """Whether an attempt's first byte may be written now; the last check before the write."""
         return self.state is LeaseState.HELD and self.known > 0 and now < self.valid_until
 
     @property
@@ -370,15 +380,15 @@
         return frozenset(name for successors in self._sets.values() for name in successors)
 
     def _count(self) -> None:
-        """Reckon `valid_until` where an answer or the members have changed: it is looked at far more often."""
+        """Compute `valid_until` when an answer or the members change: it is read far more often than it changes."""
         self.valid_until = self._after_majority([sent for sent, _ in self._granted.values()], self._usable(), 0)
 
     def _usable(self) -> int:
-        """How long the right lasts from when the ask was sent."""
+        """Microseconds for which the lease lasts from when the request was sent."""
         return self.span - self.span // DRIFT - STOPS
 
     def _counted_from(self, sent_at: int, now: int) -> int:
-        """When a lease counts from. The promise began between sending and answer; only the sending is surely before."""
+        """The start of a lease: the sending. The promise began between sending and answer, so no later time is safe."""
         return sent_at
 
     def _own(self, number: int) -> bool:
@@ -389,14 +399,14 @@
         return number >> SET_BITS == self.term
 
     def _after_majority(self, values: list[int], more: int, none: int) -> int:
-        """The value that a majority has reached, and so much more."""
+        """The value that a majority has reached, plus `more`; `none` where no majority has a value."""
         majority = majority_of(len(self._names))
         return sorted(values, reverse=True)[majority - 1] + more if len(values) >= majority else none
 
     def _settle(self, now: int) -> None:
-        """Take the state that all answers so far amount to."""
-        # Danger: a grantor that has lost its table since has forgotten what it answered; only answers as young as the
-        # lease count, since it grants nothing for as long, and then reads the tables of others.
+        """Derive the state from all answers so far."""
+        # A grantor that lost its table has forgotten its answers. Only answers younger than the lease count: such a
+        # grantor grants nothing for that long, and then reads the tables of others.
         oldest = now - self._usable()
         sets = [number for sent, number in self._granted.values() if sent > oldest]
         closed = [sent for sent in self._closed.values() if sent > oldest]
@@ -407,7 +417,7 @@
             if len(sets) >= majority:
                 self.state = LeaseState.HELD
             elif self._heard > self.term or now >= self._begun + self.span:
-                self.state = LeaseState.LOST  # so promises of a vote that was split run out
+                self.state = LeaseState.LOST  # stop asking, so that the promises of a split vote run out
         elif (
             self.state in (LeaseState.HELD, LeaseState.CLOSING) and now >= self.valid_until and self._heard > self.term
         ):
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -1,6 +1,7 @@
-"""What one member of a fleet knows, and its calls to the others.
+"""The state that all parts of one fleet member share, and its calls to other members.
 
-The base of the parts of `FleetNode`; each part names the parts that it calls as its bases.
+`MemberState` is the common base of the parts of `FleetNode`; each part has the parts that it calls as its bases. Times
+are microseconds of the boot clock (`monotonic_time`) unless a name ends with `_s` (seconds).
 """
 
 import time
@@ -53,8 +54,11 @@
     def __init__(
         self, name: str, settings: Fleet, state: str, store: ReplicatedStore, clock: Clock, counters: Counters
     ) -> None:
-        """OSError where the folder or the address cannot be used; `NotAMemberError` where the file lacks this sender;
-        `FolderOfAnother`."""
+        """Open the fleet's files in the folder `state`.
+
+        Raises OSError where the folder or the address cannot be used, `NotAMemberError` where the operator file has no
+        entry for this sender, and the error of `FleetFiles.claim` where the folder is another member's.
+        """
         self.name = name
         self.settings = settings
         self.store = store
@@ -90,15 +94,15 @@
         self.shipped_at: dict[int, int] = {}  # by partition: when its holder last wrote to the copy here
         self.begun_at = now
         self.before = True  # whether messages may be left that were taken before this sender was a member
-        self.doubted: set[int] = set()  # partitions of a folder with damage: the successors may have more of them
+        self.doubted: set[int] = set()  # partitions of a damaged folder: successors may have more of their records
         self.reborn: dict[str, int] = {}  # when a member was first heard under a newer incarnation than before
-        self.served: dict[int, tuple[str, int]] = {}  # by partition: who has said that it fires for it, and when
-        self.claimed: dict[int, tuple[str, int]] = {}  # by partition: who is said to hold it, and since when
+        self.served: dict[int, tuple[str, int]] = {}  # by partition: which member reported that it serves it, and when
+        self.claimed: dict[int, tuple[str, int]] = {}  # by partition: the presumed holder, and since when
         self.full_at: dict[str, int] = {}  # when a member has refused to keep a copy
         self.asking: set[str] = set()  # grantors whose tables were asked for and have not come
         self.pumps: dict[tuple[int, str], gevent.Greenlet] = {}
         self.offers: dict[int, gevent.Greenlet] = {}
-        self.alive: list[str] = []  # as of this look
+        self.alive: list[str] = []  # as of the latest check
         self.looked_late = 0.0
         self.few_since = 0  # since when too few members are alive to grant anything; 0: enough are
         self.leaving = False
@@ -110,7 +114,7 @@
         self.traffic: SessionRouter | None = None
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
-        """The answer of another member; None where there is none."""
+        """Call another member and return its answer's body; None on any failure, which is counted."""
         answer = self._peer_message(name, body, within_s)
         return answer.body if answer is not None else None
 
@@ -126,13 +130,13 @@
         return None
 
     def _guarded(self, call: Callable[..., object], *arguments: object) -> None:
-        """Call it, and count and log its errors.
+        """Call it; errors are counted and logged, not raised.
 
-        Danger: one partition that cannot be written would keep all others from being renewed, and from their answers.
+        Otherwise one partition that cannot be written would stop the renewal of all others, and their answers.
         """
         try:
             call(*arguments)
         except (OSError, NoSpaceError) as error:
             self.counters.warning("the fleet's folder cannot be used", error)
-        except Exception:  # the process would end, and again after each start for as long as the folder is the same
+        except Exception:  # else the process would end, and again after each start on this folder
             self.counters.failed(f"the fleet failed in {call.__name__}")
--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -1,6 +1,7 @@
-"""Which sessions a sender gives to others, to whom and when. No I/O, no clock.
+"""Which sessions a sender migrates to other senders, to whom and when. No I/O, no clock.
 
-How a migration then runs is in `migration_table.py`. Times are microseconds of any clock that never runs backwards.
+Called by the session migrations of a member; how a migration then runs is in `migration_table.py`. Times are
+microseconds of any clock that never runs backwards.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -10,8 +11,8 @@
 from cedarwick.fleet.migration_table import MOST_IN, MOST_OUT
 from cedarwick.fleet.placement import weight
 
-STAYS = 10_000_000  # microseconds that a session stays after a move, but for staff and a sender that leaves
-AFTER_OFF = 1_000_000  # microseconds until a session whose move was called off is offered again
+STAYS = 10_000_000  # microseconds that a session stays after a move, unless staff move it or its sender leaves
+AFTER_OFF = 1_000_000  # microseconds until a session is offered again after its move was called off
 FULL = 0.8  # share of its capacity up to which a sender takes sessions
 
 
@@ -25,9 +26,11 @@
 
 
 class MigrationRequest(NamedTuple):
+    """A session (by its key) that is to move, and why."""
+
     key: int
     why: MigrationReason
-    to: str = ""  # this one only; empty: to whoever is preferred
+    to: str = ""  # the only member that may take it; empty: the preferred one
 
 
 class Neighbour(NamedTuple):
@@ -36,16 +39,17 @@
     name: str
     hall: str
     held: int  # sessions
-    most: int  # sessions that it bears
+    most: int  # sessions that it may hold
     well: bool = True  # not suspected, cut or slow
     takes: bool = True  # alive, its hall not drained, not leaving
 
 
 def preferred(key: int, hall: str, neighbours: Iterable[Neighbour], more: Mapping[str, int]) -> list[Neighbour]:
-    """Who may take a session, the best first: the same hall, the lower load in tenths, well before not, and last
-    rendezvous hashing (Thaler and Ravishankar 1998), so that every sender finds the same order.
+    """The senders that may take a session, the best first.
 
-    `more`: sessions by name that are on their way there and not among `held`.
+    Order: same hall first, then lower load (in tenths of the capacity), then healthy before unhealthy, then rendezvous
+    hashing (Thaler and Ravishankar 1998), so that every sender finds the same order. `more` has, by name, the number of
+    sessions that are on their way there and not yet counted in `held`.
     """
 
     def order(each: Neighbour) -> tuple[bool, int, bool, int]:
@@ -62,16 +66,16 @@
 
     def __init__(self, hall: str) -> None:
         self.hall = hall
-        self.out: dict[int, str] = {}  # on the move, by key: to whom
-        self.stays: dict[int, int] = {}  # until then
-        self.off: dict[int, int] = {}  # not offered until then
+        self.out: dict[int, str] = {}  # by key of a session on the move: its target
+        self.stays: dict[int, int] = {}  # by key: not moved before this time
+        self.off: dict[int, int] = {}  # by key, after a move called off: not offered before this time
 
     def arrived(self, key: int, now: int) -> None:
-        """A session has become active here."""
+        """Note that a session has become active here: it stays for `STAYS` microseconds."""
         self.stays[key] = now + STAYS
 
     def ended(self, key: int, moved: bool, now: int) -> None:
-        """A move from here is over; not `moved`: it was called off."""
+        """Note the end of a move from here; not `moved`: it was called off."""
         self.out.pop(key, None)
         if not moved:
             self.off[key] = now + AFTER_OFF
@@ -79,8 +83,10 @@
     def plan(
         self, wishes: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
     ) -> list[tuple[int, str]]:
-        """The moves to begin now, as key and taker; the others are asked for again later. At most `MOST_OUT` are on
-        the move from here at once, and `MOST_IN` to each taker."""
+        """The moves to begin now, as pairs of key and taker; the caller asks for the others again later.
+
+        At most `MOST_OUT` sessions are on the move from here at once, and `MOST_IN` to each taker.
+        """
         self.stays = {key: until for key, until in self.stays.items() if until > now}
         self.off = {key: until for key, until in self.off.items() if until > now}
         more: dict[str, int] = {}
@@ -89,7 +95,7 @@
         chosen = []
         for wish in sorted(wishes, key=lambda each: list(MigrationReason).index(each.why)):
             stays = wish.key in self.stays and wish.why not in (MigrationReason.STAFF, MigrationReason.LEAVING)
-            # Danger: with a client at each of two senders, a session would go to and fro, frozen most of the time.
+            # `stays`: with a client at each of two senders a session would go to and fro, frozen most of the time.
             if len(self.out) >= MOST_OUT or wish.key in self.out or wish.key in self.off or stays or not wish.key:
                 continue
             for each in preferred(wish.key, self.hall, neighbours, more):
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -1,4 +1,8 @@
-"""The side of a move that gives a session away."""
+"""The source side (giver) of a session's migration (move).
+
+Its methods carry out the steps that `MigrationTable` returns, each in a greenlet of its own where it waits. Spans that
+are waited for are seconds; `now` is microseconds of the boot clock.
+"""
 
 import gevent
 import gevent.event
@@ -22,10 +26,11 @@
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.replication_facts import Fact, encode_facts
 
-RELEASE_AGAIN = 1.0  # seconds until marks that could not be lifted are lifted again
-CUT = 0.1  # seconds until calls that were cut off have ended
-LARGEST_STAGE = MAX_MESSAGE_BYTES - (1 << 17)  # bytes of a session's facts: the rest of the peer message is for its ids
-MOST_IDS = 1 << 12
+RELEASE_AGAIN = 1.0  # seconds until the release of a session is tried again where it failed
+CUT = 0.1  # seconds in which attempts that were cut off end
+# Bytes of a session's facts in one peer message; the rest of the message is for recent ids.
+LARGEST_STAGE = MAX_MESSAGE_BYTES - (1 << 17)
+MOST_IDS = 1 << 12  # recent ids that go along with a session, at most
 
 
 class SessionTooLargeError(CedarwickError):
@@ -39,6 +44,7 @@
     """Freezes, marks, offers and releases a session that is held here."""
 
     def _freeze(self, name: str) -> None:
+        """Stop new attempts of the session, and wait for those that are out; cut them off after `FREEZE`."""
         key = self._key(name)
         still = self.dispatcher.freeze(key)
         if not still.wait(FREEZE / SECOND):
@@ -47,9 +53,11 @@
         self.act(self.moves.idle(name, monotonic_time()))
 
     def _mark(self, name: str) -> None:
+        """Mark the owed messages as inert, in the folder and at all successors; call the move off where that fails."""
         key = self._key(name)
         self.dispatcher.cut(key)
-        self.dispatcher.between(lambda: True).get()  # what was cut off has told its end before the marks are made
+        # So that the ends of attempts that were cut off are recorded before the marks.
+        self.dispatcher.between(lambda: True).get()
         partitions: set[int] = set()
 
         def mark() -> bool:
@@ -74,6 +82,7 @@
             self.act(self.moves.call_off(name, monotonic_time()))
 
     def _stage(self, name: str) -> None:
+        """Send the marked messages and the recent ids to the taker; call the move off where it refuses them."""
         key, to = self._key(name), parts(name)[2]
         facts: list[Fact] = []
         for number in self._marked(name, GIVEN):
@@ -103,6 +112,7 @@
             self.act(self.moves.staged(name, now) if answer.stored else self.moves.call_off(name, now))
 
     def _forward(self, act: MigrationStep) -> None:
+        """Record the taker as the holder, and thaw the key: requests are forwarded from now on."""
         key, now = self._key(act.move), monotonic_time()
         if self._mine(act.move):
             self.directory.gone(key, act.to, self.sequences[act.move] + 1, now)
@@ -112,6 +122,7 @@
         self.change()
 
     def _release(self, name: str) -> None:
+        """Make the messages live here again after a move was called off; repeated until it succeeds."""
         key, now, mine = self._key(name), monotonic_time(), self._mine(name)
 
         def release() -> bool:
@@ -135,7 +146,7 @@
             self.dispatcher.adopt(owed, quietly=True)
             return True
 
-        # Danger: with the file not written the messages would stay inert, and the session frozen, for good.
+        # If the file cannot be written now, giving up would leave the messages inert and the session frozen for good.
         while not self.dispatcher.between(release).get():
             gevent.sleep(RELEASE_AGAIN)
         if mine:
@@ -143,4 +154,5 @@
         self.counters.add("moves called off")
 
     def _over(self, name: str) -> None:
+        """Drop the messages here: the taker is active."""
         self.dispatcher.between(lambda: self._give_up(name, GIVEN)).get()
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -1,6 +1,6 @@
-"""What a member knows of the moves that it has a side of.
+"""The state and the helpers that both sides of a session's migration (move) share.
 
-The base of the parts of `SessionMigrations`.
+`MigrationState` is the common base of the parts of `SessionMigrations`.
 """
 
 import random
@@ -29,13 +29,13 @@
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.store.files import NoSpaceError
 
-SETTLE_IN = 0.3  # seconds for the answer to a question about a move
-STAGE_IN = 0.45
-LATE = 300_000  # microseconds before its deadline a message on the move is answered
-SECOND = 1_000_000
-SESSIONS = 10_000  # that a sender bears
-GIVEN, TAKEN = "<", ">"
-WHOLE = 500_000  # microseconds that the copies have to get a mark
+SETTLE_IN = 0.3  # seconds for the answer to a vote request or a decree
+STAGE_IN = 0.45  # seconds for the answer to the offer of a session
+LATE = 300_000  # microseconds before its deadline at which a message on the move is answered
+SECOND = 1_000_000  # microseconds
+SESSIONS = 10_000  # that a sender holds, at most
+GIVEN, TAKEN = "<", ">"  # how the mark of an inert message begins: at the giver, at the taker
+WHOLE = 500_000  # microseconds in which the replicas must get a mark
 
 
 class DecreesNotSavedError(CedarwickError):
@@ -87,18 +87,18 @@
         self.dispatcher: Dispatcher
         self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
         self.slept: set[str] = set()  # of these, staged in a partition that was adopted since
-        self.sequences: dict[str, int] = {}  # by move: of its session, since it began
+        self.sequences: dict[str, int] = {}  # by move: the sequence of its session since the move began
         self.answers: dict[str, gevent.event.AsyncResult] = {}  # by move: whether it was staged
         self.under_way: set[tuple[str, MigrationAction]] = set()
-        self.strays: dict[str, Proposer] = {}  # undecided moves that this member has voted on and has no side of
+        self.strays: dict[str, Proposer] = {}  # undecided moves that this member voted on and takes no part in
         self.limits_at = 0
 
     @abstractmethod
     def act(self, acts: Iterable[MigrationStep]) -> None:
-        """Do what a move's rules say; what waits for something is done in a greenlet of its own."""
+        """Carry out steps of moves; a step that waits runs in a greenlet of its own."""
 
     def _guarded(self, write: Callable[..., None], *arguments: object) -> bool:
-        """Whether a small file could be written."""
+        """Call `write`; False where it raises OSError, which is counted and logged."""
         try:
             write(*arguments)
         except OSError as error:
@@ -107,6 +107,7 @@
         return True
 
     def _key(self, name: str) -> int:
+        """The key of a move's session; 0 where it is not known."""
         known = self.moves.moves.get(name) or self.acceptor.rows.get(name)
         return known.key if known is not None else 0
 
@@ -119,23 +120,21 @@
         )
 
     def _mine(self, name: str) -> bool:
-        """Whether this process began the move.
-
-        Else it has found it after a restart, or adopted the giver's partition.
-        """
+        """Whether this process began the move; if not, it was found after a restart or in an adopted partition."""
         return parts(name)[1] == self.name and name in self.sequences
 
     def _sequence(self, name: str, numbers: Iterable[int]) -> int:
-        """Of the session, since the move began."""
+        """The sequence of the session since the move began: the largest one known here."""
         return max([self.sequences.get(name, 0), *(self.store.inert[number][0] for number in numbers)])
 
     def _save_without(self, numbers: Iterable[int]) -> None:
+        """Write the file of inert messages without some of them; OSError where that fails."""
         gone = set(numbers)
         if gone:
             self.files.write_inert({number: mark for number, mark in self.store.inert.items() if number not in gone})
 
     def _copied(self, partitions: set[int]) -> bool:
-        """Whether every successor gets what is told of some partitions, before long."""
+        """Whether every successor has all records of these partitions within `WHOLE` microseconds; waits for it."""
         done, until = self.store.copied(partitions), monotonic_time() + WHOLE
         while not done():
             if monotonic_time() > until:
@@ -144,12 +143,12 @@
         return True
 
     def _give_up(self, name: str, side: str) -> bool:
-        """The messages of one side are the other side's; nothing is told of them."""
+        """Drop the messages of one side without a notice to anybody: the other side has them."""
         numbers = self._marked(name, side)
         for number in numbers:
             try:
                 self.store.over(number)
-            except NoSpaceError as error:  # Danger: it is written once there is room; the others must not wait for that
+            except NoSpaceError as error:  # written once there is room; the other messages must not wait for that
                 self.counters.warning("no room for the record of an end", error)
             self.store.inert.pop(number, None)
         self._save_without(numbers)
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -1,10 +1,14 @@
 """Migration of a session (a "move") from one sender, the giver, to another, the taker. No I/O, no clock.
 
-At the giver: held, freezing, offered, forwarding, closed. At the taker: staged, granted, active, or dropped. From the
-first mark to the decree the session's messages are inert on both sides. The steps, and what is on the disk before:
+`SessionMigrations` drives it: it calls a method for each event and carries out the steps that are returned. Times are
+microseconds of the boot clock.
 
-1. The giver freezes: no new attempt; what is out is awaited for `FREEZE`, then goes along as may-have-run. It marks
-   the facts (own folder and every successor of its partition: a successor without the mark would fire), and sends
+Stages at the giver: held, freezing, offered, forwarding, closed. Stages at the taker: staged, granted, active, or
+dropped. From the first mark to the decree the session's messages are inert on both sides. The steps, and what is on the
+disk before each:
+
+1. The giver freezes: no new attempt; attempts under way are awaited for `FREEZE`, then count as may-have-run. It
+   marks the facts (own folder and every successor of its partition: a successor without the mark would fire), and sends
    `Stage`.
 2. The taker stores them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks for
    the decree with ballot 1.
@@ -23,11 +27,11 @@
 
 from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Proposer, ProposerRequest, Value, parts
 
-FREEZE = 100_000  # microseconds for which attempts that are out are awaited
+FREEZE = 100_000  # microseconds for which attempts under way are awaited
 CALL_OFF = 500_000  # microseconds after the freeze began: the giver settles what is undecided
 AGAIN = 100_000  # microseconds until a request without an answer is repeated, doubled each time up to
 AGAIN_MOST = 2_000_000  # microseconds
-FORWARDS = 60_000_000  # microseconds for which the giver forwards what comes on the live connection
+FORWARDS = 60_000_000  # microseconds for which the giver forwards requests of the live connection
 REMEMBERED_FOR = 60_000_000  # microseconds that a finished migration is remembered
 WAITS = 250_000  # microseconds that a client's request on a frozen session waits before it is answered -BUSY
 MOST_OUT = 20  # moves at once at a giver
@@ -35,6 +39,8 @@
 
 
 class SourceStage(Enum):
+    """Stages of a move at the giver."""
+
     FREEZING = "freezing"
     OFFERED = "offered"
     FORWARDING = "forwarding"
@@ -43,6 +49,8 @@
 
 
 class TargetStage(Enum):
+    """Stages of a move at the taker."""
+
     STAGED = "staged"
     GRANTED = "granted"
     ACTIVE = "active"
@@ -50,25 +58,27 @@
 
 
 class MigrationAction(Enum):
-    """What the caller is to do; all of it may be done twice."""
+    """What the caller is to do; each action may safely be repeated."""
 
-    FREEZE = "freeze"  # no new attempt of the key; call `idle` once nothing of it is out
+    FREEZE = "freeze"  # no new attempt of the key; call `idle` once none is under way
     MARK = "mark"  # unsettled attempts become may-have-run; mark in own folder and at every successor; then `marked`
     STAGE = "stage"  # send the facts and ids to `to`
-    WRITE = "write"  # keep what was staged, marked, in own folder and at every successor; then `written`
+    WRITE = "write"  # store what was staged, marked, in own folder and at every successor; then `written`
     STAGED = "staged"  # answer the giver
     REFUSE = "refuse"  # answer the giver that it is not taken
-    ASK = "ask"  # put `ask` to an acceptor (its own too), give the answer to `answered`
-    TELL = "tell"  # send `Settled(move, value, active)` to whoever holds the partition of `to`; empty: to all members
+    ASK = "ask"  # send `ask` to an acceptor (maybe the own one), pass its answer to `answered`
+    TELL = "tell"  # send `MigrationDecided` to the holder of the partition of `to`; empty: to all members
     ACTIVATE = "activate"  # clear the taker's marks, resume the messages; then `activated`
     DROP = "drop"  # the taker's are over without a notice
     RELEASE = "release"  # clear the giver's marks, thaw the key
     OVER = "over"  # the giver's are over without a notice
-    FORWARD = "forward"  # pass on what comes on the live connection to `to`
-    CLOSE = "close"  # no longer
+    FORWARD = "forward"  # pass requests of the live connection on to `to`
+    CLOSE = "close"  # stop forwarding
 
 
 class MigrationStep(NamedTuple):
+    """One action for the caller, with what it needs."""
+
     do: MigrationAction
     move: str
     to: str = ""
@@ -79,7 +89,7 @@
 
 @dataclass(slots=True)
 class Migration:
-    """What one member knows of one move; it may have either side, by adoption both."""
+    """One move as one member knows it. The member has one side of it, or both after adopting a partition."""
 
     name: str
     key: int
@@ -93,8 +103,8 @@
     proposer: Proposer | None = None
     began: int = 0
     settled_at: int = 0
-    next_at: int = 0  # ask again
-    asked: int = 0  # times
+    next_at: int = 0  # when the request that is due is repeated
+    asked: int = 0  # how often it was repeated
 
 
 class MigrationTable:
@@ -123,7 +133,7 @@
     # ---- the giver ----
 
     def begin(self, name: str, key: int, now: int) -> list[MigrationStep]:
-        """Start to give a session away; nothing where it is on the move or too many are."""
+        """Start to give a session away; no steps where it is on the move already, or too many sessions are."""
         open_one = self.moves.get(self.by_key.get(key, ""))
         giving = sum(1 for move in self.moves.values() if move.giving in (SourceStage.FREEZING, SourceStage.OFFERED))
         if (open_one is not None and not self._finished(open_one)) or giving >= MOST_OUT or name in self.moves:
@@ -133,7 +143,7 @@
         return [MigrationStep(MigrationAction.FREEZE, name)]
 
     def idle(self, name: str, now: int) -> list[MigrationStep]:
-        """Nothing of the session is out any more, or has been awaited for long enough."""
+        """No attempt of the session is under way any more, or they have been awaited for long enough."""
         move = self.moves.get(name)
         if move is None or move.giving is not SourceStage.FREEZING or move.marking:
             return []
@@ -141,7 +151,7 @@
         return [MigrationStep(MigrationAction.MARK, name)]
 
     def marked(self, name: str, now: int) -> list[MigrationStep]:
-        """Own folder and every successor of the partition have the marks."""
+        """The marks are in the own folder and at every successor of the partition."""
         move = self.moves.get(name)
         if move is None or move.giving is not SourceStage.FREEZING:
             return []
@@ -150,20 +160,21 @@
         return [MigrationStep(MigrationAction.STAGE, name, parts(name)[2])]
 
     def staged(self, name: str, now: int) -> list[MigrationStep]:
-        """The taker has kept it. It asks for the decree itself; the giver only stops to send."""
+        """The taker has stored the session. It requests the decree itself; the giver only stops repeating `Stage`."""
         move = self.moves.get(name)
         if move is not None:
             move.heard = True
         return []
 
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
-        """The giver wants it back: its time is over, the taker has refused, or staff say so."""
+        """The giver wants the session back: the time is over, the taker refused, or staff ask for it."""
         move = self.moves.get(name)
         if move is None or move.giving not in (SourceStage.FREEZING, SourceStage.OFFERED):
             return []
         if move.giving is SourceStage.FREEZING:  # no taker has ever heard of it
             return self._decided(move, "off", now)
-        # Danger: a `Stage` that was refused or got no answer may have come twice, and been kept the other time.
+        # Only a decree ends the move: a `Stage` that was refused or got no answer may have arrived twice, and the taker
+        # may have stored the other one.
         return self._settle(move, now)
 
     def client_gone(self, key: int, now: int) -> list[MigrationStep]:
@@ -179,8 +190,8 @@
         if move is not None and move.taking is not None:
             return [MigrationStep(MigrationAction.STAGED, name, parts(name)[1])] if move.written else []
         staged = sum(1 for each in self.moves.values() if each.taking is TargetStage.STAGED)
-        # Danger: a `Stage` that comes late or twice would be taken again after its messages have gone out or been
-        # dropped. The own acceptor votes as soon as it is kept: a move that it knows was staged, or is being settled.
+        # `may_open`: a `Stage` that arrives late or twice must not be stored again after its messages were sent or
+        # dropped. The own acceptor votes once it is stored, so a move that it knows was staged or is being settled.
         if not room or staged >= MOST_IN or parts(name)[2] != self.name or not self.acceptor.may_open(name):
             return [MigrationStep(MigrationAction.REFUSE, name, parts(name)[1])]
         self._open(name, key, now).taking = TargetStage.STAGED
@@ -207,7 +218,7 @@
     # ---- the decree ----
 
     def answered(self, ask: ProposerRequest, answer: AcceptorReply, now: int) -> list[MigrationStep]:
-        """An acceptor's answer."""
+        """Take an acceptor's answer to a vote request."""
         move = self.moves.get(ask.move)
         if move is None or move.proposer is None or move.value is not None:
             return []
@@ -218,7 +229,7 @@
         return [MigrationStep(MigrationAction.TELL, ask.move, value=value), *self._decided(move, value, now)]
 
     def settled(self, name: str, value: Value, active: bool, now: int) -> list[MigrationStep]:
-        """Somebody tells the decree; `active`: and that the taker's side is live. Also the answer to a `TELL`."""
+        """Take the decree from another member, also as an answer to `TELL`; `active`: the taker's side is live."""
         move = self.moves.get(name)
         if move is None:
             return []
@@ -228,17 +239,17 @@
         return acts
 
     def said(self, name: str) -> tuple[Value | None, bool]:
-        """What to answer to somebody's `Settled`: the decree as far as known, and whether it is active here."""
+        """The answer to another member's `MigrationDecided`: the decree if known, and whether it is active here."""
         move = self.moves.get(name)
         return (None, False) if move is None else (move.value, move.taking is TargetStage.ACTIVE)
 
     # ---- restarts and partitions that change hands ----
 
     def found(self, name: str, key: int, giving: bool, now: int) -> list[MigrationStep]:
-        """Marked facts lie in a partition that this member holds: after its restart, or adopted.
+        """Marked facts were found in a partition that this member holds, after its restart or after an adoption.
 
-        For the taker's side only once every successor of that partition has them (again): it may then ask for the
-        decree at once.
+        For the taker's side, call it only once every successor of that partition has the facts again: it may request
+        the decree at once.
         """
         move = self._open(name, key, now)
         if giving and move.giving is None:
@@ -256,7 +267,7 @@
         return self._settle(move, now)
 
     def lost(self, name: str, giving: bool) -> None:
-        """The partition with this side has another holder now; nothing of it is done here any more."""
+        """The partition with this side has another holder now: forget this side."""
         move = self.moves.get(name)
         if move is None:
             return
@@ -272,7 +283,7 @@
     # ---- for the dispatcher ----
 
     def standing(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
-        """What to do with a request for a session that this member holds or is to hold; whom to pass it to."""
+        """What to do with a request for a session held here or on its way here, and the member to pass it to."""
         move = self.moves.get(self.by_key.get(key, ""))
         if move is None:
             return "here", ""
@@ -285,10 +296,10 @@
         return ("wait" if frozen else "here"), ""
 
     def near_limit(self, name: str) -> Literal["failed", "over"] | None:
-        """What becomes of a marked message within 300 ms of its deadline.
+        """What to do with a marked message within 300 ms of its deadline.
 
-        'failed': the holder of the giver's partition answers so, it may have run at the taker. 'over': the taker has
-        it, no answer from here. None: the taker's own, undecided; the giver answers.
+        'failed': the holder of the giver's partition answers that it failed, since it may have run at the taker.
+        'over': the taker has it; no answer from here. None: it is at the taker's side, and the giver answers it.
         """
         move = self.moves.get(name)
         if move is None or move.giving in (None, SourceStage.CLOSED):
@@ -298,11 +309,11 @@
     # ---- time ----
 
     def next_at(self) -> int | None:
-        """When `due` wants to be called."""
+        """When `due` is to be called next; None while there are no moves."""
         return min((self._due_at(move) for move in self.moves.values()), default=None)
 
     def due(self, now: int) -> list[MigrationStep]:
-        """What the time asks for."""
+        """The steps that are due: requests repeated, moves called off or forgotten, forwarding closed."""
         acts: list[MigrationStep] = []
         for move in [each for each in self.moves.values() if self._due_at(each) <= now]:
             if self._finished(move):
@@ -321,7 +332,7 @@
                 acts += self._asks(move.proposer.due(now))
             elif move.giving is not None and now >= move.began + CALL_OFF:
                 acts += self.call_off(move.name, now)
-            elif move.giving is None:  # it can't be stored here, or not at every successor
+            elif move.giving is None:  # the taker could not store it, or not at every successor
                 acts += self._settle(move, now)
             elif move.giving is SourceStage.FREEZING:
                 acts += self.idle(move.name, now)
@@ -372,7 +383,7 @@
 
     def _proposer(self, move: Migration) -> Proposer:
         if move.proposer is None:
-            # Danger: a second proposer of one boot, after the first went with its partition, must not share a ballot.
+            # A second proposer of one boot, after the first was lost with its partition, must not share its ballots.
             self.proposers += 1
             move.proposer = Proposer(move.name, f"{self.mark}.{self.proposers}", self.voters, self.wait)
         return move.proposer
@@ -381,7 +392,7 @@
         return self._asks(self._proposer(move).settle(now)) if move.proposer is None else []
 
     def _decided(self, move: Migration, value: Value, now: int) -> list[MigrationStep]:
-        """The decree is known; each side does its part, once."""
+        """Note the decree and return the steps of each side, once."""
         if move.value is not None:
             return []
         move.value, move.settled_at, move.next_at, move.asked = value, now, now + AGAIN, 0
@@ -403,14 +414,14 @@
         return acts
 
     def _confirmed(self, move: Migration, now: int) -> list[MigrationStep]:
-        """The taker's side is live: what the giver still keeps, inert, is over."""
+        """The taker's side is live: the giver's inert messages are over."""
         if move.giving is not SourceStage.FORWARDING or move.confirmed:
             return []
         move.confirmed = True
         return [MigrationStep(MigrationAction.OVER, move.name)]
 
     def _close(self, move: Migration, now: int) -> list[MigrationStep]:
-        over = self._confirmed(move, now)  # decided long ago: the taker's partition has them, whoever holds it
+        over = self._confirmed(move, now)  # decided long ago: whoever holds the taker's partition has the messages
         move.giving = SourceStage.CLOSED
         move.settled_at = now
         return [*over, MigrationStep(MigrationAction.CLOSE, move.name)]
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -1,4 +1,8 @@
-"""The side of a move that takes a session over."""
+"""The target side (taker) of a session's migration (move).
+
+Its methods carry out the steps that `MigrationTable` returns, each in a greenlet of its own where it waits. Spans that
+are waited for are seconds; `now` is microseconds of the boot clock.
+"""
 
 import gevent
 import gevent.event
@@ -23,6 +27,7 @@
     """Stages, writes, activates and drops a session that is offered here."""
 
     def _staged(self, body: StageSession, now: int) -> StageReply:
+        """Answer a giver's offer; waits up to `STAGE_IN` seconds until the messages are stored here."""
         if not whole(body):
             return StageReply(body.move, False, "spoilt")
         room = self.takes() and len(self.directory.sessions) < SESSIONS
@@ -39,11 +44,13 @@
         return StageReply(body.move, bool(stored), "" if stored else "it is not kept")
 
     def _answer(self, name: str, staged: bool) -> None:
+        """Wake those that wait in `_staged` for the outcome; only the first outcome counts."""
         answer = self.answers.setdefault(name, gevent.event.AsyncResult())
         if not answer.ready():
             answer.set(staged)
 
     def _write(self, name: str) -> None:
+        """Store the staged messages, marked as inert, in the own folder and at every successor."""
         stage, _ = self.offers[name]
 
         def write() -> bool:
@@ -70,6 +77,7 @@
             self._answer(name, False)
 
     def _activate(self, name: str) -> None:
+        """Clear the marks and go on with the messages; does nothing while this member may not fire for them."""
         key, offer = self._key(name), self.offers.get(name)
 
         def activate() -> bool:
@@ -82,16 +90,19 @@
             for number in numbers:
                 self.store.mark(number, sequence, "")
             soon = self.clock.now() + LATE
-            # Danger: the giver may have answered what was about to end while the decree was not known.
+            # While the decree was not known the giver may have answered messages near their deadline: they must not be
+            # attempted here.
             late = [number for number in numbers if self.store.messages[number].deadline <= soon]
             self.dispatcher.answer_late(late)
-            # Danger: an attempt of before the move may still run, of a message that has ended, too; then all keys rest.
+            # Unless the giver reported no rest, an attempt from before the move may still run, even one of a message
+            # that has ended; adopting not quietly then lets all keys rest.
             quietly = offer is not None and not offer[0].rest
             if numbers or not quietly:
                 self.dispatcher.adopt([number for number in numbers if number not in late], quietly)
-            # Danger: decided late, the session may have been inherited from a giver that died; the messages were not.
+            # If the decree came late, another member may have inherited the session (not its messages) from a dead
+            # giver; then this member must not claim to hold it.
             if offer is not None and not self.directory.superseded(key, parts(name)[1], offer[0].sequence):
-                stage, at = offer  # without it the ids of late are not known here, and it is claimed later
+                stage, at = offer  # without an offer the recent ids are unknown here; it is claimed later
                 ids = {each.id: (each.age + now - at, each.hashed) for each in stage.ids}
                 self.directory.hold(key, sequence, ids, now, name not in self.slept)
                 self.planner.arrived(key, now)
@@ -102,4 +113,5 @@
             self.act(self.moves.activated(name, monotonic_time()))
 
     def _drop(self, name: str) -> None:
+        """Drop the staged messages: the move was called off."""
         self.dispatcher.between(lambda: self._give_up(name, TAKEN)).get()
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -1,4 +1,8 @@
-"""The decrees on moves: this member's votes, and the questions to the others."""
+"""Decisions (decrees) on moves by Paxos: this member's votes, and its vote requests to the others.
+
+The protocol itself is in `consensus.py`; here it is connected to the disk and to the other members. `now` is
+microseconds of the boot clock.
+"""
 
 from collections import deque
 from collections.abc import Iterable
@@ -34,14 +38,17 @@
 
 
 def ballot_of(vote: BallotNumber) -> Ballot:
+    """The ballot that a peer message carries."""
     return vote.round, vote.mark
 
 
 def value_of(text: str) -> Value | None:
+    """The value of a decree that a peer message carries; None where it is unknown."""
     return "taker" if text == "taker" else "off" if text == "off" else None
 
 
 def voted(move: str, answer: AcceptorReply) -> VoteReply:
+    """An acceptor's answer as a peer message."""
     return VoteReply(
         move,
         answer.granted,
@@ -53,10 +60,13 @@
 
 
 class MigrationVotes(MigrationState):
-    """Votes on moves, asks the others for their votes, and has undecided moves settled."""
+    """Votes on moves, requests votes of the others, and settles moves that stay undecided."""
 
     def vote(self, move: str, ballot: Ballot, value: Value | None, key: int) -> AcceptorReply:
-        """This member's own answer, on the disk before anybody hears of it."""
+        """This member's own vote, written to the disk before it is returned; `ABSTENTION` where that fails.
+
+        `value` None: the first phase (prepare); else the second one (accept). `key`: the session's; 0: not known.
+        """
         now = monotonic_time()
         if value == "taker" and self._barred(move, key, now):
             return ABSTENTION
@@ -67,7 +77,8 @@
         )
         row = answer.write or (self.acceptor.rows[move] if move in self.unwritten else None)
         if row is not None:
-            # Danger: the same question asked again changes nothing, and would be granted with nothing on the disk.
+            # Until the row is on the disk it stays in `unwritten`: the same request repeated changes no row, and would
+            # otherwise be granted with nothing written.
             self.unwritten.add(move)
             if not self._guarded(self.files.add_decree, row):
                 return ABSTENTION
@@ -75,21 +86,22 @@
         return answer
 
     def _barred(self, move: str, key: int, now: int) -> bool:
-        """Whether a vote for the taker could make a second holder beside one that inherits the session."""
+        """Whether a vote for the taker could give the session a second holder, beside a member that inherits it."""
         giver = parts(move)[1]
         known = move in self.acceptor.rows or self.node.members.state(now, giver) is MemberStatus.ALIVE
         return self.directory.bars(key, giver, now, known)
 
     def learned(self, giver: str, stamp: int) -> None:
-        """A giver has answered with the stamp of its next move.
+        """Note the stamp of a giver's next move, from its answer to a request of this boot.
 
-        Danger: from a peer message of its own, which may have been written before this boot, nothing is learned.
+        Do not call it for a request that the giver sent by itself: that may have been written before this boot.
         """
         if stamp and self.acceptor.lost and giver not in self.acceptor.floors:
             self.acceptor.learned(giver, stamp)
             self._guarded(self.files.write_decrees, self.acceptor.table())
 
     def _ask(self, ask: ProposerRequest) -> None:
+        """Send a vote request to another member and take its answer, waiting `SETTLE_IN` seconds at most."""
         vote, key = BallotNumber(*ask.ballot), self._key(ask.move)
         body: Body = (
             PrepareRequest(ask.move, vote, key) if ask.value is None else AcceptRequest(ask.move, vote, ask.value, key)
@@ -111,9 +123,9 @@
             self.act(self.moves.answered(ask, answer, now))
 
     def _tell(self, act: MigrationStep) -> None:
-        """The decree to one member, or to all.
+        """Send the decree to one member, or to all, and record it here.
 
-        Where the one knows nothing of an active side, its partition is another's.
+        Where that one has no active side of the move, its partition may have another holder: then send it to all.
         """
         assert act.value is not None
         others = [name for name in self.node.halls if name != self.name]
@@ -128,7 +140,7 @@
             self._guarded(self.files.add_decree, row)
 
     def _tell_one(self, name: str, act: MigrationStep) -> bool:
-        """Whether the taker's side is live there."""
+        """Send the decree to one member; True if the taker's side is active there."""
         answer = self.call(name, MigrationDecided(act.move, act.value or "", act.active), SETTLE_IN)
         if not isinstance(answer, MigrationDecided) or (value := value_of(answer.value)) is None:
             return False
@@ -136,10 +148,10 @@
         return answer.active
 
     def _settle_strays(self, now: int) -> None:
-        """Of moves that nobody with a side of them has had decided for long: both may have lost it."""
+        """Settle old undecided moves that this member has voted on: both sides may have lost their part."""
         for name in self.acceptor.stale(now):
             if name not in self.moves.moves and name not in self.strays and len(self.strays) < MOST_OUT:
-                # Danger: a ballot of its own, as for each proposer of this boot.
+                # Each proposer of this boot needs ballots of its own, hence a mark that no other one has.
                 self.moves.proposers += 1
                 mark = f"{self.moves.mark}.{self.moves.proposers}"
                 self.strays[name] = Proposer(name, mark, self.moves.voters, self.moves.wait)
@@ -148,6 +160,7 @@
             self._ask_for_stray(stray.due(now), now)
 
     def _ask_for_stray(self, asks: Iterable[ProposerRequest], now: int) -> None:
+        """Put vote requests to this member's own acceptor at once, and to the others in greenlets of their own."""
         todo = deque(asks)
         while todo:
             ask = todo.popleft()
@@ -160,6 +173,7 @@
                 gevent.spawn(self._ask, ask)
 
     def _see_stray(self, stray: Proposer) -> None:
+        """Send the decree to all once it is known."""
         if stray.decided is not None and self.strays.pop(stray.move, None) is not None:
             self.counters.add("moves settled that nobody held any more")
             gevent.spawn(self._tell, MigrationStep(MigrationAction.TELL, stray.move, value=stray.decided))
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -1,9 +1,10 @@
-"""One member of a fleet: ties members, leases, partitions and copies to the network, the folder and the dispatcher.
+"""One member of a fleet: connects membership, leases, partitions and replicas to network, folder and dispatcher.
 
-The greenlet `run` looks at everything every few milliseconds; peer messages of other members are answered in the
-greenlets of the link; calls to them are made in greenlets of their own. None of them waits between a look at a state
-and the change that rests on it. What is settled, and why, stands in `takeover.py`, `leases.py`, `membership.py` and
-`replication.py`; each part of the work has a module of its own, whose class is a base of `FleetNode`.
+The greenlet `run` checks all state every few milliseconds. Requests from other members are answered in the greenlets of
+the peer server, and calls to other members are made in greenlets of their own. No greenlet yields between reading a
+state and the change that relies on it. The rules, and the reasons for them, are in `takeover.py`, `leases.py`,
+`membership.py` and `replication.py`; each part of the work has a module of its own, whose class is a base of
+`FleetNode`. Times named `now` are microseconds of the boot clock (`monotonic_time`).
 """
 
 import time
@@ -27,12 +28,12 @@
 
 
 class FleetNode(MembershipReload, RequestHandling, LateAnswers):
-    """This sender as a member. Made before the dispatcher is; `start` begins once the folder is read."""
+    """This sender as a member. It is made before the dispatcher; call `start` once the folder has been read."""
 
     def __init__(
         self, name: str, settings: Fleet, state: str, store: ReplicatedStore, clock: Clock, counters: Counters
     ) -> None:
-        """As `MemberState`; OSError also where its address cannot be listened at."""
+        """As `MemberState`; raises OSError also where this member's address cannot be bound."""
         super().__init__(name, settings, state, store, clock, counters)
         store.reserve, store.starved = self._reserve, self._starved
         if settings.sessions:
@@ -42,7 +43,10 @@
         self.server = PeerServer(self.where[name], self.gate, counters, self.answer)
 
     def start(self, dispatcher: PartitionDispatcher) -> list[gevent.Greenlet]:
-        """Once the folder is read: load the copies, take peer messages, and run. The greenlets never return."""
+        """Load the replicas, accept peer messages and start to run. Call it once the folder has been read.
+
+        Returns the greenlets of the member, none of which ever returns.
+        """
         self.dispatcher = dispatcher
         self.copies.load()
         for partition in self.copies.copies:
@@ -51,7 +55,7 @@
         stored = {held.partition: held.term for held in self.held.values() if held.partition >> 12 == slot}
         mine = {number >> 32 for number in self.store.messages} - {0}
         for partition in sorted(mine - stored.keys()):
-            # A partition that was adopted, or one whose line is lost: taken up again if nobody else has it by now.
+            # An adopted partition, or one whose lease record is lost: resume it if no other member holds it by now.
             self.adoptions[partition] = Takeover(
                 partition, self.name, self.halls, self._term_of(partition), resume=True
             )
@@ -59,10 +63,11 @@
         for partition in sorted(stored)[:-1]:
             if partition not in self.adoptions and partition in mine:
                 self.adoptions[partition] = Takeover(partition, self.name, self.halls, stored[partition], resume=True)
-        for partition in sorted(mine & set(self.adoptions)):  # a copy is none: it may not be whole
+        for partition in sorted(mine & set(self.adoptions)):  # not those with a replica alone: it may be incomplete
             self._hold(partition)
         if self.store.damaged:
-            # Danger: a copy may have what this folder has lost, and would drop it to be like the folder.
+            # A replica may still have records that this folder has lost. Until that is settled it must not be brought
+            # into line with the folder, or it would drop them too.
             self.doubted = mine | set(stored)
         self.server.start()
         parts = [gevent.spawn(self.run)]
@@ -77,20 +82,21 @@
         return parts
 
     def run(self) -> None:
-        """Never returns: looks at everything, again and again."""
+        """Check all state every `LOOK_INTERVAL_S` seconds; never returns."""
         while True:
             self.look(monotonic_time())
             gevent.sleep(LOOK_INTERVAL_S)
 
     def look(self, now: int) -> None:
-        """Do what the time asks for, at `now` of the boot clock in microseconds; one part that fails keeps none up."""
+        """Do all work due at `now`, microseconds of the boot clock. A part that fails does not stop the others."""
         for change in (changes := self.members.changes(now)):
             logger.info("member {} is {} (was {})", change.name, change.now.value, change.before.value)
             self.exchange.member(change, self.members.beat_ages(now).get(change.name, 0))
             if change.now is MemberStatus.ALIVE and not self.grantor.learning:
                 gevent.spawn(self._closed_elsewhere, change.name)
         self.alive = [name for name in self.halls if self.members.state(now, name) is MemberStatus.ALIVE]
-        # Counted from the look that saw it: a process that slept has heard nobody, and is answered in a moment.
+        # Counted from the first check without a majority, not from the last heartbeat: a process that was suspended has
+        # heard nobody for long, and hears the others again a moment later.
         self.few_since = 0 if len(self.alive) >= self.members.majority else self.few_since or now
         few = self.few_since > 0 and now - self.few_since >= NO_MAJORITY_US
         self._guarded(self.sharing.look, now, self.alive, self.members.majority)
@@ -102,7 +108,8 @@
         if self.traffic is not None:
             self._guarded(self.traffic.look, now)
         self._guarded(self.copies.step)
-        if any(change.now is MemberStatus.ALIVE for change in changes):  # whoever it is may get back its clients
+        # Clients may return to the member that is back; what is owed here now is older than what it will accept.
+        if any(change.now is MemberStatus.ALIVE for change in changes):
             for holding in self.store.holdings.values():
                 self._backlog(holding)
         if changes or time.monotonic() - self.looked_late >= DEADLINE_CHECK_S:
@@ -112,18 +119,21 @@
             self._guarded(self._answer_late, now, few)
 
     def leave(self) -> None:
-        """This sender ends: the successors may go on at once. What is said reaches whom it can within a moment."""
+        """Announce the end of this sender and release its leases, so that successors may take over at once.
+
+        Best effort: waits `CALL_TIMEOUT_S` seconds at most for the other members' answers.
+        """
         self.leaving = True
         calls = [gevent.spawn(self._call, name, self._own_beat(), CALL_TIMEOUT_S) for name in self.peers.names()]
         for holding in self.store.holdings.values():
-            holding.serving = False  # Danger: once it is released, a successor may fire
+            holding.serving = False  # before the release: after it a successor may fire
             if len(holding.adoption.holder.successors) > 1 and (ask := holding.adoption.holder.release()) is not None:
                 self._guarded(self._answer_ask, ask)
                 calls += [gevent.spawn(self._call, name, ask, CALL_TIMEOUT_S) for name in self.peers.names()]
         gevent.joinall(calls, timeout=CALL_TIMEOUT_S)
 
     def hand_over(self) -> None:
-        """Another process of this sender goes on."""
+        """Hand the sessions over to the process that replaces this one; a failure is counted and logged."""
         if self.traffic is not None:
             try:
                 self.traffic.hand_over()
@@ -131,7 +141,7 @@
                 self.counters.warning("the sessions cannot be handed over", error)
 
     def stop(self) -> None:
-        """Close the listener, the connections and the files of the copies."""
+        """Close the listener, the connections to other members and the files of the replicas."""
         if self.traffic is not None:
             self.traffic.stop()
         self.exchange.stop()
