--- a/cedarwick/fleet/heartbeats.py
+++ b/cedarwick/fleet/heartbeats.py
@@ -1,4 +1,8 @@
-"""Heartbeats between members: which of them live, and which partitions they fire for."""
+"""Heartbeats between members: which of them are alive, and which partitions they serve.
+
+One greenlet for each other member, started by `FleetNode.start` and `MembershipReload`, sends a heartbeat every
+`HEARTBEAT_INTERVAL_S` seconds. Times are microseconds of the boot clock.
+"""
 
 import gevent
 
@@ -10,10 +14,10 @@
 
 
 class Heartbeats(MemberState):
-    """Sends the own heartbeat and takes those of others."""
+    """Sends this member's heartbeat and takes those of the others."""
 
     def _beat(self, name: str) -> None:
-        """Returns once the other is no member any more: says that this one lives, and hears it in the answer."""
+        """Exchange heartbeats with another member; returns once that one is no member any more."""
         while name in self.halls:
             began = monotonic_time()
             answer = self._call(name, self._own_beat(), CALL_TIMEOUT_S)
@@ -24,6 +28,7 @@
             gevent.sleep(max(0.0, HEARTBEAT_INTERVAL_S - took / 1e6))
 
     def _heard(self, name: str, incarnation: int, beat: Heartbeat) -> None:
+        """Take a heartbeat of the given boot of a member: note which partitions it serves, and whether it restarted."""
         before = self.members.incarnation_of(name)
         now = monotonic_time()
         if self.members.heard(now, name, incarnation, beat.heard, beat.leaving):
@@ -31,7 +36,7 @@
             for partition, adoption in self.adoptions.items():
                 if partition in terms:
                     self.served[partition] = name, now
-                    # Danger: a term that was asked for here, in vain, would hide who holds the partition.
+                    # At least the newest term known here: one that was asked for in vain must not hide the holder.
                     term = max(terms[partition], adoption.holder.term, self.grantor.grant(right_of(partition)).term)
                     adoption.holder.newer = max(adoption.holder.newer, (term, name))
                 elif partition in self.served and self.served[partition][0] == name:
@@ -40,9 +45,10 @@
             self.reborn[name] = now
             for holding in self.store.holdings.values():
                 if name in holding.log.followers:
-                    holding.log.followers[name].lost()  # its copy may have gone with the boot before
+                    holding.log.followers[name].lost()  # its replica may have been lost with the restart
 
     def _own_beat(self) -> Heartbeat:
+        """This member's heartbeat as of now; while it leaves it names no partition."""
         now = monotonic_time()
         rights = tuple(
             HeldLease(holding.partition, holding.adoption.holder.term)
--- a/cedarwick/fleet/held_partitions.py
+++ b/cedarwick/fleet/held_partitions.py
@@ -1,4 +1,7 @@
-"""The partitions that a member looks after, and the record of those that it holds."""
+"""The partitions that a member follows or holds, and the lease records on the disk of those that it holds.
+
+Used by the parts of `FleetNode` that take partitions over. Times are microseconds of the boot clock.
+"""
 
 from cedarwick.fleet.fleet_files import LeaseRecord
 from cedarwick.fleet.leased_partition import LeasedPartition
@@ -11,26 +14,27 @@
 
 
 class HeldPartitions(MemberState):
-    """Records of partitions and of their reserved numbers."""
+    """Keeps the records of partitions and of their reserved message numbers."""
 
     def _follow(self, partition: int) -> None:
-        """A copy lies here: look after it."""
+        """Begin to follow a partition of which this member has a replica."""
         if partition not in self.adoptions:
             self.adoptions[partition] = Takeover(partition, self.name, self.halls, self._term_of(partition))
 
     def _term_of(self, partition: int) -> int:
+        """The term in the lease record of a partition; 0 without one."""
         return self.held[partition].term if partition in self.held else 0
 
     def _first_number(self, partition: int) -> int:
+        """The first message number of a partition that is surely unused."""
         upto = self.held[partition].upto if partition in self.held else partition << 32
         return max([upto, partition << 32, *self.store.numbers(partition)]) + 1
 
     def _reserve(self, holding: LeasedPartition) -> None:
-        """Write down that a block of numbers is given, before the first of them is."""
+        """Reserve the next block of message numbers on the disk, before the first of them is used; raises OSError."""
         upto = self.store.next_number + BLOCK
         if (upto >> 32) != holding.partition:
-            # Danger: nothing more is taken in a partition that is full, 2**32 numbers from its begin on; the next is
-            # opened.
+            # A partition is full after 2**32 numbers: accept nothing more in it, so that the next one is opened.
             if self.ownership is not None:
                 self.ownership.full = holding is self.store.current
             return
@@ -38,12 +42,13 @@
         holding.reserved = upto
 
     def _note(self, partition: int, term: int, upto: int) -> None:
+        """Raise term and end of the reserved numbers in a lease record, and write all records; raises OSError."""
         before = self.held.get(partition, LeaseRecord(partition, 0, 0))
         self.held[partition] = LeaseRecord(partition, max(term, before.term), max(upto, before.upto))
         self.lasting.write_held(list(self.held.values()))
 
     def _hold(self, partition: int) -> LeasedPartition:
-        """The records of a partition that this sender is about to hold."""
+        """The `LeasedPartition` of a partition that this sender is about to hold, made where there is none."""
         if partition not in self.store.holdings:
             self.store.holdings[partition] = LeasedPartition(partition, self.adoptions[partition])
         holding = self.store.holdings[partition]
@@ -51,13 +56,14 @@
         return holding
 
     def _newest(self, adoption: Takeover) -> str:
-        """Who is said to hold a partition."""
+        """The presumed holder of a partition; empty where none is known."""
         grant, (term, holder) = self.grantor.grant(right_of(adoption.partition)), adoption.holder.newer
-        # Danger: a term may be another's at the grantors that count and ours at our own; then the other one holds it.
+        # At equal terms the report counts: the own grantor may have granted a term to this member while a majority
+        # granted it to another.
         return grant.holder if grant.term > term else holder
 
     def _standing(self, now: int, name: str, adoption: Takeover) -> MemberStatus:
-        """How a member stands; one that is said to hold the partition, and does not fire for it, is as good as gone."""
+        """A member's status as to a partition: its presumed holder counts as dead where it does not serve it."""
         partition, grant = adoption.partition, self.grantor.grant(right_of(adoption.partition))
         term, holder = adoption.holder.newer
         holder = grant.holder if grant.term > term else holder
@@ -67,10 +73,10 @@
         if name == holder and state is MemberStatus.ALIVE:
             who, at = self.served.get(partition, ("", 0))
             reborn = self.reborn.get(name, 0)
-            # Danger: its first beats after a boot name no partition; without that boot it would be idle at once, and
-            # lose the partition before it can ask, with ends that no copy was told.
+            # The first heartbeats after a restart name no partition. Counted from before the restart the member would
+            # be idle at once, and lose the partition before it can ask for it, with ends that no replica has.
             idle_since = max(self.claimed[partition][1], at if who == name else 0, reborn)
-            # Alive under another incarnation, it would have asked for the partition by now; or it has asked in vain.
+            # A restarted member would have asked for the partition by now; an idle one has asked in vain.
             if at < reborn <= now - REBORN_ASKS_US or idle_since <= now - IDLE_HOLDER_US:
                 return MemberStatus.DEAD
         return state
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -1,4 +1,8 @@
-"""Answers for messages near their deadline that nobody may fire for."""
+"""Answers for messages near their deadline that no member may attempt.
+
+Called by `FleetNode.look` every `DEADLINE_CHECK_S` seconds. Times are microseconds: `now` of the boot clock, deadlines
+of the wall clock.
+"""
 
 from cedarwick.fleet.limits import ANSWER_AHEAD_US, NO_MAJORITY_UNHELD_US, NO_MAJORITY_US
 from cedarwick.fleet.membership import MemberStatus
@@ -7,14 +11,14 @@
 
 
 class LateAnswers(PartitionTakeover):
-    """Answers what would end unanswered without a majority."""
+    """Answers messages that would pass their deadline unanswered while there is no majority."""
 
     def _answer_late(self, now: int, few: bool) -> None:
-        """Without a majority nobody can be asked who has the right: what ends is answered, as one that may have run.
+        """Answer messages near their deadline as ones that may have run, where no other member can answer them.
 
-        So is what nobody else can answer: it is held here but no copy follows, or only this member has it.
-        Danger: otherwise the right is settled within a moment, and whoever has it gives the answer; one of ours
-        beside it would be a second, and perhaps another one.
+        That is so without a majority (`few`), as nobody can find out who holds the lease; where the partition is held
+        here but no replica follows; and where only this member has the message. In all other cases the lease is
+        settled within a moment and its holder answers: an answer from here would be a second, maybe different one.
         """
         soon = self.clock.now() + ANSWER_AHEAD_US
         self._before_the_fleet(soon)
@@ -22,20 +26,19 @@
             stage = holding.adoption.stage
             held = stage is TakeoverStage.HOLDING and holding.imported
             ours = held and holding.adoption.holder.may_fire(now)
-            # Danger: after a restart a partition that no majority grants to anybody would end unanswered.
+            # Also partitions that no majority grants to anybody, as after a restart: nobody else would answer them.
             unheld = held and not ours or self._nobodys(holding.adoption)
             holding.unheld_since = (holding.unheld_since or now) if unheld else 0
             if holding.serving or self.leaving:
                 continue
-            # No majority has answered for so long, though its members may be heard.
-            wait = (
-                NO_MAJORITY_US if held else NO_MAJORITY_UNHELD_US
-            )  # who has not held it since its start may have much to hear
+            # How long no majority has answered lease requests, though members may be heard. Longer where this process
+            # has not held the partition: it may have much to learn from others yet.
+            wait = NO_MAJORITY_US if held else NO_MAJORITY_UNHELD_US
             ours = ours or holding.unheld_since > 0 and now - holding.unheld_since >= wait
             numbers: list[int] = []
             if stage is TakeoverStage.OFFERING:
-                # What no copy was sent, and nobody was offered, nobody else can answer. Danger: an offer without an
-                # answer may have been taken, and the taker may have told another end.
+                # Nobody else can answer what no replica was sent and nobody was offered. An offer without an answer
+                # may have been stored, and the new holder may have answered the message otherwise.
                 heard = self.members.state(now, self._newest(holding.adoption)) is MemberStatus.ALIVE
                 if not heard and not holding.approached:
                     numbers, _ = self.store.only_here(holding)
@@ -52,12 +55,15 @@
                 self.dispatcher.answer_late(late)
 
     def _nobodys(self, adoption: Takeover) -> bool:
-        """Whether a partition here is asked for, or will be, and nobody else is known to have held it after us."""
+        """Whether this member asks for a partition, or will, and no other member is known to have held it since."""
         waits = adoption.stage in (TakeoverStage.FOLLOWING, TakeoverStage.WAITING, TakeoverStage.ASKING)
         return waits and self._newest(adoption) in ("", self.name)
 
     def _before_the_fleet(self, soon: int) -> None:
-        """Messages that were taken before this sender was a member: nobody else has heard of them."""
+        """Move messages from before this sender was a member to the open partition; answer those near their deadline.
+
+        `soon`: wall clock microseconds; deadlines up to it are near. No other member has these messages.
+        """
         numbers = self.store.numbers(0) if self.before else []
         self.before = bool(numbers)
         owed = [number for number in numbers if self.store.messages[number].end is None]
--- a/cedarwick/fleet/lease_exchange.py
+++ b/cedarwick/fleet/lease_exchange.py
@@ -1,4 +1,7 @@
-"""Asking other members for leases, answering them, and the table of grants on the disk."""
+"""Lease requests to other members, the answers to theirs, and the table of grants on the disk.
+
+Connects `leases.py` to the network and the folder. Times are microseconds of the boot clock.
+"""
 
 import gevent
 from loguru import logger
@@ -11,15 +14,16 @@
 
 
 class LeaseExchange(MemberState):
-    """The own grantor's answers and table, and lease requests to the others."""
+    """Answers lease requests, keeps the grantor's table on the disk, and sends lease requests to the others."""
 
     def _answer_ask(self, ask: LeaseRequest) -> LeaseReply:
+        """Answer a lease request once the grant is on the disk; OSError where it cannot be written."""
         reply = self._granted(ask)
         self._write_table(ask.right)
         return reply
 
     def _granted(self, ask: LeaseRequest) -> LeaseReply:
-        """The own grantor's answer, which nobody may be reply before `_write_table` of its right has returned."""
+        """The own grantor's answer. It must not be sent or counted before `_write_table` of its right has returned."""
         reply = self.grantor.ask(monotonic_time(), ask)
         if self.grantor.dirty:
             self.changed += 1
@@ -28,9 +32,9 @@
         return reply
 
     def _write_table(self, right: str = "") -> None:
-        """Returns once what was granted is on the disk, of one right or of all; OSError where that fails.
+        """Return once all grants of one right, or of all rights, are on the disk; OSError where that fails.
 
-        Danger: a grant that is answered and not on the disk would be given to somebody else after a restart.
+        A grant that was answered and is not on the disk could be granted to another member after a restart.
         """
         if self.grantor.dirty:
             self.changed += 1
@@ -42,7 +46,7 @@
                 continue
             self.writing, upto, table = True, self.changed, self.grantor.table()
             try:
-                # Danger: a rename on a busy disk takes seconds; the process would stand still, and its rights run out.
+                # In a thread: a rename on a busy disk may take seconds; a process blocked so long loses its leases.
                 gevent.get_hub().threadpool.apply(self.lasting.write_table, (table,))
             finally:
                 self.writing = False
@@ -50,12 +54,14 @@
             self.changed_at = {each: at for each, at in self.changed_at.items() if at > upto}
 
     def _learn(self, now: int) -> None:
+        """Request the tables of others that the own grantor needs after it lost its table."""
         for name in self.grantor.wants(now):
             if name not in self.asking:
                 self.asking.add(name)
                 gevent.spawn(self._ask_table, name)
 
     def _ask_table(self, name: str) -> None:
+        """Request the table of one member; not again before `HEARTBEAT_INTERVAL_S` seconds if it has none."""
         sent_at = monotonic_time()
         answer = self._call(name, GrantTableRequest(), CALL_TIMEOUT_S)
         if isinstance(answer, GrantTable) and self.grantor.learned(sent_at, name, answer):
@@ -66,10 +72,10 @@
         self.asking.discard(name)
 
     def _closed_elsewhere(self, name: str) -> None:
-        """Learn which partitions were closed while this member was away.
+        """Learn from another member which partitions were closed while this member was away.
 
-        Danger: with one that it takes for open, no later partition of that sender goes from its table, and the
-        table grows.
+        Closed partitions leave the table in order only: one that is wrongly taken for open would keep all later ones
+        of its sender in the table, which would grow.
         """
         answer = self._call(name, GrantTableRequest(), CALL_TIMEOUT_S)
         if isinstance(answer, GrantTable):
@@ -77,15 +83,15 @@
             self._guarded(self._write_table)
 
     def _give_up(self, ask: LeaseRequest) -> None:
-        """Tell all that they need not keep their promise of a right."""
+        """Release a lease at the own grantor and at all others."""
         self._guarded(self._answer_ask, ask)
         for name in self.peers.names():
             gevent.spawn(self._call, name, ask, CALL_TIMEOUT_S)
 
     def _ask_all(self, adoption: Takeover, ask: LeaseRequest, reply: LeaseReply, sent_at: int) -> None:
-        """Ask the others once the own grantor's answer lasts."""
+        """Send a lease request to the others, once the own grantor's answer is on the disk."""
         try:
-            # Danger: the own grantor first, so that a restart knows each term that was ever asked for.
+            # The own grantor first: then after a restart each term that was ever asked for is known, and never reused.
             self._write_table(ask.right)
         except OSError as error:
             self.counters.warning("the fleet's folder cannot be used", error)
@@ -97,6 +103,7 @@
             gevent.spawn(self._ask, adoption, name, ask, sent_at)
 
     def _ask(self, adoption: Takeover, name: str, ask: LeaseRequest, sent_at: int) -> None:
+        """Send a lease request to one member and pass its answer to the lease holder."""
         answer = self._call(name, ask, CALL_TIMEOUT_S)
         if isinstance(answer, LeaseReply):
             adoption.holder.answered(monotonic_time(), sent_at, name, answer)
--- a/cedarwick/fleet/leased_partition.py
+++ b/cedarwick/fleet/leased_partition.py
@@ -1,4 +1,4 @@
-"""A partition that this sender holds, or has held: its ledger of facts, its replication log, and how it stands. No I/O.
+"""A partition that this sender holds, or has held: its ledger of facts, its replication log and its state. No I/O.
 
 `ReplicatedStore` has one `LeasedPartition` for each such partition; the node decides which ones there are.
 """
@@ -9,42 +9,42 @@
 from cedarwick.store.bodies import BodyLostError
 from cedarwick.store.journal import Store
 
-# Microseconds that a copy may lag before its partition is not fired for, and nothing waits for the copy any more.
+# Microseconds that a replica may lag: then its partition is not served, and nothing waits for the replica any more.
 STARVED = 500_000
 
 
 class LeasedPartition:
-    """A partition that this sender holds, or has held and not given up: its ledger, its log, and how it stands."""
+    """A partition that this sender holds, or has held and not given up. Times are microseconds of the boot clock."""
 
     def __init__(self, partition: int, adoption: Takeover) -> None:
         self.partition = partition
         self.adoption = adoption
         self.ledger = FactLedger(0)
         self.log = ReplicationLog(partition, 0, lambda _: None)
-        self.begun_at = 0  # when its log began: its copies have some time until it goes on without them
+        self.begun_at = 0  # when its log began: its replicas have some time until it goes on without them
         self.imported = False  # its messages are in the folder, the ledger knows them
-        self.serving = False  # the dispatcher fires for it
-        # Copies that are to be successors: once they have all below an index, and since when that is so.
+        self.serving = False  # the dispatcher makes attempts for it
+        # Replicas that become successors once they have the log up to an index: that index, and since when.
         self.joining: dict[str, tuple[int, int]] = {}
-        self.starved_at = 0  # since when its copies do not follow, by the boot clock; 0: they do
-        self.alone_since = 0  # it goes on without copies
-        self.reserved = 0  # numbers below this one are written down as given
-        self.from_term = 0  # the term of the copy that it was adopted from in this process; 0: it was not
+        self.starved_at = 0  # since when its replicas do not follow; 0: they do
+        self.alone_since = 0  # since when it goes on without replicas; 0: it does not
+        self.reserved = 0  # numbers below this one are reserved on the disk
+        self.from_term = 0  # the term of the replica that it was adopted from in this process; 0: it was not
         self.approached = False  # some newer holder was sent an offer
-        self.offered = False  # the newer holder has taken all that was known here
-        self.unheld_since = 0  # since when the right has run out and no majority says more; 0: it is held, or lost
+        self.offered = False  # the newer holder has stored all that was known here
+        self.unheld_since = 0  # since when the lease has run out with no answer of a majority; 0: held, or lost
         self.heard_out = 0  # of an adopted partition: when its last holder has offered all that it knew
-        self.sent = 0  # facts below this index were sent to some copy
+        self.sent = 0  # facts below this index were sent to some replica
         self.backlog: dict[int, int] = {}  # owed since before the last change among the members: their order keys
         # Of an adopted partition: ended here, so that an old update does not bring them back.
         self.finished: set[int] = set()
 
     def starving(self, now: int) -> bool:
-        """Whether its copies have been behind for too long, by the boot clock."""
+        """Whether its replicas have been behind for more than `STARVED` microseconds."""
         return self.starved_at > 0 and now - self.starved_at > STARVED
 
     def read(self, store: Store, number: int) -> Fact | None:
-        """All that is known of an owed message, for the log."""
+        """The fact of an owed message for the log: None where it is not owed; without base where its body is lost."""
         stored, known = store.messages.get(number), self.ledger.known.get(number)
         if stored is None or known is None:
             return None
@@ -56,8 +56,8 @@
     def read_for_member(self, store: Store, number: int) -> Fact | None:
         """The same for another member; a message whose body cannot be read counts as failed there.
 
-        Without its base a copy would leave the message out and count as whole; whoever takes it over would then owe
-        nobody an answer.
+        Without its base a replica would omit the message and still count as complete, and after a takeover nobody
+        would answer it.
         """
         fact = self.read(store, number)
         if fact is None or fact.base is not None:
--- a/cedarwick/fleet/membership.py
+++ b/cedarwick/fleet/membership.py
@@ -6,7 +6,8 @@
 ages count as received and are not made older here: since the report the other may have been heard. The member in
 question has no vote. So in a group of two nobody is ever dead, only suspected: there is no majority without it.
 
-All times are whole microseconds of the member's own clock that goes on while the machine sleeps.
+`FleetNode` and `Heartbeats` call it. All times are whole microseconds of the member's own clock, which goes on while
+the machine sleeps.
 """
 
 from collections.abc import Mapping
@@ -22,7 +23,7 @@
 
 
 class MemberStatus(Enum):
-    """How a member stands."""
+    """The status of a member."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"  # not heard by me
@@ -32,7 +33,7 @@
 
 
 class MemberChange(NamedTuple):
-    """A member that stands otherwise than at the last look."""
+    """A member whose status has changed since the last call of `changes`."""
 
     name: str
     before: MemberStatus
@@ -72,7 +73,7 @@
         return majority_of(len(self.halls))
 
     def heard(self, now: int, name: str, incarnation: int, reported: Mapping[str, int], leaving: bool) -> bool:
-        """A beat; False where it is from nobody we know, or from a boot before the newest: it changes nothing."""
+        """Take a heartbeat; False if it is of an unknown member or of an older boot, and changes nothing."""
         member = self._members.get(name)
         if member is None or incarnation < member.incarnation:
             return False
@@ -80,17 +81,17 @@
             member.leaving, member.took = False, 0
         member.incarnation = incarnation
         member.heard = now
-        member.leaving = member.leaving or leaving  # Danger: beats may come in another order than they were sent
+        member.leaving = member.leaving or leaving  # heartbeats may arrive out of order
         member.ages = dict(reported)
         return True
 
     def slow(self, now: int, name: str, took: int) -> None:
-        """How long an answer of a member took, or how long we have been waiting for one."""
+        """Note how long an answer of a member took, or how long it has been waited for, in microseconds."""
         if name in self._members:
             self._members[name].took = took
 
     def state(self, now: int, name: str) -> MemberStatus:
-        """How a member stands; I am alive, and who is no member has left."""
+        """The status of a member; this one is alive, and a name that is no member has left."""
         if name == self.me:
             return MemberStatus.ALIVE
         member = self._members.get(name)
@@ -104,7 +105,7 @@
         return MemberStatus.SUSPECTED if member.heard is not None else MemberStatus.UNKNOWN
 
     def notes(self, now: int, name: str) -> tuple[str, ...]:
-        """For on-call staff: `cut` where one direction alone works, `slow` where answers take long."""
+        """Notes for on-call staff: `cut` where only one direction works, `slow` where answers take long."""
         member = self._members.get(name)
         if member is None:
             return ()
@@ -114,22 +115,22 @@
         return ("cut",) * cut + ("slow",) * (member.took > SLOW_AFTER)
 
     def beat_ages(self, now: int) -> dict[str, int]:
-        """For the next beat: how long ago each other member was heard; since my boot where it never was."""
+        """For the next heartbeat: microseconds since each other member was heard; if never, since it was added."""
         return {name: self._age(now, name) for name in self._members}
 
     def changes(self, now: int) -> list[MemberChange]:
-        """Who stands otherwise than at the last call, by name."""
+        """The members whose status has changed since the last call, by name."""
         found = [MemberChange(name, self._last[name], self.state(now, name)) for name in sorted(self._members)]
         self._last = {change.name: change.now for change in found}
         return [change for change in found if change.before is not change.now]
 
     def list_of(self, name: str) -> frozenset[str] | None:
-        """Whom another one has for members, as reported in its last heartbeat; None where it was never heard."""
+        """The members that another one knows, by its last heartbeat; None where it was never heard."""
         member = self._members.get(name)
         return None if member is None or member.heard is None else frozenset(member.ages) | {name}
 
     def apart(self, name: str) -> frozenset[str]:
-        """The members that another one has and I have not, or the other way round; none where it was never heard."""
+        """The members that only one of the two lists has, another member's or ours; none where it was never heard."""
         theirs = self.list_of(name)
         return self.names ^ theirs if theirs is not None else frozenset()
 
@@ -140,7 +141,7 @@
         return self._members[name].incarnation if name in self._members else 0
 
     def replace(self, now: int, names_to_halls: Mapping[str, str]) -> None:
-        """The members from now on; who stays keeps what is known of it."""
+        """Set the members from now on; what is known of those that stay is kept."""
         self.halls = dict(names_to_halls)
         members = {}
         for name, hall in names_to_halls.items():
@@ -156,7 +157,7 @@
         return max(0, now - (self._since[name] if heard is None else heard))
 
     def _speakers(self, now: int, about: str) -> list[_Member]:
-        """The others whom I hear now."""
+        """The other members that are heard now, except the one in question."""
         return [
             member
             for name, member in self._members.items()
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -1,4 +1,4 @@
-"""Taking over another list of members from the operator file, one change at a time."""
+"""Reload of the list of members from the operator file (SIGHUP), one change at a time."""
 
 import gevent
 import msgspec
@@ -17,7 +17,10 @@
     """Replaces the list of members in service."""
 
     def replace(self, settings: Fleet) -> None:
-        """Take over another list of members, and what else of the table may change in service."""
+        """Apply a new list of members and `follow_s`; other changes are logged and ignored until the next start.
+
+        A list that lacks this sender, or that `_one_at_a_time` refuses, is logged and changes nothing.
+        """
         if self.name not in {member.name for member in settings.member}:
             error: CedarwickError = NotAMemberError(
                 f"fleet.member: no entry has the name of this sender, {self.name!r}"
@@ -57,13 +60,13 @@
         logger.info("members of {}: {}", settings.group, ", ".join(sorted(self.halls)))
 
     def _one_at_a_time(self, names: set[str]) -> None:
-        """`MembershipChangeError` where majorities of a list in use and of the next one might share no member."""
+        """Check a new list; `MembershipChangeError` if a majority of it might not overlap with one of a list in use."""
         mine = self.members.names
         if len(mine ^ names) > 1:
             raise MembershipChangeError(f"the file changes {', '.join(sorted(mine ^ names))} at once")
-        # Danger: two changes in turn here are two at once for a member that has taken over neither.
+        # All others must have applied the previous change: for one that has not, the next is two changes at once.
         behind = [name for name in sorted(mine) if self.members.list_of(name) not in (None, mine, frozenset(names))]
-        if mine > names:  # who is dead takes over nothing; several of them are taken out in turn
+        if mine > names:  # dead members cannot apply a change; several of them may be removed in turn
             behind = [name for name in behind if self.members.state(monotonic_time(), name) not in AWAY]
         if mine != names and behind:
             raise MembershipChangeError(f"{', '.join(behind)} have not taken over the change before this one")
--- a/cedarwick/fleet/messages/codec.py
+++ b/cedarwick/fleet/messages/codec.py
@@ -64,7 +64,7 @@
 
 
 class PeerMessageHeader(msgspec.Struct, frozen=True, array_like=True):
-    """How a peer message of any version begins, so that members of any version can refuse one another."""
+    """The start of a peer message in every version, so that members of different versions can refuse one another."""
 
     version: Count
     level: Count
--- a/cedarwick/fleet/messages/membership.py
+++ b/cedarwick/fleet/messages/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats, and the leases that a majority of the members grants."""
+"""Heartbeats, and the leases that a majority of the members grants. Times are microseconds."""
 
 from typing import Annotated
 
@@ -17,7 +17,7 @@
 class Heartbeat(PeerBody, frozen=True, tag="Beat"):
     """Says that the sender is alive. Answered by a `Heartbeat`."""
 
-    leaving: bool
+    leaving: bool  # the sender ends; successors may take over
     heard: Annotated[dict[Name, Count], Meta(max_length=MEMBERS)]  # microseconds ago, by member
     rights: Annotated[tuple[HeldLease, ...], Meta(max_length=4096)] = ()
 
@@ -27,11 +27,11 @@
 
     right: Word
     term: Term
-    holder: Name
-    span: Count
+    holder: Name  # the member that asks
+    span: Count  # microseconds; 0: the lease is given up
     successors: Names = ()
     set: Order = 0  # the larger number is the newer list of successors
-    closed: bool = False
+    closed: bool = False  # close the lease for good
 
 
 class LeaseReply(PeerBody, frozen=True, tag="Told"):
@@ -61,7 +61,7 @@
 
 
 class GrantTable(PeerBody, frozen=True, tag="Table"):
-    """A whole table of grants; `learning` where the grantor has lost its own too."""
+    """A whole table of grants; `learning`: the grantor has lost its table and not rebuilt it yet."""
 
     learning: bool
     grants: Annotated[tuple[Grant, ...], Meta(max_length=1 << 14)] = ()
--- a/cedarwick/fleet/messages/replication.py
+++ b/cedarwick/fleet/messages/replication.py
@@ -30,15 +30,15 @@
     facts: Bulk
     next: Count
     digest: Count
-    behind: bool = False  # the holder acknowledges to clients what no copy has yet
+    behind: bool = False  # the holder acknowledges to clients what no replica has yet
 
 
 class ReplicaAck(PeerBody, frozen=True, tag="Have"):
-    """A copy's position; `problem` says why the message was dropped as a whole."""
+    """A replica's position in the log; `problem` says why the message was dropped as a whole."""
 
     partition: Count
     term: Term
-    next: Count
+    next: Count  # the log index that it needs next
     problem: Text = ""
     covered: Count = 0  # the full transfer of this term has reached it up to this number
 
@@ -55,13 +55,13 @@
 class Digests(PeerBody, frozen=True):
     """Ranges of a partition as the holder has them.
 
-    Answered by the copy's own `Digests` over the same ranges.
+    Answered by the replica's own `Digests` over the same ranges.
     """
 
     partition: Count
     term: Term
     ranges: Annotated[tuple[DigestRange, ...], Meta(max_length=4096)]
-    next: Count = 0  # the log index at which they were taken; a copy at another one answers with no ranges
+    next: Count = 0  # the log index at which they were taken; a replica at another one answers with no ranges
 
 
 class TakeoverOffer(PeerBody, frozen=True, tag="Offer"):
@@ -79,7 +79,7 @@
 
 
 class OfferReply(PeerBody, frozen=True, tag="Taken"):
-    """The part was joined and is in the new holder's folder; `problem` says why not."""
+    """The part is merged into the new holder's folder; if not, `problem` says why."""
 
     partition: Count
     part: Count
--- a/cedarwick/fleet/messages/sessions.py
+++ b/cedarwick/fleet/messages/sessions.py
@@ -62,7 +62,7 @@
 
 
 class StageReply(PeerBody, frozen=True, tag="Staged"):
-    """Whether the session is in the target's folder; `why` it is not."""
+    """Whether the session is in the target's folder; if not, `why`."""
 
     move: Move
     stored: bool
--- a/cedarwick/fleet/order_key_hints.py
+++ b/cedarwick/fleet/order_key_hints.py
@@ -1,10 +1,13 @@
-"""Hints on order keys: keys with older messages at another sender, and which keys rest here because of them. No I/O.
+"""Hints on order keys: which keys have older messages at another sender, and so rest (wait) here. No I/O.
 
 After a change among the members a client may submit a message of a key at another sender than the one that still has
 earlier ones. So each member sends the others, as `OwedKeys`, the keys of what it owes from before the last change (its
-*backlog*), and of what is in a copy here whose holder is silent. New messages of such a key rest at the other senders
-as long as the hint is repeated, for `MOST` at most. A hint that is lost or late costs the order and nothing else.
-All times are whole microseconds of the member's own clock that goes on while the machine sleeps.
+*backlog*), and of what is in a replica here whose holder is silent. New messages of such a key rest at the other
+senders as long as the hint is repeated, for `MOST` at most. A hint that is lost or late can cost the order, nothing
+else.
+
+`owed_keys.py` calls it. All times are whole microseconds of the member's own clock, which goes on while the machine
+sleeps.
 """
 
 from collections.abc import Collection, Iterable, Set
@@ -20,7 +23,7 @@
     """The hints sent to the others, and those received from them."""
 
     def __init__(self) -> None:
-        self.sent_keys: Set[int] = frozenset()  # keys in the last peer messages
+        self.sent_keys: Set[int] = frozenset()  # keys in the latest message to the others
         self.elsewhere: frozenset[int] = frozenset()  # keys that rest here
         self._sent_at = 0
         self._sent_to: Collection[str] = ()
@@ -28,11 +31,14 @@
         self._since: dict[int, int] = {}  # by key: since when it has been owed elsewhere without a break
 
     def heard(self, now: int, sender: str, keys: Iterable[int]) -> None:
-        """All keys that a member owes; they replace what it sent before."""
+        """Take all keys that a member owes; they replace what it sent before."""
         self._heard[sender] = now, frozenset(keys)
 
     def tell(self, now: int, keys: Set[int], others: Collection[str]) -> tuple[int, ...] | None:
-        """The keys of a peer message that is due to others now; None: none is. The last one of a backlog is empty."""
+        """The keys to send to the others now, `MOST_KEYS` at most; None where nothing is due.
+
+        Once a backlog has ended, an empty message is sent.
+        """
         changed = keys - self.sent_keys or set(others) - set(self._sent_to)
         if not (keys or self.sent_keys) or now < self._sent_at + EVERY and not (keys and changed):
             return None
@@ -40,9 +46,9 @@
         return tuple(sorted(keys)[:MOST_KEYS])
 
     def rests(self, now: int, here: Set[int], lying: Set[int]) -> frozenset[int]:
-        """The keys that are to rest here. `here`: those of the own backlog; `lying`: those of copies here."""
+        """The keys that are to rest here. `here`: those of the own backlog; `lying`: those of replicas here."""
         self._heard = {name: (at, keys) for name, (at, keys) in self._heard.items() if now < at + LASTS and keys}
-        # Danger: two that each have some of a key would wait for each other.
+        # Without the keys of the own backlog: two members that each owe messages of a key would wait for each other.
         owed = frozenset(lying).union(*(keys for _, keys in self._heard.values())) - here
         self._since = {key: self._since.get(key, now) for key in owed}
         self.elsewhere = frozenset(key for key, since in self._since.items() if now < since + MOST)
--- a/cedarwick/fleet/owed_keys.py
+++ b/cedarwick/fleet/owed_keys.py
@@ -1,4 +1,7 @@
-"""Keys that are owed from before a failure, and rest elsewhere until they are not."""
+"""Exchange of the order keys that are owed since before a failure: new messages of these keys wait at other members.
+
+Called by `FleetNode.look`; the rules are in `order_key_hints.py`. Times are microseconds of the boot clock.
+"""
 
 from itertools import islice
 
@@ -15,19 +18,20 @@
 
 
 class OwedKeyExchange(HeldPartitions):
-    """Tells the others which keys are owed here, and lets those rest that they have told."""
+    """Sends the others the keys that are owed here, and lets the keys rest that they have sent."""
 
     def _owe(self, now: int) -> None:
-        """Tell the others which keys are owed here from before a failure, and let those rest that they have told."""
+        """Send the others the keys owed here since before a failure, and let the keys rest that they have sent."""
         here: set[int] = set()
         lying: set[int] = set().union(*(self._lying(now, adoption) for adoption in self.adoptions.values()))
         for holding in self.store.holdings.values():
             if holding.backlog:
                 known = holding.ledger.known
                 holding.backlog = {number: key for number, key in holding.backlog.items() if number in known}
-                # Danger: a partition that is lost, or not fired for yet, has earlier ones of a key than the open one.
+                # A partition that is lost, or not served yet, has older messages of a key than the open partition: the
+                # key must rest here too.
                 (here if holding.serving else lying).update(holding.backlog.values())
-        # An attempt of a key that has ended may still run.
+        # Keys whose messages have ended, while an attempt of one may still run.
         here |= {
             key
             for key in self.owing.sent_keys - here - lying - self.owing.elsewhere
@@ -42,15 +46,15 @@
             self.dispatcher.rest(self.owing.elsewhere)
 
     def _lying(self, now: int, adoption: Takeover) -> frozenset[int]:
-        """Keys that are owed in a copy here, if its holder is silent."""
+        """The keys that are owed in a replica here; none unless its holder is silent."""
         partition, grant = adoption.partition, self.grantor.grant(right_of(adoption.partition))
         replica = self.copies.replica(partition)
-        # The own name stands there from when this member asks for the partition until it has taken it in.
+        # The own name is recorded from when this member asks for the partition until it has imported it.
         alive = grant.holder != self.name and self._standing(now, grant.holder, adoption) is MemberStatus.ALIVE
         if replica is None or partition in self.store.holdings or self.name not in grant.successors or alive:
             self.lying.pop(partition, None)
             return frozenset()
-        if partition not in self.lying:  # a silent holder tells nothing new
+        if partition not in self.lying:  # once: a silent holder adds nothing
             facts = [fact for fact in replica.held.values() if fact.base is not None and fact.base.turn]
             self.lying[partition] = frozenset(
                 [
@@ -64,7 +68,10 @@
         return self.lying[partition]
 
     def _backlog(self, holding: LeasedPartition) -> None:
-        """What is owed in a partition now is from before a failure, but for what rests in the open one for others."""
+        """Note all that a partition owes now as its backlog, from before a failure.
+
+        Messages of the open partition are left out if their key rests: older ones are owed elsewhere.
+        """
         for number in islice(holding.ledger.known, MAX_OWED_MESSAGES):
             stored = self.store.messages.get(number)
             if (
@@ -73,6 +80,7 @@
                 and stored.end is None
                 and self.dispatcher.ordered(stored.priority_class)
             ):
-                # Danger: what was just adopted rested here as a copy's, and would be told no more.
+                # An adopted partition counts whole: its keys rested here as a replica's, and would otherwise be sent no
+                # longer.
                 if holding is not self.store.current or stored.turn not in self.owing.elsewhere:
                     holding.backlog[number] = stored.turn
