--- a/cedarwick/fleet/consensus.py
+++ b/cedarwick/fleet/consensus.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class InstanceState:
-    """What an acceptor has promised and accepted for one move; written before any answer that tells of it."""
+    """What an acceptor has promised and accepted for one move; written to disk before any answer based on it."""
 
     move: str
     promised: Ballot = NO_BALLOT
@@ -50,10 +50,10 @@
 
 
 class AcceptorTable(NamedTuple):
-    """All that an acceptor must have on the disk."""
+    """All that an acceptor must keep on disk."""
 
     rows: list[InstanceState]
-    floors: dict[str, int]  # by giver: of moves with a lower stamp and no row here this acceptor knows nothing
+    floors: dict[str, int]  # by giver: no vote on moves with a lower stamp and no row here
 
 
 class AcceptorReply(NamedTuple):
@@ -64,7 +64,7 @@
     accepted: Ballot
     value: Value | None
     decided: bool  # then `value` is what was decided, whatever was asked
-    write: InstanceState | None = None  # to be on the disk before the answer leaves; not a part of what is sent
+    write: InstanceState | None = None  # to be on disk before the answer is sent; not sent itself
 
 
 ABSTENTION = AcceptorReply(False, NO_BALLOT, NO_BALLOT, None, False)
@@ -88,14 +88,14 @@
             self.load(table, now)
 
     def table(self) -> AcceptorTable:
-        """What must be on the disk, whole."""
+        """The whole table, to be written to disk."""
         floors = dict(self.floors)
         if self.lost:
             floors[""] = 1
         return AcceptorTable(list(self.rows.values()), floors)
 
     def load(self, table: AcceptorTable, now: int) -> None:
-        """Take up a table after a restart. Ages begin anew: the clock of an earlier boot means nothing."""
+        """Load a table after a restart. Ages start from `now`, since clocks of two boots cannot be compared."""
         self.rows = {row.move: replace(row, at=now) for row in table.rows}
         self.by_key = {}
         for row in self.rows.values():
@@ -113,7 +113,7 @@
         row = self._row(move, ballot, key)
         if row is None:
             return ABSTENTION
-        # Danger: a ballot that was promised already may come twice; to the same question the same answer.
+        # An equal ballot is granted: the request may come twice and must get the same answer.
         if row.decided or ballot < row.promised or ballot[0] < 2:
             return self._answer(row, False)
         return self._answer(row, True, self._changed(row, now, promised=ballot))
@@ -123,16 +123,16 @@
         row = self._row(move, ballot, key)
         if row is None:
             return ABSTENTION
-        # Danger: round 1 has no first phase; a value of anybody else's in it could be a second one.
+        # Round 1 has no first phase, so only the taker may use it: otherwise two values could be accepted in it.
         ours = ballot[0] >= 2 or (ballot == (1, parts(move)[2]) and value == "taker")
         if row.decided or ballot < row.promised or not ours:
             return self._answer(row, False)
         return self._answer(row, True, self._changed(row, now, promised=ballot, accepted=ballot, value=value))
 
     def may_open(self, move: str) -> bool:
-        """Whether this is the first that is heard of a move, and its votes can be trusted to be the first."""
+        """Whether a move is new here, and this member surely has not voted on it before."""
         stamp, giver, _ = parts(move)
-        # Danger: who has forgotten a promise or a vote must not vote again on the same move.
+        # After the loss of a promise or a vote this member must not vote on the same move again.
         known = stamp >= self.floors[giver] if giver in self.floors else not self.lost
         return known and move not in self.rows and len(self.rows) < MOST
 
@@ -144,7 +144,7 @@
             last = max(rows, key=lambda row: row.at)
             if last.at >= since or parts(last.move)[2] != holder:
                 return True
-        # Danger: members of an older level do not send the key of the session.
+        # Rows without a key: members of an older protocol level do not send it.
         return any(self.rows[move].at >= since and holder in parts(move)[1:] for move in self.by_key.get(0, ()))
 
     def settled(self, move: str, value: Value, now: int) -> InstanceState | None:
@@ -160,7 +160,7 @@
         old = [row.move for row in self.rows.values() if row.decided and row.at <= now - DECIDED_FOR]
         for move in old:
             stamp, giver, _ = parts(move)
-            # Danger: a late message would find an empty row, and a decided move could be decided once more.
+            # The floor stops a late message from opening an empty row and deciding the move a second time.
             self.floors[giver] = max(self.floors.get(giver, 0), stamp + 1)
             self._forget_key(self.rows.pop(move))
         return bool(old)
@@ -223,7 +223,7 @@
     value: Value | None = None  # asked for in the second phase; None: in the first, or resting
     decided: Value | None = None
     answers: dict[str, AcceptorReply] = field(default_factory=dict)
-    highest: int = 1  # the highest round heard of
+    highest: int = 1  # the highest round seen
     failed: int = 0  # rounds
     resting: bool = False
     next_at: int = 0  # ask again, or start the next round
@@ -234,7 +234,7 @@
         return self._begin((1, parts(self.move)[2]), "taker", now)
 
     def settle(self, now: int) -> list[ProposerRequest]:
-        """Both phases in a round above all that was heard of; proposes 'off' unless a value was accepted."""
+        """Both phases, in a round above all that were seen; proposes 'off' unless a value was accepted."""
         return self._begin((self.highest + 1, self.mark), None, now)
 
     def answered(
--- a/cedarwick/fleet/fleet_files.py
+++ b/cedarwick/fleet/fleet_files.py
@@ -1,8 +1,8 @@
 """The small files of `$RELAY_STATE/fleet`: the leases this member has granted and the partitions that it holds.
 
-Each is MessagePack in frames of the folder's (`store/records.py`), one unless it is long, and replaced whole: a crash
-leaves the old one or the new one. Copies of other members' partitions lie beside them, in `copies/`
-(`replica_files.py`).
+Each file is MessagePack in frames as in the message store (`store/records.py`), one frame unless it is long, and is
+replaced whole: a crash leaves the old file or the new one. Copies of other members' partitions are beside them, in
+`copies/` (`replica_files.py`).
 """
 
 import os
@@ -57,9 +57,9 @@
 
 
 class FleetFiles:
-    """Reads and replaces the files. OSError where the folder cannot be used.
+    """Reads and replaces the files. Calls raise `OSError` if the folder cannot be used.
 
-    `durable`: what a call has written is on the disk when it returns.
+    `durable`: what a call has written is synced to disk when it returns.
     """
 
     def __init__(self, state: str, durable: bool = False) -> None:
@@ -70,10 +70,11 @@
 
     @property
     def copies(self) -> str:
+        """The path of the folder of copies."""
         return os.path.join(self.path, COPIES)
 
     def table(self) -> GrantTable | None:
-        """What this member has granted; None where it is gone, or this is the first start."""
+        """The leases this member has granted; None if the file is gone or damaged, or at the first start."""
         data = self.read(GRANTS)
         try:
             return TABLE.decode(data) if data is not None else None
@@ -82,6 +83,7 @@
             return None
 
     def write_table(self, table: GrantTable) -> None:
+        """Replace the table of granted leases."""
         self.write(GRANTS, ENCODER.encode(table))
 
     def held(self) -> list[LeaseRecord]:
@@ -94,12 +96,13 @@
             return []
 
     def write_held(self, held: list[LeaseRecord]) -> None:
+        """Replace the list of partitions held."""
         self.write(HELD, ENCODER.encode(held))
 
     def marks(self) -> SavedMarks | None:
-        """The receivers suspended by hand, with their versions; None where there is no file.
+        """The receivers suspended by hand, with their versions; None if there is no file.
 
-        `CorruptFleetFileError` where there is one that cannot be read; it is not to be taken for a first start.
+        Raises `CorruptFleetFileError` for an unreadable file, which must not be mistaken for a first start.
         """
         path = os.path.join(self.path, MARKS)
         if not os.path.exists(path):
@@ -113,17 +116,18 @@
             raise CorruptFleetFileError(f"{path}: {error}") from None
 
     def write_marks(self, saved: SavedMarks) -> None:
+        """Replace the suspension marks."""
         self.write(MARKS, ENCODER.encode(saved))
 
     def claim(self, group: str, name: str) -> None:
-        """The folder is this member's from now on; `ForeignFolderError` where it was another one's."""
+        """Mark the folder as this member's; raises `ForeignFolderError` if it is another member's."""
         data = self.read(WHOSE)
         try:
             owner = OWNER.decode(data) if data is not None else (group, name)
         except msgspec.MsgspecError as error:
             logger.error(CorruptFleetFileError(f"{self.path}/{WHOSE}: {error}").line)
             owner = group, name
-        # Danger: what another has granted binds nobody here, and what it has ended long ago would be offered as owed.
+        # Another member's grants do not bind this one, and messages it ended long ago would be offered as owed.
         if owner != (group, name):
             raise ForeignFolderError(
                 f"{self.path} is that of {owner[1]!r} in {owner[0]!r}, not of {name!r} in {group!r}"
@@ -136,13 +140,13 @@
         data = self.read(BOOT)
         self.first = data is None
         last = int(data) if data is not None and data.isdigit() else 0
-        # Danger: with a clock that was set back, the others would take this boot for one that a newer has replaced.
+        # If the clock was set back, the others would otherwise take this boot for an older one.
         incarnation = max(now, last + 1)
         self.write(BOOT, b"%d" % incarnation)
         return incarnation
 
     def read(self, name: str) -> bytes | None:
-        """What the file's frames hold together; None where there is no such file, or anything but good frames."""
+        """The joined payloads of a file's frames; None if it is missing, or (logged) not all frames are good."""
         path = os.path.join(self.path, name)
         try:
             with open(path, "rb") as file:
@@ -162,7 +166,7 @@
 
     def write(self, name: str, payload: bytes) -> None:
         """Replace a file."""
-        # Danger: a longer frame is written without a word, and counts as damage when it is read.
+        # Split, since a frame longer than LONGEST would be written without an error but read as damage.
         self.replace(name, (payload[at : at + LONGEST] for at in range(0, len(payload), LONGEST)))
 
     def replace(self, name: str, payloads: Iterable[bytes]) -> None:
@@ -181,13 +185,13 @@
                 os.close(folder)
 
     def append(self, name: str, payload: bytes) -> None:
-        """One frame behind those that a file has."""
+        """Append one frame to a file."""
         with open(os.path.join(self.path, name), "ab") as file:
             file.write(framed(payload))
             self._sync(file)
 
     def _sync(self, file: IO[bytes]) -> None:
-        # Danger: after a power cut a grant, a vote or a block of numbers that was answered on would be given again.
+        # Otherwise a power cut could lose a grant, vote or block of numbers in use, and it would be given twice.
         if self.durable:
             file.flush()
             os.fsync(file.fileno())
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between members beside the partitions: receivers suspended by hand, and Retry-After waits.
+"""Gossip between members, apart from partitions: receivers suspended by hand, and Retry-After waits.
 
 Suspension marks (`suspensions.py`) go at once to each member that lacks them, and digests every few seconds, so that
 members that were cut off, or are new, converge to the same map. A hint of Retry-After waits is sent once and may be
@@ -88,7 +88,7 @@
         self.dispatcher: Dispatcher
 
     def attach(self, staff: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-        """Once the folder is this process's, and its attempts are made: load what is saved, and listen to both."""
+        """Load the saved marks, and listen to operators' commands and attempts; once this process owns the folder."""
         self.staff, self.endpoint_list, self.dispatcher = staff, endpoint_list, dispatcher
         staff.changed = self._changed
         dispatcher.attempts.heed, dispatcher.attempts.tell = self._heeded, self._ended
@@ -107,7 +107,7 @@
     # ---- called by the node ----
 
     def look(self, now: int, alive: Iterable[str], majority: int) -> None:
-        """`now` counts on while the machine sleeps; `majority` is of all members."""
+        """Send what is due. `now`: microseconds of the boot clock; `alive`: members; `majority`: of all members."""
         others = [name for name in alive if name != self.name]
         if self.waits and now >= self.hint_at and (waits := self._hints()):
             self.hint_at = now + TURN
@@ -146,7 +146,7 @@
     # ---- receivers taken out by hand ----
 
     def _changed(self, uid: str, calls: int) -> None:
-        """An operator has said so at this member's address."""
+        """Note an operator's command at this member and send it to the others."""
         self.marks.turn(wall())
         self.marks.set(wall(), uid, calls)
         self._spread([uid])
@@ -176,18 +176,18 @@
             self._take(name, lambda at: self.marks.merge(at, theirs))
         have = {row.uid: row for row in theirs}
         missing = {row.uid for row in self.marks.offered() if row.uid not in have or newer(row, have[row.uid])}
-        # Danger: what the other does not take would be sent to it four times a second for ever.
+        # Rows that the other does not take are not sent again: otherwise four times a second for ever.
         refused = {uid for uid in missing if sent.get(uid) == self.marks.rows[uid]}
         self.lacks[name] = missing - refused
         self.agreed[name] = self.marks.digest()
         self.next_at[name] = now + AGAIN
 
     def _take(self, sender: str, joined: Callable[[int], list[str]]) -> None:
-        """Join what another member says, and act on it."""
+        """Merge rows of another member, and suspend or restore receivers accordingly."""
         now, met_at = wall(), self.marks.met_at
         saved = None if self.unwritten else self._file()
         if saved is not None:
-            # Danger: a process that replaces this one may have changed the file; ours would undo it.
+            # The process that replaces this one may have changed the file; writing ours would undo that.
             self._spread(self.marks.noticed(now, saved))
         changed = joined(now)
         self._spread(changed, but=sender)
@@ -204,7 +204,7 @@
                 lacks.update(uids)
 
     def _file(self) -> dict[str, int] | None:
-        """What suspended.json says; None where it says nothing that can be used."""
+        """The contents of suspended.json; None if it is missing or unreadable."""
         if not os.path.exists(os.path.join(self.staff.folder, files.SUSPENDED)):
             return None
         try:
@@ -214,9 +214,9 @@
             return None
 
     def _keep(self) -> None:
-        """Take out what the marks say, and write it."""
+        """Suspend what the marks say, and write suspended.json, then the marks."""
         calls = self.marks.calls()
-        # Danger: the marks first, and what the file lacks after a crash would pass for restored by staff.
+        # The file before the marks: after a crash between the two, what it lacked would pass for restored by hand.
         if calls != (self._file() or {}) or calls.keys() != self.endpoint_list.suspended:
             self.unwritten = not self.staff.keep(calls)
         self._write()
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -1,4 +1,8 @@
-"""One partition from the request for its lease to its end: what the rules of `takeover.py` say is done here."""
+"""Carries out what the rules of `takeover.py` decide for each partition, from the lease request to its end.
+
+A part of the fleet node: it imports copies, serves partitions, offers what it knows to a newer holder and drops what is
+over. Times are microseconds of the boot clock unless a name ends in `_S` (seconds).
+"""
 
 import gevent
 from loguru import logger
@@ -27,10 +31,10 @@
 
 
 class PartitionTakeover(LeaseExchange, ReplicationPumps, OwedKeyExchange):
-    """Takes in, serves and gives up partitions."""
+    """Imports, serves and gives up partitions."""
 
     def _own(self, now: int) -> None:
-        """Have a partition in which new messages can be taken."""
+        """Open a partition for new messages when the rules ask for one."""
         assert self.ownership is not None
         if self.leaving:
             return
@@ -46,18 +50,19 @@
             self.store.open(holding, self._first_number(begun.partition))
 
     def _look_at(self, now: int, adoption: Takeover) -> None:
-        """One partition: what the rules say is done."""
+        """Ask the rules for the next step of one partition, and carry it out."""
         partition, holder = adoption.partition, adoption.holder
         replica, holding = self.copies.replica(partition), self.store.holdings.get(partition)
         right = right_of(partition)
         doubted = partition in self.doubted and now - self.begun_at < DOUBTED_US
         whole = holding is not None and not doubted or (replica is not None and replica.whole)
-        # Danger: alone nobody is granted a term, and asks in vain would cost the holder its own once the cut is healed.
+        # Cut off, a member is granted no term, and its vain requests would cost the holder its own after the cut.
         whole = whole and not self.few_since
         owed = len(holding.ledger.known) if holding is not None and holding.imported else 1
         if holding is not None and self._expects_offer(now, holding):
             owed = owed or 1
-        # Danger: the own grantor knows nothing of a holder whose term it has given to somebody else, in vain.
+        # A holder that its heartbeats show serving counts as promised, too: the own grantor may have given a term to
+        # a member that never got it, and does not know the real holder.
         served = self.served[partition][1] + SPAN if partition in self.served else 0
         asked = holder.term if adoption.stage is TakeoverStage.ASKING else 0
         step = adoption.step(
@@ -73,7 +78,7 @@
             and adoption.stage is not TakeoverStage.HOLDING
             and (holder.term, holder.state) != (asked, LeaseState.ASKING)
         ):
-            # Danger: two that ask in vain, each promised by itself, would keep each other from it for ever.
+            # Withdrawn: two members that ask in vain, each promised by itself, would block each other for ever.
             self._give_up(LeaseRequest(right, asked, self.name, 0))
         if step.do is TakeoverAction.ASK:
             logger.info("partition {}: asking for term {}", partition, holder.term)
@@ -99,10 +104,10 @@
             self._drop(partition)
 
     def _expects_offer(self, now: int, holding: LeasedPartition) -> bool:
-        """Whether who held an adopted partition before may come back with what no copy was told."""
+        """Whether the previous holder of an adopted partition may still offer facts that no copy received."""
         if not holding.from_term:
             return False
-        # Danger: closed before it has the answer to its offer, it would end all of that itself.
+        # If the partition were closed before the offer is answered, the previous holder would end all of it itself.
         return (
             now - holding.heard_out < 3 * OFFER_TIMEOUT_S * 1e6
             if holding.heard_out
@@ -111,7 +116,7 @@
 
     def _unwanted(self, now: int, partition: int, adoption: Takeover) -> bool:
         grant = self.grantor.grant(right_of(partition))
-        # Danger: this member's row may lag; a copy that its holder still counts on is written to all the time.
+        # The grant known here may be old; a copy that the holder still counts on is written to all the time.
         return (
             grant.set > 0
             and self.name not in grant.successors
@@ -120,7 +125,7 @@
         )
 
     def _import(self, now: int, adoption: Takeover) -> None:
-        """Granted: the partition's messages into the own folder, then its copies up, then its successors named."""
+        """After the grant: store the partition's messages, bring its copies up to date, then name its successors."""
         partition, term = adoption.partition, adoption.holder.term
         holding = self._hold(partition)
         if holding.log.term != term:
@@ -134,8 +139,8 @@
                     self.store.resume_own(holding, term)
                 else:
                     holding.from_term = replica.place.term
-                    # Danger: a copy that follows behind may lack an attempt; what it holds may have run, since the last
-                    # attempt that it was told of: they are told in their order.
+                    # A copy that lags may lack an attempt, so its messages may have run. Attempts arrive in order:
+                    # only those after the last one in the copy can be missing.
                     heard = (head.at for fact in replica.held.values() for head in fact.known.heads.values())
                     behind = self.settings.ack == "own" or replica.behind  # its holder may have been started before us
                     doubt_at = max(heard, default=1) if behind else 0
@@ -171,7 +176,7 @@
             adoption.imported(now, whole)
 
     def _serve(self, now: int, holding: LeasedPartition) -> None:
-        """Keep the successors right, and let the dispatcher fire while the right is held."""
+        """Keep the successors up to date, and let the dispatcher send while the lease is valid."""
         holder = holding.adoption.holder
         if holding.adoption.stage is TakeoverStage.HOLDING and holding.imported:
             self._ship(now, holding)
@@ -207,7 +212,7 @@
             self.dispatcher.park(numbers)
 
     def _drop(self, partition: int) -> None:
-        """The partition is over, or somebody else's for good."""
+        """Give up a partition that is over or belongs to another member for good; may be put off to a later call."""
         holding = self.store.holdings.get(partition)
         if holding is not None:
             mine, perhaps = self.store.only_here(holding) if not holding.offered else ([], [])
@@ -217,9 +222,9 @@
                     # they are answered when late.
                     return
                 if any(self.store.messages[number].out_at for number in mine + perhaps):
-                    return  # Danger: under its new number a second attempt would go out beside the one that is out
+                    return  # under its new number a second attempt would run beside the first
                 if not (self._rekey(mine) and self._rekey(perhaps, failed=True)):
-                    return  # Danger: what has found no room is nowhere else; it is tried again at the next look
+                    return  # what found no room is nowhere else: next time
         adoption = self.adoptions.pop(partition)
         self.doubted.discard(partition)
         if holding is not None:
@@ -239,7 +244,7 @@
         replica = self.copies.replica(partition)
         closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(right_of(partition)).closed
         if holding is not None and replica is not None and replica.place.term > holding.log.term and not closed:
-            self._follow(partition)  # Danger: the newer holder counts on this copy by now, it is none of ours
+            self._follow(partition)  # the newer holder counts on this copy by now
             return
         self.copies.drop(partition)
         self.lying.pop(partition, None)
@@ -248,7 +253,7 @@
         self.claimed.pop(partition, None)
 
     def _rekey(self, numbers: list[int], failed: bool = False) -> bool:
-        """Messages that only this member has go on in the open partition; whether all of them do."""
+        """Move messages that only this member has to the open partition; returns whether all were moved."""
         self.dispatcher.park(numbers)
         made: list[int] = []
         try:
@@ -258,17 +263,17 @@
             self.counters.warning("messages cannot be taken over into the open partition", error)
             return False
         finally:
-            # Danger: those that found room before one that did not are nobody's else.
+            # Also after an error: no other member has those that were moved before it.
             if made:
                 logger.info("{} messages go on in partition {}", len(made), made[0] >> 32)
                 self.dispatcher.adopt(made)
         return True
 
     def _offer(self, adoption: Takeover, to: str) -> None:
-        """Tell the newer holder what only this member knows, until it has taken all."""
+        """Offer what this member knows to the newer holder, in parts of `OFFER_PART_BYTES`."""
         holding = self.store.holdings.get(adoption.partition)
         if holding is not None and not holding.ledger.term:
-            # Danger: what an earlier process of this sender has taken, or heard of, may be nowhere but in this folder.
+            # What an earlier process of this sender has taken or learned may be nowhere but in this store.
             self.store.resume_own(holding, self._term_of(adoption.partition))
         known = self.store.known_here(holding) if holding is not None else []
         parts: list[bytes] = []
@@ -305,7 +310,7 @@
             self.offers.pop(adoption.partition, None)
 
     def _offered(self, sender: str, body: TakeoverOffer) -> OfferReply:
-        """The last holder of a partition that is held here tells what it knows."""
+        """Answer an earlier holder of a partition held here that offers what it knows."""
         holding = self.store.holdings.get(body.partition)
         if holding is None and self.grantor.grant(right_of(body.partition)).closed:
             return OfferReply(body.partition, body.part, PARTITION_CLOSED)
@@ -322,7 +327,7 @@
         logger.info("partition {}: {} reported {} ends and {} updates", body.partition, sender, len(ended), len(news))
         holding.heard_out = monotonic_time() if body.last and not problem else holding.heard_out
         if holding.serving and (ended or news):
-            # What was decided on less is decided anew.
+            # The dispatcher decides anew with the added facts.
             self.dispatcher.park(ended + news)
             self.dispatcher.adopt(news)
         return OfferReply(body.partition, body.part, problem[:512])
--- a/cedarwick/fleet/peer_verifier.py
+++ b/cedarwick/fleet/peer_verifier.py
@@ -1,4 +1,7 @@
-"""Which peer messages are read: those of a known member of this group, of its newest boot, to this sender."""
+"""Decides which peer messages are accepted: from a known member of this group, from its newest boot, to this sender.
+
+Called by `transport.py` for each message. An incarnation is the wall time of a boot in microseconds.
+"""
 
 from collections.abc import Iterable
 
@@ -42,7 +45,7 @@
 
 
 class PeerVerifier:
-    """Whom this sender speaks with, and the newest boot of each that it has seen."""
+    """The other members, and the newest boot of each that was seen."""
 
     def __init__(self, group: str, me: str, incarnation: int, members: Iterable[str]) -> None:
         self.group = group
@@ -57,22 +60,22 @@
         self.others = frozenset(members) - {self.me}
 
     def peer_message(self, to: str, body: Body) -> PeerMessage:
-        """What this sender says, ready to be encoded."""
+        """A message of this sender with its header, ready to be encoded."""
         return PeerMessage(VERSION, LEVEL, self.group, self.me, self.incarnation, to, body)
 
     def same_version(self, head: PeerMessageHeader) -> None:
-        """`ProtocolVersionError` where the rest of the peer message means something else."""
+        """Raise `ProtocolVersionError` for a message of another version, whose body cannot be understood."""
         if head.version != VERSION:
             raise ProtocolVersionError(
                 f"version {head.version} from {head.sender!r}, where {self.me!r} speaks {VERSION}"
             )
 
     def check(self, head: PeerMessageHeader) -> None:
-        """Let a peer message in: else one of the errors of this module says why it is not read."""
+        """Accept a peer message and note its boot, or raise one of this module's errors."""
         self.same_version(head)
         if head.group != self.group:
             raise OtherGroupError(f"group {head.group!r} from {head.sender!r}, where {self.me!r} is of {self.group!r}")
-        # Danger: a second process under this sender's own name would hold its rights as well.
+        # A second process under this sender's own name would hold the same leases.
         if head.sender == self.me:
             raise UnknownMemberError(f"a peer message to {self.me!r} from a sender of the same name")
         if head.sender not in self.others:
--- a/cedarwick/fleet/placement.py
+++ b/cedarwick/fleet/placement.py
@@ -1,4 +1,4 @@
-"""Where the copies of a partition lie: rendezvous hashing (Thaler and Ravishankar 1998), another hall first."""
+"""Which members get copies of a partition: rendezvous hashing (Thaler and Ravishankar 1998), other halls first."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -15,7 +15,7 @@
 
     Also the order of successors.
     """
-    # Danger: with the own hall first, one power cut would take the messages and their copy.
+    # Other halls first, so that one power cut does not take the messages and their copy.
     home = halls.get(holder)
     return sorted(
         (name for name in names if name != holder and name in halls),
@@ -26,7 +26,7 @@
 def copies(partition: int, holder: str, halls: Mapping[str, str], alive: Collection[str], count: int) -> list[str]:
     """The members that are to have a copy of a partition which `holder` holds, `count` at most.
 
-    `halls` has all members, `alive` those that may be chosen. A member that comes takes only what it now wants most; of
-    one that goes, only what it had moves.
+    `halls` has all members, `alive` those that may be chosen. A member that joins gets only copies for which it ranks
+    highest; when one leaves, only its copies move.
     """
     return order(partition, holder, halls, alive)[:count]
--- a/cedarwick/fleet/ports.py
+++ b/cedarwick/fleet/ports.py
@@ -18,23 +18,35 @@
 
 
 class PartitionDispatcher(Protocol):
-    """What the dispatcher does for a partition."""
+    """What the dispatcher does for partitions; messages are given by number."""
 
-    def adopt(self, numbers: list[int]) -> None: ...
+    def adopt(self, numbers: list[int]) -> None:
+        """Go on with stored messages, as after a restart."""
+        ...
 
-    def park(self, numbers: list[int]) -> None: ...
+    def park(self, numbers: list[int]) -> None:
+        """Leave messages alone from now on, without an answer."""
+        ...
 
-    def answer_late(self, numbers: list[int]) -> None: ...
+    def answer_late(self, numbers: list[int]) -> None:
+        """Write off parked messages whose deadline is near."""
+        ...
 
-    def ordered(self, priority_class: str) -> bool: ...
+    def ordered(self, priority_class: str) -> bool:
+        """Whether messages of a priority class are delivered one after another within a key."""
+        ...
 
-    def rest(self, keys: frozenset[int]) -> None: ...
+    def rest(self, keys: frozenset[int]) -> None:
+        """Hold back messages of these keys until a call without the key: earlier ones are owed by other members."""
+        ...
 
-    def rest_of(self, key: int) -> int: ...
+    def rest_of(self, key: int) -> int:
+        """Microseconds for which a key must rest here, since an attempt of it may be running."""
+        ...
 
 
 class SessionHost(Protocol):
-    """The member of a fleet that sessions are held at. The lists of members change when the file is read again."""
+    """The member of a fleet that holds sessions. Its lists of members change when the settings are reloaded."""
 
     name: str
     incarnation: int  # of this process
@@ -52,5 +64,5 @@
 
     @property
     def adoptions(self) -> Container[int]:
-        """The partitions that this member looks after."""
+        """The partitions for which this member has a `Takeover`, as holder or as copy."""
         ...
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -1,9 +1,9 @@
 """Recent message ids as a copy of a partition knows them, for whoever takes the partition over. No I/O, no clock.
 
-Under `ack = "copy"` every message that was answered +OK is in the copy's file by then. So a copy that has followed a
-partition's tail without a gap knows each id that was taken since, ended or not: `since` says from when on. What a piece
-brought in its place lacks the ids that have ended, so each jump begins anew. Ids that were taken before `since` are
-older than that; once `REMEMBERED` has passed from then on the memory is whole.
+Under `ack = "copy"` every message is in the copy's file before it is answered +OK. So a copy that has followed a
+partition's tail without a gap since the time `since` knows each id taken after that, ended or not. A piece lacks the
+ids that have ended, so each jump of the position starts `since` anew. Once `REMEMBERED` has passed after `since`, all
+ids that matter are known. Times are microseconds.
 """
 
 from collections import deque
@@ -41,12 +41,12 @@
         self.order: deque[tuple[int, int]] = deque()  # when they came, and their numbers
 
     def heard(self, entry: ReplicaEntry, facts: Iterable[Fact], now: int) -> None:
-        """A step of the copy that is in its file."""
+        """Note a step of the copy that is in its file."""
         received = list(facts)
         tail = entry.upto <= entry.after
         begins = entry.next - len(received) if tail else entry.next
         if (entry.term, begins) != (self.term, self.next):
-            # Danger: what was told between was taken, has perhaps ended, and nobody here has heard of it.
+            # A gap: messages between may have been taken and have ended without a trace here.
             self.since = now
         self.term, self.next = entry.term, entry.next
         for fact in received:
@@ -71,13 +71,13 @@
                 self.order.append((now, fact.number))
             return
         if known.end[0] is EndRank.NOTIFIED and not known.heads and not seen.ended:
-            # Danger: withdrawn without an attempt or an end, its client was turned away; it must not be told +OK next.
+            # Withdrawn without attempt or end: its client was refused, so the same id must not get +OK unless taken.
             del self.taken[fact.number]
         else:
             seen.ended |= bool(known.heads) or known.end[0] is not EndRank.NONE
 
     def whole_at(self) -> int:
-        """From when on every id that may not be taken once more is here."""
+        """The time from which on all ids that must not be taken again are known here."""
         return self.since + REMEMBERED
 
     def by_key(self) -> dict[int, dict[str, tuple[int, int]]]:
--- a/cedarwick/fleet/replica.py
+++ b/cedarwick/fleet/replica.py
@@ -1,4 +1,4 @@
-"""Replication of a partition, a copy's side: the messages of the holder as steps that are written to a file. No I/O.
+"""Replication of a partition, the copy's side: the holder's messages become steps that are written to a file. No I/O.
 
 The protocol is described in `replication.py`. Each message makes a `ReplicaStep`; the caller writes its entry to the
 copy's file, then applies it with `Replica.take`, and only then answers. Reading the entries of the file again brings
@@ -29,7 +29,7 @@
 
 
 class ReplicaEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A step of a copy as it lies in its file: facts to be joined, and the place after that."""
+    """A step of a copy as stored in its file: facts to be joined, and the position after that."""
 
     term: int
     next: int
@@ -41,7 +41,7 @@
 
 
 class ReplicaStep(NamedTuple):
-    """What a message comes to: write `entry`, then `take` the step, then answer `have`. No entry: answer at once."""
+    """The result of a message: write `entry`, then `take` the step, then answer `have`. No entry: answer at once."""
 
     have: ReplicaAck
     entry: ReplicaEntry | None = None
@@ -49,7 +49,7 @@
 
 
 class Replica:
-    """One copy of a partition, which is brought forward by steps."""
+    """One copy of a partition; steps bring it forward."""
 
     def __init__(self, partition: int) -> None:
         self.partition = partition
@@ -64,7 +64,7 @@
         return self.place.covered == EVERYTHING
 
     def facts(self, message: ReplicateFacts) -> ReplicaStep:
-        """A part of the tail."""
+        """The step for a part of the log's tail."""
         place = self.place
         if message.term != place.term:
             return self._no(TERM if message.term < place.term else GAP)
@@ -80,7 +80,7 @@
         return self._step(place._replace(next=place.next + len(fresh)), 0, 0, data, fresh, self.behind)
 
     def piece(self, message: ReplicatePiece) -> ReplicaStep:
-        """All that is owed in a range."""
+        """The step for a piece: all that is owed in a range of message numbers."""
         place = self.place
         if message.term < place.term:
             return self._no(TERM)
@@ -102,7 +102,7 @@
         )
 
     def digests(self, message: Digests) -> Digests:
-        """The copy's own ranges, where it is at the same place."""
+        """The copy's digests of the same ranges; no ranges if it is at another position."""
         if (message.term, message.next) != self.place[:2]:
             return Digests(self.partition, self.place.term, (), self.place.next)
         numbers, made = sorted(self.held), []
@@ -112,10 +112,11 @@
         return Digests(self.partition, self.place.term, tuple(made), self.place.next)
 
     def have(self, problem: str = NO_PROBLEM) -> ReplicaAck:
+        """The answer to the holder: the position of the copy, and why a message was refused."""
         return ReplicaAck(self.partition, self.place.term, self.place.next, problem, self.place.covered)
 
     def take(self, entry: ReplicaEntry, facts: Iterable[Fact]) -> None:
-        """Bring the copy forward by a step that is in its file."""
+        """Apply a step that is already in the copy's file."""
         if entry.upto > entry.after:
             listed = {fact.number for fact in facts}
             for number in [each for each in self.held if entry.after < each <= entry.upto and each not in listed]:
@@ -132,12 +133,15 @@
         self.place, self.behind = ReplicaPosition(entry.term, entry.next, entry.covered), entry.behind
 
     def doubt(self, since: int) -> None:
-        """A part of its file is lost: updates may be missing from a wall time on, and it must be walked anew."""
+        """Note that a part of the file is lost: updates may be missing since a wall time (microseconds).
+
+        The holder must send everything again.
+        """
         self.held = {number: in_doubt(fact, since) for number, fact in self.held.items()}
         self.place = ReplicaPosition(self.place.term, 0, 0)
 
     def part(self, after: int, size: int) -> ReplicaEntry:
-        """A part of what is held, from a number on, with the present place: for a fresh file."""
+        """A part of what is held, above number `after` and of about `size` bytes, for a fresh file."""
         taken: list[Fact] = []
         upto, left = EVERYTHING, size
         for number in sorted(each for each in self.held if each > after):
@@ -163,7 +167,7 @@
         return ReplicaStep(ReplicaAck(self.partition, place.term, place.next, NO_PROBLEM, place.covered), entry, facts)
 
     def _read(self, message: ReplicateFacts | ReplicatePiece, after: int, upto: int) -> list[Fact] | str:
-        """The facts of a message, or why it is dropped whole."""
+        """The facts of a message, or the reason why the whole message is refused."""
         if not whole(message):
             return SPOILT
         try:
--- a/cedarwick/fleet/replica_files.py
+++ b/cedarwick/fleet/replica_files.py
@@ -3,8 +3,8 @@
 A file has a header (version, partition, when it was made) and entries, each in a frame as in the store's files. Reading
 the entries again rebuilds the copy. A file of more than twice what is owed is compacted in small steps while entries go
 on coming: each step writes a part of what is owed now into a fresh file, each entry goes to both files, and at the end
-the fresh file takes the name. It is the walk of `replication.py` from the member's own memory. An append that returned
-outlives the process; with `durable`, `flush` also brings it to the disk.
+the fresh file takes the name. An append that returned outlives the process; with `durable`, `flush` also syncs it to
+disk. Sizes are bytes.
 """
 
 import os
@@ -71,7 +71,7 @@
     """`$RELAY_STATE/fleet/copies`."""
 
     def replace(self, name: str, by: str) -> None:
-        """`by` takes the name, whole or not at all; OSError."""
+        """Rename file `by` to `name` atomically; raises `OSError`."""
         os.replace(os.path.join(self.path, by), os.path.join(self.path, name))
 
 
@@ -92,7 +92,7 @@
 
 
 class ReplicaStore:
-    """All copies of this member. One greenlet at a time calls it."""
+    """All copies that this member keeps for others. One greenlet at a time calls it."""
 
     def __init__(self, folder: ReplicaFolder, limit: int, *, now: Callable[[], int], durable: bool = False) -> None:
         """`limit`: bytes of all files together; `now` returns wall clock microseconds."""
@@ -114,7 +114,7 @@
         return sum(copy.size + copy.fresh_size for copy in self.copies.values())
 
     def load(self) -> None:
-        """Read what earlier processes have left; OSError where the folder cannot be used."""
+        """Read the files of earlier processes; raises `OSError` if the folder cannot be used."""
         for name in self.folder.names():
             found = NAME.fullmatch(name)
             if name.endswith(FRESH):
@@ -126,25 +126,26 @@
                     logger.error(ReplicaDamagedError(f"{name}: {error}").line)
 
     def replica(self, partition: int) -> Replica | None:
-        """What is known of a partition, for whoever adopts it."""
+        """The copy of a partition, for the member that adopts it; None if there is none."""
         copy = self.copies.get(partition)
         return copy.replica if copy is not None else None
 
     def facts(self, message: ReplicateFacts) -> ReplicaAck:
-        """A part of a partition's tail; what the answer claims is written."""
+        """Take a part of a partition's tail; written before this returns the answer."""
         copy = self._copy(message.partition)
         return self._done(copy, copy.replica.facts(message))
 
     def piece(self, message: ReplicatePiece) -> ReplicaAck:
-        """All that a partition owes in a range; what the answer claims is written."""
+        """Take all that a partition owes in a range; written before this returns the answer."""
         copy = self._copy(message.partition)
         return self._done(copy, copy.replica.piece(message))
 
     def digests(self, message: Digests) -> Digests:
+        """The digests of a copy for the ranges in the message."""
         return self._copy(message.partition).replica.digests(message)
 
     def drop(self, partition: int) -> None:
-        """Nothing of a partition is wanted here any more."""
+        """Delete the copy of a partition and its file."""
         self.refusing.discard(partition)
         copy = self.copies.pop(partition, None)
         if copy is not None:
@@ -154,9 +155,9 @@
             quietly(self.folder.unlink, copy.name)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
-        """With `durable`, before an answer leaves: all that was written is on the disk; OSError where that fails.
+        """With `durable`, sync all that was written to disk, before an answer is sent; raises `OSError`.
 
-        `call` runs a blocking function where it holds nobody up.
+        `call` runs a blocking function outside of the event loop.
         """
         for file, written in list(self.unsynced.items()):
             if file not in self.unsynced:
@@ -169,12 +170,12 @@
             except OSError:
                 if file in self.unsynced:
                     raise
-            # Danger: what was appended while `call` let others run may have come too late for this sync.
+            # What was appended while `call` let other greenlets run may not be covered by this sync.
             if self.unsynced.get(file) == written:
                 del self.unsynced[file]
 
     def step(self) -> bool:
-        """Write a bounded part of one file anew, where one has grown too large; whether there is more to do."""
+        """Do a bounded part of compacting a file that has grown too large; returns whether there is more to do."""
         for copy in self.copies.values():
             if copy.fresh >= 0:
                 self._go_on(copy)
@@ -188,6 +189,7 @@
         return False
 
     def close(self) -> None:
+        """Close all files."""
         for copy in self.copies.values():
             self._abandon(copy)
             if copy.file >= 0:
@@ -219,7 +221,7 @@
     def _append(self, copy: ReplicaFile, frame: bytes) -> None:
         """Write an entry to a copy's file, and to its fresh one.
 
-        `ReplicaRefusedError` or OSError, and it is in neither.
+        Raises `ReplicaRefusedError` or `OSError`; then it is in neither.
         """
         largest = max((each.replica.live for each in self.copies.values()), default=0)
         if self.used + 2 * len(frame) + largest > self.limit:  # room for the largest to be written anew
@@ -239,7 +241,7 @@
             if written < len(frame):
                 raise OSError("a record was cut short")
         except OSError:
-            # Danger: all that follows a torn record would be taken for damage at the next start.
+            # After a torn record nothing may follow: the next start would take it for damage.
             copy.torn = not quietly(self.folder.truncate, copy.file, copy.size)
             raise
         copy.size += written
@@ -285,7 +287,7 @@
             return
         try:
             if self.durable:
-                self.folder.sync(copy.fresh)  # Danger: under the name before it is on the disk, a power cut loses both
+                self.folder.sync(copy.fresh)  # before the rename: a power cut could lose both
             self.folder.replace(copy.name, copy.name + FRESH)
         except OSError:
             self._abandon(copy)
@@ -305,22 +307,22 @@
         return written == len(frame)
 
     def _abandon(self, copy: ReplicaFile) -> bool:
-        """The fresh file cannot be gone on with; the old one stands. Tried again at a later step."""
+        """Give up the fresh file and stay with the old one; done again at a later step."""
         if copy.fresh >= 0:
             self._close(copy.fresh)
             quietly(self.folder.unlink, copy.name + FRESH)
             copy.fresh, copy.fresh_size = -1, 0
-        # Danger: on a full disk the same part would be written and thrown away for ever.
+        # A pause: on a full disk the same part would be written and thrown away for ever.
         copy.rest_until = self.steps + LOOK_BACK
         return False
 
     # ---- at the start ----
 
     def _read(self, partition: int) -> None:
-        """Bring a copy to where its file ends."""
+        """Rebuild a copy from its file."""
         copy = ReplicaFile(partition)
         replica, end, made_at, damaged = copy.replica, 0, 0, False
-        # Danger: a file that cannot be opened now would be taken for one that holds nothing.
+        # Opened first, so that a file that cannot be opened raises instead of passing for an empty one.
         copy.file = self.folder.open(copy.name, append=True)
         size = self.folder.size(copy.name)
         for each in read_through(self.folder, copy.name, None):
@@ -346,7 +348,7 @@
             except (msgspec.MsgspecError, CorruptFactsError):
                 damaged = True
             end = each.at + FRAME.size + len(each.payload)
-        if not made_at and not replica.held:  # nothing was ever promised, or nothing of it can be read
+        if not made_at and not replica.held:  # nothing was acknowledged, or nothing can be read
             if damaged:
                 logger.error(ReplicaDamagedError(f"{copy.name}: nothing of it can be read").line)
             self._close(copy.file)
@@ -363,7 +365,7 @@
         self.copies[partition] = copy
 
     def _torn(self, name: str, damage: DamagedRange) -> bool:
-        """Whether what ends a file is the begin of a record whose writing was cut off: nobody was promised it."""
+        """Whether a file ends in the beginning of a record whose writing was cut off, which was not acknowledged."""
         try:
             file = self.folder.open(name, append=False)
         except OSError:
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -1,8 +1,8 @@
-"""The folder of a sender that belongs to a fleet: what is written there also goes to the copies.
+"""The message store of a sender in a fleet: every change is also appended to a replication log.
 
-`ReplicatedStore` is the folder as the dispatcher knows it. Besides, it has a `LeasedPartition` (ledger of facts and
-replication log) for each partition that this sender holds, and says whether the lease allows it to fire. The node
-decides which partitions are held.
+The dispatcher uses `ReplicatedStore` like a plain `Store`. In addition it has a `LeasedPartition` (ledger of facts and
+replication log) for each partition that this sender holds, and says whether the partition's lease allows it to send.
+The node (`PartitionTakeover`) decides which partitions are held. Lease times are microseconds of the boot clock.
 """
 
 import time
@@ -52,10 +52,15 @@
 
 
 class ReplicatedStore(Store):
-    """The folder, as `Store`, with the changes of each message replicated through its partition's log."""
+    """A `Store` that also replicates each change of a message through the log of the message's partition."""
 
     def __init__(self, *args: Any, by_copy: bool = False, within_us: int = 150_000, **more: Any) -> None:
-        """As `Store`; `by_copy`: what is answered waits for the successors, `within_us` microseconds at most."""
+        """Create it as a `Store`.
+
+        Args:
+            by_copy: `flush` waits until all successors have acknowledged the records.
+            within_us: the longest such wait, in microseconds.
+        """
         super().__init__(*args, **more)
         self.awaited = self.awaited or by_copy
         self.by_copy = by_copy
@@ -63,17 +68,17 @@
         self.holdings: dict[int, LeasedPartition] = {}
         self.current: LeasedPartition | None = None  # new messages are taken in this one
         self.reserve: Callable[[LeasedPartition], None] = lambda _: None  # write down that a block of numbers is given
-        self.news = gevent.event.Event()  # a fact was appended, or an answer of a copy came
+        self.news = gevent.event.Event()  # set when a fact is appended or a copy answers
         self.starved: Callable[[LeasedPartition], None] = lambda _: None
         self.seen: Callable[[str, StoredMessage, int], None] = lambda *_: None  # events: kind, message, a figure
         self.marking: Callable[[dict[int, tuple[int, str]]], None] = lambda _: None  # on the disk before they count
         # Messages with an attempt of this process out; the record may have gone meanwhile.
         self.out: dict[int, StoredMessage] = {}
 
-    # ---- the right ----
+    # ---- the lease ----
 
     def may_fire(self, number: int) -> bool:
-        """Whether this sender has the right to fire for a message at this moment."""
+        """Whether the lease allows this sender to send a message now; False also for a message of a moving session."""
         holding = self.holdings.get(number >> 32)
         return (
             holding is not None
@@ -83,16 +88,17 @@
         )
 
     def deciding(self) -> bool:
-        """Whether the right over every partition that the dispatcher serves is held at this moment."""
+        """Whether the leases of all partitions that the dispatcher serves are valid now."""
         now = monotonic_time()
         return all(each.adoption.holder.may_fire(now) for each in self.holdings.values() if each.serving)
 
     def taking(self) -> bool:
-        """Whether new messages can be taken: the right over the partition that is open is held."""
+        """Whether new messages can be taken: the lease of the open partition is valid now."""
         current = self.current
         return current is not None and current.serving and current.adoption.holder.may_fire(monotonic_time())
 
     def has_room(self, stored: StoredMessage) -> bool:
+        """As `Store.has_room`; also False without a valid lease, or while no reserved number is left."""
         if not self.taking() or not super().has_room(stored):
             return False
         assert self.current is not None
@@ -101,7 +107,7 @@
         return self.next_number < self.current.reserved
 
     def open(self, holding: LeasedPartition, first: int) -> None:
-        """New messages are taken in this partition from now on, from a number that was never given."""
+        """Take new messages in this partition from now on; `first` is a number that was never given."""
         self.current = holding
         holding.reserved = self.next_number = first
         self.reserve(holding)
@@ -109,12 +115,14 @@
     # ---- called by the dispatcher ----
 
     def keep(self, stored: StoredMessage) -> None:
+        """As `Store.keep`; replicated."""
         super().keep(stored)
         holding = self.holdings[stored.number >> 32]
         self._replicate(holding, holding.ledger.record_message(stored, stored.body or b""))
         self.seen("taken", stored, 0)
 
     def attempt(self, number: int, sent_at: int, zone: int) -> None:
+        """As `Store.attempt`; replicated."""
         super().attempt(number, sent_at, zone)
         holding = self._knows(number)
         if holding is not None:
@@ -123,18 +131,21 @@
         self.seen("shot", self.messages[number], zone)
 
     def outcome(self, number: int, outcome: Outcome) -> None:
+        """As `Store.outcome`; replicated first."""
         stored, holding = self.messages.get(number), self._knows(number)
         if stored is not None and stored.out_at and holding is not None:
-            # Danger: told after the folder's own record, a completed one would already be over, as any other end.
+            # Before the store's own record: after it a completed message would already be over, like any other end.
             self._replicate(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
-        # Danger: its record may have gone while the attempt was out, since its client has left or another sender has
-        # its partition by now; nobody would report the receiver's answer. A full folder raises, and owes its record.
+        # Looked up in `out` too: the record may have gone while the attempt was out (its client left, or another sender
+        # has the partition by now), and nobody else would report the receiver's answer. Reported before the record is
+        # written, since a full store raises and writes the record later.
         sent = self.out.pop(number, stored)
         if sent is not None:
             self.seen("completed" if outcome is Outcome.COMPLETED else "outcome", sent, list(Outcome).index(outcome))
         super().outcome(number, outcome)
 
     def ended(self, number: int, rejected: bool, wait_ms: int) -> None:
+        """As `Store.ended`; replicated first. `wait_ms`: milliseconds."""
         holding = self._knows(number)
         if holding is not None:
             self._replicate(holding, holding.ledger.ended(number, rejected, wait_ms))
@@ -144,15 +155,16 @@
             self.seen("nacked" if rejected else "written-off", stored, wait_ms)
 
     def over(self, number: int) -> None:
+        """As `Store.over`; replicated first."""
         holding = self._knows(number)
         if holding is not None:
             self._replicate(holding, holding.ledger.over(number))
         super().over(number)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
-        """With `by_copy`, besides: wait until every successor has all records so far.
+        """As `Store.flush`; with `by_copy`, also wait until every successor has all records so far.
 
-        `NotReplicatedError` where one has not.
+        Raises `NotReplicatedError` if one has not within `within_us`, or if the lease ran out meanwhile.
         """
         if self.durable or not self.by_copy:
             super().flush(call)
@@ -170,15 +182,15 @@
                         f"are not at {', '.join(sorted(self.successors_of(holding)))}"
                     )
             if not holding.alone_since and not holding.starving(monotonic_time()):
-                # Danger: under load copies never have all at the moment of a look; a partition that starved once would
-                # be given up half a second later, with all its messages.
+                # Under load the copies are always a little behind when the node looks. Without this reset a partition
+                # that starved once would be given up half a second later, with all its messages.
                 holding.starved_at = 0
-            # Danger: the lease may have run out meanwhile, and a successor that has adopted would not know of this.
+            # The lease may have run out during the wait; who has adopted the partition meanwhile lacks these records.
             if not holding.adoption.holder.may_fire(monotonic_time()):
                 raise NotReplicatedError(f"partition {holding.partition}: the right over it has run out")
 
     def successors_of(self, holding: LeasedPartition) -> frozenset[str]:
-        """The copies that must have a record before it counts as replicated."""
+        """The members that must have a record before it counts as replicated."""
         return (holding.adoption.holder.bound | holding.joining.keys()) - {holding.adoption.me}
 
     def _wait(self, until: float) -> bool:
@@ -194,18 +206,18 @@
     def stage(self, stored: StoredMessage, sequence: int, text: str) -> None:
         """Store a message of a session that moves here: inert from its first record on, here and at every successor.
 
-        `NoSpaceError` where there is none for it. The mark is on the disk already (`marking`).
+        The caller has already written the mark to disk (`marking`). Raises `NoSpaceError`.
         """
         holding = self.holdings[stored.number >> 32]
         self.inert[stored.number] = sequence, text
         super().keep(stored)
         fact = holding.ledger.record_message(stored, stored.body or b"")
-        # Danger: a successor that is told of the message before its mark might fire for it.
+        # One fact for message and mark: a successor that learns of the message before its mark might send it.
         known = holding.ledger.moved(stored.number, sequence, text).known
         self._replicate(holding, Fact(stored.number, fact.base, known))
 
     def mark(self, number: int, sequence: int, text: str) -> None:
-        """A message is inert from now on, or with an empty text is not any more."""
+        """Make a message inert, or with an empty `text` end that; replicated to the successors."""
         if text:
             self.inert[number] = sequence, text
         else:
@@ -215,7 +227,7 @@
             self._replicate(holding, holding.ledger.moved(number, sequence, text))
 
     def copied(self, partitions: Iterable[int]) -> Callable[[], bool]:
-        """Whether every successor of some partitions has by then what is told of them now."""
+        """Return a check: whether all successors of these partitions have what is in the logs at this moment."""
         upto = {partition: self.holdings[partition].log.next for partition in partitions}
 
         def now() -> bool:
@@ -230,7 +242,7 @@
     # ---- partitions that come and go ----
 
     def numbers(self, partition: int) -> list[int]:
-        """Messages of a partition in the folder, in the order in which they were taken."""
+        """The numbers of a partition's messages in the store, in the order in which they were taken."""
         return sorted(number for number in self.messages if number >> 32 == partition)
 
     def take_in(
@@ -243,15 +255,20 @@
         perhaps: Iterable[int] = (),
         late: int = 0,
     ) -> None:
-        """What a copy knew of a partition goes into this folder, under a new term. `NoSpaceError` leaves what fits.
-
-        `doubt_at`: wall microseconds from which on updates may be missing; 0: none are. `mine`, `perhaps`: see
-        `only_here`, where this member has held the partition before and could not offer what it knew. `late`: what ends
-        before this wall time ends now.
+        """Store what a copy knew of a partition, under a new term. After `NoSpaceError` what fitted stays.
+
+        Args:
+            holding: the partition, now held here.
+            facts: what the copy knew.
+            term: the new term of the lease.
+            doubt_at: wall microseconds from which on updates may be missing; 0: none are.
+            mine: numbers only this member has, from an earlier term that it could not offer (see `only_here`).
+            perhaps: numbers that may or may not have reached a copy then.
+            late: wall microseconds; messages whose deadline is not after it end now.
         """
         marked = [in_doubt(fact, doubt_at) if doubt_at else fact for fact in facts]
-        # Danger: a holder that was cut off has said 'failed' of what ended meanwhile; 'returned' would be another end.
-        # Danger: one on the move is told no end while it is inert; its move's rules answer it in time.
+        # 'failed', since a holder that was cut off has answered late messages so; 'returned' would be a second,
+        # different end. Messages on the move get no end while they are inert: the rules of the move answer them.
         marked = [
             with_end(fact, EndRank.FAILED)
             if fact.base is not None
@@ -262,11 +279,11 @@
             for fact in marked
         ]
         listed = {fact.number for fact in marked}
-        for number in self.numbers(holding.partition):  # this member has held it before: what the copy lacks is over
+        for number in self.numbers(holding.partition):  # held here before: what the copy lacks is over
             if number in listed or number in mine:
                 holding.ledger.record_message(self.messages[number], b"")
             elif number in perhaps:
-                # Danger: whoever has held it between may have ended it, and nobody can be asked.
+                # A holder in between may have ended it, and nobody can be asked.
                 if self.messages[number].end is None:
                     super().ended(number, False, 0)
                 holding.ledger.record_message(self.messages[number], b"")
@@ -278,7 +295,7 @@
             self._take_change(fact, fact.number not in self.messages)
 
     def resume_own(self, holding: LeasedPartition, term: int) -> None:
-        """The folder of this process has the partition's messages already: the ledger learns them, under a new term."""
+        """Fill the ledger from the messages that are already in this store, under a new term."""
         if holding.ledger.term:
             holding.ledger.renew(term)
             return
@@ -289,7 +306,7 @@
                 holding.ledger.moved(number, *self.inert[number])
 
     def begin_log(self, holding: LeasedPartition, term: int) -> None:
-        """Ship the partition under a term from now on."""
+        """Start a new replication log for the partition under a term."""
         holding.log = ReplicationLog(
             holding.partition, term, lambda number: holding.read_for_member(self, number), sorted(holding.ledger.known)
         )
@@ -298,10 +315,16 @@
         holding.sent, holding.joining = 0, {}  # an index is one of its log
 
     def offered(self, holding: LeasedPartition, facts: list[Fact], term: int) -> tuple[list[int], list[int], str]:
-        """What an earlier holder knew: joined. Numbers that are over by it, those that are new here or changed, and why
-        some could not be taken: they are to be offered again.
+        """Join what an earlier holder of the partition knew.
 
-        `term`: the newest in which it has held the partition.
+        Args:
+            holding: the partition, held here.
+            facts: what the earlier holder knew.
+            term: the newest term in which that member has held the partition.
+
+        Returns:
+            The numbers that are over by it; those that are new or changed here; and, if not empty, the reason why some
+            could not be stored and must be offered again.
         """
         straight = holding.from_term == term > 0
         before = dict(holding.ledger.known)
@@ -309,7 +332,7 @@
             fact.number: fact
             for fact in facts
             if fact.number >> 32 == holding.partition
-            # Danger: what has ended here would come back as owed.
+            # What has ended here must not come back as owed.
             and fact.number not in holding.finished
             and (fact.number in before or fact.base is not None and not over(fact.known))
         }
@@ -327,8 +350,8 @@
                 left = all_changed[place:]
                 if joined.known != before.get(joined.number):
                     if joined.number not in before and not straight:
-                        # Danger: between the two somebody else has held the partition, and may have ended it: whoever
-                        # took it over from that one knows nothing of it. Only 'failed' is honest then.
+                        # Another member has held the partition between the two and may have ended the message
+                        # without a trace here, so no end other than 'failed' can be claimed.
                         joined = with_end(joined, EndRank.FAILED)
                         holding.ledger.known[joined.number] = joined.known
                     self._take_change(joined, joined.number not in before)
@@ -336,8 +359,8 @@
                     changed.append(joined.number)
         except (OSError, NoSpaceError) as error:
             problem = str(error) or type(error).__name__
-            # Danger: what the ledger knows would count as unchanged when it is offered again; it would be in no folder,
-            # and at no dispatcher.
+            # Undone in the ledger: otherwise these facts would count as unchanged when they are offered again, and
+            # would be in no store and at no dispatcher.
             for fact in left:
                 if fact.number in before:
                     holding.ledger.known[fact.number] = before[fact.number]
@@ -346,7 +369,7 @@
         return ended, changed, problem
 
     def _take_marks(self, facts: Iterable[Fact]) -> None:
-        """What others knew of moves under way, before the messages themselves are kept."""
+        """Write the marks of moves under way, before the messages themselves are stored."""
         moves = {fact.number: fact.known.move for fact in facts if fact.known.move is not None}
         if moves:
             marks = {number: each for number, each in self.inert.items() if number not in moves}
@@ -356,10 +379,7 @@
                 self.inert = marks
 
     def _take_change(self, fact: Fact, new: bool) -> None:
-        """Bring the folder's own record of an adopted message up to what is known now.
-
-        `NoSpaceError` for a new one.
-        """
+        """Bring the store's record of an adopted message up to date; raises `NoSpaceError` for a new one."""
         if new:
             super().keep(stored_message_of(fact))
             return
@@ -372,7 +392,7 @@
                 super().ended(fact.number, fact.known.end[0] is EndRank.RETURNED, fact.known.end[1])
 
     def known_here(self, holding: LeasedPartition) -> list[Fact]:
-        """All that this member knows of a partition that it has lost: what is owed, and what ended of late."""
+        """All that this member knows of a partition it has lost: owed messages, and recent changes in the log."""
         facts: dict[int, Fact] = {}
         for data, _ in holding.log.window:
             for fact in decode_facts(together([data])):
@@ -384,7 +404,7 @@
         return [facts[number] for number in sorted(facts)]
 
     def only_here(self, holding: LeasedPartition) -> tuple[list[int], list[int]]:
-        """Owed messages of a lost partition that no copy was sent, and those that may or may not have reached one."""
+        """The numbers of owed messages of a lost partition: sent to no copy, and perhaps received by one."""
         if not holding.log.term:  # of an earlier process: nobody knows what that has sent
             return [], [] if self.by_copy else self.numbers(holding.partition)
         acked = max((follower.acked for follower in holding.log.followers.values()), default=holding.sent)
@@ -398,10 +418,10 @@
         return mine, perhaps
 
     def rekey(self, numbers: Iterable[int], failed: bool = False) -> Iterator[int]:
-        """Messages that nobody else has become ones of the open partition; their new numbers.
+        """Move messages that nobody else has to the open partition; yields their new numbers.
 
-        `NoSpaceError` may come after some of them. `failed`: they end so, since somebody else may have had them. So
-        does one whose body cannot be read.
+        `failed`: they end as failed, since another member may have had them. So does a message whose body cannot be
+        read. `NoSpaceError` may be raised after some of them have moved.
         """
         for number in numbers:
             old = self.messages[number]
@@ -418,14 +438,14 @@
             if number in self.inert:
                 self.marking(self.inert | {new.number: self.inert[number]})
                 self.stage(new, *self.inert[number])
-                del self.inert[number]  # Danger: before the new one is kept, it would be live under its old number
+                del self.inert[number]  # only now: before `stage` the old number would be live
             else:
                 self.keep(new)
             yield new.number
             super().over(number)
 
     def forget(self, partition: int) -> None:
-        """Give up what the folder has of a partition that somebody else answers for; nothing is told."""
+        """Remove a partition that another member answers for from this store; nothing is replicated or answered."""
         for number in self.numbers(partition):
             super().over(number)
         self.holdings.pop(partition, None)
--- a/cedarwick/fleet/replication.py
+++ b/cedarwick/fleet/replication.py
@@ -6,10 +6,10 @@
 tail of the log goes on. The position of a copy is (term, next index, covered number). It only grows while the copy's
 file lives:
 
-- covered numbers are at least as new as index `next`, every one that is owed there; above them it has the tail alone;
+- up to the covered number it has every message that is owed, at least as new as index `next`; above, only the tail;
 - a piece that begins at 0 begins a walk: the copy's index jumps to the piece's;
-- a piece that was read before something that the copy has already is refused ('gap'), as is one that leaves a hole;
-- in the middle of a walk a copy holds all that it held before, but for what its holder says is over.
+- a piece that is older than the copy's position is refused ('gap'), as is one that leaves a hole;
+- in the middle of a walk a copy keeps all that it held before, except what its holder says is over.
 
 A piece is authoritative for its range only as of its index. A copy that is further on would, by taking it, bring back
 what has ended since and drop what the tail has brought since. So the holder sends no tail while a piece is out, and the
@@ -111,15 +111,16 @@
         return self.next - 1
 
     def follow(self, name: str, now: int) -> "FollowerProgress":
-        """Ship to a copy from now on."""
+        """Begin to send to a copy."""
         self.followers[name] = FollowerProgress(self, now)
         return self.followers[name]
 
     def unfollow(self, name: str) -> None:
+        """Stop sending to a copy."""
         self.followers.pop(name, None)
 
     def acked(self, successors: Iterable[str]) -> int:
-        """Facts below this index are in the file of each of these copies; -1: one lacks what the term began with."""
+        """The index below which each of these copies has all facts in its file; -1: one lacks the start state."""
         found = [self.followers.get(name) for name in successors]
         return min((each.acked if each is not None and each.covers else -1 for each in found), default=self.next)
 
@@ -178,7 +179,7 @@
 
 
 class FollowerProgress:
-    """One copy as its holder sees it. Whole microseconds of any clock that never runs backwards."""
+    """One copy as its holder sees it. Times are microseconds of any clock that never runs backwards."""
 
     def __init__(self, log: ReplicationLog, now: int) -> None:
         self.log = log
@@ -248,17 +249,17 @@
         return self._compare(now)
 
     def have(self, now: int, message: ReplicaAck, life: int) -> None:
-        """An answer of the copy in one of its incarnations."""
+        """Note an answer of the copy; `life`: the incarnation of its process."""
         if life < self.life or message.partition != self.log.partition:
             return
         place = ReplicaPosition(message.term, message.next, message.covered)
         if life > self.life:
-            # Danger: its file may be gone; what an earlier life had says nothing.
+            # A new process: its file may be gone, so the earlier position counts for nothing.
             self.life, self.place = life, place
             self._again()
         elif place > self.place:
             self.place = place
-        # Danger: a copy that is ahead of its holder heard another one, whose facts this one would never repeat.
+        # A copy ahead of this holder has facts of another holder, which this one could never send.
         self.superseded |= place[:2] > (self.log.term, self.log.next)
         self.problem = message.problem
         if self.place.term == self.log.term:
@@ -273,7 +274,7 @@
             self.pieces += 1
 
     def digests(self, now: int, message: Digests, life: int) -> None:
-        """The copy's own ranges: what differs is sent again."""
+        """Compare the copy's digests with those sent; ranges that differ are sent again."""
         if life > self.life:
             self.lost()
         sent, self.compared = self.compared, ()
@@ -301,16 +302,16 @@
             self.standing = dict(list(self.standing.items())[-FEW_STANDING:])
 
     def lost(self) -> None:
-        """The copy's process is another one than before: it is asked where it is."""
+        """Forget the copy's position, since its process is a new one: it is asked for it."""
         self.life, self.place = -1, NO_PLACE
         self._again()
 
     def _follows(self) -> bool:
-        """Whether the tail alone takes it further."""
+        """Whether the tail alone brings it up to date."""
         return self.place.term == self.log.term and self.place.next >= self.log.oldest
 
     def _again(self) -> None:
-        """Go on from the place that it has reported."""
+        """Send again from the position that it has reported."""
         self.out.clear()
         self.piece = None
         self.sent = self.place.next if self.place.term == self.log.term else self.log.next
--- a/cedarwick/fleet/replication_facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -34,7 +34,7 @@
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Zone = Annotated[int, msgspec.Meta(ge=-(1 << 15), lt=1 << 15)]
 Wait = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
-Text = Annotated[str, msgspec.Meta(max_length=16000)]  # 4 bytes a character at most: the folder counts to 65,535
+Text = Annotated[str, msgspec.Meta(max_length=16000)]  # 4 bytes a character at most: a stored record counts to 65,535
 Body = Annotated[bytes, msgspec.Meta(max_length=1 << 19)]
 
 
@@ -79,7 +79,7 @@
     turn: Annotated[int, msgspec.Meta(ge=0)]  # 0 for none; the whole of 64 bits
     priority_class: Text
     tenant: Text
-    destination: Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]  # what the folder's record holds
+    destination: Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]  # the range of a stored record
     deadline: Count  # wall microseconds
     body: Body
 
@@ -127,6 +127,7 @@
 
 
 def encode_facts(facts: Iterable[Fact]) -> bytes:
+    """Facts as they are sent and stored."""
     return together(encoded(fact) for fact in facts)
 
 
@@ -137,7 +138,7 @@
 
 
 def decode_facts(data: bytes) -> list[Fact]:
-    """The facts of a message; `CorruptFactsError` or `FactsVersionError` where they are none."""
+    """The facts of a message; raises `CorruptFactsError` or `FactsVersionError`."""
     try:
         batch = BATCH.decode(data)
         if batch.version != VERSION:
@@ -148,6 +149,7 @@
 
 
 def digest(data: bytes) -> int:
+    """64 bits of encoded facts, sent along with them."""
     return xxhash.xxh3_64_intdigest(data)
 
 
@@ -186,7 +188,7 @@
 
 
 def trimmed(fact: Fact) -> Fact:
-    """Without the body, where an end is known and nobody needs it."""
+    """The fact without its body once an end is known, since nobody needs the body then."""
     base = fact.base
     if base is None or not base.body or fact.known.end[0] is EndRank.NONE:
         return fact
@@ -233,10 +235,11 @@
     return Fact(fact.number, fact.base, join(fact.known, MessageKnowledge(end=(rank, 0))))
 
 
-# ---- from and to the folder ----
+# ---- conversion from and to stored records ----
 
 
 def base_of(stored: StoredMessage, body: bytes) -> MessageBase:
+    """What the client submitted, from the store's record; without the body once the message has ended."""
     return MessageBase(
         stored.id,
         stored.key,
@@ -250,7 +253,7 @@
 
 
 def known_of(stored: StoredMessage, term: int) -> MessageKnowledge:
-    """What the folder knows; all attempts count as one head of `term`, which nobody has sent before.
+    """What a stored record says; all attempts count as one head of `term`, which was never sent before.
 
     Under a term that was sent before, this head and the one sent would be taken for one, and the larger would hide an
     attempt that is out. An attempt counted twice does no harm, one that is forgotten does.
@@ -267,10 +270,10 @@
 
 
 def stored_message_of(fact: Fact, doubt_at: int = 0) -> StoredMessage:
-    """The folder's record of what another sender owed, with every attempt that is out as one that may have run.
+    """The stored record of a message that another sender owed; each attempt without an outcome may have run.
 
-    `doubt_at`: wall microseconds from which on updates may be missing, 0 where none are. ValueError without a base
-    and where nothing more is owed.
+    `doubt_at`: wall microseconds from which on updates may be missing, 0 where none are. Raises `ValueError`
+    without a base, and if nothing more is owed.
     """
     base, known = fact.base, fact.known
     if base is None or over(known):
@@ -313,14 +316,14 @@
         self.known: dict[int, MessageKnowledge] = {}
 
     def record_message(self, stored: StoredMessage, body: bytes) -> Fact:
-        """A message was taken, or a restart has left it."""
+        """Note a message that was taken, or is left from before a restart."""
         self.known[stored.number] = known = known_of(stored, self.term)
         return Fact(stored.number, base_of(stored, body), known)
 
     def attempt(self, number: int, at: int, zone: int) -> Fact:
-        """An attempt is about to go out, at a wall time in microseconds.
+        """Note an attempt before it is sent, at a wall time in microseconds.
 
-        One before it without an outcome may have run.
+        An earlier attempt without an outcome counts as one that may have run.
         """
         known = self.known[number]
         head = known.heads.get(self.term)
@@ -330,7 +333,7 @@
         return self._attempted(number, LifeSummary(head.attempts + 1 if head else 1, False, at, zone), ran)
 
     def outcome(self, number: int, never_ran: bool, completed: bool) -> Fact:
-        """The attempt that was out has ended."""
+        """Note the outcome of the attempt that was out."""
         known = self.known[number]
         head = known.heads.get(self.term)
         if completed:
@@ -341,15 +344,15 @@
         return self._attempted(number, head._replace(settled=True), ran)
 
     def ended(self, number: int, returned: bool, wait_ms: int) -> Fact:
-        """The final answer has been chosen and its notice is owed."""
+        """Note the final answer, whose notice is still owed; `wait_ms`: advised wait in milliseconds."""
         return self._end(number, (EndRank.RETURNED if returned else EndRank.FAILED, wait_ms))
 
     def over(self, number: int) -> Fact:
-        """Nothing more is owed."""
+        """Note that nothing more is owed."""
         return self._end(number, (EndRank.NOTIFIED, self.known[number].end[1]))
 
     def moved(self, number: int, sequence: int, text: str) -> Fact:
-        """The message is part of a move."""
+        """Note that the message is part of a move, or with an empty text no longer."""
         return self._join(number, MessageKnowledge(move=(sequence, text)))
 
     def adopt(self, facts: Iterable[Fact], term: int) -> list[Fact]:
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -1,4 +1,4 @@
-"""Sending a held partition to its copies, and naming its successors."""
+"""Sends held partitions to their copies and names their successors; a part of the fleet node. Times: microseconds."""
 
 from collections.abc import Iterable
 
@@ -15,10 +15,10 @@
 
 
 class ReplicationPumps(MemberState):
-    """A greenlet for each copy of a partition that is held here."""
+    """Runs a greenlet for each copy of each partition that is held here."""
 
     def _ship(self, now: int, holding: LeasedPartition) -> None:
-        """Have a pump for each copy that is wanted or still a successor."""
+        """Start a greenlet for each copy that is wanted or still a successor, and end the others."""
         successors = self.store.successors_of(holding)
         wanted = set(self._wanted(holding))
         for name in sorted(wanted | (successors & set(self.halls))):
@@ -32,7 +32,7 @@
             holding.log.unfollow(name)
 
     def _pump(self, holding: LeasedPartition, term: int, name: str, follower: FollowerProgress) -> None:
-        """Returns once the copy is not followed any more: sends what it lacks."""
+        """Send a copy what it lacks, until it is not followed any more."""
         while holding.log.followers.get(name) is follower and name in self.halls:
             message = follower.next(monotonic_time())
             if message is None:
@@ -46,7 +46,7 @@
 
     def _send(self, follower: FollowerProgress, name: str, message: ReplicateFacts | ReplicatePiece | Digests) -> None:
         answer = self._peer_message(name, message, REPLICATE_TIMEOUT_S)
-        # Danger: by the newest boot heard of, an old one's answer that comes late would speak for the new one's files.
+        # The answer's own incarnation: a late answer of an earlier boot must not count for the files of the new one.
         if answer is not None and isinstance(answer.body, ReplicaAck):
             if answer.body.problem in (NO_ROOM, OTHER):
                 self.full_at[name] = monotonic_time()
@@ -87,15 +87,15 @@
         if len(whole) < len(wanted):
             whole += [name for name in self._whole(now, holding, old) if name not in whole]
         if self.store.by_copy and not whole and holder.successors[1:] and self.settings.alone == "busy":
-            return  # Danger: without a successor, what was promised to be on two folders would be on one
+            return  # without a successor, acknowledged messages would be in one folder only
         holder.name(now, placement.order(holding.partition, self.name, self.halls, whole))
 
     def _joined(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
         """Those of some whole copies that are successors, or may be named for ones.
 
-        Danger: a successor that was named with records on their way to it would go on without them, attempts among
-        them, if this sender died in that moment. So what comes waits for it first, and it is named once it has what
-        came before.
+        A copy that was named while records are on their way to it could take over without them, attempts among them, if
+        this sender died at that moment. So new records wait for the copy first, and it is named once it has all earlier
+        ones.
         """
         bound, log = holding.adoption.holder.bound, holding.log
         joining = {name: holding.joining.get(name, (log.next, now)) for name in whole if name not in bound}
@@ -113,24 +113,24 @@
         ]
 
     def _starved(self, holding: LeasedPartition) -> None:
-        """A copy has not taken a record in time."""
+        """Note that a copy has not taken a record in time."""
         if not holding.starved_at:
             holding.starved_at = monotonic_time()
             self.counters.warning("a copy does not follow", f"partition {holding.partition}")
 
     def _back(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
-        """Whether a sender that goes on alone may count on copies again: they have followed for long enough."""
+        """Whether copies have followed for long enough (`COPY_TRUST_US`) for a sender that goes on alone."""
         if not whole:
             holding.alone_since = now
             return False
         return now - holding.alone_since >= COPY_TRUST_US
 
     def _copied(self, now: int, holding: LeasedPartition) -> bool:
-        """Under `ack = "copy"`: whether the successors have what was told, or the file says to go on without."""
+        """Under `ack = "copy"`: whether the successors keep up, or the setting `alone` allows to go on without."""
         if not self.store.by_copy:
             return True
         successors = self.store.successors_of(holding)
-        # Danger: one that no majority knows for a successor yet would not be granted what it has a copy of.
+        # Only named ones count: a copy that no majority knows as a successor would not be granted the partition.
         if not successors or self.settings.alone == "busy" and not holding.adoption.holder.successors[1:]:
             if self.settings.alone == "own" and not holding.alone_since:
                 logger.warning("partition {}: goes on without a copy", holding.partition)
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -1,4 +1,4 @@
-"""The answers to the peer messages of other members; in the greenlets of their connections."""
+"""Answers the peer messages of other members, in the greenlets of their connections; a part of the fleet node."""
 
 import gevent
 
@@ -39,10 +39,10 @@
 
 
 class RequestHandling(Heartbeats, PartitionTakeover):
-    """Answers one peer message."""
+    """Passes each peer message to the part of the node that answers it."""
 
     def answer(self, peer_message: PeerMessage) -> PeerMessage:
-        """What another member is told; in the greenlet of its connection."""
+        """The answer to a peer message; raises `UnknownPeerMessageError` or an error of the part that answers."""
         return self.gate.peer_message(
             peer_message.sender, self._answer(peer_message.sender, peer_message.incarnation, peer_message.body)
         )
@@ -54,7 +54,8 @@
         if isinstance(body, LeaseRequest):
             apart = self.members.apart(sender)
             if len(apart) > 1:
-                # Danger: a majority of its list, with this member, and one of ours, without, could hold one right.
+                # With two lists that differ in more than one member, two majorities without a common member could each
+                # grant the same lease.
                 raise MembershipChangeError(
                     f"{sender!r} has another list than {self.name!r}, by {', '.join(sorted(apart))}"
                 )
@@ -79,7 +80,7 @@
     def _copy(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
         holding = self.store.holdings.get(body.partition)
         if holding is not None and holding.adoption.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
-            # Danger: an owner that slept would take our answer for its copy's, while we go on with the partition.
+            # A former holder that was paused must not count this member as its copy: the partition is held here.
             if isinstance(body, Digests):
                 return Digests(body.partition, holding.adoption.holder.term, ())
             return ReplicaAck(body.partition, holding.adoption.holder.term, 0, TERM)
@@ -98,7 +99,7 @@
     def _let_earlier_come(self, body: ReplicateFacts) -> None:
         """Messages out at once come on connections of their own, and need not be read in their order.
 
-        Danger: each one refused has the holder send all again that is out, beside what is still on its way.
+        A refusal would make the holder send all unanswered messages again, so wait up to `REORDER_WAIT_US` first.
         """
         until = monotonic_time() + REORDER_WAIT_US
         while (
--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -1,6 +1,6 @@
-"""The small files of sessions in `$RELAY_STATE/fleet`: marks of moves, votes, and what a process hands on.
+"""The small files of sessions in `$RELAY_STATE/fleet`: marks of moves, votes, and sessions for the next process.
 
-As in `fleet_files.py`, but that votes are appended, a frame each, to the table that was written at the start.
+Written as in `fleet_files.py`, except that votes are appended, one frame each, to the table written at the start.
 """
 
 import os
@@ -27,22 +27,22 @@
 
     key: int
     sequence: int
-    ids: dict[str, tuple[int, int]]  # of late: age in microseconds, hash of contents
+    ids: dict[str, tuple[int, int]]  # recent ones: age in microseconds, hash of contents
 
 
 class Sessions(msgspec.Struct, array_like=True, frozen=True):
-    """All of them, with the wall time in microseconds at which they were written."""
+    """All sessions held at the end of a process, with the wall time in microseconds at which they were written."""
 
     at: int
     held: list[HeldSession]
-    partition: int = 0  # in which they were taken; 0: told by an older version, from whom nobody inherits
+    partition: int = 0  # in which they were taken; 0: written by an older version, not inherited
 
 
 SESSIONS_FILE: msgspec.msgpack.Decoder[Sessions] = msgspec.msgpack.Decoder(Sessions)
 
 
 class SessionFiles:
-    """Reads and replaces them. OSError where the folder cannot be used."""
+    """Reads and replaces these files. Raises `OSError` if the folder cannot be used."""
 
     def __init__(self, lasting: FleetFiles) -> None:
         self.lasting = lasting
@@ -57,10 +57,11 @@
             return {}
 
     def write_inert(self, inert: dict[int, tuple[int, str]]) -> None:
+        """Replace the marks of messages on the move."""
         self.lasting.write(INERT, ENCODER.encode(inert))
 
     def take_sessions(self) -> Sessions | None:
-        """What a process that was replaced has held; it is gone from the folder then, so that nobody takes it twice."""
+        """The sessions of the process that this one replaces; the file is deleted, so that nobody takes them twice."""
         data = self.lasting.read(SESSIONS)
         try:
             os.unlink(os.path.join(self.lasting.path, SESSIONS))
@@ -73,10 +74,11 @@
             return None
 
     def write_sessions(self, sessions: Sessions) -> None:
+        """Write the held sessions for the process that replaces this one."""
         self.lasting.write(SESSIONS, ENCODER.encode(sessions))
 
     def decrees(self) -> Decrees | None:
-        """What this member has promised and accepted; None where that is gone, or this is the first start."""
+        """What this member has promised and accepted; None if the file is lost or damaged, or at the first start."""
         path = os.path.join(self.lasting.path, DECREES)
         try:
             with open(path, "rb") as file:
@@ -87,7 +89,7 @@
             payloads = []
             for found in scan(data, 0, whole=True):
                 if isinstance(found, DamagedRange):
-                    # Danger: the row that is lost may be a promise that was answered.
+                    # The lost row may be a promise that was answered, so the whole table is unusable.
                     raise msgspec.DecodeError(f"damage at {found.at}")
                 payloads.append(found.payload)
             table = DECREES_FILE.decode(payloads[0])
@@ -98,9 +100,10 @@
             return None
 
     def write_decrees(self, table: Decrees) -> None:
+        """Replace the table of promises and accepted values."""
         rows = (ENCODER.encode(row) for row in table.rows)
         self.lasting.replace(DECREES, [ENCODER.encode(Decrees([], table.floors)), *rows])
 
     def add_decree(self, row: InstanceState) -> None:
-        """One row, behind the table that was written whole at the start."""
+        """Append one row to the table that was written at the start."""
         self.lasting.append(DECREES, ENCODER.encode(row))
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -1,4 +1,7 @@
-"""Sessions of a sender whose partition was adopted: who may claim them, and with which ids."""
+"""Sessions of a sender whose partition was adopted: who may claim them, and with which recent message ids.
+
+A part of `SessionRouter`. Times are microseconds of the boot clock.
+"""
 
 from loguru import logger
 
@@ -35,7 +38,7 @@
         self.memories[partition].heard(step, facts, now)
 
     def adopted(self, partition: int) -> None:
-        """A copy's messages are in the folder; its partition is held here under a new term."""
+        """Called when a partition is held here under a new term: keep the ids known from its copy for inheritance."""
         memory, now = self.memories.pop(partition, None), monotonic_time()
         owner = next((name for name in self.node.halls if slot_of(name) == partition >> EPOCH_BITS), "")
         if memory is None or self.node.gate.levels.get(owner, 0) < SUCCESSORS or owner == self.name:
@@ -53,19 +56,19 @@
         )
 
     def _newest_partition(self, name: str) -> int:
-        """Of a sender, as far as is known here; 0: none."""
+        """The newest partition of a sender that is known here; 0: none."""
         slot = slot_of(name)
         epoch = self.node.grantor.newest(slot)
         return slot << EPOCH_BITS | epoch if epoch >= 0 else 0
 
     def _successor(self, name: str) -> str:
-        """Who holds the newest partition of a sender that is gone; empty where nobody is known to."""
+        """The member that holds the newest partition of a sender that is gone; empty if none is known."""
         partition = self._newest_partition(name)
         grant = self.node.grantor.grant(right_of(partition))
         return grant.holder if partition and grant.holder != name and not grant.closed else ""
 
     def _inherit(self, key: int) -> bool:
-        """Whether a session whose last holder's partition is held here may be ruled on once more."""
+        """Claim a session whose last holder's partition is held here; returns whether to rule on it again."""
         now, entry = monotonic_time(), self.directory.entry(key, monotonic_time())
         partition = self._newest_partition(entry.holder) if entry is not None else 0
         estate, holding = self.estates.get(partition), self.store.holdings.get(partition)
@@ -82,7 +85,7 @@
         asking = self.directory.inherit(key, ids, now)
         if asking is None:
             return False
-        # Danger: what the last holder offers later and no copy had was never answered; it may be taken here meanwhile.
+        # Noted for `offered`: what no copy had was never answered, and may have been taken here since.
         estate.keys.add(key)
         self._ask_all(asking, SessionInheritance(asking.key, asking.sequence, *asking.over, partition, asking.at))
         self.counters.add("sessions inherited" if key in self.directory.sessions else "inheritances that failed")
@@ -103,7 +106,7 @@
         return self.directory.successor_claims(asking, by, holds, moved, now)
 
     def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
-        """Of what the last holder of an adopted partition offers, that which counts."""
+        """Filter what the last holder of an adopted partition offers: messages of inherited sessions may not count."""
         estate, soon = self.estates.get(holding.partition), self.clock.now() + 2 * LATE
         if estate is None or not estate.keys:
             return facts
@@ -112,10 +115,10 @@
             stored, known = self.store.messages.get(fact.number), holding.ledger.known.get(fact.number)
             if known is None:
                 if fact.base is not None and fact.base.turn in estate.keys:
-                    continue  # Danger: no copy had it, so its client saw no answer and may have come here with it
+                    continue  # no copy had it: its client saw no answer and may have come here with it
             elif stored is not None and stored.turn in estate.keys and known.end[0] is EndRank.NONE:
                 withdrawn = fact.known.end[0] is EndRank.NOTIFIED and not (fact.known.move and fact.known.move[1])
-                if withdrawn and stored.deadline > soon:  # later it may have been told 'failed' without a copy
-                    continue  # Danger: its client was turned away there, and may have been told +OK here since
+                if withdrawn and stored.deadline > soon:  # else maybe answered 'failed' without a copy
+                    continue  # its client was turned away there, and may have got +OK here since
             counts.append(fact)
         return counts
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -1,9 +1,8 @@
-"""The I/O of moves: what `migration_table.py` and `consensus.py` ask for, done with greenlets, peer messages, the
-folder and the dispatcher.
+"""The I/O of moves: carries out what `migration_table.py` and `consensus.py` decide, for `SessionRouter`.
 
-What touches the folder and the dispatcher at once is done between two of the dispatcher's rounds. A message on the
-move carries a mark in the ledger of its partition, for the successors, and in a file of this member, for its next
-boot: the sequence of its session, and `<` (it is given) or `>` (it is taken) before the name of the move.
+What touches both the message store and the dispatcher is done between two of the dispatcher's rounds. A message on the
+move carries a mark, in the ledger of its partition (for the successors) and in a file of this member (for its next
+boot): the sequence of its session, and `<` (given) or `>` (taken) before the name of the move. Times are microseconds.
 """
 
 from collections import deque
@@ -49,7 +48,7 @@
 
 
 class SessionMigrations(MigrationVotes, MigrationSource, MigrationTarget):
-    """The moves that this member has a side of. Nothing is done before `dispatcher` is set.
+    """The moves in which this member is giver or taker. `dispatcher` must be set before any call.
 
     Args:
         call: a peer message to another member and its answer within so many seconds; None where there is none.
@@ -58,7 +57,7 @@
     """
 
     def look(self, now: int) -> None:
-        """What the time asks for; never waits."""
+        """Do what is due now; called by the node at each turn, never waits."""
         self._look_at_marks(now)
         self.act(self.moves.due(now))
 
@@ -72,7 +71,7 @@
                 del stored[name]
 
     def under_way_here(self) -> bool:
-        """Whether a move from here is not over yet."""
+        """Whether a move that gives a session away from here is not over yet."""
         return any(
             move.giving in (SourceStage.FREEZING, SourceStage.OFFERED)
             or move.giving is SourceStage.FORWARDING
@@ -98,7 +97,7 @@
         self.act(acts)
 
     def answer(self, body: StageSession | PrepareRequest | AcceptRequest | MigrationDecided, now: int) -> Body:
-        """What another member is told about a move; `InvalidMoveNameError` where there cannot be such a one."""
+        """The answer to another member's message about a move; raises `InvalidMoveNameError`."""
         try:
             parts(body.move)
         except ValueError as error:
@@ -120,7 +119,7 @@
         return MigrationDecided(body.move, known or "", active)
 
     def act(self, acts: Iterable[MigrationStep]) -> None:
-        """Do what a move's rules say; what waits for something is done in a greenlet of its own."""
+        """Carry out steps of moves; those that wait for something run in greenlets of their own."""
         todo = deque(acts)
         now = monotonic_time()
         while todo:
@@ -163,7 +162,7 @@
             self.change()
 
     def open_move(self, key: int) -> bool:
-        """Whether this member has a side of a move of a session that is not decided, or not done."""
+        """Whether this member takes part in a move of this session that is undecided or not carried out yet."""
         move = self.moves.moves.get(self.moves.by_key.get(key, ""))
         return move is not None and (
             move.giving in (SourceStage.FREEZING, SourceStage.OFFERED)
@@ -197,7 +196,7 @@
             for giving, side, text in ((True, move.giving, GIVEN), (False, move.taking, TAKEN)):
                 open_side = side in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
                 if open_side and name not in self.sequences and text + name not in sides:
-                    self.moves.lost(name, giving)  # found before, and its partition is another's by now
+                    self.moves.lost(name, giving)  # found earlier; its partition has another holder by now
         if now - self.limits_at >= LOOK_LATE:
             self.limits_at = now
             self._answer_late()
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -1,8 +1,8 @@
-"""Sessions in service: who takes a client's submission, and which sessions move when.
+"""The session router of a member: which member takes a client's submission, and which sessions move when.
 
-What is settled, and why, stands in `sessions.py` and `migration_table.py`; how a move is done in
-`session_migration.py`. Peer messages wait here for frozen sessions and for copies, so they go over connections of
-their own: heartbeats and leases must not stand behind them.
+The rules are in `sessions.py` and `migration_table.py`, the I/O of a move in `session_migration.py`. Peer messages
+about sessions may wait for frozen sessions and for copies, so they use connections of their own: heartbeats and lease
+requests must not queue behind them. Times are microseconds unless stated otherwise.
 """
 
 import time
@@ -44,12 +44,12 @@
 from cedarwick.ops.commands import Call
 from cedarwick.ops.management import ManagementCommands
 
-GOSSIP = 250_000  # microseconds between two peer messages of news to each member
+GOSSIP = 250_000  # microseconds between two peer messages of session locations to each member
 MIN_GOSSIP_SESSIONS = 256  # sessions in one peer message at least: a 40th of all that are held, and so all in 10 s
 MAX_GOSSIP_SESSIONS = 4096
 WISHES = 256  # looked at in one turn
 HANDED_OVER = 5_000_000  # microseconds after the end of a process in which its successor goes on with its sessions
-MOVED_IN = 1.5  # seconds in which staff are told what became of a move
+MOVED_IN = 1.5  # seconds that `MOVE` waits for the result of a move
 
 
 class InvalidMoveError(CedarwickError):
@@ -74,7 +74,7 @@
 
 
 class SessionRouter(SessionSubmissions):
-    """Nothing is told or taken before `attach`."""
+    """Routes submissions and plans moves. Nothing is sent or taken before `attach`."""
 
     def __init__(self, node: SessionHost) -> None:
         super().__init__(node)
@@ -82,7 +82,7 @@
             node.copies.heard = self._copied
 
     def attach(self, staff: ManagementCommands, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
-        """Before the first peer message: from now on clients' submissions and the calls of staff come here."""
+        """Take clients' submissions and operators' `MOVE` commands; called before the first peer message."""
         self.dispatcher = self.transfers.dispatcher = dispatcher
         self.take_up()
         self.client_listener = client_listener
@@ -90,10 +90,11 @@
         staff.moves = self.moved_by_hand
 
     def stop(self) -> None:
+        """Close the connections to the other members."""
         self.lane.close()
 
     def replace(self) -> None:
-        """The node has another list of members."""
+        """Called when the node has a new list of members."""
         self.lane.replace(self.node.where)
         self.moves.voters = tuple(sorted(self.node.halls))
         self.directory.members = len(self.node.halls)
@@ -102,16 +103,16 @@
         """Go on with the sessions of the process that this one replaces, if it ended a moment ago."""
         left, now = self.transfers.files.take_sessions(), monotonic_time()
         age = time.time_ns() // 1000 - left.at if left is not None else 0
-        # Danger: a file that is older, or of the future, may speak of sessions that others hold by now.
+        # An older file, or one from the future, may name sessions that others hold by now.
         if left is not None and 0 <= age < HANDED_OVER:
             for each in left.held:
                 ids = {id: (then + age, hashed) for id, (then, hashed) in each.ids.items()}
                 self.directory.hold(each.key, each.sequence, ids, now)
-            self.partition = left.partition  # Danger: if that was adopted meanwhile, they may have been inherited
+            self.partition = left.partition  # if it was adopted meanwhile, `_bind` makes the sessions unsure
             logger.info("{} sessions of the process before go on", len(left.held))
 
     def hand_over(self) -> None:
-        """The process that replaces this one goes on with its sessions; OSError where that cannot be written."""
+        """Write the held sessions for the process that replaces this one; raises `OSError`."""
         now = monotonic_time()
         self._bind()
         held = [
@@ -123,16 +124,16 @@
         self.directory.sessions.clear()
 
     def leave(self) -> None:
-        """This sender ends: its sessions go to neighbours."""
+        """Begin to move all sessions to other members, since this sender ends."""
         self.leaving = True
 
     def left(self) -> bool:
-        """Whether no session is held or on its way any more, or nobody takes them."""
+        """Whether no move from here is under way, and no session is held that another member would take."""
         held = self.directory.sessions and any(each.takes for each in self._neighbours())
         return not held and not self.transfers.under_way_here()
 
     def heard(self, sender: str, incarnation: int, body: Body) -> Body | None:
-        """The answer to another member's peer message; None where it is not for this part."""
+        """The answer to another member's peer message; None if it is not about sessions."""
         now = monotonic_time()
         if isinstance(body, ForwardedSubmit):
             return self._passed(sender, body)
@@ -142,7 +143,7 @@
             return self._lodgings((), first)
         if isinstance(body, SessionClaim):
             asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
-            # Danger: a move that is decided late would make a second holder beside the one that claims.
+            # Refused during a move: decided late, it would make a second holder beside the claimer.
             moving = self.transfers.open_move(body.key)
             claim = Claim(False, None) if moving else self.directory.claimed(asking, sender, now)
             return ClaimReply(claim.granted, lodging_of(claim.entry))
@@ -157,7 +158,7 @@
         return None
 
     def look(self, now: int) -> None:
-        """What the time asks for; never waits."""
+        """Do what is due now; called by the node at each turn, never waits."""
         self._bind()
         for name in self.node.halls:
             if name == self.name or self.node.members.state(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
@@ -180,7 +181,7 @@
         self._see_ends()
 
     def _gossip(self, now: int) -> None:
-        # Danger: who slept would tell of sessions that others hold by now.
+        # Without a valid lease nothing is sent: after a long pause others may hold these sessions by now.
         most = (
             min(MAX_GOSSIP_SESSIONS, MIN_GOSSIP_SESSIONS + len(self.directory.sessions) // 40)
             if self.store.taking()
@@ -200,7 +201,7 @@
         now = monotonic_time()
         self._locations_heard(name, answer, now)
         self.transfers.learned(name, answer.stamp)
-        # Danger: who forgot its sessions, or those of others, must wait until no id of that time can come any more.
+        # Only if no member has run before: one that forgot sessions must wait until ids of that time cannot come again.
         if answer.first and self.lasting.first:
             self.new.add(name)
             if len(self.new) == len(self.node.halls) - 1 and self.directory.grants_at > now:
@@ -243,7 +244,10 @@
             self.transfers.begin(key, to, now)
 
     def moved_by_hand(self, call: Call) -> str:
-        """An operator wants a session elsewhere: `MOVE KEY SENDER`."""
+        """Carry out the command `MOVE KEY SENDER` and return its answer.
+
+        Raises `InvalidMoveError`, `SessionNotHeldError`, or `SessionNotMovedError` after `MOVED_IN` seconds.
+        """
         text, _, to = call.argument.partition(" ")
         try:
             key = int(text, 16) if len(text) <= 16 and text.isalnum() else 0
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -1,6 +1,6 @@
-"""What a member knows of sessions, and its calls to the others about them.
+"""What a member knows of sessions, and its peer messages about them: the base of the parts of `SessionRouter`.
 
-The base of the parts of `SessionRouter`.
+Times are microseconds of the boot clock (`monotonic_time`) unless a name ends in `_s` (seconds).
 """
 
 from typing import Literal, NamedTuple
@@ -39,10 +39,10 @@
 
 
 class InheritedSessions(NamedTuple):
-    """What this member knows of the ids of a partition that it has adopted."""
+    """The recent message ids of a partition that this member has adopted."""
 
     owner: str  # who took them
-    whole_at: int  # by the boot clock; before that ids of late may be missing
+    whole_at: int  # by the boot clock; until then recent ids may be missing
     ids: dict[int, dict[str, tuple[int, int]]]  # by session: when they came, and the hash of what came with them
     keys: set[int]  # inherited
 
@@ -69,8 +69,8 @@
         self.pending: dict[str, Submission] = {}  # by id: at the dispatcher
         self.wishes: dict[int, tuple[MigrationRequest, int]] = {}  # and until when
         self.ends: dict[int, gevent.event.AsyncResult] = {}  # by key: staff wait for the end of its move
-        self.neighbours: dict[str, SessionLocations] = {}  # what each member told last
-        self.first_seen: dict[str, int] = {}  # by member: the first boot of it that was heard of
+        self.neighbours: dict[str, SessionLocations] = {}  # what each member sent last
+        self.first_seen: dict[str, int] = {}  # by member: its first boot known here
         self.new: set[str] = set()  # members that have never run before, and know of no earlier boot of this one
         self.void: set[str] = set()  # members whose sessions were given up
         self.gossiped_at = self.forgot_at = 0
@@ -79,7 +79,7 @@
         self.estates: dict[int, InheritedSessions] = {}  # by partition that was adopted here
 
     def _standing(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
-        """As `Moves.standing`, but that a session which has come back is here."""
+        """As `Moves.standing`, except that a session which has moved away and come back is here."""
         there, to = self.moves.standing(key)
         return ("here", "") if there == "pass" and key in self.directory.sessions else (there, to)
 
@@ -87,7 +87,7 @@
         return name != self.name and self.node.members.state(monotonic_time(), name) is MemberStatus.ALIVE
 
     def _wait(self, until: int) -> bool:
-        """Whether something has changed before a time."""
+        """Wait until `until` for a change; returns whether there was one."""
         return self.changed.wait(max(0, until - monotonic_time()) / SECOND) is True
 
     def _change(self) -> None:
@@ -95,7 +95,7 @@
         changed.set()
 
     def _bind(self) -> None:
-        """Before anything is ruled on: sessions are held for sure in one partition alone."""
+        """Called before each ruling: after a change of the open partition no held session is certain any more."""
         current = self.store.current
         if current is not None and current.partition != self.partition:
             if self.partition:
@@ -118,9 +118,9 @@
         return None
 
     def _claim(self, key: int) -> bool:
-        """Whether the session may be ruled on once more: it was claimed, or its holder is known now."""
-        # Danger: until the next partition is held a successor of the last one may still be granted what is claimed
-        # anew.
+        """Claim a session from all members; returns whether a claim was made, so that it can be ruled on again."""
+        # Only while messages can be taken: until the next partition is held, a successor of the last one may still be
+        # granted a session that is claimed anew here.
         asking = self.directory.claim(key, monotonic_time()) if self.store.taking() else None
         if asking is None:
             return False
@@ -129,7 +129,7 @@
         return True
 
     def _ask_all(self, asking: ClaimRequest, body: SessionClaim | SessionInheritance) -> None:
-        """Put a claim to all others; returns once it is granted, or all have answered, or its time is over."""
+        """Send a claim to all others; returns once it is granted, all have answered, or `CLAIM` has passed."""
         over = gevent.event.Event()
         others = [name for name in self.node.halls if name != self.name]
         answered: list[str] = []
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -1,4 +1,7 @@
-"""Clients' submissions: taken here, or passed on to the member that holds the session."""
+"""Clients' submissions: taken here, or passed on to the member that holds the session.
+
+A part of `SessionRouter`. Times are microseconds unless stated otherwise.
+"""
 
 from collections.abc import Callable
 
@@ -38,10 +41,10 @@
 
 
 class SessionSubmissions(SessionInheritances):
-    """What becomes of a client's submission."""
+    """Takes or forwards submissions, and answers those that other members forward."""
 
     def hand_in(self, stored: StoredMessage) -> SubmitResult:
-        """What becomes of a client's submission; in the greenlet of its connection."""
+        """Take or forward a client's submission; runs in its connection's greenlet. Begins no step after `PATIENCE`."""
         if not stored.turn:
             return self.client_listener.to_dispatcher(stored)
         began = monotonic_time()
@@ -101,16 +104,16 @@
         return BUSY
 
     def _take(self, stored: StoredMessage, hashed: int, ruling: ClaimRuling, now: int) -> SubmitResult | None:
-        """Of a session that is held here; None where it was frozen meanwhile."""
+        """Take a submission of a session that is held here; None if the session was frozen meanwhile."""
         pending = self.pending.get(stored.id)
         if ruling is ClaimRuling.REPEATED:
             return AdmissionResult.REPEATED, 0, None
         if ruling is ClaimRuling.SAME:
-            # Danger: one that is passed on twice must not be told it was turned away when the first was taken.
+            # A submission that was passed on twice gets the answer of the first, not a refusal.
             answered, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.KEPT, 0)
             return None if answered is AdmissionResult.FROZEN else (answered, wait_ms, None)
         if not self.store.taking():
-            return BUSY  # Danger: who is cut off may not have heard that the session has another holder
+            return BUSY  # cut off, it may not know that the session has another holder
         self.directory.took(stored.turn, stored.id, hashed, now)
         submission = self.pending[stored.id] = Submission(stored)
         try:
@@ -126,7 +129,7 @@
         return answered, wait_ms, (lambda: self._withdraw(submission)) if taken else None
 
     def _withdraw(self, submission: Submission) -> None:
-        # Danger: handed in again the id would be told +OK, of a message that is no more.
+        # Otherwise the same id, submitted again, would get +OK for a message that is no more.
         session = self.directory.sessions.get(submission.message.turn)
         if session is not None and submission.message.id in session.ids:
             session.ids[submission.message.id] = session.ids[submission.message.id][0], UNKNOWN
@@ -135,9 +138,9 @@
     def _pass(
         self, stored: StoredMessage, to: str, until: int, moved: bool, gone: Entry | None
     ) -> ForwardReply | SubmitResult:
-        """The holder's answer; `BUSY` where it surely has taken nothing, `UNSURE` where nobody can tell.
+        """Forward a submission and return the answer; `BUSY` if surely nothing was taken, `UNSURE` if it may have been.
 
-        `gone`: the holder is dead, and `to` has its partition.
+        `until`: when to give up. `gone`: the entry of a dead holder whose partition `to` has.
         """
         sure = True
         while (left := until - monotonic_time()) > LEAST:
@@ -177,7 +180,7 @@
         return recall
 
     def _passed(self, sender: str, body: ForwardedSubmit) -> ForwardReply:
-        """Another member passes a client's submission on."""
+        """Answer a submission that another member passes on."""
         until = monotonic_time() + min(body.within, WAITS)
         limit = self.clock.now() + body.left
         stored = StoredMessage(
--- a/cedarwick/fleet/session_wire.py
+++ b/cedarwick/fleet/session_wire.py
@@ -1,4 +1,4 @@
-"""Sessions from and to peer messages."""
+"""Conversion between session entries and their form in peer messages."""
 
 from cedarwick.fleet.messages import (
     SessionLocation,
@@ -11,13 +11,15 @@
 
 
 def hash_of(stored: StoredMessage) -> int:
-    """What came with an id; the same wherever it comes."""
+    """The hash of a submission's contents; the same at every member."""
     return contents(stored.key, stored.priority_class, stored.tenant, stored.destination, stored.body or b"")
 
 
 def entry_of(location: SessionLocation | None) -> Entry | None:
+    """The entry in a peer message; None for none."""
     return Entry(location.key, location.holder, location.sequence, location.age) if location is not None else None
 
 
 def lodging_of(entry: Entry | None) -> SessionLocation | None:
+    """An entry as it is sent in peer messages; None for none."""
     return SessionLocation(*entry) if entry is not None else None
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -3,14 +3,14 @@
 A session has a key (64 bits; 0: none), one holder and a sequence that grows by one with each change of its holder. Who
 holds it alone takes its submissions, and it alone remembers their ids. Everybody else keeps an `Entry`, perhaps old:
 
-- A wrong guess costs one hop: a submission that was passed on is not passed on again. Who gets it and does not hold the
-  session takes nothing, but names the entry it knows, or disowns the session where it should be the holder and is not;
-  who passed it may pass it once to a holder so named, or claim what was disowned; else the client gets -BUSY.
-- Who knows of no holder claims the session: it asks all members, and opens it once a majority, itself counted, has
-  granted that. A grant is an entry, so a second claimer learns of the first: no id can be taken twice while a majority
-  remembers, that is for `FORGOTTEN` after the session's last use. A member that has just started neither grants,
-  claims nor disowns until ids of the time before can't come any more (`REMEMBERED`).
-
+- A wrong guess costs one hop: a submission that was passed on is not passed on again. A member that gets one without
+  holding the session takes nothing. It answers with the entry it knows, or disowns the session if it is thought to be
+  the holder and is not. The member that passed it on may pass it once to the holder so named, or claim a disowned
+  session; otherwise the client gets -BUSY.
+- A member that knows of no holder claims the session: it asks all members, and opens it once a majority (itself
+  counted) has granted the claim. A grant is an entry, so a second claimer learns of the first: no id can be taken twice
+  while a majority remembers, that is for `FORGOTTEN` after the session's last use. A member that has just started does
+  not grant, claim or disown until ids from before cannot come any more (`REMEMBERED`).
 - The member that took over a sender's partition may *inherit* its sessions at once, where it knows the recent ids
   (`recent_ids.py`). Each acceptor of that claim grants it only if, as far as it knows, the claimer holds the newest
   partition of the lost sender, nobody else holds the session, and no move of it was voted on recently: ids that came
@@ -20,9 +20,9 @@
 - So a sender that has lost its partition is sure of none of its sessions (`unsure`): once it has the next partition it
   claims each of them anew before it takes anything more, and goes on with the ids that it knows.
 
-The caller takes nothing for a session while it has no lease on its own partition: one that is cut off might not hear
-that its sessions were claimed or adopted. Held sessions must be sent to all others in turn (`news`) within
-`REMEMBERED`.
+The caller takes nothing for a session while it has no lease on its own partition: cut off, it might not learn that its
+sessions were claimed or adopted. Held sessions must be sent to all others in turn (`news`) within `REMEMBERED`. Times
+are microseconds of a clock that the caller gives.
 """
 
 from collections.abc import Iterable
@@ -60,6 +60,8 @@
 
 @dataclass(slots=True)
 class KnownHolder:
+    """What this member knows of a session's holder."""
+
     holder: str
     sequence: int
     used: int
@@ -68,11 +70,11 @@
 
 @dataclass(slots=True)
 class Session:
-    """One that is held here."""
+    """A session that is held here."""
 
     sequence: int
     used: int
-    ids: dict[str, tuple[int, int]] = field(default_factory=dict)  # of late: when, and the hash of what came with it
+    ids: dict[str, tuple[int, int]] = field(default_factory=dict)  # recent ones: when, and the hash of the contents
     sure: bool = True  # nobody can have inherited it
 
 
@@ -101,11 +103,13 @@
     key: int
     sequence: int
     over: tuple[int, str]  # sequence and holder of the entry that is void; (0, "") for none
-    at: int  # when, by the claimer's clock: tells its claims apart
+    at: int  # when, by the claimer's clock: identifies the claim
 
 
 @dataclass(slots=True)
 class PendingClaim:
+    """A claim of this member that is under way, with the members that have granted it."""
+
     asking: ClaimRequest
     until: int
     granted: set[str]
@@ -125,12 +129,12 @@
         self.name = name
         self.members = members
         self.grants_at = now if alone else now + REMEMBERED
-        self.entries: dict[int, KnownHolder] = {}  # the newest heard of or used last
+        self.entries: dict[int, KnownHolder] = {}  # in the order of their last change or use
         self.sessions: dict[int, Session] = {}
         self.claims: dict[int, PendingClaim] = {}
         self.fresh: dict[int, None] = {}  # changed here and not sent yet
         self.round: list[int] = []  # of the held ones, those that are to be sent again
-        self.inherited: dict[int, tuple[int, str, str]] = {}  # granted of late: when, to whom, and whose it was
+        self.inherited: dict[int, tuple[int, str, str]] = {}  # granted recently: when, to whom, and from whom
 
     def where(self, key: int) -> str | None:
         """The holder of a session as far as is known."""
@@ -140,7 +144,7 @@
     def entry(self, key: int, now: int) -> Entry | None:
         """What is known of a session, to be sent to another member."""
         known = self.entries.get(key)
-        # Danger: a claim that was granted here alone would be taken for a holder, by the real one for its successor.
+        # Only confirmed: a claim granted here alone would look like a holder, to the real holder like its successor.
         if known is None or not known.confirmed:
             return None
         return Entry(key, known.holder, known.sequence, max(0, now - known.used))
@@ -150,7 +154,7 @@
     def rule(self, key: int, message: str, hashed: int, passed: bool, now: int) -> ClaimRuling:
         """What to do with a submission of a session (key not 0); `passed`: by another member, not by a client."""
         session = self.sessions.get(key)
-        # Danger: who has not used a session for long may be the last to believe that it holds it.
+        # A session unused for long may have been forgotten by the others and claimed anew.
         if session is not None and session.used >= now - LAPSES:
             if not session.sure:
                 return ClaimRuling.BUSY if self.claiming(key, now) else ClaimRuling.CLAIM
@@ -158,8 +162,8 @@
             if known is None or known[0] < now - REMEMBERED:
                 return ClaimRuling.TAKE
             return ClaimRuling.SAME if known[1] == hashed else ClaimRuling.REPEATED
-        # Danger: two members that take one another for the holder would pass it to and fro; and one that took it,
-        # because it is thought to be the holder, would take an id that the real one has taken.
+        # Not passed on again: two members that think each other the holder would pass it to and fro. Not taken either:
+        # the real holder may have taken this id.
         if passed:
             return ClaimRuling.ELSEWHERE
         if self.claiming(key, now):
@@ -173,7 +177,7 @@
         return key in self.claims and self.claims[key].until > now
 
     def took(self, key: int, message: str, hashed: int, now: int) -> None:
-        """A submission of a session that is held here was taken."""
+        """Note that a submission of a session held here is taken, with its id and hash."""
         session = self.sessions[key]
         while session.ids and next(iter(session.ids.values()))[0] < now - REMEMBERED:
             del session.ids[next(iter(session.ids))]
@@ -186,7 +190,7 @@
 
     def elsewhere(self, key: int, now: int) -> Claim:
         """The answer to a submission that was passed to this member, which does not hold the session."""
-        # Danger: one that has lost its memory would disown what it took a moment ago, and another take it again.
+        # A member that has just restarted must not disown ids that it took a moment ago: another would take them again.
         disowned = self.grants_at <= now and self.where(key) in (None, self.name) and key not in self.claims
         return Claim(disowned, self.entry(key, now))
 
@@ -216,7 +220,8 @@
     def inherit(self, key: int, ids: dict[str, tuple[int, int]], now: int) -> ClaimRequest | None:
         """Begin to claim a session whose last holder's partition was adopted here; what to ask all other members.
 
-        The caller has found that nothing stands in the way here (`successor_claims`). `ids`: age and hash, all of late.
+        The caller has found that nothing stands in the way here (`successor_claims`). `ids`: age in microseconds and
+        hash of all recent ids.
         """
         known = self.entries.get(key)
         if known is None or self.grants_at > now or self.claiming(key, now):
@@ -228,7 +233,7 @@
         return asking
 
     def claimed(self, asking: ClaimRequest, by: str, now: int) -> Claim:
-        """Another member claims a session."""
+        """Answer another member's claim of a session; a grant is noted as an unconfirmed entry."""
         key = asking.key
         known = self.entries.get(key)
         theirs = asking.sequence, by
@@ -237,7 +242,7 @@
         if known is not None and now - known.used <= FORGOTTEN:
             if tuple(asking.over) < (known.sequence, known.holder) != theirs:
                 return Claim(False, self.entry(key, now))
-            # Danger: the claim of one that slept says nothing against who has opened the session meanwhile.
+            # A claimer that was paused cannot void the entry of a member that opened the session meanwhile.
             if asking.over[1] == by != known.holder:
                 return Claim(False, self.entry(key, now))
         own = self.claims.get(key)
@@ -250,7 +255,7 @@
         return Claim(True, None)
 
     def successor_claims(self, asking: ClaimRequest, by: str, holds: bool, moved: bool, now: int) -> Claim:
-        """Another member, or this one, is to inherit a session.
+        """Answer the claim of a member (perhaps this one) that wants to inherit a session.
 
         Args:
             holds: as far as is known here `by` holds the newest partition of the last holder.
@@ -261,7 +266,7 @@
             return Claim(False, self.entry(key, now))
         if key in self.sessions and (self.sessions[key].used >= now - LAPSES or by == self.name):
             return Claim(False, self.entry(key, now))
-        # Danger: a successor's successor, or a second one, knows nothing of the ids that came by inheritance.
+        # A second successor, or a successor's successor, does not know the ids that came by inheritance.
         if self.bars(key, by, now):
             return Claim(False, self.entry(key, now))
         if known is not None and (
@@ -275,15 +280,15 @@
         return Claim(True, None)
 
     def bars(self, key: int, giver: str, now: int, known: bool = True) -> bool:
-        """Whether this member has granted an inheritance of late: it votes for no other giver's move of the session.
+        """Whether a recently granted inheritance forbids this member to vote on another giver's move of the session.
 
-        `known`: it had heard of the move before it started, or its giver lives, and so holds its partition.
+        `known`: it knew of the move before it started, or the giver is alive and so holds its partition.
         """
-        # Danger: what was granted before a restart is forgotten.
+        # What was granted before a restart is not known here.
         if not known and self.grants_at > now and giver != self.name:
             return True
         at, by, _ = self.inherited.get(key, (0, giver, ""))
-        if not key:  # a member of an older level does not tell which session it asks for
+        if not key:  # a member of an older level does not send the session
             return any(of == giver and at >= now - REMEMBERED for at, _, of in self.inherited.values())
         return by != giver and at >= now - REMEMBERED
 
@@ -295,25 +300,25 @@
         known = self.entries.get(key)
         if known is None or known.sequence < sequence:
             return False
-        # Danger: the giver may have told all of the new holder before this one has heard that it is.
+        # The giver may have named this member to all others before it has learned that it is the holder.
         return key in self.sessions if known.holder == self.name else known.holder != giver
 
     def unsure(self) -> None:
-        """The partition of this member was adopted: each session that it holds may have been inherited."""
+        """Mark all held sessions: this member's partition was adopted, so each may have been inherited."""
         for session in self.sessions.values():
             session.sure = False
 
     def answered(self, asking: ClaimRequest, by: str, answer: Claim, now: int) -> bool:
-        """An answer to the own claim; True: the session is held here from now on."""
+        """Note an answer to a claim of this member; True: the session is held here from now on."""
         claim = self.claims.get(asking.key)
         if answer.entry is not None:
             if asking.over[1] == self.name != answer.entry.holder and claim is not None and claim.asking == asking:
-                # Danger: opened anew by somebody who had forgotten this member, it may have a smaller sequence.
+                # Opened anew by a member that had forgotten this one, the session may have a smaller sequence.
                 for known in (self.sessions, self.entries, self.claims):
                     known.pop(asking.key, None)
             self.heard([answer.entry], now)
         claim = self.claims.get(asking.key)
-        # Danger: the answer to an earlier claim says nothing of who has claimed since.
+        # The answer to an earlier claim says nothing about claims made since.
         if claim is None or claim.asking != asking or claim.until <= now or not answer.granted:
             return False
         claim.granted.add(by)
@@ -346,7 +351,7 @@
         self.fresh[key] = None
 
     def ids(self, key: int, now: int) -> dict[str, tuple[int, int]]:
-        """The ids of late of a session that is held here, for its next holder: id -> (age, hash of contents)."""
+        """The recent ids of a session held here, for its next holder: id -> (age in microseconds, hash of contents)."""
         session = self.sessions.get(key)
         return (
             {}
@@ -355,14 +360,13 @@
         )
 
     def gone(self, key: int, holder: str, sequence: int, now: int) -> None:
-        """A session that was held here has another holder, whose sequence is known."""
+        """Note that a session that was held here has another holder, and its sequence there."""
         self.sessions.pop(key, None)
         if self._know(key, holder, sequence, now):
             self.fresh[key] = None
 
     def without(self, holder: str, now: int) -> None:
-        """A member is dead and its partition adopted: what the adopter has not claimed may be claimed by anybody once
-        ids of that time can't come any more."""
+        """Age the entries of a dead member: any member may claim its sessions once `REMEMBERED` has passed."""
         for known in self.entries.values():
             if known.holder == holder:
                 known.used = min(known.used, now - FORGOTTEN + REMEMBERED)
@@ -384,7 +388,7 @@
         return [each for each in entries if each is not None]
 
     def heard(self, entries: Iterable[Entry], now: int) -> None:
-        """Join entries of another member; any order, any number of times."""
+        """Join entries of another member; in any order, any number of times."""
         for entry in entries:
             if 0 < entry.key < 1 << 64 and entry.sequence > 0 and 0 <= entry.age <= FORGOTTEN and entry.holder:
                 self._know(entry.key, entry.holder, entry.sequence, now - entry.age)
@@ -410,7 +414,7 @@
         if known is not None and not changed and used <= known.used:
             return False
         if changed and holder != self.name and key in self.sessions:
-            # Danger: it moved on, or was adopted, while this member slept; it must not take ids any more.
+            # It moved on or was adopted during a pause of this member, which must not take ids for it any more.
             del self.sessions[key]
         self.entries.pop(key, None)
         confirmed = confirmed or known is not None and not changed and known.confirmed
--- a/cedarwick/fleet/suspensions.py
+++ b/cedarwick/fleet/suspensions.py
@@ -32,7 +32,7 @@
 
 
 def newer(one: SuspensionMark, other: SuspensionMark) -> bool:
-    """Whether a row stands against another of its receiver; of two under one version the one that is out."""
+    """Whether `one` wins over `other`, a row of the same receiver; of equal versions the suspended one does."""
     return (one.counter, one.member, one.calls) > (other.counter, other.member, other.calls)
 
 
@@ -57,6 +57,7 @@
         self._offered: tuple[SuspensionMark, ...] | None = None
 
     def saved(self) -> SavedMarks:
+        """What is to be saved over restarts."""
         return SavedMarks(tuple(self.rows.values()), self.met_at, tuple(sorted(self.fresh)))
 
     def calls(self) -> dict[str, int]:
@@ -77,7 +78,7 @@
         return not row.calls and row.counter + KEEP < now
 
     def set(self, now: int, uid: str, calls: int) -> None:
-        """An operator has said so here."""
+        """Note an operator's command at this member; `now`: wall microseconds, `calls`: 0 to restore."""
         before = self.rows[uid].counter if uid in self.rows else 0
         self._put(SuspensionMark(uid, min(max(now, before + 1), LAST), self.me, min(calls, MOST_CALLS)), fresh=True)
 
@@ -87,7 +88,7 @@
         self._offered = None
 
     def noticed(self, now: int, calls: Mapping[str, int]) -> list[str]:
-        """What the member's own file says, which another process of it may have changed; the uids that differ."""
+        """Take over the member's own file, which another process may have changed; returns the uids that differ."""
         mine = self.calls()
         changed = sorted(uid for uid in mine.keys() | calls.keys() if mine.get(uid, 0) != calls.get(uid, 0))
         for uid in changed:
@@ -95,30 +96,30 @@
         return changed
 
     def doubt(self, saved: Mapping[str, int]) -> None:
-        """The versions are lost and these receivers are out: they stay so until a member that knows says otherwise."""
+        """Start without versions: these receivers stay suspended until a member with newer rows restores them."""
         self.rows = {uid: SuspensionMark(uid, 0, "", calls) for uid, calls in saved.items()}
         self.met_at, self.fresh, self._offered = 0, set(), None
 
     def merge(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
-        """Merge rows of another member; the uids of those that changed here."""
+        """Merge rows of another member; returns the uids that changed here."""
         changed = []
         for row in rows:
             known = self.rows.get(row.uid)
-            # Danger: a tombstone that is forgotten here would come back from each member that still has it.
+            # Old tombstones are skipped: those forgotten here would come back from each member that still has them.
             if self._over(now, row) or (known is not None and not newer(row, known)):
                 continue
             if known is None and len(self.rows) >= MOST:
-                continue  # Danger: the map would grow with whatever the others say
+                continue  # bounds the map, whatever the others send
             self._put(row, fresh=self.asleep)
             changed.append(row.uid)
         return changed
 
     def met(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
-        """All that a member has which is not asleep; the uids that changed here."""
+        """Merge all rows of a member that is not asleep; returns the uids that changed here."""
         theirs = {row.uid: row for row in rows}
         dropped = []
         if self.asleep:
-            # Danger: a member that slept would bring back what was restored and forgotten meanwhile.
+            # After a long absence this member would bring back suspensions that were lifted and forgotten meanwhile.
             dropped = sorted(self.calls().keys() - self.fresh - theirs.keys())
             for uid in dropped:
                 del self.rows[uid]
@@ -128,7 +129,7 @@
         return dropped + changed
 
     def awake(self, now: int) -> None:
-        """Nobody knows more than this member."""
+        """Note that this member is up to date with the others."""
         self.met_at, self.asleep, self._offered = now, False, None
 
     def offered(self) -> tuple[SuspensionMark, ...]:
@@ -149,7 +150,7 @@
         return len(self.calls().keys() - {row.uid for row in self.offered()}) if not self.asleep else 0
 
     def whole(self) -> bool:
-        """Whether what is not offered here is not out anywhere."""
+        """Whether `offered` is complete, so that a receiver missing from it is not suspended."""
         return not self.asleep and len(self.offered()) == len(self.rows)
 
     def digest(self) -> int:
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -31,7 +31,7 @@
 
 
 class TakeoverStage(Enum):
-    """How a member stands to a partition."""
+    """What a member does with a partition; see the module's docstring."""
 
     FOLLOWING = "following"
     WAITING = "waiting"
@@ -72,9 +72,10 @@
 
 
 class Takeover:
-    """One partition at one member. `term`: the newest that the folder says this member has held it in, 0 for a copy.
+    """One partition at one member.
 
-    `resume`: at boot, for a partition that the folder says this member held, and for one that it opens.
+    `term`: the newest in which this member has held it, by its files; 0 for a copy.
+    `resume`: set at boot for a partition that this member held by its files, and for one that it opens.
     `open`: new messages are taken in it, so it is not closed while it is empty.
     """
 
@@ -91,10 +92,10 @@
         self._resume = resume
         self._imported = False
         self._away: tuple[str, int] | None = None  # the holder that is away, and since when
-        self._lost = 0  # when the right was lost, or not got
+        self._lost = 0  # when the lease was lost or refused
 
     def imported(self, now: int, successors: Collection[str]) -> None:
-        """The facts are in the own folder. `successors`: members with whole copies, in the order of takeover."""
+        """Note that the facts are stored here. `successors`: members with whole copies, in the order of takeover."""
         self._imported = True
         self.holder.name(now, successors)
 
@@ -147,7 +148,7 @@
         self, now: int, grant: Grant, promised: int, standing: Callable[[str], MemberStatus], whole: bool
     ) -> TakeoverStep:
         """Somebody else may hold it: follow, wait for the turn, or offer what only this member knows."""
-        # Danger: a term may be another's at the grantors that count and ours at our own; then the other one holds it.
+        # The own grantor may have granted a term to this member that a majority granted to another: that one holds it.
         term, holder = (grant.term, grant.holder) if grant.term > self.holder.newer[0] else self.holder.newer
         if whole and self._turn(now, grant, promised, standing, holder):
             self._resume = False
@@ -170,13 +171,13 @@
         elif self._away is None or self._away[0] != holder:
             self._away = (holder, now)
         if self._resume and holder in ("", self.me):
-            return True  # nobody was promised anything but we, in a boot before this one
-        # Danger: a copy that is no successor lacks attempts; grantors would refuse it, but its asks would use up terms.
+            return True  # only this member was promised anything, in an earlier boot
+        # A copy that is no successor may lack attempts. Grantors refuse it, but its requests would use up terms.
         if self.me not in grant.successors:
             return grant.set == 0 and self._held and now >= max(promised, self._lost + SPAN)
         before = grant.successors[: grant.successors.index(self.me)]
         place = sum(standing(name) not in AWAY for name in before)
-        # Danger: who was refused must let the promises to itself run out, or two successors would split each vote.
+        # After a refusal promises to this member must run out first, or two successors would split each vote for ever.
         quiet = max(promised, self._lost + SPAN if self._lost else 0)
         since = max(quiet, self._away[1]) if away and self._away else quiet + PATIENCE
         return now >= since + place * TURN
@@ -211,7 +212,7 @@
             return self.current
         if grantor.learning:
             return None
-        # Danger: a number that was used before would make two messages one.
+        # Above every epoch ever used: a message number used twice would make two messages one.
         epoch = max(grantor.newest(self.slot), self._newest) + 1
         if epoch >> EPOCH_BITS:
             raise BooksExhaustedError(f"{self.me}: all {1 << EPOCH_BITS} partitions of its slot have been opened")
--- a/cedarwick/fleet/transport.py
+++ b/cedarwick/fleet/transport.py
@@ -131,6 +131,7 @@
         self.keep_alive = False
 
     def on_message_begin(self) -> None:
+        """Raises `http.InvalidResponseError` for a second request in the same bytes."""
         if self.complete:
             raise http.InvalidResponseError("bytes after the request")
 
@@ -138,6 +139,7 @@
         self.url += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Note the size of the body; raises `ValueError` for one that is no number."""
         if name.lower() == b"content-length":
             self.size = int(value)
 
@@ -153,7 +155,7 @@
         self.keep_alive = self.parser.should_keep_alive()
 
     def feed(self, data: bytes) -> None:
-        """Read on; `http.InvalidResponseError` where it is no request, or its head is too long."""
+        """Parse more bytes; raises `http.InvalidResponseError` for what is no request, or for too long a head."""
         first = data if self.method else data[: LONGEST_HEAD - self.fed]
         self.fed += len(first)
         try:
@@ -174,7 +176,7 @@
     """Answers the peer messages of other members, each in the greenlet of its connection."""
 
     def __init__(self, where: Address, gate: PeerVerifier, counters: Counters, answer: Handling) -> None:
-        """Listens at once; OSError where the address cannot be had. Port 0: any; `port` is the one it got."""
+        """Bind and listen at once; raises `OSError`. With port 0 the system chooses; `port` is the one in use."""
         self.gate = gate
         self.counters = counters
         self.answer = answer
@@ -191,11 +193,11 @@
         self.http = StreamServer(listener, self._connection, spawn=Pool(MOST_CONNECTIONS))
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Begin to accept connections."""
         self.http.start()
 
     def stop(self, within_s: float = 0.5) -> None:
-        """Accept no more, let what is being answered end for so long, then close every connection."""
+        """Accept no more, wait up to `within_s` seconds for answers in progress, then close every connection."""
         self.http.close()
         end = time.monotonic() + within_s
         while self.busy and time.monotonic() < end:
@@ -215,7 +217,7 @@
                     % (status, len(data), b"" if stays else b"Connection: close\r\n", data)
                 )
                 if not stays:
-                    return  # Danger: the rest of a body that nobody wants would be read on for ever
+                    return  # closed, rather than reading the rest of an unwanted body
         except http.InvalidResponseError as error:
             self.counters.warning(
                 "a request on the fleet's address that cannot be read", NotAPeerMessageError(str(error))
@@ -230,7 +232,7 @@
     def _head(self, sock: gevent.socket.socket) -> HttpRequest | None:
         """A request with its whole head; None where none comes, or not in time."""
         request = HttpRequest()
-        # Danger: a caller that writes its head byte by byte would never meet the time limit of one read.
+        # One limit for the whole head: a caller that writes it byte by byte never exceeds the limit of a single read.
         end = time.monotonic() + SILENT + READ_WITHIN
         while not request.method:
             left = min(SILENT, end - time.monotonic())
@@ -284,14 +286,14 @@
             raise
         head.append(peer_message)
         self.gate.check(peer_message)
-        # Danger: those that wait for copies and frozen sessions would keep them out, and members' rights would lapse.
+        # Not these two: kept out by messages that wait for copies or frozen sessions, members' leases would run out.
         if many and not isinstance(peer_message.body, Heartbeat | LeaseRequest):
             raise TooManyRequestsError(f"{MOST_AT_ONCE} peer messages are being answered at {self.gate.me!r}")
         try:
             said = encode(self.answer(peer_message))
         except CedarwickError:
             raise
-        except Exception:  # one failing peer message must not end the link: beats and leases are still owed
+        except Exception:  # one failing peer message must not end the connection
             self.counters.failed("answering a peer message failed")
             raise AnswerFailedError(f"{self.gate.me!r} failed to answer a {type(peer_message.body).__name__}") from None
         if len(said) > MAX_MESSAGE_BYTES:
@@ -302,7 +304,7 @@
 
 
 def received(sock: gevent.socket.socket, within_s: float) -> bytes:
-    """What comes next; nothing at the end of a connection. TimeoutError, or another OSError."""
+    """The next bytes of a connection, none at its end; raises `TimeoutError` or another `OSError`."""
     if within_s <= 0:
         raise TimeoutError
     sock.settimeout(within_s)
@@ -311,7 +313,7 @@
 
 
 def read(request: HttpRequest, sock: gevent.socket.socket) -> bytes:
-    """A request's body, whole and in time; `RequestTimeoutError` and `InvalidPeerMessageError` otherwise."""
+    """The whole body of a request; raises `RequestTimeoutError` or `InvalidPeerMessageError`."""
     end = time.monotonic() + READ_WITHIN
     try:
         while not request.complete:
@@ -351,7 +353,7 @@
         self.idle: list[PooledConnection] = []  # the one used last is the next
         self.open: set[PooledConnection] = set()
         self.room = BoundedSemaphore(at_once)
-        # Danger: behind records that wait for a slow network, asks would come too late, and rights would run out.
+        # For heartbeats and lease requests: behind records on a slow network they would come too late.
         self.urgent = BoundedSemaphore(at_once)
         self.calls = 0
         self.gone = False
@@ -360,7 +362,7 @@
         return f"{self.name} at {self.address[0]}:{self.address[1]}"
 
     def connection(self, within_s: float) -> PooledConnection:
-        """An idle connection that still stands, or a new one; OSError where none comes up."""
+        """An idle connection that is still open, or a new one; raises `OSError`."""
         while self.idle:
             connection = self.idle.pop()
             if time.monotonic() - connection.used < IDLE_LIMIT and not is_closed(connection.sock):
@@ -371,6 +373,7 @@
         return connection
 
     def close(self, connection: PooledConnection) -> None:
+        """Close one connection."""
         self.open.discard(connection)
         connection.sock.close()
 
@@ -415,10 +418,10 @@
         return self.peer_message(member, body, within_s).body
 
     def peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
-        """The member's answer within so many seconds, the wait in the queue counted.
+        """The member's answer, within `within_s` seconds including the wait in the queue.
 
-        `PeerUnreachableError`: no answer, or none that can be read. `PeerRefusedError`: the member says why not.
-        `PeerMessageTooLargeError`: not sent.
+        Raises `PeerUnreachableError` without a readable answer, `PeerRefusedError` if the member refused, and
+        `PeerMessageTooLargeError` if the message was too large to be sent.
         """
         peer = self.peers.get(member)
         if peer is None:
@@ -448,7 +451,7 @@
         return self._judged(peer, status, answer)
 
     def _judged(self, peer: PeerPool, status: int, answer: PeerMessage) -> PeerMessage:
-        """An answer that is one of this member, for this sender."""
+        """Check that an answer is this member's and for this sender; raises as `peer_message`."""
         if isinstance(answer.body, RequestRefused):
             refusal = PeerRefusedError(f"{peer} refused: {answer.body.why} ({answer.body.code})")
             refusal.refused = answer.body
@@ -463,10 +466,7 @@
 
 
 def exchange(peer: PeerPool, peer_message: bytes, within_s: float) -> tuple[int, bytes]:
-    """Status and body of the answer to one peer message.
-
-    OSError and `http.InvalidResponseError` where there is none.
-    """
+    """Status and body of the answer to one peer message; raises `OSError` or `http.InvalidResponseError`."""
     if peer.gone:
         raise ConnectionAbortedError("no member any more")
     connection = peer.connection(within_s)
@@ -487,7 +487,7 @@
                 raise http.InvalidResponseError("the connection ended before the answer did")
             if len(data) > MAX_MESSAGE_BYTES:
                 raise http.InvalidResponseError(f"an answer of more than {MAX_MESSAGE_BYTES} bytes")
-        # Danger: bytes behind this answer would be read as that to the next peer message; `keep_alive` is false then.
+        # False if bytes follow the answer: they would be read as the answer to the next message.
         whole = answer.keep_alive
     finally:
         if whole:
