--- a/cedarwick/adapter/__init__.py
+++ b/cedarwick/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions behind the simulator's wire protocol."""
+"""Connects the decisions to the simulator's wire protocol, on standard input and output."""
--- a/cedarwick/adapter/codec.py
+++ b/cedarwick/adapter/codec.py
@@ -1,6 +1,6 @@
-"""Frames and records of the simulator's wire: little-endian, without padding.
+"""Encodes and decodes the frames and records of the simulator's wire: little-endian, without padding.
 
-Milliseconds of the wire become whole microseconds here and nowhere else.
+The wire has times in milliseconds; this module alone converts them from and to whole microseconds. Used by `host.py`.
 """
 
 import struct
@@ -12,7 +12,7 @@
 
 BATCH_HEADER = struct.Struct("<dII")
 REPLY_HEADER = struct.Struct("<II")
-MAX_TEXT_BYTES = 0xFFFF  # of a log line or a reason; the rest is cut off
+MAX_TEXT_BYTES = 0xFFFF  # of a log line or a reason; longer texts are truncated
 ENTRY = struct.Struct("<IBBHBfd")
 
 OUTCOMES = {
@@ -37,7 +37,7 @@
 
 
 def micros(millis: float) -> int:
-    """Whole microseconds of a time in milliseconds."""
+    """Convert milliseconds to whole microseconds; raises `WireError` for NaN and infinities."""
     try:
         return round(millis * 1000)
     except (ValueError, OverflowError):
@@ -45,14 +45,14 @@
 
 
 class Cursor:
-    """Reads fields one after another and refuses to run past the end."""
+    """Reads fields from a buffer one after another; raises `WireError` at its end."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.at = 0
 
     def fields(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """The next fields of a fixed layout. Raises `WireError`."""
+        """Read the fields of a fixed layout. Raises `WireError`."""
         end = self.at + layout.size
         if end > len(self.data):
             raise WireError(f"a record runs past its frame at byte {self.at}")
@@ -61,7 +61,7 @@
         return values
 
     def raw(self, size: int) -> bytes:
-        """The next bytes as they are. Raises `WireError`."""
+        """Read `size` bytes. Raises `WireError`."""
         end = self.at + size
         if end > len(self.data):
             raise WireError(f"a record runs past its frame at byte {self.at}")
@@ -114,9 +114,9 @@
 
 
 def read_batch(stream: BinaryIO) -> tuple[int, int, bytes] | None:
-    """The clock in microseconds, record count and body of the next batch; None at a clean end of input.
+    """Read the next batch: clock in microseconds, record count and body; None at the end of input.
 
-    Raises `WireError` where input ends inside a batch.
+    Raises `WireError` if input ends inside a batch.
     """
     header = stream.read(BATCH_HEADER.size)
     if not header:
@@ -131,7 +131,7 @@
 
 
 def records(count: int, body: bytes) -> Iterator[tuple[int, tuple[Any, ...], Any]]:
-    """Each record as its code, its fixed fields and what follows them. Raises `WireError`."""
+    """Decode each record of a batch: its code, its fixed fields and the variable part. Raises `WireError`."""
     cursor = Cursor(body)
     for _ in range(count):
         (code,) = cursor.fields(U8)
@@ -167,7 +167,7 @@
 
 
 def settings_of(text: bytes) -> dict[str, str]:
-    """The settings in a `power_on`, by name. Raises `WireError` where they are not UTF-8."""
+    """The settings in a `power_on`, by name. Raises `WireError` if they are not UTF-8."""
     try:
         lines = text.decode("utf-8").splitlines()
     except UnicodeDecodeError:
@@ -177,32 +177,32 @@
 
 
 def hand_off(instance: int, message: int, receiver: int, time_out: int) -> bytes:
-    """Attempt a message at a receiver; `time_out` in microseconds."""
+    """Encode: attempt a message at a receiver; `time_out` in microseconds."""
     return struct.pack("<BIQId", 100, instance, message, receiver, time_out / 1000)
 
 
 def deny(instance: int, message: int, wait: int) -> bytes:
-    """Refuse a message; `wait`, until it may be handed in again, in microseconds."""
+    """Encode: refuse a message; `wait` in microseconds until the client may send it again."""
     return struct.pack("<BIQd", 60, instance, message, wait / 1000)
 
 
 def report_failure(instance: int, message: int) -> bytes:
-    """Write a message off."""
+    """Encode: give a message up."""
     return struct.pack("<BIQ", 90, instance, message)
 
 
 def free_links(instance: int, receiver: int) -> bytes:
-    """Close the idle connections to a receiver."""
+    """Encode: close the idle connections to a receiver."""
     return struct.pack("<BII", 50, instance, receiver)
 
 
 def subscribe(instance: int) -> bytes:
-    """Ask for updates of the list."""
+    """Encode: ask for updates of the receiver list."""
     return struct.pack("<BIB", 80, instance, 1)
 
 
 def sleep(instance: int, span: int, mark: int) -> bytes:
-    """Ask for a wake-up after `span` microseconds, which brings `mark` back."""
+    """Encode: ask for a wake-up after `span` microseconds, which will carry `mark`."""
     return struct.pack("<BIdI", 110, instance, span / 1000, mark)
 
 
@@ -212,16 +212,16 @@
 
 
 def write_log(instance: int, text: str) -> bytes:
-    """Write a line to the simulator's log."""
+    """Encode: write a line to the simulator's log."""
     return _text(40, instance, text)
 
 
 def bail_out(instance: int, text: str) -> bytes:
-    """Give an instance up, with the reason."""
+    """Encode: end an instance after an error, with the reason."""
     return _text(10, instance, text)
 
 
 def reply(actions: list[bytes]) -> bytes:
-    """A whole reply frame."""
+    """Encode a reply frame with these encoded actions."""
     body = b"".join(actions)
     return REPLY_HEADER.pack(len(actions), len(body)) + body
--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -1,4 +1,7 @@
-"""Runs many independent instances of the decisions behind the simulator's wire."""
+"""Runs many independent instances of the decisions behind the simulator's wire; times are in microseconds.
+
+Called by `python -m cedarwick.adapter`.
+"""
 
 from collections.abc import Iterator
 from typing import Any, BinaryIO
@@ -13,26 +16,29 @@
 
 
 class Instance:
-    """One sender's life, its open handles and the wake-up it has asked for."""
+    """One simulated sender: its decisions, the handles of its open messages and the wake-up it has asked for."""
 
     def __init__(self, sender: Sender) -> None:
         self.sender = sender
         self.handles: dict[int, Handle] = {}
         self.wake_at: int | None = None
         self.mark = 0
-        self.notes_dropped = 0  # of other senders: the decisions use none, so all of them
-        self.notes_logged = 0  # of those dropped, the count in the last log line
+        self.notes_dropped = 0  # datagrams of other senders, all dropped: the decisions use none
+        self.notes_logged = 0  # `notes_dropped` at the last log line
 
 
 class Host:
-    """Turns batches into calls and results into replies."""
+    """Dispatches the records of each batch to the instances and encodes their decisions."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self.lists: dict[int, list[ListedEndpoint]] = {}
 
     def answer(self, now: int, count: int, body: bytes) -> bytes:
-        """The reply to one batch."""
+        """Apply `count` records at `now` microseconds and return the reply frame.
+
+        An instance that raises is ended with `bail_out`; `WireError` and `SettingError` end the process.
+        """
         touched: dict[int, None] = {}
         broken: dict[int, str] = {}
         for code, values, extra in codec.records(count, body):
@@ -128,7 +134,9 @@
             yield codec.hand_off(number, message, receiver, time_out)
         for line in verdicts.log_lines:
             yield codec.write_log(number, line)
-        if instance.notes_dropped >= max(1, 2 * instance.notes_logged):  # a line each would fill the log
+        if instance.notes_dropped >= max(
+            1, 2 * instance.notes_logged
+        ):  # at each doubling: a line for each would flood the log
             instance.notes_logged = instance.notes_dropped
             yield codec.write_log(number, f"notes dropped: {instance.notes_dropped}")
         if verdicts.subscribe:
--- a/cedarwick/ops/commands.py
+++ b/cedarwick/ops/commands.py
@@ -1,11 +1,14 @@
-"""The management address's line protocol and the counted suspensions: no sockets, no files, no clock."""
+"""The line protocol of the management address, and the counted suspensions. No sockets, files or clock.
+
+Used by `management_server.py` (parsing) and `management.py` (suspensions).
+"""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 from cedarwick.errors import CedarwickError
 
-MAX_LINE_BYTES = 256  # of a call with its line end; what is longer is refused and the connection closed
+MAX_LINE_BYTES = 256  # of a call with its line end; a longer one is refused and the connection closed
 MAX_FOLLOW_LINE_BYTES = 40 << 10  # of a FOLLOW with a filter and a subscriber's cursors
 ARGUMENT_COUNTS = {"STATUS": 0, "METRICS": 0, "SUSPEND": 1, "RESTORE": 1, "PAUSE": 0, "RESUME": 0, "MOVE": 2}
 SUBSCRIPTION_CALLS = ("FOLLOW", "UNFOLLOW")  # the rest of the line is their argument
@@ -43,9 +46,9 @@
 
 
 def parse(line: bytes) -> Call:
-    """The call on one line, given without its line end.
+    """Parse one line, given without its line end.
 
-    Raises `InvalidCallError` with what is wrong with the line.
+    Raises `InvalidCallError` if it is no valid call.
     """
     if len(line) > max_line_bytes(line):
         raise InvalidCallError("the line is too long")
@@ -70,7 +73,7 @@
 
 
 def max_line_bytes(line: bytes) -> int:
-    """How long a line that begins like this one may be, in bytes with its line end."""
+    """The most bytes, line end included, of a line with this beginning."""
     return MAX_FOLLOW_LINE_BYTES if line[:7].upper() == b"FOLLOW " else MAX_LINE_BYTES
 
 
--- a/cedarwick/ops/handover.py
+++ b/cedarwick/ops/handover.py
@@ -1,4 +1,7 @@
-"""The clients' listening socket that the platform holds open while one process replaces another."""
+"""The clients' listening socket that a process inherits when it replaces another; called at start-up.
+
+The platform holds the socket open meanwhile, so that no connection is refused.
+"""
 
 from collections.abc import Mapping
 
@@ -18,9 +21,9 @@
 
 
 def inherited_listener(environment: Mapping[str, str]) -> gevent.socket.socket | None:
-    """The listening socket whose descriptor `$RELAY_SOCKET_FD` names; None where it is not set.
+    """The listening socket whose descriptor `$RELAY_SOCKET_FD` names; None if it is not set.
 
-    Raises `InheritedSocketError` where the descriptor is no listening TCP socket over IPv4.
+    Raises `InheritedSocketError` if the descriptor is no listening TCP socket over IPv4.
     """
     text = environment.get(SOCKET_FD, "")
     if not text:
@@ -40,6 +43,6 @@
     except OSError:
         usable = False
     if not usable:
-        sock.detach()  # Danger: closing a descriptor that is not ours could end another file of the process.
+        sock.detach()  # without closing: the descriptor may belong to another part of the process
         raise InheritedSocketError(f"{SOCKET_FD} {text} is no listening TCP socket")
     return sock
--- a/cedarwick/ops/management.py
+++ b/cedarwick/ops/management.py
@@ -1,4 +1,7 @@
-"""The answers to management calls, from what the parts of the sender already hold."""
+"""The answers to management calls, from state that the parts of the sender already hold.
+
+Called by `management_server.py`, from the greenlet of the caller.
+"""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -11,7 +14,7 @@
 from cedarwick.ops.commands import SUBSCRIPTION_CALLS, Call, NotInFleetError, SessionsDisabledError, Suspensions
 from cedarwick.store.files import DiskError
 
-# An answer that goes on for as long as the caller stays connected, as that to FOLLOW.
+# Writes an answer for as long as the caller stays connected, such as that to FOLLOW.
 StreamingAnswer = Callable[[gevent.socket.socket], None]
 
 
@@ -30,21 +33,29 @@
 
 
 class PausableListener(Protocol):
-    """The client listener, as far as PAUSE and RESUME use it."""
+    """The part of the client listener that PAUSE and RESUME use."""
 
     paused: bool
 
-    def pause(self) -> None: ...
+    def pause(self) -> None:
+        """Stop accepting clients."""
+        ...
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Accept clients again."""
+        ...
 
 
 class SuspendableEndpoints(Protocol):
-    """The endpoint list, as far as SUSPEND and RESTORE use it."""
+    """The part of the endpoint list that SUSPEND and RESTORE use."""
 
-    def knows(self, uid: str) -> bool: ...
+    def knows(self, uid: str) -> bool:
+        """Whether the list names this receiver."""
+        ...
 
-    def set_suspended(self, uids: set[str]) -> None: ...
+    def set_suspended(self, uids: set[str]) -> None:
+        """Suspend exactly these receivers."""
+        ...
 
 
 class ManagementCommands:
@@ -65,13 +76,13 @@
         self.folder = folder
         self.changed: Callable[[str, int], None] = (
             lambda *_: None
-        )  # told each suspension made here: uid, calls in force or 0
+        )  # called after each change made here: uid, calls in force or 0
         self.follows: Callable[[Call], str | StreamingAnswer] = not_in_a_fleet
         self.moves: Callable[[Call], str] = no_sessions
-        self.taking = False  # whether this process takes clients, or will once the folder is handed over
+        self.taking = False  # whether this process accepts clients, or will once it has the folder
 
     def answer(self, call: Call) -> str | StreamingAnswer:
-        """The answer to one call; raises a `CedarwickError` with the reason where it is refused."""
+        """Answer one call; raises a `CedarwickError` with the reason if it is refused."""
         if call.name == "STATUS":
             return "YES taking clients\n" if self.taking and self.ready() else "NO not ready yet\n"
         if call.name == "PAUSE":
@@ -93,7 +104,7 @@
         return self.metrics_text() + "END\n"
 
     def take_over(self) -> None:
-        """Suspend the receivers that the file names: at the start, and again once the folder is this process's."""
+        """Suspend the receivers named in the saved file; called at start-up and again once the folder is taken."""
         try:
             self.endpoints.set_suspended(set(saved_state.read(self.folder)))
         except saved_state.UnreadableFileError as error:
@@ -102,7 +113,7 @@
     def _suspend_or_restore(self, call: Call) -> str:
         uid = call.argument
         try:
-            # Danger: a process that replaces this one, or is replaced, may have changed the file meanwhile.
+            # Read the file each time: a process that replaces this one, or is replaced, may have changed it meanwhile.
             suspensions = Suspensions(saved_state.read(self.folder).items())
         except saved_state.UnreadableFileError as error:
             logger.error("the receivers taken out by hand cannot be read: {}", error.line)
@@ -121,7 +132,7 @@
         return answer
 
     def keep(self, calls: dict[str, int]) -> bool:
-        """Suspend exactly the receivers of these calls from now on; returns whether the file was written, too."""
+        """Suspend exactly the receivers of these calls from now on; returns whether the file could be written."""
         written = True
         try:
             saved_state.write(self.folder, calls)
@@ -138,5 +149,5 @@
 
 
 def not_in_a_fleet(call: Call) -> str:
-    """Refuse FOLLOW and UNFOLLOW where no part of this sender has anything to follow."""
+    """Refuse FOLLOW and UNFOLLOW at a sender without a fleet."""
     raise NotInFleetError(f"{call.name} at a sender without a fleet, or one that has only begun to start")
--- a/cedarwick/ops/management_server.py
+++ b/cedarwick/ops/management_server.py
@@ -1,4 +1,7 @@
-"""The management address: one greenlet for each caller, with a bounded line and a deadline."""
+"""The server of the management address: one greenlet for each caller, with a bounded line and a deadline.
+
+Started by `program.py`. Constants that end in `_S` are in seconds.
+"""
 
 from collections.abc import Callable
 
@@ -11,14 +14,14 @@
 from cedarwick.ops.commands import Call, InvalidCallError, max_line_bytes, parse
 from cedarwick.ops.management import StreamingAnswer
 
-LINE_DEADLINE_S = 2.0  # in which a caller must finish its line; some connect and say nothing for 4 s
-MAX_CALLERS = 64  # connections at once; those beyond are answered NO and closed, so none holds up STATUS
-BACKLOG = 64  # connections that wait to be accepted
+LINE_DEADLINE_S = 2.0  # for a caller to finish its line; some connect and send nothing for 4 s
+MAX_CALLERS = 64  # connections at once; further ones are answered NO and closed, so that STATUS is not delayed
+BACKLOG = 64  # connections waiting to be accepted
 ACCEPT_RETRY_S = 0.02  # after a failed accept
-LATE_ANSWER_S = 0.1  # in which the refusal of a late line must be written
+LATE_ANSWER_S = 0.1  # to write the refusal of a late line
 DISCARD_S, MAX_DISCARDED_BYTES = 0.5, 1 << 16  # limits on reading what a caller sends after its line
 
-# Answers a call: with a line beginning with YES or NO, metrics ending in END, or what goes on writing.
+# Answers a call: with a line beginning with YES or NO, metrics ending in END, or a function that goes on writing.
 Answer = Callable[[Call], str | StreamingAnswer]
 
 
@@ -39,7 +42,7 @@
 class ManagementServer:
     """Listens on the management address and answers from its own greenlets, never through the dispatcher's queue.
 
-    Raises OSError where the address cannot be bound.
+    Raises OSError if the address cannot be bound.
     """
 
     def __init__(self, address: tuple[str, int], counters: Counters, answer: Answer) -> None:
@@ -56,7 +59,7 @@
             raise
 
     def serve(self) -> None:
-        """Never returns: accepts callers."""
+        """Accept callers; never returns."""
         while True:
             try:
                 sock, _ = self.listener.accept()
@@ -70,7 +73,7 @@
         streaming = None
         self.callers += 1
         try:
-            # Danger: a caller that never finishes its line would hold its descriptor and greenlet for ever.
+            # A caller that never finishes its line would otherwise hold its descriptor and greenlet forever.
             sock.settimeout(LINE_DEADLINE_S)
             if self.callers > MAX_CALLERS:
                 sock.sendall(refusal(TooManyCallersError("too many callers")).encode("ascii", "replace"))
@@ -116,7 +119,7 @@
         except CedarwickError as error:
             self.counters.add(f"management calls refused: {error.code}")
             return refusal(error)
-        except Exception:  # one failing call must not end the address: STATUS is still owed to others
+        except Exception:  # a failing call must not end the server: others still need STATUS
             self.counters.failed(f"the management call {call.name} failed")
             return refusal(CallFailedError("the call failed"))
 
@@ -126,13 +129,13 @@
 
 
 def refusal(error: CedarwickError) -> str:
-    """The answer to a call that is refused: `NO`, the reason, code and remedy, on one line."""
+    """The answer to a refused call: `NO`, the reason, code and remedy, on one line."""
     return f"NO {error.line}\n"
 
 
 def discard_input(sock: gevent.socket.socket) -> None:
     """Read and drop what a caller still sends, within bounds, before its connection is closed."""
-    # Danger: a close with unread input is a reset, and the caller would lose its answer.
+    # Closing a socket with unread input sends a reset, and the caller could lose its answer.
     sock.shutdown(gevent.socket.SHUT_WR)
     discarded = 0
     with gevent.Timeout(DISCARD_S, False):
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -1,4 +1,7 @@
-"""Replacing a process in service: what the old one leaves, and what the next one takes over from it."""
+"""Replacing a process in service: what the old process leaves in the folder, and what the next one takes over.
+
+Called by `program.py` at start-up and at SIGTERM. Constants that end in `_S` are in seconds.
+"""
 
 import gevent
 from loguru import logger
@@ -10,15 +13,18 @@
 from cedarwick.store.files import DiskError, FolderInUseError
 from cedarwick.store.journal import Store
 
-# At most, from SIGTERM on where the next process has the clients' socket, one after the other:
-HANDOVER_IDLE_S = 0.2  # for requests that were read to be answered and attempts that are out to end
-HANDOVER_ANSWERS_S = 0.05  # for answers that are being written; then the folder is the next process's
-HANDOVER_CLIENT_CLOSE_S = 1.1  # for clients that were let go to close
-HANDOVER_POLL_INTERVAL_S = 0.01  # between two looks whether something is still out
+# Longest duration of each step, one after the other, from SIGTERM on if the next process has the clients' socket:
+HANDOVER_IDLE_S = 0.2  # for requests already read to be answered and attempts in flight to end
+HANDOVER_ANSWERS_S = 0.05  # for answers being written; then the next process may take the folder
+HANDOVER_CLIENT_CLOSE_S = 1.1  # for clients with their last answer to close
+HANDOVER_POLL_INTERVAL_S = 0.01  # between two checks whether something is still in flight
 
 
 def leave_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-    """Write the Retry-After waits of receivers for the process that replaces this one, before the folder is let go."""
+    """Save the Retry-After waits of receivers for the next process; called before the folder is released.
+
+    A failed write is logged only.
+    """
     uids = {number: uid for uid, number in endpoint_list.numbers.items()}
     heeded = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
     waits = {uids[receiver]: until for receiver, until in heeded if receiver in uids}
@@ -29,7 +35,7 @@
 
 
 def take_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-    """Heed the Retry-After waits that the replaced process left; the saved list must be known by then."""
+    """Apply the Retry-After waits that the replaced process saved; the saved list must have been learned before."""
     try:
         waits = saved_state.take_waits(folder)
     except saved_state.UnreadableFileError as error:
@@ -41,9 +47,9 @@
 
 
 def hold(store: Store, replacing: bool) -> bool:
-    """Whether the folder is held and read; False where the process that is replaced holds it still.
+    """Lock and read the folder; returns False if the replaced process still has it.
 
-    Raises what `Store.load` raises; `FolderInUseError` only where no process is being replaced.
+    Raises what `Store.load` raises; `FolderInUseError` only if no process is being replaced.
     """
     try:
         store.load()
@@ -57,11 +63,11 @@
 def hand_over(
     accepting: gevent.Greenlet, client_listener: ClientListener, dispatcher: Dispatcher, store: Store
 ) -> None:
-    """Stop taking clients and end what is out, so that the next process may take the folder."""
+    """Stop accepting clients and finish or cancel what is in flight, so that the next process may take the folder."""
     accepting.kill()
     client_listener.listener.close()  # only this process's descriptor: the platform's socket stays open
-    # Danger: the next process accepts nobody while this one holds the folder; clients wait 400 ms at most.
-    # Open connections are served meanwhile, each let go after its answer; messages are stored, not attempted.
+    # The next process accepts no client while this one has the folder, and clients wait 400 ms at most. Until then
+    # open connections are served, each closed after its answer; messages are stored, not attempted.
     client_listener.still_taking = client_listener.closing = True
     dispatcher.hold_fire(keeping=True)
     with gevent.Timeout(HANDOVER_IDLE_S, False):
@@ -77,5 +83,5 @@
         len(store.messages),
         len(dispatcher.attempts.out),
     )
-    # Danger: a call still out on an open link, sent again by the next process, would be a second copy.
+    # The next process may attempt these messages again: a call that still completed here would be a second copy.
     gevent.killall(list(dispatcher.attempts.out))
--- a/cedarwick/ops/saved_state.py
+++ b/cedarwick/ops/saved_state.py
@@ -1,6 +1,7 @@
-"""Small files in `$RELAY_STATE` for the next process: suspended receivers and Retry-After waits.
+"""Small JSON files in `$RELAY_STATE` that outlive the process: suspended receivers and Retry-After waits.
 
-They lie beside the store's segments, whose names never match these.
+They are beside the store's segments, whose names never match these. Used by `management.py` and
+`process_handover.py`.
 """
 
 import json
@@ -10,7 +11,7 @@
 
 SUSPENDED = "suspended.json"  # SUSPEND calls in force by uid; they last until RESTORE, over restarts too
 WAITS = "waits.json"  # by uid: the end of a Retry-After wait in wall microseconds; read once, by the next process
-MAX_FILE_BYTES = 1 << 20  # a larger file is none that this module wrote
+MAX_FILE_BYTES = 1 << 20  # a larger file was not written by this module
 
 
 class UnreadableFileError(CedarwickError):
@@ -21,7 +22,7 @@
 
 
 def read(folder: str) -> dict[str, int]:
-    """SUSPEND calls in force by uid; empty where there is no file. Raises `UnreadableFileError`."""
+    """SUSPEND calls in force by uid; empty if there is no file. Raises `UnreadableFileError`."""
     return _read(os.path.join(folder, SUSPENDED), keep=True)
 
 
@@ -55,7 +56,7 @@
         raise UnreadableFileError(f"{path}: {error.strerror}") from None
     if len(data) > MAX_FILE_BYTES:
         raise UnreadableFileError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
-    # The standard library reads this: msgspec would be loaded for nothing else in a sender without extras.
+    # With the standard library: a sender without extras would load msgspec for this alone.
     try:
         values = json.loads(data)
     except ValueError as error:
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -1,4 +1,7 @@
-"""One sender process: wiring of its parts, start-up, reload on SIGHUP, shutdown or hand-over on SIGTERM."""
+"""One sender process: wires its parts together, starts them, reloads on SIGHUP, and ends or hands over on SIGTERM.
+
+`python -m cedarwick` and the command line call `main`. Constants that end in `_S` are in seconds.
+"""
 
 import os
 import signal
@@ -34,18 +37,21 @@
     from cedarwick.config.operator import Operator
     from cedarwick.fleet.node import FleetNode
 
-OPERATOR = "CEDARWICK_OPERATOR"  # names the operator file; where it is not set, the config package is not loaded
+OPERATOR = "CEDARWICK_OPERATOR"  # path of the operator file; if unset, the config package is not loaded
 
-# From SIGTERM on, where no next process has the clients' socket:
-DECIDING_AFTER_SIGTERM_S = 2.2  # the decisions go on with what is stored; a second is left to what is out
-DRAIN_DEADLINE_S = 3.2  # the end; SIGKILL may come half a second later
-DRAIN_POLL_INTERVAL_S = 0.02  # between two looks whether anything is still out
-LAST_ANSWERS_S = 0.15  # after that, for the answers to requests that were read
+# Seconds from SIGTERM on, if no next process has the clients' socket:
+DECIDING_AFTER_SIGTERM_S = 2.2  # stored messages are still attempted; the last second is for attempts in flight
+DRAIN_DEADLINE_S = 3.2  # the process ends; SIGKILL may follow half a second later
+DRAIN_POLL_INTERVAL_S = 0.02  # between two checks whether anything is still in flight
+LAST_ANSWERS_S = 0.15  # after that, to write the answers to requests already read
 
-FIRST_LIST_UPDATE_S = 0.2  # that the decisions wait for it; a client that has its PONG waits 0.4 for an answer
-# And for so long after that, messages are stored and answered, but not attempted; by then silence counts as an answer.
+FIRST_LIST_UPDATE_S = (
+    0.2  # most seconds that the decisions wait for the first list; after its PONG a client waits 0.4 s for an answer
+)
+# Seconds after that in which messages are stored and answered but not attempted, unless the list arrives; then they
+# are attempted without it.
 FIRST_ATTEMPT_S = 0.8
-POLL_INTERVAL_S = 0.01  # between two looks at a folder that another process still holds, or at what is to end
+POLL_INTERVAL_S = 0.01  # between two checks of a folder that another process holds, or of clients still connected
 
 
 class StartupError(CedarwickError):
@@ -58,11 +64,13 @@
 def main() -> int:
     """Run a sender as the environment configures it.
 
-    Returns the exit status: 0, or 2 where it cannot start; the reason is then on standard error.
+    Returns the exit status: 0, or 2 if it cannot start; the reason is then on standard error.
     """
     log_to_stderr("INFO", as_json=False)
     replaced = gevent.event.Event()
-    gevent.signal_handler(signal.SIGHUP, replaced.set)  # first of all: it must not end a starting process
+    gevent.signal_handler(
+        signal.SIGHUP, replaced.set
+    )  # first of all: the default action of SIGHUP would end a starting process
     try:
         assignment, operator = read(os.environ), read_operator()
         return serve(assignment, operator, replaced)
@@ -72,15 +80,15 @@
 
 
 def log_to_stderr(level: str, as_json: bool) -> None:
-    """Write the log to standard error from this level on, as text or as one JSON object a line."""
+    """Write log lines of this level and above to standard error, as text or as one JSON object a line."""
     logger.remove()
     logger.add(sys.stderr, format="{level} {message}", level=level, serialize=as_json, backtrace=False, diagnose=False)
 
 
 def read_operator() -> "Operator | None":
-    """The operator file that the environment names; None where it names none.
+    """Load the operator file that the environment names; None if it names none.
 
-    Raises a `CedarwickError` where the file cannot be used.
+    Raises a `CedarwickError` if the file cannot be used.
     """
     path = os.environ.get(OPERATOR, "")
     if not path:
@@ -91,7 +99,7 @@
 
 
 def obey(operator: "Operator | None", counters: Counters) -> None:
-    """Take over what the operator file may change in service."""
+    """Apply the log and counter settings of the operator file, which may change in service."""
     if operator is not None:
         log_to_stderr(operator.log.level, operator.log.format == "json")
         counters.quiet, counters.every = operator.log.quiet_s, operator.counters.every_s
@@ -116,7 +124,7 @@
     The constructor opens the folder's store object and the listening sockets, but starts nothing.
     """
 
-    connections: ConnectionPool  # this and the next two exist once `start` holds the folder
+    connections: ConnectionPool  # this and the next two are set by `start`, once it has the folder
     notifier: Notifier
     node: "FleetNode | None"
 
@@ -125,7 +133,7 @@
         self.operator = operator
         self.replaced = replaced
         self.stopping = gevent.event.Event()
-        self.greenlets: list[gevent.Greenlet] = []  # those that must not end before the process does
+        self.greenlets: list[gevent.Greenlet] = []  # parts that run until the process ends
         self.clock, self.counters = Clock(), Counters()
         obey(operator, self.counters)
         self.inherited = inherited_listener(os.environ)
@@ -157,7 +165,7 @@
             )
 
     def start(self) -> None:
-        """Take the folder, go on with what it holds and start every part; raises a `CedarwickError` if it cannot."""
+        """Take the folder, resume its messages and start every part; raises a `CedarwickError` if that fails."""
         with startup_errors():
             holds_folder = hold(self.store, replacing=self.inherited is not None)
         self._learn_known_list()
@@ -175,14 +183,14 @@
         gevent.signal_handler(signal.SIGTERM, self.stopping.set)
         gevent.signal_handler(signal.SIGINT, self.stopping.set)
         gevent.signal_handler(signal.SIGUSR1, self.counters.print)
-        self._spawn_parts(watch_list=holds_folder)  # without the folder, the watch has run since the wait for it
+        self._spawn_parts(watch_list=holds_folder)  # if it had to wait for the folder, the watch is running already
         self._start_node()
         for greenlet in self.greenlets:
             greenlet.link_exception(broken)
         logger.info("{} listens on {}:{}", self.assignment.name, *self.assignment.listen)
 
     def shut_down(self) -> None:
-        """End every part within the time that SIGTERM leaves, handing over where a next process has the socket."""
+        """End every part within the time that SIGTERM leaves; hand over if a next process has the socket."""
         self.staff.taking = False
         logger.info("ending: {} messages kept", len(self.store.messages))
         if self.inherited is not None:
@@ -193,7 +201,7 @@
 
     def _new_dispatcher(self) -> Dispatcher:
         dispatcher = Dispatcher(self.assignment, self.clock, self.counters, self.store, self.poll_clock)
-        # On sockets a list update counts as learned by one clock, whatever the settings allow after a failed call.
+        # Caps the back-off after a failed list call at LIST_WAIT, whatever the settings allow.
         dispatcher.sender.max_poll_backoff = min(dispatcher.sender.max_poll_backoff, LIST_WAIT)
         return dispatcher
 
@@ -204,18 +212,19 @@
         return self.counters.figures.text(*gauges(self.dispatcher, self.endpoint_list))
 
     def _learn_known_list(self) -> None:
-        """Begin with the list of receivers that the assignment saved."""
+        """Start from the list of receivers saved in the assignment; raises `AssignmentError` if it is unreadable."""
         if not self.assignment.known:
             return
-        # Danger: the saved list replaces the whole list; learned after an update of the watch it would undo that.
+        # Before the watch starts: the saved list replaces the whole list, and would undo a newer update.
         try:
             self.endpoint_list.learn(self.assignment.known, saved=True)
         except ValueError as error:
             raise AssignmentError(f"the known list cannot be read: {error}") from None
 
     def _wait_for_folder(self) -> None:
-        """Wait until the process that this one replaces has let the folder go, watching the list meanwhile."""
-        # Danger: the process that is replaced ends only once this one says yes, and holds the folder until then.
+        """Wait until the replaced process has released the folder; the list is watched meanwhile."""
+        # The management address already answers: the replaced process is ended, and its folder released, only once this
+        # one reports that it is ready.
         logger.info("{} waits for the folder of the process it replaces", self.assignment.name)
         self.greenlets.append(gevent.spawn(self.endpoint_list.watch))
         with startup_errors():
@@ -223,11 +232,11 @@
                 gevent.sleep(POLL_INTERVAL_S)
         logger.info("{} holds the folder", self.assignment.name)
         self.staff.take_over()
-        # Danger: no round has run yet that could have wanted a call which failed in the meantime made anew.
+        # A list call may have failed during the wait, and no round has run yet that would have repeated it.
         self.endpoint_list.ask()
 
     def _connect_dispatcher(self) -> None:
-        """Give the dispatcher its way out: connections, notifications and the attempts that use them."""
+        """Create connections, notifier and attempt runner, and connect the dispatcher to them."""
         dispatcher = self.dispatcher
         self.connections = ConnectionPool(
             self.clock,
@@ -252,7 +261,7 @@
         dispatcher.free_links, dispatcher.ask_for_list = self.connections.free, self.endpoint_list.ask
 
     def _spawn_parts(self, watch_list: bool) -> None:
-        """Start the parts that run until the process ends, in this order."""
+        """Start the parts that run until the process ends. The order of the spawns is fixed."""
         deciding = gevent.spawn(self._decide)
         self.accepting = gevent.spawn(self.client_listener.accept)
         self.greenlets += [deciding, self.accepting]
@@ -268,7 +277,7 @@
         self.greenlets += [gevent.spawn(part) for part in later]
 
     def _start_node(self) -> None:
-        """Connect the member of the fleet, if there is one, to the parts it shares and start it."""
+        """Attach the fleet node, if there is one, to the parts that it uses, and start it."""
         node = self.node
         if node is None:
             return
@@ -279,9 +288,9 @@
         self.greenlets += node.start(self.dispatcher)
 
     def _decide(self) -> None:
-        """Never returns: runs the dispatcher once the agent has said what it has, or has been silent for too long."""
-        # Danger: an attempt of a stored message would go to a receiver that is draining, which the saved list
-        # does not know.
+        """Run the dispatcher once the agent has answered, or after FIRST_LIST_UPDATE_S; never returns."""
+        # The saved list may be out of date: without waiting, a stored message could be attempted at a receiver that is
+        # draining by now.
         if not self.endpoint_list.first_news.wait(FIRST_LIST_UPDATE_S):
             self.dispatcher.holding_fire = self.dispatcher.keeping = True
             gevent.spawn(self._attempt_after_silence)
@@ -292,12 +301,12 @@
         self.dispatcher.queue.put((self._allow_attempts, ()))
 
     def _allow_attempts(self) -> None:
-        # Danger: at the end of the process the dispatcher holds fire for good.
+        # Once the process is ending, attempts must stay off.
         if not self.stopping.is_set():
             self.dispatcher.holding_fire = self.dispatcher.keeping = False
 
     def _follow_configuration(self) -> None:
-        """Never returns: after each SIGHUP, takes over what a new configuration changes in service."""
+        """Read the configuration again after each SIGHUP and apply what may change in service; never returns."""
         current = self.assignment
         while True:
             self.replaced.wait()
@@ -311,7 +320,7 @@
             current = assignment
 
     def _reload(self, current: Assignment, assignment: Assignment, operator: "Operator | None") -> None:
-        """Take over what may change in service; what differs beside that is named in the log, for the next start."""
+        """Apply what may change in service; other differences are logged and apply at the next start."""
         if assignment.platform != current.platform:
             self.endpoint_list.move(assignment.platform)
             self.notifier.move(assignment.platform)
@@ -330,21 +339,21 @@
         )
 
     def _hand_over(self) -> None:
-        """End at SIGTERM where the platform holds the clients' socket: the next process takes clients and folder."""
+        """End at SIGTERM with a successor, which takes over the clients' socket and the folder."""
         hand_over(self.accepting, self.client_listener, self.dispatcher, self.store)
         gevent.killall(self.greenlets)
         if self.node is not None:
             self.node.hand_over()
             self.node.stop()
         leave_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
-        self.store.close()  # the next process takes the folder from here on
+        self.store.close()  # from here on the next process may take the folder
         with gevent.Timeout(HANDOVER_CLIENT_CLOSE_S, False):
             while self.client_listener.clients:
                 gevent.sleep(POLL_INTERVAL_S)
         self.client_listener.end(LAST_ANSWERS_S)
 
     def _drain(self) -> None:
-        """End at SIGTERM without a successor: go on deciding for a while, then wait for what is still out."""
+        """End at SIGTERM without a successor: attempt messages for a while, then wait for what is in flight."""
         node = self.node
         if node is not None and node.traffic is not None:
             node.traffic.leave()
@@ -364,7 +373,7 @@
         self.store.close()
 
     def _drained(self) -> bool:
-        """Whether nothing is out any more: attempts, notifications, clients and moved sessions."""
+        """Whether no attempt, notification, client or session move is left."""
         return (
             self.dispatcher.idle()
             and not self.notifier.owed
@@ -375,7 +384,7 @@
 
 @contextmanager
 def startup_errors() -> Iterator[None]:
-    """Say of errors within the block that the program cannot start: as they are, or as a `StartupError`."""
+    """Prefix errors of the block with "cannot start"; OSError, ValueError and KeyError become `StartupError`."""
     try:
         yield
     except CedarwickError as error:
@@ -385,7 +394,7 @@
 
 
 def folder_of(assignment: Assignment, operator: "Operator | None", clock: Clock) -> Store:
-    """The store in the state folder; one that replicates to other members where the operator file has a fleet."""
+    """Create the store of the state folder; with a fleet in the operator file, one that replicates to other members."""
     limits = operator.store if operator is not None else None
     durable = limits is not None and limits.durability == "group"
     bodies = round(limits.bodies_mb * (1 << 20)) if limits is not None else BODIES
@@ -412,7 +421,7 @@
 def join_fleet(
     assignment: Assignment, operator: "Operator | None", store: Store, clock: Clock, counters: Counters
 ) -> "FleetNode | None":
-    """This sender as a member of its fleet; None where the operator file has none."""
+    """Create the fleet node of this sender; None without a fleet. Raises `StartupError`."""
     if operator is None or operator.fleet is None:
         return None
     from cedarwick.fleet.node import FleetNode
@@ -426,7 +435,7 @@
 
 
 def gauges(dispatcher: Dispatcher, endpoint_list: EndpointList) -> tuple[int, int, int]:
-    """Messages taken and not ended, receivers listed, and how many of these are suspended by hand or avoided."""
+    """Counts of unfinished messages, of listed receivers, and of those among them that are suspended or avoided."""
     listed = {
         endpoint_list.numbers[uid]
         for uid, listing in endpoint_list.last.items()
@@ -438,6 +447,6 @@
 
 
 def broken(part: gevent.Greenlet) -> None:
-    """End the process at once: a part that should never return has failed, and the sender would only seem to live."""
+    """Exit at once: a part that must run forever has failed, and the sender would look alive without working."""
     logger.error("a part of the sender ended: {!r}", part.exception)
     os._exit(1)
--- a/cedarwick/store/__init__.py
+++ b/cedarwick/store/__init__.py
@@ -1,1 +1,1 @@
-"""What lasts: a journal in segments, compacted in small steps while messages flow."""
+"""The durable message store: a journal of append-only segment files, compacted in small steps while in service."""
--- a/cedarwick/store/bodies.py
+++ b/cedarwick/store/bodies.py
@@ -1,4 +1,7 @@
-"""The bodies of stored messages: which are held in memory, and how the others are read back from their segments."""
+"""The bodies of stored messages: a bounded cache in memory, and reading the others back from their segment files.
+
+Called by `journal.Store` and by compaction. Sizes and file offsets are in bytes.
+"""
 
 import zlib
 from collections import deque
@@ -17,7 +20,7 @@
 
 
 class BodyCache:
-    """Holds bodies in memory up to a bound; those that came first are released first."""
+    """Holds bodies in memory up to `max_bytes` bytes; the oldest are released first."""
 
     def __init__(self, folder: Folder, max_bytes: int) -> None:
         self.folder = folder
@@ -26,14 +29,18 @@
         self.held_bytes = 0
 
     def add(self, stored: StoredMessage, messages: dict[int, StoredMessage]) -> None:
-        """Hold one more body; beyond the bound the oldest ones are released. `messages`: all that are owed."""
+        """Hold one more body and release the oldest beyond the bound.
+
+        `messages` are all unfinished messages of the store, by number.
+        """
         self.held.append(stored.number)
         self.held_bytes += stored.size
         while self.held_bytes > self.max_bytes and self.held:
             oldest = messages.get(self.held.popleft())
             if oldest is not None and oldest.body is not None:
                 self.release(oldest)
-        # Danger: those that have ended would add up; looking through all of them at once would hold up a round.
+        # Numbers of messages that have ended must be dropped, or the queue would grow without bound. Only a bounded
+        # part is checked at each call: a scan of the whole queue would delay the dispatcher's round.
         while self.held and (self.held[0] not in messages or messages[self.held[0]].body is None):
             self.held.popleft()
         if len(self.held) > 64 + 2 * len(messages):
@@ -43,13 +50,13 @@
                     self.held.append(number)
 
     def release(self, stored: StoredMessage) -> None:
-        """Its body is read from the folder from now on, or is not needed any more."""
+        """Drop the body from memory; if it is needed again it is read from the folder."""
         if stored.body is not None:
             stored.body = None
             self.held_bytes -= stored.size
 
     def read(self, stored: StoredMessage, segments: dict[int, Segment]) -> bytes:
-        """A body from the folder; `BodyLostError` where it cannot be read back."""
+        """Read a body from its segment file; raises `BodyLostError` if that fails or the checksum does not match."""
         if not stored.size:
             return b""
         segment = segments[stored.home]
--- a/cedarwick/store/compaction.py
+++ b/cedarwick/store/compaction.py
@@ -1,7 +1,7 @@
-"""Compaction: moving what lives in old segments to the active one, in bounded steps, and deleting them whole.
+"""Compaction: copies live records from an old segment to the active one in bounded steps, then deletes the old file.
 
-`compaction_planner.py` decides which segment and how many bytes; this module does it. It runs between two rounds, by
-`step`, and on the spot where a record does not fit, by `find_room`.
+`compaction_planner.py` decides which segment and how many bytes; this module does the work. `journal.Store` calls
+`step` between two rounds of the dispatcher, and `find_room` when a record does not fit. Sizes are in bytes.
 """
 
 from collections import deque
@@ -18,13 +18,13 @@
 from cedarwick.store.records import DROP, FRAME, OVER, OVER_BODY, StoredMessage
 from cedarwick.store.segments import Segment, SegmentIndex
 
-MIN_STEP_BYTES = 1 << 13  # bytes that come in before a step looks whether anything is to be done
-RETRY_STEPS = 64  # steps after which a segment that could not be moved is looked at again
-MAX_INLINE_STEPS = 16  # steps on the spot for one short record
+MIN_STEP_BYTES = 1 << 13  # bytes appended before a step checks whether there is work
+RETRY_STEPS = 64  # steps after which a segment that could not be moved is tried again
+MAX_INLINE_STEPS = 16  # inline steps (made while a record waits for room) for one short record
 
 
 class CompactedStore(Protocol):
-    """What compaction asks of the store that it works for; `journal.Store` is one. Sizes are bytes."""
+    """The part of `journal.Store` that compaction uses. Sizes are in bytes."""
 
     durable: bool
     limit: int
@@ -55,21 +55,21 @@
 
 
 class Compactor:
-    """Moves one segment at a time, the victim; every move is a record that the store appends."""
+    """Empties one segment at a time, the victim; each live record is appended to the store again."""
 
     def __init__(self, store: CompactedStore, most_step: int) -> None:
-        """`most_step`: bytes that one step moves at the most."""
+        """`most_step`: the most bytes that one step moves."""
         self.store = store
         self.most_step = most_step
         self.victim: Segment | None = None
-        self.todo: list[int] = []  # numbers of messages whose records in the victim are to be moved
-        self.stuck: dict[int, int] = {}  # segments that cannot be moved now: until which step
+        self.todo: list[int] = []  # numbers of messages whose records in the victim must still be moved
+        self.stuck: dict[int, int] = {}  # segments that cannot be moved now, and the step at which to try again
         self.steps = 0
-        self.inline_steps = 0  # steps on the spot, ever
-        self.inline_steps_since_step = 0  # of these, since the last step between two rounds
+        self.inline_steps = 0  # inline steps since the start
+        self.inline_steps_since_step = 0  # inline steps since the last `step`
 
     def step(self) -> None:
-        """Between two rounds: move a bounded number of bytes, as many as the planner says."""
+        """Move a bounded number of bytes, as many as the planner says; called between two rounds."""
         self.inline_steps_since_step = 0
         if (
             self.store.appended < min(MIN_STEP_BYTES, self.store.segment_size // 8)
@@ -95,7 +95,7 @@
             self.work(min(wanted, self.most_step), short=False)
 
     def _choose(self, short: bool) -> Segment | None:
-        """The segment to move next; the one under way first."""
+        """The victim under way, or else the best candidate; None if no segment is to be moved."""
         if self.victim is not None:
             return self.victim
         self.stuck = {number: until for number, until in self.stuck.items() if until > self.steps}
@@ -112,7 +112,7 @@
         return self.victim
 
     def work(self, budget: int, short: bool) -> bool:
-        """Move so many bytes of what lives in the segment under way; whether anything came of it."""
+        """Move about `budget` bytes of live records out of the victim; returns False if there is none or it failed."""
         victim = self._choose(short)
         if victim is None:
             return False
@@ -132,17 +132,17 @@
         return True
 
     def _leave(self, victim: Segment) -> None:
-        """Give a segment up for some steps."""
+        """Give up on a segment for `RETRY_STEPS` steps."""
         self.stuck[victim.number] = self.steps + RETRY_STEPS
         self.victim, self.todo = None, []
 
     def _move(self, victim: Segment, number: int) -> int:
-        """Write anew what a segment holds of a message; the bytes that took."""
+        """Append again what a segment holds of a message; returns the bytes written."""
         stored = self.store.messages.get(number)
         if stored is not None and stored.home == victim.number:
             if stored.end is not None:
                 stored.checksum = 0
-                return self.store.write_message(stored, b"", RecordUse.MOVE)  # nobody needs the body of what has ended
+                return self.store.write_message(stored, b"", RecordUse.MOVE)  # a message that has ended needs no body
             body = (
                 stored.body
                 if stored.body is not None
@@ -158,7 +158,7 @@
         return 0
 
     def _move_unknown(self, victim: Segment) -> int:
-        """Write anew one record of a kind that this version does not know; its bytes."""
+        """Append again one record of a kind that this version does not know; returns its size in bytes."""
         at, size = victim.unknown[-1]
         if victim.file < 0:
             victim.file = self.store.folder.open(segment_name(victim.number), append=False)
@@ -171,8 +171,8 @@
         return size
 
     def _finish(self, victim: Segment) -> None:
-        """Nothing in a segment matters any more: record that, and delete its file."""
-        if not victim.done:  # something joined while it was under way, which only a failure brings
+        """No record of a segment is needed any more: append a drop record and delete its file."""
+        if not victim.done:  # records were added while it was being moved, which happens only after a failed write
             self.todo = self.store.segment_index.records_to_move(victim)
             if not self.todo:
                 self._leave(victim)
@@ -184,12 +184,13 @@
             victim.file = -1
         self.store.segment_index.dropped(victim)
         self.store.condemned.append((segment_name(victim.number), compaction_planner.blocks(victim.physical)))
-        # Danger: deleted before its moved records are on the disk, a power cut would lose them.
+        # With `durable`, the file is deleted only after the next flush: were it deleted before its moved records are
+        # on the disk, a power cut would lose them.
         if not self.store.durable:
             self.delete_condemned()
 
     def delete_condemned(self) -> None:
-        """Delete the files of segments that were dropped; what cannot be deleted stays listed."""
+        """Delete the files of dropped segments; those that cannot be deleted stay listed for the next call."""
         left = []
         for name, size in self.store.condemned:
             try:
@@ -203,7 +204,10 @@
         self.store.condemned = left
 
     def find_room(self, grows: int, use: RecordUse) -> None:
-        """Compact on the spot where a record does not fit; `NoSpaceError` where that is not enough."""
+        """Compact at once because a record does not fit; raises `NoSpaceError` if that does not free enough.
+
+        `grows`: bytes by which the record makes the active segment's file grow, in whole blocks.
+        """
         floor = compaction_planner.reserve(self.store.sizes()) - (
             0 if use is RecordUse.NEW_MESSAGE else compaction_planner.SLACK
         )
@@ -212,10 +216,11 @@
             turns += 1
             self.inline_steps += 1
             self.inline_steps_since_step += 1
-            # Danger: each new message of a round would compact on its own account, and the round would stand still.
+            # New messages share one inline step between two calls of `step`: were each to compact for itself, a round
+            # with many messages would block.
             if turns > (MAX_INLINE_STEPS if use is RecordUse.SHORT_RECORD else 1) or not self.work(
                 self.most_step, short=True
             ):
                 if use is RecordUse.SHORT_RECORD and self.store.limit - self.store.used - grows >= 0:
-                    return  # the reserve is for this
+                    return  # short records may use the reserve
                 raise NoSpaceError("the folder is full")
--- a/cedarwick/store/compaction_planner.py
+++ b/cedarwick/store/compaction_planner.py
@@ -1,47 +1,48 @@
-"""When to compact, what, and how much at a time: a pure matter of sizes and counts.
+"""Decides when to compact, which segment and how many bytes at a time. Pure functions of sizes in bytes, no I/O.
 
-Room is freed by moving what lives in a segment to the active one and deleting the segment whole. Moving `live`
-bytes of a segment of `size` frees `size - live`. The pace follows how fast room is used: for each byte that was
-appended, so much is moved as frees one, and more as free room runs low, so that it neither starves nor bursts.
+Space is freed by copying the live records of a segment to the active one and deleting the segment's file. Moving
+`live` bytes of a segment of `size` bytes frees `size - live`. The pace follows the rate of appends: for each byte
+appended, as much is moved as frees one byte, and more as free space runs low, so that compaction neither falls behind
+nor comes in bursts. Called by `compaction.py` and `journal.py`.
 """
 
 from collections.abc import Iterable
 from enum import Enum
 from typing import NamedTuple
 
-BLOCK = 512  # a file counts in whole blocks of this
+BLOCK = 512  # bytes; file sizes are counted in whole blocks
 MIN_SEGMENT_BYTES = 1 << 16
 MAX_SEGMENT_BYTES = 1 << 26
-SEGMENTS = 64  # a folder at its limit holds about so many
-MIN_DEAD_SHARE = 1 / 16  # a segment with a smaller part of dead bytes is not worth its moving, unless room is short
-STEP = 1 << 15  # bytes that one step moves at the most; a millisecond or so
-SLACK = 1 << 12  # for short records between two steps
-EASY_SEGMENTS = 8  # segments' worth of free room beyond the reserve, from which on nothing needs moving
-MAX_PACE = 4.0  # times the pace of use, where the reserve is reached
+SEGMENTS = 64  # approximate number of segments in a folder at its limit
+MIN_DEAD_SHARE = 1 / 16  # segments with a smaller share of dead bytes are moved only if space is short
+STEP = 1 << 15  # most bytes that one step moves; takes about a millisecond
+SLACK = 1 << 12  # bytes for short records between two steps
+EASY_SEGMENTS = 8  # with this many segments of free space beyond the reserve, nothing is moved
+MAX_PACE = 4.0  # multiple of the rate of appends once free space is down to the reserve
 
 
 class RecordUse(Enum):
-    """What a record is for: how much of the reserve it may use."""
+    """What a record is for; decides how much of the reserve it may use."""
 
     NEW_MESSAGE = "new"  # none of it
-    SHORT_RECORD = "short"  # all of it, once compaction on the spot has not won enough
-    MOVE = "move"  # all of it, at once: that is how room is won
+    SHORT_RECORD = "short"  # all of it, after inline compaction has not freed enough
+    MOVE = "move"  # all of it, at once: moving records is what frees space
 
 
 class Sizes(NamedTuple):
-    """How a folder stands, in bytes."""
+    """The sizes of a folder that the planner needs, in bytes."""
 
     limit: int
-    used: int  # by all files, in whole blocks
-    live: int  # what all live records take
+    used: int  # of all files, in whole blocks
+    live: int  # of all live records
     segment: int  # the size at which a segment is sealed
-    largest: int  # the largest record that lives
-    header: int  # what a new segment's header takes
-    promised: int = 0  # what short records on all that lives may come to take, beyond what they take now
+    largest: int  # of the largest record
+    header: int  # of a new segment's header
+    promised: int = 0  # still to come in short records of live messages
 
 
 class CompactionCandidate(NamedTuple):
-    """A sealed segment."""
+    """A sealed segment; sizes in bytes."""
 
     number: int
     size: int
@@ -49,29 +50,33 @@
 
 
 def segment_size(limit: int) -> int:
-    """The size at which segments are sealed in a folder of a limit."""
+    """The size in bytes at which segments are sealed, for a folder with this limit in bytes."""
     return min(MAX_SEGMENT_BYTES, max(MIN_SEGMENT_BYTES, limit // SEGMENTS))
 
 
 def blocks(size: int) -> int:
-    """The bytes that a file of a size counts for."""
+    """`size` in bytes rounded up to whole blocks."""
     return -(-size // BLOCK) * BLOCK
 
 
 def reserve(sizes: Sizes) -> int:
-    """Room that new messages never get: for a segment's live records to be moved, and for short records."""
+    """Bytes that new messages may not use: room to move a segment's live records, and for short records."""
     return sizes.segment + sizes.largest + 2 * sizes.header + SLACK + 2 * BLOCK
 
 
 def room(sizes: Sizes) -> int:
-    """Bytes of new records that the folder will bear once it is compacted."""
-    # Danger: the last blocks of files, and a little death in every segment, are never won back.
+    """Bytes of new messages that still fit once the folder is compacted; at least 0."""
+    # Partly filled last blocks and a small share of dead bytes in every segment are never freed; counting them as
+    # free would promise space that compaction cannot deliver.
     lost = sizes.limit // 128 + sizes.limit // sizes.segment * (BLOCK // 2 + sizes.header)
     return max(0, sizes.limit - reserve(sizes) - lost - sizes.live - sizes.promised)
 
 
 def choose(candidates: Iterable[CompactionCandidate], short: bool) -> CompactionCandidate | None:
-    """The segment that frees most for what it costs; None where none is worth it. `short`: room is short."""
+    """The segment with the smallest share of live bytes; None if no candidate frees enough.
+
+    `short`: space is short, so that any gain is enough.
+    """
     best = None
     for each in candidates:
         gain = each.size - each.live
@@ -83,13 +88,13 @@
 
 
 def pace(sizes: Sizes, victim: CompactionCandidate, appended: int) -> int:
-    """Bytes of a victim to move in this step, `appended` having come in since the step before."""
+    """Bytes of the victim to move in this step, after `appended` bytes since the last step."""
     free = sizes.limit - sizes.used
     floor = reserve(sizes)
     ease = min(1.0, max(0.0, (free - floor) / (EASY_SEGMENTS * sizes.segment)))
     if ease >= 1.0:
         return 0
-    # Danger: dead bytes alone decide what is won; a nearly full segment is moved many times its gain.
+    # Only dead bytes are freed, so a nearly full segment costs many moved bytes for each byte freed.
     for_each = victim.live / max(1, victim.size - victim.live)
     wanted = appended * for_each * (1 + (MAX_PACE - 1) * (1 - ease)) + 1
     return round(min(STEP, wanted))
--- a/cedarwick/store/files.py
+++ b/cedarwick/store/files.py
@@ -1,4 +1,7 @@
-"""The folder's system calls, all in one place: the tests put a folder that fails in its stead."""
+"""All system calls on the store's folder, in one class, so that tests can replace it by one that fails.
+
+Used by the store and its tools. Sizes and offsets are in bytes; files are named by their descriptors.
+"""
 
 import contextlib
 import fcntl
@@ -35,14 +38,14 @@
 
 
 class Folder:
-    """One folder on disk. Every method but the first two may raise OSError."""
+    """One folder on disk. Every method may raise OSError."""
 
     def __init__(self, path: str) -> None:
         self.path = path
         self.lock = -1
 
     def claim(self) -> None:
-        """Hold the folder until the process ends; `FolderInUseError` where another one does."""
+        """Lock the folder until `release` or the end of the process; `FolderInUseError` if another process has it."""
         self.lock = os.open(os.path.join(self.path, LOCK), os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -52,55 +55,65 @@
             raise FolderInUseError(f"{self.path} is in use by another process") from None
 
     def release(self) -> None:
+        """Give up the lock, if it is held."""
         if self.lock >= 0:
             os.close(self.lock)
             self.lock = -1
 
     def names(self) -> list[str]:
+        """The names of all files, sorted."""
         return sorted(os.listdir(self.path))
 
     def size(self, name: str) -> int:
+        """The size of a file in bytes."""
         return os.stat(os.path.join(self.path, name)).st_size
 
     def create(self, name: str) -> int:
-        """A new file, open for appending and reading."""
+        """Create a file and open it for appending and reading; FileExistsError if there is one of that name."""
         flags = os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_APPEND
         return os.open(os.path.join(self.path, name), flags, 0o600)
 
     def open(self, name: str, append: bool) -> int:
+        """Open a file for reading, or with `append` for appending and reading; returns the descriptor."""
         return os.open(os.path.join(self.path, name), os.O_RDWR | os.O_APPEND if append else os.O_RDONLY)
 
     def append(self, file: int, data: bytes) -> int:
-        """Bytes that were written: fewer than wanted where the disk is full."""
+        """Append data; returns the number of bytes written, which is less than wanted if the disk is full."""
         return os.write(file, data)
 
     def read(self, file: int, size: int, at: int) -> bytes:
+        """Read up to `size` bytes at offset `at`; fewer at the end of the file."""
         return os.pread(file, size, at)
 
     def truncate(self, file: int, size: int) -> None:
+        """Cut a file to `size` bytes."""
         os.ftruncate(file, size)
 
     def sync(self, file: int) -> None:
+        """Force what was written to the disk (fsync)."""
         os.fsync(file)
 
     def close(self, file: int) -> None:
+        """Close a descriptor."""
         os.close(file)
 
     def unlink(self, name: str) -> None:
+        """Delete a file."""
         os.unlink(os.path.join(self.path, name))
 
 
 def segment_name(number: int) -> str:
+    """The file name of a segment."""
     return f"{number:08d}.seg"
 
 
 def numbers(names: list[str], pattern: "re.Pattern[str]" = NAME) -> list[int]:
-    """The numbers of the files that a pattern names."""
+    """The numbers in those file names that match a pattern, sorted."""
     return sorted(int(found[1]) for name in names if (found := pattern.fullmatch(name)))
 
 
 def quietly(call: Callable[..., None], *arguments: object) -> bool:
-    """Whether a call went well that may fail without harm."""
+    """Make a call that may fail without harm; returns False if it raised OSError."""
     with contextlib.suppress(OSError):
         call(*arguments)
         return True
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -1,7 +1,8 @@
-"""The store's folder: the messages that are owed and what is known of their attempts, in a journal of segments.
+"""The durable store: every unfinished message and what is known of its attempts, as a journal of segment files.
 
-One greenlet calls it. Every call that returns has written its record. `bodies.py` holds bodies in memory,
-`compaction.py` wins room back, `segments.py` knows which records of a segment still matter.
+It is written by one greenlet, the dispatcher's. A call that returns has written its record (with `durable`, `flush`
+syncs it to the disk). `bodies.py` caches bodies in memory, `compaction.py` frees space, `segments.py` is the index of
+the records that are still needed. Sizes are in bytes, times in wall-clock microseconds.
 """
 
 import zlib
@@ -34,12 +35,12 @@
 from cedarwick.store.recovery import recover
 from cedarwick.store.segments import Segment, SegmentIndex
 
-BODIES = 1 << 26  # bytes of bodies that are held in memory, where nobody names a bound
-FEW_MESSAGES_LEFT = 64  # with room for fewer the estimate of free room is made anew each time it is asked for
+BODIES = 1 << 26  # default limit of the bodies held in memory, in bytes
+FEW_MESSAGES_LEFT = 64  # with space for fewer messages, free space is computed anew at each question
 
 
 class Store:
-    """The journal of one folder, which it alone writes: messages are kept from their taking until nothing is owed."""
+    """The journal of one folder, and its only writer: holds each message from its acceptance until its final notice."""
 
     def __init__(
         self,
@@ -52,12 +53,16 @@
         segment: int = 0,
         step: int = compaction_planner.STEP,
     ) -> None:
-        """`now` tells wall time in microseconds; `segment` and `step` are bytes, chosen by the limit if 0."""
+        """Open nothing yet; `load` does.
+
+        `now` returns wall time in microseconds. `disk_bytes`, `bodies` (held in memory), `segment` (0: chosen by
+        `disk_bytes`) and `step` (of compaction) are in bytes. With `durable`, `flush` syncs records to the disk.
+        """
         self.folder = Folder(folder) if isinstance(folder, str) else folder
         self.now = now
         self.durable = durable
-        self.by_copy = False  # ends are answered only once other senders know of them
-        self.awaited = durable  # whether what is answered waits for `flush`
+        self.by_copy = False  # whether ends are answered only after other senders have recorded them
+        self.awaited = durable  # whether answers wait for `flush`
         self.wanted_segment = segment
         self.segment_index = SegmentIndex()
         self.active: Segment | None = None
@@ -65,14 +70,14 @@
         self.next_number = 1
         self.last_segment = 0
         self.old_until = 0
-        self.inert: dict[int, tuple[int, str]] = {}  # messages on the move between senders: nobody fires for them
+        self.inert: dict[int, tuple[int, str]] = {}  # messages moving between senders: no attempt may start
         self.restarted = False  # whether the folder held anything at the start
-        self.damaged = False  # whether a part of that could not be read
+        self.damaged = False  # whether part of that could not be read
         self.used = 0  # bytes of all files, in whole blocks
-        self.appended = 0  # bytes since the last step, moves left out
-        self.owing: deque[tuple[bytes, Callable[[Segment], None]]] = deque()  # short records without room so far
-        self.condemned: list[tuple[str, int]] = []  # files that are dropped and not deleted yet, and their blocks
-        self.unsynced: set[int] = set()  # files with bytes that no fsync has followed
+        self.appended = 0  # bytes since the last compaction step, without moved records
+        self.owing: deque[tuple[bytes, Callable[[Segment], None]]] = deque()  # short records that did not fit yet
+        self.condemned: list[tuple[str, int]] = []  # dropped files not deleted yet, and their bytes in whole blocks
+        self.unsynced: set[int] = set()  # descriptors of files with bytes not synced yet
         self.moved_bytes = 0
         self.written_bytes = 0
         self.body_cache = BodyCache(self.folder, bodies)
@@ -81,26 +86,26 @@
 
     @property
     def messages(self) -> dict[int, StoredMessage]:
-        """Everything that is owed, by number."""
+        """All unfinished messages, by number."""
         return self.segment_index.messages
 
     @property
     def presses(self) -> int:
-        """Steps of compaction that were made on the spot, for a record that did not fit."""
+        """The number of inline compaction steps, made because a record did not fit."""
         return self.compactor.inline_steps
 
     def set_limit(self, disk_bytes: int) -> None:
-        """Bytes that all files may take; it may be lowered below what is in use, which then shrinks."""
+        """Set the limit in bytes of all files; if it is below what is in use, compaction shrinks the folder."""
         self.limit = disk_bytes
-        self.floor, self.spare = 1 << 62, -1  # what must stay free, and what new messages may take: to be reckoned
+        self.floor, self.spare = 1 << 62, -1  # reserve and free bytes; computed at the next use
         self.segment_size = self.wanted_segment or compaction_planner.segment_size(disk_bytes)
 
     # ---- at the start ----
 
     def load(self) -> None:
-        """Hold the folder, read what is owed, and go on.
+        """Lock the folder, read the unfinished messages and prepare to append.
 
-        `FolderInUseError`, `NoSpaceError` and OSError where that is impossible.
+        Raises `FolderInUseError`, `NoSpaceError` or OSError if that is impossible.
         """
         self.folder.claim()
         found = recover(self.folder, logger.error)
@@ -119,7 +124,7 @@
                 if stored.number not in self.messages:
                     self.write_message(stored, stored.body or b"", RecordUse.MOVE)
             self.old_until = max(files)
-            self.begin_segment()  # its header says that the old files are done with
+            self.begin_segment()  # its header records that the old files have been taken over
         for number in numbers(self.folder.names(), OLD_NAME):
             if number <= self.old_until:
                 quietly(self.folder.unlink, f"{number:08d}.log")
@@ -127,18 +132,18 @@
         self.damaged = found.damaged
         if found.damaged:
             for stored in list(self.messages.values()):
-                # Danger: a damaged segment goes some day, and the doubt must not go with it.
+                # The damaged segment will be deleted one day; the doubt must be on record elsewhere before that.
                 self.write_note(stored, records.state(stored), RecordUse.MOVE)
         for stored in self.messages.values():
             if stored.body is not None:
                 self.body_cache.add(stored, self.messages)
 
     def _count(self) -> None:
-        """What is on the disk, by looking."""
+        """Compute `used` from the sizes of all files."""
         self.used = sum(compaction_planner.blocks(self.folder.size(name)) for name in self.folder.names())
 
     def _go_on(self, tail: int) -> None:
-        """Append to the newest segment, cut off behind its last good record, or to a new one."""
+        """Append to the newest segment, truncated after its last valid record (`tail` bytes), or to a new one."""
         newest = self.segment_index.segments.get(max(self.segment_index.segments, default=0))
         if newest is not None and 0 < tail < self.segment_size and not newest.foreign:
             try:
@@ -153,13 +158,14 @@
         try:
             self.begin_segment()
         except NoSpaceError as error:
-            # Danger: a sender that does not start for want of room could never end what fills the folder.
+            # Start all the same: a sender that refused to start on a full folder could never finish the messages that
+            # fill it.
             logger.error("the folder takes no records so far: {}", error.line)
 
     # ---- in service ----
 
     def sizes(self) -> compaction_planner.Sizes:
-        """How the folder stands, for the planner."""
+        """The sizes of the folder in bytes, for the planner."""
         head = FRAME.size + records.HEADER_BODY.size + records.HEADER_LINE.size * (len(self.segment_index.segments) + 1)
         return compaction_planner.Sizes(
             self.limit,
@@ -172,7 +178,7 @@
         )
 
     def weighed(self, stored: StoredMessage) -> int:
-        """The bytes that a message takes."""
+        """The bytes that a message takes on disk, with one state record."""
         texts = len(stored.id) + len(stored.key) + len(stored.priority_class) + len(stored.tenant)
         body = len(stored.body) if stored.body is not None else stored.size
         return (
@@ -191,12 +197,12 @@
         return weighed <= self.spare and not self.owing
 
     def estimate_room(self) -> None:
-        """Compute anew how many bytes are free; in between the estimate only ever errs on the low side."""
+        """Compute anew how many bytes are free; between two calls the estimate may only be too low."""
         sizes = self.sizes()
         self.floor, self.spare = compaction_planner.reserve(sizes), compaction_planner.room(sizes)
 
     def room_for(self) -> int:
-        """How many more messages of the mean size of those stored the folder has room for."""
+        """The number of further messages of the mean stored size that fit in the folder."""
         mean = max(
             (self.segment_index.live + self.segment_index.promised_bytes()) // max(1, len(self.messages)) + 1,
             records.STATE_RECORD_BYTES,
@@ -206,7 +212,7 @@
         return max(0, self.spare) // mean
 
     def keep(self, stored: StoredMessage) -> None:
-        """Write the record of a taken message; `NoSpaceError` where there is none for it."""
+        """Write the record of an accepted message; raises `NoSpaceError` if it does not fit."""
         body = stored.body or b""
         stored.size, stored.checksum = len(body), zlib.crc32(body)
         if not self.fits(stored):
@@ -216,13 +222,19 @@
         self.body_cache.add(stored, self.messages)
 
     def attempt(self, number: int, sent_at: int, zone: int) -> None:
-        """An attempt is about to go out; `NoSpaceError` where that cannot be recorded, so that it must not."""
+        """Record an attempt before it is sent; after `NoSpaceError` it must not be sent.
+
+        `sent_at`: wall-clock microseconds; `zone`: the zone mark of the receiver.
+        """
         stored = self.messages[number]
         self.write_note(stored, ATTEMPT_BODY.pack(ATTEMPT, number, sent_at, zone), RecordUse.SHORT_RECORD)
         stored.attempt(sent_at, zone)
 
     def outcome(self, number: int, outcome: Outcome) -> None:
-        """The recorded attempt that was out has ended; a completed one ends its message."""
+        """Record the outcome of the attempt in flight; a completed one ends its message.
+
+        Raises `NoSpaceError` if the record did not fit; it is then written later.
+        """
         stored = self.messages.get(number)
         if stored is None or not stored.out_at:
             return
@@ -233,13 +245,13 @@
         self._write_or_owe(OUTCOME_BODY.pack(OUTCOME, number, OUTCOMES.index(outcome)), self._when_written(stored))
 
     def may_have_run(self, number: int, at: int, zone: int) -> None:
-        """Another sender knows of an attempt that may have run, before all that are known here."""
+        """Record an attempt of another sender that may have run, earlier than all known here."""
         stored = self.messages[number]
         stored.ran_at, stored.ran_zone = at, zone
         self._write_or_owe(records.state(stored), self._when_written(stored))
 
     def ended(self, number: int, rejected: bool, wait_ms: int) -> None:
-        """The final answer has been chosen; its notice is owed, its body is not needed any more."""
+        """Record the final answer: its notice must still be sent, its body is not needed any more."""
         stored = self.messages.get(number)
         if stored is not None:
             stored.end = (rejected, wait_ms)
@@ -247,7 +259,7 @@
             self._write_or_owe(END_BODY.pack(END, number, rejected, wait_ms), self._when_written(stored))
 
     def over(self, number: int) -> None:
-        """Nothing more is owed."""
+        """Record that a message is finished and forget it."""
         stored = self.messages.get(number)
         if stored is not None:
             self.body_cache.release(stored)
@@ -257,30 +269,30 @@
             )
 
     def step(self) -> None:
-        """Between two rounds: move a bounded number of bytes, as many as the planner says."""
+        """Run one bounded compaction step; called between two rounds."""
         self.compactor.step()
 
     def deciding(self) -> bool:
-        """Whether this sender may answer for what it holds: always, where no other sender has a say."""
+        """Whether this sender may answer for its messages; always true without a fleet."""
         return True
 
     def taking(self) -> bool:
-        """Whether new messages may be taken at all: always, where no other sender has a say."""
+        """Whether new messages may be accepted at all; always true without a fleet."""
         return True
 
     def may_fire(self, number: int) -> bool:
-        """Whether an attempt of this message may begin now: always, where no other sender has a say."""
+        """Whether an attempt of this message may start now; always true without a fleet."""
         return True
 
     def body(self, number: int) -> bytes:
-        """The body of a message, from memory or from the folder; `BodyLostError` where it cannot be read."""
+        """The body of a message, from memory or from the folder; raises `BodyLostError` if it cannot be read."""
         stored = self.messages[number]
         return stored.body if stored.body is not None else self.body_cache.read(stored, self.segment_index.segments)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
-        """With `durable`, bring everything written so far to the disk; OSError where that fails.
+        """With `durable`, sync everything written so far to the disk; raises OSError if that fails.
 
-        `call` runs a blocking function where it holds nobody up.
+        `call`, if given, runs the blocking sync elsewhere, for example in a thread pool.
         """
         for file in list(self.unsynced):
             if call is None:
@@ -292,7 +304,7 @@
             self.compactor.delete_condemned()
 
     def close(self) -> None:
-        """Let the folder go."""
+        """Close all files and give up the lock of the folder."""
         for segment in self.segment_index.segments.values():
             if segment.file >= 0:
                 self.folder.close(segment.file)
@@ -305,7 +317,7 @@
     # ---- records ----
 
     def write_message(self, stored: StoredMessage, body: bytes, use: RecordUse) -> int:
-        """Write all that is known of a message; how many bytes that took."""
+        """Write the full record of a message; returns the bytes written. May raise `NoSpaceError`."""
         payload, at = records.message(stored, body)
         segment, begin = self.append_record(payload, use)
         stored.size = len(body)
@@ -313,13 +325,13 @@
         return FRAME.size + len(payload)
 
     def write_note(self, stored: StoredMessage, payload: bytes, use: RecordUse) -> int:
-        """Write a short record of a message; how many bytes that took."""
+        """Write a short record about a message; returns the bytes written. May raise `NoSpaceError`."""
         segment, _ = self.append_record(payload, use)
         self.segment_index.note_written(stored, segment, whole=payload[0] == records.STATE)
         return FRAME.size + len(payload)
 
     def _when_written(self, stored: StoredMessage) -> Callable[[Segment], None]:
-        """What is done once a short record of a message is written: its place is noted, if it is still owed."""
+        """A callback that adds a written short record to the index, if its message is still unfinished."""
 
         def then(segment: Segment) -> None:
             if stored.number in self.messages:
@@ -328,7 +340,7 @@
         return then
 
     def _write_or_owe(self, payload: bytes, then: Callable[[Segment], None]) -> None:
-        """A short record that must come: without room for it now it is written as soon as there is some."""
+        """Write a short record that must not be lost; without space it is queued, and `NoSpaceError` raised."""
         if self.owing:
             self.owing.append((payload, then))
             self.write_owing()
@@ -341,7 +353,7 @@
         then(segment)
 
     def write_owing(self) -> None:
-        """Write the short records that had no room so far; `NoSpaceError` at the first that still has none."""
+        """Write the queued short records; raises `NoSpaceError` at the first that still does not fit."""
         while self.owing:
             payload, then = self.owing[0]
             segment, _ = self.append_record(payload, RecordUse.SHORT_RECORD, owed=True)
@@ -349,12 +361,13 @@
             self.owing.popleft()
 
     def append_record(self, payload: bytes, use: RecordUse, owed: bool = False) -> tuple[Segment, int]:
-        """Write one record; its segment, and where its frame begins there. `owed`: it is the first of `owing`.
+        """Append one record; returns its segment and the offset of its frame there.
 
-        `NoSpaceError` where there is no room, or the disk does not take it.
+        `owed`: the record is the first of the queue `owing`. Raises `NoSpaceError` if there is no space or the disk
+        refuses the write.
         """
         if self.owing and not owed and use is not RecordUse.MOVE:
-            self.write_owing()  # Danger: of two records on one message the later must not come first
+            self.write_owing()  # records about one message must be written in their order
         record = framed(payload)
         active = self.active
         if active is None or active.size + len(record) > self.segment_size and active.size > active.head:
@@ -362,7 +375,7 @@
         grows = active.growth(len(record))
         if use is not RecordUse.MOVE and self.limit - self.used - grows < self.floor:
             self.compactor.find_room(grows, use)
-            active = self.active or active  # another one, where that has filled this one up
+            active = self.active or active  # compaction may have begun a new segment
             grows = active.growth(len(record))
         try:
             written = self.folder.append(self.file, record)
@@ -385,8 +398,8 @@
         return active, begin
 
     def _undo(self, active: Segment, written: int) -> None:
-        """A record was cut short: it is cut off, or else nothing more is written behind it."""
-        # Danger: all that follows a torn record would be taken for damage at the next start.
+        """Truncate a partly written record away; if that fails, close the segment to further records."""
+        # A torn record in the middle of a segment would be reported as damage at the next start.
         try:
             self.folder.truncate(self.file, active.size)
         except OSError as error:
@@ -404,7 +417,7 @@
     # ---- segments ----
 
     def _next_segment(self, active: Segment | None) -> Segment:
-        """A new segment to append to; the old one where there is no room for another."""
+        """Begin a new segment and return it, or the old one if there is no space for another."""
         try:
             self.begin_segment()
         except NoSpaceError:
@@ -414,7 +427,7 @@
         return self.active
 
     def begin_segment(self) -> None:
-        """Seal the active segment and begin another; `NoSpaceError` where that cannot be written."""
+        """Seal the active segment and begin another; raises `NoSpaceError` if that cannot be written."""
         number = self.last_segment + 1
         others = {each.number: each.size for each in self.segment_index.segments.values()}
         made = Header(records.VERSION, number, self.now(), self.next_number, self.old_until, others)
@@ -436,7 +449,7 @@
             raise NoSpaceError(f"a new segment: {error}") from None
         if self.file >= 0:
             if self.file in self.unsynced:
-                quietly(self.folder.sync, self.file)  # Danger: once closed, nobody can sync it
+                quietly(self.folder.sync, self.file)  # a closed descriptor cannot be synced any more
                 self.unsynced.discard(self.file)
             quietly(self.folder.close, self.file)
         self.file, self.last_segment = file, number
--- a/cedarwick/store/legacy_format.py
+++ b/cedarwick/store/legacy_format.py
@@ -1,4 +1,4 @@
-"""Folders that the first version has left: one file, rewritten whole. They are read once and taken over."""
+"""Reads the first version's format: one `.log` file that was rewritten whole. `journal.Store.load` converts it once."""
 
 import struct
 import zlib
@@ -21,7 +21,10 @@
 
 
 def read(folder: Folder, until: int) -> tuple[dict[int, StoredMessage], int, list[int]]:
-    """What files with a number above `until` hold: messages by number, the next number, and the files."""
+    """Read the files numbered above `until`; returns messages by number, the next message number, and the file numbers.
+
+    Raises OSError if a file cannot be read.
+    """
     stored: dict[int, StoredMessage] = {}
     next_number = 1
     files = [number for number in numbers(folder.names(), OLD_NAME) if number > until]
@@ -36,13 +39,13 @@
             try:
                 next_number = max(next_number, replay(stored, payload))
             except (struct.error, ValueError, IndexError, UnicodeDecodeError) as error:
-                # Danger: one record of another version would keep the sender from starting.
+                # Skip it: one unreadable record must not prevent the sender from starting.
                 logger.error(InvalidRecordError(f"a record of the first format in {name} cannot be read: {error}").line)
     return stored, next_number, files
 
 
 def replay(stored: dict[int, StoredMessage], payload: bytes) -> int:
-    """One record of the first format; the next free number as far as it tells."""
+    """Apply one record to `stored`; returns the lowest message number that it leaves free (1 if it names none)."""
     kind = payload[0]
     if kind == WHOLE:
         stored.clear()  # this file holds all that was live when it was begun
@@ -89,7 +92,7 @@
 
 
 def payloads(data: bytes) -> Iterator[bytes]:
-    """The whole records of a file; what follows the first torn one is left out."""
+    """The payloads of a file up to the first torn or damaged record."""
     at = 0
     while at + HEAD.size <= len(data):
         size, checksum = HEAD.unpack_from(data, at)
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -1,8 +1,8 @@
-"""The records of the journal: frames with a checksum, and what each kind holds. No I/O.
+"""The record format of the journal: checksummed frames and the layout of each kind of record. No I/O.
 
-A frame is a mark of two bytes, the payload's length, a checksum over length and payload, the payload. A payload
-begins with its kind and, but for headers and drops, the message's number. An unknown kind is passed on, not
-dropped; by its number one can tell whether it may speak of attempts (below `HARMLESS`) or not.
+A frame is a mark of two bytes, the payload's length, a checksum over length and payload, and the payload. A payload
+begins with its kind and, except for headers and drops, the message's number. Records of an unknown kind are preserved;
+kinds below `HARMLESS` may be about attempts. Times are wall-clock microseconds, sizes and offsets bytes.
 """
 
 import struct
@@ -20,9 +20,9 @@
 LENGTH = struct.Struct("<I")
 LONGEST = 1 << 20  # bytes of a payload
 HEADER, MESSAGE, STATE, ATTEMPT, OUTCOME, END, OVER, DROP = range(1, 9)
-HARMLESS = 64  # kinds from here on say nothing of attempts or ends
+HARMLESS = 64  # kinds from here on are not about attempts or ends
 HEADER_BODY = struct.Struct("<BHQQQQI")  # kind, version, number, made at, next message, old files until, lines
-HEADER_LINE = struct.Struct("<QQ")  # a segment that lives beside this one, and its valid length
+HEADER_LINE = struct.Struct("<QQ")  # number and valid length of another live segment
 MESSAGE_BODY = struct.Struct("<BQQQIIHHHH")  # number, limit, turn, destination, body's checksum, four texts
 STATE_BODY = struct.Struct("<HQhQhQBI")  # attempts, ran at and zone, out at and zone, doubt, end, wait
 STATE_HEAD = struct.Struct("<BQ")
@@ -32,11 +32,11 @@
 OVER_BODY = struct.Struct("<BQ")
 OUTCOMES = list(Outcome)
 NO_END, WRITTEN_OFF, REJECTED = range(3)
-NOWHERE = -1  # the zone of an attempt that nobody knows: no receiver is there
-FIRST_MARK, MARKS = 1 << 10, 31 << 10  # of zones; what is below is a place among the zones of some settings
+NOWHERE = -1  # the zone of an attempt of which no record is left: no receiver is there
+FIRST_MARK, MARKS = 1 << 10, 31 << 10  # of zone marks; lower values are indexes into the configured zones
 OVER_RECORD_BYTES = FRAME.size + OVER_BODY.size
 STATE_RECORD_BYTES = FRAME.size + STATE_HEAD.size + STATE_BODY.size
-SHORTEST = STATE_HEAD.size  # of a payload that names a message
+SHORTEST = STATE_HEAD.size  # bytes of a payload that names a message
 
 
 class InvalidRecordError(CedarwickError):
@@ -48,41 +48,41 @@
 
 @dataclass(slots=True, eq=False)
 class StoredMessage:
-    """A message that this sender owes its end, and what the folder knows of its attempts."""
+    """An unfinished message and what the folder records of its attempts; times in wall-clock microseconds."""
 
     number: int  # 0 until it is taken
     id: str
-    key: str  # marks a repeat
-    turn: int  # the key of the order; 0 for none
+    key: str  # repeated requests carry the same key
+    turn: int  # the ordering key; 0 for none
     priority_class: str
     tenant: str  # empty for none
     destination: int
     deadline: int  # wall time
-    body: bytes | None  # None: it lies in the folder only
+    body: bytes | None  # None: only in the folder
     attempts: int = 0
     ran_at: int = 0  # when the first attempt left that may have run; 0: none did
     ran_zone: int = 0  # by its mark
-    out_at: int = 0  # the attempt that has no outcome yet; 0: none is out
+    out_at: int = 0  # when the attempt without an outcome was sent; 0: none is in flight
     out_zone: int = 0
-    doubt_at: int = 0  # records are lost from then on, so an attempt may have run; 0: none are
-    end: tuple[bool, int] | None = None  # rejected (not written off), advised wait in ms; its notice is owed
-    # Where its record lies; of the journal's own concern.
+    doubt_at: int = 0  # records since then are lost, so an attempt may have run; 0: none are
+    end: tuple[bool, int] | None = None  # rejected (not written off), advised wait in ms; its notice is still to send
+    # Where its record is; used by the journal only.
     home: int = 0  # the segment; 0: nowhere yet
-    at: int = 0  # the body's place in that
+    at: int = 0  # the body's offset in that
     size: int = 0  # bytes of the body
     checksum: int = 0  # of the body
     weight: int = 0  # bytes of the record
     noted: list[int] = field(default_factory=list)  # segments with short records of it that its record does not include
 
     def attempt(self, sent_at: int, zone: int) -> None:
-        """An attempt goes out. One before it without an outcome may have run."""
+        """An attempt is sent at `sent_at`; an earlier one without an outcome may have run."""
         if self.out_at and not self.ran_at:
             self.ran_at, self.ran_zone = self.out_at, self.out_zone
         self.attempts += 1
         self.out_at, self.out_zone = sent_at, zone
 
     def outcome(self, never_ran: bool) -> None:
-        """The attempt that was out has ended."""
+        """The attempt in flight has ended; `never_ran`: the receiver certainly did not process it."""
         if not never_ran and not self.ran_at:
             self.ran_at, self.ran_zone = self.out_at, self.out_zone
         self.out_at = 0
@@ -95,27 +95,27 @@
 
 
 class Header(NamedTuple):
-    """The first record of a segment: with it, the set of segments that live is beyond doubt."""
+    """The first record of a segment; it names all other live segments, so that a missing one is noticed."""
 
     version: int
     number: int
     made_at: int
     next_message: int
     old_until: int  # files of the first format up to this number have been taken over
-    others: dict[int, int]  # every other segment that lives, and its valid length
+    others: dict[int, int]  # every other live segment, and its valid length
 
 
 def zone_mark(name: str) -> int:
-    """What stands for a zone in a record: a number from the zone's name.
+    """The number that identifies a zone in a record, computed from the zone's name.
 
-    Danger: its place among the zones changes with the settings, and a repeat would then go to a zone where nobody
-    remembers the message's number.
+    An index into the configured zones would change with the settings, and a repeat would then go to a zone whose
+    receivers do not remember the message's number.
     """
     return FIRST_MARK + zlib.crc32(name.encode()) % MARKS
 
 
 def framed(payload: bytes) -> bytes:
-    """A payload as a frame."""
+    """The bytes of a frame with this payload."""
     return FRAME.pack(MARK, len(payload), check(payload)) + payload
 
 
@@ -136,7 +136,7 @@
 
 
 def read_header(payload: bytes) -> Header:
-    """The header in a payload; `InvalidRecordError` where it cannot be read."""
+    """Decode a header; raises `InvalidRecordError` if it is too short."""
     try:
         _, version, number, made_at, next_message, old_until, count = HEADER_BODY.unpack_from(payload)
         others = dict(
@@ -149,7 +149,7 @@
 
 
 def message(stored: StoredMessage, body: bytes) -> tuple[bytes, int]:
-    """The record of a message with all that is known of it, and the body's place in the payload."""
+    """Encode the full record of a message; returns the payload and the body's offset in it."""
     texts = [text.encode() for text in (stored.id, stored.key, stored.priority_class, stored.tenant)]
     head = MESSAGE_BODY.pack(
         MESSAGE, stored.number, stored.deadline, stored.turn, stored.destination, stored.checksum, *map(len, texts)
@@ -159,7 +159,7 @@
 
 
 def encode_state(stored: StoredMessage) -> bytes:
-    """What is known of a message's attempts and end, as `STATE_BODY`."""
+    """Encode a message's attempts and end as `STATE_BODY`."""
     end, wait = NO_END, 0
     if stored.end is not None:
         end, wait = REJECTED if stored.end[0] else WRITTEN_OFF, stored.end[1]
@@ -176,12 +176,15 @@
 
 
 def state(stored: StoredMessage) -> bytes:
-    """All that is known of a message's attempts and end, without its body."""
+    """Encode a state record: a message's attempts and end, without its body."""
     return STATE_HEAD.pack(STATE, stored.number) + encode_state(stored)
 
 
 def read_message(payload: bytes, segment: int, at: int) -> StoredMessage:
-    """The message of a record that lies at a place of a segment; the body stays in the payload."""
+    """Decode a message record whose frame begins at offset `at` of a segment; the body is not loaded.
+
+    Raises `InvalidRecordError`.
+    """
     try:
         _, number, limit, turn, destination, checksum, *sizes = MESSAGE_BODY.unpack_from(payload)
         place, texts = MESSAGE_BODY.size + STATE_BODY.size, []
@@ -214,37 +217,37 @@
 
 
 def apply_state(stored: StoredMessage, payload: bytes, at: int) -> None:
-    """Replace what is known of a message's attempts and end by what a payload says."""
+    """Replace a message's attempts and end by the state at offset `at` of a payload; raises `InvalidRecordError`."""
     try:
         (stored.attempts, stored.ran_at, stored.ran_zone, stored.out_at, stored.out_zone, doubt_at, end, wait) = (
             STATE_BODY.unpack_from(payload, at)
         )
     except struct.error as error:
         raise InvalidRecordError(f"a state: {error}") from None
-    # Danger: what damage has put in doubt stays so, whatever an older record says.
+    # Doubt caused by lost records stays: a state record written before the loss cannot remove it.
     stored.doubt_at = min(filter(None, (stored.doubt_at, doubt_at)), default=0)
     stored.end = None if end == NO_END else (end == REJECTED, wait)
 
 
 class Frame(NamedTuple):
-    """A whole record, and where its frame begins."""
+    """A valid record: the offset of its frame in the file, and its payload."""
 
     at: int
     payload: bytes
 
 
 class DamagedRange(NamedTuple):
-    """Bytes that are no record."""
+    """Bytes from `at` to before `until` that hold no valid record."""
 
     at: int
     until: int
 
 
 def scan(data: bytes, begin: int, whole: bool) -> Iterator[Frame | DamagedRange]:
-    """The records of a part of a file, which begins at a place; `whole`: nothing follows that part.
+    """The records of a chunk of a file that begins at offset `begin`; `whole`: it is the last chunk.
 
-    A frame that goes on past the part's end is left to the next part, unless the part is whole. After damage
-    the next frame with a good checksum is looked for.
+    A frame that may continue past the end of the chunk is left to the next one, unless this is the last. After damage
+    the scan goes on at the next frame with a valid checksum.
     """
     at = 0
     while at < len(data):
@@ -267,7 +270,7 @@
 
 
 def frame_at(data: bytes, at: int) -> bytes | None:
-    """The payload of a good frame at a place; None where there is none."""
+    """The payload of the valid frame at an offset; None if there is none."""
     if at + FRAME.size > len(data):
         return None
     mark, size, checksum = FRAME.unpack_from(data, at)
@@ -278,7 +281,7 @@
 
 
 def may_go_on(data: bytes, at: int) -> bool:
-    """Whether what begins here could be a good frame with more bytes behind it."""
+    """Whether the bytes at an offset may be the beginning of a frame that continues in the next chunk."""
     if at + FRAME.size > len(data):
         return MARK.startswith(data[at : at + 2])
     mark, size, _ = FRAME.unpack_from(data, at)
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -1,8 +1,9 @@
-"""Reading a folder: one pass over its segments in their order, in bounded memory.
+"""Rebuilds the state of a folder by replaying its segments in order, in bounded memory. It writes nothing.
 
-The newest segment's header names every segment that lives beside it, and its drop records name those that have
-gone since; so what is missing, what is left over and what is damaged can be told apart. Where records may be
-lost, every message that lived then is put in doubt: an attempt of it may have run that nobody knows of.
+The newest segment's header names every other live segment, and its drop records name those deleted since; this tells
+missing segments, leftover files and damage apart. Where records may be lost, every message live at that point is put
+in doubt: an attempt without a record may have run. Called by `journal.Store.load` and by `tools.py`; times are
+wall-clock microseconds, sizes and offsets bytes.
 """
 
 from collections.abc import Iterator
@@ -42,8 +43,8 @@
 )
 from cedarwick.store.segments import Say, Segment, SegmentIndex
 
-CHUNK = 1 << 20  # bytes that are read at once
-SECTOR = 1 << 12  # and where the disk gives an error
+CHUNK = 1 << 20  # bytes read at once
+SECTOR = 1 << 12  # bytes read at once where the disk reports an error
 
 
 class FolderDamagedError(CedarwickError):
@@ -62,21 +63,24 @@
 
 @dataclass
 class Recovered:
-    """What a folder holds."""
+    """The state of a folder after replay."""
 
     segment_index: SegmentIndex = field(default_factory=SegmentIndex)
     next_message: int = 1
     old_until: int = 0
-    last: int = 0  # the highest number of a segment that was seen, alive or not
+    last: int = 0  # the highest segment number seen, live or not
     leftover: list[str] = field(default_factory=list)  # files that can be deleted
-    tail: int = -1  # the good length of the newest segment; -1: it cannot be gone on with
+    tail: int = -1  # valid bytes of the newest segment; -1: nothing may be appended to it
     damaged: bool = False
     records: int = 0
     unknown_records: int = 0
 
 
 def recover(folder: Folder, say: Say) -> Recovered:
-    """Read all that lives in a folder; what is wrong with it goes to `say`, a line each. Writes nothing."""
+    """Replay a folder and return its state; each finding is passed to `say` as one line.
+
+    Raises OSError if the folder cannot be read; bytes that the disk cannot read count as damage.
+    """
     found = Recovered()
     names = folder.names()
     present = numbers(names)
@@ -116,7 +120,7 @@
 def live_segments(
     folder: Folder, found: Recovered, present: list[int], top: Header | None, newest: int, say: Say
 ) -> tuple[set[int], dict[int, int]]:
-    """The segments that should be there, and the good lengths of those that were sealed."""
+    """The numbers of the segments that should exist, and the valid lengths in bytes of those that were sealed."""
     expected, lengths = set(present), {}
     if top is not None:
         lengths = dict(top.others)
@@ -127,7 +131,7 @@
         found.leftover = [segment_name(number) for number in present if number not in expected]
     for number in [number for number in expected if number > newest and number in present]:
         records = [each for each in read_through(folder, segment_name(number), None) if isinstance(each, Frame)]
-        if not records:  # a segment whose making was cut off holds nothing that was ever promised
+        if not records:  # its creation was interrupted, so it holds nothing that was acknowledged
             expected.discard(number)
             found.leftover.append(segment_name(number))
     if found.leftover:
@@ -136,7 +140,7 @@
 
 
 def first_header(folder: Folder, number: int) -> Header | None:
-    """The header of a segment; None where it has none that can be read."""
+    """The header of a segment; None if it has none that can be read."""
     for each in read_through(folder, segment_name(number), None):
         if isinstance(each, Frame) and each.at == 0 and each.payload[0] == HEADER:
             try:
@@ -157,7 +161,11 @@
     doubt_from: int,
     say: Say,
 ) -> None:
-    """Replay one segment; damage in it puts in doubt what lived then."""
+    """Replay one segment; damage in it puts all messages live at that point in doubt.
+
+    `length`: the valid bytes recorded when it was sealed, None if unknown; `last`: it is the newest segment;
+    `doubt_from`: wall-clock microseconds, the time from which records may be lost.
+    """
     name = segment_name(number)
     physical = folder.size(name)
     segment = Segment(number, made.made_at if made else doubt_from, physical=physical)
@@ -186,7 +194,7 @@
             replay(found, segment, each, say)
             continue
         if last and each.until >= physical and made is not None:
-            # What was being written when the process ended; nobody was promised it.
+            # A write interrupted by the end of the process: it was never acknowledged, so nothing is lost.
             say(f"{name}: {each.until - each.at} bytes of a last record that was cut off are left out")
             continue
         if made is None and each.at == 0 and not last:
@@ -204,14 +212,14 @@
 
 
 def put_in_doubt(found: Recovered, since: int) -> None:
-    """Records are lost: any message may have had an attempt that nobody knows of."""
+    """Mark every live message: records since `since` are lost, so an attempt may have run without a record."""
     found.damaged = True
     for stored in found.segment_index.messages.values():
         stored.doubt_at = min(filter(None, (stored.doubt_at, since)), default=1)
 
 
 def replay(found: Recovered, segment: Segment, record: Frame, say: Say) -> None:
-    """Take one record into account."""
+    """Apply one record to the state; one that cannot be decoded is reported to `say` and skipped."""
     payload, segment_index = record.payload, found.segment_index
     kind = payload[0]
     if kind in (HEADER, DROP):
@@ -237,7 +245,7 @@
         if stored is None:
             if kind == OVER or kind == OUTCOME and OUTCOMES[OUTCOME_BODY.unpack(payload)[2]] is Outcome.COMPLETED:
                 segment_index.end_rewritten(number, segment)
-            return  # a record of a message that has ended, or whose own record is lost
+            return  # the message has ended, or its own record is lost
         apply_short_record(segment_index, segment, stored, kind, payload)
     except (InvalidRecordError, ValueError, IndexError) as error:
         say(
@@ -245,7 +253,7 @@
                 f"{segment_name(segment.number)}: the record at {record.at} cannot be read: {error}"
             ).line
         )
-    except Exception as error:  # struct.error, which is a class of its own
+    except Exception as error:  # struct.error, which is no ValueError
         say(
             InvalidRecordError(
                 f"{segment_name(segment.number)}: the record at {record.at} has a wrong length: {error}"
@@ -254,7 +262,7 @@
 
 
 def apply_message(segment_index: SegmentIndex, segment: Segment, fresh: StoredMessage) -> None:
-    """The newest record of a message; what an older one said is replaced."""
+    """Apply a full record of a message, which replaces older ones; doubt is carried over."""
     before = segment_index.messages.get(fresh.number)
     at, weight = fresh.at, fresh.weight
     if before is not None:
@@ -268,7 +276,7 @@
 def apply_short_record(
     segment_index: SegmentIndex, segment: Segment, stored: StoredMessage, kind: int, payload: bytes
 ) -> None:
-    """A short record about a message that lives."""
+    """Apply a short record about a live message."""
     if kind == STATE:
         apply_state(stored, payload, STATE_HEAD.size)
         segment_index.note_written(stored, segment, whole=True)
@@ -289,7 +297,7 @@
 
 
 def read_through(folder: Folder, name: str, until: int | None) -> Iterator[Frame | DamagedRange]:
-    """The records of a file up to a place; what the disk does not give back counts as damage."""
+    """The records of a file up to offset `until` (None: all); bytes that the disk cannot read count as damage."""
     try:
         file = folder.open(name, append=False)
     except OSError:
@@ -315,7 +323,7 @@
 
 
 def read_part(folder: Folder, file: int, size: int, at: int) -> bytes:
-    """Bytes of a file; zeros, which are no record, stand for sectors that cannot be read."""
+    """Read bytes of a file; sectors that cannot be read are replaced by zeros, which are never a valid record."""
     try:
         return folder.read(file, size, at)
     except OSError:
--- a/cedarwick/store/segments.py
+++ b/cedarwick/store/segments.py
@@ -1,11 +1,11 @@
-"""Which records of each segment still matter: the journal's index, without I/O.
+"""The index of the journal: which records of each segment are still needed. No I/O; sizes and offsets are in bytes.
 
-A segment may be deleted once nothing in it is needed to rebuild the present state from the rest:
+Used by `journal.py`, `compaction.py` and `recovery.py`. A segment may be deleted once it holds none of these:
 
-- the newest record of a message that lives (`bases`);
+- the newest full record of a live (unfinished) message (`bases`);
 - short records of a message's attempts or end that its newest record does not include (`notes`);
-- the record of an end, as long as an older record of the message lies in another segment (`tombstones`): without it
-  that older record would bring the message back;
+- the record of an end, as long as an older record of the message is in another segment (`tombstones`): without it
+  that older record would bring the message back at the next start;
 - records that this version does not know (`unknown`).
 """
 
@@ -18,27 +18,27 @@
 
 @dataclass(slots=True, eq=False)
 class Segment:
-    """One file of the journal."""
+    """One file of the journal and the message numbers of the records in it."""
 
     number: int
     made_at: int
-    size: int = 0  # bytes of good records
+    size: int = 0  # bytes of valid records
     physical: int = 0  # bytes of the file; more than the size where a write was cut short
     head: int = 0  # bytes of its header
     bases: set[int] = field(default_factory=set)
     weight: int = 0  # bytes of the bases
     notes: set[int] = field(default_factory=set)
     tombstones: set[int] = field(default_factory=set)
-    dead: set[int] = field(default_factory=set)  # ended elsewhere, while a record of them lies here
-    moved: set[int] = field(default_factory=set)  # live elsewhere by now, while an older record lies here
-    unknown: list[tuple[int, int]] = field(default_factory=list)  # place and length of payloads
+    dead: set[int] = field(default_factory=set)  # messages whose end is recorded, with an older record here
+    moved: set[int] = field(default_factory=set)  # messages whose newest record is elsewhere, with an older one here
+    unknown: list[tuple[int, int]] = field(default_factory=list)  # offset and length of payloads
     unknown_bytes: int = 0
-    foreign: bool = False  # of another version: it is never touched
-    file: int = -1  # for reading
+    foreign: bool = False  # written by another version: never changed or deleted
+    file: int = -1  # descriptor for reading; -1: not open
 
     @property
     def live(self) -> int:
-        """Bytes that would have to be written elsewhere before it can go."""
+        """Bytes that must be written to another segment before this one can be deleted."""
         if self.foreign:
             return self.physical
         return (
@@ -50,34 +50,34 @@
 
     @property
     def done(self) -> bool:
-        """Whether nothing in it matters any more."""
+        """Whether no record in it is needed any more."""
         return not (self.foreign or self.bases or self.notes or self.tombstones or self.unknown)
 
     def growth(self, size: int) -> int:
-        """By how much its blocks on the disk grow with so many bytes more."""
+        """Bytes in whole blocks by which the file grows when `size` bytes are appended."""
         return blocks(self.physical + size) - blocks(self.physical)
 
 
 class SegmentIndex:
-    """All segments, all messages that live, and the ends that still need a record."""
+    """All segments, all live messages, and the ends whose record is still needed."""
 
     def __init__(self) -> None:
         self.segments: dict[int, Segment] = {}
         self.messages: dict[int, StoredMessage] = {}
         # By message: the segment with the record of its end, and the segments with an older record of it.
         self.tombstones: dict[int, tuple[int, set[int]]] = {}
-        self.live = 0  # what all segments' live bytes add up to
-        self.largest = 0  # the largest record seen
-        self.moving: set[int] = set()  # segments that records have been moved out of
-        self.notes = 0  # how many notes all segments hold
+        self.live = 0  # sum of all segments' live bytes
+        self.largest = 0  # bytes of the largest record seen
+        self.moving: set[int] = set()  # segments with older records of messages moved elsewhere
+        self.notes = 0  # number of notes in all segments
 
     def add(self, segment: Segment) -> None:
-        """A segment was begun or found."""
+        """Add a segment that was begun or found."""
         self.segments[segment.number] = segment
         self.live += segment.live
 
     def message_written(self, stored: StoredMessage, segment: Segment, at: int, weight: int) -> None:
-        """The newest record of a message lies here now, with all that is known of it."""
+        """Register a full record of a message, `weight` bytes long, in `segment`; `at`: offset of the body."""
         with_old = self.segments.get(stored.home)
         self.clear_notes(stored)
         if with_old is not None and with_old.number != segment.number:
@@ -94,7 +94,7 @@
         self.messages[stored.number] = stored
 
     def note_written(self, stored: StoredMessage, segment: Segment, whole: bool = False) -> None:
-        """A short record of a message lies here; `whole`: it holds all that is known, so older ones do not matter."""
+        """Register a short record; `whole`: it holds the full state, so that older short records are not needed."""
         if whole:
             self.clear_notes(stored)
         if segment.number not in stored.noted:
@@ -104,7 +104,7 @@
             self.live += STATE_RECORD_BYTES
 
     def clear_notes(self, stored: StoredMessage) -> None:
-        """No short record of a message matters any more."""
+        """Remove all short records of a message from the index."""
         for number in stored.noted:
             segment = self.segments.get(number)
             if segment is not None and stored.number in segment.notes:
@@ -114,7 +114,7 @@
         stored.noted.clear()
 
     def message_over(self, stored: StoredMessage) -> set[int]:
-        """A message has ended; the segments that hold a record of it."""
+        """Remove a message that has ended; returns the numbers of the segments that hold a full record of it."""
         self.messages.pop(stored.number, None)
         self.clear_notes(stored)
         holders = {number for number in self.moving if stored.number in self.segments[number].moved}
@@ -125,7 +125,7 @@
         return holders
 
     def end_written(self, number: int, holders: set[int], segment: Segment) -> None:
-        """The record of an end lies here; it matters while an older record of the message lies elsewhere."""
+        """Register the record of an end; it is needed while `holders` other than `segment` exist."""
         holders = {each for each in holders if each in self.segments}
         if not holders - {segment.number}:
             return
@@ -134,7 +134,7 @@
         self._add_tombstone(number, segment, holders)
 
     def end_rewritten(self, number: int, segment: Segment) -> None:
-        """The record of an end was written again, here."""
+        """Register that the record of an end was written again, in `segment`."""
         before = self.tombstones.get(number)
         if before is None:
             return
@@ -143,7 +143,7 @@
             self._add_tombstone(number, segment, before[1])
 
     def dropped(self, segment: Segment) -> None:
-        """A segment is gone, and with it every record in it."""
+        """Remove a segment with every record in it; ends that only it needed are forgotten."""
         self.live -= segment.live
         del self.segments[segment.number]
         self.moving.discard(segment.number)
@@ -156,17 +156,17 @@
                 self._remove_tombstone(number)
 
     def add_unknown(self, segment: Segment, at: int, size: int) -> None:
-        """A record that this version does not know lies here."""
+        """Register a record of unknown kind: the offset and size in bytes of its payload."""
         segment.unknown.append((at, size))
         segment.unknown_bytes += size
         self.live += size
 
     def promised_bytes(self) -> int:
-        """Bytes that short records on all that lives may come to need, beyond what they take now."""
+        """Bytes that short records of live messages may still need, beyond those written."""
         return max(0, len(self.messages) - self.notes) * STATE_RECORD_BYTES
 
     def check(self) -> None:
-        """Whether the sums are right; for tests and `store verify`. AssertionError where they are not."""
+        """Check the sums and cross-references, for tests and `store verify`; raises AssertionError."""
         assert self.live == sum(segment.live for segment in self.segments.values())
         assert self.notes == sum(len(segment.notes) for segment in self.segments.values())
         for segment in self.segments.values():
@@ -177,11 +177,11 @@
         assert all(self.segments[stored.home] for stored in self.messages.values())
 
     def records_to_move(self, segment: Segment) -> list[int]:
-        """Everything in a segment that must be moved, by number."""
+        """The numbers of the messages whose records in a segment must be moved."""
         return [*segment.bases, *(segment.notes - segment.bases), *segment.tombstones]
 
     def _subtract_base(self, segment: Segment, stored: StoredMessage) -> None:
-        """The newest record of a message is not in this segment any more."""
+        """Remove the newest record of a message from this segment."""
         if stored.number in segment.bases:
             segment.bases.discard(stored.number)
             segment.weight -= stored.weight
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -1,4 +1,4 @@
-"""What operators do with a folder: verify, dump, compact, back up."""
+"""Operations on a store folder for the command line: verify, dump, compact, back up. Sizes are in bytes."""
 
 import os
 from collections.abc import Callable, Iterator
@@ -11,8 +11,8 @@
 from cedarwick.store.journal import Store
 from cedarwick.store.recovery import Recovered, recover
 
-MAX_BACKUP_ROUNDS = 20  # looks at a folder that changes under a backup
-COPY_BYTES = 1 << 20  # that are copied at once
+MAX_BACKUP_ROUNDS = 20  # attempts to copy a folder that changes meanwhile
+COPY_BYTES = 1 << 20  # bytes copied at once
 
 
 class BackupError(CedarwickError, OSError):
@@ -37,7 +37,7 @@
 
 
 def verify(path: str) -> Summary:
-    """Read a folder as a start would, and write nothing. A sender may run on it."""
+    """Replay a folder without writing, also while a sender uses it. Raises OSError if it cannot be read."""
     findings: list[str] = []
     found = recover(Folder(path), findings.append)
     found.segment_index.check()
@@ -56,7 +56,7 @@
 
 
 def dump(path: str) -> Iterator[dict[str, Any]]:
-    """Every message that is owed, as plain values."""
+    """Every unfinished message as plain values, by number; times are wall-clock microseconds."""
     found = recover(Folder(path), lambda _: None)
     for number, stored in sorted(found.segment_index.messages.items()):
         yield {
@@ -79,7 +79,10 @@
 
 
 def compact(path: str, disk_bytes: int, now: Callable[[], int]) -> tuple[int, int]:
-    """Move everything that lives together, with no sender on the folder; bytes in use before and after."""
+    """Compact a whole folder that no sender uses; returns the bytes in use before and after.
+
+    `now` returns wall-clock microseconds. Raises what `Store.load` raises.
+    """
     made = Store(path, disk_bytes, now=now)
     made.load()
     try:
@@ -95,10 +98,10 @@
 
 
 def backup(path: str, to: str) -> Summary:
-    """A copy of a folder as of one moment, while a sender may run on it; FileExistsError where `to` exists.
+    """Copy a folder consistently, also while a sender uses it; raises `BackupError`, FileExistsError if `to` exists.
 
-    All files are opened before anything is copied: what is deleted from then on can still be read, and what the
-    newest of them says is the state of one moment.
+    All files are opened before anything is copied, so that files deleted meanwhile can still be read and the copy is
+    the state of one moment.
     """
     os.mkdir(to)
     for _ in range(MAX_BACKUP_ROUNDS):
@@ -121,7 +124,7 @@
 
 
 def opened(path: str) -> dict[str, tuple[int, int]] | None:
-    """Every segment's descriptor and present length; None where one went away meanwhile."""
+    """Open every segment: descriptor and length in bytes by name; None if a file was deleted meanwhile."""
     files: dict[str, tuple[int, int]] = {}
     try:
         for name in sorted(os.listdir(path)):
@@ -132,17 +135,18 @@
         for file, _ in files.values():
             os.close(file)
         return None
-    # Danger: lengths are read from the oldest to the newest, so that no record is without those before it.
+    # Lengths are read from the oldest segment to the newest, so that the copy has no record without those before it.
     return {name: (file, os.fstat(file).st_size) for name, (file, _) in files.items()}
 
 
 def complete(path: str, files: dict[str, tuple[int, int]]) -> bool:
-    """Whether no newer segment has been begun since."""
+    """Whether no newer segment has been begun since the files were opened."""
     newest = max(files, default="")
     return max((name for name in os.listdir(path) if NAME.fullmatch(name)), default="") == newest
 
 
 def copy(file: int, size: int, to: str) -> None:
+    """Copy the first `size` bytes of an open file to a new file `to` and sync it."""
     with open(to, "xb") as target:
         at = 0
         while at < size and (part := os.pread(file, min(COPY_BYTES, size - at), at)):
