--- a/cedarwick/errors.py
+++ b/cedarwick/errors.py
@@ -23,21 +23,21 @@
 
 
 class CedarwickError(Exception):
-    """What an operator can meet: a text that says what happened and where, a stable code, and what to do."""
+    """An error that an operator can meet: a text that says what happened and where, a stable code, and what to do."""
 
     code: ClassVar[str]
     remedy: ClassVar[str]
 
     @property
     def line(self) -> str:
-        """Text, code and remedy on one line."""
+        """Text, code and remedy on one line, for logs and answers."""
         return f"{' '.join(str(self).split())} [{self.code}: {self.remedy}]"
 
     def within(self, doing: str) -> Self:
-        """The same error with what was being done before its text."""
+        """A new error of the same type, with `doing` (what was being done) before its text."""
         return type(self)(f"{doing}: {self}")
 
 
 def describe(found: object) -> object:
-    """What a log line shows of something: the line of a `CedarwickError`, anything else as it is."""
+    """The value to put into a log line: the `line` of a `CedarwickError`, anything else unchanged."""
     return found.line if isinstance(found, CedarwickError) else found
--- a/cedarwick/events/__init__.py
+++ b/cedarwick/events/__init__.py
@@ -1,1 +1,1 @@
-"""Events of messages and senders, the filter language, its index, subscriptions and cursors."""
+"""Events of messages and senders: kinds, filter language and index, subscriptions and their delivery."""
--- a/cedarwick/events/anti_entropy.py
+++ b/cedarwick/events/anti_entropy.py
@@ -1,8 +1,8 @@
-"""Brings the registries of two members together: digests first, then whole buckets that differ. No I/O.
+"""Reconciles the registries of two members: first by digests, then by whole buckets that differ. No I/O.
 
-Names fall into buckets by their hash. Two members compare one digest of all; where it differs the one answers with the
-digests of its buckets, the other asks for some of those that differ and brings its own (one level of a hash tree).
-Entries are joined, so any of it may come twice, late or never.
+Names are hashed into buckets. Two members compare one digest of everything; if it differs, one answers with the digests
+of its buckets, and the other asks for some that differ and sends its own (one level of a hash tree). Merging entries is
+idempotent and commutative, so messages may be repeated, late or lost. Used by `exchange.py`; sizes are in bytes.
 """
 
 from collections.abc import Iterable
@@ -14,14 +14,14 @@
 from cedarwick.fleet.messages import MOST_ENTRIES, Subscribe
 
 BUCKETS = 256
-ENTRIES_BYTES = 1 << 18  # of entries in one peer message, about; one bucket at least
-MAX_ENTRIES_BYTES = 3 * ENTRIES_BYTES  # a bucket with more of the longest filters than chance would give it is cut here
-ENTRY_BYTES = 128  # of an entry besides its filter, about
+ENTRIES_BYTES = 1 << 18  # approximate bytes of entries in one peer message; at least one bucket
+MAX_ENTRIES_BYTES = 3 * ENTRIES_BYTES  # hard limit, for an unusually full bucket
+ENTRY_BYTES = 128  # approximate bytes of an entry without its filter
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class RegistrySync:
-    """One member's registry and its digests. `changed` is called after each change of the registry."""
+    """One member's registry and its digests; call `changed` after each change of the registry."""
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
@@ -30,7 +30,7 @@
         self.buckets = [0] * BUCKETS
 
     def changed(self) -> None:
-        """The registry has changed: digests are computed anew when they are next asked for."""
+        """Mark the digests stale; they are computed anew at the next use."""
         self.stale = True
 
     def digests(self) -> tuple[int, ...]:
@@ -53,7 +53,7 @@
         return xxhash.xxh3_64_intdigest(_encode(self.digests()))
 
     def peer_message(self, names: Iterable[str] = (), asked: Iterable[int] = ()) -> Subscribe:
-        """A message to another member: the digest, some entries as far as there is room, and the buckets wanted."""
+        """Build a message: the digest, the named entries as far as they fit, and the buckets asked for."""
         found: dict[str, Entry] = {}
         size = 0
         for name in names:
@@ -64,7 +64,7 @@
         return Subscribe(self.registry.epoch, self.digest(), found, tuple(asked))
 
     def answer(self, received: Subscribe) -> Subscribe:
-        """The answer to another member, once its entries were joined."""
+        """Build the answer to another member's message, after its entries were merged."""
         asked = {each for each in received.asked if each < BUCKETS}
         if asked:
             return self.peer_message(self._within(asked))
@@ -72,14 +72,14 @@
         return answer if answer.digest == received.digest else msgspec.structs.replace(answer, buckets=self.digests())
 
     def join(self, now: int, received: Subscribe) -> Verdict:
-        """Join the entries of another member into the registry."""
+        """Merge the entries of a message into the registry; returns whether it was accepted, or why not."""
         verdict = self.registry.merge(now, received.epoch, received.entries.items())
         if verdict is Verdict.JOINED and received.entries:
             self.changed()
         return verdict
 
     def differing(self, answer: Subscribe) -> Subscribe | None:
-        """What to say to one whose buckets differ: those that a peer message has room for, and the wish for its own."""
+        """Build a message with the differing buckets that fit, asking for the same ones; None if none differ."""
         differ = [
             place for place, (mine, its) in enumerate(zip(self.digests(), answer.buckets, strict=False)) if mine != its
         ]
@@ -102,5 +102,5 @@
 
 
 def bucket(name: str) -> int:
-    """Which bucket a name falls into."""
+    """The bucket number of a name."""
     return xxhash.xxh3_64_intdigest(name.encode()) % BUCKETS
--- a/cedarwick/events/benchmark.py
+++ b/cedarwick/events/benchmark.py
@@ -1,8 +1,8 @@
-"""What an event costs with 1, 100 and 10,000 filters: index, each compiled filter in turn, and the reference.
+"""Measures the cost of an event with 1, 100 and 10,000 filters: by index, by each compiled filter, by the reference.
 
     python -m cedarwick.events.benchmark [SEED]
 
-One run, one process, the three kinds taken in turn; the middle of several rounds, in microseconds of the processor's
+One run in one process, the three methods in alternation; prints the median of several rounds, in microseconds of CPU
 time for each event.
 """
 
@@ -19,13 +19,13 @@
 from cedarwick.events.kinds import Event
 
 ROUNDS = 3
-BUDGET = 200_000  # filters times events that one round of the slower kinds tests
+BUDGET = 200_000  # filters times events tested in one round of the slower methods
 DESTINATIONS, TENANTS = 400, 200
 PRIORITY_CLASSES = ("free", "guarded", "single")
 
 
 def typical(chance: random.Random) -> str:
-    """Most name a destination or a tenant, with a priority class, a kind or an age beside it; some are loose."""
+    """Typical filters: most name a destination or tenant with a priority class, kind or age; some are unselective."""
     destination = f"destination = {chance.randrange(DESTINATIONS)}"
     tenant = f'tenant = "t{chance.randrange(TENANTS)}"'
     priority_class = f'band = "{chance.choice(PRIORITY_CLASSES)}"'
@@ -47,16 +47,17 @@
 
 
 def broad(chance: random.Random) -> str:
-    """Bounds alone: nothing is equal to anything, and each event reaches many of them."""
+    """Broad filters: only bounds, no equalities; each event satisfies many of them."""
     return f"age > {chance.randrange(10_000)}ms and worth < {chance.randrange(1000)} and shots != {chance.randrange(9)}"
 
 
 def hostile(chance: random.Random) -> str:
-    """Nothing that an index could use: one branch is true where a field is absent."""
+    """Hostile filters: the index cannot use them, since one branch is true if a field is absent."""
     return f"not has hall or destination = {chance.randrange(DESTINATIONS)} and age > {chance.randrange(10_000)}ms"
 
 
 def event(chance: random.Random, number: int) -> Event:
+    """A random event with this number."""
     kind = chance.choice(["taken", "shot", "outcome", "outcome", "completed", "completed", "nacked", "written-off"])
     fields: dict[str, Any] = {
         "id": f"{chance.getrandbits(128):032x}",
@@ -76,7 +77,7 @@
 
 
 def timed(work: Callable[[Event], object], events: Sequence[Event]) -> float:
-    """Microseconds of the processor's time for each event."""
+    """The mean CPU time of `work` for one event, in microseconds."""
     began = time.process_time_ns()
     for each in events:
         work(each)
@@ -84,7 +85,7 @@
 
 
 def row(mix: Callable[[random.Random], str], count: int, seed: int) -> str:
-    """One line of the table."""
+    """Measure a mix of `count` filters and return its line of the table."""
     chance = random.Random(seed)
     began = time.process_time_ns()
     filters = [language.read(mix(chance)) for _ in range(count)]
@@ -118,6 +119,7 @@
 
 
 def main() -> None:
+    """Print the table; the first argument is the seed (1 if omitted)."""
     seed = int(sys.argv[1]) if len(sys.argv) > 1 else 1
     print("mix       filters   index us  each in turn    reference   matches   read us  add us")
     for mix in (typical, broad, hostile):
--- a/cedarwick/events/compiled.py
+++ b/cedarwick/events/compiled.py
@@ -1,4 +1,4 @@
-"""Filters compiled once into closures over an event's values; no code is made from text."""
+"""Compiles filters into closures over an event's values, without generating code. Used by `index.py`."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,15 +13,17 @@
 
 
 def compiled(term: Term) -> Callable[[Event], bool]:
-    """A filter as a function of events."""
+    """Compile a filter into a predicate on events."""
     test = tested(normal(term))
     return lambda event: test(event.values())
 
 
 def tested(term: Term) -> Test:
-    """A normal term as a function of an event's values: true, or else false or unknown."""
+    """Compile a normal term into a predicate on an event's values; false also stands for unknown."""
     if isinstance(term, And):
-        return _all([tested(each) for each in sorted(term.terms, key=cost)])  # what is cheap may spare what is dear
+        return _all(
+            [tested(each) for each in sorted(term.terms, key=cost)]
+        )  # cheap tests first: a false one saves the others
     if isinstance(term, Or):
         return _any([tested(each) for each in term.terms])
     if isinstance(term, Not):
@@ -57,7 +59,7 @@
 
 
 def _opposite(term: Term) -> Test:
-    """The opposite of a leaf: an absent field makes it unknown, not true."""
+    """Compile the negation of a leaf: with an absent field it is unknown, so not true."""
     if isinstance(term, Has):
         name = term.field
         return lambda held: name not in held
@@ -137,10 +139,10 @@
 
 
 def globber(pattern: str) -> Callable[[str], bool]:
-    """A glob as a function of texts, linear in the text.
+    """Compile a glob into a predicate on texts that takes linear time in the text.
 
-    All places in the pattern are held as bits of one number and moved at once (Shift-And, Baeza-Yates and Gonnet 1992;
-    gaps as in Wu and Manber 1992): bit n says that n characters of the pattern, stars not counted, were met.
+    All positions in the pattern are bits of one integer and advance together (Shift-And, Baeza-Yates and Gonnet 1992;
+    gaps as in Wu and Manber 1992): bit n means that n characters of the pattern, stars not counted, have matched.
     """
     masks: dict[str, int] = {}
     wild = stays = count = 0
--- a/cedarwick/events/event_source.py
+++ b/cedarwick/events/event_source.py
@@ -1,6 +1,6 @@
-"""Reads from a sender's parts what the fields of its events hold.
+"""Collects the fields of events from the parts of a sender, without changing them.
 
-Used only while somebody follows; reads the parts and changes nothing of them.
+Used by `exchange.py`, only while somebody follows. Times are microseconds.
 """
 
 from dataclasses import dataclass
@@ -19,9 +19,9 @@
 
 @dataclass(slots=True)
 class MessageHistory:
-    """What the stored record of a message does not hold. Times and waits are microseconds."""
+    """What events need of a message beyond its stored record. Times and waits are microseconds."""
 
-    taken_at: int = 0  # 0: before anybody followed
+    taken_at: int = 0  # 0: it was accepted before anybody followed
     receiver: int = -1  # of its last attempt; -1: unknown
     wait: int = 0  # the Retry-After of this attempt
 
@@ -42,17 +42,17 @@
     # ---- messages ----
 
     def attempt_begins(self, call: AttemptCall) -> None:
-        """An attempt wants to go out to its receiver."""
+        """Note the receiver of an attempt that is about to be sent."""
         history = self._history(call.message.number)
         history.receiver, history.wait = call.receiver, 0
 
     def attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
-        """An attempt has ended; its outcome is seen in a moment."""
+        """Note the result of an attempt; the event of its outcome follows shortly."""
         if call.message.number in self.histories:
             self.histories[call.message.number].wait = ending.retry_after
 
     def message(self, kind: str, stored: StoredMessage, figure: int) -> dict[str, Value]:
-        """The fields of an event of a message; `figure` as `Shared.seen` has it."""
+        """The fields of a message event; `figure` is that of `Shared.seen`."""
         now, history = self.dispatcher.clock.now(), self._history(stored.number)
         priority_class = (
             self.dispatcher.sender.priority_classes[self.dispatcher.priority_classes[stored.priority_class]]
@@ -91,7 +91,8 @@
         history = self.histories.get(number)
         if history is None:
             history = self.histories[number] = MessageHistory()
-            # Danger: of messages that end elsewhere no end is seen here, and they would be remembered for ever.
+            # Messages that end at another member have no final event here; without this their histories would never
+            # be dropped.
             if len(self.histories) > 2 * len(self.dispatcher.store.messages) + SPARE_HISTORIES:
                 self.histories = {
                     each: history for each, history in self.histories.items() if each in self.dispatcher.store.messages
@@ -102,7 +103,7 @@
     # ---- receivers ----
 
     def receiver_changes(self) -> list[Happened]:
-        """Receivers avoided or used again since the last call, and those suspended by hand or restored."""
+        """Events of receivers avoided or used again, suspended or restored since the last call."""
         now = self.dispatcher.clock.now()
         self.uids = {number: uid for uid, number in self.endpoint_list.numbers.items()}
         out = {
@@ -128,7 +129,7 @@
         return events
 
     def pause(self) -> None:
-        """Nobody follows any more; what changes until somebody does is no event."""
+        """Stop observing, as nobody follows: changes until somebody does are no events."""
         self.observing = False
         self.histories.clear()
 
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -1,9 +1,9 @@
-"""A member's part in subscriptions: the registry among the members, `FOLLOW` and `UNFOLLOW`, and the events here.
+"""One fleet member's part in subscriptions: the replicated registry, `FOLLOW` and `UNFOLLOW`, and the events here.
 
-Made with the fleet, and costs next to nothing until somebody follows: then `subscription_server.py` is loaded, and
-with it lark.
-`anti_entropy.py` brings the registry to the other members, `subscription_store.py` to the folder; `registry.py` has
-the meaning of its entries.
+Created with the fleet node, which calls `look` regularly. It costs almost nothing until somebody follows: only then
+`subscription_server.py` is loaded, and with it lark. `anti_entropy.py` exchanges the registry with other members,
+`subscription_store.py` saves it, `registry.py` defines what its entries mean. Times are microseconds unless a name
+ends in `_S` (seconds).
 """
 
 import importlib
@@ -37,15 +37,15 @@
 if TYPE_CHECKING:
     from cedarwick.events.subscription_server import SubscriptionServer
 
-TURN_INTERVAL = 250_000  # microseconds between two looks at registry and receivers
-COMPARE_INTERVAL = 5_000_000  # microseconds between two comparisons with a member with which nothing is new
-RETRY_AFTER = 1_000_000  # microseconds until one that failed, or left something over, is made again
+TURN_INTERVAL = 250_000  # microseconds between two checks of registry and receivers
+COMPARE_INTERVAL = 5_000_000  # microseconds between two comparisons with a member if nothing has changed
+RETRY_AFTER = 1_000_000  # microseconds until a comparison that failed or was incomplete is repeated
 TICK_INTERVAL = 1_000_000  # microseconds between two ticks of the registry
-CLOCK_JUMP = 10_000_000  # microseconds between wall clock and steady clock from which the wall clock counts as set
-START_PORTIONS = 20  # of stored filters that are read before a start goes on: 200 filters, 0.1 s
-EXPIRY_INTERVAL = 30_000_000  # microseconds between two looks for subscriptions that nobody follows any more
-ANSWER_TIMEOUT_S = 0.4  # for another member's answer
-MAX_READERS = 128  # subscribers that are connected here
+CLOCK_JUMP = 10_000_000  # microseconds of drift from the steady clock at which the wall clock counts as set
+START_PORTIONS = 20  # portions of stored filters compiled during start-up: 200 filters, 0.1 s
+EXPIRY_INTERVAL = 30_000_000  # microseconds between two searches for expired subscriptions
+ANSWER_TIMEOUT_S = 0.4  # to wait for another member's answer
+MAX_READERS = 128  # subscribers connected to this member
 
 
 class InvalidFollowError(CedarwickError):
@@ -92,13 +92,13 @@
 
 def wall() -> int:
     """The wall clock in microseconds."""
-    # Danger: the sender's own clock stands while the machine sleeps, and what is said after that would be older.
+    # Not the sender's own clock: it stops while the machine sleeps, and later entries would look older than they are.
     return time.time_ns() // 1000
 
 
 def split_follow(argument: str) -> tuple[str, str | None]:
-    """Name and cursors of a FOLLOW, and the filter's text; None for the latter where there is no WHERE."""
-    # A cursor has a colon: the first word WHERE after the name begins the filter.
+    """Split the argument of FOLLOW into name with cursors, and the filter's text (None without WHERE)."""
+    # Cursors contain a colon, so the first word WHERE after the name begins the filter.
     words = argument.split(" ")
     place = next((at for at, word in enumerate(words[1:], 1) if word.upper() == "WHERE"), len(words))
     target = " ".join(word for word in words[:place] if word)
@@ -106,7 +106,7 @@
 
 
 class Exchange:
-    """The subscriptions of one member of a fleet; it sees no events before `attach`."""
+    """The subscriptions of one fleet member; it receives no events before `attach`."""
 
     def __init__(
         self,
@@ -117,7 +117,9 @@
         state: str = "",
         lasts: int = DEFAULT_LIFETIME,
     ) -> None:
-        """`state`: the folder, nothing is kept without one; `lasts`: microseconds, of what is followed here."""
+        """`state`: folder to save subscriptions in (empty: none); `lasts`: their lifetime without a follower, in
+        microseconds; `call` sends a message to a member and waits so many seconds for the answer.
+        """
         self.name = name
         self.gate = gate
         self.counters = counters
@@ -127,34 +129,34 @@
         self.store = SubscriptionStore(state, self.registry, counters) if state else None
         self.serving: SubscriptionServer | None = None
         self.loading = False
-        self.first = 1  # the number of the next event, while nothing is served
+        self.first = 1  # number of the next event until the server is loaded
         self.alive: list[str] = [name]
-        self.dirty = False  # subscriptions have changed, or some are not evaluated yet
-        self.began = gate.incarnation  # of the newest connection here
+        self.dirty = False  # subscriptions have changed, or some are not compiled yet
+        self.began = gate.incarnation  # start time of the newest connection here
         self.turn_at = self.tick_at = self.expiry_at = 0
-        self.lacks: dict[str, set[str]] = {}  # by member: subscriptions that it has not yet been sent
-        self.agreed: dict[str, int] = {}  # by member: the digest at the last peer message
-        self.next_at: dict[str, int] = {}  # by member: when the two compare, where nothing is new
-        self.failed_until: dict[str, int] = {}  # by member that has not answered
+        self.lacks: dict[str, set[str]] = {}  # by member: subscriptions not sent to it yet
+        self.agreed: dict[str, int] = {}  # by member: our digest at the last exchange
+        self.next_at: dict[str, int] = {}  # by member: time of the next comparison if nothing changes
+        self.failed_until: dict[str, int] = {}  # by member: no exchange before this time
         self.talking: set[str] = set()
         self.observer: EventObserver | None = None
-        self.offset: int | None = None  # of the wall clock to the one that counts on
+        self.offset: int | None = None  # wall clock minus steady clock
         if self.store is not None:
             self.store.load(wall())
 
     @property
     def registry(self) -> Registry:
-        """All subscriptions, as this member knows them."""
+        """All subscriptions known to this member."""
         return self.sync.registry
 
     def replace(self, lasts: int) -> None:
-        """Set how many microseconds a subscription followed here lasts without a follower, current ones included."""
+        """Set the lifetime in microseconds without a follower of subscriptions followed here, current ones included."""
         self.registry.lasts = lasts
 
     def attach(
         self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher, hall: str
     ) -> None:
-        """Once the attempts are made, after everybody else who listens to them."""
+        """Connect to the parts of the sender; called after every other part that wraps the attempt callbacks."""
         self.observer = EventObserver(self.name, hall, dispatcher, endpoint_list)
         management.follows = self.answer
         dispatcher.attempts.clear = partial(self._cleared, dispatcher.attempts.clear)
@@ -162,8 +164,8 @@
         self.begin()
 
     def begin(self) -> None:
-        """Before anything happens here: evaluate what the folder holds, as far as that takes a moment only."""
-        # Danger: the part that evaluates takes time to load; what happened till then would reach nobody.
+        """Compile saved subscriptions before the first event, as far as START_PORTIONS allows."""
+        # The server takes time to load; loaded later, it would miss the events until then.
         living = self.registry.living(wall())
         if living:
             serving = self._load()
@@ -173,22 +175,22 @@
 
     @property
     def watching(self) -> bool:
-        """Whether anybody follows: else events are numbered, and not made."""
+        """Whether there is any subscription; without one, events are only numbered."""
         return self.serving is not None and bool(self.serving.source.outboxes)
 
     def seen(self, kind: str, stored: StoredMessage, figure: int) -> None:
-        """As `Shared.seen`: something has happened to a message."""
+        """Handle an event of a message; the arguments are those of `Shared.seen`."""
         observer = self.observer
         if observer is None or not self.watching:
             self._unseen()
             return
         try:
             self._happened(kind, observer.message(kind, stored, figure))
-        except Exception:  # Danger: a delivery must not fail because somebody watches it
+        except Exception:  # a delivery must not fail because of its subscribers
             self.counters.failed("an event was not told")
 
     def adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
-        """Messages of another member are this one's from now on."""
+        """Emit events for messages taken over from another member."""
         for each in stored:
             if self.watching and self.observer is not None:
                 self._happened("adopted", self.observer.message("adopted", each, 0) | self.observer.member(member))
@@ -196,11 +198,11 @@
                 self._unseen()
 
     def moved(self, key: str, tenant: str, member: str, age: int) -> None:
-        """A session has moved to a member; `age` microseconds after the move began."""
+        """Emit the event of a session moved to a member, `age` microseconds after the move began."""
         self._of_member("moved", member, {"id": key, "age": age, **({"tenant": tenant} if tenant else {})})
 
     def member(self, change: MemberChange, silent: int) -> None:
-        """A member stands otherwise; it was silent for so many microseconds."""
+        """Emit the event of a member's changed status; `silent`: microseconds since it was last heard."""
         if change.now is MemberStatus.ALIVE:
             self._of_member("member-came", change.name, {})
         elif change.now in (MemberStatus.DEAD, MemberStatus.LEFT):
@@ -240,7 +242,10 @@
     # ---- called by the node ----
 
     def look(self, now: int, alive: Iterable[str], majority: int) -> None:
-        """`now` counts on while the machine sleeps; `majority` is of all members."""
+        """Do what is due; called regularly by the node.
+
+        `now`: microseconds of a clock that also runs while the machine sleeps; `majority`: members that make one.
+        """
         self.alive = list(alive)
         if now >= self.tick_at:
             self.tick_at = now + TICK_INTERVAL
@@ -266,7 +271,7 @@
                 gevent.spawn(self._talk, now, name)
 
     def heard(self, sender: str, now: int, body: Subscribe | Matches | Cursors) -> Body:
-        """The answer to another member's peer message."""
+        """Handle another member's message and return the answer."""
         if isinstance(body, Subscribe):
             self._take(sender, body)
             return self.sync.answer(body)
@@ -278,7 +283,7 @@
         return Acknowledged()
 
     def stop(self) -> None:
-        """The sender ends; what is kept in the folder is another process's from now on."""
+        """Save and stop: the sender ends, and another process may use the folder from now on."""
         if self.store is not None:
             self.store.close(wall())
         if self.serving is not None:
@@ -318,7 +323,7 @@
             gevent.spawn(self._load)
 
     def _load(self) -> "SubscriptionServer":
-        """The part that evaluates; reading its grammar takes too long for the loop."""
+        """Load the subscription server in a thread, because reading its grammar would block the event loop."""
         try:
             module = gevent.get_hub().threadpool.apply(
                 importlib.import_module, ("cedarwick.events.subscription_server",)
@@ -339,10 +344,10 @@
     # ---- the registry ----
 
     def _changed(self, *names: str, but: str = "") -> None:
-        """Entries have changed: store them first, act on them here, and send them to the others at the next look."""
+        """Save changed entries, act on them, and mark them for the members other than `but`, their sender."""
         at = wall()
         if self.store is not None:
-            # Danger: who answers that it knows of an end, and forgets it in a restart, would bring back what was ended.
+            # Save first: a member that acknowledges an end and forgets it at a restart would bring it back.
             self.store.changed(at, names)
         self.sync.changed()
         self.dirty = True
@@ -363,7 +368,7 @@
             self.serving.connections[name].end(why)
 
     def _take(self, sender: str, received: Subscribe) -> None:
-        """Join another member's entries, and act on what is new."""
+        """Merge another member's entries and act on the new ones."""
         before = dict(self.registry.entries) if received.entries else {}
         verdict = self.sync.join(wall(), received)
         if verdict is not Verdict.JOINED:
@@ -381,7 +386,7 @@
             self.talking.discard(name)
 
     def _say(self, now: int, name: str) -> bool:
-        """Send another member what it lacks, and compare; returns whether the two registries are equal."""
+        """Send another member what it lacks and compare digests; returns whether the registries are equal."""
         names = self.lacks.pop(name, set())
         answer = self._ask(name, self.sync.peer_message(names))
         if answer is None:
@@ -403,11 +408,11 @@
     # ---- management calls ----
 
     def answer(self, call: commands.Call) -> str | StreamingAnswer:
-        """`FOLLOW` and `UNFOLLOW`; a `CedarwickError` says why not."""
+        """Answer `FOLLOW` and `UNFOLLOW`; raises a `CedarwickError` if the call is refused."""
         if call.name == "UNFOLLOW":
             return self._unfollow(call.argument)
         if self.serving is None:
-            # Danger: on a busy machine the first load takes longer than a caller is given for its line.
+            # Answer from a streaming reply: on a busy machine the first load may take longer than the call's deadline.
             return partial(self._load_and_follow, call.argument)
         return self._follow(self.serving, call.argument)
 
@@ -459,7 +464,7 @@
         self.registry.end(wall(), name)
         self._changed(name)
         peer_message = self.sync.peer_message([name])
-        # Danger: who is alive may change while the answers are awaited.
+        # `self.alive` may change while the answers are awaited, so the calls are chosen once.
         calls = {
             member: gevent.spawn(self._ask, member, peer_message)
             for member in sorted(self.gate.others)
--- a/cedarwick/events/index.py
+++ b/cedarwick/events/index.py
@@ -1,10 +1,10 @@
-"""The index over many filters: an event meets only those filters that may match it.
+"""The index over many filters: an event is tested only against the filters that may match it. Used by `streams.py`.
 
-Each filter stands under keys of which one at least must hold where the filter is true (its access predicate, as in Le
-Subscribe: Fabret et al., 2001). A key is a set of equalities looked up at once in a hash map, a prefix, a span between
-two values, a bound on one side, or a field's presence; of a filter's conjuncts the one is taken that the fewest events
-should meet. What the key has not shown is tested by the compiled rest. Filters without a key are tested each.
-Filters of the same text are one.
+Each filter is stored under keys of which at least one must hold if the filter is true (its access predicate, as in Le
+Subscribe: Fabret et al., 2001). A key is a set of equalities looked up together in a hash map, a prefix, a span between
+two values, a one-sided bound, or the presence of a field; of a filter's conjuncts, the one estimated to hold for the
+fewest events is chosen. What the key does not prove is tested by the compiled rest of the filter. Filters without a key
+are tested for every event. Filters of the same text are stored once.
 """
 
 import itertools
@@ -22,10 +22,10 @@
 from cedarwick.events.terms import Among, And, Compare, Has, Like, Not, Or, Range, Sample, Term, joined
 
 MAX_KEYS = 64  # of one filter
-MAX_JOINT_EQUALITIES = 3  # that are looked up at once
-MAX_FIELD_SETS = 24  # different sets of fields that are looked up, beside single ones
-CELLS_PER_SPAN = 4  # that a span is laid over, about
-# The share of events that should meet an equality on a field: a guess that orders keys, nothing more.
+MAX_JOINT_EQUALITIES = 3  # fields in one key of several equalities
+MAX_FIELD_SETS = 24  # different sets of fields with such keys, besides single fields
+CELLS_PER_SPAN = 4  # approximate number of cells that a span covers
+# Estimated share of events for which an equality on a field holds; only used to compare keys.
 SHARES = {
     "id": 1e-5,
     "age": 1e-4,
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Equal:
-    """Fields that have these values, all of them."""
+    """Key: all these fields have these values."""
 
     fields: tuple[str, ...]
     values: tuple[Value, ...]
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Begins:
-    """A text that begins so."""
+    """Key: a text field begins with a prefix."""
 
     field: str
     prefix: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Within:
-    """A value between two, both included."""
+    """Key: a field is between two values, both included."""
 
     field: str
     low: Number
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """A value at a bound or above it, or at it or below."""
+    """Key: a field is at a limit or above it, or with `above` false at it or below."""
 
     field: str
     above: bool
@@ -83,24 +83,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Present:
-    """A field that is there."""
+    """Key: the event has a field."""
 
     field: str
 
 
-# Danger: keys of two kinds must never be equal, or a filter would stand under one of them only: no plain tuples.
+# Classes, not plain tuples: two keys of different kinds must never be equal, or a filter would be stored under only
+# one of them.
 Key = Equal | Begins | Within | Bound | Present
 
 
 class Access(NamedTuple):
-    """Keys of which one must hold, each with the leaves it shows to be true, and the share of events that meet one."""
+    """Keys of which one must hold, each with the leaves that it proves, and the estimated share of events."""
 
     keys: dict[Key, frozenset[Term]]
     share: float
 
 
 class Entry(NamedTuple):
-    """A filter under one of its keys: the test of what the key has not shown, and who has such a filter."""
+    """A filter under one of its keys: the test of what the key does not prove, and the subscriptions with it."""
 
     test: Test | None
     names: set[str]
@@ -108,7 +109,7 @@
 
 @dataclass(slots=True)
 class Group:
-    """The subscriptions with one and the same filter."""
+    """The subscriptions with the same filter."""
 
     names: set[str]
     keys: tuple[Key, ...]
@@ -118,20 +119,20 @@
 
 
 class Store(Protocol):
-    """Keeps entries under one type of key."""
+    """A container of entries for one type of key."""
 
     def add(self, key: Any, text: str, entry: Entry) -> None:
-        """Put the entry of a filter, by its text, under a key."""
+        """Store the entry of a filter, identified by its text, under a key."""
 
     def remove(self, key: Any, text: str) -> None:
-        """Take a filter that was added under this key out again."""
+        """Remove a filter that was added under this key."""
 
     def find(self, held: Values, found: list[Entries]) -> None:
         """Append to `found` the entries under every key that holds for an event's values."""
 
 
 class Held(dict[str, Any]):
-    """An event's values; an absent one reads as None."""
+    """An event's values by field; an absent one reads as None."""
 
     def __missing__(self, name: str) -> None:
         return None
@@ -143,7 +144,7 @@
     def __init__(self) -> None:
         self.groups: dict[str, Group] = {}  # by text
         self.texts: dict[str, str] = {}  # by name
-        self.each: Entries = {}  # those without a key
+        self.each: Entries = {}  # filters without a key
         self.equals = Equals()
         self.stores: dict[type[Any], Store] = {
             Equal: self.equals,
@@ -152,13 +153,13 @@
             Bound: Bounds(),
             Present: Presences(),
         }
-        self.finds: list[Callable[[Values, list[Entries]], None]] = []  # of the stores that hold something
+        self.finds: list[Callable[[Values, list[Entries]], None]] = []  # of the stores that are not empty
 
     def __len__(self) -> int:
         return len(self.texts)
 
     def add(self, name: str, filter_: Filter) -> None:
-        """Add a filter under a name, in place of one that had it."""
+        """Add a filter under a name, replacing the one that had it."""
         if self.texts.get(name) == filter_.text:
             return
         self.remove(name)
@@ -169,7 +170,7 @@
         group.names.add(name)
 
     def remove(self, name: str) -> None:
-        """Take a name out; nothing where it isn't in."""
+        """Remove a name; does nothing if it is unknown."""
         text = self.texts.pop(name, None)
         if text is None:
             return
@@ -183,13 +184,13 @@
             self._note_filled()
 
     def matches(self, event: Event) -> list[str]:
-        """The names of the filters that are true for an event, sorted, each once."""
+        """The names of the filters that are true for an event, sorted, without repetition."""
         held = Held(event.fields)
         held["kind"] = event.kind
         found: list[Entries] = [self.each]
         for find in self.finds:
             find(held, found)
-        # Danger: a filter with several keys may be met under more than one; it must be named once.
+        # A set, because a filter with several keys may be found under more than one.
         names: set[str] = set()
         for entries in found:
             for test, here in entries.values():
@@ -214,7 +215,7 @@
         self.finds = [store.find for store in self.stores.values() if any(vars(store).values())]
 
     def _access(self, term: Term) -> Access | None:
-        """The most selective keys that are necessary for a normal term; None where it has none."""
+        """The most selective keys that a normal term implies; None if it has none."""
         if isinstance(term, And):
             options = [*(self._access(_spread(each, term)) for each in term.terms), self._together(term)]
             possible = [each for each in options if each is not None]
@@ -223,7 +224,7 @@
             parts = [self._access(each) for each in term.terms]
             keys: dict[Key, frozenset[Term]] = {}
             for part in parts:
-                # Danger: one branch without a key, and the filter would be missed where that branch is true.
+                # With one branch without a key, the filter would be missed whenever that branch is true.
                 if part is None:
                     return None
                 keys |= part.keys
@@ -232,7 +233,7 @@
         return _leaf_access(term)
 
     def _together(self, term: And) -> Access | None:
-        """Several equalities of a conjunction as one key for each combination."""
+        """Combine several equalities of a conjunction into one key for each combination of values."""
         best: dict[str, Compare | Among] = {}
         for each in term.terms:
             if _is_equality(each):
@@ -248,7 +249,7 @@
                 share *= min(1.0, SHARES[name] * values)
         chosen.sort(key=lambda each: each.field)
         fields = tuple(each.field for each in chosen)
-        # Danger: each set of fields costs every event a look; drawn filters could ask for hundreds of sets.
+        # Each set of fields costs every event a lookup, so their number is limited: random filters could need hundreds.
         if len(chosen) < 2 or not self.equals.takes(fields):
             return None
         keys = (Equal(fields, values) for values in itertools.product(*map(_values, chosen)))
@@ -256,7 +257,7 @@
 
 
 def _spread(term: Term, beside: And) -> Term:
-    """An `or` with the equalities that stand beside it within each of its branches; any other term as it is."""
+    """Distribute the equalities beside an `or` over its branches; other terms are returned unchanged."""
     equalities = tuple(each for each in beside.terms if _is_equality(each))
     if not isinstance(term, Or) or not equalities:
         return term
@@ -264,7 +265,7 @@
 
 
 def _follows(term: Term, shown: frozenset[Term]) -> bool:
-    """Whether a term is true once some leaves are."""
+    """Whether a term is true if the leaves in `shown` are."""
     if isinstance(term, And):
         return all(_follows(each, shown) for each in term.terms)
     return any(_follows(each, shown) for each in term.terms) if isinstance(term, Or) else term in shown
@@ -303,7 +304,8 @@
 def _bound_access(term: Compare) -> Access:
     assert not isinstance(term.value, str)
     above, limit = term.sign in (">", ">="), term.value
-    # Danger: between a number and the next float lie whole numbers that an event may carry; those are tested.
+    # For a strict bound on a number the leaf is not proved by the key: between a large float and the next there are
+    # whole numbers that an event may carry, so the leaf is tested.
     shown: frozenset[Term] = frozenset({term} if "=" in term.sign or FIELDS[term.field] is not Type.NUMBER else ())
     if shown and "=" not in term.sign:
         limit += 1 if above else -1
@@ -311,7 +313,7 @@
 
 
 def _presence(term: Term) -> Access | None:
-    """A leaf that is unknown where its field is absent; only `not has` is true there."""
+    """The presence key of a leaf, which is unknown if its field is absent; None for `not has`, true there."""
     leaf = term.term if isinstance(term, Not) else term
     if isinstance(leaf, Compare | Among | Like | Sample):
         return Access({Present("id" if isinstance(leaf, Sample) else leaf.field): frozenset()}, HAS_SHARE)
@@ -319,18 +321,21 @@
 
 
 class Equals:
-    """Equalities: a hash map for each set of fields."""
+    """Entries by equalities: a hash map for each set of fields."""
 
     def __init__(self) -> None:
         self.single: dict[str, dict[Value, Entries]] = {}
         self.sets: dict[tuple[str, ...], dict[tuple[Value, ...], Entries]] = {}
-        self.looks: list[tuple[Callable[[Values], Any], dict[Any, Entries]]] = []  # how each set is looked up
+        self.looks: list[
+            tuple[Callable[[Values], Any], dict[Any, Entries]]
+        ] = []  # for each set: how to read its values, and its hash map
 
     def takes(self, fields: tuple[str, ...]) -> bool:
-        """Whether a set of fields may be looked up together."""
+        """Whether a set of fields is in use or may still be added."""
         return fields in self.sets or len(self.sets) < MAX_FIELD_SETS
 
     def add(self, key: Equal, text: str, entry: Entry) -> None:
+        """Store an entry under a key; see `Store.add`."""
         if len(key.fields) == 1:
             self.single.setdefault(key.fields[0], {}).setdefault(key.values[0], {})[text] = entry
         else:
@@ -340,6 +345,7 @@
             self.sets[key.fields].setdefault(key.values, {})[text] = entry
 
     def remove(self, key: Equal, text: str) -> None:
+        """Remove a filter under a key; see `Store.remove`."""
         if len(key.fields) == 1:
             _take_out(self.single, key.fields[0], key.values[0], text)
         else:
@@ -348,7 +354,8 @@
                 self.looks = [(itemgetter(*fields), table) for fields, table in self.sets.items()]
 
     def find(self, held: Values, found: list[Entries]) -> None:
-        # An absent field gives None, which no key has.
+        """Append the entries whose keys hold; see `Store.find`."""
+        # An absent field reads as None, which is in no key.
         for name, table in self.single.items():
             entries = table.get(held[name])
             if entries is not None:
@@ -360,7 +367,7 @@
 
 
 def _take_out(tables: dict[Any, dict[Any, Entries]], first: Any, second: Any, text: str) -> None:
-    """Take a filter from a map of maps of entries, and what becomes empty with it."""
+    """Remove a filter from a map of maps of entries, and the maps that become empty."""
     entries = tables[first][second]
     del entries[text]
     if not entries:
@@ -370,19 +377,22 @@
 
 
 class Prefixes:
-    """Beginnings of texts, by field and length."""
+    """Entries by prefix: a hash map for each field and length."""
 
     def __init__(self) -> None:
         self.tables: dict[tuple[str, int], dict[str, Entries]] = {}
 
     def add(self, key: Begins, text: str, entry: Entry) -> None:
+        """Store an entry under a key; see `Store.add`."""
         table = self.tables.setdefault((key.field, len(key.prefix)), {})
         table.setdefault(key.prefix, {})[text] = entry
 
     def remove(self, key: Begins, text: str) -> None:
+        """Remove a filter under a key; see `Store.remove`."""
         _take_out(self.tables, (key.field, len(key.prefix)), key.prefix, text)
 
     def find(self, held: Values, found: list[Entries]) -> None:
+        """Append the entries whose keys hold; see `Store.find`."""
         for (name, length), table in self.tables.items():
             text = held.get(name)
             entries = table.get(text[:length]) if isinstance(text, str) else None
@@ -391,26 +401,30 @@
 
 
 class Spans:
-    """Spans between two values, laid on cells whose width is a power of two near their own.
+    """Entries by spans between two values, on grids of cells whose width is a power of two near that of the span.
 
-    An event looks at one cell for each width that is in use. A cell names more than its spans: the rest is tested.
+    For an event, one cell is looked up for each width in use. A cell is wider than the part of the span in it, so the
+    filter is still tested.
     """
 
     def __init__(self) -> None:
         self.tables: dict[tuple[str, float], dict[int, Entries]] = {}
 
     def add(self, key: Within, text: str, entry: Entry) -> None:
+        """Store an entry under a key; see `Store.add`."""
         width, cells = self._cells(key)
         table = self.tables.setdefault((key.field, width), {})
         for cell in cells:
             table.setdefault(cell, {})[text] = entry
 
     def remove(self, key: Within, text: str) -> None:
+        """Remove a filter under a key; see `Store.remove`."""
         width, cells = self._cells(key)
         for cell in cells:
             _take_out(self.tables, (key.field, width), cell, text)
 
     def find(self, held: Values, found: list[Entries]) -> None:
+        """Append the entries whose keys hold; see `Store.find`."""
         for (name, width), table in self.tables.items():
             value: Any = held.get(name)
             entries = table.get(value // width) if value is not None else None
@@ -419,8 +433,9 @@
 
     @staticmethod
     def _cells(key: Within) -> tuple[float, Iterator[int]]:
-        """The width of cells and those that a span touches: two to CELLS_PER_SPAN + 2."""
-        # Danger: the difference of two large whole numbers as floats may be far off, and the cells too many.
+        """The width of cells and the cells that a span touches: two to CELLS_PER_SPAN + 2."""
+        # Subtract before converting to float: the difference of two large whole numbers as floats may be far off, and
+        # the number of cells far too large.
         exponent = math.ceil(math.log2(max((key.high - key.low) / CELLS_PER_SPAN, 1e-9)))
         width: float = 2.0**exponent
         if isinstance(key.low, int) and isinstance(key.high, int):
@@ -429,12 +444,13 @@
 
 
 class Bounds:
-    """Bounds on one side, sorted: those that a value has reached lie together."""
+    """Entries by one-sided bounds, sorted, so that the bounds which a value satisfies are one slice."""
 
     def __init__(self) -> None:
         self.tables: dict[tuple[str, bool], tuple[list[Number], dict[Number, Entries]]] = {}
 
     def add(self, key: Bound, text: str, entry: Entry) -> None:
+        """Store an entry under a key; see `Store.add`."""
         limits, table = self.tables.setdefault((key.field, key.above), ([], {}))
         if key.limit not in table:
             insort(limits, key.limit)
@@ -442,6 +458,7 @@
         table[key.limit][text] = entry
 
     def remove(self, key: Bound, text: str) -> None:
+        """Remove a filter under a key; see `Store.remove`."""
         limits, table = self.tables[key.field, key.above]
         del table[key.limit][text]
         if not table[key.limit]:
@@ -451,6 +468,7 @@
                 del self.tables[key.field, key.above]
 
     def find(self, held: Values, found: list[Entries]) -> None:
+        """Append the entries whose keys hold; see `Store.find`."""
         for (name, above), (limits, table) in self.tables.items():
             value: Any = held.get(name)
             if value is not None:
@@ -459,18 +477,21 @@
 
 
 class Presences:
-    """Fields that are there."""
+    """Entries by the presence of a field."""
 
     def __init__(self) -> None:
         self.table: dict[str, Entries] = {}
 
     def add(self, key: Present, text: str, entry: Entry) -> None:
+        """Store an entry under a key; see `Store.add`."""
         self.table.setdefault(key.field, {})[text] = entry
 
     def remove(self, key: Present, text: str) -> None:
+        """Remove a filter under a key; see `Store.remove`."""
         del self.table[key.field][text]
         if not self.table[key.field]:
             del self.table[key.field]
 
     def find(self, held: Values, found: list[Entries]) -> None:
+        """Append the entries whose keys hold; see `Store.find`."""
         found += [entries for name, entries in self.table.items() if name in held]
--- a/cedarwick/events/kinds.py
+++ b/cedarwick/events/kinds.py
@@ -1,4 +1,4 @@
-"""What happens at a sender as its subscribers see it: the kinds of events and their typed fields."""
+"""The kinds of events that subscribers receive, and their typed fields. Spans are in microseconds."""
 
 from enum import Enum
 
@@ -13,7 +13,7 @@
 
 
 class Type(Enum):
-    """What a field holds. A span is held in whole microseconds."""
+    """The type of a field. A span is a whole number of microseconds."""
 
     TEXT = "text"
     WHOLE = "whole number"
@@ -23,7 +23,7 @@
 
     @property
     def ordered(self) -> bool:
-        """Whether < and > mean something."""
+        """Whether values can be compared by < and >."""
         return self in (Type.WHOLE, Type.SPAN, Type.NUMBER)
 
 
@@ -91,7 +91,7 @@
     fields: dict[str, Value]
 
     def __post_init__(self) -> None:
-        # Danger: a text where a number belongs, or a NaN, would make filter and index differ, or raise in mid-match.
+        # A text instead of a number, or a NaN, would make filter and index disagree, or raise during matching.
         allowed = KINDS.get(self.kind)
         if allowed is None:
             raise InvalidEventError(f"no kind of event is called {self.kind[:LONGEST_TEXT]!r}")
--- a/cedarwick/events/language.py
+++ b/cedarwick/events/language.py
@@ -1,7 +1,7 @@
-"""Reads filters: text to a checked tree.
+"""Parses and checks filters: from text to a `Filter`.
 
-The grammar lies in `grammar.lark`, read by lark (LALR). Terms are built as the parser reduces, so no input nests
-Python's calls deeper than the bound on depth.
+The grammar is in `grammar.lark`, parsed by lark (LALR). Terms are built as the parser reduces, so that no input can
+nest Python calls deeper than the bound on depth. Used by `exchange.py` and `streams.py`.
 """
 
 import difflib
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Filter:
-    """A filter that was read and checked. Equal where its terms are."""
+    """A parsed and checked filter; equal to others with equal terms."""
 
     term: Term
     text: str  # canonical
@@ -80,7 +80,7 @@
 
 
 def read(text: str) -> Filter:
-    """A filter from its text. Raises FilterError."""
+    """Parse a filter. Raises FilterError."""
     _bounded(text, "")
     try:
         term: Term = PARSER.parse(text)  # type: ignore[assignment]
@@ -90,7 +90,7 @@
 
 
 def checked(term: Term) -> Filter:
-    """A filter from its terms, with the bounds that hold for all of it. Raises FilterError."""
+    """Make a filter from its terms, checking the limits on size and cost. Raises FilterError."""
     count = terms.size(term)
     if count > MAX_TERMS:
         raise TooManyTermsError(
@@ -106,13 +106,13 @@
             'use fewer globs; one like "abc*" costs 2, others 64',
         )
     text = terms.printed(term)
-    # Danger: others read the printed text; one that only fits as it was written would be refused there.
+    # Other members parse the printed text, so it must fit too: it may be longer than the text as written.
     _bounded(text, " as printed")
     return Filter(term, text, terms.needed_level(term))
 
 
 def printed(filter_: Filter) -> str:
-    """The canonical text of a filter; read again it gives an equal one."""
+    """The canonical text of a filter; parsing it gives an equal filter."""
     return filter_.text
 
 
@@ -133,7 +133,7 @@
 
 
 def nearest(word: str, known: Iterable[str]) -> str:
-    """What to write instead of an unknown word."""
+    """A suggestion to replace an unknown word."""
     known = sorted(known)
     close = difflib.get_close_matches(word[:MAX_GLOB_LENGTH].lower(), known, n=1)
     return f"write '{close[0]}'" if close else "write one of: " + ", ".join(known)
@@ -152,7 +152,7 @@
 
 
 def _unread(text: str, error: UnexpectedInput) -> FilterSyntaxError:
-    """What lark found, in a reader's words."""
+    """Translate lark's error into one that an operator understands."""
     names: Iterable[str] = ()
     place = (error.line, error.column)
     if isinstance(error, UnexpectedToken):
@@ -181,7 +181,7 @@
 
 
 def _value(field: str, token: Token) -> Value:
-    """A value, of the type of its field."""
+    """Convert a token to a value of the type of its field. Raises FilterError."""
     type_, place = FIELDS[field], _place(token)
     if token.type == "NAME":
         instead = f'"{token[:40]}"' if type_ is Type.TEXT else EXAMPLES[type_]
@@ -244,18 +244,22 @@
 
 @v_args(inline=True)
 class Maker(Transformer[Token, Term]):
-    """Makes and checks terms as the parser reduces its rules."""
+    """Makes and checks terms as the parser reduces its rules; the methods are named after the rules."""
 
     def either(self, *given: Term) -> Term:
+        """A disjunction."""
         return self._held(terms.joined(Or, given))
 
     def both(self, *given: Term) -> Term:
+        """A conjunction."""
         return self._held(terms.joined(And, given))
 
     def inverted(self, term: Term) -> Term:
+        """A negation."""
         return self._held(Not(term))
 
     def compare(self, name: Token, sign: Token, value: Token) -> Term:
+        """A comparison. Raises FilterError for a sign or value that the field does not allow."""
         field = _field(name)
         if sign in ("==", "<>"):
             raise FilterSyntaxError(
@@ -270,10 +274,12 @@
         return Compare(field, str(sign), _value(field, value))
 
     def among(self, name: Token, *values: Token) -> Term:
+        """Membership in a list of values."""
         field = _field(name)
         return Among(field, tuple(dict.fromkeys(_value(field, value) for value in values)))
 
     def range(self, name: Token, first: Token, last: Token) -> Term:
+        """A range, both ends included. Raises FilterError if the field has no order or the range is empty."""
         field = _field(name)
         if not FIELDS[field].ordered:
             raise WrongTypeError(
@@ -288,6 +294,7 @@
         return Range(field, low, high)
 
     def like(self, name: Token, pattern: Token) -> Term:
+        """A glob on a text field. Raises FilterError."""
         field = _field(name)
         if FIELDS[field] is not Type.TEXT:
             raise WrongTypeError(
@@ -303,9 +310,11 @@
         return Like(field, re.sub(r"\*+", "*", glob))
 
     def has(self, name: Token) -> Term:
+        """The presence of a field."""
         return Has(_field(name))
 
     def sample(self, word: Token, part: Token, whole: Token) -> Term:
+        """A share of the ids. Raises FilterError if it is not above 0 and at most 1."""
         for token in (part, whole):
             if not re.fullmatch("[0-9]+", token):
                 raise WrongTypeError(f"{token[:40]} is no whole number", _place(token), "write sample(1/100)")
@@ -319,7 +328,7 @@
         return Sample(*share)
 
     def _held(self, term: Term) -> Term:
-        # Danger: what is nested deeper than this would nest the calls of whoever walks the terms.
+        # Functions that walk the terms are recursive, so the depth must be limited here.
         if terms.depth(term) > MAX_DEPTH:
             raise FilterTooDeepError(
                 f"terms are nested more than {MAX_DEPTH} deep", WHOLE, "leave out parentheses and 'not not'"
--- a/cedarwick/events/match_delivery.py
+++ b/cedarwick/events/match_delivery.py
@@ -1,9 +1,9 @@
-"""What a source still owes one subscriber, and what is to be sent to the member where it is. No clock, no I/O.
+"""Delivery of matches from a source to the member of one subscriber: what to send and resend. No clock, no I/O.
 
-The subscriber's member says again and again how far it is (a receiver that tells the sender its place, as in
-go-back-N): `held`, the last number that has come there, and `written`, the last that the subscriber was given. What
-was written is kept a little longer, since a subscriber that loses its connection comes back, perhaps to another
-member, with the cursor of what it has truly read.
+The subscriber's member reports its position again and again (cumulative acknowledgement, as in go-back-N): `held`, the
+last number received there, and `written`, the last written to the subscriber. Written items are retained for a while,
+because a subscriber that loses its connection returns, perhaps to another member, with the cursor of what it has
+actually read. Used by `subscription_server.py`; times are microseconds.
 """
 
 from collections import deque
@@ -12,21 +12,21 @@
 from cedarwick.events.streams import WINDOW, From, Item, Match, Outbox, position, weight
 from cedarwick.fleet.backoff import Backoff
 
-PRESENCE_TIMEOUT = 6_000_000  # microseconds: a subscriber of which nothing was heard for so long is taken for gone
-RESEND_AFTER = 300_000  # microseconds until what has not arrived is sent again, and a drawn wait on top
-MAX_TRAIL_ITEMS = 2 * WINDOW  # written items that stay for a subscriber that comes back
-MAX_TRAIL_BYTES = 1 << 16  # of these items, about
-NOWHERE = -1  # the place of a subscriber that has nothing of a source
+PRESENCE_TIMEOUT = 6_000_000  # microseconds without a report after which a subscriber counts as gone
+RESEND_AFTER = 300_000  # microseconds until unacknowledged items are sent again, plus a random back-off
+MAX_TRAIL_ITEMS = 2 * WINDOW  # written items retained for a subscriber that returns
+MAX_TRAIL_BYTES = 1 << 16  # approximate bytes of these items
+NOWHERE = -1  # the position of a subscriber that has nothing of a source
 
 
 class Reached(NamedTuple):
-    """A subscriber's place in a source, by the word of the member where it is."""
+    """A subscriber's position in a source, as reported by its member."""
 
     member: str
-    began: int  # its connection there: a later one is the larger
+    began: int  # identifies its connection there; later ones are larger
     held: int
     written: int
-    room: bool = True  # whether more may come now
+    room: bool = True  # whether the member accepts more now
 
 
 class MatchDelivery:
@@ -35,7 +35,7 @@
     def __init__(self, outbox: Outbox, seed: int) -> None:
         self.outbox = outbox
         self.trail: deque[Item] = deque()  # written, the newest last
-        self.bytes = 0  # of the trail
+        self.bytes = 0  # approximate bytes of the trail
         self.dropped_up_to = NOWHERE  # written items up to this number were dropped
         self.reader: Reached | None = None
         self.present_until = 0  # microseconds
@@ -43,12 +43,12 @@
         self.waits = Backoff(seed)
 
     def reader_reached(self, now: int, reached: Reached) -> None:
-        """The subscriber's member says how far it is; what an older connection had is of no interest any more."""
+        """Take in a position report of the subscriber's member; reports of older connections are ignored."""
         before = self.reader
         if before is not None and before.member == reached.member:
             if reached.began < before.began:
                 return
-            if reached.began == before.began:  # Danger: peer messages overtake one another; a place only moves on
+            if reached.began == before.began:  # reports may arrive out of order; a position only advances
                 reached = reached._replace(
                     held=max(reached.held, before.held), written=max(reached.written, before.written)
                 )
@@ -59,25 +59,25 @@
         self._written(reached.written)
 
     def disconnected(self, member: str) -> None:
-        """Nobody is connected there any more."""
+        """Note that the subscriber is no longer connected to this member."""
         if self.reader is not None and self.reader.member == member:
             self.present_until = 0
 
     def present(self, now: int) -> bool:
-        """Whether the subscriber is there to be sent to."""
+        """Whether the subscriber is connected, as far as is known at `now`."""
         return now < self.present_until
 
     @property
     def done(self) -> bool:
-        """Whether the subscriber has everything, and everything was written."""
+        """Whether the subscriber has been written everything, so that nothing is left to send."""
         outbox = self.outbox
         last = position(self.trail[-1]) if self.trail else self.dropped_up_to
         behind = self.reader is not None and self.reader.held < last
         return not (behind or outbox.window or outbox.waiting or outbox.beginning or outbox.gap)
 
     def send(self, now: int) -> list[Item]:
-        """What is to be sent now, right after what is held there; nothing while the last is on its way."""
-        # Danger: what a slow subscriber has no room for would cross again and again, and cost its member the reading.
+        """The items to send now, following those held at the member; empty until a resend is due."""
+        # Items that a slow subscriber has no room for would be sent again and again, and cost its member the decoding.
         if not self.present(now) or now < self.next_at or self.reader is None or not self.reader.room:
             return []
         found = self.after(self.reader.held)
@@ -85,9 +85,9 @@
         return found
 
     def after(self, cursor: int) -> list[Item]:
-        """The next items in their order; `From` first, where items after the cursor were dropped."""
+        """The items after a cursor, in order; a `From` first if items after the cursor were dropped."""
         found = [item for item in (*self.trail, *self.outbox.offer()) if position(item) > cursor]
-        # Danger: without it what was written to a lost connection and never read would be missing in silence.
+        # The `From` reports the gap: items written to a lost connection and never read would otherwise vanish silently.
         return [From(self.outbox.source, self.dropped_up_to + 1), *found] if cursor < self.dropped_up_to else found
 
     def _written(self, cursor: int) -> None:
--- a/cedarwick/events/normalization.py
+++ b/cedarwick/events/normalization.py
@@ -1,14 +1,14 @@
-"""Terms with `not` only at the leaves, so that two values are enough.
+"""Rewrites terms so that `not` is only at the leaves; then two truth values are enough. Used by `index.py`.
 
-De Morgan's laws and the inverse of each comparison hold in Kleene's logic. With `not` gone from above, `and` and `or`
-only ever turn more truth into more truth: unknown may be taken for false, and the whole is true for the same events.
+De Morgan's laws and the inverse of each comparison hold in Kleene's logic. Without `not` above the leaves, `and` and
+`or` are monotonic: unknown may be treated as false, and the whole term is true for the same events.
 """
 
 from cedarwick.events.terms import INVERSE, And, Compare, Not, Or, Range, Term, joined
 
 
 def normal(term: Term, inverted: bool = False) -> Term:
-    """A term, or its opposite, with `not` at the leaves only; true for the same events."""
+    """Rewrite a term, or its negation, with `not` only at the leaves; it is true for the same events."""
     if isinstance(term, Not):
         return normal(term.term, not inverted)
     if isinstance(term, And | Or):
--- a/cedarwick/events/reference_matcher.py
+++ b/cedarwick/events/reference_matcher.py
@@ -1,6 +1,6 @@
-"""The reference: a filter's terms walked for each event in three-valued logic (Kleene's strong logic, 1938).
+"""The reference implementation of matching: evaluates a term for an event in Kleene's three-valued logic (1938).
 
-Slow and plain on purpose; what is compiled and indexed is tested against it.
+It is slow and simple on purpose; the compiled filters and the index are tested against it.
 """
 
 import operator
@@ -23,12 +23,12 @@
 
 
 def matches(term: Term, event: Event) -> bool:
-    """Whether a filter is true for an event; neither false nor unknown will do."""
+    """Whether a filter is true for an event; false and unknown are no match."""
     return value(term, event.values()) is True
 
 
 def value(term: Term, held: dict[str, Value]) -> bool | None:
-    """True, false, or None where an absent field leaves it unknown."""
+    """The value of a term: true, false, or None if an absent field leaves it unknown."""
     if isinstance(term, Not):
         inner = value(term.term, held)
         return None if inner is None else not inner
@@ -46,19 +46,19 @@
             return found in term.values
         return term.low <= found <= term.high if isinstance(term, Range) else globbed(term.pattern, found)
     inners = [value(each, held) for each in term.terms]
-    decides = not isinstance(term, And)  # the value that decides alone
+    decides = not isinstance(term, And)  # one term with this value decides the whole
     if decides in inners:
         return decides
     return None if None in inners else not decides
 
 
 def sampled(term: Sample, id_: Any) -> bool:
-    """Whether an id is in a sample: by its hash, so that every sender says the same."""
+    """Whether an id is in a sample; decided by its hash, so that every sender agrees."""
     return bool(xxhash.xxh3_64_intdigest(id_.encode(errors="surrogatepass")) % term.whole < term.part)
 
 
 def globbed(pattern: str, text: str) -> bool:
-    """Whether a glob matches a whole text: the set of places in the pattern that may have been reached."""
+    """Whether a glob matches a whole text, by tracking the set of reachable pattern positions."""
     reached = {0}
     for character in text:
         reached = {place for place in _past_stars(pattern, reached) if place < len(pattern)}
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -1,19 +1,18 @@
-"""Which subscriptions there are, the same at every member once they have exchanged them. No clock, no I/O.
-
-Each member holds all of them. Entries are joined by taking the larger in one total order, so that the join is
-commutative, associative and idempotent (a state-based CRDT: Shapiro et al., 2011). Counters of versions follow the
-clock where it is ahead (hybrid logical clocks: Kulkarni et al., 2014), so a member that has forgotten everything
-still makes newer versions than its earlier ones.
-
-An entry that was ended stays as a tombstone for TOMBSTONE_EPOCHS. A member that was away for longer could bring back
-what it still holds alive, so every registry carries an epoch: the slice of time in which its member last was with a
-majority, or began with nothing. One that is more than MAX_EPOCHS_AWAY behind is refused; its member throws away what it
-holds alive once it is with a majority again, and takes the others' entries from there. What a member reads from its
-folder at a start (`subscription_store.py`) is what it was at an earlier time: a restart is a sleep since then, and no
-more is needed.
-
-Whether a subscription that nobody follows has ended is seen from its entry alone, which says how long it lasts without
-a follower. Its age is counted by the wall clock, but for what that has jumped since the entry came here.
+"""The registry of subscriptions, replicated to every member. No clock, no I/O; times are wall-clock microseconds.
+
+Entries are merged by taking the larger in one total order, so that the merge is commutative, associative and idempotent
+(a state-based CRDT: Shapiro et al., 2011). Version counters follow the clock where it is ahead (hybrid logical clocks:
+Kulkarni et al., 2014), so that a member which has lost its state still makes newer versions than before.
+
+An ended entry stays as a tombstone for TOMBSTONE_EPOCHS. A member that was away for longer could bring back entries
+that it still has as live, so every registry carries an epoch: the time slice in which its member was last with a
+majority, or started empty. A registry more than MAX_EPOCHS_AWAY behind is refused; its member discards its live entries
+once it is with a majority again, and takes those of the others from there. The state that a member reads from its
+folder at a start (`subscription_store.py`) is its own at an earlier time: a restart is treated like a sleep since then.
+
+Whether a subscription without a follower has expired is decided by its entry alone, which holds its lifetime. Its age
+is measured by the wall clock, corrected for jumps of the clock since the entry arrived here. Used by `exchange.py` and
+`anti_entropy.py`.
 """
 
 import re
@@ -27,11 +26,11 @@
 SECOND = 1_000_000
 DEFAULT_LIFETIME = 3600 * SECOND  # microseconds without a follower until a subscription ends
 MIN_LIFETIME = 60 * SECOND  # microseconds; the least that may be set
-# Danger: a subscription that lasts longer than MAX_EPOCHS_AWAY would be lost by its member being away alone.
+# Less than MAX_EPOCHS_AWAY: a subscription with a longer lifetime could be lost just because its member was away.
 MAX_LIFETIME = 12 * 3600 * SECOND  # microseconds; the most that may be set
 EPOCH_LENGTH = 3600 * SECOND  # microseconds
-TOMBSTONE_EPOCHS = 24  # how long tombstones stay
-# A member that was away for longer starts anew; the rest of TOMBSTONE_EPOCHS is for it to be heard.
+TOMBSTONE_EPOCHS = 24  # epochs for which tombstones stay
+# A member that was away for longer starts anew; the rest of TOMBSTONE_EPOCHS leaves time for its entries to spread.
 MAX_EPOCHS_AWAY = 12
 MAX_CLOCK_SKEW = 300 * SECOND  # microseconds by which members' wall clocks may differ
 MAX_ENTRIES = 20_000  # entries, tombstones among them
@@ -64,7 +63,7 @@
     """A subscription. Order decides which of two is the newer, field by field."""
 
     counter: int  # of its version; microseconds, or one more than the version before
-    member: str  # who made the version, and where the subscriber is; decides between equal counters
+    member: str  # the member that made the version, where the subscriber is; breaks ties of counters
     ended: bool
     filter: str
     followed_at: int  # microseconds of the wall clock
@@ -88,12 +87,12 @@
 
 
 def join(held: Entry | None, other: Entry) -> Entry:
-    """The newer of two; the same in whichever order many are joined."""
+    """Merge two entries: the newer one. The order of several merges does not matter."""
     return other if held is None else max(held, other)
 
 
 class Verdict(Enum):
-    """What became of another's registry."""
+    """The result of merging another member's registry."""
 
     JOINED = "joined"
     AWAY = "its member was away from a majority for too long: it starts anew once it is with one"
@@ -102,20 +101,20 @@
 
 
 class Registry:
-    """All subscriptions by name, at one member. `lasts`: of those that are followed here, without a follower."""
+    """All subscriptions by name, at one member. `lasts`: lifetime without a follower of those followed here."""
 
     def __init__(self, member: str, now: int, lasts: int = DEFAULT_LIFETIME) -> None:
         self.member = member
         self.lasts = lasts
         self.entries: dict[str, Entry] = {}
         self.epoch = now // EPOCH_LENGTH
-        self.jumped: dict[str, int] = {}  # by name: microseconds that are no part of its age, as the clock has jumped
+        self.jumped: dict[str, int] = {}  # by name: microseconds of clock jumps that are not part of its age
 
     def restore(self, now: int, written_at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> None:
-        """Begin with what this member was at an earlier time: it has slept since `written_at` of the wall clock then.
+        """Start from this member's saved state, as if it had slept since `written_at` (wall clock at that time).
 
-        What lived then is left a quarter of its time at least, for its subscriber to come back; what the clock says
-        was away for too long is left out, but for what has ended.
+        Entries live at that time keep at least a quarter of their lifetime, so that their subscribers can return. If
+        the member was away for too long by the clock, only ended entries are restored.
         """
         away = now // EPOCH_LENGTH - epoch > MAX_EPOCHS_AWAY
         self.epoch = now // EPOCH_LENGTH if away else min(epoch, now // EPOCH_LENGTH)
@@ -130,18 +129,19 @@
                 continue
             age = max(now, written_at) - entry.followed_at
             if max(entry.counter, entry.followed_at) > now + MAX_CLOCK_SKEW:
-                # Danger: the others refuse all that is later than their clocks, and what it lasts would be as long as
-                # the clock was off. What lived then gives way to any other version, an end to none that is older.
+                # The clock was ahead when this was saved. Other members refuse entries later than their clocks, and its
+                # lifetime would be too long by the error. A live entry then loses to any other version, an end does
+                # not lose to an older one.
                 age = max(0, written_at - entry.followed_at)
                 entry = msgspec.structs.replace(entry, counter=now if entry.ended else 0, followed_at=now - age)
             if not entry.ended and age <= entry.lasts + max(0, now - written_at):
-                # Danger: while all are down nobody can follow; a clock that was set meanwhile would end all at once.
+                # While all members are down nobody can follow; a clock set meanwhile would expire everything at once.
                 age = min(age, entry.lasts - entry.lasts // 4)
             self.entries[name] = entry
             self.jumped[name] = now - entry.followed_at - age
 
     def follow(self, now: int, name: str, text: str) -> Entry:
-        """A subscriber is here with a filter's canonical text.
+        """Register a subscriber at this member; `text` is its filter's canonical text.
 
         Raises SubscriptionNameError and TooManySubscriptionsError.
         """
@@ -150,18 +150,18 @@
         held = self.entries.get(name)
         if held is None and len(self.entries) >= MAX_ENTRIES:
             raise TooManySubscriptionsError(f"{MAX_ENTRIES} subscriptions are held, '{name}' would be one more")
-        # Danger: without a version of its own, this would give way to an older following at a member not yet heard.
+        # Always a new version: otherwise this would lose to an older one at a member not heard from yet.
         return self._put(now, name, Entry(self._counter(now, held), self.member, False, text, now, self.lasts))
 
     def followed(self, now: int, name: str) -> Entry:
-        """The subscriber is still here: said at least once in a quarter of what it lasts. Raises NotFollowedError."""
+        """Renew a subscription whose subscriber is still here, when it is `due`. Raises NotFollowedError."""
         held = self._living(now, name)
-        # Danger: after a clock was set back its time would stand still for the others, and end there.
+        # After a clock was set back, the time must not stand still: it would expire at the other members.
         at = max(now, held.followed_at + max(0, self.age(now, name)))
         return self._put(now, name, msgspec.structs.replace(held, followed_at=at, lasts=self.lasts))
 
     def due(self, now: int, name: str) -> bool:
-        """Whether it is time to say that the subscriber of one that is held is still here."""
+        """Whether to call `followed`: a quarter of its lifetime has passed, or the lifetime was changed."""
         lasts = self.entries[name].lasts
         return lasts != self.lasts or self.age(now, name) > lasts // 4
 
@@ -171,35 +171,36 @@
         return self._put(now, name, Entry(self._counter(now, held), self.member, True, held.filter, now, held.lasts))
 
     def age(self, now: int, name: str) -> int:
-        """For how long nobody has followed one that is held, as far as is known here; microseconds."""
+        """Microseconds since a known subscription was last followed, as far as this member knows."""
         return now - self.entries[name].followed_at - self.jumped.get(name, 0)
 
     def lives(self, now: int, name: str) -> bool:
-        """Whether a subscription is followed, or was not long ago."""
+        """Whether a subscription is known, not ended and not expired."""
         entry = self.entries.get(name)
         return entry is not None and not entry.ended and self.age(now, name) <= entry.lasts
 
     def living(self, now: int) -> dict[str, Entry]:
-        """The subscriptions to evaluate."""
+        """The live subscriptions, by name."""
         return {name: entry for name, entry in self.entries.items() if self.lives(now, name)}
 
     def stepped(self, by: int) -> None:
-        """The wall clock has jumped by so many microseconds; no time has passed."""
-        # Danger: a clock that is set on by an hour would end all at once, one set back would keep all for ever.
+        """Correct all ages for a jump of the wall clock by `by` microseconds."""
+        # Otherwise a clock set forward by an hour would expire everything at once, and one set back would keep entries
+        # too long.
         self.jumped = {name: self.jumped.get(name, 0) + by for name in self.entries}
 
     def tick(self, now: int, with_majority: bool) -> list[str]:
-        """Move the epoch on while with a majority, and forget what may be forgotten.
+        """Advance the epoch while with a majority, and drop entries that are too old.
 
-        Gives the names of living subscriptions that were thrown away as this member was away for too long: their
-        subscribers are told to follow again, and are heard of from others if they have followed elsewhere.
+        Returns the names of live subscriptions discarded because this member was away for too long. Their subscribers
+        must follow again; if they have followed elsewhere, the other members know them.
         """
         lost: list[str] = []
-        # Danger: a member cut off that let its epoch go on would be trusted again after any time away.
+        # Only with a majority: a member cut off that advanced its epoch would be trusted after any time away.
         if with_majority:
             if now // EPOCH_LENGTH - self.epoch > MAX_EPOCHS_AWAY:
                 lost = sorted(self.living(now))
-                # What has ended stays: it may be known here alone, and brings nothing back.
+                # Ended entries stay: this may be the only member that knows them, and they revive nothing.
                 self.entries = {name: entry for name, entry in self.entries.items() if entry.ended}
             self.epoch = max(self.epoch, now // EPOCH_LENGTH)
         self.entries = {name: entry for name, entry in self.entries.items() if not self._forgotten(entry)}
@@ -208,14 +209,14 @@
         return lost
 
     def merge(self, now: int, epoch: int, theirs: Iterable[tuple[str, Entry]]) -> Verdict:
-        """Join another's registry, or pieces of it, into this one. Unsound entries are left out."""
+        """Merge another member's registry, or parts of it; invalid entries are skipped. Returns the verdict."""
         theirs = list(theirs)
-        # Danger: one clock that is far ahead would make everyone else's registry too old, or an entry live for ever.
+        # A clock far ahead would make all other registries look too old, or an entry live almost forever.
         if epoch * EPOCH_LENGTH > now + MAX_CLOCK_SKEW or any(
             each.counter > now + MAX_CLOCK_SKEW or each.followed_at > now + MAX_CLOCK_SKEW for _, each in theirs
         ):
             return Verdict.AHEAD
-        # Danger: who was away for longer than tombstones are kept may still hold alive what was ended meanwhile.
+        # A member that was away for longer than tombstones are retained may have live entries that ended meanwhile.
         if epoch < self.epoch - MAX_EPOCHS_AWAY:
             return Verdict.AWAY
         if self.epoch < epoch - MAX_EPOCHS_AWAY:
@@ -231,7 +232,7 @@
         jumped = self.jumped.pop(name, 0)
         if jumped:
             if self.entries.get(name) != entry:
-                # Of a jump as much counts on as the word that has come now does not speak of.
+                # Only the part of the jump since the new `followed_at` still applies.
                 jumped = sorted((0, jumped, now - entry.followed_at))[1]
             self.jumped[name] = jumped
         self.entries[name] = entry
@@ -243,7 +244,7 @@
         return self.entries[name]
 
     def _forgotten(self, entry: Entry) -> bool:
-        """Whether an entry is too old to be kept: by the epoch, so that all who share it agree."""
+        """Whether an entry is too old to retain; decided by the epoch, so that members in the same epoch agree."""
         return max(entry.counter, entry.followed_at) // EPOCH_LENGTH < self.epoch - TOMBSTONE_EPOCHS
 
     @staticmethod
--- a/cedarwick/events/sources.py
+++ b/cedarwick/events/sources.py
@@ -1,25 +1,28 @@
-"""Names of event sources, one for each boot of each member, and which of them have ended."""
+"""The names of event sources, one for each boot of each member, and which of them have ended.
+
+Used by `exchange.py` and `subscription_server.py`.
+"""
 
 from cedarwick.events.registry import NAME
 from cedarwick.fleet.messages import slot_of
 from cedarwick.fleet.peer_verifier import PeerVerifier
 
-MAX_STEM_LENGTH = 47  # characters: the name of a source is one that a subscriber's cursors can hold
+MAX_STEM_LENGTH = 47  # characters; source names must fit into the cursors of subscribers
 
 
 class Sources:
-    """The members' boots, as the gate has seen them."""
+    """The members' boots, as seen by the verifier of peer messages."""
 
     def __init__(self, gate: PeerVerifier) -> None:
         self.gate = gate
 
     def of(self, member: str) -> str:
-        """The source of a member's newest boot; empty where none was heard of."""
+        """The source of a member's newest boot; empty if none is known."""
         boot = self._boot(member)
         return f"{stem(member)}-{boot}" if boot else ""
 
     def over(self, source: str) -> bool:
-        """Whether a source has ended for good: its member has begun anew, or is no member any more."""
+        """Whether a source has ended for good: its member has restarted, or is no longer a member."""
         source_stem, _, boot = source.rpartition("-")
         for member in (self.gate.me, *self.gate.others):
             if stem(member) == source_stem:
@@ -32,5 +35,5 @@
 
 
 def stem(member: str) -> str:
-    """A member's name, or its slot where the name does not fit."""
+    """The first part of a source's name: the member's name, or its slot if the name does not fit."""
     return member if len(member) <= MAX_STEM_LENGTH and NAME.fullmatch(member) else f"m{slot_of(member)}"
--- a/cedarwick/events/streams.py
+++ b/cedarwick/events/streams.py
@@ -1,8 +1,9 @@
-"""Matches on their way from the sender where they arise to the subscriber: numbers, bounded buffers, gaps, cursors.
+"""Matches on their way from the source to the subscriber: numbering, bounded buffers, gaps and cursors. No I/O.
 
 A source is one boot of one sender. It numbers its events; each subscription has an `Outbox` there, and an `Inbox` at
-the sender where the subscriber is. The outbox offers a window of items and keeps it until the subscriber has seen it
-(go-back-N with one window); what is offered is never dropped, so that counts of gaps are exact. No I/O.
+the member where the subscriber is. The outbox offers a window of items and retains it until the subscriber has seen it
+(go-back-N with one window); offered items are never dropped, so that counts of gaps are exact. Used by
+`match_delivery.py`, `subscriber_reader.py` and `subscription_server.py`.
 """
 
 from collections import deque
@@ -17,11 +18,11 @@
 from cedarwick.events.language import read
 from cedarwick.events.registry import NAME, Entry
 
-MAX_WAITING = 1000  # matches of one subscription at one source
-MAX_WAITING_BYTES = 1 << 18  # of these matches, about
-WINDOW = 100  # items that are offered at a time
-EVENT_BYTES = 150  # of an event besides its texts, about
-MAX_SOURCES = 256  # with a cursor of one subscription
+MAX_WAITING = 1000  # unoffered matches of one subscription at one source
+MAX_WAITING_BYTES = 1 << 18  # approximate bytes of these matches
+WINDOW = 100  # items offered at a time
+EVENT_BYTES = 150  # approximate bytes of an event without its texts
+MAX_SOURCES = 256  # sources in the cursors of one subscription
 
 
 class InvalidCursorsError(CedarwickError):
@@ -64,31 +65,31 @@
 
 
 def position(item: Item) -> int:
-    """The cursor that a subscriber has once it has seen an item."""
+    """The cursor of a subscriber after it has seen an item."""
     if isinstance(item, Match):
         return item.event.number
     return item.last if isinstance(item, Gap) else item.number - 1
 
 
 class Outbox:
-    """What one subscription has matched at this source and the subscriber has not yet seen."""
+    """The matches of one subscription at this source that its subscriber has not seen yet."""
 
     def __init__(self, source: str, begins: int, most: int = MAX_WAITING, most_bytes: int = MAX_WAITING_BYTES) -> None:
         self.source = source
         self.most = most
         self.most_bytes = most_bytes
-        self.window: list[Item] = []  # offered, not yet seen
+        self.window: list[Item] = []  # offered and not seen yet
         self.beginning: From | None = From(source, begins)
-        self.gap: Gap | None = None  # between the window and what waits
-        self.waiting: deque[tuple[Event, int]] = deque()  # with their bytes
-        self.bytes = 0  # of what waits
+        self.gap: Gap | None = None  # dropped items between the window and `waiting`
+        self.waiting: deque[tuple[Event, int]] = deque()  # events not offered yet, with their approximate bytes
+        self.bytes = 0  # approximate bytes of `waiting`
 
     def add(self, event: Event) -> None:
-        """Queue a match; the oldest that wait are dropped where there is no room, and counted in a `Gap`."""
+        """Queue a match; beyond the limits the oldest unoffered matches are dropped and counted in a `Gap`."""
         size = weight(event)
         self.waiting.append((event, size))
         self.bytes += size
-        # Danger: a subscriber that reads slowly or is gone would take the sender's memory.
+        # Without the limits, a slow or lost subscriber would use up the sender's memory.
         while len(self.waiting) > self.most or self.bytes > self.most_bytes:
             dropped, size = self.waiting.popleft()
             self.bytes -= size
@@ -96,7 +97,7 @@
             self.gap = Gap(self.source, first, dropped.number, count + 1)
 
     def offer(self) -> list[Item]:
-        """The items to send now, in order; the same ones until some are seen."""
+        """The items to send now, in order; the same ones until all of them are seen."""
         if not self.window:
             self.window = [item for item in (self.beginning, self.gap) if item is not None]
             self.beginning = self.gap = None
@@ -107,31 +108,31 @@
         return list(self.window)
 
     def seen(self, cursor: int) -> None:
-        """The subscriber has seen all up to a number; what was never offered stays."""
+        """Drop offered items up to a cursor, which the subscriber has seen; unoffered ones stay."""
         self.window = [item for item in self.window if position(item) > cursor]
 
 
 def weight(event: Event) -> int:
-    """The bytes that an event takes, about."""
+    """The approximate bytes of memory that an event takes."""
     texts = sum(len(value) for value in event.fields.values() if isinstance(value, str))
     return EVENT_BYTES + 16 * len(event.fields) + 4 * texts
 
 
 class Source:
-    """One boot of this sender: numbers what happens and evaluates the subscriptions at it."""
+    """One boot of this sender: numbers its events and matches them against the subscriptions."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.next = 1
         self.index = Index()
         self.outboxes: dict[str, Outbox] = {}
-        self.unread: dict[str, tuple[str, FilterError]] = {}  # filters that can't be evaluated here
+        self.unread: dict[str, tuple[str, FilterError]] = {}  # by name: filters that cannot be evaluated here, and why
 
     def evaluate(self, subscriptions: Mapping[str, Entry]) -> dict[str, FilterError]:
-        """From the next event on these are the living subscriptions, by name.
+        """Set the live subscriptions, by name, from the next event on.
 
-        One that has a new filter begins anew: what the old one matched and nobody has seen is dropped. Gives those
-        that this sender can't evaluate, such as come from a newer version, with the reason.
+        A subscription with a new filter starts anew: unseen matches of the old one are dropped. Returns the errors of
+        filters that this sender cannot evaluate, for example from a newer version, by name.
         """
         for name in self.outboxes.keys() - subscriptions.keys():
             self._drop(name)
@@ -153,7 +154,7 @@
         self.outboxes.pop(name, None)
 
     def happened(self, at: int, kind: str, fields: dict[str, Value]) -> list[str]:
-        """Number an event and keep it for the subscriptions it matches, whose names are returned.
+        """Number an event and queue it for the subscriptions that it matches; returns their names.
 
         Raises InvalidEventError; the number is then used up.
         """
@@ -169,21 +170,21 @@
 
 
 class Inbox:
-    """One subscription at the sender where its subscriber is: each match once, in the order of its source."""
+    """One subscription at the member of its subscriber: passes each match on once, in the order of its source."""
 
     def __init__(self, cursors: Mapping[str, int] | None = None) -> None:
-        self.cursors = dict(cursors or {})  # what was passed on, by source
-        self.dropped = 0  # items not passed on: given before, another's, or of one source too many
+        self.cursors = dict(cursors or {})  # by source: the last number passed on
+        self.dropped = 0  # items not passed on: repeated, another source's, or of one source too many
 
     def receive(self, source: str, items: Iterable[Item]) -> list[Item]:
-        """What a source offers; gives what is new, to be passed on in this order."""
+        """Take in items of a source; returns the new ones, to be passed on in this order."""
         new: list[Item] = []
         for item in items:
             held = self.cursors.get(source)
             reached = position(item)
             named = item.event.source if isinstance(item, Match) else item.source
-            # Danger: an offer that is given twice, or late, would give matches twice; one under another's name would
-            # move a cursor that is not its own; sources without end would take memory.
+            # Drop repeated and late items, which would duplicate matches; items naming another source, which would move
+            # its cursor; and items of too many sources, which would use up memory.
             again = reached <= held if held is not None else len(self.cursors) >= MAX_SOURCES
             if again or named != source:
                 self.dropped += 1
@@ -193,18 +194,18 @@
         return new
 
     def end(self, source: str) -> list[Ended]:
-        """A source has ended for good: its cursor is dropped; returns the item that says so to the subscriber."""
+        """Drop the cursor of a source that has ended for good; returns the item that reports this to the subscriber."""
         cursor = self.cursors.pop(source, None)
         return [] if cursor is None else [Ended(source, cursor)]
 
 
 def encoded(name: str, cursors: Mapping[str, int]) -> str:
-    """A subscription's name and cursors as a subscriber keeps them: `NAME SOURCE:NUMBER ...`."""
+    """Encode a subscription's name and cursors as a subscriber stores them: `NAME SOURCE:NUMBER ...`."""
     return " ".join([name, *(f"{source}:{cursors[source]}" for source in sorted(cursors))])
 
 
 def decoded(text: str) -> tuple[str, dict[str, int]]:
-    """A subscription's name and cursors from their text. Raises InvalidCursorsError."""
+    """Decode a subscription's name and cursors. Raises InvalidCursorsError."""
     name, *parts = text.split(" ", MAX_SOURCES + 1)
     if not NAME.fullmatch(name):
         raise InvalidCursorsError(f"'{name[:80]}' can't name a subscription")
--- a/cedarwick/events/subscriber_reader.py
+++ b/cedarwick/events/subscriber_reader.py
@@ -1,4 +1,7 @@
-"""A subscriber that is connected here: what has come for it, what it was given, and its lines; no I/O."""
+"""A subscriber connected to this member: the items for it, its cursors and the lines to write. No I/O.
+
+Used by `subscription_server.py`, which writes the lines to the socket.
+"""
 
 from collections import deque
 from collections.abc import Iterable, Mapping
@@ -9,12 +12,12 @@
 from cedarwick.events.match_delivery import NOWHERE, Reached
 from cedarwick.events.streams import Ended, Inbox, Item, Match, position
 
-MAX_PENDING = 1000  # items that wait to be written; beyond that nothing is taken, and the sources keep it
-LINES_BYTES = 1 << 15  # bytes that are written at once, about
+MAX_PENDING = 1000  # items waiting to be written; beyond that none are accepted, and the sources retain them
+LINES_BYTES = 1 << 15  # approximate bytes written at once
 
 
 class Reader:
-    """One connection of a subscriber. `over` says why it ends, once it does."""
+    """One connection of a subscriber. `over` is the reason for its end, once it ends."""
 
     def __init__(self, name: str, began: int, cursors: Mapping[str, int]) -> None:
         self.name = name
@@ -25,11 +28,11 @@
         self.over: CedarwickError | None = None
 
     def take(self, source: str, after: int, items: Iterable[Item]) -> bool:
-        """Items of a source, which follow the number `after` with nothing missing; whether they were looked at."""
-        # Danger: what was sent for another connection may lack what this one has not had.
+        """Accept items of a source that follow number `after` without a gap; returns False if they were refused."""
+        # Items sent for an earlier connection may leave out some that this one has not received.
         if self.over is not None or after > self.inbox.cursors.get(source, NOWHERE):
             return False
-        # Danger: a subscriber that reads slowly would take this member's memory.
+        # Without a limit, a slow subscriber would use up this member's memory.
         if not self.room:
             return False
         self.pending.extend(self.inbox.receive(source, items))
@@ -37,21 +40,21 @@
 
     @property
     def room(self) -> bool:
-        """Whether more is taken now."""
+        """Whether more items are accepted now."""
         return len(self.pending) < MAX_PENDING
 
     def reached(self, member: str, source: str) -> Reached:
-        """How far it is with a source, as `member`, where it is connected, reports it."""
+        """Its position in a source, as reported by `member`, the member to which it is connected."""
         return Reached(
             member, self.began, self.inbox.cursors.get(source, NOWHERE), self.given.get(source, NOWHERE), self.room
         )
 
     def end(self, source: str) -> None:
-        """The source has ended for good: queue the line that says so behind all that has come from it."""
+        """Queue the line that reports the end of a source, after all items received from it."""
         self.pending.extend(self.inbox.end(source))
 
     def lines(self) -> tuple[bytes, dict[str, int]]:
-        """The next lines, which are not pending any more, and the last number of each source among them."""
+        """Take the next lines to write from the queue; returns them with the last number of each source in them."""
         data, reached = bytearray(), dict[str, int]()
         while self.pending and len(data) < LINES_BYTES:
             item = self.pending.popleft()
@@ -64,5 +67,5 @@
         return bytes(data), reached
 
     def wrote(self, reached: Mapping[str, int]) -> None:
-        """Lines were written to the subscriber."""
+        """Note the positions of lines that were written to the subscriber."""
         self.given.update(reached)
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -1,8 +1,9 @@
-"""The subscriptions at work in one member: evaluated here, sent on to where subscribers are, written to those here.
+"""The subscription server of one member: matches events, sends matches to other members, and writes to subscribers.
 
-Loaded with the first subscription, and with it the grammar. What a delivery owes and what a reader has is decided in
-`match_delivery.py` and `subscriber_reader.py`; this calls other members and writes to sockets. Deliveries never wait
-for any of it: events go into bounded buffers, and everything else happens in greenlets of its own.
+Loaded with the first subscription, together with the grammar, by `exchange.py`. `match_delivery.py` and
+`subscriber_reader.py` decide what is sent and written; this module calls other members and writes to sockets. Message
+deliveries never wait for it: events go into bounded buffers, and everything else runs in greenlets of its own. Times
+are microseconds unless a name ends in `_S` (seconds).
 """
 
 import zlib
@@ -25,16 +26,16 @@
 from cedarwick.fleet.messages import Body, Cursor, Cursors, Matches, Stream
 from cedarwick.net.counters import Counters
 
-IDLE_LINE_S = 2.0  # without a line until a reader is sent an empty one
-WRITE_TIMEOUT_S = 10.0  # in which what is written must be taken
-SEND_BUFFER_BYTES = 1 << 16  # that the system holds for a reader
-PLACES_INTERVAL = 2_000_000  # microseconds between two peer messages with the places of all readers
-ENDINGS_INTERVAL = 250_000  # microseconds between two looks for sources that have ended
-ANSWER_TIMEOUT_S = 1.0  # for another member's answer
-MATCHES_BYTES = 1 << 18  # of matches in one peer message, about
+IDLE_LINE_S = 2.0  # after which an idle reader is sent an empty line
+WRITE_TIMEOUT_S = 10.0  # for a reader to take what is written
+SEND_BUFFER_BYTES = 1 << 16  # of the socket of a reader
+PLACES_INTERVAL = 2_000_000  # microseconds between two reports of the positions of all readers
+ENDINGS_INTERVAL = 250_000  # microseconds between two searches for ended sources
+ANSWER_TIMEOUT_S = 1.0  # to wait for another member's answer
+MATCHES_BYTES = 1 << 18  # approximate bytes of matches in one peer message
 MAX_STREAMS = 500  # subscriptions in one peer message
-MAX_PLACES = 2000  # places in one peer message
-FILTERS_PER_LOOK = 10  # that are compiled in one look: each takes up to a millisecond
+MAX_PLACES = 2000  # positions in one peer message
+FILTERS_PER_LOOK = 10  # compiled in one call of `evaluate`: each takes up to a millisecond
 _encode = msgspec.msgpack.Encoder().encode
 _items: msgspec.msgpack.Decoder[list[Item]] = msgspec.msgpack.Decoder(list[Item])
 
@@ -69,19 +70,22 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """A reader that is connected here, and an event set when something has arrived for it."""
+    """A connected reader, and an event that is set when something has arrived for it."""
 
     reader: Reader
     arrived: gevent.event.Event = field(default_factory=gevent.event.Event)
 
     def end(self, why: CedarwickError) -> None:
-        """Let the subscriber go; the first reason given is the one it is sent."""
+        """End the connection; the first reason given is sent to the subscriber."""
         self.reader.over = self.reader.over or why
         self.arrived.set()
 
 
 class SubscriptionServer:
-    """`call` asks another member; the numbers of the events begin with `first`."""
+    """The subscriptions evaluated at this member, and the readers connected to it.
+
+    `call` sends a message to a member and waits so many seconds for the answer; event numbers begin with `first`.
+    """
 
     def __init__(
         self,
@@ -100,27 +104,25 @@
         self.source = Source(sources.of(me))
         self.source.next = first
         self.deliveries: dict[str, MatchDelivery] = {}
-        self.active: dict[str, None] = {}  # deliveries that may have something to send, in their turn
-        self.unlocated: dict[
-            str, None
-        ] = {}  # new deliveries: how far their subscribers are with this source is not known
-        self.asked: dict[str, str] = {}  # by subscription: the member that was asked last, and may have known nothing
-        self.pushing: set[str] = set()  # members with a peer message of matches on its way
-        self.telling: set[str] = set()  # members with a peer message of places on its way
-        self.owed: dict[str, dict[str, None]] = {}  # by member: readers whose places it is to be sent
+        self.active: dict[str, None] = {}  # deliveries that may have something to send, in turn
+        self.unlocated: dict[str, None] = {}  # deliveries whose subscribers' positions are not known
+        self.asked: dict[str, str] = {}  # by subscription: the member asked last for the position
+        self.pushing: set[str] = set()  # members with an unanswered message of matches
+        self.telling: set[str] = set()  # members with an unanswered message of positions
+        self.owed: dict[str, dict[str, None]] = {}  # by member: readers whose positions must be reported to it
         self.connections: dict[str, Connection] = {}
         self.places_at = self.endings_at = 0
-        self.bytes: dict[str, int] = {}  # of matches, by the member that they went to
+        self.bytes: dict[str, int] = {}  # of matches sent, by member
 
     # ---- what happens here ----
 
     def evaluate(self, living: Mapping[str, Entry]) -> bool:
-        """From now on these are the subscriptions; False where some are left for the next look."""
+        """Set the live subscriptions; returns False if some filters are left for the next call."""
         texts, unread = self.source.index.texts, self.source.unread
         fresh = [
             name for name, entry in living.items() if entry.filter not in (texts.get(name), unread.get(name, ("",))[0])
         ]
-        # Danger: thousands of filters that come at once would hold up deliveries for seconds.
+        # Compiling thousands of new filters at once would delay message deliveries for seconds.
         left = set(fresh[FILTERS_PER_LOOK:])
         found = self.source.evaluate({name: entry for name, entry in living.items() if name not in left})
         for name in fresh[:FILTERS_PER_LOOK]:
@@ -129,7 +131,7 @@
                     "a filter that cannot be evaluated", CannotEvaluateError(f"{name}: {found[name]}")
                 )
         self._follow_outboxes()
-        for name, entry in living.items():  # a subscriber that has moved is asked at once how far it is
+        for name, entry in living.items():  # ask at once for the position of a subscriber that has moved
             delivery = self.deliveries.get(name)
             if delivery is not None:
                 known = delivery.reader.member if delivery.reader is not None else self.asked.get(name, entry.member)
@@ -138,7 +140,7 @@
         return not left
 
     def _follow_outboxes(self) -> None:
-        """Have one delivery for each outbox of the source; a new one must learn how far its subscriber is."""
+        """Create one delivery for each outbox; a new one must first learn the position of its subscriber."""
         outboxes = self.source.outboxes
         self.deliveries = {
             name: delivery for name, delivery in self.deliveries.items() if outboxes.get(name) is delivery.outbox
@@ -150,14 +152,17 @@
                 self.unlocated[name] = None
 
     def happened(self, at: int, kind: str, fields: dict[str, Value]) -> None:
-        """Number an event and queue it for the subscriptions it matches. Raises `InvalidEventError`."""
+        """Number an event and queue it for the subscriptions that it matches. Raises `InvalidEventError`."""
         for name in self.source.happened(at, kind, fields):
             self.active[name] = None
 
     # ---- again and again ----
 
     def look(self, now: int, alive: Iterable[str]) -> None:
-        """`now` counts on while the machine sleeps."""
+        """Report ended sources and positions, and send matches; called regularly.
+
+        `now`: microseconds of a clock that also runs while the machine sleeps.
+        """
         alive = list(alive)
         if now >= self.endings_at:
             self.endings_at = now + ENDINGS_INTERVAL
@@ -178,7 +183,7 @@
             self.owed.setdefault(member, {})[name] = None
 
     def _tell(self, now: int, member: str) -> None:
-        """Tell one member how far the readers here are with its source."""
+        """Report to one member the positions of the readers here in its source."""
         source = self.sources.of(member)
         if not self.owed.get(member) or not source or member in self.telling:
             return
@@ -207,7 +212,7 @@
         return Cursor(name, reached.began, reached.held, reached.written, reached.room)
 
     def _push(self, now: int, alive: set[str]) -> None:
-        """Send what is owed: one peer message at a time to each member."""
+        """Send matches and requests for positions: one message at a time to each member."""
         peer_messages: dict[str, list[Stream]] = {}
         sizes: dict[str, int] = {}
         for name in [*self.unlocated, *self.active]:
@@ -228,7 +233,7 @@
                 continue
             reader = delivery.reader
             if delivery.done or not delivery.present(now) or reader is None or reader.member != member:
-                del self.active[name]  # until something happens, or its place is reported
+                del self.active[name]  # until an event matches or its position is reported
                 continue
             items = delivery.send(now)
             if items:
@@ -236,7 +241,7 @@
                 sizes[member] = sizes.get(member, 0) + len(data)
                 streams.append(Stream(name, reader.held, data))
                 del self.active[name]
-                self.active[name] = None  # the others come first the next time
+                self.active[name] = None  # move to the end of the queue
         for member, streams in peer_messages.items():
             if streams:
                 self.bytes[member] = self.bytes.get(member, 0) + sizes.get(member, 0)
@@ -261,12 +266,12 @@
     # ---- peer messages of others ----
 
     def places(self, now: int, sender: str, body: Cursors) -> None:
-        """Where the readers at a member are with the source here."""
+        """Take in a member's report of its readers' positions in the source here."""
         if body.source != self.source.name:
             return
         for row in body.cursors:
             delivery, entry = self.deliveries.get(row.name), self.entry(row.name)
-            # Danger: a member where the subscriber was before would speak of what another connection has read.
+            # A member where the subscriber was before reports the position of an old connection: ignore it.
             if delivery is None or entry is None or entry.member != sender:
                 continue
             if row.began:
@@ -276,8 +281,8 @@
                 delivery.disconnected(sender)
 
     def matched(self, sender: str, body: Matches) -> Cursors:
-        """What another member's source owes readers here; the answer is how far they are with it."""
-        # Danger: what a member says of a source that is not its own would move a cursor for good.
+        """Take in matches of another member's source; returns the positions of the readers here."""
+        # Matches in the name of another member's source could move its cursors irrevocably.
         if body.source != self.sources.of(sender):
             return Cursors(body.source, ())
         for stream in body.streams:
@@ -296,7 +301,7 @@
     # ---- subscribers that are here ----
 
     def connect(self, reader: Reader, alive: Iterable[str]) -> Connection:
-        """A subscriber is here; one that was connected under its name is let go."""
+        """Register a connected reader; an earlier connection of the same name is ended."""
         before = self.connections.get(reader.name)
         if before is not None:
             before.end(SupersededError(f"a newer connection follows {reader.name}"))
@@ -305,7 +310,7 @@
         return made
 
     def talk(self, connection: Connection, sock: gevent.socket.socket, alive: Callable[[], Iterable[str]]) -> None:
-        """Write to a subscriber until it goes, or its following ends here."""
+        """Write to a subscriber until it disconnects or its connection is ended here."""
         reader = connection.reader
         try:
             sock.settimeout(WRITE_TIMEOUT_S)
@@ -336,6 +341,6 @@
                 self._owe(reader.name, alive())
 
     def summary(self) -> None:
-        """Say in the log what went where."""
+        """Log the number of events and the bytes of matches sent to each member."""
         sent = ", ".join(f"{member} {count}" for member, count in sorted(self.bytes.items()))
         logger.info("events: {} numbered; bytes of matches: {}", self.source.next - 1, sent or "none")
--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -1,10 +1,10 @@
-"""The subscriptions in `$RELAY_STATE/fleet/subscriptions`, so that they outlive a restart of all members at once.
+"""Saves the subscriptions in `$RELAY_STATE/fleet/subscriptions`, so that they survive a restart of all members at once.
 
-The file is a row of frames as the folder's (`store/records.py`), each a `Page` of entries. Pages are joined as they are
-read, so that one more at the end is all that a change costs; once what was added outweighs what lives, the file is
-replaced whole. What it holds is what this member was at an earlier time, whatever is missing at its end: the registry
-takes that for a sleep. A version of an entry is written before anybody hears that it is stored; when a subscription was
-last followed, and how far the epoch is, twice a minute at most.
+The file is a sequence of frames as in the message store (`store/records.py`), each a `Page` of entries. Pages are
+merged when read, so a change costs one appended page; once the appended bytes outweigh the live ones, the whole file is
+replaced. A file that lacks its end is the member's state at an earlier time, which the registry treats as a sleep. A
+new version of an entry is written before anybody is told that it is stored; when a subscription was last followed, and
+the epoch, are written at most twice a minute. Called by `exchange.py`.
 """
 
 import os
@@ -20,11 +20,11 @@
 from cedarwick.store.records import DamagedRange, framed, may_go_on, scan
 
 NAME = "subscriptions"
-MAX_FILE_BYTES = 1 << 28  # twice as much as the longest filters of all subscriptions take
-PAGE_ENTRIES = 128  # with the longest filters less than a frame holds
-MIN_GROWTH_BYTES = 1 << 16  # that are added before the file is replaced, at least
-LOOK_INTERVAL = 30_000_000  # microseconds between two looks for what need not be written at once
-RETRY_AFTER = 1_000_000  # microseconds until a write that failed is made again
+MAX_FILE_BYTES = 1 << 28  # twice the size of all subscriptions with the longest filters
+PAGE_ENTRIES = 128  # fit into one frame even with the longest filters
+MIN_GROWTH_BYTES = 1 << 16  # appended at least before the file is replaced
+LOOK_INTERVAL = 30_000_000  # microseconds between two writes of changes that can wait
+RETRY_AFTER = 1_000_000  # microseconds until a failed write is repeated
 
 
 class SubscriptionsNotSavedError(CedarwickError):
@@ -35,7 +35,7 @@
 
 
 class Page(msgspec.Struct, array_like=True, frozen=True):
-    """What a member knew, or what was new to it. The later page is the newer; entries are joined."""
+    """The whole registry, or changes to it. Later pages are newer; entries are merged."""
 
     at: int  # microseconds of the wall clock
     epoch: int
@@ -47,16 +47,16 @@
 
 
 def packed(at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> bytes:
-    """Frames of pages with these entries, one page at least."""
+    """Encode entries as frames of pages, at least one page."""
     rows = list(entries)
     pages = [dict(rows[begin : begin + PAGE_ENTRIES]) for begin in range(0, max(1, len(rows)), PAGE_ENTRIES)]
     return b"".join(framed(_encode(Page(at, epoch, page))) for page in pages)
 
 
 def unpacked(data: bytes) -> Page | None:
-    """All pages of a file as one; None for an empty one. Raises ValueError where any is damaged.
+    """Decode and merge all pages of a file; None if it is empty. Raises ValueError if any is damaged.
 
-    A frame that the file breaks off in is left out: nobody has heard of it yet.
+    An incomplete last frame is ignored: nobody has been told of it yet.
     """
     at = epoch = 0
     entries: dict[str, Entry] = {}
@@ -65,7 +65,7 @@
         if isinstance(found, DamagedRange):
             if found.until == len(data) and may_go_on(data, found.at):
                 break
-            # Danger: a lost page may hold that a subscription has ended which another page holds alive.
+            # Refuse the whole file: the damaged page may hold the end of a subscription that another page has as live.
             raise ValueError(f"bytes {found.at} to {found.until} are damaged")
         page = _page.decode(found.payload)
         count += 1
@@ -78,26 +78,26 @@
 
 
 class SubscriptionStore:
-    """Writes a registry's changes to the folder, and reads them back at a start.
+    """Writes a registry's changes to the folder, and reads them at start-up.
 
-    It reads and writes only while the folder is this process's. Times are microseconds.
+    It must be used only while this process has the folder. Times are microseconds.
     """
 
     def __init__(self, state: str, registry: Registry, counters: Counters) -> None:
         self.path = os.path.join(state, FOLDER, NAME)
         self.registry = registry
         self.counters = counters
-        self.written: dict[str, Entry] = {}  # as the file has them
-        self.epoch = 0  # as the file has it; 0: nothing is written yet
-        self.living = 0  # how many were at the last look
-        self.size = 0  # of the file
-        self.room = 0  # bytes that it may have before it is replaced; 0: it is to be replaced
+        self.written: dict[str, Entry] = {}  # entries as in the file
+        self.epoch = 0  # epoch as in the file; 0: nothing is written yet
+        self.living = 0  # live subscriptions at the last `look`
+        self.size = 0  # bytes of the file
+        self.room = 0  # bytes up to which the file may grow; 0: replace it at the next write
         self.look_at = 0
         self.open = True
         self.writes = self.bytes = 0
 
     def load(self, now: int) -> None:
-        """At a start: the registry begins with what the file holds, or with nothing."""
+        """Restore the registry from the file; an unreadable file is logged and ignored."""
         try:
             with open(self.path, "rb") as file:
                 data = file.read(MAX_FILE_BYTES + 1)
@@ -116,7 +116,7 @@
         self._replace(now)
 
     def changed(self, now: int, names: Iterable[str]) -> None:
-        """Entries have changed: a new version is written before this returns, where that can be."""
+        """Write changed entries if any has a new version; a failed write is logged and repeated later."""
         entries, written = self.registry.entries, self.written
         if any(
             name in entries and (name not in written or written[name].version != entries[name].version)
@@ -125,13 +125,16 @@
             self._write(now, [name for name in names if name in entries and written.get(name) is not entries[name]])
 
     def look(self, now: int, steady: int) -> None:
-        """`steady` counts on while the machine sleeps. Writes what can wait."""
+        """Write the changes that could wait, if it is time.
+
+        `steady`: microseconds of a clock that also runs while the machine sleeps.
+        """
         if steady < self.look_at:
             return
         self.look_at = steady + LOOK_INTERVAL
         registry, living = self.registry, len(self.registry.living(now))
         names = [name for name, entry in registry.entries.items() if self.written.get(name) is not entry]
-        # One that has ended since, as nobody followed: what is read again must not take it for living.
+        # Also if a subscription has expired: a later restart must not restore it as live.
         if names or living < self.living or self.epoch and registry.epoch != self.epoch:
             self._write(now, names)
         self.living = living
@@ -139,7 +142,7 @@
             self.look_at = steady + RETRY_AFTER
 
     def close(self, now: int) -> None:
-        """The folder is another process's from now on."""
+        """Write what is left and write nothing more: another process may use the folder from now on."""
         self.look(now, self.look_at)
         self.open = False
 
@@ -163,7 +166,7 @@
             self.epoch = self.registry.epoch
 
     def _replace(self, now: int) -> None:
-        """The whole file anew, beside the old one first; none where there is nothing to keep."""
+        """Write the whole file anew under another name and rename it over the old one."""
         entries = dict(self.registry.entries)
         data = packed(now, self.registry.epoch, entries.items())
 
@@ -184,7 +187,7 @@
         try:
             write()
         except OSError as error:
-            # Danger: a page that is there in part would hide those behind it.
+            # Replace the file next: pages after a partly written one could not be read.
             self.room = 0
             self.look_at = 0
             self.counters.warning("the subscriptions are not kept", SubscriptionsNotSavedError(f"{self.path}: {error}"))
--- a/cedarwick/events/terms.py
+++ b/cedarwick/events/terms.py
@@ -1,4 +1,7 @@
-"""A filter as a tree, its canonical text, and what it may cost."""
+"""Filters as trees of terms: their canonical text, size and cost.
+
+Used by `language.py`, `normalization.py`, `compiled.py` and `index.py`.
+"""
 
 import json
 import re
@@ -13,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """A field beside a value."""
+    """A comparison of a field with a value."""
 
     field: str
     sign: str
@@ -22,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Among:
-    """A field equal to one of several values."""
+    """A field that equals one of several values."""
 
     field: str
     values: tuple[Value, ...]
@@ -30,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Range:
-    """A field from one value to another, both included."""
+    """A field between two values, both included."""
 
     field: str
     low: int | float
@@ -46,12 +49,12 @@
 
     @property
     def head(self) -> str:
-        """What the text begins with in any case."""
+        """The literal beginning of the pattern, before any wildcard."""
         return re.split(r"[*?]", self.pattern, maxsplit=1)[0]
 
     @property
     def prefix(self) -> str | None:
-        """What the text begins with, where the pattern says no more than that."""
+        """The prefix, if the pattern is only a prefix; else None."""
         return self.head if self.pattern == self.head + "*" else None
 
 
@@ -72,21 +75,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Not:
-    """The opposite; unknown stays unknown."""
+    """A negation; unknown stays unknown."""
 
     term: "Term"
 
 
 @dataclass(frozen=True, slots=True)
 class And:
-    """All of several."""
+    """A conjunction."""
 
     terms: tuple["Term", ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Or:
-    """Any of several."""
+    """A disjunction."""
 
     terms: tuple["Term", ...]
 
@@ -96,7 +99,7 @@
 
 
 def joined(kind: type[And] | type[Or], terms: tuple[Term, ...]) -> Term:
-    """Several terms as one; those of the same kind are not nested."""
+    """Combine terms by `And` or `Or`; nested terms of the same kind are flattened."""
     if len(terms) == 1:
         return terms[0]
     flat: list[Term] = []
@@ -106,35 +109,35 @@
 
 
 def below(term: Term) -> tuple[Term, ...]:
-    """The terms that a term is made of."""
+    """The direct subterms of a term."""
     if isinstance(term, And | Or):
         return term.terms
     return (term.term,) if isinstance(term, Not) else ()
 
 
 def walk(term: Term) -> Iterator[Term]:
-    """A term and all within it."""
+    """A term and all its subterms."""
     yield term
     for each in below(term):
         yield from walk(each)
 
 
 def depth(term: Term) -> int:
-    """How deep terms are nested; 1 for a single comparison."""
+    """The nesting depth of a term; 1 for a single comparison."""
     return 1 + max(map(depth, below(term)), default=0)
 
 
 def size(term: Term) -> int:
-    """Comparisons and listed values."""
+    """The number of comparisons and listed values in a term."""
     return sum(len(each.values) if isinstance(each, Among) else not below(each) for each in walk(term))
 
 
 def cost(term: Term) -> int:
-    """What testing one event may cost at the most; about 0.1 microseconds each."""
+    """The highest cost of testing one event, in units of about 0.1 microseconds."""
     total = 0
     for each in walk(term):
         if isinstance(each, Like):
-            total += 2 if each.prefix is not None else 64  # a look at each character of a text
+            total += 2 if each.prefix is not None else 64  # a glob examines each character
         else:
             total += 5 if isinstance(each, Sample) else 1
     return total
@@ -146,7 +149,7 @@
 
 
 def printed(term: Term) -> str:
-    """The canonical text of a filter; read again it gives an equal one."""
+    """The canonical text of a term; parsing it gives an equal one."""
     if isinstance(term, Compare):
         return f"{term.field} {term.sign} {written(term.field, term.value)}"
     if isinstance(term, Among):
@@ -167,15 +170,17 @@
 
 
 def enclosed(term: Term, loose: object) -> str:
+    """The text of a term, in parentheses if it is of the kind `loose`, which binds less tightly."""
     return f"({printed(term)})" if isinstance(term, loose) else printed(term)  # type: ignore[arg-type]
 
 
 def quoted(text: str) -> str:
+    """A text as a quoted literal of the filter language."""
     return json.dumps(text, ensure_ascii=False)
 
 
 def written(field: str, value: Value) -> str:
-    """A value of a field as filters write it."""
+    """A value of a field in the syntax of filters."""
     type_ = FIELDS[field]
     if type_ is Type.SPAN:
         return span(int(value))
@@ -185,7 +190,7 @@
 
 
 def span(microseconds: int) -> str:
-    """A span in the largest unit that holds it whole."""
+    """A span in microseconds, written in the largest unit that represents it exactly."""
     for unit in ("h", "m", "s", "ms"):
         if microseconds and microseconds % UNITS[unit] == 0:
             return f"{microseconds // UNITS[unit]}{unit}"
