--- a/cedarwick/errors.py
+++ b/cedarwick/errors.py
@@ -1,4 +1,4 @@
-"""The base of every error that an operator can meet; it stands below all other modules and imports none of them.
+"""The base of every error that an operator can meet; it imports no other module of the project.
 
 A new type is made in the module whose work it belongs to (not here), in four steps:
 
@@ -15,8 +15,8 @@
 4. A row in `docs/errors.md` (`cedarwick config reference --of errors` prints them all, in order);
    `tests/test_errors.py` fails while the row, the code or the remedy is missing.
 
-What no operator can meet (a signal between two functions that is always caught) is a plain Exception and stands in
-the second table of `docs/errors.md` with the reason.
+An exception that no operator can meet (a signal between two functions that is always caught) is a plain Exception,
+listed with the reason in the second table of `docs/errors.md`.
 """
 
 from typing import ClassVar, Self
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -92,7 +92,7 @@
 
 def wall() -> int:
     """The wall clock in microseconds."""
-    # Not the sender's own clock: it stops while the machine sleeps, and later entries would look older than they are.
+    # Not the sender's own clock, which stops while the machine sleeps: later entries would seem older than they are.
     return time.time_ns() // 1000
 
 
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -67,9 +67,7 @@
     ended: bool
     filter: str
     followed_at: int  # microseconds of the wall clock
-    lasts: int = (
-        DEFAULT_LIFETIME  # microseconds without a follower; by the word of the member where it was followed last
-    )
+    lasts: int = DEFAULT_LIFETIME  # microseconds without a follower; set by the member where it was last followed
 
     @property
     def version(self) -> tuple[int, str, bool, str, int]:
--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -3,7 +3,7 @@
 The file is a sequence of frames as in the message store (`store/records.py`), each a `Page` of entries. Pages are
 merged when read, so a change costs one appended page; once the appended bytes outweigh the live ones, the whole file is
 replaced. A file that lacks its end is the member's state at an earlier time, which the registry treats as a sleep. A
-new version of an entry is written before anybody is told that it is stored; when a subscription was last followed, and
+new version of an entry is written before it is acknowledged; when a subscription was last followed, and
 the epoch, are written at most twice a minute. Called by `exchange.py`.
 """
 
@@ -56,7 +56,7 @@
 def unpacked(data: bytes) -> Page | None:
     """Decode and merge all pages of a file; None if it is empty. Raises ValueError if any is damaged.
 
-    An incomplete last frame is ignored: nobody has been told of it yet.
+    An incomplete last frame is ignored: it has not been acknowledged to anybody.
     """
     at = epoch = 0
     entries: dict[str, Entry] = {}
--- a/cedarwick/ops/commands.py
+++ b/cedarwick/ops/commands.py
@@ -39,7 +39,7 @@
 
 
 class Call(NamedTuple):
-    """One call: its name in capitals and its arguments separated by one space, empty where it takes none."""
+    """One call: its name in capitals and its arguments separated by one space, empty if it takes none."""
 
     name: str
     argument: str
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -108,7 +108,7 @@
 def serve(assignment: Assignment, operator: "Operator | None", replaced: gevent.event.Event) -> int:
     """Run one sender until SIGTERM or SIGINT and return its exit status.
 
-    `replaced` is set by SIGHUP: the configuration is then read again. Raises a `CedarwickError` where the sender cannot
+    `replaced` is set by SIGHUP: the configuration is then read again. Raises a `CedarwickError` if the sender cannot
     start.
     """
     process = SenderProcess(assignment, operator, replaced)
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -36,7 +36,7 @@
 from cedarwick.store.segments import Segment, SegmentIndex
 
 BODIES = 1 << 26  # default limit of the bodies held in memory, in bytes
-FEW_MESSAGES_LEFT = 64  # with space for fewer messages, free space is computed anew at each question
+FEW_MESSAGES_LEFT = 64  # with space for fewer messages, free space is computed anew at each call of `room_for`
 
 
 class Store:
@@ -186,7 +186,7 @@
         )
 
     def has_room(self, stored: StoredMessage) -> bool:
-        """Whether a new message can be taken."""
+        """Whether a new message can be accepted."""
         return self.fits(stored)
 
     def fits(self, stored: StoredMessage) -> bool:
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -50,7 +50,7 @@
 class StoredMessage:
     """An unfinished message and what the folder records of its attempts; times in wall-clock microseconds."""
 
-    number: int  # 0 until it is taken
+    number: int  # 0 until it is accepted
     id: str
     key: str  # repeated requests carry the same key
     turn: int  # the ordering key; 0 for none
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -28,8 +28,8 @@
     segments: int
     records: int
     messages: int
-    notices: int  # of these: ended, the notice owed
-    doubtful: int  # of these: an attempt may have run that nobody knows of
+    notices: int  # of these: ended, with the notice still to send
+    doubtful: int  # of these: an attempt without a record may have run
     unknown: int  # records of kinds that this version does not know
     live_bytes: int
     used_bytes: int
