--- a/tests/build.py
+++ b/tests/build.py
@@ -5,6 +5,7 @@
 import json
 import os
 import queue
+import random
 import socket
 import subprocess
 import sys
@@ -119,9 +120,18 @@
     return made, store, dispatcher
 
 
+LISTEN_PORTS = 20_000, 32_000  # below the usual range of ephemeral ports, 32768 to 60999
+
+
 def free_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as probe:
-        return int(probe.getsockname()[1])
+    """A free port below the range from which the system gives ports to outgoing connections.
+
+    A port of that range could be given to a connection of another test before the program listens on it.
+    """
+    while True:
+        port = random.randrange(*LISTEN_PORTS)
+        with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
+            return port
 
 
 def until(true: Callable[[], Any], seconds: float = 8.0) -> Any:
@@ -289,7 +299,12 @@
 
     def start(self, fds: tuple[int, ...] = (), **variables: str) -> None:
         self.process = self.spawn(fds, **variables)
-        until(self._ready)
+        try:
+            until(self._ready)
+        except AssertionError as error:
+            if self.process.poll() is None:
+                raise AssertionError(f"{error}: the program runs and does not say +PONG") from None
+            raise AssertionError(f"{error}: the program ended: {self.process.communicate()[1]}") from None
 
     def spawn(self, fds: tuple[int, ...] = (), **variables: str) -> "subprocess.Popen[str]":
         """One more process of this sender, with these descriptors inherited."""
