--- a/tests/processes/test_order.py
+++ b/tests/processes/test_order.py
@@ -77,7 +77,7 @@
         # On a loaded machine the adoption may take longer than a key rests for others.
         self.assertGreater(begun, min(calls(fleet, first)[-1].ended, since + MOST if hands_on else invariants.FOREVER))
 
-    def test_a_sender_whose_copy_dies_keeps_the_order_around_a_attempt_that_is_out(self) -> None:
+    def test_a_sender_whose_copy_dies_keeps_the_order_around_an_attempt_that_is_out(self) -> None:
         self.play(hands_on=False)
 
     def test_a_client_of_a_dead_sender_that_goes_to_another_does_not_overtake_itself(self) -> None:
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -581,7 +581,7 @@
         holding.adoption.holder.name(monotonic_time(), ["b"])
         self.assertFalse(node._copied(monotonic_time(), holding))
 
-    def test_a_copy_becomes_an_successor_once_it_has_all_that_came_before_it_was_waited_for(self) -> None:
+    def test_a_copy_becomes_a_successor_once_it_has_all_that_came_before_it_was_waited_for(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.serving, node.store.current = True, holding
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -129,7 +129,7 @@
         self.dispatcher._adopt([1, 2, 3], quietly=True)
         self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[5]], [1, 2, 3])
 
-    def test_an_message_is_kept_before_its_attempt_starts(self) -> None:
+    def test_a_message_is_kept_before_its_attempt_starts(self) -> None:
         self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.KEPT, 0))
         self.assertEqual((list(self.store.messages), self.calls[0].message), ([1], self.store.messages[1]))
 
@@ -215,7 +215,7 @@
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
         self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.leaving), ({}, {}, set()))
 
-    def test_the_record_of_a_attempt_comes_before_its_first_byte(self) -> None:
+    def test_the_record_of_an_attempt_comes_before_its_first_byte(self) -> None:
         self.taken()
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._clear(self.calls[0], cleared)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -154,7 +154,7 @@
             take(made, message)
         self.assertEqual(len(made.decide(NOW).attempts), 4)
 
-    def test_an_message_joins_a_call_of_its_round_before_it_takes_a_slot(self) -> None:
+    def test_a_message_joins_a_call_of_its_round_before_it_takes_a_slot(self) -> None:
         made = sender(receivers=2, kind=1, family_info__max_calls="1")
         for message in (1, 2, 3):
             take(made, message)
@@ -578,7 +578,7 @@
         made.resume(NOW, [UnfinishedMessage(1, 7, priority_class, NOW + limit * MS, 0, key, attempts)])
         return made
 
-    def test_at_most_once_with_a_attempt_without_outcome_is_written_off(self) -> None:
+    def test_at_most_once_with_an_attempt_without_outcome_is_written_off(self) -> None:
         verdicts = self.resumed(ONCE, EarlierAttempt(NOW - 900 * MS, 0, None)).decide(NOW)
         self.assertEqual((verdicts.attempts, verdicts.abandoned), ([], [1]))
 
@@ -606,7 +606,7 @@
 
 
 class BeforeTheFirstByte(unittest.TestCase):
-    def test_a_attempt_may_start_unless_something_was_heard(self) -> None:
+    def test_an_attempt_may_start_unless_something_was_heard(self) -> None:
         self.assertTrue(out(sender(), 1).may_start(NOW, 1))
 
     def test_not_after_a_wait_was_told(self) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -81,7 +81,7 @@
 
 
 class Serving(Running):
-    def test_an_message_goes_out_as_it_came_in(self) -> None:
+    def test_a_message_goes_out_as_it_came_in(self) -> None:
         program = self.begin(reply(200))
         body = bytes(range(256)) * 256
         whole = words(b"SUBMIT", b"0" * 16, b"id-1", b"c=free,d=8000,k=abc,dest=0,again=1", body)
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -213,7 +213,7 @@
         self.assertGreaterEqual(self.counters.counts["clearances that grew old"], 1)
         self.kept_to_the_wait()
 
-    def test_a_attempt_whose_clearances_all_grow_old_is_decided_on_anew(self) -> None:
+    def test_an_attempt_whose_clearances_all_grow_old_is_decided_on_anew(self) -> None:
         self.start(lambda partner, sock, number: sock.sendall(reply(200)))
         clear = self.dispatcher.attempts.clear
         slow = iter([True] * attempts.MAX_CLEARANCE_REQUESTS)
