--- a/cedarwick/errors.py
+++ b/cedarwick/errors.py
@@ -1,4 +1,4 @@
-"""The base of every error that an operator can meet; it stands below all other modules and imports none of them.
+"""The base of every error that an operator can meet; it imports no other module of the project.
 
 A new type is made in the module whose work it belongs to (not here), in four steps:
 
@@ -15,29 +15,29 @@
 4. A row in `docs/errors.md` (`cedarwick config reference --of errors` prints them all, in order);
    `tests/test_errors.py` fails while the row, the code or the remedy is missing.
 
-What no operator can meet (a signal between two functions that is always caught) is a plain Exception and stands in
-the second table of `docs/errors.md` with the reason.
+An exception that no operator can meet (a signal between two functions that is always caught) is a plain Exception,
+listed with the reason in the second table of `docs/errors.md`.
 """
 
 from typing import ClassVar, Self
 
 
 class CedarwickError(Exception):
-    """What an operator can meet: a text that says what happened and where, a stable code, and what to do."""
+    """An error that an operator can meet: a text that says what happened and where, a stable code, and what to do."""
 
     code: ClassVar[str]
     remedy: ClassVar[str]
 
     @property
     def line(self) -> str:
-        """Text, code and remedy on one line."""
+        """Text, code and remedy on one line, for logs and answers."""
         return f"{' '.join(str(self).split())} [{self.code}: {self.remedy}]"
 
     def within(self, doing: str) -> Self:
-        """The same error with what was being done before its text."""
+        """A new error of the same type, with `doing` (what was being done) before its text."""
         return type(self)(f"{doing}: {self}")
 
 
 def describe(found: object) -> object:
-    """What a log line shows of something: the line of a `CedarwickError`, anything else as it is."""
+    """The value to put into a log line: the `line` of a `CedarwickError`, anything else unchanged."""
     return found.line if isinstance(found, CedarwickError) else found
