--- a/cedarwick/adapter/codec.py
+++ b/cedarwick/adapter/codec.py
@@ -71,7 +71,6 @@
 
 
 U8 = struct.Struct("<B")
-U16 = struct.Struct("<H")
 U32 = struct.Struct("<I")
 POWER_ON = struct.Struct("<IQI")
 REGISTER = struct.Struct("<II")
--- a/cedarwick/decisions/sender_state.py
+++ b/cedarwick/decisions/sender_state.py
@@ -19,7 +19,6 @@
     WakeSchedule,
 )
 
-# Times are microseconds, rates are calls a second.
 REFUSAL_WINDOW = 2 * SECOND  # the share of refusals is measured over this
 MANY = 16  # with more senders than this, each sees too few outcomes of a receiver to judge by shares
 COMPLETIONS_STALE_AFTER = 5 * SECOND  # completions older than this say little of a receiver's health
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -36,7 +36,6 @@
 from cedarwick.store.records import StoredMessage
 
 BLOCK = 1 << 16  # numbers that are reserved at once: so many are skipped at a restart
-PER_PARTITION = 1 << 32
 
 
 class NotReplicatedError(CedarwickError, OSError):
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -18,7 +18,6 @@
 from cedarwick.net.sockets import open_connection
 
 MS = 1000
-BACK_IN = 0.2  # seconds after readiness until the front uses a sender again
 LEAST_LEFT = 300 * MS  # with less time than this nothing is handed in again
 CONNECT = 0.4
 
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -17,7 +17,7 @@
 HANDOVER_IDLE_S = 0.2  # for requests already read to be answered and attempts in flight to end
 HANDOVER_ANSWERS_S = 0.05  # for answers being written; then the next process may take the folder
 HANDOVER_CLIENT_CLOSE_S = 1.1  # for clients with their last answer to close
-HANDOVER_POLL_INTERVAL_S = 0.01  # between two checks whether something is still in flight
+HANDOVER_POLL_INTERVAL_S = 0.01  # between two checks of the folder, or of what is still in flight or connected
 
 
 def leave_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -30,7 +30,14 @@
 from cedarwick.ops.handover import inherited_listener
 from cedarwick.ops.management import ManagementCommands
 from cedarwick.ops.management_server import ManagementServer
-from cedarwick.ops.process_handover import HANDOVER_CLIENT_CLOSE_S, hand_over, hold, leave_waits, take_waits
+from cedarwick.ops.process_handover import (
+    HANDOVER_CLIENT_CLOSE_S,
+    HANDOVER_POLL_INTERVAL_S,
+    hand_over,
+    hold,
+    leave_waits,
+    take_waits,
+)
 from cedarwick.store.journal import BODIES, Store
 
 if TYPE_CHECKING:
@@ -51,7 +58,6 @@
 # Seconds after that in which messages are stored and answered but not attempted, unless the list arrives; then they
 # are attempted without it.
 FIRST_ATTEMPT_S = 0.8
-POLL_INTERVAL_S = 0.01  # between two checks of a folder that another process holds, or of clients still connected
 
 
 class StartupError(CedarwickError):
@@ -229,7 +235,7 @@
         self.greenlets.append(gevent.spawn(self.endpoint_list.watch))
         with startup_errors():
             while not hold(self.store, replacing=True):
-                gevent.sleep(POLL_INTERVAL_S)
+                gevent.sleep(HANDOVER_POLL_INTERVAL_S)
         logger.info("{} holds the folder", self.assignment.name)
         self.staff.take_over()
         # A list call may have failed during the wait, and no round has run yet that would have repeated it.
@@ -349,7 +355,7 @@
         self.store.close()  # from here on the next process may take the folder
         with gevent.Timeout(HANDOVER_CLIENT_CLOSE_S, False):
             while self.client_listener.clients:
-                gevent.sleep(POLL_INTERVAL_S)
+                gevent.sleep(HANDOVER_POLL_INTERVAL_S)
         self.client_listener.end(LAST_ANSWERS_S)
 
     def _drain(self) -> None:
