--- a/cedarwick/lab/invariants.py
+++ b/cedarwick/lab/invariants.py
@@ -369,7 +369,7 @@
     take or call, besides: a fault anywhere from when the earlier one was taken on, since it held up that one's
     partition
     (a copy's fault holds up its holder, too). Then a key rests elsewhere by what members tell, as far as peer
-    messages come and for some seconds, which is no promise; `tests/test_fleet_order_key_hints.py`
+    messages come and for some seconds, which is no promise; `tests/fleet/test_order_key_hints.py`
     counts how often that does.
     """
     priority_classes, adopt = scenario.bands(), round(terms.adopt_ms * MS)
--- /dev/null
+++ b/tests/events/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `cedarwick.events`."""
--- a/tests/test_subscriptions_kept.py
+++ b/tests/events/test_subscription_store.py
@@ -31,7 +31,7 @@
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.net.counters import Counters
 from cedarwick.ops.commands import Call
-from tests.test_exchange import NAMES, Net, Subscriber
+from tests.events.test_exchange import NAMES, Net, Subscriber
 
 NOW = 500_000 * EPOCH_LENGTH
 MINUTE = 60 * SECOND
--- a/tests/test_fleet_explore.py
+++ b/tests/fleet/test_lease_histories.py
@@ -13,7 +13,7 @@
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
 from cedarwick.fleet.takeover import Takeover, TakeoverAction, TakeoverStage
-from tests.explore import PARTITION, RIGHT, Found, Model, explore, named
+from tests.fleet.explore import PARTITION, RIGHT, Found, Model, explore, named
 
 
 class Part(NamedTuple):
--- a/tests/test_fleet_replication.py
+++ b/tests/fleet/test_replication.py
@@ -26,7 +26,7 @@
     trimmed,
 )
 from cedarwick.store.records import FRAME, StoredMessage, framed
-from tests.test_store import Crash, Fake
+from tests.store.test_store import Crash, Fake
 
 PARTITION = 3
 NAMES = ["b", "c"]
--- a/tests/test_traffic.py
+++ b/tests/fleet/test_session_routing.py
@@ -38,8 +38,8 @@
 from cedarwick.ops.commands import Call
 from cedarwick.store.files import NoSpaceError
 from cedarwick.store.records import StoredMessage
-from tests import test_net
 from tests.build import free_port
+from tests.net import test_net
 
 NAMES = ("a", "b", "c")
 KEY = 0xA1
--- a/tests/broken.py
+++ b/tests/lab/broken.py
@@ -1,4 +1,4 @@
-"""`python -m tests.broken FAULT`: a sender that is broken on purpose, so that the audit can be seen to notice."""
+"""`python -m tests.lab.broken FAULT`: a sender that is broken on purpose, so that the audit can be seen to notice."""
 
 import sys
 from collections.abc import Callable, Sequence
--- a/tests/test_invariants.py
+++ b/tests/lab/test_invariants.py
@@ -6,7 +6,7 @@
 from cedarwick.lab.history import Gone, History, Life, Noticed
 from cedarwick.lab.invariants import Ended, Evaluates, Gap, Matched, Occurred, Terms, Watched, judge, majority_gone
 from cedarwick.lab.invariants import Span as Out
-from tests.test_audit import MS, SCENARIO, SECOND, called, handed, killed
+from tests.lab.test_audit import MS, SCENARIO, SECOND, called, handed, killed
 
 OWN, COPY = Terms(senders=3), Terms(senders=3, ack="copy")
 
--- a/tests/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -58,7 +58,7 @@
 
 
 def broken(fault: str, told: Scenario) -> Result:
-    return play(told, 1, command=(sys.executable, "-m", "tests.broken", fault))
+    return play(told, 1, command=(sys.executable, "-m", "tests.lab.broken", fault))
 
 
 def both(fault: str, told: Scenario) -> list[Result]:
--- a/tests/test_crossings_watch.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -19,7 +19,7 @@
 from cedarwick.decisions.state import SECOND
 from cedarwick.net import endpoint_list as module
 from tests.build import NESTED, NOW, SETTINGS, Program, Receiver, free_port, line_of, reply, submit, until
-from tests.test_endpoint_list import HEAD, Watched, chunk
+from tests.net.test_endpoint_list import HEAD, Watched, chunk
 
 
 class Fleet:
--- a/tests/test_store_tools.py
+++ b/tests/store/test_store_tools.py
@@ -18,7 +18,7 @@
 from cedarwick.store.files import Folder
 from cedarwick.store.journal import Store
 from tests.build import Program, Receiver, reply, submit, until
-from tests.test_store import History, store
+from tests.store.test_store import History, store
 
 
 class Tools(unittest.TestCase):
@@ -75,7 +75,7 @@
 
     def test_a_backup_beside_a_writing_process(self) -> None:
         code = (
-            "import sys, random; from tests.test_store import *\n"
+            "import sys, random; from tests.store.test_store import *\n"
             "made = store(Folder(sys.argv[1]), limit=60_000, segment=2000); print('ready', flush=True)\n"
             "history = History(made, random.Random(9))\n"
             "while True: history.step()"
--- a/tests/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -48,7 +48,7 @@
 from cedarwick.store.journal import Store
 from cedarwick.store.records import NOWHERE, StoredMessage
 
-FIXTURE = os.path.join(os.path.dirname(__file__), "fixtures", "stored_by_b65497f")
+FIXTURE = os.path.join(os.path.dirname(__file__), "..", "fixtures", "stored_by_b65497f")
 NOW = 1_900_000_000_000_000  # microseconds: when it was written
 SENT = NOW + 5_000  # attempts were sent so many microseconds later, and a few more
 MOVE, OTHER_MOVE = "10/member-a/member-b", "11/member-b/member-c"
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -14,7 +14,7 @@
 from cedarwick.ops.commands import InvalidCallError, parse
 from cedarwick.ops.management_server import refusal
 from tests.build import Program, Receiver, free_port, reply
-from tests.test_ops import call
+from tests.ops.test_ops import call
 
 ROW = re.compile(r"\| CW\d{3} \|.*\|")
 OUTSIDE = re.compile(r"\| `([\w.]+)` \|")
--- a/tests/test_crossings_restarts.py
+++ b/tests/test_restart_races.py
@@ -34,9 +34,9 @@
 from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests import test_waits
 from tests.build import MS, NESTED, NOW, NUMBERED, reply, sender, take, until
-from tests.test_waits import Partner, Play
+from tests.net import test_retry_after
+from tests.net.test_retry_after import Partner, Play
 
 ZONAL = {
     "name": "zonal",
@@ -402,10 +402,10 @@
 
     def start(self, buffers: int = 0) -> None:
         """The dispatcher, its attempts and its links, against a partner that completes all calls."""
-        self.made = test_waits.AgainstAPartner("kept_to_the_wait")
+        self.made = test_retry_after.AgainstAPartner("kept_to_the_wait")
         self.addCleanup(self.made.doCleanups)
         play = lambda partner, sock, number: sock.sendall(reply(200))  # noqa: E731
-        with mock.patch("tests.test_waits.Partner", lambda _: Accepting(play, buffers)):
+        with mock.patch("tests.net.test_retry_after.Partner", lambda _: Accepting(play, buffers)):
             self.made.start(play)
         self.partner = cast(Accepting, self.made.partner)
         self.dispatcher, self.links, self.counts = self.made.dispatcher, self.made.links, self.made.counters.counts
--- a/tests/test_source_layout.py
+++ b/tests/test_source_layout.py
@@ -6,6 +6,9 @@
 import unittest
 
 ROOT = pathlib.Path("cedarwick")
+TESTS = pathlib.Path("tests")
+# What tests the program as one, the tree itself, or serves all tests; the rest lies in the folder of its package.
+AT_THE_TOP = {"__init__", "build", "test_errors", "test_program", "test_restart_races", "test_source_layout"}
 LONGEST_FILE = 500  # lines
 WITHDRAWN = {
     "envelope",
@@ -105,6 +108,12 @@
         silent = [str(path) for path in modules().values() if not ast.get_docstring(ast.parse(path.read_text()))]
         self.assertEqual(silent, [])
 
+    def test_the_folders_of_the_tests_are_those_of_the_package(self) -> None:
+        folders = {path.parent.name for path in TESTS.glob("*/__init__.py")}
+        packages = {path.parent.name for path in ROOT.glob("*/__init__.py")}
+        self.assertEqual(folders - packages, {"processes"})  # days of several real processes, of all packages
+        self.assertEqual({path.stem for path in TESTS.glob("*.py")}, AT_THE_TOP)
+
     def test_no_file_has_more_than_500_lines(self) -> None:
         long = {str(path): len(path.read_text().splitlines()) for path in modules().values()}
         over = {path: lines for path, lines in long.items() if lines > LONGEST_FILE}
