--- a/tests/store/test_store_tools.py
+++ b/tests/store/test_store_tools.py
@@ -17,7 +17,7 @@
 from cedarwick.store import tools
 from cedarwick.store.files import Folder
 from cedarwick.store.journal import Store
-from tests.build import Program, Receiver, reply, submit, until
+from tests.build import Program, Receiver, free_port, reply, submit, until
 from tests.store.test_store import History, store
 
 
@@ -128,7 +128,7 @@
         told = {
             "RELAY_CONFIG": program.path("config.json"),
             "RELAY_STATE": program.path("state"),
-            "RELAY_LISTEN": "127.0.0.77:6399",
+            "RELAY_LISTEN": f"127.0.0.1:{free_port()}",
         }
         ended = subprocess.run(
             [sys.executable, "-m", "cedarwick"], env={**os.environ, **told}, capture_output=True, text=True
