--- a/cedarwick/lab/audit_cases.py
+++ b/cedarwick/lab/audit_cases.py
@@ -11,6 +11,7 @@
 
 SECOND = 1_000_000
 MS = 1000
+FOREVER = 1 << 62  # a time after all others
 AT_ONCE = 20 * MS  # what one loop reads so close together has no order beyond doubt
 WHOLE = ("", "pieces", "last")  # refusals that came whole, if late
 NOT_RUN = (429, 503, 504, 410)
@@ -110,7 +111,7 @@
             if each.event in ("ready", "continued") and each.sender in open_since:
                 self.unfit[each.sender].append((open_since.pop(each.sender), each.at))
         for sender, since in open_since.items():
-            self.unfit[sender].append((since, 1 << 62))
+            self.unfit[sender].append((since, FOREVER))
 
     def ended_between(self, sender: int, begin: int, end: int) -> bool:
         """Whether the sender's process ended in a span."""
--- a/cedarwick/lab/audit_rules.py
+++ b/cedarwick/lab/audit_rules.py
@@ -9,8 +9,20 @@
 
 import msgspec
 
-from cedarwick.lab.audit_cases import AT_ONCE, MS, SECOND, WHOLE, Case, Finding, Lives, finding, may_have_run, seconds
-from cedarwick.lab.history import NEVER, Away, Called, Heard, History
+from cedarwick.lab.audit_cases import (
+    AT_ONCE,
+    FOREVER,
+    MS,
+    SECOND,
+    WHOLE,
+    Case,
+    Finding,
+    Lives,
+    finding,
+    may_have_run,
+    seconds,
+)
+from cedarwick.lab.history import NEVER, Away, Called, Handed, Heard, History
 from cedarwick.lab.partner import budget
 from cedarwick.lab.scenario import Scenario
 
@@ -71,14 +83,19 @@
         if handed is None or handed.answer != "ok":
             continue
         due = lives.excused_until(handed.sender, handed.outer + grace, restart)
-        ends = [notice.at for notice in case.notices]
-        delivered = case.delivered()
-        if delivered != NEVER:
-            ends.append(delivered)
-        if not ends and due < ended:
-            yield finding(1, f"taken on, neither delivered nor ended by a notice by {seconds(due)}", case)
-        elif ends and min(ends) > due:
-            yield finding(1, f"ended at {seconds(min(ends))}, was due by {seconds(due)}", case)
+        yield from overdue_end(1, case, due, ended)
+
+
+def overdue_end(rule: int, case: Case, due: int, ended: int) -> Iterator[Finding]:
+    """What was taken on has neither a delivery nor a notice by when it was due, or was seen to the end of the day."""
+    ends = [notice.at for notice in case.notices]
+    delivered = case.delivered()
+    if delivered != NEVER:
+        ends.append(delivered)
+    if not ends and due < ended:
+        yield finding(rule, f"taken on, neither delivered nor ended by a notice by {seconds(due)}", case)
+    elif ends and min(ends) > due:
+        yield finding(rule, f"ended at {seconds(min(ends))}, was due by {seconds(due)}", case)
 
 
 def sent_after_end(scenario: Scenario, cases: dict[str, Case], lives: Lives) -> Iterator[Finding]:
@@ -163,7 +180,7 @@
                     case,
                 )
                 break
-            end = call.ended if call.ended != NEVER else 1 << 62
+            end = call.ended if call.ended != NEVER else FOREVER
             deaths = [at for at in lives.ends[call.sender] if at >= call.first]
             until = max(until, min([end, *deaths]))
 
@@ -265,6 +282,20 @@
 # ---- rule 5: order ----
 
 
+def taken_in_turn(scenario: Scenario, cases: dict[str, Case]) -> Iterator[tuple[Handed, Case]]:
+    """Each message with an order key that was taken on, of a priority class whose messages go one after another."""
+    priority_classes = scenario.classes_by_name()
+    for case in cases.values():
+        handed = case.handed
+        if (
+            handed is not None
+            and handed.answer == "ok"
+            and priority_classes[handed.priority_class].in_turn
+            and handed.turn.strip("0")
+        ):
+            yield handed, case
+
+
 def in_doubtless_order(line: list[Case]) -> Iterator[tuple[Case, list[Case]]]:
     """Of one key's messages each that was called, with those called ones of the eight before it that were answered
     before it was sent: between these the order in which they were taken is beyond doubt."""
@@ -287,24 +318,16 @@
     Judged where the order is beyond doubt: the earlier one was answered before the later one was sent, by the
     same process. Broken where a call of the earlier one comes after, or is still out at, a call of the later one.
     """
-    priority_classes = scenario.classes_by_name()
     lines: defaultdict[tuple[int, int, str], list[Case]] = defaultdict(list)
-    for case in cases.values():
-        handed = case.handed
-        if (
-            handed is not None
-            and handed.answer == "ok"
-            and priority_classes[handed.priority_class].in_turn
-            and handed.turn.strip("0")
-        ):
-            life = lives.life_of(handed.sender, handed.sent)
-            lines[handed.sender, life, handed.turn].append(case)
+    for handed, case in taken_in_turn(scenario, cases):
+        life = lives.life_of(handed.sender, handed.sent)
+        lines[handed.sender, life, handed.turn].append(case)
     for line in lines.values():
         for later, before in in_doubtless_order(line):
             for earlier in before:
                 assert earlier.handed is not None and later.handed is not None
                 begun = later.calls[0].first
-                ends = [call.ended if call.ended != NEVER else 1 << 62 for call in earlier.calls]
+                ends = [call.ended if call.ended != NEVER else FOREVER for call in earlier.calls]
                 deaths = [at for at in lives.ends[earlier.handed.sender] if at >= earlier.calls[0].first]
                 if min([max(ends), *deaths]) > begun + AT_ONCE:
                     yield finding(5, f"overtaken: the later one was called at {seconds(begun)}", earlier, later)
--- a/cedarwick/lab/endpoint_server.py
+++ b/cedarwick/lab/endpoint_server.py
@@ -13,7 +13,7 @@
 
 from cedarwick.lab.day import Day, body_of
 from cedarwick.lab.history import Away, Called
-from cedarwick.lab.listeners import BACKLOG, listen_at_all, reset
+from cedarwick.lab.listeners import BACKLOG, accepted, listen_at_all, reset
 from cedarwick.lab.partner import Effect, Endpoint, Reply, Work
 
 AT_ONCE = 300  # microseconds: what ends sooner needs no timer
@@ -166,11 +166,7 @@
         self.accepting = [gevent.spawn(self._accept_at, sock, sender) for sender, sock in enumerate(self.listeners)]
 
     def _accept_at(self, listener: gevent.socket.socket, sender: int) -> None:
-        while True:
-            try:
-                sock, _ = listener.accept()
-            except OSError:
-                return
+        for sock in accepted(listener):
             self.conns.add(sock)
             self.endpoint.connections += 1
             gevent.spawn(self._serve, sock, sender)
--- a/cedarwick/lab/fleet.py
+++ b/cedarwick/lab/fleet.py
@@ -21,6 +21,7 @@
 
 from cedarwick.lab import audit, invariants
 from cedarwick.lab.audit_cases import Verdict
+from cedarwick.lab.audit_subscribers import Watched
 from cedarwick.lab.clients import Clients, Front
 from cedarwick.lab.fleet_processes import LOOK, Broken, FleetProcesses, Pair
 from cedarwick.lab.history import NEVER, Gone, Handed
@@ -235,7 +236,7 @@
         self.ended = self.day.now()
         gevent.joinall([gevent.spawn(member.terminate) for member in self.members if member.running()], timeout=5.0)
 
-    def judge(self, terms: invariants.Terms | None = None, watched: invariants.Watched | None = None) -> Verdict:
+    def judge(self, terms: invariants.Terms | None = None, watched: Watched | None = None) -> Verdict:
         """The audit of all that was seen; without a group, that of senders on their own."""
         for server in self.environment.servers:
             for away in server.aways():
--- a/cedarwick/lab/invariants.py
+++ b/cedarwick/lab/invariants.py
@@ -21,10 +21,11 @@
 
 import msgspec
 
-from cedarwick.lab import audit_rules
+from cedarwick.lab import audit_rules, audit_subscribers
 from cedarwick.lab.audit_account import account
 from cedarwick.lab.audit_cases import (
     AT_ONCE,
+    FOREVER,
     MS,
     Case,
     Finding,
@@ -35,11 +36,11 @@
     may_have_run,
     seconds,
 )
+from cedarwick.lab.audit_subscribers import Watched
 from cedarwick.lab.history import NEVER, Called, History, Noticed
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.schedule import DOWN, LINKS, LOSING, SPLITS
 
-FOREVER = 1 << 62
 CUT_OFF = 500 * MS  # so near to its deadline a holder that is cut off answers by itself
 
 
@@ -54,64 +55,6 @@
     across: bool = True  # whether order is judged between senders, too
 
 
-# ---- what subscribers saw ----
-
-
-class Occurred(msgspec.Struct, frozen=True):
-    """An event at its source, and the subscriptions whose filters it meets, by a reference of the laboratory's."""
-
-    source: str  # a sender and its incarnation: numbers begin anew with each
-    number: int
-    at: int
-    matches: tuple[str, ...]
-
-
-class Matched(msgspec.Struct, frozen=True):
-    """A subscriber got an event."""
-
-    subscription: str
-    source: str
-    number: int
-    at: int
-
-
-class Gap(msgspec.Struct, frozen=True):
-    """A subscriber was told that a span of a source's events is missing, both ends included."""
-
-    subscription: str
-    source: str
-    first: int
-    last: int
-    at: int
-
-
-class Evaluates(msgspec.Struct, frozen=True):
-    """A source said from which number on it evaluates a subscription."""
-
-    subscription: str
-    source: str
-    since: int
-    at: int
-
-
-class Ended(msgspec.Struct, frozen=True):
-    """A subscription was ended, and the one who ended it was told so."""
-
-    subscription: str
-    at: int
-
-
-class Watched(msgspec.Struct):
-    """All that is known of subscriptions; `settled` is when the last event was owed to everyone."""
-
-    occurred: list[Occurred] = msgspec.field(default_factory=list)
-    matched: list[Matched] = msgspec.field(default_factory=list)
-    gaps: list[Gap] = msgspec.field(default_factory=list)
-    evaluates: list[Evaluates] = msgspec.field(default_factory=list)
-    ended: list[Ended] = msgspec.field(default_factory=list)
-    settled: int = FOREVER
-
-
 # ---- what was done to them ----
 
 
@@ -169,7 +112,7 @@
         *one_fires(scenario, cases, lives, spans, terms),
         *never_ran(cases),
         *order(scenario, cases, lives, spans, terms),
-        *(subscribed(watched) if watched is not None else ()),
+        *(audit_subscribers.subscribed(watched) if watched is not None else ()),
     ]
     return Verdict(account(scenario, cases, findings), findings)
 
@@ -214,11 +157,7 @@
             if lost_folder(case, spans, terms):
                 continue
             due = max(due, lives.excused_until(taker_of(case), due, max(adopt, restart)))
-        ends = [notice.at for notice in case.notices] + ([delivered] if delivered != NEVER else [])
-        if not ends and due < ended:
-            yield finding(11, f"taken on, neither delivered nor ended by a notice by {seconds(due)}", case)
-        elif ends and min(ends) > due:
-            yield finding(11, f"ended at {seconds(min(ends))}, was due by {seconds(due)}", case)
+        yield from audit_rules.overdue_end(11, case, due, ended)
 
 
 def cut_off_answer(case: Case, notice: Noticed, spans: list[Span]) -> bool:
@@ -372,17 +311,10 @@
     messages come and for some seconds, which is no promise; `tests/test_fleet_order_key_hints.py`
     counts how often that does.
     """
-    priority_classes, adopt = scenario.classes_by_name(), round(terms.adopt_ms * MS)
+    adopt = round(terms.adopt_ms * MS)
     lines: defaultdict[tuple[str, int], list[Case]] = defaultdict(list)
-    for case in cases.values():
-        handed = case.handed
-        if (
-            handed is not None
-            and handed.answer == "ok"
-            and priority_classes[handed.priority_class].in_turn
-            and handed.turn.strip("0")
-        ):
-            lines[handed.turn, -1 if terms.across else handed.sender].append(case)
+    for handed, case in audit_rules.taken_in_turn(scenario, cases):
+        lines[handed.turn, -1 if terms.across else handed.sender].append(case)
     for line in lines.values():
         for later, before in audit_rules.in_doubtless_order(line):
             for earlier in before:
@@ -397,56 +329,3 @@
                 if not apart and not no_copy_yet(earlier, spans, terms):
                     yield finding(14, f"overtaken: the later one was called at {seconds(begun)}", earlier, later)
                     break
-
-
-# ---- 15 and 16: subscribers ----
-
-
-def subscribed(watched: Watched) -> Iterator[Finding]:
-    """What each subscriber got of each source."""
-    got: defaultdict[tuple[str, str], list[Matched]] = defaultdict(list)
-    for match in watched.matched:
-        got[match.subscription, match.source].append(match)
-    over = {end.subscription: end.at for end in watched.ended}
-    meant = {(name, event.source, event.number) for event in watched.occurred for name in event.matches}
-    sources = {event.source for event in watched.occurred}
-    for (name, source), matches in got.items():
-        last = -1
-        for match in sorted(matches, key=lambda match: match.at):  # stable: what came at once stays as it came
-            if match.number <= last:
-                how = "twice" if match.number in [each.number for each in matches if each is not match] else "late"
-                yield finding_of(15, f"{name} got number {match.number} of {source} {how}, after number {last}", match)
-            last = max(last, match.number)
-            if source in sources and (name, source, match.number) not in meant:
-                yield finding_of(
-                    15, f"{name} got number {match.number} of {source}, which its filter does not meet", match
-                )
-            if name in over and match.at > over[name] + AT_ONCE:
-                yield finding_of(16, f"{name} ended at {seconds(over[name])} and got an event afterwards", match)
-    yield from missing(watched, got, over)
-
-
-def missing(watched: Watched, got: dict[tuple[str, str], list[Matched]], over: dict[str, int]) -> Iterator[Finding]:
-    """A match that a source evaluated, that nobody got and no gap tells of; not what came after the end, or late."""
-    since: dict[tuple[str, str], int] = {}
-    for each in watched.evaluates:
-        since[each.subscription, each.source] = min(each.since, since.get((each.subscription, each.source), each.since))
-    have = {pair: {match.number for match in matches} for pair, matches in got.items()}
-    for event in watched.occurred:
-        for name in event.matches:
-            pair = name, event.source
-            if pair not in since or event.number < since[pair] or event.number in have.get(pair, ()):
-                continue
-            if event.at > min(watched.settled, over.get(name, FOREVER)):
-                continue
-            if not any(
-                gap.subscription == name and gap.source == event.source and gap.first <= event.number <= gap.last
-                for gap in watched.gaps
-            ):
-                yield finding_of(
-                    15, f"{name} never got number {event.number} of {event.source}, and no gap tells of it", event
-                )
-
-
-def finding_of(rule: int, text: str, record: msgspec.Struct) -> Finding:
-    return Finding(rule, (), text, (msgspec.to_builtins(record),))
--- a/cedarwick/lab/listeners.py
+++ b/cedarwick/lab/listeners.py
@@ -2,6 +2,7 @@
 
 import contextlib
 import struct
+from collections.abc import Iterator
 from typing import Self
 
 import gevent
@@ -33,6 +34,16 @@
     return sock
 
 
+def accepted(listener: gevent.socket.socket) -> Iterator[gevent.socket.socket]:
+    """Each connection as it comes up, until the listener is closed."""
+    while True:
+        try:
+            sock, _ = listener.accept()
+        except OSError:
+            return
+        yield sock
+
+
 class ReservedPort:
     """A free port of a loopback host, kept for one listener until `release`.
 
--- a/cedarwick/lab/register.py
+++ b/cedarwick/lab/register.py
@@ -17,7 +17,7 @@
 
 from cedarwick.lab.day import Day
 from cedarwick.lab.history import Heard, Noticed
-from cedarwick.lab.listeners import host_of, listen
+from cedarwick.lab.listeners import accepted, host_of, listen
 
 BEAT = 2.0  # seconds between empty lines of a watch
 OLD_STAYS = 1.5  # seconds in which connections to an address that was left stay open
@@ -130,11 +130,7 @@
     # ---- connections ----
 
     def _accept(self, listener: gevent.socket.socket) -> None:
-        while True:
-            try:
-                sock, _ = listener.accept()
-            except OSError:
-                return
+        for sock in accepted(listener):
             self.conns.add(sock)
             gevent.spawn(self._serve, sock)
 
--- a/cedarwick/lab/relay.py
+++ b/cedarwick/lab/relay.py
@@ -35,7 +35,7 @@
 import httptools
 import msgspec
 
-from cedarwick.lab.listeners import listen, reset
+from cedarwick.lab.listeners import accepted, listen, reset
 
 Kind = Literal["cut", "silent", "delay", "trickle", "reset", "ask-lost", "answer-lost", "twice"]
 Way = Literal["asks", "answers"]
@@ -198,11 +198,7 @@
     # ---- connections ----
 
     def _accept(self) -> None:
-        while True:
-            try:
-                sock, _ = self.listener.accept()
-            except OSError:
-                return
+        for sock in accepted(self.listener):
             if self.severed():
                 self.did["connections refused"] += 1
                 reset(sock)
--- a/cedarwick/lab/scenario.py
+++ b/cedarwick/lab/scenario.py
@@ -5,7 +5,7 @@
 """
 
 import os
-from typing import Annotated, Any, Literal
+from typing import Annotated, Any, Literal, get_args
 
 import msgspec
 from msgspec import Meta
@@ -22,7 +22,7 @@
 
 REPEATS = {"reissuable": "free", "numbered": "guarded", "at-most-once": "single_shot"}  # as a sender is told
 
-PARTNER_FAULTS = (
+PartnerFault = Literal[
     "crash",
     "hang",
     "slow",
@@ -35,32 +35,13 @@
     "spoilt",
     "torn",
     "setup",
-)
-SENDER_FAULTS = ("kill", "term", "stop", "full-folder", "reload")
-OTHER_FAULTS = ("bad-clients", "platform-silent", "platform-move", "burst")
-Kind = Literal[
-    "crash",
-    "hang",
-    "slow",
-    "errors",
-    "shut",
-    "limit-cut",
-    "replace",
-    "cut",
-    "idle-drop",
-    "spoilt",
-    "torn",
-    "setup",
-    "kill",
-    "term",
-    "stop",
-    "full-folder",
-    "reload",
-    "bad-clients",
-    "platform-silent",
-    "platform-move",
-    "burst",
 ]
+SenderFault = Literal["kill", "term", "stop", "full-folder", "reload"]
+OtherFault = Literal["bad-clients", "platform-silent", "platform-move", "burst"]
+Kind = Literal[PartnerFault, SenderFault, OtherFault]
+PARTNER_FAULTS: tuple[str, ...] = get_args(PartnerFault)
+SENDER_FAULTS: tuple[str, ...] = get_args(SenderFault)
+OTHER_FAULTS: tuple[str, ...] = get_args(OtherFault)
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
--- a/cedarwick/lab/virtual_state.py
+++ b/cedarwick/lab/virtual_state.py
@@ -4,8 +4,8 @@
 from typing import Literal
 
 from cedarwick.config.operator import Fleet
+from cedarwick.lab.audit_subscribers import Watched
 from cedarwick.lab.history import History
-from cedarwick.lab.invariants import Watched
 from cedarwick.lab.scenario import Limits, Load, Partner, PriorityClass, Scenario, Service
 from cedarwick.lab.virtual import SECOND, Kernel
 
--- a/cedarwick/lab/virtual_subscribers.py
+++ b/cedarwick/lab/virtual_subscribers.py
@@ -12,7 +12,7 @@
 from cedarwick.events.exchange import Exchange
 from cedarwick.events.kinds import Event, Value
 from cedarwick.events.language import read
-from cedarwick.lab import invariants
+from cedarwick.lab.audit_subscribers import Ended, Evaluates, Gap, Matched, Occurred
 from cedarwick.lab.virtual_senders import Sender
 from cedarwick.lab.virtual_state import LOOK, DayState
 from cedarwick.ops.commands import Call
@@ -34,7 +34,7 @@
 AGAIN = 0.1  # seconds until a connection that ended is followed by another
 SETTLED = 8_000_000  # microseconds in which everybody is sent all: places, then what waited, then tries again
 PROBED = 1.0  # seconds in which what rises again would have an event
-FOREVER = (1 << 62) - 1
+LAST_NUMBER = (1 << 62) - 1  # an event number after all others
 
 
 class Cable:
@@ -112,9 +112,9 @@
             return False
         self.subscribers.ended[self.name] = self
         if "not yet told" not in answer:
-            self.watched.ended.append(invariants.Ended(self.name, self.day.now()))
+            self.watched.ended.append(Ended(self.name, self.day.now()))
         for source, at in self.cursors.items():  # it has gone, and is owed nothing more
-            self.watched.gaps.append(invariants.Gap(self.name, source, at + 1, FOREVER, self.day.now()))
+            self.watched.gaps.append(Gap(self.name, source, at + 1, LAST_NUMBER, self.day.now()))
         return True
 
     def received(self, cable: Cable, line: str) -> None:
@@ -125,19 +125,19 @@
         record, at, watched = json.loads(line), self.day.now(), self.watched
         if record["type"] == "match":
             event = record["event"]
-            watched.matched.append(invariants.Matched(self.name, event["source"], event["number"], at))
+            watched.matched.append(Matched(self.name, event["source"], event["number"], at))
             self.cursors[event["source"]] = event["number"]
         elif record["type"] == "gap":
-            watched.gaps.append(invariants.Gap(self.name, record["source"], record["first"], record["last"], at))
+            watched.gaps.append(Gap(self.name, record["source"], record["first"], record["last"], at))
             self.cursors[record["source"]] = record["last"]
         elif record["type"] == "from":
             source, number = record["source"], record["number"]
             if source in self.cursors:  # what lies between is kept no more
-                watched.gaps.append(invariants.Gap(self.name, source, self.cursors[source] + 1, number - 1, at))
-            watched.evaluates.append(invariants.Evaluates(self.name, source, number, at))
+                watched.gaps.append(Gap(self.name, source, self.cursors[source] + 1, number - 1, at))
+            watched.evaluates.append(Evaluates(self.name, source, number, at))
             self.cursors[source] = number - 1
         else:  # the source has ended, and what it had not handed over is lost
-            watched.gaps.append(invariants.Gap(self.name, record["source"], record["after"] + 1, FOREVER, at))
+            watched.gaps.append(Gap(self.name, record["source"], record["after"] + 1, LAST_NUMBER, at))
             self.cursors.pop(record["source"], None)
 
 
@@ -185,7 +185,7 @@
         known = {each.subscription for each in watched.ended}
         for name, follower in self.ended.items():
             if name not in known:
-                watched.ended.append(invariants.Ended(name, day.now()))
+                watched.ended.append(Ended(name, day.now()))
             for sender in self.senders:
                 if sender.node is not None:
                     cable = Cable(follower)
@@ -212,5 +212,5 @@
             each.name for each in (*self.subscribers.followers, *self.subscribers.ended.values()) if each.meets(event)
         )
         day = self.subscribers.day
-        day.watched.occurred.append(invariants.Occurred(source, number, day.now(), meets))
+        day.watched.occurred.append(Occurred(source, number, day.now(), meets))
         super()._happened(kind, fields)
--- a/tests/processes/test_events.py
+++ b/tests/processes/test_events.py
@@ -10,9 +10,8 @@
 import gevent
 import gevent.socket
 
-from cedarwick.lab import invariants
+from cedarwick.lab.audit_subscribers import Ended, Evaluates, Gap, Matched, Occurred, Watched
 from cedarwick.lab.fleet import Fleet
-from cedarwick.lab.invariants import Watched
 from cedarwick.lab.senders import COMMAND, SenderNotReadyError
 from tests.processes import rig
 
@@ -77,13 +76,13 @@
         if told["type"] == "match":
             event = told["event"]
             self.events.append(event)
-            watched.matched.append(invariants.Matched(self.name, event["source"], event["number"], at))
+            watched.matched.append(Matched(self.name, event["source"], event["number"], at))
             self.cursors[event["source"]] = event["number"]
         elif told["type"] == "gap":
-            watched.gaps.append(invariants.Gap(self.name, told["source"], told["first"], told["last"], at))
+            watched.gaps.append(Gap(self.name, told["source"], told["first"], told["last"], at))
             self.cursors[told["source"]] = told["last"]
         elif told["type"] == "from":
-            watched.evaluates.append(invariants.Evaluates(self.name, told["source"], told["number"], at))
+            watched.evaluates.append(Evaluates(self.name, told["source"], told["number"], at))
             self.cursors[told["source"]] = told["number"] - 1
         else:
             self.ended.append(told["source"])
@@ -155,7 +154,7 @@
         true = set().union(*(completed(fleet, number) for number in range(3)))
         watched = subscriber.watched
         watched.occurred = [
-            invariants.Occurred(
+            Occurred(
                 event["source"],
                 event["number"],
                 0,
@@ -210,7 +209,7 @@
             answer = fleet.call(0, f"UNFOLLOW {subscriber.name}")
             self.assertRegex(answer, "^YES desk ended, not yet told: n1")
             fleet.until(lambda: "CW834" in subscriber.last, 1.0, "the end")
-            subscriber.watched.ended.append(invariants.Ended(subscriber.name, fleet.day.now()))
+            subscriber.watched.ended.append(Ended(subscriber.name, fleet.day.now()))
             fleet.cont(1)
             gevent.sleep(2)
             for number in range(3):
--- a/tests/processes/test_order.py
+++ b/tests/processes/test_order.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from cedarwick.fleet.order_key_hints import MOST
-from cedarwick.lab import invariants
+from cedarwick.lab.audit_cases import FOREVER
 from cedarwick.lab.fleet import Fleet
 from cedarwick.lab.history import Called, Handed
 from cedarwick.lab.partner import Effect
@@ -75,7 +75,7 @@
         self.assertEqual([calls(fleet, each)[-1].status for each in (first, *later)], [200, 200, 200])
         begun = min(calls(fleet, each)[0].first for each in later)
         # On a loaded machine the adoption may take longer than a key rests for others.
-        self.assertGreater(begun, min(calls(fleet, first)[-1].ended, since + MOST if hands_on else invariants.FOREVER))
+        self.assertGreater(begun, min(calls(fleet, first)[-1].ended, since + MOST if hands_on else FOREVER))
 
     def test_a_sender_whose_copy_dies_keeps_the_order_around_an_attempt_that_is_out(self) -> None:
         self.play(hands_on=False)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -3,9 +3,10 @@
 import unittest
 from typing import Any
 
+from cedarwick.lab.audit_subscribers import Ended, Evaluates, Gap, Matched, Occurred, Watched
 from cedarwick.lab.history import Gone, History, Life, Noticed
-from cedarwick.lab.invariants import Ended, Evaluates, Gap, Matched, Occurred, Terms, Watched, judge, majority_gone
 from cedarwick.lab.invariants import Span as Out
+from cedarwick.lab.invariants import Terms, judge, majority_gone
 from tests.test_audit import MS, SCENARIO, SECOND, called, handed, killed
 
 OWN, COPY = Terms(senders=3), Terms(senders=3, ack="copy")
