--- a/cedarwick/lab/audit_rules.py
+++ b/cedarwick/lab/audit_rules.py
@@ -37,7 +37,7 @@
 
 
 def strangers(cases: dict[str, Case]) -> Iterator[Finding]:
-    """A call or a notice for an id that nobody handed in, a call to another destination, another mark or body."""
+    """A call or a notice for an id that nobody submitted, a call to another destination, another mark or body."""
     for id, case in cases.items():
         if case.handed is None:
             yield finding(0, f"id {id} was never handed in", case, ids=() if case.calls else (id,))
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -18,7 +18,7 @@
 from cedarwick.net.sockets import open_connection
 
 MS = 1000
-LEAST_LEFT = 300 * MS  # with less time than this nothing is handed in again
+LEAST_LEFT = 300 * MS  # with less time than this nothing is submitted again
 CONNECT = 0.4
 
 
--- a/cedarwick/lab/day.py
+++ b/cedarwick/lab/day.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.begun = time.monotonic_ns()
         self.history = History()
-        self.sizes: dict[str, int] = {}  # the bodies' sizes by id, as handed in
+        self.sizes: dict[str, int] = {}  # the bodies' sizes by id, as submitted
         self.worst_lag = 0
         self.starved: dict[str, int] = {}  # by sender: how long it waited for a processor, at most
         self.failed = ""  # what the emulator itself could not do
--- a/cedarwick/lab/fleet.py
+++ b/cedarwick/lab/fleet.py
@@ -144,7 +144,7 @@
     # ---- clients ----
 
     def load(self, seconds: float, rate: float = 0.0) -> None:
-        """Clients hand in what the scenario draws for so long, at its rate or another; returns at once.
+        """Let clients submit what the scenario draws for so long, at its rate or another; returns at once.
 
         `end_loads` ends it before that.
         """
--- a/cedarwick/lab/history.py
+++ b/cedarwick/lab/history.py
@@ -22,7 +22,7 @@
     """One request of a client, under an id of its own."""
 
     id: str
-    first: str  # the id under which the same thing was first handed in
+    first: str  # the id under which the same thing was first submitted
     priority_class: str = msgspec.field(name="band")
     destination: int
     mark: str
--- a/cedarwick/lab/load.py
+++ b/cedarwick/lab/load.py
@@ -80,7 +80,7 @@
         self.late = 0
         self.sent = 0
         self.out = 0
-        self.nonce = secrets.token_hex(4)  # a second run must not hand in the ids of the first
+        self.nonce = secrets.token_hex(4)  # a second run must not submit the ids of the first
 
     def run(self, progress: Callable[["Loader"], None] = lambda _: None) -> Report:
         """Send all that is due, wait for its answers, and report."""
--- a/cedarwick/lab/register.py
+++ b/cedarwick/lab/register.py
@@ -67,7 +67,7 @@
         self.register = register
         self.revision = 0  # of the newest change that this agent has heard of
         self.silent = False
-        self.news = gevent.event.Event()
+        self.changed = gevent.event.Event()
         self.listener = listen((host_of(sender), 0))
         self.port = int(self.listener.getsockname()[1])
         self.conns: set[gevent.socket.socket] = set()
@@ -85,12 +85,12 @@
     def tell(self, revision: int) -> None:
         """Learn the changes up to a revision."""
         self.revision = max(self.revision, revision)
-        self.news.set()
+        self.changed.set()
 
     def hush(self, silent: bool) -> None:
         """Stop or resume serving the list; notices are taken all the same."""
         self.silent = silent
-        self.news.set()
+        self.changed.set()
 
     def move(self) -> None:
         """Move to another address: the old one accepts nothing new and closes its connections after a while."""
@@ -186,7 +186,7 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         position, first = since, True
         while True:
-            self.news.clear()
+            self.changed.clear()
             if not self.silent:
                 if first and since == 0:
                     self._say(sock, self.known())
@@ -198,16 +198,16 @@
                     sock.sendall(b"1\r\n\n\r\n")
                 first = False
             with contextlib.suppress(gevent.Timeout):
-                self.news.wait(BEAT)
+                self.changed.wait(BEAT)
 
-    def _say(self, sock: gevent.socket.socket, news: dict[str, Any]) -> None:
-        line = json.dumps(news).encode() + b"\n"
+    def _say(self, sock: gevent.socket.socket, update: dict[str, Any]) -> None:
+        line = json.dumps(update).encode() + b"\n"
         sock.sendall(b"%x\r\n%s\r\n" % (len(line), line))
         now = self.day.now()
-        named = {target["uid"] for target in news["targets"]}
-        for target in news["targets"]:
+        named = {target["uid"] for target in update["targets"]}
+        for target in update["targets"]:
             self.day.history.add(Heard(target["uid"], target["pod_group"], target["state"], now, self.sender))
-        if news["all"]:  # a whole list tells of what it leaves out, too
+        if update["all"]:  # a whole list tells of what it leaves out, too
             for entry in self.register.changes[: self.revision]:
                 if entry["uid"] not in named:
                     named.add(entry["uid"])
--- a/cedarwick/lab/senders.py
+++ b/cedarwick/lab/senders.py
@@ -176,8 +176,8 @@
             self.process.kill()
             self.process.wait()
 
-    def configure(self, **news: Any) -> None:
-        """Write the configuration as it is now, with what is new in it."""
+    def configure(self, **changes: Any) -> None:
+        """Write the configuration as it is now, with the given keys changed."""
         limits = self.scenario.limits
         assignment = {
             "name": f"n{self.number}",
@@ -192,7 +192,7 @@
             },
             "known": self.agent.known(),
             "settings": sender_settings(self.scenario, self.senders),
-            **news,
+            **changes,
         }
         with open(self.config + ".new", "w", encoding="utf-8") as file:
             json.dump(assignment, file)
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -282,11 +282,11 @@
 
     def __init__(self) -> None:
         self.held: deque[Any] = deque()
-        self.news = Event()
+        self.filled = Event()
 
     def put(self, item: Any) -> None:
         self.held.append(item)
-        self.news.set()
+        self.filled.set()
 
     def get(self) -> Any:
         return self.held.popleft()
@@ -296,8 +296,8 @@
 
     def peek(self, timeout: float | None = None) -> Any:
         if not self.held:
-            self.news.clear()
-            if not self.news.wait(timeout):
+            self.filled.clear()
+            if not self.filled.wait(timeout):
                 raise QueueEmptyError
         return self.held[0]
 
--- a/cedarwick/lab/virtual_clients.py
+++ b/cedarwick/lab/virtual_clients.py
@@ -1,4 +1,4 @@
-"""Clients of a virtual day, who hand in messages, and an operator, who moves sessions and drains senders; all drawn."""
+"""Clients of a virtual day, who submit messages, and an operator, who moves sessions and drains senders; all drawn."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -15,7 +15,7 @@
 KNOWN_GONE = SECOND // 2  # so long after a sender's end clients go to others
 KEYS = 6  # sessions
 AT_HOME = 3.0  # seconds that the client of a session stays with one sender, on the average
-AGAIN = 0.1  # how many clients hand in once more what was answered
+AGAIN = 0.1  # how many clients submit once more what was answered
 AGAIN_AFTER = 0.5  # seconds until then, on the average
 MOVES = 0.4  # seconds between two sessions that the operator moves, on the average
 PAUSES = 4.0  # seconds between two drains by the operator
@@ -23,7 +23,7 @@
 
 
 class DrawnClients:
-    """Hand in messages, open loop, each at a sender that it knows."""
+    """Submit messages, open loop, each at a sender that it knows."""
 
     def __init__(self, day: DayState, senders: Sequence[Sender]) -> None:
         self.day = day
@@ -40,7 +40,7 @@
             self.day.kernel.spawn_as(None, self._hand_in, priority_class, turn)
 
     def _chosen(self, turn: int) -> Sender:
-        """The sender that a client hands in to: of one key always the same, as long as it is there."""
+        """The sender that a client submits to: for one key always the same, as long as that one runs."""
         usable = [each for each in self.senders if each.running or self.day.now() - each.ended_at < KNOWN_GONE]
         if not turn or not usable:
             return self.day.chance.choice(usable or self.senders)
@@ -95,7 +95,7 @@
                 )
 
     def _ask(self, handed: Handed, stored: StoredMessage, sender: Sender, hasty: bool) -> None:
-        """Hand in at a sender, and note its answer, but where another one has taken it before.
+        """Submit to a sender, and record its answer, except where another one has taken it before.
 
         `hasty`: what is taken for a client that has gone by then is withdrawn.
         """
--- a/cedarwick/lab/virtual_faults.py
+++ b/cedarwick/lab/virtual_faults.py
@@ -80,7 +80,7 @@
             shutil.rmtree(sender.folder)
             os.makedirs(sender.folder)
         elif drawn.kind == "folder-spoilt":
-            spoil(sender.folder, drawn.draw)
+            corrupt(sender.folder, drawn.draw)
         if drawn.kind in ("folder-lost", "folder-spoilt"):
             self.day.history.add(Gone(drawn.number, drawn.kind, self.day.now(), self.day.now(), drawn.names(), 0.0))
         self.day.sleep_until(end)
@@ -91,7 +91,7 @@
             self.day.kernel.sleep(LOOK)
 
 
-def spoil(folder: str, draw: int) -> None:
+def corrupt(folder: str, draw: int) -> None:
     """Flip some bytes of one of the files, both drawn."""
     held = sorted(os.path.join(at, name) for at, _, names in os.walk(folder) for name in names)
     found = [path for path in held if os.path.getsize(path)]
--- a/cedarwick/lab/virtual_subscribers.py
+++ b/cedarwick/lab/virtual_subscribers.py
@@ -93,7 +93,7 @@
             sender = day.chance.choice(usable)
             owner, connection = sender.owner, FakeConnection(self)
             words = [self.name, *(f"{source}:{at}" for source, at in self.cursors.items()), "WHERE", self.filter]
-            day.kernel.spawn_as(owner, talk, sender, connection, " ".join(words))
+            day.kernel.spawn_as(owner, follow, sender, connection, " ".join(words))
             leaves = day.now() + round(day.chance.expovariate(1 / STAYS) * 1_000_000)
             while not owner.dead and not connection.over and (day.now() < leaves or day.resting):
                 day.kernel.sleep(LOOK)
@@ -141,7 +141,7 @@
             self.cursors.pop(record["source"], None)
 
 
-def talk(sender: Sender, connection: FakeConnection, words: str) -> None:
+def follow(sender: Sender, connection: FakeConnection, words: str) -> None:
     """In the member's process: a call of `FOLLOW`, as the management address answers it."""
     try:
         answer = sender.management.follows(Call("FOLLOW", words))
@@ -190,7 +190,7 @@
                 if sender.node is not None:
                     connection = FakeConnection(follower)
                     follower.cursors = {}
-                    day.kernel.spawn_as(sender.owner, talk, sender, connection, name)
+                    day.kernel.spawn_as(sender.owner, follow, sender, connection, name)
                     day.kernel.sleep(PROBED / len(self.senders))
                     connection.left = True
 
