--- a/cedarwick/fleet/messages/sessions.py
+++ b/cedarwick/fleet/messages/sessions.py
@@ -31,10 +31,10 @@
 class SessionLocations(PeerBody, frozen=True, tag="Lodgings"):
     """Changed session locations, and whether the sender takes more sessions.
 
-    Answered by `SessionLocations` without `news`.
+    Answered by `SessionLocations` without `locations`.
     """
 
-    news: Annotated[tuple[SessionLocation, ...], Meta(max_length=4096)] = ()
+    locations: Annotated[tuple[SessionLocation, ...], Meta(max_length=4096)] = ()
     held: Count = 0  # sessions
     takes: bool = False  # whether the sender takes more sessions
     stamp: Order = 0  # of the next migration that the sender begins
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -33,7 +33,7 @@
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_files import HeldSession, Sessions
 from cedarwick.fleet.session_submissions import SessionSubmissions
-from cedarwick.fleet.session_wire import entry_of, lodging_of
+from cedarwick.fleet.session_wire import entry_of, location_of
 from cedarwick.fleet.sessions import (
     LAPSES,
     Claim,
@@ -139,18 +139,18 @@
             return self._passed(sender, body)
         if isinstance(body, SessionLocations):
             first = self.lasting.first and self.first_seen.setdefault(sender, incarnation) == incarnation
-            self._locations_heard(sender, body, now)
-            return self._lodgings((), first)
+            self._receive_locations(sender, body, now)
+            return self._location_update((), first)
         if isinstance(body, SessionClaim):
             asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
             # Refused during a move: decided late, it would make a second holder beside the claimer.
             moving = self.transfers.open_move(body.key)
             claim = Claim(False, None) if moving else self.directory.claimed(asking, sender, now)
-            return ClaimReply(claim.granted, lodging_of(claim.entry))
+            return ClaimReply(claim.granted, location_of(claim.entry))
         if isinstance(body, SessionInheritance):
             asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
             claim = self._successor_claims(asking, body.partition, sender, now)
-            return ClaimReply(claim.granted, lodging_of(claim.entry))
+            return ClaimReply(claim.granted, location_of(claim.entry))
         if isinstance(body, RecallForward):
             return self._recalled(body)
         if isinstance(body, StageSession | PrepareRequest | AcceptRequest | MigrationDecided):
@@ -187,19 +187,19 @@
             if self.store.taking()
             else 0
         )
-        news = self.directory.news(most, now)
-        locations = tuple(lodging for entry in news if (lodging := lodging_of(entry)) is not None)
+        entries = self.directory.next_locations(most, now)
+        locations = tuple(location for entry in entries if (location := location_of(entry)) is not None)
         for name in self.node.halls:
             if name != self.name:
-                gevent.spawn(self._tell_news, name, locations)
+                gevent.spawn(self._send_locations, name, locations)
 
-    def _tell_news(self, name: str, news: tuple[SessionLocation, ...]) -> None:
+    def _send_locations(self, name: str, locations: tuple[SessionLocation, ...]) -> None:
         first = self.lasting.first and name not in self.first_seen
-        answer = self._call(name, self._lodgings(news, first), GOSSIP / SECOND)
+        answer = self._call(name, self._location_update(locations, first), GOSSIP / SECOND)
         if not isinstance(answer, SessionLocations):
             return
         now = monotonic_time()
-        self._locations_heard(name, answer, now)
+        self._receive_locations(name, answer, now)
         self.transfers.learned(name, answer.stamp)
         # Only if no member has run before: one that forgot sessions must wait until ids of that time cannot come again.
         if answer.first and self.lasting.first:
@@ -208,12 +208,12 @@
                 self.directory.grants_at = now
                 logger.info("sessions may be opened: no member has run before")
 
-    def _lodgings(self, news: tuple[SessionLocation, ...], first: bool) -> SessionLocations:
-        return SessionLocations(news, len(self.directory.sessions), self._takes(), self.transfers.stamp, first)
+    def _location_update(self, locations: tuple[SessionLocation, ...], first: bool) -> SessionLocations:
+        return SessionLocations(locations, len(self.directory.sessions), self._takes(), self.transfers.stamp, first)
 
-    def _locations_heard(self, name: str, body: SessionLocations, now: int) -> None:
+    def _receive_locations(self, name: str, body: SessionLocations, now: int) -> None:
         self.neighbours[name] = body
-        self.directory.heard([entry for lodging in body.news if (entry := entry_of(lodging)) is not None], now)
+        self.directory.heard([entry for location in body.locations if (entry := entry_of(location)) is not None], now)
 
     def _neighbours(self) -> list[Neighbour]:
         now, halls, members = monotonic_time(), self.node.halls, self.node.members
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -20,7 +20,7 @@
 from cedarwick.fleet.recent_ids import UNKNOWN
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_inheritance import SessionInheritances
-from cedarwick.fleet.session_wire import entry_of, hash_of, lodging_of
+from cedarwick.fleet.session_wire import entry_of, hash_of, location_of
 from cedarwick.fleet.sessions import (
     Claim,
     ClaimRuling,
@@ -155,7 +155,7 @@
                 left - LEAST,
                 stored.body or b"",
                 moved,
-                lodging_of(gone),
+                location_of(gone),
             )
             try:
                 answer = self.lane.call(to, body, min(left / SECOND, TRY))
@@ -224,7 +224,7 @@
                     if self._inherit(body.key):
                         continue
                 claim = self.directory.elsewhere(body.key, now)
-                return ForwardReply("", 0, claim.granted, lodging_of(claim.entry))
+                return ForwardReply("", 0, claim.granted, location_of(claim.entry))
             if not body.moved and self.node.halls.get(sender) != self.node.halls[self.name]:
                 self.wishes[body.key] = MigrationRequest(body.key, MigrationReason.CLIENT, sender), now + COMES_FOR
             handed = self._take(stored, hashed, ruling, now)
--- a/cedarwick/fleet/session_wire.py
+++ b/cedarwick/fleet/session_wire.py
@@ -20,6 +20,6 @@
     return Entry(location.key, location.holder, location.sequence, location.age) if location is not None else None
 
 
-def lodging_of(entry: Entry | None) -> SessionLocation | None:
+def location_of(entry: Entry | None) -> SessionLocation | None:
     """An entry as it is sent in peer messages; None for none."""
     return SessionLocation(*entry) if entry is not None else None
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -21,8 +21,8 @@
   claims each of them anew before it takes anything more, and goes on with the ids that it knows.
 
 The caller takes nothing for a session while it has no lease on its own partition: cut off, it might not learn that its
-sessions were claimed or adopted. Held sessions must be sent to all others in turn (`news`) within `REMEMBERED`. Times
-are microseconds of a clock that the caller gives.
+sessions were claimed or adopted. Held sessions must be sent to all others in turn (`next_locations`) within
+`REMEMBERED`. Times are microseconds of a clock that the caller gives.
 """
 
 from collections.abc import Iterable
@@ -373,7 +373,7 @@
 
     # ---- gossip ----
 
-    def news(self, limit: int, now: int) -> list[Entry]:
+    def next_locations(self, limit: int, now: int) -> list[Entry]:
         """What to send to all others next: what has changed here, then the held sessions in turn."""
         keys = [key for key in self.fresh if key not in self.sessions or self.sessions[key].sure][:limit]
         for key in keys:
--- a/tests/test_fleet_inherit.py
+++ b/tests/test_fleet_inherit.py
@@ -140,7 +140,7 @@
 
     def gossip(self, one: Member, two: Member) -> None:
         if not one.lost:
-            two.directory.heard(one.directory.news(9, self.now), self.now)
+            two.directory.heard(one.directory.next_locations(9, self.now), self.now)
 
     # ---- moves ----
 
@@ -252,7 +252,7 @@
             self.taken.append((self.now, holder.name, holder.partition))
             holder.directory.took(KEY, "id", 1, self.now)
             # Its lease was renewed by a majority, which hears this too.
-            told = holder.directory.news(9, self.now)
+            told = holder.directory.next_locations(9, self.now)
             self.members[self.drawn.choice([name for name in NAMES if name != holder.name])].directory.heard(
                 told, self.now
             )
--- a/tests/test_fleet_migration.py
+++ b/tests/test_fleet_migration.py
@@ -622,7 +622,7 @@
         one.heard([Entry(5, "A", 1, FORGOTTEN + 1)], MOST)
         self.assertIsNone(one.where(5))
         self.assertEqual((len(one.entries), one.where(8), one.where(KEY)), (MOST, None, "me"))
-        self.assertEqual(one.news(9, 0)[0].key, KEY)
+        self.assertEqual(one.next_locations(9, 0)[0].key, KEY)
         one.forget(FORGOTTEN + MOST + 1)
         self.assertEqual((one.entries, one.sessions), ({}, {}))
 
@@ -667,7 +667,9 @@
                     self.assertGreater(now - taken, REMEMBERED)
                     taken = now
                     every[holder].took(KEY, "id", 1, now)
-                    told = every[holder].news(9, now)  # its lease was renewed by a majority, which hears this too
+                    told = every[holder].next_locations(
+                        9, now
+                    )  # its lease was renewed by a majority, which hears this too
                     every[at + other - holder].heard(told, now)
 
     def test_who_does_not_hold_a_session_neither_takes_nor_opens_it(self) -> None:
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -91,7 +91,7 @@
         self.folders = {name: self.enterContext(tempfile.TemporaryDirectory()) for name in NAMES}
         for name in NAMES:
             self.traffic[name] = self.member(name)
-        self.news()
+        self.exchange_locations()
 
     def member(self, name: str) -> SessionRouter:
         store = ReplicatedStore(self.folders[name], 1 << 20, now=CLOCK.now)
@@ -135,8 +135,8 @@
             raise PeerUnreachableError(to)
         return answer
 
-    def news(self) -> None:
-        """Everybody hears from everybody."""
+    def exchange_locations(self) -> None:
+        """Every member sends its session locations to every other one."""
         for name in NAMES:
             self.traffic[name].gossiped_at = 0
             self.traffic[name].look(monotonic_time())
@@ -192,7 +192,7 @@
     def test_an_answer_that_is_lost_is_asked_for_again_and_never_made_up(self) -> None:
         a, c = self.traffic["a"], self.traffic["c"]
         a.hand_in(message("1"))
-        self.news()
+        self.exchange_locations()
         lost: list[Body] = []
 
         def once(to: str, body: Body) -> str:
@@ -212,7 +212,7 @@
     def test_a_client_gone_before_its_answer_is_withdrawn_at_the_holder(self) -> None:
         a, c = self.traffic["a"], self.traffic["c"]
         a.hand_in(message("1"))
-        self.news()
+        self.exchange_locations()
         answered, _, withdraw = c.hand_in(message("2"))
         assert withdraw is not None
         number = max(a.store.messages)
@@ -322,7 +322,7 @@
         """The partition of a, which has taken "1" and does not answer, is held by c, whose copy was old and whole."""
         a, b, c = (self.traffic[name] for name in NAMES)
         a.hand_in(message("1"))
-        self.news()
+        self.exchange_locations()
         partition = slot_of("a") << 12
         fact = a.store.holdings[partition].read(a.store, *a.store.messages)
         assert fact is not None
