--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -107,8 +107,8 @@
         self.few_since = 0  # since when too few members are alive to grant anything; 0: enough are
         self.leaving = False
         self.sharing = Gossip(name, self.lasting, clock, counters, self._call)
-        self.owing = OrderKeyHints()
-        self.lying: dict[int, frozenset[int]] = {}  # by partition: keys in a copy here whose holder is silent
+        self.order_key_hints = OrderKeyHints()
+        self.replica_order_keys: dict[int, frozenset[int]] = {}  # by partition, of replicas here whose holder is silent
         self.exchange = Exchange(name, self.gate, counters, self._call, state, round(settings.follow_s * 1e6))
         store.seen = self.exchange.seen
         self.traffic: SessionRouter | None = None
--- a/cedarwick/fleet/messages/__init__.py
+++ b/cedarwick/fleet/messages/__init__.py
@@ -47,7 +47,7 @@
 from cedarwick.fleet.messages.gossip import (
     MOST_KEYS,
     OWING,
-    OwedKeys,
+    PendingOrderKeys,
     RetryAfterEntry,
     RetryAfterHint,
     SuspensionMark,
@@ -126,7 +126,7 @@
     "OWING",
     "OfferReply",
     "Order",
-    "OwedKeys",
+    "PendingOrderKeys",
     "PeerBody",
     "PeerBodyPart",
     "PeerMessage",
--- a/cedarwick/fleet/messages/codec.py
+++ b/cedarwick/fleet/messages/codec.py
@@ -6,7 +6,7 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.messages.events import Cursors, Matches, Subscribe
 from cedarwick.fleet.messages.fields import MAX_MESSAGE_BYTES, Count, Name, PeerBody, Text, Word
-from cedarwick.fleet.messages.gossip import OwedKeys, RetryAfterHint, SuspensionMarks
+from cedarwick.fleet.messages.gossip import PendingOrderKeys, RetryAfterHint, SuspensionMarks
 from cedarwick.fleet.messages.membership import GrantTable, GrantTableRequest, Heartbeat, LeaseReply, LeaseRequest
 from cedarwick.fleet.messages.replication import (
     Digests,
@@ -59,7 +59,8 @@
     | ReplicateFacts | ReplicatePiece | ReplicaAck | Digests | TakeoverOffer | OfferReply
     | SessionLocations | StageSession | StageReply | PrepareRequest | AcceptRequest | VoteReply | MigrationDecided
     | SessionClaim | SessionInheritance | ClaimReply | ForwardedSubmit | ForwardReply | RecallForward
-    | Subscribe | Matches | Cursors | OwedKeys | RetryAfterHint | SuspensionMarks | Acknowledged | RequestRefused
+    | Subscribe | Matches | Cursors | PendingOrderKeys | RetryAfterHint | SuspensionMarks
+    | Acknowledged | RequestRefused
 )  # fmt: skip
 
 
--- a/cedarwick/fleet/messages/gossip.py
+++ b/cedarwick/fleet/messages/gossip.py
@@ -6,12 +6,12 @@
 
 from cedarwick.fleet.messages.fields import Count, Name, PeerBody, PeerBodyPart, Word
 
-OWING = 3  # the level from which on a member reads `OwedKeys`
-MOST_KEYS = 4096  # keys in one `OwedKeys`, at most
+OWING = 3  # the level from which on a member reads `PendingOrderKeys`
+MOST_KEYS = 4096  # keys in one `PendingOrderKeys`, at most
 
 
-class OwedKeys(PeerBody, frozen=True, tag="Owed"):
-    """All keys of which the sender owes messages from before a change among the members.
+class PendingOrderKeys(PeerBody, frozen=True, tag="Owed"):
+    """All order keys with messages that are pending at the sender since before a change among the members.
 
     Answered by `Acknowledged`.
     """
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -111,9 +111,9 @@
         # Clients may return to the member that is back; what is owed here now is older than what it will accept.
         if any(change.now is MemberStatus.ALIVE for change in changes):
             for holding in self.store.holdings.values():
-                self._backlog(holding)
+                self._record_backlog(holding)
         if changes or time.monotonic() - self.looked_late >= DEADLINE_CHECK_S:
-            self._guarded(self._owe, now)
+            self._guarded(self._exchange_pending_order_keys, now)
         if time.monotonic() - self.looked_late >= DEADLINE_CHECK_S:
             self.looked_late = time.monotonic()
             self._guarded(self._answer_late, now, few)
--- a/cedarwick/fleet/order_key_hints.py
+++ b/cedarwick/fleet/order_key_hints.py
@@ -1,13 +1,13 @@
 """Hints on order keys: which keys have older messages at another sender, and so rest (wait) here. No I/O.
 
 After a change among the members a client may submit a message of a key at another sender than the one that still has
-earlier ones. So each member sends the others, as `OwedKeys`, the keys of what it owes from before the last change (its
-*backlog*), and of what is in a replica here whose holder is silent. New messages of such a key rest at the other
-senders as long as the hint is repeated, for `MOST` at most. A hint that is lost or late can cost the order, nothing
-else.
+earlier ones. So each member sends the others, as `PendingOrderKeys`, the keys of its pending messages from before the
+last change (its *backlog*), and of what is in a replica here whose holder is silent. New messages of such a key
+rest at the other senders as long as the hint is repeated, for `MOST` at most. A hint that is lost or late can cost the
+order, nothing else.
 
-`owed_keys.py` calls it. All times are whole microseconds of the member's own clock, which goes on while the machine
-sleeps.
+`pending_order_keys.py` calls it. All times are whole microseconds of the member's own clock, which goes on while the
+machine sleeps.
 """
 
 from collections.abc import Collection, Iterable, Set
@@ -31,7 +31,7 @@
         self._since: dict[int, int] = {}  # by key: since when it has been owed elsewhere without a break
 
     def heard(self, now: int, sender: str, keys: Iterable[int]) -> None:
-        """Take all keys that a member owes; they replace what it sent before."""
+        """Take all keys with pending messages at a member; they replace what it sent before."""
         self._heard[sender] = now, frozenset(keys)
 
     def tell(self, now: int, keys: Set[int], others: Collection[str]) -> tuple[int, ...] | None:
@@ -45,11 +45,11 @@
         self.sent_keys, self._sent_at, self._sent_to = frozenset(keys), now, tuple(others)
         return tuple(sorted(keys)[:MOST_KEYS])
 
-    def rests(self, now: int, here: Set[int], lying: Set[int]) -> frozenset[int]:
-        """The keys that are to rest here. `here`: those of the own backlog; `lying`: those of replicas here."""
+    def rests(self, now: int, here: Set[int], in_replicas: Set[int]) -> frozenset[int]:
+        """The keys that are to rest here. `here`: those of the own backlog; `in_replicas`: those of replicas here."""
         self._heard = {name: (at, keys) for name, (at, keys) in self._heard.items() if now < at + LASTS and keys}
         # Without the keys of the own backlog: two members that each owe messages of a key would wait for each other.
-        owed = frozenset(lying).union(*(keys for _, keys in self._heard.values())) - here
+        owed = frozenset(in_replicas).union(*(keys for _, keys in self._heard.values())) - here
         self._since = {key: self._since.get(key, now) for key in owed}
         self.elsewhere = frozenset(key for key, since in self._since.items() if now < since + MOST)
         return self.elsewhere
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -23,14 +23,14 @@
     UNWANTED_COPY_US,
 )
 from cedarwick.fleet.messages import LeaseRequest, OfferReply, TakeoverOffer, digest_of, slot_of
-from cedarwick.fleet.owed_keys import OwedKeyExchange
+from cedarwick.fleet.pending_order_keys import PendingOrderKeyExchange
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.replication_pumps import ReplicationPumps
 from cedarwick.fleet.takeover import BooksExhaustedError, Takeover, TakeoverAction, TakeoverStage
 from cedarwick.store.files import NoSpaceError
 
 
-class PartitionTakeover(LeaseExchange, ReplicationPumps, OwedKeyExchange):
+class PartitionTakeover(LeaseExchange, ReplicationPumps, PendingOrderKeyExchange):
     """Imports, serves and gives up partitions."""
 
     def _own(self, now: int) -> None:
@@ -163,7 +163,7 @@
                 return
             self._note(partition, term, 0)
             self.store.begin_log(holding, term)
-            self._backlog(holding)
+            self._record_backlog(holding)
             self.copies.drop(partition)
             logger.info(
                 "partition {}: held under term {}, {} messages owed", partition, term, len(holding.ledger.known)
@@ -191,7 +191,7 @@
         if may == holding.serving:
             return
         holding.serving = may
-        self._backlog(holding)
+        self._record_backlog(holding)
         numbers = self.store.numbers(holding.partition)
         if may:
             logger.info(
@@ -247,7 +247,7 @@
             self._follow(partition)  # the newer holder counts on this copy by now
             return
         self.copies.drop(partition)
-        self.lying.pop(partition, None)
+        self.replica_order_keys.pop(partition, None)
         self.shipped_at.pop(partition, None)
         self.served.pop(partition, None)
         self.claimed.pop(partition, None)
--- a/cedarwick/fleet/owed_keys.py
+++ b/cedarwick/fleet/pending_order_keys.py
@@ -1,4 +1,4 @@
-"""Exchange of the order keys that are owed since before a failure: new messages of these keys wait at other members.
+"""Exchange of the order keys with pending messages from before a failure: newer messages of them wait elsewhere.
 
 Called by `FleetNode.look`; the rules are in `order_key_hints.py`. Times are microseconds of the boot clock.
 """
@@ -12,51 +12,65 @@
 from cedarwick.fleet.leases import right_of
 from cedarwick.fleet.limits import CALL_TIMEOUT_S, MAX_OWED_MESSAGES
 from cedarwick.fleet.membership import MemberStatus
-from cedarwick.fleet.messages import OWING, OwedKeys
+from cedarwick.fleet.messages import OWING, PendingOrderKeys
 from cedarwick.fleet.replication_facts import EndRank
 from cedarwick.fleet.takeover import Takeover
 
 
-class OwedKeyExchange(HeldPartitions):
-    """Sends the others the keys that are owed here, and lets the keys rest that they have sent."""
+class PendingOrderKeyExchange(HeldPartitions):
+    """Sends the others the order keys with pending messages here, and holds back the keys that they have sent."""
 
-    def _owe(self, now: int) -> None:
-        """Send the others the keys owed here since before a failure, and let the keys rest that they have sent."""
+    def _exchange_pending_order_keys(self, now: int) -> None:
+        """Send the others the keys with pending messages from before a failure; hold back those that they have sent."""
+        in_replicas = self._all_replica_order_keys(now)
+        here = self._backlog_order_keys(in_replicas)
+        here |= self._keys_of_running_attempts(here | in_replicas)
+        self._send_pending_order_keys(now, here | in_replicas)
+        before = self.order_key_hints.elsewhere
+        if self.order_key_hints.rests(now, here, in_replicas) or before:
+            self.dispatcher.rest(self.order_key_hints.elsewhere)
+
+    def _all_replica_order_keys(self, now: int) -> set[int]:
+        return set().union(*(self._replica_order_keys(now, adoption) for adoption in self.adoptions.values()))
+
+    def _backlog_order_keys(self, in_replicas: set[int]) -> set[int]:
+        """The keys of the backlogs of served partitions; those of the other ones are added to `in_replicas`."""
         here: set[int] = set()
-        lying: set[int] = set().union(*(self._lying(now, adoption) for adoption in self.adoptions.values()))
         for holding in self.store.holdings.values():
             if holding.backlog:
                 known = holding.ledger.known
                 holding.backlog = {number: key for number, key in holding.backlog.items() if number in known}
                 # A partition that is lost, or not served yet, has older messages of a key than the open partition: the
                 # key must rest here too.
-                (here if holding.serving else lying).update(holding.backlog.values())
-        # Keys whose messages have ended, while an attempt of one may still run.
-        here |= {
+                (here if holding.serving else in_replicas).update(holding.backlog.values())
+        return here
+
+    def _keys_of_running_attempts(self, counted: set[int]) -> set[int]:
+        """Keys sent before whose messages have ended, while an attempt of one may still run."""
+        return {
             key
-            for key in self.owing.sent_keys - here - lying - self.owing.elsewhere
+            for key in self.order_key_hints.sent_keys - counted - self.order_key_hints.elsewhere
             if self.dispatcher.rest_of(key) > 0
         }
+
+    def _send_pending_order_keys(self, now: int, keys: set[int]) -> None:
         others = [name for name in self.alive if self.gate.levels.get(name, 0) >= OWING and name != self.name]
-        if (keys := self.owing.tell(now, here | lying, others)) is not None:
+        if (due := self.order_key_hints.tell(now, keys, others)) is not None:
             for name in others:
-                gevent.spawn(self._call, name, OwedKeys(keys), CALL_TIMEOUT_S)
-        before = self.owing.elsewhere
-        if self.owing.rests(now, here, lying) or before:
-            self.dispatcher.rest(self.owing.elsewhere)
+                gevent.spawn(self._call, name, PendingOrderKeys(due), CALL_TIMEOUT_S)
 
-    def _lying(self, now: int, adoption: Takeover) -> frozenset[int]:
-        """The keys that are owed in a replica here; none unless its holder is silent."""
+    def _replica_order_keys(self, now: int, adoption: Takeover) -> frozenset[int]:
+        """The keys with pending messages in a replica here; none unless its holder is silent."""
         partition, grant = adoption.partition, self.grantor.grant(right_of(adoption.partition))
         replica = self.copies.replica(partition)
         # The own name is recorded from when this member asks for the partition until it has imported it.
         alive = grant.holder != self.name and self._standing(now, grant.holder, adoption) is MemberStatus.ALIVE
         if replica is None or partition in self.store.holdings or self.name not in grant.successors or alive:
-            self.lying.pop(partition, None)
+            self.replica_order_keys.pop(partition, None)
             return frozenset()
-        if partition not in self.lying:  # once: a silent holder adds nothing
+        if partition not in self.replica_order_keys:  # once: a silent holder adds nothing
             facts = [fact for fact in replica.held.values() if fact.base is not None and fact.base.turn]
-            self.lying[partition] = frozenset(
+            self.replica_order_keys[partition] = frozenset(
                 [
                     fact.base.turn
                     for fact in facts[:MAX_OWED_MESSAGES]
@@ -65,12 +79,12 @@
                     and self.dispatcher.ordered(fact.base.priority_class)
                 ]
             )
-        return self.lying[partition]
+        return self.replica_order_keys[partition]
 
-    def _backlog(self, holding: LeasedPartition) -> None:
-        """Note all that a partition owes now as its backlog, from before a failure.
+    def _record_backlog(self, holding: LeasedPartition) -> None:
+        """Note all pending messages of a partition as its backlog, from before a failure.
 
-        Messages of the open partition are left out if their key rests: older ones are owed elsewhere.
+        Messages of the open partition are left out if their key rests: older ones are pending elsewhere.
         """
         for number in islice(holding.ledger.known, MAX_OWED_MESSAGES):
             stored = self.store.messages.get(number)
@@ -82,5 +96,5 @@
             ):
                 # An adopted partition counts whole: its keys rested here as a replica's, and would otherwise be sent no
                 # longer.
-                if holding is not self.store.current or stored.turn not in self.owing.elsewhere:
+                if holding is not self.store.current or stored.turn not in self.order_key_hints.elsewhere:
                     holding.backlog[number] = stored.turn
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -15,8 +15,8 @@
     Heartbeat,
     LeaseRequest,
     Matches,
-    OwedKeys,
     PeerMessage,
+    PendingOrderKeys,
     ReplicaAck,
     ReplicateFacts,
     ReplicatePiece,
@@ -66,8 +66,8 @@
             return self._copy(body)
         if isinstance(body, TakeoverOffer):
             return self._offered(sender, body)
-        if isinstance(body, OwedKeys):
-            self.owing.heard(monotonic_time(), sender, body.keys)
+        if isinstance(body, PendingOrderKeys):
+            self.order_key_hints.heard(monotonic_time(), sender, body.keys)
             return Acknowledged()
         if isinstance(body, RetryAfterHint | SuspensionMarks):
             return self.sharing.heard(sender, body)
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -31,7 +31,7 @@
     LeaseReply,
     LeaseRequest,
     OfferReply,
-    OwedKeys,
+    PendingOrderKeys,
     ReplicaAck,
     ReplicateFacts,
     ReplicatePiece,
@@ -675,19 +675,23 @@
         node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(PARTITION), 2, "b", ("b", "a"), 1),))
         with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawn:
             with mock.patch.object(node, "_standing", return_value=MemberStatus.ALIVE):
-                node._owe(now)
-            self.assertEqual((spawn.call_args, node.owing.elsewhere), (None, frozenset()))
-            node._owe(now)  # b is silent: what a copy here says is owed is told, and rests here, too
-            self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", OwedKeys((8,)))])
+                node._exchange_pending_order_keys(now)
+            self.assertEqual((spawn.call_args, node.order_key_hints.elsewhere), (None, frozenset()))
+            node._exchange_pending_order_keys(
+                now
+            )  # b is silent: what a copy here says is owed is told, and rests here, too
+            self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", PendingOrderKeys((8,)))])
             node.dispatcher.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
             node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(PARTITION), 3, "a", ("b", "a"), 1),))
-            node._owe(now)  # this member has asked for the partition, and has not taken it in yet
-            self.assertEqual(node.owing.elsewhere, {8})
-            self.assertIsInstance(node._answer("c", 1, OwedKeys((5, 6))), Acknowledged)
+            node._exchange_pending_order_keys(
+                now
+            )  # this member has asked for the partition, and has not taken it in yet
+            self.assertEqual(node.order_key_hints.elsewhere, {8})
+            self.assertIsInstance(node._answer("c", 1, PendingOrderKeys((5, 6))), Acknowledged)
             node.copies.drop(PARTITION)
             node.adoptions.clear()
-            node._owe(now)
-            self.assertEqual(node.owing.elsewhere, {5, 6})
+            node._exchange_pending_order_keys(now)
+            self.assertEqual(node.order_key_hints.elsewhere, {5, 6})
             holding = self.holding(node)
             for index, turn in enumerate((5, 7), 1):
                 holding.ledger.record_message(replace(kept(index), turn=turn), b"")
@@ -697,17 +701,17 @@
                 (None, {5, 7}),
             ):  # in the open partition 5 waits for c by itself
                 node.store.current = open_partition
-                node._backlog(holding)
-                node._owe(now)
-                self.assertEqual(node.owing.sent_keys, told)
-                self.assertLessEqual(told, node.owing.elsewhere)  # a partition that is not fired for
+                node._record_backlog(holding)
+                node._exchange_pending_order_keys(now)
+                self.assertEqual(node.order_key_hints.sent_keys, told)
+                self.assertLessEqual(told, node.order_key_hints.elsewhere)  # a partition that is not fired for
             holding.serving = True
-            node._owe(now)
-            self.assertEqual(node.owing.elsewhere, {6})
+            node._exchange_pending_order_keys(now)
+            self.assertEqual(node.order_key_hints.elsewhere, {6})
             holding.ledger.known.clear()
-            node._owe(now + EVERY)
-            self.assertEqual(spawn.call_args.args[1:3], ("c", OwedKeys()))
-            node._owe(now + LASTS + SPAN)
+            node._exchange_pending_order_keys(now + EVERY)
+            self.assertEqual(spawn.call_args.args[1:3], ("c", PendingOrderKeys()))
+            node._exchange_pending_order_keys(now + LASTS + SPAN)
             self.assertEqual(node.dispatcher.rest.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
 
     def test_an_offer_that_finds_room_for_a_part_is_taken_whole_when_it_comes_again(self) -> None:
