--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -1,4 +1,4 @@
-"""Recent message ids as a copy of a partition knows them, for whoever takes the partition over. No I/O, no clock.
+"""Recent message ids as a replica of a partition knows them, for whoever takes the partition over. No I/O, no clock.
 
 Under `ack = "copy"` every message is in the copy's file before it is answered +OK. So a copy that has followed a
 partition's tail without a gap since the time `since` knows each id taken after that, ended or not. A piece lacks the
@@ -14,10 +14,10 @@
 from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, over
 from cedarwick.fleet.sessions import REMEMBERED, contents
 
-MOST = 1 << 16  # ids of one partition; above it the oldest are dropped, and the time that the memory covers shrinks
+MAX_IDS = 1 << 16  # ids of one partition; above it the oldest are dropped, and the time that the memory covers shrinks
 # Stands for contents that are not known: whatever is submitted with such an id counts as another request. It must be a
 # valid hash (a count), or no peer could read the message, and a session with such an id could not be moved.
-UNKNOWN = 0
+UNKNOWN_HASH = 0
 
 
 @dataclass(slots=True)
@@ -37,11 +37,11 @@
     def __init__(self, now: int) -> None:
         self.since = now  # each recent id that was taken later is here
         self.term = self.next = -1
-        self.taken: dict[int, RecentId] = {}  # by number
-        self.order: deque[tuple[int, int]] = deque()  # when they came, and their numbers
+        self.by_number: dict[int, RecentId] = {}  # by message number
+        self.arrivals: deque[tuple[int, int]] = deque()  # when they came, and their numbers
 
-    def heard(self, entry: ReplicaEntry, facts: Iterable[Fact], now: int) -> None:
-        """Note a step of the copy that is in its file."""
+    def record(self, entry: ReplicaEntry, facts: Iterable[Fact], now: int) -> None:
+        """Record the facts of a replicated entry that is in the replica's file."""
         received = list(facts)
         tail = entry.upto <= entry.after
         begins = entry.next - len(received) if tail else entry.next
@@ -50,46 +50,46 @@
             self.since = now
         self.term, self.next = entry.term, entry.next
         for fact in received:
-            self._fact(fact, now)
-        while self.order and (self.order[0][0] < now - REMEMBERED or len(self.order) > MOST):
-            at, number = self.order.popleft()
+            self._record_fact(fact, now)
+        while self.arrivals and (self.arrivals[0][0] < now - REMEMBERED or len(self.arrivals) > MAX_IDS):
+            at, number = self.arrivals.popleft()
             if at >= now - REMEMBERED:
                 self.since = max(self.since, at + 1)
-            self.taken.pop(number, None)
+            self.by_number.pop(number, None)
 
-    def _fact(self, fact: Fact, now: int) -> None:
-        known, seen = fact.known, self.taken.get(fact.number)
+    def _record_fact(self, fact: Fact, now: int) -> None:
+        known, seen = fact.known, self.by_number.get(fact.number)
         if seen is None:
             if fact.base is not None and fact.base.turn and not over(known):
-                self.taken[fact.number] = RecentId(
+                self.by_number[fact.number] = RecentId(
                     fact.base.turn,
                     fact.base.id,
                     now,
                     hash_of(fact.base, known.end[0]),
                     bool(known.heads) or known.end[0] is not EndRank.NONE,
                 )
-                self.order.append((now, fact.number))
+                self.arrivals.append((now, fact.number))
             return
         if known.end[0] is EndRank.NOTIFIED and not known.heads and not seen.ended:
             # Withdrawn without attempt or end: its client was refused, so the same id must not get +OK unless taken.
-            del self.taken[fact.number]
+            del self.by_number[fact.number]
         else:
             seen.ended |= bool(known.heads) or known.end[0] is not EndRank.NONE
 
-    def whole_at(self) -> int:
+    def complete_at(self) -> int:
         """The time from which on all ids that must not be taken again are known here."""
         return self.since + REMEMBERED
 
     def by_key(self) -> dict[int, dict[str, tuple[int, int]]]:
         """By session: the ids, when they came and the hash of what came with them."""
         found: dict[int, dict[str, tuple[int, int]]] = {}
-        for seen in self.taken.values():
+        for seen in self.by_number.values():
             found.setdefault(seen.key, {})[seen.id] = seen.at, seen.hashed
         return found
 
 
 def hash_of(base: MessageBase, end: EndRank = EndRank.NONE) -> int:
-    """The hash of a submission, as at the holder; `UNKNOWN` for an ended message, whose body is not sent any more."""
+    """A submission's hash, as at the holder; `UNKNOWN_HASH` for an ended message, whose body is no longer sent."""
     if end is not EndRank.NONE:
-        return UNKNOWN
+        return UNKNOWN_HASH
     return contents(base.key, base.priority_class, base.tenant, base.destination, base.body)
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -173,7 +173,7 @@
             self.forgot_at = now
             self.directory.forget(now)
             self.transfers.forget(now)
-            for known in (self.memories, self.estates):
+            for known in (self.replica_recent_ids, self.inheritable_sessions):
                 for partition in [partition for partition in known if partition not in self.node.adoptions]:
                     del known[partition]
         self.transfers.look(now)
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -38,13 +38,13 @@
 AT_ONCE = 16  # peer messages to one member that wait for their answers
 
 
-class InheritedSessions(NamedTuple):
-    """The recent message ids of a partition that this member has adopted."""
+class InheritableSessions(NamedTuple):
+    """The sessions of an adopted partition that this member may inherit, with their recent message ids."""
 
-    owner: str  # who took them
-    whole_at: int  # by the boot clock; until then recent ids may be missing
-    ids: dict[int, dict[str, tuple[int, int]]]  # by session: when they came, and the hash of what came with them
-    keys: set[int]  # inherited
+    owner: str  # the member that accepted the messages with these ids
+    complete_at: int  # by the boot clock; until then recent ids may be missing
+    recent_ids: dict[int, dict[str, tuple[int, int]]]  # by session: when they came, and the hash of what came with them
+    inherited_keys: set[int]  # of the sessions that were inherited so far
 
 
 class SessionState:
@@ -75,8 +75,8 @@
         self.void: set[str] = set()  # members whose sessions were given up
         self.gossiped_at = self.forgot_at = 0
         self.partition = 0  # in which the sessions that are held for sure were taken
-        self.memories: dict[int, RecentIds] = {}  # by partition, of the copies that lie here
-        self.estates: dict[int, InheritedSessions] = {}  # by partition that was adopted here
+        self.replica_recent_ids: dict[int, RecentIds] = {}  # by partition, of the replicas here
+        self.inheritable_sessions: dict[int, InheritableSessions] = {}  # by partition that was adopted here
 
     def _standing(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
         """As `Moves.standing`, except that a session which has moved away and come back is here."""
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -17,7 +17,7 @@
 from cedarwick.fleet.migration_planner import MigrationReason, MigrationRequest
 from cedarwick.fleet.migration_state import SECOND, SETTLE_IN
 from cedarwick.fleet.migration_table import WAITS
-from cedarwick.fleet.recent_ids import UNKNOWN
+from cedarwick.fleet.recent_ids import UNKNOWN_HASH
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_inheritance import SessionInheritances
 from cedarwick.fleet.session_wire import entry_of, hash_of, location_of
@@ -132,7 +132,7 @@
         # Otherwise the same id, submitted again, would get +OK for a message that is no more.
         session = self.directory.sessions.get(submission.message.turn)
         if session is not None and submission.message.id in session.ids:
-            session.ids[submission.message.id] = session.ids[submission.message.id][0], UNKNOWN
+            session.ids[submission.message.id] = session.ids[submission.message.id][0], UNKNOWN_HASH
         self.dispatcher.withdraw(submission)
 
     def _pass(
--- a/tests/test_fleet_inherit.py
+++ b/tests/test_fleet_inherit.py
@@ -9,7 +9,7 @@
 
 from cedarwick.fleet.consensus import Acceptor, name_move
 from cedarwick.fleet.messages import LEVEL, VERSION, PeerMessage, RecentIdEntry, StageSession, decode, encode
-from cedarwick.fleet.recent_ids import UNKNOWN, RecentIds, hash_of
+from cedarwick.fleet.recent_ids import UNKNOWN_HASH, RecentIds, hash_of
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication import EVERYTHING
 from cedarwick.fleet.replication_facts import EndRank, Fact, LifeSummary, MessageBase, MessageKnowledge
@@ -43,10 +43,12 @@
         self.frozen = ""  # the move that its session is frozen for
         self.staged = ""  # the move that it is the taker of, from its own vote on
         self.slept = ""  # the move that was staged when its partition was adopted
-        self.estates: dict[tuple[str, int], tuple[int, list[int]]] = {}  # when whole; when the id was taken
+        self.inheritable_sessions: dict[
+            tuple[str, int], tuple[int, list[int]]
+        ] = {}  # when whole; when the id was taken
 
     def barred(self, move: str, giver: "Member", now: int) -> bool:
-        """As `Transfers._barred`."""
+        """As `MigrationVotes._barred`."""
         return self.directory.bars(KEY, giver.name, now, move in self.acceptor.rows or giver.awake)
 
 
@@ -100,7 +102,7 @@
             for at, by, partition in self.taken
             if (by, partition) == (two.name, two.partition) and at >= self.since[two.name]
         ]
-        one.estates[two.name, two.partition] = self.since[two.name] + REMEMBERED, found
+        one.inheritable_sessions[two.name, two.partition] = self.since[two.name] + REMEMBERED, found
         for each in (one, third):
             each.directory.without(two.name, self.now)
 
@@ -128,7 +130,7 @@
             if one.staged:
                 self.moves[one.staged][4].add("active")  # it has forgotten it
             one.frozen = one.staged = ""
-            one.estates.clear()
+            one.inheritable_sessions.clear()
             # A move that is still undecided 15 s after its giver was started again is another matter.
             for name in [
                 name for name, move in self.moves.items() if move[0] == one.name and len(move[4] - {"active"}) < 2
@@ -218,7 +220,7 @@
             self.peer_messages.append((by, to, told, self.successor_claims(member, told[0], told[1], by)))
 
     def successor_claims(self, member: Member, asking: ClaimRequest, partition: int, by: str) -> Claim:
-        """As `Traffic._successor_claims`."""
+        """As `SessionInheritances._successor_claims`."""
         holder = asking.over[1]
         holds = member.newest[holder] == partition and member.holders.get((holder, partition)) == by
         moved = member.acceptor.moved(KEY, holder, self.now - REMEMBERED) or member.frozen + member.staged != ""
@@ -258,13 +260,13 @@
             )
 
     def inherit(self, one: Member) -> None:
-        """As `Traffic._inherit`."""
+        """As `SessionInheritances._inherit`."""
         entry = one.directory.entry(KEY, self.now)
         if entry is None or one.lost or entry.holder == one.name:
             return
         partition = one.newest[entry.holder]
-        whole_at, found = one.estates.get((entry.holder, partition), (self.now + 1, []))
-        if whole_at > self.now or one.holders.get((entry.holder, partition)) != one.name:
+        complete_at, found = one.inheritable_sessions.get((entry.holder, partition), (self.now + 1, []))
+        if complete_at > self.now or one.holders.get((entry.holder, partition)) != one.name:
             return
         over = entry.sequence, entry.holder
         if self.successor_claims(one, ClaimRequest(KEY, 0, over, self.now), partition, one.name).granted:
@@ -290,19 +292,21 @@
         self.assertGreater((inherited, taken), (200, 3000))
 
 
-class Memories(unittest.TestCase):
+class RecentIdsOfAReplica(unittest.TestCase):
     BASE = MessageBase("1", "", KEY, "line", "", 0, 9, b"x")
 
     def step(self, first: int, *facts: Fact, term: int = 1) -> tuple[ReplicaEntry, tuple[Fact, ...]]:
         return ReplicaEntry(term, first + len(facts), EVERYTHING, 0, 0, b""), facts
 
     def test_an_ended_id_is_known_as_long_as_it_counts_and_one_that_was_turned_away_is_not(self) -> None:
-        memory = RecentIds(0)
-        memory.heard(ReplicaEntry(1, 5, EVERYTHING, 0, EVERYTHING, b""), (), 0)
+        recent_ids = RecentIds(0)
+        recent_ids.record(ReplicaEntry(1, 5, EVERYTHING, 0, EVERYTHING, b""), (), 0)
         second = MessageBase("2", "", KEY, "line", "", 0, 9, b"y")
-        memory.heard(*self.step(5, Fact(1, self.BASE, MessageKnowledge()), Fact(2, second, MessageKnowledge())), 10)
-        memory.heard(*self.step(7, Fact(1, None, MessageKnowledge({1: LifeSummary(1, False, 5, 0)}))), 20)
-        memory.heard(
+        recent_ids.record(
+            *self.step(5, Fact(1, self.BASE, MessageKnowledge()), Fact(2, second, MessageKnowledge())), 10
+        )
+        recent_ids.record(*self.step(7, Fact(1, None, MessageKnowledge({1: LifeSummary(1, False, 5, 0)}))), 20)
+        recent_ids.record(
             *self.step(
                 8,
                 Fact(1, None, MessageKnowledge({1: LifeSummary(1, True, 5, 0)}, end=(EndRank.COMPLETED, 0))),
@@ -310,10 +314,10 @@
             ),
             30,
         )
-        self.assertEqual(memory.by_key(), {KEY: {"1": (10, hash_of(self.BASE))}})
-        self.assertEqual(memory.whole_at(), REMEMBERED)
-        memory.heard(*self.step(10), REMEMBERED + 11)
-        self.assertEqual(memory.by_key(), {})
+        self.assertEqual(recent_ids.by_key(), {KEY: {"1": (10, hash_of(self.BASE))}})
+        self.assertEqual(recent_ids.complete_at(), REMEMBERED)
+        recent_ids.record(*self.step(10), REMEMBERED + 11)
+        self.assertEqual(recent_ids.by_key(), {})
 
     def test_a_gap_another_term_and_too_many_ids_begin_the_time_anew(self) -> None:
         for step, since in (
@@ -323,23 +327,23 @@
             ((ReplicaEntry(1, 8, EVERYTHING, 0, EVERYTHING, b""), ()), 9),
             ((ReplicaEntry(1, 3, EVERYTHING, 0, EVERYTHING, b""), ()), 0),
         ):
-            memory = RecentIds(0)
-            memory.heard(ReplicaEntry(1, 3, 5, 0, 5, b""), (), 0)
-            memory.heard(*step, 9)
-            self.assertEqual(memory.since, since)
-        with mock.patch("cedarwick.fleet.recent_ids.MOST", 2):
-            memory.heard(*self.step(3, *(Fact(number, self.BASE, MessageKnowledge()) for number in (1, 2))), 20)
-            memory.heard(*self.step(5, Fact(3, self.BASE, MessageKnowledge())), 30)
-        self.assertEqual((memory.since, list(memory.taken)), (21, [2, 3]))
+            recent_ids = RecentIds(0)
+            recent_ids.record(ReplicaEntry(1, 3, 5, 0, 5, b""), (), 0)
+            recent_ids.record(*step, 9)
+            self.assertEqual(recent_ids.since, since)
+        with mock.patch("cedarwick.fleet.recent_ids.MAX_IDS", 2):
+            recent_ids.record(*self.step(3, *(Fact(number, self.BASE, MessageKnowledge()) for number in (1, 2))), 20)
+            recent_ids.record(*self.step(5, Fact(3, self.BASE, MessageKnowledge())), 30)
+        self.assertEqual((recent_ids.since, list(recent_ids.by_number)), (21, [2, 3]))
 
     def test_an_id_whose_contents_are_not_known_goes_along_in_a_move(self) -> None:
-        stage = StageSession("m", KEY, 1, b"", 0, (RecentIdEntry("1", 0, UNKNOWN),))
+        stage = StageSession("m", KEY, 1, b"", 0, (RecentIdEntry("1", 0, UNKNOWN_HASH),))
         self.assertEqual(decode(encode(PeerMessage(VERSION, LEVEL, "g", "a", 1, "b", stage))).body, stage)
 
     def test_contents_that_are_not_told_any_more_are_those_of_no_request(self) -> None:
-        memory = RecentIds(0)
-        memory.heard(*self.step(0, Fact(1, self.BASE, MessageKnowledge(end=(EndRank.FAILED, 0)))), 1)
-        self.assertEqual(memory.by_key(), {KEY: {"1": (1, UNKNOWN)}})
+        recent_ids = RecentIds(0)
+        recent_ids.record(*self.step(0, Fact(1, self.BASE, MessageKnowledge(end=(EndRank.FAILED, 0)))), 1)
+        self.assertEqual(recent_ids.by_key(), {KEY: {"1": (1, UNKNOWN_HASH)}})
 
 
 if __name__ == "__main__":
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -26,9 +26,9 @@
 from cedarwick.fleet.replication import EVERYTHING
 from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, MessageKnowledge, base_of
 from cedarwick.fleet.session_files import SessionFiles
-from cedarwick.fleet.session_inheritance import SUCCESSORS
+from cedarwick.fleet.session_inheritance import INHERITANCE_LEVEL
 from cedarwick.fleet.session_routing import SessionRouter
-from cedarwick.fleet.session_state import InheritedSessions
+from cedarwick.fleet.session_state import InheritableSessions
 from cedarwick.fleet.sessions import REMEMBERED
 from cedarwick.fleet.transport import PeerUnreachableError
 from cedarwick.net.attempts import AttemptResult
@@ -318,7 +318,7 @@
         )
         self.assertEqual(passed, ForwardReply("", 0, True, None))
 
-    def adopted(self, level: int = SUCCESSORS) -> tuple[SessionRouter, SessionRouter, SessionRouter, int]:
+    def adopted(self, level: int = INHERITANCE_LEVEL) -> tuple[SessionRouter, SessionRouter, SessionRouter, int]:
         """The partition of a, which has taken "1" and does not answer, is held by c, whose copy was old and whole."""
         a, b, c = (self.traffic[name] for name in NAMES)
         a.hand_in(message("1"))
@@ -326,8 +326,8 @@
         partition = slot_of("a") << 12
         fact = a.store.holdings[partition].read(a.store, *a.store.messages)
         assert fact is not None
-        c.memories[partition] = RecentIds(monotonic_time() - REMEMBERED)
-        c.memories[partition].term, c.memories[partition].next = 1, 4
+        c.replica_recent_ids[partition] = RecentIds(monotonic_time() - REMEMBERED)
+        c.replica_recent_ids[partition].term, c.replica_recent_ids[partition].next = 1, 4
         c._copied(partition, Step(1, 5, EVERYTHING, 0, 0, b""), [fact])
         self.lose = lambda to, body: "ask" if to == "a" else ""
         for each in (b, c):
@@ -374,11 +374,13 @@
         self.assertEqual(c.offered(holding, [gone]), [gone])
 
     def test_nobody_inherits_from_an_older_member_nor_what_a_vote_or_a_young_copy_speaks_against(self) -> None:
-        a, b, c, partition = self.adopted(SUCCESSORS - 1)
+        a, b, c, partition = self.adopted(INHERITANCE_LEVEL - 1)
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        c.estates[partition] = estate = InheritedSessions("a", monotonic_time() + 60_000_000, {}, set())
+        c.inheritable_sessions[partition] = inheritable = InheritableSessions(
+            "a", monotonic_time() + 60_000_000, {}, set()
+        )
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        c.estates[partition] = estate._replace(whole_at=0)
+        c.inheritable_sessions[partition] = inheritable._replace(complete_at=0)
         b.transfers.vote(name_move(b.transfers.stamp, "b", "a"), (1, "a"), "taker", KEY)
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         b.transfers.acceptor.rows.clear()
