--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -83,9 +83,9 @@
     def plan(
         self, wishes: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
     ) -> list[tuple[int, str]]:
-        """The moves to begin now, as pairs of key and taker; the caller asks for the others again later.
+        """The moves to begin now, as pairs of key and target; the caller asks for the others again later.
 
-        At most `MOST_OUT` sessions are on the move from here at once, and `MOST_IN` to each taker.
+        At most `MOST_OUT` sessions are on the move from here at once, and `MOST_IN` to each target.
         """
         self.stays = {key: until for key, until in self.stays.items() if until > now}
         self.off = {key: until for key, until in self.off.items() if until > now}
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -1,4 +1,4 @@
-"""The source side (giver) of a session's migration (move).
+"""The source side of a session's migration (move).
 
 Its methods carry out the steps that `MigrationTable` returns, each in a greenlet of its own where it waits. Spans that
 are waited for are seconds; `now` is microseconds of the boot clock.
@@ -82,7 +82,7 @@
             self.act(self.moves.call_off(name, monotonic_time()))
 
     def _stage(self, name: str) -> None:
-        """Send the marked messages and the recent ids to the taker; call the move off where it refuses them."""
+        """Send the marked messages and the recent ids to the target; call the move off where it refuses them."""
         key, to = self._key(name), parts(name)[2]
         facts: list[Fact] = []
         for number in self._marked(name, GIVEN):
@@ -108,11 +108,11 @@
         if isinstance(answer, StageReply):
             now = monotonic_time()
             if not answer.stored:
-                self.counters.add("moves refused by the taker")
+                self.counters.add("moves refused by the target")
             self.act(self.moves.staged(name, now) if answer.stored else self.moves.call_off(name, now))
 
     def _forward(self, act: MigrationStep) -> None:
-        """Record the taker as the holder, and thaw the key: requests are forwarded from now on."""
+        """Record the target as the holder, and thaw the key: requests are forwarded from now on."""
         key, now = self._key(act.move), monotonic_time()
         if self._mine(act.move):
             self.directory.gone(key, act.to, self.sequences[act.move] + 1, now)
@@ -154,5 +154,5 @@
         self.counters.add("moves called off")
 
     def _over(self, name: str) -> None:
-        """Drop the messages here: the taker is active."""
+        """Drop the messages here: the target is active."""
         self.dispatcher.between(lambda: self._give_up(name, GIVEN)).get()
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -34,7 +34,7 @@
 LATE = 300_000  # microseconds before its deadline at which a message on the move is answered
 SECOND = 1_000_000  # microseconds
 SESSIONS = 10_000  # that a sender holds, at most
-GIVEN, TAKEN = "<", ">"  # how the mark of an inert message begins: at the giver, at the taker
+GIVEN, TAKEN = "<", ">"  # how the mark of an inert message begins: at the source, at the target
 WHOLE = 500_000  # microseconds in which the replicas must get a mark
 
 
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -1,21 +1,21 @@
-"""Migration of a session (a "move") from one sender, the giver, to another, the taker. No I/O, no clock.
+"""Migration of a session (a "move") from one sender, the source, to another, the target. No I/O, no clock.
 
 `SessionMigrations` drives it: it calls a method for each event and carries out the steps that are returned. Times are
 microseconds of the boot clock.
 
-Stages at the giver: held, freezing, offered, forwarding, closed. Stages at the taker: staged, granted, active, or
+Stages at the source: held, freezing, offered, forwarding, closed. Stages at the target: staged, granted, active, or
 dropped. From the first mark to the decree the session's messages are inert on both sides. The steps, and what is on the
 disk before each:
 
-1. The giver freezes: no new attempt; attempts under way are awaited for `FREEZE`, then count as may-have-run. It
+1. The source freezes: no new attempt; attempts under way are awaited for `FREEZE`, then count as may-have-run. It
    marks the facts (own folder and every successor of its partition: a successor without the mark would fire), and sends
    `Stage`.
-2. The taker stores them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks for
-   the decree with ballot 1.
-3. Decided for the taker: it goes active and tells all; the giver forwards, and its facts are over without a notice once
-   the taker has said that it is active. Decided 'off': the giver's live again, the taker's are dropped.
+2. The target stores them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks
+   for the decree with ballot 1.
+3. Decided for the target: it goes active and tells all; the source forwards, and its facts are over without a notice
+   once the target has said that it is active. Decided 'off': the source's live again, the target's are dropped.
 
-Whoever holds marked facts without knowing the decree (giver or taker after a while or a restart, the adopter of
+Whoever holds marked facts without knowing the decree (source or target after a while or a restart, the adopter of
 either partition) settles it; a decree is on a majority's disks, so what it lets happen needs no record of its own.
 The sequence of a session grows by one at each move begun, called off or taken, so that a cleared mark wins any join.
 """
@@ -23,23 +23,27 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from enum import Enum
-from typing import Literal, NamedTuple
+from typing import Final, Literal, NamedTuple
 
 from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Proposer, ProposerRequest, Value, parts
 
+# The two values of a decision, as they are sent and stored.
+FOR_TARGET: Final = "taker"
+CALLED_OFF: Final = "off"
+
 FREEZE = 100_000  # microseconds for which attempts under way are awaited
-CALL_OFF = 500_000  # microseconds after the freeze began: the giver settles what is undecided
+CALL_OFF = 500_000  # microseconds after the freeze began: the source settles what is undecided
 AGAIN = 100_000  # microseconds until a request without an answer is repeated, doubled each time up to
 AGAIN_MOST = 2_000_000  # microseconds
-FORWARDS = 60_000_000  # microseconds for which the giver forwards requests of the live connection
+FORWARDS = 60_000_000  # microseconds for which the source forwards requests of the live connection
 REMEMBERED_FOR = 60_000_000  # microseconds that a finished migration is remembered
 WAITS = 250_000  # microseconds that a client's request on a frozen session waits before it is answered -BUSY
-MOST_OUT = 20  # moves at once at a giver
-MOST_IN = 20  # staged at once at a taker
+MOST_OUT = 20  # moves at once at a source
+MOST_IN = 20  # staged at once at a target
 
 
 class SourceStage(Enum):
-    """Stages of a move at the giver."""
+    """Stages of a move at the source."""
 
     FREEZING = "freezing"
     OFFERED = "offered"
@@ -49,7 +53,7 @@
 
 
 class TargetStage(Enum):
-    """Stages of a move at the taker."""
+    """Stages of a move at the target."""
 
     STAGED = "staged"
     GRANTED = "granted"
@@ -64,14 +68,14 @@
     MARK = "mark"  # unsettled attempts become may-have-run; mark in own folder and at every successor; then `marked`
     STAGE = "stage"  # send the facts and ids to `to`
     WRITE = "write"  # store what was staged, marked, in own folder and at every successor; then `written`
-    STAGED = "staged"  # answer the giver
-    REFUSE = "refuse"  # answer the giver that it is not taken
+    STAGED = "staged"  # answer the source
+    REFUSE = "refuse"  # answer the source that it is not taken
     ASK = "ask"  # send `ask` to an acceptor (maybe the own one), pass its answer to `answered`
     TELL = "tell"  # send `MigrationDecided` to the holder of the partition of `to`; empty: to all members
-    ACTIVATE = "activate"  # clear the taker's marks, resume the messages; then `activated`
-    DROP = "drop"  # the taker's are over without a notice
-    RELEASE = "release"  # clear the giver's marks, thaw the key
-    OVER = "over"  # the giver's are over without a notice
+    ACTIVATE = "activate"  # clear the target's marks, resume the messages; then `activated`
+    DROP = "drop"  # the target's are over without a notice
+    RELEASE = "release"  # clear the source's marks, thaw the key
+    OVER = "over"  # the source's are over without a notice
     FORWARD = "forward"  # pass requests of the live connection on to `to`
     CLOSE = "close"  # stop forwarding
 
@@ -93,12 +97,12 @@
 
     name: str
     key: int
-    giving: SourceStage | None = None
-    taking: TargetStage | None = None
+    source_stage: SourceStage | None = None
+    target_stage: TargetStage | None = None
     marking: bool = False  # the marks are being written
     written: bool = False  # what was staged is stored
-    heard: bool = False  # the taker has answered `Staged`
-    confirmed: bool = False  # the taker is active
+    heard: bool = False  # the target has answered `Staged`
+    confirmed: bool = False  # the target is active
     value: Value | None = None  # the decree, once known
     proposer: Proposer | None = None
     began: int = 0
@@ -130,13 +134,14 @@
         self.by_key: dict[int, str] = {}  # the newest move of a session
         self.proposers = 0
 
-    # ---- the giver ----
+    # ---- the source ----
 
     def begin(self, name: str, key: int, now: int) -> list[MigrationStep]:
         """Start to give a session away; no steps where it is on the move already, or too many sessions are."""
         open_one = self.moves.get(self.by_key.get(key, ""))
-        giving = sum(1 for move in self.moves.values() if move.giving in (SourceStage.FREEZING, SourceStage.OFFERED))
-        if (open_one is not None and not self._finished(open_one)) or giving >= MOST_OUT or name in self.moves:
+        undecided = (SourceStage.FREEZING, SourceStage.OFFERED)
+        migrating = sum(1 for move in self.moves.values() if move.source_stage in undecided)
+        if (open_one is not None and not self._finished(open_one)) or migrating >= MOST_OUT or name in self.moves:
             return []
         self.moves[name] = Migration(name, key, SourceStage.FREEZING, began=now)
         self.by_key[key] = name
@@ -145,7 +150,7 @@
     def idle(self, name: str, now: int) -> list[MigrationStep]:
         """No attempt of the session is under way any more, or they have been awaited for long enough."""
         move = self.moves.get(name)
-        if move is None or move.giving is not SourceStage.FREEZING or move.marking:
+        if move is None or move.source_stage is not SourceStage.FREEZING or move.marking:
             return []
         move.marking = True
         return [MigrationStep(MigrationAction.MARK, name)]
@@ -153,54 +158,54 @@
     def marked(self, name: str, now: int) -> list[MigrationStep]:
         """The marks are in the own folder and at every successor of the partition."""
         move = self.moves.get(name)
-        if move is None or move.giving is not SourceStage.FREEZING:
+        if move is None or move.source_stage is not SourceStage.FREEZING:
             return []
-        move.giving = SourceStage.OFFERED
+        move.source_stage = SourceStage.OFFERED
         move.next_at = now + AGAIN
         return [MigrationStep(MigrationAction.STAGE, name, parts(name)[2])]
 
     def staged(self, name: str, now: int) -> list[MigrationStep]:
-        """The taker has stored the session. It requests the decree itself; the giver only stops repeating `Stage`."""
+        """The target has stored the session. It requests the decree itself; the source only stops repeating `Stage`."""
         move = self.moves.get(name)
         if move is not None:
             move.heard = True
         return []
 
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
-        """The giver wants the session back: the time is over, the taker refused, or staff ask for it."""
+        """The source wants the session back: the time is over, the target refused, or staff ask for it."""
         move = self.moves.get(name)
-        if move is None or move.giving not in (SourceStage.FREEZING, SourceStage.OFFERED):
+        if move is None or move.source_stage not in (SourceStage.FREEZING, SourceStage.OFFERED):
             return []
-        if move.giving is SourceStage.FREEZING:  # no taker has ever heard of it
-            return self._decided(move, "off", now)
-        # Only a decree ends the move: a `Stage` that was refused or got no answer may have arrived twice, and the taker
-        # may have stored the other one.
+        if move.source_stage is SourceStage.FREEZING:  # no target has ever heard of it
+            return self._decided(move, CALLED_OFF, now)
+        # Only a decree ends the move: a `Stage` that was refused or got no answer may have arrived twice, and the
+        # target may have stored the other one.
         return self._settle(move, now)
 
     def client_gone(self, key: int, now: int) -> list[MigrationStep]:
         """The live connection has ended."""
         move = self.moves.get(self.by_key.get(key, ""))
-        return self._close(move, now) if move is not None and move.giving is SourceStage.FORWARDING else []
+        return self._close(move, now) if move is not None and move.source_stage is SourceStage.FORWARDING else []
 
-    # ---- the taker ----
+    # ---- the target ----
 
     def stage(self, name: str, key: int, room: bool, now: int) -> list[MigrationStep]:
-        """A giver offers a session. `room`: whether the folder and the load allow for it."""
+        """A source offers a session. `room`: whether the folder and the load allow for it."""
         move = self.moves.get(name)
-        if move is not None and move.taking is not None:
+        if move is not None and move.target_stage is not None:
             return [MigrationStep(MigrationAction.STAGED, name, parts(name)[1])] if move.written else []
-        staged = sum(1 for each in self.moves.values() if each.taking is TargetStage.STAGED)
+        staged = sum(1 for each in self.moves.values() if each.target_stage is TargetStage.STAGED)
         # `may_open`: a `Stage` that arrives late or twice must not be stored again after its messages were sent or
         # dropped. The own acceptor votes once it is stored, so a move that it knows was staged or is being settled.
         if not room or staged >= MOST_IN or parts(name)[2] != self.name or not self.acceptor.may_open(name):
             return [MigrationStep(MigrationAction.REFUSE, name, parts(name)[1])]
-        self._open(name, key, now).taking = TargetStage.STAGED
+        self._open(name, key, now).target_stage = TargetStage.STAGED
         return [MigrationStep(MigrationAction.WRITE, name)]
 
     def written(self, name: str, now: int) -> list[MigrationStep]:
         """What was staged is in the own folder and at every successor of the own partition."""
         move = self.moves.get(name)
-        if move is None or move.taking is not TargetStage.STAGED or move.written:
+        if move is None or move.target_stage is not TargetStage.STAGED or move.written:
             return []
         move.written = True
         asks = self._proposer(move).as_taker(now) if move.proposer is None else []
@@ -209,10 +214,10 @@
     def activated(self, name: str, now: int) -> list[MigrationStep]:
         """The messages are live here."""
         move = self.moves.get(name)
-        if move is None or move.taking is not TargetStage.GRANTED:
+        if move is None or move.target_stage is not TargetStage.GRANTED:
             return []
-        move.taking = TargetStage.ACTIVE
-        step = MigrationStep(MigrationAction.TELL, name, value="taker", active=True)
+        move.target_stage = TargetStage.ACTIVE
+        step = MigrationStep(MigrationAction.TELL, name, value=FOR_TARGET, active=True)
         return [step, *self._confirmed(move, now)]
 
     # ---- the decree ----
@@ -229,53 +234,53 @@
         return [MigrationStep(MigrationAction.TELL, ask.move, value=value), *self._decided(move, value, now)]
 
     def settled(self, name: str, value: Value, active: bool, now: int) -> list[MigrationStep]:
-        """Take the decree from another member, also as an answer to `TELL`; `active`: the taker's side is live."""
+        """Take the decree from another member, also as an answer to `TELL`; `active`: the target's side is live."""
         move = self.moves.get(name)
         if move is None:
             return []
         acts = self._decided(move, value, now)
-        if active and value == "taker":
+        if active and value == FOR_TARGET:
             acts += self._confirmed(move, now)
         return acts
 
     def said(self, name: str) -> tuple[Value | None, bool]:
         """The answer to another member's `MigrationDecided`: the decree if known, and whether it is active here."""
         move = self.moves.get(name)
-        return (None, False) if move is None else (move.value, move.taking is TargetStage.ACTIVE)
+        return (None, False) if move is None else (move.value, move.target_stage is TargetStage.ACTIVE)
 
     # ---- restarts and partitions that change hands ----
 
-    def found(self, name: str, key: int, giving: bool, now: int) -> list[MigrationStep]:
+    def found(self, name: str, key: int, at_source: bool, now: int) -> list[MigrationStep]:
         """Marked facts were found in a partition that this member holds, after its restart or after an adoption.
 
-        For the taker's side, call it only once every successor of that partition has the facts again: it may request
+        For the target's side, call it only once every successor of that partition has the facts again: it may request
         the decree at once.
         """
         move = self._open(name, key, now)
-        if giving and move.giving is None:
-            move.giving = SourceStage.OFFERED
-        elif not giving and move.taking is None:
-            move.taking, move.written = TargetStage.STAGED, True
+        if at_source and move.source_stage is None:
+            move.source_stage = SourceStage.OFFERED
+        elif not at_source and move.target_stage is None:
+            move.target_stage, move.written = TargetStage.STAGED, True
         else:
             return []
         if move.value is not None:
             value, move.value = move.value, None
             acts = self._decided(move, value, now)
-            return acts + (self._confirmed(move, now) if move.taking is TargetStage.ACTIVE else [])
-        if not giving and parts(name)[2] == self.name and move.proposer is None:
+            return acts + (self._confirmed(move, now) if move.target_stage is TargetStage.ACTIVE else [])
+        if not at_source and parts(name)[2] == self.name and move.proposer is None:
             return self._asks(self._proposer(move).as_taker(now))
         return self._settle(move, now)
 
-    def lost(self, name: str, giving: bool) -> None:
+    def lost(self, name: str, at_source: bool) -> None:
         """The partition with this side has another holder now: forget this side."""
         move = self.moves.get(name)
         if move is None:
             return
-        if giving:
-            move.giving = None
+        if at_source:
+            move.source_stage = None
         else:
-            move.taking = None
-        if move.giving is None and move.taking is None:
+            move.target_stage = None
+        if move.source_stage is None and move.target_stage is None:
             del self.moves[name]
             if self.by_key.get(move.key) == name:
                 del self.by_key[move.key]
@@ -287,9 +292,9 @@
         move = self.moves.get(self.by_key.get(key, ""))
         if move is None:
             return "here", ""
-        if move.giving is SourceStage.FORWARDING:
+        if move.source_stage is SourceStage.FORWARDING:
             return "pass", parts(move.name)[2]
-        frozen = move.giving in (SourceStage.FREEZING, SourceStage.OFFERED) or move.taking in (
+        frozen = move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED) or move.target_stage in (
             TargetStage.STAGED,
             TargetStage.GRANTED,
         )
@@ -298,13 +303,13 @@
     def near_limit(self, name: str) -> Literal["failed", "over"] | None:
         """What to do with a marked message within 300 ms of its deadline.
 
-        'failed': the holder of the giver's partition answers that it failed, since it may have run at the taker.
-        'over': the taker has it; no answer from here. None: it is at the taker's side, and the giver answers it.
+        'failed': the holder of the source's partition answers that it failed, since it may have run at the target.
+        'over': the target has it; no answer from here. None: it is at the target's side, and the source answers it.
         """
         move = self.moves.get(name)
-        if move is None or move.giving in (None, SourceStage.CLOSED):
+        if move is None or move.source_stage in (None, SourceStage.CLOSED):
             return None
-        return "over" if move.value == "taker" else "failed"
+        return "over" if move.value == FOR_TARGET else "failed"
 
     # ---- time ----
 
@@ -320,23 +325,23 @@
                 del self.moves[move.name]
                 if self.by_key.get(move.key) == move.name:
                     del self.by_key[move.key]
-            elif move.giving is SourceStage.FORWARDING and now >= move.settled_at + FORWARDS:
+            elif move.source_stage is SourceStage.FORWARDING and now >= move.settled_at + FORWARDS:
                 acts += self._close(move, now)
-            elif move.giving is SourceStage.FORWARDING and not move.confirmed:
+            elif move.source_stage is SourceStage.FORWARDING and not move.confirmed:
                 self._again(move, now)
-                acts.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value="taker"))
+                acts.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value=FOR_TARGET))
             elif move.value is not None:
                 self._again(move, now)
                 acts.append(MigrationStep(MigrationAction.ACTIVATE, move.name))
             elif move.proposer is not None:
                 acts += self._asks(move.proposer.due(now))
-            elif move.giving is not None and now >= move.began + CALL_OFF:
+            elif move.source_stage is not None and now >= move.began + CALL_OFF:
                 acts += self.call_off(move.name, now)
-            elif move.giving is None:  # the taker could not store it, or not at every successor
+            elif move.source_stage is None:  # the target could not store it, or not at every successor
                 acts += self._settle(move, now)
-            elif move.giving is SourceStage.FREEZING:
+            elif move.source_stage is SourceStage.FREEZING:
                 acts += self.idle(move.name, now)
-            elif move.giving is SourceStage.OFFERED and not move.heard:
+            elif move.source_stage is SourceStage.OFFERED and not move.heard:
                 self._again(move, now)
                 acts.append(MigrationStep(MigrationAction.STAGE, move.name, parts(move.name)[2]))
         return acts
@@ -344,15 +349,15 @@
     def _due_at(self, move: Migration) -> int:
         if self._finished(move):
             return move.settled_at + REMEMBERED_FOR
-        if move.giving is SourceStage.FORWARDING:
+        if move.source_stage is SourceStage.FORWARDING:
             return move.settled_at + FORWARDS if move.confirmed else min(move.next_at, move.settled_at + FORWARDS)
         if move.value is not None:
             return move.next_at
         if move.proposer is not None:
             return move.proposer.next_at
-        if move.giving is SourceStage.FREEZING and not move.marking:
+        if move.source_stage is SourceStage.FREEZING and not move.marking:
             return move.began + FREEZE
-        if move.giving is SourceStage.OFFERED and not move.heard:
+        if move.source_stage is SourceStage.OFFERED and not move.heard:
             return min(move.next_at, move.began + CALL_OFF)
         return move.began + CALL_OFF
 
@@ -366,7 +371,7 @@
 
     @staticmethod
     def _finished(move: Migration) -> bool:
-        return move.giving in (None, SourceStage.CLOSED, SourceStage.HELD) and move.taking in (
+        return move.source_stage in (None, SourceStage.CLOSED, SourceStage.HELD) and move.target_stage in (
             None,
             TargetStage.ACTIVE,
             TargetStage.DROPPED,
@@ -397,31 +402,31 @@
             return []
         move.value, move.settled_at, move.next_at, move.asked = value, now, now + AGAIN, 0
         acts = []
-        if move.giving in (SourceStage.FREEZING, SourceStage.OFFERED):
-            if value == "taker":
-                move.giving = SourceStage.FORWARDING
+        if move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED):
+            if value == FOR_TARGET:
+                move.source_stage = SourceStage.FORWARDING
                 acts.append(MigrationStep(MigrationAction.FORWARD, move.name, parts(move.name)[2]))
-                if move.taking is not TargetStage.ACTIVE:
-                    acts.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value="taker"))
+                if move.target_stage is not TargetStage.ACTIVE:
+                    acts.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value=FOR_TARGET))
             else:
-                move.giving = SourceStage.HELD
+                move.source_stage = SourceStage.HELD
                 acts.append(MigrationStep(MigrationAction.RELEASE, move.name))
-        if move.taking is TargetStage.STAGED:
-            move.taking = TargetStage.GRANTED if value == "taker" else TargetStage.DROPPED
+        if move.target_stage is TargetStage.STAGED:
+            move.target_stage = TargetStage.GRANTED if value == FOR_TARGET else TargetStage.DROPPED
             acts.append(
-                MigrationStep(MigrationAction.ACTIVATE if value == "taker" else MigrationAction.DROP, move.name)
+                MigrationStep(MigrationAction.ACTIVATE if value == FOR_TARGET else MigrationAction.DROP, move.name)
             )
         return acts
 
     def _confirmed(self, move: Migration, now: int) -> list[MigrationStep]:
-        """The taker's side is live: the giver's inert messages are over."""
-        if move.giving is not SourceStage.FORWARDING or move.confirmed:
+        """The target's side is live: the source's inert messages are over."""
+        if move.source_stage is not SourceStage.FORWARDING or move.confirmed:
             return []
         move.confirmed = True
         return [MigrationStep(MigrationAction.OVER, move.name)]
 
     def _close(self, move: Migration, now: int) -> list[MigrationStep]:
-        over = self._confirmed(move, now)  # decided long ago: whoever holds the taker's partition has the messages
-        move.giving = SourceStage.CLOSED
+        over = self._confirmed(move, now)  # decided long ago: whoever holds the target's partition has the messages
+        move.source_stage = SourceStage.CLOSED
         move.settled_at = now
         return [*over, MigrationStep(MigrationAction.CLOSE, move.name)]
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -1,4 +1,4 @@
-"""The target side (taker) of a session's migration (move).
+"""The target side of a session's migration (move).
 
 Its methods carry out the steps that `MigrationTable` returns, each in a greenlet of its own where it waits. Spans that
 are waited for are seconds; `now` is microseconds of the boot clock.
@@ -27,7 +27,7 @@
     """Stages, writes, activates and drops a session that is offered here."""
 
     def _staged(self, body: StageSession, now: int) -> StageReply:
-        """Answer a giver's offer; waits up to `STAGE_IN` seconds until the messages are stored here."""
+        """Answer a source's offer; waits up to `STAGE_IN` seconds until the messages are stored here."""
         if not whole(body):
             return StageReply(body.move, False, "spoilt")
         room = self.takes() and len(self.directory.sessions) < SESSIONS
@@ -90,17 +90,17 @@
             for number in numbers:
                 self.store.mark(number, sequence, "")
             soon = self.clock.now() + LATE
-            # While the decree was not known the giver may have answered messages near their deadline: they must not be
+            # While the decree was not known the source may have answered messages near their deadline: they must not be
             # attempted here.
             late = [number for number in numbers if self.store.messages[number].deadline <= soon]
             self.dispatcher.answer_late(late)
-            # Unless the giver reported no rest, an attempt from before the move may still run, even one of a message
+            # Unless the source reported no rest, an attempt from before the move may still run, even one of a message
             # that has ended; adopting not quietly then lets all keys rest.
             quietly = offer is not None and not offer[0].rest
             if numbers or not quietly:
                 self.dispatcher.adopt([number for number in numbers if number not in late], quietly)
             # If the decree came late, another member may have inherited the session (not its messages) from a dead
-            # giver; then this member must not claim to hold it.
+            # source; then this member must not claim to hold it.
             if offer is not None and not self.directory.superseded(key, parts(name)[1], offer[0].sequence):
                 stage, at = offer  # without an offer the recent ids are unknown here; it is claimed later
                 ids = {each.id: (each.age + now - at, each.hashed) for each in stage.ids}
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -30,6 +30,8 @@
 )
 from cedarwick.fleet.migration_state import SETTLE_IN, MigrationState
 from cedarwick.fleet.migration_table import (
+    CALLED_OFF,
+    FOR_TARGET,
     MOST_OUT,
     MigrationAction,
     MigrationStep,
@@ -44,7 +46,7 @@
 
 def value_of(text: str) -> Value | None:
     """The value of a decree that a peer message carries; None where it is unknown."""
-    return "taker" if text == "taker" else "off" if text == "off" else None
+    return FOR_TARGET if text == FOR_TARGET else CALLED_OFF if text == CALLED_OFF else None
 
 
 def voted(move: str, answer: AcceptorReply) -> VoteReply:
@@ -68,7 +70,7 @@
         `value` None: the first phase (prepare); else the second one (accept). `key`: the session's; 0: not known.
         """
         now = monotonic_time()
-        if value == "taker" and self._barred(move, key, now):
+        if value == FOR_TARGET and self._barred(move, key, now):
             return ABSTENTION
         answer = (
             self.acceptor.prepare(move, ballot, now, key)
@@ -86,18 +88,18 @@
         return answer
 
     def _barred(self, move: str, key: int, now: int) -> bool:
-        """Whether a vote for the taker could give the session a second holder, beside a member that inherits it."""
-        giver = parts(move)[1]
-        known = move in self.acceptor.rows or self.node.members.state(now, giver) is MemberStatus.ALIVE
-        return self.directory.bars(key, giver, now, known)
+        """Whether a vote for the target could give the session a second holder, beside a member that inherits it."""
+        source = parts(move)[1]
+        known = move in self.acceptor.rows or self.node.members.state(now, source) is MemberStatus.ALIVE
+        return self.directory.bars(key, source, now, known)
 
-    def learned(self, giver: str, stamp: int) -> None:
-        """Note the stamp of a giver's next move, from its answer to a request of this boot.
+    def learned(self, source: str, stamp: int) -> None:
+        """Note the stamp of a source's next move, from its answer to a request of this boot.
 
-        Do not call it for a request that the giver sent by itself: that may have been written before this boot.
+        Do not call it for a request that the source sent by itself: that may have been written before this boot.
         """
-        if stamp and self.acceptor.lost and giver not in self.acceptor.floors:
-            self.acceptor.learned(giver, stamp)
+        if stamp and self.acceptor.lost and source not in self.acceptor.floors:
+            self.acceptor.learned(source, stamp)
             self._guarded(self.files.write_decrees, self.acceptor.table())
 
     def _ask(self, ask: ProposerRequest) -> None:
@@ -140,7 +142,7 @@
             self._guarded(self.files.add_decree, row)
 
     def _tell_one(self, name: str, act: MigrationStep) -> bool:
-        """Send the decree to one member; True if the taker's side is active there."""
+        """Send the decree to one member; True if the target's side is active there."""
         answer = self.call(name, MigrationDecided(act.move, act.value or "", act.active), SETTLE_IN)
         if not isinstance(answer, MigrationDecided) or (value := value_of(answer.value)) is None:
             return False
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -48,7 +48,7 @@
 
 
 class SessionMigrations(MigrationVotes, MigrationSource, MigrationTarget):
-    """The moves in which this member is giver or taker. `dispatcher` must be set before any call.
+    """The moves in which this member is source or target. `dispatcher` must be set before any call.
 
     Args:
         call: a peer message to another member and its answer within so many seconds; None where there is none.
@@ -73,8 +73,8 @@
     def under_way_here(self) -> bool:
         """Whether a move that gives a session away from here is not over yet."""
         return any(
-            move.giving in (SourceStage.FREEZING, SourceStage.OFFERED)
-            or move.giving is SourceStage.FORWARDING
+            move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED)
+            or move.source_stage is SourceStage.FORWARDING
             and not move.confirmed
             for move in self.moves.moves.values()
         )
@@ -165,10 +165,10 @@
         """Whether this member takes part in a move of this session that is undecided or not carried out yet."""
         move = self.moves.moves.get(self.moves.by_key.get(key, ""))
         return move is not None and (
-            move.giving in (SourceStage.FREEZING, SourceStage.OFFERED)
-            or move.giving is SourceStage.FORWARDING
+            move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED)
+            or move.source_stage is SourceStage.FORWARDING
             and not move.confirmed
-            or move.taking in (TargetStage.STAGED, TargetStage.GRANTED)
+            or move.target_stage in (TargetStage.STAGED, TargetStage.GRANTED)
         )
 
     def _look_at_marks(self, now: int) -> None:
@@ -179,24 +179,24 @@
         for number, (_, text) in self.store.inert.items():
             sides.setdefault(text, []).append(number)
         for text, numbers in sides.items():
-            name, giving = text[1:], text[:1] == GIVEN
+            name, at_source = text[1:], text[:1] == GIVEN
             move = self.moves.moves.get(name)
-            if move is not None and (move.giving if giving else move.taking) is not None:
+            if move is not None and (move.source_stage if at_source else move.target_stage) is not None:
                 continue
             partitions = {number >> 32 for number in numbers}
             if not all(
                 partition in self.store.holdings and self.store.holdings[partition].serving for partition in partitions
             ):
                 continue
-            if not giving and not self.store.copied(partitions)():
+            if not at_source and not self.store.copied(partitions)():
                 continue
             logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
-            self.act(self.moves.found(name, self.store.messages[numbers[0]].turn, giving, now))
+            self.act(self.moves.found(name, self.store.messages[numbers[0]].turn, at_source, now))
         for name, move in list(self.moves.moves.items()):
-            for giving, side, text in ((True, move.giving, GIVEN), (False, move.taking, TAKEN)):
+            for at_source, side, text in ((True, move.source_stage, GIVEN), (False, move.target_stage, TAKEN)):
                 open_side = side in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
                 if open_side and name not in self.sequences and text + name not in sides:
-                    self.moves.lost(name, giving)  # found earlier; its partition has another holder by now
+                    self.moves.lost(name, at_source)  # found earlier; its partition has another holder by now
         if now - self.limits_at >= LOOK_LATE:
             self.limits_at = now
             self._answer_late()
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -70,7 +70,7 @@
     """A session stays where it was."""
 
     code = "CW753"
-    remedy = "see that the taker lives, is not drained and has room, then move it again; a moved one waits 60 s"
+    remedy = "see that the target lives, is not drained and has room, then move it again; a moved one waits 60 s"
 
 
 class SessionRouter(SessionSubmissions):
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -279,20 +279,20 @@
             self._know(key, by, asking.sequence, now, False)
         return Claim(True, None)
 
-    def bars(self, key: int, giver: str, now: int, known: bool = True) -> bool:
-        """Whether a recently granted inheritance forbids this member to vote on another giver's move of the session.
+    def bars(self, key: int, source: str, now: int, known: bool = True) -> bool:
+        """Whether a recently granted inheritance forbids this member to vote on another source's move of the session.
 
-        `known`: it knew of the move before it started, or the giver is alive and so holds its partition.
+        `known`: it knew of the move before it started, or the source is alive and so holds its partition.
         """
         # What was granted before a restart is not known here.
-        if not known and self.grants_at > now and giver != self.name:
+        if not known and self.grants_at > now and source != self.name:
             return True
-        at, by, _ = self.inherited.get(key, (0, giver, ""))
+        at, by, _ = self.inherited.get(key, (0, source, ""))
         if not key:  # a member of an older level does not send the session
-            return any(of == giver and at >= now - REMEMBERED for at, _, of in self.inherited.values())
-        return by != giver and at >= now - REMEMBERED
+            return any(of == source and at >= now - REMEMBERED for at, _, of in self.inherited.values())
+        return by != source and at >= now - REMEMBERED
 
-    def superseded(self, key: int, giver: str, sequence: int) -> bool:
+    def superseded(self, key: int, source: str, sequence: int) -> bool:
         """Whether a session that is to come here has another holder since its move began, or is held here already.
 
         `sequence`: of the session, since then.
@@ -300,8 +300,8 @@
         known = self.entries.get(key)
         if known is None or known.sequence < sequence:
             return False
-        # The giver may have named this member to all others before it has learned that it is the holder.
-        return key in self.sessions if known.holder == self.name else known.holder != giver
+        # The source may have named this member to all others before it has learned that it is the holder.
+        return key in self.sessions if known.holder == self.name else known.holder != source
 
     def unsure(self) -> None:
         """Mark all held sessions: this member's partition was adopted, so each may have been inherited."""
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -24,7 +24,7 @@
 from tests.processes import rig
 
 KEY = "00000000000000a1"
-STEPS = ("Stage", "Accept", "Settled")  # peer messages: what is staged, the taker's decree, and that it is known
+STEPS = ("Stage", "Accept", "Settled")  # peer messages: what is staged, the target's decree, and that it is known
 AT_ONCE = 2  # fleets
 KEYS = 'alone = "own"\nsessions = true'
 
@@ -102,9 +102,9 @@
     return ""
 
 
-def moved(fleet: Fleet, giver: int, taker: int, key: str = KEY) -> str:
-    with contextlib.suppress(OSError):  # the giver may be killed meanwhile
-        return fleet.call(giver, f"MOVE {key} n{taker}")
+def moved(fleet: Fleet, source: int, target: int, key: str = KEY) -> str:
+    with contextlib.suppress(OSError):  # the source may be killed meanwhile
+        return fleet.call(source, f"MOVE {key} n{target}")
     return ""
 
 
@@ -145,7 +145,7 @@
 
 
 def at_step(step: str, fault: str) -> Callable[[Fleet], None]:
-    """A client goes on sending; as the peer message of a step passes between giver and taker, something fails."""
+    """A client goes on sending; as the peer message of a step passes between source and target, something fails."""
 
     def case(fleet: Fleet) -> None:
         done = gevent.event.Event()
@@ -160,9 +160,9 @@
 
         pairs = [(0, 1), (1, 0)]
         acts: dict[str, Callable[[], object]] = {
-            "giver killed": lambda: fleet.members[0].kill(),
-            "taker killed": lambda: fleet.members[1].kill(),
-            "giver stopped": lambda: fleet.members[0].stop(),
+            "source killed": lambda: fleet.members[0].kill(),
+            "target killed": lambda: fleet.members[1].kill(),
+            "source stopped": lambda: fleet.members[0].stop(),
             "link cut": lambda: fleet.cut(0, 1),
         }
         end = fleet.begin_effect(0, Effect("shut", wait=300_000))
@@ -177,7 +177,7 @@
                 fleet.relays[pair].taps.append(once(acts[fault]))
         moved(fleet, 0, 1)
         end()
-        if fault == "giver stopped":
+        if fault == "source stopped":
             gevent.sleep(4.0)  # its partition is adopted meanwhile, with the marks of the move
             fleet.members[0].go_on()
         gevent.sleep(1.0)
@@ -202,7 +202,7 @@
             self.fail("\n\n".join(bad))
 
     def test_a_failure_at_each_step(self) -> None:
-        faults = ("giver killed", "taker killed", "giver stopped", "link cut", "answer lost", "given twice")
+        faults = ("source killed", "target killed", "source stopped", "link cut", "answer lost", "given twice")
         drawn = [
             (fault, step)
             for place, fault in enumerate(faults)
@@ -214,8 +214,8 @@
     def test_a_client_that_goes_on_sending_through_moves(self) -> None:
         def case(fleet: Fleet) -> None:
             client = Client(fleet, 0)
-            for giver, taker in ((0, 1), (1, 2), (2, 0), (0, 2)):
-                answer = moved(fleet, giver, taker)
+            for source, target in ((0, 1), (1, 2), (2, 0), (0, 2)):
+                answer = moved(fleet, source, target)
                 assert answer.startswith("YES"), answer
                 gevent.sleep(0.3)
             answers = [each.answer for each in client.end()]
--- a/tests/test_fleet_inherit.py
+++ b/tests/test_fleet_inherit.py
@@ -41,15 +41,15 @@
         self.awake = True
         self.lost = False  # its partition was adopted
         self.frozen = ""  # the move that its session is frozen for
-        self.staged = ""  # the move that it is the taker of, from its own vote on
+        self.staged = ""  # the move that it is the target of, from its own vote on
         self.slept = ""  # the move that was staged when its partition was adopted
         self.inheritable_sessions: dict[
             tuple[str, int], tuple[int, list[int]]
         ] = {}  # when whole; when the id was taken
 
-    def barred(self, move: str, giver: "Member", now: int) -> bool:
+    def barred(self, move: str, source: "Member", now: int) -> bool:
         """As `MigrationVotes._barred`."""
-        return self.directory.bars(KEY, giver.name, now, move in self.acceptor.rows or giver.awake)
+        return self.directory.bars(KEY, source.name, now, move in self.acceptor.rows or source.awake)
 
 
 class Model:
@@ -131,7 +131,7 @@
                 self.moves[one.staged][4].add("active")  # it has forgotten it
             one.frozen = one.staged = ""
             one.inheritable_sessions.clear()
-            # A move that is still undecided 15 s after its giver was started again is another matter.
+            # A move that is still undecided 15 s after its source was started again is another matter.
             for name in [
                 name for name, move in self.moves.items() if move[0] == one.name and len(move[4] - {"active"}) < 2
             ]:
@@ -163,24 +163,24 @@
         )
 
     def vote(self, one: Member, two: Member) -> None:
-        """`one` gets the taker's question on one of the moves; the giver of a decided one hears of it."""
+        """`one` gets the target's question on one of the moves; the source of a decided one hears of it."""
         if not self.moves:
             return
         name = self.drawn.choice(list(self.moves)[-2:])
-        giver, taker, sequence, ids, votes = self.moves[name]
-        if not votes and (one.name != taker or self.now > self.began[name] + 4 * SECOND):
+        source, target, sequence, ids, votes = self.moves[name]
+        if not votes and (one.name != target or self.now > self.began[name] + 4 * SECOND):
             return  # it asks nobody before it has kept what was staged, and no peer message comes later than that
-        if self.members[taker].awake and not one.barred(name, self.members[giver], self.now):
-            if one.acceptor.accept(name, (1, taker), "taker", self.now, KEY).granted:
+        if self.members[target].awake and not one.barred(name, self.members[source], self.now):
+            if one.acceptor.accept(name, (1, target), "taker", self.now, KEY).granted:
                 votes.add(one.name)
-                if one.name == taker and "active" not in votes:
+                if one.name == target and "active" not in votes:
                     one.staged = name
         if len(votes) < 2:
             return
-        if one.name == taker and "active" not in votes and not one.lost:
+        if one.name == target and "active" not in votes and not one.lost:
             votes.add("active")
             directory, one.staged = one.directory, ""
-            if not directory.superseded(KEY, giver, sequence):
+            if not directory.superseded(KEY, source, sequence):
                 directory.hold(
                     KEY,
                     sequence + 1,
@@ -188,9 +188,9 @@
                     self.now,
                     one.slept != name,
                 )
-        if one.name == giver and one.frozen == name:
+        if one.name == source and one.frozen == name:
             one.frozen = ""
-            one.directory.gone(KEY, taker, sequence + 1, self.now)
+            one.directory.gone(KEY, target, sequence + 1, self.now)
 
     # ---- submissions ----
 
--- a/tests/test_fleet_migration.py
+++ b/tests/test_fleet_migration.py
@@ -94,8 +94,8 @@
         self.name, self.made, self.boots = name, made, 0
         self.acceptor = acceptor(0)
         self.moves = made(name, f"{name}#0", ("A", "B", "C"), self.acceptor, jitter)
-        self.gives: str | None = "live" if name == "A" else None  # the giver's facts: live, marked, over
-        self.takes: str | None = None  # the taker's: staged, live, dropped
+        self.gives: str | None = "live" if name == "A" else None  # the source's facts: live, marked, over
+        self.takes: str | None = None  # the target's: staged, live, dropped
         self.marked_at_successors = self.staged_at_successors = False
         self.gives_held, self.takes_held = name == "A", name == "B"  # the lease on the partition they lie in
 
@@ -120,7 +120,7 @@
 
     def fires_as_giver(self) -> bool:
         move = self.move()
-        return self.gives_held and self.gives == "live" and (move is None or move.giving not in FROZEN)
+        return self.gives_held and self.gives == "live" and (move is None or move.source_stage not in FROZEN)
 
     def fires_as_taker(self) -> bool:
         return self.takes_held and self.takes == "live"
@@ -134,15 +134,15 @@
         if self.name == "A" and self.gives == "live" and move is None and not self.boots:
             found.append(("begin",))
         if move is not None:
-            if move.giving is SourceStage.FREEZING:
+            if move.source_stage is SourceStage.FREEZING:
                 found.append(("marked",) if move.marking else ("idle",))
-            if move.giving in (SourceStage.FREEZING, SourceStage.OFFERED) and move.proposer is None:
+            if move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED) and move.proposer is None:
                 found.append(("call_off",))
-            if move.taking is TargetStage.STAGED and not move.written and self.takes_held:
+            if move.target_stage is TargetStage.STAGED and not move.written and self.takes_held:
                 found.append(("written",))
             if move.value is None and move.proposer is not None and move.proposer.highest < 3:
                 found.append(("round",))
-            if (move.giving and not self.gives_held) or (move.taking and not self.takes_held):
+            if (move.source_stage and not self.gives_held) or (move.target_stage and not self.takes_held):
                 found.append(("learn",))
         return found
 
@@ -399,9 +399,9 @@
         if not givers & {"live", "marked"} and not takers & {"staged", "live"}:
             raise UnsafeMoveError("lost")
         if decided == {"off"} and not givers & {"live", "marked"}:
-            raise UnsafeMoveError("called off, and the giver's gone")
+            raise UnsafeMoveError("called off, and the source's gone")
         if decided == {"taker"} and not takers & {"staged", "live"} or fired and decided != {"taker"}:
-            raise UnsafeMoveError("the taker's without the decree, or the decree without the taker's")
+            raise UnsafeMoveError("the target's without the decree, or the decree without the target's")
 
     def explore(self, depth: int, restarts: int, adoptions: int, every: int = 0, after: Way = ()) -> int:
         """States seen; each is judged, and one in `every` is run to its fair end. `after`: begin with these events."""
@@ -449,16 +449,16 @@
 class Hasty(MigrationTable):
     def staged(self, name: str, now: int) -> list[MigrationStep]:
         move = self.moves.get(name)
-        if move is None or move.giving is not SourceStage.OFFERED:
+        if move is None or move.source_stage is not SourceStage.OFFERED:
             return []
-        move.giving = SourceStage.FORWARDING
+        move.source_stage = SourceStage.FORWARDING
         return [MigrationStep(MigrationAction.OVER, name)]
 
 
 class Eager(MigrationTable):
     def written(self, name: str, now: int) -> list[MigrationStep]:
         acts = super().written(name, now)
-        self.moves[name].taking = TargetStage.GRANTED
+        self.moves[name].target_stage = TargetStage.GRANTED
         return [MigrationStep(MigrationAction.ACTIVATE, name), *acts]
 
 
@@ -476,7 +476,7 @@
 class Giddy(MigrationTable):
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
         move = self.moves.get(name)
-        return self._decided(move, "off", now) if move and move.giving is SourceStage.OFFERED else []
+        return self._decided(move, "off", now) if move and move.source_stage is SourceStage.OFFERED else []
 
 
 class Forgetful(Acceptor):
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -149,8 +149,8 @@
                 self.traffic[name].look(monotonic_time())
             gevent.sleep(0.005)
 
-    def move(self, giver: str, taker: str) -> str:
-        moving = gevent.spawn(self.traffic[giver].moved_by_hand, Call("MOVE", f"{KEY:x} {taker}"))
+    def move(self, source: str, target: str) -> str:
+        moving = gevent.spawn(self.traffic[source].moved_by_hand, Call("MOVE", f"{KEY:x} {target}"))
         while not moving.ready():
             self.turn(0.01)
         return str(moving.get())
@@ -276,7 +276,7 @@
         self.lose = lambda to, body: "ask" if isinstance(body, StageSession) else ""
         with mock.patch.object(migration_source, "RELEASE_AGAIN", 0.05):
             a.transfers.begin(KEY, "b", monotonic_time())
-            self.turn(0.3)  # marked, and the taker does not answer
+            self.turn(0.3)  # marked, and the target does not answer
             with mock.patch.object(a.transfers, "_save_without", side_effect=OSError("full")) as save:
                 self.turn(0.6)
                 self.assertTrue(save.called)
