--- a/cedarwick/fleet/messages/sessions.py
+++ b/cedarwick/fleet/messages/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: where they are held, their migration and its decree, claims, and forwarded submissions."""
+"""Sessions: where they are held, their migration and its decision, claims, and forwarded submissions."""
 
 from typing import Annotated
 
@@ -77,7 +77,7 @@
 
 
 class PrepareRequest(PeerBody, frozen=True, tag="Prepare"):
-    """First phase of a Paxos decree. Answered by `VoteReply`."""
+    """First phase of a Paxos decision. Answered by `VoteReply`."""
 
     move: Move
     ballot: BallotNumber
@@ -85,7 +85,7 @@
 
 
 class AcceptRequest(PeerBody, frozen=True, tag="Accept"):
-    """Second phase of a Paxos decree: accept the value. Answered by `VoteReply`."""
+    """Second phase of a Paxos decision: accept the value. Answered by `VoteReply`."""
 
     move: Move
     ballot: BallotNumber
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -70,7 +70,7 @@
                 return False
             sequence, text = self.sequences[name], GIVEN + name
             if owed:
-                self.files.write_inert(self.store.inert | {stored.number: (sequence, text) for stored in owed})
+                self.files.write_marks(self.store.inert | {stored.number: (sequence, text) for stored in owed})
             for stored in owed:
                 self.store.mark(stored.number, sequence, text)
             partitions.update(stored.number >> 32 for stored in owed)
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -29,7 +29,7 @@
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.store.files import NoSpaceError
 
-SETTLE_IN = 0.3  # seconds for the answer to a vote request or a decree
+SETTLE_IN = 0.3  # seconds for the answer to a vote request or a decision
 STAGE_IN = 0.45  # seconds for the answer to the offer of a session
 LATE = 300_000  # microseconds before its deadline at which a message on the move is answered
 SECOND = 1_000_000  # microseconds
@@ -38,7 +38,7 @@
 WHOLE = 500_000  # microseconds in which the replicas must get a mark
 
 
-class DecreesNotSavedError(CedarwickError):
+class VotesNotSavedError(CedarwickError):
     """This member's votes on moves cannot be written, and it gives none; moves are settled by the others."""
 
     code = "CW756"
@@ -66,12 +66,12 @@
         self.files = SessionFiles(node.lasting)
         self.counters = node.counters
         self.clock = node.clock
-        table = self.files.decrees()
+        table = self.files.read_acceptor_table()
         self.acceptor = Acceptor(monotonic_time(), table is None, table)
         self.unwritten: set[str] = set()  # moves with a vote of this member that is not on the disk
         self.stamp = node.incarnation  # of the next move
         self.acceptor.learned(self.name, self.stamp)
-        self.files.write_decrees(self.acceptor.table())
+        self.files.write_acceptor_table(self.acceptor.table())
         chance = random.Random(node.incarnation)
         self.moves = MigrationTable(
             self.name,
@@ -81,16 +81,17 @@
             lambda failed: chance.randint(0, 50_000 << min(failed, 5)),
         )
         self.planner = MigrationPlanner(node.halls[self.name])
-        marks = self.files.inert()
+        marks = self.files.read_marks()
         self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.messages}
-        self.store.marking = self.files.write_inert
+        self.store.marking = self.files.write_marks
         self.dispatcher: Dispatcher
         self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
         self.slept: set[str] = set()  # of these, staged in a partition that was adopted since
         self.sequences: dict[str, int] = {}  # by move: the sequence of its session since the move began
         self.answers: dict[str, gevent.event.AsyncResult] = {}  # by move: whether it was staged
         self.under_way: set[tuple[str, MigrationAction]] = set()
-        self.strays: dict[str, Proposer] = {}  # undecided moves that this member voted on and takes no part in
+        # Of undecided moves that this member voted on and takes no part in:
+        self.orphaned_proposers: dict[str, Proposer] = {}
         self.limits_at = 0
 
     @abstractmethod
@@ -102,7 +103,7 @@
         try:
             write(*arguments)
         except OSError as error:
-            self.counters.warning("votes on moves cannot be written", DecreesNotSavedError(str(error)))
+            self.counters.warning("votes on moves cannot be written", VotesNotSavedError(str(error)))
             return False
         return True
 
@@ -131,7 +132,7 @@
         """Write the file of inert messages without some of them; OSError where that fails."""
         gone = set(numbers)
         if gone:
-            self.files.write_inert({number: mark for number, mark in self.store.inert.items() if number not in gone})
+            self.files.write_marks({number: mark for number, mark in self.store.inert.items() if number not in gone})
 
     def _copied(self, partitions: set[int]) -> bool:
         """Whether every successor has all records of these partitions within `WHOLE` microseconds; waits for it."""
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -4,19 +4,19 @@
 microseconds of the boot clock.
 
 Stages at the source: held, freezing, offered, forwarding, closed. Stages at the target: staged, granted, active, or
-dropped. From the first mark to the decree the session's messages are inert on both sides. The steps, and what is on the
-disk before each:
+dropped. From the first mark to the decision the session's messages are inert on both sides. The steps, and what is on
+the disk before each:
 
 1. The source freezes: no new attempt; attempts under way are awaited for `FREEZE`, then count as may-have-run. It
    marks the facts (own folder and every successor of its partition: a successor without the mark would fire), and sends
    `Stage`.
 2. The target stores them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks
-   for the decree with ballot 1.
+   for the decision with ballot 1.
 3. Decided for the target: it goes active and tells all; the source forwards, and its facts are over without a notice
    once the target has said that it is active. Decided 'off': the source's live again, the target's are dropped.
 
-Whoever holds marked facts without knowing the decree (source or target after a while or a restart, the adopter of
-either partition) settles it; a decree is on a majority's disks, so what it lets happen needs no record of its own.
+Whoever holds marked facts without knowing the decision (source or target after a while or a restart, the adopter of
+either partition) settles it; a decision is on a majority's disks, so what it lets happen needs no record of its own.
 The sequence of a session grows by one at each move begun, called off or taken, so that a cleared mark wins any join.
 """
 
@@ -103,7 +103,7 @@
     written: bool = False  # what was staged is stored
     heard: bool = False  # the target has answered `Staged`
     confirmed: bool = False  # the target is active
-    value: Value | None = None  # the decree, once known
+    value: Value | None = None  # the decision, once known
     proposer: Proposer | None = None
     began: int = 0
     settled_at: int = 0
@@ -165,7 +165,7 @@
         return [MigrationStep(MigrationAction.STAGE, name, parts(name)[2])]
 
     def staged(self, name: str, now: int) -> list[MigrationStep]:
-        """The target has stored the session. It requests the decree itself; the source only stops repeating `Stage`."""
+        """The target has stored the session and requests the decision itself; the source stops repeating `Stage`."""
         move = self.moves.get(name)
         if move is not None:
             move.heard = True
@@ -178,7 +178,7 @@
             return []
         if move.source_stage is SourceStage.FREEZING:  # no target has ever heard of it
             return self._decided(move, CALLED_OFF, now)
-        # Only a decree ends the move: a `Stage` that was refused or got no answer may have arrived twice, and the
+        # Only a decision ends the move: a `Stage` that was refused or got no answer may have arrived twice, and the
         # target may have stored the other one.
         return self._settle(move, now)
 
@@ -220,7 +220,7 @@
         step = MigrationStep(MigrationAction.TELL, name, value=FOR_TARGET, active=True)
         return [step, *self._confirmed(move, now)]
 
-    # ---- the decree ----
+    # ---- the decision ----
 
     def answered(self, ask: ProposerRequest, answer: AcceptorReply, now: int) -> list[MigrationStep]:
         """Take an acceptor's answer to a vote request."""
@@ -234,7 +234,7 @@
         return [MigrationStep(MigrationAction.TELL, ask.move, value=value), *self._decided(move, value, now)]
 
     def settled(self, name: str, value: Value, active: bool, now: int) -> list[MigrationStep]:
-        """Take the decree from another member, also as an answer to `TELL`; `active`: the target's side is live."""
+        """Take the decision from another member, also as an answer to `TELL`; `active`: the target's side is live."""
         move = self.moves.get(name)
         if move is None:
             return []
@@ -244,7 +244,7 @@
         return acts
 
     def said(self, name: str) -> tuple[Value | None, bool]:
-        """The answer to another member's `MigrationDecided`: the decree if known, and whether it is active here."""
+        """The answer to another member's `MigrationDecided`: the decision if known, and whether it is active here."""
         move = self.moves.get(name)
         return (None, False) if move is None else (move.value, move.target_stage is TargetStage.ACTIVE)
 
@@ -254,7 +254,7 @@
         """Marked facts were found in a partition that this member holds, after its restart or after an adoption.
 
         For the target's side, call it only once every successor of that partition has the facts again: it may request
-        the decree at once.
+        the decision at once.
         """
         move = self._open(name, key, now)
         if at_source and move.source_stage is None:
@@ -397,7 +397,7 @@
         return self._asks(self._proposer(move).settle(now)) if move.proposer is None else []
 
     def _decided(self, move: Migration, value: Value, now: int) -> list[MigrationStep]:
-        """Note the decree and return the steps of each side, once."""
+        """Note the decision and return the steps of each side, once."""
         if move.value is not None:
             return []
         move.value, move.settled_at, move.next_at, move.asked = value, now, now + AGAIN, 0
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -63,7 +63,7 @@
                     return False
             if made:
                 mark = stage.sequence, TAKEN + name
-                self.files.write_inert(self.store.inert | {stored.number: mark for stored in made})
+                self.files.write_marks(self.store.inert | {stored.number: mark for stored in made})
             for stored in made:
                 self.store.next_number += 1
                 self.store.stage(stored, stage.sequence, TAKEN + name)
@@ -90,8 +90,8 @@
             for number in numbers:
                 self.store.mark(number, sequence, "")
             soon = self.clock.now() + LATE
-            # While the decree was not known the source may have answered messages near their deadline: they must not be
-            # attempted here.
+            # While the decision was not known the source may have answered messages near their deadline: they must not
+            # be attempted here.
             late = [number for number in numbers if self.store.messages[number].deadline <= soon]
             self.dispatcher.answer_late(late)
             # Unless the source reported no rest, an attempt from before the move may still run, even one of a message
@@ -99,7 +99,7 @@
             quietly = offer is not None and not offer[0].rest
             if numbers or not quietly:
                 self.dispatcher.adopt([number for number in numbers if number not in late], quietly)
-            # If the decree came late, another member may have inherited the session (not its messages) from a dead
+            # If the decision came late, another member may have inherited the session (not its messages) from a dead
             # source; then this member must not claim to hold it.
             if offer is not None and not self.directory.superseded(key, parts(name)[1], offer[0].sequence):
                 stage, at = offer  # without an offer the recent ids are unknown here; it is claimed later
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -1,4 +1,4 @@
-"""Decisions (decrees) on moves by Paxos: this member's votes, and its vote requests to the others.
+"""Decisions on moves by Paxos: this member's votes, and its vote requests to the others.
 
 The protocol itself is in `consensus.py`; here it is connected to the disk and to the other members. `now` is
 microseconds of the boot clock.
@@ -45,7 +45,7 @@
 
 
 def value_of(text: str) -> Value | None:
-    """The value of a decree that a peer message carries; None where it is unknown."""
+    """The value of a decision that a peer message carries; None where it is unknown."""
     return FOR_TARGET if text == FOR_TARGET else CALLED_OFF if text == CALLED_OFF else None
 
 
@@ -82,7 +82,7 @@
             # Until the row is on the disk it stays in `unwritten`: the same request repeated changes no row, and would
             # otherwise be granted with nothing written.
             self.unwritten.add(move)
-            if not self._guarded(self.files.add_decree, row):
+            if not self._guarded(self.files.append_vote, row):
                 return ABSTENTION
             self.unwritten.discard(move)
         return answer
@@ -100,7 +100,7 @@
         """
         if stamp and self.acceptor.lost and source not in self.acceptor.floors:
             self.acceptor.learned(source, stamp)
-            self._guarded(self.files.write_decrees, self.acceptor.table())
+            self._guarded(self.files.write_acceptor_table, self.acceptor.table())
 
     def _ask(self, ask: ProposerRequest) -> None:
         """Send a vote request to another member and take its answer, waiting `SETTLE_IN` seconds at most."""
@@ -118,14 +118,14 @@
                 value,
                 reply.decided and value is not None,
             )
-            stray, now = self.strays.get(ask.move), monotonic_time()
-            if stray is not None:
-                self._ask_for_stray(stray.answered(ask.to, ask.ballot, ask.value, answer, now), now)
-                self._see_stray(stray)
+            orphan, now = self.orphaned_proposers.get(ask.move), monotonic_time()
+            if orphan is not None:
+                self._request_orphan_votes(orphan.answered(ask.to, ask.ballot, ask.value, answer, now), now)
+                self._announce_orphan_decision(orphan)
             self.act(self.moves.answered(ask, answer, now))
 
     def _tell(self, act: MigrationStep) -> None:
-        """Send the decree to one member, or to all, and record it here.
+        """Send the decision to one member, or to all, and record it here.
 
         Where that one has no active side of the move, its partition may have another holder: then send it to all.
         """
@@ -139,43 +139,44 @@
                 gevent.spawn(self._tell_one, name, act)
         row = self.acceptor.settled(act.move, act.value, monotonic_time())
         if row is not None:
-            self._guarded(self.files.add_decree, row)
+            self._guarded(self.files.append_vote, row)
 
     def _tell_one(self, name: str, act: MigrationStep) -> bool:
-        """Send the decree to one member; True if the target's side is active there."""
+        """Send the decision to one member; True if the target's side is active there."""
         answer = self.call(name, MigrationDecided(act.move, act.value or "", act.active), SETTLE_IN)
         if not isinstance(answer, MigrationDecided) or (value := value_of(answer.value)) is None:
             return False
         self.act(self.moves.settled(act.move, value, answer.active, monotonic_time()))
         return answer.active
 
-    def _settle_strays(self, now: int) -> None:
+    def _settle_orphaned_moves(self, now: int) -> None:
         """Settle old undecided moves that this member has voted on: both sides may have lost their part."""
         for name in self.acceptor.stale(now):
-            if name not in self.moves.moves and name not in self.strays and len(self.strays) < MOST_OUT:
+            known = name in self.moves.moves or name in self.orphaned_proposers
+            if not known and len(self.orphaned_proposers) < MOST_OUT:
                 # Each proposer of this boot needs ballots of its own, hence a mark that no other one has.
                 self.moves.proposers += 1
                 mark = f"{self.moves.mark}.{self.moves.proposers}"
-                self.strays[name] = Proposer(name, mark, self.moves.voters, self.moves.wait)
-                self._ask_for_stray(self.strays[name].settle(now), now)
-        for stray in list(self.strays.values()):
-            self._ask_for_stray(stray.due(now), now)
+                self.orphaned_proposers[name] = Proposer(name, mark, self.moves.voters, self.moves.wait)
+                self._request_orphan_votes(self.orphaned_proposers[name].settle(now), now)
+        for orphan in list(self.orphaned_proposers.values()):
+            self._request_orphan_votes(orphan.due(now), now)
 
-    def _ask_for_stray(self, asks: Iterable[ProposerRequest], now: int) -> None:
+    def _request_orphan_votes(self, asks: Iterable[ProposerRequest], now: int) -> None:
         """Put vote requests to this member's own acceptor at once, and to the others in greenlets of their own."""
         todo = deque(asks)
         while todo:
             ask = todo.popleft()
-            stray = self.strays.get(ask.move)
-            if stray is not None and ask.to == self.name:
+            orphan = self.orphaned_proposers.get(ask.move)
+            if orphan is not None and ask.to == self.name:
                 answer = self.vote(ask.move, ask.ballot, ask.value, self._key(ask.move))
-                todo.extend(stray.answered(ask.to, ask.ballot, ask.value, answer, now))
-                self._see_stray(stray)
-            elif stray is not None:
+                todo.extend(orphan.answered(ask.to, ask.ballot, ask.value, answer, now))
+                self._announce_orphan_decision(orphan)
+            elif orphan is not None:
                 gevent.spawn(self._ask, ask)
 
-    def _see_stray(self, stray: Proposer) -> None:
-        """Send the decree to all once it is known."""
-        if stray.decided is not None and self.strays.pop(stray.move, None) is not None:
+    def _announce_orphan_decision(self, orphan: Proposer) -> None:
+        """Send the decision to all once it is known."""
+        if orphan.decided is not None and self.orphaned_proposers.pop(orphan.move, None) is not None:
             self.counters.add("moves settled that nobody held any more")
-            gevent.spawn(self._tell, MigrationStep(MigrationAction.TELL, stray.move, value=stray.decided))
+            gevent.spawn(self._tell, MigrationStep(MigrationAction.TELL, orphan.move, value=orphan.decided))
--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -8,18 +8,17 @@
 import msgspec
 from loguru import logger
 
-from cedarwick.fleet.consensus import AcceptorTable as Decrees
-from cedarwick.fleet.consensus import InstanceState
+from cedarwick.fleet.consensus import AcceptorTable, InstanceState
 from cedarwick.fleet.fleet_files import ENCODER, CorruptFleetFileError, FleetFiles
 from cedarwick.store.records import DamagedRange, scan
 
-INERT = "moves"
-DECREES = "decrees"
-SESSIONS = "sessions"
+MARKS_NAME = "moves"
+VOTES_NAME = "decrees"
+SESSIONS_NAME = "sessions"
 
-INERT_FILE: msgspec.msgpack.Decoder[dict[int, tuple[int, str]]] = msgspec.msgpack.Decoder(dict[int, tuple[int, str]])
-DECREES_FILE: msgspec.msgpack.Decoder[Decrees] = msgspec.msgpack.Decoder(Decrees)
-ROW: msgspec.msgpack.Decoder[InstanceState] = msgspec.msgpack.Decoder(InstanceState)
+MARKS_DECODER: msgspec.msgpack.Decoder[dict[int, tuple[int, str]]] = msgspec.msgpack.Decoder(dict[int, tuple[int, str]])
+VOTES_DECODER: msgspec.msgpack.Decoder[AcceptorTable] = msgspec.msgpack.Decoder(AcceptorTable)
+ROW_DECODER: msgspec.msgpack.Decoder[InstanceState] = msgspec.msgpack.Decoder(InstanceState)
 
 
 class HeldSession(msgspec.Struct, array_like=True, frozen=True):
@@ -30,7 +29,7 @@
     ids: dict[str, tuple[int, int]]  # recent ones: age in microseconds, hash of contents
 
 
-class Sessions(msgspec.Struct, array_like=True, frozen=True):
+class HeldSessions(msgspec.Struct, array_like=True, frozen=True):
     """All sessions held at the end of a process, with the wall time in microseconds at which they were written."""
 
     at: int
@@ -38,7 +37,7 @@
     partition: int = 0  # in which they were taken; 0: written by an older version, not inherited
 
 
-SESSIONS_FILE: msgspec.msgpack.Decoder[Sessions] = msgspec.msgpack.Decoder(Sessions)
+SESSIONS_DECODER: msgspec.msgpack.Decoder[HeldSessions] = msgspec.msgpack.Decoder(HeldSessions)
 
 
 class SessionFiles:
@@ -47,39 +46,39 @@
     def __init__(self, lasting: FleetFiles) -> None:
         self.lasting = lasting
 
-    def inert(self) -> dict[int, tuple[int, str]]:
+    def read_marks(self) -> dict[int, tuple[int, str]]:
         """Messages on the move by number: the sequence of their session, and the text of their mark."""
-        data = self.lasting.read(INERT)
+        data = self.lasting.read(MARKS_NAME)
         try:
-            return INERT_FILE.decode(data) if data is not None else {}
+            return MARKS_DECODER.decode(data) if data is not None else {}
         except msgspec.MsgspecError as error:
-            logger.error(CorruptFleetFileError(f"{self.lasting.path}/{INERT}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.lasting.path}/{MARKS_NAME}: {error}").line)
             return {}
 
-    def write_inert(self, inert: dict[int, tuple[int, str]]) -> None:
+    def write_marks(self, marks: dict[int, tuple[int, str]]) -> None:
         """Replace the marks of messages on the move."""
-        self.lasting.write(INERT, ENCODER.encode(inert))
+        self.lasting.write(MARKS_NAME, ENCODER.encode(marks))
 
-    def take_sessions(self) -> Sessions | None:
+    def read_and_delete_sessions(self) -> HeldSessions | None:
         """The sessions of the process that this one replaces; the file is deleted, so that nobody takes them twice."""
-        data = self.lasting.read(SESSIONS)
+        data = self.lasting.read(SESSIONS_NAME)
         try:
-            os.unlink(os.path.join(self.lasting.path, SESSIONS))
+            os.unlink(os.path.join(self.lasting.path, SESSIONS_NAME))
         except FileNotFoundError:
             return None
         try:
-            return SESSIONS_FILE.decode(data) if data is not None else None
+            return SESSIONS_DECODER.decode(data) if data is not None else None
         except msgspec.MsgspecError as error:
-            logger.error(CorruptFleetFileError(f"{self.lasting.path}/{SESSIONS}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.lasting.path}/{SESSIONS_NAME}: {error}").line)
             return None
 
-    def write_sessions(self, sessions: Sessions) -> None:
+    def write_sessions(self, sessions: HeldSessions) -> None:
         """Write the held sessions for the process that replaces this one."""
-        self.lasting.write(SESSIONS, ENCODER.encode(sessions))
+        self.lasting.write(SESSIONS_NAME, ENCODER.encode(sessions))
 
-    def decrees(self) -> Decrees | None:
+    def read_acceptor_table(self) -> AcceptorTable | None:
         """What this member has promised and accepted; None if the file is lost or damaged, or at the first start."""
-        path = os.path.join(self.lasting.path, DECREES)
+        path = os.path.join(self.lasting.path, VOTES_NAME)
         try:
             with open(path, "rb") as file:
                 data = file.read()
@@ -92,18 +91,18 @@
                     # The lost row may be a promise that was answered, so the whole table is unusable.
                     raise msgspec.DecodeError(f"damage at {found.at}")
                 payloads.append(found.payload)
-            table = DECREES_FILE.decode(payloads[0])
-            rows = {row.move: row for row in [*table.rows, *map(ROW.decode, payloads[1:])]}
-            return Decrees(list(rows.values()), table.floors)
+            table = VOTES_DECODER.decode(payloads[0])
+            rows = {row.move: row for row in [*table.rows, *map(ROW_DECODER.decode, payloads[1:])]}
+            return AcceptorTable(list(rows.values()), table.floors)
         except (msgspec.MsgspecError, IndexError) as error:
             logger.error(CorruptFleetFileError(f"{path}: {error}").line)
             return None
 
-    def write_decrees(self, table: Decrees) -> None:
+    def write_acceptor_table(self, table: AcceptorTable) -> None:
         """Replace the table of promises and accepted values."""
         rows = (ENCODER.encode(row) for row in table.rows)
-        self.lasting.replace(DECREES, [ENCODER.encode(Decrees([], table.floors)), *rows])
+        self.lasting.replace(VOTES_NAME, [ENCODER.encode(AcceptorTable([], table.floors)), *rows])
 
-    def add_decree(self, row: InstanceState) -> None:
+    def append_vote(self, row: InstanceState) -> None:
         """Append one row to the table that was written at the start."""
-        self.lasting.append(DECREES, ENCODER.encode(row))
+        self.lasting.append(VOTES_NAME, ENCODER.encode(row))
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -64,8 +64,8 @@
     def forget(self, now: int) -> None:
         """Drop what is old; about once a second."""
         if self.acceptor.prune(now):
-            self._guarded(self.files.write_decrees, self.acceptor.table())
-        self._settle_strays(now)
+            self._guarded(self.files.write_acceptor_table, self.acceptor.table())
+        self._settle_orphaned_moves(now)
         for stored in (self.offers, self.sequences, self.answers):
             for name in [name for name in stored if name not in self.moves.moves]:
                 del stored[name]
@@ -108,12 +108,12 @@
             return voted(body.move, self.vote(body.move, ballot_of(body.ballot), None, body.key))
         value = value_of(body.value)
         if value is None:
-            raise InvalidMoveNameError(f"no value of a decree: {body.value!r}")
+            raise InvalidMoveNameError(f"no value of a decision: {body.value!r}")
         if isinstance(body, AcceptRequest):
             return voted(body.move, self.vote(body.move, ballot_of(body.ballot), value, body.key))
         row = self.acceptor.settled(body.move, value, now)
         if row is not None:
-            self._guarded(self.files.add_decree, row)
+            self._guarded(self.files.append_vote, row)
         self.act(self.moves.settled(body.move, value, body.active, now))
         known, active = self.moves.said(body.move)
         return MigrationDecided(body.move, known or "", active)
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -31,7 +31,7 @@
 from cedarwick.fleet.migration_state import SECOND, SESSIONS
 from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.session_files import HeldSession, Sessions
+from cedarwick.fleet.session_files import HeldSession, HeldSessions
 from cedarwick.fleet.session_submissions import SessionSubmissions
 from cedarwick.fleet.session_wire import entry_of, location_of
 from cedarwick.fleet.sessions import (
@@ -101,7 +101,7 @@
 
     def take_up(self) -> None:
         """Go on with the sessions of the process that this one replaces, if it ended a moment ago."""
-        left, now = self.transfers.files.take_sessions(), monotonic_time()
+        left, now = self.transfers.files.read_and_delete_sessions(), monotonic_time()
         age = time.time_ns() // 1000 - left.at if left is not None else 0
         # An older file, or one from the future, may name sessions that others hold by now.
         if left is not None and 0 <= age < HANDED_OVER:
@@ -120,7 +120,7 @@
             for key, session in self.directory.sessions.items()
             if session.sure and session.used >= now - LAPSES and self._standing(key)[0] == "here"
         ]
-        self.transfers.files.write_sessions(Sessions(time.time_ns() // 1000, held, self.partition))
+        self.transfers.files.write_sessions(HeldSessions(time.time_ns() // 1000, held, self.partition))
         self.directory.sessions.clear()
 
     def leave(self) -> None:
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -24,7 +24,7 @@
 from tests.processes import rig
 
 KEY = "00000000000000a1"
-STEPS = ("Stage", "Accept", "Settled")  # peer messages: what is staged, the target's decree, and that it is known
+STEPS = ("Stage", "Accept", "Settled")  # peer messages: what is staged, the target's decision, and that it is known
 AT_ONCE = 2  # fleets
 KEYS = 'alone = "own"\nsessions = true'
 
--- a/tests/test_fleet_consensus.py
+++ b/tests/test_fleet_consensus.py
@@ -1,4 +1,4 @@
-"""Decrees: decided once, whatever is lost, doubled or forgotten."""
+"""Decisions: decided once, whatever is lost, doubled or forgotten."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 TAKERS = (1, "B")
 
 
-class Decrees(unittest.TestCase):
+class Decisions(unittest.TestCase):
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(
         st.lists(
--- a/tests/test_fleet_migration.py
+++ b/tests/test_fleet_migration.py
@@ -401,7 +401,7 @@
         if decided == {"off"} and not givers & {"live", "marked"}:
             raise UnsafeMoveError("called off, and the source's gone")
         if decided == {"taker"} and not takers & {"staged", "live"} or fired and decided != {"taker"}:
-            raise UnsafeMoveError("the target's without the decree, or the decree without the target's")
+            raise UnsafeMoveError("the target's without the decision, or the decision without the target's")
 
     def explore(self, depth: int, restarts: int, adoptions: int, every: int = 0, after: Way = ()) -> int:
         """States seen; each is judged, and one in `every` is run to its fair end. `after`: begin with these events."""
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -41,7 +41,7 @@
     MessageKnowledge,
     decode_facts,
 )
-from cedarwick.fleet.session_files import HeldSession, SessionFiles, Sessions
+from cedarwick.fleet.session_files import HeldSession, HeldSessions, SessionFiles
 from cedarwick.fleet.suspensions import SavedMarks
 from cedarwick.ops import saved_state
 from cedarwick.store import tools
@@ -224,9 +224,9 @@
 
     def test_small_files_of_sessions(self) -> None:
         files = SessionFiles(FleetFiles(self.state))
-        self.assertEqual(files.inert(), {12: (34, f"{NOW}/member-a/member-b"), 13: (0, "")})
+        self.assertEqual(files.read_marks(), {12: (34, f"{NOW}/member-a/member-b"), 13: (0, "")})
         self.assertEqual(
-            files.decrees(),
+            files.read_acceptor_table(),
             AcceptorTable(
                 [
                     InstanceState(MOVE, (2, "member-c#1"), (2, "member-c#1"), "off", True, 70, 111),
@@ -236,8 +236,8 @@
             ),
         )
         held = [HeldSession(111, 2, {"id-1": (500, 9001), "id-2": (600, 9002)}), HeldSession(222, 3, {})]
-        self.assertEqual(files.take_sessions(), Sessions(NOW + 4, held, 6))
-        self.assertIsNone(files.take_sessions())
+        self.assertEqual(files.read_and_delete_sessions(), HeldSessions(NOW + 4, held, 6))
+        self.assertIsNone(files.read_and_delete_sessions())
 
     def test_the_replica_of_another_member(self) -> None:
         replicas = ReplicaStore(ReplicaFolder(FleetFiles(self.state).copies), 1 << 20, now=lambda: NOW)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -166,7 +166,7 @@
         )
         self.assertEqual(len(b.dispatcher.adopted), 2)  # type: ignore[attr-defined]
         self.assertEqual([each.store.inert for each in (a, b)], [{}, {}])
-        self.assertEqual([each.transfers.files.inert() for each in (a, b)], [{}, {}])
+        self.assertEqual([each.transfers.files.read_marks() for each in (a, b)], [{}, {}])
         for who in (a, c):  # the connection that stayed, and a client that comes elsewhere
             self.assertEqual(who.hand_in(message("1"))[0], AdmissionResult.KEPT)
             self.assertEqual(who.hand_in(message("2", b"other"))[0], AdmissionResult.REPEATED)
@@ -186,7 +186,7 @@
         with mock.patch.object(a.store, "over", full):
             self.move("a", "b")
             self.turn()
-        self.assertEqual((a.store.messages, a.store.inert, a.transfers.files.inert()), ({}, {}, {}))
+        self.assertEqual((a.store.messages, a.store.inert, a.transfers.files.read_marks()), ({}, {}, {}))
         self.assertEqual(len(b.store.messages), 2)
 
     def test_an_answer_that_is_lost_is_asked_for_again_and_never_made_up(self) -> None:
@@ -259,7 +259,7 @@
             [again.hand_in(message(id))[0] for id in ("1", "2")], [AdmissionResult.KEPT, AdmissionResult.KEPT]
         )
         self.assertEqual(dispatcher.submitted, 1)
-        self.assertIsNone(again.transfers.files.take_sessions())
+        self.assertIsNone(again.transfers.files.read_and_delete_sessions())
 
     def test_a_stage_that_comes_spoilt_or_late_is_not_kept(self) -> None:
         b = self.traffic["b"]
@@ -286,12 +286,12 @@
 
     def test_a_vote_that_was_not_written_is_not_granted_when_it_is_asked_again(self) -> None:
         made, move = self.traffic["b"].transfers, name_move(self.traffic["a"].transfers.stamp, "a", "b")
-        with mock.patch.object(made.files, "add_decree", side_effect=OSError("full")):
+        with mock.patch.object(made.files, "append_vote", side_effect=OSError("full")):
             asked = [made.vote(move, (2, "c#1"), None, KEY).granted for _ in range(2)]
             asked += [made.vote(move, (2, "c#1"), "off", KEY).granted for _ in range(2)]
         self.assertEqual(asked, [False] * 4)
         self.assertTrue(made.vote(move, (2, "c#1"), "off", KEY).granted)
-        table = made.files.decrees()
+        table = made.files.read_acceptor_table()
         assert table is not None
         self.assertEqual([(row.move, row.value) for row in table.rows], [(move, "off")])
 
@@ -412,47 +412,47 @@
             gevent.sleep(0.05)
             rows = [each.transfers.acceptor.rows[move] for each in (b, c)]
             self.assertEqual([(row.decided, row.value, row.key) for row in rows], [(True, "taker", KEY)] * 2)
-            self.assertEqual(b.transfers.strays, {})
+            self.assertEqual(b.transfers.orphaned_proposers, {})
             move = name_move(a.transfers.stamp + 1, "a", "b")
 
 
-class Decrees(unittest.TestCase):
+class StoredVotes(unittest.TestCase):
     def test_votes_outlive_a_restart_and_damage_makes_the_acceptor_abstain(self) -> None:
         folder = self.enterContext(tempfile.TemporaryDirectory())
         lasting, move = SessionFiles(FleetFiles(folder)), name_move(5, "a", "b")
         voter = Acceptor(0, True)
         voter.learned("a", 5)
-        lasting.write_decrees(voter.table())
+        lasting.write_acceptor_table(voter.table())
         answer = voter.prepare(move, (3, "c#1"), 0)
         assert answer.write is not None
-        lasting.add_decree(answer.write)
-        again = Acceptor(0, False, SessionFiles(FleetFiles(folder)).decrees())
+        lasting.append_vote(answer.write)
+        again = Acceptor(0, False, SessionFiles(FleetFiles(folder)).read_acceptor_table())
         self.assertFalse(again.accept(move, (1, "b"), "taker", 0).granted)
         path = f"{lasting.lasting.path}/decrees"
         with open(path, "r+b") as file:
             file.seek(-3, 2)
             file.write(b"\0")
-        self.assertIsNone(SessionFiles(FleetFiles(folder)).decrees())
+        self.assertIsNone(SessionFiles(FleetFiles(folder)).read_acceptor_table())
 
     def test_files_longer_than_a_record_are_read_again(self) -> None:
         files = SessionFiles(FleetFiles(self.enterContext(tempfile.TemporaryDirectory())))
         marks = {number: (1, "<1790000000000000/n0/n1") for number in range(40_000)}  # as many as 20 long sessions have
-        files.write_inert(marks)
-        self.assertEqual(files.inert(), marks)
+        files.write_marks(marks)
+        self.assertEqual(files.read_marks(), marks)
         rows = [
             InstanceState(f"{stamp}/n0/n1", (2, "n0#1790000000000000"), (1, "n1"), "taker", True)
             for stamp in range(20_000)
         ]
-        files.write_decrees(AcceptorTable(rows, {"n0": 7}))
-        files.add_decree(InstanceState("20001/n0/n1"))
-        self.assertEqual(files.decrees(), AcceptorTable([*rows, InstanceState("20001/n0/n1")], {"n0": 7}))
+        files.write_acceptor_table(AcceptorTable(rows, {"n0": 7}))
+        files.append_vote(InstanceState("20001/n0/n1"))
+        self.assertEqual(files.read_acceptor_table(), AcceptorTable([*rows, InstanceState("20001/n0/n1")], {"n0": 7}))
 
     def test_what_a_durable_folder_is_told_is_on_the_disk_before_it_counts(self) -> None:
         for durable, syncs in ((False, 0), (True, 3)):  # the file, the folder; then a row
             files = SessionFiles(FleetFiles(self.enterContext(tempfile.TemporaryDirectory()), durable))
             with mock.patch("os.fsync") as synced:
-                files.write_decrees(AcceptorTable([], {}))
-                files.add_decree(InstanceState("1/n0/n1"))
+                files.write_acceptor_table(AcceptorTable([], {}))
+                files.append_vote(InstanceState("1/n0/n1"))
                 self.assertEqual(synced.call_count, syncs)
 
 
