--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -96,7 +96,7 @@
             self.counters.warning("a session stays", SessionTooLargeError(f"{len(facts)} messages of {key:016x}"))
             self.act(self.moves.call_off(name, monotonic_time()))
             return
-        ids = self.directory.ids(key, monotonic_time())
+        ids = self.directory.recent_ids(key, monotonic_time())
         if len(ids) > MOST_IDS:
             self.act(self.moves.call_off(name, monotonic_time()))
             return
@@ -115,7 +115,7 @@
         """Record the target as the holder, and thaw the key: requests are forwarded from now on."""
         key, now = self._key(act.move), monotonic_time()
         if self._mine(act.move):
-            self.directory.gone(key, act.to, self.sequences[act.move] + 1, now)
+            self.directory.record_new_holder(key, act.to, self.sequences[act.move] + 1, now)
             self.planner.ended(key, True, now)
             self.dispatcher.thaw(key)
             self.counters.add("sessions given away")
@@ -135,7 +135,7 @@
                 session = self.directory.sessions.get(key)
                 if session is not None:
                     self.directory.hold(
-                        key, max(sequence, session.sequence), self.directory.ids(key, now), now, session.sure
+                        key, max(sequence, session.sequence), self.directory.recent_ids(key, now), now, session.sure
                     )
                 self.dispatcher.thaw(key)
             owed = [
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -91,7 +91,7 @@
         """Whether a vote for the target could give the session a second holder, beside a member that inherits it."""
         source = parts(move)[1]
         known = move in self.acceptor.rows or self.node.members.state(now, source) is MemberStatus.ALIVE
-        return self.directory.bars(key, source, now, known)
+        return self.directory.forbids_vote(key, source, now, known)
 
     def learned(self, source: str, stamp: int) -> None:
         """Note the stamp of a source's next move, from its answer to a request of this boot.
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -12,7 +12,7 @@
 
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, over
-from cedarwick.fleet.sessions import REMEMBERED, contents
+from cedarwick.fleet.sessions import REMEMBERED, contents_hash
 
 MAX_IDS = 1 << 16  # ids of one partition; above it the oldest are dropped, and the time that the memory covers shrinks
 # Stands for contents that are not known: whatever is submitted with such an id counts as another request. It must be a
@@ -92,4 +92,4 @@
     """A submission's hash, as at the holder; `UNKNOWN_HASH` for an ended message, whose body is no longer sent."""
     if end is not EndRank.NONE:
         return UNKNOWN_HASH
-    return contents(base.key, base.priority_class, base.tenant, base.destination, base.body)
+    return contents_hash(base.key, base.priority_class, base.tenant, base.destination, base.body)
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -19,7 +19,7 @@
 from cedarwick.fleet.session_state import InheritableSessions, SessionState
 from cedarwick.fleet.sessions import (
     REMEMBERED,
-    Claim,
+    ClaimAnswer,
     ClaimRequest,
 )
 
@@ -88,7 +88,7 @@
             for id, (at, hashed) in inheritable.recent_ids.get(key, {}).items()
             if at >= now - REMEMBERED
         }
-        asking = self.directory.inherit(key, ids, now)
+        asking = self.directory.begin_inheritance(key, ids, now)
         if asking is None:
             return False
         # Noted for `offered`: what no copy had was never answered, and may have been taken here since.
@@ -97,7 +97,7 @@
         self.counters.add("sessions inherited" if key in self.directory.sessions else "inheritances that failed")
         return True
 
-    def _successor_claims(self, asking: ClaimRequest, partition: int, by: str, now: int) -> Claim:
+    def _successor_claims(self, asking: ClaimRequest, partition: int, by: str, now: int) -> ClaimAnswer:
         holder = asking.over[1]
         grant = self.node.grantor.grant(right_of(partition))
         holds = (
@@ -109,7 +109,7 @@
         moved = self.transfers.acceptor.moved(asking.key, holder, now - REMEMBERED) or self.transfers.open_move(
             asking.key
         )
-        return self.directory.successor_claims(asking, by, holds, moved, now)
+        return self.directory.answer_inheritance(asking, by, holds, moved, now)
 
     def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
         """Filter what the last holder of an adopted partition offers: messages of inherited sessions may not count."""
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -92,7 +92,7 @@
             self.planner.ended(key, False, now)
             return
         self.sequences[name] = session.sequence + 1
-        self.directory.hold(key, session.sequence + 1, self.directory.ids(key, now), now)
+        self.directory.hold(key, session.sequence + 1, self.directory.recent_ids(key, now), now)
         self.counters.add("moves begun")
         self.act(acts)
 
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -36,7 +36,7 @@
 from cedarwick.fleet.session_wire import entry_of, location_of
 from cedarwick.fleet.sessions import (
     LAPSES,
-    Claim,
+    ClaimAnswer,
     ClaimRequest,
 )
 from cedarwick.net.client_listener import ClientListener
@@ -116,7 +116,7 @@
         now = monotonic_time()
         self._bind()
         held = [
-            HeldSession(key, session.sequence, self.directory.ids(key, now))
+            HeldSession(key, session.sequence, self.directory.recent_ids(key, now))
             for key, session in self.directory.sessions.items()
             if session.sure and session.used >= now - LAPSES and self._standing(key)[0] == "here"
         ]
@@ -145,7 +145,7 @@
             asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
             # Refused during a move: decided late, it would make a second holder beside the claimer.
             moving = self.transfers.open_move(body.key)
-            claim = Claim(False, None) if moving else self.directory.claimed(asking, sender, now)
+            claim = ClaimAnswer(False, None) if moving else self.directory.answer_claim(asking, sender, now)
             return ClaimReply(claim.granted, location_of(claim.entry))
         if isinstance(body, SessionInheritance):
             asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
@@ -165,7 +165,7 @@
                 self.void.discard(name)
             elif name not in self.void:
                 self.void.add(name)
-                self.directory.without(name, now)
+                self.directory.expire_entries_of(name, now)
         if now - self.gossiped_at >= GOSSIP:
             self.gossiped_at = now
             self._gossip(now)
@@ -213,7 +213,8 @@
 
     def _receive_locations(self, name: str, body: SessionLocations, now: int) -> None:
         self.neighbours[name] = body
-        self.directory.heard([entry for location in body.locations if (entry := entry_of(location)) is not None], now)
+        entries = [entry for location in body.locations if (entry := entry_of(location)) is not None]
+        self.directory.merge_entries(entries, now)
 
     def _neighbours(self) -> list[Neighbour]:
         now, halls, members = monotonic_time(), self.node.halls, self.node.members
@@ -258,7 +259,7 @@
         if to not in self.node.halls or to == self.name:
             raise InvalidMoveError(f"{to[:64]!r} is no other member")
         if key not in self.directory.sessions:
-            raise SessionNotHeldError(f"{key:016x} is held by {self.directory.where(key) or 'nobody'}")
+            raise SessionNotHeldError(f"{key:016x} is held by {self.directory.holder_of(key) or 'nobody'}")
         self.wishes[key] = MigrationRequest(key, MigrationReason.STAFF, to), monotonic_time() + SECOND
         end = self.ends.setdefault(key, gevent.event.AsyncResult())
         if not end.wait(MOVED_IN):
@@ -267,6 +268,6 @@
         return f"YES {key:016x} moved to {end.get()}\n"
 
     def _see_ends(self) -> None:
-        for key in [key for key in self.ends if self.directory.where(key) not in (None, self.name)]:
+        for key in [key for key in self.ends if self.directory.holder_of(key) not in (None, self.name)]:
             self.wishes.pop(key, None)
-            self.ends.pop(key).set(self.directory.where(key))
+            self.ends.pop(key).set(self.directory.holder_of(key))
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -26,7 +26,7 @@
 from cedarwick.fleet.session_wire import entry_of
 from cedarwick.fleet.sessions import (
     CLAIM,
-    Claim,
+    ClaimAnswer,
     ClaimRequest,
     SessionDirectory,
 )
@@ -99,7 +99,7 @@
         current = self.store.current
         if current is not None and current.partition != self.partition:
             if self.partition:
-                self.directory.unsure()
+                self.directory.mark_all_unsure()
                 self.transfers.slept = set(self.transfers.offers)
             self.partition = current.partition
 
@@ -121,7 +121,7 @@
         """Claim a session from all members; returns whether a claim was made, so that it can be ruled on again."""
         # Only while messages can be taken: until the next partition is held, a successor of the last one may still be
         # granted a session that is claimed anew here.
-        asking = self.directory.claim(key, monotonic_time()) if self.store.taking() else None
+        asking = self.directory.begin_claim(key, monotonic_time()) if self.store.taking() else None
         if asking is None:
             return False
         self._ask_all(asking, SessionClaim(asking.key, asking.sequence, *asking.over, asking.at))
@@ -137,8 +137,8 @@
         def ask(name: str) -> None:
             answer = self._call(name, body, CLAIM / SECOND)
             if isinstance(answer, ClaimReply):
-                claim = Claim(answer.granted, entry_of(answer.entry))
-                if self.directory.answered(asking, name, claim, monotonic_time()):
+                claim = ClaimAnswer(answer.granted, entry_of(answer.entry))
+                if self.directory.record_claim_answer(asking, name, claim, monotonic_time()):
                     self._change()
                     over.set()
             answered.append(name)
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -22,9 +22,9 @@
 from cedarwick.fleet.session_inheritance import SessionInheritances
 from cedarwick.fleet.session_wire import entry_of, hash_of, location_of
 from cedarwick.fleet.sessions import (
-    Claim,
-    ClaimRuling,
+    ClaimAnswer,
     Entry,
+    SubmissionRuling,
 )
 from cedarwick.fleet.transport import PeerUnreachableError
 from cedarwick.net.client_listener import SubmitResult
@@ -53,21 +53,21 @@
             self._bind()
             there, holder = self._standing(key)
             ruling = self.directory.rule(key, stored.id, hashed, False, now) if there == "here" else None
-            if there == "wait" or ruling is ClaimRuling.BUSY:
+            if there == "wait" or ruling is SubmissionRuling.BUSY:
                 if not self._wait(began + WAITS):
                     return BUSY
                 continue
-            if ruling in (ClaimRuling.TAKE, ClaimRuling.SAME, ClaimRuling.REPEATED):
+            if ruling in (SubmissionRuling.ACCEPT, SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT):
                 handed = self._take(stored, hashed, ruling, now)
                 if handed is not None:
                     return handed
                 continue
-            if ruling is ClaimRuling.CLAIM or ruling is None and not holder:
+            if ruling is SubmissionRuling.CLAIM or ruling is None and not holder:
                 claims += 1
                 if claims > MOST_CLAIMS or not self._claim(key):
                     return BUSY
                 continue
-            known = self.directory.where(key)
+            known = self.directory.holder_of(key)
             to = holder if known in (None, self.name) else known or ""  # it may have moved on since
             entry = self.directory.entry(key, now)
             if not self._lives(to):
@@ -88,33 +88,33 @@
             if answer.answer:
                 taken = answer.answer == AdmissionResult.KEPT.value
                 return AdmissionResult(answer.answer), answer.wait_ms, self._recalling(stored, to) if taken else None
-            claim = Claim(answer.disowned, entry_of(answer.entry))
-            after = self.directory.refused(key, to, claim, monotonic_time())
-            if after is ClaimRuling.CLAIM:
+            claim = ClaimAnswer(answer.disowned, entry_of(answer.entry))
+            after = self.directory.forward_refused(key, to, claim, monotonic_time())
+            if after is SubmissionRuling.CLAIM:
                 self.transfers.act(self.moves.client_gone(key, monotonic_time()))
                 if self._claim(key):
                     continue
             # It may have come here meanwhile.
             if (
-                after is not ClaimRuling.PASS
+                after is not SubmissionRuling.FORWARD
                 and key not in self.directory.sessions
                 and self._standing(key)[0] != "wait"
             ):
                 return BUSY
         return BUSY
 
-    def _take(self, stored: StoredMessage, hashed: int, ruling: ClaimRuling, now: int) -> SubmitResult | None:
+    def _take(self, stored: StoredMessage, hashed: int, ruling: SubmissionRuling, now: int) -> SubmitResult | None:
         """Take a submission of a session that is held here; None if the session was frozen meanwhile."""
         pending = self.pending.get(stored.id)
-        if ruling is ClaimRuling.REPEATED:
+        if ruling is SubmissionRuling.CONFLICT:
             return AdmissionResult.REPEATED, 0, None
-        if ruling is ClaimRuling.SAME:
+        if ruling is SubmissionRuling.DUPLICATE:
             # A submission that was passed on twice gets the answer of the first, not a refusal.
             answered, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.KEPT, 0)
             return None if answered is AdmissionResult.FROZEN else (answered, wait_ms, None)
         if not self.store.taking():
             return BUSY  # cut off, it may not know that the session has another holder
-        self.directory.took(stored.turn, stored.id, hashed, now)
+        self.directory.record_accepted(stored.turn, stored.id, hashed, now)
         submission = self.pending[stored.id] = Submission(stored)
         try:
             self.dispatcher.submit(submission)
@@ -196,7 +196,7 @@
         )
         hashed, claims = hash_of(stored), 0
         if (gone := entry_of(body.entry)) is not None:
-            self.directory.heard([gone], monotonic_time())
+            self.directory.merge_entries([gone], monotonic_time())
         while body.key:
             now = monotonic_time()
             self._bind()
@@ -206,24 +206,26 @@
                     break
                 continue
             ruling = (
-                self.directory.rule(body.key, body.id, hashed, True, now) if there == "here" else ClaimRuling.ELSEWHERE
+                self.directory.rule(body.key, body.id, hashed, True, now)
+                if there == "here"
+                else SubmissionRuling.NOT_HELD
             )
-            if ruling in (ClaimRuling.BUSY, ClaimRuling.CLAIM):
+            if ruling in (SubmissionRuling.BUSY, SubmissionRuling.CLAIM):
                 claims += 1
-                if claims > MOST_CLAIMS or ruling is ClaimRuling.BUSY or not self._claim(body.key):
+                if claims > MOST_CLAIMS or ruling is SubmissionRuling.BUSY or not self._claim(body.key):
                     break
                 continue
-            if ruling is ClaimRuling.ELSEWHERE:
-                of = self.directory.where(body.key) or ""
+            if ruling is SubmissionRuling.NOT_HELD:
+                of = self.directory.holder_of(body.key) or ""
                 if claims < MOST_CLAIMS and of and not self._lives(of) and self._successor(of) == self.name:
-                    if self.directory.claiming(body.key, now):
+                    if self.directory.is_claiming(body.key, now):
                         if not self._wait(until):
                             break
                         continue
                     claims += 1
                     if self._inherit(body.key):
                         continue
-                claim = self.directory.elsewhere(body.key, now)
+                claim = self.directory.answer_not_held(body.key, now)
                 return ForwardReply("", 0, claim.granted, location_of(claim.entry))
             if not body.moved and self.node.halls.get(sender) != self.node.halls[self.name]:
                 self.wishes[body.key] = MigrationRequest(body.key, MigrationReason.CLIENT, sender), now + COMES_FOR
--- a/cedarwick/fleet/session_wire.py
+++ b/cedarwick/fleet/session_wire.py
@@ -5,14 +5,14 @@
 )
 from cedarwick.fleet.sessions import (
     Entry,
-    contents,
+    contents_hash,
 )
 from cedarwick.store.records import StoredMessage
 
 
 def hash_of(stored: StoredMessage) -> int:
     """The hash of a submission's contents; the same at every member."""
-    return contents(stored.key, stored.priority_class, stored.tenant, stored.destination, stored.body or b"")
+    return contents_hash(stored.key, stored.priority_class, stored.tenant, stored.destination, stored.body or b"")
 
 
 def entry_of(location: SessionLocation | None) -> Entry | None:
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -17,8 +17,8 @@
   with a move are not in the partition. Whoever has granted it votes on no move of that session for `REMEMBERED`. So an
   inheritance and a move, or a new partition of the lost sender, which each need a majority as well, meet at one member
   at least.
-- So a sender that has lost its partition is sure of none of its sessions (`unsure`): once it has the next partition it
-  claims each of them anew before it takes anything more, and goes on with the ids that it knows.
+- So a sender that has lost its partition is sure of none of its sessions (`mark_all_unsure`): once it has the next
+  partition it claims each of them anew before it takes anything more, and goes on with the ids that it knows.
 
 The caller takes nothing for a session while it has no lease on its own partition: cut off, it might not learn that its
 sessions were claimed or adopted. Held sessions must be sent to all others in turn (`next_locations`) within
@@ -40,7 +40,7 @@
 AHEAD = 64  # added to an inherited session's sequence: above what its last holder may not have sent any more
 
 
-def contents(*parts: object) -> int:
+def contents_hash(*parts: object) -> int:
     """A hash of what came with an id, the same in every process (that of Python isn't)."""
     whole = xxhash.xxh3_64()
     for part in parts:
@@ -78,19 +78,19 @@
     sure: bool = True  # nobody can have inherited it
 
 
-class ClaimRuling(Enum):
+class SubmissionRuling(Enum):
     """What to do with a submission."""
 
-    TAKE = "take"  # and call `took` before anything else is ruled on
-    SAME = "same"  # taken before with the same contents
-    REPEATED = "repeated"  # taken before with others
-    PASS = "pass"  # to the holder
-    CLAIM = "claim"  # nobody is known to hold it, or this member for sure; call `claim`
-    ELSEWHERE = "elsewhere"  # it was passed on already, and isn't held here: answer with `elsewhere`
+    ACCEPT = "accept"  # and call `record_accepted` before anything else is ruled on
+    DUPLICATE = "duplicate"  # accepted before with the same contents
+    CONFLICT = "conflict"  # accepted before with others
+    FORWARD = "forward"  # to the holder
+    CLAIM = "claim"  # nobody is known to hold it, or this member for sure; call `begin_claim`
+    NOT_HELD = "not_held"  # it was forwarded already, and isn't held here: answer with `answer_not_held`
     BUSY = "busy"  # a claim is under way, or nobody can tell
 
 
-class Claim(NamedTuple):
+class ClaimAnswer(NamedTuple):
     """The answer to a claim, or to a submission that was passed to the wrong member."""
 
     granted: bool  # the claim, or: disowned, so that it may be claimed
@@ -132,11 +132,11 @@
         self.entries: dict[int, KnownHolder] = {}  # in the order of their last change or use
         self.sessions: dict[int, Session] = {}
         self.claims: dict[int, PendingClaim] = {}
-        self.fresh: dict[int, None] = {}  # changed here and not sent yet
-        self.round: list[int] = []  # of the held ones, those that are to be sent again
-        self.inherited: dict[int, tuple[int, str, str]] = {}  # granted recently: when, to whom, and from whom
+        self.unsent: dict[int, None] = {}  # changed here and not sent yet
+        self.resend_queue: list[int] = []  # of the held ones, those that are to be sent again
+        self.granted_inheritances: dict[int, tuple[int, str, str]] = {}  # recent ones: when, to whom, and from whom
 
-    def where(self, key: int) -> str | None:
+    def holder_of(self, key: int) -> str | None:
         """The holder of a session as far as is known."""
         known = self.entries.get(key)
         return known.holder if known is not None else None
@@ -151,59 +151,59 @@
 
     # ---- submissions ----
 
-    def rule(self, key: int, message: str, hashed: int, passed: bool, now: int) -> ClaimRuling:
-        """What to do with a submission of a session (key not 0); `passed`: by another member, not by a client."""
+    def rule(self, key: int, message: str, hashed: int, forwarded: bool, now: int) -> SubmissionRuling:
+        """What to do with a submission of a session (key not 0); `forwarded`: by another member, not by a client."""
         session = self.sessions.get(key)
         # A session unused for long may have been forgotten by the others and claimed anew.
         if session is not None and session.used >= now - LAPSES:
             if not session.sure:
-                return ClaimRuling.BUSY if self.claiming(key, now) else ClaimRuling.CLAIM
+                return SubmissionRuling.BUSY if self.is_claiming(key, now) else SubmissionRuling.CLAIM
             known = session.ids.get(message)
             if known is None or known[0] < now - REMEMBERED:
-                return ClaimRuling.TAKE
-            return ClaimRuling.SAME if known[1] == hashed else ClaimRuling.REPEATED
+                return SubmissionRuling.ACCEPT
+            return SubmissionRuling.DUPLICATE if known[1] == hashed else SubmissionRuling.CONFLICT
         # Not passed on again: two members that think each other the holder would pass it to and fro. Not taken either:
         # the real holder may have taken this id.
-        if passed:
-            return ClaimRuling.ELSEWHERE
-        if self.claiming(key, now):
-            return ClaimRuling.BUSY
-        if key not in self.entries or self.where(key) == self.name:
-            return ClaimRuling.CLAIM
-        return ClaimRuling.PASS
-
-    def claiming(self, key: int, now: int) -> bool:
+        if forwarded:
+            return SubmissionRuling.NOT_HELD
+        if self.is_claiming(key, now):
+            return SubmissionRuling.BUSY
+        if key not in self.entries or self.holder_of(key) == self.name:
+            return SubmissionRuling.CLAIM
+        return SubmissionRuling.FORWARD
+
+    def is_claiming(self, key: int, now: int) -> bool:
         """Whether a claim from here is under way."""
         return key in self.claims and self.claims[key].until > now
 
-    def took(self, key: int, message: str, hashed: int, now: int) -> None:
-        """Note that a submission of a session held here is taken, with its id and hash."""
+    def record_accepted(self, key: int, message: str, hashed: int, now: int) -> None:
+        """Record the id and hash of an accepted submission of a session that is held here."""
         session = self.sessions[key]
         while session.ids and next(iter(session.ids.values()))[0] < now - REMEMBERED:
             del session.ids[next(iter(session.ids))]
         session.ids.pop(message, None)
         session.ids[message] = now, hashed
         session.used = now
-        self._know(key, self.name, session.sequence, now)
+        self._merge_entry(key, self.name, session.sequence, now)
 
     # ---- opening ----
 
-    def elsewhere(self, key: int, now: int) -> Claim:
+    def answer_not_held(self, key: int, now: int) -> ClaimAnswer:
         """The answer to a submission that was passed to this member, which does not hold the session."""
         # A member that has just restarted must not disown ids that it took a moment ago: another would take them again.
-        disowned = self.grants_at <= now and self.where(key) in (None, self.name) and key not in self.claims
-        return Claim(disowned, self.entry(key, now))
+        disowned = self.grants_at <= now and self.holder_of(key) in (None, self.name) and key not in self.claims
+        return ClaimAnswer(disowned, self.entry(key, now))
 
-    def refused(self, key: int, by: str, answer: Claim, now: int) -> ClaimRuling:
-        """A submission that was passed to `by` came back with `elsewhere`: PASS (once, to another one), CLAIM, BUSY."""
+    def forward_refused(self, key: int, by: str, answer: ClaimAnswer, now: int) -> SubmissionRuling:
+        """After `answer_not_held` of `by` to a submission: FORWARD (once, to another member), CLAIM or BUSY."""
         if answer.entry is not None:
-            self.heard([answer.entry], now)
-        if answer.granted and self.where(key) == by:
-            return ClaimRuling.CLAIM
-        return ClaimRuling.PASS if self.where(key) not in (None, by, self.name) else ClaimRuling.BUSY
+            self.merge_entries([answer.entry], now)
+        if answer.granted and self.holder_of(key) == by:
+            return SubmissionRuling.CLAIM
+        return SubmissionRuling.FORWARD if self.holder_of(key) not in (None, by, self.name) else SubmissionRuling.BUSY
 
-    def claim(self, key: int, now: int) -> ClaimRequest | None:
-        """Begin to claim a session after `ClaimRuling.CLAIM`; what to ask all other members, None where it can't be.
+    def begin_claim(self, key: int, now: int) -> ClaimRequest | None:
+        """Begin to claim a session after a ruling `CLAIM`; what to ask all other members, None where it cannot be.
 
         Where this member is alone in its fleet it holds the session at once.
         """
@@ -213,48 +213,48 @@
         known = self.entries.get(key)
         over = (known.sequence, known.holder) if known is not None else (0, "")
         asking = ClaimRequest(key, over[0] + 1, over, now)
-        self.claims[key] = PendingClaim(asking, now + CLAIM, {self.name}, self.ids(key, now))
-        self._enough(key, now)
+        self.claims[key] = PendingClaim(asking, now + CLAIM, {self.name}, self.recent_ids(key, now))
+        self._open_if_granted(key, now)
         return asking
 
-    def inherit(self, key: int, ids: dict[str, tuple[int, int]], now: int) -> ClaimRequest | None:
+    def begin_inheritance(self, key: int, ids: dict[str, tuple[int, int]], now: int) -> ClaimRequest | None:
         """Begin to claim a session whose last holder's partition was adopted here; what to ask all other members.
 
-        The caller has found that nothing stands in the way here (`successor_claims`). `ids`: age in microseconds and
+        The caller has found that nothing stands in the way here (`answer_inheritance`). `ids`: age in microseconds and
         hash of all recent ids.
         """
         known = self.entries.get(key)
-        if known is None or self.grants_at > now or self.claiming(key, now):
+        if known is None or self.grants_at > now or self.is_claiming(key, now):
             return None
         asking = ClaimRequest(key, known.sequence + AHEAD, (known.sequence, known.holder), now)
-        self.inherited[key] = now, self.name, known.holder
+        self.granted_inheritances[key] = now, self.name, known.holder
         self.claims[key] = PendingClaim(asking, now + CLAIM, {self.name}, ids)
-        self._enough(key, now)
+        self._open_if_granted(key, now)
         return asking
 
-    def claimed(self, asking: ClaimRequest, by: str, now: int) -> Claim:
+    def answer_claim(self, asking: ClaimRequest, by: str, now: int) -> ClaimAnswer:
         """Answer another member's claim of a session; a grant is noted as an unconfirmed entry."""
         key = asking.key
         known = self.entries.get(key)
         theirs = asking.sequence, by
         if key in self.sessions and self.sessions[key].used >= now - LAPSES:
-            return Claim(False, self.entry(key, now))
+            return ClaimAnswer(False, self.entry(key, now))
         if known is not None and now - known.used <= FORGOTTEN:
             if tuple(asking.over) < (known.sequence, known.holder) != theirs:
-                return Claim(False, self.entry(key, now))
+                return ClaimAnswer(False, self.entry(key, now))
             # A claimer that was paused cannot void the entry of a member that opened the session meanwhile.
             if asking.over[1] == by != known.holder:
-                return Claim(False, self.entry(key, now))
+                return ClaimAnswer(False, self.entry(key, now))
         own = self.claims.get(key)
         if own is not None and own.until > now and (own.asking.sequence, self.name) > theirs:
-            return Claim(False, None)
+            return ClaimAnswer(False, None)
         if self.grants_at > now:
-            return Claim(False, None)
+            return ClaimAnswer(False, None)
         self.claims.pop(key, None)  # it gives way
-        self._know(key, by, asking.sequence, now, False)
-        return Claim(True, None)
+        self._merge_entry(key, by, asking.sequence, now, False)
+        return ClaimAnswer(True, None)
 
-    def successor_claims(self, asking: ClaimRequest, by: str, holds: bool, moved: bool, now: int) -> Claim:
+    def answer_inheritance(self, asking: ClaimRequest, by: str, holds: bool, moved: bool, now: int) -> ClaimAnswer:
         """Answer the claim of a member (perhaps this one) that wants to inherit a session.
 
         Args:
@@ -262,24 +262,24 @@
             moved: a vote of late on a move of the session stands in the way (`Acceptor.moved`), or an open move.
         """
         key, known = asking.key, self.entries.get(asking.key)
-        if not holds or moved or self.grants_at > now or by != self.name and self.claiming(key, now):
-            return Claim(False, self.entry(key, now))
+        if not holds or moved or self.grants_at > now or by != self.name and self.is_claiming(key, now):
+            return ClaimAnswer(False, self.entry(key, now))
         if key in self.sessions and (self.sessions[key].used >= now - LAPSES or by == self.name):
-            return Claim(False, self.entry(key, now))
+            return ClaimAnswer(False, self.entry(key, now))
         # A second successor, or a successor's successor, does not know the ids that came by inheritance.
-        if self.bars(key, by, now):
-            return Claim(False, self.entry(key, now))
+        if self.forbids_vote(key, by, now):
+            return ClaimAnswer(False, self.entry(key, now))
         if known is not None and (
             known.holder not in (asking.over[1], by)
             or known.sequence > (asking.over[0] if known.holder != by else asking.sequence)
         ):
-            return Claim(False, self.entry(key, now))
+            return ClaimAnswer(False, self.entry(key, now))
         if by != self.name:
-            self.inherited[key] = now, by, asking.over[1]
-            self._know(key, by, asking.sequence, now, False)
-        return Claim(True, None)
+            self.granted_inheritances[key] = now, by, asking.over[1]
+            self._merge_entry(key, by, asking.sequence, now, False)
+        return ClaimAnswer(True, None)
 
-    def bars(self, key: int, source: str, now: int, known: bool = True) -> bool:
+    def forbids_vote(self, key: int, source: str, now: int, known: bool = True) -> bool:
         """Whether a recently granted inheritance forbids this member to vote on another source's move of the session.
 
         `known`: it knew of the move before it started, or the source is alive and so holds its partition.
@@ -287,9 +287,9 @@
         # What was granted before a restart is not known here.
         if not known and self.grants_at > now and source != self.name:
             return True
-        at, by, _ = self.inherited.get(key, (0, source, ""))
+        at, by, _ = self.granted_inheritances.get(key, (0, source, ""))
         if not key:  # a member of an older level does not send the session
-            return any(of == source and at >= now - REMEMBERED for at, _, of in self.inherited.values())
+            return any(of == source and at >= now - REMEMBERED for at, _, of in self.granted_inheritances.values())
         return by != source and at >= now - REMEMBERED
 
     def superseded(self, key: int, source: str, sequence: int) -> bool:
@@ -303,12 +303,12 @@
         # The source may have named this member to all others before it has learned that it is the holder.
         return key in self.sessions if known.holder == self.name else known.holder != source
 
-    def unsure(self) -> None:
+    def mark_all_unsure(self) -> None:
         """Mark all held sessions: this member's partition was adopted, so each may have been inherited."""
         for session in self.sessions.values():
             session.sure = False
 
-    def answered(self, asking: ClaimRequest, by: str, answer: Claim, now: int) -> bool:
+    def record_claim_answer(self, asking: ClaimRequest, by: str, answer: ClaimAnswer, now: int) -> bool:
         """Note an answer to a claim of this member; True: the session is held here from now on."""
         claim = self.claims.get(asking.key)
         if answer.entry is not None:
@@ -316,15 +316,15 @@
                 # Opened anew by a member that had forgotten this one, the session may have a smaller sequence.
                 for known in (self.sessions, self.entries, self.claims):
                     known.pop(asking.key, None)
-            self.heard([answer.entry], now)
+            self.merge_entries([answer.entry], now)
         claim = self.claims.get(asking.key)
         # The answer to an earlier claim says nothing about claims made since.
         if claim is None or claim.asking != asking or claim.until <= now or not answer.granted:
             return False
         claim.granted.add(by)
-        return self._enough(asking.key, now)
+        return self._open_if_granted(asking.key, now)
 
-    def _enough(self, key: int, now: int) -> bool:
+    def _open_if_granted(self, key: int, now: int) -> bool:
         claim = self.claims[key]
         if len(claim.granted) * 2 <= self.members:
             return False
@@ -341,16 +341,16 @@
 
         Args:
             sequence: larger than all that its earlier holders had.
-            ids: id -> (age in microseconds, hash of contents), as `ids` gave it at the earlier holder.
+            ids: id -> (age in microseconds, hash of contents), as `recent_ids` gave it at the earlier holder.
             sure: nobody can have inherited it.
         """
         self.claims.pop(key, None)
         taken = {each: (now - age, hashed) for each, (age, hashed) in sorted(ids.items(), key=lambda one: -one[1][0])}
         self.sessions[key] = Session(sequence, now, taken, sure)
-        self._know(key, self.name, sequence, now)
-        self.fresh[key] = None
+        self._merge_entry(key, self.name, sequence, now)
+        self.unsent[key] = None
 
-    def ids(self, key: int, now: int) -> dict[str, tuple[int, int]]:
+    def recent_ids(self, key: int, now: int) -> dict[str, tuple[int, int]]:
         """The recent ids of a session held here, for its next holder: id -> (age in microseconds, hash of contents)."""
         session = self.sessions.get(key)
         return (
@@ -359,13 +359,13 @@
             else {each: (now - at, hashed) for each, (at, hashed) in session.ids.items() if at >= now - REMEMBERED}
         )
 
-    def gone(self, key: int, holder: str, sequence: int, now: int) -> None:
+    def record_new_holder(self, key: int, holder: str, sequence: int, now: int) -> None:
         """Note that a session that was held here has another holder, and its sequence there."""
         self.sessions.pop(key, None)
-        if self._know(key, holder, sequence, now):
-            self.fresh[key] = None
+        if self._merge_entry(key, holder, sequence, now):
+            self.unsent[key] = None
 
-    def without(self, holder: str, now: int) -> None:
+    def expire_entries_of(self, holder: str, now: int) -> None:
         """Age the entries of a dead member: any member may claim its sessions once `REMEMBERED` has passed."""
         for known in self.entries.values():
             if known.holder == holder:
@@ -375,33 +375,35 @@
 
     def next_locations(self, limit: int, now: int) -> list[Entry]:
         """What to send to all others next: what has changed here, then the held sessions in turn."""
-        keys = [key for key in self.fresh if key not in self.sessions or self.sessions[key].sure][:limit]
+        keys = [key for key in self.unsent if key not in self.sessions or self.sessions[key].sure][:limit]
         for key in keys:
-            del self.fresh[key]
-        if not self.round:
-            self.round = list(self.sessions)
-        while self.round and len(keys) < limit:
-            key = self.round.pop()
+            del self.unsent[key]
+        if not self.resend_queue:
+            self.resend_queue = list(self.sessions)
+        while self.resend_queue and len(keys) < limit:
+            key = self.resend_queue.pop()
             if key in self.sessions and self.sessions[key].sure and key not in keys:
                 keys.append(key)
         entries = (self.entry(key, now) for key in keys)
         return [each for each in entries if each is not None]
 
-    def heard(self, entries: Iterable[Entry], now: int) -> None:
+    def merge_entries(self, entries: Iterable[Entry], now: int) -> None:
         """Join entries of another member; in any order, any number of times."""
         for entry in entries:
             if 0 < entry.key < 1 << 64 and entry.sequence > 0 and 0 <= entry.age <= FORGOTTEN and entry.holder:
-                self._know(entry.key, entry.holder, entry.sequence, now - entry.age)
+                self._merge_entry(entry.key, entry.holder, entry.sequence, now - entry.age)
 
     def forget(self, now: int) -> None:
         """Drop what is old; to be called about once a second."""
-        self.inherited = {key: grant for key, grant in self.inherited.items() if grant[0] >= now - REMEMBERED}
+        self.granted_inheritances = {
+            key: grant for key, grant in self.granted_inheritances.items() if grant[0] >= now - REMEMBERED
+        }
         for key in [each for each, session in self.sessions.items() if session.used < now - LAPSES]:
             del self.sessions[key]
         for key in [each for each, known in self.entries.items() if known.used < now - FORGOTTEN]:
             del self.entries[key]
 
-    def _know(self, key: int, holder: str, sequence: int, used: int, confirmed: bool = True) -> bool:
+    def _merge_entry(self, key: int, holder: str, sequence: int, used: int, confirmed: bool = True) -> bool:
         """Join an entry by (sequence, holder), then the later use; whether it is another one now.
 
         Of two claims at once the one that its holder has confirmed was granted; then nobody else's was.
--- a/tests/test_fleet_inherit.py
+++ b/tests/test_fleet_inherit.py
@@ -13,7 +13,15 @@
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication import EVERYTHING
 from cedarwick.fleet.replication_facts import EndRank, Fact, LifeSummary, MessageBase, MessageKnowledge
-from cedarwick.fleet.sessions import FORGOTTEN, LAPSES, REMEMBERED, Claim, ClaimRequest, ClaimRuling, SessionDirectory
+from cedarwick.fleet.sessions import (
+    FORGOTTEN,
+    LAPSES,
+    REMEMBERED,
+    ClaimAnswer,
+    ClaimRequest,
+    SessionDirectory,
+    SubmissionRuling,
+)
 
 KEY, SECOND = 7, 1_000_000
 SEEDS = 2200  # the guards of this rule are missed by one of them each, if they are taken out
@@ -49,7 +57,7 @@
 
     def barred(self, move: str, source: "Member", now: int) -> bool:
         """As `MigrationVotes._barred`."""
-        return self.directory.bars(KEY, source.name, now, move in self.acceptor.rows or source.awake)
+        return self.directory.forbids_vote(KEY, source.name, now, move in self.acceptor.rows or source.awake)
 
 
 class Model:
@@ -61,7 +69,7 @@
         self.members = {name: Member(name) for name in NAMES}
         self.taken: list[tuple[int, str, int]] = []  # when, by whom, in which partition
         self.since = dict.fromkeys(NAMES, 0)  # from when on a copy of the newest partition knows all ids
-        self.peer_messages: list[tuple[str, str, object, Claim | None]] = []
+        self.peer_messages: list[tuple[str, str, object, ClaimAnswer | None]] = []
         self.moves: dict[str, tuple[str, str, int, dict[str, tuple[int, int]], set[str]]] = {}
         self.began: dict[str, int] = {}
         self.stamp = 1
@@ -104,7 +112,7 @@
         ]
         one.inheritable_sessions[two.name, two.partition] = self.since[two.name] + REMEMBERED, found
         for each in (one, third):
-            each.directory.without(two.name, self.now)
+            each.directory.expire_entries_of(two.name, self.now)
 
     def open(self, one: Member, two: Member) -> None:
         """Granted by `one` and `two`: the next partition of one that has lost its own."""
@@ -115,7 +123,7 @@
         for each in (one, two):
             each.newest[one.name] = max(each.newest[one.name], one.partition)
             each.holders[one.name, one.partition] = one.name
-        one.directory.unsure()
+        one.directory.mark_all_unsure()
         one.slept = one.staged
 
     def gap(self, one: Member, two: Member) -> None:
@@ -142,7 +150,7 @@
 
     def gossip(self, one: Member, two: Member) -> None:
         if not one.lost:
-            two.directory.heard(one.directory.next_locations(9, self.now), self.now)
+            two.directory.merge_entries(one.directory.next_locations(9, self.now), self.now)
 
     # ---- moves ----
 
@@ -152,13 +160,13 @@
             return
         name = one.frozen = name_move(self.stamp, one.name, two.name)
         self.stamp += 1
-        one.directory.hold(KEY, session.sequence + 1, one.directory.ids(KEY, self.now), self.now)
+        one.directory.hold(KEY, session.sequence + 1, one.directory.recent_ids(KEY, self.now), self.now)
         self.began[name] = self.now
         self.moves[name] = (
             one.name,
             two.name,
             session.sequence + 1,
-            {id: (self.now - age, hashed) for id, (age, hashed) in one.directory.ids(KEY, self.now).items()},
+            {id: (self.now - age, hashed) for id, (age, hashed) in one.directory.recent_ids(KEY, self.now).items()},
             set(),
         )
 
@@ -190,7 +198,7 @@
                 )
         if one.name == source and one.frozen == name:
             one.frozen = ""
-            one.directory.gone(KEY, target, sequence + 1, self.now)
+            one.directory.record_new_holder(KEY, target, sequence + 1, self.now)
 
     # ---- submissions ----
 
@@ -209,22 +217,27 @@
         if answer is not None:
             asking = told[0] if isinstance(told, tuple) and isinstance(told[0], ClaimRequest) else told
             assert isinstance(asking, ClaimRequest)
-            member.directory.answered(asking, by, answer, self.now)
+            member.directory.record_claim_answer(asking, by, answer, self.now)
         elif isinstance(told, ClaimRequest):
             moving = member.frozen + member.staged != ""
             self.peer_messages.append(
-                (by, to, told, Claim(False, None) if moving else member.directory.claimed(told, by, self.now))
+                (
+                    by,
+                    to,
+                    told,
+                    ClaimAnswer(False, None) if moving else member.directory.answer_claim(told, by, self.now),
+                )
             )
         else:
             assert isinstance(told, tuple)
             self.peer_messages.append((by, to, told, self.successor_claims(member, told[0], told[1], by)))
 
-    def successor_claims(self, member: Member, asking: ClaimRequest, partition: int, by: str) -> Claim:
+    def successor_claims(self, member: Member, asking: ClaimRequest, partition: int, by: str) -> ClaimAnswer:
         """As `SessionInheritances._successor_claims`."""
         holder = asking.over[1]
         holds = member.newest[holder] == partition and member.holders.get((holder, partition)) == by
         moved = member.acceptor.moved(KEY, holder, self.now - REMEMBERED) or member.frozen + member.staged != ""
-        return member.directory.successor_claims(asking, by, holds, moved, self.now)
+        return member.directory.answer_inheritance(asking, by, holds, moved, self.now)
 
     def submit(self, one: Member, two: Member) -> None:
         """A client of `one`, which passes to `two` alone."""
@@ -232,30 +245,32 @@
             return
         ruling, holder = one.directory.rule(KEY, "id", 1, False, self.now), one
         if (
-            ruling is ClaimRuling.PASS
+            ruling is SubmissionRuling.FORWARD
             and two.awake
-            and one.directory.where(KEY) == two.name
+            and one.directory.holder_of(KEY) == two.name
             and not two.frozen + two.staged
         ):
             ruling, holder = two.directory.rule(KEY, "id", 1, True, self.now), two
-            if ruling is ClaimRuling.ELSEWHERE:
-                ruling = one.directory.refused(KEY, two.name, two.directory.elsewhere(KEY, self.now), self.now)
+            if ruling is SubmissionRuling.NOT_HELD:
+                ruling = one.directory.forward_refused(
+                    KEY, two.name, two.directory.answer_not_held(KEY, self.now), self.now
+                )
                 holder = one
-        elif ruling is ClaimRuling.PASS and not self.members[one.directory.where(KEY) or "A"].awake:
+        elif ruling is SubmissionRuling.FORWARD and not self.members[one.directory.holder_of(KEY) or "A"].awake:
             self.inherit(one)
-        if ruling is ClaimRuling.CLAIM and not holder.lost:
-            begun = holder.directory.claim(KEY, self.now)
+        if ruling is SubmissionRuling.CLAIM and not holder.lost:
+            begun = holder.directory.begin_claim(KEY, self.now)
             if begun is not None:
                 self.peer_messages += [(name, holder.name, begun, None) for name in NAMES if name != holder.name]
-        if ruling is ClaimRuling.TAKE and not holder.lost:
+        if ruling is SubmissionRuling.ACCEPT and not holder.lost:
             last = max((at for at, _, _ in self.taken), default=-FORGOTTEN)
             if self.now - last <= REMEMBERED:
                 raise AssertionError(f"taken at {last} and {self.now}: {self.taken[-2:]}, now by {holder.name}")
             self.taken.append((self.now, holder.name, holder.partition))
-            holder.directory.took(KEY, "id", 1, self.now)
+            holder.directory.record_accepted(KEY, "id", 1, self.now)
             # Its lease was renewed by a majority, which hears this too.
             told = holder.directory.next_locations(9, self.now)
-            self.members[self.drawn.choice([name for name in NAMES if name != holder.name])].directory.heard(
+            self.members[self.drawn.choice([name for name in NAMES if name != holder.name])].directory.merge_entries(
                 told, self.now
             )
 
@@ -271,7 +286,7 @@
         over = entry.sequence, entry.holder
         if self.successor_claims(one, ClaimRequest(KEY, 0, over, self.now), partition, one.name).granted:
             ids = {"id": (self.now - max(found), 1)} if max(found, default=-FORGOTTEN) >= self.now - REMEMBERED else {}
-            asking = one.directory.inherit(KEY, ids, self.now)
+            asking = one.directory.begin_inheritance(KEY, ids, self.now)
             if asking is not None:
                 self.inherited += 1
                 self.peer_messages += [
--- a/tests/test_fleet_migration.py
+++ b/tests/test_fleet_migration.py
@@ -41,12 +41,12 @@
     LAPSES,
     MOST,
     REMEMBERED,
-    Claim,
+    ClaimAnswer,
     ClaimRequest,
-    ClaimRuling,
     Entry,
     SessionDirectory,
-    contents,
+    SubmissionRuling,
+    contents_hash,
 )
 
 KEY, MS = 7, 1000
@@ -587,7 +587,7 @@
 
 
 def claim(one: SessionDirectory) -> ClaimRequest:
-    asking = one.claim(KEY, 0)
+    asking = one.begin_claim(KEY, 0)
     assert asking is not None
     return asking
 
@@ -608,20 +608,20 @@
     @given(entries, st.randoms(use_true_random=False))
     def test_news_may_come_in_any_order_and_twice(self, entries: list[Entry], order: random.Random) -> None:
         one, two = SessionDirectory("me", 3, 0), SessionDirectory("me", 3, 0)
-        one.heard(entries, FORGOTTEN)
+        one.merge_entries(entries, FORGOTTEN)
         shuffled = entries + entries[:3]
         order.shuffle(shuffled)
-        two.heard(shuffled, FORGOTTEN)
+        two.merge_entries(shuffled, FORGOTTEN)
         self.assertEqual(one.entries, two.entries)
         self.assertNotIn(0, one.entries)
 
     def test_what_is_kept_is_bounded_and_forgotten(self) -> None:
         one = SessionDirectory("me", 1, 0, alone=True)
-        one.claim(KEY, 0)
-        one.heard([Entry(key, "A", 1, MOST + 9 - key) for key in range(8, MOST + 9)], MOST)
-        one.heard([Entry(5, "A", 1, FORGOTTEN + 1)], MOST)
-        self.assertIsNone(one.where(5))
-        self.assertEqual((len(one.entries), one.where(8), one.where(KEY)), (MOST, None, "me"))
+        one.begin_claim(KEY, 0)
+        one.merge_entries([Entry(key, "A", 1, MOST + 9 - key) for key in range(8, MOST + 9)], MOST)
+        one.merge_entries([Entry(5, "A", 1, FORGOTTEN + 1)], MOST)
+        self.assertIsNone(one.holder_of(5))
+        self.assertEqual((len(one.entries), one.holder_of(8), one.holder_of(KEY)), (MOST, None, "me"))
         self.assertEqual(one.next_locations(9, 0)[0].key, KEY)
         one.forget(FORGOTTEN + MOST + 1)
         self.assertEqual((one.entries, one.sessions), ({}, {}))
@@ -633,7 +633,7 @@
 
     def course(self, drawn: random.Random) -> None:
         names, now, taken = "ABC", 0, -FORGOTTEN
-        peer_messages: list[tuple[int, int, ClaimRequest, Claim | None]] = []
+        peer_messages: list[tuple[int, int, ClaimRequest, ClaimAnswer | None]] = []
         every = [SessionDirectory(name, 3, now, alone=True) for name in names]
         for _ in range(150):
             what = drawn.choice(["submit"] * 5 + ["deliver"] * 9 + ["restart"] + ["move"] * 2)
@@ -648,72 +648,74 @@
             elif what == "deliver" and peer_messages:  # any claim or answer that was ever sent
                 to, by, asking, answer = peer_messages[-1 - which % len(peer_messages)]
                 if answer is None:
-                    peer_messages.append((by, to, asking, every[to].claimed(asking, names[by], now)))
+                    peer_messages.append((by, to, asking, every[to].answer_claim(asking, names[by], now)))
                 else:
-                    every[to].answered(asking, names[by], answer, now)
+                    every[to].record_claim_answer(asking, names[by], answer, now)
             elif what == "move" and session is not None and at != other:
-                two.hold(KEY, session.sequence + 1, one.ids(KEY, now), now)
-                one.gone(KEY, names[other], session.sequence + 1, now)
+                two.hold(KEY, session.sequence + 1, one.recent_ids(KEY, now), now)
+                one.record_new_holder(KEY, names[other], session.sequence + 1, now)
             elif what == "submit" and at != other:  # a client at `at`, which has a link to `other` alone
                 ruling, holder = one.rule(KEY, "id", 1, False, now), at
-                if ruling is ClaimRuling.PASS and one.where(KEY) == names[other]:
+                if ruling is SubmissionRuling.FORWARD and one.holder_of(KEY) == names[other]:
                     ruling, holder = two.rule(KEY, "id", 1, True, now), other
-                    if ruling is ClaimRuling.ELSEWHERE:
-                        ruling = one.refused(KEY, names[other], two.elsewhere(KEY, now), now)
-                begun = one.claim(KEY, now) if ruling is ClaimRuling.CLAIM else None
+                    if ruling is SubmissionRuling.NOT_HELD:
+                        ruling = one.forward_refused(KEY, names[other], two.answer_not_held(KEY, now), now)
+                begun = one.begin_claim(KEY, now) if ruling is SubmissionRuling.CLAIM else None
                 if begun is not None:
                     peer_messages += [(to, at, begun, None) for to in range(3) if to != at]
-                if ruling is ClaimRuling.TAKE:
+                if ruling is SubmissionRuling.ACCEPT:
                     self.assertGreater(now - taken, REMEMBERED)
                     taken = now
-                    every[holder].took(KEY, "id", 1, now)
+                    every[holder].record_accepted(KEY, "id", 1, now)
                     told = every[holder].next_locations(
                         9, now
                     )  # its lease was renewed by a majority, which hears this too
-                    every[at + other - holder].heard(told, now)
+                    every[at + other - holder].merge_entries(told, now)
 
     def test_who_does_not_hold_a_session_neither_takes_nor_opens_it(self) -> None:
         one, two = SessionDirectory("A", 3, 0, alone=True), SessionDirectory("B", 3, 0, alone=True)
-        self.assertIs(one.rule(KEY, "id", 1, True, 0), ClaimRuling.ELSEWHERE)
+        self.assertIs(one.rule(KEY, "id", 1, True, 0), SubmissionRuling.NOT_HELD)
         asking = claim(one)
-        self.assertEqual((one.rule(KEY, "id", 1, False, 0), one.elsewhere(KEY, 0).granted), (ClaimRuling.BUSY, False))
-        self.assertIs(one.rule(KEY, "id", 1, False, CLAIM), ClaimRuling.CLAIM)
-        self.assertTrue(one.answered(asking, "B", two.claimed(asking, "A", 0), 0))
-        self.assertFalse(one.claimed(ClaimRequest(KEY, 9, (8, "A"), 0), "C", 0).granted)
-        one.took(KEY, "id", 1, 0)
-        two.hold(KEY, 2, one.ids(KEY, 5), 5)
-        one.gone(KEY, "B", 2, 5)
+        self.assertEqual(
+            (one.rule(KEY, "id", 1, False, 0), one.answer_not_held(KEY, 0).granted), (SubmissionRuling.BUSY, False)
+        )
+        self.assertIs(one.rule(KEY, "id", 1, False, CLAIM), SubmissionRuling.CLAIM)
+        self.assertTrue(one.record_claim_answer(asking, "B", two.answer_claim(asking, "A", 0), 0))
+        self.assertFalse(one.answer_claim(ClaimRequest(KEY, 9, (8, "A"), 0), "C", 0).granted)
+        one.record_accepted(KEY, "id", 1, 0)
+        two.hold(KEY, 2, one.recent_ids(KEY, 5), 5)
+        one.record_new_holder(KEY, "B", 2, 5)
         self.assertEqual(
             [two.rule(KEY, "id", hashed, True, REMEMBERED) for hashed in (1, 2)],
-            [ClaimRuling.SAME, ClaimRuling.REPEATED],
+            [SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT],
         )
-        self.assertIs(two.rule(KEY, "id", 2, True, REMEMBERED + 1), ClaimRuling.TAKE)
-        self.assertIs(one.rule(KEY, "id", 1, False, 6), ClaimRuling.PASS)
-        two.without("A", 6)
-        one.without("B", 6)
+        self.assertIs(two.rule(KEY, "id", 2, True, REMEMBERED + 1), SubmissionRuling.ACCEPT)
+        self.assertIs(one.rule(KEY, "id", 1, False, 6), SubmissionRuling.FORWARD)
+        two.expire_entries_of("A", 6)
+        one.expire_entries_of("B", 6)
         one.forget(7 + REMEMBERED)
-        self.assertEqual((one.where(KEY), two.where(KEY)), (None, "B"))
+        self.assertEqual((one.holder_of(KEY), two.holder_of(KEY)), (None, "B"))
 
     def test_who_has_just_started_or_slept_trusts_nothing_of_its_own(self) -> None:
         new, old = SessionDirectory("A", 3, 0), SessionDirectory("B", 3, 0, alone=True)
-        self.assertFalse(new.elsewhere(KEY, REMEMBERED - 1).granted or new.claim(KEY, REMEMBERED - 1))
-        self.assertFalse(new.claimed(claim(old), "B", REMEMBERED - 1).granted)
-        self.assertTrue(new.elsewhere(KEY, REMEMBERED).granted)
+        self.assertFalse(new.answer_not_held(KEY, REMEMBERED - 1).granted or new.begin_claim(KEY, REMEMBERED - 1))
+        self.assertFalse(new.answer_claim(claim(old), "B", REMEMBERED - 1).granted)
+        self.assertTrue(new.answer_not_held(KEY, REMEMBERED).granted)
         old.hold(KEY, 4, {}, 0)
-        self.assertIs(old.rule(KEY, "id", 1, False, LAPSES), ClaimRuling.TAKE)
-        self.assertIs(old.rule(KEY, "id", 1, False, LAPSES + 1), ClaimRuling.CLAIM)
-        old.heard([Entry(KEY, "A", 5, 0)], 1)
-        self.assertIs(old.rule(KEY, "id", 1, False, 1), ClaimRuling.PASS)
+        self.assertIs(old.rule(KEY, "id", 1, False, LAPSES), SubmissionRuling.ACCEPT)
+        self.assertIs(old.rule(KEY, "id", 1, False, LAPSES + 1), SubmissionRuling.CLAIM)
+        old.merge_entries([Entry(KEY, "A", 5, 0)], 1)
+        self.assertIs(old.rule(KEY, "id", 1, False, 1), SubmissionRuling.FORWARD)
 
     def test_of_two_claims_at_once_one_gives_way(self) -> None:
         one, two, third = (SessionDirectory(name, 3, 0, alone=True) for name in "ABC")
         first, second = claim(one), claim(two)
-        self.assertFalse(two.claimed(first, "A", 0).granted)
+        self.assertFalse(two.answer_claim(first, "A", 0).granted)
         for asking, now in ((second._replace(at=-1), 0), (second, CLAIM)):
-            self.assertFalse(two.answered(asking, "C", Claim(True, None), now))
-        self.assertTrue(two.answered(second, "A", one.claimed(second, "B", 0), 0))
-        self.assertTrue(third.claimed(first, "A", 0).granted)
-        self.assertFalse(one.answered(first, "C", third.claimed(first, "A", 0), 0))
+            self.assertFalse(two.record_claim_answer(asking, "C", ClaimAnswer(True, None), now))
+        self.assertTrue(two.record_claim_answer(second, "A", one.answer_claim(second, "B", 0), 0))
+        self.assertTrue(third.answer_claim(first, "A", 0).granted)
+        self.assertFalse(one.record_claim_answer(first, "C", third.answer_claim(first, "A", 0), 0))
 
     def test_contents_tell_parts_apart(self) -> None:
-        self.assertNotEqual(contents("ab", b"c"), contents("a", b"bc"))
+        self.assertNotEqual(contents_hash("ab", b"c"), contents_hash("a", b"bc"))
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -360,7 +360,7 @@
         a.store.current = LeasedPartition(partition + 1, a.store.holdings[partition].adoption)
         a.store.current.serving = True
         self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.KEPT)
-        self.assertEqual((a.dispatcher.submitted, a.directory.where(KEY)), (1, "c"))  # type: ignore[attr-defined]
+        self.assertEqual((a.dispatcher.submitted, a.directory.holder_of(KEY)), (1, "c"))  # type: ignore[attr-defined]
         ((number, kept),) = a.store.messages.items()
         holding = c.store.holdings[partition]
         fact = Fact(number, base_of(kept, b"x"), MessageKnowledge())
