--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -11,7 +11,7 @@
 from cedarwick.fleet.migration_table import MOST_IN, MOST_OUT
 from cedarwick.fleet.placement import weight
 
-STAYS = 10_000_000  # microseconds that a session stays after a move, unless staff move it or its sender leaves
+STAYS = 10_000_000  # microseconds that a session stays after a move, unless an operator moves it or its sender leaves
 AFTER_OFF = 1_000_000  # microseconds until a session is offered again after its move was called off
 FULL = 0.8  # share of its capacity up to which a sender takes sessions
 
@@ -19,7 +19,7 @@
 class MigrationReason(Enum):
     """Why a session is to move; the most urgent first."""
 
-    STAFF = "staff say so"
+    OPERATOR = "an operator asks for it"
     LEAVING = "this sender leaves"
     FAILING = "this hall is drained or failing"
     CLIENT = "its client has come to another sender"
@@ -81,7 +81,7 @@
             self.off[key] = now + AFTER_OFF
 
     def plan(
-        self, wishes: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
+        self, requests: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
     ) -> list[tuple[int, str]]:
         """The moves to begin now, as pairs of key and target; the caller asks for the others again later.
 
@@ -93,15 +93,21 @@
         for to in self.out.values():
             more[to] = more.get(to, 0) + 1
         chosen = []
-        for wish in sorted(wishes, key=lambda each: list(MigrationReason).index(each.why)):
-            stays = wish.key in self.stays and wish.why not in (MigrationReason.STAFF, MigrationReason.LEAVING)
+        for request in sorted(requests, key=lambda each: list(MigrationReason).index(each.why)):
+            stays = request.key in self.stays and request.why not in (MigrationReason.OPERATOR, MigrationReason.LEAVING)
             # `stays`: with a client at each of two senders a session would go to and fro, frozen most of the time.
-            if len(self.out) >= MOST_OUT or wish.key in self.out or wish.key in self.off or stays or not wish.key:
+            if (
+                len(self.out) >= MOST_OUT
+                or request.key in self.out
+                or request.key in self.off
+                or stays
+                or not request.key
+            ):
                 continue
-            for each in preferred(wish.key, self.hall, neighbours, more):
-                if wish.to in ("", each.name) and more.get(each.name, 0) < MOST_IN:
-                    self.out[wish.key] = each.name
+            for each in preferred(request.key, self.hall, neighbours, more):
+                if request.to in ("", each.name) and more.get(each.name, 0) < MOST_IN:
+                    self.out[request.key] = each.name
                     more[each.name] = more.get(each.name, 0) + 1
-                    chosen.append((wish.key, each.name))
+                    chosen.append((request.key, each.name))
                     break
         return chosen
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -86,7 +86,7 @@
         self.store.marking = self.files.write_marks
         self.dispatcher: Dispatcher
         self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
-        self.slept: set[str] = set()  # of these, staged in a partition that was adopted since
+        self.staged_before_adoption: set[str] = set()  # of these, staged in a partition that was adopted since
         self.sequences: dict[str, int] = {}  # by move: the sequence of its session since the move began
         self.answers: dict[str, gevent.event.AsyncResult] = {}  # by move: whether it was staged
         self.under_way: set[tuple[str, MigrationAction]] = set()
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -172,7 +172,7 @@
         return []
 
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
-        """The source wants the session back: the time is over, the target refused, or staff ask for it."""
+        """The source wants the session back: the time is over, the target refused, or an operator asks for it."""
         move = self.moves.get(name)
         if move is None or move.source_stage not in (SourceStage.FREEZING, SourceStage.OFFERED):
             return []
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -104,7 +104,7 @@
             if offer is not None and not self.directory.superseded(key, parts(name)[1], offer[0].sequence):
                 stage, at = offer  # without an offer the recent ids are unknown here; it is claimed later
                 ids = {each.id: (each.age + now - at, each.hashed) for each in stage.ids}
-                self.directory.hold(key, sequence, ids, now, name not in self.slept)
+                self.directory.hold(key, sequence, ids, now, name not in self.staged_before_adoption)
                 self.planner.arrived(key, now)
             return True
 
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -106,7 +106,7 @@
             and not grant.closed
             and not self.node.grantor.learning
         )
-        moved = self.transfers.acceptor.moved(asking.key, holder, now - REMEMBERED) or self.transfers.open_move(
+        moved = self.migrations.acceptor.moved(asking.key, holder, now - REMEMBERED) or self.migrations.open_move(
             asking.key
         )
         return self.directory.answer_inheritance(asking, by, holds, moved, now)
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -47,7 +47,7 @@
 GOSSIP = 250_000  # microseconds between two peer messages of session locations to each member
 MIN_GOSSIP_SESSIONS = 256  # sessions in one peer message at least: a 40th of all that are held, and so all in 10 s
 MAX_GOSSIP_SESSIONS = 4096
-WISHES = 256  # looked at in one turn
+MAX_PLANNED_REQUESTS = 256  # migrations of a leaving or failing sender that are planned in one turn
 HANDED_OVER = 5_000_000  # microseconds after the end of a process in which its successor goes on with its sessions
 MOVED_IN = 1.5  # seconds that `MOVE` waits for the result of a move
 
@@ -81,27 +81,27 @@
         if self.store.by_copy:
             node.copies.heard = self._copied
 
-    def attach(self, staff: ManagementCommands, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
+    def attach(self, commands: ManagementCommands, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
         """Take clients' submissions and operators' `MOVE` commands; called before the first peer message."""
-        self.dispatcher = self.transfers.dispatcher = dispatcher
-        self.take_up()
+        self.dispatcher = self.migrations.dispatcher = dispatcher
+        self.restore_sessions()
         self.client_listener = client_listener
         client_listener.hand_in = self.hand_in
-        staff.moves = self.moved_by_hand
+        commands.moves = self.move_on_command
 
     def stop(self) -> None:
         """Close the connections to the other members."""
-        self.lane.close()
+        self.peers.close()
 
     def replace(self) -> None:
         """Called when the node has a new list of members."""
-        self.lane.replace(self.node.where)
+        self.peers.replace(self.node.where)
         self.moves.voters = tuple(sorted(self.node.halls))
         self.directory.members = len(self.node.halls)
 
-    def take_up(self) -> None:
+    def restore_sessions(self) -> None:
         """Go on with the sessions of the process that this one replaces, if it ended a moment ago."""
-        left, now = self.transfers.files.read_and_delete_sessions(), monotonic_time()
+        left, now = self.migrations.files.read_and_delete_sessions(), monotonic_time()
         age = time.time_ns() // 1000 - left.at if left is not None else 0
         # An older file, or one from the future, may name sessions that others hold by now.
         if left is not None and 0 <= age < HANDED_OVER:
@@ -120,7 +120,7 @@
             for key, session in self.directory.sessions.items()
             if session.sure and session.used >= now - LAPSES and self._standing(key)[0] == "here"
         ]
-        self.transfers.files.write_sessions(HeldSessions(time.time_ns() // 1000, held, self.partition))
+        self.migrations.files.write_sessions(HeldSessions(time.time_ns() // 1000, held, self.partition))
         self.directory.sessions.clear()
 
     def leave(self) -> None:
@@ -130,21 +130,21 @@
     def left(self) -> bool:
         """Whether no move from here is under way, and no session is held that another member would take."""
         held = self.directory.sessions and any(each.takes for each in self._neighbours())
-        return not held and not self.transfers.under_way_here()
+        return not held and not self.migrations.under_way_here()
 
     def heard(self, sender: str, incarnation: int, body: Body) -> Body | None:
         """The answer to another member's peer message; None if it is not about sessions."""
         now = monotonic_time()
         if isinstance(body, ForwardedSubmit):
-            return self._passed(sender, body)
+            return self._answer_forwarded(sender, body)
         if isinstance(body, SessionLocations):
-            first = self.lasting.first and self.first_seen.setdefault(sender, incarnation) == incarnation
+            first = self.lasting.first and self.first_incarnations.setdefault(sender, incarnation) == incarnation
             self._receive_locations(sender, body, now)
             return self._location_update((), first)
         if isinstance(body, SessionClaim):
             asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
             # Refused during a move: decided late, it would make a second holder beside the claimer.
-            moving = self.transfers.open_move(body.key)
+            moving = self.migrations.open_move(body.key)
             claim = ClaimAnswer(False, None) if moving else self.directory.answer_claim(asking, sender, now)
             return ClaimReply(claim.granted, location_of(claim.entry))
         if isinstance(body, SessionInheritance):
@@ -152,9 +152,9 @@
             claim = self._successor_claims(asking, body.partition, sender, now)
             return ClaimReply(claim.granted, location_of(claim.entry))
         if isinstance(body, RecallForward):
-            return self._recalled(body)
+            return self._answer_recall(body)
         if isinstance(body, StageSession | PrepareRequest | AcceptRequest | MigrationDecided):
-            return self.transfers.answer(body, now)
+            return self.migrations.answer(body, now)
         return None
 
     def look(self, now: int) -> None:
@@ -162,23 +162,23 @@
         self._bind()
         for name in self.node.halls:
             if name == self.name or self.node.members.state(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
-                self.void.discard(name)
-            elif name not in self.void:
-                self.void.add(name)
+                self.abandoned_members.discard(name)
+            elif name not in self.abandoned_members:
+                self.abandoned_members.add(name)
                 self.directory.expire_entries_of(name, now)
-        if now - self.gossiped_at >= GOSSIP:
-            self.gossiped_at = now
+        if now - self.locations_sent_at >= GOSSIP:
+            self.locations_sent_at = now
             self._gossip(now)
         if now - self.forgot_at >= SECOND:
             self.forgot_at = now
             self.directory.forget(now)
-            self.transfers.forget(now)
+            self.migrations.forget(now)
             for known in (self.replica_recent_ids, self.inheritable_sessions):
                 for partition in [partition for partition in known if partition not in self.node.adoptions]:
                     del known[partition]
-        self.transfers.look(now)
+        self.migrations.look(now)
         self._plan(now)
-        self._see_ends()
+        self._answer_move_commands()
 
     def _gossip(self, now: int) -> None:
         # Without a valid lease nothing is sent: after a long pause others may hold these sessions by now.
@@ -194,25 +194,25 @@
                 gevent.spawn(self._send_locations, name, locations)
 
     def _send_locations(self, name: str, locations: tuple[SessionLocation, ...]) -> None:
-        first = self.lasting.first and name not in self.first_seen
+        first = self.lasting.first and name not in self.first_incarnations
         answer = self._call(name, self._location_update(locations, first), GOSSIP / SECOND)
         if not isinstance(answer, SessionLocations):
             return
         now = monotonic_time()
         self._receive_locations(name, answer, now)
-        self.transfers.learned(name, answer.stamp)
+        self.migrations.learned(name, answer.stamp)
         # Only if no member has run before: one that forgot sessions must wait until ids of that time cannot come again.
         if answer.first and self.lasting.first:
-            self.new.add(name)
-            if len(self.new) == len(self.node.halls) - 1 and self.directory.grants_at > now:
+            self.members_without_history.add(name)
+            if len(self.members_without_history) == len(self.node.halls) - 1 and self.directory.grants_at > now:
                 self.directory.grants_at = now
                 logger.info("sessions may be opened: no member has run before")
 
     def _location_update(self, locations: tuple[SessionLocation, ...], first: bool) -> SessionLocations:
-        return SessionLocations(locations, len(self.directory.sessions), self._takes(), self.transfers.stamp, first)
+        return SessionLocations(locations, len(self.directory.sessions), self._takes(), self.migrations.stamp, first)
 
     def _receive_locations(self, name: str, body: SessionLocations, now: int) -> None:
-        self.neighbours[name] = body
+        self.locations_by_member[name] = body
         entries = [entry for location in body.locations if (entry := entry_of(location)) is not None]
         self.directory.merge_entries(entries, now)
 
@@ -227,24 +227,24 @@
                 not members.notes(now, name),
                 location.takes and members.state(now, name) is MemberStatus.ALIVE,
             )
-            for name, location in self.neighbours.items()
+            for name, location in self.locations_by_member.items()
             if name in halls
         ]
 
     def _plan(self, now: int) -> None:
-        self.wishes = {key: each for key, each in self.wishes.items() if each[1] > now}
-        wishes = [wish for wish, _ in self.wishes.values()]
+        self.requested_migrations = {key: each for key, each in self.requested_migrations.items() if each[1] > now}
+        requests = [request for request, _ in self.requested_migrations.values()]
         if self.leaving or self.client_listener.paused:
             why = MigrationReason.LEAVING if self.leaving else MigrationReason.FAILING
-            wishes += [
+            requests += [
                 MigrationRequest(key, why)
                 for key in self.directory.sessions
-                if key not in self.transfers.planner.out and key not in self.transfers.planner.off
-            ][:WISHES]
-        for key, to in self.transfers.planner.plan(wishes, self._neighbours(), now) if wishes else ():
-            self.transfers.begin(key, to, now)
+                if key not in self.migrations.planner.out and key not in self.migrations.planner.off
+            ][:MAX_PLANNED_REQUESTS]
+        for key, to in self.migrations.planner.plan(requests, self._neighbours(), now) if requests else ():
+            self.migrations.begin(key, to, now)
 
-    def moved_by_hand(self, call: Call) -> str:
+    def move_on_command(self, call: Call) -> str:
         """Carry out the command `MOVE KEY SENDER` and return its answer.
 
         Raises `InvalidMoveError`, `SessionNotHeldError`, or `SessionNotMovedError` after `MOVED_IN` seconds.
@@ -260,14 +260,14 @@
             raise InvalidMoveError(f"{to[:64]!r} is no other member")
         if key not in self.directory.sessions:
             raise SessionNotHeldError(f"{key:016x} is held by {self.directory.holder_of(key) or 'nobody'}")
-        self.wishes[key] = MigrationRequest(key, MigrationReason.STAFF, to), monotonic_time() + SECOND
-        end = self.ends.setdefault(key, gevent.event.AsyncResult())
+        self.requested_migrations[key] = MigrationRequest(key, MigrationReason.OPERATOR, to), monotonic_time() + SECOND
+        end = self.awaited_moves.setdefault(key, gevent.event.AsyncResult())
         if not end.wait(MOVED_IN):
-            self.ends.pop(key, None)
+            self.awaited_moves.pop(key, None)
             raise SessionNotMovedError(f"{key:016x} stays at {self.name}")
         return f"YES {key:016x} moved to {end.get()}\n"
 
-    def _see_ends(self) -> None:
-        for key in [key for key in self.ends if self.directory.holder_of(key) not in (None, self.name)]:
-            self.wishes.pop(key, None)
-            self.ends.pop(key).set(self.directory.holder_of(key))
+    def _answer_move_commands(self) -> None:
+        for key in [key for key in self.awaited_moves if self.directory.holder_of(key) not in (None, self.name)]:
+            self.requested_migrations.pop(key, None)
+            self.awaited_moves.pop(key).set(self.directory.holder_of(key))
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -57,23 +57,24 @@
         self.lasting = node.lasting
         self.counters = node.counters
         self.clock = node.clock
-        self.lane = Peers(node.gate, node.where, AT_ONCE)
+        self.peers = Peers(node.gate, node.where, AT_ONCE)
         now = monotonic_time()
         self.directory = SessionDirectory(self.name, len(node.halls), now)
-        self.transfers = SessionMigrations(node, self.directory, self._call, self._takes, self._change)
-        self.moves = self.transfers.moves
+        self.migrations = SessionMigrations(node, self.directory, self._call, self._takes, self._change)
+        self.moves = self.migrations.moves
         self.dispatcher: Dispatcher
         self.client_listener: ClientListener
         self.leaving = False
         self.changed = gevent.event.Event()  # something that a submission may wait for
         self.pending: dict[str, Submission] = {}  # by id: at the dispatcher
-        self.wishes: dict[int, tuple[MigrationRequest, int]] = {}  # and until when
-        self.ends: dict[int, gevent.event.AsyncResult] = {}  # by key: staff wait for the end of its move
-        self.neighbours: dict[str, SessionLocations] = {}  # what each member sent last
-        self.first_seen: dict[str, int] = {}  # by member: its first boot known here
-        self.new: set[str] = set()  # members that have never run before, and know of no earlier boot of this one
-        self.void: set[str] = set()  # members whose sessions were given up
-        self.gossiped_at = self.forgot_at = 0
+        self.requested_migrations: dict[int, tuple[MigrationRequest, int]] = {}  # and until when
+        self.awaited_moves: dict[int, gevent.event.AsyncResult] = {}  # by key: operators wait for the end of its move
+        self.locations_by_member: dict[str, SessionLocations] = {}  # what each member sent last
+        self.first_incarnations: dict[str, int] = {}  # by member: its first boot known here
+        # Members that have never run before, and know of no earlier boot of this one:
+        self.members_without_history: set[str] = set()
+        self.abandoned_members: set[str] = set()  # dead or gone ones, whose entries have been aged
+        self.locations_sent_at = self.forgot_at = 0
         self.partition = 0  # in which the sessions that are held for sure were taken
         self.replica_recent_ids: dict[int, RecentIds] = {}  # by partition, of the replicas here
         self.inheritable_sessions: dict[int, InheritableSessions] = {}  # by partition that was adopted here
@@ -83,7 +84,7 @@
         there, to = self.moves.standing(key)
         return ("here", "") if there == "pass" and key in self.directory.sessions else (there, to)
 
-    def _lives(self, name: str) -> bool:
+    def _is_alive(self, name: str) -> bool:
         return name != self.name and self.node.members.state(monotonic_time(), name) is MemberStatus.ALIVE
 
     def _wait(self, until: int) -> bool:
@@ -100,7 +101,7 @@
         if current is not None and current.partition != self.partition:
             if self.partition:
                 self.directory.mark_all_unsure()
-                self.transfers.slept = set(self.transfers.offers)
+                self.migrations.staged_before_adoption = set(self.migrations.offers)
             self.partition = current.partition
 
     def _takes(self) -> bool:
@@ -108,7 +109,7 @@
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
         try:
-            return self.lane.call(name, body, within_s)
+            return self.peers.call(name, body, within_s)
         except PeerUnreachableError:
             self.counters.add(f"peer messages about sessions without an answer: {name}")
         except PeerRefusedError as error:
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -31,7 +31,7 @@
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
-MOST_CLAIMS = 2  # for one submission: a claim that fails was refused, or met members that are slow
+MAX_CLAIMS = 2  # for one submission: a claim that fails was refused, or met members that are slow
 PATIENCE = 330_000  # microseconds in which a client's request is answered, of the 400 ms that it waits
 TRY = 0.15  # seconds until a submission that was passed on without an answer is passed on again
 LEAST = 15_000  # microseconds without which nothing more is tried for a client
@@ -58,40 +58,41 @@
                     return BUSY
                 continue
             if ruling in (SubmissionRuling.ACCEPT, SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT):
-                handed = self._take(stored, hashed, ruling, now)
+                handed = self._accept(stored, hashed, ruling, now)
                 if handed is not None:
                     return handed
                 continue
             if ruling is SubmissionRuling.CLAIM or ruling is None and not holder:
                 claims += 1
-                if claims > MOST_CLAIMS or not self._claim(key):
+                if claims > MAX_CLAIMS or not self._claim(key):
                     return BUSY
                 continue
             known = self.directory.holder_of(key)
             to = holder if known in (None, self.name) else known or ""  # it may have moved on since
             entry = self.directory.entry(key, now)
-            if not self._lives(to):
+            if not self._is_alive(to):
                 successor = self._successor(to) if entry is not None and entry.holder == to else ""
-                if successor == self.name and claims < MOST_CLAIMS:
+                if successor == self.name and claims < MAX_CLAIMS:
                     claims += 1
                     if self._inherit(key):
                         continue
-                to, claims = successor, MOST_CLAIMS
+                to, claims = successor, MAX_CLAIMS
             else:
                 entry = None
-            if hops == 2 or not self._lives(to):
+            if hops == 2 or not self._is_alive(to):
                 return BUSY
             hops += 1
-            answer = self._pass(stored, to, began + PATIENCE, there == "pass", entry)
+            answer = self._forward_submission(stored, to, began + PATIENCE, there == "pass", entry)
             if isinstance(answer, tuple):
                 return answer
             if answer.answer:
                 taken = answer.answer == AdmissionResult.KEPT.value
-                return AdmissionResult(answer.answer), answer.wait_ms, self._recalling(stored, to) if taken else None
+                recall = self._recall_on_disconnect(stored, to) if taken else None
+                return AdmissionResult(answer.answer), answer.wait_ms, recall
             claim = ClaimAnswer(answer.disowned, entry_of(answer.entry))
             after = self.directory.forward_refused(key, to, claim, monotonic_time())
             if after is SubmissionRuling.CLAIM:
-                self.transfers.act(self.moves.client_gone(key, monotonic_time()))
+                self.migrations.act(self.moves.client_gone(key, monotonic_time()))
                 if self._claim(key):
                     continue
             # It may have come here meanwhile.
@@ -103,7 +104,7 @@
                 return BUSY
         return BUSY
 
-    def _take(self, stored: StoredMessage, hashed: int, ruling: SubmissionRuling, now: int) -> SubmitResult | None:
+    def _accept(self, stored: StoredMessage, hashed: int, ruling: SubmissionRuling, now: int) -> SubmitResult | None:
         """Take a submission of a session that is held here; None if the session was frozen meanwhile."""
         pending = self.pending.get(stored.id)
         if ruling is SubmissionRuling.CONFLICT:
@@ -135,7 +136,7 @@
             session.ids[submission.message.id] = session.ids[submission.message.id][0], UNKNOWN_HASH
         self.dispatcher.withdraw(submission)
 
-    def _pass(
+    def _forward_submission(
         self, stored: StoredMessage, to: str, until: int, moved: bool, gone: Entry | None
     ) -> ForwardReply | SubmitResult:
         """Forward a submission and return the answer; `BUSY` if surely nothing was taken, `UNSURE` if it may have been.
@@ -158,7 +159,7 @@
                 location_of(gone),
             )
             try:
-                answer = self.lane.call(to, body, min(left / SECOND, TRY))
+                answer = self.peers.call(to, body, min(left / SECOND, TRY))
             except PeerUnreachableError:
                 sure = False
                 self.counters.add(f"submissions passed on without an answer: {to}")
@@ -173,13 +174,13 @@
             break
         return BUSY if sure else UNSURE
 
-    def _recalling(self, stored: StoredMessage, to: str) -> Callable[[], None]:
+    def _recall_on_disconnect(self, stored: StoredMessage, to: str) -> Callable[[], None]:
         def recall() -> None:
             gevent.spawn(self._call, to, RecallForward(stored.turn, stored.id), SETTLE_IN)
 
         return recall
 
-    def _passed(self, sender: str, body: ForwardedSubmit) -> ForwardReply:
+    def _answer_forwarded(self, sender: str, body: ForwardedSubmit) -> ForwardReply:
         """Answer a submission that another member passes on."""
         until = monotonic_time() + min(body.within, WAITS)
         limit = self.clock.now() + body.left
@@ -212,12 +213,12 @@
             )
             if ruling in (SubmissionRuling.BUSY, SubmissionRuling.CLAIM):
                 claims += 1
-                if claims > MOST_CLAIMS or ruling is SubmissionRuling.BUSY or not self._claim(body.key):
+                if claims > MAX_CLAIMS or ruling is SubmissionRuling.BUSY or not self._claim(body.key):
                     break
                 continue
             if ruling is SubmissionRuling.NOT_HELD:
                 of = self.directory.holder_of(body.key) or ""
-                if claims < MOST_CLAIMS and of and not self._lives(of) and self._successor(of) == self.name:
+                if claims < MAX_CLAIMS and of and not self._is_alive(of) and self._successor(of) == self.name:
                     if self.directory.is_claiming(body.key, now):
                         if not self._wait(until):
                             break
@@ -228,13 +229,14 @@
                 claim = self.directory.answer_not_held(body.key, now)
                 return ForwardReply("", 0, claim.granted, location_of(claim.entry))
             if not body.moved and self.node.halls.get(sender) != self.node.halls[self.name]:
-                self.wishes[body.key] = MigrationRequest(body.key, MigrationReason.CLIENT, sender), now + COMES_FOR
-            handed = self._take(stored, hashed, ruling, now)
+                request = MigrationRequest(body.key, MigrationReason.CLIENT, sender)
+                self.requested_migrations[body.key] = request, now + COMES_FOR
+            handed = self._accept(stored, hashed, ruling, now)
             if handed is not None:
                 return ForwardReply(handed[0].value, handed[1])
         return ForwardReply(AdmissionResult.BUSY.value)
 
-    def _recalled(self, body: RecallForward) -> Acknowledged:
+    def _answer_recall(self, body: RecallForward) -> Acknowledged:
         stored = self.store.messages.get(self.dispatcher.numbers.get(body.id, 0))
         if stored is not None and stored.turn == body.key and stored.number not in self.store.inert:
             self.counters.add("clients gone before their answer")
--- a/tests/test_fleet_migration.py
+++ b/tests/test_fleet_migration.py
@@ -576,7 +576,7 @@
         planner.arrived(KEY, 0)
         client, staff = (
             MigrationRequest(KEY, MigrationReason.CLIENT, "E"),
-            MigrationRequest(KEY, MigrationReason.STAFF, "E"),
+            MigrationRequest(KEY, MigrationReason.OPERATOR, "E"),
         )
         self.assertEqual(planner.plan([client], there, STAYS - 1), [])
         self.assertEqual(planner.plan([staff], there, STAYS - 1), [(KEY, "E")])
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -119,7 +119,7 @@
         made = node.traffic
         client_listener: Any = SimpleNamespace(paused=False)
         made.attach(mock.Mock(), client_listener, Desk(store))  # type: ignore[arg-type]
-        made.lane = SimpleNamespace(
+        made.peers = SimpleNamespace(
             call=lambda to, body, within: self.call(name, to, body),  # type: ignore[assignment]
             close=lambda: None,
         )
@@ -138,7 +138,7 @@
     def exchange_locations(self) -> None:
         """Every member sends its session locations to every other one."""
         for name in NAMES:
-            self.traffic[name].gossiped_at = 0
+            self.traffic[name].locations_sent_at = 0
             self.traffic[name].look(monotonic_time())
         gevent.sleep(0.02)
 
@@ -150,7 +150,7 @@
             gevent.sleep(0.005)
 
     def move(self, source: str, target: str) -> str:
-        moving = gevent.spawn(self.traffic[source].moved_by_hand, Call("MOVE", f"{KEY:x} {target}"))
+        moving = gevent.spawn(self.traffic[source].move_on_command, Call("MOVE", f"{KEY:x} {target}"))
         while not moving.ready():
             self.turn(0.01)
         return str(moving.get())
@@ -166,7 +166,7 @@
         )
         self.assertEqual(len(b.dispatcher.adopted), 2)  # type: ignore[attr-defined]
         self.assertEqual([each.store.inert for each in (a, b)], [{}, {}])
-        self.assertEqual([each.transfers.files.read_marks() for each in (a, b)], [{}, {}])
+        self.assertEqual([each.migrations.files.read_marks() for each in (a, b)], [{}, {}])
         for who in (a, c):  # the connection that stayed, and a client that comes elsewhere
             self.assertEqual(who.hand_in(message("1"))[0], AdmissionResult.KEPT)
             self.assertEqual(who.hand_in(message("2", b"other"))[0], AdmissionResult.REPEATED)
@@ -186,7 +186,7 @@
         with mock.patch.object(a.store, "over", full):
             self.move("a", "b")
             self.turn()
-        self.assertEqual((a.store.messages, a.store.inert, a.transfers.files.read_marks()), ({}, {}, {}))
+        self.assertEqual((a.store.messages, a.store.inert, a.migrations.files.read_marks()), ({}, {}, {}))
         self.assertEqual(len(b.store.messages), 2)
 
     def test_an_answer_that_is_lost_is_asked_for_again_and_never_made_up(self) -> None:
@@ -230,7 +230,7 @@
         a.hand_in(message("1"))
         (number,) = a.store.messages
         self.lose = lambda to, body: "ask"  # all of it is lost from the first peer message on
-        a.transfers.begin(KEY, "b", monotonic_time())
+        a.migrations.begin(KEY, "b", monotonic_time())
         self.turn(0.1)
         self.assertEqual((list(a.store.inert), a.store.may_fire(number)), ([number], False))
         self.nodes["a"].stop()
@@ -259,13 +259,13 @@
             [again.hand_in(message(id))[0] for id in ("1", "2")], [AdmissionResult.KEPT, AdmissionResult.KEPT]
         )
         self.assertEqual(dispatcher.submitted, 1)
-        self.assertIsNone(again.transfers.files.read_and_delete_sessions())
+        self.assertIsNone(again.migrations.files.read_and_delete_sessions())
 
     def test_a_stage_that_comes_spoilt_or_late_is_not_kept(self) -> None:
         b = self.traffic["b"]
         answer = b.heard("a", 1, StageSession("9/a/b", KEY, 2, b"facts", 1))
         self.assertEqual(answer, StageReply("9/a/b", False, "spoilt"))
-        b.transfers.vote(name_move(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
+        b.migrations.vote(name_move(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
         late = b.heard("a", 1, StageSession("8/a/b", KEY, 2, b"", 0x2D06800538D394C2))
         self.assertEqual((isinstance(late, StageReply) and late.stored, b.store.messages), (False, {}))
 
@@ -275,9 +275,9 @@
         thawed = a.dispatcher.thaw = mock.Mock()  # type: ignore[method-assign]
         self.lose = lambda to, body: "ask" if isinstance(body, StageSession) else ""
         with mock.patch.object(migration_source, "RELEASE_AGAIN", 0.05):
-            a.transfers.begin(KEY, "b", monotonic_time())
+            a.migrations.begin(KEY, "b", monotonic_time())
             self.turn(0.3)  # marked, and the target does not answer
-            with mock.patch.object(a.transfers, "_save_without", side_effect=OSError("full")) as save:
+            with mock.patch.object(a.migrations, "_save_without", side_effect=OSError("full")) as save:
                 self.turn(0.6)
                 self.assertTrue(save.called)
                 self.assertEqual((len(a.store.inert), thawed.called), (1, False))
@@ -285,7 +285,7 @@
         self.assertEqual((a.store.inert, thawed.called, len(a.dispatcher.adopted)), ({}, True, 1))  # type: ignore[attr-defined]
 
     def test_a_vote_that_was_not_written_is_not_granted_when_it_is_asked_again(self) -> None:
-        made, move = self.traffic["b"].transfers, name_move(self.traffic["a"].transfers.stamp, "a", "b")
+        made, move = self.traffic["b"].migrations, name_move(self.traffic["a"].migrations.stamp, "a", "b")
         with mock.patch.object(made.files, "append_vote", side_effect=OSError("full")):
             asked = [made.vote(move, (2, "c#1"), None, KEY).granted for _ in range(2)]
             asked += [made.vote(move, (2, "c#1"), "off", KEY).granted for _ in range(2)]
@@ -300,7 +300,7 @@
         a.hand_in(message("1"))
         with mock.patch.object(a.store, "taking", return_value=False):
             self.assertEqual(a.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        passed = a._passed(
+        passed = a._answer_forwarded(
             "c",
             SimpleNamespace(  # type: ignore[arg-type]
                 key=KEY + 1,
@@ -381,18 +381,18 @@
         )
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         c.inheritable_sessions[partition] = inheritable._replace(complete_at=0)
-        b.transfers.vote(name_move(b.transfers.stamp, "b", "a"), (1, "a"), "taker", KEY)
+        b.migrations.vote(name_move(b.migrations.stamp, "b", "a"), (1, "a"), "taker", KEY)
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        b.transfers.acceptor.rows.clear()
-        b.transfers.acceptor.by_key.clear()
+        b.migrations.acceptor.rows.clear()
+        b.migrations.acceptor.by_key.clear()
         b.node.grantor._grants[right_of(partition + 1)] = Grant(right_of(partition + 1), 1, "a")
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
         del b.node.grantor._grants[right_of(partition + 1)]
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.KEPT)
-        b.transfers.acceptor.learned("a", 1)
+        b.migrations.acceptor.learned("a", 1)
         self.assertEqual(
             [
-                b.transfers.vote(name_move(a.transfers.stamp, "a", "b"), (1, "b"), "taker", key).granted
+                b.migrations.vote(name_move(a.migrations.stamp, "a", "b"), (1, "b"), "taker", key).granted
                 for key in (KEY, 0, KEY + 1)
             ],
             [False, False, True],
@@ -400,20 +400,20 @@
 
     def test_a_move_that_nobody_has_a_side_of_any_more_is_settled(self) -> None:
         a, b, c = (self.traffic[name] for name in NAMES)
-        move = name_move(a.transfers.stamp, "a", "b")
+        move = name_move(a.migrations.stamp, "a", "b")
         for voters in ((b,), (b, c)):
             for each in (b, c):
-                each.transfers.acceptor.learned("a", 1)
+                each.migrations.acceptor.learned("a", 1)
             for each in voters:
-                self.assertTrue(each.transfers.vote(move, (1, "b"), "taker", KEY).granted)
-                each.transfers.acceptor.rows[move].at -= OLD
-            self.assertEqual(b.transfers.moves.moves, {})
-            b.transfers.forget(monotonic_time())
+                self.assertTrue(each.migrations.vote(move, (1, "b"), "taker", KEY).granted)
+                each.migrations.acceptor.rows[move].at -= OLD
+            self.assertEqual(b.migrations.moves.moves, {})
+            b.migrations.forget(monotonic_time())
             gevent.sleep(0.05)
-            rows = [each.transfers.acceptor.rows[move] for each in (b, c)]
+            rows = [each.migrations.acceptor.rows[move] for each in (b, c)]
             self.assertEqual([(row.decided, row.value, row.key) for row in rows], [(True, "taker", KEY)] * 2)
-            self.assertEqual(b.transfers.orphaned_proposers, {})
-            move = name_move(a.transfers.stamp + 1, "a", "b")
+            self.assertEqual(b.migrations.orphaned_proposers, {})
+            move = name_move(a.migrations.stamp + 1, "a", "b")
 
 
 class StoredVotes(unittest.TestCase):
