--- /dev/null
+++ b/cedarwick/fleet/counted_calls.py
@@ -0,0 +1,38 @@
+"""Calls of other members whose failure is counted and logged instead of raised."""
+
+from collections.abc import Callable
+from typing import TypeVar
+
+from cedarwick.errors import CedarwickError
+from cedarwick.fleet.messages import Body
+from cedarwick.fleet.transport import PeerRefusedError, PeerUnreachableError
+from cedarwick.net.counters import Counters
+
+Answer = TypeVar("Answer")  # `Body` or `PeerMessage`
+
+
+def counted_call(
+    send: Callable[[str, Body, float], Answer],
+    name: str,
+    body: Body,
+    within_s: float,
+    counters: Counters,
+    subject: str = "",
+) -> Answer | None:
+    """Send a peer message to the member `name` and return its answer; None on any failure, which is counted.
+
+    Args:
+        send: as `Peers.call` or `Peers.peer_message`.
+        within_s: seconds in which the answer must come.
+        subject: what the message is about, for the names of the counters; empty: anything.
+    """
+    about = f" about {subject}" if subject else ""
+    try:
+        return send(name, body, within_s)
+    except PeerUnreachableError:
+        counters.add(f"peer messages{about} without an answer: {name}")
+    except PeerRefusedError as error:
+        counters.warning(f"{name} refused a peer message{about}", error)
+    except CedarwickError as error:
+        counters.warning(f"a peer message{about} that was not sent", error)
+    return None
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -13,6 +13,7 @@
 from cedarwick.config.operator import Fleet
 from cedarwick.errors import CedarwickError
 from cedarwick.events.exchange import Exchange
+from cedarwick.fleet.counted_calls import counted_call
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.gossip import Gossip
 from cedarwick.fleet.leases import LeaseGrantor
@@ -24,7 +25,7 @@
 from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
 from cedarwick.fleet.replicated_store import ReplicatedStore, monotonic_time
 from cedarwick.fleet.takeover import Ownership, Takeover
-from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerUnreachableError
+from cedarwick.fleet.transport import Peers
 from cedarwick.net.assignment import address
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
@@ -119,15 +120,7 @@
         return answer.body if answer is not None else None
 
     def _peer_message(self, name: str, body: Body, within_s: float) -> PeerMessage | None:
-        try:
-            return self.peers.peer_message(name, body, within_s)
-        except PeerUnreachableError:
-            self.counters.add(f"peer messages without an answer: {name}")
-        except PeerRefusedError as error:
-            self.counters.warning(f"{name} refused a peer message", error)
-        except CedarwickError as error:
-            self.counters.warning("a peer message that was not sent", error)
-        return None
+        return counted_call(self.peers.peer_message, name, body, within_s, self.counters)
 
     def _guarded(self, call: Callable[..., object], *arguments: object) -> None:
         """Call it; errors are counted and logged, not raised.
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -8,7 +8,7 @@
 import gevent
 import gevent.event
 
-from cedarwick.errors import CedarwickError
+from cedarwick.fleet.counted_calls import counted_call
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
     Body,
@@ -30,7 +30,7 @@
     ClaimRequest,
     SessionDirectory,
 )
-from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerUnreachableError
+from cedarwick.fleet.transport import Peers
 from cedarwick.net.client_listener import ClientListener
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.submission import Submission
@@ -108,15 +108,7 @@
         return not (self.leaving or self.node.leaving or self.client_listener.paused) and self.store.taking()
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
-        try:
-            return self.peers.call(name, body, within_s)
-        except PeerUnreachableError:
-            self.counters.add(f"peer messages about sessions without an answer: {name}")
-        except PeerRefusedError as error:
-            self.counters.warning(f"{name} refused a peer message about sessions", error)
-        except CedarwickError as error:
-            self.counters.warning("a peer message about sessions that was not sent", error)
-        return None
+        return counted_call(self.peers.call, name, body, within_s, self.counters, "sessions")
 
     def _claim(self, key: int) -> bool:
         """Claim a session from all members; returns whether a claim was made, so that it can be ruled on again."""
