--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -4,6 +4,7 @@
 """
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import gevent
 
@@ -31,79 +32,111 @@
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
+MAX_FORWARDS = 2  # of one submission: to the presumed holder, and to the one that it names
 MAX_CLAIMS = 2  # for one submission: a claim that fails was refused, or met members that are slow
 PATIENCE = 330_000  # microseconds in which a client's request is answered, of the 400 ms that it waits
 TRY = 0.15  # seconds until a submission that was passed on without an answer is passed on again
+RETRY_PAUSE_S = 0.005  # before a submission without an answer is forwarded again
 LEAST = 15_000  # microseconds without which nothing more is tried for a client
 COMES_FOR = 1_000_000  # microseconds for which a client that came to another sender counts as being there
 UNSURE: SubmitResult = (AdmissionResult.UNSURE, 0, None)
 BUSY: SubmitResult = (AdmissionResult.BUSY, 0, None)
+BUSY_REPLY = ForwardReply(AdmissionResult.BUSY.value)
+
+
+@dataclass(slots=True)
+class RoutedSubmission:
+    """A submission of a session, and what was done for it so far."""
+
+    stored: StoredMessage
+    hashed: int  # of its contents
+    wait_until: int  # boot clock: how long a change of the session, such as the end of its move, is waited for
+    claims: int = 0
+    forwards: int = 0
 
 
 class SessionSubmissions(SessionInheritances):
     """Takes or forwards submissions, and answers those that other members forward."""
 
+    # ---- from clients ----
+
     def hand_in(self, stored: StoredMessage) -> SubmitResult:
         """Take or forward a client's submission; runs in its connection's greenlet. Begins no step after `PATIENCE`."""
         if not stored.turn:
             return self.client_listener.to_dispatcher(stored)
         began = monotonic_time()
-        key, hashed, claims, hops = stored.turn, hash_of(stored), 0, 0
-        while (now := monotonic_time()) < began + PATIENCE:
-            self._bind()
-            there, holder = self._standing(key)
-            ruling = self.directory.rule(key, stored.id, hashed, False, now) if there == "here" else None
-            if there == "wait" or ruling is SubmissionRuling.BUSY:
-                if not self._wait(began + WAITS):
-                    return BUSY
-                continue
-            if ruling in (SubmissionRuling.ACCEPT, SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT):
-                handed = self._accept(stored, hashed, ruling, now)
-                if handed is not None:
-                    return handed
-                continue
-            if ruling is SubmissionRuling.CLAIM or ruling is None and not holder:
-                claims += 1
-                if claims > MAX_CLAIMS or not self._claim(key):
-                    return BUSY
-                continue
-            known = self.directory.holder_of(key)
-            to = holder if known in (None, self.name) else known or ""  # it may have moved on since
-            entry = self.directory.entry(key, now)
-            if not self._is_alive(to):
-                successor = self._successor(to) if entry is not None and entry.holder == to else ""
-                if successor == self.name and claims < MAX_CLAIMS:
-                    claims += 1
-                    if self._inherit(key):
-                        continue
-                to, claims = successor, MAX_CLAIMS
-            else:
-                entry = None
-            if hops == 2 or not self._is_alive(to):
-                return BUSY
-            hops += 1
-            answer = self._forward_submission(stored, to, began + PATIENCE, there == "pass", entry)
-            if isinstance(answer, tuple):
-                return answer
-            if answer.answer:
-                taken = answer.answer == AdmissionResult.KEPT.value
-                recall = self._recall_on_disconnect(stored, to) if taken else None
-                return AdmissionResult(answer.answer), answer.wait_ms, recall
-            claim = ClaimAnswer(answer.disowned, entry_of(answer.entry))
-            after = self.directory.forward_refused(key, to, claim, monotonic_time())
-            if after is SubmissionRuling.CLAIM:
-                self.migrations.act(self.moves.client_gone(key, monotonic_time()))
-                if self._claim(key):
-                    continue
-            # It may have come here meanwhile.
-            if (
-                after is not SubmissionRuling.FORWARD
-                and key not in self.directory.sessions
-                and self._standing(key)[0] != "wait"
-            ):
-                return BUSY
+        submission = RoutedSubmission(stored, hash_of(stored), began + WAITS)
+        give_up_at = began + PATIENCE
+        while (now := monotonic_time()) < give_up_at:
+            result = self._route(submission, give_up_at, now)
+            if result is not None:
+                return result
         return BUSY
 
+    def _route(self, submission: RoutedSubmission, give_up_at: int, now: int) -> SubmitResult | None:
+        """Take one step for a client's submission; None if the next step is to be chosen anew."""
+        self._bind()
+        stored, hashed, key = submission.stored, submission.hashed, submission.stored.turn
+        there, holder = self._standing(key)
+        ruling = self.directory.rule(key, stored.id, hashed, False, now) if there == "here" else None
+        if there == "wait" or ruling is SubmissionRuling.BUSY:
+            return None if self._wait(submission.wait_until) else BUSY
+        if ruling in (SubmissionRuling.ACCEPT, SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT):
+            return self._accept(stored, hashed, ruling, now)
+        if ruling is SubmissionRuling.CLAIM or ruling is None and not holder:
+            return None if self._claim_for(submission) else BUSY
+        recipient = self._recipient(submission, holder, now)
+        if recipient is None:
+            return None
+        to, dead_holder = recipient
+        if submission.forwards == MAX_FORWARDS or not self._is_alive(to):
+            return BUSY
+        submission.forwards += 1
+        answer = self._forward_submission(stored, to, give_up_at, there == "pass", dead_holder)
+        if isinstance(answer, tuple):
+            return answer
+        if not answer.answer:
+            return None if self._go_on_after_not_held(key, to, answer) else BUSY
+        accepted = answer.answer == AdmissionResult.KEPT.value
+        recall = self._recall_on_disconnect(stored, to) if accepted else None
+        return AdmissionResult(answer.answer), answer.wait_ms, recall
+
+    def _claim_for(self, submission: RoutedSubmission) -> bool:
+        """Claim the session of a submission; False if no claim was made, or too many were."""
+        submission.claims += 1
+        return submission.claims <= MAX_CLAIMS and self._claim(submission.stored.turn)
+
+    def _recipient(self, submission: RoutedSubmission, holder: str, now: int) -> tuple[str, Entry | None] | None:
+        """The member to forward to, and the entry of a dead holder whose partition it has, if so.
+
+        None if this member has claimed the session of a dead holder as its successor. `holder`: the target of the
+        session's last move from here, or empty.
+        """
+        key = submission.stored.turn
+        known = self.directory.holder_of(key)
+        to = holder if known in (None, self.name) else known or ""  # it may have moved on since
+        entry = self.directory.entry(key, now)
+        if self._is_alive(to):
+            return to, None
+        successor = self._successor(to) if entry is not None and entry.holder == to else ""
+        if successor == self.name and submission.claims < MAX_CLAIMS:
+            submission.claims += 1
+            if self._inherit(key):
+                return None
+        submission.claims = MAX_CLAIMS
+        return successor, entry
+
+    def _go_on_after_not_held(self, key: int, by: str, answer: ForwardReply) -> bool:
+        """Whether to choose the next step anew after `by` answered that it does not hold the session."""
+        claim = ClaimAnswer(answer.disowned, entry_of(answer.entry))
+        ruling = self.directory.forward_refused(key, by, claim, monotonic_time())
+        if ruling is SubmissionRuling.CLAIM:
+            self.migrations.act(self.moves.client_gone(key, monotonic_time()))
+            if self._claim(key):
+                return True
+        # It may have come here meanwhile.
+        return ruling is SubmissionRuling.FORWARD or key in self.directory.sessions or self._standing(key)[0] == "wait"
+
     def _accept(self, stored: StoredMessage, hashed: int, ruling: SubmissionRuling, now: int) -> SubmitResult | None:
         """Take a submission of a session that is held here; None if the session was frozen meanwhile."""
         pending = self.pending.get(stored.id)
@@ -137,33 +170,21 @@
         self.dispatcher.withdraw(submission)
 
     def _forward_submission(
-        self, stored: StoredMessage, to: str, until: int, moved: bool, gone: Entry | None
+        self, stored: StoredMessage, to: str, give_up_at: int, moved: bool, dead_holder: Entry | None
     ) -> ForwardReply | SubmitResult:
         """Forward a submission and return the answer; `BUSY` if surely nothing was taken, `UNSURE` if it may have been.
 
-        `until`: when to give up. `gone`: the entry of a dead holder whose partition `to` has.
+        `moved`: the session has moved away from here. `dead_holder`: the entry of one whose partition `to` has.
         """
-        sure = True
-        while (left := until - monotonic_time()) > LEAST:
-            body = ForwardedSubmit(
-                stored.turn,
-                stored.id,
-                stored.key,
-                stored.priority_class,
-                stored.tenant,
-                stored.destination,
-                stored.deadline - self.clock.now(),
-                left - LEAST,
-                stored.body or b"",
-                moved,
-                location_of(gone),
-            )
+        surely_not_taken = True
+        while (left := give_up_at - monotonic_time()) > LEAST:
+            body = self._forwarded_submit(stored, left, moved, dead_holder)
             try:
                 answer = self.peers.call(to, body, min(left / SECOND, TRY))
             except PeerUnreachableError:
-                sure = False
+                surely_not_taken = False
                 self.counters.add(f"submissions passed on without an answer: {to}")
-                gevent.sleep(0.005)
+                gevent.sleep(RETRY_PAUSE_S)
                 continue
             except CedarwickError as error:
                 self.counters.warning(f"{to} refused a submission that was passed on", error)
@@ -172,7 +193,24 @@
                 self.counters.add("submissions passed on")
                 return answer
             break
-        return BUSY if sure else UNSURE
+        return BUSY if surely_not_taken else UNSURE
+
+    def _forwarded_submit(
+        self, stored: StoredMessage, left: int, moved: bool, dead_holder: Entry | None
+    ) -> ForwardedSubmit:
+        return ForwardedSubmit(
+            stored.turn,
+            stored.id,
+            stored.key,
+            stored.priority_class,
+            stored.tenant,
+            stored.destination,
+            stored.deadline - self.clock.now(),
+            left - LEAST,
+            stored.body or b"",
+            moved,
+            location_of(dead_holder),
+        )
 
     def _recall_on_disconnect(self, stored: StoredMessage, to: str) -> Callable[[], None]:
         def recall() -> None:
@@ -180,11 +218,24 @@
 
         return recall
 
+    # ---- from other members ----
+
     def _answer_forwarded(self, sender: str, body: ForwardedSubmit) -> ForwardReply:
-        """Answer a submission that another member passes on."""
-        until = monotonic_time() + min(body.within, WAITS)
-        limit = self.clock.now() + body.left
-        stored = StoredMessage(
+        """Answer a submission that another member forwards."""
+        wait_until = monotonic_time() + min(body.within, WAITS)
+        stored = self._forwarded_message(body)
+        submission = RoutedSubmission(stored, hash_of(stored), wait_until)
+        if (dead_holder := entry_of(body.entry)) is not None:
+            self.directory.merge_entries([dead_holder], monotonic_time())
+        while body.key:
+            reply = self._handle_forwarded(sender, body, submission)
+            if reply is not None:
+                return reply
+        return BUSY_REPLY
+
+    def _forwarded_message(self, body: ForwardedSubmit) -> StoredMessage:
+        deadline = self.clock.now() + body.left
+        return StoredMessage(
             0,
             body.id,
             body.mark,
@@ -192,49 +243,47 @@
             body.priority_class,
             body.tenant,
             body.destination,
-            max(0, limit),
+            max(0, deadline),
             body.body,
         )
-        hashed, claims = hash_of(stored), 0
-        if (gone := entry_of(body.entry)) is not None:
-            self.directory.merge_entries([gone], monotonic_time())
-        while body.key:
-            now = monotonic_time()
-            self._bind()
-            there, _ = self._standing(body.key)
-            if there == "wait":
-                if not self._wait(until):
-                    break
-                continue
-            ruling = (
-                self.directory.rule(body.key, body.id, hashed, True, now)
-                if there == "here"
-                else SubmissionRuling.NOT_HELD
-            )
-            if ruling in (SubmissionRuling.BUSY, SubmissionRuling.CLAIM):
-                claims += 1
-                if claims > MAX_CLAIMS or ruling is SubmissionRuling.BUSY or not self._claim(body.key):
-                    break
-                continue
-            if ruling is SubmissionRuling.NOT_HELD:
-                of = self.directory.holder_of(body.key) or ""
-                if claims < MAX_CLAIMS and of and not self._is_alive(of) and self._successor(of) == self.name:
-                    if self.directory.is_claiming(body.key, now):
-                        if not self._wait(until):
-                            break
-                        continue
-                    claims += 1
-                    if self._inherit(body.key):
-                        continue
-                claim = self.directory.answer_not_held(body.key, now)
-                return ForwardReply("", 0, claim.granted, location_of(claim.entry))
-            if not body.moved and self.node.halls.get(sender) != self.node.halls[self.name]:
-                request = MigrationRequest(body.key, MigrationReason.CLIENT, sender)
-                self.requested_migrations[body.key] = request, now + COMES_FOR
-            handed = self._accept(stored, hashed, ruling, now)
-            if handed is not None:
-                return ForwardReply(handed[0].value, handed[1])
-        return ForwardReply(AdmissionResult.BUSY.value)
+
+    def _handle_forwarded(
+        self, sender: str, body: ForwardedSubmit, submission: RoutedSubmission
+    ) -> ForwardReply | None:
+        """Take one step for a forwarded submission; None if the next step is to be chosen anew."""
+        now = monotonic_time()
+        self._bind()
+        there, _ = self._standing(body.key)
+        if there == "wait":
+            return None if self._wait(submission.wait_until) else BUSY_REPLY
+        ruling = SubmissionRuling.NOT_HELD
+        if there == "here":
+            ruling = self.directory.rule(body.key, body.id, submission.hashed, True, now)
+        if ruling is SubmissionRuling.BUSY:
+            return BUSY_REPLY
+        if ruling is SubmissionRuling.CLAIM:
+            return None if self._claim_for(submission) else BUSY_REPLY
+        if ruling is SubmissionRuling.NOT_HELD:
+            return self._handle_not_held(submission, now)
+        if not body.moved and self.node.halls.get(sender) != self.node.halls[self.name]:
+            request = MigrationRequest(body.key, MigrationReason.CLIENT, sender)
+            self.requested_migrations[body.key] = request, now + COMES_FOR
+        result = self._accept(submission.stored, submission.hashed, ruling, now)
+        return ForwardReply(result[0].value, result[1]) if result is not None else None
+
+    def _handle_not_held(self, submission: RoutedSubmission, now: int) -> ForwardReply | None:
+        """Inherit the session of a forwarded submission, or answer that it is not held here."""
+        key = submission.stored.turn
+        holder = self.directory.holder_of(key) or ""
+        may_claim = submission.claims < MAX_CLAIMS and holder
+        if may_claim and not self._is_alive(holder) and self._successor(holder) == self.name:
+            if self.directory.is_claiming(key, now):
+                return None if self._wait(submission.wait_until) else BUSY_REPLY
+            submission.claims += 1
+            if self._inherit(key):
+                return None
+        claim = self.directory.answer_not_held(key, now)
+        return ForwardReply("", 0, claim.granted, location_of(claim.entry))
 
     def _answer_recall(self, body: RecallForward) -> Acknowledged:
         stored = self.store.messages.get(self.dispatcher.numbers.get(body.id, 0))
