--- a/cedarwick/fleet/limits.py
+++ b/cedarwick/fleet/limits.py
@@ -3,6 +3,7 @@
 A name ends in its unit: `_S` seconds, `_US` microseconds, `_BYTES`; the others are counts.
 """
 
+US_PER_S = 1_000_000  # microseconds in a second
 LOOK_INTERVAL_S = 0.02  # between two checks of all state
 HEARTBEAT_INTERVAL_S = 0.25
 CALL_TIMEOUT_S = 0.4  # for an answer to a heartbeat or a lease request: a third of a lease
--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -8,12 +8,12 @@
 from enum import Enum
 from typing import NamedTuple
 
-from cedarwick.fleet.migration_table import MOST_IN, MOST_OUT
+from cedarwick.fleet.migration_table import MAX_MOVES_IN, MAX_MOVES_OUT
 from cedarwick.fleet.placement import weight
 
-STAYS = 10_000_000  # microseconds that a session stays after a move, unless an operator moves it or its sender leaves
-AFTER_OFF = 1_000_000  # microseconds until a session is offered again after its move was called off
-FULL = 0.8  # share of its capacity up to which a sender takes sessions
+MIN_STAY_US = 10_000_000  # that a session stays after a move, unless an operator moves it or its sender leaves
+CALL_OFF_PAUSE_US = 1_000_000  # microseconds until a session is offered again after its move was called off
+MAX_LOAD_SHARE = 0.8  # share of its capacity up to which a sender takes sessions
 
 
 class MigrationReason(Enum):
@@ -56,9 +56,10 @@
         load = (each.held + more.get(each.name, 0)) * 10 // max(each.most, 1)
         return each.hall != hall, load, not each.well, -weight(key, each.name)
 
-    return sorted(
-        (each for each in neighbours if each.takes and each.held + more.get(each.name, 0) < FULL * each.most), key=order
-    )
+    def has_room(each: Neighbour) -> bool:
+        return each.takes and each.held + more.get(each.name, 0) < MAX_LOAD_SHARE * each.most
+
+    return sorted((each for each in neighbours if has_room(each)), key=order)
 
 
 class MigrationPlanner:
@@ -71,21 +72,21 @@
         self.off: dict[int, int] = {}  # by key, after a move called off: not offered before this time
 
     def arrived(self, key: int, now: int) -> None:
-        """Note that a session has become active here: it stays for `STAYS` microseconds."""
-        self.stays[key] = now + STAYS
+        """Note that a session has become active here: it stays for `MIN_STAY_US` microseconds."""
+        self.stays[key] = now + MIN_STAY_US
 
     def ended(self, key: int, moved: bool, now: int) -> None:
         """Note the end of a move from here; not `moved`: it was called off."""
         self.out.pop(key, None)
         if not moved:
-            self.off[key] = now + AFTER_OFF
+            self.off[key] = now + CALL_OFF_PAUSE_US
 
     def plan(
         self, requests: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
     ) -> list[tuple[int, str]]:
         """The moves to begin now, as pairs of key and target; the caller asks for the others again later.
 
-        At most `MOST_OUT` sessions are on the move from here at once, and `MOST_IN` to each target.
+        At most `MAX_MOVES_OUT` sessions are on the move from here at once, and `MAX_MOVES_IN` to each target.
         """
         self.stays = {key: until for key, until in self.stays.items() if until > now}
         self.off = {key: until for key, until in self.off.items() if until > now}
@@ -97,7 +98,7 @@
             stays = request.key in self.stays and request.why not in (MigrationReason.OPERATOR, MigrationReason.LEAVING)
             # `stays`: with a client at each of two senders a session would go to and fro, frozen most of the time.
             if (
-                len(self.out) >= MOST_OUT
+                len(self.out) >= MAX_MOVES_OUT
                 or request.key in self.out
                 or request.key in self.off
                 or stays
@@ -105,7 +106,7 @@
             ):
                 continue
             for each in preferred(request.key, self.hall, neighbours, more):
-                if request.to in ("", each.name) and more.get(each.name, 0) < MOST_IN:
+                if request.to in ("", each.name) and more.get(each.name, 0) < MAX_MOVES_IN:
                     self.out[request.key] = each.name
                     more[each.name] = more.get(each.name, 0) + 1
                     chosen.append((request.key, each.name))
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -11,6 +11,7 @@
 from cedarwick.fleet.consensus import (
     parts,
 )
+from cedarwick.fleet.limits import US_PER_S
 from cedarwick.fleet.messages import (
     MAX_MESSAGE_BYTES,
     RecentIdEntry,
@@ -18,19 +19,19 @@
     StageSession,
     digest_of,
 )
-from cedarwick.fleet.migration_state import GIVEN, SECOND, STAGE_IN, MigrationState
+from cedarwick.fleet.migration_state import SOURCE_MARK, STAGE_TIMEOUT_S, MigrationState
 from cedarwick.fleet.migration_table import (
-    FREEZE,
+    FREEZE_TIMEOUT_US,
     MigrationStep,
 )
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.replication_facts import Fact, encode_facts
 
-RELEASE_AGAIN = 1.0  # seconds until the release of a session is tried again where it failed
-CUT = 0.1  # seconds in which attempts that were cut off end
-# Bytes of a session's facts in one peer message; the rest of the message is for recent ids.
-LARGEST_STAGE = MAX_MESSAGE_BYTES - (1 << 17)
-MOST_IDS = 1 << 12  # recent ids that go along with a session, at most
+RELEASE_RETRY_S = 1.0  # seconds until the release of a session is tried again where it failed
+CUT_OFF_TIMEOUT_S = 0.1  # seconds in which attempts that were cut off end
+RECENT_IDS_BYTES = 1 << 17  # of the peer message with a staged session, kept free for its recent ids
+MAX_STAGED_BYTES = MAX_MESSAGE_BYTES - RECENT_IDS_BYTES  # of the session's facts
+MAX_STAGED_IDS = 1 << 12  # recent ids that go along with a session, at most
 
 
 class SessionTooLargeError(CedarwickError):
@@ -44,12 +45,12 @@
     """Freezes, marks, offers and releases a session that is held here."""
 
     def _freeze(self, name: str) -> None:
-        """Stop new attempts of the session, and wait for those that are out; cut them off after `FREEZE`."""
+        """Stop new attempts of the session, and wait for those that are out; cut them off after `FREEZE_TIMEOUT_US`."""
         key = self._key(name)
         still = self.dispatcher.freeze(key)
-        if not still.wait(FREEZE / SECOND):
+        if not still.wait(FREEZE_TIMEOUT_US / US_PER_S):
             self.dispatcher.cut(key)
-            still.wait(CUT)
+            still.wait(CUT_OFF_TIMEOUT_S)
         self.act(self.moves.idle(name, monotonic_time()))
 
     def _mark(self, name: str) -> None:
@@ -68,7 +69,7 @@
             ]
             if not self.store.taking() or not all(self.store.may_fire(stored.number) for stored in owed):
                 return False
-            sequence, text = self.sequences[name], GIVEN + name
+            sequence, text = self.sequences[name], SOURCE_MARK + name
             if owed:
                 self.files.write_marks(self.store.inert | {stored.number: (sequence, text) for stored in owed})
             for stored in owed:
@@ -85,26 +86,26 @@
         """Send the marked messages and the recent ids to the target; call the move off where it refuses them."""
         key, to = self._key(name), parts(name)[2]
         facts: list[Fact] = []
-        for number in self._marked(name, GIVEN):
+        for number in self._marked(name, SOURCE_MARK):
             fact = self.store.holdings[number >> 32].read(self.store, number)
             if fact is None or fact.base is None:
                 self.act(self.moves.call_off(name, monotonic_time()))
                 return
             facts.append(fact)
         data = encode_facts(facts)
-        if len(data) > LARGEST_STAGE:
+        if len(data) > MAX_STAGED_BYTES:
             self.counters.warning("a session stays", SessionTooLargeError(f"{len(facts)} messages of {key:016x}"))
             self.act(self.moves.call_off(name, monotonic_time()))
             return
         ids = self.directory.recent_ids(key, monotonic_time())
-        if len(ids) > MOST_IDS:
+        if len(ids) > MAX_STAGED_IDS:
             self.act(self.moves.call_off(name, monotonic_time()))
             return
         recent = tuple(RecentIdEntry(each, age, hashed) for each, (age, hashed) in ids.items())
         stage = StageSession(
             name, key, self.sequences[name], data, digest_of(data), recent, self.dispatcher.rest_of(key)
         )
-        answer = self.call(to, stage, STAGE_IN)
+        answer = self.call(to, stage, STAGE_TIMEOUT_S)
         if isinstance(answer, StageReply):
             now = monotonic_time()
             if not answer.stored:
@@ -126,7 +127,7 @@
         key, now, mine = self._key(name), monotonic_time(), self._mine(name)
 
         def release() -> bool:
-            numbers = self._marked(name, GIVEN)
+            numbers = self._marked(name, SOURCE_MARK)
             sequence = self._sequence(name, numbers) + 1
             self._save_without(numbers)
             for number in numbers:
@@ -148,11 +149,11 @@
 
         # If the file cannot be written now, giving up would leave the messages inert and the session frozen for good.
         while not self.dispatcher.between(release).get():
-            gevent.sleep(RELEASE_AGAIN)
+            gevent.sleep(RELEASE_RETRY_S)
         if mine:
             self.planner.ended(key, False, monotonic_time())
         self.counters.add("moves called off")
 
     def _over(self, name: str) -> None:
         """Drop the messages here: the target is active."""
-        self.dispatcher.between(lambda: self._give_up(name, GIVEN)).get()
+        self.dispatcher.between(lambda: self._give_up(name, SOURCE_MARK)).get()
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -29,13 +29,14 @@
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.store.files import NoSpaceError
 
-SETTLE_IN = 0.3  # seconds for the answer to a vote request or a decision
-STAGE_IN = 0.45  # seconds for the answer to the offer of a session
-LATE = 300_000  # microseconds before its deadline at which a message on the move is answered
-SECOND = 1_000_000  # microseconds
-SESSIONS = 10_000  # that a sender holds, at most
-GIVEN, TAKEN = "<", ">"  # how the mark of an inert message begins: at the source, at the target
-WHOLE = 500_000  # microseconds in which the replicas must get a mark
+VOTE_TIMEOUT_S = 0.3  # seconds for the answer to a vote request or a decision
+STAGE_TIMEOUT_S = 0.45  # seconds for the answer to the offer of a session
+MAX_SESSIONS = 10_000  # that a sender holds, at most
+SOURCE_MARK, TARGET_MARK = "<", ">"  # how the mark of an inert message begins: at the source, at the target
+REPLICATION_TIMEOUT_US = 500_000  # microseconds in which the replicas must get a mark
+REPLICATION_POLL_S = 0.002  # seconds between two checks of whether they have it
+BALLOT_PAUSE_US = 50_000  # at most, drawn at random, between a ballot that lost and the next one
+MAX_PAUSE_DOUBLINGS = 5  # of `BALLOT_PAUSE_US`, one with each ballot that lost
 
 
 class VotesNotSavedError(CedarwickError):
@@ -78,7 +79,7 @@
             f"{self.name}#{node.incarnation}",
             tuple(sorted(node.halls)),
             self.acceptor,
-            lambda failed: chance.randint(0, 50_000 << min(failed, 5)),
+            lambda failed: chance.randint(0, BALLOT_PAUSE_US << min(failed, MAX_PAUSE_DOUBLINGS)),
         )
         self.planner = MigrationPlanner(node.halls[self.name])
         marks = self.files.read_marks()
@@ -135,12 +136,12 @@
             self.files.write_marks({number: mark for number, mark in self.store.inert.items() if number not in gone})
 
     def _copied(self, partitions: set[int]) -> bool:
-        """Whether every successor has all records of these partitions within `WHOLE` microseconds; waits for it."""
-        done, until = self.store.copied(partitions), monotonic_time() + WHOLE
+        """Wait until every successor has all records of these partitions; False after `REPLICATION_TIMEOUT_US`."""
+        done, until = self.store.copied(partitions), monotonic_time() + REPLICATION_TIMEOUT_US
         while not done():
             if monotonic_time() > until:
                 return False
-            gevent.sleep(0.002)
+            gevent.sleep(REPLICATION_POLL_S)
         return True
 
     def _give_up(self, name: str, side: str) -> bool:
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -7,9 +7,9 @@
 dropped. From the first mark to the decision the session's messages are inert on both sides. The steps, and what is on
 the disk before each:
 
-1. The source freezes: no new attempt; attempts under way are awaited for `FREEZE`, then count as may-have-run. It
-   marks the facts (own folder and every successor of its partition: a successor without the mark would fire), and sends
-   `Stage`.
+1. The source freezes: no new attempt; attempts under way are awaited for `FREEZE_TIMEOUT_US`, then count as
+   may-have-run. It marks the facts (own folder and every successor of its partition: a successor without the mark would
+   fire), and sends `Stage`.
 2. The target stores them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks
    for the decision with ballot 1.
 3. Decided for the target: it goes active and tells all; the source forwards, and its facts are over without a notice
@@ -31,15 +31,16 @@
 FOR_TARGET: Final = "taker"
 CALLED_OFF: Final = "off"
 
-FREEZE = 100_000  # microseconds for which attempts under way are awaited
-CALL_OFF = 500_000  # microseconds after the freeze began: the source settles what is undecided
-AGAIN = 100_000  # microseconds until a request without an answer is repeated, doubled each time up to
-AGAIN_MOST = 2_000_000  # microseconds
-FORWARDS = 60_000_000  # microseconds for which the source forwards requests of the live connection
-REMEMBERED_FOR = 60_000_000  # microseconds that a finished migration is remembered
-WAITS = 250_000  # microseconds that a client's request on a frozen session waits before it is answered -BUSY
-MOST_OUT = 20  # moves at once at a source
-MOST_IN = 20  # staged at once at a target
+FREEZE_TIMEOUT_US = 100_000  # microseconds for which attempts under way are awaited
+CALL_OFF_AFTER_US = 500_000  # microseconds after the freeze began: the source settles what is undecided
+MIN_RETRY_US = 100_000  # microseconds until a request without an answer is repeated, doubled each time up to
+MAX_RETRY_US = 2_000_000  # microseconds
+MAX_RETRY_DOUBLINGS = 10
+FORWARDING_US = 60_000_000  # microseconds for which the source forwards requests of the live connection
+FINISHED_RETENTION_US = 60_000_000  # microseconds that a finished migration is remembered
+FROZEN_WAIT_US = 250_000  # microseconds that a client's request on a frozen session waits before it is answered -BUSY
+MAX_MOVES_OUT = 20  # moves at once at a source
+MAX_MOVES_IN = 20  # staged at once at a target
 
 
 class SourceStage(Enum):
@@ -141,7 +142,7 @@
         open_one = self.moves.get(self.by_key.get(key, ""))
         undecided = (SourceStage.FREEZING, SourceStage.OFFERED)
         migrating = sum(1 for move in self.moves.values() if move.source_stage in undecided)
-        if (open_one is not None and not self._finished(open_one)) or migrating >= MOST_OUT or name in self.moves:
+        if (open_one is not None and not self._finished(open_one)) or migrating >= MAX_MOVES_OUT or name in self.moves:
             return []
         self.moves[name] = Migration(name, key, SourceStage.FREEZING, began=now)
         self.by_key[key] = name
@@ -161,7 +162,7 @@
         if move is None or move.source_stage is not SourceStage.FREEZING:
             return []
         move.source_stage = SourceStage.OFFERED
-        move.next_at = now + AGAIN
+        move.next_at = now + MIN_RETRY_US
         return [MigrationStep(MigrationAction.STAGE, name, parts(name)[2])]
 
     def staged(self, name: str, now: int) -> list[MigrationStep]:
@@ -197,7 +198,7 @@
         staged = sum(1 for each in self.moves.values() if each.target_stage is TargetStage.STAGED)
         # `may_open`: a `Stage` that arrives late or twice must not be stored again after its messages were sent or
         # dropped. The own acceptor votes once it is stored, so a move that it knows was staged or is being settled.
-        if not room or staged >= MOST_IN or parts(name)[2] != self.name or not self.acceptor.may_open(name):
+        if not room or staged >= MAX_MOVES_IN or parts(name)[2] != self.name or not self.acceptor.may_open(name):
             return [MigrationStep(MigrationAction.REFUSE, name, parts(name)[1])]
         self._open(name, key, now).target_stage = TargetStage.STAGED
         return [MigrationStep(MigrationAction.WRITE, name)]
@@ -325,7 +326,7 @@
                 del self.moves[move.name]
                 if self.by_key.get(move.key) == move.name:
                     del self.by_key[move.key]
-            elif move.source_stage is SourceStage.FORWARDING and now >= move.settled_at + FORWARDS:
+            elif move.source_stage is SourceStage.FORWARDING and now >= move.settled_at + FORWARDING_US:
                 acts += self._close(move, now)
             elif move.source_stage is SourceStage.FORWARDING and not move.confirmed:
                 self._again(move, now)
@@ -335,7 +336,7 @@
                 acts.append(MigrationStep(MigrationAction.ACTIVATE, move.name))
             elif move.proposer is not None:
                 acts += self._asks(move.proposer.due(now))
-            elif move.source_stage is not None and now >= move.began + CALL_OFF:
+            elif move.source_stage is not None and now >= move.began + CALL_OFF_AFTER_US:
                 acts += self.call_off(move.name, now)
             elif move.source_stage is None:  # the target could not store it, or not at every successor
                 acts += self._settle(move, now)
@@ -348,18 +349,22 @@
 
     def _due_at(self, move: Migration) -> int:
         if self._finished(move):
-            return move.settled_at + REMEMBERED_FOR
+            return move.settled_at + FINISHED_RETENTION_US
         if move.source_stage is SourceStage.FORWARDING:
-            return move.settled_at + FORWARDS if move.confirmed else min(move.next_at, move.settled_at + FORWARDS)
+            return (
+                move.settled_at + FORWARDING_US
+                if move.confirmed
+                else min(move.next_at, move.settled_at + FORWARDING_US)
+            )
         if move.value is not None:
             return move.next_at
         if move.proposer is not None:
             return move.proposer.next_at
         if move.source_stage is SourceStage.FREEZING and not move.marking:
-            return move.began + FREEZE
+            return move.began + FREEZE_TIMEOUT_US
         if move.source_stage is SourceStage.OFFERED and not move.heard:
-            return min(move.next_at, move.began + CALL_OFF)
-        return move.began + CALL_OFF
+            return min(move.next_at, move.began + CALL_OFF_AFTER_US)
+        return move.began + CALL_OFF_AFTER_US
 
     # ---- within ----
 
@@ -379,7 +384,7 @@
 
     @staticmethod
     def _again(move: Migration, now: int) -> None:
-        move.next_at = now + min(AGAIN << min(move.asked, 10), AGAIN_MOST)
+        move.next_at = now + min(MIN_RETRY_US << min(move.asked, MAX_RETRY_DOUBLINGS), MAX_RETRY_US)
         move.asked += 1
 
     @staticmethod
@@ -400,7 +405,7 @@
         """Note the decision and return the steps of each side, once."""
         if move.value is not None:
             return []
-        move.value, move.settled_at, move.next_at, move.asked = value, now, now + AGAIN, 0
+        move.value, move.settled_at, move.next_at, move.asked = value, now, now + MIN_RETRY_US, 0
         acts = []
         if move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED):
             if value == FOR_TARGET:
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -10,12 +10,13 @@
 from cedarwick.fleet.consensus import (
     parts,
 )
+from cedarwick.fleet.limits import ANSWER_AHEAD_US
 from cedarwick.fleet.messages import (
     StageReply,
     StageSession,
     whole,
 )
-from cedarwick.fleet.migration_state import LATE, SESSIONS, STAGE_IN, TAKEN, MigrationState
+from cedarwick.fleet.migration_state import MAX_SESSIONS, STAGE_TIMEOUT_S, TARGET_MARK, MigrationState
 from cedarwick.fleet.migration_table import (
     MigrationAction,
 )
@@ -27,10 +28,10 @@
     """Stages, writes, activates and drops a session that is offered here."""
 
     def _staged(self, body: StageSession, now: int) -> StageReply:
-        """Answer a source's offer; waits up to `STAGE_IN` seconds until the messages are stored here."""
+        """Answer a source's offer; waits up to `STAGE_TIMEOUT_S` seconds until the messages are stored here."""
         if not whole(body):
             return StageReply(body.move, False, "spoilt")
-        room = self.takes() and len(self.directory.sessions) < SESSIONS
+        room = self.takes() and len(self.directory.sessions) < MAX_SESSIONS
         acts = self.moves.stage(body.move, body.key, room, now)
         if any(act.do is MigrationAction.WRITE for act in acts):
             self.offers[body.move] = body, now
@@ -40,7 +41,7 @@
             self.answers.pop(body.move, None)
             return StageReply(body.move, False, "no room")
         self.act(acts)
-        stored = answer.wait(STAGE_IN)
+        stored = answer.wait(STAGE_TIMEOUT_S)
         return StageReply(body.move, bool(stored), "" if stored else "it is not kept")
 
     def _answer(self, name: str, staged: bool) -> None:
@@ -62,11 +63,11 @@
                 if not self.store.has_room(stored):
                     return False
             if made:
-                mark = stage.sequence, TAKEN + name
+                mark = stage.sequence, TARGET_MARK + name
                 self.files.write_marks(self.store.inert | {stored.number: mark for stored in made})
             for stored in made:
                 self.store.next_number += 1
-                self.store.stage(stored, stage.sequence, TAKEN + name)
+                self.store.stage(stored, stage.sequence, TARGET_MARK + name)
             return True
 
         stored = self.dispatcher.between(write).get()
@@ -81,7 +82,7 @@
         key, offer = self._key(name), self.offers.get(name)
 
         def activate() -> bool:
-            numbers, now = self._marked(name, TAKEN), monotonic_time()
+            numbers, now = self._marked(name, TARGET_MARK), monotonic_time()
             holdings = [self.store.holdings.get(number >> 32) for number in numbers]
             if not self.store.taking() or not all(each is not None and each.serving for each in holdings):
                 return False
@@ -89,7 +90,7 @@
             self._save_without(numbers)
             for number in numbers:
                 self.store.mark(number, sequence, "")
-            soon = self.clock.now() + LATE
+            soon = self.clock.now() + ANSWER_AHEAD_US
             # While the decision was not known the source may have answered messages near their deadline: they must not
             # be attempted here.
             late = [number for number in numbers if self.store.messages[number].deadline <= soon]
@@ -114,4 +115,4 @@
 
     def _drop(self, name: str) -> None:
         """Drop the staged messages: the move was called off."""
-        self.dispatcher.between(lambda: self._give_up(name, TAKEN)).get()
+        self.dispatcher.between(lambda: self._give_up(name, TARGET_MARK)).get()
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -28,11 +28,11 @@
     PrepareRequest,
     VoteReply,
 )
-from cedarwick.fleet.migration_state import SETTLE_IN, MigrationState
+from cedarwick.fleet.migration_state import VOTE_TIMEOUT_S, MigrationState
 from cedarwick.fleet.migration_table import (
     CALLED_OFF,
     FOR_TARGET,
-    MOST_OUT,
+    MAX_MOVES_OUT,
     MigrationAction,
     MigrationStep,
 )
@@ -103,12 +103,12 @@
             self._guarded(self.files.write_acceptor_table, self.acceptor.table())
 
     def _ask(self, ask: ProposerRequest) -> None:
-        """Send a vote request to another member and take its answer, waiting `SETTLE_IN` seconds at most."""
+        """Send a vote request to another member and take its answer, waiting `VOTE_TIMEOUT_S` seconds at most."""
         vote, key = BallotNumber(*ask.ballot), self._key(ask.move)
         body: Body = (
             PrepareRequest(ask.move, vote, key) if ask.value is None else AcceptRequest(ask.move, vote, ask.value, key)
         )
-        reply = self.call(ask.to, body, SETTLE_IN)
+        reply = self.call(ask.to, body, VOTE_TIMEOUT_S)
         if isinstance(reply, VoteReply):
             value = value_of(reply.value)
             answer = AcceptorReply(
@@ -143,7 +143,7 @@
 
     def _tell_one(self, name: str, act: MigrationStep) -> bool:
         """Send the decision to one member; True if the target's side is active there."""
-        answer = self.call(name, MigrationDecided(act.move, act.value or "", act.active), SETTLE_IN)
+        answer = self.call(name, MigrationDecided(act.move, act.value or "", act.active), VOTE_TIMEOUT_S)
         if not isinstance(answer, MigrationDecided) or (value := value_of(answer.value)) is None:
             return False
         self.act(self.moves.settled(act.move, value, answer.active, monotonic_time()))
@@ -153,7 +153,7 @@
         """Settle old undecided moves that this member has voted on: both sides may have lost their part."""
         for name in self.acceptor.stale(now):
             known = name in self.moves.moves or name in self.orphaned_proposers
-            if not known and len(self.orphaned_proposers) < MOST_OUT:
+            if not known and len(self.orphaned_proposers) < MAX_MOVES_OUT:
                 # Each proposer of this boot needs ballots of its own, hence a mark that no other one has.
                 self.moves.proposers += 1
                 mark = f"{self.moves.mark}.{self.moves.proposers}"
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -2,8 +2,8 @@
 
 Under `ack = "copy"` every message is in the copy's file before it is answered +OK. So a copy that has followed a
 partition's tail without a gap since the time `since` knows each id taken after that, ended or not. A piece lacks the
-ids that have ended, so each jump of the position starts `since` anew. Once `REMEMBERED` has passed after `since`, all
-ids that matter are known. Times are microseconds.
+ids that have ended, so each jump of the position starts `since` anew. Once `ID_RETENTION_US` has passed after `since`,
+all ids that matter are known. Times are microseconds.
 """
 
 from collections import deque
@@ -12,7 +12,7 @@
 
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, over
-from cedarwick.fleet.sessions import REMEMBERED, contents_hash
+from cedarwick.fleet.sessions import ID_RETENTION_US, contents_hash
 
 MAX_IDS = 1 << 16  # ids of one partition; above it the oldest are dropped, and the time that the memory covers shrinks
 # Stands for contents that are not known: whatever is submitted with such an id counts as another request. It must be a
@@ -51,9 +51,9 @@
         self.term, self.next = entry.term, entry.next
         for fact in received:
             self._record_fact(fact, now)
-        while self.arrivals and (self.arrivals[0][0] < now - REMEMBERED or len(self.arrivals) > MAX_IDS):
+        while self.arrivals and (self.arrivals[0][0] < now - ID_RETENTION_US or len(self.arrivals) > MAX_IDS):
             at, number = self.arrivals.popleft()
-            if at >= now - REMEMBERED:
+            if at >= now - ID_RETENTION_US:
                 self.since = max(self.since, at + 1)
             self.by_number.pop(number, None)
 
@@ -78,7 +78,7 @@
 
     def complete_at(self) -> int:
         """The time from which on all ids that must not be taken again are known here."""
-        return self.since + REMEMBERED
+        return self.since + ID_RETENTION_US
 
     def by_key(self) -> dict[int, dict[str, tuple[int, int]]]:
         """By session: the ids, when they came and the hash of what came with them."""
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -7,18 +7,18 @@
 
 from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.leases import EPOCH_BITS, right_of
+from cedarwick.fleet.limits import ANSWER_AHEAD_US, US_PER_S
 from cedarwick.fleet.messages import (
     SessionInheritance,
     slot_of,
 )
-from cedarwick.fleet.migration_state import LATE, SECOND
 from cedarwick.fleet.recent_ids import RecentIds
 from cedarwick.fleet.replica import ReplicaEntry as Step
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.replication_facts import EndRank, Fact
 from cedarwick.fleet.session_state import InheritableSessions, SessionState
 from cedarwick.fleet.sessions import (
-    REMEMBERED,
+    ID_RETENTION_US,
     ClaimAnswer,
     ClaimRequest,
 )
@@ -45,7 +45,7 @@
             logger.info(
                 "sessions of {} can be claimed {} s after its death: no recent ids are known",
                 owner or "?",
-                REMEMBERED // SECOND,
+                ID_RETENTION_US // US_PER_S,
             )
             return
         self.inheritable_sessions[partition] = InheritableSessions(
@@ -54,7 +54,7 @@
         logger.info(
             "sessions of {} are inherited as they are used, {:.1f} s from now on",
             owner,
-            max(0, recent_ids.complete_at() - now) / SECOND,
+            max(0, recent_ids.complete_at() - now) / US_PER_S,
         )
 
     def _newest_partition(self, name: str) -> int:
@@ -86,7 +86,7 @@
         ids = {
             id: (now - at, hashed)
             for id, (at, hashed) in inheritable.recent_ids.get(key, {}).items()
-            if at >= now - REMEMBERED
+            if at >= now - ID_RETENTION_US
         }
         asking = self.directory.begin_inheritance(key, ids, now)
         if asking is None:
@@ -106,14 +106,14 @@
             and not grant.closed
             and not self.node.grantor.learning
         )
-        moved = self.migrations.acceptor.moved(asking.key, holder, now - REMEMBERED) or self.migrations.open_move(
+        moved = self.migrations.acceptor.moved(asking.key, holder, now - ID_RETENTION_US) or self.migrations.open_move(
             asking.key
         )
         return self.directory.answer_inheritance(asking, by, holds, moved, now)
 
     def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
         """Filter what the last holder of an adopted partition offers: messages of inherited sessions may not count."""
-        inheritable, soon = self.inheritable_sessions.get(holding.partition), self.clock.now() + 2 * LATE
+        inheritable, soon = self.inheritable_sessions.get(holding.partition), self.clock.now() + 2 * ANSWER_AHEAD_US
         if inheritable is None or not inheritable.inherited_keys:
             return facts
         counts = []
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -17,6 +17,7 @@
     name_move,
     parts,
 )
+from cedarwick.fleet.limits import ANSWER_AHEAD_US
 from cedarwick.fleet.messages import (
     AcceptRequest,
     Body,
@@ -25,7 +26,7 @@
     StageSession,
 )
 from cedarwick.fleet.migration_source import MigrationSource
-from cedarwick.fleet.migration_state import GIVEN, LATE, TAKEN
+from cedarwick.fleet.migration_state import SOURCE_MARK, TARGET_MARK
 from cedarwick.fleet.migration_table import (
     MigrationAction,
     MigrationStep,
@@ -35,9 +36,9 @@
 from cedarwick.fleet.migration_target import MigrationTarget
 from cedarwick.fleet.migration_votes import MigrationVotes, ballot_of, value_of, voted
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.sessions import LAPSES
+from cedarwick.fleet.sessions import SESSION_TTL_US
 
-LOOK_LATE = 100_000
+DEADLINE_CHECK_US = 100_000  # between two searches for messages on the move that are near their deadline
 
 
 class InvalidMoveNameError(CedarwickError):
@@ -82,7 +83,7 @@
     def begin(self, key: int, to: str, now: int) -> None:
         """Start to give a session that is held here to another member."""
         session = self.directory.sessions.get(key)
-        if session is None or not session.sure or session.used < now - LAPSES or not self.store.taking():
+        if session is None or not session.sure or session.used < now - SESSION_TTL_US or not self.store.taking():
             self.planner.ended(key, session is None, now)
             return
         name = name_move(self.stamp, self.name, to)
@@ -179,7 +180,7 @@
         for number, (_, text) in self.store.inert.items():
             sides.setdefault(text, []).append(number)
         for text, numbers in sides.items():
-            name, at_source = text[1:], text[:1] == GIVEN
+            name, at_source = text[1:], text[:1] == SOURCE_MARK
             move = self.moves.moves.get(name)
             if move is not None and (move.source_stage if at_source else move.target_stage) is not None:
                 continue
@@ -193,20 +194,23 @@
             logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
             self.act(self.moves.found(name, self.store.messages[numbers[0]].turn, at_source, now))
         for name, move in list(self.moves.moves.items()):
-            for at_source, side, text in ((True, move.source_stage, GIVEN), (False, move.target_stage, TAKEN)):
+            for at_source, side, text in (
+                (True, move.source_stage, SOURCE_MARK),
+                (False, move.target_stage, TARGET_MARK),
+            ):
                 open_side = side in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
                 if open_side and name not in self.sequences and text + name not in sides:
                     self.moves.lost(name, at_source)  # found earlier; its partition has another holder by now
-        if now - self.limits_at >= LOOK_LATE:
+        if now - self.limits_at >= DEADLINE_CHECK_US:
             self.limits_at = now
             self._answer_late()
 
     def _answer_late(self) -> None:
-        soon = self.clock.now() + LATE
+        soon = self.clock.now() + ANSWER_AHEAD_US
         for number, (_, text) in list(self.store.inert.items()):
             stored, holding = self.store.messages.get(number), self.store.holdings.get(number >> 32)
             if stored is None or stored.end is not None or stored.deadline > soon or holding is None:
                 continue
-            if holding.serving and self.moves.near_limit(text[1:]) == "failed" and text[:1] == GIVEN:
+            if holding.serving and self.moves.near_limit(text[1:]) == "failed" and text[:1] == SOURCE_MARK:
                 self.counters.add("messages on the move that were answered by their limit")
                 self.dispatcher.answer_late([number])
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -12,6 +12,7 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
+from cedarwick.fleet.limits import US_PER_S
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
     AcceptRequest,
@@ -28,14 +29,14 @@
     StageSession,
 )
 from cedarwick.fleet.migration_planner import MigrationReason, MigrationRequest, Neighbour
-from cedarwick.fleet.migration_state import SECOND, SESSIONS
+from cedarwick.fleet.migration_state import MAX_SESSIONS
 from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_files import HeldSession, HeldSessions
 from cedarwick.fleet.session_submissions import SessionSubmissions
 from cedarwick.fleet.session_wire import entry_of, location_of
 from cedarwick.fleet.sessions import (
-    LAPSES,
+    SESSION_TTL_US,
     ClaimAnswer,
     ClaimRequest,
 )
@@ -44,12 +45,15 @@
 from cedarwick.ops.commands import Call
 from cedarwick.ops.management import ManagementCommands
 
-GOSSIP = 250_000  # microseconds between two peer messages of session locations to each member
-MIN_GOSSIP_SESSIONS = 256  # sessions in one peer message at least: a 40th of all that are held, and so all in 10 s
-MAX_GOSSIP_SESSIONS = 4096
+LOCATIONS_INTERVAL_US = 250_000  # microseconds between two peer messages of session locations to each member
+UPDATES_PER_ROUND = 40  # in which all held sessions are sent, so in 10 s
+MIN_LOCATIONS_PER_UPDATE = 256  # beside the share of the round
+MAX_LOCATIONS_PER_UPDATE = 4096  # the limit of the peer message
+FORGET_INTERVAL_US = 1_000_000  # between two searches for what is old
+OPERATOR_REQUEST_TTL_US = 1_000_000  # for which `MOVE` tries to begin the migration
 MAX_PLANNED_REQUESTS = 256  # migrations of a leaving or failing sender that are planned in one turn
-HANDED_OVER = 5_000_000  # microseconds after the end of a process in which its successor goes on with its sessions
-MOVED_IN = 1.5  # seconds that `MOVE` waits for the result of a move
+MAX_HANDOVER_AGE_US = 5_000_000  # after the end of a process, for its successor to go on with its sessions
+MOVE_COMMAND_TIMEOUT_S = 1.5  # seconds that `MOVE` waits for the result of a move
 
 
 class InvalidMoveError(CedarwickError):
@@ -104,7 +108,7 @@
         left, now = self.migrations.files.read_and_delete_sessions(), monotonic_time()
         age = time.time_ns() // 1000 - left.at if left is not None else 0
         # An older file, or one from the future, may name sessions that others hold by now.
-        if left is not None and 0 <= age < HANDED_OVER:
+        if left is not None and 0 <= age < MAX_HANDOVER_AGE_US:
             for each in left.held:
                 ids = {id: (then + age, hashed) for id, (then, hashed) in each.ids.items()}
                 self.directory.hold(each.key, each.sequence, ids, now)
@@ -118,7 +122,7 @@
         held = [
             HeldSession(key, session.sequence, self.directory.recent_ids(key, now))
             for key, session in self.directory.sessions.items()
-            if session.sure and session.used >= now - LAPSES and self._standing(key)[0] == "here"
+            if session.sure and session.used >= now - SESSION_TTL_US and self._standing(key)[0] == "here"
         ]
         self.migrations.files.write_sessions(HeldSessions(time.time_ns() // 1000, held, self.partition))
         self.directory.sessions.clear()
@@ -166,10 +170,10 @@
             elif name not in self.abandoned_members:
                 self.abandoned_members.add(name)
                 self.directory.expire_entries_of(name, now)
-        if now - self.locations_sent_at >= GOSSIP:
+        if now - self.locations_sent_at >= LOCATIONS_INTERVAL_US:
             self.locations_sent_at = now
             self._gossip(now)
-        if now - self.forgot_at >= SECOND:
+        if now - self.forgot_at >= FORGET_INTERVAL_US:
             self.forgot_at = now
             self.directory.forget(now)
             self.migrations.forget(now)
@@ -182,12 +186,11 @@
 
     def _gossip(self, now: int) -> None:
         # Without a valid lease nothing is sent: after a long pause others may hold these sessions by now.
-        most = (
-            min(MAX_GOSSIP_SESSIONS, MIN_GOSSIP_SESSIONS + len(self.directory.sessions) // 40)
-            if self.store.taking()
-            else 0
-        )
-        entries = self.directory.next_locations(most, now)
+        limit = 0
+        if self.store.taking():
+            share = len(self.directory.sessions) // UPDATES_PER_ROUND
+            limit = min(MAX_LOCATIONS_PER_UPDATE, MIN_LOCATIONS_PER_UPDATE + share)
+        entries = self.directory.next_locations(limit, now)
         locations = tuple(location for entry in entries if (location := location_of(entry)) is not None)
         for name in self.node.halls:
             if name != self.name:
@@ -195,7 +198,7 @@
 
     def _send_locations(self, name: str, locations: tuple[SessionLocation, ...]) -> None:
         first = self.lasting.first and name not in self.first_incarnations
-        answer = self._call(name, self._location_update(locations, first), GOSSIP / SECOND)
+        answer = self._call(name, self._location_update(locations, first), LOCATIONS_INTERVAL_US / US_PER_S)
         if not isinstance(answer, SessionLocations):
             return
         now = monotonic_time()
@@ -223,7 +226,7 @@
                 name,
                 halls[name],
                 location.held,
-                SESSIONS,
+                MAX_SESSIONS,
                 not members.notes(now, name),
                 location.takes and members.state(now, name) is MemberStatus.ALIVE,
             )
@@ -247,7 +250,7 @@
     def move_on_command(self, call: Call) -> str:
         """Carry out the command `MOVE KEY SENDER` and return its answer.
 
-        Raises `InvalidMoveError`, `SessionNotHeldError`, or `SessionNotMovedError` after `MOVED_IN` seconds.
+        Raises `InvalidMoveError`, `SessionNotHeldError`, or `SessionNotMovedError` after a while.
         """
         text, _, to = call.argument.partition(" ")
         try:
@@ -260,9 +263,12 @@
             raise InvalidMoveError(f"{to[:64]!r} is no other member")
         if key not in self.directory.sessions:
             raise SessionNotHeldError(f"{key:016x} is held by {self.directory.holder_of(key) or 'nobody'}")
-        self.requested_migrations[key] = MigrationRequest(key, MigrationReason.OPERATOR, to), monotonic_time() + SECOND
+        self.requested_migrations[key] = (
+            MigrationRequest(key, MigrationReason.OPERATOR, to),
+            monotonic_time() + OPERATOR_REQUEST_TTL_US,
+        )
         end = self.awaited_moves.setdefault(key, gevent.event.AsyncResult())
-        if not end.wait(MOVED_IN):
+        if not end.wait(MOVE_COMMAND_TIMEOUT_S):
             self.awaited_moves.pop(key, None)
             raise SessionNotMovedError(f"{key:016x} stays at {self.name}")
         return f"YES {key:016x} moved to {end.get()}\n"
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -9,6 +9,7 @@
 import gevent.event
 
 from cedarwick.fleet.counted_calls import counted_call
+from cedarwick.fleet.limits import US_PER_S
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
     Body,
@@ -18,14 +19,13 @@
     SessionLocations,
 )
 from cedarwick.fleet.migration_planner import MigrationRequest
-from cedarwick.fleet.migration_state import SECOND
 from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.recent_ids import RecentIds
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_migration import SessionMigrations
 from cedarwick.fleet.session_wire import entry_of
 from cedarwick.fleet.sessions import (
-    CLAIM,
+    CLAIM_TIMEOUT_US,
     ClaimAnswer,
     ClaimRequest,
     SessionDirectory,
@@ -35,7 +35,7 @@
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.submission import Submission
 
-AT_ONCE = 16  # peer messages to one member that wait for their answers
+MAX_CALLS_IN_FLIGHT = 16  # peer messages to one member that wait for their answers
 
 
 class InheritableSessions(NamedTuple):
@@ -57,7 +57,7 @@
         self.lasting = node.lasting
         self.counters = node.counters
         self.clock = node.clock
-        self.peers = Peers(node.gate, node.where, AT_ONCE)
+        self.peers = Peers(node.gate, node.where, MAX_CALLS_IN_FLIGHT)
         now = monotonic_time()
         self.directory = SessionDirectory(self.name, len(node.halls), now)
         self.migrations = SessionMigrations(node, self.directory, self._call, self._takes, self._change)
@@ -89,7 +89,7 @@
 
     def _wait(self, until: int) -> bool:
         """Wait until `until` for a change; returns whether there was one."""
-        return self.changed.wait(max(0, until - monotonic_time()) / SECOND) is True
+        return self.changed.wait(max(0, until - monotonic_time()) / US_PER_S) is True
 
     def _change(self) -> None:
         changed, self.changed = self.changed, gevent.event.Event()
@@ -122,13 +122,13 @@
         return True
 
     def _ask_all(self, asking: ClaimRequest, body: SessionClaim | SessionInheritance) -> None:
-        """Send a claim to all others; returns once it is granted, all have answered, or `CLAIM` has passed."""
+        """Send a claim to all others; return once it is granted, all have answered, or `CLAIM_TIMEOUT_US` is over."""
         over = gevent.event.Event()
         others = [name for name in self.node.halls if name != self.name]
         answered: list[str] = []
 
         def ask(name: str) -> None:
-            answer = self._call(name, body, CLAIM / SECOND)
+            answer = self._call(name, body, CLAIM_TIMEOUT_US / US_PER_S)
             if isinstance(answer, ClaimReply):
                 claim = ClaimAnswer(answer.granted, entry_of(answer.entry))
                 if self.directory.record_claim_answer(asking, name, claim, monotonic_time()):
@@ -140,4 +140,4 @@
 
         for name in others:
             gevent.spawn(ask, name)
-        over.wait(CLAIM / SECOND)
+        over.wait(CLAIM_TIMEOUT_US / US_PER_S)
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -9,6 +9,7 @@
 import gevent
 
 from cedarwick.errors import CedarwickError
+from cedarwick.fleet.limits import US_PER_S
 from cedarwick.fleet.messages import (
     Acknowledged,
     ForwardedSubmit,
@@ -16,8 +17,8 @@
     RecallForward,
 )
 from cedarwick.fleet.migration_planner import MigrationReason, MigrationRequest
-from cedarwick.fleet.migration_state import SECOND, SETTLE_IN
-from cedarwick.fleet.migration_table import WAITS
+from cedarwick.fleet.migration_state import VOTE_TIMEOUT_S
+from cedarwick.fleet.migration_table import FROZEN_WAIT_US
 from cedarwick.fleet.recent_ids import UNKNOWN_HASH
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_inheritance import SessionInheritances
@@ -34,11 +35,11 @@
 
 MAX_FORWARDS = 2  # of one submission: to the presumed holder, and to the one that it names
 MAX_CLAIMS = 2  # for one submission: a claim that fails was refused, or met members that are slow
-PATIENCE = 330_000  # microseconds in which a client's request is answered, of the 400 ms that it waits
-TRY = 0.15  # seconds until a submission that was passed on without an answer is passed on again
+CLIENT_TIMEOUT_US = 330_000  # microseconds in which a client's request is answered, of the 400 ms that it waits
+FORWARD_TIMEOUT_S = 0.15  # seconds until a submission that was passed on without an answer is passed on again
 RETRY_PAUSE_S = 0.005  # before a submission without an answer is forwarded again
-LEAST = 15_000  # microseconds without which nothing more is tried for a client
-COMES_FOR = 1_000_000  # microseconds for which a client that came to another sender counts as being there
+MIN_TIME_LEFT_US = 15_000  # microseconds without which nothing more is tried for a client
+CLIENT_REQUEST_TTL_US = 1_000_000  # microseconds for which a client that came to another sender counts as being there
 UNSURE: SubmitResult = (AdmissionResult.UNSURE, 0, None)
 BUSY: SubmitResult = (AdmissionResult.BUSY, 0, None)
 BUSY_REPLY = ForwardReply(AdmissionResult.BUSY.value)
@@ -61,12 +62,15 @@
     # ---- from clients ----
 
     def hand_in(self, stored: StoredMessage) -> SubmitResult:
-        """Take or forward a client's submission; runs in its connection's greenlet. Begins no step after `PATIENCE`."""
+        """Take or forward a client's submission; runs in its connection's greenlet.
+
+        It begins no step after `CLIENT_TIMEOUT_US`.
+        """
         if not stored.turn:
             return self.client_listener.to_dispatcher(stored)
         began = monotonic_time()
-        submission = RoutedSubmission(stored, hash_of(stored), began + WAITS)
-        give_up_at = began + PATIENCE
+        submission = RoutedSubmission(stored, hash_of(stored), began + FROZEN_WAIT_US)
+        give_up_at = began + CLIENT_TIMEOUT_US
         while (now := monotonic_time()) < give_up_at:
             result = self._route(submission, give_up_at, now)
             if result is not None:
@@ -177,10 +181,10 @@
         `moved`: the session has moved away from here. `dead_holder`: the entry of one whose partition `to` has.
         """
         surely_not_taken = True
-        while (left := give_up_at - monotonic_time()) > LEAST:
+        while (left := give_up_at - monotonic_time()) > MIN_TIME_LEFT_US:
             body = self._forwarded_submit(stored, left, moved, dead_holder)
             try:
-                answer = self.peers.call(to, body, min(left / SECOND, TRY))
+                answer = self.peers.call(to, body, min(left / US_PER_S, FORWARD_TIMEOUT_S))
             except PeerUnreachableError:
                 surely_not_taken = False
                 self.counters.add(f"submissions passed on without an answer: {to}")
@@ -206,7 +210,7 @@
             stored.tenant,
             stored.destination,
             stored.deadline - self.clock.now(),
-            left - LEAST,
+            left - MIN_TIME_LEFT_US,
             stored.body or b"",
             moved,
             location_of(dead_holder),
@@ -214,7 +218,7 @@
 
     def _recall_on_disconnect(self, stored: StoredMessage, to: str) -> Callable[[], None]:
         def recall() -> None:
-            gevent.spawn(self._call, to, RecallForward(stored.turn, stored.id), SETTLE_IN)
+            gevent.spawn(self._call, to, RecallForward(stored.turn, stored.id), VOTE_TIMEOUT_S)
 
         return recall
 
@@ -222,7 +226,7 @@
 
     def _answer_forwarded(self, sender: str, body: ForwardedSubmit) -> ForwardReply:
         """Answer a submission that another member forwards."""
-        wait_until = monotonic_time() + min(body.within, WAITS)
+        wait_until = monotonic_time() + min(body.within, FROZEN_WAIT_US)
         stored = self._forwarded_message(body)
         submission = RoutedSubmission(stored, hash_of(stored), wait_until)
         if (dead_holder := entry_of(body.entry)) is not None:
@@ -267,7 +271,7 @@
             return self._handle_not_held(submission, now)
         if not body.moved and self.node.halls.get(sender) != self.node.halls[self.name]:
             request = MigrationRequest(body.key, MigrationReason.CLIENT, sender)
-            self.requested_migrations[body.key] = request, now + COMES_FOR
+            self.requested_migrations[body.key] = request, now + CLIENT_REQUEST_TTL_US
         result = self._accept(submission.stored, submission.hashed, ruling, now)
         return ForwardReply(result[0].value, result[1]) if result is not None else None
 
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -9,20 +9,20 @@
   session; otherwise the client gets -BUSY.
 - A member that knows of no holder claims the session: it asks all members, and opens it once a majority (itself
   counted) has granted the claim. A grant is an entry, so a second claimer learns of the first: no id can be taken twice
-  while a majority remembers, that is for `FORGOTTEN` after the session's last use. A member that has just started does
-  not grant, claim or disown until ids from before cannot come any more (`REMEMBERED`).
+  while a majority remembers, that is for `ENTRY_TTL_US` after the session's last use. A member that has just started
+  does not grant, claim or disown until ids from before cannot come any more (`ID_RETENTION_US`).
 - The member that took over a sender's partition may *inherit* its sessions at once, where it knows the recent ids
   (`recent_ids.py`). Each acceptor of that claim grants it only if, as far as it knows, the claimer holds the newest
   partition of the lost sender, nobody else holds the session, and no move of it was voted on recently: ids that came
-  with a move are not in the partition. Whoever has granted it votes on no move of that session for `REMEMBERED`. So an
-  inheritance and a move, or a new partition of the lost sender, which each need a majority as well, meet at one member
-  at least.
+  with a move are not in the partition. Whoever has granted it votes on no move of that session for `ID_RETENTION_US`.
+  So an inheritance and a move, or a new partition of the lost sender, which each need a majority as well, meet at one
+  member at least.
 - So a sender that has lost its partition is sure of none of its sessions (`mark_all_unsure`): once it has the next
   partition it claims each of them anew before it takes anything more, and goes on with the ids that it knows.
 
 The caller takes nothing for a session while it has no lease on its own partition: cut off, it might not learn that its
 sessions were claimed or adopted. Held sessions must be sent to all others in turn (`next_locations`) within
-`REMEMBERED`. Times are microseconds of a clock that the caller gives.
+`ID_RETENTION_US`. Times are microseconds of a clock that the caller gives.
 """
 
 from collections.abc import Iterable
@@ -32,12 +32,12 @@
 
 import xxhash
 
-REMEMBERED = 15_000_000  # microseconds after its submission in which an id is not taken again
-FORGOTTEN = 120_000_000  # microseconds without use after which an entry is forgotten
-LAPSES = 60_000_000  # microseconds without use after which a session lapses; well before others forget its holder
-MOST = 100_000  # entries; above it the one unused for longest is forgotten
-CLAIM = 100_000  # microseconds after which a claim without a majority has failed
-AHEAD = 64  # added to an inherited session's sequence: above what its last holder may not have sent any more
+ID_RETENTION_US = 15_000_000  # microseconds after its submission in which an id is not taken again
+ENTRY_TTL_US = 120_000_000  # microseconds without use after which an entry is forgotten
+SESSION_TTL_US = 60_000_000  # without use, until a session lapses; well before others forget its holder
+MAX_ENTRIES = 100_000  # entries; above it the one unused for longest is forgotten
+CLAIM_TIMEOUT_US = 100_000  # microseconds after which a claim without a majority has failed
+INHERITED_SEQUENCE_STEP = 64  # to be above all sequences that the last holder may not have sent any more
 
 
 def contents_hash(*parts: object) -> int:
@@ -128,7 +128,7 @@
     def __init__(self, name: str, members: int, now: int, alone: bool = False) -> None:
         self.name = name
         self.members = members
-        self.grants_at = now if alone else now + REMEMBERED
+        self.grants_at = now if alone else now + ID_RETENTION_US
         self.entries: dict[int, KnownHolder] = {}  # in the order of their last change or use
         self.sessions: dict[int, Session] = {}
         self.claims: dict[int, PendingClaim] = {}
@@ -155,11 +155,11 @@
         """What to do with a submission of a session (key not 0); `forwarded`: by another member, not by a client."""
         session = self.sessions.get(key)
         # A session unused for long may have been forgotten by the others and claimed anew.
-        if session is not None and session.used >= now - LAPSES:
+        if session is not None and session.used >= now - SESSION_TTL_US:
             if not session.sure:
                 return SubmissionRuling.BUSY if self.is_claiming(key, now) else SubmissionRuling.CLAIM
             known = session.ids.get(message)
-            if known is None or known[0] < now - REMEMBERED:
+            if known is None or known[0] < now - ID_RETENTION_US:
                 return SubmissionRuling.ACCEPT
             return SubmissionRuling.DUPLICATE if known[1] == hashed else SubmissionRuling.CONFLICT
         # Not passed on again: two members that think each other the holder would pass it to and fro. Not taken either:
@@ -179,7 +179,7 @@
     def record_accepted(self, key: int, message: str, hashed: int, now: int) -> None:
         """Record the id and hash of an accepted submission of a session that is held here."""
         session = self.sessions[key]
-        while session.ids and next(iter(session.ids.values()))[0] < now - REMEMBERED:
+        while session.ids and next(iter(session.ids.values()))[0] < now - ID_RETENTION_US:
             del session.ids[next(iter(session.ids))]
         session.ids.pop(message, None)
         session.ids[message] = now, hashed
@@ -213,7 +213,7 @@
         known = self.entries.get(key)
         over = (known.sequence, known.holder) if known is not None else (0, "")
         asking = ClaimRequest(key, over[0] + 1, over, now)
-        self.claims[key] = PendingClaim(asking, now + CLAIM, {self.name}, self.recent_ids(key, now))
+        self.claims[key] = PendingClaim(asking, now + CLAIM_TIMEOUT_US, {self.name}, self.recent_ids(key, now))
         self._open_if_granted(key, now)
         return asking
 
@@ -226,9 +226,9 @@
         known = self.entries.get(key)
         if known is None or self.grants_at > now or self.is_claiming(key, now):
             return None
-        asking = ClaimRequest(key, known.sequence + AHEAD, (known.sequence, known.holder), now)
+        asking = ClaimRequest(key, known.sequence + INHERITED_SEQUENCE_STEP, (known.sequence, known.holder), now)
         self.granted_inheritances[key] = now, self.name, known.holder
-        self.claims[key] = PendingClaim(asking, now + CLAIM, {self.name}, ids)
+        self.claims[key] = PendingClaim(asking, now + CLAIM_TIMEOUT_US, {self.name}, ids)
         self._open_if_granted(key, now)
         return asking
 
@@ -237,9 +237,9 @@
         key = asking.key
         known = self.entries.get(key)
         theirs = asking.sequence, by
-        if key in self.sessions and self.sessions[key].used >= now - LAPSES:
+        if key in self.sessions and self.sessions[key].used >= now - SESSION_TTL_US:
             return ClaimAnswer(False, self.entry(key, now))
-        if known is not None and now - known.used <= FORGOTTEN:
+        if known is not None and now - known.used <= ENTRY_TTL_US:
             if tuple(asking.over) < (known.sequence, known.holder) != theirs:
                 return ClaimAnswer(False, self.entry(key, now))
             # A claimer that was paused cannot void the entry of a member that opened the session meanwhile.
@@ -264,7 +264,7 @@
         key, known = asking.key, self.entries.get(asking.key)
         if not holds or moved or self.grants_at > now or by != self.name and self.is_claiming(key, now):
             return ClaimAnswer(False, self.entry(key, now))
-        if key in self.sessions and (self.sessions[key].used >= now - LAPSES or by == self.name):
+        if key in self.sessions and (self.sessions[key].used >= now - SESSION_TTL_US or by == self.name):
             return ClaimAnswer(False, self.entry(key, now))
         # A second successor, or a successor's successor, does not know the ids that came by inheritance.
         if self.forbids_vote(key, by, now):
@@ -289,8 +289,8 @@
             return True
         at, by, _ = self.granted_inheritances.get(key, (0, source, ""))
         if not key:  # a member of an older level does not send the session
-            return any(of == source and at >= now - REMEMBERED for at, _, of in self.granted_inheritances.values())
-        return by != source and at >= now - REMEMBERED
+            return any(of == source and at >= now - ID_RETENTION_US for at, _, of in self.granted_inheritances.values())
+        return by != source and at >= now - ID_RETENTION_US
 
     def superseded(self, key: int, source: str, sequence: int) -> bool:
         """Whether a session that is to come here has another holder since its move began, or is held here already.
@@ -356,7 +356,7 @@
         return (
             {}
             if session is None
-            else {each: (now - at, hashed) for each, (at, hashed) in session.ids.items() if at >= now - REMEMBERED}
+            else {each: (now - at, hashed) for each, (at, hashed) in session.ids.items() if at >= now - ID_RETENTION_US}
         )
 
     def record_new_holder(self, key: int, holder: str, sequence: int, now: int) -> None:
@@ -366,10 +366,10 @@
             self.unsent[key] = None
 
     def expire_entries_of(self, holder: str, now: int) -> None:
-        """Age the entries of a dead member: any member may claim its sessions once `REMEMBERED` has passed."""
+        """Age the entries of a dead member: any member may claim its sessions once `ID_RETENTION_US` has passed."""
         for known in self.entries.values():
             if known.holder == holder:
-                known.used = min(known.used, now - FORGOTTEN + REMEMBERED)
+                known.used = min(known.used, now - ENTRY_TTL_US + ID_RETENTION_US)
 
     # ---- gossip ----
 
@@ -390,17 +390,17 @@
     def merge_entries(self, entries: Iterable[Entry], now: int) -> None:
         """Join entries of another member; in any order, any number of times."""
         for entry in entries:
-            if 0 < entry.key < 1 << 64 and entry.sequence > 0 and 0 <= entry.age <= FORGOTTEN and entry.holder:
+            if 0 < entry.key < 1 << 64 and entry.sequence > 0 and 0 <= entry.age <= ENTRY_TTL_US and entry.holder:
                 self._merge_entry(entry.key, entry.holder, entry.sequence, now - entry.age)
 
     def forget(self, now: int) -> None:
         """Drop what is old; to be called about once a second."""
         self.granted_inheritances = {
-            key: grant for key, grant in self.granted_inheritances.items() if grant[0] >= now - REMEMBERED
+            key: grant for key, grant in self.granted_inheritances.items() if grant[0] >= now - ID_RETENTION_US
         }
-        for key in [each for each, session in self.sessions.items() if session.used < now - LAPSES]:
+        for key in [each for each, session in self.sessions.items() if session.used < now - SESSION_TTL_US]:
             del self.sessions[key]
-        for key in [each for each, known in self.entries.items() if known.used < now - FORGOTTEN]:
+        for key in [each for each, known in self.entries.items() if known.used < now - ENTRY_TTL_US]:
             del self.entries[key]
 
     def _merge_entry(self, key: int, holder: str, sequence: int, used: int, confirmed: bool = True) -> bool:
@@ -421,7 +421,7 @@
         self.entries.pop(key, None)
         confirmed = confirmed or known is not None and not changed and known.confirmed
         self.entries[key] = KnownHolder(holder, sequence, used, confirmed)
-        if len(self.entries) > MOST:
+        if len(self.entries) > MAX_ENTRIES:
             oldest = next((each for each in self.entries if each not in self.sessions), key)
             del self.entries[oldest]
         return changed
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -11,7 +11,7 @@
 import gevent.pool
 import gevent.socket
 
-from cedarwick.fleet.sessions import REMEMBERED
+from cedarwick.fleet.sessions import ID_RETENTION_US
 from cedarwick.lab.clients import command
 from cedarwick.lab.day import body_of
 from cedarwick.lab.fleet import Fleet
@@ -258,7 +258,7 @@
 
         def case(how: str, fleet: Fleet) -> None:
             fleet.until(lambda: hand_in_all(fleet, 0, keys).count("ok") == len(keys), 8.0, "the sessions")
-            gevent.sleep(REMEMBERED / 1_000_000)  # the copy is older than any id of late
+            gevent.sleep(ID_RETENTION_US / 1_000_000)  # the copy is older than any id of late
             before = len(fleet.history.handed)
             fleet.until(lambda: hand_in_all(fleet, 0, keys).count("ok") > len(keys) / 2, 8.0, "their ids")
             taken = [each for each in fleet.history.handed[before:] if each.answer == "ok"]
--- a/tests/test_fleet_inherit.py
+++ b/tests/test_fleet_inherit.py
@@ -14,9 +14,9 @@
 from cedarwick.fleet.replication import EVERYTHING
 from cedarwick.fleet.replication_facts import EndRank, Fact, LifeSummary, MessageBase, MessageKnowledge
 from cedarwick.fleet.sessions import (
-    FORGOTTEN,
-    LAPSES,
-    REMEMBERED,
+    ENTRY_TTL_US,
+    ID_RETENTION_US,
+    SESSION_TTL_US,
     ClaimAnswer,
     ClaimRequest,
     SessionDirectory,
@@ -77,7 +77,7 @@
 
     def step(self) -> None:
         what = self.drawn.choice(WHAT)
-        self.now += self.drawn.choice([0] * 60 + [SECOND, 4 * SECOND, REMEMBERED + 1])
+        self.now += self.drawn.choice([0] * 60 + [SECOND, 4 * SECOND, ID_RETENTION_US + 1])
         for each in self.members.values():
             if each.awake:
                 each.directory.forget(self.now)
@@ -110,7 +110,7 @@
             for at, by, partition in self.taken
             if (by, partition) == (two.name, two.partition) and at >= self.since[two.name]
         ]
-        one.inheritable_sessions[two.name, two.partition] = self.since[two.name] + REMEMBERED, found
+        one.inheritable_sessions[two.name, two.partition] = self.since[two.name] + ID_RETENTION_US, found
         for each in (one, third):
             each.directory.expire_entries_of(two.name, self.now)
 
@@ -156,7 +156,7 @@
 
     def move(self, one: Member, two: Member) -> None:
         session = one.directory.sessions.get(KEY)
-        if one.lost or one.frozen or session is None or not session.sure or session.used < self.now - LAPSES:
+        if one.lost or one.frozen or session is None or not session.sure or session.used < self.now - SESSION_TTL_US:
             return
         name = one.frozen = name_move(self.stamp, one.name, two.name)
         self.stamp += 1
@@ -236,7 +236,7 @@
         """As `SessionInheritances._successor_claims`."""
         holder = asking.over[1]
         holds = member.newest[holder] == partition and member.holders.get((holder, partition)) == by
-        moved = member.acceptor.moved(KEY, holder, self.now - REMEMBERED) or member.frozen + member.staged != ""
+        moved = member.acceptor.moved(KEY, holder, self.now - ID_RETENTION_US) or member.frozen + member.staged != ""
         return member.directory.answer_inheritance(asking, by, holds, moved, self.now)
 
     def submit(self, one: Member, two: Member) -> None:
@@ -263,8 +263,8 @@
             if begun is not None:
                 self.peer_messages += [(name, holder.name, begun, None) for name in NAMES if name != holder.name]
         if ruling is SubmissionRuling.ACCEPT and not holder.lost:
-            last = max((at for at, _, _ in self.taken), default=-FORGOTTEN)
-            if self.now - last <= REMEMBERED:
+            last = max((at for at, _, _ in self.taken), default=-ENTRY_TTL_US)
+            if self.now - last <= ID_RETENTION_US:
                 raise AssertionError(f"taken at {last} and {self.now}: {self.taken[-2:]}, now by {holder.name}")
             self.taken.append((self.now, holder.name, holder.partition))
             holder.directory.record_accepted(KEY, "id", 1, self.now)
@@ -285,7 +285,11 @@
             return
         over = entry.sequence, entry.holder
         if self.successor_claims(one, ClaimRequest(KEY, 0, over, self.now), partition, one.name).granted:
-            ids = {"id": (self.now - max(found), 1)} if max(found, default=-FORGOTTEN) >= self.now - REMEMBERED else {}
+            ids = (
+                {"id": (self.now - max(found), 1)}
+                if max(found, default=-ENTRY_TTL_US) >= self.now - ID_RETENTION_US
+                else {}
+            )
             asking = one.directory.begin_inheritance(KEY, ids, self.now)
             if asking is not None:
                 self.inherited += 1
@@ -330,8 +334,8 @@
             30,
         )
         self.assertEqual(recent_ids.by_key(), {KEY: {"1": (10, hash_of(self.BASE))}})
-        self.assertEqual(recent_ids.complete_at(), REMEMBERED)
-        recent_ids.record(*self.step(10), REMEMBERED + 11)
+        self.assertEqual(recent_ids.complete_at(), ID_RETENTION_US)
+        recent_ids.record(*self.step(10), ID_RETENTION_US + 11)
         self.assertEqual(recent_ids.by_key(), {})
 
     def test_a_gap_another_term_and_too_many_ids_begin_the_time_anew(self) -> None:
--- a/tests/test_fleet_migration.py
+++ b/tests/test_fleet_migration.py
@@ -14,20 +14,20 @@
 from cedarwick.fleet import migration_table as moves_module
 from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Ballot, Proposer, ProposerRequest, Value, name_move
 from cedarwick.fleet.migration_planner import (
-    AFTER_OFF,
-    FULL,
-    STAYS,
+    CALL_OFF_PAUSE_US,
+    MAX_LOAD_SHARE,
+    MIN_STAY_US,
     MigrationPlanner,
     MigrationReason,
     MigrationRequest,
     Neighbour,
 )
 from cedarwick.fleet.migration_table import (
-    CALL_OFF,
-    FORWARDS,
-    FREEZE,
-    MOST_IN,
-    MOST_OUT,
+    CALL_OFF_AFTER_US,
+    FORWARDING_US,
+    FREEZE_TIMEOUT_US,
+    MAX_MOVES_IN,
+    MAX_MOVES_OUT,
     Migration,
     MigrationAction,
     MigrationStep,
@@ -36,11 +36,11 @@
     TargetStage,
 )
 from cedarwick.fleet.sessions import (
-    CLAIM,
-    FORGOTTEN,
-    LAPSES,
-    MOST,
-    REMEMBERED,
+    CLAIM_TIMEOUT_US,
+    ENTRY_TTL_US,
+    ID_RETENTION_US,
+    MAX_ENTRIES,
+    SESSION_TTL_US,
     ClaimAnswer,
     ClaimRequest,
     Entry,
@@ -529,19 +529,24 @@
         member = Member("A", MigrationTable, Acceptor)
         member.do(("begin",))
         moves = member.moves
-        self.assertEqual((moves.next_at(), moves.standing(KEY)), (FREEZE, ("wait", "")))
-        self.assertEqual([act.do for act in moves.due(FREEZE)], [MigrationAction.MARK])
-        self.assertEqual([act.do for act in moves.marked(MOVE, FREEZE)], [MigrationAction.STAGE])
+        self.assertEqual((moves.next_at(), moves.standing(KEY)), (FREEZE_TIMEOUT_US, ("wait", "")))
+        self.assertEqual([act.do for act in moves.due(FREEZE_TIMEOUT_US)], [MigrationAction.MARK])
+        self.assertEqual([act.do for act in moves.marked(MOVE, FREEZE_TIMEOUT_US)], [MigrationAction.STAGE])
         self.assertEqual(moves.near_limit(MOVE), "failed")
-        self.assertEqual([act.do for act in moves.due(FREEZE + moves_module.AGAIN)], [MigrationAction.STAGE])
-        self.assertEqual([ask.value for ask in asks(moves.due(CALL_OFF))], [None] * 3)
-        moves.settled(MOVE, "taker", False, CALL_OFF)
-        self.assertEqual([act.do for act in moves.due(CALL_OFF + moves_module.AGAIN)], [MigrationAction.TELL])
+        self.assertEqual(
+            [act.do for act in moves.due(FREEZE_TIMEOUT_US + moves_module.MIN_RETRY_US)], [MigrationAction.STAGE]
+        )
+        self.assertEqual([ask.value for ask in asks(moves.due(CALL_OFF_AFTER_US))], [None] * 3)
+        moves.settled(MOVE, "taker", False, CALL_OFF_AFTER_US)
+        self.assertEqual(
+            [act.do for act in moves.due(CALL_OFF_AFTER_US + moves_module.MIN_RETRY_US)], [MigrationAction.TELL]
+        )
         self.assertEqual((moves.standing(KEY), moves.near_limit(MOVE)), (("pass", "B"), "over"))
         self.assertEqual(
-            [act.do for act in moves.due(CALL_OFF + FORWARDS)], [MigrationAction.OVER, MigrationAction.CLOSE]
+            [act.do for act in moves.due(CALL_OFF_AFTER_US + FORWARDING_US)],
+            [MigrationAction.OVER, MigrationAction.CLOSE],
         )
-        moves.due(CALL_OFF + FORWARDS + moves_module.REMEMBERED_FOR)
+        moves.due(CALL_OFF_AFTER_US + FORWARDING_US + moves_module.FINISHED_RETENTION_US)
         self.assertEqual((moves.moves, moves.by_key, moves.standing(KEY)), ({}, {}, ("here", "")))
 
     def test_a_partition_that_comes_back_is_settled_under_ballots_of_its_own(self) -> None:
@@ -561,29 +566,31 @@
         for now in range(0, 100 * MS * 60, 100 * MS):
             seen = [Neighbour(name, "south", count, 500) for name, count in held.items()]
             chosen = planner.plan([MigrationRequest(key, MigrationReason.LEAVING) for key in sorted(left)], seen, now)
-            self.assertLessEqual(len(planner.out), MOST_OUT)
-            self.assertLessEqual(max(Counter(planner.out.values()).values(), default=0), MOST_IN)
+            self.assertLessEqual(len(planner.out), MAX_MOVES_OUT)
+            self.assertLessEqual(max(Counter(planner.out.values()).values(), default=0), MAX_MOVES_IN)
             for key, to in chosen:
                 planner.ended(key, True, now)
                 held[to] += 1
                 left.remove(key)
         self.assertFalse(left)
-        self.assertLessEqual(max(held.values()), FULL * 500)
-        self.assertLessEqual(abs(held["E"] - held["W"]), max(50 + MOST_OUT, abs(first - second)))
+        self.assertLessEqual(max(held.values()), MAX_LOAD_SHARE * 500)
+        self.assertLessEqual(abs(held["E"] - held["W"]), max(50 + MAX_MOVES_OUT, abs(first - second)))
 
     def test_a_session_that_has_just_moved_or_was_called_off_stays(self) -> None:
         planner, there = MigrationPlanner("north"), [Neighbour("E", "south", 0, 9)]
         planner.arrived(KEY, 0)
-        client, staff = (
+        client, operator = (
             MigrationRequest(KEY, MigrationReason.CLIENT, "E"),
             MigrationRequest(KEY, MigrationReason.OPERATOR, "E"),
         )
-        self.assertEqual(planner.plan([client], there, STAYS - 1), [])
-        self.assertEqual(planner.plan([staff], there, STAYS - 1), [(KEY, "E")])
-        planner.ended(KEY, False, STAYS)
-        self.assertEqual(planner.plan([client], there, STAYS + AFTER_OFF - 1), [])
-        self.assertEqual(planner.plan([client], there, STAYS + AFTER_OFF), [(KEY, "E")])
-        self.assertEqual(planner.plan([MigrationRequest(8, MigrationReason.CLIENT, "W")], there, STAYS + AFTER_OFF), [])
+        self.assertEqual(planner.plan([client], there, MIN_STAY_US - 1), [])
+        self.assertEqual(planner.plan([operator], there, MIN_STAY_US - 1), [(KEY, "E")])
+        planner.ended(KEY, False, MIN_STAY_US)
+        self.assertEqual(planner.plan([client], there, MIN_STAY_US + CALL_OFF_PAUSE_US - 1), [])
+        self.assertEqual(planner.plan([client], there, MIN_STAY_US + CALL_OFF_PAUSE_US), [(KEY, "E")])
+        self.assertEqual(
+            planner.plan([MigrationRequest(8, MigrationReason.CLIENT, "W")], there, MIN_STAY_US + CALL_OFF_PAUSE_US), []
+        )
 
 
 def claim(one: SessionDirectory) -> ClaimRequest:
@@ -599,7 +606,7 @@
             st.integers(0, 2),
             st.sampled_from(["A", "B", "me"]),
             st.integers(0, 3),
-            st.sampled_from([0, 5, FORGOTTEN, FORGOTTEN + 1]),
+            st.sampled_from([0, 5, ENTRY_TTL_US, ENTRY_TTL_US + 1]),
         ),
         max_size=12,
     )
@@ -608,22 +615,22 @@
     @given(entries, st.randoms(use_true_random=False))
     def test_news_may_come_in_any_order_and_twice(self, entries: list[Entry], order: random.Random) -> None:
         one, two = SessionDirectory("me", 3, 0), SessionDirectory("me", 3, 0)
-        one.merge_entries(entries, FORGOTTEN)
+        one.merge_entries(entries, ENTRY_TTL_US)
         shuffled = entries + entries[:3]
         order.shuffle(shuffled)
-        two.merge_entries(shuffled, FORGOTTEN)
+        two.merge_entries(shuffled, ENTRY_TTL_US)
         self.assertEqual(one.entries, two.entries)
         self.assertNotIn(0, one.entries)
 
     def test_what_is_kept_is_bounded_and_forgotten(self) -> None:
         one = SessionDirectory("me", 1, 0, alone=True)
         one.begin_claim(KEY, 0)
-        one.merge_entries([Entry(key, "A", 1, MOST + 9 - key) for key in range(8, MOST + 9)], MOST)
-        one.merge_entries([Entry(5, "A", 1, FORGOTTEN + 1)], MOST)
+        one.merge_entries([Entry(key, "A", 1, MAX_ENTRIES + 9 - key) for key in range(8, MAX_ENTRIES + 9)], MAX_ENTRIES)
+        one.merge_entries([Entry(5, "A", 1, ENTRY_TTL_US + 1)], MAX_ENTRIES)
         self.assertIsNone(one.holder_of(5))
-        self.assertEqual((len(one.entries), one.holder_of(8), one.holder_of(KEY)), (MOST, None, "me"))
+        self.assertEqual((len(one.entries), one.holder_of(8), one.holder_of(KEY)), (MAX_ENTRIES, None, "me"))
         self.assertEqual(one.next_locations(9, 0)[0].key, KEY)
-        one.forget(FORGOTTEN + MOST + 1)
+        one.forget(ENTRY_TTL_US + MAX_ENTRIES + 1)
         self.assertEqual((one.entries, one.sessions), ({}, {}))
 
     def test_an_id_is_taken_once_wherever_its_client_goes(self) -> None:
@@ -632,13 +639,13 @@
                 self.course(random.Random(seed))
 
     def course(self, drawn: random.Random) -> None:
-        names, now, taken = "ABC", 0, -FORGOTTEN
+        names, now, taken = "ABC", 0, -ENTRY_TTL_US
         peer_messages: list[tuple[int, int, ClaimRequest, ClaimAnswer | None]] = []
         every = [SessionDirectory(name, 3, now, alone=True) for name in names]
         for _ in range(150):
             what = drawn.choice(["submit"] * 5 + ["deliver"] * 9 + ["restart"] + ["move"] * 2)
             at, other, which = drawn.randrange(3), drawn.randrange(3), drawn.randrange(10)
-            later = drawn.choice([0] * 25 + [1_000_000, REMEMBERED + 1, LAPSES + 1, FORGOTTEN + 1])
+            later = drawn.choice([0] * 25 + [1_000_000, ID_RETENTION_US + 1, SESSION_TTL_US + 1, ENTRY_TTL_US + 1])
             now += later
             for each in every:
                 each.forget(now)
@@ -664,7 +671,7 @@
                 if begun is not None:
                     peer_messages += [(to, at, begun, None) for to in range(3) if to != at]
                 if ruling is SubmissionRuling.ACCEPT:
-                    self.assertGreater(now - taken, REMEMBERED)
+                    self.assertGreater(now - taken, ID_RETENTION_US)
                     taken = now
                     every[holder].record_accepted(KEY, "id", 1, now)
                     told = every[holder].next_locations(
@@ -679,31 +686,33 @@
         self.assertEqual(
             (one.rule(KEY, "id", 1, False, 0), one.answer_not_held(KEY, 0).granted), (SubmissionRuling.BUSY, False)
         )
-        self.assertIs(one.rule(KEY, "id", 1, False, CLAIM), SubmissionRuling.CLAIM)
+        self.assertIs(one.rule(KEY, "id", 1, False, CLAIM_TIMEOUT_US), SubmissionRuling.CLAIM)
         self.assertTrue(one.record_claim_answer(asking, "B", two.answer_claim(asking, "A", 0), 0))
         self.assertFalse(one.answer_claim(ClaimRequest(KEY, 9, (8, "A"), 0), "C", 0).granted)
         one.record_accepted(KEY, "id", 1, 0)
         two.hold(KEY, 2, one.recent_ids(KEY, 5), 5)
         one.record_new_holder(KEY, "B", 2, 5)
         self.assertEqual(
-            [two.rule(KEY, "id", hashed, True, REMEMBERED) for hashed in (1, 2)],
+            [two.rule(KEY, "id", hashed, True, ID_RETENTION_US) for hashed in (1, 2)],
             [SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT],
         )
-        self.assertIs(two.rule(KEY, "id", 2, True, REMEMBERED + 1), SubmissionRuling.ACCEPT)
+        self.assertIs(two.rule(KEY, "id", 2, True, ID_RETENTION_US + 1), SubmissionRuling.ACCEPT)
         self.assertIs(one.rule(KEY, "id", 1, False, 6), SubmissionRuling.FORWARD)
         two.expire_entries_of("A", 6)
         one.expire_entries_of("B", 6)
-        one.forget(7 + REMEMBERED)
+        one.forget(7 + ID_RETENTION_US)
         self.assertEqual((one.holder_of(KEY), two.holder_of(KEY)), (None, "B"))
 
     def test_who_has_just_started_or_slept_trusts_nothing_of_its_own(self) -> None:
         new, old = SessionDirectory("A", 3, 0), SessionDirectory("B", 3, 0, alone=True)
-        self.assertFalse(new.answer_not_held(KEY, REMEMBERED - 1).granted or new.begin_claim(KEY, REMEMBERED - 1))
-        self.assertFalse(new.answer_claim(claim(old), "B", REMEMBERED - 1).granted)
-        self.assertTrue(new.answer_not_held(KEY, REMEMBERED).granted)
+        self.assertFalse(
+            new.answer_not_held(KEY, ID_RETENTION_US - 1).granted or new.begin_claim(KEY, ID_RETENTION_US - 1)
+        )
+        self.assertFalse(new.answer_claim(claim(old), "B", ID_RETENTION_US - 1).granted)
+        self.assertTrue(new.answer_not_held(KEY, ID_RETENTION_US).granted)
         old.hold(KEY, 4, {}, 0)
-        self.assertIs(old.rule(KEY, "id", 1, False, LAPSES), SubmissionRuling.ACCEPT)
-        self.assertIs(old.rule(KEY, "id", 1, False, LAPSES + 1), SubmissionRuling.CLAIM)
+        self.assertIs(old.rule(KEY, "id", 1, False, SESSION_TTL_US), SubmissionRuling.ACCEPT)
+        self.assertIs(old.rule(KEY, "id", 1, False, SESSION_TTL_US + 1), SubmissionRuling.CLAIM)
         old.merge_entries([Entry(KEY, "A", 5, 0)], 1)
         self.assertIs(old.rule(KEY, "id", 1, False, 1), SubmissionRuling.FORWARD)
 
@@ -711,7 +720,7 @@
         one, two, third = (SessionDirectory(name, 3, 0, alone=True) for name in "ABC")
         first, second = claim(one), claim(two)
         self.assertFalse(two.answer_claim(first, "A", 0).granted)
-        for asking, now in ((second._replace(at=-1), 0), (second, CLAIM)):
+        for asking, now in ((second._replace(at=-1), 0), (second, CLAIM_TIMEOUT_US)):
             self.assertFalse(two.record_claim_answer(asking, "C", ClaimAnswer(True, None), now))
         self.assertTrue(two.record_claim_answer(second, "A", one.answer_claim(second, "B", 0), 0))
         self.assertTrue(third.answer_claim(first, "A", 0).granted)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -29,7 +29,7 @@
 from cedarwick.fleet.session_inheritance import INHERITANCE_LEVEL
 from cedarwick.fleet.session_routing import SessionRouter
 from cedarwick.fleet.session_state import InheritableSessions
-from cedarwick.fleet.sessions import REMEMBERED
+from cedarwick.fleet.sessions import ID_RETENTION_US
 from cedarwick.fleet.transport import PeerUnreachableError
 from cedarwick.net.attempts import AttemptResult
 from cedarwick.net.clock import Clock
@@ -274,7 +274,7 @@
         a.hand_in(message("1"))
         thawed = a.dispatcher.thaw = mock.Mock()  # type: ignore[method-assign]
         self.lose = lambda to, body: "ask" if isinstance(body, StageSession) else ""
-        with mock.patch.object(migration_source, "RELEASE_AGAIN", 0.05):
+        with mock.patch.object(migration_source, "RELEASE_RETRY_S", 0.05):
             a.migrations.begin(KEY, "b", monotonic_time())
             self.turn(0.3)  # marked, and the target does not answer
             with mock.patch.object(a.migrations, "_save_without", side_effect=OSError("full")) as save:
@@ -326,7 +326,7 @@
         partition = slot_of("a") << 12
         fact = a.store.holdings[partition].read(a.store, *a.store.messages)
         assert fact is not None
-        c.replica_recent_ids[partition] = RecentIds(monotonic_time() - REMEMBERED)
+        c.replica_recent_ids[partition] = RecentIds(monotonic_time() - ID_RETENTION_US)
         c.replica_recent_ids[partition].term, c.replica_recent_ids[partition].next = 1, 4
         c._copied(partition, Step(1, 5, EVERYTHING, 0, 0, b""), [fact])
         self.lose = lambda to, body: "ask" if to == "a" else ""
--- a/tests/test_virtual_days.py
+++ b/tests/test_virtual_days.py
@@ -15,7 +15,7 @@
 from cedarwick.events.kinds import Event
 from cedarwick.events.registry import Entry, Registry
 from cedarwick.fleet import node, replicated_store
-from cedarwick.fleet.migration_state import GIVEN
+from cedarwick.fleet.migration_state import SOURCE_MARK
 from cedarwick.fleet.migration_table import MigrationAction, MigrationStep, MigrationTable
 from cedarwick.fleet.replication_facts import Fact, stored_message_of
 from cedarwick.fleet.session_migration import SessionMigrations
@@ -59,7 +59,7 @@
 
 def closed_early(self: SessionMigrations, name: str, honest: Any = SessionMigrations._stage) -> None:
     """The source has given all up before it offers it."""
-    self._give_up(name, GIVEN)
+    self._give_up(name, SOURCE_MARK)
     honest(self, name)
 
 
