--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -67,19 +67,19 @@
 
     def __init__(self, hall: str) -> None:
         self.hall = hall
-        self.out: dict[int, str] = {}  # by key of a session on the move: its target
-        self.stays: dict[int, int] = {}  # by key: not moved before this time
-        self.off: dict[int, int] = {}  # by key, after a move called off: not offered before this time
+        self.targets: dict[int, str] = {}  # by key of a session on the move: its target
+        self.stays_until: dict[int, int] = {}  # by key: not moved before this time
+        self.paused_until: dict[int, int] = {}  # by key, after a move called off: not offered before this time
 
     def arrived(self, key: int, now: int) -> None:
         """Note that a session has become active here: it stays for `MIN_STAY_US` microseconds."""
-        self.stays[key] = now + MIN_STAY_US
+        self.stays_until[key] = now + MIN_STAY_US
 
     def ended(self, key: int, moved: bool, now: int) -> None:
         """Note the end of a move from here; not `moved`: it was called off."""
-        self.out.pop(key, None)
+        self.targets.pop(key, None)
         if not moved:
-            self.off[key] = now + CALL_OFF_PAUSE_US
+            self.paused_until[key] = now + CALL_OFF_PAUSE_US
 
     def plan(
         self, requests: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
@@ -88,26 +88,29 @@
 
         At most `MAX_MOVES_OUT` sessions are on the move from here at once, and `MAX_MOVES_IN` to each target.
         """
-        self.stays = {key: until for key, until in self.stays.items() if until > now}
-        self.off = {key: until for key, until in self.off.items() if until > now}
+        self.stays_until = {key: until for key, until in self.stays_until.items() if until > now}
+        self.paused_until = {key: until for key, until in self.paused_until.items() if until > now}
         more: dict[str, int] = {}
-        for to in self.out.values():
+        for to in self.targets.values():
             more[to] = more.get(to, 0) + 1
         chosen = []
         for request in sorted(requests, key=lambda each: list(MigrationReason).index(each.why)):
-            stays = request.key in self.stays and request.why not in (MigrationReason.OPERATOR, MigrationReason.LEAVING)
+            stays = request.key in self.stays_until and request.why not in (
+                MigrationReason.OPERATOR,
+                MigrationReason.LEAVING,
+            )
             # `stays`: with a client at each of two senders a session would go to and fro, frozen most of the time.
             if (
-                len(self.out) >= MAX_MOVES_OUT
-                or request.key in self.out
-                or request.key in self.off
+                len(self.targets) >= MAX_MOVES_OUT
+                or request.key in self.targets
+                or request.key in self.paused_until
                 or stays
                 or not request.key
             ):
                 continue
             for each in preferred(request.key, self.hall, neighbours, more):
                 if request.to in ("", each.name) and more.get(each.name, 0) < MAX_MOVES_IN:
-                    self.out[request.key] = each.name
+                    self.targets[request.key] = each.name
                     more[each.name] = more.get(each.name, 0) + 1
                     chosen.append((request.key, each.name))
                     break
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -51,7 +51,7 @@
         if not still.wait(FREEZE_TIMEOUT_US / US_PER_S):
             self.dispatcher.cut(key)
             still.wait(CUT_OFF_TIMEOUT_S)
-        self.act(self.moves.idle(name, monotonic_time()))
+        self.carry_out(self.moves.attempts_ended(name, monotonic_time()))
 
     def _mark(self, name: str) -> None:
         """Mark the owed messages as inert, in the folder and at all successors; call the move off where that fails."""
@@ -78,9 +78,9 @@
             return True
 
         if self.dispatcher.between(mark).get() and self._copied(partitions):
-            self.act(self.moves.marked(name, monotonic_time()))
+            self.carry_out(self.moves.marked(name, monotonic_time()))
         else:
-            self.act(self.moves.call_off(name, monotonic_time()))
+            self.carry_out(self.moves.call_off(name, monotonic_time()))
 
     def _stage(self, name: str) -> None:
         """Send the marked messages and the recent ids to the target; call the move off where it refuses them."""
@@ -89,17 +89,17 @@
         for number in self._marked(name, SOURCE_MARK):
             fact = self.store.holdings[number >> 32].read(self.store, number)
             if fact is None or fact.base is None:
-                self.act(self.moves.call_off(name, monotonic_time()))
+                self.carry_out(self.moves.call_off(name, monotonic_time()))
                 return
             facts.append(fact)
         data = encode_facts(facts)
         if len(data) > MAX_STAGED_BYTES:
             self.counters.warning("a session stays", SessionTooLargeError(f"{len(facts)} messages of {key:016x}"))
-            self.act(self.moves.call_off(name, monotonic_time()))
+            self.carry_out(self.moves.call_off(name, monotonic_time()))
             return
         ids = self.directory.recent_ids(key, monotonic_time())
         if len(ids) > MAX_STAGED_IDS:
-            self.act(self.moves.call_off(name, monotonic_time()))
+            self.carry_out(self.moves.call_off(name, monotonic_time()))
             return
         recent = tuple(RecentIdEntry(each, age, hashed) for each, (age, hashed) in ids.items())
         stage = StageSession(
@@ -110,13 +110,13 @@
             now = monotonic_time()
             if not answer.stored:
                 self.counters.add("moves refused by the target")
-            self.act(self.moves.staged(name, now) if answer.stored else self.moves.call_off(name, now))
+            self.carry_out(self.moves.staged(name, now) if answer.stored else self.moves.call_off(name, now))
 
-    def _forward(self, act: MigrationStep) -> None:
+    def _forward(self, step: MigrationStep) -> None:
         """Record the target as the holder, and thaw the key: requests are forwarded from now on."""
-        key, now = self._key(act.move), monotonic_time()
-        if self._mine(act.move):
-            self.directory.record_new_holder(key, act.to, self.sequences[act.move] + 1, now)
+        key, now = self._key(step.move), monotonic_time()
+        if self._mine(step.move):
+            self.directory.record_new_holder(key, step.to, self.sequences[step.move] + 1, now)
             self.planner.ended(key, True, now)
             self.dispatcher.thaw(key)
             self.counters.add("sessions given away")
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -96,7 +96,7 @@
         self.limits_at = 0
 
     @abstractmethod
-    def act(self, acts: Iterable[MigrationStep]) -> None:
+    def carry_out(self, steps: Iterable[MigrationStep]) -> None:
         """Carry out steps of moves; a step that waits runs in a greenlet of its own."""
 
     def _guarded(self, write: Callable[..., None], *arguments: object) -> bool:
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -65,7 +65,7 @@
 class MigrationAction(Enum):
     """What the caller is to do; each action may safely be repeated."""
 
-    FREEZE = "freeze"  # no new attempt of the key; call `idle` once none is under way
+    FREEZE = "freeze"  # no new attempt of the key; call `attempts_ended` once none is under way
     MARK = "mark"  # unsettled attempts become may-have-run; mark in own folder and at every successor; then `marked`
     STAGE = "stage"  # send the facts and ids to `to`
     WRITE = "write"  # store what was staged, marked, in own folder and at every successor; then `written`
@@ -84,7 +84,7 @@
 class MigrationStep(NamedTuple):
     """One action for the caller, with what it needs."""
 
-    do: MigrationAction
+    action: MigrationAction
     move: str
     to: str = ""
     ask: ProposerRequest | None = None
@@ -102,14 +102,14 @@
     target_stage: TargetStage | None = None
     marking: bool = False  # the marks are being written
     written: bool = False  # what was staged is stored
-    heard: bool = False  # the target has answered `Staged`
+    staged_answered: bool = False  # the target has answered `Staged`
     confirmed: bool = False  # the target is active
     value: Value | None = None  # the decision, once known
     proposer: Proposer | None = None
-    began: int = 0
+    began_at: int = 0
     settled_at: int = 0
     next_at: int = 0  # when the request that is due is repeated
-    asked: int = 0  # how often it was repeated
+    retries: int = 0  # how often it was repeated
 
 
 class MigrationTable:
@@ -144,11 +144,11 @@
         migrating = sum(1 for move in self.moves.values() if move.source_stage in undecided)
         if (open_one is not None and not self._finished(open_one)) or migrating >= MAX_MOVES_OUT or name in self.moves:
             return []
-        self.moves[name] = Migration(name, key, SourceStage.FREEZING, began=now)
+        self.moves[name] = Migration(name, key, SourceStage.FREEZING, began_at=now)
         self.by_key[key] = name
         return [MigrationStep(MigrationAction.FREEZE, name)]
 
-    def idle(self, name: str, now: int) -> list[MigrationStep]:
+    def attempts_ended(self, name: str, now: int) -> list[MigrationStep]:
         """No attempt of the session is under way any more, or they have been awaited for long enough."""
         move = self.moves.get(name)
         if move is None or move.source_stage is not SourceStage.FREEZING or move.marking:
@@ -169,7 +169,7 @@
         """The target has stored the session and requests the decision itself; the source stops repeating `Stage`."""
         move = self.moves.get(name)
         if move is not None:
-            move.heard = True
+            move.staged_answered = True
         return []
 
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
@@ -181,7 +181,7 @@
             return self._decided(move, CALLED_OFF, now)
         # Only a decision ends the move: a `Stage` that was refused or got no answer may have arrived twice, and the
         # target may have stored the other one.
-        return self._settle(move, now)
+        return self._begin_settling(move, now)
 
     def client_gone(self, key: int, now: int) -> list[MigrationStep]:
         """The live connection has ended."""
@@ -200,7 +200,7 @@
         # dropped. The own acceptor votes once it is stored, so a move that it knows was staged or is being settled.
         if not room or staged >= MAX_MOVES_IN or parts(name)[2] != self.name or not self.acceptor.may_open(name):
             return [MigrationStep(MigrationAction.REFUSE, name, parts(name)[1])]
-        self._open(name, key, now).target_stage = TargetStage.STAGED
+        self._get_or_add(name, key, now).target_stage = TargetStage.STAGED
         return [MigrationStep(MigrationAction.WRITE, name)]
 
     def written(self, name: str, now: int) -> list[MigrationStep]:
@@ -210,7 +210,7 @@
             return []
         move.written = True
         asks = self._proposer(move).as_taker(now) if move.proposer is None else []
-        return [MigrationStep(MigrationAction.STAGED, name, parts(name)[1]), *self._asks(asks)]
+        return [MigrationStep(MigrationAction.STAGED, name, parts(name)[1]), *self._vote_requests(asks)]
 
     def activated(self, name: str, now: int) -> list[MigrationStep]:
         """The messages are live here."""
@@ -219,7 +219,7 @@
             return []
         move.target_stage = TargetStage.ACTIVE
         step = MigrationStep(MigrationAction.TELL, name, value=FOR_TARGET, active=True)
-        return [step, *self._confirmed(move, now)]
+        return [step, *self._note_target_active(move, now)]
 
     # ---- the decision ----
 
@@ -230,7 +230,7 @@
             return []
         asks = move.proposer.answered(ask.to, ask.ballot, ask.value, answer, now)
         if move.proposer.decided is None:
-            return self._asks(asks)
+            return self._vote_requests(asks)
         value = move.proposer.decided
         return [MigrationStep(MigrationAction.TELL, ask.move, value=value), *self._decided(move, value, now)]
 
@@ -239,25 +239,25 @@
         move = self.moves.get(name)
         if move is None:
             return []
-        acts = self._decided(move, value, now)
+        steps = self._decided(move, value, now)
         if active and value == FOR_TARGET:
-            acts += self._confirmed(move, now)
-        return acts
+            steps += self._note_target_active(move, now)
+        return steps
 
-    def said(self, name: str) -> tuple[Value | None, bool]:
+    def known_decision(self, name: str) -> tuple[Value | None, bool]:
         """The answer to another member's `MigrationDecided`: the decision if known, and whether it is active here."""
         move = self.moves.get(name)
         return (None, False) if move is None else (move.value, move.target_stage is TargetStage.ACTIVE)
 
     # ---- restarts and partitions that change hands ----
 
-    def found(self, name: str, key: int, at_source: bool, now: int) -> list[MigrationStep]:
+    def marks_found(self, name: str, key: int, at_source: bool, now: int) -> list[MigrationStep]:
         """Marked facts were found in a partition that this member holds, after its restart or after an adoption.
 
         For the target's side, call it only once every successor of that partition has the facts again: it may request
         the decision at once.
         """
-        move = self._open(name, key, now)
+        move = self._get_or_add(name, key, now)
         if at_source and move.source_stage is None:
             move.source_stage = SourceStage.OFFERED
         elif not at_source and move.target_stage is None:
@@ -266,13 +266,13 @@
             return []
         if move.value is not None:
             value, move.value = move.value, None
-            acts = self._decided(move, value, now)
-            return acts + (self._confirmed(move, now) if move.target_stage is TargetStage.ACTIVE else [])
+            steps = self._decided(move, value, now)
+            return steps + (self._note_target_active(move, now) if move.target_stage is TargetStage.ACTIVE else [])
         if not at_source and parts(name)[2] == self.name and move.proposer is None:
-            return self._asks(self._proposer(move).as_taker(now))
-        return self._settle(move, now)
+            return self._vote_requests(self._proposer(move).as_taker(now))
+        return self._begin_settling(move, now)
 
-    def lost(self, name: str, at_source: bool) -> None:
+    def side_lost(self, name: str, at_source: bool) -> None:
         """The partition with this side has another holder now: forget this side."""
         move = self.moves.get(name)
         if move is None:
@@ -288,7 +288,7 @@
 
     # ---- for the dispatcher ----
 
-    def standing(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
+    def routing_state(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
         """What to do with a request for a session held here or on its way here, and the member to pass it to."""
         move = self.moves.get(self.by_key.get(key, ""))
         if move is None:
@@ -301,7 +301,7 @@
         )
         return ("wait" if frozen else "here"), ""
 
-    def near_limit(self, name: str) -> Literal["failed", "over"] | None:
+    def near_deadline(self, name: str) -> Literal["failed", "over"] | None:
         """What to do with a marked message within 300 ms of its deadline.
 
         'failed': the holder of the source's partition answers that it failed, since it may have run at the target.
@@ -320,32 +320,32 @@
 
     def due(self, now: int) -> list[MigrationStep]:
         """The steps that are due: requests repeated, moves called off or forgotten, forwarding closed."""
-        acts: list[MigrationStep] = []
+        steps: list[MigrationStep] = []
         for move in [each for each in self.moves.values() if self._due_at(each) <= now]:
             if self._finished(move):
                 del self.moves[move.name]
                 if self.by_key.get(move.key) == move.name:
                     del self.by_key[move.key]
             elif move.source_stage is SourceStage.FORWARDING and now >= move.settled_at + FORWARDING_US:
-                acts += self._close(move, now)
+                steps += self._close(move, now)
             elif move.source_stage is SourceStage.FORWARDING and not move.confirmed:
-                self._again(move, now)
-                acts.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value=FOR_TARGET))
+                self._schedule_retry(move, now)
+                steps.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value=FOR_TARGET))
             elif move.value is not None:
-                self._again(move, now)
-                acts.append(MigrationStep(MigrationAction.ACTIVATE, move.name))
+                self._schedule_retry(move, now)
+                steps.append(MigrationStep(MigrationAction.ACTIVATE, move.name))
             elif move.proposer is not None:
-                acts += self._asks(move.proposer.due(now))
-            elif move.source_stage is not None and now >= move.began + CALL_OFF_AFTER_US:
-                acts += self.call_off(move.name, now)
+                steps += self._vote_requests(move.proposer.due(now))
+            elif move.source_stage is not None and now >= move.began_at + CALL_OFF_AFTER_US:
+                steps += self.call_off(move.name, now)
             elif move.source_stage is None:  # the target could not store it, or not at every successor
-                acts += self._settle(move, now)
+                steps += self._begin_settling(move, now)
             elif move.source_stage is SourceStage.FREEZING:
-                acts += self.idle(move.name, now)
-            elif move.source_stage is SourceStage.OFFERED and not move.heard:
-                self._again(move, now)
-                acts.append(MigrationStep(MigrationAction.STAGE, move.name, parts(move.name)[2]))
-        return acts
+                steps += self.attempts_ended(move.name, now)
+            elif move.source_stage is SourceStage.OFFERED and not move.staged_answered:
+                self._schedule_retry(move, now)
+                steps.append(MigrationStep(MigrationAction.STAGE, move.name, parts(move.name)[2]))
+        return steps
 
     def _due_at(self, move: Migration) -> int:
         if self._finished(move):
@@ -361,16 +361,16 @@
         if move.proposer is not None:
             return move.proposer.next_at
         if move.source_stage is SourceStage.FREEZING and not move.marking:
-            return move.began + FREEZE_TIMEOUT_US
-        if move.source_stage is SourceStage.OFFERED and not move.heard:
-            return min(move.next_at, move.began + CALL_OFF_AFTER_US)
-        return move.began + CALL_OFF_AFTER_US
+            return move.began_at + FREEZE_TIMEOUT_US
+        if move.source_stage is SourceStage.OFFERED and not move.staged_answered:
+            return min(move.next_at, move.began_at + CALL_OFF_AFTER_US)
+        return move.began_at + CALL_OFF_AFTER_US
 
     # ---- within ----
 
-    def _open(self, name: str, key: int, now: int) -> Migration:
+    def _get_or_add(self, name: str, key: int, now: int) -> Migration:
         if name not in self.moves:
-            self.moves[name] = Migration(name, key, began=now)
+            self.moves[name] = Migration(name, key, began_at=now)
             self.by_key[key] = name
         return self.moves[name]
 
@@ -383,12 +383,12 @@
         )
 
     @staticmethod
-    def _again(move: Migration, now: int) -> None:
-        move.next_at = now + min(MIN_RETRY_US << min(move.asked, MAX_RETRY_DOUBLINGS), MAX_RETRY_US)
-        move.asked += 1
+    def _schedule_retry(move: Migration, now: int) -> None:
+        move.next_at = now + min(MIN_RETRY_US << min(move.retries, MAX_RETRY_DOUBLINGS), MAX_RETRY_US)
+        move.retries += 1
 
     @staticmethod
-    def _asks(asks: Iterable[ProposerRequest]) -> list[MigrationStep]:
+    def _vote_requests(asks: Iterable[ProposerRequest]) -> list[MigrationStep]:
         return [MigrationStep(MigrationAction.ASK, ask.move, ask.to, ask) for ask in asks]
 
     def _proposer(self, move: Migration) -> Proposer:
@@ -398,40 +398,42 @@
             move.proposer = Proposer(move.name, f"{self.mark}.{self.proposers}", self.voters, self.wait)
         return move.proposer
 
-    def _settle(self, move: Migration, now: int) -> list[MigrationStep]:
-        return self._asks(self._proposer(move).settle(now)) if move.proposer is None else []
+    def _begin_settling(self, move: Migration, now: int) -> list[MigrationStep]:
+        return self._vote_requests(self._proposer(move).settle(now)) if move.proposer is None else []
 
     def _decided(self, move: Migration, value: Value, now: int) -> list[MigrationStep]:
         """Note the decision and return the steps of each side, once."""
         if move.value is not None:
             return []
-        move.value, move.settled_at, move.next_at, move.asked = value, now, now + MIN_RETRY_US, 0
-        acts = []
+        move.value, move.settled_at, move.next_at, move.retries = value, now, now + MIN_RETRY_US, 0
+        steps = []
         if move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED):
             if value == FOR_TARGET:
                 move.source_stage = SourceStage.FORWARDING
-                acts.append(MigrationStep(MigrationAction.FORWARD, move.name, parts(move.name)[2]))
+                steps.append(MigrationStep(MigrationAction.FORWARD, move.name, parts(move.name)[2]))
                 if move.target_stage is not TargetStage.ACTIVE:
-                    acts.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value=FOR_TARGET))
+                    steps.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value=FOR_TARGET))
             else:
                 move.source_stage = SourceStage.HELD
-                acts.append(MigrationStep(MigrationAction.RELEASE, move.name))
+                steps.append(MigrationStep(MigrationAction.RELEASE, move.name))
         if move.target_stage is TargetStage.STAGED:
             move.target_stage = TargetStage.GRANTED if value == FOR_TARGET else TargetStage.DROPPED
-            acts.append(
+            steps.append(
                 MigrationStep(MigrationAction.ACTIVATE if value == FOR_TARGET else MigrationAction.DROP, move.name)
             )
-        return acts
+        return steps
 
-    def _confirmed(self, move: Migration, now: int) -> list[MigrationStep]:
-        """The target's side is live: the source's inert messages are over."""
+    def _note_target_active(self, move: Migration, now: int) -> list[MigrationStep]:
+        """Note that the target is active: the source's inert messages are over."""
         if move.source_stage is not SourceStage.FORWARDING or move.confirmed:
             return []
         move.confirmed = True
         return [MigrationStep(MigrationAction.OVER, move.name)]
 
     def _close(self, move: Migration, now: int) -> list[MigrationStep]:
-        over = self._confirmed(move, now)  # decided long ago: whoever holds the target's partition has the messages
+        over = self._note_target_active(
+            move, now
+        )  # decided long ago: whoever holds the target's partition has the messages
         move.source_stage = SourceStage.CLOSED
         move.settled_at = now
         return [*over, MigrationStep(MigrationAction.CLOSE, move.name)]
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -32,15 +32,15 @@
         if not whole(body):
             return StageReply(body.move, False, "spoilt")
         room = self.takes() and len(self.directory.sessions) < MAX_SESSIONS
-        acts = self.moves.stage(body.move, body.key, room, now)
-        if any(act.do is MigrationAction.WRITE for act in acts):
+        steps = self.moves.stage(body.move, body.key, room, now)
+        if any(step.action is MigrationAction.WRITE for step in steps):
             self.offers[body.move] = body, now
             self.sequences[body.move] = body.sequence
         answer = self.answers.setdefault(body.move, gevent.event.AsyncResult())
-        if acts and acts[0].do is MigrationAction.REFUSE:
+        if steps and steps[0].action is MigrationAction.REFUSE:
             self.answers.pop(body.move, None)
             return StageReply(body.move, False, "no room")
-        self.act(acts)
+        self.carry_out(steps)
         stored = answer.wait(STAGE_TIMEOUT_S)
         return StageReply(body.move, bool(stored), "" if stored else "it is not kept")
 
@@ -73,7 +73,7 @@
         stored = self.dispatcher.between(write).get()
         current = self.store.current
         if stored and current is not None and self._copied({current.partition}):
-            self.act(self.moves.written(name, monotonic_time()))
+            self.carry_out(self.moves.written(name, monotonic_time()))
         else:
             self._answer(name, False)
 
@@ -111,7 +111,7 @@
 
         if self.dispatcher.between(activate).get():
             self.counters.add("sessions taken over")
-            self.act(self.moves.activated(name, monotonic_time()))
+            self.carry_out(self.moves.activated(name, monotonic_time()))
 
     def _drop(self, name: str) -> None:
         """Drop the staged messages: the move was called off."""
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -122,31 +122,31 @@
             if orphan is not None:
                 self._request_orphan_votes(orphan.answered(ask.to, ask.ballot, ask.value, answer, now), now)
                 self._announce_orphan_decision(orphan)
-            self.act(self.moves.answered(ask, answer, now))
+            self.carry_out(self.moves.answered(ask, answer, now))
 
-    def _tell(self, act: MigrationStep) -> None:
+    def _tell(self, step: MigrationStep) -> None:
         """Send the decision to one member, or to all, and record it here.
 
         Where that one has no active side of the move, its partition may have another holder: then send it to all.
         """
-        assert act.value is not None
+        assert step.value is not None
         others = [name for name in self.node.halls if name != self.name]
-        for name in [act.to] if act.to in others else others:
-            if act.to:
-                if not self._tell_one(name, act):
-                    gevent.joinall([gevent.spawn(self._tell_one, each, act) for each in others if each != name])
+        for name in [step.to] if step.to in others else others:
+            if step.to:
+                if not self._tell_one(name, step):
+                    gevent.joinall([gevent.spawn(self._tell_one, each, step) for each in others if each != name])
             else:
-                gevent.spawn(self._tell_one, name, act)
-        row = self.acceptor.settled(act.move, act.value, monotonic_time())
+                gevent.spawn(self._tell_one, name, step)
+        row = self.acceptor.settled(step.move, step.value, monotonic_time())
         if row is not None:
             self._guarded(self.files.append_vote, row)
 
-    def _tell_one(self, name: str, act: MigrationStep) -> bool:
+    def _tell_one(self, name: str, step: MigrationStep) -> bool:
         """Send the decision to one member; True if the target's side is active there."""
-        answer = self.call(name, MigrationDecided(act.move, act.value or "", act.active), VOTE_TIMEOUT_S)
+        answer = self.call(name, MigrationDecided(step.move, step.value or "", step.active), VOTE_TIMEOUT_S)
         if not isinstance(answer, MigrationDecided) or (value := value_of(answer.value)) is None:
             return False
-        self.act(self.moves.settled(act.move, value, answer.active, monotonic_time()))
+        self.carry_out(self.moves.settled(step.move, value, answer.active, monotonic_time()))
         return answer.active
 
     def _settle_orphaned_moves(self, now: int) -> None:
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -60,7 +60,7 @@
     def look(self, now: int) -> None:
         """Do what is due now; called by the node at each turn, never waits."""
         self._look_at_marks(now)
-        self.act(self.moves.due(now))
+        self.carry_out(self.moves.due(now))
 
     def forget(self, now: int) -> None:
         """Drop what is old; about once a second."""
@@ -88,14 +88,14 @@
             return
         name = name_move(self.stamp, self.name, to)
         self.stamp += 1
-        acts = self.moves.begin(name, key, now)
-        if not acts:
+        steps = self.moves.begin(name, key, now)
+        if not steps:
             self.planner.ended(key, False, now)
             return
         self.sequences[name] = session.sequence + 1
         self.directory.hold(key, session.sequence + 1, self.directory.recent_ids(key, now), now)
         self.counters.add("moves begun")
-        self.act(acts)
+        self.carry_out(steps)
 
     def answer(self, body: StageSession | PrepareRequest | AcceptRequest | MigrationDecided, now: int) -> Body:
         """The answer to another member's message about a move; raises `InvalidMoveNameError`."""
@@ -115,35 +115,35 @@
         row = self.acceptor.settled(body.move, value, now)
         if row is not None:
             self._guarded(self.files.append_vote, row)
-        self.act(self.moves.settled(body.move, value, body.active, now))
-        known, active = self.moves.said(body.move)
+        self.carry_out(self.moves.settled(body.move, value, body.active, now))
+        known, active = self.moves.known_decision(body.move)
         return MigrationDecided(body.move, known or "", active)
 
-    def act(self, acts: Iterable[MigrationStep]) -> None:
+    def carry_out(self, steps: Iterable[MigrationStep]) -> None:
         """Carry out steps of moves; those that wait for something run in greenlets of their own."""
-        todo = deque(acts)
+        todo = deque(steps)
         now = monotonic_time()
         while todo:
-            act = todo.popleft()
-            if act.do is MigrationAction.ASK and act.ask is not None:
-                if act.ask.to == self.name:
-                    answer = self.vote(act.ask.move, act.ask.ballot, act.ask.value, self._key(act.ask.move))
-                    todo.extend(self.moves.answered(act.ask, answer, now))
+            step = todo.popleft()
+            if step.action is MigrationAction.ASK and step.ask is not None:
+                if step.ask.to == self.name:
+                    answer = self.vote(step.ask.move, step.ask.ballot, step.ask.value, self._key(step.ask.move))
+                    todo.extend(self.moves.answered(step.ask, answer, now))
                 else:
-                    gevent.spawn(self._ask, act.ask)
-            elif act.do is MigrationAction.TELL:
-                gevent.spawn(self._tell, act)
-            elif act.do in (MigrationAction.STAGED, MigrationAction.REFUSE):
-                self._answer(act.move, act.do is MigrationAction.STAGED)
-            elif act.do is MigrationAction.FORWARD:
-                self._forward(act)
-            elif act.do is MigrationAction.CLOSE:
+                    gevent.spawn(self._ask, step.ask)
+            elif step.action is MigrationAction.TELL:
+                gevent.spawn(self._tell, step)
+            elif step.action in (MigrationAction.STAGED, MigrationAction.REFUSE):
+                self._answer(step.move, step.action is MigrationAction.STAGED)
+            elif step.action is MigrationAction.FORWARD:
+                self._forward(step)
+            elif step.action is MigrationAction.CLOSE:
                 self.counters.add("moves closed")
-            elif (act.move, act.do) not in self.under_way:
-                self.under_way.add((act.move, act.do))
-                gevent.spawn(self._do, act)
+            elif (step.move, step.action) not in self.under_way:
+                self.under_way.add((step.move, step.action))
+                gevent.spawn(self._do, step)
 
-    def _do(self, act: MigrationStep) -> None:
+    def _do(self, step: MigrationStep) -> None:
         work = {
             MigrationAction.FREEZE: self._freeze,
             MigrationAction.MARK: self._mark,
@@ -155,11 +155,11 @@
             MigrationAction.OVER: self._over,
         }
         try:
-            work[act.do](act.move)
+            work[step.action](step.move)
         except Exception:  # one move that fails must not keep the others from being settled
-            self.counters.failed(f"a move failed at {act.do.value}")
+            self.counters.failed(f"a move failed at {step.action.value}")
         finally:
-            self.under_way.discard((act.move, act.do))
+            self.under_way.discard((step.move, step.action))
             self.change()
 
     def open_move(self, key: int) -> bool:
@@ -192,7 +192,7 @@
             if not at_source and not self.store.copied(partitions)():
                 continue
             logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
-            self.act(self.moves.found(name, self.store.messages[numbers[0]].turn, at_source, now))
+            self.carry_out(self.moves.marks_found(name, self.store.messages[numbers[0]].turn, at_source, now))
         for name, move in list(self.moves.moves.items()):
             for at_source, side, text in (
                 (True, move.source_stage, SOURCE_MARK),
@@ -200,7 +200,7 @@
             ):
                 open_side = side in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
                 if open_side and name not in self.sequences and text + name not in sides:
-                    self.moves.lost(name, at_source)  # found earlier; its partition has another holder by now
+                    self.moves.side_lost(name, at_source)  # found earlier; its partition has another holder by now
         if now - self.limits_at >= DEADLINE_CHECK_US:
             self.limits_at = now
             self._answer_late()
@@ -211,6 +211,6 @@
             stored, holding = self.store.messages.get(number), self.store.holdings.get(number >> 32)
             if stored is None or stored.end is not None or stored.deadline > soon or holding is None:
                 continue
-            if holding.serving and self.moves.near_limit(text[1:]) == "failed" and text[:1] == SOURCE_MARK:
+            if holding.serving and self.moves.near_deadline(text[1:]) == "failed" and text[:1] == SOURCE_MARK:
                 self.counters.add("messages on the move that were answered by their limit")
                 self.dispatcher.answer_late([number])
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -122,7 +122,7 @@
         held = [
             HeldSession(key, session.sequence, self.directory.recent_ids(key, now))
             for key, session in self.directory.sessions.items()
-            if session.sure and session.used >= now - SESSION_TTL_US and self._standing(key)[0] == "here"
+            if session.sure and session.used >= now - SESSION_TTL_US and self._routing_state(key)[0] == "here"
         ]
         self.migrations.files.write_sessions(HeldSessions(time.time_ns() // 1000, held, self.partition))
         self.directory.sessions.clear()
@@ -242,7 +242,7 @@
             requests += [
                 MigrationRequest(key, why)
                 for key in self.directory.sessions
-                if key not in self.migrations.planner.out and key not in self.migrations.planner.off
+                if key not in self.migrations.planner.targets and key not in self.migrations.planner.paused_until
             ][:MAX_PLANNED_REQUESTS]
         for key, to in self.migrations.planner.plan(requests, self._neighbours(), now) if requests else ():
             self.migrations.begin(key, to, now)
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -79,9 +79,9 @@
         self.replica_recent_ids: dict[int, RecentIds] = {}  # by partition, of the replicas here
         self.inheritable_sessions: dict[int, InheritableSessions] = {}  # by partition that was adopted here
 
-    def _standing(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
-        """As `Moves.standing`, except that a session which has moved away and come back is here."""
-        there, to = self.moves.standing(key)
+    def _routing_state(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
+        """As `MigrationTable.routing_state`, except that a session which has moved away and come back is here."""
+        there, to = self.moves.routing_state(key)
         return ("here", "") if there == "pass" and key in self.directory.sessions else (there, to)
 
     def _is_alive(self, name: str) -> bool:
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -81,7 +81,7 @@
         """Take one step for a client's submission; None if the next step is to be chosen anew."""
         self._bind()
         stored, hashed, key = submission.stored, submission.hashed, submission.stored.turn
-        there, holder = self._standing(key)
+        there, holder = self._routing_state(key)
         ruling = self.directory.rule(key, stored.id, hashed, False, now) if there == "here" else None
         if there == "wait" or ruling is SubmissionRuling.BUSY:
             return None if self._wait(submission.wait_until) else BUSY
@@ -135,11 +135,15 @@
         claim = ClaimAnswer(answer.disowned, entry_of(answer.entry))
         ruling = self.directory.forward_refused(key, by, claim, monotonic_time())
         if ruling is SubmissionRuling.CLAIM:
-            self.migrations.act(self.moves.client_gone(key, monotonic_time()))
+            self.migrations.carry_out(self.moves.client_gone(key, monotonic_time()))
             if self._claim(key):
                 return True
         # It may have come here meanwhile.
-        return ruling is SubmissionRuling.FORWARD or key in self.directory.sessions or self._standing(key)[0] == "wait"
+        return (
+            ruling is SubmissionRuling.FORWARD
+            or key in self.directory.sessions
+            or self._routing_state(key)[0] == "wait"
+        )
 
     def _accept(self, stored: StoredMessage, hashed: int, ruling: SubmissionRuling, now: int) -> SubmitResult | None:
         """Take a submission of a session that is held here; None if the session was frozen meanwhile."""
@@ -257,7 +261,7 @@
         """Take one step for a forwarded submission; None if the next step is to be chosen anew."""
         now = monotonic_time()
         self._bind()
-        there, _ = self._standing(body.key)
+        there, _ = self._routing_state(body.key)
         if there == "wait":
             return None if self._wait(submission.wait_until) else BUSY_REPLY
         ruling = SubmissionRuling.NOT_HELD
--- a/tests/test_fleet_migration.py
+++ b/tests/test_fleet_migration.py
@@ -55,7 +55,11 @@
 
 # What can happen to a member, and what leaves it: to whom, or of whom where it is for the judge alone.
 Event = (
-    tuple[Literal["begin", "idle", "marked", "staged", "call_off", "written", "round", "learn", "restart", "due"]]
+    tuple[
+        Literal[
+            "begin", "attempts_ended", "marked", "staged", "call_off", "written", "round", "learn", "restart", "due"
+        ]
+    ]
     | tuple[Literal["stage", "bereft"], bool]
     | tuple[Literal["adopt"], bool, str | None]
     | tuple[Literal["ask"], str, ProposerRequest]
@@ -76,7 +80,7 @@
 
 STAGED: Way = (
     (0, ("begin",)),
-    (0, ("idle",)),
+    (0, ("attempts_ended",)),
     (0, ("marked",)),
     (1, ("stage", True)),
     (1, ("written",)),
@@ -135,7 +139,7 @@
             found.append(("begin",))
         if move is not None:
             if move.source_stage is SourceStage.FREEZING:
-                found.append(("marked",) if move.marking else ("idle",))
+                found.append(("marked",) if move.marking else ("attempts_ended",))
             if move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED) and move.proposer is None:
                 found.append(("call_off",))
             if move.target_stage is TargetStage.STAGED and not move.written and self.takes_held:
@@ -163,10 +167,10 @@
             acts = self.moves.written(MOVE, now)
         elif event[0] == "round":
             assert move is not None and move.proposer is not None
-            acts = self.moves._asks(move.proposer.settle(now))
+            acts = self.moves._vote_requests(move.proposer.settle(now))
         elif event[0] == "learn":
             for gives in [each for each, held in ((True, self.gives_held), (False, self.takes_held)) if not held]:
-                self.moves.lost(MOVE, gives)
+                self.moves.side_lost(MOVE, gives)
                 self.gives, self.takes = (None, self.takes) if gives else (self.gives, None)
         elif event[0] == "restart":
             self.boots += 1
@@ -174,17 +178,17 @@
             table = self.acceptor.table()
             self.acceptor.load(table, now)
             if self.gives_held and self.gives == "marked":
-                acts += self.moves.found(MOVE, KEY, True, now)
+                acts += self.moves.marks_found(MOVE, KEY, True, now)
             if self.takes_held and self.takes == "staged":
                 self.staged_at_successors = True
-                acts += self.moves.found(MOVE, KEY, False, now)
+                acts += self.moves.marks_found(MOVE, KEY, False, now)
         elif event[0] == "adopt":
             _, gives, found = event
             if gives:
                 self.gives, self.gives_held = found, True
             else:
                 self.takes, self.takes_held, self.staged_at_successors = found, True, True
-            acts = self.moves.found(MOVE, KEY, gives, now) if found in ("marked", "staged") else []
+            acts = self.moves.marks_found(MOVE, KEY, gives, now) if found in ("marked", "staged") else []
         elif event[0] == "bereft":
             self.gives_held, self.takes_held = (False, self.takes_held) if event[1] else (self.gives_held, False)
             return sent
@@ -195,7 +199,7 @@
             return [*votes, answer]
         elif event[0] == "tell" or event[0] == "said":
             acts = self.moves.settled(MOVE, event[2], event[3], now)
-            value, active = self.moves.said(MOVE)
+            value, active = self.moves.known_decision(MOVE)
             if value is not None and event[0] == "tell":
                 sent.append(("said", event[1], self.name, value, active))
         elif event[0] == "answer":
@@ -209,40 +213,40 @@
         return sent
 
     def act(self, act: MigrationStep, now: int) -> list[Message]:
-        if act.do is MigrationAction.ASK:
+        if act.action is MigrationAction.ASK:
             assert act.ask is not None
             if act.to == self.name:
                 votes, answer = self.asked(self.name, act.ask, now)
                 return votes + self.do(("answer", answer[2], answer[3]), now)
             return [("ask", act.to, self.name, act.ask)]
-        if act.do is MigrationAction.TELL:
+        if act.action is MigrationAction.TELL:
             assert act.value is not None
             return [
                 ("tell", to, self.name, act.value, act.active)
                 for to in ([act.to] if act.to else "ABC")
                 if to != self.name
             ]
-        if act.do is MigrationAction.STAGE:
+        if act.action is MigrationAction.STAGE:
             return [("stage", "B")]
-        if act.do is MigrationAction.STAGED:
+        if act.action is MigrationAction.STAGED:
             return [("staged", "A")]
-        if act.do is MigrationAction.REFUSE:
+        if act.action is MigrationAction.REFUSE:
             return [("refused", "A")]
-        if act.do is MigrationAction.WRITE:
+        if act.action is MigrationAction.WRITE:
             again: list[Message] = [("again", self.name)] if self.takes in ("live", "dropped") else []
             self.takes = "staged"
             return again
-        elif act.do is MigrationAction.ACTIVATE:
+        elif act.action is MigrationAction.ACTIVATE:
             self.takes = "live"
             sent: list[Message] = [("fired", self.name)] if self.takes_held else []
             for each in self.moves.activated(MOVE, now):
                 sent += self.act(each, now)
             return sent
-        elif act.do is MigrationAction.DROP:
+        elif act.action is MigrationAction.DROP:
             self.takes = "dropped"
-        elif act.do is MigrationAction.RELEASE:
+        elif act.action is MigrationAction.RELEASE:
             self.gives = "live"
-        elif act.do is MigrationAction.OVER:
+        elif act.action is MigrationAction.OVER:
             self.gives = "over"
         return []
 
@@ -432,7 +436,7 @@
         for now in range(0, 20_000 * MS, 50 * MS):
             for member in members:
                 for event in member.events():
-                    if event[0] in ("idle", "marked", "written"):
+                    if event[0] in ("attempts_ended", "marked", "written"):
                         queue += member.do(event, now)
                 queue += member.do(("due",), now)
             while queue:
@@ -529,31 +533,31 @@
         member = Member("A", MigrationTable, Acceptor)
         member.do(("begin",))
         moves = member.moves
-        self.assertEqual((moves.next_at(), moves.standing(KEY)), (FREEZE_TIMEOUT_US, ("wait", "")))
-        self.assertEqual([act.do for act in moves.due(FREEZE_TIMEOUT_US)], [MigrationAction.MARK])
-        self.assertEqual([act.do for act in moves.marked(MOVE, FREEZE_TIMEOUT_US)], [MigrationAction.STAGE])
-        self.assertEqual(moves.near_limit(MOVE), "failed")
+        self.assertEqual((moves.next_at(), moves.routing_state(KEY)), (FREEZE_TIMEOUT_US, ("wait", "")))
+        self.assertEqual([act.action for act in moves.due(FREEZE_TIMEOUT_US)], [MigrationAction.MARK])
+        self.assertEqual([act.action for act in moves.marked(MOVE, FREEZE_TIMEOUT_US)], [MigrationAction.STAGE])
+        self.assertEqual(moves.near_deadline(MOVE), "failed")
         self.assertEqual(
-            [act.do for act in moves.due(FREEZE_TIMEOUT_US + moves_module.MIN_RETRY_US)], [MigrationAction.STAGE]
+            [act.action for act in moves.due(FREEZE_TIMEOUT_US + moves_module.MIN_RETRY_US)], [MigrationAction.STAGE]
         )
         self.assertEqual([ask.value for ask in asks(moves.due(CALL_OFF_AFTER_US))], [None] * 3)
         moves.settled(MOVE, "taker", False, CALL_OFF_AFTER_US)
         self.assertEqual(
-            [act.do for act in moves.due(CALL_OFF_AFTER_US + moves_module.MIN_RETRY_US)], [MigrationAction.TELL]
+            [act.action for act in moves.due(CALL_OFF_AFTER_US + moves_module.MIN_RETRY_US)], [MigrationAction.TELL]
         )
-        self.assertEqual((moves.standing(KEY), moves.near_limit(MOVE)), (("pass", "B"), "over"))
+        self.assertEqual((moves.routing_state(KEY), moves.near_deadline(MOVE)), (("pass", "B"), "over"))
         self.assertEqual(
-            [act.do for act in moves.due(CALL_OFF_AFTER_US + FORWARDING_US)],
+            [act.action for act in moves.due(CALL_OFF_AFTER_US + FORWARDING_US)],
             [MigrationAction.OVER, MigrationAction.CLOSE],
         )
         moves.due(CALL_OFF_AFTER_US + FORWARDING_US + moves_module.FINISHED_RETENTION_US)
-        self.assertEqual((moves.moves, moves.by_key, moves.standing(KEY)), ({}, {}, ("here", "")))
+        self.assertEqual((moves.moves, moves.by_key, moves.routing_state(KEY)), ({}, {}, ("here", "")))
 
     def test_a_partition_that_comes_back_is_settled_under_ballots_of_its_own(self) -> None:
         moves = Member("C", MigrationTable, Acceptor).moves
-        first = {ask.ballot for ask in asks(moves.found(MOVE, KEY, True, 0))}
-        moves.lost(MOVE, True)
-        self.assertFalse(first & {ask.ballot for ask in asks(moves.found(MOVE, KEY, True, 0))})
+        first = {ask.ballot for ask in asks(moves.marks_found(MOVE, KEY, True, 0))}
+        moves.side_lost(MOVE, True)
+        self.assertFalse(first & {ask.ballot for ask in asks(moves.marks_found(MOVE, KEY, True, 0))})
 
 
 class Plans(unittest.TestCase):
@@ -566,8 +570,8 @@
         for now in range(0, 100 * MS * 60, 100 * MS):
             seen = [Neighbour(name, "south", count, 500) for name, count in held.items()]
             chosen = planner.plan([MigrationRequest(key, MigrationReason.LEAVING) for key in sorted(left)], seen, now)
-            self.assertLessEqual(len(planner.out), MAX_MOVES_OUT)
-            self.assertLessEqual(max(Counter(planner.out.values()).values(), default=0), MAX_MOVES_IN)
+            self.assertLessEqual(len(planner.targets), MAX_MOVES_OUT)
+            self.assertLessEqual(max(Counter(planner.targets.values()).values(), default=0), MAX_MOVES_IN)
             for key, to in chosen:
                 planner.ended(key, True, now)
                 held[to] += 1
--- a/tests/test_virtual_days.py
+++ b/tests/test_virtual_days.py
@@ -53,7 +53,7 @@
 
 def released_early(self: MigrationTable, name: str, now: int) -> list[MigrationStep]:
     """The source goes on as soon as the target has kept what it was offered."""
-    self.moves[name].heard = True
+    self.moves[name].staged_answered = True
     return [MigrationStep(MigrationAction.RELEASE, name)]
 
 
