--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -54,63 +54,67 @@
         self.carry_out(self.moves.attempts_ended(name, monotonic_time()))
 
     def _mark(self, name: str) -> None:
-        """Mark the owed messages as inert, in the folder and at all successors; call the move off where that fails."""
+        """Mark the pending messages as inert, in the folder and at all successors; call the move off on a failure."""
         key = self._key(name)
         self.dispatcher.cut(key)
         # So that the ends of attempts that were cut off are recorded before the marks.
         self.dispatcher.between(lambda: True).get()
         partitions: set[int] = set()
-
-        def mark() -> bool:
-            owed = [
-                stored
-                for stored in self.store.messages.values()
-                if stored.turn == key and stored.end is None and stored.number not in self.store.inert
-            ]
-            if not self.store.taking() or not all(self.store.may_fire(stored.number) for stored in owed):
-                return False
-            sequence, text = self.sequences[name], SOURCE_MARK + name
-            if owed:
-                self.files.write_marks(self.store.inert | {stored.number: (sequence, text) for stored in owed})
-            for stored in owed:
-                self.store.mark(stored.number, sequence, text)
-            partitions.update(stored.number >> 32 for stored in owed)
-            return True
-
-        if self.dispatcher.between(mark).get() and self._copied(partitions):
+        marked = self.dispatcher.between(lambda: self._write_marks(name, key, partitions)).get()
+        if marked and self._copied(partitions):
             self.carry_out(self.moves.marked(name, monotonic_time()))
         else:
             self.carry_out(self.moves.call_off(name, monotonic_time()))
 
+    def _write_marks(self, name: str, key: int, partitions: set[int]) -> bool:
+        """Mark the pending messages in the own folder, and add their partitions to `partitions`."""
+        pending = [
+            stored
+            for stored in self.store.messages.values()
+            if stored.turn == key and stored.end is None and stored.number not in self.store.inert
+        ]
+        if not self.store.taking() or not all(self.store.may_fire(stored.number) for stored in pending):
+            return False
+        sequence, text = self.sequences[name], SOURCE_MARK + name
+        if pending:
+            self.files.write_marks(self.store.inert | {stored.number: (sequence, text) for stored in pending})
+        for stored in pending:
+            self.store.mark(stored.number, sequence, text)
+        partitions.update(stored.number >> 32 for stored in pending)
+        return True
+
     def _stage(self, name: str) -> None:
         """Send the marked messages and the recent ids to the target; call the move off where it refuses them."""
-        key, to = self._key(name), parts(name)[2]
+        stage = self._session_to_stage(name)
+        if stage is None:
+            self.carry_out(self.moves.call_off(name, monotonic_time()))
+            return
+        answer = self.call(parts(name)[2], stage, STAGE_TIMEOUT_S)
+        if isinstance(answer, StageReply):
+            now = monotonic_time()
+            if not answer.stored:
+                self.counters.add("moves refused by the target")
+            self.carry_out(self.moves.staged(name, now) if answer.stored else self.moves.call_off(name, now))
+
+    def _session_to_stage(self, name: str) -> StageSession | None:
+        """The session as it is sent to the target; None if it cannot be moved."""
+        key = self._key(name)
         facts: list[Fact] = []
         for number in self._marked(name, SOURCE_MARK):
             fact = self.store.holdings[number >> 32].read(self.store, number)
             if fact is None or fact.base is None:
-                self.carry_out(self.moves.call_off(name, monotonic_time()))
-                return
+                return None
             facts.append(fact)
         data = encode_facts(facts)
         if len(data) > MAX_STAGED_BYTES:
             self.counters.warning("a session stays", SessionTooLargeError(f"{len(facts)} messages of {key:016x}"))
-            self.carry_out(self.moves.call_off(name, monotonic_time()))
-            return
+            return None
         ids = self.directory.recent_ids(key, monotonic_time())
         if len(ids) > MAX_STAGED_IDS:
-            self.carry_out(self.moves.call_off(name, monotonic_time()))
-            return
-        recent = tuple(RecentIdEntry(each, age, hashed) for each, (age, hashed) in ids.items())
-        stage = StageSession(
-            name, key, self.sequences[name], data, digest_of(data), recent, self.dispatcher.rest_of(key)
-        )
-        answer = self.call(to, stage, STAGE_TIMEOUT_S)
-        if isinstance(answer, StageReply):
-            now = monotonic_time()
-            if not answer.stored:
-                self.counters.add("moves refused by the target")
-            self.carry_out(self.moves.staged(name, now) if answer.stored else self.moves.call_off(name, now))
+            return None
+        entries = tuple(RecentIdEntry(each, age, hashed) for each, (age, hashed) in ids.items())
+        rest = self.dispatcher.rest_of(key)
+        return StageSession(name, key, self.sequences[name], data, digest_of(data), entries, rest)
 
     def _forward(self, step: MigrationStep) -> None:
         """Record the target as the holder, and thaw the key: requests are forwarded from now on."""
@@ -125,35 +129,35 @@
     def _release(self, name: str) -> None:
         """Make the messages live here again after a move was called off; repeated until it succeeds."""
         key, now, mine = self._key(name), monotonic_time(), self._mine(name)
-
-        def release() -> bool:
-            numbers = self._marked(name, SOURCE_MARK)
-            sequence = self._sequence(name, numbers) + 1
-            self._save_without(numbers)
-            for number in numbers:
-                self.store.mark(number, sequence, "")
-            if mine:
-                session = self.directory.sessions.get(key)
-                if session is not None:
-                    self.directory.hold(
-                        key, max(sequence, session.sequence), self.directory.recent_ids(key, now), now, session.sure
-                    )
-                self.dispatcher.thaw(key)
-            owed = [
-                stored.number
-                for stored in self.store.messages.values()
-                if stored.turn == key and stored.end is None and self.store.may_fire(stored.number)
-            ]
-            self.dispatcher.adopt(owed, quietly=True)
-            return True
-
         # If the file cannot be written now, giving up would leave the messages inert and the session frozen for good.
-        while not self.dispatcher.between(release).get():
+        while not self.dispatcher.between(lambda: self._clear_marks(name, key, mine, now)).get():
             gevent.sleep(RELEASE_RETRY_S)
         if mine:
             self.planner.ended(key, False, monotonic_time())
         self.counters.add("moves called off")
 
+    def _clear_marks(self, name: str, key: int, mine: bool, now: int) -> bool:
+        """Clear the marks of a move that was called off, and go on with the session's messages."""
+        numbers = self._marked(name, SOURCE_MARK)
+        sequence = self._sequence(name, numbers) + 1
+        self._save_without(numbers)
+        for number in numbers:
+            self.store.mark(number, sequence, "")
+        if mine:
+            session = self.directory.sessions.get(key)
+            if session is not None:
+                self.directory.hold(
+                    key, max(sequence, session.sequence), self.directory.recent_ids(key, now), now, session.sure
+                )
+            self.dispatcher.thaw(key)
+        pending = [
+            stored.number
+            for stored in self.store.messages.values()
+            if stored.turn == key and stored.end is None and self.store.may_fire(stored.number)
+        ]
+        self.dispatcher.adopt(pending, quietly=True)
+        return True
+
     def _over(self, name: str) -> None:
         """Drop the messages here: the target is active."""
         self.dispatcher.between(lambda: self._give_up(name, SOURCE_MARK)).get()
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -53,66 +53,70 @@
     def _write(self, name: str) -> None:
         """Store the staged messages, marked as inert, in the own folder and at every successor."""
         stage, _ = self.offers[name]
-
-        def write() -> bool:
-            made = [stored_message_of(fact) for fact in sorted(decode_facts(stage.facts), key=lambda fact: fact.number)]
-            if not self.store.taking():
-                return False
-            for place, stored in enumerate(made):
-                stored.number = self.store.next_number + place
-                if not self.store.has_room(stored):
-                    return False
-            if made:
-                mark = stage.sequence, TARGET_MARK + name
-                self.files.write_marks(self.store.inert | {stored.number: mark for stored in made})
-            for stored in made:
-                self.store.next_number += 1
-                self.store.stage(stored, stage.sequence, TARGET_MARK + name)
-            return True
-
-        stored = self.dispatcher.between(write).get()
+        stored = self.dispatcher.between(lambda: self._store_staged(name, stage)).get()
         current = self.store.current
         if stored and current is not None and self._copied({current.partition}):
             self.carry_out(self.moves.written(name, monotonic_time()))
         else:
             self._answer(name, False)
 
+    def _store_staged(self, name: str, stage: StageSession) -> bool:
+        """Store the staged messages under numbers of the open partition; False if they cannot be stored now."""
+        facts = sorted(decode_facts(stage.facts), key=lambda fact: fact.number)
+        messages = [stored_message_of(fact) for fact in facts]
+        if not self.store.taking():
+            return False
+        for place, stored in enumerate(messages):
+            stored.number = self.store.next_number + place
+            if not self.store.has_room(stored):
+                return False
+        if messages:
+            mark = stage.sequence, TARGET_MARK + name
+            self.files.write_marks(self.store.inert | {stored.number: mark for stored in messages})
+        for stored in messages:
+            self.store.next_number += 1
+            self.store.stage(stored, stage.sequence, TARGET_MARK + name)
+        return True
+
     def _activate(self, name: str) -> None:
         """Clear the marks and go on with the messages; does nothing while this member may not fire for them."""
         key, offer = self._key(name), self.offers.get(name)
-
-        def activate() -> bool:
-            numbers, now = self._marked(name, TARGET_MARK), monotonic_time()
-            holdings = [self.store.holdings.get(number >> 32) for number in numbers]
-            if not self.store.taking() or not all(each is not None and each.serving for each in holdings):
-                return False
-            sequence = self._sequence(name, numbers) + 1
-            self._save_without(numbers)
-            for number in numbers:
-                self.store.mark(number, sequence, "")
-            soon = self.clock.now() + ANSWER_AHEAD_US
-            # While the decision was not known the source may have answered messages near their deadline: they must not
-            # be attempted here.
-            late = [number for number in numbers if self.store.messages[number].deadline <= soon]
-            self.dispatcher.answer_late(late)
-            # Unless the source reported no rest, an attempt from before the move may still run, even one of a message
-            # that has ended; adopting not quietly then lets all keys rest.
-            quietly = offer is not None and not offer[0].rest
-            if numbers or not quietly:
-                self.dispatcher.adopt([number for number in numbers if number not in late], quietly)
-            # If the decision came late, another member may have inherited the session (not its messages) from a dead
-            # source; then this member must not claim to hold it.
-            if offer is not None and not self.directory.superseded(key, parts(name)[1], offer[0].sequence):
-                stage, at = offer  # without an offer the recent ids are unknown here; it is claimed later
-                ids = {each.id: (each.age + now - at, each.hashed) for each in stage.ids}
-                self.directory.hold(key, sequence, ids, now, name not in self.staged_before_adoption)
-                self.planner.arrived(key, now)
-            return True
-
-        if self.dispatcher.between(activate).get():
+        if self.dispatcher.between(lambda: self._make_active(name, key, offer)).get():
             self.counters.add("sessions taken over")
             self.carry_out(self.moves.activated(name, monotonic_time()))
 
+    def _make_active(self, name: str, key: int, offer: tuple[StageSession, int] | None) -> bool:
+        numbers, now = self._marked(name, TARGET_MARK), monotonic_time()
+        holdings = [self.store.holdings.get(number >> 32) for number in numbers]
+        if not self.store.taking() or not all(each is not None and each.serving for each in holdings):
+            return False
+        sequence = self._sequence(name, numbers) + 1
+        self._save_without(numbers)
+        for number in numbers:
+            self.store.mark(number, sequence, "")
+        self._adopt_staged(numbers, offer)
+        # If the decision came late, another member may have inherited the session (not its messages) from a dead
+        # source; then this member must not claim to hold it.
+        if offer is not None and not self.directory.superseded(key, parts(name)[1], offer[0].sequence):
+            stage, at = offer  # without an offer the recent ids are unknown here; it is claimed later
+            ids = {each.id: (each.age + now - at, each.hashed) for each in stage.ids}
+            self.directory.hold(key, sequence, ids, now, name not in self.staged_before_adoption)
+            self.planner.arrived(key, now)
+        return True
+
+    def _adopt_staged(self, numbers: list[int], offer: tuple[StageSession, int] | None) -> None:
+        """Let the dispatcher go on with messages whose marks are cleared, and answer those near their deadline."""
+        soon = self.clock.now() + ANSWER_AHEAD_US
+        # While the decision was not known the source may have answered messages near their deadline: they must not be
+        # attempted here.
+        late = [number for number in numbers if self.store.messages[number].deadline <= soon]
+        self.dispatcher.answer_late(late)
+        # Unless the source reported no rest, an attempt from before the move may still run, even one of a message that
+        # has ended; adopting not quietly then lets all keys rest.
+        quietly = offer is not None and not offer[0].rest
+        if numbers or not quietly:
+            self.dispatcher.adopt([number for number in numbers if number not in late], quietly)
+
     def _drop(self, name: str) -> None:
         """Drop the staged messages: the move was called off."""
         self.dispatcher.between(lambda: self._give_up(name, TARGET_MARK)).get()
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -80,7 +80,7 @@
             self.counters.add("submissions for sessions whose recent ids are not known")
             return False
         over = (entry.sequence, entry.holder)
-        if not self._successor_claims(ClaimRequest(key, 0, over, now), partition, self.name, now).granted:
+        if not self._answer_inheritance(ClaimRequest(key, 0, over, now), partition, self.name, now).granted:
             self.counters.add("inheritances that failed")
             return False
         ids = {
@@ -97,7 +97,7 @@
         self.counters.add("sessions inherited" if key in self.directory.sessions else "inheritances that failed")
         return True
 
-    def _successor_claims(self, asking: ClaimRequest, partition: int, by: str, now: int) -> ClaimAnswer:
+    def _answer_inheritance(self, asking: ClaimRequest, partition: int, by: str, now: int) -> ClaimAnswer:
         holder = asking.over[1]
         grant = self.node.grantor.grant(right_of(partition))
         holds = (
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -6,7 +6,7 @@
 """
 
 from collections import deque
-from collections.abc import Iterable
+from collections.abc import Container, Iterable
 
 import gevent
 import gevent.event
@@ -59,7 +59,7 @@
 
     def look(self, now: int) -> None:
         """Do what is due now; called by the node at each turn, never waits."""
-        self._look_at_marks(now)
+        self._check_marks(now)
         self.carry_out(self.moves.due(now))
 
     def forget(self, now: int) -> None:
@@ -172,39 +172,49 @@
             or move.target_stage in (TargetStage.STAGED, TargetStage.GRANTED)
         )
 
-    def _look_at_marks(self, now: int) -> None:
-        gone = [number for number in self.store.inert if number not in self.store.messages]
-        for number in gone:
-            del self.store.inert[number]
-        sides: dict[str, list[int]] = {}
+    def _check_marks(self, now: int) -> None:
+        """Settle moves whose marks are found here, and forget sides whose marks are gone."""
+        self._drop_marks_without_message()
+        numbers_by_mark: dict[str, list[int]] = {}
         for number, (_, text) in self.store.inert.items():
-            sides.setdefault(text, []).append(number)
-        for text, numbers in sides.items():
-            name, at_source = text[1:], text[:1] == SOURCE_MARK
-            move = self.moves.moves.get(name)
-            if move is not None and (move.source_stage if at_source else move.target_stage) is not None:
-                continue
-            partitions = {number >> 32 for number in numbers}
-            if not all(
-                partition in self.store.holdings and self.store.holdings[partition].serving for partition in partitions
-            ):
-                continue
-            if not at_source and not self.store.copied(partitions)():
-                continue
-            logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
-            self.carry_out(self.moves.marks_found(name, self.store.messages[numbers[0]].turn, at_source, now))
-        for name, move in list(self.moves.moves.items()):
-            for at_source, side, text in (
-                (True, move.source_stage, SOURCE_MARK),
-                (False, move.target_stage, TARGET_MARK),
-            ):
-                open_side = side in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
-                if open_side and name not in self.sequences and text + name not in sides:
-                    self.moves.side_lost(name, at_source)  # found earlier; its partition has another holder by now
+            numbers_by_mark.setdefault(text, []).append(number)
+        for text, numbers in numbers_by_mark.items():
+            self._settle_found_move(text, numbers, now)
+        self._forget_lost_sides(numbers_by_mark)
         if now - self.limits_at >= DEADLINE_CHECK_US:
             self.limits_at = now
             self._answer_late()
 
+    def _drop_marks_without_message(self) -> None:
+        gone = [number for number in self.store.inert if number not in self.store.messages]
+        for number in gone:
+            del self.store.inert[number]
+
+    def _settle_found_move(self, text: str, numbers: list[int], now: int) -> None:
+        """Begin to settle the move of a mark if this member did not know that it has that side."""
+        name, at_source = text[1:], text[:1] == SOURCE_MARK
+        move = self.moves.moves.get(name)
+        if move is not None and (move.source_stage if at_source else move.target_stage) is not None:
+            return
+        partitions = {number >> 32 for number in numbers}
+        if not all(
+            partition in self.store.holdings and self.store.holdings[partition].serving for partition in partitions
+        ):
+            return
+        if not at_source and not self.store.copied(partitions)():
+            return
+        logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
+        self.carry_out(self.moves.marks_found(name, self.store.messages[numbers[0]].turn, at_source, now))
+
+    def _forget_lost_sides(self, marks: Container[str]) -> None:
+        """Forget sides that were found earlier, and whose partition has another holder by now."""
+        for name, move in list(self.moves.moves.items()):
+            sides = ((True, move.source_stage, SOURCE_MARK), (False, move.target_stage, TARGET_MARK))
+            for at_source, stage, mark in sides:
+                is_open = stage in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
+                if is_open and name not in self.sequences and mark + name not in marks:
+                    self.moves.side_lost(name, at_source)
+
     def _answer_late(self) -> None:
         soon = self.clock.now() + ANSWER_AHEAD_US
         for number, (_, text) in list(self.store.inert.items()):
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -145,46 +145,55 @@
             first = self.lasting.first and self.first_incarnations.setdefault(sender, incarnation) == incarnation
             self._receive_locations(sender, body, now)
             return self._location_update((), first)
-        if isinstance(body, SessionClaim):
-            asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
-            # Refused during a move: decided late, it would make a second holder beside the claimer.
-            moving = self.migrations.open_move(body.key)
-            claim = ClaimAnswer(False, None) if moving else self.directory.answer_claim(asking, sender, now)
-            return ClaimReply(claim.granted, location_of(claim.entry))
-        if isinstance(body, SessionInheritance):
-            asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
-            claim = self._successor_claims(asking, body.partition, sender, now)
-            return ClaimReply(claim.granted, location_of(claim.entry))
+        if isinstance(body, SessionClaim | SessionInheritance):
+            answer = self._answer_claim(sender, body, now)
+            return ClaimReply(answer.granted, location_of(answer.entry))
         if isinstance(body, RecallForward):
             return self._answer_recall(body)
         if isinstance(body, StageSession | PrepareRequest | AcceptRequest | MigrationDecided):
             return self.migrations.answer(body, now)
         return None
 
+    def _answer_claim(self, sender: str, body: SessionClaim | SessionInheritance, now: int) -> ClaimAnswer:
+        request = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
+        if isinstance(body, SessionInheritance):
+            return self._answer_inheritance(request, body.partition, sender, now)
+        # Refused during a move: decided late, it would make a second holder beside the claimer.
+        if self.migrations.open_move(body.key):
+            return ClaimAnswer(False, None)
+        return self.directory.answer_claim(request, sender, now)
+
     def look(self, now: int) -> None:
         """Do what is due now; called by the node at each turn, never waits."""
         self._bind()
-        for name in self.node.halls:
-            if name == self.name or self.node.members.state(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
-                self.abandoned_members.discard(name)
-            elif name not in self.abandoned_members:
-                self.abandoned_members.add(name)
-                self.directory.expire_entries_of(name, now)
+        self._expire_entries_of_dead_members(now)
         if now - self.locations_sent_at >= LOCATIONS_INTERVAL_US:
             self.locations_sent_at = now
-            self._gossip(now)
+            self._send_locations_to_all(now)
         if now - self.forgot_at >= FORGET_INTERVAL_US:
             self.forgot_at = now
-            self.directory.forget(now)
-            self.migrations.forget(now)
-            for known in (self.replica_recent_ids, self.inheritable_sessions):
-                for partition in [partition for partition in known if partition not in self.node.adoptions]:
-                    del known[partition]
+            self._forget(now)
         self.migrations.look(now)
         self._plan(now)
         self._answer_move_commands()
 
-    def _gossip(self, now: int) -> None:
+    def _expire_entries_of_dead_members(self, now: int) -> None:
+        for name in self.node.halls:
+            if name == self.name or self.node.members.state(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
+                self.abandoned_members.discard(name)
+            elif name not in self.abandoned_members:
+                self.abandoned_members.add(name)
+                self.directory.expire_entries_of(name, now)
+
+    def _forget(self, now: int) -> None:
+        """Drop what is old."""
+        self.directory.forget(now)
+        self.migrations.forget(now)
+        for known in (self.replica_recent_ids, self.inheritable_sessions):
+            for partition in [partition for partition in known if partition not in self.node.adoptions]:
+                del known[partition]
+
+    def _send_locations_to_all(self, now: int) -> None:
         # Without a valid lease nothing is sent: after a long pause others may hold these sessions by now.
         limit = 0
         if self.store.taking():
--- a/tests/test_fleet_inherit.py
+++ b/tests/test_fleet_inherit.py
@@ -233,7 +233,7 @@
             self.peer_messages.append((by, to, told, self.successor_claims(member, told[0], told[1], by)))
 
     def successor_claims(self, member: Member, asking: ClaimRequest, partition: int, by: str) -> ClaimAnswer:
-        """As `SessionInheritances._successor_claims`."""
+        """As `SessionInheritances._answer_inheritance`."""
         holder = asking.over[1]
         holds = member.newest[holder] == partition and member.holders.get((holder, partition)) == by
         moved = member.acceptor.moved(KEY, holder, self.now - ID_RETENTION_US) or member.frozen + member.staged != ""
