--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -119,7 +119,7 @@
     def _forward(self, step: MigrationStep) -> None:
         """Record the target as the holder, and thaw the key: requests are forwarded from now on."""
         key, now = self._key(step.move), monotonic_time()
-        if self._mine(step.move):
+        if self._began_here(step.move):
             self.directory.record_new_holder(key, step.to, self.sequences[step.move] + 1, now)
             self.planner.ended(key, True, now)
             self.dispatcher.thaw(key)
@@ -128,22 +128,22 @@
 
     def _release(self, name: str) -> None:
         """Make the messages live here again after a move was called off; repeated until it succeeds."""
-        key, now, mine = self._key(name), monotonic_time(), self._mine(name)
+        key, now, began_here = self._key(name), monotonic_time(), self._began_here(name)
         # If the file cannot be written now, giving up would leave the messages inert and the session frozen for good.
-        while not self.dispatcher.between(lambda: self._clear_marks(name, key, mine, now)).get():
+        while not self.dispatcher.between(lambda: self._clear_marks(name, key, began_here, now)).get():
             gevent.sleep(RELEASE_RETRY_S)
-        if mine:
+        if began_here:
             self.planner.ended(key, False, monotonic_time())
         self.counters.add("moves called off")
 
-    def _clear_marks(self, name: str, key: int, mine: bool, now: int) -> bool:
+    def _clear_marks(self, name: str, key: int, began_here: bool, now: int) -> bool:
         """Clear the marks of a move that was called off, and go on with the session's messages."""
         numbers = self._marked(name, SOURCE_MARK)
         sequence = self._sequence(name, numbers) + 1
         self._save_without(numbers)
         for number in numbers:
             self.store.mark(number, sequence, "")
-        if mine:
+        if began_here:
             session = self.directory.sessions.get(key)
             if session is not None:
                 self.directory.hold(
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -121,7 +121,7 @@
             if text == side + name and number in self.store.messages
         )
 
-    def _mine(self, name: str) -> bool:
+    def _began_here(self, name: str) -> bool:
         """Whether this process began the move; if not, it was found after a restart or in an adopted partition."""
         return parts(name)[1] == self.name and name in self.sequences
 
--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -32,8 +32,8 @@
 class HeldSessions(msgspec.Struct, array_like=True, frozen=True):
     """All sessions held at the end of a process, with the wall time in microseconds at which they were written."""
 
-    at: int
-    held: list[HeldSession]
+    written_at_us: int
+    sessions: list[HeldSession]
     partition: int = 0  # in which they were taken; 0: written by an older version, not inherited
 
 
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -88,17 +88,17 @@
             for id, (at, hashed) in inheritable.recent_ids.get(key, {}).items()
             if at >= now - ID_RETENTION_US
         }
-        asking = self.directory.begin_inheritance(key, ids, now)
-        if asking is None:
+        request = self.directory.begin_inheritance(key, ids, now)
+        if request is None:
             return False
         # Noted for `offered`: what no copy had was never answered, and may have been taken here since.
         inheritable.inherited_keys.add(key)
-        self._ask_all(asking, SessionInheritance(asking.key, asking.sequence, *asking.over, partition, asking.at))
+        self._ask_all(request, SessionInheritance(request.key, request.sequence, *request.over, partition, request.at))
         self.counters.add("sessions inherited" if key in self.directory.sessions else "inheritances that failed")
         return True
 
-    def _answer_inheritance(self, asking: ClaimRequest, partition: int, by: str, now: int) -> ClaimAnswer:
-        holder = asking.over[1]
+    def _answer_inheritance(self, request: ClaimRequest, partition: int, by: str, now: int) -> ClaimAnswer:
+        holder = request.over[1]
         grant = self.node.grantor.grant(right_of(partition))
         holds = (
             partition == self._newest_partition(holder)
@@ -106,10 +106,10 @@
             and not grant.closed
             and not self.node.grantor.learning
         )
-        moved = self.migrations.acceptor.moved(asking.key, holder, now - ID_RETENTION_US) or self.migrations.open_move(
-            asking.key
+        moved = self.migrations.acceptor.moved(request.key, holder, now - ID_RETENTION_US) or self.migrations.open_move(
+            request.key
         )
-        return self.directory.answer_inheritance(asking, by, holds, moved, now)
+        return self.directory.answer_inheritance(request, by, holds, moved, now)
 
     def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
         """Filter what the last holder of an adopted partition offers: messages of inherited sessions may not count."""
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -105,20 +105,20 @@
 
     def restore_sessions(self) -> None:
         """Go on with the sessions of the process that this one replaces, if it ended a moment ago."""
-        left, now = self.migrations.files.read_and_delete_sessions(), monotonic_time()
-        age = time.time_ns() // 1000 - left.at if left is not None else 0
+        previous, now = self.migrations.files.read_and_delete_sessions(), monotonic_time()
+        age = time.time_ns() // 1000 - previous.written_at_us if previous is not None else 0
         # An older file, or one from the future, may name sessions that others hold by now.
-        if left is not None and 0 <= age < MAX_HANDOVER_AGE_US:
-            for each in left.held:
+        if previous is not None and 0 <= age < MAX_HANDOVER_AGE_US:
+            for each in previous.sessions:
                 ids = {id: (then + age, hashed) for id, (then, hashed) in each.ids.items()}
                 self.directory.hold(each.key, each.sequence, ids, now)
-            self.partition = left.partition  # if it was adopted meanwhile, `_bind` makes the sessions unsure
-            logger.info("{} sessions of the process before go on", len(left.held))
+            self.partition = previous.partition  # if it was adopted meanwhile, `_mark_unsure_after_takeover` sees it
+            logger.info("{} sessions of the process before go on", len(previous.sessions))
 
     def hand_over(self) -> None:
         """Write the held sessions for the process that replaces this one; raises `OSError`."""
         now = monotonic_time()
-        self._bind()
+        self._mark_unsure_after_takeover()
         held = [
             HeldSession(key, session.sequence, self.directory.recent_ids(key, now))
             for key, session in self.directory.sessions.items()
@@ -165,7 +165,7 @@
 
     def look(self, now: int) -> None:
         """Do what is due now; called by the node at each turn, never waits."""
-        self._bind()
+        self._mark_unsure_after_takeover()
         self._expire_entries_of_dead_members(now)
         if now - self.locations_sent_at >= LOCATIONS_INTERVAL_US:
             self.locations_sent_at = now
@@ -221,7 +221,9 @@
                 logger.info("sessions may be opened: no member has run before")
 
     def _location_update(self, locations: tuple[SessionLocation, ...], first: bool) -> SessionLocations:
-        return SessionLocations(locations, len(self.directory.sessions), self._takes(), self.migrations.stamp, first)
+        return SessionLocations(
+            locations, len(self.directory.sessions), self._accepts_sessions(), self.migrations.stamp, first
+        )
 
     def _receive_locations(self, name: str, body: SessionLocations, now: int) -> None:
         self.locations_by_member[name] = body
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -60,7 +60,9 @@
         self.peers = Peers(node.gate, node.where, MAX_CALLS_IN_FLIGHT)
         now = monotonic_time()
         self.directory = SessionDirectory(self.name, len(node.halls), now)
-        self.migrations = SessionMigrations(node, self.directory, self._call, self._takes, self._change)
+        self.migrations = SessionMigrations(
+            node, self.directory, self._call, self._accepts_sessions, self._notify_change
+        )
         self.moves = self.migrations.moves
         self.dispatcher: Dispatcher
         self.client_listener: ClientListener
@@ -87,15 +89,15 @@
     def _is_alive(self, name: str) -> bool:
         return name != self.name and self.node.members.state(monotonic_time(), name) is MemberStatus.ALIVE
 
-    def _wait(self, until: int) -> bool:
+    def _wait_for_change(self, until: int) -> bool:
         """Wait until `until` for a change; returns whether there was one."""
         return self.changed.wait(max(0, until - monotonic_time()) / US_PER_S) is True
 
-    def _change(self) -> None:
+    def _notify_change(self) -> None:
         changed, self.changed = self.changed, gevent.event.Event()
         changed.set()
 
-    def _bind(self) -> None:
+    def _mark_unsure_after_takeover(self) -> None:
         """Called before each ruling: after a change of the open partition no held session is certain any more."""
         current = self.store.current
         if current is not None and current.partition != self.partition:
@@ -104,7 +106,7 @@
                 self.migrations.staged_before_adoption = set(self.migrations.offers)
             self.partition = current.partition
 
-    def _takes(self) -> bool:
+    def _accepts_sessions(self) -> bool:
         return not (self.leaving or self.node.leaving or self.client_listener.paused) and self.store.taking()
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
@@ -114,14 +116,14 @@
         """Claim a session from all members; returns whether a claim was made, so that it can be ruled on again."""
         # Only while messages can be taken: until the next partition is held, a successor of the last one may still be
         # granted a session that is claimed anew here.
-        asking = self.directory.begin_claim(key, monotonic_time()) if self.store.taking() else None
-        if asking is None:
+        request = self.directory.begin_claim(key, monotonic_time()) if self.store.taking() else None
+        if request is None:
             return False
-        self._ask_all(asking, SessionClaim(asking.key, asking.sequence, *asking.over, asking.at))
+        self._ask_all(request, SessionClaim(request.key, request.sequence, *request.over, request.at))
         self.counters.add("sessions claimed" if key in self.directory.sessions else "claims that failed")
         return True
 
-    def _ask_all(self, asking: ClaimRequest, body: SessionClaim | SessionInheritance) -> None:
+    def _ask_all(self, request: ClaimRequest, body: SessionClaim | SessionInheritance) -> None:
         """Send a claim to all others; return once it is granted, all have answered, or `CLAIM_TIMEOUT_US` is over."""
         over = gevent.event.Event()
         others = [name for name in self.node.halls if name != self.name]
@@ -131,8 +133,8 @@
             answer = self._call(name, body, CLAIM_TIMEOUT_US / US_PER_S)
             if isinstance(answer, ClaimReply):
                 claim = ClaimAnswer(answer.granted, entry_of(answer.entry))
-                if self.directory.record_claim_answer(asking, name, claim, monotonic_time()):
-                    self._change()
+                if self.directory.record_claim_answer(request, name, claim, monotonic_time()):
+                    self._notify_change()
                     over.set()
             answered.append(name)
             if len(answered) == len(others):
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -79,12 +79,12 @@
 
     def _route(self, submission: RoutedSubmission, give_up_at: int, now: int) -> SubmitResult | None:
         """Take one step for a client's submission; None if the next step is to be chosen anew."""
-        self._bind()
+        self._mark_unsure_after_takeover()
         stored, hashed, key = submission.stored, submission.hashed, submission.stored.turn
         there, holder = self._routing_state(key)
         ruling = self.directory.rule(key, stored.id, hashed, False, now) if there == "here" else None
         if there == "wait" or ruling is SubmissionRuling.BUSY:
-            return None if self._wait(submission.wait_until) else BUSY
+            return None if self._wait_for_change(submission.wait_until) else BUSY
         if ruling in (SubmissionRuling.ACCEPT, SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT):
             return self._accept(stored, hashed, ruling, now)
         if ruling is SubmissionRuling.CLAIM or ruling is None and not holder:
@@ -260,10 +260,10 @@
     ) -> ForwardReply | None:
         """Take one step for a forwarded submission; None if the next step is to be chosen anew."""
         now = monotonic_time()
-        self._bind()
+        self._mark_unsure_after_takeover()
         there, _ = self._routing_state(body.key)
         if there == "wait":
-            return None if self._wait(submission.wait_until) else BUSY_REPLY
+            return None if self._wait_for_change(submission.wait_until) else BUSY_REPLY
         ruling = SubmissionRuling.NOT_HELD
         if there == "here":
             ruling = self.directory.rule(body.key, body.id, submission.hashed, True, now)
@@ -286,7 +286,7 @@
         may_claim = submission.claims < MAX_CLAIMS and holder
         if may_claim and not self._is_alive(holder) and self._successor(holder) == self.name:
             if self.directory.is_claiming(key, now):
-                return None if self._wait(submission.wait_until) else BUSY_REPLY
+                return None if self._wait_for_change(submission.wait_until) else BUSY_REPLY
             submission.claims += 1
             if self._inherit(key):
                 return None
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -110,7 +110,7 @@
 class PendingClaim:
     """A claim of this member that is under way, with the members that have granted it."""
 
-    asking: ClaimRequest
+    request: ClaimRequest
     until: int
     granted: set[str]
     ids: dict[str, tuple[int, int]]  # id -> (age when asked, hash), where the session is inherited
@@ -212,10 +212,10 @@
             return None
         known = self.entries.get(key)
         over = (known.sequence, known.holder) if known is not None else (0, "")
-        asking = ClaimRequest(key, over[0] + 1, over, now)
-        self.claims[key] = PendingClaim(asking, now + CLAIM_TIMEOUT_US, {self.name}, self.recent_ids(key, now))
+        request = ClaimRequest(key, over[0] + 1, over, now)
+        self.claims[key] = PendingClaim(request, now + CLAIM_TIMEOUT_US, {self.name}, self.recent_ids(key, now))
         self._open_if_granted(key, now)
-        return asking
+        return request
 
     def begin_inheritance(self, key: int, ids: dict[str, tuple[int, int]], now: int) -> ClaimRequest | None:
         """Begin to claim a session whose last holder's partition was adopted here; what to ask all other members.
@@ -226,42 +226,42 @@
         known = self.entries.get(key)
         if known is None or self.grants_at > now or self.is_claiming(key, now):
             return None
-        asking = ClaimRequest(key, known.sequence + INHERITED_SEQUENCE_STEP, (known.sequence, known.holder), now)
+        request = ClaimRequest(key, known.sequence + INHERITED_SEQUENCE_STEP, (known.sequence, known.holder), now)
         self.granted_inheritances[key] = now, self.name, known.holder
-        self.claims[key] = PendingClaim(asking, now + CLAIM_TIMEOUT_US, {self.name}, ids)
+        self.claims[key] = PendingClaim(request, now + CLAIM_TIMEOUT_US, {self.name}, ids)
         self._open_if_granted(key, now)
-        return asking
+        return request
 
-    def answer_claim(self, asking: ClaimRequest, by: str, now: int) -> ClaimAnswer:
+    def answer_claim(self, request: ClaimRequest, by: str, now: int) -> ClaimAnswer:
         """Answer another member's claim of a session; a grant is noted as an unconfirmed entry."""
-        key = asking.key
+        key = request.key
         known = self.entries.get(key)
-        theirs = asking.sequence, by
+        theirs = request.sequence, by
         if key in self.sessions and self.sessions[key].used >= now - SESSION_TTL_US:
             return ClaimAnswer(False, self.entry(key, now))
         if known is not None and now - known.used <= ENTRY_TTL_US:
-            if tuple(asking.over) < (known.sequence, known.holder) != theirs:
+            if tuple(request.over) < (known.sequence, known.holder) != theirs:
                 return ClaimAnswer(False, self.entry(key, now))
             # A claimer that was paused cannot void the entry of a member that opened the session meanwhile.
-            if asking.over[1] == by != known.holder:
+            if request.over[1] == by != known.holder:
                 return ClaimAnswer(False, self.entry(key, now))
         own = self.claims.get(key)
-        if own is not None and own.until > now and (own.asking.sequence, self.name) > theirs:
+        if own is not None and own.until > now and (own.request.sequence, self.name) > theirs:
             return ClaimAnswer(False, None)
         if self.grants_at > now:
             return ClaimAnswer(False, None)
         self.claims.pop(key, None)  # it gives way
-        self._merge_entry(key, by, asking.sequence, now, False)
+        self._merge_entry(key, by, request.sequence, now, False)
         return ClaimAnswer(True, None)
 
-    def answer_inheritance(self, asking: ClaimRequest, by: str, holds: bool, moved: bool, now: int) -> ClaimAnswer:
+    def answer_inheritance(self, request: ClaimRequest, by: str, holds: bool, moved: bool, now: int) -> ClaimAnswer:
         """Answer the claim of a member (perhaps this one) that wants to inherit a session.
 
         Args:
             holds: as far as is known here `by` holds the newest partition of the last holder.
             moved: a vote of late on a move of the session stands in the way (`Acceptor.moved`), or an open move.
         """
-        key, known = asking.key, self.entries.get(asking.key)
+        key, known = request.key, self.entries.get(request.key)
         if not holds or moved or self.grants_at > now or by != self.name and self.is_claiming(key, now):
             return ClaimAnswer(False, self.entry(key, now))
         if key in self.sessions and (self.sessions[key].used >= now - SESSION_TTL_US or by == self.name):
@@ -270,13 +270,13 @@
         if self.forbids_vote(key, by, now):
             return ClaimAnswer(False, self.entry(key, now))
         if known is not None and (
-            known.holder not in (asking.over[1], by)
-            or known.sequence > (asking.over[0] if known.holder != by else asking.sequence)
+            known.holder not in (request.over[1], by)
+            or known.sequence > (request.over[0] if known.holder != by else request.sequence)
         ):
             return ClaimAnswer(False, self.entry(key, now))
         if by != self.name:
-            self.granted_inheritances[key] = now, by, asking.over[1]
-            self._merge_entry(key, by, asking.sequence, now, False)
+            self.granted_inheritances[key] = now, by, request.over[1]
+            self._merge_entry(key, by, request.sequence, now, False)
         return ClaimAnswer(True, None)
 
     def forbids_vote(self, key: int, source: str, now: int, known: bool = True) -> bool:
@@ -308,30 +308,30 @@
         for session in self.sessions.values():
             session.sure = False
 
-    def record_claim_answer(self, asking: ClaimRequest, by: str, answer: ClaimAnswer, now: int) -> bool:
+    def record_claim_answer(self, request: ClaimRequest, by: str, answer: ClaimAnswer, now: int) -> bool:
         """Note an answer to a claim of this member; True: the session is held here from now on."""
-        claim = self.claims.get(asking.key)
+        claim = self.claims.get(request.key)
         if answer.entry is not None:
-            if asking.over[1] == self.name != answer.entry.holder and claim is not None and claim.asking == asking:
+            if request.over[1] == self.name != answer.entry.holder and claim is not None and claim.request == request:
                 # Opened anew by a member that had forgotten this one, the session may have a smaller sequence.
                 for known in (self.sessions, self.entries, self.claims):
-                    known.pop(asking.key, None)
+                    known.pop(request.key, None)
             self.merge_entries([answer.entry], now)
-        claim = self.claims.get(asking.key)
+        claim = self.claims.get(request.key)
         # The answer to an earlier claim says nothing about claims made since.
-        if claim is None or claim.asking != asking or claim.until <= now or not answer.granted:
+        if claim is None or claim.request != request or claim.until <= now or not answer.granted:
             return False
         claim.granted.add(by)
-        return self._open_if_granted(asking.key, now)
+        return self._open_if_granted(request.key, now)
 
     def _open_if_granted(self, key: int, now: int) -> bool:
         claim = self.claims[key]
         if len(claim.granted) * 2 <= self.members:
             return False
         del self.claims[key]
-        passed = now - claim.asking.at
+        passed = now - claim.request.at
         ids = {each: (age + passed, hashed) for each, (age, hashed) in claim.ids.items()}
-        self.hold(key, claim.asking.sequence, ids, now)
+        self.hold(key, claim.request.sequence, ids, now)
         return True
 
     # ---- sessions that come and go ----
