--- a/cedarwick/fleet/messages/sessions.py
+++ b/cedarwick/fleet/messages/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: where they are held, their migration and its decree, claims, and forwarded submissions."""
+"""Sessions: where they are held, their migration and its decision, claims, and forwarded submissions."""
 
 from typing import Annotated
 
@@ -31,10 +31,10 @@
 class SessionLocations(PeerBody, frozen=True, tag="Lodgings"):
     """Changed session locations, and whether the sender takes more sessions.
 
-    Answered by `SessionLocations` without `news`.
+    Answered by `SessionLocations` without `locations`.
     """
 
-    news: Annotated[tuple[SessionLocation, ...], Meta(max_length=4096)] = ()
+    locations: Annotated[tuple[SessionLocation, ...], Meta(max_length=4096)] = ()
     held: Count = 0  # sessions
     takes: bool = False  # whether the sender takes more sessions
     stamp: Order = 0  # of the next migration that the sender begins
@@ -77,7 +77,7 @@
 
 
 class PrepareRequest(PeerBody, frozen=True, tag="Prepare"):
-    """First phase of a Paxos decree. Answered by `VoteReply`."""
+    """First phase of a Paxos decision. Answered by `VoteReply`."""
 
     move: Move
     ballot: BallotNumber
@@ -85,7 +85,7 @@
 
 
 class AcceptRequest(PeerBody, frozen=True, tag="Accept"):
-    """Second phase of a Paxos decree: accept the value. Answered by `VoteReply`."""
+    """Second phase of a Paxos decision: accept the value. Answered by `VoteReply`."""
 
     move: Move
     ballot: BallotNumber
--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -8,18 +8,18 @@
 from enum import Enum
 from typing import NamedTuple
 
-from cedarwick.fleet.migration_table import MOST_IN, MOST_OUT
+from cedarwick.fleet.migration_table import MAX_MOVES_IN, MAX_MOVES_OUT
 from cedarwick.fleet.placement import weight
 
-STAYS = 10_000_000  # microseconds that a session stays after a move, unless staff move it or its sender leaves
-AFTER_OFF = 1_000_000  # microseconds until a session is offered again after its move was called off
-FULL = 0.8  # share of its capacity up to which a sender takes sessions
+MIN_STAY_US = 10_000_000  # that a session stays after a move, unless an operator moves it or its sender leaves
+CALL_OFF_PAUSE_US = 1_000_000  # microseconds until a session is offered again after its move was called off
+MAX_LOAD_SHARE = 0.8  # share of its capacity up to which a sender takes sessions
 
 
 class MigrationReason(Enum):
     """Why a session is to move; the most urgent first."""
 
-    STAFF = "staff say so"
+    OPERATOR = "an operator asks for it"
     LEAVING = "this sender leaves"
     FAILING = "this hall is drained or failing"
     CLIENT = "its client has come to another sender"
@@ -56,9 +56,10 @@
         load = (each.held + more.get(each.name, 0)) * 10 // max(each.most, 1)
         return each.hall != hall, load, not each.well, -weight(key, each.name)
 
-    return sorted(
-        (each for each in neighbours if each.takes and each.held + more.get(each.name, 0) < FULL * each.most), key=order
-    )
+    def has_room(each: Neighbour) -> bool:
+        return each.takes and each.held + more.get(each.name, 0) < MAX_LOAD_SHARE * each.most
+
+    return sorted((each for each in neighbours if has_room(each)), key=order)
 
 
 class MigrationPlanner:
@@ -66,42 +67,51 @@
 
     def __init__(self, hall: str) -> None:
         self.hall = hall
-        self.out: dict[int, str] = {}  # by key of a session on the move: its target
-        self.stays: dict[int, int] = {}  # by key: not moved before this time
-        self.off: dict[int, int] = {}  # by key, after a move called off: not offered before this time
+        self.targets: dict[int, str] = {}  # by key of a session on the move: its target
+        self.stays_until: dict[int, int] = {}  # by key: not moved before this time
+        self.paused_until: dict[int, int] = {}  # by key, after a move called off: not offered before this time
 
     def arrived(self, key: int, now: int) -> None:
-        """Note that a session has become active here: it stays for `STAYS` microseconds."""
-        self.stays[key] = now + STAYS
+        """Note that a session has become active here: it stays for `MIN_STAY_US` microseconds."""
+        self.stays_until[key] = now + MIN_STAY_US
 
     def ended(self, key: int, moved: bool, now: int) -> None:
         """Note the end of a move from here; not `moved`: it was called off."""
-        self.out.pop(key, None)
+        self.targets.pop(key, None)
         if not moved:
-            self.off[key] = now + AFTER_OFF
+            self.paused_until[key] = now + CALL_OFF_PAUSE_US
 
     def plan(
-        self, wishes: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
+        self, requests: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
     ) -> list[tuple[int, str]]:
-        """The moves to begin now, as pairs of key and taker; the caller asks for the others again later.
+        """The moves to begin now, as pairs of key and target; the caller asks for the others again later.
 
-        At most `MOST_OUT` sessions are on the move from here at once, and `MOST_IN` to each taker.
+        At most `MAX_MOVES_OUT` sessions are on the move from here at once, and `MAX_MOVES_IN` to each target.
         """
-        self.stays = {key: until for key, until in self.stays.items() if until > now}
-        self.off = {key: until for key, until in self.off.items() if until > now}
+        self.stays_until = {key: until for key, until in self.stays_until.items() if until > now}
+        self.paused_until = {key: until for key, until in self.paused_until.items() if until > now}
         more: dict[str, int] = {}
-        for to in self.out.values():
+        for to in self.targets.values():
             more[to] = more.get(to, 0) + 1
         chosen = []
-        for wish in sorted(wishes, key=lambda each: list(MigrationReason).index(each.why)):
-            stays = wish.key in self.stays and wish.why not in (MigrationReason.STAFF, MigrationReason.LEAVING)
+        for request in sorted(requests, key=lambda each: list(MigrationReason).index(each.why)):
+            stays = request.key in self.stays_until and request.why not in (
+                MigrationReason.OPERATOR,
+                MigrationReason.LEAVING,
+            )
             # `stays`: with a client at each of two senders a session would go to and fro, frozen most of the time.
-            if len(self.out) >= MOST_OUT or wish.key in self.out or wish.key in self.off or stays or not wish.key:
+            if (
+                len(self.targets) >= MAX_MOVES_OUT
+                or request.key in self.targets
+                or request.key in self.paused_until
+                or stays
+                or not request.key
+            ):
                 continue
-            for each in preferred(wish.key, self.hall, neighbours, more):
-                if wish.to in ("", each.name) and more.get(each.name, 0) < MOST_IN:
-                    self.out[wish.key] = each.name
+            for each in preferred(request.key, self.hall, neighbours, more):
+                if request.to in ("", each.name) and more.get(each.name, 0) < MAX_MOVES_IN:
+                    self.targets[request.key] = each.name
                     more[each.name] = more.get(each.name, 0) + 1
-                    chosen.append((wish.key, each.name))
+                    chosen.append((request.key, each.name))
                     break
         return chosen
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -29,16 +29,17 @@
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.store.files import NoSpaceError
 
-SETTLE_IN = 0.3  # seconds for the answer to a vote request or a decree
-STAGE_IN = 0.45  # seconds for the answer to the offer of a session
-LATE = 300_000  # microseconds before its deadline at which a message on the move is answered
-SECOND = 1_000_000  # microseconds
-SESSIONS = 10_000  # that a sender holds, at most
-GIVEN, TAKEN = "<", ">"  # how the mark of an inert message begins: at the giver, at the taker
-WHOLE = 500_000  # microseconds in which the replicas must get a mark
+VOTE_TIMEOUT_S = 0.3  # seconds for the answer to a vote request or a decision
+STAGE_TIMEOUT_S = 0.45  # seconds for the answer to the offer of a session
+MAX_SESSIONS = 10_000  # that a sender holds, at most
+SOURCE_MARK, TARGET_MARK = "<", ">"  # how the mark of an inert message begins: at the source, at the target
+REPLICATION_TIMEOUT_US = 500_000  # microseconds in which the replicas must get a mark
+REPLICATION_POLL_S = 0.002  # seconds between two checks of whether they have it
+BALLOT_PAUSE_US = 50_000  # at most, drawn at random, between a ballot that lost and the next one
+MAX_PAUSE_DOUBLINGS = 5  # of `BALLOT_PAUSE_US`, one with each ballot that lost
 
 
-class DecreesNotSavedError(CedarwickError):
+class VotesNotSavedError(CedarwickError):
     """This member's votes on moves cannot be written, and it gives none; moves are settled by the others."""
 
     code = "CW756"
@@ -66,35 +67,36 @@
         self.files = SessionFiles(node.lasting)
         self.counters = node.counters
         self.clock = node.clock
-        table = self.files.decrees()
+        table = self.files.read_acceptor_table()
         self.acceptor = Acceptor(monotonic_time(), table is None, table)
         self.unwritten: set[str] = set()  # moves with a vote of this member that is not on the disk
         self.stamp = node.incarnation  # of the next move
         self.acceptor.learned(self.name, self.stamp)
-        self.files.write_decrees(self.acceptor.table())
+        self.files.write_acceptor_table(self.acceptor.table())
         chance = random.Random(node.incarnation)
         self.moves = MigrationTable(
             self.name,
             f"{self.name}#{node.incarnation}",
             tuple(sorted(node.halls)),
             self.acceptor,
-            lambda failed: chance.randint(0, 50_000 << min(failed, 5)),
+            lambda failed: chance.randint(0, BALLOT_PAUSE_US << min(failed, MAX_PAUSE_DOUBLINGS)),
         )
         self.planner = MigrationPlanner(node.halls[self.name])
-        marks = self.files.inert()
+        marks = self.files.read_marks()
         self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.messages}
-        self.store.marking = self.files.write_inert
+        self.store.marking = self.files.write_marks
         self.dispatcher: Dispatcher
         self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
-        self.slept: set[str] = set()  # of these, staged in a partition that was adopted since
+        self.staged_before_adoption: set[str] = set()  # of these, staged in a partition that was adopted since
         self.sequences: dict[str, int] = {}  # by move: the sequence of its session since the move began
         self.answers: dict[str, gevent.event.AsyncResult] = {}  # by move: whether it was staged
         self.under_way: set[tuple[str, MigrationAction]] = set()
-        self.strays: dict[str, Proposer] = {}  # undecided moves that this member voted on and takes no part in
+        # Of undecided moves that this member voted on and takes no part in:
+        self.orphaned_proposers: dict[str, Proposer] = {}
         self.limits_at = 0
 
     @abstractmethod
-    def act(self, acts: Iterable[MigrationStep]) -> None:
+    def carry_out(self, steps: Iterable[MigrationStep]) -> None:
         """Carry out steps of moves; a step that waits runs in a greenlet of its own."""
 
     def _guarded(self, write: Callable[..., None], *arguments: object) -> bool:
@@ -102,7 +104,7 @@
         try:
             write(*arguments)
         except OSError as error:
-            self.counters.warning("votes on moves cannot be written", DecreesNotSavedError(str(error)))
+            self.counters.warning("votes on moves cannot be written", VotesNotSavedError(str(error)))
             return False
         return True
 
@@ -119,7 +121,7 @@
             if text == side + name and number in self.store.messages
         )
 
-    def _mine(self, name: str) -> bool:
+    def _began_here(self, name: str) -> bool:
         """Whether this process began the move; if not, it was found after a restart or in an adopted partition."""
         return parts(name)[1] == self.name and name in self.sequences
 
@@ -131,15 +133,15 @@
         """Write the file of inert messages without some of them; OSError where that fails."""
         gone = set(numbers)
         if gone:
-            self.files.write_inert({number: mark for number, mark in self.store.inert.items() if number not in gone})
+            self.files.write_marks({number: mark for number, mark in self.store.inert.items() if number not in gone})
 
     def _copied(self, partitions: set[int]) -> bool:
-        """Whether every successor has all records of these partitions within `WHOLE` microseconds; waits for it."""
-        done, until = self.store.copied(partitions), monotonic_time() + WHOLE
+        """Wait until every successor has all records of these partitions; False after `REPLICATION_TIMEOUT_US`."""
+        done, until = self.store.copied(partitions), monotonic_time() + REPLICATION_TIMEOUT_US
         while not done():
             if monotonic_time() > until:
                 return False
-            gevent.sleep(0.002)
+            gevent.sleep(REPLICATION_POLL_S)
         return True
 
     def _give_up(self, name: str, side: str) -> bool:
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -6,7 +6,7 @@
 """
 
 from collections import deque
-from collections.abc import Iterable
+from collections.abc import Container, Iterable
 
 import gevent
 import gevent.event
@@ -17,6 +17,7 @@
     name_move,
     parts,
 )
+from cedarwick.fleet.limits import ANSWER_AHEAD_US
 from cedarwick.fleet.messages import (
     AcceptRequest,
     Body,
@@ -25,7 +26,7 @@
     StageSession,
 )
 from cedarwick.fleet.migration_source import MigrationSource
-from cedarwick.fleet.migration_state import GIVEN, LATE, TAKEN
+from cedarwick.fleet.migration_state import SOURCE_MARK, TARGET_MARK
 from cedarwick.fleet.migration_table import (
     MigrationAction,
     MigrationStep,
@@ -35,9 +36,9 @@
 from cedarwick.fleet.migration_target import MigrationTarget
 from cedarwick.fleet.migration_votes import MigrationVotes, ballot_of, value_of, voted
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.sessions import LAPSES
+from cedarwick.fleet.sessions import SESSION_TTL_US
 
-LOOK_LATE = 100_000
+DEADLINE_CHECK_US = 100_000  # between two searches for messages on the move that are near their deadline
 
 
 class InvalidMoveNameError(CedarwickError):
@@ -48,7 +49,7 @@
 
 
 class SessionMigrations(MigrationVotes, MigrationSource, MigrationTarget):
-    """The moves in which this member is giver or taker. `dispatcher` must be set before any call.
+    """The moves in which this member is source or target. `dispatcher` must be set before any call.
 
     Args:
         call: a peer message to another member and its answer within so many seconds; None where there is none.
@@ -58,14 +59,14 @@
 
     def look(self, now: int) -> None:
         """Do what is due now; called by the node at each turn, never waits."""
-        self._look_at_marks(now)
-        self.act(self.moves.due(now))
+        self._check_marks(now)
+        self.carry_out(self.moves.due(now))
 
     def forget(self, now: int) -> None:
         """Drop what is old; about once a second."""
         if self.acceptor.prune(now):
-            self._guarded(self.files.write_decrees, self.acceptor.table())
-        self._settle_strays(now)
+            self._guarded(self.files.write_acceptor_table, self.acceptor.table())
+        self._settle_orphaned_moves(now)
         for stored in (self.offers, self.sequences, self.answers):
             for name in [name for name in stored if name not in self.moves.moves]:
                 del stored[name]
@@ -73,8 +74,8 @@
     def under_way_here(self) -> bool:
         """Whether a move that gives a session away from here is not over yet."""
         return any(
-            move.giving in (SourceStage.FREEZING, SourceStage.OFFERED)
-            or move.giving is SourceStage.FORWARDING
+            move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED)
+            or move.source_stage is SourceStage.FORWARDING
             and not move.confirmed
             for move in self.moves.moves.values()
         )
@@ -82,19 +83,19 @@
     def begin(self, key: int, to: str, now: int) -> None:
         """Start to give a session that is held here to another member."""
         session = self.directory.sessions.get(key)
-        if session is None or not session.sure or session.used < now - LAPSES or not self.store.taking():
+        if session is None or not session.sure or session.used < now - SESSION_TTL_US or not self.store.taking():
             self.planner.ended(key, session is None, now)
             return
         name = name_move(self.stamp, self.name, to)
         self.stamp += 1
-        acts = self.moves.begin(name, key, now)
-        if not acts:
+        steps = self.moves.begin(name, key, now)
+        if not steps:
             self.planner.ended(key, False, now)
             return
         self.sequences[name] = session.sequence + 1
-        self.directory.hold(key, session.sequence + 1, self.directory.ids(key, now), now)
+        self.directory.hold(key, session.sequence + 1, self.directory.recent_ids(key, now), now)
         self.counters.add("moves begun")
-        self.act(acts)
+        self.carry_out(steps)
 
     def answer(self, body: StageSession | PrepareRequest | AcceptRequest | MigrationDecided, now: int) -> Body:
         """The answer to another member's message about a move; raises `InvalidMoveNameError`."""
@@ -108,41 +109,41 @@
             return voted(body.move, self.vote(body.move, ballot_of(body.ballot), None, body.key))
         value = value_of(body.value)
         if value is None:
-            raise InvalidMoveNameError(f"no value of a decree: {body.value!r}")
+            raise InvalidMoveNameError(f"no value of a decision: {body.value!r}")
         if isinstance(body, AcceptRequest):
             return voted(body.move, self.vote(body.move, ballot_of(body.ballot), value, body.key))
         row = self.acceptor.settled(body.move, value, now)
         if row is not None:
-            self._guarded(self.files.add_decree, row)
-        self.act(self.moves.settled(body.move, value, body.active, now))
-        known, active = self.moves.said(body.move)
+            self._guarded(self.files.append_vote, row)
+        self.carry_out(self.moves.settled(body.move, value, body.active, now))
+        known, active = self.moves.known_decision(body.move)
         return MigrationDecided(body.move, known or "", active)
 
-    def act(self, acts: Iterable[MigrationStep]) -> None:
+    def carry_out(self, steps: Iterable[MigrationStep]) -> None:
         """Carry out steps of moves; those that wait for something run in greenlets of their own."""
-        todo = deque(acts)
+        todo = deque(steps)
         now = monotonic_time()
         while todo:
-            act = todo.popleft()
-            if act.do is MigrationAction.ASK and act.ask is not None:
-                if act.ask.to == self.name:
-                    answer = self.vote(act.ask.move, act.ask.ballot, act.ask.value, self._key(act.ask.move))
-                    todo.extend(self.moves.answered(act.ask, answer, now))
+            step = todo.popleft()
+            if step.action is MigrationAction.ASK and step.ask is not None:
+                if step.ask.to == self.name:
+                    answer = self.vote(step.ask.move, step.ask.ballot, step.ask.value, self._key(step.ask.move))
+                    todo.extend(self.moves.answered(step.ask, answer, now))
                 else:
-                    gevent.spawn(self._ask, act.ask)
-            elif act.do is MigrationAction.TELL:
-                gevent.spawn(self._tell, act)
-            elif act.do in (MigrationAction.STAGED, MigrationAction.REFUSE):
-                self._answer(act.move, act.do is MigrationAction.STAGED)
-            elif act.do is MigrationAction.FORWARD:
-                self._forward(act)
-            elif act.do is MigrationAction.CLOSE:
+                    gevent.spawn(self._ask, step.ask)
+            elif step.action is MigrationAction.TELL:
+                gevent.spawn(self._tell, step)
+            elif step.action in (MigrationAction.STAGED, MigrationAction.REFUSE):
+                self._answer(step.move, step.action is MigrationAction.STAGED)
+            elif step.action is MigrationAction.FORWARD:
+                self._forward(step)
+            elif step.action is MigrationAction.CLOSE:
                 self.counters.add("moves closed")
-            elif (act.move, act.do) not in self.under_way:
-                self.under_way.add((act.move, act.do))
-                gevent.spawn(self._do, act)
+            elif (step.move, step.action) not in self.under_way:
+                self.under_way.add((step.move, step.action))
+                gevent.spawn(self._do, step)
 
-    def _do(self, act: MigrationStep) -> None:
+    def _do(self, step: MigrationStep) -> None:
         work = {
             MigrationAction.FREEZE: self._freeze,
             MigrationAction.MARK: self._mark,
@@ -154,59 +155,72 @@
             MigrationAction.OVER: self._over,
         }
         try:
-            work[act.do](act.move)
+            work[step.action](step.move)
         except Exception:  # one move that fails must not keep the others from being settled
-            self.counters.failed(f"a move failed at {act.do.value}")
+            self.counters.failed(f"a move failed at {step.action.value}")
         finally:
-            self.under_way.discard((act.move, act.do))
+            self.under_way.discard((step.move, step.action))
             self.change()
 
     def open_move(self, key: int) -> bool:
         """Whether this member takes part in a move of this session that is undecided or not carried out yet."""
         move = self.moves.moves.get(self.moves.by_key.get(key, ""))
         return move is not None and (
-            move.giving in (SourceStage.FREEZING, SourceStage.OFFERED)
-            or move.giving is SourceStage.FORWARDING
+            move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED)
+            or move.source_stage is SourceStage.FORWARDING
             and not move.confirmed
-            or move.taking in (TargetStage.STAGED, TargetStage.GRANTED)
+            or move.target_stage in (TargetStage.STAGED, TargetStage.GRANTED)
         )
 
-    def _look_at_marks(self, now: int) -> None:
+    def _check_marks(self, now: int) -> None:
+        """Settle moves whose marks are found here, and forget sides whose marks are gone."""
+        self._drop_marks_without_message()
+        numbers_by_mark: dict[str, list[int]] = {}
+        for number, (_, text) in self.store.inert.items():
+            numbers_by_mark.setdefault(text, []).append(number)
+        for text, numbers in numbers_by_mark.items():
+            self._settle_found_move(text, numbers, now)
+        self._forget_lost_sides(numbers_by_mark)
+        if now - self.limits_at >= DEADLINE_CHECK_US:
+            self.limits_at = now
+            self._answer_late()
+
+    def _drop_marks_without_message(self) -> None:
         gone = [number for number in self.store.inert if number not in self.store.messages]
         for number in gone:
             del self.store.inert[number]
-        sides: dict[str, list[int]] = {}
-        for number, (_, text) in self.store.inert.items():
-            sides.setdefault(text, []).append(number)
-        for text, numbers in sides.items():
-            name, giving = text[1:], text[:1] == GIVEN
-            move = self.moves.moves.get(name)
-            if move is not None and (move.giving if giving else move.taking) is not None:
-                continue
-            partitions = {number >> 32 for number in numbers}
-            if not all(
-                partition in self.store.holdings and self.store.holdings[partition].serving for partition in partitions
-            ):
-                continue
-            if not giving and not self.store.copied(partitions)():
-                continue
-            logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
-            self.act(self.moves.found(name, self.store.messages[numbers[0]].turn, giving, now))
+
+    def _settle_found_move(self, text: str, numbers: list[int], now: int) -> None:
+        """Begin to settle the move of a mark if this member did not know that it has that side."""
+        name, at_source = text[1:], text[:1] == SOURCE_MARK
+        move = self.moves.moves.get(name)
+        if move is not None and (move.source_stage if at_source else move.target_stage) is not None:
+            return
+        partitions = {number >> 32 for number in numbers}
+        if not all(
+            partition in self.store.holdings and self.store.holdings[partition].serving for partition in partitions
+        ):
+            return
+        if not at_source and not self.store.copied(partitions)():
+            return
+        logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
+        self.carry_out(self.moves.marks_found(name, self.store.messages[numbers[0]].turn, at_source, now))
+
+    def _forget_lost_sides(self, marks: Container[str]) -> None:
+        """Forget sides that were found earlier, and whose partition has another holder by now."""
         for name, move in list(self.moves.moves.items()):
-            for giving, side, text in ((True, move.giving, GIVEN), (False, move.taking, TAKEN)):
-                open_side = side in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
-                if open_side and name not in self.sequences and text + name not in sides:
-                    self.moves.lost(name, giving)  # found earlier; its partition has another holder by now
-        if now - self.limits_at >= LOOK_LATE:
-            self.limits_at = now
-            self._answer_late()
+            sides = ((True, move.source_stage, SOURCE_MARK), (False, move.target_stage, TARGET_MARK))
+            for at_source, stage, mark in sides:
+                is_open = stage in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
+                if is_open and name not in self.sequences and mark + name not in marks:
+                    self.moves.side_lost(name, at_source)
 
     def _answer_late(self) -> None:
-        soon = self.clock.now() + LATE
+        soon = self.clock.now() + ANSWER_AHEAD_US
         for number, (_, text) in list(self.store.inert.items()):
             stored, holding = self.store.messages.get(number), self.store.holdings.get(number >> 32)
             if stored is None or stored.end is not None or stored.deadline > soon or holding is None:
                 continue
-            if holding.serving and self.moves.near_limit(text[1:]) == "failed" and text[:1] == GIVEN:
+            if holding.serving and self.moves.near_deadline(text[1:]) == "failed" and text[:1] == SOURCE_MARK:
                 self.counters.add("messages on the move that were answered by their limit")
                 self.dispatcher.answer_late([number])
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -12,6 +12,7 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
+from cedarwick.fleet.limits import US_PER_S
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
     AcceptRequest,
@@ -28,15 +29,15 @@
     StageSession,
 )
 from cedarwick.fleet.migration_planner import MigrationReason, MigrationRequest, Neighbour
-from cedarwick.fleet.migration_state import SECOND, SESSIONS
+from cedarwick.fleet.migration_state import MAX_SESSIONS
 from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.session_files import HeldSession, Sessions
+from cedarwick.fleet.session_files import HeldSession, HeldSessions
 from cedarwick.fleet.session_submissions import SessionSubmissions
-from cedarwick.fleet.session_wire import entry_of, lodging_of
+from cedarwick.fleet.session_wire import entry_of, location_of
 from cedarwick.fleet.sessions import (
-    LAPSES,
-    Claim,
+    SESSION_TTL_US,
+    ClaimAnswer,
     ClaimRequest,
 )
 from cedarwick.net.client_listener import ClientListener
@@ -44,12 +45,15 @@
 from cedarwick.ops.commands import Call
 from cedarwick.ops.management import ManagementCommands
 
-GOSSIP = 250_000  # microseconds between two peer messages of session locations to each member
-MIN_GOSSIP_SESSIONS = 256  # sessions in one peer message at least: a 40th of all that are held, and so all in 10 s
-MAX_GOSSIP_SESSIONS = 4096
-WISHES = 256  # looked at in one turn
-HANDED_OVER = 5_000_000  # microseconds after the end of a process in which its successor goes on with its sessions
-MOVED_IN = 1.5  # seconds that `MOVE` waits for the result of a move
+LOCATIONS_INTERVAL_US = 250_000  # microseconds between two peer messages of session locations to each member
+UPDATES_PER_ROUND = 40  # in which all held sessions are sent, so in 10 s
+MIN_LOCATIONS_PER_UPDATE = 256  # beside the share of the round
+MAX_LOCATIONS_PER_UPDATE = 4096  # the limit of the peer message
+FORGET_INTERVAL_US = 1_000_000  # between two searches for what is old
+OPERATOR_REQUEST_TTL_US = 1_000_000  # for which `MOVE` tries to begin the migration
+MAX_PLANNED_REQUESTS = 256  # migrations of a leaving or failing sender that are planned in one turn
+MAX_HANDOVER_AGE_US = 5_000_000  # after the end of a process, for its successor to go on with its sessions
+MOVE_COMMAND_TIMEOUT_S = 1.5  # seconds that `MOVE` waits for the result of a move
 
 
 class InvalidMoveError(CedarwickError):
@@ -70,7 +74,7 @@
     """A session stays where it was."""
 
     code = "CW753"
-    remedy = "see that the taker lives, is not drained and has room, then move it again; a moved one waits 60 s"
+    remedy = "see that the target lives, is not drained and has room, then move it again; a moved one waits 60 s"
 
 
 class SessionRouter(SessionSubmissions):
@@ -81,46 +85,46 @@
         if self.store.by_copy:
             node.copies.heard = self._copied
 
-    def attach(self, staff: ManagementCommands, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
+    def attach(self, commands: ManagementCommands, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
         """Take clients' submissions and operators' `MOVE` commands; called before the first peer message."""
-        self.dispatcher = self.transfers.dispatcher = dispatcher
-        self.take_up()
+        self.dispatcher = self.migrations.dispatcher = dispatcher
+        self.restore_sessions()
         self.client_listener = client_listener
         client_listener.hand_in = self.hand_in
-        staff.moves = self.moved_by_hand
+        commands.moves = self.move_on_command
 
     def stop(self) -> None:
         """Close the connections to the other members."""
-        self.lane.close()
+        self.peers.close()
 
     def replace(self) -> None:
         """Called when the node has a new list of members."""
-        self.lane.replace(self.node.where)
+        self.peers.replace(self.node.where)
         self.moves.voters = tuple(sorted(self.node.halls))
         self.directory.members = len(self.node.halls)
 
-    def take_up(self) -> None:
+    def restore_sessions(self) -> None:
         """Go on with the sessions of the process that this one replaces, if it ended a moment ago."""
-        left, now = self.transfers.files.take_sessions(), monotonic_time()
-        age = time.time_ns() // 1000 - left.at if left is not None else 0
+        previous, now = self.migrations.files.read_and_delete_sessions(), monotonic_time()
+        age = time.time_ns() // 1000 - previous.written_at_us if previous is not None else 0
         # An older file, or one from the future, may name sessions that others hold by now.
-        if left is not None and 0 <= age < HANDED_OVER:
-            for each in left.held:
+        if previous is not None and 0 <= age < MAX_HANDOVER_AGE_US:
+            for each in previous.sessions:
                 ids = {id: (then + age, hashed) for id, (then, hashed) in each.ids.items()}
                 self.directory.hold(each.key, each.sequence, ids, now)
-            self.partition = left.partition  # if it was adopted meanwhile, `_bind` makes the sessions unsure
-            logger.info("{} sessions of the process before go on", len(left.held))
+            self.partition = previous.partition  # if it was adopted meanwhile, `_mark_unsure_after_takeover` sees it
+            logger.info("{} sessions of the process before go on", len(previous.sessions))
 
     def hand_over(self) -> None:
         """Write the held sessions for the process that replaces this one; raises `OSError`."""
         now = monotonic_time()
-        self._bind()
+        self._mark_unsure_after_takeover()
         held = [
-            HeldSession(key, session.sequence, self.directory.ids(key, now))
+            HeldSession(key, session.sequence, self.directory.recent_ids(key, now))
             for key, session in self.directory.sessions.items()
-            if session.sure and session.used >= now - LAPSES and self._standing(key)[0] == "here"
+            if session.sure and session.used >= now - SESSION_TTL_US and self._routing_state(key)[0] == "here"
         ]
-        self.transfers.files.write_sessions(Sessions(time.time_ns() // 1000, held, self.partition))
+        self.migrations.files.write_sessions(HeldSessions(time.time_ns() // 1000, held, self.partition))
         self.directory.sessions.clear()
 
     def leave(self) -> None:
@@ -130,90 +134,101 @@
     def left(self) -> bool:
         """Whether no move from here is under way, and no session is held that another member would take."""
         held = self.directory.sessions and any(each.takes for each in self._neighbours())
-        return not held and not self.transfers.under_way_here()
+        return not held and not self.migrations.under_way_here()
 
     def heard(self, sender: str, incarnation: int, body: Body) -> Body | None:
         """The answer to another member's peer message; None if it is not about sessions."""
         now = monotonic_time()
         if isinstance(body, ForwardedSubmit):
-            return self._passed(sender, body)
+            return self._answer_forwarded(sender, body)
         if isinstance(body, SessionLocations):
-            first = self.lasting.first and self.first_seen.setdefault(sender, incarnation) == incarnation
-            self._locations_heard(sender, body, now)
-            return self._lodgings((), first)
-        if isinstance(body, SessionClaim):
-            asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
-            # Refused during a move: decided late, it would make a second holder beside the claimer.
-            moving = self.transfers.open_move(body.key)
-            claim = Claim(False, None) if moving else self.directory.claimed(asking, sender, now)
-            return ClaimReply(claim.granted, lodging_of(claim.entry))
-        if isinstance(body, SessionInheritance):
-            asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
-            claim = self._successor_claims(asking, body.partition, sender, now)
-            return ClaimReply(claim.granted, lodging_of(claim.entry))
+            first = self.lasting.first and self.first_incarnations.setdefault(sender, incarnation) == incarnation
+            self._receive_locations(sender, body, now)
+            return self._location_update((), first)
+        if isinstance(body, SessionClaim | SessionInheritance):
+            answer = self._answer_claim(sender, body, now)
+            return ClaimReply(answer.granted, location_of(answer.entry))
         if isinstance(body, RecallForward):
-            return self._recalled(body)
+            return self._answer_recall(body)
         if isinstance(body, StageSession | PrepareRequest | AcceptRequest | MigrationDecided):
-            return self.transfers.answer(body, now)
+            return self.migrations.answer(body, now)
         return None
 
+    def _answer_claim(self, sender: str, body: SessionClaim | SessionInheritance, now: int) -> ClaimAnswer:
+        request = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
+        if isinstance(body, SessionInheritance):
+            return self._answer_inheritance(request, body.partition, sender, now)
+        # Refused during a move: decided late, it would make a second holder beside the claimer.
+        if self.migrations.open_move(body.key):
+            return ClaimAnswer(False, None)
+        return self.directory.answer_claim(request, sender, now)
+
     def look(self, now: int) -> None:
         """Do what is due now; called by the node at each turn, never waits."""
-        self._bind()
-        for name in self.node.halls:
-            if name == self.name or self.node.members.state(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
-                self.void.discard(name)
-            elif name not in self.void:
-                self.void.add(name)
-                self.directory.without(name, now)
-        if now - self.gossiped_at >= GOSSIP:
-            self.gossiped_at = now
-            self._gossip(now)
-        if now - self.forgot_at >= SECOND:
+        self._mark_unsure_after_takeover()
+        self._expire_entries_of_dead_members(now)
+        if now - self.locations_sent_at >= LOCATIONS_INTERVAL_US:
+            self.locations_sent_at = now
+            self._send_locations_to_all(now)
+        if now - self.forgot_at >= FORGET_INTERVAL_US:
             self.forgot_at = now
-            self.directory.forget(now)
-            self.transfers.forget(now)
-            for known in (self.memories, self.estates):
-                for partition in [partition for partition in known if partition not in self.node.adoptions]:
-                    del known[partition]
-        self.transfers.look(now)
+            self._forget(now)
+        self.migrations.look(now)
         self._plan(now)
-        self._see_ends()
+        self._answer_move_commands()
 
-    def _gossip(self, now: int) -> None:
+    def _expire_entries_of_dead_members(self, now: int) -> None:
+        for name in self.node.halls:
+            if name == self.name or self.node.members.state(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
+                self.abandoned_members.discard(name)
+            elif name not in self.abandoned_members:
+                self.abandoned_members.add(name)
+                self.directory.expire_entries_of(name, now)
+
+    def _forget(self, now: int) -> None:
+        """Drop what is old."""
+        self.directory.forget(now)
+        self.migrations.forget(now)
+        for known in (self.replica_recent_ids, self.inheritable_sessions):
+            for partition in [partition for partition in known if partition not in self.node.adoptions]:
+                del known[partition]
+
+    def _send_locations_to_all(self, now: int) -> None:
         # Without a valid lease nothing is sent: after a long pause others may hold these sessions by now.
-        most = (
-            min(MAX_GOSSIP_SESSIONS, MIN_GOSSIP_SESSIONS + len(self.directory.sessions) // 40)
-            if self.store.taking()
-            else 0
-        )
-        news = self.directory.news(most, now)
-        locations = tuple(lodging for entry in news if (lodging := lodging_of(entry)) is not None)
+        limit = 0
+        if self.store.taking():
+            share = len(self.directory.sessions) // UPDATES_PER_ROUND
+            limit = min(MAX_LOCATIONS_PER_UPDATE, MIN_LOCATIONS_PER_UPDATE + share)
+        entries = self.directory.next_locations(limit, now)
+        locations = tuple(location for entry in entries if (location := location_of(entry)) is not None)
         for name in self.node.halls:
             if name != self.name:
-                gevent.spawn(self._tell_news, name, locations)
+                gevent.spawn(self._send_locations, name, locations)
 
-    def _tell_news(self, name: str, news: tuple[SessionLocation, ...]) -> None:
-        first = self.lasting.first and name not in self.first_seen
-        answer = self._call(name, self._lodgings(news, first), GOSSIP / SECOND)
+    def _send_locations(self, name: str, locations: tuple[SessionLocation, ...]) -> None:
+        first = self.lasting.first and name not in self.first_incarnations
+        answer = self._call(name, self._location_update(locations, first), LOCATIONS_INTERVAL_US / US_PER_S)
         if not isinstance(answer, SessionLocations):
             return
         now = monotonic_time()
-        self._locations_heard(name, answer, now)
-        self.transfers.learned(name, answer.stamp)
+        self._receive_locations(name, answer, now)
+        self.migrations.learned(name, answer.stamp)
         # Only if no member has run before: one that forgot sessions must wait until ids of that time cannot come again.
         if answer.first and self.lasting.first:
-            self.new.add(name)
-            if len(self.new) == len(self.node.halls) - 1 and self.directory.grants_at > now:
+            self.members_without_history.add(name)
+            if len(self.members_without_history) == len(self.node.halls) - 1 and self.directory.grants_at > now:
                 self.directory.grants_at = now
                 logger.info("sessions may be opened: no member has run before")
 
-    def _lodgings(self, news: tuple[SessionLocation, ...], first: bool) -> SessionLocations:
-        return SessionLocations(news, len(self.directory.sessions), self._takes(), self.transfers.stamp, first)
+    def _location_update(self, locations: tuple[SessionLocation, ...], first: bool) -> SessionLocations:
+        return SessionLocations(
+            locations, len(self.directory.sessions), self._accepts_sessions(), self.migrations.stamp, first
+        )
 
-    def _locations_heard(self, name: str, body: SessionLocations, now: int) -> None:
-        self.neighbours[name] = body
-        self.directory.heard([entry for lodging in body.news if (entry := entry_of(lodging)) is not None], now)
+    def _receive_locations(self, name: str, body: SessionLocations, now: int) -> None:
+        self.locations_by_member[name] = body
+        entries = [entry for location in body.locations if (entry := entry_of(location)) is not None]
+        self.directory.merge_entries(entries, now)
 
     def _neighbours(self) -> list[Neighbour]:
         now, halls, members = monotonic_time(), self.node.halls, self.node.members
@@ -222,31 +237,31 @@
                 name,
                 halls[name],
                 location.held,
-                SESSIONS,
+                MAX_SESSIONS,
                 not members.notes(now, name),
                 location.takes and members.state(now, name) is MemberStatus.ALIVE,
             )
-            for name, location in self.neighbours.items()
+            for name, location in self.locations_by_member.items()
             if name in halls
         ]
 
     def _plan(self, now: int) -> None:
-        self.wishes = {key: each for key, each in self.wishes.items() if each[1] > now}
-        wishes = [wish for wish, _ in self.wishes.values()]
+        self.requested_migrations = {key: each for key, each in self.requested_migrations.items() if each[1] > now}
+        requests = [request for request, _ in self.requested_migrations.values()]
         if self.leaving or self.client_listener.paused:
             why = MigrationReason.LEAVING if self.leaving else MigrationReason.FAILING
-            wishes += [
+            requests += [
                 MigrationRequest(key, why)
                 for key in self.directory.sessions
-                if key not in self.transfers.planner.out and key not in self.transfers.planner.off
-            ][:WISHES]
-        for key, to in self.transfers.planner.plan(wishes, self._neighbours(), now) if wishes else ():
-            self.transfers.begin(key, to, now)
+                if key not in self.migrations.planner.targets and key not in self.migrations.planner.paused_until
+            ][:MAX_PLANNED_REQUESTS]
+        for key, to in self.migrations.planner.plan(requests, self._neighbours(), now) if requests else ():
+            self.migrations.begin(key, to, now)
 
-    def moved_by_hand(self, call: Call) -> str:
+    def move_on_command(self, call: Call) -> str:
         """Carry out the command `MOVE KEY SENDER` and return its answer.
 
-        Raises `InvalidMoveError`, `SessionNotHeldError`, or `SessionNotMovedError` after `MOVED_IN` seconds.
+        Raises `InvalidMoveError`, `SessionNotHeldError`, or `SessionNotMovedError` after a while.
         """
         text, _, to = call.argument.partition(" ")
         try:
@@ -258,15 +273,18 @@
         if to not in self.node.halls or to == self.name:
             raise InvalidMoveError(f"{to[:64]!r} is no other member")
         if key not in self.directory.sessions:
-            raise SessionNotHeldError(f"{key:016x} is held by {self.directory.where(key) or 'nobody'}")
-        self.wishes[key] = MigrationRequest(key, MigrationReason.STAFF, to), monotonic_time() + SECOND
-        end = self.ends.setdefault(key, gevent.event.AsyncResult())
-        if not end.wait(MOVED_IN):
-            self.ends.pop(key, None)
+            raise SessionNotHeldError(f"{key:016x} is held by {self.directory.holder_of(key) or 'nobody'}")
+        self.requested_migrations[key] = (
+            MigrationRequest(key, MigrationReason.OPERATOR, to),
+            monotonic_time() + OPERATOR_REQUEST_TTL_US,
+        )
+        end = self.awaited_moves.setdefault(key, gevent.event.AsyncResult())
+        if not end.wait(MOVE_COMMAND_TIMEOUT_S):
+            self.awaited_moves.pop(key, None)
             raise SessionNotMovedError(f"{key:016x} stays at {self.name}")
         return f"YES {key:016x} moved to {end.get()}\n"
 
-    def _see_ends(self) -> None:
-        for key in [key for key in self.ends if self.directory.where(key) not in (None, self.name)]:
-            self.wishes.pop(key, None)
-            self.ends.pop(key).set(self.directory.where(key))
+    def _answer_move_commands(self) -> None:
+        for key in [key for key in self.awaited_moves if self.directory.holder_of(key) not in (None, self.name)]:
+            self.requested_migrations.pop(key, None)
+            self.awaited_moves.pop(key).set(self.directory.holder_of(key))
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -8,7 +8,8 @@
 import gevent
 import gevent.event
 
-from cedarwick.errors import CedarwickError
+from cedarwick.fleet.counted_calls import counted_call
+from cedarwick.fleet.limits import US_PER_S
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
     Body,
@@ -18,33 +19,32 @@
     SessionLocations,
 )
 from cedarwick.fleet.migration_planner import MigrationRequest
-from cedarwick.fleet.migration_state import SECOND
 from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.recent_ids import RecentIds
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_migration import SessionMigrations
 from cedarwick.fleet.session_wire import entry_of
 from cedarwick.fleet.sessions import (
-    CLAIM,
-    Claim,
+    CLAIM_TIMEOUT_US,
+    ClaimAnswer,
     ClaimRequest,
     SessionDirectory,
 )
-from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerUnreachableError
+from cedarwick.fleet.transport import Peers
 from cedarwick.net.client_listener import ClientListener
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.submission import Submission
 
-AT_ONCE = 16  # peer messages to one member that wait for their answers
+MAX_CALLS_IN_FLIGHT = 16  # peer messages to one member that wait for their answers
 
 
-class InheritedSessions(NamedTuple):
-    """The recent message ids of a partition that this member has adopted."""
+class InheritableSessions(NamedTuple):
+    """The sessions of an adopted partition that this member may inherit, with their recent message ids."""
 
-    owner: str  # who took them
-    whole_at: int  # by the boot clock; until then recent ids may be missing
-    ids: dict[int, dict[str, tuple[int, int]]]  # by session: when they came, and the hash of what came with them
-    keys: set[int]  # inherited
+    owner: str  # the member that accepted the messages with these ids
+    complete_at: int  # by the boot clock; until then recent ids may be missing
+    recent_ids: dict[int, dict[str, tuple[int, int]]]  # by session: when they came, and the hash of what came with them
+    inherited_keys: set[int]  # of the sessions that were inherited so far
 
 
 class SessionState:
@@ -57,89 +57,84 @@
         self.lasting = node.lasting
         self.counters = node.counters
         self.clock = node.clock
-        self.lane = Peers(node.gate, node.where, AT_ONCE)
+        self.peers = Peers(node.gate, node.where, MAX_CALLS_IN_FLIGHT)
         now = monotonic_time()
         self.directory = SessionDirectory(self.name, len(node.halls), now)
-        self.transfers = SessionMigrations(node, self.directory, self._call, self._takes, self._change)
-        self.moves = self.transfers.moves
+        self.migrations = SessionMigrations(
+            node, self.directory, self._call, self._accepts_sessions, self._notify_change
+        )
+        self.moves = self.migrations.moves
         self.dispatcher: Dispatcher
         self.client_listener: ClientListener
         self.leaving = False
         self.changed = gevent.event.Event()  # something that a submission may wait for
         self.pending: dict[str, Submission] = {}  # by id: at the dispatcher
-        self.wishes: dict[int, tuple[MigrationRequest, int]] = {}  # and until when
-        self.ends: dict[int, gevent.event.AsyncResult] = {}  # by key: staff wait for the end of its move
-        self.neighbours: dict[str, SessionLocations] = {}  # what each member sent last
-        self.first_seen: dict[str, int] = {}  # by member: its first boot known here
-        self.new: set[str] = set()  # members that have never run before, and know of no earlier boot of this one
-        self.void: set[str] = set()  # members whose sessions were given up
-        self.gossiped_at = self.forgot_at = 0
+        self.requested_migrations: dict[int, tuple[MigrationRequest, int]] = {}  # and until when
+        self.awaited_moves: dict[int, gevent.event.AsyncResult] = {}  # by key: operators wait for the end of its move
+        self.locations_by_member: dict[str, SessionLocations] = {}  # what each member sent last
+        self.first_incarnations: dict[str, int] = {}  # by member: its first boot known here
+        # Members that have never run before, and know of no earlier boot of this one:
+        self.members_without_history: set[str] = set()
+        self.abandoned_members: set[str] = set()  # dead or gone ones, whose entries have been aged
+        self.locations_sent_at = self.forgot_at = 0
         self.partition = 0  # in which the sessions that are held for sure were taken
-        self.memories: dict[int, RecentIds] = {}  # by partition, of the copies that lie here
-        self.estates: dict[int, InheritedSessions] = {}  # by partition that was adopted here
+        self.replica_recent_ids: dict[int, RecentIds] = {}  # by partition, of the replicas here
+        self.inheritable_sessions: dict[int, InheritableSessions] = {}  # by partition that was adopted here
 
-    def _standing(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
-        """As `Moves.standing`, except that a session which has moved away and come back is here."""
-        there, to = self.moves.standing(key)
+    def _routing_state(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
+        """As `MigrationTable.routing_state`, except that a session which has moved away and come back is here."""
+        there, to = self.moves.routing_state(key)
         return ("here", "") if there == "pass" and key in self.directory.sessions else (there, to)
 
-    def _lives(self, name: str) -> bool:
+    def _is_alive(self, name: str) -> bool:
         return name != self.name and self.node.members.state(monotonic_time(), name) is MemberStatus.ALIVE
 
-    def _wait(self, until: int) -> bool:
+    def _wait_for_change(self, until: int) -> bool:
         """Wait until `until` for a change; returns whether there was one."""
-        return self.changed.wait(max(0, until - monotonic_time()) / SECOND) is True
+        return self.changed.wait(max(0, until - monotonic_time()) / US_PER_S) is True
 
-    def _change(self) -> None:
+    def _notify_change(self) -> None:
         changed, self.changed = self.changed, gevent.event.Event()
         changed.set()
 
-    def _bind(self) -> None:
+    def _mark_unsure_after_takeover(self) -> None:
         """Called before each ruling: after a change of the open partition no held session is certain any more."""
         current = self.store.current
         if current is not None and current.partition != self.partition:
             if self.partition:
-                self.directory.unsure()
-                self.transfers.slept = set(self.transfers.offers)
+                self.directory.mark_all_unsure()
+                self.migrations.staged_before_adoption = set(self.migrations.offers)
             self.partition = current.partition
 
-    def _takes(self) -> bool:
+    def _accepts_sessions(self) -> bool:
         return not (self.leaving or self.node.leaving or self.client_listener.paused) and self.store.taking()
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
-        try:
-            return self.lane.call(name, body, within_s)
-        except PeerUnreachableError:
-            self.counters.add(f"peer messages about sessions without an answer: {name}")
-        except PeerRefusedError as error:
-            self.counters.warning(f"{name} refused a peer message about sessions", error)
-        except CedarwickError as error:
-            self.counters.warning("a peer message about sessions that was not sent", error)
-        return None
+        return counted_call(self.peers.call, name, body, within_s, self.counters, "sessions")
 
     def _claim(self, key: int) -> bool:
         """Claim a session from all members; returns whether a claim was made, so that it can be ruled on again."""
         # Only while messages can be taken: until the next partition is held, a successor of the last one may still be
         # granted a session that is claimed anew here.
-        asking = self.directory.claim(key, monotonic_time()) if self.store.taking() else None
-        if asking is None:
+        request = self.directory.begin_claim(key, monotonic_time()) if self.store.taking() else None
+        if request is None:
             return False
-        self._ask_all(asking, SessionClaim(asking.key, asking.sequence, *asking.over, asking.at))
+        self._ask_all(request, SessionClaim(request.key, request.sequence, *request.over, request.at))
         self.counters.add("sessions claimed" if key in self.directory.sessions else "claims that failed")
         return True
 
-    def _ask_all(self, asking: ClaimRequest, body: SessionClaim | SessionInheritance) -> None:
-        """Send a claim to all others; returns once it is granted, all have answered, or `CLAIM` has passed."""
+    def _ask_all(self, request: ClaimRequest, body: SessionClaim | SessionInheritance) -> None:
+        """Send a claim to all others; return once it is granted, all have answered, or `CLAIM_TIMEOUT_US` is over."""
         over = gevent.event.Event()
         others = [name for name in self.node.halls if name != self.name]
         answered: list[str] = []
 
         def ask(name: str) -> None:
-            answer = self._call(name, body, CLAIM / SECOND)
+            answer = self._call(name, body, CLAIM_TIMEOUT_US / US_PER_S)
             if isinstance(answer, ClaimReply):
-                claim = Claim(answer.granted, entry_of(answer.entry))
-                if self.directory.answered(asking, name, claim, monotonic_time()):
-                    self._change()
+                claim = ClaimAnswer(answer.granted, entry_of(answer.entry))
+                if self.directory.record_claim_answer(request, name, claim, monotonic_time()):
+                    self._notify_change()
                     over.set()
             answered.append(name)
             if len(answered) == len(others):
@@ -147,4 +142,4 @@
 
         for name in others:
             gevent.spawn(ask, name)
-        over.wait(CLAIM / SECOND)
+        over.wait(CLAIM_TIMEOUT_US / US_PER_S)
--- a/tests/fleet/test_session_inheritance.py
+++ b/tests/fleet/test_session_inheritance.py
@@ -9,11 +9,19 @@
 
 from cedarwick.fleet.consensus import Acceptor, name_move
 from cedarwick.fleet.messages import LEVEL, VERSION, PeerMessage, RecentIdEntry, StageSession, decode, encode
-from cedarwick.fleet.recent_ids import UNKNOWN, RecentIds, hash_of
+from cedarwick.fleet.recent_ids import UNKNOWN_HASH, RecentIds, hash_of
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication import EVERYTHING
 from cedarwick.fleet.replication_facts import EndRank, Fact, LifeSummary, MessageBase, MessageKnowledge
-from cedarwick.fleet.sessions import FORGOTTEN, LAPSES, REMEMBERED, Claim, ClaimRequest, ClaimRuling, SessionDirectory
+from cedarwick.fleet.sessions import (
+    ENTRY_TTL_US,
+    ID_RETENTION_US,
+    SESSION_TTL_US,
+    ClaimAnswer,
+    ClaimRequest,
+    SessionDirectory,
+    SubmissionRuling,
+)
 
 KEY, SECOND = 7, 1_000_000
 SEEDS = 2200  # the guards of this rule are missed by one of them each, if they are taken out
@@ -41,13 +49,15 @@
         self.awake = True
         self.lost = False  # its partition was adopted
         self.frozen = ""  # the move that its session is frozen for
-        self.staged = ""  # the move that it is the taker of, from its own vote on
+        self.staged = ""  # the move that it is the target of, from its own vote on
         self.slept = ""  # the move that was staged when its partition was adopted
-        self.estates: dict[tuple[str, int], tuple[int, list[int]]] = {}  # when whole; when the id was taken
+        self.inheritable_sessions: dict[
+            tuple[str, int], tuple[int, list[int]]
+        ] = {}  # when whole; when the id was taken
 
-    def barred(self, move: str, giver: "Member", now: int) -> bool:
-        """As `Transfers._barred`."""
-        return self.directory.bars(KEY, giver.name, now, move in self.acceptor.rows or giver.awake)
+    def barred(self, move: str, source: "Member", now: int) -> bool:
+        """As `MigrationVotes._barred`."""
+        return self.directory.forbids_vote(KEY, source.name, now, move in self.acceptor.rows or source.awake)
 
 
 class Model:
@@ -59,7 +69,7 @@
         self.members = {name: Member(name) for name in NAMES}
         self.taken: list[tuple[int, str, int]] = []  # when, by whom, in which partition
         self.since = dict.fromkeys(NAMES, 0)  # from when on a copy of the newest partition knows all ids
-        self.peer_messages: list[tuple[str, str, object, Claim | None]] = []
+        self.peer_messages: list[tuple[str, str, object, ClaimAnswer | None]] = []
         self.moves: dict[str, tuple[str, str, int, dict[str, tuple[int, int]], set[str]]] = {}
         self.began: dict[str, int] = {}
         self.stamp = 1
@@ -67,7 +77,7 @@
 
     def step(self) -> None:
         what = self.drawn.choice(WHAT)
-        self.now += self.drawn.choice([0] * 60 + [SECOND, 4 * SECOND, REMEMBERED + 1])
+        self.now += self.drawn.choice([0] * 60 + [SECOND, 4 * SECOND, ID_RETENTION_US + 1])
         for each in self.members.values():
             if each.awake:
                 each.directory.forget(self.now)
@@ -100,9 +110,9 @@
             for at, by, partition in self.taken
             if (by, partition) == (two.name, two.partition) and at >= self.since[two.name]
         ]
-        one.estates[two.name, two.partition] = self.since[two.name] + REMEMBERED, found
+        one.inheritable_sessions[two.name, two.partition] = self.since[two.name] + ID_RETENTION_US, found
         for each in (one, third):
-            each.directory.without(two.name, self.now)
+            each.directory.expire_entries_of(two.name, self.now)
 
     def open(self, one: Member, two: Member) -> None:
         """Granted by `one` and `two`: the next partition of one that has lost its own."""
@@ -113,7 +123,7 @@
         for each in (one, two):
             each.newest[one.name] = max(each.newest[one.name], one.partition)
             each.holders[one.name, one.partition] = one.name
-        one.directory.unsure()
+        one.directory.mark_all_unsure()
         one.slept = one.staged
 
     def gap(self, one: Member, two: Member) -> None:
@@ -128,8 +138,8 @@
             if one.staged:
                 self.moves[one.staged][4].add("active")  # it has forgotten it
             one.frozen = one.staged = ""
-            one.estates.clear()
-            # A move that is still undecided 15 s after its giver was started again is another matter.
+            one.inheritable_sessions.clear()
+            # A move that is still undecided 15 s after its source was started again is another matter.
             for name in [
                 name for name, move in self.moves.items() if move[0] == one.name and len(move[4] - {"active"}) < 2
             ]:
@@ -140,45 +150,45 @@
 
     def gossip(self, one: Member, two: Member) -> None:
         if not one.lost:
-            two.directory.heard(one.directory.news(9, self.now), self.now)
+            two.directory.merge_entries(one.directory.next_locations(9, self.now), self.now)
 
     # ---- moves ----
 
     def move(self, one: Member, two: Member) -> None:
         session = one.directory.sessions.get(KEY)
-        if one.lost or one.frozen or session is None or not session.sure or session.used < self.now - LAPSES:
+        if one.lost or one.frozen or session is None or not session.sure or session.used < self.now - SESSION_TTL_US:
             return
         name = one.frozen = name_move(self.stamp, one.name, two.name)
         self.stamp += 1
-        one.directory.hold(KEY, session.sequence + 1, one.directory.ids(KEY, self.now), self.now)
+        one.directory.hold(KEY, session.sequence + 1, one.directory.recent_ids(KEY, self.now), self.now)
         self.began[name] = self.now
         self.moves[name] = (
             one.name,
             two.name,
             session.sequence + 1,
-            {id: (self.now - age, hashed) for id, (age, hashed) in one.directory.ids(KEY, self.now).items()},
+            {id: (self.now - age, hashed) for id, (age, hashed) in one.directory.recent_ids(KEY, self.now).items()},
             set(),
         )
 
     def vote(self, one: Member, two: Member) -> None:
-        """`one` gets the taker's question on one of the moves; the giver of a decided one hears of it."""
+        """`one` gets the target's question on one of the moves; the source of a decided one hears of it."""
         if not self.moves:
             return
         name = self.drawn.choice(list(self.moves)[-2:])
-        giver, taker, sequence, ids, votes = self.moves[name]
-        if not votes and (one.name != taker or self.now > self.began[name] + 4 * SECOND):
+        source, target, sequence, ids, votes = self.moves[name]
+        if not votes and (one.name != target or self.now > self.began[name] + 4 * SECOND):
             return  # it asks nobody before it has kept what was staged, and no peer message comes later than that
-        if self.members[taker].awake and not one.barred(name, self.members[giver], self.now):
-            if one.acceptor.accept(name, (1, taker), "taker", self.now, KEY).granted:
+        if self.members[target].awake and not one.barred(name, self.members[source], self.now):
+            if one.acceptor.accept(name, (1, target), "taker", self.now, KEY).granted:
                 votes.add(one.name)
-                if one.name == taker and "active" not in votes:
+                if one.name == target and "active" not in votes:
                     one.staged = name
         if len(votes) < 2:
             return
-        if one.name == taker and "active" not in votes and not one.lost:
+        if one.name == target and "active" not in votes and not one.lost:
             votes.add("active")
             directory, one.staged = one.directory, ""
-            if not directory.superseded(KEY, giver, sequence):
+            if not directory.superseded(KEY, source, sequence):
                 directory.hold(
                     KEY,
                     sequence + 1,
@@ -186,9 +196,9 @@
                     self.now,
                     one.slept != name,
                 )
-        if one.name == giver and one.frozen == name:
+        if one.name == source and one.frozen == name:
             one.frozen = ""
-            one.directory.gone(KEY, taker, sequence + 1, self.now)
+            one.directory.record_new_holder(KEY, target, sequence + 1, self.now)
 
     # ---- submissions ----
 
@@ -207,22 +217,27 @@
         if answer is not None:
             asking = told[0] if isinstance(told, tuple) and isinstance(told[0], ClaimRequest) else told
             assert isinstance(asking, ClaimRequest)
-            member.directory.answered(asking, by, answer, self.now)
+            member.directory.record_claim_answer(asking, by, answer, self.now)
         elif isinstance(told, ClaimRequest):
             moving = member.frozen + member.staged != ""
             self.peer_messages.append(
-                (by, to, told, Claim(False, None) if moving else member.directory.claimed(told, by, self.now))
+                (
+                    by,
+                    to,
+                    told,
+                    ClaimAnswer(False, None) if moving else member.directory.answer_claim(told, by, self.now),
+                )
             )
         else:
             assert isinstance(told, tuple)
             self.peer_messages.append((by, to, told, self.successor_claims(member, told[0], told[1], by)))
 
-    def successor_claims(self, member: Member, asking: ClaimRequest, partition: int, by: str) -> Claim:
-        """As `Traffic._successor_claims`."""
+    def successor_claims(self, member: Member, asking: ClaimRequest, partition: int, by: str) -> ClaimAnswer:
+        """As `SessionInheritances._answer_inheritance`."""
         holder = asking.over[1]
         holds = member.newest[holder] == partition and member.holders.get((holder, partition)) == by
-        moved = member.acceptor.moved(KEY, holder, self.now - REMEMBERED) or member.frozen + member.staged != ""
-        return member.directory.successor_claims(asking, by, holds, moved, self.now)
+        moved = member.acceptor.moved(KEY, holder, self.now - ID_RETENTION_US) or member.frozen + member.staged != ""
+        return member.directory.answer_inheritance(asking, by, holds, moved, self.now)
 
     def submit(self, one: Member, two: Member) -> None:
         """A client of `one`, which passes to `two` alone."""
@@ -230,46 +245,52 @@
             return
         ruling, holder = one.directory.rule(KEY, "id", 1, False, self.now), one
         if (
-            ruling is ClaimRuling.PASS
+            ruling is SubmissionRuling.FORWARD
             and two.awake
-            and one.directory.where(KEY) == two.name
+            and one.directory.holder_of(KEY) == two.name
             and not two.frozen + two.staged
         ):
             ruling, holder = two.directory.rule(KEY, "id", 1, True, self.now), two
-            if ruling is ClaimRuling.ELSEWHERE:
-                ruling = one.directory.refused(KEY, two.name, two.directory.elsewhere(KEY, self.now), self.now)
+            if ruling is SubmissionRuling.NOT_HELD:
+                ruling = one.directory.forward_refused(
+                    KEY, two.name, two.directory.answer_not_held(KEY, self.now), self.now
+                )
                 holder = one
-        elif ruling is ClaimRuling.PASS and not self.members[one.directory.where(KEY) or "A"].awake:
+        elif ruling is SubmissionRuling.FORWARD and not self.members[one.directory.holder_of(KEY) or "A"].awake:
             self.inherit(one)
-        if ruling is ClaimRuling.CLAIM and not holder.lost:
-            begun = holder.directory.claim(KEY, self.now)
+        if ruling is SubmissionRuling.CLAIM and not holder.lost:
+            begun = holder.directory.begin_claim(KEY, self.now)
             if begun is not None:
                 self.peer_messages += [(name, holder.name, begun, None) for name in NAMES if name != holder.name]
-        if ruling is ClaimRuling.TAKE and not holder.lost:
-            last = max((at for at, _, _ in self.taken), default=-FORGOTTEN)
-            if self.now - last <= REMEMBERED:
+        if ruling is SubmissionRuling.ACCEPT and not holder.lost:
+            last = max((at for at, _, _ in self.taken), default=-ENTRY_TTL_US)
+            if self.now - last <= ID_RETENTION_US:
                 raise AssertionError(f"taken at {last} and {self.now}: {self.taken[-2:]}, now by {holder.name}")
             self.taken.append((self.now, holder.name, holder.partition))
-            holder.directory.took(KEY, "id", 1, self.now)
+            holder.directory.record_accepted(KEY, "id", 1, self.now)
             # Its lease was renewed by a majority, which hears this too.
-            told = holder.directory.news(9, self.now)
-            self.members[self.drawn.choice([name for name in NAMES if name != holder.name])].directory.heard(
+            told = holder.directory.next_locations(9, self.now)
+            self.members[self.drawn.choice([name for name in NAMES if name != holder.name])].directory.merge_entries(
                 told, self.now
             )
 
     def inherit(self, one: Member) -> None:
-        """As `Traffic._inherit`."""
+        """As `SessionInheritances._inherit`."""
         entry = one.directory.entry(KEY, self.now)
         if entry is None or one.lost or entry.holder == one.name:
             return
         partition = one.newest[entry.holder]
-        whole_at, found = one.estates.get((entry.holder, partition), (self.now + 1, []))
-        if whole_at > self.now or one.holders.get((entry.holder, partition)) != one.name:
+        complete_at, found = one.inheritable_sessions.get((entry.holder, partition), (self.now + 1, []))
+        if complete_at > self.now or one.holders.get((entry.holder, partition)) != one.name:
             return
         over = entry.sequence, entry.holder
         if self.successor_claims(one, ClaimRequest(KEY, 0, over, self.now), partition, one.name).granted:
-            ids = {"id": (self.now - max(found), 1)} if max(found, default=-FORGOTTEN) >= self.now - REMEMBERED else {}
-            asking = one.directory.inherit(KEY, ids, self.now)
+            ids = (
+                {"id": (self.now - max(found), 1)}
+                if max(found, default=-ENTRY_TTL_US) >= self.now - ID_RETENTION_US
+                else {}
+            )
+            asking = one.directory.begin_inheritance(KEY, ids, self.now)
             if asking is not None:
                 self.inherited += 1
                 self.peer_messages += [
@@ -290,19 +311,21 @@
         self.assertGreater((inherited, taken), (200, 3000))
 
 
-class Memories(unittest.TestCase):
+class RecentIdsOfAReplica(unittest.TestCase):
     BASE = MessageBase("1", "", KEY, "line", "", 0, 9, b"x")
 
     def step(self, first: int, *facts: Fact, term: int = 1) -> tuple[ReplicaEntry, tuple[Fact, ...]]:
         return ReplicaEntry(term, first + len(facts), EVERYTHING, 0, 0, b""), facts
 
     def test_an_ended_id_is_known_as_long_as_it_counts_and_one_that_was_turned_away_is_not(self) -> None:
-        memory = RecentIds(0)
-        memory.heard(ReplicaEntry(1, 5, EVERYTHING, 0, EVERYTHING, b""), (), 0)
+        recent_ids = RecentIds(0)
+        recent_ids.record(ReplicaEntry(1, 5, EVERYTHING, 0, EVERYTHING, b""), (), 0)
         second = MessageBase("2", "", KEY, "line", "", 0, 9, b"y")
-        memory.heard(*self.step(5, Fact(1, self.BASE, MessageKnowledge()), Fact(2, second, MessageKnowledge())), 10)
-        memory.heard(*self.step(7, Fact(1, None, MessageKnowledge({1: LifeSummary(1, False, 5, 0)}))), 20)
-        memory.heard(
+        recent_ids.record(
+            *self.step(5, Fact(1, self.BASE, MessageKnowledge()), Fact(2, second, MessageKnowledge())), 10
+        )
+        recent_ids.record(*self.step(7, Fact(1, None, MessageKnowledge({1: LifeSummary(1, False, 5, 0)}))), 20)
+        recent_ids.record(
             *self.step(
                 8,
                 Fact(1, None, MessageKnowledge({1: LifeSummary(1, True, 5, 0)}, end=(EndRank.COMPLETED, 0))),
@@ -310,10 +333,10 @@
             ),
             30,
         )
-        self.assertEqual(memory.by_key(), {KEY: {"1": (10, hash_of(self.BASE))}})
-        self.assertEqual(memory.whole_at(), REMEMBERED)
-        memory.heard(*self.step(10), REMEMBERED + 11)
-        self.assertEqual(memory.by_key(), {})
+        self.assertEqual(recent_ids.by_key(), {KEY: {"1": (10, hash_of(self.BASE))}})
+        self.assertEqual(recent_ids.complete_at(), ID_RETENTION_US)
+        recent_ids.record(*self.step(10), ID_RETENTION_US + 11)
+        self.assertEqual(recent_ids.by_key(), {})
 
     def test_a_gap_another_term_and_too_many_ids_begin_the_time_anew(self) -> None:
         for step, since in (
@@ -323,23 +346,23 @@
             ((ReplicaEntry(1, 8, EVERYTHING, 0, EVERYTHING, b""), ()), 9),
             ((ReplicaEntry(1, 3, EVERYTHING, 0, EVERYTHING, b""), ()), 0),
         ):
-            memory = RecentIds(0)
-            memory.heard(ReplicaEntry(1, 3, 5, 0, 5, b""), (), 0)
-            memory.heard(*step, 9)
-            self.assertEqual(memory.since, since)
-        with mock.patch("cedarwick.fleet.recent_ids.MOST", 2):
-            memory.heard(*self.step(3, *(Fact(number, self.BASE, MessageKnowledge()) for number in (1, 2))), 20)
-            memory.heard(*self.step(5, Fact(3, self.BASE, MessageKnowledge())), 30)
-        self.assertEqual((memory.since, list(memory.taken)), (21, [2, 3]))
+            recent_ids = RecentIds(0)
+            recent_ids.record(ReplicaEntry(1, 3, 5, 0, 5, b""), (), 0)
+            recent_ids.record(*step, 9)
+            self.assertEqual(recent_ids.since, since)
+        with mock.patch("cedarwick.fleet.recent_ids.MAX_IDS", 2):
+            recent_ids.record(*self.step(3, *(Fact(number, self.BASE, MessageKnowledge()) for number in (1, 2))), 20)
+            recent_ids.record(*self.step(5, Fact(3, self.BASE, MessageKnowledge())), 30)
+        self.assertEqual((recent_ids.since, list(recent_ids.by_number)), (21, [2, 3]))
 
     def test_an_id_whose_contents_are_not_known_goes_along_in_a_move(self) -> None:
-        stage = StageSession("m", KEY, 1, b"", 0, (RecentIdEntry("1", 0, UNKNOWN),))
+        stage = StageSession("m", KEY, 1, b"", 0, (RecentIdEntry("1", 0, UNKNOWN_HASH),))
         self.assertEqual(decode(encode(PeerMessage(VERSION, LEVEL, "g", "a", 1, "b", stage))).body, stage)
 
     def test_contents_that_are_not_told_any_more_are_those_of_no_request(self) -> None:
-        memory = RecentIds(0)
-        memory.heard(*self.step(0, Fact(1, self.BASE, MessageKnowledge(end=(EndRank.FAILED, 0)))), 1)
-        self.assertEqual(memory.by_key(), {KEY: {"1": (1, UNKNOWN)}})
+        recent_ids = RecentIds(0)
+        recent_ids.record(*self.step(0, Fact(1, self.BASE, MessageKnowledge(end=(EndRank.FAILED, 0)))), 1)
+        self.assertEqual(recent_ids.by_key(), {KEY: {"1": (1, UNKNOWN_HASH)}})
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_session_migration.py
+++ b/tests/fleet/test_session_migration.py
@@ -14,20 +14,20 @@
 from cedarwick.fleet import migration_table as moves_module
 from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Ballot, Proposer, ProposerRequest, Value, name_move
 from cedarwick.fleet.migration_planner import (
-    AFTER_OFF,
-    FULL,
-    STAYS,
+    CALL_OFF_PAUSE_US,
+    MAX_LOAD_SHARE,
+    MIN_STAY_US,
     MigrationPlanner,
     MigrationReason,
     MigrationRequest,
     Neighbour,
 )
 from cedarwick.fleet.migration_table import (
-    CALL_OFF,
-    FORWARDS,
-    FREEZE,
-    MOST_IN,
-    MOST_OUT,
+    CALL_OFF_AFTER_US,
+    FORWARDING_US,
+    FREEZE_TIMEOUT_US,
+    MAX_MOVES_IN,
+    MAX_MOVES_OUT,
     Migration,
     MigrationAction,
     MigrationStep,
@@ -36,17 +36,17 @@
     TargetStage,
 )
 from cedarwick.fleet.sessions import (
-    CLAIM,
-    FORGOTTEN,
-    LAPSES,
-    MOST,
-    REMEMBERED,
-    Claim,
+    CLAIM_TIMEOUT_US,
+    ENTRY_TTL_US,
+    ID_RETENTION_US,
+    MAX_ENTRIES,
+    SESSION_TTL_US,
+    ClaimAnswer,
     ClaimRequest,
-    ClaimRuling,
     Entry,
     SessionDirectory,
-    contents,
+    SubmissionRuling,
+    contents_hash,
 )
 
 KEY, MS = 7, 1000
@@ -55,7 +55,11 @@
 
 # What can happen to a member, and what leaves it: to whom, or of whom where it is for the judge alone.
 Event = (
-    tuple[Literal["begin", "idle", "marked", "staged", "call_off", "written", "round", "learn", "restart", "due"]]
+    tuple[
+        Literal[
+            "begin", "attempts_ended", "marked", "staged", "call_off", "written", "round", "learn", "restart", "due"
+        ]
+    ]
     | tuple[Literal["stage", "bereft"], bool]
     | tuple[Literal["adopt"], bool, str | None]
     | tuple[Literal["ask"], str, ProposerRequest]
@@ -76,7 +80,7 @@
 
 STAGED: Way = (
     (0, ("begin",)),
-    (0, ("idle",)),
+    (0, ("attempts_ended",)),
     (0, ("marked",)),
     (1, ("stage", True)),
     (1, ("written",)),
@@ -94,8 +98,8 @@
         self.name, self.made, self.boots = name, made, 0
         self.acceptor = acceptor(0)
         self.moves = made(name, f"{name}#0", ("A", "B", "C"), self.acceptor, jitter)
-        self.gives: str | None = "live" if name == "A" else None  # the giver's facts: live, marked, over
-        self.takes: str | None = None  # the taker's: staged, live, dropped
+        self.gives: str | None = "live" if name == "A" else None  # the source's facts: live, marked, over
+        self.takes: str | None = None  # the target's: staged, live, dropped
         self.marked_at_successors = self.staged_at_successors = False
         self.gives_held, self.takes_held = name == "A", name == "B"  # the lease on the partition they lie in
 
@@ -120,7 +124,7 @@
 
     def fires_as_giver(self) -> bool:
         move = self.move()
-        return self.gives_held and self.gives == "live" and (move is None or move.giving not in FROZEN)
+        return self.gives_held and self.gives == "live" and (move is None or move.source_stage not in FROZEN)
 
     def fires_as_taker(self) -> bool:
         return self.takes_held and self.takes == "live"
@@ -134,15 +138,15 @@
         if self.name == "A" and self.gives == "live" and move is None and not self.boots:
             found.append(("begin",))
         if move is not None:
-            if move.giving is SourceStage.FREEZING:
-                found.append(("marked",) if move.marking else ("idle",))
-            if move.giving in (SourceStage.FREEZING, SourceStage.OFFERED) and move.proposer is None:
+            if move.source_stage is SourceStage.FREEZING:
+                found.append(("marked",) if move.marking else ("attempts_ended",))
+            if move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED) and move.proposer is None:
                 found.append(("call_off",))
-            if move.taking is TargetStage.STAGED and not move.written and self.takes_held:
+            if move.target_stage is TargetStage.STAGED and not move.written and self.takes_held:
                 found.append(("written",))
             if move.value is None and move.proposer is not None and move.proposer.highest < 3:
                 found.append(("round",))
-            if (move.giving and not self.gives_held) or (move.taking and not self.takes_held):
+            if (move.source_stage and not self.gives_held) or (move.target_stage and not self.takes_held):
                 found.append(("learn",))
         return found
 
@@ -163,10 +167,10 @@
             acts = self.moves.written(MOVE, now)
         elif event[0] == "round":
             assert move is not None and move.proposer is not None
-            acts = self.moves._asks(move.proposer.settle(now))
+            acts = self.moves._vote_requests(move.proposer.settle(now))
         elif event[0] == "learn":
             for gives in [each for each, held in ((True, self.gives_held), (False, self.takes_held)) if not held]:
-                self.moves.lost(MOVE, gives)
+                self.moves.side_lost(MOVE, gives)
                 self.gives, self.takes = (None, self.takes) if gives else (self.gives, None)
         elif event[0] == "restart":
             self.boots += 1
@@ -174,17 +178,17 @@
             table = self.acceptor.table()
             self.acceptor.load(table, now)
             if self.gives_held and self.gives == "marked":
-                acts += self.moves.found(MOVE, KEY, True, now)
+                acts += self.moves.marks_found(MOVE, KEY, True, now)
             if self.takes_held and self.takes == "staged":
                 self.staged_at_successors = True
-                acts += self.moves.found(MOVE, KEY, False, now)
+                acts += self.moves.marks_found(MOVE, KEY, False, now)
         elif event[0] == "adopt":
             _, gives, found = event
             if gives:
                 self.gives, self.gives_held = found, True
             else:
                 self.takes, self.takes_held, self.staged_at_successors = found, True, True
-            acts = self.moves.found(MOVE, KEY, gives, now) if found in ("marked", "staged") else []
+            acts = self.moves.marks_found(MOVE, KEY, gives, now) if found in ("marked", "staged") else []
         elif event[0] == "bereft":
             self.gives_held, self.takes_held = (False, self.takes_held) if event[1] else (self.gives_held, False)
             return sent
@@ -195,7 +199,7 @@
             return [*votes, answer]
         elif event[0] == "tell" or event[0] == "said":
             acts = self.moves.settled(MOVE, event[2], event[3], now)
-            value, active = self.moves.said(MOVE)
+            value, active = self.moves.known_decision(MOVE)
             if value is not None and event[0] == "tell":
                 sent.append(("said", event[1], self.name, value, active))
         elif event[0] == "answer":
@@ -209,40 +213,40 @@
         return sent
 
     def act(self, act: MigrationStep, now: int) -> list[Message]:
-        if act.do is MigrationAction.ASK:
+        if act.action is MigrationAction.ASK:
             assert act.ask is not None
             if act.to == self.name:
                 votes, answer = self.asked(self.name, act.ask, now)
                 return votes + self.do(("answer", answer[2], answer[3]), now)
             return [("ask", act.to, self.name, act.ask)]
-        if act.do is MigrationAction.TELL:
+        if act.action is MigrationAction.TELL:
             assert act.value is not None
             return [
                 ("tell", to, self.name, act.value, act.active)
                 for to in ([act.to] if act.to else "ABC")
                 if to != self.name
             ]
-        if act.do is MigrationAction.STAGE:
+        if act.action is MigrationAction.STAGE:
             return [("stage", "B")]
-        if act.do is MigrationAction.STAGED:
+        if act.action is MigrationAction.STAGED:
             return [("staged", "A")]
-        if act.do is MigrationAction.REFUSE:
+        if act.action is MigrationAction.REFUSE:
             return [("refused", "A")]
-        if act.do is MigrationAction.WRITE:
+        if act.action is MigrationAction.WRITE:
             again: list[Message] = [("again", self.name)] if self.takes in ("live", "dropped") else []
             self.takes = "staged"
             return again
-        elif act.do is MigrationAction.ACTIVATE:
+        elif act.action is MigrationAction.ACTIVATE:
             self.takes = "live"
             sent: list[Message] = [("fired", self.name)] if self.takes_held else []
             for each in self.moves.activated(MOVE, now):
                 sent += self.act(each, now)
             return sent
-        elif act.do is MigrationAction.DROP:
+        elif act.action is MigrationAction.DROP:
             self.takes = "dropped"
-        elif act.do is MigrationAction.RELEASE:
+        elif act.action is MigrationAction.RELEASE:
             self.gives = "live"
-        elif act.do is MigrationAction.OVER:
+        elif act.action is MigrationAction.OVER:
             self.gives = "over"
         return []
 
@@ -399,9 +403,9 @@
         if not givers & {"live", "marked"} and not takers & {"staged", "live"}:
             raise UnsafeMoveError("lost")
         if decided == {"off"} and not givers & {"live", "marked"}:
-            raise UnsafeMoveError("called off, and the giver's gone")
+            raise UnsafeMoveError("called off, and the source's gone")
         if decided == {"taker"} and not takers & {"staged", "live"} or fired and decided != {"taker"}:
-            raise UnsafeMoveError("the taker's without the decree, or the decree without the taker's")
+            raise UnsafeMoveError("the target's without the decision, or the decision without the target's")
 
     def explore(self, depth: int, restarts: int, adoptions: int, every: int = 0, after: Way = ()) -> int:
         """States seen; each is judged, and one in `every` is run to its fair end. `after`: begin with these events."""
@@ -432,7 +436,7 @@
         for now in range(0, 20_000 * MS, 50 * MS):
             for member in members:
                 for event in member.events():
-                    if event[0] in ("idle", "marked", "written"):
+                    if event[0] in ("attempts_ended", "marked", "written"):
                         queue += member.do(event, now)
                 queue += member.do(("due",), now)
             while queue:
@@ -449,16 +453,16 @@
 class Hasty(MigrationTable):
     def staged(self, name: str, now: int) -> list[MigrationStep]:
         move = self.moves.get(name)
-        if move is None or move.giving is not SourceStage.OFFERED:
+        if move is None or move.source_stage is not SourceStage.OFFERED:
             return []
-        move.giving = SourceStage.FORWARDING
+        move.source_stage = SourceStage.FORWARDING
         return [MigrationStep(MigrationAction.OVER, name)]
 
 
 class Eager(MigrationTable):
     def written(self, name: str, now: int) -> list[MigrationStep]:
         acts = super().written(name, now)
-        self.moves[name].taking = TargetStage.GRANTED
+        self.moves[name].target_stage = TargetStage.GRANTED
         return [MigrationStep(MigrationAction.ACTIVATE, name), *acts]
 
 
@@ -476,7 +480,7 @@
 class Giddy(MigrationTable):
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
         move = self.moves.get(name)
-        return self._decided(move, "off", now) if move and move.giving is SourceStage.OFFERED else []
+        return self._decided(move, "off", now) if move and move.source_stage is SourceStage.OFFERED else []
 
 
 class Forgetful(Acceptor):
@@ -529,26 +533,31 @@
         member = Member("A", MigrationTable, Acceptor)
         member.do(("begin",))
         moves = member.moves
-        self.assertEqual((moves.next_at(), moves.standing(KEY)), (FREEZE, ("wait", "")))
-        self.assertEqual([act.do for act in moves.due(FREEZE)], [MigrationAction.MARK])
-        self.assertEqual([act.do for act in moves.marked(MOVE, FREEZE)], [MigrationAction.STAGE])
-        self.assertEqual(moves.near_limit(MOVE), "failed")
-        self.assertEqual([act.do for act in moves.due(FREEZE + moves_module.AGAIN)], [MigrationAction.STAGE])
-        self.assertEqual([ask.value for ask in asks(moves.due(CALL_OFF))], [None] * 3)
-        moves.settled(MOVE, "taker", False, CALL_OFF)
-        self.assertEqual([act.do for act in moves.due(CALL_OFF + moves_module.AGAIN)], [MigrationAction.TELL])
-        self.assertEqual((moves.standing(KEY), moves.near_limit(MOVE)), (("pass", "B"), "over"))
+        self.assertEqual((moves.next_at(), moves.routing_state(KEY)), (FREEZE_TIMEOUT_US, ("wait", "")))
+        self.assertEqual([act.action for act in moves.due(FREEZE_TIMEOUT_US)], [MigrationAction.MARK])
+        self.assertEqual([act.action for act in moves.marked(MOVE, FREEZE_TIMEOUT_US)], [MigrationAction.STAGE])
+        self.assertEqual(moves.near_deadline(MOVE), "failed")
         self.assertEqual(
-            [act.do for act in moves.due(CALL_OFF + FORWARDS)], [MigrationAction.OVER, MigrationAction.CLOSE]
+            [act.action for act in moves.due(FREEZE_TIMEOUT_US + moves_module.MIN_RETRY_US)], [MigrationAction.STAGE]
         )
-        moves.due(CALL_OFF + FORWARDS + moves_module.REMEMBERED_FOR)
-        self.assertEqual((moves.moves, moves.by_key, moves.standing(KEY)), ({}, {}, ("here", "")))
+        self.assertEqual([ask.value for ask in asks(moves.due(CALL_OFF_AFTER_US))], [None] * 3)
+        moves.settled(MOVE, "taker", False, CALL_OFF_AFTER_US)
+        self.assertEqual(
+            [act.action for act in moves.due(CALL_OFF_AFTER_US + moves_module.MIN_RETRY_US)], [MigrationAction.TELL]
+        )
+        self.assertEqual((moves.routing_state(KEY), moves.near_deadline(MOVE)), (("pass", "B"), "over"))
+        self.assertEqual(
+            [act.action for act in moves.due(CALL_OFF_AFTER_US + FORWARDING_US)],
+            [MigrationAction.OVER, MigrationAction.CLOSE],
+        )
+        moves.due(CALL_OFF_AFTER_US + FORWARDING_US + moves_module.FINISHED_RETENTION_US)
+        self.assertEqual((moves.moves, moves.by_key, moves.routing_state(KEY)), ({}, {}, ("here", "")))
 
     def test_a_partition_that_comes_back_is_settled_under_ballots_of_its_own(self) -> None:
         moves = Member("C", MigrationTable, Acceptor).moves
-        first = {ask.ballot for ask in asks(moves.found(MOVE, KEY, True, 0))}
-        moves.lost(MOVE, True)
-        self.assertFalse(first & {ask.ballot for ask in asks(moves.found(MOVE, KEY, True, 0))})
+        first = {ask.ballot for ask in asks(moves.marks_found(MOVE, KEY, True, 0))}
+        moves.side_lost(MOVE, True)
+        self.assertFalse(first & {ask.ballot for ask in asks(moves.marks_found(MOVE, KEY, True, 0))})
 
 
 class Plans(unittest.TestCase):
@@ -561,33 +570,35 @@
         for now in range(0, 100 * MS * 60, 100 * MS):
             seen = [Neighbour(name, "south", count, 500) for name, count in held.items()]
             chosen = planner.plan([MigrationRequest(key, MigrationReason.LEAVING) for key in sorted(left)], seen, now)
-            self.assertLessEqual(len(planner.out), MOST_OUT)
-            self.assertLessEqual(max(Counter(planner.out.values()).values(), default=0), MOST_IN)
+            self.assertLessEqual(len(planner.targets), MAX_MOVES_OUT)
+            self.assertLessEqual(max(Counter(planner.targets.values()).values(), default=0), MAX_MOVES_IN)
             for key, to in chosen:
                 planner.ended(key, True, now)
                 held[to] += 1
                 left.remove(key)
         self.assertFalse(left)
-        self.assertLessEqual(max(held.values()), FULL * 500)
-        self.assertLessEqual(abs(held["E"] - held["W"]), max(50 + MOST_OUT, abs(first - second)))
+        self.assertLessEqual(max(held.values()), MAX_LOAD_SHARE * 500)
+        self.assertLessEqual(abs(held["E"] - held["W"]), max(50 + MAX_MOVES_OUT, abs(first - second)))
 
     def test_a_session_that_has_just_moved_or_was_called_off_stays(self) -> None:
         planner, there = MigrationPlanner("north"), [Neighbour("E", "south", 0, 9)]
         planner.arrived(KEY, 0)
-        client, staff = (
+        client, operator = (
             MigrationRequest(KEY, MigrationReason.CLIENT, "E"),
-            MigrationRequest(KEY, MigrationReason.STAFF, "E"),
+            MigrationRequest(KEY, MigrationReason.OPERATOR, "E"),
+        )
+        self.assertEqual(planner.plan([client], there, MIN_STAY_US - 1), [])
+        self.assertEqual(planner.plan([operator], there, MIN_STAY_US - 1), [(KEY, "E")])
+        planner.ended(KEY, False, MIN_STAY_US)
+        self.assertEqual(planner.plan([client], there, MIN_STAY_US + CALL_OFF_PAUSE_US - 1), [])
+        self.assertEqual(planner.plan([client], there, MIN_STAY_US + CALL_OFF_PAUSE_US), [(KEY, "E")])
+        self.assertEqual(
+            planner.plan([MigrationRequest(8, MigrationReason.CLIENT, "W")], there, MIN_STAY_US + CALL_OFF_PAUSE_US), []
         )
-        self.assertEqual(planner.plan([client], there, STAYS - 1), [])
-        self.assertEqual(planner.plan([staff], there, STAYS - 1), [(KEY, "E")])
-        planner.ended(KEY, False, STAYS)
-        self.assertEqual(planner.plan([client], there, STAYS + AFTER_OFF - 1), [])
-        self.assertEqual(planner.plan([client], there, STAYS + AFTER_OFF), [(KEY, "E")])
-        self.assertEqual(planner.plan([MigrationRequest(8, MigrationReason.CLIENT, "W")], there, STAYS + AFTER_OFF), [])
 
 
 def claim(one: SessionDirectory) -> ClaimRequest:
-    asking = one.claim(KEY, 0)
+    asking = one.begin_claim(KEY, 0)
     assert asking is not None
     return asking
 
@@ -599,7 +610,7 @@
             st.integers(0, 2),
             st.sampled_from(["A", "B", "me"]),
             st.integers(0, 3),
-            st.sampled_from([0, 5, FORGOTTEN, FORGOTTEN + 1]),
+            st.sampled_from([0, 5, ENTRY_TTL_US, ENTRY_TTL_US + 1]),
         ),
         max_size=12,
     )
@@ -608,22 +619,22 @@
     @given(entries, st.randoms(use_true_random=False))
     def test_news_may_come_in_any_order_and_twice(self, entries: list[Entry], order: random.Random) -> None:
         one, two = SessionDirectory("me", 3, 0), SessionDirectory("me", 3, 0)
-        one.heard(entries, FORGOTTEN)
+        one.merge_entries(entries, ENTRY_TTL_US)
         shuffled = entries + entries[:3]
         order.shuffle(shuffled)
-        two.heard(shuffled, FORGOTTEN)
+        two.merge_entries(shuffled, ENTRY_TTL_US)
         self.assertEqual(one.entries, two.entries)
         self.assertNotIn(0, one.entries)
 
     def test_what_is_kept_is_bounded_and_forgotten(self) -> None:
         one = SessionDirectory("me", 1, 0, alone=True)
-        one.claim(KEY, 0)
-        one.heard([Entry(key, "A", 1, MOST + 9 - key) for key in range(8, MOST + 9)], MOST)
-        one.heard([Entry(5, "A", 1, FORGOTTEN + 1)], MOST)
-        self.assertIsNone(one.where(5))
-        self.assertEqual((len(one.entries), one.where(8), one.where(KEY)), (MOST, None, "me"))
-        self.assertEqual(one.news(9, 0)[0].key, KEY)
-        one.forget(FORGOTTEN + MOST + 1)
+        one.begin_claim(KEY, 0)
+        one.merge_entries([Entry(key, "A", 1, MAX_ENTRIES + 9 - key) for key in range(8, MAX_ENTRIES + 9)], MAX_ENTRIES)
+        one.merge_entries([Entry(5, "A", 1, ENTRY_TTL_US + 1)], MAX_ENTRIES)
+        self.assertIsNone(one.holder_of(5))
+        self.assertEqual((len(one.entries), one.holder_of(8), one.holder_of(KEY)), (MAX_ENTRIES, None, "me"))
+        self.assertEqual(one.next_locations(9, 0)[0].key, KEY)
+        one.forget(ENTRY_TTL_US + MAX_ENTRIES + 1)
         self.assertEqual((one.entries, one.sessions), ({}, {}))
 
     def test_an_id_is_taken_once_wherever_its_client_goes(self) -> None:
@@ -632,13 +643,13 @@
                 self.course(random.Random(seed))
 
     def course(self, drawn: random.Random) -> None:
-        names, now, taken = "ABC", 0, -FORGOTTEN
-        peer_messages: list[tuple[int, int, ClaimRequest, Claim | None]] = []
+        names, now, taken = "ABC", 0, -ENTRY_TTL_US
+        peer_messages: list[tuple[int, int, ClaimRequest, ClaimAnswer | None]] = []
         every = [SessionDirectory(name, 3, now, alone=True) for name in names]
         for _ in range(150):
             what = drawn.choice(["submit"] * 5 + ["deliver"] * 9 + ["restart"] + ["move"] * 2)
             at, other, which = drawn.randrange(3), drawn.randrange(3), drawn.randrange(10)
-            later = drawn.choice([0] * 25 + [1_000_000, REMEMBERED + 1, LAPSES + 1, FORGOTTEN + 1])
+            later = drawn.choice([0] * 25 + [1_000_000, ID_RETENTION_US + 1, SESSION_TTL_US + 1, ENTRY_TTL_US + 1])
             now += later
             for each in every:
                 each.forget(now)
@@ -648,70 +659,76 @@
             elif what == "deliver" and peer_messages:  # any claim or answer that was ever sent
                 to, by, asking, answer = peer_messages[-1 - which % len(peer_messages)]
                 if answer is None:
-                    peer_messages.append((by, to, asking, every[to].claimed(asking, names[by], now)))
+                    peer_messages.append((by, to, asking, every[to].answer_claim(asking, names[by], now)))
                 else:
-                    every[to].answered(asking, names[by], answer, now)
+                    every[to].record_claim_answer(asking, names[by], answer, now)
             elif what == "move" and session is not None and at != other:
-                two.hold(KEY, session.sequence + 1, one.ids(KEY, now), now)
-                one.gone(KEY, names[other], session.sequence + 1, now)
+                two.hold(KEY, session.sequence + 1, one.recent_ids(KEY, now), now)
+                one.record_new_holder(KEY, names[other], session.sequence + 1, now)
             elif what == "submit" and at != other:  # a client at `at`, which has a link to `other` alone
                 ruling, holder = one.rule(KEY, "id", 1, False, now), at
-                if ruling is ClaimRuling.PASS and one.where(KEY) == names[other]:
+                if ruling is SubmissionRuling.FORWARD and one.holder_of(KEY) == names[other]:
                     ruling, holder = two.rule(KEY, "id", 1, True, now), other
-                    if ruling is ClaimRuling.ELSEWHERE:
-                        ruling = one.refused(KEY, names[other], two.elsewhere(KEY, now), now)
-                begun = one.claim(KEY, now) if ruling is ClaimRuling.CLAIM else None
+                    if ruling is SubmissionRuling.NOT_HELD:
+                        ruling = one.forward_refused(KEY, names[other], two.answer_not_held(KEY, now), now)
+                begun = one.begin_claim(KEY, now) if ruling is SubmissionRuling.CLAIM else None
                 if begun is not None:
                     peer_messages += [(to, at, begun, None) for to in range(3) if to != at]
-                if ruling is ClaimRuling.TAKE:
-                    self.assertGreater(now - taken, REMEMBERED)
+                if ruling is SubmissionRuling.ACCEPT:
+                    self.assertGreater(now - taken, ID_RETENTION_US)
                     taken = now
-                    every[holder].took(KEY, "id", 1, now)
-                    told = every[holder].news(9, now)  # its lease was renewed by a majority, which hears this too
-                    every[at + other - holder].heard(told, now)
+                    every[holder].record_accepted(KEY, "id", 1, now)
+                    told = every[holder].next_locations(
+                        9, now
+                    )  # its lease was renewed by a majority, which hears this too
+                    every[at + other - holder].merge_entries(told, now)
 
     def test_who_does_not_hold_a_session_neither_takes_nor_opens_it(self) -> None:
         one, two = SessionDirectory("A", 3, 0, alone=True), SessionDirectory("B", 3, 0, alone=True)
-        self.assertIs(one.rule(KEY, "id", 1, True, 0), ClaimRuling.ELSEWHERE)
+        self.assertIs(one.rule(KEY, "id", 1, True, 0), SubmissionRuling.NOT_HELD)
         asking = claim(one)
-        self.assertEqual((one.rule(KEY, "id", 1, False, 0), one.elsewhere(KEY, 0).granted), (ClaimRuling.BUSY, False))
-        self.assertIs(one.rule(KEY, "id", 1, False, CLAIM), ClaimRuling.CLAIM)
-        self.assertTrue(one.answered(asking, "B", two.claimed(asking, "A", 0), 0))
-        self.assertFalse(one.claimed(ClaimRequest(KEY, 9, (8, "A"), 0), "C", 0).granted)
-        one.took(KEY, "id", 1, 0)
-        two.hold(KEY, 2, one.ids(KEY, 5), 5)
-        one.gone(KEY, "B", 2, 5)
         self.assertEqual(
-            [two.rule(KEY, "id", hashed, True, REMEMBERED) for hashed in (1, 2)],
-            [ClaimRuling.SAME, ClaimRuling.REPEATED],
+            (one.rule(KEY, "id", 1, False, 0), one.answer_not_held(KEY, 0).granted), (SubmissionRuling.BUSY, False)
+        )
+        self.assertIs(one.rule(KEY, "id", 1, False, CLAIM_TIMEOUT_US), SubmissionRuling.CLAIM)
+        self.assertTrue(one.record_claim_answer(asking, "B", two.answer_claim(asking, "A", 0), 0))
+        self.assertFalse(one.answer_claim(ClaimRequest(KEY, 9, (8, "A"), 0), "C", 0).granted)
+        one.record_accepted(KEY, "id", 1, 0)
+        two.hold(KEY, 2, one.recent_ids(KEY, 5), 5)
+        one.record_new_holder(KEY, "B", 2, 5)
+        self.assertEqual(
+            [two.rule(KEY, "id", hashed, True, ID_RETENTION_US) for hashed in (1, 2)],
+            [SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT],
         )
-        self.assertIs(two.rule(KEY, "id", 2, True, REMEMBERED + 1), ClaimRuling.TAKE)
-        self.assertIs(one.rule(KEY, "id", 1, False, 6), ClaimRuling.PASS)
-        two.without("A", 6)
-        one.without("B", 6)
-        one.forget(7 + REMEMBERED)
-        self.assertEqual((one.where(KEY), two.where(KEY)), (None, "B"))
+        self.assertIs(two.rule(KEY, "id", 2, True, ID_RETENTION_US + 1), SubmissionRuling.ACCEPT)
+        self.assertIs(one.rule(KEY, "id", 1, False, 6), SubmissionRuling.FORWARD)
+        two.expire_entries_of("A", 6)
+        one.expire_entries_of("B", 6)
+        one.forget(7 + ID_RETENTION_US)
+        self.assertEqual((one.holder_of(KEY), two.holder_of(KEY)), (None, "B"))
 
     def test_who_has_just_started_or_slept_trusts_nothing_of_its_own(self) -> None:
         new, old = SessionDirectory("A", 3, 0), SessionDirectory("B", 3, 0, alone=True)
-        self.assertFalse(new.elsewhere(KEY, REMEMBERED - 1).granted or new.claim(KEY, REMEMBERED - 1))
-        self.assertFalse(new.claimed(claim(old), "B", REMEMBERED - 1).granted)
-        self.assertTrue(new.elsewhere(KEY, REMEMBERED).granted)
+        self.assertFalse(
+            new.answer_not_held(KEY, ID_RETENTION_US - 1).granted or new.begin_claim(KEY, ID_RETENTION_US - 1)
+        )
+        self.assertFalse(new.answer_claim(claim(old), "B", ID_RETENTION_US - 1).granted)
+        self.assertTrue(new.answer_not_held(KEY, ID_RETENTION_US).granted)
         old.hold(KEY, 4, {}, 0)
-        self.assertIs(old.rule(KEY, "id", 1, False, LAPSES), ClaimRuling.TAKE)
-        self.assertIs(old.rule(KEY, "id", 1, False, LAPSES + 1), ClaimRuling.CLAIM)
-        old.heard([Entry(KEY, "A", 5, 0)], 1)
-        self.assertIs(old.rule(KEY, "id", 1, False, 1), ClaimRuling.PASS)
+        self.assertIs(old.rule(KEY, "id", 1, False, SESSION_TTL_US), SubmissionRuling.ACCEPT)
+        self.assertIs(old.rule(KEY, "id", 1, False, SESSION_TTL_US + 1), SubmissionRuling.CLAIM)
+        old.merge_entries([Entry(KEY, "A", 5, 0)], 1)
+        self.assertIs(old.rule(KEY, "id", 1, False, 1), SubmissionRuling.FORWARD)
 
     def test_of_two_claims_at_once_one_gives_way(self) -> None:
         one, two, third = (SessionDirectory(name, 3, 0, alone=True) for name in "ABC")
         first, second = claim(one), claim(two)
-        self.assertFalse(two.claimed(first, "A", 0).granted)
-        for asking, now in ((second._replace(at=-1), 0), (second, CLAIM)):
-            self.assertFalse(two.answered(asking, "C", Claim(True, None), now))
-        self.assertTrue(two.answered(second, "A", one.claimed(second, "B", 0), 0))
-        self.assertTrue(third.claimed(first, "A", 0).granted)
-        self.assertFalse(one.answered(first, "C", third.claimed(first, "A", 0), 0))
+        self.assertFalse(two.answer_claim(first, "A", 0).granted)
+        for asking, now in ((second._replace(at=-1), 0), (second, CLAIM_TIMEOUT_US)):
+            self.assertFalse(two.record_claim_answer(asking, "C", ClaimAnswer(True, None), now))
+        self.assertTrue(two.record_claim_answer(second, "A", one.answer_claim(second, "B", 0), 0))
+        self.assertTrue(third.answer_claim(first, "A", 0).granted)
+        self.assertFalse(one.record_claim_answer(first, "C", third.answer_claim(first, "A", 0), 0))
 
     def test_contents_tell_parts_apart(self) -> None:
-        self.assertNotEqual(contents("ab", b"c"), contents("a", b"bc"))
+        self.assertNotEqual(contents_hash("ab", b"c"), contents_hash("a", b"bc"))
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -26,10 +26,10 @@
 from cedarwick.fleet.replication import EVERYTHING
 from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, MessageKnowledge, base_of
 from cedarwick.fleet.session_files import SessionFiles
-from cedarwick.fleet.session_inheritance import SUCCESSORS
+from cedarwick.fleet.session_inheritance import INHERITANCE_LEVEL
 from cedarwick.fleet.session_routing import SessionRouter
-from cedarwick.fleet.session_state import InheritedSessions
-from cedarwick.fleet.sessions import REMEMBERED
+from cedarwick.fleet.session_state import InheritableSessions
+from cedarwick.fleet.sessions import ID_RETENTION_US
 from cedarwick.fleet.transport import PeerUnreachableError
 from cedarwick.net.attempts import AttemptResult
 from cedarwick.net.clock import Clock
@@ -91,7 +91,7 @@
         self.folders = {name: self.enterContext(tempfile.TemporaryDirectory()) for name in NAMES}
         for name in NAMES:
             self.traffic[name] = self.member(name)
-        self.news()
+        self.exchange_locations()
 
     def member(self, name: str) -> SessionRouter:
         store = ReplicatedStore(self.folders[name], 1 << 20, now=CLOCK.now)
@@ -119,7 +119,7 @@
         made = node.traffic
         client_listener: Any = SimpleNamespace(paused=False)
         made.attach(mock.Mock(), client_listener, Desk(store))  # type: ignore[arg-type]
-        made.lane = SimpleNamespace(
+        made.peers = SimpleNamespace(
             call=lambda to, body, within: self.call(name, to, body),  # type: ignore[assignment]
             close=lambda: None,
         )
@@ -135,10 +135,10 @@
             raise PeerUnreachableError(to)
         return answer
 
-    def news(self) -> None:
-        """Everybody hears from everybody."""
+    def exchange_locations(self) -> None:
+        """Every member sends its session locations to every other one."""
         for name in NAMES:
-            self.traffic[name].gossiped_at = 0
+            self.traffic[name].locations_sent_at = 0
             self.traffic[name].look(monotonic_time())
         gevent.sleep(0.02)
 
@@ -149,8 +149,8 @@
                 self.traffic[name].look(monotonic_time())
             gevent.sleep(0.005)
 
-    def move(self, giver: str, taker: str) -> str:
-        moving = gevent.spawn(self.traffic[giver].moved_by_hand, Call("MOVE", f"{KEY:x} {taker}"))
+    def move(self, source: str, target: str) -> str:
+        moving = gevent.spawn(self.traffic[source].move_on_command, Call("MOVE", f"{KEY:x} {target}"))
         while not moving.ready():
             self.turn(0.01)
         return str(moving.get())
@@ -166,7 +166,7 @@
         )
         self.assertEqual(len(b.dispatcher.adopted), 2)  # type: ignore[attr-defined]
         self.assertEqual([each.store.inert for each in (a, b)], [{}, {}])
-        self.assertEqual([each.transfers.files.inert() for each in (a, b)], [{}, {}])
+        self.assertEqual([each.migrations.files.read_marks() for each in (a, b)], [{}, {}])
         for who in (a, c):  # the connection that stayed, and a client that comes elsewhere
             self.assertEqual(who.hand_in(message("1"))[0], AdmissionResult.KEPT)
             self.assertEqual(who.hand_in(message("2", b"other"))[0], AdmissionResult.REPEATED)
@@ -186,13 +186,13 @@
         with mock.patch.object(a.store, "over", full):
             self.move("a", "b")
             self.turn()
-        self.assertEqual((a.store.messages, a.store.inert, a.transfers.files.inert()), ({}, {}, {}))
+        self.assertEqual((a.store.messages, a.store.inert, a.migrations.files.read_marks()), ({}, {}, {}))
         self.assertEqual(len(b.store.messages), 2)
 
     def test_an_answer_that_is_lost_is_asked_for_again_and_never_made_up(self) -> None:
         a, c = self.traffic["a"], self.traffic["c"]
         a.hand_in(message("1"))
-        self.news()
+        self.exchange_locations()
         lost: list[Body] = []
 
         def once(to: str, body: Body) -> str:
@@ -212,7 +212,7 @@
     def test_a_client_gone_before_its_answer_is_withdrawn_at_the_holder(self) -> None:
         a, c = self.traffic["a"], self.traffic["c"]
         a.hand_in(message("1"))
-        self.news()
+        self.exchange_locations()
         answered, _, withdraw = c.hand_in(message("2"))
         assert withdraw is not None
         number = max(a.store.messages)
@@ -230,7 +230,7 @@
         a.hand_in(message("1"))
         (number,) = a.store.messages
         self.lose = lambda to, body: "ask"  # all of it is lost from the first peer message on
-        a.transfers.begin(KEY, "b", monotonic_time())
+        a.migrations.begin(KEY, "b", monotonic_time())
         self.turn(0.1)
         self.assertEqual((list(a.store.inert), a.store.may_fire(number)), ([number], False))
         self.nodes["a"].stop()
@@ -259,13 +259,13 @@
             [again.hand_in(message(id))[0] for id in ("1", "2")], [AdmissionResult.KEPT, AdmissionResult.KEPT]
         )
         self.assertEqual(dispatcher.submitted, 1)
-        self.assertIsNone(again.transfers.files.take_sessions())
+        self.assertIsNone(again.migrations.files.read_and_delete_sessions())
 
     def test_a_stage_that_comes_spoilt_or_late_is_not_kept(self) -> None:
         b = self.traffic["b"]
         answer = b.heard("a", 1, StageSession("9/a/b", KEY, 2, b"facts", 1))
         self.assertEqual(answer, StageReply("9/a/b", False, "spoilt"))
-        b.transfers.vote(name_move(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
+        b.migrations.vote(name_move(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
         late = b.heard("a", 1, StageSession("8/a/b", KEY, 2, b"", 0x2D06800538D394C2))
         self.assertEqual((isinstance(late, StageReply) and late.stored, b.store.messages), (False, {}))
 
@@ -274,10 +274,10 @@
         a.hand_in(message("1"))
         thawed = a.dispatcher.thaw = mock.Mock()  # type: ignore[method-assign]
         self.lose = lambda to, body: "ask" if isinstance(body, StageSession) else ""
-        with mock.patch.object(migration_source, "RELEASE_AGAIN", 0.05):
-            a.transfers.begin(KEY, "b", monotonic_time())
-            self.turn(0.3)  # marked, and the taker does not answer
-            with mock.patch.object(a.transfers, "_save_without", side_effect=OSError("full")) as save:
+        with mock.patch.object(migration_source, "RELEASE_RETRY_S", 0.05):
+            a.migrations.begin(KEY, "b", monotonic_time())
+            self.turn(0.3)  # marked, and the target does not answer
+            with mock.patch.object(a.migrations, "_save_without", side_effect=OSError("full")) as save:
                 self.turn(0.6)
                 self.assertTrue(save.called)
                 self.assertEqual((len(a.store.inert), thawed.called), (1, False))
@@ -285,13 +285,13 @@
         self.assertEqual((a.store.inert, thawed.called, len(a.dispatcher.adopted)), ({}, True, 1))  # type: ignore[attr-defined]
 
     def test_a_vote_that_was_not_written_is_not_granted_when_it_is_asked_again(self) -> None:
-        made, move = self.traffic["b"].transfers, name_move(self.traffic["a"].transfers.stamp, "a", "b")
-        with mock.patch.object(made.files, "add_decree", side_effect=OSError("full")):
+        made, move = self.traffic["b"].migrations, name_move(self.traffic["a"].migrations.stamp, "a", "b")
+        with mock.patch.object(made.files, "append_vote", side_effect=OSError("full")):
             asked = [made.vote(move, (2, "c#1"), None, KEY).granted for _ in range(2)]
             asked += [made.vote(move, (2, "c#1"), "off", KEY).granted for _ in range(2)]
         self.assertEqual(asked, [False] * 4)
         self.assertTrue(made.vote(move, (2, "c#1"), "off", KEY).granted)
-        table = made.files.decrees()
+        table = made.files.read_acceptor_table()
         assert table is not None
         self.assertEqual([(row.move, row.value) for row in table.rows], [(move, "off")])
 
@@ -300,7 +300,7 @@
         a.hand_in(message("1"))
         with mock.patch.object(a.store, "taking", return_value=False):
             self.assertEqual(a.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        passed = a._passed(
+        passed = a._answer_forwarded(
             "c",
             SimpleNamespace(  # type: ignore[arg-type]
                 key=KEY + 1,
@@ -318,16 +318,16 @@
         )
         self.assertEqual(passed, ForwardReply("", 0, True, None))
 
-    def adopted(self, level: int = SUCCESSORS) -> tuple[SessionRouter, SessionRouter, SessionRouter, int]:
+    def adopted(self, level: int = INHERITANCE_LEVEL) -> tuple[SessionRouter, SessionRouter, SessionRouter, int]:
         """The partition of a, which has taken "1" and does not answer, is held by c, whose copy was old and whole."""
         a, b, c = (self.traffic[name] for name in NAMES)
         a.hand_in(message("1"))
-        self.news()
+        self.exchange_locations()
         partition = slot_of("a") << 12
         fact = a.store.holdings[partition].read(a.store, *a.store.messages)
         assert fact is not None
-        c.memories[partition] = RecentIds(monotonic_time() - REMEMBERED)
-        c.memories[partition].term, c.memories[partition].next = 1, 4
+        c.replica_recent_ids[partition] = RecentIds(monotonic_time() - ID_RETENTION_US)
+        c.replica_recent_ids[partition].term, c.replica_recent_ids[partition].next = 1, 4
         c._copied(partition, Step(1, 5, EVERYTHING, 0, 0, b""), [fact])
         self.lose = lambda to, body: "ask" if to == "a" else ""
         for each in (b, c):
@@ -360,7 +360,7 @@
         a.store.current = LeasedPartition(partition + 1, a.store.holdings[partition].adoption)
         a.store.current.serving = True
         self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.KEPT)
-        self.assertEqual((a.dispatcher.submitted, a.directory.where(KEY)), (1, "c"))  # type: ignore[attr-defined]
+        self.assertEqual((a.dispatcher.submitted, a.directory.holder_of(KEY)), (1, "c"))  # type: ignore[attr-defined]
         ((number, kept),) = a.store.messages.items()
         holding = c.store.holdings[partition]
         fact = Fact(number, base_of(kept, b"x"), MessageKnowledge())
@@ -374,23 +374,25 @@
         self.assertEqual(c.offered(holding, [gone]), [gone])
 
     def test_nobody_inherits_from_an_older_member_nor_what_a_vote_or_a_young_copy_speaks_against(self) -> None:
-        a, b, c, partition = self.adopted(SUCCESSORS - 1)
+        a, b, c, partition = self.adopted(INHERITANCE_LEVEL - 1)
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        c.estates[partition] = estate = InheritedSessions("a", monotonic_time() + 60_000_000, {}, set())
+        c.inheritable_sessions[partition] = inheritable = InheritableSessions(
+            "a", monotonic_time() + 60_000_000, {}, set()
+        )
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        c.estates[partition] = estate._replace(whole_at=0)
-        b.transfers.vote(name_move(b.transfers.stamp, "b", "a"), (1, "a"), "taker", KEY)
+        c.inheritable_sessions[partition] = inheritable._replace(complete_at=0)
+        b.migrations.vote(name_move(b.migrations.stamp, "b", "a"), (1, "a"), "taker", KEY)
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        b.transfers.acceptor.rows.clear()
-        b.transfers.acceptor.by_key.clear()
+        b.migrations.acceptor.rows.clear()
+        b.migrations.acceptor.by_key.clear()
         b.node.grantor._grants[right_of(partition + 1)] = Grant(right_of(partition + 1), 1, "a")
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
         del b.node.grantor._grants[right_of(partition + 1)]
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.KEPT)
-        b.transfers.acceptor.learned("a", 1)
+        b.migrations.acceptor.learned("a", 1)
         self.assertEqual(
             [
-                b.transfers.vote(name_move(a.transfers.stamp, "a", "b"), (1, "b"), "taker", key).granted
+                b.migrations.vote(name_move(a.migrations.stamp, "a", "b"), (1, "b"), "taker", key).granted
                 for key in (KEY, 0, KEY + 1)
             ],
             [False, False, True],
@@ -398,59 +400,59 @@
 
     def test_a_move_that_nobody_has_a_side_of_any_more_is_settled(self) -> None:
         a, b, c = (self.traffic[name] for name in NAMES)
-        move = name_move(a.transfers.stamp, "a", "b")
+        move = name_move(a.migrations.stamp, "a", "b")
         for voters in ((b,), (b, c)):
             for each in (b, c):
-                each.transfers.acceptor.learned("a", 1)
+                each.migrations.acceptor.learned("a", 1)
             for each in voters:
-                self.assertTrue(each.transfers.vote(move, (1, "b"), "taker", KEY).granted)
-                each.transfers.acceptor.rows[move].at -= OLD
-            self.assertEqual(b.transfers.moves.moves, {})
-            b.transfers.forget(monotonic_time())
+                self.assertTrue(each.migrations.vote(move, (1, "b"), "taker", KEY).granted)
+                each.migrations.acceptor.rows[move].at -= OLD
+            self.assertEqual(b.migrations.moves.moves, {})
+            b.migrations.forget(monotonic_time())
             gevent.sleep(0.05)
-            rows = [each.transfers.acceptor.rows[move] for each in (b, c)]
+            rows = [each.migrations.acceptor.rows[move] for each in (b, c)]
             self.assertEqual([(row.decided, row.value, row.key) for row in rows], [(True, "taker", KEY)] * 2)
-            self.assertEqual(b.transfers.strays, {})
-            move = name_move(a.transfers.stamp + 1, "a", "b")
+            self.assertEqual(b.migrations.orphaned_proposers, {})
+            move = name_move(a.migrations.stamp + 1, "a", "b")
 
 
-class Decrees(unittest.TestCase):
+class StoredVotes(unittest.TestCase):
     def test_votes_outlive_a_restart_and_damage_makes_the_acceptor_abstain(self) -> None:
         folder = self.enterContext(tempfile.TemporaryDirectory())
         lasting, move = SessionFiles(FleetFiles(folder)), name_move(5, "a", "b")
         voter = Acceptor(0, True)
         voter.learned("a", 5)
-        lasting.write_decrees(voter.table())
+        lasting.write_acceptor_table(voter.table())
         answer = voter.prepare(move, (3, "c#1"), 0)
         assert answer.write is not None
-        lasting.add_decree(answer.write)
-        again = Acceptor(0, False, SessionFiles(FleetFiles(folder)).decrees())
+        lasting.append_vote(answer.write)
+        again = Acceptor(0, False, SessionFiles(FleetFiles(folder)).read_acceptor_table())
         self.assertFalse(again.accept(move, (1, "b"), "taker", 0).granted)
         path = f"{lasting.lasting.path}/decrees"
         with open(path, "r+b") as file:
             file.seek(-3, 2)
             file.write(b"\0")
-        self.assertIsNone(SessionFiles(FleetFiles(folder)).decrees())
+        self.assertIsNone(SessionFiles(FleetFiles(folder)).read_acceptor_table())
 
     def test_files_longer_than_a_record_are_read_again(self) -> None:
         files = SessionFiles(FleetFiles(self.enterContext(tempfile.TemporaryDirectory())))
         marks = {number: (1, "<1790000000000000/n0/n1") for number in range(40_000)}  # as many as 20 long sessions have
-        files.write_inert(marks)
-        self.assertEqual(files.inert(), marks)
+        files.write_marks(marks)
+        self.assertEqual(files.read_marks(), marks)
         rows = [
             InstanceState(f"{stamp}/n0/n1", (2, "n0#1790000000000000"), (1, "n1"), "taker", True)
             for stamp in range(20_000)
         ]
-        files.write_decrees(AcceptorTable(rows, {"n0": 7}))
-        files.add_decree(InstanceState("20001/n0/n1"))
-        self.assertEqual(files.decrees(), AcceptorTable([*rows, InstanceState("20001/n0/n1")], {"n0": 7}))
+        files.write_acceptor_table(AcceptorTable(rows, {"n0": 7}))
+        files.append_vote(InstanceState("20001/n0/n1"))
+        self.assertEqual(files.read_acceptor_table(), AcceptorTable([*rows, InstanceState("20001/n0/n1")], {"n0": 7}))
 
     def test_what_a_durable_folder_is_told_is_on_the_disk_before_it_counts(self) -> None:
         for durable, syncs in ((False, 0), (True, 3)):  # the file, the folder; then a row
             files = SessionFiles(FleetFiles(self.enterContext(tempfile.TemporaryDirectory()), durable))
             with mock.patch("os.fsync") as synced:
-                files.write_decrees(AcceptorTable([], {}))
-                files.add_decree(InstanceState("1/n0/n1"))
+                files.write_acceptor_table(AcceptorTable([], {}))
+                files.append_vote(InstanceState("1/n0/n1"))
                 self.assertEqual(synced.call_count, syncs)
 
 
