--- a/cedarwick/decisions/endpoint_updates.py
+++ b/cedarwick/decisions/endpoint_updates.py
@@ -93,7 +93,7 @@
         """Receivers with a running Retry-After wait and its end (microseconds), for a process that replaces this."""
         return [(known.id, known.pace.wait_until) for known in self.receivers.values() if known.pace.wait_until > now]
 
-    def heed(self, now: int, receiver: int, until: int) -> None:
+    def apply_retry_after(self, now: int, receiver: int, until: int) -> None:
         """Apply a Retry-After wait until a time (microseconds) that is known ahead of, or apart from, an outcome.
 
         It comes from a response that is still being read, or from the process that this one replaces.
--- a/cedarwick/decisions/interface.py
+++ b/cedarwick/decisions/interface.py
@@ -13,7 +13,7 @@
 A protocol on sockets uses besides:
 
     handles = sender.resume(now, owed)            once, at the start after a restart
-    sender.heed(now, receiver, until)             a Retry-After wait, apart from an outcome
+    sender.apply_retry_after(now, receiver, until)   a Retry-After wait, apart from an outcome
     sender.room                                   set before a round: how many more messages can be stored
     sender.retry_after_waits(now)                 the waits that a replaced process hands to its successor
     handle.needs_new_connection()                 whether an ordered attempt may not reuse a connection
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -91,7 +91,7 @@
         """Load the saved marks, and listen to operators' commands and attempts; once this process owns the folder."""
         self.staff, self.endpoint_list, self.dispatcher = staff, endpoint_list, dispatcher
         staff.changed = self._changed
-        dispatcher.attempts.heed, dispatcher.attempts.tell = self._heeded, self._ended
+        dispatcher.attempts.report_retry_after, dispatcher.attempts.tell = self._heeded, self._ended
         now, saved = wall(), self._file()
         try:
             self.marks = SuspensionTable(self.name, self.lasting.marks())
@@ -135,7 +135,9 @@
             return Acknowledged()
         if isinstance(body, RetryAfterHint):
             now, numbers = self.clock.now(), self.endpoint_list.numbers
-            self.dispatcher.heed([(numbers[each.uid], now + each.left) for each in body.waits if each.uid in numbers])
+            self.dispatcher.apply_retry_after(
+                [(numbers[each.uid], now + each.left) for each in body.waits if each.uid in numbers]
+            )
             self.counters.add("hints heard")
             return Acknowledged()
         self.marks.turn(wall())
@@ -237,7 +239,7 @@
 
     def _heeded(self, waits: list[tuple[int, int]]) -> None:
         """A wait that is reported apart from its attempt's ending."""
-        self.dispatcher.heed(waits)
+        self.dispatcher.apply_retry_after(waits)
         self._learned(waits)
 
     def _ended(self, call: AttemptCall, ending: AttemptResult) -> None:
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -86,7 +86,7 @@
             if isinstance(answer, tuple):
                 return answer
             if answer.answer:
-                taken = answer.answer == AdmissionResult.KEPT.value
+                taken = answer.answer == AdmissionResult.ACCEPTED.value
                 return AdmissionResult(answer.answer), answer.wait_ms, self._recalling(stored, to) if taken else None
             claim = Claim(answer.disowned, entry_of(answer.entry))
             after = self.directory.refused(key, to, claim, monotonic_time())
@@ -110,7 +110,7 @@
             return AdmissionResult.REPEATED, 0, None
         if ruling is ClaimRuling.SAME:
             # A submission that was passed on twice gets the answer of the first, not a refusal.
-            answered, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.KEPT, 0)
+            answered, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.ACCEPTED, 0)
             return None if answered is AdmissionResult.FROZEN else (answered, wait_ms, None)
         if not self.store.taking():
             return BUSY  # cut off, it may not know that the session has another holder
@@ -121,11 +121,14 @@
             answered, wait_ms = submission.answer.get()
         finally:
             del self.pending[stored.id]
-        if answered is not AdmissionResult.KEPT and (session := self.directory.sessions.get(stored.turn)) is not None:
+        if (
+            answered is not AdmissionResult.ACCEPTED
+            and (session := self.directory.sessions.get(stored.turn)) is not None
+        ):
             session.ids.pop(stored.id, None)
         if answered is AdmissionResult.FROZEN:
             return None
-        taken = answered is AdmissionResult.KEPT and stored.number
+        taken = answered is AdmissionResult.ACCEPTED and stored.number
         return answered, wait_ms, (lambda: self._withdraw(submission)) if taken else None
 
     def _withdraw(self, submission: Submission) -> None:
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -73,7 +73,7 @@
         submission = Submission(stored, AsyncResult())
         self.dispatcher.submit(submission)
         answered, wait_ms = submission.answer.get()
-        taken = answered is AdmissionResult.KEPT and stored.number
+        taken = answered is AdmissionResult.ACCEPTED and stored.number
         return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
 
 
@@ -206,7 +206,7 @@
         if withdraw is not None and gone():
             withdraw()
         elif what is not AdmissionResult.UNSURE:
-            box.set("ok" if what is AdmissionResult.KEPT else "busy")
+            box.set("ok" if what is AdmissionResult.ACCEPTED else "busy")
 
     def said(self, name: str, argument: str) -> None:
         """A call of staff, in a task of its own; what it answers is of no interest."""
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -45,7 +45,7 @@
     recorded: bool = False  # the store has its record
     flushed: bool = False  # the record is on the disk, where the store is durable
     looked_at: int = 0  # when the sockets were polled on which its clearance rests
-    heeded: bool = False  # its Retry-After wait has been passed on, ahead of the result
+    retry_after_reported: bool = False  # its Retry-After wait has been passed on, ahead of the result
     reported: bool = False  # its result has been passed on
     new_connection: bool = False  # it may not reuse an idle connection
     reused_connection: bool = False  # it goes over a connection that was used before
@@ -68,7 +68,7 @@
     """Runs ordered attempts; each reports exactly one `AttemptResult` through `tell`.
 
     `clear` asks the dispatcher whether an attempt may go, `may_fire` asks again right before the first byte, and
-    `heed` passes on Retry-After waits as (receiver, until in microseconds).
+    `report_retry_after` passes on Retry-After waits as (receiver, until in microseconds).
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         polled: PollClock,
         clear: Callable[[AttemptCall], bool],
         tell: Callable[[AttemptCall, AttemptResult], None],
-        heed: Callable[[list[tuple[int, int]]], None],
+        report_retry_after: Callable[[list[tuple[int, int]]], None],
         may_fire: Callable[[int], bool] = lambda _: True,
     ) -> None:
         self.clock = clock
@@ -90,7 +90,7 @@
         self.polled = polled
         self.clear = clear
         self.tell = tell
-        self.heed = heed
+        self.report_retry_after = report_retry_after
         self.may_fire = may_fire
         self.out: dict[gevent.Greenlet, AttemptCall] = {}
 
@@ -186,7 +186,7 @@
                 return True
             link.sock.sendall(whole)
             self.counters.add("attempts sent")
-            self.counters.figures.tries += 1
+            self.counters.figures.attempts_sent += 1
             broken = self._read(call, link, answer)
         except OSError:
             # The last byte was never sent, so nothing ran; an early answer may say more.
@@ -216,7 +216,7 @@
                     return None if answer.ended() else Outcome.RESET
                 begun = answer.status
                 answer.feed(link.buffer)
-                self._heed_early(call, answer)
+                self._report_early_retry_after(call, answer)
                 if answer.status and not begun:
                     until = min(until, self.clock.now() + ANSWER_REST_TIMEOUT_US)
                 if answer.headed and answer.status == 200 and not call.reported:
@@ -238,7 +238,7 @@
 
     def _read_unread_bytes(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
         self._read_on(link, answer, 0)
-        self._heed_early(call, answer)
+        self._report_early_retry_after(call, answer)
 
     def _read_on(self, link: Connection, answer: ResponseParser, until: int) -> None:
         """Read until the head of an answer is there, up to a time; with 0, read only what has arrived."""
@@ -253,17 +253,19 @@
         except (OSError, InvalidResponseError):
             pass
 
-    def _heed_early(self, call: AttemptCall, answer: ResponseParser) -> None:
+    def _report_early_retry_after(self, call: AttemptCall, answer: ResponseParser) -> None:
         """Pass on the Retry-After wait of a throttled call as soon as the answer's head is there.
 
         Whether the rest comes only decides whether the attempt may have run.
         """
-        if answer.headed and not answer.complete and answer.status == 429 and not call.heeded:
-            self._heed(call, answer)
+        if answer.headed and not answer.complete and answer.status == 429 and not call.retry_after_reported:
+            self._report_retry_after(call, answer)
 
-    def _heed(self, call: AttemptCall, answer: ResponseParser) -> None:
-        call.heeded = True
-        self.heed([(call.receiver, self.clock.now() + parse_retry_after(answer.headers.get("x-backoff-ms", "")))])
+    def _report_retry_after(self, call: AttemptCall, answer: ResponseParser) -> None:
+        call.retry_after_reported = True
+        self.report_retry_after(
+            [(call.receiver, self.clock.now() + parse_retry_after(answer.headers.get("x-backoff-ms", "")))]
+        )
 
     def _hear_out(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
         """Read on for a moment on the connection of a call that timed out and whose result was reported.
@@ -272,9 +274,9 @@
         """
         self.out.pop(gevent.getcurrent(), None)
         self._read_on(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
-        if answer.headed and answer.status == 429 and not call.heeded:
+        if answer.headed and answer.status == 429 and not call.retry_after_reported:
             self.counters.add("waits heard after the call was given up")
-            self._heed(call, answer)
+            self._report_retry_after(call, answer)
 
     def _tell(self, call: AttemptCall, answer: ResponseParser) -> None:
         """Report the result that an answer gives; its first line at least has been read."""
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -46,7 +46,7 @@
 BUSY, PONG, LOADING = b"-BUSY\r\n", b"+PONG\r\n", b"-LOADING not ready yet\r\n"
 PAUSED = b"-LOADING paused by the operators\r\n"
 REPLIES = {
-    AdmissionResult.KEPT: b"+OK\r\n",
+    AdmissionResult.ACCEPTED: b"+OK\r\n",
     AdmissionResult.BUSY: BUSY,
     AdmissionResult.UNKNOWN_PRIORITY_CLASS: b"-ERR unknown class\r\n",
     AdmissionResult.UNKNOWN_DESTINATION: BUSY,
@@ -435,7 +435,7 @@
             client.unusable += not self.closing and client.unusable < MAX_DOUBTFUL_REQUESTS
             return BUSY
         answered, wait_ms, withdraw = self.hand_in(stored)
-        if answered in (AdmissionResult.KEPT, AdmissionResult.BUSY):
+        if answered in (AdmissionResult.ACCEPTED, AdmissionResult.BUSY):
             client.served, client.unusable = True, 0
         elif (
             answered in (AdmissionResult.UNKNOWN_PRIORITY_CLASS, AdmissionResult.REPEATED)
@@ -456,5 +456,5 @@
         submission = Submission(stored)
         self.dispatcher.submit(submission)
         answered, wait_ms = submission.answer.get()
-        taken = answered is AdmissionResult.KEPT and stored.number
+        taken = answered is AdmissionResult.ACCEPTED and stored.number
         return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -34,7 +34,7 @@
         if known is not None or stored.id in self.numbers:
             same = known is not None and known[1] == copied and stored.id in self.numbers
             same = same and self.numbers[stored.id] not in self.fresh
-            submission.answered(AdmissionResult.KEPT if same else AdmissionResult.REPEATED)
+            submission.answered(AdmissionResult.ACCEPTED if same else AdmissionResult.REPEATED)
             return
         while self.recent and next(iter(self.recent.values()))[0] < now - RECENT_ID_LIFETIME_US:
             del self.recent[next(iter(self.recent))]
@@ -108,7 +108,7 @@
             self._not_taken(submission)
             return
         self.counters.add("taken")
-        submission.answered(AdmissionResult.KEPT)
+        submission.answered(AdmissionResult.ACCEPTED)
 
     def _not_taken(self, submission: Submission) -> None:
         self._withdraw(submission.message)
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -84,9 +84,9 @@
         """The platform has acknowledged the notices of these messages: nothing more is owed for them."""
         self.queue.put((self._acknowledged, (numbers,)))
 
-    def heed(self, waits: list[tuple[int, int]]) -> None:
+    def apply_retry_after(self, waits: list[tuple[int, int]]) -> None:
         """Apply Retry-After waits (receiver, until in microseconds), known early or from a replaced process."""
-        self.queue.put((self._heed, (waits,)))
+        self.queue.put((self._apply_retry_after, (waits,)))
 
     def hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
         """Start no attempt from now on, since the process ends soon; running ones go on.
@@ -201,10 +201,10 @@
     def _list_poll_failed(self) -> None:
         self.sender.list_poll_failed(self.clock.now())
 
-    def _heed(self, waits: list[tuple[int, int]]) -> None:
+    def _apply_retry_after(self, waits: list[tuple[int, int]]) -> None:
         now = self.clock.now()
         for receiver, until in waits:
-            self.sender.heed(now, receiver, until)
+            self.sender.apply_retry_after(now, receiver, until)
 
     def _hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
         self.holding_fire, self.keeping, self.ending = True, keeping, ending
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -32,7 +32,7 @@
 
 
 class InvalidUpdateError(CedarwickError, ValueError):
-    """News of the list that cannot be read or believed; the list stays as it was."""
+    """An update of the list that cannot be read or believed; the list stays as it was."""
 
     code = "CW303"
     remedy = "ask the platform what its list says; until then the sender goes on with the last good list"
@@ -68,7 +68,7 @@
         self.doubted = False  # the call was reported as failed, but an answer is still awaited
         self.refused = False  # it was answered with another status
         self.renewed = False  # the call for the watch asks for the whole list, since the one before was unclear
-        self.first_news = gevent.event.Event()  # set once the agent has sent its first update, or has failed to
+        self.first_update = gevent.event.Event()  # set once the agent has sent its first update, or failed to
         self.following: gevent.Greenlet | None = None
         self.known = False  # whether any receiver has been learned of
         self.last: dict[str, ListedEndpoint] = {}  # by uid: the newest line of the list as the platform gave it
@@ -82,7 +82,7 @@
         try:
             entries, version, whole = list(update["targets"]), int(update["rev"]), update["all"]
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise InvalidUpdateError(f"list news without {error}") from None
+            raise InvalidUpdateError(f"a list update without {error}") from None
         if not isinstance(whole, bool):
             raise InvalidUpdateError(f"whole or changes: {str(whole)[:40]!r}")
         if version < self.version:
@@ -183,7 +183,7 @@
             first, self.renewed = self.unsure and not self.renewed, self.unsure
             if self.moved or self.stood or first:
                 continue
-            self.first_news.set()
+            self.first_update.set()
             # Report the failure, unless `_more` has done so. A refusal is reported again, so that the wait starts with
             # it: otherwise all senders that an overloaded discovery refuses late would call again at once.
             if self.refused or not self.doubted:
@@ -203,7 +203,7 @@
             self.counters.warning("the watch of the list broke", error)
         except ValueError as error:
             self.counters.warning(
-                "the watch of the list broke", InvalidUpdateError(f"news that cannot be read: {error}")
+                "the watch of the list broke", InvalidUpdateError(f"an update that cannot be read: {error}")
             )
 
     def _follow(self) -> None:
@@ -242,7 +242,7 @@
                         raise InvalidUpdateError("unclear changes: the whole list is asked for")
                     learned, alive = True, time.monotonic()
                 if came and not objects.depth:
-                    self.first_news.set()  # an empty line means that there are no changes
+                    self.first_update.set()  # an empty line means that there are no changes
                     alive = time.monotonic()
                 # After a truncated object, whatever follows would be read as part of it for ever.
                 if time.monotonic() - alive > LINE_TIMEOUT_S:
@@ -267,7 +267,7 @@
         # the call is reported as failed, but an answer to it is awaited until the decisions want the next call.
         self.counters.warning("a call for the list without an answer", f"{ANSWER_TIMEOUT_S} s")
         self.doubted = True
-        self.first_news.set()
+        self.first_update.set()
         self._call_failed()
         sock.settimeout(None)
         return raw.fill(sock)
--- a/cedarwick/net/metrics.py
+++ b/cedarwick/net/metrics.py
@@ -6,14 +6,14 @@
 class Metrics:
     """Counters by priority class name; the gauges are passed in when the text is made."""
 
-    __slots__ = ("priority_classes", "passed", "dropped", "bad_gateway", "tries")
+    __slots__ = ("priority_classes", "passed", "dropped", "bad_gateway", "attempts_sent")
 
     def __init__(self, priority_classes: list[str] | None = None) -> None:
         self.priority_classes = list(priority_classes or [])
         self.passed: Counter[str] = Counter()  # messages completed
         self.dropped: Counter[str] = Counter()  # rejected at admission, or rejected later
         self.bad_gateway: Counter[str] = Counter()  # written off
-        self.tries = 0  # requests written whole to receivers
+        self.attempts_sent = 0  # requests written whole to receivers
 
     def text(self, in_progress: int, known: int, skipped: int) -> str:
         """All metrics in Prometheus's text format; imports prometheus_client only when it is called."""
@@ -36,7 +36,7 @@
                     made.append(family)
                 made.append(
                     CounterMetricFamily(
-                        "sender_upstream_tries", "requests written whole to receivers", value=figures.tries
+                        "sender_upstream_tries", "requests written whole to receivers", value=figures.attempts_sent
                     )
                 )
                 for name, value, meaning in (
--- a/cedarwick/net/submission.py
+++ b/cedarwick/net/submission.py
@@ -11,7 +11,7 @@
 class AdmissionResult(Enum):
     """The result of admission, which decides the client's answer."""
 
-    KEPT = "kept"
+    ACCEPTED = "kept"  # the value is sent between members
     BUSY = "busy"  # with an advised wait in milliseconds, or 0
     UNKNOWN_PRIORITY_CLASS = "unknown priority class"
     UNKNOWN_DESTINATION = "unknown destination"  # as far as the list says, which may be old
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -26,8 +26,8 @@
     A failed write is logged only.
     """
     uids = {number: uid for uid, number in endpoint_list.numbers.items()}
-    heeded = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
-    waits = {uids[receiver]: until for receiver, until in heeded if receiver in uids}
+    running = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
+    waits = {uids[receiver]: until for receiver, until in running if receiver in uids}
     try:
         saved_state.write_waits(folder, waits)
     except OSError as error:
@@ -41,7 +41,7 @@
     except saved_state.UnreadableFileError as error:
         logger.error("the Retry-After waits of the replaced process cannot be read: {}", error.line)
         return
-    dispatcher.heed(
+    dispatcher.apply_retry_after(
         [(endpoint_list.numbers[uid], until) for uid, until in waits.items() if uid in endpoint_list.numbers]
     )
 
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -261,7 +261,7 @@
             self.poll_clock,
             dispatcher.clear,
             dispatcher.attempt_ended,
-            dispatcher.heed,
+            dispatcher.apply_retry_after,
             dispatcher.may_fire,
         )
         dispatcher.free_links, dispatcher.ask_for_list = self.connections.free, self.endpoint_list.ask
@@ -297,13 +297,13 @@
         """Run the dispatcher once the agent has answered, or after FIRST_LIST_UPDATE_S; never returns."""
         # The saved list may be out of date: without waiting, a stored message could be attempted at a receiver that is
         # draining by now.
-        if not self.endpoint_list.first_news.wait(FIRST_LIST_UPDATE_S):
+        if not self.endpoint_list.first_update.wait(FIRST_LIST_UPDATE_S):
             self.dispatcher.holding_fire = self.dispatcher.keeping = True
             gevent.spawn(self._attempt_after_silence)
         self.dispatcher.run()
 
     def _attempt_after_silence(self) -> None:
-        self.endpoint_list.first_news.wait(FIRST_ATTEMPT_S)
+        self.endpoint_list.first_update.wait(FIRST_ATTEMPT_S)
         self.dispatcher.queue.put((self._allow_attempts, ()))
 
     def _allow_attempts(self) -> None:
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -48,7 +48,7 @@
     def take(self: dispatch_admission.Admission, submission: Submission) -> None:
         count[0] += 1
         if count[0] % 10 == 0:
-            submission.answered(AdmissionResult.KEPT)
+            submission.answered(AdmissionResult.ACCEPTED)
         else:
             honest(self, submission)
 
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -49,7 +49,7 @@
 
     def setUp(self) -> None:
         self.taken: list[str] = []
-        self.answer: Callable[[StoredMessage], SubmitResult] = lambda kept: (AdmissionResult.KEPT, 0, None)
+        self.answer: Callable[[StoredMessage], SubmitResult] = lambda kept: (AdmissionResult.ACCEPTED, 0, None)
         self.open()
 
     def open(self, sockets: int = 256) -> None:
@@ -136,7 +136,9 @@
 
     def test_nothing_is_written_before_an_answer_that_is_under_way(self) -> None:
         gate = gevent.event.Event()
-        self.answer = lambda kept: (AdmissionResult.KEPT, 0, None) if gate.wait() else (AdmissionResult.BUSY, 0, None)
+        self.answer = (
+            lambda kept: (AdmissionResult.ACCEPTED, 0, None) if gate.wait() else (AdmissionResult.BUSY, 0, None)
+        )
         sock = self.connect(submit("a") + submit("b"))
         self.door.stop()
         self.end()
@@ -248,7 +250,7 @@
         for answered, closing in (
             (AdmissionResult.UNKNOWN_DESTINATION, False),
             (AdmissionResult.FROZEN, False),
-            (AdmissionResult.KEPT, True),
+            (AdmissionResult.ACCEPTED, True),
         ):
             with self.subTest(answered=answered, closing=closing):
                 self.answer = mock.Mock(return_value=(answered, 0, None))
@@ -309,7 +311,15 @@
             return dispatcher.may_fire(number)
 
         dispatcher.attempts = AttemptRunner(
-            clock, counters, links, [], polled, dispatcher.clear, dispatcher.attempt_ended, dispatcher.heed, may_fire
+            clock,
+            counters,
+            links,
+            [],
+            polled,
+            dispatcher.clear,
+            dispatcher.attempt_ended,
+            dispatcher.apply_retry_after,
+            may_fire,
         )
         dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
         door = ClientListener(("127.0.0.1", 0), clock, counters, descriptors, dispatcher, lambda: True)
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the list where two events cross: silence, spoilt and old news, moves, late answers, many senders."""
+"""The watch of the list where two events cross: silence, spoilt and old updates, moves, late answers, many senders."""
 
 import contextlib
 import heapq
@@ -110,7 +110,7 @@
 
     def test_what_says_nothing_whole_any_more_is_left_in_time(self) -> None:
         """However it goes on: silent, or a byte now and then."""
-        blank, line = chunk(b"\n"), self.news(7)
+        blank, line = chunk(b"\n"), self.update_line(7)
         begun = b"%x\r\n" % (len(line) + 99)
         cases: list[tuple[str, bytes, bytes]] = [
             ("the head", HEAD, b""),
@@ -159,7 +159,7 @@
     def test_a_watch_that_was_answered_late_and_ended_at_once_was_no_watch(self) -> None:
         sock, _ = self.opened()
         self.happens(lambda: self.failed)
-        sock.sendall(HEAD + chunk(self.news(3)) + b"0\r\n\r\n")
+        sock.sendall(HEAD + chunk(self.update_line(3)) + b"0\r\n\r\n")
         self.happens(lambda: len(self.failed) == 2)
         self.assertEqual(self.made.version, 3)
         with self.assertRaises(gevent.Timeout):
@@ -168,8 +168,8 @@
     def test_what_lies_there_after_a_stop_of_the_process_is_read(self) -> None:
         sock, _ = self.opened()
         sock.sendall(HEAD + chunk(b"\n"))
-        self.happens(self.made.first_news.is_set)
-        sock.sendall(chunk(self.news(4)))
+        self.happens(self.made.first_update.is_set)
+        sock.sendall(chunk(self.update_line(4)))
         time.sleep(module.LINE_TIMEOUT_S + 0.1)  # all stands still
         self.happens(lambda: self.made.version == 4)
 
@@ -247,7 +247,7 @@
         sock.sendall(HEAD + spoilt)
         sock, line = self.opened(within=0.3)
         self.assertIn(b"since=0 ", line)
-        self.assertFalse(self.made.first_news.is_set())  # attempts would go by the saved list
+        self.assertFalse(self.made.first_update.is_set())  # attempts would go by the saved list
         sock.sendall(HEAD + spoilt)  # that is how it is: this one is listened to
         sock.sendall(self.piece(4, self.line("a", state="draining")))
         self.happens(lambda: self.phases() == "a-")
@@ -270,7 +270,7 @@
         self.made.ask()
         sock, line = self.opened()
         self.assertIn(b"since=1000", line)
-        sock.sendall(HEAD + self.news(2).join([b"%x\r\n" % len(self.news(2)), b"\r\n"]))
+        sock.sendall(HEAD + self.update_line(2).join([b"%x\r\n" % len(self.update_line(2)), b"\r\n"]))
         _, line = self.opened(within=0.4)
         self.assertIn(b"since=0 ", line)
 
@@ -301,7 +301,7 @@
                     sock, _ = self.opened()
                     failed = len(self.failed)
                     if state in ("reading", "ending"):
-                        sock.sendall(HEAD + chunk(self.news(7)))
+                        sock.sendall(HEAD + chunk(self.update_line(7)))
                         self.happens(lambda: self.made.version == 7)
                     elif state == "in doubt":
                         self.happens(lambda: self.made.doubted)
@@ -319,8 +319,8 @@
                     self.assertIn(b"since=0 ", line)
                     if state == "reading":
                         with contextlib.suppress(OSError):
-                            sock.sendall(chunk(self.news(90)))
-                    fresh.sendall(HEAD + chunk(self.news(3)))
+                            sock.sendall(chunk(self.update_line(90)))
+                    fresh.sendall(HEAD + chunk(self.update_line(3)))
                     self.happens(lambda: self.made.version == 3)
                     gevent.sleep(0.02)
                     self.assertEqual((self.made.version, self.made.platform), (3, new.getsockname()))
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -77,7 +77,7 @@
 
     def test_zones_and_kinds_are_known_by_name_and_unknown_ones_are_a_place_of_their_own(self) -> None:
         told: list[Any] = []
-        made = EndpointList(self.assignment, Counters(), lambda *news: told.append(news), lambda: None)
+        made = EndpointList(self.assignment, Counters(), lambda *update: told.append(update), lambda: None)
         for zone, kind, places in (("yard", "plain", (2, 0)), ("ä,b", "big, old", (1, 1)), ("elsewhere", None, (3, 2))):
             line = {"uid": zone, "endpoint": "127.0.0.1:9", "az": zone, "model": kind, "pod_group": 1, "state": "up"}
             made.learn({"rev": 1, "all": False, "targets": [line]})
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The watch of the list: its text in any form, how it breaks and opens anew, and the first news of a process."""
+"""The watch of the list: its text in any form, how it breaks and opens anew, and the first update of a process."""
 
 import contextlib
 import json
@@ -89,7 +89,7 @@
         self.told: list[Any] = []
         made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, {"zones": "a,b", "kinds": "k"})
         self.made = EndpointList(
-            made, Counters(), lambda *news: self.told.append(news), lambda: self.failed.append(time.monotonic())
+            made, Counters(), lambda *update: self.told.append(update), lambda: self.failed.append(time.monotonic())
         )
         self.listener = self.agent()
         self.made.platform = self.listener.getsockname()
@@ -111,7 +111,7 @@
             self.addCleanup(sock.close)
             return sock, sock.recv(1000).partition(b"\r\n")[0]
 
-    def news(self, rev: int, indent: int | None = None) -> bytes:
+    def update_line(self, rev: int, indent: int | None = None) -> bytes:
         return json.dumps({"rev": rev, "all": True, "targets": [self.GOOD]}, indent=indent).encode() + b"\n"
 
     def happens(self, true: Callable[[], object]) -> None:
@@ -123,7 +123,7 @@
 class Watch(Watched):
     def test_an_indented_list_is_learned(self) -> None:
         sock, _ = self.opened()
-        text = self.news(3, indent=2)
+        text = self.update_line(3, indent=2)
         sock.sendall(HEAD)
         for at in range(0, len(text), 50):
             sock.sendall(chunk(text[at : at + 50]))
@@ -135,7 +135,7 @@
         for end, limit in (("silent", 0.6), ("reset", 0.2), ("ended", 0.2)):
             with self.subTest(end=end):
                 sock, _ = self.opened()
-                sock.sendall(HEAD + chunk(self.news(7)))
+                sock.sendall(HEAD + chunk(self.update_line(7)))
                 gevent.sleep(0.22)
                 sock.sendall(chunk(b"\n"))
                 last = time.monotonic()
@@ -165,13 +165,13 @@
     def test_a_call_without_an_answer_has_failed_and_is_listened_to_until_the_next_one_is_wanted(self) -> None:
         first, _ = self.opened()
         self.happens(lambda: self.failed)
-        self.assertTrue(self.made.first_news.is_set())
+        self.assertTrue(self.made.first_update.is_set())
         gevent.sleep(0.5)
         self.made.ask()
         second, _ = self.opened()
         self.assertEqual((first.recv(1), len(self.failed)), (b"", 1))
         self.happens(lambda: len(self.failed) == 2)
-        second.sendall(HEAD + chunk(self.news(5)))
+        second.sendall(HEAD + chunk(self.update_line(5)))
         self.happens(lambda: self.made.version == 5)
         self.made.ask()  # it is answered now: nothing is to be opened
         with self.assertRaises(gevent.Timeout):
@@ -199,17 +199,17 @@
             with contextlib.suppress(OSError):
                 for rev in range(10, 99):
                     gevent.sleep(0.05)
-                    sock.sendall(chunk(self.news(rev)))
+                    sock.sendall(chunk(self.update_line(rev)))
 
         going = gevent.spawn(go_on)
         self.addCleanup(going.kill)
         again, _ = self.opened()
-        again.sendall(HEAD + chunk(self.news(30)))
+        again.sendall(HEAD + chunk(self.update_line(30)))
         self.happens(lambda: self.made.version == 30)
 
     def test_a_late_line_of_the_old_agent_is_not_believed_after_a_move(self) -> None:
         sock, _ = self.opened()
-        sock.sendall(HEAD + chunk(self.news(7)))
+        sock.sendall(HEAD + chunk(self.update_line(7)))
         self.happens(lambda: self.made.version == 7)
         late = json.dumps({"rev": 90, "all": True, "targets": [{**self.GOOD, "state": "draining"}]}).encode()
         sock.sendall(chunk(late))
--- a/tests/test_fleet_suspensions.py
+++ b/tests/test_fleet_suspensions.py
@@ -132,7 +132,7 @@
 
     def begin(self) -> None:
         """A process on the folder; its dispatcher, its list and its links are made up."""
-        self.dispatcher: Any = Made(heed=mock.Mock(), attempt_ended=mock.Mock(), attempts=Made())
+        self.dispatcher: Any = Made(apply_retry_after=mock.Mock(), attempt_ended=mock.Mock(), attempts=Made())
         self.listed: Any = Made(
             numbers={f"u{i}": i for i in range(100)},
             suspended=set(),
@@ -191,15 +191,17 @@
         self.assertEqual([len(body.rows) for body in self.sent], [0, 1])
 
     def test_hints_are_few_say_what_is_left_and_are_not_passed_on(self) -> None:
-        self.dispatcher.attempts.heed([(1, NOW + 300_000), *((i, NOW + S) for i in range(2, 70))])
+        self.dispatcher.attempts.report_retry_after([(1, NOW + 300_000), *((i, NOW + S) for i in range(2, 70))])
         self.dispatcher.attempts.tell(Made(receiver=70), Made(retry_after=S))
-        self.assertEqual((self.dispatcher.heed.call_count, self.dispatcher.attempt_ended.call_count), (1, 1))
+        self.assertEqual(
+            (self.dispatcher.apply_retry_after.call_count, self.dispatcher.attempt_ended.call_count), (1, 1)
+        )
         told = self.sharing._hints()
         self.assertEqual(told, tuple(RetryAfterEntry(f"u{i}", S) for i in range(7, 71)))
-        self.dispatcher.attempts.heed([(69, NOW + S + 9)])  # the same again
+        self.dispatcher.attempts.report_retry_after([(69, NOW + S + 9)])  # the same again
         self.assertEqual(self.sharing._hints(), ())
         self.sharing.heard("n", RetryAfterHint((*told, RetryAfterEntry("unlisted", 5))))
-        self.assertEqual(self.dispatcher.heed.call_args.args[0], [(i, NOW + S) for i in range(7, 71)])
+        self.assertEqual(self.dispatcher.apply_retry_after.call_args.args[0], [(i, NOW + S) for i in range(7, 71)])
         self.assertEqual(self.sharing._hints(), ())
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -67,7 +67,7 @@
         self.dispatcher._final(2, True, 0)  # chosen, but no copy has it, and it was not told
         self.dispatcher._flush()
         self.dispatcher._answer_late([1, 2])
-        self.assertEqual(returned.answer.get()[0], AdmissionResult.KEPT)
+        self.assertEqual(returned.answer.get()[0], AdmissionResult.ACCEPTED)
         self.assertEqual(
             [json.loads(line)["state"] for line in self.dispatcher.notices.owed.values()], ["failed", "failed"]
         )
@@ -130,7 +130,7 @@
         self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[5]], [1, 2, 3])
 
     def test_a_message_is_kept_before_its_attempt_starts(self) -> None:
-        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.KEPT, 0))
+        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
         self.assertEqual((list(self.store.messages), self.calls[0].message), ([1], self.store.messages[1]))
 
     def test_each_attempt_is_a_call_of_its_own_whatever_the_settings_say(self) -> None:
@@ -172,7 +172,7 @@
 
     def test_another_body_under_an_open_id_is_not_taken_for_the_same(self) -> None:
         self.taken()
-        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.KEPT, 0))
+        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
         self.assertEqual(self.taken(size=4).answer.get(block=False), (AdmissionResult.REPEATED, 0))
 
     def test_ids_are_remembered_for_a_while_only(self) -> None:
@@ -248,7 +248,7 @@
         )
         self.dispatcher._take(submission)
         self.dispatcher._keep_fresh()
-        self.assertEqual(submission.answer.get(block=False), (AdmissionResult.KEPT, 0))
+        self.assertEqual(submission.answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
         self.assertEqual((list(self.store.messages), self.calls), ([1], []))
 
     def test_at_an_end_what_comes_is_turned_away(self) -> None:
@@ -411,9 +411,9 @@
     def endpoint_list(self) -> tuple[EndpointList, list[Any]]:
         told: list[Any] = []
         made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, {"zones": "a,b", "kinds": "k"})
-        return EndpointList(made, Counters(), lambda *news: told.append(news), lambda: None), told
+        return EndpointList(made, Counters(), lambda *update: told.append(update), lambda: None), told
 
-    def test_list_news_in_the_numbers_of_the_decisions(self) -> None:
+    def test_list_updates_in_the_numbers_of_the_decisions(self) -> None:
         made, told = self.endpoint_list()
         entry = {
             "uid": "s",
@@ -443,11 +443,11 @@
         self.assertEqual((told[-1][1][-1].receiver, made.address_of(50)), (50, ("127.0.0.1", 9)))
         self.assertEqual((sorted(made.numbers.values()), len(made.addresses)), ([*range(43, 51)], 8))
 
-    def test_list_news_that_cannot_be_read_changes_nothing(self) -> None:
+    def test_list_updates_that_cannot_be_read_change_nothing(self) -> None:
         made, told = self.endpoint_list()
-        for news in ({}, {"rev": "x", "all": True, "targets": []}, json.loads("[]"), {"rev": 1, "all": True}):
-            with self.subTest(news=news), self.assertRaises(ValueError):
-                made.learn(news)
+        for update in ({}, {"rev": "x", "all": True, "targets": []}, json.loads("[]"), {"rev": 1, "all": True}):
+            with self.subTest(update=update), self.assertRaises(ValueError):
+                made.learn(update)
         self.assertEqual((told, made.version), ([], 0))
 
     def test_a_line_that_cannot_be_read_does_not_hide_the_others(self) -> None:
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -66,7 +66,7 @@
         submission.message.number = self.store.next_number
         self.store.next_number += 1
         self.store.keep(submission.message)
-        submission.answered(AdmissionResult.KEPT)
+        submission.answered(AdmissionResult.ACCEPTED)
 
     def between(self, call: Callable[[], bool]) -> AsyncResult:
         answer: AsyncResult = AsyncResult()
@@ -158,7 +158,7 @@
     def test_a_session_moves_with_its_messages_and_ids_and_no_id_is_taken_twice(self) -> None:
         a, b, c = (self.traffic[name] for name in NAMES)
         for id in ("1", "2"):
-            self.assertEqual(a.hand_in(message(id))[0], AdmissionResult.KEPT)
+            self.assertEqual(a.hand_in(message(id))[0], AdmissionResult.ACCEPTED)
         self.assertEqual(self.move("a", "b"), "YES 00000000000000a1 moved to b\n")
         self.turn()
         self.assertEqual(
@@ -168,9 +168,9 @@
         self.assertEqual([each.store.inert for each in (a, b)], [{}, {}])
         self.assertEqual([each.transfers.files.inert() for each in (a, b)], [{}, {}])
         for who in (a, c):  # the connection that stayed, and a client that comes elsewhere
-            self.assertEqual(who.hand_in(message("1"))[0], AdmissionResult.KEPT)
+            self.assertEqual(who.hand_in(message("1"))[0], AdmissionResult.ACCEPTED)
             self.assertEqual(who.hand_in(message("2", b"other"))[0], AdmissionResult.REPEATED)
-            self.assertEqual(who.hand_in(message(f"3{who.name}"))[0], AdmissionResult.KEPT)
+            self.assertEqual(who.hand_in(message(f"3{who.name}"))[0], AdmissionResult.ACCEPTED)
         self.assertEqual(sorted(kept.id for kept in b.store.messages.values()), ["1", "2", "3a", "3c"])
 
     def test_a_full_folder_at_the_giver_keeps_no_message_from_being_given_up(self) -> None:
@@ -202,7 +202,7 @@
             return ""
 
         self.lose = once
-        self.assertEqual((c.hand_in(message("2"))[0], len(lost)), (AdmissionResult.KEPT, 1))
+        self.assertEqual((c.hand_in(message("2"))[0], len(lost)), (AdmissionResult.ACCEPTED, 1))
         self.assertEqual(a.dispatcher.submitted, 2)  # type: ignore[attr-defined]
         self.lose = lambda to, body: "answer" if to == "a" else ""
         self.assertEqual(c.hand_in(message("3"))[0], AdmissionResult.UNSURE)
@@ -256,7 +256,7 @@
         again = self.member("a")
         dispatcher: Any = again.dispatcher
         self.assertEqual(
-            [again.hand_in(message(id))[0] for id in ("1", "2")], [AdmissionResult.KEPT, AdmissionResult.KEPT]
+            [again.hand_in(message(id))[0] for id in ("1", "2")], [AdmissionResult.ACCEPTED, AdmissionResult.ACCEPTED]
         )
         self.assertEqual(dispatcher.submitted, 1)
         self.assertIsNone(again.transfers.files.take_sessions())
@@ -352,14 +352,14 @@
                     who.hand_in(message("1", b"other"))[0],
                     who.hand_in(message(f"2{who.name}"))[0],
                 ],
-                [AdmissionResult.KEPT, AdmissionResult.REPEATED, AdmissionResult.KEPT],
+                [AdmissionResult.ACCEPTED, AdmissionResult.REPEATED, AdmissionResult.ACCEPTED],
             )
         self.assertEqual(sorted(kept.id for kept in c.store.messages.values()), ["2b", "2c"])
         # It wakes, and has its next partition; what it had taken and told to nobody is neither answered nor delivered.
         self.lose = lambda to, body: ""
         a.store.current = LeasedPartition(partition + 1, a.store.holdings[partition].adoption)
         a.store.current.serving = True
-        self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.KEPT)
+        self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.ACCEPTED)
         self.assertEqual((a.dispatcher.submitted, a.directory.where(KEY)), (1, "c"))  # type: ignore[attr-defined]
         ((number, kept),) = a.store.messages.items()
         holding = c.store.holdings[partition]
@@ -386,7 +386,7 @@
         b.node.grantor._grants[right_of(partition + 1)] = Grant(right_of(partition + 1), 1, "a")
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
         del b.node.grantor._grants[right_of(partition + 1)]
-        self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.KEPT)
+        self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.ACCEPTED)
         b.transfers.acceptor.learned("a", 1)
         self.assertEqual(
             [
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -109,7 +109,7 @@
             polled,
             self.dispatcher.clear,
             self.dispatcher.attempt_ended,
-            self.dispatcher.heed,
+            self.dispatcher.apply_retry_after,
         )
         self.dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
         running = gevent.spawn(self.dispatcher.run)
@@ -305,7 +305,7 @@
 
     def test_a_wait_told_apart_from_an_outcome_holds(self) -> None:
         made = sender()
-        made.heed(NOW, 1, NOW + WAIT)
+        made.apply_retry_after(NOW, 1, NOW + WAIT)
         take(made, 1)
         self.assertEqual(made.decide(NOW).attempts, [])
         self.assertEqual(made.decide(NOW + WAIT - 1).attempts, [])
@@ -314,7 +314,7 @@
     def test_a_wait_that_is_told_while_a_call_is_out_stops_the_next(self) -> None:
         made = sender()
         first = out(made, 1, ONCE)
-        made.heed(NOW, 1, NOW + WAIT)
+        made.apply_retry_after(NOW, 1, NOW + WAIT)
         second = take(made, 2)
         self.assertEqual(made.decide(NOW).attempts, [])
         self.assertFalse(second.may_start(NOW + WAIT - 1, 1))
@@ -324,7 +324,7 @@
     def test_a_receiver_that_leaves_and_comes_back_is_spared_to_the_end_of_its_wait(self) -> None:
         for kind in (0, 1):  # of a pace that its destination shares, and of one of its own
             made = sender(kind=kind)
-            made.heed(NOW, 1, NOW + 60_000 * MS)
+            made.apply_retry_after(NOW, 1, NOW + 60_000 * MS)
             gone = ListedEndpoint(1, 0, kind, 7, EndpointState.REMOVED, 0.0)
             for at in (NOW, NOW + 25_000 * MS, NOW + 50_000 * MS):
                 made.listed(at, EndpointUpdate.DELTA, [gone])
