--- a/cedarwick/cli/config.py
+++ b/cedarwick/cli/config.py
@@ -79,7 +79,7 @@
     type=click.Choice(["operator", "sender"]),
     default="operator",
     show_default=True,
-    help="Which kind of file: the operator's, or the platform's JSON that a sender is told.",
+    help="Which kind of file: the operator's, or the platform's JSON that a sender is given.",
 )
 def example(kind: str) -> None:
     """A file to begin with: every key of the operator's, or a whole configuration of one sender."""
--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -204,8 +204,8 @@
         ]
         begun = time.monotonic()
         for turn in range(2):
-            kept = ["--out", os.path.join(out, f"{name}-{seed}" + ("-again" if turn else ""))] if out else []
-            ended = subprocess.run(words + (["--short"] if short else []) + kept, capture_output=True, text=True)
+            out_option = ["--out", os.path.join(out, f"{name}-{seed}" + ("-again" if turn else ""))] if out else []
+            ended = subprocess.run(words + (["--short"] if short else []) + out_option, capture_output=True, text=True)
             if ended.returncode != 4:
                 break
         return name, seed, ended.returncode, ended.stderr.strip(), time.monotonic() - begun
@@ -278,7 +278,7 @@
 
 
 @command.command()
-@click.option("--live", default=100_000, show_default=True, type=click.IntRange(100), help="Messages kept.")
+@click.option("--live", default=100_000, show_default=True, type=click.IntRange(100), help="Messages stored.")
 @click.option("--bytes", "size", default=1000, show_default=True, type=click.IntRange(0, 65536), help="Of a body.")
 @click.option("--rounds", default=20_000, show_default=True, type=click.IntRange(10), help="Of eight messages.")
 @click.option("--json", "json_file", type=click.Path(), help="Write the figures here; - for standard output.")
--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -112,7 +112,7 @@
         if held is None:
             return
         self.registry.restore(now, held.at, held.epoch, held.entries.items())
-        logger.info("{} subscriptions are kept, {} of them live", len(held.entries), len(self.registry.living(now)))
+        logger.info("{} subscriptions recovered, {} of them live", len(held.entries), len(self.registry.living(now)))
         self._replace(now)
 
     def changed(self, now: int, names: Iterable[str]) -> None:
@@ -190,7 +190,9 @@
             # Replace the file next: pages after a partly written one could not be read.
             self.room = 0
             self.look_at = 0
-            self.counters.warning("the subscriptions are not kept", SubscriptionsNotSavedError(f"{self.path}: {error}"))
+            self.counters.warning(
+                "the subscriptions are not saved", SubscriptionsNotSavedError(f"{self.path}: {error}")
+            )
             return False
         self.writes += 1
         self.bytes += size
--- a/cedarwick/net/assignment.py
+++ b/cedarwick/net/assignment.py
@@ -14,7 +14,7 @@
 
 
 class AssignmentError(CedarwickError):
-    """The program cannot start with what it was told."""
+    """The program cannot start with its configuration."""
 
     code = "CW101"
     remedy = "correct the file or the RELAY_ variable that is named, then start again"
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -123,7 +123,7 @@
         self.ready = ready  # whether the store has been read and the endpoint list is known
         self.closing = False
         self.paused = False  # paused by the operators: PING is refused, clients are closed between requests
-        self.still_taking = False  # while closing: requests that were read are still kept, for a hand-over
+        self.still_taking = False  # while closing: requests that were read are still stored, for a hand-over
         self.waste = bytearray(1 << 16)
         self.hand_in: Callable[[StoredMessage], SubmitResult] = self.to_dispatcher
         if listener is not None:
--- a/cedarwick/net/connections.py
+++ b/cedarwick/net/connections.py
@@ -97,7 +97,7 @@
         """
         address = self.address_of(receiver)
         free_by = min(until, self.clock.now() + DESCRIPTOR_TIMEOUT_US)
-        while (link := None if new else self._kept(receiver, address)) is None:
+        while (link := None if new else self._reusable(receiver, address)) is None:
             try:
                 self.descriptors.claim()
                 break
@@ -118,7 +118,7 @@
         self.counters.add("links opened")
         return Connection(sock, receiver, address)
 
-    def _kept(self, receiver: int, address: tuple[str, int]) -> Connection | None:
+    def _reusable(self, receiver: int, address: tuple[str, int]) -> Connection | None:
         """The newest idle connection that can still be used, if any; those that cannot are closed."""
         waiting = self.idle.get(receiver)
         while waiting:
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -253,7 +253,7 @@
                     new_connection=handle.needs_new_connection(),
                 )
                 self.attempts.start(call)
-            else:  # it could not be kept
+            else:  # it could not be stored
                 handle.attempt_ended(now, Outcome.MOOT, handle.attempts - 1, receiver, 0, 0, True, ())
                 self.handles.pop(number, None)
         for line in verdicts.log_lines:
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -79,7 +79,7 @@
             gevent.sleep(HANDOVER_POLL_INTERVAL_S)
     client_listener.still_taking = False
     logger.info(
-        "handing over: {} messages kept, {} attempts without an outcome",
+        "handing over: {} messages stored, {} attempts without an outcome",
         len(store.messages),
         len(dispatcher.attempts.out),
     )
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -198,7 +198,7 @@
     def shut_down(self) -> None:
         """End every part within the time that SIGTERM leaves; hand over if a next process has the socket."""
         self.staff.taking = False
-        logger.info("ending: {} messages kept", len(self.store.messages))
+        logger.info("ending: {} messages stored", len(self.store.messages))
         if self.inherited is not None:
             self._hand_over()
         else:
--- a/cedarwick/store/compaction.py
+++ b/cedarwick/store/compaction.py
@@ -35,7 +35,7 @@
     folder: Folder
     body_cache: BodyCache
     segment_index: SegmentIndex
-    owing: deque[tuple[bytes, Callable[[Segment], None]]]
+    pending_records: deque[tuple[bytes, Callable[[Segment], None]]]
     condemned: list[tuple[str, int]]
 
     @property
@@ -51,7 +51,7 @@
         """Compute anew how many bytes are free."""
         ...
 
-    def write_owing(self) -> None:
+    def write_pending(self) -> None:
         """Write the queued short records; raises `NoSpaceError`."""
         ...
 
@@ -87,7 +87,7 @@
         self.inline_steps_since_step = 0
         if (
             self.store.appended < min(MIN_STEP_BYTES, self.store.segment_size // 8)
-            and not self.store.owing
+            and not self.store.pending_records
             and not self.store.condemned
         ):
             return
@@ -97,7 +97,7 @@
         if self.store.condemned and not self.store.durable:
             self.delete_condemned()
         try:
-            self.store.write_owing()
+            self.store.write_pending()
         except NoSpaceError:
             pass
         victim = self._choose(short=False)
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -75,7 +75,9 @@
         self.damaged = False  # whether part of that could not be read
         self.used = 0  # bytes of all files, in whole blocks
         self.appended = 0  # bytes since the last compaction step, without moved records
-        self.owing: deque[tuple[bytes, Callable[[Segment], None]]] = deque()  # short records that did not fit yet
+        self.pending_records: deque[tuple[bytes, Callable[[Segment], None]]] = (
+            deque()
+        )  # short records that did not fit yet
         self.condemned: list[tuple[str, int]] = []  # dropped files not deleted yet, and their bytes in whole blocks
         self.unsynced: set[int] = set()  # descriptors of files with bytes not synced yet
         self.moved_bytes = 0
@@ -194,7 +196,7 @@
         weighed = self.weighed(stored)
         if weighed > self.spare:
             self.estimate_room()
-        return weighed <= self.spare and not self.owing
+        return weighed <= self.spare and not self.pending_records
 
     def estimate_room(self) -> None:
         """Compute anew how many bytes are free; between two calls the estimate may only be too low."""
@@ -216,7 +218,7 @@
         body = stored.body or b""
         stored.size, stored.checksum = len(body), zlib.crc32(body)
         if not self.fits(stored):
-            raise NoSpaceError("too much is kept")
+            raise NoSpaceError("no room for another message")
         self.write_message(stored, body, RecordUse.NEW_MESSAGE)
         self.spare -= self.weighed(stored)
         self.body_cache.add(stored, self.messages)
@@ -242,13 +244,13 @@
             self.over(number)
             return
         stored.outcome(outcome.never_ran)
-        self._write_or_owe(OUTCOME_BODY.pack(OUTCOME, number, OUTCOMES.index(outcome)), self._when_written(stored))
+        self._write_or_queue(OUTCOME_BODY.pack(OUTCOME, number, OUTCOMES.index(outcome)), self._when_written(stored))
 
     def may_have_run(self, number: int, at: int, zone: int) -> None:
         """Record an attempt of another sender that may have run, earlier than all known here."""
         stored = self.messages[number]
         stored.ran_at, stored.ran_zone = at, zone
-        self._write_or_owe(records.state(stored), self._when_written(stored))
+        self._write_or_queue(records.state(stored), self._when_written(stored))
 
     def ended(self, number: int, rejected: bool, wait_ms: int) -> None:
         """Record the final answer: its notice must still be sent, its body is not needed any more."""
@@ -256,7 +258,7 @@
         if stored is not None:
             stored.end = (rejected, wait_ms)
             self.body_cache.release(stored)
-            self._write_or_owe(END_BODY.pack(END, number, rejected, wait_ms), self._when_written(stored))
+            self._write_or_queue(END_BODY.pack(END, number, rejected, wait_ms), self._when_written(stored))
 
     def over(self, number: int) -> None:
         """Record that a message is finished and forget it."""
@@ -264,7 +266,7 @@
         if stored is not None:
             self.body_cache.release(stored)
             holders = self.segment_index.message_over(stored)
-            self._write_or_owe(
+            self._write_or_queue(
                 OVER_BODY.pack(OVER, number), lambda segment: self.segment_index.end_written(number, holders, segment)
             )
 
@@ -339,35 +341,35 @@
 
         return then
 
-    def _write_or_owe(self, payload: bytes, then: Callable[[Segment], None]) -> None:
+    def _write_or_queue(self, payload: bytes, then: Callable[[Segment], None]) -> None:
         """Write a short record that must not be lost; without space it is queued, and `NoSpaceError` raised."""
-        if self.owing:
-            self.owing.append((payload, then))
-            self.write_owing()
+        if self.pending_records:
+            self.pending_records.append((payload, then))
+            self.write_pending()
             return
         try:
             segment, _ = self.append_record(payload, RecordUse.SHORT_RECORD)
         except NoSpaceError:
-            self.owing.append((payload, then))
+            self.pending_records.append((payload, then))
             raise
         then(segment)
 
-    def write_owing(self) -> None:
+    def write_pending(self) -> None:
         """Write the queued short records; raises `NoSpaceError` at the first that still does not fit."""
-        while self.owing:
-            payload, then = self.owing[0]
-            segment, _ = self.append_record(payload, RecordUse.SHORT_RECORD, owed=True)
+        while self.pending_records:
+            payload, then = self.pending_records[0]
+            segment, _ = self.append_record(payload, RecordUse.SHORT_RECORD, from_queue=True)
             then(segment)
-            self.owing.popleft()
+            self.pending_records.popleft()
 
-    def append_record(self, payload: bytes, use: RecordUse, owed: bool = False) -> tuple[Segment, int]:
+    def append_record(self, payload: bytes, use: RecordUse, from_queue: bool = False) -> tuple[Segment, int]:
         """Append one record; returns its segment and the offset of its frame there.
 
-        `owed`: the record is the first of the queue `owing`. Raises `NoSpaceError` if there is no space or the disk
-        refuses the write.
+        `from_queue`: the record is the first of `pending_records`. Raises `NoSpaceError` if there is no space or the
+        disk refuses the write.
         """
-        if self.owing and not owed and use is not RecordUse.MOVE:
-            self.write_owing()  # records about one message must be written in their order
+        if self.pending_records and not from_queue and use is not RecordUse.MOVE:
+            self.write_pending()  # records about one message must be written in their order
         record = framed(payload)
         active = self.active
         if active is None or active.size + len(record) > self.segment_size and active.size > active.head:
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -227,7 +227,7 @@
     if kind > DROP:
         found.unknown_records += 1
         if found.unknown_records == 1:
-            say(f"{segment_name(segment.number)}: a record of the unknown kind {kind} at {record.at} is kept as it is")
+            say(f"{segment_name(segment.number)}: a record of the unknown kind {kind} at {record.at} is retained")
         segment_index.add_unknown(segment, record.at + FRAME.size, len(payload))
         if kind < HARMLESS and len(payload) >= SHORTEST:
             doubtful = segment_index.messages.get(STATE_HEAD.unpack_from(payload)[1])
--- a/tests/processes/test_events.py
+++ b/tests/processes/test_events.py
@@ -235,7 +235,7 @@
             fleet.until(lambda: set(subscriber.ended) == set(before), 8.0, "the ends of the old sources")
             fleet.until(lambda: subscriber.sources() == set(NAMES), 8.0, "the new sources")
             for number in range(3):
-                self.assertRegex(fleet.log(number), "2 subscriptions are kept")
+                self.assertRegex(fleet.log(number), "2 subscriptions recovered")
                 self.assertRegex(fleet.call(number, "UNFOLLOW over"), "^NO no subscription")
             while fleet.under_way:
                 gevent.sleep(0.05)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -175,7 +175,7 @@
             self.doing = None
             self.store.step()
         self.doing = None
-        if not self.store.owing:
+        if not self.store.pending_records:
             self.unsure.clear()
 
     def _keep(self) -> None:
--- a/tests/test_subscriptions_kept.py
+++ b/tests/test_subscriptions_kept.py
@@ -382,7 +382,7 @@
             held.end(NOW + 1, "x")
             member.changed(NOW + 1)
             keeper.look(NOW + 1, NOW + 1)
-        self.assertEqual(keeper.counters.counts["warning: the subscriptions are not kept"], 2)
+        self.assertEqual(keeper.counters.counts["warning: the subscriptions are not saved"], 2)
         keeper.look(NOW + 2 * SECOND, NOW + 2 * SECOND)
         self.assertTrue(unpacked(self.data(member)).entries["x"].ended)  # type: ignore[union-attr]
         keeper.close(NOW)
