--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -83,7 +83,7 @@
             instance.notes_dropped += 1
         elif code == codec.ORDER_CODE:
             _, message, tenant, _, limit, _, key, destination, priority_class = values
-            instance.handles[message] = sender.take(
+            instance.handles[message] = sender.accept(
                 now, message, int(destination), priority_class, codec.micros(limit), tenant, key
             )
         elif code == codec.FINISHED_CODE:
@@ -95,13 +95,13 @@
                 handle.attempt_ended(
                     now, outcome, attempt, receiver, codec.micros(took), retry_after, bool(last), extra
                 )
-                if handle.ended and not handle.out:
+                if handle.ended and not handle.in_flight:
                     del instance.handles[message]
         elif code == codec.LEFT_CODE:
             handle = instance.handles.get(values[1])
             if handle is not None:
                 handle.withdrawn(now)
-                if not handle.out:
+                if not handle.in_flight:
                     del instance.handles[values[1]]
         elif code == codec.SYNC_CODE:
             _, how, _, slot = values
--- a/cedarwick/decisions/endpoint_updates.py
+++ b/cedarwick/decisions/endpoint_updates.py
@@ -41,7 +41,7 @@
         known.ready = listing.phase is EndpointState.READY
         if back and now - known.left_at > self.fall_time:
             # A receiver that was away for this long has probably been restarted: ramp up instead of full traffic.
-            known.back_at, known.ramp = now, TokenBucket(0.0, now)
+            known.recovered_at, known.ramp = now, TokenBucket(0.0, now)
         if self.settings.get("weight-source", "off") != "off" and listing.rate > 0:
             self._list_rate(known.pace, listing.rate)
 
@@ -58,10 +58,10 @@
         )
         self.receivers[new.id] = new
         mates = self._mates(place, pace)
-        out = [mate for mate in mates if mate.out_since]
-        if out and not any(mate.ready and not mate.out_since for mate in mates):
+        out = [mate for mate in mates if mate.ejected_since]
+        if out and not any(mate.ready and not mate.ejected_since for mate in mates):
             # Otherwise all messages held through the outage would go to the replacement machine at once.
-            new.out_since, new.failed, new.provable = out[0].out_since, True, out[0].provable
+            new.ejected_since, new.failed, new.provable = out[0].ejected_since, True, out[0].provable
             new.canary_at = max(now, pace.canary_at)
         place.members.append(listing.receiver)
 
--- a/cedarwick/decisions/health.py
+++ b/cedarwick/decisions/health.py
@@ -40,10 +40,10 @@
         self.changed |= {receiver.destination} | self.starved
         self.starved.clear()
         over = receiver.attempt_over(message.sent_at) % self._batch(receiver) == 0
-        self.calls_out -= over
-        pace.calls_out -= over
+        self.calls_in_flight -= over
+        pace.calls_in_flight -= over
         self.idle.add(receiver.id)
-        receiver.canary_out = False
+        receiver.canary_in_flight = False
         if outcome in (Outcome.MOOT, Outcome.CANCELLED):
             return
         reported = dict(zip(self.columns, report, strict=False))
@@ -83,21 +83,21 @@
         pace.proven = True
         receiver.recent_successes.append(True)
         receiver.consecutive_throttles = receiver.throttled_since = 0
-        deviation = abs(took - receiver.mean) if receiver.mean else took / 2
+        deviation = abs(took - receiver.mean_latency) if receiver.mean_latency else took / 2
         receiver.latency_deviation += (deviation - receiver.latency_deviation) / (
             4 if receiver.latency_deviation else 1
         )
-        receiver.mean += (took - receiver.mean) / (8 if receiver.mean else 1)
-        if receiver.out_since:
+        receiver.mean_latency += (took - receiver.mean_latency) / (8 if receiver.mean_latency else 1)
+        if receiver.ejected_since:
             # A destination back from an outage would fail again under its full traffic, so it gets a ramp.
-            if receiver.failed or now - receiver.out_since > self.fall_time:
+            if receiver.failed or now - receiver.ejected_since > self.fall_time:
                 # Each of many senders sends canaries seldom: assume that it returned midway between the last two.
-                looked = min(receiver.gap, now - receiver.out_since) if self.many else 0
-                receiver.back_at, receiver.warm_at = now - looked // 2, now + self.ramp_time
+                looked = min(receiver.gap, now - receiver.ejected_since) if self.many else 0
+                receiver.recovered_at, receiver.ramp_until = now - looked // 2, now + self.ramp_time
                 receiver.ramp = TokenBucket(0.0, now)
                 if pace.rate is not None:  # throttles during the outage say nothing about its rate limit
                     pace.rate = max(pace.rate, receiver.observed_rate, pace.reference)
-            receiver.out_since, receiver.failed = 0, False
+            receiver.ejected_since, receiver.failed = 0, False
             receiver.recent_successes = deque([True], JUDGED_OUTCOMES)
         if receiver.completed_sent_at != message.sent_at:  # the attempts of one call count once
             record_recent(receiver.completions, now, self.observation_window)
@@ -125,9 +125,9 @@
         )
         shut |= sparse and limit_left > LIMIT_HAS_ROOM  # its rate limit has room, so its queue must be full: it hangs
         mates = self._mates(self.destinations[receiver.destination], pace) if retry_after > SHUT_AFTER else [receiver]
-        for mate in mates if retry_after > SHUT_AFTER or receiver.out_since or shut else []:
-            self._out(now, mate, provable=True)
-        if not receiver.out_since:
+        for mate in mates if retry_after > SHUT_AFTER or receiver.ejected_since or shut else []:
+            self._eject(now, mate, provable=True)
+        if not receiver.ejected_since:
             self._throttle(now, pace, receiver.consecutive_throttles > 1)
 
     def _failed(self, now: int, message: Message, receiver: Receiver, outcome: Outcome) -> None:
@@ -143,14 +143,14 @@
             and not any(outcomes[-2:])
             and receiver.completed_sent_at < message.sent_at
         )
-        if receiver.back_at and sum(outcomes) * 3 <= len(outcomes) * 2:
-            receiver.back_at = now  # some calls succeed in an outage; the ramp must not go on during it
+        if receiver.recovered_at and sum(outcomes) * 3 <= len(outcomes) * 2:
+            receiver.recovered_at = now  # some calls succeed in an outage; the ramp must not go on during it
         # At a few calls a minute there are never enough outcomes to judge by, and every message would spend all its
         # attempts on a dead receiver: with many senders one failure without recent completions is enough.
         failing = failing or self.many and self._stale(message.sent_at, receiver)
-        if failing or receiver.out_since or (len(outcomes) >= 3 and sum(outcomes) * 5 <= len(outcomes) * 2):
-            self._out(now, receiver, provable=outcome is Outcome.CONNECT_FAILED)
-            self._out_with(now, receiver)
+        if failing or receiver.ejected_since or (len(outcomes) >= 3 and sum(outcomes) * 5 <= len(outcomes) * 2):
+            self._eject(now, receiver, provable=outcome is Outcome.CONNECT_FAILED)
+            self._eject_with(now, receiver)
 
     def _current_failure_score(self, now: int, receiver: Receiver) -> float:
         """The failure score at this time: recent failures, each halved every `FAILURE_SCORE_HALF_LIFE`."""
@@ -159,7 +159,7 @@
     def _silent(self, now: int, receiver: Receiver) -> bool:
         """Whether calls are out and nothing has come back for much longer than usual."""
         since = max(next(iter(receiver.calls), now), receiver.answered_at)
-        usual = 2 * receiver.mean + 4 * receiver.latency_deviation if receiver.mean else 2 * SECOND
+        usual = 2 * receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else 2 * SECOND
         return len(receiver.calls) > 1 and now - since > max(
             MIN_SILENCE, usual
         )  # a single lost call is not enough evidence
--- a/cedarwick/decisions/interface.py
+++ b/cedarwick/decisions/interface.py
@@ -5,14 +5,14 @@
     sender = Sender(settings, seed, now)          settings: a plain map of names to values, as text
     sender.listed(now, change, listings)          an update of the list of receivers
     sender.list_poll_failed(now)                  a list call failed or the subscription broke
-    handle = sender.take(now, id, ...)            a new message
+    handle = sender.accept(now, id, ...)          a new message
     handle.attempt_ended(now, outcome, attempt, ...)    an outcome of one of its attempts
     handle.withdrawn(now)                         its client has given it up
     verdicts = sender.decide(now)                 once, after the events of a round
 
 A protocol on sockets uses besides:
 
-    handles = sender.resume(now, owed)            once, at the start after a restart
+    handles = sender.restore(now, unfinished)     once, at the start after a restart
     sender.apply_retry_after(now, receiver, until)   a Retry-After wait, apart from an outcome
     sender.room                                   set before a round: how many more messages can be stored
     sender.retry_after_waits(now)                 the waits that a replaced process hands to its successor
@@ -172,7 +172,7 @@
         """A call for the list failed, or its subscription broke."""
         ...
 
-    def take(
+    def accept(
         self,
         now: int,
         message_id: int,
@@ -185,7 +185,7 @@
         """Accept a message; `deadline` is a time in microseconds, `key` 0 where order does not matter."""
         ...
 
-    def resume(self, now: int, owed: Sequence[UnfinishedMessage]) -> Sequence[MessageHandle]:
+    def restore(self, now: int, unfinished: Sequence[UnfinishedMessage]) -> Sequence[MessageHandle]:
         """Accept the messages that a restart left unfinished, in their order."""
         ...
 
--- a/cedarwick/decisions/load_shedding.py
+++ b/cedarwick/decisions/load_shedding.py
@@ -31,7 +31,7 @@
         while self.open >= bound:
             holding = [place for place in self.destinations.values() if place.held]
             places = sorted(holding, key=lambda each: (-self._drain(now, each), each.id))
-            lines = ([held for held in place.held if not (held.out or held.ended)] for place in places)
+            lines = ([held for held in place.held if not (held.in_flight or held.ended)] for place in places)
             spare = next((line for line in lines if line), None)
             if spare is None:
                 return
@@ -48,8 +48,8 @@
     def _drain(self, now: int, place: Destination) -> float:
         """An estimate of how many seconds a destination takes to work off its backlog."""
         ready = place.ready
-        lost = max((now - member.out_since for member in ready if member.out_since), default=10 * SECOND)
-        if any(not member.out_since for member in ready):
+        lost = max((now - member.ejected_since for member in ready if member.ejected_since), default=10 * SECOND)
+        if any(not member.ejected_since for member in ready):
             return len(place.held) / max(member.pace.rate or 1.0 for member in ready)
         return len(place.held) * (3.0 + lost / SECOND)  # expect an outage to last as long again as it already has
 
--- a/cedarwick/decisions/message_handle.py
+++ b/cedarwick/decisions/message_handle.py
@@ -1,6 +1,6 @@
 """The handle of an accepted message: the protocol reports outcomes to it and asks whether an attempt may go.
 
-Times are microseconds. `Sender.take` and `Sender.resume` (see `policy`) make the handles.
+Times are microseconds. `Sender.accept` and `Sender.restore` (see `policy`) make the handles.
 """
 
 from collections.abc import Sequence
@@ -38,9 +38,9 @@
         the setting `report.columns`. Does nothing where no attempt is running.
         """
         sender = self.sender
-        if not self.out:
+        if not self.in_flight:
             return
-        self.out = False
+        self.in_flight = False
         record = sender.receivers[receiver]
         stale = reused_connection and outcome is Outcome.RESET
         sender.broken_reuse_share += (stale - sender.broken_reuse_share) / MANY if reused_connection else 0.0
@@ -64,7 +64,7 @@
 
     def withdrawn(self, now: int) -> None:
         """The client has given the message up; a running attempt still ends with an outcome."""
-        if not (self.ended or self.out):
+        if not (self.ended or self.in_flight):
             self.sender.close(now, self)
         self.ended = True
 
--- a/cedarwick/decisions/policy.py
+++ b/cedarwick/decisions/policy.py
@@ -51,7 +51,7 @@
         ]
         super().__init__(settings, seed, now)
 
-    def take(
+    def accept(
         self, now: int, message_id: int, destination: int, priority_class: int, deadline: int, tenant: int, key: int
     ) -> Handle:
         """Accept a message; `deadline` is a time in microseconds, `key` 0 where order does not matter."""
@@ -67,15 +67,15 @@
         self.hold(now, handle)
         return handle
 
-    def resume(self, now: int, owed: Sequence[UnfinishedMessage]) -> list[Handle]:
+    def restore(self, now: int, unfinished: Sequence[UnfinishedMessage]) -> list[Handle]:
         """Accept what a restart left unfinished; an attempt without an outcome may have run."""
         # An attempt from before the restart may still be running, even for a key with no unfinished message: all keys
         # rest, so that a later message of the key cannot overtake it.
         self.turns.all_rest = now + duration_setting(self.settings, "rules.turn-gap-ms")
-        handles = [self.take(now, *each[:-1]) for each in owed]
+        handles = [self.accept(now, *each[:-1]) for each in unfinished]
         # If the settings now allow fewer open messages, the recovered ones must not be shed without an attempt.
         self.most_open = max(self.most_open, self.open + 2)
-        for handle, each in zip(handles, owed, strict=True):
+        for handle, each in zip(handles, unfinished, strict=True):
             handle.attempts = len(each.attempts)
             for attempt in reversed(each.attempts):
                 if attempt.outcome is None or not attempt.outcome.never_ran:
@@ -106,7 +106,7 @@
         next_look = self._look_at_held(now, places)
         self._shed(now)
         for place in places:
-            place.held = [held for held in place.held if not (held.out or held.ended)]
+            place.held = [held for held in place.held if not (held.in_flight or held.ended)]
             self.looks.plan(place.id, max(next_look.get(place.id, NEVER), now + self.tick))
         self._release_connections()
         verdicts, self.verdicts = self.verdicts, Decisions()
@@ -119,7 +119,7 @@
     def _begin_round(self, place: Destination) -> None:
         """Compute the values of a destination that stay the same through the round."""
         place.ready = [self.receivers[each] for each in place.members if self.receivers[each].ready]
-        place.quickest = min((member.mean for member in place.ready), default=0.0)
+        place.quickest = min((member.mean_latency for member in place.ready), default=0.0)
         place.waits_until = min((member.pace.wait_until for member in place.ready), default=0)
         place.room.clear()
 
@@ -127,7 +127,7 @@
         """Advance the held messages, most urgent first; returns the time of the next look by destination."""
         next_look: dict[int, int] = {}
         alone = max(self.per_call, default=1) == 1
-        waiting = [held for place in places for held in place.held if not (held.out or held.ended)]
+        waiting = [held for place in places for held in place.held if not (held.in_flight or held.ended)]
         for message in sorted(waiting, key=lambda held: self._urgency(now, held)):
             place = self.destinations[message.destination]
             known = now < message.look_at and place.room.get(message.asks)
@@ -188,12 +188,12 @@
         if receiver is None:
             return min(place.room[asking][1], last_start + 1)
         joins = self._joins(now, receiver)
-        if not joins and self.calls_out >= self.slots:
+        if not joins and self.calls_in_flight >= self.slots:
             self.starved.add(place.id)
             return last_start + 1
         place.room.clear()
         self._spend(now, receiver, joins)
-        message.out, message.sent_at = True, now
+        message.in_flight, message.sent_at = True, now
         message.attempts += 1
         patience = self._patience(now, message, receiver)
         self.verdicts.attempts.append((message.id, receiver.id, patience))
--- a/cedarwick/decisions/recovery.py
+++ b/cedarwick/decisions/recovery.py
@@ -7,7 +7,7 @@
 from cedarwick.decisions.sender_state import CERTAIN_SHARE, SenderState
 from cedarwick.decisions.state import SECOND, Receiver
 
-COLD_CALL_ALLOWANCE = 2  # calls above what a restarted destination withstands within `rules.fall-ms`
+WARM_UP_CALL_ALLOWANCE = 2  # calls above what a restarted destination withstands within `rules.fall-ms`
 MIN_CANARY_GAP = 800_000  # between two canaries of this sender to one destination, where it is large
 CANARY_GAP_PER_AGE = 2.5  # gaps between canaries grow to this multiple of the outage's age where senders are many
 MAX_CANARY_GAP = 6 * SECOND  # and where it is small or the senders are many
@@ -17,25 +17,25 @@
 class Recovery(SenderState):
     """Ejects receivers, and computes when they are probed and how fast they ramp up."""
 
-    def _out(self, now: int, receiver: Receiver, provable: bool) -> None:
+    def _eject(self, now: int, receiver: Receiver, provable: bool) -> None:
         """Eject a receiver; `provable` says that its last failure proved that nothing ran."""
-        receiver.out_since = receiver.out_since or now
-        receiver.failed, receiver.provable, receiver.back_at = True, provable, 0
+        receiver.ejected_since = receiver.ejected_since or now
+        receiver.failed, receiver.provable, receiver.recovered_at = True, provable, 0
         receiver.canary_at = self._next_canary(now, receiver)
         # An attempt on an idle connection to a dead machine is lost unseen; a new connection fails at once.
         self.verdicts.released_connections.append(receiver.id)
 
-    def _out_with(self, now: int, receiver: Receiver) -> None:
+    def _eject_with(self, now: int, receiver: Receiver) -> None:
         """Eject the other receivers of a destination as well, once a second one of them is out.
 
         An outage mostly affects all receivers of a destination. If each of many senders went on probing them one by
         one, the senders together would overload whichever recovers first.
         """
         mates = self._mates(self.destinations[receiver.destination], receiver.pace)
-        if self.many and sum(mate.out_since > 0 for mate in mates) > 1:
+        if self.many and sum(mate.ejected_since > 0 for mate in mates) > 1:
             for mate in mates:
-                if not mate.out_since and self._stale(now, mate):
-                    self._out(now, mate, receiver.provable)
+                if not mate.ejected_since and self._stale(now, mate):
+                    self._eject(now, mate, receiver.provable)
 
     def _next_canary(self, now: int, receiver: Receiver) -> int:
         """When the next canary may go (microseconds).
@@ -46,20 +46,20 @@
         # Canaries do no harm while connections fail, so gaps need not grow; but with many senders all of them would
         # hit the receiver in the moment it recovers.
         dead = receiver.provable and not receiver.consecutive_throttles and not self.many
-        aged = round((now - receiver.out_since) * (0.0 if dead else CANARY_GAP_PER_AGE))
+        aged = round((now - receiver.ejected_since) * (0.0 if dead else CANARY_GAP_PER_AGE))
         gap = max(MIN_CANARY_GAP, round(SECOND / self._returning_rate(receiver, 0)))
         gap = min(gap, max(MAX_CANARY_GAP * (1 + self.many), aged))
         receiver.pace.canary_at = max(receiver.pace.canary_at, now + gap * 3 // 4)
         withstood = self._returning_rate(receiver, 0) * self.senders * self.fall_time / SECOND
-        if (self.many or self.senders > withstood + COLD_CALL_ALLOWANCE) and receiver.pace.wait_until > now:
+        if (self.many or self.senders > withstood + WARM_UP_CALL_ALLOWANCE) and receiver.pace.wait_until > now:
             # All senders know the same end of the wait: spread their return at random.
             return receiver.pace.wait_until + self.chance.below(gap)
         return now + gap * 3 // 4 + self.chance.below(gap // 2)
 
     def _returning_rate(self, receiver: Receiver, since: int) -> float:
         """Calls a second that this sender may send `since` microseconds after the receiver's recovery."""
-        cold_share = float_setting(self.settings, "rules.cold-share", 0.25)
-        share = cold_share + (1 - cold_share) * min(1.0, since / self.ramp_time)
+        warm_up_share = float_setting(self.settings, "rules.cold-share", 0.25)
+        share = warm_up_share + (1 - warm_up_share) * min(1.0, since / self.ramp_time)
         observed_rate = max(receiver.observed_rate, receiver.pace.limit * CERTAIN_SHARE / self.senders)
         share *= RAMP_SAFETY_SHARE * float_setting(self.settings, "rules.fall-multiple", 1.5)
         return max(self.min_rate, share * observed_rate)
--- a/cedarwick/decisions/selection.py
+++ b/cedarwick/decisions/selection.py
@@ -24,11 +24,11 @@
         canary: list[tuple[Receiver, float]] = []
         soonest = NEVER
         for member in members:
-            if not member.out_since and self._silent(now, member):
+            if not member.ejected_since and self._silent(now, member):
                 # Eject a hanging receiver, before its unanswered calls take all slots.
-                member.out_since, member.provable = now, False
+                member.ejected_since, member.provable = now, False
                 member.canary_at = self._next_canary(now, member)
-            if member.out_since:
+            if member.ejected_since:
                 room_at = self._canary_room(now, message, member)
                 if room_at <= now:
                     canary = canary or [(member, 0.0)]
@@ -42,7 +42,7 @@
     def _weight(self, now: int, receiver: Receiver) -> float:
         """A receiver's weight in the rotation: observed speed and success, reduced by failures and fees."""
         success = (sum(receiver.recent_successes) + 1) / (len(receiver.recent_successes) + 1)
-        pace = SECOND / (receiver.mean or SECOND / 2)
+        pace = SECOND / (receiver.mean_latency or SECOND / 2)
         fee = float(self.fees.get(receiver.zone, 0.0)) if receiver.kind in self.separate_kinds else 0.0
         fee += self.cross_zone_fee if receiver.zone != self.locality else 0.0
         return float(pace * success * 2.0 ** -self._current_failure_score(now, receiver) / (1 + fee * 50))
@@ -51,7 +51,7 @@
         """Whether an attempt of this round can share a call to the receiver that has room for more messages."""
         joined = receiver.calls.get(now, 0) % self._batch(receiver)
         # A full call is as heavy as several; during a ramp or after throttling calls carry fewer messages.
-        return 0 < joined < (WARM_UP_BATCH if receiver.back_at or receiver.consecutive_throttles else NEVER)
+        return 0 < joined < (WARM_UP_BATCH if receiver.recovered_at or receiver.consecutive_throttles else NEVER)
 
     def _room(self, now: int, receiver: Receiver) -> int:
         """When a receiver in service may get its next call; `now` where it may at once."""
@@ -61,7 +61,7 @@
         if self._joins(now, receiver):
             return now
         # A restarted sender knows no rate yet; bounding its running calls spares a throttled destination.
-        if pace.calls_out >= max(UNPROVEN_CALLS, self.slots // 3 if pace.proven else 0):
+        if pace.calls_in_flight >= max(UNPROVEN_CALLS, self.slots // 3 if pace.proven else 0):
             return now + SECOND
         if pace.sends and now - pace.sends[-1] > IDLE_RATE_RESET and not pace.limit:
             pace.rate, pace.reference = None, 0.0
@@ -70,10 +70,10 @@
             room_at = now + pace.bucket.fill(now, pace.rate, max(1.0, pace.rate))
             pace.tokens_ran_out |= room_at > now
         # Many senders only estimate the recovery, half of them too early: the ramp lasts until `warm_at` at least.
-        if now >= max(receiver.warm_at, receiver.back_at + self.ramp_time):
-            receiver.back_at = 0
-        if receiver.back_at:
-            rate = self._returning_rate(receiver, now - receiver.back_at)
+        if now >= max(receiver.ramp_until, receiver.recovered_at + self.ramp_time):
+            receiver.recovered_at = 0
+        if receiver.recovered_at:
+            rate = self._returning_rate(receiver, now - receiver.recovered_at)
             room_at = max(room_at, now + receiver.ramp.fill(now, rate, 1.0))
         return room_at
 
@@ -82,16 +82,16 @@
         # An at-most-once message has no second attempt, so it is a canary only where failure proves it never ran.
         lost = message.priority_class.at_most_once and not receiver.provable
         soonest = max(now, receiver.canary_at, receiver.pace.canary_at, receiver.pace.wait_until)
-        return NEVER if receiver.canary_out or lost else soonest
+        return NEVER if receiver.canary_in_flight or lost else soonest
 
     def _spend(self, now: int, receiver: Receiver, joins: bool) -> None:
         """Account for an attempt that goes to the receiver now, in a call of its own or one that it joins."""
         receiver.attempt_sent(now, joins)
-        if receiver.out_since:
-            receiver.canary_out = True
+        if receiver.ejected_since:
+            receiver.canary_in_flight = True
             receiver.canary_at = self._next_canary(now, receiver)
         if not joins:
-            self.calls_out += 1
+            self.calls_in_flight += 1
             record_recent(receiver.pace.sends, now, REFUSAL_WINDOW, MIN_SENDS_FOR_RATE + 1)
 
     def _patience(self, now: int, message: Message, receiver: Receiver) -> int:
@@ -101,9 +101,9 @@
         a retry must still fit into the deduplication window.
         """
         left = message.deadline - now - 2 * self.tick
-        usual = receiver.mean + 4 * receiver.latency_deviation if receiver.mean else 2 * SECOND
+        usual = receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else 2 * SECOND
         soon = max(SECOND, round(2 * usual)) << min(message.attempts - 1, 4)
-        crowded = 2 * self.calls_out >= self.slots
+        crowded = 2 * self.calls_in_flight >= self.slots
         if message.priority_class.at_most_once or message.priority_class.idempotent:
             return min(left, soon if message.priority_class.idempotent else 3 * soon if crowded else NEVER)
         window = (
@@ -111,7 +111,7 @@
             if not message.ran_at
             else message.ran_at + message.priority_class.window - now
         )
-        patience = min(window - SECOND // 2, soon if receiver.out_since or crowded else 2 * soon)
+        patience = min(window - SECOND // 2, soon if receiver.ejected_since or crowded else 2 * soon)
         # Cut the time-out only where what remains is enough for an answer; otherwise use all the time left.
         enough = patience >= min(SECOND, usual)
         return min(left, patience) if enough and message.attempts < self.most_attempts else left
--- a/cedarwick/decisions/sender_state.py
+++ b/cedarwick/decisions/sender_state.py
@@ -68,7 +68,7 @@
         self.open = 0
         self.room = NEVER  # messages that may still be stored, as the protocol says
         self.taken = 0
-        self.calls_out = 0
+        self.calls_in_flight = 0
         self.changed: set[int] = set()  # destinations that need a look in this round
         self.broken_reuse_share = 0.0  # moving share of calls on reused connections that broke
         self.connect_failure_shares: dict[int, float] = {}  # by kind: how often one failed just before a completion
--- a/cedarwick/decisions/state.py
+++ b/cedarwick/decisions/state.py
@@ -92,7 +92,7 @@
             line.pop()
         for message in joined:
             index = len(line)
-            while index and not line[index - 1].out and before(message, line[index - 1]):
+            while index and not line[index - 1].in_flight and before(message, line[index - 1]):
                 index -= 1
             line.insert(index, message)
 
@@ -178,7 +178,7 @@
     tokens_ran_out: bool = False  # tokens ran out since the last raise
     proven: bool = False  # a call has been completed here
     canary_at: int = 0
-    calls_out: int = 0
+    calls_in_flight: int = 0
     sends: deque[int] = field(default_factory=deque)
     answers: deque[int] = field(default_factory=deque)
     throttles: deque[int] = field(default_factory=deque)  # those answers that were refusals as full
@@ -196,7 +196,7 @@
     ready: bool = True
     left_at: int = 0  # since when it is not; 0: it is
     credit: float = 0.0  # its place in the rotation
-    mean: float = 0.0  # mean time to answer, and its mean deviation (microseconds); 0: nothing seen
+    mean_latency: float = 0.0  # mean time to answer, and its mean deviation (microseconds); 0: nothing seen
     latency_deviation: float = 0.0
     recent_successes: deque[bool] = field(default_factory=deque)  # its last few outcomes: completed or failed
     failure_score: float = 0.0
@@ -209,13 +209,13 @@
     answered_at: int = 0
     used_at: int = 0  # the newest attempt, and how long after the one before it
     gap: int = 0
-    out_since: int = 0  # 0: in service
+    ejected_since: int = 0  # 0: in service
     failed: bool = False  # the outage showed in an outcome, not in silence alone
     provable: bool = False  # its last failure proved that nothing ran
     canary_at: int = 0
-    canary_out: bool = False
-    back_at: int = 0  # when it returned from an outage; 0: not within its ramp
-    warm_at: int = 0  # its ramp does not end before this
+    canary_in_flight: bool = False
+    recovered_at: int = 0  # when it returned from an outage; 0: not within its ramp
+    ramp_until: int = 0  # its ramp does not end before this
     ramp: TokenBucket = field(default_factory=TokenBucket)
     calls: dict[int, int] = field(default_factory=dict)  # send time: attempts without an outcome
 
@@ -224,7 +224,7 @@
         self.calls[now] = self.calls.get(now, 0) + 1
         self.gap, self.used_at = now - self.used_at, now
         if not joins:
-            self.pace.calls_out += 1
+            self.pace.calls_in_flight += 1
             self.pace.bucket.take()
             self.ramp.take()
 
@@ -252,7 +252,7 @@
     over_share: bool = False
     attempts: int = 0
     cancelled: int = 0
-    out: bool = False
+    in_flight: bool = False
     sent_at: int = 0
     due: int = 0  # not before this
     ran_at: int = 0  # send time of the first attempt that may have run; 0: none has
--- a/cedarwick/events/event_source.py
+++ b/cedarwick/events/event_source.py
@@ -107,9 +107,9 @@
         now = self.dispatcher.clock.now()
         self.uids = {number: uid for uid, number in self.endpoint_list.numbers.items()}
         out = {
-            self._uid(each.id): (each.destination, each.out_since)
+            self._uid(each.id): (each.destination, each.ejected_since)
             for each in self.dispatcher.sender.receivers.values()
-            if each.out_since
+            if each.ejected_since
         }
         suspended = set(self.endpoint_list.suspended)
         events: list[Happened] = []
--- a/cedarwick/lab/virtual_partners.py
+++ b/cedarwick/lab/virtual_partners.py
@@ -95,16 +95,16 @@
         self.owner = owner
         self.clear = dispatcher.clear
         self.tell = dispatcher.attempt_ended
-        self.out = {}
+        self.in_flight = {}
         self.seen: dict[int, Called] = {}  # by message: the call that its partner has
 
     def start(self, call: AttemptCall) -> None:
         task = self.day.kernel.spawn(self._run, call)
-        self.out[task] = call
-        task.rawlink(lambda ended: self.out.pop(ended, None))
+        self.in_flight[task] = call
+        task.rawlink(lambda ended: self.in_flight.pop(ended, None))
 
     def cut(self, numbers: Collection[int]) -> None:
-        for task, call in list(self.out.items()):
+        for task, call in list(self.in_flight.items()):
             if call.message.number in numbers and not call.reported:
                 task.kill()
                 if (seen := self.seen.pop(call.message.number, None)) is not None and seen.ended == NEVER:
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -134,7 +134,7 @@
         dispatcher.attempts = DrawnAttempts(day, self.partners, dispatcher, self.number, self.owner)
         dispatcher.free_links = lambda _: None
         dispatcher.ask_for_list = lambda: None
-        dispatcher.resume()
+        dispatcher.restore()
         node = FleetNode(self.name, day.table, self.folder, self.store, clock, counters)
         self.door, self.staff = Door(dispatcher), SimpleNamespace(follows=not_in_a_fleet, moves=no_sessions)
         staff = cast(ManagementCommands, self.staff)
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -92,17 +92,17 @@
         self.tell = tell
         self.report_retry_after = report_retry_after
         self.may_fire = may_fire
-        self.out: dict[gevent.Greenlet, AttemptCall] = {}
+        self.in_flight: dict[gevent.Greenlet, AttemptCall] = {}
 
     def start(self, call: AttemptCall) -> None:
         """Make the attempt in a greenlet of its own."""
         greenlet = gevent.spawn(self._run, call)
-        self.out[greenlet] = call
-        greenlet.rawlink(lambda finished: self.out.pop(finished, None))
+        self.in_flight[greenlet] = call
+        greenlet.rawlink(lambda finished: self.in_flight.pop(finished, None))
 
     def cut(self, numbers: Collection[int]) -> None:
         """Abort the running calls of some messages and close their connections; the messages may have run."""
-        for greenlet, call in list(self.out.items()):
+        for greenlet, call in list(self.in_flight.items()):
             if call.message.number in numbers and not call.reported:
                 greenlet.kill(block=False)
                 self.counters.add("attempts cut off: their session moves")
@@ -272,7 +272,7 @@
 
         A refusal that arrives just after the time-out still sets a Retry-After wait, which later attempts must respect.
         """
-        self.out.pop(gevent.getcurrent(), None)
+        self.in_flight.pop(gevent.getcurrent(), None)
         self._read_on(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
         if answer.headed and answer.status == 429 and not call.retry_after_reported:
             self.counters.add("waits heard after the call was given up")
--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -49,7 +49,7 @@
         self.numbers[stored.id] = number
         # Bound the time to live: an absurd one would take up room in the store for ever.
         stored.deadline = min(stored.deadline, now + self.sender.priority_classes[priority_class].deadline)
-        self.handles[number] = self.sender.take(
+        self.handles[number] = self.sender.accept(
             now,
             number,
             stored.destination,
@@ -69,7 +69,7 @@
         handle = self.handles.get(stored.number)
         if handle is not None:
             handle.withdrawn(self.clock.now())
-            if not handle.out:
+            if not handle.in_flight:
                 del self.handles[stored.number]
         self._over(stored)
 
@@ -93,7 +93,7 @@
         if not self._recorded("a message", self.store.keep, stored):
             del self.numbers[stored.id]
             self.handles[stored.number].withdrawn(self.clock.now())
-            if not self.handles[stored.number].out:
+            if not self.handles[stored.number].in_flight:
                 del self.handles[stored.number]
             submission.answered(AdmissionResult.BUSY)
             return
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -80,8 +80,8 @@
             self._report_outcome(parked, call, ending)
             frozen = self.frozen.get(call.message.turn)
             if frozen is not None:
-                frozen.out.discard(number)
-                if not frozen.out and not frozen.still.ready():
+                frozen.in_flight.discard(number)
+                if not frozen.in_flight and not frozen.still.ready():
                     frozen.still.set(True)
             if number in self.to_adopt:
                 self.to_adopt.discard(number)
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -84,7 +84,7 @@
         limits = {
             number: self.store.messages[number].deadline - DEADLINE_MARGIN_US
             for number, handle in self.handles.items()
-            if not handle.out and number in self.store.messages
+            if not handle.in_flight and number in self.store.messages
         }
         for number, limit in limits.items():
             if limit <= now:
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -20,7 +20,7 @@
 class Sessions(DispatcherState):
     """Adopts, parks and freezes messages, and lets keys rest of which another sender has earlier messages."""
 
-    def resume(self) -> None:
+    def restore(self) -> None:
         """Take up what an earlier process of this sender left and it has the right to send; call once, at the start."""
         numbers = [number for number in sorted(self.store.messages) if self.store.may_fire(number)]
         if self.store.restarted:
@@ -58,12 +58,12 @@
         if quietly and all(
             attempt.outcome is not None and attempt.outcome.never_ran for each in owed for attempt in each.attempts
         ):
-            # Sessions arrive one by one, and each `resume` would make the keys of all others rest.
+            # Sessions arrive one by one, and each `restore` would make the keys of all others rest.
             for each in owed:
-                handle = self.handles[each.message_id] = self.sender.take(now, *each[:-1])
+                handle = self.handles[each.message_id] = self.sender.accept(now, *each[:-1])
                 handle.attempts = len(each.attempts)
             return len(owed)
-        for each, handle in zip(owed, self.sender.resume(now, owed), strict=True):
+        for each, handle in zip(owed, self.sender.restore(now, owed), strict=True):
             self.handles[each.message_id] = handle
         return len(owed)
 
@@ -123,7 +123,7 @@
             handle = self.handles.pop(number, None)
             if handle is not None:
                 handle.withdrawn(now)
-                if handle.out:
+                if handle.in_flight:
                     self.parked[number] = handle
 
     def _freeze(self, key: int, frozen: "FrozenSession") -> None:
@@ -137,14 +137,14 @@
                 submission.message.number = 0
                 submission.answered(AdmissionResult.FROZEN)
         self._park(numbers)
-        frozen.out = {number for number, handle in self.parked.items() if handle.key == key}
-        if not frozen.out:
+        frozen.in_flight = {number for number, handle in self.parked.items() if handle.key == key}
+        if not frozen.in_flight:
             frozen.still.set(True)
 
     def _cut(self, key: int) -> None:
         frozen = self.frozen.get(key)
-        if frozen is not None and frozen.out:
-            self.attempts.cut(frozen.out)
+        if frozen is not None and frozen.in_flight:
+            self.attempts.cut(frozen.in_flight)
 
     def _thaw(self, key: int) -> None:
         self.frozen.pop(key, None)
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -34,7 +34,7 @@
     """A session that is moving: its attempts still running, and an event that is set once there are none."""
 
     still: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
-    out: set[int] = field(default_factory=set)
+    in_flight: set[int] = field(default_factory=set)
 
 
 class DispatcherState:
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -149,7 +149,7 @@
 
     def idle(self) -> bool:
         """Whether no attempt is running and no call is queued."""
-        return not self.attempts.out and self.queue.empty()
+        return not self.attempts.in_flight and self.queue.empty()
 
     # ---- the one greenlet ----
 
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -81,7 +81,7 @@
     logger.info(
         "handing over: {} messages stored, {} attempts without an outcome",
         len(store.messages),
-        len(dispatcher.attempts.out),
+        len(dispatcher.attempts.in_flight),
     )
     # The next process may attempt these messages again: a call that still completed here would be a second copy.
-    gevent.killall(list(dispatcher.attempts.out))
+    gevent.killall(list(dispatcher.attempts.in_flight))
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -181,7 +181,7 @@
         if not holds_folder:
             self._wait_for_folder()
         self._connect_dispatcher()
-        self.dispatcher.resume()
+        self.dispatcher.restore()
         take_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
         self.node = join_fleet(self.assignment, self.operator, self.store, self.clock, self.counters)
         if not self.clock.in_step():
@@ -448,7 +448,7 @@
         if listing.phase is not EndpointState.REMOVED
     }
     avoided = {endpoint_list.numbers[uid] for uid in endpoint_list.suspended if uid in endpoint_list.numbers}
-    avoided |= {receiver.id for receiver in dispatcher.sender.receivers.values() if receiver.out_since}
+    avoided |= {receiver.id for receiver in dispatcher.sender.receivers.values() if receiver.ejected_since}
     return len(dispatcher.handles), len(listed), len(avoided & listed)
 
 
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -67,7 +67,7 @@
 
 def pushes_the_cold() -> None:
     """No outage is noticed, so a destination that returns gets everything at once."""
-    policy.Sender._out = lambda self, now, receiver, provable: None  # type: ignore[method-assign]
+    policy.Sender._eject = lambda self, now, receiver, provable: None  # type: ignore[method-assign]
     policy.Sender._silent = lambda self, now, receiver: False  # type: ignore[method-assign]
 
 
--- a/tests/build.py
+++ b/tests/build.py
@@ -70,7 +70,7 @@
 
 
 def take(made: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
-    return made.take(now, message, 7, priority_class, now + 16_000 * MS, 0, key)
+    return made.accept(now, message, 7, priority_class, now + 16_000 * MS, 0, key)
 
 
 def out(made: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -345,7 +345,7 @@
         if reused_connection:
             client.sendall(submit("first", body=b"1"))
             self.assertEqual(client.recv(9), OK)
-            passes(lambda: not dispatcher.store.messages and not dispatcher.attempts.out)
+            passes(lambda: not dispatcher.store.messages and not dispatcher.attempts.in_flight)
         self.bodies.clear()
         self.order.clear()
 
--- a/tests/test_crossings_restarts.py
+++ b/tests/test_crossings_restarts.py
@@ -89,7 +89,7 @@
                 ],
             }
         )
-        self.dispatcher.resume()
+        self.dispatcher.restore()
 
     def submit(self, name: str, priority_class: str, tenant: str = "") -> None:
         self.dispatcher._take(
@@ -304,7 +304,7 @@
             with self.subTest(most_open=most_open, room=room, owed=owed):
                 made = sender(policy_limits__max_open=most_open, family_info__max_calls="1")
                 made.room = room
-                made.resume(
+                made.restore(
                     NOW,
                     [UnfinishedMessage(number, 7, number % 3, NOW + 8_000 * MS, 0, 0, ()) for number in range(owed)],
                 )
@@ -325,7 +325,7 @@
     def patience(self, window: int, ran_ago: int | None, mean: int, attempts: int = 0) -> int:
         """In milliseconds, of 16 s; `ran_ago`: when an earlier attempt was sent that may have run."""
         made = sender(classes__1__dedup_window_ms=str(window), classes__1__in_turn="false")
-        made.receivers[1].mean = mean * MS
+        made.receivers[1].mean_latency = mean * MS
         handle = take(made, 1, NUMBERED)
         handle.attempts = attempts
         if ran_ago is not None:
@@ -510,7 +510,7 @@
         for name in "abc":
             self.made.submit(name, priority_class="once")
         self.wait_for(lambda: self.counts["warning: no descriptor for an attempt"] >= 3)
-        self.assertEqual({handle.attempts - handle.out for handle in self.dispatcher.handles.values()}, {0})
+        self.assertEqual({handle.attempts - handle.in_flight for handle in self.dispatcher.handles.values()}, {0})
         self.links.descriptors.limit = 8
         self.wait_for(lambda: len(self.partner.arrived) == 3)
         self.wait_for(lambda: not self.made.store.messages)
@@ -530,7 +530,7 @@
         self.made.submit("a")
         self.assertTrue(asked.wait(2.0))
         self.dispatcher.attempts.cut({1})
-        self.wait_for(lambda: not self.made.store.messages and not self.dispatcher.attempts.out)
+        self.wait_for(lambda: not self.made.store.messages and not self.dispatcher.attempts.in_flight)
         self.links.free(1)
         self.assertEqual(self.links.descriptors.used, 0)
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -97,7 +97,7 @@
                 dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
                 attempts: Any = SimpleNamespace(columns=dispatcher.sender.columns, counters=Counters())
                 now = dispatcher.clock.now()
-                handle = dispatcher.sender.take(now, 1, 0, 1, now + 8_000_000, 0, 0)
+                handle = dispatcher.sender.accept(now, 1, 0, 1, now + 8_000_000, 0, 0)
                 dispatcher.sender.decide(now)
                 handle.attempt_ended(now, Outcome.COMPLETED, 0, 1, 1000, 0, True, AttemptRunner._report(attempts, text))
                 pace = dispatcher.sender.receivers[1].pace
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -93,7 +93,7 @@
         self.dispatcher._park([2])  # somebody has told news of it
         self.dispatcher._adopt([2])
         self.assertEqual([handle.id for handle in line], [1, 2, 3])
-        line[2].out = True
+        line[2].in_flight = True
         self.dispatcher._park([2])
         self.dispatcher._adopt([2])
         self.assertEqual([handle.id for handle in line], [1, 3, 2])  # nothing begins while an attempt of the key is out
@@ -226,7 +226,7 @@
         for name, life in (("out", 8_000_000), ("near", 40_000), ("later", 8_000_000)):
             self.taken(name=name, life=life)
         for number, handle in self.dispatcher.handles.items():
-            handle.out = number == 1
+            handle.in_flight = number == 1
         for ending in (False, True):
             self.dispatcher._hold_fire(ending=ending)
             self.dispatcher._turn_away()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -248,14 +248,14 @@
         made.decide(NOW)
         later = NOW + 3_000_000  # longer than rules.fall-ms
         made.listed(later, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)])
-        self.assertEqual(made.receivers[1].back_at, later)
+        self.assertEqual(made.receivers[1].recovered_at, later)
 
     def test_a_moment_out_is_no_return(self) -> None:
         made = sender()
         made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
         made.decide(NOW)
         made.listed(NOW + 500_000, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)])
-        self.assertEqual(made.receivers[1].back_at, 0)
+        self.assertEqual(made.receivers[1].recovered_at, 0)
 
 
 class Suspending(unittest.TestCase):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -71,14 +71,14 @@
 
     def test_where_slots_are_short_at_most_once_does_not_wait_to_the_end(self) -> None:
         made = sender(family_info__max_calls="2")
-        made.receivers[1].mean = 500.0 * MS
+        made.receivers[1].mean_latency = 500.0 * MS
         take(made, 1, ONCE)
         take(made, 2, ONCE)
         self.assertEqual([attempt[2] for attempt in made.decide(NOW).attempts], [3_000 * MS, 3_000 * MS])
 
     def test_a_lone_numbered_attempt_does_not_hold_its_slot_to_the_end(self) -> None:
         made = sender(classes__1__dedup_window_ms="16000")
-        made.receivers[1].mean = 500.0 * MS
+        made.receivers[1].mean_latency = 500.0 * MS
         take(made, 1, NUMBERED)
         self.assertEqual(made.decide(NOW).attempts[0][2], 2_000 * MS)
 
@@ -114,15 +114,15 @@
     def test_a_canary_that_found_no_slot_is_not_held_to_be_out(self) -> None:
         made = sender()
         take(made, 1)
-        made.calls_out, made.receivers[1].out_since = 10, NOW - 1
+        made.calls_in_flight, made.receivers[1].ejected_since = 10, NOW - 1
         made.decide(NOW)
-        self.assertFalse(made.receivers[1].canary_out)
+        self.assertFalse(made.receivers[1].canary_in_flight)
 
     def test_a_returned_receiver_is_ramped(self) -> None:
         made = sender()
         handle = out(made, 1)
         record = made.receivers[1]
-        record.out_since, record.failed, record.observed_rate = NOW, True, 4.0
+        record.ejected_since, record.failed, record.observed_rate = NOW, True, 4.0
         end(handle, Outcome.COMPLETED, NOW + 3_000 * MS)
         for message in range(2, 9):
             take(made, message, now=NOW + 3_000 * MS)
@@ -131,21 +131,21 @@
     def test_a_failure_starts_a_ramp_again(self) -> None:
         made = sender()
         handle = out(made, 1)
-        made.receivers[1].back_at = NOW - 9_000 * MS
+        made.receivers[1].recovered_at = NOW - 9_000 * MS
         end(handle, Outcome.ERROR, NOW + 100 * MS)
-        self.assertEqual(made.receivers[1].back_at, NOW + 100 * MS)
+        self.assertEqual(made.receivers[1].recovered_at, NOW + 100 * MS)
 
     def test_fulls_alone_for_long_are_an_outage(self) -> None:
         made = sender()
         handle = out(made, 1)
         made.receivers[1].consecutive_throttles, made.receivers[1].throttled_since = 6, NOW - 3_000 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
-        self.assertTrue(made.receivers[1].out_since)
+        self.assertTrue(made.receivers[1].ejected_since)
 
     def test_a_long_retry_after_wait_is_an_outage_of_the_whole_destination(self) -> None:
         made = sender(receivers=2)
         end(out(made, 1), Outcome.FULL, NOW + 100 * MS, told=5_000 * MS)
-        self.assertTrue(all(receiver.out_since for receiver in made.receivers.values()))
+        self.assertTrue(all(receiver.ejected_since for receiver in made.receivers.values()))
 
     def test_a_call_after_a_refusal_stays_small(self) -> None:
         made = sender(kind=1)
@@ -171,16 +171,16 @@
 
     def test_a_replacement_of_a_lost_machine_starts_out(self) -> None:
         made = sender()
-        made.receivers[1].out_since = NOW
+        made.receivers[1].ejected_since = NOW
         made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(2, 0, 0, 7, EndpointState.READY, 0.0)])
-        self.assertEqual(made.receivers[2].out_since, NOW)
+        self.assertEqual(made.receivers[2].ejected_since, NOW)
 
     def test_lost_calls_among_good_ones_are_no_outage(self) -> None:
         made = sender()
         handle = out(made, 1)
         made.receivers[1].recent_successes.extend([True, False, True, True, True, False])
         end(handle, Outcome.TIME_OUT, NOW + 3_000 * MS)
-        self.assertFalse(made.receivers[1].out_since)
+        self.assertFalse(made.receivers[1].ejected_since)
 
 
 class ManySenders(unittest.TestCase):
@@ -204,14 +204,14 @@
         for senders, lost in (("2", False), ("200", True)):
             made = sender(balancers=senders)
             end(out(made, 1), Outcome.TIME_OUT, NOW + 1_000 * MS)
-            self.assertEqual(bool(made.receivers[1].out_since), lost)
+            self.assertEqual(bool(made.receivers[1].ejected_since), lost)
 
     def test_three_refusals_with_no_fresh_completion_are_an_outage(self) -> None:
         made = sender(balancers="200")
         handle = out(made, 1)
         made.receivers[1].consecutive_throttles, made.receivers[1].throttled_since = 2, NOW - 3_000 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
-        self.assertTrue(made.receivers[1].out_since)
+        self.assertTrue(made.receivers[1].ejected_since)
 
     def test_a_limit_that_is_used_up_cuts_to_part_of_the_even_part_where_senders_are_many(self) -> None:
         for senders, left, expected in (("200", 0.0, 0.6 * 40 / 200), ("200", 0.3, 0.25), ("2", 0.0, 1.2 * 40 / 2 / 2)):
@@ -266,13 +266,13 @@
             made = sender(balancers="200", report__columns="x0,x1", rate=8.0, weight_source="nominal")
             handle = out(made, 1)
             handle.attempt_ended(NOW + 100 * MS, Outcome.FULL, 0, 1, 100 * MS, 0, False, (left, 8.0))
-            self.assertEqual(bool(made.receivers[1].out_since), lost)
+            self.assertEqual(bool(made.receivers[1].ejected_since), lost)
 
     def test_gaps_between_canaries_grow_with_the_outage(self) -> None:
         # Nothing weighs on a machine that is down until it returns, and few senders do not push it over then.
         for senders, provable, soon in (("200", False, False), ("200", True, False), ("8", True, True)):
             made = sender(balancers=senders)
-            made.receivers[1].out_since, made.receivers[1].provable = NOW, provable
+            made.receivers[1].ejected_since, made.receivers[1].provable = NOW, provable
             at = made._next_canary(NOW + 20_000 * MS, made.receivers[1])
             self.assertEqual(at < NOW + 36_000 * MS, soon)
 
@@ -283,17 +283,17 @@
             if completed:
                 made.receivers[3].completions.append(completed)
             for receiver in (1, 2):
-                made._out(NOW, made.receivers[receiver], provable=True)
-            made._out_with(NOW, made.receivers[2])
-            self.assertEqual(bool(made.receivers[3].out_since), lost, senders)
+                made._eject(NOW, made.receivers[receiver], provable=True)
+            made._eject_with(NOW, made.receivers[2])
+            self.assertEqual(bool(made.receivers[3].ejected_since), lost, senders)
 
     def test_the_return_lies_between_the_last_two_looks(self) -> None:
-        for senders, gap, back_at in (("2", 6_000, 100), ("200", 6_000, -2_900), ("200", 99_000, -4_950)):
+        for senders, gap, recovered_at in (("2", 6_000, 100), ("200", 6_000, -2_900), ("200", 99_000, -4_950)):
             made = sender(balancers=senders)
             handle, receiver = out(made, 1), made.receivers[1]
-            receiver.out_since, receiver.failed, receiver.gap = NOW - 10_000 * MS, True, gap * MS
+            receiver.ejected_since, receiver.failed, receiver.gap = NOW - 10_000 * MS, True, gap * MS
             end(handle, Outcome.COMPLETED, NOW + 100 * MS)
-            self.assertEqual(receiver.back_at, NOW + back_at * MS, (senders, gap))
+            self.assertEqual(receiver.recovered_at, NOW + recovered_at * MS, (senders, gap))
 
     def test_a_retry_after_wait_does_not_end_for_all_in_the_same_instant(self) -> None:
         for senders, spread in (("2", False), ("200", True)):
@@ -320,8 +320,8 @@
     def test_the_backlog_of_a_lost_destination_goes_first(self) -> None:
         made = sender(policy_limits__max_open="6")
         made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)])
-        made.receivers[8].out_since, made.receivers[8].canary_at = NOW - 9_000 * MS, NOW + 60_000 * MS
-        made.take(NOW, 50, 8, FREE, NOW + 16_000 * MS, 0, 0)
+        made.receivers[8].ejected_since, made.receivers[8].canary_at = NOW - 9_000 * MS, NOW + 60_000 * MS
+        made.accept(NOW, 50, 8, FREE, NOW + 16_000 * MS, 0, 0)
         for message in range(1, 5):
             take(made, message)
         self.assertEqual([nack[0] for nack in made.decide(NOW).nacks], [50])
@@ -374,9 +374,9 @@
         for senders, first in (("2", 1), ("200", 2)):
             made = sender(family_info__max_calls="1", balancers=senders)
             made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)])
-            made.receivers[1].mean, made.receivers[8].mean = 2_000.0 * MS, 200.0 * MS
+            made.receivers[1].mean_latency, made.receivers[8].mean_latency = 2_000.0 * MS, 200.0 * MS
             take(made, 1)
-            made.take(NOW, 2, 8, FREE, NOW + 16_000 * MS, 0, 0)
+            made.accept(NOW, 2, 8, FREE, NOW + 16_000 * MS, 0, 0)
             self.assertEqual([attempt[0] for attempt in made.decide(NOW).attempts], [first])
 
     def test_the_first_of_a_key_counts_for_all_that_wait_behind_it(self) -> None:
@@ -398,7 +398,7 @@
         made = sender()
         made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(9, 0, 0, 8, EndpointState.READY, 0.0)])
         handle = out(made, 1, NUMBERED, key=9)
-        made.take(NOW, 2, 8, NUMBERED, NOW + 16_000 * MS, 0, 9)
+        made.accept(NOW, 2, 8, NUMBERED, NOW + 16_000 * MS, 0, 9)
         made.decide(NOW)
         end(handle, Outcome.COMPLETED, NOW + 100 * MS)
         self.assertEqual([attempt[0] for attempt in made.decide(NOW + 100 * MS).attempts], [2])
@@ -537,7 +537,7 @@
     def test_a_drawn_wait_ends_while_a_try_can_still_be_finished(self) -> None:
         for seed, quickest in [(seed, quickest) for seed in range(40) for quickest in (0.0, 1.0 * MS, 900.0 * MS)]:
             made = sender(policy_limits__most_tries="12")
-            made.chance.state, made.receivers[1].mean = seed, quickest
+            made.chance.state, made.receivers[1].mean_latency = seed, quickest
             handle = out(made, 1)
             handle.attempts = 8
             end(handle, Outcome.CONNECT_FAILED, NOW + 4_000 * MS)
@@ -555,11 +555,11 @@
         made.receivers[1].pace.rate = 0.5
         for message in (1, 2, 3):
             take(made, message, FREE)
-        self.assertEqual((len(made.decide(NOW).attempts), made.calls_out), (3, 1))
+        self.assertEqual((len(made.decide(NOW).attempts), made.calls_in_flight), (3, 1))
 
     def test_a_call_to_a_cold_route_stays_small(self) -> None:
         made = sender(kind=1)
-        made.receivers[1].back_at = made.receivers[1].ramp.filled_at = NOW
+        made.receivers[1].recovered_at = made.receivers[1].ramp.filled_at = NOW
         made.receivers[1].ramp.tokens = 1.0
         for message in range(1, 10):
             take(made, message)
@@ -575,7 +575,7 @@
 class Restarts(unittest.TestCase):
     def resumed(self, priority_class: int, *attempts: EarlierAttempt, key: int = 0, limit: int = 16_000) -> Sender:
         made = sender()
-        made.resume(NOW, [UnfinishedMessage(1, 7, priority_class, NOW + limit * MS, 0, key, attempts)])
+        made.restore(NOW, [UnfinishedMessage(1, 7, priority_class, NOW + limit * MS, 0, key, attempts)])
         return made
 
     def test_at_most_once_with_an_attempt_without_outcome_is_written_off(self) -> None:
--- a/tests/test_ramp_sum.py
+++ b/tests/test_ramp_sum.py
@@ -150,7 +150,7 @@
         self.offered += 1
         if made.open < made.most_open:
             until = self.now + limit * MS
-            self.handles[sender][message] = made.take(self.now, message, 7, priority_class, until, 0, 0)
+            self.handles[sender][message] = made.accept(self.now, message, 7, priority_class, until, 0, 0)
             self.round(sender)
 
     # ---- senders ----
@@ -207,8 +207,8 @@
             self.outage_known[sender] = False  # what the old process knew is gone with it
             self.handles[sender], made = {}, self.senders[sender]
             for message, handle in old.items():
-                if not handle.ended and not handle.out:
-                    self.handles[sender][message] = made.take(
+                if not handle.ended and not handle.in_flight:
+                    self.handles[sender][message] = made.accept(
                         self.now, message, 7, made.priority_classes.index(handle.priority_class), handle.deadline, 0, 0
                     )
             self.wakes[sender] = 0
@@ -339,7 +339,7 @@
         day = Day(KIOSK, 3, "told", 1)
         made = day.senders[0]
         for receiver in made.receivers.values():
-            receiver.out_since, receiver.pace.wait_until = BEGIN, BEGIN + 5 * SECOND
+            receiver.ejected_since, receiver.pace.wait_until = BEGIN, BEGIN + 5 * SECOND
         self.assertLess(made._next_canary(BEGIN, made.receivers[1]), BEGIN + 5 * SECOND)
 
 
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -297,7 +297,7 @@
         handle = out(made, 2, now=NOW)
         self.assertEqual(handle.attempts, 0)  # it ends at once: nothing may go in its time
         later = NOW + 3_600_000 * MS + 20_000 * MS
-        made.take(later, 3, 7, FREE, later + 16_000 * MS, 0, 0)
+        made.accept(later, 3, 7, FREE, later + 16_000 * MS, 0, 0)
         for step in range(200):
             if made.decide(later + step * 100 * MS).attempts:
                 return
@@ -330,6 +330,6 @@
                 made.listed(at, EndpointUpdate.DELTA, [gone])
             back = NOW + 55_000 * MS
             made.listed(back, EndpointUpdate.DELTA, [gone._replace(phase=EndpointState.READY)])
-            handle = made.take(back, 1, 7, FREE, back + 16_000 * MS, 0, 0)
+            handle = made.accept(back, 1, 7, FREE, back + 16_000 * MS, 0, 0)
             self.assertEqual(made.decide(back).attempts, [], kind)
             self.assertFalse(handle.may_start(back, 1))
