--- a/cedarwick/config/operator.py
+++ b/cedarwick/config/operator.py
@@ -11,7 +11,7 @@
 
 from cedarwick.config.files import ConfigFileError, load_toml
 
-__all__ = ["ConfigFileError", "Counting", "Fleet", "Lasting", "Log", "Member", "Operator", "load"]
+__all__ = ["ConfigFileError", "CounterSettings", "Fleet", "Log", "Member", "Operator", "StoreSettings", "load"]
 
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,64}$")]
 
@@ -42,7 +42,7 @@
     ] = 10.0
 
 
-class Counting(Table, frozen=True, kw_only=True):
+class CounterSettings(Table, frozen=True, kw_only=True):
     """What was taken, sent and answered, by count."""
 
     every_s: Annotated[
@@ -56,7 +56,7 @@
     ] = 0.0
 
 
-class Lasting(Table, frozen=True, kw_only=True):
+class StoreSettings(Table, frozen=True, kw_only=True):
     """The folder that lasts."""
 
     durability: Annotated[
@@ -176,8 +176,8 @@
     """The whole file."""
 
     log: Annotated[Log, Meta(description="The log on standard error.")] = Log()
-    counters: Annotated[Counting, Meta(description="Counters in the log.")] = Counting()
-    store: Annotated[Lasting, Meta(description="The folder that lasts.")] = Lasting()
+    counters: Annotated[CounterSettings, Meta(description="Counters in the log.")] = CounterSettings()
+    store: Annotated[StoreSettings, Meta(description="The folder that lasts.")] = StoreSettings()
     fleet: Annotated[Fleet | None, Meta(description="Many senders as one fleet.")] = None
 
 
