--- a/cedarwick/events/compiled.py
+++ b/cedarwick/events/compiled.py
@@ -21,102 +21,101 @@
 def tested(term: Term) -> Test:
     """Compile a normal term into a predicate on an event's values; false also stands for unknown."""
     if isinstance(term, And):
-        return _all(
-            [tested(each) for each in sorted(term.terms, key=cost)]
-        )  # cheap tests first: a false one saves the others
+        cheapest_first = sorted(term.terms, key=cost)  # a cheap test that is false saves the others
+        return _all([tested(subterm) for subterm in cheapest_first])
     if isinstance(term, Or):
-        return _any([tested(each) for each in term.terms])
+        return _any([tested(subterm) for subterm in term.terms])
     if isinstance(term, Not):
         return _opposite(term.term)
     if isinstance(term, Has):
         name = term.field
-        return lambda held: name in held
+        return lambda values: name in values
     return _leaf(term)
 
 
 def _all(tests: list[Test]) -> Test:
     if len(tests) == 2:
         first, second = tests
-        return lambda held: first(held) and second(held)
+        return lambda values: first(values) and second(values)
 
-    def test(held: Values) -> bool:
-        for each in tests:
-            if not each(held):
+    def all_true(values: Values) -> bool:
+        for test in tests:
+            if not test(values):
                 return False
         return True
 
-    return test
+    return all_true
 
 
 def _any(tests: list[Test]) -> Test:
-    def test(held: Values) -> bool:
-        for each in tests:
-            if each(held):
+    def any_true(values: Values) -> bool:
+        for test in tests:
+            if test(values):
                 return True
         return False
 
-    return test
+    return any_true
 
 
 def _opposite(term: Term) -> Test:
     """Compile the negation of a leaf: with an absent field it is unknown, so not true."""
     if isinstance(term, Has):
         name = term.field
-        return lambda held: name not in held
+        return lambda values: name not in values
     assert isinstance(term, Among | Like | Sample)
     name = "id" if isinstance(term, Sample) else term.field
     test = _leaf(term)
-    return lambda held: name in held and not test(held)
+    return lambda values: name in values and not test(values)
 
 
 def _leaf(term: Term) -> Test:
     if isinstance(term, Compare):
         return _comparison(term.field, term.sign, term.value)
     if isinstance(term, Among):
-        name, values = term.field, frozenset(term.values)
-        return lambda held: held.get(name) in values
+        name, listed = term.field, frozenset(term.values)
+        return lambda values: values.get(name) in listed
     if isinstance(term, Range):
         return _range(term.field, term.low, term.high)
     if isinstance(term, Like):
         return _glob(term)
     assert isinstance(term, Sample)
     share = term
-    return lambda held: "id" in held and sampled(share, held["id"])
+    return lambda values: "id" in values and sampled(share, values["id"])
 
 
-def _comparison(name: str, sign: str, value: Any) -> Test:
+def _comparison(name: str, sign: str, operand: Any) -> Test:
     if sign == "=":
-        return lambda held: held.get(name) == value
+        return lambda values: values.get(name) == operand
 
-    def unequal(held: dict[str, Any]) -> bool:
-        found = held.get(name)
-        return found is not None and found != value
+    def unequal(values: dict[str, Any]) -> bool:
+        value = values.get(name)
+        return value is not None and value != operand
 
-    def less(held: dict[str, Any]) -> bool:
-        found = held.get(name)
-        return found is not None and found < value
+    def less(values: dict[str, Any]) -> bool:
+        value = values.get(name)
+        return value is not None and value < operand
 
-    def at_most(held: dict[str, Any]) -> bool:
-        found = held.get(name)
-        return found is not None and found <= value
+    def at_most(values: dict[str, Any]) -> bool:
+        value = values.get(name)
+        return value is not None and value <= operand
 
-    def more(held: dict[str, Any]) -> bool:
-        found = held.get(name)
-        return found is not None and found > value
+    def more(values: dict[str, Any]) -> bool:
+        value = values.get(name)
+        return value is not None and value > operand
 
-    def at_least(held: dict[str, Any]) -> bool:
-        found = held.get(name)
-        return found is not None and found >= value
+    def at_least(values: dict[str, Any]) -> bool:
+        value = values.get(name)
+        return value is not None and value >= operand
 
     return {"!=": unequal, "<": less, "<=": at_most, ">": more, ">=": at_least}[sign]
 
 
 def _range(name: str, low: Any, high: Any) -> Test:
-    def test(held: dict[str, Any]) -> bool:
-        found = held.get(name)
-        return found is not None and low <= found <= high
+    def within(values: dict[str, Any]) -> bool:
+        value = values.get(name)
+        return value is not None and low <= value <= high
 
-    return test
+    return within
 
 
 def _glob(term: Like) -> Test:
@@ -124,18 +123,18 @@
     if prefix is not None:
         head = prefix
 
-        def begins(held: dict[str, Any]) -> bool:
-            found = held.get(name)
-            return found is not None and bool(found.startswith(head))
+        def begins(values: dict[str, Any]) -> bool:
+            value = values.get(name)
+            return value is not None and bool(value.startswith(head))
 
         return begins
     matches = globber(term.pattern)
 
-    def test(held: dict[str, Any]) -> bool:
-        found = held.get(name)
-        return found is not None and matches(found)
+    def matches_glob(values: dict[str, Any]) -> bool:
+        value = values.get(name)
+        return value is not None and matches(value)
 
-    return test
+    return matches_glob
 
 
 def globber(pattern: str) -> Callable[[str], bool]:
--- a/tests/test_filters.py
+++ b/tests/test_filters.py
@@ -6,9 +6,11 @@
 from hypothesis import strategies as st
 
 from cedarwick.events import filter_errors, language, reference_matcher, terms
+from cedarwick.events.access_predicates import MAX_KEYS
 from cedarwick.events.compiled import compiled, globber
 from cedarwick.events.filter_errors import FilterError, FilterTooNewError
-from cedarwick.events.index import MAX_FIELD_SETS, MAX_KEYS, Index
+from cedarwick.events.index import Index
+from cedarwick.events.index_tables import MAX_FIELD_SETS
 from cedarwick.events.kinds import FIELDS, KINDS, WORDS, Event, InvalidEventError, Type
 
 DRAWN = settings(derandomize=True, max_examples=120, deadline=None)
@@ -253,7 +255,7 @@
                 self.assertEqual(index.matches(each), expected)
 
     def test_nothing_is_left_of_what_was_taken_out(self) -> None:
-        index, empty = Index(), repr(vars(Index().equals))
+        index, empty = Index(), repr(vars(Index().equalities))
         for number, text in enumerate(
             [
                 'tenant = "a" and destination in (1, 2)',
@@ -273,8 +275,10 @@
         )
         for number in range(14):
             index.remove(str(number))
-        self.assertEqual((len(index), index.groups, index.each, repr(vars(index.equals))), (0, {}, {}, empty))
-        left = [vars(store) for store in index.stores.values()]
+        self.assertEqual(
+            (len(index), index.groups, index.without_key, repr(vars(index.equalities))), (0, {}, {}, empty)
+        )
+        left = [vars(table) for table in index.tables.values()]
         self.assertFalse([each for held in left for each in held.values() if each], left)
 
     def test_at_the_edges_all_three_agree(self) -> None:
@@ -311,7 +315,7 @@
         ]:
             index = Index()
             index.add("x", language.read(text))
-            keys, tables = index.groups[language.read(text).text].keys, [vars(store) for store in index.stores.values()]
+            keys, tables = index.groups[language.read(text).text].keys, [vars(table) for table in index.tables.values()]
             self.assertLessEqual(len(keys), MAX_KEYS)
             self.assertLess(len(repr(tables)), 64 * 400)
             attempts = 4611686018427387950 if ".." in text else 7
@@ -331,7 +335,7 @@
         self.assertGreater(len(pairs), 20)
         for number, (a, b) in enumerate(pairs):
             index.add(f"{number}", language.read(f'{a} = "x" and {b} = "y" and destination = 1'))
-        self.assertEqual(len(index.equals.sets), MAX_FIELD_SETS)
+        self.assertEqual(len(index.equalities.sets), MAX_FIELD_SETS)
         self.assertEqual(index.matches(event(id="x", tenant="y")), ["idtenant"])
         self.assertEqual(
             index.matches(event(tenant="y", id="x", destination=1)),
