--- a/cedarwick/store/compaction.py
+++ b/cedarwick/store/compaction.py
@@ -5,7 +5,6 @@
 """
 
 from collections import deque
-from collections.abc import Callable
 from typing import Protocol
 
 from loguru import logger
@@ -16,6 +15,7 @@
 from cedarwick.store.compaction_planner import RecordUse
 from cedarwick.store.files import DiskError, Folder, NoSpaceError, quietly, segment_name
 from cedarwick.store.records import DROP, FRAME, OVER, OVER_BODY, StoredMessage
+from cedarwick.store.segment_writer import CondemnedFile, PendingRecord, SegmentWriter
 from cedarwick.store.segments import Segment, SegmentIndex
 
 MIN_STEP_BYTES = 1 << 13  # bytes appended before a step checks whether there is work
@@ -28,15 +28,11 @@
 
     durable: bool
     limit: int
-    used: int
-    appended: int
-    segment_size: int
-    active: Segment | None
+    writer: SegmentWriter
     folder: Folder
     body_cache: BodyCache
     segment_index: SegmentIndex
-    pending_records: deque[tuple[bytes, Callable[[Segment], None]]]
-    condemned: list[tuple[str, int]]
+    pending_records: deque[PendingRecord]
 
     @property
     def messages(self) -> dict[int, StoredMessage]:
@@ -86,15 +82,15 @@
         """Move a bounded number of bytes, as many as the planner says; called between two rounds."""
         self.inline_steps_since_step = 0
         if (
-            self.store.appended < min(MIN_STEP_BYTES, self.store.segment_size // 8)
+            self.store.writer.appended < min(MIN_STEP_BYTES, self.store.writer.segment_size // 8)
             and not self.store.pending_records
-            and not self.store.condemned
+            and not self.store.writer.condemned
         ):
             return
         self.steps += 1
-        appended, self.store.appended = self.store.appended, 0
+        appended, self.store.writer.appended = self.store.writer.appended, 0
         self.store.estimate_room()
-        if self.store.condemned and not self.store.durable:
+        if self.store.writer.condemned and not self.store.durable:
             self.delete_condemned()
         try:
             self.store.write_pending()
@@ -116,7 +112,7 @@
         candidates = (
             compaction_planner.CompactionCandidate(each.number, each.physical, each.live)
             for each in self.store.segment_index.segments.values()
-            if each is not self.store.active and not each.foreign and each.number not in self.stuck
+            if each is not self.store.writer.active and not each.foreign and each.number not in self.stuck
         )
         best = compaction_planner.choose(candidates, short)
         if best is None:
@@ -197,7 +193,9 @@
             quietly(self.store.folder.close, victim.file)
             victim.file = -1
         self.store.segment_index.dropped(victim)
-        self.store.condemned.append((segment_name(victim.number), compaction_planner.blocks(victim.physical)))
+        self.store.writer.condemned.append(
+            CondemnedFile(segment_name(victim.number), compaction_planner.blocks(victim.physical))
+        )
         # With `durable`, the file is deleted only after the next flush: were it deleted before its moved records are
         # on the disk, a power cut would lose them.
         if not self.store.durable:
@@ -206,16 +204,16 @@
     def delete_condemned(self) -> None:
         """Delete the files of dropped segments; those that cannot be deleted stay listed for the next call."""
         left = []
-        for name, size in self.store.condemned:
+        for name, size in self.store.writer.condemned:
             try:
                 self.store.folder.unlink(name)
-                self.store.used -= size
+                self.store.writer.used -= size
             except FileNotFoundError:
-                self.store.used -= size
+                self.store.writer.used -= size
             except OSError as error:
                 logger.error(DiskError(f"{name} cannot be deleted: {error}").line)
-                left.append((name, size))
-        self.store.condemned = left
+                left.append(CondemnedFile(name, size))
+        self.store.writer.condemned = left
 
     def find_room(self, grows: int, use: RecordUse) -> None:
         """Compact at once because a record does not fit; raises `NoSpaceError` if that does not free enough.
@@ -226,7 +224,7 @@
             0 if use is RecordUse.NEW_MESSAGE else compaction_planner.SLACK
         )
         turns = 0 if use is RecordUse.SHORT_RECORD else self.inline_steps_since_step
-        while grows and self.store.limit - self.store.used - grows < floor:
+        while grows and self.store.limit - self.store.writer.used - grows < floor:
             turns += 1
             self.inline_steps += 1
             self.inline_steps_since_step += 1
@@ -235,6 +233,6 @@
             if turns > (MAX_INLINE_STEPS if use is RecordUse.SHORT_RECORD else 1) or not self.work(
                 self.most_step, short=True
             ):
-                if use is RecordUse.SHORT_RECORD and self.store.limit - self.store.used - grows >= 0:
+                if use is RecordUse.SHORT_RECORD and self.store.limit - self.store.writer.used - grows >= 0:
                     return  # short records may use the reserve
                 raise NoSpaceError("the folder is full")
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -1,8 +1,9 @@
 """The durable store: every unfinished message and what is known of its attempts, as a journal of segment files.
 
 It is written by one greenlet, the dispatcher's. A call that returns has written its record (with `durable`, `flush`
-syncs it to the disk). `bodies.py` caches bodies in memory, `compaction.py` frees space, `segments.py` is the index of
-the records that are still needed. Sizes are in bytes, times in wall-clock microseconds.
+syncs it to the disk). `segment_writer.py` writes the files, `bodies.py` caches bodies in memory, `compaction.py` frees
+space, `segments.py` is the index of the records that are still needed. Sizes are in bytes, times in wall-clock
+microseconds.
 """
 
 import zlib
@@ -16,7 +17,7 @@
 from cedarwick.store.bodies import BodyCache
 from cedarwick.store.compaction import Compactor
 from cedarwick.store.compaction_planner import RecordUse
-from cedarwick.store.files import OLD_NAME, DiskError, Folder, NoSpaceError, numbers, quietly, segment_name
+from cedarwick.store.files import OLD_NAME, Folder, NoSpaceError, numbers, quietly
 from cedarwick.store.records import (
     ATTEMPT,
     ATTEMPT_BODY,
@@ -28,11 +29,11 @@
     OUTCOMES,
     OVER,
     OVER_BODY,
-    Header,
     StoredMessage,
     framed,
 )
 from cedarwick.store.recovery import recover
+from cedarwick.store.segment_writer import CondemnedFile, PendingRecord, SegmentWriter
 from cedarwick.store.segments import Segment, SegmentIndex
 
 BODIES = 1 << 26  # default limit of the bodies held in memory, in bytes
@@ -65,23 +66,13 @@
         self.awaited = durable  # whether answers wait for `flush`
         self.wanted_segment = segment
         self.segment_index = SegmentIndex()
-        self.active: Segment | None = None
-        self.file = -1
+        self.writer = SegmentWriter(self.folder, self.segment_index, now, durable)
         self.next_number = 1
-        self.last_segment = 0
         self.old_until = 0
         self.inert: dict[int, tuple[int, str]] = {}  # messages moving between senders: no attempt may start
         self.restarted = False  # whether the folder held anything at the start
         self.damaged = False  # whether part of that could not be read
-        self.used = 0  # bytes of all files, in whole blocks
-        self.appended = 0  # bytes since the last compaction step, without moved records
-        self.pending_records: deque[tuple[bytes, Callable[[Segment], None]]] = (
-            deque()
-        )  # short records that did not fit yet
-        self.condemned: list[tuple[str, int]] = []  # dropped files not deleted yet, and their bytes in whole blocks
-        self.unsynced: set[int] = set()  # descriptors of files with bytes not synced yet
-        self.moved_bytes = 0
-        self.written_bytes = 0
+        self.pending_records: deque[PendingRecord] = deque()
         self.body_cache = BodyCache(self.folder, bodies)
         self.compactor = Compactor(self, step)
         self.set_limit(disk_bytes)
@@ -96,11 +87,26 @@
         """The number of inline compaction steps, made because a record did not fit."""
         return self.compactor.inline_steps
 
+    @property
+    def used(self) -> int:
+        """Bytes of all files, in whole blocks."""
+        return self.writer.used
+
+    @property
+    def written_bytes(self) -> int:
+        """Bytes written since the start, moved records included."""
+        return self.writer.written_bytes
+
+    @property
+    def moved_bytes(self) -> int:
+        """Bytes of the records that compaction has moved since the start."""
+        return self.writer.moved_bytes
+
     def set_limit(self, disk_bytes: int) -> None:
         """Set the limit in bytes of all files; if it is below what is in use, compaction shrinks the folder."""
         self.limit = disk_bytes
         self.floor, self.spare = 1 << 62, -1  # reserve and free bytes; computed at the next use
-        self.segment_size = self.wanted_segment or compaction_planner.segment_size(disk_bytes)
+        self.writer.segment_size = self.wanted_segment or compaction_planner.segment_size(disk_bytes)
 
     # ---- at the start ----
 
@@ -112,13 +118,15 @@
         self.folder.claim()
         found = recover(self.folder, logger.error)
         self.segment_index, self.next_number, self.old_until = found.segment_index, found.next_message, found.old_until
-        self.last_segment = found.last
+        self.writer.segment_index, self.writer.last_segment = found.segment_index, found.last
         leftover = [name for name in found.leftover if not quietly(self.folder.unlink, name)]
         taken_over, next_number, files = legacy_format.read(self.folder, self.old_until)
         self.restarted = bool(self.segment_index.segments or files)
         self.next_number = max(self.next_number, next_number)
-        self._count()
-        self.condemned = [(name, compaction_planner.blocks(self.folder.size(name))) for name in leftover]
+        self.writer.count_used()
+        self.writer.condemned = [
+            CondemnedFile(name, compaction_planner.blocks(self.folder.size(name))) for name in leftover
+        ]
         self._go_on(found.tail)
         if files:
             logger.info("a folder of the first format is taken over: {} messages", len(taken_over))
@@ -130,7 +138,7 @@
         for number in numbers(self.folder.names(), OLD_NAME):
             if number <= self.old_until:
                 quietly(self.folder.unlink, f"{number:08d}.log")
-                self._count()
+                self.writer.count_used()
         self.damaged = found.damaged
         if found.damaged:
             for stored in list(self.messages.values()):
@@ -140,23 +148,10 @@
             if stored.body is not None:
                 self.body_cache.add(stored, self.messages)
 
-    def _count(self) -> None:
-        """Compute `used` from the sizes of all files."""
-        self.used = sum(compaction_planner.blocks(self.folder.size(name)) for name in self.folder.names())
-
     def _go_on(self, tail: int) -> None:
-        """Append to the newest segment, truncated after its last valid record (`tail` bytes), or to a new one."""
-        newest = self.segment_index.segments.get(max(self.segment_index.segments, default=0))
-        if newest is not None and 0 < tail < self.segment_size and not newest.foreign:
-            try:
-                file = self.folder.open(segment_name(newest.number), append=True)
-                self.folder.truncate(file, tail)
-                self.used += compaction_planner.blocks(tail) - compaction_planner.blocks(newest.physical)
-                newest.size = newest.physical = tail
-                self.active, self.file = newest, file
-                return
-            except OSError as error:
-                logger.error(DiskError(f"{segment_name(newest.number)} cannot be gone on with: {error}").line)
+        """Append to the newest segment, of which `tail` bytes are valid, or to a new one."""
+        if self.writer.reopen(tail):
+            return
         try:
             self.begin_segment()
         except NoSpaceError as error:
@@ -173,7 +168,7 @@
             self.limit,
             self.used,
             self.segment_index.live,
-            self.segment_size,
+            self.writer.segment_size,
             self.segment_index.largest,
             head,
             self.segment_index.promised_bytes(),
@@ -296,12 +291,7 @@
 
         `call`, if given, runs the blocking sync elsewhere, for example in a thread pool.
         """
-        for file in list(self.unsynced):
-            if call is None:
-                self.folder.sync(file)
-            else:
-                call(self.folder.sync, file)
-            self.unsynced.discard(file)
+        self.writer.sync(call)
         if self.durable:
             self.compactor.delete_condemned()
 
@@ -311,9 +301,7 @@
             if segment.file >= 0:
                 self.folder.close(segment.file)
                 segment.file = -1
-        if self.file >= 0:
-            self.folder.close(self.file)
-            self.file = -1
+        self.writer.close()
         self.folder.release()
 
     # ---- records ----
@@ -344,22 +332,22 @@
     def _write_or_queue(self, payload: bytes, then: Callable[[Segment], None]) -> None:
         """Write a short record that must not be lost; without space it is queued, and `NoSpaceError` raised."""
         if self.pending_records:
-            self.pending_records.append((payload, then))
+            self.pending_records.append(PendingRecord(payload, then))
             self.write_pending()
             return
         try:
             segment, _ = self.append_record(payload, RecordUse.SHORT_RECORD)
         except NoSpaceError:
-            self.pending_records.append((payload, then))
+            self.pending_records.append(PendingRecord(payload, then))
             raise
         then(segment)
 
     def write_pending(self) -> None:
         """Write the queued short records; raises `NoSpaceError` at the first that still does not fit."""
         while self.pending_records:
-            payload, then = self.pending_records[0]
-            segment, _ = self.append_record(payload, RecordUse.SHORT_RECORD, from_queue=True)
-            then(segment)
+            record = self.pending_records[0]
+            segment, _ = self.append_record(record.payload, RecordUse.SHORT_RECORD, from_queue=True)
+            record.when_written(segment)
             self.pending_records.popleft()
 
     def append_record(self, payload: bytes, use: RecordUse, from_queue: bool = False) -> tuple[Segment, int]:
@@ -371,93 +359,24 @@
         if self.pending_records and not from_queue and use is not RecordUse.MOVE:
             self.write_pending()  # records about one message must be written in their order
         record = framed(payload)
-        active = self.active
-        if active is None or active.size + len(record) > self.segment_size and active.size > active.head:
-            active = self._next_segment(active)
+        active = self._segment_for(len(record))
         grows = active.growth(len(record))
-        if use is not RecordUse.MOVE and self.limit - self.used - grows < self.floor:
+        if use is not RecordUse.MOVE and self.limit - self.writer.used - grows < self.floor:
             self.compactor.find_room(grows, use)
-            active = self.active or active  # compaction may have begun a new segment
-            grows = active.growth(len(record))
-        try:
-            written = self.folder.append(self.file, record)
-        except OSError as error:
-            raise NoSpaceError(str(error)) from None
-        if written < len(record):
-            self._undo(active, written)
-            raise NoSpaceError("a record was cut short")
-        begin = active.size
-        active.physical += len(record)
-        active.size = active.physical
-        self.used += grows
-        self.written_bytes += len(record)
-        if use is RecordUse.MOVE:
-            self.moved_bytes += len(record)
-        else:
-            self.appended += len(record)
-        if self.durable:
-            self.unsynced.add(self.file)
-        return active, begin
+            active = self.writer.active or active  # compaction may have begun a new segment
+        return active, self.writer.append(active, record, use)
 
-    def _undo(self, active: Segment, written: int) -> None:
-        """Truncate a partly written record away; if that fails, close the segment to further records."""
-        # A torn record in the middle of a segment would be reported as damage at the next start.
-        try:
-            self.folder.truncate(self.file, active.size)
-        except OSError as error:
-            logger.error(DiskError(f"{segment_name(active.number)}: a torn record stays: {error}").line)
-            self._grow(active, written)
-            self.active = None
-            quietly(self.folder.close, self.file)
-            self.unsynced.discard(self.file)
-            self.file = -1
-
-    def _grow(self, segment: Segment, size: int) -> None:
-        self.used += segment.growth(size)
-        segment.physical += size
-
-    # ---- segments ----
-
-    def _next_segment(self, active: Segment | None) -> Segment:
-        """Begin a new segment and return it, or the old one if there is no space for another."""
-        try:
-            self.begin_segment()
-        except NoSpaceError:
-            if active is None or self.file < 0:
-                raise
-        assert self.active is not None
-        return self.active
+    def _segment_for(self, size: int) -> Segment:
+        """The segment for a record of `size` bytes: a new one if needed, but the old one if there is no space."""
+        if self.writer.needs_segment(size):
+            try:
+                self.begin_segment()
+            except NoSpaceError:
+                if self.writer.active is None or self.writer.file < 0:
+                    raise
+        assert self.writer.active is not None
+        return self.writer.active
 
     def begin_segment(self) -> None:
         """Seal the active segment and begin another; raises `NoSpaceError` if that cannot be written."""
-        number = self.last_segment + 1
-        others = {each.number: each.size for each in self.segment_index.segments.values()}
-        made = Header(records.VERSION, number, self.now(), self.next_number, self.old_until, others)
-        record = framed(records.header(made))
-        name = segment_name(number)
-        file = -1
-        try:
-            file = self.folder.create(name)
-            written = self.folder.append(file, record)
-            if written < len(record):
-                raise OSError("a header was cut short")
-        except OSError as error:
-            if file >= 0:
-                quietly(self.folder.close, file)
-                if not quietly(self.folder.unlink, name):
-                    self.condemned.append((name, compaction_planner.BLOCK))
-                    self.used += compaction_planner.BLOCK
-                    self.last_segment = number
-            raise NoSpaceError(f"a new segment: {error}") from None
-        if self.file >= 0:
-            if self.file in self.unsynced:
-                quietly(self.folder.sync, self.file)  # a closed descriptor cannot be synced any more
-                self.unsynced.discard(self.file)
-            quietly(self.folder.close, self.file)
-        self.file, self.last_segment = file, number
-        self.active = Segment(number, made.made_at, size=len(record), head=len(record))
-        self.segment_index.add(self.active)
-        self._grow(self.active, len(record))
-        self.written_bytes += len(record)
-        if self.durable:
-            self.unsynced.add(file)
+        self.writer.begin_segment(self.next_number, self.old_until)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -315,7 +315,7 @@
         """Segments that a history deletes."""
         folder, history = self.play(seed, 0, room=room)
         assert history is not None
-        return history.store.last_segment - len(history.store.segment_index.segments)
+        return history.store.writer.last_segment - len(history.store.segment_index.segments)
 
     def test_each_state_is_what_was_acknowledged(self) -> None:
         self.points(1 << 60, self.POINTS * 3 // 4)
@@ -353,7 +353,7 @@
             made.flush()
         folder.failing = set()
         made.flush()
-        self.assertEqual(made.unsynced, set())
+        self.assertEqual(made.writer.unsynced, set())
 
     def test_a_durable_folder_deletes_nothing_before_the_sync(self) -> None:
         folder = Fake()
@@ -364,8 +364,8 @@
             made.over(number)
         for _ in range(200):
             made.step()
-        self.assertTrue(made.condemned)
-        names = {name for name, _ in made.condemned}
+        self.assertTrue(made.writer.condemned)
+        names = {name for name, _ in made.writer.condemned}
         self.assertLessEqual(names, set(folder.files))
         made.flush()
         self.assertFalse(names & set(folder.files))
@@ -566,7 +566,7 @@
     def test_a_record_of_an_unknown_kind_is_kept_through_compaction(self) -> None:
         made = store(self.folder, limit=60_000)
         made.append_record(b"\x63" + b"future", RecordUse.SHORT_RECORD)
-        segment = made.active
+        segment = made.writer.active
         assert segment is not None
         made.segment_index.add_unknown(segment, segment.size - 7, 7)
         for number in list(made.messages):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -164,7 +164,7 @@
         store = self.opened()
         self.assertFalse(store.damaged)
         self.assertTrue(store.restarted)
-        self.assertEqual((store.next_number, store.last_segment, store.old_until), (310, 26, 0))
+        self.assertEqual((store.next_number, store.writer.last_segment, store.old_until), (310, 26, 0))
         self.assertEqual(sorted(store.segment_index.segments), [9, 17, 22, 24, 25, 26])
         store.segment_index.check()
         rows = [first + place for first in (0, 300) for place in STATES]
