--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -187,7 +187,7 @@
         try:
             self._happened(kind, observer.message(kind, stored, figure))
         except Exception:  # a delivery must not fail because of its subscribers
-            self.counters.failed("an event was not told")
+            self.counters.failed("an event was not published")
 
     def adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
         """Emit events for messages taken over from another member."""
@@ -225,7 +225,7 @@
         try:
             self.serving.happened(wall(), kind, fields)
         except InvalidEventError as error:
-            self.counters.warning("an event that cannot be told", error)
+            self.counters.warning("an event that cannot be published", error)
 
     def _cleared(self, clear: Callable[[AttemptCall], bool], call: AttemptCall) -> bool:
         if self.watching and self.observer is not None:
@@ -279,7 +279,7 @@
             return Cursors(body.source, ()) if isinstance(body, Matches) else Acknowledged()
         if isinstance(body, Matches):
             return self.serving.matched(sender, body)
-        self.serving.places(now, sender, body)
+        self.serving.positions_received(now, sender, body)
         return Acknowledged()
 
     def stop(self) -> None:
@@ -471,9 +471,11 @@
             if member in self.alive
         }
         gevent.joinall(list(calls.values()), timeout=ANSWER_TIMEOUT_S)
-        untold = [member for member in sorted(self.gate.others) if member not in calls or calls[member].value is None]
-        logger.info("{} ended; not yet told: {}", name, ", ".join(untold) or "nobody")
-        return f"YES {name} ended" + (f", not yet told: {', '.join(untold)}" if untold else "") + "\n"
+        uninformed = [
+            member for member in sorted(self.gate.others) if member not in calls or calls[member].value is None
+        ]
+        logger.info("{} ended; members not informed yet: {}", name, ", ".join(uninformed) or "nobody")
+        return f"YES {name} ended" + (f", not yet told: {', '.join(uninformed)}" if uninformed else "") + "\n"
 
 
 __all__ = ["Exchange"]
--- a/cedarwick/events/streams.py
+++ b/cedarwick/events/streams.py
@@ -29,7 +29,7 @@
     """What a subscriber gave as its cursors can't be read."""
 
     code = "CW824"
-    remedy = "give them as they were told, 'NAME SOURCE:NUMBER ...', or the name alone to begin anew"
+    remedy = "give them as they were written, 'NAME SOURCE:NUMBER ...', or the name alone to begin anew"
 
 
 class Gap(msgspec.Struct, frozen=True, tag="gap"):
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -29,12 +29,12 @@
 IDLE_LINE_S = 2.0  # after which an idle reader is sent an empty line
 WRITE_TIMEOUT_S = 10.0  # for a reader to take what is written
 SEND_BUFFER_BYTES = 1 << 16  # of the socket of a reader
-PLACES_INTERVAL = 2_000_000  # microseconds between two reports of the positions of all readers
+POSITIONS_INTERVAL = 2_000_000  # microseconds between two reports of the positions of all readers
 ENDINGS_INTERVAL = 250_000  # microseconds between two searches for ended sources
 ANSWER_TIMEOUT_S = 1.0  # to wait for another member's answer
 MATCHES_BYTES = 1 << 18  # approximate bytes of matches in one peer message
 MAX_STREAMS = 500  # subscriptions in one peer message
-MAX_PLACES = 2000  # positions in one peer message
+MAX_POSITIONS = 2000  # positions in one peer message
 FILTERS_PER_LOOK = 10  # compiled in one call of `evaluate`: each takes up to a millisecond
 _encode = msgspec.msgpack.Encoder().encode
 _items: msgspec.msgpack.Decoder[list[Item]] = msgspec.msgpack.Decoder(list[Item])
@@ -81,6 +81,19 @@
         self.arrived.set()
 
 
+@dataclass(slots=True)
+class MatchesDraft:
+    """A peer message of matches that is being put together; `size` is the bytes of its matches."""
+
+    streams: list[Stream] = field(default_factory=list)
+    size: int = 0
+
+    @property
+    def full(self) -> bool:
+        """Whether nothing more goes into this message."""
+        return self.size >= MATCHES_BYTES or len(self.streams) >= MAX_STREAMS
+
+
 class SubscriptionServer:
     """The subscriptions evaluated at this member, and the readers connected to it.
 
@@ -107,11 +120,11 @@
         self.active: dict[str, None] = {}  # deliveries that may have something to send, in turn
         self.unlocated: dict[str, None] = {}  # deliveries whose subscribers' positions are not known
         self.asked: dict[str, str] = {}  # by subscription: the member asked last for the position
-        self.pushing: set[str] = set()  # members with an unanswered message of matches
-        self.telling: set[str] = set()  # members with an unanswered message of positions
-        self.owed: dict[str, dict[str, None]] = {}  # by member: readers whose positions must be reported to it
+        self.sending: set[str] = set()  # members with an unanswered message of matches
+        self.reporting: set[str] = set()  # members with an unanswered message of positions
+        self.due_reports: dict[str, dict[str, None]] = {}  # by member: readers whose positions must be reported to it
         self.connections: dict[str, Connection] = {}
-        self.places_at = self.endings_at = 0
+        self.positions_at = self.endings_at = 0
         self.bytes: dict[str, int] = {}  # of matches sent, by member
 
     # ---- what happens here ----
@@ -170,51 +183,50 @@
                 for source in [each for each in connection.reader.inbox.cursors if self.sources.over(each)]:
                     connection.reader.end(source)
                     connection.arrived.set()
-        if now >= self.places_at:
-            self.places_at = now + PLACES_INTERVAL
+        if now >= self.positions_at:
+            self.positions_at = now + POSITIONS_INTERVAL
             for name in self.connections:
-                self._owe(name, alive)
+                self._schedule_report(name, alive)
         for member in alive:
-            self._tell(now, member)
-        self._push(now, set(alive))
+            self._report_positions(now, member)
+        self._send_due(now, set(alive))
 
-    def _owe(self, name: str, members: Iterable[str]) -> None:
+    def _schedule_report(self, name: str, members: Iterable[str]) -> None:
         for member in members:
-            self.owed.setdefault(member, {})[name] = None
+            self.due_reports.setdefault(member, {})[name] = None
 
-    def _tell(self, now: int, member: str) -> None:
+    def _report_positions(self, now: int, member: str) -> None:
         """Report to one member the positions of the readers here in its source."""
         source = self.sources.of(member)
-        if not self.owed.get(member) or not source or member in self.telling:
+        if not self.due_reports.get(member) or not source or member in self.reporting:
             return
-        names = list(self.owed[member])[:MAX_PLACES]
+        names = list(self.due_reports[member])[:MAX_POSITIONS]
         for name in names:
-            del self.owed[member][name]
-        places = Cursors(source, tuple(self._place(name, source) for name in names))
+            del self.due_reports[member][name]
+        positions = Cursors(source, tuple(self._position(name, source) for name in names))
         if member == self.me:
-            self.places(now, member, places)
+            self.positions_received(now, member, positions)
             return
-        self.telling.add(member)
+        self.reporting.add(member)
 
-        def tell() -> None:
+        def report() -> None:
             try:
-                self.call(member, places, ANSWER_TIMEOUT_S)
+                self.call(member, positions, ANSWER_TIMEOUT_S)
             finally:
-                self.telling.discard(member)
+                self.reporting.discard(member)
 
-        gevent.spawn(tell)
+        gevent.spawn(report)
 
-    def _place(self, name: str, source: str) -> Cursor:
+    def _position(self, name: str, source: str) -> Cursor:
         connection = self.connections.get(name)
         if connection is None:
             return Cursor(name, 0, NOWHERE, NOWHERE)
         reached = connection.reader.reached(self.me, source)
         return Cursor(name, reached.began, reached.held, reached.written, reached.room)
 
-    def _push(self, now: int, alive: set[str]) -> None:
+    def _send_due(self, now: int, alive: set[str]) -> None:
         """Send matches and requests for positions: one message at a time to each member."""
-        peer_messages: dict[str, list[Stream]] = {}
-        sizes: dict[str, int] = {}
+        drafts: dict[str, MatchesDraft] = {}
         for name in [*self.unlocated, *self.active]:
             delivery, entry = self.deliveries.get(name), self.entry(name)
             if delivery is None or entry is None:
@@ -222,50 +234,57 @@
                 self.unlocated.pop(name, None)
                 continue
             member = entry.member
-            streams = peer_messages.setdefault(member, [])
-            if member in self.pushing or sizes.get(member, 0) >= MATCHES_BYTES or len(streams) >= MAX_STREAMS:
+            draft = drafts.setdefault(member, MatchesDraft())
+            if member in self.sending or draft.full:
                 continue
-            if name in self.unlocated:
-                if member in alive:
-                    del self.unlocated[name]
-                    self.asked[name] = member
-                    streams.append(Stream(name, NOWHERE, b""))
-                continue
-            reader = delivery.reader
-            if delivery.done or not delivery.present(now) or reader is None or reader.member != member:
-                del self.active[name]  # until an event matches or its position is reported
-                continue
-            items = delivery.send(now)
-            if items:
-                data = _encode(items)
-                sizes[member] = sizes.get(member, 0) + len(data)
-                streams.append(Stream(name, reader.held, data))
-                del self.active[name]
-                self.active[name] = None  # move to the end of the queue
-        for member, streams in peer_messages.items():
-            if streams:
-                self.bytes[member] = self.bytes.get(member, 0) + sizes.get(member, 0)
-                self._send(now, member, Matches(self.source.name, tuple(streams)))
+            if name not in self.unlocated:
+                self._add_matches(now, member, name, delivery, draft)
+            elif member in alive:
+                self._add_position_request(member, name, draft)
+        for member, draft in drafts.items():
+            if draft.streams:
+                self.bytes[member] = self.bytes.get(member, 0) + draft.size
+                self._send(now, member, Matches(self.source.name, tuple(draft.streams)))
+
+    def _add_position_request(self, member: str, name: str, draft: MatchesDraft) -> None:
+        """Ask a member for the position of a subscriber: a stream without items."""
+        del self.unlocated[name]
+        self.asked[name] = member
+        draft.streams.append(Stream(name, NOWHERE, b""))
+
+    def _add_matches(self, now: int, member: str, name: str, delivery: MatchDelivery, draft: MatchesDraft) -> None:
+        """Add the matches that are due for a subscription, if its subscriber is connected to this member."""
+        reader = delivery.reader
+        if delivery.done or not delivery.present(now) or reader is None or reader.member != member:
+            del self.active[name]  # until an event matches or its position is reported
+            return
+        items = delivery.send(now)
+        if items:
+            data = _encode(items)
+            draft.size += len(data)
+            draft.streams.append(Stream(name, reader.held, data))
+            del self.active[name]
+            self.active[name] = None  # move to the end of the queue
 
     def _send(self, now: int, member: str, matches: Matches) -> None:
         if member == self.me:
-            self.places(now, member, self.matched(member, matches))
+            self.positions_received(now, member, self.matched(member, matches))
             return
-        self.pushing.add(member)
+        self.sending.add(member)
 
         def send() -> None:
             try:
                 answer = self.call(member, matches, ANSWER_TIMEOUT_S)
                 if isinstance(answer, Cursors):
-                    self.places(now, member, answer)
+                    self.positions_received(now, member, answer)
             finally:
-                self.pushing.discard(member)
+                self.sending.discard(member)
 
         gevent.spawn(send)
 
     # ---- peer messages of others ----
 
-    def places(self, now: int, sender: str, body: Cursors) -> None:
+    def positions_received(self, now: int, sender: str, body: Cursors) -> None:
         """Take in a member's report of its readers' positions in the source here."""
         if body.source != self.source.name:
             return
@@ -296,7 +315,7 @@
                 continue
             if connection.reader.take(body.source, stream.after, items):
                 connection.arrived.set()
-        return Cursors(body.source, tuple(self._place(stream.name, body.source) for stream in body.streams))
+        return Cursors(body.source, tuple(self._position(stream.name, body.source) for stream in body.streams))
 
     # ---- subscribers that are here ----
 
@@ -306,7 +325,7 @@
         if before is not None:
             before.end(SupersededError(f"a newer connection follows {reader.name}"))
         self.connections[reader.name] = made = Connection(reader)
-        self._owe(reader.name, alive)
+        self._schedule_report(reader.name, alive)
         return made
 
     def talk(self, connection: Connection, sock: gevent.socket.socket, alive: Callable[[], Iterable[str]]) -> None:
@@ -327,7 +346,7 @@
                 sock.sendall(data)
                 reader.wrote(reached)
                 members = [each for each in alive() if full or self.sources.of(each) in reached]
-                self._owe(reader.name, members)
+                self._schedule_report(reader.name, members)
             sock.sendall(f"NO {reader.over.line}\n".encode("ascii", "replace"))
         except TimeoutError:
             self.counters.warning(
@@ -338,7 +357,7 @@
         finally:
             if self.connections.get(reader.name) is connection:
                 del self.connections[reader.name]
-                self._owe(reader.name, alive())
+                self._schedule_report(reader.name, alive())
 
     def summary(self) -> None:
         """Log the number of events and the bytes of matches sent to each member."""
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -293,7 +293,9 @@
             serving.matched(sender, Matches(source, (Stream("desk", after, items),)))
         self.assertEqual(reader.inbox.cursors, before)
         delivery = serving.deliveries["desk"]
-        serving.places(net.now, "n1", Cursors("n0-100", (Cursor("desk", 1 << 60, 7, 7),)))  # the subscriber is at n0
+        serving.positions_received(
+            net.now, "n1", Cursors("n0-100", (Cursor("desk", 1 << 60, 7, 7),))
+        )  # the subscriber is at n0
         self.assertEqual(delivery.reader, reader.reached("n0", "n0-100"))
 
     def test_a_place_only_moves_on_and_what_is_on_its_way_is_not_sent_again_at_once(self) -> None:
