--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -1,7 +1,7 @@
 """One fleet member's part in subscriptions: the replicated registry, `FOLLOW` and `UNFOLLOW`, and the events here.
 
 Created with the fleet node, which calls `look` regularly. It costs almost nothing until somebody follows: only then
-`subscription_server.py` is loaded, and with it lark. `anti_entropy.py` exchanges the registry with other members,
+`subscription_server.py` is loaded, and with it lark. `registry_exchange.py` exchanges the registry with other members,
 `subscription_store.py` saves it, `registry.py` defines what its entries mean. Times are microseconds unless a name
 ends in `_S` (seconds).
 """
@@ -20,7 +20,8 @@
 from cedarwick.events.anti_entropy import RegistrySync
 from cedarwick.events.event_source import EventObserver
 from cedarwick.events.kinds import InvalidEventError, Value
-from cedarwick.events.registry import DEFAULT_LIFETIME, SECOND, NotFollowedError, Registry, Verdict
+from cedarwick.events.registry import DEFAULT_LIFETIME, SECOND, NotFollowedError, Registry
+from cedarwick.events.registry_exchange import ANSWER_TIMEOUT_S, RegistryExchange
 from cedarwick.events.sources import Sources
 from cedarwick.events.subscription_store import SubscriptionStore
 from cedarwick.fleet.membership import MemberChange, MemberStatus
@@ -38,13 +39,10 @@
     from cedarwick.events.subscription_server import SubscriptionServer
 
 TURN_INTERVAL = 250_000  # microseconds between two checks of registry and receivers
-COMPARE_INTERVAL = 5_000_000  # microseconds between two comparisons with a member if nothing has changed
-RETRY_AFTER = 1_000_000  # microseconds until a comparison that failed or was incomplete is repeated
 TICK_INTERVAL = 1_000_000  # microseconds between two ticks of the registry
 CLOCK_JUMP = 10_000_000  # microseconds of drift from the steady clock at which the wall clock counts as set
 START_PORTIONS = 20  # portions of stored filters compiled during start-up: 200 filters, 0.1 s
 EXPIRY_INTERVAL = 30_000_000  # microseconds between two searches for expired subscriptions
-ANSWER_TIMEOUT_S = 0.4  # to wait for another member's answer
 MAX_READERS = 128  # subscribers connected to this member
 
 
@@ -83,13 +81,6 @@
     remedy = "follow at another member, or end connections that nobody needs"
 
 
-class NotJoinedError(CedarwickError):
-    """The registry of another member is not taken over."""
-
-    code = "CW838"
-    remedy = "compare the clocks of the two machines; one that was cut off for long begins anew by itself"
-
-
 def wall() -> int:
     """The wall clock in microseconds."""
     # Not the sender's own clock, which stops while the machine sleeps: later entries would seem older than they are.
@@ -126,6 +117,7 @@
         self.call = call
         self.sources = Sources(gate)
         self.sync = RegistrySync(Registry(name, wall(), lasts))
+        self.peers = RegistryExchange(name, self.sync, counters, call, wall, self._merged)
         self.store = SubscriptionStore(state, self.registry, counters) if state else None
         self.serving: SubscriptionServer | None = None
         self.loading = False
@@ -134,11 +126,6 @@
         self.dirty = False  # subscriptions have changed, or some are not compiled yet
         self.began = gate.incarnation  # start time of the newest connection here
         self.turn_at = self.tick_at = self.expiry_at = 0
-        self.lacks: dict[str, set[str]] = {}  # by member: subscriptions not sent to it yet
-        self.agreed: dict[str, int] = {}  # by member: our digest at the last exchange
-        self.next_at: dict[str, int] = {}  # by member: time of the next comparison if nothing changes
-        self.failed_until: dict[str, int] = {}  # by member: no exchange before this time
-        self.talking: set[str] = set()
         self.observer: EventObserver | None = None
         self.offset: int | None = None  # wall clock minus steady clock
         if self.store is not None:
@@ -262,18 +249,12 @@
                 self._happened(kind, fields)
         elif self.observer is not None and self.observer.observing:
             self.observer.pause()
-        digest = self.sync.digest()
-        for name in self.alive:
-            new = bool(self.lacks.get(name)) or self.agreed.get(name) != digest
-            due = new and now >= self.failed_until.get(name, 0) or now >= self.next_at.get(name, 0)
-            if name != self.name and due and name not in self.talking:
-                self.talking.add(name)
-                gevent.spawn(self._talk, now, name)
+        self.peers.look(now, self.alive)
 
     def heard(self, sender: str, now: int, body: Subscribe | Matches | Cursors) -> Body:
         """Handle another member's message and return the answer."""
         if isinstance(body, Subscribe):
-            self._take(sender, body)
+            self.peers.merge(sender, body)
             return self.sync.answer(body)
         if self.serving is None:
             return Cursors(body.source, ()) if isinstance(body, Matches) else Acknowledged()
@@ -352,8 +333,7 @@
         self.sync.changed()
         self.dirty = True
         self.turn_at = 0
-        for member in (self.gate.others - {but}) if names else ():
-            self.lacks.setdefault(member, set()).update(names)
+        self.peers.mark(names, (self.gate.others - {but}) if names else ())
         if self.serving is None:
             return
         for name in list(self.serving.connections):
@@ -367,43 +347,9 @@
         if self.serving is not None and name in self.serving.connections:
             self.serving.connections[name].end(why)
 
-    def _take(self, sender: str, received: Subscribe) -> None:
-        """Merge another member's entries and act on the new ones."""
-        before = dict(self.registry.entries) if received.entries else {}
-        verdict = self.sync.join(wall(), received)
-        if verdict is not Verdict.JOINED:
-            self.counters.warning("subscriptions of another member", NotJoinedError(f"{sender}: {verdict.value}"))
-            return
-        entries = self.registry.entries
-        changed = [name for name in received.entries if name in entries and before.get(name) is not entries[name]]
-        if changed:
-            self._changed(*changed, but=sender)
-
-    def _talk(self, now: int, name: str) -> None:
-        try:
-            self.next_at[name] = now + (COMPARE_INTERVAL if self._say(now, name) else RETRY_AFTER)
-        finally:
-            self.talking.discard(name)
-
-    def _say(self, now: int, name: str) -> bool:
-        """Send another member what it lacks and compare digests; returns whether the registries are equal."""
-        names = self.lacks.pop(name, set())
-        answer = self._ask(name, self.sync.peer_message(names))
-        if answer is None:
-            self.lacks.setdefault(name, set()).update(names)
-            self.failed_until[name] = now + RETRY_AFTER
-            return False
-        if answer.buckets and (wish := self.sync.differing(answer)) is not None:
-            answer = self._ask(name, wish) or answer
-        self.agreed[name] = self.sync.digest()
-        return answer.digest == self.agreed[name]
-
-    def _ask(self, name: str, peer_message: Subscribe) -> Subscribe | None:
-        answer = self.call(name, peer_message, ANSWER_TIMEOUT_S)
-        if not isinstance(answer, Subscribe):
-            return None
-        self._take(name, answer)
-        return answer
+    def _merged(self, names: list[str], sender: str) -> None:
+        """Act on entries that another member has changed."""
+        self._changed(*names, but=sender)
 
     # ---- management calls ----
 
@@ -466,7 +412,7 @@
         peer_message = self.sync.peer_message([name])
         # `self.alive` may change while the answers are awaited, so the calls are chosen once.
         calls = {
-            member: gevent.spawn(self._ask, member, peer_message)
+            member: gevent.spawn(self.peers.ask, member, peer_message)
             for member in sorted(self.gate.others)
             if member in self.alive
         }
--- /dev/null
+++ b/cedarwick/events/registry_exchange.py
@@ -0,0 +1,110 @@
+"""Exchanges the registry of subscriptions with the other members: changes at once, and digests now and then.
+
+`exchange.py` calls it; `anti_entropy.py` builds and merges the peer messages. Times are microseconds unless a name
+ends in `_S` (seconds).
+"""
+
+from collections.abc import Callable, Iterable
+
+import gevent
+
+from cedarwick.errors import CedarwickError
+from cedarwick.events.anti_entropy import RegistrySync
+from cedarwick.events.registry import Verdict
+from cedarwick.fleet.messages import Body, Subscribe
+from cedarwick.net.counters import Counters
+
+COMPARE_INTERVAL = 5_000_000  # microseconds between two comparisons with a member if nothing has changed
+RETRY_AFTER = 1_000_000  # microseconds until a comparison that failed or was incomplete is repeated
+ANSWER_TIMEOUT_S = 0.4  # to wait for another member's answer
+
+
+class NotJoinedError(CedarwickError):
+    """The registry of another member is not taken over."""
+
+    code = "CW838"
+    remedy = "compare the clocks of the two machines; one that was cut off for long begins anew by itself"
+
+
+class RegistryExchange:
+    """What each other member is known to have of this member's registry, and the calls that bring it the rest."""
+
+    def __init__(
+        self,
+        name: str,
+        sync: RegistrySync,
+        counters: Counters,
+        call: Callable[[str, Body, float], Body | None],
+        wall: Callable[[], int],
+        merged: Callable[[list[str], str], None],
+    ) -> None:
+        """`call` sends a message to a member and waits so many seconds for the answer; `wall` is the wall clock.
+
+        `merged` is called with the names of entries that another member has changed, and that member's name.
+        """
+        self.name = name
+        self.sync = sync
+        self.counters = counters
+        self.call = call
+        self.wall = wall
+        self.merged = merged
+        self.lacks: dict[str, set[str]] = {}  # by member: subscriptions not sent to it yet
+        self.agreed: dict[str, int] = {}  # by member: our digest at the last exchange
+        self.next_at: dict[str, int] = {}  # by member: time of the next comparison if nothing changes
+        self.failed_until: dict[str, int] = {}  # by member: no exchange before this time
+        self.talking: set[str] = set()  # members with which an exchange is under way
+
+    def mark(self, names: Iterable[str], members: Iterable[str]) -> None:
+        """Note that some members lack the newest versions of these entries."""
+        for member in members:
+            self.lacks.setdefault(member, set()).update(names)
+
+    def look(self, now: int, alive: Iterable[str]) -> None:
+        """Start the exchanges that are due, each in a greenlet of its own."""
+        digest = self.sync.digest()
+        for name in alive:
+            new = bool(self.lacks.get(name)) or self.agreed.get(name) != digest
+            due = new and now >= self.failed_until.get(name, 0) or now >= self.next_at.get(name, 0)
+            if name != self.name and due and name not in self.talking:
+                self.talking.add(name)
+                gevent.spawn(self._talk, now, name)
+
+    def merge(self, sender: str, received: Subscribe) -> None:
+        """Merge another member's entries and report the new ones to `merged`."""
+        entries = self.sync.registry.entries
+        before = dict(entries) if received.entries else {}
+        verdict = self.sync.join(self.wall(), received)
+        if verdict is not Verdict.JOINED:
+            self.counters.warning("subscriptions of another member", NotJoinedError(f"{sender}: {verdict.value}"))
+            return
+        entries = self.sync.registry.entries
+        changed = [name for name in received.entries if name in entries and before.get(name) is not entries[name]]
+        if changed:
+            self.merged(changed, sender)
+
+    def ask(self, name: str, peer_message: Subscribe) -> Subscribe | None:
+        """Send a member a message and merge its answer; returns the answer, None where none came."""
+        answer = self.call(name, peer_message, ANSWER_TIMEOUT_S)
+        if not isinstance(answer, Subscribe):
+            return None
+        self.merge(name, answer)
+        return answer
+
+    def _talk(self, now: int, name: str) -> None:
+        try:
+            self.next_at[name] = now + (COMPARE_INTERVAL if self._compare(now, name) else RETRY_AFTER)
+        finally:
+            self.talking.discard(name)
+
+    def _compare(self, now: int, name: str) -> bool:
+        """Send another member what it lacks and compare digests; returns whether the registries are equal."""
+        names = self.lacks.pop(name, set())
+        answer = self.ask(name, self.sync.peer_message(names))
+        if answer is None:
+            self.lacks.setdefault(name, set()).update(names)
+            self.failed_until[name] = now + RETRY_AFTER
+            return False
+        if answer.buckets and (wish := self.sync.differing(answer)) is not None:
+            answer = self.ask(name, wish) or answer
+        self.agreed[name] = self.sync.digest()
+        return answer.digest == self.agreed[name]
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -22,7 +22,7 @@
 import greenlet  # type: ignore[import-untyped]
 
 from cedarwick.errors import CedarwickError
-from cedarwick.events import exchange, subscription_server
+from cedarwick.events import exchange, registry_exchange, subscription_server
 from cedarwick.fleet import (
     heartbeats,
     lease_exchange,
@@ -432,6 +432,7 @@
                 migration_target,
                 session_migration,
                 exchange,
+                registry_exchange,
                 subscription_server,
             )
         ),
