--- /dev/null
+++ b/cedarwick/net/client_connections.py
@@ -0,0 +1,204 @@
+"""The connections of clients: which of them may be closed, and how to close one without losing a request.
+
+Names in `_S` are seconds, `_US` and clock times microseconds. `ClientListener` derives from `ClientConnections`.
+"""
+
+import contextlib
+import itertools
+
+import gevent
+import gevent.event
+import gevent.socket
+
+from cedarwick.net.buffer import Buffer
+from cedarwick.net.clock import Clock
+from cedarwick.net.connections import DescriptorBudget, NoDescriptorError
+from cedarwick.net.resp import MalformedRequestError, command
+from cedarwick.net.sockets import peek_byte
+
+# An error or a close is due within 3 s of connecting; a client with no open request may be closed after 2 s.
+FIRST_REQUEST_TIMEOUT_S = 2.2  # until the first byte of the first request
+LATE_FIRST_REQUEST_US = round(FIRST_REQUEST_TIMEOUT_S * 900_000)  # a new client that was silent for so long goes first
+NEXT_REQUEST_TIMEOUT_S = 4.0  # until the first byte of a later one
+SLOW_REQUEST_S = 0.3  # without a byte of a begun request, after which its connection may have to make way
+CLOSE_TIMEOUT_S = 1.0  # in which a client may close after our side was shut down
+CROSSED_REQUEST_TIMEOUT_S = 0.3  # in which a client whose request crossed our shutdown reads the end, before a reset
+CLOSE_GRACE_S = 0.05  # after our shutdown: then the connection may be cut where descriptors are short
+DISCARD_BUFFER_BYTES = 1 << 16  # read and discarded at once
+MAX_DISCARDED_BYTES = 1 << 18  # read after a refusal, so that the client can read its error
+CLIENT_ANSWER_TIMEOUT_US = 450_000  # after a request that cannot be answered its client is closed
+CONNECTION_POOL_DIVISOR = 8  # one in so many descriptors stays free for receivers, where clients hold over half
+POLL_INTERVAL_S = 0.01  # between two looks at requests that are not answered at the end
+BUSY = b"-BUSY\r\n"
+
+
+class ClientConnection:
+    """One connection from a client."""
+
+    __slots__ = (
+        "sock",
+        "buffer",
+        "waiting",
+        "answering",
+        "cut",
+        "let_go",
+        "leave",
+        "idle_since",
+        "begun_at",
+        "asked",
+        "served",
+        "unusable",
+    )
+
+    def __init__(self, sock: gevent.socket.socket, now: int) -> None:
+        self.sock = sock
+        self.buffer = Buffer()
+        self.waiting = True  # between requests: nothing of a next one has been read
+        self.answering = False  # a request was read, and its answer is not written
+        self.cut = False
+        self.let_go = False  # our side is shut down; nothing more is read from it
+        self.leave = gevent.event.Event()  # its descriptor is wanted, also where its request crossed the end
+        self.idle_since = now  # the last byte read, or the last answer; of one that was let go: when
+        self.begun_at = 0  # when the first byte of a request came that is not whole yet; 0: none has
+        self.asked = False  # it has sent a request of any kind
+        self.served = False  # it has handed in something that could be used
+        self.unusable = 0  # requests in a row that could not
+
+    def patience(self) -> float:
+        """For how many seconds nothing need come."""
+        return FIRST_REQUEST_TIMEOUT_S if not self.served else NEXT_REQUEST_TIMEOUT_S
+
+
+class ClientConnections:
+    """The open connections of clients, and their ends."""
+
+    def __init__(self, clock: Clock, descriptors: DescriptorBudget) -> None:
+        self.clock = clock
+        self.descriptors = descriptors
+        self.clients: set[ClientConnection] = set()
+        self.waste = bytearray(DISCARD_BUFFER_BYTES)  # receives bytes that are discarded
+
+    # ---- which to close ----
+
+    def _let_go_idle(self, fresh: bool = False) -> None:
+        """Close clients between requests; others close after their answer. New clients only where `fresh` is set."""
+        for client in list(self.clients):
+            # A new connection is left open: its first request may be on its way, and BUSY is better than a close.
+            idle = client.waiting and not len(client.buffer) and self._silent(client)
+            if idle and (client.asked or fresh):
+                self._let_go(client)
+
+    def _silent(self, client: ClientConnection) -> bool:
+        """Whether nothing is unread: a request that was written before the connection closes must be answered."""
+        timeout = client.sock.gettimeout()
+        unread = peek_byte(client.sock)
+        client.sock.settimeout(timeout)
+        return unread is None
+
+    def _make_room(self) -> None:
+        """Close idle clients where descriptors are short and clients hold at least half of them.
+
+        Raises `NoDescriptorError` where that frees none.
+        """
+        limit = self.descriptors.limit
+        if len(self.clients) * 2 < limit or self.descriptors.used < limit - limit // CONNECTION_POOL_DIVISOR:
+            return
+        # A closed client counts until its greenlet has run; closing more meanwhile would reach the newest ones.
+        if not any(client.cut for client in self.clients):
+            slow, let_go = (self.clock.now() - round(each * 1_000_000) for each in (SLOW_REQUEST_S, CLOSE_GRACE_S))
+            idle = [
+                client
+                for client in self.clients
+                if client.waiting
+                or client.begun_at
+                and client.idle_since < slow
+                or client.let_go
+                and client.idle_since < let_go
+            ]
+            # On a new connection a first request may be on its way, and would fail; a client that was answered before
+            # can ask again elsewhere. So served clients go first, but after new ones that were silent for long.
+            late = self.clock.now() - LATE_FIRST_REQUEST_US
+            # Connections that are closing already come first: nobody is served on them any more.
+            idle.sort(
+                key=lambda client: (
+                    not client.let_go,
+                    young := client.idle_since > late,
+                    client.served != young,
+                    client.idle_since,
+                )
+            )
+            free = (client for client in idle if client.let_go or self._silent(client))
+            for client in itertools.islice(free, 1 + len(idle) // 8):
+                self._turn_away(client)
+                self._cut(client)
+                client.leave.set()
+        if self.descriptors.used >= limit or not any(each.cut for each in self.clients):
+            raise NoDescriptorError(f"{len(self.clients)} clients hold all that they may")
+
+    def _let_go(self, client: ClientConnection) -> None:
+        """Shut down our side, so that the client closes its own.
+
+        A request that arrives after that stays unread: the client sends an unread one again on a new connection, but
+        one that was read would be lost without its answer.
+        """
+        client.waiting, client.let_go, client.idle_since = False, True, self.clock.now()
+        with contextlib.suppress(OSError):
+            client.sock.shutdown(gevent.socket.SHUT_WR)
+        gevent.spawn_later(CLOSE_TIMEOUT_S, self._cut, client)
+
+    def _cut(self, client: ClientConnection) -> None:
+        """Close both directions at once: the client did not close in time, or its descriptor is needed."""
+        if client in self.clients:
+            client.cut = True
+            with contextlib.suppress(OSError):
+                client.sock.shutdown(gevent.socket.SHUT_RDWR)
+
+    # ---- how ----
+
+    def _turn_away(self, client: ClientConnection) -> None:
+        """Refuse all requests read from a client, an incomplete one too, and shut down our side of its connection."""
+        owed = 0
+        with contextlib.suppress(MalformedRequestError):
+            while command(client.buffer) is not None:
+                owed += 1
+        owed += len(client.buffer) > 0
+        client.buffer.skip(len(client.buffer))
+        client.sock.settimeout(0.0)
+        with contextlib.suppress(OSError):
+            client.sock.send(BUSY * owed)
+            client.sock.shutdown(gevent.socket.SHUT_WR)
+
+    def _outlast(self, client: ClientConnection) -> None:
+        """Return once the client has closed its connection, or has had time to give up its request."""
+        until = self.clock.now() + CLIENT_ANSWER_TIMEOUT_US
+        while self.clock.now() < until and peek_byte(client.sock) != b"":
+            gevent.sleep(POLL_INTERVAL_S)
+
+    def _see_off(self, client: ClientConnection) -> None:
+        """Shut down our side, unless done, and let the client close first; what it still sends stays unread."""
+        if client.cut:
+            return
+        if not client.let_go:
+            self._let_go(client)
+        with contextlib.suppress(OSError):
+            client.sock.settimeout(CLOSE_TIMEOUT_S)
+            if client.sock.recv(1, gevent.socket.MSG_PEEK):
+                client.leave.wait(CROSSED_REQUEST_TIMEOUT_S)
+
+    def _refuse(self, client: ClientConnection, reply: bytes) -> None:
+        """Write an error, then read and discard for a moment: unread input would turn the close into a reset."""
+        client.waiting, client.begun_at = False, 0
+        client.buffer.skip(len(client.buffer))
+        try:
+            with gevent.Timeout(CLOSE_TIMEOUT_S, False):
+                client.sock.sendall(reply)
+                client.sock.shutdown(gevent.socket.SHUT_WR)
+                self._read_out(client)
+        except OSError:
+            pass
+
+    def _read_out(self, client: ClientConnection) -> None:
+        """Discard input up to `MAX_DISCARDED_BYTES`; reading more would take CPU from others, and a reset will do."""
+        wasted = 0
+        while wasted < MAX_DISCARDED_BYTES and (got := client.sock.recv_into(self.waste)):
+            wasted += got
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -18,10 +18,11 @@
 import gevent.socket
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
-from cedarwick.net import client_listener as module
+from cedarwick.net import client_connections, client_listener
 from cedarwick.net.assignment import Assignment, plain
 from cedarwick.net.attempts import AttemptRunner
-from cedarwick.net.client_listener import ClientConnection, ClientListener, SubmitResult
+from cedarwick.net.client_connections import ClientConnection
+from cedarwick.net.client_listener import ClientListener, SubmitResult
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import ConnectionPool, DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
@@ -147,8 +148,8 @@
 
     def test_who_crosses_the_end_late_reads_it_before_the_reset_all_the_same(self) -> None:
         with (
-            mock.patch.object(module, "CLOSE_TIMEOUT_S", 0.05),
-            mock.patch.object(module, "CROSSED_REQUEST_TIMEOUT_S", 5.0),
+            mock.patch.object(client_connections, "CLOSE_TIMEOUT_S", 0.05),
+            mock.patch.object(client_connections, "CROSSED_REQUEST_TIMEOUT_S", 5.0),
         ):
             sock = self.connect(submit("a"))
             (client,) = self.door.clients
@@ -186,7 +187,7 @@
 
 class InService(Door):
     def test_a_cut_for_want_of_descriptors_leaves_no_request_that_was_read_without_an_answer(self) -> None:
-        late = round(module.SLOW_REQUEST_S * 1_000_000) + 1
+        late = round(client_connections.SLOW_REQUEST_S * 1_000_000) + 1
         for name, read, crossing, expected in (
             ("silent", (), b"", (b"", "end")),
             ("one that waits to be read", (), submit("a"), (OK, "TimeoutError")),
@@ -208,7 +209,7 @@
                 if crossing:
                     sock.sendall(crossing)
                 with (
-                    mock.patch.object(module, "CONNECTION_POOL_DIVISOR", 8),
+                    mock.patch.object(client_connections, "CONNECTION_POOL_DIVISOR", 8),
                     mock.patch.object(self.door, "clients", Crowd(self.door.clients)),
                 ):
                     self.assertRaises(NoDescriptorError, self.door._make_room)
@@ -239,7 +240,7 @@
                 raise
 
         with (
-            mock.patch.object(module, "FIRST_REQUEST_TIMEOUT_S", 0.1),
+            mock.patch.object(client_connections, "FIRST_REQUEST_TIMEOUT_S", 0.1),
             mock.patch.object(gevent.socket.socket, "_wait", cross),
         ):
             sock = self.connect()
@@ -370,7 +371,8 @@
             return crossed
 
         with (
-            mock.patch.object(module, "peek_byte", crossing("before the look", peek_byte)),
+            mock.patch.object(client_listener, "peek_byte", crossing("before the look", peek_byte)),
+            mock.patch.object(client_connections, "peek_byte", crossing("before the look", peek_byte)),
             mock.patch.object(dispatcher, "_take", crossing("as it is taken", dispatcher._take)),
             mock.patch.object(dispatcher, "_keep", crossing("as it is recorded", dispatcher._keep)),
         ):
