--- a/cedarwick/events/event_source.py
+++ b/cedarwick/events/event_source.py
@@ -29,13 +29,13 @@
 class EventObserver:
     """Observes one sender. Times are microseconds of the sender's clock."""
 
-    def __init__(self, name: str, hall: str, dispatcher: Dispatcher, endpoint_list: EndpointList) -> None:
-        self.here: dict[str, Value] = {"sender": name, "hall": hall}
+    def __init__(self, name: str, site: str, dispatcher: Dispatcher, endpoint_list: EndpointList) -> None:
+        self.here: dict[str, Value] = {"sender": name, "hall": site}
         self.dispatcher = dispatcher
         self.endpoint_list = endpoint_list
         self.histories: dict[int, MessageHistory] = {}
         self.uids: dict[int, str] = {}
-        self.out: dict[str, tuple[int, int]] = {}  # by uid: destination, and since when
+        self.avoided: dict[str, tuple[int, int]] = {}  # by uid: destination, and since when
         self.suspended: set[str] = set()
         self.observing = False
 
@@ -106,7 +106,7 @@
         """Events of receivers avoided or used again, suspended or restored since the last call."""
         now = self.dispatcher.clock.now()
         self.uids = {number: uid for uid, number in self.endpoint_list.numbers.items()}
-        out = {
+        avoided = {
             self._uid(each.id): (each.destination, each.ejected_since)
             for each in self.dispatcher.sender.receivers.values()
             if each.ejected_since
@@ -115,17 +115,17 @@
         events: list[Happened] = []
         if self.observing:
             waits = {self._uid(receiver): until for receiver, until in self.dispatcher.sender.retry_after_waits(now)}
-            for uid in sorted((out.keys() - self.out.keys()) - {""}):
-                fields = self._receiver(uid, out[uid][0])
+            for uid in sorted((avoided.keys() - self.avoided.keys()) - {""}):
+                fields = self._receiver(uid, avoided[uid][0])
                 events.append(
                     ("receiver-out", fields | ({"wait": waits[uid] - now} if waits.get(uid, 0) > now else {}))
                 )
-            for uid in sorted((self.out.keys() - out.keys()) - {""}):
-                destination, since = self.out[uid]
+            for uid in sorted((self.avoided.keys() - avoided.keys()) - {""}):
+                destination, since = self.avoided[uid]
                 events.append(("receiver-back", self._receiver(uid, destination) | {"age": max(0, now - since)}))
             events += [("suspended", self._receiver(uid)) for uid in sorted(suspended - self.suspended)]
             events += [("restored", self._receiver(uid)) for uid in sorted(self.suspended - suspended)]
-        self.out, self.suspended, self.observing = out, suspended, True
+        self.avoided, self.suspended, self.observing = avoided, suspended, True
         return events
 
     def pause(self) -> None:
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -141,13 +141,13 @@
         self.registry.lasts = lasts
 
     def attach(
-        self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher, hall: str
+        self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher, site: str
     ) -> None:
         """Connect to the parts of the sender; called after every other part that wraps the attempt callbacks."""
-        self.observer = EventObserver(self.name, hall, dispatcher, endpoint_list)
+        self.observer = EventObserver(self.name, site, dispatcher, endpoint_list)
         management.follows = self.answer
         dispatcher.attempts.clear = partial(self._cleared, dispatcher.attempts.clear)
-        dispatcher.attempts.tell = partial(self._attempt_ended, dispatcher.attempts.tell)
+        dispatcher.attempts.report_result = partial(self._attempt_ended, dispatcher.attempts.report_result)
         self.begin()
 
     def begin(self) -> None:
@@ -220,11 +220,11 @@
         return clear(call)
 
     def _attempt_ended(
-        self, tell: Callable[[AttemptCall, AttemptResult], None], call: AttemptCall, ending: AttemptResult
+        self, report_result: Callable[[AttemptCall, AttemptResult], None], call: AttemptCall, ending: AttemptResult
     ) -> None:
         if self.watching and self.observer is not None:
             self.observer.attempt_ended(call, ending)
-        tell(call, ending)
+        report_result(call, ending)
 
     # ---- called by the node ----
 
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -91,7 +91,7 @@
         """Load the saved marks, and listen to operators' commands and attempts; once this process owns the folder."""
         self.staff, self.endpoint_list, self.dispatcher = staff, endpoint_list, dispatcher
         staff.changed = self._changed
-        dispatcher.attempts.report_retry_after, dispatcher.attempts.tell = self._heeded, self._ended
+        dispatcher.attempts.report_retry_after, dispatcher.attempts.report_result = self._heeded, self._ended
         now, saved = wall(), self._file()
         try:
             self.marks = SuspensionTable(self.name, self.lasting.marks())
--- a/cedarwick/lab/virtual_partners.py
+++ b/cedarwick/lab/virtual_partners.py
@@ -94,7 +94,7 @@
         self.sender = sender
         self.owner = owner
         self.clear = dispatcher.clear
-        self.tell = dispatcher.attempt_ended
+        self.report_result = dispatcher.attempt_ended
         self.in_flight = {}
         self.seen: dict[int, Called] = {}  # by message: the call that its partner has
 
@@ -148,4 +148,4 @@
     def _ended(self, call: AttemptCall, outcome: Outcome) -> None:
         call.reported = True
         self.seen.pop(call.message.number, None)
-        self.tell(call, AttemptResult(outcome, took=1000, last=outcome is Outcome.COMPLETED))
+        self.report_result(call, AttemptResult(outcome, took=1000, last=outcome is Outcome.COMPLETED))
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -169,7 +169,7 @@
             self.dispatcher.hold_fire(ending=True)
             end = kernel.now + DRAIN
             while kernel.now < end and not (
-                self.dispatcher.idle() and not self.dispatcher.notices.owed and (traffic is None or traffic.left())
+                self.dispatcher.idle() and not self.dispatcher.notices.pending and (traffic is None or traffic.left())
             ):
                 kernel.sleep(LOOK)
             self.node.leave()
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -65,7 +65,7 @@
 
 
 class AttemptRunner:
-    """Runs ordered attempts; each reports exactly one `AttemptResult` through `tell`.
+    """Runs ordered attempts; each reports exactly one `AttemptResult` through `report_result`.
 
     `clear` asks the dispatcher whether an attempt may go, `may_fire` asks again right before the first byte, and
     `report_retry_after` passes on Retry-After waits as (receiver, until in microseconds).
@@ -79,7 +79,7 @@
         columns: list[str],
         polled: PollClock,
         clear: Callable[[AttemptCall], bool],
-        tell: Callable[[AttemptCall, AttemptResult], None],
+        report_result: Callable[[AttemptCall, AttemptResult], None],
         report_retry_after: Callable[[list[tuple[int, int]]], None],
         may_fire: Callable[[int], bool] = lambda _: True,
     ) -> None:
@@ -89,7 +89,7 @@
         self.columns = columns
         self.polled = polled
         self.clear = clear
-        self.tell = tell
+        self.report_result = report_result
         self.report_retry_after = report_retry_after
         self.may_fire = may_fire
         self.in_flight: dict[gevent.Greenlet, AttemptCall] = {}
@@ -194,7 +194,7 @@
         if answer.complete or answer.status == 200:
             usable = answer.complete and answer.keep_alive and broken is None
             if not call.reported:
-                self._tell(call, answer)
+                self._report_answer(call, answer)
             return usable
         # End the call before its result is reported: a retry must not run beside it. A refusal counts only when its
         # answer is whole: if what follows its head is malformed, the attempt may have run.
@@ -220,7 +220,7 @@
                 if answer.status and not begun:
                     until = min(until, self.clock.now() + ANSWER_REST_TIMEOUT_US)
                 if answer.headed and answer.status == 200 and not call.reported:
-                    self._tell(call, answer)  # a success counts even if the rest of the answer is lost
+                    self._report_answer(call, answer)  # a success counts even if the rest of the answer is lost
         except TimeoutError:
             # After a pause of the process, answers that came in time are still unread.
             self._read_unread_bytes(call, link, answer)
@@ -278,7 +278,7 @@
             self.counters.add("waits heard after the call was given up")
             self._report_retry_after(call, answer)
 
-    def _tell(self, call: AttemptCall, answer: ResponseParser) -> None:
+    def _report_answer(self, call: AttemptCall, answer: ResponseParser) -> None:
         """Report the result that an answer gives; its first line at least has been read."""
         took = self.clock.now() - call.ordered_at
         report = self._report(answer.headers.get(REPORT_HEADER, ""))
@@ -299,13 +299,15 @@
             ending = AttemptResult(Outcome.ERROR, took, 0, False, report)
         self.counters.add(f"answers {answer.status}")
         call.reported = True
-        self.tell(call, ending)
+        self.report_result(call, ending)
 
     def _end(self, call: AttemptCall, outcome: Outcome, not_sent: bool = False) -> None:
         self.counters.add(f"attempts without an answer: {outcome.value}")
         call.reported = True
         took = self.clock.now() - call.ordered_at
-        self.tell(call, AttemptResult(outcome, took, reused_connection=call.reused_connection, not_sent=not_sent))
+        self.report_result(
+            call, AttemptResult(outcome, took, reused_connection=call.reused_connection, not_sent=not_sent)
+        )
 
     def _hold_back(self, call: AttemptCall) -> None:
         self._end(call, Outcome.MOOT, not_sent=True)
--- a/cedarwick/net/client_connections.py
+++ b/cedarwick/net/client_connections.py
@@ -157,15 +157,15 @@
 
     def _turn_away(self, client: ClientConnection) -> None:
         """Refuse all requests read from a client, an incomplete one too, and shut down our side of its connection."""
-        owed = 0
+        unanswered = 0
         with contextlib.suppress(MalformedRequestError):
             while command(client.buffer) is not None:
-                owed += 1
-        owed += len(client.buffer) > 0
+                unanswered += 1
+        unanswered += len(client.buffer) > 0
         client.buffer.skip(len(client.buffer))
         client.sock.settimeout(0.0)
         with contextlib.suppress(OSError):
-            client.sock.send(BUSY * owed)
+            client.sock.send(BUSY * unanswered)
             client.sock.shutdown(gevent.socket.SHUT_WR)
 
     def _outlast(self, client: ClientConnection) -> None:
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -62,7 +62,7 @@
     def _answer_late(self, numbers: list[int]) -> None:
         for number in numbers:
             stored = self.store.messages.get(number)
-            if stored is None or number in self.handles or number in self.notices.owed:
+            if stored is None or number in self.handles or number in self.notices.pending:
                 continue
             if stored.end is None or number in self.uncopied_ends:
                 self.counters.warning("a message ends that nobody may fire for", number)
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -25,11 +25,11 @@
         numbers = [number for number in sorted(self.store.messages) if self.store.may_fire(number)]
         if self.store.restarted:
             taken_up = self._take_up(numbers)
-            logger.info("restarted with {} messages owed, {} notices", taken_up, len(self.notices.owed))
+            logger.info("restarted with {} unfinished messages, {} notices", taken_up, len(self.notices.pending))
 
     def _take_up(self, numbers: Sequence[int], quietly: bool = False) -> int:
         """Give stored messages to the decisions, or post their final answer; returns how many were not ended."""
-        owed = []
+        unfinished = []
         for number in numbers:
             stored = self.store.messages[number]
             self.numbers[stored.id] = number
@@ -43,7 +43,7 @@
                 continue
             attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in stored.earlier_attempts()]
             priority_class = self.priority_classes.get(stored.priority_class, len(self.sender.priority_classes) - 1)
-            owed.append(
+            unfinished.append(
                 UnfinishedMessage(
                     number,
                     stored.destination,
@@ -56,16 +56,18 @@
             )
         now = self.clock.now()
         if quietly and all(
-            attempt.outcome is not None and attempt.outcome.never_ran for each in owed for attempt in each.attempts
+            attempt.outcome is not None and attempt.outcome.never_ran
+            for each in unfinished
+            for attempt in each.attempts
         ):
             # Sessions arrive one by one, and each `restore` would make the keys of all others rest.
-            for each in owed:
+            for each in unfinished:
                 handle = self.handles[each.message_id] = self.sender.accept(now, *each[:-1])
                 handle.attempts = len(each.attempts)
-            return len(owed)
-        for each, handle in zip(owed, self.sender.restore(now, owed), strict=True):
+            return len(unfinished)
+        for each, handle in zip(unfinished, self.sender.restore(now, unfinished), strict=True):
             self.handles[each.message_id] = handle
-        return len(owed)
+        return len(unfinished)
 
     def _place_of(self, mark: int) -> int:
         """The index of a recorded zone mark in the settings; `NOWHERE` unless exactly one zone has it."""
@@ -116,7 +118,7 @@
         self.numbers = {each: number for each, number in self.numbers.items() if number not in given_up}
         for number in numbers:
             self.to_adopt.discard(number)
-            self.notices.owed.pop(number, None)
+            self.notices.pending.pop(number, None)
             submission = self.fresh.pop(number, None)
             if submission is not None:
                 submission.answered(AdmissionResult.BUSY)
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -81,7 +81,7 @@
         self.queue.put((self._list_poll_failed, ()))
 
     def acknowledged(self, numbers: list[int]) -> None:
-        """The platform has acknowledged the notices of these messages: nothing more is owed for them."""
+        """The platform has acknowledged the notices of these messages: nothing more is due for them."""
         self.queue.put((self._acknowledged, (numbers,)))
 
     def apply_retry_after(self, waits: list[tuple[int, int]]) -> None:
@@ -224,7 +224,7 @@
             return
         # A message that was given up takes room until its notice is acknowledged; without counting that room as free,
         # every round would give up more.
-        self.sender.room = self.store.room_for() + len(self.notices.owed)
+        self.sender.room = self.store.room_for() + len(self.notices.pending)
         verdicts = self.sender.decide(now)
         for number, wait in verdicts.nacks:
             fresh = self.fresh.pop(number, None)
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -1,6 +1,6 @@
 """Endpoint discovery: the watch of the platform's list of receivers, and the numbers that stand for their uids.
 
-Names in `_S` are seconds. The service runs `watch`; updates go to the dispatcher through `tell`.
+Names in `_S` are seconds. The service runs `watch`; updates go to the dispatcher through `report_update`.
 """
 
 import time
@@ -45,15 +45,15 @@
         self,
         assignment: Assignment,
         counters: Counters,
-        tell: Callable[[EndpointUpdate, list[ListedEndpoint]], None],
-        tell_failed: Callable[[], None],
+        report_update: Callable[[EndpointUpdate, list[ListedEndpoint]], None],
+        report_failure: Callable[[], None],
     ) -> None:
         self.platform = assignment.platform
         self.zones = list_setting(assignment.settings, "zones")
         self.kinds = list_setting(assignment.settings, "kinds")
         self.counters = counters
-        self.tell = tell
-        self.tell_failed = tell_failed
+        self.report_update = report_update
+        self.report_failure = report_failure
         self.version = 0  # of the last update that was passed on; 0 asks for the full list
         self.unsure = False  # part of an update could not be read, or was out of order
         self.numbers: dict[str, int] = {}
@@ -117,7 +117,9 @@
         # Later deltas do not repeat what an unreadable line said; only a full list does.
         self.unsure = not clear or self.unsure and not whole
         self.known = self.known or bool(listings)
-        self.tell(EndpointUpdate.CACHED if saved else EndpointUpdate.FULL if whole else EndpointUpdate.DELTA, listings)
+        self.report_update(
+            EndpointUpdate.CACHED if saved else EndpointUpdate.FULL if whole else EndpointUpdate.DELTA, listings
+        )
         return clear
 
     def _forget(self, named: set[str], whole: bool) -> None:
@@ -144,7 +146,7 @@
         self.suspended = set(uids)
         listings = [self._as_held(uid, self.last[uid]) for uid in sorted(changed) if uid in self.last]
         if listings:
-            self.tell(EndpointUpdate.DELTA, listings)
+            self.report_update(EndpointUpdate.DELTA, listings)
 
     def _as_held(self, uid: str, listing: ListedEndpoint) -> ListedEndpoint:
         held = uid in self.suspended and listing.phase is EndpointState.READY
@@ -194,7 +196,7 @@
 
     def _call_failed(self) -> None:
         self.asked.clear()  # a request from before the failure must not open the next watch at once
-        self.tell_failed()
+        self.report_failure()
 
     def _follow_to_its_end(self) -> None:
         try:
--- a/cedarwick/net/notifications.py
+++ b/cedarwick/net/notifications.py
@@ -29,7 +29,7 @@
         self.platform = platform
         self.counters = counters
         self.acknowledged = acknowledged
-        self.owed: dict[int, bytes] = {}  # by message number; bounded by the store's size
+        self.pending: dict[int, bytes] = {}  # by message number; bounded by the store's size
         self.unposted = gevent.event.Event()
         self.sock: gevent.socket.socket | None = None
         self.sock_leads_to = platform
@@ -46,7 +46,7 @@
         notice: dict[str, object] = {"id": message, "state": "returned" if rejected else "failed"}
         if rejected and wait_ms > 0:
             notice["after_ms"] = wait_ms
-        self.owed[number] = json.dumps(notice).encode() + b"\n"
+        self.pending[number] = json.dumps(notice).encode() + b"\n"
         self.unposted.set()
 
     def run(self) -> None:
@@ -55,9 +55,9 @@
         while True:
             self.unposted.wait()
             self.unposted.clear()
-            while self.owed:
-                batch = list(self.owed)[:most]
-                self.posting = gevent.spawn(self._post, b"".join(self.owed[number] for number in batch))
+            while self.pending:
+                batch = list(self.pending)[:most]
+                self.posting = gevent.spawn(self._post, b"".join(self.pending[number] for number in batch))
                 status = self.posting.get()
                 if isinstance(status, gevent.GreenletExit):  # the platform has moved meanwhile
                     continue
@@ -67,13 +67,13 @@
                 if status != 204:
                     self.counters.warning("a notice was not accepted", status)
                     most = 1  # a line that cannot be read must not hold up the others
-                    if (first := self.owed.pop(batch[0], None)) is not None:
-                        self.owed[batch[0]] = first
+                    if (first := self.pending.pop(batch[0], None)) is not None:
+                        self.pending[batch[0]] = first
                     gevent.sleep(RETRY_DELAY_S)
                     continue
                 most = MAX_LINES_PER_POST
                 for number in batch:
-                    self.owed.pop(number, None)  # it may have been given up meanwhile
+                    self.pending.pop(number, None)  # it may have been given up meanwhile
                 self.counters.add("posts of notices acknowledged")
                 self.acknowledged(batch)
 
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -382,7 +382,7 @@
         """Whether no attempt, notification, client or session move is left."""
         return (
             self.dispatcher.idle()
-            and not self.notifier.owed
+            and not self.notifier.pending
             and not self.client_listener.clients
             and (self.node is None or self.node.traffic is None or self.node.traffic.left())
         )
--- a/tests/test_crossings_restarts.py
+++ b/tests/test_crossings_restarts.py
@@ -208,11 +208,11 @@
         yield self.ENDED
         told.extend(self.posted(process))
         yield self.POSTED
-        process.dispatcher._acknowledged(list(process.dispatcher.notices.owed))
+        process.dispatcher._acknowledged(list(process.dispatcher.notices.pending))
         yield self.ACKNOWLEDGED
 
     def posted(self, process: Process) -> list[str]:
-        return [json.loads(line)["state"] for line in process.dispatcher.notices.owed.values()]
+        return [json.loads(line)["state"] for line in process.dispatcher.notices.pending.values()]
 
     def seen(self, priority_class: str, outcome: Outcome, at: int, later: int = 0) -> list[str]:
         """What other parties see in all, where the next process completes what it sends."""
@@ -237,7 +237,7 @@
                         second.dispatcher._attempt_ended(call, AttemptResult(Outcome.COMPLETED, last=True))
                     second.calls.clear()
                 told.extend(self.posted(second))
-                second.dispatcher._acknowledged(list(second.dispatcher.notices.owed))
+                second.dispatcher._acknowledged(list(second.dispatcher.notices.pending))
                 self.assertEqual((second.store.messages, second.dispatcher.handles), ({}, {}))
                 second.store.close()
         return told
@@ -514,7 +514,7 @@
         self.links.descriptors.limit = 8
         self.wait_for(lambda: len(self.partner.arrived) == 3)
         self.wait_for(lambda: not self.made.store.messages)
-        self.assertEqual(self.dispatcher.notices.owed, {})
+        self.assertEqual(self.dispatcher.notices.pending, {})
         self.assertLess(self.counts["warning: no descriptor for an attempt"], 9)
 
     def test_a_attempt_that_is_cut_while_the_dispatcher_is_asked_gives_its_link_back(self) -> None:
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -817,7 +817,7 @@
             notices = Notifier(("", 0), Counters(), mock.Mock(side_effect=KeyboardInterrupt))
 
             def post(_: bytes, notices: Notifier = notices, status: int = status) -> int:
-                notices.owed.clear()
+                notices.pending.clear()
                 return status
 
             with (
--- a/tests/test_fleet_suspensions.py
+++ b/tests/test_fleet_suspensions.py
@@ -192,7 +192,7 @@
 
     def test_hints_are_few_say_what_is_left_and_are_not_passed_on(self) -> None:
         self.dispatcher.attempts.report_retry_after([(1, NOW + 300_000), *((i, NOW + S) for i in range(2, 70))])
-        self.dispatcher.attempts.tell(Made(receiver=70), Made(retry_after=S))
+        self.dispatcher.attempts.report_result(Made(receiver=70), Made(retry_after=S))
         self.assertEqual(
             (self.dispatcher.apply_retry_after.call_count, self.dispatcher.attempt_ended.call_count), (1, 1)
         )
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -69,7 +69,7 @@
         self.dispatcher._answer_late([1, 2])
         self.assertEqual(returned.answer.get()[0], AdmissionResult.ACCEPTED)
         self.assertEqual(
-            [json.loads(line)["state"] for line in self.dispatcher.notices.owed.values()], ["failed", "failed"]
+            [json.loads(line)["state"] for line in self.dispatcher.notices.pending.values()], ["failed", "failed"]
         )
         self.assertEqual(self.taken(name="c").answer.get()[0], AdmissionResult.BUSY)
         del self.store.may_fire
@@ -77,9 +77,9 @@
         with mock.patch.object(self.store, "may_fire", return_value=False):
             self.dispatcher._final(self.dispatcher.numbers["d"], True, 0)
             self.dispatcher._flush()
-        self.assertEqual(len(self.dispatcher.notices.owed), 2)
+        self.assertEqual(len(self.dispatcher.notices.pending), 2)
         self.dispatcher._flush()
-        self.assertEqual(len(self.dispatcher.notices.owed), 3)  # the right was back in a moment
+        self.assertEqual(len(self.dispatcher.notices.pending), 3)  # the right was back in a moment
 
     def test_what_is_adopted_alone_stands_before_those_of_its_key_that_were_taken_after_it(self) -> None:
         self.dispatcher.sender.priority_classes[0].ordered = True
@@ -230,7 +230,7 @@
         for ending in (False, True):
             self.dispatcher._hold_fire(ending=ending)
             self.dispatcher._turn_away()
-            self.assertEqual(sorted(self.dispatcher.notices.owed), [2] * ending)
+            self.assertEqual(sorted(self.dispatcher.notices.pending), [2] * ending)
         self.assertEqual(self.dispatcher.wake_at, self.store.messages[3].deadline - DEADLINE_MARGIN_US)
 
     def test_no_attempt_begins_when_the_end_is_near(self) -> None:
@@ -512,7 +512,7 @@
                 made.platform = listener.getsockname()
                 made.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
                 failed = AsyncResult()
-                made.tell_failed = lambda failed=failed: failed.set(True)  # type: ignore[misc]
+                made.report_failure = lambda failed=failed: failed.set(True)  # type: ignore[misc]
                 watching = gevent.spawn(made.watch)
                 sock, _ = listener.accept()
                 sock.recv(1000)
@@ -526,7 +526,7 @@
     def test_a_broken_watch_opens_anew_when_the_decisions_say_and_at_once_at_a_new_address(self) -> None:
         endpoint_list, _ = self.endpoint_list()
         failed: list[int] = []
-        endpoint_list.tell_failed = lambda: failed.append(1)
+        endpoint_list.report_failure = lambda: failed.append(1)
         endpoint_list.platform = ("127.0.0.1", 1)  # nobody listens there
         endpoint_list.ask()  # as at the start, while the first watch is opened
         watching = gevent.spawn(endpoint_list.watch)
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -274,7 +274,7 @@
             )
             answer = ResponseParser()
             made._read(call, link, answer)
-            made._tell(call, answer)
+            made._report_answer(call, answer)
         return told[0]
 
     def test_the_longest_of_several_waits_in_one_head_holds(self) -> None:
