--- a/cedarwick/lab/virtual_partners.py
+++ b/cedarwick/lab/virtual_partners.py
@@ -118,7 +118,7 @@
             if not self.clear(call):
                 call.reported = True
                 return
-            if WALL + day.kernel.now - call.looked_at <= TOO_OLD:
+            if WALL + day.kernel.now - call.polled_at <= TOO_OLD:
                 break
             day.kernel.sleep()
         else:
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -44,7 +44,7 @@
     body: bytes = b""  # read from the store when the attempt is cleared
     recorded: bool = False  # the store has its record
     flushed: bool = False  # the record is on the disk, where the store is durable
-    looked_at: int = 0  # when the sockets were polled on which its clearance rests
+    polled_at: int = 0  # when the sockets were polled on which its clearance rests
     retry_after_reported: bool = False  # its Retry-After wait has been passed on, ahead of the result
     reported: bool = False  # its result has been passed on
     new_connection: bool = False  # it may not reuse an idle connection
@@ -106,38 +106,38 @@
             if call.message.number in numbers and not call.reported:
                 greenlet.kill(block=False)
                 self.counters.add("attempts cut off: their session moves")
-                self._end(call, Outcome.RESET if call.recorded else Outcome.MOOT)
+                self._report_failure(call, Outcome.RESET if call.recorded else Outcome.MOOT)
 
     def _run(self, call: AttemptCall) -> None:
         try:
-            self._go(call)
+            self._run_attempt(call)
         except Exception:
             # Without a result the attempt would hold its slot and its message for ever.
             self.counters.failed("an attempt failed")
             if not call.reported:
-                self._end(call, Outcome.RESET)
+                self._report_failure(call, Outcome.RESET)
 
-    def _go(self, call: AttemptCall) -> None:
+    def _run_attempt(self, call: AttemptCall) -> None:
         try:
             link = self.links.obtain(call.receiver, call.until, call.new_connection)
         except NoDescriptorError as error:
             self.counters.warning("no descriptor for an attempt", error.within(f"receiver {call.receiver}"))
-            self._hold_back(call)
+            self._report_not_sent(call)
             return
         except OSError as error:
             self.counters.warning("a link did not come up", error)
-            self._end(call, Outcome.CONNECT_FAILED)
+            self._report_failure(call, Outcome.CONNECT_FAILED)
             return
         usable = False
         try:
             # While the connection came up, a Retry-After wait or a drain may have arrived, or the message ended.
             usable = not self._cleared(call)
             if not usable:
-                usable = self._unless_crossed(call, link)
+                usable = self._send_unless_expired(call, link)
         finally:
             self.links.give_back(link, usable)
 
-    def _unless_crossed(self, call: AttemptCall, link: Connection) -> bool:
+    def _send_unless_expired(self, call: AttemptCall, link: Connection) -> bool:
         """Make the call unless its time or connection ended during the clearance.
 
         Returns whether the connection can be used again.
@@ -145,17 +145,17 @@
         if is_closed(link.sock):
             # Bytes that came before the request would be read as its answer.
             if link.idle_since:
-                self._hold_back(call)
+                self._report_not_sent(call)
             else:
                 self.counters.add("new links that ended or spoke before their request")
-                self._end(call, Outcome.CONNECT_FAILED)
+                self._report_failure(call, Outcome.CONNECT_FAILED)
             return False
         if self.clock.now() >= call.send_by:
             self.counters.add("attempts held back: their time was over")
-            self._hold_back(call)
+            self._report_not_sent(call)
             return True
         call.reused_connection = link.idle_since > 0
-        return self._over(call, link)
+        return self._exchange(call, link)
 
     def _cleared(self, call: AttemptCall) -> bool:
         """Whether the attempt may go now; where it may not, its result has been reported."""
@@ -164,15 +164,15 @@
                 call.reported = True
                 self.counters.add("attempts held back before their first byte")
                 return False
-            if self.clock.now() - call.looked_at <= CLEARANCE_LIFETIME_US:
+            if self.clock.now() - call.polled_at <= CLEARANCE_LIFETIME_US:
                 return True
             # The process was paused, or a round was long: a refusal may be waiting unread in a socket.
             self.counters.add("clearances that grew old")
             self.polled.again()
-        self._hold_back(call)
+        self._report_not_sent(call)
         return False
 
-    def _over(self, call: AttemptCall, link: Connection) -> bool:
+    def _exchange(self, call: AttemptCall, link: Connection) -> bool:
         """Write the request and read the answer; returns whether the connection can be used again."""
         answer = ResponseParser()
         broken: Outcome | None = Outcome.CONNECT_FAILED
@@ -182,7 +182,7 @@
             # The right to send may have expired since the clearance; another sender may hold it now.
             if not self.may_fire(call.message.number):
                 self.counters.add("attempts held back: no right to fire")
-                self._end(call, Outcome.MOOT)
+                self._report_failure(call, Outcome.MOOT)
                 return True
             link.sock.sendall(whole)
             self.counters.add("attempts sent")
@@ -199,11 +199,11 @@
         # End the call before its result is reported: a retry must not run beside it. A refusal counts only when its
         # answer is whole: if what follows its head is malformed, the attempt may have run.
         if broken is Outcome.TIME_OUT and self.links.end_sending(link):
-            self._end(call, broken)
-            self._hear_out(call, link, answer)
+            self._report_failure(call, broken)
+            self._read_late_answer(call, link, answer)
         else:
             self.links.give_back(link, usable=False)
-            self._end(call, broken or Outcome.RESET)
+            self._report_failure(call, broken or Outcome.RESET)
         return False
 
     def _read(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> Outcome | None:
@@ -237,10 +237,10 @@
         link.sock.settimeout(left / 1_000_000)
 
     def _read_unread_bytes(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
-        self._read_on(link, answer, 0)
+        self._read_more(link, answer, 0)
         self._report_early_retry_after(call, answer)
 
-    def _read_on(self, link: Connection, answer: ResponseParser, until: int) -> None:
+    def _read_more(self, link: Connection, answer: ResponseParser, until: int) -> None:
         """Read until the head of an answer is there, up to a time; with 0, read only what has arrived."""
         link.sock.settimeout(0.0)
         try:
@@ -267,13 +267,13 @@
             [(call.receiver, self.clock.now() + parse_retry_after(answer.headers.get("x-backoff-ms", "")))]
         )
 
-    def _hear_out(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
+    def _read_late_answer(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
         """Read on for a moment on the connection of a call that timed out and whose result was reported.
 
         A refusal that arrives just after the time-out still sets a Retry-After wait, which later attempts must respect.
         """
         self.in_flight.pop(gevent.getcurrent(), None)
-        self._read_on(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
+        self._read_more(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
         if answer.headed and answer.status == 429 and not call.retry_after_reported:
             self.counters.add("waits heard after the call was given up")
             self._report_retry_after(call, answer)
@@ -281,7 +281,7 @@
     def _report_answer(self, call: AttemptCall, answer: ResponseParser) -> None:
         """Report the result that an answer gives; its first line at least has been read."""
         took = self.clock.now() - call.ordered_at
-        report = self._report(answer.headers.get(REPORT_HEADER, ""))
+        report = self._parse_report(answer.headers.get(REPORT_HEADER, ""))
         if answer.status == 200:
             ending = AttemptResult(Outcome.COMPLETED, took, 0, True, report, call.reused_connection)
         elif answer.status == 429:
@@ -301,7 +301,7 @@
         call.reported = True
         self.report_result(call, ending)
 
-    def _end(self, call: AttemptCall, outcome: Outcome, not_sent: bool = False) -> None:
+    def _report_failure(self, call: AttemptCall, outcome: Outcome, not_sent: bool = False) -> None:
         self.counters.add(f"attempts without an answer: {outcome.value}")
         call.reported = True
         took = self.clock.now() - call.ordered_at
@@ -309,10 +309,10 @@
             call, AttemptResult(outcome, took, reused_connection=call.reused_connection, not_sent=not_sent)
         )
 
-    def _hold_back(self, call: AttemptCall) -> None:
-        self._end(call, Outcome.MOOT, not_sent=True)
+    def _report_not_sent(self, call: AttemptCall) -> None:
+        self._report_failure(call, Outcome.MOOT, not_sent=True)
 
-    def _report(self, text: str) -> Sequence[float]:
+    def _parse_report(self, text: str) -> Sequence[float]:
         """The values that an answer reports, in the order of the settings; nothing if it cannot be read."""
         if not text:
             return ()
--- a/cedarwick/net/client_connections.py
+++ b/cedarwick/net/client_connections.py
@@ -40,12 +40,12 @@
         "buffer",
         "waiting",
         "answering",
-        "cut",
-        "let_go",
-        "leave",
+        "closed",
+        "shut_down",
+        "descriptor_wanted",
         "idle_since",
         "begun_at",
-        "asked",
+        "has_sent_request",
         "served",
         "unusable",
     )
@@ -55,12 +55,14 @@
         self.buffer = Buffer()
         self.waiting = True  # between requests: nothing of a next one has been read
         self.answering = False  # a request was read, and its answer is not written
-        self.cut = False
-        self.let_go = False  # our side is shut down; nothing more is read from it
-        self.leave = gevent.event.Event()  # its descriptor is wanted, also where its request crossed the end
+        self.closed = False
+        self.shut_down = False  # our side is shut down; nothing more is read from it
+        self.descriptor_wanted = (
+            gevent.event.Event()
+        )  # its descriptor is wanted, also where its request crossed the end
         self.idle_since = now  # the last byte read, or the last answer; of one that was let go: when
         self.begun_at = 0  # when the first byte of a request came that is not whole yet; 0: none has
-        self.asked = False  # it has sent a request of any kind
+        self.has_sent_request = False  # of any kind
         self.served = False  # it has handed in something that could be used
         self.unusable = 0  # requests in a row that could not
 
@@ -80,13 +82,13 @@
 
     # ---- which to close ----
 
-    def _let_go_idle(self, fresh: bool = False) -> None:
+    def _shut_down_idle(self, fresh: bool = False) -> None:
         """Close clients between requests; others close after their answer. New clients only where `fresh` is set."""
         for client in list(self.clients):
             # A new connection is left open: its first request may be on its way, and BUSY is better than a close.
             idle = client.waiting and not len(client.buffer) and self._silent(client)
-            if idle and (client.asked or fresh):
-                self._let_go(client)
+            if idle and (client.has_sent_request or fresh):
+                self._shut_down(client)
 
     def _silent(self, client: ClientConnection) -> bool:
         """Whether nothing is unread: a request that was written before the connection closes must be answered."""
@@ -104,16 +106,16 @@
         if len(self.clients) * 2 < limit or self.descriptors.used < limit - limit // CONNECTION_POOL_DIVISOR:
             return
         # A closed client counts until its greenlet has run; closing more meanwhile would reach the newest ones.
-        if not any(client.cut for client in self.clients):
-            slow, let_go = (self.clock.now() - round(each * 1_000_000) for each in (SLOW_REQUEST_S, CLOSE_GRACE_S))
+        if not any(client.closed for client in self.clients):
+            slow, lingering = (self.clock.now() - round(each * 1_000_000) for each in (SLOW_REQUEST_S, CLOSE_GRACE_S))
             idle = [
                 client
                 for client in self.clients
                 if client.waiting
                 or client.begun_at
                 and client.idle_since < slow
-                or client.let_go
-                and client.idle_since < let_go
+                or client.shut_down
+                and client.idle_since < lingering
             ]
             # On a new connection a first request may be on its way, and would fail; a client that was answered before
             # can ask again elsewhere. So served clients go first, but after new ones that were silent for long.
@@ -121,41 +123,41 @@
             # Connections that are closing already come first: nobody is served on them any more.
             idle.sort(
                 key=lambda client: (
-                    not client.let_go,
+                    not client.shut_down,
                     young := client.idle_since > late,
                     client.served != young,
                     client.idle_since,
                 )
             )
-            free = (client for client in idle if client.let_go or self._silent(client))
+            free = (client for client in idle if client.shut_down or self._silent(client))
             for client in itertools.islice(free, 1 + len(idle) // 8):
-                self._turn_away(client)
-                self._cut(client)
-                client.leave.set()
-        if self.descriptors.used >= limit or not any(each.cut for each in self.clients):
+                self._refuse_unanswered(client)
+                self._close(client)
+                client.descriptor_wanted.set()
+        if self.descriptors.used >= limit or not any(each.closed for each in self.clients):
             raise NoDescriptorError(f"{len(self.clients)} clients hold all that they may")
 
-    def _let_go(self, client: ClientConnection) -> None:
+    def _shut_down(self, client: ClientConnection) -> None:
         """Shut down our side, so that the client closes its own.
 
         A request that arrives after that stays unread: the client sends an unread one again on a new connection, but
         one that was read would be lost without its answer.
         """
-        client.waiting, client.let_go, client.idle_since = False, True, self.clock.now()
+        client.waiting, client.shut_down, client.idle_since = False, True, self.clock.now()
         with contextlib.suppress(OSError):
             client.sock.shutdown(gevent.socket.SHUT_WR)
-        gevent.spawn_later(CLOSE_TIMEOUT_S, self._cut, client)
+        gevent.spawn_later(CLOSE_TIMEOUT_S, self._close, client)
 
-    def _cut(self, client: ClientConnection) -> None:
+    def _close(self, client: ClientConnection) -> None:
         """Close both directions at once: the client did not close in time, or its descriptor is needed."""
         if client in self.clients:
-            client.cut = True
+            client.closed = True
             with contextlib.suppress(OSError):
                 client.sock.shutdown(gevent.socket.SHUT_RDWR)
 
     # ---- how ----
 
-    def _turn_away(self, client: ClientConnection) -> None:
+    def _refuse_unanswered(self, client: ClientConnection) -> None:
         """Refuse all requests read from a client, an incomplete one too, and shut down our side of its connection."""
         unanswered = 0
         with contextlib.suppress(MalformedRequestError):
@@ -168,22 +170,22 @@
             client.sock.send(BUSY * unanswered)
             client.sock.shutdown(gevent.socket.SHUT_WR)
 
-    def _outlast(self, client: ClientConnection) -> None:
+    def _await_departure(self, client: ClientConnection) -> None:
         """Return once the client has closed its connection, or has had time to give up its request."""
         until = self.clock.now() + CLIENT_ANSWER_TIMEOUT_US
         while self.clock.now() < until and peek_byte(client.sock) != b"":
             gevent.sleep(POLL_INTERVAL_S)
 
-    def _see_off(self, client: ClientConnection) -> None:
+    def _await_close(self, client: ClientConnection) -> None:
         """Shut down our side, unless done, and let the client close first; what it still sends stays unread."""
-        if client.cut:
+        if client.closed:
             return
-        if not client.let_go:
-            self._let_go(client)
+        if not client.shut_down:
+            self._shut_down(client)
         with contextlib.suppress(OSError):
             client.sock.settimeout(CLOSE_TIMEOUT_S)
             if client.sock.recv(1, gevent.socket.MSG_PEEK):
-                client.leave.wait(CROSSED_REQUEST_TIMEOUT_S)
+                client.descriptor_wanted.wait(CROSSED_REQUEST_TIMEOUT_S)
 
     def _refuse(self, client: ClientConnection, reply: bytes) -> None:
         """Write an error, then read and discard for a moment: unread input would turn the close into a reset."""
@@ -193,11 +195,11 @@
             with gevent.Timeout(CLOSE_TIMEOUT_S, False):
                 client.sock.sendall(reply)
                 client.sock.shutdown(gevent.socket.SHUT_WR)
-                self._read_out(client)
+                self._discard_input(client)
         except OSError:
             pass
 
-    def _read_out(self, client: ClientConnection) -> None:
+    def _discard_input(self, client: ClientConnection) -> None:
         """Discard input up to `MAX_DISCARDED_BYTES`; reading more would take CPU from others, and a reset will do."""
         wasted = 0
         while wasted < MAX_DISCARDED_BYTES and (got := client.sock.recv_into(self.waste)):
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -79,7 +79,7 @@
         self.ready = ready  # whether the store has been read and the endpoint list is known
         self.closing = False
         self.paused = False  # paused by the operators: PING is refused, clients are closed between requests
-        self.still_taking = False  # while closing: requests that were read are still stored, for a hand-over
+        self.still_accepting = False  # while closing: requests that were read are still stored, for a hand-over
         self.hand_in: Callable[[StoredMessage], SubmitResult] = self.to_dispatcher
         if listener is not None:
             self.listener = listener  # the platform's, shared with a process that replaces this one
@@ -108,9 +108,9 @@
                 self.counters.warning("accepting failed", error)
                 gevent.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
-            self._take_in(sock)
+            self._start_serving(sock)
 
-    def _take_in(self, sock: gevent.socket.socket) -> None:
+    def _start_serving(self, sock: gevent.socket.socket) -> None:
         self.counters.add("clients accepted")
         client = ClientConnection(sock, self.clock.now())
         self.clients.add(client)
@@ -123,7 +123,7 @@
     def pause(self) -> None:
         """Pause for the operators: serve requests that were read, close connections when idle; PING is refused."""
         self.paused = True
-        self._let_go_idle()
+        self._shut_down_idle()
 
     def resume(self) -> None:
         """The end of a pause: clients are served again."""
@@ -132,27 +132,27 @@
     def stop(self) -> None:
         """Refuse new requests from now on, and close idle connections."""
         self.closing = True
-        self._let_go_idle()
+        self._shut_down_idle()
 
     def end(self, seconds: float) -> None:
         """Close the listener, and return once every request is answered and every client gone, or after `seconds`.
 
         Requests that are incomplete by then are refused.
         """
-        self._let_go_idle(fresh=True)
-        self._take_in_waiting()
+        self._shut_down_idle(fresh=True)
+        self._accept_waiting()
         self.listener.close()
         with gevent.Timeout(seconds, False):
             while self.clients:
                 gevent.sleep(POLL_INTERVAL_S)
-                self._let_go_idle()
-        self._let_go_idle(fresh=True)
+                self._shut_down_idle()
+        self._shut_down_idle(fresh=True)
         for client in self.clients:
             # Not while an answer is under way: the client would take the refusal for that answer.
             if len(client.buffer) and not client.answering:
-                self._turn_away(client)
+                self._refuse_unanswered(client)
 
-    def _take_in_waiting(self) -> None:
+    def _accept_waiting(self) -> None:
         """Accept all waiting connections: closing the listener would reset them, with their requests unanswered."""
         self.listener.settimeout(0.0)
         with contextlib.suppress(NoDescriptorError):
@@ -163,7 +163,7 @@
                 except OSError:  # there is none, or the listener is another process's already
                     self.descriptors.give_back()
                     return
-                self._take_in(sock)
+                self._start_serving(sock)
 
     def _serve(self, client: ClientConnection) -> None:
         try:
@@ -173,11 +173,11 @@
                 reply = self._answer(client, parts)
                 if not reply:
                     # The result is not known: any answer may be wrong, and a close would be taken for a refusal.
-                    self._outlast(client)
+                    self._await_departure(client)
                     client.answering = False
                     break
                 if reply.startswith(BUSY[:5]) and len(parts) == 5:
-                    self._dropped(parts[3])
+                    self._count_rejection(parts[3])
                 last = (self.closing or self.paused) and not len(client.buffer) and self._silent(client)
                 client.sock.settimeout(PARTIAL_REQUEST_TIMEOUT_S)
                 client.sock.sendall(reply)
@@ -192,7 +192,7 @@
                     gevent.sleep(min(LONGEST_PAUSE_S, FIRST_PAUSE_S * (1 << client.unusable - 1)))
                 elif len(client.buffer):
                     gevent.sleep(0)  # hundreds of commands at once must not hold up all others
-            self._see_off(client)
+            self._await_close(client)
         except MalformedRequestError as error:
             self.counters.warning("a malformed request", error)
             self._refuse(client, f"-ERR {error}\r\n".encode())
@@ -225,7 +225,7 @@
                 client.sock.settimeout(left)
                 if not begun:
                     client.sock.recv(1, gevent.socket.MSG_PEEK)
-                    if client.let_go or client.cut:
+                    if client.shut_down or client.closed:
                         return None
                 if not client.buffer.fill(client.sock):
                     return None
@@ -236,10 +236,10 @@
                     continue  # it came as the time ran out
                 self.counters.add("clients let go that asked for nothing")
                 return None
-        client.waiting, client.begun_at, client.asked = False, 0, True
+        client.waiting, client.begun_at, client.has_sent_request = False, 0, True
         return parts
 
-    def _dropped(self, pairs: bytes) -> None:
+    def _count_rejection(self, pairs: bytes) -> None:
         """Count a SUBMIT that was refused at admission, by its priority class where the settings have it."""
         for pair in pairs.split(b","):
             name, _, value = pair.partition(b"=")
@@ -264,7 +264,7 @@
             self.counters.warning("a request that cannot be taken", error)
             return f"-ERR {error}\r\n".encode()
         self.counters.add("handed in again" if again else "handed in")
-        if self.closing and not self.still_taking or not self.ready():
+        if self.closing and not self.still_accepting or not self.ready():
             self.counters.add("turned away at a start or an end")
             client.unusable += not self.closing and client.unusable < MAX_DOUBTFUL_REQUESTS
             return BUSY
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -55,21 +55,21 @@
         self.report_update = report_update
         self.report_failure = report_failure
         self.version = 0  # of the last update that was passed on; 0 asks for the full list
-        self.unsure = False  # part of an update could not be read, or was out of order
+        self.needs_full_list = False  # part of an update could not be read, or was out of order
         self.numbers: dict[str, int] = {}
         self.next_number = 1  # never used twice: a new receiver must not inherit what is known of a gone one
         self.addresses: dict[int, tuple[str, int]] = {}
-        self.gone_since: dict[str, float] = {}  # by uid
+        self.removed_at: dict[str, float] = {}  # by uid
         self.asked = gevent.event.Event()
         self.moved = False  # the platform has another address since the watch was opened
         self.moved_at = -MOVE_GRACE_S
-        self.reached = False  # the last call got a connection
-        self.stood = False  # the last watch was answered, and lasted for `STABLE_WATCH_S`
-        self.doubted = False  # the call was reported as failed, but an answer is still awaited
+        self.connected = False  # the last call got a connection
+        self.was_stable = False  # the last watch was answered, and lasted for `STABLE_WATCH_S`
+        self.failure_reported = False  # the call was reported as failed, but an answer is still awaited
         self.refused = False  # it was answered with another status
-        self.renewed = False  # the call for the watch asks for the whole list, since the one before was unclear
+        self.full_list_requested = False  # by the call for this watch, since the one before was unclear
         self.first_update = gevent.event.Event()  # set once the agent has sent its first update, or failed to
-        self.following: gevent.Greenlet | None = None
+        self.follow_greenlet: gevent.Greenlet | None = None
         self.known = False  # whether any receiver has been learned of
         self.last: dict[str, ListedEndpoint] = {}  # by uid: the newest line of the list as the platform gave it
         self.suspended: set[str] = set()  # uids suspended by the operators: draining even if the list says ready
@@ -87,8 +87,8 @@
             raise InvalidUpdateError(f"whole or changes: {str(whole)[:40]!r}")
         if version < self.version:
             # A late update would undo a drain. If the agent restarted its count instead, asking for the full list
-            # (`unsure`) accepts the new one.
-            self.unsure = True
+            # (`needs_full_list`) accepts the new one.
+            self.needs_full_list = True
             raise InvalidUpdateError(f"version {version} after {self.version}")
         listings, named, clear = [], set(), True
         for entry in entries:
@@ -106,7 +106,7 @@
                     continue
                 listing = self.last[uid]  # if left out of a full list, it would count as removed
             self.last[uid] = listing
-            listings.append(self._as_held(uid, listing))
+            listings.append(self._with_suspension(uid, listing))
             if listing.phase is not EndpointState.REMOVED:
                 named.add(uid)
         if whole and not listings and self.known:
@@ -115,7 +115,7 @@
         self._forget(named, whole)
         self.version = version
         # Later deltas do not repeat what an unreadable line said; only a full list does.
-        self.unsure = not clear or self.unsure and not whole
+        self.needs_full_list = not clear or self.needs_full_list and not whole
         self.known = self.known or bool(listings)
         self.report_update(
             EndpointUpdate.CACHED if saved else EndpointUpdate.FULL if whole else EndpointUpdate.DELTA, listings
@@ -126,13 +126,13 @@
         """Delete the records of receivers that left long ago; without this, replacements add up in memory."""
         now = time.monotonic()
         for uid in named:
-            self.gone_since.pop(uid, None)
+            self.removed_at.pop(uid, None)
         if whole:
             for uid in self.numbers.keys() - named:
-                self.gone_since.setdefault(uid, now)
-        for uid, since in list(self.gone_since.items()):
+                self.removed_at.setdefault(uid, now)
+        for uid, since in list(self.removed_at.items()):
             if now - since > FORGET_GONE_AFTER_S:
-                del self.gone_since[uid]
+                del self.removed_at[uid]
                 self.last.pop(uid, None)
                 self.addresses.pop(self.numbers.pop(uid), None)
 
@@ -144,13 +144,13 @@
         """Set the suspended uids: the decisions see these receivers as draining, until a later set omits them."""
         changed = self.suspended ^ uids
         self.suspended = set(uids)
-        listings = [self._as_held(uid, self.last[uid]) for uid in sorted(changed) if uid in self.last]
+        listings = [self._with_suspension(uid, self.last[uid]) for uid in sorted(changed) if uid in self.last]
         if listings:
             self.report_update(EndpointUpdate.DELTA, listings)
 
-    def _as_held(self, uid: str, listing: ListedEndpoint) -> ListedEndpoint:
-        held = uid in self.suspended and listing.phase is EndpointState.READY
-        return listing._replace(phase=EndpointState.DRAINING) if held else listing
+    def _with_suspension(self, uid: str, listing: ListedEndpoint) -> ListedEndpoint:
+        suspended_now = uid in self.suspended and listing.phase is EndpointState.READY
+        return listing._replace(phase=EndpointState.DRAINING) if suspended_now else listing
 
     def address_of(self, receiver: int) -> tuple[str, int]:
         """Host and port of a receiver by number; `KeyError` where it is not known (any more)."""
@@ -159,8 +159,8 @@
     def ask(self) -> None:
         """Open a watch that broke, or that was never answered, again now; the decisions order this."""
         self.asked.set()
-        if self.doubted and self.following is not None:
-            self.following.kill(block=False)
+        if self.failure_reported and self.follow_greenlet is not None:
+            self.follow_greenlet.kill(block=False)
 
     def move(self, platform: tuple[str, int]) -> None:
         """Move the watch to another address of the platform, at once."""
@@ -169,8 +169,8 @@
         self.version = 0
         self.moved, self.moved_at = True, time.monotonic()
         self.asked.set()
-        if self.following is not None:
-            self.following.kill(block=False)
+        if self.follow_greenlet is not None:
+            self.follow_greenlet.kill(block=False)
 
     def watch(self) -> None:
         """Never returns: keeps a watch open, from the last version on.
@@ -179,19 +179,20 @@
         cheaply. So is one that is to ask for the full list. After a failed call the decisions say when.
         """
         while True:
-            self.moved = self.stood = self.doubted = self.refused = self.reached = False
-            self.following = gevent.spawn(self._follow_to_its_end)
-            self.following.join()
-            first, self.renewed = self.unsure and not self.renewed, self.unsure
-            if self.moved or self.stood or first:
+            self.moved = self.was_stable = self.failure_reported = self.refused = self.connected = False
+            self.follow_greenlet = gevent.spawn(self._follow_to_its_end)
+            self.follow_greenlet.join()
+            first = self.needs_full_list and not self.full_list_requested
+            self.full_list_requested = self.needs_full_list
+            if self.moved or self.was_stable or first:
                 continue
             self.first_update.set()
             # Report the failure, unless `_more` has done so. A refusal is reported again, so that the wait starts with
             # it: otherwise all senders that an overloaded discovery refuses late would call again at once.
-            if self.refused or not self.doubted:
+            if self.refused or not self.failure_reported:
                 self._call_failed()
             # An agent at a new address may not be up yet: keep calling, which costs nobody anything.
-            soon = not self.reached and time.monotonic() - self.moved_at < MOVE_GRACE_S
+            soon = not self.connected and time.monotonic() - self.moved_at < MOVE_GRACE_S
             self.asked.wait(STABLE_WATCH_S if soon else None)
 
     def _call_failed(self) -> None:
@@ -211,10 +212,10 @@
     def _follow(self) -> None:
         text, raw = Buffer(), Buffer()
         answer, objects = ResponseParser(text.append), JsonObjectReader(MAX_OBJECT_BYTES)
-        if self.unsure:
+        if self.needs_full_list:
             self.version = 0
         sock = open_connection(self.platform, CONNECT_TIMEOUT_S)
-        self.reached = True
+        self.connected = True
         alive = time.monotonic()  # the call, then its answer, each object that ends and each empty line
         answered = 0.0
         try:
@@ -235,12 +236,12 @@
                     raise InvalidResponseError(f"status {answer.status}")
                 if not answer.status:
                     continue
-                self.doubted = False
+                self.failure_reported = False
                 if not answered:
                     alive = answered = time.monotonic()
                 came = text.take(len(text))
                 for update in objects.read(came):
-                    if not self.learn(update) and (learned or not self.renewed):
+                    if not self.learn(update) and (learned or not self.full_list_requested):
                         raise InvalidUpdateError("unclear changes: the whole list is asked for")
                     learned, alive = True, time.monotonic()
                 if came and not objects.depth:
@@ -252,23 +253,23 @@
             raise InvalidResponseError("the watch ended")
         finally:
             sock.close()
-            self.stood = bool(answered) and time.monotonic() - answered >= STABLE_WATCH_S
+            self.was_stable = bool(answered) and time.monotonic() - answered >= STABLE_WATCH_S
 
     def _more(self, sock: gevent.socket.socket, raw: Buffer, answer: ResponseParser, alive: float) -> int:
         """Read once; returns 0 at the end. Raises `TimeoutError` where an answered watch sends no line in time."""
-        if not self.doubted:
+        if not self.failure_reported:
             # A dead platform may send nothing, or a stray byte now and then; its list must not be trusted for ever.
             left = alive + (LINE_TIMEOUT_S if answer.status else ANSWER_TIMEOUT_S) - time.monotonic()
             sock.settimeout(max(UNREAD_BYTES_TIMEOUT_S, left))
         try:
             return raw.fill(sock)
         except TimeoutError:
-            if answer.status or self.doubted:
+            if answer.status or self.failure_reported:
                 raise
         # While discovery is down the agent does not answer, but its later answer counts from the moment it is sent. So
         # the call is reported as failed, but an answer to it is awaited until the decisions want the next call.
         self.counters.warning("a call for the list without an answer", f"{ANSWER_TIMEOUT_S} s")
-        self.doubted = True
+        self.failure_reported = True
         self.first_update.set()
         self._call_failed()
         sock.settimeout(None)
@@ -295,7 +296,7 @@
             self.next_number += 1
         number = self.numbers[uid]
         if phase is EndpointState.REMOVED:
-            self.gone_since.setdefault(uid, time.monotonic())
+            self.removed_at.setdefault(uid, time.monotonic())
         if at is not None:
             self.addresses[number] = at
         return ListedEndpoint(number, zone, kind, group, phase, self._rate(uid, entry.get("capacity_hint", 0.0)))
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -68,7 +68,7 @@
     client_listener.listener.close()  # only this process's descriptor: the platform's socket stays open
     # The next process accepts no client while this one has the folder, and clients wait 400 ms at most. Until then
     # open connections are served, each closed after its answer; messages are stored, not attempted.
-    client_listener.still_taking = client_listener.closing = True
+    client_listener.still_accepting = client_listener.closing = True
     dispatcher.hold_fire(keeping=True)
     with gevent.Timeout(HANDOVER_IDLE_S, False):
         while not dispatcher.idle():
@@ -77,7 +77,7 @@
     with gevent.Timeout(HANDOVER_ANSWERS_S, False):
         while client_listener.mid_request():
             gevent.sleep(HANDOVER_POLL_INTERVAL_S)
-    client_listener.still_taking = False
+    client_listener.still_accepting = False
     logger.info(
         "handing over: {} messages stored, {} attempts without an outcome",
         len(store.messages),
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -73,7 +73,7 @@
 
 def two_out() -> None:
     """Every attempt goes out a second time over a link of its own, while the first one is out."""
-    honest = attempts.AttemptRunner._over
+    honest = attempts.AttemptRunner._exchange
 
     def over(self: attempts.AttemptRunner, call: attempts.AttemptCall, link: Any) -> bool:
         gevent.spawn(copy, self, call)
@@ -84,7 +84,7 @@
             sock.sendall(attempts.encode_request(call, self.clock.now()))
             sock.recv(100)
 
-    attempts.AttemptRunner._over = over  # type: ignore[method-assign]
+    attempts.AttemptRunner._exchange = over  # type: ignore[method-assign]
 
 
 FAULTS: dict[str, Callable[[], None]] = {
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -82,7 +82,7 @@
             sock.sendall(piece)
             client = next(each for each in self.door.clients if each.sock.getpeername() == sock.getsockname())
             gevent.sleep(0)
-            passes(lambda: client.let_go or self.door._silent(client))  # noqa: B023
+            passes(lambda: client.shut_down or self.door._silent(client))  # noqa: B023
         return sock
 
     def heard(self, sock: gevent.socket.socket, seconds: float = 1.0) -> tuple[bytes, str]:
@@ -155,12 +155,12 @@
             (client,) = self.door.clients
             self.door.stop()
             sock.sendall(submit("b"))
-            passes(lambda: client.cut)
+            passes(lambda: client.closed)
             for _ in range(9):
                 gevent.sleep(0)
         self.assertIn(client, self.door.clients)
         self.assertEqual(self.heard(sock), (OK, "end"))
-        client.leave.set()
+        client.descriptor_wanted.set()
 
     def test_what_crosses_the_end_is_not_read_and_does_not_reset_the_answer_before_it(self) -> None:
         for crossing in (b"*", submit("b"), submit("b") * 2000):
--- a/tests/test_crossings_watch.py
+++ b/tests/test_crossings_watch.py
@@ -141,7 +141,7 @@
                 self.assertLess(time.monotonic() - said, module.LINE_TIMEOUT_S + self.LATE)
                 going.kill()
                 again.sendall(HEAD + chunk(b"\n"))
-                self.happens(lambda: not self.made.doubted)
+                self.happens(lambda: not self.made.failure_reported)
                 gevent.sleep(module.STABLE_WATCH_S + 0.15)
                 again.close()
         self.assertEqual(self.failed, [])
@@ -235,7 +235,7 @@
                 self.happens(lambda: self.phases() == phases)  # noqa: B023
                 sock.sendall(HEAD + self.piece(1, a, b, whole=True) if b"" in pieces else b"")  # it counts anew
                 self.happens(lambda: self.made.version == 1 or b"" not in pieces)  # noqa: B023
-                self.assertFalse(self.made.unsure)
+                self.assertFalse(self.made.needs_full_list)
                 self.made.version = 0
                 self.assertEqual(self.failed, [])
                 gevent.sleep(module.STABLE_WATCH_S + 0.15)
@@ -304,11 +304,11 @@
                         sock.sendall(HEAD + chunk(self.update_line(7)))
                         self.happens(lambda: self.made.version == 7)
                     elif state == "in doubt":
-                        self.happens(lambda: self.made.doubted)
+                        self.happens(lambda: self.made.failure_reported)
                     elif state == "waiting":
                         sock.close()
                         self.happens(lambda: len(self.failed) > failed)  # noqa: B023
-                    new, old = self.agent(), self.made.following
+                    new, old = self.agent(), self.made.follow_greenlet
                     if state == "ending":  # the watch has ended, and nobody has seen it yet
                         assert old is not None
                         old.link(lambda _, how=how, new=new: how(new))
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -99,6 +99,8 @@
                 now = dispatcher.clock.now()
                 handle = dispatcher.sender.accept(now, 1, 0, 1, now + 8_000_000, 0, 0)
                 dispatcher.sender.decide(now)
-                handle.attempt_ended(now, Outcome.COMPLETED, 0, 1, 1000, 0, True, AttemptRunner._report(attempts, text))
+                handle.attempt_ended(
+                    now, Outcome.COMPLETED, 0, 1, 1000, 0, True, AttemptRunner._parse_report(attempts, text)
+                )
                 pace = dispatcher.sender.receivers[1].pace
                 self.assertEqual((pace.limit, pace.left), (80.0, 0.4))
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -95,7 +95,7 @@
         self.made.platform = self.listener.getsockname()
         watching = gevent.spawn(self.made.watch)
         self.addCleanup(watching.kill)
-        self.addCleanup(lambda: self.made.following and self.made.following.kill())
+        self.addCleanup(lambda: self.made.follow_greenlet and self.made.follow_greenlet.kill())
 
     def agent(self) -> gevent.socket.socket:
         listener = gevent.socket.socket()
@@ -214,7 +214,7 @@
         late = json.dumps({"rev": 90, "all": True, "targets": [{**self.GOOD, "state": "draining"}]}).encode()
         sock.sendall(chunk(late))
         new = self.agent()
-        with mock.patch.object(self.made, "following"):  # as late as a kill can come
+        with mock.patch.object(self.made, "follow_greenlet"):  # as late as a kill can come
             self.made.move(new.getsockname())
         _, line = self.opened(new)
         self.assertIn(b"since=0 ", line)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -325,7 +325,7 @@
             ("\xff,==,", ()),
         ):
             with self.subTest(text=text):
-                self.assertEqual(made._report(text), expected)
+                self.assertEqual(made._parse_report(text), expected)
 
     def test_a_head_without_an_end_is_given_up(self) -> None:
         answer, buffer = ResponseParser(), Buffer()
@@ -480,7 +480,7 @@
         made.learn({"rev": 3, "all": True, "targets": [self.GOOD, {"uid": "t", "state": 7}]})
         self.assertEqual([change for change, _ in told], [EndpointUpdate.FULL, EndpointUpdate.FULL])
         self.assertEqual(told[1][1], told[0][1][:2])
-        self.assertEqual((sorted(made.numbers), sorted(made.gone_since)), (["s", "t", "u"], ["u"]))
+        self.assertEqual((sorted(made.numbers), sorted(made.removed_at)), (["s", "t", "u"], ["u"]))
 
     def test_a_listed_rate_that_is_none_leaves_the_one_before_and_the_line_in_force(self) -> None:
         hints: list[Any] = ["nine", None, -3, float("nan"), float("inf"), 1e300, [], 10**400]
