--- a/cedarwick/decisions/endpoint_updates.py
+++ b/cedarwick/decisions/endpoint_updates.py
@@ -12,6 +12,7 @@
 from cedarwick.decisions.sender_state import BACKOFF_BASE, LIST_WAIT, MAX_RETRY_AFTER
 from cedarwick.decisions.state import SECOND, Destination, RateControl, Receiver, TokenBucket
 
+MAX_POLL_DOUBLINGS = 16  # of the window from which the next list call is drawn
 LIST_POLL_GAP = SECOND // 4  # the window from which the next list call is drawn has at least this much for each sender
 FORGET_AFTER = 20 * SECOND  # after a receiver has left the list; until then a replacement takes over its outage
 
@@ -82,7 +83,7 @@
         the number of senders and of failures, so that their retries together do not keep it overloaded.
         """
         recent = now - self.polled_at < self.max_poll_backoff
-        self.failed_polls = min(self.failed_polls, 16) if recent else 0
+        self.failed_polls = min(self.failed_polls, MAX_POLL_DOUBLINGS) if recent else 0
         window = max(BACKOFF_BASE << self.failed_polls, self.senders * LIST_POLL_GAP)
         # A window cut to the maximum has more calls than discovery can answer; leaving out its lower half thins them.
         least = min(LIST_WAIT, self.max_poll_backoff) // 2 if window > self.max_poll_backoff else 0
--- a/cedarwick/decisions/health.py
+++ b/cedarwick/decisions/health.py
@@ -12,8 +12,12 @@
 from cedarwick.decisions.sender_state import COMPLETIONS_STALE_AFTER, MAX_RETRY_AFTER, REFUSAL_WINDOW
 from cedarwick.decisions.state import SECOND, Message, Receiver, TokenBucket, record_recent
 
+CONNECT_FAILURE_SMOOTHING = 12  # newer completions change the share of those after a failed connection by 1/12
+LATENCY_SMOOTHING, DEVIATION_SMOOTHING = 8, 4  # moving means of the latency, as in TCP (RFC 6298)
+OBSERVED_RATE_DECAY = 0.98  # by each completion
 JUDGED_OUTCOMES = 8  # the newest outcomes from which a receiver's health is judged
 FAILURE_SCORE_HALF_LIFE = 5 * SECOND  # a failure score fades by half in this time
+USUAL_SILENCE = 2 * SECOND  # assumed where no latency has been measured
 MIN_SILENCE = SECOND  # no answer for this long, and longer than usual, counts as silence
 SHUT_AFTER = 2_500_000  # nothing but throttles for longer than any rate limit's window (1 to 2 s): it is shut
 SHUT_THROTTLES = 6  # at least this many: near a shared limit a few in a row are caused by other senders
@@ -72,7 +76,8 @@
         elif outcome is Outcome.COMPLETED:
             share = self.connect_failure_shares.get(receiver.kind, 0.0)
             self.connect_failure_shares[receiver.kind] = (
-                share + ((now - place.connect_failed_at < 2 * COMPLETIONS_STALE_AFTER) - share) / 12
+                share
+                + ((now - place.connect_failed_at < 2 * COMPLETIONS_STALE_AFTER) - share) / CONNECT_FAILURE_SMOOTHING
             )
             place.connect_failed_at = 0
 
@@ -85,9 +90,9 @@
         receiver.consecutive_throttles = receiver.throttled_since = 0
         deviation = abs(took - receiver.mean_latency) if receiver.mean_latency else took / 2
         receiver.latency_deviation += (deviation - receiver.latency_deviation) / (
-            4 if receiver.latency_deviation else 1
+            DEVIATION_SMOOTHING if receiver.latency_deviation else 1
         )
-        receiver.mean_latency += (took - receiver.mean_latency) / (8 if receiver.mean_latency else 1)
+        receiver.mean_latency += (took - receiver.mean_latency) / (LATENCY_SMOOTHING if receiver.mean_latency else 1)
         if receiver.ejected_since:
             # A destination back from an outage would fail again under its full traffic, so it gets a ramp.
             if receiver.failed or now - receiver.ejected_since > self.fall_time:
@@ -103,7 +108,7 @@
             record_recent(receiver.completions, now, self.observation_window)
         receiver.completed_sent_at = max(receiver.completed_sent_at, message.sent_at)
         receiver.observed_rate = max(
-            receiver.observed_rate * 0.98, len(receiver.completions) * SECOND / self.observation_window
+            receiver.observed_rate * OBSERVED_RATE_DECAY, len(receiver.completions) * SECOND / self.observation_window
         )
         self._raise_rate(now, pace)
 
@@ -159,7 +164,6 @@
     def _silent(self, now: int, receiver: Receiver) -> bool:
         """Whether calls are out and nothing has come back for much longer than usual."""
         since = max(next(iter(receiver.calls), now), receiver.answered_at)
-        usual = 2 * receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else 2 * SECOND
-        return len(receiver.calls) > 1 and now - since > max(
-            MIN_SILENCE, usual
-        )  # a single lost call is not enough evidence
+        usual = 2 * receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else USUAL_SILENCE
+        # A single lost call is not enough evidence.
+        return len(receiver.calls) > 1 and now - since > max(MIN_SILENCE, usual)
--- a/cedarwick/decisions/load_shedding.py
+++ b/cedarwick/decisions/load_shedding.py
@@ -8,6 +8,10 @@
 from cedarwick.decisions.state import SECOND, Destination, TokenBucket
 from cedarwick.decisions.urgency import Urgency
 
+ALLOWANCE_BURST_S = 2  # seconds of a tenant's allowance that it may use at once
+UNKNOWN_OUTAGE = 10 * SECOND  # assumed age of an outage of which no receiver tells
+OUTAGE_BASE_S = 3.0  # seconds that a message takes at least at a destination that is out
+
 
 class LoadShedding(Urgency):
     """Gives messages up, and holds the number of open messages below its bound."""
@@ -17,8 +21,8 @@
         allowance = float_setting(self.settings, f"realms.{tenant}.allowance-per-s") / self.senders
         if allowance <= 0:
             return False
-        unused = self.tenant_allowances.setdefault(tenant, TokenBucket(allowance * 2, now))
-        unused.fill(now, allowance, allowance * 2)
+        unused = self.tenant_allowances.setdefault(tenant, TokenBucket(allowance * ALLOWANCE_BURST_S, now))
+        unused.fill(now, allowance, allowance * ALLOWANCE_BURST_S)
         return not unused.take()
 
     def _shed(self, now: int) -> None:
@@ -48,10 +52,11 @@
     def _drain(self, now: int, place: Destination) -> float:
         """An estimate of how many seconds a destination takes to work off its backlog."""
         ready = place.ready
-        lost = max((now - member.ejected_since for member in ready if member.ejected_since), default=10 * SECOND)
+        lost = max((now - member.ejected_since for member in ready if member.ejected_since), default=UNKNOWN_OUTAGE)
         if any(not member.ejected_since for member in ready):
             return len(place.held) / max(member.pace.rate or 1.0 for member in ready)
-        return len(place.held) * (3.0 + lost / SECOND)  # expect an outage to last as long again as it already has
+        # Expect an outage to last as long again as it already has.
+        return len(place.held) * (OUTAGE_BASE_S + lost / SECOND)
 
     def give_up(self, now: int, message: Handle) -> None:
         """Close the message without delivery: nack it if no attempt can have run, otherwise abandon it.
--- a/cedarwick/decisions/message_handle.py
+++ b/cedarwick/decisions/message_handle.py
@@ -7,9 +7,10 @@
 
 from cedarwick.decisions.health import HealthTracking
 from cedarwick.decisions.interface import Outcome
-from cedarwick.decisions.sender_state import BACKOFF_BASE, MANY
-from cedarwick.decisions.state import NEVER, SECOND, Message
+from cedarwick.decisions.sender_state import BACKOFF_BASE, MANY, START_MARGIN_TICKS
+from cedarwick.decisions.state import ASSUMED_LATENCY, NEVER, SECOND, Message
 
+MAX_BACKOFF_DOUBLINGS = 16  # of the window from which a random backoff is drawn
 BACKOFF_CAP = 60 * SECOND  # the longest window from which a random backoff is drawn
 BROKEN_REUSE_LIMIT = 0.04  # a larger share of reused connections that break under a call
 
@@ -53,13 +54,13 @@
         if last or self.ended or outcome is Outcome.COMPLETED:
             sender.close(now, self)
             return
-        window = min(BACKOFF_CAP, BACKOFF_BASE << min(self.attempts - 1, 16))
+        window = min(BACKOFF_CAP, BACKOFF_BASE << min(self.attempts - 1, MAX_BACKOFF_DOUBLINGS))
         # A call that broke on a reused idle connection says nothing about the receiver's health: retry without backoff.
         wait = retry_after if retry_after and not sender.many else retry_after + sender.chance.below(window)
         self.due = now + (1 if outcome is Outcome.MOOT or stale else wait)
         # The backoff must not pass the last useful start: there the message would be given up with attempts left.
-        useful = self.deadline - round(sender.destinations[self.destination].quickest or SECOND / 2)
-        self.due = max(now, min(self.due, min(self.repeat_until(), useful) - sender.tick * 4))
+        useful = self.deadline - round(sender.destinations[self.destination].quickest or ASSUMED_LATENCY)
+        self.due = max(now, min(self.due, min(self.repeat_until(), useful) - sender.tick * START_MARGIN_TICKS))
         sender.hold(now, self)
 
     def withdrawn(self, now: int) -> None:
--- a/cedarwick/decisions/policy.py
+++ b/cedarwick/decisions/policy.py
@@ -13,6 +13,7 @@
 from cedarwick.decisions.load_shedding import LoadShedding
 from cedarwick.decisions.message_handle import Handle
 from cedarwick.decisions.selection import Selection
+from cedarwick.decisions.sender_state import START_MARGIN_TICKS
 from cedarwick.decisions.state import NEVER, SECOND, Destination, PriorityClass
 
 __all__ = ["Handle", "Sender", "priority_class_of"]
@@ -155,7 +156,7 @@
         """
         priority_class = message.priority_class
         place = self.destinations[message.destination]
-        last_start = message.deadline - max(self.tick * 4, round(place.quickest / 2))
+        last_start = message.deadline - max(self.tick * START_MARGIN_TICKS, round(place.quickest / 2))
         last_start = min(last_start, message.repeat_until() - 1)
         start = max(now, message.due, place.waits_until)
         # Terminal: out of attempts, or a further one could take effect twice, or cannot finish in time.
--- a/cedarwick/decisions/selection.py
+++ b/cedarwick/decisions/selection.py
@@ -6,8 +6,12 @@
 from cedarwick.decisions.health import HealthTracking
 from cedarwick.decisions.rate_control import MIN_SENDS_FOR_RATE
 from cedarwick.decisions.sender_state import REFUSAL_WINDOW
-from cedarwick.decisions.state import NEVER, SECOND, Message, Receiver, record_recent
+from cedarwick.decisions.state import ASSUMED_LATENCY, NEVER, SECOND, Message, Receiver, record_recent
 
+USUAL_LATENCY = 2 * SECOND  # assumed where nothing has been measured
+FEE_WEIGHT = 50  # by which a fee lowers a receiver's weight in the rotation
+PROVEN_SLOT_DIVISOR = 3  # one destination takes at most one in so many slots
+MAX_TIME_OUT_DOUBLINGS = 4  # with each attempt the time-out doubles
 IDLE_RATE_RESET = 60 * SECOND  # after so long without a call a rate without a known limit is forgotten
 UNPROVEN_CALLS = 2  # calls out at a destination from which nothing has been completed yet
 WARM_UP_BATCH = 4  # messages in one call during a ramp, and from a refusal to the next completion
@@ -42,10 +46,10 @@
     def _weight(self, now: int, receiver: Receiver) -> float:
         """A receiver's weight in the rotation: observed speed and success, reduced by failures and fees."""
         success = (sum(receiver.recent_successes) + 1) / (len(receiver.recent_successes) + 1)
-        pace = SECOND / (receiver.mean_latency or SECOND / 2)
+        pace = SECOND / (receiver.mean_latency or ASSUMED_LATENCY)
         fee = float(self.fees.get(receiver.zone, 0.0)) if receiver.kind in self.separate_kinds else 0.0
         fee += self.cross_zone_fee if receiver.zone != self.locality else 0.0
-        return float(pace * success * 2.0 ** -self._current_failure_score(now, receiver) / (1 + fee * 50))
+        return float(pace * success * 2.0 ** -self._current_failure_score(now, receiver) / (1 + fee * FEE_WEIGHT))
 
     def _joins(self, now: int, receiver: Receiver) -> bool:
         """Whether an attempt of this round can share a call to the receiver that has room for more messages."""
@@ -61,7 +65,7 @@
         if self._joins(now, receiver):
             return now
         # A restarted sender knows no rate yet; bounding its running calls spares a throttled destination.
-        if pace.calls_in_flight >= max(UNPROVEN_CALLS, self.slots // 3 if pace.proven else 0):
+        if pace.calls_in_flight >= max(UNPROVEN_CALLS, self.slots // PROVEN_SLOT_DIVISOR if pace.proven else 0):
             return now + SECOND
         if pace.sends and now - pace.sends[-1] > IDLE_RATE_RESET and not pace.limit:
             pace.rate, pace.reference = None, 0.0
@@ -69,7 +73,7 @@
         if pace.rate is not None:
             room_at = now + pace.bucket.fill(now, pace.rate, max(1.0, pace.rate))
             pace.tokens_ran_out |= room_at > now
-        # Many senders only estimate the recovery, half of them too early: the ramp lasts until `warm_at` at least.
+        # Many senders only estimate the recovery, half of them too early: the ramp lasts until `ramp_until` at least.
         if now >= max(receiver.ramp_until, receiver.recovered_at + self.ramp_time):
             receiver.recovered_at = 0
         if receiver.recovered_at:
@@ -101,8 +105,8 @@
         a retry must still fit into the deduplication window.
         """
         left = message.deadline - now - 2 * self.tick
-        usual = receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else 2 * SECOND
-        soon = max(SECOND, round(2 * usual)) << min(message.attempts - 1, 4)
+        usual = receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else USUAL_LATENCY
+        soon = max(SECOND, round(2 * usual)) << min(message.attempts - 1, MAX_TIME_OUT_DOUBLINGS)
         crowded = 2 * self.calls_in_flight >= self.slots
         if message.priority_class.at_most_once or message.priority_class.idempotent:
             return min(left, soon if message.priority_class.idempotent else 3 * soon if crowded else NEVER)
--- a/cedarwick/decisions/sender_state.py
+++ b/cedarwick/decisions/sender_state.py
@@ -26,6 +26,7 @@
 # The longest wait between calls for the list: with 1 s for a call that hangs, a change arrives before it counts as
 # known.
 LIST_WAIT = 4 * SECOND
+START_MARGIN_TICKS = 4  # ticks between the last useful start of an attempt and the end of its time
 MAX_RETRY_AFTER = 3600 * SECOND  # longer Retry-After waits are cut to this; no deadline comes near it
 MIN_TOTAL_RATE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
 # Of the time after which a receiver closes an idle connection: an attempt must not cross its close.
--- a/cedarwick/decisions/state.py
+++ b/cedarwick/decisions/state.py
@@ -12,6 +12,7 @@
 
 NEVER = 1 << 62  # later than any time
 SECOND = 1_000_000  # microseconds, the unit of every time and duration here
+ASSUMED_LATENCY = SECOND / 2  # microseconds; of a receiver that has answered nothing yet
 
 
 class RandomSource:
@@ -35,9 +36,9 @@
 
     def fill(self, now: int, rate: float, depth: float) -> int:
         """Add the tokens accrued since the last call; returns the microseconds until a whole token is there."""
-        self.tokens = min(depth, self.tokens + rate * (now - self.filled_at) / 1_000_000)
+        self.tokens = min(depth, self.tokens + rate * (now - self.filled_at) / SECOND)
         self.filled_at = now
-        return 0 if self.tokens >= 1 else 1 + int((1 - self.tokens) * 1_000_000 / rate)
+        return 0 if self.tokens >= 1 else 1 + int((1 - self.tokens) * SECOND / rate)
 
     def take(self) -> bool:
         """Take a token; returns whether a whole one was there."""
@@ -156,11 +157,11 @@
         """The value of delivery `late` microseconds after the latency objective, and its loss a second."""
         least, late = self.priority_weight * self.late_share, max(late, 0)
         if not self.halves_in:
-            fades = max(1_000_000, self.deadline - self.latency_objective)
+            fades = max(SECOND, self.deadline - self.latency_objective)
             lost = (self.priority_weight - least) / fades
-            return max(least, self.priority_weight - lost * late), lost * 1_000_000
+            return max(least, self.priority_weight - lost * late), lost * SECOND
         left = float(self.priority_weight * 2.0 ** (-late / self.halves_in))
-        return (left, left * log(2) * 1_000_000 / self.halves_in) if left > least else (least, 0.0)
+        return (left, left * log(2) * SECOND / self.halves_in) if left > least else (least, 0.0)
 
 
 @dataclass(slots=True)
--- a/cedarwick/decisions/urgency.py
+++ b/cedarwick/decisions/urgency.py
@@ -5,7 +5,11 @@
 
 from cedarwick.decisions.interface import float_setting
 from cedarwick.decisions.sender_state import SenderState
-from cedarwick.decisions.state import NEVER, SECOND, Message
+from cedarwick.decisions.state import ASSUMED_LATENCY, NEVER, SECOND, Message
+
+DEADLINE_NEAR = 3 * SECOND  # so near its deadline a message may lose all of its remaining value
+OBJECTIVE_NEAR = SECOND  # longer before its latency objective a message loses half as much by waiting
+RANK_CHECKS_PER_HALVING = 4  # how often a rank is computed anew while a value falls by half
 
 
 class Urgency(SenderState):
@@ -17,23 +21,24 @@
             return message.rank
         priority_class = message.priority_class
         left, loses = priority_class.delivery_value(now - message.objective_by)
-        if message.deadline - now < 3 * SECOND:
+        if message.deadline - now < DEADLINE_NEAR:
             loses += (
                 left if priority_class.halves_in else priority_class.priority_weight * priority_class.late_share
             ) / 3
-        if now < message.objective_by - SECOND:
+        if now < message.objective_by - OBJECTIVE_NEAR:
             loses /= 2
         if message.ran_at and not priority_class.idempotent:
             loses += priority_class.priority_weight  # the window in which it may be retried is running out
         if message.over_share:
             loses *= float_setting(self.settings, "over-share-worth", 1.0)
-        times = message.objective_by - SECOND, message.deadline - 3 * SECOND + 1  # else only an attempt tells
+        # Apart from these times only an attempt changes the rank.
+        times = message.objective_by - OBJECTIVE_NEAR, message.deadline - DEADLINE_NEAR + 1
         message.rank_until = min((time for time in times if time > now), default=NEVER)
         if priority_class.halves_in:
-            message.rank_until = min(message.rank_until, now + priority_class.halves_in // 4)
+            message.rank_until = min(message.rank_until, now + priority_class.halves_in // RANK_CHECKS_PER_HALVING)
         if self.many:  # each of many senders has few slots: weigh the loss by how long a call occupies one
             if priority_class.ordered and message.key:
                 loses *= len(self.turns.lines[message.key])  # the other messages of its key wait for it
-            loses /= self.destinations[message.destination].quickest or SECOND / 2
+            loses /= self.destinations[message.destination].quickest or ASSUMED_LATENCY
         message.rank = -loses, message.objective_by, message.order
         return message.rank
