--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -14,7 +14,7 @@
 class Admission(Sessions):
     """Accepts submissions, and withdraws them where the client has gone."""
 
-    def _take(self, submission: Submission) -> None:
+    def _admit(self, submission: Submission) -> None:
         stored = submission.message
         priority_class = self.priority_classes.get(stored.priority_class)
         if priority_class is None:
@@ -33,7 +33,7 @@
         known = self.recent.get(stored.id)
         if known is not None or stored.id in self.numbers:
             same = known is not None and known[1] == copied and stored.id in self.numbers
-            same = same and self.numbers[stored.id] not in self.fresh
+            same = same and self.numbers[stored.id] not in self.new_submissions
             submission.answered(AdmissionResult.ACCEPTED if same else AdmissionResult.REPEATED)
             return
         while self.recent and next(iter(self.recent.values()))[0] < now - RECENT_ID_LIFETIME_US:
@@ -45,7 +45,7 @@
             return
         stored.number = number = self.store.next_number
         self.store.next_number += 1
-        self.fresh[number] = submission
+        self.new_submissions[number] = submission
         self.numbers[stored.id] = number
         # Bound the time to live: an absurd one would take up room in the store for ever.
         stored.deadline = min(stored.deadline, now + self.sender.priority_classes[priority_class].deadline)
@@ -58,7 +58,7 @@
             place(self.tenants, stored.tenant),
             stored.turn,
         )
-        if stored.turn in self.elsewhere and self.sender.priority_classes[priority_class].ordered:
+        if stored.turn in self.keys_elsewhere and self.sender.priority_classes[priority_class].ordered:
             self.counters.add("messages that waited for others of their key elsewhere")
             self._let_rest(stored.turn)
 
@@ -73,21 +73,21 @@
                 del self.handles[stored.number]
         self._over(stored)
 
-    def _keep_fresh(self) -> None:
+    def _store_new(self) -> None:
         """At a hand-over: store and answer new messages; the next process decides on them."""
-        for submission in self.fresh.values():
-            self._keep(submission)
-        self.fresh.clear()
+        for submission in self.new_submissions.values():
+            self._store_message(submission)
+        self.new_submissions.clear()
 
-    def _take_none(self, now: int) -> None:
+    def _reject_new(self, now: int) -> None:
         """Refuse the submissions of this round, and withdraw them from the decisions."""
-        for number, submission in self.fresh.items():
+        for number, submission in self.new_submissions.items():
             self.numbers.pop(submission.message.id, None)
             self.handles.pop(number).withdrawn(now)
             submission.answered(AdmissionResult.BUSY)
-        self.fresh.clear()
+        self.new_submissions.clear()
 
-    def _keep(self, submission: Submission) -> None:
+    def _store_message(self, submission: Submission) -> None:
         """Store a message, then answer its client; attempts may go only after that."""
         stored = submission.message
         if not self._recorded("a message", self.store.keep, stored):
@@ -98,18 +98,18 @@
             submission.answered(AdmissionResult.BUSY)
             return
         if self.store.awaited:
-            self.after_flush.append((lambda: self._taken(submission), lambda: self._not_taken(submission)))
+            self.after_flush.append((lambda: self._accepted(submission), lambda: self._rejected(submission)))
         else:
-            self._taken(submission)
+            self._accepted(submission)
 
-    def _taken(self, submission: Submission) -> None:
+    def _accepted(self, submission: Submission) -> None:
         if not self.store.may_fire(submission.message.number):
             # The right to send was lost in this round, so no copy of the message was waited for.
-            self._not_taken(submission)
+            self._rejected(submission)
             return
         self.counters.add("taken")
         submission.answered(AdmissionResult.ACCEPTED)
 
-    def _not_taken(self, submission: Submission) -> None:
+    def _rejected(self, submission: Submission) -> None:
         self._withdraw(submission.message)
         submission.answered(AdmissionResult.BUSY)
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -16,8 +16,8 @@
 class Attempts(Sessions):
     """Clears attempts as they start, and passes their results to the decisions."""
 
-    def _asks(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
-        self.asked.append((call, answer))
+    def _request_clearance(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
+        self.clearance_requests.append((call, answer))
 
     def _clear(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
         call.polled_at = self.polled.at
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -105,7 +105,7 @@
             self.sender.turns.line_up(key, handles, before)
 
     def _rest(self, keys: frozenset[int]) -> None:
-        self.elsewhere = keys
+        self.keys_elsewhere = keys
         self.not_sent &= self.handles.keys()
         for key in keys & self.sender.turns.lines.keys():
             self._let_rest(key)
@@ -119,7 +119,7 @@
         for number in numbers:
             self.to_adopt.discard(number)
             self.notices.pending.pop(number, None)
-            submission = self.fresh.pop(number, None)
+            submission = self.new_submissions.pop(number, None)
             if submission is not None:
                 submission.answered(AdmissionResult.BUSY)
             handle = self.handles.pop(number, None)
@@ -132,7 +132,7 @@
         self.frozen[key] = frozen
         numbers = [number for number, handle in self.handles.items() if handle.key == key]
         for number in numbers:
-            submission = self.fresh.pop(number, None)
+            submission = self.new_submissions.pop(number, None)
             if submission is not None:
                 # It is not stored yet; forget its id, so that the client can submit it again after the move.
                 self.recent.pop(submission.message.id, None)
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -65,17 +65,14 @@
         self.sender.per_call = []
         self.handles: dict[int, Handle] = {}
         self.numbers: dict[str, int] = {}  # by id: messages that are stored
-        self.recent: dict[
-            str, tuple[int, int]
-        ] = {}  # recent ids: when they came (microseconds), and a hash of the submission
-        self.fresh: dict[int, Submission] = {}  # taken in this round
+        # Recent ids: when they came (microseconds), and a hash of the submission.
+        self.recent: dict[str, tuple[int, int]] = {}
+        self.new_submissions: dict[int, Submission] = {}  # admitted in this round, and not stored yet
         self.queue: gevent.queue.Queue = gevent.queue.Queue()
-        self.asked: list[
-            tuple[AttemptCall, gevent.event.AsyncResult]
-        ] = []  # attempts that ask for a clearance in this round
-        self.after_flush: list[
-            tuple[Callable[[], None], Callable[[], None]]
-        ] = []  # what to call after the flush, or if it fails
+        # Attempts that ask for a clearance in this round.
+        self.clearance_requests: list[tuple[AttemptCall, gevent.event.AsyncResult]] = []
+        # What to call after the flush, or if it fails.
+        self.after_flush: list[tuple[Callable[[], None], Callable[[], None]]] = []
         self.wake_at: int | None = None
         self.holding_fire = False
         self.ending = False  # while holding fire: what reaches its deadline ends here
@@ -83,7 +80,7 @@
         self.parked: dict[int, Handle] = {}  # parked while an attempt was running: its result is still to come
         self.to_adopt: set[int] = set()  # parked messages to adopt once their attempt has ended
         self.frozen: dict[int, FrozenSession] = {}  # sessions on the move, by key
-        self.elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
+        self.keys_elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
         self.not_sent: set[int] = set()  # messages that had no attempt while their key was among these
         self.leaving: set[int] = set()  # withdrawn, but that call is still in the queue
         self.uncopied_ends: set[int] = set()  # an end was chosen, and is posted once the copies have it
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -48,7 +48,7 @@
 
     def submit(self, submission: Submission) -> None:
         """A client hands a message in; `submission.answer` is set once that is decided and, if taken, stored."""
-        self.queue.put((self._take, (submission,)))
+        self.queue.put((self._admit, (submission,)))
 
     def withdraw(self, submission: Submission) -> None:
         """The client left before the answer was written: no attempt begins from now on, and the message is dropped."""
@@ -58,7 +58,7 @@
     def clear(self, call: AttemptCall) -> bool:
         """Whether the attempt may still go out; its record is written then."""
         answer: gevent.event.AsyncResult = gevent.event.AsyncResult()
-        self.queue.put((self._asks, (call, answer)))
+        self.queue.put((self._request_clearance, (call, answer)))
         return bool(answer.get())
 
     def may_fire(self, number: int) -> bool:
@@ -160,14 +160,14 @@
             while not self.queue.empty():
                 call, arguments = self.queue.get()
                 self._guarded(call, *arguments)
-            if self.asked:
+            if self.clearance_requests:
                 # Cleared only now: a refusal read in this round may have been queued behind the request for clearance.
-                asked, self.asked = self.asked, []
-                for each in asked:
+                requests, self.clearance_requests = self.clearance_requests, []
+                for each in requests:
                     self._guarded(self._clear, *each)
                 gevent.sleep(0)  # cleared attempts go now, not after a long round
             self._guarded(
-                self._decide if not self.holding_fire else self._keep_fresh if self.keeping else self._turn_away
+                self._decide if not self.holding_fire else self._store_new if self.keeping else self._turn_away
             )
             if self.after_flush:
                 self._guarded(self._flush)
@@ -220,25 +220,25 @@
         if not self.store.deciding():
             # After a pause of this process another sender may have taken over: do not give a second final answer.
             self.wake_at = now + LEASE_RECHECK_DELAY_US
-            self._take_none(now)
+            self._reject_new(now)
             return
         # A message that was given up takes room until its notice is acknowledged; without counting that room as free,
         # every round would give up more.
         self.sender.room = self.store.room_for() + len(self.notices.pending)
         verdicts = self.sender.decide(now)
         for number, wait in verdicts.nacks:
-            fresh = self.fresh.pop(number, None)
-            if fresh is None:
+            submission = self.new_submissions.pop(number, None)
+            if submission is None:
                 self._final(number, True, wait // 1000)
                 continue
-            del self.handles[number], self.numbers[fresh.message.id]
+            del self.handles[number], self.numbers[submission.message.id]
             self.counters.add("rejected at admission")
-            fresh.answered(AdmissionResult.BUSY, wait // 1000)
+            submission.answered(AdmissionResult.BUSY, wait // 1000)
         for number in verdicts.abandoned:
             self._final(number, False, 0)
-        for submission in self.fresh.values():
-            self._keep(submission)
-        self.fresh.clear()
+        for submission in self.new_submissions.values():
+            self._store_message(submission)
+        self.new_submissions.clear()
         for receiver in verdicts.released_connections:
             self.free_links(receiver)
         for number, receiver, patience in verdicts.attempts:
@@ -263,10 +263,10 @@
         self.wake_at = verdicts.wake_at
 
     def _turn_away(self) -> None:
-        for submission in self.fresh.values():
+        for submission in self.new_submissions.values():
             self.numbers.pop(submission.message.id, None)
             submission.answered(AdmissionResult.BUSY)
-        self.fresh.clear()
+        self.new_submissions.clear()
         if self.ending:
             self._end_near()
 
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -43,7 +43,7 @@
 
 def loses_messages() -> None:
     """Every tenth message is answered +OK and forgotten."""
-    honest, count = dispatcher.Dispatcher._take, [0]
+    honest, count = dispatcher.Dispatcher._admit, [0]
 
     def take(self: dispatch_admission.Admission, submission: Submission) -> None:
         count[0] += 1
@@ -52,7 +52,7 @@
         else:
             honest(self, submission)
 
-    dispatcher.Dispatcher._take = take  # type: ignore[method-assign]
+    dispatcher.Dispatcher._admit = take  # type: ignore[method-assign]
 
 
 def tells_no_end() -> None:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -373,8 +373,8 @@
         with (
             mock.patch.object(client_listener, "peek_byte", crossing("before the look", peek_byte)),
             mock.patch.object(client_connections, "peek_byte", crossing("before the look", peek_byte)),
-            mock.patch.object(dispatcher, "_take", crossing("as it is taken", dispatcher._take)),
-            mock.patch.object(dispatcher, "_keep", crossing("as it is recorded", dispatcher._keep)),
+            mock.patch.object(dispatcher, "_admit", crossing("as it is taken", dispatcher._admit)),
+            mock.patch.object(dispatcher, "_store_message", crossing("as it is recorded", dispatcher._store_message)),
         ):
             client.sendall(submit("left", body=b"2"))
             if step == "before it is read":
--- a/tests/test_crossings_restarts.py
+++ b/tests/test_crossings_restarts.py
@@ -92,7 +92,7 @@
         self.dispatcher.restore()
 
     def submit(self, name: str, priority_class: str, tenant: str = "") -> None:
-        self.dispatcher._take(
+        self.dispatcher._admit(
             Submission(StoredMessage(0, name, "", 0, priority_class, tenant, 0, self.clock.now() + 8_000_000, b"x"))
         )
         self.dispatcher._decide()
@@ -192,7 +192,7 @@
 
     def steps(self, process: Process, priority_class: str, outcome: Outcome, told: list[str]) -> Iterator[int]:
         """One message with one attempt, one step after another; `told` gets what other parties see."""
-        process.dispatcher._take(
+        process.dispatcher._admit(
             Submission(StoredMessage(0, "a", "", 0, priority_class, "", 0, process.clock.now() + 8_000_000, b"x"))
         )
         yield self.READ
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -51,7 +51,7 @@
         ):
             with self.subTest(priority_class=priority_class, tenant=tenant):
                 submission = self.submit(priority_class.encode(), tenant.encode(), b"%d" % index)
-                self.dispatcher._take(submission)
+                self.dispatcher._admit(submission)
                 self.dispatcher._decide()
                 handle = self.dispatcher.handles[submission.message.number]
                 self.assertEqual(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -54,7 +54,7 @@
         submission = Submission(
             StoredMessage(0, name, "", key, priority_class, "second", destination, limit, bytes(size))
         )
-        self.dispatcher._take(submission)
+        self.dispatcher._admit(submission)
         self.dispatcher._decide()
         return submission
 
@@ -246,8 +246,8 @@
         submission = Submission(
             StoredMessage(0, "a", "", 0, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
         )
-        self.dispatcher._take(submission)
-        self.dispatcher._keep_fresh()
+        self.dispatcher._admit(submission)
+        self.dispatcher._store_new()
         self.assertEqual(submission.answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
         self.assertEqual((list(self.store.messages), self.calls), ([1], []))
 
@@ -256,7 +256,7 @@
         submission = Submission(
             StoredMessage(0, "a", "", 0, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
         )
-        self.dispatcher._take(submission)
+        self.dispatcher._admit(submission)
         self.dispatcher._turn_away()
         self.assertEqual(submission.answer.get(block=False), (AdmissionResult.BUSY, 0))
         self.assertEqual(self.store.messages, {})
@@ -264,7 +264,7 @@
     def test_an_error_in_one_event_answers_it_and_ends_nothing(self) -> None:
         self.dispatcher.sender = None  # type: ignore[assignment]
         submission = Submission(StoredMessage(0, "a", "", 0, "free", "", 0, 1, b""))
-        self.dispatcher._guarded(self.dispatcher._take, submission)
+        self.dispatcher._guarded(self.dispatcher._admit, submission)
         self.assertEqual(submission.answer.get(block=False), (AdmissionResult.BUSY, 0))
 
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -461,7 +461,7 @@
         made = Submission(
             StoredMessage(0, name, "", KEY, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
         )
-        self.dispatcher._take(made)
+        self.dispatcher._admit(made)
         return made
 
     def frozen(self) -> AsyncResult:
