--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -359,21 +359,24 @@
         if self.pending_records and not from_queue and use is not RecordUse.MOVE:
             self.write_pending()  # records about one message must be written in their order
         record = framed(payload)
-        active = self._segment_for(len(record))
+        writer = self.writer
+        active = writer.active
+        if active is None or writer.needs_segment(active, len(record)):
+            active = self._next_segment(active)
         grows = active.growth(len(record))
-        if use is not RecordUse.MOVE and self.limit - self.writer.used - grows < self.floor:
+        if use is not RecordUse.MOVE and self.limit - writer.used - grows < self.floor:
             self.compactor.find_room(grows, use)
-            active = self.writer.active or active  # compaction may have begun a new segment
-        return active, self.writer.append(active, record, use)
-
-    def _segment_for(self, size: int) -> Segment:
-        """The segment for a record of `size` bytes: a new one if needed, but the old one if there is no space."""
-        if self.writer.needs_segment(size):
-            try:
-                self.begin_segment()
-            except NoSpaceError:
-                if self.writer.active is None or self.writer.file < 0:
-                    raise
+            active = writer.active or active  # compaction may have begun a new segment
+            grows = active.growth(len(record))
+        return active, writer.append(active, record, grows, use)
+
+    def _next_segment(self, active: Segment | None) -> Segment:
+        """Begin a new segment and return it, or the old one if there is no space for another."""
+        try:
+            self.begin_segment()
+        except NoSpaceError:
+            if active is None or self.writer.file < 0:
+                raise
         assert self.writer.active is not None
         return self.writer.active
 
--- a/cedarwick/store/segment_writer.py
+++ b/cedarwick/store/segment_writer.py
@@ -72,17 +72,15 @@
 
     # ---- records ----
 
-    def needs_segment(self, size: int) -> bool:
-        """Whether a record of `size` bytes should go to a new segment."""
-        active = self.active
-        return active is None or active.size + size > self.segment_size and active.size > active.head
+    def needs_segment(self, active: Segment, size: int) -> bool:
+        """Whether a record of `size` bytes should go to a new segment, not to the active one."""
+        return active.size + size > self.segment_size and active.size > active.head
 
-    def append(self, active: Segment, record: bytes, use: RecordUse) -> int:
+    def append(self, active: Segment, record: bytes, grows: int, use: RecordUse) -> int:
         """Append a framed record to the active segment; returns its offset there.
 
-        Raises `NoSpaceError` if the disk refuses the write.
+        `grows`: bytes in whole blocks by which the file grows. Raises `NoSpaceError` if the disk refuses the write.
         """
-        grows = active.growth(len(record))
         try:
             written = self.folder.append(self.file, record)
         except OSError as error:
