--- a/cedarwick/decisions/endpoint_updates.py
+++ b/cedarwick/decisions/endpoint_updates.py
@@ -12,6 +12,7 @@
 from cedarwick.decisions.sender_state import BACKOFF_BASE, LIST_WAIT, MAX_RETRY_AFTER
 from cedarwick.decisions.state import SECOND, Destination, RateControl, Receiver, TokenBucket
 
+MAX_POLL_DOUBLINGS = 16  # of the window from which the next list call is drawn
 LIST_POLL_GAP = SECOND // 4  # the window from which the next list call is drawn has at least this much for each sender
 FORGET_AFTER = 20 * SECOND  # after a receiver has left the list; until then a replacement takes over its outage
 
@@ -41,7 +42,7 @@
         known.ready = listing.phase is EndpointState.READY
         if back and now - known.left_at > self.fall_time:
             # A receiver that was away for this long has probably been restarted: ramp up instead of full traffic.
-            known.back_at, known.ramp = now, TokenBucket(0.0, now)
+            known.recovered_at, known.ramp = now, TokenBucket(0.0, now)
         if self.settings.get("weight-source", "off") != "off" and listing.rate > 0:
             self._list_rate(known.pace, listing.rate)
 
@@ -58,10 +59,10 @@
         )
         self.receivers[new.id] = new
         mates = self._mates(place, pace)
-        out = [mate for mate in mates if mate.out_since]
-        if out and not any(mate.ready and not mate.out_since for mate in mates):
+        out = [mate for mate in mates if mate.ejected_since]
+        if out and not any(mate.ready and not mate.ejected_since for mate in mates):
             # Otherwise all messages held through the outage would go to the replacement machine at once.
-            new.out_since, new.failed, new.provable = out[0].out_since, True, out[0].provable
+            new.ejected_since, new.failed, new.provable = out[0].ejected_since, True, out[0].provable
             new.canary_at = max(now, pace.canary_at)
         place.members.append(listing.receiver)
 
@@ -82,7 +83,7 @@
         the number of senders and of failures, so that their retries together do not keep it overloaded.
         """
         recent = now - self.polled_at < self.max_poll_backoff
-        self.failed_polls = min(self.failed_polls, 16) if recent else 0
+        self.failed_polls = min(self.failed_polls, MAX_POLL_DOUBLINGS) if recent else 0
         window = max(BACKOFF_BASE << self.failed_polls, self.senders * LIST_POLL_GAP)
         # A window cut to the maximum has more calls than discovery can answer; leaving out its lower half thins them.
         least = min(LIST_WAIT, self.max_poll_backoff) // 2 if window > self.max_poll_backoff else 0
@@ -93,7 +94,7 @@
         """Receivers with a running Retry-After wait and its end (microseconds), for a process that replaces this."""
         return [(known.id, known.pace.wait_until) for known in self.receivers.values() if known.pace.wait_until > now]
 
-    def heed(self, now: int, receiver: int, until: int) -> None:
+    def apply_retry_after(self, now: int, receiver: int, until: int) -> None:
         """Apply a Retry-After wait until a time (microseconds) that is known ahead of, or apart from, an outcome.
 
         It comes from a response that is still being read, or from the process that this one replaces.
--- a/cedarwick/decisions/message_handle.py
+++ b/cedarwick/decisions/message_handle.py
@@ -1,15 +1,16 @@
 """The handle of an accepted message: the protocol reports outcomes to it and asks whether an attempt may go.
 
-Times are microseconds. `Sender.take` and `Sender.resume` (see `policy`) make the handles.
+Times are microseconds. `Sender.accept` and `Sender.restore` (see `policy`) make the handles.
 """
 
 from collections.abc import Sequence
 
 from cedarwick.decisions.health import HealthTracking
 from cedarwick.decisions.interface import Outcome
-from cedarwick.decisions.sender_state import BACKOFF_BASE, MANY
-from cedarwick.decisions.state import NEVER, SECOND, Message
+from cedarwick.decisions.sender_state import BACKOFF_BASE, MANY, START_MARGIN_TICKS
+from cedarwick.decisions.state import ASSUMED_LATENCY, NEVER, SECOND, Message
 
+MAX_BACKOFF_DOUBLINGS = 16  # of the window from which a random backoff is drawn
 BACKOFF_CAP = 60 * SECOND  # the longest window from which a random backoff is drawn
 BROKEN_REUSE_LIMIT = 0.04  # a larger share of reused connections that break under a call
 
@@ -38,9 +39,9 @@
         the setting `report.columns`. Does nothing where no attempt is running.
         """
         sender = self.sender
-        if not self.out:
+        if not self.in_flight:
             return
-        self.out = False
+        self.in_flight = False
         record = sender.receivers[receiver]
         stale = reused_connection and outcome is Outcome.RESET
         sender.broken_reuse_share += (stale - sender.broken_reuse_share) / MANY if reused_connection else 0.0
@@ -53,18 +54,18 @@
         if last or self.ended or outcome is Outcome.COMPLETED:
             sender.close(now, self)
             return
-        window = min(BACKOFF_CAP, BACKOFF_BASE << min(self.attempts - 1, 16))
+        window = min(BACKOFF_CAP, BACKOFF_BASE << min(self.attempts - 1, MAX_BACKOFF_DOUBLINGS))
         # A call that broke on a reused idle connection says nothing about the receiver's health: retry without backoff.
         wait = retry_after if retry_after and not sender.many else retry_after + sender.chance.below(window)
         self.due = now + (1 if outcome is Outcome.MOOT or stale else wait)
         # The backoff must not pass the last useful start: there the message would be given up with attempts left.
-        useful = self.deadline - round(sender.destinations[self.destination].quickest or SECOND / 2)
-        self.due = max(now, min(self.due, min(self.repeat_until(), useful) - sender.tick * 4))
+        useful = self.deadline - round(sender.destinations[self.destination].quickest or ASSUMED_LATENCY)
+        self.due = max(now, min(self.due, min(self.repeat_until(), useful) - sender.tick * START_MARGIN_TICKS))
         sender.hold(now, self)
 
     def withdrawn(self, now: int) -> None:
         """The client has given the message up; a running attempt still ends with an outcome."""
-        if not (self.ended or self.out):
+        if not (self.ended or self.in_flight):
             self.sender.close(now, self)
         self.ended = True
 
--- a/cedarwick/decisions/policy.py
+++ b/cedarwick/decisions/policy.py
@@ -13,6 +13,7 @@
 from cedarwick.decisions.load_shedding import LoadShedding
 from cedarwick.decisions.message_handle import Handle
 from cedarwick.decisions.selection import Selection
+from cedarwick.decisions.sender_state import START_MARGIN_TICKS
 from cedarwick.decisions.state import NEVER, SECOND, Destination, PriorityClass
 
 __all__ = ["Handle", "Sender", "priority_class_of"]
@@ -51,7 +52,7 @@
         ]
         super().__init__(settings, seed, now)
 
-    def take(
+    def accept(
         self, now: int, message_id: int, destination: int, priority_class: int, deadline: int, tenant: int, key: int
     ) -> Handle:
         """Accept a message; `deadline` is a time in microseconds, `key` 0 where order does not matter."""
@@ -67,15 +68,15 @@
         self.hold(now, handle)
         return handle
 
-    def resume(self, now: int, owed: Sequence[UnfinishedMessage]) -> list[Handle]:
+    def restore(self, now: int, unfinished: Sequence[UnfinishedMessage]) -> list[Handle]:
         """Accept what a restart left unfinished; an attempt without an outcome may have run."""
         # An attempt from before the restart may still be running, even for a key with no unfinished message: all keys
         # rest, so that a later message of the key cannot overtake it.
         self.turns.all_rest = now + duration_setting(self.settings, "rules.turn-gap-ms")
-        handles = [self.take(now, *each[:-1]) for each in owed]
+        handles = [self.accept(now, *each[:-1]) for each in unfinished]
         # If the settings now allow fewer open messages, the recovered ones must not be shed without an attempt.
         self.most_open = max(self.most_open, self.open + 2)
-        for handle, each in zip(handles, owed, strict=True):
+        for handle, each in zip(handles, unfinished, strict=True):
             handle.attempts = len(each.attempts)
             for attempt in reversed(each.attempts):
                 if attempt.outcome is None or not attempt.outcome.never_ran:
@@ -106,7 +107,7 @@
         next_look = self._look_at_held(now, places)
         self._shed(now)
         for place in places:
-            place.held = [held for held in place.held if not (held.out or held.ended)]
+            place.held = [held for held in place.held if not (held.in_flight or held.ended)]
             self.looks.plan(place.id, max(next_look.get(place.id, NEVER), now + self.tick))
         self._release_connections()
         verdicts, self.verdicts = self.verdicts, Decisions()
@@ -119,7 +120,7 @@
     def _begin_round(self, place: Destination) -> None:
         """Compute the values of a destination that stay the same through the round."""
         place.ready = [self.receivers[each] for each in place.members if self.receivers[each].ready]
-        place.quickest = min((member.mean for member in place.ready), default=0.0)
+        place.quickest = min((member.mean_latency for member in place.ready), default=0.0)
         place.waits_until = min((member.pace.wait_until for member in place.ready), default=0)
         place.room.clear()
 
@@ -127,7 +128,7 @@
         """Advance the held messages, most urgent first; returns the time of the next look by destination."""
         next_look: dict[int, int] = {}
         alone = max(self.per_call, default=1) == 1
-        waiting = [held for place in places for held in place.held if not (held.out or held.ended)]
+        waiting = [held for place in places for held in place.held if not (held.in_flight or held.ended)]
         for message in sorted(waiting, key=lambda held: self._urgency(now, held)):
             place = self.destinations[message.destination]
             known = now < message.look_at and place.room.get(message.asks)
@@ -155,7 +156,7 @@
         """
         priority_class = message.priority_class
         place = self.destinations[message.destination]
-        last_start = message.deadline - max(self.tick * 4, round(place.quickest / 2))
+        last_start = message.deadline - max(self.tick * START_MARGIN_TICKS, round(place.quickest / 2))
         last_start = min(last_start, message.repeat_until() - 1)
         start = max(now, message.due, place.waits_until)
         # Terminal: out of attempts, or a further one could take effect twice, or cannot finish in time.
@@ -188,12 +189,12 @@
         if receiver is None:
             return min(place.room[asking][1], last_start + 1)
         joins = self._joins(now, receiver)
-        if not joins and self.calls_out >= self.slots:
+        if not joins and self.calls_in_flight >= self.slots:
             self.starved.add(place.id)
             return last_start + 1
         place.room.clear()
         self._spend(now, receiver, joins)
-        message.out, message.sent_at = True, now
+        message.in_flight, message.sent_at = True, now
         message.attempts += 1
         patience = self._patience(now, message, receiver)
         self.verdicts.attempts.append((message.id, receiver.id, patience))
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -101,7 +101,7 @@
             return answer
         if not answer.answer:
             return None if self._go_on_after_not_held(key, to, answer) else BUSY
-        accepted = answer.answer == AdmissionResult.KEPT.value
+        accepted = answer.answer == AdmissionResult.ACCEPTED.value
         recall = self._recall_on_disconnect(stored, to) if accepted else None
         return AdmissionResult(answer.answer), answer.wait_ms, recall
 
@@ -152,7 +152,7 @@
             return AdmissionResult.REPEATED, 0, None
         if ruling is SubmissionRuling.DUPLICATE:
             # A submission that was passed on twice gets the answer of the first, not a refusal.
-            answered, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.KEPT, 0)
+            answered, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.ACCEPTED, 0)
             return None if answered is AdmissionResult.FROZEN else (answered, wait_ms, None)
         if not self.store.taking():
             return BUSY  # cut off, it may not know that the session has another holder
@@ -163,11 +163,14 @@
             answered, wait_ms = submission.answer.get()
         finally:
             del self.pending[stored.id]
-        if answered is not AdmissionResult.KEPT and (session := self.directory.sessions.get(stored.turn)) is not None:
+        if (
+            answered is not AdmissionResult.ACCEPTED
+            and (session := self.directory.sessions.get(stored.turn)) is not None
+        ):
             session.ids.pop(stored.id, None)
         if answered is AdmissionResult.FROZEN:
             return None
-        taken = answered is AdmissionResult.KEPT and stored.number
+        taken = answered is AdmissionResult.ACCEPTED and stored.number
         return answered, wait_ms, (lambda: self._withdraw(submission)) if taken else None
 
     def _withdraw(self, submission: Submission) -> None:
--- a/cedarwick/lab/virtual_partners.py
+++ b/cedarwick/lab/virtual_partners.py
@@ -94,17 +94,17 @@
         self.sender = sender
         self.owner = owner
         self.clear = dispatcher.clear
-        self.tell = dispatcher.attempt_ended
-        self.out = {}
+        self.report_result = dispatcher.attempt_ended
+        self.in_flight = {}
         self.seen: dict[int, Called] = {}  # by message: the call that its partner has
 
     def start(self, call: AttemptCall) -> None:
         task = self.day.kernel.spawn(self._run, call)
-        self.out[task] = call
-        task.rawlink(lambda ended: self.out.pop(ended, None))
+        self.in_flight[task] = call
+        task.rawlink(lambda ended: self.in_flight.pop(ended, None))
 
     def cut(self, numbers: Collection[int]) -> None:
-        for task, call in list(self.out.items()):
+        for task, call in list(self.in_flight.items()):
             if call.message.number in numbers and not call.reported:
                 task.kill()
                 if (seen := self.seen.pop(call.message.number, None)) is not None and seen.ended == NEVER:
@@ -118,7 +118,7 @@
             if not self.clear(call):
                 call.reported = True
                 return
-            if WALL + day.kernel.now - call.looked_at <= TOO_OLD:
+            if WALL + day.kernel.now - call.polled_at <= TOO_OLD:
                 break
             day.kernel.sleep()
         else:
@@ -148,4 +148,4 @@
     def _ended(self, call: AttemptCall, outcome: Outcome) -> None:
         call.reported = True
         self.seen.pop(call.message.number, None)
-        self.tell(call, AttemptResult(outcome, took=1000, last=outcome is Outcome.COMPLETED))
+        self.report_result(call, AttemptResult(outcome, took=1000, last=outcome is Outcome.COMPLETED))
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -73,7 +73,7 @@
         submission = Submission(stored, AsyncResult())
         self.dispatcher.submit(submission)
         answered, wait_ms = submission.answer.get()
-        taken = answered is AdmissionResult.KEPT and stored.number
+        taken = answered is AdmissionResult.ACCEPTED and stored.number
         return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
 
 
@@ -134,7 +134,7 @@
         dispatcher.attempts = DrawnAttempts(day, self.partners, dispatcher, self.number, self.owner)
         dispatcher.free_links = lambda _: None
         dispatcher.ask_for_list = lambda: None
-        dispatcher.resume()
+        dispatcher.restore()
         node = FleetNode(self.name, day.table, self.folder, self.store, clock, counters)
         self.client_listener = FakeClientListener(dispatcher)
         self.management = SimpleNamespace(follows=not_in_a_fleet, moves=no_sessions)
@@ -170,7 +170,7 @@
             self.dispatcher.hold_fire(ending=True)
             end = kernel.now + DRAIN
             while kernel.now < end and not (
-                self.dispatcher.idle() and not self.dispatcher.notices.owed and (traffic is None or traffic.left())
+                self.dispatcher.idle() and not self.dispatcher.notices.pending and (traffic is None or traffic.left())
             ):
                 kernel.sleep(LOOK)
             self.node.leave()
@@ -207,7 +207,7 @@
         if withdraw is not None and gone():
             withdraw()
         elif what is not AdmissionResult.UNSURE:
-            box.set("ok" if what is AdmissionResult.KEPT else "busy")
+            box.set("ok" if what is AdmissionResult.ACCEPTED else "busy")
 
     def said(self, name: str, argument: str) -> None:
         """A management call in a task of its own; its answer is ignored."""
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -44,8 +44,8 @@
     body: bytes = b""  # read from the store when the attempt is cleared
     recorded: bool = False  # the store has its record
     flushed: bool = False  # the record is on the disk, where the store is durable
-    looked_at: int = 0  # when the sockets were polled on which its clearance rests
-    heeded: bool = False  # its Retry-After wait has been passed on, ahead of the result
+    polled_at: int = 0  # when the sockets were polled on which its clearance rests
+    retry_after_reported: bool = False  # its Retry-After wait has been passed on, ahead of the result
     reported: bool = False  # its result has been passed on
     new_connection: bool = False  # it may not reuse an idle connection
     reused_connection: bool = False  # it goes over a connection that was used before
@@ -65,10 +65,10 @@
 
 
 class AttemptRunner:
-    """Runs ordered attempts; each reports exactly one `AttemptResult` through `tell`.
+    """Runs ordered attempts; each reports exactly one `AttemptResult` through `report_result`.
 
     `clear` asks the dispatcher whether an attempt may go, `may_fire` asks again right before the first byte, and
-    `heed` passes on Retry-After waits as (receiver, until in microseconds).
+    `report_retry_after` passes on Retry-After waits as (receiver, until in microseconds).
     """
 
     def __init__(
@@ -79,8 +79,8 @@
         columns: list[str],
         polled: PollClock,
         clear: Callable[[AttemptCall], bool],
-        tell: Callable[[AttemptCall, AttemptResult], None],
-        heed: Callable[[list[tuple[int, int]]], None],
+        report_result: Callable[[AttemptCall, AttemptResult], None],
+        report_retry_after: Callable[[list[tuple[int, int]]], None],
         may_fire: Callable[[int], bool] = lambda _: True,
     ) -> None:
         self.clock = clock
@@ -89,55 +89,55 @@
         self.columns = columns
         self.polled = polled
         self.clear = clear
-        self.tell = tell
-        self.heed = heed
+        self.report_result = report_result
+        self.report_retry_after = report_retry_after
         self.may_fire = may_fire
-        self.out: dict[gevent.Greenlet, AttemptCall] = {}
+        self.in_flight: dict[gevent.Greenlet, AttemptCall] = {}
 
     def start(self, call: AttemptCall) -> None:
         """Make the attempt in a greenlet of its own."""
         greenlet = gevent.spawn(self._run, call)
-        self.out[greenlet] = call
-        greenlet.rawlink(lambda finished: self.out.pop(finished, None))
+        self.in_flight[greenlet] = call
+        greenlet.rawlink(lambda finished: self.in_flight.pop(finished, None))
 
     def cut(self, numbers: Collection[int]) -> None:
         """Abort the running calls of some messages and close their connections; the messages may have run."""
-        for greenlet, call in list(self.out.items()):
+        for greenlet, call in list(self.in_flight.items()):
             if call.message.number in numbers and not call.reported:
                 greenlet.kill(block=False)
                 self.counters.add("attempts cut off: their session moves")
-                self._end(call, Outcome.RESET if call.recorded else Outcome.MOOT)
+                self._report_failure(call, Outcome.RESET if call.recorded else Outcome.MOOT)
 
     def _run(self, call: AttemptCall) -> None:
         try:
-            self._go(call)
+            self._run_attempt(call)
         except Exception:
             # Without a result the attempt would hold its slot and its message for ever.
             self.counters.failed("an attempt failed")
             if not call.reported:
-                self._end(call, Outcome.RESET)
+                self._report_failure(call, Outcome.RESET)
 
-    def _go(self, call: AttemptCall) -> None:
+    def _run_attempt(self, call: AttemptCall) -> None:
         try:
             link = self.links.obtain(call.receiver, call.until, call.new_connection)
         except NoDescriptorError as error:
             self.counters.warning("no descriptor for an attempt", error.within(f"receiver {call.receiver}"))
-            self._hold_back(call)
+            self._report_not_sent(call)
             return
         except OSError as error:
             self.counters.warning("a link did not come up", error)
-            self._end(call, Outcome.CONNECT_FAILED)
+            self._report_failure(call, Outcome.CONNECT_FAILED)
             return
         usable = False
         try:
             # While the connection came up, a Retry-After wait or a drain may have arrived, or the message ended.
             usable = not self._cleared(call)
             if not usable:
-                usable = self._unless_crossed(call, link)
+                usable = self._send_unless_expired(call, link)
         finally:
             self.links.give_back(link, usable)
 
-    def _unless_crossed(self, call: AttemptCall, link: Connection) -> bool:
+    def _send_unless_expired(self, call: AttemptCall, link: Connection) -> bool:
         """Make the call unless its time or connection ended during the clearance.
 
         Returns whether the connection can be used again.
@@ -145,17 +145,17 @@
         if is_closed(link.sock):
             # Bytes that came before the request would be read as its answer.
             if link.idle_since:
-                self._hold_back(call)
+                self._report_not_sent(call)
             else:
                 self.counters.add("new links that ended or spoke before their request")
-                self._end(call, Outcome.CONNECT_FAILED)
+                self._report_failure(call, Outcome.CONNECT_FAILED)
             return False
         if self.clock.now() >= call.send_by:
             self.counters.add("attempts held back: their time was over")
-            self._hold_back(call)
+            self._report_not_sent(call)
             return True
         call.reused_connection = link.idle_since > 0
-        return self._over(call, link)
+        return self._exchange(call, link)
 
     def _cleared(self, call: AttemptCall) -> bool:
         """Whether the attempt may go now; where it may not, its result has been reported."""
@@ -164,15 +164,15 @@
                 call.reported = True
                 self.counters.add("attempts held back before their first byte")
                 return False
-            if self.clock.now() - call.looked_at <= CLEARANCE_LIFETIME_US:
+            if self.clock.now() - call.polled_at <= CLEARANCE_LIFETIME_US:
                 return True
             # The process was paused, or a round was long: a refusal may be waiting unread in a socket.
             self.counters.add("clearances that grew old")
             self.polled.again()
-        self._hold_back(call)
+        self._report_not_sent(call)
         return False
 
-    def _over(self, call: AttemptCall, link: Connection) -> bool:
+    def _exchange(self, call: AttemptCall, link: Connection) -> bool:
         """Write the request and read the answer; returns whether the connection can be used again."""
         answer = ResponseParser()
         broken: Outcome | None = Outcome.CONNECT_FAILED
@@ -182,11 +182,11 @@
             # The right to send may have expired since the clearance; another sender may hold it now.
             if not self.may_fire(call.message.number):
                 self.counters.add("attempts held back: no right to fire")
-                self._end(call, Outcome.MOOT)
+                self._report_failure(call, Outcome.MOOT)
                 return True
             link.sock.sendall(whole)
             self.counters.add("attempts sent")
-            self.counters.figures.tries += 1
+            self.counters.figures.attempts_sent += 1
             broken = self._read(call, link, answer)
         except OSError:
             # The last byte was never sent, so nothing ran; an early answer may say more.
@@ -194,16 +194,16 @@
         if answer.complete or answer.status == 200:
             usable = answer.complete and answer.keep_alive and broken is None
             if not call.reported:
-                self._tell(call, answer)
+                self._report_answer(call, answer)
             return usable
         # End the call before its result is reported: a retry must not run beside it. A refusal counts only when its
         # answer is whole: if what follows its head is malformed, the attempt may have run.
         if broken is Outcome.TIME_OUT and self.links.end_sending(link):
-            self._end(call, broken)
-            self._hear_out(call, link, answer)
+            self._report_failure(call, broken)
+            self._read_late_answer(call, link, answer)
         else:
             self.links.give_back(link, usable=False)
-            self._end(call, broken or Outcome.RESET)
+            self._report_failure(call, broken or Outcome.RESET)
         return False
 
     def _read(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> Outcome | None:
@@ -216,11 +216,11 @@
                     return None if answer.ended() else Outcome.RESET
                 begun = answer.status
                 answer.feed(link.buffer)
-                self._heed_early(call, answer)
+                self._report_early_retry_after(call, answer)
                 if answer.status and not begun:
                     until = min(until, self.clock.now() + ANSWER_REST_TIMEOUT_US)
                 if answer.headed and answer.status == 200 and not call.reported:
-                    self._tell(call, answer)  # a success counts even if the rest of the answer is lost
+                    self._report_answer(call, answer)  # a success counts even if the rest of the answer is lost
         except TimeoutError:
             # After a pause of the process, answers that came in time are still unread.
             self._read_unread_bytes(call, link, answer)
@@ -237,10 +237,10 @@
         link.sock.settimeout(left / 1_000_000)
 
     def _read_unread_bytes(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
-        self._read_on(link, answer, 0)
-        self._heed_early(call, answer)
+        self._read_more(link, answer, 0)
+        self._report_early_retry_after(call, answer)
 
-    def _read_on(self, link: Connection, answer: ResponseParser, until: int) -> None:
+    def _read_more(self, link: Connection, answer: ResponseParser, until: int) -> None:
         """Read until the head of an answer is there, up to a time; with 0, read only what has arrived."""
         link.sock.settimeout(0.0)
         try:
@@ -253,33 +253,35 @@
         except (OSError, InvalidResponseError):
             pass
 
-    def _heed_early(self, call: AttemptCall, answer: ResponseParser) -> None:
+    def _report_early_retry_after(self, call: AttemptCall, answer: ResponseParser) -> None:
         """Pass on the Retry-After wait of a throttled call as soon as the answer's head is there.
 
         Whether the rest comes only decides whether the attempt may have run.
         """
-        if answer.headed and not answer.complete and answer.status == 429 and not call.heeded:
-            self._heed(call, answer)
+        if answer.headed and not answer.complete and answer.status == 429 and not call.retry_after_reported:
+            self._report_retry_after(call, answer)
 
-    def _heed(self, call: AttemptCall, answer: ResponseParser) -> None:
-        call.heeded = True
-        self.heed([(call.receiver, self.clock.now() + parse_retry_after(answer.headers.get("x-backoff-ms", "")))])
+    def _report_retry_after(self, call: AttemptCall, answer: ResponseParser) -> None:
+        call.retry_after_reported = True
+        self.report_retry_after(
+            [(call.receiver, self.clock.now() + parse_retry_after(answer.headers.get("x-backoff-ms", "")))]
+        )
 
-    def _hear_out(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
+    def _read_late_answer(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
         """Read on for a moment on the connection of a call that timed out and whose result was reported.
 
         A refusal that arrives just after the time-out still sets a Retry-After wait, which later attempts must respect.
         """
-        self.out.pop(gevent.getcurrent(), None)
-        self._read_on(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
-        if answer.headed and answer.status == 429 and not call.heeded:
+        self.in_flight.pop(gevent.getcurrent(), None)
+        self._read_more(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
+        if answer.headed and answer.status == 429 and not call.retry_after_reported:
             self.counters.add("waits heard after the call was given up")
-            self._heed(call, answer)
+            self._report_retry_after(call, answer)
 
-    def _tell(self, call: AttemptCall, answer: ResponseParser) -> None:
+    def _report_answer(self, call: AttemptCall, answer: ResponseParser) -> None:
         """Report the result that an answer gives; its first line at least has been read."""
         took = self.clock.now() - call.ordered_at
-        report = self._report(answer.headers.get(REPORT_HEADER, ""))
+        report = self._parse_report(answer.headers.get(REPORT_HEADER, ""))
         if answer.status == 200:
             ending = AttemptResult(Outcome.COMPLETED, took, 0, True, report, call.reused_connection)
         elif answer.status == 429:
@@ -297,18 +299,20 @@
             ending = AttemptResult(Outcome.ERROR, took, 0, False, report)
         self.counters.add(f"answers {answer.status}")
         call.reported = True
-        self.tell(call, ending)
+        self.report_result(call, ending)
 
-    def _end(self, call: AttemptCall, outcome: Outcome, not_sent: bool = False) -> None:
+    def _report_failure(self, call: AttemptCall, outcome: Outcome, not_sent: bool = False) -> None:
         self.counters.add(f"attempts without an answer: {outcome.value}")
         call.reported = True
         took = self.clock.now() - call.ordered_at
-        self.tell(call, AttemptResult(outcome, took, reused_connection=call.reused_connection, not_sent=not_sent))
+        self.report_result(
+            call, AttemptResult(outcome, took, reused_connection=call.reused_connection, not_sent=not_sent)
+        )
 
-    def _hold_back(self, call: AttemptCall) -> None:
-        self._end(call, Outcome.MOOT, not_sent=True)
+    def _report_not_sent(self, call: AttemptCall) -> None:
+        self._report_failure(call, Outcome.MOOT, not_sent=True)
 
-    def _report(self, text: str) -> Sequence[float]:
+    def _parse_report(self, text: str) -> Sequence[float]:
         """The values that an answer reports, in the order of the settings; nothing if it cannot be read."""
         if not text:
             return ()
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -16,11 +16,11 @@
 class Attempts(Sessions):
     """Clears attempts as they start, and passes their results to the decisions."""
 
-    def _asks(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
-        self.asked.append((call, answer))
+    def _request_clearance(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
+        self.clearance_requests.append((call, answer))
 
     def _clear(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
-        call.looked_at = self.polled.at
+        call.polled_at = self.polled.at
         now, number = self.clock.now(), call.message.number
         handle = self.handles.get(number)
         may = free = handle is not None and handle.may_start(now, call.receiver) and not self.holding_fire
@@ -80,8 +80,8 @@
             self._report_outcome(parked, call, ending)
             frozen = self.frozen.get(call.message.turn)
             if frozen is not None:
-                frozen.out.discard(number)
-                if not frozen.out and not frozen.still.ready():
+                frozen.in_flight.discard(number)
+                if not frozen.in_flight and not frozen.still.ready():
                     frozen.still.set(True)
             if number in self.to_adopt:
                 self.to_adopt.discard(number)
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -62,7 +62,7 @@
     def _answer_late(self, numbers: list[int]) -> None:
         for number in numbers:
             stored = self.store.messages.get(number)
-            if stored is None or number in self.handles or number in self.notices.owed:
+            if stored is None or number in self.handles or number in self.notices.pending:
                 continue
             if stored.end is None or number in self.uncopied_ends:
                 self.counters.warning("a message ends that nobody may fire for", number)
@@ -84,7 +84,7 @@
         limits = {
             number: self.store.messages[number].deadline - DEADLINE_MARGIN_US
             for number, handle in self.handles.items()
-            if not handle.out and number in self.store.messages
+            if not handle.in_flight and number in self.store.messages
         }
         for number, limit in limits.items():
             if limit <= now:
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -20,16 +20,16 @@
 class Sessions(DispatcherState):
     """Adopts, parks and freezes messages, and lets keys rest of which another sender has earlier messages."""
 
-    def resume(self) -> None:
+    def restore(self) -> None:
         """Take up what an earlier process of this sender left and it has the right to send; call once, at the start."""
         numbers = [number for number in sorted(self.store.messages) if self.store.may_fire(number)]
         if self.store.restarted:
             taken_up = self._take_up(numbers)
-            logger.info("restarted with {} messages owed, {} notices", taken_up, len(self.notices.owed))
+            logger.info("restarted with {} unfinished messages, {} notices", taken_up, len(self.notices.pending))
 
     def _take_up(self, numbers: Sequence[int], quietly: bool = False) -> int:
         """Give stored messages to the decisions, or post their final answer; returns how many were not ended."""
-        owed = []
+        unfinished = []
         for number in numbers:
             stored = self.store.messages[number]
             self.numbers[stored.id] = number
@@ -43,7 +43,7 @@
                 continue
             attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in stored.earlier_attempts()]
             priority_class = self.priority_classes.get(stored.priority_class, len(self.sender.priority_classes) - 1)
-            owed.append(
+            unfinished.append(
                 UnfinishedMessage(
                     number,
                     stored.destination,
@@ -56,16 +56,18 @@
             )
         now = self.clock.now()
         if quietly and all(
-            attempt.outcome is not None and attempt.outcome.never_ran for each in owed for attempt in each.attempts
+            attempt.outcome is not None and attempt.outcome.never_ran
+            for each in unfinished
+            for attempt in each.attempts
         ):
-            # Sessions arrive one by one, and each `resume` would make the keys of all others rest.
-            for each in owed:
-                handle = self.handles[each.message_id] = self.sender.take(now, *each[:-1])
+            # Sessions arrive one by one, and each `restore` would make the keys of all others rest.
+            for each in unfinished:
+                handle = self.handles[each.message_id] = self.sender.accept(now, *each[:-1])
                 handle.attempts = len(each.attempts)
-            return len(owed)
-        for each, handle in zip(owed, self.sender.resume(now, owed), strict=True):
+            return len(unfinished)
+        for each, handle in zip(unfinished, self.sender.restore(now, unfinished), strict=True):
             self.handles[each.message_id] = handle
-        return len(owed)
+        return len(unfinished)
 
     def _place_of(self, mark: int) -> int:
         """The index of a recorded zone mark in the settings; `NOWHERE` unless exactly one zone has it."""
@@ -103,7 +105,7 @@
             self.sender.turns.line_up(key, handles, before)
 
     def _rest(self, keys: frozenset[int]) -> None:
-        self.elsewhere = keys
+        self.keys_elsewhere = keys
         self.not_sent &= self.handles.keys()
         for key in keys & self.sender.turns.lines.keys():
             self._let_rest(key)
@@ -116,35 +118,35 @@
         self.numbers = {each: number for each, number in self.numbers.items() if number not in given_up}
         for number in numbers:
             self.to_adopt.discard(number)
-            self.notices.owed.pop(number, None)
-            submission = self.fresh.pop(number, None)
+            self.notices.pending.pop(number, None)
+            submission = self.new_submissions.pop(number, None)
             if submission is not None:
                 submission.answered(AdmissionResult.BUSY)
             handle = self.handles.pop(number, None)
             if handle is not None:
                 handle.withdrawn(now)
-                if handle.out:
+                if handle.in_flight:
                     self.parked[number] = handle
 
     def _freeze(self, key: int, frozen: "FrozenSession") -> None:
         self.frozen[key] = frozen
         numbers = [number for number, handle in self.handles.items() if handle.key == key]
         for number in numbers:
-            submission = self.fresh.pop(number, None)
+            submission = self.new_submissions.pop(number, None)
             if submission is not None:
                 # It is not stored yet; forget its id, so that the client can submit it again after the move.
                 self.recent.pop(submission.message.id, None)
                 submission.message.number = 0
                 submission.answered(AdmissionResult.FROZEN)
         self._park(numbers)
-        frozen.out = {number for number, handle in self.parked.items() if handle.key == key}
-        if not frozen.out:
+        frozen.in_flight = {number for number, handle in self.parked.items() if handle.key == key}
+        if not frozen.in_flight:
             frozen.still.set(True)
 
     def _cut(self, key: int) -> None:
         frozen = self.frozen.get(key)
-        if frozen is not None and frozen.out:
-            self.attempts.cut(frozen.out)
+        if frozen is not None and frozen.in_flight:
+            self.attempts.cut(frozen.in_flight)
 
     def _thaw(self, key: int) -> None:
         self.frozen.pop(key, None)
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -48,7 +48,7 @@
 
     def submit(self, submission: Submission) -> None:
         """A client hands a message in; `submission.answer` is set once that is decided and, if taken, stored."""
-        self.queue.put((self._take, (submission,)))
+        self.queue.put((self._admit, (submission,)))
 
     def withdraw(self, submission: Submission) -> None:
         """The client left before the answer was written: no attempt begins from now on, and the message is dropped."""
@@ -58,7 +58,7 @@
     def clear(self, call: AttemptCall) -> bool:
         """Whether the attempt may still go out; its record is written then."""
         answer: gevent.event.AsyncResult = gevent.event.AsyncResult()
-        self.queue.put((self._asks, (call, answer)))
+        self.queue.put((self._request_clearance, (call, answer)))
         return bool(answer.get())
 
     def may_fire(self, number: int) -> bool:
@@ -81,12 +81,12 @@
         self.queue.put((self._list_poll_failed, ()))
 
     def acknowledged(self, numbers: list[int]) -> None:
-        """The platform has acknowledged the notices of these messages: nothing more is owed for them."""
+        """The platform has acknowledged the notices of these messages: nothing more is due for them."""
         self.queue.put((self._acknowledged, (numbers,)))
 
-    def heed(self, waits: list[tuple[int, int]]) -> None:
+    def apply_retry_after(self, waits: list[tuple[int, int]]) -> None:
         """Apply Retry-After waits (receiver, until in microseconds), known early or from a replaced process."""
-        self.queue.put((self._heed, (waits,)))
+        self.queue.put((self._apply_retry_after, (waits,)))
 
     def hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
         """Start no attempt from now on, since the process ends soon; running ones go on.
@@ -149,7 +149,7 @@
 
     def idle(self) -> bool:
         """Whether no attempt is running and no call is queued."""
-        return not self.attempts.out and self.queue.empty()
+        return not self.attempts.in_flight and self.queue.empty()
 
     # ---- the one greenlet ----
 
@@ -160,14 +160,14 @@
             while not self.queue.empty():
                 call, arguments = self.queue.get()
                 self._guarded(call, *arguments)
-            if self.asked:
+            if self.clearance_requests:
                 # Cleared only now: a refusal read in this round may have been queued behind the request for clearance.
-                asked, self.asked = self.asked, []
-                for each in asked:
+                requests, self.clearance_requests = self.clearance_requests, []
+                for each in requests:
                     self._guarded(self._clear, *each)
                 gevent.sleep(0)  # cleared attempts go now, not after a long round
             self._guarded(
-                self._decide if not self.holding_fire else self._keep_fresh if self.keeping else self._turn_away
+                self._decide if not self.holding_fire else self._store_new if self.keeping else self._turn_away
             )
             if self.after_flush:
                 self._guarded(self._flush)
@@ -201,10 +201,10 @@
     def _list_poll_failed(self) -> None:
         self.sender.list_poll_failed(self.clock.now())
 
-    def _heed(self, waits: list[tuple[int, int]]) -> None:
+    def _apply_retry_after(self, waits: list[tuple[int, int]]) -> None:
         now = self.clock.now()
         for receiver, until in waits:
-            self.sender.heed(now, receiver, until)
+            self.sender.apply_retry_after(now, receiver, until)
 
     def _hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
         self.holding_fire, self.keeping, self.ending = True, keeping, ending
@@ -220,25 +220,25 @@
         if not self.store.deciding():
             # After a pause of this process another sender may have taken over: do not give a second final answer.
             self.wake_at = now + LEASE_RECHECK_DELAY_US
-            self._take_none(now)
+            self._reject_new(now)
             return
         # A message that was given up takes room until its notice is acknowledged; without counting that room as free,
         # every round would give up more.
-        self.sender.room = self.store.room_for() + len(self.notices.owed)
+        self.sender.room = self.store.room_for() + len(self.notices.pending)
         verdicts = self.sender.decide(now)
         for number, wait in verdicts.nacks:
-            fresh = self.fresh.pop(number, None)
-            if fresh is None:
+            submission = self.new_submissions.pop(number, None)
+            if submission is None:
                 self._final(number, True, wait // 1000)
                 continue
-            del self.handles[number], self.numbers[fresh.message.id]
+            del self.handles[number], self.numbers[submission.message.id]
             self.counters.add("rejected at admission")
-            fresh.answered(AdmissionResult.BUSY, wait // 1000)
+            submission.answered(AdmissionResult.BUSY, wait // 1000)
         for number in verdicts.abandoned:
             self._final(number, False, 0)
-        for submission in self.fresh.values():
-            self._keep(submission)
-        self.fresh.clear()
+        for submission in self.new_submissions.values():
+            self._store_message(submission)
+        self.new_submissions.clear()
         for receiver in verdicts.released_connections:
             self.free_links(receiver)
         for number, receiver, patience in verdicts.attempts:
@@ -253,7 +253,7 @@
                     new_connection=handle.needs_new_connection(),
                 )
                 self.attempts.start(call)
-            else:  # it could not be kept
+            else:  # it could not be stored
                 handle.attempt_ended(now, Outcome.MOOT, handle.attempts - 1, receiver, 0, 0, True, ())
                 self.handles.pop(number, None)
         for line in verdicts.log_lines:
@@ -263,10 +263,10 @@
         self.wake_at = verdicts.wake_at
 
     def _turn_away(self) -> None:
-        for submission in self.fresh.values():
+        for submission in self.new_submissions.values():
             self.numbers.pop(submission.message.id, None)
             submission.answered(AdmissionResult.BUSY)
-        self.fresh.clear()
+        self.new_submissions.clear()
         if self.ending:
             self._end_near()
 
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -26,8 +26,8 @@
     A failed write is logged only.
     """
     uids = {number: uid for uid, number in endpoint_list.numbers.items()}
-    heeded = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
-    waits = {uids[receiver]: until for receiver, until in heeded if receiver in uids}
+    running = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
+    waits = {uids[receiver]: until for receiver, until in running if receiver in uids}
     try:
         saved_state.write_waits(folder, waits)
     except OSError as error:
@@ -41,7 +41,7 @@
     except saved_state.UnreadableFileError as error:
         logger.error("the Retry-After waits of the replaced process cannot be read: {}", error.line)
         return
-    dispatcher.heed(
+    dispatcher.apply_retry_after(
         [(endpoint_list.numbers[uid], until) for uid, until in waits.items() if uid in endpoint_list.numbers]
     )
 
@@ -68,7 +68,7 @@
     client_listener.listener.close()  # only this process's descriptor: the platform's socket stays open
     # The next process accepts no client while this one has the folder, and clients wait 400 ms at most. Until then
     # open connections are served, each closed after its answer; messages are stored, not attempted.
-    client_listener.still_taking = client_listener.closing = True
+    client_listener.still_accepting = client_listener.closing = True
     dispatcher.hold_fire(keeping=True)
     with gevent.Timeout(HANDOVER_IDLE_S, False):
         while not dispatcher.idle():
@@ -77,11 +77,11 @@
     with gevent.Timeout(HANDOVER_ANSWERS_S, False):
         while client_listener.mid_request():
             gevent.sleep(HANDOVER_POLL_INTERVAL_S)
-    client_listener.still_taking = False
+    client_listener.still_accepting = False
     logger.info(
-        "handing over: {} messages kept, {} attempts without an outcome",
+        "handing over: {} messages stored, {} attempts without an outcome",
         len(store.messages),
-        len(dispatcher.attempts.out),
+        len(dispatcher.attempts.in_flight),
     )
     # The next process may attempt these messages again: a call that still completed here would be a second copy.
-    gevent.killall(list(dispatcher.attempts.out))
+    gevent.killall(list(dispatcher.attempts.in_flight))
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -181,7 +181,7 @@
         if not holds_folder:
             self._wait_for_folder()
         self._connect_dispatcher()
-        self.dispatcher.resume()
+        self.dispatcher.restore()
         take_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
         self.node = join_fleet(self.assignment, self.operator, self.store, self.clock, self.counters)
         if not self.clock.in_step():
@@ -198,7 +198,7 @@
     def shut_down(self) -> None:
         """End every part within the time that SIGTERM leaves; hand over if a next process has the socket."""
         self.staff.taking = False
-        logger.info("ending: {} messages kept", len(self.store.messages))
+        logger.info("ending: {} messages stored", len(self.store.messages))
         if self.inherited is not None:
             self._hand_over()
         else:
@@ -261,7 +261,7 @@
             self.poll_clock,
             dispatcher.clear,
             dispatcher.attempt_ended,
-            dispatcher.heed,
+            dispatcher.apply_retry_after,
             dispatcher.may_fire,
         )
         dispatcher.free_links, dispatcher.ask_for_list = self.connections.free, self.endpoint_list.ask
@@ -297,13 +297,13 @@
         """Run the dispatcher once the agent has answered, or after FIRST_LIST_UPDATE_S; never returns."""
         # The saved list may be out of date: without waiting, a stored message could be attempted at a receiver that is
         # draining by now.
-        if not self.endpoint_list.first_news.wait(FIRST_LIST_UPDATE_S):
+        if not self.endpoint_list.first_update.wait(FIRST_LIST_UPDATE_S):
             self.dispatcher.holding_fire = self.dispatcher.keeping = True
             gevent.spawn(self._attempt_after_silence)
         self.dispatcher.run()
 
     def _attempt_after_silence(self) -> None:
-        self.endpoint_list.first_news.wait(FIRST_ATTEMPT_S)
+        self.endpoint_list.first_update.wait(FIRST_ATTEMPT_S)
         self.dispatcher.queue.put((self._allow_attempts, ()))
 
     def _allow_attempts(self) -> None:
@@ -382,7 +382,7 @@
         """Whether no attempt, notification, client or session move is left."""
         return (
             self.dispatcher.idle()
-            and not self.notifier.owed
+            and not self.notifier.pending
             and not self.client_listener.clients
             and (self.node is None or self.node.traffic is None or self.node.traffic.left())
         )
@@ -448,7 +448,7 @@
         if listing.phase is not EndpointState.REMOVED
     }
     avoided = {endpoint_list.numbers[uid] for uid in endpoint_list.suspended if uid in endpoint_list.numbers}
-    avoided |= {receiver.id for receiver in dispatcher.sender.receivers.values() if receiver.out_since}
+    avoided |= {receiver.id for receiver in dispatcher.sender.receivers.values() if receiver.ejected_since}
     return len(dispatcher.handles), len(listed), len(avoided & listed)
 
 
--- a/tests/decisions/test_other_settings.py
+++ b/tests/decisions/test_other_settings.py
@@ -51,7 +51,7 @@
         ):
             with self.subTest(priority_class=priority_class, tenant=tenant):
                 submission = self.submit(priority_class.encode(), tenant.encode(), b"%d" % index)
-                self.dispatcher._take(submission)
+                self.dispatcher._admit(submission)
                 self.dispatcher._decide()
                 handle = self.dispatcher.handles[submission.message.number]
                 self.assertEqual(
@@ -77,7 +77,7 @@
 
     def test_zones_and_kinds_are_known_by_name_and_unknown_ones_are_a_place_of_their_own(self) -> None:
         told: list[Any] = []
-        made = EndpointList(self.assignment, Counters(), lambda *news: told.append(news), lambda: None)
+        made = EndpointList(self.assignment, Counters(), lambda *update: told.append(update), lambda: None)
         for zone, kind, places in (("yard", "plain", (2, 0)), ("ä,b", "big, old", (1, 1)), ("elsewhere", None, (3, 2))):
             line = {"uid": zone, "endpoint": "127.0.0.1:9", "az": zone, "model": kind, "pod_group": 1, "state": "up"}
             made.learn({"rev": 1, "all": False, "targets": [line]})
@@ -97,8 +97,10 @@
                 dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
                 attempts: Any = SimpleNamespace(columns=dispatcher.sender.columns, counters=Counters())
                 now = dispatcher.clock.now()
-                handle = dispatcher.sender.take(now, 1, 0, 1, now + 8_000_000, 0, 0)
+                handle = dispatcher.sender.accept(now, 1, 0, 1, now + 8_000_000, 0, 0)
                 dispatcher.sender.decide(now)
-                handle.attempt_ended(now, Outcome.COMPLETED, 0, 1, 1000, 0, True, AttemptRunner._report(attempts, text))
+                handle.attempt_ended(
+                    now, Outcome.COMPLETED, 0, 1, 1000, 0, True, AttemptRunner._parse_report(attempts, text)
+                )
                 pace = dispatcher.sender.receivers[1].pace
                 self.assertEqual((pace.limit, pace.left), (80.0, 0.4))
--- a/tests/lab/broken.py
+++ b/tests/lab/broken.py
@@ -43,16 +43,16 @@
 
 def loses_messages() -> None:
     """Every tenth message is answered +OK and forgotten."""
-    honest, count = dispatcher.Dispatcher._take, [0]
+    honest, count = dispatcher.Dispatcher._admit, [0]
 
     def take(self: dispatch_admission.Admission, submission: Submission) -> None:
         count[0] += 1
         if count[0] % 10 == 0:
-            submission.answered(AdmissionResult.KEPT)
+            submission.answered(AdmissionResult.ACCEPTED)
         else:
             honest(self, submission)
 
-    dispatcher.Dispatcher._take = take  # type: ignore[method-assign]
+    dispatcher.Dispatcher._admit = take  # type: ignore[method-assign]
 
 
 def tells_no_end() -> None:
@@ -67,13 +67,13 @@
 
 def floods_a_returning_destination() -> None:
     """No outage is noticed, so a destination that returns gets everything at once."""
-    policy.Sender._out = lambda self, now, receiver, provable: None  # type: ignore[method-assign]
+    policy.Sender._eject = lambda self, now, receiver, provable: None  # type: ignore[method-assign]
     policy.Sender._silent = lambda self, now, receiver: False  # type: ignore[method-assign]
 
 
 def two_out() -> None:
     """Every attempt goes out a second time over a link of its own, while the first one is out."""
-    honest = attempts.AttemptRunner._over
+    honest = attempts.AttemptRunner._exchange
 
     def over(self: attempts.AttemptRunner, call: attempts.AttemptCall, link: Any) -> bool:
         gevent.spawn(copy, self, call)
@@ -84,7 +84,7 @@
             sock.sendall(attempts.encode_request(call, self.clock.now()))
             sock.recv(100)
 
-    attempts.AttemptRunner._over = over  # type: ignore[method-assign]
+    attempts.AttemptRunner._exchange = over  # type: ignore[method-assign]
 
 
 FAULTS: dict[str, Callable[[], None]] = {
--- a/tests/net/test_client_listener_races.py
+++ b/tests/net/test_client_listener_races.py
@@ -18,10 +18,11 @@
 import gevent.socket
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
-from cedarwick.net import client_listener as module
+from cedarwick.net import client_connections, client_listener
 from cedarwick.net.assignment import Assignment, plain
 from cedarwick.net.attempts import AttemptRunner
-from cedarwick.net.client_listener import ClientConnection, ClientListener, SubmitResult
+from cedarwick.net.client_connections import ClientConnection
+from cedarwick.net.client_listener import ClientListener, SubmitResult
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import ConnectionPool, DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
@@ -49,7 +50,7 @@
 
     def setUp(self) -> None:
         self.taken: list[str] = []
-        self.answer: Callable[[StoredMessage], SubmitResult] = lambda kept: (AdmissionResult.KEPT, 0, None)
+        self.answer: Callable[[StoredMessage], SubmitResult] = lambda kept: (AdmissionResult.ACCEPTED, 0, None)
         self.open()
 
     def open(self, sockets: int = 256) -> None:
@@ -81,7 +82,7 @@
             sock.sendall(piece)
             client = next(each for each in self.door.clients if each.sock.getpeername() == sock.getsockname())
             gevent.sleep(0)
-            passes(lambda: client.let_go or self.door._silent(client))  # noqa: B023
+            passes(lambda: client.shut_down or self.door._silent(client))  # noqa: B023
         return sock
 
     def heard(self, sock: gevent.socket.socket, seconds: float = 1.0) -> tuple[bytes, str]:
@@ -136,7 +137,9 @@
 
     def test_nothing_is_written_before_an_answer_that_is_under_way(self) -> None:
         gate = gevent.event.Event()
-        self.answer = lambda kept: (AdmissionResult.KEPT, 0, None) if gate.wait() else (AdmissionResult.BUSY, 0, None)
+        self.answer = (
+            lambda kept: (AdmissionResult.ACCEPTED, 0, None) if gate.wait() else (AdmissionResult.BUSY, 0, None)
+        )
         sock = self.connect(submit("a") + submit("b"))
         self.door.stop()
         self.end()
@@ -145,19 +148,19 @@
 
     def test_who_crosses_the_end_late_reads_it_before_the_reset_all_the_same(self) -> None:
         with (
-            mock.patch.object(module, "CLOSE_TIMEOUT_S", 0.05),
-            mock.patch.object(module, "CROSSED_REQUEST_TIMEOUT_S", 5.0),
+            mock.patch.object(client_connections, "CLOSE_TIMEOUT_S", 0.05),
+            mock.patch.object(client_connections, "CROSSED_REQUEST_TIMEOUT_S", 5.0),
         ):
             sock = self.connect(submit("a"))
             (client,) = self.door.clients
             self.door.stop()
             sock.sendall(submit("b"))
-            passes(lambda: client.cut)
+            passes(lambda: client.closed)
             for _ in range(9):
                 gevent.sleep(0)
         self.assertIn(client, self.door.clients)
         self.assertEqual(self.heard(sock), (OK, "end"))
-        client.leave.set()
+        client.descriptor_wanted.set()
 
     def test_what_crosses_the_end_is_not_read_and_does_not_reset_the_answer_before_it(self) -> None:
         for crossing in (b"*", submit("b"), submit("b") * 2000):
@@ -184,7 +187,7 @@
 
 class InService(Door):
     def test_a_cut_for_want_of_descriptors_leaves_no_request_that_was_read_without_an_answer(self) -> None:
-        late = round(module.SLOW_REQUEST_S * 1_000_000) + 1
+        late = round(client_connections.SLOW_REQUEST_S * 1_000_000) + 1
         for name, read, crossing, expected in (
             ("silent", (), b"", (b"", "end")),
             ("one that waits to be read", (), submit("a"), (OK, "TimeoutError")),
@@ -206,7 +209,7 @@
                 if crossing:
                     sock.sendall(crossing)
                 with (
-                    mock.patch.object(module, "CONNECTION_POOL_DIVISOR", 8),
+                    mock.patch.object(client_connections, "CONNECTION_POOL_DIVISOR", 8),
                     mock.patch.object(self.door, "clients", Crowd(self.door.clients)),
                 ):
                     self.assertRaises(NoDescriptorError, self.door._make_room)
@@ -237,7 +240,7 @@
                 raise
 
         with (
-            mock.patch.object(module, "FIRST_REQUEST_TIMEOUT_S", 0.1),
+            mock.patch.object(client_connections, "FIRST_REQUEST_TIMEOUT_S", 0.1),
             mock.patch.object(gevent.socket.socket, "_wait", cross),
         ):
             sock = self.connect()
@@ -248,7 +251,7 @@
         for answered, closing in (
             (AdmissionResult.UNKNOWN_DESTINATION, False),
             (AdmissionResult.FROZEN, False),
-            (AdmissionResult.KEPT, True),
+            (AdmissionResult.ACCEPTED, True),
         ):
             with self.subTest(answered=answered, closing=closing):
                 self.answer = mock.Mock(return_value=(answered, 0, None))
@@ -309,7 +312,15 @@
             return dispatcher.may_fire(number)
 
         dispatcher.attempts = AttemptRunner(
-            clock, counters, links, [], polled, dispatcher.clear, dispatcher.attempt_ended, dispatcher.heed, may_fire
+            clock,
+            counters,
+            links,
+            [],
+            polled,
+            dispatcher.clear,
+            dispatcher.attempt_ended,
+            dispatcher.apply_retry_after,
+            may_fire,
         )
         dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
         door = ClientListener(("127.0.0.1", 0), clock, counters, descriptors, dispatcher, lambda: True)
@@ -335,7 +346,7 @@
         if reused_connection:
             client.sendall(submit("first", body=b"1"))
             self.assertEqual(client.recv(9), OK)
-            passes(lambda: not dispatcher.store.messages and not dispatcher.attempts.out)
+            passes(lambda: not dispatcher.store.messages and not dispatcher.attempts.in_flight)
         self.bodies.clear()
         self.order.clear()
 
@@ -360,9 +371,10 @@
             return crossed
 
         with (
-            mock.patch.object(module, "peek_byte", crossing("before the look", peek_byte)),
-            mock.patch.object(dispatcher, "_take", crossing("as it is taken", dispatcher._take)),
-            mock.patch.object(dispatcher, "_keep", crossing("as it is recorded", dispatcher._keep)),
+            mock.patch.object(client_listener, "peek_byte", crossing("before the look", peek_byte)),
+            mock.patch.object(client_connections, "peek_byte", crossing("before the look", peek_byte)),
+            mock.patch.object(dispatcher, "_admit", crossing("as it is taken", dispatcher._admit)),
+            mock.patch.object(dispatcher, "_store_message", crossing("as it is recorded", dispatcher._store_message)),
         ):
             client.sendall(submit("left", body=b"2"))
             if step == "before it is read":
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -54,7 +54,7 @@
         submission = Submission(
             StoredMessage(0, name, "", key, priority_class, "second", destination, limit, bytes(size))
         )
-        self.dispatcher._take(submission)
+        self.dispatcher._admit(submission)
         self.dispatcher._decide()
         return submission
 
@@ -67,9 +67,9 @@
         self.dispatcher._final(2, True, 0)  # chosen, but no copy has it, and it was not told
         self.dispatcher._flush()
         self.dispatcher._answer_late([1, 2])
-        self.assertEqual(returned.answer.get()[0], AdmissionResult.KEPT)
+        self.assertEqual(returned.answer.get()[0], AdmissionResult.ACCEPTED)
         self.assertEqual(
-            [json.loads(line)["state"] for line in self.dispatcher.notices.owed.values()], ["failed", "failed"]
+            [json.loads(line)["state"] for line in self.dispatcher.notices.pending.values()], ["failed", "failed"]
         )
         self.assertEqual(self.taken(name="c").answer.get()[0], AdmissionResult.BUSY)
         del self.store.may_fire
@@ -77,9 +77,9 @@
         with mock.patch.object(self.store, "may_fire", return_value=False):
             self.dispatcher._final(self.dispatcher.numbers["d"], True, 0)
             self.dispatcher._flush()
-        self.assertEqual(len(self.dispatcher.notices.owed), 2)
+        self.assertEqual(len(self.dispatcher.notices.pending), 2)
         self.dispatcher._flush()
-        self.assertEqual(len(self.dispatcher.notices.owed), 3)  # the right was back in a moment
+        self.assertEqual(len(self.dispatcher.notices.pending), 3)  # the right was back in a moment
 
     def test_what_is_adopted_alone_stands_before_those_of_its_key_that_were_taken_after_it(self) -> None:
         self.dispatcher.sender.priority_classes[0].ordered = True
@@ -93,7 +93,7 @@
         self.dispatcher._park([2])  # somebody has told news of it
         self.dispatcher._adopt([2])
         self.assertEqual([handle.id for handle in line], [1, 2, 3])
-        line[2].out = True
+        line[2].in_flight = True
         self.dispatcher._park([2])
         self.dispatcher._adopt([2])
         self.assertEqual([handle.id for handle in line], [1, 3, 2])  # nothing begins while an attempt of the key is out
@@ -130,7 +130,7 @@
         self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[5]], [1, 2, 3])
 
     def test_a_message_is_kept_before_its_attempt_starts(self) -> None:
-        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.KEPT, 0))
+        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
         self.assertEqual((list(self.store.messages), self.calls[0].message), ([1], self.store.messages[1]))
 
     def test_each_attempt_is_a_call_of_its_own_whatever_the_settings_say(self) -> None:
@@ -172,7 +172,7 @@
 
     def test_another_body_under_an_open_id_is_not_taken_for_the_same(self) -> None:
         self.taken()
-        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.KEPT, 0))
+        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
         self.assertEqual(self.taken(size=4).answer.get(block=False), (AdmissionResult.REPEATED, 0))
 
     def test_ids_are_remembered_for_a_while_only(self) -> None:
@@ -226,11 +226,11 @@
         for name, life in (("out", 8_000_000), ("near", 40_000), ("later", 8_000_000)):
             self.taken(name=name, life=life)
         for number, handle in self.dispatcher.handles.items():
-            handle.out = number == 1
+            handle.in_flight = number == 1
         for ending in (False, True):
             self.dispatcher._hold_fire(ending=ending)
             self.dispatcher._turn_away()
-            self.assertEqual(sorted(self.dispatcher.notices.owed), [2] * ending)
+            self.assertEqual(sorted(self.dispatcher.notices.pending), [2] * ending)
         self.assertEqual(self.dispatcher.wake_at, self.store.messages[3].deadline - DEADLINE_MARGIN_US)
 
     def test_no_attempt_begins_when_the_end_is_near(self) -> None:
@@ -246,9 +246,9 @@
         submission = Submission(
             StoredMessage(0, "a", "", 0, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
         )
-        self.dispatcher._take(submission)
-        self.dispatcher._keep_fresh()
-        self.assertEqual(submission.answer.get(block=False), (AdmissionResult.KEPT, 0))
+        self.dispatcher._admit(submission)
+        self.dispatcher._store_new()
+        self.assertEqual(submission.answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
         self.assertEqual((list(self.store.messages), self.calls), ([1], []))
 
     def test_at_an_end_what_comes_is_turned_away(self) -> None:
@@ -256,7 +256,7 @@
         submission = Submission(
             StoredMessage(0, "a", "", 0, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
         )
-        self.dispatcher._take(submission)
+        self.dispatcher._admit(submission)
         self.dispatcher._turn_away()
         self.assertEqual(submission.answer.get(block=False), (AdmissionResult.BUSY, 0))
         self.assertEqual(self.store.messages, {})
@@ -264,7 +264,7 @@
     def test_an_error_in_one_event_answers_it_and_ends_nothing(self) -> None:
         self.dispatcher.sender = None  # type: ignore[assignment]
         submission = Submission(StoredMessage(0, "a", "", 0, "free", "", 0, 1, b""))
-        self.dispatcher._guarded(self.dispatcher._take, submission)
+        self.dispatcher._guarded(self.dispatcher._admit, submission)
         self.assertEqual(submission.answer.get(block=False), (AdmissionResult.BUSY, 0))
 
 
@@ -325,7 +325,7 @@
             ("\xff,==,", ()),
         ):
             with self.subTest(text=text):
-                self.assertEqual(made._report(text), expected)
+                self.assertEqual(made._parse_report(text), expected)
 
     def test_a_head_without_an_end_is_given_up(self) -> None:
         answer, buffer = ResponseParser(), Buffer()
@@ -411,9 +411,9 @@
     def endpoint_list(self) -> tuple[EndpointList, list[Any]]:
         told: list[Any] = []
         made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, {"zones": "a,b", "kinds": "k"})
-        return EndpointList(made, Counters(), lambda *news: told.append(news), lambda: None), told
+        return EndpointList(made, Counters(), lambda *update: told.append(update), lambda: None), told
 
-    def test_list_news_in_the_numbers_of_the_decisions(self) -> None:
+    def test_list_updates_in_the_numbers_of_the_decisions(self) -> None:
         made, told = self.endpoint_list()
         entry = {
             "uid": "s",
@@ -443,11 +443,11 @@
         self.assertEqual((told[-1][1][-1].receiver, made.address_of(50)), (50, ("127.0.0.1", 9)))
         self.assertEqual((sorted(made.numbers.values()), len(made.addresses)), ([*range(43, 51)], 8))
 
-    def test_list_news_that_cannot_be_read_changes_nothing(self) -> None:
+    def test_list_updates_that_cannot_be_read_change_nothing(self) -> None:
         made, told = self.endpoint_list()
-        for news in ({}, {"rev": "x", "all": True, "targets": []}, json.loads("[]"), {"rev": 1, "all": True}):
-            with self.subTest(news=news), self.assertRaises(ValueError):
-                made.learn(news)
+        for update in ({}, {"rev": "x", "all": True, "targets": []}, json.loads("[]"), {"rev": 1, "all": True}):
+            with self.subTest(update=update), self.assertRaises(ValueError):
+                made.learn(update)
         self.assertEqual((told, made.version), ([], 0))
 
     def test_a_line_that_cannot_be_read_does_not_hide_the_others(self) -> None:
@@ -480,7 +480,7 @@
         made.learn({"rev": 3, "all": True, "targets": [self.GOOD, {"uid": "t", "state": 7}]})
         self.assertEqual([change for change, _ in told], [EndpointUpdate.FULL, EndpointUpdate.FULL])
         self.assertEqual(told[1][1], told[0][1][:2])
-        self.assertEqual((sorted(made.numbers), sorted(made.gone_since)), (["s", "t", "u"], ["u"]))
+        self.assertEqual((sorted(made.numbers), sorted(made.removed_at)), (["s", "t", "u"], ["u"]))
 
     def test_a_listed_rate_that_is_none_leaves_the_one_before_and_the_line_in_force(self) -> None:
         hints: list[Any] = ["nine", None, -3, float("nan"), float("inf"), 1e300, [], 10**400]
@@ -512,7 +512,7 @@
                 made.platform = listener.getsockname()
                 made.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
                 failed = AsyncResult()
-                made.tell_failed = lambda failed=failed: failed.set(True)  # type: ignore[misc]
+                made.report_failure = lambda failed=failed: failed.set(True)  # type: ignore[misc]
                 watching = gevent.spawn(made.watch)
                 sock, _ = listener.accept()
                 sock.recv(1000)
@@ -526,7 +526,7 @@
     def test_a_broken_watch_opens_anew_when_the_decisions_say_and_at_once_at_a_new_address(self) -> None:
         endpoint_list, _ = self.endpoint_list()
         failed: list[int] = []
-        endpoint_list.tell_failed = lambda: failed.append(1)
+        endpoint_list.report_failure = lambda: failed.append(1)
         endpoint_list.platform = ("127.0.0.1", 1)  # nobody listens there
         endpoint_list.ask()  # as at the start, while the first watch is opened
         watching = gevent.spawn(endpoint_list.watch)
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -89,10 +89,10 @@
                 ],
             }
         )
-        self.dispatcher.resume()
+        self.dispatcher.restore()
 
     def submit(self, name: str, priority_class: str, tenant: str = "") -> None:
-        self.dispatcher._take(
+        self.dispatcher._admit(
             Submission(StoredMessage(0, name, "", 0, priority_class, tenant, 0, self.clock.now() + 8_000_000, b"x"))
         )
         self.dispatcher._decide()
@@ -192,7 +192,7 @@
 
     def steps(self, process: Process, priority_class: str, outcome: Outcome, told: list[str]) -> Iterator[int]:
         """One message with one attempt, one step after another; `told` gets what other parties see."""
-        process.dispatcher._take(
+        process.dispatcher._admit(
             Submission(StoredMessage(0, "a", "", 0, priority_class, "", 0, process.clock.now() + 8_000_000, b"x"))
         )
         yield self.READ
@@ -208,11 +208,11 @@
         yield self.ENDED
         told.extend(self.posted(process))
         yield self.POSTED
-        process.dispatcher._acknowledged(list(process.dispatcher.notices.owed))
+        process.dispatcher._acknowledged(list(process.dispatcher.notices.pending))
         yield self.ACKNOWLEDGED
 
     def posted(self, process: Process) -> list[str]:
-        return [json.loads(line)["state"] for line in process.dispatcher.notices.owed.values()]
+        return [json.loads(line)["state"] for line in process.dispatcher.notices.pending.values()]
 
     def seen(self, priority_class: str, outcome: Outcome, at: int, later: int = 0) -> list[str]:
         """What other parties see in all, where the next process completes what it sends."""
@@ -237,7 +237,7 @@
                         second.dispatcher._attempt_ended(call, AttemptResult(Outcome.COMPLETED, last=True))
                     second.calls.clear()
                 told.extend(self.posted(second))
-                second.dispatcher._acknowledged(list(second.dispatcher.notices.owed))
+                second.dispatcher._acknowledged(list(second.dispatcher.notices.pending))
                 self.assertEqual((second.store.messages, second.dispatcher.handles), ({}, {}))
                 second.store.close()
         return told
@@ -304,7 +304,7 @@
             with self.subTest(most_open=most_open, room=room, owed=owed):
                 made = sender(policy_limits__max_open=most_open, family_info__max_calls="1")
                 made.room = room
-                made.resume(
+                made.restore(
                     NOW,
                     [UnfinishedMessage(number, 7, number % 3, NOW + 8_000 * MS, 0, 0, ()) for number in range(owed)],
                 )
@@ -325,7 +325,7 @@
     def patience(self, window: int, ran_ago: int | None, mean: int, attempts: int = 0) -> int:
         """In milliseconds, of 16 s; `ran_ago`: when an earlier attempt was sent that may have run."""
         made = sender(classes__1__dedup_window_ms=str(window), classes__1__in_turn="false")
-        made.receivers[1].mean = mean * MS
+        made.receivers[1].mean_latency = mean * MS
         handle = take(made, 1, NUMBERED)
         handle.attempts = attempts
         if ran_ago is not None:
@@ -510,11 +510,11 @@
         for name in "abc":
             self.made.submit(name, priority_class="once")
         self.wait_for(lambda: self.counts["warning: no descriptor for an attempt"] >= 3)
-        self.assertEqual({handle.attempts - handle.out for handle in self.dispatcher.handles.values()}, {0})
+        self.assertEqual({handle.attempts - handle.in_flight for handle in self.dispatcher.handles.values()}, {0})
         self.links.descriptors.limit = 8
         self.wait_for(lambda: len(self.partner.arrived) == 3)
         self.wait_for(lambda: not self.made.store.messages)
-        self.assertEqual(self.dispatcher.notices.owed, {})
+        self.assertEqual(self.dispatcher.notices.pending, {})
         self.assertLess(self.counts["warning: no descriptor for an attempt"], 9)
 
     def test_a_attempt_that_is_cut_while_the_dispatcher_is_asked_gives_its_link_back(self) -> None:
@@ -530,7 +530,7 @@
         self.made.submit("a")
         self.assertTrue(asked.wait(2.0))
         self.dispatcher.attempts.cut({1})
-        self.wait_for(lambda: not self.made.store.messages and not self.dispatcher.attempts.out)
+        self.wait_for(lambda: not self.made.store.messages and not self.dispatcher.attempts.in_flight)
         self.links.free(1)
         self.assertEqual(self.links.descriptors.used, 0)
 
