--- a/cedarwick/fleet/held_partitions.py
+++ b/cedarwick/fleet/held_partitions.py
@@ -9,7 +9,7 @@
 from cedarwick.fleet.limits import IDLE_HOLDER_US, REBORN_ASKS_US
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.membership import MemberStatus
-from cedarwick.fleet.replicated_store import BLOCK
+from cedarwick.fleet.replicated_store import NUMBERS_PER_RESERVATION
 from cedarwick.fleet.takeover import Takeover
 
 
@@ -32,14 +32,14 @@
 
     def _reserve(self, holding: LeasedPartition) -> None:
         """Reserve the next block of message numbers on the disk, before the first of them is used; raises OSError."""
-        upto = self.store.next_number + BLOCK
+        upto = self.store.next_number + NUMBERS_PER_RESERVATION
         if (upto >> 32) != holding.partition:
             # A partition is full after 2**32 numbers: accept nothing more in it, so that the next one is opened.
             if self.ownership is not None:
-                self.ownership.full = holding is self.store.current
+                self.ownership.full = holding is self.store.open_partition
             return
         self._note(holding.partition, holding.adoption.holder.term, upto)
-        holding.reserved = upto
+        holding.reserved_upto = upto
 
     def _note(self, partition: int, term: int, upto: int) -> None:
         """Raise term and end of the reserved numbers in a lease record, and write all records; raises OSError."""
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -40,12 +40,12 @@
                 # Nobody else can answer what no replica was sent and nobody was offered. An offer without an answer
                 # may have been stored, and the new holder may have answered the message otherwise.
                 heard = self.members.state(now, self._newest(holding.adoption)) is MemberStatus.ALIVE
-                if not heard and not holding.approached:
-                    numbers, _ = self.store.only_here(holding)
+                if not heard and not holding.offer_sent:
+                    numbers = self.store.unreplicated(holding).unsent
             elif ours or few:
                 numbers = self.store.numbers(holding.partition)
             elif stage is TakeoverStage.GONE and not holding.offered:
-                numbers = sum(self.store.only_here(holding), [])
+                numbers = sum(self.store.unreplicated(holding), [])
             late = [
                 number
                 for number in numbers
@@ -68,7 +68,7 @@
         self.before = bool(numbers)
         owed = [number for number in numbers if self.store.messages[number].end is None]
         if owed and self.store.taking():
-            self._rekey(owed)
+            self._renumber(owed)
         late = [
             number
             for number in numbers
--- a/cedarwick/fleet/leased_partition.py
+++ b/cedarwick/fleet/leased_partition.py
@@ -10,7 +10,7 @@
 from cedarwick.store.journal import Store
 
 # Microseconds that a replica may lag: then its partition is not served, and nothing waits for the replica any more.
-STARVED = 500_000
+STARVED_US = 500_000
 
 
 class LeasedPartition:
@@ -21,27 +21,27 @@
         self.adoption = adoption
         self.ledger = FactLedger(0)
         self.log = ReplicationLog(partition, 0, lambda _: None)
-        self.begun_at = 0  # when its log began: its replicas have some time until it goes on without them
+        self.log_started_at = 0  # when its log began: its replicas have some time until it goes on without them
         self.imported = False  # its messages are in the folder, the ledger knows them
         self.serving = False  # the dispatcher makes attempts for it
         # Replicas that become successors once they have the log up to an index: that index, and since when.
         self.joining: dict[str, tuple[int, int]] = {}
         self.starved_at = 0  # since when its replicas do not follow; 0: they do
         self.alone_since = 0  # since when it goes on without replicas; 0: it does not
-        self.reserved = 0  # numbers below this one are reserved on the disk
-        self.from_term = 0  # the term of the replica that it was adopted from in this process; 0: it was not
-        self.approached = False  # some newer holder was sent an offer
+        self.reserved_upto = 0  # numbers below this one are reserved on the disk
+        self.imported_from_term = 0  # the term of the replica that it was adopted from in this process; 0: it was not
+        self.offer_sent = False  # some newer holder was sent an offer
         self.offered = False  # the newer holder has stored all that was known here
         self.unheld_since = 0  # since when the lease has run out with no answer of a majority; 0: held, or lost
-        self.heard_out = 0  # of an adopted partition: when its last holder has offered all that it knew
-        self.sent = 0  # facts below this index were sent to some replica
+        self.offer_completed_at = 0  # of an adopted partition: when its last holder has offered all that it knew
+        self.sent_upto = 0  # facts below this index were sent to some replica
         self.backlog: dict[int, int] = {}  # owed since before the last change among the members: their order keys
         # Of an adopted partition: ended here, so that an old update does not bring them back.
-        self.finished: set[int] = set()
+        self.ended_numbers: set[int] = set()
 
-    def starving(self, now: int) -> bool:
-        """Whether its replicas have been behind for more than `STARVED` microseconds."""
-        return self.starved_at > 0 and now - self.starved_at > STARVED
+    def is_starving(self, now: int) -> bool:
+        """Whether its replicas have been behind for more than `STARVED_US` microseconds."""
+        return self.starved_at > 0 and now - self.starved_at > STARVED_US
 
     def read(self, store: Store, number: int) -> Fact | None:
         """The fact of an owed message for the log: None where it is not owed; without base where its body is lost."""
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -110,7 +110,7 @@
         self.owing = OrderKeyHints()
         self.lying: dict[int, frozenset[int]] = {}  # by partition: keys in a copy here whose holder is silent
         self.exchange = Exchange(name, self.gate, counters, self._call, state, round(settings.follow_s * 1e6))
-        store.seen = self.exchange.seen
+        store.on_event = self.exchange.seen
         self.traffic: SessionRouter | None = None
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -83,7 +83,7 @@
         self.planner = MigrationPlanner(node.halls[self.name])
         marks = self.files.inert()
         self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.messages}
-        self.store.marking = self.files.write_inert
+        self.store.write_move_marks = self.files.write_inert
         self.dispatcher: Dispatcher
         self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
         self.slept: set[str] = set()  # of these, staged in a partition that was adopted since
@@ -135,7 +135,7 @@
 
     def _copied(self, partitions: set[int]) -> bool:
         """Whether every successor has all records of these partitions within `WHOLE` microseconds; waits for it."""
-        done, until = self.store.copied(partitions), monotonic_time() + WHOLE
+        done, until = self.store.replication_check(partitions), monotonic_time() + WHOLE
         while not done():
             if monotonic_time() > until:
                 return False
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -70,7 +70,7 @@
             return True
 
         stored = self.dispatcher.between(write).get()
-        current = self.store.current
+        current = self.store.open_partition
         if stored and current is not None and self._copied({current.partition}):
             self.act(self.moves.written(name, monotonic_time()))
         else:
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -35,7 +35,7 @@
     ) -> None:
         """As `MemberState`; raises OSError also where this member's address cannot be bound."""
         super().__init__(name, settings, state, store, clock, counters)
-        store.reserve, store.starved = self._reserve, self._starved
+        store.reserve_numbers, store.on_replication_timeout = self._reserve, self._starved
         if settings.sessions:
             from cedarwick.fleet import session_routing  # nothing of sessions is loaded where they are off
 
--- a/cedarwick/fleet/owed_keys.py
+++ b/cedarwick/fleet/owed_keys.py
@@ -82,5 +82,5 @@
             ):
                 # An adopted partition counts whole: its keys rested here as a replica's, and would otherwise be sent no
                 # longer.
-                if holding is not self.store.current or stored.turn not in self.owing.elsewhere:
+                if holding is not self.store.open_partition or stored.turn not in self.owing.elsewhere:
                     holding.backlog[number] = stored.turn
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -47,7 +47,7 @@
             self.adoptions[begun.partition] = begun
             holding = self._hold(begun.partition)
             logger.info("partition {} is to be held", begun.partition)
-            self.store.open(holding, self._first_number(begun.partition))
+            self.store.set_open_partition(holding, self._first_number(begun.partition))
 
     def _look_at(self, now: int, adoption: Takeover) -> None:
         """Ask the rules for the next step of one partition, and carry it out."""
@@ -105,13 +105,13 @@
 
     def _expects_offer(self, now: int, holding: LeasedPartition) -> bool:
         """Whether the previous holder of an adopted partition may still offer facts that no copy received."""
-        if not holding.from_term:
+        if not holding.imported_from_term:
             return False
         # If the partition were closed before the offer is answered, the previous holder would end all of it itself.
         return (
-            now - holding.heard_out < 3 * OFFER_TIMEOUT_S * 1e6
-            if holding.heard_out
-            else now - holding.begun_at < OFFER_EXPECTED_US
+            now - holding.offer_completed_at < 3 * OFFER_TIMEOUT_S * 1e6
+            if holding.offer_completed_at
+            else now - holding.log_started_at < OFFER_EXPECTED_US
         )
 
     def _unwanted(self, now: int, partition: int, adoption: Takeover) -> bool:
@@ -135,19 +135,19 @@
                 if replica is None:
                     last = self._term_of(partition)
                     if 0 < last < term - 1:
-                        holding.from_term = last  # somebody else may have held it between
-                    self.store.resume_own(holding, term)
+                        holding.imported_from_term = last  # somebody else may have held it between
+                    self.store.resume_ledger(holding, term)
                 else:
-                    holding.from_term = replica.place.term
+                    holding.imported_from_term = replica.place.term
                     # A copy that lags may lack an attempt, so its messages may have run. Attempts arrive in order:
                     # only those after the last one in the copy can be missing.
                     heard = (head.at for fact in replica.held.values() for head in fact.known.heads.values())
                     behind = self.settings.ack == "own" or replica.behind  # its holder may have been started before us
                     doubt_at = max(heard, default=1) if behind else 0
-                    mine, perhaps = self.store.only_here(holding) if not holding.offered else ([], [])
+                    unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offered else ([], [])
                     facts = list(replica.held.values())
-                    late = self.clock.now() + ANSWER_AHEAD_US
-                    self.store.take_in(holding, facts, term, doubt_at, mine, perhaps, late)
+                    ends_upto = self.clock.now() + ANSWER_AHEAD_US
+                    self.store.import_replica(holding, facts, term, doubt_at, unsent, unacknowledged, ends_upto)
                     if self.traffic is not None:
                         self.traffic.adopted(partition)
                     owner = next((name for name in self.halls if slot_of(name) == partition >> 12), "")
@@ -171,7 +171,7 @@
         self._ship(now, holding)
         wanted = self._wanted(holding)
         whole = self._whole(now, holding, wanted)
-        if len(whole) == len(wanted) or now - holding.begun_at >= GATHER_COPIES_US:
+        if len(whole) == len(wanted) or now - holding.log_started_at >= GATHER_COPIES_US:
             holding.imported = True
             adoption.imported(now, whole)
 
@@ -215,15 +215,15 @@
         """Give up a partition that is over or belongs to another member for good; may be put off to a later call."""
         holding = self.store.holdings.get(partition)
         if holding is not None:
-            mine, perhaps = self.store.only_here(holding) if not holding.offered else ([], [])
-            if mine or perhaps:
+            unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offered else ([], [])
+            if unsent or unacknowledged:
                 if self.leaving or not self.store.taking():
                     # They are moved to the open partition once there is one, of the next process if need be; till then
                     # they are answered when late.
                     return
-                if any(self.store.messages[number].out_at for number in mine + perhaps):
+                if any(self.store.messages[number].out_at for number in unsent + unacknowledged):
                     return  # under its new number a second attempt would run beside the first
-                if not (self._rekey(mine) and self._rekey(perhaps, failed=True)):
+                if not (self._renumber(unsent) and self._renumber(unacknowledged, failed=True)):
                     return  # what found no room is nowhere else: next time
         adoption = self.adoptions.pop(partition)
         self.doubted.discard(partition)
@@ -232,7 +232,7 @@
             self.dispatcher.park(numbers)
             for name in list(holding.log.followers):
                 holding.log.unfollow(name)
-            self.store.forget(partition)
+            self.store.remove_partition(partition)
             logger.info(
                 "partition {}: given up ({}), {} messages are another sender's",
                 partition,
@@ -252,12 +252,12 @@
         self.served.pop(partition, None)
         self.claimed.pop(partition, None)
 
-    def _rekey(self, numbers: list[int], failed: bool = False) -> bool:
+    def _renumber(self, numbers: list[int], failed: bool = False) -> bool:
         """Move messages that only this member has to the open partition; returns whether all were moved."""
         self.dispatcher.park(numbers)
         made: list[int] = []
         try:
-            for number in self.store.rekey(numbers, failed):
+            for number in self.store.renumber(numbers, failed):
                 made.append(number)
         except (OSError, NoSpaceError) as error:
             self.counters.warning("messages cannot be taken over into the open partition", error)
@@ -274,8 +274,8 @@
         holding = self.store.holdings.get(adoption.partition)
         if holding is not None and not holding.ledger.term:
             # What an earlier process of this sender has taken or learned may be nowhere but in this store.
-            self.store.resume_own(holding, self._term_of(adoption.partition))
-        known = self.store.known_here(holding) if holding is not None else []
+            self.store.resume_ledger(holding, self._term_of(adoption.partition))
+        known = self.store.facts_to_offer(holding) if holding is not None else []
         parts: list[bytes] = []
         part: list[bytes] = []
         for fact in known:
@@ -296,7 +296,7 @@
                     adoption.holder.term if holding is None else holding.ledger.term,
                 )
                 if holding is not None:
-                    holding.approached = True
+                    holding.offer_sent = True
                 answer = self._call(to, offer, OFFER_TIMEOUT_S)
                 if not isinstance(answer, OfferReply) or answer.problem:
                     if isinstance(answer, OfferReply) and answer.problem == PARTITION_CLOSED:
@@ -321,13 +321,20 @@
         try:
             facts = known_facts.decode_facts(body.facts)
             facts = self.traffic.offered(holding, facts) if self.traffic is not None else facts
-            ended, news, problem = self.store.offered(holding, facts, body.term)
+            merged = self.store.merge_offer(holding, facts, body.term)
         except known_facts.CorruptFactsError as error:
             return OfferReply(body.partition, body.part, str(error)[:512])
-        logger.info("partition {}: {} reported {} ends and {} updates", body.partition, sender, len(ended), len(news))
-        holding.heard_out = monotonic_time() if body.last and not problem else holding.heard_out
-        if holding.serving and (ended or news):
+        logger.info(
+            "partition {}: {} reported {} ends and {} updates",
+            body.partition,
+            sender,
+            len(merged.ended),
+            len(merged.changed),
+        )
+        if body.last and not merged.problem:
+            holding.offer_completed_at = monotonic_time()
+        if holding.serving and (merged.ended or merged.changed):
             # The dispatcher decides anew with the added facts.
-            self.dispatcher.park(ended + news)
-            self.dispatcher.adopt(news)
-        return OfferReply(body.partition, body.part, problem[:512])
+            self.dispatcher.park(merged.ended + merged.changed)
+            self.dispatcher.adopt(merged.changed)
+        return OfferReply(body.partition, body.part, merged.problem[:512])
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from dataclasses import replace
 from itertools import islice
-from typing import Any
+from typing import Any, NamedTuple
 
 import gevent.event
 
@@ -35,7 +35,7 @@
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
 
-BLOCK = 1 << 16  # numbers that are reserved at once: so many are skipped at a restart
+NUMBERS_PER_RESERVATION = 1 << 16  # numbers that are reserved at once: so many are skipped at a restart
 
 
 class NotReplicatedError(CedarwickError, OSError):
@@ -45,6 +45,21 @@
     remedy = "look at the members that have the copies, and at the network to them; `fleet.alone` says what follows"
 
 
+class UnreplicatedMessages(NamedTuple):
+    """Numbers of owed messages of a lost partition that no other member may have."""
+
+    unsent: list[int]  # sent to no replica
+    unacknowledged: list[int]  # sent to a replica that may have received them or not
+
+
+class MergedOffer(NamedTuple):
+    """What the offer of an earlier holder changed in the partition."""
+
+    ended: list[int]  # numbers of messages that are over by it
+    changed: list[int]  # numbers of those that are new or changed here
+    problem: str  # why some facts could not be stored and must be offered again; empty: all were stored
+
+
 def monotonic_time() -> int:
     """Whole microseconds of the clock that goes on while the machine sleeps."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
@@ -53,26 +68,28 @@
 class ReplicatedStore(Store):
     """A `Store` that also replicates each change of a message through the log of the message's partition."""
 
-    def __init__(self, *args: Any, by_copy: bool = False, within_us: int = 150_000, **more: Any) -> None:
+    def __init__(self, *args: Any, by_copy: bool = False, ack_timeout_us: int = 150_000, **more: Any) -> None:
         """Create it as a `Store`.
 
         Args:
             by_copy: `flush` waits until all successors have acknowledged the records.
-            within_us: the longest such wait, in microseconds.
+            ack_timeout_us: the longest such wait, in microseconds.
         """
         super().__init__(*args, **more)
         self.awaited = self.awaited or by_copy
         self.by_copy = by_copy
-        self.within_us = within_us
+        self.ack_timeout_us = ack_timeout_us
         self.holdings: dict[int, LeasedPartition] = {}
-        self.current: LeasedPartition | None = None  # new messages are taken in this one
-        self.reserve: Callable[[LeasedPartition], None] = lambda _: None  # write down that a block of numbers is given
-        self.news = gevent.event.Event()  # set when a fact is appended or a copy answers
-        self.starved: Callable[[LeasedPartition], None] = lambda _: None
-        self.seen: Callable[[str, StoredMessage, int], None] = lambda *_: None  # events: kind, message, a figure
-        self.marking: Callable[[dict[int, tuple[int, str]]], None] = lambda _: None  # on the disk before they count
+        self.open_partition: LeasedPartition | None = None  # new messages are taken in this one
+        # Writes the reservation of a block of numbers to the disk.
+        self.reserve_numbers: Callable[[LeasedPartition], None] = lambda _: None
+        self.replication_progress = gevent.event.Event()  # set when a fact is appended or a replica answers
+        self.on_replication_timeout: Callable[[LeasedPartition], None] = lambda _: None
+        self.on_event: Callable[[str, StoredMessage, int], None] = lambda *_: None  # events: kind, message, a figure
+        # Writes the marks of moving messages, before they count.
+        self.write_move_marks: Callable[[dict[int, tuple[int, str]]], None] = lambda _: None
         # Messages with an attempt of this process out; the record may have gone meanwhile.
-        self.out: dict[int, StoredMessage] = {}
+        self.in_flight: dict[int, StoredMessage] = {}
 
     # ---- the lease ----
 
@@ -93,23 +110,23 @@
 
     def taking(self) -> bool:
         """Whether new messages can be taken: the lease of the open partition is valid now."""
-        current = self.current
+        current = self.open_partition
         return current is not None and current.serving and current.adoption.holder.may_fire(monotonic_time())
 
     def has_room(self, stored: StoredMessage) -> bool:
         """As `Store.has_room`; also False without a valid lease, or while no reserved number is left."""
         if not self.taking() or not super().has_room(stored):
             return False
-        assert self.current is not None
-        if self.next_number >= self.current.reserved:
-            self.reserve(self.current)
-        return self.next_number < self.current.reserved
+        assert self.open_partition is not None
+        if self.next_number >= self.open_partition.reserved_upto:
+            self.reserve_numbers(self.open_partition)
+        return self.next_number < self.open_partition.reserved_upto
 
-    def open(self, holding: LeasedPartition, first: int) -> None:
+    def set_open_partition(self, holding: LeasedPartition, first: int) -> None:
         """Take new messages in this partition from now on; `first` is a number that was never given."""
-        self.current = holding
-        holding.reserved = self.next_number = first
-        self.reserve(holding)
+        self.open_partition = holding
+        holding.reserved_upto = self.next_number = first
+        self.reserve_numbers(holding)
 
     # ---- called by the dispatcher ----
 
@@ -118,44 +135,46 @@
         super().keep(stored)
         holding = self.holdings[stored.number >> 32]
         self._replicate(holding, holding.ledger.record_message(stored, stored.body or b""))
-        self.seen("taken", stored, 0)
+        self.on_event("taken", stored, 0)
 
     def attempt(self, number: int, sent_at: int, zone: int) -> None:
         """As `Store.attempt`; replicated."""
         super().attempt(number, sent_at, zone)
-        holding = self._knows(number)
+        holding = self._owed_in(number)
         if holding is not None:
             self._replicate(holding, holding.ledger.attempt(number, sent_at, zone))
-        self.out[number] = self.messages[number]
-        self.seen("shot", self.messages[number], zone)
+        self.in_flight[number] = self.messages[number]
+        self.on_event("shot", self.messages[number], zone)
 
     def outcome(self, number: int, outcome: Outcome) -> None:
         """As `Store.outcome`; replicated first."""
-        stored, holding = self.messages.get(number), self._knows(number)
+        stored, holding = self.messages.get(number), self._owed_in(number)
         if stored is not None and stored.out_at and holding is not None:
             # Before the store's own record: after it a completed message would already be over, like any other end.
             self._replicate(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
         # Looked up in `out` too: the record may have gone while the attempt was out (its client left, or another sender
         # has the partition by now), and nobody else would report the receiver's answer. Reported before the record is
         # written, since a full store raises and writes the record later.
-        sent = self.out.pop(number, stored)
+        sent = self.in_flight.pop(number, stored)
         if sent is not None:
-            self.seen("completed" if outcome is Outcome.COMPLETED else "outcome", sent, list(Outcome).index(outcome))
+            self.on_event(
+                "completed" if outcome is Outcome.COMPLETED else "outcome", sent, list(Outcome).index(outcome)
+            )
         super().outcome(number, outcome)
 
     def ended(self, number: int, rejected: bool, wait_ms: int) -> None:
         """As `Store.ended`; replicated first. `wait_ms`: milliseconds."""
-        holding = self._knows(number)
+        holding = self._owed_in(number)
         if holding is not None:
             self._replicate(holding, holding.ledger.ended(number, rejected, wait_ms))
         stored = self.messages.get(number)
         super().ended(number, rejected, wait_ms)
         if stored is not None:
-            self.seen("nacked" if rejected else "written-off", stored, wait_ms)
+            self.on_event("nacked" if rejected else "written-off", stored, wait_ms)
 
     def over(self, number: int) -> None:
         """As `Store.over`; replicated first."""
-        holding = self._knows(number)
+        holding = self._owed_in(number)
         if holding is not None:
             self._replicate(holding, holding.ledger.over(number))
         super().over(number)
@@ -163,24 +182,24 @@
     def flush(self, call: Callable[..., object] | None = None) -> None:
         """As `Store.flush`; with `by_copy`, also wait until every successor has all records so far.
 
-        Raises `NotReplicatedError` if one has not within `within_us`, or if the lease ran out meanwhile.
+        Raises `NotReplicatedError` if one has not within `ack_timeout_us`, or if the lease ran out meanwhile.
         """
         if self.durable or not self.by_copy:
             super().flush(call)
         if not self.by_copy:
             return
-        until = time.monotonic() + self.within_us / 1e6
+        until = time.monotonic() + self.ack_timeout_us / 1e6
         for holding in [each for each in self.holdings.values() if each.serving]:
             index = holding.log.next
             while holding.log.acked(self.successors_of(holding)) < index:
-                if holding.starving(monotonic_time()) or not self._wait(until):
-                    self.starved(holding)
+                if holding.is_starving(monotonic_time()) or not self._wait_for_progress(until):
+                    self.on_replication_timeout(holding)
                     raise NotReplicatedError(
                         f"partition {holding.partition}: "
                         f"{index - holding.log.acked(self.successors_of(holding))} records "
                         f"are not at {', '.join(sorted(self.successors_of(holding)))}"
                     )
-            if not holding.alone_since and not holding.starving(monotonic_time()):
+            if not holding.alone_since and not holding.is_starving(monotonic_time()):
                 # Under load the copies are always a little behind when the node looks. Without this reset a partition
                 # that starved once would be given up half a second later, with all its messages.
                 holding.starved_at = 0
@@ -192,12 +211,12 @@
         """The members that must have a record before it counts as replicated."""
         return (holding.adoption.holder.bound | holding.joining.keys()) - {holding.adoption.me}
 
-    def _wait(self, until: float) -> bool:
+    def _wait_for_progress(self, until: float) -> bool:
         left = until - time.monotonic()
         if left <= 0:
             return False
-        self.news.clear()
-        self.news.wait(left)
+        self.replication_progress.clear()
+        self.replication_progress.wait(left)
         return True
 
     # ---- sessions that move ----
@@ -205,7 +224,7 @@
     def stage(self, stored: StoredMessage, sequence: int, text: str) -> None:
         """Store a message of a session that moves here: inert from its first record on, here and at every successor.
 
-        The caller has already written the mark to disk (`marking`). Raises `NoSpaceError`.
+        The caller has already written the mark to disk (`write_move_marks`). Raises `NoSpaceError`.
         """
         holding = self.holdings[stored.number >> 32]
         self.inert[stored.number] = sequence, text
@@ -221,11 +240,11 @@
             self.inert[number] = sequence, text
         else:
             self.inert.pop(number, None)
-        holding = self._knows(number)
+        holding = self._owed_in(number)
         if holding is not None:
             self._replicate(holding, holding.ledger.moved(number, sequence, text))
 
-    def copied(self, partitions: Iterable[int]) -> Callable[[], bool]:
+    def replication_check(self, partitions: Iterable[int]) -> Callable[[], bool]:
         """Return a check: whether all successors of these partitions have what is in the logs at this moment."""
         upto = {partition: self.holdings[partition].log.next for partition in partitions}
 
@@ -244,15 +263,15 @@
         """The numbers of a partition's messages in the store, in the order in which they were taken."""
         return sorted(number for number in self.messages if number >> 32 == partition)
 
-    def take_in(
+    def import_replica(
         self,
         holding: LeasedPartition,
         facts: Iterable[Fact],
         term: int,
         doubt_at: int,
-        mine: Iterable[int] = (),
-        perhaps: Iterable[int] = (),
-        late: int = 0,
+        unsent: Iterable[int] = (),
+        unacknowledged: Iterable[int] = (),
+        ends_upto: int = 0,
     ) -> None:
         """Store what a copy knew of a partition, under a new term. After `NoSpaceError` what fitted stays.
 
@@ -261,9 +280,9 @@
             facts: what the copy knew.
             term: the new term of the lease.
             doubt_at: wall microseconds from which on updates may be missing; 0: none are.
-            mine: numbers only this member has, from an earlier term that it could not offer (see `only_here`).
-            perhaps: numbers that may or may not have reached a copy then.
-            late: wall microseconds; messages whose deadline is not after it end now.
+            unsent: numbers only this member has, from an earlier term that it could not offer (see `unreplicated`).
+            unacknowledged: numbers that may or may not have reached a replica then.
+            ends_upto: wall microseconds; messages whose deadline is not after it end now.
         """
         marked = [in_doubt(fact, doubt_at) if doubt_at else fact for fact in facts]
         # 'failed', since a holder that was cut off has answered late messages so; 'returned' would be a second,
@@ -271,7 +290,7 @@
         marked = [
             with_end(fact, EndRank.FAILED)
             if fact.base is not None
-            and fact.base.deadline <= late
+            and fact.base.deadline <= ends_upto
             and fact.known.end[0] is EndRank.NONE
             and not (fact.known.move or (0, ""))[1]
             else fact
@@ -279,9 +298,9 @@
         ]
         listed = {fact.number for fact in marked}
         for number in self.numbers(holding.partition):  # held here before: what the copy lacks is over
-            if number in listed or number in mine:
+            if number in listed or number in unsent:
                 holding.ledger.record_message(self.messages[number], b"")
-            elif number in perhaps:
+            elif number in unacknowledged:
                 # A holder in between may have ended it, and nobody can be asked.
                 if self.messages[number].end is None:
                     super().ended(number, False, 0)
@@ -289,11 +308,11 @@
             else:
                 super().over(number)
         changed = holding.ledger.adopt(marked, term)
-        self._take_marks(changed)
+        self._import_move_marks(changed)
         for fact in changed:
-            self._take_change(fact, fact.number not in self.messages)
+            self._import_change(fact, fact.number not in self.messages)
 
-    def resume_own(self, holding: LeasedPartition, term: int) -> None:
+    def resume_ledger(self, holding: LeasedPartition, term: int) -> None:
         """Fill the ledger from the messages that are already in this store, under a new term."""
         if holding.ledger.term:
             holding.ledger.renew(term)
@@ -310,29 +329,25 @@
             holding.partition, term, lambda number: holding.read_for_member(self, number), sorted(holding.ledger.known)
         )
         holding.log.behind = not self.by_copy
-        holding.begun_at = monotonic_time()
-        holding.sent, holding.joining = 0, {}  # an index is one of its log
+        holding.log_started_at = monotonic_time()
+        holding.sent_upto, holding.joining = 0, {}  # an index is one of its log
 
-    def offered(self, holding: LeasedPartition, facts: list[Fact], term: int) -> tuple[list[int], list[int], str]:
+    def merge_offer(self, holding: LeasedPartition, facts: list[Fact], term: int) -> MergedOffer:
         """Join what an earlier holder of the partition knew.
 
         Args:
             holding: the partition, held here.
             facts: what the earlier holder knew.
             term: the newest term in which that member has held the partition.
-
-        Returns:
-            The numbers that are over by it; those that are new or changed here; and, if not empty, the reason why some
-            could not be stored and must be offered again.
         """
-        straight = holding.from_term == term > 0
+        from_direct_predecessor = holding.imported_from_term == term > 0
         before = dict(holding.ledger.known)
         listed = {
             fact.number: fact
             for fact in facts
             if fact.number >> 32 == holding.partition
             # What has ended here must not come back as owed.
-            and fact.number not in holding.finished
+            and fact.number not in holding.ended_numbers
             and (fact.number in before or fact.base is not None and not over(fact.known))
         }
         changed: list[int] = []
@@ -344,16 +359,16 @@
                 super().over(number)
         problem, left = "", all_changed
         try:
-            self._take_marks(all_changed)
+            self._import_move_marks(all_changed)
             for place, joined in enumerate(all_changed):
                 left = all_changed[place:]
                 if joined.known != before.get(joined.number):
-                    if joined.number not in before and not straight:
+                    if joined.number not in before and not from_direct_predecessor:
                         # Another member has held the partition between the two and may have ended the message
                         # without a trace here, so no end other than 'failed' can be claimed.
                         joined = with_end(joined, EndRank.FAILED)
                         holding.ledger.known[joined.number] = joined.known
-                    self._take_change(joined, joined.number not in before)
+                    self._import_change(joined, joined.number not in before)
                     self._replicate(holding, joined)
                     changed.append(joined.number)
         except (OSError, NoSpaceError) as error:
@@ -365,19 +380,19 @@
                     holding.ledger.known[fact.number] = before[fact.number]
                 else:
                     holding.ledger.known.pop(fact.number, None)
-        return ended, changed, problem
+        return MergedOffer(ended, changed, problem)
 
-    def _take_marks(self, facts: Iterable[Fact]) -> None:
+    def _import_move_marks(self, facts: Iterable[Fact]) -> None:
         """Write the marks of moves under way, before the messages themselves are stored."""
         moves = {fact.number: fact.known.move for fact in facts if fact.known.move is not None}
         if moves:
             marks = {number: each for number, each in self.inert.items() if number not in moves}
             marks.update({number: each for number, each in moves.items() if each is not None and each[1]})
             if marks != self.inert:
-                self.marking(marks)
+                self.write_move_marks(marks)
                 self.inert = marks
 
-    def _take_change(self, fact: Fact, new: bool) -> None:
+    def _import_change(self, fact: Fact, new: bool) -> None:
         """Bring the store's record of an adopted message up to date; raises `NoSpaceError` for a new one."""
         if new:
             super().keep(stored_message_of(fact))
@@ -390,7 +405,7 @@
             with suppress(NoSpaceError):
                 super().ended(fact.number, fact.known.end[0] is EndRank.RETURNED, fact.known.end[1])
 
-    def known_here(self, holding: LeasedPartition) -> list[Fact]:
+    def facts_to_offer(self, holding: LeasedPartition) -> list[Fact]:
         """All that this member knows of a partition it has lost: owed messages, and recent changes in the log."""
         facts: dict[int, Fact] = {}
         for data, _ in holding.log.window:
@@ -402,21 +417,20 @@
                 facts[number] = join_facts(facts[number], owed) if number in facts else owed
         return [facts[number] for number in sorted(facts)]
 
-    def only_here(self, holding: LeasedPartition) -> tuple[list[int], list[int]]:
-        """The numbers of owed messages of a lost partition: sent to no copy, and perhaps received by one."""
+    def unreplicated(self, holding: LeasedPartition) -> UnreplicatedMessages:
+        """The owed messages of a lost partition that no other member may have."""
         if not holding.log.term:  # of an earlier process: nobody knows what that has sent
-            return [], [] if self.by_copy else self.numbers(holding.partition)
-        acked = max((follower.acked for follower in holding.log.followers.values()), default=holding.sent)
-        mine: list[int] = []
-        perhaps: list[int] = []
-        first = max(0, min(holding.sent, acked) - holding.log.oldest)
+            return UnreplicatedMessages([], [] if self.by_copy else self.numbers(holding.partition))
+        acked = max((follower.acked for follower in holding.log.followers.values()), default=holding.sent_upto)
+        found = UnreplicatedMessages([], [])
+        first = max(0, min(holding.sent_upto, acked) - holding.log.oldest)
         for index, (data, _) in enumerate(islice(holding.log.window, first, None), holding.log.oldest + first):
             for fact in decode_facts(together([data])):
                 if fact.base is not None and fact.number in holding.ledger.known and fact.number in self.messages:
-                    (mine if index >= holding.sent else perhaps).append(fact.number)
-        return mine, perhaps
+                    (found.unsent if index >= holding.sent_upto else found.unacknowledged).append(fact.number)
+        return found
 
-    def rekey(self, numbers: Iterable[int], failed: bool = False) -> Iterator[int]:
+    def renumber(self, numbers: Iterable[int], failed: bool = False) -> Iterator[int]:
         """Move messages that nobody else has to the open partition; yields their new numbers.
 
         `failed`: they end as failed, since another member may have had them. So does a message whose body cannot be
@@ -435,7 +449,7 @@
                 raise NoSpaceError("a message cannot be taken over into the open partition")
             self.next_number += 1
             if number in self.inert:
-                self.marking(self.inert | {new.number: self.inert[number]})
+                self.write_move_marks(self.inert | {new.number: self.inert[number]})
                 self.stage(new, *self.inert[number])
                 del self.inert[number]  # only now: before `stage` the old number would be live
             else:
@@ -443,20 +457,20 @@
             yield new.number
             super().over(number)
 
-    def forget(self, partition: int) -> None:
+    def remove_partition(self, partition: int) -> None:
         """Remove a partition that another member answers for from this store; nothing is replicated or answered."""
         for number in self.numbers(partition):
             super().over(number)
         self.holdings.pop(partition, None)
-        if self.current is not None and self.current.partition == partition:
-            self.current = None
+        if self.open_partition is not None and self.open_partition.partition == partition:
+            self.open_partition = None
 
-    def _knows(self, number: int) -> LeasedPartition | None:
+    def _owed_in(self, number: int) -> LeasedPartition | None:
         holding = self.holdings.get(number >> 32)
         return holding if holding is not None and number in holding.ledger.known else None
 
     def _replicate(self, holding: LeasedPartition, fact: Fact) -> None:
         holding.log.append(fact, monotonic_time())
-        if over(fact.known) and holding.from_term:
-            holding.finished.add(fact.number)
-        self.news.set()
+        if over(fact.known) and holding.imported_from_term:
+            holding.ended_numbers.add(fact.number)
+        self.replication_progress.set()
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from cedarwick.fleet import placement
-from cedarwick.fleet.leased_partition import STARVED, LeasedPartition
+from cedarwick.fleet.leased_partition import STARVED_US, LeasedPartition
 from cedarwick.fleet.limits import COPY_TRUST_US, MAX_LAG_FACTS, MAX_LAG_US, REPLICATE_PAUSE_S, REPLICATE_TIMEOUT_S
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
@@ -36,10 +36,10 @@
         while holding.log.followers.get(name) is follower and name in self.halls:
             message = follower.next(monotonic_time())
             if message is None:
-                self.store.news.clear()
-                self.store.news.wait(0.05)
+                self.store.replication_progress.clear()
+                self.store.replication_progress.wait(0.05)
                 continue
-            holding.sent = max(holding.sent, follower.sent)
+            holding.sent_upto = max(holding.sent_upto, follower.sent)
             gevent.spawn(self._send, follower, name, message)
             gevent.sleep(0 if self.store.by_copy else REPLICATE_PAUSE_S)
         self.pumps.pop((holding.partition, name), None)
@@ -53,7 +53,7 @@
             follower.have(monotonic_time(), answer.body, answer.incarnation)
         elif answer is not None and isinstance(answer.body, Digests):
             follower.digests(monotonic_time(), answer.body, answer.incarnation)
-        self.store.news.set()
+        self.store.replication_progress.set()
 
     def _wanted(self, holding: LeasedPartition) -> list[str]:
         """The members that are to have copies of a partition."""
@@ -77,7 +77,7 @@
         holder = holding.adoption.holder
         wanted = self._wanted(holding)
         whole = self._whole(now, holding, wanted)
-        if holding.starving(now) and self.settings.alone == "own" and not self._back(now, holding, whole):
+        if holding.is_starving(now) and self.settings.alone == "own" and not self._back(now, holding, whole):
             holder.name(now, ())
             holding.joining = {}
             return
@@ -100,7 +100,7 @@
         bound, log = holding.adoption.holder.bound, holding.log
         joining = {name: holding.joining.get(name, (log.next, now)) for name in whole if name not in bound}
         for name, (index, since) in joining.items():
-            if log.acked([name]) < index and now - since > STARVED:
+            if log.acked([name]) < index and now - since > STARVED_US:
                 self.full_at[name] = now  # it does not keep up: another one is asked
         if joining.keys() - holding.joining.keys() and holding.alone_since:
             logger.info("partition {}: copies follow again", holding.partition)
@@ -135,10 +135,10 @@
             if self.settings.alone == "own" and not holding.alone_since:
                 logger.warning("partition {}: goes on without a copy", holding.partition)
                 holding.alone_since = now
-                holding.starved_at = holding.starved_at or now - STARVED
+                holding.starved_at = holding.starved_at or now - STARVED_US
             return self.settings.alone == "own"
         if holding.starved_at and holding.log.acked(successors) >= holding.log.next:
-            if holding.alone_since or holding.starving(now):
+            if holding.alone_since or holding.is_starving(now):
                 logger.info("partition {}: copies follow again", holding.partition)
             holding.starved_at = holding.alone_since = 0
-        return not holding.starving(now)
+        return not holding.is_starving(now)
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -188,7 +188,7 @@
                 partition in self.store.holdings and self.store.holdings[partition].serving for partition in partitions
             ):
                 continue
-            if not giving and not self.store.copied(partitions)():
+            if not giving and not self.store.replication_check(partitions)():
                 continue
             logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
             self.act(self.moves.found(name, self.store.messages[numbers[0]].turn, giving, now))
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -96,7 +96,7 @@
 
     def _bind(self) -> None:
         """Called before each ruling: after a change of the open partition no held session is certain any more."""
-        current = self.store.current
+        current = self.store.open_partition
         if current is not None and current.partition != self.partition:
             if self.partition:
                 self.directory.unsure()
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -121,7 +121,7 @@
             self.disk,
             now=clock.now,
             by_copy=day.table.ack == "copy",
-            within_us=round(day.table.ack_within_ms * 1000),
+            ack_timeout_us=round(day.table.ack_within_ms * 1000),
         )
         self.dispatcher = dispatcher = Dispatcher(assignment, clock, counters, self.store, cast(PollClock, clock))
         self.store.load()
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -420,7 +420,7 @@
         bodies=bodies,
         segment=segment,
         by_copy=fleet.ack == "copy",
-        within_us=round(fleet.ack_within_ms * 1000),
+        ack_timeout_us=round(fleet.ack_within_ms * 1000),
     )
 
 
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -17,7 +17,7 @@
 from cedarwick.fleet import limits
 from cedarwick.fleet.consensus import parts
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError
-from cedarwick.fleet.leased_partition import STARVED, LeasedPartition
+from cedarwick.fleet.leased_partition import STARVED_US, LeasedPartition
 from cedarwick.fleet.leases import SPAN, UPTO, LeaseGrantor, right_of
 from cedarwick.fleet.member_state import MembershipChangeError
 from cedarwick.fleet.membership import MemberStatus
@@ -44,7 +44,7 @@
 from cedarwick.fleet.order_key_hints import EVERY, LASTS
 from cedarwick.fleet.replica import Replica
 from cedarwick.fleet.replicated_store import (
-    BLOCK,
+    NUMBERS_PER_RESERVATION,
     NotReplicatedError,
     ReplicatedStore,
     monotonic_time,
@@ -119,7 +119,7 @@
         """The member has held the partition; and holds it now, where a majority has granted it that term."""
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
         holding = node._hold(PARTITION)
-        node.store.resume_own(holding, term)
+        node.store.resume_ledger(holding, term)
         node.store.begin_log(holding, term)
         holding.imported = True
         now = monotonic_time()
@@ -278,17 +278,17 @@
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         first = slot_of("a") << 12
-        node._note(first, 1, ((first + 1) << 32) - BLOCK - 1)
+        node._note(first, 1, ((first + 1) << 32) - NUMBERS_PER_RESERVATION - 1)
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node.start(mock.Mock())
             node.look(monotonic_time())
-            assert node.store.current is not None
-            self.assertEqual(node.store.current.partition, first)
-            node.store.current.serving = True
-            node.store.current.adoption.holder.may_fire = lambda now: True  # type: ignore[method-assign]
+            assert node.store.open_partition is not None
+            self.assertEqual(node.store.open_partition.partition, first)
+            node.store.open_partition.serving = True
+            node.store.open_partition.adoption.holder.may_fire = lambda now: True  # type: ignore[method-assign]
             self.assertFalse(node.store.has_room(kept(1)))
             node.look(monotonic_time())
-        self.assertEqual((node.store.current.partition, node.adoptions[first].open), (first + 1, False))
+        self.assertEqual((node.store.open_partition.partition, node.adoptions[first].open), (first + 1, False))
         self.assertEqual(node.store.next_number, (first + 1 << 32) + 1)
 
     def test_what_was_closed_while_a_member_was_away_leaves_its_table(self) -> None:
@@ -320,7 +320,7 @@
             holding = self.holding(node, granted=granted is True)
             node.store.keep(kept(1, life=100_000))
             node.store.keep(kept(2))
-            holding.serving, holding.offered, holding.approached = serving, offered, offered
+            holding.serving, holding.offered, holding.offer_sent = serving, offered, offered
             if granted is None:
                 holding.adoption.stage = TakeoverStage.GONE
             elif isinstance(granted, str):
@@ -365,8 +365,8 @@
             [1, 3]
         )  # no majority grants a partition: one ends, one has its notice owed
         holding = self.holding(node)
-        holding.serving, node.store.current = True, holding
-        node.store.next_number, holding.reserved = number(1), number(9)
+        holding.serving, node.store.open_partition = True, holding
+        node.store.next_number, holding.reserved_upto = number(1), number(9)
         with mock.patch.object(node.store, "has_room", side_effect=[True, False, True]):
             for left in ([2, 3], [3]):
                 node._answer_late(monotonic_time(), few=False)
@@ -390,7 +390,7 @@
         holding = self.holding(node)
         holding.log.term, holding.adoption._resume = 0, False
         with (
-            mock.patch.object(node.store, "resume_own", side_effect=NoSpaceError("full")),
+            mock.patch.object(node.store, "resume_ledger", side_effect=NoSpaceError("full")),
             mock.patch("cedarwick.fleet.node.gevent.spawn"),
         ):
             node._import(monotonic_time(), holding.adoption)
@@ -424,10 +424,10 @@
     def test_no_second_attempt_goes_out_under_a_new_number_beside_the_first(self) -> None:
         node = self.member("own")
         holding = self.holding(node)
-        holding.serving, node.store.current = True, holding
+        holding.serving, node.store.open_partition = True, holding
         node.store.keep(kept(1))
         node.store.attempt(number(1), CLOCK.now(), 0)
-        with mock.patch.object(node, "_rekey") as rekey:
+        with mock.patch.object(node, "_renumber") as rekey:
             node._drop(PARTITION)
             rekey.assert_not_called()
             self.assertIn(PARTITION, node.adoptions)
@@ -437,15 +437,15 @@
         ways: tuple[Callable[[ReplicatedStore], object], ...] = (
             lambda store: None,
             lambda store: store.over(number(1)),  # its client had left
-            lambda store: store.forget(PARTITION),  # another sender has its partition
-            lambda store: store.offered(store.holdings[PARTITION], [done], 1),  # an earlier holder has ended it
+            lambda store: store.remove_partition(PARTITION),  # another sender has its partition
+            lambda store: store.merge_offer(store.holdings[PARTITION], [done], 1),  # an earlier holder has ended it
         )
         for gone in ways:
             for outcome, kind in ((Outcome.COMPLETED, "completed"), (Outcome.TIME_OUT, "outcome")):
                 node, seen = self.member(), mock.Mock()
                 self.holding(node)
                 store = node.store
-                store.seen = seen
+                store.on_event = seen
                 store.keep(kept(1))
                 store.attempt(number(1), CLOCK.now(), 0)
                 gone(store)
@@ -454,12 +454,12 @@
                     [(call.args[0], call.args[1].id) for call in seen.mock_calls],
                     [("taken", "id-1"), ("shot", "id-1"), (kind, "id-1")],
                 )
-                self.assertEqual(store.out, {})
+                self.assertEqual(store.in_flight, {})
 
     def test_what_only_this_member_has_is_never_forgotten_for_want_of_room_or_at_the_end(self) -> None:
         node = self.member("own")
         holding = self.holding(node)
-        holding.serving, node.store.current = True, holding
+        holding.serving, node.store.open_partition = True, holding
         holding.adoption.holder.name(monotonic_time(), ())
         for index in (1, 2, 3):
             node.store.keep(kept(index))
@@ -468,7 +468,7 @@
         node.adoptions[PARTITION + 1] = opened
         fresh = node._hold(PARTITION + 1)
         fresh.serving, opened.holder.may_fire = True, lambda now: True  # type: ignore[method-assign]
-        node.store.current, node.store.next_number, fresh.reserved = (
+        node.store.open_partition, node.store.next_number, fresh.reserved_upto = (
             fresh,
             (PARTITION + 1 << 32) + 1,
             (PARTITION + 1 << 32) + 99,
@@ -497,7 +497,7 @@
         step = copy.piece(holding.log.piece(0, EVERYTHING))
         assert step.entry is not None
         copy.take(step.entry, step.facts)
-        for told in (copy.held[number(1)], *node.store.known_here(holding)):
+        for told in (copy.held[number(1)], *node.store.facts_to_offer(holding)):
             self.assertEqual((told.base is not None, told.known.end[0]), (True, EndRank.FAILED))
         self.assertEqual(holding.ledger.known[number(1)].end[0], EndRank.NONE)  # it may yet be read here
 
@@ -551,7 +551,7 @@
     def test_a_partition_that_starved_once_follows_again_by_one_round_in_time(self) -> None:
         node = self.member()
         holding, now = self.holding(node), monotonic_time()
-        node.store.starved = node._starved
+        node.store.on_replication_timeout = node._starved
         holder = holding.adoption.holder
         holder.name(now, ["b"])
         for name in NAMES:
@@ -563,14 +563,17 @@
             successor.have(monotonic_time(), ReplicaAck(PARTITION, 1, index, "", EVERYTHING), 1)
 
         node.store.keep(kept(1))
-        with mock.patch.object(node.store, "within_us", 0), self.assertRaisesRegex(NotReplicatedError, "are not at b"):
+        with (
+            mock.patch.object(node.store, "ack_timeout_us", 0),
+            self.assertRaisesRegex(NotReplicatedError, "are not at b"),
+        ):
             node.store.flush()
         self.assertTrue(holding.starved_at)
         has(1)
         node.store.flush()
         node.store.keep(kept(2))  # under load something is always on its way
-        self.assertTrue(node._copied(monotonic_time() + STARVED, holding))
-        holding.starved_at = monotonic_time() - 2 * STARVED
+        self.assertTrue(node._copied(monotonic_time() + STARVED_US, holding))
+        holding.starved_at = monotonic_time() - 2 * STARVED_US
         with self.assertRaisesRegex(NotReplicatedError, "are not at b"):
             node.store.flush()
         self.assertFalse(node._copied(monotonic_time(), holding))
@@ -584,7 +587,7 @@
     def test_a_copy_becomes_a_successor_once_it_has_all_that_came_before_it_was_waited_for(self) -> None:
         node = self.member()
         holding = self.holding(node)
-        holding.serving, node.store.current = True, holding
+        holding.serving, node.store.open_partition = True, holding
         node.alive = list(NAMES)
         name, other = node._wanted(holding)[0], ({"b", "c"} - set(node._wanted(holding))).pop()
         follower = holding.log.follow(name, monotonic_time())
@@ -607,7 +610,7 @@
         now = monotonic_time()
         node._name_successors(now, holding)
         self.assertEqual(node.store.successors_of(holding), {name})
-        node._name_successors(now + STARVED + 1, holding)
+        node._name_successors(now + STARVED_US + 1, holding)
         self.assertEqual(node.store.successors_of(holding), set())  # it does not keep up
         node.full_at = {each: monotonic_time() for each in node.full_at}
         self.assertEqual(node._wanted(holding), [other])
@@ -625,7 +628,7 @@
         adoption = again.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
         adoption.stage = TakeoverStage.OFFERING
         holding = again._hold(PARTITION)
-        self.assertEqual(again.store.only_here(holding), ([], [number(1)]))
+        self.assertEqual(again.store.unreplicated(holding), ([], [number(1)]))
         offers: list[Any] = []
 
         def call(name: str, body: Body, within_s: float) -> Body:
@@ -696,7 +699,7 @@
                 (holding, {7}),
                 (None, {5, 7}),
             ):  # in the open partition 5 waits for c by itself
-                node.store.current = open_partition
+                node.store.open_partition = open_partition
                 node._backlog(holding)
                 node._owe(now)
                 self.assertEqual(node.owing.sent_keys, told)
@@ -738,13 +741,13 @@
             adoption.holder.term = term
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
                 node._import(monotonic_time(), adoption)
-            self.assertEqual(node.store.holdings[PARTITION].from_term, from_term)
+            self.assertEqual(node.store.holdings[PARTITION].imported_from_term, from_term)
 
     def test_an_adopted_partition_is_kept_for_what_its_last_holder_may_offer(self) -> None:
         for from_term, waits in ((1, True), (0, False)):
             node = self.member()
             holding = self.holding(node)
-            holding.from_term = from_term
+            holding.imported_from_term = from_term
             now = monotonic_time()
             self.assertEqual(node._expects_offer(now, holding), waits)
             self.assertFalse(node._expects_offer(now + limits.OFFER_EXPECTED_US, holding))
@@ -762,7 +765,7 @@
             super(ReplicatedStore, store).keep(kept(index))
         soon = CLOCK.now() + 300_000
         moving = msgspec.structs.replace(fact(6, life=0), known=MessageKnowledge(move=(1, "<1/a/b")))
-        store.take_in(holding, [fact(1), fact(2, life=0), moving], 2, 0, [number(3)], [number(4)], soon)
+        store.import_replica(holding, [fact(1), fact(2, life=0), moving], 2, 0, [number(3)], [number(4)], soon)
         ends = {index: store.messages[number(index)].end for index in range(1, 7) if number(index) in store.messages}
         self.assertEqual(ends, {1: None, 2: (False, 0), 3: None, 4: (False, 0), 6: None})  # it is on the move
         self.assertEqual(holding.ledger.known[number(4)].end[0], EndRank.FAILED)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -109,11 +109,11 @@
         node.members.state = lambda now, name: MemberStatus.ALIVE  # type: ignore[method-assign]
         partition = slot_of(name) << 12
         adoption: Any = SimpleNamespace(me=name, holder=SimpleNamespace(bound=frozenset(), may_fire=lambda now: True))
-        holding = store.holdings[partition] = store.current = LeasedPartition(partition, adoption)
+        holding = store.holdings[partition] = store.open_partition = LeasedPartition(partition, adoption)
         holding.ledger = FactLedger(0)
-        store.resume_own(holding, 1)
+        store.resume_ledger(holding, 1)
         store.begin_log(holding, 1)
-        holding.serving, holding.reserved = True, (partition + 1) << 32
+        holding.serving, holding.reserved_upto = True, (partition + 1) << 32
         store.next_number = max([partition << 32, *store.numbers(partition)]) + 1
         assert node.traffic is not None
         made = node.traffic
@@ -357,8 +357,8 @@
         self.assertEqual(sorted(kept.id for kept in c.store.messages.values()), ["2b", "2c"])
         # It wakes, and has its next partition; what it had taken and told to nobody is neither answered nor delivered.
         self.lose = lambda to, body: ""
-        a.store.current = LeasedPartition(partition + 1, a.store.holdings[partition].adoption)
-        a.store.current.serving = True
+        a.store.open_partition = LeasedPartition(partition + 1, a.store.holdings[partition].adoption)
+        a.store.open_partition.serving = True
         self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.KEPT)
         self.assertEqual((a.dispatcher.submitted, a.directory.where(KEY)), (1, "c"))  # type: ignore[attr-defined]
         ((number, kept),) = a.store.messages.items()
