--- a/cedarwick/fleet/heartbeats.py
+++ b/cedarwick/fleet/heartbeats.py
@@ -16,18 +16,18 @@
 class Heartbeats(MemberState):
     """Sends this member's heartbeat and takes those of the others."""
 
-    def _beat(self, name: str) -> None:
+    def _exchange_heartbeats(self, name: str) -> None:
         """Exchange heartbeats with another member; returns once that one is no member any more."""
         while name in self.halls:
             began = monotonic_time()
-            answer = self._call(name, self._own_beat(), CALL_TIMEOUT_S)
+            answer = self._call(name, self._own_heartbeat(), CALL_TIMEOUT_S)
             took = monotonic_time() - began
             if isinstance(answer, Heartbeat):
-                self._heard(name, self.gate.newest.get(name, 0), answer)
+                self._receive_heartbeat(name, self.gate.newest.get(name, 0), answer)
             self.members.slow(monotonic_time(), name, took)
             gevent.sleep(max(0.0, HEARTBEAT_INTERVAL_S - took / 1e6))
 
-    def _heard(self, name: str, incarnation: int, beat: Heartbeat) -> None:
+    def _receive_heartbeat(self, name: str, incarnation: int, beat: Heartbeat) -> None:
         """Take a heartbeat of the given boot of a member: note which partitions it serves, and whether it restarted."""
         before = self.members.incarnation_of(name)
         now = monotonic_time()
@@ -35,19 +35,19 @@
             terms = {right.partition: right.term for right in beat.rights}
             for partition, adoption in self.adoptions.items():
                 if partition in terms:
-                    self.served[partition] = name, now
+                    self.reported_serving[partition] = name, now
                     # At least the newest term known here: one that was asked for in vain must not hide the holder.
                     term = max(terms[partition], adoption.holder.term, self.grantor.grant(right_of(partition)).term)
                     adoption.holder.newer = max(adoption.holder.newer, (term, name))
-                elif partition in self.served and self.served[partition][0] == name:
-                    del self.served[partition]
+                elif partition in self.reported_serving and self.reported_serving[partition][0] == name:
+                    del self.reported_serving[partition]
         if 0 < before < incarnation:
-            self.reborn[name] = now
+            self.restarted_at[name] = now
             for holding in self.store.holdings.values():
                 if name in holding.log.followers:
                     holding.log.followers[name].lost()  # its replica may have been lost with the restart
 
-    def _own_beat(self) -> Heartbeat:
+    def _own_heartbeat(self) -> Heartbeat:
         """This member's heartbeat as of now; while it leaves it names no partition."""
         now = monotonic_time()
         rights = tuple(
--- a/cedarwick/fleet/held_partitions.py
+++ b/cedarwick/fleet/held_partitions.py
@@ -6,7 +6,7 @@
 from cedarwick.fleet.fleet_files import LeaseRecord
 from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.leases import right_of
-from cedarwick.fleet.limits import IDLE_HOLDER_US, REBORN_ASKS_US
+from cedarwick.fleet.limits import IDLE_HOLDER_US, RESTARTED_REQUESTS_US
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.replicated_store import NUMBERS_PER_RESERVATION
@@ -16,21 +16,21 @@
 class HeldPartitions(MemberState):
     """Keeps the records of partitions and of their reserved message numbers."""
 
-    def _follow(self, partition: int) -> None:
+    def _follow_partition(self, partition: int) -> None:
         """Begin to follow a partition of which this member has a replica."""
         if partition not in self.adoptions:
-            self.adoptions[partition] = Takeover(partition, self.name, self.halls, self._term_of(partition))
+            self.adoptions[partition] = Takeover(partition, self.name, self.halls, self._recorded_term(partition))
 
-    def _term_of(self, partition: int) -> int:
+    def _recorded_term(self, partition: int) -> int:
         """The term in the lease record of a partition; 0 without one."""
         return self.held[partition].term if partition in self.held else 0
 
-    def _first_number(self, partition: int) -> int:
+    def _first_unused_number(self, partition: int) -> int:
         """The first message number of a partition that is surely unused."""
         upto = self.held[partition].upto if partition in self.held else partition << 32
         return max([upto, partition << 32, *self.store.numbers(partition)]) + 1
 
-    def _reserve(self, holding: LeasedPartition) -> None:
+    def _reserve_numbers(self, holding: LeasedPartition) -> None:
         """Reserve the next block of message numbers on the disk, before the first of them is used; raises OSError."""
         upto = self.store.next_number + NUMBERS_PER_RESERVATION
         if (upto >> 32) != holding.partition:
@@ -38,16 +38,16 @@
             if self.ownership is not None:
                 self.ownership.full = holding is self.store.open_partition
             return
-        self._note(holding.partition, holding.adoption.holder.term, upto)
+        self._record_lease(holding.partition, holding.adoption.holder.term, upto)
         holding.reserved_upto = upto
 
-    def _note(self, partition: int, term: int, upto: int) -> None:
+    def _record_lease(self, partition: int, term: int, upto: int) -> None:
         """Raise term and end of the reserved numbers in a lease record, and write all records; raises OSError."""
         before = self.held.get(partition, LeaseRecord(partition, 0, 0))
         self.held[partition] = LeaseRecord(partition, max(term, before.term), max(upto, before.upto))
         self.lasting.write_held(list(self.held.values()))
 
-    def _hold(self, partition: int) -> LeasedPartition:
+    def _hold_partition(self, partition: int) -> LeasedPartition:
         """The `LeasedPartition` of a partition that this sender is about to hold, made where there is none."""
         if partition not in self.store.holdings:
             self.store.holdings[partition] = LeasedPartition(partition, self.adoptions[partition])
@@ -55,28 +55,28 @@
         holding.adoption = self.adoptions[partition]
         return holding
 
-    def _newest(self, adoption: Takeover) -> str:
+    def _presumed_holder(self, adoption: Takeover) -> str:
         """The presumed holder of a partition; empty where none is known."""
         grant, (term, holder) = self.grantor.grant(right_of(adoption.partition)), adoption.holder.newer
         # At equal terms the report counts: the own grantor may have granted a term to this member while a majority
         # granted it to another.
         return grant.holder if grant.term > term else holder
 
-    def _standing(self, now: int, name: str, adoption: Takeover) -> MemberStatus:
+    def _status_for(self, now: int, name: str, adoption: Takeover) -> MemberStatus:
         """A member's status as to a partition: its presumed holder counts as dead where it does not serve it."""
         partition, grant = adoption.partition, self.grantor.grant(right_of(adoption.partition))
         term, holder = adoption.holder.newer
         holder = grant.holder if grant.term > term else holder
-        if self.claimed.get(partition, ("", 0))[0] != holder:
-            self.claimed[partition] = holder, now
+        if self.presumed_holders.get(partition, ("", 0))[0] != holder:
+            self.presumed_holders[partition] = holder, now
         state = self.members.state(now, name)
         if name == holder and state is MemberStatus.ALIVE:
-            who, at = self.served.get(partition, ("", 0))
-            reborn = self.reborn.get(name, 0)
+            who, at = self.reported_serving.get(partition, ("", 0))
+            restarted_at = self.restarted_at.get(name, 0)
             # The first heartbeats after a restart name no partition. Counted from before the restart the member would
             # be idle at once, and lose the partition before it can ask for it, with ends that no replica has.
-            idle_since = max(self.claimed[partition][1], at if who == name else 0, reborn)
+            idle_since = max(self.presumed_holders[partition][1], at if who == name else 0, restarted_at)
             # A restarted member would have asked for the partition by now; an idle one has asked in vain.
-            if at < reborn <= now - REBORN_ASKS_US or idle_since <= now - IDLE_HOLDER_US:
+            if at < restarted_at <= now - RESTARTED_REQUESTS_US or idle_since <= now - IDLE_HOLDER_US:
                 return MemberStatus.DEAD
         return state
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -21,13 +21,13 @@
         settled within a moment and its holder answers: an answer from here would be a second, maybe different one.
         """
         soon = self.clock.now() + ANSWER_AHEAD_US
-        self._before_the_fleet(soon)
+        self._answer_pre_fleet_messages(soon)
         for holding in list(self.store.holdings.values()):
             stage = holding.adoption.stage
             held = stage is TakeoverStage.HOLDING and holding.imported
             ours = held and holding.adoption.holder.may_fire(now)
             # Also partitions that no majority grants to anybody, as after a restart: nobody else would answer them.
-            unheld = held and not ours or self._nobodys(holding.adoption)
+            unheld = held and not ours or self._has_no_holder(holding.adoption)
             holding.unheld_since = (holding.unheld_since or now) if unheld else 0
             if holding.serving or self.leaving:
                 continue
@@ -39,7 +39,7 @@
             if stage is TakeoverStage.OFFERING:
                 # Nobody else can answer what no replica was sent and nobody was offered. An offer without an answer
                 # may have been stored, and the new holder may have answered the message otherwise.
-                heard = self.members.state(now, self._newest(holding.adoption)) is MemberStatus.ALIVE
+                heard = self.members.state(now, self._presumed_holder(holding.adoption)) is MemberStatus.ALIVE
                 if not heard and not holding.offer_sent:
                     numbers = self.store.unreplicated(holding).unsent
             elif ours or few:
@@ -54,18 +54,18 @@
             if late:
                 self.dispatcher.answer_late(late)
 
-    def _nobodys(self, adoption: Takeover) -> bool:
+    def _has_no_holder(self, adoption: Takeover) -> bool:
         """Whether this member asks for a partition, or will, and no other member is known to have held it since."""
         waits = adoption.stage in (TakeoverStage.FOLLOWING, TakeoverStage.WAITING, TakeoverStage.ASKING)
-        return waits and self._newest(adoption) in ("", self.name)
+        return waits and self._presumed_holder(adoption) in ("", self.name)
 
-    def _before_the_fleet(self, soon: int) -> None:
+    def _answer_pre_fleet_messages(self, soon: int) -> None:
         """Move messages from before this sender was a member to the open partition; answer those near their deadline.
 
         `soon`: wall clock microseconds; deadlines up to it are near. No other member has these messages.
         """
-        numbers = self.store.numbers(0) if self.before else []
-        self.before = bool(numbers)
+        numbers = self.store.numbers(0) if self.has_pre_fleet_messages else []
+        self.has_pre_fleet_messages = bool(numbers)
         owed = [number for number in numbers if self.store.messages[number].end is None]
         if owed and self.store.taking():
             self._renumber(owed)
--- a/cedarwick/fleet/lease_exchange.py
+++ b/cedarwick/fleet/lease_exchange.py
@@ -16,18 +16,18 @@
 class LeaseExchange(MemberState):
     """Answers lease requests, keeps the grantor's table on the disk, and sends lease requests to the others."""
 
-    def _answer_ask(self, ask: LeaseRequest) -> LeaseReply:
+    def _answer_lease_request(self, ask: LeaseRequest) -> LeaseReply:
         """Answer a lease request once the grant is on the disk; OSError where it cannot be written."""
-        reply = self._granted(ask)
+        reply = self._grant(ask)
         self._write_table(ask.right)
         return reply
 
-    def _granted(self, ask: LeaseRequest) -> LeaseReply:
+    def _grant(self, ask: LeaseRequest) -> LeaseReply:
         """The own grantor's answer. It must not be sent or counted before `_write_table` of its right has returned."""
         reply = self.grantor.ask(monotonic_time(), ask)
         if self.grantor.dirty:
-            self.changed += 1
-            self.changed_at[ask.right] = self.changed
+            self.grants_version += 1
+            self.unwritten_grants[ask.right] = self.grants_version
             self.grantor.dirty = False
         return reply
 
@@ -37,27 +37,29 @@
         A grant that was answered and is not on the disk could be granted to another member after a restart.
         """
         if self.grantor.dirty:
-            self.changed += 1
+            self.grants_version += 1
             self.grantor.dirty = False
-        wanted = self.changed_at.get(right, 0) if right else self.changed
-        while self.written < wanted:
-            if self.writing:
+        wanted = self.unwritten_grants.get(right, 0) if right else self.grants_version
+        while self.written_grants_version < wanted:
+            if self.writing_grants:
                 gevent.sleep(0.001)
                 continue
-            self.writing, upto, table = True, self.changed, self.grantor.table()
+            self.writing_grants, upto, table = True, self.grants_version, self.grantor.table()
             try:
                 # In a thread: a rename on a busy disk may take seconds; a process blocked so long loses its leases.
                 gevent.get_hub().threadpool.apply(self.lasting.write_table, (table,))
             finally:
-                self.writing = False
-            self.written = upto
-            self.changed_at = {each: at for each, at in self.changed_at.items() if at > upto}
+                self.writing_grants = False
+            self.written_grants_version = upto
+            self.unwritten_grants = {
+                right: version for right, version in self.unwritten_grants.items() if version > upto
+            }
 
-    def _learn(self, now: int) -> None:
+    def _learn_grants(self, now: int) -> None:
         """Request the tables of others that the own grantor needs after it lost its table."""
         for name in self.grantor.wants(now):
-            if name not in self.asking:
-                self.asking.add(name)
+            if name not in self.tables_requested:
+                self.tables_requested.add(name)
                 gevent.spawn(self._ask_table, name)
 
     def _ask_table(self, name: str) -> None:
@@ -69,9 +71,9 @@
             self._write_table()
         if not isinstance(answer, GrantTable) or answer.learning:
             gevent.sleep(HEARTBEAT_INTERVAL_S)
-        self.asking.discard(name)
+        self.tables_requested.discard(name)
 
-    def _closed_elsewhere(self, name: str) -> None:
+    def _learn_closed_partitions(self, name: str) -> None:
         """Learn from another member which partitions were closed while this member was away.
 
         Closed partitions leave the table in order only: one that is wrongly taken for open would keep all later ones
@@ -82,13 +84,13 @@
             self.grantor.closed_elsewhere(answer)
             self._guarded(self._write_table)
 
-    def _give_up(self, ask: LeaseRequest) -> None:
+    def _release_lease(self, ask: LeaseRequest) -> None:
         """Release a lease at the own grantor and at all others."""
-        self._guarded(self._answer_ask, ask)
+        self._guarded(self._answer_lease_request, ask)
         for name in self.peers.names():
             gevent.spawn(self._call, name, ask, CALL_TIMEOUT_S)
 
-    def _ask_all(self, adoption: Takeover, ask: LeaseRequest, reply: LeaseReply, sent_at: int) -> None:
+    def _request_lease(self, adoption: Takeover, ask: LeaseRequest, reply: LeaseReply, sent_at: int) -> None:
         """Send a lease request to the others, once the own grantor's answer is on the disk."""
         try:
             # The own grantor first: then after a restart each term that was ever asked for is known, and never reused.
@@ -100,9 +102,9 @@
             return  # it was given up meanwhile
         adoption.holder.answered(monotonic_time(), sent_at, self.name, reply)
         for name in self.peers.names():
-            gevent.spawn(self._ask, adoption, name, ask, sent_at)
+            gevent.spawn(self._request_lease_from, adoption, name, ask, sent_at)
 
-    def _ask(self, adoption: Takeover, name: str, ask: LeaseRequest, sent_at: int) -> None:
+    def _request_lease_from(self, adoption: Takeover, name: str, ask: LeaseRequest, sent_at: int) -> None:
         """Send a lease request to one member and pass its answer to the lease holder."""
         answer = self._call(name, ask, CALL_TIMEOUT_S)
         if isinstance(answer, LeaseReply):
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -78,9 +78,11 @@
         table = self.lasting.table()
         known = table.grants if table is not None and not table.learning else None
         self.grantor = LeaseGrantor(name, self.halls, now, known)
-        self.changed = self.written = 0  # counts the states of its table: the newest, and that on the disk
-        self.changed_at: dict[str, int] = {}  # by right: the state with its newest row, where that is not on the disk
-        self.writing = False
+        # Versions of its table: the newest, and that on the disk.
+        self.grants_version = self.written_grants_version = 0
+        # By right: the version with its newest row, where that is not on the disk.
+        self.unwritten_grants: dict[str, int] = {}
+        self.writing_grants = False
         self.copies = ReplicaStore(
             ReplicaFolder(self.lasting.copies),
             round(settings.copies_mb * (1 << 20)),
@@ -91,24 +93,28 @@
         self.held = {held.partition: held for held in self.lasting.held()}
         self.ownership: Ownership | None = None
         self.dispatcher: PartitionDispatcher
-        self.shipped_at: dict[int, int] = {}  # by partition: when its holder last wrote to the copy here
+        self.replica_written_at: dict[int, int] = {}  # by partition: when its holder last wrote to the copy here
         self.begun_at = now
-        self.before = True  # whether messages may be left that were taken before this sender was a member
-        self.doubted: set[int] = set()  # partitions of a damaged folder: successors may have more of their records
-        self.reborn: dict[str, int] = {}  # when a member was first heard under a newer incarnation than before
-        self.served: dict[int, tuple[str, int]] = {}  # by partition: which member reported that it serves it, and when
-        self.claimed: dict[int, tuple[str, int]] = {}  # by partition: the presumed holder, and since when
-        self.full_at: dict[str, int] = {}  # when a member has refused to keep a copy
-        self.asking: set[str] = set()  # grantors whose tables were asked for and have not come
+        # Whether messages may be left that were taken before this sender was a member.
+        self.has_pre_fleet_messages = True
+        # Partitions of a damaged folder: successors may have more of their records.
+        self.damaged_partitions: set[int] = set()
+        self.restarted_at: dict[str, int] = {}  # when a member was first heard under a newer incarnation than before
+        # By partition: which member reported that it serves it, and when.
+        self.reported_serving: dict[int, tuple[str, int]] = {}
+        self.presumed_holders: dict[int, tuple[str, int]] = {}  # by partition: the presumed holder, and since when
+        self.replica_refused_at: dict[str, int] = {}  # when a member has refused to keep a copy
+        self.tables_requested: set[str] = set()  # grantors whose tables were asked for and have not come
         self.pumps: dict[tuple[int, str], gevent.Greenlet] = {}
         self.offers: dict[int, gevent.Greenlet] = {}
         self.alive: list[str] = []  # as of the latest check
-        self.looked_late = 0.0
-        self.few_since = 0  # since when too few members are alive to grant anything; 0: enough are
+        self.deadlines_checked_at = 0.0
+        self.no_majority_since = 0  # since when too few members are alive to grant anything; 0: enough are
         self.leaving = False
-        self.sharing = Gossip(name, self.lasting, clock, counters, self._call)
-        self.owing = OrderKeyHints()
-        self.lying: dict[int, frozenset[int]] = {}  # by partition: keys in a copy here whose holder is silent
+        self.gossip = Gossip(name, self.lasting, clock, counters, self._call)
+        self.order_key_hints = OrderKeyHints()
+        # By partition: keys in a replica here whose holder is silent.
+        self.silent_holder_keys: dict[int, frozenset[int]] = {}
         self.exchange = Exchange(name, self.gate, counters, self._call, state, round(settings.follow_s * 1e6))
         store.on_event = self.exchange.seen
         self.traffic: SessionRouter | None = None
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -56,7 +56,7 @@
         if self.ownership is not None:
             self.ownership.names = self.halls  # of the partitions that it opens from now on
         for name in sorted(set(self.halls) - before):
-            gevent.spawn(self._beat, name)
+            gevent.spawn(self._exchange_heartbeats, name)
         logger.info("members of {}: {}", settings.group, ", ".join(sorted(self.halls)))
 
     def _one_at_a_time(self, names: set[str]) -> None:
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -14,7 +14,7 @@
 
 from cedarwick.config.operator import Fleet
 from cedarwick.fleet.late_answers import LateAnswers
-from cedarwick.fleet.limits import CALL_TIMEOUT_S, DEADLINE_CHECK_S, LOOK_INTERVAL_S, NO_MAJORITY_US
+from cedarwick.fleet.limits import CALL_TIMEOUT_S, CHECK_INTERVAL_S, DEADLINE_CHECK_S, NO_MAJORITY_US
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.membership_reload import MembershipReload
 from cedarwick.fleet.messages import slot_of
@@ -35,7 +35,7 @@
     ) -> None:
         """As `MemberState`; raises OSError also where this member's address cannot be bound."""
         super().__init__(name, settings, state, store, clock, counters)
-        store.reserve_numbers, store.on_replication_timeout = self._reserve, self._starved
+        store.reserve_numbers, store.on_replication_timeout = self._reserve_numbers, self._note_replication_timeout
         if settings.sessions:
             from cedarwick.fleet import session_routing  # nothing of sessions is loaded where they are off
 
@@ -50,28 +50,28 @@
         self.dispatcher = dispatcher
         self.copies.load()
         for partition in self.copies.copies:
-            self._follow(partition)
+            self._follow_partition(partition)
         slot = slot_of(self.name)
         stored = {held.partition: held.term for held in self.held.values() if held.partition >> 12 == slot}
         mine = {number >> 32 for number in self.store.messages} - {0}
         for partition in sorted(mine - stored.keys()):
             # An adopted partition, or one whose lease record is lost: resume it if no other member holds it by now.
             self.adoptions[partition] = Takeover(
-                partition, self.name, self.halls, self._term_of(partition), resume=True
+                partition, self.name, self.halls, self._recorded_term(partition), resume=True
             )
         self.ownership = Ownership(self.name, slot, self.halls, stored)
         for partition in sorted(stored)[:-1]:
             if partition not in self.adoptions and partition in mine:
                 self.adoptions[partition] = Takeover(partition, self.name, self.halls, stored[partition], resume=True)
         for partition in sorted(mine & set(self.adoptions)):  # not those with a replica alone: it may be incomplete
-            self._hold(partition)
+            self._hold_partition(partition)
         if self.store.damaged:
             # A replica may still have records that this folder has lost. Until that is settled it must not be brought
             # into line with the folder, or it would drop them too.
-            self.doubted = mine | set(stored)
+            self.damaged_partitions = mine | set(stored)
         self.server.start()
         parts = [gevent.spawn(self.run)]
-        parts += [gevent.spawn(self._beat, name) for name in self.peers.names()]
+        parts += [gevent.spawn(self._exchange_heartbeats, name) for name in self.peers.names()]
         logger.info(
             "member {} of {} in hall {}: {} others",
             self.name,
@@ -82,10 +82,10 @@
         return parts
 
     def run(self) -> None:
-        """Check all state every `LOOK_INTERVAL_S` seconds; never returns."""
+        """Check all state every `CHECK_INTERVAL_S` seconds; never returns."""
         while True:
             self.look(monotonic_time())
-            gevent.sleep(LOOK_INTERVAL_S)
+            gevent.sleep(CHECK_INTERVAL_S)
 
     def look(self, now: int) -> None:
         """Do all work due at `now`, microseconds of the boot clock. A part that fails does not stop the others."""
@@ -93,18 +93,18 @@
             logger.info("member {} is {} (was {})", change.name, change.now.value, change.before.value)
             self.exchange.member(change, self.members.beat_ages(now).get(change.name, 0))
             if change.now is MemberStatus.ALIVE and not self.grantor.learning:
-                gevent.spawn(self._closed_elsewhere, change.name)
+                gevent.spawn(self._learn_closed_partitions, change.name)
         self.alive = [name for name in self.halls if self.members.state(now, name) is MemberStatus.ALIVE]
         # Counted from the first check without a majority, not from the last heartbeat: a process that was suspended has
         # heard nobody for long, and hears the others again a moment later.
-        self.few_since = 0 if len(self.alive) >= self.members.majority else self.few_since or now
-        few = self.few_since > 0 and now - self.few_since >= NO_MAJORITY_US
-        self._guarded(self.sharing.look, now, self.alive, self.members.majority)
+        self.no_majority_since = 0 if len(self.alive) >= self.members.majority else self.no_majority_since or now
+        few = self.no_majority_since > 0 and now - self.no_majority_since >= NO_MAJORITY_US
+        self._guarded(self.gossip.look, now, self.alive, self.members.majority)
         self._guarded(self.exchange.look, now, self.alive, self.members.majority)
-        self._guarded(self._learn, now)
-        self._guarded(self._own, now)
+        self._guarded(self._learn_grants, now)
+        self._guarded(self._ensure_open_partition, now)
         for adoption in list(self.adoptions.values()):
-            self._guarded(self._look_at, now, adoption)
+            self._guarded(self._step_takeover, now, adoption)
         if self.traffic is not None:
             self._guarded(self.traffic.look, now)
         self._guarded(self.copies.step)
@@ -112,10 +112,10 @@
         if any(change.now is MemberStatus.ALIVE for change in changes):
             for holding in self.store.holdings.values():
                 self._backlog(holding)
-        if changes or time.monotonic() - self.looked_late >= DEADLINE_CHECK_S:
+        if changes or time.monotonic() - self.deadlines_checked_at >= DEADLINE_CHECK_S:
             self._guarded(self._owe, now)
-        if time.monotonic() - self.looked_late >= DEADLINE_CHECK_S:
-            self.looked_late = time.monotonic()
+        if time.monotonic() - self.deadlines_checked_at >= DEADLINE_CHECK_S:
+            self.deadlines_checked_at = time.monotonic()
             self._guarded(self._answer_late, now, few)
 
     def leave(self) -> None:
@@ -124,11 +124,11 @@
         Best effort: waits `CALL_TIMEOUT_S` seconds at most for the other members' answers.
         """
         self.leaving = True
-        calls = [gevent.spawn(self._call, name, self._own_beat(), CALL_TIMEOUT_S) for name in self.peers.names()]
+        calls = [gevent.spawn(self._call, name, self._own_heartbeat(), CALL_TIMEOUT_S) for name in self.peers.names()]
         for holding in self.store.holdings.values():
             holding.serving = False  # before the release: after it a successor may fire
             if len(holding.adoption.holder.successors) > 1 and (ask := holding.adoption.holder.release()) is not None:
-                self._guarded(self._answer_ask, ask)
+                self._guarded(self._answer_lease_request, ask)
                 calls += [gevent.spawn(self._call, name, ask, CALL_TIMEOUT_S) for name in self.peers.names()]
         gevent.joinall(calls, timeout=CALL_TIMEOUT_S)
 
--- a/cedarwick/fleet/order_key_hints.py
+++ b/cedarwick/fleet/order_key_hints.py
@@ -45,11 +45,14 @@
         self.sent_keys, self._sent_at, self._sent_to = frozenset(keys), now, tuple(others)
         return tuple(sorted(keys)[:MOST_KEYS])
 
-    def rests(self, now: int, here: Set[int], lying: Set[int]) -> frozenset[int]:
-        """The keys that are to rest here. `here`: those of the own backlog; `lying`: those of replicas here."""
+    def rests(self, now: int, here: Set[int], silent_holder_keys: Set[int]) -> frozenset[int]:
+        """The keys that are to rest here.
+
+        `here`: those of the own backlog; `silent_holder_keys`: those of replicas here whose holder is silent.
+        """
         self._heard = {name: (at, keys) for name, (at, keys) in self._heard.items() if now < at + LASTS and keys}
         # Without the keys of the own backlog: two members that each owe messages of a key would wait for each other.
-        owed = frozenset(lying).union(*(keys for _, keys in self._heard.values())) - here
+        owed = frozenset(silent_holder_keys).union(*(keys for _, keys in self._heard.values())) - here
         self._since = {key: self._since.get(key, now) for key in owed}
         self.elsewhere = frozenset(key for key, since in self._since.items() if now < since + MOST)
         return self.elsewhere
--- a/cedarwick/fleet/owed_keys.py
+++ b/cedarwick/fleet/owed_keys.py
@@ -34,29 +34,29 @@
         # Keys whose messages have ended, while an attempt of one may still run.
         here |= {
             key
-            for key in self.owing.sent_keys - here - lying - self.owing.elsewhere
+            for key in self.order_key_hints.sent_keys - here - lying - self.order_key_hints.elsewhere
             if self.dispatcher.rest_of(key) > 0
         }
         others = [name for name in self.alive if self.gate.levels.get(name, 0) >= OWING and name != self.name]
-        if (keys := self.owing.tell(now, here | lying, others)) is not None:
+        if (keys := self.order_key_hints.tell(now, here | lying, others)) is not None:
             for name in others:
                 gevent.spawn(self._call, name, OwedKeys(keys), CALL_TIMEOUT_S)
-        before = self.owing.elsewhere
-        if self.owing.rests(now, here, lying) or before:
-            self.dispatcher.rest(self.owing.elsewhere)
+        before = self.order_key_hints.elsewhere
+        if self.order_key_hints.rests(now, here, lying) or before:
+            self.dispatcher.rest(self.order_key_hints.elsewhere)
 
     def _lying(self, now: int, adoption: Takeover) -> frozenset[int]:
         """The keys that are owed in a replica here; none unless its holder is silent."""
         partition, grant = adoption.partition, self.grantor.grant(right_of(adoption.partition))
         replica = self.copies.replica(partition)
         # The own name is recorded from when this member asks for the partition until it has imported it.
-        alive = grant.holder != self.name and self._standing(now, grant.holder, adoption) is MemberStatus.ALIVE
+        alive = grant.holder != self.name and self._status_for(now, grant.holder, adoption) is MemberStatus.ALIVE
         if replica is None or partition in self.store.holdings or self.name not in grant.successors or alive:
-            self.lying.pop(partition, None)
+            self.silent_holder_keys.pop(partition, None)
             return frozenset()
-        if partition not in self.lying:  # once: a silent holder adds nothing
+        if partition not in self.silent_holder_keys:  # once: a silent holder adds nothing
             facts = [fact for fact in replica.held.values() if fact.base is not None and fact.base.turn]
-            self.lying[partition] = frozenset(
+            self.silent_holder_keys[partition] = frozenset(
                 [
                     fact.base.turn
                     for fact in facts[:MAX_OWED_MESSAGES]
@@ -65,7 +65,7 @@
                     and self.dispatcher.ordered(fact.base.priority_class)
                 ]
             )
-        return self.lying[partition]
+        return self.silent_holder_keys[partition]
 
     def _backlog(self, holding: LeasedPartition) -> None:
         """Note all that a partition owes now as its backlog, from before a failure.
@@ -82,5 +82,5 @@
             ):
                 # An adopted partition counts whole: its keys rested here as a replica's, and would otherwise be sent no
                 # longer.
-                if holding is not self.store.open_partition or stored.turn not in self.owing.elsewhere:
+                if holding is not self.store.open_partition or stored.turn not in self.order_key_hints.elsewhere:
                     holding.backlog[number] = stored.turn
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -13,14 +13,14 @@
 from cedarwick.fleet.leases import SPAN, LeaseState, right_of
 from cedarwick.fleet.limits import (
     ANSWER_AHEAD_US,
-    DOUBTED_US,
-    GATHER_COPIES_US,
+    DAMAGED_FOLDER_US,
+    GATHER_REPLICAS_US,
     HEARTBEAT_INTERVAL_S,
     OFFER_EXPECTED_US,
     OFFER_PART_BYTES,
     OFFER_TIMEOUT_S,
     PARTITION_CLOSED,
-    UNWANTED_COPY_US,
+    UNWANTED_REPLICA_US,
 )
 from cedarwick.fleet.messages import LeaseRequest, OfferReply, TakeoverOffer, digest_of, slot_of
 from cedarwick.fleet.owed_keys import OwedKeyExchange
@@ -33,7 +33,7 @@
 class PartitionTakeover(LeaseExchange, ReplicationPumps, OwedKeyExchange):
     """Imports, serves and gives up partitions."""
 
-    def _own(self, now: int) -> None:
+    def _ensure_open_partition(self, now: int) -> None:
         """Open a partition for new messages when the rules ask for one."""
         assert self.ownership is not None
         if self.leaving:
@@ -45,31 +45,31 @@
             return
         if begun is not None:
             self.adoptions[begun.partition] = begun
-            holding = self._hold(begun.partition)
+            holding = self._hold_partition(begun.partition)
             logger.info("partition {} is to be held", begun.partition)
-            self.store.set_open_partition(holding, self._first_number(begun.partition))
+            self.store.set_open_partition(holding, self._first_unused_number(begun.partition))
 
-    def _look_at(self, now: int, adoption: Takeover) -> None:
+    def _step_takeover(self, now: int, adoption: Takeover) -> None:
         """Ask the rules for the next step of one partition, and carry it out."""
         partition, holder = adoption.partition, adoption.holder
         replica, holding = self.copies.replica(partition), self.store.holdings.get(partition)
         right = right_of(partition)
-        doubted = partition in self.doubted and now - self.begun_at < DOUBTED_US
+        doubted = partition in self.damaged_partitions and now - self.begun_at < DAMAGED_FOLDER_US
         whole = holding is not None and not doubted or (replica is not None and replica.whole)
         # Cut off, a member is granted no term, and its vain requests would cost the holder its own after the cut.
-        whole = whole and not self.few_since
+        whole = whole and not self.no_majority_since
         owed = len(holding.ledger.known) if holding is not None and holding.imported else 1
         if holding is not None and self._expects_offer(now, holding):
             owed = owed or 1
         # A holder that its heartbeats show serving counts as promised, too: the own grantor may have given a term to
         # a member that never got it, and does not know the real holder.
-        served = self.served[partition][1] + SPAN if partition in self.served else 0
+        served = self.reported_serving[partition][1] + SPAN if partition in self.reported_serving else 0
         asked = holder.term if adoption.stage is TakeoverStage.ASKING else 0
         step = adoption.step(
             now,
             self.grantor.grant(right),
             max(self.grantor.promised(right), served),
-            lambda name: self._standing(now, name, adoption),
+            lambda name: self._status_for(now, name, adoption),
             whole,
             owed,
         )
@@ -79,29 +79,29 @@
             and (holder.term, holder.state) != (asked, LeaseState.ASKING)
         ):
             # Withdrawn: two members that ask in vain, each promised by itself, would block each other for ever.
-            self._give_up(LeaseRequest(right, asked, self.name, 0))
+            self._release_lease(LeaseRequest(right, asked, self.name, 0))
         if step.do is TakeoverAction.ASK:
             logger.info("partition {}: asking for term {}", partition, holder.term)
         elif step.do is TakeoverAction.IMPORT:
-            self._import(now, adoption)
+            self._import_partition(now, adoption)
         elif step.do is TakeoverAction.CLOSE:
             logger.info("partition {}: nothing is owed, it is closed", partition)
         elif step.do is TakeoverAction.OFFER and partition not in self.offers and not self.leaving:
-            self.offers[partition] = gevent.spawn(self._offer, adoption, step.to)
+            self.offers[partition] = gevent.spawn(self._send_offer, adoption, step.to)
         elif step.do is TakeoverAction.DROP:
-            self._drop(partition)
+            self._drop_partition(partition)
             return
         ask = None if self.leaving else holder.asks(now)
         if ask is not None:
-            reply = self._granted(ask)
-            if ask.right in self.changed_at:
-                gevent.spawn(self._ask_all, adoption, ask, reply, now)
+            reply = self._grant(ask)
+            if ask.right in self.unwritten_grants:
+                gevent.spawn(self._request_lease, adoption, ask, reply, now)
             else:
-                self._ask_all(adoption, ask, reply, now)
+                self._request_lease(adoption, ask, reply, now)
         if holding is not None:
-            self._serve(now, holding)
-        elif replica is not None and self._unwanted(now, partition, adoption):
-            self._drop(partition)
+            self._serve_partition(now, holding)
+        elif replica is not None and self._is_unwanted(now, partition, adoption):
+            self._drop_partition(partition)
 
     def _expects_offer(self, now: int, holding: LeasedPartition) -> bool:
         """Whether the previous holder of an adopted partition may still offer facts that no copy received."""
@@ -114,26 +114,26 @@
             else now - holding.log_started_at < OFFER_EXPECTED_US
         )
 
-    def _unwanted(self, now: int, partition: int, adoption: Takeover) -> bool:
+    def _is_unwanted(self, now: int, partition: int, adoption: Takeover) -> bool:
         grant = self.grantor.grant(right_of(partition))
         # The grant known here may be old; a copy that the holder still counts on is written to all the time.
         return (
             grant.set > 0
             and self.name not in grant.successors
             and grant.holder != self.name
-            and now - self.shipped_at.setdefault(partition, now) > UNWANTED_COPY_US
+            and now - self.replica_written_at.setdefault(partition, now) > UNWANTED_REPLICA_US
         )
 
-    def _import(self, now: int, adoption: Takeover) -> None:
+    def _import_partition(self, now: int, adoption: Takeover) -> None:
         """After the grant: store the partition's messages, bring its copies up to date, then name its successors."""
         partition, term = adoption.partition, adoption.holder.term
-        holding = self._hold(partition)
+        holding = self._hold_partition(partition)
         if holding.log.term != term:
             holding.imported = False
             replica = self.copies.replica(partition)
             try:
                 if replica is None:
-                    last = self._term_of(partition)
+                    last = self._recorded_term(partition)
                     if 0 < last < term - 1:
                         holding.imported_from_term = last  # somebody else may have held it between
                     self.store.resume_ledger(holding, term)
@@ -158,35 +158,35 @@
                 self.counters.warning("a partition cannot be adopted", error)
                 ask = adoption.holder.release()
                 if ask is not None:
-                    self._give_up(ask)
+                    self._release_lease(ask)
                 adoption.holder.state = LeaseState.LOST  # asked for again after a while, if nobody else has it by then
                 return
-            self._note(partition, term, 0)
+            self._record_lease(partition, term, 0)
             self.store.begin_log(holding, term)
             self._backlog(holding)
             self.copies.drop(partition)
             logger.info(
                 "partition {}: held under term {}, {} messages owed", partition, term, len(holding.ledger.known)
             )
-        self._ship(now, holding)
-        wanted = self._wanted(holding)
-        whole = self._whole(now, holding, wanted)
-        if len(whole) == len(wanted) or now - holding.log_started_at >= GATHER_COPIES_US:
+        self._update_pumps(now, holding)
+        wanted = self._wanted_replicas(holding)
+        whole = self._complete_replicas(now, holding, wanted)
+        if len(whole) == len(wanted) or now - holding.log_started_at >= GATHER_REPLICAS_US:
             holding.imported = True
             adoption.imported(now, whole)
 
-    def _serve(self, now: int, holding: LeasedPartition) -> None:
+    def _serve_partition(self, now: int, holding: LeasedPartition) -> None:
         """Keep the successors up to date, and let the dispatcher send while the lease is valid."""
         holder = holding.adoption.holder
         if holding.adoption.stage is TakeoverStage.HOLDING and holding.imported:
-            self._ship(now, holding)
+            self._update_pumps(now, holding)
             self._name_successors(now, holding)
         may = (
             holding.adoption.stage is TakeoverStage.HOLDING
             and holding.imported
             and not self.leaving
             and holder.may_fire(now)
-            and self._copied(now, holding)
+            and self._replicas_keep_up(now, holding)
         )
         if may == holding.serving:
             return
@@ -211,7 +211,7 @@
             self.counters.add("partitions that were not fired for any more")
             self.dispatcher.park(numbers)
 
-    def _drop(self, partition: int) -> None:
+    def _drop_partition(self, partition: int) -> None:
         """Give up a partition that is over or belongs to another member for good; may be put off to a later call."""
         holding = self.store.holdings.get(partition)
         if holding is not None:
@@ -226,7 +226,7 @@
                 if not (self._renumber(unsent) and self._renumber(unacknowledged, failed=True)):
                     return  # what found no room is nowhere else: next time
         adoption = self.adoptions.pop(partition)
-        self.doubted.discard(partition)
+        self.damaged_partitions.discard(partition)
         if holding is not None:
             numbers = self.store.numbers(partition)
             self.dispatcher.park(numbers)
@@ -244,13 +244,13 @@
         replica = self.copies.replica(partition)
         closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(right_of(partition)).closed
         if holding is not None and replica is not None and replica.place.term > holding.log.term and not closed:
-            self._follow(partition)  # the newer holder counts on this copy by now
+            self._follow_partition(partition)  # the newer holder counts on this copy by now
             return
         self.copies.drop(partition)
-        self.lying.pop(partition, None)
-        self.shipped_at.pop(partition, None)
-        self.served.pop(partition, None)
-        self.claimed.pop(partition, None)
+        self.silent_holder_keys.pop(partition, None)
+        self.replica_written_at.pop(partition, None)
+        self.reported_serving.pop(partition, None)
+        self.presumed_holders.pop(partition, None)
 
     def _renumber(self, numbers: list[int], failed: bool = False) -> bool:
         """Move messages that only this member has to the open partition; returns whether all were moved."""
@@ -269,12 +269,12 @@
                 self.dispatcher.adopt(made)
         return True
 
-    def _offer(self, adoption: Takeover, to: str) -> None:
+    def _send_offer(self, adoption: Takeover, to: str) -> None:
         """Offer what this member knows to the newer holder, in parts of `OFFER_PART_BYTES`."""
         holding = self.store.holdings.get(adoption.partition)
         if holding is not None and not holding.ledger.term:
             # What an earlier process of this sender has taken or learned may be nowhere but in this store.
-            self.store.resume_ledger(holding, self._term_of(adoption.partition))
+            self.store.resume_ledger(holding, self._recorded_term(adoption.partition))
         known = self.store.facts_to_offer(holding) if holding is not None else []
         parts: list[bytes] = []
         part: list[bytes] = []
@@ -300,7 +300,7 @@
                 answer = self._call(to, offer, OFFER_TIMEOUT_S)
                 if not isinstance(answer, OfferReply) or answer.problem:
                     if isinstance(answer, OfferReply) and answer.problem == PARTITION_CLOSED:
-                        self._closed_elsewhere(to)
+                        self._learn_closed_partitions(to)
                     gevent.sleep(HEARTBEAT_INTERVAL_S)
                     return  # it is asked again at the next look, of whoever holds the partition then
             adoption.offered()
@@ -309,7 +309,7 @@
         finally:
             self.offers.pop(adoption.partition, None)
 
-    def _offered(self, sender: str, body: TakeoverOffer) -> OfferReply:
+    def _answer_offer(self, sender: str, body: TakeoverOffer) -> OfferReply:
         """Answer an earlier holder of a partition held here that offers what it knows."""
         holding = self.store.holdings.get(body.partition)
         if holding is None and self.grantor.grant(right_of(body.partition)).closed:
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -7,7 +7,7 @@
 
 from cedarwick.fleet import placement
 from cedarwick.fleet.leased_partition import STARVED_US, LeasedPartition
-from cedarwick.fleet.limits import COPY_TRUST_US, MAX_LAG_FACTS, MAX_LAG_US, REPLICATE_PAUSE_S, REPLICATE_TIMEOUT_S
+from cedarwick.fleet.limits import MAX_LAG_FACTS, MAX_LAG_US, REPLICA_TRUST_US, REPLICATE_PAUSE_S, REPLICATE_TIMEOUT_S
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
 from cedarwick.fleet.replicated_store import monotonic_time
@@ -17,10 +17,10 @@
 class ReplicationPumps(MemberState):
     """Runs a greenlet for each copy of each partition that is held here."""
 
-    def _ship(self, now: int, holding: LeasedPartition) -> None:
+    def _update_pumps(self, now: int, holding: LeasedPartition) -> None:
         """Start a greenlet for each copy that is wanted or still a successor, and end the others."""
         successors = self.store.successors_of(holding)
-        wanted = set(self._wanted(holding))
+        wanted = set(self._wanted_replicas(holding))
         for name in sorted(wanted | (successors & set(self.halls))):
             if (holding.partition, name) not in self.pumps:
                 follower = holding.log.followers.get(name) or holding.log.follow(name, now)
@@ -49,20 +49,24 @@
         # The answer's own incarnation: a late answer of an earlier boot must not count for the files of the new one.
         if answer is not None and isinstance(answer.body, ReplicaAck):
             if answer.body.problem in (NO_ROOM, OTHER):
-                self.full_at[name] = monotonic_time()
+                self.replica_refused_at[name] = monotonic_time()
             follower.have(monotonic_time(), answer.body, answer.incarnation)
         elif answer is not None and isinstance(answer.body, Digests):
             follower.digests(monotonic_time(), answer.body, answer.incarnation)
         self.store.replication_progress.set()
 
-    def _wanted(self, holding: LeasedPartition) -> list[str]:
+    def _wanted_replicas(self, holding: LeasedPartition) -> list[str]:
         """The members that are to have copies of a partition."""
         now = monotonic_time()
-        able = [name for name in self.alive if now - self.full_at.get(name, -COPY_TRUST_US) >= COPY_TRUST_US]
+        able = [
+            name
+            for name in self.alive
+            if now - self.replica_refused_at.get(name, -REPLICA_TRUST_US) >= REPLICA_TRUST_US
+        ]
         able = able if len(able) > self.settings.copies else self.alive
         return placement.copies(holding.partition, self.name, self.halls, able, self.settings.copies)
 
-    def _whole(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
+    def _complete_replicas(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
         """Those of some members whose copies have all but a short tail."""
         found = []
         for name in names:
@@ -75,22 +79,26 @@
 
     def _name_successors(self, now: int, holding: LeasedPartition) -> None:
         holder = holding.adoption.holder
-        wanted = self._wanted(holding)
-        whole = self._whole(now, holding, wanted)
-        if holding.is_starving(now) and self.settings.alone == "own" and not self._back(now, holding, whole):
+        wanted = self._wanted_replicas(holding)
+        whole = self._complete_replicas(now, holding, wanted)
+        if (
+            holding.is_starving(now)
+            and self.settings.alone == "own"
+            and not self._replicas_are_trusted(now, holding, whole)
+        ):
             holder.name(now, ())
             holding.joining = {}
             return
         if self.store.by_copy:
-            whole = self._joined(now, holding, whole)
+            whole = self._joined_replicas(now, holding, whole)
         old = [name for name in holder.successors[1:] if name in holding.log.followers and name not in wanted]
         if len(whole) < len(wanted):
-            whole += [name for name in self._whole(now, holding, old) if name not in whole]
+            whole += [name for name in self._complete_replicas(now, holding, old) if name not in whole]
         if self.store.by_copy and not whole and holder.successors[1:] and self.settings.alone == "busy":
             return  # without a successor, acknowledged messages would be in one folder only
         holder.name(now, placement.order(holding.partition, self.name, self.halls, whole))
 
-    def _joined(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
+    def _joined_replicas(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
         """Those of some whole copies that are successors, or may be named for ones.
 
         A copy that was named while records are on their way to it could take over without them, attempts among them, if
@@ -101,31 +109,31 @@
         joining = {name: holding.joining.get(name, (log.next, now)) for name in whole if name not in bound}
         for name, (index, since) in joining.items():
             if log.acked([name]) < index and now - since > STARVED_US:
-                self.full_at[name] = now  # it does not keep up: another one is asked
+                self.replica_refused_at[name] = now  # it does not keep up: another one is asked
         if joining.keys() - holding.joining.keys() and holding.alone_since:
             logger.info("partition {}: copies follow again", holding.partition)
             holding.starved_at = holding.alone_since = 0
-        holding.joining = {name: each for name, each in joining.items() if self.full_at.get(name) != now}
+        holding.joining = {name: each for name, each in joining.items() if self.replica_refused_at.get(name) != now}
         return [
             name
             for name in whole
             if name in bound or name in holding.joining and log.acked([name]) >= holding.joining[name][0]
         ]
 
-    def _starved(self, holding: LeasedPartition) -> None:
+    def _note_replication_timeout(self, holding: LeasedPartition) -> None:
         """Note that a copy has not taken a record in time."""
         if not holding.starved_at:
             holding.starved_at = monotonic_time()
             self.counters.warning("a copy does not follow", f"partition {holding.partition}")
 
-    def _back(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
-        """Whether copies have followed for long enough (`COPY_TRUST_US`) for a sender that goes on alone."""
+    def _replicas_are_trusted(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
+        """Whether copies have followed for long enough (`REPLICA_TRUST_US`) for a sender that goes on alone."""
         if not whole:
             holding.alone_since = now
             return False
-        return now - holding.alone_since >= COPY_TRUST_US
+        return now - holding.alone_since >= REPLICA_TRUST_US
 
-    def _copied(self, now: int, holding: LeasedPartition) -> bool:
+    def _replicas_keep_up(self, now: int, holding: LeasedPartition) -> bool:
         """Under `ack = "copy"`: whether the successors keep up, or the setting `alone` allows to go on without."""
         if not self.store.by_copy:
             return True
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -49,8 +49,8 @@
 
     def _answer(self, sender: str, incarnation: int, body: Body) -> Body:
         if isinstance(body, Heartbeat):
-            self._heard(sender, incarnation, body)
-            return self._own_beat()
+            self._receive_heartbeat(sender, incarnation, body)
+            return self._own_heartbeat()
         if isinstance(body, LeaseRequest):
             apart = self.members.apart(sender)
             if len(apart) > 1:
@@ -59,44 +59,44 @@
                 raise MembershipChangeError(
                     f"{sender!r} has another list than {self.name!r}, by {', '.join(sorted(apart))}"
                 )
-            return self._answer_ask(body)
+            return self._answer_lease_request(body)
         if isinstance(body, GrantTableRequest):
             return self.grantor.table()
         if isinstance(body, ReplicateFacts | ReplicatePiece | Digests):
-            return self._copy(body)
+            return self._replicate(body)
         if isinstance(body, TakeoverOffer):
-            return self._offered(sender, body)
+            return self._answer_offer(sender, body)
         if isinstance(body, OwedKeys):
-            self.owing.heard(monotonic_time(), sender, body.keys)
+            self.order_key_hints.heard(monotonic_time(), sender, body.keys)
             return Acknowledged()
         if isinstance(body, RetryAfterHint | SuspensionMarks):
-            return self.sharing.heard(sender, body)
+            return self.gossip.heard(sender, body)
         if isinstance(body, Subscribe | Matches | Cursors):
             return self.exchange.heard(sender, monotonic_time(), body)
         if self.traffic is not None and (said := self.traffic.heard(sender, incarnation, body)) is not None:
             return said
         raise UnknownPeerMessageError(f"a {type(body).__name__} from {sender!r}")
 
-    def _copy(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
+    def _replicate(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
         holding = self.store.holdings.get(body.partition)
         if holding is not None and holding.adoption.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
             # A former holder that was paused must not count this member as its copy: the partition is held here.
             if isinstance(body, Digests):
                 return Digests(body.partition, holding.adoption.holder.term, ())
             return ReplicaAck(body.partition, holding.adoption.holder.term, 0, TERM)
-        self.shipped_at[body.partition] = monotonic_time()
+        self.replica_written_at[body.partition] = monotonic_time()
         if isinstance(body, Digests):
             return self.copies.digests(body)
         if isinstance(body, ReplicateFacts):
-            self._let_earlier_come(body)
+            self._wait_for_earlier(body)
         have = self.copies.facts(body) if isinstance(body, ReplicateFacts) else self.copies.piece(body)
         if self.copies.unsynced:
             self.copies.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
         if body.partition not in self.adoptions and self.copies.replica(body.partition) is not None:
-            self._follow(body.partition)
+            self._follow_partition(body.partition)
         return have
 
-    def _let_earlier_come(self, body: ReplicateFacts) -> None:
+    def _wait_for_earlier(self, body: ReplicateFacts) -> None:
         """Messages out at once come on connections of their own, and need not be read in their order.
 
         A refusal would make the holder send all unanswered messages again, so wait up to `REORDER_WAIT_US` first.
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -287,7 +287,7 @@
         node = self.node
         if node is None:
             return
-        node.sharing.attach(self.staff, self.endpoint_list, self.dispatcher)
+        node.gossip.attach(self.staff, self.endpoint_list, self.dispatcher)
         node.exchange.attach(self.staff, self.endpoint_list, self.dispatcher, node.halls[self.assignment.name])
         if node.traffic is not None:
             node.traffic.attach(self.staff, self.client_listener, self.dispatcher)
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -118,7 +118,7 @@
     def holding(self, node: FleetNode, term: int = 1, granted: bool = True) -> LeasedPartition:
         """The member has held the partition; and holds it now, where a majority has granted it that term."""
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
-        holding = node._hold(PARTITION)
+        holding = node._hold_partition(PARTITION)
         node.store.resume_ledger(holding, term)
         node.store.begin_log(holding, term)
         holding.imported = True
@@ -143,7 +143,7 @@
             node.copies.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
             if closed:
                 node.grantor.closed_elsewhere(GrantTable(False, (Grant(right_of(PARTITION), 2, "b", closed=True),)))
-            node._drop(PARTITION)
+            node._drop_partition(PARTITION)
             self.assertNotIn(PARTITION, node.store.holdings)
             self.assertEqual(
                 (node.copies.replica(PARTITION) is None, PARTITION in node.adoptions), (closed, not closed)
@@ -153,40 +153,40 @@
         for few, stage in ((0, TakeoverStage.ASKING), (1, TakeoverStage.WAITING)):
             node = self.member()
             node.grantor = LeaseGrantor("a", NAMES, monotonic_time(), ())
-            node.few_since = few
+            node.no_majority_since = few
             adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
-            node._hold(PARTITION)
+            node._hold_partition(PARTITION)
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-                node._look_at(monotonic_time(), adoption)
+                node._step_takeover(monotonic_time(), adoption)
             self.assertEqual(adoption.stage, stage)
 
     def test_a_holder_that_says_it_fires_is_left_alone_and_one_that_forgot_the_partition_is_gone(self) -> None:
         node, now = self.member(), monotonic_time()
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
         with mock.patch.object(adoption, "step", wraps=adoption.step) as step:
-            node._heard("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
-            node._look_at(now, adoption)
+            node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
+            node._step_takeover(now, adoption)
             self.assertGreaterEqual(step.call_args.args[2], now + SPAN)
             self.assertEqual(adoption.holder.newer, (3, "b"))
             adoption.holder.term = 5  # asked for in vain
-            node._heard("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
+            node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
             self.assertEqual(adoption.holder.newer, (5, "b"))
             standing = step.call_args.args[3]
             self.assertIs(standing("b"), MemberStatus.ALIVE)
-            node._heard("b", 8, Heartbeat(False, {}))
+            node._receive_heartbeat("b", 8, Heartbeat(False, {}))
             self.assertIs(standing("b"), MemberStatus.ALIVE)  # it may yet ask for the partition
-            node._look_at(monotonic_time() + limits.REBORN_ASKS_US, adoption)
+            node._step_takeover(monotonic_time() + limits.RESTARTED_REQUESTS_US, adoption)
             self.assertIs(step.call_args.args[3]("b"), MemberStatus.DEAD)
 
     def test_who_was_started_again_may_ask_for_its_partition_however_long_it_has_held_it(self) -> None:
         node = self.member()
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
-        node.claimed[PARTITION] = "b", 1
+        node.presumed_holders[PARTITION] = "b", 1
         for boot, rights in ((7, (Right(PARTITION, 3),)), (8, ())):
-            node._heard("b", boot, Heartbeat(False, {}, rights))
+            node._receive_heartbeat("b", boot, Heartbeat(False, {}, rights))
         now = monotonic_time()
-        self.assertIs(node._standing(now, "b", adoption), MemberStatus.ALIVE)
-        self.assertIs(node._standing(now + limits.REBORN_ASKS_US, "b", adoption), MemberStatus.DEAD)
+        self.assertIs(node._status_for(now, "b", adoption), MemberStatus.ALIVE)
+        self.assertIs(node._status_for(now + limits.RESTARTED_REQUESTS_US, "b", adoption), MemberStatus.DEAD)
 
     def test_who_asked_in_vain_is_taken_for_the_holder_only_for_a_while(self) -> None:
         node = self.member()
@@ -200,30 +200,30 @@
                 (limits.IDLE_HOLDER_US, "b", MemberStatus.DEAD),
                 (limits.IDLE_HOLDER_US, "c", MemberStatus.ALIVE),
             ):
-                self.assertIs(node._standing(now + after, name, adoption), stands)
+                self.assertIs(node._status_for(now + after, name, adoption), stands)
 
     def test_who_leaves_or_fires_for_a_partition_no_more_is_waited_for_no_longer(self) -> None:
         node = self.member()
         node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
-        node._heard("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
-        node._heard("c", 7, Heartbeat(False, {}))
-        self.assertIn(PARTITION, node.served)
-        node._heard("b", 7, Heartbeat(True, {}))
-        self.assertNotIn(PARTITION, node.served)
+        node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
+        node._receive_heartbeat("c", 7, Heartbeat(False, {}))
+        self.assertIn(PARTITION, node.reported_serving)
+        node._receive_heartbeat("b", 7, Heartbeat(True, {}))
+        self.assertNotIn(PARTITION, node.reported_serving)
         self.holding(node).serving = True
-        self.assertEqual([right.partition for right in node._own_beat().rights], [PARTITION])
+        self.assertEqual([right.partition for right in node._own_heartbeat().rights], [PARTITION])
         node.leaving = True
-        self.assertEqual(node._own_beat().rights, ())
+        self.assertEqual(node._own_heartbeat().rights, ())
 
     def test_a_member_without_room_is_no_place_for_a_copy_while_there_is_another(self) -> None:
         node = self.member()
         holding, now = self.holding(node), monotonic_time()
         node.alive = list(NAMES)
-        first = node._wanted(holding)
-        node.full_at[first[0]] = now
-        self.assertNotEqual(node._wanted(holding), first)
+        first = node._wanted_replicas(holding)
+        node.replica_refused_at[first[0]] = now
+        self.assertNotEqual(node._wanted_replicas(holding), first)
         node.alive = ["a", first[0]]
-        self.assertEqual(node._wanted(holding), first)
+        self.assertEqual(node._wanted_replicas(holding), first)
 
     def test_partitions_that_are_opened_later_know_the_new_members(self) -> None:
         node = self.member()
@@ -251,7 +251,7 @@
             return set(node.halls)
 
         def ask(heard: str) -> None:
-            node._heard("b", 7, Heartbeat(False, dict.fromkeys(heard, 0)))
+            node._receive_heartbeat("b", 7, Heartbeat(False, dict.fromkeys(heard, 0)))
             node._answer("b", 7, LeaseRequest(right_of(PARTITION), 1, "b", SPAN))
 
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
@@ -267,10 +267,10 @@
             ask("acde")
             self.assertEqual(reload("a", "b", "c", "e"), {"a", "b", "c", "e"})
             self.assertEqual(reload("a", "b", "c"), {"a", "b", "c", "e"})
-            node._heard("b", 7, Heartbeat(True, dict.fromkeys("acde", 0)))  # it has ended
+            node._receive_heartbeat("b", 7, Heartbeat(True, dict.fromkeys("acde", 0)))  # it has ended
             self.assertEqual(reload("a", "b", "c"), {"a", "b", "c"})
             self.assertEqual(reload("a", "b", "c", "f"), {"a", "b", "c"})  # it may come back with five
-        node._heard("b", 8, Heartbeat(False, dict.fromkeys("acde", 0)))
+        node._receive_heartbeat("b", 8, Heartbeat(False, dict.fromkeys("acde", 0)))
         with self.assertRaises(MembershipChangeError):
             ask("ac")
 
@@ -278,7 +278,7 @@
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         first = slot_of("a") << 12
-        node._note(first, 1, ((first + 1) << 32) - NUMBERS_PER_RESERVATION - 1)
+        node._record_lease(first, 1, ((first + 1) << 32) - NUMBERS_PER_RESERVATION - 1)
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node.start(mock.Mock())
             node.look(monotonic_time())
@@ -298,7 +298,7 @@
         node.grantor = LeaseGrantor("a", NAMES, 0, rows)  # the first was closed meanwhile
         theirs = GrantTable(False, (Grant(f"{UPTO}{PARTITION >> 12}", 0, "", closed=True),))
         with mock.patch.object(node, "_call", return_value=theirs):
-            node._heard("b", 7, Heartbeat(False, {}))
+            node._receive_heartbeat("b", 7, Heartbeat(False, {}))
             node.look(monotonic_time())
             gevent.sleep(0.01)
         self.assertEqual([each.right for each in node.grantor.table().grants], [f"{UPTO}{PARTITION >> 12}"])
@@ -324,7 +324,7 @@
             if granted is None:
                 holding.adoption.stage = TakeoverStage.GONE
             elif isinstance(granted, str):
-                node._heard("c", 7, Heartbeat(False, {}))
+                node._receive_heartbeat("c", 7, Heartbeat(False, {}))
                 holding.adoption.stage, holding.adoption.holder.newer = TakeoverStage.OFFERING, (2, granted)
             node._answer_late(monotonic_time(), few)
             self.assertEqual(node.dispatcher.answer_late.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
@@ -377,12 +377,12 @@
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
-        node._hold(PARTITION)
+        node._hold_partition(PARTITION)
         now = monotonic_time()
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-            node._look_at(now, adoption)
+            node._step_takeover(now, adoption)
             self.assertGreaterEqual(node.grantor.promised(right_of(PARTITION)), now + SPAN)
-            node._look_at(monotonic_time() + SPAN, adoption)
+            node._step_takeover(monotonic_time() + SPAN, adoption)
         self.assertLess(node.grantor.promised(right_of(PARTITION)), now + SPAN)
 
     def test_a_partition_that_finds_no_room_here_is_given_back_and_asked_for_again(self) -> None:
@@ -393,8 +393,8 @@
             mock.patch.object(node.store, "resume_ledger", side_effect=NoSpaceError("full")),
             mock.patch("cedarwick.fleet.node.gevent.spawn"),
         ):
-            node._import(monotonic_time(), holding.adoption)
-        node._look_at(monotonic_time(), holding.adoption)
+            node._import_partition(monotonic_time(), holding.adoption)
+        node._step_takeover(monotonic_time(), holding.adoption)
         self.assertIs(holding.adoption.stage, TakeoverStage.WAITING)
 
     def test_a_damaged_folder_leaves_its_partitions_to_the_successors_for_a_while_and_a_copy_is_no_partition(
@@ -416,9 +416,9 @@
                 (set(again.store.holdings), set(again.adoptions)), ({PARTITION}, {PARTITION, PARTITION + 1})
             )
             again.grantor = LeaseGrantor("a", NAMES, 0, ())
-            now = again.begun_at + limits.DOUBTED_US
+            now = again.begun_at + limits.DAMAGED_FOLDER_US
             for at, asks in ((now - 1, False), (now, True)):
-                again._look_at(at, again.adoptions[PARTITION])
+                again._step_takeover(at, again.adoptions[PARTITION])
                 self.assertEqual(again.adoptions[PARTITION].stage is TakeoverStage.ASKING, asks)
 
     def test_no_second_attempt_goes_out_under_a_new_number_beside_the_first(self) -> None:
@@ -428,7 +428,7 @@
         node.store.keep(kept(1))
         node.store.attempt(number(1), CLOCK.now(), 0)
         with mock.patch.object(node, "_renumber") as rekey:
-            node._drop(PARTITION)
+            node._drop_partition(PARTITION)
             rekey.assert_not_called()
             self.assertIn(PARTITION, node.adoptions)
 
@@ -466,7 +466,7 @@
         node.store.body = lambda number: b"" if number % 4 != 3 else self.fail_to_read()  # type: ignore[method-assign]
         opened = Takeover(PARTITION + 1, "a", NAMES, resume=True)
         node.adoptions[PARTITION + 1] = opened
-        fresh = node._hold(PARTITION + 1)
+        fresh = node._hold_partition(PARTITION + 1)
         fresh.serving, opened.holder.may_fire = True, lambda now: True  # type: ignore[method-assign]
         node.store.open_partition, node.store.next_number, fresh.reserved_upto = (
             fresh,
@@ -476,14 +476,14 @@
         keep = node.store.keep
         with mock.patch.object(node.store, "keep") as full:
             full.side_effect = lambda each: keep(each) if full.call_count == 1 else self.fail_to_write()
-            node._drop(PARTITION)
+            node._drop_partition(PARTITION)
         node.dispatcher.adopt.assert_called_once_with([(PARTITION + 1 << 32) + 1])  # type: ignore[attr-defined]
         self.assertEqual(node.store.numbers(PARTITION), [number(2), number(3)])
         node.leaving = True
-        node._drop(PARTITION)
+        node._drop_partition(PARTITION)
         self.assertEqual(node.store.numbers(PARTITION), [number(2), number(3)])
         node.leaving = False
-        node._drop(PARTITION)
+        node._drop_partition(PARTITION)
         self.assertNotIn(PARTITION, node.adoptions)
         ends = {each.id: each.end for each in node.store.messages.values()}
         self.assertEqual(ends, {"id-1": None, "id-2": None, "id-3": (False, 0)})  # the third could not be read
@@ -523,12 +523,12 @@
         node, go = self.member(), threading.Event()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         asks = [LeaseRequest(f"book:{partition}", 1, "b", SPAN) for partition in (1, 2)]
-        node._answer_ask(asks[0])
+        node._answer_lease_request(asks[0])
         write = node.lasting.write_table
         with mock.patch.object(node.lasting, "write_table", side_effect=lambda table: go.wait(5) and write(table)):
-            out = [gevent.spawn(node._answer_ask, asks[1]) for _ in range(2)]
+            out = [gevent.spawn(node._answer_lease_request, asks[1]) for _ in range(2)]
             gevent.sleep(0.02)
-            self.assertTrue(node._answer_ask(asks[0]).granted)  # on the disk since before
+            self.assertTrue(node._answer_lease_request(asks[0]).granted)  # on the disk since before
             self.assertFalse(any(each.ready() for each in out))
             go.set()
             self.assertTrue(all(each.get(timeout=5).granted for each in out))
@@ -540,18 +540,18 @@
         node.copies.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([]))))
         parts = [encode_facts([fact(index)]) for index in (1, 2)]
         peer_messages = [ReplicateFacts(PARTITION, 1, place, part, digest_of(part)) for place, part in enumerate(parts)]
-        out = [gevent.spawn(node._copy, peer_message) for peer_message in reversed(peer_messages)]
+        out = [gevent.spawn(node._replicate, peer_message) for peer_message in reversed(peer_messages)]
         self.assertEqual(
             [each.get(timeout=2) for each in out],
             [ReplicaAck(PARTITION, 1, 2, "", EVERYTHING), ReplicaAck(PARTITION, 1, 1, "", EVERYTHING)],
         )
-        late = node._copy(ReplicateFacts(PARTITION, 1, 7, parts[0], digest_of(parts[0])))
+        late = node._replicate(ReplicateFacts(PARTITION, 1, 7, parts[0], digest_of(parts[0])))
         self.assertEqual(getattr(late, "problem", ""), GAP)  # not for ever
 
     def test_a_partition_that_starved_once_follows_again_by_one_round_in_time(self) -> None:
         node = self.member()
         holding, now = self.holding(node), monotonic_time()
-        node.store.on_replication_timeout = node._starved
+        node.store.on_replication_timeout = node._note_replication_timeout
         holder = holding.adoption.holder
         holder.name(now, ["b"])
         for name in NAMES:
@@ -572,24 +572,24 @@
         has(1)
         node.store.flush()
         node.store.keep(kept(2))  # under load something is always on its way
-        self.assertTrue(node._copied(monotonic_time() + STARVED_US, holding))
+        self.assertTrue(node._replicas_keep_up(monotonic_time() + STARVED_US, holding))
         holding.starved_at = monotonic_time() - 2 * STARVED_US
         with self.assertRaisesRegex(NotReplicatedError, "are not at b"):
             node.store.flush()
-        self.assertFalse(node._copied(monotonic_time(), holding))
+        self.assertFalse(node._replicas_keep_up(monotonic_time(), holding))
 
     def test_a_copy_counts_once_a_majority_knows_its_successor(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.adoption.holder.name(monotonic_time(), ["b"])
-        self.assertFalse(node._copied(monotonic_time(), holding))
+        self.assertFalse(node._replicas_keep_up(monotonic_time(), holding))
 
     def test_a_copy_becomes_a_successor_once_it_has_all_that_came_before_it_was_waited_for(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.serving, node.store.open_partition = True, holding
         node.alive = list(NAMES)
-        name, other = node._wanted(holding)[0], ({"b", "c"} - set(node._wanted(holding))).pop()
+        name, other = node._wanted_replicas(holding)[0], ({"b", "c"} - set(node._wanted_replicas(holding))).pop()
         follower = holding.log.follow(name, monotonic_time())
         for index in (1, 2, 3):
             node.store.keep(kept(index))
@@ -612,8 +612,8 @@
         self.assertEqual(node.store.successors_of(holding), {name})
         node._name_successors(now + STARVED_US + 1, holding)
         self.assertEqual(node.store.successors_of(holding), set())  # it does not keep up
-        node.full_at = {each: monotonic_time() for each in node.full_at}
-        self.assertEqual(node._wanted(holding), [other])
+        node.replica_refused_at = {each: monotonic_time() for each in node.replica_refused_at}
+        self.assertEqual(node._wanted_replicas(holding), [other])
         holding.joining[name] = 7, now
         node.store.begin_log(holding, 2)
         self.assertEqual(holding.joining, {})
@@ -624,10 +624,10 @@
         node.store.keep(kept(1))
         node.store.close()
         again = self.member("own", node.store.folder.path)
-        again._note(PARTITION, 1, 0)
+        again._record_lease(PARTITION, 1, 0)
         adoption = again.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
         adoption.stage = TakeoverStage.OFFERING
-        holding = again._hold(PARTITION)
+        holding = again._hold_partition(PARTITION)
         self.assertEqual(again.store.unreplicated(holding), ([], [number(1)]))
         offers: list[Any] = []
 
@@ -636,7 +636,7 @@
             return OfferReply(PARTITION, 0)
 
         with mock.patch.object(again, "_call", call):
-            again._offer(adoption, "b")
+            again._send_offer(adoption, "b")
         offer: TakeoverOffer = offers[0]
         self.assertEqual([each.number for each in decode_facts(offer.facts)], [number(1)])
         self.assertEqual((offer.term, adoption.stage), (1, TakeoverStage.GONE))
@@ -653,7 +653,7 @@
             node.copies.load()  # the file tells it as well
             adoption.holder.term = 2
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-                node._import(monotonic_time(), adoption)
+                node._import_partition(monotonic_time(), adoption)
             self.assertEqual([node.store.messages[number(index)].doubt_at for index in (1, 2)], [doubt, doubt])
             self.assertEqual(node.store.holdings[PARTITION].log.piece(0, EVERYTHING).behind, ack == "own")
 
@@ -674,23 +674,23 @@
             ]
         )
         node.copies.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
-        node._follow(PARTITION)
+        node._follow_partition(PARTITION)
         node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(PARTITION), 2, "b", ("b", "a"), 1),))
         with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawn:
-            with mock.patch.object(node, "_standing", return_value=MemberStatus.ALIVE):
+            with mock.patch.object(node, "_status_for", return_value=MemberStatus.ALIVE):
                 node._owe(now)
-            self.assertEqual((spawn.call_args, node.owing.elsewhere), (None, frozenset()))
+            self.assertEqual((spawn.call_args, node.order_key_hints.elsewhere), (None, frozenset()))
             node._owe(now)  # b is silent: what a copy here says is owed is told, and rests here, too
             self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", OwedKeys((8,)))])
             node.dispatcher.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
             node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(PARTITION), 3, "a", ("b", "a"), 1),))
             node._owe(now)  # this member has asked for the partition, and has not taken it in yet
-            self.assertEqual(node.owing.elsewhere, {8})
+            self.assertEqual(node.order_key_hints.elsewhere, {8})
             self.assertIsInstance(node._answer("c", 1, OwedKeys((5, 6))), Acknowledged)
             node.copies.drop(PARTITION)
             node.adoptions.clear()
             node._owe(now)
-            self.assertEqual(node.owing.elsewhere, {5, 6})
+            self.assertEqual(node.order_key_hints.elsewhere, {5, 6})
             holding = self.holding(node)
             for index, turn in enumerate((5, 7), 1):
                 holding.ledger.record_message(replace(kept(index), turn=turn), b"")
@@ -702,11 +702,11 @@
                 node.store.open_partition = open_partition
                 node._backlog(holding)
                 node._owe(now)
-                self.assertEqual(node.owing.sent_keys, told)
-                self.assertLessEqual(told, node.owing.elsewhere)  # a partition that is not fired for
+                self.assertEqual(node.order_key_hints.sent_keys, told)
+                self.assertLessEqual(told, node.order_key_hints.elsewhere)  # a partition that is not fired for
             holding.serving = True
             node._owe(now)
-            self.assertEqual(node.owing.elsewhere, {6})
+            self.assertEqual(node.order_key_hints.elsewhere, {6})
             holding.ledger.known.clear()
             node._owe(now + EVERY)
             self.assertEqual(spawn.call_args.args[1:3], ("c", OwedKeys()))
@@ -728,7 +728,7 @@
                 keep(store, each)
 
             with mock.patch.object(Store, "keep", kept_if):
-                problems.append(node._offered("b", TakeoverOffer(PARTITION, 0, True, data, digest_of(data), 1)))
+                problems.append(node._answer_offer("b", TakeoverOffer(PARTITION, 0, True, data, digest_of(data), 1)))
         self.assertEqual(problems, [OfferReply(PARTITION, 0, "full"), OfferReply(PARTITION, 0)])
         self.assertEqual(dispatcher.adopt.mock_calls, [mock.call([number(1)]), mock.call([number(2), number(3)])])
         self.assertEqual(sorted(node.store.messages), sorted(holding.ledger.known))
@@ -736,11 +736,11 @@
     def test_an_owner_that_comes_back_after_others_waits_for_what_they_may_offer(self) -> None:
         for term, from_term in ((2, 0), (3, 1)):
             node = self.member()
-            node._note(PARTITION, 1, 0)
+            node._record_lease(PARTITION, 1, 0)
             adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
             adoption.holder.term = term
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-                node._import(monotonic_time(), adoption)
+                node._import_partition(monotonic_time(), adoption)
             self.assertEqual(node.store.holdings[PARTITION].imported_from_term, from_term)
 
     def test_an_adopted_partition_is_kept_for_what_its_last_holder_may_offer(self) -> None:
@@ -752,7 +752,7 @@
             self.assertEqual(node._expects_offer(now, holding), waits)
             self.assertFalse(node._expects_offer(now + limits.OFFER_EXPECTED_US, holding))
             empty = encode_facts([])
-            node._offered("b", TakeoverOffer(PARTITION, 0, True, empty, digest_of(empty), 1))
+            node._answer_offer("b", TakeoverOffer(PARTITION, 0, True, empty, digest_of(empty), 1))
             self.assertEqual(node._expects_offer(now, holding), waits)  # it may not have the answer yet
             self.assertFalse(node._expects_offer(now + 4_000_000, holding))
 
--- a/tests/test_fleet_order_key_hints.py
+++ b/tests/test_fleet_order_key_hints.py
@@ -18,34 +18,34 @@
 
 class Pure(unittest.TestCase):
     def test_keys_are_told_at_once_then_again_and_at_last_that_there_are_none(self) -> None:
-        owing = OrderKeyHints()
-        self.assertIsNone(owing.tell(NOW, set(), ["b"]))
-        self.assertEqual(owing.tell(NOW, {7, 5}, ["b"]), (5, 7))
-        self.assertIsNone(owing.tell(NOW + EVERY - 1, {5}, ["b"]))  # what is over may wait
-        self.assertEqual(owing.tell(NOW + EVERY - 1, {5}, ["b", "c"]), (5,))  # who came back knows nothing yet
-        self.assertEqual(owing.tell(NOW + 2 * EVERY, {5}, ["b", "c"]), (5,))  # a peer message may be lost
-        self.assertEqual(owing.tell(NOW + 3 * EVERY, set(), ["b", "c"]), ())
-        self.assertIsNone(owing.tell(NOW + 9 * EVERY, set(), ["b", "c"]))
-        self.assertEqual(len(owing.tell(NOW + 9 * EVERY, set(range(9999)), ["b"]) or ()), MOST_KEYS)
+        hints = OrderKeyHints()
+        self.assertIsNone(hints.tell(NOW, set(), ["b"]))
+        self.assertEqual(hints.tell(NOW, {7, 5}, ["b"]), (5, 7))
+        self.assertIsNone(hints.tell(NOW + EVERY - 1, {5}, ["b"]))  # what is over may wait
+        self.assertEqual(hints.tell(NOW + EVERY - 1, {5}, ["b", "c"]), (5,))  # who came back knows nothing yet
+        self.assertEqual(hints.tell(NOW + 2 * EVERY, {5}, ["b", "c"]), (5,))  # a peer message may be lost
+        self.assertEqual(hints.tell(NOW + 3 * EVERY, set(), ["b", "c"]), ())
+        self.assertIsNone(hints.tell(NOW + 9 * EVERY, set(), ["b", "c"]))
+        self.assertEqual(len(hints.tell(NOW + 9 * EVERY, set(range(9999)), ["b"]) or ()), MOST_KEYS)
 
     def test_a_key_rests_while_others_tell_it_and_never_for_those_who_wait_for_this_one(self) -> None:
-        owing = OrderKeyHints()
-        owing.heard(NOW, "b", (1, 2))
-        owing.heard(NOW, "c", (2, 3))
-        self.assertEqual(owing.rests(NOW, {3}, {4}), {1, 2, 4})  # 3 is owed at both: they would wait for each other
-        owing.heard(NOW + 1, "b", ())
-        self.assertEqual(owing.rests(NOW + 1, {3}, NONE), {2})
-        self.assertEqual(owing.rests(NOW + LASTS, NONE, NONE), NONE)  # c is silent
+        hints = OrderKeyHints()
+        hints.heard(NOW, "b", (1, 2))
+        hints.heard(NOW, "c", (2, 3))
+        self.assertEqual(hints.rests(NOW, {3}, {4}), {1, 2, 4})  # 3 is owed at both: they would wait for each other
+        hints.heard(NOW + 1, "b", ())
+        self.assertEqual(hints.rests(NOW + 1, {3}, NONE), {2})
+        self.assertEqual(hints.rests(NOW + LASTS, NONE, NONE), NONE)  # c is silent
 
     def test_a_key_rests_no_longer_than_it_may_whoever_tells_it(self) -> None:
-        owing = OrderKeyHints()
+        hints = OrderKeyHints()
         for at in range(NOW, NOW + 2 * MOST, EVERY):
-            owing.heard(at, "b" if at < NOW + LASTS else "c", (1,))
-            self.assertEqual(owing.rests(at, NONE, NONE), {1} if at < NOW + MOST else NONE)
-        owing.heard(at, "c", ())
-        owing.rests(at, NONE, NONE)
-        owing.heard(at + 1, "c", (1,))
-        self.assertEqual(owing.rests(at + 1, NONE, NONE), {1})  # it is owed anew
+            hints.heard(at, "b" if at < NOW + LASTS else "c", (1,))
+            self.assertEqual(hints.rests(at, NONE, NONE), {1} if at < NOW + MOST else NONE)
+        hints.heard(at, "c", ())
+        hints.rests(at, NONE, NONE)
+        hints.heard(at + 1, "c", (1,))
+        self.assertEqual(hints.rests(at + 1, NONE, NONE), {1})  # it is owed anew
 
 
 class Days(unittest.TestCase):
--- a/tests/test_virtual_days.py
+++ b/tests/test_virtual_days.py
@@ -132,7 +132,7 @@
             self.assertEqual([], play(7, ack="copy", seconds=SECONDS, level="calm", **told).findings)
 
     def test_an_error_in_the_program_is_a_finding(self) -> None:
-        with patch.object(node.FleetNode, "_heard", failing):
+        with patch.object(node.FleetNode, "_receive_heartbeat", failing):
             verdict = play(1, seconds=SECONDS)
         self.assertIn("ValueError: a beat", verdict.findings[0].text)
         self.assertIs(vars(node)["gevent"], gevent)
