--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -205,7 +205,7 @@
                 holding.starved_at = 0
             # The lease may have run out during the wait; who has adopted the partition meanwhile lacks these records.
             if not holding.adoption.holder.may_fire(monotonic_time()):
-                raise NotReplicatedError(f"partition {holding.partition}: the right over it has run out")
+                raise NotReplicatedError(f"partition {holding.partition}: its lease has run out")
 
     def successors_of(self, holding: LeasedPartition) -> frozenset[str]:
         """The members that must have a record before it counts as replicated."""
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -111,7 +111,7 @@
             if log.acked([name]) < index and now - since > STARVED_US:
                 self.replica_refused_at[name] = now  # it does not keep up: another one is asked
         if joining.keys() - holding.joining.keys() and holding.alone_since:
-            logger.info("partition {}: copies follow again", holding.partition)
+            logger.info("partition {}: replicas follow again", holding.partition)
             holding.starved_at = holding.alone_since = 0
         holding.joining = {name: each for name, each in joining.items() if self.replica_refused_at.get(name) != now}
         return [
@@ -124,7 +124,7 @@
         """Note that a copy has not taken a record in time."""
         if not holding.starved_at:
             holding.starved_at = monotonic_time()
-            self.counters.warning("a copy does not follow", f"partition {holding.partition}")
+            self.counters.warning("a replica does not follow", f"partition {holding.partition}")
 
     def _replicas_are_trusted(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
         """Whether copies have followed for long enough (`REPLICA_TRUST_US`) for a sender that goes on alone."""
@@ -141,12 +141,12 @@
         # Only named ones count: a copy that no majority knows as a successor would not be granted the partition.
         if not successors or self.settings.alone == "busy" and not holding.adoption.holder.successors[1:]:
             if self.settings.alone == "own" and not holding.alone_since:
-                logger.warning("partition {}: goes on without a copy", holding.partition)
+                logger.warning("partition {}: goes on without a replica", holding.partition)
                 holding.alone_since = now
                 holding.starved_at = holding.starved_at or now - STARVED_US
             return self.settings.alone == "own"
         if holding.starved_at and holding.log.acked(successors) >= holding.log.next:
             if holding.alone_since or holding.is_starving(now):
-                logger.info("partition {}: copies follow again", holding.partition)
+                logger.info("partition {}: replicas follow again", holding.partition)
             holding.starved_at = holding.alone_since = 0
         return not holding.is_starving(now)
--- /dev/null
+++ b/cedarwick/fleet/takeover_offers.py
@@ -0,0 +1,99 @@
+"""Offers after a takeover: a lost holder sends all that it knows of a partition to the member that holds it now.
+
+A part of the fleet node, used by `PartitionTakeover`. Times are microseconds of the boot clock unless a name ends in
+`_S` (seconds).
+"""
+
+from collections.abc import Iterable
+
+import gevent
+from loguru import logger
+
+from cedarwick.fleet.held_partitions import HeldPartitions
+from cedarwick.fleet.lease_exchange import LeaseExchange
+from cedarwick.fleet.leases import right_of
+from cedarwick.fleet.limits import HEARTBEAT_INTERVAL_S, OFFER_PART_BYTES, OFFER_TIMEOUT_S, PARTITION_CLOSED
+from cedarwick.fleet.messages import OfferReply, TakeoverOffer, digest_of
+from cedarwick.fleet.replicated_store import monotonic_time
+from cedarwick.fleet.replication_facts import CorruptFactsError, Fact, decode_facts, encoded, together
+from cedarwick.fleet.takeover import Takeover, TakeoverStage
+
+
+def offer_parts(facts: Iterable[Fact]) -> list[bytes]:
+    """Facts as the encoded parts of an offer, each of about `OFFER_PART_BYTES`; one empty part where there are none."""
+    parts: list[bytes] = []
+    part: list[bytes] = []
+    for fact in facts:
+        part.append(encoded(fact))
+        if sum(map(len, part)) >= OFFER_PART_BYTES:
+            parts.append(together(part))
+            part = []
+    parts.append(together(part))
+    return parts
+
+
+class TakeoverOffers(LeaseExchange, HeldPartitions):
+    """Sends the offers of this member and answers those of others."""
+
+    def _send_offer(self, adoption: Takeover, to: str) -> None:
+        """Offer what this member knows to the newer holder, in parts of `OFFER_PART_BYTES`."""
+        holding = self.store.holdings.get(adoption.partition)
+        if holding is not None and not holding.ledger.term:
+            # What an earlier process of this sender has taken or learned may be nowhere but in this store.
+            self.store.resume_ledger(holding, self._recorded_term(adoption.partition))
+        known = self.store.facts_to_offer(holding) if holding is not None else []
+        parts = offer_parts(known)
+        logger.info("partition {}: {} messages offered to {}", adoption.partition, len(known), to)
+        try:
+            for index, data in enumerate(parts):
+                offer = TakeoverOffer(
+                    adoption.partition,
+                    index,
+                    index + 1 == len(parts),
+                    data,
+                    digest_of(data),
+                    adoption.holder.term if holding is None else holding.ledger.term,
+                )
+                if holding is not None:
+                    holding.offer_sent = True
+                answer = self._call(to, offer, OFFER_TIMEOUT_S)
+                if not isinstance(answer, OfferReply) or answer.problem:
+                    if isinstance(answer, OfferReply) and answer.problem == PARTITION_CLOSED:
+                        self._learn_closed_partitions(to)
+                    gevent.sleep(HEARTBEAT_INTERVAL_S)
+                    return  # it is asked again at the next look, of whoever holds the partition then
+            adoption.offered()
+            if holding is not None:
+                holding.offered = True
+        finally:
+            self.offers.pop(adoption.partition, None)
+
+    def _answer_offer(self, sender: str, body: TakeoverOffer) -> OfferReply:
+        """Answer an earlier holder of a partition held here that offers what it knows."""
+        holding = self.store.holdings.get(body.partition)
+        if holding is None and self.grantor.grant(right_of(body.partition)).closed:
+            return OfferReply(body.partition, body.part, PARTITION_CLOSED)
+        if holding is None or not holding.imported or holding.adoption.stage is not TakeoverStage.HOLDING:
+            return OfferReply(body.partition, body.part, "it is not held here")
+        if digest_of(body.facts) != body.digest:
+            return OfferReply(body.partition, body.part, "spoilt")
+        try:
+            facts = decode_facts(body.facts)
+            facts = self.traffic.offered(holding, facts) if self.traffic is not None else facts
+            merged = self.store.merge_offer(holding, facts, body.term)
+        except CorruptFactsError as error:
+            return OfferReply(body.partition, body.part, str(error)[:512])
+        logger.info(
+            "partition {}: {} reported {} ends and {} updates",
+            body.partition,
+            sender,
+            len(merged.ended),
+            len(merged.changed),
+        )
+        if body.last and not merged.problem:
+            holding.offer_completed_at = monotonic_time()
+        if holding.serving and (merged.ended or merged.changed):
+            # The dispatcher decides anew with the added facts.
+            self.dispatcher.park(merged.ended + merged.changed)
+            self.dispatcher.adopt(merged.changed)
+        return OfferReply(body.partition, body.part, merged.problem[:512])
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -42,6 +42,7 @@
     session_routing,
     session_state,
     session_submissions,
+    takeover_offers,
 )
 from cedarwick.fleet.messages import Body, Heartbeat, LeaseRequest, PeerMessage, RequestRefused, decode, encode
 from cedarwick.fleet.peer_verifier import PeerVerifier
@@ -417,6 +418,7 @@
                 replication_pumps,
                 owed_keys,
                 partition_takeover,
+                takeover_offers,
                 request_handling,
                 node,
                 replicated_store,
