--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -19,12 +19,13 @@
 from cedarwick.fleet.membership import Membership
 from cedarwick.fleet.messages import Body, PeerMessage
 from cedarwick.fleet.order_key_hints import OrderKeyHints
+from cedarwick.fleet.peer_client import Peers
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.ports import PartitionDispatcher
 from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
 from cedarwick.fleet.replicated_store import ReplicatedStore, monotonic_time
 from cedarwick.fleet.takeover import Ownership, Takeover
-from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerUnreachableError
+from cedarwick.fleet.transport import PeerRefusedError, PeerUnreachableError
 from cedarwick.net.assignment import address
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -18,11 +18,11 @@
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.membership_reload import MembershipReload
 from cedarwick.fleet.messages import slot_of
+from cedarwick.fleet.peer_server import PeerServer
 from cedarwick.fleet.ports import PartitionDispatcher
 from cedarwick.fleet.replicated_store import ReplicatedStore, monotonic_time
 from cedarwick.fleet.request_handling import RequestHandling
 from cedarwick.fleet.takeover import Ownership, Takeover
-from cedarwick.fleet.transport import PeerServer
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 
--- a/cedarwick/fleet/peer_verifier.py
+++ b/cedarwick/fleet/peer_verifier.py
@@ -1,6 +1,7 @@
 """Decides which peer messages are accepted: from a known member of this group, from its newest boot, to this sender.
 
-Called by `transport.py` for each message. An incarnation is the wall time of a boot in microseconds.
+Called by `peer_server.py` and `peer_client.py` for each message. An incarnation is the wall time of a boot in
+microseconds.
 """
 
 from collections.abc import Iterable
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -19,6 +19,7 @@
 )
 from cedarwick.fleet.migration_planner import MigrationRequest
 from cedarwick.fleet.migration_state import SECOND
+from cedarwick.fleet.peer_client import Peers
 from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.recent_ids import RecentIds
 from cedarwick.fleet.replicated_store import monotonic_time
@@ -30,7 +31,7 @@
     ClaimRequest,
     SessionDirectory,
 )
-from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerUnreachableError
+from cedarwick.fleet.transport import PeerRefusedError, PeerUnreachableError
 from cedarwick.net.client_listener import ClientListener
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.submission import Submission
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -45,8 +45,9 @@
     takeover_offers,
 )
 from cedarwick.fleet.messages import Body, Heartbeat, LeaseRequest, PeerMessage, RequestRefused, decode, encode
+from cedarwick.fleet.peer_client import MAX_CALLS, MAX_CALLS_IN_FLIGHT
 from cedarwick.fleet.peer_verifier import PeerVerifier
-from cedarwick.fleet.transport import IN_FLIGHT, QUEUE, PeerRefusedError, PeerUnreachableError
+from cedarwick.fleet.transport import PeerRefusedError, PeerUnreachableError
 from cedarwick.net import dispatch_state, dispatcher, notifications, submission
 
 SECOND = 1_000_000
@@ -318,12 +319,12 @@
         carry: Carry,
         gate: PeerVerifier,
         members: Mapping[str, tuple[str, int]],
-        at_once: int = IN_FLIGHT,
+        in_flight: int = MAX_CALLS_IN_FLIGHT,
     ) -> None:
         self.kernel = kernel
         self.carry = carry
         self.gate = gate
-        self.at_once = at_once
+        self.in_flight = in_flight
         self.calls: Counter[str] = Counter()
         self.rooms: defaultdict[tuple[str, bool], list[object]] = defaultdict(list)  # by member, and whether urgent
         self.replace(members)
@@ -343,14 +344,14 @@
 
         `PeerUnreachableError` without an answer in time, `PeerRefusedError` where the member says why not.
         """
-        if member not in self.members or self.calls[member] >= QUEUE:
+        if member not in self.members or self.calls[member] >= MAX_CALLS:
             raise PeerUnreachableError(member)
         peer_message, end = encode(self.gate.peer_message(member, body)), self.kernel.now + int(within_s * SECOND)
         room, place = self.rooms[member, isinstance(body, LeaseRequest | Heartbeat)], object()
         self.calls[member] += 1
         room.append(place)
         try:
-            while room.index(place) >= self.at_once:
+            while room.index(place) >= self.in_flight:
                 if self.kernel.now >= end:
                     raise PeerUnreachableError(member)
                 self.kernel.sleep(LOOK)
@@ -392,8 +393,10 @@
     in the place of `Exchange`."""
     greenlets, clocks = kernel.gevent(), kernel.time()
 
-    def peers(gate: PeerVerifier, members: Mapping[str, tuple[str, int]], at_once: int = IN_FLIGHT) -> Peers:
-        return Peers(kernel, carry, gate, members, at_once)
+    def peers(
+        gate: PeerVerifier, members: Mapping[str, tuple[str, int]], in_flight: int = MAX_CALLS_IN_FLIGHT
+    ) -> Peers:
+        return Peers(kernel, carry, gate, members, in_flight)
 
     # Their classes have the real events for a default.
     made: list[tuple[object, str, Any]] = [
--- a/tests/test_fleet_transport.py
+++ b/tests/test_fleet_transport.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet import messages, peer_verifier, transport
+from cedarwick.fleet import messages, peer_client, peer_request, peer_server, peer_verifier, transport
 from cedarwick.fleet.backoff import Backoff
 from cedarwick.fleet.messages import (
     MAX_MESSAGE_BYTES,
@@ -29,8 +29,10 @@
     decode,
     encode,
 )
+from cedarwick.fleet.peer_client import Peers
+from cedarwick.fleet.peer_server import PeerServer
 from cedarwick.fleet.peer_verifier import PeerVerifier
-from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerServer, PeerUnreachableError
+from cedarwick.fleet.transport import PeerRefusedError, PeerUnreachableError
 from cedarwick.net.counters import Counters
 from tests.build import Receiver, free_port, reply, until
 
@@ -145,7 +147,7 @@
 
     def until_busy(self, peer_messages: int) -> None:
         with gevent.Timeout(5):
-            while self.server.busy < peer_messages:
+            while self.server.in_progress < peer_messages:
                 gevent.sleep(0.005)
 
     def raw(self, told: bytes, end: bool = False) -> bytes:
@@ -176,7 +178,8 @@
         for _ in range(5):
             self.assertEqual(self.peers.call("b", body, 5), body)
         self.assertEqual(
-            (len(self.peers.peers["b"].open), self.server.http.pool.free_count()), (1, transport.MOST_CONNECTIONS - 1)
+            (len(self.peers.peers["b"].connections), self.server.stream_server.pool.free_count()),
+            (1, peer_server.MAX_CONNECTIONS - 1),
         )
 
     def test_each_wrong_peer_message_is_refused_with_its_reason(self) -> None:
@@ -210,12 +213,12 @@
         self.assertEqual(self.code(self.raw(b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n")), (404, "CW707"))
         chunked = b"POST /fleet/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.assertEqual(self.code(self.raw(chunked)), (404, "CW707"))
-        for noise in (b"noise\r\n\r\n", self.post(b"", more="X: " + "x" * transport.LONGEST_HEAD + "\r\n")):
+        for noise in (b"noise\r\n\r\n", self.post(b"", more="X: " + "x" * peer_request.MAX_HEAD_BYTES + "\r\n")):
             self.assertTrue(self.raw(noise).startswith(b"HTTP/1.1 400"))
         self.assertEqual(self.peers.call("b", Acknowledged(), 5), Acknowledged())
 
     def test_who_does_not_write_on_is_let_go(self) -> None:
-        with patch.object(transport, "READ_WITHIN", 0.05), patch.object(transport, "SILENT", 0.05):
+        with patch.object(peer_server, "READ_TIMEOUT_S", 0.05), patch.object(peer_server, "IDLE_TIMEOUT_S", 0.05):
             self.assertEqual(self.raw(b""), b"")
             self.assertEqual(self.code(self.raw(self.post(b"x", 1000)))[1], "CW710")
 
@@ -225,7 +228,7 @@
                     sock.sendall((b"POST /fleet/1 HTTP/1.1\r\nX: " + b"x" * 100)[place : place + 1])
                     gevent.sleep(0.02)
 
-        with patch.object(transport, "READ_WITHIN", 0.1), patch.object(transport, "SILENT", 0.2):
+        with patch.object(peer_server, "READ_TIMEOUT_S", 0.1), patch.object(peer_server, "IDLE_TIMEOUT_S", 0.2):
             with gevent.Timeout(1.5), gevent.socket.create_connection((HOST, self.server.port)) as sock:
                 writer = gevent.spawn(trickle, sock)
                 with contextlib.suppress(OSError):
@@ -256,7 +259,7 @@
         self.answer = (
             lambda peer_message: beat if isinstance(peer_message.body, Heartbeat) or not go.wait(5) else Acknowledged()
         )
-        with patch.object(transport, "MOST_AT_ONCE", 2):
+        with patch.object(peer_server, "MAX_REQUESTS_IN_PROGRESS", 2):
             out = [gevent.spawn(self.peers.call, "b", Acknowledged(), 5) for _ in range(2)]
             self.until_busy(2)
             self.refused("CW709", body=ReplicateFacts(1, 2, 3, b"x" * 100_000, 4))
@@ -278,7 +281,7 @@
         self.assertEqual(out.get(), Acknowledged())
         with gevent.Timeout(2):
             self.assertEqual(idle.recv(1), b"")
-        self.assertEqual(len(self.server.http.pool), 0)
+        self.assertEqual(len(self.server.stream_server.pool), 0)
         self.unreachable("refused", self.peers)
 
 
@@ -288,7 +291,7 @@
 
         def counted(peer_message: PeerMessage) -> messages.Body:
             nonlocal most
-            most = max(most, self.server.busy)
+            most = max(most, self.server.in_progress)
             gevent.sleep(0.002)
             return Acknowledged()
 
@@ -296,9 +299,12 @@
         ended = [gevent.spawn(self.ends, self.peers) for _ in range(200)]
         self.assertEqual(
             sorted(each.get() for each in ended),
-            ["Acknowledged"] * transport.QUEUE + ["CW712"] * (200 - transport.QUEUE),
+            ["Acknowledged"] * peer_client.MAX_CALLS + ["CW712"] * (200 - peer_client.MAX_CALLS),
+        )
+        self.assertEqual(
+            (most, len(self.peers.peers["b"].connections)),
+            (peer_client.MAX_CALLS_IN_FLIGHT, peer_client.MAX_CALLS_IN_FLIGHT),
         )
-        self.assertEqual((most, len(self.peers.peers["b"].open)), (transport.IN_FLIGHT, transport.IN_FLIGHT))
         self.assertEqual(self.peers.call("b", Acknowledged(), 5), Acknowledged())
 
     def ends(self, peers: Peers) -> str:
@@ -316,10 +322,13 @@
             for limit in (0.2, 0.2, 0.2, 0.2, 0.1, 0.1)
         ]
         gevent.joinall(out, raise_error=True)
-        self.assertEqual((peers.peers["b"].open, peers.peers["b"].room.counter), (set(), transport.IN_FLIGHT))
-        until(lambda: len(silent.calls) >= transport.IN_FLIGHT)
         self.assertEqual(
-            silent.connections, transport.IN_FLIGHT
+            (peers.peers["b"].connections, peers.peers["b"].call_slots.counter),
+            (set(), peer_client.MAX_CALLS_IN_FLIGHT),
+        )
+        until(lambda: len(silent.calls) >= peer_client.MAX_CALLS_IN_FLIGHT)
+        self.assertEqual(
+            silent.connections, peer_client.MAX_CALLS_IN_FLIGHT
         )  # nothing is sent twice; those in the queue never went
 
     def test_an_ask_does_not_wait_behind_records(self) -> None:
@@ -334,12 +343,14 @@
         self.answer = held_up
         out = [
             gevent.spawn(self.peers.call, "b", ReplicateFacts(1, 2, 3, b"", 0), 5)
-            for _ in range(transport.IN_FLIGHT + 1)
+            for _ in range(peer_client.MAX_CALLS_IN_FLIGHT + 1)
         ]
-        self.until_busy(transport.IN_FLIGHT)
+        self.until_busy(peer_client.MAX_CALLS_IN_FLIGHT)
         self.assertEqual(self.peers.call("b", messages.LeaseRequest("book:1", 1, "a", 1), 0.2), Acknowledged())
         gevent.joinall(out, raise_error=True)
-        self.assertEqual(asked, ["ReplicateFacts"] * transport.IN_FLIGHT + ["LeaseRequest", "ReplicateFacts"])
+        self.assertEqual(
+            asked, ["ReplicateFacts"] * peer_client.MAX_CALLS_IN_FLIGHT + ["LeaseRequest", "ReplicateFacts"]
+        )
 
     def test_garbage_and_answers_of_others_are_no_answers(self) -> None:
         def told(sender: str, to: str = "a", status: int = 200) -> bytes:
@@ -370,7 +381,9 @@
             other = Receiver(said)
             self.addCleanup(other.close)
             peers = self.peers_of(other.port)
-            self.assertEqual((peers.call("b", Acknowledged(), 5), peers.peers["b"].open), (Acknowledged(), set()))
+            self.assertEqual(
+                (peers.call("b", Acknowledged(), 5), peers.peers["b"].connections), (Acknowledged(), set())
+            )
 
     def test_a_connection_that_died_idle_is_replaced(self) -> None:
         self.peers.call("b", Acknowledged(), 5)
@@ -378,18 +391,18 @@
         kept.sock.shutdown(gevent.socket.SHUT_RDWR)
         self.assertEqual(self.peers.call("b", Acknowledged(), 5), Acknowledged())
         self.assertIsNot(self.peers.peers["b"].idle[0], kept)
-        with patch.object(transport, "IDLE_LIMIT", 0.0):
+        with patch.object(peer_client, "IDLE_TIMEOUT_S", 0.0):
             self.peers.call("b", Acknowledged(), 5)
-        self.assertEqual(len(self.peers.peers["b"].open), 1)
+        self.assertEqual(len(self.peers.peers["b"].connections), 1)
 
     def test_a_new_list_of_members_closes_what_is_not_in_it(self) -> None:
         self.answer = lambda peer_message: Acknowledged() if gevent.sleep(9) is None else Acknowledged()
-        out = [gevent.spawn(self.ends, self.peers) for _ in range(transport.IN_FLIGHT + 1)]
-        self.until_busy(transport.IN_FLIGHT)
+        out = [gevent.spawn(self.ends, self.peers) for _ in range(peer_client.MAX_CALLS_IN_FLIGHT + 1)]
+        self.until_busy(peer_client.MAX_CALLS_IN_FLIGHT)
         left = self.peers.peers["b"]
         self.peers.replace({"a": (HOST, 1), "c": (HOST, 2)})
         self.assertEqual([each.get(timeout=4) for each in out], ["CW712"] * len(out))
-        self.assertEqual((left.open, left.idle, list(self.peers.names())), (set(), [], ["c"]))
+        self.assertEqual((left.connections, left.idle, list(self.peers.names())), (set(), [], ["c"]))
         self.unreachable("no other member", self.peers)
         self.answer = lambda peer_message: Acknowledged()
         self.peers.replace({"b": (HOST, self.server.port)})
@@ -405,7 +418,7 @@
     def test_a_peer_message_that_is_too_large_is_not_sent(self) -> None:
         with self.assertRaises(transport.PeerMessageTooLargeError):
             self.peers.call("b", ReplicateFacts(1, 2, 3, b"x" * MAX_MESSAGE_BYTES, 4), 5)
-        self.assertEqual(self.peers.peers["b"].open, set())
+        self.assertEqual(self.peers.peers["b"].connections, set())
 
 
 if __name__ == "__main__":
