--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -203,9 +203,9 @@
 
     def member(self, change: MemberChange, silent: int) -> None:
         """Emit the event of a member's changed status; `silent`: microseconds since it was last heard."""
-        if change.now is MemberStatus.ALIVE:
+        if change.current is MemberStatus.ALIVE:
             self._of_member("member-came", change.name, {})
-        elif change.now in (MemberStatus.DEAD, MemberStatus.LEFT):
+        elif change.current in (MemberStatus.DEAD, MemberStatus.LEFT):
             self._of_member("member-went", change.name, {"age": silent})
 
     def _of_member(self, kind: str, member: str, more: dict[str, Value]) -> None:
--- a/cedarwick/fleet/heartbeats.py
+++ b/cedarwick/fleet/heartbeats.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from cedarwick.fleet.leases import right_of
+from cedarwick.fleet.leases import KnownHolder, lease_of
 from cedarwick.fleet.limits import CALL_TIMEOUT_S, HEARTBEAT_INTERVAL_S
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import Heartbeat, HeldLease
@@ -24,21 +24,21 @@
             took = monotonic_time() - began
             if isinstance(answer, Heartbeat):
                 self._receive_heartbeat(name, self.gate.newest.get(name, 0), answer)
-            self.members.slow(monotonic_time(), name, took)
+            self.members.note_answer_time(monotonic_time(), name, took)
             gevent.sleep(max(0.0, HEARTBEAT_INTERVAL_S - took / 1e6))
 
     def _receive_heartbeat(self, name: str, incarnation: int, beat: Heartbeat) -> None:
         """Take a heartbeat of the given boot of a member: note which partitions it serves, and whether it restarted."""
         before = self.members.incarnation_of(name)
         now = monotonic_time()
-        if self.members.heard(now, name, incarnation, beat.heard, beat.leaving):
-            terms = {right.partition: right.term for right in beat.rights}
+        if self.members.receive_heartbeat(now, name, incarnation, beat.heard, beat.leaving):
+            terms = {lease.partition: lease.term for lease in beat.leases}
             for partition, adoption in self.adoptions.items():
                 if partition in terms:
                     self.reported_serving[partition] = name, now
                     # At least the newest term known here: one that was asked for in vain must not hide the holder.
-                    term = max(terms[partition], adoption.holder.term, self.grantor.grant(right_of(partition)).term)
-                    adoption.holder.newer = max(adoption.holder.newer, (term, name))
+                    term = max(terms[partition], adoption.holder.term, self.grantor.grant(lease_of(partition)).term)
+                    adoption.holder.newest_other = max(adoption.holder.newest_other, KnownHolder(term, name))
                 elif partition in self.reported_serving and self.reported_serving[partition][0] == name:
                     del self.reported_serving[partition]
         if 0 < before < incarnation:
@@ -50,9 +50,9 @@
     def _own_heartbeat(self) -> Heartbeat:
         """This member's heartbeat as of now; while it leaves it names no partition."""
         now = monotonic_time()
-        rights = tuple(
+        leases = tuple(
             HeldLease(holding.partition, holding.adoption.holder.term)
             for holding in self.store.holdings.values()
             if holding.serving and not self.leaving
         )
-        return Heartbeat(self.leaving, self.members.beat_ages(now), rights)
+        return Heartbeat(self.leaving, self.members.heartbeat_ages(now), leases)
--- a/cedarwick/fleet/held_partitions.py
+++ b/cedarwick/fleet/held_partitions.py
@@ -5,7 +5,7 @@
 
 from cedarwick.fleet.fleet_files import LeaseRecord
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import right_of
+from cedarwick.fleet.leases import lease_of
 from cedarwick.fleet.limits import IDLE_HOLDER_US, RESTARTED_REQUESTS_US
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.membership import MemberStatus
@@ -57,19 +57,19 @@
 
     def _presumed_holder(self, adoption: Takeover) -> str:
         """The presumed holder of a partition; empty where none is known."""
-        grant, (term, holder) = self.grantor.grant(right_of(adoption.partition)), adoption.holder.newer
+        grant, (term, holder) = self.grantor.grant(lease_of(adoption.partition)), adoption.holder.newest_other
         # At equal terms the report counts: the own grantor may have granted a term to this member while a majority
         # granted it to another.
         return grant.holder if grant.term > term else holder
 
     def _status_for(self, now: int, name: str, adoption: Takeover) -> MemberStatus:
         """A member's status as to a partition: its presumed holder counts as dead where it does not serve it."""
-        partition, grant = adoption.partition, self.grantor.grant(right_of(adoption.partition))
-        term, holder = adoption.holder.newer
+        partition, grant = adoption.partition, self.grantor.grant(lease_of(adoption.partition))
+        term, holder = adoption.holder.newest_other
         holder = grant.holder if grant.term > term else holder
         if self.presumed_holders.get(partition, ("", 0))[0] != holder:
             self.presumed_holders[partition] = holder, now
-        state = self.members.state(now, name)
+        state = self.members.status(now, name)
         if name == holder and state is MemberStatus.ALIVE:
             who, at = self.reported_serving.get(partition, ("", 0))
             restarted_at = self.restarted_at.get(name, 0)
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -25,7 +25,7 @@
         for holding in list(self.store.holdings.values()):
             stage = holding.adoption.stage
             held = stage is TakeoverStage.HOLDING and holding.imported
-            ours = held and holding.adoption.holder.may_fire(now)
+            ours = held and holding.adoption.holder.is_valid(now)
             # Also partitions that no majority grants to anybody, as after a restart: nobody else would answer them.
             unheld = held and not ours or self._has_no_holder(holding.adoption)
             holding.unheld_since = (holding.unheld_since or now) if unheld else 0
@@ -39,7 +39,7 @@
             if stage is TakeoverStage.OFFERING:
                 # Nobody else can answer what no replica was sent and nobody was offered. An offer without an answer
                 # may have been stored, and the new holder may have answered the message otherwise.
-                heard = self.members.state(now, self._presumed_holder(holding.adoption)) is MemberStatus.ALIVE
+                heard = self.members.status(now, self._presumed_holder(holding.adoption)) is MemberStatus.ALIVE
                 if not heard and not holding.offer_sent:
                     numbers = self.store.unreplicated(holding).unsent
             elif ours or few:
--- a/cedarwick/fleet/lease_exchange.py
+++ b/cedarwick/fleet/lease_exchange.py
@@ -19,27 +19,27 @@
     def _answer_lease_request(self, ask: LeaseRequest) -> LeaseReply:
         """Answer a lease request once the grant is on the disk; OSError where it cannot be written."""
         reply = self._grant(ask)
-        self._write_table(ask.right)
+        self._write_table(ask.lease)
         return reply
 
     def _grant(self, ask: LeaseRequest) -> LeaseReply:
-        """The own grantor's answer. It must not be sent or counted before `_write_table` of its right has returned."""
-        reply = self.grantor.ask(monotonic_time(), ask)
+        """The own grantor's answer. It must not be sent or counted before `_write_table` of its lease has returned."""
+        reply = self.grantor.handle_request(monotonic_time(), ask)
         if self.grantor.dirty:
             self.grants_version += 1
-            self.unwritten_grants[ask.right] = self.grants_version
+            self.unwritten_grants[ask.lease] = self.grants_version
             self.grantor.dirty = False
         return reply
 
-    def _write_table(self, right: str = "") -> None:
-        """Return once all grants of one right, or of all rights, are on the disk; OSError where that fails.
+    def _write_table(self, lease: str = "") -> None:
+        """Return once all grants of one lease, or of all leases, are on the disk; OSError where that fails.
 
         A grant that was answered and is not on the disk could be granted to another member after a restart.
         """
         if self.grantor.dirty:
             self.grants_version += 1
             self.grantor.dirty = False
-        wanted = self.unwritten_grants.get(right, 0) if right else self.grants_version
+        wanted = self.unwritten_grants.get(lease, 0) if lease else self.grants_version
         while self.written_grants_version < wanted:
             if self.writing_grants:
                 gevent.sleep(0.001)
@@ -52,12 +52,12 @@
                 self.writing_grants = False
             self.written_grants_version = upto
             self.unwritten_grants = {
-                right: version for right, version in self.unwritten_grants.items() if version > upto
+                lease: version for lease, version in self.unwritten_grants.items() if version > upto
             }
 
     def _learn_grants(self, now: int) -> None:
         """Request the tables of others that the own grantor needs after it lost its table."""
-        for name in self.grantor.wants(now):
+        for name in self.grantor.members_to_learn_from(now):
             if name not in self.tables_requested:
                 self.tables_requested.add(name)
                 gevent.spawn(self._ask_table, name)
@@ -66,7 +66,7 @@
         """Request the table of one member; not again before `HEARTBEAT_INTERVAL_S` seconds if it has none."""
         sent_at = monotonic_time()
         answer = self._call(name, GrantTableRequest(), CALL_TIMEOUT_S)
-        if isinstance(answer, GrantTable) and self.grantor.learned(sent_at, name, answer):
+        if isinstance(answer, GrantTable) and self.grantor.learn_from(sent_at, name, answer):
             logger.info("the table of grants is complete")
             self._write_table()
         if not isinstance(answer, GrantTable) or answer.learning:
@@ -81,7 +81,7 @@
         """
         answer = self._call(name, GrantTableRequest(), CALL_TIMEOUT_S)
         if isinstance(answer, GrantTable):
-            self.grantor.closed_elsewhere(answer)
+            self.grantor.learn_closed(answer)
             self._guarded(self._write_table)
 
     def _release_lease(self, ask: LeaseRequest) -> None:
@@ -94,13 +94,13 @@
         """Send a lease request to the others, once the own grantor's answer is on the disk."""
         try:
             # The own grantor first: then after a restart each term that was ever asked for is known, and never reused.
-            self._write_table(ask.right)
+            self._write_table(ask.lease)
         except OSError as error:
             self.counters.warning("the fleet's folder cannot be used", error)
             return
         if self.leaving or adoption.holder.term != ask.term:
             return  # it was given up meanwhile
-        adoption.holder.answered(monotonic_time(), sent_at, self.name, reply)
+        adoption.holder.receive_reply(monotonic_time(), sent_at, self.name, reply)
         for name in self.peers.names():
             gevent.spawn(self._request_lease_from, adoption, name, ask, sent_at)
 
@@ -108,4 +108,4 @@
         """Send a lease request to one member and pass its answer to the lease holder."""
         answer = self._call(name, ask, CALL_TIMEOUT_S)
         if isinstance(answer, LeaseReply):
-            adoption.holder.answered(monotonic_time(), sent_at, name, answer)
+            adoption.holder.receive_reply(monotonic_time(), sent_at, name, answer)
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -81,7 +81,7 @@
         self.grantor = LeaseGrantor(name, self.halls, now, known)
         # Versions of its table: the newest, and that on the disk.
         self.grants_version = self.written_grants_version = 0
-        # By right: the version with its newest row, where that is not on the disk.
+        # By lease: the version with its newest row, where that is not on the disk.
         self.unwritten_grants: dict[str, int] = {}
         self.writing_grants = False
         self.copies = ReplicaStore(
--- a/cedarwick/fleet/membership.py
+++ b/cedarwick/fleet/membership.py
@@ -17,9 +17,9 @@
 
 from cedarwick.fleet.leases import majority_of
 
-ALIVE_WITHIN = 1_000_000  # microseconds since the last heartbeat: three may be lost
-DEAD_AFTER = 1_500_000  # microseconds since the last heartbeat, as seen by a majority
-SLOW_AFTER = 500_000  # microseconds that an answer may take
+ALIVE_WITHIN_US = 1_000_000  # since the last heartbeat: three may be lost
+DEAD_AFTER_US = 1_500_000  # since the last heartbeat, as seen by a majority
+SLOW_AFTER_US = 500_000  # that an answer may take
 
 
 class MemberStatus(Enum):
@@ -36,18 +36,18 @@
     """A member whose status has changed since the last call of `changes`."""
 
     name: str
-    before: MemberStatus
-    now: MemberStatus
+    previous: MemberStatus
+    current: MemberStatus
 
 
 @dataclass
 class _Member:
     hall: str
     incarnation: int = 0
-    heard: int | None = None  # when
+    heard_at: int | None = None  # when
     leaving: bool = False
-    ages: Mapping[str, int] = field(default_factory=dict)  # as reported in its last heartbeat
-    took: int = 0  # its last answer
+    reported_ages: Mapping[str, int] = field(default_factory=dict)  # as reported in its last heartbeat
+    answer_time_us: int = 0  # of its last answer
 
 
 class Membership:
@@ -57,10 +57,10 @@
         self.me = me
         self.incarnation = incarnation
         self.halls = dict(names_to_halls)
-        self._boot = now
+        self._booted_at = now
         self._members = {name: _Member(hall) for name, hall in names_to_halls.items() if name != me}
-        self._since = dict.fromkeys(self._members, now)  # when each began to be a member here
-        self._last = dict.fromkeys(self._members, MemberStatus.UNKNOWN)
+        self._member_since = dict.fromkeys(self._members, now)  # when each began to be a member here
+        self._last_status = dict.fromkeys(self._members, MemberStatus.UNKNOWN)
 
     @property
     def names(self) -> frozenset[str]:
@@ -72,66 +72,68 @@
         """How many members are a majority of all."""
         return majority_of(len(self.halls))
 
-    def heard(self, now: int, name: str, incarnation: int, reported: Mapping[str, int], leaving: bool) -> bool:
+    def receive_heartbeat(
+        self, now: int, name: str, incarnation: int, reported: Mapping[str, int], leaving: bool
+    ) -> bool:
         """Take a heartbeat; False if it is of an unknown member or of an older boot, and changes nothing."""
         member = self._members.get(name)
         if member is None or incarnation < member.incarnation:
             return False
         if incarnation > member.incarnation:
-            member.leaving, member.took = False, 0
+            member.leaving, member.answer_time_us = False, 0
         member.incarnation = incarnation
-        member.heard = now
+        member.heard_at = now
         member.leaving = member.leaving or leaving  # heartbeats may arrive out of order
-        member.ages = dict(reported)
+        member.reported_ages = dict(reported)
         return True
 
-    def slow(self, now: int, name: str, took: int) -> None:
+    def note_answer_time(self, now: int, name: str, took: int) -> None:
         """Note how long an answer of a member took, or how long it has been waited for, in microseconds."""
         if name in self._members:
-            self._members[name].took = took
+            self._members[name].answer_time_us = took
 
-    def state(self, now: int, name: str) -> MemberStatus:
+    def status(self, now: int, name: str) -> MemberStatus:
         """The status of a member; this one is alive, and a name that is no member has left."""
         if name == self.me:
             return MemberStatus.ALIVE
         member = self._members.get(name)
         if member is None or member.leaving:
             return MemberStatus.LEFT
-        if self._age(now, name) < ALIVE_WITHIN:
-            return MemberStatus.ALIVE if member.heard is not None else MemberStatus.UNKNOWN
-        votes = sum(one.ages.get(name, 0) >= DEAD_AFTER for one in self._speakers(now, name))
-        if self._age(now, name) >= DEAD_AFTER and votes + 1 >= self.majority:
+        if self._silence(now, name) < ALIVE_WITHIN_US:
+            return MemberStatus.ALIVE if member.heard_at is not None else MemberStatus.UNKNOWN
+        votes = sum(one.reported_ages.get(name, 0) >= DEAD_AFTER_US for one in self._voters(now, name))
+        if self._silence(now, name) >= DEAD_AFTER_US and votes + 1 >= self.majority:
             return MemberStatus.DEAD
-        return MemberStatus.SUSPECTED if member.heard is not None else MemberStatus.UNKNOWN
+        return MemberStatus.SUSPECTED if member.heard_at is not None else MemberStatus.UNKNOWN
 
     def notes(self, now: int, name: str) -> tuple[str, ...]:
-        """Notes for on-call staff: `cut` where only one direction works, `slow` where answers take long."""
+        """Notes for operators: `cut` where only one direction works, `slow` where answers take long."""
         member = self._members.get(name)
         if member is None:
             return ()
-        here = member.heard is not None and now - member.heard < ALIVE_WITHIN
-        others = any(one.ages.get(name, ALIVE_WITHIN) < ALIVE_WITHIN for one in self._speakers(now, name))
-        cut = member.ages.get(self.me, 0) >= ALIVE_WITHIN if here else others
-        return ("cut",) * cut + ("slow",) * (member.took > SLOW_AFTER)
+        here = member.heard_at is not None and now - member.heard_at < ALIVE_WITHIN_US
+        others = any(one.reported_ages.get(name, ALIVE_WITHIN_US) < ALIVE_WITHIN_US for one in self._voters(now, name))
+        cut = member.reported_ages.get(self.me, 0) >= ALIVE_WITHIN_US if here else others
+        return ("cut",) * cut + ("slow",) * (member.answer_time_us > SLOW_AFTER_US)
 
-    def beat_ages(self, now: int) -> dict[str, int]:
+    def heartbeat_ages(self, now: int) -> dict[str, int]:
         """For the next heartbeat: microseconds since each other member was heard; if never, since it was added."""
-        return {name: self._age(now, name) for name in self._members}
+        return {name: self._silence(now, name) for name in self._members}
 
     def changes(self, now: int) -> list[MemberChange]:
         """The members whose status has changed since the last call, by name."""
-        found = [MemberChange(name, self._last[name], self.state(now, name)) for name in sorted(self._members)]
-        self._last = {change.name: change.now for change in found}
-        return [change for change in found if change.before is not change.now]
+        found = [MemberChange(name, self._last_status[name], self.status(now, name)) for name in sorted(self._members)]
+        self._last_status = {change.name: change.current for change in found}
+        return [change for change in found if change.previous is not change.current]
 
-    def list_of(self, name: str) -> frozenset[str] | None:
+    def members_known_to(self, name: str) -> frozenset[str] | None:
         """The members that another one knows, by its last heartbeat; None where it was never heard."""
         member = self._members.get(name)
-        return None if member is None or member.heard is None else frozenset(member.ages) | {name}
+        return None if member is None or member.heard_at is None else frozenset(member.reported_ages) | {name}
 
-    def apart(self, name: str) -> frozenset[str]:
+    def list_difference(self, name: str) -> frozenset[str]:
         """The members that only one of the two lists has, another member's or ours; none where it was never heard."""
-        theirs = self.list_of(name)
+        theirs = self.members_known_to(name)
         return self.names ^ theirs if theirs is not None else frozenset()
 
     def incarnation_of(self, name: str) -> int:
@@ -149,17 +151,17 @@
                 members[name] = self._members.get(name, _Member(hall))
                 members[name].hall = hall
         self._members = members
-        self._since = {name: self._since.get(name, now) for name in members}
-        self._last = {name: self._last.get(name, MemberStatus.UNKNOWN) for name in members}
+        self._member_since = {name: self._member_since.get(name, now) for name in members}
+        self._last_status = {name: self._last_status.get(name, MemberStatus.UNKNOWN) for name in members}
 
-    def _age(self, now: int, name: str) -> int:
-        heard = self._members[name].heard
-        return max(0, now - (self._since[name] if heard is None else heard))
+    def _silence(self, now: int, name: str) -> int:
+        heard = self._members[name].heard_at
+        return max(0, now - (self._member_since[name] if heard is None else heard))
 
-    def _speakers(self, now: int, about: str) -> list[_Member]:
+    def _voters(self, now: int, about: str) -> list[_Member]:
         """The other members that are heard now, except the one in question."""
         return [
             member
             for name, member in self._members.items()
-            if name != about and member.heard is not None and now - member.heard < ALIVE_WITHIN
+            if name != about and member.heard_at is not None and now - member.heard_at < ALIVE_WITHIN_US
         ]
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -9,7 +9,7 @@
 from cedarwick.fleet.heartbeats import Heartbeats
 from cedarwick.fleet.member_state import MembershipChangeError, NotAMemberError
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.takeover import AWAY
+from cedarwick.fleet.takeover import ABSENT
 from cedarwick.net.assignment import address
 
 
@@ -65,8 +65,10 @@
         if len(mine ^ names) > 1:
             raise MembershipChangeError(f"the file changes {', '.join(sorted(mine ^ names))} at once")
         # All others must have applied the previous change: for one that has not, the next is two changes at once.
-        behind = [name for name in sorted(mine) if self.members.list_of(name) not in (None, mine, frozenset(names))]
+        behind = [
+            name for name in sorted(mine) if self.members.members_known_to(name) not in (None, mine, frozenset(names))
+        ]
         if mine > names:  # dead members cannot apply a change; several of them may be removed in turn
-            behind = [name for name in behind if self.members.state(monotonic_time(), name) not in AWAY]
+            behind = [name for name in behind if self.members.status(monotonic_time(), name) not in ABSENT]
         if mine != names and behind:
             raise MembershipChangeError(f"{', '.join(behind)} have not taken over the change before this one")
--- a/cedarwick/fleet/messages/gossip.py
+++ b/cedarwick/fleet/messages/gossip.py
@@ -37,7 +37,7 @@
 
     uid: Word
     counter: Annotated[int, Meta(ge=0, lt=1 << 62)]  # wall clock microseconds, or more
-    member: Name  # where staff set it
+    member: Name  # where an operator set it
     calls: Annotated[int, Meta(ge=0, le=1000)]  # suspensions in force; 0: restored
 
 
--- a/cedarwick/fleet/messages/membership.py
+++ b/cedarwick/fleet/messages/membership.py
@@ -19,13 +19,13 @@
 
     leaving: bool  # the sender ends; successors may take over
     heard: Annotated[dict[Name, Count], Meta(max_length=MEMBERS)]  # microseconds ago, by member
-    rights: Annotated[tuple[HeldLease, ...], Meta(max_length=4096)] = ()
+    leases: Annotated[tuple[HeldLease, ...], Meta(max_length=4096)] = ()
 
 
 class LeaseRequest(PeerBody, frozen=True, tag="Ask"):
     """Asks for a lease of `span` microseconds. Answered by `LeaseReply`."""
 
-    right: Word
+    lease: Word
     term: Term
     holder: Name  # the member that asks
     span: Count  # microseconds; 0: the lease is given up
@@ -52,7 +52,7 @@
 class Grant(PeerBodyPart, frozen=True):
     """A row of a grantor's table."""
 
-    right: Word
+    lease: Word
     term: Term
     holder: Name
     successors: Names = ()
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -88,7 +88,7 @@
     def _barred(self, move: str, key: int, now: int) -> bool:
         """Whether a vote for the taker could give the session a second holder, beside a member that inherits it."""
         giver = parts(move)[1]
-        known = move in self.acceptor.rows or self.node.members.state(now, giver) is MemberStatus.ALIVE
+        known = move in self.acceptor.rows or self.node.members.status(now, giver) is MemberStatus.ALIVE
         return self.directory.bars(key, giver, now, known)
 
     def learned(self, giver: str, stamp: int) -> None:
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -90,11 +90,11 @@
     def look(self, now: int) -> None:
         """Do all work due at `now`, microseconds of the boot clock. A part that fails does not stop the others."""
         for change in (changes := self.members.changes(now)):
-            logger.info("member {} is {} (was {})", change.name, change.now.value, change.before.value)
-            self.exchange.member(change, self.members.beat_ages(now).get(change.name, 0))
-            if change.now is MemberStatus.ALIVE and not self.grantor.learning:
+            logger.info("member {} is {} (was {})", change.name, change.current.value, change.previous.value)
+            self.exchange.member(change, self.members.heartbeat_ages(now).get(change.name, 0))
+            if change.current is MemberStatus.ALIVE and not self.grantor.learning:
                 gevent.spawn(self._learn_closed_partitions, change.name)
-        self.alive = [name for name in self.halls if self.members.state(now, name) is MemberStatus.ALIVE]
+        self.alive = [name for name in self.halls if self.members.status(now, name) is MemberStatus.ALIVE]
         # Counted from the first check without a majority, not from the last heartbeat: a process that was suspended has
         # heard nobody for long, and hears the others again a moment later.
         self.no_majority_since = 0 if len(self.alive) >= self.members.majority else self.no_majority_since or now
@@ -109,7 +109,7 @@
             self._guarded(self.traffic.look, now)
         self._guarded(self.copies.step)
         # Clients may return to the member that is back; what is owed here now is older than what it will accept.
-        if any(change.now is MemberStatus.ALIVE for change in changes):
+        if any(change.current is MemberStatus.ALIVE for change in changes):
             for holding in self.store.holdings.values():
                 self._backlog(holding)
         if changes or time.monotonic() - self.deadlines_checked_at >= DEADLINE_CHECK_S:
--- a/cedarwick/fleet/owed_keys.py
+++ b/cedarwick/fleet/owed_keys.py
@@ -9,7 +9,7 @@
 
 from cedarwick.fleet.held_partitions import HeldPartitions
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import right_of
+from cedarwick.fleet.leases import lease_of
 from cedarwick.fleet.limits import CALL_TIMEOUT_S, MAX_OWED_MESSAGES
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import OWING, OwedKeys
@@ -47,7 +47,7 @@
 
     def _lying(self, now: int, adoption: Takeover) -> frozenset[int]:
         """The keys that are owed in a replica here; none unless its holder is silent."""
-        partition, grant = adoption.partition, self.grantor.grant(right_of(adoption.partition))
+        partition, grant = adoption.partition, self.grantor.grant(lease_of(adoption.partition))
         replica = self.copies.replica(partition)
         # The own name is recorded from when this member asks for the partition until it has imported it.
         alive = grant.holder != self.name and self._status_for(now, grant.holder, adoption) is MemberStatus.ALIVE
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import EPOCH_BITS, SPAN, LeaseState, right_of
+from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, LeaseState, lease_of
 from cedarwick.fleet.limits import (
     ANSWER_AHEAD_US,
     DAMAGED_FOLDER_US,
@@ -21,7 +21,7 @@
 from cedarwick.fleet.owed_keys import OwedKeyExchange
 from cedarwick.fleet.replica import Replica
 from cedarwick.fleet.replication_pumps import ReplicationPumps
-from cedarwick.fleet.takeover import BooksExhaustedError, Takeover, TakeoverAction, TakeoverStage, TakeoverStep
+from cedarwick.fleet.takeover import PartitionsExhaustedError, Takeover, TakeoverAction, TakeoverStage, TakeoverStep
 from cedarwick.fleet.takeover_offers import TakeoverOffers
 from cedarwick.store.files import NoSpaceError
 
@@ -36,7 +36,7 @@
             return
         try:
             begun = self.ownership.step(self.grantor)
-        except BooksExhaustedError as error:
+        except PartitionsExhaustedError as error:
             self.counters.warning("no partition can be opened", error)
             return
         if begun is not None:
@@ -67,11 +67,11 @@
         self, now: int, adoption: Takeover, replica: Replica | None, holding: LeasedPartition | None
     ) -> TakeoverStep:
         """What the rules ask for, given the partition's state at this member."""
-        partition, right = adoption.partition, right_of(adoption.partition)
+        partition, lease = adoption.partition, lease_of(adoption.partition)
         return adoption.step(
             now,
-            self.grantor.grant(right),
-            self._promised_until(right, partition),
+            self.grantor.grant(lease),
+            self._promised_until(lease, partition),
             lambda name: self._status_for(now, name, adoption),
             self._has_complete_records(now, partition, replica, holding),
             self._owed_count(now, holding),
@@ -94,12 +94,12 @@
         owed = len(holding.ledger.known)
         return owed or 1 if self._expects_offer(now, holding) else owed
 
-    def _promised_until(self, right: str, partition: int) -> int:
+    def _promised_until(self, lease: str, partition: int) -> int:
         """Until when the partition's lease counts as promised to its holder."""
         # A holder that its heartbeats show serving counts as promised, too: the own grantor may have given a term to
         # a member that never got it, and does not know the real holder.
-        served_until = self.reported_serving[partition][1] + SPAN if partition in self.reported_serving else 0
-        return max(self.grantor.promised(right), served_until)
+        served_until = self.reported_serving[partition][1] + LEASE_SPAN_US if partition in self.reported_serving else 0
+        return max(self.grantor.promised_until(lease), served_until)
 
     def _release_refused_term(self, adoption: Takeover, requested_term: int) -> None:
         """Release the term that was asked for before the latest step, if the request has failed."""
@@ -109,7 +109,7 @@
             requested_term,
             LeaseState.ASKING,
         ):
-            self._release_lease(LeaseRequest(right_of(adoption.partition), requested_term, self.name, 0))
+            self._release_lease(LeaseRequest(lease_of(adoption.partition), requested_term, self.name, 0))
 
     def _carry_out(self, now: int, adoption: Takeover, step: TakeoverStep) -> None:
         """Carry out any step but `DROP`."""
@@ -125,11 +125,11 @@
 
     def _send_due_lease_request(self, now: int, adoption: Takeover) -> None:
         """Ask all members for the lease, or its renewal, if a request is due."""
-        ask = None if self.leaving else adoption.holder.asks(now)
+        ask = None if self.leaving else adoption.holder.due_request(now)
         if ask is None:
             return
         reply = self._grant(ask)
-        if ask.right in self.unwritten_grants:
+        if ask.lease in self.unwritten_grants:
             gevent.spawn(self._request_lease, adoption, ask, reply, now)
         else:
             self._request_lease(adoption, ask, reply, now)
@@ -146,7 +146,7 @@
         )
 
     def _is_unwanted(self, now: int, partition: int, adoption: Takeover) -> bool:
-        grant = self.grantor.grant(right_of(partition))
+        grant = self.grantor.grant(lease_of(partition))
         # The grant known here may be old; a copy that the holder still counts on is written to all the time.
         return (
             grant.set > 0
@@ -226,7 +226,7 @@
             holding.adoption.stage is TakeoverStage.HOLDING
             and holding.imported
             and not self.leaving
-            and holder.may_fire(now)
+            and holder.is_valid(now)
             and self._replicas_keep_up(now, holding)
         )
         if may == holding.serving:
@@ -247,7 +247,7 @@
                 "partition {}: not served, {} messages ({})",
                 holding.partition,
                 len(numbers),
-                holding.adoption.stage.value if holder.may_fire(now) is False else "no replica follows",
+                holding.adoption.stage.value if holder.is_valid(now) is False else "no replica follows",
             )
             self.counters.add("partitions that are no longer served")
             self.dispatcher.park(numbers)
@@ -274,7 +274,7 @@
         if self.held.pop(partition, None) is not None:
             self.lasting.write_held(list(self.held.values()))
         replica = self.copies.replica(partition)
-        closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(right_of(partition)).closed
+        closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(lease_of(partition)).closed
         if holding is not None and replica is not None and replica.place.term > holding.log.term and not closed:
             self._follow_partition(partition)  # the newer holder counts on this copy by now
             return
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -100,18 +100,18 @@
             holding is not None
             and holding.serving
             and number not in self.inert
-            and holding.adoption.holder.may_fire(monotonic_time())
+            and holding.adoption.holder.is_valid(monotonic_time())
         )
 
     def deciding(self) -> bool:
         """Whether the leases of all partitions that the dispatcher serves are valid now."""
         now = monotonic_time()
-        return all(each.adoption.holder.may_fire(now) for each in self.holdings.values() if each.serving)
+        return all(each.adoption.holder.is_valid(now) for each in self.holdings.values() if each.serving)
 
     def taking(self) -> bool:
         """Whether new messages can be taken: the lease of the open partition is valid now."""
         current = self.open_partition
-        return current is not None and current.serving and current.adoption.holder.may_fire(monotonic_time())
+        return current is not None and current.serving and current.adoption.holder.is_valid(monotonic_time())
 
     def has_room(self, stored: StoredMessage) -> bool:
         """As `Store.has_room`; also False without a valid lease, or while no reserved number is left."""
@@ -204,12 +204,12 @@
                 # that starved once would be given up half a second later, with all its messages.
                 holding.starved_at = 0
             # The lease may have run out during the wait; who has adopted the partition meanwhile lacks these records.
-            if not holding.adoption.holder.may_fire(monotonic_time()):
+            if not holding.adoption.holder.is_valid(monotonic_time()):
                 raise NotReplicatedError(f"partition {holding.partition}: its lease has run out")
 
     def successors_of(self, holding: LeasedPartition) -> frozenset[str]:
         """The members that must have a record before it counts as replicated."""
-        return (holding.adoption.holder.bound | holding.joining.keys()) - {holding.adoption.me}
+        return (holding.adoption.holder.possible_successors | holding.joining.keys()) - {holding.adoption.me}
 
     def _wait_for_progress(self, until: float) -> bool:
         left = until - time.monotonic()
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -86,7 +86,7 @@
             and self.settings.alone == "own"
             and not self._replicas_are_trusted(now, holding, whole)
         ):
-            holder.name(now, ())
+            holder.name_successors(now, ())
             holding.joining = {}
             return
         if self.store.by_copy:
@@ -96,7 +96,7 @@
             whole += [name for name in self._complete_replicas(now, holding, old) if name not in whole]
         if self.store.by_copy and not whole and holder.successors[1:] and self.settings.alone == "busy":
             return  # without a successor, acknowledged messages would be in one folder only
-        holder.name(now, placement.order(holding.partition, self.name, self.halls, whole))
+        holder.name_successors(now, placement.order(holding.partition, self.name, self.halls, whole))
 
     def _joined_replicas(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
         """Those of some whole copies that are successors, or may be named for ones.
@@ -105,7 +105,7 @@
         this sender died at that moment. So new records wait for the copy first, and it is named once it has all earlier
         ones.
         """
-        bound, log = holding.adoption.holder.bound, holding.log
+        bound, log = holding.adoption.holder.possible_successors, holding.log
         joining = {name: holding.joining.get(name, (log.next, now)) for name in whole if name not in bound}
         for name, (index, since) in joining.items():
             if log.acked([name]) < index and now - since > STARVED_US:
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -52,7 +52,7 @@
             self._receive_heartbeat(sender, incarnation, body)
             return self._own_heartbeat()
         if isinstance(body, LeaseRequest):
-            apart = self.members.apart(sender)
+            apart = self.members.list_difference(sender)
             if len(apart) > 1:
                 # With two lists that differ in more than one member, two majorities without a common member could each
                 # grant the same lease.
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import EPOCH_BITS, right_of
+from cedarwick.fleet.leases import EPOCH_BITS, lease_of
 from cedarwick.fleet.messages import (
     SessionInheritance,
     slot_of,
@@ -58,13 +58,13 @@
     def _newest_partition(self, name: str) -> int:
         """The newest partition of a sender that is known here; 0: none."""
         slot = slot_of(name)
-        epoch = self.node.grantor.newest(slot)
+        epoch = self.node.grantor.newest_epoch(slot)
         return slot << EPOCH_BITS | epoch if epoch >= 0 else 0
 
     def _successor(self, name: str) -> str:
         """The member that holds the newest partition of a sender that is gone; empty if none is known."""
         partition = self._newest_partition(name)
-        grant = self.node.grantor.grant(right_of(partition))
+        grant = self.node.grantor.grant(lease_of(partition))
         return grant.holder if partition and grant.holder != name and not grant.closed else ""
 
     def _inherit(self, key: int) -> bool:
@@ -93,7 +93,7 @@
 
     def _successor_claims(self, asking: ClaimRequest, partition: int, by: str, now: int) -> Claim:
         holder = asking.over[1]
-        grant = self.node.grantor.grant(right_of(partition))
+        grant = self.node.grantor.grant(lease_of(partition))
         holds = (
             partition == self._newest_partition(holder)
             and grant.holder == by
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -161,7 +161,7 @@
         """Do what is due now; called by the node at each turn, never waits."""
         self._bind()
         for name in self.node.halls:
-            if name == self.name or self.node.members.state(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
+            if name == self.name or self.node.members.status(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
                 self.void.discard(name)
             elif name not in self.void:
                 self.void.add(name)
@@ -224,7 +224,7 @@
                 location.held,
                 SESSIONS,
                 not members.notes(now, name),
-                location.takes and members.state(now, name) is MemberStatus.ALIVE,
+                location.takes and members.status(now, name) is MemberStatus.ALIVE,
             )
             for name, location in self.neighbours.items()
             if name in halls
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -85,7 +85,7 @@
         return ("here", "") if there == "pass" and key in self.directory.sessions else (there, to)
 
     def _lives(self, name: str) -> bool:
-        return name != self.name and self.node.members.state(monotonic_time(), name) is MemberStatus.ALIVE
+        return name != self.name and self.node.members.status(monotonic_time(), name) is MemberStatus.ALIVE
 
     def _wait(self, until: int) -> bool:
         """Wait until `until` for a change; returns whether there was one."""
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -1,19 +1,20 @@
 """Takeover of a partition: by a successor of a lost holder, or by its owner at start. No I/O, no clock.
 
 Each member that has the partition's records, as holder or as copy, has one `Takeover` for it. At each turn the node
-calls `step` for what is to be done, sends what `holder.asks` returns, and passes the answers to `holder.answered`.
+calls `step` for what is to be done, sends what `holder.due_request` returns, and passes the answers to
+`holder.receive_reply`.
 
     following  another member holds it and its promise runs
     waiting    the promise has run out; asks when it is this member's turn
     asking     for the next term
-    holding    granted: IMPORT until `imported`, then it may fire once its successors are known (`holder.may_fire`)
-    closing    nothing is owed: the right is being closed at a majority
+    holding    granted: IMPORT until `imported`, then it may fire once its successors are known (`holder.is_valid`)
+    closing    nothing is owed: the lease is being closed at a majority
     offering   it held the partition and another one does now: OFFER what only it knows, until `offered`
     gone       DROP all of it
 
-Turns: a successor waits 300 ms (`TURN`) for each successor before it in the set that may be alive. A holder that is not
-known to be dead but has not renewed may come back at any moment (a restart, a partitioned network): then a successor
-first waits for `PATIENCE`.
+Turns: a successor waits 300 ms (`SUCCESSOR_TURN_US`) for each successor before it in the set that may be alive. A
+holder that is not known to be dead but has not renewed may come back at any moment (a restart, a partitioned network):
+then a successor first waits for `UNRENEWED_WAIT_US`.
 All times are whole microseconds of the member's own clock that goes on while the machine sleeps.
 """
 
@@ -22,12 +23,12 @@
 from typing import NamedTuple
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.leases import EPOCH_BITS, SPAN, LeaseGrantor, LeaseHolder, LeaseState, right_of
+from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, LeaseGrantor, LeaseHolder, LeaseState, lease_of
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant
 
-TURN = 300_000  # microseconds that each successor has before the next one asks: a request, its answers, one retry
-PATIENCE = 3 * SPAN  # microseconds for a holder that is alive and does not renew; a restart takes about a second
+SUCCESSOR_TURN_US = 300_000  # that each successor has before the next one asks: a request, its answers, one retry
+UNRENEWED_WAIT_US = 3 * LEASE_SPAN_US  # for a holder that is alive and does not renew; a restart takes about a second
 
 
 class TakeoverStage(Enum):
@@ -60,11 +61,11 @@
     to: str = ""
 
 
-NOTHING = TakeoverStep(TakeoverAction.NOTHING)
-AWAY = (MemberStatus.DEAD, MemberStatus.LEFT)
+NO_STEP = TakeoverStep(TakeoverAction.NOTHING)
+ABSENT = (MemberStatus.DEAD, MemberStatus.LEFT)
 
 
-class BooksExhaustedError(CedarwickError):
+class PartitionsExhaustedError(CedarwickError):
     """A sender has opened all the partitions that its name has numbers for."""
 
     code = "CW731"
@@ -84,20 +85,20 @@
     ) -> None:
         self.partition = partition
         self.me = me
-        self.open = open
+        self.takes_new_messages = open
         self.stage = TakeoverStage.FOLLOWING
-        self.holder = LeaseHolder(right_of(partition), me, names)
+        self.holder = LeaseHolder(lease_of(partition), me, names)
         self.holder.term = term
-        self._held = resume  # it may know what nobody else does
+        self._has_held = resume  # it may know what nobody else does
         self._resume = resume
         self._imported = False
-        self._away: tuple[str, int] | None = None  # the holder that is away, and since when
-        self._lost = 0  # when the lease was lost or refused
+        self._absent_holder: tuple[str, int] | None = None  # the holder that is away, and since when
+        self._lease_lost_at = 0  # when the lease was lost or refused
 
     def imported(self, now: int, successors: Collection[str]) -> None:
         """Note that the facts are stored here. `successors`: members with whole copies, in the order of takeover."""
         self._imported = True
-        self.holder.name(now, successors)
+        self.holder.name_successors(now, successors)
 
     def offered(self) -> None:
         """The newer holder has taken all that this member knows."""
@@ -105,15 +106,21 @@
             self.stage = TakeoverStage.GONE
 
     def step(
-        self, now: int, grant: Grant, promised: int, standing: Callable[[str], MemberStatus], whole: bool, owed: int
+        self,
+        now: int,
+        grant: Grant,
+        promised: int,
+        status_of: Callable[[str], MemberStatus],
+        is_complete: bool,
+        owed: int,
     ) -> TakeoverStep:
         """What is to be done now.
 
-        `grant` and `promised` are the own grantor's (`LeaseGrantor.grant`, `LeaseGrantor.promised`); `standing` gives
-        a member's status; `whole`: this member's records of the partition are all that the holder named it a successor
-        for, and none was lost since; `owed`: messages without an end.
+        `grant` and `promised` are the own grantor's (`LeaseGrantor.grant`, `LeaseGrantor.promised_until`); `status_of`
+        gives a member's status; `is_complete`: this member's records of the partition are all that the holder named it
+        a successor for, and none was lost since; `owed`: messages without an end.
         """
-        self.holder.look(now)
+        self.holder.update(now)
         if self.holder.state is LeaseState.CLOSED or (grant.closed and self.stage is not TakeoverStage.CLOSING):
             self.stage = TakeoverStage.GONE
         if self.stage is TakeoverStage.GONE:
@@ -123,64 +130,66 @@
             TakeoverStage.HOLDING,
             TakeoverStage.CLOSING,
         ):
-            self._lost = now
+            self._lease_lost_at = now
             self.stage = TakeoverStage.WAITING
             self._imported = False
         if self.stage is TakeoverStage.ASKING and self.holder.state is LeaseState.HELD:
             self.stage = TakeoverStage.HOLDING
-            self._held = True
+            self._has_held = True
         if self.stage is TakeoverStage.HOLDING:
-            return self._serve(now, owed)
+            return self._hold(now, owed)
         if self.stage in (TakeoverStage.ASKING, TakeoverStage.CLOSING):
-            return NOTHING
-        return self._watch(now, grant, promised, standing, whole)
+            return NO_STEP
+        return self._follow_or_ask(now, grant, promised, status_of, is_complete)
 
-    def _serve(self, now: int, owed: int) -> TakeoverStep:
+    def _hold(self, now: int, owed: int) -> TakeoverStep:
         if not self._imported:
             return TakeoverStep(TakeoverAction.IMPORT)
-        if owed or self.open:
-            return NOTHING
+        if owed or self.takes_new_messages:
+            return NO_STEP
         self.holder.close(now)
         self.stage = TakeoverStage.CLOSING
         return TakeoverStep(TakeoverAction.CLOSE)
 
-    def _watch(
-        self, now: int, grant: Grant, promised: int, standing: Callable[[str], MemberStatus], whole: bool
+    def _follow_or_ask(
+        self, now: int, grant: Grant, promised: int, status_of: Callable[[str], MemberStatus], is_complete: bool
     ) -> TakeoverStep:
         """Somebody else may hold it: follow, wait for the turn, or offer what only this member knows."""
         # The own grantor may have granted a term to this member that a majority granted to another: that one holds it.
-        term, holder = (grant.term, grant.holder) if grant.term > self.holder.newer[0] else self.holder.newer
-        if whole and self._turn(now, grant, promised, standing, holder):
+        term, holder = (
+            (grant.term, grant.holder) if grant.term > self.holder.newest_other.term else self.holder.newest_other
+        )
+        if is_complete and self._is_my_turn(now, grant, promised, status_of, holder):
             self._resume = False
             self.stage = TakeoverStage.ASKING
-            self.holder.begin(now, grant)
+            self.holder.request_next_term(now, grant)
             return TakeoverStep(TakeoverAction.ASK)
-        if self._held and holder not in ("", self.me) and term >= self.holder.term:
+        if self._has_held and holder not in ("", self.me) and term >= self.holder.term:
             self.stage = TakeoverStage.OFFERING
-            return TakeoverStep(TakeoverAction.OFFER, holder) if standing(holder) not in AWAY else NOTHING
+            return TakeoverStep(TakeoverAction.OFFER, holder) if status_of(holder) not in ABSENT else NO_STEP
         self.stage = TakeoverStage.FOLLOWING if now < promised else TakeoverStage.WAITING
-        return NOTHING
+        return NO_STEP
 
-    def _turn(
-        self, now: int, grant: Grant, promised: int, standing: Callable[[str], MemberStatus], holder: str
+    def _is_my_turn(
+        self, now: int, grant: Grant, promised: int, status_of: Callable[[str], MemberStatus], holder: str
     ) -> bool:
         """Whether it is this member's turn to ask."""
-        away = holder in ("", self.me) or standing(holder) in AWAY
+        away = holder in ("", self.me) or status_of(holder) in ABSENT
         if not away:
-            self._away = None
-        elif self._away is None or self._away[0] != holder:
-            self._away = (holder, now)
+            self._absent_holder = None
+        elif self._absent_holder is None or self._absent_holder[0] != holder:
+            self._absent_holder = (holder, now)
         if self._resume and holder in ("", self.me):
             return True  # only this member was promised anything, in an earlier boot
         # A copy that is no successor may lack attempts. Grantors refuse it, but its requests would use up terms.
         if self.me not in grant.successors:
-            return grant.set == 0 and self._held and now >= max(promised, self._lost + SPAN)
+            return grant.set == 0 and self._has_held and now >= max(promised, self._lease_lost_at + LEASE_SPAN_US)
         before = grant.successors[: grant.successors.index(self.me)]
-        place = sum(standing(name) not in AWAY for name in before)
+        place = sum(status_of(name) not in ABSENT for name in before)
         # After a refusal promises to this member must run out first, or two successors would split each vote for ever.
-        quiet = max(promised, self._lost + SPAN if self._lost else 0)
-        since = max(quiet, self._away[1]) if away and self._away else quiet + PATIENCE
-        return now >= since + place * TURN
+        quiet = max(promised, self._lease_lost_at + LEASE_SPAN_US if self._lease_lost_at else 0)
+        since = max(quiet, self._absent_holder[1]) if away and self._absent_holder else quiet + UNRENEWED_WAIT_US
+        return now >= since + place * SUCCESSOR_TURN_US
 
 
 class Ownership:
@@ -202,7 +211,7 @@
         """The takeover of a partition that begins now, for the node to run with all others; None: none begins.
 
         While the own grantor learns nothing is opened: the table may know partitions that this member has forgotten.
-        Raises `BooksExhaustedError`.
+        Raises `PartitionsExhaustedError`.
         """
         if self.current is not None and not self._is_lost(self.current) and not self.full:
             return None
@@ -213,19 +222,19 @@
         if grantor.learning:
             return None
         # Above every epoch ever used: a message number used twice would make two messages one.
-        epoch = max(grantor.newest(self.slot), self._newest) + 1
+        epoch = max(grantor.newest_epoch(self.slot), self._newest) + 1
         if epoch >> EPOCH_BITS:
-            raise BooksExhaustedError(f"{self.me}: all {1 << EPOCH_BITS} partitions of its slot have been opened")
+            raise PartitionsExhaustedError(f"{self.me}: all {1 << EPOCH_BITS} partitions of its slot have been opened")
         self.full = False
         if self.current is not None:
-            self.current.open = False  # if it comes back, it is closed once nothing is owed
+            self.current.takes_new_messages = False  # if it comes back, it is closed once nothing is owed
         self._newest = epoch
         self.current = Takeover(self.slot << EPOCH_BITS | epoch, self.me, self.names, resume=True, open=True)
         return self.current
 
     def partition(self, now: int) -> int | None:
         """The partition in which new messages may be taken now; None: there is none, and clients get `-BUSY`."""
-        return self.current.partition if self.current is not None and self.current.holder.may_fire(now) else None
+        return self.current.partition if self.current is not None and self.current.holder.is_valid(now) else None
 
     def _is_lost(self, current: Takeover) -> bool:
         return current.stage in (TakeoverStage.OFFERING, TakeoverStage.GONE)
--- a/cedarwick/fleet/takeover_offers.py
+++ b/cedarwick/fleet/takeover_offers.py
@@ -11,7 +11,7 @@
 
 from cedarwick.fleet.held_partitions import HeldPartitions
 from cedarwick.fleet.lease_exchange import LeaseExchange
-from cedarwick.fleet.leases import right_of
+from cedarwick.fleet.leases import lease_of
 from cedarwick.fleet.limits import HEARTBEAT_INTERVAL_S, OFFER_PART_BYTES, OFFER_TIMEOUT_S, PARTITION_CLOSED
 from cedarwick.fleet.messages import OfferReply, TakeoverOffer, digest_of
 from cedarwick.fleet.replicated_store import monotonic_time
@@ -71,7 +71,7 @@
     def _answer_offer(self, sender: str, body: TakeoverOffer) -> OfferReply:
         """Answer an earlier holder of a partition held here that offers what it knows."""
         holding = self.store.holdings.get(body.partition)
-        if holding is None and self.grantor.grant(right_of(body.partition)).closed:
+        if holding is None and self.grantor.grant(lease_of(body.partition)).closed:
             return OfferReply(body.partition, body.part, PARTITION_CLOSED)
         if holding is None or not holding.imported or holding.adoption.stage is not TakeoverStage.HOLDING:
             return OfferReply(body.partition, body.part, "it is not held here")
--- a/tests/explore.py
+++ b/tests/explore.py
@@ -17,11 +17,11 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from cedarwick.fleet.leases import SET_BITS, SPAN, LeaseGrantor, LeaseHolder, LeaseState, right_of
+from cedarwick.fleet.leases import LEASE_SPAN_US, SET_BITS, LeaseGrantor, LeaseHolder, LeaseState, lease_of
 from cedarwick.fleet.messages import Grant, LeaseReply, LeaseRequest
 
 PARTITION = 7 << 12
-RIGHT = right_of(PARTITION)
+RIGHT = lease_of(PARTITION)
 NAMES = ("H", "A", "B")
 PACE = {"H": 285_000, "A": 300_000, "B": 300_000}  # microseconds of each clock, between two ticks
 OTHERS = {name: tuple(other for other in NAMES if other != name) for name in NAMES}
@@ -65,20 +65,30 @@
     def _look(self, now: int) -> Look:
         grantor, holder = self.grantor, self.holder
         silence = (
-            (max(0, grantor.boot + SPAN - now), *sorted(grantor._learned_from.items())) if grantor.learning else None
+            (max(0, grantor.booted_at + LEASE_SPAN_US - now), *sorted(grantor._learned_from.items()))
+            if grantor.learning
+            else None
         )
         granted = grantor.grant(RIGHT)
         row = (granted.term, granted.holder, granted.successors, granted.set, granted.closed)
-        key: tuple[Any, ...] = (self.whole, row, max(0, grantor.promised(RIGHT) - now), silence)
+        key: tuple[Any, ...] = (self.whole, row, max(0, grantor.promised_until(RIGHT) - now), silence)
         if holder is None:
             return Look(key, False, False)
-        granted_at = sorted(holder._granted.items())
-        live = tuple((who, now - at, number) for who, (at, number) in granted_at if now - at <= SPAN)
-        shut = tuple(sorted((who, now - at) for who, at in holder._closed.items() if now - at <= SPAN))
-        begun = min(now - holder._begun, SPAN) if holder.state is LeaseState.ASKING else 0
-        told = (holder.state.value, holder.term, holder._heard, holder.newer, holder.known, holder.set, begun)
+        granted_at = sorted(holder._grants.items())
+        live = tuple((who, now - at, number) for who, (at, number) in granted_at if now - at <= LEASE_SPAN_US)
+        shut = tuple(sorted((who, now - at) for who, at in holder._closings.items() if now - at <= LEASE_SPAN_US))
+        begun = min(now - holder._requested_at, LEASE_SPAN_US) if holder.state is LeaseState.ASKING else 0
+        told = (
+            holder.state.value,
+            holder.term,
+            holder._newest_term,
+            holder.newest_other,
+            holder.known_set,
+            holder.newest_set,
+            begun,
+        )
         key = (key, told, tuple(holder._sets.items()), live, shut)
-        return Look(key, holder.may_fire(now), holder.state is LeaseState.HELD and now < holder.valid_until)
+        return Look(key, holder.is_valid(now), holder.state is LeaseState.HELD and now < holder.valid_until)
 
 
 class Late(NamedTuple):
@@ -143,13 +153,15 @@
         rows = {name: self._row("H", 1, 2, "H", "A") for name in NAMES} | {"B": self._row("H", 1, 1, "H", "B")}
         nodes = {name: Node(name, self.grantor(name, NAMES, 0, (rows[name],)), None, True) for name in NAMES}
         held = self.holder(RIGHT, "H", NAMES)
-        held.begin(0, Grant(RIGHT, 0, ""))
-        held.set, held._sets = rows["H"].set, {rows["H"].set: rows["H"].successors}
+        held.request_next_term(0, Grant(RIGHT, 0, ""))
+        held.newest_set, held._sets = rows["H"].set, {rows["H"].set: rows["H"].successors}
         now = BEGIN * PACE["H"]
         answers = {name: LeaseReply(True, 1, "H", row.successors, row.set) for name, row in rows.items()}
         for name in NAMES:
-            nodes[name].grantor._until[RIGHT] = BEGIN * PACE[name] + SPAN // (1 if late or name != "B" else 4)
-            held.answered(now, now - (late and name != "H") * PACE["H"], name, answers[name])
+            nodes[name].grantor._promises[RIGHT] = BEGIN * PACE[name] + LEASE_SPAN_US // (
+                1 if late or name != "B" else 4
+            )
+            held.receive_reply(now, now - (late and name != "H") * PACE["H"], name, answers[name])
         nodes["H"] = nodes["H"].but(held)
         waiting = frozenset(Late("H", name, now, answers[name]) for name in OTHERS["H"] if late)
         return World(BEGIN, nodes, waiting, self.crashes, self.lates, fired=("H", 1), legit=named(held))
@@ -165,7 +177,7 @@
         """
         world = self.running()
         for name in NAMES:
-            world.nodes[name].grantor._join(self._row("H", 1, 3, "H", "A", "B"))
+            world.nodes[name].grantor._merge_row(self._row("H", 1, 3, "H", "A", "B"))
         world = world._replace(tick=BEGIN + 4, legit=frozenset(NAMES))
         nodes = world.nodes | {"H": world.nodes["H"].but(None)}
         return self.judge(self._ask(world._replace(nodes=nodes), "A", ("lost", "done"), True))
@@ -199,7 +211,7 @@
                 for fault in ("crash", "wipe"):
                     if fault in self.allowed:
                         yield (fault, name), partial(self._restart, world, name, fault == "wipe")
-            for other in node.grantor.wants(world.tick * PACE[name]):
+            for other in node.grantor.members_to_learn_from(world.tick * PACE[name]):
                 yield ("learn", name, other), partial(self._learn, world, name, other)
         for late in world.late:
             yield ("arrive", late), partial(self._arrive, world, late, False)
@@ -210,12 +222,12 @@
         self, world: World, name: str, holder: LeaseHolder
     ) -> Iterator[tuple[tuple[Any, ...], Callable[[], World]]]:
         successors = [(name, other) for other in OTHERS[name]] if "name" in self.allowed else []
-        if holder.set & SET < SETS or not holder._own(holder.set):
+        if holder.newest_set & SET < SETS or not holder._is_of_this_term(holder.newest_set):
             for chosen in ((name,), *successors):
-                if not holder._own(holder.set) or holder._sets[holder.set] != chosen:
+                if not holder._is_of_this_term(holder.newest_set) or holder._sets[holder.newest_set] != chosen:
                     for modes in ASKED[world.lates]:
                         yield ("name", chosen, modes), partial(self._name, world, name, chosen, modes)
-        if "close" in self.allowed and holder.known and name not in world.asked:
+        if "close" in self.allowed and holder.known_set and name not in world.asked:
             yield ("close", name), partial(self._close, world, name)
 
     def _ask(self, world: World, name: str, modes: tuple[str, ...], begin: bool) -> World:
@@ -224,9 +236,9 @@
         node = nodes[name]
         holder: LeaseHolder = twin(node.holder) if node.holder else self.holder(RIGHT, name, NAMES)
         if begin:
-            holder.begin(now, node.grantor.grant(RIGHT))
-        holder._due = 0
-        ask = holder.asks(now)
+            holder.request_next_term(now, node.grantor.grant(RIGHT))
+        holder._next_request_at = 0
+        ask = holder.due_request(now)
         nodes[name] = node.but(holder)
         late = list(world.late)
         if ask is not None:
@@ -234,7 +246,7 @@
                 if mode in ("done", "answer"):
                     told = self._granted(nodes, world.tick, grantor, ask)
                     if mode == "done":
-                        holder.answered(now, now, grantor, told)
+                        holder.receive_reply(now, now, grantor, told)
                     else:
                         late.append(Late(name, grantor, now, told))
                 elif mode == "later":
@@ -247,7 +259,7 @@
     def _granted(nodes: dict[str, Node], tick: int, name: str, ask: LeaseRequest) -> LeaseReply:
         grantor = twin(nodes[name].grantor)
         nodes[name] = Node(name, grantor, nodes[name].holder, nodes[name].whole)
-        told: LeaseReply = grantor.ask(tick * PACE[name], ask)
+        told: LeaseReply = grantor.handle_request(tick * PACE[name], ask)
         return told
 
     def _arrive(self, world: World, late: Late, twice: bool) -> World:
@@ -260,14 +272,14 @@
         node = nodes[late.holder]
         if node.holder is not None:
             holder = twin(node.holder)
-            holder.answered(world.tick * PACE[late.holder], late.sent, late.grantor, late.body)
+            holder.receive_reply(world.tick * PACE[late.holder], late.sent, late.grantor, late.body)
             nodes[late.holder] = node.but(holder)
         return world._replace(nodes=nodes, late=left)
 
     def _name(self, world: World, name: str, successors: tuple[str, ...], modes: tuple[str, ...]) -> World:
         nodes = dict(world.nodes)
         holder = twin(nodes[name].holder)
-        holder.name(world.tick * PACE[name], successors)
+        holder.name_successors(world.tick * PACE[name], successors)
         nodes[name] = nodes[name].but(holder)
         for successor in successors:  # the holder names whom it has given all
             nodes[successor] = Node(successor, nodes[successor].grantor, nodes[successor].holder, True)
@@ -291,7 +303,7 @@
     def _learn(world: World, name: str, other: str) -> World:
         node = world.nodes[name]
         grantor = twin(node.grantor)
-        grantor.learned(world.tick * PACE[name], other, world.nodes[other].grantor.table())
+        grantor.learn_from(world.tick * PACE[name], other, world.nodes[other].grantor.table())
         return world._replace(nodes=world.nodes | {name: Node(name, grantor, node.holder, node.whole)})
 
     # ---- the claims ----
@@ -324,7 +336,9 @@
     @staticmethod
     def key(world: World) -> tuple[Any, ...]:
         """What tells two worlds apart for all that may follow."""
-        ages = [(m.holder, m.grantor, min(SPAN, world.tick * PACE[m.holder] - m.sent), m.body) for m in world.late]
+        ages = [
+            (m.holder, m.grantor, min(LEASE_SPAN_US, world.tick * PACE[m.holder] - m.sent), m.body) for m in world.late
+        ]
         return (frozenset(ages), *[node.look(world.tick).key for node in world.nodes.values()], *world[3:])
 
 
--- a/tests/test_fleet_explore.py
+++ b/tests/test_fleet_explore.py
@@ -46,7 +46,7 @@
 
 
 class NoPromise(LeaseGrantor):
-    def _promise_over(self, now: int, known: Grant, ask: LeaseRequest) -> bool:
+    def _is_unpromised(self, now: int, known: Grant, ask: LeaseRequest) -> bool:
         return True
 
 
@@ -56,13 +56,13 @@
 
 
 class Reopening(LeaseGrantor):
-    def _open(self, known: Grant, ask: LeaseRequest) -> bool:
+    def _is_open(self, known: Grant, ask: LeaseRequest) -> bool:
         return True
 
 
 class NoSilence(LeaseGrantor):
     def _promised_at_boot(self) -> int:
-        return self.boot
+        return self.booted_at
 
 
 class NoLearning(LeaseGrantor):
@@ -71,7 +71,7 @@
 
 
 class NoMargin(LeaseHolder):
-    def _usable(self) -> int:
+    def _usable_span(self) -> int:
         return self.span
 
 
@@ -81,7 +81,7 @@
 
 
 class FiresUnnamed(LeaseHolder):
-    def _own(self, number: int) -> bool:
+    def _is_of_this_term(self, number: int) -> bool:
         return True
 
 
@@ -203,14 +203,14 @@
         if not (sender.up and sender.runs):
             return
         if isinstance(body, LeaseRequest):
-            told = sender.grantor.ask(now, body)
+            told = sender.grantor.handle_request(now, body)
             if sender.grantor.dirty:
                 sender.rows, sender.grantor.dirty = sender.grantor.table().grants, False
             self.send(by, sender, sent, told)
         elif isinstance(body, LeaseReply):
-            sender.adoption.holder.answered(now, sent, by, body)
+            sender.adoption.holder.receive_reply(now, sent, by, body)
         elif isinstance(body, GrantTable):
-            sender.grantor.learned(sent, by, body)
+            sender.grantor.learn_from(sent, by, body)
             if sender.grantor.dirty:
                 sender.rows, sender.grantor.dirty = sender.grantor.table().grants, False
         else:
@@ -218,9 +218,9 @@
 
     def turn(self, sender: Sender) -> None:
         now, grantor, adoption = self.clock(sender), sender.grantor, sender.adoption
-        for other in grantor.wants(now):
+        for other in grantor.members_to_learn_from(now):
             self.send(other, sender, now, "tables")
-        step = adoption.step(now, grantor.grant(RIGHT), grantor.promised(RIGHT), self.standing, sender.whole, 1)
+        step = adoption.step(now, grantor.grant(RIGHT), grantor.promised_until(RIGHT), self.standing, sender.whole, 1)
         if step.do is TakeoverAction.IMPORT or (
             adoption.stage is TakeoverStage.HOLDING and self.random.random() < 0.02
         ):
@@ -235,14 +235,14 @@
             sender.adoption, sender.whole, sender.term = Takeover(PARTITION, sender.name, MEMBERS), False, -1
         if adoption.holder.state is LeaseState.HELD:
             sender.term = adoption.holder.term
-        ask = sender.adoption.holder.asks(now)
+        ask = sender.adoption.holder.due_request(now)
         if ask is not None:
             for to in (sender.name, *(name for name in MEMBERS if name != sender.name)):
                 self.send(to, sender, now, ask)
 
     def judge(self) -> None:
         holders = {name: one.adoption.holder for name, one in self.senders.items() if one.up}
-        firing = [name for name, holder in holders.items() if holder.may_fire(self.clock(self.senders[name]))]
+        firing = [name for name, holder in holders.items() if holder.is_valid(self.clock(self.senders[name]))]
         assert len(firing) <= 1, f"{firing} may fire at once"
         for name in firing:
             if (name, holders[name].term) != self.fired:
@@ -269,7 +269,7 @@
         successors = [name for name in self.legit if self.senders[name].whole]
         for _ in range(10):
             self.goes_on(24)
-            if any(one.adoption.holder.may_fire(self.clock(one)) for one in self.senders.values()):
+            if any(one.adoption.holder.is_valid(self.clock(one)) for one in self.senders.values()):
                 return
         assert not successors, f"nobody holds the partition, though {successors} could"
 
--- a/tests/test_fleet_leases.py
+++ b/tests/test_fleet_leases.py
@@ -5,29 +5,29 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cedarwick.fleet.leases import SET_BITS, SPAN, LeaseGrantor, LeaseHolder, LeaseState, right_of
+from cedarwick.fleet.leases import LEASE_SPAN_US, SET_BITS, LeaseGrantor, LeaseHolder, LeaseState, lease_of
 from cedarwick.fleet.membership import Membership, MemberStatus
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
 from cedarwick.fleet.placement import copies
 from cedarwick.fleet.takeover import (
-    PATIENCE,
-    TURN,
-    BooksExhaustedError,
+    SUCCESSOR_TURN_US,
+    UNRENEWED_WAIT_US,
     Ownership,
+    PartitionsExhaustedError,
     Takeover,
     TakeoverAction,
     TakeoverStage,
 )
 
 PARTITION = 9 << 12
-RIGHT = right_of(PARTITION)
+RIGHT = lease_of(PARTITION)
 NAMES = ("a", "b", "c")
 HALLS = {"a": "north", "b": "north", "c": "south"}
 SET = 1 << SET_BITS | 1
 ROW = Grant(RIGHT, 1, "a", ("a", "b", "c"), SET)
 
 
-def ask(term: int, holder: str, right: str = RIGHT, closed: bool = False, span: int = SPAN) -> LeaseRequest:
+def ask(term: int, holder: str, right: str = RIGHT, closed: bool = False, span: int = LEASE_SPAN_US) -> LeaseRequest:
     return LeaseRequest(right, term, holder, span, ("a", "b", "c"), SET, closed)
 
 
@@ -35,137 +35,141 @@
     def members(self) -> Membership:
         members = Membership("a", HALLS, 1, 0)
         for name in "bc":
-            members.heard(0, name, 5, {}, False)
+            members.receive_heartbeat(0, name, 5, {}, False)
         return members
 
     def test_dead_by_two_of_three_and_not_by_one(self) -> None:
         members = self.members()
-        members.heard(1_500_000, "b", 5, {"c": 400_000}, False)
-        self.assertIs(members.state(1_500_000, "c"), MemberStatus.SUSPECTED)
+        members.receive_heartbeat(1_500_000, "b", 5, {"c": 400_000}, False)
+        self.assertIs(members.status(1_500_000, "c"), MemberStatus.SUSPECTED)
         self.assertEqual(members.notes(1_500_000, "c"), ("cut",))
-        members.heard(1_600_000, "b", 5, {"c": 1_500_000}, False)
-        self.assertIs(members.state(1_600_000, "c"), MemberStatus.DEAD)
+        members.receive_heartbeat(1_600_000, "b", 5, {"c": 1_500_000}, False)
+        self.assertIs(members.status(1_600_000, "c"), MemberStatus.DEAD)
 
     def test_a_silent_member_has_no_say(self) -> None:
         members = self.members()
-        members.heard(600_000, "b", 5, {"c": 1_500_000}, False)
-        self.assertIs(members.state(1_600_000, "c"), MemberStatus.SUSPECTED)
+        members.receive_heartbeat(600_000, "b", 5, {"c": 1_500_000}, False)
+        self.assertIs(members.status(1_600_000, "c"), MemberStatus.SUSPECTED)
 
     def test_an_old_boot_says_nothing_and_a_new_one_has_come_back(self) -> None:
         members = self.members()
-        self.assertTrue(members.heard(1, "b", 5, {}, True))
-        self.assertIs(members.state(2, "b"), MemberStatus.LEFT)
-        self.assertFalse(members.heard(2, "b", 4, {}, False))
-        members.heard(3, "b", 6, {}, False)
-        self.assertIs(members.state(3, "b"), MemberStatus.ALIVE)
+        self.assertTrue(members.receive_heartbeat(1, "b", 5, {}, True))
+        self.assertIs(members.status(2, "b"), MemberStatus.LEFT)
+        self.assertFalse(members.receive_heartbeat(2, "b", 4, {}, False))
+        members.receive_heartbeat(3, "b", 6, {}, False)
+        self.assertIs(members.status(3, "b"), MemberStatus.ALIVE)
         self.assertEqual([change.name for change in members.changes(3)], ["b", "c"])
 
     def test_never_heard_is_not_dead_before_its_time(self) -> None:
         members = Membership("a", HALLS, 1, 0)
-        members.heard(900_000, "b", 5, {"c": 9_000_000}, False)
-        self.assertIs(members.state(900_000, "c"), MemberStatus.UNKNOWN)
-        members.heard(1_500_000, "b", 5, {"c": 9_000_000}, False)
-        self.assertIs(members.state(1_500_000, "c"), MemberStatus.DEAD)
+        members.receive_heartbeat(900_000, "b", 5, {"c": 9_000_000}, False)
+        self.assertIs(members.status(900_000, "c"), MemberStatus.UNKNOWN)
+        members.receive_heartbeat(1_500_000, "b", 5, {"c": 9_000_000}, False)
+        self.assertIs(members.status(1_500_000, "c"), MemberStatus.DEAD)
 
 
 class Grants(unittest.TestCase):
     def test_the_table_is_to_be_kept_only_where_it_changed(self) -> None:
         grantor = LeaseGrantor("b", NAMES, 0, ())
-        self.assertTrue(grantor.ask(0, ask(1, "a")).granted)
+        self.assertTrue(grantor.handle_request(0, ask(1, "a")).granted)
         self.assertTrue(grantor.dirty)
         grantor.dirty = False
-        self.assertTrue(grantor.ask(1, ask(1, "a")).granted)
+        self.assertTrue(grantor.handle_request(1, ask(1, "a")).granted)
         self.assertFalse(grantor.dirty)
 
     def test_a_span_over_ours_is_refused_and_a_released_right_is_free(self) -> None:
         grantor = LeaseGrantor("b", NAMES, 0, (ROW,))
-        self.assertFalse(grantor.ask(0, ask(1, "a", span=SPAN + 1)).granted)
-        self.assertFalse(grantor.ask(5, ask(2, "c")).granted)
-        grantor.ask(5, ask(1, "a", span=0))
-        self.assertTrue(grantor.ask(5, ask(2, "c")).granted)
+        self.assertFalse(grantor.handle_request(0, ask(1, "a", span=LEASE_SPAN_US + 1)).granted)
+        self.assertFalse(grantor.handle_request(5, ask(2, "c")).granted)
+        grantor.handle_request(5, ask(1, "a", span=0))
+        self.assertTrue(grantor.handle_request(5, ask(2, "c")).granted)
 
     def test_closed_partitions_shrink_to_a_number_and_stay_closed(self) -> None:
         grantor = LeaseGrantor("b", NAMES, 0, ())
         for epoch in (1, 0):
-            grantor.ask(0, ask(1, "a", right_of(PARTITION + epoch), closed=True))
+            grantor.handle_request(0, ask(1, "a", lease_of(PARTITION + epoch), closed=True))
         self.assertEqual(grantor.table().grants, (Grant("closed:9", 1, "", closed=True),))
         again = LeaseGrantor("b", NAMES, 0, grantor.table().grants)
-        self.assertEqual(again.ask(SPAN, ask(9, "a")), LeaseReply(False, 0, "", closed=True))
-        self.assertEqual(again.newest(9), 1)
+        self.assertEqual(again.handle_request(LEASE_SPAN_US, ask(9, "a")), LeaseReply(False, 0, "", closed=True))
+        self.assertEqual(again.newest_epoch(9), 1)
 
     def test_a_forgotten_table_is_learned_after_a_span_from_whole_tables(self) -> None:
         grantor = LeaseGrantor("b", NAMES, 100, None)
-        self.assertEqual(grantor.wants(100), ())
-        self.assertFalse(grantor.learned(99 + SPAN, "a", GrantTable(False, (ROW,))))
-        now = 100 + SPAN
-        self.assertEqual(grantor.wants(now), ("a", "c"))
-        grantor.learned(now, "a", GrantTable(False, (ROW,)))
-        self.assertFalse(grantor.ask(now, ask(2, "b")).granted)
-        self.assertTrue(grantor.learned(now, "c", GrantTable(False, (Grant(RIGHT, 2, "c"),))))
+        self.assertEqual(grantor.members_to_learn_from(100), ())
+        self.assertFalse(grantor.learn_from(99 + LEASE_SPAN_US, "a", GrantTable(False, (ROW,))))
+        now = 100 + LEASE_SPAN_US
+        self.assertEqual(grantor.members_to_learn_from(now), ("a", "c"))
+        grantor.learn_from(now, "a", GrantTable(False, (ROW,)))
+        self.assertFalse(grantor.handle_request(now, ask(2, "b")).granted)
+        self.assertTrue(grantor.learn_from(now, "c", GrantTable(False, (Grant(RIGHT, 2, "c"),))))
         self.assertEqual((grantor.grant(RIGHT).term, grantor.dirty), (2, True))
 
     def test_at_the_first_start_everybodys_empty_table_is_needed(self) -> None:
         grantor = LeaseGrantor("b", (*NAMES, "d", "e"), 0, None)
         for name in "acd":
-            self.assertFalse(grantor.learned(SPAN, name, GrantTable(True)))
-        self.assertTrue(grantor.learned(SPAN, "e", GrantTable(True)))
+            self.assertFalse(grantor.learn_from(LEASE_SPAN_US, name, GrantTable(True)))
+        self.assertTrue(grantor.learn_from(LEASE_SPAN_US, "e", GrantTable(True)))
 
     def test_two_holders_of_one_term_are_neither(self) -> None:
         grantor = LeaseGrantor("b", NAMES, 0, None)
         for name in "ac":
-            grantor.learned(SPAN, name, GrantTable(False, (Grant(RIGHT, 2, name, ROW.successors, SET),)))
-        self.assertFalse(grantor.ask(SPAN, ask(2, "a")).granted)
-        self.assertFalse(grantor.ask(2 * SPAN - 1, ask(3, "a")).granted)
-        self.assertTrue(grantor.ask(2 * SPAN, ask(3, "a")).granted)
+            grantor.learn_from(LEASE_SPAN_US, name, GrantTable(False, (Grant(RIGHT, 2, name, ROW.successors, SET),)))
+        self.assertFalse(grantor.handle_request(LEASE_SPAN_US, ask(2, "a")).granted)
+        self.assertFalse(grantor.handle_request(2 * LEASE_SPAN_US - 1, ask(3, "a")).granted)
+        self.assertTrue(grantor.handle_request(2 * LEASE_SPAN_US, ask(3, "a")).granted)
 
 
 class Rights(unittest.TestCase):
     def holder(self) -> LeaseHolder:
         holder = LeaseHolder(RIGHT, "a", NAMES)
-        holder.begin(0, Grant(RIGHT, 0, ""))
+        holder.request_next_term(0, Grant(RIGHT, 0, ""))
         for name in "ab":
-            holder.answered(0, 0, name, LeaseReply(True, 1, "a"))
+            holder.receive_reply(0, 0, name, LeaseReply(True, 1, "a"))
         return holder
 
     def test_fires_once_a_majority_knows_its_successors_until_the_span_less_its_margin(self) -> None:
         holder = self.holder()
-        self.assertEqual((holder.state, holder.may_fire(0)), (LeaseState.HELD, False))
-        holder.name(0, ["c"])
+        self.assertEqual((holder.state, holder.is_valid(0)), (LeaseState.HELD, False))
+        holder.name_successors(0, ["c"])
         for name in "ac":
-            holder.answered(9, 5, name, LeaseReply(True, 1, "a", ("a", "c"), holder.set))
+            holder.receive_reply(9, 5, name, LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set))
         self.assertEqual((holder.successors, holder.valid_until), (("a", "c"), 5 + 1_090_000))
-        self.assertEqual([holder.may_fire(holder.valid_until - 1), holder.may_fire(holder.valid_until)], [True, False])
+        self.assertEqual([holder.is_valid(holder.valid_until - 1), holder.is_valid(holder.valid_until)], [True, False])
 
     def test_an_old_set_binds_until_a_majority_knows_the_new_one_at_one_time(self) -> None:
         holder = self.holder()
-        holder.name(0, ["b"])
+        holder.name_successors(0, ["b"])
         for name in "ab":
-            holder.answered(0, 0, name, LeaseReply(True, 1, "a", ("a", "b"), holder.set))
-        holder.name(1, ["c"])
-        holder.answered(1, 1, "a", LeaseReply(True, 1, "a", ("a", "c"), holder.set))
-        self.assertEqual(holder.bound, {"a", "b", "c"})
-        holder.answered(2 * SPAN, 2 * SPAN, "c", LeaseReply(True, 1, "a", ("a", "c"), holder.set))
+            holder.receive_reply(0, 0, name, LeaseReply(True, 1, "a", ("a", "b"), holder.newest_set))
+        holder.name_successors(1, ["c"])
+        holder.receive_reply(1, 1, "a", LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set))
+        self.assertEqual(holder.possible_successors, {"a", "b", "c"})
+        holder.receive_reply(
+            2 * LEASE_SPAN_US, 2 * LEASE_SPAN_US, "c", LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set)
+        )
         self.assertEqual(holder.successors, ("a", "b"))
-        holder.answered(2 * SPAN, 2 * SPAN, "a", LeaseReply(True, 1, "a", ("a", "c"), holder.set))
-        self.assertEqual((holder.successors, holder.bound), (("a", "c"), {"a", "c"}))
+        holder.receive_reply(
+            2 * LEASE_SPAN_US, 2 * LEASE_SPAN_US, "a", LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set)
+        )
+        self.assertEqual((holder.successors, holder.possible_successors), (("a", "c"), {"a", "c"}))
 
     def test_a_newer_term_counts_once_the_right_has_run_out(self) -> None:
         holder = self.holder()
-        holder.answered(1, 1, "c", LeaseReply(False, 2, "c"))
+        holder.receive_reply(1, 1, "c", LeaseReply(False, 2, "c"))
         self.assertIs(holder.state, LeaseState.HELD)
-        holder.look(SPAN)
-        self.assertEqual((holder.state, holder.newer), (LeaseState.LOST, (2, "c")))
+        holder.update(LEASE_SPAN_US)
+        self.assertEqual((holder.state, holder.newest_other), (LeaseState.LOST, (2, "c")))
 
     def test_what_a_member_that_has_gone_had_granted_counts_no_more(self) -> None:
         holder = LeaseHolder("r", "a", "abcd")
-        holder.begin(0, Grant("r", 0, ""))
+        holder.request_next_term(0, Grant("r", 0, ""))
         for sent, names in ((0, "abd"), (1_000_000, "ad")):
             for name in names:
-                holder.answered(sent, sent, name, LeaseReply(True, 1, "a"))
-        self.assertLess(holder.valid_until, SPAN)
+                holder.receive_reply(sent, sent, name, LeaseReply(True, 1, "a"))
+        self.assertLess(holder.valid_until, LEASE_SPAN_US)
         holder.replace("abc")
         # Danger: b and c, a majority of those that stay, may grant it to c from now on: b's promise has run out.
-        self.assertLess(holder.valid_until, SPAN)
+        self.assertLess(holder.valid_until, LEASE_SPAN_US)
 
 
 class Places(unittest.TestCase):
@@ -182,33 +186,37 @@
 
 class Adoptions(unittest.TestCase):
     def step(self, adoption: Takeover, now: int, standing: dict[str, MemberStatus], owed: int = 1) -> TakeoverAction:
-        return adoption.step(now, ROW, SPAN, lambda name: standing.get(name, MemberStatus.ALIVE), True, owed).do
+        return adoption.step(
+            now, ROW, LEASE_SPAN_US, lambda name: standing.get(name, MemberStatus.ALIVE), True, owed
+        ).do
 
     def test_the_second_successor_lets_the_first_one_go_first(self) -> None:
         adoption = Takeover(PARTITION, "c", NAMES)
         dead = {"a": MemberStatus.DEAD}
-        self.assertIs(self.step(adoption, SPAN, dead), TakeoverAction.NOTHING)
-        self.assertIs(self.step(adoption, SPAN + TURN - 1, dead), TakeoverAction.NOTHING)
-        self.assertIs(self.step(adoption, SPAN + TURN, dead), TakeoverAction.ASK)
+        self.assertIs(self.step(adoption, LEASE_SPAN_US, dead), TakeoverAction.NOTHING)
+        self.assertIs(self.step(adoption, LEASE_SPAN_US + SUCCESSOR_TURN_US - 1, dead), TakeoverAction.NOTHING)
+        self.assertIs(self.step(adoption, LEASE_SPAN_US + SUCCESSOR_TURN_US, dead), TakeoverAction.ASK)
 
     def test_a_holder_that_is_alive_has_patience_and_a_copy_that_is_no_successor_never_asks(self) -> None:
         adoption = Takeover(PARTITION, "b", NAMES)
-        self.assertIs(self.step(adoption, SPAN + PATIENCE, {}), TakeoverAction.NOTHING)
-        self.assertIs(self.step(adoption, SPAN + PATIENCE + TURN, {}), TakeoverAction.ASK)
+        self.assertIs(self.step(adoption, LEASE_SPAN_US + UNRENEWED_WAIT_US, {}), TakeoverAction.NOTHING)
+        self.assertIs(
+            self.step(adoption, LEASE_SPAN_US + UNRENEWED_WAIT_US + SUCCESSOR_TURN_US, {}), TakeoverAction.ASK
+        )
         other = Takeover(PARTITION, "d", NAMES)
-        self.assertIs(self.step(other, 99 * SPAN, {"a": MemberStatus.DEAD}), TakeoverAction.NOTHING)
+        self.assertIs(self.step(other, 99 * LEASE_SPAN_US, {"a": MemberStatus.DEAD}), TakeoverAction.NOTHING)
 
     def test_imports_then_closes_once_nothing_is_owed(self) -> None:
         adoption = Takeover(PARTITION, "b", NAMES)
-        self.step(adoption, SPAN, {"a": MemberStatus.DEAD})
+        self.step(adoption, LEASE_SPAN_US, {"a": MemberStatus.DEAD})
         for name in "bc":
-            adoption.holder.answered(SPAN, SPAN, name, LeaseReply(True, 2, "b"))
-        self.assertIs(self.step(adoption, SPAN, {}, owed=0), TakeoverAction.IMPORT)
-        adoption.imported(SPAN, ["c"])
-        self.assertIs(self.step(adoption, SPAN, {}, owed=0), TakeoverAction.CLOSE)
+            adoption.holder.receive_reply(LEASE_SPAN_US, LEASE_SPAN_US, name, LeaseReply(True, 2, "b"))
+        self.assertIs(self.step(adoption, LEASE_SPAN_US, {}, owed=0), TakeoverAction.IMPORT)
+        adoption.imported(LEASE_SPAN_US, ["c"])
+        self.assertIs(self.step(adoption, LEASE_SPAN_US, {}, owed=0), TakeoverAction.CLOSE)
         for name in "bc":
-            adoption.holder.answered(SPAN, SPAN, name, LeaseReply(True, 2, "b", closed=True))
-        self.assertIs(self.step(adoption, SPAN, {}), TakeoverAction.DROP)
+            adoption.holder.receive_reply(LEASE_SPAN_US, LEASE_SPAN_US, name, LeaseReply(True, 2, "b", closed=True))
+        self.assertIs(self.step(adoption, LEASE_SPAN_US, {}), TakeoverAction.DROP)
 
     def test_a_woken_owner_offers_to_the_newer_holder_and_opens_the_next_partition(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, (ROW,))
@@ -216,11 +224,13 @@
         old = ownership.step(grantor)
         assert old is not None
         self.assertIs(self.step(old, 0, {}), TakeoverAction.ASK)
-        old.holder.answered(0, 0, "c", LeaseReply(False, 3, "c"))
-        self.assertEqual(old.step(1, ROW, SPAN, lambda name: MemberStatus.ALIVE, True, 1), (TakeoverAction.OFFER, "c"))
+        old.holder.receive_reply(0, 0, "c", LeaseReply(False, 3, "c"))
+        self.assertEqual(
+            old.step(1, ROW, LEASE_SPAN_US, lambda name: MemberStatus.ALIVE, True, 1), (TakeoverAction.OFFER, "c")
+        )
         new = ownership.step(grantor)
         assert new is not None
-        self.assertEqual((new.partition, new.open, old.open), (PARTITION + 1, True, False))
+        self.assertEqual((new.partition, new.takes_new_messages, old.takes_new_messages), (PARTITION + 1, True, False))
         old.offered()
         self.assertIs(self.step(old, 2, {}), TakeoverAction.DROP)
         self.assertIs(old.stage, TakeoverStage.GONE)
@@ -228,6 +238,6 @@
     def test_no_partition_is_opened_by_one_that_forgot_nor_after_the_last_number(self) -> None:
         ownership = Ownership("a", 9, NAMES, {})
         self.assertIsNone(ownership.step(LeaseGrantor("a", NAMES, 0, None)))
-        last = Grant(right_of(PARTITION + 4095), 1, "a")
-        with self.assertRaises(BooksExhaustedError):
+        last = Grant(lease_of(PARTITION + 4095), 1, "a")
+        with self.assertRaises(PartitionsExhaustedError):
             ownership.step(LeaseGrantor("a", NAMES, 0, (last,)))
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -18,7 +18,7 @@
 from cedarwick.fleet.consensus import parts
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError
 from cedarwick.fleet.leased_partition import STARVED_US, LeasedPartition
-from cedarwick.fleet.leases import SPAN, UPTO, LeaseGrantor, right_of
+from cedarwick.fleet.leases import CLOSED_PREFIX, LEASE_SPAN_US, KnownHolder, LeaseGrantor, lease_of
 from cedarwick.fleet.member_state import MembershipChangeError
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
@@ -61,7 +61,7 @@
     encode_facts,
     stored_message_of,
 )
-from cedarwick.fleet.takeover import NOTHING, Takeover, TakeoverStage
+from cedarwick.fleet.takeover import NO_STEP, Takeover, TakeoverStage
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.notifications import Notifier
@@ -124,14 +124,16 @@
         holding.imported = True
         now = monotonic_time()
         adoption.holder.term = term - 1
-        adoption.holder.begin(now, Grant(right_of(PARTITION), 0, ""))
+        adoption.holder.request_next_term(now, Grant(lease_of(PARTITION), 0, ""))
         adoption.stage = TakeoverStage.HOLDING
         if granted:
             for _ in range(2):  # the second answer is that to the successors it names
                 for name in NAMES:
-                    adoption.holder.answered(now, now, name, LeaseReply(True, term, "a", (), adoption.holder.set))
-                adoption.holder.name(now, ())
-            self.assertTrue(adoption.holder.may_fire(now))
+                    adoption.holder.receive_reply(
+                        now, now, name, LeaseReply(True, term, "a", (), adoption.holder.newest_set)
+                    )
+                adoption.holder.name_successors(now, ())
+            self.assertTrue(adoption.holder.is_valid(now))
         return holding
 
     def test_what_the_newer_holder_has_copied_here_outlives_the_partition_that_is_given_up(self) -> None:
@@ -142,7 +144,7 @@
             data = encode_facts([fact(1)])
             node.copies.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
             if closed:
-                node.grantor.closed_elsewhere(GrantTable(False, (Grant(right_of(PARTITION), 2, "b", closed=True),)))
+                node.grantor.learn_closed(GrantTable(False, (Grant(lease_of(PARTITION), 2, "b", closed=True),)))
             node._drop_partition(PARTITION)
             self.assertNotIn(PARTITION, node.store.holdings)
             self.assertEqual(
@@ -166,11 +168,11 @@
         with mock.patch.object(adoption, "step", wraps=adoption.step) as step:
             node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
             node._step_takeover(now, adoption)
-            self.assertGreaterEqual(step.call_args.args[2], now + SPAN)
-            self.assertEqual(adoption.holder.newer, (3, "b"))
+            self.assertGreaterEqual(step.call_args.args[2], now + LEASE_SPAN_US)
+            self.assertEqual(adoption.holder.newest_other, (3, "b"))
             adoption.holder.term = 5  # asked for in vain
             node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
-            self.assertEqual(adoption.holder.newer, (5, "b"))
+            self.assertEqual(adoption.holder.newest_other, (5, "b"))
             standing = step.call_args.args[3]
             self.assertIs(standing("b"), MemberStatus.ALIVE)
             node._receive_heartbeat("b", 8, Heartbeat(False, {}))
@@ -191,9 +193,9 @@
     def test_who_asked_in_vain_is_taken_for_the_holder_only_for_a_while(self) -> None:
         node = self.member()
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
-        adoption.holder.newer = 3, "b"  # as a grantor said that has granted it to b, alone
+        adoption.holder.newest_other = KnownHolder(3, "b")  # as a grantor said that has granted it to b, alone
         now = monotonic_time() + 1
-        with mock.patch.object(node.members, "state", return_value=MemberStatus.ALIVE):
+        with mock.patch.object(node.members, "status", return_value=MemberStatus.ALIVE):
             for after, name, stands in (
                 (0, "b", MemberStatus.ALIVE),
                 (limits.IDLE_HOLDER_US - 1, "b", MemberStatus.ALIVE),
@@ -211,9 +213,9 @@
         node._receive_heartbeat("b", 7, Heartbeat(True, {}))
         self.assertNotIn(PARTITION, node.reported_serving)
         self.holding(node).serving = True
-        self.assertEqual([right.partition for right in node._own_heartbeat().rights], [PARTITION])
+        self.assertEqual([right.partition for right in node._own_heartbeat().leases], [PARTITION])
         node.leaving = True
-        self.assertEqual(node._own_heartbeat().rights, ())
+        self.assertEqual(node._own_heartbeat().leases, ())
 
     def test_a_member_without_room_is_no_place_for_a_copy_while_there_is_another(self) -> None:
         node = self.member()
@@ -252,7 +254,7 @@
 
         def ask(heard: str) -> None:
             node._receive_heartbeat("b", 7, Heartbeat(False, dict.fromkeys(heard, 0)))
-            node._answer("b", 7, LeaseRequest(right_of(PARTITION), 1, "b", SPAN))
+            node._answer("b", 7, LeaseRequest(lease_of(PARTITION), 1, "b", LEASE_SPAN_US))
 
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c"})  # {a, b} and {c, d, e}: two majorities
@@ -285,23 +287,25 @@
             assert node.store.open_partition is not None
             self.assertEqual(node.store.open_partition.partition, first)
             node.store.open_partition.serving = True
-            node.store.open_partition.adoption.holder.may_fire = lambda now: True  # type: ignore[method-assign]
+            node.store.open_partition.adoption.holder.is_valid = lambda now: True  # type: ignore[method-assign]
             self.assertFalse(node.store.has_room(kept(1)))
             node.look(monotonic_time())
-        self.assertEqual((node.store.open_partition.partition, node.adoptions[first].open), (first + 1, False))
+        self.assertEqual(
+            (node.store.open_partition.partition, node.adoptions[first].takes_new_messages), (first + 1, False)
+        )
         self.assertEqual(node.store.next_number, (first + 1 << 32) + 1)
 
     def test_what_was_closed_while_a_member_was_away_leaves_its_table(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
-        rows = [Grant(right_of(PARTITION + index), 1, "b", closed=index > 0) for index in range(3)]
+        rows = [Grant(lease_of(PARTITION + index), 1, "b", closed=index > 0) for index in range(3)]
         node.grantor = LeaseGrantor("a", NAMES, 0, rows)  # the first was closed meanwhile
-        theirs = GrantTable(False, (Grant(f"{UPTO}{PARTITION >> 12}", 0, "", closed=True),))
+        theirs = GrantTable(False, (Grant(f"{CLOSED_PREFIX}{PARTITION >> 12}", 0, "", closed=True),))
         with mock.patch.object(node, "_call", return_value=theirs):
             node._receive_heartbeat("b", 7, Heartbeat(False, {}))
             node.look(monotonic_time())
             gevent.sleep(0.01)
-        self.assertEqual([each.right for each in node.grantor.table().grants], [f"{UPTO}{PARTITION >> 12}"])
+        self.assertEqual([each.lease for each in node.grantor.table().grants], [f"{CLOSED_PREFIX}{PARTITION >> 12}"])
 
     def test_what_nobody_else_can_answer_is_answered_late(self) -> None:
         late, ours, others = [number(1)], True, False
@@ -325,7 +329,10 @@
                 holding.adoption.stage = TakeoverStage.GONE
             elif isinstance(granted, str):
                 node._receive_heartbeat("c", 7, Heartbeat(False, {}))
-                holding.adoption.stage, holding.adoption.holder.newer = TakeoverStage.OFFERING, (2, granted)
+                holding.adoption.stage, holding.adoption.holder.newest_other = (
+                    TakeoverStage.OFFERING,
+                    KnownHolder(2, granted),
+                )
             node._answer_late(monotonic_time(), few)
             self.assertEqual(node.dispatcher.answer_late.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
 
@@ -337,7 +344,7 @@
             node._answer_late(1_000_000_000 + after, few=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
         holding = node.store.holdings[PARTITION]
-        with mock.patch.object(holding.adoption.holder, "may_fire", return_value=True):
+        with mock.patch.object(holding.adoption.holder, "is_valid", return_value=True):
             node._answer_late(2_000_000_000, few=False)
         self.assertEqual(holding.unheld_since, 0)  # what follows is another loss
 
@@ -346,8 +353,8 @@
         for newer, calls in (((0, ""), 1), ((1, "a"), 1), ((2, "b"), 0), ((2, "A"), 0)):
             node = self.member()
             adoption = self.holding(node, granted=False).adoption
-            node.grantor.grant = lambda right: Grant(right, 2, "a")  # type: ignore[method-assign]
-            adoption.stage, adoption.holder.newer = TakeoverStage.ASKING, newer
+            node.grantor.grant = lambda lease: Grant(lease, 2, "a")  # type: ignore[method-assign]
+            adoption.stage, adoption.holder.newest_other = TakeoverStage.ASKING, KnownHolder(*newer)
             node.store.keep(kept(1, life=100_000))
             for after in (0, limits.NO_MAJORITY_UNHELD_US):
                 node._answer_late(1_000_000_000 + after, few=False)
@@ -381,9 +388,9 @@
         now = monotonic_time()
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node._step_takeover(now, adoption)
-            self.assertGreaterEqual(node.grantor.promised(right_of(PARTITION)), now + SPAN)
-            node._step_takeover(monotonic_time() + SPAN, adoption)
-        self.assertLess(node.grantor.promised(right_of(PARTITION)), now + SPAN)
+            self.assertGreaterEqual(node.grantor.promised_until(lease_of(PARTITION)), now + LEASE_SPAN_US)
+            node._step_takeover(monotonic_time() + LEASE_SPAN_US, adoption)
+        self.assertLess(node.grantor.promised_until(lease_of(PARTITION)), now + LEASE_SPAN_US)
 
     def test_a_partition_that_finds_no_room_here_is_given_back_and_asked_for_again(self) -> None:
         node = self.member()
@@ -460,14 +467,14 @@
         node = self.member("own")
         holding = self.holding(node)
         holding.serving, node.store.open_partition = True, holding
-        holding.adoption.holder.name(monotonic_time(), ())
+        holding.adoption.holder.name_successors(monotonic_time(), ())
         for index in (1, 2, 3):
             node.store.keep(kept(index))
         node.store.body = lambda number: b"" if number % 4 != 3 else self.fail_to_read()  # type: ignore[method-assign]
         opened = Takeover(PARTITION + 1, "a", NAMES, resume=True)
         node.adoptions[PARTITION + 1] = opened
         fresh = node._hold_partition(PARTITION + 1)
-        fresh.serving, opened.holder.may_fire = True, lambda now: True  # type: ignore[method-assign]
+        fresh.serving, opened.holder.is_valid = True, lambda now: True  # type: ignore[method-assign]
         node.store.open_partition, node.store.next_number, fresh.reserved_upto = (
             fresh,
             (PARTITION + 1 << 32) + 1,
@@ -512,7 +519,7 @@
         node.ownership = mock.Mock(**{"step.return_value": None})
         for index, error in enumerate((OSError("full"), ValueError("spoilt"), None)):
             adoption = node.adoptions[PARTITION + index] = Takeover(PARTITION + index, "a", NAMES)
-            adoption.step = mock.Mock(side_effect=error, return_value=NOTHING)  # type: ignore[method-assign]
+            adoption.step = mock.Mock(side_effect=error, return_value=NO_STEP)  # type: ignore[method-assign]
         with mock.patch.object(node, "_answer_late") as late:
             node.look(monotonic_time())
             late.assert_called_once()
@@ -522,7 +529,7 @@
     def test_a_slow_disk_holds_up_only_the_answers_that_rest_on_it(self) -> None:
         node, go = self.member(), threading.Event()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
-        asks = [LeaseRequest(f"book:{partition}", 1, "b", SPAN) for partition in (1, 2)]
+        asks = [LeaseRequest(f"book:{partition}", 1, "b", LEASE_SPAN_US) for partition in (1, 2)]
         node._answer_lease_request(asks[0])
         write = node.lasting.write_table
         with mock.patch.object(node.lasting, "write_table", side_effect=lambda table: go.wait(5) and write(table)):
@@ -533,7 +540,7 @@
             go.set()
             self.assertTrue(all(each.get(timeout=5).granted for each in out))
         table = node.lasting.table()
-        self.assertEqual([grant.right for grant in table.grants] if table else [], ["book:1", "book:2"])
+        self.assertEqual([grant.lease for grant in table.grants] if table else [], ["book:1", "book:2"])
 
     def test_a_message_that_was_overtaken_is_waited_for(self) -> None:
         node = self.member()
@@ -553,9 +560,9 @@
         holding, now = self.holding(node), monotonic_time()
         node.store.on_replication_timeout = node._note_replication_timeout
         holder = holding.adoption.holder
-        holder.name(now, ["b"])
+        holder.name_successors(now, ["b"])
         for name in NAMES:
-            holder.answered(now, now, name, LeaseReply(True, 1, "a", (), holder.set))
+            holder.receive_reply(now, now, name, LeaseReply(True, 1, "a", (), holder.newest_set))
         holding.serving = True
         successor = holding.log.follow("b", now)
 
@@ -581,7 +588,7 @@
     def test_a_copy_counts_once_a_majority_knows_its_successor(self) -> None:
         node = self.member()
         holding = self.holding(node)
-        holding.adoption.holder.name(monotonic_time(), ["b"])
+        holding.adoption.holder.name_successors(monotonic_time(), ["b"])
         self.assertFalse(node._replicas_keep_up(monotonic_time(), holding))
 
     def test_a_copy_becomes_a_successor_once_it_has_all_that_came_before_it_was_waited_for(self) -> None:
@@ -597,11 +604,11 @@
                 follower.place = ReplicaPosition(1, 1, EVERYTHING)  # whole, with a record on its way
                 node._name_successors(monotonic_time(), holding)
             # Danger: named now, and granted the next term in a moment, it would know nothing of the second.
-            self.assertNotIn(name, holding.adoption.holder.bound)
+            self.assertNotIn(name, holding.adoption.holder.possible_successors)
             self.assertEqual(node.store.successors_of(holding), {name} if index > 1 else set())
         follower.place = ReplicaPosition(1, 2, EVERYTHING)
         node._name_successors(monotonic_time(), holding)
-        self.assertIn(name, holding.adoption.holder.bound)  # the third waits for it already
+        self.assertIn(name, holding.adoption.holder.possible_successors)  # the third waits for it already
         node = self.member()
         holding = self.holding(node)
         node.alive = list(NAMES)
@@ -675,7 +682,7 @@
         )
         node.copies.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
         node._follow_partition(PARTITION)
-        node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(PARTITION), 2, "b", ("b", "a"), 1),))
+        node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_of(PARTITION), 2, "b", ("b", "a"), 1),))
         with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawn:
             with mock.patch.object(node, "_status_for", return_value=MemberStatus.ALIVE):
                 node._owe(now)
@@ -683,7 +690,7 @@
             node._owe(now)  # b is silent: what a copy here says is owed is told, and rests here, too
             self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", OwedKeys((8,)))])
             node.dispatcher.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
-            node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(PARTITION), 3, "a", ("b", "a"), 1),))
+            node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_of(PARTITION), 3, "a", ("b", "a"), 1),))
             node._owe(now)  # this member has asked for the partition, and has not taken it in yet
             self.assertEqual(node.order_key_hints.elsewhere, {8})
             self.assertIsInstance(node._answer("c", 1, OwedKeys((5, 6))), Acknowledged)
@@ -710,7 +717,7 @@
             holding.ledger.known.clear()
             node._owe(now + EVERY)
             self.assertEqual(spawn.call_args.args[1:3], ("c", OwedKeys()))
-            node._owe(now + LASTS + SPAN)
+            node._owe(now + LASTS + LEASE_SPAN_US)
             self.assertEqual(node.dispatcher.rest.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
 
     def test_an_offer_that_finds_room_for_a_part_is_taken_whole_when_it_comes_again(self) -> None:
@@ -774,20 +781,20 @@
 class Tables(unittest.TestCase):
     def test_what_is_learned_counts_as_promised_for_a_span(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, None)
-        right = right_of(PARTITION)
+        right = lease_of(PARTITION)
         rows = (Grant(right, 3, "b", ("b", "a"), 3 << 20 | 1),)
         for name in ("b", "c"):
-            grantor.learned(SPAN, name, GrantTable(False, rows))
-        self.assertEqual((grantor.learning, grantor.promised(right)), (False, 2 * SPAN))
+            grantor.learn_from(LEASE_SPAN_US, name, GrantTable(False, rows))
+        self.assertEqual((grantor.learning, grantor.promised_until(right)), (False, 2 * LEASE_SPAN_US))
 
     def test_only_closed_rows_of_another_table_are_taken_over(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, ())
-        other = right_of(PARTITION + 2)
-        grantor.closed_elsewhere(
-            GrantTable(False, (Grant(right_of(PARTITION + 1), 2, "b", closed=True), Grant(other, 2, "b")))
+        other = lease_of(PARTITION + 2)
+        grantor.learn_closed(
+            GrantTable(False, (Grant(lease_of(PARTITION + 1), 2, "b", closed=True), Grant(other, 2, "b")))
         )
         self.assertEqual(
-            (grantor.grant(right_of(PARTITION + 1)).closed, grantor.grant(other).term, grantor.dirty), (True, 0, True)
+            (grantor.grant(lease_of(PARTITION + 1)).closed, grantor.grant(other).term, grantor.dirty), (True, 0, True)
         )
 
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -16,7 +16,7 @@
 from cedarwick.fleet.consensus import OLD, Acceptor, AcceptorTable, InstanceState, name_move
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import right_of
+from cedarwick.fleet.leases import lease_of
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Body, ForwardReply, Grant, RecallForward, StageReply, StageSession, slot_of
 from cedarwick.fleet.node import FleetNode
@@ -106,9 +106,11 @@
         self.nodes[name] = node
         self.addCleanup(store.close)
         self.addCleanup(node.stop)
-        node.members.state = lambda now, name: MemberStatus.ALIVE  # type: ignore[method-assign]
+        node.members.status = lambda now, name: MemberStatus.ALIVE  # type: ignore[method-assign]
         partition = slot_of(name) << 12
-        adoption: Any = SimpleNamespace(me=name, holder=SimpleNamespace(bound=frozenset(), may_fire=lambda now: True))
+        adoption: Any = SimpleNamespace(
+            me=name, holder=SimpleNamespace(possible_successors=frozenset(), is_valid=lambda now: True)
+        )
         holding = store.holdings[partition] = store.open_partition = LeasedPartition(partition, adoption)
         holding.ledger = FactLedger(0)
         store.resume_ledger(holding, 1)
@@ -206,7 +208,7 @@
         self.assertEqual(a.dispatcher.submitted, 2)  # type: ignore[attr-defined]
         self.lose = lambda to, body: "answer" if to == "a" else ""
         self.assertEqual(c.hand_in(message("3"))[0], AdmissionResult.UNSURE)
-        c.node.members.state = lambda now, name: MemberStatus.DEAD  # type: ignore[method-assign]
+        c.node.members.status = lambda now, name: MemberStatus.DEAD  # type: ignore[method-assign]
         self.assertEqual(c.hand_in(message("4"))[0], AdmissionResult.BUSY)
 
     def test_a_client_gone_before_its_answer_is_withdrawn_at_the_holder(self) -> None:
@@ -332,12 +334,12 @@
         self.lose = lambda to, body: "ask" if to == "a" else ""
         for each in (b, c):
             each.node.gate.levels["a"] = level
-            each.node.members.state = lambda now, name: (  # type: ignore[method-assign]
+            each.node.members.status = lambda now, name: (  # type: ignore[method-assign]
                 MemberStatus.DEAD if name == "a" else MemberStatus.ALIVE
             )
             each.node.grantor.learning = False
-            each.node.grantor._grants[right_of(partition)] = Grant(right_of(partition), 2, "c")
-        holder = SimpleNamespace(bound=frozenset(), may_fire=lambda now: True)
+            each.node.grantor._grants[lease_of(partition)] = Grant(lease_of(partition), 2, "c")
+        holder = SimpleNamespace(possible_successors=frozenset(), is_valid=lambda now: True)
         c.store.holdings[partition] = LeasedPartition(partition, SimpleNamespace(me="c", holder=holder))  # type: ignore[arg-type]
         c.store.holdings[partition].serving = True
         c.adopted(partition)
@@ -383,9 +385,9 @@
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         b.transfers.acceptor.rows.clear()
         b.transfers.acceptor.by_key.clear()
-        b.node.grantor._grants[right_of(partition + 1)] = Grant(right_of(partition + 1), 1, "a")
+        b.node.grantor._grants[lease_of(partition + 1)] = Grant(lease_of(partition + 1), 1, "a")
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        del b.node.grantor._grants[right_of(partition + 1)]
+        del b.node.grantor._grants[lease_of(partition + 1)]
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.KEPT)
         b.transfers.acceptor.learned("a", 1)
         self.assertEqual(
