--- a/cedarwick/fleet/heartbeats.py
+++ b/cedarwick/fleet/heartbeats.py
@@ -45,7 +45,7 @@
             self.restarted_at[name] = now
             for holding in self.store.holdings.values():
                 if name in holding.log.followers:
-                    holding.log.followers[name].lost()  # its replica may have been lost with the restart
+                    holding.log.followers[name].forget_position()  # its replica may have been lost with the restart
 
     def _own_heartbeat(self) -> Heartbeat:
         """This member's heartbeat as of now; while it leaves it names no partition."""
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -84,7 +84,7 @@
         # By lease: the version with its newest row, where that is not on the disk.
         self.unwritten_grants: dict[str, int] = {}
         self.writing_grants = False
-        self.copies = ReplicaStore(
+        self.replicas = ReplicaStore(
             ReplicaFolder(self.lasting.copies),
             round(settings.copies_mb * (1 << 20)),
             now=clock.now,
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -48,8 +48,8 @@
         Returns the greenlets of the member, none of which ever returns.
         """
         self.dispatcher = dispatcher
-        self.copies.load()
-        for partition in self.copies.copies:
+        self.replicas.load()
+        for partition in self.replicas.files:
             self._follow_partition(partition)
         slot = slot_of(self.name)
         stored = {held.partition: held.term for held in self.held.values() if held.partition >> 12 == slot}
@@ -107,7 +107,7 @@
             self._guarded(self._step_takeover, now, adoption)
         if self.traffic is not None:
             self._guarded(self.traffic.look, now)
-        self._guarded(self.copies.step)
+        self._guarded(self.replicas.step)
         # Clients may return to the member that is back; what is owed here now is older than what it will accept.
         if any(change.current is MemberStatus.ALIVE for change in changes):
             for holding in self.store.holdings.values():
@@ -147,4 +147,4 @@
         self.exchange.stop()
         self.server.stop()
         self.peers.close()
-        self.copies.close()
+        self.replicas.close()
--- a/cedarwick/fleet/owed_keys.py
+++ b/cedarwick/fleet/owed_keys.py
@@ -48,14 +48,14 @@
     def _lying(self, now: int, adoption: Takeover) -> frozenset[int]:
         """The keys that are owed in a replica here; none unless its holder is silent."""
         partition, grant = adoption.partition, self.grantor.grant(lease_of(adoption.partition))
-        replica = self.copies.replica(partition)
+        replica = self.replicas.replica(partition)
         # The own name is recorded from when this member asks for the partition until it has imported it.
         alive = grant.holder != self.name and self._status_for(now, grant.holder, adoption) is MemberStatus.ALIVE
         if replica is None or partition in self.store.holdings or self.name not in grant.successors or alive:
             self.silent_holder_keys.pop(partition, None)
             return frozenset()
         if partition not in self.silent_holder_keys:  # once: a silent holder adds nothing
-            facts = [fact for fact in replica.held.values() if fact.base is not None and fact.base.turn]
+            facts = [fact for fact in replica.owed.values() if fact.base is not None and fact.base.turn]
             self.silent_holder_keys[partition] = frozenset(
                 [
                     fact.base.turn
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -48,7 +48,7 @@
     def _step_takeover(self, now: int, adoption: Takeover) -> None:
         """Ask the rules for the next step of one partition, and carry it out."""
         partition = adoption.partition
-        replica, holding = self.copies.replica(partition), self.store.holdings.get(partition)
+        replica, holding = self.replicas.replica(partition), self.store.holdings.get(partition)
         requested_term = adoption.holder.term if adoption.stage is TakeoverStage.ASKING else 0
         step = self._next_step(now, adoption, replica, holding)
         if requested_term:
@@ -85,7 +85,7 @@
         if self.no_majority_since:
             return False
         doubted = partition in self.damaged_partitions and now - self.begun_at < DAMAGED_FOLDER_US
-        return holding is not None and not doubted or (replica is not None and replica.whole)
+        return holding is not None and not doubted or (replica is not None and replica.is_complete)
 
     def _owed_count(self, now: int, holding: LeasedPartition | None) -> int:
         """How many messages are owed; at least 1 while the partition must not be closed."""
@@ -171,7 +171,7 @@
         """Store the partition's messages and begin its log; False without room for them: then the lease is released."""
         partition, term = adoption.partition, adoption.holder.term
         holding.imported = False
-        replica = self.copies.replica(partition)
+        replica = self.replicas.replica(partition)
         try:
             if replica is None:
                 self._resume_own_records(holding, term)
@@ -187,7 +187,7 @@
         self._record_lease(partition, term, 0)
         self.store.begin_log(holding, term)
         self._backlog(holding)
-        self.copies.drop(partition)
+        self.replicas.drop(partition)
         logger.info("partition {}: held under term {}, {} messages owed", partition, term, len(holding.ledger.known))
         return True
 
@@ -200,14 +200,14 @@
 
     def _import_replica(self, holding: LeasedPartition, term: int, replica: Replica) -> None:
         """Store what the replica here knows, and report the sessions and events that come with it."""
-        holding.imported_from_term = replica.place.term
+        holding.imported_from_term = replica.position.term
         # A replica that lags may lack an attempt, so its messages may have run. Attempts arrive in order: only those
         # after the last one in the replica can be missing.
-        heard = (head.at for fact in replica.held.values() for head in fact.known.heads.values())
+        heard = (head.at for fact in replica.owed.values() for head in fact.known.heads.values())
         behind = self.settings.ack == "own" or replica.behind  # its holder may have been started before us
         doubt_at = max(heard, default=1) if behind else 0
         unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offered else ([], [])
-        facts = list(replica.held.values())
+        facts = list(replica.owed.values())
         ends_upto = self.clock.now() + ANSWER_AHEAD_US
         self.store.import_replica(holding, facts, term, doubt_at, unsent, unacknowledged, ends_upto)
         if self.traffic is not None:
@@ -273,12 +273,12 @@
             )
         if self.held.pop(partition, None) is not None:
             self.lasting.write_held(list(self.held.values()))
-        replica = self.copies.replica(partition)
+        replica = self.replicas.replica(partition)
         closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(lease_of(partition)).closed
-        if holding is not None and replica is not None and replica.place.term > holding.log.term and not closed:
+        if holding is not None and replica is not None and replica.position.term > holding.log.term and not closed:
             self._follow_partition(partition)  # the newer holder counts on this copy by now
             return
-        self.copies.drop(partition)
+        self.replicas.drop(partition)
         self.silent_holder_keys.pop(partition, None)
         self.replica_written_at.pop(partition, None)
         self.reported_serving.pop(partition, None)
--- a/cedarwick/fleet/placement.py
+++ b/cedarwick/fleet/placement.py
@@ -10,7 +10,7 @@
     return xxhash.xxh3_64_intdigest(f"{partition}/{name}".encode())
 
 
-def order(partition: int, holder: str, halls: Mapping[str, str], names: Iterable[str]) -> list[str]:
+def replica_order(partition: int, holder: str, halls: Mapping[str, str], names: Iterable[str]) -> list[str]:
     """Members in the order in which they are to have copies: those of other halls first.
 
     Also the order of successors.
@@ -23,10 +23,12 @@
     )
 
 
-def copies(partition: int, holder: str, halls: Mapping[str, str], alive: Collection[str], count: int) -> list[str]:
+def choose_replicas(
+    partition: int, holder: str, halls: Mapping[str, str], alive: Collection[str], count: int
+) -> list[str]:
     """The members that are to have a copy of a partition which `holder` holds, `count` at most.
 
     `halls` has all members, `alive` those that may be chosen. A member that joins gets only copies for which it ranks
     highest; when one leaves, only its copies move.
     """
-    return order(partition, holder, halls, alive)[:count]
+    return replica_order(partition, holder, halls, alive)[:count]
--- a/cedarwick/fleet/ports.py
+++ b/cedarwick/fleet/ports.py
@@ -60,7 +60,7 @@
     gate: PeerVerifier
     members: Membership
     grantor: LeaseGrantor
-    copies: ReplicaStore
+    replicas: ReplicaStore
 
     @property
     def adoptions(self) -> Container[int]:
--- a/cedarwick/fleet/replica.py
+++ b/cedarwick/fleet/replica.py
@@ -12,7 +12,16 @@
 import msgspec
 
 from cedarwick.fleet.messages import DigestRange, Digests, ReplicaAck, ReplicateFacts, ReplicatePiece, whole
-from cedarwick.fleet.replication import EVERYTHING, GAP, NO_PROBLEM, OTHER, SPOILT, TERM, ReplicaPosition, summed
+from cedarwick.fleet.replication import (
+    CORRUPT,
+    EVERYTHING,
+    GAP,
+    NO_PROBLEM,
+    OLD_TERM,
+    OTHER_VERSION,
+    ReplicaPosition,
+    count_and_digest,
+)
 from cedarwick.fleet.replication_facts import (
     CorruptFactsError,
     Fact,
@@ -43,7 +52,7 @@
 class ReplicaStep(NamedTuple):
     """The result of a message: write `entry`, then `take` the step, then answer `have`. No entry: answer at once."""
 
-    have: ReplicaAck
+    ack: ReplicaAck
     entry: ReplicaEntry | None = None
     facts: list[Fact] = []
 
@@ -53,45 +62,47 @@
 
     def __init__(self, partition: int) -> None:
         self.partition = partition
-        self.place = ReplicaPosition(0, 0, 0)
-        self.held: dict[int, Fact] = {}  # what is owed, with bases
-        self.live = 0  # about the bytes of that
+        self.position = ReplicaPosition(0, 0, 0)
+        self.owed: dict[int, Fact] = {}  # what is owed, with bases
+        self.owed_bytes = 0  # about the bytes of that
         self.behind = False  # its holder has acknowledged to clients more than the copy has
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether it has received everything of its term."""
-        return self.place.covered == EVERYTHING
+        return self.position.covered == EVERYTHING
 
-    def facts(self, message: ReplicateFacts) -> ReplicaStep:
+    def step_for_facts(self, message: ReplicateFacts) -> ReplicaStep:
         """The step for a part of the log's tail."""
-        place = self.place
-        if message.term != place.term:
-            return self._no(TERM if message.term < place.term else GAP)
-        if message.first > place.next:
-            return self._no(GAP)
-        read = self._read(message, 0, EVERYTHING)
+        position = self.position
+        if message.term != position.term:
+            return self._refused(OLD_TERM if message.term < position.term else GAP)
+        if message.first > position.next:
+            return self._refused(GAP)
+        read = self._decoded(message, 0, EVERYTHING)
         if isinstance(read, str):
-            return self._no(read)
-        fresh = read[place.next - message.first :]
+            return self._refused(read)
+        fresh = read[position.next - message.first :]
         if not fresh:
-            return ReplicaStep(self.have())
+            return ReplicaStep(self.ack())
         data = message.facts if len(fresh) == len(read) else encode_facts(fresh)
-        return self._step(place._replace(next=place.next + len(fresh)), 0, 0, data, fresh, self.behind)
+        return self._step(position._replace(next=position.next + len(fresh)), 0, 0, data, fresh, self.behind)
 
-    def piece(self, message: ReplicatePiece) -> ReplicaStep:
+    def step_for_piece(self, message: ReplicatePiece) -> ReplicaStep:
         """The step for a piece: all that is owed in a range of message numbers."""
-        place = self.place
-        if message.term < place.term:
-            return self._no(TERM)
-        jumps = message.after == 0 and (message.term > place.term or message.next > place.next)
-        if not jumps and (message.term > place.term or message.next < place.next or message.after > place.covered):
-            return self._no(GAP)
-        read = self._read(message, message.after, message.upto)
+        position = self.position
+        if message.term < position.term:
+            return self._refused(OLD_TERM)
+        jumps = message.after == 0 and (message.term > position.term or message.next > position.next)
+        if not jumps and (
+            message.term > position.term or message.next < position.next or message.after > position.covered
+        ):
+            return self._refused(GAP)
+        read = self._decoded(message, message.after, message.upto)
         if isinstance(read, str):
-            return self._no(read)
-        covered = message.upto if jumps else max(place.covered, message.upto)
-        index = message.next if jumps else place.next
+            return self._refused(read)
+        covered = message.upto if jumps else max(position.covered, message.upto)
+        index = message.next if jumps else position.next
         return self._step(
             ReplicaPosition(message.term, index, covered),
             message.after,
@@ -101,81 +112,85 @@
             message.behind,
         )
 
-    def digests(self, message: Digests) -> Digests:
+    def answer_digests(self, message: Digests) -> Digests:
         """The copy's digests of the same ranges; no ranges if it is at another position."""
-        if (message.term, message.next) != self.place[:2]:
-            return Digests(self.partition, self.place.term, (), self.place.next)
-        numbers, made = sorted(self.held), []
+        if (message.term, message.next) != self.position[:2]:
+            return Digests(self.partition, self.position.term, (), self.position.next)
+        numbers, made = sorted(self.owed), []
         for span in message.ranges:
             inside = numbers[bisect_right(numbers, span.after) : bisect_right(numbers, span.upto)]
-            made.append(DigestRange(span.after, span.upto, *summed(encoded(self.held[number]) for number in inside)))
-        return Digests(self.partition, self.place.term, tuple(made), self.place.next)
+            made.append(
+                DigestRange(span.after, span.upto, *count_and_digest(encoded(self.owed[number]) for number in inside))
+            )
+        return Digests(self.partition, self.position.term, tuple(made), self.position.next)
 
-    def have(self, problem: str = NO_PROBLEM) -> ReplicaAck:
+    def ack(self, problem: str = NO_PROBLEM) -> ReplicaAck:
         """The answer to the holder: the position of the copy, and why a message was refused."""
-        return ReplicaAck(self.partition, self.place.term, self.place.next, problem, self.place.covered)
+        return ReplicaAck(self.partition, self.position.term, self.position.next, problem, self.position.covered)
 
-    def take(self, entry: ReplicaEntry, facts: Iterable[Fact]) -> None:
+    def apply(self, entry: ReplicaEntry, facts: Iterable[Fact]) -> None:
         """Apply a step that is already in the copy's file."""
         if entry.upto > entry.after:
             listed = {fact.number for fact in facts}
-            for number in [each for each in self.held if entry.after < each <= entry.upto and each not in listed]:
-                self._drop(number)
+            for number in [each for each in self.owed if entry.after < each <= entry.upto and each not in listed]:
+                self._remove(number)
         for fact in facts:
-            before = self.held.get(fact.number)
+            before = self.owed.get(fact.number)
             if before is None and fact.base is None:
                 continue  # an update of what has ended, or of what a piece is still to bring
             joined = trimmed(fact) if before is None else join_facts(before, fact)
-            self._drop(fact.number)
+            self._remove(fact.number)
             if not over(joined.known):
-                self.held[fact.number] = joined
-                self.live += weight(joined)
-        self.place, self.behind = ReplicaPosition(entry.term, entry.next, entry.covered), entry.behind
+                self.owed[fact.number] = joined
+                self.owed_bytes += weight(joined)
+        self.position, self.behind = ReplicaPosition(entry.term, entry.next, entry.covered), entry.behind
 
-    def doubt(self, since: int) -> None:
+    def mark_in_doubt(self, since: int) -> None:
         """Note that a part of the file is lost: updates may be missing since a wall time (microseconds).
 
         The holder must send everything again.
         """
-        self.held = {number: in_doubt(fact, since) for number, fact in self.held.items()}
-        self.place = ReplicaPosition(self.place.term, 0, 0)
+        self.owed = {number: in_doubt(fact, since) for number, fact in self.owed.items()}
+        self.position = ReplicaPosition(self.position.term, 0, 0)
 
-    def part(self, after: int, size: int) -> ReplicaEntry:
+    def snapshot_part(self, after: int, size: int) -> ReplicaEntry:
         """A part of what is held, above number `after` and of about `size` bytes, for a fresh file."""
         taken: list[Fact] = []
         upto, left = EVERYTHING, size
-        for number in sorted(each for each in self.held if each > after):
+        for number in sorted(each for each in self.owed if each > after):
             if taken and left <= 0:
                 upto = taken[-1].number
                 break
-            taken.append(self.held[number])
+            taken.append(self.owed[number])
             left -= weight(taken[-1])
-        return ReplicaEntry(*self.place, after, upto, encode_facts(taken), self.behind)
+        return ReplicaEntry(*self.position, after, upto, encode_facts(taken), self.behind)
 
-    def _drop(self, number: int) -> None:
-        before = self.held.pop(number, None)
+    def _remove(self, number: int) -> None:
+        before = self.owed.pop(number, None)
         if before is not None:
-            self.live -= weight(before)
+            self.owed_bytes -= weight(before)
 
-    def _no(self, problem: str) -> ReplicaStep:
-        return ReplicaStep(self.have(problem))
+    def _refused(self, problem: str) -> ReplicaStep:
+        return ReplicaStep(self.ack(problem))
 
     def _step(
-        self, place: ReplicaPosition, after: int, upto: int, data: bytes, facts: list[Fact], behind: bool
+        self, position: ReplicaPosition, after: int, upto: int, data: bytes, facts: list[Fact], behind: bool
     ) -> ReplicaStep:
-        entry = ReplicaEntry(*place, after, upto, data, behind)
-        return ReplicaStep(ReplicaAck(self.partition, place.term, place.next, NO_PROBLEM, place.covered), entry, facts)
+        entry = ReplicaEntry(*position, after, upto, data, behind)
+        return ReplicaStep(
+            ReplicaAck(self.partition, position.term, position.next, NO_PROBLEM, position.covered), entry, facts
+        )
 
-    def _read(self, message: ReplicateFacts | ReplicatePiece, after: int, upto: int) -> list[Fact] | str:
+    def _decoded(self, message: ReplicateFacts | ReplicatePiece, after: int, upto: int) -> list[Fact] | str:
         """The facts of a message, or the reason why the whole message is refused."""
         if not whole(message):
-            return SPOILT
+            return CORRUPT
         try:
             facts = decode_facts(message.facts)
         except FactsVersionError:
-            return OTHER
+            return OTHER_VERSION
         except CorruptFactsError:
-            return SPOILT
+            return CORRUPT
         if any(fact.number >> 32 != self.partition or not after < fact.number <= upto for fact in facts):
-            return SPOILT
+            return CORRUPT
         return facts
--- a/cedarwick/fleet/replica_files.py
+++ b/cedarwick/fleet/replica_files.py
@@ -25,12 +25,12 @@
 
 VERSION = 1  # of the files
 NAME = re.compile(r"([0-9]{1,10})\.log")
-FRESH = ".new"  # suffix of the fresh file of a compaction
-OTHER = ".other"  # suffix of a file that another version has written
-PART = 1 << 16  # bytes that one step of a compaction writes
-LOOK_BACK = 64  # steps after which a failed compaction is tried again
-SMALL = 1 << 17  # bytes above twice what is owed from which a file is compacted
-TOP, ENTRY = b"\x01", b"\x02"
+FRESH_SUFFIX = ".new"  # suffix of the fresh file of a compaction
+OTHER_VERSION_SUFFIX = ".other"  # suffix of a file that another version has written
+COMPACTION_PART_BYTES = 1 << 16  # bytes that one step of a compaction writes
+RETRY_STEPS = 64  # steps after which a failed compaction is tried again
+COMPACTION_SLACK_BYTES = 1 << 17  # bytes above twice what is owed from which a file is compacted
+HEADER, ENTRY = b"\x01", b"\x02"
 
 
 class ReplicaRefusedError(CedarwickError):
@@ -63,7 +63,7 @@
 
 
 ENCODER = msgspec.msgpack.Encoder()
-TOPS: msgspec.msgpack.Decoder[FileHeader] = msgspec.msgpack.Decoder(FileHeader)
+HEADERS: msgspec.msgpack.Decoder[FileHeader] = msgspec.msgpack.Decoder(FileHeader)
 ENTRIES: msgspec.msgpack.Decoder[ReplicaEntry] = msgspec.msgpack.Decoder(ReplicaEntry)
 
 
@@ -85,10 +85,10 @@
         self.size = 0
         self.fresh = -1  # the file that is being written anew
         self.fresh_size = 0
-        self.after = 0  # the numbers that the fresh file has
+        self.compacted_upto = 0  # the numbers that the fresh file has
         self.torn = False  # nothing more can be appended: the file must be written anew
-        self.least = 0  # bytes of the file when it was written anew last
-        self.rest_until = 0  # the step until which that is not tried again
+        self.compacted_size = 0  # bytes of the file when it was written anew last
+        self.retry_at_step = 0  # the step until which that is not tried again
 
 
 class ReplicaStore:
@@ -97,59 +97,59 @@
     def __init__(self, folder: ReplicaFolder, limit: int, *, now: Callable[[], int], durable: bool = False) -> None:
         """`limit`: bytes of all files together; `now` returns wall clock microseconds."""
         self.folder = folder
-        self.limit = limit
+        self.limit_bytes = limit
         self.now = now
         self.durable = durable
-        self.copies: dict[int, ReplicaFile] = {}
+        self.files: dict[int, ReplicaFile] = {}
         self.unsynced: dict[int, int] = {}  # files with bytes that no sync has followed: `written` after the last
         self.refusing: set[int] = set()  # partitions whose holders got `NO_ROOM`; logged once
         self.steps = 0
-        self.written = 0  # bytes ever
+        self.written_bytes = 0  # bytes ever
         # Called once a step of a partition is in its file.
-        self.heard: Callable[[int, ReplicaEntry, list[Fact]], None] = lambda *_: None
+        self.on_step: Callable[[int, ReplicaEntry, list[Fact]], None] = lambda *_: None
 
     @property
-    def used(self) -> int:
+    def used_bytes(self) -> int:
         """Bytes of all files."""
-        return sum(copy.size + copy.fresh_size for copy in self.copies.values())
+        return sum(copy.size + copy.fresh_size for copy in self.files.values())
 
     def load(self) -> None:
         """Read the files of earlier processes; raises `OSError` if the folder cannot be used."""
         for name in self.folder.names():
             found = NAME.fullmatch(name)
-            if name.endswith(FRESH):
+            if name.endswith(FRESH_SUFFIX):
                 quietly(self.folder.unlink, name)
             elif found is not None:
                 try:
-                    self._read(int(found[1]))
+                    self._load_file(int(found[1]))
                 except OSError as error:  # its holder gets `NO_ROOM` until somebody has looked
                     logger.error(ReplicaDamagedError(f"{name}: {error}").line)
 
     def replica(self, partition: int) -> Replica | None:
         """The copy of a partition, for the member that adopts it; None if there is none."""
-        copy = self.copies.get(partition)
+        copy = self.files.get(partition)
         return copy.replica if copy is not None else None
 
     def facts(self, message: ReplicateFacts) -> ReplicaAck:
         """Take a part of a partition's tail; written before this returns the answer."""
-        copy = self._copy(message.partition)
-        return self._done(copy, copy.replica.facts(message))
+        copy = self._file_of(message.partition)
+        return self._apply(copy, copy.replica.step_for_facts(message))
 
     def piece(self, message: ReplicatePiece) -> ReplicaAck:
         """Take all that a partition owes in a range; written before this returns the answer."""
-        copy = self._copy(message.partition)
-        return self._done(copy, copy.replica.piece(message))
+        copy = self._file_of(message.partition)
+        return self._apply(copy, copy.replica.step_for_piece(message))
 
     def digests(self, message: Digests) -> Digests:
         """The digests of a copy for the ranges in the message."""
-        return self._copy(message.partition).replica.digests(message)
+        return self._file_of(message.partition).replica.answer_digests(message)
 
     def drop(self, partition: int) -> None:
         """Delete the copy of a partition and its file."""
         self.refusing.discard(partition)
-        copy = self.copies.pop(partition, None)
+        copy = self.files.pop(partition, None)
         if copy is not None:
-            self._abandon(copy)
+            self._abandon_compaction(copy)
             if copy.file >= 0:
                 self._close(copy.file)
             quietly(self.folder.unlink, copy.name)
@@ -176,63 +176,63 @@
 
     def step(self) -> bool:
         """Do a bounded part of compacting a file that has grown too large; returns whether there is more to do."""
-        for copy in self.copies.values():
+        for copy in self.files.values():
             if copy.fresh >= 0:
-                self._go_on(copy)
+                self._continue_compaction(copy)
                 return True
         self.steps += 1
-        for copy in self.copies.values():
-            least = max(copy.replica.live, copy.least)
-            most = least * 5 // 4 + PART if self.refusing else least * 2 + SMALL
-            if (copy.torn or copy.size > most) and copy.rest_until <= self.steps:
-                return self._begin(copy)
+        for copy in self.files.values():
+            least = max(copy.replica.owed_bytes, copy.compacted_size)
+            most = least * 5 // 4 + COMPACTION_PART_BYTES if self.refusing else least * 2 + COMPACTION_SLACK_BYTES
+            if (copy.torn or copy.size > most) and copy.retry_at_step <= self.steps:
+                return self._begin_compaction(copy)
         return False
 
     def close(self) -> None:
         """Close all files."""
-        for copy in self.copies.values():
-            self._abandon(copy)
+        for copy in self.files.values():
+            self._abandon_compaction(copy)
             if copy.file >= 0:
                 self._close(copy.file)
-        self.copies.clear()
+        self.files.clear()
 
     # ---- writing ----
 
-    def _copy(self, partition: int) -> ReplicaFile:
-        if partition not in self.copies:
+    def _file_of(self, partition: int) -> ReplicaFile:
+        if partition not in self.files:
             return ReplicaFile(partition)  # stored once something is written
-        return self.copies[partition]
+        return self.files[partition]
 
-    def _done(self, copy: ReplicaFile, step: ReplicaStep) -> ReplicaAck:
+    def _apply(self, copy: ReplicaFile, step: ReplicaStep) -> ReplicaAck:
         if step.entry is None:
-            return step.have
+            return step.ack
         try:
             self._append(copy, framed(ENTRY + ENCODER.encode(step.entry)))
         except (ReplicaRefusedError, OSError) as error:
             if copy.replica.partition not in self.refusing:
                 self.refusing.add(copy.replica.partition)
                 logger.error(ReplicaRefusedError(f"{copy.name}: {error}").line)
-            return copy.replica.have(NO_ROOM)
+            return copy.replica.ack(NO_ROOM)
         self.refusing.discard(copy.replica.partition)
-        copy.replica.take(step.entry, step.facts)
-        self.heard(copy.replica.partition, step.entry, step.facts)
-        return step.have
+        copy.replica.apply(step.entry, step.facts)
+        self.on_step(copy.replica.partition, step.entry, step.facts)
+        return step.ack
 
     def _append(self, copy: ReplicaFile, frame: bytes) -> None:
         """Write an entry to a copy's file, and to its fresh one.
 
         Raises `ReplicaRefusedError` or `OSError`; then it is in neither.
         """
-        largest = max((each.replica.live for each in self.copies.values()), default=0)
-        if self.used + 2 * len(frame) + largest > self.limit:  # room for the largest to be written anew
-            raise ReplicaRefusedError(f"{self.used} bytes are in use, and {self.limit} are the most")
+        largest = max((each.replica.owed_bytes for each in self.files.values()), default=0)
+        if self.used_bytes + 2 * len(frame) + largest > self.limit_bytes:  # room for the largest to be written anew
+            raise ReplicaRefusedError(f"{self.used_bytes} bytes are in use, and {self.limit_bytes} are the most")
         if len(frame) > LONGEST or copy.torn:
             raise ReplicaRefusedError("it is too long" if len(frame) > LONGEST else "the file has a torn end for now")
         if copy.file < 0:
             self._create(copy)
         self._write(copy, frame)
         if copy.fresh >= 0 and not self._write_fresh(copy, frame):
-            self._abandon(copy)
+            self._abandon_compaction(copy)
 
     def _write(self, copy: ReplicaFile, frame: bytes) -> None:
         written = 0
@@ -245,22 +245,22 @@
             copy.torn = not quietly(self.folder.truncate, copy.file, copy.size)
             raise
         copy.size += written
-        self.written += written
+        self.written_bytes += written
         if self.durable:
-            self.unsynced[copy.file] = self.written
+            self.unsynced[copy.file] = self.written_bytes
 
     def _create(self, copy: ReplicaFile) -> None:
         copy.file = self.folder.create(copy.name)
-        self.copies[copy.replica.partition] = copy
+        self.files[copy.replica.partition] = copy
         try:
-            self._write(copy, self._top(copy))
+            self._write(copy, self._header(copy))
         except OSError:
             self.drop(copy.replica.partition)
             copy.file = -1
             raise
 
-    def _top(self, copy: ReplicaFile) -> bytes:
-        return framed(TOP + ENCODER.encode(FileHeader(VERSION, copy.replica.partition, self.now())))
+    def _header(self, copy: ReplicaFile) -> bytes:
+        return framed(HEADER + ENCODER.encode(FileHeader(VERSION, copy.replica.partition, self.now())))
 
     def _close(self, file: int) -> None:
         self.unsynced.pop(file, None)
@@ -268,33 +268,33 @@
 
     # ---- written anew ----
 
-    def _begin(self, copy: ReplicaFile) -> bool:
-        quietly(self.folder.unlink, copy.name + FRESH)
+    def _begin_compaction(self, copy: ReplicaFile) -> bool:
+        quietly(self.folder.unlink, copy.name + FRESH_SUFFIX)
         try:
-            copy.fresh, copy.fresh_size, copy.after = self.folder.create(copy.name + FRESH), 0, 0
+            copy.fresh, copy.fresh_size, copy.compacted_upto = self.folder.create(copy.name + FRESH_SUFFIX), 0, 0
         except OSError:
             return False
-        return self._write_fresh(copy, self._top(copy)) or self._abandon(copy)
+        return self._write_fresh(copy, self._header(copy)) or self._abandon_compaction(copy)
 
-    def _go_on(self, copy: ReplicaFile) -> None:
+    def _continue_compaction(self, copy: ReplicaFile) -> None:
         """Write the next part of what is owed; with the last one the fresh file takes the name."""
-        part = copy.replica.part(copy.after, PART)
+        part = copy.replica.snapshot_part(copy.compacted_upto, COMPACTION_PART_BYTES)
         if not self._write_fresh(copy, framed(ENTRY + ENCODER.encode(part))):
-            self._abandon(copy)
+            self._abandon_compaction(copy)
             return
-        copy.after = part.upto
+        copy.compacted_upto = part.upto
         if part.upto < EVERYTHING:
             return
         try:
             if self.durable:
                 self.folder.sync(copy.fresh)  # before the rename: a power cut could lose both
-            self.folder.replace(copy.name, copy.name + FRESH)
+            self.folder.replace(copy.name, copy.name + FRESH_SUFFIX)
         except OSError:
-            self._abandon(copy)
+            self._abandon_compaction(copy)
             return
         if copy.file >= 0:
             self._close(copy.file)
-        copy.file, copy.size, copy.least, copy.torn = copy.fresh, copy.fresh_size, copy.fresh_size, False
+        copy.file, copy.size, copy.compacted_size, copy.torn = copy.fresh, copy.fresh_size, copy.fresh_size, False
         copy.fresh, copy.fresh_size = -1, 0
 
     def _write_fresh(self, copy: ReplicaFile, frame: bytes) -> bool:
@@ -303,22 +303,22 @@
         except OSError:
             return False
         copy.fresh_size += written
-        self.written += written
+        self.written_bytes += written
         return written == len(frame)
 
-    def _abandon(self, copy: ReplicaFile) -> bool:
+    def _abandon_compaction(self, copy: ReplicaFile) -> bool:
         """Give up the fresh file and stay with the old one; done again at a later step."""
         if copy.fresh >= 0:
             self._close(copy.fresh)
-            quietly(self.folder.unlink, copy.name + FRESH)
+            quietly(self.folder.unlink, copy.name + FRESH_SUFFIX)
             copy.fresh, copy.fresh_size = -1, 0
         # A pause: on a full disk the same part would be written and thrown away for ever.
-        copy.rest_until = self.steps + LOOK_BACK
+        copy.retry_at_step = self.steps + RETRY_STEPS
         return False
 
     # ---- at the start ----
 
-    def _read(self, partition: int) -> None:
+    def _load_file(self, partition: int) -> None:
         """Rebuild a copy from its file."""
         copy = ReplicaFile(partition)
         replica, end, made_at, damaged = copy.replica, 0, 0, False
@@ -327,44 +327,44 @@
         size = self.folder.size(copy.name)
         for each in read_through(self.folder, copy.name, None):
             if isinstance(each, DamagedRange):
-                damaged |= not (each.until == size and self._torn(copy.name, each))
+                damaged |= not (each.until == size and self._has_torn_end(copy.name, each))
                 continue
             try:
-                if each.payload[:1] == TOP and not made_at:
-                    top = TOPS.decode(each.payload[1:])
+                if each.payload[:1] == HEADER and not made_at:
+                    top = HEADERS.decode(each.payload[1:])
                     if top.version != VERSION or top.partition != partition:
                         logger.error(
                             ReplicaVersionError(f"{copy.name}: version {top.version}, partition {top.partition}").line
                         )
                         self._close(copy.file)
-                        quietly(self.folder.replace, copy.name + OTHER, copy.name)
+                        quietly(self.folder.replace, copy.name + OTHER_VERSION_SUFFIX, copy.name)
                         return
                     made_at = top.made_at
                 elif each.payload[:1] == ENTRY:
                     entry = ENTRIES.decode(each.payload[1:])
-                    replica.take(entry, decode_facts(entry.facts))
+                    replica.apply(entry, decode_facts(entry.facts))
                 else:
                     damaged = True
             except (msgspec.MsgspecError, CorruptFactsError):
                 damaged = True
             end = each.at + FRAME.size + len(each.payload)
-        if not made_at and not replica.held:  # nothing was acknowledged, or nothing can be read
+        if not made_at and not replica.owed:  # nothing was acknowledged, or nothing can be read
             if damaged:
                 logger.error(ReplicaDamagedError(f"{copy.name}: nothing of it can be read").line)
             self._close(copy.file)
             quietly(self.folder.unlink, copy.name)
             return
         if damaged or not made_at:
-            logger.error(ReplicaDamagedError(f"{copy.name}: {len(replica.held)} messages are put in doubt").line)
-            replica.doubt(made_at or 1)
+            logger.error(ReplicaDamagedError(f"{copy.name}: {len(replica.owed)} messages are put in doubt").line)
+            replica.mark_in_doubt(made_at or 1)
             copy.torn = True
         copy.size = size
         if not copy.torn:
             copy.torn = not quietly(self.folder.truncate, copy.file, end)
             copy.size = size if copy.torn else end
-        self.copies[partition] = copy
+        self.files[partition] = copy
 
-    def _torn(self, name: str, damage: DamagedRange) -> bool:
+    def _has_torn_end(self, name: str, damage: DamagedRange) -> bool:
         """Whether a file ends in the beginning of a record whose writing was cut off, which was not acknowledged."""
         try:
             file = self.folder.open(name, append=False)
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -408,8 +408,8 @@
     def facts_to_offer(self, holding: LeasedPartition) -> list[Fact]:
         """All that this member knows of a partition it has lost: owed messages, and recent changes in the log."""
         facts: dict[int, Fact] = {}
-        for data, _ in holding.log.window:
-            for fact in decode_facts(together([data])):
+        for logged in holding.log.window:
+            for fact in decode_facts(together([logged.data])):
                 facts[fact.number] = join_facts(facts[fact.number], fact) if fact.number in facts else fact
         for number in list(holding.ledger.known):
             owed = holding.read_for_member(self, number)
@@ -424,8 +424,8 @@
         acked = max((follower.acked for follower in holding.log.followers.values()), default=holding.sent_upto)
         found = UnreplicatedMessages([], [])
         first = max(0, min(holding.sent_upto, acked) - holding.log.oldest)
-        for index, (data, _) in enumerate(islice(holding.log.window, first, None), holding.log.oldest + first):
-            for fact in decode_facts(together([data])):
+        for index, logged in enumerate(islice(holding.log.window, first, None), holding.log.oldest + first):
+            for fact in decode_facts(together([logged.data])):
                 if fact.base is not None and fact.number in holding.ledger.known and fact.number in self.messages:
                     (found.unsent if index >= holding.sent_upto else found.unacknowledged).append(fact.number)
         return found
--- a/cedarwick/fleet/replication.py
+++ b/cedarwick/fleet/replication.py
@@ -28,23 +28,24 @@
 from cedarwick.fleet.replication_facts import Fact, digest, encoded, over, together, trimmed
 
 EVERYTHING = (1 << 63) - 1  # above every number
-WINDOW = 4096  # facts of the log that the holder keeps in memory
-WINDOW_BYTES = 1 << 23  # bytes of them
-PART = 1 << 16  # bytes of facts in a message; more only where a single one is larger
-PART_FACTS = 1024  # facts in a message
-FEW = 4  # messages of the tail that may be out to one copy
-PATIENCE = 500_000  # microseconds until an unanswered message is given up
-REST = 1_000_000  # microseconds before a comparison that was not answered is sent again
-SHARE = 2  # bytes of live traffic that allow one byte of pieces
-FLOOR = 1 << 20  # bytes a second of pieces where there is little live traffic
-COMPARE = 10_000_000  # microseconds between two comparisons of everything
-BREATH = 20_000  # microseconds between two parts of one comparison
-RANGE = 128  # facts in a range that is compared
-RANGES = 2  # ranges in one message
-FEW_STANDING = 64  # differences that are remembered from one comparison to the next
-MOST_RESENDS = 3  # pieces for one difference that stays the same: then the copy knows more, which a join keeps
-NO_PROBLEM, GAP, TERM, SPOILT, OTHER, NO_ROOM = "", "gap", "term", "spoilt", "version", "no room"
-RESTS = {TERM: 100_000, SPOILT: 100_000, OTHER: 1_000_000, NO_ROOM: 1_000_000}  # before a copy that refused is asked
+MAX_WINDOW_FACTS = 4096  # facts of the log that the holder keeps in memory
+MAX_WINDOW_BYTES = 1 << 23  # of them
+MESSAGE_BYTES = 1 << 16  # of facts in one message; more only where a single one is larger
+MESSAGE_FACTS = 1024  # in one message
+MAX_UNACKED = 4  # messages of the tail that may be out to one copy
+ACK_TIMEOUT_US = 500_000  # until an unanswered message is given up
+COMPARE_RETRY_US = 1_000_000  # before a comparison that was not answered is sent again
+LIVE_BYTES_PER_PIECE_BYTE = 2  # bytes of live traffic that allow one byte of pieces
+MIN_PIECE_BYTES_PER_S = 1 << 20  # of pieces, where there is little live traffic
+COMPARE_INTERVAL_US = 10_000_000  # between two comparisons of everything
+COMPARE_PAUSE_US = 20_000  # between two parts of one comparison
+RANGE_FACTS = 128  # facts in a range that is compared
+RANGES_PER_MESSAGE = 2  # ranges in one message
+MAX_DIFFERENCES = 64  # differences that are remembered from one comparison to the next
+MAX_RESENDS = 3  # pieces for one difference that stays the same: then the copy knows more, which a join keeps
+NO_PROBLEM, GAP, OLD_TERM, CORRUPT, OTHER_VERSION, NO_ROOM = "", "gap", "term", "spoilt", "version", "no room"
+# By problem: until a copy that has refused a message is sent the next one.
+REFUSAL_PAUSE_US = {OLD_TERM: 100_000, CORRUPT: 100_000, OTHER_VERSION: 1_000_000, NO_ROOM: 1_000_000}
 
 
 class ReplicaPosition(NamedTuple):
@@ -55,10 +56,10 @@
     covered: int
 
 
-NO_PLACE = ReplicaPosition(-1, 0, 0)
+NO_POSITION = ReplicaPosition(-1, 0, 0)
 
 
-def summed(facts: Iterable[bytes]) -> tuple[int, int]:
+def count_and_digest(facts: Iterable[bytes]) -> tuple[int, int]:
     """Count and digest of the facts of a range."""
     hashed, count = xxhash.xxh3_64(), 0
     for each in facts:
@@ -80,10 +81,10 @@
         self.term = term
         self.read = read
         self.owed = sorted(owed)
-        self.window: deque[tuple[bytes, int]] = deque()  # encoded, when appended
+        self.window: deque[LoggedFact] = deque()
         self.oldest = 0  # the index of the window's first
-        self.bytes = 0  # of the window
-        self.appended = 0  # bytes appended ever
+        self.window_bytes = 0  # of the window
+        self.appended_bytes = 0  # bytes appended ever
         self.behind = False  # nothing that is answered waits for a copy
         self.followers: dict[str, FollowerProgress] = {}
 
@@ -94,19 +95,19 @@
 
     def append(self, fact: Fact, now: int) -> int:
         """Number a fact, at a time in microseconds; its index."""
-        place = bisect_left(self.owed, fact.number)
-        there = place < len(self.owed) and self.owed[place] == fact.number
+        index = bisect_left(self.owed, fact.number)
+        there = index < len(self.owed) and self.owed[index] == fact.number
         if over(fact.known):
             if there:
-                del self.owed[place]
+                del self.owed[index]
         elif not there:
             insort(self.owed, fact.number)
         data = encoded(trimmed(fact))
-        self.window.append((data, now))
-        self.bytes += len(data)
-        self.appended += len(data)
-        while len(self.window) > WINDOW or self.bytes > WINDOW_BYTES and len(self.window) > 1:
-            self.bytes -= len(self.window.popleft()[0])
+        self.window.append(LoggedFact(data, now))
+        self.window_bytes += len(data)
+        self.appended_bytes += len(data)
+        while len(self.window) > MAX_WINDOW_FACTS or self.window_bytes > MAX_WINDOW_BYTES and len(self.window) > 1:
+            self.window_bytes -= len(self.window.popleft().data)
             self.oldest += 1
         return self.next - 1
 
@@ -122,24 +123,26 @@
     def acked(self, successors: Iterable[str]) -> int:
         """The index below which each of these copies has all facts in its file; -1: one lacks the start state."""
         found = [self.followers.get(name) for name in successors]
-        return min((each.acked if each is not None and each.covers else -1 for each in found), default=self.next)
+        return min(
+            (each.acked if each is not None and each.has_start_state else -1 for each in found), default=self.next
+        )
 
     def tail(self, first: int) -> list[bytes]:
         """Facts of the window from an index on, as many as a message takes."""
         taken: list[bytes] = []
         size = 0
-        for place in range(first - self.oldest, min(len(self.window), first - self.oldest + PART_FACTS)):
-            data = self.window[place][0]
+        for index in range(first - self.oldest, min(len(self.window), first - self.oldest + MESSAGE_FACTS)):
+            data = self.window[index].data
             size += len(data)
-            if taken and size > PART:
+            if taken and size > MESSAGE_BYTES:
                 break
             taken.append(data)
         return taken
 
-    def walk(self, after: int, upto: int) -> Iterator[tuple[int, bytes]]:
+    def owed_facts(self, after: int, upto: int) -> Iterator[tuple[int, bytes]]:
         """What is owed in a range, in ascending order, with its number."""
-        for place in range(bisect_right(self.owed, after), len(self.owed)):
-            number = self.owed[place]
+        for index in range(bisect_right(self.owed, after), len(self.owed)):
+            number = self.owed[index]
             if number > upto:
                 return
             fact = self.read(number)
@@ -150,9 +153,9 @@
         """All that is owed in a range, or in a first part of it."""
         taken: list[bytes] = []
         size, last = 0, after
-        for number, data in self.walk(after, upto):
+        for number, data in self.owed_facts(after, upto):
             size += len(data)
-            if taken and (size > PART or len(taken) == PART_FACTS):
+            if taken and (size > MESSAGE_BYTES or len(taken) == MESSAGE_FACTS):
                 upto = last
                 break
             taken.append(data)
@@ -160,22 +163,44 @@
         facts = together(taken)
         return ReplicatePiece(self.partition, self.term, after, upto, facts, self.next, digest(facts), self.behind)
 
-    def spans(self, after: int) -> tuple[DigestRange, ...]:
+    def digest_ranges(self, after: int) -> tuple[DigestRange, ...]:
         """Ranges from a number on, with what they hold; the last one of all ends at `EVERYTHING`."""
         made: list[DigestRange] = []
-        while len(made) < RANGES and after < EVERYTHING:
-            place = bisect_right(self.owed, after) + RANGE - 1
-            upto = self.owed[place] if place + 1 < len(self.owed) else EVERYTHING
-            made.append(DigestRange(after, upto, *summed(data for _, data in self.walk(after, upto))))
+        while len(made) < RANGES_PER_MESSAGE and after < EVERYTHING:
+            index = bisect_right(self.owed, after) + RANGE_FACTS - 1
+            upto = self.owed[index] if index + 1 < len(self.owed) else EVERYTHING
+            made.append(DigestRange(after, upto, *count_and_digest(data for _, data in self.owed_facts(after, upto))))
             after = upto
         return tuple(made)
 
 
+class LoggedFact(NamedTuple):
+    """An entry of the log."""
+
+    data: bytes  # the encoded fact
+    appended_at: int
+
+
+class RangeDifference(NamedTuple):
+    """A range in which the holder's and the copy's digests differ."""
+
+    ours: DigestRange
+    theirs: DigestRange
+    resends: int  # how often the range was sent again
+
+
+class ReplicaLag(NamedTuple):
+    """How far a copy is behind the log."""
+
+    facts: int  # that it lacks
+    age_us: int  # of the oldest of them
+
+
 class SentRange(NamedTuple):
     """A message that is not answered yet."""
 
     upto: int  # the index behind a message of the tail, the last number of a piece
-    until: int  # when it is given up
+    expires_at: int  # when it is given up
 
 
 class FollowerProgress:
@@ -183,174 +208,183 @@
 
     def __init__(self, log: ReplicationLog, now: int) -> None:
         self.log = log
-        self.place = NO_PLACE
-        self.life = -1  # the copy's incarnation
+        self.position = NO_POSITION
+        self.incarnation = -1  # the copy's incarnation
         self.problem = NO_PROBLEM  # of its last answer
         self.superseded = False  # it knows a newer term: the holder has lost the partition
         self.sent = 0  # the index that is sent next
-        self.out: deque[SentRange] = deque()  # of the tail
-        self.piece: SentRange | None = None
-        self.mends: deque[tuple[int, int]] = deque()  # ranges that differ
-        # By range: the holder's and the copy's digests as seen last, and how often it was sent again.
-        self.standing: dict[tuple[int, int], tuple[DigestRange, DigestRange, int]] = {}
-        self.mended = 0  # ranges sent again
-        self.pieces = 0  # taken by the copy, walks and mends
-        self.rest_until = 0
-        self.credit = float(PART)  # bytes of pieces that may go out
-        self.counted = now, log.appended
-        self.compared: tuple[DigestRange, ...] = ()  # out for comparison
-        self.compare_at = now + COMPARE  # when the next part of a comparison, or its answer, is due
+        self.unacked: deque[SentRange] = deque()  # of the tail
+        self.unacked_piece: SentRange | None = None
+        self.ranges_to_resend: deque[tuple[int, int]] = deque()  # ranges that differ
+        self.differences: dict[tuple[int, int], RangeDifference] = {}  # by range
+        self.ranges_resent = 0  # ranges sent again
+        self.pieces_taken = 0  # taken by the copy, walks and mends
+        self.resume_at = 0
+        self.piece_credit_bytes = float(MESSAGE_BYTES)  # bytes of pieces that may go out
+        self.credit_updated = now, log.appended_bytes
+        self.compared_ranges: tuple[DigestRange, ...] = ()  # out for comparison
+        self.compare_at = now + COMPARE_INTERVAL_US  # when the next part of a comparison, or its answer, is due
         self.compare_from = log.partition << 32
-        self.pass_at = now  # when the comparison of everything began
+        self.comparison_began_at = now  # when the comparison of everything began
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether it has all that is owed but for the tail, and that lies in the window."""
-        return self._follows() and self.place.covered == EVERYTHING and self.problem not in (OTHER, NO_ROOM)
+        return (
+            self._is_in_window()
+            and self.position.covered == EVERYTHING
+            and self.problem not in (OTHER_VERSION, NO_ROOM)
+        )
 
     @property
-    def covers(self) -> bool:
+    def has_start_state(self) -> bool:
         """Whether it has all that the term began with."""
-        return self.place.term == self.log.term and self.place.covered == EVERYTHING
+        return self.position.term == self.log.term and self.position.covered == EVERYTHING
 
     @property
     def acked(self) -> int:
         """Every fact with a lower index is in its file."""
-        return self.place.next if self.covers else 0
+        return self.position.next if self.has_start_state else 0
 
-    def lag(self, now: int) -> tuple[int, int]:
+    def lag(self, now: int) -> ReplicaLag:
         """Facts that it lacks, and for how many microseconds the oldest of them."""
-        first = self.place.next if self.place.term == self.log.term else 0
+        first = self.position.next if self.position.term == self.log.term else 0
         missing = self.log.next - first
         if missing <= 0:
-            return 0, 0
-        return missing, now - self.log.window[max(0, first - self.log.oldest)][1]
+            return ReplicaLag(0, 0)
+        return ReplicaLag(missing, now - self.log.window[max(0, first - self.log.oldest)].appended_at)
 
-    def next(self, now: int) -> ReplicateFacts | ReplicatePiece | Digests | None:
+    def next_message(self, now: int) -> ReplicateFacts | ReplicatePiece | Digests | None:
         """The message to send now; None while there is nothing to send or answers are awaited.
 
         Called until it gives None whenever a fact was appended or an answer came, and every 50 ms or so.
         """
-        if now < self.rest_until or self.superseded:
+        if now < self.resume_at or self.superseded:
             return None
-        if self.piece is not None:
-            if now < self.piece.until:
+        if self.unacked_piece is not None:
+            if now < self.unacked_piece.expires_at:
                 return None
-            self.piece = None
-        if self.out and self.out[0].until <= now:
-            self._again()
-        if self.life < 0:
-            return None if self.out else self._tail(now, self.log.next)  # where are you?
+            self.unacked_piece = None
+        if self.unacked and self.unacked[0].expires_at <= now:
+            self._rewind()
+        if self.incarnation < 0:
+            return None if self.unacked else self._tail(now, self.log.next)  # where are you?
         piece = self._piece(now)
-        if piece is not None or not self._follows():
+        if piece is not None or not self._is_in_window():
             return piece
         if self.sent < self.log.next:
-            return self._tail(now, self.sent) if len(self.out) < FEW else None
+            return self._tail(now, self.sent) if len(self.unacked) < MAX_UNACKED else None
         return self._compare(now)
 
-    def have(self, now: int, message: ReplicaAck, life: int) -> None:
-        """Note an answer of the copy; `life`: the incarnation of its process."""
-        if life < self.life or message.partition != self.log.partition:
+    def receive_ack(self, now: int, message: ReplicaAck, incarnation: int) -> None:
+        """Note an answer of the copy; `incarnation`: the incarnation of its process."""
+        if incarnation < self.incarnation or message.partition != self.log.partition:
             return
-        place = ReplicaPosition(message.term, message.next, message.covered)
-        if life > self.life:
+        reported = ReplicaPosition(message.term, message.next, message.covered)
+        if incarnation > self.incarnation:
             # A new process: its file may be gone, so the earlier position counts for nothing.
-            self.life, self.place = life, place
-            self._again()
-        elif place > self.place:
-            self.place = place
+            self.incarnation, self.position = incarnation, reported
+            self._rewind()
+        elif reported > self.position:
+            self.position = reported
         # A copy ahead of this holder has facts of another holder, which this one could never send.
-        self.superseded |= place[:2] > (self.log.term, self.log.next)
+        self.superseded |= reported[:2] > (self.log.term, self.log.next)
         self.problem = message.problem
-        if self.place.term == self.log.term:
-            self.sent = max(self.sent, self.place.next)
-            while self.out and self.out[0].upto <= self.place.next:
-                self.out.popleft()
+        if self.position.term == self.log.term:
+            self.sent = max(self.sent, self.position.next)
+            while self.unacked and self.unacked[0].upto <= self.position.next:
+                self.unacked.popleft()
         if message.problem:
-            self._again()
-            self.rest_until = now + RESTS.get(message.problem, 0)
-        elif self.piece is not None and self.place.term == self.log.term and self.place.covered >= self.piece.upto:
-            self.piece = None
-            self.pieces += 1
-
-    def digests(self, now: int, message: Digests, life: int) -> None:
+            self._rewind()
+            self.resume_at = now + REFUSAL_PAUSE_US.get(message.problem, 0)
+        elif (
+            self.unacked_piece is not None
+            and self.position.term == self.log.term
+            and self.position.covered >= self.unacked_piece.upto
+        ):
+            self.unacked_piece = None
+            self.pieces_taken += 1
+
+    def receive_digests(self, now: int, message: Digests, incarnation: int) -> None:
         """Compare the copy's digests with those sent; ranges that differ are sent again."""
-        if life > self.life:
-            self.lost()
-        sent, self.compared = self.compared, ()
-        if life != self.life or message.partition != self.log.partition or message.term != self.log.term:
+        if incarnation > self.incarnation:
+            self.forget_position()
+        sent, self.compared_ranges = self.compared_ranges, ()
+        if incarnation != self.incarnation or message.partition != self.log.partition or message.term != self.log.term:
             return
         if [(each.after, each.upto) for each in message.ranges] != [(each.after, each.upto) for each in sent]:
             return  # it was at another index, or this answers an older question; asked again when due
         for ours, theirs in zip(sent, message.ranges, strict=True):
             span = ours.after, ours.upto
             if ours == theirs:
-                self.standing.pop(span, None)
+                self.differences.pop(span, None)
                 continue
-            before = self.standing.get(span)
-            resends = before[2] if before is not None and before[:2] == (ours, theirs) else 0
-            if resends < MOST_RESENDS:
-                self.standing[span] = ours, theirs, resends + 1
-                self.mends.append(span)
-                self.mended += 1
+            before = self.differences.get(span)
+            resends = before.resends if before is not None and (before.ours, before.theirs) == (ours, theirs) else 0
+            if resends < MAX_RESENDS:
+                self.differences[span] = RangeDifference(ours, theirs, resends + 1)
+                self.ranges_to_resend.append(span)
+                self.ranges_resent += 1
         self.compare_from = sent[-1].upto if sent else self.compare_from
-        self.compare_at = now + BREATH
+        self.compare_at = now + COMPARE_PAUSE_US
         if self.compare_from == EVERYTHING:
             self.compare_from = self.log.partition << 32
-            self.compare_at = max(now, self.pass_at + COMPARE)
-            self.pass_at = self.compare_at
-            self.standing = dict(list(self.standing.items())[-FEW_STANDING:])
+            self.compare_at = max(now, self.comparison_began_at + COMPARE_INTERVAL_US)
+            self.comparison_began_at = self.compare_at
+            self.differences = dict(list(self.differences.items())[-MAX_DIFFERENCES:])
 
-    def lost(self) -> None:
+    def forget_position(self) -> None:
         """Forget the copy's position, since its process is a new one: it is asked for it."""
-        self.life, self.place = -1, NO_PLACE
-        self._again()
+        self.incarnation, self.position = -1, NO_POSITION
+        self._rewind()
 
-    def _follows(self) -> bool:
+    def _is_in_window(self) -> bool:
         """Whether the tail alone brings it up to date."""
-        return self.place.term == self.log.term and self.place.next >= self.log.oldest
+        return self.position.term == self.log.term and self.position.next >= self.log.oldest
 
-    def _again(self) -> None:
+    def _rewind(self) -> None:
         """Send again from the position that it has reported."""
-        self.out.clear()
-        self.piece = None
-        self.sent = self.place.next if self.place.term == self.log.term else self.log.next
+        self.unacked.clear()
+        self.unacked_piece = None
+        self.sent = self.position.next if self.position.term == self.log.term else self.log.next
 
     def _tail(self, now: int, first: int) -> ReplicateFacts:
         taken = self.log.tail(first)
         facts = together(taken)
         self.sent = first + len(taken)
-        self.out.append(SentRange(self.sent, now + PATIENCE))
+        self.unacked.append(SentRange(self.sent, now + ACK_TIMEOUT_US))
         return ReplicateFacts(self.log.partition, self.log.term, first, facts, digest(facts))
 
     def _piece(self, now: int) -> ReplicatePiece | None:
         """The next piece of a walk or of what differs, where one is due and the pace allows it."""
-        if not self._follows():
+        if not self._is_in_window():
             span = 0, EVERYTHING
-        elif self.place.covered < EVERYTHING:
-            span = self.place.covered, EVERYTHING
-        elif self.mends:
-            span = self.mends[0]
+        elif self.position.covered < EVERYTHING:
+            span = self.position.covered, EVERYTHING
+        elif self.ranges_to_resend:
+            span = self.ranges_to_resend[0]
         else:
             return None
-        before, appended = self.counted
-        self.counted = now, self.log.appended
-        grown = (self.log.appended - appended) / SHARE + FLOOR * (now - before) / 1e6
-        self.credit = min(self.credit + grown, PART)
-        if self.credit <= 0:
+        before, appended = self.credit_updated
+        self.credit_updated = now, self.log.appended_bytes
+        grown = (self.log.appended_bytes - appended) / LIVE_BYTES_PER_PIECE_BYTE + MIN_PIECE_BYTES_PER_S * (
+            now - before
+        ) / 1e6
+        self.piece_credit_bytes = min(self.piece_credit_bytes + grown, MESSAGE_BYTES)
+        if self.piece_credit_bytes <= 0:
             return None
         piece = self.log.piece(*span)
-        if self.place.covered == EVERYTHING and self._follows():
-            self.mends.popleft()
+        if self.position.covered == EVERYTHING and self._is_in_window():
+            self.ranges_to_resend.popleft()
             if piece.upto < span[1]:
-                self.mends.appendleft((piece.upto, span[1]))
-        self.credit -= len(piece.facts)
-        self.piece = SentRange(piece.upto, now + PATIENCE)
+                self.ranges_to_resend.appendleft((piece.upto, span[1]))
+        self.piece_credit_bytes -= len(piece.facts)
+        self.unacked_piece = SentRange(piece.upto, now + ACK_TIMEOUT_US)
         return piece
 
     def _compare(self, now: int) -> Digests | None:
-        if now < self.compare_at or self.place.covered < EVERYTHING:
+        if now < self.compare_at or self.position.covered < EVERYTHING:
             return None
-        self.compare_at = now + REST  # where no answer comes
-        self.compared = self.log.spans(self.compare_from)
-        return Digests(self.log.partition, self.log.term, self.compared, self.log.next)
+        self.compare_at = now + COMPARE_RETRY_US  # where no answer comes
+        self.compared_ranges = self.log.digest_ranges(self.compare_from)
+        return Digests(self.log.partition, self.log.term, self.compared_ranges, self.log.next)
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -11,7 +11,7 @@
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.replication import NO_ROOM, OTHER, FollowerProgress
+from cedarwick.fleet.replication import NO_ROOM, OTHER_VERSION, FollowerProgress
 
 
 class ReplicationPumps(MemberState):
@@ -34,7 +34,7 @@
     def _pump(self, holding: LeasedPartition, term: int, name: str, follower: FollowerProgress) -> None:
         """Send a copy what it lacks, until it is not followed any more."""
         while holding.log.followers.get(name) is follower and name in self.halls:
-            message = follower.next(monotonic_time())
+            message = follower.next_message(monotonic_time())
             if message is None:
                 self.store.replication_progress.clear()
                 self.store.replication_progress.wait(0.05)
@@ -48,11 +48,11 @@
         answer = self._peer_message(name, message, REPLICATE_TIMEOUT_S)
         # The answer's own incarnation: a late answer of an earlier boot must not count for the files of the new one.
         if answer is not None and isinstance(answer.body, ReplicaAck):
-            if answer.body.problem in (NO_ROOM, OTHER):
+            if answer.body.problem in (NO_ROOM, OTHER_VERSION):
                 self.replica_refused_at[name] = monotonic_time()
-            follower.have(monotonic_time(), answer.body, answer.incarnation)
+            follower.receive_ack(monotonic_time(), answer.body, answer.incarnation)
         elif answer is not None and isinstance(answer.body, Digests):
-            follower.digests(monotonic_time(), answer.body, answer.incarnation)
+            follower.receive_digests(monotonic_time(), answer.body, answer.incarnation)
         self.store.replication_progress.set()
 
     def _wanted_replicas(self, holding: LeasedPartition) -> list[str]:
@@ -64,16 +64,16 @@
             if now - self.replica_refused_at.get(name, -REPLICA_TRUST_US) >= REPLICA_TRUST_US
         ]
         able = able if len(able) > self.settings.copies else self.alive
-        return placement.copies(holding.partition, self.name, self.halls, able, self.settings.copies)
+        return placement.choose_replicas(holding.partition, self.name, self.halls, able, self.settings.copies)
 
     def _complete_replicas(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
         """Those of some members whose copies have all but a short tail."""
         found = []
         for name in names:
             follower = holding.log.followers.get(name)
-            if follower is not None and follower.whole:
-                missing, behind = follower.lag(now)
-                if self.store.by_copy or missing <= MAX_LAG_FACTS and behind <= MAX_LAG_US:
+            if follower is not None and follower.is_complete:
+                lag = follower.lag(now)
+                if self.store.by_copy or lag.facts <= MAX_LAG_FACTS and lag.age_us <= MAX_LAG_US:
                     found.append(name)
         return found
 
@@ -96,7 +96,7 @@
             whole += [name for name in self._complete_replicas(now, holding, old) if name not in whole]
         if self.store.by_copy and not whole and holder.successors[1:] and self.settings.alone == "busy":
             return  # without a successor, acknowledged messages would be in one folder only
-        holder.name_successors(now, placement.order(holding.partition, self.name, self.halls, whole))
+        holder.name_successors(now, placement.replica_order(holding.partition, self.name, self.halls, whole))
 
     def _joined_replicas(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
         """Those of some whole copies that are successors, or may be named for ones.
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -27,7 +27,7 @@
 )
 from cedarwick.fleet.partition_takeover import PartitionTakeover
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.replication import TERM
+from cedarwick.fleet.replication import OLD_TERM
 from cedarwick.fleet.takeover import TakeoverStage
 
 
@@ -83,16 +83,16 @@
             # A former holder that was paused must not count this member as its copy: the partition is held here.
             if isinstance(body, Digests):
                 return Digests(body.partition, holding.adoption.holder.term, ())
-            return ReplicaAck(body.partition, holding.adoption.holder.term, 0, TERM)
+            return ReplicaAck(body.partition, holding.adoption.holder.term, 0, OLD_TERM)
         self.replica_written_at[body.partition] = monotonic_time()
         if isinstance(body, Digests):
-            return self.copies.digests(body)
+            return self.replicas.digests(body)
         if isinstance(body, ReplicateFacts):
             self._wait_for_earlier(body)
-        have = self.copies.facts(body) if isinstance(body, ReplicateFacts) else self.copies.piece(body)
-        if self.copies.unsynced:
-            self.copies.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
-        if body.partition not in self.adoptions and self.copies.replica(body.partition) is not None:
+        have = self.replicas.facts(body) if isinstance(body, ReplicateFacts) else self.replicas.piece(body)
+        if self.replicas.unsynced:
+            self.replicas.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
+        if body.partition not in self.adoptions and self.replicas.replica(body.partition) is not None:
             self._follow_partition(body.partition)
         return have
 
@@ -103,9 +103,9 @@
         """
         until = monotonic_time() + REORDER_WAIT_US
         while (
-            (replica := self.copies.replica(body.partition)) is not None
-            and replica.place.term == body.term
-            and replica.place.next < body.first
+            (replica := self.replicas.replica(body.partition)) is not None
+            and replica.position.term == body.term
+            and replica.position.next < body.first
             and monotonic_time() < until
         ):
             gevent.sleep(0.0005)
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -79,7 +79,7 @@
     def __init__(self, node: SessionHost) -> None:
         super().__init__(node)
         if self.store.by_copy:
-            node.copies.heard = self._copied
+            node.replicas.on_step = self._copied
 
     def attach(self, staff: ManagementCommands, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
         """Take clients' submissions and operators' `MOVE` commands; called before the first peer message."""
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -193,7 +193,7 @@
         """Nothing of the process goes on, and its files stay as they are."""
         self.running, self.owner.dead = False, True
         if self.node is not None:
-            self.node.copies.close()
+            self.node.replicas.close()
             self.store.close()
         self.node = None
 
--- a/tests/test_fleet_leases.py
+++ b/tests/test_fleet_leases.py
@@ -8,7 +8,7 @@
 from cedarwick.fleet.leases import LEASE_SPAN_US, SET_BITS, LeaseGrantor, LeaseHolder, LeaseState, lease_of
 from cedarwick.fleet.membership import Membership, MemberStatus
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
-from cedarwick.fleet.placement import copies
+from cedarwick.fleet.placement import choose_replicas
 from cedarwick.fleet.takeover import (
     SUCCESSOR_TURN_US,
     UNRENEWED_WAIT_US,
@@ -177,10 +177,10 @@
     @given(st.integers(0, 1 << 30), st.integers(2, 12), st.integers(1, 2))
     def test_a_member_that_goes_moves_only_what_it_had(self, partition: int, members: int, count: int) -> None:
         halls = {f"m{index}": f"hall{index % 3}" for index in range(members)}
-        before = copies(partition, "m0", halls, list(halls), count)
+        before = choose_replicas(partition, "m0", halls, list(halls), count)
         self.assertTrue(all(halls[name] != halls["m0"] for name in before) or members < 4 or count == 2)
         for gone in halls:
-            after = copies(partition, "m0", halls, [name for name in halls if name != gone], count)
+            after = choose_replicas(partition, "m0", halls, [name for name in halls if name != gone], count)
             self.assertEqual([name for name in before if name != gone], after[: len(before) - (gone in before)])
 
 
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -142,13 +142,13 @@
             holding = self.holding(node)
             holding.offered = True
             data = encode_facts([fact(1)])
-            node.copies.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
+            node.replicas.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
             if closed:
                 node.grantor.learn_closed(GrantTable(False, (Grant(lease_of(PARTITION), 2, "b", closed=True),)))
             node._drop_partition(PARTITION)
             self.assertNotIn(PARTITION, node.store.holdings)
             self.assertEqual(
-                (node.copies.replica(PARTITION) is None, PARTITION in node.adoptions), (closed, not closed)
+                (node.replicas.replica(PARTITION) is None, PARTITION in node.adoptions), (closed, not closed)
             )
 
     def test_alone_a_member_asks_for_nothing(self) -> None:
@@ -412,10 +412,10 @@
         node.store.keep(kept(1))
         node.store.close()
         again = self.member(folder=node.store.folder.path)
-        again.copies.piece(
+        again.replicas.piece(
             ReplicatePiece(PARTITION + 1, 2, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([])))
         )
-        again.copies.close()
+        again.replicas.close()
         again.store.damaged = True
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             again.start(mock.Mock())
@@ -501,10 +501,10 @@
         node.store.keep(kept(1))
         node.store.body = lambda number: self.fail_to_read()  # type: ignore[method-assign]
         copy = Replica(PARTITION)
-        step = copy.piece(holding.log.piece(0, EVERYTHING))
+        step = copy.step_for_piece(holding.log.piece(0, EVERYTHING))
         assert step.entry is not None
-        copy.take(step.entry, step.facts)
-        for told in (copy.held[number(1)], *node.store.facts_to_offer(holding)):
+        copy.apply(step.entry, step.facts)
+        for told in (copy.owed[number(1)], *node.store.facts_to_offer(holding)):
             self.assertEqual((told.base is not None, told.known.end[0]), (True, EndRank.FAILED))
         self.assertEqual(holding.ledger.known[number(1)].end[0], EndRank.NONE)  # it may yet be read here
 
@@ -544,7 +544,9 @@
 
     def test_a_message_that_was_overtaken_is_waited_for(self) -> None:
         node = self.member()
-        node.copies.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([]))))
+        node.replicas.piece(
+            ReplicatePiece(PARTITION, 1, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([])))
+        )
         parts = [encode_facts([fact(index)]) for index in (1, 2)]
         peer_messages = [ReplicateFacts(PARTITION, 1, place, part, digest_of(part)) for place, part in enumerate(parts)]
         out = [gevent.spawn(node._replicate, peer_message) for peer_message in reversed(peer_messages)]
@@ -567,7 +569,7 @@
         successor = holding.log.follow("b", now)
 
         def has(index: int) -> None:
-            successor.have(monotonic_time(), ReplicaAck(PARTITION, 1, index, "", EVERYTHING), 1)
+            successor.receive_ack(monotonic_time(), ReplicaAck(PARTITION, 1, index, "", EVERYTHING), 1)
 
         node.store.keep(kept(1))
         with (
@@ -601,18 +603,18 @@
         for index in (1, 2, 3):
             node.store.keep(kept(index))
             if index == 2:
-                follower.place = ReplicaPosition(1, 1, EVERYTHING)  # whole, with a record on its way
+                follower.position = ReplicaPosition(1, 1, EVERYTHING)  # whole, with a record on its way
                 node._name_successors(monotonic_time(), holding)
             # Danger: named now, and granted the next term in a moment, it would know nothing of the second.
             self.assertNotIn(name, holding.adoption.holder.possible_successors)
             self.assertEqual(node.store.successors_of(holding), {name} if index > 1 else set())
-        follower.place = ReplicaPosition(1, 2, EVERYTHING)
+        follower.position = ReplicaPosition(1, 2, EVERYTHING)
         node._name_successors(monotonic_time(), holding)
         self.assertIn(name, holding.adoption.holder.possible_successors)  # the third waits for it already
         node = self.member()
         holding = self.holding(node)
         node.alive = list(NAMES)
-        holding.log.follow(name, monotonic_time()).place = ReplicaPosition(1, 0, EVERYTHING)
+        holding.log.follow(name, monotonic_time()).position = ReplicaPosition(1, 0, EVERYTHING)
         node.store.keep(kept(1))
         now = monotonic_time()
         node._name_successors(now, holding)
@@ -654,10 +656,10 @@
             node = self.member(ack)
             adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
             data, tail = encode_facts([attempt]), encode_facts([fact(2)])
-            node.copies.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, data, 0, digest_of(data), behind))
-            node.copies.facts(ReplicateFacts(PARTITION, 1, 0, tail, digest_of(tail)))
-            node.copies.close()
-            node.copies.load()  # the file tells it as well
+            node.replicas.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, data, 0, digest_of(data), behind))
+            node.replicas.facts(ReplicateFacts(PARTITION, 1, 0, tail, digest_of(tail)))
+            node.replicas.close()
+            node.replicas.load()  # the file tells it as well
             adoption.holder.term = 2
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
                 node._import_partition(monotonic_time(), adoption)
@@ -680,7 +682,7 @@
                 if each.base
             ]
         )
-        node.copies.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
+        node.replicas.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
         node._follow_partition(PARTITION)
         node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_of(PARTITION), 2, "b", ("b", "a"), 1),))
         with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawn:
@@ -694,7 +696,7 @@
             node._owe(now)  # this member has asked for the partition, and has not taken it in yet
             self.assertEqual(node.order_key_hints.elsewhere, {8})
             self.assertIsInstance(node._answer("c", 1, OwedKeys((5, 6))), Acknowledged)
-            node.copies.drop(PARTITION)
+            node.replicas.drop(PARTITION)
             node.adoptions.clear()
             node._owe(now)
             self.assertEqual(node.order_key_hints.elsewhere, {5, 6})
--- a/tests/test_fleet_replication.py
+++ b/tests/test_fleet_replication.py
@@ -13,7 +13,7 @@
 from cedarwick.fleet.messages import Digests, ReplicateFacts, ReplicatePiece
 from cedarwick.fleet.replica import Replica, ReplicaEntry, ReplicaStep
 from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
-from cedarwick.fleet.replication import EVERYTHING, NO_ROOM, OTHER, SPOILT, TERM, ReplicationLog
+from cedarwick.fleet.replication import CORRUPT, EVERYTHING, NO_ROOM, OLD_TERM, OTHER_VERSION, ReplicationLog
 from cedarwick.fleet.replication_facts import (
     Fact,
     FactLedger,
@@ -66,7 +66,7 @@
 
     def held(self) -> dict[int, Fact]:
         found = self.copies.replica(PARTITION)
-        return found.held if found is not None else {}
+        return found.owed if found is not None else {}
 
     def on_disk(self) -> replication.ReplicaPosition:
         """Where its file ends, read by another process."""
@@ -75,7 +75,7 @@
         )
         other.load()
         found = other.replica(PARTITION)
-        return found.place if found is not None else replication.NO_PLACE
+        return found.position if found is not None else replication.NO_POSITION
 
 
 class Link:
@@ -138,7 +138,7 @@
         """A few milliseconds: both sides send, some of what is under way arrives."""
         self.now += self.draw.choice([1_000, 20_000, 200_000 if self.wild else 20_000])
         for name, follower in self.log.followers.items():
-            while (message := follower.next(self.now)) is not None:
+            while (message := follower.next_message(self.now)) is not None:
                 self.under_way.append((name, 0, message))
         if self.wild:
             self.draw.shuffle(self.under_way)
@@ -162,9 +162,9 @@
     def arrive(self, name: str, life: int, message: Any) -> list[tuple[str, int, Any]]:
         member, follower = self.members[name], self.log.followers[name]
         if life and isinstance(message, Digests):
-            follower.digests(self.now, message, life)
+            follower.receive_digests(self.now, message, life)
         elif life:
-            follower.have(self.now, message, life)
+            follower.receive_ack(self.now, message, life)
         else:
             try:
                 answers: dict[type, Any] = {
@@ -181,7 +181,7 @@
     def check(self) -> None:
         """Nothing is taken for acknowledged that its file does not hold."""
         for name, follower in self.log.followers.items():
-            if follower.life == self.members[name].life and follower.acked not in (0, self.seen.get(name)):
+            if follower.incarnation == self.members[name].life and follower.acked not in (0, self.seen.get(name)):
                 self.seen[name] = follower.acked
                 place = self.members[name].on_disk()
                 assert place[:2] >= (self.term, follower.acked), "acknowledged and not written"
@@ -190,19 +190,22 @@
         """The link is good and nothing new comes: the copies must come to what is owed."""
         self.wild = False
         for name, member in self.members.items():
-            if self.log.followers[name].life != member.life:
-                self.log.followers[name].lost()  # heard in its beats
+            if self.log.followers[name].incarnation != member.life:
+                self.log.followers[name].forget_position()  # heard in its beats
         for _ in range(400):
             self.turn()
             if all(
-                each.whole and each.acked == self.log.next and not each.piece and not each.mends
+                each.is_complete
+                and each.acked == self.log.next
+                and not each.unacked_piece
+                and not each.ranges_to_resend
                 for each in self.log.followers.values()
             ):
                 break
         owed = {number: self.read(number) for number in self.bases}
         for name, member in self.members.items():
             follower = self.log.followers[name]
-            assert follower.whole and follower.lag(self.now) == (0, 0), f"{name} is not whole"
+            assert follower.is_complete and follower.lag(self.now) == (0, 0), f"{name} is not whole"
             assert sorted(member.held()) == sorted(owed), f"{name} holds other messages than are owed"
             for number, fact in member.held().items():
                 mine = owed[number]
@@ -241,8 +244,11 @@
 class Histories(unittest.TestCase):
     def setUp(self) -> None:
         for module, values in (
-            (replication, {"WINDOW": 40, "PART": 5000, "COMPARE": 400_000, "RANGE": 4}),
-            (replica_files, {"SMALL": 3000, "PART": 1500, "LOOK_BACK": 4}),
+            (
+                replication,
+                {"MAX_WINDOW_FACTS": 40, "MESSAGE_BYTES": 5000, "COMPARE_INTERVAL_US": 400_000, "RANGE_FACTS": 4},
+            ),
+            (replica_files, {"COMPACTION_SLACK_BYTES": 3000, "COMPACTION_PART_BYTES": 1500, "RETRY_STEPS": 4}),
         ):
             for name, value in values.items():
                 patched = unittest.mock.patch.object(module, name, value)
@@ -252,7 +258,7 @@
     def test_copies_come_to_what_is_owed(self) -> None:
         links = [history(seed) for seed in range(25)]
         followers = [each for link in links for each in link.log.followers.values()]
-        self.assertGreater(sum(each.pieces for each in followers), 100)
+        self.assertGreater(sum(each.pieces_taken for each in followers), 100)
 
     def caught(self, what: str, seeds: int = 40) -> None:
         with self.assertRaises(AssertionError, msg=what):
@@ -260,14 +266,14 @@
                 history(seed)
 
     def test_an_old_piece_that_drops_what_the_tail_brought_is_noticed(self) -> None:
-        honest = Replica.piece
+        honest = Replica.step_for_piece
 
         def piece(self: Replica, message: ReplicatePiece) -> ReplicaStep:
-            place = self.place
+            place = self.position
             if message.term == place.term and message.next < place.next and message.after <= place.covered:
-                self.place = place._replace(next=message.next)
+                self.position = place._replace(next=message.next)
                 step = honest(self, message)
-                self.place = place
+                self.position = place
                 return step._replace(
                     entry=step.entry
                     and ReplicaEntry(
@@ -276,17 +282,17 @@
                 )
             return honest(self, message)
 
-        with unittest.mock.patch.object(Replica, "piece", piece):
+        with unittest.mock.patch.object(Replica, "step_for_piece", piece):
             self.caught("an old piece")
 
     def test_an_answer_before_writing_is_noticed(self) -> None:
         def done(self: ReplicaStore, copy: replica_files.ReplicaFile, step: ReplicaStep) -> Any:
             if step.entry is not None:
-                copy.replica.take(step.entry, step.facts)
-                self.copies[copy.replica.partition] = copy
-            return step.have
+                copy.replica.apply(step.entry, step.facts)
+                self.files[copy.replica.partition] = copy
+            return step.ack
 
-        with unittest.mock.patch.object(ReplicaStore, "_done", done):
+        with unittest.mock.patch.object(ReplicaStore, "_apply", done):
             self.caught("an answer before writing")
 
     def test_a_join_that_forgets_an_attempt_is_noticed(self) -> None:
@@ -294,11 +300,13 @@
             self.caught("a join that forgets")
 
     def test_an_earlier_life_taken_at_its_word_is_noticed(self) -> None:
-        honest = replication.FollowerProgress.have
+        honest = replication.FollowerProgress.receive_ack
         with unittest.mock.patch.object(
             replication.FollowerProgress,
-            "have",
-            lambda self, now, message, life: honest(self, now, message, self.life if 0 <= self.life <= life else life),
+            "receive_ack",
+            lambda self, now, message, life: honest(
+                self, now, message, self.incarnation if 0 <= self.incarnation <= life else life
+            ),
         ):
             self.caught("a copy whose file is gone")
 
@@ -315,14 +323,14 @@
         for _ in range(300):
             link.turn()
         link.settle()
-        self.assertGreater(link.log.followers["b"].mended, 0)
-        self.assertEqual(link.log.followers["c"].mended, 0)
+        self.assertGreater(link.log.followers["b"].ranges_resent, 0)
+        self.assertEqual(link.log.followers["c"].ranges_resent, 0)
         more = link.members["c"].held()
         number = next(iter(more))
         more[number] = in_doubt(more[number], 7)  # the copy knows more: a join keeps that, so it is not sent for ever
         for _ in range(400):
             link.turn()
-        self.assertEqual(link.log.followers["c"].mended, replication.MOST_RESENDS)
+        self.assertEqual(link.log.followers["c"].ranges_resent, replication.MAX_RESENDS)
 
 
 class AtTheCopy(unittest.TestCase):
@@ -345,11 +353,11 @@
         wrong = encode_facts([Fact(5, None, MessageKnowledge())])
         other = b"\x92\x63\x90"
         for told, problem in (
-            ({"term": 0}, TERM),
-            ({"digest": 1}, SPOILT),
-            ({"data": b"\xc1"}, SPOILT),
-            ({"data": wrong}, SPOILT),
-            ({"data": other}, OTHER),
+            ({"term": 0}, OLD_TERM),
+            ({"digest": 1}, CORRUPT),
+            ({"data": b"\xc1"}, CORRUPT),
+            ({"data": wrong}, CORRUPT),
+            ({"data": other}, OTHER_VERSION),
             ({"first": 21}, "gap"),
             ({"term": 2}, "gap"),
         ):
@@ -358,14 +366,14 @@
             self.assertEqual(self.member.held(), before)
         replica = Replica(PARTITION)
         low, high = ((PARTITION << 32) + each for each in (1, 9))
-        for after, numbers, problem in ((0, [], ""), (high, [], "gap"), (low, [low], SPOILT)):
+        for after, numbers, problem in ((0, [], ""), (high, [], "gap"), (low, [low], CORRUPT)):
             data = encode_facts([Fact(number, None, MessageKnowledge()) for number in numbers])
-            step = replica.piece(ReplicatePiece(PARTITION, 1, after, low, data, 5, digest(data)))
-            self.assertEqual(step.have.problem, problem)
+            step = replica.step_for_piece(ReplicatePiece(PARTITION, 1, after, low, data, 5, digest(data)))
+            self.assertEqual(step.ack.problem, problem)
             if step.entry is not None:
-                replica.take(step.entry, step.facts)
-        replica.take(ReplicaEntry(1, 6, low, 0, 0, b""), [Fact(high, None, MessageKnowledge())])
-        self.assertEqual((replica.held, replica.place), ({}, (1, 6, low)))  # news of what a piece is still to bring
+                replica.apply(step.entry, step.facts)
+        replica.apply(ReplicaEntry(1, 6, low, 0, 0, b""), [Fact(high, None, MessageKnowledge())])
+        self.assertEqual((replica.owed, replica.position), ({}, (1, 6, low)))  # news of what a piece is still to bring
 
     def test_behind_a_torn_record_nothing_is_written(self) -> None:
         folder = self.member.folder
@@ -385,30 +393,30 @@
 
     def test_a_full_disk_refuses_and_says_so_and_drops_nothing(self) -> None:
         self.link.take(3000)
-        self.member.copies.limit = 100
+        self.member.copies.limit_bytes = 100
         self.link.turn()
         self.link.turn()
         follower = self.link.log.followers["b"]
-        self.assertEqual((follower.problem, follower.whole, follower.lag(self.link.now)[0]), (NO_ROOM, False, 1))
-        self.member.copies.limit = 1 << 22
+        self.assertEqual((follower.problem, follower.is_complete, follower.lag(self.link.now)[0]), (NO_ROOM, False, 1))
+        self.member.copies.limit_bytes = 1 << 22
         for _ in range(100):
             self.link.turn()
         self.link.settle()
 
     def test_a_fresh_file_that_misses_an_entry_does_not_take_the_name(self) -> None:
         folder, held = self.member.folder, self.member.copies
-        held._begin(held.copies[PARTITION])
+        held._begin_compaction(held.files[PARTITION])
         folder.room = sum(map(len, folder.files.values())) + 4000  # for the entry once, not twice
         self.link.take(3000)
         self.assertEqual(held.facts(self.facts(first=20, data=together(self.link.log.tail(20)))).next, 21)
         folder.room = 1 << 60
         while held.step():
             pass
-        folder.failing, written = {"replace"}, held.written
-        held.copies[PARTITION].torn = True  # it must be written anew
+        folder.failing, written = {"replace"}, held.written_bytes
+        held.files[PARTITION].torn = True  # it must be written anew
         for _ in range(50):
             held.step()  # what can't take the name is not written again and again
-        self.assertLess(held.written - written, 2 * held.used)
+        self.assertLess(held.written_bytes - written, 2 * held.used_bytes)
         folder.failing = set()
         self.member.start()
         self.assertEqual([fact.known.doubt for fact in self.member.held().values()], [0] * 21)
@@ -461,9 +469,9 @@
         self.link.rise()
         self.link.settle()
         follower = before.followers["b"]
-        follower.have(self.link.now, self.member.copies.facts(self.facts()), self.member.life)
+        follower.receive_ack(self.link.now, self.member.copies.facts(self.facts()), self.member.life)
         self.assertTrue(follower.superseded)
-        self.assertIsNone(follower.next(self.link.now + 10**9))
+        self.assertIsNone(follower.next_message(self.link.now + 10**9))
 
     def test_a_walk_goes_on_where_it_was_cut_and_no_faster_than_its_share(self) -> None:
         for _ in range(100):
@@ -471,17 +479,17 @@
         self.link.rise()
         log, now = self.link.log, self.link.now
         follower = log.followers["b"]
-        follower.have(now, self.member.copies.facts(self.facts(term=2)), self.member.life)
+        follower.receive_ack(now, self.member.copies.facts(self.facts(term=2)), self.member.life)
         sent: list[ReplicatePiece] = []
-        while not follower.whole:
+        while not follower.is_complete:
             now += 1_000
-            message = follower.next(now)
+            message = follower.next_message(now)
             if isinstance(message, ReplicatePiece):
                 sent.append(message)
                 if len(sent) == 2:
                     self.member.start()  # the copy's process ends; its file goes on
-                follower.have(now, self.member.copies.piece(message), self.member.life)
+                follower.receive_ack(now, self.member.copies.piece(message), self.member.life)
         self.assertEqual([each.after for each in sent], [0, *[each.upto for each in sent[:-1]]])
         self.assertEqual(sent[-1].upto, EVERYTHING)
         rate = sum(len(each.facts) for each in sent[1:]) / (now - self.link.now) * 1e6
-        self.assertLess(rate, replication.FLOOR * 1.3)
+        self.assertLess(rate, replication.MIN_PIECE_BYTES_PER_S * 1.3)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -245,8 +245,8 @@
         self.addCleanup(replicas.close)
         replica = replicas.replica(PARTITION)
         assert replica is not None
-        self.assertEqual(list(replicas.copies), [PARTITION])
-        self.assertEqual((replica.place, replica.behind), ((5, 3, EVERYTHING), False))
+        self.assertEqual(list(replicas.files), [PARTITION])
+        self.assertEqual((replica.position, replica.behind), ((5, 3, EVERYTHING), False))
         first = Fact(
             FIRST_NUMBER + 1,
             MessageBase("c-1", "ck-1", (1 << 64) - 1, "high", "t-1", 5, NOW + 9, b"copied \x00\xff"),
@@ -259,7 +259,7 @@
             MessageBase("c-2", "ck-2", 0, "low", "", 6, NOW + 10, b""),  # it has ended: the body is left out
             MessageKnowledge({4: LifeSummary(1, False, NOW + 7, -1)}, None, NOW + 8, (EndRank.FAILED, 250), None),
         )
-        self.assertEqual(replica.held, {fact.number: fact for fact in (first, second, THIRD_FACT)})
+        self.assertEqual(replica.owed, {fact.number: fact for fact in (first, second, THIRD_FACT)})
 
     def test_subscriptions(self) -> None:
         with open(os.path.join(self.state, "fleet", subscription_store.NAME), "rb") as file:
