--- a/cedarwick/fleet/consensus.py
+++ b/cedarwick/fleet/consensus.py
@@ -14,11 +14,11 @@
 Value = Literal["taker", "off"]
 Ballot = tuple[int, str]
 NO_BALLOT: Ballot = (0, "")
-DECIDED_FOR = 3_600_000_000  # microseconds that a decided row is remembered
-OLD = 60_000_000  # microseconds after which somebody should settle an undecided row
-MOST = 100_000  # rows, at most
-PATIENCE = 100_000  # microseconds until a proposer asks again those that have not answered
-ROUND = 400_000  # microseconds until it goes on to a higher round
+DECIDED_KEPT_US = 3_600_000_000  # that a decided row is remembered
+UNDECIDED_LIMIT_US = 60_000_000  # after which somebody should settle an undecided row
+MAX_ROWS = 100_000  # rows, at most
+RESEND_AFTER_US = 100_000  # until a proposer asks again those that have not answered
+ROUND_TIMEOUT_US = 400_000  # until it goes on to a higher round
 
 
 def name_move(stamp: int, giver: str, taker: str) -> str:
@@ -75,7 +75,7 @@
 
     Args:
         lost: there is no table, though this member may have voted before. Then it abstains from a giver's moves until
-            `learned` was called with the giver's next stamp, and for ever from that giver's earlier moves.
+            `raise_floor` was called with the giver's next stamp, and for ever from that giver's earlier moves.
         table: what was loaded, where there was one.
     """
 
@@ -103,7 +103,7 @@
         self.floors = dict(table.floors)
         self.lost = self.floors.pop("", 0) > 0
 
-    def learned(self, giver: str, next_stamp: int) -> None:
+    def raise_floor(self, giver: str, next_stamp: int) -> None:
         """Note the stamp that a giver's next move will have; `table` must be written before the next vote."""
         if next_stamp > self.floors.get(giver, 0):
             self.floors[giver] = next_stamp
@@ -134,9 +134,9 @@
         stamp, giver, _ = parts(move)
         # After the loss of a promise or a vote this member must not vote on the same move again.
         known = stamp >= self.floors[giver] if giver in self.floors else not self.lost
-        return known and move not in self.rows and len(self.rows) < MOST
+        return known and move not in self.rows and len(self.rows) < MAX_ROWS
 
-    def moved(self, key: int, holder: str, since: int) -> bool:
+    def may_have_moved(self, key: int, holder: str, since: int) -> bool:
         """Whether a session may have moved away from `holder`, or to it after `since`, by what was voted on here."""
         rows = [self.rows[move] for move in self.by_key.get(key, ())]
         rows = [row for row in rows if not (row.decided and row.value == "off")]
@@ -147,7 +147,7 @@
         # Rows without a key: members of an older protocol level do not send it.
         return any(self.rows[move].at >= since and holder in parts(move)[1:] for move in self.by_key.get(0, ()))
 
-    def settled(self, move: str, value: Value, now: int) -> InstanceState | None:
+    def note_decision(self, move: str, value: Value, now: int) -> InstanceState | None:
         """Note what was decided; the row to be written, if that was not known."""
         row = self.rows.get(move)
         if row is None or row.decided:
@@ -157,7 +157,7 @@
 
     def prune(self, now: int) -> bool:
         """Forget decided rows that are old; True: `table` must be written whole before the next vote."""
-        old = [row.move for row in self.rows.values() if row.decided and row.at <= now - DECIDED_FOR]
+        old = [row.move for row in self.rows.values() if row.decided and row.at <= now - DECIDED_KEPT_US]
         for move in old:
             stamp, giver, _ = parts(move)
             # The floor stops a late message from opening an empty row and deciding the move a second time.
@@ -165,9 +165,9 @@
             self._forget_key(self.rows.pop(move))
         return bool(old)
 
-    def stale(self, now: int) -> list[str]:
+    def undecided(self, now: int) -> list[str]:
         """Moves that have been undecided for so long that whoever sees them should settle them."""
-        return [row.move for row in self.rows.values() if not row.decided and row.at <= now - OLD]
+        return [row.move for row in self.rows.values() if not row.decided and row.at <= now - UNDECIDED_LIMIT_US]
 
     def _row(self, move: str, ballot: Ballot, key: int) -> InstanceState | None:
         """The row of a move, a new one where it may be opened; None: this acceptor abstains."""
@@ -216,28 +216,28 @@
     """
 
     move: str
-    mark: str  # this member and boot, for instance `name#incarnation`
+    proposer: str  # this member and boot, for instance `name#incarnation`
     voters: tuple[str, ...]
     wait: Callable[[int], int]
     ballot: Ballot = NO_BALLOT
     value: Value | None = None  # asked for in the second phase; None: in the first, or resting
     decided: Value | None = None
-    answers: dict[str, AcceptorReply] = field(default_factory=dict)
-    highest: int = 1  # the highest round seen
-    failed: int = 0  # rounds
-    resting: bool = False
+    replies: dict[str, AcceptorReply] = field(default_factory=dict)
+    highest_round: int = 1  # the highest round seen
+    failed_rounds: int = 0  # rounds
+    backing_off: bool = False
     next_at: int = 0  # ask again, or start the next round
-    ends_at: int = 0  # the round is given up
+    round_ends_at: int = 0  # the round is given up
 
-    def as_taker(self, now: int) -> list[ProposerRequest]:
+    def begin_taker_round(self, now: int) -> list[ProposerRequest]:
         """Ballot 1, the taker's own: no first phase, 'taker'. Asked again after a restart it is the same vote."""
-        return self._begin((1, parts(self.move)[2]), "taker", now)
+        return self._begin_round((1, parts(self.move)[2]), "taker", now)
 
-    def settle(self, now: int) -> list[ProposerRequest]:
+    def begin_full_round(self, now: int) -> list[ProposerRequest]:
         """Both phases, in a round above all that were seen; proposes 'off' unless a value was accepted."""
-        return self._begin((self.highest + 1, self.mark), None, now)
+        return self._begin_round((self.highest_round + 1, self.proposer), None, now)
 
-    def answered(
+    def receive_reply(
         self, voter: str, ballot: Ballot, value: Value | None, answer: AcceptorReply, now: int
     ) -> list[ProposerRequest]:
         """An answer to the question `ballot` and `value`, which may be an old one or come twice."""
@@ -246,15 +246,15 @@
         if answer.decided:
             self.decided = answer.value
             return []
-        self.highest = max(self.highest, answer.promised[0])
-        if self.resting or ballot != self.ballot or value != self.value:
+        self.highest_round = max(self.highest_round, answer.promised[0])
+        if self.backing_off or ballot != self.ballot or value != self.value:
             return []
         if not answer.granted:
             if answer.promised > self.ballot:
-                self._rest(now)
+                self._back_off(now)
             return []  # else it abstains, and is asked again
-        self.answers[voter] = answer
-        granted = list(self.answers.values())
+        self.replies[voter] = answer
+        granted = list(self.replies.values())
         if len(granted) > len(self.voters) // 2:
             if self.value is not None:
                 self.decided = self.value
@@ -262,32 +262,32 @@
             # A value that any of them has accepted may have been decided already: it must be taken over.
             last = max(granted, key=lambda each: each.accepted)
             self.value = last.value if last.value is not None else "off"
-            self.answers = {}
-            return self._asks(self.voters, now)
+            self.replies = {}
+            return self._requests(self.voters, now)
         return []
 
-    def due(self, now: int) -> list[ProposerRequest]:
+    def on_timer(self, now: int) -> list[ProposerRequest]:
         """Called when `next_at` has come: ask those who are silent again, or go on to the next round."""
         if self.decided is not None or self.ballot == NO_BALLOT or now < self.next_at:
             return []
-        if self.resting:
-            return self.settle(now)
-        if now >= self.ends_at:
-            self._rest(now)
+        if self.backing_off:
+            return self.begin_full_round(now)
+        if now >= self.round_ends_at:
+            self._back_off(now)
             return []
-        return self._asks([voter for voter in self.voters if voter not in self.answers], now)
+        return self._requests([voter for voter in self.voters if voter not in self.replies], now)
 
-    def _begin(self, ballot: Ballot, value: Value | None, now: int) -> list[ProposerRequest]:
-        self.ballot, self.value, self.answers, self.resting = ballot, value, {}, False
-        self.highest = max(self.highest, ballot[0])
-        self.ends_at = now + ROUND
-        return self._asks(self.voters, now)
+    def _begin_round(self, ballot: Ballot, value: Value | None, now: int) -> list[ProposerRequest]:
+        self.ballot, self.value, self.replies, self.backing_off = ballot, value, {}, False
+        self.highest_round = max(self.highest_round, ballot[0])
+        self.round_ends_at = now + ROUND_TIMEOUT_US
+        return self._requests(self.voters, now)
 
-    def _asks(self, voters: Iterable[str], now: int) -> list[ProposerRequest]:
-        self.next_at = now + PATIENCE
+    def _requests(self, voters: Iterable[str], now: int) -> list[ProposerRequest]:
+        self.next_at = now + RESEND_AFTER_US
         return [ProposerRequest(voter, self.move, self.ballot, self.value) for voter in voters]
 
-    def _rest(self, now: int) -> None:
-        self.failed += 1
-        self.resting = True
-        self.next_at = now + self.wait(self.failed)
+    def _back_off(self, now: int) -> None:
+        self.failed_rounds += 1
+        self.backing_off = True
+        self.next_at = now + self.wait(self.failed_rounds)
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -1,6 +1,6 @@
 """Answers for messages near their deadline that no member may attempt.
 
-Called by `FleetNode.look` every `DEADLINE_CHECK_S` seconds. Times are microseconds: `now` of the boot clock, deadlines
+Called by `FleetNode.check` every `DEADLINE_CHECK_S` seconds. Times are microseconds: `now` of the boot clock, deadlines
 of the wall clock.
 """
 
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -70,7 +70,7 @@
         self.acceptor = Acceptor(monotonic_time(), table is None, table)
         self.unwritten: set[str] = set()  # moves with a vote of this member that is not on the disk
         self.stamp = node.incarnation  # of the next move
-        self.acceptor.learned(self.name, self.stamp)
+        self.acceptor.raise_floor(self.name, self.stamp)
         self.files.write_decrees(self.acceptor.table())
         chance = random.Random(node.incarnation)
         self.moves = MigrationTable(
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -203,7 +203,7 @@
         if move is None or move.taking is not TargetStage.STAGED or move.written:
             return []
         move.written = True
-        asks = self._proposer(move).as_taker(now) if move.proposer is None else []
+        asks = self._proposer(move).begin_taker_round(now) if move.proposer is None else []
         return [MigrationStep(MigrationAction.STAGED, name, parts(name)[1]), *self._asks(asks)]
 
     def activated(self, name: str, now: int) -> list[MigrationStep]:
@@ -222,7 +222,7 @@
         move = self.moves.get(ask.move)
         if move is None or move.proposer is None or move.value is not None:
             return []
-        asks = move.proposer.answered(ask.to, ask.ballot, ask.value, answer, now)
+        asks = move.proposer.receive_reply(ask.to, ask.ballot, ask.value, answer, now)
         if move.proposer.decided is None:
             return self._asks(asks)
         value = move.proposer.decided
@@ -263,7 +263,7 @@
             acts = self._decided(move, value, now)
             return acts + (self._confirmed(move, now) if move.taking is TargetStage.ACTIVE else [])
         if not giving and parts(name)[2] == self.name and move.proposer is None:
-            return self._asks(self._proposer(move).as_taker(now))
+            return self._asks(self._proposer(move).begin_taker_round(now))
         return self._settle(move, now)
 
     def lost(self, name: str, giving: bool) -> None:
@@ -329,7 +329,7 @@
                 self._again(move, now)
                 acts.append(MigrationStep(MigrationAction.ACTIVATE, move.name))
             elif move.proposer is not None:
-                acts += self._asks(move.proposer.due(now))
+                acts += self._asks(move.proposer.on_timer(now))
             elif move.giving is not None and now >= move.began + CALL_OFF:
                 acts += self.call_off(move.name, now)
             elif move.giving is None:  # the taker could not store it, or not at every successor
@@ -389,7 +389,7 @@
         return move.proposer
 
     def _settle(self, move: Migration, now: int) -> list[MigrationStep]:
-        return self._asks(self._proposer(move).settle(now)) if move.proposer is None else []
+        return self._asks(self._proposer(move).begin_full_round(now)) if move.proposer is None else []
 
     def _decided(self, move: Migration, value: Value, now: int) -> list[MigrationStep]:
         """Note the decree and return the steps of each side, once."""
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -97,7 +97,7 @@
         Do not call it for a request that the giver sent by itself: that may have been written before this boot.
         """
         if stamp and self.acceptor.lost and giver not in self.acceptor.floors:
-            self.acceptor.learned(giver, stamp)
+            self.acceptor.raise_floor(giver, stamp)
             self._guarded(self.files.write_decrees, self.acceptor.table())
 
     def _ask(self, ask: ProposerRequest) -> None:
@@ -118,7 +118,7 @@
             )
             stray, now = self.strays.get(ask.move), monotonic_time()
             if stray is not None:
-                self._ask_for_stray(stray.answered(ask.to, ask.ballot, ask.value, answer, now), now)
+                self._ask_for_stray(stray.receive_reply(ask.to, ask.ballot, ask.value, answer, now), now)
                 self._see_stray(stray)
             self.act(self.moves.answered(ask, answer, now))
 
@@ -135,7 +135,7 @@
                     gevent.joinall([gevent.spawn(self._tell_one, each, act) for each in others if each != name])
             else:
                 gevent.spawn(self._tell_one, name, act)
-        row = self.acceptor.settled(act.move, act.value, monotonic_time())
+        row = self.acceptor.note_decision(act.move, act.value, monotonic_time())
         if row is not None:
             self._guarded(self.files.add_decree, row)
 
@@ -149,15 +149,15 @@
 
     def _settle_strays(self, now: int) -> None:
         """Settle old undecided moves that this member has voted on: both sides may have lost their part."""
-        for name in self.acceptor.stale(now):
+        for name in self.acceptor.undecided(now):
             if name not in self.moves.moves and name not in self.strays and len(self.strays) < MOST_OUT:
                 # Each proposer of this boot needs ballots of its own, hence a mark that no other one has.
                 self.moves.proposers += 1
                 mark = f"{self.moves.mark}.{self.moves.proposers}"
                 self.strays[name] = Proposer(name, mark, self.moves.voters, self.moves.wait)
-                self._ask_for_stray(self.strays[name].settle(now), now)
+                self._ask_for_stray(self.strays[name].begin_full_round(now), now)
         for stray in list(self.strays.values()):
-            self._ask_for_stray(stray.due(now), now)
+            self._ask_for_stray(stray.on_timer(now), now)
 
     def _ask_for_stray(self, asks: Iterable[ProposerRequest], now: int) -> None:
         """Put vote requests to this member's own acceptor at once, and to the others in greenlets of their own."""
@@ -167,7 +167,7 @@
             stray = self.strays.get(ask.move)
             if stray is not None and ask.to == self.name:
                 answer = self.vote(ask.move, ask.ballot, ask.value, self._key(ask.move))
-                todo.extend(stray.answered(ask.to, ask.ballot, ask.value, answer, now))
+                todo.extend(stray.receive_reply(ask.to, ask.ballot, ask.value, answer, now))
                 self._see_stray(stray)
             elif stray is not None:
                 gevent.spawn(self._ask, ask)
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -84,10 +84,10 @@
     def run(self) -> None:
         """Check all state every `CHECK_INTERVAL_S` seconds; never returns."""
         while True:
-            self.look(monotonic_time())
+            self.check(monotonic_time())
             gevent.sleep(CHECK_INTERVAL_S)
 
-    def look(self, now: int) -> None:
+    def check(self, now: int) -> None:
         """Do all work due at `now`, microseconds of the boot clock. A part that fails does not stop the others."""
         for change in (changes := self.members.changes(now)):
             logger.info("member {} is {} (was {})", change.name, change.current.value, change.previous.value)
--- a/cedarwick/fleet/order_key_hints.py
+++ b/cedarwick/fleet/order_key_hints.py
@@ -3,8 +3,8 @@
 After a change among the members a client may submit a message of a key at another sender than the one that still has
 earlier ones. So each member sends the others, as `OwedKeys`, the keys of what it owes from before the last change (its
 *backlog*), and of what is in a replica here whose holder is silent. New messages of such a key rest at the other
-senders as long as the hint is repeated, for `MOST` at most. A hint that is lost or late can cost the order, nothing
-else.
+senders as long as the hint is repeated, for `MAX_REST_US` at most. A hint that is lost or late can cost the order,
+nothing else.
 
 `owed_keys.py` calls it. All times are whole microseconds of the member's own clock, which goes on while the machine
 sleeps.
@@ -14,9 +14,9 @@
 
 from cedarwick.fleet.messages import MOST_KEYS
 
-EVERY = 250_000  # microseconds between two peer messages while anything is owed
-LASTS = 1_000_000  # microseconds that a hint counts: three peer messages in a row may be lost
-MOST = 5_000_000  # microseconds that a key rests for others, at most
+SEND_INTERVAL_US = 250_000  # between two peer messages while anything is owed
+HINT_LIFETIME_US = 1_000_000  # that a hint counts: three peer messages in a row may be lost
+MAX_REST_US = 5_000_000  # that a key rests for others, at most
 
 
 class OrderKeyHints:
@@ -40,7 +40,7 @@
         Once a backlog has ended, an empty message is sent.
         """
         changed = keys - self.sent_keys or set(others) - set(self._sent_to)
-        if not (keys or self.sent_keys) or now < self._sent_at + EVERY and not (keys and changed):
+        if not (keys or self.sent_keys) or now < self._sent_at + SEND_INTERVAL_US and not (keys and changed):
             return None
         self.sent_keys, self._sent_at, self._sent_to = frozenset(keys), now, tuple(others)
         return tuple(sorted(keys)[:MOST_KEYS])
@@ -50,9 +50,11 @@
 
         `here`: those of the own backlog; `silent_holder_keys`: those of replicas here whose holder is silent.
         """
-        self._heard = {name: (at, keys) for name, (at, keys) in self._heard.items() if now < at + LASTS and keys}
+        self._heard = {
+            name: (at, keys) for name, (at, keys) in self._heard.items() if now < at + HINT_LIFETIME_US and keys
+        }
         # Without the keys of the own backlog: two members that each owe messages of a key would wait for each other.
         owed = frozenset(silent_holder_keys).union(*(keys for _, keys in self._heard.values())) - here
         self._since = {key: self._since.get(key, now) for key in owed}
-        self.elsewhere = frozenset(key for key, since in self._since.items() if now < since + MOST)
+        self.elsewhere = frozenset(key for key, since in self._since.items() if now < since + MAX_REST_US)
         return self.elsewhere
--- a/cedarwick/fleet/owed_keys.py
+++ b/cedarwick/fleet/owed_keys.py
@@ -1,6 +1,6 @@
 """Exchange of the order keys that are owed since before a failure: new messages of these keys wait at other members.
 
-Called by `FleetNode.look`; the rules are in `order_key_hints.py`. Times are microseconds of the boot clock.
+Called by `FleetNode.check`; the rules are in `order_key_hints.py`. Times are microseconds of the boot clock.
 """
 
 from itertools import islice
--- a/cedarwick/fleet/peer_server.py
+++ b/cedarwick/fleet/peer_server.py
@@ -175,7 +175,7 @@
         except InvalidPeerMessageError:
             if (header := head_of(data)) is not None:
                 request.header = header
-                self.gate.same_version(header)
+                self.gate.check_version(header)
             raise
         request.header = peer_message
         self.gate.check(peer_message)
--- a/cedarwick/fleet/peer_verifier.py
+++ b/cedarwick/fleet/peer_verifier.py
@@ -64,7 +64,7 @@
         """A message of this sender with its header, ready to be encoded."""
         return PeerMessage(VERSION, LEVEL, self.group, self.me, self.incarnation, to, body)
 
-    def same_version(self, head: PeerMessageHeader) -> None:
+    def check_version(self, head: PeerMessageHeader) -> None:
         """Raise `ProtocolVersionError` for a message of another version, whose body cannot be understood."""
         if head.version != VERSION:
             raise ProtocolVersionError(
@@ -73,7 +73,7 @@
 
     def check(self, head: PeerMessageHeader) -> None:
         """Accept a peer message and note its boot, or raise one of this module's errors."""
-        self.same_version(head)
+        self.check_version(head)
         if head.group != self.group:
             raise OtherGroupError(f"group {head.group!r} from {head.sender!r}, where {self.me!r} is of {self.group!r}")
         # A second process under this sender's own name would hold the same leases.
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -100,9 +100,9 @@
             and not grant.closed
             and not self.node.grantor.learning
         )
-        moved = self.transfers.acceptor.moved(asking.key, holder, now - REMEMBERED) or self.transfers.open_move(
-            asking.key
-        )
+        moved = self.transfers.acceptor.may_have_moved(
+            asking.key, holder, now - REMEMBERED
+        ) or self.transfers.open_move(asking.key)
         return self.directory.successor_claims(asking, by, holds, moved, now)
 
     def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -111,7 +111,7 @@
             raise InvalidMoveNameError(f"no value of a decree: {body.value!r}")
         if isinstance(body, AcceptRequest):
             return voted(body.move, self.vote(body.move, ballot_of(body.ballot), value, body.key))
-        row = self.acceptor.settled(body.move, value, now)
+        row = self.acceptor.note_decision(body.move, value, now)
         if row is not None:
             self._guarded(self.files.add_decree, row)
         self.act(self.moves.settled(body.move, value, body.active, now))
--- a/tests/test_fleet_consensus.py
+++ b/tests/test_fleet_consensus.py
@@ -7,9 +7,9 @@
 
 from cedarwick.fleet.consensus import (
     ABSTENTION,
-    DECIDED_FOR,
-    OLD,
-    ROUND,
+    DECIDED_KEPT_US,
+    ROUND_TIMEOUT_US,
+    UNDECIDED_LIMIT_US,
     Acceptor,
     AcceptorReply,
     AcceptorTable,
@@ -40,15 +40,17 @@
     ) -> None:
         voters = {name: Acceptor(0) for name in "ABC"}
         proposers = [Proposer(MOVE, f"{name}#1", ("A", "B", "C"), lambda failed: 1) for name in "ABC"]
-        sent = [proposers[1].as_taker(0), proposers[0].settle(0), proposers[2].settle(0)]
+        sent = [proposers[1].begin_taker_round(0), proposers[0].begin_full_round(0), proposers[2].begin_full_round(0)]
         lost = False
         for who, what, voter, which in course:
             name, proposer = "ABC"[voter], proposers[who]
             if what == "next":
-                sent[who] += proposer.settle(0) if proposer.resting else proposer.due(ROUND)
+                sent[who] += (
+                    proposer.begin_full_round(0) if proposer.backing_off else proposer.on_timer(ROUND_TIMEOUT_US)
+                )
             elif what == "lose" and not lost:
                 lost, voters[name] = True, Acceptor(0, lost=True)
-                voters[name].learned("A", 11)
+                voters[name].raise_floor("A", 11)
             elif sent[who]:  # any question ever asked may come now, or once more
                 ask = sent[who][which % len(sent[who])]
                 acceptor = voters[ask.to]
@@ -57,7 +59,7 @@
                     if ask.value is None
                     else acceptor.accept(ask.move, ask.ballot, ask.value, 0)
                 )
-                sent[who] += proposer.answered(ask.to, ask.ballot, ask.value, answer, 0)
+                sent[who] += proposer.receive_reply(ask.to, ask.ballot, ask.value, answer, 0)
         self.assertLessEqual(len({each.decided for each in proposers} - {None}), 1)
 
     def test_round_one_is_the_takers_alone(self) -> None:
@@ -79,7 +81,7 @@
     def test_who_has_lost_its_table_abstains_from_what_began_before(self) -> None:
         voter = Acceptor(0, lost=True)
         self.assertIs(voter.accept(MOVE, TAKERS, "taker", 0), ABSTENTION)
-        voter.learned("A", 11)
+        voter.raise_floor("A", 11)
         voter = Acceptor(0, table=voter.table())
         self.assertIs(voter.prepare(MOVE, (2, "C#1"), 0), ABSTENTION)
         self.assertIs(voter.prepare(name_move(99, "C", "B"), (2, "C#1"), 0), ABSTENTION)
@@ -88,34 +90,34 @@
     def test_a_pruned_decree_is_not_decided_once_more(self) -> None:
         voter = Acceptor(0)
         voter.accept(MOVE, TAKERS, "taker", 0)
-        self.assertEqual((voter.stale(OLD), voter.prune(DECIDED_FOR)), ([MOVE], False))
-        settled = voter.settled(MOVE, "taker", 0)
+        self.assertEqual((voter.undecided(UNDECIDED_LIMIT_US), voter.prune(DECIDED_KEPT_US)), ([MOVE], False))
+        settled = voter.note_decision(MOVE, "taker", 0)
         self.assertTrue(settled is not None and settled.decided)
         self.assertTrue(voter.prepare(MOVE, (9, "A#1"), 0).decided)
-        self.assertTrue(voter.prune(DECIDED_FOR))
+        self.assertTrue(voter.prune(DECIDED_KEPT_US))
         voter = Acceptor(0, table=voter.table())
-        self.assertEqual((voter.table(), voter.stale(OLD)), (AcceptorTable([], {"A": 11}), []))
-        self.assertIs(voter.accept(MOVE, TAKERS, "taker", DECIDED_FOR), ABSTENTION)
+        self.assertEqual((voter.table(), voter.undecided(UNDECIDED_LIMIT_US)), (AcceptorTable([], {"A": 11}), []))
+        self.assertIs(voter.accept(MOVE, TAKERS, "taker", DECIDED_KEPT_US), ABSTENTION)
 
     def test_silent_voters_are_asked_again_then_a_higher_round_follows(self) -> None:
         proposer = Proposer(MOVE, "A#1", ("A", "B", "C"), lambda failed: 7)
-        asks = proposer.settle(0)
-        proposer.answered("A", asks[0].ballot, None, Acceptor(0).prepare(MOVE, asks[0].ballot, 0), 0)
-        proposer.answered("B", asks[0].ballot, None, ABSTENTION, 0)
-        self.assertEqual([ask.to for ask in proposer.due(proposer.next_at)], ["B", "C"])
-        self.assertEqual(proposer.due(ROUND), [])
-        self.assertEqual([ask.ballot for ask in proposer.due(ROUND + 7)], [(3, "A#1")] * 3)
+        asks = proposer.begin_full_round(0)
+        proposer.receive_reply("A", asks[0].ballot, None, Acceptor(0).prepare(MOVE, asks[0].ballot, 0), 0)
+        proposer.receive_reply("B", asks[0].ballot, None, ABSTENTION, 0)
+        self.assertEqual([ask.to for ask in proposer.on_timer(proposer.next_at)], ["B", "C"])
+        self.assertEqual(proposer.on_timer(ROUND_TIMEOUT_US), [])
+        self.assertEqual([ask.ballot for ask in proposer.on_timer(ROUND_TIMEOUT_US + 7)], [(3, "A#1")] * 3)
 
     def test_the_value_of_the_highest_ballot_is_taken_over_and_old_answers_do_not_count(self) -> None:
         proposer = Proposer(MOVE, "A#1", ("A", "B", "C"), lambda failed: 7)
-        old = proposer.settle(0)[0].ballot
+        old = proposer.begin_full_round(0)[0].ballot
         granted = AcceptorReply(True, (9, "Z"), (0, ""), None, False)
-        new = proposer.settle(0)[0].ballot
+        new = proposer.begin_full_round(0)[0].ballot
         for voter in "ABC":
-            self.assertEqual(proposer.answered(voter, old, None, granted, 0), [])
-            self.assertEqual(proposer.answered(voter, new, "off", granted, 0), [])
-        proposer.answered("A", new, None, granted._replace(accepted=TAKERS, value="off"), 0)
-        asks = proposer.answered("B", new, None, granted._replace(accepted=(2, "C#1"), value="taker"), 0)
+            self.assertEqual(proposer.receive_reply(voter, old, None, granted, 0), [])
+            self.assertEqual(proposer.receive_reply(voter, new, "off", granted, 0), [])
+        proposer.receive_reply("A", new, None, granted._replace(accepted=TAKERS, value="off"), 0)
+        asks = proposer.receive_reply("B", new, None, granted._replace(accepted=(2, "C#1"), value="taker"), 0)
         self.assertEqual({ask.value for ask in asks}, {"taker"})
 
     def test_a_promise_is_never_lowered(self) -> None:
--- a/tests/test_fleet_inherit.py
+++ b/tests/test_fleet_inherit.py
@@ -221,7 +221,9 @@
         """As `Traffic._successor_claims`."""
         holder = asking.over[1]
         holds = member.newest[holder] == partition and member.holders.get((holder, partition)) == by
-        moved = member.acceptor.moved(KEY, holder, self.now - REMEMBERED) or member.frozen + member.staged != ""
+        moved = (
+            member.acceptor.may_have_moved(KEY, holder, self.now - REMEMBERED) or member.frozen + member.staged != ""
+        )
         return member.directory.successor_claims(asking, by, holds, moved, self.now)
 
     def submit(self, one: Member, two: Member) -> None:
--- a/tests/test_fleet_migration.py
+++ b/tests/test_fleet_migration.py
@@ -140,7 +140,7 @@
                 found.append(("call_off",))
             if move.taking is TargetStage.STAGED and not move.written and self.takes_held:
                 found.append(("written",))
-            if move.value is None and move.proposer is not None and move.proposer.highest < 3:
+            if move.value is None and move.proposer is not None and move.proposer.highest_round < 3:
                 found.append(("round",))
             if (move.giving and not self.gives_held) or (move.taking and not self.takes_held):
                 found.append(("learn",))
@@ -163,7 +163,7 @@
             acts = self.moves.written(MOVE, now)
         elif event[0] == "round":
             assert move is not None and move.proposer is not None
-            acts = self.moves._asks(move.proposer.settle(now))
+            acts = self.moves._asks(move.proposer.begin_full_round(now))
         elif event[0] == "learn":
             for gives in [each for each, held in ((True, self.gives_held), (False, self.takes_held)) if not held]:
                 self.moves.lost(MOVE, gives)
@@ -487,12 +487,12 @@
 
 
 class Deaf(Proposer):
-    def answered(
+    def receive_reply(
         self, voter: str, ballot: Ballot, value: Value | None, answer: AcceptorReply, now: int
     ) -> list[ProposerRequest]:
         if value is None:
             answer = answer._replace(accepted=(0, ""), value=None)
-        return super().answered(voter, ballot, value, answer, now)
+        return super().receive_reply(voter, ballot, value, answer, now)
 
 
 def asks(acts: list[MigrationStep]) -> list[ProposerRequest]:
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -41,7 +41,7 @@
 )
 from cedarwick.fleet.messages import HeldLease as Right
 from cedarwick.fleet.node import FleetNode
-from cedarwick.fleet.order_key_hints import EVERY, LASTS
+from cedarwick.fleet.order_key_hints import HINT_LIFETIME_US, SEND_INTERVAL_US
 from cedarwick.fleet.replica import Replica
 from cedarwick.fleet.replicated_store import (
     NUMBERS_PER_RESERVATION,
@@ -283,13 +283,13 @@
         node._record_lease(first, 1, ((first + 1) << 32) - NUMBERS_PER_RESERVATION - 1)
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node.start(mock.Mock())
-            node.look(monotonic_time())
+            node.check(monotonic_time())
             assert node.store.open_partition is not None
             self.assertEqual(node.store.open_partition.partition, first)
             node.store.open_partition.serving = True
             node.store.open_partition.adoption.holder.is_valid = lambda now: True  # type: ignore[method-assign]
             self.assertFalse(node.store.has_room(kept(1)))
-            node.look(monotonic_time())
+            node.check(monotonic_time())
         self.assertEqual(
             (node.store.open_partition.partition, node.adoptions[first].takes_new_messages), (first + 1, False)
         )
@@ -303,7 +303,7 @@
         theirs = GrantTable(False, (Grant(f"{CLOSED_PREFIX}{PARTITION >> 12}", 0, "", closed=True),))
         with mock.patch.object(node, "_call", return_value=theirs):
             node._receive_heartbeat("b", 7, Heartbeat(False, {}))
-            node.look(monotonic_time())
+            node.check(monotonic_time())
             gevent.sleep(0.01)
         self.assertEqual([each.lease for each in node.grantor.table().grants], [f"{CLOSED_PREFIX}{PARTITION >> 12}"])
 
@@ -367,7 +367,7 @@
         for index, life in ((1, 100_000), (2, 60_000_000), (3, 60_000_000)):
             Store.keep(node.store, replace(kept(index, life), number=index))
         Store.ended(node.store, 3, True, 0)
-        node.look(monotonic_time())
+        node.check(monotonic_time())
         dispatcher.answer_late.assert_called_once_with(
             [1, 3]
         )  # no majority grants a partition: one ends, one has its notice owed
@@ -521,7 +521,7 @@
             adoption = node.adoptions[PARTITION + index] = Takeover(PARTITION + index, "a", NAMES)
             adoption.step = mock.Mock(side_effect=error, return_value=NO_STEP)  # type: ignore[method-assign]
         with mock.patch.object(node, "_answer_late") as late:
-            node.look(monotonic_time())
+            node.check(monotonic_time())
             late.assert_called_once()
         for adoption in node.adoptions.values():
             adoption.step.assert_called_once()  # type: ignore[attr-defined]
@@ -717,9 +717,9 @@
             node._owe(now)
             self.assertEqual(node.order_key_hints.elsewhere, {6})
             holding.ledger.known.clear()
-            node._owe(now + EVERY)
+            node._owe(now + SEND_INTERVAL_US)
             self.assertEqual(spawn.call_args.args[1:3], ("c", OwedKeys()))
-            node._owe(now + LASTS + LEASE_SPAN_US)
+            node._owe(now + HINT_LIFETIME_US + LEASE_SPAN_US)
             self.assertEqual(node.dispatcher.rest.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
 
     def test_an_offer_that_finds_room_for_a_part_is_taken_whole_when_it_comes_again(self) -> None:
--- a/tests/test_fleet_order_key_hints.py
+++ b/tests/test_fleet_order_key_hints.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cedarwick.fleet.messages import MOST_KEYS
-from cedarwick.fleet.order_key_hints import EVERY, LASTS, MOST, OrderKeyHints
+from cedarwick.fleet.order_key_hints import HINT_LIFETIME_US, MAX_REST_US, SEND_INTERVAL_US, OrderKeyHints
 from cedarwick.lab import invariants, virtual_day
 from cedarwick.lab.audit_cases import Case
 
@@ -21,12 +21,14 @@
         hints = OrderKeyHints()
         self.assertIsNone(hints.tell(NOW, set(), ["b"]))
         self.assertEqual(hints.tell(NOW, {7, 5}, ["b"]), (5, 7))
-        self.assertIsNone(hints.tell(NOW + EVERY - 1, {5}, ["b"]))  # what is over may wait
-        self.assertEqual(hints.tell(NOW + EVERY - 1, {5}, ["b", "c"]), (5,))  # who came back knows nothing yet
-        self.assertEqual(hints.tell(NOW + 2 * EVERY, {5}, ["b", "c"]), (5,))  # a peer message may be lost
-        self.assertEqual(hints.tell(NOW + 3 * EVERY, set(), ["b", "c"]), ())
-        self.assertIsNone(hints.tell(NOW + 9 * EVERY, set(), ["b", "c"]))
-        self.assertEqual(len(hints.tell(NOW + 9 * EVERY, set(range(9999)), ["b"]) or ()), MOST_KEYS)
+        self.assertIsNone(hints.tell(NOW + SEND_INTERVAL_US - 1, {5}, ["b"]))  # what is over may wait
+        self.assertEqual(
+            hints.tell(NOW + SEND_INTERVAL_US - 1, {5}, ["b", "c"]), (5,)
+        )  # who came back knows nothing yet
+        self.assertEqual(hints.tell(NOW + 2 * SEND_INTERVAL_US, {5}, ["b", "c"]), (5,))  # a peer message may be lost
+        self.assertEqual(hints.tell(NOW + 3 * SEND_INTERVAL_US, set(), ["b", "c"]), ())
+        self.assertIsNone(hints.tell(NOW + 9 * SEND_INTERVAL_US, set(), ["b", "c"]))
+        self.assertEqual(len(hints.tell(NOW + 9 * SEND_INTERVAL_US, set(range(9999)), ["b"]) or ()), MOST_KEYS)
 
     def test_a_key_rests_while_others_tell_it_and_never_for_those_who_wait_for_this_one(self) -> None:
         hints = OrderKeyHints()
@@ -35,13 +37,13 @@
         self.assertEqual(hints.rests(NOW, {3}, {4}), {1, 2, 4})  # 3 is owed at both: they would wait for each other
         hints.heard(NOW + 1, "b", ())
         self.assertEqual(hints.rests(NOW + 1, {3}, NONE), {2})
-        self.assertEqual(hints.rests(NOW + LASTS, NONE, NONE), NONE)  # c is silent
+        self.assertEqual(hints.rests(NOW + HINT_LIFETIME_US, NONE, NONE), NONE)  # c is silent
 
     def test_a_key_rests_no_longer_than_it_may_whoever_tells_it(self) -> None:
         hints = OrderKeyHints()
-        for at in range(NOW, NOW + 2 * MOST, EVERY):
-            hints.heard(at, "b" if at < NOW + LASTS else "c", (1,))
-            self.assertEqual(hints.rests(at, NONE, NONE), {1} if at < NOW + MOST else NONE)
+        for at in range(NOW, NOW + 2 * MAX_REST_US, SEND_INTERVAL_US):
+            hints.heard(at, "b" if at < NOW + HINT_LIFETIME_US else "c", (1,))
+            self.assertEqual(hints.rests(at, NONE, NONE), {1} if at < NOW + MAX_REST_US else NONE)
         hints.heard(at, "c", ())
         hints.rests(at, NONE, NONE)
         hints.heard(at + 1, "c", (1,))
--- a/tests/test_fleet_suspensions.py
+++ b/tests/test_fleet_suspensions.py
@@ -150,7 +150,7 @@
         return Told(7, (), True)
 
     def hear(self, *uids: str) -> None:
-        self.sharing.heard("n", Told(0, tuple(SuspensionMark(uid, gossip.wall(), "n", 1) for uid in uids)))
+        self.sharing.heard("n", Told(0, tuple(SuspensionMark(uid, gossip.wall_time(), "n", 1) for uid in uids)))
 
     def test_what_another_process_wrote_stands_and_what_a_crash_tore_apart_is_not_undone(self) -> None:
         self.staff.answer(Call("SUSPEND", "X"))
@@ -184,9 +184,9 @@
         self.assertEqual(files.read(self.state), {"X": 1, "Y": 1})
 
     def test_what_the_other_does_not_take_is_not_sent_on_and_on(self) -> None:
-        self.sharing.marks.set(gossip.wall(), "X", 1)
+        self.sharing.marks.set(gossip.wall_time(), "X", 1)
         for turn in range(9):
-            if turn == 0 or self.sharing.lacks["n"]:
+            if turn == 0 or self.sharing.missing_at["n"]:
                 self.sharing._say(turn, "n")
         self.assertEqual([len(body.rows) for body in self.sent], [0, 1])
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -13,7 +13,7 @@
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import Outcome
 from cedarwick.fleet import migration_source
-from cedarwick.fleet.consensus import OLD, Acceptor, AcceptorTable, InstanceState, name_move
+from cedarwick.fleet.consensus import UNDECIDED_LIMIT_US, Acceptor, AcceptorTable, InstanceState, name_move
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.leases import lease_of
@@ -389,7 +389,7 @@
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
         del b.node.grantor._grants[lease_of(partition + 1)]
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.KEPT)
-        b.transfers.acceptor.learned("a", 1)
+        b.transfers.acceptor.raise_floor("a", 1)
         self.assertEqual(
             [
                 b.transfers.vote(name_move(a.transfers.stamp, "a", "b"), (1, "b"), "taker", key).granted
@@ -403,10 +403,10 @@
         move = name_move(a.transfers.stamp, "a", "b")
         for voters in ((b,), (b, c)):
             for each in (b, c):
-                each.transfers.acceptor.learned("a", 1)
+                each.transfers.acceptor.raise_floor("a", 1)
             for each in voters:
                 self.assertTrue(each.transfers.vote(move, (1, "b"), "taker", KEY).granted)
-                each.transfers.acceptor.rows[move].at -= OLD
+                each.transfers.acceptor.rows[move].at -= UNDECIDED_LIMIT_US
             self.assertEqual(b.transfers.moves.moves, {})
             b.transfers.forget(monotonic_time())
             gevent.sleep(0.05)
@@ -421,7 +421,7 @@
         folder = self.enterContext(tempfile.TemporaryDirectory())
         lasting, move = SessionFiles(FleetFiles(folder)), name_move(5, "a", "b")
         voter = Acceptor(0, True)
-        voter.learned("a", 5)
+        voter.raise_floor("a", 5)
         lasting.write_decrees(voter.table())
         answer = voter.prepare(move, (3, "c#1"), 0)
         assert answer.write is not None
