--- a/cedarwick/fleet/heartbeats.py
+++ b/cedarwick/fleet/heartbeats.py
@@ -6,7 +6,8 @@
 
 import gevent
 
-from cedarwick.fleet.leases import KnownHolder, lease_of
+from cedarwick.fleet.lease_holder import KnownHolder
+from cedarwick.fleet.leases import lease_of
 from cedarwick.fleet.limits import CALL_TIMEOUT_S, HEARTBEAT_INTERVAL_S
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import Heartbeat, HeldLease
--- a/cedarwick/fleet/leased_partition.py
+++ b/cedarwick/fleet/leased_partition.py
@@ -3,8 +3,9 @@
 `ReplicatedStore` has one `LeasedPartition` for each such partition; the node decides which ones there are.
 """
 
+from cedarwick.fleet.fact_ledger import FactLedger
 from cedarwick.fleet.replication import ReplicationLog
-from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, base_of, with_end
+from cedarwick.fleet.replication_facts import EndRank, Fact, base_of, with_end
 from cedarwick.fleet.takeover import Takeover
 from cedarwick.store.bodies import BodyLostError
 from cedarwick.store.journal import Store
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -15,7 +15,7 @@
 from cedarwick.events.exchange import Exchange
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.gossip import Gossip
-from cedarwick.fleet.leases import LeaseGrantor
+from cedarwick.fleet.lease_grantor import LeaseGrantor
 from cedarwick.fleet.membership import Membership
 from cedarwick.fleet.messages import Body, PeerMessage
 from cedarwick.fleet.order_key_hints import OrderKeyHints
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -7,8 +7,9 @@
 import gevent
 from loguru import logger
 
+from cedarwick.fleet.lease_holder import LeaseState
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, LeaseState, lease_of
+from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, lease_of
 from cedarwick.fleet.limits import (
     ANSWER_AHEAD_US,
     DAMAGED_FOLDER_US,
--- a/cedarwick/fleet/ports.py
+++ b/cedarwick/fleet/ports.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from cedarwick.fleet.fleet_files import FleetFiles
-from cedarwick.fleet.leases import LeaseGrantor
+from cedarwick.fleet.lease_grantor import LeaseGrantor
 from cedarwick.fleet.membership import Membership
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.replica_files import ReplicaStore
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -16,12 +16,12 @@
 
 from cedarwick.decisions.interface import Outcome
 from cedarwick.errors import CedarwickError
+from cedarwick.fleet.fact_ledger import FactLedger
 from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.replication import ReplicationLog
 from cedarwick.fleet.replication_facts import (
     EndRank,
     Fact,
-    FactLedger,
     decode_facts,
     in_doubt,
     join_facts,
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -23,7 +23,9 @@
 from typing import NamedTuple
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, LeaseGrantor, LeaseHolder, LeaseState, lease_of
+from cedarwick.fleet.lease_grantor import LeaseGrantor
+from cedarwick.fleet.lease_holder import LeaseHolder, LeaseState
+from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, lease_of
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant
 
--- a/tests/explore.py
+++ b/tests/explore.py
@@ -17,7 +17,9 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from cedarwick.fleet.leases import LEASE_SPAN_US, SET_BITS, LeaseGrantor, LeaseHolder, LeaseState, lease_of
+from cedarwick.fleet.lease_grantor import LeaseGrantor
+from cedarwick.fleet.lease_holder import LeaseHolder, LeaseState
+from cedarwick.fleet.leases import LEASE_SPAN_US, SET_BITS, lease_of
 from cedarwick.fleet.messages import Grant, LeaseReply, LeaseRequest
 
 PARTITION = 7 << 12
--- a/tests/test_fleet_explore.py
+++ b/tests/test_fleet_explore.py
@@ -9,7 +9,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from cedarwick.fleet.leases import LeaseGrantor, LeaseHolder, LeaseState, majority_of
+from cedarwick.fleet.lease_grantor import LeaseGrantor
+from cedarwick.fleet.lease_holder import LeaseHolder, LeaseState
+from cedarwick.fleet.leases import majority_of
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
 from cedarwick.fleet.takeover import Takeover, TakeoverAction, TakeoverStage
--- a/tests/test_fleet_leases.py
+++ b/tests/test_fleet_leases.py
@@ -5,7 +5,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cedarwick.fleet.leases import LEASE_SPAN_US, SET_BITS, LeaseGrantor, LeaseHolder, LeaseState, lease_of
+from cedarwick.fleet.lease_grantor import LeaseGrantor
+from cedarwick.fleet.lease_holder import LeaseHolder, LeaseState
+from cedarwick.fleet.leases import LEASE_SPAN_US, SET_BITS, lease_of
 from cedarwick.fleet.membership import Membership, MemberStatus
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
 from cedarwick.fleet.placement import choose_replicas
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -17,8 +17,10 @@
 from cedarwick.fleet import limits
 from cedarwick.fleet.consensus import parts
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError
+from cedarwick.fleet.lease_grantor import LeaseGrantor
+from cedarwick.fleet.lease_holder import KnownHolder
 from cedarwick.fleet.leased_partition import STARVED_US, LeasedPartition
-from cedarwick.fleet.leases import CLOSED_PREFIX, LEASE_SPAN_US, KnownHolder, LeaseGrantor, lease_of
+from cedarwick.fleet.leases import CLOSED_PREFIX, LEASE_SPAN_US, lease_of
 from cedarwick.fleet.member_state import MembershipChangeError
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
--- a/tests/test_fleet_replication.py
+++ b/tests/test_fleet_replication.py
@@ -10,13 +10,13 @@
 
 from cedarwick.fleet import replica as replica_module
 from cedarwick.fleet import replica_files, replication
+from cedarwick.fleet.fact_ledger import FactLedger
 from cedarwick.fleet.messages import Digests, ReplicateFacts, ReplicatePiece
 from cedarwick.fleet.replica import Replica, ReplicaEntry, ReplicaStep
 from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
 from cedarwick.fleet.replication import CORRUPT, EVERYTHING, NO_ROOM, OLD_TERM, OTHER_VERSION, ReplicationLog
 from cedarwick.fleet.replication_facts import (
     Fact,
-    FactLedger,
     MessageKnowledge,
     digest,
     encode_facts,
--- a/tests/test_fleet_replication_facts.py
+++ b/tests/test_fleet_replication_facts.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from cedarwick.fleet import replication_facts
+from cedarwick.fleet.fact_ledger import FactLedger
 from cedarwick.fleet.replication_facts import (
     CorruptFactsError,
     EndRank,
     Fact,
-    FactLedger,
     FactsVersionError,
     LifeSummary,
     MessageBase,
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -33,14 +33,7 @@
 )
 from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
 from cedarwick.fleet.replication import EVERYTHING
-from cedarwick.fleet.replication_facts import (
-    EndRank,
-    Fact,
-    LifeSummary,
-    MessageBase,
-    MessageKnowledge,
-    decode_facts,
-)
+from cedarwick.fleet.replication_facts import EndRank, Fact, LifeSummary, MessageBase, MessageKnowledge, decode_facts
 from cedarwick.fleet.session_files import HeldSession, SessionFiles, Sessions
 from cedarwick.fleet.suspensions import SavedMarks
 from cedarwick.ops import saved_state
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -14,6 +14,7 @@
 from cedarwick.decisions.interface import Outcome
 from cedarwick.fleet import migration_source
 from cedarwick.fleet.consensus import UNDECIDED_LIMIT_US, Acceptor, AcceptorTable, InstanceState, name_move
+from cedarwick.fleet.fact_ledger import FactLedger
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.leases import lease_of
@@ -24,7 +25,7 @@
 from cedarwick.fleet.replica import ReplicaEntry as Step
 from cedarwick.fleet.replicated_store import ReplicatedStore, monotonic_time
 from cedarwick.fleet.replication import EVERYTHING
-from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, MessageKnowledge, base_of
+from cedarwick.fleet.replication_facts import EndRank, Fact, MessageKnowledge, base_of
 from cedarwick.fleet.session_files import SessionFiles
 from cedarwick.fleet.session_inheritance import SUCCESSORS
 from cedarwick.fleet.session_routing import SessionRouter
