--- a/cedarwick/fleet/fact_ledger.py
+++ b/cedarwick/fleet/fact_ledger.py
@@ -3,17 +3,17 @@
 from collections.abc import Iterable
 
 from cedarwick.fleet.replication_facts import (
-    NOTHING,
+    NO_KNOWLEDGE,
     EndRank,
     Fact,
-    LifeSummary,
     MessageKnowledge,
+    TermAttempts,
     base_of,
-    folded,
     join,
-    known_of,
-    over,
+    knowledge_of,
+    nothing_owed,
     trimmed,
+    with_unsettled_as_run,
 )
 from cedarwick.store.records import StoredMessage
 
@@ -30,7 +30,7 @@
 
     def record_message(self, stored: StoredMessage, body: bytes) -> Fact:
         """Note a message that was taken, or is left from before a restart."""
-        self.known[stored.number] = known = known_of(stored, self.term)
+        self.known[stored.number] = known = knowledge_of(stored, self.term)
         return Fact(stored.number, base_of(stored, body), known)
 
     def attempt(self, number: int, at: int, zone: int) -> Fact:
@@ -43,7 +43,7 @@
         ran = known.ran
         if head is not None and not head.settled:
             ran = min(ran or (head.at, head.zone), (head.at, head.zone))
-        return self._attempted(number, LifeSummary(head.attempts + 1 if head else 1, False, at, zone), ran)
+        return self._attempted(number, TermAttempts(head.attempts + 1 if head else 1, False, at, zone), ran)
 
     def outcome(self, number: int, never_ran: bool, completed: bool) -> Fact:
         """Note the outcome of the attempt that was out."""
@@ -77,8 +77,8 @@
         self.renew(term)
         taken = []
         for fact in facts:
-            known = folded(join(self.known.get(fact.number, NOTHING), fact.known), term)
-            if over(known):
+            known = with_unsettled_as_run(join(self.known.get(fact.number, NO_KNOWLEDGE), fact.known), term)
+            if nothing_owed(known):
                 self.known.pop(fact.number, None)
             else:
                 self.known[fact.number] = known
@@ -88,9 +88,9 @@
     def renew(self, term: int) -> None:
         """Go on under a new term: what was out under an older one may have run."""
         self.term = term
-        self.known = {number: folded(known, term) for number, known in self.known.items()}
+        self.known = {number: with_unsettled_as_run(known, term) for number, known in self.known.items()}
 
-    def _attempted(self, number: int, head: LifeSummary, ran: tuple[int, int] | None) -> Fact:
+    def _attempted(self, number: int, head: TermAttempts, ran: tuple[int, int] | None) -> Fact:
         return self._join(number, MessageKnowledge({self.term: head}, ran))
 
     def _end(self, number: int, end: tuple[EndRank, int]) -> Fact:
@@ -99,7 +99,7 @@
     def _join(self, number: int, added: MessageKnowledge) -> Fact:
         """All that is known goes along, not the change alone, so that a fact that is joined late forgets nothing."""
         known = join(self.known[number], added)
-        if over(known):
+        if nothing_owed(known):
             del self.known[number]
         else:
             self.known[number] = known
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from cedarwick.fleet.replica import ReplicaEntry
-from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, over
+from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, nothing_owed
 from cedarwick.fleet.sessions import REMEMBERED, contents
 
 MOST = 1 << 16  # ids of one partition; above it the oldest are dropped, and the time that the memory covers shrinks
@@ -60,7 +60,7 @@
     def _fact(self, fact: Fact, now: int) -> None:
         known, seen = fact.known, self.taken.get(fact.number)
         if seen is None:
-            if fact.base is not None and fact.base.turn and not over(known):
+            if fact.base is not None and fact.base.turn and not nothing_owed(known):
                 self.taken[fact.number] = RecentId(
                     fact.base.turn,
                     fact.base.id,
--- a/cedarwick/fleet/replica.py
+++ b/cedarwick/fleet/replica.py
@@ -26,14 +26,14 @@
     CorruptFactsError,
     Fact,
     FactsVersionError,
+    approximate_bytes,
     decode_facts,
+    encode_fact,
     encode_facts,
-    encoded,
     in_doubt,
     join_facts,
-    over,
+    nothing_owed,
     trimmed,
-    weight,
 )
 
 
@@ -120,7 +120,9 @@
         for span in message.ranges:
             inside = numbers[bisect_right(numbers, span.after) : bisect_right(numbers, span.upto)]
             made.append(
-                DigestRange(span.after, span.upto, *count_and_digest(encoded(self.owed[number]) for number in inside))
+                DigestRange(
+                    span.after, span.upto, *count_and_digest(encode_fact(self.owed[number]) for number in inside)
+                )
             )
         return Digests(self.partition, self.position.term, tuple(made), self.position.next)
 
@@ -140,9 +142,9 @@
                 continue  # an update of what has ended, or of what a piece is still to bring
             joined = trimmed(fact) if before is None else join_facts(before, fact)
             self._remove(fact.number)
-            if not over(joined.known):
+            if not nothing_owed(joined.known):
                 self.owed[fact.number] = joined
-                self.owed_bytes += weight(joined)
+                self.owed_bytes += approximate_bytes(joined)
         self.position, self.behind = ReplicaPosition(entry.term, entry.next, entry.covered), entry.behind
 
     def mark_in_doubt(self, since: int) -> None:
@@ -162,13 +164,13 @@
                 upto = taken[-1].number
                 break
             taken.append(self.owed[number])
-            left -= weight(taken[-1])
+            left -= approximate_bytes(taken[-1])
         return ReplicaEntry(*self.position, after, upto, encode_facts(taken), self.behind)
 
     def _remove(self, number: int) -> None:
         before = self.owed.pop(number, None)
         if before is not None:
-            self.owed_bytes -= weight(before)
+            self.owed_bytes -= approximate_bytes(before)
 
     def _refused(self, problem: str) -> ReplicaStep:
         return ReplicaStep(self.ack(problem))
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -23,11 +23,11 @@
     EndRank,
     Fact,
     decode_facts,
+    encode_batch,
     in_doubt,
     join_facts,
-    over,
+    nothing_owed,
     stored_message_of,
-    together,
     with_end,
 )
 from cedarwick.store.bodies import BodyLostError
@@ -348,7 +348,7 @@
             if fact.number >> 32 == holding.partition
             # What has ended here must not come back as owed.
             and fact.number not in holding.ended_numbers
-            and (fact.number in before or fact.base is not None and not over(fact.known))
+            and (fact.number in before or fact.base is not None and not nothing_owed(fact.known))
         }
         changed: list[int] = []
         all_changed = holding.ledger.adopt(listed.values(), holding.ledger.term)
@@ -409,7 +409,7 @@
         """All that this member knows of a partition it has lost: owed messages, and recent changes in the log."""
         facts: dict[int, Fact] = {}
         for logged in holding.log.window:
-            for fact in decode_facts(together([logged.data])):
+            for fact in decode_facts(encode_batch([logged.data])):
                 facts[fact.number] = join_facts(facts[fact.number], fact) if fact.number in facts else fact
         for number in list(holding.ledger.known):
             owed = holding.read_for_member(self, number)
@@ -425,7 +425,7 @@
         found = UnreplicatedMessages([], [])
         first = max(0, min(holding.sent_upto, acked) - holding.log.oldest)
         for index, logged in enumerate(islice(holding.log.window, first, None), holding.log.oldest + first):
-            for fact in decode_facts(together([logged.data])):
+            for fact in decode_facts(encode_batch([logged.data])):
                 if fact.base is not None and fact.number in holding.ledger.known and fact.number in self.messages:
                     (found.unsent if index >= holding.sent_upto else found.unacknowledged).append(fact.number)
         return found
@@ -471,6 +471,6 @@
 
     def _replicate(self, holding: LeasedPartition, fact: Fact) -> None:
         holding.log.append(fact, monotonic_time())
-        if over(fact.known) and holding.imported_from_term:
+        if nothing_owed(fact.known) and holding.imported_from_term:
             holding.ended_numbers.add(fact.number)
         self.replication_progress.set()
--- a/cedarwick/fleet/replication.py
+++ b/cedarwick/fleet/replication.py
@@ -25,7 +25,7 @@
 import xxhash
 
 from cedarwick.fleet.messages import DigestRange, Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
-from cedarwick.fleet.replication_facts import Fact, digest, encoded, over, together, trimmed
+from cedarwick.fleet.replication_facts import Fact, digest, encode_batch, encode_fact, nothing_owed, trimmed
 
 EVERYTHING = (1 << 63) - 1  # above every number
 MAX_WINDOW_FACTS = 4096  # facts of the log that the holder keeps in memory
@@ -97,12 +97,12 @@
         """Number a fact, at a time in microseconds; its index."""
         index = bisect_left(self.owed, fact.number)
         there = index < len(self.owed) and self.owed[index] == fact.number
-        if over(fact.known):
+        if nothing_owed(fact.known):
             if there:
                 del self.owed[index]
         elif not there:
             insort(self.owed, fact.number)
-        data = encoded(trimmed(fact))
+        data = encode_fact(trimmed(fact))
         self.window.append(LoggedFact(data, now))
         self.window_bytes += len(data)
         self.appended_bytes += len(data)
@@ -147,7 +147,7 @@
                 return
             fact = self.read(number)
             if fact is not None:
-                yield number, encoded(trimmed(fact))
+                yield number, encode_fact(trimmed(fact))
 
     def piece(self, after: int, upto: int) -> ReplicatePiece:
         """All that is owed in a range, or in a first part of it."""
@@ -160,7 +160,7 @@
                 break
             taken.append(data)
             last = number
-        facts = together(taken)
+        facts = encode_batch(taken)
         return ReplicatePiece(self.partition, self.term, after, upto, facts, self.next, digest(facts), self.behind)
 
     def digest_ranges(self, after: int) -> tuple[DigestRange, ...]:
@@ -350,7 +350,7 @@
 
     def _tail(self, now: int, first: int) -> ReplicateFacts:
         taken = self.log.tail(first)
-        facts = together(taken)
+        facts = encode_batch(taken)
         self.sent = first + len(taken)
         self.unacked.append(SentRange(self.sent, now + ACK_TIMEOUT_US))
         return ReplicateFacts(self.log.partition, self.log.term, first, facts, digest(facts))
--- a/cedarwick/fleet/replication_facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -9,11 +9,11 @@
 | `ran`   | the earliest (at, zone)                      | 'may have run' beats 'never ran'; nothing takes it back |
 | `doubt` | the earliest that is not 0                   | what damage or a lag put in doubt stays so |
 | `end`   | the larger (rank, wait in ms)                | an end beats none; *failed* beats *returned*, which tells the client that nothing happened, while somebody knew of an attempt; *told* (the platform has a final answer) beats both, for a second answer would be a second end; *completed* is the receiver's own word and beats all |
-| `move`  | the larger (sequence, text)                  | the newer move; the message is inert until that one's decree is known |
+| `move`  | the larger (sequence, text)                  | the newer move; the message is inert until that one's value is decided |
 | `base`  | the one that is there                        | it never changes; after an end nobody needs the body, and it is left out |
 
 A head that is not settled is an attempt that is out. Its own term may still say that it never ran; once a newer term has
-taken the message over (`folded`), it counts as one that may have run, for good.
+taken the message over (`with_unsettled_as_run`), it counts as one that may have run, for good.
 """  # noqa: E501
 
 from collections.abc import Iterable
@@ -27,9 +27,9 @@
 from cedarwick.store.records import NOWHERE, StoredMessage
 
 VERSION = 1  # of the encoding
-MOST_FACTS = 1 << 14  # facts in one message, at most
-MOST_ATTEMPTS = 0xFFFF  # the largest count that a stored record holds
-ROUGH = 96  # approximate bytes of an encoded fact without its base
+MAX_FACTS = 1 << 14  # facts in one message, at most
+MAX_ATTEMPTS = 0xFFFF  # the largest count that a stored record holds
+FACT_OVERHEAD_BYTES = 96  # approximate bytes of an encoded fact without its base
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Zone = Annotated[int, msgspec.Meta(ge=-(1 << 15), lt=1 << 15)]
@@ -39,14 +39,14 @@
 
 
 class CorruptFactsError(CedarwickError):
-    """Facts that another sender told cannot be read, or do not match their digest."""
+    """Facts that another sender sent cannot be read, or do not match their digest."""
 
     code = "CW720"
     remedy = "it is dropped whole and asked for anew; where it comes back, look at the network and the other sender"
 
 
 class FactsVersionError(CorruptFactsError):
-    """Facts were told in the format of another version of the program."""
+    """Facts were sent in the format of another version of the program."""
 
     code = "CW721"
     remedy = "run the same version of the program on all members; until then this partition has one copy less"
@@ -62,11 +62,11 @@
     COMPLETED = 4
 
 
-class LifeSummary(NamedTuple):
+class TermAttempts(NamedTuple):
     """What one term knows of the newest attempt of a message; of two the larger one knows more."""
 
     attempts: Count  # in that term
-    settled: bool  # whether its outcome is known; one that may have run is in `Known.ran` then
+    settled: bool  # whether its outcome is known; one that may have run is in `MessageKnowledge.ran` then
     at: Count  # when it was sent, wall microseconds
     zone: Zone
 
@@ -87,7 +87,7 @@
 class MessageKnowledge(msgspec.Struct, array_like=True, frozen=True):
     """What is known of a message's attempts and end."""
 
-    heads: Annotated[dict[Count, LifeSummary], msgspec.Meta(max_length=256)] = {}
+    heads: Annotated[dict[Count, TermAttempts], msgspec.Meta(max_length=256)] = {}
     ran: tuple[Count, Zone] | None = None  # when and where the first attempt was sent that may have run
     doubt: Count = 0  # records are lost from then on; 0: none are
     end: tuple[EndRank, Wait] = (EndRank.NONE, 0)  # and the advised wait in milliseconds
@@ -109,15 +109,15 @@
     facts: msgspec.Raw
 
 
-NOTHING = MessageKnowledge()
+NO_KNOWLEDGE = MessageKnowledge()
 ENCODER = msgspec.msgpack.Encoder()
 FACTS: msgspec.msgpack.Decoder[list[Fact]] = msgspec.msgpack.Decoder(
-    Annotated[list[Fact], msgspec.Meta(max_length=MOST_FACTS)]
+    Annotated[list[Fact], msgspec.Meta(max_length=MAX_FACTS)]
 )
 BATCH: msgspec.msgpack.Decoder[FactBatch] = msgspec.msgpack.Decoder(FactBatch)
 
 
-def encoded(fact: Fact) -> bytes:
+def encode_fact(fact: Fact) -> bytes:
     """One fact, the same bytes for the same fact everywhere: its heads go by term."""
     known = fact.known
     if len(known.heads) > 1:
@@ -128,11 +128,11 @@
 
 def encode_facts(facts: Iterable[Fact]) -> bytes:
     """Facts as they are sent and stored."""
-    return together(encoded(fact) for fact in facts)
+    return encode_batch(encode_fact(fact) for fact in facts)
 
 
-def together(facts: Iterable[bytes]) -> bytes:
-    """What `encode_facts` gives, of facts that were `encoded` one by one."""
+def encode_batch(facts: Iterable[bytes]) -> bytes:
+    """What `encode_facts` gives, of facts that `encode_fact` has encoded one by one."""
     raw = msgspec.Raw(ENCODER.encode([msgspec.Raw(each) for each in facts]))
     return ENCODER.encode(FactBatch(VERSION, raw))
 
@@ -153,12 +153,19 @@
     return xxhash.xxh3_64_intdigest(data)
 
 
-def weight(fact: Fact) -> int:
+def approximate_bytes(fact: Fact) -> int:
     """About how many bytes a fact takes."""
     base = fact.base
     if base is None:
-        return ROUGH
-    return ROUGH + len(base.body) + len(base.id) + len(base.key) + len(base.priority_class) + len(base.tenant)
+        return FACT_OVERHEAD_BYTES
+    return (
+        FACT_OVERHEAD_BYTES
+        + len(base.body)
+        + len(base.id)
+        + len(base.key)
+        + len(base.priority_class)
+        + len(base.tenant)
+    )
 
 
 # ---- the join ----
@@ -200,7 +207,7 @@
     return known.ran is not None or known.doubt > 0
 
 
-def over(known: MessageKnowledge) -> bool:
+def nothing_owed(known: MessageKnowledge) -> bool:
     """Whether nothing more is owed."""
     return known.end[0] >= EndRank.NOTIFIED
 
@@ -210,18 +217,18 @@
     return sum(head.attempts for head in known.heads.values())
 
 
-def outs(known: MessageKnowledge, term: int) -> list[tuple[int, int]]:
+def unsettled_attempts(known: MessageKnowledge, term: int) -> list[tuple[int, int]]:
     """Times and zones of the attempts of terms before this one whose outcome nobody knows, the earliest first."""
     return sorted((head.at, head.zone) for of, head in known.heads.items() if of < term and not head.settled)
 
 
-def folded(known: MessageKnowledge, term: int) -> MessageKnowledge:
+def with_unsettled_as_run(known: MessageKnowledge, term: int) -> MessageKnowledge:
     """Before a term goes on with a message: an attempt of an older one that is out may have run, whatever comes later.
 
     Otherwise a late outcome of the older term could turn into 'never ran' what has been decided, and answered, on
     'may have run'.
     """
-    out = outs(known, term)
+    out = unsettled_attempts(known, term)
     return join(known, MessageKnowledge(ran=out[0])) if out else known
 
 
@@ -252,7 +259,7 @@
     )
 
 
-def known_of(stored: StoredMessage, term: int) -> MessageKnowledge:
+def knowledge_of(stored: StoredMessage, term: int) -> MessageKnowledge:
     """What a stored record says; all attempts count as one head of `term`, which was never sent before.
 
     Under a term that was sent before, this head and the one sent would be taken for one, and the larger would hide an
@@ -260,7 +267,7 @@
     """
     heads = {}
     if stored.attempts:
-        heads[term] = LifeSummary(
+        heads[term] = TermAttempts(
             stored.attempts, not stored.out_at, stored.out_at, stored.out_zone if stored.out_at else NOWHERE
         )
     end = (EndRank.NONE, 0)
@@ -276,9 +283,9 @@
     without a base, and if nothing more is owed.
     """
     base, known = fact.base, fact.known
-    if base is None or over(known):
+    if base is None or nothing_owed(known):
         raise ValueError(f"message {fact.number} is not owed, or its base is not known")
-    out = outs(known, 1 << 63)
+    out = unsettled_attempts(known, 1 << 63)
     may_have = sorted({*out, *([known.ran] if known.ran else [])})
     ran, last = (may_have[0], may_have[-1]) if may_have else ((0, 0), (0, 0))
     if last == ran:
@@ -294,7 +301,7 @@
         base.destination,
         base.deadline,
         base.body,
-        min(attempts_of(known), MOST_ATTEMPTS),
+        min(attempts_of(known), MAX_ATTEMPTS),
         *ran,
         *last,
         min(filter(None, (known.doubt, doubt_at)), default=0),
--- a/cedarwick/fleet/takeover_offers.py
+++ b/cedarwick/fleet/takeover_offers.py
@@ -15,7 +15,7 @@
 from cedarwick.fleet.limits import HEARTBEAT_INTERVAL_S, OFFER_PART_BYTES, OFFER_TIMEOUT_S, PARTITION_CLOSED
 from cedarwick.fleet.messages import OfferReply, TakeoverOffer, digest_of
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.replication_facts import CorruptFactsError, Fact, decode_facts, encoded, together
+from cedarwick.fleet.replication_facts import CorruptFactsError, Fact, decode_facts, encode_batch, encode_fact
 from cedarwick.fleet.takeover import Takeover, TakeoverStage
 
 
@@ -24,11 +24,11 @@
     parts: list[bytes] = []
     part: list[bytes] = []
     for fact in facts:
-        part.append(encoded(fact))
+        part.append(encode_fact(fact))
         if sum(map(len, part)) >= OFFER_PART_BYTES:
-            parts.append(together(part))
+            parts.append(encode_batch(part))
             part = []
-    parts.append(together(part))
+    parts.append(encode_batch(part))
     return parts
 
 
--- a/tests/test_fleet_inherit.py
+++ b/tests/test_fleet_inherit.py
@@ -12,7 +12,7 @@
 from cedarwick.fleet.recent_ids import UNKNOWN, RecentIds, hash_of
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication import EVERYTHING
-from cedarwick.fleet.replication_facts import EndRank, Fact, LifeSummary, MessageBase, MessageKnowledge
+from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, MessageKnowledge, TermAttempts
 from cedarwick.fleet.sessions import FORGOTTEN, LAPSES, REMEMBERED, Claim, ClaimRequest, ClaimRuling, SessionDirectory
 
 KEY, SECOND = 7, 1_000_000
@@ -303,11 +303,11 @@
         memory.heard(ReplicaEntry(1, 5, EVERYTHING, 0, EVERYTHING, b""), (), 0)
         second = MessageBase("2", "", KEY, "line", "", 0, 9, b"y")
         memory.heard(*self.step(5, Fact(1, self.BASE, MessageKnowledge()), Fact(2, second, MessageKnowledge())), 10)
-        memory.heard(*self.step(7, Fact(1, None, MessageKnowledge({1: LifeSummary(1, False, 5, 0)}))), 20)
+        memory.heard(*self.step(7, Fact(1, None, MessageKnowledge({1: TermAttempts(1, False, 5, 0)}))), 20)
         memory.heard(
             *self.step(
                 8,
-                Fact(1, None, MessageKnowledge({1: LifeSummary(1, True, 5, 0)}, end=(EndRank.COMPLETED, 0))),
+                Fact(1, None, MessageKnowledge({1: TermAttempts(1, True, 5, 0)}, end=(EndRank.COMPLETED, 0))),
                 Fact(2, None, MessageKnowledge(end=(EndRank.NOTIFIED, 0))),
             ),
             30,
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -56,9 +56,9 @@
     CorruptFactsError,
     EndRank,
     Fact,
-    LifeSummary,
     MessageBase,
     MessageKnowledge,
+    TermAttempts,
     decode_facts,
     encode_facts,
     stored_message_of,
@@ -653,7 +653,7 @@
         self.assertEqual((offer.term, adoption.stage), (1, TakeoverStage.GONE))
 
     def test_a_copy_that_followed_behind_is_in_doubt_since_the_last_attempt_it_heard_of(self) -> None:
-        attempt = Fact(number(1), fact(1).base, MessageKnowledge({1: LifeSummary(1, True, 77, 0)}))
+        attempt = Fact(number(1), fact(1).base, MessageKnowledge({1: TermAttempts(1, True, 77, 0)}))
         for ack, behind, doubt in (("own", True, 77), ("copy", True, 77), ("own", False, 77), ("copy", False, 0)):
             node = self.member(ack)
             adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
--- a/tests/test_fleet_replication.py
+++ b/tests/test_fleet_replication.py
@@ -19,10 +19,10 @@
     Fact,
     MessageKnowledge,
     digest,
+    encode_batch,
     encode_facts,
     in_doubt,
     join_facts,
-    together,
     trimmed,
 )
 from cedarwick.store.records import FRAME, StoredMessage, framed
@@ -384,7 +384,7 @@
             self.link.turn()
         self.assertEqual(self.link.log.followers["b"].problem, NO_ROOM)
         folder.room = 1 << 60
-        told = self.facts(first=20, data=together(self.link.log.tail(20)))
+        told = self.facts(first=20, data=encode_batch(self.link.log.tail(20)))
         self.assertEqual(self.member.copies.facts(told).problem, NO_ROOM)
         for _ in range(200):
             self.link.turn()  # written anew, since the torn end cannot be cut off
@@ -408,7 +408,7 @@
         held._begin_compaction(held.files[PARTITION])
         folder.room = sum(map(len, folder.files.values())) + 4000  # for the entry once, not twice
         self.link.take(3000)
-        self.assertEqual(held.facts(self.facts(first=20, data=together(self.link.log.tail(20)))).next, 21)
+        self.assertEqual(held.facts(self.facts(first=20, data=encode_batch(self.link.log.tail(20)))).next, 21)
         folder.room = 1 << 60
         while held.step():
             pass
@@ -429,7 +429,7 @@
 
         def come(*_: Any) -> None:
             first = others.pop(0)
-            held.facts(self.facts(first=first, data=together(self.link.log.tail(first)[:1])))
+            held.facts(self.facts(first=first, data=encode_batch(self.link.log.tail(first)[:1])))
 
         come()
         held.flush(come)
--- a/tests/test_fleet_replication_facts.py
+++ b/tests/test_fleet_replication_facts.py
@@ -15,16 +15,16 @@
     EndRank,
     Fact,
     FactsVersionError,
-    LifeSummary,
     MessageBase,
     MessageKnowledge,
+    TermAttempts,
     join,
     join_facts,
 )
 from cedarwick.store.records import StoredMessage
 
 FEW = st.integers(0, 3)
-HEADS = st.builds(LifeSummary, st.integers(1, 3), st.booleans(), st.integers(1, 4), st.integers(-1, 2))
+HEADS = st.builds(TermAttempts, st.integers(1, 3), st.booleans(), st.integers(1, 4), st.integers(-1, 2))
 KNOWN = st.builds(
     MessageKnowledge,
     st.dictionaries(st.integers(1, 4), HEADS),
@@ -83,14 +83,14 @@
     @given(KNOWN, KNOWN)
     def each(a: MessageKnowledge, b: MessageKnowledge) -> None:
         both = by(a, b)
-        assert replication_facts.may_have_run(both) >= replication_facts.may_have_run(a) and replication_facts.over(
-            both
-        ) >= replication_facts.over(a)
+        assert replication_facts.may_have_run(both) >= replication_facts.may_have_run(
+            a
+        ) and replication_facts.nothing_owed(both) >= replication_facts.nothing_owed(a)
         assert replication_facts.attempts_of(both) >= replication_facts.attempts_of(a) and both.end >= a.end
         assert all(both.heads[term] >= head for term, head in a.heads.items())
-        if not replication_facts.over(both):
+        if not replication_facts.nothing_owed(both):
             knows_no_less(
-                replication_facts.stored_message_of(Fact(5, BASE, replication_facts.folded(both, 9))),
+                replication_facts.stored_message_of(Fact(5, BASE, replication_facts.with_unsettled_as_run(both, 9))),
                 replication_facts.stored_message_of(Fact(5, BASE, MessageKnowledge(ran=a.ran, doubt=a.doubt))),
             )
 
@@ -133,10 +133,10 @@
     @quick
     @given(KNOWN, KNOWN)
     def test_a_late_outcome_takes_nothing_back(self, known: MessageKnowledge, late: MessageKnowledge) -> None:
-        adopted = replication_facts.folded(known, 9)
+        adopted = replication_facts.with_unsettled_as_run(known, 9)
         self.assertEqual(join(known, adopted), adopted)
         self.assertGreaterEqual(
-            replication_facts.may_have_run(join(adopted, late)), bool(replication_facts.outs(known, 9))
+            replication_facts.may_have_run(join(adopted, late)), bool(replication_facts.unsettled_attempts(known, 9))
         )
 
 
@@ -159,7 +159,7 @@
     @given(st.binary(max_size=60), st.integers(0, 400), st.integers(1, 255))
     def test_spoilt_bytes_are_refused(self, noise: bytes, at: int, flip: int) -> None:
         good = bytearray(
-            replication_facts.encode_facts([Fact(5, BASE, MessageKnowledge({1: LifeSummary(1, False, 4, 2)}))])
+            replication_facts.encode_facts([Fact(5, BASE, MessageKnowledge({1: TermAttempts(1, False, 4, 2)}))])
         )
         good[at % len(good)] ^= flip
         for data in (noise, bytes(good), bytes(good[:-1])):
@@ -171,7 +171,7 @@
     def test_what_the_folder_could_not_hold_is_refused(self) -> None:
         wrong: list[Any] = [
             Fact(-1, None, MessageKnowledge()),
-            Fact(5, None, MessageKnowledge({1: LifeSummary(1, True, 4, 1 << 15)})),
+            Fact(5, None, MessageKnowledge({1: TermAttempts(1, True, 4, 1 << 15)})),
             Fact(5, None, MessageKnowledge(end=(EndRank.FAILED, 1 << 32))),
             Fact(5, msgspec.structs.replace(BASE, id="x" * 17000), MessageKnowledge()),
         ]
@@ -186,7 +186,7 @@
     @quick
     @given(KEPT, st.integers(0, 3))
     def test_through_facts_and_back_nothing_is_forgotten(self, kept: StoredMessage, doubt: int) -> None:
-        fact = Fact(5, replication_facts.base_of(kept, b"x"), replication_facts.known_of(kept, 3))
+        fact = Fact(5, replication_facts.base_of(kept, b"x"), replication_facts.knowledge_of(kept, 3))
         back = replication_facts.stored_message_of(fact, doubt)
         knows_no_less(back, kept)
         self.assertLessEqual({kept.ran_at, kept.out_at}, {back.ran_at, back.out_at, 0})
@@ -217,10 +217,10 @@
                 kept.outcome(what == "never")
                 copy = join_facts(copy, ledger.outcome(5, what == "never", completed=False))
             knows_no_less(replication_facts.stored_message_of(copy), kept)
-        self.assertTrue(replication_facts.over(ledger.over(5).known) and not ledger.known)
+        self.assertTrue(replication_facts.nothing_owed(ledger.over(5).known) and not ledger.known)
 
     def test_what_is_adopted_may_have_run_and_what_is_over_is_dropped(self) -> None:
-        out, over = MessageKnowledge({1: LifeSummary(1, False, 4, 2)}), MessageKnowledge(end=(EndRank.COMPLETED, 0))
+        out, over = MessageKnowledge({1: TermAttempts(1, False, 4, 2)}), MessageKnowledge(end=(EndRank.COMPLETED, 0))
         ledger = FactLedger(0)
         taken = ledger.adopt([Fact(1, BASE, out), Fact(2, BASE, out), Fact(3, BASE, over)], 2)
         self.assertEqual([each.known.ran for each in taken], [(4, 2), (4, 2)])
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -33,7 +33,7 @@
 )
 from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
 from cedarwick.fleet.replication import EVERYTHING
-from cedarwick.fleet.replication_facts import EndRank, Fact, LifeSummary, MessageBase, MessageKnowledge, decode_facts
+from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, MessageKnowledge, TermAttempts, decode_facts
 from cedarwick.fleet.session_files import HeldSession, SessionFiles, Sessions
 from cedarwick.fleet.suspensions import SavedMarks
 from cedarwick.ops import saved_state
@@ -244,13 +244,13 @@
             FIRST_NUMBER + 1,
             MessageBase("c-1", "ck-1", (1 << 64) - 1, "high", "t-1", 5, NOW + 9, b"copied \x00\xff"),
             MessageKnowledge(
-                {5: LifeSummary(2, True, NOW + 6, 1300)}, (NOW + 6, 1300), 0, (EndRank.NONE, 0), (4, MOVE)
+                {5: TermAttempts(2, True, NOW + 6, 1300)}, (NOW + 6, 1300), 0, (EndRank.NONE, 0), (4, MOVE)
             ),
         )
         second = Fact(
             FIRST_NUMBER + 2,
             MessageBase("c-2", "ck-2", 0, "low", "", 6, NOW + 10, b""),  # it has ended: the body is left out
-            MessageKnowledge({4: LifeSummary(1, False, NOW + 7, -1)}, None, NOW + 8, (EndRank.FAILED, 250), None),
+            MessageKnowledge({4: TermAttempts(1, False, NOW + 7, -1)}, None, NOW + 8, (EndRank.FAILED, 250), None),
         )
         self.assertEqual(replica.owed, {fact.number: fact for fact in (first, second, THIRD_FACT)})
 
