--- a/cedarwick/fleet/lease_holder.py
+++ b/cedarwick/fleet/lease_holder.py
@@ -63,7 +63,7 @@
     def request_next_term(self, now: int, grant: Grant) -> None:
         """Ask for the next term. `grant` is the own grantor's row: from it come the successors, for grantors that lag.
 
-        Only for a member whose copy is whole, or for a lease that nobody has held.
+        Only for a member whose replica is whole, or for a lease that nobody has held.
         """
         self.term = self._newest_term = max(grant.term, self.term, self._newest_term) + 1
         self.state = LeaseState.ASKING
@@ -88,7 +88,7 @@
         self._update_state(now)
 
     def receive_reply(self, now: int, sent_at: int, grantor: str, reply: LeaseReply) -> None:
-        """Take a grantor's answer to the request made at `sent_at`, the time that was passed to `asks`."""
+        """Take a grantor's answer to the request made at `sent_at`, the time that was passed to `due_request`."""
         if grantor not in self._names:
             return
         self._newest_term = max(self._newest_term, reply.term)
@@ -104,7 +104,7 @@
         self._update_state(now)
 
     def name_successors(self, now: int, successors: Collection[str]) -> None:
-        """Name the set of successors from now on: the members whose copies are whole, in the order of takeover."""
+        """Name the set of successors from now on: the members whose replicas are whole, in the order of takeover."""
         named = (self.me, *(name for name in successors if name != self.me))
         if (
             self.state is not LeaseState.HELD
--- a/cedarwick/fleet/leases.py
+++ b/cedarwick/fleet/leases.py
@@ -9,11 +9,12 @@
 only when its promise to the first has run out. `CLOCK_DRIFT_DIVISOR` keeps this true where one clock is up to 5% slower
 than another.
 
-Why only a successor follows. A set of successors names the members (the holder first) whose copies are whole. Sets are
-numbered `term << 20 | n`, so those of a newer term are newer. A grantor stores the newest set that it has received, and
-grants a newer term to members of that set only. A holder may fire only once a majority knows a set of *its own* term:
-from then on members of older sets, who can't know its attempts, are refused by a majority. A set named by a holder that
-fired nothing binds nobody, so its predecessor's successors may still take over if it dies between grant and naming.
+Why only a successor follows. A set of successors names the members (the holder first) whose replicas are whole. Sets
+are numbered `term << 20 | n`, so those of a newer term are newer. A grantor stores the newest set that it has received,
+and grants a newer term to members of that set only. A holder may fire only once a majority knows a set of *its own*
+term: from then on members of older sets, who can't know its attempts, are refused by a majority. A set named by a
+holder that fired nothing binds nobody, so its predecessor's successors may still take over if it dies between grant and
+naming.
 
 What must survive a restart: the rows of a grantor's table are in its folder before the answer is sent (`dirty`). The
 own grantor is asked before any other one, so a restarted member knows each term it ever asked for and never asks again.
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -1,7 +1,7 @@
 """Carries out what the rules of `takeover.py` decide for each partition, from the lease request to its end.
 
-A part of the fleet node: it imports copies, serves partitions, offers what it knows to a newer holder and drops what is
-over. Times are microseconds of the boot clock unless a name ends in `_S` (seconds).
+A part of the fleet node: it imports replicas, serves partitions, offers what it knows to a newer holder and drops what
+is over. Times are microseconds of the boot clock unless a name ends in `_S` (seconds).
 """
 
 import gevent
@@ -136,7 +136,7 @@
             self._request_lease(adoption, ask, reply, now)
 
     def _expects_offer(self, now: int, holding: LeasedPartition) -> bool:
-        """Whether the previous holder of an adopted partition may still offer facts that no copy received."""
+        """Whether the previous holder of an adopted partition may still offer facts that no replica received."""
         if not holding.imported_from_term:
             return False
         # If the partition were closed before the offer is answered, the previous holder would end all of it itself.
@@ -148,7 +148,7 @@
 
     def _is_unwanted(self, now: int, partition: int, adoption: Takeover) -> bool:
         grant = self.grantor.grant(lease_of(partition))
-        # The grant known here may be old; a copy that the holder still counts on is written to all the time.
+        # The grant known here may be old; a replica that the holder still counts on is written to all the time.
         return (
             grant.set > 0
             and self.name not in grant.successors
@@ -277,7 +277,7 @@
         replica = self.replicas.replica(partition)
         closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(lease_of(partition)).closed
         if holding is not None and replica is not None and replica.position.term > holding.log.term and not closed:
-            self._follow_partition(partition)  # the newer holder counts on this copy by now
+            self._follow_partition(partition)  # the newer holder counts on this replica by now
             return
         self.replicas.drop(partition)
         self.silent_holder_keys.pop(partition, None)
--- a/cedarwick/fleet/peer_server.py
+++ b/cedarwick/fleet/peer_server.py
@@ -153,7 +153,7 @@
             read_body(request, sock)
             raise self._too_many_requests()
         peer_message = self._read_message(request, sock)
-        # Not these two: kept out by messages that wait for copies or frozen sessions, members' leases would run out.
+        # Not these two: kept out by messages that wait for replicas or frozen sessions, members' leases would run out.
         if overloaded and not isinstance(peer_message.body, Heartbeat | LeaseRequest):
             raise self._too_many_requests()
         return self._call_handler(peer_message)
--- a/cedarwick/fleet/placement.py
+++ b/cedarwick/fleet/placement.py
@@ -1,4 +1,4 @@
-"""Which members get copies of a partition: rendezvous hashing (Thaler and Ravishankar 1998), other halls first."""
+"""Which members get replicas of a partition: rendezvous hashing (Thaler and Ravishankar 1998), other halls first."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -11,11 +11,11 @@
 
 
 def replica_order(partition: int, holder: str, halls: Mapping[str, str], names: Iterable[str]) -> list[str]:
-    """Members in the order in which they are to have copies: those of other halls first.
+    """Members in the order in which they are to have replicas: those of other halls first.
 
     Also the order of successors.
     """
-    # Other halls first, so that one power cut does not take the messages and their copy.
+    # Other halls first, so that one power cut does not take the messages and their replica.
     home = halls.get(holder)
     return sorted(
         (name for name in names if name != holder and name in halls),
@@ -26,9 +26,9 @@
 def choose_replicas(
     partition: int, holder: str, halls: Mapping[str, str], alive: Collection[str], count: int
 ) -> list[str]:
-    """The members that are to have a copy of a partition which `holder` holds, `count` at most.
+    """The members that are to have a replica of a partition which `holder` holds, `count` at most.
 
-    `halls` has all members, `alive` those that may be chosen. A member that joins gets only copies for which it ranks
-    highest; when one leaves, only its copies move.
+    `halls` has all members, `alive` those that may be chosen. A member that joins gets only replicas for which it ranks
+    highest; when one leaves, only its replicas move.
     """
     return replica_order(partition, holder, halls, alive)[:count]
--- a/cedarwick/fleet/replica.py
+++ b/cedarwick/fleet/replica.py
@@ -1,8 +1,10 @@
-"""Replication of a partition, the copy's side: the holder's messages become steps that are written to a file. No I/O.
+"""Replication of a partition, the replica's side: the holder's messages become steps that are written to a file.
+
+No I/O.
 
 The protocol is described in `replication.py`. Each message makes a `ReplicaStep`; the caller writes its entry to the
-copy's file, then applies it with `Replica.take`, and only then answers. Reading the entries of the file again brings
-the copy to the same position.
+replica's file, then applies it with `Replica.apply`, and only then answers. Reading the entries of the file again
+brings the replica to the same position.
 """
 
 from bisect import bisect_right
@@ -38,7 +40,7 @@
 
 
 class ReplicaEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A step of a copy as stored in its file: facts to be joined, and the position after that."""
+    """A step of a replica as stored in its file: facts to be joined, and the position after that."""
 
     term: int
     next: int
@@ -50,7 +52,7 @@
 
 
 class ReplicaStep(NamedTuple):
-    """The result of a message: write `entry`, then `take` the step, then answer `have`. No entry: answer at once."""
+    """The result of a message: write `entry`, then `apply` the step, then answer `ack`. No entry: answer at once."""
 
     ack: ReplicaAck
     entry: ReplicaEntry | None = None
@@ -58,14 +60,14 @@
 
 
 class Replica:
-    """One copy of a partition; steps bring it forward."""
+    """One replica of a partition; steps bring it forward."""
 
     def __init__(self, partition: int) -> None:
         self.partition = partition
         self.position = ReplicaPosition(0, 0, 0)
         self.owed: dict[int, Fact] = {}  # what is owed, with bases
         self.owed_bytes = 0  # about the bytes of that
-        self.behind = False  # its holder has acknowledged to clients more than the copy has
+        self.behind = False  # its holder has acknowledged to clients more than the replica has
 
     @property
     def is_complete(self) -> bool:
@@ -113,7 +115,7 @@
         )
 
     def answer_digests(self, message: Digests) -> Digests:
-        """The copy's digests of the same ranges; no ranges if it is at another position."""
+        """The replica's digests of the same ranges; no ranges if it is at another position."""
         if (message.term, message.next) != self.position[:2]:
             return Digests(self.partition, self.position.term, (), self.position.next)
         numbers, made = sorted(self.owed), []
@@ -127,11 +129,11 @@
         return Digests(self.partition, self.position.term, tuple(made), self.position.next)
 
     def ack(self, problem: str = NO_PROBLEM) -> ReplicaAck:
-        """The answer to the holder: the position of the copy, and why a message was refused."""
+        """The answer to the holder: the position of the replica, and why a message was refused."""
         return ReplicaAck(self.partition, self.position.term, self.position.next, problem, self.position.covered)
 
     def apply(self, entry: ReplicaEntry, facts: Iterable[Fact]) -> None:
-        """Apply a step that is already in the copy's file."""
+        """Apply a step that is already in the replica's file."""
         if entry.upto > entry.after:
             listed = {fact.number for fact in facts}
             for number in [each for each in self.owed if entry.after < each <= entry.upto and each not in listed]:
--- a/cedarwick/fleet/replica_files.py
+++ b/cedarwick/fleet/replica_files.py
@@ -1,10 +1,10 @@
-"""The files of this member's copies: one for each partition, with the steps that brought its copy forward, in order.
+"""The files of this member's replicas: one for each partition, with the steps that brought its replica forward.
 
 A file has a header (version, partition, when it was made) and entries, each in a frame as in the store's files. Reading
-the entries again rebuilds the copy. A file of more than twice what is owed is compacted in small steps while entries go
-on coming: each step writes a part of what is owed now into a fresh file, each entry goes to both files, and at the end
-the fresh file takes the name. An append that returned outlives the process; with `durable`, `flush` also syncs it to
-disk. Sizes are bytes.
+the entries again rebuilds the replica. A file of more than twice what is owed is compacted in small steps while entries
+go on coming: each step writes a part of what is owed now into a fresh file, each entry goes to both files, and at the
+end the fresh file takes the name. An append that returned outlives the process; with `durable`, `flush` also syncs it
+to disk. Sizes are bytes.
 """
 
 import os
@@ -34,21 +34,21 @@
 
 
 class ReplicaRefusedError(CedarwickError):
-    """A copy for another member cannot be written."""
+    """A replica for another member cannot be written."""
 
     code = "CW722"
     remedy = "raise fleet.copies_mb or free the disk; until then the other member has one copy less"
 
 
 class ReplicaDamagedError(CedarwickError):
-    """The file of a copy is damaged; what can be read is kept and put in doubt, the rest is asked for anew."""
+    """The file of a replica is damaged; what can be read is kept and put in doubt, the rest is asked for anew."""
 
     code = "CW723"
     remedy = "look at the disk; the holder sends everything again, without it what is in doubt is answered by itself"
 
 
 class ReplicaVersionError(CedarwickError):
-    """The file of a copy was written by another version of the program and is put aside."""
+    """The file of a replica was written by another version of the program and is put aside."""
 
     code = "CW724"
     remedy = "delete the file that is named once its holder lives; before that the version that wrote it can read it"
@@ -76,7 +76,7 @@
 
 
 class ReplicaFile:
-    """One partition's copy and its file."""
+    """One partition's replica and its file."""
 
     def __init__(self, partition: int) -> None:
         self.name = f"{partition}.log"
@@ -92,7 +92,7 @@
 
 
 class ReplicaStore:
-    """All copies that this member keeps for others. One greenlet at a time calls it."""
+    """All replicas that this member keeps for others. One greenlet at a time calls it."""
 
     def __init__(self, folder: ReplicaFolder, limit: int, *, now: Callable[[], int], durable: bool = False) -> None:
         """`limit`: bytes of all files together; `now` returns wall clock microseconds."""
@@ -126,7 +126,7 @@
                     logger.error(ReplicaDamagedError(f"{name}: {error}").line)
 
     def replica(self, partition: int) -> Replica | None:
-        """The copy of a partition, for the member that adopts it; None if there is none."""
+        """The replica of a partition, for the member that adopts it; None if there is none."""
         copy = self.files.get(partition)
         return copy.replica if copy is not None else None
 
@@ -141,11 +141,11 @@
         return self._apply(copy, copy.replica.step_for_piece(message))
 
     def digests(self, message: Digests) -> Digests:
-        """The digests of a copy for the ranges in the message."""
+        """The digests of a replica for the ranges in the message."""
         return self._file_of(message.partition).replica.answer_digests(message)
 
     def drop(self, partition: int) -> None:
-        """Delete the copy of a partition and its file."""
+        """Delete the replica of a partition and its file."""
         self.refusing.discard(partition)
         copy = self.files.pop(partition, None)
         if copy is not None:
@@ -219,7 +219,7 @@
         return step.ack
 
     def _append(self, copy: ReplicaFile, frame: bytes) -> None:
-        """Write an entry to a copy's file, and to its fresh one.
+        """Write an entry to a replica's file, and to its fresh one.
 
         Raises `ReplicaRefusedError` or `OSError`; then it is in neither.
         """
@@ -319,7 +319,7 @@
     # ---- at the start ----
 
     def _load_file(self, partition: int) -> None:
-        """Rebuild a copy from its file."""
+        """Rebuild a replica from its file."""
         copy = ReplicaFile(partition)
         replica, end, made_at, damaged = copy.replica, 0, 0, False
         # Opened first, so that a file that cannot be opened raises instead of passing for an empty one.
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -39,7 +39,7 @@
 
 
 class NotReplicatedError(CedarwickError, OSError):
-    """No copy has taken a record in time."""
+    """No replica has taken a record in time."""
 
     code = "CW741"
     remedy = "look at the members that have the copies, and at the network to them; `fleet.alone` says what follows"
@@ -200,7 +200,7 @@
                         f"are not at {', '.join(sorted(self.successors_of(holding)))}"
                     )
             if not holding.alone_since and not holding.is_starving(monotonic_time()):
-                # Under load the copies are always a little behind when the node looks. Without this reset a partition
+                # Under load the replicas are always a little behind when the node looks. Without this reset a partition
                 # that starved once would be given up half a second later, with all its messages.
                 holding.starved_at = 0
             # The lease may have run out during the wait; who has adopted the partition meanwhile lacks these records.
@@ -273,11 +273,11 @@
         unacknowledged: Iterable[int] = (),
         ends_upto: int = 0,
     ) -> None:
-        """Store what a copy knew of a partition, under a new term. After `NoSpaceError` what fitted stays.
+        """Store what a replica knew of a partition, under a new term. After `NoSpaceError` what fitted stays.
 
         Args:
             holding: the partition, now held here.
-            facts: what the copy knew.
+            facts: what the replica knew.
             term: the new term of the lease.
             doubt_at: wall microseconds from which on updates may be missing; 0: none are.
             unsent: numbers only this member has, from an earlier term that it could not offer (see `unreplicated`).
@@ -297,7 +297,7 @@
             for fact in marked
         ]
         listed = {fact.number for fact in marked}
-        for number in self.numbers(holding.partition):  # held here before: what the copy lacks is over
+        for number in self.numbers(holding.partition):  # held here before: what the replica lacks is over
             if number in listed or number in unsent:
                 holding.ledger.record_message(self.messages[number], b"")
             elif number in unacknowledged:
--- a/cedarwick/fleet/replication.py
+++ b/cedarwick/fleet/replication.py
@@ -1,20 +1,20 @@
 """Replication of a partition, the holder's side: a log of facts and the progress of each follower. No I/O.
 
-A primary-copy log with terms (viewstamped replication, Liskov and Cowling 2012). The holder numbers each fact; a copy
-(`replica.py`) takes a term's facts in that order without a gap. A copy that is new to the term, or behind the window,
-is walked: it gets a full transfer of what is owed in pieces, ranges of message numbers in ascending order, while the
-tail of the log goes on. The position of a copy is (term, next index, covered number). It only grows while the copy's
-file lives:
+A primary-copy log with terms (viewstamped replication, Liskov and Cowling 2012). The holder numbers each fact; a
+replica (`replica.py`) takes a term's facts in that order without a gap. A replica that is new to the term, or behind
+the window, is walked: it gets a full transfer of what is owed in pieces, ranges of message numbers in ascending order,
+while the tail of the log goes on. The position of a replica is (term, next index, covered number). It only grows while
+the replica's file lives:
 
 - up to the covered number it has every message that is owed, at least as new as index `next`; above, only the tail;
-- a piece that begins at 0 begins a walk: the copy's index jumps to the piece's;
-- a piece that is older than the copy's position is refused ('gap'), as is one that leaves a hole;
-- in the middle of a walk a copy keeps all that it held before, except what its holder says is over.
-
-A piece is authoritative for its range only as of its index. A copy that is further on would, by taking it, bring back
-what has ended since and drop what the tail has brought since. So the holder sends no tail while a piece is out, and the
-copy refuses a piece that is older than its position. A piece that is newer does no harm: all that the copy holds is
-older, and the tail that is repeated ends as it ended before.
+- a piece that begins at 0 begins a walk: the replica's index jumps to the piece's;
+- a piece that is older than the replica's position is refused ('gap'), as is one that leaves a hole;
+- in the middle of a walk a replica keeps all that it held before, except what its holder says is over.
+
+A piece is authoritative for its range only as of its index. A replica that is further on would, by taking it, bring
+back what has ended since and drop what the tail has brought since. So the holder sends no tail while a piece is out,
+and the replica refuses a piece that is older than its position. A piece that is newer does no harm: all that the
+replica holds is older, and the tail that is repeated ends as it ended before.
 """
 
 from bisect import bisect_left, bisect_right, insort
@@ -32,7 +32,7 @@
 MAX_WINDOW_BYTES = 1 << 23  # of them
 MESSAGE_BYTES = 1 << 16  # of facts in one message; more only where a single one is larger
 MESSAGE_FACTS = 1024  # in one message
-MAX_UNACKED = 4  # messages of the tail that may be out to one copy
+MAX_UNACKED = 4  # messages of the tail that may be out to one replica
 ACK_TIMEOUT_US = 500_000  # until an unanswered message is given up
 COMPARE_RETRY_US = 1_000_000  # before a comparison that was not answered is sent again
 LIVE_BYTES_PER_PIECE_BYTE = 2  # bytes of live traffic that allow one byte of pieces
@@ -42,14 +42,14 @@
 RANGE_FACTS = 128  # facts in a range that is compared
 RANGES_PER_MESSAGE = 2  # ranges in one message
 MAX_DIFFERENCES = 64  # differences that are remembered from one comparison to the next
-MAX_RESENDS = 3  # pieces for one difference that stays the same: then the copy knows more, which a join keeps
+MAX_RESENDS = 3  # pieces for one difference that stays the same: then the replica knows more, which a join keeps
 NO_PROBLEM, GAP, OLD_TERM, CORRUPT, OTHER_VERSION, NO_ROOM = "", "gap", "term", "spoilt", "version", "no room"
-# By problem: until a copy that has refused a message is sent the next one.
+# By problem: until a replica that has refused a message is sent the next one.
 REFUSAL_PAUSE_US = {OLD_TERM: 100_000, CORRUPT: 100_000, OTHER_VERSION: 1_000_000, NO_ROOM: 1_000_000}
 
 
 class ReplicaPosition(NamedTuple):
-    """What a copy has; the larger one is the newer."""
+    """What a replica has; the larger one is the newer."""
 
     term: int
     next: int
@@ -85,7 +85,7 @@
         self.oldest = 0  # the index of the window's first
         self.window_bytes = 0  # of the window
         self.appended_bytes = 0  # bytes appended ever
-        self.behind = False  # nothing that is answered waits for a copy
+        self.behind = False  # nothing that is answered waits for a replica
         self.followers: dict[str, FollowerProgress] = {}
 
     @property
@@ -112,16 +112,16 @@
         return self.next - 1
 
     def follow(self, name: str, now: int) -> "FollowerProgress":
-        """Begin to send to a copy."""
+        """Begin to send to a replica."""
         self.followers[name] = FollowerProgress(self, now)
         return self.followers[name]
 
     def unfollow(self, name: str) -> None:
-        """Stop sending to a copy."""
+        """Stop sending to a replica."""
         self.followers.pop(name, None)
 
     def acked(self, successors: Iterable[str]) -> int:
-        """The index below which each of these copies has all facts in its file; -1: one lacks the start state."""
+        """The index below which each of these replicas has all facts in its file; -1: one lacks the start state."""
         found = [self.followers.get(name) for name in successors]
         return min(
             (each.acked if each is not None and each.has_start_state else -1 for each in found), default=self.next
@@ -182,7 +182,7 @@
 
 
 class RangeDifference(NamedTuple):
-    """A range in which the holder's and the copy's digests differ."""
+    """A range in which the holder's and the replica's digests differ."""
 
     ours: DigestRange
     theirs: DigestRange
@@ -190,7 +190,7 @@
 
 
 class ReplicaLag(NamedTuple):
-    """How far a copy is behind the log."""
+    """How far a replica is behind the log."""
 
     facts: int  # that it lacks
     age_us: int  # of the oldest of them
@@ -204,12 +204,12 @@
 
 
 class FollowerProgress:
-    """One copy as its holder sees it. Times are microseconds of any clock that never runs backwards."""
+    """One replica as its holder sees it. Times are microseconds of any clock that never runs backwards."""
 
     def __init__(self, log: ReplicationLog, now: int) -> None:
         self.log = log
         self.position = NO_POSITION
-        self.incarnation = -1  # the copy's incarnation
+        self.incarnation = -1  # the replica's incarnation
         self.problem = NO_PROBLEM  # of its last answer
         self.superseded = False  # it knows a newer term: the holder has lost the partition
         self.sent = 0  # the index that is sent next
@@ -218,7 +218,7 @@
         self.ranges_to_resend: deque[tuple[int, int]] = deque()  # ranges that differ
         self.differences: dict[tuple[int, int], RangeDifference] = {}  # by range
         self.ranges_resent = 0  # ranges sent again
-        self.pieces_taken = 0  # taken by the copy, walks and mends
+        self.pieces_taken = 0  # taken by the replica, walks and mends
         self.resume_at = 0
         self.piece_credit_bytes = float(MESSAGE_BYTES)  # bytes of pieces that may go out
         self.credit_updated = now, log.appended_bytes
@@ -277,7 +277,7 @@
         return self._compare(now)
 
     def receive_ack(self, now: int, message: ReplicaAck, incarnation: int) -> None:
-        """Note an answer of the copy; `incarnation`: the incarnation of its process."""
+        """Note an answer of the replica; `incarnation`: the incarnation of its process."""
         if incarnation < self.incarnation or message.partition != self.log.partition:
             return
         reported = ReplicaPosition(message.term, message.next, message.covered)
@@ -287,7 +287,7 @@
             self._rewind()
         elif reported > self.position:
             self.position = reported
-        # A copy ahead of this holder has facts of another holder, which this one could never send.
+        # A replica ahead of this holder has facts of another holder, which this one could never send.
         self.superseded |= reported[:2] > (self.log.term, self.log.next)
         self.problem = message.problem
         if self.position.term == self.log.term:
@@ -306,7 +306,7 @@
             self.pieces_taken += 1
 
     def receive_digests(self, now: int, message: Digests, incarnation: int) -> None:
-        """Compare the copy's digests with those sent; ranges that differ are sent again."""
+        """Compare the replica's digests with those sent; ranges that differ are sent again."""
         if incarnation > self.incarnation:
             self.forget_position()
         sent, self.compared_ranges = self.compared_ranges, ()
@@ -334,7 +334,7 @@
             self.differences = dict(list(self.differences.items())[-MAX_DIFFERENCES:])
 
     def forget_position(self) -> None:
-        """Forget the copy's position, since its process is a new one: it is asked for it."""
+        """Forget the replica's position, since its process is a new one: it is asked for it."""
         self.incarnation, self.position = -1, NO_POSITION
         self._rewind()
 
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -1,4 +1,4 @@
-"""Sends held partitions to their copies and names their successors; a part of the fleet node. Times: microseconds."""
+"""Sends held partitions to their replicas and names their successors; a part of the fleet node. Times: microseconds."""
 
 from collections.abc import Iterable
 
@@ -15,10 +15,10 @@
 
 
 class ReplicationPumps(MemberState):
-    """Runs a greenlet for each copy of each partition that is held here."""
+    """Runs a greenlet for each replica of each partition that is held here."""
 
     def _update_pumps(self, now: int, holding: LeasedPartition) -> None:
-        """Start a greenlet for each copy that is wanted or still a successor, and end the others."""
+        """Start a greenlet for each replica that is wanted or still a successor, and end the others."""
         successors = self.store.successors_of(holding)
         wanted = set(self._wanted_replicas(holding))
         for name in sorted(wanted | (successors & set(self.halls))):
@@ -28,11 +28,11 @@
                     self._pump, holding, holding.log.term, name, follower
                 )
         for name in set(holding.log.followers) - wanted - successors:
-            # The old copy stays until a majority knows a set of successors without it.
+            # The old replica stays until a majority knows a set of successors without it.
             holding.log.unfollow(name)
 
     def _pump(self, holding: LeasedPartition, term: int, name: str, follower: FollowerProgress) -> None:
-        """Send a copy what it lacks, until it is not followed any more."""
+        """Send a replica what it lacks, until it is not followed any more."""
         while holding.log.followers.get(name) is follower and name in self.halls:
             message = follower.next_message(monotonic_time())
             if message is None:
@@ -56,7 +56,7 @@
         self.store.replication_progress.set()
 
     def _wanted_replicas(self, holding: LeasedPartition) -> list[str]:
-        """The members that are to have copies of a partition."""
+        """The members that are to have replicas of a partition."""
         now = monotonic_time()
         able = [
             name
@@ -67,7 +67,7 @@
         return placement.choose_replicas(holding.partition, self.name, self.halls, able, self.settings.copies)
 
     def _complete_replicas(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
-        """Those of some members whose copies have all but a short tail."""
+        """Those of some members whose replicas have all but a short tail."""
         found = []
         for name in names:
             follower = holding.log.followers.get(name)
@@ -99,11 +99,11 @@
         holder.name_successors(now, placement.replica_order(holding.partition, self.name, self.halls, whole))
 
     def _joined_replicas(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
-        """Those of some whole copies that are successors, or may be named for ones.
+        """Those of some whole replicas that are successors, or may be named for ones.
 
-        A copy that was named while records are on their way to it could take over without them, attempts among them, if
-        this sender died at that moment. So new records wait for the copy first, and it is named once it has all earlier
-        ones.
+        A replica that was named while records are on their way to it could take over without them, attempts among them,
+        if this sender died at that moment. So new records wait for the replica first, and it is named once it has all
+        earlier ones.
         """
         bound, log = holding.adoption.holder.possible_successors, holding.log
         joining = {name: holding.joining.get(name, (log.next, now)) for name in whole if name not in bound}
@@ -121,13 +121,13 @@
         ]
 
     def _note_replication_timeout(self, holding: LeasedPartition) -> None:
-        """Note that a copy has not taken a record in time."""
+        """Note that a replica has not taken a record in time."""
         if not holding.starved_at:
             holding.starved_at = monotonic_time()
             self.counters.warning("a replica does not follow", f"partition {holding.partition}")
 
     def _replicas_are_trusted(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
-        """Whether copies have followed for long enough (`REPLICA_TRUST_US`) for a sender that goes on alone."""
+        """Whether replicas have followed for long enough (`REPLICA_TRUST_US`) for a sender that goes on alone."""
         if not whole:
             holding.alone_since = now
             return False
@@ -138,7 +138,7 @@
         if not self.store.by_copy:
             return True
         successors = self.store.successors_of(holding)
-        # Only named ones count: a copy that no majority knows as a successor would not be granted the partition.
+        # Only named ones count: a replica that no majority knows as a successor would not be granted the partition.
         if not successors or self.settings.alone == "busy" and not holding.adoption.holder.successors[1:]:
             if self.settings.alone == "own" and not holding.alone_since:
                 logger.warning("partition {}: goes on without a replica", holding.partition)
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -80,7 +80,7 @@
     def _replicate(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
         holding = self.store.holdings.get(body.partition)
         if holding is not None and holding.adoption.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
-            # A former holder that was paused must not count this member as its copy: the partition is held here.
+            # A former holder that was paused must not count this member as its replica: the partition is held here.
             if isinstance(body, Digests):
                 return Digests(body.partition, holding.adoption.holder.term, ())
             return ReplicaAck(body.partition, holding.adoption.holder.term, 0, OLD_TERM)
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -1,6 +1,6 @@
 """Takeover of a partition: by a successor of a lost holder, or by its owner at start. No I/O, no clock.
 
-Each member that has the partition's records, as holder or as copy, has one `Takeover` for it. At each turn the node
+Each member that has the partition's records, as holder or as replica, has one `Takeover` for it. At each turn the node
 calls `step` for what is to be done, sends what `holder.due_request` returns, and passes the answers to
 `holder.receive_reply`.
 
@@ -50,7 +50,7 @@
 
     NOTHING = "nothing"
     ASK = "ask"  # returned once, for the log: a new term is requested
-    IMPORT = "import"  # take the copy's facts into the own folder, then call `imported`
+    IMPORT = "import"  # take the replica's facts into the own folder, then call `imported`
     CLOSE = "close"  # returned once, for the log: nothing is owed, the lease is being closed
     OFFER = "offer"  # send what is known to `to`; once it has taken all, call `offered`
     DROP = "drop"  # the partition's records and this object
@@ -77,7 +77,7 @@
 class Takeover:
     """One partition at one member.
 
-    `term`: the newest in which this member has held it, by its files; 0 for a copy.
+    `term`: the newest in which this member has held it, by its files; 0 for a replica.
     `resume`: set at boot for a partition that this member held by its files, and for one that it opens.
     `open`: new messages are taken in it, so it is not closed while it is empty.
     """
@@ -98,7 +98,7 @@
         self._lease_lost_at = 0  # when the lease was lost or refused
 
     def imported(self, now: int, successors: Collection[str]) -> None:
-        """Note that the facts are stored here. `successors`: members with whole copies, in the order of takeover."""
+        """Note that the facts are stored here. `successors`: members with whole replicas, in the order of takeover."""
         self._imported = True
         self.holder.name_successors(now, successors)
 
@@ -183,7 +183,7 @@
             self._absent_holder = (holder, now)
         if self._resume and holder in ("", self.me):
             return True  # only this member was promised anything, in an earlier boot
-        # A copy that is no successor may lack attempts. Grantors refuse it, but its requests would use up terms.
+        # A replica that is no successor may lack attempts. Grantors refuse it, but its requests would use up terms.
         if self.me not in grant.successors:
             return grant.set == 0 and self._has_held and now >= max(promised, self._lease_lost_at + LEASE_SPAN_US)
         before = grant.successors[: grant.successors.index(self.me)]
