--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -71,7 +71,7 @@
         self.acceptor = Acceptor(monotonic_time(), table is None, table)
         self.unwritten: set[str] = set()  # moves with a vote of this member that is not on the disk
         self.stamp = node.incarnation  # of the next move
-        self.acceptor.learned(self.name, self.stamp)
+        self.acceptor.raise_floor(self.name, self.stamp)
         self.files.write_acceptor_table(self.acceptor.table())
         chance = random.Random(node.incarnation)
         self.moves = MigrationTable(
@@ -84,7 +84,7 @@
         self.planner = MigrationPlanner(node.halls[self.name])
         marks = self.files.read_marks()
         self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.messages}
-        self.store.marking = self.files.write_marks
+        self.store.write_move_marks = self.files.write_marks
         self.dispatcher: Dispatcher
         self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
         self.staged_before_adoption: set[str] = set()  # of these, staged in a partition that was adopted since
@@ -137,7 +137,7 @@
 
     def _copied(self, partitions: set[int]) -> bool:
         """Wait until every successor has all records of these partitions; False after `REPLICATION_TIMEOUT_US`."""
-        done, until = self.store.copied(partitions), monotonic_time() + REPLICATION_TIMEOUT_US
+        done, until = self.store.replication_check(partitions), monotonic_time() + REPLICATION_TIMEOUT_US
         while not done():
             if monotonic_time() > until:
                 return False
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -209,7 +209,7 @@
         if move is None or move.target_stage is not TargetStage.STAGED or move.written:
             return []
         move.written = True
-        asks = self._proposer(move).as_taker(now) if move.proposer is None else []
+        asks = self._proposer(move).begin_taker_round(now) if move.proposer is None else []
         return [MigrationStep(MigrationAction.STAGED, name, parts(name)[1]), *self._vote_requests(asks)]
 
     def activated(self, name: str, now: int) -> list[MigrationStep]:
@@ -228,7 +228,7 @@
         move = self.moves.get(ask.move)
         if move is None or move.proposer is None or move.value is not None:
             return []
-        asks = move.proposer.answered(ask.to, ask.ballot, ask.value, answer, now)
+        asks = move.proposer.receive_reply(ask.to, ask.ballot, ask.value, answer, now)
         if move.proposer.decided is None:
             return self._vote_requests(asks)
         value = move.proposer.decided
@@ -269,7 +269,7 @@
             steps = self._decided(move, value, now)
             return steps + (self._note_target_active(move, now) if move.target_stage is TargetStage.ACTIVE else [])
         if not at_source and parts(name)[2] == self.name and move.proposer is None:
-            return self._vote_requests(self._proposer(move).as_taker(now))
+            return self._vote_requests(self._proposer(move).begin_taker_round(now))
         return self._begin_settling(move, now)
 
     def side_lost(self, name: str, at_source: bool) -> None:
@@ -335,7 +335,7 @@
                 self._schedule_retry(move, now)
                 steps.append(MigrationStep(MigrationAction.ACTIVATE, move.name))
             elif move.proposer is not None:
-                steps += self._vote_requests(move.proposer.due(now))
+                steps += self._vote_requests(move.proposer.on_timer(now))
             elif move.source_stage is not None and now >= move.began_at + CALL_OFF_AFTER_US:
                 steps += self.call_off(move.name, now)
             elif move.source_stage is None:  # the target could not store it, or not at every successor
@@ -399,7 +399,7 @@
         return move.proposer
 
     def _begin_settling(self, move: Migration, now: int) -> list[MigrationStep]:
-        return self._vote_requests(self._proposer(move).settle(now)) if move.proposer is None else []
+        return self._vote_requests(self._proposer(move).begin_full_round(now)) if move.proposer is None else []
 
     def _decided(self, move: Migration, value: Value, now: int) -> list[MigrationStep]:
         """Note the decision and return the steps of each side, once."""
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -54,8 +54,8 @@
         """Store the staged messages, marked as inert, in the own folder and at every successor."""
         stage, _ = self.offers[name]
         stored = self.dispatcher.between(lambda: self._store_staged(name, stage)).get()
-        current = self.store.current
-        if stored and current is not None and self._copied({current.partition}):
+        open_partition = self.store.open_partition
+        if stored and open_partition is not None and self._copied({open_partition.partition}):
             self.carry_out(self.moves.written(name, monotonic_time()))
         else:
             self._answer(name, False)
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -90,7 +90,7 @@
     def _barred(self, move: str, key: int, now: int) -> bool:
         """Whether a vote for the target could give the session a second holder, beside a member that inherits it."""
         source = parts(move)[1]
-        known = move in self.acceptor.rows or self.node.members.state(now, source) is MemberStatus.ALIVE
+        known = move in self.acceptor.rows or self.node.members.status(now, source) is MemberStatus.ALIVE
         return self.directory.forbids_vote(key, source, now, known)
 
     def learned(self, source: str, stamp: int) -> None:
@@ -99,7 +99,7 @@
         Do not call it for a request that the source sent by itself: that may have been written before this boot.
         """
         if stamp and self.acceptor.lost and source not in self.acceptor.floors:
-            self.acceptor.learned(source, stamp)
+            self.acceptor.raise_floor(source, stamp)
             self._guarded(self.files.write_acceptor_table, self.acceptor.table())
 
     def _ask(self, ask: ProposerRequest) -> None:
@@ -120,7 +120,7 @@
             )
             orphan, now = self.orphaned_proposers.get(ask.move), monotonic_time()
             if orphan is not None:
-                self._request_orphan_votes(orphan.answered(ask.to, ask.ballot, ask.value, answer, now), now)
+                self._request_orphan_votes(orphan.receive_reply(ask.to, ask.ballot, ask.value, answer, now), now)
                 self._announce_orphan_decision(orphan)
             self.carry_out(self.moves.answered(ask, answer, now))
 
@@ -137,7 +137,7 @@
                     gevent.joinall([gevent.spawn(self._tell_one, each, step) for each in others if each != name])
             else:
                 gevent.spawn(self._tell_one, name, step)
-        row = self.acceptor.settled(step.move, step.value, monotonic_time())
+        row = self.acceptor.note_decision(step.move, step.value, monotonic_time())
         if row is not None:
             self._guarded(self.files.append_vote, row)
 
@@ -151,16 +151,16 @@
 
     def _settle_orphaned_moves(self, now: int) -> None:
         """Settle old undecided moves that this member has voted on: both sides may have lost their part."""
-        for name in self.acceptor.stale(now):
+        for name in self.acceptor.undecided(now):
             known = name in self.moves.moves or name in self.orphaned_proposers
             if not known and len(self.orphaned_proposers) < MAX_MOVES_OUT:
                 # Each proposer of this boot needs ballots of its own, hence a mark that no other one has.
                 self.moves.proposers += 1
                 mark = f"{self.moves.mark}.{self.moves.proposers}"
                 self.orphaned_proposers[name] = Proposer(name, mark, self.moves.voters, self.moves.wait)
-                self._request_orphan_votes(self.orphaned_proposers[name].settle(now), now)
+                self._request_orphan_votes(self.orphaned_proposers[name].begin_full_round(now), now)
         for orphan in list(self.orphaned_proposers.values()):
-            self._request_orphan_votes(orphan.due(now), now)
+            self._request_orphan_votes(orphan.on_timer(now), now)
 
     def _request_orphan_votes(self, asks: Iterable[ProposerRequest], now: int) -> None:
         """Put vote requests to this member's own acceptor at once, and to the others in greenlets of their own."""
@@ -170,7 +170,7 @@
             orphan = self.orphaned_proposers.get(ask.move)
             if orphan is not None and ask.to == self.name:
                 answer = self.vote(ask.move, ask.ballot, ask.value, self._key(ask.move))
-                todo.extend(orphan.answered(ask.to, ask.ballot, ask.value, answer, now))
+                todo.extend(orphan.receive_reply(ask.to, ask.ballot, ask.value, answer, now))
                 self._announce_orphan_decision(orphan)
             elif orphan is not None:
                 gevent.spawn(self._ask, ask)
--- a/cedarwick/fleet/pending_order_keys.py
+++ b/cedarwick/fleet/pending_order_keys.py
@@ -1,6 +1,6 @@
 """Exchange of the order keys with pending messages from before a failure: newer messages of them wait elsewhere.
 
-Called by `FleetNode.look`; the rules are in `order_key_hints.py`. Times are microseconds of the boot clock.
+Called by `FleetNode.check`; the rules are in `order_key_hints.py`. Times are microseconds of the boot clock.
 """
 
 from itertools import islice
@@ -9,7 +9,7 @@
 
 from cedarwick.fleet.held_partitions import HeldPartitions
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import right_of
+from cedarwick.fleet.leases import lease_of
 from cedarwick.fleet.limits import CALL_TIMEOUT_S, MAX_OWED_MESSAGES
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import OWING, PendingOrderKeys
@@ -61,15 +61,15 @@
 
     def _replica_order_keys(self, now: int, adoption: Takeover) -> frozenset[int]:
         """The keys with pending messages in a replica here; none unless its holder is silent."""
-        partition, grant = adoption.partition, self.grantor.grant(right_of(adoption.partition))
-        replica = self.copies.replica(partition)
+        partition, grant = adoption.partition, self.grantor.grant(lease_of(adoption.partition))
+        replica = self.replicas.replica(partition)
         # The own name is recorded from when this member asks for the partition until it has imported it.
-        alive = grant.holder != self.name and self._standing(now, grant.holder, adoption) is MemberStatus.ALIVE
+        alive = grant.holder != self.name and self._status_for(now, grant.holder, adoption) is MemberStatus.ALIVE
         if replica is None or partition in self.store.holdings or self.name not in grant.successors or alive:
             self.replica_order_keys.pop(partition, None)
             return frozenset()
         if partition not in self.replica_order_keys:  # once: a silent holder adds nothing
-            facts = [fact for fact in replica.held.values() if fact.base is not None and fact.base.turn]
+            facts = [fact for fact in replica.owed.values() if fact.base is not None and fact.base.turn]
             self.replica_order_keys[partition] = frozenset(
                 [
                     fact.base.turn
@@ -96,5 +96,5 @@
             ):
                 # An adopted partition counts whole: its keys rested here as a replica's, and would otherwise be sent no
                 # longer.
-                if holding is not self.store.current or stored.turn not in self.order_key_hints.elsewhere:
+                if holding is not self.store.open_partition or stored.turn not in self.order_key_hints.elsewhere:
                     holding.backlog[number] = stored.turn
--- a/cedarwick/fleet/placement.py
+++ b/cedarwick/fleet/placement.py
@@ -1,4 +1,4 @@
-"""Which members get copies of a partition: rendezvous hashing (Thaler and Ravishankar 1998), other halls first."""
+"""Which members get replicas of a partition: rendezvous hashing (Thaler and Ravishankar 1998), other halls first."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -10,12 +10,12 @@
     return xxhash.xxh3_64_intdigest(f"{partition}/{name}".encode())
 
 
-def order(partition: int, holder: str, halls: Mapping[str, str], names: Iterable[str]) -> list[str]:
-    """Members in the order in which they are to have copies: those of other halls first.
+def replica_order(partition: int, holder: str, halls: Mapping[str, str], names: Iterable[str]) -> list[str]:
+    """Members in the order in which they are to have replicas: those of other halls first.
 
     Also the order of successors.
     """
-    # Other halls first, so that one power cut does not take the messages and their copy.
+    # Other halls first, so that one power cut does not take the messages and their replica.
     home = halls.get(holder)
     return sorted(
         (name for name in names if name != holder and name in halls),
@@ -23,10 +23,12 @@
     )
 
 
-def copies(partition: int, holder: str, halls: Mapping[str, str], alive: Collection[str], count: int) -> list[str]:
-    """The members that are to have a copy of a partition which `holder` holds, `count` at most.
+def choose_replicas(
+    partition: int, holder: str, halls: Mapping[str, str], alive: Collection[str], count: int
+) -> list[str]:
+    """The members that are to have a replica of a partition which `holder` holds, `count` at most.
 
-    `halls` has all members, `alive` those that may be chosen. A member that joins gets only copies for which it ranks
-    highest; when one leaves, only its copies move.
+    `halls` has all members, `alive` those that may be chosen. A member that joins gets only replicas for which it ranks
+    highest; when one leaves, only its replicas move.
     """
-    return order(partition, holder, halls, alive)[:count]
+    return replica_order(partition, holder, halls, alive)[:count]
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -1,4 +1,4 @@
-"""Sends held partitions to their copies and names their successors; a part of the fleet node. Times: microseconds."""
+"""Sends held partitions to their replicas and names their successors; a part of the fleet node. Times: microseconds."""
 
 from collections.abc import Iterable
 
@@ -6,21 +6,21 @@
 from loguru import logger
 
 from cedarwick.fleet import placement
-from cedarwick.fleet.leased_partition import STARVED, LeasedPartition
-from cedarwick.fleet.limits import COPY_TRUST_US, MAX_LAG_FACTS, MAX_LAG_US, REPLICATE_PAUSE_S, REPLICATE_TIMEOUT_S
+from cedarwick.fleet.leased_partition import STARVED_US, LeasedPartition
+from cedarwick.fleet.limits import MAX_LAG_FACTS, MAX_LAG_US, REPLICA_TRUST_US, REPLICATE_PAUSE_S, REPLICATE_TIMEOUT_S
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
 from cedarwick.fleet.replicated_store import monotonic_time
-from cedarwick.fleet.replication import NO_ROOM, OTHER, FollowerProgress
+from cedarwick.fleet.replication import NO_ROOM, OTHER_VERSION, FollowerProgress
 
 
 class ReplicationPumps(MemberState):
-    """Runs a greenlet for each copy of each partition that is held here."""
+    """Runs a greenlet for each replica of each partition that is held here."""
 
-    def _ship(self, now: int, holding: LeasedPartition) -> None:
-        """Start a greenlet for each copy that is wanted or still a successor, and end the others."""
+    def _update_pumps(self, now: int, holding: LeasedPartition) -> None:
+        """Start a greenlet for each replica that is wanted or still a successor, and end the others."""
         successors = self.store.successors_of(holding)
-        wanted = set(self._wanted(holding))
+        wanted = set(self._wanted_replicas(holding))
         for name in sorted(wanted | (successors & set(self.halls))):
             if (holding.partition, name) not in self.pumps:
                 follower = holding.log.followers.get(name) or holding.log.follow(name, now)
@@ -28,18 +28,18 @@
                     self._pump, holding, holding.log.term, name, follower
                 )
         for name in set(holding.log.followers) - wanted - successors:
-            # The old copy stays until a majority knows a set of successors without it.
+            # The old replica stays until a majority knows a set of successors without it.
             holding.log.unfollow(name)
 
     def _pump(self, holding: LeasedPartition, term: int, name: str, follower: FollowerProgress) -> None:
-        """Send a copy what it lacks, until it is not followed any more."""
+        """Send a replica what it lacks, until it is not followed any more."""
         while holding.log.followers.get(name) is follower and name in self.halls:
-            message = follower.next(monotonic_time())
+            message = follower.next_message(monotonic_time())
             if message is None:
-                self.store.news.clear()
-                self.store.news.wait(0.05)
+                self.store.replication_progress.clear()
+                self.store.replication_progress.wait(0.05)
                 continue
-            holding.sent = max(holding.sent, follower.sent)
+            holding.sent_upto = max(holding.sent_upto, follower.sent)
             gevent.spawn(self._send, follower, name, message)
             gevent.sleep(0 if self.store.by_copy else REPLICATE_PAUSE_S)
         self.pumps.pop((holding.partition, name), None)
@@ -48,97 +48,105 @@
         answer = self._peer_message(name, message, REPLICATE_TIMEOUT_S)
         # The answer's own incarnation: a late answer of an earlier boot must not count for the files of the new one.
         if answer is not None and isinstance(answer.body, ReplicaAck):
-            if answer.body.problem in (NO_ROOM, OTHER):
-                self.full_at[name] = monotonic_time()
-            follower.have(monotonic_time(), answer.body, answer.incarnation)
+            if answer.body.problem in (NO_ROOM, OTHER_VERSION):
+                self.replica_refused_at[name] = monotonic_time()
+            follower.receive_ack(monotonic_time(), answer.body, answer.incarnation)
         elif answer is not None and isinstance(answer.body, Digests):
-            follower.digests(monotonic_time(), answer.body, answer.incarnation)
-        self.store.news.set()
+            follower.receive_digests(monotonic_time(), answer.body, answer.incarnation)
+        self.store.replication_progress.set()
 
-    def _wanted(self, holding: LeasedPartition) -> list[str]:
-        """The members that are to have copies of a partition."""
+    def _wanted_replicas(self, holding: LeasedPartition) -> list[str]:
+        """The members that are to have replicas of a partition."""
         now = monotonic_time()
-        able = [name for name in self.alive if now - self.full_at.get(name, -COPY_TRUST_US) >= COPY_TRUST_US]
+        able = [
+            name
+            for name in self.alive
+            if now - self.replica_refused_at.get(name, -REPLICA_TRUST_US) >= REPLICA_TRUST_US
+        ]
         able = able if len(able) > self.settings.copies else self.alive
-        return placement.copies(holding.partition, self.name, self.halls, able, self.settings.copies)
+        return placement.choose_replicas(holding.partition, self.name, self.halls, able, self.settings.copies)
 
-    def _whole(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
-        """Those of some members whose copies have all but a short tail."""
+    def _complete_replicas(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
+        """Those of some members whose replicas have all but a short tail."""
         found = []
         for name in names:
             follower = holding.log.followers.get(name)
-            if follower is not None and follower.whole:
-                missing, behind = follower.lag(now)
-                if self.store.by_copy or missing <= MAX_LAG_FACTS and behind <= MAX_LAG_US:
+            if follower is not None and follower.is_complete:
+                lag = follower.lag(now)
+                if self.store.by_copy or lag.facts <= MAX_LAG_FACTS and lag.age_us <= MAX_LAG_US:
                     found.append(name)
         return found
 
     def _name_successors(self, now: int, holding: LeasedPartition) -> None:
         holder = holding.adoption.holder
-        wanted = self._wanted(holding)
-        whole = self._whole(now, holding, wanted)
-        if holding.starving(now) and self.settings.alone == "own" and not self._back(now, holding, whole):
-            holder.name(now, ())
+        wanted = self._wanted_replicas(holding)
+        whole = self._complete_replicas(now, holding, wanted)
+        if (
+            holding.is_starving(now)
+            and self.settings.alone == "own"
+            and not self._replicas_are_trusted(now, holding, whole)
+        ):
+            holder.name_successors(now, ())
             holding.joining = {}
             return
         if self.store.by_copy:
-            whole = self._joined(now, holding, whole)
+            whole = self._joined_replicas(now, holding, whole)
         old = [name for name in holder.successors[1:] if name in holding.log.followers and name not in wanted]
         if len(whole) < len(wanted):
-            whole += [name for name in self._whole(now, holding, old) if name not in whole]
+            whole += [name for name in self._complete_replicas(now, holding, old) if name not in whole]
         if self.store.by_copy and not whole and holder.successors[1:] and self.settings.alone == "busy":
             return  # without a successor, acknowledged messages would be in one folder only
-        holder.name(now, placement.order(holding.partition, self.name, self.halls, whole))
+        holder.name_successors(now, placement.replica_order(holding.partition, self.name, self.halls, whole))
 
-    def _joined(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
-        """Those of some whole copies that are successors, or may be named for ones.
+    def _joined_replicas(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
+        """Those of some whole replicas that are successors, or may be named for ones.
 
-        A copy that was named while records are on their way to it could take over without them, attempts among them, if
-        this sender died at that moment. So new records wait for the copy first, and it is named once it has all earlier
-        ones.
+        A replica that was named while records are on their way to it could take over without them, attempts among them,
+        if this sender died at that moment. So new records wait for the replica first, and it is named once it has all
+        earlier ones.
         """
-        bound, log = holding.adoption.holder.bound, holding.log
+        bound, log = holding.adoption.holder.possible_successors, holding.log
         joining = {name: holding.joining.get(name, (log.next, now)) for name in whole if name not in bound}
         for name, (index, since) in joining.items():
-            if log.acked([name]) < index and now - since > STARVED:
-                self.full_at[name] = now  # it does not keep up: another one is asked
+            if log.acked([name]) < index and now - since > STARVED_US:
+                self.replica_refused_at[name] = now  # it does not keep up: another one is asked
         if joining.keys() - holding.joining.keys() and holding.alone_since:
-            logger.info("partition {}: copies follow again", holding.partition)
+            logger.info("partition {}: replicas follow again", holding.partition)
             holding.starved_at = holding.alone_since = 0
-        holding.joining = {name: each for name, each in joining.items() if self.full_at.get(name) != now}
+        holding.joining = {name: each for name, each in joining.items() if self.replica_refused_at.get(name) != now}
         return [
             name
             for name in whole
             if name in bound or name in holding.joining and log.acked([name]) >= holding.joining[name][0]
         ]
 
-    def _starved(self, holding: LeasedPartition) -> None:
-        """Note that a copy has not taken a record in time."""
+    def _note_replication_timeout(self, holding: LeasedPartition) -> None:
+        """Note that a replica has not taken a record in time."""
         if not holding.starved_at:
             holding.starved_at = monotonic_time()
-            self.counters.warning("a copy does not follow", f"partition {holding.partition}")
+            self.counters.warning("a replica does not follow", f"partition {holding.partition}")
 
-    def _back(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
-        """Whether copies have followed for long enough (`COPY_TRUST_US`) for a sender that goes on alone."""
+    def _replicas_are_trusted(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
+        """Whether replicas have followed for long enough (`REPLICA_TRUST_US`) for a sender that goes on alone."""
         if not whole:
             holding.alone_since = now
             return False
-        return now - holding.alone_since >= COPY_TRUST_US
+        return now - holding.alone_since >= REPLICA_TRUST_US
 
-    def _copied(self, now: int, holding: LeasedPartition) -> bool:
+    def _replicas_keep_up(self, now: int, holding: LeasedPartition) -> bool:
         """Under `ack = "copy"`: whether the successors keep up, or the setting `alone` allows to go on without."""
         if not self.store.by_copy:
             return True
         successors = self.store.successors_of(holding)
-        # Only named ones count: a copy that no majority knows as a successor would not be granted the partition.
+        # Only named ones count: a replica that no majority knows as a successor would not be granted the partition.
         if not successors or self.settings.alone == "busy" and not holding.adoption.holder.successors[1:]:
             if self.settings.alone == "own" and not holding.alone_since:
-                logger.warning("partition {}: goes on without a copy", holding.partition)
+                logger.warning("partition {}: goes on without a replica", holding.partition)
                 holding.alone_since = now
-                holding.starved_at = holding.starved_at or now - STARVED
+                holding.starved_at = holding.starved_at or now - STARVED_US
             return self.settings.alone == "own"
         if holding.starved_at and holding.log.acked(successors) >= holding.log.next:
-            if holding.alone_since or holding.starving(now):
-                logger.info("partition {}: copies follow again", holding.partition)
+            if holding.alone_since or holding.is_starving(now):
+                logger.info("partition {}: replicas follow again", holding.partition)
             holding.starved_at = holding.alone_since = 0
-        return not holding.starving(now)
+        return not holding.is_starving(now)
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import EPOCH_BITS, right_of
+from cedarwick.fleet.leases import EPOCH_BITS, lease_of
 from cedarwick.fleet.limits import ANSWER_AHEAD_US, US_PER_S
 from cedarwick.fleet.messages import (
     SessionInheritance,
@@ -60,13 +60,13 @@
     def _newest_partition(self, name: str) -> int:
         """The newest partition of a sender that is known here; 0: none."""
         slot = slot_of(name)
-        epoch = self.node.grantor.newest(slot)
+        epoch = self.node.grantor.newest_epoch(slot)
         return slot << EPOCH_BITS | epoch if epoch >= 0 else 0
 
     def _successor(self, name: str) -> str:
         """The member that holds the newest partition of a sender that is gone; empty if none is known."""
         partition = self._newest_partition(name)
-        grant = self.node.grantor.grant(right_of(partition))
+        grant = self.node.grantor.grant(lease_of(partition))
         return grant.holder if partition and grant.holder != name and not grant.closed else ""
 
     def _inherit(self, key: int) -> bool:
@@ -99,17 +99,17 @@
 
     def _answer_inheritance(self, request: ClaimRequest, partition: int, by: str, now: int) -> ClaimAnswer:
         holder = request.over[1]
-        grant = self.node.grantor.grant(right_of(partition))
+        grant = self.node.grantor.grant(lease_of(partition))
         holds = (
             partition == self._newest_partition(holder)
             and grant.holder == by
             and not grant.closed
             and not self.node.grantor.learning
         )
-        moved = self.migrations.acceptor.moved(request.key, holder, now - ID_RETENTION_US) or self.migrations.open_move(
-            request.key
-        )
-        return self.directory.answer_inheritance(request, by, holds, moved, now)
+        may_have_moved = self.migrations.acceptor.may_have_moved(
+            request.key, holder, now - ID_RETENTION_US
+        ) or self.migrations.open_move(request.key)
+        return self.directory.answer_inheritance(request, by, holds, may_have_moved, now)
 
     def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
         """Filter what the last holder of an adopted partition offers: messages of inherited sessions may not count."""
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -112,7 +112,7 @@
             raise InvalidMoveNameError(f"no value of a decision: {body.value!r}")
         if isinstance(body, AcceptRequest):
             return voted(body.move, self.vote(body.move, ballot_of(body.ballot), value, body.key))
-        row = self.acceptor.settled(body.move, value, now)
+        row = self.acceptor.note_decision(body.move, value, now)
         if row is not None:
             self._guarded(self.files.append_vote, row)
         self.carry_out(self.moves.settled(body.move, value, body.active, now))
@@ -201,7 +201,7 @@
             partition in self.store.holdings and self.store.holdings[partition].serving for partition in partitions
         ):
             return
-        if not at_source and not self.store.copied(partitions)():
+        if not at_source and not self.store.replication_check(partitions)():
             return
         logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
         self.carry_out(self.moves.marks_found(name, self.store.messages[numbers[0]].turn, at_source, now))
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -83,7 +83,7 @@
     def __init__(self, node: SessionHost) -> None:
         super().__init__(node)
         if self.store.by_copy:
-            node.copies.heard = self._copied
+            node.replicas.on_step = self._copied
 
     def attach(self, commands: ManagementCommands, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
         """Take clients' submissions and operators' `MOVE` commands; called before the first peer message."""
@@ -179,7 +179,7 @@
 
     def _expire_entries_of_dead_members(self, now: int) -> None:
         for name in self.node.halls:
-            if name == self.name or self.node.members.state(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
+            if name == self.name or self.node.members.status(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
                 self.abandoned_members.discard(name)
             elif name not in self.abandoned_members:
                 self.abandoned_members.add(name)
@@ -239,7 +239,7 @@
                 location.held,
                 MAX_SESSIONS,
                 not members.notes(now, name),
-                location.takes and members.state(now, name) is MemberStatus.ALIVE,
+                location.takes and members.status(now, name) is MemberStatus.ALIVE,
             )
             for name, location in self.locations_by_member.items()
             if name in halls
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -19,6 +19,7 @@
     SessionLocations,
 )
 from cedarwick.fleet.migration_planner import MigrationRequest
+from cedarwick.fleet.peer_client import Peers
 from cedarwick.fleet.ports import SessionHost
 from cedarwick.fleet.recent_ids import RecentIds
 from cedarwick.fleet.replicated_store import monotonic_time
@@ -30,7 +31,6 @@
     ClaimRequest,
     SessionDirectory,
 )
-from cedarwick.fleet.transport import Peers
 from cedarwick.net.client_listener import ClientListener
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.submission import Submission
@@ -87,7 +87,7 @@
         return ("here", "") if there == "pass" and key in self.directory.sessions else (there, to)
 
     def _is_alive(self, name: str) -> bool:
-        return name != self.name and self.node.members.state(monotonic_time(), name) is MemberStatus.ALIVE
+        return name != self.name and self.node.members.status(monotonic_time(), name) is MemberStatus.ALIVE
 
     def _wait_for_change(self, until: int) -> bool:
         """Wait until `until` for a change; returns whether there was one."""
@@ -99,7 +99,7 @@
 
     def _mark_unsure_after_takeover(self) -> None:
         """Called before each ruling: after a change of the open partition no held session is certain any more."""
-        current = self.store.current
+        current = self.store.open_partition
         if current is not None and current.partition != self.partition:
             if self.partition:
                 self.directory.mark_all_unsure()
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -121,7 +121,7 @@
             self.disk,
             now=clock.now,
             by_copy=day.table.ack == "copy",
-            within_us=round(day.table.ack_within_ms * 1000),
+            ack_timeout_us=round(day.table.ack_within_ms * 1000),
         )
         self.dispatcher = dispatcher = Dispatcher(assignment, clock, counters, self.store, cast(PollClock, clock))
         self.store.load()
@@ -194,7 +194,7 @@
         """Kill the process: none of its tasks goes on, and its files stay as they are."""
         self.running, self.owner.dead = False, True
         if self.node is not None:
-            self.node.copies.close()
+            self.node.replicas.close()
             self.store.close()
         self.node = None
 
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -17,8 +17,10 @@
 from cedarwick.fleet import limits
 from cedarwick.fleet.consensus import parts
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError
-from cedarwick.fleet.leased_partition import STARVED, LeasedPartition
-from cedarwick.fleet.leases import SPAN, UPTO, LeaseGrantor, right_of
+from cedarwick.fleet.lease_grantor import LeaseGrantor
+from cedarwick.fleet.lease_holder import KnownHolder
+from cedarwick.fleet.leased_partition import STARVED_US, LeasedPartition
+from cedarwick.fleet.leases import CLOSED_PREFIX, LEASE_SPAN_US, lease_of
 from cedarwick.fleet.member_state import MembershipChangeError
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
@@ -41,10 +43,10 @@
 )
 from cedarwick.fleet.messages import HeldLease as Right
 from cedarwick.fleet.node import FleetNode
-from cedarwick.fleet.order_key_hints import EVERY, LASTS
+from cedarwick.fleet.order_key_hints import HINT_LIFETIME_US, SEND_INTERVAL_US
 from cedarwick.fleet.replica import Replica
 from cedarwick.fleet.replicated_store import (
-    BLOCK,
+    NUMBERS_PER_RESERVATION,
     NotReplicatedError,
     ReplicatedStore,
     monotonic_time,
@@ -54,14 +56,14 @@
     CorruptFactsError,
     EndRank,
     Fact,
-    LifeSummary,
     MessageBase,
     MessageKnowledge,
+    TermAttempts,
     decode_facts,
     encode_facts,
     stored_message_of,
 )
-from cedarwick.fleet.takeover import NOTHING, Takeover, TakeoverStage
+from cedarwick.fleet.takeover import NO_STEP, Takeover, TakeoverStage
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.notifications import Notifier
@@ -118,20 +120,22 @@
     def holding(self, node: FleetNode, term: int = 1, granted: bool = True) -> LeasedPartition:
         """The member has held the partition; and holds it now, where a majority has granted it that term."""
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
-        holding = node._hold(PARTITION)
-        node.store.resume_own(holding, term)
+        holding = node._hold_partition(PARTITION)
+        node.store.resume_ledger(holding, term)
         node.store.begin_log(holding, term)
         holding.imported = True
         now = monotonic_time()
         adoption.holder.term = term - 1
-        adoption.holder.begin(now, Grant(right_of(PARTITION), 0, ""))
+        adoption.holder.request_next_term(now, Grant(lease_of(PARTITION), 0, ""))
         adoption.stage = TakeoverStage.HOLDING
         if granted:
             for _ in range(2):  # the second answer is that to the successors it names
                 for name in NAMES:
-                    adoption.holder.answered(now, now, name, LeaseReply(True, term, "a", (), adoption.holder.set))
-                adoption.holder.name(now, ())
-            self.assertTrue(adoption.holder.may_fire(now))
+                    adoption.holder.receive_reply(
+                        now, now, name, LeaseReply(True, term, "a", (), adoption.holder.newest_set)
+                    )
+                adoption.holder.name_successors(now, ())
+            self.assertTrue(adoption.holder.is_valid(now))
         return holding
 
     def test_what_the_newer_holder_has_copied_here_outlives_the_partition_that_is_given_up(self) -> None:
@@ -140,90 +144,90 @@
             holding = self.holding(node)
             holding.offered = True
             data = encode_facts([fact(1)])
-            node.copies.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
+            node.replicas.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
             if closed:
-                node.grantor.closed_elsewhere(GrantTable(False, (Grant(right_of(PARTITION), 2, "b", closed=True),)))
-            node._drop(PARTITION)
+                node.grantor.learn_closed(GrantTable(False, (Grant(lease_of(PARTITION), 2, "b", closed=True),)))
+            node._drop_partition(PARTITION)
             self.assertNotIn(PARTITION, node.store.holdings)
             self.assertEqual(
-                (node.copies.replica(PARTITION) is None, PARTITION in node.adoptions), (closed, not closed)
+                (node.replicas.replica(PARTITION) is None, PARTITION in node.adoptions), (closed, not closed)
             )
 
     def test_alone_a_member_asks_for_nothing(self) -> None:
         for few, stage in ((0, TakeoverStage.ASKING), (1, TakeoverStage.WAITING)):
             node = self.member()
             node.grantor = LeaseGrantor("a", NAMES, monotonic_time(), ())
-            node.few_since = few
+            node.no_majority_since = few
             adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
-            node._hold(PARTITION)
+            node._hold_partition(PARTITION)
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-                node._look_at(monotonic_time(), adoption)
+                node._step_takeover(monotonic_time(), adoption)
             self.assertEqual(adoption.stage, stage)
 
     def test_a_holder_that_says_it_fires_is_left_alone_and_one_that_forgot_the_partition_is_gone(self) -> None:
         node, now = self.member(), monotonic_time()
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
         with mock.patch.object(adoption, "step", wraps=adoption.step) as step:
-            node._heard("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
-            node._look_at(now, adoption)
-            self.assertGreaterEqual(step.call_args.args[2], now + SPAN)
-            self.assertEqual(adoption.holder.newer, (3, "b"))
+            node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
+            node._step_takeover(now, adoption)
+            self.assertGreaterEqual(step.call_args.args[2], now + LEASE_SPAN_US)
+            self.assertEqual(adoption.holder.newest_other, (3, "b"))
             adoption.holder.term = 5  # asked for in vain
-            node._heard("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
-            self.assertEqual(adoption.holder.newer, (5, "b"))
+            node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
+            self.assertEqual(adoption.holder.newest_other, (5, "b"))
             standing = step.call_args.args[3]
             self.assertIs(standing("b"), MemberStatus.ALIVE)
-            node._heard("b", 8, Heartbeat(False, {}))
+            node._receive_heartbeat("b", 8, Heartbeat(False, {}))
             self.assertIs(standing("b"), MemberStatus.ALIVE)  # it may yet ask for the partition
-            node._look_at(monotonic_time() + limits.REBORN_ASKS_US, adoption)
+            node._step_takeover(monotonic_time() + limits.RESTARTED_REQUESTS_US, adoption)
             self.assertIs(step.call_args.args[3]("b"), MemberStatus.DEAD)
 
     def test_who_was_started_again_may_ask_for_its_partition_however_long_it_has_held_it(self) -> None:
         node = self.member()
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
-        node.claimed[PARTITION] = "b", 1
+        node.presumed_holders[PARTITION] = "b", 1
         for boot, rights in ((7, (Right(PARTITION, 3),)), (8, ())):
-            node._heard("b", boot, Heartbeat(False, {}, rights))
+            node._receive_heartbeat("b", boot, Heartbeat(False, {}, rights))
         now = monotonic_time()
-        self.assertIs(node._standing(now, "b", adoption), MemberStatus.ALIVE)
-        self.assertIs(node._standing(now + limits.REBORN_ASKS_US, "b", adoption), MemberStatus.DEAD)
+        self.assertIs(node._status_for(now, "b", adoption), MemberStatus.ALIVE)
+        self.assertIs(node._status_for(now + limits.RESTARTED_REQUESTS_US, "b", adoption), MemberStatus.DEAD)
 
     def test_who_asked_in_vain_is_taken_for_the_holder_only_for_a_while(self) -> None:
         node = self.member()
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
-        adoption.holder.newer = 3, "b"  # as a grantor said that has granted it to b, alone
+        adoption.holder.newest_other = KnownHolder(3, "b")  # as a grantor said that has granted it to b, alone
         now = monotonic_time() + 1
-        with mock.patch.object(node.members, "state", return_value=MemberStatus.ALIVE):
+        with mock.patch.object(node.members, "status", return_value=MemberStatus.ALIVE):
             for after, name, stands in (
                 (0, "b", MemberStatus.ALIVE),
                 (limits.IDLE_HOLDER_US - 1, "b", MemberStatus.ALIVE),
                 (limits.IDLE_HOLDER_US, "b", MemberStatus.DEAD),
                 (limits.IDLE_HOLDER_US, "c", MemberStatus.ALIVE),
             ):
-                self.assertIs(node._standing(now + after, name, adoption), stands)
+                self.assertIs(node._status_for(now + after, name, adoption), stands)
 
     def test_who_leaves_or_fires_for_a_partition_no_more_is_waited_for_no_longer(self) -> None:
         node = self.member()
         node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
-        node._heard("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
-        node._heard("c", 7, Heartbeat(False, {}))
-        self.assertIn(PARTITION, node.served)
-        node._heard("b", 7, Heartbeat(True, {}))
-        self.assertNotIn(PARTITION, node.served)
+        node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
+        node._receive_heartbeat("c", 7, Heartbeat(False, {}))
+        self.assertIn(PARTITION, node.reported_serving)
+        node._receive_heartbeat("b", 7, Heartbeat(True, {}))
+        self.assertNotIn(PARTITION, node.reported_serving)
         self.holding(node).serving = True
-        self.assertEqual([right.partition for right in node._own_beat().rights], [PARTITION])
+        self.assertEqual([right.partition for right in node._own_heartbeat().leases], [PARTITION])
         node.leaving = True
-        self.assertEqual(node._own_beat().rights, ())
+        self.assertEqual(node._own_heartbeat().leases, ())
 
     def test_a_member_without_room_is_no_place_for_a_copy_while_there_is_another(self) -> None:
         node = self.member()
         holding, now = self.holding(node), monotonic_time()
         node.alive = list(NAMES)
-        first = node._wanted(holding)
-        node.full_at[first[0]] = now
-        self.assertNotEqual(node._wanted(holding), first)
+        first = node._wanted_replicas(holding)
+        node.replica_refused_at[first[0]] = now
+        self.assertNotEqual(node._wanted_replicas(holding), first)
         node.alive = ["a", first[0]]
-        self.assertEqual(node._wanted(holding), first)
+        self.assertEqual(node._wanted_replicas(holding), first)
 
     def test_partitions_that_are_opened_later_know_the_new_members(self) -> None:
         node = self.member()
@@ -251,8 +255,8 @@
             return set(node.halls)
 
         def ask(heard: str) -> None:
-            node._heard("b", 7, Heartbeat(False, dict.fromkeys(heard, 0)))
-            node._answer("b", 7, LeaseRequest(right_of(PARTITION), 1, "b", SPAN))
+            node._receive_heartbeat("b", 7, Heartbeat(False, dict.fromkeys(heard, 0)))
+            node._answer("b", 7, LeaseRequest(lease_of(PARTITION), 1, "b", LEASE_SPAN_US))
 
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c"})  # {a, b} and {c, d, e}: two majorities
@@ -267,10 +271,10 @@
             ask("acde")
             self.assertEqual(reload("a", "b", "c", "e"), {"a", "b", "c", "e"})
             self.assertEqual(reload("a", "b", "c"), {"a", "b", "c", "e"})
-            node._heard("b", 7, Heartbeat(True, dict.fromkeys("acde", 0)))  # it has ended
+            node._receive_heartbeat("b", 7, Heartbeat(True, dict.fromkeys("acde", 0)))  # it has ended
             self.assertEqual(reload("a", "b", "c"), {"a", "b", "c"})
             self.assertEqual(reload("a", "b", "c", "f"), {"a", "b", "c"})  # it may come back with five
-        node._heard("b", 8, Heartbeat(False, dict.fromkeys("acde", 0)))
+        node._receive_heartbeat("b", 8, Heartbeat(False, dict.fromkeys("acde", 0)))
         with self.assertRaises(MembershipChangeError):
             ask("ac")
 
@@ -278,30 +282,32 @@
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         first = slot_of("a") << 12
-        node._note(first, 1, ((first + 1) << 32) - BLOCK - 1)
+        node._record_lease(first, 1, ((first + 1) << 32) - NUMBERS_PER_RESERVATION - 1)
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node.start(mock.Mock())
-            node.look(monotonic_time())
-            assert node.store.current is not None
-            self.assertEqual(node.store.current.partition, first)
-            node.store.current.serving = True
-            node.store.current.adoption.holder.may_fire = lambda now: True  # type: ignore[method-assign]
+            node.check(monotonic_time())
+            assert node.store.open_partition is not None
+            self.assertEqual(node.store.open_partition.partition, first)
+            node.store.open_partition.serving = True
+            node.store.open_partition.adoption.holder.is_valid = lambda now: True  # type: ignore[method-assign]
             self.assertFalse(node.store.has_room(kept(1)))
-            node.look(monotonic_time())
-        self.assertEqual((node.store.current.partition, node.adoptions[first].open), (first + 1, False))
+            node.check(monotonic_time())
+        self.assertEqual(
+            (node.store.open_partition.partition, node.adoptions[first].takes_new_messages), (first + 1, False)
+        )
         self.assertEqual(node.store.next_number, (first + 1 << 32) + 1)
 
     def test_what_was_closed_while_a_member_was_away_leaves_its_table(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
-        rows = [Grant(right_of(PARTITION + index), 1, "b", closed=index > 0) for index in range(3)]
+        rows = [Grant(lease_of(PARTITION + index), 1, "b", closed=index > 0) for index in range(3)]
         node.grantor = LeaseGrantor("a", NAMES, 0, rows)  # the first was closed meanwhile
-        theirs = GrantTable(False, (Grant(f"{UPTO}{PARTITION >> 12}", 0, "", closed=True),))
+        theirs = GrantTable(False, (Grant(f"{CLOSED_PREFIX}{PARTITION >> 12}", 0, "", closed=True),))
         with mock.patch.object(node, "_call", return_value=theirs):
-            node._heard("b", 7, Heartbeat(False, {}))
-            node.look(monotonic_time())
+            node._receive_heartbeat("b", 7, Heartbeat(False, {}))
+            node.check(monotonic_time())
             gevent.sleep(0.01)
-        self.assertEqual([each.right for each in node.grantor.table().grants], [f"{UPTO}{PARTITION >> 12}"])
+        self.assertEqual([each.lease for each in node.grantor.table().grants], [f"{CLOSED_PREFIX}{PARTITION >> 12}"])
 
     def test_what_nobody_else_can_answer_is_answered_late(self) -> None:
         late, ours, others = [number(1)], True, False
@@ -320,12 +326,15 @@
             holding = self.holding(node, granted=granted is True)
             node.store.keep(kept(1, life=100_000))
             node.store.keep(kept(2))
-            holding.serving, holding.offered, holding.approached = serving, offered, offered
+            holding.serving, holding.offered, holding.offer_sent = serving, offered, offered
             if granted is None:
                 holding.adoption.stage = TakeoverStage.GONE
             elif isinstance(granted, str):
-                node._heard("c", 7, Heartbeat(False, {}))
-                holding.adoption.stage, holding.adoption.holder.newer = TakeoverStage.OFFERING, (2, granted)
+                node._receive_heartbeat("c", 7, Heartbeat(False, {}))
+                holding.adoption.stage, holding.adoption.holder.newest_other = (
+                    TakeoverStage.OFFERING,
+                    KnownHolder(2, granted),
+                )
             node._answer_late(monotonic_time(), few)
             self.assertEqual(node.dispatcher.answer_late.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
 
@@ -337,7 +346,7 @@
             node._answer_late(1_000_000_000 + after, few=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
         holding = node.store.holdings[PARTITION]
-        with mock.patch.object(holding.adoption.holder, "may_fire", return_value=True):
+        with mock.patch.object(holding.adoption.holder, "is_valid", return_value=True):
             node._answer_late(2_000_000_000, few=False)
         self.assertEqual(holding.unheld_since, 0)  # what follows is another loss
 
@@ -346,8 +355,8 @@
         for newer, calls in (((0, ""), 1), ((1, "a"), 1), ((2, "b"), 0), ((2, "A"), 0)):
             node = self.member()
             adoption = self.holding(node, granted=False).adoption
-            node.grantor.grant = lambda right: Grant(right, 2, "a")  # type: ignore[method-assign]
-            adoption.stage, adoption.holder.newer = TakeoverStage.ASKING, newer
+            node.grantor.grant = lambda lease: Grant(lease, 2, "a")  # type: ignore[method-assign]
+            adoption.stage, adoption.holder.newest_other = TakeoverStage.ASKING, KnownHolder(*newer)
             node.store.keep(kept(1, life=100_000))
             for after in (0, limits.NO_MAJORITY_UNHELD_US):
                 node._answer_late(1_000_000_000 + after, few=False)
@@ -360,13 +369,13 @@
         for index, life in ((1, 100_000), (2, 60_000_000), (3, 60_000_000)):
             Store.keep(node.store, replace(kept(index, life), number=index))
         Store.ended(node.store, 3, True, 0)
-        node.look(monotonic_time())
+        node.check(monotonic_time())
         dispatcher.answer_late.assert_called_once_with(
             [1, 3]
         )  # no majority grants a partition: one ends, one has its notice owed
         holding = self.holding(node)
-        holding.serving, node.store.current = True, holding
-        node.store.next_number, holding.reserved = number(1), number(9)
+        holding.serving, node.store.open_partition = True, holding
+        node.store.next_number, holding.reserved_upto = number(1), number(9)
         with mock.patch.object(node.store, "has_room", side_effect=[True, False, True]):
             for left in ([2, 3], [3]):
                 node._answer_late(monotonic_time(), few=False)
@@ -377,24 +386,24 @@
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
-        node._hold(PARTITION)
+        node._hold_partition(PARTITION)
         now = monotonic_time()
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-            node._look_at(now, adoption)
-            self.assertGreaterEqual(node.grantor.promised(right_of(PARTITION)), now + SPAN)
-            node._look_at(monotonic_time() + SPAN, adoption)
-        self.assertLess(node.grantor.promised(right_of(PARTITION)), now + SPAN)
+            node._step_takeover(now, adoption)
+            self.assertGreaterEqual(node.grantor.promised_until(lease_of(PARTITION)), now + LEASE_SPAN_US)
+            node._step_takeover(monotonic_time() + LEASE_SPAN_US, adoption)
+        self.assertLess(node.grantor.promised_until(lease_of(PARTITION)), now + LEASE_SPAN_US)
 
     def test_a_partition_that_finds_no_room_here_is_given_back_and_asked_for_again(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.log.term, holding.adoption._resume = 0, False
         with (
-            mock.patch.object(node.store, "resume_own", side_effect=NoSpaceError("full")),
+            mock.patch.object(node.store, "resume_ledger", side_effect=NoSpaceError("full")),
             mock.patch("cedarwick.fleet.node.gevent.spawn"),
         ):
-            node._import(monotonic_time(), holding.adoption)
-        node._look_at(monotonic_time(), holding.adoption)
+            node._import_partition(monotonic_time(), holding.adoption)
+        node._step_takeover(monotonic_time(), holding.adoption)
         self.assertIs(holding.adoption.stage, TakeoverStage.WAITING)
 
     def test_a_damaged_folder_leaves_its_partitions_to_the_successors_for_a_while_and_a_copy_is_no_partition(
@@ -405,10 +414,10 @@
         node.store.keep(kept(1))
         node.store.close()
         again = self.member(folder=node.store.folder.path)
-        again.copies.piece(
+        again.replicas.piece(
             ReplicatePiece(PARTITION + 1, 2, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([])))
         )
-        again.copies.close()
+        again.replicas.close()
         again.store.damaged = True
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             again.start(mock.Mock())
@@ -416,19 +425,19 @@
                 (set(again.store.holdings), set(again.adoptions)), ({PARTITION}, {PARTITION, PARTITION + 1})
             )
             again.grantor = LeaseGrantor("a", NAMES, 0, ())
-            now = again.begun_at + limits.DOUBTED_US
+            now = again.begun_at + limits.DAMAGED_FOLDER_US
             for at, asks in ((now - 1, False), (now, True)):
-                again._look_at(at, again.adoptions[PARTITION])
+                again._step_takeover(at, again.adoptions[PARTITION])
                 self.assertEqual(again.adoptions[PARTITION].stage is TakeoverStage.ASKING, asks)
 
     def test_no_second_attempt_goes_out_under_a_new_number_beside_the_first(self) -> None:
         node = self.member("own")
         holding = self.holding(node)
-        holding.serving, node.store.current = True, holding
+        holding.serving, node.store.open_partition = True, holding
         node.store.keep(kept(1))
         node.store.attempt(number(1), CLOCK.now(), 0)
-        with mock.patch.object(node, "_rekey") as rekey:
-            node._drop(PARTITION)
+        with mock.patch.object(node, "_renumber") as rekey:
+            node._drop_partition(PARTITION)
             rekey.assert_not_called()
             self.assertIn(PARTITION, node.adoptions)
 
@@ -437,15 +446,15 @@
         ways: tuple[Callable[[ReplicatedStore], object], ...] = (
             lambda store: None,
             lambda store: store.over(number(1)),  # its client had left
-            lambda store: store.forget(PARTITION),  # another sender has its partition
-            lambda store: store.offered(store.holdings[PARTITION], [done], 1),  # an earlier holder has ended it
+            lambda store: store.remove_partition(PARTITION),  # another sender has its partition
+            lambda store: store.merge_offer(store.holdings[PARTITION], [done], 1),  # an earlier holder has ended it
         )
         for gone in ways:
             for outcome, kind in ((Outcome.COMPLETED, "completed"), (Outcome.TIME_OUT, "outcome")):
                 node, seen = self.member(), mock.Mock()
                 self.holding(node)
                 store = node.store
-                store.seen = seen
+                store.on_event = seen
                 store.keep(kept(1))
                 store.attempt(number(1), CLOCK.now(), 0)
                 gone(store)
@@ -454,21 +463,21 @@
                     [(call.args[0], call.args[1].id) for call in seen.mock_calls],
                     [("taken", "id-1"), ("shot", "id-1"), (kind, "id-1")],
                 )
-                self.assertEqual(store.out, {})
+                self.assertEqual(store.in_flight, {})
 
     def test_what_only_this_member_has_is_never_forgotten_for_want_of_room_or_at_the_end(self) -> None:
         node = self.member("own")
         holding = self.holding(node)
-        holding.serving, node.store.current = True, holding
-        holding.adoption.holder.name(monotonic_time(), ())
+        holding.serving, node.store.open_partition = True, holding
+        holding.adoption.holder.name_successors(monotonic_time(), ())
         for index in (1, 2, 3):
             node.store.keep(kept(index))
         node.store.body = lambda number: b"" if number % 4 != 3 else self.fail_to_read()  # type: ignore[method-assign]
         opened = Takeover(PARTITION + 1, "a", NAMES, resume=True)
         node.adoptions[PARTITION + 1] = opened
-        fresh = node._hold(PARTITION + 1)
-        fresh.serving, opened.holder.may_fire = True, lambda now: True  # type: ignore[method-assign]
-        node.store.current, node.store.next_number, fresh.reserved = (
+        fresh = node._hold_partition(PARTITION + 1)
+        fresh.serving, opened.holder.is_valid = True, lambda now: True  # type: ignore[method-assign]
+        node.store.open_partition, node.store.next_number, fresh.reserved_upto = (
             fresh,
             (PARTITION + 1 << 32) + 1,
             (PARTITION + 1 << 32) + 99,
@@ -476,14 +485,14 @@
         keep = node.store.keep
         with mock.patch.object(node.store, "keep") as full:
             full.side_effect = lambda each: keep(each) if full.call_count == 1 else self.fail_to_write()
-            node._drop(PARTITION)
+            node._drop_partition(PARTITION)
         node.dispatcher.adopt.assert_called_once_with([(PARTITION + 1 << 32) + 1])  # type: ignore[attr-defined]
         self.assertEqual(node.store.numbers(PARTITION), [number(2), number(3)])
         node.leaving = True
-        node._drop(PARTITION)
+        node._drop_partition(PARTITION)
         self.assertEqual(node.store.numbers(PARTITION), [number(2), number(3)])
         node.leaving = False
-        node._drop(PARTITION)
+        node._drop_partition(PARTITION)
         self.assertNotIn(PARTITION, node.adoptions)
         ends = {each.id: each.end for each in node.store.messages.values()}
         self.assertEqual(ends, {"id-1": None, "id-2": None, "id-3": (False, 0)})  # the third could not be read
@@ -494,10 +503,10 @@
         node.store.keep(kept(1))
         node.store.body = lambda number: self.fail_to_read()  # type: ignore[method-assign]
         copy = Replica(PARTITION)
-        step = copy.piece(holding.log.piece(0, EVERYTHING))
+        step = copy.step_for_piece(holding.log.piece(0, EVERYTHING))
         assert step.entry is not None
-        copy.take(step.entry, step.facts)
-        for told in (copy.held[number(1)], *node.store.known_here(holding)):
+        copy.apply(step.entry, step.facts)
+        for told in (copy.owed[number(1)], *node.store.facts_to_offer(holding)):
             self.assertEqual((told.base is not None, told.known.end[0]), (True, EndRank.FAILED))
         self.assertEqual(holding.ledger.known[number(1)].end[0], EndRank.NONE)  # it may yet be read here
 
@@ -512,9 +521,9 @@
         node.ownership = mock.Mock(**{"step.return_value": None})
         for index, error in enumerate((OSError("full"), ValueError("spoilt"), None)):
             adoption = node.adoptions[PARTITION + index] = Takeover(PARTITION + index, "a", NAMES)
-            adoption.step = mock.Mock(side_effect=error, return_value=NOTHING)  # type: ignore[method-assign]
+            adoption.step = mock.Mock(side_effect=error, return_value=NO_STEP)  # type: ignore[method-assign]
         with mock.patch.object(node, "_answer_late") as late:
-            node.look(monotonic_time())
+            node.check(monotonic_time())
             late.assert_called_once()
         for adoption in node.adoptions.values():
             adoption.step.assert_called_once()  # type: ignore[attr-defined]
@@ -522,95 +531,100 @@
     def test_a_slow_disk_holds_up_only_the_answers_that_rest_on_it(self) -> None:
         node, go = self.member(), threading.Event()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
-        asks = [LeaseRequest(f"book:{partition}", 1, "b", SPAN) for partition in (1, 2)]
-        node._answer_ask(asks[0])
+        asks = [LeaseRequest(f"book:{partition}", 1, "b", LEASE_SPAN_US) for partition in (1, 2)]
+        node._answer_lease_request(asks[0])
         write = node.lasting.write_table
         with mock.patch.object(node.lasting, "write_table", side_effect=lambda table: go.wait(5) and write(table)):
-            out = [gevent.spawn(node._answer_ask, asks[1]) for _ in range(2)]
+            out = [gevent.spawn(node._answer_lease_request, asks[1]) for _ in range(2)]
             gevent.sleep(0.02)
-            self.assertTrue(node._answer_ask(asks[0]).granted)  # on the disk since before
+            self.assertTrue(node._answer_lease_request(asks[0]).granted)  # on the disk since before
             self.assertFalse(any(each.ready() for each in out))
             go.set()
             self.assertTrue(all(each.get(timeout=5).granted for each in out))
         table = node.lasting.table()
-        self.assertEqual([grant.right for grant in table.grants] if table else [], ["book:1", "book:2"])
+        self.assertEqual([grant.lease for grant in table.grants] if table else [], ["book:1", "book:2"])
 
     def test_a_message_that_was_overtaken_is_waited_for(self) -> None:
         node = self.member()
-        node.copies.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([]))))
+        node.replicas.piece(
+            ReplicatePiece(PARTITION, 1, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([])))
+        )
         parts = [encode_facts([fact(index)]) for index in (1, 2)]
         peer_messages = [ReplicateFacts(PARTITION, 1, place, part, digest_of(part)) for place, part in enumerate(parts)]
-        out = [gevent.spawn(node._copy, peer_message) for peer_message in reversed(peer_messages)]
+        out = [gevent.spawn(node._replicate, peer_message) for peer_message in reversed(peer_messages)]
         self.assertEqual(
             [each.get(timeout=2) for each in out],
             [ReplicaAck(PARTITION, 1, 2, "", EVERYTHING), ReplicaAck(PARTITION, 1, 1, "", EVERYTHING)],
         )
-        late = node._copy(ReplicateFacts(PARTITION, 1, 7, parts[0], digest_of(parts[0])))
+        late = node._replicate(ReplicateFacts(PARTITION, 1, 7, parts[0], digest_of(parts[0])))
         self.assertEqual(getattr(late, "problem", ""), GAP)  # not for ever
 
     def test_a_partition_that_starved_once_follows_again_by_one_round_in_time(self) -> None:
         node = self.member()
         holding, now = self.holding(node), monotonic_time()
-        node.store.starved = node._starved
+        node.store.on_replication_timeout = node._note_replication_timeout
         holder = holding.adoption.holder
-        holder.name(now, ["b"])
+        holder.name_successors(now, ["b"])
         for name in NAMES:
-            holder.answered(now, now, name, LeaseReply(True, 1, "a", (), holder.set))
+            holder.receive_reply(now, now, name, LeaseReply(True, 1, "a", (), holder.newest_set))
         holding.serving = True
         successor = holding.log.follow("b", now)
 
         def has(index: int) -> None:
-            successor.have(monotonic_time(), ReplicaAck(PARTITION, 1, index, "", EVERYTHING), 1)
+            successor.receive_ack(monotonic_time(), ReplicaAck(PARTITION, 1, index, "", EVERYTHING), 1)
 
         node.store.keep(kept(1))
-        with mock.patch.object(node.store, "within_us", 0), self.assertRaisesRegex(NotReplicatedError, "are not at b"):
+        with (
+            mock.patch.object(node.store, "ack_timeout_us", 0),
+            self.assertRaisesRegex(NotReplicatedError, "are not at b"),
+        ):
             node.store.flush()
         self.assertTrue(holding.starved_at)
         has(1)
         node.store.flush()
         node.store.keep(kept(2))  # under load something is always on its way
-        self.assertTrue(node._copied(monotonic_time() + STARVED, holding))
-        holding.starved_at = monotonic_time() - 2 * STARVED
+        self.assertTrue(node._replicas_keep_up(monotonic_time() + STARVED_US, holding))
+        holding.starved_at = monotonic_time() - 2 * STARVED_US
         with self.assertRaisesRegex(NotReplicatedError, "are not at b"):
             node.store.flush()
-        self.assertFalse(node._copied(monotonic_time(), holding))
+        self.assertFalse(node._replicas_keep_up(monotonic_time(), holding))
 
     def test_a_copy_counts_once_a_majority_knows_its_successor(self) -> None:
         node = self.member()
         holding = self.holding(node)
-        holding.adoption.holder.name(monotonic_time(), ["b"])
-        self.assertFalse(node._copied(monotonic_time(), holding))
+        holding.adoption.holder.name_successors(monotonic_time(), ["b"])
+        self.assertFalse(node._replicas_keep_up(monotonic_time(), holding))
 
     def test_a_copy_becomes_a_successor_once_it_has_all_that_came_before_it_was_waited_for(self) -> None:
         node = self.member()
         holding = self.holding(node)
-        holding.serving, node.store.current = True, holding
+        holding.serving, node.store.open_partition = True, holding
         node.alive = list(NAMES)
-        name, other = node._wanted(holding)[0], ({"b", "c"} - set(node._wanted(holding))).pop()
+        name, other = node._wanted_replicas(holding)[0], ({"b", "c"} - set(node._wanted_replicas(holding))).pop()
         follower = holding.log.follow(name, monotonic_time())
         for index in (1, 2, 3):
             node.store.keep(kept(index))
             if index == 2:
-                follower.place = ReplicaPosition(1, 1, EVERYTHING)  # whole, with a record on its way
+                follower.position = ReplicaPosition(1, 1, EVERYTHING)  # whole, with a record on its way
                 node._name_successors(monotonic_time(), holding)
             # Danger: named now, and granted the next term in a moment, it would know nothing of the second.
-            self.assertNotIn(name, holding.adoption.holder.bound)
+            self.assertNotIn(name, holding.adoption.holder.possible_successors)
             self.assertEqual(node.store.successors_of(holding), {name} if index > 1 else set())
-        follower.place = ReplicaPosition(1, 2, EVERYTHING)
+        follower.position = ReplicaPosition(1, 2, EVERYTHING)
         node._name_successors(monotonic_time(), holding)
-        self.assertIn(name, holding.adoption.holder.bound)  # the third waits for it already
+        self.assertIn(name, holding.adoption.holder.possible_successors)  # the third waits for it already
         node = self.member()
         holding = self.holding(node)
         node.alive = list(NAMES)
-        holding.log.follow(name, monotonic_time()).place = ReplicaPosition(1, 0, EVERYTHING)
+        holding.log.follow(name, monotonic_time()).position = ReplicaPosition(1, 0, EVERYTHING)
         node.store.keep(kept(1))
         now = monotonic_time()
         node._name_successors(now, holding)
         self.assertEqual(node.store.successors_of(holding), {name})
-        node._name_successors(now + STARVED + 1, holding)
+        node._name_successors(now + STARVED_US + 1, holding)
         self.assertEqual(node.store.successors_of(holding), set())  # it does not keep up
-        node.full_at = {each: monotonic_time() for each in node.full_at}
-        self.assertEqual(node._wanted(holding), [other])
+        node.replica_refused_at = {each: monotonic_time() for each in node.replica_refused_at}
+        self.assertEqual(node._wanted_replicas(holding), [other])
         holding.joining[name] = 7, now
         node.store.begin_log(holding, 2)
         self.assertEqual(holding.joining, {})
@@ -621,11 +635,11 @@
         node.store.keep(kept(1))
         node.store.close()
         again = self.member("own", node.store.folder.path)
-        again._note(PARTITION, 1, 0)
+        again._record_lease(PARTITION, 1, 0)
         adoption = again.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
         adoption.stage = TakeoverStage.OFFERING
-        holding = again._hold(PARTITION)
-        self.assertEqual(again.store.only_here(holding), ([], [number(1)]))
+        holding = again._hold_partition(PARTITION)
+        self.assertEqual(again.store.unreplicated(holding), ([], [number(1)]))
         offers: list[Any] = []
 
         def call(name: str, body: Body, within_s: float) -> Body:
@@ -633,24 +647,24 @@
             return OfferReply(PARTITION, 0)
 
         with mock.patch.object(again, "_call", call):
-            again._offer(adoption, "b")
+            again._send_offer(adoption, "b")
         offer: TakeoverOffer = offers[0]
         self.assertEqual([each.number for each in decode_facts(offer.facts)], [number(1)])
         self.assertEqual((offer.term, adoption.stage), (1, TakeoverStage.GONE))
 
     def test_a_copy_that_followed_behind_is_in_doubt_since_the_last_attempt_it_heard_of(self) -> None:
-        attempt = Fact(number(1), fact(1).base, MessageKnowledge({1: LifeSummary(1, True, 77, 0)}))
+        attempt = Fact(number(1), fact(1).base, MessageKnowledge({1: TermAttempts(1, True, 77, 0)}))
         for ack, behind, doubt in (("own", True, 77), ("copy", True, 77), ("own", False, 77), ("copy", False, 0)):
             node = self.member(ack)
             adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
             data, tail = encode_facts([attempt]), encode_facts([fact(2)])
-            node.copies.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, data, 0, digest_of(data), behind))
-            node.copies.facts(ReplicateFacts(PARTITION, 1, 0, tail, digest_of(tail)))
-            node.copies.close()
-            node.copies.load()  # the file tells it as well
+            node.replicas.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, data, 0, digest_of(data), behind))
+            node.replicas.facts(ReplicateFacts(PARTITION, 1, 0, tail, digest_of(tail)))
+            node.replicas.close()
+            node.replicas.load()  # the file tells it as well
             adoption.holder.term = 2
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-                node._import(monotonic_time(), adoption)
+                node._import_partition(monotonic_time(), adoption)
             self.assertEqual([node.store.messages[number(index)].doubt_at for index in (1, 2)], [doubt, doubt])
             self.assertEqual(node.store.holdings[PARTITION].log.piece(0, EVERYTHING).behind, ack == "own")
 
@@ -670,11 +684,11 @@
                 if each.base
             ]
         )
-        node.copies.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
-        node._follow(PARTITION)
-        node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(PARTITION), 2, "b", ("b", "a"), 1),))
+        node.replicas.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
+        node._follow_partition(PARTITION)
+        node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_of(PARTITION), 2, "b", ("b", "a"), 1),))
         with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawn:
-            with mock.patch.object(node, "_standing", return_value=MemberStatus.ALIVE):
+            with mock.patch.object(node, "_status_for", return_value=MemberStatus.ALIVE):
                 node._exchange_pending_order_keys(now)
             self.assertEqual((spawn.call_args, node.order_key_hints.elsewhere), (None, frozenset()))
             node._exchange_pending_order_keys(
@@ -682,13 +696,13 @@
             )  # b is silent: what a copy here says is owed is told, and rests here, too
             self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", PendingOrderKeys((8,)))])
             node.dispatcher.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
-            node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(PARTITION), 3, "a", ("b", "a"), 1),))
+            node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_of(PARTITION), 3, "a", ("b", "a"), 1),))
             node._exchange_pending_order_keys(
                 now
             )  # this member has asked for the partition, and has not taken it in yet
             self.assertEqual(node.order_key_hints.elsewhere, {8})
             self.assertIsInstance(node._answer("c", 1, PendingOrderKeys((5, 6))), Acknowledged)
-            node.copies.drop(PARTITION)
+            node.replicas.drop(PARTITION)
             node.adoptions.clear()
             node._exchange_pending_order_keys(now)
             self.assertEqual(node.order_key_hints.elsewhere, {5, 6})
@@ -700,7 +714,7 @@
                 (holding, {7}),
                 (None, {5, 7}),
             ):  # in the open partition 5 waits for c by itself
-                node.store.current = open_partition
+                node.store.open_partition = open_partition
                 node._record_backlog(holding)
                 node._exchange_pending_order_keys(now)
                 self.assertEqual(node.order_key_hints.sent_keys, told)
@@ -709,9 +723,9 @@
             node._exchange_pending_order_keys(now)
             self.assertEqual(node.order_key_hints.elsewhere, {6})
             holding.ledger.known.clear()
-            node._exchange_pending_order_keys(now + EVERY)
+            node._exchange_pending_order_keys(now + SEND_INTERVAL_US)
             self.assertEqual(spawn.call_args.args[1:3], ("c", PendingOrderKeys()))
-            node._exchange_pending_order_keys(now + LASTS + SPAN)
+            node._exchange_pending_order_keys(now + HINT_LIFETIME_US + LEASE_SPAN_US)
             self.assertEqual(node.dispatcher.rest.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
 
     def test_an_offer_that_finds_room_for_a_part_is_taken_whole_when_it_comes_again(self) -> None:
@@ -729,7 +743,7 @@
                 keep(store, each)
 
             with mock.patch.object(Store, "keep", kept_if):
-                problems.append(node._offered("b", TakeoverOffer(PARTITION, 0, True, data, digest_of(data), 1)))
+                problems.append(node._answer_offer("b", TakeoverOffer(PARTITION, 0, True, data, digest_of(data), 1)))
         self.assertEqual(problems, [OfferReply(PARTITION, 0, "full"), OfferReply(PARTITION, 0)])
         self.assertEqual(dispatcher.adopt.mock_calls, [mock.call([number(1)]), mock.call([number(2), number(3)])])
         self.assertEqual(sorted(node.store.messages), sorted(holding.ledger.known))
@@ -737,23 +751,23 @@
     def test_an_owner_that_comes_back_after_others_waits_for_what_they_may_offer(self) -> None:
         for term, from_term in ((2, 0), (3, 1)):
             node = self.member()
-            node._note(PARTITION, 1, 0)
+            node._record_lease(PARTITION, 1, 0)
             adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
             adoption.holder.term = term
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-                node._import(monotonic_time(), adoption)
-            self.assertEqual(node.store.holdings[PARTITION].from_term, from_term)
+                node._import_partition(monotonic_time(), adoption)
+            self.assertEqual(node.store.holdings[PARTITION].imported_from_term, from_term)
 
     def test_an_adopted_partition_is_kept_for_what_its_last_holder_may_offer(self) -> None:
         for from_term, waits in ((1, True), (0, False)):
             node = self.member()
             holding = self.holding(node)
-            holding.from_term = from_term
+            holding.imported_from_term = from_term
             now = monotonic_time()
             self.assertEqual(node._expects_offer(now, holding), waits)
             self.assertFalse(node._expects_offer(now + limits.OFFER_EXPECTED_US, holding))
             empty = encode_facts([])
-            node._offered("b", TakeoverOffer(PARTITION, 0, True, empty, digest_of(empty), 1))
+            node._answer_offer("b", TakeoverOffer(PARTITION, 0, True, empty, digest_of(empty), 1))
             self.assertEqual(node._expects_offer(now, holding), waits)  # it may not have the answer yet
             self.assertFalse(node._expects_offer(now + 4_000_000, holding))
 
@@ -766,7 +780,7 @@
             super(ReplicatedStore, store).keep(kept(index))
         soon = CLOCK.now() + 300_000
         moving = msgspec.structs.replace(fact(6, life=0), known=MessageKnowledge(move=(1, "<1/a/b")))
-        store.take_in(holding, [fact(1), fact(2, life=0), moving], 2, 0, [number(3)], [number(4)], soon)
+        store.import_replica(holding, [fact(1), fact(2, life=0), moving], 2, 0, [number(3)], [number(4)], soon)
         ends = {index: store.messages[number(index)].end for index in range(1, 7) if number(index) in store.messages}
         self.assertEqual(ends, {1: None, 2: (False, 0), 3: None, 4: (False, 0), 6: None})  # it is on the move
         self.assertEqual(holding.ledger.known[number(4)].end[0], EndRank.FAILED)
@@ -775,20 +789,20 @@
 class Tables(unittest.TestCase):
     def test_what_is_learned_counts_as_promised_for_a_span(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, None)
-        right = right_of(PARTITION)
+        right = lease_of(PARTITION)
         rows = (Grant(right, 3, "b", ("b", "a"), 3 << 20 | 1),)
         for name in ("b", "c"):
-            grantor.learned(SPAN, name, GrantTable(False, rows))
-        self.assertEqual((grantor.learning, grantor.promised(right)), (False, 2 * SPAN))
+            grantor.learn_from(LEASE_SPAN_US, name, GrantTable(False, rows))
+        self.assertEqual((grantor.learning, grantor.promised_until(right)), (False, 2 * LEASE_SPAN_US))
 
     def test_only_closed_rows_of_another_table_are_taken_over(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, ())
-        other = right_of(PARTITION + 2)
-        grantor.closed_elsewhere(
-            GrantTable(False, (Grant(right_of(PARTITION + 1), 2, "b", closed=True), Grant(other, 2, "b")))
+        other = lease_of(PARTITION + 2)
+        grantor.learn_closed(
+            GrantTable(False, (Grant(lease_of(PARTITION + 1), 2, "b", closed=True), Grant(other, 2, "b")))
         )
         self.assertEqual(
-            (grantor.grant(right_of(PARTITION + 1)).closed, grantor.grant(other).term, grantor.dirty), (True, 0, True)
+            (grantor.grant(lease_of(PARTITION + 1)).closed, grantor.grant(other).term, grantor.dirty), (True, 0, True)
         )
 
 
--- a/tests/fleet/test_session_inheritance.py
+++ b/tests/fleet/test_session_inheritance.py
@@ -12,7 +12,7 @@
 from cedarwick.fleet.recent_ids import UNKNOWN_HASH, RecentIds, hash_of
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication import EVERYTHING
-from cedarwick.fleet.replication_facts import EndRank, Fact, LifeSummary, MessageBase, MessageKnowledge
+from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, MessageKnowledge, TermAttempts
 from cedarwick.fleet.sessions import (
     ENTRY_TTL_US,
     ID_RETENTION_US,
@@ -236,8 +236,11 @@
         """As `SessionInheritances._answer_inheritance`."""
         holder = asking.over[1]
         holds = member.newest[holder] == partition and member.holders.get((holder, partition)) == by
-        moved = member.acceptor.moved(KEY, holder, self.now - ID_RETENTION_US) or member.frozen + member.staged != ""
-        return member.directory.answer_inheritance(asking, by, holds, moved, self.now)
+        may_have_moved = (
+            member.acceptor.may_have_moved(KEY, holder, self.now - ID_RETENTION_US)
+            or member.frozen + member.staged != ""
+        )
+        return member.directory.answer_inheritance(asking, by, holds, may_have_moved, self.now)
 
     def submit(self, one: Member, two: Member) -> None:
         """A client of `one`, which passes to `two` alone."""
@@ -324,11 +327,11 @@
         recent_ids.record(
             *self.step(5, Fact(1, self.BASE, MessageKnowledge()), Fact(2, second, MessageKnowledge())), 10
         )
-        recent_ids.record(*self.step(7, Fact(1, None, MessageKnowledge({1: LifeSummary(1, False, 5, 0)}))), 20)
+        recent_ids.record(*self.step(7, Fact(1, None, MessageKnowledge({1: TermAttempts(1, False, 5, 0)}))), 20)
         recent_ids.record(
             *self.step(
                 8,
-                Fact(1, None, MessageKnowledge({1: LifeSummary(1, True, 5, 0)}, end=(EndRank.COMPLETED, 0))),
+                Fact(1, None, MessageKnowledge({1: TermAttempts(1, True, 5, 0)}, end=(EndRank.COMPLETED, 0))),
                 Fact(2, None, MessageKnowledge(end=(EndRank.NOTIFIED, 0))),
             ),
             30,
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -13,10 +13,11 @@
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import Outcome
 from cedarwick.fleet import migration_source
-from cedarwick.fleet.consensus import OLD, Acceptor, AcceptorTable, InstanceState, name_move
+from cedarwick.fleet.consensus import UNDECIDED_LIMIT_US, Acceptor, AcceptorTable, InstanceState, name_move
+from cedarwick.fleet.fact_ledger import FactLedger
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import right_of
+from cedarwick.fleet.leases import lease_of
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Body, ForwardReply, Grant, RecallForward, StageReply, StageSession, slot_of
 from cedarwick.fleet.node import FleetNode
@@ -24,7 +25,7 @@
 from cedarwick.fleet.replica import ReplicaEntry as Step
 from cedarwick.fleet.replicated_store import ReplicatedStore, monotonic_time
 from cedarwick.fleet.replication import EVERYTHING
-from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, MessageKnowledge, base_of
+from cedarwick.fleet.replication_facts import EndRank, Fact, MessageKnowledge, base_of
 from cedarwick.fleet.session_files import SessionFiles
 from cedarwick.fleet.session_inheritance import INHERITANCE_LEVEL
 from cedarwick.fleet.session_routing import SessionRouter
@@ -106,14 +107,16 @@
         self.nodes[name] = node
         self.addCleanup(store.close)
         self.addCleanup(node.stop)
-        node.members.state = lambda now, name: MemberStatus.ALIVE  # type: ignore[method-assign]
+        node.members.status = lambda now, name: MemberStatus.ALIVE  # type: ignore[method-assign]
         partition = slot_of(name) << 12
-        adoption: Any = SimpleNamespace(me=name, holder=SimpleNamespace(bound=frozenset(), may_fire=lambda now: True))
-        holding = store.holdings[partition] = store.current = LeasedPartition(partition, adoption)
+        adoption: Any = SimpleNamespace(
+            me=name, holder=SimpleNamespace(possible_successors=frozenset(), is_valid=lambda now: True)
+        )
+        holding = store.holdings[partition] = store.open_partition = LeasedPartition(partition, adoption)
         holding.ledger = FactLedger(0)
-        store.resume_own(holding, 1)
+        store.resume_ledger(holding, 1)
         store.begin_log(holding, 1)
-        holding.serving, holding.reserved = True, (partition + 1) << 32
+        holding.serving, holding.reserved_upto = True, (partition + 1) << 32
         store.next_number = max([partition << 32, *store.numbers(partition)]) + 1
         assert node.traffic is not None
         made = node.traffic
@@ -206,7 +209,7 @@
         self.assertEqual(a.dispatcher.submitted, 2)  # type: ignore[attr-defined]
         self.lose = lambda to, body: "answer" if to == "a" else ""
         self.assertEqual(c.hand_in(message("3"))[0], AdmissionResult.UNSURE)
-        c.node.members.state = lambda now, name: MemberStatus.DEAD  # type: ignore[method-assign]
+        c.node.members.status = lambda now, name: MemberStatus.DEAD  # type: ignore[method-assign]
         self.assertEqual(c.hand_in(message("4"))[0], AdmissionResult.BUSY)
 
     def test_a_client_gone_before_its_answer_is_withdrawn_at_the_holder(self) -> None:
@@ -332,12 +335,12 @@
         self.lose = lambda to, body: "ask" if to == "a" else ""
         for each in (b, c):
             each.node.gate.levels["a"] = level
-            each.node.members.state = lambda now, name: (  # type: ignore[method-assign]
+            each.node.members.status = lambda now, name: (  # type: ignore[method-assign]
                 MemberStatus.DEAD if name == "a" else MemberStatus.ALIVE
             )
             each.node.grantor.learning = False
-            each.node.grantor._grants[right_of(partition)] = Grant(right_of(partition), 2, "c")
-        holder = SimpleNamespace(bound=frozenset(), may_fire=lambda now: True)
+            each.node.grantor._grants[lease_of(partition)] = Grant(lease_of(partition), 2, "c")
+        holder = SimpleNamespace(possible_successors=frozenset(), is_valid=lambda now: True)
         c.store.holdings[partition] = LeasedPartition(partition, SimpleNamespace(me="c", holder=holder))  # type: ignore[arg-type]
         c.store.holdings[partition].serving = True
         c.adopted(partition)
@@ -357,8 +360,8 @@
         self.assertEqual(sorted(kept.id for kept in c.store.messages.values()), ["2b", "2c"])
         # It wakes, and has its next partition; what it had taken and told to nobody is neither answered nor delivered.
         self.lose = lambda to, body: ""
-        a.store.current = LeasedPartition(partition + 1, a.store.holdings[partition].adoption)
-        a.store.current.serving = True
+        a.store.open_partition = LeasedPartition(partition + 1, a.store.holdings[partition].adoption)
+        a.store.open_partition.serving = True
         self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.ACCEPTED)
         self.assertEqual((a.dispatcher.submitted, a.directory.holder_of(KEY)), (1, "c"))  # type: ignore[attr-defined]
         ((number, kept),) = a.store.messages.items()
@@ -385,11 +388,11 @@
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         b.migrations.acceptor.rows.clear()
         b.migrations.acceptor.by_key.clear()
-        b.node.grantor._grants[right_of(partition + 1)] = Grant(right_of(partition + 1), 1, "a")
+        b.node.grantor._grants[lease_of(partition + 1)] = Grant(lease_of(partition + 1), 1, "a")
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        del b.node.grantor._grants[right_of(partition + 1)]
+        del b.node.grantor._grants[lease_of(partition + 1)]
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.ACCEPTED)
-        b.migrations.acceptor.learned("a", 1)
+        b.migrations.acceptor.raise_floor("a", 1)
         self.assertEqual(
             [
                 b.migrations.vote(name_move(a.migrations.stamp, "a", "b"), (1, "b"), "taker", key).granted
@@ -403,10 +406,10 @@
         move = name_move(a.migrations.stamp, "a", "b")
         for voters in ((b,), (b, c)):
             for each in (b, c):
-                each.migrations.acceptor.learned("a", 1)
+                each.migrations.acceptor.raise_floor("a", 1)
             for each in voters:
                 self.assertTrue(each.migrations.vote(move, (1, "b"), "taker", KEY).granted)
-                each.migrations.acceptor.rows[move].at -= OLD
+                each.migrations.acceptor.rows[move].at -= UNDECIDED_LIMIT_US
             self.assertEqual(b.migrations.moves.moves, {})
             b.migrations.forget(monotonic_time())
             gevent.sleep(0.05)
@@ -421,7 +424,7 @@
         folder = self.enterContext(tempfile.TemporaryDirectory())
         lasting, move = SessionFiles(FleetFiles(folder)), name_move(5, "a", "b")
         voter = Acceptor(0, True)
-        voter.learned("a", 5)
+        voter.raise_floor("a", 5)
         lasting.write_acceptor_table(voter.table())
         answer = voter.prepare(move, (3, "c#1"), 0)
         assert answer.write is not None
