--- a/tests/fleet/test_lease_histories.py
+++ b/tests/fleet/test_lease_histories.py
@@ -16,6 +16,7 @@
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
 from cedarwick.fleet.takeover import Takeover, TakeoverAction, TakeoverStage
 from tests.fleet.explore import PARTITION, RIGHT, Found, Model, explore, named
+from tests.known_red import known_red
 
 
 class Part(NamedTuple):
@@ -292,6 +293,41 @@
         history.goes_on(steps=7)
         self.assertEqual(history.fired, ("d", 2))
 
+    @known_red("a adopts from .* and is no successor")
+    def test_a_member_without_its_folder_completes_no_grant_that_it_had_refused(self) -> None:
+        """b votes for d's term 2, loses its folder, learns a's newer, undecided term 3, and completes its majority."""
+        history = Histories()
+        history.begin(seed=6138)
+        history.fails(name="b", how="stop")
+        history.fails(name="b", how="stop")  # one that is stopped goes on
+        history.goes_on(steps=25)
+        history.fails(name="a", how="crash")
+        history.fails(name="e", how="crash")
+        history.goes_on(steps=24)
+        history.fails(name="a", how="crash")  # one that is down is started again
+        history.fails(name="b", how="forget")
+        history.goes_on(steps=1)
+        history.fails(name="a", how="crash")
+        history.teardown()
+
+    @known_red("nobody holds the partition")
+    def test_two_that_ask_in_turn_do_not_keep_the_lease_from_one_another_for_ever(self) -> None:
+        """a and b, granted by two and three members, each ask for a newer term whenever the other one gives up."""
+        history = Histories()
+        history.begin(seed=188)
+        for steps in (1, 1, 1, 1, 1, 3):
+            history.goes_on(steps=steps)
+        history.fails(name="a", how="crash")
+        history.fails(name="b", how="crash")
+        history.fails(name="b", how="crash")  # one that is down is started again
+        for steps in (1, 1, 1, 1, 16):
+            history.goes_on(steps=steps)
+        history.fails(name="a", how="crash")
+        for steps in (1, 1, 1, 1):
+            history.goes_on(steps=steps)
+        history.fails(name="a", how="crash")
+        history.teardown()
+
     def test_drawn_histories_of_five_members_keep_the_claims(self) -> None:
         self.assertEqual(majority_of(len(MEMBERS)), 3)
         Histories.TestCase.settings = settings(
