--- a/cedarwick/fleet/peer_client.py
+++ b/cedarwick/fleet/peer_client.py
@@ -162,23 +162,27 @@
             raise PeerUnreachableError(f"{peer}: {error or type(error).__name__}") from None
         finally:
             peer.calls -= 1
-        return self._checked(peer, response.status, answer)
-
-    def _checked(self, peer: PeerPool, status: int, answer: PeerMessage) -> PeerMessage:
-        """Check that an answer is this member's and for this sender; raises as `peer_message`."""
-        if isinstance(answer.body, RequestRefused):
-            refusal = PeerRefusedError(f"{peer} refused: {answer.body.why} ({answer.body.code})")
-            refusal.refused = answer.body
-            raise refusal
-        try:
-            self.gate.check(answer)
-        except CedarwickError as error:
-            raise PeerUnreachableError(f"{peer}: the answer is not its: {error}") from None
-        if (status, answer.sender) != (200, peer.name):
-            raise PeerUnreachableError(f"{peer}: an answer of {answer.sender!r} with status {status}")
+        check_answer(self.gate, str(peer), answer)
+        if (response.status, answer.sender) != (200, peer.name):
+            raise PeerUnreachableError(f"{peer}: an answer of {answer.sender!r} with status {response.status}")
         return answer
 
 
+def check_answer(gate: PeerVerifier, peer: str, answer: PeerMessage) -> None:
+    """Check that an answer is no refusal and is meant for this sender.
+
+    Raises `PeerRefusedError` with the refusal, `PeerUnreachableError` for an answer that the verifier does not accept.
+    """
+    if isinstance(answer.body, RequestRefused):
+        refusal = PeerRefusedError(f"{peer} refused: {answer.body.why} ({answer.body.code})")
+        refusal.refused = answer.body
+        raise refusal
+    try:
+        gate.check(answer)
+    except CedarwickError as error:
+        raise PeerUnreachableError(f"{peer}: the answer is not its: {error}") from None
+
+
 def exchange(peer: PeerPool, peer_message: bytes, within_s: float) -> HttpResponse:
     """Send one peer message and read its answer; raises `OSError` or `http.InvalidResponseError`."""
     if peer.closed:
--- a/cedarwick/lab/listeners.py
+++ b/cedarwick/lab/listeners.py
@@ -20,13 +20,23 @@
     return f"127.0.{10 + sender // 200}.{1 + sender % 200}"
 
 
-def listen(address: tuple[str, int], backlog: int = BACKLOG, *, reuse: bool = True) -> gevent.socket.socket:
-    """A listener; port 0 takes a free one. Without `reuse` a port that a `ReservedPort` holds counts as in use."""
+def bound(address: tuple[str, int], *, reuse: bool = True) -> gevent.socket.socket:
+    """A socket that is bound to an address and does not listen; port 0 takes a free one."""
     sock = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
     if reuse:
         sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_REUSEADDR, 1)
     try:
         sock.bind(address)
+    except OSError:
+        sock.close()
+        raise
+    return sock
+
+
+def listen(address: tuple[str, int], backlog: int = BACKLOG, *, reuse: bool = True) -> gevent.socket.socket:
+    """A listener; port 0 takes a free one. Without `reuse` a port that a `ReservedPort` holds counts as in use."""
+    sock = bound(address, reuse=reuse)
+    try:
         sock.listen(backlog)
     except OSError:
         sock.close()
@@ -54,13 +64,7 @@
 
     def __init__(self, host: str) -> None:
         """Raises OSError where no port of the host is free."""
-        self._socket = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
-        self._socket.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_REUSEADDR, 1)
-        try:
-            self._socket.bind((host, 0))
-        except OSError:
-            self._socket.close()
-            raise
+        self._socket = bound((host, 0))
         self.host = host
         self.number = int(self._socket.getsockname()[1])
 
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -21,7 +21,6 @@
 
 import greenlet  # type: ignore[import-untyped]
 
-from cedarwick.errors import CedarwickError
 from cedarwick.events import exchange, registry_exchange, subscription_server
 from cedarwick.fleet import (
     heartbeats,
@@ -44,10 +43,10 @@
     session_submissions,
     takeover_offers,
 )
-from cedarwick.fleet.messages import Body, Heartbeat, LeaseRequest, PeerMessage, RequestRefused, decode, encode
-from cedarwick.fleet.peer_client import MAX_CALLS, MAX_CALLS_IN_FLIGHT
+from cedarwick.fleet.messages import Body, Heartbeat, LeaseRequest, PeerMessage, decode, encode
+from cedarwick.fleet.peer_client import MAX_CALLS, MAX_CALLS_IN_FLIGHT, check_answer
 from cedarwick.fleet.peer_verifier import PeerVerifier
-from cedarwick.fleet.transport import PeerRefusedError, PeerUnreachableError
+from cedarwick.fleet.transport import PeerUnreachableError
 from cedarwick.net import dispatch_state, dispatcher, notifications, submission
 
 SECOND = 1_000_000
@@ -366,14 +365,7 @@
         if encoded is None:
             raise PeerUnreachableError(member)
         answer = decode(encoded)
-        if isinstance(answer.body, RequestRefused):
-            refusal = PeerRefusedError(f"{answer.body.code} {answer.body.why}")
-            refusal.refused = answer.body
-            raise refusal
-        try:
-            self.gate.check(answer)
-        except CedarwickError as error:
-            raise PeerUnreachableError(f"{member}: {error}") from None
+        check_answer(self.gate, member, answer)
         return answer
 
 
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -52,9 +52,8 @@
 DRAIN_POLL_INTERVAL_S = 0.02  # between two checks whether anything is still in flight
 LAST_ANSWERS_S = 0.15  # after that, to write the answers to requests already read
 
-FIRST_LIST_UPDATE_S = (
-    0.2  # most seconds that the decisions wait for the first list; after its PONG a client waits 0.4 s for an answer
-)
+# Most seconds that the decisions wait for the first list; after its PONG a client waits 0.4 s for an answer.
+FIRST_LIST_UPDATE_S = 0.2
 # Seconds after that in which messages are stored and answered but not attempted, unless the list arrives; then they
 # are attempted without it.
 FIRST_ATTEMPT_S = 0.8
@@ -74,9 +73,8 @@
     """
     log_to_stderr("INFO", as_json=False)
     replaced = gevent.event.Event()
-    gevent.signal_handler(
-        signal.SIGHUP, replaced.set
-    )  # first of all: the default action of SIGHUP would end a starting process
+    # First of all: the default action of SIGHUP would end a starting process.
+    gevent.signal_handler(signal.SIGHUP, replaced.set)
     try:
         assignment, operator = read(os.environ), read_operator()
         return serve(assignment, operator, replaced)
