--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 	.venv/bin/pip -q install -r requirements-dev.txt
 
 lint: tools
+	.venv/bin/ruff format --check cedarwick tests
 	.venv/bin/ruff check cedarwick tests
 	.venv/bin/mypy cedarwick tests
 
--- a/cedarwick/adapter/codec.py
+++ b/cedarwick/adapter/codec.py
@@ -12,8 +12,14 @@
 ENTRY = struct.Struct("<IBBHBfd")
 
 OUTCOMES = {
-    0: Outcome.COMPLETED, 255: Outcome.ERROR, 254: Outcome.FULL, 253: Outcome.TIME_OUT,
-    252: Outcome.CONNECT_FAILED, 251: Outcome.RESET, 250: Outcome.CANCELLED, 249: Outcome.MOOT,
+    0: Outcome.COMPLETED,
+    255: Outcome.ERROR,
+    254: Outcome.FULL,
+    253: Outcome.TIME_OUT,
+    252: Outcome.CONNECT_FAILED,
+    251: Outcome.RESET,
+    250: Outcome.CANCELLED,
+    249: Outcome.MOOT,
 }
 PHASES = {0: Phase.GONE, 1: Phase.READY, 2: Phase.DRAINING}
 LIST_CHANGES = {0: ListChange.CHANGES, 1: ListChange.WHOLE, 2: ListChange.SAVED, 3: None}
@@ -53,7 +59,7 @@
         end = self.at + size
         if end > len(self.data):
             raise WireError(f"a record runs past its frame at byte {self.at}")
-        values = self.data[self.at:end]
+        values = self.data[self.at : end]
         self.at = end
         return values
 
@@ -72,8 +78,19 @@
 ECHO = struct.Struct("<IIdBB")
 FINISHED = struct.Struct("<IQBHIIBdB")
 
-FIXED = {10: REGISTER, 20: DATAGRAM, 30: POWER_ON, 40: FLOWING, 50: ORDER, 60: U32, 70: FINISHED,
-         80: LEFT, 90: ECHO, 100: SYNC, 110: WAKE}
+FIXED = {
+    10: REGISTER,
+    20: DATAGRAM,
+    30: POWER_ON,
+    40: FLOWING,
+    50: ORDER,
+    60: U32,
+    70: FINISHED,
+    80: LEFT,
+    90: ECHO,
+    100: SYNC,
+    110: WAKE,
+}
 
 
 def read_batch(stream: BinaryIO) -> tuple[int, int, bytes] | None:
--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -77,7 +77,8 @@
         elif code == 50:
             _, envelope, tenant, _, limit, _, key, destination, band = values
             instance.handles[envelope] = sender.take(
-                now, envelope, int(destination), band, codec.micros(limit), tenant, key)
+                now, envelope, int(destination), band, codec.micros(limit), tenant, key
+            )
         elif code == 70:
             _, envelope, rc, shot, note, receiver, last, took, _ = values
             outcome = codec.outcome_of(rc)
--- a/cedarwick/bounds.py
+++ b/cedarwick/bounds.py
@@ -10,23 +10,39 @@
 SOME = (1.0, math.inf)
 
 SPANS_AND_FIGURES = {
-    "resolution-ms": ANY, "over-share-worth": ANY, "policy-limits.conn-idle-ms": ANY,
-    "policy-limits.max-retry-after-ms": ANY, "rules.ask-within-ms": ANY, "rules.cold-share": SHARE,
-    "rules.fall-ms": ANY, "rules.fall-multiple": ANY, "rules.ramp-time-ms": ANY, "rules.turn-gap-ms": ANY,
+    "resolution-ms": ANY,
+    "over-share-worth": ANY,
+    "policy-limits.conn-idle-ms": ANY,
+    "policy-limits.max-retry-after-ms": ANY,
+    "rules.ask-within-ms": ANY,
+    "rules.cold-share": SHARE,
+    "rules.fall-ms": ANY,
+    "rules.fall-multiple": ANY,
+    "rules.ramp-time-ms": ANY,
+    "rules.turn-gap-ms": ANY,
     "tariffs.cross-zone": ANY,
 }
 COUNTS = {
-    "classes.count": (1.0, 256.0), "balancers": SOME, "locality": ANY, "family-info.max-calls": SOME,
-    "policy-limits.most-tries": SOME, "policy-limits.max-open": SOME,
+    "classes.count": (1.0, 256.0),
+    "balancers": SOME,
+    "locality": ANY,
+    "family-info.max-calls": SOME,
+    "policy-limits.most-tries": SOME,
+    "policy-limits.max-open": SOME,
 }
 WORDS = {
-    "discovery": ("push", "ask"), "family-info.late": ("even", "by_half"),
-    "weight-source": ("off", "nominal", "rough", "live"), "policy-limits.retry-after": ("true", "false"),
+    "discovery": ("push", "ask"),
+    "family-info.late": ("even", "by_half"),
+    "weight-source": ("off", "nominal", "rough", "live"),
+    "policy-limits.retry-after": ("true", "false"),
 }
 LISTS = {"family-info.per-call": SOME, "family-info.fee-by-zone": ANY}
 OF_A_CLASS = {"worth": ANY, "slo-ms": ANY, "deadline-ms": ANY, "late-worth": SHARE, "dedup-window-ms": ANY}
-WORDS_OF_A_CLASS = {"repeat": ("free", "guarded", "single_shot"), "group": ("all", "zone", "cell"),
-                    "in-turn": ("true", "false")}
+WORDS_OF_A_CLASS = {
+    "repeat": ("free", "guarded", "single_shot"),
+    "group": ("all", "zone", "cell"),
+    "in-turn": ("true", "false"),
+}
 
 
 class BadSetting(Trouble):
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -97,8 +97,15 @@
 class Exchange:
     """Nothing is told or taken before `attach`."""
 
-    def __init__(self, name: str, gate: Gate, counters: Counters,
-                 call: Callable[[str, Body, float], Body | None], state: str = "", lasts: int = FORGET) -> None:
+    def __init__(
+        self,
+        name: str,
+        gate: Gate,
+        counters: Counters,
+        call: Callable[[str, Body, float], Body | None],
+        state: str = "",
+        lasts: int = FORGET,
+    ) -> None:
         """`state`: the folder, nothing is kept without one; `lasts`: microseconds, of what is followed here."""
         self.name = name
         self.gate = gate
@@ -302,8 +309,14 @@
         finally:
             self.loading = False
         if self.serving is None:
-            self.serving = module.Serving(self.name, self.sources, self.first, lambda name: self.registry.entries.get(
-                name), self.call, self.counters)
+            self.serving = module.Serving(
+                self.name,
+                self.sources,
+                self.first,
+                lambda name: self.registry.entries.get(name),
+                self.call,
+                self.counters,
+            )
         return cast("Serving", self.serving)
 
     # ---- the registry ----
@@ -399,7 +412,7 @@
         words = told.split(" ")
         place = next((at for at, word in enumerate(words[1:], 1) if word.upper() == "WHERE"), len(words))
         name, cursors = decoded(" ".join(word for word in words[:place] if word))
-        text = " ".join(words[place + 1:])
+        text = " ".join(words[place + 1 :])
         if place < len(words) and not text.strip():
             raise BadFollow("no filter after WHERE")
         if len(serving.connections) >= MOST_READERS and name not in serving.connections:
@@ -407,8 +420,14 @@
         at = wall()
         if place < len(words):
             found = read(text)
-            check_levels(found, {member: self.gate.levels[member] for member in (self.name, *self.gate.others)
-                                 if member in self.gate.levels})
+            check_levels(
+                found,
+                {
+                    member: self.gate.levels[member]
+                    for member in (self.name, *self.gate.others)
+                    if member in self.gate.levels
+                },
+            )
             text = found.text
         else:
             if not self.registry.lives(at, name):
@@ -428,11 +447,13 @@
         self._changed(name)
         letter = self.spread.letter([name])
         # Danger: who is alive may change while the answers are awaited.
-        calls = {member: gevent.spawn(self._ask, member, letter) for member in sorted(self.gate.others)
-                 if member in self.alive}
+        calls = {
+            member: gevent.spawn(self._ask, member, letter)
+            for member in sorted(self.gate.others)
+            if member in self.alive
+        }
         gevent.joinall(list(calls.values()), timeout=ANSWER_IN)
-        untold = [member for member in sorted(self.gate.others)
-                  if member not in calls or calls[member].value is None]
+        untold = [member for member in sorted(self.gate.others) if member not in calls or calls[member].value is None]
         logger.info("{} ended; not yet told: {}", name, ", ".join(untold) or "nobody")
         return f"YES {name} ended" + (f", not yet told: {', '.join(untold)}" if untold else "") + "\n"
 
--- a/cedarwick/events/index.py
+++ b/cedarwick/events/index.py
@@ -27,8 +27,20 @@
 CELLS = 4  # that a span is laid over, about
 # The share of events that should meet an equality on a field: a guess that orders keys, nothing more.
 SHARES = {
-    "id": 1e-5, "age": 1e-4, "wait": 1e-4, "worth": 1e-3, "destination": 1e-3, "receiver": 1e-3, "tenant": 0.01,
-    "sender": 0.05, "member": 0.05, "hall": 0.1, "kind": 0.1, "outcome": 0.1, "band": 0.2, "shots": 0.2,
+    "id": 1e-5,
+    "age": 1e-4,
+    "wait": 1e-4,
+    "worth": 1e-3,
+    "destination": 1e-3,
+    "receiver": 1e-3,
+    "tenant": 0.01,
+    "sender": 0.05,
+    "member": 0.05,
+    "hall": 0.1,
+    "kind": 0.1,
+    "outcome": 0.1,
+    "band": 0.2,
+    "shots": 0.2,
     "at_most_once": 0.5,
 }
 SPAN_SHARE, BOUND_SHARE, HAS_SHARE, LETTER_SHARE = 0.1, 0.4, 0.6, 0.2
@@ -131,7 +143,11 @@
         self.each: Entries = {}  # those without a key
         self.equals = Equals()
         self.stores: dict[type[Any], Store] = {
-            Equal: self.equals, Begins: Prefixes(), Within: Spans(), Bound: Bounds(), Present: Presences(),
+            Equal: self.equals,
+            Begins: Prefixes(),
+            Within: Spans(),
+            Bound: Bounds(),
+            Present: Presences(),
         }
         self.finds: list[Callable[[Values, list[Entries]], None]] = []  # of the stores that hold something
 
@@ -403,7 +419,7 @@
         """The width of cells and those that a span touches: two to CELLS + 2."""
         # Danger: the difference of two large whole numbers as floats may be far off, and the cells too many.
         exponent = math.ceil(math.log2(max((key.high - key.low) / CELLS, 1e-9)))
-        width: float = 2.0 ** exponent
+        width: float = 2.0**exponent
         if isinstance(key.low, int) and isinstance(key.high, int):
             width = max(1, int(width))
         return width, iter(range(int(key.low // width), int(key.high // width) + 1))
@@ -435,7 +451,7 @@
         for (name, above), (limits, table) in self.tables.items():
             value: Any = held.get(name)
             if value is not None:
-                reached = limits[:bisect_right(limits, value)] if above else limits[bisect_left(limits, value):]
+                reached = limits[: bisect_right(limits, value)] if above else limits[bisect_left(limits, value) :]
                 found += [table[limit] for limit in reached]
 
 
@@ -455,4 +471,3 @@
 
     def find(self, held: Values, found: list[Entries]) -> None:
         found += [entries for name, entries in self.table.items() if name in held]
-
--- a/cedarwick/events/kept.py
+++ b/cedarwick/events/kept.py
@@ -49,7 +49,7 @@
 def packed(at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> bytes:
     """Frames of pages with these entries, one page at least."""
     told = list(entries)
-    pages = [dict(told[begin:begin + PAGE]) for begin in range(0, max(1, len(told)), PAGE)]
+    pages = [dict(told[begin : begin + PAGE]) for begin in range(0, max(1, len(told)), PAGE)]
     return b"".join(framed(_encode(Page(at, epoch, page))) for page in pages)
 
 
@@ -115,8 +115,10 @@
     def changed(self, now: int, names: Iterable[str]) -> None:
         """Entries have changed: a new version is written before this returns, where that can be."""
         entries, written = self.registry.entries, self.written
-        if any(name in entries and (name not in written or written[name].version != entries[name].version)
-               for name in names):
+        if any(
+            name in entries and (name not in written or written[name].version != entries[name].version)
+            for name in names
+        ):
             self._write(now, [name for name in names if name in entries and written.get(name) is not entries[name]])
 
     def look(self, now: int, steady: int) -> None:
--- a/cedarwick/events/language.py
+++ b/cedarwick/events/language.py
@@ -39,14 +39,33 @@
 LARGEST_SAMPLE = 1_000_000
 EXAMPLES = {Type.TEXT: '"..."', Type.WHOLE: "5", Type.SPAN: "5s", Type.NUMBER: "0.5", Type.FLAG: "true"}
 EXPECTED = {
-    "NAME": "a field", "SIGN": "= != < <= > >=", "NUMBER": "a number", "SPAN": "a span", "STRING": 'text in "..."',
-    "FLAG": "true or false", "SAMPLE": "sample(1/100)", "_AND": "and", "_OR": "or", "_NOT": "not", "_IN": "in",
-    "_LIKE": "like", "_HAS": "has", "_OPEN": "(", "_CLOSE": ")", "_COMMA": ",", "_DOTS": "..", "_SLASH": "/",
+    "NAME": "a field",
+    "SIGN": "= != < <= > >=",
+    "NUMBER": "a number",
+    "SPAN": "a span",
+    "STRING": 'text in "..."',
+    "FLAG": "true or false",
+    "SAMPLE": "sample(1/100)",
+    "_AND": "and",
+    "_OR": "or",
+    "_NOT": "not",
+    "_IN": "in",
+    "_LIKE": "like",
+    "_HAS": "has",
+    "_OPEN": "(",
+    "_CLOSE": ")",
+    "_COMMA": ",",
+    "_DOTS": "..",
+    "_SLASH": "/",
     "$END": "the end",
 }
 INSTEAD = {
-    "&": "write 'and'", "|": "write 'or'", "!": "write 'not'", "'": 'write text in double quotes: "..."',
-    "~": "write 'like' with * and ?", '"': 'end the text with "; write \\" for a quote within it',
+    "&": "write 'and'",
+    "|": "write 'or'",
+    "!": "write 'not'",
+    "'": 'write text in double quotes: "..."',
+    "~": "write 'like' with * and ?",
+    '"': 'end the text with "; write \\" for a quote within it',
     "+": "write the number without +",
 }
 
@@ -74,12 +93,18 @@
     """A filter from its terms, with the bounds that hold for all of it. Raises BadFilter."""
     count = terms.size(term)
     if count > MOST_TERMS:
-        raise TooMany(f"{count} comparisons and listed values, {MOST_TERMS} are allowed", WHOLE,
-                      "split it into several subscriptions")
+        raise TooMany(
+            f"{count} comparisons and listed values, {MOST_TERMS} are allowed",
+            WHOLE,
+            "split it into several subscriptions",
+        )
     costs = terms.cost(term)
     if costs > MOST_COST:
-        raise TooCostly(f"it costs {costs} for each event, {MOST_COST} are allowed", WHOLE,
-                        'use fewer globs; one like "abc*" costs 2, others 64')
+        raise TooCostly(
+            f"it costs {costs} for each event, {MOST_COST} are allowed",
+            WHOLE,
+            'use fewer globs; one like "abc*" costs 2, others 64',
+        )
     text = terms.printed(term)
     # Danger: others read the printed text; one that only fits as it was written would be refused there.
     _bounded(text, " as printed")
@@ -100,8 +125,11 @@
     """Refuse a filter that some member can't evaluate, `levels` being theirs by name. Raises TooNew."""
     lacking = [f"{name} (level {levels[name]})" for name in sorted(levels) if levels[name] < filter_.level]
     if lacking:
-        raise TooNew(f"it needs feature level {filter_.level}, which these members lack: {', '.join(lacking)}", WHOLE,
-                     "renew them, or write it without 'like' and 'sample'")
+        raise TooNew(
+            f"it needs feature level {filter_.level}, which these members lack: {', '.join(lacking)}",
+            WHOLE,
+            "renew them, or write it without 'like' and 'sample'",
+        )
 
 
 def nearest(word: str, known: Iterable[str]) -> str:
@@ -177,11 +205,15 @@
     try:
         text: str = msgspec.json.decode(str(token), type=str)
     except msgspec.DecodeError:
-        raise Unread("the text is not written as JSON writes text", _place(token),
-                     'write \\" \\\\ \\n \\t or \\u00e9 for what can\'t stand as it is') from None
+        raise Unread(
+            "the text is not written as JSON writes text",
+            _place(token),
+            "write \\\" \\\\ \\n \\t or \\u00e9 for what can't stand as it is",
+        ) from None
     if len(text) > LONGEST_TEXT:
-        raise OutOfBounds(f"{len(text)} characters, no field has more than {LONGEST_TEXT}", _place(token),
-                          "write a shorter text")
+        raise OutOfBounds(
+            f"{len(text)} characters, no field has more than {LONGEST_TEXT}", _place(token), "write a shorter text"
+        )
     return text
 
 
@@ -200,8 +232,9 @@
     assert split is not None
     whole, part, unit = split.groups()
     if unit not in UNITS:
-        raise WrongType(f"no span is counted in '{unit[:40]}'", _place(token),
-                        "write us, ms, s, m or h: 1500ms, 2s, 5m")
+        raise WrongType(
+            f"no span is counted in '{unit[:40]}'", _place(token), "write us, ms, s, m or h: 1500ms, 2s, 5m"
+        )
     if part:
         raise WrongType(f"{token[:40]} is not whole", _place(token), "write it in a smaller unit: 1500ms for 1.5s")
     return int(_bound(token, int(whole) * UNITS[unit]))
@@ -225,8 +258,11 @@
         if sign in ("==", "<>"):
             raise Unread(f"'{sign}' compares nothing", _place(sign), "write " + {"==": "=", "<>": "!="}[sign])
         if sign not in ("=", "!=") and not FIELDS[field].ordered:
-            raise WrongType(f"'{field}' is a {FIELDS[field].value} and has no order", _place(sign),
-                            "write = or !=" + (" or like" if FIELDS[field] is Type.TEXT else ""))
+            raise WrongType(
+                f"'{field}' is a {FIELDS[field].value} and has no order",
+                _place(sign),
+                "write = or !=" + (" or like" if FIELDS[field] is Type.TEXT else ""),
+            )
         return Compare(field, str(sign), _value(field, value))
 
     def among(self, name: Token, *values: Token) -> Term:
@@ -240,8 +276,9 @@
         low, high = _value(field, first), _value(field, last)
         assert not isinstance(low, str) and not isinstance(high, str)
         if low > high:
-            raise OutOfBounds(f"nothing lies in {first[:20]}..{last[:20]}", _place(first),
-                              f"write {last[:20]}..{first[:20]}")
+            raise OutOfBounds(
+                f"nothing lies in {first[:20]}..{last[:20]}", _place(first), f"write {last[:20]}..{first[:20]}"
+            )
         return Range(field, low, high)
 
     def like(self, name: Token, pattern: Token) -> Term:
@@ -250,8 +287,11 @@
             raise WrongType(f"'{field}' is a {FIELDS[field].value} and has no patterns", _place(name), "write = or in")
         glob = _text(pattern)
         if not 0 < len(glob) <= LONGEST_GLOB:
-            raise BadGlob(f"a pattern of {len(glob)} characters", _place(pattern),
-                          f"write 1 to {LONGEST_GLOB} of them, * for any text and ? for one character")
+            raise BadGlob(
+                f"a pattern of {len(glob)} characters",
+                _place(pattern),
+                f"write 1 to {LONGEST_GLOB} of them, * for any text and ? for one character",
+            )
         return Like(field, re.sub(r"\*+", "*", glob))
 
     def has(self, name: Token) -> Term:
@@ -263,8 +303,11 @@
                 raise WrongType(f"{token[:40]} is no whole number", _place(token), "write sample(1/100)")
         share = _whole(part), _whole(whole)
         if not 0 < share[0] <= share[1] <= LARGEST_SAMPLE:
-            raise OutOfBounds(f"{part[:20]}/{whole[:20]} is no share", _place(part),
-                              f"write more than 0, at most all, of at most {LARGEST_SAMPLE}: sample(1/100)")
+            raise OutOfBounds(
+                f"{part[:20]}/{whole[:20]} is no share",
+                _place(part),
+                f"write more than 0, at most all, of at most {LARGEST_SAMPLE}: sample(1/100)",
+            )
         return Sample(*share)
 
     def _held(self, term: Term) -> Term:
--- a/cedarwick/events/naive.py
+++ b/cedarwick/events/naive.py
@@ -13,7 +13,12 @@
 from cedarwick.events.terms import Among, And, Compare, Has, Like, Not, Range, Sample, Term
 
 SIGNS: dict[str, Callable[[Any, Any], bool]] = {
-    "=": operator.eq, "!=": operator.ne, "<": operator.lt, "<=": operator.le, ">": operator.gt, ">=": operator.ge,
+    "=": operator.eq,
+    "!=": operator.ne,
+    "<": operator.lt,
+    "<=": operator.le,
+    ">": operator.gt,
+    ">=": operator.ge,
 }
 
 
@@ -62,4 +67,4 @@
 
 
 def _past_stars(pattern: str, reached: set[int]) -> set[int]:
-    return reached | {place + 1 for place in reached if pattern[place:place + 1] == "*"}
+    return reached | {place + 1 for place in reached if pattern[place : place + 1] == "*"}
--- a/cedarwick/events/pushing.py
+++ b/cedarwick/events/pushing.py
@@ -49,8 +49,9 @@
             if reached.began < before.began:
                 return
             if reached.began == before.began:  # Danger: letters overtake one another; a place only moves on
-                reached = reached._replace(held=max(reached.held, before.held),
-                                           written=max(reached.written, before.written))
+                reached = reached._replace(
+                    held=max(reached.held, before.held), written=max(reached.written, before.written)
+                )
         if before is None or before != reached:
             self.waits.reset()
             self.next_at = 0
--- a/cedarwick/events/reading.py
+++ b/cedarwick/events/reading.py
@@ -42,8 +42,9 @@
 
     def reached(self, member: str, source: str) -> Reached:
         """Its place in a source, as its member (this one) tells."""
-        return Reached(member, self.began, self.inbox.cursors.get(source, NOWHERE), self.given.get(source, NOWHERE),
-                       self.room)
+        return Reached(
+            member, self.began, self.inbox.cursors.get(source, NOWHERE), self.given.get(source, NOWHERE), self.room
+        )
 
     def end(self, source: str) -> None:
         """The source has ended for good: told after all that has come from it."""
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -75,8 +75,11 @@
     @property
     def sound(self) -> bool:
         """Whether its sizes are what a member may send."""
-        return (len(self.filter.encode(errors="replace")) <= LONGEST and NAME.fullmatch(self.member) is not None
-                and LEAST_FORGET <= self.lasts <= MOST_FORGET)
+        return (
+            len(self.filter.encode(errors="replace")) <= LONGEST
+            and NAME.fullmatch(self.member) is not None
+            and LEAST_FORGET <= self.lasts <= MOST_FORGET
+        )
 
 
 def join(held: Entry | None, other: Entry) -> Entry:
@@ -194,8 +197,9 @@
         """Join another's registry, or pieces of it, into this one. Unsound entries are left out."""
         theirs = list(theirs)
         # Danger: one clock that is far ahead would make everyone else's registry too old, or an entry live for ever.
-        if epoch * SLICE > now + SKEW or any(each.counter > now + SKEW or each.followed_at > now + SKEW
-                                             for _, each in theirs):
+        if epoch * SLICE > now + SKEW or any(
+            each.counter > now + SKEW or each.followed_at > now + SKEW for _, each in theirs
+        ):
             return Verdict.AHEAD
         # Danger: who was away for longer than tombstones are kept may still hold alive what was ended meanwhile.
         if epoch < self.epoch - MOST_AWAY:
--- a/cedarwick/events/serving.py
+++ b/cedarwick/events/serving.py
@@ -82,8 +82,15 @@
 class Serving:
     """`call` asks another member; the numbers of the events begin with `first`."""
 
-    def __init__(self, me: str, sources: Sources, first: int, entries: Callable[[str], Entry | None],
-                 call: Callable[[str, Body, float], Body | None], counters: Counters) -> None:
+    def __init__(
+        self,
+        me: str,
+        sources: Sources,
+        first: int,
+        entries: Callable[[str], Entry | None],
+        call: Callable[[str, Body, float], Body | None],
+        counters: Counters,
+    ) -> None:
         self.me = me
         self.sources = sources
         self.entry = entries
@@ -107,8 +114,9 @@
     def evaluate(self, living: Mapping[str, Entry]) -> bool:
         """From now on these are the subscriptions; False where some are left for the next look."""
         texts, unread = self.source.index.texts, self.source.unread
-        fresh = [name for name, entry in living.items()
-                 if entry.filter not in (texts.get(name), unread.get(name, ("",))[0])]
+        fresh = [
+            name for name, entry in living.items() if entry.filter not in (texts.get(name), unread.get(name, ("",))[0])
+        ]
         # Danger: thousands of filters that come at once would hold up deliveries for seconds.
         left = set(fresh[READ_AT_ONCE:])
         found = self.source.evaluate({name: entry for name, entry in living.items() if name not in left})
--- a/cedarwick/events/spreading.py
+++ b/cedarwick/events/spreading.py
@@ -78,8 +78,9 @@
 
     def differing(self, answer: Subscribe) -> Subscribe | None:
         """What to say to one whose buckets differ: those that a letter has room for, and the wish for its own."""
-        differ = [place for place, (mine, its) in enumerate(zip(self.digests(), answer.buckets, strict=False))
-                  if mine != its]
+        differ = [
+            place for place, (mine, its) in enumerate(zip(self.digests(), answer.buckets, strict=False)) if mine != its
+        ]
         sizes = [0] * BUCKETS
         for name, entry in self.registry.entries.items():
             sizes[bucket(name)] += len(entry.filter) + 128
@@ -91,8 +92,11 @@
         return self.letter(self._within(set(asked)), asked) if asked else None
 
     def _within(self, buckets: set[int]) -> list[str]:
-        return [name for name in sorted(self.registry.entries, key=lambda name: (bucket(name), name))
-                if bucket(name) in buckets]
+        return [
+            name
+            for name in sorted(self.registry.entries, key=lambda name: (bucket(name), name))
+            if bucket(name) in buckets
+        ]
 
 
 def bucket(name: str) -> int:
--- a/cedarwick/events/terms.py
+++ b/cedarwick/events/terms.py
@@ -4,7 +4,6 @@
 import re
 from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import Union
 
 from cedarwick.events.kinds import FIELDS, Type, Value
 
@@ -93,7 +92,7 @@
 
 
 Leaf = Compare | Among | Range | Like | Has | Sample
-Term = Union[Leaf, Not, And, Or]
+Term = Leaf | Not | And | Or
 
 
 def joined(kind: type[And] | type[Or], terms: tuple[Term, ...]) -> Term:
--- a/cedarwick/events/witness.py
+++ b/cedarwick/events/witness.py
@@ -52,8 +52,12 @@
         """The fields of an event of an envelope; `figure` as `Shared.seen` has it."""
         now, life = self.desk.clock.now(), self._life(kept.number)
         band = self.desk.sender.bands[self.desk.bands[kept.band]] if kept.band in self.desk.bands else None
-        fields: dict[str, Value] = {**self.here, "id": kept.id[:LONGEST_TEXT], "band": kept.band[:LONGEST_TEXT],
-                                    "destination": kept.destination}
+        fields: dict[str, Value] = {
+            **self.here,
+            "id": kept.id[:LONGEST_TEXT],
+            "band": kept.band[:LONGEST_TEXT],
+            "destination": kept.destination,
+        }
         if kept.tenant:
             fields["tenant"] = kept.tenant[:LONGEST_TEXT]
         if band is not None:
@@ -92,8 +96,11 @@
         """Receivers that went out or came back since the last look, and those taken out by hand or restored."""
         now = self.desk.clock.now()
         self.uids = {number: uid for uid, number in self.directory.numbers.items()}
-        out = {self._uid(each.id): (each.destination, each.out_since)
-               for each in self.desk.sender.receivers.values() if each.out_since}
+        out = {
+            self._uid(each.id): (each.destination, each.out_since)
+            for each in self.desk.sender.receivers.values()
+            if each.out_since
+        }
         held_out = set(self.directory.held_out)
         found: list[Happened] = []
         if self.begun:
--- a/cedarwick/fleet/adoption.py
+++ b/cedarwick/fleet/adoption.py
@@ -138,9 +138,7 @@
         self.stage = Stage.CLOSING
         return Step(Do.CLOSE)
 
-    def _watch(
-        self, now: int, grant: Grant, promised: int, standing: Callable[[str], Standing], whole: bool
-    ) -> Step:
+    def _watch(self, now: int, grant: Grant, promised: int, standing: Callable[[str], Standing], whole: bool) -> Step:
         """Somebody else may hold it: follow, wait for the turn, or offer what only this member knows."""
         # Danger: a term may be another's at the grantors that count and ours at our own; then the other one holds it.
         term, holder = (grant.term, grant.holder) if grant.term > self.holder.newer[0] else self.holder.newer
@@ -155,9 +153,7 @@
         self.stage = Stage.FOLLOWING if now < promised else Stage.WAITING
         return NOTHING
 
-    def _turn(
-        self, now: int, grant: Grant, promised: int, standing: Callable[[str], Standing], holder: str
-    ) -> bool:
+    def _turn(self, now: int, grant: Grant, promised: int, standing: Callable[[str], Standing], holder: str) -> bool:
         """Whether it is this member's turn to ask."""
         away = holder in ("", self.me) or standing(holder) in AWAY
         if not away:
--- a/cedarwick/fleet/book.py
+++ b/cedarwick/fleet/book.py
@@ -95,7 +95,6 @@
         except Lost:
             return Fact(number, None, known)
 
-
     def told(self, store: "Shared", number: int) -> Fact | None:
         """The same for another member; what cannot be read has failed there.
 
@@ -131,8 +130,12 @@
     def may_fire(self, number: int) -> bool:
         """Whether this sender has the right to fire for an envelope at this moment."""
         holding = self.holdings.get(number >> 32)
-        return (holding is not None and holding.serving and number not in self.inert
-                and holding.adoption.holder.may_fire(boot_time()))
+        return (
+            holding is not None
+            and holding.serving
+            and number not in self.inert
+            and holding.adoption.holder.may_fire(boot_time())
+        )
 
     def deciding(self) -> bool:
         """Whether the right over every book that the desk serves is held at this moment."""
@@ -213,8 +216,10 @@
             while holding.log.acked(self.heirs_of(holding)) < index:
                 if holding.starving(boot_time()) or not self._wait(until):
                     self.starved(holding)
-                    raise NotCopied(f"book {holding.book}: {index - holding.log.acked(self.heirs_of(holding))} records "
-                                    f"are not at {', '.join(sorted(self.heirs_of(holding)))}")
+                    raise NotCopied(
+                        f"book {holding.book}: {index - holding.log.acked(self.heirs_of(holding))} records "
+                        f"are not at {', '.join(sorted(self.heirs_of(holding)))}"
+                    )
             if not holding.alone_since and not holding.starving(boot_time()):
                 # Danger: under load copies never have all at the moment of a look; a book that starved once would be
                 # given up half a second later, with all its envelopes.
@@ -265,8 +270,10 @@
 
         def now() -> bool:
             held = {book: self.holdings.get(book) for book in upto}
-            return all(each is not None and each.serving and each.log.acked(self.heirs_of(each)) >= upto[book]
-                       for book, each in held.items())
+            return all(
+                each is not None and each.serving and each.log.acked(self.heirs_of(each)) >= upto[book]
+                for book, each in held.items()
+            )
 
         return now
 
@@ -276,8 +283,16 @@
         """Envelopes of a book in the folder, in the order in which they were taken."""
         return sorted(number for number in self.kept if number >> 32 == book)
 
-    def take_in(self, holding: Holding, facts: Iterable[Fact], term: int, doubt_at: int,
-                mine: Iterable[int] = (), perhaps: Iterable[int] = (), late: int = 0) -> None:
+    def take_in(
+        self,
+        holding: Holding,
+        facts: Iterable[Fact],
+        term: int,
+        doubt_at: int,
+        mine: Iterable[int] = (),
+        perhaps: Iterable[int] = (),
+        late: int = 0,
+    ) -> None:
         """What a copy knew of a book goes into this folder, under a new term. `NoRoom` leaves what fits.
 
         `doubt_at`: wall microseconds from which on news may be missing; 0: none is. `mine`, `perhaps`: see
@@ -287,9 +302,15 @@
         marked = [in_doubt(fact, doubt_at) if doubt_at else fact for fact in facts]
         # Danger: a holder that was cut off has said 'failed' of what ended meanwhile; 'returned' would be another end.
         # Danger: one on the move is told no end while it is inert; its move's rules answer it in time.
-        marked = [with_end(fact, Rank.FAILED) if fact.base is not None and fact.base.outer_limit <= late
-                  and fact.known.end[0] is Rank.NONE and not (fact.known.move or (0, ""))[1] else fact
-                  for fact in marked]
+        marked = [
+            with_end(fact, Rank.FAILED)
+            if fact.base is not None
+            and fact.base.outer_limit <= late
+            and fact.known.end[0] is Rank.NONE
+            and not (fact.known.move or (0, ""))[1]
+            else fact
+            for fact in marked
+        ]
         told = {fact.number for fact in marked}
         for number in self.numbers(holding.book):  # this member has held it before: what the copy lacks is over
             if number in told or number in mine:
@@ -332,10 +353,14 @@
         """
         straight = holding.from_term == term > 0
         before = dict(holding.ledger.known)
-        told = {fact.number: fact for fact in facts if fact.number >> 32 == holding.book
-                # Danger: what has ended here would come back as owed.
-                and fact.number not in holding.finished
-                and (fact.number in before or fact.base is not None and not over(fact.known))}
+        told = {
+            fact.number: fact
+            for fact in facts
+            if fact.number >> 32 == holding.book
+            # Danger: what has ended here would come back as owed.
+            and fact.number not in holding.finished
+            and (fact.number in before or fact.base is not None and not over(fact.known))
+        }
         news: list[int] = []
         all_news = holding.ledger.adopt(told.values(), holding.ledger.term)
         ended = [number for number in told if number not in holding.ledger.known]
--- a/cedarwick/fleet/decrees.py
+++ b/cedarwick/fleet/decrees.py
@@ -180,8 +180,9 @@
         if not moves:
             self.by_key.pop(row.key, None)
 
-    def _changed(self, row: Row, now: int, promised: Ballot, accepted: Ballot | None = None,
-                 value: Value | None = None) -> Row | None:
+    def _changed(
+        self, row: Row, now: int, promised: Ballot, accepted: Ballot | None = None, value: Value | None = None
+    ) -> Row | None:
         if promised == row.promised and accepted in (None, row.accepted):
             return None
         row.promised, row.at = promised, now
--- a/cedarwick/fleet/facts.py
+++ b/cedarwick/fleet/facts.py
@@ -112,7 +112,8 @@
 NOTHING = Known()
 ENCODER = msgspec.msgpack.Encoder()
 FACTS: msgspec.msgpack.Decoder[list[Fact]] = msgspec.msgpack.Decoder(
-    Annotated[list[Fact], msgspec.Meta(max_length=MOST_FACTS)])
+    Annotated[list[Fact], msgspec.Meta(max_length=MOST_FACTS)]
+)
 BATCH: msgspec.msgpack.Decoder[Batch] = msgspec.msgpack.Decoder(Batch)
 
 
@@ -231,8 +232,16 @@
 
 
 def base_of(kept: Kept, body: bytes) -> Base:
-    return Base(kept.id, kept.key, kept.turn, kept.band, kept.tenant, kept.destination, kept.outer_limit,
-                body if kept.end is None else b"")
+    return Base(
+        kept.id,
+        kept.key,
+        kept.turn,
+        kept.band,
+        kept.tenant,
+        kept.destination,
+        kept.outer_limit,
+        body if kept.end is None else b"",
+    )
 
 
 def known_of(kept: Kept, term: int) -> Known:
@@ -266,10 +275,21 @@
         last = (0, 0)
     rank, wait = known.end
     return Kept(
-        fact.number, base.id, base.key, base.turn, base.band, base.tenant, base.destination, base.outer_limit,
-        base.body, min(shots_of(known), MOST_SHOTS), *ran, *last,
+        fact.number,
+        base.id,
+        base.key,
+        base.turn,
+        base.band,
+        base.tenant,
+        base.destination,
+        base.outer_limit,
+        base.body,
+        min(shots_of(known), MOST_SHOTS),
+        *ran,
+        *last,
         min(filter(None, (known.doubt, doubt_at)), default=0),
-        None if rank is Rank.NONE else (rank is Rank.RETURNED, wait))
+        None if rank is Rank.NONE else (rank is Rank.RETURNED, wait),
+    )
 
 
 # ---- at the holder ----
--- a/cedarwick/fleet/lasting.py
+++ b/cedarwick/fleet/lasting.py
@@ -160,7 +160,7 @@
     def write(self, name: str, payload: bytes) -> None:
         """Replace a file."""
         # Danger: a longer frame is written without a word, and counts as damage when it is read.
-        self.replace(name, (payload[at:at + LONGEST] for at in range(0, len(payload), LONGEST)))
+        self.replace(name, (payload[at : at + LONGEST] for at in range(0, len(payload), LONGEST)))
 
     def replace(self, name: str, payloads: Iterable[bytes]) -> None:
         """Replace a file by these frames."""
--- a/cedarwick/fleet/link.py
+++ b/cedarwick/fleet/link.py
@@ -153,7 +153,7 @@
 
     def feed(self, told: bytes) -> None:
         """Read on; `http.Unreadable` where it is no request, or its head is too long."""
-        first = told if self.method else told[:LONGEST_HEAD - self.fed]
+        first = told if self.method else told[: LONGEST_HEAD - self.fed]
         self.fed += len(first)
         try:
             self.parser.feed_data(first)
@@ -166,7 +166,7 @@
         if self.complete:
             self.keep_alive &= len(first) == len(told)
         elif len(first) < len(told):
-            self.feed(told[len(first):])
+            self.feed(told[len(first) :])
 
 
 class Server:
@@ -209,8 +209,10 @@
                 status, told = self._said(request, sock, caller)
                 stays = request.complete and request.keep_alive
                 sock.settimeout(SILENT)
-                sock.sendall(b"HTTP/1.1 %s\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n%s\r\n%s"
-                             % (status, len(told), b"" if stays else b"Connection: close\r\n", told))
+                sock.sendall(
+                    b"HTTP/1.1 %s\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n%s\r\n%s"
+                    % (status, len(told), b"" if stays else b"Connection: close\r\n", told)
+                )
                 if not stays:
                     return  # Danger: the rest of a body that nobody wants would be read on for ever
         except http.Unreadable as error:
@@ -453,9 +455,10 @@
     whole = False
     try:
         kept.sock.settimeout(None)  # the time limit is the whole call's
-        kept.sock.sendall(b"POST %s HTTP/1.1\r\nHost: %s:%d\r\nContent-Type: application/msgpack\r\n"
-                          b"Content-Length: %d\r\n\r\n%s"
-                          % (PATH, peer.address[0].encode(), peer.address[1], len(letter), letter))
+        kept.sock.sendall(
+            b"POST %s HTTP/1.1\r\nHost: %s:%d\r\nContent-Type: application/msgpack\r\n"
+            b"Content-Length: %d\r\n\r\n%s" % (PATH, peer.address[0].encode(), peer.address[1], len(letter), letter)
+        )
         told = bytearray()
         answer = http.Answer(told.extend)
         while not answer.complete:
--- a/cedarwick/fleet/memory.py
+++ b/cedarwick/fleet/memory.py
@@ -61,8 +61,13 @@
         known, seen = fact.known, self.taken.get(fact.number)
         if seen is None:
             if fact.base is not None and fact.base.turn and not over(known):
-                self.taken[fact.number] = Taken(fact.base.turn, fact.base.id, now, hash_of(fact.base, known.end[0]),
-                                                bool(known.heads) or known.end[0] is not Rank.NONE)
+                self.taken[fact.number] = Taken(
+                    fact.base.turn,
+                    fact.base.id,
+                    now,
+                    hash_of(fact.base, known.end[0]),
+                    bool(known.heads) or known.end[0] is not Rank.NONE,
+                )
                 self.order.append((now, fact.number))
             return
         if known.end[0] is Rank.TOLD and not known.heads and not seen.ended:
--- a/cedarwick/fleet/moves.py
+++ b/cedarwick/fleet/moves.py
@@ -108,8 +108,9 @@
         wait: as in `Proposer`.
     """
 
-    def __init__(self, name: str, mark: str, voters: tuple[str, ...], acceptor: Acceptor,
-                 wait: Callable[[int], int]) -> None:
+    def __init__(
+        self, name: str, mark: str, voters: tuple[str, ...], acceptor: Acceptor, wait: Callable[[int], int]
+    ) -> None:
         self.name = name
         self.mark = mark
         self.voters = voters
@@ -351,7 +352,10 @@
     @staticmethod
     def _finished(move: Move) -> bool:
         return move.giving in (None, Giving.CLOSED, Giving.HELD) and move.taking in (
-            None, Taking.ACTIVE, Taking.DROPPED)
+            None,
+            Taking.ACTIVE,
+            Taking.DROPPED,
+        )
 
     @staticmethod
     def _again(move: Move, now: int) -> None:
@@ -445,12 +449,14 @@
 
     `more`: sessions by name that are on their way there and not among `held`.
     """
+
     def order(each: Neighbour) -> tuple[bool, int, bool, int]:
         load = (each.held + more.get(each.name, 0)) * 10 // max(each.most, 1)
         return each.hall != hall, load, not each.well, -weight(key, each.name)
 
-    return sorted((each for each in neighbours
-                   if each.takes and each.held + more.get(each.name, 0) < FULL * each.most), key=order)
+    return sorted(
+        (each for each in neighbours if each.takes and each.held + more.get(each.name, 0) < FULL * each.most), key=order
+    )
 
 
 class Planner:
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -144,8 +144,9 @@
         self.changed = self.written = 0  # counts the states of its table: the newest, and that on the disk
         self.changed_at: dict[str, int] = {}  # by right: the state with its newest row, where that is not on the disk
         self.writing = False
-        self.copies = Copies(CopyFolder(self.lasting.copies), round(told.copies_mb * (1 << 20)), now=clock.now,
-                             durable=store.durable)
+        self.copies = Copies(
+            CopyFolder(self.lasting.copies), round(told.copies_mb * (1 << 20)), now=clock.now, durable=store.durable
+        )
         self.adoptions: dict[int, Adoption] = {}
         self.held = {held.book: held for held in self.lasting.held()}
         self.ownership: Ownership | None = None
@@ -204,8 +205,13 @@
         self.server.start()
         parts = [gevent.spawn(self.run)]
         parts += [gevent.spawn(self._beat, name) for name in self.peers.names()]
-        logger.info("member {} of {} in hall {}: {} others", self.name, self.told.group, self.halls[self.name],
-                    len(self.halls) - 1)
+        logger.info(
+            "member {} of {} in hall {}: {} others",
+            self.name,
+            self.told.group,
+            self.halls[self.name],
+            len(self.halls) - 1,
+        )
         return parts
 
     def run(self) -> None:
@@ -256,8 +262,10 @@
         kept = msgspec.structs.replace(self.told, member=told.member, follow_s=told.follow_s)
         moved = self.where[self.name] not in [address(each.address) for each in told.member if each.name == self.name]
         if kept != told or moved:
-            logger.warning("but for the members and follow_s, the fleet's table and its own address are taken "
-                           "over at a start only")
+            logger.warning(
+                "but for the members and follow_s, the fleet's table and its own address are taken "
+                "over at a start only"
+            )
         self.told = kept
         self.halls = {member.name: member.hall for member in told.member}
         self.where = {member.name: address(member.address) for member in told.member}
@@ -321,8 +329,11 @@
 
     def _own_beat(self) -> Beat:
         now = boot_time()
-        rights = tuple(Right(holding.book, holding.adoption.holder.term)
-                       for holding in self.store.holdings.values() if holding.serving and not self.leaving)
+        rights = tuple(
+            Right(holding.book, holding.adoption.holder.term)
+            for holding in self.store.holdings.values()
+            if holding.serving and not self.leaving
+        )
         return Beat(self.leaving, self.members.beat_ages(now), rights)
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
@@ -435,8 +446,12 @@
         Danger: each one refused has the holder send all again that is out, beside what is still on its way.
         """
         until = boot_time() + EARLIER
-        while ((replica := self.copies.replica(body.book)) is not None and replica.place.term == body.term
-               and replica.place.next < body.first and boot_time() < until):
+        while (
+            (replica := self.copies.replica(body.book)) is not None
+            and replica.place.term == body.term
+            and replica.place.next < body.first
+            and boot_time() < until
+        ):
             gevent.sleep(0.0005)
 
     def _follow(self, book: int) -> None:
@@ -517,8 +532,13 @@
             return frozenset()
         if book not in self.lying:  # a silent holder tells nothing new
             facts = [fact for fact in replica.held.values() if fact.base is not None and fact.base.turn]
-            self.lying[book] = frozenset([fact.base.turn for fact in facts[:MOST_OWED] if fact.base is not None
-                                          and fact.known.end[0] is Rank.NONE and self.desk.in_turn(fact.base.band)])
+            self.lying[book] = frozenset(
+                [
+                    fact.base.turn
+                    for fact in facts[:MOST_OWED]
+                    if fact.base is not None and fact.known.end[0] is Rank.NONE and self.desk.in_turn(fact.base.band)
+                ]
+            )
         return self.lying[book]
 
     def _backlog(self, holding: Holding) -> None:
@@ -605,8 +625,14 @@
         # Danger: the own grantor knows nothing of a holder whose term it has given to somebody else, in vain.
         served = self.served[book][1] + SPAN if book in self.served else 0
         asked = holder.term if adoption.stage is Stage.ASKING else 0
-        step = adoption.step(now, self.grantor.grant(right), max(self.grantor.promised(right), served),
-                             lambda name: self._standing(now, name, adoption), whole, owed)
+        step = adoption.step(
+            now,
+            self.grantor.grant(right),
+            max(self.grantor.promised(right), served),
+            lambda name: self._standing(now, name, adoption),
+            whole,
+            owed,
+        )
         if asked and adoption.stage is not Stage.HOLDING and (holder.term, holder.state) != (asked, Tenure.ASKING):
             # Danger: two that ask in vain, each promised by itself, would keep each other from it for ever.
             self._give_up(Ask(right, asked, self.name, 0))
@@ -687,8 +713,12 @@
     def _unwanted(self, now: int, book: int, adoption: Adoption) -> bool:
         grant = self.grantor.grant(right_of(book))
         # Danger: this member's row may lag; a copy that its holder still counts on is written to all the time.
-        return (grant.set > 0 and self.name not in grant.heirs and grant.holder != self.name
-                and now - self.shipped_at.setdefault(book, now) > UNWANTED)
+        return (
+            grant.set > 0
+            and self.name not in grant.heirs
+            and grant.holder != self.name
+            and now - self.shipped_at.setdefault(book, now) > UNWANTED
+        )
 
     # ---- a book that is held ----
 
@@ -775,20 +805,33 @@
         if holding.adoption.stage is Stage.HOLDING and holding.imported:
             self._ship(now, holding)
             self._name_heirs(now, holding)
-        may = (holding.adoption.stage is Stage.HOLDING and holding.imported and not self.leaving
-               and holder.may_fire(now) and self._copied(now, holding))
+        may = (
+            holding.adoption.stage is Stage.HOLDING
+            and holding.imported
+            and not self.leaving
+            and holder.may_fire(now)
+            and self._copied(now, holding)
+        )
         if may == holding.serving:
             return
         holding.serving = may
         self._backlog(holding)
         numbers = self.store.numbers(holding.book)
         if may:
-            logger.info("book {}: fired for from now on, {} envelopes, heirs {}", holding.book, len(numbers),
-                        ", ".join(holder.heirs[1:]) or "none")
+            logger.info(
+                "book {}: fired for from now on, {} envelopes, heirs {}",
+                holding.book,
+                len(numbers),
+                ", ".join(holder.heirs[1:]) or "none",
+            )
             self.desk.adopt(numbers)
         else:
-            logger.warning("book {}: not fired for, {} envelopes ({})", holding.book, len(numbers),
-                           holding.adoption.stage.value if holder.may_fire(now) is False else "no copy follows")
+            logger.warning(
+                "book {}: not fired for, {} envelopes ({})",
+                holding.book,
+                len(numbers),
+                holding.adoption.stage.value if holder.may_fire(now) is False else "no copy follows",
+            )
             self.counters.add("books that were not fired for any more")
             self.desk.park(numbers)
 
@@ -824,8 +867,11 @@
             logger.info("book {}: copies follow again", holding.book)
             holding.starved_at = holding.alone_since = 0
         holding.joining = {name: each for name, each in joining.items() if self.full_at.get(name) != now}
-        return [name for name in whole if name in bound
-                or name in holding.joining and log.acked([name]) >= holding.joining[name][0]]
+        return [
+            name
+            for name in whole
+            if name in bound or name in holding.joining and log.acked([name]) >= holding.joining[name][0]
+        ]
 
     def _starved(self, holding: Holding) -> None:
         """A copy has not taken a record in time."""
@@ -902,8 +948,14 @@
         logger.info("book {}: {} envelopes offered to {}", adoption.book, len(told), to)
         try:
             for index, data in enumerate(parts):
-                offer = Offer(adoption.book, index, index + 1 == len(parts), data, digest_of(data),
-                              adoption.holder.term if holding is None else holding.ledger.term)
+                offer = Offer(
+                    adoption.book,
+                    index,
+                    index + 1 == len(parts),
+                    data,
+                    digest_of(data),
+                    adoption.holder.term if holding is None else holding.ledger.term,
+                )
                 if holding is not None:
                     holding.approached = True
                 answer = self._call(to, offer, OFFER_IN)
@@ -973,8 +1025,9 @@
             for name in list(holding.log.followers):
                 holding.log.unfollow(name)
             self.store.forget(book)
-            logger.info("book {}: given up ({}), {} envelopes are another sender's", book, adoption.stage.value,
-                        len(numbers))
+            logger.info(
+                "book {}: given up ({}), {} envelopes are another sender's", book, adoption.stage.value, len(numbers)
+            )
         if self.held.pop(book, None) is not None:
             self.lasting.write_held(list(self.held.values()))
         replica = self.copies.replica(book)
@@ -1037,8 +1090,11 @@
                 numbers = self.store.numbers(holding.book)
             elif stage is Stage.GONE and not holding.offered:
                 numbers = sum(self.store.only_here(holding), [])
-            late = [number for number in numbers if self.store.kept[number].outer_limit <= soon
-                    and number not in self.store.inert]
+            late = [
+                number
+                for number in numbers
+                if self.store.kept[number].outer_limit <= soon and number not in self.store.inert
+            ]
             if late:
                 self.desk.answer_late(late)
 
@@ -1060,8 +1116,11 @@
         owed = [number for number in numbers if self.store.kept[number].end is None]
         if owed and self.store.taking():
             self._rekey(owed)
-        late = [number for number in numbers if number in self.store.kept
-                and (number not in owed or self.store.kept[number].outer_limit <= soon)]
+        late = [
+            number
+            for number in numbers
+            if number in self.store.kept and (number not in owed or self.store.kept[number].outer_limit <= soon)
+        ]
         if late:
             self.desk.answer_late(late)
 
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -260,8 +260,10 @@
         # Danger: an heir's heir, or a second one, knows nothing of the ids that came by inheritance.
         if self.bars(key, by, now):
             return Claim(False, self.entry(key, now))
-        if known is not None and (known.holder not in (asking.over[1], by) or known.sequence > (
-                asking.over[0] if known.holder != by else asking.sequence)):
+        if known is not None and (
+            known.holder not in (asking.over[1], by)
+            or known.sequence > (asking.over[0] if known.holder != by else asking.sequence)
+        ):
             return Claim(False, self.entry(key, now))
         if by != self.name:
             self.inherited[key] = now, by, asking.over[1]
@@ -342,8 +344,11 @@
     def ids(self, key: int, now: int) -> dict[str, tuple[int, int]]:
         """The ids of late of a session that is held here, for its next holder: id -> (age, hash of contents)."""
         session = self.sessions.get(key)
-        return {} if session is None else {
-            each: (now - at, hashed) for each, (at, hashed) in session.ids.items() if at >= now - REMEMBERED}
+        return (
+            {}
+            if session is None
+            else {each: (now - at, hashed) for each, (at, hashed) in session.ids.items() if at >= now - REMEMBERED}
+        )
 
     def gone(self, key: int, holder: str, sequence: int, now: int) -> None:
         """A session that was held here has another holder, whose sequence is known."""
--- a/cedarwick/fleet/sharing.py
+++ b/cedarwick/fleet/sharing.py
@@ -57,8 +57,14 @@
 class Sharing:
     """Nothing is told or taken before `attach`."""
 
-    def __init__(self, name: str, lasting: Lasting, clock: Clock, counters: Counters,
-                 call: Callable[[str, Body, float], Body | None]) -> None:
+    def __init__(
+        self,
+        name: str,
+        lasting: Lasting,
+        clock: Clock,
+        counters: Counters,
+        call: Callable[[str, Body, float], Body | None],
+    ) -> None:
         self.name = name
         self.lasting = lasting
         self.clock = clock
@@ -215,8 +221,10 @@
             self.unwritten = not self.staff.keep(calls)
         self._write()
         if count := self.marks.untold():
-            self.counters.trouble("receivers out by hand that the other members are not told of",
-                                  NotShared(f"{count} of {len(calls)}, at most {LONGEST} characters of ASCII each"))
+            self.counters.trouble(
+                "receivers out by hand that the other members are not told of",
+                NotShared(f"{count} of {len(calls)}, at most {LONGEST} characters of ASCII each"),
+            )
 
     def _write(self) -> None:
         self.saved_at = wall()
@@ -254,7 +262,10 @@
         if not waits:
             return ()
         uids = {number: uid for uid, number in self.directory.numbers.items() if number in waits}
-        found = [Wait(uids[receiver], until - now) for receiver, until in waits.items()
-                 if until - now > SHORTEST and receiver in uids and len(uids[receiver]) <= LONGEST]
+        found = [
+            Wait(uids[receiver], until - now)
+            for receiver, until in waits.items()
+            if until - now > SHORTEST and receiver in uids and len(uids[receiver]) <= LONGEST
+        ]
         self.hinted.update(waits)
         return tuple(found)
--- a/cedarwick/fleet/shipping.py
+++ b/cedarwick/fleet/shipping.py
@@ -133,8 +133,7 @@
         self.followers.pop(name, None)
 
     def acked(self, heirs: Iterable[str]) -> int:
-        """Every fact with a lower index is in the file of each of these copies; -1: one lacks what the term began with.
-        """
+        """Facts below this index are in the file of each of these copies; -1: one lacks what the term began with."""
         found = [self.followers.get(name) for name in heirs]
         return min((each.acked if each is not None and each.covers else -1 for each in found), default=self.next)
 
@@ -417,7 +416,7 @@
         read = self._read(message, 0, EVERYTHING)
         if isinstance(read, str):
             return self._no(read)
-        fresh = read[place.next - message.first:]
+        fresh = read[place.next - message.first :]
         if not fresh:
             return Step(self.have())
         data = message.facts if len(fresh) == len(read) else encode_facts(fresh)
@@ -436,8 +435,9 @@
             return self._no(read)
         covered = message.upto if jumps else max(place.covered, message.upto)
         index = message.next if jumps else place.next
-        return self._step(Place(message.term, index, covered), message.after, message.upto, message.facts, read,
-                          message.behind)
+        return self._step(
+            Place(message.term, index, covered), message.after, message.upto, message.facts, read, message.behind
+        )
 
     def digests(self, message: Digests) -> Digests:
         """The copy's own ranges, where it is at the same place."""
@@ -445,7 +445,7 @@
             return Digests(self.book, self.place.term, (), self.place.next)
         numbers, made = sorted(self.held), []
         for span in message.ranges:
-            inside = numbers[bisect_right(numbers, span.after):bisect_right(numbers, span.upto)]
+            inside = numbers[bisect_right(numbers, span.after) : bisect_right(numbers, span.upto)]
             made.append(Span(span.after, span.upto, *summed(encoded(self.held[number]) for number in inside)))
         return Digests(self.book, self.place.term, tuple(made), self.place.next)
 
--- a/cedarwick/fleet/traffic.py
+++ b/cedarwick/fleet/traffic.py
@@ -164,9 +164,11 @@
         """The process that replaces this one goes on with its sessions; OSError where that cannot be written."""
         now = boot_time()
         self._bind()
-        held = [HeldSession(key, session.sequence, self.directory.ids(key, now))
-                for key, session in self.directory.sessions.items()
-                if session.sure and session.used >= now - LAPSES and self._standing(key)[0] == "here"]
+        held = [
+            HeldSession(key, session.sequence, self.directory.ids(key, now))
+            for key, session in self.directory.sessions.items()
+            if session.sure and session.used >= now - LAPSES and self._standing(key)[0] == "here"
+        ]
         self.transfers.files.write_sessions(Sessions(time.time_ns() // 1000, held, self.book))
         self.directory.sessions.clear()
 
@@ -292,9 +294,19 @@
         """
         sure = True
         while (left := until - boot_time()) > LEAST:
-            body = Pass(kept.turn, kept.id, kept.key, kept.band, kept.tenant, kept.destination,
-                        kept.outer_limit - self.clock.now(), left - LEAST, kept.body or b"", moved,
-                        lodging_of(gone))
+            body = Pass(
+                kept.turn,
+                kept.id,
+                kept.key,
+                kept.band,
+                kept.tenant,
+                kept.destination,
+                kept.outer_limit - self.clock.now(),
+                left - LEAST,
+                kept.body or b"",
+                moved,
+                lodging_of(gone),
+            )
             try:
                 answer = self.lane.call(to, body, min(left / SECOND, TRY))
             except Unreachable:
@@ -420,12 +432,18 @@
         memory, now = self.memories.pop(book, None), boot_time()
         owner = next((name for name in self.node.halls if slot_of(name) == book >> EPOCH_BITS), "")
         if memory is None or self.node.gate.levels.get(owner, 0) < HEIRS or owner == self.name:
-            logger.info("sessions of {} are taken over {} s after its death: no ids of late are known", owner or "?",
-                        REMEMBERED // SECOND)
+            logger.info(
+                "sessions of {} are taken over {} s after its death: no ids of late are known",
+                owner or "?",
+                REMEMBERED // SECOND,
+            )
             return
         self.estates[book] = Estate(owner, memory.whole_at(), memory.by_key(), set())
-        logger.info("sessions of {} are taken over as they are used, {:.1f} s from now on", owner,
-                    max(0, memory.whole_at() - now) / SECOND)
+        logger.info(
+            "sessions of {} are taken over as they are used, {:.1f} s from now on",
+            owner,
+            max(0, memory.whole_at() - now) / SECOND,
+        )
 
     def _newest_book(self, name: str) -> int:
         """Of a sender, as far as is known here; 0: none."""
@@ -466,10 +484,15 @@
     def _heir_claims(self, asking: Asking, book: int, by: str, now: int) -> Claim:
         holder = asking.over[1]
         grant = self.node.grantor.grant(right_of(book))
-        holds = (book == self._newest_book(holder) and grant.holder == by and not grant.closed
-                 and not self.node.grantor.learning)
-        moved = (self.transfers.acceptor.moved(asking.key, holder, now - REMEMBERED)
-                 or self.transfers.open_move(asking.key))
+        holds = (
+            book == self._newest_book(holder)
+            and grant.holder == by
+            and not grant.closed
+            and not self.node.grantor.learning
+        )
+        moved = self.transfers.acceptor.moved(asking.key, holder, now - REMEMBERED) or self.transfers.open_move(
+            asking.key
+        )
         return self.directory.heir_claims(asking, by, holds, moved, now)
 
     def offered(self, holding: Holding, facts: list[Fact]) -> list[Fact]:
@@ -591,17 +614,29 @@
 
     def _neighbours(self) -> list[Neighbour]:
         now, halls, members = boot_time(), self.node.halls, self.node.members
-        return [Neighbour(name, halls[name], told.held, SESSIONS, not members.notes(now, name),
-                          told.takes and members.state(now, name) is Standing.ALIVE)
-                for name, told in self.neighbours.items() if name in halls]
+        return [
+            Neighbour(
+                name,
+                halls[name],
+                told.held,
+                SESSIONS,
+                not members.notes(now, name),
+                told.takes and members.state(now, name) is Standing.ALIVE,
+            )
+            for name, told in self.neighbours.items()
+            if name in halls
+        ]
 
     def _plan(self, now: int) -> None:
         self.wishes = {key: each for key, each in self.wishes.items() if each[1] > now}
         wishes = [wish for wish, _ in self.wishes.values()]
         if self.leaving or self.intake.paused:
             why = Why.LEAVING if self.leaving else Why.FAILING
-            wishes += [Wish(key, why) for key in self.directory.sessions
-                       if key not in self.transfers.planner.out and key not in self.transfers.planner.off][:WISHES]
+            wishes += [
+                Wish(key, why)
+                for key in self.directory.sessions
+                if key not in self.transfers.planner.out and key not in self.transfers.planner.off
+            ][:WISHES]
         for key, to in self.transfers.planner.plan(wishes, self._neighbours(), now) if wishes else ():
             self.transfers.begin(key, to, now)
 
@@ -630,6 +665,7 @@
             self.wishes.pop(key, None)
             self.ends.pop(key).set(self.directory.where(key))
 
+
 # ---- from and to letters ----
 
 
--- a/cedarwick/fleet/transfers.py
+++ b/cedarwick/fleet/transfers.py
@@ -86,8 +86,14 @@
         change: to be called when something has changed that a submission may wait for.
     """
 
-    def __init__(self, node: "Node", directory: Directory, call: Callable[[str, Body, float], Body | None],
-                 takes: Callable[[], bool], change: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        node: "Node",
+        directory: Directory,
+        call: Callable[[str, Body, float], Body | None],
+        takes: Callable[[], bool],
+        change: Callable[[], None],
+    ) -> None:
         self.node = node
         self.name = node.name
         self.directory = directory
@@ -105,8 +111,13 @@
         self.acceptor.learned(self.name, self.stamp)
         self.files.write_decrees(self.acceptor.table())
         chance = random.Random(node.incarnation)
-        self.moves = Moves(self.name, f"{self.name}#{node.incarnation}", tuple(sorted(node.halls)), self.acceptor,
-                           lambda failed: chance.randint(0, 50_000 << min(failed, 5)))
+        self.moves = Moves(
+            self.name,
+            f"{self.name}#{node.incarnation}",
+            tuple(sorted(node.halls)),
+            self.acceptor,
+            lambda failed: chance.randint(0, 50_000 << min(failed, 5)),
+        )
         self.planner = Planner(node.halls[self.name])
         marks = self.files.inert()
         self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.kept}
@@ -174,8 +185,10 @@
 
     def under_way_here(self) -> bool:
         """Whether a move from here is not over yet."""
-        return any(move.giving in (Giving.FREEZING, Giving.OFFERED)
-                   or move.giving is Giving.FORWARDING and not move.confirmed for move in self.moves.moves.values())
+        return any(
+            move.giving in (Giving.FREEZING, Giving.OFFERED) or move.giving is Giving.FORWARDING and not move.confirmed
+            for move in self.moves.moves.values()
+        )
 
     def begin(self, key: int, to: str, now: int) -> None:
         """Start to give a session that is held here to another member."""
@@ -254,8 +267,16 @@
                 gevent.spawn(self._do, act)
 
     def _do(self, act: Act) -> None:
-        work = {Do.FREEZE: self._freeze, Do.MARK: self._mark, Do.STAGE: self._stage, Do.WRITE: self._write,
-                Do.ACTIVATE: self._activate, Do.DROP: self._drop, Do.RELEASE: self._release, Do.OVER: self._over}
+        work = {
+            Do.FREEZE: self._freeze,
+            Do.MARK: self._mark,
+            Do.STAGE: self._stage,
+            Do.WRITE: self._write,
+            Do.ACTIVATE: self._activate,
+            Do.DROP: self._drop,
+            Do.RELEASE: self._release,
+            Do.OVER: self._over,
+        }
         try:
             work[act.do](act.move)
         except Exception:  # one move that fails must not keep the others from being settled
@@ -270,8 +291,11 @@
 
     def _marked(self, name: str, side: str) -> list[int]:
         """Envelopes with the mark of one side of a move."""
-        return sorted(number for number, (_, text) in self.store.inert.items()
-                      if text == side + name and number in self.store.kept)
+        return sorted(
+            number
+            for number, (_, text) in self.store.inert.items()
+            if text == side + name and number in self.store.kept
+        )
 
     def _mine(self, name: str) -> bool:
         """Whether this process began the move; else it has found it after a restart, or adopted the giver's book."""
@@ -303,8 +327,11 @@
         books: set[int] = set()
 
         def mark() -> bool:
-            owed = [kept for kept in self.store.kept.values()
-                    if kept.turn == key and kept.end is None and kept.number not in self.store.inert]
+            owed = [
+                kept
+                for kept in self.store.kept.values()
+                if kept.turn == key and kept.end is None and kept.number not in self.store.inert
+            ]
             if not self.store.taking() or not all(self.store.may_fire(kept.number) for kept in owed):
                 return False
             sequence, text = self.sequences[name], GIVEN + name
@@ -377,11 +404,15 @@
             if mine:
                 session = self.directory.sessions.get(key)
                 if session is not None:
-                    self.directory.hold(key, max(sequence, session.sequence), self.directory.ids(key, now), now,
-                                        session.sure)
+                    self.directory.hold(
+                        key, max(sequence, session.sequence), self.directory.ids(key, now), now, session.sure
+                    )
                 self.desk.thaw(key)
-            owed = [kept.number for kept in self.store.kept.values()
-                    if kept.turn == key and kept.end is None and self.store.may_fire(kept.number)]
+            owed = [
+                kept.number
+                for kept in self.store.kept.values()
+                if kept.turn == key and kept.end is None and self.store.may_fire(kept.number)
+            ]
             self.desk.adopt(owed, quietly=True)
             return True
 
@@ -498,8 +529,11 @@
         now = boot_time()
         if value == "taker" and self._barred(move, key, now):
             return ABSTAINS
-        answer = (self.acceptor.prepare(move, ballot, now, key) if value is None
-                  else self.acceptor.accept(move, ballot, value, now, key))
+        answer = (
+            self.acceptor.prepare(move, ballot, now, key)
+            if value is None
+            else self.acceptor.accept(move, ballot, value, now, key)
+        )
         row = answer.write or (self.acceptor.rows[move] if move in self.unwritten else None)
         if row is not None:
             # Danger: the same question asked again changes nothing, and would be granted with nothing on the disk.
@@ -519,8 +553,11 @@
         """Whether this member has a side of a move of a session that is not decided, or not done."""
         move = self.moves.moves.get(self.moves.by_key.get(key, ""))
         return move is not None and (
-            move.giving in (Giving.FREEZING, Giving.OFFERED) or move.giving is Giving.FORWARDING and not move.confirmed
-            or move.taking in (Taking.STAGED, Taking.GRANTED))
+            move.giving in (Giving.FREEZING, Giving.OFFERED)
+            or move.giving is Giving.FORWARDING
+            and not move.confirmed
+            or move.taking in (Taking.STAGED, Taking.GRANTED)
+        )
 
     def _ask(self, ask: Ask) -> None:
         vote, key = Vote(*ask.ballot), self._key(ask.move)
@@ -528,8 +565,13 @@
         told = self.call(ask.to, body, SETTLE_IN)
         if isinstance(told, Voted):
             value = value_of(told.value)
-            answer = Answer(told.granted, ballot_of(told.promised), ballot_of(told.accepted), value,
-                            told.decided and value is not None)
+            answer = Answer(
+                told.granted,
+                ballot_of(told.promised),
+                ballot_of(told.accepted),
+                value,
+                told.decided and value is not None,
+            )
             stray, now = self.strays.get(ask.move), boot_time()
             if stray is not None:
                 self._ask_for_stray(stray.answered(ask.to, ask.ballot, ask.value, answer, now), now)
@@ -611,5 +653,6 @@
 
 
 def voted(move: str, answer: Answer) -> Voted:
-    return Voted(move, answer.granted, Vote(*answer.promised), Vote(*answer.accepted), answer.value or "",
-                 answer.decided)
+    return Voted(
+        move, answer.granted, Vote(*answer.promised), Vote(*answer.accepted), answer.value or "", answer.decided
+    )
--- a/cedarwick/interface.py
+++ b/cedarwick/interface.py
@@ -116,8 +116,16 @@
     """What taking an message gives."""
 
     def shot_ended(
-        self, now: int, outcome: Outcome, shot: int, receiver: int, took: int, retry_after: int,
-        last: bool, report: Sequence[float], kept_link: bool = False,
+        self,
+        now: int,
+        outcome: Outcome,
+        shot: int,
+        receiver: int,
+        took: int,
+        retry_after: int,
+        last: bool,
+        report: Sequence[float],
+        kept_link: bool = False,
     ) -> None: ...
 
     def withdrawn(self, now: int) -> None: ...
@@ -146,7 +154,13 @@
     def list_call_failed(self, now: int) -> None: ...
 
     def take(
-        self, now: int, message_id: int, destination: int, band: int, outer_limit: int, tenant: int,
+        self,
+        now: int,
+        message_id: int,
+        destination: int,
+        band: int,
+        outer_limit: int,
+        tenant: int,
         key: int,
     ) -> MessageHandle: ...
 
--- a/cedarwick/lab/virtualwatch.py
+++ b/cedarwick/lab/virtualwatch.py
@@ -18,9 +18,17 @@
     from cedarwick.lab.virtualday import Day, Sender
 
 FILTERS = (
-    'kind = "completed" and destination = 1', "has sender", 'kind in ("nacked", "written-off")',
-    'kind = "shot" and shots > 1', 'kind = "taken" and not band = "free"', 'kind = "moved" or kind = "adopted"',
-    "has member", 'kind = "outcome" and wait > 0s', 'sender = "n1" and age > 50ms', "sample(1/3)")
+    'kind = "completed" and destination = 1',
+    "has sender",
+    'kind in ("nacked", "written-off")',
+    'kind = "shot" and shots > 1',
+    'kind = "taken" and not band = "free"',
+    'kind = "moved" or kind = "adopted"',
+    "has member",
+    'kind = "outcome" and wait > 0s',
+    'sender = "n1" and age > 50ms',
+    "sample(1/3)",
+)
 STAYS = 3.0  # seconds that a subscriber stays at one member, on the average
 ENDS = 0.25  # how many of its leavings end the subscription
 LOOK = 0.02  # seconds between two looks at a state that is awaited
--- a/cedarwick/net/assignment.py
+++ b/cedarwick/net/assignment.py
@@ -34,8 +34,11 @@
 
     def fixed_and_other(self, told: "Assignment") -> list[str]:
         """What another configuration changes that only a start takes over."""
-        return [name for name in ("name", "listen", "settings", "seed", "known", "management")
-                if getattr(self, name) != getattr(told, name)]
+        return [
+            name
+            for name in ("name", "listen", "settings", "seed", "known", "management")
+            if getattr(self, name) != getattr(told, name)
+        ]
 
 
 def read(environment: Mapping[str, str]) -> Assignment:
@@ -65,8 +68,9 @@
             known=dict(told.get("known") or {}),
             settings=plain(told["settings"]),
             # Danger: a replacing process is started with the same file and an address of its own.
-            management=address(manage) if (manage := environment.get("RELAY_MANAGEMENT")
-                                           or told.get("management")) else None,
+            management=address(manage)
+            if (manage := environment.get("RELAY_MANAGEMENT") or told.get("management"))
+            else None,
         )
     except KeyError as error:
         raise BadAssignment(f"{path}: {error.args[0]} is missing") from None
--- a/cedarwick/net/buffer.py
+++ b/cedarwick/net/buffer.py
@@ -22,14 +22,14 @@
     def fill(self, sock: gevent.socket.socket) -> int:
         """Read once from a socket; 0 at its end."""
         self._make_room(1)
-        with memoryview(self.data) as whole, whole[self.end:] as free:
+        with memoryview(self.data) as whole, whole[self.end :] as free:
             got: int = sock.recv_into(free)
         self.end += got
         return got
 
     def append(self, more: bytes) -> None:
         self._make_room(len(more))
-        self.data[self.end:self.end + len(more)] = more
+        self.data[self.end : self.end + len(more)] = more
         self.end += len(more)
 
     def find(self, mark: bytes, at: int = 0) -> int:
@@ -38,7 +38,7 @@
         return place - self.start if place >= 0 else -1
 
     def peek(self, at: int, size: int) -> bytes:
-        return bytes(self.data[self.start + at:min(self.end, self.start + at + size)])
+        return bytes(self.data[self.start + at : min(self.end, self.start + at + size)])
 
     def skip(self, size: int) -> None:
         self.start += size
@@ -57,7 +57,7 @@
             return
         if self.start:
             held = len(self)
-            self.data[:held] = self.data[self.start:self.end]
+            self.data[:held] = self.data[self.start : self.end]
             self.start, self.end = 0, held
         while len(self.data) - self.end < size:
             self.data.extend(bytes(len(self.data)))
--- a/cedarwick/net/desk.py
+++ b/cedarwick/net/desk.py
@@ -70,16 +70,19 @@
 class Desk:
     """All that happens reaches the decisions here, in the order in which it came."""
 
-    def __init__(self, assignment: Assignment, clock: Clock, counters: Counters, store: Store,
-                 polled: Polled) -> None:
+    def __init__(self, assignment: Assignment, clock: Clock, counters: Counters, store: Store, polled: Polled) -> None:
         self.clock = clock
         self.counters = counters
         self.polled = polled
         self.store = store
-        self.bands = {assignment.settings[f"classes.{index}.name"]: index
-                      for index in range(int(assignment.settings["classes.count"]))}
-        self.tenants = [assignment.settings.get(f"realms.{index}.name", "")
-                        for index in range(int(assignment.settings.get("realms.count") or 0))]
+        self.bands = {
+            assignment.settings[f"classes.{index}.name"]: index
+            for index in range(int(assignment.settings["classes.count"]))
+        }
+        self.tenants = [
+            assignment.settings.get(f"realms.{index}.name", "")
+            for index in range(int(assignment.settings.get("realms.count") or 0))
+        ]
         self.zones = [zone_mark(name) for name in row(assignment.settings, "zones")]
         self.sender = Sender(assignment.settings, assignment.seed, clock.now())
         # One more stands for what a restart finds of a band that is no more; as the settings lack it, at most once.
@@ -217,8 +220,9 @@
                 for each in asked:
                     self._guarded(self._clear, *each)
                 gevent.sleep(0)  # what may go goes now, not after a long round
-            self._guarded(self._decide if not self.holding_fire else self._keep_fresh if self.keeping
-                          else self._turn_away)
+            self._guarded(
+                self._decide if not self.holding_fire else self._keep_fresh if self.keeping else self._turn_away
+            )
             if self.after_flush:
                 self._guarded(self._flush)
             self._guarded(self.store.step)
@@ -266,8 +270,11 @@
                 continue
             shots = [shot._replace(zone=self._place_of(shot.zone)) for shot in kept.earlier_shots()]
             band = self.bands.get(kept.band, len(self.sender.bands) - 1)
-            owed.append(Owed(number, kept.destination, band, kept.outer_limit,
-                             place(self.tenants, kept.tenant), kept.turn, shots))
+            owed.append(
+                Owed(
+                    number, kept.destination, band, kept.outer_limit, place(self.tenants, kept.tenant), kept.turn, shots
+                )
+            )
         now = self.clock.now()
         if quietly and all(shot.outcome is not None and shot.outcome.never_ran for each in owed for shot in each.shots):
             # Danger: sessions come one after another, and each `resume` has the keys of all others rest.
@@ -284,8 +291,14 @@
         return self.zones.index(mark) if self.zones.count(mark) == 1 else NOWHERE
 
     def _adopt(self, numbers: list[int], quietly: bool = False) -> None:
-        known = [number for number in numbers if number in self.store.kept and number not in self.handles
-                 and number not in self.store.inert and self.store.kept[number].turn not in self.frozen]
+        known = [
+            number
+            for number in numbers
+            if number in self.store.kept
+            and number not in self.handles
+            and number not in self.store.inert
+            and self.store.kept[number].turn not in self.frozen
+        ]
         # Danger: a shot of before the envelope was parked may still be out, and a second would run beside it.
         self.to_adopt.update(number for number in known if number in self.parked)
         taken_up = [number for number in known if number not in self.parked]
@@ -401,8 +414,8 @@
         # Danger: an absurd time to live would be held, and take up its room, for ever.
         kept.outer_limit = min(kept.outer_limit, now + self.sender.bands[band].outer_limit)
         self.handles[number] = self.sender.take(
-            now, number, kept.destination, band, kept.outer_limit,
-            place(self.tenants, kept.tenant), kept.turn)
+            now, number, kept.destination, band, kept.outer_limit, place(self.tenants, kept.tenant), kept.turn
+        )
         if kept.turn in self.elsewhere and self.sender.bands[band].in_turn:
             self.counters.add("envelopes that waited for others of their key elsewhere")
             self._let_rest(kept.turn)
@@ -462,8 +475,17 @@
             self._recorded("the record of an outcome", self.store.outcome, number, ending.outcome)
         handle = self.handles.get(number)
         if handle is None and (parked := self.parked.pop(number, None)) is not None:
-            parked.shot_ended(self.clock.now(), ending.outcome, call.shot, call.receiver, ending.took,
-                              ending.told_wait, ending.last, ending.report, ending.kept_link)
+            parked.shot_ended(
+                self.clock.now(),
+                ending.outcome,
+                call.shot,
+                call.receiver,
+                ending.took,
+                ending.told_wait,
+                ending.last,
+                ending.report,
+                ending.kept_link,
+            )
             frozen = self.frozen.get(call.kept.turn)
             if frozen is not None:
                 frozen.out.discard(number)
@@ -474,8 +496,17 @@
                 self._adopt([number])
         if handle is None:
             return
-        handle.shot_ended(self.clock.now(), ending.outcome, call.shot, call.receiver, ending.took,
-                          ending.told_wait, ending.last, ending.report, ending.kept_link)
+        handle.shot_ended(
+            self.clock.now(),
+            ending.outcome,
+            call.shot,
+            call.receiver,
+            ending.took,
+            ending.told_wait,
+            ending.last,
+            ending.report,
+            ending.kept_link,
+        )
         if ending.held_back:
             handle.never_left()
         if handle.ended:
@@ -554,8 +585,14 @@
         for number, receiver, patience in verdicts.shots:
             handle = self.handles[number]
             if number in self.store.kept:
-                call = Call(self.store.kept[number], handle.shots - 1, receiver, now, now + patience,
-                            new_link=handle.on_new_link())
+                call = Call(
+                    self.store.kept[number],
+                    handle.shots - 1,
+                    receiver,
+                    now,
+                    now + patience,
+                    new_link=handle.on_new_link(),
+                )
                 self.shots.start(call)
             else:  # it could not be kept
                 handle.shot_ended(now, Outcome.MOOT, handle.shots - 1, receiver, 0, 0, True, ())
@@ -583,8 +620,11 @@
     def _end_near(self) -> None:
         """Danger: a call that hangs holds up the end of the process, and with it the ends of all else that is kept."""
         now = self.clock.now()
-        limits = {number: self.store.kept[number].outer_limit - NEAR for number, handle in self.handles.items()
-                  if not handle.out and number in self.store.kept}
+        limits = {
+            number: self.store.kept[number].outer_limit - NEAR
+            for number, handle in self.handles.items()
+            if not handle.out and number in self.store.kept
+        }
         for number, limit in limits.items():
             if limit <= now:
                 self.handles[number].withdrawn(now)
@@ -632,8 +672,9 @@
         try:
             self.store.flush(in_thread)
         except OSError as error:
-            self.counters.trouble("what was written does not last yet",
-                                  error if isinstance(error, Trouble) else DiskFault(str(error)))
+            self.counters.trouble(
+                "what was written does not last yet", error if isinstance(error, Trouble) else DiskFault(str(error))
+            )
             for _, otherwise in waiting:
                 otherwise()
             return
@@ -661,6 +702,7 @@
 
     def _post_once_copied(self, kept: Kept) -> None:
         """Danger: told before a copy knows of it, the end would be followed by a shot of whoever takes over."""
+
         def post() -> None:
             if not self.store.may_fire(kept.number):
                 again()  # Danger: the right may be back in a moment, and nobody else would tell it then
--- a/cedarwick/net/directory.py
+++ b/cedarwick/net/directory.py
@@ -38,8 +38,13 @@
 class Directory:
     """Owns the watch; tells the desk what changed, in the numbers that the decisions know."""
 
-    def __init__(self, assignment: Assignment, counters: Counters,
-                 tell: Callable[[ListChange, list[Listing]], None], tell_failed: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        assignment: Assignment,
+        counters: Counters,
+        tell: Callable[[ListChange, list[Listing]], None],
+        tell_failed: Callable[[], None],
+    ) -> None:
         self.platform = assignment.platform
         self.zones = row(assignment.settings, "zones")
         self.kinds = row(assignment.settings, "kinds")
@@ -199,8 +204,10 @@
         try:
             host = f"{self.platform[0]}:{self.platform[1]}"
             sock.settimeout(FIRST)
-            sock.sendall(f"GET /catalog/members?follow=1&since={self.version} HTTP/1.1\r\n"
-                         f"Host: {host}\r\nAccept: application/json\r\n\r\n".encode())
+            sock.sendall(
+                f"GET /catalog/members?follow=1&since={self.version} HTTP/1.1\r\n"
+                f"Host: {host}\r\nAccept: application/json\r\n\r\n".encode()
+            )
             self.counters.add("watches opened")
             told = False  # an object of this watch
             while not answer.complete and self._more(sock, raw, answer, alive):
@@ -277,7 +284,7 @@
 
     def _rate(self, uid: str, hint: object) -> float:
         """The listed rate; where it is no rate, the one that was listed before, or none."""
-        if isinstance(hint, (int, float)) and 0 <= hint <= LARGEST_RATE:
+        if isinstance(hint, int | float) and 0 <= hint <= LARGEST_RATE:
             return float(hint)
         # Danger: one spoilt figure would hide a drain that stands in the same line, or let everything go at once.
         self.counters.trouble("a listed rate that is none", BadNews(f"{uid}: {str(hint)[:40]}"))
--- a/cedarwick/net/figures.py
+++ b/cedarwick/net/figures.py
@@ -26,19 +26,24 @@
             def collect(self) -> list[Metric]:
                 made: list[Metric] = []
                 for name, counted, meaning in (
-                        ("sender_passed", figures.passed, "envelopes completed"),
-                        ("sender_dropped", figures.dropped, "envelopes refused at the door or nacked"),
-                        ("sender_bad_gateway", figures.bad_gateway, "envelopes written off")):
+                    ("sender_passed", figures.passed, "envelopes completed"),
+                    ("sender_dropped", figures.dropped, "envelopes refused at the door or nacked"),
+                    ("sender_bad_gateway", figures.bad_gateway, "envelopes written off"),
+                ):
                     family = CounterMetricFamily(name, meaning, labels=["category"])
                     for band in sorted(set(figures.bands) | set(counted)):
                         family.add_metric([band], counted[band])
                     made.append(family)
-                made.append(CounterMetricFamily("sender_upstream_tries", "requests written whole to receivers",
-                                                value=figures.tries))
+                made.append(
+                    CounterMetricFamily(
+                        "sender_upstream_tries", "requests written whole to receivers", value=figures.tries
+                    )
+                )
                 for name, value, meaning in (
-                        ("sender_in_progress", in_progress, "envelopes taken and not ended"),
-                        ("sender_known_receivers", known, "receivers in the list"),
-                        ("sender_skipped_receivers", skipped, "listed receivers avoided, by hand or by choice")):
+                    ("sender_in_progress", in_progress, "envelopes taken and not ended"),
+                    ("sender_known_receivers", known, "receivers in the list"),
+                    ("sender_skipped_receivers", skipped, "listed receivers avoided, by hand or by choice"),
+                ):
                     made.append(GaugeMetricFamily(name, meaning, value=value))
                 return made
 
--- a/cedarwick/net/intake.py
+++ b/cedarwick/net/intake.py
@@ -52,8 +52,15 @@
 
 BUSY, PONG, LOADING = b"-BUSY\r\n", b"+PONG\r\n", b"-LOADING not ready yet\r\n"
 PAUSED = b"-LOADING paused by the operators\r\n"
-REPLIES = {Answered.KEPT: b"+OK\r\n", Answered.BUSY: BUSY, Answered.UNKNOWN_BAND: b"-ERR unknown class\r\n",
-           Answered.UNKNOWN_DESTINATION: BUSY, Answered.REPEATED: BUSY, Answered.FROZEN: BUSY, Answered.UNSURE: b""}
+REPLIES = {
+    Answered.KEPT: b"+OK\r\n",
+    Answered.BUSY: BUSY,
+    Answered.UNKNOWN_BAND: b"-ERR unknown class\r\n",
+    Answered.UNKNOWN_DESTINATION: BUSY,
+    Answered.REPEATED: BUSY,
+    Answered.FROZEN: BUSY,
+    Answered.UNSURE: b"",
+}
 # What became of an envelope, the advised wait, and what takes it back where it was taken just now.
 Handed = tuple[Answered, int, Callable[[], None] | None]
 
@@ -82,8 +89,20 @@
 class Client:
     """One connection from a client."""
 
-    __slots__ = ("sock", "buffer", "waiting", "answering", "cut", "let_go", "leave", "idle_since", "begun_at",
-                 "asked", "served", "unusable")
+    __slots__ = (
+        "sock",
+        "buffer",
+        "waiting",
+        "answering",
+        "cut",
+        "let_go",
+        "leave",
+        "idle_since",
+        "begun_at",
+        "asked",
+        "served",
+        "unusable",
+    )
 
     def __init__(self, sock: gevent.socket.socket, now: int) -> None:
         self.sock = sock
@@ -107,8 +126,16 @@
 class Intake:
     """Accepts clients, reads their requests one after another, and writes each one's answer."""
 
-    def __init__(self, listen: tuple[str, int], clock: Clock, counters: Counters, descriptors: Descriptors,
-                 desk: Desk, ready: Callable[[], bool], listener: gevent.socket.socket | None = None) -> None:
+    def __init__(
+        self,
+        listen: tuple[str, int],
+        clock: Clock,
+        counters: Counters,
+        descriptors: Descriptors,
+        desk: Desk,
+        ready: Callable[[], bool],
+        listener: gevent.socket.socket | None = None,
+    ) -> None:
         self.clock = clock
         self.counters = counters
         self.descriptors = descriptors
@@ -237,14 +264,27 @@
         # Danger: one that was cut counts until its greenlet has run; cutting on would reach the newest.
         if not any(client.cut for client in self.clients):
             slow, told = (self.clock.now() - round(each * 1_000_000) for each in (SLOW, TOLD))
-            idle = [client for client in self.clients if client.waiting or client.begun_at and client.idle_since < slow
-                    or client.let_go and client.idle_since < told]
+            idle = [
+                client
+                for client in self.clients
+                if client.waiting
+                or client.begun_at
+                and client.idle_since < slow
+                or client.let_go
+                and client.idle_since < told
+            ]
             # Danger: a first request may be on its way on a new connection, and fails with it; who has been
             # answered asks again elsewhere. Only what has been silent for long is of less use than that.
             late = self.clock.now() - round(SILENT * 900_000)
             # Those that were let go come first: nobody is served on them any more.
-            idle.sort(key=lambda client: (not client.let_go, young := client.idle_since > late,
-                                          client.served != young, client.idle_since))
+            idle.sort(
+                key=lambda client: (
+                    not client.let_go,
+                    young := client.idle_since > late,
+                    client.served != young,
+                    client.idle_since,
+                )
+            )
             free = (client for client in idle if client.let_go or self._silent(client))
             for client in itertools.islice(free, 1 + len(idle) // 8):
                 self._turn_away(client)
@@ -323,7 +363,8 @@
                 client.begun_at = client.begun_at or client.idle_since
                 left = STALLED - (client.idle_since - client.begun_at) / 1_000_000
                 if len(client.buffer.data) > SMALL and MOST_BUFFERED < sum(
-                        len(other.buffer.data) for other in self.clients):
+                    len(other.buffer.data) for other in self.clients
+                ):
                     raise Crowded(f"a request of more than {len(client.buffer)} bytes")
             try:
                 if left <= 0:
@@ -423,7 +464,6 @@
             return b"-BUSY %d\r\n" % wait_ms
         return REPLIES[answered]
 
-
     def to_desk(self, kept: Kept) -> Handed:
         """Hand an envelope to this sender's own desk."""
         submission = Submission(kept)
--- a/cedarwick/net/links.py
+++ b/cedarwick/net/links.py
@@ -62,8 +62,15 @@
 class Links:
     """Opens links, keeps the idle ones, and is the only place where one is closed."""
 
-    def __init__(self, clock: Clock, counters: Counters, descriptors: Descriptors,
-                 address_of: Callable[[int], tuple[str, int]], life: int, connect_limit: int) -> None:
+    def __init__(
+        self,
+        clock: Clock,
+        counters: Counters,
+        descriptors: Descriptors,
+        address_of: Callable[[int], tuple[str, int]],
+        life: int,
+        connect_limit: int,
+    ) -> None:
         self.clock = clock
         self.counters = counters
         self.descriptors = descriptors
@@ -148,8 +155,9 @@
         if self.ending:
             self._close(next(iter(self.ending)))
             return True
-        longest = min((waiting[0] for waiting in self.idle.values() if waiting),
-                      key=lambda link: link.idle_since, default=None)
+        longest = min(
+            (waiting[0] for waiting in self.idle.values() if waiting), key=lambda link: link.idle_since, default=None
+        )
         if longest is not None:
             self.idle[longest.receiver].popleft()
             self._close(longest)
--- a/cedarwick/net/notices.py
+++ b/cedarwick/net/notices.py
@@ -20,8 +20,9 @@
 class Notices:
     """Owns the notices that have not been acknowledged, and the connection they travel on."""
 
-    def __init__(self, platform: tuple[str, int], counters: Counters,
-                 acknowledged: Callable[[list[int]], None]) -> None:
+    def __init__(
+        self, platform: tuple[str, int], counters: Counters, acknowledged: Callable[[list[int]], None]
+    ) -> None:
         self.platform = platform
         self.counters = counters
         self.acknowledged = acknowledged
@@ -91,8 +92,10 @@
         if self.sock is None:
             self.sock, self.sock_leads_to = connected(self.platform, LIMIT), self.platform
         self.sock.settimeout(None)
-        head = (f"POST /status HTTP/1.1\r\nHost: {self.platform[0]}:{self.platform[1]}\r\n"
-                f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n")
+        head = (
+            f"POST /status HTTP/1.1\r\nHost: {self.platform[0]}:{self.platform[1]}\r\n"
+            f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
+        )
         self.sock.sendall(head.encode() + body)
         answer, buffer = Answer(), Buffer()
         while not answer.complete:
--- a/cedarwick/net/objects.py
+++ b/cedarwick/net/objects.py
@@ -41,7 +41,7 @@
             if begin is None:
                 self.held.clear()
                 return 0
-            del self.held[:begin.start()]
+            del self.held[: begin.start()]
             if not self.held.startswith(b"{"):
                 raise ValueError(f"no object begins with {bytes(self.held[:20])!r}")
         while found := (QUOTED if self.quoted else PLAIN).search(self.held, self.seen):
--- a/cedarwick/net/shots.py
+++ b/cedarwick/net/shots.py
@@ -63,10 +63,18 @@
 class Shots:
     """Takes ordered shots to their receivers; each ends in one `Ending`."""
 
-    def __init__(self, clock: Clock, counters: Counters, links: Links, columns: list[str], polled: Polled,
-                 clear: Callable[[Call], bool], tell: Callable[[Call, Ending], None],
-                 heed: Callable[[list[tuple[int, int]]], None],
-                 may_fire: Callable[[int], bool] = lambda _: True) -> None:
+    def __init__(
+        self,
+        clock: Clock,
+        counters: Counters,
+        links: Links,
+        columns: list[str],
+        polled: Polled,
+        clear: Callable[[Call], bool],
+        tell: Callable[[Call, Ending], None],
+        heed: Callable[[list[tuple[int, int]]], None],
+        may_fire: Callable[[int], bool] = lambda _: True,
+    ) -> None:
         self.clock = clock
         self.counters = counters
         self.links = links
--- a/cedarwick/ops/calls.py
+++ b/cedarwick/ops/calls.py
@@ -15,8 +15,10 @@
     """A line that is no call; its text is the reason given after `NO`."""
 
     code = "CW401"
-    remedy = ("send one call a line: STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE, RESUME, MOVE KEY SENDER, "
-              "FOLLOW or UNFOLLOW")
+    remedy = (
+        "send one call a line: STATUS, METRICS, SUSPEND ID, RESTORE ID, PAUSE, RESUME, MOVE KEY SENDER, "
+        "FOLLOW or UNFOLLOW"
+    )
 
 
 class NotInAFleet(Trouble):
--- a/cedarwick/ops/handover.py
+++ b/cedarwick/ops/handover.py
@@ -28,8 +28,11 @@
     except OSError as error:
         raise BadSocket(f"{SOCKET_FD} {text}: {error.strerror}") from None
     try:
-        usable = (sock.family == gevent.socket.AF_INET and sock.type == gevent.socket.SOCK_STREAM
-                  and sock.getsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_ACCEPTCONN) == 1)
+        usable = (
+            sock.family == gevent.socket.AF_INET
+            and sock.type == gevent.socket.SOCK_STREAM
+            and sock.getsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_ACCEPTCONN) == 1
+        )
     except OSError:
         usable = False
     if not usable:
--- a/cedarwick/ops/lasting.py
+++ b/cedarwick/ops/lasting.py
@@ -53,8 +53,9 @@
         told = json.loads(data)
     except ValueError as error:
         raise Unreadable(f"{path}: {error}") from None
-    if not isinstance(told, dict) or not all(isinstance(key, str) and type(value) is int
-                                             for key, value in told.items()):
+    if not isinstance(told, dict) or not all(
+        isinstance(key, str) and type(value) is int for key, value in told.items()
+    ):
         raise Unreadable(f"{path}: not an object of whole numbers")
     return told
 
--- a/cedarwick/ops/staff.py
+++ b/cedarwick/ops/staff.py
@@ -49,8 +49,9 @@
 class Staff:
     """Answers the operators' calls; STATUS reads a flag and never waits on the desk."""
 
-    def __init__(self, ready: Callable[[], bool], door: Door, listed: List, folder: str,
-                 figures: Callable[[], str]) -> None:
+    def __init__(
+        self, ready: Callable[[], bool], door: Door, listed: List, folder: str, figures: Callable[[], str]
+    ) -> None:
         self.ready = ready
         self.figures = figures
         self.door = door
--- a/cedarwick/policy.py
+++ b/cedarwick/policy.py
@@ -86,8 +86,18 @@
     __slots__ = ("sender",)
     sender: "Sender"
 
-    def shot_ended(self, now: int, outcome: Outcome, shot: int, receiver: int, took: int, retry_after: int,
-                   last: bool, report: Sequence[float], kept_link: bool = False) -> None:
+    def shot_ended(
+        self,
+        now: int,
+        outcome: Outcome,
+        shot: int,
+        receiver: int,
+        took: int,
+        retry_after: int,
+        last: bool,
+        report: Sequence[float],
+        kept_link: bool = False,
+    ) -> None:
         """Record the outcome of the shot that was out and settle what may follow it."""
         sender = self.sender
         if not self.out:
@@ -187,8 +197,9 @@
         self.list_wait = span(settings, "rules.ask-within-ms") or LIST_WAIT  # on sockets no longer than that
         self.verdicts = Verdicts()
 
-    def take(self, now: int, message_id: int, destination: int, band: int, outer_limit: int, tenant: int,
-             key: int) -> Handle:
+    def take(
+        self, now: int, message_id: int, destination: int, band: int, outer_limit: int, tenant: int, key: int
+    ) -> Handle:
         kept = self.bands[band]
         expected_by = outer_limit - kept.outer_limit + kept.expected_time
         self.taken += 1
@@ -217,8 +228,7 @@
 
     def retry_after_waits(self, now: int) -> list[tuple[int, int]]:
         """Receivers whose told wait is not over, and its end: for a process that replaces this one."""
-        return [(known.id, known.pace.wait_until) for known in self.receivers.values()
-                if known.pace.wait_until > now]
+        return [(known.id, known.pace.wait_until) for known in self.receivers.values() if known.pace.wait_until > now]
 
     def heed(self, now: int, receiver: int, until: int) -> None:
         """A wait told ahead of its shot's ending, or after it, or to the process that this one replaces."""
@@ -245,8 +255,9 @@
             place = self._destination(listing.destination)
             if listing.receiver not in self.receivers:
                 pace = Pace() if listing.kind in self.apart else place.pace
-                new = Receiver(listing.receiver, listing.zone, listing.kind, listing.destination, pace,
-                               recent=deque(maxlen=FEW))
+                new = Receiver(
+                    listing.receiver, listing.zone, listing.kind, listing.destination, pace, recent=deque(maxlen=FEW)
+                )
                 self.receivers[new.id] = new
                 mates = self._mates(place, pace)
                 out = [mate for mate in mates if mate.out_since]
@@ -332,8 +343,12 @@
         last_start = min(last_start, message.repeat_until() - 1)
         start = max(now, message.due, place.waits_until)
         # Terminal: out of shots, or a further one could take effect twice, or cannot finish in time.
-        if (message.shots >= self.most_shots or message.cancelled >= CANCELLED_CAP
-                or (band.at_most_once and message.ran_at) or start > last_start):
+        if (
+            message.shots >= self.most_shots
+            or message.cancelled >= CANCELLED_CAP
+            or (band.at_most_once and message.ran_at)
+            or start > last_start
+        ):
             self.give_up(now, message)
             return FAR
         if start > now:
@@ -391,8 +406,16 @@
             after = self.turns.leave(message.key, message, now, rest)
             self.changed.update(each.destination for each in after)  # its next one may wait at another
 
-    def learn(self, now: int, message: Message, receiver: Receiver, outcome: Outcome, took: int,
-              retry_after: int, report: Sequence[float]) -> None:
+    def learn(
+        self,
+        now: int,
+        message: Message,
+        receiver: Receiver,
+        outcome: Outcome,
+        took: int,
+        retry_after: int,
+        report: Sequence[float],
+    ) -> None:
         pace = receiver.pace
         self.changed |= {receiver.destination} | self.starved
         self.starved.clear()
@@ -438,8 +461,12 @@
             receiver.distrust_at = now
             # Danger: one lost call among good ones is no outage; a ramp after each would cost more.
             judged = list(receiver.recent)
-            ill = (outcome is Outcome.CONNECT_FAILED and len(judged) > 1 and not any(judged[-2:])
-                   and receiver.completed_sent_at < message.sent_at)
+            ill = (
+                outcome is Outcome.CONNECT_FAILED
+                and len(judged) > 1
+                and not any(judged[-2:])
+                and receiver.completed_sent_at < message.sent_at
+            )
             if receiver.back_at and sum(judged) * 3 <= len(judged) * 2:
                 receiver.back_at = now  # Danger: some calls pass in an outage, and a ramp would run on in it
             # Danger: at a few calls a minute outcomes never gather, and each message spends its shots alone.
@@ -561,8 +588,9 @@
             pace.rate = min(rate, max(least, pace.rate * rate / pace.limit))
         pace.reference, pace.limit = part, rate
 
-    def _with_room(self, now: int, message: Message,
-                   members: list[Receiver]) -> tuple[list[tuple[Receiver, float]], int]:
+    def _with_room(
+        self, now: int, message: Message, members: list[Receiver]
+    ) -> tuple[list[tuple[Receiver, float]], int]:
         """Who takes turns now, by weight (a canary alone), and the time at which one has or may have room."""
         open_now: list[tuple[Receiver, float]] = []
         canary: list[tuple[Receiver, float]] = []
@@ -701,8 +729,10 @@
             if spare is None:
                 return
             # Danger: once the least important have had a shot, nacks alone would cost the most important.
-            self.give_up(now, max(spare, key=lambda held: (
-                -held.band.priority_weight, not held.ran_at, self._urgency(now, held))))
+            self.give_up(
+                now,
+                max(spare, key=lambda held: (-held.band.priority_weight, not held.ran_at, self._urgency(now, held))),
+            )
 
     def _drain(self, now: int, place: Destination) -> float:
         """About how many seconds the backlog of a destination takes to leave."""
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -68,8 +68,7 @@
 def log_to_stderr(level: str, as_json: bool) -> None:
     """From now on the log has this level, and is text or one JSON object a line."""
     logger.remove()
-    logger.add(sys.stderr, format="{level} {message}", level=level, serialize=as_json, backtrace=False,
-               diagnose=False)
+    logger.add(sys.stderr, format="{level} {message}", level=level, serialize=as_json, backtrace=False, diagnose=False)
 
 
 def read_operator() -> "Operator | None":
@@ -102,10 +101,22 @@
         # On sockets news counts as told by one clock, whatever the settings allow after a call that failed.
         desk.sender.list_wait = min(desk.sender.list_wait, LIST_WAIT)
         directory = Directory(assignment, counters, desk.listed, desk.list_call_failed)
-        intake = Intake(assignment.listen, clock, counters, descriptors, desk,
-                        lambda: directory.known and store.taking(), listener=inherited)
-        staff = Staff(lambda: directory.known and store.taking(), intake, directory, assignment.folder,
-                      lambda: counters.figures.text(*gauges(desk, directory)))
+        intake = Intake(
+            assignment.listen,
+            clock,
+            counters,
+            descriptors,
+            desk,
+            lambda: directory.known and store.taking(),
+            listener=inherited,
+        )
+        staff = Staff(
+            lambda: directory.known and store.taking(),
+            intake,
+            directory,
+            assignment.folder,
+            lambda: counters.figures.text(*gauges(desk, directory)),
+        )
         staff.taking = True
         management = Management(assignment.management, counters, staff.answer) if assignment.management else None
         held = hold(store, replacing=inherited is not None)
@@ -138,11 +149,18 @@
         staff.take_over()
         # Danger: no round has run yet that could have wanted a call which failed in the meantime made anew.
         directory.ask()
-    links = Links(clock, counters, descriptors, directory.address_of, desk.sender.link_life,
-                  span(assignment.settings, "policy-limits.connect-timeout-ms", 1000.0))
+    links = Links(
+        clock,
+        counters,
+        descriptors,
+        directory.address_of,
+        desk.sender.link_life,
+        span(assignment.settings, "policy-limits.connect-timeout-ms", 1000.0),
+    )
     notices = desk.notices = Notices(assignment.platform, counters, desk.acknowledged)
-    desk.shots = Shots(clock, counters, links, desk.sender.columns, polled, desk.clear, desk.shot_ended,
-                       desk.heed, desk.may_fire)
+    desk.shots = Shots(
+        clock, counters, links, desk.sender.columns, polled, desk.clear, desk.shot_ended, desk.heed, desk.may_fire
+    )
     desk.free_links, desk.ask_for_list = links.free, directory.ask
     desk.resume()
     take_waits(assignment.folder, directory, desk)
@@ -172,8 +190,11 @@
             descriptors.set_limit(told.descriptors)
             store.set_limit(told.disk_bytes)
             counters.add("configurations taken over")
-            logger.info("configuration read again: platform {}:{}; for the next start: {}", *told.platform,
-                        ", ".join(now_held.fixed_and_other(told)) or "nothing")
+            logger.info(
+                "configuration read again: platform {}:{}; for the next start: {}",
+                *told.platform,
+                ", ".join(now_held.fixed_and_other(told)) or "nothing",
+            )
             now_held = told
 
     def decide() -> None:
@@ -197,8 +218,7 @@
     gevent.signal_handler(signal.SIGTERM, stopping.set)
     gevent.signal_handler(signal.SIGINT, stopping.set)
     gevent.signal_handler(signal.SIGUSR1, counters.print)
-    later = (decide, intake.accept, links.sweep, notices.run, counters.watch_lag, counters.report,
-             follow_configuration)
+    later = (decide, intake.accept, links.sweep, notices.run, counters.watch_lag, counters.report, follow_configuration)
     parts = early + [gevent.spawn(part) for part in (*later, *((directory.watch,) if held else ()))]
     if node is not None:
         node.sharing.attach(staff, directory, desk)
@@ -233,8 +253,12 @@
     gevent.sleep(STAY)
     desk.hold_fire(ending=node is not None)
     with gevent.Timeout(DRAIN - STAY, False):
-        while not (desk.idle() and not notices.owed and not intake.clients
-                   and (node is None or node.traffic is None or node.traffic.left())):
+        while not (
+            desk.idle()
+            and not notices.owed
+            and not intake.clients
+            and (node is None or node.traffic is None or node.traffic.left())
+        ):
             gevent.sleep(0.02)
     parts[len(early) + later.index(intake.accept)].kill()
     intake.end(LAST)
@@ -256,16 +280,26 @@
     segment = round(told.segment_kb * 1024) if told is not None else 0
     fleet = operator.fleet if operator is not None else None
     if fleet is None:
-        return Store(assignment.folder, assignment.disk_bytes, now=clock.now, durable=durable, bodies=bodies,
-                     segment=segment)
+        return Store(
+            assignment.folder, assignment.disk_bytes, now=clock.now, durable=durable, bodies=bodies, segment=segment
+        )
     from cedarwick.fleet.book import Shared
 
-    return Shared(assignment.folder, assignment.disk_bytes, now=clock.now, durable=durable, bodies=bodies,
-                  segment=segment, by_copy=fleet.ack == "copy", within_us=round(fleet.ack_within_ms * 1000))
-
-
-def join_fleet(assignment: Assignment, operator: "Operator | None", store: Store, clock: Clock,
-               counters: Counters) -> "Node | None":
+    return Shared(
+        assignment.folder,
+        assignment.disk_bytes,
+        now=clock.now,
+        durable=durable,
+        bodies=bodies,
+        segment=segment,
+        by_copy=fleet.ack == "copy",
+        within_us=round(fleet.ack_within_ms * 1000),
+    )
+
+
+def join_fleet(
+    assignment: Assignment, operator: "Operator | None", store: Store, clock: Clock, counters: Counters
+) -> "Node | None":
     """This sender as a member of its fleet; None where the operator file has none."""
     if operator is None or operator.fleet is None:
         return None
@@ -335,8 +369,7 @@
         while intake.mid_request():
             gevent.sleep(LOOK)
     intake.still_taking = False
-    logger.info("handing over: {} envelopes kept, {} shots without an outcome", len(store.kept),
-                len(desk.shots.out))
+    logger.info("handing over: {} envelopes kept, {} shots without an outcome", len(store.kept), len(desk.shots.out))
     # Danger: a call still out on an open link, sent again by the next process, would be a second copy.
     gevent.killall(list(desk.shots.out))
 
--- a/cedarwick/state.py
+++ b/cedarwick/state.py
@@ -262,8 +262,7 @@
     ready: list[Receiver] = field(default_factory=list)
     quickest: float = 0.0
     waits_until: int = 0
-    room: dict[tuple[int | None, bool], tuple[list[tuple[Receiver, float]], int]] = field(
-        default_factory=dict)
+    room: dict[tuple[int | None, bool], tuple[list[tuple[Receiver, float]], int]] = field(default_factory=dict)
     unlinked_at: int = 0  # when a connection failed, until the next completion
 
     def turn(self, asking: tuple[int | None, bool]) -> Receiver | None:
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -64,8 +64,17 @@
 class Store:
     """Owns the folder."""
 
-    def __init__(self, folder: Folder | str, disk_bytes: int, *, now: Callable[[], int], durable: bool = False,
-                 bodies: int = BODIES, segment: int = 0, step: int = planner.STEP) -> None:
+    def __init__(
+        self,
+        folder: Folder | str,
+        disk_bytes: int,
+        *,
+        now: Callable[[], int],
+        durable: bool = False,
+        bodies: int = BODIES,
+        segment: int = 0,
+        step: int = planner.STEP,
+    ) -> None:
         """`now` tells wall time in microseconds; `segment` and `step` are bytes, chosen by the limit if 0."""
         self.folder = Folder(folder) if isinstance(folder, str) else folder
         self.now = now
@@ -175,8 +184,9 @@
     def sizes(self) -> planner.Sizes:
         """How the folder stands, for the planner."""
         head = FRAME.size + records.HEADER_BODY.size + records.HEADER_LINE.size * (len(self.book.segments) + 1)
-        return planner.Sizes(self.limit, self.used, self.book.live, self.segment_size, self.book.largest, head,
-                             self.book.promised())
+        return planner.Sizes(
+            self.limit, self.used, self.book.live, self.segment_size, self.book.largest, head, self.book.promised()
+        )
 
     def weighed(self, kept: Kept) -> int:
         """The bytes that an envelope takes."""
@@ -515,9 +525,11 @@
         if self.victim is not None:
             return self.victim
         self.stuck = {number: until for number, until in self.stuck.items() if until > self.steps}
-        candidates = (planner.Candidate(each.number, each.physical, each.live)
-                      for each in self.book.segments.values()
-                      if each is not self.active and not each.foreign and each.number not in self.stuck)
+        candidates = (
+            planner.Candidate(each.number, each.physical, each.live)
+            for each in self.book.segments.values()
+            if each is not self.active and not each.foreign and each.number not in self.stuck
+        )
         best = planner.choose(candidates, short)
         if best is None:
             return None
--- a/cedarwick/store/old.py
+++ b/cedarwick/store/old.py
@@ -50,12 +50,13 @@
         _, number, limit, turn, destination, *sizes = KEPT_BODY.unpack_from(payload)
         at, texts = KEPT_BODY.size, []
         for size in sizes:
-            texts.append(payload[at:at + size].decode())
+            texts.append(payload[at : at + size].decode())
             at += size
         id, key, band, tenant = texts
         body = payload[at:]
-        kept[number] = Kept(number, id, key, turn, band, tenant, destination, limit, body,
-                            size=len(body), checksum=zlib.crc32(body))
+        kept[number] = Kept(
+            number, id, key, turn, band, tenant, destination, limit, body, size=len(body), checksum=zlib.crc32(body)
+        )
         return int(number) + 1
     elif kind == SHOT:
         _, number, sent_at, zone = SHOT_BODY.unpack(payload)
@@ -82,7 +83,7 @@
     at = 0
     while at + HEAD.size <= len(data):
         size, checksum = HEAD.unpack_from(data, at)
-        payload = data[at + HEAD.size:at + HEAD.size + size]
+        payload = data[at + HEAD.size : at + HEAD.size + size]
         if not 0 < size <= LONGEST or len(payload) < size or zlib.crc32(payload) != checksum:
             return
         yield payload
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -121,15 +121,21 @@
 
 def header(made: Header) -> bytes:
     lines = b"".join(HEADER_LINE.pack(number, size) for number, size in made.others.items())
-    return HEADER_BODY.pack(HEADER, made.version, made.number, made.made_at, made.next_envelope, made.old_until,
-                            len(made.others)) + lines
+    return (
+        HEADER_BODY.pack(
+            HEADER, made.version, made.number, made.made_at, made.next_envelope, made.old_until, len(made.others)
+        )
+        + lines
+    )
 
 
 def read_header(payload: bytes) -> Header:
     try:
         _, version, number, made_at, next_envelope, old_until, count = HEADER_BODY.unpack_from(payload)
-        others = dict(HEADER_LINE.unpack_from(payload, HEADER_BODY.size + place * HEADER_LINE.size)
-                      for place in range(count if version == VERSION else 0))
+        others = dict(
+            HEADER_LINE.unpack_from(payload, HEADER_BODY.size + place * HEADER_LINE.size)
+            for place in range(count if version == VERSION else 0)
+        )
     except struct.error as error:
         raise Unreadable(f"a header: {error}") from None
     return Header(version, number, made_at, next_envelope, old_until, others)
@@ -138,8 +144,9 @@
 def envelope(kept: Kept, body: bytes) -> tuple[bytes, int]:
     """The record of an envelope with all that is known of it, and the body's place in the payload."""
     texts = [text.encode() for text in (kept.id, kept.key, kept.band, kept.tenant)]
-    head = ENVELOPE_BODY.pack(ENVELOPE, kept.number, kept.outer_limit, kept.turn, kept.destination, kept.checksum,
-                              *map(len, texts))
+    head = ENVELOPE_BODY.pack(
+        ENVELOPE, kept.number, kept.outer_limit, kept.turn, kept.destination, kept.checksum, *map(len, texts)
+    )
     whole = head + state_of(kept) + b"".join(texts)
     return whole + body, len(whole)
 
@@ -148,8 +155,9 @@
     end, wait = NO_END, 0
     if kept.end is not None:
         end, wait = NACKED if kept.end[0] else WRITTEN_OFF, kept.end[1]
-    return STATE_BODY.pack(min(kept.shots, 0xFFFF), kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone,
-                           kept.doubt_at, end, wait)
+    return STATE_BODY.pack(
+        min(kept.shots, 0xFFFF), kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone, kept.doubt_at, end, wait
+    )
 
 
 def state(kept: Kept) -> bytes:
@@ -163,12 +171,25 @@
         _, number, limit, turn, destination, checksum, *sizes = ENVELOPE_BODY.unpack_from(payload)
         place, texts = ENVELOPE_BODY.size + STATE_BODY.size, []
         for size in sizes:
-            texts.append(payload[place:place + size].decode())
+            texts.append(payload[place : place + size].decode())
             place += size
         id, key, band, tenant = texts
-        kept = Kept(number, id, key, turn, band, tenant, destination, limit, None, home=segment,
-                    at=at + FRAME.size + place, size=len(payload) - place, checksum=checksum,
-                    weight=FRAME.size + len(payload))
+        kept = Kept(
+            number,
+            id,
+            key,
+            turn,
+            band,
+            tenant,
+            destination,
+            limit,
+            None,
+            home=segment,
+            at=at + FRAME.size + place,
+            size=len(payload) - place,
+            checksum=checksum,
+            weight=FRAME.size + len(payload),
+        )
         take_state(kept, payload, ENVELOPE_BODY.size)
     except (struct.error, UnicodeDecodeError, ValueError) as error:
         raise Unreadable(f"an envelope: {error}") from None
@@ -181,7 +202,8 @@
     """Replace what is known of an envelope's shots and end by what a payload says."""
     try:
         (kept.shots, kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone, doubt_at, end, wait) = (
-            STATE_BODY.unpack_from(payload, at))
+            STATE_BODY.unpack_from(payload, at)
+        )
     except struct.error as error:
         raise Unreadable(f"a state: {error}") from None
     # Danger: what damage has put in doubt stays so, whatever an older record says.
@@ -236,13 +258,13 @@
     mark, size, checksum = FRAME.unpack_from(data, at)
     if mark != MARK or not 0 < size <= LONGEST or at + FRAME.size + size > len(data):
         return None
-    payload = data[at + FRAME.size:at + FRAME.size + size]
+    payload = data[at + FRAME.size : at + FRAME.size + size]
     return payload if check(payload) == checksum else None
 
 
 def may_go_on(data: bytes, at: int) -> bool:
     """Whether what begins here could be a good frame with more bytes behind it."""
     if at + FRAME.size > len(data):
-        return MARK.startswith(data[at:at + 2])
+        return MARK.startswith(data[at : at + 2])
     mark, size, _ = FRAME.unpack_from(data, at)
     return bool(mark == MARK and 0 < size <= LONGEST and at + FRAME.size + size > len(data))
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -97,8 +97,12 @@
     for number in sorted(expected):
         made = headers.get(number)
         if number not in present:
-            say(Damaged(f"{segment_name(number)} is missing: what it held is lost, {len(found.book.kept)} envelopes "
-                        "are put in doubt").line)
+            say(
+                Damaged(
+                    f"{segment_name(number)} is missing: what it held is lost, {len(found.book.kept)} envelopes "
+                    "are put in doubt"
+                ).line
+            )
             put_in_doubt(found, doubt_from)
             continue
         doubt_from = made.made_at if made else doubt_from
@@ -109,8 +113,9 @@
     return found
 
 
-def live_segments(folder: Folder, found: Recovered, present: list[int], top: Header | None, newest: int,
-                  say: Say) -> tuple[set[int], dict[int, int]]:
+def live_segments(
+    folder: Folder, found: Recovered, present: list[int], top: Header | None, newest: int, say: Say
+) -> tuple[set[int], dict[int, int]]:
     """The segments that should be there, and the good lengths of those that were sealed."""
     expected, lengths = set(present), {}
     if top is not None:
@@ -142,16 +147,28 @@
     return None
 
 
-def read_segment(folder: Folder, found: Recovered, number: int, made: Header | None, length: int | None,
-                 last: bool, doubt_from: int, say: Say) -> None:
+def read_segment(
+    folder: Folder,
+    found: Recovered,
+    number: int,
+    made: Header | None,
+    length: int | None,
+    last: bool,
+    doubt_from: int,
+    say: Say,
+) -> None:
     """Replay one segment; damage in it puts in doubt what lived then."""
     name = segment_name(number)
     physical = folder.size(name)
     segment = Segment(number, made.made_at if made else doubt_from, physical=physical)
     found.book.add(segment)
     if made is not None and made.version != VERSION:
-        say(OtherVersion(f"{name} is of version {made.version}, this program knows {VERSION}: it is left alone, and "
-                         f"{len(found.book.kept)} envelopes are put in doubt").line)
+        say(
+            OtherVersion(
+                f"{name} is of version {made.version}, this program knows {VERSION}: it is left alone, and "
+                f"{len(found.book.kept)} envelopes are put in doubt"
+            ).line
+        )
         segment.foreign = True
         found.book.live += physical
         segment.size = physical
@@ -174,8 +191,12 @@
             continue
         if made is None and each.at == 0 and not last:
             say(Damaged(f"{name}: the header cannot be read").line)
-        say(Damaged(f"{name}: bytes {each.at} to {each.until} are damaged; {len(found.book.kept)} envelopes are "
-                    "put in doubt").line)
+        say(
+            Damaged(
+                f"{name}: bytes {each.at} to {each.until} are damaged; {len(found.book.kept)} envelopes are "
+                "put in doubt"
+            ).line
+        )
         put_in_doubt(found, doubt_from)
     segment.size = ended
     if last and made is not None:
@@ -278,7 +299,7 @@
                 yield each
             if whole:
                 return
-            held, begin = held[used - begin:], used
+            held, begin = held[used - begin :], used
     finally:
         folder.close(file)
 
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -43,9 +43,16 @@
     found.book.check()
     kept = found.book.kept.values()
     return Summary(
-        len(found.book.segments), found.records, len(found.book.kept), sum(each.end is not None for each in kept),
-        sum(bool(each.doubt_at) for each in kept), found.strangers, found.book.live,
-        sum(segment.physical for segment in found.book.segments.values()), findings)
+        len(found.book.segments),
+        found.records,
+        len(found.book.kept),
+        sum(each.end is not None for each in kept),
+        sum(bool(each.doubt_at) for each in kept),
+        found.strangers,
+        found.book.live,
+        sum(segment.physical for segment in found.book.segments.values()),
+        findings,
+    )
 
 
 def dump(path: str) -> Iterator[dict[str, Any]]:
@@ -53,11 +60,22 @@
     found = recover(Folder(path), lambda _: None)
     for number, kept in sorted(found.book.kept.items()):
         yield {
-            "number": number, "id": kept.id, "key": kept.key, "turn": f"{kept.turn:016x}", "band": kept.band,
-            "tenant": kept.tenant, "destination": kept.destination, "outer_limit": kept.outer_limit,
-            "bytes": kept.size, "segment": segment_name(kept.home), "shots": kept.shots, "ran_at": kept.ran_at,
-            "out_at": kept.out_at, "doubt_at": kept.doubt_at,
-            "end": None if kept.end is None else {"nacked": kept.end[0], "wait_ms": kept.end[1]}}
+            "number": number,
+            "id": kept.id,
+            "key": kept.key,
+            "turn": f"{kept.turn:016x}",
+            "band": kept.band,
+            "tenant": kept.tenant,
+            "destination": kept.destination,
+            "outer_limit": kept.outer_limit,
+            "bytes": kept.size,
+            "segment": segment_name(kept.home),
+            "shots": kept.shots,
+            "ran_at": kept.ran_at,
+            "out_at": kept.out_at,
+            "doubt_at": kept.doubt_at,
+            "end": None if kept.end is None else {"nacked": kept.end[0], "wait_ms": kept.end[1]},
+        }
 
 
 def compact(path: str, disk_bytes: int, now: Callable[[], int]) -> tuple[int, int]:
