--- a/cedarwick/adapter/codec.py
+++ b/cedarwick/adapter/codec.py
@@ -153,16 +153,16 @@
     return {name.strip(): value.strip() for name, _, value in pairs}
 
 
-def hand_off(instance: int, envelope: int, receiver: int, time_out: int) -> bytes:
-    return struct.pack("<BIQId", 100, instance, envelope, receiver, time_out / 1000)
+def hand_off(instance: int, message: int, receiver: int, time_out: int) -> bytes:
+    return struct.pack("<BIQId", 100, instance, message, receiver, time_out / 1000)
 
 
-def deny(instance: int, envelope: int, wait: int) -> bytes:
-    return struct.pack("<BIQd", 60, instance, envelope, wait / 1000)
+def deny(instance: int, message: int, wait: int) -> bytes:
+    return struct.pack("<BIQd", 60, instance, message, wait / 1000)
 
 
-def report_failure(instance: int, envelope: int) -> bytes:
-    return struct.pack("<BIQ", 90, instance, envelope)
+def report_failure(instance: int, message: int) -> bytes:
+    return struct.pack("<BIQ", 90, instance, message)
 
 
 def free_links(instance: int, receiver: int) -> bytes:
--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -75,19 +75,19 @@
         elif code == 20:
             instance.notes_dropped += 1
         elif code == 50:
-            _, envelope, tenant, _, limit, _, key, destination, band = values
-            instance.handles[envelope] = sender.take(
-                now, envelope, int(destination), band, codec.micros(limit), tenant, key
+            _, message, tenant, _, limit, _, key, destination, band = values
+            instance.handles[message] = sender.take(
+                now, message, int(destination), band, codec.micros(limit), tenant, key
             )
         elif code == 70:
-            _, envelope, rc, shot, note, receiver, last, took, _ = values
+            _, message, rc, shot, note, receiver, last, took, _ = values
             outcome = codec.outcome_of(rc)
-            handle = instance.handles.get(envelope)
+            handle = instance.handles.get(message)
             if handle is not None:
                 told = codec.micros(note) if outcome is Outcome.FULL else 0
                 handle.shot_ended(now, outcome, shot, receiver, codec.micros(took), told, bool(last), extra)
                 if handle.ended and not handle.out:
-                    del instance.handles[envelope]
+                    del instance.handles[message]
         elif code == 80:
             handle = instance.handles.get(values[1])
             if handle is not None:
@@ -113,16 +113,16 @@
         if instance is None:
             return
         verdicts: Verdicts = instance.sender.decide(now)
-        for envelope, wait in verdicts.nacks:
-            instance.handles.pop(envelope, None)
-            yield codec.deny(number, envelope, wait)
-        for envelope in verdicts.write_offs:
-            instance.handles.pop(envelope, None)
-            yield codec.report_failure(number, envelope)
+        for message, wait in verdicts.nacks:
+            instance.handles.pop(message, None)
+            yield codec.deny(number, message, wait)
+        for message in verdicts.write_offs:
+            instance.handles.pop(message, None)
+            yield codec.report_failure(number, message)
         for receiver in verdicts.freed_links:
             yield codec.free_links(number, receiver)
-        for envelope, receiver, time_out in verdicts.shots:
-            yield codec.hand_off(number, envelope, receiver, time_out)
+        for message, receiver, time_out in verdicts.shots:
+            yield codec.hand_off(number, message, receiver, time_out)
         for line in verdicts.log_lines:
             yield codec.write_log(number, line)
         if instance.notes_dropped >= max(1, 2 * instance.notes_told):  # a line each would fill the log
--- a/cedarwick/cli/__init__.py
+++ b/cedarwick/cli/__init__.py
@@ -38,5 +38,5 @@
     """cedarwick delivers outbound messages to other firms' systems.
 
     Without a sub-command it runs a sender. Exit status: 0 good, 2 unusable arguments or files, 3 a rule broken or
-    an envelope unaccounted for, 4 a day that is void since the emulator itself ran late.
+    a message unaccounted for, 4 a day that is void since the emulator itself ran late.
     """
--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -69,7 +69,7 @@
 ) -> None:
     """Play a day: SCENARIO is a shipped one's name or a file.
 
-    Exit status: 0 good, 2 unusable arguments or files, 3 a rule broken or an envelope unaccounted for, 4 void, since
+    Exit status: 0 good, 2 unusable arguments or files, 3 a rule broken or a message unaccounted for, 4 void, since
     the emulator itself ran late.
     """
     try:
@@ -138,7 +138,7 @@
         + "   calls "
         + ", ".join(f"{count} {name}" for name, count in sorted(figures.outcomes.items()))
     )
-    out.print("envelopes taken on: " + accounted(account))
+    out.print("messages taken on: " + accounted(account))
     out.print(
         f"largest sender {figures.memory_mb:.1f} MB, {figures.descriptors} descriptors, "
         f"{figures.cpu_share:.2f} of a core; the emulator was at most {figures.worst_lag_ms:.0f} ms late"
@@ -154,13 +154,13 @@
         first = next(each for each in result.verdict.findings if each.rule == rule)
         out.print(
             f"[red]rule {rule} ({RULES[rule]}) broken {broken[rule]} times[/], first: {first.text}; "
-            f"envelopes {', '.join(first.ids[:4])}",
+            f"messages {', '.join(first.ids[:4])}",
             soft_wrap=True,
         )
     if result.void:
         out.print(f"[yellow]void[/]: {result.void}; this day says nothing of the senders")
     elif not broken:
-        out.print("[green]no rule broken, every envelope accounted for[/]")
+        out.print("[green]no rule broken, every message accounted for[/]")
 
 
 def accounted(account: Account) -> str:
@@ -276,9 +276,9 @@
 
 
 @command.command()
-@click.option("--live", default=100_000, show_default=True, type=click.IntRange(100), help="Envelopes kept.")
+@click.option("--live", default=100_000, show_default=True, type=click.IntRange(100), help="Messages kept.")
 @click.option("--bytes", "size", default=1000, show_default=True, type=click.IntRange(0, 65536), help="Of a body.")
-@click.option("--rounds", default=20_000, show_default=True, type=click.IntRange(10), help="Of eight envelopes.")
+@click.option("--rounds", default=20_000, show_default=True, type=click.IntRange(10), help="Of eight messages.")
 @click.option("--json", "json_file", type=click.Path(), help="Write the figures here; - for standard output.")
 @click.option("--plot", "plot_file", type=click.Path(), help="Draw the figures into this PNG.")
 def folder(live: int, size: int, rounds: int, json_file: str | None, plot_file: str | None) -> None:
@@ -289,7 +289,7 @@
     if plot_file:
         plot(found, plot_file)
     table = Table(
-        "fill", "envelopes/s", "longest ms", "p99.9 ms", "amplification", "used", "on the spot", "refused", box=None
+        "fill", "messages/s", "longest ms", "p99.9 ms", "amplification", "used", "on the spot", "refused", box=None
     )
     for each in found:
         table.add_row(
--- a/cedarwick/config/operator.py
+++ b/cedarwick/config/operator.py
@@ -70,7 +70,7 @@
         float,
         Meta(
             ge=0,
-            description="Bodies of waiting envelopes that are held in memory; the rest is read from the folder for "
+            description="Bodies of waiting messages that are held in memory; the rest is read from the folder for "
             "the shot. Taken over at a start only.",
             extra={"unit": "MB"},
         ),
@@ -128,7 +128,7 @@
     ack: Annotated[
         Literal["own", "copy"],
         Meta(
-            description="`+OK` once the envelope is in the own folder, with the copy behind it; or once every copy has "
+            description="`+OK` once the message is in the own folder, with the copy behind it; or once every copy has "
             "it too."
         ),
     ] = "own"
@@ -138,7 +138,7 @@
         Meta(
             ge=1,
             le=400,
-            description="So long a copy may take to say that it has an envelope, under `ack` by copy.",
+            description="So long a copy may take to say that it has a message, under `ack` by copy.",
             extra={"unit": "milliseconds"},
         ),
     ] = 150.0
@@ -208,7 +208,7 @@
             raise ConfigFileError(f"{where}.name: {member.name!r} is given twice, first in member[{first}]")
         if (first := addresses.setdefault(listens, index)) != index:
             raise ConfigFileError(f"{where}.address: {member.address!r} is given twice, first in member[{first}]")
-        # Danger: two members with one slot would give two envelopes one number.
+        # Danger: two members with one slot would give two messages one number.
         if (first := slots.setdefault(slot_of(member.name), index)) != index:
             raise ConfigFileError(
                 f"{where}.name: {member.name!r} has the slot of {fleet.member[first].name!r}; rename one"
--- a/cedarwick/events/__init__.py
+++ b/cedarwick/events/__init__.py
@@ -1,1 +1,1 @@
-"""Events of envelopes and senders, the filter language, its index, subscriptions and cursors."""
+"""Events of messages and senders, the filter language, its index, subscriptions and cursors."""
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -164,21 +164,21 @@
         return self.serving is not None and bool(self.serving.source.outboxes)
 
     def seen(self, kind: str, kept: Kept, figure: int) -> None:
-        """As `Shared.seen`: something has happened to an envelope."""
+        """As `Shared.seen`: something has happened to a message."""
         witness = self.witness
         if witness is None or not self.watching:
             self._unseen()
             return
         try:
-            self._happened(kind, witness.envelope(kind, kept, figure))
+            self._happened(kind, witness.message(kind, kept, figure))
         except Exception:  # Danger: a delivery must not fail because somebody watches it
             self.counters.failed("an event was not told")
 
     def adopted(self, kept: Iterable[Kept], member: str) -> None:
-        """Envelopes of another member are this one's from now on."""
+        """Messages of another member are this one's from now on."""
         for each in kept:
             if self.watching and self.witness is not None:
-                self._happened("adopted", self.witness.envelope("adopted", each, 0) | self.witness.member(member))
+                self._happened("adopted", self.witness.message("adopted", each, 0) | self.witness.member(member))
             else:
                 self._unseen()
 
--- a/cedarwick/events/kinds.py
+++ b/cedarwick/events/kinds.py
@@ -45,12 +45,12 @@
     "at_most_once": Type.FLAG,
 }
 HERE = frozenset({"hall", "sender"})
-ENVELOPE = HERE | {"id", "band", "tenant", "destination", "worth", "at_most_once"}
-LIVED = ENVELOPE | {"shots", "age"}
+MESSAGE = HERE | {"id", "band", "tenant", "destination", "worth", "at_most_once"}
+LIVED = MESSAGE | {"shots", "age"}
 RECEIVER = HERE | {"receiver", "destination"}
 MEMBER = HERE | {"member"}
 KINDS: dict[str, frozenset[str]] = {
-    "taken": ENVELOPE,
+    "taken": MESSAGE,
     "shot": LIVED | {"receiver"},
     "outcome": LIVED | {"receiver", "outcome", "wait"},  # wait: what the receiver told
     "completed": LIVED,
@@ -61,7 +61,7 @@
     "suspended": RECEIVER,
     "restored": RECEIVER,
     "moved": MEMBER | {"id", "tenant", "age"},  # id: the session's key; member: who holds it now
-    "adopted": LIVED | {"member"},  # member: whose envelope it was
+    "adopted": LIVED | {"member"},  # member: whose message it was
     "member-came": MEMBER,
     "member-went": MEMBER | {"age"},  # age: how long it was silent
 }
--- a/cedarwick/events/witness.py
+++ b/cedarwick/events/witness.py
@@ -11,12 +11,12 @@
 
 Happened = tuple[str, dict[str, Value]]
 ENDS = ("completed", "nacked", "written-off")
-SPARE = 1000  # envelopes that are remembered beyond those that are kept
+SPARE = 1000  # messages that are remembered beyond those that are kept
 
 
 @dataclass(slots=True)
 class Life:
-    """Of an envelope, what its record in the folder does not hold."""
+    """Of a message, what its record in the folder does not hold."""
 
     taken_at: int = 0  # 0: before anybody followed
     receiver: int = -1  # of its last shot; -1: unknown
@@ -36,7 +36,7 @@
         self.held_out: set[str] = set()
         self.begun = False
 
-    # ---- envelopes ----
+    # ---- messages ----
 
     def cleared(self, call: Call) -> None:
         """A shot wants to go out to its receiver."""
@@ -48,8 +48,8 @@
         if call.kept.number in self.lives:
             self.lives[call.kept.number].wait = ending.told_wait
 
-    def envelope(self, kind: str, kept: Kept, figure: int) -> dict[str, Value]:
-        """The fields of an event of an envelope; `figure` as `Shared.seen` has it."""
+    def message(self, kind: str, kept: Kept, figure: int) -> dict[str, Value]:
+        """The fields of an event of a message; `figure` as `Shared.seen` has it."""
         now, life = self.desk.clock.now(), self._life(kept.number)
         band = self.desk.sender.bands[self.desk.bands[kept.band]] if kept.band in self.desk.bands else None
         fields: dict[str, Value] = {
@@ -84,7 +84,7 @@
         life = self.lives.get(number)
         if life is None:
             life = self.lives[number] = Life()
-            # Danger: envelopes that end elsewhere tell no end here, and would be remembered for ever.
+            # Danger: messages that end elsewhere tell no end here, and would be remembered for ever.
             if len(self.lives) > 2 * len(self.desk.store.kept) + SPARE:
                 self.lives = {each: life for each, life in self.lives.items() if each in self.desk.store.kept}
                 self.lives[number] = life
--- a/cedarwick/fleet/adoption.py
+++ b/cedarwick/fleet/adoption.py
@@ -74,7 +74,7 @@
     """One book at one member. `term`: the newest that the folder says this member has held it in, 0 for a copy.
 
     `resume`: at boot, for a book that the folder says this member held, and for one that it opens.
-    `open`: new envelopes are taken in it, so it is not closed while it is empty.
+    `open`: new messages are taken in it, so it is not closed while it is empty.
     """
 
     def __init__(
@@ -109,7 +109,7 @@
 
         `grant` and `promised` are the own grantor's (`Grantor.grant`, `Grantor.promised`); `standing` tells how a
         member stands; `whole`: this member's records of the book are all that the holder named it an heir for, and
-        none was lost since; `owed`: envelopes without an end.
+        none was lost since; `owed`: messages without an end.
         """
         self.holder.look(now)
         if self.holder.state is Tenure.CLOSED or (grant.closed and self.stage is not Stage.CLOSING):
@@ -174,7 +174,7 @@
 
 
 class Ownership:
-    """In which book a member takes new envelopes: the newest of its folder while that can be resumed, else a new one.
+    """In which book a member takes new messages: the newest of its folder while that can be resumed, else a new one.
 
     `kept`: the books of the own slot that the folder says this member held, with the newest term of each.
     """
@@ -202,7 +202,7 @@
             return self.current
         if grantor.learning:
             return None
-        # Danger: a number that was used before would make two envelopes one.
+        # Danger: a number that was used before would make two messages one.
         epoch = max(grantor.newest(self.slot), self._newest) + 1
         if epoch >> EPOCH_BITS:
             raise BooksExhaustedError(f"{self.me}: all {1 << EPOCH_BITS} books of its slot have been opened")
@@ -214,7 +214,7 @@
         return self.current
 
     def book(self, now: int) -> int | None:
-        """The book in which new envelopes may be taken now; None: there is none, and clients are told `-BUSY`."""
+        """The book in which new messages may be taken now; None: there is none, and clients are told `-BUSY`."""
         return self.current.book if self.current is not None and self.current.holder.may_fire(now) else None
 
     def _is_lost(self, current: Adoption) -> bool:
--- a/cedarwick/fleet/book.py
+++ b/cedarwick/fleet/book.py
@@ -65,7 +65,7 @@
         self.ledger = Ledger(0)
         self.log = Log(book, 0, lambda _: None)
         self.begun_at = 0  # when its log began: its copies have some time until it goes on without them
-        self.imported = False  # its envelopes are in the folder, the ledger knows them
+        self.imported = False  # its messages are in the folder, the ledger knows them
         self.serving = False  # the desk fires for it
         # Copies that are to be heirs: once they have all below an index, and since when that is so.
         self.joining: dict[str, tuple[int, int]] = {}
@@ -86,7 +86,7 @@
         return self.starved_at > 0 and now - self.starved_at > STARVED
 
     def read(self, store: "Shared", number: int) -> Fact | None:
-        """All that is known of an owed envelope, for the log."""
+        """All that is known of an owed message, for the log."""
         kept, known = store.kept.get(number), self.ledger.known.get(number)
         if kept is None or known is None:
             return None
@@ -98,7 +98,7 @@
     def told(self, store: "Shared", number: int) -> Fact | None:
         """The same for another member; what cannot be read has failed there.
 
-        Danger: without its base a copy leaves the envelope out and counts as whole; whoever adopts it then owes nobody
+        Danger: without its base a copy leaves the message out and counts as whole; whoever adopts it then owes nobody
         an answer.
         """
         fact = self.read(store, number)
@@ -108,7 +108,7 @@
 
 
 class Shared(Store):
-    """Owns the folder, as `Store` does, and tells the books what happens to their envelopes."""
+    """Owns the folder, as `Store` does, and tells the books what happens to their messages."""
 
     def __init__(self, *told: Any, by_copy: bool = False, within_us: int = 150_000, **more: Any) -> None:
         """As `Store`; `by_copy`: what is answered waits for the heirs, `within_us` microseconds at most."""
@@ -117,18 +117,18 @@
         self.by_copy = by_copy
         self.within_us = within_us
         self.holdings: dict[int, Holding] = {}
-        self.current: Holding | None = None  # new envelopes are taken in this one
+        self.current: Holding | None = None  # new messages are taken in this one
         self.reserve: Callable[[Holding], None] = lambda _: None  # write down that a block of numbers is given
         self.news = gevent.event.Event()  # a fact was appended, or an answer of a copy came
         self.starved: Callable[[Holding], None] = lambda _: None
-        self.seen: Callable[[str, Kept, int], None] = lambda *_: None  # events: kind, envelope, a figure
+        self.seen: Callable[[str, Kept, int], None] = lambda *_: None  # events: kind, message, a figure
         self.marking: Callable[[dict[int, tuple[int, str]]], None] = lambda _: None  # on the disk before they count
         self.out: dict[int, Kept] = {}  # a shot of this process is out, though the record may have gone meanwhile
 
     # ---- the right ----
 
     def may_fire(self, number: int) -> bool:
-        """Whether this sender has the right to fire for an envelope at this moment."""
+        """Whether this sender has the right to fire for a message at this moment."""
         holding = self.holdings.get(number >> 32)
         return (
             holding is not None
@@ -143,7 +143,7 @@
         return all(each.adoption.holder.may_fire(now) for each in self.holdings.values() if each.serving)
 
     def taking(self) -> bool:
-        """Whether new envelopes can be taken: the right over the book that is open is held."""
+        """Whether new messages can be taken: the right over the book that is open is held."""
         current = self.current
         return current is not None and current.serving and current.adoption.holder.may_fire(boot_time())
 
@@ -156,7 +156,7 @@
         return self.next_number < self.current.reserved
 
     def open(self, holding: Holding, first: int) -> None:
-        """New envelopes are taken in this book from now on, from a number that was never given."""
+        """New messages are taken in this book from now on, from a number that was never given."""
         self.current = holding
         holding.reserved = self.next_number = first
         self.reserve(holding)
@@ -225,7 +225,7 @@
                     )
             if not holding.alone_since and not holding.starving(boot_time()):
                 # Danger: under load copies never have all at the moment of a look; a book that starved once would be
-                # given up half a second later, with all its envelopes.
+                # given up half a second later, with all its messages.
                 holding.starved_at = 0
             # Danger: the lease may have run out meanwhile, and an heir that has adopted would not know of this.
             if not holding.adoption.holder.may_fire(boot_time()):
@@ -246,7 +246,7 @@
     # ---- sessions that move ----
 
     def stage(self, kept: Kept, sequence: int, text: str) -> None:
-        """Keep an envelope that is on its way to this sender: inert from its first record on, here and at every heir.
+        """Keep a message that is on its way to this sender: inert from its first record on, here and at every heir.
 
         `NoSpaceError` where there is none for it. The mark is on the disk already (`marking`).
         """
@@ -254,11 +254,11 @@
         self.inert[kept.number] = sequence, text
         super().keep(kept)
         fact = holding.ledger.kept(kept, kept.body or b"")
-        # Danger: an heir that is told of the envelope before its mark might fire for it.
+        # Danger: an heir that is told of the message before its mark might fire for it.
         self._tell(holding, Fact(kept.number, fact.base, holding.ledger.moved(kept.number, sequence, text).known))
 
     def mark(self, number: int, sequence: int, text: str) -> None:
-        """An envelope is inert from now on, or with an empty text is not any more."""
+        """A message is inert from now on, or with an empty text is not any more."""
         if text:
             self.inert[number] = sequence, text
         else:
@@ -283,7 +283,7 @@
     # ---- books that come and go ----
 
     def numbers(self, book: int) -> list[int]:
-        """Envelopes of a book in the folder, in the order in which they were taken."""
+        """Messages of a book in the folder, in the order in which they were taken."""
         return sorted(number for number in self.kept if number >> 32 == book)
 
     def take_in(
@@ -331,7 +331,7 @@
             self._take_news(fact, fact.number not in self.kept)
 
     def resume_own(self, holding: Holding, term: int) -> None:
-        """The folder of this process has the book's envelopes already: the ledger learns them, under a new term."""
+        """The folder of this process has the book's messages already: the ledger learns them, under a new term."""
         if holding.ledger.term:
             holding.ledger.renew(term)
             return
@@ -396,7 +396,7 @@
         return ended, news, problem
 
     def _take_marks(self, facts: Iterable[Fact]) -> None:
-        """What others knew of moves under way, before the envelopes themselves are kept."""
+        """What others knew of moves under way, before the messages themselves are kept."""
         moves = {fact.number: fact.known.move for fact in facts if fact.known.move is not None}
         if moves:
             marks = {number: each for number, each in self.inert.items() if number not in moves}
@@ -406,7 +406,7 @@
                 self.inert = marks
 
     def _take_news(self, fact: Fact, new: bool) -> None:
-        """Bring the folder's own record of an adopted envelope up to what is known now.
+        """Bring the folder's own record of an adopted message up to what is known now.
 
         `NoSpaceError` for a new one.
         """
@@ -434,7 +434,7 @@
         return [facts[number] for number in sorted(facts)]
 
     def only_here(self, holding: Holding) -> tuple[list[int], list[int]]:
-        """Owed envelopes of a lost book that no copy was sent, and those that may or may not have reached one."""
+        """Owed messages of a lost book that no copy was sent, and those that may or may not have reached one."""
         if not holding.log.term:  # of an earlier process: nobody knows what that has sent
             return [], [] if self.by_copy else self.numbers(holding.book)
         acked = max((follower.acked for follower in holding.log.followers.values()), default=holding.sent)
@@ -448,7 +448,7 @@
         return mine, perhaps
 
     def rekey(self, numbers: Iterable[int], failed: bool = False) -> Iterator[int]:
-        """Envelopes that nobody else has become ones of the open book; their new numbers. `NoSpaceError` stops on the
+        """Messages that nobody else has become ones of the open book; their new numbers. `NoSpaceError` stops on the
         way.
 
         `failed`: they end so, since somebody else may have had them. So does one whose body cannot be read.
@@ -463,7 +463,7 @@
                     end = False, 0
             new = replace(old, number=self.next_number, home=0, at=0, weight=0, noted=[], body=body, end=end)
             if not self.has_room(new):
-                raise NoSpaceError("an envelope cannot be taken over into the open book")
+                raise NoSpaceError("a message cannot be taken over into the open book")
             self.next_number += 1
             if number in self.inert:
                 self.marking(self.inert | {new.number: self.inert[number]})
--- a/cedarwick/fleet/copies.py
+++ b/cedarwick/fleet/copies.py
@@ -349,7 +349,7 @@
             quietly(self.folder.unlink, copy.name)
             return
         if damaged or not made_at:
-            logger.error(ReplicaDamagedError(f"{copy.name}: {len(replica.held)} envelopes are put in doubt").line)
+            logger.error(ReplicaDamagedError(f"{copy.name}: {len(replica.held)} messages are put in doubt").line)
             replica.doubt(made_at or 1)
             copy.torn = True
         copy.size = size
--- a/cedarwick/fleet/facts.py
+++ b/cedarwick/fleet/facts.py
@@ -1,6 +1,6 @@
-"""What senders tell one another of an envelope, and the join of what two of them know. No I/O.
+"""What senders tell one another of a message, and the join of what two of them know. No I/O.
 
-A `Fact` is an envelope's number, its base (what the client handed in) and what is `Known`. What is known only grows:
+A `Fact` is a message's number, its base (what the client handed in) and what is `Known`. What is known only grows:
 a state-based replicated type whose merge is a join (Shapiro et al. 2011). Rule by rule:
 
 | part    | joined                                       | because |
@@ -9,11 +9,11 @@
 | `ran`   | the earliest (at, zone)                      | 'may have run' beats 'never ran'; nothing takes it back |
 | `doubt` | the earliest that is not 0                   | what damage or a lag put in doubt stays so |
 | `end`   | the larger (rank, wait in ms)                | an end beats none; *failed* beats *returned*, which tells the client that nothing happened, while somebody knew of a shot; *told* (the platform has a final answer) beats both, for a second answer would be a second end; *completed* is the receiver's own word and beats all |
-| `move`  | the larger (sequence, text)                  | the newer move; the envelope is inert until that one's decree is known |
+| `move`  | the larger (sequence, text)                  | the newer move; the message is inert until that one's decree is known |
 | `base`  | the one that is there                        | it never changes; after an end nobody needs the body, and it is left out |
 
 A head that is not settled is a shot that is out. Its own term may still say that it never ran; once a newer term has
-taken the envelope over (`folded`), it counts as one that may have run, for good.
+taken the message over (`folded`), it counts as one that may have run, for good.
 """  # noqa: E501
 
 from collections.abc import Iterable
@@ -53,7 +53,7 @@
 
 
 class Rank(IntEnum):
-    """How an envelope ended; the larger one is kept."""
+    """How a message ended; the larger one is kept."""
 
     NONE = 0
     RETURNED = 1
@@ -63,7 +63,7 @@
 
 
 class Head(NamedTuple):
-    """What one term knows of the newest shot of an envelope; of two the larger one knows more."""
+    """What one term knows of the newest shot of a message; of two the larger one knows more."""
 
     shots: Count  # in that term
     settled: bool  # whether its outcome is known; one that may have run is in `Known.ran` then
@@ -85,7 +85,7 @@
 
 
 class Known(msgspec.Struct, array_like=True, frozen=True):
-    """What is known of an envelope's shots and end."""
+    """What is known of a message's shots and end."""
 
     heads: Annotated[dict[Count, Head], msgspec.Meta(max_length=256)] = {}
     ran: tuple[Count, Zone] | None = None  # when and where the first shot was sent that may have run
@@ -95,7 +95,7 @@
 
 
 class Fact(msgspec.Struct, array_like=True, frozen=True):
-    """An envelope's number and all that is known of it; without its base it is news of one that was told before."""
+    """A message's number and all that is known of it; without its base it is news of one that was told before."""
 
     number: Count
     base: Base | None
@@ -180,7 +180,7 @@
 
 
 def join_facts(a: Fact, b: Fact) -> Fact:
-    """What two say of one envelope."""
+    """What two say of one message."""
     bases = [each.base for each in (a, b) if each.base is not None]
     return trimmed(Fact(a.number, max(bases, default=None), join(a.known, b.known)))
 
@@ -214,7 +214,7 @@
 
 
 def folded(known: Known, term: int) -> Known:
-    """Before a term goes on with an envelope: a shot of an older one that is out may have run, whatever comes later.
+    """Before a term goes on with a message: a shot of an older one that is out may have run, whatever comes later.
 
     Danger: an outcome of the older term that comes late would otherwise make 'never ran' of what has been decided,
     and answered, on 'may have run'.
@@ -267,7 +267,7 @@
     """
     base, known = fact.base, fact.known
     if base is None or over(known):
-        raise ValueError(f"envelope {fact.number} is not owed, or its base is not known")
+        raise ValueError(f"message {fact.number} is not owed, or its base is not known")
     out = outs(known, 1 << 63)
     may_have = sorted({*out, *([known.ran] if known.ran else [])})
     ran, last = (may_have[0], may_have[-1]) if may_have else ((0, 0), (0, 0))
@@ -296,7 +296,7 @@
 
 
 class Ledger:
-    """What the holder of a book knows of each envelope it owes; each call returns the fact that tells the news.
+    """What the holder of a book knows of each message it owes; each call returns the fact that tells the news.
 
     KeyError where a number is not owed.
     """
@@ -306,7 +306,7 @@
         self.known: dict[int, Known] = {}
 
     def kept(self, kept: Kept, body: bytes) -> Fact:
-        """An envelope was taken, or a restart has left it."""
+        """A message was taken, or a restart has left it."""
         self.known[kept.number] = known = known_of(kept, self.term)
         return Fact(kept.number, base_of(kept, body), known)
 
@@ -339,7 +339,7 @@
         return self._end(number, (Rank.TOLD, self.known[number].end[1]))
 
     def moved(self, number: int, sequence: int, text: str) -> Fact:
-        """The envelope is part of a move."""
+        """The message is part of a move."""
         return self._join(number, Known(move=(sequence, text)))
 
     def adopt(self, facts: Iterable[Fact], term: int) -> list[Fact]:
--- a/cedarwick/fleet/memory.py
+++ b/cedarwick/fleet/memory.py
@@ -1,6 +1,6 @@
 """Ids of late, as a copy of a book can know them: for whoever adopts the book; no I/O, no clock.
 
-Under `ack = "copy"` every envelope that was answered +OK is in the copy's file by then. So a copy that has followed a
+Under `ack = "copy"` every message that was answered +OK is in the copy's file by then. So a copy that has followed a
 book's tail without a gap knows each id that was taken since, ended or not: `since` says from when on. What a piece
 brought in its place lacks the ids that have ended, so each jump begins anew. Ids that were taken before `since` are
 older than that; once `REMEMBERED` has passed from then on the memory is whole.
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Taken:
-    """An envelope of a session, as it was first told of."""
+    """A message of a session, as it was first told of."""
 
     key: int  # of the session
     id: str
--- a/cedarwick/fleet/messages.py
+++ b/cedarwick/fleet/messages.py
@@ -27,7 +27,7 @@
 Text = Annotated[str, Meta(max_length=512)]  # for a person
 Word = Annotated[str, Meta(max_length=128)]  # an id, a right
 Move = Annotated[str, Meta(max_length=200)]  # the name of a move: a stamp and two members
-Id = Annotated[str, Meta(max_length=200)]  # of an envelope, as a client may give it
+Id = Annotated[str, Meta(max_length=200)]  # of a message, as a client may give it
 Count = Annotated[int, Meta(ge=0)]  # numbers, terms, microseconds
 # Danger: whoever goes one further, or packs it with others, would have a number that no letter and no file can hold.
 Term = Annotated[int, Meta(ge=0, lt=1 << 40)]  # one a second for 30,000 years
@@ -220,7 +220,7 @@
 
 
 class Stage(Message, frozen=True):
-    """Keep this session's envelopes, inert, until the move is decided. Answered by `Staged`."""
+    """Keep this session's messages, inert, until the move is decided. Answered by `Staged`."""
 
     move: Move
     key: Count
@@ -339,7 +339,7 @@
 
 
 class Recall(Message, frozen=True):
-    """The client that handed in an envelope by `Pass` was gone before its answer. Answered by `Noted`."""
+    """The client that handed in a message by `Pass` was gone before its answer. Answered by `Noted`."""
 
     key: Count
     id: Id
--- a/cedarwick/fleet/moves.py
+++ b/cedarwick/fleet/moves.py
@@ -1,7 +1,7 @@
 """Moves: a session goes from one sender, the giver, to another, the taker; no I/O, no clock.
 
 At the giver: held, freezing, offered, forwarding, closed. At the taker: staged, granted, active, or dropped. From the
-first mark to the decree the session's envelopes are inert on both sides. The steps, and what is on the disk before:
+first mark to the decree the session's messages are inert on both sides. The steps, and what is on the disk before:
 
 1. The giver freezes: no new shot; what is out is awaited for `FREEZE`, then goes along as may-have-run. It marks
    the facts (own folder and every heir of its book: an heir without the mark would fire), and sends `Stage`.
@@ -60,7 +60,7 @@
     REFUSE = "refuse"  # answer the giver that it is not taken
     ASK = "ask"  # put `ask` to an acceptor (its own too), give the answer to `answered`
     TELL = "tell"  # send `Settled(move, value, active)` to whoever holds the book of `to`; empty: to all members
-    ACTIVATE = "activate"  # clear the taker's marks, resume the envelopes; then `activated`
+    ACTIVATE = "activate"  # clear the taker's marks, resume the messages; then `activated`
     DROP = "drop"  # the taker's are over without a notice
     RELEASE = "release"  # clear the giver's marks, thaw the key
     OVER = "over"  # the giver's are over without a notice
@@ -179,7 +179,7 @@
         if move is not None and move.taking is not None:
             return [Act(Do.STAGED, name, parts(name)[1])] if move.written else []
         staged = sum(1 for each in self.moves.values() if each.taking is Taking.STAGED)
-        # Danger: a `Stage` that comes late or twice would be taken again after its envelopes have gone out or been
+        # Danger: a `Stage` that comes late or twice would be taken again after its messages have gone out or been
         # dropped. The own acceptor votes as soon as it is kept: a move that it knows was staged, or is being settled.
         if not room or staged >= MOST_IN or parts(name)[2] != self.name or not self.acceptor.may_open(name):
             return [Act(Do.REFUSE, name, parts(name)[1])]
@@ -196,7 +196,7 @@
         return [Act(Do.STAGED, name, parts(name)[1]), *self._asks(asks)]
 
     def activated(self, name: str, now: int) -> list[Act]:
-        """The envelopes are live here."""
+        """The messages are live here."""
         move = self.moves.get(name)
         if move is None or move.taking is not Taking.GRANTED:
             return []
@@ -281,7 +281,7 @@
         return ("wait" if frozen else "here"), ""
 
     def near_limit(self, name: str) -> Literal["failed", "over"] | None:
-        """What becomes of a marked envelope within 300 ms of its outer limit.
+        """What becomes of a marked message within 300 ms of its outer limit.
 
         'failed': the holder of the giver's book answers so, it may have run at the taker. 'over': the taker has it, no
         answer from here. None: the taker's own, undecided; the giver answers.
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -76,7 +76,7 @@
 EARLIER = 10_000  # microseconds in which a message of a log's tail may be overtaken by the next
 OFFER_IN = 1.0
 GATHER = 400_000  # microseconds in which the copies of a book that begins may come up before it goes on without them
-LATE = 300_000  # microseconds before its outer limit an envelope that nobody may fire for is answered
+LATE = 300_000  # microseconds before its outer limit a message that nobody may fire for is answered
 LOOK_LATE = 0.1
 ALONE = 1_000_000  # microseconds without a majority until nobody can be asked who has the right
 UNKNOWN = 3_000_000  # the same, for a book that this process has not held
@@ -87,7 +87,7 @@
 EXPECTED = 60_000_000  # so long an adopted book is kept for what its last holder may still offer
 UNWANTED = 30_000_000  # a copy that its holder has not written to for so long, and names no heir, is dropped
 OFFER_PART = 1 << 17  # bytes of facts in one part of an offer
-MOST_OWED = 1 << 14  # envelopes of a book that are looked at for keys that others let rest
+MOST_OWED = 1 << 14  # messages of a book that are looked at for keys that others let rest
 LAG_FACTS = 2048  # an heir that lacks more, or for longer than `LAG`, is an heir no more under `ack = "own"`
 LAG = 2_000_000
 CLOSED = "closed"  # the problem of an offer for a book of which nothing is owed any more
@@ -153,7 +153,7 @@
         self.desk: Upkeep
         self.shipped_at: dict[int, int] = {}  # by book: when its holder last wrote to the copy here
         self.begun_at = now
-        self.before = True  # whether envelopes may be left that were taken before this sender was a member
+        self.before = True  # whether messages may be left that were taken before this sender was a member
         self.doubted: set[int] = set()  # books of a folder with damage: the heirs may have more of them
         self.reborn: dict[str, int] = {}  # when a member was first heard under a newer incarnation than before
         self.served: dict[int, tuple[str, int]] = {}  # by book: who has said that it fires for it, and when
@@ -571,7 +571,7 @@
         self.asking.discard(name)
 
     def _own(self, now: int) -> None:
-        """Have a book in which new envelopes can be taken."""
+        """Have a book in which new messages can be taken."""
         assert self.ownership is not None
         if self.leaving:
             return
@@ -727,7 +727,7 @@
     # ---- a book that is held ----
 
     def _import(self, now: int, adoption: Adoption) -> None:
-        """Granted: the book's envelopes into the own folder, then its copies up, then its heirs named."""
+        """Granted: the book's messages into the own folder, then its copies up, then its heirs named."""
         book, term = adoption.book, adoption.holder.term
         holding = self._hold(book)
         if holding.log.term != term:
@@ -765,7 +765,7 @@
             self.store.begin_log(holding, term)
             self._backlog(holding)
             self.copies.drop(book)
-            logger.info("book {}: held under term {}, {} envelopes owed", book, term, len(holding.ledger.known))
+            logger.info("book {}: held under term {}, {} messages owed", book, term, len(holding.ledger.known))
         self._ship(now, holding)
         wanted = self._wanted(holding)
         whole = self._whole(now, holding, wanted)
@@ -823,7 +823,7 @@
         numbers = self.store.numbers(holding.book)
         if may:
             logger.info(
-                "book {}: fired for from now on, {} envelopes, heirs {}",
+                "book {}: fired for from now on, {} messages, heirs {}",
                 holding.book,
                 len(numbers),
                 ", ".join(holder.heirs[1:]) or "none",
@@ -831,7 +831,7 @@
             self.desk.adopt(numbers)
         else:
             logger.warning(
-                "book {}: not fired for, {} envelopes ({})",
+                "book {}: not fired for, {} messages ({})",
                 holding.book,
                 len(numbers),
                 holding.adoption.stage.value if holder.may_fire(now) is False else "no copy follows",
@@ -949,7 +949,7 @@
                 parts.append(known_facts.together(part))
                 part = []
         parts.append(known_facts.together(part))
-        logger.info("book {}: {} envelopes offered to {}", adoption.book, len(told), to)
+        logger.info("book {}: {} messages offered to {}", adoption.book, len(told), to)
         try:
             for index, data in enumerate(parts):
                 offer = Offer(
@@ -1030,7 +1030,7 @@
                 holding.log.unfollow(name)
             self.store.forget(book)
             logger.info(
-                "book {}: given up ({}), {} envelopes are another sender's", book, adoption.stage.value, len(numbers)
+                "book {}: given up ({}), {} messages are another sender's", book, adoption.stage.value, len(numbers)
             )
         if self.held.pop(book, None) is not None:
             self.lasting.write_held(list(self.held.values()))
@@ -1046,19 +1046,19 @@
         self.claimed.pop(book, None)
 
     def _rekey(self, numbers: list[int], failed: bool = False) -> bool:
-        """Envelopes that only this member has go on in the open book; whether all of them do."""
+        """Messages that only this member has go on in the open book; whether all of them do."""
         self.desk.park(numbers)
         made: list[int] = []
         try:
             for number in self.store.rekey(numbers, failed):
                 made.append(number)
         except (OSError, NoSpaceError) as error:
-            self.counters.trouble("envelopes cannot be taken over into the open book", error)
+            self.counters.trouble("messages cannot be taken over into the open book", error)
             return False
         finally:
             # Danger: those that found room before one that did not are nobody's else.
             if made:
-                logger.info("{} envelopes go on in book {}", len(made), made[0] >> 32)
+                logger.info("{} messages go on in book {}", len(made), made[0] >> 32)
                 self.desk.adopt(made)
         return True
 
@@ -1114,7 +1114,7 @@
         return grant.holder if grant.term > term else holder
 
     def _before_the_fleet(self, soon: int) -> None:
-        """Envelopes that were taken before this sender was a member: nobody else has heard of them."""
+        """Messages that were taken before this sender was a member: nobody else has heard of them."""
         numbers = self.store.numbers(0) if self.before else []
         self.before = bool(numbers)
         owed = [number for number in numbers if self.store.kept[number].end is None]
--- a/cedarwick/fleet/owing.py
+++ b/cedarwick/fleet/owing.py
@@ -1,6 +1,6 @@
 """Keys that are owed at another sender: what each member tells of them, and which keys rest here for it. No I/O.
 
-From a trouble on a client may hand in an envelope of a key at another sender than the one that still has earlier ones.
+From a trouble on a client may hand in a message of a key at another sender than the one that still has earlier ones.
 So each member tells the others, as `Owed`, the keys of what it owes from before the last change among the members (its
 *backlog*), and of what lies in a copy here whose holder is silent. What is taken of such a key elsewhere rests: as
 long as it is told anew, `MOST` at most. A letter that is lost or late costs the order and nothing else.
--- a/cedarwick/fleet/placement.py
+++ b/cedarwick/fleet/placement.py
@@ -12,7 +12,7 @@
 
 def order(book: int, holder: str, halls: Mapping[str, str], names: Iterable[str]) -> list[str]:
     """Members in the order in which they are to have copies: those of other halls first; also the order of heirs."""
-    # Danger: with the own hall first, one power cut would take the envelopes and their copy.
+    # Danger: with the own hall first, one power cut would take the messages and their copy.
     home = halls.get(holder)
     return sorted(
         (name for name in names if name != holder and name in halls),
--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -48,7 +48,7 @@
         self.lasting = lasting
 
     def inert(self) -> dict[int, tuple[int, str]]:
-        """Envelopes on the move by number: the sequence of their session, and the text of their mark."""
+        """Messages on the move by number: the sequence of their session, and the text of their mark."""
         data = self.lasting.read(INERT)
         try:
             return INERT_FILE.decode(data) if data is not None else {}
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -145,14 +145,14 @@
 
     # ---- submissions ----
 
-    def rule(self, key: int, envelope: str, hashed: int, passed: bool, now: int) -> Ruling:
+    def rule(self, key: int, message: str, hashed: int, passed: bool, now: int) -> Ruling:
         """What to do with a submission of a session (key not 0); `passed`: by another member, not by a client."""
         session = self.sessions.get(key)
         # Danger: who has not used a session for long may be the last to believe that it holds it.
         if session is not None and session.used >= now - LAPSES:
             if not session.sure:
                 return Ruling.BUSY if self.claiming(key, now) else Ruling.CLAIM
-            known = session.ids.get(envelope)
+            known = session.ids.get(message)
             if known is None or known[0] < now - REMEMBERED:
                 return Ruling.TAKE
             return Ruling.SAME if known[1] == hashed else Ruling.REPEATED
@@ -170,13 +170,13 @@
         """Whether a claim from here is under way."""
         return key in self.claims and self.claims[key].until > now
 
-    def took(self, key: int, envelope: str, hashed: int, now: int) -> None:
+    def took(self, key: int, message: str, hashed: int, now: int) -> None:
         """A submission of a session that is held here was taken."""
         session = self.sessions[key]
         while session.ids and next(iter(session.ids.values()))[0] < now - REMEMBERED:
             del session.ids[next(iter(session.ids))]
-        session.ids.pop(envelope, None)
-        session.ids[envelope] = now, hashed
+        session.ids.pop(message, None)
+        session.ids[message] = now, hashed
         session.used = now
         self._know(key, self.name, session.sequence, now)
 
--- a/cedarwick/fleet/shipping.py
+++ b/cedarwick/fleet/shipping.py
@@ -88,7 +88,7 @@
     """The facts of one term of a book, numbered from 0 on, and the numbers that are owed. A term has one log, ever."""
 
     def __init__(self, book: int, term: int, read: Callable[[int], Fact | None], owed: Iterable[int] = ()) -> None:
-        """`read` tells all that is known of an owed envelope as of the newest fact appended, None where it has ended;
+        """`read` tells all that is known of an owed message as of the newest fact appended, None where it has ended;
         one whose body cannot be read comes without a base. `owed`: what the term begins with."""
         self.book = book
         self.term = term
--- a/cedarwick/fleet/traffic.py
+++ b/cedarwick/fleet/traffic.py
@@ -281,7 +281,7 @@
         return answered, wait_ms, (lambda: self._withdraw(submission)) if taken else None
 
     def _withdraw(self, submission: Submission) -> None:
-        # Danger: handed in again the id would be told +OK, of an envelope that is no more.
+        # Danger: handed in again the id would be told +OK, of a message that is no more.
         session = self.directory.sessions.get(submission.kept.turn)
         if session is not None and submission.kept.id in session.ids:
             session.ids[submission.kept.id] = session.ids[submission.kept.id][0], UNKNOWN
@@ -428,7 +428,7 @@
         self.memories[book].heard(step, facts, now)
 
     def adopted(self, book: int) -> None:
-        """A copy's envelopes are in the folder; its book is held here under a new term."""
+        """A copy's messages are in the folder; its book is held here under a new term."""
         memory, now = self.memories.pop(book, None), boot_time()
         owner = next((name for name in self.node.halls if slot_of(name) == book >> EPOCH_BITS), "")
         if memory is None or self.node.gate.levels.get(owner, 0) < HEIRS or owner == self.name:
--- a/cedarwick/fleet/transfers.py
+++ b/cedarwick/fleet/transfers.py
@@ -1,6 +1,6 @@
 """The I/O of moves: what `moves.py` and `decrees.py` ask for, done with greenlets, letters, the folder and the desk.
 
-What touches the folder and the desk at once is done between two of the desk's rounds. An envelope on the move carries a
+What touches the folder and the desk at once is done between two of the desk's rounds. A message on the move carries a
 mark in the ledger of its book, for the heirs, and in a file of this member, for its next boot: the sequence of its
 session, and `<` (it is given) or `>` (it is taken) before the name of the move.
 """
@@ -48,7 +48,7 @@
 RELEASE_AGAIN = 1.0  # seconds until marks that could not be lifted are lifted again
 CUT = 0.1  # seconds until calls that were cut off have ended
 SESSIONS = 10_000  # that a sender bears
-LATE = 300_000  # microseconds before its outer limit an envelope on the move is answered
+LATE = 300_000  # microseconds before its outer limit a message on the move is answered
 LOOK_LATE = 100_000
 SECOND = 1_000_000
 LARGEST_STAGE = LARGEST - (1 << 17)  # bytes of a session's facts: the rest of the letter is for its ids
@@ -57,10 +57,10 @@
 
 
 class SessionTooLargeError(CedarwickError):
-    """A session's envelopes do not fit one letter, so that it cannot be moved."""
+    """A session's messages do not fit one letter, so that it cannot be moved."""
 
     code = "CW754"
-    remedy = "wait until some of the session's envelopes have ended; until then it stays where it is"
+    remedy = "wait until some of the session's messages have ended; until then it stays where it is"
 
 
 class InvalidMoveNameError(CedarwickError):
@@ -290,7 +290,7 @@
         return known.key if known is not None else 0
 
     def _marked(self, name: str, side: str) -> list[int]:
-        """Envelopes with the mark of one side of a move."""
+        """Messages with the mark of one side of a move."""
         return sorted(
             number
             for number, (_, text) in self.store.inert.items()
@@ -367,7 +367,7 @@
             facts.append(fact)
         data = encode_facts(facts)
         if len(data) > LARGEST_STAGE:
-            self.counters.trouble("a session stays", SessionTooLargeError(f"{len(facts)} envelopes of {key:016x}"))
+            self.counters.trouble("a session stays", SessionTooLargeError(f"{len(facts)} messages of {key:016x}"))
             self.act(self.moves.call_off(name, boot_time()))
             return
         ids = self.directory.ids(key, boot_time())
@@ -416,7 +416,7 @@
             self.desk.adopt(owed, quietly=True)
             return True
 
-        # Danger: with the file not written the envelopes would stay inert, and the session frozen, for good.
+        # Danger: with the file not written the messages would stay inert, and the session frozen, for good.
         while not self.desk.between(release).get():
             gevent.sleep(RELEASE_AGAIN)
         if mine:
@@ -427,7 +427,7 @@
         self.desk.between(lambda: self._give_up(name, GIVEN)).get()
 
     def _give_up(self, name: str, side: str) -> bool:
-        """The envelopes of one side are the other side's; nothing is told of them."""
+        """The messages of one side are the other side's; nothing is told of them."""
         numbers = self._marked(name, side)
         for number in numbers:
             try:
@@ -503,11 +503,11 @@
             # Danger: the giver may have answered what was about to end while the decree was not known.
             late = [number for number in numbers if self.store.kept[number].outer_limit <= soon]
             self.desk.answer_late(late)
-            # Danger: a shot of before the move may still run, of an envelope that has ended, too; then all keys rest.
+            # Danger: a shot of before the move may still run, of a message that has ended, too; then all keys rest.
             quietly = offer is not None and not offer[0].rest
             if numbers or not quietly:
                 self.desk.adopt([number for number in numbers if number not in late], quietly)
-            # Danger: decided late, the session may have been inherited from a giver that died; the envelopes were not.
+            # Danger: decided late, the session may have been inherited from a giver that died; the messages were not.
             if offer is not None and not self.directory.superseded(key, parts(name)[1], offer[0].sequence):
                 stage, at = offer  # without it the ids of late are not known here, and it is claimed later
                 ids = {each.id: (each.age + now - at, each.hashed) for each in stage.ids}
@@ -619,7 +619,7 @@
                 continue
             if not giving and not self.store.copied(books)():
                 continue
-            logger.info("move {}: {} envelopes are marked here, it is to be settled", name, len(numbers))
+            logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
             self.act(self.moves.found(name, self.store.kept[numbers[0]].turn, giving, now))
         for name, move in list(self.moves.moves.items()):
             for giving, side, text in ((True, move.giving, GIVEN), (False, move.taking, TAKEN)):
@@ -637,7 +637,7 @@
             if kept is None or kept.end is not None or kept.outer_limit > soon or holding is None:
                 continue
             if holding.serving and self.moves.near_limit(text[1:]) == "failed" and text[:1] == GIVEN:
-                self.counters.add("envelopes on the move that were answered by their limit")
+                self.counters.add("messages on the move that were answered by their limit")
                 self.desk.answer_late([number])
 
 
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -92,7 +92,7 @@
         self.idle.clear()
 
     def notice(self, id: str, state: str, after: int) -> None:
-        """The platform passes on what became of an envelope."""
+        """The platform passes on what became of a message."""
         again = self.returned.pop(id, None)
         if again is not None and state == "returned":
             again(after)
--- a/cedarwick/lab/draw.py
+++ b/cedarwick/lab/draw.py
@@ -61,7 +61,7 @@
 class Schedule(msgspec.Struct, frozen=True):
     """All that is drawn before a day begins."""
 
-    length: int  # microseconds in which envelopes arrive
+    length: int  # microseconds in which messages arrive
     arrivals: list[Arrival]
     troubles: list[Planned]
 
@@ -138,7 +138,7 @@
 
 
 def rate_at(scenario: Scenario, share: float) -> float:
-    """Envelopes a second at a part of the day, before bursts."""
+    """Messages a second at a part of the day, before bursts."""
     load = scenario.load
     if load.curve == "wave":
         return load.rate * (1 + load.swing * float(np.sin(2 * np.pi * share)))
--- a/cedarwick/lab/fleet.py
+++ b/cedarwick/lab/fleet.py
@@ -460,7 +460,7 @@
     def hand_in(
         self, number: int, count: int = 1, band: str = "", destination: int = 0, turn: str = "0" * 16, size: int = 200
     ) -> list[Handed]:
-        """So many envelopes to one sender, each once; returns when each has its answer, with what was answered."""
+        """So many messages to one sender, each once; returns when each has its answer, with what was answered."""
         if number not in self.direct:
             self.direct[number] = Clients(self.day, self.scenario, Front(self.day, [self.members[number]], 0.0))
         clients = self.direct[number]
--- a/cedarwick/lab/load.py
+++ b/cedarwick/lab/load.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What is sent: where, how fast, how long, and what an envelope looks like."""
+    """What is sent: where, how fast, how long, and what a message looks like."""
 
     addresses: list[tuple[str, int]]
     rate: float  # requests a second, all addresses together
--- a/cedarwick/lab/report.py
+++ b/cedarwick/lab/report.py
@@ -255,7 +255,7 @@
         "Calls a second at the destinations that answered least well, then the busiest.",
         pace,
     ),
-    ("Backlog by destination", "Envelopes taken on and not ended, at the same destinations.", backlog),
+    ("Backlog by destination", "Messages taken on and not ended, at the same destinations.", backlog),
     ("Latency by percentile", "From when a thing was due to its delivery, over all tries.", latency),
     ("Memory and descriptors", "Of each sender's process.", memory),
 ]
--- a/cedarwick/lab/schedule.py
+++ b/cedarwick/lab/schedule.py
@@ -5,7 +5,7 @@
 
 One seed gives one plan. At no time are more senders out (down, stopped, or cut off from the others) than a
 minority, unless `free`; and never more than `copies` at once where a folder may be lost, since two lost folders
-may be all that an envelope was in.
+may be all that a message was in.
 """
 
 import random
--- a/cedarwick/lab/virtualday.py
+++ b/cedarwick/lab/virtualday.py
@@ -81,7 +81,7 @@
 FULL = 10_000  # bytes of a folder whose disk is full
 PATIENCE = 400_000  # microseconds that a client waits
 TOO_OLD = 50_000  # a clearance that rests on an older look at the sockets is asked for anew
-SETTLE = 1.8  # seconds from when all senders are ready to the first envelope
+SETTLE = 1.8  # seconds from when all senders are ready to the first message
 STAY = 1.2  # seconds that a sender which is told to end goes on to take what was routed to it
 DRAIN = 2 * SECOND  # in which it ends what is out
 KNOWN_GONE = SECOND // 2  # so long after a sender's end clients go to others
@@ -155,7 +155,7 @@
         self.clear = sender.desk.clear
         self.tell = sender.desk.shot_ended
         self.out = {}
-        self.seen: dict[int, Called] = {}  # by envelope: the call that its partner has
+        self.seen: dict[int, Called] = {}  # by message: the call that its partner has
 
     def start(self, call: Call) -> None:
         task = self.day.kernel.spawn(self._run, call)
@@ -537,7 +537,7 @@
         self.ended_at = self.now()
 
     def _owed(self) -> bool:
-        """Whether an envelope that was taken has no end yet."""
+        """Whether a message that was taken has no end yet."""
         ended = {each.id for each in self.history.noticed}
         ended |= {each.id for each in self.history.called if each.status == 200}
         return any(each.answer == "ok" and each.id not in ended for each in self.history.handed)
@@ -759,7 +759,7 @@
     `level`: "hard" has twice as many troubles, shorter ones, and receivers that are bad more often; on the "worst"
     days most of all calls are refused, hang or are reset, so that little is delivered. "calm": bad receivers alone. The
     audit of order between senders allows for every trouble, so it says most where sessions move on calm days.
-    `sessions`: every envelope has a key, clients change senders, staff move sessions and drain senders.
+    `sessions`: every message has a key, clients change senders, staff move sessions and drain senders.
     """
     halls = {"e": "east", "w": "west"}
     table = Fleet(
@@ -803,7 +803,7 @@
     parser.add_argument("--ack", default="own", choices=("own", "copy"))
     parser.add_argument("--alone", default="busy", choices=("busy", "own"))
     parser.add_argument("--copies", type=int, default=1)
-    parser.add_argument("--seconds", type=float, default=8.0, help="in which envelopes come")
+    parser.add_argument("--seconds", type=float, default=8.0, help="in which messages come")
     parser.add_argument("--kinds", nargs="+", default=KINDS, choices=KINDS, metavar="KIND", help=", ".join(KINDS))
     parser.add_argument(
         "--level",
--- a/cedarwick/net/desk.py
+++ b/cedarwick/net/desk.py
@@ -26,13 +26,13 @@
 
 REMEMBERED = 15_000_000  # for so long after it was handed in, an id is not taken once more
 NO_RIGHT = 20_000  # until the next look whether this sender may decide, or its copies follow
-NEAR = 50_000  # before its outer limit an envelope is written off at the end of a process that others take over from
-BOOK = 32  # bits of a number within its book: below them numbers grow as envelopes are taken
+NEAR = 50_000  # before its outer limit a message is written off at the end of a process that others take over from
+BOOK = 32  # bits of a number within its book: below them numbers grow as messages are taken
 AFTER_ERROR = 100_000  # until the next round: an error that comes again must not fill the core
 
 
 class Answered(Enum):
-    """What becomes of an envelope at the door."""
+    """What becomes of a message at the door."""
 
     KEPT = "kept"
     BUSY = "busy"  # with an advised wait in milliseconds, or 0
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Submission:
-    """An envelope as a client hands it in; the desk gives it its number and sets the answer."""
+    """A message as a client hands it in; the desk gives it its number and sets the answer."""
 
     kept: Kept
     answer: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
@@ -91,7 +91,7 @@
         # Danger: shots that the decisions hold to share a call would each count at the destination's limit.
         self.sender.per_call = []
         self.handles: dict[int, Handle] = {}
-        self.numbers: dict[str, int] = {}  # by id: envelopes that are kept
+        self.numbers: dict[str, int] = {}  # by id: messages that are kept
         self.recent: dict[str, tuple[int, int]] = {}  # ids of late: when, and what came with it
         self.fresh: dict[int, Submission] = {}  # taken in this round
         self.queue: gevent.queue.Queue = gevent.queue.Queue()
@@ -100,12 +100,12 @@
         self.wake_at: int | None = None
         self.holding_fire = False
         self.ending = False  # while holding fire: what reaches its outer limit ends here
-        self.keeping = False  # while holding fire: envelopes that come are still kept, for the next process
+        self.keeping = False  # while holding fire: messages that come are still kept, for the next process
         self.parked: dict[int, Handle] = {}  # given up while a shot was out: it still ends
         self.to_adopt: set[int] = set()  # of these: to be gone on with once it has ended
         self.frozen: dict[int, Frozen] = {}  # sessions on the move, by key
-        self.elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier envelopes
-        self.held_back: set[int] = set()  # envelopes that had no shot while their key was among these
+        self.elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
+        self.held_back: set[int] = set()  # messages that had no shot while their key was among these
         self.leaving: set[int] = set()  # withdrawn in this moment: the queue has yet to say so
         self.untold: set[int] = set()  # an end was chosen, and is told once the copies have it
         self.shots: Shots
@@ -148,13 +148,13 @@
         self.queue.put((self._acknowledged, (numbers,)))
 
     def hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
-        """The end of the process is near: no shot begins any more, what is out goes on; envelopes that come
+        """The end of the process is near: no shot begins any more, what is out goes on; messages that come
         are kept where `keeping` says so, else turned away. `ending`: other senders go on with what is kept; what
         reaches its outer limit before they can is written off."""
         self.queue.put((self._hold_fire, (keeping, ending)))
 
     def adopt(self, numbers: list[int], quietly: bool = False) -> None:
-        """Go on with envelopes that are kept in the folder, as after a restart: this sender has the right to.
+        """Go on with messages that are kept in the folder, as after a restart: this sender has the right to.
 
         `quietly`: no shot of their keys is out or in doubt but what they tell themselves, so other keys need not rest.
         """
@@ -166,15 +166,15 @@
         return max(0, turns.all_rest - self.clock.now(), turns.rests.get(key, 0) - self.clock.now())
 
     def in_turn(self, band: str) -> bool:
-        """Whether envelopes of a band go one after another within a key."""
+        """Whether messages of a band go one after another within a key."""
         return band in self.bands and self.sender.bands[self.bands[band]].in_turn
 
     def rest(self, keys: frozenset[int]) -> None:
-        """Earlier envelopes of these keys are owed elsewhere: later ones rest here until this is told no more."""
+        """Earlier messages of these keys are owed elsewhere: later ones rest here until this is told no more."""
         self.queue.put((self._rest, (keys,)))
 
     def park(self, numbers: list[int]) -> None:
-        """Leave envelopes alone from now on, without an answer: this sender has no right to fire for them."""
+        """Leave messages alone from now on, without an answer: this sender has no right to fire for them."""
         self.queue.put((self._park, (numbers,)))
 
     def freeze(self, key: int) -> gevent.event.AsyncResult:
@@ -188,7 +188,7 @@
         self.queue.put((self._cut, (key,)))
 
     def thaw(self, key: int) -> None:
-        """A session is taken again; its envelopes are gone on with once they are adopted."""
+        """A session is taken again; its messages are gone on with once they are adopted."""
         self.queue.put((self._thaw, (key,)))
 
     def between(self, call: Callable[[], bool]) -> gevent.event.AsyncResult:
@@ -198,7 +198,7 @@
         return answer
 
     def answer_late(self, numbers: list[int]) -> None:
-        """Write parked envelopes off: their outer limit is near, and nobody is known to have the right."""
+        """Write parked messages off: their outer limit is near, and nobody is known to have the right."""
         self.queue.put((self._answer_late, (numbers,)))
 
     def idle(self) -> bool:
@@ -254,16 +254,16 @@
         numbers = [number for number in sorted(self.store.kept) if self.store.may_fire(number)]
         if self.store.restarted:
             taken_up = self._take_up(numbers)
-            logger.info("restarted with {} envelopes owed, {} notices", taken_up, len(self.notices.owed))
+            logger.info("restarted with {} messages owed, {} notices", taken_up, len(self.notices.owed))
 
     def _take_up(self, numbers: Sequence[int], quietly: bool = False) -> int:
-        """Kept envelopes become owed by the decisions; how many have no end yet."""
+        """Kept messages become owed by the decisions; how many have no end yet."""
         owed = []
         for number in numbers:
             kept = self.store.kept[number]
             self.numbers[kept.id] = number
             if kept.end is None and kept.band not in self.bands:
-                self.counters.trouble("an envelope of a band that is no more goes once at most", kept.band)
+                self.counters.trouble("a message of a band that is no more goes once at most", kept.band)
             if kept.end is not None:
                 self.untold.discard(number)
                 self.notices.post(number, kept.id, *kept.end)
@@ -299,7 +299,7 @@
             and number not in self.store.inert
             and self.store.kept[number].turn not in self.frozen
         ]
-        # Danger: a shot of before the envelope was parked may still be out, and a second would run beside it.
+        # Danger: a shot of before the message was parked may still be out, and a second would run beside it.
         self.to_adopt.update(number for number in known if number in self.parked)
         taken_up = [number for number in known if number not in self.parked]
         self._take_up(taken_up, quietly)
@@ -373,7 +373,7 @@
             if kept is None or number in self.handles or number in self.notices.owed:
                 continue
             if kept.end is None or number in self.untold:
-                self.counters.trouble("an envelope ends that nobody may fire for", number)
+                self.counters.trouble("a message ends that nobody may fire for", number)
                 self._final(number, False, 0, alone=True)
             else:
                 self.notices.post(number, kept.id, *kept.end)
@@ -417,7 +417,7 @@
             now, number, kept.destination, band, kept.outer_limit, place(self.tenants, kept.tenant), kept.turn
         )
         if kept.turn in self.elsewhere and self.sender.bands[band].in_turn:
-            self.counters.add("envelopes that waited for others of their key elsewhere")
+            self.counters.add("messages that waited for others of their key elsewhere")
             self._let_rest(kept.turn)
 
     def _withdraw(self, kept: Kept) -> None:
@@ -510,7 +510,7 @@
         if ending.held_back:
             handle.never_left()
         if handle.ended:
-            self.counters.add(f"envelopes over: {ending.outcome.value}")
+            self.counters.add(f"messages over: {ending.outcome.value}")
             if ending.outcome is Outcome.COMPLETED:
                 self.counters.figures.passed[call.kept.band] += 1
             del self.handles[number]
@@ -541,7 +541,7 @@
                 self._over(self.store.kept[number])
 
     def _over(self, kept: Kept) -> None:
-        """Nothing more is owed for this envelope."""
+        """Nothing more is owed for this message."""
         self.numbers.pop(kept.id, None)
         self.untold.discard(kept.number)
         self._recorded("the record of an end", self.store.over, kept.number)
@@ -642,7 +642,7 @@
     def _keep(self, submission: Submission) -> None:
         """The record first, then the answer; shots may leave after that."""
         kept = submission.kept
-        if not self._recorded("an envelope", self.store.keep, kept):
+        if not self._recorded("a message", self.store.keep, kept):
             del self.numbers[kept.id]
             self.handles[kept.number].withdrawn(self.clock.now())
             if not self.handles[kept.number].out:
@@ -683,7 +683,7 @@
             then()
 
     def _final(self, number: int, nacked: bool, wait_ms: int, alone: bool = False) -> None:
-        """The final answer of a kept envelope: recorded, then told until it is acknowledged.
+        """The final answer of a kept message: recorded, then told until it is acknowledged.
 
         `alone`: without waiting for a copy, since none can be asked.
         """
--- a/cedarwick/net/figures.py
+++ b/cedarwick/net/figures.py
@@ -10,7 +10,7 @@
 
     def __init__(self, bands: list[str] | None = None) -> None:
         self.bands = list(bands or [])
-        self.passed: Counter[str] = Counter()  # envelopes completed
+        self.passed: Counter[str] = Counter()  # messages completed
         self.dropped: Counter[str] = Counter()  # refused at the door, or nacked later
         self.bad_gateway: Counter[str] = Counter()  # written off
         self.tries = 0  # requests written whole to receivers
@@ -26,9 +26,9 @@
             def collect(self) -> list[Metric]:
                 made: list[Metric] = []
                 for name, counted, meaning in (
-                    ("sender_passed", figures.passed, "envelopes completed"),
-                    ("sender_dropped", figures.dropped, "envelopes refused at the door or nacked"),
-                    ("sender_bad_gateway", figures.bad_gateway, "envelopes written off"),
+                    ("sender_passed", figures.passed, "messages completed"),
+                    ("sender_dropped", figures.dropped, "messages refused at the door or nacked"),
+                    ("sender_bad_gateway", figures.bad_gateway, "messages written off"),
                 ):
                     family = CounterMetricFamily(name, meaning, labels=["category"])
                     for band in sorted(set(figures.bands) | set(counted)):
@@ -40,7 +40,7 @@
                     )
                 )
                 for name, value, meaning in (
-                    ("sender_in_progress", in_progress, "envelopes taken and not ended"),
+                    ("sender_in_progress", in_progress, "messages taken and not ended"),
                     ("sender_known_receivers", known, "receivers in the list"),
                     ("sender_skipped_receivers", skipped, "listed receivers avoided, by hand or by choice"),
                 ):
--- a/cedarwick/net/intake.py
+++ b/cedarwick/net/intake.py
@@ -61,7 +61,7 @@
     Answered.FROZEN: BUSY,
     Answered.UNSURE: b"",
 }
-# What became of an envelope, the advised wait, and what takes it back where it was taken just now.
+# What became of a message, the advised wait, and what takes it back where it was taken just now.
 Handed = tuple[Answered, int, Callable[[], None] | None]
 
 
@@ -465,7 +465,7 @@
         return REPLIES[answered]
 
     def to_desk(self, kept: Kept) -> Handed:
-        """Hand an envelope to this sender's own desk."""
+        """Hand a message to this sender's own desk."""
         submission = Submission(kept)
         self.desk.submit(submission)
         answered, wait_ms = submission.answer.get()
@@ -528,12 +528,12 @@
 
 
 def read_submission(parts: list[bytes], now: int) -> tuple[Kept, bool]:
-    """The envelope of a SUBMIT, and whether a sender had it before; `InvalidSubmitError` says what is wrong."""
+    """The message of a SUBMIT, and whether a sender had it before; `InvalidSubmitError` says what is wrong."""
     if len(parts) != 5:
         raise InvalidSubmitError("wrong number of arguments for SUBMIT")
-    _, turn, envelope, pairs, body = parts
+    _, turn, message, pairs, body = parts
     told = dict(pair.partition(b"=")[::2] for pair in pairs.split(b","))
-    if not WORD.fullmatch(envelope):
+    if not WORD.fullmatch(message):
         raise InvalidSubmitError("the id cannot be read")
     if not TURN.fullmatch(turn):
         raise InvalidSubmitError("the key of the order cannot be read")
@@ -546,5 +546,5 @@
     if not band:
         raise InvalidSubmitError("c is missing")
     limit = now + int(told[b"d"]) * 1000 - READ_LATE
-    kept = Kept(0, envelope.decode(), key.decode(), int(turn, 16), band, tenant, int(told[b"dest"]), limit, body)
+    kept = Kept(0, message.decode(), key.decode(), int(turn, 16), band, tenant, int(told[b"dest"]), limit, body)
     return kept, told.get(b"again") == b"1"
--- a/cedarwick/net/links.py
+++ b/cedarwick/net/links.py
@@ -90,7 +90,7 @@
                 self.descriptors.claim()
                 break
             except NoDescriptorError:
-                # Danger: while idle clients hold them all, an envelope would be through its tries at once.
+                # Danger: while idle clients hold them all, a message would be through its tries at once.
                 if self.clock.now() >= free_by:
                     raise
                 gevent.sleep(FREE_LOOK)
--- a/cedarwick/net/notices.py
+++ b/cedarwick/net/notices.py
@@ -26,7 +26,7 @@
         self.platform = platform
         self.counters = counters
         self.acknowledged = acknowledged
-        self.owed: dict[int, bytes] = {}  # by the envelope's number; bounded by what the store keeps
+        self.owed: dict[int, bytes] = {}  # by the message's number; bounded by what the store keeps
         self.news = gevent.event.Event()
         self.sock: gevent.socket.socket | None = None
         self.sock_leads_to = platform
@@ -38,8 +38,8 @@
         if self.posting is not None:
             self.posting.kill(block=False)
 
-    def post(self, number: int, envelope: str, nacked: bool, wait_ms: int) -> None:
-        told: dict[str, object] = {"id": envelope, "state": "returned" if nacked else "failed"}
+    def post(self, number: int, message: str, nacked: bool, wait_ms: int) -> None:
+        told: dict[str, object] = {"id": message, "state": "returned" if nacked else "failed"}
         if nacked and wait_ms > 0:
             told["after_ms"] = wait_ms
         self.owed[number] = json.dumps(told).encode() + b"\n"
--- a/cedarwick/net/shots.py
+++ b/cedarwick/net/shots.py
@@ -92,7 +92,7 @@
         greenlet.rawlink(lambda ended: self.out.pop(ended, None))
 
     def cut(self, numbers: Collection[int]) -> None:
-        """Give up the calls of some envelopes at once, and close their links: they may have run."""
+        """Give up the calls of some messages at once, and close their links: they may have run."""
         for greenlet, call in list(self.out.items()):
             if call.kept.number in numbers and not call.told:
                 greenlet.kill(block=False)
@@ -103,7 +103,7 @@
         try:
             self._go(call)
         except Exception:
-            # Danger: a shot that never ends holds its slot and its envelope for ever.
+            # Danger: a shot that never ends holds its slot and its message for ever.
             self.counters.failed("a shot failed")
             if not call.told:
                 self._end(call, Outcome.RESET)
@@ -121,7 +121,7 @@
             return
         usable = False
         try:
-            # Danger: while a link came up, a wait or a drain may have been heard or the envelope have ended.
+            # Danger: while a link came up, a wait or a drain may have been heard or the message have ended.
             usable = not self._cleared(call)
             if not usable:
                 usable = self._unless_crossed(call, link)
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -41,7 +41,7 @@
 # then for clients that were let go to close, before the folder is the next process's.
 HANDOVER, ANSWERING, LINGERING = 0.2, 0.05, 1.1
 FIRST_NEWS = 0.2  # seconds that the decisions wait for it; a client that has its PONG waits 0.4 for an answer
-FIRST_SHOT = 0.8  # and seconds more for which envelopes are kept and answered, but not shot; silence is told by then
+FIRST_SHOT = 0.8  # and seconds more for which messages are kept and answered, but not shot; silence is told by then
 LOOK = 0.01  # seconds between two looks at a folder that another process still holds
 
 
@@ -199,7 +199,7 @@
 
     def decide() -> None:
         """Never returns: the desk, once the agent has said what it has; that counts as told from the first moment."""
-        # Danger: a shot of a kept envelope would go to a receiver that the saved list does not know to be draining.
+        # Danger: a shot of a kept message would go to a receiver that the saved list does not know to be draining.
         if not directory.first_news.wait(FIRST_NEWS):
             desk.holding_fire = desk.keeping = True
             gevent.spawn(fire)
@@ -232,7 +232,7 @@
     stopping.wait()
 
     staff.taking = False
-    logger.info("ending: {} envelopes kept", len(store.kept))
+    logger.info("ending: {} messages kept", len(store.kept))
     if inherited is not None:
         hand_over(parts[len(early) + later.index(intake.accept)], intake, desk, store)
         gevent.killall(parts)
@@ -314,7 +314,7 @@
 
 
 def gauges(desk: Desk, directory: Directory) -> tuple[int, int, int]:
-    """Envelopes taken and not ended, receivers listed, and those of them avoided by hand or by choice."""
+    """Messages taken and not ended, receivers listed, and those of them avoided by hand or by choice."""
     listed = {directory.numbers[uid] for uid, listing in directory.last.items() if listing.phase is not Phase.GONE}
     avoided = {directory.numbers[uid] for uid in directory.held_out if uid in directory.numbers}
     avoided |= {receiver.id for receiver in desk.sender.receivers.values() if receiver.out_since}
@@ -358,7 +358,7 @@
     accepting.kill()
     intake.listener.close()  # only this process's descriptor: the platform's socket stays open
     # Danger: the next process accepts nobody while this one holds the folder; clients wait 400 ms at most.
-    # Kept connections are served meanwhile, each let go after its answer; envelopes are kept, not shot.
+    # Kept connections are served meanwhile, each let go after its answer; messages are kept, not shot.
     intake.still_taking = intake.closing = True
     desk.hold_fire(keeping=True)
     with gevent.Timeout(HANDOVER, False):
@@ -369,7 +369,7 @@
         while intake.mid_request():
             gevent.sleep(LOOK)
     intake.still_taking = False
-    logger.info("handing over: {} envelopes kept, {} shots without an outcome", len(store.kept), len(desk.shots.out))
+    logger.info("handing over: {} messages kept, {} shots without an outcome", len(store.kept), len(desk.shots.out))
     # Danger: a call still out on an open link, sent again by the next process, would be a second copy.
     gevent.killall(list(desk.shots.out))
 
--- a/cedarwick/store/__init__.py
+++ b/cedarwick/store/__init__.py
@@ -1,1 +1,1 @@
-"""What lasts: a journal in segments, compacted in small steps while envelopes flow."""
+"""What lasts: a journal in segments, compacted in small steps while messages flow."""
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -38,7 +38,7 @@
 GRAIN = 1 << 13  # bytes that come in before a step looks whether anything is to be done
 LOOK_BACK = 64  # steps after which a segment that could not be moved is looked at again
 NEW, SHORT, MOVE = "new", "short", "move"  # what a record is for: how much of the reserve it may use
-FEW_LEFT = 64  # envelopes; with room for fewer the room is reckoned anew each time it is asked for
+FEW_LEFT = 64  # messages; with room for fewer the room is reckoned anew each time it is asked for
 PRESSES = 16  # steps on the spot for one short record
 
 
@@ -53,7 +53,7 @@
     """A body cannot be read back."""
 
     code = "CW203"
-    remedy = "look at the disk; the envelope is answered without it, so tell its sender"
+    remedy = "look at the disk; the message is answered without it, so tell its sender"
 
 
 def growth(segment: Segment, size: int) -> int:
@@ -90,7 +90,7 @@
         self.next_number = 1
         self.last_segment = 0
         self.old_until = 0
-        self.inert: dict[int, tuple[int, str]] = {}  # envelopes on the move between senders: nobody fires for them
+        self.inert: dict[int, tuple[int, str]] = {}  # messages on the move between senders: nobody fires for them
         self.restarted = False  # whether the folder held anything at the start
         self.damaged = False  # whether a part of that could not be read
         self.used = 0  # bytes of all files, in whole blocks
@@ -102,7 +102,7 @@
         self.owing: deque[tuple[bytes, Callable[[Segment], None]]] = deque()  # short records without room so far
         self.condemned: list[tuple[str, int]] = []  # files that are dropped and not deleted yet, and their blocks
         self.unsynced: set[int] = set()  # files with bytes that no fsync has followed
-        self.held: deque[int] = deque()  # envelopes whose bodies are in memory, the oldest first
+        self.held: deque[int] = deque()  # messages whose bodies are in memory, the oldest first
         self.held_bytes = 0
         self.moved_bytes = 0
         self.written_bytes = 0
@@ -118,7 +118,7 @@
     def set_limit(self, disk_bytes: int) -> None:
         """Bytes that all files may take; it may be lowered below what is in use, which then shrinks."""
         self.limit = disk_bytes
-        self.floor, self.spare = 1 << 62, -1  # what must stay free, and what new envelopes may take: to be reckoned
+        self.floor, self.spare = 1 << 62, -1  # what must stay free, and what new messages may take: to be reckoned
         self.segment_size = self.wanted_segment or planner.segment_size(disk_bytes)
 
     # ---- at the start ----
@@ -130,7 +130,7 @@
         """
         self.folder.claim()
         found = recover(self.folder, logger.error)
-        self.book, self.next_number, self.old_until = found.book, found.next_envelope, found.old_until
+        self.book, self.next_number, self.old_until = found.book, found.next_message, found.old_until
         self.last_segment = found.last
         leftover = [name for name in found.leftover if not quietly(self.folder.unlink, name)]
         taken_over, next_number, files = old.read(self.folder, self.old_until)
@@ -140,7 +140,7 @@
         self.condemned = [(name, planner.blocks(self.folder.size(name))) for name in leftover]
         self._go_on(found.tail)
         if files:
-            logger.info("a folder of the first format is taken over: {} envelopes", len(taken_over))
+            logger.info("a folder of the first format is taken over: {} messages", len(taken_over))
             for kept in taken_over.values():
                 if kept.number not in self.kept:
                     self._base(kept, kept.body or b"", MOVE)
@@ -192,17 +192,17 @@
         )
 
     def weighed(self, kept: Kept) -> int:
-        """The bytes that an envelope takes."""
+        """The bytes that a message takes."""
         texts = len(kept.id) + len(kept.key) + len(kept.band) + len(kept.tenant)
         body = len(kept.body) if kept.body is not None else kept.size
-        return FRAME.size + records.ENVELOPE_BODY.size + records.STATE_BODY.size + texts + body + records.OF_STATE
+        return FRAME.size + records.MESSAGE_BODY.size + records.STATE_BODY.size + texts + body + records.OF_STATE
 
     def has_room(self, kept: Kept) -> bool:
-        """Whether a new envelope can be taken."""
+        """Whether a new message can be taken."""
         return self.fits(kept)
 
     def fits(self, kept: Kept) -> bool:
-        """Whether an envelope can be kept, with room for the short records that it will need."""
+        """Whether a message can be kept, with room for the short records that it will need."""
         weighed = self.weighed(kept)
         if weighed > self.spare:
             self._look()
@@ -214,14 +214,14 @@
         self.floor, self.spare = planner.reserve(sizes), planner.room(sizes)
 
     def room_for(self) -> int:
-        """How many more envelopes like those that are kept the folder has room for; reckoned anew where few."""
+        """How many more messages like those that are kept the folder has room for; reckoned anew where few."""
         mean = max((self.book.live + self.book.promised()) // max(1, len(self.kept)) + 1, records.OF_STATE)
         if self.spare < FEW_LEFT * mean:
             self._look()
         return max(0, self.spare) // mean
 
     def keep(self, kept: Kept) -> None:
-        """Write the record of a taken envelope; `NoSpaceError` where there is none for it."""
+        """Write the record of a taken message; `NoSpaceError` where there is none for it."""
         body = kept.body or b""
         kept.size, kept.checksum = len(body), zlib.crc32(body)
         if not self.fits(kept):
@@ -237,7 +237,7 @@
         kept.shot(sent_at, zone)
 
     def outcome(self, number: int, outcome: Outcome) -> None:
-        """The recorded shot that was out has ended; a completed one ends its envelope."""
+        """The recorded shot that was out has ended; a completed one ends its message."""
         kept = self.kept.get(number)
         if kept is None or not kept.out_at:
             return
@@ -274,15 +274,15 @@
         return True
 
     def taking(self) -> bool:
-        """Whether new envelopes may be taken at all: always, where no other sender has a say."""
+        """Whether new messages may be taken at all: always, where no other sender has a say."""
         return True
 
     def may_fire(self, number: int) -> bool:
-        """Whether a shot of this envelope may begin now: always, where no other sender has a say."""
+        """Whether a shot of this message may begin now: always, where no other sender has a say."""
         return True
 
     def body(self, number: int) -> bytes:
-        """The body of an envelope, from memory or from the folder; `BodyLostError` where it cannot be read."""
+        """The body of a message, from memory or from the folder; `BodyLostError` where it cannot be read."""
         kept = self.kept[number]
         return kept.body if kept.body is not None else self._read_body(kept)
 
@@ -352,8 +352,8 @@
     # ---- records ----
 
     def _base(self, kept: Kept, body: bytes, use: str) -> int:
-        """Write all that is known of an envelope; how many bytes that took."""
-        payload, at = records.envelope(kept, body)
+        """Write all that is known of a message; how many bytes that took."""
+        payload, at = records.message(kept, body)
         segment, begin = self._append(payload, use)
         kept.size = len(body)
         self.book.based(kept, segment, begin + FRAME.size + at, FRAME.size + len(payload))
@@ -394,7 +394,7 @@
     def _append(self, payload: bytes, use: str, owed: bool = False) -> tuple[Segment, int]:
         """Write one record; its segment, and where its frame begins there."""
         if self.owing and not owed and use != MOVE:
-            self._write_owing()  # Danger: of two records on one envelope the later must not come first
+            self._write_owing()  # Danger: of two records on one message the later must not come first
         record = framed(payload)
         active = self.active
         if active is None or active.size + len(record) > self.segment_size and active.size > active.head:
@@ -449,7 +449,7 @@
             turns += 1
             self.presses += 1
             self.pressed += 1
-            # Danger: each new envelope of a round would compact on its own account, and the round would stand still.
+            # Danger: each new message of a round would compact on its own account, and the round would stand still.
             if turns > (PRESSES if use == SHORT else 1) or not self._work(self.most_step, short=True):
                 if use == SHORT and self.limit - self.used - grows >= 0:
                     return  # the reserve is for this
@@ -565,7 +565,7 @@
         self.victim, self.todo = None, []
 
     def _move(self, victim: Segment, number: int) -> int:
-        """Write anew what a segment holds of an envelope; the bytes that took."""
+        """Write anew what a segment holds of a message; the bytes that took."""
         kept = self.kept.get(number)
         if kept is not None and kept.home == victim.number:
             if kept.end is not None:
--- a/cedarwick/store/old.py
+++ b/cedarwick/store/old.py
@@ -21,7 +21,7 @@
 
 
 def read(folder: Folder, until: int) -> tuple[dict[int, Kept], int, list[int]]:
-    """What files with a number above `until` hold: envelopes by number, the next number, and the files."""
+    """What files with a number above `until` hold: messages by number, the next number, and the files."""
     kept: dict[int, Kept] = {}
     next_number = 1
     files = [number for number in numbers(folder.names(), OLD_NAME) if number > until]
--- a/cedarwick/store/planner.py
+++ b/cedarwick/store/planner.py
@@ -50,7 +50,7 @@
 
 
 def reserve(sizes: Sizes) -> int:
-    """Room that new envelopes never get: for a segment's live records to be moved, and for short records."""
+    """Room that new messages never get: for a segment's live records to be moved, and for short records."""
     return sizes.segment + sizes.largest + 2 * sizes.header + SLACK + 2 * BLOCK
 
 
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -1,7 +1,7 @@
 """The records of the journal: frames with a checksum, and what each kind holds. No I/O.
 
 A frame is a mark of two bytes, the payload's length, a checksum over length and payload, the payload. A payload
-begins with its kind and, but for headers and drops, the envelope's number. An unknown kind is passed on, not
+begins with its kind and, but for headers and drops, the message's number. An unknown kind is passed on, not
 dropped; by its number one can tell whether it may speak of shots (below `HARMLESS`) or not.
 """
 
@@ -19,11 +19,11 @@
 FRAME = struct.Struct("<2sII")
 LENGTH = struct.Struct("<I")
 LONGEST = 1 << 20  # bytes of a payload
-HEADER, ENVELOPE, STATE, SHOT, OUTCOME, END, OVER, DROP = range(1, 9)
+HEADER, MESSAGE, STATE, SHOT, OUTCOME, END, OVER, DROP = range(1, 9)
 HARMLESS = 64  # kinds from here on say nothing of shots or ends
-HEADER_BODY = struct.Struct("<BHQQQQI")  # kind, version, number, made at, next envelope, old files until, lines
+HEADER_BODY = struct.Struct("<BHQQQQI")  # kind, version, number, made at, next message, old files until, lines
 HEADER_LINE = struct.Struct("<QQ")  # a segment that lives beside this one, and its valid length
-ENVELOPE_BODY = struct.Struct("<BQQQIIHHHH")  # number, limit, turn, destination, body's checksum, four texts
+MESSAGE_BODY = struct.Struct("<BQQQIIHHHH")  # number, limit, turn, destination, body's checksum, four texts
 STATE_BODY = struct.Struct("<HQhQhQBI")  # shots, ran at and zone, out at and zone, doubt, end, wait
 STATE_HEAD = struct.Struct("<BQ")
 SHOT_BODY = struct.Struct("<BQQh")
@@ -36,7 +36,7 @@
 FIRST_MARK, MARKS = 1 << 10, 31 << 10  # of zones; what is below is a place among the zones of some settings
 OF_OVER = FRAME.size + OVER_BODY.size
 OF_STATE = FRAME.size + STATE_HEAD.size + STATE_BODY.size
-SHORTEST = STATE_HEAD.size  # of a payload that names an envelope
+SHORTEST = STATE_HEAD.size  # of a payload that names a message
 
 
 class InvalidRecordError(CedarwickError):
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, eq=False)
 class Kept:
-    """An envelope that this sender owes its end, and what the folder knows of its shots."""
+    """A message that this sender owes its end, and what the folder knows of its shots."""
 
     number: int  # 0 until it is taken
     id: str
@@ -100,7 +100,7 @@
     version: int
     number: int
     made_at: int
-    next_envelope: int
+    next_message: int
     old_until: int  # files of the first format up to this number have been taken over
     others: dict[int, int]  # every other segment that lives, and its valid length
 
@@ -123,7 +123,7 @@
     lines = b"".join(HEADER_LINE.pack(number, size) for number, size in made.others.items())
     return (
         HEADER_BODY.pack(
-            HEADER, made.version, made.number, made.made_at, made.next_envelope, made.old_until, len(made.others)
+            HEADER, made.version, made.number, made.made_at, made.next_message, made.old_until, len(made.others)
         )
         + lines
     )
@@ -131,21 +131,21 @@
 
 def read_header(payload: bytes) -> Header:
     try:
-        _, version, number, made_at, next_envelope, old_until, count = HEADER_BODY.unpack_from(payload)
+        _, version, number, made_at, next_message, old_until, count = HEADER_BODY.unpack_from(payload)
         others = dict(
             HEADER_LINE.unpack_from(payload, HEADER_BODY.size + place * HEADER_LINE.size)
             for place in range(count if version == VERSION else 0)
         )
     except struct.error as error:
         raise InvalidRecordError(f"a header: {error}") from None
-    return Header(version, number, made_at, next_envelope, old_until, others)
+    return Header(version, number, made_at, next_message, old_until, others)
 
 
-def envelope(kept: Kept, body: bytes) -> tuple[bytes, int]:
-    """The record of an envelope with all that is known of it, and the body's place in the payload."""
+def message(kept: Kept, body: bytes) -> tuple[bytes, int]:
+    """The record of a message with all that is known of it, and the body's place in the payload."""
     texts = [text.encode() for text in (kept.id, kept.key, kept.band, kept.tenant)]
-    head = ENVELOPE_BODY.pack(
-        ENVELOPE, kept.number, kept.outer_limit, kept.turn, kept.destination, kept.checksum, *map(len, texts)
+    head = MESSAGE_BODY.pack(
+        MESSAGE, kept.number, kept.outer_limit, kept.turn, kept.destination, kept.checksum, *map(len, texts)
     )
     whole = head + state_of(kept) + b"".join(texts)
     return whole + body, len(whole)
@@ -161,15 +161,15 @@
 
 
 def state(kept: Kept) -> bytes:
-    """All that is known of an envelope's shots and end, without its body."""
+    """All that is known of a message's shots and end, without its body."""
     return STATE_HEAD.pack(STATE, kept.number) + state_of(kept)
 
 
-def read_envelope(payload: bytes, segment: int, at: int) -> Kept:
-    """The envelope of a record that lies at a place of a segment; the body stays in the payload."""
+def read_message(payload: bytes, segment: int, at: int) -> Kept:
+    """The message of a record that lies at a place of a segment; the body stays in the payload."""
     try:
-        _, number, limit, turn, destination, checksum, *sizes = ENVELOPE_BODY.unpack_from(payload)
-        place, texts = ENVELOPE_BODY.size + STATE_BODY.size, []
+        _, number, limit, turn, destination, checksum, *sizes = MESSAGE_BODY.unpack_from(payload)
+        place, texts = MESSAGE_BODY.size + STATE_BODY.size, []
         for size in sizes:
             texts.append(payload[place : place + size].decode())
             place += size
@@ -190,16 +190,16 @@
             checksum=checksum,
             weight=FRAME.size + len(payload),
         )
-        take_state(kept, payload, ENVELOPE_BODY.size)
+        take_state(kept, payload, MESSAGE_BODY.size)
     except (struct.error, UnicodeDecodeError, ValueError) as error:
-        raise InvalidRecordError(f"an envelope: {error}") from None
+        raise InvalidRecordError(f"a message: {error}") from None
     if place > len(payload):
-        raise InvalidRecordError("an envelope that is shorter than its texts")
+        raise InvalidRecordError("a message that is shorter than its texts")
     return kept
 
 
 def take_state(kept: Kept, payload: bytes, at: int) -> None:
-    """Replace what is known of an envelope's shots and end by what a payload says."""
+    """Replace what is known of a message's shots and end by what a payload says."""
     try:
         (kept.shots, kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone, doubt_at, end, wait) = (
             STATE_BODY.unpack_from(payload, at)
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -2,7 +2,7 @@
 
 The newest segment's header names every segment that lives beside it, and its drop records name those that have
 gone since; so what is missing, what is left over and what is damaged can be told apart. Where records may be
-lost, every envelope that lived then is put in doubt: a shot of it may have run that nobody knows of.
+lost, every message that lived then is put in doubt: a shot of it may have run that nobody knows of.
 """
 
 from collections.abc import Iterator
@@ -15,10 +15,10 @@
     DROP,
     END,
     END_BODY,
-    ENVELOPE,
     FRAME,
     HARMLESS,
     HEADER,
+    MESSAGE,
     OUTCOME,
     OUTCOME_BODY,
     OUTCOMES,
@@ -35,8 +35,8 @@
     Header,
     InvalidRecordError,
     Kept,
-    read_envelope,
     read_header,
+    read_message,
     scan,
     take_state,
 )
@@ -65,7 +65,7 @@
     """What a folder holds."""
 
     book: Book = field(default_factory=Book)
-    next_envelope: int = 1
+    next_message: int = 1
     old_until: int = 0
     last: int = 0  # the highest number of a segment that was seen, alive or not
     leftover: list[str] = field(default_factory=list)  # files that can be deleted
@@ -99,7 +99,7 @@
         if number not in present:
             say(
                 FolderDamagedError(
-                    f"{segment_name(number)} is missing: what it held is lost, {len(found.book.kept)} envelopes "
+                    f"{segment_name(number)} is missing: what it held is lost, {len(found.book.kept)} messages "
                     "are put in doubt"
                 ).line
             )
@@ -108,7 +108,7 @@
         doubt_from = made.made_at if made else doubt_from
         read_segment(folder, found, number, made, lengths.get(number), number == max(expected), doubt_from, say)
     if top is not None:
-        found.next_envelope = max(found.next_envelope, top.next_envelope)
+        found.next_message = max(found.next_message, top.next_message)
         found.old_until = top.old_until
     return found
 
@@ -166,7 +166,7 @@
         say(
             StoreVersionError(
                 f"{name} is of version {made.version}, this program knows {VERSION}: it is left alone, and "
-                f"{len(found.book.kept)} envelopes are put in doubt"
+                f"{len(found.book.kept)} messages are put in doubt"
             ).line
         )
         segment.foreign = True
@@ -193,7 +193,7 @@
             say(FolderDamagedError(f"{name}: the header cannot be read").line)
         say(
             FolderDamagedError(
-                f"{name}: bytes {each.at} to {each.until} are damaged; {len(found.book.kept)} envelopes are "
+                f"{name}: bytes {each.at} to {each.until} are damaged; {len(found.book.kept)} messages are "
                 "put in doubt"
             ).line
         )
@@ -204,7 +204,7 @@
 
 
 def put_in_doubt(found: Recovered, since: int) -> None:
-    """Records are lost: any envelope may have had a shot that nobody knows of."""
+    """Records are lost: any message may have had a shot that nobody knows of."""
     found.damaged = True
     for kept in found.book.kept.values():
         kept.doubt_at = min(filter(None, (kept.doubt_at, since)), default=1)
@@ -227,17 +227,17 @@
                 doubtful.doubt_at = min(filter(None, (doubtful.doubt_at, segment.made_at)), default=1)
         return
     try:
-        if kind == ENVELOPE:
-            fresh = read_envelope(payload, segment.number, record.at)
-            found.next_envelope = max(found.next_envelope, fresh.number + 1)
-            take_envelope(book, segment, fresh)
+        if kind == MESSAGE:
+            fresh = read_message(payload, segment.number, record.at)
+            found.next_message = max(found.next_message, fresh.number + 1)
+            take_message(book, segment, fresh)
             return
         number = STATE_HEAD.unpack_from(payload)[1]
         kept = book.kept.get(number)
         if kept is None:
             if kind == OVER or kind == OUTCOME and OUTCOMES[OUTCOME_BODY.unpack(payload)[2]] is Outcome.COMPLETED:
                 book.reburied(number, segment)
-            return  # news of an envelope that has ended, or whose record is lost
+            return  # news of a message that has ended, or whose record is lost
         take_news(book, segment, kept, kind, payload)
     except (InvalidRecordError, ValueError, IndexError) as error:
         say(
@@ -253,8 +253,8 @@
         )
 
 
-def take_envelope(book: Book, segment: Segment, fresh: Kept) -> None:
-    """The newest record of an envelope; what an older one said is replaced."""
+def take_message(book: Book, segment: Segment, fresh: Kept) -> None:
+    """The newest record of a message; what an older one said is replaced."""
     before = book.kept.get(fresh.number)
     at, weight = fresh.at, fresh.weight
     if before is not None:
@@ -266,7 +266,7 @@
 
 
 def take_news(book: Book, segment: Segment, kept: Kept, kind: int, payload: bytes) -> None:
-    """A short record about an envelope that lives."""
+    """A short record about a message that lives."""
     if kind == STATE:
         take_state(kept, payload, STATE_HEAD.size)
         book.noted(kept, segment, whole=True)
--- a/cedarwick/store/segments.py
+++ b/cedarwick/store/segments.py
@@ -2,10 +2,10 @@
 
 A segment may be deleted once nothing in it is needed to rebuild the present state from the rest:
 
-- the newest record of an envelope that lives (`bases`);
-- news of an envelope's shots or end that its newest record does not hold (`notes`);
-- the record of an end, as long as an older record of the envelope lies in another segment (`tombs`): without it
-  that older record would bring the envelope back;
+- the newest record of a message that lives (`bases`);
+- news of a message's shots or end that its newest record does not hold (`notes`);
+- the record of an end, as long as an older record of the message lies in another segment (`tombs`): without it
+  that older record would bring the message back;
 - records that this version does not know (`strange`).
 """
 
@@ -49,7 +49,7 @@
 
 
 class Book:
-    """All segments, all envelopes that live, and the ends that still need a record."""
+    """All segments, all messages that live, and the ends that still need a record."""
 
     def __init__(self) -> None:
         self.segments: dict[int, Segment] = {}
@@ -65,7 +65,7 @@
         self.live += segment.live
 
     def based(self, kept: Kept, segment: Segment, at: int, weight: int) -> None:
-        """The newest record of an envelope lies here now, with all that is known of it."""
+        """The newest record of a message lies here now, with all that is known of it."""
         with_old = self.segments.get(kept.home)
         self.unnote(kept)
         if with_old is not None and with_old.number != segment.number:
@@ -82,7 +82,7 @@
         self.kept[kept.number] = kept
 
     def noted(self, kept: Kept, segment: Segment, whole: bool = False) -> None:
-        """News of an envelope lies here; `whole`: all that is known of it, so that older news does not matter."""
+        """News of a message lies here; `whole`: all that is known of it, so that older news does not matter."""
         if whole:
             self.unnote(kept)
         if segment.number not in kept.noted:
@@ -101,7 +101,7 @@
         kept.noted.clear()
 
     def over(self, kept: Kept) -> set[int]:
-        """An envelope has ended; the segments that hold a record of it."""
+        """A message has ended; the segments that hold a record of it."""
         self.kept.pop(kept.number, None)
         self.unnote(kept)
         holders = {number for number in self.moving if kept.number in self.segments[number].moved}
@@ -112,7 +112,7 @@
         return holders
 
     def buried(self, number: int, holders: set[int], segment: Segment) -> None:
-        """The record of an end lies here; it matters while an older record of the envelope lies elsewhere."""
+        """The record of an end lies here; it matters while an older record of the message lies elsewhere."""
         holders = {each for each in holders if each in self.segments}
         if not holders - {segment.number}:
             return
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -27,7 +27,7 @@
 
     segments: int
     records: int
-    envelopes: int
+    messages: int
     notices: int  # of these: ended, the notice owed
     doubtful: int  # of these: a shot may have run that nobody knows of
     unknown: int  # records of kinds that this version does not know
@@ -56,7 +56,7 @@
 
 
 def dump(path: str) -> Iterator[dict[str, Any]]:
-    """Every envelope that is owed, as plain values."""
+    """Every message that is owed, as plain values."""
     found = recover(Folder(path), lambda _: None)
     for number, kept in sorted(found.book.kept.items()):
         yield {
