--- a/cedarwick/fleet/transfers.py
+++ b/cedarwick/fleet/session_migration.py
@@ -1,5 +1,5 @@
-"""The I/O of moves: what `moves.py` and `decrees.py` ask for, done with greenlets, letters, the folder and the
-dispatcher.
+"""The I/O of moves: what `migration_table.py` and `consensus.py` ask for, done with greenlets, letters, the folder and
+the dispatcher.
 
 What touches the folder and the dispatcher at once is done between two of the dispatcher's rounds. A message on the
 move carries a
@@ -17,32 +17,51 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.book import boot_time
-from cedarwick.fleet.decrees import ABSTAINS, Acceptor, Answer, Ask, Ballot, Proposer, Value, name_move, parts
-from cedarwick.fleet.facts import Fact, decode_facts, encode_facts, kept_of
-from cedarwick.fleet.members import Standing
+from cedarwick.fleet.consensus import (
+    ABSTENTION,
+    Acceptor,
+    AcceptorReply,
+    Ballot,
+    Proposer,
+    ProposerRequest,
+    Value,
+    name_move,
+    parts,
+)
+from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
-    LARGEST,
-    Accept,
+    MAX_MESSAGE_BYTES,
+    AcceptRequest,
+    BallotNumber,
     Body,
-    Prepare,
-    Recent,
-    Settled,
-    Stage,
-    Staged,
-    Vote,
-    Voted,
+    MigrationDecided,
+    PrepareRequest,
+    RecentIdEntry,
+    StageReply,
+    StageSession,
+    VoteReply,
     digest_of,
     whole,
 )
-from cedarwick.fleet.moves import FREEZE, MOST_OUT, Act, Do, Giving, Moves, Planner, Taking
+from cedarwick.fleet.migration_table import (
+    FREEZE,
+    MOST_OUT,
+    MigrationAction,
+    MigrationPlanner,
+    MigrationStep,
+    MigrationTable,
+    SourceStage,
+    TargetStage,
+)
+from cedarwick.fleet.replicated_store import monotonic_time
+from cedarwick.fleet.replication_facts import Fact, decode_facts, encode_facts, kept_of
 from cedarwick.fleet.session_files import SessionFiles
-from cedarwick.fleet.sessions import LAPSES, Directory
+from cedarwick.fleet.sessions import LAPSES, SessionDirectory
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.store.journal import NoSpaceError
 
 if TYPE_CHECKING:
-    from cedarwick.fleet.node import Node
+    from cedarwick.fleet.node import FleetNode
 
 SETTLE_IN = 0.3  # seconds for the answer to a question about a move
 STAGE_IN = 0.45
@@ -53,7 +72,7 @@
 LATE = 300_000  # microseconds before its deadline a message on the move is answered
 LOOK_LATE = 100_000
 SECOND = 1_000_000
-LARGEST_STAGE = LARGEST - (1 << 17)  # bytes of a session's facts: the rest of the letter is for its ids
+LARGEST_STAGE = MAX_MESSAGE_BYTES - (1 << 17)  # bytes of a session's facts: the rest of the letter is for its ids
 MOST_IDS = 1 << 12
 GIVEN, TAKEN = "<", ">"
 
@@ -79,7 +98,7 @@
     remedy = "free the disk that holds $RELAY_STATE"
 
 
-class Transfers:
+class SessionMigrations:
     """The moves that this member has a side of. Nothing is done before `desk` is set.
 
     Args:
@@ -90,8 +109,8 @@
 
     def __init__(
         self,
-        node: "Node",
-        directory: Directory,
+        node: "FleetNode",
+        directory: SessionDirectory,
         call: Callable[[str, Body, float], Body | None],
         takes: Callable[[], bool],
         change: Callable[[], None],
@@ -107,29 +126,29 @@
         self.counters = node.counters
         self.clock = node.clock
         table = self.files.decrees()
-        self.acceptor = Acceptor(boot_time(), table is None, table)
+        self.acceptor = Acceptor(monotonic_time(), table is None, table)
         self.unwritten: set[str] = set()  # moves with a vote of this member that is not on the disk
         self.stamp = node.incarnation  # of the next move
         self.acceptor.learned(self.name, self.stamp)
         self.files.write_decrees(self.acceptor.table())
         chance = random.Random(node.incarnation)
-        self.moves = Moves(
+        self.moves = MigrationTable(
             self.name,
             f"{self.name}#{node.incarnation}",
             tuple(sorted(node.halls)),
             self.acceptor,
             lambda failed: chance.randint(0, 50_000 << min(failed, 5)),
         )
-        self.planner = Planner(node.halls[self.name])
+        self.planner = MigrationPlanner(node.halls[self.name])
         marks = self.files.inert()
         self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.kept}
         self.store.marking = self.files.write_inert
         self.dispatcher: Dispatcher
-        self.offers: dict[str, tuple[Stage, int]] = {}  # by move: what was staged here, and when
+        self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
         self.slept: set[str] = set()  # of these, staged in a book that was adopted since
         self.sequences: dict[str, int] = {}  # by move: of its session, since it began
         self.answers: dict[str, gevent.event.AsyncResult] = {}  # by move: whether it was staged
-        self.under_way: set[tuple[str, Do]] = set()
+        self.under_way: set[tuple[str, MigrationAction]] = set()
         self.strays: dict[str, Proposer] = {}  # undecided moves that this member has voted on and has no side of
         self.limits_at = 0
 
@@ -159,7 +178,7 @@
         for stray in list(self.strays.values()):
             self._ask_for_stray(stray.due(now), now)
 
-    def _ask_for_stray(self, asks: Iterable[Ask], now: int) -> None:
+    def _ask_for_stray(self, asks: Iterable[ProposerRequest], now: int) -> None:
         todo = deque(asks)
         while todo:
             ask = todo.popleft()
@@ -174,7 +193,7 @@
     def _see_stray(self, stray: Proposer) -> None:
         if stray.decided is not None and self.strays.pop(stray.move, None) is not None:
             self.counters.add("moves settled that nobody held any more")
-            gevent.spawn(self._tell, Act(Do.TELL, stray.move, value=stray.decided))
+            gevent.spawn(self._tell, MigrationStep(MigrationAction.TELL, stray.move, value=stray.decided))
 
     def learned(self, giver: str, stamp: int) -> None:
         """A giver has answered with the stamp of its next move.
@@ -188,7 +207,9 @@
     def under_way_here(self) -> bool:
         """Whether a move from here is not over yet."""
         return any(
-            move.giving in (Giving.FREEZING, Giving.OFFERED) or move.giving is Giving.FORWARDING and not move.confirmed
+            move.giving in (SourceStage.FREEZING, SourceStage.OFFERED)
+            or move.giving is SourceStage.FORWARDING
+            and not move.confirmed
             for move in self.moves.moves.values()
         )
 
@@ -211,27 +232,27 @@
 
     # ---- letters ----
 
-    def answer(self, body: Stage | Prepare | Accept | Settled, now: int) -> Body:
+    def answer(self, body: StageSession | PrepareRequest | AcceptRequest | MigrationDecided, now: int) -> Body:
         """What another member is told about a move; `InvalidMoveNameError` where there cannot be such a one."""
         try:
             parts(body.move)
         except ValueError as error:
             raise InvalidMoveNameError(str(error)[:200]) from None
-        if isinstance(body, Stage):
+        if isinstance(body, StageSession):
             return self._staged(body, now)
-        if isinstance(body, Prepare):
+        if isinstance(body, PrepareRequest):
             return voted(body.move, self.vote(body.move, ballot_of(body.ballot), None, body.key))
         value = value_of(body.value)
         if value is None:
             raise InvalidMoveNameError(f"no value of a decree: {body.value!r}")
-        if isinstance(body, Accept):
+        if isinstance(body, AcceptRequest):
             return voted(body.move, self.vote(body.move, ballot_of(body.ballot), value, body.key))
         row = self.acceptor.settled(body.move, value, now)
         if row is not None:
             self._guarded(self.files.add_decree, row)
         self.act(self.moves.settled(body.move, value, body.active, now))
         known, active = self.moves.said(body.move)
-        return Settled(body.move, known or "", active)
+        return MigrationDecided(body.move, known or "", active)
 
     def _guarded(self, write: Callable[..., None], *told: object) -> bool:
         """Whether a small file could be written."""
@@ -244,40 +265,40 @@
 
     # ---- what moves ask for ----
 
-    def act(self, acts: Iterable[Act]) -> None:
+    def act(self, acts: Iterable[MigrationStep]) -> None:
         """Do what a move's rules say; what waits for something is done in a greenlet of its own."""
         todo = deque(acts)
-        now = boot_time()
+        now = monotonic_time()
         while todo:
             act = todo.popleft()
-            if act.do is Do.ASK and act.ask is not None:
+            if act.do is MigrationAction.ASK and act.ask is not None:
                 if act.ask.to == self.name:
                     answer = self.vote(act.ask.move, act.ask.ballot, act.ask.value, self._key(act.ask.move))
                     todo.extend(self.moves.answered(act.ask, answer, now))
                 else:
                     gevent.spawn(self._ask, act.ask)
-            elif act.do is Do.TELL:
+            elif act.do is MigrationAction.TELL:
                 gevent.spawn(self._tell, act)
-            elif act.do in (Do.STAGED, Do.REFUSE):
-                self._answer(act.move, act.do is Do.STAGED)
-            elif act.do is Do.FORWARD:
+            elif act.do in (MigrationAction.STAGED, MigrationAction.REFUSE):
+                self._answer(act.move, act.do is MigrationAction.STAGED)
+            elif act.do is MigrationAction.FORWARD:
                 self._forward(act)
-            elif act.do is Do.CLOSE:
+            elif act.do is MigrationAction.CLOSE:
                 self.counters.add("moves closed")
             elif (act.move, act.do) not in self.under_way:
                 self.under_way.add((act.move, act.do))
                 gevent.spawn(self._do, act)
 
-    def _do(self, act: Act) -> None:
+    def _do(self, act: MigrationStep) -> None:
         work = {
-            Do.FREEZE: self._freeze,
-            Do.MARK: self._mark,
-            Do.STAGE: self._stage,
-            Do.WRITE: self._write,
-            Do.ACTIVATE: self._activate,
-            Do.DROP: self._drop,
-            Do.RELEASE: self._release,
-            Do.OVER: self._over,
+            MigrationAction.FREEZE: self._freeze,
+            MigrationAction.MARK: self._mark,
+            MigrationAction.STAGE: self._stage,
+            MigrationAction.WRITE: self._write,
+            MigrationAction.ACTIVATE: self._activate,
+            MigrationAction.DROP: self._drop,
+            MigrationAction.RELEASE: self._release,
+            MigrationAction.OVER: self._over,
         }
         try:
             work[act.do](act.move)
@@ -320,7 +341,7 @@
         if not still.wait(FREEZE / SECOND):
             self.dispatcher.cut(key)
             still.wait(CUT)
-        self.act(self.moves.idle(name, boot_time()))
+        self.act(self.moves.idle(name, monotonic_time()))
 
     def _mark(self, name: str) -> None:
         key = self._key(name)
@@ -345,15 +366,15 @@
             return True
 
         if self.dispatcher.between(mark).get() and self._copied(books):
-            self.act(self.moves.marked(name, boot_time()))
+            self.act(self.moves.marked(name, monotonic_time()))
         else:
-            self.act(self.moves.call_off(name, boot_time()))
+            self.act(self.moves.call_off(name, monotonic_time()))
 
     def _copied(self, books: set[int]) -> bool:
         """Whether every heir gets what is told of some books, before long."""
-        done, until = self.store.copied(books), boot_time() + WHOLE
+        done, until = self.store.copied(books), monotonic_time() + WHOLE
         while not done():
-            if boot_time() > until:
+            if monotonic_time() > until:
                 return False
             gevent.sleep(0.002)
         return True
@@ -364,29 +385,31 @@
         for number in self._marked(name, GIVEN):
             fact = self.store.holdings[number >> 32].read(self.store, number)
             if fact is None or fact.base is None:
-                self.act(self.moves.call_off(name, boot_time()))
+                self.act(self.moves.call_off(name, monotonic_time()))
                 return
             facts.append(fact)
         data = encode_facts(facts)
         if len(data) > LARGEST_STAGE:
             self.counters.trouble("a session stays", SessionTooLargeError(f"{len(facts)} messages of {key:016x}"))
-            self.act(self.moves.call_off(name, boot_time()))
+            self.act(self.moves.call_off(name, monotonic_time()))
             return
-        ids = self.directory.ids(key, boot_time())
+        ids = self.directory.ids(key, monotonic_time())
         if len(ids) > MOST_IDS:
-            self.act(self.moves.call_off(name, boot_time()))
+            self.act(self.moves.call_off(name, monotonic_time()))
             return
-        recent = tuple(Recent(each, age, hashed) for each, (age, hashed) in ids.items())
-        stage = Stage(name, key, self.sequences[name], data, digest_of(data), recent, self.dispatcher.rest_of(key))
+        recent = tuple(RecentIdEntry(each, age, hashed) for each, (age, hashed) in ids.items())
+        stage = StageSession(
+            name, key, self.sequences[name], data, digest_of(data), recent, self.dispatcher.rest_of(key)
+        )
         answer = self.call(to, stage, STAGE_IN)
-        if isinstance(answer, Staged):
-            now = boot_time()
+        if isinstance(answer, StageReply):
+            now = monotonic_time()
             if not answer.kept:
                 self.counters.add("moves refused by the taker")
             self.act(self.moves.staged(name, now) if answer.kept else self.moves.call_off(name, now))
 
-    def _forward(self, act: Act) -> None:
-        key, now = self._key(act.move), boot_time()
+    def _forward(self, act: MigrationStep) -> None:
+        key, now = self._key(act.move), monotonic_time()
         if self._mine(act.move):
             self.directory.gone(key, act.to, self.sequences[act.move] + 1, now)
             self.planner.ended(key, True, now)
@@ -395,7 +418,7 @@
         self.change()
 
     def _release(self, name: str) -> None:
-        key, now, mine = self._key(name), boot_time(), self._mine(name)
+        key, now, mine = self._key(name), monotonic_time(), self._mine(name)
 
         def release() -> bool:
             numbers = self._marked(name, GIVEN)
@@ -422,7 +445,7 @@
         while not self.dispatcher.between(release).get():
             gevent.sleep(RELEASE_AGAIN)
         if mine:
-            self.planner.ended(key, False, boot_time())
+            self.planner.ended(key, False, monotonic_time())
         self.counters.add("moves called off")
 
     def _over(self, name: str) -> None:
@@ -442,21 +465,21 @@
 
     # ---- the taker ----
 
-    def _staged(self, body: Stage, now: int) -> Staged:
+    def _staged(self, body: StageSession, now: int) -> StageReply:
         if not whole(body):
-            return Staged(body.move, False, "spoilt")
+            return StageReply(body.move, False, "spoilt")
         room = self.takes() and len(self.directory.sessions) < SESSIONS
         acts = self.moves.stage(body.move, body.key, room, now)
-        if any(act.do is Do.WRITE for act in acts):
+        if any(act.do is MigrationAction.WRITE for act in acts):
             self.offers[body.move] = body, now
             self.sequences[body.move] = body.sequence
         answer = self.answers.setdefault(body.move, gevent.event.AsyncResult())
-        if acts and acts[0].do is Do.REFUSE:
+        if acts and acts[0].do is MigrationAction.REFUSE:
             self.answers.pop(body.move, None)
-            return Staged(body.move, False, "no room")
+            return StageReply(body.move, False, "no room")
         self.act(acts)
         kept = answer.wait(STAGE_IN)
-        return Staged(body.move, bool(kept), "" if kept else "it is not kept")
+        return StageReply(body.move, bool(kept), "" if kept else "it is not kept")
 
     def _answer(self, name: str, staged: bool) -> None:
         answer = self.answers.setdefault(name, gevent.event.AsyncResult())
@@ -485,7 +508,7 @@
         kept = self.dispatcher.between(write).get()
         current = self.store.current
         if kept and current is not None and self._copied({current.book}):
-            self.act(self.moves.written(name, boot_time()))
+            self.act(self.moves.written(name, monotonic_time()))
         else:
             self._answer(name, False)
 
@@ -493,7 +516,7 @@
         key, offer = self._key(name), self.offers.get(name)
 
         def activate() -> bool:
-            numbers, now = self._marked(name, TAKEN), boot_time()
+            numbers, now = self._marked(name, TAKEN), monotonic_time()
             holdings = [self.store.holdings.get(number >> 32) for number in numbers]
             if not self.store.taking() or not all(each is not None and each.serving for each in holdings):
                 return False
@@ -519,18 +542,18 @@
 
         if self.dispatcher.between(activate).get():
             self.counters.add("sessions taken over")
-            self.act(self.moves.activated(name, boot_time()))
+            self.act(self.moves.activated(name, monotonic_time()))
 
     def _drop(self, name: str) -> None:
         self.dispatcher.between(lambda: self._give_up(name, TAKEN)).get()
 
     # ---- decrees ----
 
-    def vote(self, move: str, ballot: Ballot, value: Value | None, key: int) -> Answer:
+    def vote(self, move: str, ballot: Ballot, value: Value | None, key: int) -> AcceptorReply:
         """This member's own answer, on the disk before anybody hears of it."""
-        now = boot_time()
+        now = monotonic_time()
         if value == "taker" and self._barred(move, key, now):
-            return ABSTAINS
+            return ABSTENTION
         answer = (
             self.acceptor.prepare(move, ballot, now, key)
             if value is None
@@ -541,46 +564,48 @@
             # Danger: the same question asked again changes nothing, and would be granted with nothing on the disk.
             self.unwritten.add(move)
             if not self._guarded(self.files.add_decree, row):
-                return ABSTAINS
+                return ABSTENTION
             self.unwritten.discard(move)
         return answer
 
     def _barred(self, move: str, key: int, now: int) -> bool:
         """Whether a vote for the taker could make a second holder beside one that inherits the session."""
         giver = parts(move)[1]
-        known = move in self.acceptor.rows or self.node.members.state(now, giver) is Standing.ALIVE
+        known = move in self.acceptor.rows or self.node.members.state(now, giver) is MemberStatus.ALIVE
         return self.directory.bars(key, giver, now, known)
 
     def open_move(self, key: int) -> bool:
         """Whether this member has a side of a move of a session that is not decided, or not done."""
         move = self.moves.moves.get(self.moves.by_key.get(key, ""))
         return move is not None and (
-            move.giving in (Giving.FREEZING, Giving.OFFERED)
-            or move.giving is Giving.FORWARDING
+            move.giving in (SourceStage.FREEZING, SourceStage.OFFERED)
+            or move.giving is SourceStage.FORWARDING
             and not move.confirmed
-            or move.taking in (Taking.STAGED, Taking.GRANTED)
+            or move.taking in (TargetStage.STAGED, TargetStage.GRANTED)
         )
 
-    def _ask(self, ask: Ask) -> None:
-        vote, key = Vote(*ask.ballot), self._key(ask.move)
-        body: Body = Prepare(ask.move, vote, key) if ask.value is None else Accept(ask.move, vote, ask.value, key)
+    def _ask(self, ask: ProposerRequest) -> None:
+        vote, key = BallotNumber(*ask.ballot), self._key(ask.move)
+        body: Body = (
+            PrepareRequest(ask.move, vote, key) if ask.value is None else AcceptRequest(ask.move, vote, ask.value, key)
+        )
         told = self.call(ask.to, body, SETTLE_IN)
-        if isinstance(told, Voted):
+        if isinstance(told, VoteReply):
             value = value_of(told.value)
-            answer = Answer(
+            answer = AcceptorReply(
                 told.granted,
                 ballot_of(told.promised),
                 ballot_of(told.accepted),
                 value,
                 told.decided and value is not None,
             )
-            stray, now = self.strays.get(ask.move), boot_time()
+            stray, now = self.strays.get(ask.move), monotonic_time()
             if stray is not None:
                 self._ask_for_stray(stray.answered(ask.to, ask.ballot, ask.value, answer, now), now)
                 self._see_stray(stray)
             self.act(self.moves.answered(ask, answer, now))
 
-    def _tell(self, act: Act) -> None:
+    def _tell(self, act: MigrationStep) -> None:
         """The decree to one member, or to all; where the one knows nothing of an active side, its book is another's."""
         assert act.value is not None
         others = [name for name in self.node.halls if name != self.name]
@@ -590,16 +615,16 @@
                     gevent.joinall([gevent.spawn(self._tell_one, each, act) for each in others if each != name])
             else:
                 gevent.spawn(self._tell_one, name, act)
-        row = self.acceptor.settled(act.move, act.value, boot_time())
+        row = self.acceptor.settled(act.move, act.value, monotonic_time())
         if row is not None:
             self._guarded(self.files.add_decree, row)
 
-    def _tell_one(self, name: str, act: Act) -> bool:
+    def _tell_one(self, name: str, act: MigrationStep) -> bool:
         """Whether the taker's side is live there."""
-        answer = self.call(name, Settled(act.move, act.value or "", act.active), SETTLE_IN)
-        if not isinstance(answer, Settled) or (value := value_of(answer.value)) is None:
+        answer = self.call(name, MigrationDecided(act.move, act.value or "", act.active), SETTLE_IN)
+        if not isinstance(answer, MigrationDecided) or (value := value_of(answer.value)) is None:
             return False
-        self.act(self.moves.settled(act.move, value, answer.active, boot_time()))
+        self.act(self.moves.settled(act.move, value, answer.active, monotonic_time()))
         return answer.active
 
     # ---- marks of before, and books that change hands ----
@@ -625,7 +650,7 @@
             self.act(self.moves.found(name, self.store.kept[numbers[0]].turn, giving, now))
         for name, move in list(self.moves.moves.items()):
             for giving, side, text in ((True, move.giving, GIVEN), (False, move.taking, TAKEN)):
-                open_side = side in (Giving.OFFERED, Taking.STAGED, Taking.GRANTED)
+                open_side = side in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
                 if open_side and name not in self.sequences and text + name not in sides:
                     self.moves.lost(name, giving)  # found before, and its book is another's by now
         if now - self.limits_at >= LOOK_LATE:
@@ -646,7 +671,7 @@
 # ---- from and to letters ----
 
 
-def ballot_of(vote: Vote) -> Ballot:
+def ballot_of(vote: BallotNumber) -> Ballot:
     return vote.round, vote.mark
 
 
@@ -654,7 +679,12 @@
     return "taker" if told == "taker" else "off" if told == "off" else None
 
 
-def voted(move: str, answer: Answer) -> Voted:
-    return Voted(
-        move, answer.granted, Vote(*answer.promised), Vote(*answer.accepted), answer.value or "", answer.decided
+def voted(move: str, answer: AcceptorReply) -> VoteReply:
+    return VoteReply(
+        move,
+        answer.granted,
+        BallotNumber(*answer.promised),
+        BallotNumber(*answer.accepted),
+        answer.value or "",
+        answer.decided,
     )
--- a/cedarwick/fleet/traffic.py
+++ b/cedarwick/fleet/session_routing.py
@@ -1,6 +1,7 @@
 """Sessions in service: who takes a client's submission, and which sessions move when.
 
-What is settled, and why, stands in `sessions.py` and `moves.py`; how a move is done in `transfers.py`. Letters wait
+What is settled, and why, stands in `sessions.py` and `migration_table.py`; how a move is done in
+`session_migration.py`. Letters wait
 here for frozen sessions and for copies, so they go over connections of their own: beats and leases must not stand
 behind them.
 """
@@ -14,42 +15,52 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.book import Holding, boot_time
-from cedarwick.fleet.facts import Fact, Rank
 from cedarwick.fleet.leases import EPOCH_BITS, right_of
-from cedarwick.fleet.link import PeerRefusedError, Peers, PeerUnreachableError
-from cedarwick.fleet.members import Standing
-from cedarwick.fleet.memory import UNKNOWN, Memory
+from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
-    Accept,
+    AcceptRequest,
+    Acknowledged,
     Body,
-    Claimed,
-    Claims,
-    Inherits,
-    Lodging,
-    Lodgings,
-    Noted,
-    Pass,
-    Passed,
-    Prepare,
-    Recall,
-    Settled,
-    Stage,
+    ClaimReply,
+    ForwardedSubmit,
+    ForwardReply,
+    MigrationDecided,
+    PrepareRequest,
+    RecallForward,
+    SessionClaim,
+    SessionInheritance,
+    SessionLocation,
+    SessionLocations,
+    StageSession,
     slot_of,
 )
-from cedarwick.fleet.moves import WAITS, Neighbour, Why, Wish
+from cedarwick.fleet.migration_table import WAITS, MigrationReason, MigrationRequest, Neighbour
+from cedarwick.fleet.recent_ids import UNKNOWN, RecentIds
+from cedarwick.fleet.replicated_store import LeasedPartition, monotonic_time
+from cedarwick.fleet.replication import ReplicaEntry as Step
+from cedarwick.fleet.replication_facts import EndRank, Fact
 from cedarwick.fleet.session_files import HeldSession, Sessions
-from cedarwick.fleet.sessions import CLAIM, LAPSES, REMEMBERED, Asking, Claim, Directory, Entry, Ruling, contents
-from cedarwick.fleet.shipping import Entry as Step
-from cedarwick.fleet.transfers import LATE, SECOND, SESSIONS, SETTLE_IN, Transfers
+from cedarwick.fleet.session_migration import LATE, SECOND, SESSIONS, SETTLE_IN, SessionMigrations
+from cedarwick.fleet.sessions import (
+    CLAIM,
+    LAPSES,
+    REMEMBERED,
+    Claim,
+    ClaimRequest,
+    ClaimRuling,
+    Entry,
+    SessionDirectory,
+    contents,
+)
+from cedarwick.fleet.transport import PeerRefusedError, Peers, PeerUnreachableError
 from cedarwick.net.client_listener import ClientListener, SubmitResult
 from cedarwick.net.dispatcher import AdmissionResult, Dispatcher, Submission
-from cedarwick.ops.calls import Call
-from cedarwick.ops.staff import Staff
+from cedarwick.ops.commands import Call
+from cedarwick.ops.management import Staff
 from cedarwick.store.records import StoredMessage
 
 if TYPE_CHECKING:
-    from cedarwick.fleet.node import Node
+    from cedarwick.fleet.node import FleetNode
 
 AT_ONCE = 16  # letters to one member that wait for their answers
 MOST_CLAIMS = 2  # for one submission: a claim that fails was refused, or met members that are slow
@@ -89,7 +100,7 @@
     remedy = "see that the taker lives, is not drained and has room, then move it again; a moved one waits 60 s"
 
 
-class Estate(NamedTuple):
+class InheritedSessions(NamedTuple):
     """What this member knows of the ids of a book that it has adopted."""
 
     owner: str  # who took them
@@ -98,10 +109,10 @@
     keys: set[int]  # inherited
 
 
-class Traffic:
+class SessionRouter:
     """Nothing is told or taken before `attach`."""
 
-    def __init__(self, node: "Node") -> None:
+    def __init__(self, node: "FleetNode") -> None:
         self.node = node
         self.name = node.name
         self.store = node.store
@@ -109,25 +120,25 @@
         self.counters = node.counters
         self.clock = node.clock
         self.lane = Peers(node.gate, node.where, AT_ONCE)
-        now = boot_time()
-        self.directory = Directory(self.name, len(node.halls), now)
-        self.transfers = Transfers(node, self.directory, self._call, self._takes, self._change)
+        now = monotonic_time()
+        self.directory = SessionDirectory(self.name, len(node.halls), now)
+        self.transfers = SessionMigrations(node, self.directory, self._call, self._takes, self._change)
         self.moves = self.transfers.moves
         self.dispatcher: Dispatcher
         self.client_listener: ClientListener
         self.leaving = False
         self.changed = gevent.event.Event()  # something that a submission may wait for
         self.pending: dict[str, Submission] = {}  # by id: at the dispatcher
-        self.wishes: dict[int, tuple[Wish, int]] = {}  # and until when
+        self.wishes: dict[int, tuple[MigrationRequest, int]] = {}  # and until when
         self.ends: dict[int, gevent.event.AsyncResult] = {}  # by key: staff wait for the end of its move
-        self.neighbours: dict[str, Lodgings] = {}  # what each member told last
+        self.neighbours: dict[str, SessionLocations] = {}  # what each member told last
         self.first_seen: dict[str, int] = {}  # by member: the first boot of it that was heard of
         self.new: set[str] = set()  # members that have never run before, and know of no earlier boot of this one
         self.void: set[str] = set()  # members whose sessions were given up
         self.told_at = self.forgot_at = 0
         self.book = 0  # in which the sessions that are held for sure were taken
-        self.memories: dict[int, Memory] = {}  # by book, of the copies that lie here
-        self.estates: dict[int, Estate] = {}  # by book that was adopted here
+        self.memories: dict[int, RecentIds] = {}  # by book, of the copies that lie here
+        self.estates: dict[int, InheritedSessions] = {}  # by book that was adopted here
         if self.store.by_copy:
             node.copies.heard = self._copied
 
@@ -150,7 +161,7 @@
 
     def take_up(self) -> None:
         """Go on with the sessions of the process that this one replaces, if it ended a moment ago."""
-        left, now = self.transfers.files.take_sessions(), boot_time()
+        left, now = self.transfers.files.take_sessions(), monotonic_time()
         age = time.time_ns() // 1000 - left.at if left is not None else 0
         # Danger: a file that is older, or of the future, may speak of sessions that others hold by now.
         if left is not None and 0 <= age < HANDED_OVER:
@@ -162,7 +173,7 @@
 
     def hand_over(self) -> None:
         """The process that replaces this one goes on with its sessions; OSError where that cannot be written."""
-        now = boot_time()
+        now = monotonic_time()
         self._bind()
         held = [
             HeldSession(key, session.sequence, self.directory.ids(key, now))
@@ -187,22 +198,22 @@
         """What becomes of a client's submission; in the greenlet of its connection."""
         if not kept.turn:
             return self.client_listener.to_dispatcher(kept)
-        began = boot_time()
+        began = monotonic_time()
         key, hashed, claims, hops = kept.turn, hash_of(kept), 0, 0
-        while (now := boot_time()) < began + PATIENCE:
+        while (now := monotonic_time()) < began + PATIENCE:
             self._bind()
             there, holder = self._standing(key)
             ruling = self.directory.rule(key, kept.id, hashed, False, now) if there == "here" else None
-            if there == "wait" or ruling is Ruling.BUSY:
+            if there == "wait" or ruling is ClaimRuling.BUSY:
                 if not self._wait(began + WAITS):
                     return BUSY
                 continue
-            if ruling in (Ruling.TAKE, Ruling.SAME, Ruling.REPEATED):
+            if ruling in (ClaimRuling.TAKE, ClaimRuling.SAME, ClaimRuling.REPEATED):
                 handed = self._take(kept, hashed, ruling, now)
                 if handed is not None:
                     return handed
                 continue
-            if ruling is Ruling.CLAIM or ruling is None and not holder:
+            if ruling is ClaimRuling.CLAIM or ruling is None and not holder:
                 claims += 1
                 if claims > MOST_CLAIMS or not self._claim(key):
                     return BUSY
@@ -229,13 +240,17 @@
                 taken = answer.answer == AdmissionResult.KEPT.value
                 return AdmissionResult(answer.answer), answer.wait_ms, self._recalling(kept, to) if taken else None
             told = Claim(answer.disowned, entry_of(answer.entry))
-            after = self.directory.refused(key, to, told, boot_time())
-            if after is Ruling.CLAIM:
-                self.transfers.act(self.moves.client_gone(key, boot_time()))
+            after = self.directory.refused(key, to, told, monotonic_time())
+            if after is ClaimRuling.CLAIM:
+                self.transfers.act(self.moves.client_gone(key, monotonic_time()))
                 if self._claim(key):
                     continue
             # It may have come here meanwhile.
-            if after is not Ruling.PASS and key not in self.directory.sessions and self._standing(key)[0] != "wait":
+            if (
+                after is not ClaimRuling.PASS
+                and key not in self.directory.sessions
+                and self._standing(key)[0] != "wait"
+            ):
                 return BUSY
         return BUSY
 
@@ -245,22 +260,22 @@
         return ("here", "") if there == "pass" and key in self.directory.sessions else (there, to)
 
     def _lives(self, name: str) -> bool:
-        return name != self.name and self.node.members.state(boot_time(), name) is Standing.ALIVE
+        return name != self.name and self.node.members.state(monotonic_time(), name) is MemberStatus.ALIVE
 
     def _wait(self, until: int) -> bool:
         """Whether something has changed before a time."""
-        return self.changed.wait(max(0, until - boot_time()) / SECOND) is True
+        return self.changed.wait(max(0, until - monotonic_time()) / SECOND) is True
 
     def _change(self) -> None:
         changed, self.changed = self.changed, gevent.event.Event()
         changed.set()
 
-    def _take(self, kept: StoredMessage, hashed: int, ruling: Ruling, now: int) -> SubmitResult | None:
+    def _take(self, kept: StoredMessage, hashed: int, ruling: ClaimRuling, now: int) -> SubmitResult | None:
         """Of a session that is held here; None where it was frozen meanwhile."""
         pending = self.pending.get(kept.id)
-        if ruling is Ruling.REPEATED:
+        if ruling is ClaimRuling.REPEATED:
             return AdmissionResult.REPEATED, 0, None
-        if ruling is Ruling.SAME:
+        if ruling is ClaimRuling.SAME:
             # Danger: one that is passed on twice must not be told it was turned away when the first was taken.
             answered, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.KEPT, 0)
             return None if answered is AdmissionResult.FROZEN else (answered, wait_ms, None)
@@ -287,14 +302,16 @@
             session.ids[submission.kept.id] = session.ids[submission.kept.id][0], UNKNOWN
         self.dispatcher.withdraw(submission)
 
-    def _pass(self, kept: StoredMessage, to: str, until: int, moved: bool, gone: Entry | None) -> Passed | SubmitResult:
+    def _pass(
+        self, kept: StoredMessage, to: str, until: int, moved: bool, gone: Entry | None
+    ) -> ForwardReply | SubmitResult:
         """The holder's answer; `BUSY` where it surely has taken nothing, `UNSURE` where nobody can tell.
 
         `gone`: the holder is dead, and `to` has its book.
         """
         sure = True
-        while (left := until - boot_time()) > LEAST:
-            body = Pass(
+        while (left := until - monotonic_time()) > LEAST:
+            body = ForwardedSubmit(
                 kept.turn,
                 kept.id,
                 kept.key,
@@ -317,7 +334,7 @@
             except CedarwickError as error:
                 self.counters.trouble(f"{to} refused a submission that was passed on", error)
                 break
-            if isinstance(answer, Passed):
+            if isinstance(answer, ForwardReply):
                 self.counters.add("submissions passed on")
                 return answer
             break
@@ -325,13 +342,13 @@
 
     def _recalling(self, kept: StoredMessage, to: str) -> Callable[[], None]:
         def recall() -> None:
-            gevent.spawn(self._call, to, Recall(kept.turn, kept.id), SETTLE_IN)
+            gevent.spawn(self._call, to, RecallForward(kept.turn, kept.id), SETTLE_IN)
 
         return recall
 
-    def _passed(self, sender: str, body: Pass) -> Passed:
+    def _passed(self, sender: str, body: ForwardedSubmit) -> ForwardReply:
         """Another member passes a client's submission on."""
-        until = boot_time() + min(body.within, WAITS)
+        until = monotonic_time() + min(body.within, WAITS)
         limit = self.clock.now() + body.left
         kept = StoredMessage(
             0,
@@ -346,22 +363,24 @@
         )
         hashed, claims = hash_of(kept), 0
         if (gone := entry_of(body.entry)) is not None:
-            self.directory.heard([gone], boot_time())
+            self.directory.heard([gone], monotonic_time())
         while body.key:
-            now = boot_time()
+            now = monotonic_time()
             self._bind()
             there, _ = self._standing(body.key)
             if there == "wait":
                 if not self._wait(until):
                     break
                 continue
-            ruling = self.directory.rule(body.key, body.id, hashed, True, now) if there == "here" else Ruling.ELSEWHERE
-            if ruling in (Ruling.BUSY, Ruling.CLAIM):
+            ruling = (
+                self.directory.rule(body.key, body.id, hashed, True, now) if there == "here" else ClaimRuling.ELSEWHERE
+            )
+            if ruling in (ClaimRuling.BUSY, ClaimRuling.CLAIM):
                 claims += 1
-                if claims > MOST_CLAIMS or ruling is Ruling.BUSY or not self._claim(body.key):
+                if claims > MOST_CLAIMS or ruling is ClaimRuling.BUSY or not self._claim(body.key):
                     break
                 continue
-            if ruling is Ruling.ELSEWHERE:
+            if ruling is ClaimRuling.ELSEWHERE:
                 of = self.directory.where(body.key) or ""
                 if claims < MOST_CLAIMS and of and not self._lives(of) and self._heir(of) == self.name:
                     if self.directory.claiming(body.key, now):
@@ -372,34 +391,34 @@
                     if self._inherit(body.key):
                         continue
                 told = self.directory.elsewhere(body.key, now)
-                return Passed("", 0, told.granted, lodging_of(told.entry))
+                return ForwardReply("", 0, told.granted, lodging_of(told.entry))
             if not body.moved and self.node.halls.get(sender) != self.node.halls[self.name]:
-                self.wishes[body.key] = Wish(body.key, Why.CLIENT, sender), now + COMES_FOR
+                self.wishes[body.key] = MigrationRequest(body.key, MigrationReason.CLIENT, sender), now + COMES_FOR
             handed = self._take(kept, hashed, ruling, now)
             if handed is not None:
-                return Passed(handed[0].value, handed[1])
-        return Passed(AdmissionResult.BUSY.value)
+                return ForwardReply(handed[0].value, handed[1])
+        return ForwardReply(AdmissionResult.BUSY.value)
 
-    def _recalled(self, body: Recall) -> Noted:
+    def _recalled(self, body: RecallForward) -> Acknowledged:
         kept = self.store.kept.get(self.dispatcher.numbers.get(body.id, 0))
         if kept is not None and kept.turn == body.key and kept.number not in self.store.inert:
             self.counters.add("clients gone before their answer")
             self._withdraw(Submission(kept))
-        return Noted()
+        return Acknowledged()
 
     # ---- opening ----
 
     def _claim(self, key: int) -> bool:
         """Whether the session may be ruled on once more: it was claimed, or its holder is known now."""
         # Danger: until the next book is held an heir of the last one may still be granted what is claimed anew.
-        asking = self.directory.claim(key, boot_time()) if self.store.taking() else None
+        asking = self.directory.claim(key, monotonic_time()) if self.store.taking() else None
         if asking is None:
             return False
-        self._ask_all(asking, Claims(asking.key, asking.sequence, *asking.over, asking.at))
+        self._ask_all(asking, SessionClaim(asking.key, asking.sequence, *asking.over, asking.at))
         self.counters.add("sessions claimed" if key in self.directory.sessions else "claims that failed")
         return True
 
-    def _ask_all(self, asking: Asking, body: Claims | Inherits) -> None:
+    def _ask_all(self, asking: ClaimRequest, body: SessionClaim | SessionInheritance) -> None:
         """Put a claim to all others; returns once it is granted, or all have answered, or its time is over."""
         over = gevent.event.Event()
         others = [name for name in self.node.halls if name != self.name]
@@ -407,9 +426,9 @@
 
         def ask(name: str) -> None:
             answer = self._call(name, body, CLAIM / SECOND)
-            if isinstance(answer, Claimed):
+            if isinstance(answer, ClaimReply):
                 told = Claim(answer.granted, entry_of(answer.entry))
-                if self.directory.answered(asking, name, told, boot_time()):
+                if self.directory.answered(asking, name, told, monotonic_time()):
                     self._change()
                     over.set()
             answered.append(name)
@@ -432,14 +451,14 @@
             self.book = current.book
 
     def _copied(self, book: int, step: Step, facts: list[Fact]) -> None:
-        now = boot_time()
+        now = monotonic_time()
         if book not in self.memories:
-            self.memories[book] = Memory(now)
+            self.memories[book] = RecentIds(now)
         self.memories[book].heard(step, facts, now)
 
     def adopted(self, book: int) -> None:
         """A copy's messages are in the folder; its book is held here under a new term."""
-        memory, now = self.memories.pop(book, None), boot_time()
+        memory, now = self.memories.pop(book, None), monotonic_time()
         owner = next((name for name in self.node.halls if slot_of(name) == book >> EPOCH_BITS), "")
         if memory is None or self.node.gate.levels.get(owner, 0) < HEIRS or owner == self.name:
             logger.info(
@@ -448,7 +467,7 @@
                 REMEMBERED // SECOND,
             )
             return
-        self.estates[book] = Estate(owner, memory.whole_at(), memory.by_key(), set())
+        self.estates[book] = InheritedSessions(owner, memory.whole_at(), memory.by_key(), set())
         logger.info(
             "sessions of {} are taken over as they are used, {:.1f} s from now on",
             owner,
@@ -469,7 +488,7 @@
 
     def _inherit(self, key: int) -> bool:
         """Whether a session whose last holder's book is held here may be ruled on once more."""
-        now, entry = boot_time(), self.directory.entry(key, boot_time())
+        now, entry = monotonic_time(), self.directory.entry(key, monotonic_time())
         book = self._newest_book(entry.holder) if entry is not None else 0
         estate, holding = self.estates.get(book), self.store.holdings.get(book)
         if entry is None or estate is None or holding is None or not holding.serving or not self.store.taking():
@@ -478,7 +497,7 @@
             self.counters.add("submissions for sessions whose ids of late are not known")
             return False
         over = (entry.sequence, entry.holder)
-        if not self._heir_claims(Asking(key, 0, over, now), book, self.name, now).granted:
+        if not self._heir_claims(ClaimRequest(key, 0, over, now), book, self.name, now).granted:
             self.counters.add("inheritances that failed")
             return False
         ids = {id: (now - at, hashed) for id, (at, hashed) in estate.ids.get(key, {}).items() if at >= now - REMEMBERED}
@@ -487,11 +506,11 @@
             return False
         # Danger: what the last holder offers later and no copy had was never answered; it may be taken here meanwhile.
         estate.keys.add(key)
-        self._ask_all(asking, Inherits(asking.key, asking.sequence, *asking.over, book, asking.at))
+        self._ask_all(asking, SessionInheritance(asking.key, asking.sequence, *asking.over, book, asking.at))
         self.counters.add("sessions inherited" if key in self.directory.sessions else "inheritances that failed")
         return True
 
-    def _heir_claims(self, asking: Asking, book: int, by: str, now: int) -> Claim:
+    def _heir_claims(self, asking: ClaimRequest, book: int, by: str, now: int) -> Claim:
         holder = asking.over[1]
         grant = self.node.grantor.grant(right_of(book))
         holds = (
@@ -505,7 +524,7 @@
         )
         return self.directory.heir_claims(asking, by, holds, moved, now)
 
-    def offered(self, holding: Holding, facts: list[Fact]) -> list[Fact]:
+    def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
         """Of what the last holder of an adopted book offers, that which counts."""
         estate, soon = self.estates.get(holding.book), self.clock.now() + 2 * LATE
         if estate is None or not estate.keys:
@@ -516,8 +535,8 @@
             if known is None:
                 if fact.base is not None and fact.base.turn in estate.keys:
                     continue  # Danger: no copy had it, so its client saw no answer and may have come here with it
-            elif kept is not None and kept.turn in estate.keys and known.end[0] is Rank.NONE:
-                withdrawn = fact.known.end[0] is Rank.TOLD and not (fact.known.move and fact.known.move[1])
+            elif kept is not None and kept.turn in estate.keys and known.end[0] is EndRank.NONE:
+                withdrawn = fact.known.end[0] is EndRank.TOLD and not (fact.known.move and fact.known.move[1])
                 if withdrawn and kept.deadline > soon:  # later it may have been told 'failed' without a copy
                     continue  # Danger: its client was turned away there, and may have been told +OK here since
             counts.append(fact)
@@ -527,26 +546,26 @@
 
     def heard(self, sender: str, incarnation: int, body: Body) -> Body | None:
         """The answer to another member's letter; None where it is not for this part."""
-        now = boot_time()
-        if isinstance(body, Pass):
+        now = monotonic_time()
+        if isinstance(body, ForwardedSubmit):
             return self._passed(sender, body)
-        if isinstance(body, Lodgings):
+        if isinstance(body, SessionLocations):
             first = self.lasting.first and self.first_seen.setdefault(sender, incarnation) == incarnation
             self._told(sender, body, now)
             return self._lodgings((), first)
-        if isinstance(body, Claims):
-            asking = Asking(body.key, body.sequence, (body.over, body.over_holder), body.at)
+        if isinstance(body, SessionClaim):
+            asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
             # Danger: a move that is decided late would make a second holder beside the one that claims.
             moving = self.transfers.open_move(body.key)
             told = Claim(False, None) if moving else self.directory.claimed(asking, sender, now)
-            return Claimed(told.granted, lodging_of(told.entry))
-        if isinstance(body, Inherits):
-            asking = Asking(body.key, body.sequence, (body.over, body.over_holder), body.at)
+            return ClaimReply(told.granted, lodging_of(told.entry))
+        if isinstance(body, SessionInheritance):
+            asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
             told = self._heir_claims(asking, body.book, sender, now)
-            return Claimed(told.granted, lodging_of(told.entry))
-        if isinstance(body, Recall):
+            return ClaimReply(told.granted, lodging_of(told.entry))
+        if isinstance(body, RecallForward):
             return self._recalled(body)
-        if isinstance(body, Stage | Prepare | Accept | Settled):
+        if isinstance(body, StageSession | PrepareRequest | AcceptRequest | MigrationDecided):
             return self.transfers.answer(body, now)
         return None
 
@@ -567,7 +586,7 @@
         """What the time asks for; never waits."""
         self._bind()
         for name in self.node.halls:
-            if name == self.name or self.node.members.state(now, name) not in (Standing.DEAD, Standing.LEFT):
+            if name == self.name or self.node.members.state(now, name) not in (MemberStatus.DEAD, MemberStatus.LEFT):
                 self.void.discard(name)
             elif name not in self.void:
                 self.void.add(name)
@@ -595,12 +614,12 @@
             if name != self.name:
                 gevent.spawn(self._tell_news, name, told)
 
-    def _tell_news(self, name: str, news: tuple[Lodging, ...]) -> None:
+    def _tell_news(self, name: str, news: tuple[SessionLocation, ...]) -> None:
         first = self.lasting.first and name not in self.first_seen
         answer = self._call(name, self._lodgings(news, first), GOSSIP / SECOND)
-        if not isinstance(answer, Lodgings):
+        if not isinstance(answer, SessionLocations):
             return
-        now = boot_time()
+        now = monotonic_time()
         self._told(name, answer, now)
         self.transfers.learned(name, answer.stamp)
         # Danger: who forgot its sessions, or those of others, must wait until no id of that time can come any more.
@@ -610,20 +629,20 @@
                 self.directory.grants_at = now
                 logger.info("sessions may be opened: no member has run before")
 
-    def _lodgings(self, news: tuple[Lodging, ...], first: bool) -> Lodgings:
-        return Lodgings(news, len(self.directory.sessions), self._takes(), self.transfers.stamp, first)
+    def _lodgings(self, news: tuple[SessionLocation, ...], first: bool) -> SessionLocations:
+        return SessionLocations(news, len(self.directory.sessions), self._takes(), self.transfers.stamp, first)
 
     def _takes(self) -> bool:
         return not (self.leaving or self.node.leaving or self.client_listener.paused) and self.store.taking()
 
-    def _told(self, name: str, body: Lodgings, now: int) -> None:
+    def _told(self, name: str, body: SessionLocations, now: int) -> None:
         self.neighbours[name] = body
         self.directory.heard([entry for lodging in body.news if (entry := entry_of(lodging)) is not None], now)
 
     # ---- which sessions move ----
 
     def _neighbours(self) -> list[Neighbour]:
-        now, halls, members = boot_time(), self.node.halls, self.node.members
+        now, halls, members = monotonic_time(), self.node.halls, self.node.members
         return [
             Neighbour(
                 name,
@@ -631,7 +650,7 @@
                 told.held,
                 SESSIONS,
                 not members.notes(now, name),
-                told.takes and members.state(now, name) is Standing.ALIVE,
+                told.takes and members.state(now, name) is MemberStatus.ALIVE,
             )
             for name, told in self.neighbours.items()
             if name in halls
@@ -641,9 +660,9 @@
         self.wishes = {key: each for key, each in self.wishes.items() if each[1] > now}
         wishes = [wish for wish, _ in self.wishes.values()]
         if self.leaving or self.client_listener.paused:
-            why = Why.LEAVING if self.leaving else Why.FAILING
+            why = MigrationReason.LEAVING if self.leaving else MigrationReason.FAILING
             wishes += [
-                Wish(key, why)
+                MigrationRequest(key, why)
                 for key in self.directory.sessions
                 if key not in self.transfers.planner.out and key not in self.transfers.planner.off
             ][:WISHES]
@@ -663,7 +682,7 @@
             raise InvalidMoveError(f"{to[:64]!r} is no other member")
         if key not in self.directory.sessions:
             raise SessionNotHeldError(f"{key:016x} is held by {self.directory.where(key) or 'nobody'}")
-        self.wishes[key] = Wish(key, Why.STAFF, to), boot_time() + SECOND
+        self.wishes[key] = MigrationRequest(key, MigrationReason.STAFF, to), monotonic_time() + SECOND
         end = self.ends.setdefault(key, gevent.event.AsyncResult())
         if not end.wait(MOVED_IN):
             self.ends.pop(key, None)
@@ -684,9 +703,9 @@
     return contents(kept.key, kept.priority_class, kept.tenant, kept.destination, kept.body or b"")
 
 
-def entry_of(told: Lodging | None) -> Entry | None:
+def entry_of(told: SessionLocation | None) -> Entry | None:
     return Entry(told.key, told.holder, told.sequence, told.age) if told is not None else None
 
 
-def lodging_of(entry: Entry | None) -> Lodging | None:
-    return Lodging(*entry) if entry is not None else None
+def lodging_of(entry: Entry | None) -> SessionLocation | None:
+    return SessionLocation(*entry) if entry is not None else None
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -12,8 +12,8 @@
   claims nor disowns until ids of the time before can't come any more (`REMEMBERED`).
 
 - Of a sender whose book was adopted the adopter may *inherit* sessions at once, where it knows the ids of late
-  (`memory.py`). Each acceptor of that claim grants it only if, as far as it knows, the asker holds the newest book of
-  the dead one, nobody else the session, and no move of it was voted on of late: ids that came with a move are not in
+  (`recent_ids.py`). Each acceptor of that claim grants it only if, as far as it knows, the asker holds the newest book
+  of the dead one, nobody else the session, and no move of it was voted on of late: ids that came with a move are not in
   the book. Whoever has granted it votes on no move of that session for `REMEMBERED`. So an inheritance and a move, or a
   new book of the dead one, which each need a majority as well, meet at one member at least.
 - So who has lost its book to an adopter holds nothing for sure (`unsure`): when it has the next one it claims each of
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class KnownHolder:
     holder: str
     sequence: int
     used: int
@@ -74,7 +74,7 @@
     sure: bool = True  # nobody can have inherited it
 
 
-class Ruling(Enum):
+class ClaimRuling(Enum):
     """What to do with a submission."""
 
     TAKE = "take"  # and call `took` before anything else is ruled on
@@ -93,7 +93,7 @@
     entry: Entry | None  # who stands in the way, or is thought to be the holder
 
 
-class Asking(NamedTuple):
+class ClaimRequest(NamedTuple):
     """A claim as it is put to all other members."""
 
     key: int
@@ -103,14 +103,14 @@
 
 
 @dataclass(slots=True)
-class Claiming:
-    asking: Asking
+class PendingClaim:
+    asking: ClaimRequest
     until: int
     granted: set[str]
     ids: dict[str, tuple[int, int]]  # id -> (age when asked, hash), where the session is inherited
 
 
-class Directory:
+class SessionDirectory:
     """What this member knows of all sessions, and those that it holds.
 
     Args:
@@ -123,9 +123,9 @@
         self.name = name
         self.members = members
         self.grants_at = now if alone else now + REMEMBERED
-        self.entries: dict[int, Known] = {}  # the newest heard of or used last
+        self.entries: dict[int, KnownHolder] = {}  # the newest heard of or used last
         self.sessions: dict[int, Session] = {}
-        self.claims: dict[int, Claiming] = {}
+        self.claims: dict[int, PendingClaim] = {}
         self.fresh: dict[int, None] = {}  # changed here and not told yet
         self.round: list[int] = []  # of the held ones, those that are to be told again
         self.inherited: dict[int, tuple[int, str, str]] = {}  # granted of late: when, to whom, and whose it was
@@ -145,26 +145,26 @@
 
     # ---- submissions ----
 
-    def rule(self, key: int, message: str, hashed: int, passed: bool, now: int) -> Ruling:
+    def rule(self, key: int, message: str, hashed: int, passed: bool, now: int) -> ClaimRuling:
         """What to do with a submission of a session (key not 0); `passed`: by another member, not by a client."""
         session = self.sessions.get(key)
         # Danger: who has not used a session for long may be the last to believe that it holds it.
         if session is not None and session.used >= now - LAPSES:
             if not session.sure:
-                return Ruling.BUSY if self.claiming(key, now) else Ruling.CLAIM
+                return ClaimRuling.BUSY if self.claiming(key, now) else ClaimRuling.CLAIM
             known = session.ids.get(message)
             if known is None or known[0] < now - REMEMBERED:
-                return Ruling.TAKE
-            return Ruling.SAME if known[1] == hashed else Ruling.REPEATED
+                return ClaimRuling.TAKE
+            return ClaimRuling.SAME if known[1] == hashed else ClaimRuling.REPEATED
         # Danger: two members that take one another for the holder would pass it to and fro; and one that took it,
         # because it is thought to be the holder, would take an id that the real one has taken.
         if passed:
-            return Ruling.ELSEWHERE
+            return ClaimRuling.ELSEWHERE
         if self.claiming(key, now):
-            return Ruling.BUSY
+            return ClaimRuling.BUSY
         if key not in self.entries or self.where(key) == self.name:
-            return Ruling.CLAIM
-        return Ruling.PASS
+            return ClaimRuling.CLAIM
+        return ClaimRuling.PASS
 
     def claiming(self, key: int, now: int) -> bool:
         """Whether a claim from here is under way."""
@@ -188,15 +188,15 @@
         disowned = self.grants_at <= now and self.where(key) in (None, self.name) and key not in self.claims
         return Claim(disowned, self.entry(key, now))
 
-    def refused(self, key: int, by: str, answer: Claim, now: int) -> Ruling:
+    def refused(self, key: int, by: str, answer: Claim, now: int) -> ClaimRuling:
         """A submission that was passed to `by` came back with `elsewhere`: PASS (once, to another one), CLAIM, BUSY."""
         if answer.entry is not None:
             self.heard([answer.entry], now)
         if answer.granted and self.where(key) == by:
-            return Ruling.CLAIM
-        return Ruling.PASS if self.where(key) not in (None, by, self.name) else Ruling.BUSY
+            return ClaimRuling.CLAIM
+        return ClaimRuling.PASS if self.where(key) not in (None, by, self.name) else ClaimRuling.BUSY
 
-    def claim(self, key: int, now: int) -> Asking | None:
+    def claim(self, key: int, now: int) -> ClaimRequest | None:
         """Begin to claim a session after `Ruling.CLAIM`; what to ask all other members, or None where it can't be now.
         Where this member is alone in its fleet it holds the session at once."""
         self.claims = {each: claim for each, claim in self.claims.items() if claim.until > now}
@@ -204,12 +204,12 @@
             return None
         known = self.entries.get(key)
         over = (known.sequence, known.holder) if known is not None else (0, "")
-        asking = Asking(key, over[0] + 1, over, now)
-        self.claims[key] = Claiming(asking, now + CLAIM, {self.name}, self.ids(key, now))
+        asking = ClaimRequest(key, over[0] + 1, over, now)
+        self.claims[key] = PendingClaim(asking, now + CLAIM, {self.name}, self.ids(key, now))
         self._enough(key, now)
         return asking
 
-    def inherit(self, key: int, ids: dict[str, tuple[int, int]], now: int) -> Asking | None:
+    def inherit(self, key: int, ids: dict[str, tuple[int, int]], now: int) -> ClaimRequest | None:
         """Begin to claim a session whose last holder's book was adopted here; what to ask all other members.
 
         The caller has found that nothing stands in the way here (`heir_claims`). `ids`: age and hash, all of late.
@@ -217,13 +217,13 @@
         known = self.entries.get(key)
         if known is None or self.grants_at > now or self.claiming(key, now):
             return None
-        asking = Asking(key, known.sequence + AHEAD, (known.sequence, known.holder), now)
+        asking = ClaimRequest(key, known.sequence + AHEAD, (known.sequence, known.holder), now)
         self.inherited[key] = now, self.name, known.holder
-        self.claims[key] = Claiming(asking, now + CLAIM, {self.name}, ids)
+        self.claims[key] = PendingClaim(asking, now + CLAIM, {self.name}, ids)
         self._enough(key, now)
         return asking
 
-    def claimed(self, asking: Asking, by: str, now: int) -> Claim:
+    def claimed(self, asking: ClaimRequest, by: str, now: int) -> Claim:
         """Another member claims a session."""
         key = asking.key
         known = self.entries.get(key)
@@ -245,7 +245,7 @@
         self._know(key, by, asking.sequence, now, False)
         return Claim(True, None)
 
-    def heir_claims(self, asking: Asking, by: str, holds: bool, moved: bool, now: int) -> Claim:
+    def heir_claims(self, asking: ClaimRequest, by: str, holds: bool, moved: bool, now: int) -> Claim:
         """Another member, or this one, is to inherit a session.
 
         Args:
@@ -299,7 +299,7 @@
         for session in self.sessions.values():
             session.sure = False
 
-    def answered(self, asking: Asking, by: str, answer: Claim, now: int) -> bool:
+    def answered(self, asking: ClaimRequest, by: str, answer: Claim, now: int) -> bool:
         """An answer to the own claim; True: the session is held here from now on."""
         claim = self.claims.get(asking.key)
         if answer.entry is not None:
@@ -409,7 +409,7 @@
             # Danger: it moved on, or was adopted, while this member slept; it must not take ids any more.
             del self.sessions[key]
         self.entries.pop(key, None)
-        self.entries[key] = Known(holder, sequence, used, told or known is not None and not news and known.told)
+        self.entries[key] = KnownHolder(holder, sequence, used, told or known is not None and not news and known.told)
         if len(self.entries) > MOST:
             oldest = next((each for each in self.entries if each not in self.sessions), key)
             del self.entries[oldest]
--- a/cedarwick/fleet/marks.py
+++ b/cedarwick/fleet/suspensions.py
@@ -11,7 +11,7 @@
 import msgspec
 import xxhash
 
-from cedarwick.fleet.messages import Mark
+from cedarwick.fleet.messages import SuspensionMark
 
 KEEP = 30 * 86_400_000_000  # so long a restored receiver is remembered
 ASLEEP = KEEP - 86_400_000_000  # who has met nobody for so long may have missed what nobody remembers
@@ -23,20 +23,20 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class Saved(msgspec.Struct, array_like=True, frozen=True):
+class SavedMarks(msgspec.Struct, array_like=True, frozen=True):
     """What is kept over restarts."""
 
-    rows: tuple[Mark, ...]
+    rows: tuple[SuspensionMark, ...]
     met_at: int
     fresh: tuple[str, ...]
 
 
-def newer(one: Mark, other: Mark) -> bool:
+def newer(one: SuspensionMark, other: SuspensionMark) -> bool:
     """Whether a row stands against another of its receiver; of two under one version the one that is out."""
     return (one.counter, one.member, one.calls) > (other.counter, other.member, other.calls)
 
 
-def join(one: Mapping[str, Mark], other: Mapping[str, Mark]) -> dict[str, Mark]:
+def join(one: Mapping[str, SuspensionMark], other: Mapping[str, SuspensionMark]) -> dict[str, SuspensionMark]:
     """Both maps as one: commutative, associative, idempotent."""
     joined = dict(one)
     for uid, row in other.items():
@@ -45,19 +45,19 @@
     return joined
 
 
-class Marks:
+class SuspensionTable:
     """One member's map, and since when it may lack what others have forgotten."""
 
-    def __init__(self, me: str, saved: Saved | None = None) -> None:
+    def __init__(self, me: str, saved: SavedMarks | None = None) -> None:
         self.me = me
         self.rows = {row.uid: row for row in saved.rows} if saved is not None else {}
         self.met_at = saved.met_at if saved is not None else 0  # when a member that knows told it all here
         self.fresh = set(saved.fresh) if saved is not None else set()  # told or done here since: beyond doubt
         self.asleep = True  # as of the last `turn`
-        self._offered: tuple[Mark, ...] | None = None
+        self._offered: tuple[SuspensionMark, ...] | None = None
 
-    def saved(self) -> Saved:
-        return Saved(tuple(self.rows.values()), self.met_at, tuple(sorted(self.fresh)))
+    def saved(self) -> SavedMarks:
+        return SavedMarks(tuple(self.rows.values()), self.met_at, tuple(sorted(self.fresh)))
 
     def calls(self) -> dict[str, int]:
         """The calls out by uid."""
@@ -73,15 +73,15 @@
         self._offered = None if old or self.asleep else self._offered
 
     @staticmethod
-    def _over(now: int, row: Mark) -> bool:
+    def _over(now: int, row: SuspensionMark) -> bool:
         return not row.calls and row.counter + KEEP < now
 
     def set(self, now: int, uid: str, calls: int) -> None:
         """Staff have said so here."""
         before = self.rows[uid].counter if uid in self.rows else 0
-        self._put(Mark(uid, min(max(now, before + 1), LAST), self.me, min(calls, MOST_CALLS)), fresh=True)
+        self._put(SuspensionMark(uid, min(max(now, before + 1), LAST), self.me, min(calls, MOST_CALLS)), fresh=True)
 
-    def _put(self, row: Mark, fresh: bool) -> None:
+    def _put(self, row: SuspensionMark, fresh: bool) -> None:
         self.rows[row.uid] = row
         self.fresh = self.fresh | {row.uid} if fresh else self.fresh - {row.uid}
         self._offered = None
@@ -96,10 +96,10 @@
 
     def doubt(self, told: Mapping[str, int]) -> None:
         """The versions are lost and these receivers are out: they stay so until a member that knows says otherwise."""
-        self.rows = {uid: Mark(uid, 0, "", calls) for uid, calls in told.items()}
+        self.rows = {uid: SuspensionMark(uid, 0, "", calls) for uid, calls in told.items()}
         self.met_at, self.fresh, self._offered = 0, set(), None
 
-    def told(self, now: int, rows: Iterable[Mark]) -> list[str]:
+    def told(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
         """Rows of another member; the uids of those that were news here."""
         changed = []
         for row in rows:
@@ -113,7 +113,7 @@
             changed.append(row.uid)
         return changed
 
-    def met(self, now: int, rows: Iterable[Mark]) -> list[str]:
+    def met(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
         """All that a member has which is not asleep; the uids that changed here."""
         theirs = {row.uid: row for row in rows}
         dropped = []
@@ -131,7 +131,7 @@
         """Nobody knows more than this member."""
         self.met_at, self.asleep, self._offered = now, False, None
 
-    def offered(self) -> tuple[Mark, ...]:
+    def offered(self) -> tuple[SuspensionMark, ...]:
         """The rows for others, by uid: all but those in doubt, and no more than `MOST`, those that are out first."""
         if self._offered is None:
             told = [row for row in self.rows.values() if self._tells(row)]
@@ -139,7 +139,7 @@
             self._offered = tuple(sorted(told[:MOST], key=lambda row: row.uid))
         return self._offered
 
-    def _tells(self, row: Mark) -> bool:
+    def _tells(self, row: SuspensionMark) -> bool:
         if len(row.uid) > LONGEST or not row.uid.isascii():
             return False
         return not self.asleep or not row.calls or row.uid in self.fresh
--- a/cedarwick/fleet/adoption.py
+++ b/cedarwick/fleet/takeover.py
@@ -1,6 +1,6 @@
 """Who goes on with a book: the heirs of one whose holder is gone, and the owner at its boot. No I/O, no clock.
 
-One `Adoption` a book at each member that has the book's records, as holder or as copy. The node asks `step` at each
+One `Takeover` a book at each member that has the book's records, as holder or as copy. The node asks `step` at each
 turn what is to be done, sends what `holder.asks` gives, and tells `holder.answered` of the answers.
 
     following  another member holds it and its promise runs
@@ -21,15 +21,15 @@
 from typing import NamedTuple
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.leases import EPOCH_BITS, SPAN, Grantor, Holder, Tenure, right_of
-from cedarwick.fleet.members import Standing
+from cedarwick.fleet.leases import EPOCH_BITS, SPAN, LeaseGrantor, LeaseHolder, LeaseState, right_of
+from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant
 
 TURN = 300_000  # microseconds that each heir has before the next one asks: an ask, its answers, and an ask again
 PATIENCE = 3 * SPAN  # for a holder that is alive and does not renew; a restart takes about a second
 
 
-class Stage(Enum):
+class TakeoverStage(Enum):
     """How a member stands to a book."""
 
     FOLLOWING = "following"
@@ -41,7 +41,7 @@
     GONE = "gone"
 
 
-class Do(Enum):
+class TakeoverAction(Enum):
     """What is to be done now."""
 
     NOTHING = "nothing"
@@ -52,15 +52,15 @@
     DROP = "drop"  # the book's records and this object
 
 
-class Step(NamedTuple):
+class TakeoverStep(NamedTuple):
     """What is to be done, and with whom."""
 
-    do: Do
+    do: TakeoverAction
     to: str = ""
 
 
-NOTHING = Step(Do.NOTHING)
-AWAY = (Standing.DEAD, Standing.LEFT)
+NOTHING = TakeoverStep(TakeoverAction.NOTHING)
+AWAY = (MemberStatus.DEAD, MemberStatus.LEFT)
 
 
 class BooksExhaustedError(CedarwickError):
@@ -70,7 +70,7 @@
     remedy = "give the sender another name in the members' list of every sender"
 
 
-class Adoption:
+class Takeover:
     """One book at one member. `term`: the newest that the folder says this member has held it in, 0 for a copy.
 
     `resume`: at boot, for a book that the folder says this member held, and for one that it opens.
@@ -83,8 +83,8 @@
         self.book = book
         self.me = me
         self.open = open
-        self.stage = Stage.FOLLOWING
-        self.holder = Holder(right_of(book), me, names)
+        self.stage = TakeoverStage.FOLLOWING
+        self.holder = LeaseHolder(right_of(book), me, names)
         self.holder.term = term
         self._held = resume  # it may know what nobody else does
         self._resume = resume
@@ -99,12 +99,12 @@
 
     def offered(self) -> None:
         """The newer holder has taken all that this member knows."""
-        if self.stage is Stage.OFFERING:
-            self.stage = Stage.GONE
+        if self.stage is TakeoverStage.OFFERING:
+            self.stage = TakeoverStage.GONE
 
     def step(
-        self, now: int, grant: Grant, promised: int, standing: Callable[[str], Standing], whole: bool, owed: int
-    ) -> Step:
+        self, now: int, grant: Grant, promised: int, standing: Callable[[str], MemberStatus], whole: bool, owed: int
+    ) -> TakeoverStep:
         """What is to be done now.
 
         `grant` and `promised` are the own grantor's (`Grantor.grant`, `Grantor.promised`); `standing` tells how a
@@ -112,48 +112,56 @@
         none was lost since; `owed`: messages without an end.
         """
         self.holder.look(now)
-        if self.holder.state is Tenure.CLOSED or (grant.closed and self.stage is not Stage.CLOSING):
-            self.stage = Stage.GONE
-        if self.stage is Stage.GONE:
-            return Step(Do.DROP)
-        if self.holder.state is Tenure.LOST and self.stage in (Stage.ASKING, Stage.HOLDING, Stage.CLOSING):
+        if self.holder.state is LeaseState.CLOSED or (grant.closed and self.stage is not TakeoverStage.CLOSING):
+            self.stage = TakeoverStage.GONE
+        if self.stage is TakeoverStage.GONE:
+            return TakeoverStep(TakeoverAction.DROP)
+        if self.holder.state is LeaseState.LOST and self.stage in (
+            TakeoverStage.ASKING,
+            TakeoverStage.HOLDING,
+            TakeoverStage.CLOSING,
+        ):
             self._lost = now
-            self.stage = Stage.WAITING
+            self.stage = TakeoverStage.WAITING
             self._imported = False
-        if self.stage is Stage.ASKING and self.holder.state is Tenure.HELD:
-            self.stage = Stage.HOLDING
+        if self.stage is TakeoverStage.ASKING and self.holder.state is LeaseState.HELD:
+            self.stage = TakeoverStage.HOLDING
             self._held = True
-        if self.stage is Stage.HOLDING:
+        if self.stage is TakeoverStage.HOLDING:
             return self._serve(now, owed)
-        if self.stage in (Stage.ASKING, Stage.CLOSING):
+        if self.stage in (TakeoverStage.ASKING, TakeoverStage.CLOSING):
             return NOTHING
         return self._watch(now, grant, promised, standing, whole)
 
-    def _serve(self, now: int, owed: int) -> Step:
+    def _serve(self, now: int, owed: int) -> TakeoverStep:
         if not self._imported:
-            return Step(Do.IMPORT)
+            return TakeoverStep(TakeoverAction.IMPORT)
         if owed or self.open:
             return NOTHING
         self.holder.close(now)
-        self.stage = Stage.CLOSING
-        return Step(Do.CLOSE)
+        self.stage = TakeoverStage.CLOSING
+        return TakeoverStep(TakeoverAction.CLOSE)
 
-    def _watch(self, now: int, grant: Grant, promised: int, standing: Callable[[str], Standing], whole: bool) -> Step:
+    def _watch(
+        self, now: int, grant: Grant, promised: int, standing: Callable[[str], MemberStatus], whole: bool
+    ) -> TakeoverStep:
         """Somebody else may hold it: follow, wait for the turn, or offer what only this member knows."""
         # Danger: a term may be another's at the grantors that count and ours at our own; then the other one holds it.
         term, holder = (grant.term, grant.holder) if grant.term > self.holder.newer[0] else self.holder.newer
         if whole and self._turn(now, grant, promised, standing, holder):
             self._resume = False
-            self.stage = Stage.ASKING
+            self.stage = TakeoverStage.ASKING
             self.holder.begin(now, grant)
-            return Step(Do.ASK)
+            return TakeoverStep(TakeoverAction.ASK)
         if self._held and holder not in ("", self.me) and term >= self.holder.term:
-            self.stage = Stage.OFFERING
-            return Step(Do.OFFER, holder) if standing(holder) not in AWAY else NOTHING
-        self.stage = Stage.FOLLOWING if now < promised else Stage.WAITING
+            self.stage = TakeoverStage.OFFERING
+            return TakeoverStep(TakeoverAction.OFFER, holder) if standing(holder) not in AWAY else NOTHING
+        self.stage = TakeoverStage.FOLLOWING if now < promised else TakeoverStage.WAITING
         return NOTHING
 
-    def _turn(self, now: int, grant: Grant, promised: int, standing: Callable[[str], Standing], holder: str) -> bool:
+    def _turn(
+        self, now: int, grant: Grant, promised: int, standing: Callable[[str], MemberStatus], holder: str
+    ) -> bool:
         """Whether it is this member's turn to ask."""
         away = holder in ("", self.me) or standing(holder) in AWAY
         if not away:
@@ -184,12 +192,12 @@
         self.me = me
         self.slot = slot
         self.names = names
-        self.current: Adoption | None = None
+        self.current: Takeover | None = None
         self.full = False  # the open book has no numbers left
         self._kept = dict(kept)
         self._newest = max((book % (1 << EPOCH_BITS) for book in kept), default=-1)
 
-    def step(self, grantor: Grantor) -> Adoption | None:
+    def step(self, grantor: LeaseGrantor) -> Takeover | None:
         """A book's adoption that begins now, for the node to run with all others; None: none begins.
 
         While the own grantor learns nothing is opened: the table may know books that this member has forgotten.
@@ -199,7 +207,7 @@
             return None
         if self.current is None and self._kept:
             book = max(self._kept)
-            self.current = Adoption(book, self.me, self.names, self._kept[book], resume=True, open=True)
+            self.current = Takeover(book, self.me, self.names, self._kept[book], resume=True, open=True)
             return self.current
         if grantor.learning:
             return None
@@ -211,12 +219,12 @@
         if self.current is not None:
             self.current.open = False  # if it comes back, it is closed once nothing is owed
         self._newest = epoch
-        self.current = Adoption(self.slot << EPOCH_BITS | epoch, self.me, self.names, resume=True, open=True)
+        self.current = Takeover(self.slot << EPOCH_BITS | epoch, self.me, self.names, resume=True, open=True)
         return self.current
 
     def book(self, now: int) -> int | None:
         """The book in which new messages may be taken now; None: there is none, and clients are told `-BUSY`."""
         return self.current.book if self.current is not None and self.current.holder.may_fire(now) else None
 
-    def _is_lost(self, current: Adoption) -> bool:
-        return current.stage in (Stage.OFFERING, Stage.GONE)
+    def _is_lost(self, current: Takeover) -> bool:
+        return current.stage in (TakeoverStage.OFFERING, TakeoverStage.GONE)
--- a/cedarwick/fleet/link.py
+++ b/cedarwick/fleet/transport.py
@@ -1,6 +1,6 @@
 """Letters between members over HTTP/1.1: a server on the member's own address, and kept connections to the others.
 
-A refusal is a letter with `Refused`, whatever the status beside it: 4xx where the letter is at fault, 503 where
+A refusal is a letter with `RequestRefused`, whatever the status beside it: 4xx where the letter is at fault, 503 where
 there are too many, 500 where its handler failed. Who calls tries again by `retry.Waits`; nothing is sent twice here.
 """
 
@@ -16,20 +16,20 @@
 from gevent.server import StreamServer
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.gate import Gate
 from cedarwick.fleet.messages import (
-    LARGEST,
-    Ask,
-    Beat,
+    MAX_MESSAGE_BYTES,
     Body,
-    Head,
-    InvalidLetterError,
-    Letter,
-    Refused,
+    Heartbeat,
+    InvalidPeerMessageError,
+    LeaseRequest,
+    PeerMessage,
+    PeerMessageHeader,
+    RequestRefused,
     decode,
     encode,
     head_of,
 )
+from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.net import http
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
@@ -49,17 +49,17 @@
 QUEUE = 64  # calls to one member in flight and waiting
 
 Address = tuple[str, int]
-Handling = Callable[[Letter], Letter]
+Handling = Callable[[PeerMessage], PeerMessage]
 
 
-class NotALetterError(CedarwickError):
+class NotAPeerMessageError(CedarwickError):
     """A request to the fleet's address that brings no letter."""
 
     code = "CW707"
     remedy = "ask who calls the fleet's address: only members do, by POST with a Content-Length"
 
 
-class LetterTooLargeError(CedarwickError):
+class PeerMessageTooLargeError(CedarwickError):
     """A letter larger than any member reads."""
 
     code = "CW708"
@@ -99,15 +99,15 @@
 
     code = "CW713"
     remedy = "do what docs/errors.md says for the code that the member gave"
-    refused: Refused
+    refused: RequestRefused
 
 
 STATUS: dict[type[CedarwickError], bytes] = {
-    NotALetterError: b"404 Not Found",
-    LetterTooLargeError: b"413 Content Too Large",
+    NotAPeerMessageError: b"404 Not Found",
+    PeerMessageTooLargeError: b"413 Content Too Large",
     TooManyRequestsError: b"503 Service Unavailable",
     RequestTimeoutError: b"408 Request Timeout",
-    InvalidLetterError: b"400 Bad Request",
+    InvalidPeerMessageError: b"400 Bad Request",
     AnswerFailedError: b"500 Internal Server Error",
 }
 AT_FAULT = b"409 Conflict"  # every other refusal
@@ -116,7 +116,7 @@
 # ---- the server ----
 
 
-class Request:
+class HttpRequest:
     """One request as it comes in; the parser calls the `on_` methods."""
 
     def __init__(self) -> None:
@@ -169,10 +169,10 @@
             self.feed(told[len(first) :])
 
 
-class Server:
+class PeerServer:
     """Answers the letters of other members, each in the greenlet of its connection."""
 
-    def __init__(self, where: Address, gate: Gate, counters: Counters, answer: Handling) -> None:
+    def __init__(self, where: Address, gate: PeerVerifier, counters: Counters, answer: Handling) -> None:
         """Listens at once; OSError where the address cannot be had. Port 0: any; `port` is the one it got."""
         self.gate = gate
         self.counters = counters
@@ -216,7 +216,9 @@
                 if not stays:
                     return  # Danger: the rest of a body that nobody wants would be read on for ever
         except http.InvalidResponseError as error:
-            self.counters.trouble("a request on the fleet's address that cannot be read", NotALetterError(str(error)))
+            self.counters.trouble(
+                "a request on the fleet's address that cannot be read", NotAPeerMessageError(str(error))
+            )
             with contextlib.suppress(OSError):
                 sock.sendall(b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
         except OSError:
@@ -224,9 +226,9 @@
         except Exception:  # one bad connection must not end the others
             self.counters.failed("a request of a member broke")
 
-    def _head(self, sock: gevent.socket.socket) -> Request | None:
+    def _head(self, sock: gevent.socket.socket) -> HttpRequest | None:
         """A request with its whole head; None where none comes, or not in time."""
-        request = Request()
+        request = HttpRequest()
         # Danger: a caller that writes its head byte by byte would never meet the time limit of one read.
         end = time.monotonic() + SILENT + READ_WITHIN
         while not request.method:
@@ -242,26 +244,30 @@
             request.feed(told)
         return request
 
-    def _said(self, request: Request, sock: gevent.socket.socket, caller: Address) -> tuple[bytes, bytes]:
+    def _said(self, request: HttpRequest, sock: gevent.socket.socket, caller: Address) -> tuple[bytes, bytes]:
         """Status and body of the answer to a request: of a handler, or a refusal."""
-        head: list[Head] = []  # of the letter, once it was read so far
+        head: list[PeerMessageHeader] = []  # of the letter, once it was read so far
         self.busy += 1
         try:
             return b"200 OK", self._answered(request, sock, caller[0], head)
         except CedarwickError as error:
             self.counters.trouble("a letter was refused", error)
-            refused = Refused(error.code, str(error)[:512])
+            refused = RequestRefused(error.code, str(error)[:512])
             told = encode(self.gate.letter(head[0].sender if head else "", refused))
             return STATUS.get(type(error), AT_FAULT), told
         finally:
             self.busy -= 1
 
-    def _answered(self, request: Request, sock: gevent.socket.socket, caller: str, head: list[Head]) -> bytes:
+    def _answered(
+        self, request: HttpRequest, sock: gevent.socket.socket, caller: str, head: list[PeerMessageHeader]
+    ) -> bytes:
         """The handler's answer, encoded; every refusal is raised."""
         if (request.method, request.url) != (b"POST", PATH) or request.size < 0:
-            raise NotALetterError(f"{request.method.decode()} {request.url[:100].decode('latin-1')} of {caller}")
-        if request.size > LARGEST:
-            raise LetterTooLargeError(f"a letter of {request.size} bytes from {caller}, where {LARGEST} is the most")
+            raise NotAPeerMessageError(f"{request.method.decode()} {request.url[:100].decode('latin-1')} of {caller}")
+        if request.size > MAX_MESSAGE_BYTES:
+            raise PeerMessageTooLargeError(
+                f"a letter of {request.size} bytes from {caller}, where {MAX_MESSAGE_BYTES} is the most"
+            )
         many = self.busy > MOST_AT_ONCE
         if many and request.size > SMALL:
             request.kept = None
@@ -270,7 +276,7 @@
         told = read(request, sock)
         try:
             letter = decode(told)
-        except InvalidLetterError:
+        except InvalidPeerMessageError:
             if (begin := head_of(told)) is not None:
                 head.append(begin)
                 self.gate.same_version(begin)
@@ -278,7 +284,7 @@
         head.append(letter)
         self.gate.check(letter)
         # Danger: those that wait for copies and frozen sessions would keep them out, and members' rights would lapse.
-        if many and not isinstance(letter.body, Beat | Ask):
+        if many and not isinstance(letter.body, Heartbeat | LeaseRequest):
             raise TooManyRequestsError(f"{MOST_AT_ONCE} letters are being answered at {self.gate.me!r}")
         try:
             said = encode(self.answer(letter))
@@ -287,9 +293,9 @@
         except Exception:  # one failing letter must not end the link: beats and leases are still owed
             self.counters.failed("answering a letter failed")
             raise AnswerFailedError(f"{self.gate.me!r} failed to answer a {type(letter.body).__name__}") from None
-        if len(said) > LARGEST:
-            raise LetterTooLargeError(
-                f"{self.gate.me!r} has an answer of {len(said)} bytes, where {LARGEST} is the most"
+        if len(said) > MAX_MESSAGE_BYTES:
+            raise PeerMessageTooLargeError(
+                f"{self.gate.me!r} has an answer of {len(said)} bytes, where {MAX_MESSAGE_BYTES} is the most"
             )
         return said
 
@@ -303,26 +309,26 @@
     return told
 
 
-def read(request: Request, sock: gevent.socket.socket) -> bytes:
-    """A request's body, whole and in time; `RequestTimeoutError` and `InvalidLetterError` otherwise."""
+def read(request: HttpRequest, sock: gevent.socket.socket) -> bytes:
+    """A request's body, whole and in time; `RequestTimeoutError` and `InvalidPeerMessageError` otherwise."""
     end = time.monotonic() + READ_WITHIN
     try:
         while not request.complete:
             told = received(sock, end - time.monotonic())
             if not told:
-                raise InvalidLetterError(f"a letter of {request.size} bytes was cut")
+                raise InvalidPeerMessageError(f"a letter of {request.size} bytes was cut")
             request.feed(told)
     except TimeoutError:
         raise RequestTimeoutError(f"{request.size} bytes of a letter did not come within {READ_WITHIN:g} s") from None
     except OSError as error:
-        raise InvalidLetterError(f"a letter of {request.size} bytes was cut: {error}") from None
+        raise InvalidPeerMessageError(f"a letter of {request.size} bytes was cut: {error}") from None
     return bytes(request.kept or b"")
 
 
 # ---- the client ----
 
 
-class Kept:
+class PooledConnection:
     """A connection to a member: carries one request at a time."""
 
     __slots__ = ("sock", "buffer", "used")
@@ -333,14 +339,14 @@
         self.used = time.monotonic()
 
 
-class Peer:
+class PeerPool:
     """What is known and open to one other member."""
 
     def __init__(self, name: str, address: Address, at_once: int) -> None:
         self.name = name
         self.address = address
-        self.idle: list[Kept] = []  # the one used last is the next
-        self.open: set[Kept] = set()
+        self.idle: list[PooledConnection] = []  # the one used last is the next
+        self.open: set[PooledConnection] = set()
         self.room = BoundedSemaphore(at_once)
         # Danger: behind records that wait for a slow network, asks would come too late, and rights would run out.
         self.urgent = BoundedSemaphore(at_once)
@@ -350,18 +356,18 @@
     def __str__(self) -> str:
         return f"{self.name} at {self.address[0]}:{self.address[1]}"
 
-    def connection(self, within_s: float) -> Kept:
+    def connection(self, within_s: float) -> PooledConnection:
         """An idle connection that still stands, or a new one; OSError where none comes up."""
         while self.idle:
             kept = self.idle.pop()
             if time.monotonic() - kept.used < KEPT and not is_closed(kept.sock):
                 return kept
             self.close(kept)  # nothing was written on it: no failure
-        kept = Kept(open_connection(self.address, within_s))
+        kept = PooledConnection(open_connection(self.address, within_s))
         self.open.add(kept)
         return kept
 
-    def close(self, kept: Kept) -> None:
+    def close(self, kept: PooledConnection) -> None:
         self.open.discard(kept)
         kept.sock.close()
 
@@ -376,10 +382,10 @@
 class Peers:
     """Calls to the other members: a few at once to each, the rest wait in a bounded queue."""
 
-    def __init__(self, gate: Gate, members: Mapping[str, Address], at_once: int = IN_FLIGHT) -> None:
+    def __init__(self, gate: PeerVerifier, members: Mapping[str, Address], at_once: int = IN_FLIGHT) -> None:
         self.gate = gate
         self.at_once = at_once
-        self.peers: dict[str, Peer] = {}
+        self.peers: dict[str, PeerPool] = {}
         self.replace(members)
 
     def replace(self, members: Mapping[str, Address]) -> None:
@@ -388,7 +394,7 @@
             self.peers.pop(name).leave()
         for name, address in members.items():
             if name != self.gate.me and name not in self.peers:
-                self.peers[name] = Peer(name, address, self.at_once)
+                self.peers[name] = PeerPool(name, address, self.at_once)
         self.gate.replace(members)
 
     def names(self) -> Iterable[str]:
@@ -405,11 +411,11 @@
         """What the member answers; as `letter`."""
         return self.letter(member, body, within_s).body
 
-    def letter(self, member: str, body: Body, within_s: float) -> Letter:
+    def letter(self, member: str, body: Body, within_s: float) -> PeerMessage:
         """The member's answer within so many seconds, the wait in the queue counted.
 
         `PeerUnreachableError`: no answer, or none that can be read. `PeerRefusedError`: the member says why not.
-        `LetterTooLargeError`: not sent.
+        `PeerMessageTooLargeError`: not sent.
         """
         peer = self.peers.get(member)
         if peer is None:
@@ -417,29 +423,29 @@
         if peer.calls >= QUEUE:
             raise PeerUnreachableError(f"{peer}: {QUEUE} calls are out or wait already")
         letter = encode(self.gate.letter(member, body))
-        if len(letter) > LARGEST:
-            raise LetterTooLargeError(
-                f"a {type(body).__name__} of {len(letter)} bytes to {member!r}, where {LARGEST} is the most"
+        if len(letter) > MAX_MESSAGE_BYTES:
+            raise PeerMessageTooLargeError(
+                f"a {type(body).__name__} of {len(letter)} bytes to {member!r}, where {MAX_MESSAGE_BYTES} is the most"
             )
         limit = gevent.Timeout(within_s)
         peer.calls += 1
         try:
-            with limit, peer.urgent if isinstance(body, Ask | Beat) else peer.room:
+            with limit, peer.urgent if isinstance(body, LeaseRequest | Heartbeat) else peer.room:
                 status, told = exchange(peer, letter, within_s)
             answer = decode(told)
         except gevent.Timeout as late:
             if late is not limit:
                 raise
             raise PeerUnreachableError(f"{peer}: no answer within {within_s:g} s") from None
-        except (OSError, http.InvalidResponseError, InvalidLetterError) as error:
+        except (OSError, http.InvalidResponseError, InvalidPeerMessageError) as error:
             raise PeerUnreachableError(f"{peer}: {error or type(error).__name__}") from None
         finally:
             peer.calls -= 1
         return self._judged(peer, status, answer)
 
-    def _judged(self, peer: Peer, status: int, answer: Letter) -> Letter:
+    def _judged(self, peer: PeerPool, status: int, answer: PeerMessage) -> PeerMessage:
         """An answer that is one of this member, for this sender."""
-        if isinstance(answer.body, Refused):
+        if isinstance(answer.body, RequestRefused):
             refusal = PeerRefusedError(f"{peer} refused: {answer.body.why} ({answer.body.code})")
             refusal.refused = answer.body
             raise refusal
@@ -452,7 +458,7 @@
         return answer
 
 
-def exchange(peer: Peer, letter: bytes, within_s: float) -> tuple[int, bytes]:
+def exchange(peer: PeerPool, letter: bytes, within_s: float) -> tuple[int, bytes]:
     """Status and body of the answer to one letter; OSError and `http.InvalidResponseError` where there is none."""
     if peer.gone:
         raise ConnectionAbortedError("no member any more")
@@ -471,8 +477,8 @@
                 answer.feed(kept.buffer)
             elif not answer.ended():
                 raise http.InvalidResponseError("the connection ended before the answer did")
-            if len(told) > LARGEST:
-                raise http.InvalidResponseError(f"an answer of more than {LARGEST} bytes")
+            if len(told) > MAX_MESSAGE_BYTES:
+                raise http.InvalidResponseError(f"an answer of more than {MAX_MESSAGE_BYTES} bytes")
         # Danger: bytes behind this answer would be read as that to the next letter; `keep_alive` is false then.
         whole = answer.keep_alive
     finally:
--- a/cedarwick/lab/virtualday.py
+++ b/cedarwick/lab/virtualday.py
@@ -27,9 +27,9 @@
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.book import Shared
-from cedarwick.fleet.messages import Refused, decode, digest_of, encode
-from cedarwick.fleet.node import Node
+from cedarwick.fleet.messages import RequestRefused, decode, digest_of, encode
+from cedarwick.fleet.node import FleetNode
+from cedarwick.fleet.replicated_store import ReplicatedStore
 from cedarwick.lab import claims, virtualwatch
 from cedarwick.lab.audit import Finding, Verdict
 from cedarwick.lab.history import NEVER, Called, Gone, Handed, History, Life, Noticed
@@ -47,8 +47,8 @@
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.notifications import Notifier
 from cedarwick.net.sockets import PollClock
-from cedarwick.ops import calls
-from cedarwick.ops.staff import Staff, no_sessions, not_in_a_fleet
+from cedarwick.ops import commands
+from cedarwick.ops.management import Staff, no_sessions, not_in_a_fleet
 from cedarwick.store.records import StoredMessage
 
 Ack = Literal["own", "copy"]
@@ -237,10 +237,10 @@
         os.makedirs(self.folder)
         self.owner: Owner = Owner(self.name)
         self.running = self.leaving = False
-        self.node: Node | None = None  # None until it is ready
+        self.node: FleetNode | None = None  # None until it is ready
         self.disk = usual_disk()
         self.ended_at = 0
-        self.store: Shared
+        self.store: ReplicatedStore
         self.dispatcher: Dispatcher
         self.door: Door
         self.staff: SimpleNamespace  # what the management address calls
@@ -264,7 +264,7 @@
             {},
             plain(sender_settings(SCENARIO, day.fleet_size)),
         )
-        self.store = Shared(
+        self.store = ReplicatedStore(
             self.folder,
             self.disk,
             now=clock.now,
@@ -283,7 +283,7 @@
         dispatcher.free_links = lambda _: None
         dispatcher.ask_for_list = lambda: None
         dispatcher.resume()
-        node = Node(self.name, day.table, self.folder, self.store, clock, counters)
+        node = FleetNode(self.name, day.table, self.folder, self.store, clock, counters)
         self.door, self.staff = Door(dispatcher), SimpleNamespace(follows=not_in_a_fleet, moves=no_sessions)
         staff = cast(Staff, self.staff)
         listed = SimpleNamespace(numbers={f"s-{1 + each}": 1 + each for each in receivers}, held_out=set())
@@ -361,7 +361,7 @@
 
         def call() -> None:
             with suppress(CedarwickError):
-                self.staff.moves(calls.Call(name, argument))
+                self.staff.moves(commands.Call(name, argument))
 
         self.day.kernel.spawn_as(self.owner, call)
 
@@ -375,7 +375,7 @@
             gate.check(read)
             told = self.node.answer(read)
         except CedarwickError as error:
-            told = gate.letter(read.sender, Refused(error.code, str(error)[:512]))
+            told = gate.letter(read.sender, RequestRefused(error.code, str(error)[:512]))
         box.set(encode(told))
 
     def set_disk(self, size: int) -> None:
--- a/cedarwick/lab/virtualwatch.py
+++ b/cedarwick/lab/virtualwatch.py
@@ -1,18 +1,19 @@
 """Subscribers of a virtual day: each follows at one member after another, and what it was told is kept for the audit.
 
-Whether an event meets a filter is settled here by `naive.py`, at the source, before the source's own part looks at it.
+Whether an event meets a filter is settled here by `reference_matcher.py`, at the source, before the source's own part
+looks at it.
 """
 
 import json
 from typing import TYPE_CHECKING
 
 from cedarwick.errors import CedarwickError
-from cedarwick.events import naive
+from cedarwick.events import reference_matcher
 from cedarwick.events.exchange import Exchange
 from cedarwick.events.kinds import Event, Value
 from cedarwick.events.language import read
 from cedarwick.lab import claims
-from cedarwick.ops.calls import Call
+from cedarwick.ops.commands import Call
 
 if TYPE_CHECKING:
     from cedarwick.lab.virtualday import Day, Sender
@@ -80,7 +81,7 @@
         self.term = read(self.filter).term
 
     def meets(self, event: Event) -> bool:
-        return naive.matches(self.term, event)
+        return reference_matcher.matches(self.term, event)
 
     def run(self) -> None:
         """Follow here and there, for as long as the day lasts."""
--- a/cedarwick/ops/staff.py
+++ b/cedarwick/ops/management.py
@@ -7,8 +7,8 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.ops import lasting
-from cedarwick.ops.calls import FOLLOWING, Call, NotInFleetError, SessionsDisabledError, Suspensions
+from cedarwick.ops import saved_state
+from cedarwick.ops.commands import FOLLOWING, Call, NotInFleetError, SessionsDisabledError, Suspensions
 from cedarwick.store.files import DiskError
 
 Talk = Callable[[gevent.socket.socket], None]  # an answer that goes on for as long as the caller stays
@@ -87,16 +87,16 @@
     def take_over(self) -> None:
         """Take the receivers out that the file names: at the start, and once the folder is this process's."""
         try:
-            self.listed.hold_out(set(lasting.read(self.folder)))
-        except lasting.UnreadableFileError as error:
+            self.listed.hold_out(set(saved_state.read(self.folder)))
+        except saved_state.UnreadableFileError as error:
             logger.error("the receivers taken out by hand cannot be read: {}", error.line)
 
     def _take_out(self, call: Call) -> str:
         uid = call.argument
         try:
             # Danger: a process that replaces this one, or is replaced, may have changed the file meanwhile.
-            out = Suspensions(lasting.read(self.folder).items())
-        except lasting.UnreadableFileError as error:
+            out = Suspensions(saved_state.read(self.folder).items())
+        except saved_state.UnreadableFileError as error:
             logger.error("the receivers taken out by hand cannot be read: {}", error.line)
             out = Suspensions()
         if call.name == "SUSPEND":
@@ -116,7 +116,7 @@
         """From now on the receivers of these calls, and no others, are out; whether the file has it, too."""
         written = True
         try:
-            lasting.write(self.folder, calls)
+            saved_state.write(self.folder, calls)
         except OSError as error:
             written = False
             logger.error(DiskError(f"the receivers taken out by hand cannot be kept: {error}").line)
--- a/cedarwick/ops/address.py
+++ b/cedarwick/ops/management_server.py
@@ -8,8 +8,8 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
-from cedarwick.ops.calls import Call, InvalidCallError, most, parse
-from cedarwick.ops.staff import Talk
+from cedarwick.ops.commands import Call, InvalidCallError, most, parse
+from cedarwick.ops.management import Talk
 
 DEADLINE = 2.0  # seconds in which a caller must finish its line; a few connect and say nothing for 4 s
 MOST_CALLERS = 64  # connections at once; those beyond are answered NO and closed, so none holds up STATUS
--- a/tests/processes/test_order.py
+++ b/tests/processes/test_order.py
@@ -5,7 +5,7 @@
 import gevent
 import msgspec
 
-from cedarwick.fleet.owing import MOST
+from cedarwick.fleet.order_key_hints import MOST
 from cedarwick.lab import claims
 from cedarwick.lab.fleet import Fleet
 from cedarwick.lab.history import Called, Handed
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -11,8 +11,8 @@
 from cedarwick.config.remedies import name, row, types
 from cedarwick.errors import CedarwickError
 from cedarwick.net.counters import Counters
-from cedarwick.ops.address import refusal
-from cedarwick.ops.calls import InvalidCallError, parse
+from cedarwick.ops.commands import InvalidCallError, parse
+from cedarwick.ops.management_server import refusal
 from tests.build import Program, Receiver, free_port, reply
 from tests.test_ops import call
 
