--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -1,7 +1,7 @@
 """Sessions in service: who takes a client's submission, and which sessions move when.
 
 What is settled, and why, stands in `sessions.py` and `migration_table.py`; how a move is done in
-`session_migration.py`. Letters wait
+`session_migration.py`. Peer messages wait
 here for frozen sessions and for copies, so they go over connections of their own: beats and leases must not stand
 behind them.
 """
@@ -62,19 +62,21 @@
 if TYPE_CHECKING:
     from cedarwick.fleet.node import FleetNode
 
-AT_ONCE = 16  # letters to one member that wait for their answers
+AT_ONCE = 16  # peer messages to one member that wait for their answers
 MOST_CLAIMS = 2  # for one submission: a claim that fails was refused, or met members that are slow
 PATIENCE = 330_000  # microseconds in which a client's request is answered, of the 400 ms that it waits
 TRY = 0.15  # seconds until a submission that was passed on without an answer is passed on again
 LEAST = 15_000  # microseconds without which nothing more is tried for a client
-GOSSIP = 250_000  # microseconds between two letters of news to each member
-TOLD = 256  # sessions in one letter at least: a 40th of all that are held, and so all in 10 s
+GOSSIP = 250_000  # microseconds between two peer messages of news to each member
+TOLD = 256  # sessions in one peer message at least: a 40th of all that are held, and so all in 10 s
 MOST_TOLD = 4096
 WISHES = 256  # looked at in one turn
 COMES_FOR = 1_000_000  # microseconds for which a client that came to another sender counts as being there
 HANDED_OVER = 5_000_000  # microseconds after the end of a process in which its successor goes on with its sessions
 MOVED_IN = 1.5  # seconds in which staff are told what became of a move
-HEIRS = 3  # the level of members whose sessions can be inherited: they claim them anew when they have lost their book
+SUCCESSORS = (
+    3  # the level of members whose sessions can be inherited: they claim them anew when they have lost their partition
+)
 UNSURE: SubmitResult = (AdmissionResult.UNSURE, 0, None)
 BUSY: SubmitResult = (AdmissionResult.BUSY, 0, None)
 
@@ -101,7 +103,7 @@
 
 
 class InheritedSessions(NamedTuple):
-    """What this member knows of the ids of a book that it has adopted."""
+    """What this member knows of the ids of a partition that it has adopted."""
 
     owner: str  # who took them
     whole_at: int  # by the boot clock; before that ids of late may be missing
@@ -136,14 +138,14 @@
         self.new: set[str] = set()  # members that have never run before, and know of no earlier boot of this one
         self.void: set[str] = set()  # members whose sessions were given up
         self.told_at = self.forgot_at = 0
-        self.book = 0  # in which the sessions that are held for sure were taken
-        self.memories: dict[int, RecentIds] = {}  # by book, of the copies that lie here
-        self.estates: dict[int, InheritedSessions] = {}  # by book that was adopted here
+        self.partition = 0  # in which the sessions that are held for sure were taken
+        self.memories: dict[int, RecentIds] = {}  # by partition, of the copies that lie here
+        self.estates: dict[int, InheritedSessions] = {}  # by partition that was adopted here
         if self.store.by_copy:
             node.copies.heard = self._copied
 
     def attach(self, staff: Staff, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
-        """Before the first letter: from now on clients' submissions and the calls of staff come here."""
+        """Before the first peer message: from now on clients' submissions and the calls of staff come here."""
         self.dispatcher = self.transfers.dispatcher = dispatcher
         self.take_up()
         self.client_listener = client_listener
@@ -168,7 +170,7 @@
             for each in left.held:
                 ids = {id: (then + age, hashed) for id, (then, hashed) in each.ids.items()}
                 self.directory.hold(each.key, each.sequence, ids, now)
-            self.book = left.book  # Danger: if that was adopted meanwhile, they may have been inherited
+            self.partition = left.partition  # Danger: if that was adopted meanwhile, they may have been inherited
             logger.info("{} sessions of the process before go on", len(left.held))
 
     def hand_over(self) -> None:
@@ -180,7 +182,7 @@
             for key, session in self.directory.sessions.items()
             if session.sure and session.used >= now - LAPSES and self._standing(key)[0] == "here"
         ]
-        self.transfers.files.write_sessions(Sessions(time.time_ns() // 1000, held, self.book))
+        self.transfers.files.write_sessions(Sessions(time.time_ns() // 1000, held, self.partition))
         self.directory.sessions.clear()
 
     def leave(self) -> None:
@@ -194,22 +196,22 @@
 
     # ---- submissions ----
 
-    def hand_in(self, kept: StoredMessage) -> SubmitResult:
+    def hand_in(self, stored: StoredMessage) -> SubmitResult:
         """What becomes of a client's submission; in the greenlet of its connection."""
-        if not kept.turn:
-            return self.client_listener.to_dispatcher(kept)
+        if not stored.turn:
+            return self.client_listener.to_dispatcher(stored)
         began = monotonic_time()
-        key, hashed, claims, hops = kept.turn, hash_of(kept), 0, 0
+        key, hashed, claims, hops = stored.turn, hash_of(stored), 0, 0
         while (now := monotonic_time()) < began + PATIENCE:
             self._bind()
             there, holder = self._standing(key)
-            ruling = self.directory.rule(key, kept.id, hashed, False, now) if there == "here" else None
+            ruling = self.directory.rule(key, stored.id, hashed, False, now) if there == "here" else None
             if there == "wait" or ruling is ClaimRuling.BUSY:
                 if not self._wait(began + WAITS):
                     return BUSY
                 continue
             if ruling in (ClaimRuling.TAKE, ClaimRuling.SAME, ClaimRuling.REPEATED):
-                handed = self._take(kept, hashed, ruling, now)
+                handed = self._take(stored, hashed, ruling, now)
                 if handed is not None:
                     return handed
                 continue
@@ -222,23 +224,23 @@
             to = holder if known in (None, self.name) else known or ""  # it may have moved on since
             entry = self.directory.entry(key, now)
             if not self._lives(to):
-                heir = self._heir(to) if entry is not None and entry.holder == to else ""
-                if heir == self.name and claims < MOST_CLAIMS:
+                successor = self._successor(to) if entry is not None and entry.holder == to else ""
+                if successor == self.name and claims < MOST_CLAIMS:
                     claims += 1
                     if self._inherit(key):
                         continue
-                to, claims = heir, MOST_CLAIMS
+                to, claims = successor, MOST_CLAIMS
             else:
                 entry = None
             if hops == 2 or not self._lives(to):
                 return BUSY
             hops += 1
-            answer = self._pass(kept, to, began + PATIENCE, there == "pass", entry)
+            answer = self._pass(stored, to, began + PATIENCE, there == "pass", entry)
             if isinstance(answer, tuple):
                 return answer
             if answer.answer:
                 taken = answer.answer == AdmissionResult.KEPT.value
-                return AdmissionResult(answer.answer), answer.wait_ms, self._recalling(kept, to) if taken else None
+                return AdmissionResult(answer.answer), answer.wait_ms, self._recalling(stored, to) if taken else None
             told = Claim(answer.disowned, entry_of(answer.entry))
             after = self.directory.refused(key, to, told, monotonic_time())
             if after is ClaimRuling.CLAIM:
@@ -270,9 +272,9 @@
         changed, self.changed = self.changed, gevent.event.Event()
         changed.set()
 
-    def _take(self, kept: StoredMessage, hashed: int, ruling: ClaimRuling, now: int) -> SubmitResult | None:
+    def _take(self, stored: StoredMessage, hashed: int, ruling: ClaimRuling, now: int) -> SubmitResult | None:
         """Of a session that is held here; None where it was frozen meanwhile."""
-        pending = self.pending.get(kept.id)
+        pending = self.pending.get(stored.id)
         if ruling is ClaimRuling.REPEATED:
             return AdmissionResult.REPEATED, 0, None
         if ruling is ClaimRuling.SAME:
@@ -281,46 +283,46 @@
             return None if answered is AdmissionResult.FROZEN else (answered, wait_ms, None)
         if not self.store.taking():
             return BUSY  # Danger: who is cut off may not have heard that the session has another holder
-        self.directory.took(kept.turn, kept.id, hashed, now)
-        submission = self.pending[kept.id] = Submission(kept)
+        self.directory.took(stored.turn, stored.id, hashed, now)
+        submission = self.pending[stored.id] = Submission(stored)
         try:
             self.dispatcher.submit(submission)
             answered, wait_ms = submission.answer.get()
         finally:
-            del self.pending[kept.id]
-        if answered is not AdmissionResult.KEPT and (session := self.directory.sessions.get(kept.turn)) is not None:
-            session.ids.pop(kept.id, None)
+            del self.pending[stored.id]
+        if answered is not AdmissionResult.KEPT and (session := self.directory.sessions.get(stored.turn)) is not None:
+            session.ids.pop(stored.id, None)
         if answered is AdmissionResult.FROZEN:
             return None
-        taken = answered is AdmissionResult.KEPT and kept.number
+        taken = answered is AdmissionResult.KEPT and stored.number
         return answered, wait_ms, (lambda: self._withdraw(submission)) if taken else None
 
     def _withdraw(self, submission: Submission) -> None:
         # Danger: handed in again the id would be told +OK, of a message that is no more.
-        session = self.directory.sessions.get(submission.kept.turn)
-        if session is not None and submission.kept.id in session.ids:
-            session.ids[submission.kept.id] = session.ids[submission.kept.id][0], UNKNOWN
+        session = self.directory.sessions.get(submission.message.turn)
+        if session is not None and submission.message.id in session.ids:
+            session.ids[submission.message.id] = session.ids[submission.message.id][0], UNKNOWN
         self.dispatcher.withdraw(submission)
 
     def _pass(
-        self, kept: StoredMessage, to: str, until: int, moved: bool, gone: Entry | None
+        self, stored: StoredMessage, to: str, until: int, moved: bool, gone: Entry | None
     ) -> ForwardReply | SubmitResult:
         """The holder's answer; `BUSY` where it surely has taken nothing, `UNSURE` where nobody can tell.
 
-        `gone`: the holder is dead, and `to` has its book.
+        `gone`: the holder is dead, and `to` has its partition.
         """
         sure = True
         while (left := until - monotonic_time()) > LEAST:
             body = ForwardedSubmit(
-                kept.turn,
-                kept.id,
-                kept.key,
-                kept.priority_class,
-                kept.tenant,
-                kept.destination,
-                kept.deadline - self.clock.now(),
+                stored.turn,
+                stored.id,
+                stored.key,
+                stored.priority_class,
+                stored.tenant,
+                stored.destination,
+                stored.deadline - self.clock.now(),
                 left - LEAST,
-                kept.body or b"",
+                stored.body or b"",
                 moved,
                 lodging_of(gone),
             )
@@ -340,9 +342,9 @@
             break
         return BUSY if sure else UNSURE
 
-    def _recalling(self, kept: StoredMessage, to: str) -> Callable[[], None]:
+    def _recalling(self, stored: StoredMessage, to: str) -> Callable[[], None]:
         def recall() -> None:
-            gevent.spawn(self._call, to, RecallForward(kept.turn, kept.id), SETTLE_IN)
+            gevent.spawn(self._call, to, RecallForward(stored.turn, stored.id), SETTLE_IN)
 
         return recall
 
@@ -350,7 +352,7 @@
         """Another member passes a client's submission on."""
         until = monotonic_time() + min(body.within, WAITS)
         limit = self.clock.now() + body.left
-        kept = StoredMessage(
+        stored = StoredMessage(
             0,
             body.id,
             body.mark,
@@ -361,7 +363,7 @@
             max(0, limit),
             body.body,
         )
-        hashed, claims = hash_of(kept), 0
+        hashed, claims = hash_of(stored), 0
         if (gone := entry_of(body.entry)) is not None:
             self.directory.heard([gone], monotonic_time())
         while body.key:
@@ -382,7 +384,7 @@
                 continue
             if ruling is ClaimRuling.ELSEWHERE:
                 of = self.directory.where(body.key) or ""
-                if claims < MOST_CLAIMS and of and not self._lives(of) and self._heir(of) == self.name:
+                if claims < MOST_CLAIMS and of and not self._lives(of) and self._successor(of) == self.name:
                     if self.directory.claiming(body.key, now):
                         if not self._wait(until):
                             break
@@ -394,23 +396,24 @@
                 return ForwardReply("", 0, told.granted, lodging_of(told.entry))
             if not body.moved and self.node.halls.get(sender) != self.node.halls[self.name]:
                 self.wishes[body.key] = MigrationRequest(body.key, MigrationReason.CLIENT, sender), now + COMES_FOR
-            handed = self._take(kept, hashed, ruling, now)
+            handed = self._take(stored, hashed, ruling, now)
             if handed is not None:
                 return ForwardReply(handed[0].value, handed[1])
         return ForwardReply(AdmissionResult.BUSY.value)
 
     def _recalled(self, body: RecallForward) -> Acknowledged:
-        kept = self.store.kept.get(self.dispatcher.numbers.get(body.id, 0))
-        if kept is not None and kept.turn == body.key and kept.number not in self.store.inert:
+        stored = self.store.messages.get(self.dispatcher.numbers.get(body.id, 0))
+        if stored is not None and stored.turn == body.key and stored.number not in self.store.inert:
             self.counters.add("clients gone before their answer")
-            self._withdraw(Submission(kept))
+            self._withdraw(Submission(stored))
         return Acknowledged()
 
     # ---- opening ----
 
     def _claim(self, key: int) -> bool:
         """Whether the session may be ruled on once more: it was claimed, or its holder is known now."""
-        # Danger: until the next book is held an heir of the last one may still be granted what is claimed anew.
+        # Danger: until the next partition is held a successor of the last one may still be granted what is claimed
+        # anew.
         asking = self.directory.claim(key, monotonic_time()) if self.store.taking() else None
         if asking is None:
             return False
@@ -439,65 +442,65 @@
             gevent.spawn(ask, name)
         over.wait(CLAIM / SECOND)
 
-    # ---- sessions of a sender whose book was adopted ----
+    # ---- sessions of a sender whose partition was adopted ----
 
     def _bind(self) -> None:
-        """Before anything is ruled on: sessions are held for sure in one book alone."""
+        """Before anything is ruled on: sessions are held for sure in one partition alone."""
         current = self.store.current
-        if current is not None and current.book != self.book:
-            if self.book:
+        if current is not None and current.partition != self.partition:
+            if self.partition:
                 self.directory.unsure()
                 self.transfers.slept = set(self.transfers.offers)
-            self.book = current.book
+            self.partition = current.partition
 
-    def _copied(self, book: int, step: Step, facts: list[Fact]) -> None:
+    def _copied(self, partition: int, step: Step, facts: list[Fact]) -> None:
         now = monotonic_time()
-        if book not in self.memories:
-            self.memories[book] = RecentIds(now)
-        self.memories[book].heard(step, facts, now)
-
-    def adopted(self, book: int) -> None:
-        """A copy's messages are in the folder; its book is held here under a new term."""
-        memory, now = self.memories.pop(book, None), monotonic_time()
-        owner = next((name for name in self.node.halls if slot_of(name) == book >> EPOCH_BITS), "")
-        if memory is None or self.node.gate.levels.get(owner, 0) < HEIRS or owner == self.name:
+        if partition not in self.memories:
+            self.memories[partition] = RecentIds(now)
+        self.memories[partition].heard(step, facts, now)
+
+    def adopted(self, partition: int) -> None:
+        """A copy's messages are in the folder; its partition is held here under a new term."""
+        memory, now = self.memories.pop(partition, None), monotonic_time()
+        owner = next((name for name in self.node.halls if slot_of(name) == partition >> EPOCH_BITS), "")
+        if memory is None or self.node.gate.levels.get(owner, 0) < SUCCESSORS or owner == self.name:
             logger.info(
                 "sessions of {} are taken over {} s after its death: no ids of late are known",
                 owner or "?",
                 REMEMBERED // SECOND,
             )
             return
-        self.estates[book] = InheritedSessions(owner, memory.whole_at(), memory.by_key(), set())
+        self.estates[partition] = InheritedSessions(owner, memory.whole_at(), memory.by_key(), set())
         logger.info(
             "sessions of {} are taken over as they are used, {:.1f} s from now on",
             owner,
             max(0, memory.whole_at() - now) / SECOND,
         )
 
-    def _newest_book(self, name: str) -> int:
+    def _newest_partition(self, name: str) -> int:
         """Of a sender, as far as is known here; 0: none."""
         slot = slot_of(name)
         epoch = self.node.grantor.newest(slot)
         return slot << EPOCH_BITS | epoch if epoch >= 0 else 0
 
-    def _heir(self, name: str) -> str:
-        """Who holds the newest book of a sender that is gone; empty where nobody is known to."""
-        book = self._newest_book(name)
-        grant = self.node.grantor.grant(right_of(book))
-        return grant.holder if book and grant.holder != name and not grant.closed else ""
+    def _successor(self, name: str) -> str:
+        """Who holds the newest partition of a sender that is gone; empty where nobody is known to."""
+        partition = self._newest_partition(name)
+        grant = self.node.grantor.grant(right_of(partition))
+        return grant.holder if partition and grant.holder != name and not grant.closed else ""
 
     def _inherit(self, key: int) -> bool:
-        """Whether a session whose last holder's book is held here may be ruled on once more."""
+        """Whether a session whose last holder's partition is held here may be ruled on once more."""
         now, entry = monotonic_time(), self.directory.entry(key, monotonic_time())
-        book = self._newest_book(entry.holder) if entry is not None else 0
-        estate, holding = self.estates.get(book), self.store.holdings.get(book)
+        partition = self._newest_partition(entry.holder) if entry is not None else 0
+        estate, holding = self.estates.get(partition), self.store.holdings.get(partition)
         if entry is None or estate is None or holding is None or not holding.serving or not self.store.taking():
             return False
         if estate.owner != entry.holder or estate.whole_at > now:
             self.counters.add("submissions for sessions whose ids of late are not known")
             return False
         over = (entry.sequence, entry.holder)
-        if not self._heir_claims(ClaimRequest(key, 0, over, now), book, self.name, now).granted:
+        if not self._successor_claims(ClaimRequest(key, 0, over, now), partition, self.name, now).granted:
             self.counters.add("inheritances that failed")
             return False
         ids = {id: (now - at, hashed) for id, (at, hashed) in estate.ids.get(key, {}).items() if at >= now - REMEMBERED}
@@ -506,15 +509,15 @@
             return False
         # Danger: what the last holder offers later and no copy had was never answered; it may be taken here meanwhile.
         estate.keys.add(key)
-        self._ask_all(asking, SessionInheritance(asking.key, asking.sequence, *asking.over, book, asking.at))
+        self._ask_all(asking, SessionInheritance(asking.key, asking.sequence, *asking.over, partition, asking.at))
         self.counters.add("sessions inherited" if key in self.directory.sessions else "inheritances that failed")
         return True
 
-    def _heir_claims(self, asking: ClaimRequest, book: int, by: str, now: int) -> Claim:
+    def _successor_claims(self, asking: ClaimRequest, partition: int, by: str, now: int) -> Claim:
         holder = asking.over[1]
-        grant = self.node.grantor.grant(right_of(book))
+        grant = self.node.grantor.grant(right_of(partition))
         holds = (
-            book == self._newest_book(holder)
+            partition == self._newest_partition(holder)
             and grant.holder == by
             and not grant.closed
             and not self.node.grantor.learning
@@ -522,30 +525,30 @@
         moved = self.transfers.acceptor.moved(asking.key, holder, now - REMEMBERED) or self.transfers.open_move(
             asking.key
         )
-        return self.directory.heir_claims(asking, by, holds, moved, now)
+        return self.directory.successor_claims(asking, by, holds, moved, now)
 
     def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
-        """Of what the last holder of an adopted book offers, that which counts."""
-        estate, soon = self.estates.get(holding.book), self.clock.now() + 2 * LATE
+        """Of what the last holder of an adopted partition offers, that which counts."""
+        estate, soon = self.estates.get(holding.partition), self.clock.now() + 2 * LATE
         if estate is None or not estate.keys:
             return facts
         counts = []
         for fact in facts:
-            kept, known = self.store.kept.get(fact.number), holding.ledger.known.get(fact.number)
+            stored, known = self.store.messages.get(fact.number), holding.ledger.known.get(fact.number)
             if known is None:
                 if fact.base is not None and fact.base.turn in estate.keys:
                     continue  # Danger: no copy had it, so its client saw no answer and may have come here with it
-            elif kept is not None and kept.turn in estate.keys and known.end[0] is EndRank.NONE:
+            elif stored is not None and stored.turn in estate.keys and known.end[0] is EndRank.NONE:
                 withdrawn = fact.known.end[0] is EndRank.TOLD and not (fact.known.move and fact.known.move[1])
-                if withdrawn and kept.deadline > soon:  # later it may have been told 'failed' without a copy
+                if withdrawn and stored.deadline > soon:  # later it may have been told 'failed' without a copy
                     continue  # Danger: its client was turned away there, and may have been told +OK here since
             counts.append(fact)
         return counts
 
-    # ---- letters ----
+    # ---- peer messages ----
 
     def heard(self, sender: str, incarnation: int, body: Body) -> Body | None:
-        """The answer to another member's letter; None where it is not for this part."""
+        """The answer to another member's peer message; None where it is not for this part."""
         now = monotonic_time()
         if isinstance(body, ForwardedSubmit):
             return self._passed(sender, body)
@@ -561,7 +564,7 @@
             return ClaimReply(told.granted, lodging_of(told.entry))
         if isinstance(body, SessionInheritance):
             asking = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
-            told = self._heir_claims(asking, body.book, sender, now)
+            told = self._successor_claims(asking, body.partition, sender, now)
             return ClaimReply(told.granted, lodging_of(told.entry))
         if isinstance(body, RecallForward):
             return self._recalled(body)
@@ -573,11 +576,11 @@
         try:
             return self.lane.call(name, body, within_s)
         except PeerUnreachableError:
-            self.counters.add(f"letters about sessions without an answer: {name}")
+            self.counters.add(f"peer messages about sessions without an answer: {name}")
         except PeerRefusedError as error:
-            self.counters.trouble(f"{name} refused a letter about sessions", error)
+            self.counters.trouble(f"{name} refused a peer message about sessions", error)
         except CedarwickError as error:
-            self.counters.trouble("a letter about sessions that was not sent", error)
+            self.counters.trouble("a peer message about sessions that was not sent", error)
         return None
 
     # ---- everything, again and again ----
@@ -599,8 +602,8 @@
             self.directory.forget(now)
             self.transfers.forget(now)
             for known in (self.memories, self.estates):
-                for book in [book for book in known if book not in self.node.adoptions]:
-                    del known[book]
+                for partition in [partition for partition in known if partition not in self.node.adoptions]:
+                    del known[partition]
         self.transfers.look(now)
         self._plan(now)
         self._see_ends()
@@ -695,12 +698,12 @@
             self.ends.pop(key).set(self.directory.where(key))
 
 
-# ---- from and to letters ----
+# ---- from and to peer messages ----
 
 
-def hash_of(kept: StoredMessage) -> int:
+def hash_of(stored: StoredMessage) -> int:
     """What came with an id; the same wherever it comes."""
-    return contents(kept.key, kept.priority_class, kept.tenant, kept.destination, kept.body or b"")
+    return contents(stored.key, stored.priority_class, stored.tenant, stored.destination, stored.body or b"")
 
 
 def entry_of(told: SessionLocation | None) -> Entry | None:
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -11,16 +11,17 @@
   remembers, that is for `FORGOTTEN` after the session's last use. A member that has just started neither grants,
   claims nor disowns until ids of the time before can't come any more (`REMEMBERED`).
 
-- Of a sender whose book was adopted the adopter may *inherit* sessions at once, where it knows the ids of late
-  (`recent_ids.py`). Each acceptor of that claim grants it only if, as far as it knows, the asker holds the newest book
+- Of a sender whose partition was adopted the adopter may *inherit* sessions at once, where it knows the ids of late
+  (`recent_ids.py`). Each acceptor of that claim grants it only if, as far as it knows, the asker holds the newest
+  partition
   of the dead one, nobody else the session, and no move of it was voted on of late: ids that came with a move are not in
-  the book. Whoever has granted it votes on no move of that session for `REMEMBERED`. So an inheritance and a move, or a
-  new book of the dead one, which each need a majority as well, meet at one member at least.
-- So who has lost its book to an adopter holds nothing for sure (`unsure`): when it has the next one it claims each of
-  its sessions anew before it takes anything more, and goes on with the ids that it knows.
+  the partition. Whoever has granted it votes on no move of that session for `REMEMBERED`. So an inheritance and a
+  move, or a new partition of the dead one, which each need a majority as well, meet at one member at least.
+- So who has lost its partition to an adopter holds nothing for sure (`unsure`): when it has the next one it claims
+each of its sessions anew before it takes anything more, and goes on with the ids that it knows.
 
-The caller takes nothing for a session while it has no lease on its own book: one that is cut off might not hear that
-its sessions were claimed or adopted. Held sessions must be told in turn (`news`) within `REMEMBERED`.
+The caller takes nothing for a session while it has no lease on its own partition: one that is cut off might not hear
+that its sessions were claimed or adopted. Held sessions must be told in turn (`news`) within `REMEMBERED`.
 """
 
 from collections.abc import Iterable
@@ -210,9 +211,9 @@
         return asking
 
     def inherit(self, key: int, ids: dict[str, tuple[int, int]], now: int) -> ClaimRequest | None:
-        """Begin to claim a session whose last holder's book was adopted here; what to ask all other members.
+        """Begin to claim a session whose last holder's partition was adopted here; what to ask all other members.
 
-        The caller has found that nothing stands in the way here (`heir_claims`). `ids`: age and hash, all of late.
+        The caller has found that nothing stands in the way here (`successor_claims`). `ids`: age and hash, all of late.
         """
         known = self.entries.get(key)
         if known is None or self.grants_at > now or self.claiming(key, now):
@@ -245,11 +246,11 @@
         self._know(key, by, asking.sequence, now, False)
         return Claim(True, None)
 
-    def heir_claims(self, asking: ClaimRequest, by: str, holds: bool, moved: bool, now: int) -> Claim:
+    def successor_claims(self, asking: ClaimRequest, by: str, holds: bool, moved: bool, now: int) -> Claim:
         """Another member, or this one, is to inherit a session.
 
         Args:
-            holds: as far as is known here `by` holds the newest book of the last holder.
+            holds: as far as is known here `by` holds the newest partition of the last holder.
             moved: a vote of late on a move of the session stands in the way (`Acceptor.moved`), or an open move.
         """
         key, known = asking.key, self.entries.get(asking.key)
@@ -257,7 +258,7 @@
             return Claim(False, self.entry(key, now))
         if key in self.sessions and (self.sessions[key].used >= now - LAPSES or by == self.name):
             return Claim(False, self.entry(key, now))
-        # Danger: an heir's heir, or a second one, knows nothing of the ids that came by inheritance.
+        # Danger: a successor's successor, or a second one, knows nothing of the ids that came by inheritance.
         if self.bars(key, by, now):
             return Claim(False, self.entry(key, now))
         if known is not None and (
@@ -273,7 +274,7 @@
     def bars(self, key: int, giver: str, now: int, known: bool = True) -> bool:
         """Whether this member has granted an inheritance of late: it votes for no other giver's move of the session.
 
-        `known`: it had heard of the move before it started, or its giver lives, and so holds its book.
+        `known`: it had heard of the move before it started, or its giver lives, and so holds its partition.
         """
         # Danger: what was granted before a restart is forgotten.
         if not known and self.grants_at > now and giver != self.name:
@@ -295,7 +296,7 @@
         return key in self.sessions if known.holder == self.name else known.holder != giver
 
     def unsure(self) -> None:
-        """The book of this member was adopted: each session that it holds may have been inherited."""
+        """The partition of this member was adopted: each session that it holds may have been inherited."""
         for session in self.sessions.values():
             session.sure = False
 
@@ -357,8 +358,8 @@
             self.fresh[key] = None
 
     def without(self, holder: str, now: int) -> None:
-        """A member is dead and its book adopted: what the adopter has not claimed may be claimed by anybody once ids
-        of that time can't come any more."""
+        """A member is dead and its partition adopted: what the adopter has not claimed may be claimed by anybody once
+        ids of that time can't come any more."""
         for known in self.entries.values():
             if known.holder == holder:
                 known.used = min(known.used, now - FORGOTTEN + REMEMBERED)
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -1,18 +1,20 @@
-"""Who goes on with a book: the heirs of one whose holder is gone, and the owner at its boot. No I/O, no clock.
+"""Who goes on with a partition: the successors of one whose holder is gone, and the owner at its boot. No I/O, no
+clock.
 
-One `Takeover` a book at each member that has the book's records, as holder or as copy. The node asks `step` at each
-turn what is to be done, sends what `holder.asks` gives, and tells `holder.answered` of the answers.
+One `Takeover` a partition at each member that has the partition's records, as holder or as copy. The node asks `step`
+at each turn what is to be done, sends what `holder.asks` gives, and tells `holder.answered` of the answers.
 
     following  another member holds it and its promise runs
     waiting    the promise has run out; asks when it is this member's turn
     asking     for the next term
-    holding    granted: IMPORT until `imported`, then it may fire once its heirs are known (`holder.may_fire`)
+    holding    granted: IMPORT until `imported`, then it may fire once its successors are known (`holder.may_fire`)
     closing    nothing is owed: the right is being closed at a majority
-    offering   it held the book and another one does now: OFFER what only it knows, until `offered`
+    offering   it held the partition and another one does now: OFFER what only it knows, until `offered`
     gone       DROP all of it
 
-Turns: an heir waits 300 ms for each heir before it in the set that may be alive. Where the holder is not known to be
-dead but has not renewed, it may come back at any moment (a restart, a cut): then an heir has `PATIENCE` first.
+Turns: a successor waits 300 ms for each successor before it in the set that may be alive. Where the holder is not
+known to be
+dead but has not renewed, it may come back at any moment (a restart, a cut): then a successor has `PATIENCE` first.
 All times are whole microseconds of the member's own clock that goes on while the machine sleeps.
 """
 
@@ -25,12 +27,12 @@
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant
 
-TURN = 300_000  # microseconds that each heir has before the next one asks: an ask, its answers, and an ask again
+TURN = 300_000  # microseconds that each successor has before the next one asks: an ask, its answers, and an ask again
 PATIENCE = 3 * SPAN  # for a holder that is alive and does not renew; a restart takes about a second
 
 
 class TakeoverStage(Enum):
-    """How a member stands to a book."""
+    """How a member stands to a partition."""
 
     FOLLOWING = "following"
     WAITING = "waiting"
@@ -49,7 +51,7 @@
     IMPORT = "import"  # take the copy's facts into the own folder, then call `imported`
     CLOSE = "close"  # told once, for the log: nothing is owed, the right is being closed
     OFFER = "offer"  # send what is known to `to`; once it has taken all, call `offered`
-    DROP = "drop"  # the book's records and this object
+    DROP = "drop"  # the partition's records and this object
 
 
 class TakeoverStep(NamedTuple):
@@ -64,27 +66,27 @@
 
 
 class BooksExhaustedError(CedarwickError):
-    """A sender has opened all the books that its name has numbers for."""
+    """A sender has opened all the partitions that its name has numbers for."""
 
     code = "CW731"
     remedy = "give the sender another name in the members' list of every sender"
 
 
 class Takeover:
-    """One book at one member. `term`: the newest that the folder says this member has held it in, 0 for a copy.
+    """One partition at one member. `term`: the newest that the folder says this member has held it in, 0 for a copy.
 
-    `resume`: at boot, for a book that the folder says this member held, and for one that it opens.
+    `resume`: at boot, for a partition that the folder says this member held, and for one that it opens.
     `open`: new messages are taken in it, so it is not closed while it is empty.
     """
 
     def __init__(
-        self, book: int, me: str, names: Collection[str], term: int = 0, resume: bool = False, open: bool = False
+        self, partition: int, me: str, names: Collection[str], term: int = 0, resume: bool = False, open: bool = False
     ) -> None:
-        self.book = book
+        self.partition = partition
         self.me = me
         self.open = open
         self.stage = TakeoverStage.FOLLOWING
-        self.holder = LeaseHolder(right_of(book), me, names)
+        self.holder = LeaseHolder(right_of(partition), me, names)
         self.holder.term = term
         self._held = resume  # it may know what nobody else does
         self._resume = resume
@@ -92,10 +94,10 @@
         self._away: tuple[str, int] | None = None  # the holder that is away, and since when
         self._lost = 0  # when the right was lost, or not got
 
-    def imported(self, now: int, heirs: Collection[str]) -> None:
+    def imported(self, now: int, successors: Collection[str]) -> None:
         """The facts are in the own folder. `heirs`: whose copies are whole by them, in the order of adoption."""
         self._imported = True
-        self.holder.name(now, heirs)
+        self.holder.name(now, successors)
 
     def offered(self) -> None:
         """The newer holder has taken all that this member knows."""
@@ -108,8 +110,8 @@
         """What is to be done now.
 
         `grant` and `promised` are the own grantor's (`Grantor.grant`, `Grantor.promised`); `standing` tells how a
-        member stands; `whole`: this member's records of the book are all that the holder named it an heir for, and
-        none was lost since; `owed`: messages without an end.
+        member stands; `whole`: this member's records of the partition are all that the holder named it a successor
+        for, and none was lost since; `owed`: messages without an end.
         """
         self.holder.look(now)
         if self.holder.state is LeaseState.CLOSED or (grant.closed and self.stage is not TakeoverStage.CLOSING):
@@ -170,51 +172,52 @@
             self._away = (holder, now)
         if self._resume and holder in ("", self.me):
             return True  # nobody was promised anything but we, in a boot before this one
-        # Danger: a copy that is no heir lacks attempts; grantors would refuse it, but its asks would cost them the
+        # Danger: a copy that is no successor lacks attempts; grantors would refuse it, but its asks would cost them the
         # term.
-        if self.me not in grant.heirs:
+        if self.me not in grant.successors:
             return grant.set == 0 and self._held and now >= max(promised, self._lost + SPAN)
-        before = grant.heirs[: grant.heirs.index(self.me)]
+        before = grant.successors[: grant.successors.index(self.me)]
         place = sum(standing(name) not in AWAY for name in before)
-        # Danger: who was refused must let the promises to itself run out, or two heirs would split each vote.
+        # Danger: who was refused must let the promises to itself run out, or two successors would split each vote.
         quiet = max(promised, self._lost + SPAN if self._lost else 0)
         since = max(quiet, self._away[1]) if away and self._away else quiet + PATIENCE
         return now >= since + place * TURN
 
 
 class Ownership:
-    """In which book a member takes new messages: the newest of its folder while that can be resumed, else a new one.
+    """In which partition a member takes new messages: the newest of its folder while that can be resumed, else a new
+    one.
 
-    `kept`: the books of the own slot that the folder says this member held, with the newest term of each.
+    `kept`: the partitions of the own slot that the folder says this member held, with the newest term of each.
     """
 
-    def __init__(self, me: str, slot: int, names: Collection[str], kept: dict[int, int]) -> None:
+    def __init__(self, me: str, slot: int, names: Collection[str], stored: dict[int, int]) -> None:
         self.me = me
         self.slot = slot
         self.names = names
         self.current: Takeover | None = None
-        self.full = False  # the open book has no numbers left
-        self._kept = dict(kept)
-        self._newest = max((book % (1 << EPOCH_BITS) for book in kept), default=-1)
+        self.full = False  # the open partition has no numbers left
+        self._kept = dict(stored)
+        self._newest = max((partition % (1 << EPOCH_BITS) for partition in stored), default=-1)
 
     def step(self, grantor: LeaseGrantor) -> Takeover | None:
-        """A book's adoption that begins now, for the node to run with all others; None: none begins.
+        """A partition's adoption that begins now, for the node to run with all others; None: none begins.
 
-        While the own grantor learns nothing is opened: the table may know books that this member has forgotten.
+        While the own grantor learns nothing is opened: the table may know partitions that this member has forgotten.
         Raises `BooksExhaustedError`.
         """
         if self.current is not None and not self._is_lost(self.current) and not self.full:
             return None
         if self.current is None and self._kept:
-            book = max(self._kept)
-            self.current = Takeover(book, self.me, self.names, self._kept[book], resume=True, open=True)
+            partition = max(self._kept)
+            self.current = Takeover(partition, self.me, self.names, self._kept[partition], resume=True, open=True)
             return self.current
         if grantor.learning:
             return None
         # Danger: a number that was used before would make two messages one.
         epoch = max(grantor.newest(self.slot), self._newest) + 1
         if epoch >> EPOCH_BITS:
-            raise BooksExhaustedError(f"{self.me}: all {1 << EPOCH_BITS} books of its slot have been opened")
+            raise BooksExhaustedError(f"{self.me}: all {1 << EPOCH_BITS} partitions of its slot have been opened")
         self.full = False
         if self.current is not None:
             self.current.open = False  # if it comes back, it is closed once nothing is owed
@@ -222,9 +225,9 @@
         self.current = Takeover(self.slot << EPOCH_BITS | epoch, self.me, self.names, resume=True, open=True)
         return self.current
 
-    def book(self, now: int) -> int | None:
-        """The book in which new messages may be taken now; None: there is none, and clients are told `-BUSY`."""
-        return self.current.book if self.current is not None and self.current.holder.may_fire(now) else None
+    def partition(self, now: int) -> int | None:
+        """The partition in which new messages may be taken now; None: there is none, and clients are told `-BUSY`."""
+        return self.current.partition if self.current is not None and self.current.holder.may_fire(now) else None
 
     def _is_lost(self, current: Takeover) -> bool:
         return current.stage in (TakeoverStage.OFFERING, TakeoverStage.GONE)
--- a/cedarwick/fleet/transport.py
+++ b/cedarwick/fleet/transport.py
@@ -1,6 +1,8 @@
-"""Letters between members over HTTP/1.1: a server on the member's own address, and kept connections to the others.
+"""Peer messages between members over HTTP/1.1: a server on the member's own address, and kept connections to the
+others.
 
-A refusal is a letter with `RequestRefused`, whatever the status beside it: 4xx where the letter is at fault, 503 where
+A refusal is a peer message with `RequestRefused`, whatever the status beside it: 4xx where the peer message is at
+fault, 503 where
 there are too many, 500 where its handler failed. Who calls tries again by `retry.Waits`; nothing is sent twice here.
 """
 
@@ -36,7 +38,7 @@
 from cedarwick.net.sockets import is_closed, open_connection
 
 PATH = b"/fleet/1"
-MOST_AT_ONCE = 64  # letters that are read and answered; those beyond get 503, but for beats and asks
+MOST_AT_ONCE = 64  # peer messages that are read and answered; those beyond get 503, but for beats and asks
 SMALL = 1 << 13  # bytes of a beat or an ask, at most
 MOST_CONNECTIONS = 256  # further ones wait in the backlog
 BACKLOG = 256
@@ -53,21 +55,21 @@
 
 
 class NotAPeerMessageError(CedarwickError):
-    """A request to the fleet's address that brings no letter."""
+    """A request to the fleet's address that brings no peer message."""
 
     code = "CW707"
     remedy = "ask who calls the fleet's address: only members do, by POST with a Content-Length"
 
 
 class PeerMessageTooLargeError(CedarwickError):
-    """A letter larger than any member reads."""
+    """A peer message larger than any member reads."""
 
     code = "CW708"
     remedy = "report it, with the log of the sender that wrote it"
 
 
 class TooManyRequestsError(CedarwickError):
-    """As many letters are being answered as may be at once."""
+    """As many peer messages are being answered as may be at once."""
 
     code = "CW709"
     remedy = "the caller tries again by itself; if it lasts, look at the load and lag of this member"
@@ -81,21 +83,21 @@
 
 
 class AnswerFailedError(CedarwickError):
-    """A letter met an error in the program; the sender goes on."""
+    """A peer message met an error in the program; the sender goes on."""
 
     code = "CW711"
     remedy = "see the log of the member that was called for the trace, and report it"
 
 
 class PeerUnreachableError(CedarwickError):
-    """A member did not answer, or not with a letter: the request may have got through."""
+    """A member did not answer, or not with a peer message: the request may have got through."""
 
     code = "CW712"
     remedy = "look at that member's process and at the network between the two"
 
 
 class PeerRefusedError(CedarwickError):
-    """A member read the letter and refused it; `refused` is its answer."""
+    """A member read the peer message and refused it; `refused` is its answer."""
 
     code = "CW713"
     remedy = "do what docs/errors.md says for the code that the member gave"
@@ -125,7 +127,7 @@
         self.url = b""
         self.method = b""  # once the head was read
         self.size = -1  # of the body as the head tells it; -1: it does not
-        self.kept: bytearray | None = bytearray()  # the body so far; None: nobody wants it
+        self.messages: bytearray | None = bytearray()  # the body so far; None: nobody wants it
         self.complete = False
         self.keep_alive = False
 
@@ -144,8 +146,8 @@
         self.method = self.parser.get_method()
 
     def on_body(self, part: bytes) -> None:
-        if self.kept is not None:
-            self.kept += part
+        if self.messages is not None:
+            self.messages += part
 
     def on_message_complete(self) -> None:
         self.complete = True
@@ -170,7 +172,7 @@
 
 
 class PeerServer:
-    """Answers the letters of other members, each in the greenlet of its connection."""
+    """Answers the peer messages of other members, each in the greenlet of its connection."""
 
     def __init__(self, where: Address, gate: PeerVerifier, counters: Counters, answer: Handling) -> None:
         """Listens at once; OSError where the address cannot be had. Port 0: any; `port` is the one it got."""
@@ -246,14 +248,14 @@
 
     def _said(self, request: HttpRequest, sock: gevent.socket.socket, caller: Address) -> tuple[bytes, bytes]:
         """Status and body of the answer to a request: of a handler, or a refusal."""
-        head: list[PeerMessageHeader] = []  # of the letter, once it was read so far
+        head: list[PeerMessageHeader] = []  # of the peer message, once it was read so far
         self.busy += 1
         try:
             return b"200 OK", self._answered(request, sock, caller[0], head)
         except CedarwickError as error:
-            self.counters.trouble("a letter was refused", error)
+            self.counters.trouble("a peer message was refused", error)
             refused = RequestRefused(error.code, str(error)[:512])
-            told = encode(self.gate.letter(head[0].sender if head else "", refused))
+            told = encode(self.gate.peer_message(head[0].sender if head else "", refused))
             return STATUS.get(type(error), AT_FAULT), told
         finally:
             self.busy -= 1
@@ -266,33 +268,33 @@
             raise NotAPeerMessageError(f"{request.method.decode()} {request.url[:100].decode('latin-1')} of {caller}")
         if request.size > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
-                f"a letter of {request.size} bytes from {caller}, where {MAX_MESSAGE_BYTES} is the most"
+                f"a peer message of {request.size} bytes from {caller}, where {MAX_MESSAGE_BYTES} is the most"
             )
         many = self.busy > MOST_AT_ONCE
         if many and request.size > SMALL:
-            request.kept = None
+            request.messages = None
             read(request, sock)
-            raise TooManyRequestsError(f"{MOST_AT_ONCE} letters are being answered at {self.gate.me!r}")
+            raise TooManyRequestsError(f"{MOST_AT_ONCE} peer messages are being answered at {self.gate.me!r}")
         told = read(request, sock)
         try:
-            letter = decode(told)
+            peer_message = decode(told)
         except InvalidPeerMessageError:
             if (begin := head_of(told)) is not None:
                 head.append(begin)
                 self.gate.same_version(begin)
             raise
-        head.append(letter)
-        self.gate.check(letter)
+        head.append(peer_message)
+        self.gate.check(peer_message)
         # Danger: those that wait for copies and frozen sessions would keep them out, and members' rights would lapse.
-        if many and not isinstance(letter.body, Heartbeat | LeaseRequest):
-            raise TooManyRequestsError(f"{MOST_AT_ONCE} letters are being answered at {self.gate.me!r}")
+        if many and not isinstance(peer_message.body, Heartbeat | LeaseRequest):
+            raise TooManyRequestsError(f"{MOST_AT_ONCE} peer messages are being answered at {self.gate.me!r}")
         try:
-            said = encode(self.answer(letter))
+            said = encode(self.answer(peer_message))
         except CedarwickError:
             raise
-        except Exception:  # one failing letter must not end the link: beats and leases are still owed
-            self.counters.failed("answering a letter failed")
-            raise AnswerFailedError(f"{self.gate.me!r} failed to answer a {type(letter.body).__name__}") from None
+        except Exception:  # one failing peer message must not end the link: beats and leases are still owed
+            self.counters.failed("answering a peer message failed")
+            raise AnswerFailedError(f"{self.gate.me!r} failed to answer a {type(peer_message.body).__name__}") from None
         if len(said) > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
                 f"{self.gate.me!r} has an answer of {len(said)} bytes, where {MAX_MESSAGE_BYTES} is the most"
@@ -316,13 +318,15 @@
         while not request.complete:
             told = received(sock, end - time.monotonic())
             if not told:
-                raise InvalidPeerMessageError(f"a letter of {request.size} bytes was cut")
+                raise InvalidPeerMessageError(f"a peer message of {request.size} bytes was cut")
             request.feed(told)
     except TimeoutError:
-        raise RequestTimeoutError(f"{request.size} bytes of a letter did not come within {READ_WITHIN:g} s") from None
+        raise RequestTimeoutError(
+            f"{request.size} bytes of a peer message did not come within {READ_WITHIN:g} s"
+        ) from None
     except OSError as error:
-        raise InvalidPeerMessageError(f"a letter of {request.size} bytes was cut: {error}") from None
-    return bytes(request.kept or b"")
+        raise InvalidPeerMessageError(f"a peer message of {request.size} bytes was cut: {error}") from None
+    return bytes(request.messages or b"")
 
 
 # ---- the client ----
@@ -359,24 +363,24 @@
     def connection(self, within_s: float) -> PooledConnection:
         """An idle connection that still stands, or a new one; OSError where none comes up."""
         while self.idle:
-            kept = self.idle.pop()
-            if time.monotonic() - kept.used < KEPT and not is_closed(kept.sock):
-                return kept
-            self.close(kept)  # nothing was written on it: no failure
-        kept = PooledConnection(open_connection(self.address, within_s))
-        self.open.add(kept)
-        return kept
-
-    def close(self, kept: PooledConnection) -> None:
-        self.open.discard(kept)
-        kept.sock.close()
+            stored = self.idle.pop()
+            if time.monotonic() - stored.used < KEPT and not is_closed(stored.sock):
+                return stored
+            self.close(stored)  # nothing was written on it: no failure
+        stored = PooledConnection(open_connection(self.address, within_s))
+        self.open.add(stored)
+        return stored
+
+    def close(self, stored: PooledConnection) -> None:
+        self.open.discard(stored)
+        stored.sock.close()
 
     def leave(self) -> None:
         """Close all; a call that is out ends as `PeerUnreachableError`."""
         self.gone = True
         self.idle.clear()
-        for kept in list(self.open):
-            self.close(kept)
+        for stored in list(self.open):
+            self.close(stored)
 
 
 class Peers:
@@ -409,9 +413,9 @@
 
     def call(self, member: str, body: Body, within_s: float) -> Body:
         """What the member answers; as `letter`."""
-        return self.letter(member, body, within_s).body
+        return self.peer_message(member, body, within_s).body
 
-    def letter(self, member: str, body: Body, within_s: float) -> PeerMessage:
+    def peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
         """The member's answer within so many seconds, the wait in the queue counted.
 
         `PeerUnreachableError`: no answer, or none that can be read. `PeerRefusedError`: the member says why not.
@@ -422,16 +426,17 @@
             raise PeerUnreachableError(f"{member!r} is no other member")
         if peer.calls >= QUEUE:
             raise PeerUnreachableError(f"{peer}: {QUEUE} calls are out or wait already")
-        letter = encode(self.gate.letter(member, body))
-        if len(letter) > MAX_MESSAGE_BYTES:
+        peer_message = encode(self.gate.peer_message(member, body))
+        if len(peer_message) > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
-                f"a {type(body).__name__} of {len(letter)} bytes to {member!r}, where {MAX_MESSAGE_BYTES} is the most"
+                f"a {type(body).__name__} of {len(peer_message)} bytes to {member!r}, "
+                f"where {MAX_MESSAGE_BYTES} is the most"
             )
         limit = gevent.Timeout(within_s)
         peer.calls += 1
         try:
             with limit, peer.urgent if isinstance(body, LeaseRequest | Heartbeat) else peer.room:
-                status, told = exchange(peer, letter, within_s)
+                status, told = exchange(peer, peer_message, within_s)
             answer = decode(told)
         except gevent.Timeout as late:
             if late is not limit:
@@ -458,33 +463,37 @@
         return answer
 
 
-def exchange(peer: PeerPool, letter: bytes, within_s: float) -> tuple[int, bytes]:
-    """Status and body of the answer to one letter; OSError and `http.InvalidResponseError` where there is none."""
+def exchange(peer: PeerPool, peer_message: bytes, within_s: float) -> tuple[int, bytes]:
+    """Status and body of the answer to one peer message.
+
+    OSError and `http.InvalidResponseError` where there is none.
+    """
     if peer.gone:
         raise ConnectionAbortedError("no member any more")
-    kept = peer.connection(within_s)
+    stored = peer.connection(within_s)
     whole = False
     try:
-        kept.sock.settimeout(None)  # the time limit is the whole call's
-        kept.sock.sendall(
+        stored.sock.settimeout(None)  # the time limit is the whole call's
+        stored.sock.sendall(
             b"POST %s HTTP/1.1\r\nHost: %s:%d\r\nContent-Type: application/msgpack\r\n"
-            b"Content-Length: %d\r\n\r\n%s" % (PATH, peer.address[0].encode(), peer.address[1], len(letter), letter)
+            b"Content-Length: %d\r\n\r\n%s"
+            % (PATH, peer.address[0].encode(), peer.address[1], len(peer_message), peer_message)
         )
         told = bytearray()
         answer = http.ResponseParser(told.extend)
         while not answer.complete:
-            if kept.buffer.fill(kept.sock):
-                answer.feed(kept.buffer)
+            if stored.buffer.fill(stored.sock):
+                answer.feed(stored.buffer)
             elif not answer.ended():
                 raise http.InvalidResponseError("the connection ended before the answer did")
             if len(told) > MAX_MESSAGE_BYTES:
                 raise http.InvalidResponseError(f"an answer of more than {MAX_MESSAGE_BYTES} bytes")
-        # Danger: bytes behind this answer would be read as that to the next letter; `keep_alive` is false then.
+        # Danger: bytes behind this answer would be read as that to the next peer message; `keep_alive` is false then.
         whole = answer.keep_alive
     finally:
         if whole:
-            kept.used = time.monotonic()
-            peer.idle.append(kept)
+            stored.used = time.monotonic()
+            peer.idle.append(stored)
         else:
-            peer.close(kept)
+            peer.close(stored)
     return answer.status, bytes(told)
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -31,7 +31,7 @@
 class AttemptCall:
     """One attempt that the decisions have ordered."""
 
-    kept: StoredMessage
+    message: StoredMessage
     attempt: int
     receiver: int
     ordered_at: int
@@ -94,7 +94,7 @@
     def cut(self, numbers: Collection[int]) -> None:
         """Give up the calls of some messages at once, and close their links: they may have run."""
         for greenlet, call in list(self.out.items()):
-            if call.kept.number in numbers and not call.told:
+            if call.message.number in numbers and not call.told:
                 greenlet.kill(block=False)
                 self.counters.add("attempts cut off: their session moves")
                 self._end(call, Outcome.RESET if call.recorded else Outcome.MOOT)
@@ -168,7 +168,7 @@
             self._wait_until(link, min(call.until, call.send_by))
             whole = encode_request(call, self.clock.now())
             # Danger: the right to fire may have run out since the dispatcher was asked; another sender has it then.
-            if not self.may_fire(call.kept.number):
+            if not self.may_fire(call.message.number):
                 self.counters.add("attempts held back: no right to fire")
                 self._end(call, Outcome.MOOT)
                 return True
@@ -316,10 +316,10 @@
 
 
 def encode_request(call: AttemptCall, now: int) -> bytes:
-    kept = call.kept
-    lines = ["POST /receive HTTP/1.1", "Host: receiver", f"X-Txn: {kept.id}"]
-    if kept.key:
-        lines.append(f"Idempotency-Key: {kept.key}")
+    stored = call.message
+    lines = ["POST /receive HTTP/1.1", "Host: receiver", f"X-Txn: {stored.id}"]
+    if stored.key:
+        lines.append(f"Idempotency-Key: {stored.key}")
     lines.append(f"X-Remaining-Ms: {max(0, call.until - now) // 1000}")
     lines.append(f"Content-Length: {len(call.body)}")
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + call.body
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -440,7 +440,7 @@
             self.counters.add("unknown commands")
             return b"-ERR unknown command\r\n"
         try:
-            kept, again = read_submission(parts, self.clock.now())
+            stored, again = read_submission(parts, self.clock.now())
         except InvalidSubmitError as error:
             client.unusable += 1
             self.counters.trouble("a request that cannot be taken", error)
@@ -450,7 +450,7 @@
             self.counters.add("turned away at a start or an end")
             client.unusable += not self.closing and client.unusable < DOUBTED
             return BUSY
-        answered, wait_ms, withdraw = self.hand_in(kept)
+        answered, wait_ms, withdraw = self.hand_in(stored)
         if answered in (AdmissionResult.KEPT, AdmissionResult.BUSY):
             client.served, client.unusable = True, 0
         elif (
@@ -466,12 +466,12 @@
             return b"-BUSY %d\r\n" % wait_ms
         return REPLIES[answered]
 
-    def to_dispatcher(self, kept: StoredMessage) -> SubmitResult:
+    def to_dispatcher(self, stored: StoredMessage) -> SubmitResult:
         """Hand a message to this sender's own dispatcher."""
-        submission = Submission(kept)
+        submission = Submission(stored)
         self.dispatcher.submit(submission)
         answered, wait_ms = submission.answer.get()
-        taken = answered is AdmissionResult.KEPT and kept.number
+        taken = answered is AdmissionResult.KEPT and stored.number
         return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
 
 
@@ -548,7 +548,7 @@
     if not priority_class:
         raise InvalidSubmitError("c is missing")
     limit = now + int(told[b"d"]) * 1000 - READ_LATE
-    kept = StoredMessage(
+    stored = StoredMessage(
         0, message.decode(), key.decode(), int(turn, 16), priority_class, tenant, int(told[b"dest"]), limit, body
     )
-    return kept, told.get(b"again") == b"1"
+    return stored, told.get(b"again") == b"1"
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -29,7 +29,7 @@
 DEADLINE_MARGIN = (
     50_000  # before its deadline a message is written off at the end of a process that others take over from
 )
-BOOK = 32  # bits of a number within its book: below them numbers grow as messages are taken
+PARTITION_SHIFT = 32  # bits of a number within its partition: below them numbers grow as messages are taken
 ERROR_BACKOFF = 100_000  # until the next round: an error that comes again must not fill the core
 
 
@@ -49,7 +49,7 @@
 class Submission:
     """A message as a client hands it in; the dispatcher gives it its number and sets the answer."""
 
-    kept: StoredMessage
+    message: StoredMessage
     answer: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
 
     def answered(self, what: AdmissionResult, wait_ms: int = 0) -> None:
@@ -124,8 +124,8 @@
         self.queue.put((self._take, (submission,)))
 
     def withdraw(self, submission: Submission) -> None:
-        self.leaving.add(submission.kept.number)
-        self.queue.put((self._withdraw, (submission.kept,)))
+        self.leaving.add(submission.message.number)
+        self.queue.put((self._withdraw, (submission.message,)))
 
     def clear(self, call: AttemptCall) -> bool:
         """Whether the attempt may still go out; its record is written then."""
@@ -138,7 +138,7 @@
 
         Danger: while an attempt's record was waited for, the client may have left, and hands the same in elsewhere.
         """
-        return number in self.store.kept and number not in self.leaving and self.store.may_fire(number)
+        return number in self.store.messages and number not in self.leaving and self.store.may_fire(number)
 
     def attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
         self.queue.put((self._attempt_ended, (call, ending)))
@@ -260,7 +260,7 @@
 
     def resume(self) -> None:
         """Once, before the start: what an earlier process of this sender has left, as far as it may be fired for."""
-        numbers = [number for number in sorted(self.store.kept) if self.store.may_fire(number)]
+        numbers = [number for number in sorted(self.store.messages) if self.store.may_fire(number)]
         if self.store.restarted:
             taken_up = self._take_up(numbers)
             logger.info("restarted with {} messages owed, {} notices", taken_up, len(self.notices.owed))
@@ -269,26 +269,26 @@
         """Stored messages become owed by the decisions; how many have no end yet."""
         owed = []
         for number in numbers:
-            kept = self.store.kept[number]
-            self.numbers[kept.id] = number
-            if kept.end is None and kept.priority_class not in self.priority_classes:
+            stored = self.store.messages[number]
+            self.numbers[stored.id] = number
+            if stored.end is None and stored.priority_class not in self.priority_classes:
                 self.counters.trouble(
-                    "a message of a priority class that is no more goes once at most", kept.priority_class
+                    "a message of a priority class that is no more goes once at most", stored.priority_class
                 )
-            if kept.end is not None:
+            if stored.end is not None:
                 self.untold.discard(number)
-                self.notices.post(number, kept.id, *kept.end)
+                self.notices.post(number, stored.id, *stored.end)
                 continue
-            attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in kept.earlier_attempts()]
-            priority_class = self.priority_classes.get(kept.priority_class, len(self.sender.priority_classes) - 1)
+            attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in stored.earlier_attempts()]
+            priority_class = self.priority_classes.get(stored.priority_class, len(self.sender.priority_classes) - 1)
             owed.append(
                 UnfinishedMessage(
                     number,
-                    kept.destination,
+                    stored.destination,
                     priority_class,
-                    kept.deadline,
-                    place(self.tenants, kept.tenant),
-                    kept.turn,
+                    stored.deadline,
+                    place(self.tenants, stored.tenant),
+                    stored.turn,
                     attempts,
                 )
             )
@@ -313,10 +313,10 @@
         known = [
             number
             for number in numbers
-            if number in self.store.kept
+            if number in self.store.messages
             and number not in self.handles
             and number not in self.store.inert
-            and self.store.kept[number].turn not in self.frozen
+            and self.store.messages[number].turn not in self.frozen
         ]
         # Danger: an attempt of before the message was parked may still be out, and a second would run beside it.
         self.to_adopt.update(number for number in known if number in self.parked)
@@ -330,8 +330,10 @@
         not_sent = self.not_sent.difference(taken_up)
 
         def before(one: Handle, other: Handle) -> bool:
-            # Danger: one whose attempt was out when its book was parked comes back after all others of its key.
-            return other.id in not_sent or other.id > one.id and other.id >> BOOK == one.id >> BOOK
+            # Danger: one whose attempt was out when its partition was parked comes back after all others of its key.
+            return (
+                other.id in not_sent or other.id > one.id and other.id >> PARTITION_SHIFT == one.id >> PARTITION_SHIFT
+            )
 
         for key, handles in joined.items():
             self.sender.turns.line_up(key, handles, before)
@@ -367,8 +369,8 @@
             submission = self.fresh.pop(number, None)
             if submission is not None:
                 # It is not kept yet, and neither is anything known of it that its next holder must not take.
-                self.recent.pop(submission.kept.id, None)
-                submission.kept.number = 0
+                self.recent.pop(submission.message.id, None)
+                submission.message.number = 0
                 submission.answered(AdmissionResult.FROZEN)
         self._park(numbers)
         frozen.out = {number for number, handle in self.parked.items() if handle.key == key}
@@ -388,79 +390,85 @@
 
     def _answer_late(self, numbers: list[int]) -> None:
         for number in numbers:
-            kept = self.store.kept.get(number)
-            if kept is None or number in self.handles or number in self.notices.owed:
+            stored = self.store.messages.get(number)
+            if stored is None or number in self.handles or number in self.notices.owed:
                 continue
-            if kept.end is None or number in self.untold:
+            if stored.end is None or number in self.untold:
                 self.counters.trouble("a message ends that nobody may fire for", number)
                 self._final(number, False, 0, alone=True)
             else:
-                self.notices.post(number, kept.id, *kept.end)
+                self.notices.post(number, stored.id, *stored.end)
 
     def _take(self, submission: Submission) -> None:
-        kept = submission.kept
-        priority_class = self.priority_classes.get(kept.priority_class)
+        stored = submission.message
+        priority_class = self.priority_classes.get(stored.priority_class)
         if priority_class is None:
             submission.answered(AdmissionResult.UNKNOWN_PRIORITY_CLASS)
             return
-        if kept.destination not in self.sender.destinations:
+        if stored.destination not in self.sender.destinations:
             self.counters.add("turned away: a destination that nobody listed")
             submission.answered(AdmissionResult.UNKNOWN_DESTINATION)
             return
         now = self.clock.now()
-        if kept.turn in self.frozen:
+        if stored.turn in self.frozen:
             submission.answered(AdmissionResult.FROZEN)
             return
         # Danger: a copy of an id that has ended would go out again, with whatever body it brings.
-        copied = hash((kept.key, kept.turn, kept.priority_class, kept.tenant, kept.destination, kept.body))
-        known = self.recent.get(kept.id)
-        if known is not None or kept.id in self.numbers:
-            same = known is not None and known[1] == copied and kept.id in self.numbers
-            same = same and self.numbers[kept.id] not in self.fresh
+        copied = hash((stored.key, stored.turn, stored.priority_class, stored.tenant, stored.destination, stored.body))
+        known = self.recent.get(stored.id)
+        if known is not None or stored.id in self.numbers:
+            same = known is not None and known[1] == copied and stored.id in self.numbers
+            same = same and self.numbers[stored.id] not in self.fresh
             submission.answered(AdmissionResult.KEPT if same else AdmissionResult.REPEATED)
             return
         while self.recent and next(iter(self.recent.values()))[0] < now - RECENT_ID_LIFETIME:
             del self.recent[next(iter(self.recent))]
-        self.recent[kept.id] = now, copied
-        if not self.store.has_room(kept):
+        self.recent[stored.id] = now, copied
+        if not self.store.has_room(stored):
             self.counters.add("turned away: no room in the folder")
             submission.answered(AdmissionResult.BUSY)
             return
-        kept.number = number = self.store.next_number
+        stored.number = number = self.store.next_number
         self.store.next_number += 1
         self.fresh[number] = submission
-        self.numbers[kept.id] = number
+        self.numbers[stored.id] = number
         # Danger: an absurd time to live would be held, and take up its room, for ever.
-        kept.deadline = min(kept.deadline, now + self.sender.priority_classes[priority_class].deadline)
+        stored.deadline = min(stored.deadline, now + self.sender.priority_classes[priority_class].deadline)
         self.handles[number] = self.sender.take(
-            now, number, kept.destination, priority_class, kept.deadline, place(self.tenants, kept.tenant), kept.turn
+            now,
+            number,
+            stored.destination,
+            priority_class,
+            stored.deadline,
+            place(self.tenants, stored.tenant),
+            stored.turn,
         )
-        if kept.turn in self.elsewhere and self.sender.priority_classes[priority_class].ordered:
+        if stored.turn in self.elsewhere and self.sender.priority_classes[priority_class].ordered:
             self.counters.add("messages that waited for others of their key elsewhere")
-            self._let_rest(kept.turn)
+            self._let_rest(stored.turn)
 
-    def _withdraw(self, kept: StoredMessage) -> None:
-        self.leaving.discard(kept.number)
-        if kept.number in self.store.inert:
+    def _withdraw(self, stored: StoredMessage) -> None:
+        self.leaving.discard(stored.number)
+        if stored.number in self.store.inert:
             return  # it is on its way to another sender, who knows nothing of this
-        handle = self.handles.get(kept.number)
+        handle = self.handles.get(stored.number)
         if handle is not None:
             handle.withdrawn(self.clock.now())
             if not handle.out:
-                del self.handles[kept.number]
-        self._over(kept)
+                del self.handles[stored.number]
+        self._over(stored)
 
     def _asks(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
         self.asked.append((call, answer))
 
     def _clear(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
         call.looked_at = self.polled.at
-        now, number = self.clock.now(), call.kept.number
+        now, number = self.clock.now(), call.message.number
         handle = self.handles.get(number)
         may = free = handle is not None and handle.may_start(now, call.receiver) and not self.holding_fire
         may = may and self.store.may_fire(number)
         call.send_by = handle.send_by() if handle is not None else 0
-        if may and number in self.store.kept and not call.recorded:
+        if may and number in self.store.messages and not call.recorded:
             zone = self.sender.receivers[call.receiver].zone
             mark = self.zones[zone] if zone < len(self.zones) else NOWHERE
             may = self._with_body(call)
@@ -480,7 +488,7 @@
     def _with_body(self, call: AttemptCall) -> bool:
         """Whether the body could be read back; it may lie in the folder only."""
         try:
-            call.body = self.store.body(call.kept.number)
+            call.body = self.store.body(call.message.number)
         except BodyLostError as error:
             self.counters.trouble("a body cannot be read back", error)
             return False
@@ -491,7 +499,7 @@
         self._attempt_ended(call, AttemptResult(Outcome.MOOT))
 
     def _attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
-        number = call.kept.number
+        number = call.message.number
         if call.recorded:
             self._recorded("the record of an outcome", self.store.outcome, number, ending.outcome)
         handle = self.handles.get(number)
@@ -507,7 +515,7 @@
                 ending.report,
                 ending.reused_connection,
             )
-            frozen = self.frozen.get(call.kept.turn)
+            frozen = self.frozen.get(call.message.turn)
             if frozen is not None:
                 frozen.out.discard(number)
                 if not frozen.out and not frozen.still.ready():
@@ -533,9 +541,9 @@
         if handle.ended:
             self.counters.add(f"messages over: {ending.outcome.value}")
             if ending.outcome is Outcome.COMPLETED:
-                self.counters.figures.passed[call.kept.priority_class] += 1
+                self.counters.figures.passed[call.message.priority_class] += 1
             del self.handles[number]
-            self._over(call.kept)
+            self._over(call.message)
 
     def _listed(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
         self.sender.listed(self.clock.now(), change, listings)
@@ -558,14 +566,14 @@
 
     def _acknowledged(self, numbers: list[int]) -> None:
         for number in numbers:
-            if number in self.store.kept:
-                self._over(self.store.kept[number])
+            if number in self.store.messages:
+                self._over(self.store.messages[number])
 
-    def _over(self, kept: StoredMessage) -> None:
+    def _over(self, stored: StoredMessage) -> None:
         """Nothing more is owed for this message."""
-        self.numbers.pop(kept.id, None)
-        self.untold.discard(kept.number)
-        self._recorded("the record of an end", self.store.over, kept.number)
+        self.numbers.pop(stored.id, None)
+        self.untold.discard(stored.number)
+        self._recorded("the record of an end", self.store.over, stored.number)
 
     def _recorded(self, what: str, write: Callable[..., None], *told: Any) -> bool:
         """Write to the folder; False, and a count of the trouble, where there is no room."""
@@ -593,7 +601,7 @@
             if fresh is None:
                 self._final(number, True, wait // 1000)
                 continue
-            del self.handles[number], self.numbers[fresh.kept.id]
+            del self.handles[number], self.numbers[fresh.message.id]
             self.counters.add("nacked at the door")
             fresh.answered(AdmissionResult.BUSY, wait // 1000)
         for number in verdicts.abandoned:
@@ -605,9 +613,9 @@
             self.free_links(receiver)
         for number, receiver, patience in verdicts.attempts:
             handle = self.handles[number]
-            if number in self.store.kept:
+            if number in self.store.messages:
                 call = AttemptCall(
-                    self.store.kept[number],
+                    self.store.messages[number],
                     handle.attempts - 1,
                     receiver,
                     now,
@@ -632,7 +640,7 @@
 
     def _turn_away(self) -> None:
         for submission in self.fresh.values():
-            self.numbers.pop(submission.kept.id, None)
+            self.numbers.pop(submission.message.id, None)
             submission.answered(AdmissionResult.BUSY)
         self.fresh.clear()
         if self.ending:
@@ -642,9 +650,9 @@
         """Danger: a call that hangs holds up the end of the process, and with it the ends of all else that is kept."""
         now = self.clock.now()
         limits = {
-            number: self.store.kept[number].deadline - DEADLINE_MARGIN
+            number: self.store.messages[number].deadline - DEADLINE_MARGIN
             for number, handle in self.handles.items()
-            if not handle.out and number in self.store.kept
+            if not handle.out and number in self.store.messages
         }
         for number, limit in limits.items():
             if limit <= now:
@@ -655,19 +663,19 @@
     def _take_none(self, now: int) -> None:
         """What came in this round is turned away, and the decisions forget it."""
         for number, submission in self.fresh.items():
-            self.numbers.pop(submission.kept.id, None)
+            self.numbers.pop(submission.message.id, None)
             self.handles.pop(number).withdrawn(now)
             submission.answered(AdmissionResult.BUSY)
         self.fresh.clear()
 
     def _keep(self, submission: Submission) -> None:
         """The record first, then the answer; attempts may leave after that."""
-        kept = submission.kept
-        if not self._recorded("a message", self.store.keep, kept):
-            del self.numbers[kept.id]
-            self.handles[kept.number].withdrawn(self.clock.now())
-            if not self.handles[kept.number].out:
-                del self.handles[kept.number]
+        stored = submission.message
+        if not self._recorded("a message", self.store.keep, stored):
+            del self.numbers[stored.id]
+            self.handles[stored.number].withdrawn(self.clock.now())
+            if not self.handles[stored.number].out:
+                del self.handles[stored.number]
             submission.answered(AdmissionResult.BUSY)
             return
         if self.store.awaited:
@@ -676,7 +684,7 @@
             self._taken(submission)
 
     def _taken(self, submission: Submission) -> None:
-        if not self.store.may_fire(submission.kept.number):
+        if not self.store.may_fire(submission.message.number):
             # Danger: the right was lost in this round; then no copy was waited for.
             self._not_taken(submission)
             return
@@ -684,7 +692,7 @@
         submission.answered(AdmissionResult.KEPT)
 
     def _not_taken(self, submission: Submission) -> None:
-        self._withdraw(submission.kept)
+        self._withdraw(submission.message)
         submission.answered(AdmissionResult.BUSY)
 
     def _flush(self) -> None:
@@ -709,34 +717,34 @@
         `alone`: without waiting for a copy, since none can be asked.
         """
         self.handles.pop(number, None)
-        kept = self.store.kept.get(number)
-        if kept is None:
+        stored = self.store.messages.get(number)
+        if stored is None:
             return
         self._recorded("the record of an end", self.store.ended, number, nacked, wait_ms)
         self.counters.add("nacked" if nacked else "written off")
-        (self.counters.figures.dropped if nacked else self.counters.figures.bad_gateway)[kept.priority_class] += 1
+        (self.counters.figures.dropped if nacked else self.counters.figures.bad_gateway)[stored.priority_class] += 1
         self.untold.discard(number)
         if self.store.by_copy and not alone:
             self.untold.add(number)
-            self._post_once_copied(kept)
+            self._post_once_copied(stored)
         else:
-            self.notices.post(number, kept.id, nacked, wait_ms)
+            self.notices.post(number, stored.id, nacked, wait_ms)
 
-    def _post_once_copied(self, kept: StoredMessage) -> None:
+    def _post_once_copied(self, stored: StoredMessage) -> None:
         """Danger: told before a copy knows of it, the end would be followed by an attempt of whoever takes over."""
 
         def post() -> None:
-            if not self.store.may_fire(kept.number):
+            if not self.store.may_fire(stored.number):
                 again()  # Danger: the right may be back in a moment, and nobody else would tell it then
-            elif kept.end is not None and kept.number in self.store.kept and kept.number in self.untold:
-                self.untold.discard(kept.number)
-                self.notices.post(kept.number, kept.id, *kept.end)
+            elif stored.end is not None and stored.number in self.store.messages and stored.number in self.untold:
+                self.untold.discard(stored.number)
+                self.notices.post(stored.number, stored.id, *stored.end)
 
         def again() -> None:
-            if kept.number in self.store.kept and kept.number in self.untold:
-                if self.clock.now() >= kept.deadline and self.store.may_fire(kept.number):
+            if stored.number in self.store.messages and stored.number in self.untold:
+                if self.clock.now() >= stored.deadline and self.store.may_fire(stored.number):
                     # Whoever takes over fires nothing any more, and says that it failed, too.
-                    self._final(kept.number, False, 0, alone=True)
+                    self._final(stored.number, False, 0, alone=True)
                     return
                 self.after_flush.append((post, again))
                 self.wake_at = min(self.wake_at or NEVER, self.clock.now() + LEASE_RECHECK_DELAY)
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -253,7 +253,7 @@
     stopping.wait()
 
     staff.taking = False
-    logger.info("ending: {} messages kept", len(store.kept))
+    logger.info("ending: {} messages kept", len(store.messages))
     if inherited is not None:
         hand_over(parts[len(early) + later.index(client_listener.accept)], client_listener, dispatcher, store)
         gevent.killall(parts)
@@ -399,7 +399,9 @@
             gevent.sleep(LOOK)
     client_listener.still_taking = False
     logger.info(
-        "handing over: {} messages kept, {} attempts without an outcome", len(store.kept), len(dispatcher.attempts.out)
+        "handing over: {} messages kept, {} attempts without an outcome",
+        len(store.messages),
+        len(dispatcher.attempts.out),
     )
     # Danger: a call still out on an open link, sent again by the next process, would be a second copy.
     gevent.killall(list(dispatcher.attempts.out))
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -84,7 +84,7 @@
         self.bodies = bodies
         self.wanted_segment = segment
         self.most_step = step
-        self.book = SegmentIndex()
+        self.segment_index = SegmentIndex()
         self.active: Segment | None = None
         self.file = -1
         self.next_number = 1
@@ -111,9 +111,9 @@
         self.set_limit(disk_bytes)
 
     @property
-    def kept(self) -> dict[int, StoredMessage]:
+    def messages(self) -> dict[int, StoredMessage]:
         """Everything that is owed, by number."""
-        return self.book.kept
+        return self.segment_index.messages
 
     def set_limit(self, disk_bytes: int) -> None:
         """Bytes that all files may take; it may be lowered below what is in use, which then shrinks."""
@@ -130,20 +130,20 @@
         """
         self.folder.claim()
         found = recover(self.folder, logger.error)
-        self.book, self.next_number, self.old_until = found.book, found.next_message, found.old_until
+        self.segment_index, self.next_number, self.old_until = found.segment_index, found.next_message, found.old_until
         self.last_segment = found.last
         leftover = [name for name in found.leftover if not quietly(self.folder.unlink, name)]
         taken_over, next_number, files = legacy_format.read(self.folder, self.old_until)
-        self.restarted = bool(self.book.segments or files)
+        self.restarted = bool(self.segment_index.segments or files)
         self.next_number = max(self.next_number, next_number)
         self._count()
         self.condemned = [(name, compaction_planner.blocks(self.folder.size(name))) for name in leftover]
         self._go_on(found.tail)
         if files:
             logger.info("a folder of the first format is taken over: {} messages", len(taken_over))
-            for kept in taken_over.values():
-                if kept.number not in self.kept:
-                    self._base(kept, kept.body or b"", MOVE)
+            for stored in taken_over.values():
+                if stored.number not in self.messages:
+                    self._base(stored, stored.body or b"", MOVE)
             self.old_until = max(files)
             self._roll()  # its header says that the old files are done with
         for number in numbers(self.folder.names(), OLD_NAME):
@@ -152,12 +152,12 @@
                 self._count()
         self.damaged = found.damaged
         if found.damaged:
-            for kept in list(self.kept.values()):
+            for stored in list(self.messages.values()):
                 # Danger: a damaged segment goes some day, and the doubt must not go with it.
-                self._note(kept, records.state(kept), MOVE)
-        for kept in self.kept.values():
-            if kept.body is not None:
-                self._hold(kept)
+                self._note(stored, records.state(stored), MOVE)
+        for stored in self.messages.values():
+            if stored.body is not None:
+                self._hold(stored)
 
     def _count(self) -> None:
         """What is on the disk, by looking."""
@@ -165,7 +165,7 @@
 
     def _go_on(self, tail: int) -> None:
         """Append to the newest segment, cut off behind its last good record, or to a new one."""
-        newest = self.book.segments.get(max(self.book.segments, default=0))
+        newest = self.segment_index.segments.get(max(self.segment_index.segments, default=0))
         if newest is not None and 0 < tail < self.segment_size and not newest.foreign:
             try:
                 file = self.folder.open(segment_name(newest.number), append=True)
@@ -186,24 +186,30 @@
 
     def sizes(self) -> compaction_planner.Sizes:
         """How the folder stands, for the planner."""
-        head = FRAME.size + records.HEADER_BODY.size + records.HEADER_LINE.size * (len(self.book.segments) + 1)
+        head = FRAME.size + records.HEADER_BODY.size + records.HEADER_LINE.size * (len(self.segment_index.segments) + 1)
         return compaction_planner.Sizes(
-            self.limit, self.used, self.book.live, self.segment_size, self.book.largest, head, self.book.promised()
+            self.limit,
+            self.used,
+            self.segment_index.live,
+            self.segment_size,
+            self.segment_index.largest,
+            head,
+            self.segment_index.promised(),
         )
 
-    def weighed(self, kept: StoredMessage) -> int:
+    def weighed(self, stored: StoredMessage) -> int:
         """The bytes that a message takes."""
-        texts = len(kept.id) + len(kept.key) + len(kept.priority_class) + len(kept.tenant)
-        body = len(kept.body) if kept.body is not None else kept.size
+        texts = len(stored.id) + len(stored.key) + len(stored.priority_class) + len(stored.tenant)
+        body = len(stored.body) if stored.body is not None else stored.size
         return FRAME.size + records.MESSAGE_BODY.size + records.STATE_BODY.size + texts + body + records.OF_STATE
 
-    def has_room(self, kept: StoredMessage) -> bool:
+    def has_room(self, stored: StoredMessage) -> bool:
         """Whether a new message can be taken."""
-        return self.fits(kept)
+        return self.fits(stored)
 
-    def fits(self, kept: StoredMessage) -> bool:
+    def fits(self, stored: StoredMessage) -> bool:
         """Whether a message can be kept, with room for the short records that it will need."""
-        weighed = self.weighed(kept)
+        weighed = self.weighed(stored)
         if weighed > self.spare:
             self._look()
         return weighed <= self.spare and not self.owing
@@ -215,59 +221,62 @@
 
     def room_for(self) -> int:
         """How many more messages like those that are kept the folder has room for; reckoned anew where few."""
-        mean = max((self.book.live + self.book.promised()) // max(1, len(self.kept)) + 1, records.OF_STATE)
+        mean = max(
+            (self.segment_index.live + self.segment_index.promised()) // max(1, len(self.messages)) + 1,
+            records.OF_STATE,
+        )
         if self.spare < FEW_LEFT * mean:
             self._look()
         return max(0, self.spare) // mean
 
-    def keep(self, kept: StoredMessage) -> None:
+    def keep(self, stored: StoredMessage) -> None:
         """Write the record of a taken message; `NoSpaceError` where there is none for it."""
-        body = kept.body or b""
-        kept.size, kept.checksum = len(body), zlib.crc32(body)
-        if not self.fits(kept):
+        body = stored.body or b""
+        stored.size, stored.checksum = len(body), zlib.crc32(body)
+        if not self.fits(stored):
             raise NoSpaceError("too much is kept")
-        self._base(kept, body, NEW)
-        self.spare -= self.weighed(kept)
-        self._hold(kept)
+        self._base(stored, body, NEW)
+        self.spare -= self.weighed(stored)
+        self._hold(stored)
 
     def attempt(self, number: int, sent_at: int, zone: int) -> None:
         """An attempt is about to go out; `NoSpaceError` where that cannot be recorded, so that it must not."""
-        kept = self.kept[number]
-        self._note(kept, ATTEMPT_BODY.pack(ATTEMPT, number, sent_at, zone), SHORT)
-        kept.attempt(sent_at, zone)
+        stored = self.messages[number]
+        self._note(stored, ATTEMPT_BODY.pack(ATTEMPT, number, sent_at, zone), SHORT)
+        stored.attempt(sent_at, zone)
 
     def outcome(self, number: int, outcome: Outcome) -> None:
         """The recorded attempt that was out has ended; a completed one ends its message."""
-        kept = self.kept.get(number)
-        if kept is None or not kept.out_at:
+        stored = self.messages.get(number)
+        if stored is None or not stored.out_at:
             return
         if outcome is Outcome.COMPLETED:
             self.over(number)
             return
-        kept.outcome(outcome.never_ran)
-        self._owe(OUTCOME_BODY.pack(OUTCOME, number, OUTCOMES.index(outcome)), self._noting(kept))
+        stored.outcome(outcome.never_ran)
+        self._owe(OUTCOME_BODY.pack(OUTCOME, number, OUTCOMES.index(outcome)), self._noting(stored))
 
     def may_have_run(self, number: int, at: int, zone: int) -> None:
         """Another sender has told of an attempt that may have run, before all that are known here."""
-        kept = self.kept[number]
-        kept.ran_at, kept.ran_zone = at, zone
-        self._owe(records.state(kept), self._noting(kept))
+        stored = self.messages[number]
+        stored.ran_at, stored.ran_zone = at, zone
+        self._owe(records.state(stored), self._noting(stored))
 
     def ended(self, number: int, nacked: bool, wait_ms: int) -> None:
         """The final answer has been chosen; its notice is owed, its body is not needed any more."""
-        kept = self.kept.get(number)
-        if kept is not None:
-            kept.end = (nacked, wait_ms)
-            self._let_go(kept)
-            self._owe(END_BODY.pack(END, number, nacked, wait_ms), self._noting(kept))
+        stored = self.messages.get(number)
+        if stored is not None:
+            stored.end = (nacked, wait_ms)
+            self._let_go(stored)
+            self._owe(END_BODY.pack(END, number, nacked, wait_ms), self._noting(stored))
 
     def over(self, number: int) -> None:
         """Nothing more is owed."""
-        kept = self.kept.get(number)
-        if kept is not None:
-            self._let_go(kept)
-            holders = self.book.over(kept)
-            self._owe(OVER_BODY.pack(OVER, number), lambda segment: self.book.buried(number, holders, segment))
+        stored = self.messages.get(number)
+        if stored is not None:
+            self._let_go(stored)
+            holders = self.segment_index.over(stored)
+            self._owe(OVER_BODY.pack(OVER, number), lambda segment: self.segment_index.buried(number, holders, segment))
 
     def deciding(self) -> bool:
         """Whether this sender may answer for what it holds: always, where no other sender has a say."""
@@ -283,8 +292,8 @@
 
     def body(self, number: int) -> bytes:
         """The body of a message, from memory or from the folder; `BodyLostError` where it cannot be read."""
-        kept = self.kept[number]
-        return kept.body if kept.body is not None else self._read_body(kept)
+        stored = self.messages[number]
+        return stored.body if stored.body is not None else self._read_body(stored)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
         """With `durable`, bring everything written so far to the disk; OSError where that fails.
@@ -302,7 +311,7 @@
 
     def close(self) -> None:
         """Let the folder go."""
-        for segment in self.book.segments.values():
+        for segment in self.segment_index.segments.values():
             if segment.file >= 0:
                 self.folder.close(segment.file)
                 segment.file = -1
@@ -313,61 +322,61 @@
 
     # ---- bodies ----
 
-    def _hold(self, kept: StoredMessage) -> None:
+    def _hold(self, stored: StoredMessage) -> None:
         """Bodies stay in memory up to the bound; beyond it those that came first lie in the folder only."""
-        self.held.append(kept.number)
-        self.held_bytes += kept.size
+        self.held.append(stored.number)
+        self.held_bytes += stored.size
         while self.held_bytes > self.bodies and self.held:
-            oldest = self.kept.get(self.held.popleft())
+            oldest = self.messages.get(self.held.popleft())
             if oldest is not None and oldest.body is not None:
                 self._let_go(oldest)
         # Danger: those that have ended would add up; looking through all of them at once would hold up a round.
-        while self.held and (self.held[0] not in self.kept or self.kept[self.held[0]].body is None):
+        while self.held and (self.held[0] not in self.messages or self.messages[self.held[0]].body is None):
             self.held.popleft()
-        if len(self.held) > 64 + 2 * len(self.kept):
+        if len(self.held) > 64 + 2 * len(self.messages):
             for _ in range(64):
                 number = self.held.popleft()
-                if number in self.kept and self.kept[number].body is not None:
+                if number in self.messages and self.messages[number].body is not None:
                     self.held.append(number)
 
-    def _let_go(self, kept: StoredMessage) -> None:
-        if kept.body is not None:
-            kept.body = None
-            self.held_bytes -= kept.size
+    def _let_go(self, stored: StoredMessage) -> None:
+        if stored.body is not None:
+            stored.body = None
+            self.held_bytes -= stored.size
 
-    def _read_body(self, kept: StoredMessage) -> bytes:
-        if not kept.size:
+    def _read_body(self, stored: StoredMessage) -> bytes:
+        if not stored.size:
             return b""
-        segment = self.book.segments[kept.home]
+        segment = self.segment_index.segments[stored.home]
         try:
             if segment.file < 0:
                 segment.file = self.folder.open(segment_name(segment.number), append=False)
-            body = self.folder.read(segment.file, kept.size, kept.at)
+            body = self.folder.read(segment.file, stored.size, stored.at)
         except OSError as error:
-            raise BodyLostError(f"{segment_name(kept.home)} at {kept.at}: {error}") from None
-        if zlib.crc32(body) != kept.checksum:
-            raise BodyLostError(f"{segment_name(kept.home)} at {kept.at}: the body's checksum is wrong")
+            raise BodyLostError(f"{segment_name(stored.home)} at {stored.at}: {error}") from None
+        if zlib.crc32(body) != stored.checksum:
+            raise BodyLostError(f"{segment_name(stored.home)} at {stored.at}: the body's checksum is wrong")
         return body
 
     # ---- records ----
 
-    def _base(self, kept: StoredMessage, body: bytes, use: str) -> int:
+    def _base(self, stored: StoredMessage, body: bytes, use: str) -> int:
         """Write all that is known of a message; how many bytes that took."""
-        payload, at = records.message(kept, body)
+        payload, at = records.message(stored, body)
         segment, begin = self._append(payload, use)
-        kept.size = len(body)
-        self.book.based(kept, segment, begin + FRAME.size + at, FRAME.size + len(payload))
+        stored.size = len(body)
+        self.segment_index.based(stored, segment, begin + FRAME.size + at, FRAME.size + len(payload))
         return FRAME.size + len(payload)
 
-    def _note(self, kept: StoredMessage, payload: bytes, use: str) -> int:
+    def _note(self, stored: StoredMessage, payload: bytes, use: str) -> int:
         segment, _ = self._append(payload, use)
-        self.book.noted(kept, segment, whole=payload[0] == records.STATE)
+        self.segment_index.noted(stored, segment, whole=payload[0] == records.STATE)
         return FRAME.size + len(payload)
 
-    def _noting(self, kept: StoredMessage) -> Callable[[Segment], None]:
+    def _noting(self, stored: StoredMessage) -> Callable[[Segment], None]:
         def then(segment: Segment) -> None:
-            if kept.number in self.kept:
-                self.book.noted(kept, segment)
+            if stored.number in self.messages:
+                self.segment_index.noted(stored, segment)
 
         return then
 
@@ -470,7 +479,7 @@
     def _roll(self) -> None:
         """Seal the active segment and begin another; `NoSpaceError` where that cannot be written."""
         number = self.last_segment + 1
-        others = {each.number: each.size for each in self.book.segments.values()}
+        others = {each.number: each.size for each in self.segment_index.segments.values()}
         made = Header(records.VERSION, number, self.now(), self.next_number, self.old_until, others)
         record = framed(records.header(made))
         name = segment_name(number)
@@ -495,7 +504,7 @@
             quietly(self.folder.close, self.file)
         self.file, self.last_segment = file, number
         self.active = Segment(number, made.made_at, size=len(record), head=len(record))
-        self.book.add(self.active)
+        self.segment_index.add(self.active)
         self._grow(self.active, len(record))
         self.written_bytes += len(record)
         if self.durable:
@@ -530,14 +539,14 @@
         self.stuck = {number: until for number, until in self.stuck.items() if until > self.steps}
         candidates = (
             compaction_planner.CompactionCandidate(each.number, each.physical, each.live)
-            for each in self.book.segments.values()
+            for each in self.segment_index.segments.values()
             if each is not self.active and not each.foreign and each.number not in self.stuck
         )
         best = compaction_planner.choose(candidates, short)
         if best is None:
             return None
-        self.victim = self.book.segments[best.number]
-        self.todo = self.book.walk(self.victim)
+        self.victim = self.segment_index.segments[best.number]
+        self.todo = self.segment_index.walk(self.victim)
         return self.victim
 
     def _work(self, budget: int, short: bool) -> bool:
@@ -566,18 +575,18 @@
 
     def _move(self, victim: Segment, number: int) -> int:
         """Write anew what a segment holds of a message; the bytes that took."""
-        kept = self.kept.get(number)
-        if kept is not None and kept.home == victim.number:
-            if kept.end is not None:
-                kept.checksum = 0
-                return self._base(kept, b"", MOVE)  # nobody needs the body of what has ended
-            body = kept.body if kept.body is not None else self._read_body(kept)
-            return self._base(kept, body, MOVE)
-        if kept is not None and victim.number in kept.noted:
-            return self._note(kept, records.state(kept), MOVE)
+        stored = self.messages.get(number)
+        if stored is not None and stored.home == victim.number:
+            if stored.end is not None:
+                stored.checksum = 0
+                return self._base(stored, b"", MOVE)  # nobody needs the body of what has ended
+            body = stored.body if stored.body is not None else self._read_body(stored)
+            return self._base(stored, body, MOVE)
+        if stored is not None and victim.number in stored.noted:
+            return self._note(stored, records.state(stored), MOVE)
         if number in victim.tombs:
             segment, _ = self._append(OVER_BODY.pack(OVER, number), MOVE)
-            self.book.reburied(number, segment)
+            self.segment_index.reburied(number, segment)
             return records.OF_OVER
         return 0
 
@@ -587,16 +596,16 @@
             victim.file = self.folder.open(segment_name(victim.number), append=False)
         payload = self.folder.read(victim.file, size, at)
         segment, begin = self._append(payload, MOVE)
-        self.book.strange(segment, begin + FRAME.size, size)
+        self.segment_index.strange(segment, begin + FRAME.size, size)
         victim.strange.pop()
         victim.strange_bytes -= size
-        self.book.live -= size
+        self.segment_index.live -= size
         return size
 
     def _finish(self, victim: Segment) -> None:
         """Nothing in a segment matters any more: record that, and delete its file."""
         if not victim.done:  # something joined while it was under way, which only a failure brings
-            self.todo = self.book.walk(victim)
+            self.todo = self.segment_index.walk(victim)
             if not self.todo:
                 self._leave(victim)
             return
@@ -605,7 +614,7 @@
         if victim.file >= 0:
             quietly(self.folder.close, victim.file)
             victim.file = -1
-        self.book.dropped(victim)
+        self.segment_index.dropped(victim)
         self.condemned.append((segment_name(victim.number), compaction_planner.blocks(victim.physical)))
         # Danger: deleted before its moved records are on the disk, a power cut would lose them.
         if not self.durable:
--- a/cedarwick/store/legacy_format.py
+++ b/cedarwick/store/legacy_format.py
@@ -22,7 +22,7 @@
 
 def read(folder: Folder, until: int) -> tuple[dict[int, StoredMessage], int, list[int]]:
     """What files with a number above `until` hold: messages by number, the next number, and the files."""
-    kept: dict[int, StoredMessage] = {}
+    stored: dict[int, StoredMessage] = {}
     next_number = 1
     files = [number for number in numbers(folder.names(), OLD_NAME) if number > until]
     for number in files:
@@ -34,18 +34,18 @@
             folder.close(file)
         for payload in payloads(data):
             try:
-                next_number = max(next_number, replay(kept, payload))
+                next_number = max(next_number, replay(stored, payload))
             except (struct.error, ValueError, IndexError, UnicodeDecodeError) as error:
                 # Danger: one record of another version would keep the sender from starting.
                 logger.error(InvalidRecordError(f"a record of the first format in {name} cannot be read: {error}").line)
-    return kept, next_number, files
+    return stored, next_number, files
 
 
-def replay(kept: dict[int, StoredMessage], payload: bytes) -> int:
+def replay(stored: dict[int, StoredMessage], payload: bytes) -> int:
     """One record of the first format; the next free number as far as it tells."""
     kind = payload[0]
     if kind == WHOLE:
-        kept.clear()  # this file holds all that was live when it was begun
+        stored.clear()  # this file holds all that was live when it was begun
     elif kind == KEPT:
         _, number, limit, turn, destination, *sizes = KEPT_BODY.unpack_from(payload)
         at, texts = KEPT_BODY.size, []
@@ -54,7 +54,7 @@
             at += size
         id, key, priority_class, tenant = texts
         body = payload[at:]
-        kept[number] = StoredMessage(
+        stored[number] = StoredMessage(
             number,
             id,
             key,
@@ -70,21 +70,21 @@
         return int(number) + 1
     elif kind == ATTEMPT:
         _, number, sent_at, zone = ATTEMPT_BODY.unpack(payload)
-        if number in kept:
-            kept[number].attempt(sent_at, zone)
+        if number in stored:
+            stored[number].attempt(sent_at, zone)
     elif kind == OUTCOME:
         _, number, outcome = OUTCOME_BODY.unpack(payload)
-        if number in kept:
+        if number in stored:
             if OUTCOMES[outcome] is Outcome.COMPLETED:
-                del kept[number]
+                del stored[number]
             else:
-                kept[number].outcome(OUTCOMES[outcome].never_ran)
+                stored[number].outcome(OUTCOMES[outcome].never_ran)
     elif kind == END:
         _, number, nacked, wait = END_BODY.unpack(payload)
-        if number in kept:
-            kept[number].end = (bool(nacked), wait)
+        if number in stored:
+            stored[number].end = (bool(nacked), wait)
     elif kind == OVER:
-        kept.pop(OVER_BODY.unpack(payload)[1], None)
+        stored.pop(OVER_BODY.unpack(payload)[1], None)
     return 1
 
 
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -141,28 +141,35 @@
     return Header(version, number, made_at, next_message, old_until, others)
 
 
-def message(kept: StoredMessage, body: bytes) -> tuple[bytes, int]:
+def message(stored: StoredMessage, body: bytes) -> tuple[bytes, int]:
     """The record of a message with all that is known of it, and the body's place in the payload."""
-    texts = [text.encode() for text in (kept.id, kept.key, kept.priority_class, kept.tenant)]
+    texts = [text.encode() for text in (stored.id, stored.key, stored.priority_class, stored.tenant)]
     head = MESSAGE_BODY.pack(
-        MESSAGE, kept.number, kept.deadline, kept.turn, kept.destination, kept.checksum, *map(len, texts)
+        MESSAGE, stored.number, stored.deadline, stored.turn, stored.destination, stored.checksum, *map(len, texts)
     )
-    whole = head + state_of(kept) + b"".join(texts)
+    whole = head + state_of(stored) + b"".join(texts)
     return whole + body, len(whole)
 
 
-def state_of(kept: StoredMessage) -> bytes:
+def state_of(stored: StoredMessage) -> bytes:
     end, wait = NO_END, 0
-    if kept.end is not None:
-        end, wait = NACKED if kept.end[0] else WRITTEN_OFF, kept.end[1]
+    if stored.end is not None:
+        end, wait = NACKED if stored.end[0] else WRITTEN_OFF, stored.end[1]
     return STATE_BODY.pack(
-        min(kept.attempts, 0xFFFF), kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone, kept.doubt_at, end, wait
+        min(stored.attempts, 0xFFFF),
+        stored.ran_at,
+        stored.ran_zone,
+        stored.out_at,
+        stored.out_zone,
+        stored.doubt_at,
+        end,
+        wait,
     )
 
 
-def state(kept: StoredMessage) -> bytes:
+def state(stored: StoredMessage) -> bytes:
     """All that is known of a message's attempts and end, without its body."""
-    return STATE_HEAD.pack(STATE, kept.number) + state_of(kept)
+    return STATE_HEAD.pack(STATE, stored.number) + state_of(stored)
 
 
 def read_message(payload: bytes, segment: int, at: int) -> StoredMessage:
@@ -174,7 +181,7 @@
             texts.append(payload[place : place + size].decode())
             place += size
         id, key, priority_class, tenant = texts
-        kept = StoredMessage(
+        stored = StoredMessage(
             number,
             id,
             key,
@@ -190,25 +197,25 @@
             checksum=checksum,
             weight=FRAME.size + len(payload),
         )
-        take_state(kept, payload, MESSAGE_BODY.size)
+        take_state(stored, payload, MESSAGE_BODY.size)
     except (struct.error, UnicodeDecodeError, ValueError) as error:
         raise InvalidRecordError(f"a message: {error}") from None
     if place > len(payload):
         raise InvalidRecordError("a message that is shorter than its texts")
-    return kept
+    return stored
 
 
-def take_state(kept: StoredMessage, payload: bytes, at: int) -> None:
+def take_state(stored: StoredMessage, payload: bytes, at: int) -> None:
     """Replace what is known of a message's attempts and end by what a payload says."""
     try:
-        (kept.attempts, kept.ran_at, kept.ran_zone, kept.out_at, kept.out_zone, doubt_at, end, wait) = (
+        (stored.attempts, stored.ran_at, stored.ran_zone, stored.out_at, stored.out_zone, doubt_at, end, wait) = (
             STATE_BODY.unpack_from(payload, at)
         )
     except struct.error as error:
         raise InvalidRecordError(f"a state: {error}") from None
     # Danger: what damage has put in doubt stays so, whatever an older record says.
-    kept.doubt_at = min(filter(None, (kept.doubt_at, doubt_at)), default=0)
-    kept.end = None if end == NO_END else (end == NACKED, wait)
+    stored.doubt_at = min(filter(None, (stored.doubt_at, doubt_at)), default=0)
+    stored.end = None if end == NO_END else (end == NACKED, wait)
 
 
 class Frame(NamedTuple):
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -64,7 +64,7 @@
 class Recovered:
     """What a folder holds."""
 
-    book: SegmentIndex = field(default_factory=SegmentIndex)
+    segment_index: SegmentIndex = field(default_factory=SegmentIndex)
     next_message: int = 1
     old_until: int = 0
     last: int = 0  # the highest number of a segment that was seen, alive or not
@@ -99,7 +99,8 @@
         if number not in present:
             say(
                 FolderDamagedError(
-                    f"{segment_name(number)} is missing: what it held is lost, {len(found.book.kept)} messages "
+                    f"{segment_name(number)} is missing: what it held is lost, "
+                    f"{len(found.segment_index.messages)} messages "
                     "are put in doubt"
                 ).line
             )
@@ -161,16 +162,16 @@
     name = segment_name(number)
     physical = folder.size(name)
     segment = Segment(number, made.made_at if made else doubt_from, physical=physical)
-    found.book.add(segment)
+    found.segment_index.add(segment)
     if made is not None and made.version != VERSION:
         say(
             StoreVersionError(
                 f"{name} is of version {made.version}, this program knows {VERSION}: it is left alone, and "
-                f"{len(found.book.kept)} messages are put in doubt"
+                f"{len(found.segment_index.messages)} messages are put in doubt"
             ).line
         )
         segment.foreign = True
-        found.book.live += physical
+        found.segment_index.live += physical
         segment.size = physical
         put_in_doubt(found, doubt_from)
         return
@@ -193,7 +194,8 @@
             say(FolderDamagedError(f"{name}: the header cannot be read").line)
         say(
             FolderDamagedError(
-                f"{name}: bytes {each.at} to {each.until} are damaged; {len(found.book.kept)} messages are "
+                f"{name}: bytes {each.at} to {each.until} are damaged; "
+                f"{len(found.segment_index.messages)} messages are "
                 "put in doubt"
             ).line
         )
@@ -206,13 +208,13 @@
 def put_in_doubt(found: Recovered, since: int) -> None:
     """Records are lost: any message may have had an attempt that nobody knows of."""
     found.damaged = True
-    for kept in found.book.kept.values():
-        kept.doubt_at = min(filter(None, (kept.doubt_at, since)), default=1)
+    for stored in found.segment_index.messages.values():
+        stored.doubt_at = min(filter(None, (stored.doubt_at, since)), default=1)
 
 
 def replay(found: Recovered, segment: Segment, record: Frame, say: Say) -> None:
     """Take one record into account."""
-    payload, book = record.payload, found.book
+    payload, segment_index = record.payload, found.segment_index
     kind = payload[0]
     if kind in (HEADER, DROP):
         return
@@ -220,9 +222,9 @@
         found.strangers += 1
         if found.strangers == 1:
             say(f"{segment_name(segment.number)}: a record of the unknown kind {kind} at {record.at} is kept as it is")
-        book.strange(segment, record.at + FRAME.size, len(payload))
+        segment_index.strange(segment, record.at + FRAME.size, len(payload))
         if kind < HARMLESS and len(payload) >= SHORTEST:
-            doubtful = book.kept.get(STATE_HEAD.unpack_from(payload)[1])
+            doubtful = segment_index.messages.get(STATE_HEAD.unpack_from(payload)[1])
             if doubtful is not None:
                 doubtful.doubt_at = min(filter(None, (doubtful.doubt_at, segment.made_at)), default=1)
         return
@@ -230,15 +232,15 @@
         if kind == MESSAGE:
             fresh = read_message(payload, segment.number, record.at)
             found.next_message = max(found.next_message, fresh.number + 1)
-            take_message(book, segment, fresh)
+            take_message(segment_index, segment, fresh)
             return
         number = STATE_HEAD.unpack_from(payload)[1]
-        kept = book.kept.get(number)
-        if kept is None:
+        stored = segment_index.messages.get(number)
+        if stored is None:
             if kind == OVER or kind == OUTCOME and OUTCOMES[OUTCOME_BODY.unpack(payload)[2]] is Outcome.COMPLETED:
-                book.reburied(number, segment)
+                segment_index.reburied(number, segment)
             return  # news of a message that has ended, or whose record is lost
-        take_news(book, segment, kept, kind, payload)
+        take_news(segment_index, segment, stored, kind, payload)
     except (InvalidRecordError, ValueError, IndexError) as error:
         say(
             InvalidRecordError(
@@ -253,37 +255,37 @@
         )
 
 
-def take_message(book: SegmentIndex, segment: Segment, fresh: StoredMessage) -> None:
+def take_message(segment_index: SegmentIndex, segment: Segment, fresh: StoredMessage) -> None:
     """The newest record of a message; what an older one said is replaced."""
-    before = book.kept.get(fresh.number)
+    before = segment_index.messages.get(fresh.number)
     at, weight = fresh.at, fresh.weight
     if before is not None:
         fresh.doubt_at = min(filter(None, (before.doubt_at, fresh.doubt_at)), default=0)
         fresh.home, fresh.weight, fresh.noted = before.home, before.weight, before.noted
     else:
         fresh.home = fresh.weight = 0
-    book.based(fresh, segment, at, weight)
+    segment_index.based(fresh, segment, at, weight)
 
 
-def take_news(book: SegmentIndex, segment: Segment, kept: StoredMessage, kind: int, payload: bytes) -> None:
+def take_news(segment_index: SegmentIndex, segment: Segment, stored: StoredMessage, kind: int, payload: bytes) -> None:
     """A short record about a message that lives."""
     if kind == STATE:
-        take_state(kept, payload, STATE_HEAD.size)
-        book.noted(kept, segment, whole=True)
+        take_state(stored, payload, STATE_HEAD.size)
+        segment_index.noted(stored, segment, whole=True)
         return
     if kind == OVER:
-        book.buried(kept.number, book.over(kept), segment)
+        segment_index.buried(stored.number, segment_index.over(stored), segment)
         return
     if kind == ATTEMPT:
         _, _, sent_at, zone = ATTEMPT_BODY.unpack(payload)
-        kept.attempt(sent_at, zone)
+        stored.attempt(sent_at, zone)
     elif kind == OUTCOME:
         outcome = OUTCOMES[OUTCOME_BODY.unpack(payload)[2]]
-        kept.outcome(outcome.never_ran)
+        stored.outcome(outcome.never_ran)
     elif kind == END:
         _, _, nacked, wait = END_BODY.unpack(payload)
-        kept.end = (bool(nacked), wait)
-    book.noted(kept, segment)
+        stored.end = (bool(nacked), wait)
+    segment_index.noted(stored, segment)
 
 
 def read_through(folder: Folder, name: str, until: int | None) -> Iterator[Frame | DamagedRange]:
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -40,17 +40,17 @@
     """Read a folder as a start would, and write nothing. A sender may run on it."""
     findings: list[str] = []
     found = recover(Folder(path), findings.append)
-    found.book.check()
-    kept = found.book.kept.values()
+    found.segment_index.check()
+    stored = found.segment_index.messages.values()
     return Summary(
-        len(found.book.segments),
+        len(found.segment_index.segments),
         found.records,
-        len(found.book.kept),
-        sum(each.end is not None for each in kept),
-        sum(bool(each.doubt_at) for each in kept),
+        len(found.segment_index.messages),
+        sum(each.end is not None for each in stored),
+        sum(bool(each.doubt_at) for each in stored),
         found.strangers,
-        found.book.live,
-        sum(segment.physical for segment in found.book.segments.values()),
+        found.segment_index.live,
+        sum(segment.physical for segment in found.segment_index.segments.values()),
         findings,
     )
 
@@ -58,23 +58,23 @@
 def dump(path: str) -> Iterator[dict[str, Any]]:
     """Every message that is owed, as plain values."""
     found = recover(Folder(path), lambda _: None)
-    for number, kept in sorted(found.book.kept.items()):
+    for number, stored in sorted(found.segment_index.messages.items()):
         yield {
             "number": number,
-            "id": kept.id,
-            "key": kept.key,
-            "turn": f"{kept.turn:016x}",
-            "band": kept.priority_class,
-            "tenant": kept.tenant,
-            "destination": kept.destination,
-            "outer_limit": kept.deadline,
-            "bytes": kept.size,
-            "segment": segment_name(kept.home),
-            "shots": kept.attempts,
-            "ran_at": kept.ran_at,
-            "out_at": kept.out_at,
-            "doubt_at": kept.doubt_at,
-            "end": None if kept.end is None else {"nacked": kept.end[0], "wait_ms": kept.end[1]},
+            "id": stored.id,
+            "key": stored.key,
+            "turn": f"{stored.turn:016x}",
+            "band": stored.priority_class,
+            "tenant": stored.tenant,
+            "destination": stored.destination,
+            "outer_limit": stored.deadline,
+            "bytes": stored.size,
+            "segment": segment_name(stored.home),
+            "shots": stored.attempts,
+            "ran_at": stored.ran_at,
+            "out_at": stored.out_at,
+            "doubt_at": stored.doubt_at,
+            "end": None if stored.end is None else {"nacked": stored.end[0], "wait_ms": stored.end[1]},
         }
 
 
@@ -85,7 +85,7 @@
     try:
         before = made.used
         made._roll()
-        for _ in range(4 * len(made.book.segments) + 4):
+        for _ in range(4 * len(made.segment_index.segments) + 4):
             if not made._work(1 << 62, short=True):
                 break
         made.flush()
