--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -1,4 +1,4 @@
-"""The fleet's link: letters, who is refused, and calls to members that do not answer as they should."""
+"""The fleet's link: peer messages, who is refused, and calls to members that do not answer as they should."""
 
 import contextlib
 import unittest
@@ -83,7 +83,7 @@
 
     @given(st.binary(max_size=64), st.integers(0, 40))
     @settings(derandomize=True, max_examples=300)
-    def test_any_bytes_are_a_letter_or_unreadable(self, noise: bytes, at: int) -> None:
+    def test_any_bytes_are_a_peer_message_or_unreadable(self, noise: bytes, at: int) -> None:
         good = encode(PeerMessage(1, 1, "g", "a", 1, "b", ReplicateFacts(1, 2, 3, b"facts", 5)))
         for told in (noise, good[:at], good[:at] + noise):
             with contextlib.suppress(InvalidPeerMessageError):
@@ -116,10 +116,13 @@
         logger.disable("cedarwick")
         self.addCleanup(logger.enable, "cedarwick")
         self.counters = Counters()
-        self.answer: Callable[[PeerMessage], messages.Body] = lambda letter: Acknowledged()
+        self.answer: Callable[[PeerMessage], messages.Body] = lambda peer_message: Acknowledged()
         self.gate = PeerVerifier("g", "b", 5, NAMES)
         self.server = PeerServer(
-            (HOST, 0), self.gate, self.counters, lambda letter: self.gate.letter(letter.sender, self.answer(letter))
+            (HOST, 0),
+            self.gate,
+            self.counters,
+            lambda peer_message: self.gate.peer_message(peer_message.sender, self.answer(peer_message)),
         )
         self.server.start()
         self.addCleanup(self.server.stop, 0)
@@ -140,9 +143,9 @@
         with self.assertRaisesRegex(PeerUnreachableError, why):
             peers.call("b", Acknowledged(), within_s)
 
-    def until_busy(self, letters: int) -> None:
+    def until_busy(self, peer_messages: int) -> None:
         with gevent.Timeout(5):
-            while self.server.busy < letters:
+            while self.server.busy < peer_messages:
                 gevent.sleep(0.005)
 
     def raw(self, told: bytes, end: bool = False) -> bytes:
@@ -168,7 +171,7 @@
 
 class Serving(Linked):
     def test_calls_one_after_another_use_one_connection(self) -> None:
-        self.answer = lambda letter: letter.body
+        self.answer = lambda peer_message: peer_message.body
         body = ReplicateFacts(1, 2, 3, b"x" * 1_000_000, 4)
         for _ in range(5):
             self.assertEqual(self.peers.call("b", body, 5), body)
@@ -176,7 +179,7 @@
             (len(self.peers.peers["b"].open), self.server.http.pool.free_count()), (1, transport.MOST_CONNECTIONS - 1)
         )
 
-    def test_each_wrong_letter_is_refused_with_its_reason(self) -> None:
+    def test_each_wrong_peer_message_is_refused_with_its_reason(self) -> None:
         port = self.server.port
         self.assertIn("'other'", self.refused(peer_verifier.OtherGroupError.code, self.peers_of(port, group="other")))
         self.assertIn("'z'", self.refused(peer_verifier.UnknownMemberError.code, self.peers_of(port, me="z")))
@@ -184,11 +187,11 @@
         same.gate.me = "b"
         self.assertIn("same name", self.refused(peer_verifier.UnknownMemberError.code, same))
         astray = self.peers_of(port)
-        astray.gate.letter = lambda to, body: PeerVerifier.letter(astray.gate, "c", body)  # type: ignore[method-assign]
+        astray.gate.peer_message = lambda to, body: PeerVerifier.peer_message(astray.gate, "c", body)  # type: ignore[method-assign]
         self.assertIn("'c'", self.refused(peer_verifier.MisdirectedMessageError.code, astray))
         self.peers_of(port, incarnation=7).call("b", Acknowledged(), 5)
         self.assertIn("boot 5", self.refused(peer_verifier.StaleIncarnationError.code))
-        # Refused letters of strangers must not move what is known of members.
+        # Refused peer messages of strangers must not move what is known of members.
         self.refused(peer_verifier.OtherGroupError.code, self.peers_of(port, group="other", incarnation=99))
         self.peers_of(port, incarnation=7).call("b", Acknowledged(), 5)
 
@@ -199,7 +202,7 @@
             self.assertEqual(self.code(said)[1], code)
             self.assertEqual(decode(said.partition(b"\r\n\r\n")[2]).to, "a")
 
-    def test_what_is_no_letter_gets_a_reason_and_the_server_goes_on(self) -> None:
+    def test_what_is_no_peer_message_gets_a_reason_and_the_server_goes_on(self) -> None:
         good = encode(PeerMessage(1, 1, "g", "a", 5, "b", Acknowledged()))
         self.assertEqual(self.code(self.raw(self.post(b"\xc1noise"))), (400, "CW701"))
         self.assertEqual(self.code(self.raw(self.post(good[:-1], len(good)), end=True)), (400, "CW701"))
@@ -232,37 +235,41 @@
         two = self.post(encode(PeerMessage(1, 1, "g", "a", 5, "b", Acknowledged())), more="") * 2
         self.assertEqual(self.raw(two).count(b"HTTP/1.1"), 1)  # and so is who does not wait for an answer
 
-    def test_a_handler_that_raises_refuses_and_the_next_letter_is_answered(self) -> None:
-        def failing(letter: PeerMessage) -> messages.Body:
-            if letter.body == Acknowledged():
+    def test_a_handler_that_raises_refuses_and_the_next_peer_message_is_answered(self) -> None:
+        def failing(peer_message: PeerMessage) -> messages.Body:
+            if peer_message.body == Acknowledged():
                 raise ZeroDivisionError
             raise InvalidPeerMessageError("of its own")
 
         self.answer = failing
-        self.assertIn("Noted", self.refused("CW711"))
+        self.assertIn("Acknowledged", self.refused("CW711"))
         self.refused("CW701", body=ReplicaAck(1, 2, 3))
-        self.answer = lambda letter: ReplicateFacts(1, 2, 3, b"x" * MAX_MESSAGE_BYTES, 0)
+        self.answer = lambda peer_message: ReplicateFacts(1, 2, 3, b"x" * MAX_MESSAGE_BYTES, 0)
         self.refused("CW708")
-        self.answer = lambda letter: Acknowledged()
+        self.answer = lambda peer_message: Acknowledged()
         self.assertEqual(self.peers.call("b", Acknowledged(), 5), Acknowledged())
-        self.assertEqual(self.counters.counts["trouble: answering a letter failed"], 1)
+        self.assertEqual(self.counters.counts["trouble: answering a peer message failed"], 1)
 
-    def test_beyond_the_most_at_once_letters_are_refused(self) -> None:
+    def test_beyond_the_most_at_once_peer_messages_are_refused(self) -> None:
         go = gevent.event.Event()
         beat = Heartbeat(False, {}, ())
-        self.answer = lambda letter: beat if isinstance(letter.body, Heartbeat) or not go.wait(5) else Acknowledged()
+        self.answer = (
+            lambda peer_message: beat if isinstance(peer_message.body, Heartbeat) or not go.wait(5) else Acknowledged()
+        )
         with patch.object(transport, "MOST_AT_ONCE", 2):
             out = [gevent.spawn(self.peers.call, "b", Acknowledged(), 5) for _ in range(2)]
             self.until_busy(2)
             self.refused("CW709", body=ReplicateFacts(1, 2, 3, b"x" * 100_000, 4))
             self.refused("CW709")
-            self.assertEqual(self.peers.call("b", beat, 5), beat)  # else rights would lapse beside letters that wait
+            self.assertEqual(
+                self.peers.call("b", beat, 5), beat
+            )  # else rights would lapse beside peer messages that wait
             go.set()
             self.assertEqual([each.get() for each in out], [Acknowledged()] * 2)
             self.assertEqual(self.peers.call("b", Acknowledged(), 5), Acknowledged())
 
     def test_stop_lets_an_answer_end_and_closes_the_rest(self) -> None:
-        self.answer = lambda letter: Acknowledged() if gevent.sleep(0.1) is None else Acknowledged()
+        self.answer = lambda peer_message: Acknowledged() if gevent.sleep(0.1) is None else Acknowledged()
         idle = gevent.socket.create_connection((HOST, self.server.port))
         self.addCleanup(idle.close)
         out = gevent.spawn(self.peers.call, "b", Acknowledged(), 5)
@@ -279,7 +286,7 @@
     def test_200_calls_at_once_are_bounded_in_flight_and_in_the_queue(self) -> None:
         most = 0
 
-        def counted(letter: PeerMessage) -> messages.Body:
+        def counted(peer_message: PeerMessage) -> messages.Body:
             nonlocal most
             most = max(most, self.server.busy)
             gevent.sleep(0.002)
@@ -288,7 +295,8 @@
         self.answer = counted
         ended = [gevent.spawn(self.ends, self.peers) for _ in range(200)]
         self.assertEqual(
-            sorted(each.get() for each in ended), ["CW712"] * (200 - transport.QUEUE) + ["Noted"] * transport.QUEUE
+            sorted(each.get() for each in ended),
+            ["Acknowledged"] * transport.QUEUE + ["CW712"] * (200 - transport.QUEUE),
         )
         self.assertEqual((most, len(self.peers.peers["b"].open)), (transport.IN_FLIGHT, transport.IN_FLIGHT))
         self.assertEqual(self.peers.call("b", Acknowledged(), 5), Acknowledged())
@@ -317,9 +325,9 @@
     def test_an_ask_does_not_wait_behind_records(self) -> None:
         asked: list[str] = []
 
-        def held_up(letter: PeerMessage) -> messages.Body:
-            asked.append(type(letter.body).__name__)
-            if isinstance(letter.body, ReplicateFacts):
+        def held_up(peer_message: PeerMessage) -> messages.Body:
+            asked.append(type(peer_message.body).__name__)
+            if isinstance(peer_message.body, ReplicateFacts):
                 gevent.sleep(0.3)
             return Acknowledged()
 
@@ -331,7 +339,7 @@
         self.until_busy(transport.IN_FLIGHT)
         self.assertEqual(self.peers.call("b", messages.LeaseRequest("book:1", 1, "a", 1), 0.2), Acknowledged())
         gevent.joinall(out, raise_error=True)
-        self.assertEqual(asked, ["Facts"] * transport.IN_FLIGHT + ["Ask", "Facts"])
+        self.assertEqual(asked, ["ReplicateFacts"] * transport.IN_FLIGHT + ["LeaseRequest", "ReplicateFacts"])
 
     def test_garbage_and_answers_of_others_are_no_answers(self) -> None:
         def told(sender: str, to: str = "a", status: int = 200) -> bytes:
@@ -340,8 +348,8 @@
         good = told("b")
         for said, why in (
             (b"noise\r\n\r\n", "at 127"),
-            (reply(200, body=b"\xc1"), "no letter"),
-            (good[:-1] + b"\r\nConnection: close\r\n", "no letter"),
+            (reply(200, body=b"\xc1"), "no peer message"),
+            (good[:-1] + b"\r\nConnection: close\r\n", "no peer message"),
             (told("c"), "an answer of 'c'"),
             (told("z"), "no member"),
             (told("b", "c"), "has reached 'a'"),
@@ -375,7 +383,7 @@
         self.assertEqual(len(self.peers.peers["b"].open), 1)
 
     def test_a_new_list_of_members_closes_what_is_not_in_it(self) -> None:
-        self.answer = lambda letter: Acknowledged() if gevent.sleep(9) is None else Acknowledged()
+        self.answer = lambda peer_message: Acknowledged() if gevent.sleep(9) is None else Acknowledged()
         out = [gevent.spawn(self.ends, self.peers) for _ in range(transport.IN_FLIGHT + 1)]
         self.until_busy(transport.IN_FLIGHT)
         left = self.peers.peers["b"]
@@ -383,7 +391,7 @@
         self.assertEqual([each.get(timeout=4) for each in out], ["CW712"] * len(out))
         self.assertEqual((left.open, left.idle, list(self.peers.names())), (set(), [], ["c"]))
         self.unreachable("no other member", self.peers)
-        self.answer = lambda letter: Acknowledged()
+        self.answer = lambda peer_message: Acknowledged()
         self.peers.replace({"b": (HOST, self.server.port)})
         kept = self.peers.call("b", Acknowledged(), 5) and self.peers.peers["b"].idle[0]
         self.peers.replace({"b": (HOST, self.server.port), "c": (HOST, 2)})
@@ -394,7 +402,7 @@
         self.peers.gate.incarnation = 4
         self.refused(peer_verifier.StaleIncarnationError.code)  # what was seen outlives the list
 
-    def test_a_letter_that_is_too_large_is_not_sent(self) -> None:
+    def test_a_peer_message_that_is_too_large_is_not_sent(self) -> None:
         with self.assertRaises(transport.PeerMessageTooLargeError):
             self.peers.call("b", ReplicateFacts(1, 2, 3, b"x" * MAX_MESSAGE_BYTES, 4), 5)
         self.assertEqual(self.peers.peers["b"].open, set())
--- a/tests/test_fleet_marks.py
+++ b/tests/test_fleet_marks.py
@@ -111,15 +111,15 @@
         meet(lost, m, NOW + 2 * S)
         self.assertEqual(m.calls(), {"X": 2})
 
-    def test_the_map_is_bounded_and_a_letter_holds_it(self) -> None:
+    def test_the_map_is_bounded_and_a_peer_message_holds_it(self) -> None:
         m, n = awake("m"), awake("n")
         for i in range(MOST + 9):
             m.set(NOW, f"{i:0128}", i % 2)
         m.set(NOW, "long" * 33, 1)
         n.told(NOW, (*m.offered(), SuspensionMark("new", NOW, "m", 1)))
         self.assertEqual((len(n.rows), m.untold(), m.whole()), (MOST, 1, False))
-        letter = PeerMessage(1, 1, "g" * 64, "m" * 64, 1, "n" * 64, Told(m.digest(), m.offered()))
-        self.assertEqual(decode(encode(letter)), letter)
+        peer_message = PeerMessage(1, 1, "g" * 64, "m" * 64, 1, "n" * 64, Told(m.digest(), m.offered()))
+        self.assertEqual(decode(encode(peer_message)), peer_message)
 
 
 class Sharing(unittest.TestCase):
--- a/tests/test_fleet_moves.py
+++ b/tests/test_fleet_moves.py
@@ -94,8 +94,8 @@
         self.moves = made(name, f"{name}#0", ("A", "B", "C"), self.acceptor, jitter)
         self.gives: str | None = "live" if name == "A" else None  # the giver's facts: live, marked, over
         self.takes: str | None = None  # the taker's: staged, live, dropped
-        self.marked_at_heirs = self.staged_at_heirs = False
-        self.gives_held, self.takes_held = name == "A", name == "B"  # the lease on the book they lie in
+        self.marked_at_successors = self.staged_at_successors = False
+        self.gives_held, self.takes_held = name == "A", name == "B"  # the lease on the partition they lie in
 
     def key(self) -> str:
         return repr(
@@ -106,8 +106,8 @@
                 self.moves.moves,
                 self.gives,
                 self.takes,
-                self.marked_at_heirs,
-                self.staged_at_heirs,
+                self.marked_at_successors,
+                self.staged_at_successors,
                 self.gives_held,
                 self.takes_held,
             )
@@ -154,10 +154,10 @@
             self.gives = "marked"
             if not self.gives_held:
                 return sent
-            self.marked_at_heirs = True
+            self.marked_at_successors = True
             acts = self.moves.marked(MOVE, now)
         elif event[0] == "written":
-            self.staged_at_heirs = True
+            self.staged_at_successors = True
             acts = self.moves.written(MOVE, now)
         elif event[0] == "round":
             assert move is not None and move.proposer is not None
@@ -174,14 +174,14 @@
             if self.gives_held and self.gives == "marked":
                 acts += self.moves.found(MOVE, KEY, True, now)
             if self.takes_held and self.takes == "staged":
-                self.staged_at_heirs = True
+                self.staged_at_successors = True
                 acts += self.moves.found(MOVE, KEY, False, now)
         elif event[0] == "adopt":
             _, gives, found = event
             if gives:
                 self.gives, self.gives_held = found, True
             else:
-                self.takes, self.takes_held, self.staged_at_heirs = found, True, True
+                self.takes, self.takes_held, self.staged_at_successors = found, True, True
             acts = self.moves.found(MOVE, KEY, gives, now) if found in ("marked", "staged") else []
         elif event[0] == "bereft":
             self.gives_held, self.takes_held = (False, self.takes_held) if event[1] else (self.gives_held, False)
@@ -294,8 +294,8 @@
                     member.takes,
                     member.gives_held,
                     member.takes_held,
-                    member.marked_at_heirs,
-                    member.staged_at_heirs,
+                    member.marked_at_successors,
+                    member.staged_at_successors,
                     move,
                 )
             )
@@ -358,7 +358,10 @@
 
     @staticmethod
     def copies(view: View, gives: bool) -> list[str | None]:
-        """What an heir may have of a side when it adopts the book: it knows of marks for sure once `marked` ran."""
+        """What a successor may have of a side when it adopts the partition:
+
+        it knows of marks for sure once `marked` ran.
+        """
         mine, sure = (view[3], view[7]) if gives else (view[4], view[8])
         if gives:
             return ["marked"] if sure else ["live"] if mine == "live" else ["live", "marked"]
@@ -539,7 +542,7 @@
         moves.due(CALL_OFF + FORWARDS + moves_module.KEPT)
         self.assertEqual((moves.moves, moves.by_key, moves.standing(KEY)), ({}, {}, ("here", "")))
 
-    def test_a_book_that_comes_back_is_settled_under_ballots_of_its_own(self) -> None:
+    def test_a_partition_that_comes_back_is_settled_under_ballots_of_its_own(self) -> None:
         moves = Member("C", MigrationTable, Acceptor).moves
         first = {ask.ballot for ask in asks(moves.found(MOVE, KEY, True, 0))}
         moves.lost(MOVE, True)
@@ -628,7 +631,7 @@
 
     def course(self, drawn: random.Random) -> None:
         names, now, taken = "ABC", 0, -FORGOTTEN
-        letters: list[tuple[int, int, ClaimRequest, Claim | None]] = []
+        peer_messages: list[tuple[int, int, ClaimRequest, Claim | None]] = []
         every = [SessionDirectory(name, 3, now, alone=True) for name in names]
         for _ in range(150):
             what = drawn.choice(["submit"] * 5 + ["deliver"] * 9 + ["restart"] + ["move"] * 2)
@@ -640,10 +643,10 @@
             one, two, session = every[at], every[other], every[at].sessions.get(KEY)
             if what == "restart":
                 every[at] = SessionDirectory(names[at], 3, now)
-            elif what == "deliver" and letters:  # any claim or answer that was ever sent
-                to, by, asking, answer = letters[-1 - which % len(letters)]
+            elif what == "deliver" and peer_messages:  # any claim or answer that was ever sent
+                to, by, asking, answer = peer_messages[-1 - which % len(peer_messages)]
                 if answer is None:
-                    letters.append((by, to, asking, every[to].claimed(asking, names[by], now)))
+                    peer_messages.append((by, to, asking, every[to].claimed(asking, names[by], now)))
                 else:
                     every[to].answered(asking, names[by], answer, now)
             elif what == "move" and session is not None and at != other:
@@ -657,7 +660,7 @@
                         ruling = one.refused(KEY, names[other], two.elsewhere(KEY, now), now)
                 begun = one.claim(KEY, now) if ruling is ClaimRuling.CLAIM else None
                 if begun is not None:
-                    letters += [(to, at, begun, None) for to in range(3) if to != at]
+                    peer_messages += [(to, at, begun, None) for to in range(3) if to != at]
                 if ruling is ClaimRuling.TAKE:
                     self.assertGreater(now - taken, REMEMBERED)
                     taken = now
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -58,7 +58,7 @@
     MessageKnowledge,
     decode_facts,
     encode_facts,
-    kept_of,
+    stored_message_of,
 )
 from cedarwick.fleet.takeover import NOTHING, Takeover, TakeoverStage
 from cedarwick.net.clock import Clock
@@ -69,12 +69,12 @@
 from tests.build import free_port
 
 NAMES = ("a", "b", "c")
-BOOK = 5 << 12
+PARTITION = 5 << 12
 CLOCK = Clock()
 
 
 def number(index: int) -> int:
-    return (BOOK << 32) + index
+    return (PARTITION << 32) + index
 
 
 def kept(index: int, life: int = 60_000_000) -> StoredMessage:
@@ -113,71 +113,73 @@
         return node
 
     def holding(self, node: FleetNode, term: int = 1, granted: bool = True) -> LeasedPartition:
-        """The member has held the book; and holds it now, where a majority has granted it that term."""
-        adoption = node.adoptions[BOOK] = Takeover(BOOK, "a", NAMES, resume=True)
-        holding = node._hold(BOOK)
+        """The member has held the partition; and holds it now, where a majority has granted it that term."""
+        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
+        holding = node._hold(PARTITION)
         node.store.resume_own(holding, term)
         node.store.begin_log(holding, term)
         holding.imported = True
         now = monotonic_time()
         adoption.holder.term = term - 1
-        adoption.holder.begin(now, Grant(right_of(BOOK), 0, ""))
+        adoption.holder.begin(now, Grant(right_of(PARTITION), 0, ""))
         adoption.stage = TakeoverStage.HOLDING
         if granted:
-            for _ in range(2):  # the second answer is that to the heirs it names
+            for _ in range(2):  # the second answer is that to the successors it names
                 for name in NAMES:
                     adoption.holder.answered(now, now, name, LeaseReply(True, term, "a", (), adoption.holder.set))
                 adoption.holder.name(now, ())
             self.assertTrue(adoption.holder.may_fire(now))
         return holding
 
-    def test_what_the_newer_holder_has_copied_here_outlives_the_book_that_is_given_up(self) -> None:
+    def test_what_the_newer_holder_has_copied_here_outlives_the_partition_that_is_given_up(self) -> None:
         for closed in (False, True):
             node = self.member()
             holding = self.holding(node)
             holding.offered = True
             data = encode_facts([fact(1)])
-            node.copies.piece(ReplicatePiece(BOOK, 2, 0, EVERYTHING, data, 0, digest_of(data)))
+            node.copies.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
             if closed:
-                node.grantor.closed_elsewhere(GrantTable(False, (Grant(right_of(BOOK), 2, "b", closed=True),)))
-            node._drop(BOOK)
-            self.assertNotIn(BOOK, node.store.holdings)
-            self.assertEqual((node.copies.replica(BOOK) is None, BOOK in node.adoptions), (closed, not closed))
+                node.grantor.closed_elsewhere(GrantTable(False, (Grant(right_of(PARTITION), 2, "b", closed=True),)))
+            node._drop(PARTITION)
+            self.assertNotIn(PARTITION, node.store.holdings)
+            self.assertEqual(
+                (node.copies.replica(PARTITION) is None, PARTITION in node.adoptions), (closed, not closed)
+            )
 
     def test_alone_a_member_asks_for_nothing(self) -> None:
         for few, stage in ((0, TakeoverStage.ASKING), (1, TakeoverStage.WAITING)):
             node = self.member()
             node.grantor = LeaseGrantor("a", NAMES, monotonic_time(), ())
             node.few_since = few
-            adoption = node.adoptions[BOOK] = Takeover(BOOK, "a", NAMES, resume=True)
-            node._hold(BOOK)
+            adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
+            node._hold(PARTITION)
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
                 node._look_at(monotonic_time(), adoption)
             self.assertEqual(adoption.stage, stage)
 
-    def test_a_holder_that_says_it_fires_is_left_alone_and_one_that_forgot_the_book_is_gone(self) -> None:
+    def test_a_holder_that_says_it_fires_is_left_alone_and_one_that_forgot_the_partition_is_gone(self) -> None:
         node, now = self.member(), monotonic_time()
-        adoption = node.adoptions[BOOK] = Takeover(BOOK, "a", NAMES)
+        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
         with mock.patch.object(adoption, "step", wraps=adoption.step) as step:
-            node._heard("b", 7, Heartbeat(False, {}, (Right(BOOK, 3),)))
+            node._heard("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
             node._look_at(now, adoption)
             self.assertGreaterEqual(step.call_args.args[2], now + SPAN)
             self.assertEqual(adoption.holder.newer, (3, "b"))
             adoption.holder.term = 5  # asked for in vain
-            node._heard("b", 7, Heartbeat(False, {}, (Right(BOOK, 3),)))
+            node._heard("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
             self.assertEqual(adoption.holder.newer, (5, "b"))
             standing = step.call_args.args[3]
             self.assertIs(standing("b"), MemberStatus.ALIVE)
             node._heard("b", 8, Heartbeat(False, {}))
-            self.assertIs(standing("b"), MemberStatus.ALIVE)  # it may yet ask for the book
+            self.assertIs(standing("b"), MemberStatus.ALIVE)  # it may yet ask for the partition
             node._look_at(monotonic_time() + module.REBORN, adoption)
             self.assertIs(step.call_args.args[3]("b"), MemberStatus.DEAD)
 
-    def test_who_was_started_again_may_ask_for_its_book_however_long_it_has_held_it(self) -> None:
+    def test_who_was_started_again_may_ask_for_its_partition_however_long_it_has_held_it(self) -> None:
         node = self.member()
-        adoption = node.adoptions[BOOK] = Takeover(BOOK, "a", NAMES)
-        node.claimed[BOOK] = "b", 1
-        for boot, rights in ((7, (Right(BOOK, 3),)), (8, ())):
+        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
+        node.claimed[PARTITION] = "b", 1
+        for boot, rights in ((7, (Right(PARTITION, 3),)), (8, ())):
             node._heard("b", boot, Heartbeat(False, {}, rights))
         now = monotonic_time()
         self.assertIs(node._standing(now, "b", adoption), MemberStatus.ALIVE)
@@ -185,7 +187,7 @@
 
     def test_who_asked_in_vain_is_taken_for_the_holder_only_for_a_while(self) -> None:
         node = self.member()
-        adoption = node.adoptions[BOOK] = Takeover(BOOK, "a", NAMES)
+        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
         adoption.holder.newer = 3, "b"  # as a grantor said that has granted it to b, alone
         now = monotonic_time() + 1
         with mock.patch.object(node.members, "state", return_value=MemberStatus.ALIVE):
@@ -197,16 +199,16 @@
             ):
                 self.assertIs(node._standing(now + after, name, adoption), stands)
 
-    def test_who_leaves_or_fires_for_a_book_no_more_is_waited_for_no_longer(self) -> None:
+    def test_who_leaves_or_fires_for_a_partition_no_more_is_waited_for_no_longer(self) -> None:
         node = self.member()
-        node.adoptions[BOOK] = Takeover(BOOK, "a", NAMES)
-        node._heard("b", 7, Heartbeat(False, {}, (Right(BOOK, 3),)))
+        node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
+        node._heard("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
         node._heard("c", 7, Heartbeat(False, {}))
-        self.assertIn(BOOK, node.served)
+        self.assertIn(PARTITION, node.served)
         node._heard("b", 7, Heartbeat(True, {}))
-        self.assertNotIn(BOOK, node.served)
+        self.assertNotIn(PARTITION, node.served)
         self.holding(node).serving = True
-        self.assertEqual([right.book for right in node._own_beat().rights], [BOOK])
+        self.assertEqual([right.partition for right in node._own_beat().rights], [PARTITION])
         node.leaving = True
         self.assertEqual(node._own_beat().rights, ())
 
@@ -220,7 +222,7 @@
         node.alive = ["a", first[0]]
         self.assertEqual(node._wanted(holding), first)
 
-    def test_books_that_are_opened_later_know_the_new_members(self) -> None:
+    def test_partitions_that_are_opened_later_know_the_new_members(self) -> None:
         node = self.member()
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node.start(mock.Mock())
@@ -247,7 +249,7 @@
 
         def ask(heard: str) -> None:
             node._heard("b", 7, Heartbeat(False, dict.fromkeys(heard, 0)))
-            node._answer("b", 7, LeaseRequest(right_of(BOOK), 1, "b", SPAN))
+            node._answer("b", 7, LeaseRequest(right_of(PARTITION), 1, "b", SPAN))
 
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c"})  # {a, b} and {c, d, e}: two majorities
@@ -269,7 +271,7 @@
         with self.assertRaises(MembershipChangeError):
             ask("ac")
 
-    def test_a_book_without_numbers_is_followed_by_the_next(self) -> None:
+    def test_a_partition_without_numbers_is_followed_by_the_next(self) -> None:
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         first = slot_of("a") << 12
@@ -278,25 +280,25 @@
             node.start(mock.Mock())
             node.look(monotonic_time())
             assert node.store.current is not None
-            self.assertEqual(node.store.current.book, first)
+            self.assertEqual(node.store.current.partition, first)
             node.store.current.serving = True
             node.store.current.adoption.holder.may_fire = lambda now: True  # type: ignore[method-assign]
             self.assertFalse(node.store.has_room(kept(1)))
             node.look(monotonic_time())
-        self.assertEqual((node.store.current.book, node.adoptions[first].open), (first + 1, False))
+        self.assertEqual((node.store.current.partition, node.adoptions[first].open), (first + 1, False))
         self.assertEqual(node.store.next_number, (first + 1 << 32) + 1)
 
     def test_what_was_closed_while_a_member_was_away_leaves_its_table(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
-        rows = [Grant(right_of(BOOK + index), 1, "b", closed=index > 0) for index in range(3)]
+        rows = [Grant(right_of(PARTITION + index), 1, "b", closed=index > 0) for index in range(3)]
         node.grantor = LeaseGrantor("a", NAMES, 0, rows)  # the first was closed meanwhile
-        theirs = GrantTable(False, (Grant(f"{UPTO}{BOOK >> 12}", 0, "", closed=True),))
+        theirs = GrantTable(False, (Grant(f"{UPTO}{PARTITION >> 12}", 0, "", closed=True),))
         with mock.patch.object(node, "_call", return_value=theirs):
             node._heard("b", 7, Heartbeat(False, {}))
             node.look(monotonic_time())
             gevent.sleep(0.01)
-        self.assertEqual([each.right for each in node.grantor.table().grants], [f"{UPTO}{BOOK >> 12}"])
+        self.assertEqual([each.right for each in node.grantor.table().grants], [f"{UPTO}{PARTITION >> 12}"])
 
     def test_what_nobody_else_can_answer_is_answered_late(self) -> None:
         late, ours, others = [number(1)], True, False
@@ -331,12 +333,12 @@
         for after, calls in ((0, 0), (module.ALONE - 1, 0), (module.ALONE, 1)):
             node._answer_late(1_000_000_000 + after, few=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
-        holding = node.store.holdings[BOOK]
+        holding = node.store.holdings[PARTITION]
         with mock.patch.object(holding.adoption.holder, "may_fire", return_value=True):
             node._answer_late(2_000_000_000, few=False)
         self.assertEqual(holding.unheld_since, 0)  # what follows is another loss
 
-    def test_a_book_that_is_asked_for_in_vain_after_a_restart_is_answered_in_time(self) -> None:
+    def test_a_partition_that_is_asked_for_in_vain_after_a_restart_is_answered_in_time(self) -> None:
         # A term that was granted here may be another's at the others.
         for newer, calls in (((0, ""), 1), ((1, "a"), 1), ((2, "b"), 0), ((2, "A"), 0)):
             node = self.member()
@@ -348,7 +350,7 @@
                 node._answer_late(1_000_000_000 + after, few=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
 
-    def test_what_was_taken_before_the_fleet_goes_on_in_the_first_book_or_is_answered_in_time(self) -> None:
+    def test_what_was_taken_before_the_fleet_goes_on_in_the_first_partition_or_is_answered_in_time(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
         dispatcher: Any = node.dispatcher
@@ -358,7 +360,7 @@
         node.look(monotonic_time())
         dispatcher.answer_late.assert_called_once_with(
             [1, 3]
-        )  # no majority grants a book: one ends, one has its notice owed
+        )  # no majority grants a partition: one ends, one has its notice owed
         holding = self.holding(node)
         holding.serving, node.store.current = True, holding
         node.store.next_number, holding.reserved = number(1), number(9)
@@ -371,16 +373,16 @@
     def test_who_asked_in_vain_gives_its_own_promise_back(self) -> None:
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
-        adoption = node.adoptions[BOOK] = Takeover(BOOK, "a", NAMES, resume=True)
-        node._hold(BOOK)
+        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
+        node._hold(PARTITION)
         now = monotonic_time()
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node._look_at(now, adoption)
-            self.assertGreaterEqual(node.grantor.promised(right_of(BOOK)), now + SPAN)
+            self.assertGreaterEqual(node.grantor.promised(right_of(PARTITION)), now + SPAN)
             node._look_at(monotonic_time() + SPAN, adoption)
-        self.assertLess(node.grantor.promised(right_of(BOOK)), now + SPAN)
+        self.assertLess(node.grantor.promised(right_of(PARTITION)), now + SPAN)
 
-    def test_a_book_that_finds_no_room_here_is_given_back_and_asked_for_again(self) -> None:
+    def test_a_partition_that_finds_no_room_here_is_given_back_and_asked_for_again(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.log.term, holding.adoption._resume = 0, False
@@ -392,23 +394,29 @@
         node._look_at(monotonic_time(), holding.adoption)
         self.assertIs(holding.adoption.stage, TakeoverStage.WAITING)
 
-    def test_a_damaged_folder_leaves_its_books_to_the_heirs_for_a_while_and_a_copy_is_no_book(self) -> None:
+    def test_a_damaged_folder_leaves_its_partitions_to_the_successors_for_a_while_and_a_copy_is_no_partition(
+        self,
+    ) -> None:
         node = self.member()
         self.holding(node)
         node.store.keep(kept(1))
         node.store.close()
         again = self.member(folder=node.store.folder.path)
-        again.copies.piece(ReplicatePiece(BOOK + 1, 2, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([]))))
+        again.copies.piece(
+            ReplicatePiece(PARTITION + 1, 2, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([])))
+        )
         again.copies.close()
         again.store.damaged = True
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             again.start(mock.Mock())
-            self.assertEqual((set(again.store.holdings), set(again.adoptions)), ({BOOK}, {BOOK, BOOK + 1}))
+            self.assertEqual(
+                (set(again.store.holdings), set(again.adoptions)), ({PARTITION}, {PARTITION, PARTITION + 1})
+            )
             again.grantor = LeaseGrantor("a", NAMES, 0, ())
             now = again.begun_at + module.DOUBTED
             for at, asks in ((now - 1, False), (now, True)):
-                again._look_at(at, again.adoptions[BOOK])
-                self.assertEqual(again.adoptions[BOOK].stage is TakeoverStage.ASKING, asks)
+                again._look_at(at, again.adoptions[PARTITION])
+                self.assertEqual(again.adoptions[PARTITION].stage is TakeoverStage.ASKING, asks)
 
     def test_no_second_attempt_goes_out_under_a_new_number_beside_the_first(self) -> None:
         node = self.member("own")
@@ -417,17 +425,17 @@
         node.store.keep(kept(1))
         node.store.attempt(number(1), CLOCK.now(), 0)
         with mock.patch.object(node, "_rekey") as rekey:
-            node._drop(BOOK)
+            node._drop(PARTITION)
             rekey.assert_not_called()
-            self.assertIn(BOOK, node.adoptions)
+            self.assertIn(PARTITION, node.adoptions)
 
     def test_what_a_receiver_answers_is_told_once_whatever_became_of_the_message_meanwhile(self) -> None:
         done = Fact(number(1), None, MessageKnowledge(end=(EndRank.TOLD, 0)))
         ways: tuple[Callable[[ReplicatedStore], object], ...] = (
             lambda store: None,
             lambda store: store.over(number(1)),  # its client had left
-            lambda store: store.forget(BOOK),  # another sender has its book
-            lambda store: store.offered(store.holdings[BOOK], [done], 1),  # an earlier holder has ended it
+            lambda store: store.forget(PARTITION),  # another sender has its partition
+            lambda store: store.offered(store.holdings[PARTITION], [done], 1),  # an earlier holder has ended it
         )
         for gone in ways:
             for outcome, kind in ((Outcome.COMPLETED, "completed"), (Outcome.TIME_OUT, "outcome")):
@@ -453,24 +461,28 @@
         for index in (1, 2, 3):
             node.store.keep(kept(index))
         node.store.body = lambda number: b"" if number % 4 != 3 else self.fail_to_read()  # type: ignore[method-assign]
-        opened = Takeover(BOOK + 1, "a", NAMES, resume=True)
-        node.adoptions[BOOK + 1] = opened
-        fresh = node._hold(BOOK + 1)
+        opened = Takeover(PARTITION + 1, "a", NAMES, resume=True)
+        node.adoptions[PARTITION + 1] = opened
+        fresh = node._hold(PARTITION + 1)
         fresh.serving, opened.holder.may_fire = True, lambda now: True  # type: ignore[method-assign]
-        node.store.current, node.store.next_number, fresh.reserved = fresh, (BOOK + 1 << 32) + 1, (BOOK + 1 << 32) + 99
+        node.store.current, node.store.next_number, fresh.reserved = (
+            fresh,
+            (PARTITION + 1 << 32) + 1,
+            (PARTITION + 1 << 32) + 99,
+        )
         keep = node.store.keep
         with mock.patch.object(node.store, "keep") as full:
             full.side_effect = lambda each: keep(each) if full.call_count == 1 else self.fail_to_write()
-            node._drop(BOOK)
-        node.dispatcher.adopt.assert_called_once_with([(BOOK + 1 << 32) + 1])  # type: ignore[attr-defined]
-        self.assertEqual(node.store.numbers(BOOK), [number(2), number(3)])
+            node._drop(PARTITION)
+        node.dispatcher.adopt.assert_called_once_with([(PARTITION + 1 << 32) + 1])  # type: ignore[attr-defined]
+        self.assertEqual(node.store.numbers(PARTITION), [number(2), number(3)])
         node.leaving = True
-        node._drop(BOOK)
-        self.assertEqual(node.store.numbers(BOOK), [number(2), number(3)])
+        node._drop(PARTITION)
+        self.assertEqual(node.store.numbers(PARTITION), [number(2), number(3)])
         node.leaving = False
-        node._drop(BOOK)
-        self.assertNotIn(BOOK, node.adoptions)
-        ends = {each.id: each.end for each in node.store.kept.values()}
+        node._drop(PARTITION)
+        self.assertNotIn(PARTITION, node.adoptions)
+        ends = {each.id: each.end for each in node.store.messages.values()}
         self.assertEqual(ends, {"id-1": None, "id-2": None, "id-3": (False, 0)})  # the third could not be read
 
     def test_a_body_that_cannot_be_read_leaves_no_copy_without_its_message(self) -> None:
@@ -478,7 +490,7 @@
         holding = self.holding(node)
         node.store.keep(kept(1))
         node.store.body = lambda number: self.fail_to_read()  # type: ignore[method-assign]
-        copy = Replica(BOOK)
+        copy = Replica(PARTITION)
         step = copy.piece(holding.log.piece(0, EVERYTHING))
         assert step.entry is not None
         copy.take(step.entry, step.facts)
@@ -492,11 +504,11 @@
     def fail_to_write(self) -> None:
         raise NoSpaceError("full")
 
-    def test_a_book_that_cannot_be_looked_at_holds_up_neither_the_others_nor_the_late_answers(self) -> None:
+    def test_a_partition_that_cannot_be_looked_at_holds_up_neither_the_others_nor_the_late_answers(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
         for index, error in enumerate((OSError("full"), ValueError("spoilt"), None)):
-            adoption = node.adoptions[BOOK + index] = Takeover(BOOK + index, "a", NAMES)
+            adoption = node.adoptions[PARTITION + index] = Takeover(PARTITION + index, "a", NAMES)
             adoption.step = mock.Mock(side_effect=error, return_value=NOTHING)  # type: ignore[method-assign]
         with mock.patch.object(node, "_answer_late") as late:
             node.look(monotonic_time())
@@ -507,7 +519,7 @@
     def test_a_slow_disk_holds_up_only_the_answers_that_rest_on_it(self) -> None:
         node, go = self.member(), threading.Event()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
-        asks = [LeaseRequest(f"book:{book}", 1, "b", SPAN) for book in (1, 2)]
+        asks = [LeaseRequest(f"book:{partition}", 1, "b", SPAN) for partition in (1, 2)]
         node._answer_ask(asks[0])
         write = node.lasting.write_table
         with mock.patch.object(node.lasting, "write_table", side_effect=lambda table: go.wait(5) and write(table)):
@@ -522,18 +534,18 @@
 
     def test_a_message_that_was_overtaken_is_waited_for(self) -> None:
         node = self.member()
-        node.copies.piece(ReplicatePiece(BOOK, 1, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([]))))
+        node.copies.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([]))))
         parts = [encode_facts([fact(index)]) for index in (1, 2)]
-        letters = [ReplicateFacts(BOOK, 1, place, part, digest_of(part)) for place, part in enumerate(parts)]
-        out = [gevent.spawn(node._copy, letter) for letter in reversed(letters)]
+        peer_messages = [ReplicateFacts(PARTITION, 1, place, part, digest_of(part)) for place, part in enumerate(parts)]
+        out = [gevent.spawn(node._copy, peer_message) for peer_message in reversed(peer_messages)]
         self.assertEqual(
             [each.get(timeout=2) for each in out],
-            [ReplicaAck(BOOK, 1, 2, "", EVERYTHING), ReplicaAck(BOOK, 1, 1, "", EVERYTHING)],
+            [ReplicaAck(PARTITION, 1, 2, "", EVERYTHING), ReplicaAck(PARTITION, 1, 1, "", EVERYTHING)],
         )
-        late = node._copy(ReplicateFacts(BOOK, 1, 7, parts[0], digest_of(parts[0])))
+        late = node._copy(ReplicateFacts(PARTITION, 1, 7, parts[0], digest_of(parts[0])))
         self.assertEqual(getattr(late, "problem", ""), GAP)  # not for ever
 
-    def test_a_book_that_starved_once_follows_again_by_one_round_in_time(self) -> None:
+    def test_a_partition_that_starved_once_follows_again_by_one_round_in_time(self) -> None:
         node = self.member()
         holding, now = self.holding(node), monotonic_time()
         node.store.starved = node._starved
@@ -542,10 +554,10 @@
         for name in NAMES:
             holder.answered(now, now, name, LeaseReply(True, 1, "a", (), holder.set))
         holding.serving = True
-        heir = holding.log.follow("b", now)
+        successor = holding.log.follow("b", now)
 
         def has(index: int) -> None:
-            heir.have(monotonic_time(), ReplicaAck(BOOK, 1, index, "", EVERYTHING), 1)
+            successor.have(monotonic_time(), ReplicaAck(PARTITION, 1, index, "", EVERYTHING), 1)
 
         node.store.keep(kept(1))
         with mock.patch.object(node.store, "within_us", 0), self.assertRaisesRegex(NotReplicatedError, "are not at b"):
@@ -560,13 +572,13 @@
             node.store.flush()
         self.assertFalse(node._copied(monotonic_time(), holding))
 
-    def test_a_copy_counts_once_a_majority_knows_its_heir(self) -> None:
+    def test_a_copy_counts_once_a_majority_knows_its_successor(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.adoption.holder.name(monotonic_time(), ["b"])
         self.assertFalse(node._copied(monotonic_time(), holding))
 
-    def test_a_copy_becomes_an_heir_once_it_has_all_that_came_before_it_was_waited_for(self) -> None:
+    def test_a_copy_becomes_an_successor_once_it_has_all_that_came_before_it_was_waited_for(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.serving, node.store.current = True, holding
@@ -577,12 +589,12 @@
             node.store.keep(kept(index))
             if index == 2:
                 follower.place = ReplicaPosition(1, 1, EVERYTHING)  # whole, with a record on its way
-                node._name_heirs(monotonic_time(), holding)
+                node._name_successors(monotonic_time(), holding)
             # Danger: named now, and granted the next term in a moment, it would know nothing of the second.
             self.assertNotIn(name, holding.adoption.holder.bound)
-            self.assertEqual(node.store.heirs_of(holding), {name} if index > 1 else set())
+            self.assertEqual(node.store.successors_of(holding), {name} if index > 1 else set())
         follower.place = ReplicaPosition(1, 2, EVERYTHING)
-        node._name_heirs(monotonic_time(), holding)
+        node._name_successors(monotonic_time(), holding)
         self.assertIn(name, holding.adoption.holder.bound)  # the third waits for it already
         node = self.member()
         holding = self.holding(node)
@@ -590,10 +602,10 @@
         holding.log.follow(name, monotonic_time()).place = ReplicaPosition(1, 0, EVERYTHING)
         node.store.keep(kept(1))
         now = monotonic_time()
-        node._name_heirs(now, holding)
-        self.assertEqual(node.store.heirs_of(holding), {name})
-        node._name_heirs(now + STARVED + 1, holding)
-        self.assertEqual(node.store.heirs_of(holding), set())  # it does not keep up
+        node._name_successors(now, holding)
+        self.assertEqual(node.store.successors_of(holding), {name})
+        node._name_successors(now + STARVED + 1, holding)
+        self.assertEqual(node.store.successors_of(holding), set())  # it does not keep up
         node.full_at = {each: monotonic_time() for each in node.full_at}
         self.assertEqual(node._wanted(holding), [other])
         holding.joining[name] = 7, now
@@ -606,16 +618,16 @@
         node.store.keep(kept(1))
         node.store.close()
         again = self.member("own", node.store.folder.path)
-        again._note(BOOK, 1, 0)
-        adoption = again.adoptions[BOOK] = Takeover(BOOK, "a", NAMES, 1, resume=True)
+        again._note(PARTITION, 1, 0)
+        adoption = again.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
         adoption.stage = TakeoverStage.OFFERING
-        holding = again._hold(BOOK)
+        holding = again._hold(PARTITION)
         self.assertEqual(again.store.only_here(holding), ([], [number(1)]))
         offers: list[Any] = []
 
         def call(name: str, body: Body, within_s: float) -> Body:
             offers.append(body)
-            return OfferReply(BOOK, 0)
+            return OfferReply(PARTITION, 0)
 
         with mock.patch.object(again, "_call", call):
             again._offer(adoption, "b")
@@ -627,17 +639,17 @@
         attempt = Fact(number(1), fact(1).base, MessageKnowledge({1: LifeSummary(1, True, 77, 0)}))
         for ack, behind, doubt in (("own", True, 77), ("copy", True, 77), ("own", False, 77), ("copy", False, 0)):
             node = self.member(ack)
-            adoption = node.adoptions[BOOK] = Takeover(BOOK, "a", NAMES)
+            adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
             data, tail = encode_facts([attempt]), encode_facts([fact(2)])
-            node.copies.piece(ReplicatePiece(BOOK, 1, 0, EVERYTHING, data, 0, digest_of(data), behind))
-            node.copies.facts(ReplicateFacts(BOOK, 1, 0, tail, digest_of(tail)))
+            node.copies.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, data, 0, digest_of(data), behind))
+            node.copies.facts(ReplicateFacts(PARTITION, 1, 0, tail, digest_of(tail)))
             node.copies.close()
             node.copies.load()  # the file tells it as well
             adoption.holder.term = 2
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
                 node._import(monotonic_time(), adoption)
-            self.assertEqual([node.store.kept[number(index)].doubt_at for index in (1, 2)], [doubt, doubt])
-            self.assertEqual(node.store.holdings[BOOK].log.piece(0, EVERYTHING).behind, ack == "own")
+            self.assertEqual([node.store.messages[number(index)].doubt_at for index in (1, 2)], [doubt, doubt])
+            self.assertEqual(node.store.holdings[PARTITION].log.piece(0, EVERYTHING).behind, ack == "own")
 
     def test_keys_of_before_a_trouble_are_told_and_those_told_by_others_rest(self) -> None:
         node, now = self.member(), monotonic_time()
@@ -655,9 +667,9 @@
                 if each.base
             ]
         )
-        node.copies.piece(ReplicatePiece(BOOK, 2, 0, EVERYTHING, data, 0, digest_of(data)))
-        node._follow(BOOK)
-        node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(BOOK), 2, "b", ("b", "a"), 1),))
+        node.copies.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
+        node._follow(PARTITION)
+        node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(PARTITION), 2, "b", ("b", "a"), 1),))
         with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawn:
             with mock.patch.object(node, "_standing", return_value=MemberStatus.ALIVE):
                 node._owe(now)
@@ -665,24 +677,27 @@
             node._owe(now)  # b is silent: what a copy here says is owed is told, and rests here, too
             self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", OwedKeys((8,)))])
             node.dispatcher.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
-            node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(BOOK), 3, "a", ("b", "a"), 1),))
-            node._owe(now)  # this member has asked for the book, and has not taken it in yet
+            node.grantor = LeaseGrantor("a", NAMES, now, (Grant(right_of(PARTITION), 3, "a", ("b", "a"), 1),))
+            node._owe(now)  # this member has asked for the partition, and has not taken it in yet
             self.assertEqual(node.owing.elsewhere, {8})
             self.assertIsInstance(node._answer("c", 1, OwedKeys((5, 6))), Acknowledged)
-            node.copies.drop(BOOK)
+            node.copies.drop(PARTITION)
             node.adoptions.clear()
             node._owe(now)
             self.assertEqual(node.owing.elsewhere, {5, 6})
             holding = self.holding(node)
             for index, turn in enumerate((5, 7), 1):
-                holding.ledger.kept(replace(kept(index), turn=turn), b"")
-                node.store.kept[number(index)] = replace(kept(index), turn=turn)
-            for open_book, told in ((holding, {7}), (None, {5, 7})):  # in the open book 5 waits for c by itself
-                node.store.current = open_book
+                holding.ledger.record_message(replace(kept(index), turn=turn), b"")
+                node.store.messages[number(index)] = replace(kept(index), turn=turn)
+            for open_partition, told in (
+                (holding, {7}),
+                (None, {5, 7}),
+            ):  # in the open partition 5 waits for c by itself
+                node.store.current = open_partition
                 node._backlog(holding)
                 node._owe(now)
                 self.assertEqual(node.owing.told, told)
-                self.assertLessEqual(told, node.owing.elsewhere)  # a book that is not fired for
+                self.assertLessEqual(told, node.owing.elsewhere)  # a partition that is not fired for
             holding.serving = True
             node._owe(now)
             self.assertEqual(node.owing.elsewhere, {6})
@@ -707,22 +722,22 @@
                 keep(store, each)
 
             with mock.patch.object(Store, "keep", kept_if):
-                problems.append(node._offered("b", TakeoverOffer(BOOK, 0, True, data, digest_of(data), 1)))
-        self.assertEqual(problems, [OfferReply(BOOK, 0, "full"), OfferReply(BOOK, 0)])
+                problems.append(node._offered("b", TakeoverOffer(PARTITION, 0, True, data, digest_of(data), 1)))
+        self.assertEqual(problems, [OfferReply(PARTITION, 0, "full"), OfferReply(PARTITION, 0)])
         self.assertEqual(dispatcher.adopt.mock_calls, [mock.call([number(1)]), mock.call([number(2), number(3)])])
-        self.assertEqual(sorted(node.store.kept), sorted(holding.ledger.known))
+        self.assertEqual(sorted(node.store.messages), sorted(holding.ledger.known))
 
     def test_an_owner_that_comes_back_after_others_waits_for_what_they_may_offer(self) -> None:
         for term, from_term in ((2, 0), (3, 1)):
             node = self.member()
-            node._note(BOOK, 1, 0)
-            adoption = node.adoptions[BOOK] = Takeover(BOOK, "a", NAMES, 1, resume=True)
+            node._note(PARTITION, 1, 0)
+            adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
             adoption.holder.term = term
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
                 node._import(monotonic_time(), adoption)
-            self.assertEqual(node.store.holdings[BOOK].from_term, from_term)
+            self.assertEqual(node.store.holdings[PARTITION].from_term, from_term)
 
-    def test_an_adopted_book_is_kept_for_what_its_last_holder_may_offer(self) -> None:
+    def test_an_adopted_partition_is_kept_for_what_its_last_holder_may_offer(self) -> None:
         for from_term, waits in ((1, True), (0, False)):
             node = self.member()
             holding = self.holding(node)
@@ -731,21 +746,21 @@
             self.assertEqual(node._expects_offer(now, holding), waits)
             self.assertFalse(node._expects_offer(now + module.EXPECTED, holding))
             empty = encode_facts([])
-            node._offered("b", TakeoverOffer(BOOK, 0, True, empty, digest_of(empty), 1))
+            node._offered("b", TakeoverOffer(PARTITION, 0, True, empty, digest_of(empty), 1))
             self.assertEqual(node._expects_offer(now, holding), waits)  # it may not have the answer yet
             self.assertFalse(node._expects_offer(now + 4_000_000, holding))
 
     def test_what_is_adopted_at_its_limit_has_failed_and_what_only_this_member_had_is_kept(self) -> None:
         store = self.member().store
-        holding = LeasedPartition(BOOK, mock.Mock())
-        store.holdings[BOOK] = holding
+        holding = LeasedPartition(PARTITION, mock.Mock())
+        store.holdings[PARTITION] = holding
         for index in (3, 4, 5):
             holding.ledger.known[number(index)] = MessageKnowledge()
             super(ReplicatedStore, store).keep(kept(index))
         soon = CLOCK.now() + 300_000
         moving = msgspec.structs.replace(fact(6, life=0), known=MessageKnowledge(move=(1, "<1/a/b")))
         store.take_in(holding, [fact(1), fact(2, life=0), moving], 2, 0, [number(3)], [number(4)], soon)
-        ends = {index: store.kept[number(index)].end for index in range(1, 7) if number(index) in store.kept}
+        ends = {index: store.messages[number(index)].end for index in range(1, 7) if number(index) in store.messages}
         self.assertEqual(ends, {1: None, 2: (False, 0), 3: None, 4: (False, 0), 6: None})  # it is on the move
         self.assertEqual(holding.ledger.known[number(4)].end[0], EndRank.FAILED)
 
@@ -753,7 +768,7 @@
 class Tables(unittest.TestCase):
     def test_what_is_learned_counts_as_promised_for_a_span(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, None)
-        right = right_of(BOOK)
+        right = right_of(PARTITION)
         rows = (Grant(right, 3, "b", ("b", "a"), 3 << 20 | 1),)
         for name in ("b", "c"):
             grantor.learned(SPAN, name, GrantTable(False, rows))
@@ -761,12 +776,12 @@
 
     def test_only_closed_rows_of_another_table_are_taken_over(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, ())
-        other = right_of(BOOK + 2)
+        other = right_of(PARTITION + 2)
         grantor.closed_elsewhere(
-            GrantTable(False, (Grant(right_of(BOOK + 1), 2, "b", closed=True), Grant(other, 2, "b")))
+            GrantTable(False, (Grant(right_of(PARTITION + 1), 2, "b", closed=True), Grant(other, 2, "b")))
         )
         self.assertEqual(
-            (grantor.grant(right_of(BOOK + 1)).closed, grantor.grant(other).term, grantor.dirty), (True, 0, True)
+            (grantor.grant(right_of(PARTITION + 1)).closed, grantor.grant(other).term, grantor.dirty), (True, 0, True)
         )
 
 
@@ -787,7 +802,7 @@
                 [Fact(number(1), MessageBase("id", "k", 0, "free", "", destination, 1, b""), MessageKnowledge())]
             )
             if fits:
-                message(kept_of(decode_facts(data)[0]), b"")
+                message(stored_message_of(decode_facts(data)[0]), b"")
             else:
                 self.assertRaises(CorruptFactsError, decode_facts, data)
         self.assertRaises(ValueError, parts, f"{1 << 62}/a/b")
--- a/tests/test_fleet_owing.py
+++ b/tests/test_fleet_owing.py
@@ -23,7 +23,7 @@
         self.assertEqual(owing.tell(NOW, {7, 5}, ["b"]), (5, 7))
         self.assertIsNone(owing.tell(NOW + EVERY - 1, {5}, ["b"]))  # what is over may wait
         self.assertEqual(owing.tell(NOW + EVERY - 1, {5}, ["b", "c"]), (5,))  # who came back knows nothing yet
-        self.assertEqual(owing.tell(NOW + 2 * EVERY, {5}, ["b", "c"]), (5,))  # a letter may be lost
+        self.assertEqual(owing.tell(NOW + 2 * EVERY, {5}, ["b", "c"]), (5,))  # a peer message may be lost
         self.assertEqual(owing.tell(NOW + 3 * EVERY, set(), ["b", "c"]), ())
         self.assertIsNone(owing.tell(NOW + 9 * EVERY, set(), ["b", "c"]))
         self.assertEqual(len(owing.tell(NOW + 9 * EVERY, set(range(9999)), ["b"]) or ()), MOST_KEYS)
--- a/tests/test_fleet_shipping.py
+++ b/tests/test_fleet_shipping.py
@@ -1,4 +1,5 @@
-"""A book's facts on their way to two copies, over a link that loses, doubles and turns round, and files that fail."""
+"""A partition's facts on their way to two copies, over a link that loses, doubles and turns round, and files that
+fail."""
 
 import random
 import unittest
@@ -25,7 +26,7 @@
 from cedarwick.store.records import FRAME, StoredMessage, framed
 from tests.test_store import Crash, Fake
 
-BOOK = 3
+PARTITION = 3
 NAMES = ["b", "c"]
 
 
@@ -62,7 +63,7 @@
         self.copies.load()
 
     def held(self) -> dict[int, Fact]:
-        found = self.copies.replica(BOOK)
+        found = self.copies.replica(PARTITION)
         return found.held if found is not None else {}
 
     def on_disk(self) -> replication.ReplicaPosition:
@@ -71,7 +72,7 @@
             Files({name: bytearray(data) for name, data in self.files.items()}), 1 << 22, now=lambda: 50
         )
         other.load()
-        found = other.replica(BOOK)
+        found = other.replica(PARTITION)
         return found.place if found is not None else replication.NO_PLACE
 
 
@@ -83,7 +84,7 @@
         self.now = 0
         self.wild = True
         self.term = 0
-        self.number = BOOK << 32
+        self.number = PARTITION << 32
         self.bases: dict[int, Fact] = {}  # what the holder owes
         self.ledger = FactLedger(0)
         self.members = dict(zip(NAMES, [Member() for _ in range(members)], strict=False))
@@ -95,7 +96,7 @@
         """The holder begins a term, with what it owed before."""
         self.term += 1
         self.ledger.renew(self.term)
-        self.log = ReplicationLog(BOOK, self.term, self.read, self.bases)
+        self.log = ReplicationLog(PARTITION, self.term, self.read, self.bases)
         for name in self.members:
             self.log.follow(name, self.now)
 
@@ -112,7 +113,7 @@
     def take(self, size: int = 60) -> int:
         self.number += 1
         kept = StoredMessage(self.number, f"i{self.number}", "", 0, "free", "", 7, 10**9, b"x" * size)
-        self.tell(self.ledger.kept(kept, kept.body or b""))
+        self.tell(self.ledger.record_message(kept, kept.body or b""))
         return self.number
 
     def live(self, events: int) -> None:
@@ -164,7 +165,12 @@
             follower.have(self.now, message, life)
         else:
             try:
-                answer = getattr(member.copies, type(message).__name__.lower())  # facts, piece, digests
+                answers: dict[type, Any] = {
+                    ReplicateFacts: member.copies.facts,
+                    ReplicatePiece: member.copies.piece,
+                    Digests: member.copies.digests,
+                }
+                answer = answers[type(message)]
                 return [(name, member.life, answer(message))]
             except Crash:
                 member.start()
@@ -275,7 +281,7 @@
         def done(self: ReplicaStore, copy: replica_files.ReplicaFile, step: replication.ReplicaStep) -> Any:
             if step.entry is not None:
                 copy.replica.take(step.entry, step.facts)
-                self.copies[copy.replica.book] = copy
+                self.copies[copy.replica.partition] = copy
             return step.have
 
         with unittest.mock.patch.object(ReplicaStore, "_done", done):
@@ -303,7 +309,7 @@
         lost, spoilt = list(held)[1], list(held)[-1]
         del held[lost]
         held[spoilt] = Fact(spoilt, held[spoilt].base, MessageKnowledge())
-        held[(BOOK << 32) + 99_999] = held[spoilt]
+        held[(PARTITION << 32) + 99_999] = held[spoilt]
         for _ in range(300):
             link.turn()
         link.settle()
@@ -329,7 +335,9 @@
 
     def facts(self, **told: Any) -> ReplicateFacts:
         data = told.pop("data", None) or encode_facts([])
-        return ReplicateFacts(**{"book": BOOK, "term": 1, "first": 0, "facts": data, "digest": digest(data), **told})
+        return ReplicateFacts(
+            **{"partition": PARTITION, "term": 1, "first": 0, "facts": data, "digest": digest(data), **told}
+        )
 
     def test_what_does_not_fit_is_dropped_whole(self) -> None:
         wrong = encode_facts([Fact(5, None, MessageKnowledge())])
@@ -346,11 +354,11 @@
             before = dict(self.member.held())
             self.assertEqual(self.member.copies.facts(self.facts(**told)).problem, problem)
             self.assertEqual(self.member.held(), before)
-        replica = Replica(BOOK)
-        low, high = ((BOOK << 32) + each for each in (1, 9))
+        replica = Replica(PARTITION)
+        low, high = ((PARTITION << 32) + each for each in (1, 9))
         for after, numbers, problem in ((0, [], ""), (high, [], "gap"), (low, [low], SPOILT)):
             data = encode_facts([Fact(number, None, MessageKnowledge()) for number in numbers])
-            step = replica.piece(ReplicatePiece(BOOK, 1, after, low, data, 5, digest(data)))
+            step = replica.piece(ReplicatePiece(PARTITION, 1, after, low, data, 5, digest(data)))
             self.assertEqual(step.have.problem, problem)
             if step.entry is not None:
                 replica.take(step.entry, step.facts)
@@ -387,7 +395,7 @@
 
     def test_a_fresh_file_that_misses_an_entry_does_not_take_the_name(self) -> None:
         folder, held = self.member.folder, self.member.copies
-        held._begin(held.copies[BOOK])
+        held._begin(held.copies[PARTITION])
         folder.room = sum(map(len, folder.files.values())) + 4000  # for the entry once, not twice
         self.link.take(3000)
         self.assertEqual(held.facts(self.facts(first=20, data=together(self.link.log.tail(20)))).next, 21)
@@ -395,7 +403,7 @@
         while held.step():
             pass
         folder.failing, written = {"replace"}, held.written
-        held.copies[BOOK].torn = True  # it must be written anew
+        held.copies[PARTITION].torn = True  # it must be written anew
         for _ in range(50):
             held.step()  # what can't take the name is not written again and again
         self.assertLess(held.written - written, 2 * held.used)
@@ -420,7 +428,7 @@
         self.assertFalse(held.unsynced)
 
     def test_a_torn_end_is_cut_off_and_damage_puts_all_in_doubt(self) -> None:
-        name = f"{BOOK}.log"
+        name = f"{PARTITION}.log"
         whole = len(self.member.files[name])
         self.member.files[name] += framed(b"x" * 99)[:50]
         self.member.start()
@@ -438,12 +446,12 @@
         self.assertEqual(len(self.member.held()), 20)
 
     def test_a_file_of_another_version_is_put_aside(self) -> None:
-        name = f"{BOOK}.log"
+        name = f"{PARTITION}.log"
         with unittest.mock.patch.object(replica_files, "VERSION", 9):
             self.member.start()
         self.assertEqual((self.member.held(), list(self.member.files)), ({}, [name + ".other"]))
         self.link.settle()
-        self.member.copies.drop(BOOK)
+        self.member.copies.drop(PARTITION)
         self.assertEqual(list(self.member.files), [name + ".other"])
 
     def test_a_holder_that_was_superseded_stops(self) -> None:
--- a/tests/test_fleetbench.py
+++ b/tests/test_fleetbench.py
@@ -27,7 +27,7 @@
         self.assertEqual(over_idle(loaded=1500, seconds=10, idle=100, idle_seconds=2, messages=100), 10)
         self.assertEqual(over_idle(500, 10, 100, 2, 0), 0)  # none was taken
 
-    def test_the_letter_behind_a_head_is_read(self) -> None:
+    def test_the_peer_message_behind_a_head_is_read(self) -> None:
         have = ReplicaAck(7, 2, 5)
         told = encode(PeerMessage(1, 1, "bench", "n0", 1, "n1", have))
         self.assertEqual(body_of(b"POST /fleet/1 HTTP/1.1\r\nContent-Length: 9\r\n\r\n" + told), have)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -21,7 +21,7 @@
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import DescriptorBudget, NoDescriptorError
 from cedarwick.net.counters import Counters
-from cedarwick.net.dispatcher import BOOK, DEADLINE_MARGIN, AdmissionResult, Submission
+from cedarwick.net.dispatcher import DEADLINE_MARGIN, PARTITION_SHIFT, AdmissionResult, Submission
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.http import InvalidResponseError, ResponseParser
 from cedarwick.net.sockets import is_closed
@@ -104,9 +104,9 @@
         for name, key, life in (("b", 5, 8_000_000), ("c", 6, 8_000_000), ("d", 7, 900_000), ("e", 8, 8_000_000)):
             self.taken(name=name, key=key, life=life)
         self.dispatcher._decide()
-        self.assertEqual([call.kept.id for call in self.calls], ["held", "d", "e"])  # d has no second to spare
+        self.assertEqual([call.message.id for call in self.calls], ["held", "d", "e"])  # d has no second to spare
         self.assertLess(0, self.dispatcher.rest_of(6))
-        other = 9 << BOOK
+        other = 9 << PARTITION_SHIFT
         for number in (other + 1, other + 2):  # what a dead sender owed of the key, adopted here
             self.store.keep(
                 StoredMessage(
@@ -129,7 +129,7 @@
 
     def test_an_message_is_kept_before_its_attempt_starts(self) -> None:
         self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.KEPT, 0))
-        self.assertEqual((list(self.store.kept), self.calls[0].kept), ([1], self.store.kept[1]))
+        self.assertEqual((list(self.store.messages), self.calls[0].message), ([1], self.store.messages[1]))
 
     def test_each_attempt_is_a_call_of_its_own_whatever_the_settings_say(self) -> None:
         self.assertEqual(self.dispatcher.sender.settings["family-info.per-call"], "20")
@@ -159,14 +159,14 @@
         self.dispatcher._clear(self.calls[0], AsyncResult())
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.COMPLETED, last=True))
         self.assertEqual(
-            (self.store.kept, self.dispatcher.handles, self.dispatcher.numbers, self.dispatcher.sender.open),
+            (self.store.messages, self.dispatcher.handles, self.dispatcher.numbers, self.dispatcher.sender.open),
             ({}, {}, {}, 0),
         )
 
     def test_a_copy_of_an_id_that_has_ended_is_not_taken(self) -> None:
         self.test_a_completed_message_leaves_nothing_behind()
         self.assertEqual(self.taken(size=4).answer.get(block=False), (AdmissionResult.REPEATED, 0))
-        self.assertEqual((self.store.kept, len(self.calls)), ({}, 1))
+        self.assertEqual((self.store.messages, len(self.calls)), ({}, 1))
 
     def test_another_body_under_an_open_id_is_not_taken_for_the_same(self) -> None:
         self.taken()
@@ -181,7 +181,7 @@
 
     def test_a_destination_that_nobody_listed_is_turned_away(self) -> None:
         self.assertEqual(self.taken(destination=9).answer.get(block=False), (AdmissionResult.UNKNOWN_DESTINATION, 0))
-        self.assertEqual((self.store.kept, list(self.dispatcher.sender.destinations)), ({}, [0]))
+        self.assertEqual((self.store.messages, list(self.dispatcher.sender.destinations)), ({}, [0]))
 
     def test_no_time_to_live_is_longer_than_the_settings_allow(self) -> None:
         self.taken(life=10**15)
@@ -194,7 +194,7 @@
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._clear(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
-        self.assertEqual((self.store.kept, self.dispatcher.handles, self.dispatcher.sender.open), ({}, {}, 0))
+        self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.sender.open), ({}, {}, 0))
 
     def test_one_withdrawn_while_the_record_of_its_attempt_was_waited_for_does_not_go_out(self) -> None:
         self.store.awaited = True
@@ -211,14 +211,14 @@
                 call, told = self.dispatcher.queue.get()
                 call(*told)
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
-        self.assertEqual((self.store.kept, self.dispatcher.handles, self.dispatcher.leaving), ({}, {}, set()))
+        self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.leaving), ({}, {}, set()))
 
     def test_the_record_of_a_attempt_comes_before_its_first_byte(self) -> None:
         self.taken()
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._clear(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), True)
-        self.assertEqual(self.store.kept[1].attempts, 1)
+        self.assertEqual(self.store.messages[1].attempts, 1)
 
     def test_what_reaches_its_limit_while_calls_hold_up_the_end_is_written_off(self) -> None:
         for name, life in (("out", 8_000_000), ("near", 40_000), ("later", 8_000_000)):
@@ -229,7 +229,7 @@
             self.dispatcher._hold_fire(ending=ending)
             self.dispatcher._turn_away()
             self.assertEqual(sorted(self.dispatcher.notices.owed), [2] * ending)
-        self.assertEqual(self.dispatcher.wake_at, self.store.kept[3].deadline - DEADLINE_MARGIN)
+        self.assertEqual(self.dispatcher.wake_at, self.store.messages[3].deadline - DEADLINE_MARGIN)
 
     def test_no_attempt_begins_when_the_end_is_near(self) -> None:
         self.taken()
@@ -237,7 +237,7 @@
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._clear(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
-        self.assertEqual(self.store.kept[1].attempts, 0)
+        self.assertEqual(self.store.messages[1].attempts, 0)
 
     def test_at_a_hand_over_what_comes_is_kept_and_not_attempt(self) -> None:
         self.dispatcher._hold_fire(keeping=True)
@@ -247,7 +247,7 @@
         self.dispatcher._take(submission)
         self.dispatcher._keep_fresh()
         self.assertEqual(submission.answer.get(block=False), (AdmissionResult.KEPT, 0))
-        self.assertEqual((list(self.store.kept), self.calls), ([1], []))
+        self.assertEqual((list(self.store.messages), self.calls), ([1], []))
 
     def test_at_an_end_what_comes_is_turned_away(self) -> None:
         self.dispatcher._hold_fire()
@@ -257,7 +257,7 @@
         self.dispatcher._take(submission)
         self.dispatcher._turn_away()
         self.assertEqual(submission.answer.get(block=False), (AdmissionResult.BUSY, 0))
-        self.assertEqual(self.store.kept, {})
+        self.assertEqual(self.store.messages, {})
 
     def test_an_error_in_one_event_answers_it_and_ends_nothing(self) -> None:
         self.dispatcher.sender = None  # type: ignore[assignment]
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -39,7 +39,7 @@
         self.said: list[str] = []
         self.relay = Relay("n0>n1", ("127.0.0.1", self.far.server.server_port), 1, say=self.said.append)
         self.addCleanup(self.relay.close)
-        self.kept = self.connect()
+        self.messages = self.connect()
 
     def connect(self) -> gevent.socket.socket:
         sock = gevent.socket.create_connection(self.relay.address, 1.0)
@@ -48,7 +48,7 @@
 
     def ask(self, body: bytes = b"abc", sock: gevent.socket.socket | None = None, patience: float = 0.25) -> str:
         """The answer's body, or what became of the connection."""
-        sock = sock or self.kept
+        sock = sock or self.messages
         sock.settimeout(patience)
         got = b""
         try:
@@ -179,8 +179,8 @@
         self.arrived(b"one", b"one", b"two", b"cut")
 
     def test_who_asks_and_leaves_in_the_middle_is_passed_on_as_that(self) -> None:
-        self.kept.sendall(b"POST /fleet/1 HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf")
-        self.kept.close()
+        self.messages.sendall(b"POST /fleet/1 HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf")
+        self.messages.close()
         gevent.sleep(0.03)
         self.assertEqual((len(self.relay.open), self.relay.did["asks: passed"]), (0, 1))
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -226,14 +226,14 @@
 
     def compare(self, case: unittest.TestCase, again: Store, torn: bool = False) -> None:
         """What a new process finds is what was acknowledged. `torn`: a record may stand torn, so doubt is right."""
-        again.book.check()
-        case.assertTrue(torn or not any(each.doubt_at for each in again.kept.values()), "doubt without damage")
+        again.segment_index.check()
+        case.assertTrue(torn or not any(each.doubt_at for each in again.messages.values()), "doubt without damage")
         doing = self.doing[1] if self.doing else 0
         loose = self.unsure | {doing}
-        case.assertLessEqual(self.model.keys() - again.kept.keys(), {doing}, "an acknowledged message is lost")
-        case.assertLessEqual(again.kept.keys() - self.model.keys(), loose, "an ended message has come back")
-        for number in again.kept.keys() & self.model.keys():
-            found, state = again.kept[number], self.model[number]
+        case.assertLessEqual(self.model.keys() - again.messages.keys(), {doing}, "an acknowledged message is lost")
+        case.assertLessEqual(again.messages.keys() - self.model.keys(), loose, "an ended message has come back")
+        for number in again.messages.keys() & self.model.keys():
+            found, state = again.messages[number], self.model[number]
             may_have_run = bool(found.ran_at or found.out_at or found.doubt_at)
             out = state.out and self.doing != ("outcome", number)  # that one may be told as 'never ran' by now
             case.assertTrue(may_have_run or not (state.may_have_run or out), "an attempt is forgotten")
@@ -264,7 +264,7 @@
                 if room < 1 << 60 and at % 20 == 0:
                     folder.room = room + chance.randrange(-2000, 4000) if chance.random() < 0.5 else 1 << 60
                 history.step()
-            history.store.book.check()
+            history.store.segment_index.check()
         except Crash:
             pass
         return folder, history
@@ -277,20 +277,20 @@
         after.chance.seed(seed + crash_at)
         again = store(after, limit=14_000)
         if history is None:  # it died in its first start
-            self.assertEqual(dict(again.kept), {})
+            self.assertEqual(dict(again.messages), {})
             return died
         history.compare(self, again)
         # It goes on, dies no more, and a third process finds the same.
         go_on = History(again, random.Random(seed + 1))
-        go_on.model = {number: self.state_of(again, number) for number in again.kept}
+        go_on.model = {number: self.state_of(again, number) for number in again.messages}
         for _ in range(40):
             go_on.step()
-        self.assertGreaterEqual(again.next_number, max(history.store.kept, default=0))
+        self.assertGreaterEqual(again.next_number, max(history.store.messages, default=0))
         go_on.compare(self, store(Fake(after.files), limit=14_000))
         return died
 
     def state_of(self, made: Store, number: int) -> State:
-        found = made.kept[number]
+        found = made.messages[number]
         state = State(made.body(number) if found.end is None else b"")
         state.attempts, state.out, state.end = found.attempts, bool(found.out_at), found.end
         state.may_have_run = bool(found.ran_at)
@@ -313,7 +313,7 @@
         """Segments that a history deletes."""
         folder, history = self.play(seed, 0, room=room)
         assert history is not None
-        return history.store.last_segment - len(history.store.book.segments)
+        return history.store.last_segment - len(history.store.segment_index.segments)
 
     def test_each_state_is_what_was_acknowledged(self) -> None:
         self.points(1 << 60, self.POINTS * 3 // 4)
@@ -358,7 +358,7 @@
         made = store(folder, durable=True)
         self.fill(made)
         made.flush()
-        for number in list(made.kept):
+        for number in list(made.messages):
             made.over(number)
         for _ in range(200):
             made.step()
@@ -384,7 +384,7 @@
         folder = Fake()
         made = store(folder, limit=400_000, segment=16_000)
         count = Failing().fill(made, 1000)
-        live = sum(each.weight for each in made.kept.values())
+        live = sum(each.weight for each in made.messages.values())
         self.assertGreater(live, 0.8 * 400_000)
         for _ in range(6):  # many short records, in a folder that is full
             for number in range(1, count + 1):
@@ -436,7 +436,7 @@
             made.step()
         self.assertLessEqual(made.used, 60_000)
         again = store(Fake(folder.files))
-        self.assertEqual(sorted(again.kept), [number for number in range(1, count + 1) if number % 2])
+        self.assertEqual(sorted(again.messages), [number for number in range(1, count + 1) if number % 2])
 
     def test_what_has_no_room_now_is_written_as_soon_as_there_is_some(self) -> None:
         folder = Fake()
@@ -449,13 +449,13 @@
             made.keep(kept(2))
         folder.room = 1 << 60
         made.step()
-        self.assertEqual(dict(store(Fake(folder.files)).kept), {})
+        self.assertEqual(dict(store(Fake(folder.files)).messages), {})
 
     def test_bodies_beyond_the_bound_lie_on_disk_only_and_are_read_for_the_attempt(self) -> None:
         made = store(Fake(), bodies=350)
         for number in range(1, 8):
             made.keep(kept(number))
-        self.assertEqual([number for number in made.kept if made.kept[number].body is not None], [5, 6, 7])
+        self.assertEqual([number for number in made.messages if made.messages[number].body is not None], [5, 6, 7])
         self.assertEqual([made.body(number)[:8] for number in (1, 7)], [b"00000001", b"00000007"])
         for number in range(1, 8):
             made.over(number)
@@ -488,7 +488,7 @@
         return recover(self.folder, self.said.append)
 
     def doubtful(self) -> list[int]:
-        return [number for number, each in self.found().book.kept.items() if each.doubt_at]
+        return [number for number, each in self.found().segment_index.messages.items() if each.doubt_at]
 
     def test_undamaged_nothing_is_said_and_nothing_doubted(self) -> None:
         self.assertEqual((self.doubtful(), self.said), ([], []))
@@ -501,20 +501,20 @@
         self.assertIn("cut off", self.said[0])
         again = store(Fake(self.folder.files))
         again.keep(kept(99))
-        self.assertIn(99, store(Fake(self.folder.files)).kept)
+        self.assertIn(99, store(Fake(self.folder.files)).messages)
 
     def test_a_torn_middle_puts_in_doubt_what_lived_then(self) -> None:
         name = segment_name(2)
         self.folder.files[name][300] ^= 0xFF
         found = self.found()
-        doubted = {number for number, each in found.book.kept.items() if each.doubt_at}
+        doubted = {number for number, each in found.segment_index.messages.items() if each.doubt_at}
         self.assertTrue(doubted)
-        self.assertTrue(all(found.book.kept[number].home <= 2 for number in doubted))
+        self.assertTrue(all(found.segment_index.messages[number].home <= 2 for number in doubted))
         self.assertIn("damaged", self.said[0])
 
     def test_a_bad_sector_is_damage_and_the_rest_is_read(self) -> None:
         self.folder.bad.add((segment_name(1), 0))
-        self.assertGreater(len(self.found().book.kept), 20)
+        self.assertGreater(len(self.found().segment_index.messages), 20)
         self.assertTrue(self.said)
 
     def test_a_missing_segment(self) -> None:
@@ -525,10 +525,14 @@
         # The doubt is written down: it does not go when the program starts again.
         again = store(Fake(self.folder.files), limit=1_000_000)
         self.assertTrue(
-            all(each.earlier_attempts()[0].outcome is None for number, each in again.kept.items() if number in doubted)
+            all(
+                each.earlier_attempts()[0].outcome is None
+                for number, each in again.messages.items()
+                if number in doubted
+            )
         )
         third = store(Fake(self.folder.files), limit=1_000_000)
-        self.assertEqual({n for n, each in third.kept.items() if each.doubt_at}, set(doubted))
+        self.assertEqual({n for n, each in third.messages.items() if each.doubt_at}, set(doubted))
 
     def test_a_sealed_segment_that_was_cut_short(self) -> None:
         del self.folder.files[segment_name(2)][-20:]
@@ -539,7 +543,7 @@
         self.folder.files["00000099.seg"] = bytearray(self.folder.files[segment_name(1)])
         self.folder.files["00000001 (copy).seg"] = bytearray(b"x")
         again = store(Fake(self.folder.files), limit=1_000_000)
-        self.assertEqual((len(again.kept), any(each.doubt_at for each in again.kept.values())), (39, False))
+        self.assertEqual((len(again.messages), any(each.doubt_at for each in again.messages.values())), (39, False))
         self.assertIn("00000099.seg", self.folder.files)
 
     def test_an_older_newest_segment_names_what_is_gone_by_now(self) -> None:
@@ -562,14 +566,14 @@
         made._append(b"\x63" + b"future", "short")
         segment = made.active
         assert segment is not None
-        made.book.strange(segment, segment.size - 7, 7)
-        for number in list(made.kept):
+        made.segment_index.strange(segment, segment.size - 7, 7)
+        for number in list(made.messages):
             made.over(number)
         for number in range(100, 300):
             made.keep(kept(number))
             made.over(number)
             made.step()
-        self.assertNotIn(segment.number, made.book.segments)
+        self.assertNotIn(segment.number, made.segment_index.segments)
         self.assertTrue(any(b"\x63future" in data for data in self.folder.files.values()))
 
     def test_an_unknown_kind_that_may_speak_of_a_attempt_puts_its_message_in_doubt(self) -> None:
@@ -584,7 +588,7 @@
         self.folder.files[name][: len(head)] = head
         self.assertTrue(self.doubtful())
         again = store(Fake(self.folder.files), limit=30_000)
-        for number in list(again.kept):
+        for number in list(again.messages):
             again.over(number)
         for _ in range(300):
             again.step()
@@ -601,8 +605,8 @@
             if chance.random() < 0.2:
                 del files[chance.choice(sorted(files))]
             made = store(Fake(files), limit=1_000_000)
-            made.book.check()
-            for each in made.kept.values():
+            made.segment_index.check()
+            for each in made.messages.values():
                 each.earlier_attempts()
 
 
@@ -625,9 +629,10 @@
         return bytearray(b"".join(legacy_format.HEAD.pack(len(each), zlib.crc32(each)) + each for each in parts))
 
     def check(self, made: Store) -> None:
-        self.assertEqual(sorted(made.kept), [1, 2, 3])
+        self.assertEqual(sorted(made.messages), [1, 2, 3])
         self.assertEqual(
-            (made.kept[1].out_at, made.kept[2].attempts, made.kept[2].ran_at, made.kept[3].end), (50, 1, 0, (True, 250))
+            (made.messages[1].out_at, made.messages[2].attempts, made.messages[2].ran_at, made.messages[3].end),
+            (50, 1, 0, (True, 250)),
         )
         self.assertEqual((made.body(1), made.restarted), (b"body", True))
 
@@ -658,7 +663,7 @@
             made.keep(kept(number))
             made.over(number)
             made.step()
-        self.assertEqual(dict(store(Fake(folder.files)).kept), {})
+        self.assertEqual(dict(store(Fake(folder.files)).messages), {})
 
 
 class OnDisk(unittest.TestCase):
@@ -689,7 +694,7 @@
         made.over(4)
         made.close()
         again = store(Folder(self.path))
-        back = again.kept[1]
+        back = again.messages[1]
         self.assertEqual(
             (
                 back.id,
@@ -708,7 +713,7 @@
             [(900, 1, None), (0, 0, Outcome.MOOT)],
         )
         self.assertEqual(
-            ({n: each.end for n, each in again.kept.items()}, again.next_number), ({1: None, 3: (True, 40)}, 5)
+            ({n: each.end for n, each in again.messages.items()}, again.next_number), ({1: None, 3: (True, 40)}, 5)
         )
         again.close()
 
--- a/tests/test_store_tools.py
+++ b/tests/test_store_tools.py
@@ -39,7 +39,7 @@
     def test_verify_finds_nothing_wrong_with_a_good_folder_and_names_what_is_wrong_with_a_bad_one(self) -> None:
         good = self.run_("verify", self.path, "--json")
         summary = json.loads(good.output)
-        self.assertEqual((good.exit_code, summary["messages"], summary["findings"]), (0, len(self.made.kept), []))
+        self.assertEqual((good.exit_code, summary["messages"], summary["findings"]), (0, len(self.made.messages), []))
         name = sorted(each for each in os.listdir(self.path) if each.endswith(".seg"))[0]
         with open(os.path.join(self.path, name), "r+b") as file:
             file.seek(150)
@@ -49,8 +49,8 @@
 
     def test_dump_tells_every_message(self) -> None:
         rows = [json.loads(line) for line in self.run_("dump", self.path).output.splitlines()]
-        self.assertEqual([row["number"] for row in rows], sorted(self.made.kept))
-        self.assertEqual([row["shots"] for row in rows], [self.made.kept[row["number"]].attempts for row in rows])
+        self.assertEqual([row["number"] for row in rows], sorted(self.made.messages))
+        self.assertEqual([row["shots"] for row in rows], [self.made.messages[row["number"]].attempts for row in rows])
 
     def test_compact_needs_the_folder_for_itself_and_leaves_what_lives(self) -> None:
         held = self.run_("compact", self.path)
--- a/tests/test_subscriptions_kept.py
+++ b/tests/test_subscriptions_kept.py
@@ -417,7 +417,7 @@
             member._load() if boot == 1 else None
             for other in NAMES:
                 if other != name and other not in but:
-                    self.gates[name].check(self.gates[other].letter(name, Cursors("", ())))
+                    self.gates[name].check(self.gates[other].peer_message(name, Cursors("", ())))
 
 
 def lines(subscriber: Subscriber) -> list[dict[str, Any]]:
@@ -458,7 +458,7 @@
         self.assertEqual({each["source"] for each in lines(after) if each["type"] == "from"}, {"n0-200", "n1-200"})
         net.down.clear()  # one that comes later
         for name in ("n0", "n1"):
-            net.gates[name].check(net.gates["n2"].letter(name, Cursors("", ())))
+            net.gates[name].check(net.gates["n2"].peer_message(name, Cursors("", ())))
         net.turn(10)
         net.happens("n2")
         net.turn(10)
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -1,4 +1,4 @@
-"""Sessions in service, in one process: three members whose letters are calls."""
+"""Sessions in service, in one process: three members whose peer messages are calls."""
 
 import tempfile
 import unittest
@@ -25,7 +25,7 @@
 from cedarwick.fleet.replication import ReplicaEntry as Step
 from cedarwick.fleet.replication_facts import EndRank, Fact, FactLedger, MessageKnowledge, base_of
 from cedarwick.fleet.session_files import SessionFiles
-from cedarwick.fleet.session_routing import HEIRS, InheritedSessions, SessionRouter
+from cedarwick.fleet.session_routing import SUCCESSORS, InheritedSessions, SessionRouter
 from cedarwick.fleet.sessions import REMEMBERED
 from cedarwick.fleet.transport import PeerUnreachableError
 from cedarwick.net.attempts import AttemptResult
@@ -60,9 +60,9 @@
 
     def submit(self, submission: Submission) -> None:
         self.submitted += 1
-        submission.kept.number = self.store.next_number
+        submission.message.number = self.store.next_number
         self.store.next_number += 1
-        self.store.keep(submission.kept)
+        self.store.keep(submission.message)
         submission.answered(AdmissionResult.KEPT)
 
     def between(self, call: Callable[[], bool]) -> AsyncResult:
@@ -102,14 +102,14 @@
         self.addCleanup(store.close)
         self.addCleanup(node.stop)
         node.members.state = lambda now, name: MemberStatus.ALIVE  # type: ignore[method-assign]
-        book = slot_of(name) << 12
+        partition = slot_of(name) << 12
         adoption: Any = SimpleNamespace(me=name, holder=SimpleNamespace(bound=frozenset(), may_fire=lambda now: True))
-        holding = store.holdings[book] = store.current = LeasedPartition(book, adoption)
+        holding = store.holdings[partition] = store.current = LeasedPartition(partition, adoption)
         holding.ledger = FactLedger(0)
         store.resume_own(holding, 1)
         store.begin_log(holding, 1)
-        holding.serving, holding.reserved = True, (book + 1) << 32
-        store.next_number = max([book << 32, *store.numbers(book)]) + 1
+        holding.serving, holding.reserved = True, (partition + 1) << 32
+        store.next_number = max([partition << 32, *store.numbers(partition)]) + 1
         assert node.traffic is not None
         made = node.traffic
         client_listener: Any = SimpleNamespace(paused=False)
@@ -157,7 +157,7 @@
         self.assertEqual(self.move("a", "b"), "YES 00000000000000a1 moved to b\n")
         self.turn()
         self.assertEqual(
-            [sorted(kept.id for kept in each.store.kept.values()) for each in (a, b, c)], [[], ["1", "2"], []]
+            [sorted(kept.id for kept in each.store.messages.values()) for each in (a, b, c)], [[], ["1", "2"], []]
         )
         self.assertEqual(len(b.dispatcher.adopted), 2)  # type: ignore[attr-defined]
         self.assertEqual([each.store.inert for each in (a, b)], [{}, {}])
@@ -166,7 +166,7 @@
             self.assertEqual(who.hand_in(message("1"))[0], AdmissionResult.KEPT)
             self.assertEqual(who.hand_in(message("2", b"other"))[0], AdmissionResult.REPEATED)
             self.assertEqual(who.hand_in(message(f"3{who.name}"))[0], AdmissionResult.KEPT)
-        self.assertEqual(sorted(kept.id for kept in b.store.kept.values()), ["1", "2", "3a", "3c"])
+        self.assertEqual(sorted(kept.id for kept in b.store.messages.values()), ["1", "2", "3a", "3c"])
 
     def test_a_full_folder_at_the_giver_keeps_no_message_from_being_given_up(self) -> None:
         a, b = self.traffic["a"], self.traffic["b"]
@@ -181,8 +181,8 @@
         with mock.patch.object(a.store, "over", full):
             self.move("a", "b")
             self.turn()
-        self.assertEqual((a.store.kept, a.store.inert, a.transfers.files.inert()), ({}, {}, {}))
-        self.assertEqual(len(b.store.kept), 2)
+        self.assertEqual((a.store.messages, a.store.inert, a.transfers.files.inert()), ({}, {}, {}))
+        self.assertEqual(len(b.store.messages), 2)
 
     def test_an_answer_that_is_lost_is_asked_for_again_and_never_made_up(self) -> None:
         a, c = self.traffic["a"], self.traffic["c"]
@@ -210,12 +210,12 @@
         self.news()
         answered, _, withdraw = c.hand_in(message("2"))
         assert withdraw is not None
-        number = max(a.store.kept)
+        number = max(a.store.messages)
         a.dispatcher.numbers["2"] = number
         a.dispatcher.withdraw = mock.Mock()  # type: ignore[method-assign]
         withdraw()
         gevent.sleep(0.02)
-        self.assertEqual(a.dispatcher.withdraw.call_args[0][0].kept.number, number)
+        self.assertEqual(a.dispatcher.withdraw.call_args[0][0].message.number, number)
         a.store.inert[number] = 1, ">1/b/a"
         a.heard("c", 1, RecallForward(KEY, "2"))  # Danger: on the move it may be another sender's already
         self.assertEqual(a.dispatcher.withdraw.call_count, 1)
@@ -223,8 +223,8 @@
     def test_marks_outlive_a_restart_and_the_move_is_settled_then(self) -> None:
         a = self.traffic["a"]
         a.hand_in(message("1"))
-        (number,) = a.store.kept
-        self.lose = lambda to, body: "ask"  # all of it is lost from the first letter on
+        (number,) = a.store.messages
+        self.lose = lambda to, body: "ask"  # all of it is lost from the first peer message on
         a.transfers.begin(KEY, "b", monotonic_time())
         self.turn(0.1)
         self.assertEqual((list(a.store.inert), a.store.may_fire(number)), ([number], False))
@@ -240,7 +240,7 @@
         self.lose = lambda to, body: ""
         self.turn(1.0)
         self.assertEqual((again.dispatcher.adopted, again.store.may_fire(number)), ([number], True))  # type: ignore[attr-defined]
-        self.assertEqual(self.traffic["b"].store.kept, {})
+        self.assertEqual(self.traffic["b"].store.messages, {})
 
     def test_the_process_that_replaces_this_one_goes_on_with_its_sessions_once(self) -> None:
         a = self.traffic["a"]
@@ -262,7 +262,7 @@
         self.assertEqual(answer, StageReply("9/a/b", False, "spoilt"))
         b.transfers.vote(name_move(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
         late = b.heard("a", 1, StageSession("8/a/b", KEY, 2, b"", 0x2D06800538D394C2))
-        self.assertEqual((isinstance(late, StageReply) and late.kept, b.store.kept), (False, {}))
+        self.assertEqual((isinstance(late, StageReply) and late.stored, b.store.messages), (False, {}))
 
     def test_a_session_whose_move_is_called_off_on_a_full_disk_is_taken_up_once_there_is_room(self) -> None:
         a = self.traffic["a"]
@@ -313,17 +313,17 @@
         )
         self.assertEqual(passed, ForwardReply("", 0, True, None))
 
-    def adopted(self, level: int = HEIRS) -> tuple[SessionRouter, SessionRouter, SessionRouter, int]:
-        """The book of a, which has taken "1" and does not answer, is held by c, whose copy was old and whole."""
+    def adopted(self, level: int = SUCCESSORS) -> tuple[SessionRouter, SessionRouter, SessionRouter, int]:
+        """The partition of a, which has taken "1" and does not answer, is held by c, whose copy was old and whole."""
         a, b, c = (self.traffic[name] for name in NAMES)
         a.hand_in(message("1"))
         self.news()
-        book = slot_of("a") << 12
-        fact = a.store.holdings[book].read(a.store, *a.store.kept)
+        partition = slot_of("a") << 12
+        fact = a.store.holdings[partition].read(a.store, *a.store.messages)
         assert fact is not None
-        c.memories[book] = RecentIds(monotonic_time() - REMEMBERED)
-        c.memories[book].term, c.memories[book].next = 1, 4
-        c._copied(book, Step(1, 5, EVERYTHING, 0, 0, b""), [fact])
+        c.memories[partition] = RecentIds(monotonic_time() - REMEMBERED)
+        c.memories[partition].term, c.memories[partition].next = 1, 4
+        c._copied(partition, Step(1, 5, EVERYTHING, 0, 0, b""), [fact])
         self.lose = lambda to, body: "ask" if to == "a" else ""
         for each in (b, c):
             each.node.gate.levels["a"] = level
@@ -331,15 +331,15 @@
                 MemberStatus.DEAD if name == "a" else MemberStatus.ALIVE
             )
             each.node.grantor.learning = False
-            each.node.grantor._grants[right_of(book)] = Grant(right_of(book), 2, "c")
+            each.node.grantor._grants[right_of(partition)] = Grant(right_of(partition), 2, "c")
         holder = SimpleNamespace(bound=frozenset(), may_fire=lambda now: True)
-        c.store.holdings[book] = LeasedPartition(book, SimpleNamespace(me="c", holder=holder))  # type: ignore[arg-type]
-        c.store.holdings[book].serving = True
-        c.adopted(book)
-        return a, b, c, book
+        c.store.holdings[partition] = LeasedPartition(partition, SimpleNamespace(me="c", holder=holder))  # type: ignore[arg-type]
+        c.store.holdings[partition].serving = True
+        c.adopted(partition)
+        return a, b, c, partition
 
-    def test_the_heir_of_a_dead_sender_goes_on_with_its_sessions_and_ids(self) -> None:
-        a, b, c, book = self.adopted()
+    def test_the_successor_of_a_dead_sender_goes_on_with_its_sessions_and_ids(self) -> None:
+        a, b, c, partition = self.adopted()
         for who in (b, c):
             self.assertEqual(
                 [
@@ -349,18 +349,18 @@
                 ],
                 [AdmissionResult.KEPT, AdmissionResult.REPEATED, AdmissionResult.KEPT],
             )
-        self.assertEqual(sorted(kept.id for kept in c.store.kept.values()), ["2b", "2c"])
-        # It wakes, and has its next book; what it had taken and told to nobody is neither answered nor delivered.
+        self.assertEqual(sorted(kept.id for kept in c.store.messages.values()), ["2b", "2c"])
+        # It wakes, and has its next partition; what it had taken and told to nobody is neither answered nor delivered.
         self.lose = lambda to, body: ""
-        a.store.current = LeasedPartition(book + 1, a.store.holdings[book].adoption)
+        a.store.current = LeasedPartition(partition + 1, a.store.holdings[partition].adoption)
         a.store.current.serving = True
         self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.KEPT)
         self.assertEqual((a.dispatcher.submitted, a.directory.where(KEY)), (1, "c"))  # type: ignore[attr-defined]
-        ((number, kept),) = a.store.kept.items()
-        holding = c.store.holdings[book]
+        ((number, kept),) = a.store.messages.items()
+        holding = c.store.holdings[partition]
         fact = Fact(number, base_of(kept, b"x"), MessageKnowledge())
         self.assertEqual(c.offered(holding, [fact]), [])
-        c.store.kept[number] = kept
+        c.store.messages[number] = kept
         holding.ledger.known[number] = MessageKnowledge()
         gone = Fact(number, None, MessageKnowledge(end=(EndRank.TOLD, 0)))
         done = Fact(number, None, MessageKnowledge(end=(EndRank.COMPLETED, 0)))
@@ -369,18 +369,18 @@
         self.assertEqual(c.offered(holding, [gone]), [gone])
 
     def test_nobody_inherits_from_an_older_member_nor_what_a_vote_or_a_young_copy_speaks_against(self) -> None:
-        a, b, c, book = self.adopted(HEIRS - 1)
+        a, b, c, partition = self.adopted(SUCCESSORS - 1)
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        c.estates[book] = estate = InheritedSessions("a", monotonic_time() + 60_000_000, {}, set())
+        c.estates[partition] = estate = InheritedSessions("a", monotonic_time() + 60_000_000, {}, set())
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        c.estates[book] = estate._replace(whole_at=0)
+        c.estates[partition] = estate._replace(whole_at=0)
         b.transfers.vote(name_move(b.transfers.stamp, "b", "a"), (1, "a"), "taker", KEY)
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         b.transfers.acceptor.rows.clear()
         b.transfers.acceptor.by_key.clear()
-        b.node.grantor._grants[right_of(book + 1)] = Grant(right_of(book + 1), 1, "a")
+        b.node.grantor._grants[right_of(partition + 1)] = Grant(right_of(partition + 1), 1, "a")
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        del b.node.grantor._grants[right_of(book + 1)]
+        del b.node.grantor._grants[right_of(partition + 1)]
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.KEPT)
         b.transfers.acceptor.learned("a", 1)
         self.assertEqual(
@@ -471,12 +471,12 @@
         self.dispatcher._clear(self.calls[0], AsyncResult())
         fresh = self.submission("b")
         still = self.frozen()
-        self.assertEqual((fresh.answer.get()[0], fresh.kept.number), (AdmissionResult.FROZEN, 0))
+        self.assertEqual((fresh.answer.get()[0], fresh.message.number), (AdmissionResult.FROZEN, 0))
         self.assertEqual(self.submission("c").answer.get()[0], AdmissionResult.FROZEN)
         self.assertFalse(still.ready())
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.RESET))
         self.assertTrue(still.ready())
-        self.assertTrue(self.store.kept[1].ran_at)
+        self.assertTrue(self.store.messages[1].ran_at)
         self.dispatcher._adopt([1])
         self.assertEqual(self.dispatcher.handles, {})  # not while it is frozen
         self.dispatcher._thaw(KEY)
@@ -498,7 +498,7 @@
         self.dispatcher._adopt([1], quietly=True)
         self.assertEqual((list(self.dispatcher.handles), self.dispatcher.sender.turns.all_rest), ([1], before))
         self.dispatcher._park([1])
-        self.store.kept[1].ran_at = 5
+        self.store.messages[1].ran_at = 5
         self.dispatcher._adopt([1], quietly=True)
         self.assertGreater(self.dispatcher.sender.turns.all_rest, before)
 
--- a/tests/test_virtual_days.py
+++ b/tests/test_virtual_days.py
@@ -16,7 +16,7 @@
 from cedarwick.events.registry import Entry, Registry
 from cedarwick.fleet import node, replicated_store
 from cedarwick.fleet.migration_table import MigrationAction, MigrationStep, MigrationTable
-from cedarwick.fleet.replication_facts import Fact, kept_of
+from cedarwick.fleet.replication_facts import Fact, stored_message_of
 from cedarwick.fleet.session_migration import GIVEN, SessionMigrations
 from cedarwick.fleet.session_routing import SessionRouter
 from cedarwick.lab.virtualday import play
@@ -36,7 +36,7 @@
 
 def forgetful(fact: Fact, doubt_at: int = 0) -> StoredMessage:
     """Who takes a message over knows nothing of its attempts."""
-    kept = kept_of(fact, doubt_at)
+    kept = stored_message_of(fact, doubt_at)
     kept.attempts = kept.ran_at = kept.out_at = kept.doubt_at = 0
     return kept
 
@@ -120,7 +120,7 @@
     def test_an_adopter_that_forgets_attempts_is_found(self) -> None:
         told: dict[str, Any] = {"seconds": SECONDS, "kinds": ("kill", "folder-lost"), "level": "worst"}
         self.assertEqual([], play(4, **told).findings)
-        with patch.object(replicated_store, "kept_of", forgetful):
+        with patch.object(replicated_store, "stored_message_of", forgetful):
             self.assertIn(13, play(4, **told).broken())
 
     def test_sessions_and_subscriptions_that_are_broken_on_purpose_are_found(self) -> None:
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -155,8 +155,8 @@
         self.kept_to_the_wait()
         names = [name for _, name in self.partner.arrived]
         self.assertEqual(names.count("first"), 1)  # what never came may have told that it ran
-        until(lambda: gevent.sleep(0.01) or self.store.kept.get(1) is None or self.store.kept[1].end, 2.0)
-        self.assertEqual(self.store.kept[1].end, (False, 0))
+        until(lambda: gevent.sleep(0.01) or self.store.messages.get(1) is None or self.store.messages[1].end, 2.0)
+        self.assertEqual(self.store.messages[1].end, (False, 0))
 
     def test_a_refusal_that_crosses_the_giving_up_of_its_call_binds(self) -> None:
         given_up = threading.Event()
@@ -236,7 +236,7 @@
         until(lambda: gevent.sleep(0.005) or len(self.partner.arrived) == 2, 2.0)
         handles = list(self.dispatcher.handles.values())
         handles[1].attempt_ended(self.clock.now(), Outcome.MOOT, 0, 1, 0, 0, False, ())
-        kept = self.store.kept[1], self.store.kept[2]
+        kept = self.store.messages[1], self.store.messages[2]
         call = AttemptCall(kept[1], 1, 1, self.clock.now(), self.clock.now() + 1_000_000)
         asking = gevent.spawn(self.dispatcher.clear, call)
         gevent.sleep(0)  # the question stands in the queue, and the refusal behind it
