--- a/cedarwick/lab/bare.py
+++ b/cedarwick/lab/bare.py
@@ -14,7 +14,7 @@
 import gevent.socket
 import httptools
 
-from cedarwick.lab.stands import listen
+from cedarwick.lab.stand_ins import listen
 
 
 class Status:
--- a/cedarwick/lab/ceiling.py
+++ b/cedarwick/lab/ceiling.py
@@ -24,7 +24,7 @@
 from cedarwick.lab.register import Agent, Register
 from cedarwick.lab.scenario import Band, Limits, Partner, Scenario
 from cedarwick.lab.senders import COMMAND, Instance
-from cedarwick.lab.stands import host_of, listen
+from cedarwick.lab.stand_ins import host_of, listen
 
 SETTLE = 1.0  # seconds at both ends that are left out
 CLIENTS = 32
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -11,10 +11,10 @@
 import xxhash
 
 from cedarwick.lab.day import Day, body_of
-from cedarwick.lab.draw import Arrival
 from cedarwick.lab.history import Handed, Rude
 from cedarwick.lab.scenario import Band, Scenario
 from cedarwick.lab.senders import Instance
+from cedarwick.lab.workload import Arrival
 from cedarwick.net.sockets import open_connection
 
 MS = 1000
--- a/cedarwick/lab/troubles.py
+++ b/cedarwick/lab/faults.py
@@ -7,11 +7,11 @@
 from cedarwick.errors import describe
 from cedarwick.lab.clients import be_rude, rude_forms
 from cedarwick.lab.day import Day
-from cedarwick.lab.draw import Planned
 from cedarwick.lab.history import Gone
 from cedarwick.lab.partner import Effect
 from cedarwick.lab.scenario import PARTNER_TROUBLES
 from cedarwick.lab.senders import Instance, SenderNotReadyError
+from cedarwick.lab.workload import Planned
 from cedarwick.lab.world import World
 
 RESTART = 0.6  # seconds after its end until a sender is started again, at the least
--- a/cedarwick/lab/fleet.py
+++ b/cedarwick/lab/fleet.py
@@ -28,12 +28,10 @@
 import gevent.socket
 import msgspec
 
-from cedarwick.lab import audit, claims
+from cedarwick.lab import audit, invariants
 from cedarwick.lab.audit import Verdict
 from cedarwick.lab.clients import Clients, Front
 from cedarwick.lab.day import WINDOW, Day
-from cedarwick.lab.draw import Arrival
-from cedarwick.lab.draw import schedule as draw_day
 from cedarwick.lab.history import NEVER, Gone, Handed, History
 from cedarwick.lab.partner import Effect
 from cedarwick.lab.register import Agent
@@ -41,7 +39,9 @@
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.schedule import LINKS, Plan, Trouble
 from cedarwick.lab.senders import COMMAND, Instance, SenderNotReadyError
-from cedarwick.lab.stands import listen
+from cedarwick.lab.stand_ins import listen
+from cedarwick.lab.workload import Arrival
+from cedarwick.lab.workload import schedule as draw_day
 from cedarwick.lab.world import World
 
 LOOK = 0.02  # seconds between two looks at something that is waited for
@@ -571,7 +571,7 @@
         self.ended = self.day.now()
         gevent.joinall([gevent.spawn(member.terminate) for member in self.members if member.running()], timeout=5.0)
 
-    def judge(self, terms: claims.Terms | None = None, watched: claims.Watched | None = None) -> Verdict:
+    def judge(self, terms: invariants.Terms | None = None, watched: invariants.Watched | None = None) -> Verdict:
         """The audit of all that was seen; without a group, that of senders on their own."""
         for stand in self.world.stands:
             for away in stand.aways():
@@ -582,12 +582,12 @@
         if not self.group:
             return audit.judge(self.scenario, self.history, self.ended)
         terms = terms or self.terms()
-        return claims.judge(self.scenario, self.history, self.ended, terms, watched)
+        return invariants.judge(self.scenario, self.history, self.ended, terms, watched)
 
-    def terms(self) -> claims.Terms:
+    def terms(self) -> invariants.Terms:
         """What this fleet promises; one that goes on alone where no copy answers promises no more than `own`."""
         alone = tomllib.loads(self.table(0))["fleet"].get("alone") == "own"
-        return claims.Terms(senders=len(self.halls), ack="own" if alone else self.ack)
+        return invariants.Terms(senders=len(self.halls), ack="own" if alone else self.ack)
 
     def report(self, verdict: Verdict) -> str:
         """The verdict in a few lines that name the seed."""
--- a/cedarwick/lab/fleetbench.py
+++ b/cedarwick/lab/fleetbench.py
@@ -37,7 +37,7 @@
 from cedarwick.lab.relay import Way
 from cedarwick.lab.scenario import Band, Limits, Partner, Scenario, Service
 from cedarwick.lab.senders import COMMAND
-from cedarwick.lab.stands import host_of
+from cedarwick.lab.stand_ins import host_of
 
 MODES = ("alone", "own", "copy")
 QUICK = 20  # destinations that answer at once; as many more are gone until they are brought back
--- a/cedarwick/lab/load.py
+++ b/cedarwick/lab/load.py
@@ -18,8 +18,8 @@
 
 from cedarwick.lab.clients import command
 from cedarwick.lab.day import Day, body_of
-from cedarwick.lab.draw import source
 from cedarwick.lab.figures import LONGEST, Quantiles, quantiles, recorder
+from cedarwick.lab.workload import source
 from cedarwick.net.sockets import open_connection
 
 LATE = 10_000  # microseconds: a request begun so much after it was due was late by the tool's own fault
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -16,12 +16,12 @@
 from cedarwick.lab.audit import Account, Finding, Verdict, judge
 from cedarwick.lab.clients import Clients, Front
 from cedarwick.lab.day import Day
-from cedarwick.lab.draw import Schedule, schedule
+from cedarwick.lab.faults import Troubles
 from cedarwick.lab.figures import Figures, figures_of
 from cedarwick.lab.history import History, write_lines
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.senders import COMMAND, Instance
-from cedarwick.lab.troubles import Troubles
+from cedarwick.lab.workload import Schedule, schedule
 from cedarwick.lab.world import World
 
 LOOK = 0.1  # seconds between two looks at how the day stands
--- a/cedarwick/lab/senders.py
+++ b/cedarwick/lab/senders.py
@@ -17,7 +17,7 @@
 from cedarwick.lab.history import Life, Sampled
 from cedarwick.lab.register import Agent
 from cedarwick.lab.scenario import Scenario, sender_settings
-from cedarwick.lab.stands import host_of, listen
+from cedarwick.lab.stand_ins import host_of, listen
 
 READY_IN = 15.0  # seconds in which a started sender must answer PING
 REAP = 0.05  # seconds between two looks at a process
--- /dev/null
+++ b/cedarwick/lab/virtual_senders.py
@@ -0,0 +1,238 @@
+"""Senders of a virtual day: the real parts of a fleet's member over drawn partners, through all its lives."""
+
+import os
+import traceback
+from collections.abc import Callable
+from contextlib import suppress
+from types import SimpleNamespace
+from typing import cast
+
+from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
+from cedarwick.errors import CedarwickError
+from cedarwick.fleet.messages import RequestRefused, decode, encode
+from cedarwick.fleet.node import FleetNode
+from cedarwick.fleet.replicated_store import ReplicatedStore
+from cedarwick.lab.history import Life
+from cedarwick.lab.scenario import sender_settings
+from cedarwick.lab.virtual import SECOND, WALL, AsyncResult, Kernel, Owner
+from cedarwick.lab.virtual_partners import DrawnAttempts, DrawnNotices, DrawnPartners
+from cedarwick.lab.virtual_state import LOOK, RECEIVERS, SCENARIO, DayState, usual_disk
+from cedarwick.net.assignment import Assignment, plain
+from cedarwick.net.client_listener import ClientListener
+from cedarwick.net.client_listener import SubmitResult as Answer
+from cedarwick.net.clock import Clock
+from cedarwick.net.counters import Counters
+from cedarwick.net.dispatcher import AdmissionResult, Dispatcher, Submission
+from cedarwick.net.endpoint_list import EndpointList
+from cedarwick.net.sockets import PollClock
+from cedarwick.ops import commands
+from cedarwick.ops.management import Staff, no_sessions, not_in_a_fleet
+from cedarwick.store.records import StoredMessage
+
+STAY = 1.2  # seconds that a sender which is told to end goes on to take what was routed to it
+DRAIN = 2 * SECOND  # in which it ends what is out
+
+
+class VirtualClock(Clock):
+    """The kernel's wall time; the loop looks at its sockets all the time."""
+
+    def __init__(self, kernel: Kernel) -> None:
+        self.kernel = kernel
+
+    def now(self) -> int:
+        return WALL + self.kernel.now
+
+    @property
+    def at(self) -> int:
+        """As of `PollClock`."""
+        return self.now()
+
+
+class Strict(Counters):
+    """An error that the program would log and live with ends the day as a finding."""
+
+    def __init__(self, kernel: Kernel) -> None:
+        super().__init__()
+        self.kernel = kernel
+        self.quiet = 0.0
+
+    def failed(self, kind: str) -> None:
+        self.kernel.errors.append(f"{kind}: {traceback.format_exc()}")
+
+
+class Door:
+    """Stands in for the clients' client listener, as far as sessions and drains concern it."""
+
+    def __init__(self, dispatcher: Dispatcher) -> None:
+        self.dispatcher = dispatcher
+        self.paused = False
+        self.hand_in: Callable[[StoredMessage], Answer] = self.to_dispatcher
+
+    def to_dispatcher(self, stored: StoredMessage) -> Answer:
+        submission = Submission(stored, AsyncResult())
+        self.dispatcher.submit(submission)
+        answered, wait_ms = submission.answer.get()
+        taken = answered is AdmissionResult.KEPT and stored.number
+        return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
+
+
+class Sender:
+    """One sender over all its lives: its folder stays, the rest is made anew by each `start`."""
+
+    def __init__(self, day: DayState, partners: DrawnPartners, number: int) -> None:
+        self.day = day
+        self.partners = partners
+        self.number = number
+        self.name = f"n{number}"
+        self.folder = os.path.join(day.scratch, self.name)
+        os.makedirs(self.folder)
+        self.owner: Owner = Owner(self.name)
+        self.running = self.leaving = False
+        self.node: FleetNode | None = None  # None until it is ready
+        self.disk = usual_disk()
+        self.ended_at = 0
+        self.store: ReplicatedStore
+        self.dispatcher: Dispatcher
+        self.door: Door
+        self.staff: SimpleNamespace  # what the management address calls
+
+    def start(self) -> None:
+        self.owner, self.running, self.leaving = Owner(self.name), True, False
+        self._life("started")
+        self.day.kernel.spawn_as(self.owner, self._start)
+
+    def _start(self) -> None:
+        day, clock, counters = self.day, VirtualClock(self.day.kernel), Strict(self.day.kernel)
+        day.kernel.sleep(day.chance.uniform(0.3, 0.9))
+        told = Assignment(
+            self.name,
+            ("", 0),
+            ("", 0),
+            self.folder,
+            day.seed * 16 + self.number,
+            2000,
+            self.disk,
+            {},
+            plain(sender_settings(SCENARIO, day.fleet_size)),
+        )
+        self.store = ReplicatedStore(
+            self.folder,
+            self.disk,
+            now=clock.now,
+            by_copy=day.table.ack == "copy",
+            within_us=round(day.table.ack_within_ms * 1000),
+        )
+        self.dispatcher = dispatcher = Dispatcher(told, clock, counters, self.store, cast(PollClock, clock))
+        self.store.load()
+        receivers = range(SCENARIO.destinations() * RECEIVERS)
+        dispatcher.listed(
+            EndpointUpdate.CACHED,
+            [ListedEndpoint(1 + each, 0, 0, each // RECEIVERS, EndpointState.READY, 100.0) for each in receivers],
+        )
+        dispatcher.notices = DrawnNotices(day, self.number, counters, dispatcher.acknowledged)
+        dispatcher.attempts = DrawnAttempts(day, self.partners, dispatcher, self.number, self.owner)
+        dispatcher.free_links = lambda _: None
+        dispatcher.ask_for_list = lambda: None
+        dispatcher.resume()
+        node = FleetNode(self.name, day.table, self.folder, self.store, clock, counters)
+        self.door, self.staff = Door(dispatcher), SimpleNamespace(follows=not_in_a_fleet, moves=no_sessions)
+        staff = cast(Staff, self.staff)
+        listed = SimpleNamespace(numbers={f"s-{1 + each}": 1 + each for each in receivers}, held_out=set())
+        node.exchange.attach(staff, cast(EndpointList, listed), dispatcher, node.halls[self.name])
+        if node.traffic is not None:
+            node.traffic.attach(staff, cast(ClientListener, self.door), dispatcher)
+        day.kernel.spawn(dispatcher.run)
+        day.kernel.spawn(dispatcher.notices.run)
+        node.start(dispatcher)
+        self.node = node
+        self._life("ready")
+
+    def kill(self) -> None:
+        if self.running:
+            self._life("killed")
+            self.gone()
+
+    def term(self) -> None:
+        if self.running:
+            self._life("termed")
+            self.leaving = True
+            self.day.kernel.spawn_as(self.owner, self._leave)
+
+    def _leave(self) -> None:
+        kernel = self.day.kernel
+        if self.node is not None:
+            traffic = self.node.traffic
+            if traffic is not None:
+                traffic.leave()
+            kernel.sleep(STAY)
+            self.dispatcher.hold_fire(ending=True)
+            end = kernel.now + DRAIN
+            while kernel.now < end and not (
+                self.dispatcher.idle() and not self.dispatcher.notices.owed and (traffic is None or traffic.left())
+            ):
+                kernel.sleep(LOOK)
+            self.node.leave()
+        self.gone()
+
+    def stop(self) -> None:
+        self._life("stopped")
+        self.owner.stopped = True
+
+    def go_on(self) -> None:
+        self.day.kernel.go_on(self.owner)
+        self._life("continued")
+
+    def gone(self) -> None:
+        """The process has ended."""
+        self.close()
+        self.ended_at = self.day.now()
+        self._life("ended")
+
+    def close(self) -> None:
+        """Nothing of the process goes on, and its files stay as they are."""
+        self.running, self.owner.dead = False, True
+        if self.node is not None:
+            self.node.copies.close()
+            self.store.close()
+        self.node = None
+
+    def submit(self, stored: StoredMessage, box: AsyncResult, gone: Callable[[], bool]) -> None:
+        """What a client is answered, into the box; `gone`: whether it has given up."""
+        if self.node is None or self.leaving or not self.store.taking():
+            box.set("busy")
+            return
+        what, _, withdraw = self.door.hand_in(stored)
+        if withdraw is not None and gone():
+            withdraw()
+        elif what is not AdmissionResult.UNSURE:
+            box.set("ok" if what is AdmissionResult.KEPT else "busy")
+
+    def said(self, name: str, argument: str) -> None:
+        """A call of staff, in a task of its own; what it answers is of no interest."""
+
+        def call() -> None:
+            with suppress(CedarwickError):
+                self.staff.moves(commands.Call(name, argument))
+
+        self.day.kernel.spawn_as(self.owner, call)
+
+    def answer(self, peer_message: bytes, box: AsyncResult) -> None:
+        """The answer to a peer message, as the link's server gives it; None where nobody listens."""
+        if self.node is None:
+            box.set(None)
+            return
+        gate, read = self.node.gate, decode(peer_message)
+        try:
+            gate.check(read)
+            told = self.node.answer(read)
+        except CedarwickError as error:
+            told = gate.peer_message(read.sender, RequestRefused(error.code, str(error)[:512]))
+        box.set(encode(told))
+
+    def set_disk(self, size: int) -> None:
+        self.disk = size
+        if self.node is not None:
+            self.store.set_limit(size)
+
+    def _life(self, event: str) -> None:
+        self.day.history.add(Life(self.number, event, self.day.now()))
--- /dev/null
+++ b/cedarwick/lab/virtual_state.py
@@ -0,0 +1,58 @@
+"""What all parties of a drawn day share: its seed, settings, virtual time and history, and the scenario."""
+
+import random
+from typing import Literal
+
+from cedarwick.config.operator import Fleet
+from cedarwick.lab.history import History
+from cedarwick.lab.invariants import Watched
+from cedarwick.lab.scenario import Band, Limits, Load, Partner, Scenario, Service
+from cedarwick.lab.virtual import SECOND, Kernel
+
+Level = Literal["calm", "usual", "hard", "worst"]
+Pair = tuple[int, int]  # who asks, who answers
+
+SCENARIO = Scenario(
+    name="virtual",
+    load=Load(rate=60),
+    limits=Limits(disk_mb=16, most_open=2000),
+    band=[
+        Band(name="free", outer_ms=6000, expected_ms=1500),
+        Band(name="marked", repeat="numbered", outer_ms=6000, expected_ms=1500, window_ms=4000),
+        Band(name="once", repeat="at-most-once", outer_ms=6000, expected_ms=1500),
+        Band(name="line", repeat="numbered", in_turn=True, keys=6, outer_ms=6000, expected_ms=1500),
+    ],
+    partner=[Partner(name="hotel", destinations=3, workers=8, service=Service(mean_ms=20))],
+)
+RECEIVERS = 2  # of each destination
+LONGEST = 200 * SECOND  # a day that is not over by then has failed
+LOOK = 0.02  # seconds between two looks at a state that is awaited
+
+
+class DayState:
+    """One drawn day as its parties see it. Every draw is made from `chance`: their order makes the day."""
+
+    def __init__(self, seed: int, table: Fleet, level: Level, scratch: str) -> None:
+        """`scratch`: the directory that holds the senders' folders."""
+        self.seed = seed
+        self.table = table
+        self.level = level
+        self.scratch = scratch
+        self.fleet_size = len(table.member)
+        self.chance = random.Random(f"virtual {seed} {self.fleet_size} {table.ack} {table.alone} {table.copies}")
+        self.kernel = Kernel()
+        self.history = History()
+        self.watched = Watched()
+        self.resting = False  # nothing is drawn any more: what is there stays as it is to the end
+
+    def now(self) -> int:
+        return self.kernel.now
+
+    def sleep_until(self, at: int) -> None:
+        if at > self.now():
+            self.kernel.sleep((at - self.now()) / SECOND)
+
+
+def usual_disk() -> int:
+    """Bytes of a folder."""
+    return round(SCENARIO.limits.disk_mb * (1 << 20))
--- a/cedarwick/lab/world.py
+++ b/cedarwick/lab/world.py
@@ -3,11 +3,11 @@
 import gevent
 
 from cedarwick.lab.day import Day
-from cedarwick.lab.draw import source
 from cedarwick.lab.partner import Destination
 from cedarwick.lab.register import Agent, Register
 from cedarwick.lab.scenario import Scenario
-from cedarwick.lab.stands import Stand, host_of
+from cedarwick.lab.stand_ins import Stand, host_of
+from cedarwick.lab.workload import source
 
 LINGERS = 2.5  # seconds after its removal from the list until a machine is gone
 
--- a/tests/processes/test_fleet.py
+++ b/tests/processes/test_fleet.py
@@ -5,8 +5,8 @@
 
 import gevent
 
-from cedarwick.lab.claims import Terms
 from cedarwick.lab.fleet import Fleet
+from cedarwick.lab.invariants import Terms
 from cedarwick.lab.partner import Effect
 from cedarwick.lab.schedule import draw
 from tests.processes import rig
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -14,13 +14,13 @@
 from cedarwick.fleet.sessions import REMEMBERED
 from cedarwick.lab.clients import command
 from cedarwick.lab.day import body_of
-from cedarwick.lab.draw import Arrival
 from cedarwick.lab.fleet import Fleet
 from cedarwick.lab.history import Handed
 from cedarwick.lab.partner import Effect
 from cedarwick.lab.relay import Fault, Way, named
 from cedarwick.lab.schedule import draw
 from cedarwick.lab.senders import SenderNotReadyError
+from cedarwick.lab.workload import Arrival
 from tests.processes import rig
 
 KEY = "00000000000000a1"
--- a/tests/test_partner.py
+++ b/tests/test_partner.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cedarwick.lab.draw import SECOND
 from cedarwick.lab.partner import Destination, Effect, Endpoint, Reply, Work
 from cedarwick.lab.scenario import Cold, Limit, Partner, Rules, Service
+from cedarwick.lab.workload import SECOND
 
 MS = 1000
 WINDOW = 4 * SECOND
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,7 +9,7 @@
 
 from cedarwick.lab import relay as relays
 from cedarwick.lab.relay import Fault, Relay, named
-from cedarwick.lab.stands import reset
+from cedarwick.lab.stand_ins import reset
 
 
 class Answering:
