--- a/cedarwick/lab/fleet_processes.py
+++ b/cedarwick/lab/fleet_processes.py
@@ -70,7 +70,7 @@
 
 
 class Broken:
-    """A trouble of links that lasts: its relays' faults, and its place in the history."""
+    """A fault of links that lasts: its relays' faults, and its place in the history."""
 
     def __init__(self, kind: str, on: list[str], began: int, faults: list[tuple[Relay, int]]) -> None:
         self.kind = kind
@@ -127,7 +127,7 @@
         for agent in self.world.agents:
             agent.on_notice = self._noticed
         self.broken: list[Broken] = []
-        self.under_way = 0  # drawn troubles and loads that have not ended
+        self.under_way = 0  # drawn faults and loads that have not ended
         self.failed: list[str] = []  # what could not be carried out
         self.watches: list[gevent.Greenlet] = []
         self.loads: list[gevent.Greenlet] = []
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -17,7 +17,7 @@
 from cedarwick.lab.audit_cases import Account, Finding, Verdict
 from cedarwick.lab.clients import Clients, Front
 from cedarwick.lab.day import Day
-from cedarwick.lab.faults import Troubles
+from cedarwick.lab.faults import Faults
 from cedarwick.lab.figures import Figures, figures_of
 from cedarwick.lab.history import History, write_lines
 from cedarwick.lab.scenario import Scenario
@@ -128,8 +128,8 @@
         heard.at -= shift
     watches = [gevent.spawn(day.watch_lag), gevent.spawn(front.watch)]
     watches += [gevent.spawn(instance.sample) for instance in instances]
-    troubles = Troubles(day, world, instances)
-    troubles.start(drawn.troubles)
+    faults = Faults(day, world, instances)
+    faults.start(drawn.troubles)
     gevent.spawn(clients.run, drawn.arrivals)
     last = drawn.length + round(max(band.outer_ms + scenario.rules.end_grace_ms for band in scenario.band) * 1000)
     last += 5_000_000  # restarts may put ends off
@@ -137,7 +137,7 @@
     while day.now() < last:
         gevent.sleep(LOOK)
         progress(day, clients, last)
-        owed = not clients.done or clients.busy or troubles.under_way or _open(day.history)
+        owed = not clients.done or clients.busy or faults.under_way or _open(day.history)
         quiet_since = 0 if owed else quiet_since or day.now()
         if quiet_since and day.now() - quiet_since > WATCH_ON:
             break
--- a/cedarwick/lab/virtual_clients.py
+++ b/cedarwick/lab/virtual_clients.py
@@ -34,10 +34,10 @@
         """Messages come until then, microseconds of virtual time."""
         while self.day.now() < until:
             self.day.kernel.sleep(self.day.chance.expovariate(SCENARIO.load.rate))
-            band = self.day.chance.choice(SCENARIO.band)
-            keys = KEYS if self.day.table.sessions else band.keys if band.in_turn else 0
+            priority_class = self.day.chance.choice(SCENARIO.band)
+            keys = KEYS if self.day.table.sessions else priority_class.keys if priority_class.in_turn else 0
             turn = self.day.chance.randint(1, keys) if keys else 0
-            self.day.kernel.spawn_as(None, self._hand_in, band, turn)
+            self.day.kernel.spawn_as(None, self._hand_in, priority_class, turn)
 
     def _chosen(self, turn: int) -> Sender:
         """The sender that a client hands in to: of one key always the same, as long as it is there."""
@@ -53,14 +53,14 @@
             return home
         return max(usable, key=lambda each: digest_of(f"{turn} {each.name}".encode()))
 
-    def _hand_in(self, band: Band, turn: int) -> None:
+    def _hand_in(self, priority_class: Band, turn: int) -> None:
         sender, destination = self._chosen(turn), self.day.chance.randrange(SCENARIO.destinations())
         number, mark = (f"{self.day.chance.getrandbits(63):016x}" for _ in range(2))
-        outer = self.day.now() + round(band.outer_ms * 1000)
+        outer = self.day.now() + round(priority_class.outer_ms * 1000)
         handed = Handed(
             number,
             number,
-            band.name,
+            priority_class.name,
             destination,
             mark,
             f"{turn:016x}",
@@ -71,7 +71,15 @@
         )
         self.day.history.add(handed)
         stored = StoredMessage(
-            0, number, mark, turn, band.name, "", destination, WALL + outer, bytes(self.day.chance.randint(1, 400))
+            0,
+            number,
+            mark,
+            turn,
+            priority_class.name,
+            "",
+            destination,
+            WALL + outer,
+            bytes(self.day.chance.randint(1, 400)),
         )
         self._ask(handed, stored, sender, hasty=True)
         if self.day.table.sessions and handed.answer != "none" and self.day.chance.random() < AGAIN:
--- a/cedarwick/lab/virtual_partners.py
+++ b/cedarwick/lab/virtual_partners.py
@@ -72,9 +72,9 @@
         day = self.day
         day.kernel.sleep(day.chance.uniform(0.0005, 0.01))
         for line in body.splitlines():
-            told = json.loads(line)
-            after = round(told.get("after_ms", 0) * 1000)
-            day.history.add(Noticed(told["id"], told["state"], after, day.now(), self.sender))
+            notice = json.loads(line)
+            after = round(notice.get("after_ms", 0) * 1000)
+            day.history.add(Noticed(notice["id"], notice["state"], after, day.now(), self.sender))
         if day.chance.random() < 0.03:
             return 0
         day.kernel.sleep(day.chance.uniform(0.0005, 0.01))
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -104,7 +104,7 @@
     def _start(self) -> None:
         day, clock, counters = self.day, VirtualClock(self.day.kernel), Strict(self.day.kernel)
         day.kernel.sleep(day.chance.uniform(0.3, 0.9))
-        told = Assignment(
+        assignment = Assignment(
             self.name,
             ("", 0),
             ("", 0),
@@ -122,7 +122,7 @@
             by_copy=day.table.ack == "copy",
             within_us=round(day.table.ack_within_ms * 1000),
         )
-        self.dispatcher = dispatcher = Dispatcher(told, clock, counters, self.store, cast(PollClock, clock))
+        self.dispatcher = dispatcher = Dispatcher(assignment, clock, counters, self.store, cast(PollClock, clock))
         self.store.load()
         receivers = range(SCENARIO.destinations() * RECEIVERS)
         dispatcher.listed(
@@ -224,10 +224,10 @@
         gate, read = self.node.gate, decode(peer_message)
         try:
             gate.check(read)
-            told = self.node.answer(read)
+            answered = self.node.answer(read)
         except CedarwickError as error:
-            told = gate.peer_message(read.sender, RequestRefused(error.code, str(error)[:512]))
-        box.set(encode(told))
+            answered = gate.peer_message(read.sender, RequestRefused(error.code, str(error)[:512]))
+        box.set(encode(answered))
 
     def set_disk(self, size: int) -> None:
         self.disk = size
