--- a/cedarwick/lab/fleetbench.py
+++ b/cedarwick/lab/fleetbench.py
@@ -29,7 +29,7 @@
 from cedarwick.fleet.messages import PeerBody, ReplicaAck, ReplicateFacts, ReplicatePiece, decode
 from cedarwick.fleet.replication import EVERYTHING
 from cedarwick.fleet.replication_facts import decode_facts
-from cedarwick.lab.ceiling import drive, free_port, program, steady
+from cedarwick.lab.ceiling import drive, program, steady
 from cedarwick.lab.fleet import Fleet
 from cedarwick.lab.load import Loader, Plan, Report
 from cedarwick.lab.partner import Effect
@@ -37,7 +37,7 @@
 from cedarwick.lab.relay import Way
 from cedarwick.lab.scenario import Band, Limits, Partner, Scenario, Service
 from cedarwick.lab.senders import COMMAND
-from cedarwick.lab.stand_ins import host_of
+from cedarwick.lab.stand_ins import ReservedPort, host_of
 
 MODES = ("alone", "own", "copy")
 QUICK = 20  # destinations that answer at once; as many more are gone until they are brought back
@@ -173,10 +173,10 @@
 @contextmanager
 def rig(mode: str, senders: int = 3, relays: bool = False, command: Sequence[str] = COMMAND) -> Iterator[Rig]:
     """A fleet in one of the modes that takes messages everywhere."""
-    port = free_port(host_of(0))
     halls = [HALLS[number % len(HALLS)] for number in range(senders)]
     with (
-        program(["cedarwick.lab.quick", "0.0.0.0", str(port)], cores()[0]) as partner,
+        ReservedPort(host_of(0)) as port,
+        program(["cedarwick.lab.quick", "0.0.0.0", str(port.number)], cores()[0]) as partner,
         Fleet(
             SCENARIO,
             1,
@@ -190,7 +190,7 @@
     ):
         for stand in fleet.world.stands:
             if stand.destination < QUICK:
-                fleet.world.register.put(stand.endpoint.uid, port, stand.destination, "quick", "up")
+                fleet.world.register.put(stand.endpoint.uid, port.number, stand.destination, "quick", "up")
         for agent in fleet.world.agents:
             agent.tell_all()
         fleet.begin()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -6,6 +6,7 @@
 import unittest
 from collections.abc import Callable
 from typing import Any
+from unittest import mock
 
 import gevent
 import msgspec
@@ -15,6 +16,7 @@
 from cedarwick.lab.day import Day
 from cedarwick.lab.history import read
 from cedarwick.lab.partner import Effect
+from cedarwick.lab.register import Agent, Register
 from cedarwick.lab.run import Result, play, read_head
 from cedarwick.lab.scenario import (
     Band,
@@ -28,7 +30,8 @@
     Service,
     Trouble,
 )
-from cedarwick.lab.stand_ins import host_of, listen_at_all
+from cedarwick.lab.senders import Instance, SenderNotReadyError
+from cedarwick.lab.stand_ins import ReservedPort, host_of, listen, listen_at_all
 from cedarwick.lab.workload import schedule
 from cedarwick.lab.world import World
 
@@ -251,6 +254,53 @@
         with self.assertRaisesRegex(OSError, str(self.stand.port)):
             listen_at_all([host_of(0)], self.stand.port)
 
+    def test_a_reserved_port_goes_to_its_listener_only(self) -> None:
+        with ReservedPort(host_of(0)) as port:
+            for _ in range(2):  # a second time as after a restart
+                listen(port.address).close()
+            with gevent.socket.socket() as other, self.assertRaisesRegex(OSError, "in use"):
+                other.bind(port.address)
+        with gevent.socket.socket() as other:
+            other.bind(port.address)
+
+    def test_a_port_for_several_hosts_is_none_that_is_reserved_at_one_of_them(self) -> None:
+        first, second = host_of(0), host_of(1)
+        with ReservedPort(second) as reserved:
+            drawn = iter([reserved.number, 0])
+
+            def listening(address: tuple[str, int], **options: bool) -> gevent.socket.socket:
+                return listen((address[0], address[1] or next(drawn)), **options)
+
+            with mock.patch("cedarwick.lab.stand_ins.listen", listening):
+                port, made = listen_at_all([first, second])
+            for sock in made:
+                sock.close()
+        self.assertNotEqual(port, reserved.number)
+
+
+class Starts(unittest.TestCase):
+    """A sender's process from its start to the first answer."""
+
+    def instance(self, *command: str) -> Instance:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        made, scenario = Day(), day()
+        agent = Agent(made, Register(), 0)
+        self.addCleanup(agent.close)
+        instance = Instance(made, scenario, 0, 1, agent, folder.name, 1, command)
+        self.addCleanup(instance.end)
+        return instance
+
+    def test_no_other_socket_gets_the_port_before_the_sender_listens(self) -> None:
+        instance = self.instance()
+        with gevent.socket.socket() as other, self.assertRaisesRegex(OSError, "in use"):
+            other.bind(instance.address)
+
+    def test_a_start_that_fails_says_how_the_process_ended_and_what_it_said_last(self) -> None:
+        instance = self.instance(sys.executable, "-c", "print('address in use', flush=True); raise SystemExit(2)")
+        with self.assertRaisesRegex(SenderNotReadyError, "ended with status 2 .* last line: address in use"):
+            instance.start()
+
 
 class Drawing(unittest.TestCase):
     def test_a_seed_draws_the_same_day_again_and_another_seed_another(self) -> None:
