--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -123,7 +123,7 @@
     classes = Table(
         "priority class", "things", "delivered", "in time", "service", "p50 ms", "p99 ms", "max ms", box=None
     )
-    for name, row in figures.bands.items():
+    for name, row in figures.priority_classes.items():
         at = row.took.at
         classes.add_row(
             name,
--- a/cedarwick/lab/ceiling.py
+++ b/cedarwick/lab/ceiling.py
@@ -22,7 +22,7 @@
 from cedarwick.lab.load import pongs
 from cedarwick.lab.quick import STEP
 from cedarwick.lab.register import Agent, Register
-from cedarwick.lab.scenario import Band, Limits, Partner, Scenario
+from cedarwick.lab.scenario import Limits, Partner, PriorityClass, Scenario
 from cedarwick.lab.senders import COMMAND, Instance
 from cedarwick.lab.stand_ins import ReservedPort, host_of
 
@@ -137,7 +137,7 @@
     """A sender on a core of its own, with a list of destinations that all live at one quick partner."""
     scenario = Scenario(
         name="ceiling",
-        band=[Band(name="only", outer_ms=20_000)],
+        priority_classes=[PriorityClass(name="only", outer_ms=20_000)],
         partner=[Partner(name="quick", destinations=DESTINATIONS)],
         limits=Limits(sockets=4096, disk_mb=256, memory_mb=1024, slots=1024, most_open=20_000),
     )
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -12,7 +12,7 @@
 
 from cedarwick.lab.day import Day, body_of
 from cedarwick.lab.history import Handed, Rude
-from cedarwick.lab.scenario import Band, Scenario
+from cedarwick.lab.scenario import PriorityClass, Scenario
 from cedarwick.lab.senders import Instance
 from cedarwick.lab.workload import Arrival
 from cedarwick.net.sockets import open_connection
@@ -69,7 +69,7 @@
         self.day = day
         self.scenario = scenario
         self.front = front
-        self.bands: dict[str, Band] = scenario.bands()
+        self.priority_classes: dict[str, PriorityClass] = scenario.classes_by_name()
         self.patience = scenario.clients.patience_ms / 1000
         self.idle: dict[tuple[str, int], list[gevent.socket.socket]] = {}
         self.returned: dict[str, Callable[[int], None]] = {}  # by id: what comes again if the platform says so
@@ -104,7 +104,7 @@
     def _try(self, arrival: Arrival, number: int, due: int, refused: bool, again: bool) -> None:
         """Hand it in for the nth time, each under an id of its own."""
         id = arrival.id if number == 0 else f"{xxhash.xxh64_intdigest(f'{arrival.id} {number}'.encode()):016x}"
-        outer = arrival.due + round(self.bands[arrival.band].outer_ms * MS)
+        outer = arrival.due + round(self.priority_classes[arrival.priority_class].outer_ms * MS)
         left = (outer - self.day.now()) // MS
         if left <= LEAST_LEFT // MS:
             return
@@ -114,7 +114,7 @@
             handed = Handed(
                 id,
                 arrival.id,
-                arrival.band,
+                arrival.priority_class,
                 arrival.destination,
                 arrival.key,
                 arrival.turn,
@@ -130,7 +130,7 @@
                 self.returned[id] = lambda after: self._later(arrival, number, max(after, arrival.waits[number]))
             # Danger: what a mark stands for is the thing, so every try carries it.
             marks = (",r=1" if refused else "") + (",again=1" if again else "") if self.scenario.clients.marks else ""
-            pairs = f"c={arrival.band},d={left},dest={arrival.destination}"
+            pairs = f"c={arrival.priority_class},d={left},dest={arrival.destination}"
             pairs += (f",k={arrival.key}" if arrival.key else "") + marks
             request = command(b"SUBMIT", arrival.turn.encode(), id.encode(), pairs.encode(), body_of(id, arrival.size))
             self._ask(instance, request, handed)
@@ -214,10 +214,10 @@
             return None, False
 
 
-def rude_forms(band: str) -> dict[str, bytes]:
+def rude_forms(priority_class: str) -> dict[str, bytes]:
     """What bad clients send, by name; every one of these is owed an error or a close."""
     submit = (b"SUBMIT", b"0" * 16)
-    pairs = f"c={band},d=4000,dest=0".encode()
+    pairs = f"c={priority_class},d=4000,dest=0".encode()
     return {
         "noise": bytes(range(128, 256)) * 8 + b"\r\n",
         "a line that never ends": b"*" + b"1" * 5000,
@@ -225,8 +225,8 @@
         "a huge length": b"*2\r\n$6\r\nSUBMIT\r\n$99999999999\r\n",
         "a value of 2 MB": b"*2\r\n$6\r\nSUBMIT\r\n$2000000\r\n" + b"v" * 2_000_000,
         "an unknown priority class": command(*submit, b"rude1", b"c=nobody,d=4000,dest=0", b"x"),
-        "an unknown destination": command(*submit, b"rude2", f"c={band},d=4000,dest=999999".encode(), b"x"),
-        "a time that is no number": command(*submit, b"rude3", f"c={band},d=soon,dest=0".encode(), b"x"),
+        "an unknown destination": command(*submit, b"rude2", f"c={priority_class},d=4000,dest=999999".encode(), b"x"),
+        "a time that is no number": command(*submit, b"rude3", f"c={priority_class},d=soon,dest=0".encode(), b"x"),
         "no id": command(b"SUBMIT", b"0" * 16, pairs, b"x"),
         "an unknown command": command(b"FLUSHALL"),
         "a hundred commands at once": command(b"WHO") * 100,
--- a/cedarwick/lab/closed.py
+++ b/cedarwick/lab/closed.py
@@ -20,7 +20,7 @@
     address: tuple[str, int],
     end_at: float,
     client: int,
-    band: str,
+    priority_class: str,
     destinations: int,
     size: int,
     tag: str,
@@ -34,7 +34,7 @@
     while time.monotonic() < end_at:
         number += 1
         id = f"{tag}{client:04x}{number:08x}"
-        pairs = f"c={band},d=20000,dest={(client + number) % destinations}".encode()
+        pairs = f"c={priority_class},d=20000,dest={(client + number) % destinations}".encode()
         sock.sendall(command(b"SUBMIT", b"0" * 16, id.encode(), pairs, body_of(id, size)))
         reply = sock.recv(256)
         if not reply:
@@ -46,11 +46,11 @@
 
 
 def main() -> int:
-    host, port, clients, seconds, band, destinations, size, tag = sys.argv[1:9]
+    host, port, clients, seconds, priority_class, destinations, size, tag = sys.argv[1:9]
     answers: Counter[str] = Counter()
     end_at = time.monotonic() + float(seconds)
     jobs = [
-        gevent.spawn(ask, (host, int(port)), end_at, client, band, int(destinations), int(size), tag, answers)
+        gevent.spawn(ask, (host, int(port)), end_at, client, priority_class, int(destinations), int(size), tag, answers)
         for client in range(int(clients))
     ]
     gevent.joinall(jobs)
--- a/cedarwick/lab/faults.py
+++ b/cedarwick/lab/faults.py
@@ -9,7 +9,7 @@
 from cedarwick.lab.day import Day
 from cedarwick.lab.history import Gone
 from cedarwick.lab.partner import Effect
-from cedarwick.lab.scenario import PARTNER_TROUBLES
+from cedarwick.lab.scenario import PARTNER_FAULTS
 from cedarwick.lab.senders import Instance, SenderNotReadyError
 from cedarwick.lab.workload import Planned
 from cedarwick.lab.world import World
@@ -60,7 +60,7 @@
         end = fault.begin + fault.length
         if fault.kind == "replace":
             return self._replace(fault, end)
-        if fault.kind in PARTNER_TROUBLES:
+        if fault.kind in PARTNER_FAULTS:
             return self._at_partners(fault, end)
         if fault.kind == "bad-clients":
             return self._bad_clients(fault, end)
@@ -78,7 +78,7 @@
                 ends.append(stand.begin(Effect(fault.kind, fault.size, fault.wait)))
         self.day.sleep_until(end)
         for each in ends:
-            each(fault.cold)
+            each(fault.warming_up)
         return on
 
     def _replace(self, fault: Planned, end: int) -> list[str]:
@@ -92,13 +92,13 @@
         half = fault.begin + fault.length // 2
         for place, stand in enumerate(old):
             if place % 2:
-                self.world.add(stand.destination, cold=fault.cold)
+                self.world.add(stand.destination, warming_up=fault.warming_up)
         self.day.sleep_until(half)
         for stand in old:
             self.world.remove(stand)
         for place, stand in enumerate(old):
             if place % 2 == 0:
-                self.world.add(stand.destination, stand.port, cold=fault.cold)
+                self.world.add(stand.destination, stand.port, warming_up=fault.warming_up)
         self.day.sleep_until(end)
         return on
 
@@ -150,7 +150,7 @@
         return [f"n{instance.number}" for instance in self.instances]
 
     def _bad_clients(self, fault: Planned, end: int) -> list[str]:
-        forms = list(rude_forms(self.world.scenario.band[0].name).items())
+        forms = list(rude_forms(self.world.scenario.priority_classes[0].name).items())
         number = 0
         while self.day.now() < end:
             instance = self.instances[number % len(self.instances)]
--- a/cedarwick/lab/history.py
+++ b/cedarwick/lab/history.py
@@ -23,7 +23,7 @@
 
     id: str
     first: str  # the id under which the same thing was first handed in
-    band: str
+    priority_class: str = msgspec.field(name="band")
     destination: int
     mark: str
     turn: str
@@ -85,7 +85,7 @@
     destination: int
     began: int
     ended: int  # NEVER: to the end of the day
-    cold: bool
+    warming_up: bool = msgspec.field(name="cold")
     fell: bool  # because it was pushed while cold
 
 
--- a/cedarwick/lab/load.py
+++ b/cedarwick/lab/load.py
@@ -35,7 +35,7 @@
     addresses: list[tuple[str, int]]
     rate: float  # requests a second, all addresses together
     seconds: float
-    band: str
+    priority_class: str
     destinations: int
     size: int  # bytes of a body
     outer_ms: int
@@ -143,7 +143,7 @@
         self.late += self.day.now() - due > LATE
         plan = self.plan
         id = f"{self.nonce}{number:08x}"
-        pairs = f"c={plan.band},d={plan.outer_ms},dest={plan.first + number % plan.destinations}".encode()
+        pairs = f"c={plan.priority_class},d={plan.outer_ms},dest={plan.first + number % plan.destinations}".encode()
         request = command(b"SUBMIT", b"0" * 16, id.encode(), pairs, body_of(id, plan.size))
         with line.room:  # waiting for a connection is part of the time
             sent = self.day.now()
--- a/cedarwick/lab/relay.py
+++ b/cedarwick/lab/relay.py
@@ -70,12 +70,12 @@
     def said(self) -> str:
         """The fault in one line: what differs from the plain one of its kind."""
         plain = Fault(kind=self.kind)
-        told = [
+        settings = [
             f"{name} {getattr(self, name)}"
             for name in self.__struct_fields__[1:]
             if getattr(self, name) != getattr(plain, name)
         ]
-        return ", ".join([self.kind, *told])
+        return ", ".join([self.kind, *settings])
 
 
 def named(message: str) -> bytes:
--- a/cedarwick/lab/senders.py
+++ b/cedarwick/lab/senders.py
@@ -179,7 +179,7 @@
     def configure(self, **news: Any) -> None:
         """Write the configuration as it is now, with what is new in it."""
         limits = self.scenario.limits
-        told = {
+        assignment = {
             "name": f"n{self.number}",
             "listen": "{}:{}".format(*self.address),
             "discovery": self.agent.address,
@@ -195,7 +195,7 @@
             **news,
         }
         with open(self.config + ".new", "w", encoding="utf-8") as file:
-            json.dump(told, file)
+            json.dump(assignment, file)
         os.replace(self.config + ".new", self.config)
 
     def spoil_configuration(self) -> None:
--- a/cedarwick/lab/stand_ins.py
+++ b/cedarwick/lab/stand_ins.py
@@ -177,10 +177,10 @@
         elif effect.kind == "cut":
             self._fall_silent()
 
-        def end(cold: bool) -> None:
+        def end(warming_up: bool) -> None:
             if effect.kind == "cut":
                 self._be_heard()
-            self.endpoint.end(self.day.now(), number, cold)
+            self.endpoint.end(self.day.now(), number, warming_up)
             if effect.kind == "crash":
                 self._come_up()
 
@@ -194,7 +194,7 @@
     def aways(self) -> list[Away]:
         """Its outages so far."""
         return [
-            Away(self.endpoint.uid, self.destination, each.began, each.ended or -1, each.cold, each.fell)
+            Away(self.endpoint.uid, self.destination, each.began, each.ended or -1, each.warming_up, each.fell)
             for each in self.endpoint.outages
         ]
 
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -119,12 +119,12 @@
         assert self.current is not None
         return self.current
 
-    def spawn(self, call: Callable[..., Any], *told: Any) -> "Task":
+    def spawn(self, call: Callable[..., Any], *arguments: Any) -> "Task":
         """A task of the same owner."""
-        return self.spawn_as(self.current.owner if self.current else None, call, *told)
+        return self.spawn_as(self.current.owner if self.current else None, call, *arguments)
 
-    def spawn_as(self, owner: Owner | None, call: Callable[..., Any], *told: Any) -> "Task":
-        task = Task(owner, call, told)
+    def spawn_as(self, owner: Owner | None, call: Callable[..., Any], *arguments: Any) -> "Task":
+        task = Task(owner, call, arguments)
         self._tasks.append(task)
         self.at(self.now, task)
         return task
@@ -153,9 +153,9 @@
         for task in tasks:
             task.wait(max(0, end - self.now) / SECOND)
 
-    def in_thread(self, call: Callable[..., Any], told: tuple[Any, ...]) -> Any:
+    def in_thread(self, call: Callable[..., Any], arguments: tuple[Any, ...]) -> Any:
         self.sleep(IN_THREAD)
-        return call(*told)
+        return call(*arguments)
 
     def gevent(self) -> SimpleNamespace:
         """What the fleet's modules use of gevent."""
@@ -241,11 +241,11 @@
 class Task(AsyncResult):
     """Stands in for a greenlet of gevent."""
 
-    def __init__(self, owner: Owner | None, call: Callable[..., Any], told: tuple[Any, ...]) -> None:
+    def __init__(self, owner: Owner | None, call: Callable[..., Any], arguments: tuple[Any, ...]) -> None:
         super().__init__()
         self.owner = owner
         self.call = call
-        self.told = told
+        self.arguments = arguments
         self.turn = 0  # how often it was resumed: a wake-up for an earlier wait is void
         self.links: list[Callable[[Task], object]] = []
         self.greenlet = greenlet.greenlet(self._run, parent=self.kernel.hub)
@@ -253,7 +253,7 @@
     def _run(self) -> None:
         value = None
         try:
-            value = self.call(*self.told)
+            value = self.call(*self.arguments)
         except greenlet.GreenletExit:
             return
         except Exception:
@@ -355,15 +355,15 @@
                 self.kernel.sleep(LOOK)
             box = AsyncResult()
             self.carry(self.gate.me, member, peer_message, box)
-            told = box.get(max(0, end - self.kernel.now) / SECOND)
+            encoded = box.get(max(0, end - self.kernel.now) / SECOND)
         except TimeoutError:
             raise PeerUnreachableError(member) from None
         finally:
             self.calls[member] -= 1
             room.remove(place)
-        if told is None:
+        if encoded is None:
             raise PeerUnreachableError(member)
-        answer = decode(told)
+        answer = decode(encoded)
         if isinstance(answer.body, RequestRefused):
             refusal = PeerRefusedError(f"{answer.body.code} {answer.body.why}")
             refusal.refused = answer.body
@@ -378,11 +378,11 @@
 class Unused:
     """Stands in for a part of the fleet that the day does not play: every call of it does nothing."""
 
-    def __init__(self, *told: Any) -> None:
+    def __init__(self, *arguments: Any) -> None:
         """As any part's."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
-        return lambda *told: None
+        return lambda *arguments: None
 
 
 @contextmanager
--- a/cedarwick/lab/virtual_clients.py
+++ b/cedarwick/lab/virtual_clients.py
@@ -5,7 +5,7 @@
 
 from cedarwick.fleet.messages import digest_of
 from cedarwick.lab.history import Handed
-from cedarwick.lab.scenario import Band
+from cedarwick.lab.scenario import PriorityClass
 from cedarwick.lab.virtual import SECOND, WALL, AsyncResult
 from cedarwick.lab.virtual_senders import Sender
 from cedarwick.lab.virtual_state import SCENARIO, DayState
@@ -34,7 +34,7 @@
         """Messages come until then, microseconds of virtual time."""
         while self.day.now() < until:
             self.day.kernel.sleep(self.day.chance.expovariate(SCENARIO.load.rate))
-            priority_class = self.day.chance.choice(SCENARIO.band)
+            priority_class = self.day.chance.choice(SCENARIO.priority_classes)
             keys = KEYS if self.day.table.sessions else priority_class.keys if priority_class.in_turn else 0
             turn = self.day.chance.randint(1, keys) if keys else 0
             self.day.kernel.spawn_as(None, self._hand_in, priority_class, turn)
@@ -53,7 +53,7 @@
             return home
         return max(usable, key=lambda each: digest_of(f"{turn} {each.name}".encode()))
 
-    def _hand_in(self, priority_class: Band, turn: int) -> None:
+    def _hand_in(self, priority_class: PriorityClass, turn: int) -> None:
         sender, destination = self._chosen(turn), self.day.chance.randrange(SCENARIO.destinations())
         number, mark = (f"{self.day.chance.getrandbits(63):016x}" for _ in range(2))
         outer = self.day.now() + round(priority_class.outer_ms * 1000)
--- /dev/null
+++ b/tests/test_lab_formats.py
@@ -0,0 +1,103 @@
+"""Files of the laboratory keep their keys, whatever the fields are called in Python: scenarios, histories, plans."""
+
+import os
+import tempfile
+import tomllib
+import unittest
+from typing import Any
+
+import msgspec
+
+from cedarwick.lab import scenario as scenarios
+from cedarwick.lab.figures import Figures
+from cedarwick.lab.history import Away, Handed, read
+from cedarwick.lab.schedule import draw
+from cedarwick.lab.workload import Arrival, Planned
+
+# Lines as they were written when the fields had the names of their keys.
+HANDED = (
+    b'{"what":"handed","id":"a","first":"b","band":"free","destination":1,"mark":"m","turn":"t","due":1,"sent":2,'
+    b'"outer":3,"sender":4,"answer":"","answered":-1,"wait":0,"fresh":true,"again":false,"taker":-1}\n'
+)
+AWAY = b'{"what":"away","endpoint":"x","destination":1,"began":2,"ended":3,"cold":true,"fell":false}\n'
+GONE = b'{"what":"gone","number":1,"kind":"k","began":2,"ended":3,"on":["n0"],"size":0.5}\n'
+
+
+def missing_from(written: Any, made: Any, at: str = "") -> list[str]:
+    """The keys of a file whose value is not found again under the same key."""
+    if isinstance(written, dict):
+        lost = [f"{at}.{key}" for key in written if key not in made]
+        return lost + [
+            each for key in written if key in made for each in missing_from(written[key], made[key], f"{at}.{key}")
+        ]
+    if isinstance(written, list) and len(written) == len(made):
+        return [each for row, other in zip(written, made, strict=True) for each in missing_from(row, other, at)]
+    return [] if written == made else [at]
+
+
+class ScenarioFiles(unittest.TestCase):
+    def test_every_key_of_a_shipped_scenario_comes_back_under_its_name(self) -> None:
+        for name in scenarios.shipped():
+            with self.subTest(name):
+                with open(os.path.join(scenarios.SHIPPED, f"{name}.toml"), "rb") as file:
+                    written = tomllib.load(file)
+                loaded = scenarios.load(name)
+                self.assertEqual(missing_from(written, msgspec.to_builtins(loaded)), [])
+                again: scenarios.Scenario = msgspec.json.decode(msgspec.json.encode(loaded), type=scenarios.Scenario)
+                self.assertEqual(again, loaded)
+
+    def test_the_keys_of_the_renamed_fields(self) -> None:
+        written = msgspec.to_builtins(scenarios.load("drains"))
+        self.assertLessEqual({"band", "partner", "trouble"}, written.keys())
+        self.assertIn("cold", written["partner"][0])
+        self.assertIn("cold", written["trouble"][0])
+
+    def test_a_python_name_is_no_key(self) -> None:
+        for renamed in ("priority_classes", "faults"):
+            with self.subTest(renamed), self.assertRaises(msgspec.ValidationError):
+                msgspec.convert({"name": "s", "band": [], "partner": [], renamed: []}, scenarios.Scenario)
+
+
+class HistoryFiles(unittest.TestCase):
+    def setUp(self) -> None:
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.path = os.path.join(folder.name, "history.jsonl")
+
+    def test_a_history_written_before_is_read_and_written_the_same(self) -> None:
+        with open(self.path, "wb") as file:
+            file.write(HANDED + AWAY + GONE)
+        history = read(self.path)
+        self.assertEqual(history.handed, [Handed("a", "b", "free", 1, "m", "t", 1, 2, 3, 4)])
+        self.assertEqual(history.away, [Away("x", 1, 2, 3, True, False)])
+        self.assertEqual((history.handed[0].priority_class, history.away[0].warming_up), ("free", True))
+        history.write(self.path + ".again")
+        with open(self.path + ".again", "rb") as file:
+            self.assertEqual(file.read(), HANDED + AWAY + GONE)
+
+
+class ScheduleFiles(unittest.TestCase):
+    def test_rows_of_arrivals_and_faults_keep_their_keys(self) -> None:
+        self.assertEqual(
+            msgspec.json.encode(Arrival(1, "a", "free", 2, "k", "t", 3, (4,))),
+            b'{"due":1,"id":"a","band":"free","destination":2,"key":"k","turn":"t","size":3,"waits":[4]}',
+        )
+        self.assertEqual(
+            msgspec.json.encode(Planned(1, "crash", 2, 3, 0.5, 4, True, False, (5,), ())),
+            b'{"number":1,"kind":"crash","begin":2,"length":3,"size":0.5,"wait":4,"cold":true,"whole":false,'
+            b'"destinations":[5],"senders":[]}',
+        )
+
+    def test_a_plan_keeps_its_keys(self) -> None:
+        plan = draw(3, senders=5, length_s=10)
+        written = msgspec.json.decode(plan.json())
+        self.assertEqual(list(written), ["seed", "senders", "length", "troubles"])
+        self.assertEqual(len(written["troubles"]), len(plan.faults))
+
+    def test_figures_keep_their_keys(self) -> None:
+        names = [field.encode_name for field in msgspec.structs.fields(Figures)]
+        self.assertEqual(names[:3], ["service", "bands", "answers"])
+
+
+if __name__ == "__main__":
+    unittest.main()
