--- a/cedarwick/lab/bare.py
+++ b/cedarwick/lab/bare.py
@@ -14,7 +14,7 @@
 import gevent.socket
 import httptools
 
-from cedarwick.lab.stand_ins import listen
+from cedarwick.lab.listeners import listen
 
 
 class Status:
--- a/cedarwick/lab/ceiling.py
+++ b/cedarwick/lab/ceiling.py
@@ -19,12 +19,12 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.lab.day import Day
+from cedarwick.lab.listeners import ReservedPort, host_of
 from cedarwick.lab.load import pongs
 from cedarwick.lab.quick import STEP
 from cedarwick.lab.register import Agent, Register
 from cedarwick.lab.scenario import Limits, Partner, PriorityClass, Scenario
 from cedarwick.lab.senders import COMMAND, Instance
-from cedarwick.lab.stand_ins import ReservedPort, host_of
 
 SETTLE = 1.0  # seconds at both ends that are left out
 CLIENTS = 32
--- a/cedarwick/lab/fleet_processes.py
+++ b/cedarwick/lab/fleet_processes.py
@@ -18,11 +18,11 @@
 from cedarwick.lab.day import WINDOW, Day
 from cedarwick.lab.environment import Environment
 from cedarwick.lab.history import Gone, Handed, History
+from cedarwick.lab.listeners import ReservedPort
 from cedarwick.lab.register import Agent
 from cedarwick.lab.relay import Relay
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.senders import COMMAND, Instance
-from cedarwick.lab.stand_ins import ReservedPort
 
 LOOK = 0.02  # seconds between two looks at something that is waited for
 CALL = 5.0  # seconds in which a management call is answered
--- a/cedarwick/lab/quick.py
+++ b/cedarwick/lab/quick.py
@@ -13,7 +13,7 @@
 import gevent.event
 import gevent.socket
 
-from cedarwick.lab.stand_ins import listen
+from cedarwick.lab.listeners import listen
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 STEP = 0.1  # seconds of one count
--- a/cedarwick/lab/register.py
+++ b/cedarwick/lab/register.py
@@ -17,7 +17,7 @@
 
 from cedarwick.lab.day import Day
 from cedarwick.lab.history import Heard, Noticed
-from cedarwick.lab.stand_ins import host_of, listen
+from cedarwick.lab.listeners import host_of, listen
 
 BEAT = 2.0  # seconds between empty lines of a watch
 OLD_STAYS = 1.5  # seconds in which connections to an address that was left stay open
--- a/cedarwick/lab/relay.py
+++ b/cedarwick/lab/relay.py
@@ -35,7 +35,7 @@
 import httptools
 import msgspec
 
-from cedarwick.lab.stand_ins import listen, reset
+from cedarwick.lab.listeners import listen, reset
 
 Kind = Literal["cut", "silent", "delay", "trickle", "reset", "ask-lost", "answer-lost", "twice"]
 Way = Literal["asks", "answers"]
--- a/cedarwick/lab/senders.py
+++ b/cedarwick/lab/senders.py
@@ -15,9 +15,9 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.lab.day import Day
 from cedarwick.lab.history import Life, Sampled
+from cedarwick.lab.listeners import ReservedPort, host_of
 from cedarwick.lab.register import Agent
 from cedarwick.lab.scenario import Scenario, sender_settings
-from cedarwick.lab.stand_ins import ReservedPort, host_of
 
 READY_IN = 15.0  # seconds in which a started sender must answer PING
 REAP = 0.05  # seconds between two looks at a process
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -8,8 +8,8 @@
 import gevent.socket
 
 from cedarwick.lab import relay as relays
+from cedarwick.lab.listeners import reset
 from cedarwick.lab.relay import Fault, Relay, named
-from cedarwick.lab.stand_ins import reset
 
 
 class Answering:
