--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -262,7 +262,7 @@
 @click.option("--senders", type=click.IntRange(0, 64), default=0, help="Instead of the scenario's number.")
 @click.option("--seconds", default=3600.0, show_default=True, type=click.FloatRange(1, 86400), help="Then it ends.")
 def serve(scenario: str, seed: int, senders: int, seconds: float) -> None:
-    """Start a scenario's partners, platform and senders, without clients and troubles, until an interrupt.
+    """Start a scenario's partners, platform and senders, without clients and faults, until an interrupt.
 
     Prints the senders' addresses, one a line, for `cedarwick load`. Calls are answered, not written down.
     """
--- a/cedarwick/lab/audit_account.py
+++ b/cedarwick/lab/audit_account.py
@@ -1,4 +1,4 @@
-"""The account of a day: every request and every thing in its place, and what deliveries earned."""
+"""The account of a day: each request and each thing counted once by its outcome, and the worth of deliveries."""
 
 from collections import defaultdict
 
@@ -8,7 +8,7 @@
 
 
 def account(scenario: Scenario, cases: dict[str, Case], findings: list[Finding]) -> Account:
-    """Every request and every thing in its place."""
+    """Count each request and each thing once, by its outcome."""
     made, priority_classes = Account(), scenario.classes_by_name()
     things: dict[str, list[Case]] = defaultdict(list)
     for case in cases.values():
--- a/cedarwick/lab/audit_cases.py
+++ b/cedarwick/lab/audit_cases.py
@@ -1,4 +1,4 @@
-"""What the audits judge: all that was seen of each message, the lives of senders, and what a verdict is made of."""
+"""What the audits judge: what was seen of each message, when each sender's process ran, and the types of a verdict."""
 
 from bisect import bisect_left, bisect_right
 from collections import Counter, defaultdict
@@ -27,7 +27,7 @@
 
 
 class Account(msgspec.Struct):
-    """What became of the messages; every request is in one of the first six."""
+    """Counts of what became of the messages; every request is in one of the first six."""
 
     taken: int = 0
     refused: int = 0
@@ -59,7 +59,7 @@
 
 
 class Case:
-    """All that was seen of one id."""
+    """The records of one message id."""
 
     __slots__ = ("handed", "calls", "notices")
 
@@ -69,7 +69,7 @@
         self.notices: list[Noticed] = []
 
     def seen(self) -> tuple[dict[str, Any], ...]:
-        """Everything, in the order of time."""
+        """All records in the order of time, as plain maps."""
         records: list[tuple[int, Any]] = [(call.first, call) for call in self.calls]
         records += [(notice.at, notice) for notice in self.notices]
         if self.handed is not None:
@@ -94,7 +94,7 @@
 
 
 class Lives:
-    """When each sender's process ran, as the emulator did it to them."""
+    """When each sender's processes ran, by what the laboratory did to them."""
 
     def __init__(self, history: History) -> None:
         self.ends: defaultdict[int, list[int]] = defaultdict(list)  # the process ended
@@ -123,7 +123,7 @@
         return bisect_right(self.begins[sender], at)
 
     def excused_until(self, sender: int, due: int, grace: int) -> int:
-        """When an end that was due is overdue, where the sender could not act."""
+        """When a final answer is overdue, given the times in which its sender could not act."""
         for begin, end in self.unfit[sender]:
             if begin <= due + grace and due <= end + grace:
                 due = max(due, end + grace)
--- a/cedarwick/lab/audit_subscribers.py
+++ b/cedarwick/lab/audit_subscribers.py
@@ -33,7 +33,7 @@
 
 
 class Gap(msgspec.Struct, frozen=True):
-    """A subscriber was told that a span of a source's events is missing, both ends included."""
+    """A subscriber was notified that a span of a source's events is missing, both ends included."""
 
     subscription: str
     source: str
@@ -52,14 +52,14 @@
 
 
 class Ended(msgspec.Struct, frozen=True):
-    """A subscription was ended, and the one who ended it was told so."""
+    """A subscription was ended, and whoever ended it got the confirmation."""
 
     subscription: str
     at: int
 
 
 class Watched(msgspec.Struct):
-    """All that is known of subscriptions; `settled` is when the last event was owed to everyone."""
+    """All that is known of subscriptions; events up to `settled` have to reach everyone."""
 
     occurred: list[Occurred] = msgspec.field(default_factory=list)
     matched: list[Matched] = msgspec.field(default_factory=list)
@@ -73,7 +73,7 @@
 
 
 def subscribed(watched: Watched) -> Iterator[Finding]:
-    """What each subscriber got of each source."""
+    """Findings on what each subscriber received from each source: order, repeats, filters, ended subscriptions."""
     got: defaultdict[tuple[str, str], list[Matched]] = defaultdict(list)
     for match in watched.matched:
         got[match.subscription, match.source].append(match)
@@ -97,7 +97,7 @@
 
 
 def missing(watched: Watched, got: dict[tuple[str, str], list[Matched]], over: dict[str, int]) -> Iterator[Finding]:
-    """A match that a source evaluated, that nobody got and no gap tells of; not what came after the end, or late."""
+    """A match that its subscriber never received and no gap covers, up to the subscription's end and `settled`."""
     since: dict[tuple[str, str], int] = {}
     for each in watched.evaluates:
         since[each.subscription, each.source] = min(each.since, since.get((each.subscription, each.source), each.since))
--- a/cedarwick/lab/bare.py
+++ b/cedarwick/lab/bare.py
@@ -36,7 +36,7 @@
         self.file = os.open(os.path.join(folder, "bare.log"), os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
     def accept(self, listener: gevent.socket.socket) -> None:
-        """Never returns."""
+        """Accept connections; never returns."""
         while True:
             sock, _ = listener.accept()
             gevent.spawn(self.serve, sock)
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -27,8 +27,8 @@
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
-class Front:
-    """Which senders clients use: one that died goes on being used until that is noticed."""
+class SenderPool:
+    """The senders among which clients choose; one that died is still chosen until that is noticed."""
 
     def __init__(self, day: Day, instances: list[Instance], notice: float) -> None:
         self.day = day
@@ -38,7 +38,7 @@
         self.turn = 0
 
     def watch(self) -> None:
-        """Never returns: notices deaths late, and returns."""
+        """Keep `known_out` up to date, a dead sender `notice` seconds late; never returns."""
         since: dict[int, int] = {}
         while True:
             for each in self.instances:
@@ -65,10 +65,10 @@
 class Clients:
     """Hands in what is due, and again what was refused or not answered."""
 
-    def __init__(self, day: Day, scenario: Scenario, front: Front) -> None:
+    def __init__(self, day: Day, scenario: Scenario, sender_pool: SenderPool) -> None:
         self.day = day
         self.scenario = scenario
-        self.front = front
+        self.sender_pool = sender_pool
         self.priority_classes: dict[str, PriorityClass] = scenario.classes_by_name()
         self.patience = scenario.clients.patience_ms / 1000
         self.idle: dict[tuple[str, int], list[gevent.socket.socket]] = {}
@@ -84,14 +84,14 @@
         self.done = True
 
     def close(self) -> None:
-        """Let the kept connections go."""
+        """Close the kept connections."""
         for waiting in self.idle.values():
             for sock in waiting:
                 sock.close()
         self.idle.clear()
 
     def notice(self, id: str, state: str, after: int) -> None:
-        """The platform passes on what became of a message."""
+        """Take the platform's notice of what became of a message."""
         again = self.returned.pop(id, None)
         if again is not None and state == "returned":
             again(after)
@@ -110,7 +110,7 @@
             return
         self.busy += 1
         try:
-            instance = self.front.choose(arrival.turn)
+            instance = self.sender_pool.choose(arrival.turn)
             handed = Handed(
                 id,
                 arrival.id,
@@ -215,7 +215,7 @@
 
 
 def rude_forms(priority_class: str) -> dict[str, bytes]:
-    """What bad clients send, by name; every one of these is owed an error or a close."""
+    """What bad clients send, by name; each of these has to be answered by an error or a close."""
     submit = (b"SUBMIT", b"0" * 16)
     pairs = f"c={priority_class},d=4000,dest=0".encode()
     return {
--- a/cedarwick/lab/faults.py
+++ b/cedarwick/lab/faults.py
@@ -12,7 +12,7 @@
 from cedarwick.lab.partner import Effect
 from cedarwick.lab.scenario import PARTNER_FAULTS
 from cedarwick.lab.senders import Instance, SenderNotReadyError
-from cedarwick.lab.workload import Planned
+from cedarwick.lab.workload import PlannedFault
 
 RESTART = 0.6  # seconds after its end until a sender is started again, at the least
 
@@ -26,7 +26,7 @@
         self.instances = instances
         self.under_way = 0
 
-    def start(self, planned: list[Planned]) -> None:
+    def start(self, planned: list[PlannedFault]) -> None:
         for fault in planned:
             if fault.kind != "burst":  # the schedule holds its arrivals already
                 self.under_way += 1
@@ -43,20 +43,20 @@
                     )
                 )
 
-    def _carry_out(self, fault: Planned) -> None:
+    def _carry_out(self, fault: PlannedFault) -> None:
         self.day.sleep_until(fault.begin)
         began = self.day.now()
         on: list[str] = []
         try:
             on = self._one(fault)
         except (OSError, SenderNotReadyError) as error:
-            self.day.failed = f"the trouble {fault.kind} could not be carried out: {describe(error)}"
+            self.day.failed = f"the fault {fault.kind} could not be carried out: {describe(error)}"
         finally:
             self.under_way -= 1
             self.day.history.add(Gone(fault.number, fault.kind, began, self.day.now(), on, fault.size))
 
-    def _one(self, fault: Planned) -> list[str]:
-        """Carry it out to its end; whom it met."""
+    def _one(self, fault: PlannedFault) -> list[str]:
+        """Carry the fault out to its end; the names of those that it hit."""
         end = fault.begin + fault.length
         if fault.kind == "replace":
             return self._replace(fault, end)
@@ -68,7 +68,7 @@
             return self._platform(fault, end)
         return self._at_senders(fault, end)
 
-    def _at_partners(self, fault: Planned, end: int) -> list[str]:
+    def _at_partners(self, fault: PlannedFault, end: int) -> list[str]:
         ends: list[Callable[[bool], None]] = []
         on = []
         for destination in fault.destinations:
@@ -81,8 +81,8 @@
             each(fault.warming_up)
         return on
 
-    def _replace(self, fault: Planned, end: int) -> list[str]:
-        """Endpoints are told to drain, go, and others come; every second one at the address of the one before."""
+    def _replace(self, fault: PlannedFault, end: int) -> list[str]:
+        """Endpoints drain and are removed, and others are added, every second one at the address of its predecessor."""
         on, old = [], []
         for destination in fault.destinations:
             for server in list(self.environment.servers_of(destination)):
@@ -102,13 +102,13 @@
         self.day.sleep_until(end)
         return on
 
-    def _at_senders(self, fault: Planned, end: int) -> list[str]:
+    def _at_senders(self, fault: PlannedFault, end: int) -> list[str]:
         met = [self.instances[number] for number in fault.senders]
         jobs = [gevent.spawn(self._at_sender, fault, end, instance) for instance in met]
         gevent.joinall(jobs, raise_error=True)
         return [f"n{instance.number}" for instance in met]
 
-    def _at_sender(self, fault: Planned, end: int, instance: Instance) -> None:
+    def _at_sender(self, fault: PlannedFault, end: int, instance: Instance) -> None:
         if fault.kind in ("kill", "term"):
             instance.take_down(gently=fault.kind == "term")
             gevent.sleep(RESTART)
@@ -134,7 +134,7 @@
         instance.configure()
         instance.reload()
 
-    def _platform(self, fault: Planned, end: int) -> list[str]:
+    def _platform(self, fault: PlannedFault, end: int) -> list[str]:
         agents = self.environment.agents
         if fault.kind == "platform-silent":
             for agent in agents:
@@ -149,7 +149,7 @@
             self.day.sleep_until(end)
         return [f"n{instance.number}" for instance in self.instances]
 
-    def _bad_clients(self, fault: Planned, end: int) -> list[str]:
+    def _bad_clients(self, fault: PlannedFault, end: int) -> list[str]:
         forms = list(rude_forms(self.environment.scenario.priority_classes[0].name).items())
         number = 0
         while self.day.now() < end:
--- a/cedarwick/lab/fleetbench.py
+++ b/cedarwick/lab/fleetbench.py
@@ -160,7 +160,7 @@
         return [sum(self.process(number).cpu_times()[:2]) for number in range(len(self.fleet.members))]
 
     def gone(self) -> Callable[[], None]:
-        """Half of the destinations refuse connections; calling what comes back brings them back."""
+        """Let half of the destinations refuse connections; the returned function ends that."""
         ends = [self.fleet.begin_effect(QUICK + number, Effect("crash")) for number in range(QUICK)]
 
         def end() -> None:
@@ -304,7 +304,7 @@
     fleet.start(successor)
 
     def walked() -> tuple[list[tuple[int, ReplicatePiece]], int]:
-        """The pieces that the copy was sent until it told that it is whole, and when it did; 0: it has not."""
+        """How many pieces were sent to the replica until it reported that it is whole, and when it did; 0: not yet."""
         pieces: list[tuple[int, ReplicatePiece]] = []
         for at, other, body in seen:
             if other != successor or not isinstance(body, ReplicatePiece | ReplicaAck) or body.partition != partition:
--- a/cedarwick/lab/folder.py
+++ b/cedarwick/lab/folder.py
@@ -54,7 +54,7 @@
 def churn(path: str, live: int, size: int, fill: float, rounds: int, seed: int = 1, durable: bool = False) -> Churn:
     """Fill a folder to `live` messages at a part of its limit, then replace them round by round.
 
-    A message without room comes again in a later round, as one does that was turned away at the door.
+    A message without room comes again in a later round, as one does that a sender has refused.
     """
     each = 10 + 60 + 40 + 20 + size
     limit = round(live * each / fill)
--- a/cedarwick/lab/invariants.py
+++ b/cedarwick/lab/invariants.py
@@ -9,7 +9,7 @@
     12  one sender at a time fires for a message
     13  'returned' says never ran: knowledge of attempts only grows
     14  order by key across senders
-    15  each match of a subscriber once, in the order of its source, none missing outside a told gap
+    15  each match of a subscriber once, in the order of its source, none missing outside a gap that it was notified of
     16  an ended subscription delivers nothing
 
 Where what was seen leaves a doubt, it judges for the senders; each allowance is named where it is made.
@@ -59,7 +59,7 @@
 
 
 class Span(NamedTuple):
-    """From when to when some senders were out, or their talk was spoilt."""
+    """A time in which some senders were out, or their links had a fault."""
 
     begin: int
     end: int
@@ -68,7 +68,7 @@
 
 
 def spans_of(history: History, lives: Lives) -> list[Span]:
-    """All that was done, in the order of time."""
+    """All faults and all times in which a sender was out, in the order of time."""
     found = [
         Span(begin, end, frozenset([sender]), "down") for sender, unfit in lives.unfit.items() for begin, end in unfit
     ]
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -15,7 +15,7 @@
 
 from cedarwick.lab.audit import judge
 from cedarwick.lab.audit_cases import Account, Finding, Verdict
-from cedarwick.lab.clients import Clients, Front
+from cedarwick.lab.clients import Clients, SenderPool
 from cedarwick.lab.day import Day
 from cedarwick.lab.environment import Environment
 from cedarwick.lab.faults import Faults
@@ -114,8 +114,8 @@
 ) -> int:
     """Start all senders, let the day run, end them; when the watching stopped."""
     gevent.joinall([gevent.spawn(instance.start) for instance in instances], raise_error=True)
-    front = Front(day, instances, scenario.clients.notice_s)
-    clients = Clients(day, scenario, front)
+    sender_pool = SenderPool(day, instances, scenario.clients.notice_s)
+    clients = Clients(day, scenario, sender_pool)
     for agent in environment.agents:
         agent.on_notice = clients.notice
     gc.collect()
@@ -126,7 +126,7 @@
         life.at -= shift
     for heard in day.history.heard:
         heard.at -= shift
-    watches = [gevent.spawn(day.watch_lag), gevent.spawn(front.watch)]
+    watches = [gevent.spawn(day.watch_lag), gevent.spawn(sender_pool.watch)]
     watches += [gevent.spawn(instance.sample) for instance in instances]
     faults = Faults(day, environment, instances)
     faults.start(drawn.faults)
--- a/cedarwick/lab/senders.py
+++ b/cedarwick/lab/senders.py
@@ -35,7 +35,7 @@
 
 
 class Instance:
-    """One sender over all its processes."""
+    """One sender over all its processes (lives)."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self.process: subprocess.Popen[bytes] | None = None
         self.starts = 0
         self.expected_to_end = False
-        self.held_down = 0  # troubles that keep it from running
+        self.held_down = 0  # faults that keep it from running
         self.disk_mb = scenario.limits.disk_mb
         self.ready_at = -1
 
@@ -95,7 +95,7 @@
         end_at = self.day.now() + round(READY_IN * 1_000_000)
         while not self._pongs():
             if self.held_down:
-                return  # another trouble has ended it meanwhile, and will start it again
+                return  # another fault has ended it meanwhile, and will start it again
             if (status := self.process.poll()) is not None:
                 raise self._not_ready(f"ended with status {status} before it answered PING")
             if self.day.now() > end_at:
@@ -105,7 +105,7 @@
         self._life("ready")
 
     def take_down(self, gently: bool) -> None:
-        """A trouble ends the process, if one runs, and keeps it down until its `bring_up`."""
+        """Begin a fault that ends the process, if one runs, and keeps it down until its `bring_up`."""
         self.held_down += 1
         if not self.running():
             return
@@ -117,7 +117,7 @@
             gevent.sleep(0.01)
 
     def bring_up(self) -> None:
-        """A trouble has ended; the last one of several that overlap starts the process again."""
+        """End such a fault; the last one of several that overlap starts the process again."""
         self.held_down -= 1
         if not self.held_down:
             self.start()
@@ -151,7 +151,7 @@
             gevent.sleep(0.02)
 
     def stop(self) -> None:
-        """SIGSTOP: it stands still, its connections stay open."""
+        """SIGSTOP: the process is paused, its connections stay open."""
         self._life("stopped")
         self._send(signal.SIGSTOP)
 
@@ -199,14 +199,14 @@
         os.replace(self.config + ".new", self.config)
 
     def spoil_configuration(self) -> None:
-        """The file is replaced by one that cannot be read."""
+        """Replace the configuration by one that cannot be read."""
         with open(self.config, "w", encoding="utf-8") as file:
             file.write('{"name": "n')
 
     # ---- what is seen of it ----
 
     def sample(self) -> None:
-        """Never returns: notes what the process uses."""
+        """Sample what the process uses; never returns."""
         while True:
             process = self.process
             if process is not None and process.poll() is None:
--- a/cedarwick/lab/virtual_faults.py
+++ b/cedarwick/lab/virtual_faults.py
@@ -48,7 +48,7 @@
 
     @contextmanager
     def _spoilt(self, drawn: DrawnFault, fault: Fault, pairs: Sequence[Pair]) -> Iterator[None]:
-        """Some talk is spoilt meanwhile."""
+        """Apply a fault to some links while it lasts."""
         began = self.day.now()
         faults = [(pair, msgspec.structs.replace(fault)) for pair in pairs]
         self.network.faults += faults
@@ -92,7 +92,7 @@
 
 
 def spoil(folder: str, draw: int) -> None:
-    """Turn over some bytes of one of the files, both drawn."""
+    """Flip some bytes of one of the files, both drawn."""
     held = sorted(os.path.join(at, name) for at, _, names in os.walk(folder) for name in names)
     found = [path for path in held if os.path.getsize(path)]
     if not found:
