--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -12,13 +12,13 @@
 
 from cedarwick.lab.day import Day, body_of
 from cedarwick.lab.history import Handed, Rude
-from cedarwick.lab.scenario import Band, Scenario
+from cedarwick.lab.scenario import PriorityClass, Scenario
 from cedarwick.lab.senders import Instance
 from cedarwick.lab.workload import Arrival
 from cedarwick.net.sockets import open_connection
 
 MS = 1000
-LEAST_LEFT = 300 * MS  # with less time than this nothing is handed in again
+LEAST_LEFT = 300 * MS  # with less time than this nothing is submitted again
 CONNECT = 0.4
 
 
@@ -27,8 +27,8 @@
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
-class Front:
-    """Which senders clients use: one that died goes on being used until that is noticed."""
+class SenderPool:
+    """The senders among which clients choose; one that died is still chosen until that is noticed."""
 
     def __init__(self, day: Day, instances: list[Instance], notice: float) -> None:
         self.day = day
@@ -38,7 +38,7 @@
         self.turn = 0
 
     def watch(self) -> None:
-        """Never returns: notices deaths late, and returns."""
+        """Keep `known_out` up to date, a dead sender `notice` seconds late; never returns."""
         since: dict[int, int] = {}
         while True:
             for each in self.instances:
@@ -65,11 +65,11 @@
 class Clients:
     """Hands in what is due, and again what was refused or not answered."""
 
-    def __init__(self, day: Day, scenario: Scenario, front: Front) -> None:
+    def __init__(self, day: Day, scenario: Scenario, sender_pool: SenderPool) -> None:
         self.day = day
         self.scenario = scenario
-        self.front = front
-        self.bands: dict[str, Band] = scenario.bands()
+        self.sender_pool = sender_pool
+        self.priority_classes: dict[str, PriorityClass] = scenario.classes_by_name()
         self.patience = scenario.clients.patience_ms / 1000
         self.idle: dict[tuple[str, int], list[gevent.socket.socket]] = {}
         self.returned: dict[str, Callable[[int], None]] = {}  # by id: what comes again if the platform says so
@@ -84,14 +84,14 @@
         self.done = True
 
     def close(self) -> None:
-        """Let the kept connections go."""
+        """Close the kept connections."""
         for waiting in self.idle.values():
             for sock in waiting:
                 sock.close()
         self.idle.clear()
 
     def notice(self, id: str, state: str, after: int) -> None:
-        """The platform passes on what became of a message."""
+        """Take the platform's notice of what became of a message."""
         again = self.returned.pop(id, None)
         if again is not None and state == "returned":
             again(after)
@@ -104,17 +104,17 @@
     def _try(self, arrival: Arrival, number: int, due: int, refused: bool, again: bool) -> None:
         """Hand it in for the nth time, each under an id of its own."""
         id = arrival.id if number == 0 else f"{xxhash.xxh64_intdigest(f'{arrival.id} {number}'.encode()):016x}"
-        outer = arrival.due + round(self.bands[arrival.band].outer_ms * MS)
+        outer = arrival.due + round(self.priority_classes[arrival.priority_class].outer_ms * MS)
         left = (outer - self.day.now()) // MS
         if left <= LEAST_LEFT // MS:
             return
         self.busy += 1
         try:
-            instance = self.front.choose(arrival.turn)
+            instance = self.sender_pool.choose(arrival.turn)
             handed = Handed(
                 id,
                 arrival.id,
-                arrival.band,
+                arrival.priority_class,
                 arrival.destination,
                 arrival.key,
                 arrival.turn,
@@ -130,7 +130,7 @@
                 self.returned[id] = lambda after: self._later(arrival, number, max(after, arrival.waits[number]))
             # Danger: what a mark stands for is the thing, so every try carries it.
             marks = (",r=1" if refused else "") + (",again=1" if again else "") if self.scenario.clients.marks else ""
-            pairs = f"c={arrival.band},d={left},dest={arrival.destination}"
+            pairs = f"c={arrival.priority_class},d={left},dest={arrival.destination}"
             pairs += (f",k={arrival.key}" if arrival.key else "") + marks
             request = command(b"SUBMIT", arrival.turn.encode(), id.encode(), pairs.encode(), body_of(id, arrival.size))
             self._ask(instance, request, handed)
@@ -214,10 +214,10 @@
             return None, False
 
 
-def rude_forms(band: str) -> dict[str, bytes]:
-    """What bad clients send, by name; every one of these is owed an error or a close."""
+def rude_forms(priority_class: str) -> dict[str, bytes]:
+    """What bad clients send, by name; each of these has to be answered by an error or a close."""
     submit = (b"SUBMIT", b"0" * 16)
-    pairs = f"c={band},d=4000,dest=0".encode()
+    pairs = f"c={priority_class},d=4000,dest=0".encode()
     return {
         "noise": bytes(range(128, 256)) * 8 + b"\r\n",
         "a line that never ends": b"*" + b"1" * 5000,
@@ -225,8 +225,8 @@
         "a huge length": b"*2\r\n$6\r\nSUBMIT\r\n$99999999999\r\n",
         "a value of 2 MB": b"*2\r\n$6\r\nSUBMIT\r\n$2000000\r\n" + b"v" * 2_000_000,
         "an unknown priority class": command(*submit, b"rude1", b"c=nobody,d=4000,dest=0", b"x"),
-        "an unknown destination": command(*submit, b"rude2", f"c={band},d=4000,dest=999999".encode(), b"x"),
-        "a time that is no number": command(*submit, b"rude3", f"c={band},d=soon,dest=0".encode(), b"x"),
+        "an unknown destination": command(*submit, b"rude2", f"c={priority_class},d=4000,dest=999999".encode(), b"x"),
+        "a time that is no number": command(*submit, b"rude3", f"c={priority_class},d=soon,dest=0".encode(), b"x"),
         "no id": command(b"SUBMIT", b"0" * 16, pairs, b"x"),
         "an unknown command": command(b"FLUSHALL"),
         "a hundred commands at once": command(b"WHO") * 100,
--- a/cedarwick/lab/virtual_faults.py
+++ b/cedarwick/lab/virtual_faults.py
@@ -48,7 +48,7 @@
 
     @contextmanager
     def _spoilt(self, drawn: DrawnFault, fault: Fault, pairs: Sequence[Pair]) -> Iterator[None]:
-        """Some talk is spoilt meanwhile."""
+        """Apply a fault to some links while it lasts."""
         began = self.day.now()
         faults = [(pair, msgspec.structs.replace(fault)) for pair in pairs]
         self.network.faults += faults
@@ -80,7 +80,7 @@
             shutil.rmtree(sender.folder)
             os.makedirs(sender.folder)
         elif drawn.kind == "folder-spoilt":
-            spoil(sender.folder, drawn.draw)
+            corrupt(sender.folder, drawn.draw)
         if drawn.kind in ("folder-lost", "folder-spoilt"):
             self.day.history.add(Gone(drawn.number, drawn.kind, self.day.now(), self.day.now(), drawn.names(), 0.0))
         self.day.sleep_until(end)
@@ -91,8 +91,8 @@
             self.day.kernel.sleep(LOOK)
 
 
-def spoil(folder: str, draw: int) -> None:
-    """Turn over some bytes of one of the files, both drawn."""
+def corrupt(folder: str, draw: int) -> None:
+    """Flip some bytes of one of the files, both drawn."""
     held = sorted(os.path.join(at, name) for at, _, names in os.walk(folder) for name in names)
     found = [path for path in held if os.path.getsize(path)]
     if not found:
