--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -113,7 +113,7 @@
             elif slot not in self.lists:
                 raise codec.WireError(f"list {slot} was never declared")
             else:
-                sender.listed(now, change, self.lists[slot])
+                sender.apply_endpoint_list(now, change, self.lists[slot])
         elif code == codec.WAKE_CODE and values[1] == instance.mark:
             instance.wake_at = None
 
--- a/cedarwick/decisions/earlier_outages.py
+++ b/cedarwick/decisions/earlier_outages.py
@@ -17,7 +17,7 @@
         known.observed_rate = max(known.observed_rate, earlier.observed_rate)
         # The last look of the earlier process is not known: the return is not taken for earlier than this start.
         known.used_at = known.used_at or now
-        pace = known.pace
+        pace = known.rate_control
         # In service, an old cut says nothing any more: the rate has risen since.
         if earlier.cut_rate and (earlier.state is not HealthState.IN_SERVICE or earlier.recorded_age < self.ramp_time):
             pace.rate = earlier.cut_rate if pace.rate is None else min(pace.rate, earlier.cut_rate)
@@ -27,10 +27,12 @@
             self._eject_as(now, known, self._outage(now, earlier))
             self._report_health(known, HealthState.EJECTED, HealthReason.BEFORE_RESTART, known.ejected_since)
         elif earlier.state is HealthState.SUSPECTED:
-            known.pace.failed_since = known.pace.failed_since or max(1, now - earlier.age)
+            known.rate_control.failed_since = known.rate_control.failed_since or max(1, now - earlier.age)
             known.suspected = True
             self._spread_first_call(now, known)
-            self._report_health(known, HealthState.SUSPECTED, HealthReason.BEFORE_RESTART, known.pace.failed_since)
+            self._report_health(
+                known, HealthState.SUSPECTED, HealthReason.BEFORE_RESTART, known.rate_control.failed_since
+            )
         elif not known.ready and earlier.state is HealthState.AWAY:
             known.left_at = now - self.fall_time - 1  # since when is not known: its return begins with a ramp
         elif earlier.state is not HealthState.IN_SERVICE and not known.ejected_since:
@@ -47,7 +49,7 @@
             return
         place = self._destination(earlier.destination)
         self._keep_outage(place, self._outage(now, earlier))
-        for mate in self._mates(place, place.pace):
+        for mate in self._mates(place, place.rate_control):
             if mate.in_service and not mate.recovered_at:
                 mate.observed_rate = max(mate.observed_rate, earlier.observed_rate)
                 self._begin_ramp(now, mate, now, HealthReason.BEFORE_RESTART)
@@ -55,11 +57,11 @@
 
     def _spread_first_call(self, now: int, receiver: Receiver) -> None:
         """Many senders may have started in the same moment: a random part of the first token spreads their calls."""
-        receiver.ramp = TokenBucket(self.chance.below(SECOND) / SECOND, now)
+        receiver.ramp = TokenBucket(self.random_source.below(SECOND) / SECOND, now)
 
     @staticmethod
     def _outage(now: int, earlier: EarlierHealth) -> DepartedOutage:
-        return DepartedOutage(max(1, now - earlier.age), earlier.provable, earlier.observed_rate)
+        return DepartedOutage(max(1, now - earlier.age), earlier.proved_never_ran, earlier.observed_rate)
 
     def _outage_of(self, place: Destination, mates: list[Receiver]) -> DepartedOutage | None:
         """The outage that a receiver joins which the list names anew; None where some receiver is in service."""
@@ -70,11 +72,15 @@
 
     def _eject_as(self, now: int, receiver: Receiver, outage: DepartedOutage) -> None:
         """Eject a receiver as one of an outage that began earlier; its canary comes at random within a gap."""
-        receiver.ejected_since, receiver.failed, receiver.provable = outage.ejected_since, True, outage.provable
+        receiver.ejected_since, receiver.failed, receiver.proved_never_ran = (
+            outage.ejected_since,
+            True,
+            outage.proved_never_ran,
+        )
         receiver.recovered_at = 0
         receiver.observed_rate = max(receiver.observed_rate, outage.observed_rate)
-        receiver.canary_at = now + self.chance.below(self._canary_gap(now, receiver))
-        receiver.pace.canary_at = max(receiver.pace.canary_at, receiver.canary_at)
+        receiver.canary_at = now + self.random_source.below(self._canary_gap(now, receiver))
+        receiver.rate_control.canary_at = max(receiver.rate_control.canary_at, receiver.canary_at)
 
     def _keep_outage(self, place: Destination, outage: DepartedOutage) -> None:
         """Remember the outage of receivers whose records go."""
@@ -92,5 +98,7 @@
         self, place: Destination, state: HealthState, reason: HealthReason, outage: DepartedOutage
     ) -> None:
         self.verdicts.health_changes.append(
-            HealthChange(0, place.id, state, reason, outage.ejected_since, 0, outage.provable, outage.observed_rate)
+            HealthChange(
+                0, place.id, state, reason, outage.ejected_since, 0, outage.proved_never_ran, outage.observed_rate
+            )
         )
--- a/cedarwick/decisions/endpoint_updates.py
+++ b/cedarwick/decisions/endpoint_updates.py
@@ -10,7 +10,7 @@
 from cedarwick.decisions.health import JUDGED_OUTCOMES
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, HealthReason, HealthState, ListedEndpoint
 from cedarwick.decisions.rate_control import RateAdjustment
-from cedarwick.decisions.sender_state import BACKOFF_BASE, LIST_WAIT, MAX_RETRY_AFTER
+from cedarwick.decisions.sender_state import BACKOFF_BASE, MAX_LIST_POLL_DELAY, MAX_RETRY_AFTER
 from cedarwick.decisions.state import SECOND, Destination, RateControl, Receiver
 
 MAX_POLL_DOUBLINGS = 16  # of the window from which the next list call is drawn
@@ -21,7 +21,7 @@
 class EndpointUpdates(RateAdjustment, EarlierOutages):
     """Keeps the records of the receivers in step with the list."""
 
-    def listed(self, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
+    def apply_endpoint_list(self, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
         """Apply an update of the list (full or delta), and drop the records of receivers that left long ago."""
         if change is not EndpointUpdate.DELTA:
             named = {listing.receiver for listing in listings}
@@ -39,8 +39,8 @@
         if listing.receiver not in self.receivers:
             self._add_receiver(now, place, listing)
         known = self.receivers[listing.receiver]
-        back = listing.phase is EndpointState.READY and not known.ready and known.left_at
-        known.ready = listing.phase is EndpointState.READY
+        back = listing.endpoint_state is EndpointState.READY and not known.ready and known.left_at
+        known.ready = listing.endpoint_state is EndpointState.READY
         if back and not known.ejected_since:
             if now - known.left_at > self.fall_time:
                 # Away for this long, it has probably been restarted: ramp up instead of full traffic.
@@ -48,11 +48,11 @@
             elif not known.recovered_at:
                 self._report_health(known, HealthState.IN_SERVICE, HealthReason.RELISTED, now)
         if self.settings.get("weight-source", "off") != "off" and listing.rate > 0:
-            self._list_rate(known.pace, listing.rate)
+            self._list_rate(known.rate_control, listing.rate)
 
     def _add_receiver(self, now: int, place: Destination, listing: ListedEndpoint) -> None:
         """Create the record of a new receiver; where all receivers that it replaces are ejected, so is it at first."""
-        pace = RateControl() if listing.kind in self.separate_kinds else place.pace
+        pace = RateControl() if listing.kind in self.separate_kinds else place.rate_control
         new = Receiver(
             listing.receiver,
             listing.zone,
@@ -63,7 +63,7 @@
         )
         self.receivers[new.id] = new
         outage = self._outage_of(place, self._mates(place, pace))
-        if outage is not None and pace is place.pace:
+        if outage is not None and pace is place.rate_control:
             # Otherwise all messages held through the outage would go to the replacement machine at once.
             self._eject_as(now, new, outage)
             if place.departed is None:
@@ -81,15 +81,19 @@
                 if not record.ejected_since:
                     self._report_health(record, HealthState.AWAY, HealthReason.UNLISTED, now)
             # A receiver that comes back before its Retry-After wait is over must still be left alone until then.
-            still_needed = record.calls or record.pace.wait_until > now
+            still_needed = record.calls or record.rate_control.wait_until > now
             if record.left_at and now - record.left_at > FORGET_AFTER and not still_needed:
                 self._forget(now, record)
 
     def _forget(self, now: int, record: Receiver) -> None:
         """Delete the record of a receiver that left long ago; an outage of its whole destination is remembered."""
         place = self.destinations[record.destination]
-        mates = self._mates(place, record.pace)
-        if record.ejected_since and record.pace is place.pace and not any(mate.in_service for mate in mates):
+        mates = self._mates(place, record.rate_control)
+        if (
+            record.ejected_since
+            and record.rate_control is place.rate_control
+            and not any(mate.in_service for mate in mates)
+        ):
             # The receiver, or its replacement, may come back much later, and as cold.
             self._keep_outage(place, record.outage())
         self._report_health(record, HealthState.IN_SERVICE, HealthReason.FORGOTTEN, now)
@@ -106,13 +110,19 @@
         self.failed_polls = min(self.failed_polls, MAX_POLL_DOUBLINGS) if recent else 0
         window = max(BACKOFF_BASE << self.failed_polls, self.senders * LIST_POLL_GAP)
         # A window cut to the maximum has more calls than discovery can answer; leaving out its lower half thins them.
-        least = min(LIST_WAIT, self.max_poll_backoff) // 2 if window > self.max_poll_backoff else 0
-        self.subscribe_at = now + 1 + least + self.chance.below(max(1, min(self.max_poll_backoff, window) - least))
+        least = min(MAX_LIST_POLL_DELAY, self.max_poll_backoff) // 2 if window > self.max_poll_backoff else 0
+        self.subscribe_at = (
+            now + 1 + least + self.random_source.below(max(1, min(self.max_poll_backoff, window) - least))
+        )
         self.failed_polls += 1
 
     def retry_after_waits(self, now: int) -> list[tuple[int, int]]:
         """Receivers with a running Retry-After wait and its end (microseconds), for a process that replaces this."""
-        return [(known.id, known.pace.wait_until) for known in self.receivers.values() if known.pace.wait_until > now]
+        return [
+            (known.id, known.rate_control.wait_until)
+            for known in self.receivers.values()
+            if known.rate_control.wait_until > now
+        ]
 
     def apply_retry_after(self, now: int, receiver: int, until: int) -> None:
         """Apply a Retry-After wait until a time (microseconds) that is known ahead of, or apart from, an outcome.
@@ -121,5 +131,5 @@
         """
         if receiver in self.receivers and until > now:
             known = self.receivers[receiver]
-            known.pace.wait_until = max(known.pace.wait_until, min(until, now + MAX_RETRY_AFTER))
+            known.rate_control.wait_until = max(known.rate_control.wait_until, min(until, now + MAX_RETRY_AFTER))
             self.changed.add(known.destination)
--- a/cedarwick/decisions/health.py
+++ b/cedarwick/decisions/health.py
@@ -40,7 +40,7 @@
 
         `took` and `retry_after` are microseconds; `report` holds the values of the setting `report.columns`.
         """
-        pace = receiver.pace
+        pace = receiver.rate_control
         self.changed |= {receiver.destination} | self.starved
         self.starved.clear()
         over = receiver.attempt_over(message.sent_at) % self._batch(receiver) == 0
@@ -50,7 +50,7 @@
         receiver.canary_in_flight = False
         if outcome in (Outcome.MOOT, Outcome.CANCELLED):
             return
-        reported = dict(zip(self.columns, report, strict=False))
+        reported = dict(zip(self.report_columns, report, strict=False))
         if reported.get("x1", 0.0) > 0:
             self._list_rate(pace, reported["x1"])
             pace.left = reported.get("x0", 0.0)
@@ -84,7 +84,7 @@
 
     def _completed(self, now: int, message: Message, receiver: Receiver, took: int) -> None:
         """The receiver answered in `took` microseconds: it is in service, or returns to it with a ramp."""
-        pace = receiver.pace
+        pace = receiver.rate_control
         record_recent(pace.answers, now, REFUSAL_WINDOW)
         pace.proven = True
         outage = self._suspicion_ends(now, receiver, message.sent_at, message.id)
@@ -123,7 +123,7 @@
         `retry_after` is microseconds; `limit_left` is the reported share (0 to 1) of its rate limit that is left, None
         where no report came.
         """
-        pace = receiver.pace
+        pace = receiver.rate_control
         pace.throttled_since = pace.throttled_since or now
         pace.wait_until = max(pace.wait_until, now + min(retry_after, MAX_RETRY_AFTER))
         receiver.consecutive_throttles += 1
@@ -140,7 +140,7 @@
         )  # its rate limit has room, so its queue must be full: it hangs
         mates = self._mates(self.destinations[receiver.destination], pace) if retry_after > SHUT_AFTER else [receiver]
         for mate in mates if retry_after > SHUT_AFTER or receiver.ejected_since or shut else []:
-            self._eject(now, mate, provable=True, reason=HealthReason.THROTTLES, message=message.id)
+            self._eject(now, mate, proved_never_ran=True, reason=HealthReason.THROTTLES, message=message.id)
         if not receiver.ejected_since:
             self._throttle(now, pace, receiver.consecutive_throttles > 1)
             if pace.cut_at == now:
@@ -172,17 +172,17 @@
         # attempts on a dead receiver: with many senders one failure without recent completions is enough.
         failing = failing or self.many and self._stale(message.sent_at, receiver)
         if failing or receiver.ejected_since or (len(outcomes) >= 3 and sum(outcomes) * 5 <= len(outcomes) * 2):
-            provable = outcome is Outcome.CONNECT_FAILED
-            self._eject(now, receiver, provable, HealthReason.FAILURES, message.id)
+            proved_never_ran = outcome is Outcome.CONNECT_FAILED
+            self._eject(now, receiver, proved_never_ran, HealthReason.FAILURES, message.id)
             self._eject_with(now, receiver)
-        elif receiver.pace.completed_sent_at < message.sent_at:
+        elif receiver.rate_control.completed_sent_at < message.sent_at:
             self._suspect(now, receiver, message.id)
 
     def _current_failure_score(self, now: int, receiver: Receiver) -> float:
         """The failure score at this time: recent failures, each halved every `FAILURE_SCORE_HALF_LIFE`."""
         return float(receiver.failure_score * 2.0 ** (-(now - receiver.failure_score_at) / FAILURE_SCORE_HALF_LIFE))
 
-    def _silent(self, now: int, receiver: Receiver) -> bool:
+    def _is_silent(self, now: int, receiver: Receiver) -> bool:
         """Whether calls are out and nothing has come back for much longer than usual."""
         since = max(next(iter(receiver.calls), now), receiver.answered_at)
         usual = 2 * receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else USUAL_SILENCE
--- a/cedarwick/decisions/interface.py
+++ b/cedarwick/decisions/interface.py
@@ -3,7 +3,7 @@
 A protocol makes one `Sender` (see `cedarwick.decisions.policy`) an instance and then, in the order things happened:
 
     sender = Sender(settings, seed, now)          settings: a plain map of names to values, as text
-    sender.listed(now, change, listings)          an update of the list of receivers
+    sender.apply_endpoint_list(now, change, listings)          an update of the list of receivers
     sender.list_poll_failed(now)                  a list call failed or the subscription broke
     handle = sender.accept(now, id, ...)          a new message
     handle.attempt_ended(now, outcome, attempt, ...)    an outcome of one of its attempts
@@ -17,7 +17,7 @@
     sender.restore_departed(now, earlier)         the same of a receiver that is no longer listed
     sender.take_health_changes()                  what is to be stored for that, before a further attempt goes
     sender.apply_retry_after(now, receiver, until)   a Retry-After wait, apart from an outcome
-    sender.room                                   set before a round: how many more messages can be stored
+    sender.storable_messages                                   set before a round: how many more messages can be stored
     sender.retry_after_waits(now)                 the waits that a replaced process hands to its successor
     handle.needs_new_connection()                 whether an ordered attempt may not reuse a connection
     handle.may_start(now, receiver)               whether an ordered attempt may still go, before its first byte
@@ -25,7 +25,7 @@
     handle.attempt_not_sent()                     after an outcome: that attempt was held back, and does not count
     sender.connection_lifetime                    how long an idle connection is used
     sender.max_poll_backoff                       the longest wait after a call for the list that failed
-    sender.per_call                               messages a call by kind; cleared where a call carries one
+    sender.messages_per_call                               messages a call by kind; cleared where a call carries one
 
 `decide` also serves a wake-up: waking needs no call of its own. Times are whole microseconds of the
 protocol's clock. Message and receiver ids are returned as they were given.
@@ -78,7 +78,7 @@
     zone: int
     kind: int
     destination: int
-    phase: EndpointState
+    endpoint_state: EndpointState
     rate: float
 
 
@@ -140,7 +140,7 @@
     reason: HealthReason
     since: int
     message: int = 0  # whose attempt showed it; 0: none did
-    provable: bool = False  # the last failure proved that nothing ran
+    proved_never_ran: bool = False  # the last failure proved that nothing ran
     observed_rate: float = 0.0  # calls a second that it was seen to complete for this sender
     cut_rate: float = 0.0  # calls a second that its rate has come to since throttles cut it; 0: they have not
 
@@ -150,7 +150,7 @@
 
     destination: int
     state: HealthState
-    provable: bool
+    proved_never_ran: bool
     observed_rate: float  # calls a second
     age: int  # microseconds since the outage began
     cut_rate: float = 0.0  # calls a second that its rate had come to since throttles cut it; 0: they had not
@@ -218,12 +218,12 @@
 
     connection_lifetime: int
     max_poll_backoff: int
-    per_call: list[int]
-    room: int
+    messages_per_call: list[int]
+    storable_messages: int
 
     def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None: ...
 
-    def listed(self, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
+    def apply_endpoint_list(self, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
         """Apply an update of the list of receivers."""
         ...
 
--- a/cedarwick/decisions/load_shedding.py
+++ b/cedarwick/decisions/load_shedding.py
@@ -31,8 +31,10 @@
         Messages for the destination with the longest backlog go first; otherwise the backlog of one lost destination
         would fill the sender, and messages for all others would be refused.
         """
-        bound = max(2, min(self.most_open - 1, self.open + self.room))  # a full message store refuses everything too
-        while self.open >= bound:
+        bound = max(
+            2, min(self.most_open - 1, self.open_messages + self.storable_messages)
+        )  # a full message store refuses everything too
+        while self.open_messages >= bound:
             holding = [place for place in self.destinations.values() if place.held]
             places = sorted(holding, key=lambda each: (-self._drain(now, each), each.id))
             lines = ([held for held in place.held if not (held.in_flight or held.ended)] for place in places)
@@ -54,7 +56,7 @@
         ready = place.ready
         lost = max((now - member.ejected_since for member in ready if member.ejected_since), default=UNKNOWN_OUTAGE)
         if any(not member.ejected_since for member in ready):
-            return len(place.held) / max(member.pace.rate or 1.0 for member in ready)
+            return len(place.held) / max(member.rate_control.rate or 1.0 for member in ready)
         # Expect an outage to last as long again as it already has.
         return len(place.held) * (OUTAGE_BASE_S + lost / SECOND)
 
@@ -68,6 +70,6 @@
         else:
             longest = duration_setting(self.settings, "policy-limits.max-retry-after-ms")
             longest *= flag_setting(self.settings, "policy-limits.retry-after")
-            wait = min(longest, max(0, self.destinations[message.destination].pace.wait_until - now))
+            wait = min(longest, max(0, self.destinations[message.destination].rate_control.wait_until - now))
             self.verdicts.nacks.append((message.id, wait))
         self.close(now, message)
--- a/cedarwick/decisions/message_handle.py
+++ b/cedarwick/decisions/message_handle.py
@@ -56,11 +56,13 @@
             return
         window = min(BACKOFF_CAP, BACKOFF_BASE << min(self.attempts - 1, MAX_BACKOFF_DOUBLINGS))
         # A call that broke on a reused idle connection says nothing about the receiver's health: retry without backoff.
-        wait = retry_after if retry_after and not sender.many else retry_after + sender.chance.below(window)
-        self.due = now + (1 if outcome is Outcome.MOOT or stale else wait)
+        wait = retry_after if retry_after and not sender.many else retry_after + sender.random_source.below(window)
+        self.not_before = now + (1 if outcome is Outcome.MOOT or stale else wait)
         # The backoff must not pass the last useful start: there the message would be given up with attempts left.
         useful = self.deadline - round(sender.destinations[self.destination].quickest or ASSUMED_LATENCY)
-        self.due = max(now, min(self.due, min(self.repeat_until(), useful) - sender.tick * START_MARGIN_TICKS))
+        self.not_before = max(
+            now, min(self.not_before, min(self.repeat_until(), useful) - sender.tick * START_MARGIN_TICKS)
+        )
         sender.hold(now, self)
 
     def withdrawn(self, now: int) -> None:
@@ -79,7 +81,7 @@
         While its connection came up, a Retry-After wait, a drain or the end of the message may have become known.
         """
         record = self.sender.receivers[receiver]
-        return record.ready and record.pace.wait_until <= now < self.send_by() and not self.ended
+        return record.ready and record.rate_control.wait_until <= now < self.send_by() and not self.ended
 
     def needs_new_connection(self) -> bool:
         """Whether an ordered attempt may not reuse a connection.
@@ -101,4 +103,8 @@
 
         NEVER where no attempt can have run, or the message is idempotent.
         """
-        return NEVER if self.priority_class.idempotent or not self.ran_at else self.ran_at + self.priority_class.window
+        return (
+            NEVER
+            if self.priority_class.idempotent or not self.ran_at
+            else self.ran_at + self.priority_class.dedup_window
+        )
--- a/cedarwick/decisions/policy.py
+++ b/cedarwick/decisions/policy.py
@@ -37,7 +37,7 @@
         halves_in=duration_setting(settings, head + "slo-ms", 1000.0) if halves else 0,
         idempotent=repeat == "free",
         at_most_once=repeat not in ("free", "guarded"),
-        window=duration_setting(settings, head + "dedup-window-ms"),
+        dedup_window=duration_setting(settings, head + "dedup-window-ms"),
         single_zone=settings.get(head + "group", "all") != "all",
         ordered=flag_setting(settings, head + "in-turn"),
     )
@@ -63,8 +63,8 @@
         handle.sender = self
         handle.over_share = self._over_share(now, tenant)
         if chosen_class.ordered and key:
-            self.turns.join(key, handle)
-        self.open += 1
+            self.order_key_queues.enqueue(key, handle)
+        self.open_messages += 1
         self.hold(now, handle)
         return handle
 
@@ -72,10 +72,10 @@
         """Accept what a restart left unfinished; an attempt without an outcome may have run."""
         # An attempt from before the restart may still be running, even for a key with no unfinished message: all keys
         # rest, so that a later message of the key cannot overtake it.
-        self.turns.all_rest = now + duration_setting(self.settings, "rules.turn-gap-ms")
+        self.order_key_queues.all_paused_until = now + duration_setting(self.settings, "rules.turn-gap-ms")
         handles = [self.accept(now, *each[:-1]) for each in unfinished]
         # If the settings now allow fewer open messages, the recovered ones must not be shed without an attempt.
-        self.most_open = max(self.most_open, self.open + 2)
+        self.most_open = max(self.most_open, self.open_messages + 2)
         for handle, each in zip(handles, unfinished, strict=True):
             handle.attempts = len(each.attempts)
             for attempt in reversed(each.attempts):
@@ -83,15 +83,15 @@
                     handle.ran_at, handle.ran_zone, handle.doubtful_at = attempt.sent_at, attempt.zone, now
         return handles
 
-    def rest(self, now: int, key: int) -> list[Handle]:
+    def pause_key(self, now: int, key: int) -> list[Handle]:
         """Hold the messages of a key back for `KEY_REST`, since another sender still has earlier ones.
 
         Returns those that had no attempt yet.
         """
-        line = self.turns.lines.get(key) or ()
+        line = self.order_key_queues.queues.get(key) or ()
         if line:
             # The other sender may never finish: leave the first message enough time for its own attempt.
-            self.turns.rest(key, min(now + KEY_REST, line[0].deadline - KEY_REST_RESERVE))
+            self.order_key_queues.pause(key, min(now + KEY_REST, line[0].deadline - KEY_REST_RESERVE))
         return [each for each in line if not each.attempts]
 
     def decide(self, now: int) -> Decisions:
@@ -121,13 +121,13 @@
         """Compute the values of a destination that stay the same through the round."""
         place.ready = [self.receivers[each] for each in place.members if self.receivers[each].ready]
         place.quickest = min((member.mean_latency for member in place.ready), default=0.0)
-        place.waits_until = min((member.pace.wait_until for member in place.ready), default=0)
+        place.waits_until = min((member.rate_control.wait_until for member in place.ready), default=0)
         place.room.clear()
 
     def _look_at_held(self, now: int, places: Sequence[Destination]) -> dict[int, int]:
         """Advance the held messages, most urgent first; returns the time of the next look by destination."""
         next_look: dict[int, int] = {}
-        alone = max(self.per_call, default=1) == 1
+        alone = max(self.messages_per_call, default=1) == 1
         waiting = [held for place in places for held in place.held if not (held.in_flight or held.ended)]
         for message in sorted(waiting, key=lambda held: self._urgency(now, held)):
             place = self.destinations[message.destination]
@@ -158,7 +158,7 @@
         place = self.destinations[message.destination]
         last_start = message.deadline - max(self.tick * START_MARGIN_TICKS, round(place.quickest / 2))
         last_start = min(last_start, message.repeat_until() - 1)
-        start = max(now, message.due, place.waits_until)
+        start = max(now, message.not_before, place.waits_until)
         # Terminal: out of attempts, or a further one could take effect twice, or cannot finish in time.
         if (
             message.attempts >= self.most_attempts
@@ -171,7 +171,7 @@
         if start > now:
             return min(start, last_start + 1)
         if priority_class.ordered and message.key:
-            turn_at = self.turns.turn_at(message.key, message)
+            turn_at = self.order_key_queues.ready_at(message.key, message)
             if turn_at > now:
                 return min(turn_at, last_start + 1)
         zone = (
@@ -196,6 +196,6 @@
         self._spend(now, receiver, joins)
         message.in_flight, message.sent_at = True, now
         message.attempts += 1
-        patience = self._patience(now, message, receiver)
+        patience = self._attempt_time_out(now, message, receiver)
         self.verdicts.attempts.append((message.id, receiver.id, patience))
         return NEVER
--- a/cedarwick/decisions/recovery.py
+++ b/cedarwick/decisions/recovery.py
@@ -17,19 +17,23 @@
 class Recovery(SenderState):
     """Ejects receivers, and computes when they are probed and how fast they ramp up."""
 
-    def _eject(self, now: int, receiver: Receiver, provable: bool, reason: HealthReason, message: int = 0) -> None:
+    def _eject(
+        self, now: int, receiver: Receiver, proved_never_ran: bool, reason: HealthReason, message: int = 0
+    ) -> None:
         """Eject a receiver, or note a further failure of one that is ejected.
 
-        `provable`: its last failure proved that nothing ran; `message`: whose attempt failed, 0 where none did.
+        `proved_never_ran`: its last failure proved that nothing ran; `message`: whose attempt failed, 0 where none did.
         """
         ejected_before = receiver.ejected_since > 0
         receiver.ejected_since, receiver.suspected = receiver.ejected_since or now, False
-        receiver.failed, receiver.provable, receiver.recovered_at = True, provable, 0
+        receiver.failed, receiver.proved_never_ran, receiver.recovered_at = True, proved_never_ran, 0
         receiver.canary_at = self._next_canary(now, receiver)
         if not ejected_before:
             self._report_health(receiver, HealthState.EJECTED, reason, receiver.ejected_since, message)
             # An outage mostly affects all receivers of a destination: those in service may be about to fail, too.
-            for mate in self._mates(self.destinations[receiver.destination], receiver.pace) if not self.few else []:
+            for mate in (
+                self._mates(self.destinations[receiver.destination], receiver.rate_control) if not self.few else []
+            ):
                 if not mate.ejected_since:
                     self._suspect(now, mate, message)
         # An attempt on an idle connection to a dead machine is lost unseen; a new connection fails at once.
@@ -37,15 +41,15 @@
 
     def _eject_silent(self, now: int, receiver: Receiver) -> None:
         """Eject a receiver whose calls stay unanswered; none of them has failed yet."""
-        receiver.ejected_since, receiver.provable, receiver.suspected = now, False, False
+        receiver.ejected_since, receiver.proved_never_ran, receiver.suspected = now, False, False
         receiver.canary_at = self._next_canary(now, receiver)
         self._report_health(receiver, HealthState.EJECTED, HealthReason.SILENCE, now)
 
     def _suspect(self, now: int, receiver: Receiver, message: int) -> None:
         """A call there or at a mate failed, which may be the first that is seen of an outage."""
-        if self.few and now - receiver.pace.completed_at <= self.fall_time:
+        if self.few and now - receiver.rate_control.completed_at <= self.fall_time:
             return
-        receiver.pace.failed_since = receiver.pace.failed_since or now
+        receiver.rate_control.failed_since = receiver.rate_control.failed_since or now
         self._report_suspicion(now, receiver, HealthReason.FAILURES, message)
 
     def _report_suspicion(self, now: int, receiver: Receiver, reason: HealthReason, message: int) -> None:
@@ -63,7 +67,7 @@
 
         Who has seen a call fail there must not send what it holds at once, even where that was no reason to eject.
         """
-        pace = receiver.pace
+        pace = receiver.rate_control
         outage = self._outage_suspected(now, pace)
         pace.failed_since, pace.throttled_since, pace.completed_at = 0, 0, now
         pace.completed_sent_at = max(pace.completed_sent_at, sent_at)
@@ -99,9 +103,9 @@
                 reason,
                 since,
                 message,
-                receiver.provable,
+                receiver.proved_never_ran,
                 receiver.observed_rate,
-                receiver.pace.rate if receiver.pace.rate and receiver.pace.cut_at else 0.0,
+                receiver.rate_control.rate if receiver.rate_control.rate and receiver.rate_control.cut_at else 0.0,
             )
         )
 
@@ -119,11 +123,11 @@
         An outage mostly affects all receivers of a destination. If each of many senders went on probing them one by
         one, the senders together would overload whichever recovers first.
         """
-        mates = self._mates(self.destinations[receiver.destination], receiver.pace)
+        mates = self._mates(self.destinations[receiver.destination], receiver.rate_control)
         if self.many and sum(mate.ejected_since > 0 for mate in mates) > 1:
             for mate in mates:
                 if not mate.ejected_since and self._stale(now, mate):
-                    self._eject(now, mate, receiver.provable, HealthReason.OTHERS_EJECTED)
+                    self._eject(now, mate, receiver.proved_never_ran, HealthReason.OTHERS_EJECTED)
 
     def _next_canary(self, now: int, receiver: Receiver) -> int:
         """When the next canary may go (microseconds).
@@ -132,18 +136,18 @@
         outage's age.
         """
         gap = self._canary_gap(now, receiver)
-        receiver.pace.canary_at = max(receiver.pace.canary_at, now + gap * 3 // 4)
+        receiver.rate_control.canary_at = max(receiver.rate_control.canary_at, now + gap * 3 // 4)
         withstood = self._returning_rate(receiver, 0) * self.senders * self.fall_time / SECOND
-        if (self.many or self.senders > withstood + WARM_UP_CALL_ALLOWANCE) and receiver.pace.wait_until > now:
+        if (self.many or self.senders > withstood + WARM_UP_CALL_ALLOWANCE) and receiver.rate_control.wait_until > now:
             # All senders know the same end of the wait: spread their return at random.
-            return receiver.pace.wait_until + self.chance.below(gap)
-        return now + gap * 3 // 4 + self.chance.below(gap // 2)
+            return receiver.rate_control.wait_until + self.random_source.below(gap)
+        return now + gap * 3 // 4 + self.random_source.below(gap // 2)
 
     def _canary_gap(self, now: int, receiver: Receiver) -> int:
         """The mean time between two canaries of this sender to a receiver (microseconds)."""
         # Canaries do no harm while connections fail, so gaps need not grow; but with many senders all of them would
         # hit the receiver in the moment it recovers.
-        dead = receiver.provable and not receiver.consecutive_throttles and not self.many
+        dead = receiver.proved_never_ran and not receiver.consecutive_throttles and not self.many
         aged = round((now - receiver.ejected_since) * (0.0 if dead else CANARY_GAP_PER_AGE))
         gap = max(MIN_CANARY_GAP, round(SECOND / self._returning_rate(receiver, 0)))
         return min(gap, max(MAX_CANARY_GAP * (1 + self.many), aged))
@@ -155,6 +159,8 @@
         """
         warm_up_share = float_setting(self.settings, "rules.cold-share", 0.25)
         share = warm_up_share + (1 - warm_up_share) * min(1.0, since / self.ramp_time)
-        observed_rate = max(receiver.observed_rate, receiver.pace.limit * CERTAIN_SHARE / self.senders / sharing)
+        observed_rate = max(
+            receiver.observed_rate, receiver.rate_control.limit * CERTAIN_SHARE / self.senders / sharing
+        )
         share *= RAMP_SAFETY_SHARE * float_setting(self.settings, "rules.fall-multiple", 1.5)
         return max(self.min_rate / sharing, share * observed_rate)
--- a/cedarwick/decisions/selection.py
+++ b/cedarwick/decisions/selection.py
@@ -28,7 +28,7 @@
         canary: list[tuple[Receiver, float]] = []
         soonest = NEVER
         for member in members:
-            if not member.ejected_since and self._silent(now, member):
+            if not member.ejected_since and self._is_silent(now, member):
                 # Eject a hanging receiver, before its unanswered calls take all slots.
                 self._eject_silent(now, member)
             if member.ejected_since:
@@ -58,7 +58,7 @@
 
     def _room(self, now: int, receiver: Receiver) -> int:
         """When a receiver in service may get its next call; `now` where it may at once."""
-        pace = receiver.pace
+        pace = receiver.rate_control
         if pace.wait_until > now:
             return pace.wait_until
         if self._joins(now, receiver):
@@ -88,8 +88,8 @@
     def _canary_room(self, now: int, message: Message, receiver: Receiver) -> int:
         """When a receiver that is out may get this message as its canary."""
         # An at-most-once message has no second attempt, so it is a canary only where failure proves it never ran.
-        lost = message.priority_class.at_most_once and not receiver.provable
-        soonest = max(now, receiver.canary_at, receiver.pace.canary_at, receiver.pace.wait_until)
+        lost = message.priority_class.at_most_once and not receiver.proved_never_ran
+        soonest = max(now, receiver.canary_at, receiver.rate_control.canary_at, receiver.rate_control.wait_until)
         return NEVER if receiver.canary_in_flight or lost else soonest
 
     def _spend(self, now: int, receiver: Receiver, joins: bool) -> None:
@@ -100,9 +100,9 @@
             receiver.canary_at = self._next_canary(now, receiver)
         if not joins:
             self.calls_in_flight += 1
-            record_recent(receiver.pace.sends, now, REFUSAL_WINDOW, MIN_SENDS_FOR_RATE + 1)
+            record_recent(receiver.rate_control.sends, now, REFUSAL_WINDOW, MIN_SENDS_FOR_RATE + 1)
 
-    def _patience(self, now: int, message: Message, receiver: Receiver) -> int:
+    def _attempt_time_out(self, now: int, message: Message, receiver: Receiver) -> int:
         """The time-out of an attempt (microseconds).
 
         Shorter than the time left where slots are scarce, so that a dead destination does not hold them all, or where
@@ -115,9 +115,9 @@
         if message.priority_class.at_most_once or message.priority_class.idempotent:
             return min(left, soon if message.priority_class.idempotent else 3 * soon if crowded else NEVER)
         window = (
-            message.priority_class.window
+            message.priority_class.dedup_window
             if not message.ran_at
-            else message.ran_at + message.priority_class.window - now
+            else message.ran_at + message.priority_class.dedup_window - now
         )
         patience = min(window - SECOND // 2, soon if receiver.ejected_since or crowded else 2 * soon)
         # Cut the time-out only where what remains is enough for an answer; otherwise use all the time left.
--- a/cedarwick/decisions/sender_state.py
+++ b/cedarwick/decisions/sender_state.py
@@ -10,8 +10,8 @@
     NEVER,
     SECOND,
     Destination,
-    KeyOrder,
     Message,
+    OrderKeyQueues,
     RandomSource,
     RateControl,
     Receiver,
@@ -26,7 +26,7 @@
 BACKOFF_BASE = SECOND // 2  # the first window that a random wait is drawn from; it doubles with each failure
 # The longest wait between calls for the list: with 1 s for a call that hangs, a change arrives before it counts as
 # known.
-LIST_WAIT = 4 * SECOND
+MAX_LIST_POLL_DELAY = 4 * SECOND
 START_MARGIN_TICKS = 4  # ticks between the last useful start of an attempt and the end of its time
 MAX_RETRY_AFTER = 3600 * SECOND  # longer Retry-After waits are cut to this; no deadline comes near it
 MIN_TOTAL_RATE = 1.0  # calls a second of all senders together: no pace and no ramp is slower
@@ -40,7 +40,7 @@
 
     def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None:
         self.settings = settings
-        self.chance = RandomSource(seed)
+        self.random_source = RandomSource(seed)
         self.senders = max(1, int(float_setting(settings, "balancers", 1)))
         self.many = self.senders > MANY
         self.few = self.senders <= FEW
@@ -49,7 +49,7 @@
         self.slots = int(float_setting(settings, "family-info.max-calls", 1 << 30))
         self.most_attempts = int(float_setting(settings, "policy-limits.most-tries", 1 << 30))
         self.most_open = int(float_setting(settings, "policy-limits.max-open", 1 << 30))
-        self.per_call = [int(part) for part in list_setting(settings, "family-info.per-call")]
+        self.messages_per_call = [int(part) for part in list_setting(settings, "family-info.per-call")]
         self.ramp_time = max(SECOND, duration_setting(settings, "rules.ramp-time-ms", 10_000))
         self.fall_time = duration_setting(settings, "rules.fall-ms")
         # The observed rate is completions over this window; many senders see few each, so theirs is twice as long.
@@ -59,17 +59,17 @@
         self.separate_kinds = {
             n for n, part in enumerate(list_setting(settings, "family-info.kind-apart")) if part == "true"
         }
-        self.columns = list_setting(settings, "report.columns")
+        self.report_columns = list_setting(settings, "report.columns")
         self.fees = dict(enumerate(list_setting(settings, "family-info.fee-by-zone")))
         self.connection_idle_limit = duration_setting(settings, "policy-limits.conn-idle-ms", 15_000)
         self.connection_lifetime = round(self.connection_idle_limit * IDLE_CONNECTION_SHARE)
         self.receivers: dict[int, Receiver] = {}
         self.destinations: dict[int, Destination] = {}
-        self.turns = KeyOrder()
+        self.order_key_queues = OrderKeyQueues()
         self.tenant_allowances: dict[int, TokenBucket] = {}  # what a tenant has left of its share
         self.started = now
-        self.open = 0
-        self.room = NEVER  # messages that may still be stored, as the protocol says
+        self.open_messages = 0
+        self.storable_messages = NEVER  # messages that may still be stored, as the protocol says
         self.taken = 0
         self.calls_in_flight = 0
         self.changed: set[int] = set()  # destinations that need a look in this round
@@ -80,8 +80,8 @@
         self.looks = WakeSchedule()
         self.subscribe_at = now if settings.get("discovery") == "ask" else NEVER
         self.polled_at, self.failed_polls = now, 0  # for the list: when last, how often of late
-        # On sockets no longer than `LIST_WAIT`.
-        self.max_poll_backoff = duration_setting(settings, "rules.ask-within-ms") or LIST_WAIT
+        # On sockets no longer than `MAX_LIST_POLL_DELAY`.
+        self.max_poll_backoff = duration_setting(settings, "rules.ask-within-ms") or MAX_LIST_POLL_DELAY
         self.verdicts = Decisions()
 
     def take_health_changes(self) -> list[HealthChange]:
@@ -98,12 +98,12 @@
     def close(self, now: int, message: Message) -> None:
         """Close an ended message without a running attempt, and let the next message of its key go."""
         message.ended = True
-        self.open -= 1
+        self.open_messages -= 1
         self.changed.add(message.destination)
         if message.priority_class.ordered and message.key:
             # An attempt that timed out may still run: the key rests, so that its next message cannot overtake it.
             rest = (message.doubtful_at or -NEVER) + duration_setting(self.settings, "rules.turn-gap-ms")
-            after = self.turns.leave(message.key, message, now, rest)
+            after = self.order_key_queues.remove_ended(message.key, message, now, rest)
             self.changed.update(each.destination for each in after)  # its next one may wait at another
 
     def _destination(self, place: int) -> Destination:
@@ -114,11 +114,11 @@
 
     def _mates(self, place: Destination, pace: RateControl) -> list[Receiver]:
         """The receivers of a destination that share a rate control."""
-        return [self.receivers[mate] for mate in place.members if self.receivers[mate].pace is pace]
+        return [self.receivers[mate] for mate in place.members if self.receivers[mate].rate_control is pace]
 
     def _batch(self, receiver: Receiver) -> int:
         """How many messages one call to the receiver carries."""
-        return self.per_call[receiver.kind] if receiver.kind < len(self.per_call) else 1
+        return self.messages_per_call[receiver.kind] if receiver.kind < len(self.messages_per_call) else 1
 
     def _stale(self, now: int, receiver: Receiver) -> bool:
         """Whether the receiver has completed nothing of late."""
--- a/cedarwick/decisions/state.py
+++ b/cedarwick/decisions/state.py
@@ -54,41 +54,41 @@
         times.popleft()
 
 
-class KeyOrder:
+class OrderKeyQueues:
     """The queue of each ordering key, and the time until which a key rests (none of its messages may go)."""
 
     def __init__(self) -> None:
-        self.lines: dict[int, deque[Any]] = {}
-        self.rests: dict[int, int] = {}
-        self.resting: deque[int] = deque()  # keys as their messages ended
-        self.all_rest = 0  # no key goes before this
+        self.queues: dict[int, deque[Any]] = {}
+        self.paused_until: dict[int, int] = {}
+        self.finished_keys: deque[int] = deque()  # keys as their messages ended
+        self.all_paused_until = 0  # no key goes before this
 
-    def join(self, key: int, message: Any) -> None:
+    def enqueue(self, key: int, message: Any) -> None:
         """Append a message to the queue of its key."""
-        self.lines.setdefault(key, deque()).append(message)
+        self.queues.setdefault(key, deque()).append(message)
 
-    def leave(self, key: int, message: Any, now: int, rest: int) -> list[Any]:
+    def remove_ended(self, key: int, message: Any, now: int, rest: int) -> list[Any]:
         """Remove an ended message and let its key rest until `rest`, which may have passed.
 
         Returns the message whose turn it is next, in a list; an empty list where there is none.
         """
-        line = self.lines[key]
+        line = self.queues[key]
         line.remove(message)
-        self.rest(key, rest)
-        self.resting.append(key)
+        self.pause(key, rest)
+        self.finished_keys.append(key)
         # Keys are seldom used again: delete those whose rest is over, or their records would add up.
-        while self.resting and self.rests.get(self.resting[0], 0) <= now:
-            rested = self.resting.popleft()
-            if not self.lines.get(rested, True):
-                del self.lines[rested], self.rests[rested]
+        while self.finished_keys and self.paused_until.get(self.finished_keys[0], 0) <= now:
+            rested = self.finished_keys.popleft()
+            if not self.queues.get(rested, True):
+                del self.queues[rested], self.paused_until[rested]
         return [line[0]] if line else []
 
-    def line_up(self, key: int, joined: Sequence[Any], before: Callable[[Any, Any], bool]) -> None:
+    def insert_in_order(self, key: int, joined: Sequence[Any], before: Callable[[Any, Any], bool]) -> None:
         """Move recovered messages, the last ones of a key's queue, to their places in the order.
 
         Each goes ahead of all those that `before` says, but stays behind those with an attempt out.
         """
-        line = self.lines[key]
+        line = self.queues[key]
         for _ in joined:
             line.pop()
         for message in joined:
@@ -97,15 +97,15 @@
                 index -= 1
             line.insert(index, message)
 
-    def rest(self, key: int, until: int) -> None:
+    def pause(self, key: int, until: int) -> None:
         """Let a key rest until a time (microseconds) at least."""
-        self.rests[key] = max(until, self.rests.get(key, 0))
+        self.paused_until[key] = max(until, self.paused_until.get(key, 0))
 
-    def turn_at(self, key: int, message: Any) -> int:
+    def ready_at(self, key: int, message: Any) -> int:
         """When this message may go (microseconds); NEVER while another of its key is before it."""
-        if self.lines[key][0] is not message:
+        if self.queues[key][0] is not message:
             return NEVER
-        return max(self.all_rest, self.rests.get(key, 0))
+        return max(self.all_paused_until, self.paused_until.get(key, 0))
 
 
 class WakeSchedule:
@@ -148,7 +148,7 @@
     late_share: float
     idempotent: bool
     at_most_once: bool
-    window: int  # for numbered messages: how long a destination remembers the number
+    dedup_window: int  # for numbered messages: how long a destination remembers the number
     single_zone: bool  # repeats only within the zone of the first attempt that may have run
     ordered: bool
     halves_in: int = 0  # after the latency objective the value falls by half in this time; 0: evenly
@@ -197,7 +197,7 @@
     zone: int
     kind: int
     destination: int
-    pace: RateControl
+    rate_control: RateControl
     ready: bool = True
     left_at: int = 0  # since when it is not; 0: it is
     credit: float = 0.0  # its place in the rotation
@@ -217,7 +217,7 @@
     ejected_since: int = 0  # 0: in service
     suspected: bool = False  # it or a mate failed, and no receiver of its pace has completed a call since
     failed: bool = False  # the outage showed in an outcome, not in silence alone
-    provable: bool = False  # its last failure proved that nothing ran
+    proved_never_ran: bool = False  # its last failure proved that nothing ran
     canary_at: int = 0
     canary_in_flight: bool = False
     recovered_at: int = 0  # when it returned from an outage; 0: not within its ramp
@@ -232,15 +232,15 @@
 
     def outage(self) -> "DepartedOutage":
         """Its outage, for a record that outlives this one."""
-        return DepartedOutage(self.ejected_since, self.provable, self.observed_rate)
+        return DepartedOutage(self.ejected_since, self.proved_never_ran, self.observed_rate)
 
     def attempt_sent(self, now: int, joins: bool) -> None:
         """Record an attempt that goes out now; one that joins a call takes no tokens."""
         self.calls[now] = self.calls.get(now, 0) + 1
         self.gap, self.used_at = now - self.used_at, now
         if not joins:
-            self.pace.calls_in_flight += 1
-            self.pace.bucket.take()
+            self.rate_control.calls_in_flight += 1
+            self.rate_control.bucket.take()
             self.ramp.take()
 
     def attempt_over(self, sent_at: int) -> int:
@@ -269,7 +269,7 @@
     cancelled: int = 0
     in_flight: bool = False
     sent_at: int = 0
-    due: int = 0  # not before this
+    not_before: int = 0  # not before this
     ran_at: int = 0  # send time of the first attempt that may have run; 0: none has
     ran_zone: int = 0
     doubtful_at: int = 0  # when an attempt ended that may still be running
@@ -285,7 +285,7 @@
     """The outage of receivers that left the list while all of their destination were ejected."""
 
     ejected_since: int
-    provable: bool
+    proved_never_ran: bool
     observed_rate: float  # calls a second
 
 
@@ -294,7 +294,7 @@
     """The receivers of a destination by id and the messages held for it."""
 
     id: int
-    pace: RateControl
+    rate_control: RateControl
     members: list[int] = field(default_factory=list)
     held: list[Any] = field(default_factory=list)
     # Of the round under way: who may be sent to, the shortest time to answer, the first end of a wait, and
--- a/cedarwick/decisions/urgency.py
+++ b/cedarwick/decisions/urgency.py
@@ -38,7 +38,7 @@
             message.rank_until = min(message.rank_until, now + priority_class.halves_in // RANK_CHECKS_PER_HALVING)
         if self.many:  # each of many senders has few slots: weigh the loss by how long a call occupies one
             if priority_class.ordered and message.key:
-                loses *= len(self.turns.lines[message.key])  # the other messages of its key wait for it
+                loses *= len(self.order_key_queues.queues[message.key])  # the other messages of its key wait for it
             loses /= self.destinations[message.destination].quickest or ASSUMED_LATENCY
         message.rank = -loses, message.objective_by, message.order
         return message.rank
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -115,6 +115,6 @@
             self._over(call.message)
         elif self.counters.trace.enabled:
             held = HeldTrace(
-                call.message.id, number, handle.attempts, ending.outcome.value, handle.due, self.clock.now()
+                call.message.id, number, handle.attempts, ending.outcome.value, handle.not_before, self.clock.now()
             )
             self.counters.trace.add(held)
--- a/cedarwick/net/dispatch_health.py
+++ b/cedarwick/net/dispatch_health.py
@@ -62,7 +62,7 @@
                     EarlierHealth(
                         change.destination,
                         change.state,
-                        change.provable,
+                        change.proved_never_ran,
                         change.observed_rate,
                         max(0, now - change.since),
                         change.cut_rate,
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -102,16 +102,16 @@
             )
 
         for key, handles in joined.items():
-            self.sender.turns.line_up(key, handles, before)
+            self.sender.order_key_queues.insert_in_order(key, handles, before)
 
     def _rest(self, keys: frozenset[int]) -> None:
         self.keys_elsewhere = keys
         self.not_sent &= self.handles.keys()
-        for key in keys & self.sender.turns.lines.keys():
+        for key in keys & self.sender.order_key_queues.queues.keys():
             self._let_rest(key)
 
     def _let_rest(self, key: int) -> None:
-        self.not_sent.update(each.id for each in self.sender.rest(self.clock.now(), key))
+        self.not_sent.update(each.id for each in self.sender.pause_key(self.clock.now(), key))
 
     def _park(self, numbers: list[int]) -> None:
         now, given_up = self.clock.now(), set(numbers)
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -64,7 +64,7 @@
         self.sender.priority_classes.append(priority_class_of(assignment.settings, len(self.sender.priority_classes)))
         counters.figures.priority_classes = list(self.priority_classes)
         # Here every attempt is a call of its own; if the decisions took some to share one, they would exceed limits.
-        self.sender.per_call = []
+        self.sender.messages_per_call = []
         self.handles: dict[int, Handle] = {}
         self.numbers: dict[str, int] = {}  # by id: messages that are stored
         # Recent ids: when they came (microseconds), and a hash of the submission.
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -110,8 +110,12 @@
 
     def rest_of(self, key: int) -> int:
         """For how many microseconds a key still rests here, since an earlier attempt of it may be running."""
-        turns = self.sender.turns
-        return max(0, turns.all_rest - self.clock.now(), turns.rests.get(key, 0) - self.clock.now())
+        order_key_queues = self.sender.order_key_queues
+        return max(
+            0,
+            order_key_queues.all_paused_until - self.clock.now(),
+            order_key_queues.paused_until.get(key, 0) - self.clock.now(),
+        )
 
     def ordered(self, priority_class: str) -> bool:
         """Whether messages of a priority class go one after another within a key."""
@@ -203,7 +207,7 @@
     # ---- queued calls that only pass something on ----
 
     def _listed(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
-        self.sender.listed(self.clock.now(), change, listings)
+        self.sender.apply_endpoint_list(self.clock.now(), change, listings)
         self._apply_earlier_health(listings)
 
     def _list_poll_failed(self) -> None:
@@ -232,7 +236,7 @@
             return
         # A message that was given up takes room until its notice is acknowledged; without counting that room as free,
         # every round would give up more.
-        self.sender.room = self.store.room_for() + len(self.notices.pending)
+        self.sender.storable_messages = self.store.room_for() + len(self.notices.pending)
         verdicts = self.sender.decide(now)
         self._record_health(verdicts.health_changes)
         for number, wait in verdicts.nacks:
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -108,7 +108,7 @@
                 listing = self.last[uid]  # if left out of a full list, it would count as removed
             self.last[uid] = listing
             listings.append(self._with_suspension(uid, listing))
-            if listing.phase is not EndpointState.REMOVED:
+            if listing.endpoint_state is not EndpointState.REMOVED:
                 named.add(uid)
         if whole and not listings and self.known:
             # A platform that restarts has an empty list for a moment; accepting it would stop all traffic.
@@ -152,8 +152,8 @@
             self.report_update(EndpointUpdate.DELTA, listings)
 
     def _with_suspension(self, uid: str, listing: ListedEndpoint) -> ListedEndpoint:
-        suspended_now = uid in self.suspended and listing.phase is EndpointState.READY
-        return listing._replace(phase=EndpointState.DRAINING) if suspended_now else listing
+        suspended_now = uid in self.suspended and listing.endpoint_state is EndpointState.READY
+        return listing._replace(endpoint_state=EndpointState.DRAINING) if suspended_now else listing
 
     def uid_of(self, receiver: int) -> str:
         """The uid of a receiver by number; empty where it is not known (any more)."""
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from cedarwick.decisions.interface import EndpointState, duration_setting
-from cedarwick.decisions.sender_state import LIST_WAIT
+from cedarwick.decisions.sender_state import MAX_LIST_POLL_DELAY
 from cedarwick.errors import CedarwickError
 from cedarwick.net.assignment import Assignment, AssignmentError, read
 from cedarwick.net.attempts import AttemptRunner
@@ -211,8 +211,8 @@
 
     def _new_dispatcher(self) -> Dispatcher:
         dispatcher = Dispatcher(self.assignment, self.clock, self.counters, self.store, self.poll_clock)
-        # Caps the back-off after a failed list call at LIST_WAIT, whatever the settings allow.
-        dispatcher.sender.max_poll_backoff = min(dispatcher.sender.max_poll_backoff, LIST_WAIT)
+        # Caps the back-off after a failed list call at MAX_LIST_POLL_DELAY, whatever the settings allow.
+        dispatcher.sender.max_poll_backoff = min(dispatcher.sender.max_poll_backoff, MAX_LIST_POLL_DELAY)
         return dispatcher
 
     def _ready(self) -> bool:
@@ -261,7 +261,7 @@
             self.clock,
             self.counters,
             self.connections,
-            dispatcher.sender.columns,
+            dispatcher.sender.report_columns,
             self.poll_clock,
             dispatcher.clear,
             dispatcher.attempt_ended,
@@ -455,7 +455,7 @@
     listed = {
         endpoint_list.numbers[uid]
         for uid, listing in endpoint_list.last.items()
-        if listing.phase is not EndpointState.REMOVED
+        if listing.endpoint_state is not EndpointState.REMOVED
     }
     avoided = {endpoint_list.numbers[uid] for uid in endpoint_list.suspended if uid in endpoint_list.numbers}
     avoided |= {receiver.id for receiver in dispatcher.sender.receivers.values() if receiver.ejected_since}
--- a/cedarwick/store/health_file.py
+++ b/cedarwick/store/health_file.py
@@ -229,7 +229,7 @@
         "receiver": key.uid,
         "destination": key.destination,
         "state": health.state.value,
-        "provable": health.provable,
+        "provable": health.proved_never_ran,
         "rate": health.observed_rate,
         "age": health.age,
         "cut_rate": health.cut_rate,
--- a/tests/build.py
+++ b/tests/build.py
@@ -66,7 +66,7 @@
     more = {name.replace("__", ".").replace("_", "-"): value for name, value in settings.items()}
     made = Sender({**SETTINGS, **more}, 5, NOW)
     lines = [ListedEndpoint(1 + n, 0, kind, 7, EndpointState.READY, rate) for n in range(receivers)]
-    made.listed(NOW, EndpointUpdate.CACHED, lines)
+    made.apply_endpoint_list(NOW, EndpointUpdate.CACHED, lines)
     return made
 
 
--- a/tests/decisions/test_earlier_outages.py
+++ b/tests/decisions/test_earlier_outages.py
@@ -19,7 +19,9 @@
 
 def listed(made: Sender, now: int, *receivers: int, ready: bool = True) -> None:
     phase = EndpointState.READY if ready else EndpointState.DRAINING
-    made.listed(now, EndpointUpdate.FULL, [ListedEndpoint(receiver, 0, 0, 7, phase, 0.0) for receiver in receivers])
+    made.apply_endpoint_list(
+        now, EndpointUpdate.FULL, [ListedEndpoint(receiver, 0, 0, 7, phase, 0.0) for receiver in receivers]
+    )
 
 
 class RestartTest(unittest.TestCase):
@@ -40,7 +42,7 @@
         times = []
         for seed in range(200):
             made = sender(receivers=1, balancers="42")
-            made.chance.state = seed << 40
+            made.random_source.state = seed << 40
             made.restore_health(NOW, 1, OUT)
             gap = made._canary_gap(NOW, made.receivers[1])
             times.append((made.receivers[1].canary_at - NOW) / gap)
@@ -72,7 +74,7 @@
         for recorded_age, rate in ((SECOND, 0.25), (self.made.ramp_time, None)):
             made = sender(receivers=1, balancers="42")
             made.restore_health(NOW, 1, EarlierHealth(7, HealthState.IN_SERVICE, True, 0.5, 0, 0.25, recorded_age))
-            self.assertEqual(made.receivers[1].pace.rate, rate)
+            self.assertEqual(made.receivers[1].rate_control.rate, rate)
             self.assertFalse(made.receivers[1].recovered_at)
 
     def test_where_ejected_receivers_are_no_longer_listed_the_others_ramp_up_and_later_ones_start_ejected(self) -> None:
--- a/tests/decisions/test_other_settings.py
+++ b/tests/decisions/test_other_settings.py
@@ -95,12 +95,12 @@
                     self.dispatcher.polled,
                 )
                 dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
-                attempts: Any = SimpleNamespace(columns=dispatcher.sender.columns, counters=Counters())
+                attempts: Any = SimpleNamespace(columns=dispatcher.sender.report_columns, counters=Counters())
                 now = dispatcher.clock.now()
                 handle = dispatcher.sender.accept(now, 1, 0, 1, now + 8_000_000, 0, 0)
                 dispatcher.sender.decide(now)
                 handle.attempt_ended(
                     now, Outcome.COMPLETED, 0, 1, 1000, 0, True, AttemptRunner._parse_report(attempts, text)
                 )
-                pace = dispatcher.sender.receivers[1].pace
+                pace = dispatcher.sender.receivers[1].rate_control
                 self.assertEqual((pace.limit, pace.left), (80.0, 0.4))
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -56,7 +56,7 @@
         made = sender()
         handle = out(made, 1, ONCE)
         end(handle, Outcome.FULL, NOW + 100 * MS)
-        self.assertEqual([attempt[0] for attempt in made.decide(handle.due + 9_000 * MS).attempts], [1])
+        self.assertEqual([attempt[0] for attempt in made.decide(handle.not_before + 9_000 * MS).attempts], [1])
 
     def test_numbered_is_not_sent_past_its_window(self) -> None:
         made = sender()
@@ -92,13 +92,13 @@
 class DrainingTest(unittest.TestCase):
     def test_nothing_goes_to_a_draining_receiver(self) -> None:
         made = sender()
-        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
+        made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
         take(made, 1)
         self.assertEqual(made.decide(NOW).attempts, [])
 
     def test_a_whole_list_replaces(self) -> None:
         made = sender(receivers=2)
-        made.listed(NOW, EndpointUpdate.FULL, [ListedEndpoint(2, 0, 0, 7, EndpointState.READY, 0.0)])
+        made.apply_endpoint_list(NOW, EndpointUpdate.FULL, [ListedEndpoint(2, 0, 0, 7, EndpointState.READY, 0.0)])
         take(made, 1)
         self.assertEqual([attempt[1] for attempt in made.decide(NOW).attempts], [2])
 
@@ -150,7 +150,7 @@
 
     def test_a_call_after_a_refusal_stays_small(self) -> None:
         made = sender(kind=1)
-        made.receivers[1].consecutive_throttles, made.receivers[1].pace.rate = 1, 0.5
+        made.receivers[1].consecutive_throttles, made.receivers[1].rate_control.rate = 1, 0.5
         for message in range(1, 10):
             take(made, message)
         self.assertEqual(len(made.decide(NOW).attempts), 4)
@@ -166,14 +166,14 @@
         made = sender()
         out(made, 1)
         out(made, 2, now=NOW + MS)
-        made.receivers[1].pace.proven = True
+        made.receivers[1].rate_control.proven = True
         take(made, 3, now=NOW + 2_500 * MS)
         self.assertEqual(made.decide(NOW + 2_500 * MS).attempts, [])
 
     def test_a_replacement_of_a_lost_machine_starts_out(self) -> None:
         made = sender()
         made.receivers[1].ejected_since = NOW
-        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(2, 0, 0, 7, EndpointState.READY, 0.0)])
+        made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, [ListedEndpoint(2, 0, 0, 7, EndpointState.READY, 0.0)])
         self.assertEqual(made.receivers[2].ejected_since, NOW)
 
     def test_lost_calls_among_good_ones_are_no_outage(self) -> None:
@@ -197,7 +197,7 @@
         made = sender(balancers="200")
         made.started = NOW - 20_000 * MS
         end(out(made, 1), Outcome.FULL, NOW + 100 * MS)
-        rate = made.receivers[1].pace.rate
+        rate = made.receivers[1].rate_control.rate
         assert rate is not None
         self.assertLess(rate, 0.05)
 
@@ -218,13 +218,13 @@
         for senders, left, expected in (("200", 0.0, 0.6 * 40 / 200), ("200", 0.3, 0.25), ("2", 0.0, 1.2 * 40 / 2 / 2)):
             made = sender(balancers=senders, report__columns="x0,x1", rate=40.0, weight_source="nominal")
             handle = out(made, 1)
-            made.receivers[1].pace.rate = 1.2 * 40 / int(senders)
+            made.receivers[1].rate_control.rate = 1.2 * 40 / int(senders)
             handle.attempt_ended(NOW + 100 * MS, Outcome.FULL, 0, 1, 100 * MS, 0, False, (left, 40.0))
-            self.assertAlmostEqual(made.receivers[1].pace.rate or 0.0, expected, 6, (senders, left))
+            self.assertAlmostEqual(made.receivers[1].rate_control.rate or 0.0, expected, 6, (senders, left))
 
     def test_a_sender_of_many_begins_little_above_its_even_part(self) -> None:
         made = sender(balancers="200", rate=400.0, weight_source="nominal")
-        self.assertAlmostEqual(made.receivers[1].pace.reference, 1.2 * 400 / 200)
+        self.assertAlmostEqual(made.receivers[1].rate_control.reference, 1.2 * 400 / 200)
 
     def rate_after_reports(self, made: Sender, *limits: float) -> float:
         """The rate after reports of these limits, one after another; all come before the next attempt."""
@@ -233,7 +233,7 @@
         for limit in limits:
             receiver.calls[handle.sent_at] = 1
             made.learn(NOW, handle, receiver, Outcome.FULL, 0, 0, (0.3, limit))
-        return receiver.pace.rate or 0.0
+        return receiver.rate_control.rate or 0.0
 
     def test_a_limit_that_changes_takes_the_pace_along_down_and_back(self) -> None:
         for limits, expected in (
@@ -243,7 +243,7 @@
             ((40.0, 15.0, 40.0, 40.0), 1.2),
         ):
             made = sender(balancers="40", report__columns="x0,x1", rate=40.0, weight_source="nominal")
-            pace = made.receivers[1].pace
+            pace = made.receivers[1].rate_control
             pace.rate, pace.cut_at = 1.2, NOW  # cut just now: these refusals cut it no further
             self.assertAlmostEqual(self.rate_after_reports(made, *limits), expected, 6, limits)
 
@@ -256,7 +256,7 @@
             ((40.0, -7.0, 0.0, 40.0), 1.2, 1.2),
         ):
             made = sender(balancers="40", report__columns="x0,x1", rate=40.0, weight_source="nominal")
-            pace = made.receivers[1].pace
+            pace = made.receivers[1].rate_control
             pace.rate, pace.cut_at = 1.2, NOW
             rate = self.rate_after_reports(made, *limits)
             self.assertGreaterEqual(rate, low, limits)
@@ -271,9 +271,9 @@
 
     def test_gaps_between_canaries_grow_with_the_outage(self) -> None:
         # Nothing weighs on a machine that is down until it returns, and few senders do not push it over then.
-        for senders, provable, soon in (("200", False, False), ("200", True, False), ("8", True, True)):
+        for senders, proved_never_ran, soon in (("200", False, False), ("200", True, False), ("8", True, True)):
             made = sender(balancers=senders)
-            made.receivers[1].ejected_since, made.receivers[1].provable = NOW, provable
+            made.receivers[1].ejected_since, made.receivers[1].proved_never_ran = NOW, proved_never_ran
             at = made._next_canary(NOW + 20_000 * MS, made.receivers[1])
             self.assertEqual(at < NOW + 36_000 * MS, soon)
 
@@ -320,7 +320,7 @@
 class LoadSheddingTest(unittest.TestCase):
     def test_the_backlog_of_a_lost_destination_goes_first(self) -> None:
         made = sender(policy_limits__max_open="6")
-        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)])
+        made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)])
         made.receivers[8].ejected_since, made.receivers[8].canary_at = NOW - 9_000 * MS, NOW + 60_000 * MS
         made.accept(NOW, 50, 8, FREE, NOW + 16_000 * MS, 0, 0)
         for message in range(1, 5):
@@ -330,21 +330,21 @@
     def test_a_full_folder_makes_the_least_important_go(self) -> None:
         for room, gone in ((2, []), (1, []), (0, [3])):
             made = sender(classes__2__worth="4")
-            made.receivers[1].pace.wait_until = NOW + 5_000 * MS
+            made.receivers[1].rate_control.wait_until = NOW + 5_000 * MS
             take(made, 1, ONCE)
             take(made, 2)
             take(made, 3)
             take(made, 4, ONCE)
-            made.room = room
+            made.storable_messages = room
             self.assertEqual(sorted(nack[0] for nack in made.decide(NOW).nacks), gone, room)
-            made.room = 1  # what has gone leaves its room
+            made.storable_messages = 1  # what has gone leaves its room
             self.assertEqual(made.decide(NOW).nacks, [])
 
     def test_what_may_have_run_makes_way_before_what_is_more_important(self) -> None:
         made = sender(policy_limits__max_open="3", classes__2__worth="4")
         handle = out(made, 1)
         handle.attempt_ended(NOW, Outcome.ERROR, 0, 1, MS, 0, False, ())
-        made.receivers[1].pace.wait_until = NOW + 5_000 * MS
+        made.receivers[1].rate_control.wait_until = NOW + 5_000 * MS
         take(made, 2, ONCE)
         verdicts = made.decide(NOW)
         self.assertEqual((verdicts.nacks, verdicts.abandoned), ([], [1]))
@@ -374,7 +374,7 @@
     def test_where_senders_are_many_a_short_slot_goes_to_the_destination_that_answers_soon(self) -> None:
         for senders, first in (("2", 1), ("200", 2)):
             made = sender(family_info__max_calls="1", balancers=senders)
-            made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)])
+            made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)])
             made.receivers[1].mean_latency, made.receivers[8].mean_latency = 2_000.0 * MS, 200.0 * MS
             take(made, 1)
             made.accept(NOW, 2, 8, FREE, NOW + 16_000 * MS, 0, 0)
@@ -397,7 +397,7 @@
 
     def test_the_next_of_a_key_goes_on_at_another_destination(self) -> None:
         made = sender()
-        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(9, 0, 0, 8, EndpointState.READY, 0.0)])
+        made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, [ListedEndpoint(9, 0, 0, 8, EndpointState.READY, 0.0)])
         handle = out(made, 1, NUMBERED, key=9)
         made.accept(NOW, 2, 8, NUMBERED, NOW + 16_000 * MS, 0, 9)
         made.decide(NOW)
@@ -412,7 +412,7 @@
         end(handle, Outcome.FULL, NOW + 100 * MS)
         verdicts = made.decide(NOW + 100 * MS)
         self.assertEqual((verdicts.attempts, verdicts.abandoned), ([], [1]))
-        self.assertEqual(made.turns.rests[9], NOW + 390 * MS)
+        self.assertEqual(made.order_key_queues.paused_until[9], NOW + 390 * MS)
 
 
 class PooledConnectionsTest(unittest.TestCase):
@@ -420,7 +420,7 @@
         made = sender()
         handle = out(made, 1)
         handle.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
-        self.assertEqual((list(made.receivers[1].recent_successes), handle.due), ([], NOW + 9 * MS + 1))
+        self.assertEqual((list(made.receivers[1].recent_successes), handle.not_before), ([], NOW + 9 * MS + 1))
         self.assertEqual(handle.ran_at, NOW)
 
     def test_at_most_once_goes_on_a_new_link_while_kept_ones_break(self) -> None:
@@ -429,7 +429,7 @@
         self.assertFalse(once.needs_new_connection())
         free.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
         self.assertEqual((once.needs_new_connection(), free.needs_new_connection()), (True, False))
-        made.receivers[1].pace.proven = True
+        made.receivers[1].rate_control.proven = True
         for message in range(3, 30):
             now = NOW + message * 100 * MS
             handle = out(made, message, now=now)
@@ -451,12 +451,12 @@
         handle = out(made, 1)
         held = next(each for each in made.receivers if made.receivers[each].calls)
         for after in (0, 21):
-            made.listed(
+            made.apply_endpoint_list(
                 NOW + after * 1000 * MS, EndpointUpdate.FULL, [ListedEndpoint(9, 0, 0, 7, EndpointState.READY, 0.0)]
             )
         self.assertEqual((sorted(made.receivers), made.destinations[7].members), ([held, 9], [held, 9]))
         end(handle, Outcome.COMPLETED, NOW + 21_000 * MS, receiver=held)
-        made.listed(NOW + 22_000 * MS, EndpointUpdate.DELTA, [])
+        made.apply_endpoint_list(NOW + 22_000 * MS, EndpointUpdate.DELTA, [])
         made.decide(NOW + 22_000 * MS)
         self.assertEqual((list(made.receivers), made.destinations[7].members), ([9], [9]))
 
@@ -466,7 +466,7 @@
             handle = out(made, key, NUMBERED, key=key, now=NOW + key * 1000 * MS)
             handle.doubtful_at = NOW + key * 1000 * MS
             end(handle, Outcome.COMPLETED, NOW + (key * 1000 + 100) * MS)
-        self.assertEqual((list(made.turns.rests), list(made.turns.lines)), ([39], [39]))
+        self.assertEqual((list(made.order_key_queues.paused_until), list(made.order_key_queues.queues)), ([39], [39]))
 
 
 class RetryAfterAndRateTest(unittest.TestCase):
@@ -485,32 +485,32 @@
 
     def test_refusals_halve_the_pace_once_a_span(self) -> None:
         made = sender(rate=10.0, weight_source="nominal")
-        before = made.receivers[1].pace.rate
+        before = made.receivers[1].rate_control.rate
         assert before is not None
         handle = out(made, 1)
         end(handle, Outcome.FULL, NOW + 100 * MS)
-        self.assertEqual(made.receivers[1].pace.rate, before / 2)
-        made._throttle(NOW + REFUSAL_WINDOW // 2, made.receivers[1].pace, True)
-        self.assertEqual(made.receivers[1].pace.rate, before / 2)
+        self.assertEqual(made.receivers[1].rate_control.rate, before / 2)
+        made._throttle(NOW + REFUSAL_WINDOW // 2, made.receivers[1].rate_control, True)
+        self.assertEqual(made.receivers[1].rate_control.rate, before / 2)
 
     def test_a_lone_refusal_spares_a_pace_under_its_even_part(self) -> None:
         made = sender(rate=10.0, weight_source="nominal")
         handle = out(made, 1)
-        made.receivers[1].pace.rate = 4.0
+        made.receivers[1].rate_control.rate = 4.0
         end(handle, Outcome.FULL, NOW + 100 * MS)
-        self.assertEqual(made.receivers[1].pace.rate, 4.0)
+        self.assertEqual(made.receivers[1].rate_control.rate, 4.0)
 
     def test_a_refusal_empties_the_bucket(self) -> None:
         made = sender(rate=10.0, weight_source="nominal")
         handle = out(made, 1)
-        made.receivers[1].pace.bucket.tokens = 4.0
+        made.receivers[1].rate_control.bucket.tokens = 4.0
         end(handle, Outcome.FULL, NOW + 100 * MS)
-        self.assertEqual(made.receivers[1].pace.bucket.tokens, 0.0)
+        self.assertEqual(made.receivers[1].rate_control.bucket.tokens, 0.0)
 
     def test_a_clean_pace_rises_in_small_steps(self) -> None:
         made = sender()
         handle = out(made, 1)
-        pace = made.receivers[1].pace
+        pace = made.receivers[1].rate_control
         pace.rate, pace.reference, pace.raised_at = 2.0, 4.0, NOW
         end(handle, Outcome.COMPLETED, NOW + RATE_STEP_INTERVAL)
         self.assertAlmostEqual(pace.rate, 2.2)
@@ -518,7 +518,7 @@
     def test_reported_room_makes_larger_steps(self) -> None:
         made = sender(report__columns="x0,x1", rate=8.0, weight_source="nominal")
         handle = out(made, 1)
-        pace = made.receivers[1].pace
+        pace = made.receivers[1].rate_control
         pace.rate, pace.cut_at = 1.0, NOW - REFUSAL_WINDOW
         handle.attempt_ended(NOW + RATE_STEP_INTERVAL, Outcome.COMPLETED, 0, 1, 100 * MS, 0, True, (0.9, 8.0))
         self.assertAlmostEqual(pace.rate, 1.0 + 4.8 * 0.2)
@@ -527,24 +527,24 @@
         dues = []
         for seed in range(40):
             made = sender()
-            made.chance.state = seed
+            made.random_source.state = seed
             handle = out(made, 1)
             handle.attempts = 2
             end(handle, Outcome.FULL, NOW)
-            dues.append(handle.due - NOW)
+            dues.append(handle.not_before - NOW)
         self.assertLess(max(dues), BACKOFF_BASE * 2)
         self.assertGreater(len(set(dues)), 20)
 
     def test_a_drawn_wait_ends_while_a_try_can_still_be_finished(self) -> None:
         for seed, quickest in [(seed, quickest) for seed in range(40) for quickest in (0.0, 1.0 * MS, 900.0 * MS)]:
             made = sender(policy_limits__most_tries="12")
-            made.chance.state, made.receivers[1].mean_latency = seed, quickest
+            made.random_source.state, made.receivers[1].mean_latency = seed, quickest
             handle = out(made, 1)
             handle.attempts = 8
             end(handle, Outcome.CONNECT_FAILED, NOW + 4_000 * MS)
             verdicts = made.decide(NOW + 4_000 * MS)
             self.assertEqual((verdicts.nacks, verdicts.abandoned), ([], []), (seed, quickest))
-            self.assertLess(handle.due, NOW + 16_000 * MS - quickest)
+            self.assertLess(handle.not_before, NOW + 16_000 * MS - quickest)
 
     def test_a_retry_after_wait_beyond_its_time_ends_it_at_once(self) -> None:
         made = sender()
@@ -553,7 +553,7 @@
 
     def test_attempts_of_a_round_share_a_call_and_a_slot(self) -> None:
         made = sender(kind=1)
-        made.receivers[1].pace.rate = 0.5
+        made.receivers[1].rate_control.rate = 0.5
         for message in (1, 2, 3):
             take(made, message, FREE)
         self.assertEqual((len(made.decide(NOW).attempts), made.calls_in_flight), (3, 1))
@@ -613,7 +613,7 @@
     def test_not_after_a_wait_was_told(self) -> None:
         made = sender()
         handle = out(made, 1)
-        made.receivers[1].pace.wait_until = NOW + 500 * MS
+        made.receivers[1].rate_control.wait_until = NOW + 500 * MS
         self.assertEqual([handle.may_start(NOW + after * MS, 1) for after in (499, 500)], [False, True])
 
     def test_not_to_a_draining_receiver(self) -> None:
@@ -637,13 +637,13 @@
         """Simulated: 556 senders with 452 receivers spent 370 us an event on looks at empty destinations."""
         made = sender()
         made.decide(NOW)
-        made.receivers[1].pace.wait_until = NOW + 5_000 * MS
+        made.receivers[1].rate_control.wait_until = NOW + 5_000 * MS
         update = [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)]
-        made.listed(NOW, EndpointUpdate.DELTA, update)
+        made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, update)
         self.assertEqual(made.changed, set())
         take(made, 1)
         made.decide(NOW)
-        made.listed(NOW, EndpointUpdate.DELTA, update)
+        made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, update)
         self.assertEqual(made.changed, {7})
 
     def asks(self, made: Sender, failures: int) -> list[int]:
--- a/tests/decisions/test_recovery_ramps.py
+++ b/tests/decisions/test_recovery_ramps.py
@@ -132,7 +132,7 @@
 
     def made(self, seed: int) -> Sender:
         new = Sender(self.settings, seed, self.now)
-        new.listed(
+        new.apply_endpoint_list(
             self.now,
             EndpointUpdate.CACHED,
             [
@@ -169,7 +169,7 @@
         )[0]
         made, limit = self.senders[sender], self.site.priority_classes[priority_class][2]
         self.offered += 1
-        if made.open < made.most_open:
+        if made.open_messages < made.most_open:
             until = self.now + limit * MS
             self.handles[sender][message] = made.accept(self.now, message, 7, priority_class, until, 0, 0)
             self.round(sender)
@@ -235,7 +235,7 @@
                 earlier = EarlierHealth(
                     change.destination,
                     change.state,
-                    change.provable,
+                    change.proved_never_ran,
                     change.observed_rate,
                     self.now - change.since,
                     change.cut_rate,
@@ -416,7 +416,7 @@
         day = Day(KIOSK, 3, "told", 1)
         made = day.senders[0]
         for receiver in made.receivers.values():
-            receiver.ejected_since, receiver.pace.wait_until = BEGIN, BEGIN + 5 * SECOND
+            receiver.ejected_since, receiver.rate_control.wait_until = BEGIN, BEGIN + 5 * SECOND
         self.assertLess(made._next_canary(BEGIN, made.receivers[1]), BEGIN + 5 * SECOND)
 
 
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -15,7 +15,7 @@
         self.first, self.second = self.made.receivers[1], self.made.receivers[2]
         for receiver in (self.first, self.second):
             receiver.completions.append(NOW - SECOND)
-        self.first.pace.completed_at = self.first.pace.completed_sent_at = NOW - SECOND
+        self.first.rate_control.completed_at = self.first.rate_control.completed_sent_at = NOW - SECOND
         self.made.take_health_changes()
 
     def failed_call(self, made: Sender, at: int) -> None:
@@ -27,11 +27,11 @@
     def test_a_single_failure_ejects_nobody_but_the_next_completion_begins_a_ramp(self) -> None:
         self.failed_call(self.made, NOW)
         self.assertFalse(self.first.ejected_since or self.second.ejected_since)
-        self.assertTrue(self.first.pace.failed_since)
+        self.assertTrue(self.first.rate_control.failed_since)
         self.complete(self.made, NOW + 3 * SECOND)
         for receiver in (self.first, self.second):
             self.assertEqual(receiver.recovered_at, NOW + 3 * SECOND + 100 * MS)
-        self.assertFalse(self.first.pace.failed_since)
+        self.assertFalse(self.first.rate_control.failed_since)
 
     def test_a_failure_among_completions_begins_none(self) -> None:
         """Nothing was out for `rules.fall-ms`: a ramp after each stray failure would cost more than it saves."""
@@ -50,9 +50,9 @@
             self.assertAlmostEqual(gap, SECOND / rate, delta=10)
 
     def test_a_call_that_was_sent_before_the_last_completed_one_is_no_evidence(self) -> None:
-        self.first.pace.completed_sent_at = NOW + SECOND
+        self.first.rate_control.completed_sent_at = NOW + SECOND
         self.failed_call(self.made, NOW)
-        self.assertFalse(self.first.pace.failed_since)
+        self.assertFalse(self.first.rate_control.failed_since)
 
     def test_a_short_silence_after_a_failure_ends_with_a_ramp_too(self) -> None:
         hanging = out(self.made, 3)
@@ -65,7 +65,7 @@
         gaps = []
         for seed in range(50):
             made = sender(receivers=1, balancers="42", rules__fall_ms="2000")
-            made.chance.state = seed << 40
+            made.random_source.state = seed << 40
             made.restore_health(NOW, 1, EarlierHealth(7, HealthState.SUSPECTED, False, 0.5, 3 * SECOND))
             gaps.append(made._room(NOW, made.receivers[1]) - NOW)
         rate = made._returning_rate(made.receivers[1], 0)
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -556,13 +556,15 @@
         self.frozen()
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
         self.dispatcher._thaw(KEY)
-        before = self.dispatcher.sender.turns.all_rest
+        before = self.dispatcher.sender.order_key_queues.all_paused_until
         self.dispatcher._adopt([1], quietly=True)
-        self.assertEqual((list(self.dispatcher.handles), self.dispatcher.sender.turns.all_rest), ([1], before))
+        self.assertEqual(
+            (list(self.dispatcher.handles), self.dispatcher.sender.order_key_queues.all_paused_until), ([1], before)
+        )
         self.dispatcher._park([1])
         self.store.messages[1].ran_at = 5
         self.dispatcher._adopt([1], quietly=True)
-        self.assertGreater(self.dispatcher.sender.turns.all_rest, before)
+        self.assertGreater(self.dispatcher.sender.order_key_queues.all_paused_until, before)
 
 
 if __name__ == "__main__":
--- a/tests/lab/broken.py
+++ b/tests/lab/broken.py
@@ -33,12 +33,16 @@
 
 def ignores_drains() -> None:
     """What drains or goes is taken for ready."""
-    honest = policy.Sender.listed
+    honest = policy.Sender.apply_endpoint_list
 
-    def listed(self: policy.Sender, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
-        honest(self, now, EndpointUpdate.DELTA, [each._replace(phase=EndpointState.READY) for each in listings])
+    def apply_endpoint_list(
+        self: policy.Sender, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]
+    ) -> None:
+        honest(
+            self, now, EndpointUpdate.DELTA, [each._replace(endpoint_state=EndpointState.READY) for each in listings]
+        )
 
-    policy.Sender.listed = listed  # type: ignore[assignment, method-assign]
+    policy.Sender.apply_endpoint_list = apply_endpoint_list  # type: ignore[assignment, method-assign]
 
 
 def loses_messages() -> None:
@@ -62,13 +66,13 @@
 
 def overtakes() -> None:
     """It is everyone's turn."""
-    state.KeyOrder.turn_at = lambda self, key, message: 0  # type: ignore[method-assign]
+    state.OrderKeyQueues.ready_at = lambda self, key, message: 0  # type: ignore[method-assign]
 
 
 def floods_a_returning_destination() -> None:
     """No outage is noticed, so a destination that returns gets everything at once."""
     policy.Sender._eject = lambda *_, **__: None  # type: ignore[method-assign]
-    policy.Sender._silent = lambda self, now, receiver: False  # type: ignore[method-assign]
+    policy.Sender._is_silent = lambda self, now, receiver: False  # type: ignore[method-assign]
 
 
 def two_out() -> None:
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -15,7 +15,7 @@
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate
 from cedarwick.decisions.policy import Sender
-from cedarwick.decisions.sender_state import LIST_WAIT
+from cedarwick.decisions.sender_state import MAX_LIST_POLL_DELAY
 from cedarwick.decisions.state import SECOND
 from cedarwick.net import endpoint_list as module
 from tests.build import NESTED, NOW, SETTINGS, Program, Receiver, free_port, line_of, reply, submit, until
@@ -187,7 +187,7 @@
         state: dict[str, EndpointState] = {}
         for change, listings in self.told:
             state = state if change is EndpointUpdate.DELTA else {}
-            state.update({uids[each.receiver]: each.phase for each in listings})
+            state.update({uids[each.receiver]: each.endpoint_state for each in listings})
         marks = {EndpointState.READY: "+", EndpointState.DRAINING: "-", EndpointState.REMOVED: "x"}
         return " ".join(uid + marks[phase] for uid, phase in sorted(state.items()))
 
@@ -404,8 +404,8 @@
             self.assertLess(time.monotonic() - held, 1.0)
 
     def test_the_longest_wait_and_the_net_limits_stay_under_the_clock(self) -> None:
-        self.assertLess(module.CONNECT_TIMEOUT_S + LIST_WAIT / SECOND, 5.5)
-        self.assertLess(module.ANSWER_TIMEOUT_S + LIST_WAIT / SECOND, 5.5)
+        self.assertLess(module.CONNECT_TIMEOUT_S + MAX_LIST_POLL_DELAY / SECOND, 5.5)
+        self.assertLess(module.ANSWER_TIMEOUT_S + MAX_LIST_POLL_DELAY / SECOND, 5.5)
 
 
 if __name__ == "__main__":
--- a/tests/net/test_late_answers.py
+++ b/tests/net/test_late_answers.py
@@ -42,7 +42,7 @@
 class LateAnswerTest(PartnerTestCase):
     def test_a_late_success_delivers_the_message_and_no_retry_follows(self) -> None:
         self.start(answers_who_has_left)
-        with mock.patch.object(self.dispatcher.sender, "_patience", return_value=TIME_OUT):
+        with mock.patch.object(self.dispatcher.sender, "_attempt_time_out", return_value=TIME_OUT):
             self.submit("first")
             until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
             end_at = time.monotonic() + TIME_OUT / 1e6 + RETRY_IN
@@ -63,7 +63,7 @@
         self.dispatcher._completed_late(self.calls[0])
         self.dispatcher._decide()
         self.assertEqual((self.dispatcher.notices.pending, self.store.messages, self.dispatcher.handles), ({}, {}, {}))
-        self.assertEqual(self.dispatcher.sender.open, 0)
+        self.assertEqual(self.dispatcher.sender.open_messages, 0)
 
     def test_after_the_end_is_decided_the_end_stands(self) -> None:
         self.taken("once")
@@ -77,7 +77,7 @@
         self.taken("free")
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.TIME_OUT))
         handle = self.dispatcher.handles[1]
-        handle.due = 0
+        handle.not_before = 0
         self.dispatcher._decide()
         self.assertEqual(len(self.calls), 2)
         self.dispatcher._completed_late(self.calls[0])
@@ -85,7 +85,7 @@
         self.dispatcher._attempt_ended(self.calls[1], AttemptResult(Outcome.ERROR))
         self.dispatcher._decide()
         self.assertEqual((len(self.calls), self.dispatcher.notices.pending), (2, {}))
-        self.assertEqual((self.dispatcher.handles, self.dispatcher.sender.open), ({}, 0))
+        self.assertEqual((self.dispatcher.handles, self.dispatcher.sender.open_messages), ({}, 0))
 
     def test_of_a_partition_that_is_lost_it_says_nothing(self) -> None:
         self.taken("free")
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -92,7 +92,7 @@
         self.dispatcher._park([1, 2, 3])  # while the attempt of the first is out
         self.dispatcher._adopt([1, 2, 3])
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.TIME_OUT))
-        line = self.dispatcher.sender.turns.lines[5]
+        line = self.dispatcher.sender.order_key_queues.queues[5]
         self.assertEqual([handle.id for handle in line], [1, 2, 3])
         self.dispatcher._park([2])  # somebody has told news of it
         self.dispatcher._adopt([2])
@@ -120,8 +120,12 @@
                 )
             )
         self.dispatcher._adopt([other + 1, other + 2])
-        self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[6]], [other + 1, other + 2, 3])
-        self.assertEqual(self.dispatcher.sender.turns.rests.get(9), None)  # nothing is kept for keys without a message
+        self.assertEqual(
+            [each.id for each in self.dispatcher.sender.order_key_queues.queues[6]], [other + 1, other + 2, 3]
+        )
+        self.assertEqual(
+            self.dispatcher.sender.order_key_queues.paused_until.get(9), None
+        )  # nothing is kept for keys without a message
 
     def test_what_was_held_back_comes_back_in_its_order_where_its_move_is_called_off(self) -> None:
         self.dispatcher.sender.priority_classes[0].ordered = True
@@ -131,7 +135,7 @@
         self.assertEqual(self.dispatcher.not_sent, {1, 2, 3})
         self.dispatcher._park([1, 2, 3])
         self.dispatcher._adopt([1, 2, 3], quietly=True)
-        self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[5]], [1, 2, 3])
+        self.assertEqual([each.id for each in self.dispatcher.sender.order_key_queues.queues[5]], [1, 2, 3])
 
     def test_a_message_is_kept_before_its_attempt_starts(self) -> None:
         self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
@@ -139,7 +143,7 @@
 
     def test_each_attempt_is_a_call_of_its_own_whatever_the_settings_say(self) -> None:
         self.assertEqual(self.dispatcher.sender.settings["family-info.per-call"], "20")
-        self.assertEqual(self.dispatcher.sender.per_call, [])
+        self.assertEqual(self.dispatcher.sender.messages_per_call, [])
 
     def test_the_tenant_reaches_the_decisions(self) -> None:
         self.taken()
@@ -150,22 +154,27 @@
         self.assertEqual((self.calls, self.dispatcher.handles, self.dispatcher.numbers), ([], {}, {}))
 
     def test_the_decisions_are_told_of_the_room_each_round(self) -> None:
-        before = self.dispatcher.sender.room
+        before = self.dispatcher.sender.storable_messages
         self.taken()
-        self.assertLess(self.dispatcher.sender.room, before)
+        self.assertLess(self.dispatcher.sender.storable_messages, before)
         self.store.set_limit(1)
         self.dispatcher._decide()
-        self.assertEqual(self.dispatcher.sender.room, 0)
+        self.assertEqual(self.dispatcher.sender.storable_messages, 0)
         self.dispatcher.notices.post(9, "i", True, 0)
         self.dispatcher._decide()
-        self.assertEqual(self.dispatcher.sender.room, 1)  # it leaves as it is acknowledged
+        self.assertEqual(self.dispatcher.sender.storable_messages, 1)  # it leaves as it is acknowledged
 
     def test_a_completed_message_leaves_nothing_behind(self) -> None:
         self.taken()
         self.dispatcher._clear(self.calls[0], AsyncResult())
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.COMPLETED, last=True))
         self.assertEqual(
-            (self.store.messages, self.dispatcher.handles, self.dispatcher.numbers, self.dispatcher.sender.open),
+            (
+                self.store.messages,
+                self.dispatcher.handles,
+                self.dispatcher.numbers,
+                self.dispatcher.sender.open_messages,
+            ),
             ({}, {}, {}, 0),
         )
 
@@ -200,7 +209,9 @@
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._clear(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
-        self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.sender.open), ({}, {}, 0))
+        self.assertEqual(
+            (self.store.messages, self.dispatcher.handles, self.dispatcher.sender.open_messages), ({}, {}, 0)
+        )
 
     def test_one_withdrawn_while_the_record_of_its_attempt_was_waited_for_does_not_go_out(self) -> None:
         self.store.awaited = True
@@ -433,7 +444,10 @@
         line = ListedEndpoint(1, 1, 0, 4, EndpointState.READY, 2.5)
         self.assertEqual(
             told,
-            [(EndpointUpdate.CACHED, [line]), (EndpointUpdate.DELTA, [line._replace(phase=EndpointState.REMOVED)])],
+            [
+                (EndpointUpdate.CACHED, [line]),
+                (EndpointUpdate.DELTA, [line._replace(endpoint_state=EndpointState.REMOVED)]),
+            ],
         )
         self.assertEqual((made.version, made.address_of(1)), (5, ("127.0.0.1", 9)))
 
@@ -496,7 +510,7 @@
                     {"rev": 2, "all": False, "targets": [{**self.GOOD, "state": "draining", "capacity_hint": hint}]}
                 )
                 line = told[-1][1][0]
-                self.assertEqual((line.rate, line.phase), (7.5, EndpointState.DRAINING))
+                self.assertEqual((line.rate, line.endpoint_state), (7.5, EndpointState.DRAINING))
 
     def test_discovery_that_refuses_stalls_or_answers_half_leaves_the_last_list(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -105,7 +105,7 @@
             self.clock,
             self.counters,
             self.links,
-            self.dispatcher.sender.columns,
+            self.dispatcher.sender.report_columns,
             polled,
             self.dispatcher.clear,
             self.dispatcher.attempt_ended,
@@ -300,7 +300,7 @@
     def test_an_absurd_wait_is_looked_into_after_an_hour(self) -> None:
         made = sender()
         end(out(made, 1), Outcome.FULL, NOW, retry_after=10**30)
-        self.assertLessEqual(made.receivers[1].pace.wait_until, NOW + 3_600_000 * MS)
+        self.assertLessEqual(made.receivers[1].rate_control.wait_until, NOW + 3_600_000 * MS)
         handle = out(made, 2, now=NOW)
         self.assertEqual(handle.attempts, 0)  # it ends at once: nothing may go in its time
         later = NOW + 3_600_000 * MS + 20_000 * MS
@@ -334,9 +334,9 @@
             made.apply_retry_after(NOW, 1, NOW + 60_000 * MS)
             gone = ListedEndpoint(1, 0, kind, 7, EndpointState.REMOVED, 0.0)
             for at in (NOW, NOW + 25_000 * MS, NOW + 50_000 * MS):
-                made.listed(at, EndpointUpdate.DELTA, [gone])
+                made.apply_endpoint_list(at, EndpointUpdate.DELTA, [gone])
             back = NOW + 55_000 * MS
-            made.listed(back, EndpointUpdate.DELTA, [gone._replace(phase=EndpointState.READY)])
+            made.apply_endpoint_list(back, EndpointUpdate.DELTA, [gone._replace(endpoint_state=EndpointState.READY)])
             handle = made.accept(back, 1, 7, FREE, back + 16_000 * MS, 0, 0)
             self.assertEqual(made.decide(back).attempts, [], kind)
             self.assertFalse(handle.may_start(back, 1))
--- a/tests/ops/test_ops.py
+++ b/tests/ops/test_ops.py
@@ -244,17 +244,19 @@
 class ColdReturnTest(unittest.TestCase):
     def test_a_receiver_back_after_a_drain_is_ramped(self) -> None:
         made = sender()
-        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
+        made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
         made.decide(NOW)
         later = NOW + 3_000_000  # longer than rules.fall-ms
-        made.listed(later, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)])
+        made.apply_endpoint_list(later, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)])
         self.assertEqual(made.receivers[1].recovered_at, later)
 
     def test_a_moment_out_is_no_return(self) -> None:
         made = sender()
-        made.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
+        made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
         made.decide(NOW)
-        made.listed(NOW + 500_000, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)])
+        made.apply_endpoint_list(
+            NOW + 500_000, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)]
+        )
         self.assertEqual(made.receivers[1].recovered_at, 0)
 
 
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -140,8 +140,8 @@
             gone = set()
             for _ in range(4):
                 for handle in second.dispatcher.handles.values():
-                    handle.due = 0
-                second.dispatcher.sender.turns.all_rest = 0
+                    handle.not_before = 0
+                second.dispatcher.sender.order_key_queues.all_paused_until = 0
                 second.dispatcher._decide()
                 for call in second.calls:
                     gone.add(second.at(call))
@@ -229,7 +229,7 @@
                 second = Process(found, {**EARLIER, "classes": CLASSES + [ZONAL]}, {"one": "north"}, later)
                 for _ in range(3):
                     for handle in second.dispatcher.handles.values():
-                        handle.due = 0
+                        handle.not_before = 0
                     second.dispatcher._decide()
                     for call in second.calls:
                         self.assertTrue(second.cleared(call))
@@ -303,7 +303,7 @@
         for most_open, room, owed in (("100", 1 << 62, 98), ("8", 1 << 62, 98), ("8", 1, 60), ("100", 1, 1)):
             with self.subTest(most_open=most_open, room=room, owed=owed):
                 made = sender(policy_limits__max_open=most_open, family_info__max_calls="1")
-                made.room = room
+                made.storable_messages = room
                 made.restore(
                     NOW,
                     [UnfinishedMessage(number, 7, number % 3, NOW + 8_000 * MS, 0, 0, ()) for number in range(owed)],
@@ -314,7 +314,7 @@
                     self.assertEqual((verdicts.nacks, verdicts.abandoned), ([], []))
                     untried -= {number for number, _, _ in verdicts.attempts}
                 self.assertEqual(len(untried), max(0, owed - 1))  # the one slot stays taken: all others are still held
-                made.room = 0
+                made.storable_messages = 0
                 take(made, 1000)
                 self.assertTrue(made.decide(NOW + 4_000 * MS).nacks)  # what comes now is bounded as before
 
@@ -410,7 +410,7 @@
         self.partner = cast(Accepting, self.made.partner)
         self.dispatcher, self.links, self.counts = self.made.dispatcher, self.made.links, self.made.counters.counts
         self.priority_class = self.dispatcher.sender.priority_classes[0]
-        self.priority_class.idempotent, self.priority_class.window = False, 1_000_000  # numbered
+        self.priority_class.idempotent, self.priority_class.dedup_window = False, 1_000_000  # numbered
 
     def before_clearing(
         self, then: Callable[[AttemptCall], None], after: Callable[[AttemptCall], None] = lambda call: None
@@ -434,7 +434,7 @@
 
         def then(call: AttemptCall) -> None:
             handle = self.dispatcher.handles[call.message.number]
-            handle.ran_at = handle.ran_at or self.made.clock.now() + left - self.priority_class.window
+            handle.ran_at = handle.ran_at or self.made.clock.now() + left - self.priority_class.dedup_window
 
         return then
 
@@ -447,7 +447,7 @@
                     self.made.clock.base += 0 if goes else 3_000_000_000
 
                 self.before_clearing(self.window_left(3_000_000), then)
-                self.priority_class.window = 4_000_000
+                self.priority_class.dedup_window = 4_000_000
                 self.made.submit("a")
                 self.wait_for(lambda: self.partner.arrived or self.made.store.messages[1].end)
                 self.assertEqual([name for _, name in self.partner.arrived], ["a"] * goes)
