--- a/cedarwick/decisions/health.py
+++ b/cedarwick/decisions/health.py
@@ -17,52 +17,54 @@
 OBSERVED_RATE_DECAY = 0.98  # by each completion
 JUDGED_OUTCOMES = 8  # the newest outcomes from which a receiver's health is judged
 FAILURE_SCORE_HALF_LIFE = 5 * SECOND  # a failure score fades by half in this time
-USUAL_SILENCE = 2 * SECOND  # assumed where no latency has been measured
+DEFAULT_SILENCE = 2 * SECOND  # assumed where no latency has been measured
 MIN_SILENCE = SECOND  # no answer for this long, and longer than usual, counts as silence
-SHUT_AFTER = 2_500_000  # nothing but throttles for longer than any rate limit's window (1 to 2 s): it is shut
-SHUT_THROTTLES = 6  # at least this many: near a shared limit a few in a row are caused by other senders
+THROTTLE_OUTAGE_AFTER = (
+    2_500_000  # nothing but throttles for longer than any rate limit's window (1 to 2 s): it is shut
+)
+THROTTLE_OUTAGE_COUNT = 6  # at least this many: near a shared limit a few in a row are caused by other senders
 
 
 class HealthTracking(RateAdjustment, EarlierOutages):
     """Learns from outcomes and detects outages."""
 
-    def learn(
+    def record_outcome(
         self,
         now: int,
         message: Message,
         receiver: Receiver,
         outcome: Outcome,
-        took: int,
+        duration: int,
         retry_after: int,
         report: Sequence[float],
     ) -> None:
         """Record the outcome of an attempt.
 
-        `took` and `retry_after` are microseconds; `report` holds the values of the setting `report.columns`.
+        `duration` and `retry_after` are microseconds; `report` holds the values of the setting `report.columns`.
         """
-        pace = receiver.rate_control
-        self.changed |= {receiver.destination} | self.starved
-        self.starved.clear()
-        over = receiver.attempt_over(message.sent_at) % self._batch(receiver) == 0
+        rate_control = receiver.rate_control
+        self.changed_destinations |= {receiver.destination} | self.destinations_without_slot
+        self.destinations_without_slot.clear()
+        over = receiver.attempt_finished(message.sent_at) % self._messages_per_call_to(receiver) == 0
         self.calls_in_flight -= over
-        pace.calls_in_flight -= over
-        self.idle.add(receiver.id)
+        rate_control.calls_in_flight -= over
+        self.ended_call_receivers.add(receiver.id)
         receiver.canary_in_flight = False
         if outcome in (Outcome.MOOT, Outcome.CANCELLED):
             return
         reported = dict(zip(self.report_columns, report, strict=False))
         if reported.get("x1", 0.0) > 0:
-            self._list_rate(pace, reported["x1"])
-            pace.left = reported.get("x0", 0.0)
+            self._apply_rate_limit(rate_control, reported["x1"])
+            rate_control.limit_left = reported.get("x0", 0.0)
         self._track_connect_failures(now, receiver, outcome)
         if outcome is not Outcome.TIME_OUT:
             receiver.answered_at = now
         if outcome is Outcome.COMPLETED:
-            self._completed(now, message, receiver, took)
+            self._record_completion(now, message, receiver, duration)
         elif outcome is Outcome.FULL:
-            self._throttled(now, message, receiver, retry_after, reported.get("x0"))
+            self._record_throttle(now, message, receiver, retry_after, reported.get("x0"))
         else:
-            self._failed(now, message, receiver, outcome)
+            self._record_failure(now, message, receiver, outcome)
 
     def _track_connect_failures(self, now: int, receiver: Receiver, outcome: Outcome) -> None:
         """Keep the share of completions that came right after a failed connection, by kind of receiver.
@@ -70,52 +72,56 @@
         The idle connections of many senders can fill a receiver's connection table. Unlike a dead machine, such a
         receiver still completes some calls, and these follow failed connections: that share tells the two apart.
         """
-        place = self.destinations[receiver.destination]
+        destination_state = self.destinations[receiver.destination]
         if outcome is Outcome.CONNECT_FAILED:
-            place.connect_failed_at = now
+            destination_state.connect_failed_at = now
         elif outcome is Outcome.COMPLETED:
             share = self.connect_failure_shares.get(receiver.kind, 0.0)
             self.connect_failure_shares[receiver.kind] = (
                 share
-                + ((now - place.connect_failed_at < 2 * COMPLETIONS_STALE_AFTER) - share) / CONNECT_FAILURE_SMOOTHING
+                + ((now - destination_state.connect_failed_at < 2 * COMPLETIONS_STALE_AFTER) - share)
+                / CONNECT_FAILURE_SMOOTHING
             )
-            place.connect_failed_at = 0
-            self._end_departed_outage(now, place)
-
-    def _completed(self, now: int, message: Message, receiver: Receiver, took: int) -> None:
-        """The receiver answered in `took` microseconds: it is in service, or returns to it with a ramp."""
-        pace = receiver.rate_control
-        record_recent(pace.answers, now, REFUSAL_WINDOW)
-        pace.proven = True
-        outage = self._suspicion_ends(now, receiver, message.sent_at, message.id)
+            destination_state.connect_failed_at = 0
+            self._end_departed_outage(now, destination_state)
+
+    def _record_completion(self, now: int, message: Message, receiver: Receiver, duration: int) -> None:
+        """The receiver answered in `duration` microseconds: it is in service, or returns to it with a ramp."""
+        rate_control = receiver.rate_control
+        record_recent(rate_control.answer_times, now, REFUSAL_WINDOW)
+        rate_control.has_completed = True
+        outage = self._clear_suspicion(now, receiver, message.sent_at, message.id)
         receiver.recent_successes.append(True)
         receiver.consecutive_throttles = receiver.throttled_since = 0
-        deviation = abs(took - receiver.mean_latency) if receiver.mean_latency else took / 2
+        deviation = abs(duration - receiver.mean_latency) if receiver.mean_latency else duration / 2
         receiver.latency_deviation += (deviation - receiver.latency_deviation) / (
             DEVIATION_SMOOTHING if receiver.latency_deviation else 1
         )
-        receiver.mean_latency += (took - receiver.mean_latency) / (LATENCY_SMOOTHING if receiver.mean_latency else 1)
+        receiver.mean_latency += (duration - receiver.mean_latency) / (
+            LATENCY_SMOOTHING if receiver.mean_latency else 1
+        )
         if receiver.ejected_since:
             # A destination back from an outage would fail again under its full traffic, so it gets a ramp.
-            if receiver.failed or outage or now - receiver.ejected_since > self.fall_time:
+            if receiver.outage_confirmed or outage or now - receiver.ejected_since > self.overload_window:
                 # Each of many senders sends canaries seldom: assume that it returned midway between the last two.
-                looked = min(receiver.gap, now - receiver.ejected_since) if self.many else 0
+                looked = min(receiver.last_attempt_gap, now - receiver.ejected_since) if self.many_senders else 0
                 self._begin_ramp(now, receiver, now - looked // 2, HealthReason.COMPLETION, message.id)
-                if pace.rate is not None:  # throttles during the outage say nothing about its rate limit
-                    pace.rate = max(pace.rate, receiver.observed_rate, pace.reference)
+                if rate_control.rate is not None:  # throttles during the outage say nothing about its rate limit
+                    rate_control.rate = max(rate_control.rate, receiver.observed_rate, rate_control.reference_rate)
             else:
                 self._report_health(receiver, HealthState.IN_SERVICE, HealthReason.COMPLETION, now, message.id)
-            receiver.ejected_since, receiver.failed = 0, False
+            receiver.ejected_since, receiver.outage_confirmed = 0, False
             receiver.recent_successes = deque([True], JUDGED_OUTCOMES)
         if receiver.completed_sent_at != message.sent_at:  # the attempts of one call count once
-            record_recent(receiver.completions, now, self.observation_window)
+            record_recent(receiver.completion_times, now, self.observation_window)
         receiver.completed_sent_at = max(receiver.completed_sent_at, message.sent_at)
         receiver.observed_rate = max(
-            receiver.observed_rate * OBSERVED_RATE_DECAY, len(receiver.completions) * SECOND / self.observation_window
+            receiver.observed_rate * OBSERVED_RATE_DECAY,
+            len(receiver.completion_times) * SECOND / self.observation_window,
         )
-        self._raise_rate(now, pace)
+        self._raise_rate(now, rate_control)
 
-    def _throttled(
+    def _record_throttle(
         self, now: int, message: Message, receiver: Receiver, retry_after: int, limit_left: float | None
     ) -> None:
         """The receiver throttled the attempt: keep its Retry-After wait, and cut the rate or eject it.
@@ -123,36 +129,42 @@
         `retry_after` is microseconds; `limit_left` is the reported share (0 to 1) of its rate limit that is left, None
         where no report came.
         """
-        pace = receiver.rate_control
-        pace.throttled_since = pace.throttled_since or now
-        pace.wait_until = max(pace.wait_until, now + min(retry_after, MAX_RETRY_AFTER))
+        rate_control = receiver.rate_control
+        rate_control.throttled_since = rate_control.throttled_since or now
+        rate_control.wait_until = max(rate_control.wait_until, now + min(retry_after, MAX_RETRY_AFTER))
         receiver.consecutive_throttles += 1
         receiver.throttled_since = receiver.throttled_since or now
         # A shut receiver asks for a long wait or refuses everything. It is ejected, since otherwise all senders
         # would return to it at full rate in the moment it opens.
-        sparse = self.many and self._stale(now, receiver)
+        sparse = self.many_senders and self._lacks_recent_completion(now, receiver)
         shut = (
-            receiver.consecutive_throttles >= SHUT_THROTTLES // (1 + sparse)
-            and now - receiver.throttled_since > SHUT_AFTER
+            receiver.consecutive_throttles >= THROTTLE_OUTAGE_COUNT // (1 + sparse)
+            and now - receiver.throttled_since > THROTTLE_OUTAGE_AFTER
         )
         shut |= (
             sparse and (limit_left or 0.0) > LIMIT_HAS_ROOM
         )  # its rate limit has room, so its queue must be full: it hangs
-        mates = self._mates(self.destinations[receiver.destination], pace) if retry_after > SHUT_AFTER else [receiver]
-        for mate in mates if retry_after > SHUT_AFTER or receiver.ejected_since or shut else []:
-            self._eject(now, mate, proved_never_ran=True, reason=HealthReason.THROTTLES, message=message.id)
+        rate_group = (
+            self._rate_group(self.destinations[receiver.destination], rate_control)
+            if retry_after > THROTTLE_OUTAGE_AFTER
+            else [receiver]
+        )
+        for sibling in rate_group if retry_after > THROTTLE_OUTAGE_AFTER or receiver.ejected_since or shut else []:
+            self._eject(now, sibling, proved_never_ran=True, reason=HealthReason.THROTTLES, message=message.id)
         if not receiver.ejected_since:
-            self._throttle(now, pace, receiver.consecutive_throttles > 1)
-            if pace.cut_at == now:
+            self._cut_rate(now, rate_control, receiver.consecutive_throttles > 1)
+            if rate_control.cut_at == now:
                 self._report_rate_cut(now, receiver, message.id)
             if limit_left is None or limit_left > LIMIT_HAS_ROOM:  # else it refuses since its limit is used up
-                if now - pace.throttled_since > SHUT_AFTER:  # by all its receivers together: it may be shut
+                if (
+                    now - rate_control.throttled_since > THROTTLE_OUTAGE_AFTER
+                ):  # by all its receivers together: it may be shut
                     self._suspect(now, receiver, message.id)
-                elif pace.completed_sent_at < message.sent_at:
+                elif rate_control.completed_sent_at < message.sent_at:
                     # The backoff of what was refused ends with the process: the next one must not send it at once.
                     self._report_suspicion(now, receiver, HealthReason.THROTTLES, message.id)
 
-    def _failed(self, now: int, message: Message, receiver: Receiver, outcome: Outcome) -> None:
+    def _record_failure(self, now: int, message: Message, receiver: Receiver, outcome: Outcome) -> None:
         """The attempt failed other than by throttling: eject the receiver or restart its ramp on enough evidence."""
         receiver.recent_successes.append(False)
         receiver.failure_score = self._current_failure_score(now, receiver) + 1
@@ -170,11 +182,11 @@
             self._report_health(receiver, HealthState.RAMPING, HealthReason.FAILURES_IN_RAMP, now, message.id)
         # At a few calls a minute there are never enough outcomes to judge by, and every message would spend all its
         # attempts on a dead receiver: with many senders one failure without recent completions is enough.
-        failing = failing or self.many and self._stale(message.sent_at, receiver)
+        failing = failing or self.many_senders and self._lacks_recent_completion(message.sent_at, receiver)
         if failing or receiver.ejected_since or (len(outcomes) >= 3 and sum(outcomes) * 5 <= len(outcomes) * 2):
             proved_never_ran = outcome is Outcome.CONNECT_FAILED
             self._eject(now, receiver, proved_never_ran, HealthReason.FAILURES, message.id)
-            self._eject_with(now, receiver)
+            self._eject_rate_group(now, receiver)
         elif receiver.rate_control.completed_sent_at < message.sent_at:
             self._suspect(now, receiver, message.id)
 
@@ -184,7 +196,7 @@
 
     def _is_silent(self, now: int, receiver: Receiver) -> bool:
         """Whether calls are out and nothing has come back for much longer than usual."""
-        since = max(next(iter(receiver.calls), now), receiver.answered_at)
-        usual = 2 * receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else USUAL_SILENCE
+        since = max(next(iter(receiver.unanswered_attempts), now), receiver.answered_at)
+        usual = 2 * receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else DEFAULT_SILENCE
         # A single lost call is not enough evidence.
-        return len(receiver.calls) > 1 and now - since > max(MIN_SILENCE, usual)
+        return len(receiver.unanswered_attempts) > 1 and now - since > max(MIN_SILENCE, usual)
--- a/cedarwick/decisions/interface.py
+++ b/cedarwick/decisions/interface.py
@@ -8,7 +8,7 @@
     handle = sender.accept(now, id, ...)          a new message
     handle.attempt_ended(now, outcome, attempt, ...)    an outcome of one of its attempts
     handle.withdrawn(now)                         its client has given it up
-    verdicts = sender.decide(now)                 once, after the events of a round
+    decisions = sender.decide(now)                 once, after the events of a round
 
 A protocol on sockets uses besides:
 
@@ -183,13 +183,13 @@
         outcome: Outcome,
         attempt: int,
         receiver: int,
-        took: int,
+        duration: int,
         retry_after: int,
         last: bool,
         report: Sequence[float],
         reused_connection: bool = False,
     ) -> None:
-        """Report the outcome of the running attempt; `took` and `retry_after` are microseconds."""
+        """Report the outcome of the running attempt; `duration` and `retry_after` are microseconds."""
         ...
 
     def withdrawn(self, now: int) -> None:
--- a/cedarwick/decisions/load_shedding.py
+++ b/cedarwick/decisions/load_shedding.py
@@ -9,7 +9,7 @@
 from cedarwick.decisions.urgency import Urgency
 
 ALLOWANCE_BURST_S = 2  # seconds of a tenant's allowance that it may use at once
-UNKNOWN_OUTAGE = 10 * SECOND  # assumed age of an outage of which no receiver tells
+ASSUMED_OUTAGE_AGE = 10 * SECOND  # assumed age of an outage of which no receiver tells
 OUTAGE_BASE_S = 3.0  # seconds that a message takes at least at a destination that is out
 
 
@@ -22,7 +22,7 @@
         if allowance <= 0:
             return False
         unused = self.tenant_allowances.setdefault(tenant, TokenBucket(allowance * ALLOWANCE_BURST_S, now))
-        unused.fill(now, allowance, allowance * ALLOWANCE_BURST_S)
+        unused.refill(now, allowance, allowance * ALLOWANCE_BURST_S)
         return not unused.take()
 
     def _shed(self, now: int) -> None:
@@ -32,17 +32,20 @@
         would fill the sender, and messages for all others would be refused.
         """
         bound = max(
-            2, min(self.most_open - 1, self.open_messages + self.storable_messages)
+            2, min(self.max_open_messages - 1, self.open_messages + self.storable_messages)
         )  # a full message store refuses everything too
         while self.open_messages >= bound:
-            holding = [place for place in self.destinations.values() if place.held]
-            places = sorted(holding, key=lambda each: (-self._drain(now, each), each.id))
-            lines = ([held for held in place.held if not (held.in_flight or held.ended)] for place in places)
+            holding = [destination_state for destination_state in self.destinations.values() if destination_state.held]
+            destination_states = sorted(holding, key=lambda each: (-self._drain_time_s(now, each), each.id))
+            lines = (
+                [held for held in destination_state.held if not (held.in_flight or held.ended)]
+                for destination_state in destination_states
+            )
             spare = next((line for line in lines if line), None)
             if spare is None:
                 return
             # The lowest priority goes first, even if it was attempted already: if only messages without an attempt
-            # could go, the most important ones would be shed in their place.
+            # could go, the most important ones would be shed in their destination_state.
             self.give_up(
                 now,
                 max(
@@ -51,14 +54,16 @@
                 ),
             )
 
-    def _drain(self, now: int, place: Destination) -> float:
+    def _drain_time_s(self, now: int, destination_state: Destination) -> float:
         """An estimate of how many seconds a destination takes to work off its backlog."""
-        ready = place.ready
-        lost = max((now - member.ejected_since for member in ready if member.ejected_since), default=UNKNOWN_OUTAGE)
-        if any(not member.ejected_since for member in ready):
-            return len(place.held) / max(member.rate_control.rate or 1.0 for member in ready)
+        ready = destination_state.ready_receivers
+        lost = max(
+            (now - receiver.ejected_since for receiver in ready if receiver.ejected_since), default=ASSUMED_OUTAGE_AGE
+        )
+        if any(not receiver.ejected_since for receiver in ready):
+            return len(destination_state.held) / max(receiver.rate_control.rate or 1.0 for receiver in ready)
         # Expect an outage to last as long again as it already has.
-        return len(place.held) * (OUTAGE_BASE_S + lost / SECOND)
+        return len(destination_state.held) * (OUTAGE_BASE_S + lost / SECOND)
 
     def give_up(self, now: int, message: Handle) -> None:
         """Close the message without delivery: nack it if no attempt can have run, otherwise abandon it.
@@ -66,10 +71,10 @@
         A nack advises a wait (microseconds) where the settings allow Retry-After.
         """
         if message.ran_at:
-            self.verdicts.abandoned.append(message.id)
+            self.decisions.abandoned.append(message.id)
         else:
             longest = duration_setting(self.settings, "policy-limits.max-retry-after-ms")
             longest *= flag_setting(self.settings, "policy-limits.retry-after")
             wait = min(longest, max(0, self.destinations[message.destination].rate_control.wait_until - now))
-            self.verdicts.nacks.append((message.id, wait))
+            self.decisions.nacks.append((message.id, wait))
         self.close(now, message)
--- a/cedarwick/decisions/message_handle.py
+++ b/cedarwick/decisions/message_handle.py
@@ -7,7 +7,7 @@
 
 from cedarwick.decisions.health import HealthTracking
 from cedarwick.decisions.interface import Outcome
-from cedarwick.decisions.sender_state import BACKOFF_BASE, MANY, START_MARGIN_TICKS
+from cedarwick.decisions.sender_state import BACKOFF_BASE, MANY_SENDERS, START_MARGIN_TICKS
 from cedarwick.decisions.state import ASSUMED_LATENCY, NEVER, SECOND, Message
 
 MAX_BACKOFF_DOUBLINGS = 16  # of the window from which a random backoff is drawn
@@ -27,7 +27,7 @@
         outcome: Outcome,
         attempt: int,
         receiver: int,
-        took: int,
+        duration: int,
         retry_after: int,
         last: bool,
         report: Sequence[float],
@@ -35,8 +35,8 @@
     ) -> None:
         """Record the outcome of the running attempt, then close the message or schedule its retry.
 
-        `took` and `retry_after` are microseconds; `last` says that no retry may follow; `report` holds the values of
-        the setting `report.columns`. Does nothing where no attempt is running.
+        `duration` and `retry_after` are microseconds; `last` says that no retry may follow; `report` holds the values
+        of the setting `report.columns`. Does nothing where no attempt is running.
         """
         sender = self.sender
         if not self.in_flight:
@@ -44,22 +44,26 @@
         self.in_flight = False
         record = sender.receivers[receiver]
         stale = reused_connection and outcome is Outcome.RESET
-        sender.broken_reuse_share += (stale - sender.broken_reuse_share) / MANY if reused_connection else 0.0
-        sender.learn(now, self, record, Outcome.MOOT if stale else outcome, took, retry_after, report)
+        sender.broken_reuse_share += (stale - sender.broken_reuse_share) / MANY_SENDERS if reused_connection else 0.0
+        sender.record_outcome(now, self, record, Outcome.MOOT if stale else outcome, duration, retry_after, report)
         if outcome in (Outcome.TIME_OUT, Outcome.RESET, Outcome.CANCELLED):
             self.doubtful_at = now
         if not outcome.never_ran and outcome is not Outcome.COMPLETED and not self.ran_at:
             self.ran_at, self.ran_zone = self.sent_at, record.zone
-        self.cancelled += outcome is Outcome.CANCELLED
+        self.cancelled_attempts += outcome is Outcome.CANCELLED
         if last or self.ended or outcome is Outcome.COMPLETED:
             sender.close(now, self)
             return
         window = min(BACKOFF_CAP, BACKOFF_BASE << min(self.attempts - 1, MAX_BACKOFF_DOUBLINGS))
         # A call that broke on a reused idle connection says nothing about the receiver's health: retry without backoff.
-        wait = retry_after if retry_after and not sender.many else retry_after + sender.random_source.below(window)
+        wait = (
+            retry_after
+            if retry_after and not sender.many_senders
+            else retry_after + sender.random_source.randrange(window)
+        )
         self.not_before = now + (1 if outcome is Outcome.MOOT or stale else wait)
         # The backoff must not pass the last useful start: there the message would be given up with attempts left.
-        useful = self.deadline - round(sender.destinations[self.destination].quickest or ASSUMED_LATENCY)
+        useful = self.deadline - round(sender.destinations[self.destination].min_latency or ASSUMED_LATENCY)
         self.not_before = max(
             now, min(self.not_before, min(self.repeat_until(), useful) - sender.tick * START_MARGIN_TICKS)
         )
--- a/cedarwick/decisions/policy.py
+++ b/cedarwick/decisions/policy.py
@@ -20,21 +20,21 @@
 
 MAX_CANCELLED_ATTEMPTS = 2  # cancelled attempts after which a message is given up
 CONNECT_FAILURE_LIMIT = 0.05  # a larger share of completions right after a failed connection: tables are full
-KEY_REST = 300_000  # microseconds: the rest of a key of which another sender has earlier messages; renewable
-KEY_REST_RESERVE = SECOND  # such a rest ends at least this long before the first message's deadline
+KEY_PAUSE = 300_000  # microseconds: the rest of a key of which another sender has earlier messages; renewable
+KEY_PAUSE_RESERVE = SECOND  # such a rest ends at least this long before the first message's deadline
 
 
 def priority_class_of(settings: Mapping[str, str], index: int) -> PriorityClass:
     """One priority class as the settings give it under `classes.INDEX.`."""
     head = f"classes.{index}."
-    halves = settings.get("family-info.late") == "by_half"
+    halving = settings.get("family-info.late") == "by_half"
     repeat = settings.get(head + "repeat", "single_shot")
     return PriorityClass(
         priority_weight=float_setting(settings, head + "worth", 1.0),
         latency_objective=duration_setting(settings, head + "slo-ms", 1000.0),
         deadline=duration_setting(settings, head + "deadline-ms", 10_000.0),
         late_share=float_setting(settings, head + "late-worth"),
-        halves_in=duration_setting(settings, head + "slo-ms", 1000.0) if halves else 0,
+        value_half_life=duration_setting(settings, head + "slo-ms", 1000.0) if halving else 0,
         idempotent=repeat == "free",
         at_most_once=repeat not in ("free", "guarded"),
         dedup_window=duration_setting(settings, head + "dedup-window-ms"),
@@ -58,8 +58,8 @@
         """Accept a message; `deadline` is a time in microseconds, `key` 0 where order does not matter."""
         chosen_class = self.priority_classes[priority_class]
         objective_by = deadline - chosen_class.deadline + chosen_class.latency_objective
-        self.taken += 1
-        handle = Handle(message_id, destination, chosen_class, deadline, objective_by, tenant, key, self.taken)
+        self.accepted_count += 1
+        handle = Handle(message_id, destination, chosen_class, deadline, objective_by, tenant, key, self.accepted_count)
         handle.sender = self
         handle.over_share = self._over_share(now, tenant)
         if chosen_class.ordered and key:
@@ -75,7 +75,7 @@
         self.order_key_queues.all_paused_until = now + duration_setting(self.settings, "rules.turn-gap-ms")
         handles = [self.accept(now, *each[:-1]) for each in unfinished]
         # If the settings now allow fewer open messages, the recovered ones must not be shed without an attempt.
-        self.most_open = max(self.most_open, self.open_messages + 2)
+        self.max_open_messages = max(self.max_open_messages, self.open_messages + 2)
         for handle, each in zip(handles, unfinished, strict=True):
             handle.attempts = len(each.attempts)
             for attempt in reversed(each.attempts):
@@ -84,14 +84,14 @@
         return handles
 
     def pause_key(self, now: int, key: int) -> list[Handle]:
-        """Hold the messages of a key back for `KEY_REST`, since another sender still has earlier ones.
+        """Hold the messages of a key back for `KEY_PAUSE`, since another sender still has earlier ones.
 
         Returns those that had no attempt yet.
         """
         line = self.order_key_queues.queues.get(key) or ()
         if line:
             # The other sender may never finish: leave the first message enough time for its own attempt.
-            self.order_key_queues.pause(key, min(now + KEY_REST, line[0].deadline - KEY_REST_RESERVE))
+            self.order_key_queues.pause(key, min(now + KEY_PAUSE, line[0].deadline - KEY_PAUSE_RESERVE))
         return [each for each in line if not each.attempts]
 
     def decide(self, now: int) -> Decisions:
@@ -99,55 +99,72 @@
 
         `wake_at` of the result is when to call again (microseconds) if nothing happens before.
         """
-        self.changed.update(self.looks.due(now))
-        places = [self.destinations[each] for each in sorted(self.changed)]
-        self.changed.clear()
-        for place in places:
-            self._begin_round(place)
-        next_look = self._look_at_held(now, places)
+        self.changed_destinations.update(self.wake_schedule.due(now))
+        destination_states = [self.destinations[each] for each in sorted(self.changed_destinations)]
+        self.changed_destinations.clear()
+        for destination_state in destination_states:
+            self._begin_round(destination_state)
+        next_checks = self._process_held_messages(now, destination_states)
         self._shed(now)
-        for place in places:
-            place.held = [held for held in place.held if not (held.in_flight or held.ended)]
-            self.looks.plan(place.id, max(next_look.get(place.id, NEVER), now + self.tick))
+        for destination_state in destination_states:
+            destination_state.held = [held for held in destination_state.held if not (held.in_flight or held.ended)]
+            self.wake_schedule.schedule(
+                destination_state.id, max(next_checks.get(destination_state.id, NEVER), now + self.tick)
+            )
         self._release_connections()
-        verdicts, self.verdicts = self.verdicts, Decisions()
+        decisions, self.decisions = self.decisions, Decisions()
         if now >= self.subscribe_at:
-            verdicts.subscribe, self.subscribe_at, self.polled_at = True, NEVER, now
-        wake_at = min(self.looks.soonest(), self.subscribe_at, now + self.tick if self.changed else NEVER)
-        verdicts.wake_at = wake_at if wake_at < NEVER else None
-        return verdicts
+            decisions.subscribe, self.subscribe_at, self.last_poll_at = True, NEVER, now
+        wake_at = min(
+            self.wake_schedule.earliest(), self.subscribe_at, now + self.tick if self.changed_destinations else NEVER
+        )
+        decisions.wake_at = wake_at if wake_at < NEVER else None
+        return decisions
 
-    def _begin_round(self, place: Destination) -> None:
+    def _begin_round(self, destination_state: Destination) -> None:
         """Compute the values of a destination that stay the same through the round."""
-        place.ready = [self.receivers[each] for each in place.members if self.receivers[each].ready]
-        place.quickest = min((member.mean_latency for member in place.ready), default=0.0)
-        place.waits_until = min((member.rate_control.wait_until for member in place.ready), default=0)
-        place.room.clear()
+        destination_state.ready_receivers = [
+            self.receivers[each] for each in destination_state.receiver_ids if self.receivers[each].ready
+        ]
+        destination_state.min_latency = min(
+            (candidate.mean_latency for candidate in destination_state.ready_receivers), default=0.0
+        )
+        destination_state.first_wait_end = min(
+            (candidate.rate_control.wait_until for candidate in destination_state.ready_receivers), default=0
+        )
+        destination_state.candidates.clear()
 
-    def _look_at_held(self, now: int, places: Sequence[Destination]) -> dict[int, int]:
+    def _process_held_messages(self, now: int, destination_states: Sequence[Destination]) -> dict[int, int]:
         """Advance the held messages, most urgent first; returns the time of the next look by destination."""
-        next_look: dict[int, int] = {}
+        next_checks: dict[int, int] = {}
         alone = max(self.messages_per_call, default=1) == 1
-        waiting = [held for place in places for held in place.held if not (held.in_flight or held.ended)]
+        waiting = [
+            held
+            for destination_state in destination_states
+            for held in destination_state.held
+            if not (held.in_flight or held.ended)
+        ]
         for message in sorted(waiting, key=lambda held: self._urgency(now, held)):
-            place = self.destinations[message.destination]
-            known = now < message.look_at and place.room.get(message.asks)
+            destination_state = self.destinations[message.destination]
+            known = now < message.next_check_at and destination_state.candidates.get(message.candidate_filter)
             if known and (alone or not known[0]):  # no room, or no slot
-                place.turn(message.asks)
-                look_at = message.look_at if known[0] else min(known[1], message.look_at)
+                destination_state.rotate(message.candidate_filter)
+                check_at = message.next_check_at if known[0] else min(known[1], message.next_check_at)
             else:
-                look_at = self.advance(now, message)
-            next_look[place.id] = min(look_at, next_look.get(place.id, NEVER))
-        return next_look
+                check_at = self.advance(now, message)
+            next_checks[destination_state.id] = min(check_at, next_checks.get(destination_state.id, NEVER))
+        return next_checks
 
     def _release_connections(self) -> None:
         """Release idle connections that fill a receiver's table, or that it will have closed before their next use."""
-        for each in sorted(self.idle & self.receivers.keys()):
+        for each in sorted(self.ended_call_receivers & self.receivers.keys()):
             record = self.receivers[each]
             crowded = self.connect_failure_shares.get(record.kind, 0.0) > CONNECT_FAILURE_LIMIT
-            if not record.calls and (crowded or self.many and record.gap > self.connection_idle_limit):
-                self.verdicts.released_connections.append(each)
-        self.idle.clear()
+            if not record.unanswered_attempts and (
+                crowded or self.many_senders and record.last_attempt_gap > self.connection_idle_limit
+            ):
+                self.decisions.released_connections.append(each)
+        self.ended_call_receivers.clear()
 
     def advance(self, now: int, message: Handle) -> int:
         """Order an attempt for a held message, give it up, or let it wait.
@@ -155,14 +172,14 @@
         Returns the time of its next look (microseconds); NEVER where it needs none.
         """
         priority_class = message.priority_class
-        place = self.destinations[message.destination]
-        last_start = message.deadline - max(self.tick * START_MARGIN_TICKS, round(place.quickest / 2))
+        destination_state = self.destinations[message.destination]
+        last_start = message.deadline - max(self.tick * START_MARGIN_TICKS, round(destination_state.min_latency / 2))
         last_start = min(last_start, message.repeat_until() - 1)
-        start = max(now, message.not_before, place.waits_until)
+        start = max(now, message.not_before, destination_state.first_wait_end)
         # Terminal: out of attempts, or a further one could take effect twice, or cannot finish in time.
         if (
-            message.attempts >= self.most_attempts
-            or message.cancelled >= MAX_CANCELLED_ATTEMPTS
+            message.attempts >= self.max_attempts
+            or message.cancelled_attempts >= MAX_CANCELLED_ATTEMPTS
             or (priority_class.at_most_once and message.ran_at)
             or start > last_start
         ):
@@ -179,23 +196,34 @@
             if message.ran_at and priority_class.single_zone and not priority_class.idempotent
             else None
         )
-        asking = zone, priority_class.at_most_once
-        if asking not in place.room:  # cached: each event would otherwise scan all receivers for every held message
-            members = [member for member in place.ready if zone is None or member.zone == zone]
-            place.room[asking] = self._with_room(now, message, members)
-        message.look_at, message.asks = last_start + 1, asking
-        receiver = next((member for member, _ in place.room[asking][0] if self._joins(now, member)), None)
-        receiver = receiver or place.turn(asking)
+        filter_key = zone, priority_class.at_most_once
+        if (
+            filter_key not in destination_state.candidates
+        ):  # cached: each event would otherwise scan all receivers for every held message
+            eligible = [
+                candidate for candidate in destination_state.ready_receivers if zone is None or candidate.zone == zone
+            ]
+            destination_state.candidates[filter_key] = self._find_candidates(now, message, eligible)
+        message.next_check_at, message.candidate_filter = last_start + 1, filter_key
+        receiver = next(
+            (
+                candidate
+                for candidate, _ in destination_state.candidates[filter_key][0]
+                if self._can_share_call(now, candidate)
+            ),
+            None,
+        )
+        receiver = receiver or destination_state.rotate(filter_key)
         if receiver is None:
-            return min(place.room[asking][1], last_start + 1)
-        joins = self._joins(now, receiver)
-        if not joins and self.calls_in_flight >= self.slots:
-            self.starved.add(place.id)
+            return min(destination_state.candidates[filter_key][1], last_start + 1)
+        shares_call = self._can_share_call(now, receiver)
+        if not shares_call and self.calls_in_flight >= self.max_calls_in_flight:
+            self.destinations_without_slot.add(destination_state.id)
             return last_start + 1
-        place.room.clear()
-        self._spend(now, receiver, joins)
+        destination_state.candidates.clear()
+        self._account_for_attempt(now, receiver, shares_call)
         message.in_flight, message.sent_at = True, now
         message.attempts += 1
         patience = self._attempt_time_out(now, message, receiver)
-        self.verdicts.attempts.append((message.id, receiver.id, patience))
+        self.decisions.attempts.append((message.id, receiver.id, patience))
         return NEVER
--- a/cedarwick/decisions/setting_rules.py
+++ b/cedarwick/decisions/setting_rules.py
@@ -5,40 +5,46 @@
 
 from cedarwick.errors import CedarwickError
 
-ANY = (0.0, math.inf)
+NON_NEGATIVE = (0.0, math.inf)
 SHARE = (0.0, 1.0)
-SOME = (1.0, math.inf)
+AT_LEAST_ONE = (1.0, math.inf)
 
-SPANS_AND_FIGURES = {
-    "resolution-ms": ANY,
-    "over-share-worth": ANY,
-    "policy-limits.conn-idle-ms": ANY,
-    "policy-limits.max-retry-after-ms": ANY,
-    "rules.ask-within-ms": ANY,
+NUMBER_RANGES = {
+    "resolution-ms": NON_NEGATIVE,
+    "over-share-worth": NON_NEGATIVE,
+    "policy-limits.conn-idle-ms": NON_NEGATIVE,
+    "policy-limits.max-retry-after-ms": NON_NEGATIVE,
+    "rules.ask-within-ms": NON_NEGATIVE,
     "rules.cold-share": SHARE,
-    "rules.fall-ms": ANY,
-    "rules.fall-multiple": ANY,
-    "rules.ramp-time-ms": ANY,
-    "rules.turn-gap-ms": ANY,
-    "tariffs.cross-zone": ANY,
+    "rules.fall-ms": NON_NEGATIVE,
+    "rules.fall-multiple": NON_NEGATIVE,
+    "rules.ramp-time-ms": NON_NEGATIVE,
+    "rules.turn-gap-ms": NON_NEGATIVE,
+    "tariffs.cross-zone": NON_NEGATIVE,
 }
-COUNTS = {
+COUNT_RANGES = {
     "classes.count": (1.0, 256.0),
-    "balancers": SOME,
-    "locality": ANY,
-    "family-info.max-calls": SOME,
-    "policy-limits.most-tries": SOME,
-    "policy-limits.max-open": SOME,
+    "balancers": AT_LEAST_ONE,
+    "locality": NON_NEGATIVE,
+    "family-info.max-calls": AT_LEAST_ONE,
+    "policy-limits.most-tries": AT_LEAST_ONE,
+    "policy-limits.max-open": AT_LEAST_ONE,
 }
-WORDS = {
+CHOICES = {
     "discovery": ("push", "ask"),
     "family-info.late": ("even", "by_half"),
     "weight-source": ("off", "nominal", "rough", "live"),
     "policy-limits.retry-after": ("true", "false"),
 }
-LISTS = {"family-info.per-call": SOME, "family-info.fee-by-zone": ANY}
-OF_A_CLASS = {"worth": ANY, "slo-ms": ANY, "deadline-ms": ANY, "late-worth": SHARE, "dedup-window-ms": ANY}
-WORDS_OF_A_CLASS = {
+LIST_RANGES = {"family-info.per-call": AT_LEAST_ONE, "family-info.fee-by-zone": NON_NEGATIVE}
+CLASS_NUMBER_RANGES = {
+    "worth": NON_NEGATIVE,
+    "slo-ms": NON_NEGATIVE,
+    "deadline-ms": NON_NEGATIVE,
+    "late-worth": SHARE,
+    "dedup-window-ms": NON_NEGATIVE,
+}
+CLASS_CHOICES = {
     "repeat": ("free", "guarded", "single_shot"),
     "group": ("all", "zone", "cell"),
     "in-turn": ("true", "false"),
@@ -57,25 +63,25 @@
 
     Absent and empty settings are accepted: they have defaults.
     """
-    for name, bounds in SPANS_AND_FIGURES.items():
-        _figure(settings, name, bounds)
-    for name, bounds in COUNTS.items():
-        _figure(settings, name, bounds, whole=True)
-    for name, words in WORDS.items():
-        _word(settings, name, words)
-    for name, bounds in LISTS.items():
+    for name, bounds in NUMBER_RANGES.items():
+        _check_number(settings, name, bounds)
+    for name, bounds in COUNT_RANGES.items():
+        _check_number(settings, name, bounds, whole=True)
+    for name, words in CHOICES.items():
+        _check_choice(settings, name, words)
+    for name, bounds in LIST_RANGES.items():
         for part in settings.get(name, "").split(","):
-            _figure({name: part}, name, bounds, whole=bounds is SOME)
+            _check_number({name: part}, name, bounds, whole=bounds is AT_LEAST_ONE)
     for part in settings.get("family-info.kind-apart", "").split(","):
-        _word({"family-info.kind-apart": part}, "family-info.kind-apart", ("true", "false"))
+        _check_choice({"family-info.kind-apart": part}, "family-info.kind-apart", ("true", "false"))
     for index in range(int(float(settings.get("classes.count") or 0))):
-        for name, bounds in OF_A_CLASS.items():
-            _figure(settings, f"classes.{index}.{name}", bounds)
-        for name, words in WORDS_OF_A_CLASS.items():
-            _word(settings, f"classes.{index}.{name}", words)
+        for name, bounds in CLASS_NUMBER_RANGES.items():
+            _check_number(settings, f"classes.{index}.{name}", bounds)
+        for name, words in CLASS_CHOICES.items():
+            _check_choice(settings, f"classes.{index}.{name}", words)
 
 
-def _figure(settings: Mapping[str, str], name: str, bounds: tuple[float, float], whole: bool = False) -> None:
+def _check_number(settings: Mapping[str, str], name: str, bounds: tuple[float, float], whole: bool = False) -> None:
     text = settings.get(name)
     if not text:
         return
@@ -89,7 +95,7 @@
         raise SettingError(f"{name} is {text[:40]}, not a {kind} of at least {bounds[0]:g}{most}")
 
 
-def _word(settings: Mapping[str, str], name: str, words: tuple[str, ...]) -> None:
+def _check_choice(settings: Mapping[str, str], name: str, words: tuple[str, ...]) -> None:
     text = settings.get(name)
     if text and text not in words:
         raise SettingError(f"{name} is {text[:40]!r}, not one of {', '.join(words)}")
--- a/cedarwick/decisions/state.py
+++ b/cedarwick/decisions/state.py
@@ -21,7 +21,7 @@
     def __init__(self, seed: int) -> None:
         self.state = seed
 
-    def below(self, bound: int) -> int:
+    def randrange(self, bound: int) -> int:
         """The next draw: a whole number of at least 0 and below the bound."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) % (1 << 64)
         return (self.state >> 32) * bound >> 32
@@ -32,12 +32,12 @@
     """A token bucket: tokens accrue at a rate (a second), up to a depth."""
 
     tokens: float = 1.0
-    filled_at: int = -NEVER  # never yet: the first filling reaches the depth
+    refilled_at: int = -NEVER  # never yet: the first filling reaches the depth
 
-    def fill(self, now: int, rate: float, depth: float) -> int:
+    def refill(self, now: int, rate: float, depth: float) -> int:
         """Add the tokens accrued since the last call; returns the microseconds until a whole token is there."""
-        self.tokens = min(depth, self.tokens + rate * (now - self.filled_at) / SECOND)
-        self.filled_at = now
+        self.tokens = min(depth, self.tokens + rate * (now - self.refilled_at) / SECOND)
+        self.refilled_at = now
         return 0 if self.tokens >= 1 else 1 + int((1 - self.tokens) * SECOND / rate)
 
     def take(self) -> bool:
@@ -112,28 +112,28 @@
     """When each destination is due for its next decision; a new plan for one replaces the old."""
 
     def __init__(self) -> None:
-        self.planned: dict[int, int] = {}
+        self.scheduled: dict[int, int] = {}
         self.heap: list[tuple[int, int]] = []
 
-    def plan(self, place: int, at: int) -> None:
+    def schedule(self, destination_id: int, at: int) -> None:
         """Plan the next look at a destination; NEVER drops its plan."""
         if at >= NEVER:
-            self.planned.pop(place, None)
-        elif self.planned.get(place) != at:
-            self.planned[place] = at
-            heapq.heappush(self.heap, (at, place))
+            self.scheduled.pop(destination_id, None)
+        elif self.scheduled.get(destination_id) != at:
+            self.scheduled[destination_id] = at
+            heapq.heappush(self.heap, (at, destination_id))
 
     def due(self, now: int) -> list[int]:
         """Destinations whose planned look has come; their plans are dropped."""
         found = []
         while self.heap and self.heap[0][0] <= now:
-            at, place = heapq.heappop(self.heap)
-            if self.planned.get(place) == at:
-                del self.planned[place]
-                found.append(place)
+            at, destination_id = heapq.heappop(self.heap)
+            if self.scheduled.get(destination_id) == at:
+                del self.scheduled[destination_id]
+                found.append(destination_id)
         return found
 
-    def soonest(self) -> int:
+    def earliest(self) -> int:
         """A time before which no look is due; NEVER where none is planned."""
         return self.heap[0][0] if self.heap else NEVER
 
@@ -151,17 +151,17 @@
     dedup_window: int  # for numbered messages: how long a destination remembers the number
     single_zone: bool  # repeats only within the zone of the first attempt that may have run
     ordered: bool
-    halves_in: int = 0  # after the latency objective the value falls by half in this time; 0: evenly
+    value_half_life: int = 0  # after the latency objective the value falls by half in this time; 0: evenly
 
     def delivery_value(self, late: int) -> tuple[float, float]:
         """The value of delivery `late` microseconds after the latency objective, and its loss a second."""
         least, late = self.priority_weight * self.late_share, max(late, 0)
-        if not self.halves_in:
+        if not self.value_half_life:
             fades = max(SECOND, self.deadline - self.latency_objective)
             lost = (self.priority_weight - least) / fades
             return max(least, self.priority_weight - lost * late), lost * SECOND
-        left = float(self.priority_weight * 2.0 ** (-late / self.halves_in))
-        return (left, left * log(2) * SECOND / self.halves_in) if left > least else (least, 0.0)
+        left = float(self.priority_weight * 2.0 ** (-late / self.value_half_life))
+        return (left, left * log(2) * SECOND / self.value_half_life) if left > least else (least, 0.0)
 
 
 @dataclass(slots=True)
@@ -169,24 +169,24 @@
     """The rate state of one destination, or of one receiver where its kind has a rate of its own."""
 
     rate: float | None = None  # calls a second; None: unbounded
-    reference: float = 0.0  # the rate that small steps are measured by
+    reference_rate: float = 0.0  # the rate that small steps are measured by
     limit: float = 0.0  # what the destination is said to take from all senders; 0: unknown
-    left: float = 0.0  # the share of it that was last reported to be left
+    limit_left: float = 0.0  # the share of it that was last reported to be left
     bucket: TokenBucket = field(default_factory=TokenBucket)
     wait_until: int = 0
     cut_at: int = 0
     raised_at: int = 0
     tokens_ran_out: bool = False  # tokens ran out since the last raise
-    proven: bool = False  # a call has been completed here
+    has_completed: bool = False  # a call has been completed here
     canary_at: int = 0
     failed_since: int = 0  # the first failure at a receiver in service since the last completion; 0: none
     throttled_since: int = 0  # the first throttle since the last completion; 0: none
     completed_at: int = 0  # the last completion, and the send time of the newest call that was completed
     completed_sent_at: int = -1
     calls_in_flight: int = 0
-    sends: deque[int] = field(default_factory=deque)
-    answers: deque[int] = field(default_factory=deque)
-    throttles: deque[int] = field(default_factory=deque)  # those answers that were refusals as full
+    send_times: deque[int] = field(default_factory=deque)
+    answer_times: deque[int] = field(default_factory=deque)
+    throttle_times: deque[int] = field(default_factory=deque)  # those answers that were refusals as full
 
 
 @dataclass(slots=True)
@@ -199,8 +199,8 @@
     destination: int
     rate_control: RateControl
     ready: bool = True
-    left_at: int = 0  # since when it is not; 0: it is
-    credit: float = 0.0  # its place in the rotation
+    not_ready_since: int = 0  # since when it is not; 0: it is
+    rotation_credit: float = 0.0  # its destination_id in the rotation
     mean_latency: float = 0.0  # mean time to answer, and its mean deviation (microseconds); 0: nothing seen
     latency_deviation: float = 0.0
     recent_successes: deque[bool] = field(default_factory=deque)  # its last few outcomes: completed or failed
@@ -209,21 +209,21 @@
     throttled_since: int = 0  # throttles with no completion between them: since when, how many
     consecutive_throttles: int = 0
     observed_rate: float = 0.0  # calls a second it was seen to complete for this sender
-    completions: deque[int] = field(default_factory=deque)
+    completion_times: deque[int] = field(default_factory=deque)
     completed_sent_at: int = -1  # send time of the newest call that was completed
     answered_at: int = 0
-    used_at: int = 0  # the newest attempt, and how long after the one before it
-    gap: int = 0
+    last_attempt_at: int = 0  # the newest attempt, and how long after the one before it
+    last_attempt_gap: int = 0
     ejected_since: int = 0  # 0: in service
-    suspected: bool = False  # it or a mate failed, and no receiver of its pace has completed a call since
-    failed: bool = False  # the outage showed in an outcome, not in silence alone
+    suspected: bool = False  # it or a sibling failed, and no receiver of its rate_control has completed a call since
+    outage_confirmed: bool = False  # the outage showed in an outcome, not in silence alone
     proved_never_ran: bool = False  # its last failure proved that nothing ran
     canary_at: int = 0
     canary_in_flight: bool = False
     recovered_at: int = 0  # when it returned from an outage; 0: not within its ramp
     ramp_until: int = 0  # its ramp does not end before this
-    ramp: TokenBucket = field(default_factory=TokenBucket)
-    calls: dict[int, int] = field(default_factory=dict)  # send time: attempts without an outcome
+    ramp_bucket: TokenBucket = field(default_factory=TokenBucket)
+    unanswered_attempts: dict[int, int] = field(default_factory=dict)  # send time: attempts without an outcome
 
     @property
     def in_service(self) -> bool:
@@ -234,21 +234,21 @@
         """Its outage, for a record that outlives this one."""
         return DepartedOutage(self.ejected_since, self.proved_never_ran, self.observed_rate)
 
-    def attempt_sent(self, now: int, joins: bool) -> None:
-        """Record an attempt that goes out now; one that joins a call takes no tokens."""
-        self.calls[now] = self.calls.get(now, 0) + 1
-        self.gap, self.used_at = now - self.used_at, now
-        if not joins:
+    def attempt_sent(self, now: int, shares_call: bool) -> None:
+        """Record an attempt that goes out now; one that shares_call a call takes no tokens."""
+        self.unanswered_attempts[now] = self.unanswered_attempts.get(now, 0) + 1
+        self.last_attempt_gap, self.last_attempt_at = now - self.last_attempt_at, now
+        if not shares_call:
             self.rate_control.calls_in_flight += 1
             self.rate_control.bucket.take()
-            self.ramp.take()
+            self.ramp_bucket.take()
 
-    def attempt_over(self, sent_at: int) -> int:
+    def attempt_finished(self, sent_at: int) -> int:
         """How many attempts of the same time are still without an outcome."""
-        left = self.calls.get(sent_at, 1) - 1
-        self.calls[sent_at] = left
+        left = self.unanswered_attempts.get(sent_at, 1) - 1
+        self.unanswered_attempts[sent_at] = left
         if left <= 0:
-            del self.calls[sent_at]
+            del self.unanswered_attempts[sent_at]
         return left
 
 
@@ -263,10 +263,10 @@
     objective_by: int
     tenant: int
     key: int
-    order: int
+    accepted_order: int
     over_share: bool = False
     attempts: int = 0
-    cancelled: int = 0
+    cancelled_attempts: int = 0
     in_flight: bool = False
     sent_at: int = 0
     not_before: int = 0  # not before this
@@ -275,9 +275,9 @@
     doubtful_at: int = 0  # when an attempt ended that may still be running
     ended: bool = False
     rank: tuple[float, int, int] = (0.0, 0, 0)  # sorts the most urgent first, and until when it holds
-    rank_until: int = 0
-    look_at: int = 0  # where it found no room: its next look even if there is none, and what it asked for
-    asks: tuple[int | None, bool] = (None, False)
+    rank_valid_until: int = 0
+    next_check_at: int = 0  # where it found no room: its next look even if there is none, and what it asked for
+    candidate_filter: tuple[int | None, bool] = (None, False)
 
 
 @dataclass(slots=True)
@@ -295,25 +295,25 @@
 
     id: int
     rate_control: RateControl
-    members: list[int] = field(default_factory=list)
+    receiver_ids: list[int] = field(default_factory=list)
     held: list[Any] = field(default_factory=list)
     # Of the round under way: who may be sent to, the shortest time to answer, the first end of a wait, and
     # who has room or when one may have, by the zone asked for and by whether they go at most once.
-    ready: list[Receiver] = field(default_factory=list)
-    quickest: float = 0.0
-    waits_until: int = 0
-    room: dict[tuple[int | None, bool], tuple[list[tuple[Receiver, float]], int]] = field(default_factory=dict)
+    ready_receivers: list[Receiver] = field(default_factory=list)
+    min_latency: float = 0.0
+    first_wait_end: int = 0
+    candidates: dict[tuple[int | None, bool], tuple[list[tuple[Receiver, float]], int]] = field(default_factory=dict)
     connect_failed_at: int = 0  # when a connection failed, until the next completion
-    departed: DepartedOutage | None = None  # of receivers whose records are gone; until the next completion
+    departed_outage: DepartedOutage | None = None  # of receivers whose records are gone; until the next completion
 
-    def turn(self, asking: tuple[int | None, bool]) -> Receiver | None:
+    def rotate(self, filter_key: tuple[int | None, bool]) -> Receiver | None:
         """One step of a weighted rotation among those with room; None where nobody has any."""
         chosen, total = None, 0.0
-        for member, weight in self.room[asking][0]:
-            member.credit += weight
+        for receiver, weight in self.candidates[filter_key][0]:
+            receiver.rotation_credit += weight
             total += weight
-            if chosen is None or member.credit > chosen.credit:
-                chosen = member
+            if chosen is None or receiver.rotation_credit > chosen.rotation_credit:
+                chosen = receiver
         if chosen is not None:
-            chosen.credit -= total
+            chosen.rotation_credit -= total
         return chosen
--- a/tests/decisions/test_earlier_outages.py
+++ b/tests/decisions/test_earlier_outages.py
@@ -33,7 +33,7 @@
     def test_an_ejected_receiver_stays_ejected_and_its_outage_has_its_age(self) -> None:
         self.made.restore_health(NOW, 1, OUT)
         self.assertEqual(self.first.ejected_since, NOW - OUT.age)
-        self.assertTrue(self.first.failed)
+        self.assertTrue(self.first.outage_confirmed)
         self.assertFalse(self.second.ejected_since)
         (change,) = self.made.take_health_changes()
         self.assertEqual((change.state, change.reason), (HealthState.EJECTED, HealthReason.BEFORE_RESTART))
@@ -52,8 +52,8 @@
     def test_the_return_is_not_taken_for_earlier_than_the_start(self) -> None:
         """The last look of the process before is not known; half the outage's age would end the ramp early."""
         self.made.restore_health(NOW, 1, OUT)
-        self.first.attempt_sent(NOW + 2 * SECOND, joins=False)
-        self.assertEqual(self.first.gap, 2 * SECOND)
+        self.first.attempt_sent(NOW + 2 * SECOND, shares_call=False)
+        self.assertEqual(self.first.last_attempt_gap, 2 * SECOND)
 
     def test_a_ramp_begins_anew(self) -> None:
         self.made.restore_health(NOW, 1, OUT._replace(state=HealthState.RAMPING, age=9 * SECOND))
--- a/tests/decisions/test_other_settings.py
+++ b/tests/decisions/test_other_settings.py
@@ -102,5 +102,5 @@
                 handle.attempt_ended(
                     now, Outcome.COMPLETED, 0, 1, 1000, 0, True, AttemptRunner._parse_report(attempts, text)
                 )
-                pace = dispatcher.sender.receivers[1].rate_control
-                self.assertEqual((pace.limit, pace.left), (80.0, 0.4))
+                rate_control = dispatcher.sender.receivers[1].rate_control
+                self.assertEqual((rate_control.limit, rate_control.limit_left), (80.0, 0.4))
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -62,8 +62,8 @@
         made = sender()
         handle = out(made, 1, NUMBERED)
         end(handle, Outcome.ERROR, NOW + 6_001 * MS)
-        verdicts = made.decide(NOW + 6_001 * MS)
-        self.assertEqual((verdicts.attempts, verdicts.abandoned), ([], [1]))
+        decisions = made.decide(NOW + 6_001 * MS)
+        self.assertEqual((decisions.attempts, decisions.abandoned), ([], [1]))
 
     def test_numbered_time_out_leaves_room_in_the_window(self) -> None:
         made = sender()
@@ -123,7 +123,7 @@
         made = sender()
         handle = out(made, 1)
         record = made.receivers[1]
-        record.ejected_since, record.failed, record.observed_rate = NOW, True, 4.0
+        record.ejected_since, record.outage_confirmed, record.observed_rate = NOW, True, 4.0
         end(handle, Outcome.COMPLETED, NOW + 3_000 * MS)
         for message in range(2, 9):
             take(made, message, now=NOW + 3_000 * MS)
@@ -166,7 +166,7 @@
         made = sender()
         out(made, 1)
         out(made, 2, now=NOW + MS)
-        made.receivers[1].rate_control.proven = True
+        made.receivers[1].rate_control.has_completed = True
         take(made, 3, now=NOW + 2_500 * MS)
         self.assertEqual(made.decide(NOW + 2_500 * MS).attempts, [])
 
@@ -195,7 +195,7 @@
 
     def test_a_cut_goes_by_the_attempts_seen_however_long_ago(self) -> None:
         made = sender(balancers="200")
-        made.started = NOW - 20_000 * MS
+        made.started_at = NOW - 20_000 * MS
         end(out(made, 1), Outcome.FULL, NOW + 100 * MS)
         rate = made.receivers[1].rate_control.rate
         assert rate is not None
@@ -224,15 +224,15 @@
 
     def test_a_sender_of_many_begins_little_above_its_even_part(self) -> None:
         made = sender(balancers="200", rate=400.0, weight_source="nominal")
-        self.assertAlmostEqual(made.receivers[1].rate_control.reference, 1.2 * 400 / 200)
+        self.assertAlmostEqual(made.receivers[1].rate_control.reference_rate, 1.2 * 400 / 200)
 
     def rate_after_reports(self, made: Sender, *limits: float) -> float:
         """The rate after reports of these limits, one after another; all come before the next attempt."""
         handle = out(made, 1)
         receiver = made.receivers[1]
         for limit in limits:
-            receiver.calls[handle.sent_at] = 1
-            made.learn(NOW, handle, receiver, Outcome.FULL, 0, 0, (0.3, limit))
+            receiver.unanswered_attempts[handle.sent_at] = 1
+            made.record_outcome(NOW, handle, receiver, Outcome.FULL, 0, 0, (0.3, limit))
         return receiver.rate_control.rate or 0.0
 
     def test_a_limit_that_changes_takes_the_pace_along_down_and_back(self) -> None:
@@ -243,8 +243,8 @@
             ((40.0, 15.0, 40.0, 40.0), 1.2),
         ):
             made = sender(balancers="40", report__columns="x0,x1", rate=40.0, weight_source="nominal")
-            pace = made.receivers[1].rate_control
-            pace.rate, pace.cut_at = 1.2, NOW  # cut just now: these refusals cut it no further
+            rate_control = made.receivers[1].rate_control
+            rate_control.rate, rate_control.cut_at = 1.2, NOW  # cut just now: these refusals cut it no further
             self.assertAlmostEqual(self.rate_after_reports(made, *limits), expected, 6, limits)
 
     def test_an_absurd_limit_neither_frees_nor_stops_a_sender(self) -> None:
@@ -256,8 +256,8 @@
             ((40.0, -7.0, 0.0, 40.0), 1.2, 1.2),
         ):
             made = sender(balancers="40", report__columns="x0,x1", rate=40.0, weight_source="nominal")
-            pace = made.receivers[1].rate_control
-            pace.rate, pace.cut_at = 1.2, NOW
+            rate_control = made.receivers[1].rate_control
+            rate_control.rate, rate_control.cut_at = 1.2, NOW
             rate = self.rate_after_reports(made, *limits)
             self.assertGreaterEqual(rate, low, limits)
             self.assertLessEqual(rate, high, limits)
@@ -282,17 +282,21 @@
         for senders, completed, lost in (("2", 0, False), ("200", 0, True), ("200", NOW, False)):
             made = sender(receivers=3, balancers=senders)
             if completed:
-                made.receivers[3].completions.append(completed)
+                made.receivers[3].completion_times.append(completed)
             for receiver in (1, 2):
                 made._eject(NOW, made.receivers[receiver], True, HealthReason.FAILURES)
-            made._eject_with(NOW, made.receivers[2])
+            made._eject_rate_group(NOW, made.receivers[2])
             self.assertEqual(bool(made.receivers[3].ejected_since), lost, senders)
 
     def test_the_return_lies_between_the_last_two_looks(self) -> None:
         for senders, gap, recovered_at in (("2", 6_000, 100), ("200", 6_000, -2_900), ("200", 99_000, -4_950)):
             made = sender(balancers=senders)
             handle, receiver = out(made, 1), made.receivers[1]
-            receiver.ejected_since, receiver.failed, receiver.gap = NOW - 10_000 * MS, True, gap * MS
+            receiver.ejected_since, receiver.outage_confirmed, receiver.last_attempt_gap = (
+                NOW - 10_000 * MS,
+                True,
+                gap * MS,
+            )
             end(handle, Outcome.COMPLETED, NOW + 100 * MS)
             self.assertEqual(receiver.recovered_at, NOW + recovered_at * MS, (senders, gap))
 
@@ -346,8 +350,8 @@
         handle.attempt_ended(NOW, Outcome.ERROR, 0, 1, MS, 0, False, ())
         made.receivers[1].rate_control.wait_until = NOW + 5_000 * MS
         take(made, 2, ONCE)
-        verdicts = made.decide(NOW)
-        self.assertEqual((verdicts.nacks, verdicts.abandoned), ([], [1]))
+        decisions = made.decide(NOW)
+        self.assertEqual((decisions.nacks, decisions.abandoned), ([], [1]))
 
 
 class UrgencyTest(unittest.TestCase):
@@ -410,8 +414,8 @@
         take(made, 2, NUMBERED, key=9)
         handle.attempts, handle.ran_at, handle.doubtful_at = 6, NOW, NOW + 90 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
-        verdicts = made.decide(NOW + 100 * MS)
-        self.assertEqual((verdicts.attempts, verdicts.abandoned), ([], [1]))
+        decisions = made.decide(NOW + 100 * MS)
+        self.assertEqual((decisions.attempts, decisions.abandoned), ([], [1]))
         self.assertEqual(made.order_key_queues.paused_until[9], NOW + 390 * MS)
 
 
@@ -429,7 +433,7 @@
         self.assertFalse(once.needs_new_connection())
         free.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
         self.assertEqual((once.needs_new_connection(), free.needs_new_connection()), (True, False))
-        made.receivers[1].rate_control.proven = True
+        made.receivers[1].rate_control.has_completed = True
         for message in range(3, 30):
             now = NOW + message * 100 * MS
             handle = out(made, message, now=now)
@@ -442,23 +446,23 @@
         made = sender(receivers=2)
         for message in range(60):
             take(made, message, (FREE, ONCE)[message % 2])
-        with mock.patch.object(made, "_with_room", wraps=made._with_room) as asked:
+        with mock.patch.object(made, "_find_candidates", wraps=made._find_candidates) as asked:
             self.assertEqual(len(made.decide(NOW).attempts), 2)
             self.assertLess(asked.call_count, 10)
 
     def test_a_receiver_that_has_left_is_forgotten_once_nothing_is_out_there(self) -> None:
         made = sender(receivers=3)
         handle = out(made, 1)
-        held = next(each for each in made.receivers if made.receivers[each].calls)
+        held = next(each for each in made.receivers if made.receivers[each].unanswered_attempts)
         for after in (0, 21):
             made.apply_endpoint_list(
                 NOW + after * 1000 * MS, EndpointUpdate.FULL, [ListedEndpoint(9, 0, 0, 7, EndpointState.READY, 0.0)]
             )
-        self.assertEqual((sorted(made.receivers), made.destinations[7].members), ([held, 9], [held, 9]))
+        self.assertEqual((sorted(made.receivers), made.destinations[7].receiver_ids), ([held, 9], [held, 9]))
         end(handle, Outcome.COMPLETED, NOW + 21_000 * MS, receiver=held)
         made.apply_endpoint_list(NOW + 22_000 * MS, EndpointUpdate.DELTA, [])
         made.decide(NOW + 22_000 * MS)
-        self.assertEqual((list(made.receivers), made.destinations[7].members), ([9], [9]))
+        self.assertEqual((list(made.receivers), made.destinations[7].receiver_ids), ([9], [9]))
 
     def test_keys_that_nobody_uses_again_are_forgotten(self) -> None:
         made = sender()
@@ -490,7 +494,7 @@
         handle = out(made, 1)
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(made.receivers[1].rate_control.rate, before / 2)
-        made._throttle(NOW + REFUSAL_WINDOW // 2, made.receivers[1].rate_control, True)
+        made._cut_rate(NOW + REFUSAL_WINDOW // 2, made.receivers[1].rate_control, True)
         self.assertEqual(made.receivers[1].rate_control.rate, before / 2)
 
     def test_a_lone_refusal_spares_a_pace_under_its_even_part(self) -> None:
@@ -510,18 +514,18 @@
     def test_a_clean_pace_rises_in_small_steps(self) -> None:
         made = sender()
         handle = out(made, 1)
-        pace = made.receivers[1].rate_control
-        pace.rate, pace.reference, pace.raised_at = 2.0, 4.0, NOW
+        rate_control = made.receivers[1].rate_control
+        rate_control.rate, rate_control.reference_rate, rate_control.raised_at = 2.0, 4.0, NOW
         end(handle, Outcome.COMPLETED, NOW + RATE_STEP_INTERVAL)
-        self.assertAlmostEqual(pace.rate, 2.2)
+        self.assertAlmostEqual(rate_control.rate, 2.2)
 
     def test_reported_room_makes_larger_steps(self) -> None:
         made = sender(report__columns="x0,x1", rate=8.0, weight_source="nominal")
         handle = out(made, 1)
-        pace = made.receivers[1].rate_control
-        pace.rate, pace.cut_at = 1.0, NOW - REFUSAL_WINDOW
+        rate_control = made.receivers[1].rate_control
+        rate_control.rate, rate_control.cut_at = 1.0, NOW - REFUSAL_WINDOW
         handle.attempt_ended(NOW + RATE_STEP_INTERVAL, Outcome.COMPLETED, 0, 1, 100 * MS, 0, True, (0.9, 8.0))
-        self.assertAlmostEqual(pace.rate, 1.0 + 4.8 * 0.2)
+        self.assertAlmostEqual(rate_control.rate, 1.0 + 4.8 * 0.2)
 
     def test_retry_waits_are_jittered_inside_the_doubling_window(self) -> None:
         dues = []
@@ -542,8 +546,8 @@
             handle = out(made, 1)
             handle.attempts = 8
             end(handle, Outcome.CONNECT_FAILED, NOW + 4_000 * MS)
-            verdicts = made.decide(NOW + 4_000 * MS)
-            self.assertEqual((verdicts.nacks, verdicts.abandoned), ([], []), (seed, quickest))
+            decisions = made.decide(NOW + 4_000 * MS)
+            self.assertEqual((decisions.nacks, decisions.abandoned), ([], []), (seed, quickest))
             self.assertLess(handle.not_before, NOW + 16_000 * MS - quickest)
 
     def test_a_retry_after_wait_beyond_its_time_ends_it_at_once(self) -> None:
@@ -560,8 +564,8 @@
 
     def test_a_call_to_a_cold_route_stays_small(self) -> None:
         made = sender(kind=1)
-        made.receivers[1].recovered_at = made.receivers[1].ramp.filled_at = NOW
-        made.receivers[1].ramp.tokens = 1.0
+        made.receivers[1].recovered_at = made.receivers[1].ramp_bucket.refilled_at = NOW
+        made.receivers[1].ramp_bucket.tokens = 1.0
         for message in range(1, 10):
             take(made, message)
         self.assertEqual(len(made.decide(NOW).attempts), 4)
@@ -580,12 +584,12 @@
         return made
 
     def test_at_most_once_with_an_attempt_without_outcome_is_written_off(self) -> None:
-        verdicts = self.resumed(ONCE, EarlierAttempt(NOW - 900 * MS, 0, None)).decide(NOW)
-        self.assertEqual((verdicts.attempts, verdicts.abandoned), ([], [1]))
+        decisions = self.resumed(ONCE, EarlierAttempt(NOW - 900 * MS, 0, None)).decide(NOW)
+        self.assertEqual((decisions.attempts, decisions.abandoned), ([], [1]))
 
     def test_at_most_once_goes_again_when_nothing_ran(self) -> None:
-        verdicts = self.resumed(ONCE, EarlierAttempt(NOW - 900 * MS, 0, Outcome.FULL)).decide(NOW)
-        self.assertEqual([attempt[0] for attempt in verdicts.attempts], [1])
+        decisions = self.resumed(ONCE, EarlierAttempt(NOW - 900 * MS, 0, Outcome.FULL)).decide(NOW)
+        self.assertEqual([attempt[0] for attempt in decisions.attempts], [1])
 
     def test_numbered_counts_its_window_from_the_first_attempt_that_may_have_run(self) -> None:
         first, second = EarlierAttempt(NOW - 6_001 * MS, 0, Outcome.RESET), EarlierAttempt(NOW - 900 * MS, 0, None)
@@ -601,8 +605,8 @@
 
     def test_keys_rest_after_a_restart(self) -> None:
         made = self.resumed(NUMBERED, EarlierAttempt(NOW - 900 * MS, 0, None), key=9)
-        verdicts = made.decide(NOW)
-        self.assertEqual((verdicts.attempts, verdicts.wake_at), ([], NOW + 300 * MS))
+        decisions = made.decide(NOW)
+        self.assertEqual((decisions.attempts, decisions.wake_at), ([], NOW + 300 * MS))
         self.assertEqual(len(made.decide(NOW + 300 * MS).attempts), 1)
 
 
@@ -640,13 +644,13 @@
         made.receivers[1].rate_control.wait_until = NOW + 5_000 * MS
         update = [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)]
         made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, update)
-        self.assertEqual(made.changed, set())
+        self.assertEqual(made.changed_destinations, set())
         take(made, 1)
         made.decide(NOW)
         made.apply_endpoint_list(NOW, EndpointUpdate.DELTA, update)
-        self.assertEqual(made.changed, {7})
+        self.assertEqual(made.changed_destinations, {7})
 
-    def asks(self, made: Sender, failures: int) -> list[int]:
+    def list_poll_waits(self, made: Sender, failures: int) -> list[int]:
         """How long the sender waits with its next call for the list, after each of so many in a row that failed."""
         waits, now = [], NOW
         for _ in range(failures):
@@ -660,7 +664,10 @@
         return waits
 
     def test_calls_for_the_list_that_fail_are_spread_over_doubling_windows_up_to_what_the_settings_allow(self) -> None:
-        fleet = [self.asks(Sender({**SETTINGS, "rules.ask-within-ms": "10000"}, seed, NOW), 10) for seed in range(40)]
+        fleet = [
+            self.list_poll_waits(Sender({**SETTINGS, "rules.ask-within-ms": "10000"}, seed, NOW), 10)
+            for seed in range(40)
+        ]
         for nth, window in enumerate((500, 1000, 2000, 4000, 8000, 10_000, 10_000)):
             waits = [each[nth] for each in fleet]
             self.assertLessEqual(max(waits), window * MS + 1)
@@ -669,14 +676,14 @@
 
     def test_many_senders_that_lose_the_list_together_do_not_ask_together(self) -> None:
         many = {**SETTINGS, "balancers": "40", "rules.ask-within-ms": "10000"}
-        waits = sorted(self.asks(Sender(many, seed, NOW), 1)[0] for seed in range(40))
+        waits = sorted(self.list_poll_waits(Sender(many, seed, NOW), 1)[0] for seed in range(40))
         # Calls of 40 senders that lost it in one moment, in the fullest second of the ten; 40 in the old half second.
         self.assertLess(max(sum(at <= each < at + 1000 * MS for each in waits) for at in waits), 10)
         self.assertLessEqual(waits[-1], 10_000 * MS + 1)
 
     def test_a_watch_that_held_is_asked_for_anew_soon(self) -> None:
         made = Sender({**SETTINGS, "rules.ask-within-ms": "10000"}, 5, NOW)
-        self.asks(made, 8)
+        self.list_poll_waits(made, 8)
         made.list_poll_failed(NOW + 200_000 * MS)
         self.assertLessEqual(made.decide(NOW + 200_000 * MS).wake_at or 0, NOW + 200_500 * MS + 1)
 
--- a/tests/decisions/test_recovery_ramps.py
+++ b/tests/decisions/test_recovery_ramps.py
@@ -169,7 +169,7 @@
         )[0]
         made, limit = self.senders[sender], self.site.priority_classes[priority_class][2]
         self.offered += 1
-        if made.open_messages < made.most_open:
+        if made.open_messages < made.max_open_messages:
             until = self.now + limit * MS
             self.handles[sender][message] = made.accept(self.now, message, 7, priority_class, until, 0, 0)
             self.round(sender)
@@ -179,19 +179,19 @@
     def round(self, sender: int) -> None:
         made = self.senders[sender]
         self.store(sender, made.take_health_changes())
-        verdicts = made.decide(self.now)
-        self.store(sender, verdicts.health_changes)
-        for message, receiver, patience in verdicts.attempts:
+        decisions = made.decide(self.now)
+        self.store(sender, decisions.health_changes)
+        for message, receiver, patience in decisions.attempts:
             self.at(
                 self.now + TRIP // 2,
                 partial(
                     self.call, sender, made, self.handles[sender][message], receiver, self.now, self.now + patience
                 ),
             )
-        for message in [each for each, _ in verdicts.nacks] + verdicts.abandoned:
+        for message in [each for each, _ in decisions.nacks] + decisions.abandoned:
             self.handles[sender].pop(message, None)
-        if verdicts.wake_at is not None:
-            at = max(verdicts.wake_at, self.now + 5 * MS)
+        if decisions.wake_at is not None:
+            at = max(decisions.wake_at, self.now + 5 * MS)
             if not self.now < self.wakes[sender] <= at:
                 self.wakes[sender] = at
                 self.at(at, partial(self.wake, sender, at))
@@ -298,13 +298,13 @@
             self.within += not over
         left = max(0.0, 1 - self.within / self.site.rate)
         report = (left, self.site.rate) if self.site.limited else ()
-        took = round(self.chance.expovariate(1 / (0.3 * SECOND)) / share) + 20 * MS
+        duration = round(self.chance.expovariate(1 / (0.3 * SECOND)) / share) + 20 * MS
         begin = max(self.now, heapq.heappop(self.free_at))
         full = over or begin - self.now > 800 * MS
-        heapq.heappush(self.free_at, begin if full else begin + took)
+        heapq.heappush(self.free_at, begin if full else begin + duration)
         if full:
             return self.at(self.now + TRIP // 2, partial(end, Outcome.FULL, 0, report))
-        done = begin + took + TRIP // 2
+        done = begin + duration + TRIP // 2
         if done > until:
             return self.at(until, partial(end, Outcome.TIME_OUT))
         self.at(done, partial(end, Outcome.COMPLETED, 0, report))
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -14,7 +14,7 @@
         self.made = sender(receivers=2, balancers="42", rules__fall_ms="2000")
         self.first, self.second = self.made.receivers[1], self.made.receivers[2]
         for receiver in (self.first, self.second):
-            receiver.completions.append(NOW - SECOND)
+            receiver.completion_times.append(NOW - SECOND)
         self.first.rate_control.completed_at = self.first.rate_control.completed_sent_at = NOW - SECOND
         self.made.take_health_changes()
 
@@ -43,10 +43,10 @@
         self.failed_call(self.made, NOW)
         later = NOW + 3 * SECOND
         for receiver in (self.first, self.second):
-            self.assertEqual(self.made._room(later, receiver), later)
-            receiver.ramp.take()
-            gap = self.made._room(later, receiver) - later
-            rate = self.made._returning_rate(receiver, 0, sharing=2)
+            self.assertEqual(self.made._available_at(later, receiver), later)
+            receiver.ramp_bucket.take()
+            gap = self.made._available_at(later, receiver) - later
+            rate = self.made._recovery_rate(receiver, 0, sharing=2)
             self.assertAlmostEqual(gap, SECOND / rate, delta=10)
 
     def test_a_call_that_was_sent_before_the_last_completed_one_is_no_evidence(self) -> None:
@@ -67,8 +67,8 @@
             made = sender(receivers=1, balancers="42", rules__fall_ms="2000")
             made.random_source.state = seed << 40
             made.restore_health(NOW, 1, EarlierHealth(7, HealthState.SUSPECTED, False, 0.5, 3 * SECOND))
-            gaps.append(made._room(NOW, made.receivers[1]) - NOW)
-        rate = made._returning_rate(made.receivers[1], 0)
+            gaps.append(made._available_at(NOW, made.receivers[1]) - NOW)
+        rate = made._recovery_rate(made.receivers[1], 0)
         self.assertTrue(all(0 < gap <= SECOND / rate + 1 for gap in gaps))
         self.assertGreater(max(gaps) - min(gaps), SECOND / rate / 2)
 
@@ -82,7 +82,7 @@
         self.made._eject_silent(NOW + SECOND, self.first)
         self.second.ready = False
         self.made.take_health_changes()
-        self.made._suspicion_ends(NOW + 5 * SECOND, self.second, NOW, 2)
+        self.made._clear_suspicion(NOW + 5 * SECOND, self.second, NOW, 2)
         self.assertEqual(self.made.take_health_changes(), [])
 
     def test_each_change_is_reported_with_its_message(self) -> None:
