--- a/cedarwick/decisions/earlier_outages.py
+++ b/cedarwick/decisions/earlier_outages.py
@@ -1,6 +1,6 @@
-"""Outages that outlive the records of their receivers: over a restart, and over a departure from the list.
+"""Outages that outlive the records of their receivers: across a restart, and across removal from the endpoint list.
 
-Times are microseconds. `health` and `endpoint_updates` call it, and the dispatcher as `interface.py` describes.
+Times are in microseconds. `health`, `endpoint_updates` and (see `interface.py`) the dispatcher call this module.
 """
 
 from cedarwick.decisions.interface import EarlierHealth, HealthChange, HealthReason, HealthState
@@ -9,16 +9,16 @@
 
 
 class EarlierOutages(Recovery):
-    """Restores ejections and ramps, so that a recovering destination is never met as one that was never out."""
+    """Restores ejections and ramps, so that a recovering destination never gets the traffic of a healthy one."""
 
     def restore_health(self, now: int, receiver: int, earlier: EarlierHealth) -> None:
-        """Apply what an earlier process knew of a receiver that is listed now."""
+        """Apply what an earlier process knew about a receiver that is listed now."""
         known = self.receivers[receiver]
         known.observed_rate = max(known.observed_rate, earlier.observed_rate)
-        # The last look of the earlier process is not known: the return is not taken for earlier than this start.
+        # The last attempt of the earlier process is not known: do not estimate the recovery as earlier than this start.
         known.last_attempt_at = known.last_attempt_at or now
         rate_control = known.rate_control
-        # In service, an old cut says nothing any more: the rate has risen since.
+        # For a receiver in service, an old rate cut is obsolete: the rate has risen since.
         if earlier.cut_rate and (earlier.state is not HealthState.IN_SERVICE or earlier.recorded_age < self.ramp_time):
             rate_control.rate = (
                 earlier.cut_rate if rate_control.rate is None else min(rate_control.rate, earlier.cut_rate)
@@ -36,18 +36,16 @@
                 known, HealthState.SUSPECTED, HealthReason.BEFORE_RESTART, known.rate_control.failed_since
             )
         elif not known.ready and earlier.state is HealthState.AWAY:
-            known.not_ready_since = (
-                now - self.overload_window - 1
-            )  # since when is not known: its return begins with a ramp
+            known.not_ready_since = now - self.overload_window - 1  # unknown duration: it ramps up when it returns
         elif earlier.state is not HealthState.IN_SERVICE and not known.ejected_since:
-            # How far its ramp had come rests on a clock that may have been set: it begins anew.
+            # The progress of its ramp depends on a clock that may have been changed: restart the ramp.
             self._begin_ramp(now, known, now, HealthReason.BEFORE_RESTART)
             self._spread_first_call(now, known)
 
     def restore_departed(self, now: int, earlier: EarlierHealth) -> None:
-        """Apply what an earlier process knew of a receiver that the list does not name.
+        """Apply what an earlier process knew about a receiver that is not listed any more.
 
-        Those that are listed may replace it, or may have been in service all the time: they ramp up.
+        The listed receivers may be its replacements, or may have been in service all the time: they ramp up.
         """
         if earlier.state is not HealthState.EJECTED:
             return
@@ -60,7 +58,7 @@
                 self._spread_first_call(now, sibling)
 
     def _spread_first_call(self, now: int, receiver: Receiver) -> None:
-        """Many senders may have started in the same moment: a random part of the first token spreads their calls."""
+        """Start the ramp with a random part of a token: many senders may have started at the same time."""
         receiver.ramp_bucket = TokenBucket(self.random_source.randrange(SECOND) / SECOND, now)
 
     @staticmethod
@@ -68,14 +66,14 @@
         return DepartedOutage(max(1, now - earlier.age), earlier.proved_never_ran, earlier.observed_rate)
 
     def _ongoing_outage(self, destination_state: Destination, rate_group: list[Receiver]) -> DepartedOutage | None:
-        """The outage that a receiver shares_call which the list names anew; None where some receiver is in service."""
+        """Return the outage that applies to a newly listed receiver; None if another receiver is in service."""
         if any(sibling.in_service for sibling in rate_group):
             return None
-        out = next((sibling for sibling in rate_group if sibling.ejected_since), None)
-        return out.outage() if out else destination_state.departed_outage
+        ejected = next((sibling for sibling in rate_group if sibling.ejected_since), None)
+        return ejected.outage() if ejected else destination_state.departed_outage
 
     def _eject_for_earlier_outage(self, now: int, receiver: Receiver, outage: DepartedOutage) -> None:
-        """Eject a receiver as one of an outage that began earlier; its canary comes at random within a gap."""
+        """Eject a receiver as part of an earlier outage; its first canary is due at random within a canary gap."""
         receiver.ejected_since, receiver.outage_confirmed, receiver.proved_never_ran = (
             outage.ejected_since,
             True,
@@ -87,12 +85,12 @@
         receiver.rate_control.canary_at = max(receiver.rate_control.canary_at, receiver.canary_at)
 
     def _remember_departed_outage(self, destination_state: Destination, outage: DepartedOutage) -> None:
-        """Remember the outage of receivers whose records go."""
+        """Keep the outage of receivers whose records are deleted, and report it."""
         destination_state.departed_outage = outage
         self._report_departed(destination_state, HealthState.EJECTED, HealthReason.DEPARTED_EJECTED, outage)
 
     def _end_departed_outage(self, now: int, destination_state: Destination) -> None:
-        """A receiver of the destination has completed a call."""
+        """End the remembered outage of a destination, because one of its receivers has completed a call."""
         if destination_state.departed_outage is not None:
             outage = DepartedOutage(now, False, 0.0)
             destination_state.departed_outage = None
--- a/cedarwick/decisions/health.py
+++ b/cedarwick/decisions/health.py
@@ -1,6 +1,6 @@
-"""Health tracking: what attempt outcomes say of a receiver's latency, failures, throttling, outages and recovery.
+"""Health tracking: derives latency, failures, throttling, outages and recovery of receivers from attempt outcomes.
 
-Times are microseconds. `Handle.attempt_ended` (see `message_handle`) reports every outcome here.
+Times are in microseconds. `Handle.attempt_ended` (see `message_handle`) reports every outcome here.
 """
 
 from collections import deque
@@ -9,24 +9,25 @@
 from cedarwick.decisions.earlier_outages import EarlierOutages
 from cedarwick.decisions.interface import HealthReason, HealthState, Outcome
 from cedarwick.decisions.rate_control import LIMIT_HAS_ROOM, RateAdjustment
-from cedarwick.decisions.sender_state import COMPLETIONS_STALE_AFTER, MAX_RETRY_AFTER, REFUSAL_WINDOW
+from cedarwick.decisions.sender_state import COMPLETIONS_STALE_AFTER, MAX_RETRY_AFTER, THROTTLE_WINDOW
 from cedarwick.decisions.state import SECOND, Message, Receiver, record_recent
 
-CONNECT_FAILURE_SMOOTHING = 12  # newer completions change the share of those after a failed connection by 1/12
+CONNECT_FAILURE_SMOOTHING = 12  # a completion changes the share of those after a failed connection by 1/12
 LATENCY_SMOOTHING, DEVIATION_SMOOTHING = 8, 4  # moving means of the latency, as in TCP (RFC 6298)
-OBSERVED_RATE_DECAY = 0.98  # by each completion
-JUDGED_OUTCOMES = 8  # the newest outcomes from which a receiver's health is judged
-FAILURE_SCORE_HALF_LIFE = 5 * SECOND  # a failure score fades by half in this time
-DEFAULT_SILENCE = 2 * SECOND  # assumed where no latency has been measured
-MIN_SILENCE = SECOND  # no answer for this long, and longer than usual, counts as silence
-THROTTLE_OUTAGE_AFTER = (
-    2_500_000  # nothing but throttles for longer than any rate limit's window (1 to 2 s): it is shut
-)
-THROTTLE_OUTAGE_COUNT = 6  # at least this many: near a shared limit a few in a row are caused by other senders
+OBSERVED_RATE_DECAY = 0.98  # factor per completion
+JUDGED_OUTCOMES = 8  # a receiver's health is judged by this many of its newest outcomes
+FAILURE_SCORE_HALF_LIFE = 5 * SECOND  # microseconds
+DEFAULT_SILENCE = 2 * SECOND  # microseconds; the silence limit if no latency has been measured
+MIN_SILENCE = SECOND  # microseconds; a shorter time without an answer never counts as silence
+# Microseconds; only throttles for longer than the window of any rate limit (1 to 2 s) mean that the receiver refuses
+# all calls.
+THROTTLE_OUTAGE_AFTER = 2_500_000
+# At least this many throttles: near a shared limit other senders may cause a few in a row.
+THROTTLE_OUTAGE_COUNT = 6
 
 
 class HealthTracking(RateAdjustment, EarlierOutages):
-    """Learns from outcomes and detects outages."""
+    """Updates the records of receivers from attempt outcomes, and detects outages."""
 
     def record_outcome(
         self,
@@ -40,14 +41,15 @@
     ) -> None:
         """Record the outcome of an attempt.
 
-        `duration` and `retry_after` are microseconds; `report` holds the values of the setting `report.columns`.
+        `duration` and `retry_after` are in microseconds; `report` holds the values of the columns in the setting
+        `report.columns`.
         """
         rate_control = receiver.rate_control
         self.changed_destinations |= {receiver.destination} | self.destinations_without_slot
         self.destinations_without_slot.clear()
-        over = receiver.attempt_finished(message.sent_at) % self._messages_per_call_to(receiver) == 0
-        self.calls_in_flight -= over
-        rate_control.calls_in_flight -= over
+        call_ended = receiver.attempt_finished(message.sent_at) % self._messages_per_call_to(receiver) == 0
+        self.calls_in_flight -= call_ended
+        rate_control.calls_in_flight -= call_ended
         self.ended_call_receivers.add(receiver.id)
         receiver.canary_in_flight = False
         if outcome in (Outcome.MOOT, Outcome.CANCELLED):
@@ -67,10 +69,10 @@
             self._record_failure(now, message, receiver, outcome)
 
     def _track_connect_failures(self, now: int, receiver: Receiver, outcome: Outcome) -> None:
-        """Keep the share of completions that came right after a failed connection, by kind of receiver.
+        """Update the share of completions that came shortly after a failed connection, by kind of receiver.
 
         The idle connections of many senders can fill a receiver's connection table. Unlike a dead machine, such a
-        receiver still completes some calls, and these follow failed connections: that share tells the two apart.
+        receiver still completes some calls, and these follow failed connections: the share tells the two cases apart.
         """
         destination_state = self.destinations[receiver.destination]
         if outcome is Outcome.CONNECT_FAILED:
@@ -86,9 +88,9 @@
             self._end_departed_outage(now, destination_state)
 
     def _record_completion(self, now: int, message: Message, receiver: Receiver, duration: int) -> None:
-        """The receiver answered in `duration` microseconds: it is in service, or returns to it with a ramp."""
+        """Record a completion after `duration` microseconds; a receiver that was ejected returns to service."""
         rate_control = receiver.rate_control
-        record_recent(rate_control.answer_times, now, REFUSAL_WINDOW)
+        record_recent(rate_control.answer_times, now, THROTTLE_WINDOW)
         rate_control.has_completed = True
         outage = self._clear_suspicion(now, receiver, message.sent_at, message.id)
         receiver.recent_successes.append(True)
@@ -101,18 +103,18 @@
             LATENCY_SMOOTHING if receiver.mean_latency else 1
         )
         if receiver.ejected_since:
-            # A destination back from an outage would fail again under its full traffic, so it gets a ramp.
+            # A destination that has just recovered would fail again under full traffic, so it ramps up.
             if receiver.outage_confirmed or outage or now - receiver.ejected_since > self.overload_window:
-                # Each of many senders sends canaries seldom: assume that it returned midway between the last two.
-                looked = min(receiver.last_attempt_gap, now - receiver.ejected_since) if self.many_senders else 0
-                self._begin_ramp(now, receiver, now - looked // 2, HealthReason.COMPLETION, message.id)
-                if rate_control.rate is not None:  # throttles during the outage say nothing about its rate limit
+                # Each of many senders sends canaries rarely: assume that it recovered midway between the last two.
+                canary_gap = min(receiver.last_attempt_gap, now - receiver.ejected_since) if self.many_senders else 0
+                self._begin_ramp(now, receiver, now - canary_gap // 2, HealthReason.COMPLETION, message.id)
+                if rate_control.rate is not None:  # throttles during the outage say nothing about the rate limit
                     rate_control.rate = max(rate_control.rate, receiver.observed_rate, rate_control.reference_rate)
             else:
                 self._report_health(receiver, HealthState.IN_SERVICE, HealthReason.COMPLETION, now, message.id)
             receiver.ejected_since, receiver.outage_confirmed = 0, False
             receiver.recent_successes = deque([True], JUDGED_OUTCOMES)
-        if receiver.completed_sent_at != message.sent_at:  # the attempts of one call count once
+        if receiver.completed_sent_at != message.sent_at:  # attempts that share a call count once
             record_recent(receiver.completion_times, now, self.observation_window)
         receiver.completed_sent_at = max(receiver.completed_sent_at, message.sent_at)
         receiver.observed_rate = max(
@@ -124,52 +126,54 @@
     def _record_throttle(
         self, now: int, message: Message, receiver: Receiver, retry_after: int, limit_left: float | None
     ) -> None:
-        """The receiver throttled the attempt: keep its Retry-After wait, and cut the rate or eject it.
+        """Record a throttled attempt: apply the Retry-After wait, and cut the rate or eject the receiver.
 
-        `retry_after` is microseconds; `limit_left` is the reported share (0 to 1) of its rate limit that is left, None
-        where no report came.
+        `retry_after` is in microseconds; `limit_left` is the reported unused share (0 to 1) of the rate limit, None if
+        it was not reported.
         """
         rate_control = receiver.rate_control
         rate_control.throttled_since = rate_control.throttled_since or now
         rate_control.wait_until = max(rate_control.wait_until, now + min(retry_after, MAX_RETRY_AFTER))
         receiver.consecutive_throttles += 1
         receiver.throttled_since = receiver.throttled_since or now
-        # A shut receiver asks for a long wait or refuses everything. It is ejected, since otherwise all senders
-        # would return to it at full rate in the moment it opens.
-        sparse = self.many_senders and self._lacks_recent_completion(now, receiver)
-        shut = (
-            receiver.consecutive_throttles >= THROTTLE_OUTAGE_COUNT // (1 + sparse)
+        # A receiver that asks for a long wait or refuses all calls is ejected; otherwise all senders would return to
+        # it at full rate as soon as it accepts calls again.
+        few_observations = self.many_senders and self._lacks_recent_completion(now, receiver)
+        refuses_all = (
+            receiver.consecutive_throttles >= THROTTLE_OUTAGE_COUNT // (1 + few_observations)
             and now - receiver.throttled_since > THROTTLE_OUTAGE_AFTER
         )
-        shut |= (
-            sparse and (limit_left or 0.0) > LIMIT_HAS_ROOM
-        )  # its rate limit has room, so its queue must be full: it hangs
+        # A throttle although the rate limit is not used up means that its queue is full: it hangs.
+        refuses_all |= few_observations and (limit_left or 0.0) > LIMIT_HAS_ROOM
         rate_group = (
             self._rate_group(self.destinations[receiver.destination], rate_control)
             if retry_after > THROTTLE_OUTAGE_AFTER
             else [receiver]
         )
-        for sibling in rate_group if retry_after > THROTTLE_OUTAGE_AFTER or receiver.ejected_since or shut else []:
+        for sibling in (
+            rate_group if retry_after > THROTTLE_OUTAGE_AFTER or receiver.ejected_since or refuses_all else []
+        ):
             self._eject(now, sibling, proved_never_ran=True, reason=HealthReason.THROTTLES, message=message.id)
         if not receiver.ejected_since:
-            self._cut_rate(now, rate_control, receiver.consecutive_throttles > 1)
+            self._adjust_rate_after_throttle(now, rate_control, receiver.consecutive_throttles > 1)
             if rate_control.cut_at == now:
                 self._report_rate_cut(now, receiver, message.id)
-            if limit_left is None or limit_left > LIMIT_HAS_ROOM:  # else it refuses since its limit is used up
+            if limit_left is None or limit_left > LIMIT_HAS_ROOM:  # otherwise its used-up limit explains the throttle
                 if (
                     now - rate_control.throttled_since > THROTTLE_OUTAGE_AFTER
-                ):  # by all its receivers together: it may be shut
+                ):  # by all its receivers: the destination may be out
                     self._suspect(now, receiver, message.id)
                 elif rate_control.completed_sent_at < message.sent_at:
-                    # The backoff of what was refused ends with the process: the next one must not send it at once.
+                    # The backoff of a throttled message is lost in a restart: store the suspicion, so that the next
+                    # process does not send the message at once.
                     self._report_suspicion(now, receiver, HealthReason.THROTTLES, message.id)
 
     def _record_failure(self, now: int, message: Message, receiver: Receiver, outcome: Outcome) -> None:
-        """The attempt failed other than by throttling: eject the receiver or restart its ramp on enough evidence."""
+        """Record a failure other than a throttle: with enough evidence eject the receiver or restart its ramp."""
         receiver.recent_successes.append(False)
         receiver.failure_score = self._current_failure_score(now, receiver) + 1
         receiver.failure_score_at = now
-        # One failed call among good ones is no outage: a ramp after each would cost more than it saves.
+        # A single failure among completions is not an outage: a ramp after each would cost more than it saves.
         outcomes = list(receiver.recent_successes)
         failing = (
             outcome is Outcome.CONNECT_FAILED
@@ -178,10 +182,10 @@
             and receiver.completed_sent_at < message.sent_at
         )
         if receiver.recovered_at and sum(outcomes) * 3 <= len(outcomes) * 2:
-            receiver.recovered_at = now  # some calls succeed in an outage; the ramp must not go on during it
+            receiver.recovered_at = now  # some calls succeed during an outage, but the ramp must not proceed
             self._report_health(receiver, HealthState.RAMPING, HealthReason.FAILURES_IN_RAMP, now, message.id)
-        # At a few calls a minute there are never enough outcomes to judge by, and every message would spend all its
-        # attempts on a dead receiver: with many senders one failure without recent completions is enough.
+        # At a few calls per minute there are never enough outcomes, and every message would spend all its attempts on a
+        # dead receiver. With many senders one failure without a recent completion is therefore enough.
         failing = failing or self.many_senders and self._lacks_recent_completion(message.sent_at, receiver)
         if failing or receiver.ejected_since or (len(outcomes) >= 3 and sum(outcomes) * 5 <= len(outcomes) * 2):
             proved_never_ran = outcome is Outcome.CONNECT_FAILED
@@ -191,12 +195,12 @@
             self._suspect(now, receiver, message.id)
 
     def _current_failure_score(self, now: int, receiver: Receiver) -> float:
-        """The failure score at this time: recent failures, each halved every `FAILURE_SCORE_HALF_LIFE`."""
+        """Return the number of failures, each weighted by half for every `FAILURE_SCORE_HALF_LIFE` since then."""
         return float(receiver.failure_score * 2.0 ** (-(now - receiver.failure_score_at) / FAILURE_SCORE_HALF_LIFE))
 
     def _is_silent(self, now: int, receiver: Receiver) -> bool:
-        """Whether calls are out and nothing has come back for much longer than usual."""
+        """Whether the receiver has calls in flight and has not answered for much longer than usual."""
         since = max(next(iter(receiver.unanswered_attempts), now), receiver.answered_at)
         usual = 2 * receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else DEFAULT_SILENCE
-        # A single lost call is not enough evidence.
+        # A single unanswered call is not enough evidence.
         return len(receiver.unanswered_attempts) > 1 and now - since > max(MIN_SILENCE, usual)
--- a/cedarwick/decisions/interface.py
+++ b/cedarwick/decisions/interface.py
@@ -1,34 +1,36 @@
-"""The interface between a protocol in front (sockets or the laboratory) and the decisions behind it.
-
-A protocol makes one `Sender` (see `cedarwick.decisions.policy`) an instance and then, in the order things happened:
-
-    sender = Sender(settings, seed, now)          settings: a plain map of names to values, as text
-    sender.apply_endpoint_list(now, change, listings)          an update of the list of receivers
-    sender.list_poll_failed(now)                  a list call failed or the subscription broke
-    handle = sender.accept(now, id, ...)          a new message
-    handle.attempt_ended(now, outcome, attempt, ...)    an outcome of one of its attempts
-    handle.withdrawn(now)                         its client has given it up
-    decisions = sender.decide(now)                 once, after the events of a round
-
-A protocol on sockets uses besides:
-
-    handles = sender.restore(now, unfinished)     once, at the start after a restart
-    sender.restore_health(now, receiver, earlier)   at its first listing: what an earlier process knew of a receiver
-    sender.restore_departed(now, earlier)         the same of a receiver that is no longer listed
-    sender.take_health_changes()                  what is to be stored for that, before a further attempt goes
-    sender.apply_retry_after(now, receiver, until)   a Retry-After wait, apart from an outcome
-    sender.storable_messages                                   set before a round: how many more messages can be stored
-    sender.retry_after_waits(now)                 the waits that a replaced process hands to its successor
-    handle.needs_new_connection()                 whether an ordered attempt may not reuse a connection
-    handle.may_start(now, receiver)               whether an ordered attempt may still go, before its first byte
-    handle.send_by()                              when the last byte of an ordered attempt must have gone
-    handle.attempt_not_sent()                     after an outcome: that attempt was held back, and does not count
-    sender.connection_lifetime                    how long an idle connection is used
-    sender.max_poll_backoff                       the longest wait after a call for the list that failed
-    sender.messages_per_call                               messages a call by kind; cleared where a call carries one
-
-`decide` also serves a wake-up: waking needs no call of its own. Times are whole microseconds of the
-protocol's clock. Message and receiver ids are returned as they were given.
+"""The interface between the delivery policy and its caller: the dispatcher, the adapter or the laboratory.
+
+The caller creates one `Sender` (see `cedarwick.decisions.policy`) per instance, and then reports events in the order
+in which they occurred:
+
+    sender = Sender(settings, seed, now)               settings: a flat mapping of names to values, as text
+    sender.apply_endpoint_list(now, update, listings)  an update of the endpoint list
+    sender.list_poll_failed(now)                       a poll of the endpoint list failed, or its watch ended
+    handle = sender.accept(now, id, ...)               a new message
+    handle.attempt_ended(now, outcome, attempt, ...)   the outcome of one of its attempts
+    handle.withdrawn(now)                              its client no longer waits for an answer
+    decisions = sender.decide(now)                     once, after the events of a round
+
+The dispatcher also uses:
+
+    handles = sender.restore(now, unfinished)          once, after a restart
+    sender.restore_health(now, receiver, earlier)      at its first listing: what an earlier process knew of a receiver
+    sender.restore_departed(now, earlier)              the same, for a receiver that is no longer listed
+    sender.take_health_changes()                       what to store for that, before any further attempt is sent
+    sender.apply_retry_after(now, receiver, until)     a Retry-After wait that does not come with an outcome
+    sender.storable_messages                           set before each round: how many more messages can be stored
+    sender.retry_after_waits(now)                      the waits to pass on when another process takes over
+    handle.needs_new_connection()                      whether a requested attempt must not reuse a connection
+    handle.may_start(now, receiver)                    whether a requested attempt may still be sent; asked before its
+                                                       first byte
+    handle.send_by()                                   when the last byte of a requested attempt must have been sent
+    handle.attempt_not_sent()                          after an outcome: the attempt was held back, so it does not count
+    sender.connection_lifetime                         how long an idle connection may be used
+    sender.max_poll_backoff                            the longest backoff after a failed poll of the endpoint list
+    sender.messages_per_call                           by kind; empty if each call carries one message
+
+Call `decide` for wake-ups too; they need no other call. Times are whole microseconds of the caller's clock. Message and
+receiver ids are returned as given.
 """
 
 from collections.abc import Mapping, Sequence
@@ -42,21 +44,21 @@
 
     COMPLETED = "completed"
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # throttled
     TIME_OUT = "time-out"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    MOOT = "moot"  # the attempt had no effect, and says nothing about the receiver's health
 
     @property
     def never_ran(self) -> bool:
-        """Whether it proves that the attempt had no effect."""
+        """Whether the outcome proves that the attempt had no effect."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class EndpointUpdate(Enum):
-    """What an update of the list holds."""
+    """What an update of the endpoint list contains."""
 
     DELTA = "changes"
     FULL = "whole"
@@ -64,7 +66,7 @@
 
 
 class EndpointState(Enum):
-    """How the list marks a receiver."""
+    """The state of a receiver in the endpoint list."""
 
     REMOVED = "gone"
     READY = "ready"
@@ -72,7 +74,7 @@
 
 
 class ListedEndpoint(NamedTuple):
-    """One line of the list of receivers; `rate` is in calls a second, 0 where none is listed."""
+    """One entry of the endpoint list; `rate` is in calls per second, 0 if none is listed."""
 
     receiver: int
     zone: int
@@ -83,15 +85,15 @@
 
 
 class EarlierAttempt(NamedTuple):
-    """What is known of an attempt from before a restart."""
+    """What is known about an attempt from before a restart."""
 
     sent_at: int
     zone: int
-    outcome: Outcome | None  # None: it had no outcome yet when the process ended
+    outcome: Outcome | None  # None: it was in flight when the process ended
 
 
 class UnfinishedMessage(NamedTuple):
-    """A message left unfinished by a restart; `deadline` is a time in microseconds."""
+    """A message without a final answer at a restart; `deadline` is a time in microseconds."""
 
     message_id: int
     destination: int
@@ -103,17 +105,17 @@
 
 
 class HealthState(Enum):
-    """Whether the decisions use a receiver."""
+    """Whether and how a receiver is used."""
 
     IN_SERVICE = "in service"
-    SUSPECTED = "suspected"  # a call failed, and none has been completed at its destination since
-    EJECTED = "ejected"  # only canaries go to it
-    RAMPING = "ramping"  # back from an outage: its rate rises from little
-    AWAY = "away"  # drained or not listed: it may have been restarted when it returns
+    SUSPECTED = "suspected"  # a call to its destination failed, and none has completed since
+    EJECTED = "ejected"  # it gets only canaries
+    RAMPING = "ramping"  # back from an outage: its rate rises from a low start
+    AWAY = "away"  # draining or not listed; it may have been restarted when it returns
 
 
 class HealthReason(Enum):
-    """What changed the state of a receiver's health."""
+    """Why the health state of a receiver changed."""
 
     FAILURES = "its calls failed"
     THROTTLES = "it refused all calls, or asked for a long wait"
@@ -132,50 +134,50 @@
 
 
 class HealthChange(NamedTuple):
-    """A change of a receiver's health; `since` is when the outage or the ramp is taken to have begun (microseconds)."""
+    """A change of a receiver's health; `since` is the assumed start of the outage or the ramp (microseconds)."""
 
-    receiver: int  # 0: those of the destination that have left the list
+    receiver: int  # 0: the receivers of the destination that have left the list
     destination: int
     state: HealthState
     reason: HealthReason
     since: int
-    message: int = 0  # whose attempt showed it; 0: none did
-    proved_never_ran: bool = False  # the last failure proved that nothing ran
-    observed_rate: float = 0.0  # calls a second that it was seen to complete for this sender
-    cut_rate: float = 0.0  # calls a second that its rate has come to since throttles cut it; 0: they have not
+    message: int = 0  # the message whose attempt caused the change; 0: none
+    proved_never_ran: bool = False  # the last failure proved that the attempt never ran
+    observed_rate: float = 0.0  # calls per second that it has completed for this sender
+    cut_rate: float = 0.0  # its current rate after a rate cut, calls per second; 0: no rate cut
 
 
 class EarlierHealth(NamedTuple):
-    """What an earlier process of this sender knew of a receiver's health as it ended."""
+    """What an earlier process of this sender knew about a receiver's health when the process ended."""
 
     destination: int
     state: HealthState
     proved_never_ran: bool
-    observed_rate: float  # calls a second
+    observed_rate: float  # calls per second
     age: int  # microseconds since the outage began
-    cut_rate: float = 0.0  # calls a second that its rate had come to since throttles cut it; 0: they had not
-    recorded_age: int = 0  # microseconds since all this was recorded
+    cut_rate: float = 0.0  # its rate after a rate cut, calls per second; 0: no rate cut
+    recorded_age: int = 0  # microseconds since this record was written
 
 
 @dataclass
 class Decisions:
-    """What one round decided; times are microseconds.
+    """The decisions of one round; times are in microseconds.
 
-    The caller carries out nacks and abandoned messages before attempts, and attempts in their order.
+    The caller carries out nacks and abandoned messages before attempts, and attempts in the given order.
     """
 
-    nacks: list[tuple[int, int]] = field(default_factory=list)  # message, advised wait (0: none)
+    nacks: list[tuple[int, int]] = field(default_factory=list)  # message, advised Retry-After wait (0: none)
     abandoned: list[int] = field(default_factory=list)
     attempts: list[tuple[int, int, int]] = field(default_factory=list)  # message, receiver, time-out
-    released_connections: list[int] = field(default_factory=list)  # receivers whose idle connections are to be closed
+    released_connections: list[int] = field(default_factory=list)  # receivers whose idle connections to close
     log_lines: list[str] = field(default_factory=list)
-    health_changes: list[HealthChange] = field(default_factory=list)  # in their order
-    subscribe: bool = False
-    wake_at: int | None = None  # the next time at which `decide` should be called without an event
+    health_changes: list[HealthChange] = field(default_factory=list)  # in order of occurrence
+    subscribe: bool = False  # whether to ask for the endpoint list now
+    wake_at: int | None = None  # when to call `decide` next if no event occurs before; None: not needed
 
 
 class MessageHandle(Protocol):
-    """An accepted message, as the protocol in front sees it; `message_handle.Handle` documents the methods."""
+    """An accepted message as the caller sees it; documented in `message_handle.Handle`."""
 
     def attempt_ended(
         self,
@@ -189,32 +191,32 @@
         report: Sequence[float],
         reused_connection: bool = False,
     ) -> None:
-        """Report the outcome of the running attempt; `duration` and `retry_after` are microseconds."""
+        """Report the outcome of the attempt in flight; `duration` and `retry_after` are in microseconds."""
         ...
 
     def withdrawn(self, now: int) -> None:
-        """The client has given the message up; a running attempt still ends with an outcome."""
+        """Report that the client no longer waits; an attempt in flight still ends with an outcome."""
         ...
 
     def may_start(self, now: int, receiver: int) -> bool:
-        """Whether an ordered attempt may still go, asked before its first byte."""
+        """Whether a requested attempt may still be sent; asked before its first byte."""
         ...
 
     def send_by(self) -> int:
-        """When the last byte of an ordered attempt must have been sent (microseconds)."""
+        """Return when the last byte of a requested attempt must have been sent (microseconds)."""
         ...
 
     def attempt_not_sent(self) -> None:
-        """The attempt whose outcome was just reported was held back: it does not count."""
+        """Report that the attempt whose outcome was just reported was held back, so that it does not count."""
         ...
 
     def needs_new_connection(self) -> bool:
-        """Whether an ordered attempt may not reuse a connection."""
+        """Whether a requested attempt must not reuse a connection."""
         ...
 
 
 class DeliverySender(Protocol):
-    """The methods and attributes of `policy.Sender` that a protocol may use; documented there."""
+    """The methods and attributes of `policy.Sender` that a caller may use; documented there."""
 
     connection_lifetime: int
     max_poll_backoff: int
@@ -223,12 +225,12 @@
 
     def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None: ...
 
-    def apply_endpoint_list(self, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
-        """Apply an update of the list of receivers."""
+    def apply_endpoint_list(self, now: int, update: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
+        """Apply an update of the endpoint list."""
         ...
 
     def list_poll_failed(self, now: int) -> None:
-        """A call for the list failed, or its subscription broke."""
+        """Report that a poll of the endpoint list failed, or that its watch ended."""
         ...
 
     def accept(
@@ -241,33 +243,33 @@
         tenant: int,
         key: int,
     ) -> MessageHandle:
-        """Accept a message; `deadline` is a time in microseconds, `key` 0 where order does not matter."""
+        """Accept a message; `deadline` is a time in microseconds, `key` its order key, 0 if order does not matter."""
         ...
 
     def restore(self, now: int, unfinished: Sequence[UnfinishedMessage]) -> Sequence[MessageHandle]:
-        """Accept the messages that a restart left unfinished, in their order."""
+        """Accept the messages that a restart left unfinished, in the given order."""
         ...
 
     def decide(self, now: int) -> Decisions:
-        """Decide once, after the events of a round."""
+        """Make the decisions of a round, after its events."""
         ...
 
 
 def float_setting(settings: Mapping[str, str], name: str, default: float = 0.0) -> float:
-    """A numeric setting, or the default where it is absent or empty; `ValueError` where it is not a number."""
+    """Return a numeric setting, or the default if it is absent or empty; raise `ValueError` if it is not a number."""
     return float(settings.get(name) or default)
 
 
 def duration_setting(settings: Mapping[str, str], name: str, default_ms: float = 0.0) -> int:
-    """A duration setting given in milliseconds, converted to microseconds."""
+    """Return a duration setting, given in milliseconds, in microseconds."""
     return round(float_setting(settings, name, default_ms) * 1000)
 
 
 def flag_setting(settings: Mapping[str, str], name: str) -> bool:
-    """Whether a setting is `true`; false where it is absent."""
+    """Whether a setting is `true`; false if it is absent."""
     return settings.get(name) == "true"
 
 
 def list_setting(settings: Mapping[str, str], name: str) -> list[str]:
-    """The non-empty parts of a comma-separated setting."""
+    """Return the non-empty parts of a comma-separated setting."""
     return [part for part in settings.get(name, "").split(",") if part]
--- a/cedarwick/decisions/policy.py
+++ b/cedarwick/decisions/policy.py
@@ -1,9 +1,8 @@
-"""`Sender`, the delivery policy of one instance: it accepts and recovers messages and decides in each round.
+"""`Sender`, the delivery policy of one instance: admission and recovery of messages, and the decisions of each round.
 
-The dispatcher and the laboratory call it as `interface.py` describes. Times are microseconds, rates calls a second.
-The records are in `state.py`, the reasons in `docs/design.md`. The parts of `Sender`:
-`sender_state` (records), `rate_control`, `recovery`, `health`, `selection`, `urgency`, `load_shedding` and
-`endpoint_updates`.
+`interface.py` describes how it is called. Times are in microseconds, rates in calls per second. The data structures are
+in `state.py`, the design rationale is in `docs/design.md`. The base classes of `Sender` are in `sender_state`,
+`rate_control`, `recovery`, `earlier_outages`, `health`, `selection`, `urgency`, `load_shedding` and `endpoint_updates`.
 """
 
 from collections.abc import Mapping, Sequence
@@ -18,14 +17,16 @@
 
 __all__ = ["Handle", "Sender", "priority_class_of"]
 
-MAX_CANCELLED_ATTEMPTS = 2  # cancelled attempts after which a message is given up
-CONNECT_FAILURE_LIMIT = 0.05  # a larger share of completions right after a failed connection: tables are full
-KEY_PAUSE = 300_000  # microseconds: the rest of a key of which another sender has earlier messages; renewable
-KEY_PAUSE_RESERVE = SECOND  # such a rest ends at least this long before the first message's deadline
+MAX_CANCELLED_ATTEMPTS = 2  # a message is given up after this many cancelled attempts
+# Above this share of completions shortly after a failed connection, the receivers' connection tables are taken to be
+# full.
+CONNECT_FAILURE_LIMIT = 0.05
+KEY_PAUSE = 300_000  # microseconds; pause of an order key of which another sender has earlier messages; renewable
+KEY_PAUSE_RESERVE = SECOND  # microseconds; such a pause ends this long before the first message's deadline
 
 
 def priority_class_of(settings: Mapping[str, str], index: int) -> PriorityClass:
-    """One priority class as the settings give it under `classes.INDEX.`."""
+    """Read one priority class from the settings under `classes.INDEX.`."""
     head = f"classes.{index}."
     halving = settings.get("family-info.late") == "by_half"
     repeat = settings.get(head + "repeat", "single_shot")
@@ -44,7 +45,7 @@
 
 
 class Sender(Selection, LoadShedding, EndpointUpdates):
-    """One instance: it decides from its settings and from what it has seen itself."""
+    """The delivery policy of one instance; it decides only from its settings and its own observations."""
 
     def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None:
         self.priority_classes = [
@@ -55,7 +56,7 @@
     def accept(
         self, now: int, message_id: int, destination: int, priority_class: int, deadline: int, tenant: int, key: int
     ) -> Handle:
-        """Accept a message; `deadline` is a time in microseconds, `key` 0 where order does not matter."""
+        """Accept a message; `deadline` is a time in microseconds, `key` its order key, 0 if order does not matter."""
         chosen_class = self.priority_classes[priority_class]
         objective_by = deadline - chosen_class.deadline + chosen_class.latency_objective
         self.accepted_count += 1
@@ -69,12 +70,12 @@
         return handle
 
     def restore(self, now: int, unfinished: Sequence[UnfinishedMessage]) -> list[Handle]:
-        """Accept what a restart left unfinished; an attempt without an outcome may have run."""
-        # An attempt from before the restart may still be running, even for a key with no unfinished message: all keys
-        # rest, so that a later message of the key cannot overtake it.
+        """Accept the messages that a restart left unfinished; an attempt without an outcome may have run."""
+        # An attempt from before the restart may still be running, even for a key without an unfinished message: pause
+        # all keys, so that no later message of its key can overtake it.
         self.order_key_queues.all_paused_until = now + duration_setting(self.settings, "rules.turn-gap-ms")
         handles = [self.accept(now, *each[:-1]) for each in unfinished]
-        # If the settings now allow fewer open messages, the recovered ones must not be shed without an attempt.
+        # The recovered messages must not be shed without an attempt if the settings now allow fewer open messages.
         self.max_open_messages = max(self.max_open_messages, self.open_messages + 2)
         for handle, each in zip(handles, unfinished, strict=True):
             handle.attempts = len(each.attempts)
@@ -84,20 +85,20 @@
         return handles
 
     def pause_key(self, now: int, key: int) -> list[Handle]:
-        """Hold the messages of a key back for `KEY_PAUSE`, since another sender still has earlier ones.
+        """Hold back the messages of an order key for `KEY_PAUSE`, since another sender still has earlier ones.
 
-        Returns those that had no attempt yet.
+        Returns those without an attempt.
         """
-        line = self.order_key_queues.queues.get(key) or ()
-        if line:
-            # The other sender may never finish: leave the first message enough time for its own attempt.
-            self.order_key_queues.pause(key, min(now + KEY_PAUSE, line[0].deadline - KEY_PAUSE_RESERVE))
-        return [each for each in line if not each.attempts]
+        queue = self.order_key_queues.queues.get(key) or ()
+        if queue:
+            # The other sender may never finish: leave enough time for an attempt of the first message here.
+            self.order_key_queues.pause(key, min(now + KEY_PAUSE, queue[0].deadline - KEY_PAUSE_RESERVE))
+        return [each for each in queue if not each.attempts]
 
     def decide(self, now: int) -> Decisions:
-        """Decide for every destination that changed or is due, most urgent messages first; call once a round.
+        """Decide for all destinations that changed or are due, most urgent messages first; call once per round.
 
-        `wake_at` of the result is when to call again (microseconds) if nothing happens before.
+        `wake_at` of the result is when to call again (microseconds) if no event occurs before.
         """
         self.changed_destinations.update(self.wake_schedule.due(now))
         destination_states = [self.destinations[each] for each in sorted(self.changed_destinations)]
@@ -122,22 +123,22 @@
         return decisions
 
     def _begin_round(self, destination_state: Destination) -> None:
-        """Compute the values of a destination that stay the same through the round."""
+        """Compute the values of a destination that stay constant during the round."""
         destination_state.ready_receivers = [
             self.receivers[each] for each in destination_state.receiver_ids if self.receivers[each].ready
         ]
         destination_state.min_latency = min(
-            (candidate.mean_latency for candidate in destination_state.ready_receivers), default=0.0
+            (receiver.mean_latency for receiver in destination_state.ready_receivers), default=0.0
         )
         destination_state.first_wait_end = min(
-            (candidate.rate_control.wait_until for candidate in destination_state.ready_receivers), default=0
+            (receiver.rate_control.wait_until for receiver in destination_state.ready_receivers), default=0
         )
         destination_state.candidates.clear()
 
     def _process_held_messages(self, now: int, destination_states: Sequence[Destination]) -> dict[int, int]:
-        """Advance the held messages, most urgent first; returns the time of the next look by destination."""
+        """Process the held messages, most urgent first; return when to check each destination next."""
         next_checks: dict[int, int] = {}
-        alone = max(self.messages_per_call, default=1) == 1
+        single_message_calls = max(self.messages_per_call, default=1) == 1
         waiting = [
             held
             for destination_state in destination_states
@@ -146,17 +147,20 @@
         ]
         for message in sorted(waiting, key=lambda held: self._urgency(now, held)):
             destination_state = self.destinations[message.destination]
-            known = now < message.next_check_at and destination_state.candidates.get(message.candidate_filter)
-            if known and (alone or not known[0]):  # no room, or no slot
+            cached = now < message.next_check_at and destination_state.candidates.get(message.candidate_filter)
+            if cached and (single_message_calls or not cached[0]):  # no receiver or no call slot is available
                 destination_state.rotate(message.candidate_filter)
-                check_at = message.next_check_at if known[0] else min(known[1], message.next_check_at)
+                check_at = message.next_check_at if cached[0] else min(cached[1], message.next_check_at)
             else:
                 check_at = self.advance(now, message)
             next_checks[destination_state.id] = min(check_at, next_checks.get(destination_state.id, NEVER))
         return next_checks
 
     def _release_connections(self) -> None:
-        """Release idle connections that fill a receiver's table, or that it will have closed before their next use."""
+        """Release idle connections that fill a receiver's connection table or that it will close before their next use.
+
+        The limits are `CONNECT_FAILURE_LIMIT` and, with many senders, the idle limit of connections.
+        """
         for each in sorted(self.ended_call_receivers & self.receivers.keys()):
             record = self.receivers[each]
             crowded = self.connect_failure_shares.get(record.kind, 0.0) > CONNECT_FAILURE_LIMIT
@@ -167,16 +171,16 @@
         self.ended_call_receivers.clear()
 
     def advance(self, now: int, message: Handle) -> int:
-        """Order an attempt for a held message, give it up, or let it wait.
+        """Request an attempt for a held message, give the message up, or let it wait.
 
-        Returns the time of its next look (microseconds); NEVER where it needs none.
+        Returns when to check the message next (microseconds); NEVER if that is not needed.
         """
         priority_class = message.priority_class
         destination_state = self.destinations[message.destination]
         last_start = message.deadline - max(self.tick * START_MARGIN_TICKS, round(destination_state.min_latency / 2))
-        last_start = min(last_start, message.repeat_until() - 1)
+        last_start = min(last_start, message.retry_until() - 1)
         start = max(now, message.not_before, destination_state.first_wait_end)
-        # Terminal: out of attempts, or a further one could take effect twice, or cannot finish in time.
+        # Give up: no attempts are left, or a further one could take effect twice or could not finish in time.
         if (
             message.attempts >= self.max_attempts
             or message.cancelled_attempts >= MAX_CANCELLED_ATTEMPTS
@@ -188,18 +192,17 @@
         if start > now:
             return min(start, last_start + 1)
         if priority_class.ordered and message.key:
-            turn_at = self.order_key_queues.ready_at(message.key, message)
-            if turn_at > now:
-                return min(turn_at, last_start + 1)
+            key_ready_at = self.order_key_queues.ready_at(message.key, message)
+            if key_ready_at > now:
+                return min(key_ready_at, last_start + 1)
         zone = (
             message.ran_zone
             if message.ran_at and priority_class.single_zone and not priority_class.idempotent
             else None
         )
         filter_key = zone, priority_class.at_most_once
-        if (
-            filter_key not in destination_state.candidates
-        ):  # cached: each event would otherwise scan all receivers for every held message
+        # Cached: otherwise each event would scan all receivers for every held message.
+        if filter_key not in destination_state.candidates:
             eligible = [
                 candidate for candidate in destination_state.ready_receivers if zone is None or candidate.zone == zone
             ]
@@ -224,6 +227,6 @@
         self._account_for_attempt(now, receiver, shares_call)
         message.in_flight, message.sent_at = True, now
         message.attempts += 1
-        patience = self._attempt_time_out(now, message, receiver)
-        self.decisions.attempts.append((message.id, receiver.id, patience))
+        time_out = self._attempt_time_out(now, message, receiver)
+        self.decisions.attempts.append((message.id, receiver.id, time_out))
         return NEVER
--- a/cedarwick/decisions/selection.py
+++ b/cedarwick/decisions/selection.py
@@ -5,7 +5,7 @@
 
 from cedarwick.decisions.health import HealthTracking
 from cedarwick.decisions.rate_control import MIN_SENDS_FOR_RATE
-from cedarwick.decisions.sender_state import REFUSAL_WINDOW
+from cedarwick.decisions.sender_state import THROTTLE_WINDOW
 from cedarwick.decisions.state import ASSUMED_LATENCY, NEVER, SECOND, Message, Receiver, record_recent
 
 DEFAULT_LATENCY = 2 * SECOND  # assumed where nothing has been measured
@@ -103,7 +103,7 @@
             receiver.canary_at = self._next_canary(now, receiver)
         if not shares_call:
             self.calls_in_flight += 1
-            record_recent(receiver.rate_control.send_times, now, REFUSAL_WINDOW, MIN_SENDS_FOR_RATE + 1)
+            record_recent(receiver.rate_control.send_times, now, THROTTLE_WINDOW, MIN_SENDS_FOR_RATE + 1)
 
     def _attempt_time_out(self, now: int, message: Message, receiver: Receiver) -> int:
         """The time-out of an attempt (microseconds).
--- a/cedarwick/decisions/sender_state.py
+++ b/cedarwick/decisions/sender_state.py
@@ -1,6 +1,7 @@
-"""The state of one sender (settings, receivers, destinations, held messages) and helpers that all parts use.
+"""The state of one sender (settings, receivers, destinations, held messages) and helpers that all its parts use.
 
-Times are microseconds, rates calls a second. Every part of `Sender` (see `policy`) derives from `SenderState`.
+Times are in microseconds, rates in calls per second. All base classes of `Sender` (see `policy`) derive from
+`SenderState`.
 """
 
 from collections.abc import Mapping
@@ -19,26 +20,26 @@
     WakeSchedule,
 )
 
-REFUSAL_WINDOW = 2 * SECOND  # the share of refusals is measured over this
-MANY_SENDERS = 16  # with more senders than this, each sees too few outcomes of a receiver to judge by shares
-FEW_SENDERS = (
-    8  # up to so many senders see enough of a destination to tell its outage from that of one of its receivers
-)
-COMPLETIONS_STALE_AFTER = 5 * SECOND  # completions older than this say little of a receiver's health
-BACKOFF_BASE = SECOND // 2  # the first window that a random wait is drawn from; it doubles with each failure
-# The longest wait between calls for the list: with 1 s for a call that hangs, a change arrives before it counts as
-# known.
+THROTTLE_WINDOW = 2 * SECOND  # microseconds; the share of throttled answers is measured over this window
+MANY_SENDERS = 16  # with more senders, each sees too few outcomes of a receiver to judge it by shares of them
+# Up to this many senders, each sees enough of a destination to tell its outage from an outage of a single receiver.
+FEW_SENDERS = 8
+COMPLETIONS_STALE_AFTER = 5 * SECOND  # microseconds; older completions say little about a receiver's health
+BACKOFF_BASE = SECOND // 2  # microseconds; the first window of a random backoff, doubled with each failure
+# Microseconds; the longest delay between polls of the endpoint list. With 1 s for a call that hangs, a change still
+# arrives before senders are expected to know it.
 MAX_LIST_POLL_DELAY = 4 * SECOND
-START_MARGIN_TICKS = 4  # ticks between the last useful start of an attempt and the end of its time
-MAX_RETRY_AFTER = 3600 * SECOND  # longer Retry-After waits are cut to this; no deadline comes near it
-MIN_TOTAL_RATE = 1.0  # calls a second of all senders together: no rate_control and no ramp is slower
-# Of the time after which a receiver closes an idle connection: an attempt must not cross its close.
+START_MARGIN_TICKS = 4  # ticks between the latest useful start of an attempt and the end of its time
+MAX_RETRY_AFTER = 3600 * SECOND  # microseconds; longer Retry-After waits are cut to this, far beyond any deadline
+MIN_TOTAL_RATE = 1.0  # calls per second of all senders together; the lower bound of every rate and ramp
+# Idle connections are used for this share of the time after which a receiver closes them: an attempt must not be sent
+# while the receiver closes its connection.
 IDLE_CONNECTION_SHARE = 0.9
-SAFE_RATE_SHARE = 0.6  # of this sender's even part of a listed rate, which may be listed too high
+SAFE_RATE_SHARE = 0.6  # of this sender's even share of a listed rate, since the listed rate may be too high
 
 
 class SenderState:
-    """The settings and records of one sender; every other part of `Sender` derives from it."""
+    """The settings and records of one sender; the other base classes of `Sender` derive from it."""
 
     def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None:
         self.settings = settings
@@ -54,8 +55,8 @@
         self.messages_per_call = [int(part) for part in list_setting(settings, "family-info.per-call")]
         self.ramp_time = max(SECOND, duration_setting(settings, "rules.ramp-time-ms", 10_000))
         self.overload_window = duration_setting(settings, "rules.fall-ms")
-        # The observed rate is completions over this window; many senders see few each, so theirs is twice as long.
-        self.observation_window = 2 * REFUSAL_WINDOW * (1 + self.many_senders)
+        # The observed rate counts completions in this window. Each of many senders sees few, so the window is doubled.
+        self.observation_window = 2 * THROTTLE_WINDOW * (1 + self.many_senders)
         self.local_zone = int(float_setting(settings, "locality"))
         self.cross_zone_fee = float_setting(settings, "tariffs.cross-zone")
         self.separate_kinds = {
@@ -68,54 +69,56 @@
         self.receivers: dict[int, Receiver] = {}
         self.destinations: dict[int, Destination] = {}
         self.order_key_queues = OrderKeyQueues()
-        self.tenant_allowances: dict[int, TokenBucket] = {}  # what a tenant has left of its share
+        self.tenant_allowances: dict[int, TokenBucket] = {}  # unused allowance by tenant
         self.started_at = now
         self.open_messages = 0
-        self.storable_messages = NEVER  # messages that may still be stored, as the protocol says
+        self.storable_messages = NEVER  # how many more messages the caller can store
         self.accepted_count = 0
         self.calls_in_flight = 0
-        self.changed_destinations: set[int] = set()  # destinations that need a look in this round
-        self.broken_reuse_share = 0.0  # moving share of calls on reused connections that broke
-        self.connect_failure_shares: dict[int, float] = {}  # by kind: how often one failed just before a completion
-        self.ended_call_receivers: set[int] = set()  # receivers at which a call has ended in this round
-        self.destinations_without_slot: set[int] = set()  # destinations that found no slot free
+        self.changed_destinations: set[int] = set()  # destinations to decide for in this round
+        self.broken_reuse_share = 0.0  # moving average of the share of reused connections that broke during a call
+        # Moving average, by kind, of the share of completions that came shortly after a failed connection.
+        self.connect_failure_shares: dict[int, float] = {}
+        self.ended_call_receivers: set[int] = set()  # receivers with a call that ended in this round
+        self.destinations_without_slot: set[int] = set()  # destinations with messages that wait for a call slot
         self.wake_schedule = WakeSchedule()
         self.subscribe_at = now if settings.get("discovery") == "ask" else NEVER
-        self.last_poll_at, self.failed_polls = now, 0  # for the list: when last, how often of late
-        # On sockets no longer than `MAX_LIST_POLL_DELAY`.
+        self.last_poll_at, self.failed_polls = now, 0  # last list poll; recent failures
+        # In the service, `program` caps this at `MAX_LIST_POLL_DELAY`.
         self.max_poll_backoff = duration_setting(settings, "rules.ask-within-ms") or MAX_LIST_POLL_DELAY
         self.decisions = Decisions()
 
     def take_health_changes(self) -> list[HealthChange]:
-        """The changes of receivers' health since the last call or round, in their order."""
+        """Return and clear the health changes since the last call or round, in order of occurrence."""
         changes, self.decisions.health_changes = self.decisions.health_changes, []
         return changes
 
     def hold(self, now: int, message: Message) -> None:
-        """Put a message among those held for its destination, for a look in the coming round."""
+        """Add a message to those held for its destination, to be decided on in the next round."""
         self._destination(message.destination).held.append(message)
         self.changed_destinations.add(message.destination)
         message.next_check_at = message.rank_valid_until = 0
 
     def close(self, now: int, message: Message) -> None:
-        """Close an ended message without a running attempt, and let the next message of its key go."""
+        """Close an ended message that has no attempt in flight, and release the next message of its order key."""
         message.ended = True
         self.open_messages -= 1
         self.changed_destinations.add(message.destination)
         if message.priority_class.ordered and message.key:
-            # An attempt that timed out may still run: the key rests, so that its next message cannot overtake it.
-            rest = (message.doubtful_at or -NEVER) + duration_setting(self.settings, "rules.turn-gap-ms")
-            after = self.order_key_queues.remove_ended(message.key, message, now, rest)
-            self.changed_destinations.update(each.destination for each in after)  # its next one may wait at another
+            # A timed-out attempt may still be running: pause the key so that its next message cannot overtake it.
+            pause_until = (message.doubtful_at or -NEVER) + duration_setting(self.settings, "rules.turn-gap-ms")
+            after = self.order_key_queues.remove_ended(message.key, message, now, pause_until)
+            # The key's next message may belong to another destination.
+            self.changed_destinations.update(each.destination for each in after)
 
     def _destination(self, destination_id: int) -> Destination:
-        """The record of a destination, new where there is none yet."""
+        """Return the record of a destination; create it if there is none yet."""
         if destination_id not in self.destinations:
             self.destinations[destination_id] = Destination(destination_id, RateControl())
         return self.destinations[destination_id]
 
     def _rate_group(self, destination_state: Destination, rate_control: RateControl) -> list[Receiver]:
-        """The receivers of a destination that share a rate control."""
+        """Return the receivers of a destination that share the given rate control."""
         return [
             self.receivers[each]
             for each in destination_state.receiver_ids
@@ -123,9 +126,9 @@
         ]
 
     def _messages_per_call_to(self, receiver: Receiver) -> int:
-        """How many messages one call to the receiver carries."""
+        """Return how many messages one call to the receiver can carry."""
         return self.messages_per_call[receiver.kind] if receiver.kind < len(self.messages_per_call) else 1
 
     def _lacks_recent_completion(self, now: int, receiver: Receiver) -> bool:
-        """Whether the receiver has completed nothing of late."""
+        """Whether the receiver has completed no call within `COMPLETIONS_STALE_AFTER`."""
         return not receiver.completion_times or receiver.completion_times[-1] < now - COMPLETIONS_STALE_AFTER
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -14,7 +14,7 @@
 )
 from cedarwick.decisions.policy import Sender
 from cedarwick.decisions.rate_control import RATE_STEP_INTERVAL
-from cedarwick.decisions.sender_state import BACKOFF_BASE, REFUSAL_WINDOW
+from cedarwick.decisions.sender_state import BACKOFF_BASE, THROTTLE_WINDOW
 from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, end, out, sender, take
 
 
@@ -494,7 +494,7 @@
         handle = out(made, 1)
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(made.receivers[1].rate_control.rate, before / 2)
-        made._cut_rate(NOW + REFUSAL_WINDOW // 2, made.receivers[1].rate_control, True)
+        made._adjust_rate_after_throttle(NOW + THROTTLE_WINDOW // 2, made.receivers[1].rate_control, True)
         self.assertEqual(made.receivers[1].rate_control.rate, before / 2)
 
     def test_a_lone_refusal_spares_a_pace_under_its_even_part(self) -> None:
@@ -523,7 +523,7 @@
         made = sender(report__columns="x0,x1", rate=8.0, weight_source="nominal")
         handle = out(made, 1)
         rate_control = made.receivers[1].rate_control
-        rate_control.rate, rate_control.cut_at = 1.0, NOW - REFUSAL_WINDOW
+        rate_control.rate, rate_control.cut_at = 1.0, NOW - THROTTLE_WINDOW
         handle.attempt_ended(NOW + RATE_STEP_INTERVAL, Outcome.COMPLETED, 0, 1, 100 * MS, 0, True, (0.9, 8.0))
         self.assertAlmostEqual(rate_control.rate, 1.0 + 4.8 * 0.2)
 
