--- a/cedarwick/decisions/earlier_outages.py
+++ b/cedarwick/decisions/earlier_outages.py
@@ -13,11 +13,11 @@
 
     def restore_health(self, now: int, receiver: int, earlier: EarlierHealth) -> None:
         """Apply what an earlier process knew about a receiver that is listed now."""
-        known = self.receivers[receiver]
-        known.observed_rate = max(known.observed_rate, earlier.observed_rate)
+        record = self.receivers[receiver]
+        record.observed_rate = max(record.observed_rate, earlier.observed_rate)
         # The last attempt of the earlier process is not known: do not estimate the recovery as earlier than this start.
-        known.last_attempt_at = known.last_attempt_at or now
-        rate_control = known.rate_control
+        record.last_attempt_at = record.last_attempt_at or now
+        rate_control = record.rate_control
         # For a receiver in service, an old rate cut is obsolete: the rate has risen since.
         if earlier.cut_rate and (earlier.state is not HealthState.IN_SERVICE or earlier.recorded_age < self.ramp_time):
             rate_control.rate = (
@@ -26,21 +26,21 @@
             rate_control.reference_rate = rate_control.reference_rate or max(earlier.observed_rate, earlier.cut_rate)
             rate_control.cut_at, rate_control.bucket = now, TokenBucket(0.0, now)
         if earlier.state is HealthState.EJECTED:
-            self._eject_for_earlier_outage(now, known, self._earlier_outage(now, earlier))
-            self._report_health(known, HealthState.EJECTED, HealthReason.BEFORE_RESTART, known.ejected_since)
+            self._eject_for_earlier_outage(now, record, self._earlier_outage(now, earlier))
+            self._report_health(record, HealthState.EJECTED, HealthReason.BEFORE_RESTART, record.ejected_since)
         elif earlier.state is HealthState.SUSPECTED:
-            known.rate_control.failed_since = known.rate_control.failed_since or max(1, now - earlier.age)
-            known.suspected = True
-            self._spread_first_call(now, known)
+            record.rate_control.failed_since = record.rate_control.failed_since or max(1, now - earlier.age)
+            record.suspected = True
+            self._spread_first_call(now, record)
             self._report_health(
-                known, HealthState.SUSPECTED, HealthReason.BEFORE_RESTART, known.rate_control.failed_since
+                record, HealthState.SUSPECTED, HealthReason.BEFORE_RESTART, record.rate_control.failed_since
             )
-        elif not known.ready and earlier.state is HealthState.AWAY:
-            known.not_ready_since = now - self.overload_window - 1  # unknown duration: it ramps up when it returns
-        elif earlier.state is not HealthState.IN_SERVICE and not known.ejected_since:
+        elif not record.ready and earlier.state is HealthState.AWAY:
+            record.not_ready_since = now - self.overload_window - 1  # unknown duration: it ramps up when it returns
+        elif earlier.state is not HealthState.IN_SERVICE and not record.ejected_since:
             # The progress of its ramp depends on a clock that may have been changed: restart the ramp.
-            self._begin_ramp(now, known, now, HealthReason.BEFORE_RESTART)
-            self._spread_first_call(now, known)
+            self._begin_ramp(now, record, now, HealthReason.BEFORE_RESTART)
+            self._spread_first_call(now, record)
 
     def restore_departed(self, now: int, earlier: EarlierHealth) -> None:
         """Apply what an earlier process knew about a receiver that is not listed any more.
--- a/cedarwick/decisions/interface.py
+++ b/cedarwick/decisions/interface.py
@@ -4,7 +4,7 @@
 in which they occurred:
 
     sender = Sender(settings, seed, now)               settings: a flat mapping of names to values, as text
-    sender.apply_endpoint_list(now, update, listings)  an update of the endpoint list
+    sender.apply_endpoint_list(now, update_type, ...)  an update of the endpoint list
     sender.list_poll_failed(now)                       a poll of the endpoint list failed, or its watch ended
     handle = sender.accept(now, id, ...)               a new message
     handle.attempt_ended(now, outcome, attempt, ...)   the outcome of one of its attempts
@@ -225,7 +225,7 @@
 
     def __init__(self, settings: Mapping[str, str], seed: int, now: int) -> None: ...
 
-    def apply_endpoint_list(self, now: int, update: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
+    def apply_endpoint_list(self, now: int, update_type: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
         """Apply an update of the endpoint list."""
         ...
 
--- a/cedarwick/decisions/selection.py
+++ b/cedarwick/decisions/selection.py
@@ -1,6 +1,6 @@
-"""Receiver selection: which receivers have room, their weights in the rotation, and the attempt's time-out.
+"""Receiver selection: which receivers are available, their weights in the rotation, and the time-out of an attempt.
 
-Times are microseconds, rates calls a second. `Sender` (see `policy`) derives from `Selection`.
+Times are in microseconds, rates in calls per second. `Sender` (see `policy`) derives from `Selection`.
 """
 
 from cedarwick.decisions.health import HealthTracking
@@ -8,62 +8,67 @@
 from cedarwick.decisions.sender_state import THROTTLE_WINDOW
 from cedarwick.decisions.state import ASSUMED_LATENCY, NEVER, SECOND, Message, Receiver, record_recent
 
-DEFAULT_LATENCY = 2 * SECOND  # assumed where nothing has been measured
-FEE_WEIGHT = 50  # by which a fee lowers a receiver's weight in the rotation
-SLOTS_PER_DESTINATION_DIVISOR = 3  # one destination takes at most one in so many slots
-MAX_TIME_OUT_DOUBLINGS = 4  # with each attempt the time-out doubles
-IDLE_RATE_RESET = 60 * SECOND  # after so long without a call a rate without a known limit is forgotten
-MAX_CALLS_BEFORE_COMPLETION = 2  # calls out at a destination from which nothing has been completed yet
-WARM_UP_BATCH = 4  # messages in one call during a ramp, and from a refusal to the next completion
+DEFAULT_LATENCY = 2 * SECOND  # microseconds; assumed for time-outs if no latency has been measured
+FEE_WEIGHT = 50  # factor of the fee in a receiver's weight in the rotation
+SLOTS_PER_DESTINATION_DIVISOR = 3  # a destination uses at most this fraction (1/3) of the call slots
+MAX_TIME_OUT_DOUBLINGS = 4  # the time-out doubles with each attempt, at most this often
+IDLE_RATE_RESET = 60 * SECOND  # microseconds without a call after which a rate without a known limit is reset
+MAX_CALLS_BEFORE_COMPLETION = 2  # calls in flight to a destination that has not completed any call yet
+WARM_UP_BATCH = 4  # messages in one call during a ramp, and after a throttle until the next completion
 
 
 class Selection(HealthTracking):
-    """Chooses receivers and accounts for the attempts that go to them."""
+    """Chooses receivers for attempts, and accounts for the attempts sent to them."""
 
     def _find_candidates(
         self, now: int, message: Message, candidates: list[Receiver]
     ) -> tuple[list[tuple[Receiver, float]], int]:
-        """The receivers with room and their weights, or one canary alone; and the soonest time one may have room."""
-        open_now: list[tuple[Receiver, float]] = []
+        """Return the available receivers with their weights, or only one for a canary, and when one may be available.
+
+        The time (microseconds) is the earliest of all the given receivers.
+        """
+        available: list[tuple[Receiver, float]] = []
         canary: list[tuple[Receiver, float]] = []
-        soonest = NEVER
+        earliest = NEVER
         for candidate in candidates:
             if not candidate.ejected_since and self._is_silent(now, candidate):
-                # Eject a hanging receiver, before its unanswered calls take all slots.
+                # Eject a hanging receiver before its unanswered calls take all call slots.
                 self._eject_silent(now, candidate)
             if candidate.ejected_since:
-                room_at = self._canary_available_at(now, message, candidate)
-                if room_at <= now:
+                available_at = self._canary_available_at(now, message, candidate)
+                if available_at <= now:
                     canary = canary or [(candidate, 0.0)]
             else:
-                room_at = self._available_at(now, candidate)
-                if room_at <= now:
-                    open_now.append((candidate, self._weight(now, candidate)))
-            soonest = min(soonest, room_at)
-        return canary or open_now, soonest
+                available_at = self._available_at(now, candidate)
+                if available_at <= now:
+                    available.append((candidate, self._weight(now, candidate)))
+            earliest = min(earliest, available_at)
+        return canary or available, earliest
 
     def _weight(self, now: int, receiver: Receiver) -> float:
-        """A receiver's weight in the rotation: observed speed and success, reduced by failures and fees."""
+        """Return a receiver's weight in the rotation: its speed and success share, reduced by failures and fees."""
         success = (sum(receiver.recent_successes) + 1) / (len(receiver.recent_successes) + 1)
-        pace = SECOND / (receiver.mean_latency or ASSUMED_LATENCY)
+        speed = SECOND / (receiver.mean_latency or ASSUMED_LATENCY)
         fee = float(self.zone_fees.get(receiver.zone, 0.0)) if receiver.kind in self.separate_kinds else 0.0
         fee += self.cross_zone_fee if receiver.zone != self.local_zone else 0.0
-        return float(pace * success * 2.0 ** -self._current_failure_score(now, receiver) / (1 + fee * FEE_WEIGHT))
+        return float(speed * success * 2.0 ** -self._current_failure_score(now, receiver) / (1 + fee * FEE_WEIGHT))
 
     def _can_share_call(self, now: int, receiver: Receiver) -> bool:
-        """Whether an attempt of this round can share a call to the receiver that has room for more messages."""
-        joined = receiver.unanswered_attempts.get(now, 0) % self._messages_per_call_to(receiver)
-        # A full call is as heavy as several; during a ramp or after throttling calls carry fewer messages.
-        return 0 < joined < (WARM_UP_BATCH if receiver.recovered_at or receiver.consecutive_throttles else NEVER)
+        """Whether an attempt can share a call to the receiver that is being filled in this round."""
+        messages_in_call = receiver.unanswered_attempts.get(now, 0) % self._messages_per_call_to(receiver)
+        # A full call causes as much load as several small ones: calls are smaller during a ramp and after a throttle.
+        return (
+            0 < messages_in_call < (WARM_UP_BATCH if receiver.recovered_at or receiver.consecutive_throttles else NEVER)
+        )
 
     def _available_at(self, now: int, receiver: Receiver) -> int:
-        """When a receiver in service may get its next call; `now` where it may at once."""
+        """Return when a receiver in service may get its next call; `now` if it may at once."""
         rate_control = receiver.rate_control
         if rate_control.wait_until > now:
             return rate_control.wait_until
         if self._can_share_call(now, receiver):
             return now
-        # A restarted sender knows no rate yet; bounding its running calls spares a throttled destination.
+        # A restarted sender does not know the rate yet: limit its calls in flight, in case the destination throttles.
         if rate_control.calls_in_flight >= max(
             MAX_CALLS_BEFORE_COMPLETION,
             self.max_calls_in_flight // SLOTS_PER_DESTINATION_DIVISOR if rate_control.has_completed else 0,
@@ -71,32 +76,32 @@
             return now + SECOND
         if rate_control.send_times and now - rate_control.send_times[-1] > IDLE_RATE_RESET and not rate_control.limit:
             rate_control.rate, rate_control.reference_rate = None, 0.0
-        room_at = now
+        available_at = now
         if rate_control.rate is not None:
-            room_at = now + rate_control.bucket.refill(now, rate_control.rate, max(1.0, rate_control.rate))
-            rate_control.tokens_ran_out |= room_at > now
-        # Many senders only estimate the recovery, half of them too early: the ramp lasts until `ramp_until` at least.
+            available_at = now + rate_control.bucket.refill(now, rate_control.rate, max(1.0, rate_control.rate))
+            rate_control.tokens_ran_out |= available_at > now
+        # Many senders only estimate the time of recovery, half of them too early: ramp up at least until `ramp_until`.
         if receiver.recovered_at and now >= max(receiver.ramp_until, receiver.recovered_at + self.ramp_time):
             self._end_ramp(now, receiver)
-        # What failed may be out: until a call is completed it gets no more than a receiver that has just returned.
+        # A suspected destination may be out: until a call completes it gets no more than one that has just recovered.
         suspected = self._outage_suspected(now, rate_control) and (receiver.suspected or not self.few_senders)
         if receiver.recovered_at or suspected:
             since = 0 if suspected else now - receiver.recovered_at
             rate_group = self._rate_group(self.destinations[receiver.destination], rate_control)
             sharing = sum(sibling.in_service for sibling in rate_group)
             rate = self._recovery_rate(receiver, since, max(1, sharing))
-            room_at = max(room_at, now + receiver.ramp_bucket.refill(now, rate, 1.0))
-        return room_at
+            available_at = max(available_at, now + receiver.ramp_bucket.refill(now, rate, 1.0))
+        return available_at
 
     def _canary_available_at(self, now: int, message: Message, receiver: Receiver) -> int:
-        """When a receiver that is out may get this message as its canary."""
-        # An at-most-once message has no second attempt, so it is a canary only where failure proves it never ran.
-        lost = message.priority_class.at_most_once and not receiver.proved_never_ran
-        soonest = max(now, receiver.canary_at, receiver.rate_control.canary_at, receiver.rate_control.wait_until)
-        return NEVER if receiver.canary_in_flight or lost else soonest
+        """Return when an ejected receiver may get this message as its canary."""
+        # An at-most-once message gets no second attempt: use it only if the last failure proved that nothing ran.
+        unsuitable = message.priority_class.at_most_once and not receiver.proved_never_ran
+        earliest = max(now, receiver.canary_at, receiver.rate_control.canary_at, receiver.rate_control.wait_until)
+        return NEVER if receiver.canary_in_flight or unsuitable else earliest
 
     def _account_for_attempt(self, now: int, receiver: Receiver, shares_call: bool) -> None:
-        """Account for an attempt that goes to the receiver now, in a call of its own or one that it shares_call."""
+        """Account for an attempt that is sent to the receiver now, in a new or a shared call."""
         receiver.attempt_sent(now, shares_call)
         if receiver.ejected_since:
             receiver.canary_in_flight = True
@@ -106,23 +111,30 @@
             record_recent(receiver.rate_control.send_times, now, THROTTLE_WINDOW, MIN_SENDS_FOR_RATE + 1)
 
     def _attempt_time_out(self, now: int, message: Message, receiver: Receiver) -> int:
-        """The time-out of an attempt (microseconds).
+        """Return the time-out of an attempt (microseconds).
 
-        Shorter than the time left where slots are scarce, so that a dead destination does not hold them all, or where
-        a retry must still fit into the deduplication window.
+        It is shorter than the time left if call slots are scarce, so that a dead destination does not occupy all of
+        them, or if a retry must still fit into the deduplication window.
         """
         left = message.deadline - now - 2 * self.tick
-        usual = receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else DEFAULT_LATENCY
-        soon = max(SECOND, round(2 * usual)) << min(message.attempts - 1, MAX_TIME_OUT_DOUBLINGS)
-        crowded = 2 * self.calls_in_flight >= self.max_calls_in_flight
+        usual_latency = (
+            receiver.mean_latency + 4 * receiver.latency_deviation if receiver.mean_latency else DEFAULT_LATENCY
+        )
+        short_time_out = max(SECOND, round(2 * usual_latency)) << min(message.attempts - 1, MAX_TIME_OUT_DOUBLINGS)
+        slots_scarce = 2 * self.calls_in_flight >= self.max_calls_in_flight
         if message.priority_class.at_most_once or message.priority_class.idempotent:
-            return min(left, soon if message.priority_class.idempotent else 3 * soon if crowded else NEVER)
-        window = (
+            return min(
+                left,
+                short_time_out if message.priority_class.idempotent else 3 * short_time_out if slots_scarce else NEVER,
+            )
+        retry_window = (
             message.priority_class.dedup_window
             if not message.ran_at
             else message.ran_at + message.priority_class.dedup_window - now
         )
-        patience = min(window - SECOND // 2, soon if receiver.ejected_since or crowded else 2 * soon)
-        # Cut the time-out only where what remains is enough for an answer; otherwise use all the time left.
-        enough = patience >= min(SECOND, usual)
-        return min(left, patience) if enough and message.attempts < self.max_attempts else left
+        time_out = min(
+            retry_window - SECOND // 2, short_time_out if receiver.ejected_since or slots_scarce else 2 * short_time_out
+        )
+        # Shorten the time-out only if it is still long enough for an answer; otherwise use all the time left.
+        enough = time_out >= min(SECOND, usual_latency)
+        return min(left, time_out) if enough and message.attempts < self.max_attempts else left
