--- a/cedarwick/decisions/__init__.py
+++ b/cedarwick/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""All delivery decisions: the policy, its interface and its records; no I/O, clock or protocol.
+"""The delivery policy with its interface and data structures; it does no I/O and reads no clock.
 
-Times and durations are whole microseconds, rates calls a second. The dispatcher (`cedarwick.net`) and the laboratory
-(`cedarwick.lab`) call it.
+Times and durations are whole microseconds, rates are calls per second. The dispatcher (`cedarwick.net`), the adapter
+(`cedarwick.adapter`) and the laboratory (`cedarwick.lab`) call it.
 """
--- a/cedarwick/decisions/setting_rules.py
+++ b/cedarwick/decisions/setting_rules.py
@@ -1,4 +1,4 @@
-"""Types and ranges of the settings that the decisions read; other settings are not checked here."""
+"""Types and ranges of the settings that the delivery policy reads; other settings are not checked here."""
 
 import math
 from collections.abc import Mapping
@@ -52,23 +52,23 @@
 
 
 class SettingError(CedarwickError):
-    """A setting of the decisions has a wrong type or lies out of its range."""
+    """A setting of the delivery policy has a wrong type or is out of range."""
 
     code = "CW106"
     remedy = "correct the setting that is named, then start again"
 
 
 def check(settings: Mapping[str, str]) -> None:
-    """Check the settings; raises `SettingError` with the name of the first one that is wrong.
+    """Check the settings; raise `SettingError` with the name of the first invalid one.
 
-    Absent and empty settings are accepted: they have defaults.
+    Absent and empty settings are valid: they have defaults.
     """
     for name, bounds in NUMBER_RANGES.items():
         _check_number(settings, name, bounds)
     for name, bounds in COUNT_RANGES.items():
         _check_number(settings, name, bounds, whole=True)
-    for name, words in CHOICES.items():
-        _check_choice(settings, name, words)
+    for name, choices in CHOICES.items():
+        _check_choice(settings, name, choices)
     for name, bounds in LIST_RANGES.items():
         for part in settings.get(name, "").split(","):
             _check_number({name: part}, name, bounds, whole=bounds is AT_LEAST_ONE)
@@ -77,8 +77,8 @@
     for index in range(int(float(settings.get("classes.count") or 0))):
         for name, bounds in CLASS_NUMBER_RANGES.items():
             _check_number(settings, f"classes.{index}.{name}", bounds)
-        for name, words in CLASS_CHOICES.items():
-            _check_choice(settings, f"classes.{index}.{name}", words)
+        for name, choices in CLASS_CHOICES.items():
+            _check_choice(settings, f"classes.{index}.{name}", choices)
 
 
 def _check_number(settings: Mapping[str, str], name: str, bounds: tuple[float, float], whole: bool = False) -> None:
@@ -88,14 +88,14 @@
     try:
         value = float(text)
     except ValueError:
-        raise SettingError(f"{name} is no number: {text[:40]!r}") from None
+        raise SettingError(f"{name} is not a number: {text[:40]!r}") from None
     if not (math.isfinite(value) and bounds[0] <= value <= bounds[1] and (not whole or value == int(value))):
         kind = "whole number" if whole else "number"
         most = f" and at most {bounds[1]:g}" if bounds[1] < math.inf else ""
-        raise SettingError(f"{name} is {text[:40]}, not a {kind} of at least {bounds[0]:g}{most}")
+        raise SettingError(f"{name} is {text[:40]}, expected a {kind} of at least {bounds[0]:g}{most}")
 
 
-def _check_choice(settings: Mapping[str, str], name: str, words: tuple[str, ...]) -> None:
+def _check_choice(settings: Mapping[str, str], name: str, choices: tuple[str, ...]) -> None:
     text = settings.get(name)
-    if text and text not in words:
-        raise SettingError(f"{name} is {text[:40]!r}, not one of {', '.join(words)}")
+    if text and text not in choices:
+        raise SettingError(f"{name} is {text[:40]!r}, expected one of {', '.join(choices)}")
