--- a/tests/decisions/recovery_soak.py
+++ b/tests/decisions/recovery_soak.py
@@ -1,73 +1,89 @@
-"""Drawn outages: a seed draws a customer's settings, the senders, how a destination fails, and when they are killed.
+"""Random outages: a seed determines the settings, the senders, how the destination fails, and when senders are killed.
 
-Each play is a `Day` of `test_recovery_ramps` in virtual time: the real decisions, and the stored health of receivers.
-`python -m tests.decisions.recovery_soak FIRST LAST` plays these seeds and prints each that breaks the rule.
+Each one runs as an `OutageSimulation` of `test_recovery_ramps` in virtual time, with the real delivery policy and the
+stored health of receivers. `python -m tests.decisions.recovery_soak FIRST LAST` runs these seeds and prints those that
+break the rule on recovering destinations.
 """
 
 import random
 import sys
 from dataclasses import dataclass
 
-from tests.decisions.test_recovery_ramps import ANSWERED_AT_RETURN, KINDS, SECOND, Day, Site
+from tests.decisions.test_recovery_ramps import (
+    ANSWERED_AT_RECOVERY,
+    FAILURE_MODES,
+    SECOND,
+    CustomerSettings,
+    OutageSimulation,
+)
 
-FEWEST, MOST = 2, 120  # senders
-SHORTEST, LONGEST = 3 * SECOND, 25 * SECOND  # outages
-KILLED_SHARE = 0.75  # of the plays
+MIN_SENDERS, MAX_SENDERS = 2, 120
+MIN_OUTAGE, MAX_OUTAGE = 3 * SECOND, 25 * SECOND  # microseconds
+KILLED_SHARE = 0.75  # of the outages: senders are killed
 
 
 @dataclass(frozen=True)
-class Play:
-    """What a seed draws."""
+class DrawnOutage:
+    """The parameters of a simulated outage, drawn at random from a seed."""
 
-    site: Site
+    customer: CustomerSettings
     senders: int
-    kind: str
-    fails: int  # microseconds
-    restart_at: int | None  # microseconds from the return
-    shift: bool
+    failure_mode: str
+    outage_length: int  # microseconds
+    restart_at: int | None  # microseconds from the recovery; None: no kill
+    load_shifts: bool
 
     @staticmethod
-    def drawn(seed: int) -> "Play":
-        """The play of a seed."""
-        chance = random.Random(seed)
-        ramp_s = chance.uniform(5, 15)
-        site = Site(
-            rate=chance.uniform(3, 30),
-            receivers=chance.randint(1, 4),
-            cold=f"{chance.uniform(0.1, 0.5):.2f}",
-            multiple=chance.choice(("1.5", "2", "3")),
-            fall_ms=chance.choice(("1500", "2000", "3000")),
-            ramp_ms=f"{1000 * ramp_s:.0f}",
-            weights=chance.choice(("nominal", "rough", "off")),
-            limited=chance.random() < 0.5,
+    def from_seed(seed: int) -> "DrawnOutage":
+        """Draw the outage of a seed."""
+        rng = random.Random(seed)
+        ramp_time_s = rng.uniform(5, 15)
+        customer = CustomerSettings(
+            rate=rng.uniform(3, 30),
+            receivers=rng.randint(1, 4),
+            warm_up_share=f"{rng.uniform(0.1, 0.5):.2f}",
+            fall_multiple=rng.choice(("1.5", "2", "3")),
+            fall_ms=rng.choice(("1500", "2000", "3000")),
+            ramp_ms=f"{1000 * ramp_time_s:.0f}",
+            weight_source=rng.choice(("nominal", "rough", "off")),
+            rate_limited=rng.random() < 0.5,
         )
-        fails = chance.randrange(SHORTEST, LONGEST)
-        killed = chance.random() < KILLED_SHARE
-        restart_at = chance.randrange(-fails, round(ramp_s * SECOND))
-        return Play(
-            site,
-            round(FEWEST * (MOST / FEWEST) ** chance.random()),
-            chance.choice((*KINDS, ANSWERED_AT_RETURN)),
-            fails,
+        outage_length = rng.randrange(MIN_OUTAGE, MAX_OUTAGE)
+        killed = rng.random() < KILLED_SHARE
+        restart_at = rng.randrange(-outage_length, round(ramp_time_s * SECOND))
+        return DrawnOutage(
+            customer,
+            round(MIN_SENDERS * (MAX_SENDERS / MIN_SENDERS) ** rng.random()),
+            rng.choice((*FAILURE_MODES, ANSWERED_AT_RECOVERY)),
+            outage_length,
             restart_at if killed else None,
-            chance.random() < 0.5,
+            rng.random() < 0.5,
         )
 
     def finding(self, seed: int) -> str:
-        """How the rule was broken; empty where it was not."""
-        day = Day(
-            self.site, self.senders, self.kind, seed, shift=self.shift, restart_at=self.restart_at, fails=self.fails
-        ).play()
-        if not day.broken:
+        """Run the simulation; return how the rule was broken, an empty text if it was not."""
+        simulation = OutageSimulation(
+            self.customer,
+            self.senders,
+            self.failure_mode,
+            seed,
+            load_shifts=self.load_shifts,
+            restart_at=self.restart_at,
+            outage_length=self.outage_length,
+        ).run()
+        if not simulation.rule_broken:
             return ""
-        return f"fell {(day.fell_at - day.back) / SECOND:.2f} s after the return, {day.fell_knowing:.2f} knew: {self}"
+        return (
+            f"overloaded {(simulation.overloaded_at - simulation.recovers_at) / SECOND:.2f} s after the recovery, "
+            f"{simulation.informed_share:.2f} of the calls from informed senders: {self}"
+        )
 
 
 def main(first: int, last: int) -> int:
-    """Play seeds; the number of findings."""
+    """Run the seeds and return the number of findings."""
     found = 0
     for seed in range(first, last + 1):
-        finding = Play.drawn(seed).finding(seed)
+        finding = DrawnOutage.from_seed(seed).finding(seed)
         if finding:
             found += 1
             print(f"seed {seed}: {finding}", flush=True)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from cedarwick.lab.restart_soak import DayResult
-from tests.decisions.recovery_soak import Play
+from tests.decisions.recovery_soak import DrawnOutage
 from tests.fleet.lease_soak import Played, play_all
 
 AT_ONCE = 3  # days, each with two senders and the emulator; and lease processes
@@ -115,7 +115,7 @@
 def outages_of(seed: int) -> list[OutageResult]:
     """The drawn outages of a seed."""
     numbers = range(seed * OUTAGES_PER_SEED, (seed + 1) * OUTAGES_PER_SEED)
-    return [OutageResult(number, Play.drawn(number).finding(number)) for number in numbers]
+    return [OutageResult(number, DrawnOutage.from_seed(number).finding(number)) for number in numbers]
 
 
 def soak(seeds: Sequence[int]) -> SoakResult:
