--- a/tests/decisions/test_decision_modules.py
+++ b/tests/decisions/test_decision_modules.py
@@ -1,11 +1,11 @@
-"""The decision modules are listed under `policy` in `deploy/balancer.toml`, and each keeps to its bounds."""
+"""Checks that `deploy/balancer.toml` lists the decision modules under `policy`, and that each is within its limits."""
 
 import pathlib
 import tomllib
 import unittest
 
 PACKAGE = pathlib.Path("cedarwick/decisions")
-NOT_DECISIONS = {"__init__.py", "interface.py", "setting_rules.py"}  # the call surface, and checks of settings
+NOT_DECISIONS = {"__init__.py", "interface.py", "setting_rules.py"}  # the interface, and the checks of settings
 MAX_LINES = 500
 MAX_LINE_LENGTH = 120
 
--- a/tests/decisions/test_other_settings.py
+++ b/tests/decisions/test_other_settings.py
@@ -1,4 +1,4 @@
-"""Settings of another customer: other names, lists in another order and number; nothing is fitted to the first one."""
+"""Tests with the settings of another customer: other names, and lists of other order and length."""
 
 import unittest
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
 from cedarwick.net.submission import Submission
 from tests.build import NESTED, dispatcher_alone
 
-OTHER: dict[str, Any] = {
+OTHER_SETTINGS: dict[str, Any] = {
     **NESTED,
     "zones": ["quay west", "ä,b", "yard"],
     "kinds": ["plain", "big, old"],
@@ -32,15 +32,15 @@
 
 class SettingNamesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.assignment, self.store, self.dispatcher = dispatcher_alone(self, OTHER)
+        self.assignment, self.store, self.dispatcher = dispatcher_alone(self, OTHER_SETTINGS)
         self.dispatcher.attempts = SimpleNamespace(start=lambda call: None)  # type: ignore[assignment]
 
     def submit(self, priority_class: bytes, tenant: bytes, name: bytes = b"a") -> Submission:
         pairs = b"c=" + priority_class + b",d=8000,dest=0,t=" + tenant
         return Submission(read_submission([b"SUBMIT", b"0", name, pairs, b"x"], self.dispatcher.clock.now())[0])
 
-    def test_classes_and_tenants_are_known_by_name_whatever_peer_messages_it_has(self) -> None:
-        for index, (priority_class, tenant, places) in enumerate(
+    def test_classes_and_tenants_are_found_by_name(self) -> None:
+        for index, (priority_class, tenant, indexes) in enumerate(
             (
                 ("once", "first", (0, 1)),
                 ("door open", "first", (1, 1)),
@@ -55,16 +55,16 @@
                 self.dispatcher._decide()
                 handle = self.dispatcher.handles[submission.message.number]
                 self.assertEqual(
-                    (self.dispatcher.sender.priority_classes.index(handle.priority_class), handle.tenant), places
+                    (self.dispatcher.sender.priority_classes.index(handle.priority_class), handle.tenant), indexes
                 )
-                # Only a tenant that the settings know can be over its share; this one's is next to nothing.
+                # Only a tenant in the settings can be over its share; the share of this one is almost zero.
                 self.assertEqual(handle.over_share, tenant == "møbel__hus")
-                back = self.store.messages[submission.message.number]
+                stored = self.store.messages[submission.message.number]
                 self.assertEqual(
-                    (back.priority_class, back.tenant), (priority_class.replace(" ", "_"), tenant.replace(" ", "_"))
+                    (stored.priority_class, stored.tenant), (priority_class.replace(" ", "_"), tenant.replace(" ", "_"))
                 )
 
-    def test_names_that_are_no_text_are_refused(self) -> None:
+    def test_names_that_are_not_valid_text_are_rejected(self) -> None:
         for priority_class, tenant in (
             (b"", b""),
             (b"\xff", b""),
@@ -75,15 +75,19 @@
             with self.subTest(priority_class=priority_class, tenant=tenant), self.assertRaises(InvalidSubmitError):
                 self.submit(priority_class, tenant)
 
-    def test_zones_and_kinds_are_known_by_name_and_unknown_ones_are_a_place_of_their_own(self) -> None:
-        told: list[Any] = []
-        made = EndpointList(self.assignment, Counters(), lambda *update: told.append(update), lambda: None)
-        for zone, kind, places in (("yard", "plain", (2, 0)), ("ä,b", "big, old", (1, 1)), ("elsewhere", None, (3, 2))):
+    def test_zones_and_kinds_are_found_by_name_and_unknown_ones_get_an_extra_index(self) -> None:
+        updates: list[Any] = []
+        endpoint_list = EndpointList(self.assignment, Counters(), lambda *update: updates.append(update), lambda: None)
+        for zone, kind, indexes in (
+            ("yard", "plain", (2, 0)),
+            ("ä,b", "big, old", (1, 1)),
+            ("elsewhere", None, (3, 2)),
+        ):
             line = {"uid": zone, "endpoint": "127.0.0.1:9", "az": zone, "model": kind, "pod_group": 1, "state": "up"}
-            made.learn({"rev": 1, "all": False, "targets": [line]})
-            self.assertEqual((told[-1][1][0].zone, told[-1][1][0].kind), places)
+            endpoint_list.learn({"rev": 1, "all": False, "targets": [line]})
+            self.assertEqual((updates[-1][1][0].zone, updates[-1][1][0].kind), indexes)
 
-    def test_a_report_is_read_by_the_names_of_its_columns(self) -> None:
+    def test_a_report_is_parsed_by_the_names_of_its_columns(self) -> None:
         for columns, text in (("x1,x0", "x0=0.4,x1=80"), ("x0,x1", "x1=80,x0=0.4"), ("q,x1,x0", "x1=80, q=3, x0=0.4")):
             with self.subTest(columns=columns):
                 settings = {**self.assignment.settings, "report.columns": columns}
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -1,4 +1,4 @@
-"""A failed call makes a receiver suspect; what was suspected ramps up with the next completion."""
+"""Tests of suspicion: a failed call makes receivers suspected, and the next completion makes them ramp up."""
 
 import unittest
 
@@ -11,83 +11,83 @@
 
 class SuspicionTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.made = sender(receivers=2, balancers="42", rules__fall_ms="2000")
-        self.first, self.second = self.made.receivers[1], self.made.receivers[2]
+        self.policy = sender(receivers=2, balancers="42", rules__fall_ms="2000")
+        self.first, self.second = self.policy.receivers[1], self.policy.receivers[2]
         for receiver in (self.first, self.second):
             receiver.completion_times.append(NOW - SECOND)
         self.first.rate_control.completed_at = self.first.rate_control.completed_sent_at = NOW - SECOND
-        self.made.take_health_changes()
+        self.policy.take_health_changes()
 
-    def failed_call(self, made: Sender, at: int) -> None:
-        end(out(made, 1, now=at), Outcome.ERROR, at + 100 * MS)
+    def failed_call(self, policy: Sender, at: int) -> None:
+        end(out(policy, 1, now=at), Outcome.ERROR, at + 100 * MS)
 
-    def complete(self, made: Sender, at: int) -> None:
-        end(out(made, 2, now=at), Outcome.COMPLETED, at + 100 * MS)
+    def complete(self, policy: Sender, at: int) -> None:
+        end(out(policy, 2, now=at), Outcome.COMPLETED, at + 100 * MS)
 
-    def test_a_single_failure_ejects_nobody_but_the_next_completion_begins_a_ramp(self) -> None:
-        self.failed_call(self.made, NOW)
+    def test_a_single_failure_ejects_no_receiver_but_the_next_completion_starts_a_ramp(self) -> None:
+        self.failed_call(self.policy, NOW)
         self.assertFalse(self.first.ejected_since or self.second.ejected_since)
         self.assertTrue(self.first.rate_control.failed_since)
-        self.complete(self.made, NOW + 3 * SECOND)
+        self.complete(self.policy, NOW + 3 * SECOND)
         for receiver in (self.first, self.second):
             self.assertEqual(receiver.recovered_at, NOW + 3 * SECOND + 100 * MS)
         self.assertFalse(self.first.rate_control.failed_since)
 
-    def test_a_failure_among_completions_begins_none(self) -> None:
-        """Nothing was out for `rules.fall-ms`: a ramp after each stray failure would cost more than it saves."""
-        self.failed_call(self.made, NOW)
-        self.complete(self.made, NOW + 300 * MS)
+    def test_a_failure_among_completions_starts_no_ramp(self) -> None:
+        """A ramp after each single failure would cost more than it saves; there was no outage of `rules.fall-ms`."""
+        self.failed_call(self.policy, NOW)
+        self.complete(self.policy, NOW + 300 * MS)
         self.assertFalse(self.first.recovered_at or self.second.recovered_at)
 
-    def test_until_then_a_suspected_destination_gets_what_one_that_just_returned_gets(self) -> None:
-        self.failed_call(self.made, NOW)
+    def test_a_suspected_destination_gets_the_rate_of_one_that_just_recovered(self) -> None:
+        self.failed_call(self.policy, NOW)
         later = NOW + 3 * SECOND
         for receiver in (self.first, self.second):
-            self.assertEqual(self.made._available_at(later, receiver), later)
+            self.assertEqual(self.policy._available_at(later, receiver), later)
             receiver.ramp_bucket.take()
-            gap = self.made._available_at(later, receiver) - later
-            rate = self.made._recovery_rate(receiver, 0, sharing=2)
+            gap = self.policy._available_at(later, receiver) - later
+            rate = self.policy._recovery_rate(receiver, 0, sharing=2)
             self.assertAlmostEqual(gap, SECOND / rate, delta=10)
 
-    def test_a_call_that_was_sent_before_the_last_completed_one_is_no_evidence(self) -> None:
+    def test_a_call_sent_before_the_last_completed_one_is_no_evidence(self) -> None:
         self.first.rate_control.completed_sent_at = NOW + SECOND
-        self.failed_call(self.made, NOW)
+        self.failed_call(self.policy, NOW)
         self.assertFalse(self.first.rate_control.failed_since)
 
     def test_a_short_silence_after_a_failure_ends_with_a_ramp_too(self) -> None:
-        hanging = out(self.made, 3)
-        self.failed_call(self.made, NOW + MS)
-        self.made._eject_silent(NOW + 2 * SECOND, self.second)
+        hanging = out(self.policy, 3)
+        self.failed_call(self.policy, NOW + MS)
+        self.policy._eject_silent(NOW + 2 * SECOND, self.second)
         end(hanging, Outcome.COMPLETED, NOW + 3 * SECOND, receiver=2)
         self.assertTrue(self.second.recovered_at)
 
     def test_a_restart_keeps_the_suspicion_and_spreads_the_first_calls(self) -> None:
         gaps = []
         for seed in range(50):
-            made = sender(receivers=1, balancers="42", rules__fall_ms="2000")
-            made.random_source.state = seed << 40
-            made.restore_health(NOW, 1, EarlierHealth(7, HealthState.SUSPECTED, False, 0.5, 3 * SECOND))
-            gaps.append(made._available_at(NOW, made.receivers[1]) - NOW)
-        rate = made._recovery_rate(made.receivers[1], 0)
+            policy = sender(receivers=1, balancers="42", rules__fall_ms="2000")
+            policy.random_source.state = seed << 40
+            policy.restore_health(NOW, 1, EarlierHealth(7, HealthState.SUSPECTED, False, 0.5, 3 * SECOND))
+            gaps.append(policy._available_at(NOW, policy.receivers[1]) - NOW)
+        rate = policy._recovery_rate(policy.receivers[1], 0)
         self.assertTrue(all(0 < gap <= SECOND / rate + 1 for gap in gaps))
         self.assertGreater(max(gaps) - min(gaps), SECOND / rate / 2)
 
-    def test_nothing_that_is_reported_later_hides_an_ejection_an_absence_or_a_suspicion(self) -> None:
-        """Of a receiver only the newest report is stored: a restart would know no more than that says."""
-        self.failed_call(self.made, NOW)
-        self.made.take_health_changes()
-        self.made._report_rate_cut(NOW, self.first, 1)
-        (cut,) = self.made.take_health_changes()
+    def test_a_later_report_does_not_hide_an_ejection_an_absence_or_a_suspicion(self) -> None:
+        """Only the newest report of a receiver is stored, and a restart knows nothing else."""
+        self.failed_call(self.policy, NOW)
+        self.policy.take_health_changes()
+        self.policy._report_rate_cut(NOW, self.first, 1)
+        (cut,) = self.policy.take_health_changes()
         self.assertEqual(cut.state, HealthState.SUSPECTED)
-        self.made._eject_silent(NOW + SECOND, self.first)
+        self.policy._eject_silent(NOW + SECOND, self.first)
         self.second.ready = False
-        self.made.take_health_changes()
-        self.made._clear_suspicion(NOW + 5 * SECOND, self.second, NOW, 2)
-        self.assertEqual(self.made.take_health_changes(), [])
+        self.policy.take_health_changes()
+        self.policy._clear_suspicion(NOW + 5 * SECOND, self.second, NOW, 2)
+        self.assertEqual(self.policy.take_health_changes(), [])
 
     def test_each_change_is_reported_with_its_message(self) -> None:
-        self.failed_call(self.made, NOW)
-        (change,) = self.made.take_health_changes()
+        self.failed_call(self.policy, NOW)
+        (change,) = self.policy.take_health_changes()
         self.assertEqual(
             (change.receiver, change.state, change.reason), (1, HealthState.SUSPECTED, HealthReason.FAILURES)
         )
