--- a/cedarwick/decisions/health.py
+++ b/cedarwick/decisions/health.py
@@ -159,9 +159,8 @@
             if rate_control.cut_at == now:
                 self._report_rate_cut(now, receiver, message.id)
             if limit_left is None or limit_left > LIMIT_HAS_ROOM:  # otherwise its used-up limit explains the throttle
-                if (
-                    now - rate_control.throttled_since > THROTTLE_OUTAGE_AFTER
-                ):  # by all its receivers: the destination may be out
+                # Throttles of all receivers of the rate group count here: the destination may be out.
+                if now - rate_control.throttled_since > THROTTLE_OUTAGE_AFTER:
                     self._suspect(now, receiver, message.id)
                 elif rate_control.completed_sent_at < message.sent_at:
                     # The backoff of a throttled message is lost in a restart: store the suspicion, so that the next
--- a/cedarwick/decisions/recovery.py
+++ b/cedarwick/decisions/recovery.py
@@ -7,10 +7,10 @@
 from cedarwick.decisions.sender_state import SAFE_RATE_SHARE, SenderState
 from cedarwick.decisions.state import SECOND, RateControl, Receiver, TokenBucket
 
-WARM_UP_CALL_ALLOWANCE = 2  # calls within `rules.fall-ms` that a restarted destination withstands in addition
+WARM_UP_CALL_ALLOWANCE = 2  # calls within `rules.fall-ms` above the allowed rate that a restarted destination tolerates
 MIN_CANARY_GAP = 800_000  # microseconds between this sender's canaries to a destination with a high rate
-CANARY_GAP_PER_AGE = 2.5  # with many senders canary gaps grow to this multiple of the outage's age
-MAX_CANARY_GAP = 6 * SECOND  # microseconds between canaries to a destination with a low rate; twice that, many senders
+CANARY_GAP_PER_AGE = 2.5  # the upper bound of canary gaps grows to this multiple of the outage's age
+MAX_CANARY_GAP = 6 * SECOND  # microseconds; the smallest upper bound of canary gaps, doubled with many senders
 RAMP_SAFETY_SHARE = 0.8  # of the rate that the settings allow to a recovering destination
 
 
--- a/tests/processes/recovery_days.py
+++ b/tests/processes/recovery_days.py
@@ -5,7 +5,7 @@
 from cedarwick.lab.mixed_classes import FREE, MARKED, ONCE
 from cedarwick.lab.scenario import Clients, InjectedFault, Limits, Load, Partner, Scenario, Service, WarmUp
 
-SENDERS = 24  # more than `MANY`
+SENDERS = 24  # more than `MANY_SENDERS`
 FAILS_AT_S, BACK_AT_S, DAY_S = 3.0, 9.0, 15.0
 DEADLINE_MS = 9000.0
 RESTART_S = 0.65  # from SIGKILL until the process is started again
