--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -17,7 +17,7 @@
 from cedarwick.events.registry import MAX_ENTRIES, Entry, Registry, join
 from cedarwick.fleet.fleet_files import FOLDER, CorruptFleetFileError
 from cedarwick.net.counters import Counters
-from cedarwick.store.records import DamagedRange, framed, may_go_on, scan
+from cedarwick.store.records import DamagedRange, encode_frame, may_be_partial_frame, scan_frames
 
 NAME = "subscriptions"
 MAX_FILE_BYTES = 1 << 28  # twice the size of all subscriptions with the longest filters
@@ -50,7 +50,7 @@
     """Encode entries as frames of pages, at least one page."""
     rows = list(entries)
     pages = [dict(rows[begin : begin + PAGE_ENTRIES]) for begin in range(0, max(1, len(rows)), PAGE_ENTRIES)]
-    return b"".join(framed(_encode(Page(at, epoch, page))) for page in pages)
+    return b"".join(encode_frame(_encode(Page(at, epoch, page))) for page in pages)
 
 
 def unpacked(data: bytes) -> Page | None:
@@ -61,12 +61,12 @@
     at = epoch = 0
     entries: dict[str, Entry] = {}
     count = 0
-    for found in scan(data, 0, whole=True):
+    for found in scan_frames(data, 0, whole=True):
         if isinstance(found, DamagedRange):
-            if found.until == len(data) and may_go_on(data, found.at):
+            if found.end_offset == len(data) and may_be_partial_frame(data, found.offset):
                 break
             # Refuse the whole file: the damaged page may hold the end of a subscription that another page has as live.
-            raise ValueError(f"bytes {found.at} to {found.until} are damaged")
+            raise ValueError(f"bytes {found.offset} to {found.end_offset} are damaged")
         page = _page.decode(found.payload)
         count += 1
         at, epoch = page.at, max(epoch, page.epoch)
--- a/cedarwick/fleet/fleet_files.py
+++ b/cedarwick/fleet/fleet_files.py
@@ -15,7 +15,7 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.messages import GrantTable
 from cedarwick.fleet.suspensions import SavedMarks
-from cedarwick.store.records import LONGEST, DamagedRange, framed, scan
+from cedarwick.store.records import MAX_PAYLOAD_BYTES, DamagedRange, encode_frame, scan_frames
 
 FOLDER = "fleet"
 COPIES = "copies"
@@ -154,7 +154,7 @@
         except FileNotFoundError:
             return None
         payloads: list[bytes] = []
-        for found in scan(data, 0, whole=True):
+        for found in scan_frames(data, 0, whole=True):
             if isinstance(found, DamagedRange):
                 payloads.clear()
                 break
@@ -166,15 +166,15 @@
 
     def write(self, name: str, payload: bytes) -> None:
         """Replace a file."""
-        # Split, since a frame longer than LONGEST would be written without an error but read as damage.
-        self.replace(name, (payload[at : at + LONGEST] for at in range(0, len(payload), LONGEST)))
+        # Split, since a frame longer than MAX_PAYLOAD_BYTES would be written without an error but read as damage.
+        self.replace(name, (payload[at : at + MAX_PAYLOAD_BYTES] for at in range(0, len(payload), MAX_PAYLOAD_BYTES)))
 
     def replace(self, name: str, payloads: Iterable[bytes]) -> None:
         """Replace a file by these frames."""
         path = os.path.join(self.path, name)
         with open(f"{path}.new", "wb") as file:
             for payload in payloads:
-                file.write(framed(payload))
+                file.write(encode_frame(payload))
             self._sync(file)
         os.replace(f"{path}.new", path)
         if self.durable:
@@ -187,7 +187,7 @@
     def append(self, name: str, payload: bytes) -> None:
         """Append one frame to a file."""
         with open(os.path.join(self.path, name), "ab") as file:
-            file.write(framed(payload))
+            file.write(encode_frame(payload))
             self._sync(file)
 
     def _sync(self, file: IO[bytes]) -> None:
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -49,7 +49,7 @@
             late = [
                 number
                 for number in numbers
-                if self.store.messages[number].deadline <= soon and number not in self.store.inert
+                if self.store.messages[number].deadline <= soon and number not in self.store.migrating
             ]
             if late:
                 self.dispatcher.answer_late(late)
@@ -66,8 +66,8 @@
         """
         numbers = self.store.numbers(0) if self.has_pre_fleet_messages else []
         self.has_pre_fleet_messages = bool(numbers)
-        owed = [number for number in numbers if self.store.messages[number].end is None]
-        if owed and self.store.taking():
+        owed = [number for number in numbers if self.store.messages[number].final_answer is None]
+        if owed and self.store.accepts_messages():
             self._renumber(owed)
         late = [
             number
--- a/cedarwick/fleet/leased_partition.py
+++ b/cedarwick/fleet/leased_partition.py
@@ -50,7 +50,7 @@
         if stored is None or known is None:
             return None
         try:
-            return Fact(number, base_of(stored, store.body(number) if stored.end is None else b""), known)
+            return Fact(number, base_of(stored, store.read_body(number) if stored.final_answer is None else b""), known)
         except BodyLostError:
             return Fact(number, None, known)
 
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -71,13 +71,15 @@
         pending = [
             stored
             for stored in self.store.messages.values()
-            if stored.turn == key and stored.end is None and stored.number not in self.store.inert
+            if stored.order_key == key and stored.final_answer is None and stored.number not in self.store.migrating
         ]
-        if not self.store.taking() or not all(self.store.may_fire(stored.number) for stored in pending):
+        if not self.store.accepts_messages() or not all(
+            self.store.may_send_attempt(stored.number) for stored in pending
+        ):
             return False
         sequence, text = self.sequences[name], SOURCE_MARK + name
         if pending:
-            self.files.write_marks(self.store.inert | {stored.number: (sequence, text) for stored in pending})
+            self.files.write_marks(self.store.migrating | {stored.number: (sequence, text) for stored in pending})
         for stored in pending:
             self.store.mark(stored.number, sequence, text)
         partitions.update(stored.number >> 32 for stored in pending)
@@ -142,7 +144,9 @@
         sequence = self._sequence(name, numbers) + 1
         # A holder that adopted them without the marks may have decided their ends, and lost the notices as the marks
         # came. Those that wait for a copy are posted by the dispatcher.
-        ended = {number for number in numbers if self.store.messages[number].end} - self.dispatcher.uncopied_ends
+        ended = {
+            number for number in numbers if self.store.messages[number].final_answer
+        } - self.dispatcher.uncopied_ends
         self._save_without(numbers)
         for number in numbers:
             self.store.mark(number, sequence, "")
@@ -156,8 +160,8 @@
         pending = [
             stored.number
             for stored in self.store.messages.values()
-            if (stored.turn == key and stored.end is None or stored.number in ended)
-            and self.store.may_fire(stored.number)
+            if (stored.order_key == key and stored.final_answer is None or stored.number in ended)
+            and self.store.may_send_attempt(stored.number)
         ]
         self.dispatcher.adopt(pending, quietly=True)
         return True
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -83,7 +83,7 @@
         )
         self.planner = MigrationPlanner(node.halls[self.name])
         marks = self.files.read_marks()
-        self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.messages}
+        self.store.migrating = {number: mark for number, mark in marks.items() if number in self.store.messages}
         self.store.write_move_marks = self.files.write_marks
         self.dispatcher: Dispatcher
         self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
@@ -117,7 +117,7 @@
         """Messages with the mark of one side of a move."""
         return sorted(
             number
-            for number, (_, text) in self.store.inert.items()
+            for number, (_, text) in self.store.migrating.items()
             if text == side + name and number in self.store.messages
         )
 
@@ -127,13 +127,15 @@
 
     def _sequence(self, name: str, numbers: Iterable[int]) -> int:
         """The sequence of the session since the move began: the largest one known here."""
-        return max([self.sequences.get(name, 0), *(self.store.inert[number][0] for number in numbers)])
+        return max([self.sequences.get(name, 0), *(self.store.migrating[number][0] for number in numbers)])
 
     def _save_without(self, numbers: Iterable[int]) -> None:
         """Write the file of inert messages without some of them; OSError where that fails."""
         gone = set(numbers)
         if gone:
-            self.files.write_marks({number: mark for number, mark in self.store.inert.items() if number not in gone})
+            self.files.write_marks(
+                {number: mark for number, mark in self.store.migrating.items() if number not in gone}
+            )
 
     def _copied(self, partitions: set[int]) -> bool:
         """Wait until every successor has all records of these partitions; False after `REPLICATION_TIMEOUT_US`."""
@@ -149,9 +151,9 @@
         numbers = self._marked(name, side)
         for number in numbers:
             try:
-                self.store.over(number)
+                self.store.finish(number)
             except NoSpaceError as error:  # written once there is room; the other messages must not wait for that
                 self.counters.warning("no room for the record of an end", error)
-            self.store.inert.pop(number, None)
+            self.store.migrating.pop(number, None)
         self._save_without(numbers)
         return True
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -64,7 +64,7 @@
         """Store the staged messages under numbers of the open partition; False if they cannot be stored now."""
         facts = sorted(decode_facts(stage.facts), key=lambda fact: fact.number)
         messages = [stored_message_of(fact) for fact in facts]
-        if not self.store.taking():
+        if not self.store.accepts_messages():
             return False
         for place, stored in enumerate(messages):
             stored.number = self.store.next_number + place
@@ -72,7 +72,7 @@
                 return False
         if messages:
             mark = stage.sequence, TARGET_MARK + name
-            self.files.write_marks(self.store.inert | {stored.number: mark for stored in messages})
+            self.files.write_marks(self.store.migrating | {stored.number: mark for stored in messages})
         for stored in messages:
             self.store.next_number += 1
             self.store.stage(stored, stage.sequence, TARGET_MARK + name)
@@ -88,7 +88,7 @@
     def _make_active(self, name: str, key: int, offer: tuple[StageSession, int] | None) -> bool:
         numbers, now = self._marked(name, TARGET_MARK), monotonic_time()
         holdings = [self.store.holdings.get(number >> 32) for number in numbers]
-        if not self.store.taking() or not all(each is not None and each.serving for each in holdings):
+        if not self.store.accepts_messages() or not all(each is not None and each.serving for each in holdings):
             return False
         sequence = self._sequence(name, numbers) + 1
         self._save_without(numbers)
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -292,11 +292,11 @@
         unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offered else ([], [])
         if not unsent and not unacknowledged:
             return True
-        if self.leaving or not self.store.taking():
+        if self.leaving or not self.store.accepts_messages():
             # They are moved to the open partition once there is one, of the next process if need be; till then they are
             # answered when late.
             return False
-        if any(self.store.messages[number].out_at for number in unsent + unacknowledged):
+        if any(self.store.messages[number].in_flight_since for number in unsent + unacknowledged):
             return False  # under its new number a second attempt would run beside the first
         # What found no room is nowhere else: next time.
         return self._renumber(unsent) and self._renumber(unacknowledged, failed=True)
--- a/cedarwick/fleet/pending_order_keys.py
+++ b/cedarwick/fleet/pending_order_keys.py
@@ -94,11 +94,11 @@
             stored = self.store.messages.get(number)
             if (
                 stored is not None
-                and stored.turn
-                and stored.end is None
+                and stored.order_key
+                and stored.final_answer is None
                 and self.dispatcher.ordered(stored.priority_class)
             ):
                 # An adopted partition counts whole: its keys rested here as a replica's, and would otherwise be sent no
                 # longer.
-                if holding is not self.store.open_partition or stored.turn not in self.order_key_hints.elsewhere:
-                    holding.backlog[number] = stored.turn
+                if holding is not self.store.open_partition or stored.order_key not in self.order_key_hints.elsewhere:
+                    holding.backlog[number] = stored.order_key
--- a/cedarwick/fleet/replica_files.py
+++ b/cedarwick/fleet/replica_files.py
@@ -19,9 +19,9 @@
 from cedarwick.fleet.replica import Replica, ReplicaEntry, ReplicaStep
 from cedarwick.fleet.replication import EVERYTHING, NO_ROOM
 from cedarwick.fleet.replication_facts import CorruptFactsError, Fact, decode_facts
-from cedarwick.store.files import Folder, quietly
-from cedarwick.store.records import FRAME, LONGEST, DamagedRange, framed, may_go_on
-from cedarwick.store.recovery import read_through
+from cedarwick.store.files import Folder, ignore_os_error
+from cedarwick.store.records import FRAME_HEADER, MAX_PAYLOAD_BYTES, DamagedRange, encode_frame, may_be_partial_frame
+from cedarwick.store.recovery import read_records
 
 VERSION = 1  # of the files
 NAME = re.compile(r"([0-9]{1,10})\.log")
@@ -118,7 +118,7 @@
         for name in self.folder.names():
             found = NAME.fullmatch(name)
             if name.endswith(FRESH_SUFFIX):
-                quietly(self.folder.unlink, name)
+                ignore_os_error(self.folder.unlink, name)
             elif found is not None:
                 try:
                     self._load_file(int(found[1]))
@@ -152,7 +152,7 @@
             self._abandon_compaction(copy)
             if copy.file >= 0:
                 self._close(copy.file)
-            quietly(self.folder.unlink, copy.name)
+            ignore_os_error(self.folder.unlink, copy.name)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
         """With `durable`, sync all that was written to disk, before an answer is sent; raises `OSError`.
@@ -207,7 +207,7 @@
         if step.entry is None:
             return step.ack
         try:
-            self._append(copy, framed(ENTRY + ENCODER.encode(step.entry)))
+            self._append(copy, encode_frame(ENTRY + ENCODER.encode(step.entry)))
         except (ReplicaRefusedError, OSError) as error:
             if copy.replica.partition not in self.refusing:
                 self.refusing.add(copy.replica.partition)
@@ -226,8 +226,10 @@
         largest = max((each.replica.owed_bytes for each in self.files.values()), default=0)
         if self.used_bytes + 2 * len(frame) + largest > self.limit_bytes:  # room for the largest to be written anew
             raise ReplicaRefusedError(f"{self.used_bytes} bytes are in use, and {self.limit_bytes} are the most")
-        if len(frame) > LONGEST or copy.torn:
-            raise ReplicaRefusedError("it is too long" if len(frame) > LONGEST else "the file has a torn end for now")
+        if len(frame) > MAX_PAYLOAD_BYTES or copy.torn:
+            raise ReplicaRefusedError(
+                "it is too long" if len(frame) > MAX_PAYLOAD_BYTES else "the file has a torn end for now"
+            )
         if copy.file < 0:
             self._create(copy)
         self._write(copy, frame)
@@ -242,7 +244,7 @@
                 raise OSError("a record was cut short")
         except OSError:
             # After a torn record nothing may follow: the next start would take it for damage.
-            copy.torn = not quietly(self.folder.truncate, copy.file, copy.size)
+            copy.torn = not ignore_os_error(self.folder.truncate, copy.file, copy.size)
             raise
         copy.size += written
         self.written_bytes += written
@@ -260,16 +262,16 @@
             raise
 
     def _header(self, copy: ReplicaFile) -> bytes:
-        return framed(HEADER + ENCODER.encode(FileHeader(VERSION, copy.replica.partition, self.now())))
+        return encode_frame(HEADER + ENCODER.encode(FileHeader(VERSION, copy.replica.partition, self.now())))
 
     def _close(self, file: int) -> None:
         self.unsynced.pop(file, None)
-        quietly(self.folder.close, file)
+        ignore_os_error(self.folder.close, file)
 
     # ---- written anew ----
 
     def _begin_compaction(self, copy: ReplicaFile) -> bool:
-        quietly(self.folder.unlink, copy.name + FRESH_SUFFIX)
+        ignore_os_error(self.folder.unlink, copy.name + FRESH_SUFFIX)
         try:
             copy.fresh, copy.fresh_size, copy.compacted_upto = self.folder.create(copy.name + FRESH_SUFFIX), 0, 0
         except OSError:
@@ -279,7 +281,7 @@
     def _continue_compaction(self, copy: ReplicaFile) -> None:
         """Write the next part of what is owed; with the last one the fresh file takes the name."""
         part = copy.replica.snapshot_part(copy.compacted_upto, COMPACTION_PART_BYTES)
-        if not self._write_fresh(copy, framed(ENTRY + ENCODER.encode(part))):
+        if not self._write_fresh(copy, encode_frame(ENTRY + ENCODER.encode(part))):
             self._abandon_compaction(copy)
             return
         copy.compacted_upto = part.upto
@@ -310,7 +312,7 @@
         """Give up the fresh file and stay with the old one; done again at a later step."""
         if copy.fresh >= 0:
             self._close(copy.fresh)
-            quietly(self.folder.unlink, copy.name + FRESH_SUFFIX)
+            ignore_os_error(self.folder.unlink, copy.name + FRESH_SUFFIX)
             copy.fresh, copy.fresh_size = -1, 0
         # A pause: on a full disk the same part would be written and thrown away for ever.
         copy.retry_at_step = self.steps + RETRY_STEPS
@@ -325,9 +327,9 @@
         # Opened first, so that a file that cannot be opened raises instead of passing for an empty one.
         copy.file = self.folder.open(copy.name, append=True)
         size = self.folder.size(copy.name)
-        for each in read_through(self.folder, copy.name, None):
+        for each in read_records(self.folder, copy.name, None):
             if isinstance(each, DamagedRange):
-                damaged |= not (each.until == size and self._has_torn_end(copy.name, each))
+                damaged |= not (each.end_offset == size and self._has_torn_end(copy.name, each))
                 continue
             try:
                 if each.payload[:1] == HEADER and not made_at:
@@ -337,7 +339,7 @@
                             ReplicaVersionError(f"{copy.name}: version {top.version}, partition {top.partition}").line
                         )
                         self._close(copy.file)
-                        quietly(self.folder.replace, copy.name + OTHER_VERSION_SUFFIX, copy.name)
+                        ignore_os_error(self.folder.replace, copy.name + OTHER_VERSION_SUFFIX, copy.name)
                         return
                     made_at = top.made_at
                 elif each.payload[:1] == ENTRY:
@@ -347,12 +349,12 @@
                     damaged = True
             except (msgspec.MsgspecError, CorruptFactsError):
                 damaged = True
-            end = each.at + FRAME.size + len(each.payload)
+            end = each.offset + FRAME_HEADER.size + len(each.payload)
         if not made_at and not replica.owed:  # nothing was acknowledged, or nothing can be read
             if damaged:
                 logger.error(ReplicaDamagedError(f"{copy.name}: nothing of it can be read").line)
             self._close(copy.file)
-            quietly(self.folder.unlink, copy.name)
+            ignore_os_error(self.folder.unlink, copy.name)
             return
         if damaged or not made_at:
             logger.error(ReplicaDamagedError(f"{copy.name}: {len(replica.owed)} messages are put in doubt").line)
@@ -360,7 +362,7 @@
             copy.torn = True
         copy.size = size
         if not copy.torn:
-            copy.torn = not quietly(self.folder.truncate, copy.file, end)
+            copy.torn = not ignore_os_error(self.folder.truncate, copy.file, end)
             copy.size = size if copy.torn else end
         self.files[partition] = copy
 
@@ -371,8 +373,8 @@
         except OSError:
             return False
         try:
-            size = min(damage.until - damage.at, FRAME.size + LONGEST)
-            return may_go_on(self.folder.read(file, size, damage.at), 0)
+            size = min(damage.end_offset - damage.offset, FRAME_HEADER.size + MAX_PAYLOAD_BYTES)
+            return may_be_partial_frame(self.folder.read(file, size, damage.offset), 0)
         except OSError:
             return False
         finally:
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -68,16 +68,18 @@
 class ReplicatedStore(Store):
     """A `Store` that also replicates each change of a message through the log of the message's partition."""
 
-    def __init__(self, *args: Any, by_copy: bool = False, ack_timeout_us: int = 150_000, **more: Any) -> None:
+    def __init__(
+        self, *args: Any, ack_after_replication: bool = False, ack_timeout_us: int = 150_000, **more: Any
+    ) -> None:
         """Create it as a `Store`.
 
         Args:
-            by_copy: `flush` waits until all successors have acknowledged the records.
+            ack_after_replication: `flush` waits until all successors have acknowledged the records.
             ack_timeout_us: the longest such wait, in microseconds.
         """
         super().__init__(*args, **more)
-        self.awaited = self.awaited or by_copy
-        self.by_copy = by_copy
+        self.answers_wait_for_flush = self.answers_wait_for_flush or ack_after_replication
+        self.ack_after_replication = ack_after_replication
         self.ack_timeout_us = ack_timeout_us
         self.holdings: dict[int, LeasedPartition] = {}
         self.open_partition: LeasedPartition | None = None  # new messages are taken in this one
@@ -93,13 +95,13 @@
 
     # ---- the lease ----
 
-    def may_fire(self, number: int) -> bool:
+    def may_send_attempt(self, number: int) -> bool:
         """Whether the lease allows this sender to send a message now; False also for a message of a moving session."""
         holding = self.holdings.get(number >> 32)
         return (
             holding is not None
             and holding.serving
-            and number not in self.inert
+            and number not in self.migrating
             and holding.adoption.holder.is_valid(monotonic_time())
         )
 
@@ -108,19 +110,19 @@
         holding = self.holdings.get(number >> 32)
         return holding.adoption.holder.term if holding is not None else 0
 
-    def deciding(self) -> bool:
+    def may_answer(self) -> bool:
         """Whether the leases of all partitions that the dispatcher serves are valid now."""
         now = monotonic_time()
         return all(each.adoption.holder.is_valid(now) for each in self.holdings.values() if each.serving)
 
-    def taking(self) -> bool:
+    def accepts_messages(self) -> bool:
         """Whether new messages can be taken: the lease of the open partition is valid now."""
         current = self.open_partition
         return current is not None and current.serving and current.adoption.holder.is_valid(monotonic_time())
 
     def has_room(self, stored: StoredMessage) -> bool:
         """As `Store.has_room`; also False without a valid lease, or while no reserved number is left."""
-        if not self.taking() or not super().has_room(stored):
+        if not self.accepts_messages() or not super().has_room(stored):
             return False
         assert self.open_partition is not None
         if self.next_number >= self.open_partition.reserved_upto:
@@ -135,26 +137,26 @@
 
     # ---- called by the dispatcher ----
 
-    def keep(self, stored: StoredMessage) -> None:
-        """As `Store.keep`; replicated."""
-        super().keep(stored)
+    def add_message(self, stored: StoredMessage) -> None:
+        """As `Store.add_message`; replicated."""
+        super().add_message(stored)
         holding = self.holdings[stored.number >> 32]
         self._replicate(holding, holding.ledger.record_message(stored, stored.body or b""))
         self.on_event("taken", stored, 0)
 
-    def attempt(self, number: int, sent_at: int, zone: int) -> None:
-        """As `Store.attempt`; replicated."""
-        super().attempt(number, sent_at, zone)
+    def record_attempt(self, number: int, sent_at: int, zone: int) -> None:
+        """As `Store.record_attempt`; replicated."""
+        super().record_attempt(number, sent_at, zone)
         holding = self._owed_in(number)
         if holding is not None:
             self._replicate(holding, holding.ledger.attempt(number, sent_at, zone))
         self.in_flight[number] = self.messages[number]
         self.on_event("shot", self.messages[number], zone)
 
-    def outcome(self, number: int, outcome: Outcome) -> None:
-        """As `Store.outcome`; replicated first."""
+    def record_outcome(self, number: int, outcome: Outcome) -> None:
+        """As `Store.record_outcome`; replicated first."""
         stored, holding = self.messages.get(number), self._owed_in(number)
-        if stored is not None and stored.out_at and holding is not None:
+        if stored is not None and stored.in_flight_since and holding is not None:
             # Before the store's own record: after it a completed message would already be over, like any other end.
             self._replicate(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
         # Looked up in `out` too: the record may have gone while the attempt was out (its client left, or another sender
@@ -165,33 +167,33 @@
             self.on_event(
                 "completed" if outcome is Outcome.COMPLETED else "outcome", sent, list(Outcome).index(outcome)
             )
-        super().outcome(number, outcome)
+        super().record_outcome(number, outcome)
 
-    def ended(self, number: int, rejected: bool, wait_ms: int) -> None:
-        """As `Store.ended`; replicated first. `wait_ms`: milliseconds."""
+    def record_final_answer(self, number: int, rejected: bool, wait_ms: int) -> None:
+        """As `Store.record_final_answer`; replicated first. `wait_ms`: milliseconds."""
         holding = self._owed_in(number)
         if holding is not None:
             self._replicate(holding, holding.ledger.ended(number, rejected, wait_ms))
         stored = self.messages.get(number)
-        super().ended(number, rejected, wait_ms)
+        super().record_final_answer(number, rejected, wait_ms)
         if stored is not None:
             self.on_event("nacked" if rejected else "written-off", stored, wait_ms)
 
-    def over(self, number: int) -> None:
-        """As `Store.over`; replicated first."""
+    def finish(self, number: int) -> None:
+        """As `Store.finish`; replicated first."""
         holding = self._owed_in(number)
         if holding is not None:
             self._replicate(holding, holding.ledger.over(number))
-        super().over(number)
+        super().finish(number)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
-        """As `Store.flush`; with `by_copy`, also wait until every successor has all records so far.
+        """As `Store.flush`; with `ack_after_replication`, also wait until every successor has all records so far.
 
         Raises `NotReplicatedError` if one has not within `ack_timeout_us`, or if the lease ran out meanwhile.
         """
-        if self.durable or not self.by_copy:
+        if self.durable or not self.ack_after_replication:
             super().flush(call)
-        if not self.by_copy:
+        if not self.ack_after_replication:
             return
         until = time.monotonic() + self.ack_timeout_us / 1e6
         for holding in [each for each in self.holdings.values() if each.serving]:
@@ -232,8 +234,8 @@
         The caller has already written the mark to disk (`write_move_marks`). Raises `NoSpaceError`.
         """
         holding = self.holdings[stored.number >> 32]
-        self.inert[stored.number] = sequence, text
-        super().keep(stored)
+        self.migrating[stored.number] = sequence, text
+        super().add_message(stored)
         fact = holding.ledger.record_message(stored, stored.body or b"")
         # One fact for message and mark: a successor that learns of the message before its mark might send it.
         known = holding.ledger.moved(stored.number, sequence, text).known
@@ -242,9 +244,9 @@
     def mark(self, number: int, sequence: int, text: str) -> None:
         """Make a message inert, or with an empty `text` end that; replicated to the successors."""
         if text:
-            self.inert[number] = sequence, text
+            self.migrating[number] = sequence, text
         else:
-            self.inert.pop(number, None)
+            self.migrating.pop(number, None)
         holding = self._owed_in(number)
         if holding is not None:
             self._replicate(holding, holding.ledger.moved(number, sequence, text))
@@ -307,11 +309,11 @@
                 holding.ledger.record_message(self.messages[number], b"")
             elif number in unacknowledged:
                 # A holder in between may have ended it, and nobody can be asked.
-                if self.messages[number].end is None:
-                    super().ended(number, False, 0)
+                if self.messages[number].final_answer is None:
+                    super().record_final_answer(number, False, 0)
                 holding.ledger.record_message(self.messages[number], b"")
             else:
-                super().over(number)
+                super().finish(number)
         changed = holding.ledger.adopt(marked, term)
         self._import_move_marks(changed)
         for fact in changed:
@@ -325,15 +327,15 @@
         holding.ledger = FactLedger(term)
         for number in self.numbers(holding.partition):
             holding.ledger.record_message(self.messages[number], b"")
-            if number in self.inert:
-                holding.ledger.moved(number, *self.inert[number])
+            if number in self.migrating:
+                holding.ledger.moved(number, *self.migrating[number])
 
     def begin_log(self, holding: LeasedPartition, term: int) -> None:
         """Start a new replication log for the partition under a term."""
         holding.log = ReplicationLog(
             holding.partition, term, lambda number: holding.read_for_member(self, number), sorted(holding.ledger.known)
         )
-        holding.log.behind = not self.by_copy
+        holding.log.behind = not self.ack_after_replication
         holding.log_started_at = monotonic_time()
         holding.sent_upto, holding.joining = 0, {}  # an index is one of its log
 
@@ -361,7 +363,7 @@
         for number in ended:
             self._replicate(holding, Fact(number, None, listed[number].known))
             with suppress(NoSpaceError):  # it is over; the record of that is owed
-                super().over(number)
+                super().finish(number)
         problem, left = "", all_changed
         try:
             self._import_move_marks(all_changed)
@@ -391,24 +393,24 @@
         """Write the marks of moves under way, before the messages themselves are stored."""
         moves = {fact.number: fact.known.move for fact in facts if fact.known.move is not None}
         if moves:
-            marks = {number: each for number, each in self.inert.items() if number not in moves}
+            marks = {number: each for number, each in self.migrating.items() if number not in moves}
             marks.update({number: each for number, each in moves.items() if each is not None and each[1]})
-            if marks != self.inert:
+            if marks != self.migrating:
                 self.write_move_marks(marks)
-                self.inert = marks
+                self.migrating = marks
 
     def _import_change(self, fact: Fact, new: bool) -> None:
         """Bring the store's record of an adopted message up to date; raises `NoSpaceError` for a new one."""
         if new:
-            super().keep(stored_message_of(fact))
+            super().add_message(stored_message_of(fact))
             return
         stored = self.messages[fact.number]
-        if fact.known.ran is not None and (not stored.ran_at or fact.known.ran[0] < stored.ran_at):
+        if fact.known.ran is not None and (not stored.may_have_run_at or fact.known.ran[0] < stored.may_have_run_at):
             with suppress(NoSpaceError):  # it is known from here on, and its record is owed
-                self.may_have_run(fact.number, *fact.known.ran)
-        if fact.known.end[0] is not EndRank.NONE and stored.end is None:
+                self.record_may_have_run(fact.number, *fact.known.ran)
+        if fact.known.end[0] is not EndRank.NONE and stored.final_answer is None:
             with suppress(NoSpaceError):
-                super().ended(fact.number, fact.known.end[0] is EndRank.RETURNED, fact.known.end[1])
+                super().record_final_answer(fact.number, fact.known.end[0] is EndRank.RETURNED, fact.known.end[1])
 
     def facts_to_offer(self, holding: LeasedPartition) -> list[Fact]:
         """All that this member knows of a partition it has lost: owed messages, and recent changes in the log."""
@@ -425,7 +427,7 @@
     def unreplicated(self, holding: LeasedPartition) -> UnreplicatedMessages:
         """The owed messages of a lost partition that no other member may have."""
         if not holding.log.term:  # of an earlier process: nobody knows what that has sent
-            return UnreplicatedMessages([], [] if self.by_copy else self.numbers(holding.partition))
+            return UnreplicatedMessages([], [] if self.ack_after_replication else self.numbers(holding.partition))
         acked = max((follower.acked for follower in holding.log.followers.values()), default=holding.sent_upto)
         found = UnreplicatedMessages([], [])
         first = max(0, min(holding.sent_upto, acked) - holding.log.oldest)
@@ -443,29 +445,38 @@
         """
         for number in numbers:
             old = self.messages[number]
-            end, body = old.end, b""
+            end, body = old.final_answer, b""
             if end is None:
                 try:
-                    end, body = ((False, 0), b"") if failed else (None, self.body(number))
+                    end, body = ((False, 0), b"") if failed else (None, self.read_body(number))
                 except BodyLostError:
                     end = False, 0
-            new = replace(old, number=self.next_number, home=0, at=0, weight=0, noted=[], body=body, end=end)
+            new = replace(
+                old,
+                number=self.next_number,
+                segment_number=0,
+                body_offset=0,
+                record_size=0,
+                short_record_segments=[],
+                body=body,
+                final_answer=end,
+            )
             if not self.has_room(new):
                 raise NoSpaceError("a message cannot be taken over into the open partition")
             self.next_number += 1
-            if number in self.inert:
-                self.write_move_marks(self.inert | {new.number: self.inert[number]})
-                self.stage(new, *self.inert[number])
-                del self.inert[number]  # only now: before `stage` the old number would be live
+            if number in self.migrating:
+                self.write_move_marks(self.migrating | {new.number: self.migrating[number]})
+                self.stage(new, *self.migrating[number])
+                del self.migrating[number]  # only now: before `stage` the old number would be live
             else:
-                self.keep(new)
+                self.add_message(new)
             yield new.number
-            super().over(number)
+            super().finish(number)
 
     def remove_partition(self, partition: int) -> None:
         """Remove a partition that another member answers for from this store; nothing is replicated or answered."""
         for number in self.numbers(partition):
-            super().over(number)
+            super().finish(number)
         self.holdings.pop(partition, None)
         if self.open_partition is not None and self.open_partition.partition == partition:
             self.open_partition = None
--- a/cedarwick/fleet/replication_facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -24,7 +24,7 @@
 import xxhash
 
 from cedarwick.errors import CedarwickError
-from cedarwick.store.records import NOWHERE, StoredMessage
+from cedarwick.store.records import UNKNOWN_ZONE, StoredMessage
 
 VERSION = 1  # of the encoding
 MAX_FACTS = 1 << 14  # facts in one message, at most
@@ -250,12 +250,12 @@
     return MessageBase(
         stored.id,
         stored.key,
-        stored.turn,
+        stored.order_key,
         stored.priority_class,
         stored.tenant,
         stored.destination,
         stored.deadline,
-        body if stored.end is None else b"",
+        body if stored.final_answer is None else b"",
     )
 
 
@@ -268,12 +268,20 @@
     heads = {}
     if stored.attempts:
         heads[term] = TermAttempts(
-            stored.attempts, not stored.out_at, stored.out_at, stored.out_zone if stored.out_at else NOWHERE
+            stored.attempts,
+            not stored.in_flight_since,
+            stored.in_flight_since,
+            stored.in_flight_zone if stored.in_flight_since else UNKNOWN_ZONE,
         )
     end = (EndRank.NONE, 0)
-    if stored.end is not None:
-        end = (EndRank.RETURNED if stored.end[0] else EndRank.FAILED, stored.end[1])
-    return MessageKnowledge(heads, (stored.ran_at, stored.ran_zone) if stored.ran_at else None, stored.doubt_at, end)
+    if stored.final_answer is not None:
+        end = (EndRank.RETURNED if stored.final_answer[0] else EndRank.FAILED, stored.final_answer[1])
+    return MessageKnowledge(
+        heads,
+        (stored.may_have_run_at, stored.may_have_run_zone) if stored.may_have_run_at else None,
+        stored.records_lost_since,
+        end,
+    )
 
 
 def stored_message_of(fact: Fact, doubt_at: int = 0) -> StoredMessage:
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -41,7 +41,7 @@
                 continue
             holding.sent_upto = max(holding.sent_upto, follower.sent)
             gevent.spawn(self._send, follower, name, message)
-            gevent.sleep(0 if self.store.by_copy else REPLICATE_PAUSE_S)
+            gevent.sleep(0 if self.store.ack_after_replication else REPLICATE_PAUSE_S)
         self.pumps.pop((holding.partition, name), None)
 
     def _send(self, follower: FollowerProgress, name: str, message: ReplicateFacts | ReplicatePiece | Digests) -> None:
@@ -73,7 +73,7 @@
             follower = holding.log.followers.get(name)
             if follower is not None and follower.is_complete:
                 lag = follower.lag(now)
-                if self.store.by_copy or lag.facts <= MAX_LAG_FACTS and lag.age_us <= MAX_LAG_US:
+                if self.store.ack_after_replication or lag.facts <= MAX_LAG_FACTS and lag.age_us <= MAX_LAG_US:
                     found.append(name)
         return found
 
@@ -89,12 +89,12 @@
             holder.name_successors(now, ())
             holding.joining = {}
             return
-        if self.store.by_copy:
+        if self.store.ack_after_replication:
             whole = self._joined_replicas(now, holding, whole)
         old = [name for name in holder.successors[1:] if name in holding.log.followers and name not in wanted]
         if len(whole) < len(wanted):
             whole += [name for name in self._complete_replicas(now, holding, old) if name not in whole]
-        if self.store.by_copy and not whole and holder.successors[1:] and self.settings.alone == "busy":
+        if self.store.ack_after_replication and not whole and holder.successors[1:] and self.settings.alone == "busy":
             return  # without a successor, acknowledged messages would be in one folder only
         holder.name_successors(now, placement.replica_order(holding.partition, self.name, self.halls, whole))
 
@@ -135,7 +135,7 @@
 
     def _replicas_keep_up(self, now: int, holding: LeasedPartition) -> bool:
         """Under `ack = "copy"`: whether the successors keep up, or the setting `alone` allows to go on without."""
-        if not self.store.by_copy:
+        if not self.store.ack_after_replication:
             return True
         successors = self.store.successors_of(holding)
         # Only named ones count: a replica that no majority knows as a successor would not be granted the partition.
--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -10,7 +10,7 @@
 
 from cedarwick.fleet.consensus import AcceptorTable, InstanceState
 from cedarwick.fleet.fleet_files import ENCODER, CorruptFleetFileError, FleetFiles
-from cedarwick.store.records import DamagedRange, scan
+from cedarwick.store.records import DamagedRange, scan_frames
 
 MARKS_NAME = "moves"
 VOTES_NAME = "decrees"
@@ -86,10 +86,10 @@
             return None
         try:
             payloads = []
-            for found in scan(data, 0, whole=True):
+            for found in scan_frames(data, 0, whole=True):
                 if isinstance(found, DamagedRange):
                     # The lost row may be a promise that was answered, so the whole table is unusable.
-                    raise msgspec.DecodeError(f"damage at {found.at}")
+                    raise msgspec.DecodeError(f"damage at {found.offset}")
                 payloads.append(found.payload)
             table = VOTES_DECODER.decode(payloads[0])
             rows = {row.move: row for row in [*table.rows, *map(ROW_DECODER.decode, payloads[1:])]}
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -72,7 +72,13 @@
         now, entry = monotonic_time(), self.directory.entry(key, monotonic_time())
         partition = self._newest_partition(entry.holder) if entry is not None else 0
         inheritable, holding = self.inheritable_sessions.get(partition), self.store.holdings.get(partition)
-        if entry is None or inheritable is None or holding is None or not holding.serving or not self.store.taking():
+        if (
+            entry is None
+            or inheritable is None
+            or holding is None
+            or not holding.serving
+            or not self.store.accepts_messages()
+        ):
             return False
         if inheritable.owner != entry.holder or inheritable.complete_at > now:
             self.counters.add("submissions for sessions whose recent ids are not known")
@@ -120,7 +126,7 @@
             if known is None:
                 if fact.base is not None and fact.base.turn in inheritable.inherited_keys:
                     continue  # no copy had it: its client saw no answer and may have come here with it
-            elif stored is not None and stored.turn in inheritable.inherited_keys and known.end[0] is EndRank.NONE:
+            elif stored is not None and stored.order_key in inheritable.inherited_keys and known.end[0] is EndRank.NONE:
                 withdrawn = fact.known.end[0] is EndRank.NOTIFIED and not (fact.known.move and fact.known.move[1])
                 if withdrawn and stored.deadline > soon:  # else maybe answered 'failed' without a copy
                     continue  # its client was turned away there, and may have got +OK here since
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -83,7 +83,12 @@
     def begin(self, key: int, to: str, now: int) -> None:
         """Start to give a session that is held here to another member."""
         session = self.directory.sessions.get(key)
-        if session is None or not session.sure or session.used < now - SESSION_TTL_US or not self.store.taking():
+        if (
+            session is None
+            or not session.sure
+            or session.used < now - SESSION_TTL_US
+            or not self.store.accepts_messages()
+        ):
             self.planner.ended(key, session is None, now)
             return
         name = name_move(self.stamp, self.name, to)
@@ -176,7 +181,7 @@
         """Settle moves whose marks are found here, and forget sides whose marks are gone."""
         self._drop_marks_without_message()
         numbers_by_mark: dict[str, list[int]] = {}
-        for number, (_, text) in self.store.inert.items():
+        for number, (_, text) in self.store.migrating.items():
             numbers_by_mark.setdefault(text, []).append(number)
         for text, numbers in numbers_by_mark.items():
             self._settle_found_move(text, numbers, now)
@@ -186,9 +191,9 @@
             self._answer_late()
 
     def _drop_marks_without_message(self) -> None:
-        gone = [number for number in self.store.inert if number not in self.store.messages]
+        gone = [number for number in self.store.migrating if number not in self.store.messages]
         for number in gone:
-            del self.store.inert[number]
+            del self.store.migrating[number]
 
     def _settle_found_move(self, text: str, numbers: list[int], now: int) -> None:
         """Begin to settle the move of a mark if this member did not know that it has that side."""
@@ -204,7 +209,7 @@
         if not at_source and not self.store.replication_check(partitions)():
             return
         logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
-        self.carry_out(self.moves.marks_found(name, self.store.messages[numbers[0]].turn, at_source, now))
+        self.carry_out(self.moves.marks_found(name, self.store.messages[numbers[0]].order_key, at_source, now))
 
     def _forget_lost_sides(self, marks: Container[str]) -> None:
         """Forget sides that were found earlier, and whose partition has another holder by now."""
@@ -217,9 +222,9 @@
 
     def _answer_late(self) -> None:
         soon = self.clock.now() + ANSWER_AHEAD_US
-        for number, (_, text) in list(self.store.inert.items()):
+        for number, (_, text) in list(self.store.migrating.items()):
             stored, holding = self.store.messages.get(number), self.store.holdings.get(number >> 32)
-            if stored is None or stored.end is not None or stored.deadline > soon or holding is None:
+            if stored is None or stored.final_answer is not None or stored.deadline > soon or holding is None:
                 continue
             if holding.serving and self.moves.near_deadline(text[1:]) == "failed" and text[:1] == SOURCE_MARK:
                 self.counters.add("messages on the move that were answered by their limit")
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -82,7 +82,7 @@
 
     def __init__(self, node: SessionHost) -> None:
         super().__init__(node)
-        if self.store.by_copy:
+        if self.store.ack_after_replication:
             node.replicas.on_step = self._copied
 
     def attach(self, commands: ManagementCommands, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
@@ -196,7 +196,7 @@
     def _send_locations_to_all(self, now: int) -> None:
         # Without a valid lease nothing is sent: after a long pause others may hold these sessions by now.
         limit = 0
-        if self.store.taking():
+        if self.store.accepts_messages():
             share = len(self.directory.sessions) // UPDATES_PER_ROUND
             limit = min(MAX_LOCATIONS_PER_UPDATE, MIN_LOCATIONS_PER_UPDATE + share)
         entries = self.directory.next_locations(limit, now)
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -107,7 +107,7 @@
             self.partition = current.partition
 
     def _accepts_sessions(self) -> bool:
-        return not (self.leaving or self.node.leaving or self.client_listener.paused) and self.store.taking()
+        return not (self.leaving or self.node.leaving or self.client_listener.paused) and self.store.accepts_messages()
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
         return counted_call(self.peers.call, name, body, within_s, self.counters, "sessions")
@@ -116,7 +116,7 @@
         """Claim a session from all members; returns whether a claim was made, so that it can be ruled on again."""
         # Only while messages can be taken: until the next partition is held, a successor of the last one may still be
         # granted a session that is claimed anew here.
-        request = self.directory.begin_claim(key, monotonic_time()) if self.store.taking() else None
+        request = self.directory.begin_claim(key, monotonic_time()) if self.store.accepts_messages() else None
         if request is None:
             return False
         self._ask_all(request, SessionClaim(request.key, request.sequence, *request.over, request.at))
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -67,7 +67,7 @@
 
         It begins no step after `CLIENT_TIMEOUT_US`.
         """
-        if not stored.turn:
+        if not stored.order_key:
             return self.client_listener.to_dispatcher(stored)
         began = monotonic_time()
         submission = RoutedSubmission(stored, hash_of(stored), began + FROZEN_WAIT_US)
@@ -81,7 +81,7 @@
     def _route(self, submission: RoutedSubmission, give_up_at: int, now: int) -> SubmitResult | None:
         """Take one step for a client's submission; None if the next step is to be chosen anew."""
         self._mark_unsure_after_takeover()
-        stored, hashed, key = submission.stored, submission.hashed, submission.stored.turn
+        stored, hashed, key = submission.stored, submission.hashed, submission.stored.order_key
         there, holder = self._routing_state(key)
         ruling = self.directory.rule(key, stored.id, hashed, False, now) if there == "here" else None
         if there == "wait" or ruling is SubmissionRuling.BUSY:
@@ -109,7 +109,7 @@
     def _claim_for(self, submission: RoutedSubmission) -> bool:
         """Claim the session of a submission; False if no claim was made, or too many were."""
         submission.claims += 1
-        return submission.claims <= MAX_CLAIMS and self._claim(submission.stored.turn)
+        return submission.claims <= MAX_CLAIMS and self._claim(submission.stored.order_key)
 
     def _recipient(self, submission: RoutedSubmission, holder: str, now: int) -> tuple[str, Entry | None] | None:
         """The member to forward to, and the entry of a dead holder whose partition it has, if so.
@@ -117,7 +117,7 @@
         None if this member has claimed the session of a dead holder as its successor. `holder`: the target of the
         session's last move from here, or empty.
         """
-        key = submission.stored.turn
+        key = submission.stored.order_key
         known = self.directory.holder_of(key)
         to = holder if known in (None, self.name) else known or ""  # it may have moved on since
         entry = self.directory.entry(key, now)
@@ -155,9 +155,9 @@
             # A submission that was passed on twice gets the answer of the first, not a refusal.
             answered, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.ACCEPTED, 0)
             return None if answered is AdmissionResult.FROZEN else (answered, wait_ms, None)
-        if not self.store.taking():
+        if not self.store.accepts_messages():
             return BUSY  # cut off, it may not know that the session has another holder
-        self.directory.record_accepted(stored.turn, stored.id, hashed, now)
+        self.directory.record_accepted(stored.order_key, stored.id, hashed, now)
         submission = self.pending[stored.id] = Submission(stored)
         try:
             self.dispatcher.submit(submission)
@@ -166,7 +166,7 @@
             del self.pending[stored.id]
         if (
             answered is not AdmissionResult.ACCEPTED
-            and (session := self.directory.sessions.get(stored.turn)) is not None
+            and (session := self.directory.sessions.get(stored.order_key)) is not None
         ):
             session.ids.pop(stored.id, None)
         if answered is AdmissionResult.FROZEN:
@@ -176,7 +176,7 @@
 
     def _withdraw(self, submission: Submission) -> None:
         # Otherwise the same id, submitted again, would get +OK for a message that is no more.
-        session = self.directory.sessions.get(submission.message.turn)
+        session = self.directory.sessions.get(submission.message.order_key)
         if session is not None and submission.message.id in session.ids:
             session.ids[submission.message.id] = session.ids[submission.message.id][0], UNKNOWN_HASH
         self.dispatcher.withdraw(submission)
@@ -211,7 +211,7 @@
         self, stored: StoredMessage, left: int, moved: bool, dead_holder: Entry | None
     ) -> ForwardedSubmit:
         return ForwardedSubmit(
-            stored.turn,
+            stored.order_key,
             stored.id,
             stored.key,
             stored.priority_class,
@@ -227,7 +227,7 @@
 
     def _recall_on_disconnect(self, stored: StoredMessage, to: str) -> Callable[[], None]:
         def recall() -> None:
-            gevent.spawn(self._call, to, RecallForward(stored.turn, stored.id), VOTE_TIMEOUT_S)
+            gevent.spawn(self._call, to, RecallForward(stored.order_key, stored.id), VOTE_TIMEOUT_S)
 
         return recall
 
@@ -290,7 +290,7 @@
 
     def _handle_not_held(self, submission: RoutedSubmission, now: int) -> ForwardReply | None:
         """Inherit the session of a forwarded submission, or answer that it is not held here."""
-        key = submission.stored.turn
+        key = submission.stored.order_key
         holder = self.directory.holder_of(key) or ""
         may_claim = submission.claims < MAX_CLAIMS and holder
         if may_claim and not self._is_alive(holder) and self._successor(holder) == self.name:
@@ -304,7 +304,7 @@
 
     def _answer_recall(self, body: RecallForward) -> Acknowledged:
         stored = self.store.messages.get(self.dispatcher.numbers.get(body.id, 0))
-        if stored is not None and stored.turn == body.key and stored.number not in self.store.inert:
+        if stored is not None and stored.order_key == body.key and stored.number not in self.store.migrating:
             self.counters.add("clients gone before their answer")
             self._withdraw(Submission(stored))
         return Acknowledged()
--- a/cedarwick/lab/folder.py
+++ b/cedarwick/lab/folder.py
@@ -58,12 +58,12 @@
     """
     each = 10 + 60 + 40 + 20 + size
     limit = round(live * each / fill)
-    made = Store(Folder(path), limit, now=lambda: time.time_ns() // 1000, bodies=1 << 25, durable=durable)
+    made = Store(Folder(path), limit, now=lambda: time.time_ns() // 1000, body_cache_bytes=1 << 25, durable=durable)
     made.load()
     chance = random.Random(seed)
     numbers: list[int] = []
     for number in range(1, live + 1):
-        made.keep(message(number, size))
+        made.add_message(message(number, size))
         numbers.append(number)
         if number % ROUND == 0:
             made.step()
@@ -72,7 +72,7 @@
     made.next_number = live + 1
     gc.collect()
     gc.disable()  # what a collection over all messages stops is not the folder's doing
-    moved, written, presses = made.moved_bytes, made.written_bytes, made.presses
+    moved, written, presses = made.moved_bytes, made.written_bytes, made.inline_compactions
     times, refused = [], 0
     begun = time.perf_counter()
     for _ in range(rounds):
@@ -80,8 +80,8 @@
         for _ in range(ROUND):
             place = chance.randrange(len(numbers))
             ended = numbers[place]
-            made.attempt(ended, 1, 0)
-            made.outcome(ended, Outcome.COMPLETED)
+            made.record_attempt(ended, 1, 0)
+            made.record_outcome(ended, Outcome.COMPLETED)
             fresh = message(made.next_number, size)
             made.next_number += 1
             while not store_message(made, fresh):
@@ -105,8 +105,8 @@
         round(times[-1] * 1000, 2),
         round(times[int(len(times) * 0.999)] * 1000, 2),
         round((made.written_bytes - written) / new, 2),
-        round(made.used / limit, 3),
-        made.presses - presses,
+        round(made.used_bytes / limit, 3),
+        made.inline_compactions - presses,
         refused,
         durable,
     )
@@ -117,7 +117,7 @@
 def store_message(store: Store, message: StoredMessage) -> bool:
     """Store a new message; False if there is no room for it."""
     try:
-        store.keep(message)
+        store.add_message(message)
     except NoSpaceError:
         return False
     return True
--- a/cedarwick/lab/virtual_clients.py
+++ b/cedarwick/lab/virtual_clients.py
@@ -103,7 +103,11 @@
         sent, owner, box, end = self.day.now(), sender.owner, AsyncResult(), self.day.now() + PATIENCE
         if sender.running:
             self.day.kernel.spawn_as(
-                owner, sender.submit, replace(stored, noted=[]), box, lambda: hasty and self.day.now() >= end
+                owner,
+                sender.submit,
+                replace(stored, short_record_segments=[]),
+                box,
+                lambda: hasty and self.day.now() >= end,
             )
             while not box.came(0.05) and self.day.now() < end and not owner.dead:
                 continue
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -121,7 +121,7 @@
             self.folder,
             self.disk,
             now=clock.now,
-            by_copy=day.table.ack == "copy",
+            ack_after_replication=day.table.ack == "copy",
             ack_timeout_us=round(day.table.ack_within_ms * 1000),
         )
         self.dispatcher = dispatcher = Dispatcher(assignment, clock, counters, self.store, cast(PollClock, clock))
@@ -203,7 +203,7 @@
 
     def submit(self, stored: StoredMessage, box: AsyncResult, gone: Callable[[], bool]) -> None:
         """What a client is answered, into the box; `gone`: whether it has given up."""
-        if self.node is None or self.leaving or not self.store.taking():
+        if self.node is None or self.leaving or not self.store.accepts_messages():
             box.set("busy")
             return
         what, _, withdraw = self.client_listener.hand_in(stored)
--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -25,11 +25,13 @@
             submission.answered(AdmissionResult.UNKNOWN_DESTINATION)
             return
         now = self.clock.now()
-        if stored.turn in self.frozen:
+        if stored.order_key in self.frozen:
             submission.answered(AdmissionResult.FROZEN)
             return
         # A repeated id must not be sent again after its message ended, least of all with another body.
-        copied = hash((stored.key, stored.turn, stored.priority_class, stored.tenant, stored.destination, stored.body))
+        copied = hash(
+            (stored.key, stored.order_key, stored.priority_class, stored.tenant, stored.destination, stored.body)
+        )
         known = self.recent.get(stored.id)
         if known is not None or stored.id in self.numbers:
             same = known is not None and known[1] == copied and stored.id in self.numbers
@@ -56,15 +58,15 @@
             priority_class,
             stored.deadline,
             place(self.tenants, stored.tenant),
-            stored.turn,
+            stored.order_key,
         )
-        if stored.turn in self.keys_elsewhere and self.sender.priority_classes[priority_class].ordered:
+        if stored.order_key in self.keys_elsewhere and self.sender.priority_classes[priority_class].ordered:
             self.counters.add("messages that waited for others of their key elsewhere")
-            self._let_rest(stored.turn)
+            self._let_rest(stored.order_key)
 
     def _withdraw(self, stored: StoredMessage) -> None:
         self.leaving.discard(stored.number)
-        if stored.number in self.store.inert:
+        if stored.number in self.store.migrating:
             return  # it is on its way to another sender, who knows nothing of this
         self._end_unanswered(stored)
 
@@ -85,20 +87,20 @@
     def _store_message(self, submission: Submission) -> None:
         """Store a message, then answer its client; attempts may go only after that."""
         stored = submission.message
-        if not self._recorded("a message", self.store.keep, stored):
+        if not self._recorded("a message", self.store.add_message, stored):
             del self.numbers[stored.id]
             self.handles[stored.number].withdrawn(self.clock.now())
             if not self.handles[stored.number].in_flight:
                 del self.handles[stored.number]
             submission.answered(AdmissionResult.BUSY)
             return
-        if self.store.awaited:
+        if self.store.answers_wait_for_flush:
             self.after_flush.append((lambda: self._accepted(submission), lambda: self._rejected(submission)))
         else:
             self._accepted(submission)
 
     def _accepted(self, submission: Submission) -> None:
-        if not self.store.may_fire(submission.message.number):
+        if not self.store.may_send_attempt(submission.message.number):
             # The right to send was lost in this round, so no copy of the message was waited for.
             self._rejected(submission)
             return
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -11,7 +11,7 @@
 from cedarwick.net.dispatch_sessions import Sessions
 from cedarwick.net.message_trace import HeldTrace
 from cedarwick.store.bodies import BodyLostError
-from cedarwick.store.records import NOWHERE
+from cedarwick.store.records import UNKNOWN_ZONE
 
 
 class Attempts(Sessions):
@@ -25,21 +25,21 @@
         now, number = self.clock.now(), call.message.number
         handle = self.handles.get(number)
         may = free = handle is not None and handle.may_start(now, call.receiver) and not self.holding_fire
-        may = may and self.store.may_fire(number)
+        may = may and self.store.may_send_attempt(number)
         call.send_by = handle.send_by() if handle is not None else 0
         if may and number in self.store.messages and not call.recorded:
             zone = self.sender.receivers[call.receiver].zone
-            mark = self.zones[zone] if zone < len(self.zones) else NOWHERE
+            mark = self.zones[zone] if zone < len(self.zones) else UNKNOWN_ZONE
             may = self._with_body(call)
             may = call.recorded = may and self._recorded(
-                "the record of an attempt", self.store.attempt, number, now, mark
+                "the record of an attempt", self.store.record_attempt, number, now, mark
             )
         if not may:
             answer.set(False)
             # Refused by the decisions: it does not count as an attempt. Refused by the store or for want of the right
             # to send: it counts, or it would be ordered again at once, for ever.
             self._attempt_ended(call, AttemptResult(Outcome.MOOT, not_sent=not free))
-        elif self.store.awaited and not call.flushed:
+        elif self.store.answers_wait_for_flush and not call.flushed:
             call.flushed = True
             self.after_flush.append((lambda: answer.set(True), lambda: self._held_back(call, answer)))
         else:
@@ -48,7 +48,7 @@
     def _with_body(self, call: AttemptCall) -> bool:
         """Read the body back, which may be in the store only; returns whether that succeeded."""
         try:
-            call.body = self.store.body(call.message.number)
+            call.body = self.store.read_body(call.message.number)
         except BodyLostError as error:
             self.counters.warning("a body cannot be read back", error)
             return False
@@ -89,11 +89,11 @@
     def _attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
         number = call.message.number
         if call.recorded:
-            self._recorded("the record of an outcome", self.store.outcome, number, ending.outcome)
+            self._recorded("the record of an outcome", self.store.record_outcome, number, ending.outcome)
         handle = self.handles.get(number)
         if handle is None and (parked := self.parked.pop(number, None)) is not None:
             self._report_outcome(parked, call, ending)
-            frozen = self.frozen.get(call.message.turn)
+            frozen = self.frozen.get(call.message.order_key)
             if frozen is not None:
                 frozen.in_flight.discard(number)
                 if not frozen.in_flight and not frozen.still.ready():
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -23,12 +23,12 @@
         stored = self.store.messages.get(number)
         if stored is None:
             return
-        self._recorded("the record of an end", self.store.ended, number, rejected, wait_ms)
+        self._recorded("the record of an end", self.store.record_final_answer, number, rejected, wait_ms)
         self._trace_end(stored, "returned" if rejected else "failed", "no copy asked" if alone else "decided")
         self.counters.add("rejected" if rejected else "abandoned")
         (self.counters.figures.dropped if rejected else self.counters.figures.bad_gateway)[stored.priority_class] += 1
         self.uncopied_ends.discard(number)
-        if self.store.by_copy and not alone:
+        if self.store.ack_after_replication and not alone:
             self.uncopied_ends.add(number)
             self._post_once_copied(stored)
         else:
@@ -41,17 +41,19 @@
         """
 
         def post() -> None:
-            if not self.store.may_fire(stored.number):
+            if not self.store.may_send_attempt(stored.number):
                 again()  # the right may be back soon, and then nobody else would post it
             elif (
-                stored.end is not None and stored.number in self.store.messages and stored.number in self.uncopied_ends
+                stored.final_answer is not None
+                and stored.number in self.store.messages
+                and stored.number in self.uncopied_ends
             ):
                 self.uncopied_ends.discard(stored.number)
-                self.notices.post(stored.number, stored.id, *stored.end)
+                self.notices.post(stored.number, stored.id, *stored.final_answer)
 
         def again() -> None:
             if stored.number in self.store.messages and stored.number in self.uncopied_ends:
-                if self.clock.now() >= stored.deadline and self.store.may_fire(stored.number):
+                if self.clock.now() >= stored.deadline and self.store.may_send_attempt(stored.number):
                     # After the deadline a sender that takes over makes no attempt either, and reports a failure too.
                     self._final(stored.number, False, 0, alone=True)
                     return
@@ -65,11 +67,11 @@
             stored = self.store.messages.get(number)
             if stored is None or number in self.handles or number in self.notices.pending:
                 continue
-            if stored.end is None or number in self.uncopied_ends:
+            if stored.final_answer is None or number in self.uncopied_ends:
                 self.counters.warning("a message ends that nobody may fire for", number)
                 self._final(number, False, 0, alone=True)
             else:
-                self.notices.post(number, stored.id, *stored.end)
+                self.notices.post(number, stored.id, *stored.final_answer)
 
     def _acknowledged(self, numbers: list[int]) -> None:
         for number in numbers:
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -12,7 +12,7 @@
 from cedarwick.net.assignment import place
 from cedarwick.net.dispatch_state import DispatcherState, FrozenSession
 from cedarwick.net.submission import AdmissionResult
-from cedarwick.store.records import NOWHERE
+from cedarwick.store.records import UNKNOWN_ZONE
 
 PARTITION_SHIFT_BITS = 32  # a message number holds its partition above these bits, and counts up below them
 
@@ -22,7 +22,7 @@
 
     def restore(self) -> None:
         """Take up what an earlier process of this sender left and it has the right to send; call once, at the start."""
-        numbers = [number for number in sorted(self.store.messages) if self.store.may_fire(number)]
+        numbers = [number for number in sorted(self.store.messages) if self.store.may_send_attempt(number)]
         if self.store.restarted:
             taken_up = self._take_up(numbers)
             logger.info("restarted with {} unfinished messages, {} notices", taken_up, len(self.notices.pending))
@@ -33,13 +33,13 @@
         for number in numbers:
             stored = self.store.messages[number]
             self.numbers[stored.id] = number
-            if stored.end is None and stored.priority_class not in self.priority_classes:
+            if stored.final_answer is None and stored.priority_class not in self.priority_classes:
                 self.counters.warning(
                     "a message of a priority class that is no more goes once at most", stored.priority_class
                 )
-            if stored.end is not None:
+            if stored.final_answer is not None:
                 self.uncopied_ends.discard(number)
-                self.notices.post(number, stored.id, *stored.end)
+                self.notices.post(number, stored.id, *stored.final_answer)
                 continue
             attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in stored.earlier_attempts()]
             priority_class = self.priority_classes.get(stored.priority_class, len(self.sender.priority_classes) - 1)
@@ -50,7 +50,7 @@
                     priority_class,
                     stored.deadline,
                     place(self.tenants, stored.tenant),
-                    stored.turn,
+                    stored.order_key,
                     attempts,
                 )
             )
@@ -70,8 +70,8 @@
         return len(unfinished)
 
     def _place_of(self, mark: int) -> int:
-        """The index of a recorded zone mark in the settings; `NOWHERE` unless exactly one zone has it."""
-        return self.zones.index(mark) if self.zones.count(mark) == 1 else NOWHERE
+        """The index of a recorded zone mark in the settings; `UNKNOWN_ZONE` unless exactly one zone has it."""
+        return self.zones.index(mark) if self.zones.count(mark) == 1 else UNKNOWN_ZONE
 
     def _adopt(self, numbers: list[int], quietly: bool = False) -> None:
         known = [
@@ -79,8 +79,8 @@
             for number in numbers
             if number in self.store.messages
             and number not in self.handles
-            and number not in self.store.inert
-            and self.store.messages[number].turn not in self.frozen
+            and number not in self.store.migrating
+            and self.store.messages[number].order_key not in self.frozen
         ]
         # An attempt from before the message was parked may still run; a second one must not run beside it.
         self.to_adopt.update(number for number in known if number in self.parked)
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -26,7 +26,7 @@
 from cedarwick.store.files import NoSpaceError
 from cedarwick.store.health_file import HealthFile, HealthKey
 from cedarwick.store.journal import Store
-from cedarwick.store.records import StoredMessage, zone_mark
+from cedarwick.store.records import StoredMessage, zone_id
 
 LEASE_RECHECK_DELAY_US = 20_000  # microseconds until the next check of this sender's lease and its copies
 
@@ -57,7 +57,7 @@
             assignment.settings.get(f"realms.{index}.name", "")
             for index in range(int(assignment.settings.get("realms.count") or 0))
         ]
-        self.zones = [zone_mark(name) for name in list_setting(assignment.settings, "zones")]
+        self.zones = [zone_id(name) for name in list_setting(assignment.settings, "zones")]
         self.sender = Sender(assignment.settings, assignment.seed, clock.now())
         # One more class is for restored messages whose priority class was removed; without settings it is sent at most
         # once.
@@ -112,8 +112,8 @@
             self.counters.trace.add(EndTrace(stored.id, stored.number, state, reason, term, self.clock.now()))
 
     def _trace_notice(self, stored: StoredMessage) -> None:
-        if self.counters.trace.enabled and stored.end is not None:
-            state = "returned" if stored.end[0] else "failed"
+        if self.counters.trace.enabled and stored.final_answer is not None:
+            state = "returned" if stored.final_answer[0] else "failed"
             self.counters.trace.add(NoticeTrace(stored.id, stored.number, state, self.clock.now()))
 
     def _trace_parked(self, number: int, in_flight: bool) -> None:
@@ -135,4 +135,4 @@
         """Delete a message for which nothing more is to be done."""
         self.numbers.pop(stored.id, None)
         self.uncopied_ends.discard(stored.number)
-        self._recorded("the record of an end", self.store.over, stored.number)
+        self._recorded("the record of an end", self.store.finish, stored.number)
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -67,7 +67,7 @@
 
         While the attempt's record was being written, the client may have left and submitted the same message elsewhere.
         """
-        return number in self.store.messages and number not in self.leaving and self.store.may_fire(number)
+        return number in self.store.messages and number not in self.leaving and self.store.may_send_attempt(number)
 
     def attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
         """An attempt that `_decide` started has its result."""
@@ -225,14 +225,14 @@
 
     def _decide(self) -> None:
         now = self.clock.now()
-        if not self.store.deciding():
+        if not self.store.may_answer():
             # After a pause of this process another sender may have taken over: do not give a second final answer.
             self.wake_at = now + LEASE_RECHECK_DELAY_US
             self._reject_new(now)
             return
         # A message that was given up takes room until its notice is acknowledged; without counting that room as free,
         # every round would give up more.
-        self.sender.room = self.store.room_for() + len(self.notices.pending)
+        self.sender.room = self.store.remaining_capacity() + len(self.notices.pending)
         verdicts = self.sender.decide(now)
         self._record_health(verdicts.health_changes)
         for number, wait in verdicts.nacks:
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -40,7 +40,7 @@
 )
 from cedarwick.store.files import Folder
 from cedarwick.store.health_file import HealthFile
-from cedarwick.store.journal import BODIES, Store
+from cedarwick.store.journal import DEFAULT_BODY_CACHE_BYTES, Store
 
 if TYPE_CHECKING:
     from cedarwick.config.operator import Operator
@@ -216,7 +216,7 @@
         return dispatcher
 
     def _ready(self) -> bool:
-        return self.endpoint_list.known and self.store.taking()
+        return self.endpoint_list.known and self.store.accepts_messages()
 
     def _metrics_text(self) -> str:
         return self.counters.figures.text(*gauges(self.dispatcher, self.endpoint_list))
@@ -413,12 +413,17 @@
     """Create the store of the state folder; with a fleet in the operator file, one that replicates to other members."""
     limits = operator.store if operator is not None else None
     durable = limits is not None and limits.durability == "group"
-    bodies = round(limits.bodies_mb * (1 << 20)) if limits is not None else BODIES
+    bodies = round(limits.bodies_mb * (1 << 20)) if limits is not None else DEFAULT_BODY_CACHE_BYTES
     segment = round(limits.segment_kb * 1024) if limits is not None else 0
     fleet = operator.fleet if operator is not None else None
     if fleet is None:
         return Store(
-            assignment.folder, assignment.disk_bytes, now=clock.now, durable=durable, bodies=bodies, segment=segment
+            assignment.folder,
+            assignment.disk_bytes,
+            now=clock.now,
+            durable=durable,
+            body_cache_bytes=bodies,
+            segment_bytes=segment,
         )
     from cedarwick.fleet.replicated_store import ReplicatedStore
 
@@ -427,9 +432,9 @@
         assignment.disk_bytes,
         now=clock.now,
         durable=durable,
-        bodies=bodies,
-        segment=segment,
-        by_copy=fleet.ack == "copy",
+        body_cache_bytes=bodies,
+        segment_bytes=segment,
+        ack_after_replication=fleet.ack == "copy",
         ack_timeout_us=round(fleet.ack_within_ms * 1000),
     )
 
--- a/cedarwick/store/compaction_planner.py
+++ b/cedarwick/store/compaction_planner.py
@@ -10,15 +10,15 @@
 from enum import Enum
 from typing import NamedTuple
 
-BLOCK = 512  # bytes; file sizes are counted in whole blocks
+BLOCK_BYTES = 512  # bytes; file sizes are counted in whole blocks
 MIN_SEGMENT_BYTES = 1 << 16
 MAX_SEGMENT_BYTES = 1 << 26
-SEGMENTS = 64  # approximate number of segments in a folder at its limit
+TARGET_SEGMENTS = 64  # approximate number of segments in a folder at its limit
 MIN_DEAD_SHARE = 1 / 16  # segments with a smaller share of dead bytes are moved only if space is short
-STEP = 1 << 15  # most bytes that one step moves; takes about a millisecond
-SLACK = 1 << 12  # bytes for short records between two steps
-EASY_SEGMENTS = 8  # with this many segments of free space beyond the reserve, nothing is moved
-MAX_PACE = 4.0  # multiple of the rate of appends once free space is down to the reserve
+MAX_STEP_BYTES = 1 << 15  # most bytes that one step moves; takes about a millisecond
+SHORT_RECORD_SLACK_BYTES = 1 << 12  # bytes for short records between two steps
+IDLE_FREE_SEGMENTS = 8  # with this many segments of free space beyond the reserve, nothing is moved
+MAX_PACE_FACTOR = 4.0  # multiple of the rate of appends once free space is down to the reserve
 
 
 class RecordUse(Enum):
@@ -36,9 +36,9 @@
     used: int  # of all files, in whole blocks
     live: int  # of all live records
     segment: int  # the size at which a segment is sealed
-    largest: int  # of the largest record
+    largest_record: int  # of the largest record
     header: int  # of a new segment's header
-    promised: int = 0  # still to come in short records of live messages
+    expected_short_records: int = 0  # still to come in short records of live messages
 
 
 class CompactionCandidate(NamedTuple):
@@ -51,28 +51,28 @@
 
 def segment_size(limit: int) -> int:
     """The size in bytes at which segments are sealed, for a folder with this limit in bytes."""
-    return min(MAX_SEGMENT_BYTES, max(MIN_SEGMENT_BYTES, limit // SEGMENTS))
+    return min(MAX_SEGMENT_BYTES, max(MIN_SEGMENT_BYTES, limit // TARGET_SEGMENTS))
 
 
-def blocks(size: int) -> int:
+def round_up_to_blocks(size: int) -> int:
     """`size` in bytes rounded up to whole blocks."""
-    return -(-size // BLOCK) * BLOCK
+    return -(-size // BLOCK_BYTES) * BLOCK_BYTES
 
 
-def reserve(sizes: Sizes) -> int:
+def reserved_bytes(sizes: Sizes) -> int:
     """Bytes that new messages may not use: room to move a segment's live records, and for short records."""
-    return sizes.segment + sizes.largest + 2 * sizes.header + SLACK + 2 * BLOCK
+    return sizes.segment + sizes.largest_record + 2 * sizes.header + SHORT_RECORD_SLACK_BYTES + 2 * BLOCK_BYTES
 
 
-def room(sizes: Sizes) -> int:
+def free_message_bytes(sizes: Sizes) -> int:
     """Bytes of new messages that still fit once the folder is compacted; at least 0."""
     # Partly filled last blocks and a small share of dead bytes in every segment are never freed; counting them as
     # free would promise space that compaction cannot deliver.
-    lost = sizes.limit // 128 + sizes.limit // sizes.segment * (BLOCK // 2 + sizes.header)
-    return max(0, sizes.limit - reserve(sizes) - lost - sizes.live - sizes.promised)
+    lost = sizes.limit // 128 + sizes.limit // sizes.segment * (BLOCK_BYTES // 2 + sizes.header)
+    return max(0, sizes.limit - reserved_bytes(sizes) - lost - sizes.live - sizes.expected_short_records)
 
 
-def choose(candidates: Iterable[CompactionCandidate], short: bool) -> CompactionCandidate | None:
+def choose_victim(candidates: Iterable[CompactionCandidate], short: bool) -> CompactionCandidate | None:
     """The segment with the smallest share of live bytes; None if no candidate frees enough.
 
     `short`: space is short, so that any gain is enough.
@@ -87,14 +87,14 @@
     return best
 
 
-def pace(sizes: Sizes, victim: CompactionCandidate, appended: int) -> int:
+def bytes_to_move(sizes: Sizes, victim: CompactionCandidate, appended: int) -> int:
     """Bytes of the victim to move in this step, after `appended` bytes since the last step."""
     free = sizes.limit - sizes.used
-    floor = reserve(sizes)
-    ease = min(1.0, max(0.0, (free - floor) / (EASY_SEGMENTS * sizes.segment)))
+    floor = reserved_bytes(sizes)
+    ease = min(1.0, max(0.0, (free - floor) / (IDLE_FREE_SEGMENTS * sizes.segment)))
     if ease >= 1.0:
         return 0
     # Only dead bytes are freed, so a nearly full segment costs many moved bytes for each byte freed.
     for_each = victim.live / max(1, victim.size - victim.live)
-    wanted = appended * for_each * (1 + (MAX_PACE - 1) * (1 - ease)) + 1
-    return round(min(STEP, wanted))
+    wanted = appended * for_each * (1 + (MAX_PACE_FACTOR - 1) * (1 - ease)) + 1
+    return round(min(MAX_STEP_BYTES, wanted))
--- a/cedarwick/store/files.py
+++ b/cedarwick/store/files.py
@@ -11,9 +11,9 @@
 
 from cedarwick.errors import CedarwickError
 
-NAME = re.compile(r"([0-9]{8})\.seg")
-OLD_NAME = re.compile(r"([0-9]{8})\.log")
-LOCK = "lock"
+SEGMENT_FILE_PATTERN = re.compile(r"([0-9]{8})\.seg")
+LEGACY_FILE_PATTERN = re.compile(r"([0-9]{8})\.log")
+LOCK_FILE_NAME = "lock"
 
 
 class FolderInUseError(CedarwickError):
@@ -42,23 +42,23 @@
 
     def __init__(self, path: str) -> None:
         self.path = path
-        self.lock = -1
+        self.lock_file = -1
 
-    def claim(self) -> None:
+    def acquire_lock(self) -> None:
         """Lock the folder until `release` or the end of the process; `FolderInUseError` if another process has it."""
-        self.lock = os.open(os.path.join(self.path, LOCK), os.O_RDWR | os.O_CREAT, 0o600)
+        self.lock_file = os.open(os.path.join(self.path, LOCK_FILE_NAME), os.O_RDWR | os.O_CREAT, 0o600)
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(self.lock)
-            self.lock = -1
+            os.close(self.lock_file)
+            self.lock_file = -1
             raise FolderInUseError(f"{self.path} is in use by another process") from None
 
-    def release(self) -> None:
+    def release_lock(self) -> None:
         """Give up the lock, if it is held."""
-        if self.lock >= 0:
-            os.close(self.lock)
-            self.lock = -1
+        if self.lock_file >= 0:
+            os.close(self.lock_file)
+            self.lock_file = -1
 
     def names(self) -> list[str]:
         """The names of all files, sorted."""
@@ -111,12 +111,12 @@
     return f"{number:08d}.seg"
 
 
-def numbers(names: list[str], pattern: "re.Pattern[str]" = NAME) -> list[int]:
+def file_numbers(names: list[str], pattern: "re.Pattern[str]" = SEGMENT_FILE_PATTERN) -> list[int]:
     """The numbers in those file names that match a pattern, sorted."""
     return sorted(int(found[1]) for name in names if (found := pattern.fullmatch(name)))
 
 
-def quietly(call: Callable[..., None], *arguments: object) -> bool:
+def ignore_os_error(call: Callable[..., None], *arguments: object) -> bool:
     """Make a call that may fail without harm; returns False if it raised OSError."""
     with contextlib.suppress(OSError):
         call(*arguments)
--- a/cedarwick/store/health_file.py
+++ b/cedarwick/store/health_file.py
@@ -12,7 +12,7 @@
 from cedarwick.decisions.interface import EarlierHealth, HealthState
 from cedarwick.errors import CedarwickError
 from cedarwick.store.elapsed_time import Moment, MomentClock, elapsed
-from cedarwick.store.files import Folder, quietly
+from cedarwick.store.files import Folder, ignore_os_error
 
 NAME = "health.jsonl"
 FRESH_NAME = "health.jsonl.new"  # the whole file as it is written anew, before it replaces the old one
@@ -42,7 +42,7 @@
     """The health of one receiver at a moment; `age` is how long the outage had lasted then."""
 
     health: EarlierHealth
-    at: Moment
+    recorded_at: Moment
 
 
 class HealthFile:
@@ -74,20 +74,20 @@
 
         Where part of it cannot be read, `complete` is false: any receiver may have been out.
         """
-        data = self._read_patiently()
+        data = self._read_with_retries()
         *lines, torn = data.split(b"\n")
         for line in lines:
             self._read_line(line)
         for oldest in list(self.entries)[:-MAX_ENTRIES]:
             del self.entries[oldest]
         if torn:
-            self._incomplete(f"its last line was cut off: {len(torn)} bytes")
+            self._report_incomplete(f"its last line was cut off: {len(torn)} bytes")
         if data or not self.complete:
             self._rewrite()
         now = self.clock.now()
         return {
             key: entry.health._replace(
-                age=entry.health.age + elapsed(entry.at, now), recorded_age=elapsed(entry.at, now)
+                age=entry.health.age + elapsed(entry.recorded_at, now), recorded_age=elapsed(entry.recorded_at, now)
             )
             for key, entry in self.entries.items()
         }
@@ -120,7 +120,7 @@
             try:
                 call(self.folder.sync, self.file)
             except OSError as error:
-                self._failed(error)
+                self._report_failed_write(error)
 
     def close(self) -> None:
         """Close the file."""
@@ -130,7 +130,7 @@
 
     # ---- reading ----
 
-    def _read_patiently(self) -> bytes:
+    def _read_with_retries(self) -> bytes:
         for attempt in range(1, READ_ATTEMPTS + 1):
             try:
                 return self._read()
@@ -138,10 +138,10 @@
                 return b""
             except OSError as error:
                 if attempt == READ_ATTEMPTS:
-                    self._incomplete(str(error.strerror))
+                    self._report_incomplete(str(error.strerror))
         return b""
 
-    def _incomplete(self, detail: str) -> None:
+    def _report_incomplete(self, detail: str) -> None:
         self.complete = False
         self.warn("receivers' health cannot be read", HealthFileError(f"{NAME}: {detail}"))
 
@@ -162,7 +162,7 @@
         try:
             key, entry = entry_of(json.loads(line))
         except (ValueError, KeyError, TypeError) as error:
-            self._incomplete(f"a line: {error!r}")
+            self._report_incomplete(f"a line: {error!r}")
             return
         self.entries.pop(key, None)
         if matters(entry.health):
@@ -176,12 +176,12 @@
                 self.file = self._create(NAME)
             self._write(self.file, data)
         except OSError as error:
-            self._failed(error)
+            self._report_failed_write(error)
 
     def _rewrite(self) -> None:
         """Replace the file by one that holds only what counts."""
         self.close()
-        quietly(self.folder.unlink, FRESH_NAME)
+        ignore_os_error(self.folder.unlink, FRESH_NAME)
         try:
             self.file = self._create(FRESH_NAME)
             if self.entries:
@@ -191,7 +191,7 @@
             self.folder.rename(FRESH_NAME, NAME)
         except OSError as error:
             self.close()
-            self._failed(error)
+            self._report_failed_write(error)
             return
         self.unsaved = False
         self.rewritten_size = self.size
@@ -211,7 +211,7 @@
         self.size += len(data)
         self.unsynced = self.durable
 
-    def _failed(self, error: OSError) -> None:
+    def _report_failed_write(self, error: OSError) -> None:
         self.unsaved = True
         self.retry_at = self.clock.now().uptime + RETRY_INTERVAL
         self.warn("receivers' health is not saved", HealthFileError(f"{NAME}: {error.strerror}"))
@@ -233,9 +233,9 @@
         "rate": health.observed_rate,
         "age": health.age,
         "cut_rate": health.cut_rate,
-        "boot": entry.at.boot,
-        "uptime": entry.at.uptime,
-        "wall": entry.at.wall,
+        "boot": entry.recorded_at.boot,
+        "uptime": entry.recorded_at.uptime,
+        "wall": entry.recorded_at.wall,
     }
     return json.dumps(record).encode() + b"\n"
 
--- a/cedarwick/store/legacy_format.py
+++ b/cedarwick/store/legacy_format.py
@@ -7,8 +7,8 @@
 from loguru import logger
 
 from cedarwick.decisions.interface import Outcome
-from cedarwick.store.files import OLD_NAME, Folder, numbers
-from cedarwick.store.records import OUTCOMES, InvalidRecordError, StoredMessage, read_texts
+from cedarwick.store.files import LEGACY_FILE_PATTERN, Folder, file_numbers
+from cedarwick.store.records import OUTCOMES, InvalidRecordError, StoredMessage, decode_texts
 
 HEAD = struct.Struct("<II")  # length of the payload, checksum
 MESSAGE, ATTEMPT, OUTCOME, END, OVER, WHOLE = range(1, 7)
@@ -17,7 +17,7 @@
 OUTCOME_BODY = struct.Struct("<BQB")
 END_BODY = struct.Struct("<BQBI")
 OVER_BODY = struct.Struct("<BQ")
-LONGEST = 1 << 20
+MAX_PAYLOAD_BYTES = 1 << 20
 
 
 def read(folder: Folder, until: int) -> tuple[dict[int, StoredMessage], int, list[int]]:
@@ -27,7 +27,7 @@
     """
     stored: dict[int, StoredMessage] = {}
     next_number = 1
-    files = [number for number in numbers(folder.names(), OLD_NAME) if number > until]
+    files = [number for number in file_numbers(folder.names(), LEGACY_FILE_PATTERN) if number > until]
     for number in files:
         name = f"{number:08d}.log"
         file = folder.open(name, append=False)
@@ -51,7 +51,7 @@
         stored.clear()  # this file holds all that was live when it was begun
     elif kind == MESSAGE:
         _, number, limit, turn, destination, *sizes = MESSAGE_BODY.unpack_from(payload)
-        texts, at = read_texts(payload, MESSAGE_BODY.size, sizes)
+        texts, at = decode_texts(payload, MESSAGE_BODY.size, sizes)
         id, key, priority_class, tenant = texts
         body = payload[at:]
         stored[number] = StoredMessage(
@@ -64,25 +64,25 @@
             destination,
             limit,
             body,
-            size=len(body),
-            checksum=zlib.crc32(body),
+            body_size=len(body),
+            body_checksum=zlib.crc32(body),
         )
         return int(number) + 1
     elif kind == ATTEMPT:
         _, number, sent_at, zone = ATTEMPT_BODY.unpack(payload)
         if number in stored:
-            stored[number].attempt(sent_at, zone)
+            stored[number].apply_attempt(sent_at, zone)
     elif kind == OUTCOME:
         _, number, outcome = OUTCOME_BODY.unpack(payload)
         if number in stored:
             if OUTCOMES[outcome] is Outcome.COMPLETED:
                 del stored[number]
             else:
-                stored[number].outcome(OUTCOMES[outcome].never_ran)
+                stored[number].apply_outcome(OUTCOMES[outcome].never_ran)
     elif kind == END:
         _, number, rejected, wait = END_BODY.unpack(payload)
         if number in stored:
-            stored[number].end = (bool(rejected), wait)
+            stored[number].final_answer = (bool(rejected), wait)
     elif kind == OVER:
         stored.pop(OVER_BODY.unpack(payload)[1], None)
     return 1
@@ -94,7 +94,7 @@
     while at + HEAD.size <= len(data):
         size, checksum = HEAD.unpack_from(data, at)
         payload = data[at + HEAD.size : at + HEAD.size + size]
-        if not 0 < size <= LONGEST or len(payload) < size or zlib.crc32(payload) != checksum:
+        if not 0 < size <= MAX_PAYLOAD_BYTES or len(payload) < size or zlib.crc32(payload) != checksum:
             return
         yield payload
         at += HEAD.size + size
--- a/cedarwick/store/records.py
+++ b/cedarwick/store/records.py
@@ -15,12 +15,12 @@
 from cedarwick.errors import CedarwickError
 
 VERSION = 2  # of the format; the one file of the first version is read by `legacy_format.py`
-MARK = b"\xce\xda"
-FRAME = struct.Struct("<2sII")
-LENGTH = struct.Struct("<I")
-LONGEST = 1 << 20  # bytes of a payload
-HEADER, MESSAGE, STATE, ATTEMPT, OUTCOME, END, OVER, DROP = range(1, 9)
-HARMLESS = 64  # kinds from here on are not about attempts or ends
+FRAME_MARK = b"\xce\xda"
+FRAME_HEADER = struct.Struct("<2sII")
+PAYLOAD_LENGTH = struct.Struct("<I")
+MAX_PAYLOAD_BYTES = 1 << 20  # bytes of a payload
+HEADER, MESSAGE, STATE, ATTEMPT, OUTCOME, FINAL_ANSWER, FINISHED, DROP = range(1, 9)
+FIRST_UNRELATED_KIND = 64  # kinds from here on are not about attempts or ends
 HEADER_BODY = struct.Struct("<BHQQQQI")  # kind, version, number, made at, next message, old files until, lines
 HEADER_LINE = struct.Struct("<QQ")  # number and valid length of another live segment
 MESSAGE_BODY = struct.Struct("<BQQQIIHHHH")  # number, limit, turn, destination, body's checksum, four texts
@@ -28,15 +28,15 @@
 STATE_HEAD = struct.Struct("<BQ")
 ATTEMPT_BODY = struct.Struct("<BQQh")
 OUTCOME_BODY = struct.Struct("<BQB")
-END_BODY = struct.Struct("<BQBI")
-OVER_BODY = struct.Struct("<BQ")
+FINAL_ANSWER_BODY = struct.Struct("<BQBI")
+FINISHED_BODY = struct.Struct("<BQ")
 OUTCOMES = list(Outcome)
-NO_END, WRITTEN_OFF, REJECTED = range(3)
-NOWHERE = -1  # the zone of an attempt of which no record is left: no receiver is there
-FIRST_MARK, MARKS = 1 << 10, 31 << 10  # of zone marks; lower values are indexes into the configured zones
-OVER_RECORD_BYTES = FRAME.size + OVER_BODY.size
-STATE_RECORD_BYTES = FRAME.size + STATE_HEAD.size + STATE_BODY.size
-SHORTEST = STATE_HEAD.size  # bytes of a payload that names a message
+NO_ANSWER, WRITTEN_OFF, REJECTED = range(3)
+UNKNOWN_ZONE = -1  # the zone of an attempt of which no record is left: no receiver is there
+FIRST_ZONE_ID, ZONE_IDS = 1 << 10, 31 << 10  # of zone marks; lower values are indexes into the configured zones
+FINISHED_RECORD_BYTES = FRAME_HEADER.size + FINISHED_BODY.size
+STATE_RECORD_BYTES = FRAME_HEADER.size + STATE_HEAD.size + STATE_BODY.size
+MIN_STATE_PAYLOAD_BYTES = STATE_HEAD.size  # bytes of a payload that names a message
 
 
 class InvalidRecordError(CedarwickError):
@@ -53,43 +53,51 @@
     number: int  # 0 until it is accepted
     id: str
     key: str  # repeated requests carry the same key
-    turn: int  # the ordering key; 0 for none
+    order_key: int  # the ordering key; 0 for none
     priority_class: str
     tenant: str  # empty for none
     destination: int
     deadline: int  # wall time
     body: bytes | None  # None: only in the folder
     attempts: int = 0
-    ran_at: int = 0  # when the first attempt left that may have run; 0: none did
-    ran_zone: int = 0  # by its mark
-    out_at: int = 0  # when the attempt without an outcome was sent; 0: none is in flight
-    out_zone: int = 0
-    doubt_at: int = 0  # records since then are lost, so an attempt may have run; 0: none are
-    end: tuple[bool, int] | None = None  # rejected (not written off), advised wait in ms; its notice is still to send
+    may_have_run_at: int = 0  # when the first attempt left that may have run; 0: none did
+    may_have_run_zone: int = 0  # by its mark
+    in_flight_since: int = 0  # when the attempt without an outcome was sent; 0: none is in flight
+    in_flight_zone: int = 0
+    records_lost_since: int = 0  # records since then are lost, so an attempt may have run; 0: none are
+    final_answer: tuple[bool, int] | None = (
+        None  # rejected (not written off), advised wait in ms; its notice is still to send
+    )
     # Where its record is; used by the journal only.
-    home: int = 0  # the segment; 0: nowhere yet
-    at: int = 0  # the body's offset in that
-    size: int = 0  # bytes of the body
-    checksum: int = 0  # of the body
-    weight: int = 0  # bytes of the record
-    noted: list[int] = field(default_factory=list)  # segments with short records of it that its record does not include
-
-    def attempt(self, sent_at: int, zone: int) -> None:
+    segment_number: int = 0  # the segment; 0: nowhere yet
+    body_offset: int = 0  # the body's offset in that
+    body_size: int = 0  # bytes of the body
+    body_checksum: int = 0  # of the body
+    record_size: int = 0  # bytes of the record
+    short_record_segments: list[int] = field(
+        default_factory=list
+    )  # segments with short records of it that its record does not include
+
+    def apply_attempt(self, sent_at: int, zone: int) -> None:
         """An attempt is sent at `sent_at`; an earlier one without an outcome may have run."""
-        if self.out_at and not self.ran_at:
-            self.ran_at, self.ran_zone = self.out_at, self.out_zone
+        if self.in_flight_since and not self.may_have_run_at:
+            self.may_have_run_at, self.may_have_run_zone = self.in_flight_since, self.in_flight_zone
         self.attempts += 1
-        self.out_at, self.out_zone = sent_at, zone
+        self.in_flight_since, self.in_flight_zone = sent_at, zone
 
-    def outcome(self, never_ran: bool) -> None:
+    def apply_outcome(self, never_ran: bool) -> None:
         """The attempt in flight has ended; `never_ran`: the receiver certainly did not process it."""
-        if not never_ran and not self.ran_at:
-            self.ran_at, self.ran_zone = self.out_at, self.out_zone
-        self.out_at = 0
+        if not never_ran and not self.may_have_run_at:
+            self.may_have_run_at, self.may_have_run_zone = self.in_flight_since, self.in_flight_zone
+        self.in_flight_since = 0
 
     def earlier_attempts(self) -> list[EarlierAttempt]:
         """Its attempts, for the decisions after a restart."""
-        may_have = [(self.doubt_at, NOWHERE), (self.ran_at, self.ran_zone), (self.out_at, self.out_zone)]
+        may_have = [
+            (self.records_lost_since, UNKNOWN_ZONE),
+            (self.may_have_run_at, self.may_have_run_zone),
+            (self.in_flight_since, self.in_flight_zone),
+        ]
         uncertain = [EarlierAttempt(at, zone, None) for at, zone in sorted(may_have) if at]
         return uncertain + [EarlierAttempt(0, 0, Outcome.MOOT)] * (self.attempts - len(uncertain))
 
@@ -99,43 +107,49 @@
 
     version: int
     number: int
-    made_at: int
+    created_at: int
     next_message: int
-    old_until: int  # files of the first format up to this number have been taken over
-    others: dict[int, int]  # every other live segment, and its valid length
+    last_legacy_file: int  # files of the first format up to this number have been taken over
+    other_segments: dict[int, int]  # every other live segment, and its valid length
 
 
-def zone_mark(name: str) -> int:
+def zone_id(name: str) -> int:
     """The number that identifies a zone in a record, computed from the zone's name.
 
     An index into the configured zones would change with the settings, and a repeat would then go to a zone whose
     receivers do not remember the message's number.
     """
-    return FIRST_MARK + zlib.crc32(name.encode()) % MARKS
+    return FIRST_ZONE_ID + zlib.crc32(name.encode()) % ZONE_IDS
 
 
-def framed(payload: bytes) -> bytes:
+def encode_frame(payload: bytes) -> bytes:
     """The bytes of a frame with this payload."""
-    return FRAME.pack(MARK, len(payload), check(payload)) + payload
+    return FRAME_HEADER.pack(FRAME_MARK, len(payload), frame_checksum(payload)) + payload
 
 
-def check(payload: bytes) -> int:
+def frame_checksum(payload: bytes) -> int:
     """The checksum of a frame, over length and payload."""
-    return zlib.crc32(payload, zlib.crc32(LENGTH.pack(len(payload))))
+    return zlib.crc32(payload, zlib.crc32(PAYLOAD_LENGTH.pack(len(payload))))
 
 
-def header(made: Header) -> bytes:
+def encode_header(made: Header) -> bytes:
     """The payload of a segment's first record."""
-    lines = b"".join(HEADER_LINE.pack(number, size) for number, size in made.others.items())
+    lines = b"".join(HEADER_LINE.pack(number, size) for number, size in made.other_segments.items())
     return (
         HEADER_BODY.pack(
-            HEADER, made.version, made.number, made.made_at, made.next_message, made.old_until, len(made.others)
+            HEADER,
+            made.version,
+            made.number,
+            made.created_at,
+            made.next_message,
+            made.last_legacy_file,
+            len(made.other_segments),
         )
         + lines
     )
 
 
-def read_header(payload: bytes) -> Header:
+def decode_header(payload: bytes) -> Header:
     """Decode a header; raises `InvalidRecordError` if it is too short."""
     try:
         _, version, number, made_at, next_message, old_until, count = HEADER_BODY.unpack_from(payload)
@@ -148,11 +162,17 @@
     return Header(version, number, made_at, next_message, old_until, others)
 
 
-def message(stored: StoredMessage, body: bytes) -> tuple[bytes, int]:
+def encode_message(stored: StoredMessage, body: bytes) -> tuple[bytes, int]:
     """Encode the full record of a message; returns the payload and the body's offset in it."""
     texts = [text.encode() for text in (stored.id, stored.key, stored.priority_class, stored.tenant)]
     head = MESSAGE_BODY.pack(
-        MESSAGE, stored.number, stored.deadline, stored.turn, stored.destination, stored.checksum, *map(len, texts)
+        MESSAGE,
+        stored.number,
+        stored.deadline,
+        stored.order_key,
+        stored.destination,
+        stored.body_checksum,
+        *map(len, texts),
     )
     whole = head + encode_state(stored) + b"".join(texts)
     return whole + body, len(whole)
@@ -160,27 +180,27 @@
 
 def encode_state(stored: StoredMessage) -> bytes:
     """Encode a message's attempts and end as `STATE_BODY`."""
-    end, wait = NO_END, 0
-    if stored.end is not None:
-        end, wait = REJECTED if stored.end[0] else WRITTEN_OFF, stored.end[1]
+    end, wait = NO_ANSWER, 0
+    if stored.final_answer is not None:
+        end, wait = REJECTED if stored.final_answer[0] else WRITTEN_OFF, stored.final_answer[1]
     return STATE_BODY.pack(
         min(stored.attempts, 0xFFFF),
-        stored.ran_at,
-        stored.ran_zone,
-        stored.out_at,
-        stored.out_zone,
-        stored.doubt_at,
+        stored.may_have_run_at,
+        stored.may_have_run_zone,
+        stored.in_flight_since,
+        stored.in_flight_zone,
+        stored.records_lost_since,
         end,
         wait,
     )
 
 
-def state(stored: StoredMessage) -> bytes:
+def encode_state_record(stored: StoredMessage) -> bytes:
     """Encode a state record: a message's attempts and end, without its body."""
     return STATE_HEAD.pack(STATE, stored.number) + encode_state(stored)
 
 
-def read_texts(payload: bytes, at: int, sizes: Iterable[int]) -> tuple[list[str], int]:
+def decode_texts(payload: bytes, at: int, sizes: Iterable[int]) -> tuple[list[str], int]:
     """The texts of the given sizes (bytes) that lie one after another from offset `at`, and the offset behind them.
 
     Raises `UnicodeDecodeError`.
@@ -192,14 +212,14 @@
     return texts, at
 
 
-def read_message(payload: bytes, segment: int, at: int) -> StoredMessage:
+def decode_message(payload: bytes, segment: int, at: int) -> StoredMessage:
     """Decode a message record whose frame begins at offset `at` of a segment; the body is not loaded.
 
     Raises `InvalidRecordError`.
     """
     try:
         _, number, limit, turn, destination, checksum, *sizes = MESSAGE_BODY.unpack_from(payload)
-        texts, place = read_texts(payload, MESSAGE_BODY.size + STATE_BODY.size, sizes)
+        texts, place = decode_texts(payload, MESSAGE_BODY.size + STATE_BODY.size, sizes)
         id, key, priority_class, tenant = texts
         stored = StoredMessage(
             number,
@@ -211,11 +231,11 @@
             destination,
             limit,
             None,
-            home=segment,
-            at=at + FRAME.size + place,
-            size=len(payload) - place,
-            checksum=checksum,
-            weight=FRAME.size + len(payload),
+            segment_number=segment,
+            body_offset=at + FRAME_HEADER.size + place,
+            body_size=len(payload) - place,
+            body_checksum=checksum,
+            record_size=FRAME_HEADER.size + len(payload),
         )
         apply_state(stored, payload, MESSAGE_BODY.size)
     except (struct.error, UnicodeDecodeError, ValueError) as error:
@@ -228,31 +248,38 @@
 def apply_state(stored: StoredMessage, payload: bytes, at: int) -> None:
     """Replace a message's attempts and end by the state at offset `at` of a payload; raises `InvalidRecordError`."""
     try:
-        (stored.attempts, stored.ran_at, stored.ran_zone, stored.out_at, stored.out_zone, doubt_at, end, wait) = (
-            STATE_BODY.unpack_from(payload, at)
-        )
+        (
+            stored.attempts,
+            stored.may_have_run_at,
+            stored.may_have_run_zone,
+            stored.in_flight_since,
+            stored.in_flight_zone,
+            doubt_at,
+            end,
+            wait,
+        ) = STATE_BODY.unpack_from(payload, at)
     except struct.error as error:
         raise InvalidRecordError(f"a state: {error}") from None
     # Doubt caused by lost records stays: a state record written before the loss cannot remove it.
-    stored.doubt_at = min(filter(None, (stored.doubt_at, doubt_at)), default=0)
-    stored.end = None if end == NO_END else (end == REJECTED, wait)
+    stored.records_lost_since = min(filter(None, (stored.records_lost_since, doubt_at)), default=0)
+    stored.final_answer = None if end == NO_ANSWER else (end == REJECTED, wait)
 
 
 class Frame(NamedTuple):
     """A valid record: the offset of its frame in the file, and its payload."""
 
-    at: int
+    offset: int
     payload: bytes
 
 
 class DamagedRange(NamedTuple):
     """Bytes from `at` to before `until` that hold no valid record."""
 
-    at: int
-    until: int
+    offset: int
+    end_offset: int
 
 
-def scan(data: bytes, begin: int, whole: bool) -> Iterator[Frame | DamagedRange]:
+def scan_frames(data: bytes, begin: int, whole: bool) -> Iterator[Frame | DamagedRange]:
     """The records of a chunk of a file that begins at offset `begin`; `whole`: it is the last chunk.
 
     A frame that may continue past the end of the chunk is left to the next one, unless this is the last. After damage
@@ -260,38 +287,38 @@
     """
     at = 0
     while at < len(data):
-        found = frame_at(data, at)
+        found = decode_frame(data, at)
         if found is not None:
             yield Frame(begin + at, found)
-            at += FRAME.size + len(found)
+            at += FRAME_HEADER.size + len(found)
             continue
-        if not whole and may_go_on(data, at):
+        if not whole and may_be_partial_frame(data, at):
             return
         after = at + 1
-        while (after := data.find(MARK, after)) >= 0 and frame_at(data, after) is None:
-            if not whole and may_go_on(data, after):
+        while (after := data.find(FRAME_MARK, after)) >= 0 and decode_frame(data, after) is None:
+            if not whole and may_be_partial_frame(data, after):
                 break
             after += 1
         if after < 0:
-            after = len(data) if whole else max(at + 1, len(data) - FRAME.size)
+            after = len(data) if whole else max(at + 1, len(data) - FRAME_HEADER.size)
         yield DamagedRange(begin + at, begin + after)
         at = after
 
 
-def frame_at(data: bytes, at: int) -> bytes | None:
+def decode_frame(data: bytes, at: int) -> bytes | None:
     """The payload of the valid frame at an offset; None if there is none."""
-    if at + FRAME.size > len(data):
+    if at + FRAME_HEADER.size > len(data):
         return None
-    mark, size, checksum = FRAME.unpack_from(data, at)
-    if mark != MARK or not 0 < size <= LONGEST or at + FRAME.size + size > len(data):
+    mark, size, checksum = FRAME_HEADER.unpack_from(data, at)
+    if mark != FRAME_MARK or not 0 < size <= MAX_PAYLOAD_BYTES or at + FRAME_HEADER.size + size > len(data):
         return None
-    payload = data[at + FRAME.size : at + FRAME.size + size]
-    return payload if check(payload) == checksum else None
+    payload = data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + size]
+    return payload if frame_checksum(payload) == checksum else None
 
 
-def may_go_on(data: bytes, at: int) -> bool:
+def may_be_partial_frame(data: bytes, at: int) -> bool:
     """Whether the bytes at an offset may be the beginning of a frame that continues in the next chunk."""
-    if at + FRAME.size > len(data):
-        return MARK.startswith(data[at : at + 2])
-    mark, size, _ = FRAME.unpack_from(data, at)
-    return bool(mark == MARK and 0 < size <= LONGEST and at + FRAME.size + size > len(data))
+    if at + FRAME_HEADER.size > len(data):
+        return FRAME_MARK.startswith(data[at : at + 2])
+    mark, size, _ = FRAME_HEADER.unpack_from(data, at)
+    return bool(mark == FRAME_MARK and 0 < size <= MAX_PAYLOAD_BYTES and at + FRAME_HEADER.size + size > len(data))
--- a/cedarwick/store/segment_writer.py
+++ b/cedarwick/store/segment_writer.py
@@ -11,12 +11,12 @@
 
 from cedarwick.store import compaction_planner, records
 from cedarwick.store.compaction_planner import RecordUse
-from cedarwick.store.files import DiskError, Folder, NoSpaceError, quietly, segment_name
-from cedarwick.store.records import Header, framed
+from cedarwick.store.files import DiskError, Folder, NoSpaceError, ignore_os_error, segment_name
+from cedarwick.store.records import Header, encode_frame
 from cedarwick.store.segments import Segment, SegmentIndex
 
 
-class CondemnedFile(NamedTuple):
+class ObsoleteFile(NamedTuple):
     """A file that is not needed any more and not deleted yet; `size` is in whole blocks."""
 
     name: str
@@ -39,25 +39,27 @@
         self.segment_index = segment_index
         self.now = now
         self.durable = durable
-        self.segment_size = 0  # at which a segment is sealed
+        self.max_segment_bytes = 0  # at which a segment is sealed
         self.active: Segment | None = None
-        self.file = -1  # descriptor of the active segment; -1: none
-        self.last_segment = 0  # the highest number in use so far
-        self.used = 0  # of all files, in whole blocks
-        self.appended = 0  # since the last compaction step, without moved records
+        self.active_file = -1  # descriptor of the active segment; -1: none
+        self.last_segment_number = 0  # the highest number in use so far
+        self.used_bytes = 0  # of all files, in whole blocks
+        self.appended_bytes = 0  # since the last compaction step, without moved records
         self.moved_bytes = 0
         self.written_bytes = 0
-        self.condemned: list[CondemnedFile] = []
-        self.unsynced: set[int] = set()  # descriptors of files with bytes not synced yet
+        self.obsolete_files: list[ObsoleteFile] = []
+        self.unsynced_files: set[int] = set()  # descriptors of files with bytes not synced yet
 
-    def count_used(self) -> None:
+    def update_used_bytes(self) -> None:
         """Compute `used` from the sizes of all files."""
-        self.used = sum(compaction_planner.blocks(self.folder.size(name)) for name in self.folder.names())
+        self.used_bytes = sum(
+            compaction_planner.round_up_to_blocks(self.folder.size(name)) for name in self.folder.names()
+        )
 
     def reopen(self, tail: int) -> bool:
         """Append to the newest segment, truncated after its last valid record (`tail` bytes); False if impossible."""
         newest = self.segment_index.segments.get(max(self.segment_index.segments, default=0))
-        if newest is None or newest.foreign or not 0 < tail < self.segment_size:
+        if newest is None or newest.other_version or not 0 < tail < self.max_segment_bytes:
             return False
         try:
             file = self.folder.open(segment_name(newest.number), append=True)
@@ -65,16 +67,18 @@
         except OSError as error:
             logger.error(DiskError(f"{segment_name(newest.number)} cannot be gone on with: {error}").line)
             return False
-        self.used += compaction_planner.blocks(tail) - compaction_planner.blocks(newest.physical)
-        newest.size = newest.physical = tail
-        self.active, self.file = newest, file
+        self.used_bytes += compaction_planner.round_up_to_blocks(tail) - compaction_planner.round_up_to_blocks(
+            newest.file_bytes
+        )
+        newest.valid_bytes = newest.file_bytes = tail
+        self.active, self.active_file = newest, file
         return True
 
     # ---- records ----
 
     def needs_segment(self, active: Segment, size: int) -> bool:
         """Whether a record of `size` bytes should go to a new segment, not to the active one."""
-        return active.size + size > self.segment_size and active.size > active.head
+        return active.valid_bytes + size > self.max_segment_bytes and active.valid_bytes > active.header_bytes
 
     def append(self, active: Segment, record: bytes, grows: int, use: RecordUse) -> int:
         """Append a framed record to the active segment; returns its offset there.
@@ -82,41 +86,41 @@
         `grows`: bytes in whole blocks by which the file grows. Raises `NoSpaceError` if the disk refuses the write.
         """
         try:
-            written = self.folder.append(self.file, record)
+            written = self.folder.append(self.active_file, record)
         except OSError as error:
             raise NoSpaceError(str(error)) from None
         if written < len(record):
-            self._undo(active, written)
+            self._truncate_partial_write(active, written)
             raise NoSpaceError("a record was cut short")
-        begin = active.size
-        active.physical += len(record)
-        active.size = active.physical
-        self.used += grows
+        begin = active.valid_bytes
+        active.file_bytes += len(record)
+        active.valid_bytes = active.file_bytes
+        self.used_bytes += grows
         self.written_bytes += len(record)
         if use is RecordUse.MOVE:
             self.moved_bytes += len(record)
         else:
-            self.appended += len(record)
+            self.appended_bytes += len(record)
         if self.durable:
-            self.unsynced.add(self.file)
+            self.unsynced_files.add(self.active_file)
         return begin
 
-    def _undo(self, active: Segment, written: int) -> None:
+    def _truncate_partial_write(self, active: Segment, written: int) -> None:
         """Truncate a partly written record away; if that fails, close the segment to further records."""
         # A torn record in the middle of a segment would be reported as damage at the next start.
         try:
-            self.folder.truncate(self.file, active.size)
+            self.folder.truncate(self.active_file, active.valid_bytes)
         except OSError as error:
             logger.error(DiskError(f"{segment_name(active.number)}: a torn record stays: {error}").line)
-            self._grow(active, written)
+            self._count_growth(active, written)
             self.active = None
-            quietly(self.folder.close, self.file)
-            self.unsynced.discard(self.file)
-            self.file = -1
+            ignore_os_error(self.folder.close, self.active_file)
+            self.unsynced_files.discard(self.active_file)
+            self.active_file = -1
 
-    def _grow(self, segment: Segment, size: int) -> None:
-        self.used += segment.growth(size)
-        segment.physical += size
+    def _count_growth(self, segment: Segment, size: int) -> None:
+        self.used_bytes += segment.growth(size)
+        segment.file_bytes += size
 
     # ---- segments ----
 
@@ -126,21 +130,21 @@
         `next_message` and `old_until` go into its header: the next message number, and the last file of the first
         format that has been taken over.
         """
-        number = self.last_segment + 1
-        others = {segment.number: segment.size for segment in self.segment_index.segments.values()}
+        number = self.last_segment_number + 1
+        others = {segment.number: segment.valid_bytes for segment in self.segment_index.segments.values()}
         header = Header(records.VERSION, number, self.now(), next_message, old_until, others)
-        record = framed(records.header(header))
-        file = self._create(number, record)
-        self._seal()
-        self.file, self.last_segment = file, number
-        self.active = Segment(number, header.made_at, size=len(record), head=len(record))
-        self.segment_index.add(self.active)
-        self._grow(self.active, len(record))
+        record = encode_frame(records.encode_header(header))
+        file = self._create_file(number, record)
+        self._close_active_file()
+        self.active_file, self.last_segment_number = file, number
+        self.active = Segment(number, header.created_at, valid_bytes=len(record), header_bytes=len(record))
+        self.segment_index.add_segment(self.active)
+        self._count_growth(self.active, len(record))
         self.written_bytes += len(record)
         if self.durable:
-            self.unsynced.add(file)
+            self.unsynced_files.add(file)
 
-    def _create(self, number: int, header: bytes) -> int:
+    def _create_file(self, number: int, header: bytes) -> int:
         """Create a segment's file with its header; returns the descriptor. Raises `NoSpaceError`."""
         name = segment_name(number)
         file = -1
@@ -151,36 +155,36 @@
                 raise OSError("a header was cut short")
         except OSError as error:
             if file >= 0:
-                quietly(self.folder.close, file)
-                if not quietly(self.folder.unlink, name):
-                    self.condemned.append(CondemnedFile(name, compaction_planner.BLOCK))
-                    self.used += compaction_planner.BLOCK
-                    self.last_segment = number
+                ignore_os_error(self.folder.close, file)
+                if not ignore_os_error(self.folder.unlink, name):
+                    self.obsolete_files.append(ObsoleteFile(name, compaction_planner.BLOCK_BYTES))
+                    self.used_bytes += compaction_planner.BLOCK_BYTES
+                    self.last_segment_number = number
             raise NoSpaceError(f"a new segment: {error}") from None
         return file
 
-    def _seal(self) -> None:
+    def _close_active_file(self) -> None:
         """Close the file of the active segment, if there is one."""
-        if self.file < 0:
+        if self.active_file < 0:
             return
-        if self.file in self.unsynced:
-            quietly(self.folder.sync, self.file)  # a closed descriptor cannot be synced any more
-            self.unsynced.discard(self.file)
-        quietly(self.folder.close, self.file)
+        if self.active_file in self.unsynced_files:
+            ignore_os_error(self.folder.sync, self.active_file)  # a closed descriptor cannot be synced any more
+            self.unsynced_files.discard(self.active_file)
+        ignore_os_error(self.folder.close, self.active_file)
 
     # ---- files ----
 
     def sync(self, call: Callable[..., object] | None) -> None:
         """Sync everything written so far to the disk, by `call` if given; raises OSError if that fails."""
-        for file in list(self.unsynced):
+        for file in list(self.unsynced_files):
             if call is None:
                 self.folder.sync(file)
             else:
                 call(self.folder.sync, file)
-            self.unsynced.discard(file)
+            self.unsynced_files.discard(file)
 
     def close(self) -> None:
         """Close the active segment's file."""
-        if self.file >= 0:
-            self.folder.close(self.file)
-            self.file = -1
+        if self.active_file >= 0:
+            self.folder.close(self.active_file)
+            self.active_file = -1
--- a/cedarwick/store/segments.py
+++ b/cedarwick/store/segments.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cedarwick.store.compaction_planner import blocks
-from cedarwick.store.records import OVER_RECORD_BYTES, STATE_RECORD_BYTES, StoredMessage
+from cedarwick.store.compaction_planner import round_up_to_blocks
+from cedarwick.store.records import FINISHED_RECORD_BYTES, STATE_RECORD_BYTES, StoredMessage
 
 
 @dataclass(slots=True, eq=False)
@@ -21,41 +21,43 @@
     """One file of the journal and the message numbers of the records in it."""
 
     number: int
-    made_at: int
-    size: int = 0  # bytes of valid records
-    physical: int = 0  # bytes of the file; more than the size where a write was cut short
-    head: int = 0  # bytes of its header
-    bases: set[int] = field(default_factory=set)
-    weight: int = 0  # bytes of the bases
-    notes: set[int] = field(default_factory=set)
+    created_at: int
+    valid_bytes: int = 0  # bytes of valid records
+    file_bytes: int = 0  # bytes of the file; more than the size where a write was cut short
+    header_bytes: int = 0  # bytes of its header
+    full_records: set[int] = field(default_factory=set)
+    full_record_bytes: int = 0  # bytes of the bases
+    short_records: set[int] = field(default_factory=set)
     tombstones: set[int] = field(default_factory=set)
-    dead: set[int] = field(default_factory=set)  # messages whose end is recorded, with an older record here
+    ended: set[int] = field(default_factory=set)  # messages whose end is recorded, with an older record here
     moved: set[int] = field(default_factory=set)  # messages whose newest record is elsewhere, with an older one here
-    unknown: list[tuple[int, int]] = field(default_factory=list)  # offset and length of payloads
+    unknown_records: list[tuple[int, int]] = field(default_factory=list)  # offset and length of payloads
     unknown_bytes: int = 0
-    foreign: bool = False  # written by another version: never changed or deleted
-    file: int = -1  # descriptor for reading; -1: not open
+    other_version: bool = False  # written by another version: never changed or deleted
+    descriptor: int = -1  # descriptor for reading; -1: not open
 
     @property
-    def live(self) -> int:
+    def live_bytes(self) -> int:
         """Bytes that must be written to another segment before this one can be deleted."""
-        if self.foreign:
-            return self.physical
+        if self.other_version:
+            return self.file_bytes
         return (
-            self.weight
-            + STATE_RECORD_BYTES * len(self.notes)
-            + OVER_RECORD_BYTES * len(self.tombstones)
+            self.full_record_bytes
+            + STATE_RECORD_BYTES * len(self.short_records)
+            + FINISHED_RECORD_BYTES * len(self.tombstones)
             + self.unknown_bytes
         )
 
     @property
-    def done(self) -> bool:
+    def is_obsolete(self) -> bool:
         """Whether no record in it is needed any more."""
-        return not (self.foreign or self.bases or self.notes or self.tombstones or self.unknown)
+        return not (
+            self.other_version or self.full_records or self.short_records or self.tombstones or self.unknown_records
+        )
 
     def growth(self, size: int) -> int:
         """Bytes in whole blocks by which the file grows when `size` bytes are appended."""
-        return blocks(self.physical + size) - blocks(self.physical)
+        return round_up_to_blocks(self.file_bytes + size) - round_up_to_blocks(self.file_bytes)
 
 
 class SegmentIndex:
@@ -66,74 +68,74 @@
         self.messages: dict[int, StoredMessage] = {}
         # By message: the segment with the record of its end, and the segments with an older record of it.
         self.tombstones: dict[int, tuple[int, set[int]]] = {}
-        self.live = 0  # sum of all segments' live bytes
-        self.largest = 0  # bytes of the largest record seen
-        self.moving: set[int] = set()  # segments with older records of messages moved elsewhere
-        self.notes = 0  # number of notes in all segments
+        self.live_bytes = 0  # sum of all segments' live bytes
+        self.largest_record_bytes = 0  # bytes of the largest record seen
+        self.segments_with_moved: set[int] = set()  # segments with older records of messages moved elsewhere
+        self.short_record_count = 0  # number of notes in all segments
 
-    def add(self, segment: Segment) -> None:
+    def add_segment(self, segment: Segment) -> None:
         """Add a segment that was begun or found."""
         self.segments[segment.number] = segment
-        self.live += segment.live
+        self.live_bytes += segment.live_bytes
 
-    def message_written(self, stored: StoredMessage, segment: Segment, at: int, weight: int) -> None:
+    def add_full_record(self, stored: StoredMessage, segment: Segment, at: int, weight: int) -> None:
         """Register a full record of a message, `weight` bytes long, in `segment`; `at`: offset of the body."""
-        with_old = self.segments.get(stored.home)
-        self.clear_notes(stored)
+        with_old = self.segments.get(stored.segment_number)
+        self.remove_short_records(stored)
         if with_old is not None and with_old.number != segment.number:
-            self._subtract_base(with_old, stored)
+            self._remove_full_record(with_old, stored)
             with_old.moved.add(stored.number)
-            self.moving.add(with_old.number)
+            self.segments_with_moved.add(with_old.number)
         elif with_old is not None:
-            self._subtract_base(with_old, stored)
-        stored.home, stored.at, stored.weight = segment.number, at, weight
-        segment.bases.add(stored.number)
-        segment.weight += weight
-        self.live += weight
-        self.largest = max(self.largest, weight)
+            self._remove_full_record(with_old, stored)
+        stored.segment_number, stored.body_offset, stored.record_size = segment.number, at, weight
+        segment.full_records.add(stored.number)
+        segment.full_record_bytes += weight
+        self.live_bytes += weight
+        self.largest_record_bytes = max(self.largest_record_bytes, weight)
         self.messages[stored.number] = stored
 
-    def note_written(self, stored: StoredMessage, segment: Segment, whole: bool = False) -> None:
+    def add_short_record(self, stored: StoredMessage, segment: Segment, whole: bool = False) -> None:
         """Register a short record; `whole`: it holds the full state, so that older short records are not needed."""
         if whole:
-            self.clear_notes(stored)
-        if segment.number not in stored.noted:
-            stored.noted.append(segment.number)
-            segment.notes.add(stored.number)
-            self.notes += 1
-            self.live += STATE_RECORD_BYTES
-
-    def clear_notes(self, stored: StoredMessage) -> None:
+            self.remove_short_records(stored)
+        if segment.number not in stored.short_record_segments:
+            stored.short_record_segments.append(segment.number)
+            segment.short_records.add(stored.number)
+            self.short_record_count += 1
+            self.live_bytes += STATE_RECORD_BYTES
+
+    def remove_short_records(self, stored: StoredMessage) -> None:
         """Remove all short records of a message from the index."""
-        for number in stored.noted:
+        for number in stored.short_record_segments:
             segment = self.segments.get(number)
-            if segment is not None and stored.number in segment.notes:
-                segment.notes.discard(stored.number)
-                self.notes -= 1
-                self.live -= STATE_RECORD_BYTES
-        stored.noted.clear()
+            if segment is not None and stored.number in segment.short_records:
+                segment.short_records.discard(stored.number)
+                self.short_record_count -= 1
+                self.live_bytes -= STATE_RECORD_BYTES
+        stored.short_record_segments.clear()
 
-    def message_over(self, stored: StoredMessage) -> set[int]:
+    def remove_message(self, stored: StoredMessage) -> set[int]:
         """Remove a message that has ended; returns the numbers of the segments that hold a full record of it."""
         self.messages.pop(stored.number, None)
-        self.clear_notes(stored)
-        holders = {number for number in self.moving if stored.number in self.segments[number].moved}
-        home = self.segments.get(stored.home)
+        self.remove_short_records(stored)
+        holders = {number for number in self.segments_with_moved if stored.number in self.segments[number].moved}
+        home = self.segments.get(stored.segment_number)
         if home is not None:
-            self._subtract_base(home, stored)
+            self._remove_full_record(home, stored)
             holders.add(home.number)
         return holders
 
-    def end_written(self, number: int, holders: set[int], segment: Segment) -> None:
+    def add_end_record(self, number: int, holders: set[int], segment: Segment) -> None:
         """Register the record of an end; it is needed while `holders` other than `segment` exist."""
         holders = {each for each in holders if each in self.segments}
         if not holders - {segment.number}:
             return
         for each in holders:
-            self.segments[each].dead.add(number)
+            self.segments[each].ended.add(number)
         self._add_tombstone(number, segment, holders)
 
-    def end_rewritten(self, number: int, segment: Segment) -> None:
+    def move_end_record(self, number: int, segment: Segment) -> None:
         """Register that the record of an end was written again, in `segment`."""
         before = self.tombstones.get(number)
         if before is None:
@@ -142,12 +144,12 @@
         if before[1] - {segment.number}:
             self._add_tombstone(number, segment, before[1])
 
-    def dropped(self, segment: Segment) -> None:
+    def remove_segment(self, segment: Segment) -> None:
         """Remove a segment with every record in it; ends that only it needed are forgotten."""
-        self.live -= segment.live
+        self.live_bytes -= segment.live_bytes
         del self.segments[segment.number]
-        self.moving.discard(segment.number)
-        for number in segment.dead:
+        self.segments_with_moved.discard(segment.number)
+        for number in segment.ended:
             place = self.tombstones.get(number)
             if place is None:
                 continue
@@ -155,48 +157,52 @@
             if not place[1] - {place[0]}:
                 self._remove_tombstone(number)
 
-    def add_unknown(self, segment: Segment, at: int, size: int) -> None:
+    def add_unknown_record(self, segment: Segment, at: int, size: int) -> None:
         """Register a record of unknown kind: the offset and size in bytes of its payload."""
-        segment.unknown.append((at, size))
+        segment.unknown_records.append((at, size))
         segment.unknown_bytes += size
-        self.live += size
+        self.live_bytes += size
 
-    def promised_bytes(self) -> int:
+    def expected_short_record_bytes(self) -> int:
         """Bytes that short records of live messages may still need, beyond those written."""
-        return max(0, len(self.messages) - self.notes) * STATE_RECORD_BYTES
+        return max(0, len(self.messages) - self.short_record_count) * STATE_RECORD_BYTES
 
-    def check(self) -> None:
+    def check_consistency(self) -> None:
         """Check the sums and cross-references, for tests and `store verify`; raises AssertionError."""
-        assert self.live == sum(segment.live for segment in self.segments.values())
-        assert self.notes == sum(len(segment.notes) for segment in self.segments.values())
+        assert self.live_bytes == sum(segment.live_bytes for segment in self.segments.values())
+        assert self.short_record_count == sum(len(segment.short_records) for segment in self.segments.values())
         for segment in self.segments.values():
-            assert segment.weight == sum(self.messages[number].weight for number in segment.bases)
-            assert all(self.messages[number].home == segment.number for number in segment.bases)
-            assert all(segment.number in self.messages[number].noted for number in segment.notes)
+            assert segment.full_record_bytes == sum(
+                self.messages[number].record_size for number in segment.full_records
+            )
+            assert all(self.messages[number].segment_number == segment.number for number in segment.full_records)
+            assert all(
+                segment.number in self.messages[number].short_record_segments for number in segment.short_records
+            )
             assert all(self.tombstones[number][0] == segment.number for number in segment.tombstones)
-        assert all(self.segments[stored.home] for stored in self.messages.values())
+        assert all(self.segments[stored.segment_number] for stored in self.messages.values())
 
     def records_to_move(self, segment: Segment) -> list[int]:
         """The numbers of the messages whose records in a segment must be moved."""
-        return [*segment.bases, *(segment.notes - segment.bases), *segment.tombstones]
+        return [*segment.full_records, *(segment.short_records - segment.full_records), *segment.tombstones]
 
-    def _subtract_base(self, segment: Segment, stored: StoredMessage) -> None:
+    def _remove_full_record(self, segment: Segment, stored: StoredMessage) -> None:
         """Remove the newest record of a message from this segment."""
-        if stored.number in segment.bases:
-            segment.bases.discard(stored.number)
-            segment.weight -= stored.weight
-            self.live -= stored.weight
+        if stored.number in segment.full_records:
+            segment.full_records.discard(stored.number)
+            segment.full_record_bytes -= stored.record_size
+            self.live_bytes -= stored.record_size
 
     def _add_tombstone(self, number: int, segment: Segment, holders: set[int]) -> None:
         self.tombstones[number] = segment.number, holders
         segment.tombstones.add(number)
-        self.live += OVER_RECORD_BYTES
+        self.live_bytes += FINISHED_RECORD_BYTES
 
     def _remove_tombstone(self, number: int) -> None:
         segment = self.segments.get(self.tombstones.pop(number)[0])
         if segment is not None and number in segment.tombstones:
             segment.tombstones.discard(number)
-            self.live -= OVER_RECORD_BYTES
+            self.live_bytes -= FINISHED_RECORD_BYTES
 
 
-Say = Callable[[str], None]
+Report = Callable[[str], None]
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cedarwick.errors import CedarwickError
-from cedarwick.store.files import NAME, Folder, segment_name
+from cedarwick.store.files import SEGMENT_FILE_PATTERN, Folder, segment_name
 from cedarwick.store.journal import Store
 from cedarwick.store.recovery import Recovered, recover
 
@@ -40,17 +40,17 @@
     """Replay a folder without writing, also while a sender uses it. Raises OSError if it cannot be read."""
     findings: list[str] = []
     found = recover(Folder(path), findings.append)
-    found.segment_index.check()
+    found.segment_index.check_consistency()
     stored = found.segment_index.messages.values()
     return Summary(
         len(found.segment_index.segments),
-        found.records,
+        found.record_count,
         len(found.segment_index.messages),
-        sum(each.end is not None for each in stored),
-        sum(bool(each.doubt_at) for each in stored),
-        found.unknown_records,
-        found.segment_index.live,
-        sum(segment.physical for segment in found.segment_index.segments.values()),
+        sum(each.final_answer is not None for each in stored),
+        sum(bool(each.records_lost_since) for each in stored),
+        found.unknown_record_count,
+        found.segment_index.live_bytes,
+        sum(segment.file_bytes for segment in found.segment_index.segments.values()),
         findings,
     )
 
@@ -63,18 +63,20 @@
             "number": number,
             "id": stored.id,
             "key": stored.key,
-            "turn": f"{stored.turn:016x}",
+            "turn": f"{stored.order_key:016x}",
             "band": stored.priority_class,
             "tenant": stored.tenant,
             "destination": stored.destination,
             "outer_limit": stored.deadline,
-            "bytes": stored.size,
-            "segment": segment_name(stored.home),
+            "bytes": stored.body_size,
+            "segment": segment_name(stored.segment_number),
             "shots": stored.attempts,
-            "ran_at": stored.ran_at,
-            "out_at": stored.out_at,
-            "doubt_at": stored.doubt_at,
-            "end": None if stored.end is None else {"nacked": stored.end[0], "wait_ms": stored.end[1]},
+            "ran_at": stored.may_have_run_at,
+            "out_at": stored.in_flight_since,
+            "doubt_at": stored.records_lost_since,
+            "end": None
+            if stored.final_answer is None
+            else {"nacked": stored.final_answer[0], "wait_ms": stored.final_answer[1]},
         }
 
 
@@ -86,13 +88,13 @@
     made = Store(path, disk_bytes, now=now)
     made.load()
     try:
-        before = made.used
+        before = made.used_bytes
         made.begin_segment()
         for _ in range(4 * len(made.segment_index.segments) + 4):
-            if not made.compactor.work(1 << 62, short=True):
+            if not made.compactor.compact_victim(1 << 62, short=True):
                 break
         made.flush()
-        return before, made.used
+        return before, made.used_bytes
     finally:
         made.close()
 
@@ -128,7 +130,7 @@
     files: dict[str, tuple[int, int]] = {}
     try:
         for name in sorted(os.listdir(path)):
-            if NAME.fullmatch(name):
+            if SEGMENT_FILE_PATTERN.fullmatch(name):
                 file = os.open(os.path.join(path, name), os.O_RDONLY)
                 files[name] = file, 0
     except FileNotFoundError:
@@ -142,7 +144,7 @@
 def complete(path: str, files: dict[str, tuple[int, int]]) -> bool:
     """Whether no newer segment has been begun since the files were opened."""
     newest = max(files, default="")
-    return max((name for name in os.listdir(path) if NAME.fullmatch(name)), default="") == newest
+    return max((name for name in os.listdir(path) if SEGMENT_FILE_PATTERN.fullmatch(name)), default="") == newest
 
 
 def copy(file: int, size: int, to: str) -> None:
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -71,7 +71,7 @@
 from cedarwick.store.bodies import BodyLostError
 from cedarwick.store.files import NoSpaceError
 from cedarwick.store.journal import Store
-from cedarwick.store.records import StoredMessage, message
+from cedarwick.store.records import StoredMessage, encode_message
 from tests.build import free_port
 
 NAMES = ("a", "b", "c")
@@ -105,7 +105,7 @@
             made = tempfile.TemporaryDirectory()
             self.addCleanup(made.cleanup)
             folder = made.name
-        store = ReplicatedStore(folder, 1 << 20, now=CLOCK.now, by_copy=ack == "copy")
+        store = ReplicatedStore(folder, 1 << 20, now=CLOCK.now, ack_after_replication=ack == "copy")
         store.load()
         self.addCleanup(store.close)
         told = Fleet(
@@ -325,8 +325,8 @@
         ):  # it may have been taken
             node = self.member(ack)
             holding = self.holding(node, granted=granted is True)
-            node.store.keep(kept(1, life=100_000))
-            node.store.keep(kept(2))
+            node.store.add_message(kept(1, life=100_000))
+            node.store.add_message(kept(2))
             holding.serving, holding.offered, holding.offer_sent = serving, offered, offered
             if granted is None:
                 holding.adoption.stage = TakeoverStage.GONE
@@ -342,7 +342,7 @@
     def test_a_right_that_no_majority_speaks_of_any_more_is_as_good_as_gone(self) -> None:
         node = self.member()
         self.holding(node, granted=False)
-        node.store.keep(kept(1, life=100_000))
+        node.store.add_message(kept(1, life=100_000))
         for after, calls in ((0, 0), (limits.NO_MAJORITY_US - 1, 0), (limits.NO_MAJORITY_US, 1)):
             node._answer_late(1_000_000_000 + after, few=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
@@ -358,7 +358,7 @@
             adoption = self.holding(node, granted=False).adoption
             node.grantor.grant = lambda lease: Grant(lease, 2, "a")  # type: ignore[method-assign]
             adoption.stage, adoption.holder.newest_other = TakeoverStage.ASKING, KnownHolder(*newer)
-            node.store.keep(kept(1, life=100_000))
+            node.store.add_message(kept(1, life=100_000))
             for after in (0, limits.NO_MAJORITY_UNHELD_US):
                 node._answer_late(1_000_000_000 + after, few=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
@@ -368,8 +368,8 @@
         node.ownership = mock.Mock(**{"step.return_value": None})
         dispatcher: Any = node.dispatcher
         for index, life in ((1, 100_000), (2, 60_000_000), (3, 60_000_000)):
-            Store.keep(node.store, replace(kept(index, life), number=index))
-        Store.ended(node.store, 3, True, 0)
+            Store.add_message(node.store, replace(kept(index, life), number=index))
+        Store.record_final_answer(node.store, 3, True, 0)
         node.check(monotonic_time())
         dispatcher.answer_late.assert_called_once_with(
             [1, 3]
@@ -443,7 +443,7 @@
     ) -> None:
         node = self.member()
         self.holding(node)
-        node.store.keep(kept(1))
+        node.store.add_message(kept(1))
         node.store.close()
         again = self.member(folder=node.store.folder.path)
         again.replicas.piece(
@@ -466,8 +466,8 @@
         node = self.member("own")
         holding = self.holding(node)
         holding.serving, node.store.open_partition = True, holding
-        node.store.keep(kept(1))
-        node.store.attempt(number(1), CLOCK.now(), 0)
+        node.store.add_message(kept(1))
+        node.store.record_attempt(number(1), CLOCK.now(), 0)
         with mock.patch.object(node, "_renumber") as rekey:
             node._drop_partition(PARTITION)
             rekey.assert_not_called()
@@ -477,7 +477,7 @@
         done = Fact(number(1), None, MessageKnowledge(end=(EndRank.NOTIFIED, 0)))
         ways: tuple[Callable[[ReplicatedStore], object], ...] = (
             lambda store: None,
-            lambda store: store.over(number(1)),  # its client had left
+            lambda store: store.finish(number(1)),  # its client had left
             lambda store: store.remove_partition(PARTITION),  # another sender has its partition
             lambda store: store.merge_offer(store.holdings[PARTITION], [done], 1),  # an earlier holder has ended it
         )
@@ -487,10 +487,10 @@
                 self.holding(node)
                 store = node.store
                 store.on_event = seen
-                store.keep(kept(1))
-                store.attempt(number(1), CLOCK.now(), 0)
+                store.add_message(kept(1))
+                store.record_attempt(number(1), CLOCK.now(), 0)
                 gone(store)
-                store.outcome(number(1), outcome)
+                store.record_outcome(number(1), outcome)
                 self.assertEqual(
                     [(call.args[0], call.args[1].id) for call in seen.mock_calls],
                     [("taken", "id-1"), ("shot", "id-1"), (kind, "id-1")],
@@ -503,8 +503,8 @@
         holding.serving, node.store.open_partition = True, holding
         holding.adoption.holder.name_successors(monotonic_time(), ())
         for index in (1, 2, 3):
-            node.store.keep(kept(index))
-        node.store.body = lambda number: b"" if number % 4 != 3 else self.fail_to_read()  # type: ignore[method-assign]
+            node.store.add_message(kept(index))
+        node.store.read_body = lambda number: b"" if number % 4 != 3 else self.fail_to_read()  # type: ignore[method-assign]
         opened = Takeover(PARTITION + 1, "a", NAMES, resume=True)
         node.adoptions[PARTITION + 1] = opened
         fresh = node._hold_partition(PARTITION + 1)
@@ -514,8 +514,8 @@
             (PARTITION + 1 << 32) + 1,
             (PARTITION + 1 << 32) + 99,
         )
-        keep = node.store.keep
-        with mock.patch.object(node.store, "keep") as full:
+        keep = node.store.add_message
+        with mock.patch.object(node.store, "add_message") as full:
             full.side_effect = lambda each: keep(each) if full.call_count == 1 else self.fail_to_write()
             node._drop_partition(PARTITION)
         node.dispatcher.adopt.assert_called_once_with([(PARTITION + 1 << 32) + 1])  # type: ignore[attr-defined]
@@ -526,14 +526,14 @@
         node.leaving = False
         node._drop_partition(PARTITION)
         self.assertNotIn(PARTITION, node.adoptions)
-        ends = {each.id: each.end for each in node.store.messages.values()}
+        ends = {each.id: each.final_answer for each in node.store.messages.values()}
         self.assertEqual(ends, {"id-1": None, "id-2": None, "id-3": (False, 0)})  # the third could not be read
 
     def test_a_body_that_cannot_be_read_leaves_no_copy_without_its_message(self) -> None:
         node = self.member()
         holding = self.holding(node)
-        node.store.keep(kept(1))
-        node.store.body = lambda number: self.fail_to_read()  # type: ignore[method-assign]
+        node.store.add_message(kept(1))
+        node.store.read_body = lambda number: self.fail_to_read()  # type: ignore[method-assign]
         copy = Replica(PARTITION)
         step = copy.step_for_piece(holding.log.piece(0, EVERYTHING))
         assert step.entry is not None
@@ -605,7 +605,7 @@
         def has(index: int) -> None:
             successor.receive_ack(monotonic_time(), ReplicaAck(PARTITION, 1, index, "", EVERYTHING), 1)
 
-        node.store.keep(kept(1))
+        node.store.add_message(kept(1))
         with (
             mock.patch.object(node.store, "ack_timeout_us", 0),
             self.assertRaisesRegex(NotReplicatedError, "are not at b"),
@@ -614,7 +614,7 @@
         self.assertTrue(holding.starved_at)
         has(1)
         node.store.flush()
-        node.store.keep(kept(2))  # under load something is always on its way
+        node.store.add_message(kept(2))  # under load something is always on its way
         self.assertTrue(node._replicas_keep_up(monotonic_time() + STARVED_US, holding))
         holding.starved_at = monotonic_time() - 2 * STARVED_US
         with self.assertRaisesRegex(NotReplicatedError, "are not at b"):
@@ -635,7 +635,7 @@
         name, other = node._wanted_replicas(holding)[0], ({"b", "c"} - set(node._wanted_replicas(holding))).pop()
         follower = holding.log.follow(name, monotonic_time())
         for index in (1, 2, 3):
-            node.store.keep(kept(index))
+            node.store.add_message(kept(index))
             if index == 2:
                 follower.position = ReplicaPosition(1, 1, EVERYTHING)  # whole, with a record on its way
                 node._name_successors(monotonic_time(), holding)
@@ -649,7 +649,7 @@
         holding = self.holding(node)
         node.alive = list(NAMES)
         holding.log.follow(name, monotonic_time()).position = ReplicaPosition(1, 0, EVERYTHING)
-        node.store.keep(kept(1))
+        node.store.add_message(kept(1))
         now = monotonic_time()
         node._name_successors(now, holding)
         self.assertEqual(node.store.successors_of(holding), {name})
@@ -664,7 +664,7 @@
     def test_an_owner_that_was_started_again_offers_what_lies_in_its_folder(self) -> None:
         node = self.member("own")
         self.holding(node)
-        node.store.keep(kept(1))
+        node.store.add_message(kept(1))
         node.store.close()
         again = self.member("own", node.store.folder.path)
         again._record_lease(PARTITION, 1, 0)
@@ -697,7 +697,9 @@
             adoption.holder.term = 2
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
                 node._import_partition(monotonic_time(), adoption)
-            self.assertEqual([node.store.messages[number(index)].doubt_at for index in (1, 2)], [doubt, doubt])
+            self.assertEqual(
+                [node.store.messages[number(index)].records_lost_since for index in (1, 2)], [doubt, doubt]
+            )
             self.assertEqual(node.store.holdings[PARTITION].log.piece(0, EVERYTHING).behind, ack == "own")
 
     def test_keys_of_before_a_trouble_are_told_and_those_told_by_others_rest(self) -> None:
@@ -743,8 +745,8 @@
             self.assertEqual(node.order_key_hints.elsewhere, {5, 6})
             holding = self.holding(node)
             for index, turn in enumerate((5, 7), 1):
-                holding.ledger.record_message(replace(kept(index), turn=turn), b"")
-                node.store.messages[number(index)] = replace(kept(index), turn=turn)
+                holding.ledger.record_message(replace(kept(index), order_key=turn), b"")
+                node.store.messages[number(index)] = replace(kept(index), order_key=turn)
             for open_partition, told in (
                 (holding, {7}),
                 (None, {5, 7}),
@@ -769,7 +771,7 @@
         holding.serving = True
         dispatcher: Any = node.dispatcher
         data = encode_facts([fact(1), fact(2), fact(3)])
-        keep, problems = Store.keep, []
+        keep, problems = Store.add_message, []
         for room in ((1,), (1, 2, 3)):
 
             def kept_if(store: Store, each: StoredMessage, room: tuple[int, ...] = room) -> None:
@@ -777,7 +779,7 @@
                     raise NoSpaceError("full")
                 keep(store, each)
 
-            with mock.patch.object(Store, "keep", kept_if):
+            with mock.patch.object(Store, "add_message", kept_if):
                 problems.append(node._answer_offer("b", TakeoverOffer(PARTITION, 0, True, data, digest_of(data), 1)))
         self.assertEqual(problems, [OfferReply(PARTITION, 0, "full"), OfferReply(PARTITION, 0)])
         self.assertEqual(dispatcher.adopt.mock_calls, [mock.call([number(1)]), mock.call([number(2), number(3)])])
@@ -812,11 +814,15 @@
         store.holdings[PARTITION] = holding
         for index in (3, 4, 5):
             holding.ledger.known[number(index)] = MessageKnowledge()
-            super(ReplicatedStore, store).keep(kept(index))
+            super(ReplicatedStore, store).add_message(kept(index))
         soon = CLOCK.now() + 300_000
         moving = msgspec.structs.replace(fact(6, life=0), known=MessageKnowledge(move=(1, "<1/a/b")))
         store.import_replica(holding, [fact(1), fact(2, life=0), moving], 2, 0, [number(3)], [number(4)], soon)
-        ends = {index: store.messages[number(index)].end for index in range(1, 7) if number(index) in store.messages}
+        ends = {
+            index: store.messages[number(index)].final_answer
+            for index in range(1, 7)
+            if number(index) in store.messages
+        }
         self.assertEqual(ends, {1: None, 2: (False, 0), 3: None, 4: (False, 0), 6: None})  # it is on the move
         self.assertEqual(holding.ledger.known[number(4)].end[0], EndRank.FAILED)
 
@@ -858,7 +864,7 @@
                 [Fact(number(1), MessageBase("id", "k", 0, "free", "", destination, 1, b""), MessageKnowledge())]
             )
             if fits:
-                message(stored_message_of(decode_facts(data)[0]), b"")
+                encode_message(stored_message_of(decode_facts(data)[0]), b"")
             else:
                 self.assertRaises(CorruptFactsError, decode_facts, data)
         self.assertRaises(ValueError, parts, f"{1 << 62}/a/b")
--- a/tests/fleet/test_replication.py
+++ b/tests/fleet/test_replication.py
@@ -25,7 +25,7 @@
     join_facts,
     trimmed,
 )
-from cedarwick.store.records import FRAME, StoredMessage, framed
+from cedarwick.store.records import FRAME_HEADER, StoredMessage, encode_frame
 from tests.store.test_store import Crash, Fake
 
 PARTITION = 3
@@ -440,10 +440,10 @@
     def test_a_torn_end_is_cut_off_and_damage_puts_all_in_doubt(self) -> None:
         name = f"{PARTITION}.log"
         whole = len(self.member.files[name])
-        self.member.files[name] += framed(b"x" * 99)[:50]
+        self.member.files[name] += encode_frame(b"x" * 99)[:50]
         self.member.start()
         self.assertEqual((len(self.member.files[name]), self.member.on_disk()[:2]), (whole, (1, 20)))
-        self.member.files[name][whole - FRAME.size - 100] ^= 1
+        self.member.files[name][whole - FRAME_HEADER.size - 100] ^= 1
         self.member.start()
         held = self.member.held()
         self.assertTrue(held and all(fact.known.doubt == 50 for fact in held.values()))
--- a/tests/fleet/test_replication_facts.py
+++ b/tests/fleet/test_replication_facts.py
@@ -189,8 +189,10 @@
         fact = Fact(5, replication_facts.base_of(kept, b"x"), replication_facts.knowledge_of(kept, 3))
         back = replication_facts.stored_message_of(fact, doubt)
         knows_no_less(back, kept)
-        self.assertLessEqual({kept.ran_at, kept.out_at}, {back.ran_at, back.out_at, 0})
-        self.assertEqual(back.end, kept.end)
+        self.assertLessEqual(
+            {kept.may_have_run_at, kept.in_flight_since}, {back.may_have_run_at, back.in_flight_since, 0}
+        )
+        self.assertEqual(back.final_answer, kept.final_answer)
 
     @quick
     @given(
@@ -204,7 +206,7 @@
         copy = ledger.record_message(kept, b"x")
         for at, (what, zone) in enumerate(happened, 1):
             if what == "shot":
-                kept.attempt(at, zone)
+                kept.apply_attempt(at, zone)
                 copy = join_facts(copy, ledger.attempt(5, at, zone))
             elif what == "restart":
                 ledger = FactLedger(ledger.term + 1)
@@ -212,9 +214,9 @@
             elif what == "adopted":
                 copy = ledger.adopt([copy], ledger.term + 1)[0]
                 kept = replication_facts.stored_message_of(copy)
-                kept.outcome(never_ran=False)
-            elif kept.out_at:
-                kept.outcome(what == "never")
+                kept.apply_outcome(never_ran=False)
+            elif kept.in_flight_since:
+                kept.apply_outcome(what == "never")
                 copy = join_facts(copy, ledger.outcome(5, what == "never", completed=False))
             knows_no_less(replication_facts.stored_message_of(copy), kept)
         self.assertTrue(replication_facts.nothing_owed(ledger.over(5).known) and not ledger.known)
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -70,7 +70,7 @@
         self.submitted += 1
         submission.message.number = self.store.next_number
         self.store.next_number += 1
-        self.store.keep(submission.message)
+        self.store.add_message(submission.message)
         submission.answered(AdmissionResult.ACCEPTED)
 
     def between(self, call: Callable[[], bool]) -> AsyncResult:
@@ -85,7 +85,7 @@
         return self.between(lambda: True)
 
     def adopt(self, numbers: list[int], quietly: bool = False) -> None:
-        self.adopted += [number for number in numbers if number not in self.store.inert]
+        self.adopted += [number for number in numbers if number not in self.store.migrating]
 
 
 class MembersTest(unittest.TestCase):
@@ -172,7 +172,7 @@
             [sorted(kept.id for kept in each.store.messages.values()) for each in (a, b, c)], [[], ["1", "2"], []]
         )
         self.assertEqual(len(b.dispatcher.adopted), 2)  # type: ignore[attr-defined]
-        self.assertEqual([each.store.inert for each in (a, b)], [{}, {}])
+        self.assertEqual([each.store.migrating for each in (a, b)], [{}, {}])
         self.assertEqual([each.migrations.files.read_marks() for each in (a, b)], [{}, {}])
         for who in (a, c):  # the connection that stayed, and a client that comes elsewhere
             self.assertEqual(who.hand_in(message("1"))[0], AdmissionResult.ACCEPTED)
@@ -184,16 +184,16 @@
         a, b = self.session_router["a"], self.session_router["b"]
         for id in ("1", "2"):
             a.hand_in(message(id))
-        over = a.store.over
+        over = a.store.finish
 
         def full(number: int) -> None:
             over(number)
             raise NoSpaceError("the folder is full")  # as the store does: the record is owed
 
-        with mock.patch.object(a.store, "over", full):
+        with mock.patch.object(a.store, "finish", full):
             self.move("a", "b")
             self.turn()
-        self.assertEqual((a.store.messages, a.store.inert, a.migrations.files.read_marks()), ({}, {}, {}))
+        self.assertEqual((a.store.messages, a.store.migrating, a.migrations.files.read_marks()), ({}, {}, {}))
         self.assertEqual(len(b.store.messages), 2)
 
     def test_an_answer_that_is_lost_is_asked_for_again_and_never_made_up(self) -> None:
@@ -228,7 +228,7 @@
         withdraw()
         gevent.sleep(0.02)
         self.assertEqual(a.dispatcher.withdraw.call_args[0][0].message.number, number)
-        a.store.inert[number] = 1, ">1/b/a"
+        a.store.migrating[number] = 1, ">1/b/a"
         a.heard("c", 1, RecallForward(KEY, "2"))  # Danger: on the move it may be another sender's already
         self.assertEqual(a.dispatcher.withdraw.call_count, 1)
 
@@ -239,11 +239,11 @@
         self.lose = lambda to, body: "ask"  # all of it is lost from the first peer message on
         a.migrations.begin(KEY, "b", monotonic_time())
         self.turn(0.1)
-        self.assertEqual((list(a.store.inert), a.store.may_fire(number)), ([number], False))
+        self.assertEqual((list(a.store.migrating), a.store.may_send_attempt(number)), ([number], False))
         self.nodes["a"].stop()
         a.store.close()
         again = self.session_router["a"] = self.member("a")
-        self.assertFalse(again.store.may_fire(number))
+        self.assertFalse(again.store.may_send_attempt(number))
         known = again.store.holdings[number >> 32].ledger.known[number].move
         assert known is not None
         self.assertEqual(known[1][:1], "<")
@@ -251,7 +251,7 @@
         self.assertEqual(again.dispatcher.adopted, [])  # type: ignore[attr-defined]
         self.lose = lambda to, body: ""
         self.turn(1.0)
-        self.assertEqual((again.dispatcher.adopted, again.store.may_fire(number)), ([number], True))  # type: ignore[attr-defined]
+        self.assertEqual((again.dispatcher.adopted, again.store.may_send_attempt(number)), ([number], True))  # type: ignore[attr-defined]
         self.assertEqual(self.session_router["b"].store.messages, {})
 
     def test_the_process_that_replaces_this_one_goes_on_with_its_sessions_once(self) -> None:
@@ -287,9 +287,9 @@
             with mock.patch.object(a.migrations, "_save_without", side_effect=OSError("full")) as save:
                 self.turn(0.6)
                 self.assertTrue(save.called)
-                self.assertEqual((len(a.store.inert), thawed.called), (1, False))
+                self.assertEqual((len(a.store.migrating), thawed.called), (1, False))
             self.turn(0.3)
-        self.assertEqual((a.store.inert, thawed.called, len(a.dispatcher.adopted)), ({}, True, 1))  # type: ignore[attr-defined]
+        self.assertEqual((a.store.migrating, thawed.called, len(a.dispatcher.adopted)), ({}, True, 1))  # type: ignore[attr-defined]
 
     def test_a_vote_that_was_not_written_is_not_granted_when_it_is_asked_again(self) -> None:
         made, move = self.session_router["b"].migrations, name_move(self.session_router["a"].migrations.stamp, "a", "b")
@@ -305,7 +305,7 @@
     def test_who_is_cut_off_takes_nothing_of_its_sessions(self) -> None:
         a = self.session_router["a"]
         a.hand_in(message("1"))
-        with mock.patch.object(a.store, "taking", return_value=False):
+        with mock.patch.object(a.store, "accepts_messages", return_value=False):
             self.assertEqual(a.hand_in(message("2"))[0], AdmissionResult.BUSY)
         passed = a._answer_forwarded(
             "c",
@@ -340,8 +340,8 @@
         ended, owed, uncopied = sorted(a.store.messages)
         for number in (ended, owed, uncopied):
             a.store.mark(number, 1, "<5/a/b")
-        a.store.ended(ended, True, 0)
-        a.store.ended(uncopied, True, 0)
+        a.store.record_final_answer(ended, True, 0)
+        a.store.record_final_answer(uncopied, True, 0)
         a.dispatcher.uncopied_ends = {uncopied}  # the dispatcher posts it by itself, once a copy has it
         self.assertTrue(a.migrations._clear_marks("5/a/b", KEY, False, monotonic_time()))
         self.assertEqual(a.dispatcher.adopted, [ended, owed])  # type: ignore[attr-defined]
@@ -538,14 +538,14 @@
         self.assertFalse(still.ready())
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.RESET))
         self.assertTrue(still.ready())
-        self.assertTrue(self.store.messages[1].ran_at)
+        self.assertTrue(self.store.messages[1].may_have_run_at)
         self.dispatcher._adopt([1])
         self.assertEqual(self.dispatcher.handles, {})  # not while it is frozen
         self.dispatcher._thaw(KEY)
-        self.store.inert[1] = 2, "<1/a/b"
+        self.store.migrating[1] = 2, "<1/a/b"
         self.dispatcher._adopt([1])
         self.assertEqual(self.dispatcher.handles, {})  # nor while it is marked
-        del self.store.inert[1]
+        del self.store.migrating[1]
         self.dispatcher._adopt([1])
         self.assertEqual(list(self.dispatcher.handles), [1])
         self.assertEqual(self.submission("b").answer.ready(), False)  # its id was not remembered
@@ -560,7 +560,7 @@
         self.dispatcher._adopt([1], quietly=True)
         self.assertEqual((list(self.dispatcher.handles), self.dispatcher.sender.turns.all_rest), ([1], before))
         self.dispatcher._park([1])
-        self.store.messages[1].ran_at = 5
+        self.store.messages[1].may_have_run_at = 5
         self.dispatcher._adopt([1], quietly=True)
         self.assertGreater(self.dispatcher.sender.turns.all_rest, before)
 
--- a/tests/lab/test_virtual_days.py
+++ b/tests/lab/test_virtual_days.py
@@ -38,7 +38,7 @@
 def forgetful(fact: Fact, doubt_at: int = 0) -> StoredMessage:
     """Who takes a message over knows nothing of its attempts."""
     kept = stored_message_of(fact, doubt_at)
-    kept.attempts = kept.ran_at = kept.out_at = kept.doubt_at = 0
+    kept.attempts = kept.may_have_run_at = kept.in_flight_since = kept.records_lost_since = 0
     return kept
 
 
--- a/tests/net/test_late_answers.py
+++ b/tests/net/test_late_answers.py
@@ -71,7 +71,7 @@
         self.dispatcher._decide()
         self.dispatcher._completed_late(self.calls[0])
         self.assertEqual(list(self.dispatcher.notices.pending), [1])
-        self.assertEqual(self.store.messages[1].end, (False, 0))
+        self.assertEqual(self.store.messages[1].final_answer, (False, 0))
 
     def test_while_a_retry_is_out_it_delivers_and_the_retry_changes_nothing(self) -> None:
         self.taken("free")
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -63,10 +63,10 @@
 
 class DispatcherTest(DispatcherCase):
     def test_without_the_right_nothing_is_taken_and_what_ends_is_told_without_a_copy(self) -> None:
-        self.store.by_copy = True  # of several senders as one fleet
+        self.store.ack_after_replication = True  # of several senders as one fleet
         self.taken()
         returned = self.taken(name="b")
-        self.store.may_fire = lambda number: False  # type: ignore[method-assign]
+        self.store.may_send_attempt = lambda number: False  # type: ignore[method-assign]
         self.dispatcher._park([1, 2])
         self.dispatcher._final(2, True, 0)  # chosen, but no copy has it, and it was not told
         self.dispatcher._flush()
@@ -76,9 +76,9 @@
             [json.loads(line)["state"] for line in self.dispatcher.notices.pending.values()], ["failed", "failed"]
         )
         self.assertEqual(self.taken(name="c").answer.get()[0], AdmissionResult.BUSY)
-        del self.store.may_fire
+        del self.store.may_send_attempt
         self.taken(name="d")
-        with mock.patch.object(self.store, "may_fire", return_value=False):
+        with mock.patch.object(self.store, "may_send_attempt", return_value=False):
             self.dispatcher._final(self.dispatcher.numbers["d"], True, 0)
             self.dispatcher._flush()
         self.assertEqual(len(self.dispatcher.notices.pending), 2)
@@ -114,7 +114,7 @@
         self.assertLess(0, self.dispatcher.rest_of(6))
         other = 9 << PARTITION_SHIFT_BITS
         for number in (other + 1, other + 2):  # what a dead sender owed of the key, adopted here
-            self.store.keep(
+            self.store.add_message(
                 StoredMessage(
                     number, f"id-{number}", "", 6, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b""
                 )
@@ -203,7 +203,7 @@
         self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.sender.open), ({}, {}, 0))
 
     def test_one_withdrawn_while_the_record_of_its_attempt_was_waited_for_does_not_go_out(self) -> None:
-        self.store.awaited = True
+        self.store.answers_wait_for_flush = True
         submission = self.taken()
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._clear(self.calls[0], cleared)
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -163,8 +163,10 @@
         self.kept_to_the_wait()
         names = [name for _, name in self.partner.arrived]
         self.assertEqual(names.count("first"), 1)  # what never came may have told that it ran
-        until(lambda: gevent.sleep(0.01) or self.store.messages.get(1) is None or self.store.messages[1].end, 2.0)
-        self.assertEqual(self.store.messages[1].end, (False, 0))
+        until(
+            lambda: gevent.sleep(0.01) or self.store.messages.get(1) is None or self.store.messages[1].final_answer, 2.0
+        )
+        self.assertEqual(self.store.messages[1].final_answer, (False, 0))
 
     def test_a_refusal_that_crosses_the_giving_up_of_its_call_binds(self) -> None:
         given_up = threading.Event()
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -17,7 +17,7 @@
 from cedarwick.store.compaction_planner import RecordUse
 from cedarwick.store.files import Folder, FolderInUseError, NoSpaceError, segment_name
 from cedarwick.store.journal import Store
-from cedarwick.store.records import DamagedRange, Frame, StoredMessage, framed, scan
+from cedarwick.store.records import DamagedRange, Frame, StoredMessage, encode_frame, scan_frames
 from cedarwick.store.recovery import Recovered, recover
 
 ENDING, SPAN = [Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL, Outcome.TIME_OUT, Outcome.CONNECT_FAILED], 1000
@@ -57,10 +57,10 @@
             raise OSError(5, "Input/output error")
         return self.calls == self.crash_at
 
-    def claim(self) -> None:
+    def acquire_lock(self) -> None:
         pass
 
-    def release(self) -> None:
+    def release_lock(self) -> None:
         pass
 
     def names(self) -> list[str]:
@@ -129,8 +129,8 @@
         del self.files[name]
 
 
-def store(folder: Folder, limit: int = 40_000, segment: int = 1500, **told: Any) -> Store:
-    made = Store(folder, limit, now=lambda: 77, segment=segment, **told)
+def store(folder: Folder, limit: int = 40_000, segment_bytes: int = 1500, **told: Any) -> Store:
+    made = Store(folder, limit, now=lambda: 77, segment_bytes=segment_bytes, **told)
     made.load()
     return made
 
@@ -184,7 +184,7 @@
         self.doing = "keep", fresh.number
         body = fresh.body or b""
         try:
-            self.store.keep(fresh)
+            self.store.add_message(fresh)
         except NoSpaceError:
             return
         self.model[fresh.number] = State(body)
@@ -192,25 +192,25 @@
     def _go_on(self, number: int) -> None:
         state = self.model[number]
         if state.end is not None:
-            self._end(number, "over", lambda: self.store.over(number))
+            self._end(number, "over", lambda: self.store.finish(number))
         elif state.out:
             outcome = self.chance.choice(ENDING)
             if outcome is Outcome.COMPLETED:
-                self._end(number, "over", lambda: self.store.outcome(number, outcome))
+                self._end(number, "over", lambda: self.store.record_outcome(number, outcome))
                 return
             self.doing = "outcome", number
-            self._owed(number, lambda: self.store.outcome(number, outcome))
+            self._owed(number, lambda: self.store.record_outcome(number, outcome))
             state.out = False
             state.may_have_run |= not outcome.never_ran
         elif self.chance.random() < 0.25:
             self.doing = "end", number
             end = bool(self.chance.getrandbits(1)), self.chance.randrange(900)
-            self._owed(number, lambda: self.store.ended(number, *end))
+            self._owed(number, lambda: self.store.record_final_answer(number, *end))
             state.end = end
         else:
             self.doing = "shot", number
             try:
-                self.store.attempt(number, self.chance.randrange(1, 10**9), number % 2)
+                self.store.record_attempt(number, self.chance.randrange(1, 10**9), number % 2)
             except NoSpaceError:
                 return
             state.attempts, state.out = state.attempts + 1, True
@@ -228,25 +228,27 @@
 
     def compare(self, case: unittest.TestCase, again: Store, torn: bool = False) -> None:
         """What a new process finds is what was acknowledged. `torn`: a record may stand torn, so doubt is right."""
-        again.segment_index.check()
-        case.assertTrue(torn or not any(each.doubt_at for each in again.messages.values()), "doubt without damage")
+        again.segment_index.check_consistency()
+        case.assertTrue(
+            torn or not any(each.records_lost_since for each in again.messages.values()), "doubt without damage"
+        )
         doing = self.doing[1] if self.doing else 0
         loose = self.unsure | {doing}
         case.assertLessEqual(self.model.keys() - again.messages.keys(), {doing}, "an acknowledged message is lost")
         case.assertLessEqual(again.messages.keys() - self.model.keys(), loose, "an ended message has come back")
         for number in again.messages.keys() & self.model.keys():
             found, state = again.messages[number], self.model[number]
-            may_have_run = bool(found.ran_at or found.out_at or found.doubt_at)
+            may_have_run = bool(found.may_have_run_at or found.in_flight_since or found.records_lost_since)
             out = state.out and self.doing != ("outcome", number)  # that one may be told as 'never ran' by now
             case.assertTrue(may_have_run or not (state.may_have_run or out), "an attempt is forgotten")
             if number not in loose:
                 case.assertEqual(
-                    (found.attempts, bool(found.out_at), bool(found.ran_at), found.end),
+                    (found.attempts, bool(found.in_flight_since), bool(found.may_have_run_at), found.final_answer),
                     (state.attempts, state.out, state.may_have_run, state.end),
                     number,
                 )
-            if found.end is None:
-                case.assertEqual(again.body(number), state.body)
+            if found.final_answer is None:
+                case.assertEqual(again.read_body(number), state.body)
             case.assertEqual(len(found.earlier_attempts()), max(found.attempts, may_have_run))
 
 
@@ -266,7 +268,7 @@
                 if room < 1 << 60 and at % 20 == 0:
                     folder.room = room + chance.randrange(-2000, 4000) if chance.random() < 0.5 else 1 << 60
                 history.step()
-            history.store.segment_index.check()
+            history.store.segment_index.check_consistency()
         except Crash:
             pass
         return folder, history
@@ -293,9 +295,9 @@
 
     def state_of(self, made: Store, number: int) -> State:
         found = made.messages[number]
-        state = State(made.body(number) if found.end is None else b"")
-        state.attempts, state.out, state.end = found.attempts, bool(found.out_at), found.end
-        state.may_have_run = bool(found.ran_at)
+        state = State(made.read_body(number) if found.final_answer is None else b"")
+        state.attempts, state.out, state.end = found.attempts, bool(found.in_flight_since), found.final_answer
+        state.may_have_run = bool(found.may_have_run_at)
         return state
 
     def points(self, room: int, count: int) -> None:
@@ -315,7 +317,7 @@
         """Segments that a history deletes."""
         folder, history = self.play(seed, 0, room=room)
         assert history is not None
-        return history.store.writer.last_segment - len(history.store.segment_index.segments)
+        return history.store.writer.last_segment_number - len(history.store.segment_index.segments)
 
     def test_each_state_is_what_was_acknowledged(self) -> None:
         self.points(1 << 60, self.POINTS * 3 // 4)
@@ -347,13 +349,13 @@
     def test_an_fsync_that_fails_is_told_and_tried_again(self) -> None:
         folder = Fake()
         made = store(folder, durable=True)
-        made.keep(kept(1))
+        made.add_message(kept(1))
         folder.failing = {"sync"}
         with self.assertRaises(OSError):
             made.flush()
         folder.failing = set()
         made.flush()
-        self.assertEqual(made.writer.unsynced, set())
+        self.assertEqual(made.writer.unsynced_files, set())
 
     def test_a_durable_folder_deletes_nothing_before_the_sync(self) -> None:
         folder = Fake()
@@ -361,11 +363,11 @@
         self.fill(made)
         made.flush()
         for number in list(made.messages):
-            made.over(number)
+            made.finish(number)
         for _ in range(200):
             made.step()
-        self.assertTrue(made.writer.condemned)
-        names = {name for name, _ in made.writer.condemned}
+        self.assertTrue(made.writer.obsolete_files)
+        names = {name for name, _ in made.writer.obsolete_files}
         self.assertLessEqual(names, set(folder.files))
         made.flush()
         self.assertFalse(names & set(folder.files))
@@ -374,7 +376,7 @@
         number = made.next_number
         try:
             while True:
-                made.keep(kept(number, size))
+                made.add_message(kept(number, size))
                 number += 1
                 made.next_number = number
         except NoSpaceError:
@@ -384,92 +386,92 @@
 class FolderLimitTest(unittest.TestCase):
     def test_a_full_folder_turns_new_ones_away_keeps_its_word_and_heals(self) -> None:
         folder = Fake()
-        made = store(folder, limit=400_000, segment=16_000)
+        made = store(folder, limit=400_000, segment_bytes=16_000)
         count = FailingCallsTest().fill(made, 1000)
-        live = sum(each.weight for each in made.messages.values())
+        live = sum(each.record_size for each in made.messages.values())
         self.assertGreater(live, 0.8 * 400_000)
         for _ in range(6):  # many short records, in a folder that is full
             for number in range(1, count + 1):
-                made.attempt(number, 5, 0)
-                made.outcome(number, Outcome.FULL)
+                made.record_attempt(number, 5, 0)
+                made.record_outcome(number, Outcome.FULL)
                 made.step()
         self.assertLessEqual(sum(map(len, folder.files.values())), 400_000)
-        self.assertLessEqual(made.used, 400_000)
+        self.assertLessEqual(made.used_bytes, 400_000)
         for number in range(1, count // 2):
-            made.over(number)
+            made.finish(number)
             made.step()
         for _ in range(200):
             made.step()
-        self.assertGreater(made.room_for(), count // 3)
-        made.keep(kept(made.next_number + 1000))
+        self.assertGreater(made.remaining_capacity(), count // 3)
+        made.add_message(kept(made.next_number + 1000))
 
     def test_room_is_told_as_few_before_the_folder_turns_away_and_comes_back_with_an_end(self) -> None:
-        made = store(Fake(), limit=400_000, segment=16_000)
+        made = store(Fake(), limit=400_000, segment_bytes=16_000)
         told = []
         for number in range(1, 2000):
-            told.append(made.room_for())
+            told.append(made.remaining_capacity())
             if not made.has_room(kept(number)):
                 break
-            made.keep(kept(number))
+            made.add_message(kept(number))
             made.step()
         self.assertLessEqual(told[-1], 1)
         self.assertGreater(min(told[:-4]), 1)  # never short without need
         for ended in range(1, 9):
-            made.over(ended)
-        self.assertGreaterEqual(made.room_for(), 2)
+            made.finish(ended)
+        self.assertGreaterEqual(made.remaining_capacity(), 2)
 
     def test_a_limit_that_is_lowered_below_what_is_in_use(self) -> None:
         folder = Fake()
-        made = store(folder, limit=100_000, segment=4000)
+        made = store(folder, limit=100_000, segment_bytes=4000)
         count = FailingCallsTest().fill(made)
         made.set_limit(60_000)
         self.assertFalse(made.has_room(kept(count + 1)))
         for number in range(1, count + 1):
             try:
-                made.attempt(number, 5, 0)
+                made.record_attempt(number, 5, 0)
             except NoSpaceError:
                 pass  # it must not go out, then
             try:
-                made.ended(number, True, 0) if number % 2 else made.over(number)
+                made.record_final_answer(number, True, 0) if number % 2 else made.finish(number)
             except NoSpaceError:
                 pass  # it is owed, and written as room returns
             made.step()
         for _ in range(400):
             made.step()
-        self.assertLessEqual(made.used, 60_000)
+        self.assertLessEqual(made.used_bytes, 60_000)
         again = store(Fake(folder.files))
         self.assertEqual(sorted(again.messages), [number for number in range(1, count + 1) if number % 2])
 
     def test_what_has_no_room_now_is_written_as_soon_as_there_is_some(self) -> None:
         folder = Fake()
         made = store(folder)
-        made.keep(kept(1))
+        made.add_message(kept(1))
         folder.room = 0
         with self.assertRaises(NoSpaceError):
-            made.over(1)
+            made.finish(1)
         with self.assertRaises(NoSpaceError):
-            made.keep(kept(2))
+            made.add_message(kept(2))
         folder.room = 1 << 60
         made.step()
         self.assertEqual(dict(store(Fake(folder.files)).messages), {})
 
     def test_bodies_beyond_the_bound_lie_on_disk_only_and_are_read_for_the_attempt(self) -> None:
-        made = store(Fake(), bodies=350)
+        made = store(Fake(), body_cache_bytes=350)
         for number in range(1, 8):
-            made.keep(kept(number))
+            made.add_message(kept(number))
         self.assertEqual([number for number in made.messages if made.messages[number].body is not None], [5, 6, 7])
-        self.assertEqual([made.body(number)[:8] for number in (1, 7)], [b"00000001", b"00000007"])
+        self.assertEqual([made.read_body(number)[:8] for number in (1, 7)], [b"00000001", b"00000007"])
         for number in range(1, 8):
-            made.over(number)
-        self.assertEqual(made.body_cache.held_bytes, 0)
+            made.finish(number)
+        self.assertEqual(made.body_cache.cached_bytes, 0)
 
     def test_a_body_that_is_damaged_on_disk_is_never_sent(self) -> None:
         folder = Fake()
-        made = store(folder, bodies=0)
-        made.keep(kept(1))
+        made = store(folder, body_cache_bytes=0)
+        made.add_message(kept(1))
         folder.files[segment_name(1)][-5] ^= 1
         with self.assertRaises(BodyLostError):
-            made.body(1)
+            made.read_body(1)
 
 
 class DamagedFolderTest(unittest.TestCase):
@@ -480,17 +482,17 @@
         self.said: list[str] = []
         made = store(self.folder, limit=1_000_000)
         for number in range(1, 41):
-            made.keep(kept(number))
+            made.add_message(kept(number))
             made.next_number = number + 1
-            made.attempt(number, 1000 + number, 0)
-            made.outcome(number, Outcome.FULL)
-        made.over(7)
+            made.record_attempt(number, 1000 + number, 0)
+            made.record_outcome(number, Outcome.FULL)
+        made.finish(7)
 
     def found(self) -> Recovered:
         return recover(self.folder, self.said.append)
 
     def doubtful(self) -> list[int]:
-        return [number for number, each in self.found().segment_index.messages.items() if each.doubt_at]
+        return [number for number, each in self.found().segment_index.messages.items() if each.records_lost_since]
 
     def test_undamaged_nothing_is_said_and_nothing_doubted(self) -> None:
         self.assertEqual((self.doubtful(), self.said), ([], []))
@@ -502,16 +504,16 @@
         self.assertEqual(self.doubtful(), [])
         self.assertIn("cut off", self.said[0])
         again = store(Fake(self.folder.files))
-        again.keep(kept(99))
+        again.add_message(kept(99))
         self.assertIn(99, store(Fake(self.folder.files)).messages)
 
     def test_a_torn_middle_puts_in_doubt_what_lived_then(self) -> None:
         name = segment_name(2)
         self.folder.files[name][300] ^= 0xFF
         found = self.found()
-        doubted = {number for number, each in found.segment_index.messages.items() if each.doubt_at}
+        doubted = {number for number, each in found.segment_index.messages.items() if each.records_lost_since}
         self.assertTrue(doubted)
-        self.assertTrue(all(found.segment_index.messages[number].home <= 2 for number in doubted))
+        self.assertTrue(all(found.segment_index.messages[number].segment_number <= 2 for number in doubted))
         self.assertIn("damaged", self.said[0])
 
     def test_a_bad_sector_is_damage_and_the_rest_is_read(self) -> None:
@@ -534,7 +536,7 @@
             )
         )
         third = store(Fake(self.folder.files), limit=1_000_000)
-        self.assertEqual({n for n, each in third.messages.items() if each.doubt_at}, set(doubted))
+        self.assertEqual({n for n, each in third.messages.items() if each.records_lost_since}, set(doubted))
 
     def test_a_sealed_segment_that_was_cut_short(self) -> None:
         del self.folder.files[segment_name(2)][-20:]
@@ -545,7 +547,9 @@
         self.folder.files["00000099.seg"] = bytearray(self.folder.files[segment_name(1)])
         self.folder.files["00000001 (copy).seg"] = bytearray(b"x")
         again = store(Fake(self.folder.files), limit=1_000_000)
-        self.assertEqual((len(again.messages), any(each.doubt_at for each in again.messages.values())), (39, False))
+        self.assertEqual(
+            (len(again.messages), any(each.records_lost_since for each in again.messages.values())), (39, False)
+        )
         self.assertIn("00000099.seg", self.folder.files)
 
     def test_an_older_newest_segment_names_what_is_gone_by_now(self) -> None:
@@ -553,7 +557,7 @@
         before = {name: bytearray(data) for name, data in self.folder.files.items()}
         made = store(self.folder, limit=1_000_000)
         for number in range(20, 40):
-            made.over(number)
+            made.finish(number)
         for _ in range(300):
             made.step()
         gone = before.keys() - self.folder.files.keys()
@@ -568,12 +572,12 @@
         made.append_record(b"\x63" + b"future", RecordUse.SHORT_RECORD)
         segment = made.writer.active
         assert segment is not None
-        made.segment_index.add_unknown(segment, segment.size - 7, 7)
+        made.segment_index.add_unknown_record(segment, segment.valid_bytes - 7, 7)
         for number in list(made.messages):
-            made.over(number)
+            made.finish(number)
         for number in range(100, 300):
-            made.keep(kept(number))
-            made.over(number)
+            made.add_message(kept(number))
+            made.finish(number)
             made.step()
         self.assertNotIn(segment.number, made.segment_index.segments)
         self.assertTrue(any(b"\x63future" in data for data in self.folder.files.values()))
@@ -585,13 +589,13 @@
 
     def test_a_segment_of_another_version_is_left_alone(self) -> None:
         name = segment_name(3)
-        made = records.read_header(records.frame_at(bytes(self.folder.files[name]), 0) or b"")
-        head = framed(records.header(made._replace(version=9)))
+        made = records.decode_header(records.decode_frame(bytes(self.folder.files[name]), 0) or b"")
+        head = encode_frame(records.encode_header(made._replace(version=9)))
         self.folder.files[name][: len(head)] = head
         self.assertTrue(self.doubtful())
         again = store(Fake(self.folder.files), limit=30_000)
         for number in list(again.messages):
-            again.over(number)
+            again.finish(number)
         for _ in range(300):
             again.step()
         self.assertIn(name, self.folder.files)
@@ -607,7 +611,7 @@
             if chance.random() < 0.2:
                 del files[chance.choice(sorted(files))]
             made = store(Fake(files), limit=1_000_000)
-            made.segment_index.check()
+            made.segment_index.check_consistency()
             for each in made.messages.values():
                 each.earlier_attempts()
 
@@ -633,10 +637,15 @@
     def check(self, made: Store) -> None:
         self.assertEqual(sorted(made.messages), [1, 2, 3])
         self.assertEqual(
-            (made.messages[1].out_at, made.messages[2].attempts, made.messages[2].ran_at, made.messages[3].end),
+            (
+                made.messages[1].in_flight_since,
+                made.messages[2].attempts,
+                made.messages[2].may_have_run_at,
+                made.messages[3].final_answer,
+            ),
             (50, 1, 0, (True, 250)),
         )
-        self.assertEqual((made.body(1), made.restarted), (b"body", True))
+        self.assertEqual((made.read_body(1), made.restarted), (b"body", True))
 
     def test_they_are_taken_over_and_gone(self) -> None:
         folder = Fake({"00000005.log": self.old_file()})
@@ -660,10 +669,10 @@
         made = store(folder)
         folder.failing = set()  # it is tried again only at the next start
         for number in (1, 2, 3):
-            made.over(number)
+            made.finish(number)
         for number in range(10, 200):
-            made.keep(kept(number))
-            made.over(number)
+            made.add_message(kept(number))
+            made.finish(number)
             made.step()
         self.assertEqual(dict(store(Fake(folder.files)).messages), {})
 
@@ -686,14 +695,14 @@
     def test_what_is_kept_comes_back_with_its_attempts_and_numbers_are_not_used_again(self) -> None:
         made = store(Folder(self.path))
         for number in (1, 2, 3, 4):
-            made.keep(StoredMessage(number, f"id-{number}", "k", 7, "band", "tenant", 3, 99, b"body"))
-        made.attempt(1, 500, 2)
-        made.outcome(1, Outcome.FULL)
-        made.attempt(1, 900, 1)
-        made.attempt(2, 500, 0)
-        made.outcome(2, Outcome.COMPLETED)
-        made.ended(3, True, 40)
-        made.over(4)
+            made.add_message(StoredMessage(number, f"id-{number}", "k", 7, "band", "tenant", 3, 99, b"body"))
+        made.record_attempt(1, 500, 2)
+        made.record_outcome(1, Outcome.FULL)
+        made.record_attempt(1, 900, 1)
+        made.record_attempt(2, 500, 0)
+        made.record_outcome(2, Outcome.COMPLETED)
+        made.record_final_answer(3, True, 40)
+        made.finish(4)
         made.close()
         again = store(Folder(self.path))
         back = again.messages[1]
@@ -701,12 +710,12 @@
             (
                 back.id,
                 back.key,
-                back.turn,
+                back.order_key,
                 back.priority_class,
                 back.tenant,
                 back.destination,
                 back.deadline,
-                again.body(1),
+                again.read_body(1),
             ),
             ("id-1", "k", 7, "band", "tenant", 3, 99, b"body"),
         )
@@ -715,7 +724,8 @@
             [(900, 1, None), (0, 0, Outcome.MOOT)],
         )
         self.assertEqual(
-            ({n: each.end for n, each in again.messages.items()}, again.next_number), ({1: None, 3: (True, 40)}, 5)
+            ({n: each.final_answer for n, each in again.messages.items()}, again.next_number),
+            ({1: None, 3: (True, 40)}, 5),
         )
         again.close()
 
@@ -731,14 +741,15 @@
                 history.compare(self, made)
                 history.store = made
         on_disk = sum(
-            compaction_planner.blocks(os.stat(os.path.join(self.path, name)).st_size) for name in os.listdir(self.path)
+            compaction_planner.round_up_to_blocks(os.stat(os.path.join(self.path, name)).st_size)
+            for name in os.listdir(self.path)
         )
-        self.assertEqual((made.used, made.used <= 30_000), (on_disk, True))
+        self.assertEqual((made.used_bytes, made.used_bytes <= 30_000), (on_disk, True))
         made.close()
 
 
 class CompactionPlanTest(unittest.TestCase):
-    SIZES = compaction_planner.Sizes(limit=1_000_000, used=0, live=0, segment=31_250, largest=1000, header=100)
+    SIZES = compaction_planner.Sizes(limit=1_000_000, used=0, live=0, segment=31_250, largest_record=1000, header=100)
 
     def test_the_emptiest_goes_first_the_older_of_two_alike_and_none_that_gains_nothing(self) -> None:
         some = [
@@ -747,21 +758,21 @@
             compaction_planner.CompactionCandidate(3, 2000, 600),
             compaction_planner.CompactionCandidate(4, 1000, 1000),
         ]
-        self.assertEqual(compaction_planner.choose(some, short=False), some[1])
-        self.assertIsNone(compaction_planner.choose(some[3:], short=True))
+        self.assertEqual(compaction_planner.choose_victim(some, short=False), some[1])
+        self.assertIsNone(compaction_planner.choose_victim(some[3:], short=True))
 
     def test_a_nearly_full_one_is_moved_only_where_room_is_short(self) -> None:
         full = [compaction_planner.CompactionCandidate(1, 1000, 960)]
-        self.assertIsNone(compaction_planner.choose(full, short=False))
-        self.assertEqual(compaction_planner.choose(full, short=True), full[0])
+        self.assertIsNone(compaction_planner.choose_victim(full, short=False))
+        self.assertEqual(compaction_planner.choose_victim(full, short=True), full[0])
 
     def test_nothing_moves_while_there_is_room_and_more_the_less_there_is(self) -> None:
         victim, floor = (
             compaction_planner.CompactionCandidate(1, 31_250, 15_625),
-            compaction_planner.reserve(self.SIZES),
+            compaction_planner.reserved_bytes(self.SIZES),
         )
         paces = [
-            compaction_planner.pace(self.SIZES._replace(used=1_000_000 - floor - free), victim, 1000)
+            compaction_planner.bytes_to_move(self.SIZES._replace(used=1_000_000 - floor - free), victim, 1000)
             for free in (300_000, 250_000, 150_000, 50_000, 0)
         ]
         self.assertEqual(paces[:2], [0, 0])
@@ -771,26 +782,28 @@
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.integers(0, 1_000_000), st.integers(0, 31_250), st.integers(0, 1 << 20))
     def test_a_step_is_bounded(self, used: int, live: int, appended: int) -> None:
-        step = compaction_planner.pace(
+        step = compaction_planner.bytes_to_move(
             self.SIZES._replace(used=used), compaction_planner.CompactionCandidate(1, 31_250, live), appended
         )
-        self.assertTrue(0 <= step <= compaction_planner.STEP)
+        self.assertTrue(0 <= step <= compaction_planner.MAX_STEP_BYTES)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.integers(200_000, 1 << 34))
     def test_nine_tenths_of_a_large_folder_can_live_and_four_fifths_of_a_small_one(self, limit: int) -> None:
         sizes = compaction_planner.Sizes(limit, 0, 0, compaction_planner.segment_size(limit), 1100, 700)
-        share = compaction_planner.room(sizes) / limit
+        share = compaction_planner.free_message_bytes(sizes) / limit
         self.assertGreater(share, 0.9 if limit > 1 << 22 else 0.55 if limit < 1 << 20 else 0.8)
 
 
 class RecordFoldingTest(unittest.TestCase):
     def test_a_attempt_without_an_outcome_before_another_may_have_run(self) -> None:
         made = kept(1)
-        made.attempt(50, 2)
-        made.attempt(90, 1)
-        made.outcome(never_ran=True)
-        self.assertEqual((made.attempts, made.ran_at, made.ran_zone, made.out_at), (2, 50, 2, 0))
+        made.apply_attempt(50, 2)
+        made.apply_attempt(90, 1)
+        made.apply_outcome(never_ran=True)
+        self.assertEqual(
+            (made.attempts, made.may_have_run_at, made.may_have_run_zone, made.in_flight_since), (2, 50, 2, 0)
+        )
         self.assertEqual(
             [(each.sent_at, each.outcome) for each in made.earlier_attempts()], [(50, None), (0, Outcome.MOOT)]
         )
@@ -798,9 +811,9 @@
     def test_the_first_that_may_have_run_counts_and_doubt_is_a_attempt_that_no_zone_can_repeat(self) -> None:
         made = kept(1)
         for at in (10, 20):
-            made.attempt(at, 0)
-            made.outcome(never_ran=False)
-        made.doubt_at = 5
+            made.apply_attempt(at, 0)
+            made.apply_outcome(never_ran=False)
+        made.records_lost_since = 5
         self.assertEqual([(each.sent_at, each.zone) for each in made.earlier_attempts()], [(5, -1), (10, 0)])
 
 
@@ -810,19 +823,19 @@
     def test_records_are_found_in_any_pieces_and_past_any_noise(
         self, payloads: list[bytes], cut: int, noise: bytes
     ) -> None:
-        data = noise + b"".join(map(framed, payloads))
-        found = [each.payload for each in scan(data, 0, True) if isinstance(each, Frame)]
+        data = noise + b"".join(map(encode_frame, payloads))
+        found = [each.payload for each in scan_frames(data, 0, True) if isinstance(each, Frame)]
         self.assertEqual(found[-len(payloads) :] if payloads else [], payloads)
         spans = [
-            (each.at, each.until if isinstance(each, DamagedRange) else each.at + 10 + len(each.payload))
-            for each in scan(data, 0, True)
+            (each.offset, each.end_offset if isinstance(each, DamagedRange) else each.offset + 10 + len(each.payload))
+            for each in scan_frames(data, 0, True)
         ]
         self.assertEqual([begin for begin, _ in spans], [0, *[end for _, end in spans]][: len(spans)])
 
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.binary(max_size=300))
     def test_noise_is_never_a_record(self, noise: bytes) -> None:
-        self.assertFalse([each for each in scan(noise, 0, True) if isinstance(each, Frame)])
+        self.assertFalse([each for each in scan_frames(noise, 0, True) if isinstance(each, Frame)])
 
 
 if __name__ == "__main__":
