--- a/tests/store/test_store_tools.py
+++ b/tests/store/test_store_tools.py
@@ -27,7 +27,7 @@
         self.addCleanup(folder.cleanup)
         self.path = os.path.join(folder.name, "state")
         os.mkdir(self.path)
-        self.made = store(Folder(self.path), limit=200_000, segment=2000)
+        self.made = store(Folder(self.path), limit=200_000, segment_bytes=2000)
         self.addCleanup(self.made.close)
         self.history = History(self.made, random.Random(5))
         for _ in range(600):
@@ -67,7 +67,7 @@
                 self.history.step()
             copy = f"{self.path}-{turn}"
             tools.backup(self.path, copy)
-            again = Store(Folder(copy), 200_000, now=lambda: 1, segment=2000)
+            again = Store(Folder(copy), 200_000, now=lambda: 1, segment_bytes=2000)
             again.load()
             self.history.compare(self, again)
             again.close()
@@ -76,7 +76,7 @@
     def test_a_backup_beside_a_writing_process(self) -> None:
         code = (
             "import sys, random; from tests.store.test_store import *\n"
-            "made = store(Folder(sys.argv[1]), limit=60_000, segment=2000); print('ready', flush=True)\n"
+            "made = store(Folder(sys.argv[1]), limit=60_000, segment_bytes=2000); print('ready', flush=True)\n"
             "history = History(made, random.Random(9))\n"
             "while True: history.step()"
         )
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -46,7 +46,7 @@
 from cedarwick.ops import saved_state
 from cedarwick.store import tools
 from cedarwick.store.journal import Store
-from cedarwick.store.records import NOWHERE, StoredMessage
+from cedarwick.store.records import UNKNOWN_ZONE, StoredMessage
 
 FIXTURE = os.path.join(os.path.dirname(__file__), "..", "fixtures", "stored_by_b65497f")
 NOW = 1_900_000_000_000_000  # microseconds: when it was written
@@ -69,7 +69,7 @@
     4: (1, SENT + 4, 1104, 0, 1104, None),  # its attempt may have run
     5: (1, SENT + 5, 1105, 0, 1105, (True, 1500)),  # ended as nack, with a wait in milliseconds
     6: (1, SENT + 6, 1106, 0, 1106, (False, 0)),  # ended as written off
-    8: (0, SENT + 8, NOWHERE, 0, 0, None),  # another sender told of an attempt
+    8: (0, SENT + 8, UNKNOWN_ZONE, 0, 0, None),  # another sender told of an attempt
     9: (3, SENT + 19, 1209, SENT + 29, 1309, None),  # one that never ran, one that may have run, one that is out
 }
 MOVED_ENDS = (5, 6)  # compaction has moved them once they had ended, which leaves their bodies out
@@ -137,7 +137,7 @@
     return (
         stored.id,
         stored.key,
-        stored.turn,
+        stored.order_key,
         stored.priority_class,
         stored.tenant,
         stored.destination,
@@ -146,7 +146,14 @@
 
 
 def state_read(stored: StoredMessage) -> States:
-    return stored.attempts, stored.ran_at, stored.ran_zone, stored.out_at, stored.out_zone, stored.end
+    return (
+        stored.attempts,
+        stored.may_have_run_at,
+        stored.may_have_run_zone,
+        stored.in_flight_since,
+        stored.in_flight_zone,
+        stored.final_answer,
+    )
 
 
 class StoredDataTest(unittest.TestCase):
@@ -157,7 +164,7 @@
         shutil.copytree(os.path.join(FIXTURE, "state"), self.state)
 
     def opened(self) -> Store:
-        store = Store(self.state, 40_000, now=lambda: NOW, segment=2048)
+        store = Store(self.state, 40_000, now=lambda: NOW, segment_bytes=2048)
         store.load()
         self.addCleanup(store.close)
         return store
@@ -166,9 +173,9 @@
         store = self.opened()
         self.assertFalse(store.damaged)
         self.assertTrue(store.restarted)
-        self.assertEqual((store.next_number, store.writer.last_segment, store.old_until), (310, 26, 0))
+        self.assertEqual((store.next_number, store.writer.last_segment_number, store.last_legacy_file), (310, 26, 0))
         self.assertEqual(sorted(store.segment_index.segments), [9, 17, 22, 24, 25, 26])
-        store.segment_index.check()
+        store.segment_index.check_consistency()
         rows = [first + place for first in (0, 300) for place in STATES]
         self.assertEqual(sorted(store.messages), sorted([*rows, *FILLERS]))
         for number, stored in store.messages.items():
@@ -176,13 +183,13 @@
                 self.assertEqual(stored.number, number)
                 self.assertEqual(base_read(stored), base_of(number))
                 self.assertEqual(state_read(stored), STATES[1 if number in FILLERS else number % 100])
-                self.assertEqual(stored.doubt_at, 0)
-                self.assertEqual(store.body(number), b"" if number in MOVED_ENDS else body_of(number))
+                self.assertEqual(stored.records_lost_since, 0)
+                self.assertEqual(store.read_body(number), b"" if number in MOVED_ENDS else body_of(number))
 
     def test_what_is_written_behind_them_is_read_again(self) -> None:
         store = self.opened()
-        store.attempt(301, SENT + 1, 1101)
-        store.over(8)
+        store.record_attempt(301, SENT + 1, 1101)
+        store.finish(8)
         store.close()
         again = self.opened()
         self.assertEqual(state_read(again.messages[301]), (1, 0, 0, SENT + 1, 1101, None))
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -130,7 +130,7 @@
             first = self.process(folder, EARLIER, only=earlier)
             first.submit("a", priority_class, "second")
             if spoil is not None:
-                first.store.attempt(1, first.clock.now(), spoil)
+                first.store.record_attempt(1, first.clock.now(), spoil)
             self.assertTrue(first.cleared(first.calls[0]))
             if outcome is not None:
                 first.dispatcher._attempt_ended(first.calls[0], AttemptResult(outcome))
@@ -148,7 +148,7 @@
                     second.dispatcher._attempt_ended(call, AttemptResult(Outcome.MOOT))
                 second.calls.clear()
             second.store.close()
-            return gone, [kept.end for kept in second.store.messages.values()], tenants
+            return gone, [kept.final_answer for kept in second.store.messages.values()], tenants
 
     def test_a_repeat_stays_in_the_zone_of_its_first_attempt_whatever_place_that_has(self) -> None:
         for outcome in (None, Outcome.TIME_OUT):
@@ -165,7 +165,7 @@
                 self.assertEqual(self.repeats("zonal", None, "north", told, *LATER["zones"], spoil=spoil)[0], set())
 
     def test_zones_that_share_a_mark_are_no_zone_to_repeat_in(self) -> None:
-        with mock.patch("cedarwick.net.dispatch_state.zone_mark", lambda name: 2000):
+        with mock.patch("cedarwick.net.dispatch_state.zone_id", lambda name: 2000):
             self.assertEqual(self.repeats("zonal", None, "north", LATER, *LATER["zones"])[0], set())
 
     def test_a_priority_class_and_a_tenant_go_by_their_names_and_an_effect_by_the_settings_of_now(self) -> None:
@@ -449,7 +449,7 @@
                 self.before_clearing(self.window_left(3_000_000), then)
                 self.priority_class.window = 4_000_000
                 self.made.submit("a")
-                self.wait_for(lambda: self.partner.arrived or self.made.store.messages[1].end)
+                self.wait_for(lambda: self.partner.arrived or self.made.store.messages[1].final_answer)
                 self.assertEqual([name for _, name in self.partner.arrived], ["a"] * goes)
                 self.assertEqual(self.counts["attempts held back: their time was over"], not goes)
 
@@ -468,7 +468,7 @@
                 if not goes:
                     self.wait_for(lambda: self.counts["attempts without an answer: connect failed"])
                 self.partner.reads.set()
-                self.wait_for(lambda: not self.made.store.messages or self.made.store.messages[1].end)
+                self.wait_for(lambda: not self.made.store.messages or self.made.store.messages[1].final_answer)
                 self.assertEqual(len(self.partner.arrived), goes)
 
     def test_what_a_receiver_says_or_does_before_a_request_is_no_answer_to_it(self) -> None:
