--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -61,7 +61,7 @@
     at = epoch = 0
     entries: dict[str, Entry] = {}
     count = 0
-    for found in scan_frames(data, 0, whole=True):
+    for found in scan_frames(data, 0, is_last_chunk=True):
         if isinstance(found, DamagedRange):
             if found.end_offset == len(data) and may_be_partial_frame(data, found.offset):
                 break
--- a/cedarwick/fleet/fleet_files.py
+++ b/cedarwick/fleet/fleet_files.py
@@ -154,7 +154,7 @@
         except FileNotFoundError:
             return None
         payloads: list[bytes] = []
-        for found in scan_frames(data, 0, whole=True):
+        for found in scan_frames(data, 0, is_last_chunk=True):
             if isinstance(found, DamagedRange):
                 payloads.clear()
                 break
--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -86,7 +86,7 @@
             return None
         try:
             payloads = []
-            for found in scan_frames(data, 0, whole=True):
+            for found in scan_frames(data, 0, is_last_chunk=True):
                 if isinstance(found, DamagedRange):
                     # The lost row may be a promise that was answered, so the whole table is unusable.
                     raise msgspec.DecodeError(f"damage at {found.offset}")
--- a/cedarwick/store/bodies.py
+++ b/cedarwick/store/bodies.py
@@ -1,6 +1,6 @@
-"""The bodies of stored messages: a bounded cache in memory, and reading the others back from their segment files.
+"""The bodies of stored messages: a bounded cache in memory; other bodies are read from their segment files.
 
-Called by `journal.Store` and by compaction. Sizes and file offsets are in bytes.
+Used by `journal.Store` and by compaction. Sizes and file offsets are in bytes.
 """
 
 import zlib
@@ -13,14 +13,14 @@
 
 
 class BodyLostError(CedarwickError):
-    """A body cannot be read back."""
+    """A stored body cannot be read."""
 
     code = "CW203"
-    remedy = "look at the disk; the message is answered without it, so tell its sender"
+    remedy = "check the disk; the message gets its final answer without another attempt, so inform its client"
 
 
 class BodyCache:
-    """Holds bodies in memory up to `max_bytes` bytes; the oldest are released first."""
+    """Holds bodies in memory up to `max_bytes` bytes; the oldest are evicted first."""
 
     def __init__(self, folder: Folder, max_bytes: int) -> None:
         self.folder = folder
@@ -29,9 +29,9 @@
         self.cached_bytes = 0
 
     def add(self, stored: StoredMessage, messages: dict[int, StoredMessage]) -> None:
-        """Hold one more body and release the oldest beyond the bound.
+        """Add the body of a message and evict the oldest ones beyond the limit.
 
-        `messages` are all unfinished messages of the store, by number.
+        `messages`: all unfinished messages of the store, by number.
         """
         self.cached_numbers.append(stored.number)
         self.cached_bytes += stored.body_size
@@ -39,8 +39,8 @@
             oldest = messages.get(self.cached_numbers.popleft())
             if oldest is not None and oldest.body is not None:
                 self.release(oldest)
-        # Numbers of messages that have ended must be dropped, or the queue would grow without bound. Only a bounded
-        # part is checked at each call: a scan of the whole queue would delay the dispatcher's round.
+        # Numbers of finished messages must be removed, or the queue would grow without bound. Each call checks only a
+        # bounded part of the queue, since a full scan would delay the decision round.
         while self.cached_numbers and (
             self.cached_numbers[0] not in messages or messages[self.cached_numbers[0]].body is None
         ):
@@ -52,13 +52,13 @@
                     self.cached_numbers.append(number)
 
     def release(self, stored: StoredMessage) -> None:
-        """Drop the body from memory; if it is needed again it is read from the folder."""
+        """Remove the body of a message from memory; it can still be read from the segment file."""
         if stored.body is not None:
             stored.body = None
             self.cached_bytes -= stored.body_size
 
     def read(self, stored: StoredMessage, segments: dict[int, Segment]) -> bytes:
-        """Read a body from its segment file; raises `BodyLostError` if that fails or the checksum does not match."""
+        """Read a body from its segment file; raises `BodyLostError` if that fails or its checksum does not match."""
         if not stored.body_size:
             return b""
         segment = segments[stored.segment_number]
@@ -70,6 +70,6 @@
             raise BodyLostError(f"{segment_name(stored.segment_number)} at {stored.body_offset}: {error}") from None
         if zlib.crc32(body) != stored.body_checksum:
             raise BodyLostError(
-                f"{segment_name(stored.segment_number)} at {stored.body_offset}: the body's checksum is wrong"
+                f"{segment_name(stored.segment_number)} at {stored.body_offset}: the body checksum does not match"
             )
         return body
--- a/cedarwick/store/compaction.py
+++ b/cedarwick/store/compaction.py
@@ -1,7 +1,8 @@
 """Compaction: copies live records from an old segment to the active one in bounded steps, then deletes the old file.
 
-`compaction_planner.py` decides which segment and how many bytes; this module does the work. `journal.Store` calls
-`step` between two rounds of the dispatcher, and `find_room` when a record does not fit. Sizes are in bytes.
+`compaction_planner.py` decides which segment to compact and how many bytes to move; this module moves them.
+`journal.Store` calls `step` between two decision rounds, and `free_space` when a record does not fit. Sizes are in
+bytes.
 """
 
 from collections import deque
@@ -18,13 +19,13 @@
 from cedarwick.store.segment_writer import ObsoleteFile, PendingRecord, SegmentWriter
 from cedarwick.store.segments import Segment, SegmentIndex
 
-MIN_STEP_BYTES = 1 << 13  # bytes appended before a step checks whether there is work
-RETRY_STEPS = 64  # steps after which a segment that could not be moved is tried again
-MAX_INLINE_STEPS = 16  # inline steps (made while a record waits for room) for one short record
+MIN_STEP_BYTES = 1 << 13  # a step does nothing until so many bytes were appended since the last one
+RETRY_STEPS = 64  # steps until a segment that could not be compacted is retried
+MAX_INLINE_STEPS = 16  # inline steps (run because a record does not fit) per short record
 
 
 class CompactedStore(Protocol):
-    """The part of `journal.Store` that compaction uses. Sizes are in bytes."""
+    """The part of `journal.Store` that compaction uses."""
 
     durable: bool
     limit_bytes: int
@@ -40,11 +41,11 @@
         ...
 
     def sizes(self) -> compaction_planner.Sizes:
-        """The sizes of the folder in bytes, for the planner."""
+        """Return the sizes of the folder for the planner."""
         ...
 
     def update_free_bytes(self) -> None:
-        """Compute anew how many bytes are free."""
+        """Recompute the free bytes."""
         ...
 
     def write_pending(self) -> None:
@@ -65,21 +66,21 @@
 
 
 class Compactor:
-    """Empties one segment at a time, the victim; each live record is appended to the store again."""
+    """Compacts one segment at a time, the victim, by appending each of its live records to the store again."""
 
     def __init__(self, store: CompactedStore, max_step_bytes: int) -> None:
-        """`most_step`: the most bytes that one step moves."""
+        """`max_step_bytes`: the most bytes that one step moves."""
         self.store = store
         self.max_step_bytes = max_step_bytes
         self.victim: Segment | None = None
-        self.numbers_to_move: list[int] = []  # numbers of messages whose records in the victim must still be moved
-        self.retry_at_step: dict[int, int] = {}  # segments that cannot be moved now, and the step at which to try again
+        self.numbers_to_move: list[int] = []  # messages with records in the victim
+        self.retry_at_step: dict[int, int] = {}  # by segment that could not be compacted
         self.steps = 0
-        self.inline_steps = 0  # inline steps since the start
-        self.inline_steps_since_step = 0  # inline steps since the last `step`
+        self.inline_steps = 0  # since the start
+        self.inline_steps_since_step = 0  # since the last `step`
 
     def step(self) -> None:
-        """Move a bounded number of bytes, as many as the planner says; called between two rounds."""
+        """Move as many bytes as the planner decides, a bounded number; called between two decision rounds."""
         self.inline_steps_since_step = 0
         if (
             self.store.writer.appended_bytes < min(MIN_STEP_BYTES, self.store.writer.max_segment_bytes // 8)
@@ -96,34 +97,34 @@
             self.store.write_pending()
         except NoSpaceError:
             pass
-        victim = self._choose_victim(short=False)
+        victim = self._choose_victim(space_is_short=False)
         if victim is None:
             return
-        size = compaction_planner.CompactionCandidate(victim.number, victim.file_bytes, victim.live_bytes)
-        wanted = compaction_planner.bytes_to_move(self.store.sizes(), size, appended)
-        if wanted or victim.is_obsolete:
-            self.compact_victim(min(wanted, self.max_step_bytes), short=False)
+        candidate = compaction_planner.CompactionCandidate(victim.number, victim.file_bytes, victim.live_bytes)
+        budget = compaction_planner.bytes_to_move(self.store.sizes(), candidate, appended)
+        if budget or victim.is_obsolete:
+            self.compact_victim(min(budget, self.max_step_bytes), space_is_short=False)
 
-    def _choose_victim(self, short: bool) -> Segment | None:
-        """The victim under way, or else the best candidate; None if no segment is to be moved."""
+    def _choose_victim(self, space_is_short: bool) -> Segment | None:
+        """Return the current victim, or else the best candidate; None if no segment should be compacted."""
         if self.victim is not None:
             return self.victim
-        self.retry_at_step = {number: until for number, until in self.retry_at_step.items() if until > self.steps}
+        self.retry_at_step = {number: step for number, step in self.retry_at_step.items() if step > self.steps}
         candidates = (
             compaction_planner.CompactionCandidate(each.number, each.file_bytes, each.live_bytes)
             for each in self.store.segment_index.segments.values()
             if each is not self.store.writer.active and not each.other_version and each.number not in self.retry_at_step
         )
-        best = compaction_planner.choose_victim(candidates, short)
+        best = compaction_planner.choose_victim(candidates, space_is_short)
         if best is None:
             return None
         self.victim = self.store.segment_index.segments[best.number]
         self.numbers_to_move = self.store.segment_index.records_to_move(self.victim)
         return self.victim
 
-    def compact_victim(self, budget: int, short: bool) -> bool:
-        """Move about `budget` bytes of live records out of the victim; returns False if there is none or it failed."""
-        victim = self._choose_victim(short)
+    def compact_victim(self, budget: int, space_is_short: bool) -> bool:
+        """Move about `budget` bytes of live records out of the victim; False if there is no victim or a move failed."""
+        victim = self._choose_victim(space_is_short)
         if victim is None:
             return False
         moved = 0
@@ -136,23 +137,25 @@
             if not self.numbers_to_move and not victim.unknown_records:
                 self._drop_victim(victim)
         except (NoSpaceError, BodyLostError, OSError) as error:
-            logger.error("{} cannot be compacted now: {}", segment_name(victim.number), describe(error))
+            logger.error("{} cannot be compacted for now: {}", segment_name(victim.number), describe(error))
             self._postpone(victim)
             return False
         return True
 
     def _postpone(self, victim: Segment) -> None:
-        """Give up on a segment for `RETRY_STEPS` steps."""
+        """Skip a segment for the next `RETRY_STEPS` steps."""
         self.retry_at_step[victim.number] = self.steps + RETRY_STEPS
         self.victim, self.numbers_to_move = None, []
 
     def _move_records(self, victim: Segment, number: int) -> int:
-        """Append again what a segment holds of a message; returns the bytes written."""
+        """Append the victim's records of a message again; returns the bytes written."""
         stored = self.store.messages.get(number)
         if stored is not None and stored.segment_number == victim.number:
             if stored.final_answer is not None:
                 stored.body_checksum = 0
-                return self.store.write_message(stored, b"", RecordUse.MOVE)  # a message that has ended needs no body
+                return self.store.write_message(
+                    stored, b"", RecordUse.MOVE
+                )  # after its final answer a message needs no body
             body = (
                 stored.body
                 if stored.body is not None
@@ -168,23 +171,22 @@
         return 0
 
     def _move_unknown_record(self, victim: Segment) -> int:
-        """Append again one record of a kind that this version does not know; returns its size in bytes."""
-        at, size = victim.unknown_records[-1]
+        """Append a record of unknown kind again; returns the size of its payload."""
+        payload_offset, size = victim.unknown_records[-1]
         if victim.descriptor < 0:
             victim.descriptor = self.store.folder.open(segment_name(victim.number), append=False)
-        payload = self.store.folder.read(victim.descriptor, size, at)
-        segment, begin = self.store.append_record(payload, RecordUse.MOVE)
-        self.store.segment_index.add_unknown_record(segment, begin + FRAME_HEADER.size, size)
+        payload = self.store.folder.read(victim.descriptor, size, payload_offset)
+        segment, offset = self.store.append_record(payload, RecordUse.MOVE)
+        self.store.segment_index.add_unknown_record(segment, offset + FRAME_HEADER.size, size)
         victim.unknown_records.pop()
         victim.unknown_bytes -= size
         self.store.segment_index.live_bytes -= size
         return size
 
     def _drop_victim(self, victim: Segment) -> None:
-        """No record of a segment is needed any more: append a drop record and delete its file."""
-        if (
-            not victim.is_obsolete
-        ):  # records were added while it was being moved, which happens only after a failed write
+        """Append a drop record for a victim without needed records and delete its file."""
+        if not victim.is_obsolete:
+            # Records were added to it during its compaction, which happens only after a failed write.
             self.numbers_to_move = self.store.segment_index.records_to_move(victim)
             if not self.numbers_to_move:
                 self._postpone(victim)
@@ -198,14 +200,14 @@
         self.store.writer.obsolete_files.append(
             ObsoleteFile(segment_name(victim.number), compaction_planner.round_up_to_blocks(victim.file_bytes))
         )
-        # With `durable`, the file is deleted only after the next flush: were it deleted before its moved records are
-        # on the disk, a power cut would lose them.
+        # With `durable`, the file is deleted after the next flush: a power failure would lose the moved records if the
+        # old file were gone before they are on the disk.
         if not self.store.durable:
             self.delete_obsolete_files()
 
     def delete_obsolete_files(self) -> None:
-        """Delete the files of dropped segments; those that cannot be deleted stay listed for the next call."""
-        left = []
+        """Delete the files of dropped segments; those that cannot be deleted stay listed and are retried."""
+        remaining = []
         for name, size in self.store.writer.obsolete_files:
             try:
                 self.store.folder.unlink(name)
@@ -214,27 +216,30 @@
                 self.store.writer.used_bytes -= size
             except OSError as error:
                 logger.error(DiskError(f"{name} cannot be deleted: {error}").line)
-                left.append(ObsoleteFile(name, size))
-        self.store.writer.obsolete_files = left
+                remaining.append(ObsoleteFile(name, size))
+        self.store.writer.obsolete_files = remaining
 
-    def free_space(self, grows: int, use: RecordUse) -> None:
-        """Compact at once because a record does not fit; raises `NoSpaceError` if that does not free enough.
+    def free_space(self, growth_bytes: int, use: RecordUse) -> None:
+        """Compact inline because a record does not fit; raises `NoSpaceError` if that does not free enough.
 
-        `grows`: bytes by which the record makes the active segment's file grow, in whole blocks.
+        `growth_bytes`: bytes, in whole blocks, by which the record makes the active segment's file grow.
         """
-        floor = compaction_planner.reserved_bytes(self.store.sizes()) - (
+        reserve = compaction_planner.reserved_bytes(self.store.sizes()) - (
             0 if use is RecordUse.NEW_MESSAGE else compaction_planner.SHORT_RECORD_SLACK_BYTES
         )
-        turns = 0 if use is RecordUse.SHORT_RECORD else self.inline_steps_since_step
-        while grows and self.store.limit_bytes - self.store.writer.used_bytes - grows < floor:
-            turns += 1
+        steps = 0 if use is RecordUse.SHORT_RECORD else self.inline_steps_since_step
+        while growth_bytes and self.store.limit_bytes - self.store.writer.used_bytes - growth_bytes < reserve:
+            steps += 1
             self.inline_steps += 1
             self.inline_steps_since_step += 1
-            # New messages share one inline step between two calls of `step`: were each to compact for itself, a round
-            # with many messages would block.
-            if turns > (MAX_INLINE_STEPS if use is RecordUse.SHORT_RECORD else 1) or not self.compact_victim(
-                self.max_step_bytes, short=True
+            # New messages share one inline step between two calls of `step`; one for each would block a round with many
+            # new messages.
+            if steps > (MAX_INLINE_STEPS if use is RecordUse.SHORT_RECORD else 1) or not self.compact_victim(
+                self.max_step_bytes, space_is_short=True
             ):
-                if use is RecordUse.SHORT_RECORD and self.store.limit_bytes - self.store.writer.used_bytes - grows >= 0:
+                if (
+                    use is RecordUse.SHORT_RECORD
+                    and self.store.limit_bytes - self.store.writer.used_bytes - growth_bytes >= 0
+                ):
                     return  # short records may use the reserve
-                raise NoSpaceError("the folder is full")
+                raise NoSpaceError("the folder is at its size limit")
--- a/cedarwick/store/health_file.py
+++ b/cedarwick/store/health_file.py
@@ -1,8 +1,8 @@
-"""What the sender knows of outages, in a file of its folder: a process that starts must know what its predecessor knew.
+"""Stores the health of receivers in the state folder, so that a restarted sender knows of current outages.
 
-`health.jsonl` has a JSON object a line, the newest of a receiver counts. A receiver in service has none, or one that
-says so. A line that a crash cut off is left out; a write that fails is made up for by writing the whole file anew.
-Times are microseconds.
+`health.jsonl` has one JSON object per line; the last line of a receiver counts. A receiver in service has no line, or
+one that says so. A line that a crash cut off is ignored; after a failed write the whole file is rewritten. Times are
+microseconds.
 """
 
 import json
@@ -14,39 +14,39 @@
 from cedarwick.store.elapsed_time import Moment, MomentClock, elapsed
 from cedarwick.store.files import Folder, ignore_os_error
 
-NAME = "health.jsonl"
-FRESH_NAME = "health.jsonl.new"  # the whole file as it is written anew, before it replaces the old one
-MAX_FILE_BYTES = 1 << 24  # more was not written by this module
-LEAST_REWRITE_BYTES = 1 << 15  # a smaller file is only appended to
-REWRITE_FACTOR = 4  # a file that has grown so many times since it was written anew is written anew again
-READ_ATTEMPTS = 5  # at the start
-MAX_ENTRIES = 1 << 13  # beyond that the oldest go: those of receivers that left the list while no process ran
-RETRY_INTERVAL = 100_000  # between two attempts to write the file anew after a write that failed
+FILE_NAME = "health.jsonl"
+NEW_FILE_NAME = "health.jsonl.new"  # the rewritten file, before it replaces the old one
+MAX_FILE_BYTES = 1 << 24  # this module writes no larger file
+MIN_REWRITE_BYTES = 1 << 15  # a smaller file is not rewritten
+REWRITE_FACTOR = 4  # the file is rewritten once it has grown by this factor
+READ_ATTEMPTS = 5  # when the file is loaded
+MAX_ENTRIES = 1 << 13  # the oldest beyond it are dropped: receivers that left the endpoint list while no process ran
+RETRY_INTERVAL_US = 100_000  # between attempts to rewrite the file after a failed write
 
 
 class HealthFileError(CedarwickError):
-    """The file of receivers' health cannot be read or written as a whole."""
+    """The file with the health of receivers could not be read or written completely."""
 
     code = "CW210"
-    remedy = "look at the disk: its free space and its health; until it takes writes, a restart may forget an outage"
+    remedy = "check the disk: free space and health; until writes succeed, a restarted sender may not know of an outage"
 
 
 class HealthKey(NamedTuple):
-    """Whom a line is about."""
+    """The subject of a line."""
 
-    uid: str  # empty: the receivers of the destination that have left the list
+    uid: str  # empty: all receivers of the destination that have left the endpoint list
     destination: int
 
 
 class HealthEntry(NamedTuple):
-    """The health of one receiver at a moment; `age` is how long the outage had lasted then."""
+    """The health of a receiver when it was recorded; `health.age` is the duration of the outage up to then."""
 
     health: EarlierHealth
     recorded_at: Moment
 
 
 class HealthFile:
-    """Holds the health of receivers that are not in service, or whose rate was cut; the folder's owner writes it."""
+    """The health of receivers that are not in service or whose rate was cut; written by the owner of the folder."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         durable: bool = False,
         clock: MomentClock | None = None,
     ) -> None:
-        """`warn` takes the kind of a warning and its detail; with `durable`, `sync` forces each write to the disk."""
+        """`warn` takes the kind of a warning and its detail; with `durable`, `sync` syncs writes to the disk."""
         self.folder = folder
         self.warn = warn
         self.durable = durable
@@ -64,24 +64,24 @@
         self.file = -1
         self.size = 0
         self.rewritten_size = 0
-        self.unsaved = False  # the file says less than `entries`
+        self.unsaved = False  # a write has failed, so the file lacks some of `entries`
         self.unsynced = False
-        self.complete = True  # whether all that an earlier process wrote was read
-        self.retry_at = 0  # by the clock's uptime
+        self.complete = True  # whether everything that an earlier process wrote was read
+        self.retry_at = 0  # uptime
 
     def load(self) -> dict[HealthKey, EarlierHealth]:
-        """Read what an earlier process left, write it anew, and return it with the ages of now.
+        """Read the file of an earlier process, rewrite it, and return its entries with their present ages.
 
-        Where part of it cannot be read, `complete` is false: any receiver may have been out.
+        If part of the file cannot be read, `complete` is set to False: any receiver may have had an outage.
         """
         data = self._read_with_retries()
-        *lines, torn = data.split(b"\n")
+        *lines, partial_line = data.split(b"\n")
         for line in lines:
             self._read_line(line)
         for oldest in list(self.entries)[:-MAX_ENTRIES]:
             del self.entries[oldest]
-        if torn:
-            self._report_incomplete(f"its last line was cut off: {len(torn)} bytes")
+        if partial_line:
+            self._report_incomplete(f"the last line was cut off after {len(partial_line)} bytes")
         if data or not self.complete:
             self._rewrite()
         now = self.clock.now()
@@ -93,28 +93,28 @@
         }
 
     def record(self, uid: str, health: EarlierHealth) -> None:
-        """Store a change of a receiver's health; where the disk refuses it, `retry` stores it later."""
+        """Store a change of a receiver's health; if the write fails, `retry` stores it later."""
         key, entry = HealthKey(uid, health.destination), HealthEntry(health, self.clock.now())
         known = self.entries.pop(key, None)
-        if matters(health):
+        if is_worth_recording(health):
             self.entries[key] = entry
         elif known is None:
-            return  # nothing in the file says otherwise
+            return  # the file has no entry to replace
         if self.unsaved:
             self.retry()
             return
-        if self.size > max(LEAST_REWRITE_BYTES, REWRITE_FACTOR * self.rewritten_size):
+        if self.size > max(MIN_REWRITE_BYTES, REWRITE_FACTOR * self.rewritten_size):
             self._rewrite()
             return
-        self._append(line_of(key, entry))
+        self._append(encode_line(key, entry))
 
     def retry(self) -> None:
-        """Write the file anew if a write has failed and the disk has had a moment since."""
+        """Rewrite the file if a write has failed at least `RETRY_INTERVAL_US` ago."""
         if self.unsaved and self.clock.now().uptime >= self.retry_at:
             self._rewrite()
 
     def sync(self, call: Callable[..., object]) -> None:
-        """With `durable`, sync what was written; `call` runs the blocking sync elsewhere."""
+        """With `durable`, sync what was written; `call` runs the blocking sync, for example in a thread pool."""
         if self.unsynced and self.file >= 0:
             self.unsynced = False
             try:
@@ -143,13 +143,13 @@
 
     def _report_incomplete(self, detail: str) -> None:
         self.complete = False
-        self.warn("receivers' health cannot be read", HealthFileError(f"{NAME}: {detail}"))
+        self.warn("receivers' health cannot be read", HealthFileError(f"{FILE_NAME}: {detail}"))
 
     def _read(self) -> bytes:
-        size = self.folder.size(NAME)
+        size = self.folder.size(FILE_NAME)
         if size > MAX_FILE_BYTES:
             raise OSError(0, f"larger than {MAX_FILE_BYTES} bytes")
-        file = self.folder.open(NAME, append=False)
+        file = self.folder.open(FILE_NAME, append=False)
         try:
             data = b""
             while part := self.folder.read(file, size - len(data), len(data)):
@@ -160,12 +160,12 @@
 
     def _read_line(self, line: bytes) -> None:
         try:
-            key, entry = entry_of(json.loads(line))
+            key, entry = decode_line(json.loads(line))
         except (ValueError, KeyError, TypeError) as error:
-            self._report_incomplete(f"a line: {error!r}")
+            self._report_incomplete(f"cannot decode a line: {error!r}")
             return
         self.entries.pop(key, None)
-        if matters(entry.health):
+        if is_worth_recording(entry.health):
             self.entries[key] = entry
 
     # ---- writing ----
@@ -173,22 +173,22 @@
     def _append(self, data: bytes) -> None:
         try:
             if self.file < 0:
-                self.file = self._create(NAME)
+                self.file = self._create(FILE_NAME)
             self._write(self.file, data)
         except OSError as error:
             self._report_failed_write(error)
 
     def _rewrite(self) -> None:
-        """Replace the file by one that holds only what counts."""
+        """Replace the file by one that holds only the current entries."""
         self.close()
-        ignore_os_error(self.folder.unlink, FRESH_NAME)
+        ignore_os_error(self.folder.unlink, NEW_FILE_NAME)
         try:
-            self.file = self._create(FRESH_NAME)
+            self.file = self._create(NEW_FILE_NAME)
             if self.entries:
-                self._write(self.file, b"".join(line_of(key, entry) for key, entry in self.entries.items()))
+                self._write(self.file, b"".join(encode_line(key, entry) for key, entry in self.entries.items()))
             if self.durable:
-                self.folder.sync(self.file)  # else a power failure may leave the new name without its contents
-            self.folder.rename(FRESH_NAME, NAME)
+                self.folder.sync(self.file)  # or a power failure may leave the renamed file without its contents
+            self.folder.rename(NEW_FILE_NAME, FILE_NAME)
         except OSError as error:
             self.close()
             self._report_failed_write(error)
@@ -202,28 +202,28 @@
         return file
 
     def _write(self, file: int, data: bytes) -> None:
-        left = data
-        while left:
-            written = self.folder.append(file, left)
+        remaining = data
+        while remaining:
+            written = self.folder.append(file, remaining)
             if not written:
-                raise OSError(0, "nothing was written")
-            left = left[written:]
+                raise OSError(0, "the write returned 0 bytes")
+            remaining = remaining[written:]
         self.size += len(data)
         self.unsynced = self.durable
 
     def _report_failed_write(self, error: OSError) -> None:
         self.unsaved = True
-        self.retry_at = self.clock.now().uptime + RETRY_INTERVAL
-        self.warn("receivers' health is not saved", HealthFileError(f"{NAME}: {error.strerror}"))
+        self.retry_at = self.clock.now().uptime + RETRY_INTERVAL_US
+        self.warn("receivers' health is not saved", HealthFileError(f"{FILE_NAME}: {error.strerror}"))
 
 
-def matters(health: EarlierHealth) -> bool:
-    """Whether a process that starts has to know this."""
+def is_worth_recording(health: EarlierHealth) -> bool:
+    """Whether a restarted sender needs this health."""
     return health.state is not HealthState.IN_SERVICE or health.cut_rate > 0
 
 
-def line_of(key: HealthKey, entry: HealthEntry) -> bytes:
-    """One line of the file."""
+def encode_line(key: HealthKey, entry: HealthEntry) -> bytes:
+    """Encode an entry as one line of the file."""
     health = entry.health
     record = {
         "receiver": key.uid,
@@ -240,8 +240,8 @@
     return json.dumps(record).encode() + b"\n"
 
 
-def entry_of(record: Any) -> tuple[HealthKey, HealthEntry]:
-    """Decode a line; raises ValueError, KeyError or TypeError where it is none of this module's."""
+def decode_line(record: Any) -> tuple[HealthKey, HealthEntry]:
+    """Decode the JSON object of a line; raises ValueError, KeyError or TypeError if it is malformed."""
     health = EarlierHealth(
         int(record["destination"]),
         HealthState(record["state"]),
--- a/cedarwick/store/legacy_format.py
+++ b/cedarwick/store/legacy_format.py
@@ -1,4 +1,4 @@
-"""Reads the first version's format: one `.log` file that was rewritten whole. `journal.Store.load` converts it once."""
+"""Reads format version 1, a single `.log` file that was rewritten as a whole; `journal.Store.load` converts it once."""
 
 import struct
 import zlib
@@ -10,22 +10,22 @@
 from cedarwick.store.files import LEGACY_FILE_PATTERN, Folder, file_numbers
 from cedarwick.store.records import OUTCOMES, InvalidRecordError, StoredMessage, decode_texts
 
-HEAD = struct.Struct("<II")  # length of the payload, checksum
-MESSAGE, ATTEMPT, OUTCOME, END, OVER, WHOLE = range(1, 7)
+FRAME_HEADER = struct.Struct("<II")  # payload length, checksum
+MESSAGE, ATTEMPT, OUTCOME, FINAL_ANSWER, FINISHED, SNAPSHOT = range(1, 7)
 MESSAGE_BODY = struct.Struct("<BQQQIHHHH")
 ATTEMPT_BODY = struct.Struct("<BQQH")
 OUTCOME_BODY = struct.Struct("<BQB")
-END_BODY = struct.Struct("<BQBI")
-OVER_BODY = struct.Struct("<BQ")
+FINAL_ANSWER_BODY = struct.Struct("<BQBI")
+FINISHED_BODY = struct.Struct("<BQ")
 MAX_PAYLOAD_BYTES = 1 << 20
 
 
 def read(folder: Folder, until: int) -> tuple[dict[int, StoredMessage], int, list[int]]:
-    """Read the files numbered above `until`; returns messages by number, the next message number, and the file numbers.
+    """Read the files with numbers above `until`; returns messages by number, the next message number and file numbers.
 
     Raises OSError if a file cannot be read.
     """
-    stored: dict[int, StoredMessage] = {}
+    messages: dict[int, StoredMessage] = {}
     next_number = 1
     files = [number for number in file_numbers(folder.names(), LEGACY_FILE_PATTERN) if number > until]
     for number in files:
@@ -37,32 +37,32 @@
             folder.close(file)
         for payload in payloads(data):
             try:
-                next_number = max(next_number, replay(stored, payload))
+                next_number = max(next_number, replay(messages, payload))
             except (struct.error, ValueError, IndexError, UnicodeDecodeError) as error:
-                # Skip it: one unreadable record must not prevent the sender from starting.
-                logger.error(InvalidRecordError(f"a record of the first format in {name} cannot be read: {error}").line)
-    return stored, next_number, files
+                # Skipped, since one unreadable record must not prevent the sender from starting.
+                logger.error(InvalidRecordError(f"cannot decode a record of format version 1 in {name}: {error}").line)
+    return messages, next_number, files
 
 
-def replay(stored: dict[int, StoredMessage], payload: bytes) -> int:
-    """Apply one record to `stored`; returns the lowest message number that it leaves free (1 if it names none)."""
+def replay(messages: dict[int, StoredMessage], payload: bytes) -> int:
+    """Apply a record to `messages`; returns the next message number after a message record, otherwise 1."""
     kind = payload[0]
-    if kind == WHOLE:
-        stored.clear()  # this file holds all that was live when it was begun
+    if kind == SNAPSHOT:
+        messages.clear()  # this file contains all messages that were live when it was created
     elif kind == MESSAGE:
-        _, number, limit, turn, destination, *sizes = MESSAGE_BODY.unpack_from(payload)
+        _, number, deadline, order_key, destination, *sizes = MESSAGE_BODY.unpack_from(payload)
         texts, at = decode_texts(payload, MESSAGE_BODY.size, sizes)
         id, key, priority_class, tenant = texts
         body = payload[at:]
-        stored[number] = StoredMessage(
+        messages[number] = StoredMessage(
             number,
             id,
             key,
-            turn,
+            order_key,
             priority_class,
             tenant,
             destination,
-            limit,
+            deadline,
             body,
             body_size=len(body),
             body_checksum=zlib.crc32(body),
@@ -70,31 +70,31 @@
         return int(number) + 1
     elif kind == ATTEMPT:
         _, number, sent_at, zone = ATTEMPT_BODY.unpack(payload)
-        if number in stored:
-            stored[number].apply_attempt(sent_at, zone)
+        if number in messages:
+            messages[number].apply_attempt(sent_at, zone)
     elif kind == OUTCOME:
         _, number, outcome = OUTCOME_BODY.unpack(payload)
-        if number in stored:
+        if number in messages:
             if OUTCOMES[outcome] is Outcome.COMPLETED:
-                del stored[number]
+                del messages[number]
             else:
-                stored[number].apply_outcome(OUTCOMES[outcome].never_ran)
-    elif kind == END:
-        _, number, rejected, wait = END_BODY.unpack(payload)
-        if number in stored:
-            stored[number].final_answer = (bool(rejected), wait)
-    elif kind == OVER:
-        stored.pop(OVER_BODY.unpack(payload)[1], None)
+                messages[number].apply_outcome(OUTCOMES[outcome].never_ran)
+    elif kind == FINAL_ANSWER:
+        _, number, rejected, wait = FINAL_ANSWER_BODY.unpack(payload)
+        if number in messages:
+            messages[number].final_answer = (bool(rejected), wait)
+    elif kind == FINISHED:
+        messages.pop(FINISHED_BODY.unpack(payload)[1], None)
     return 1
 
 
 def payloads(data: bytes) -> Iterator[bytes]:
-    """The payloads of a file up to the first torn or damaged record."""
+    """Yield the payloads of a file up to the first partial or damaged record."""
     at = 0
-    while at + HEAD.size <= len(data):
-        size, checksum = HEAD.unpack_from(data, at)
-        payload = data[at + HEAD.size : at + HEAD.size + size]
+    while at + FRAME_HEADER.size <= len(data):
+        size, checksum = FRAME_HEADER.unpack_from(data, at)
+        payload = data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + size]
         if not 0 < size <= MAX_PAYLOAD_BYTES or len(payload) < size or zlib.crc32(payload) != checksum:
             return
         yield payload
-        at += HEAD.size + size
+        at += FRAME_HEADER.size + size
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -1,9 +1,9 @@
 """Rebuilds the state of a folder by replaying its segments in order, in bounded memory. It writes nothing.
 
-The newest segment's header names every other live segment, and its drop records name those deleted since; this tells
-missing segments, leftover files and damage apart. Where records may be lost, every message live at that point is put
-in doubt: an attempt without a record may have run. Called by `journal.Store.load` and by `tools.py`; times are
-wall-clock microseconds, sizes and offsets bytes.
+The newest segment's header lists every other live segment, and its drop records list those deleted since; this
+distinguishes missing segments, leftover files and damage. Where records may be lost, every message live at that point
+is marked: an attempt without a record may have run. Called by `journal.Store.load` and by `tools.py`. Times are
+wall-clock microseconds; sizes and offsets are bytes.
 """
 
 from collections.abc import Iterator
@@ -43,22 +43,22 @@
 )
 from cedarwick.store.segments import Report, Segment, SegmentIndex
 
-CHUNK_BYTES = 1 << 20  # bytes read at once
-SECTOR_BYTES = 1 << 12  # bytes read at once where the disk reports an error
+CHUNK_BYTES = 1 << 20  # read at once
+SECTOR_BYTES = 1 << 12  # read at once where the disk reports an error
 
 
 class FolderDamagedError(CedarwickError):
-    """A part of the folder is missing or does not match its checksums; the rest is gone on with."""
+    """A part of the folder is missing or does not match its checksums; the rest stays in use."""
 
     code = "CW208"
-    remedy = "keep a copy of the folder and look at the disk; what is in doubt is answered by itself"
+    remedy = "keep a copy of the folder and check the disk; messages with lost records still get their final answer"
 
 
 class StoreVersionError(CedarwickError):
     """A segment was written by another version of the program."""
 
     code = "CW209"
-    remedy = "start the version that wrote it on this folder and let it end what it owes"
+    remedy = "run the version that wrote it on this folder until it has answered its messages"
 
 
 @dataclass
@@ -68,16 +68,16 @@
     segment_index: SegmentIndex = field(default_factory=SegmentIndex)
     next_message: int = 1
     last_legacy_file: int = 0
-    last_segment: int = 0  # the highest segment number seen, live or not
-    leftover_files: list[str] = field(default_factory=list)  # files that can be deleted
-    newest_valid_bytes: int = -1  # valid bytes of the newest segment; -1: nothing may be appended to it
+    last_segment: int = 0  # the highest segment number found, live or not
+    leftover_files: list[str] = field(default_factory=list)  # files that are not needed
+    newest_valid_bytes: int = -1  # of the newest segment; -1: nothing may be appended to it
     damaged: bool = False
     record_count: int = 0
     unknown_record_count: int = 0
 
 
 def recover(folder: Folder, report: Report) -> Recovered:
-    """Replay a folder and return its state; each finding is passed to `say` as one line.
+    """Replay a folder and return its state; each finding is passed to `report` as one line.
 
     Raises OSError if the folder cannot be read; bytes that the disk cannot read count as damage.
     """
@@ -87,30 +87,30 @@
     headers = {number: read_segment_header(folder, number) for number in present}
     for name in names:
         if name.endswith(".seg") and not (name[:8].isdigit() and len(name) == 12):
-            report(f"{name} is no segment of this journal and is left alone")
+            report(f"{name} is not a segment of this journal; ignored")
     for number, header in list(headers.items()):
         if header is not None and header.number != number:
-            report(f"{segment_name(number)} is a copy of segment {header.number} and is left out")
+            report(f"{segment_name(number)} is a copy of segment {header.number}; ignored")
             present.remove(number)
             del headers[number]
     found.last_segment = max([*present, 0])
     newest = max((number for number, header in headers.items() if header and header.version == VERSION), default=0)
     newest_header = headers.get(newest)
     expected, lengths = find_live_segments(folder, found, present, newest_header, newest, report)
-    doubt_from = 0
+    lost_since = 0
     for number in sorted(expected):
         header = headers.get(number)
         if number not in present:
             report(
                 FolderDamagedError(
-                    f"{segment_name(number)} is missing: what it held is lost, "
-                    f"{len(found.segment_index.messages)} messages are put in doubt"
+                    f"{segment_name(number)} is missing and its records are lost; "
+                    f"{len(found.segment_index.messages)} messages may have unrecorded attempts"
                 ).line
             )
-            mark_in_doubt(found, doubt_from)
+            mark_records_lost(found, lost_since)
             continue
-        doubt_from = header.created_at if header else doubt_from
-        read_segment(folder, found, number, header, lengths.get(number), number == max(expected), doubt_from, report)
+        lost_since = header.created_at if header else lost_since
+        read_segment(folder, found, number, header, lengths.get(number), number == max(expected), lost_since, report)
     if newest_header is not None:
         found.next_message = max(found.next_message, newest_header.next_message)
         found.last_legacy_file = newest_header.last_legacy_file
@@ -120,7 +120,7 @@
 def find_live_segments(
     folder: Folder, found: Recovered, present: list[int], newest_header: Header | None, newest: int, report: Report
 ) -> tuple[set[int], dict[int, int]]:
-    """The numbers of the segments that should exist, and the valid lengths in bytes of those that were sealed."""
+    """Return the numbers of the segments that should exist, and the valid bytes of the sealed ones."""
     expected, lengths = set(present), {}
     if newest_header is not None:
         lengths = dict(newest_header.other_segments)
@@ -131,16 +131,16 @@
         found.leftover_files = [segment_name(number) for number in present if number not in expected]
     for number in [number for number in expected if number > newest and number in present]:
         records = [each for each in read_records(folder, segment_name(number), None) if isinstance(each, Frame)]
-        if not records:  # its creation was interrupted, so it holds nothing that was acknowledged
+        if not records:  # its creation was interrupted, so nothing in it was acknowledged
             expected.discard(number)
             found.leftover_files.append(segment_name(number))
     if found.leftover_files:
-        report(f"left over and not needed: {', '.join(found.leftover_files)}")
+        report(f"files that are not needed: {', '.join(found.leftover_files)}")
     return expected, lengths
 
 
 def read_segment_header(folder: Folder, number: int) -> Header | None:
-    """The header of a segment; None if it has none that can be read."""
+    """Return the header of a segment; None if it has no readable header."""
     for each in read_records(folder, segment_name(number), None):
         if isinstance(each, Frame) and each.offset == 0 and each.payload[0] == HEADER:
             try:
@@ -158,68 +158,75 @@
     header: Header | None,
     length: int | None,
     last: bool,
-    doubt_from: int,
+    lost_since: int,
     report: Report,
 ) -> None:
-    """Replay one segment; damage in it puts all messages live at that point in doubt.
-
-    `length`: the valid bytes recorded when it was sealed, None if unknown; `last`: it is the newest segment;
-    `doubt_from`: wall-clock microseconds, the time from which records may be lost.
+    """Replay one segment; after damage, all messages live at that point may have unrecorded attempts.
+
+    Args:
+        folder: the folder of the segment.
+        found: the state to which the records are applied.
+        number: the segment's number.
+        header: its header; None if it cannot be read.
+        length: its valid bytes as recorded when it was sealed; None if unknown.
+        last: whether it is the newest segment.
+        lost_since: the time from which records may be lost.
+        report: called with each finding.
     """
     name = segment_name(number)
-    physical = folder.size(name)
-    segment = Segment(number, header.created_at if header else doubt_from, file_bytes=physical)
+    file_bytes = folder.size(name)
+    segment = Segment(number, header.created_at if header else lost_since, file_bytes=file_bytes)
     found.segment_index.add_segment(segment)
     if header is not None and header.version != VERSION:
         report(
             StoreVersionError(
-                f"{name} is of version {header.version}, this program knows {VERSION}: it is left alone, and "
-                f"{len(found.segment_index.messages)} messages are put in doubt"
+                f"{name} has format version {header.version}, this program supports {VERSION}: not read; "
+                f"{len(found.segment_index.messages)} messages may have unrecorded attempts"
             ).line
         )
         segment.other_version = True
-        found.segment_index.live_bytes += physical
-        segment.valid_bytes = physical
-        mark_in_doubt(found, doubt_from)
+        found.segment_index.live_bytes += file_bytes
+        segment.valid_bytes = file_bytes
+        mark_records_lost(found, lost_since)
         return
-    if length is not None and physical < length:
-        report(FolderDamagedError(f"{name} is cut off at {physical}, {length} bytes were written").line)
-        mark_in_doubt(found, doubt_from)
-    ended = 0
+    if length is not None and file_bytes < length:
+        report(FolderDamagedError(f"{name} is cut off at {file_bytes} of {length} bytes").line)
+        mark_records_lost(found, lost_since)
+    valid_end = 0
     for each in read_records(folder, name, length):
         if isinstance(each, Frame):
             found.record_count += 1
             segment.header_bytes = segment.header_bytes or FRAME_HEADER.size + len(each.payload)
-            ended = each.offset + FRAME_HEADER.size + len(each.payload)
+            valid_end = each.offset + FRAME_HEADER.size + len(each.payload)
             replay(found, segment, each, report)
             continue
-        if last and each.end_offset >= physical and header is not None:
-            # A write interrupted by the end of the process: it was never acknowledged, so nothing is lost.
-            report(f"{name}: {each.end_offset - each.offset} bytes of a last record that was cut off are left out")
+        if last and each.end_offset >= file_bytes and header is not None:
+            # A write that was interrupted when the process ended; it was not acknowledged, so nothing is lost.
+            report(f"{name}: {each.end_offset - each.offset} bytes of a last record that was cut off are ignored")
             continue
         if header is None and each.offset == 0 and not last:
             report(FolderDamagedError(f"{name}: the header cannot be read").line)
         report(
             FolderDamagedError(
                 f"{name}: bytes {each.offset} to {each.end_offset} are damaged; "
-                f"{len(found.segment_index.messages)} messages are put in doubt"
+                f"{len(found.segment_index.messages)} messages may have unrecorded attempts"
             ).line
         )
-        mark_in_doubt(found, doubt_from)
-    segment.valid_bytes = ended
+        mark_records_lost(found, lost_since)
+    segment.valid_bytes = valid_end
     if last and header is not None:
-        found.newest_valid_bytes = ended
+        found.newest_valid_bytes = valid_end
 
 
-def mark_in_doubt(found: Recovered, since: int) -> None:
-    """Mark every live message: records since `since` are lost, so an attempt may have run without a record."""
+def mark_records_lost(found: Recovered, since: int) -> None:
+    """Mark every live message: records since then are lost, so an unrecorded attempt may have run."""
     found.damaged = True
     for stored in found.segment_index.messages.values():
         stored.records_lost_since = min(filter(None, (stored.records_lost_since, since)), default=1)
 
 
 def replay(found: Recovered, segment: Segment, record: Frame, report: Report) -> None:
-    """Apply one record to the state; one that cannot be decoded is reported to `say` and skipped."""
+    """Apply a record to the state; one that cannot be decoded is passed to `report` and skipped."""
     payload, segment_index = record.payload, found.segment_index
     kind = payload[0]
     if kind in (HEADER, DROP):
@@ -227,37 +234,35 @@
     if kind > DROP:
         found.unknown_record_count += 1
         if found.unknown_record_count == 1:
-            report(
-                f"{segment_name(segment.number)}: a record of the unknown kind {kind} at {record.offset} is retained"
-            )
+            report(f"{segment_name(segment.number)}: a record of unknown kind {kind} at {record.offset} is preserved")
         segment_index.add_unknown_record(segment, record.offset + FRAME_HEADER.size, len(payload))
         if kind < FIRST_UNRELATED_KIND and len(payload) >= MIN_STATE_PAYLOAD_BYTES:
-            doubtful = segment_index.messages.get(STATE_HEAD.unpack_from(payload)[1])
-            if doubtful is not None:
-                doubtful.records_lost_since = min(
-                    filter(None, (doubtful.records_lost_since, segment.created_at)), default=1
+            affected = segment_index.messages.get(STATE_HEAD.unpack_from(payload)[1])
+            if affected is not None:
+                affected.records_lost_since = min(
+                    filter(None, (affected.records_lost_since, segment.created_at)), default=1
                 )
         return
     try:
         if kind == MESSAGE:
-            fresh = decode_message(payload, segment.number, record.offset)
-            found.next_message = max(found.next_message, fresh.number + 1)
-            apply_message(segment_index, segment, fresh)
+            message = decode_message(payload, segment.number, record.offset)
+            found.next_message = max(found.next_message, message.number + 1)
+            apply_message(segment_index, segment, message)
             return
         number = STATE_HEAD.unpack_from(payload)[1]
         stored = segment_index.messages.get(number)
         if stored is None:
             if kind == FINISHED or kind == OUTCOME and OUTCOMES[OUTCOME_BODY.unpack(payload)[2]] is Outcome.COMPLETED:
                 segment_index.move_end_record(number, segment)
-            return  # the message has ended, or its own record is lost
+            return  # the message is finished, or its full record is lost
         apply_short_record(segment_index, segment, stored, kind, payload)
     except (InvalidRecordError, ValueError, IndexError) as error:
         report(
             InvalidRecordError(
-                f"{segment_name(segment.number)}: the record at {record.offset} cannot be read: {error}"
+                f"{segment_name(segment.number)}: cannot decode the record at {record.offset}: {error}"
             ).line
         )
-    except Exception as error:  # struct.error, which is no ValueError
+    except Exception as error:  # struct.error, which is not a ValueError
         report(
             InvalidRecordError(
                 f"{segment_name(segment.number)}: the record at {record.offset} has a wrong length: {error}"
@@ -265,20 +270,22 @@
         )
 
 
-def apply_message(segment_index: SegmentIndex, segment: Segment, fresh: StoredMessage) -> None:
-    """Apply a full record of a message, which replaces older ones; doubt is carried over."""
-    before = segment_index.messages.get(fresh.number)
-    at, weight = fresh.body_offset, fresh.record_size
-    if before is not None:
-        fresh.records_lost_since = min(filter(None, (before.records_lost_since, fresh.records_lost_since)), default=0)
-        fresh.segment_number, fresh.record_size, fresh.short_record_segments = (
-            before.segment_number,
-            before.record_size,
-            before.short_record_segments,
+def apply_message(segment_index: SegmentIndex, segment: Segment, message: StoredMessage) -> None:
+    """Apply a full record of a message, which replaces older ones; `records_lost_since` carries over."""
+    previous = segment_index.messages.get(message.number)
+    body_offset, record_size = message.body_offset, message.record_size
+    if previous is not None:
+        message.records_lost_since = min(
+            filter(None, (previous.records_lost_since, message.records_lost_since)), default=0
+        )
+        message.segment_number, message.record_size, message.short_record_segments = (
+            previous.segment_number,
+            previous.record_size,
+            previous.short_record_segments,
         )
     else:
-        fresh.segment_number = fresh.record_size = 0
-    segment_index.add_full_record(fresh, segment, at, weight)
+        message.segment_number = message.record_size = 0
+    segment_index.add_full_record(message, segment, body_offset, record_size)
 
 
 def apply_short_record(
@@ -287,7 +294,7 @@
     """Apply a short record about a live message."""
     if kind == STATE:
         apply_state(stored, payload, STATE_HEAD.size)
-        segment_index.add_short_record(stored, segment, whole=True)
+        segment_index.add_short_record(stored, segment, is_full_state=True)
         return
     if kind == FINISHED:
         segment_index.add_end_record(stored.number, segment_index.remove_message(stored), segment)
@@ -305,7 +312,7 @@
 
 
 def read_records(folder: Folder, name: str, until: int | None) -> Iterator[Frame | DamagedRange]:
-    """The records of a file up to offset `until` (None: all); bytes that the disk cannot read count as damage."""
+    """Yield the records of a file up to offset `until` (None: all); unreadable sectors count as damage."""
     try:
         file = folder.open(name, append=False)
     except OSError:
@@ -313,27 +320,27 @@
     try:
         size = folder.size(name)
         end = size if until is None else min(size, until)
-        held, begin = b"", 0
+        buffer, buffer_offset = b"", 0
         while True:
-            at = begin + len(held)
+            at = buffer_offset + len(buffer)
             part = read_replacing_bad_sectors(folder, file, min(CHUNK_BYTES, end - at), at) if at < end else b""
-            held += part
-            whole = not part or at + len(part) >= end
-            used = begin
-            for each in scan_frames(held, begin, whole):
-                used = (
+            buffer += part
+            is_last_chunk = not part or at + len(part) >= end
+            consumed_offset = buffer_offset
+            for each in scan_frames(buffer, buffer_offset, is_last_chunk):
+                consumed_offset = (
                     each.offset + FRAME_HEADER.size + len(each.payload) if isinstance(each, Frame) else each.end_offset
                 )
                 yield each
-            if whole:
+            if is_last_chunk:
                 return
-            held, begin = held[used - begin :], used
+            buffer, buffer_offset = buffer[consumed_offset - buffer_offset :], consumed_offset
     finally:
         folder.close(file)
 
 
 def read_replacing_bad_sectors(folder: Folder, file: int, size: int, at: int) -> bytes:
-    """Read bytes of a file; sectors that cannot be read are replaced by zeros, which are never a valid record."""
+    """Read bytes of a file; unreadable sectors are replaced by zeros, which are never a valid record."""
     try:
         return folder.read(file, size, at)
     except OSError:
--- a/cedarwick/store/segment_writer.py
+++ b/cedarwick/store/segment_writer.py
@@ -17,14 +17,14 @@
 
 
 class ObsoleteFile(NamedTuple):
-    """A file that is not needed any more and not deleted yet; `size` is in whole blocks."""
+    """A file that is no longer needed and not deleted yet; `size` is in whole blocks."""
 
     name: str
     size: int
 
 
 class PendingRecord(NamedTuple):
-    """A short record that waits for space, and what adds it to the index once it is written."""
+    """A short record that waits for space, and the callback that adds it to the index once it is written."""
 
     payload: bytes
     when_written: Callable[[Segment], None]
@@ -34,68 +34,68 @@
     """The active segment of a folder, and its only writer."""
 
     def __init__(self, folder: Folder, segment_index: SegmentIndex, now: Callable[[], int], durable: bool) -> None:
-        """`now` returns wall time in microseconds; with `durable`, `sync` is called for what was written."""
+        """`now` returns wall-clock microseconds; `durable`: remember unsynced files for `sync`."""
         self.folder = folder
         self.segment_index = segment_index
         self.now = now
         self.durable = durable
-        self.max_segment_bytes = 0  # at which a segment is sealed
+        self.max_segment_bytes = 0  # size at which a segment is sealed
         self.active: Segment | None = None
         self.active_file = -1  # descriptor of the active segment; -1: none
-        self.last_segment_number = 0  # the highest number in use so far
+        self.last_segment_number = 0  # the highest number used so far
         self.used_bytes = 0  # of all files, in whole blocks
-        self.appended_bytes = 0  # since the last compaction step, without moved records
+        self.appended_bytes = 0  # since the last compaction step, excluding moved records
         self.moved_bytes = 0
         self.written_bytes = 0
         self.obsolete_files: list[ObsoleteFile] = []
-        self.unsynced_files: set[int] = set()  # descriptors of files with bytes not synced yet
+        self.unsynced_files: set[int] = set()  # descriptors of files with unsynced bytes
 
     def update_used_bytes(self) -> None:
-        """Compute `used` from the sizes of all files."""
+        """Compute `used_bytes` from the sizes of all files."""
         self.used_bytes = sum(
             compaction_planner.round_up_to_blocks(self.folder.size(name)) for name in self.folder.names()
         )
 
-    def reopen(self, tail: int) -> bool:
-        """Append to the newest segment, truncated after its last valid record (`tail` bytes); False if impossible."""
+    def reopen(self, valid_size: int) -> bool:
+        """Truncate the newest segment to its `valid_size` and continue to append to it; False if that fails."""
         newest = self.segment_index.segments.get(max(self.segment_index.segments, default=0))
-        if newest is None or newest.other_version or not 0 < tail < self.max_segment_bytes:
+        if newest is None or newest.other_version or not 0 < valid_size < self.max_segment_bytes:
             return False
         try:
             file = self.folder.open(segment_name(newest.number), append=True)
-            self.folder.truncate(file, tail)
+            self.folder.truncate(file, valid_size)
         except OSError as error:
-            logger.error(DiskError(f"{segment_name(newest.number)} cannot be gone on with: {error}").line)
+            logger.error(DiskError(f"{segment_name(newest.number)} cannot be reopened for appending: {error}").line)
             return False
-        self.used_bytes += compaction_planner.round_up_to_blocks(tail) - compaction_planner.round_up_to_blocks(
+        self.used_bytes += compaction_planner.round_up_to_blocks(valid_size) - compaction_planner.round_up_to_blocks(
             newest.file_bytes
         )
-        newest.valid_bytes = newest.file_bytes = tail
+        newest.valid_bytes = newest.file_bytes = valid_size
         self.active, self.active_file = newest, file
         return True
 
     # ---- records ----
 
     def needs_segment(self, active: Segment, size: int) -> bool:
-        """Whether a record of `size` bytes should go to a new segment, not to the active one."""
+        """Whether a record of `size` bytes should go to a new segment instead of the active one."""
         return active.valid_bytes + size > self.max_segment_bytes and active.valid_bytes > active.header_bytes
 
-    def append(self, active: Segment, record: bytes, grows: int, use: RecordUse) -> int:
+    def append(self, active: Segment, record: bytes, growth_bytes: int, use: RecordUse) -> int:
         """Append a framed record to the active segment; returns its offset there.
 
-        `grows`: bytes in whole blocks by which the file grows. Raises `NoSpaceError` if the disk refuses the write.
+        `growth_bytes`: bytes, in whole blocks, by which the file grows. Raises `NoSpaceError` if the write fails.
         """
         try:
-            written = self.folder.append(self.active_file, record)
+            written_size = self.folder.append(self.active_file, record)
         except OSError as error:
             raise NoSpaceError(str(error)) from None
-        if written < len(record):
-            self._truncate_partial_write(active, written)
-            raise NoSpaceError("a record was cut short")
-        begin = active.valid_bytes
+        if written_size < len(record):
+            self._truncate_partial_write(active, written_size)
+            raise NoSpaceError("the record was written only in part")
+        offset = active.valid_bytes
         active.file_bytes += len(record)
         active.valid_bytes = active.file_bytes
-        self.used_bytes += grows
+        self.used_bytes += growth_bytes
         self.written_bytes += len(record)
         if use is RecordUse.MOVE:
             self.moved_bytes += len(record)
@@ -103,16 +103,18 @@
             self.appended_bytes += len(record)
         if self.durable:
             self.unsynced_files.add(self.active_file)
-        return begin
+        return offset
 
-    def _truncate_partial_write(self, active: Segment, written: int) -> None:
-        """Truncate a partly written record away; if that fails, close the segment to further records."""
-        # A torn record in the middle of a segment would be reported as damage at the next start.
+    def _truncate_partial_write(self, active: Segment, written_size: int) -> None:
+        """Truncate a partly written record; if that fails, append no more records to the segment."""
+        # A partial record followed by others would be reported as damage at the next start.
         try:
             self.folder.truncate(self.active_file, active.valid_bytes)
         except OSError as error:
-            logger.error(DiskError(f"{segment_name(active.number)}: a torn record stays: {error}").line)
-            self._count_growth(active, written)
+            logger.error(
+                DiskError(f"{segment_name(active.number)}: a partial record cannot be truncated: {error}").line
+            )
+            self._count_growth(active, written_size)
             self.active = None
             ignore_os_error(self.folder.close, self.active_file)
             self.unsynced_files.discard(self.active_file)
@@ -124,15 +126,15 @@
 
     # ---- segments ----
 
-    def begin_segment(self, next_message: int, old_until: int) -> None:
-        """Seal the active segment and begin another; raises `NoSpaceError` if that cannot be written.
+    def begin_segment(self, next_message: int, last_legacy_file: int) -> None:
+        """Seal the active segment and begin a new one; raises `NoSpaceError` if it cannot be written.
 
-        `next_message` and `old_until` go into its header: the next message number, and the last file of the first
-        format that has been taken over.
+        `next_message` and `last_legacy_file` are for its header: the next message number, and the number of the last
+        file of the first format that was converted.
         """
         number = self.last_segment_number + 1
         others = {segment.number: segment.valid_bytes for segment in self.segment_index.segments.values()}
-        header = Header(records.VERSION, number, self.now(), next_message, old_until, others)
+        header = Header(records.VERSION, number, self.now(), next_message, last_legacy_file, others)
         record = encode_frame(records.encode_header(header))
         file = self._create_file(number, record)
         self._close_active_file()
@@ -145,14 +147,14 @@
             self.unsynced_files.add(file)
 
     def _create_file(self, number: int, header: bytes) -> int:
-        """Create a segment's file with its header; returns the descriptor. Raises `NoSpaceError`."""
+        """Create a segment file with its header; returns the descriptor. Raises `NoSpaceError`."""
         name = segment_name(number)
         file = -1
         try:
             file = self.folder.create(name)
-            written = self.folder.append(file, header)
-            if written < len(header):
-                raise OSError("a header was cut short")
+            written_size = self.folder.append(file, header)
+            if written_size < len(header):
+                raise OSError("the header was written only in part")
         except OSError as error:
             if file >= 0:
                 ignore_os_error(self.folder.close, file)
@@ -160,22 +162,22 @@
                     self.obsolete_files.append(ObsoleteFile(name, compaction_planner.BLOCK_BYTES))
                     self.used_bytes += compaction_planner.BLOCK_BYTES
                     self.last_segment_number = number
-            raise NoSpaceError(f"a new segment: {error}") from None
+            raise NoSpaceError(f"cannot create a segment: {error}") from None
         return file
 
     def _close_active_file(self) -> None:
-        """Close the file of the active segment, if there is one."""
+        """Close the file of the active segment, if one is open."""
         if self.active_file < 0:
             return
         if self.active_file in self.unsynced_files:
-            ignore_os_error(self.folder.sync, self.active_file)  # a closed descriptor cannot be synced any more
+            ignore_os_error(self.folder.sync, self.active_file)  # a closed descriptor can no longer be synced
             self.unsynced_files.discard(self.active_file)
         ignore_os_error(self.folder.close, self.active_file)
 
     # ---- files ----
 
     def sync(self, call: Callable[..., object] | None) -> None:
-        """Sync everything written so far to the disk, by `call` if given; raises OSError if that fails."""
+        """Sync everything written so far, through `call` if given; raises OSError if that fails."""
         for file in list(self.unsynced_files):
             if call is None:
                 self.folder.sync(file)
--- a/cedarwick/store/segments.py
+++ b/cedarwick/store/segments.py
@@ -2,11 +2,11 @@
 
 Used by `journal.py`, `compaction.py` and `recovery.py`. A segment may be deleted once it holds none of these:
 
-- the newest full record of a live (unfinished) message (`bases`);
-- short records of a message's attempts or end that its newest record does not include (`notes`);
-- the record of an end, as long as an older record of the message is in another segment (`tombstones`): without it
-  that older record would bring the message back at the next start;
-- records that this version does not know (`unknown`).
+- the newest full record of a live (unfinished) message (`full_records`);
+- short records about a message's attempts or final answer that are newer than its full record (`short_records`);
+- the end record of a finished message, as long as another segment holds an older record of it (`tombstones`): without
+  the end record, the older record would restore the message at the next start;
+- records of kinds that this version does not know (`unknown_records`).
 """
 
 from collections.abc import Callable
@@ -18,23 +18,23 @@
 
 @dataclass(slots=True, eq=False)
 class Segment:
-    """One file of the journal and the message numbers of the records in it."""
+    """A file of the journal and the message numbers of the records in it."""
 
     number: int
     created_at: int
-    valid_bytes: int = 0  # bytes of valid records
-    file_bytes: int = 0  # bytes of the file; more than the size where a write was cut short
-    header_bytes: int = 0  # bytes of its header
+    valid_bytes: int = 0  # end of the last valid record
+    file_bytes: int = 0  # size of the file; more than `valid_bytes` after a partial write
+    header_bytes: int = 0
     full_records: set[int] = field(default_factory=set)
-    full_record_bytes: int = 0  # bytes of the bases
+    full_record_bytes: int = 0
     short_records: set[int] = field(default_factory=set)
     tombstones: set[int] = field(default_factory=set)
-    ended: set[int] = field(default_factory=set)  # messages whose end is recorded, with an older record here
-    moved: set[int] = field(default_factory=set)  # messages whose newest record is elsewhere, with an older one here
-    unknown_records: list[tuple[int, int]] = field(default_factory=list)  # offset and length of payloads
+    ended: set[int] = field(default_factory=set)  # finished messages with an older record here
+    moved: set[int] = field(default_factory=set)  # messages with an older full record here and a newer one elsewhere
+    unknown_records: list[tuple[int, int]] = field(default_factory=list)  # offset and size of payloads
     unknown_bytes: int = 0
-    other_version: bool = False  # written by another version: never changed or deleted
-    descriptor: int = -1  # descriptor for reading; -1: not open
+    other_version: bool = False  # written by another version of the program; never changed or deleted
+    descriptor: int = -1  # for reading; -1: not open
 
     @property
     def live_bytes(self) -> int:
@@ -50,54 +50,54 @@
 
     @property
     def is_obsolete(self) -> bool:
-        """Whether no record in it is needed any more."""
+        """Whether none of its records is needed any more."""
         return not (
             self.other_version or self.full_records or self.short_records or self.tombstones or self.unknown_records
         )
 
     def growth(self, size: int) -> int:
-        """Bytes in whole blocks by which the file grows when `size` bytes are appended."""
+        """Return the bytes, in whole blocks, by which the file grows when `size` bytes are appended."""
         return round_up_to_blocks(self.file_bytes + size) - round_up_to_blocks(self.file_bytes)
 
 
 class SegmentIndex:
-    """All segments, all live messages, and the ends whose record is still needed."""
+    """All segments, all live messages, and the end records that are still needed."""
 
     def __init__(self) -> None:
         self.segments: dict[int, Segment] = {}
         self.messages: dict[int, StoredMessage] = {}
-        # By message: the segment with the record of its end, and the segments with an older record of it.
+        # By message: the segment with its end record, and the segments that hold older records of it.
         self.tombstones: dict[int, tuple[int, set[int]]] = {}
-        self.live_bytes = 0  # sum of all segments' live bytes
-        self.largest_record_bytes = 0  # bytes of the largest record seen
-        self.segments_with_moved: set[int] = set()  # segments with older records of messages moved elsewhere
-        self.short_record_count = 0  # number of notes in all segments
+        self.live_bytes = 0  # of all segments
+        self.largest_record_bytes = 0  # of the largest full record so far
+        self.segments_with_moved: set[int] = set()  # segments with a non-empty `moved`
+        self.short_record_count = 0  # in all segments
 
     def add_segment(self, segment: Segment) -> None:
-        """Add a segment that was begun or found."""
+        """Add a new or recovered segment."""
         self.segments[segment.number] = segment
         self.live_bytes += segment.live_bytes
 
-    def add_full_record(self, stored: StoredMessage, segment: Segment, at: int, weight: int) -> None:
-        """Register a full record of a message, `weight` bytes long, in `segment`; `at`: offset of the body."""
-        with_old = self.segments.get(stored.segment_number)
+    def add_full_record(self, stored: StoredMessage, segment: Segment, body_offset: int, record_size: int) -> None:
+        """Register a full record of a message in `segment`, `record_size` bytes long."""
+        old_segment = self.segments.get(stored.segment_number)
         self.remove_short_records(stored)
-        if with_old is not None and with_old.number != segment.number:
-            self._remove_full_record(with_old, stored)
-            with_old.moved.add(stored.number)
-            self.segments_with_moved.add(with_old.number)
-        elif with_old is not None:
-            self._remove_full_record(with_old, stored)
-        stored.segment_number, stored.body_offset, stored.record_size = segment.number, at, weight
+        if old_segment is not None and old_segment.number != segment.number:
+            self._remove_full_record(old_segment, stored)
+            old_segment.moved.add(stored.number)
+            self.segments_with_moved.add(old_segment.number)
+        elif old_segment is not None:
+            self._remove_full_record(old_segment, stored)
+        stored.segment_number, stored.body_offset, stored.record_size = segment.number, body_offset, record_size
         segment.full_records.add(stored.number)
-        segment.full_record_bytes += weight
-        self.live_bytes += weight
-        self.largest_record_bytes = max(self.largest_record_bytes, weight)
+        segment.full_record_bytes += record_size
+        self.live_bytes += record_size
+        self.largest_record_bytes = max(self.largest_record_bytes, record_size)
         self.messages[stored.number] = stored
 
-    def add_short_record(self, stored: StoredMessage, segment: Segment, whole: bool = False) -> None:
-        """Register a short record; `whole`: it holds the full state, so that older short records are not needed."""
-        if whole:
+    def add_short_record(self, stored: StoredMessage, segment: Segment, is_full_state: bool = False) -> None:
+        """Register a short record; `is_full_state`: it replaces all older short records of the message."""
+        if is_full_state:
             self.remove_short_records(stored)
         if segment.number not in stored.short_record_segments:
             stored.short_record_segments.append(segment.number)
@@ -116,18 +116,18 @@
         stored.short_record_segments.clear()
 
     def remove_message(self, stored: StoredMessage) -> set[int]:
-        """Remove a message that has ended; returns the numbers of the segments that hold a full record of it."""
+        """Remove a finished message; returns the numbers of the segments that hold a full record of it."""
         self.messages.pop(stored.number, None)
         self.remove_short_records(stored)
         holders = {number for number in self.segments_with_moved if stored.number in self.segments[number].moved}
-        home = self.segments.get(stored.segment_number)
-        if home is not None:
-            self._remove_full_record(home, stored)
-            holders.add(home.number)
+        holder = self.segments.get(stored.segment_number)
+        if holder is not None:
+            self._remove_full_record(holder, stored)
+            holders.add(holder.number)
         return holders
 
     def add_end_record(self, number: int, holders: set[int], segment: Segment) -> None:
-        """Register the record of an end; it is needed while `holders` other than `segment` exist."""
+        """Register an end record; it is needed while `holders` contains a segment other than `segment`."""
         holders = {each for each in holders if each in self.segments}
         if not holders - {segment.number}:
             return
@@ -136,39 +136,39 @@
         self._add_tombstone(number, segment, holders)
 
     def move_end_record(self, number: int, segment: Segment) -> None:
-        """Register that the record of an end was written again, in `segment`."""
-        before = self.tombstones.get(number)
-        if before is None:
+        """Register that an end record was written again, in `segment`."""
+        tombstone = self.tombstones.get(number)
+        if tombstone is None:
             return
         self._remove_tombstone(number)
-        if before[1] - {segment.number}:
-            self._add_tombstone(number, segment, before[1])
+        if tombstone[1] - {segment.number}:
+            self._add_tombstone(number, segment, tombstone[1])
 
     def remove_segment(self, segment: Segment) -> None:
-        """Remove a segment with every record in it; ends that only it needed are forgotten."""
+        """Remove a segment with its records, and the end records that only it still required."""
         self.live_bytes -= segment.live_bytes
         del self.segments[segment.number]
         self.segments_with_moved.discard(segment.number)
         for number in segment.ended:
-            place = self.tombstones.get(number)
-            if place is None:
+            tombstone = self.tombstones.get(number)
+            if tombstone is None:
                 continue
-            place[1].discard(segment.number)
-            if not place[1] - {place[0]}:
+            tombstone[1].discard(segment.number)
+            if not tombstone[1] - {tombstone[0]}:
                 self._remove_tombstone(number)
 
     def add_unknown_record(self, segment: Segment, at: int, size: int) -> None:
-        """Register a record of unknown kind: the offset and size in bytes of its payload."""
+        """Register a record of unknown kind with a payload of `size` bytes at offset `at`."""
         segment.unknown_records.append((at, size))
         segment.unknown_bytes += size
         self.live_bytes += size
 
     def expected_short_record_bytes(self) -> int:
-        """Bytes that short records of live messages may still need, beyond those written."""
+        """Return the bytes that short records of live messages may still need, beyond those already written."""
         return max(0, len(self.messages) - self.short_record_count) * STATE_RECORD_BYTES
 
     def check_consistency(self) -> None:
-        """Check the sums and cross-references, for tests and `store verify`; raises AssertionError."""
+        """Check the sums and cross-references; raises AssertionError. For tests and `store verify`."""
         assert self.live_bytes == sum(segment.live_bytes for segment in self.segments.values())
         assert self.short_record_count == sum(len(segment.short_records) for segment in self.segments.values())
         for segment in self.segments.values():
@@ -183,11 +183,11 @@
         assert all(self.segments[stored.segment_number] for stored in self.messages.values())
 
     def records_to_move(self, segment: Segment) -> list[int]:
-        """The numbers of the messages whose records in a segment must be moved."""
+        """Return the numbers of the messages whose records must be moved out of a segment."""
         return [*segment.full_records, *(segment.short_records - segment.full_records), *segment.tombstones]
 
     def _remove_full_record(self, segment: Segment, stored: StoredMessage) -> None:
-        """Remove the newest record of a message from this segment."""
+        """Remove the full record of a message from a segment's index."""
         if stored.number in segment.full_records:
             segment.full_records.discard(stored.number)
             segment.full_record_bytes -= stored.record_size
--- a/cedarwick/store/tools.py
+++ b/cedarwick/store/tools.py
@@ -1,4 +1,4 @@
-"""Operations on a store folder for the command line: verify, dump, compact, back up. Sizes are in bytes."""
+"""The operations of `cedarwick store` on a folder: verify, dump, compact, back up. Sizes are in bytes."""
 
 import os
 from collections.abc import Callable, Iterator
@@ -11,33 +11,33 @@
 from cedarwick.store.journal import Store
 from cedarwick.store.recovery import Recovered, recover
 
-MAX_BACKUP_ROUNDS = 20  # attempts to copy a folder that changes meanwhile
-COPY_BYTES = 1 << 20  # bytes copied at once
+MAX_BACKUP_ROUNDS = 20  # attempts to copy a folder that changes during the copy
+COPY_CHUNK_BYTES = 1 << 20
 
 
 class BackupError(CedarwickError, OSError):
-    """No copy of the folder could be made that is of one moment and without findings."""
+    """No consistent copy of the folder without findings could be made."""
 
     code = "CW206"
-    remedy = "look at it with `cedarwick store verify`; where it is whole, copy again at a quieter time"
+    remedy = "check the folder with `cedarwick store verify`; if it has no findings, retry at a time of lower load"
 
 
 class Summary(msgspec.Struct):
-    """What a folder holds."""
+    """A summary of the contents of a folder."""
 
     segments: int
     records: int
     messages: int
-    notices: int  # of these: ended, with the notice still to send
-    doubtful: int  # of these: an attempt without a record may have run
-    unknown: int  # records of kinds that this version does not know
+    notices: int  # messages with a final answer whose notice is still to be sent
+    doubtful: int  # messages with lost records, so that an unrecorded attempt may have run
+    unknown: int  # records of unknown kinds
     live_bytes: int
     used_bytes: int
     findings: list[str]
 
 
 def verify(path: str) -> Summary:
-    """Replay a folder without writing, also while a sender uses it. Raises OSError if it cannot be read."""
+    """Replay a folder without writing to it, even while a sender uses it. Raises OSError if it cannot be read."""
     findings: list[str] = []
     found = recover(Folder(path), findings.append)
     found.segment_index.check_consistency()
@@ -56,7 +56,7 @@
 
 
 def dump(path: str) -> Iterator[dict[str, Any]]:
-    """Every unfinished message as plain values, by number; times are wall-clock microseconds."""
+    """Yield every unfinished message as a dictionary, by number; times are wall-clock microseconds."""
     found = recover(Folder(path), lambda _: None)
     for number, stored in sorted(found.segment_index.messages.items()):
         yield {
@@ -81,38 +81,38 @@
 
 
 def compact(path: str, disk_bytes: int, now: Callable[[], int]) -> tuple[int, int]:
-    """Compact a whole folder that no sender uses; returns the bytes in use before and after.
+    """Compact a folder that no sender uses completely; returns the bytes in use before and after.
 
     `now` returns wall-clock microseconds. Raises what `Store.load` raises.
     """
-    made = Store(path, disk_bytes, now=now)
-    made.load()
+    store = Store(path, disk_bytes, now=now)
+    store.load()
     try:
-        before = made.used_bytes
-        made.begin_segment()
-        for _ in range(4 * len(made.segment_index.segments) + 4):
-            if not made.compactor.compact_victim(1 << 62, short=True):
+        before = store.used_bytes
+        store.begin_segment()
+        for _ in range(4 * len(store.segment_index.segments) + 4):
+            if not store.compactor.compact_victim(1 << 62, space_is_short=True):
                 break
-        made.flush()
-        return before, made.used_bytes
+        store.flush()
+        return before, store.used_bytes
     finally:
-        made.close()
+        store.close()
 
 
 def backup(path: str, to: str) -> Summary:
-    """Copy a folder consistently, also while a sender uses it; raises `BackupError`, FileExistsError if `to` exists.
+    """Copy a folder consistently, even while a sender uses it.
 
-    All files are opened before anything is copied, so that files deleted meanwhile can still be read and the copy is
-    the state of one moment.
+    All files are opened before the first one is copied, so that files deleted during the copy can still be read and
+    the copy is a snapshot. Raises `BackupError`, or FileExistsError if `to` exists.
     """
     os.mkdir(to)
     for _ in range(MAX_BACKUP_ROUNDS):
-        files = opened(path)
+        files = open_segments(path)
         try:
-            if files is None or not complete(path, files):
+            if files is None or not is_newest_open(path, files):
                 continue
             for name, (file, size) in sorted(files.items()):
-                copy(file, size, os.path.join(to, name))
+                copy_file(file, size, os.path.join(to, name))
         finally:
             for file, _ in (files or {}).values():
                 os.close(file)
@@ -122,11 +122,11 @@
         for name in files:
             os.unlink(os.path.join(to, name))
     os.rmdir(to)
-    raise BackupError(f"{path} changed too fast for a copy, or is damaged")
+    raise BackupError(f"{path} changed during every copy, or is damaged")
 
 
-def opened(path: str) -> dict[str, tuple[int, int]] | None:
-    """Open every segment: descriptor and length in bytes by name; None if a file was deleted meanwhile."""
+def open_segments(path: str) -> dict[str, tuple[int, int]] | None:
+    """Open every segment; returns descriptors and sizes by name, None if a file was deleted meanwhile."""
     files: dict[str, tuple[int, int]] = {}
     try:
         for name in sorted(os.listdir(path)):
@@ -137,25 +137,25 @@
         for file, _ in files.values():
             os.close(file)
         return None
-    # Lengths are read from the oldest segment to the newest, so that the copy has no record without those before it.
+    # Sizes are read from the oldest segment to the newest, so that the copy has every record before its last one.
     return {name: (file, os.fstat(file).st_size) for name, (file, _) in files.items()}
 
 
-def complete(path: str, files: dict[str, tuple[int, int]]) -> bool:
+def is_newest_open(path: str, files: dict[str, tuple[int, int]]) -> bool:
     """Whether no newer segment has been begun since the files were opened."""
     newest = max(files, default="")
     return max((name for name in os.listdir(path) if SEGMENT_FILE_PATTERN.fullmatch(name)), default="") == newest
 
 
-def copy(file: int, size: int, to: str) -> None:
+def copy_file(file: int, size: int, to: str) -> None:
     """Copy the first `size` bytes of an open file to a new file `to` and sync it."""
-    with open(to, "xb") as target:
+    with open(to, "xb") as destination_file:
         at = 0
-        while at < size and (part := os.pread(file, min(COPY_BYTES, size - at), at)):
-            target.write(part)
+        while at < size and (part := os.pread(file, min(COPY_CHUNK_BYTES, size - at), at)):
+            destination_file.write(part)
             at += len(part)
-        target.flush()
-        os.fsync(target.fileno())
+        destination_file.flush()
+        os.fsync(destination_file.fileno())
 
 
 __all__ = ["Recovered", "Summary", "backup", "compact", "dump", "verify"]
--- a/tests/store/test_health_file.py
+++ b/tests/store/test_health_file.py
@@ -9,7 +9,7 @@
 from cedarwick.decisions.interface import EarlierHealth, HealthState
 from cedarwick.store.elapsed_time import Moment, MomentClock, elapsed
 from cedarwick.store.files import Folder
-from cedarwick.store.health_file import LEAST_REWRITE_BYTES, NAME, RETRY_INTERVAL, HealthFile, HealthKey
+from cedarwick.store.health_file import FILE_NAME, MIN_REWRITE_BYTES, RETRY_INTERVAL_US, HealthFile, HealthKey
 
 SECOND = 1_000_000
 EJECTED = EarlierHealth(7, HealthState.EJECTED, True, 0.5, 3 * SECOND)
@@ -33,7 +33,7 @@
     def setUp(self) -> None:
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
-        self.path = os.path.join(scratch.name, NAME)
+        self.path = os.path.join(scratch.name, FILE_NAME)
         self.folder = Folder(scratch.name)
         self.clock = SetClock()
         self.warnings: list[str] = []
@@ -101,15 +101,15 @@
                 made = self.opened()
                 made.load()
                 made.record(f"before-{failing}", EJECTED)
-                made.size = LEAST_REWRITE_BYTES * 9  # so that the next record writes the file anew
+                made.size = MIN_REWRITE_BYTES * 9  # so that the next record writes the file anew
                 with mock.patch.object(self.folder, failing, side_effect=OSError(errno.ENOSPC, "full")):
                     made.record(failing, EJECTED)
-                    self.clock.pass_by(RETRY_INTERVAL, 0)
+                    self.clock.pass_by(RETRY_INTERVAL_US, 0)
                     made.retry()
                 self.assertTrue(made.unsaved)
                 made.retry()  # too soon
                 self.assertTrue(made.unsaved)
-                self.clock.pass_by(RETRY_INTERVAL, 0)
+                self.clock.pass_by(RETRY_INTERVAL_US, 0)
                 made.retry()
                 self.assertFalse(made.unsaved)
                 self.assertIn(HealthKey(failing, 7), self.opened().load())
@@ -160,7 +160,7 @@
         for _ in range(2_000):
             made.record("s-1", EJECTED)
             made.record("s-1", EJECTED._replace(state=HealthState.IN_SERVICE))
-        self.assertLess(os.path.getsize(self.path), 2 * LEAST_REWRITE_BYTES)
+        self.assertLess(os.path.getsize(self.path), 2 * MIN_REWRITE_BYTES)
 
 
 if __name__ == "__main__":
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -620,7 +620,7 @@
     """Folders of the version before: one file, rewritten whole."""
 
     def old_file(self) -> bytearray:
-        parts = [legacy_format.OVER_BODY.pack(legacy_format.WHOLE, 0)]
+        parts = [legacy_format.FINISHED_BODY.pack(legacy_format.SNAPSHOT, 0)]
         for number in (1, 2, 3, 4):
             texts = [b"id-%d" % number, b"", b"band", b""]
             head = legacy_format.MESSAGE_BODY.pack(legacy_format.MESSAGE, number, 10**15, 0, 0, *map(len, texts))
@@ -629,10 +629,12 @@
             legacy_format.ATTEMPT_BODY.pack(legacy_format.ATTEMPT, 1, 50, 0),
             legacy_format.ATTEMPT_BODY.pack(legacy_format.ATTEMPT, 2, 60, 0),
             legacy_format.OUTCOME_BODY.pack(legacy_format.OUTCOME, 2, list(Outcome).index(Outcome.FULL)),
-            legacy_format.END_BODY.pack(legacy_format.END, 3, 1, 250),
-            legacy_format.OVER_BODY.pack(legacy_format.OVER, 4),
+            legacy_format.FINAL_ANSWER_BODY.pack(legacy_format.FINAL_ANSWER, 3, 1, 250),
+            legacy_format.FINISHED_BODY.pack(legacy_format.FINISHED, 4),
         ]
-        return bytearray(b"".join(legacy_format.HEAD.pack(len(each), zlib.crc32(each)) + each for each in parts))
+        return bytearray(
+            b"".join(legacy_format.FRAME_HEADER.pack(len(each), zlib.crc32(each)) + each for each in parts)
+        )
 
     def check(self, made: Store) -> None:
         self.assertEqual(sorted(made.messages), [1, 2, 3])
@@ -758,13 +760,13 @@
             compaction_planner.CompactionCandidate(3, 2000, 600),
             compaction_planner.CompactionCandidate(4, 1000, 1000),
         ]
-        self.assertEqual(compaction_planner.choose_victim(some, short=False), some[1])
-        self.assertIsNone(compaction_planner.choose_victim(some[3:], short=True))
+        self.assertEqual(compaction_planner.choose_victim(some, space_is_short=False), some[1])
+        self.assertIsNone(compaction_planner.choose_victim(some[3:], space_is_short=True))
 
     def test_a_nearly_full_one_is_moved_only_where_room_is_short(self) -> None:
         full = [compaction_planner.CompactionCandidate(1, 1000, 960)]
-        self.assertIsNone(compaction_planner.choose_victim(full, short=False))
-        self.assertEqual(compaction_planner.choose_victim(full, short=True), full[0])
+        self.assertIsNone(compaction_planner.choose_victim(full, space_is_short=False))
+        self.assertEqual(compaction_planner.choose_victim(full, space_is_short=True), full[0])
 
     def test_nothing_moves_while_there_is_room_and_more_the_less_there_is(self) -> None:
         victim, floor = (
