--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -180,7 +180,7 @@
     if header is not None and header.version != VERSION:
         report(
             StoreVersionError(
-                f"{name} has format version {header.version}, this program supports {VERSION}: not read; "
+                f"{name} has format version {header.version}, this program supports {VERSION}: ignored and preserved; "
                 f"{len(found.segment_index.messages)} messages may have unrecorded attempts"
             ).line
         )
--- a/tests/fleet/test_replication.py
+++ b/tests/fleet/test_replication.py
@@ -26,7 +26,7 @@
     trimmed,
 )
 from cedarwick.store.records import FRAME_HEADER, StoredMessage, encode_frame
-from tests.store.test_store import Crash, Fake
+from tests.store.test_store import Crash, FakeFolder
 
 PARTITION = 3
 NAMES = ["b", "c"]
@@ -40,7 +40,7 @@
     logger.enable("cedarwick.fleet")
 
 
-class Files(Fake, ReplicaFolder):
+class Files(FakeFolder, ReplicaFolder):
     """The files of copies in memory."""
 
     def replace(self, name: str, by: str) -> None:
@@ -230,13 +230,13 @@
                 member.files.clear()  # the folder is gone
                 member.start()
             elif fate < 0.09:
-                member.folder.failing = {link.draw.choice(["append", "truncate", "replace", "create"])}
+                member.folder.failing_calls = {link.draw.choice(["append", "truncate", "replace", "create"])}
             elif fate < 0.2:
-                member.folder.failing = set()
+                member.folder.failing_calls = set()
         if link.draw.random() < 0.03:
             link.rise()
     for member in link.members.values():
-        member.folder.failing, member.folder.crash_at = set(), 0
+        member.folder.failing_calls, member.folder.crash_at = set(), 0
     link.settle()
     return link
 
@@ -377,13 +377,13 @@
 
     def test_behind_a_torn_record_nothing_is_written(self) -> None:
         folder = self.member.folder
-        folder.room = sum(map(len, folder.files.values())) + 100
-        folder.failing = {"truncate"}
+        folder.disk_bytes = sum(map(len, folder.files.values())) + 100
+        folder.failing_calls = {"truncate"}
         self.link.take(3000)
         for _ in range(3):
             self.link.turn()
         self.assertEqual(self.link.log.followers["b"].problem, NO_ROOM)
-        folder.room = 1 << 60
+        folder.disk_bytes = 1 << 60
         told = self.facts(first=20, data=encode_batch(self.link.log.tail(20)))
         self.assertEqual(self.member.copies.facts(told).problem, NO_ROOM)
         for _ in range(200):
@@ -406,18 +406,18 @@
     def test_a_fresh_file_that_misses_an_entry_does_not_take_the_name(self) -> None:
         folder, held = self.member.folder, self.member.copies
         held._begin_compaction(held.files[PARTITION])
-        folder.room = sum(map(len, folder.files.values())) + 4000  # for the entry once, not twice
+        folder.disk_bytes = sum(map(len, folder.files.values())) + 4000  # for the entry once, not twice
         self.link.take(3000)
         self.assertEqual(held.facts(self.facts(first=20, data=encode_batch(self.link.log.tail(20)))).next, 21)
-        folder.room = 1 << 60
+        folder.disk_bytes = 1 << 60
         while held.step():
             pass
-        folder.failing, written = {"replace"}, held.written_bytes
+        folder.failing_calls, written = {"replace"}, held.written_bytes
         held.files[PARTITION].torn = True  # it must be written anew
         for _ in range(50):
             held.step()  # what can't take the name is not written again and again
         self.assertLess(held.written_bytes - written, 2 * held.used_bytes)
-        folder.failing = set()
+        folder.failing_calls = set()
         self.member.start()
         self.assertEqual([fact.known.doubt for fact in self.member.held().values()], [0] * 21)
 
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -1,6 +1,6 @@
-"""Data that commit b65497f wrote, before classes and fields were renamed, is read by the code of today.
+"""Tests that data written by commit b65497f, before classes and fields were renamed, can still be read.
 
-`fixtures/stored_by_b65497f/README.md` says how the data was made.
+`fixtures/stored_by_b65497f/README.md` describes how the data was made.
 """
 
 import os
@@ -49,8 +49,8 @@
 from cedarwick.store.records import UNKNOWN_ZONE, StoredMessage
 
 FIXTURE = os.path.join(os.path.dirname(__file__), "..", "fixtures", "stored_by_b65497f")
-NOW = 1_900_000_000_000_000  # microseconds: when it was written
-SENT = NOW + 5_000  # attempts were sent so many microseconds later, and a few more
+NOW = 1_900_000_000_000_000  # when the data was written, in microseconds
+SENT_AT = NOW + 5_000  # attempts were sent a few microseconds after this time
 MOVE, OTHER_MOVE = "10/member-a/member-b", "11/member-b/member-c"
 PARTITION = 3
 FIRST_NUMBER = PARTITION << 32
@@ -60,25 +60,26 @@
     MessageKnowledge(),
 )
 
-# What each message of a row of nine had: attempts, ran at, ran zone, out at, out zone, end. The seventh was over.
-States = tuple[int, int, int, int, int, tuple[bool, int] | None]
-STATES: dict[int, States] = {
+# Messages of a row of nine: attempts, may have run at and zone, in flight since and zone, final answer. The seventh
+# is finished.
+MessageState = tuple[int, int, int, int, int, tuple[bool, int] | None]
+EXPECTED_STATES: dict[int, MessageState] = {
     1: (0, 0, 0, 0, 0, None),  # never sent
-    2: (1, 0, 0, SENT + 2, 1102, None),  # an attempt is out
+    2: (1, 0, 0, SENT_AT + 2, 1102, None),  # an attempt is in flight
     3: (1, 0, 0, 0, 1103, None),  # its attempt never ran
-    4: (1, SENT + 4, 1104, 0, 1104, None),  # its attempt may have run
-    5: (1, SENT + 5, 1105, 0, 1105, (True, 1500)),  # ended as nack, with a wait in milliseconds
-    6: (1, SENT + 6, 1106, 0, 1106, (False, 0)),  # ended as written off
-    8: (0, SENT + 8, UNKNOWN_ZONE, 0, 0, None),  # another sender told of an attempt
-    9: (3, SENT + 19, 1209, SENT + 29, 1309, None),  # one that never ran, one that may have run, one that is out
+    4: (1, SENT_AT + 4, 1104, 0, 1104, None),  # its attempt may have run
+    5: (1, SENT_AT + 5, 1105, 0, 1105, (True, 1500)),  # rejected, with a wait in milliseconds
+    6: (1, SENT_AT + 6, 1106, 0, 1106, (False, 0)),  # failed
+    8: (0, SENT_AT + 8, UNKNOWN_ZONE, 0, 0, None),  # an attempt of another sender
+    9: (3, SENT_AT + 19, 1209, SENT_AT + 29, 1309, None),  # one never ran, one may have run, one is in flight
 }
-MOVED_ENDS = (5, 6)  # compaction has moved them once they had ended, which leaves their bodies out
-FILLERS = (201, 202, 203, 204, 206, 207, 208, 209)  # of 10 to 209, those that are still owed
+COMPACTED_AFTER_ANSWER = (5, 6)  # compaction has moved them after their final answer, without their bodies
+FILLER_NUMBERS = (201, 202, 203, 204, 206, 207, 208, 209)  # the unfinished ones of 10 to 209
 
-# Each body's tag and number of fields. They travel as arrays, so names of fields are not on the wire.
-# Fields that were added since the messages were sent, at the end: `probe`, `probe`, `deadline`.
+# Fields that were appended since the messages were sent: `probe`, `probe`, `deadline`.
 ADDED_FIELDS: dict[str, list[Any]] = {"Ask": [False], "Told": [False], "Pass": [0]}
-WIRE = {
+# Each body's tag and number of fields. Bodies are encoded as arrays, so field names are not on the wire.
+FIELD_COUNTS = {
     "Beat": 3,
     "Ask": 8,
     "Told": 7,
@@ -119,8 +120,8 @@
 
 
 def base_of(number: int) -> tuple[str, str, int, str, str, int, int]:
-    """Id, key, order key, priority class, tenant, destination and deadline, as they were handed in."""
-    if number in FILLERS:
+    """Id, key, order key, priority class, tenant, destination and deadline, as they were submitted."""
+    if number in FILLER_NUMBERS:
         return f"id-{number}", f"key-{number}", 0, "normal", "", 7, NOW + number * 1_000_000
     return (
         f"id-{number}",
@@ -133,7 +134,7 @@
     )
 
 
-def base_read(stored: StoredMessage) -> tuple[str, str, int, str, str, int, int]:
+def base_values(stored: StoredMessage) -> tuple[str, str, int, str, str, int, int]:
     return (
         stored.id,
         stored.key,
@@ -145,7 +146,7 @@
     )
 
 
-def state_read(stored: StoredMessage) -> States:
+def state_values(stored: StoredMessage) -> MessageState:
     return (
         stored.attempts,
         stored.may_have_run_at,
@@ -163,45 +164,45 @@
         self.state = os.path.join(folder.name, "state")
         shutil.copytree(os.path.join(FIXTURE, "state"), self.state)
 
-    def opened(self) -> Store:
+    def open_store(self) -> Store:
         store = Store(self.state, 40_000, now=lambda: NOW, segment_bytes=2048)
         store.load()
         self.addCleanup(store.close)
         return store
 
-    def test_messages_of_the_store(self) -> None:
-        store = self.opened()
+    def test_store_has_all_messages(self) -> None:
+        store = self.open_store()
         self.assertFalse(store.damaged)
         self.assertTrue(store.restarted)
         self.assertEqual((store.next_number, store.writer.last_segment_number, store.last_legacy_file), (310, 26, 0))
         self.assertEqual(sorted(store.segment_index.segments), [9, 17, 22, 24, 25, 26])
         store.segment_index.check_consistency()
-        rows = [first + place for first in (0, 300) for place in STATES]
-        self.assertEqual(sorted(store.messages), sorted([*rows, *FILLERS]))
+        rows = [first + offset for first in (0, 300) for offset in EXPECTED_STATES]
+        self.assertEqual(sorted(store.messages), sorted([*rows, *FILLER_NUMBERS]))
         for number, stored in store.messages.items():
             with self.subTest(number=number):
                 self.assertEqual(stored.number, number)
-                self.assertEqual(base_read(stored), base_of(number))
-                self.assertEqual(state_read(stored), STATES[1 if number in FILLERS else number % 100])
+                self.assertEqual(base_values(stored), base_of(number))
+                self.assertEqual(state_values(stored), EXPECTED_STATES[1 if number in FILLER_NUMBERS else number % 100])
                 self.assertEqual(stored.records_lost_since, 0)
-                self.assertEqual(store.read_body(number), b"" if number in MOVED_ENDS else body_of(number))
+                self.assertEqual(store.read_body(number), b"" if number in COMPACTED_AFTER_ANSWER else body_of(number))
 
-    def test_what_is_written_behind_them_is_read_again(self) -> None:
-        store = self.opened()
-        store.record_attempt(301, SENT + 1, 1101)
+    def test_records_appended_to_old_segments_are_read(self) -> None:
+        store = self.open_store()
+        store.record_attempt(301, SENT_AT + 1, 1101)
         store.finish(8)
         store.close()
-        again = self.opened()
-        self.assertEqual(state_read(again.messages[301]), (1, 0, 0, SENT + 1, 1101, None))
-        self.assertNotIn(8, again.messages)
-        self.assertFalse(again.damaged)
+        reopened = self.open_store()
+        self.assertEqual(state_values(reopened.messages[301]), (1, 0, 0, SENT_AT + 1, 1101, None))
+        self.assertNotIn(8, reopened.messages)
+        self.assertFalse(reopened.damaged)
 
-    def test_the_tools_find_nothing_wrong(self) -> None:
+    def test_verify_has_no_findings(self) -> None:
         summary = tools.verify(self.state)
         self.assertEqual((summary.findings, summary.messages, summary.notices), ([], 24, 4))
         self.assertEqual((summary.segments, summary.doubtful, summary.unknown), (6, 0, 0))
 
-    def test_small_files_of_the_fleet(self) -> None:
+    def test_fleet_files(self) -> None:
         files = FleetFiles(self.state)
         files.claim("group-1", "member-a")
         with self.assertRaisesRegex(ForeignFolderError, "'member-a' in 'group-1'"):
@@ -228,10 +229,10 @@
                 ("uid-1",),
             ),
         )
-        self.assertEqual(files.boot(5), NOW + 1)  # one more than the boot that is on the disk
+        self.assertEqual(files.boot(5), NOW + 1)  # one more than the stored boot number
         self.assertFalse(files.first)
 
-    def test_small_files_of_sessions(self) -> None:
+    def test_session_files(self) -> None:
         files = SessionFiles(FleetFiles(self.state))
         self.assertEqual(files.read_marks(), {12: (34, f"{NOW}/member-a/member-b"), 13: (0, "")})
         self.assertEqual(
@@ -248,7 +249,7 @@
         self.assertEqual(files.read_and_delete_sessions(), HeldSessions(NOW + 4, held, 6))
         self.assertIsNone(files.read_and_delete_sessions())
 
-    def test_the_replica_of_another_member(self) -> None:
+    def test_replica_of_another_member(self) -> None:
         replicas = ReplicaStore(ReplicaFolder(FleetFiles(self.state).copies), 1 << 20, now=lambda: NOW)
         replicas.load()
         self.addCleanup(replicas.close)
@@ -265,7 +266,7 @@
         )
         second = Fact(
             FIRST_NUMBER + 2,
-            MessageBase("c-2", "ck-2", 0, "low", "", 6, NOW + 10, b""),  # it has ended: the body is left out
+            MessageBase("c-2", "ck-2", 0, "low", "", 6, NOW + 10, b""),  # it has a final answer, so the body is omitted
             MessageKnowledge({4: TermAttempts(1, False, NOW + 7, -1)}, None, NOW + 8, (EndRank.FAILED, 250), None),
         )
         self.assertEqual(replica.owed, {fact.number: fact for fact in (first, second, THIRD_FACT)})
@@ -289,16 +290,16 @@
         self.assertEqual(saved_state.take_waits(self.state), {})
 
 
-class WireOfPeerMessagesTest(unittest.TestCase):
-    def test_tags_and_numbers_of_fields(self) -> None:
+class PeerMessageFormatTest(unittest.TestCase):
+    def test_tags_and_field_counts(self) -> None:
         bodies: tuple[type[PeerBody], ...] = get_args(Body)
         found = {body.__struct_config__.tag: len(body.__struct_fields__) for body in bodies}
-        self.assertEqual(found, WIRE)
-        self.assertEqual(len(bodies), len(WIRE))
+        self.assertEqual(found, FIELD_COUNTS)
+        self.assertEqual(len(bodies), len(FIELD_COUNTS))
         for body in bodies:
             self.assertTrue(body.__struct_config__.array_like, body)
 
-    def test_peer_messages_that_were_sent(self) -> None:
+    def test_recorded_peer_messages_decode_and_encode_to_the_same_bytes(self) -> None:
         location = SessionLocation(77, "member-b", 4, 1000)
         sent: dict[str, PeerBody] = {
             "Beat": Heartbeat(True, {"member-b": 5, "member-c": 6}, (HeldLease(3, 5),)),
@@ -316,7 +317,7 @@
         self.assertEqual(decode_facts(facts.facts), [THIRD_FACT])
 
     def check(self, tag: str) -> PeerMessage:
-        """A peer message as it was sent; encoded now it gives the same bytes."""
+        """Decode a recorded peer message and check that it encodes to the same bytes."""
         with open(os.path.join(FIXTURE, "wire", f"{tag}.msgpack"), "rb") as file:
             data = file.read()
         message = messages.decode(data)
@@ -324,7 +325,7 @@
             (message.version, message.level, message.group, message.sender, message.incarnation, message.to),
             (1, 3, "group-1", "member-a", NOW, "member-b"),
         )
-        if tag in ADDED_FIELDS:  # the old fields as they were, and behind them the new ones with their defaults
+        if tag in ADDED_FIELDS:  # append the new fields with their defaults
             sent = msgspec.msgpack.decode(data)
             sent[6] += ADDED_FIELDS[tag]
             data = msgspec.msgpack.encode(sent)
