--- a/cedarwick/store/compaction.py
+++ b/cedarwick/store/compaction.py
@@ -153,9 +153,7 @@
         if stored is not None and stored.segment_number == victim.number:
             if stored.final_answer is not None:
                 stored.body_checksum = 0
-                return self.store.write_message(
-                    stored, b"", RecordUse.MOVE
-                )  # after its final answer a message needs no body
+                return self.store.write_message(stored, b"", RecordUse.MOVE)  # the body is no longer needed
             body = (
                 stored.body
                 if stored.body is not None
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -157,7 +157,7 @@
     number: int,
     header: Header | None,
     length: int | None,
-    last: bool,
+    is_newest: bool,
     lost_since: int,
     report: Report,
 ) -> None:
@@ -169,7 +169,7 @@
         number: the segment's number.
         header: its header; None if it cannot be read.
         length: its valid bytes as recorded when it was sealed; None if unknown.
-        last: whether it is the newest segment.
+        is_newest: whether it is the newest segment.
         lost_since: the time from which records may be lost.
         report: called with each finding.
     """
@@ -200,11 +200,11 @@
             valid_end = each.offset + FRAME_HEADER.size + len(each.payload)
             replay(found, segment, each, report)
             continue
-        if last and each.end_offset >= file_bytes and header is not None:
+        if is_newest and each.end_offset >= file_bytes and header is not None:
             # A write that was interrupted when the process ended; it was not acknowledged, so nothing is lost.
             report(f"{name}: {each.end_offset - each.offset} bytes of a last record that was cut off are ignored")
             continue
-        if header is None and each.offset == 0 and not last:
+        if header is None and each.offset == 0 and not is_newest:
             report(FolderDamagedError(f"{name}: the header cannot be read").line)
         report(
             FolderDamagedError(
@@ -214,7 +214,7 @@
         )
         mark_records_lost(found, lost_since)
     segment.valid_bytes = valid_end
-    if last and header is not None:
+    if is_newest and header is not None:
         found.newest_valid_bytes = valid_end
 
 
