--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -1,8 +1,8 @@
-"""The durable store: every unfinished message and what is known of its attempts, as a journal of segment files.
+"""The durable store: all unfinished messages and the state of their attempts, as a journal of segment files.
 
-It is written by one greenlet, the dispatcher's. A call that returns has written its record (with `durable`, `flush`
-syncs it to the disk). `segment_writer.py` writes the files, `bodies.py` caches bodies in memory, `compaction.py` frees
-space, `segments.py` is the index of the records that are still needed. Sizes are in bytes, times in wall-clock
+Only the dispatcher's greenlet writes to it. When a call returns, its record has been written; with `durable`, `flush`
+syncs it to the disk. `segment_writer.py` writes the files, `bodies.py` caches bodies in memory, `compaction.py` frees
+space, and `segments.py` is the index of the records that are still needed. Sizes are in bytes, times in wall-clock
 microseconds.
 """
 
@@ -17,31 +17,31 @@
 from cedarwick.store.bodies import BodyCache
 from cedarwick.store.compaction import Compactor
 from cedarwick.store.compaction_planner import RecordUse
-from cedarwick.store.files import OLD_NAME, Folder, NoSpaceError, numbers, quietly
+from cedarwick.store.files import LEGACY_FILE_PATTERN, Folder, NoSpaceError, file_numbers, ignore_os_error
 from cedarwick.store.records import (
     ATTEMPT,
     ATTEMPT_BODY,
-    END,
-    END_BODY,
-    FRAME,
+    FINAL_ANSWER,
+    FINAL_ANSWER_BODY,
+    FINISHED,
+    FINISHED_BODY,
+    FRAME_HEADER,
     OUTCOME,
     OUTCOME_BODY,
     OUTCOMES,
-    OVER,
-    OVER_BODY,
     StoredMessage,
-    framed,
+    encode_frame,
 )
 from cedarwick.store.recovery import recover
-from cedarwick.store.segment_writer import CondemnedFile, PendingRecord, SegmentWriter
+from cedarwick.store.segment_writer import ObsoleteFile, PendingRecord, SegmentWriter
 from cedarwick.store.segments import Segment, SegmentIndex
 
-BODIES = 1 << 26  # default limit of the bodies held in memory, in bytes
-FEW_MESSAGES_LEFT = 64  # with space for fewer messages, free space is computed anew at each call of `room_for`
+DEFAULT_BODY_CACHE_BYTES = 1 << 26
+LOW_CAPACITY_MESSAGES = 64  # with less capacity, `remaining_capacity` computes the free space at each call
 
 
 class Store:
-    """The journal of one folder, and its only writer: holds each message from its acceptance until its final notice."""
+    """The journal of one folder and its only writer; holds each message from its admission to its final notice."""
 
     def __init__(
         self,
@@ -50,31 +50,37 @@
         *,
         now: Callable[[], int],
         durable: bool = False,
-        bodies: int = BODIES,
-        segment: int = 0,
-        step: int = compaction_planner.STEP,
+        body_cache_bytes: int = DEFAULT_BODY_CACHE_BYTES,
+        segment_bytes: int = 0,
+        max_step_bytes: int = compaction_planner.MAX_STEP_BYTES,
     ) -> None:
-        """Open nothing yet; `load` does.
-
-        `now` returns wall time in microseconds. `disk_bytes`, `bodies` (held in memory), `segment` (0: chosen by
-        `disk_bytes`) and `step` (of compaction) are in bytes. With `durable`, `flush` syncs records to the disk.
+        """Create the store without opening any file; `load` opens them.
+
+        Args:
+            folder: the state folder or its path.
+            disk_bytes: limit of the size of all files.
+            now: returns wall-clock microseconds.
+            durable: `flush` syncs records to the disk.
+            body_cache_bytes: limit of the bodies held in memory.
+            segment_bytes: size at which a segment is sealed; 0: derived from `disk_bytes`.
+            max_step_bytes: the most bytes that one compaction step moves.
         """
         self.folder = Folder(folder) if isinstance(folder, str) else folder
         self.now = now
         self.durable = durable
-        self.by_copy = False  # whether ends are answered only after other senders have recorded them
-        self.awaited = durable  # whether answers wait for `flush`
-        self.wanted_segment = segment
+        self.ack_after_replication = False  # whether final answers wait until other members have recorded them
+        self.answers_wait_for_flush = durable  # whether submissions are answered only after `flush`
+        self.configured_segment_bytes = segment_bytes
         self.segment_index = SegmentIndex()
         self.writer = SegmentWriter(self.folder, self.segment_index, now, durable)
         self.next_number = 1
-        self.old_until = 0
-        self.inert: dict[int, tuple[int, str]] = {}  # messages moving between senders: no attempt may start
-        self.restarted = False  # whether the folder held anything at the start
-        self.damaged = False  # whether part of that could not be read
+        self.last_legacy_file = 0
+        self.migrating: dict[int, tuple[int, str]] = {}  # messages of a session that moves; no attempt may start
+        self.restarted = False  # whether the folder held records at the start
+        self.damaged = False  # whether some of them could not be read
         self.pending_records: deque[PendingRecord] = deque()
-        self.body_cache = BodyCache(self.folder, bodies)
-        self.compactor = Compactor(self, step)
+        self.body_cache = BodyCache(self.folder, body_cache_bytes)
+        self.compactor = Compactor(self, max_step_bytes)
         self.set_limit(disk_bytes)
 
     @property
@@ -83,103 +89,115 @@
         return self.segment_index.messages
 
     @property
-    def presses(self) -> int:
-        """The number of inline compaction steps, made because a record did not fit."""
+    def inline_compactions(self) -> int:
+        """The number of compaction steps that were run inline because a record did not fit."""
         return self.compactor.inline_steps
 
     @property
-    def used(self) -> int:
-        """Bytes of all files, in whole blocks."""
-        return self.writer.used
+    def used_bytes(self) -> int:
+        """The size of all files, in whole blocks."""
+        return self.writer.used_bytes
 
     @property
     def written_bytes(self) -> int:
-        """Bytes written since the start, moved records included."""
+        """Bytes written since the start, including moved records."""
         return self.writer.written_bytes
 
     @property
     def moved_bytes(self) -> int:
-        """Bytes of the records that compaction has moved since the start."""
+        """Bytes of records that compaction has moved since the start."""
         return self.writer.moved_bytes
 
     def set_limit(self, disk_bytes: int) -> None:
-        """Set the limit in bytes of all files; if it is below what is in use, compaction shrinks the folder."""
-        self.limit = disk_bytes
-        self.floor, self.spare = 1 << 62, -1  # reserve and free bytes; computed at the next use
-        self.writer.segment_size = self.wanted_segment or compaction_planner.segment_size(disk_bytes)
+        """Set the limit of the size of all files; if more is in use, compaction shrinks the folder."""
+        self.limit_bytes = disk_bytes
+        self.reserve_bytes, self.free_bytes = 1 << 62, -1  # unknown; computed at the next use
+        self.writer.max_segment_bytes = self.configured_segment_bytes or compaction_planner.segment_size(disk_bytes)
 
     # ---- at the start ----
 
     def load(self) -> None:
-        """Lock the folder, read the unfinished messages and prepare to append.
+        """Lock the folder, read the unfinished messages and open a segment for appending.
 
-        Raises `FolderInUseError`, `NoSpaceError` or OSError if that is impossible.
+        Raises `FolderInUseError`, `NoSpaceError` or OSError.
         """
-        self.folder.claim()
+        self.folder.acquire_lock()
         found = recover(self.folder, logger.error)
-        self.segment_index, self.next_number, self.old_until = found.segment_index, found.next_message, found.old_until
-        self.writer.segment_index, self.writer.last_segment = found.segment_index, found.last
-        leftover = [name for name in found.leftover if not quietly(self.folder.unlink, name)]
-        taken_over, next_number, files = legacy_format.read(self.folder, self.old_until)
-        self.restarted = bool(self.segment_index.segments or files)
+        self.segment_index, self.next_number, self.last_legacy_file = (
+            found.segment_index,
+            found.next_message,
+            found.last_legacy_file,
+        )
+        self.writer.segment_index, self.writer.last_segment_number = found.segment_index, found.last_segment
+        undeleted = [name for name in found.leftover_files if not ignore_os_error(self.folder.unlink, name)]
+        legacy_messages, next_number, legacy_files = legacy_format.read(self.folder, self.last_legacy_file)
+        self.restarted = bool(self.segment_index.segments or legacy_files)
         self.next_number = max(self.next_number, next_number)
-        self.writer.count_used()
-        self.writer.condemned = [
-            CondemnedFile(name, compaction_planner.blocks(self.folder.size(name))) for name in leftover
+        self.writer.update_used_bytes()
+        self.writer.obsolete_files = [
+            ObsoleteFile(name, compaction_planner.round_up_to_blocks(self.folder.size(name))) for name in undeleted
         ]
-        self._go_on(found.tail)
-        if files:
-            logger.info("a folder of the first format is taken over: {} messages", len(taken_over))
-            for stored in taken_over.values():
+        self._open_active_segment(found.newest_valid_bytes)
+        if legacy_files:
+            logger.info("converting a folder of format version 1: {} messages", len(legacy_messages))
+            for stored in legacy_messages.values():
                 if stored.number not in self.messages:
                     self.write_message(stored, stored.body or b"", RecordUse.MOVE)
-            self.old_until = max(files)
-            self.begin_segment()  # its header records that the old files have been taken over
-        for number in numbers(self.folder.names(), OLD_NAME):
-            if number <= self.old_until:
-                quietly(self.folder.unlink, f"{number:08d}.log")
-                self.writer.count_used()
+            self.last_legacy_file = max(legacy_files)
+            self.begin_segment()  # its header records that the legacy files have been converted
+        for number in file_numbers(self.folder.names(), LEGACY_FILE_PATTERN):
+            if number <= self.last_legacy_file:
+                ignore_os_error(self.folder.unlink, f"{number:08d}.log")
+                self.writer.update_used_bytes()
         self.damaged = found.damaged
         if found.damaged:
             for stored in list(self.messages.values()):
-                # The damaged segment will be deleted one day; the doubt must be on record elsewhere before that.
-                self.write_note(stored, records.state(stored), RecordUse.MOVE)
+                # Compaction will delete the damaged segment, so another one must record that attempts may have run.
+                self.write_short_record(stored, records.encode_state_record(stored), RecordUse.MOVE)
         for stored in self.messages.values():
             if stored.body is not None:
                 self.body_cache.add(stored, self.messages)
 
-    def _go_on(self, tail: int) -> None:
-        """Append to the newest segment, of which `tail` bytes are valid, or to a new one."""
-        if self.writer.reopen(tail):
+    def _open_active_segment(self, valid_bytes: int) -> None:
+        """Reopen the newest segment, of which `valid_bytes` bytes are valid, or begin a new one."""
+        if self.writer.reopen(valid_bytes):
             return
         try:
             self.begin_segment()
         except NoSpaceError as error:
-            # Start all the same: a sender that refused to start on a full folder could never finish the messages that
-            # fill it.
-            logger.error("the folder takes no records so far: {}", error.line)
+            # Start anyway: a sender that does not start on a full folder can never finish the messages that fill it.
+            logger.error("no segment can be written yet: {}", error.line)
 
     # ---- in service ----
 
     def sizes(self) -> compaction_planner.Sizes:
-        """The sizes of the folder in bytes, for the planner."""
-        head = FRAME.size + records.HEADER_BODY.size + records.HEADER_LINE.size * (len(self.segment_index.segments) + 1)
+        """Return the sizes of the folder for the compaction planner."""
+        header = (
+            FRAME_HEADER.size
+            + records.HEADER_BODY.size
+            + records.HEADER_LINE.size * (len(self.segment_index.segments) + 1)
+        )
         return compaction_planner.Sizes(
-            self.limit,
-            self.used,
-            self.segment_index.live,
-            self.writer.segment_size,
-            self.segment_index.largest,
-            head,
-            self.segment_index.promised_bytes(),
+            self.limit_bytes,
+            self.used_bytes,
+            self.segment_index.live_bytes,
+            self.writer.max_segment_bytes,
+            self.segment_index.largest_record_bytes,
+            header,
+            self.segment_index.expected_short_record_bytes(),
         )
 
-    def weighed(self, stored: StoredMessage) -> int:
-        """The bytes that a message takes on disk, with one state record."""
+    def stored_size(self, stored: StoredMessage) -> int:
+        """Return the bytes that a message needs on disk, including one state record."""
         texts = len(stored.id) + len(stored.key) + len(stored.priority_class) + len(stored.tenant)
-        body = len(stored.body) if stored.body is not None else stored.size
+        body = len(stored.body) if stored.body is not None else stored.body_size
         return (
-            FRAME.size + records.MESSAGE_BODY.size + records.STATE_BODY.size + texts + body + records.STATE_RECORD_BYTES
+            FRAME_HEADER.size
+            + records.MESSAGE_BODY.size
+            + records.STATE_BODY.size
+            + texts
+            + body
+            + records.STATE_RECORD_BYTES
         )
 
     def has_room(self, stored: StoredMessage) -> bool:
@@ -187,167 +205,179 @@
         return self.fits(stored)
 
     def fits(self, stored: StoredMessage) -> bool:
-        """Whether a message can be stored, with room for the short records that it will need."""
-        weighed = self.weighed(stored)
-        if weighed > self.spare:
-            self.estimate_room()
-        return weighed <= self.spare and not self.pending_records
-
-    def estimate_room(self) -> None:
-        """Compute anew how many bytes are free; between two calls the estimate may only be too low."""
+        """Whether there is space for a message and the short records that it will need."""
+        size = self.stored_size(stored)
+        if size > self.free_bytes:
+            self.update_free_bytes()
+        return size <= self.free_bytes and not self.pending_records
+
+    def update_free_bytes(self) -> None:
+        """Recompute the free bytes; between two calls the estimate can only be too low."""
         sizes = self.sizes()
-        self.floor, self.spare = compaction_planner.reserve(sizes), compaction_planner.room(sizes)
+        self.reserve_bytes, self.free_bytes = (
+            compaction_planner.reserved_bytes(sizes),
+            compaction_planner.free_message_bytes(sizes),
+        )
 
-    def room_for(self) -> int:
-        """The number of further messages of the mean stored size that fit in the folder."""
-        mean = max(
-            (self.segment_index.live + self.segment_index.promised_bytes()) // max(1, len(self.messages)) + 1,
+    def remaining_capacity(self) -> int:
+        """Return how many more messages of the mean stored size fit in the folder."""
+        mean_size = max(
+            (self.segment_index.live_bytes + self.segment_index.expected_short_record_bytes())
+            // max(1, len(self.messages))
+            + 1,
             records.STATE_RECORD_BYTES,
         )
-        if self.spare < FEW_MESSAGES_LEFT * mean:
-            self.estimate_room()
-        return max(0, self.spare) // mean
+        if self.free_bytes < LOW_CAPACITY_MESSAGES * mean_size:
+            self.update_free_bytes()
+        return max(0, self.free_bytes) // mean_size
 
-    def keep(self, stored: StoredMessage) -> None:
-        """Write the record of an accepted message; raises `NoSpaceError` if it does not fit."""
+    def add_message(self, stored: StoredMessage) -> None:
+        """Write the full record of a new message; raises `NoSpaceError` if it does not fit."""
         body = stored.body or b""
-        stored.size, stored.checksum = len(body), zlib.crc32(body)
+        stored.body_size, stored.body_checksum = len(body), zlib.crc32(body)
         if not self.fits(stored):
-            raise NoSpaceError("no room for another message")
+            raise NoSpaceError("no space for another message")
         self.write_message(stored, body, RecordUse.NEW_MESSAGE)
-        self.spare -= self.weighed(stored)
+        self.free_bytes -= self.stored_size(stored)
         self.body_cache.add(stored, self.messages)
 
-    def attempt(self, number: int, sent_at: int, zone: int) -> None:
-        """Record an attempt before it is sent; after `NoSpaceError` it must not be sent.
+    def record_attempt(self, number: int, sent_at: int, zone: int) -> None:
+        """Record an attempt before it is sent; if this raises `NoSpaceError`, the attempt must not be sent.
 
-        `sent_at`: wall-clock microseconds; `zone`: the zone mark of the receiver.
+        `zone`: the zone id of the receiver.
         """
         stored = self.messages[number]
-        self.write_note(stored, ATTEMPT_BODY.pack(ATTEMPT, number, sent_at, zone), RecordUse.SHORT_RECORD)
-        stored.attempt(sent_at, zone)
+        self.write_short_record(stored, ATTEMPT_BODY.pack(ATTEMPT, number, sent_at, zone), RecordUse.SHORT_RECORD)
+        stored.apply_attempt(sent_at, zone)
 
-    def outcome(self, number: int, outcome: Outcome) -> None:
-        """Record the outcome of the attempt in flight; a completed one ends its message.
+    def record_outcome(self, number: int, outcome: Outcome) -> None:
+        """Record the outcome of the attempt in flight; a completed attempt finishes its message.
 
-        Raises `NoSpaceError` if the record did not fit; it is then written later.
+        Raises `NoSpaceError` if the record does not fit; it stays queued and is written later.
         """
         stored = self.messages.get(number)
-        if stored is None or not stored.out_at:
+        if stored is None or not stored.in_flight_since:
             return
         if outcome is Outcome.COMPLETED:
-            self.over(number)
+            self.finish(number)
             return
-        stored.outcome(outcome.never_ran)
-        self._write_or_queue(OUTCOME_BODY.pack(OUTCOME, number, OUTCOMES.index(outcome)), self._when_written(stored))
+        stored.apply_outcome(outcome.never_ran)
+        self._write_or_queue(
+            OUTCOME_BODY.pack(OUTCOME, number, OUTCOMES.index(outcome)), self._index_when_written(stored)
+        )
 
-    def may_have_run(self, number: int, at: int, zone: int) -> None:
-        """Record an attempt of another sender that may have run, earlier than all known here."""
+    def record_may_have_run(self, number: int, at: int, zone: int) -> None:
+        """Record that another sender's attempt may have run, earlier than all attempts known here."""
         stored = self.messages[number]
-        stored.ran_at, stored.ran_zone = at, zone
-        self._write_or_queue(records.state(stored), self._when_written(stored))
+        stored.may_have_run_at, stored.may_have_run_zone = at, zone
+        self._write_or_queue(records.encode_state_record(stored), self._index_when_written(stored))
 
-    def ended(self, number: int, rejected: bool, wait_ms: int) -> None:
-        """Record the final answer: its notice must still be sent, its body is not needed any more."""
+    def record_final_answer(self, number: int, rejected: bool, wait_ms: int) -> None:
+        """Record the final answer of a message; its notice is still to be sent, its body is no longer needed."""
         stored = self.messages.get(number)
         if stored is not None:
-            stored.end = (rejected, wait_ms)
+            stored.final_answer = (rejected, wait_ms)
             self.body_cache.release(stored)
-            self._write_or_queue(END_BODY.pack(END, number, rejected, wait_ms), self._when_written(stored))
+            self._write_or_queue(
+                FINAL_ANSWER_BODY.pack(FINAL_ANSWER, number, rejected, wait_ms), self._index_when_written(stored)
+            )
 
-    def over(self, number: int) -> None:
-        """Record that a message is finished and forget it."""
+    def finish(self, number: int) -> None:
+        """Record that a message is finished and remove it."""
         stored = self.messages.get(number)
         if stored is not None:
             self.body_cache.release(stored)
-            holders = self.segment_index.message_over(stored)
+            holders = self.segment_index.remove_message(stored)
             self._write_or_queue(
-                OVER_BODY.pack(OVER, number), lambda segment: self.segment_index.end_written(number, holders, segment)
+                FINISHED_BODY.pack(FINISHED, number),
+                lambda segment: self.segment_index.add_end_record(number, holders, segment),
             )
 
     def step(self) -> None:
-        """Run one bounded compaction step; called between two rounds."""
+        """Run one bounded compaction step; called between two decision rounds."""
         self.compactor.step()
 
-    def deciding(self) -> bool:
-        """Whether this sender may answer for its messages; always true without a fleet."""
+    def may_answer(self) -> bool:
+        """Whether this sender may give final answers; always true without a fleet."""
         return True
 
-    def taking(self) -> bool:
+    def accepts_messages(self) -> bool:
         """Whether new messages may be accepted at all; always true without a fleet."""
         return True
 
-    def may_fire(self, number: int) -> bool:
+    def may_send_attempt(self, number: int) -> bool:
         """Whether an attempt of this message may start now; always true without a fleet."""
         return True
 
     def term_of(self, number: int) -> int:
-        """The term of the lease under which this sender has a message; always 0 without a fleet."""
+        """Return the lease term under which this sender holds a message; always 0 without a fleet."""
         return 0
 
-    def body(self, number: int) -> bytes:
-        """The body of a message, from memory or from the folder; raises `BodyLostError` if it cannot be read."""
+    def read_body(self, number: int) -> bytes:
+        """Return the body of a message, from memory or from disk; raises `BodyLostError` if it cannot be read."""
         stored = self.messages[number]
         return stored.body if stored.body is not None else self.body_cache.read(stored, self.segment_index.segments)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
         """With `durable`, sync everything written so far to the disk; raises OSError if that fails.
 
-        `call`, if given, runs the blocking sync elsewhere, for example in a thread pool.
+        `call`, if given, runs the blocking sync, for example in a thread pool.
         """
         self.writer.sync(call)
         if self.durable:
-            self.compactor.delete_condemned()
+            self.compactor.delete_obsolete_files()
 
     def close(self) -> None:
-        """Close all files and give up the lock of the folder."""
+        """Close all files and release the lock of the folder."""
         for segment in self.segment_index.segments.values():
-            if segment.file >= 0:
-                self.folder.close(segment.file)
-                segment.file = -1
+            if segment.descriptor >= 0:
+                self.folder.close(segment.descriptor)
+                segment.descriptor = -1
         self.writer.close()
-        self.folder.release()
+        self.folder.release_lock()
 
     # ---- records ----
 
     def write_message(self, stored: StoredMessage, body: bytes, use: RecordUse) -> int:
-        """Write the full record of a message; returns the bytes written. May raise `NoSpaceError`."""
-        payload, at = records.message(stored, body)
-        segment, begin = self.append_record(payload, use)
-        stored.size = len(body)
-        self.segment_index.message_written(stored, segment, begin + FRAME.size + at, FRAME.size + len(payload))
-        return FRAME.size + len(payload)
-
-    def write_note(self, stored: StoredMessage, payload: bytes, use: RecordUse) -> int:
-        """Write a short record about a message; returns the bytes written. May raise `NoSpaceError`."""
+        """Write the full record of a message; returns the bytes written. Raises `NoSpaceError`."""
+        payload, body_start = records.encode_message(stored, body)
+        segment, offset = self.append_record(payload, use)
+        stored.body_size = len(body)
+        self.segment_index.add_full_record(
+            stored, segment, offset + FRAME_HEADER.size + body_start, FRAME_HEADER.size + len(payload)
+        )
+        return FRAME_HEADER.size + len(payload)
+
+    def write_short_record(self, stored: StoredMessage, payload: bytes, use: RecordUse) -> int:
+        """Write a short record about a message; returns the bytes written. Raises `NoSpaceError`."""
         segment, _ = self.append_record(payload, use)
-        self.segment_index.note_written(stored, segment, whole=payload[0] == records.STATE)
-        return FRAME.size + len(payload)
+        self.segment_index.add_short_record(stored, segment, is_full_state=payload[0] == records.STATE)
+        return FRAME_HEADER.size + len(payload)
 
-    def _when_written(self, stored: StoredMessage) -> Callable[[Segment], None]:
-        """A callback that adds a written short record to the index, if its message is still unfinished."""
+    def _index_when_written(self, stored: StoredMessage) -> Callable[[Segment], None]:
+        """Return a callback that adds a written short record to the index if its message is still unfinished."""
 
-        def then(segment: Segment) -> None:
+        def add_to_index(segment: Segment) -> None:
             if stored.number in self.messages:
-                self.segment_index.note_written(stored, segment)
+                self.segment_index.add_short_record(stored, segment)
 
-        return then
+        return add_to_index
 
-    def _write_or_queue(self, payload: bytes, then: Callable[[Segment], None]) -> None:
-        """Write a short record that must not be lost; without space it is queued, and `NoSpaceError` raised."""
+    def _write_or_queue(self, payload: bytes, when_written: Callable[[Segment], None]) -> None:
+        """Write a short record that must not be lost; without space, queue it and raise `NoSpaceError`."""
         if self.pending_records:
-            self.pending_records.append(PendingRecord(payload, then))
+            self.pending_records.append(PendingRecord(payload, when_written))
             self.write_pending()
             return
         try:
             segment, _ = self.append_record(payload, RecordUse.SHORT_RECORD)
         except NoSpaceError:
-            self.pending_records.append(PendingRecord(payload, then))
+            self.pending_records.append(PendingRecord(payload, when_written))
             raise
-        then(segment)
+        when_written(segment)
 
     def write_pending(self) -> None:
-        """Write the queued short records; raises `NoSpaceError` at the first that still does not fit."""
+        """Write the queued short records; raises `NoSpaceError` at the first one that does not fit."""
         while self.pending_records:
             record = self.pending_records[0]
             segment, _ = self.append_record(record.payload, RecordUse.SHORT_RECORD, from_queue=True)
@@ -355,35 +385,35 @@
             self.pending_records.popleft()
 
     def append_record(self, payload: bytes, use: RecordUse, from_queue: bool = False) -> tuple[Segment, int]:
-        """Append one record; returns its segment and the offset of its frame there.
+        """Append a record; returns its segment and the offset of its frame.
 
         `from_queue`: the record is the first of `pending_records`. Raises `NoSpaceError` if there is no space or the
-        disk refuses the write.
+        write fails.
         """
         if self.pending_records and not from_queue and use is not RecordUse.MOVE:
-            self.write_pending()  # records about one message must be written in their order
-        record = framed(payload)
+            self.write_pending()  # the records of a message must be written in order
+        record = encode_frame(payload)
         writer = self.writer
         active = writer.active
         if active is None or writer.needs_segment(active, len(record)):
             active = self._next_segment(active)
-        grows = active.growth(len(record))
-        if use is not RecordUse.MOVE and self.limit - writer.used - grows < self.floor:
-            self.compactor.find_room(grows, use)
+        growth_bytes = active.growth(len(record))
+        if use is not RecordUse.MOVE and self.limit_bytes - writer.used_bytes - growth_bytes < self.reserve_bytes:
+            self.compactor.free_space(growth_bytes, use)
             active = writer.active or active  # compaction may have begun a new segment
-            grows = active.growth(len(record))
-        return active, writer.append(active, record, grows, use)
+            growth_bytes = active.growth(len(record))
+        return active, writer.append(active, record, growth_bytes, use)
 
     def _next_segment(self, active: Segment | None) -> Segment:
-        """Begin a new segment and return it, or the old one if there is no space for another."""
+        """Begin a new segment and return it, or `active` if there is no space for a new one."""
         try:
             self.begin_segment()
         except NoSpaceError:
-            if active is None or self.writer.file < 0:
+            if active is None or self.writer.active_file < 0:
                 raise
         assert self.writer.active is not None
         return self.writer.active
 
     def begin_segment(self) -> None:
-        """Seal the active segment and begin another; raises `NoSpaceError` if that cannot be written."""
-        self.writer.begin_segment(self.next_number, self.old_until)
+        """Seal the active segment and begin a new one; raises `NoSpaceError` if it cannot be written."""
+        self.writer.begin_segment(self.next_number, self.last_legacy_file)
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -1,9 +1,9 @@
 """Rebuilds the state of a folder by replaying its segments in order, in bounded memory. It writes nothing.
 
-The newest segment's header names every other live segment, and its drop records name those deleted since; this tells
-missing segments, leftover files and damage apart. Where records may be lost, every message live at that point is put
-in doubt: an attempt without a record may have run. Called by `journal.Store.load` and by `tools.py`; times are
-wall-clock microseconds, sizes and offsets bytes.
+The newest segment's header lists every other live segment, and its drop records list those deleted since; this
+distinguishes missing segments, leftover files and damage. Where records may be lost, every message live at that point
+is marked: an attempt without a record may have run. Called by `journal.Store.load` and by `tools.py`. Times are
+wall-clock microseconds; sizes and offsets are bytes.
 """
 
 from collections.abc import Iterator
@@ -11,23 +11,23 @@
 
 from cedarwick.decisions.interface import Outcome
 from cedarwick.errors import CedarwickError
-from cedarwick.store.files import Folder, numbers, segment_name
+from cedarwick.store.files import Folder, file_numbers, segment_name
 from cedarwick.store.records import (
     ATTEMPT,
     ATTEMPT_BODY,
     DROP,
-    END,
-    END_BODY,
-    FRAME,
-    HARMLESS,
+    FINAL_ANSWER,
+    FINAL_ANSWER_BODY,
+    FINISHED,
+    FINISHED_BODY,
+    FIRST_UNRELATED_KIND,
+    FRAME_HEADER,
     HEADER,
     MESSAGE,
+    MIN_STATE_PAYLOAD_BYTES,
     OUTCOME,
     OUTCOME_BODY,
     OUTCOMES,
-    OVER,
-    OVER_BODY,
-    SHORTEST,
     STATE,
     STATE_HEAD,
     VERSION,
@@ -37,28 +37,28 @@
     InvalidRecordError,
     StoredMessage,
     apply_state,
-    read_header,
-    read_message,
-    scan,
+    decode_header,
+    decode_message,
+    scan_frames,
 )
-from cedarwick.store.segments import Say, Segment, SegmentIndex
+from cedarwick.store.segments import Report, Segment, SegmentIndex
 
-CHUNK = 1 << 20  # bytes read at once
-SECTOR = 1 << 12  # bytes read at once where the disk reports an error
+CHUNK_BYTES = 1 << 20  # read at once
+SECTOR_BYTES = 1 << 12  # read at once where the disk reports an error
 
 
 class FolderDamagedError(CedarwickError):
-    """A part of the folder is missing or does not match its checksums; the rest is gone on with."""
+    """A part of the folder is missing or does not match its checksums; the rest stays in use."""
 
     code = "CW208"
-    remedy = "keep a copy of the folder and look at the disk; what is in doubt is answered by itself"
+    remedy = "keep a copy of the folder and check the disk; messages with lost records still get their final answer"
 
 
 class StoreVersionError(CedarwickError):
     """A segment was written by another version of the program."""
 
     code = "CW209"
-    remedy = "start the version that wrote it on this folder and let it end what it owes"
+    remedy = "run the version that wrote it on this folder until it has answered its messages"
 
 
 @dataclass
@@ -67,84 +67,84 @@
 
     segment_index: SegmentIndex = field(default_factory=SegmentIndex)
     next_message: int = 1
-    old_until: int = 0
-    last: int = 0  # the highest segment number seen, live or not
-    leftover: list[str] = field(default_factory=list)  # files that can be deleted
-    tail: int = -1  # valid bytes of the newest segment; -1: nothing may be appended to it
+    last_legacy_file: int = 0
+    last_segment: int = 0  # the highest segment number found, live or not
+    leftover_files: list[str] = field(default_factory=list)  # files that are not needed
+    newest_valid_bytes: int = -1  # of the newest segment; -1: nothing may be appended to it
     damaged: bool = False
-    records: int = 0
-    unknown_records: int = 0
+    record_count: int = 0
+    unknown_record_count: int = 0
 
 
-def recover(folder: Folder, say: Say) -> Recovered:
-    """Replay a folder and return its state; each finding is passed to `say` as one line.
+def recover(folder: Folder, report: Report) -> Recovered:
+    """Replay a folder and return its state; each finding is passed to `report` as one line.
 
     Raises OSError if the folder cannot be read; bytes that the disk cannot read count as damage.
     """
     found = Recovered()
     names = folder.names()
-    present = numbers(names)
-    headers = {number: first_header(folder, number) for number in present}
+    present = file_numbers(names)
+    headers = {number: read_segment_header(folder, number) for number in present}
     for name in names:
         if name.endswith(".seg") and not (name[:8].isdigit() and len(name) == 12):
-            say(f"{name} is no segment of this journal and is left alone")
-    for number, made in list(headers.items()):
-        if made is not None and made.number != number:
-            say(f"{segment_name(number)} is a copy of segment {made.number} and is left out")
+            report(f"{name} is not a segment of this journal; ignored")
+    for number, header in list(headers.items()):
+        if header is not None and header.number != number:
+            report(f"{segment_name(number)} is a copy of segment {header.number}; ignored")
             present.remove(number)
             del headers[number]
-    found.last = max([*present, 0])
-    newest = max((number for number, made in headers.items() if made and made.version == VERSION), default=0)
-    top = headers.get(newest)
-    expected, lengths = live_segments(folder, found, present, top, newest, say)
-    doubt_from = 0
+    found.last_segment = max([*present, 0])
+    newest = max((number for number, header in headers.items() if header and header.version == VERSION), default=0)
+    newest_header = headers.get(newest)
+    expected, lengths = find_live_segments(folder, found, present, newest_header, newest, report)
+    lost_since = 0
     for number in sorted(expected):
-        made = headers.get(number)
+        header = headers.get(number)
         if number not in present:
-            say(
+            report(
                 FolderDamagedError(
-                    f"{segment_name(number)} is missing: what it held is lost, "
-                    f"{len(found.segment_index.messages)} messages are put in doubt"
+                    f"{segment_name(number)} is missing and its records are lost; "
+                    f"{len(found.segment_index.messages)} messages may have unrecorded attempts"
                 ).line
             )
-            put_in_doubt(found, doubt_from)
+            mark_records_lost(found, lost_since)
             continue
-        doubt_from = made.made_at if made else doubt_from
-        read_segment(folder, found, number, made, lengths.get(number), number == max(expected), doubt_from, say)
-    if top is not None:
-        found.next_message = max(found.next_message, top.next_message)
-        found.old_until = top.old_until
+        lost_since = header.created_at if header else lost_since
+        read_segment(folder, found, number, header, lengths.get(number), number == max(expected), lost_since, report)
+    if newest_header is not None:
+        found.next_message = max(found.next_message, newest_header.next_message)
+        found.last_legacy_file = newest_header.last_legacy_file
     return found
 
 
-def live_segments(
-    folder: Folder, found: Recovered, present: list[int], top: Header | None, newest: int, say: Say
+def find_live_segments(
+    folder: Folder, found: Recovered, present: list[int], newest_header: Header | None, newest: int, report: Report
 ) -> tuple[set[int], dict[int, int]]:
-    """The numbers of the segments that should exist, and the valid lengths in bytes of those that were sealed."""
+    """Return the numbers of the segments that should exist, and the valid bytes of the sealed ones."""
     expected, lengths = set(present), {}
-    if top is not None:
-        lengths = dict(top.others)
+    if newest_header is not None:
+        lengths = dict(newest_header.other_segments)
         expected = {newest, *lengths} | {number for number in present if number > newest}
-        for each in read_through(folder, segment_name(newest), None):
-            if isinstance(each, Frame) and each.payload[0] == DROP and len(each.payload) == OVER_BODY.size:
-                expected.discard(OVER_BODY.unpack(each.payload)[1])
-        found.leftover = [segment_name(number) for number in present if number not in expected]
+        for each in read_records(folder, segment_name(newest), None):
+            if isinstance(each, Frame) and each.payload[0] == DROP and len(each.payload) == FINISHED_BODY.size:
+                expected.discard(FINISHED_BODY.unpack(each.payload)[1])
+        found.leftover_files = [segment_name(number) for number in present if number not in expected]
     for number in [number for number in expected if number > newest and number in present]:
-        records = [each for each in read_through(folder, segment_name(number), None) if isinstance(each, Frame)]
-        if not records:  # its creation was interrupted, so it holds nothing that was acknowledged
+        records = [each for each in read_records(folder, segment_name(number), None) if isinstance(each, Frame)]
+        if not records:  # its creation was interrupted, so nothing in it was acknowledged
             expected.discard(number)
-            found.leftover.append(segment_name(number))
-    if found.leftover:
-        say(f"left over and not needed: {', '.join(found.leftover)}")
+            found.leftover_files.append(segment_name(number))
+    if found.leftover_files:
+        report(f"files that are not needed: {', '.join(found.leftover_files)}")
     return expected, lengths
 
 
-def first_header(folder: Folder, number: int) -> Header | None:
-    """The header of a segment; None if it has none that can be read."""
-    for each in read_through(folder, segment_name(number), None):
-        if isinstance(each, Frame) and each.at == 0 and each.payload[0] == HEADER:
+def read_segment_header(folder: Folder, number: int) -> Header | None:
+    """Return the header of a segment; None if it has no readable header."""
+    for each in read_records(folder, segment_name(number), None):
+        if isinstance(each, Frame) and each.offset == 0 and each.payload[0] == HEADER:
             try:
-                return read_header(each.payload)
+                return decode_header(each.payload)
             except InvalidRecordError:
                 return None
         return None
@@ -155,122 +155,137 @@
     folder: Folder,
     found: Recovered,
     number: int,
-    made: Header | None,
+    header: Header | None,
     length: int | None,
-    last: bool,
-    doubt_from: int,
-    say: Say,
+    is_newest: bool,
+    lost_since: int,
+    report: Report,
 ) -> None:
-    """Replay one segment; damage in it puts all messages live at that point in doubt.
-
-    `length`: the valid bytes recorded when it was sealed, None if unknown; `last`: it is the newest segment;
-    `doubt_from`: wall-clock microseconds, the time from which records may be lost.
+    """Replay one segment; after damage, all messages live at that point may have unrecorded attempts.
+
+    Args:
+        folder: the folder of the segment.
+        found: the state to which the records are applied.
+        number: the segment's number.
+        header: its header; None if it cannot be read.
+        length: its valid bytes as recorded when it was sealed; None if unknown.
+        is_newest: whether it is the newest segment.
+        lost_since: the time from which records may be lost.
+        report: called with each finding.
     """
     name = segment_name(number)
-    physical = folder.size(name)
-    segment = Segment(number, made.made_at if made else doubt_from, physical=physical)
-    found.segment_index.add(segment)
-    if made is not None and made.version != VERSION:
-        say(
+    file_bytes = folder.size(name)
+    segment = Segment(number, header.created_at if header else lost_since, file_bytes=file_bytes)
+    found.segment_index.add_segment(segment)
+    if header is not None and header.version != VERSION:
+        report(
             StoreVersionError(
-                f"{name} is of version {made.version}, this program knows {VERSION}: it is left alone, and "
-                f"{len(found.segment_index.messages)} messages are put in doubt"
+                f"{name} has format version {header.version}, this program supports {VERSION}: ignored and preserved; "
+                f"{len(found.segment_index.messages)} messages may have unrecorded attempts"
             ).line
         )
-        segment.foreign = True
-        found.segment_index.live += physical
-        segment.size = physical
-        put_in_doubt(found, doubt_from)
+        segment.other_version = True
+        found.segment_index.live_bytes += file_bytes
+        segment.valid_bytes = file_bytes
+        mark_records_lost(found, lost_since)
         return
-    if length is not None and physical < length:
-        say(FolderDamagedError(f"{name} is cut off at {physical}, {length} bytes were written").line)
-        put_in_doubt(found, doubt_from)
-    ended = 0
-    for each in read_through(folder, name, length):
+    if length is not None and file_bytes < length:
+        report(FolderDamagedError(f"{name} is cut off at {file_bytes} of {length} bytes").line)
+        mark_records_lost(found, lost_since)
+    valid_end = 0
+    for each in read_records(folder, name, length):
         if isinstance(each, Frame):
-            found.records += 1
-            segment.head = segment.head or FRAME.size + len(each.payload)
-            ended = each.at + FRAME.size + len(each.payload)
-            replay(found, segment, each, say)
+            found.record_count += 1
+            segment.header_bytes = segment.header_bytes or FRAME_HEADER.size + len(each.payload)
+            valid_end = each.offset + FRAME_HEADER.size + len(each.payload)
+            replay(found, segment, each, report)
             continue
-        if last and each.until >= physical and made is not None:
-            # A write interrupted by the end of the process: it was never acknowledged, so nothing is lost.
-            say(f"{name}: {each.until - each.at} bytes of a last record that was cut off are left out")
+        if is_newest and each.end_offset >= file_bytes and header is not None:
+            # A write that was interrupted when the process ended; it was not acknowledged, so nothing is lost.
+            report(f"{name}: {each.end_offset - each.offset} bytes of a last record that was cut off are ignored")
             continue
-        if made is None and each.at == 0 and not last:
-            say(FolderDamagedError(f"{name}: the header cannot be read").line)
-        say(
+        if header is None and each.offset == 0 and not is_newest:
+            report(FolderDamagedError(f"{name}: the header cannot be read").line)
+        report(
             FolderDamagedError(
-                f"{name}: bytes {each.at} to {each.until} are damaged; "
-                f"{len(found.segment_index.messages)} messages are put in doubt"
+                f"{name}: bytes {each.offset} to {each.end_offset} are damaged; "
+                f"{len(found.segment_index.messages)} messages may have unrecorded attempts"
             ).line
         )
-        put_in_doubt(found, doubt_from)
-    segment.size = ended
-    if last and made is not None:
-        found.tail = ended
+        mark_records_lost(found, lost_since)
+    segment.valid_bytes = valid_end
+    if is_newest and header is not None:
+        found.newest_valid_bytes = valid_end
 
 
-def put_in_doubt(found: Recovered, since: int) -> None:
-    """Mark every live message: records since `since` are lost, so an attempt may have run without a record."""
+def mark_records_lost(found: Recovered, since: int) -> None:
+    """Mark every live message: records since then are lost, so an unrecorded attempt may have run."""
     found.damaged = True
     for stored in found.segment_index.messages.values():
-        stored.doubt_at = min(filter(None, (stored.doubt_at, since)), default=1)
+        stored.records_lost_since = min(filter(None, (stored.records_lost_since, since)), default=1)
 
 
-def replay(found: Recovered, segment: Segment, record: Frame, say: Say) -> None:
-    """Apply one record to the state; one that cannot be decoded is reported to `say` and skipped."""
+def replay(found: Recovered, segment: Segment, record: Frame, report: Report) -> None:
+    """Apply a record to the state; one that cannot be decoded is passed to `report` and skipped."""
     payload, segment_index = record.payload, found.segment_index
     kind = payload[0]
     if kind in (HEADER, DROP):
         return
     if kind > DROP:
-        found.unknown_records += 1
-        if found.unknown_records == 1:
-            say(f"{segment_name(segment.number)}: a record of the unknown kind {kind} at {record.at} is retained")
-        segment_index.add_unknown(segment, record.at + FRAME.size, len(payload))
-        if kind < HARMLESS and len(payload) >= SHORTEST:
-            doubtful = segment_index.messages.get(STATE_HEAD.unpack_from(payload)[1])
-            if doubtful is not None:
-                doubtful.doubt_at = min(filter(None, (doubtful.doubt_at, segment.made_at)), default=1)
+        found.unknown_record_count += 1
+        if found.unknown_record_count == 1:
+            report(f"{segment_name(segment.number)}: a record of unknown kind {kind} at {record.offset} is preserved")
+        segment_index.add_unknown_record(segment, record.offset + FRAME_HEADER.size, len(payload))
+        if kind < FIRST_UNRELATED_KIND and len(payload) >= MIN_STATE_PAYLOAD_BYTES:
+            affected = segment_index.messages.get(STATE_HEAD.unpack_from(payload)[1])
+            if affected is not None:
+                affected.records_lost_since = min(
+                    filter(None, (affected.records_lost_since, segment.created_at)), default=1
+                )
         return
     try:
         if kind == MESSAGE:
-            fresh = read_message(payload, segment.number, record.at)
-            found.next_message = max(found.next_message, fresh.number + 1)
-            apply_message(segment_index, segment, fresh)
+            message = decode_message(payload, segment.number, record.offset)
+            found.next_message = max(found.next_message, message.number + 1)
+            apply_message(segment_index, segment, message)
             return
         number = STATE_HEAD.unpack_from(payload)[1]
         stored = segment_index.messages.get(number)
         if stored is None:
-            if kind == OVER or kind == OUTCOME and OUTCOMES[OUTCOME_BODY.unpack(payload)[2]] is Outcome.COMPLETED:
-                segment_index.end_rewritten(number, segment)
-            return  # the message has ended, or its own record is lost
+            if kind == FINISHED or kind == OUTCOME and OUTCOMES[OUTCOME_BODY.unpack(payload)[2]] is Outcome.COMPLETED:
+                segment_index.move_end_record(number, segment)
+            return  # the message is finished, or its full record is lost
         apply_short_record(segment_index, segment, stored, kind, payload)
     except (InvalidRecordError, ValueError, IndexError) as error:
-        say(
+        report(
             InvalidRecordError(
-                f"{segment_name(segment.number)}: the record at {record.at} cannot be read: {error}"
+                f"{segment_name(segment.number)}: cannot decode the record at {record.offset}: {error}"
             ).line
         )
-    except Exception as error:  # struct.error, which is no ValueError
-        say(
+    except Exception as error:  # struct.error, which is not a ValueError
+        report(
             InvalidRecordError(
-                f"{segment_name(segment.number)}: the record at {record.at} has a wrong length: {error}"
+                f"{segment_name(segment.number)}: the record at {record.offset} has a wrong length: {error}"
             ).line
         )
 
 
-def apply_message(segment_index: SegmentIndex, segment: Segment, fresh: StoredMessage) -> None:
-    """Apply a full record of a message, which replaces older ones; doubt is carried over."""
-    before = segment_index.messages.get(fresh.number)
-    at, weight = fresh.at, fresh.weight
-    if before is not None:
-        fresh.doubt_at = min(filter(None, (before.doubt_at, fresh.doubt_at)), default=0)
-        fresh.home, fresh.weight, fresh.noted = before.home, before.weight, before.noted
+def apply_message(segment_index: SegmentIndex, segment: Segment, message: StoredMessage) -> None:
+    """Apply a full record of a message, which replaces older ones; `records_lost_since` carries over."""
+    previous = segment_index.messages.get(message.number)
+    body_offset, record_size = message.body_offset, message.record_size
+    if previous is not None:
+        message.records_lost_since = min(
+            filter(None, (previous.records_lost_since, message.records_lost_since)), default=0
+        )
+        message.segment_number, message.record_size, message.short_record_segments = (
+            previous.segment_number,
+            previous.record_size,
+            previous.short_record_segments,
+        )
     else:
-        fresh.home = fresh.weight = 0
-    segment_index.message_written(fresh, segment, at, weight)
+        message.segment_number = message.record_size = 0
+    segment_index.add_full_record(message, segment, body_offset, record_size)
 
 
 def apply_short_record(
@@ -279,25 +294,25 @@
     """Apply a short record about a live message."""
     if kind == STATE:
         apply_state(stored, payload, STATE_HEAD.size)
-        segment_index.note_written(stored, segment, whole=True)
+        segment_index.add_short_record(stored, segment, is_full_state=True)
         return
-    if kind == OVER:
-        segment_index.end_written(stored.number, segment_index.message_over(stored), segment)
+    if kind == FINISHED:
+        segment_index.add_end_record(stored.number, segment_index.remove_message(stored), segment)
         return
     if kind == ATTEMPT:
         _, _, sent_at, zone = ATTEMPT_BODY.unpack(payload)
-        stored.attempt(sent_at, zone)
+        stored.apply_attempt(sent_at, zone)
     elif kind == OUTCOME:
         outcome = OUTCOMES[OUTCOME_BODY.unpack(payload)[2]]
-        stored.outcome(outcome.never_ran)
-    elif kind == END:
-        _, _, rejected, wait = END_BODY.unpack(payload)
-        stored.end = (bool(rejected), wait)
-    segment_index.note_written(stored, segment)
+        stored.apply_outcome(outcome.never_ran)
+    elif kind == FINAL_ANSWER:
+        _, _, rejected, wait = FINAL_ANSWER_BODY.unpack(payload)
+        stored.final_answer = (bool(rejected), wait)
+    segment_index.add_short_record(stored, segment)
 
 
-def read_through(folder: Folder, name: str, until: int | None) -> Iterator[Frame | DamagedRange]:
-    """The records of a file up to offset `until` (None: all); bytes that the disk cannot read count as damage."""
+def read_records(folder: Folder, name: str, until: int | None) -> Iterator[Frame | DamagedRange]:
+    """Yield the records of a file up to offset `until` (None: all); unreadable sectors count as damage."""
     try:
         file = folder.open(name, append=False)
     except OSError:
@@ -305,31 +320,33 @@
     try:
         size = folder.size(name)
         end = size if until is None else min(size, until)
-        held, begin = b"", 0
+        buffer, buffer_offset = b"", 0
         while True:
-            at = begin + len(held)
-            part = read_part(folder, file, min(CHUNK, end - at), at) if at < end else b""
-            held += part
-            whole = not part or at + len(part) >= end
-            used = begin
-            for each in scan(held, begin, whole):
-                used = each.at + FRAME.size + len(each.payload) if isinstance(each, Frame) else each.until
+            at = buffer_offset + len(buffer)
+            part = read_replacing_bad_sectors(folder, file, min(CHUNK_BYTES, end - at), at) if at < end else b""
+            buffer += part
+            is_last_chunk = not part or at + len(part) >= end
+            consumed_offset = buffer_offset
+            for each in scan_frames(buffer, buffer_offset, is_last_chunk):
+                consumed_offset = (
+                    each.offset + FRAME_HEADER.size + len(each.payload) if isinstance(each, Frame) else each.end_offset
+                )
                 yield each
-            if whole:
+            if is_last_chunk:
                 return
-            held, begin = held[used - begin :], used
+            buffer, buffer_offset = buffer[consumed_offset - buffer_offset :], consumed_offset
     finally:
         folder.close(file)
 
 
-def read_part(folder: Folder, file: int, size: int, at: int) -> bytes:
-    """Read bytes of a file; sectors that cannot be read are replaced by zeros, which are never a valid record."""
+def read_replacing_bad_sectors(folder: Folder, file: int, size: int, at: int) -> bytes:
+    """Read bytes of a file; unreadable sectors are replaced by zeros, which are never a valid record."""
     try:
         return folder.read(file, size, at)
     except OSError:
         parts = []
-        for begin in range(at, at + size, SECTOR):
-            wanted = min(SECTOR, at + size - begin)
+        for begin in range(at, at + size, SECTOR_BYTES):
+            wanted = min(SECTOR_BYTES, at + size - begin)
             try:
                 parts.append(folder.read(file, wanted, begin).ljust(wanted, b"\0"))
             except OSError:
--- a/cedarwick/store/segment_writer.py
+++ b/cedarwick/store/segment_writer.py
@@ -11,20 +11,20 @@
 
 from cedarwick.store import compaction_planner, records
 from cedarwick.store.compaction_planner import RecordUse
-from cedarwick.store.files import DiskError, Folder, NoSpaceError, quietly, segment_name
-from cedarwick.store.records import Header, framed
+from cedarwick.store.files import DiskError, Folder, NoSpaceError, ignore_os_error, segment_name
+from cedarwick.store.records import Header, encode_frame
 from cedarwick.store.segments import Segment, SegmentIndex
 
 
-class CondemnedFile(NamedTuple):
-    """A file that is not needed any more and not deleted yet; `size` is in whole blocks."""
+class ObsoleteFile(NamedTuple):
+    """A file that is no longer needed and not deleted yet; `size` is in whole blocks."""
 
     name: str
     size: int
 
 
 class PendingRecord(NamedTuple):
-    """A short record that waits for space, and what adds it to the index once it is written."""
+    """A short record that waits for space, and the callback that adds it to the index once it is written."""
 
     payload: bytes
     when_written: Callable[[Segment], None]
@@ -34,153 +34,159 @@
     """The active segment of a folder, and its only writer."""
 
     def __init__(self, folder: Folder, segment_index: SegmentIndex, now: Callable[[], int], durable: bool) -> None:
-        """`now` returns wall time in microseconds; with `durable`, `sync` is called for what was written."""
+        """`now` returns wall-clock microseconds; `durable`: remember unsynced files for `sync`."""
         self.folder = folder
         self.segment_index = segment_index
         self.now = now
         self.durable = durable
-        self.segment_size = 0  # at which a segment is sealed
+        self.max_segment_bytes = 0  # size at which a segment is sealed
         self.active: Segment | None = None
-        self.file = -1  # descriptor of the active segment; -1: none
-        self.last_segment = 0  # the highest number in use so far
-        self.used = 0  # of all files, in whole blocks
-        self.appended = 0  # since the last compaction step, without moved records
+        self.active_file = -1  # descriptor of the active segment; -1: none
+        self.last_segment_number = 0  # the highest number used so far
+        self.used_bytes = 0  # of all files, in whole blocks
+        self.appended_bytes = 0  # since the last compaction step, excluding moved records
         self.moved_bytes = 0
         self.written_bytes = 0
-        self.condemned: list[CondemnedFile] = []
-        self.unsynced: set[int] = set()  # descriptors of files with bytes not synced yet
+        self.obsolete_files: list[ObsoleteFile] = []
+        self.unsynced_files: set[int] = set()  # descriptors of files with unsynced bytes
 
-    def count_used(self) -> None:
-        """Compute `used` from the sizes of all files."""
-        self.used = sum(compaction_planner.blocks(self.folder.size(name)) for name in self.folder.names())
+    def update_used_bytes(self) -> None:
+        """Compute `used_bytes` from the sizes of all files."""
+        self.used_bytes = sum(
+            compaction_planner.round_up_to_blocks(self.folder.size(name)) for name in self.folder.names()
+        )
 
-    def reopen(self, tail: int) -> bool:
-        """Append to the newest segment, truncated after its last valid record (`tail` bytes); False if impossible."""
+    def reopen(self, valid_size: int) -> bool:
+        """Truncate the newest segment to its `valid_size` and continue to append to it; False if that fails."""
         newest = self.segment_index.segments.get(max(self.segment_index.segments, default=0))
-        if newest is None or newest.foreign or not 0 < tail < self.segment_size:
+        if newest is None or newest.other_version or not 0 < valid_size < self.max_segment_bytes:
             return False
         try:
             file = self.folder.open(segment_name(newest.number), append=True)
-            self.folder.truncate(file, tail)
+            self.folder.truncate(file, valid_size)
         except OSError as error:
-            logger.error(DiskError(f"{segment_name(newest.number)} cannot be gone on with: {error}").line)
+            logger.error(DiskError(f"{segment_name(newest.number)} cannot be reopened for appending: {error}").line)
             return False
-        self.used += compaction_planner.blocks(tail) - compaction_planner.blocks(newest.physical)
-        newest.size = newest.physical = tail
-        self.active, self.file = newest, file
+        self.used_bytes += compaction_planner.round_up_to_blocks(valid_size) - compaction_planner.round_up_to_blocks(
+            newest.file_bytes
+        )
+        newest.valid_bytes = newest.file_bytes = valid_size
+        self.active, self.active_file = newest, file
         return True
 
     # ---- records ----
 
     def needs_segment(self, active: Segment, size: int) -> bool:
-        """Whether a record of `size` bytes should go to a new segment, not to the active one."""
-        return active.size + size > self.segment_size and active.size > active.head
+        """Whether a record of `size` bytes should go to a new segment instead of the active one."""
+        return active.valid_bytes + size > self.max_segment_bytes and active.valid_bytes > active.header_bytes
 
-    def append(self, active: Segment, record: bytes, grows: int, use: RecordUse) -> int:
+    def append(self, active: Segment, record: bytes, growth_bytes: int, use: RecordUse) -> int:
         """Append a framed record to the active segment; returns its offset there.
 
-        `grows`: bytes in whole blocks by which the file grows. Raises `NoSpaceError` if the disk refuses the write.
+        `growth_bytes`: bytes, in whole blocks, by which the file grows. Raises `NoSpaceError` if the write fails.
         """
         try:
-            written = self.folder.append(self.file, record)
+            written_size = self.folder.append(self.active_file, record)
         except OSError as error:
             raise NoSpaceError(str(error)) from None
-        if written < len(record):
-            self._undo(active, written)
-            raise NoSpaceError("a record was cut short")
-        begin = active.size
-        active.physical += len(record)
-        active.size = active.physical
-        self.used += grows
+        if written_size < len(record):
+            self._truncate_partial_write(active, written_size)
+            raise NoSpaceError("the record was written only in part")
+        offset = active.valid_bytes
+        active.file_bytes += len(record)
+        active.valid_bytes = active.file_bytes
+        self.used_bytes += growth_bytes
         self.written_bytes += len(record)
         if use is RecordUse.MOVE:
             self.moved_bytes += len(record)
         else:
-            self.appended += len(record)
+            self.appended_bytes += len(record)
         if self.durable:
-            self.unsynced.add(self.file)
-        return begin
+            self.unsynced_files.add(self.active_file)
+        return offset
 
-    def _undo(self, active: Segment, written: int) -> None:
-        """Truncate a partly written record away; if that fails, close the segment to further records."""
-        # A torn record in the middle of a segment would be reported as damage at the next start.
+    def _truncate_partial_write(self, active: Segment, written_size: int) -> None:
+        """Truncate a partly written record; if that fails, append no more records to the segment."""
+        # A partial record followed by others would be reported as damage at the next start.
         try:
-            self.folder.truncate(self.file, active.size)
+            self.folder.truncate(self.active_file, active.valid_bytes)
         except OSError as error:
-            logger.error(DiskError(f"{segment_name(active.number)}: a torn record stays: {error}").line)
-            self._grow(active, written)
+            logger.error(
+                DiskError(f"{segment_name(active.number)}: a partial record cannot be truncated: {error}").line
+            )
+            self._count_growth(active, written_size)
             self.active = None
-            quietly(self.folder.close, self.file)
-            self.unsynced.discard(self.file)
-            self.file = -1
+            ignore_os_error(self.folder.close, self.active_file)
+            self.unsynced_files.discard(self.active_file)
+            self.active_file = -1
 
-    def _grow(self, segment: Segment, size: int) -> None:
-        self.used += segment.growth(size)
-        segment.physical += size
+    def _count_growth(self, segment: Segment, size: int) -> None:
+        self.used_bytes += segment.growth(size)
+        segment.file_bytes += size
 
     # ---- segments ----
 
-    def begin_segment(self, next_message: int, old_until: int) -> None:
-        """Seal the active segment and begin another; raises `NoSpaceError` if that cannot be written.
+    def begin_segment(self, next_message: int, last_legacy_file: int) -> None:
+        """Seal the active segment and begin a new one; raises `NoSpaceError` if it cannot be written.
 
-        `next_message` and `old_until` go into its header: the next message number, and the last file of the first
-        format that has been taken over.
+        `next_message` and `last_legacy_file` are for its header: the next message number, and the number of the last
+        file of the first format that was converted.
         """
-        number = self.last_segment + 1
-        others = {segment.number: segment.size for segment in self.segment_index.segments.values()}
-        header = Header(records.VERSION, number, self.now(), next_message, old_until, others)
-        record = framed(records.header(header))
-        file = self._create(number, record)
-        self._seal()
-        self.file, self.last_segment = file, number
-        self.active = Segment(number, header.made_at, size=len(record), head=len(record))
-        self.segment_index.add(self.active)
-        self._grow(self.active, len(record))
+        number = self.last_segment_number + 1
+        others = {segment.number: segment.valid_bytes for segment in self.segment_index.segments.values()}
+        header = Header(records.VERSION, number, self.now(), next_message, last_legacy_file, others)
+        record = encode_frame(records.encode_header(header))
+        file = self._create_file(number, record)
+        self._close_active_file()
+        self.active_file, self.last_segment_number = file, number
+        self.active = Segment(number, header.created_at, valid_bytes=len(record), header_bytes=len(record))
+        self.segment_index.add_segment(self.active)
+        self._count_growth(self.active, len(record))
         self.written_bytes += len(record)
         if self.durable:
-            self.unsynced.add(file)
+            self.unsynced_files.add(file)
 
-    def _create(self, number: int, header: bytes) -> int:
-        """Create a segment's file with its header; returns the descriptor. Raises `NoSpaceError`."""
+    def _create_file(self, number: int, header: bytes) -> int:
+        """Create a segment file with its header; returns the descriptor. Raises `NoSpaceError`."""
         name = segment_name(number)
         file = -1
         try:
             file = self.folder.create(name)
-            written = self.folder.append(file, header)
-            if written < len(header):
-                raise OSError("a header was cut short")
+            written_size = self.folder.append(file, header)
+            if written_size < len(header):
+                raise OSError("the header was written only in part")
         except OSError as error:
             if file >= 0:
-                quietly(self.folder.close, file)
-                if not quietly(self.folder.unlink, name):
-                    self.condemned.append(CondemnedFile(name, compaction_planner.BLOCK))
-                    self.used += compaction_planner.BLOCK
-                    self.last_segment = number
-            raise NoSpaceError(f"a new segment: {error}") from None
+                ignore_os_error(self.folder.close, file)
+                if not ignore_os_error(self.folder.unlink, name):
+                    self.obsolete_files.append(ObsoleteFile(name, compaction_planner.BLOCK_BYTES))
+                    self.used_bytes += compaction_planner.BLOCK_BYTES
+                    self.last_segment_number = number
+            raise NoSpaceError(f"cannot create a segment: {error}") from None
         return file
 
-    def _seal(self) -> None:
-        """Close the file of the active segment, if there is one."""
-        if self.file < 0:
+    def _close_active_file(self) -> None:
+        """Close the file of the active segment, if one is open."""
+        if self.active_file < 0:
             return
-        if self.file in self.unsynced:
-            quietly(self.folder.sync, self.file)  # a closed descriptor cannot be synced any more
-            self.unsynced.discard(self.file)
-        quietly(self.folder.close, self.file)
+        if self.active_file in self.unsynced_files:
+            ignore_os_error(self.folder.sync, self.active_file)  # a closed descriptor can no longer be synced
+            self.unsynced_files.discard(self.active_file)
+        ignore_os_error(self.folder.close, self.active_file)
 
     # ---- files ----
 
     def sync(self, call: Callable[..., object] | None) -> None:
-        """Sync everything written so far to the disk, by `call` if given; raises OSError if that fails."""
-        for file in list(self.unsynced):
+        """Sync everything written so far, through `call` if given; raises OSError if that fails."""
+        for file in list(self.unsynced_files):
             if call is None:
                 self.folder.sync(file)
             else:
                 call(self.folder.sync, file)
-            self.unsynced.discard(file)
+            self.unsynced_files.discard(file)
 
     def close(self) -> None:
         """Close the active segment's file."""
-        if self.file >= 0:
-            self.folder.close(self.file)
-            self.file = -1
+        if self.active_file >= 0:
+            self.folder.close(self.active_file)
+            self.active_file = -1
