--- a/cedarwick/fleet/heartbeats.py
+++ b/cedarwick/fleet/heartbeats.py
@@ -7,7 +7,7 @@
 import gevent
 
 from cedarwick.fleet.lease_holder import KnownHolder
-from cedarwick.fleet.leases import lease_of
+from cedarwick.fleet.leases import lease_name
 from cedarwick.fleet.limits import CALL_TIMEOUT_S, HEARTBEAT_INTERVAL_S
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import Heartbeat, HeldLease
@@ -34,12 +34,14 @@
         now = monotonic_time()
         if self.members.receive_heartbeat(now, name, incarnation, beat.heard, beat.leaving):
             terms = {lease.partition: lease.term for lease in beat.leases}
-            for partition, adoption in self.adoptions.items():
+            for partition, takeover in self.takeovers.items():
                 if partition in terms:
                     self.reported_serving[partition] = name, now
                     # At least the newest term known here: one that was asked for in vain must not hide the holder.
-                    term = max(terms[partition], adoption.holder.term, self.grantor.grant(lease_of(partition)).term)
-                    adoption.holder.newest_other = max(adoption.holder.newest_other, KnownHolder(term, name))
+                    term = max(terms[partition], takeover.holder.term, self.grantor.grant(lease_name(partition)).term)
+                    takeover.holder.newest_other_holder = max(
+                        takeover.holder.newest_other_holder, KnownHolder(term, name)
+                    )
                 elif partition in self.reported_serving and self.reported_serving[partition][0] == name:
                     del self.reported_serving[partition]
         if 0 < before < incarnation:
@@ -52,7 +54,7 @@
         """This member's heartbeat as of now; while it leaves it names no partition."""
         now = monotonic_time()
         leases = tuple(
-            HeldLease(holding.partition, holding.adoption.holder.term)
+            HeldLease(holding.partition, holding.takeover.holder.term)
             for holding in self.store.holdings.values()
             if holding.serving and not self.leaving
         )
--- a/cedarwick/fleet/held_partitions.py
+++ b/cedarwick/fleet/held_partitions.py
@@ -5,7 +5,7 @@
 
 from cedarwick.fleet.fleet_files import LeaseRecord
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import lease_of
+from cedarwick.fleet.leases import lease_name
 from cedarwick.fleet.limits import IDLE_HOLDER_US, RESTARTED_REQUESTS_US
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.membership import MemberStatus
@@ -18,8 +18,8 @@
 
     def _follow_partition(self, partition: int) -> None:
         """Begin to follow a partition of which this member has a replica."""
-        if partition not in self.adoptions:
-            self.adoptions[partition] = Takeover(partition, self.name, self.halls, self._recorded_term(partition))
+        if partition not in self.takeovers:
+            self.takeovers[partition] = Takeover(partition, self.name, self.halls, self._recorded_term(partition))
 
     def _recorded_term(self, partition: int) -> int:
         """The term in the lease record of a partition; 0 without one."""
@@ -38,7 +38,7 @@
             if self.ownership is not None:
                 self.ownership.full = holding is self.store.open_partition
             return
-        self._record_lease(holding.partition, holding.adoption.holder.term, upto)
+        self._record_lease(holding.partition, holding.takeover.holder.term, upto)
         holding.reserved_upto = upto
 
     def _record_lease(self, partition: int, term: int, upto: int) -> None:
@@ -50,22 +50,22 @@
     def _hold_partition(self, partition: int) -> LeasedPartition:
         """The `LeasedPartition` of a partition that this sender is about to hold, made where there is none."""
         if partition not in self.store.holdings:
-            self.store.holdings[partition] = LeasedPartition(partition, self.adoptions[partition])
+            self.store.holdings[partition] = LeasedPartition(partition, self.takeovers[partition])
         holding = self.store.holdings[partition]
-        holding.adoption = self.adoptions[partition]
+        holding.takeover = self.takeovers[partition]
         return holding
 
-    def _presumed_holder(self, adoption: Takeover) -> str:
+    def _presumed_holder(self, takeover: Takeover) -> str:
         """The presumed holder of a partition; empty where none is known."""
-        grant, (term, holder) = self.grantor.grant(lease_of(adoption.partition)), adoption.holder.newest_other
+        grant, (term, holder) = self.grantor.grant(lease_name(takeover.partition)), takeover.holder.newest_other_holder
         # At equal terms the report counts: the own grantor may have granted a term to this member while a majority
         # granted it to another.
         return grant.holder if grant.term > term else holder
 
-    def _status_for(self, now: int, name: str, adoption: Takeover) -> MemberStatus:
+    def _status_for(self, now: int, name: str, takeover: Takeover) -> MemberStatus:
         """A member's status as to a partition: its presumed holder counts as dead where it does not serve it."""
-        partition, grant = adoption.partition, self.grantor.grant(lease_of(adoption.partition))
-        term, holder = adoption.holder.newest_other
+        partition, grant = takeover.partition, self.grantor.grant(lease_name(takeover.partition))
+        term, holder = takeover.holder.newest_other_holder
         holder = grant.holder if grant.term > term else holder
         if self.presumed_holders.get(partition, ("", 0))[0] != holder:
             self.presumed_holders[partition] = holder, now
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -23,11 +23,11 @@
         soon = self.clock.now() + ANSWER_AHEAD_US
         self._answer_pre_fleet_messages(soon)
         for holding in list(self.store.holdings.values()):
-            stage = holding.adoption.stage
+            stage = holding.takeover.stage
             held = stage is TakeoverStage.HOLDING and holding.imported
-            ours = held and holding.adoption.holder.is_valid(now)
+            ours = held and holding.takeover.holder.is_valid(now)
             # Also partitions that no majority grants to anybody, as after a restart: nobody else would answer them.
-            unheld = held and not ours or self._has_no_holder(holding.adoption)
+            unheld = held and not ours or self._has_no_holder(holding.takeover)
             holding.unheld_since = (holding.unheld_since or now) if unheld else 0
             if holding.serving or self.leaving:
                 continue
@@ -39,12 +39,12 @@
             if stage is TakeoverStage.OFFERING:
                 # Nobody else can answer what no replica was sent and nobody was offered. An offer without an answer
                 # may have been stored, and the new holder may have answered the message otherwise.
-                heard = self.members.status(now, self._presumed_holder(holding.adoption)) is MemberStatus.ALIVE
+                heard = self.members.status(now, self._presumed_holder(holding.takeover)) is MemberStatus.ALIVE
                 if not heard and not holding.offer_sent:
                     numbers = self.store.unreplicated(holding).unsent
             elif ours or few:
                 numbers = self.store.numbers(holding.partition)
-            elif stage is TakeoverStage.GONE and not holding.offered:
+            elif stage is TakeoverStage.GONE and not holding.offer_accepted:
                 numbers = sum(self.store.unreplicated(holding), [])
             late = [
                 number
@@ -54,10 +54,10 @@
             if late:
                 self.dispatcher.answer_late(late)
 
-    def _has_no_holder(self, adoption: Takeover) -> bool:
+    def _has_no_holder(self, takeover: Takeover) -> bool:
         """Whether this member asks for a partition, or will, and no other member is known to have held it since."""
-        waits = adoption.stage in (TakeoverStage.FOLLOWING, TakeoverStage.WAITING, TakeoverStage.ASKING)
-        return waits and self._presumed_holder(adoption) in ("", self.name)
+        waits = takeover.stage in (TakeoverStage.FOLLOWING, TakeoverStage.WAITING, TakeoverStage.ASKING)
+        return waits and self._presumed_holder(takeover) in ("", self.name)
 
     def _answer_pre_fleet_messages(self, soon: int) -> None:
         """Move messages from before this sender was a member to the open partition; answer those near their deadline.
--- a/cedarwick/fleet/lease_exchange.py
+++ b/cedarwick/fleet/lease_exchange.py
@@ -98,7 +98,7 @@
         for name in self.peers.names():
             gevent.spawn(self._call, name, ask, CALL_TIMEOUT_S)
 
-    def _request_lease(self, adoption: Takeover, ask: LeaseRequest, reply: LeaseReply, sent_at: int) -> None:
+    def _request_lease(self, takeover: Takeover, ask: LeaseRequest, reply: LeaseReply, sent_at: int) -> None:
         """Send a lease request to the others, once the own grantor's answer is on the disk."""
         try:
             # The own grantor first: then after a restart each term that was ever asked for is known, and never reused.
@@ -106,13 +106,13 @@
         except OSError as error:
             self.counters.warning("the fleet's folder cannot be used", error)
             return
-        if self.leaving or not ask.probe and adoption.holder.term != ask.term:
+        if self.leaving or not ask.probe and takeover.holder.term != ask.term:
             return  # it was given up meanwhile
-        adoption.holder.receive_reply(monotonic_time(), sent_at, self.name, reply)
+        takeover.holder.receive_reply(monotonic_time(), sent_at, self.name, reply)
         for name in self.peers.names():
-            gevent.spawn(self._request_lease_from, adoption, name, ask, sent_at)
+            gevent.spawn(self._request_lease_from, takeover, name, ask, sent_at)
 
-    def _request_lease_from(self, adoption: Takeover, name: str, ask: LeaseRequest, sent_at: int) -> None:
+    def _request_lease_from(self, takeover: Takeover, name: str, ask: LeaseRequest, sent_at: int) -> None:
         """Send a lease request to one member and pass its answer to the lease holder."""
         if ask.probe and self.gate.levels.get(name, LEVEL) < LEASE_PROBE_LEVEL:
             # It would take the probe for a request. Without one, as before, it is taken to agree.
@@ -120,4 +120,4 @@
         else:
             answer = self._call(name, ask, CALL_TIMEOUT_S)
         if isinstance(answer, LeaseReply):
-            adoption.holder.receive_reply(monotonic_time(), sent_at, name, answer)
+            takeover.holder.receive_reply(monotonic_time(), sent_at, name, answer)
--- a/cedarwick/fleet/lease_grantor.py
+++ b/cedarwick/fleet/lease_grantor.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cedarwick.fleet.leases import CLOSED_PREFIX, EPOCH_BITS, LEASE_SPAN_US, lease_of, majority_of, partition_of
+from cedarwick.fleet.leases import CLOSED_PREFIX, EPOCH_BITS, LEASE_SPAN_US, lease_name, majority_of, partition_of_lease
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
 
 
@@ -110,7 +110,7 @@
 
     def newest_epoch(self, slot: int) -> int:
         """The largest epoch of a slot that this table knows; -1: none."""
-        partitions = (partition_of(lease) for lease in self._grants)
+        partitions = (partition_of_lease(lease) for lease in self._grants)
         epochs = [
             partition % (1 << EPOCH_BITS)
             for partition in partitions
@@ -118,7 +118,7 @@
         ]
         return max([*epochs, self._closed_upto.get(slot, -1)])
 
-    def replace(self, names: Collection[str]) -> None:
+    def replace_members(self, names: Collection[str]) -> None:
         """Set the members from now on. Only one may join or leave at a time, so that old and new majorities overlap."""
         self._names = frozenset(names) | {self.me}
         self._check_learned()
@@ -193,7 +193,7 @@
             for lease in [lease for lease in self._grants if self._is_pruned(lease)]:
                 del self._grants[lease]
                 self._promises.pop(lease, None)
-            self._prune(lease_of(slot << EPOCH_BITS))
+            self._prune(lease_name(slot << EPOCH_BITS))
             return
         if self._is_pruned(grant.lease):
             return
@@ -218,19 +218,19 @@
 
     def _is_pruned(self, lease: str) -> bool:
         """Whether the partition is one of those that are closed up to an epoch, and have no row of their own."""
-        partition = partition_of(lease)
+        partition = partition_of_lease(lease)
         if partition is None:
             return False
         return partition % (1 << EPOCH_BITS) <= self._closed_upto.get(partition >> EPOCH_BITS, -1)
 
     def _prune(self, lease: str) -> None:
         """Replace rows of closed partitions by one number per slot: the epoch up to which all are closed."""
-        partition = partition_of(lease)
+        partition = partition_of_lease(lease)
         if partition is None:
             return
         slot = partition >> EPOCH_BITS
         while True:
-            following = lease_of(slot << EPOCH_BITS | (self._closed_upto.get(slot, -1) + 1))
+            following = lease_name(slot << EPOCH_BITS | (self._closed_upto.get(slot, -1) + 1))
             grant = self._grants.get(following)
             if grant is None or not grant.closed:
                 return
--- a/cedarwick/fleet/lease_holder.py
+++ b/cedarwick/fleet/lease_holder.py
@@ -14,7 +14,7 @@
     LEASE_SPAN_US,
     MAX_PAUSE_US,
     REQUESTS_PER_SPAN,
-    SET_BITS,
+    SUCCESSOR_SET_BITS,
     majority_of,
 )
 from cedarwick.fleet.messages import Grant, LeaseReply, LeaseRequest
@@ -34,8 +34,8 @@
     """A term, and the sets of successors that a holder has in it."""
 
     term: int
-    known_set: int
-    newest_set: int
+    known_set_number: int
+    newest_set_number: int
     sets: dict[int, tuple[str, ...]]
 
 
@@ -69,11 +69,11 @@
         self.span = span
         self.state = LeaseState.IDLE
         self.term = 0
-        self.newest_other = NO_HOLDER  # the newest term that somebody else was said to hold, and who
-        self.newest_named = NO_SET  # the newest set that any grantor was heard to know
+        self.newest_other_holder = NO_HOLDER  # the newest term that somebody else was said to hold, and who
+        self.newest_known_set = NO_SET  # the newest set that any grantor was heard to know
         self.probing = False  # `term` is not requested yet: a majority has to say first that it would be granted
-        self.known_set = 0  # the newest set of this term that a majority knows; 0: none yet
-        self.newest_set = 0  # the newest set
+        self.known_set_number = 0  # the newest set of this term that a majority knows; 0: none yet
+        self.newest_set_number = 0  # the newest set
         self.valid_until = 0  # when the lease runs out unless it is renewed; 0: no majority has granted it
         self._names = frozenset(names) | {me}
         self._sets: dict[int, tuple[str, ...]] = {}  # that one, and those named since, by number
@@ -96,21 +96,21 @@
         that can be granted one.
         """
         newest = max(grant.term, self.term, self._newest_term)
-        self._before_probe = HeldTerm(self.term, self.known_set, self.newest_set, self._sets)
+        self._before_probe = HeldTerm(self.term, self.known_set_number, self.newest_set_number, self._sets)
         self.term = newest + 1
         self._newest_term = newest if probe_first else self.term
         self.state, self.probing = LeaseState.ASKING, probe_first
         self._requested_at = self._next_request_at = now
-        self.known_set = 0
+        self.known_set_number = 0
         self._carry(SuccessorSet(grant.set, grant.successors))
         self._grants, self._closings, self._would_grant = {}, {}, {}
         self._update_valid_until()
 
     def newest_row(self, grant: Grant) -> Grant:
         """The own grantor's row with the newest set of successors that any grantor was heard to know."""
-        if self.newest_named.number <= grant.set:
+        if self.newest_known_set.number <= grant.set:
             return grant
-        return msgspec.structs.replace(grant, successors=self.newest_named.names, set=self.newest_named.number)
+        return msgspec.structs.replace(grant, successors=self.newest_known_set.names, set=self.newest_known_set.number)
 
     def enquire(self, now: int, grant: Grant) -> None:
         """Have `due_request` ask all members for their rows, at most once a span, while nothing is asked for.
@@ -133,10 +133,10 @@
         if self.state not in (LeaseState.ASKING, LeaseState.HELD, LeaseState.CLOSING) or now < self._next_request_at:
             return None
         self._next_request_at = now + self.span // REQUESTS_PER_SPAN
-        successors = self._sets[self.newest_set]
+        successors = self._sets[self.newest_set_number]
         closing = self.state is LeaseState.CLOSING
         return LeaseRequest(
-            self.lease, self.term, self.me, self.span, successors, self.newest_set, closing, self.probing
+            self.lease, self.term, self.me, self.span, successors, self.newest_set_number, closing, self.probing
         )
 
     def update(self, now: int) -> None:
@@ -149,8 +149,8 @@
             return
         self._newest_term = max(self._newest_term, reply.term)
         if reply.holder not in ("", self.me):
-            self.newest_other = max(self.newest_other, KnownHolder(reply.term, reply.holder))
-        self.newest_named = max(self.newest_named, SuccessorSet(reply.set, reply.successors))
+            self.newest_other_holder = max(self.newest_other_holder, KnownHolder(reply.term, reply.holder))
+        self.newest_known_set = max(self.newest_known_set, SuccessorSet(reply.set, reply.successors))
         at = self._counted_from(sent_at, now)
         if sent_at >= self._requested_at:
             self._count_reply(at, sent_at, grantor, reply)
@@ -177,12 +177,12 @@
         named = (self.me, *(name for name in successors if name != self.me))
         if (
             self.state is not LeaseState.HELD
-            or named == self._sets[self.newest_set]
-            and self._is_of_this_term(self.newest_set)
+            or named == self._sets[self.newest_set_number]
+            and self._is_of_this_term(self.newest_set_number)
         ):
             return
-        self.newest_set = max(self.newest_set, self.term << SET_BITS) + 1
-        self._sets[self.newest_set] = named
+        self.newest_set_number = max(self.newest_set_number, self.term << SUCCESSOR_SET_BITS) + 1
+        self._sets[self.newest_set_number] = named
         self._next_request_at = now
 
     def close(self, now: int) -> None:
@@ -201,10 +201,12 @@
         self.state = LeaseState.IDLE
         if not held:
             return None
-        return LeaseRequest(self.lease, self.term, self.me, 0, self._sets[self.newest_set], self.newest_set)
+        return LeaseRequest(
+            self.lease, self.term, self.me, 0, self._sets[self.newest_set_number], self.newest_set_number
+        )
 
-    def replace(self, names: Collection[str]) -> None:
-        """Set the members from now on; see `LeaseGrantor.replace`."""
+    def replace_members(self, names: Collection[str]) -> None:
+        """Set the members from now on; see `LeaseGrantor.replace_members`."""
         self._names = frozenset(names) | {self.me}
         # Grants of a member that was removed must not count towards a majority of the remaining ones.
         self._grants = {name: each for name, each in self._grants.items() if name in self._names}
@@ -213,12 +215,12 @@
 
     def is_valid(self, now: int) -> bool:
         """Whether an attempt's first byte may be written now; the last check before the write."""
-        return self.state is LeaseState.HELD and self.known_set > 0 and now < self.valid_until
+        return self.state is LeaseState.HELD and self.known_set_number > 0 and now < self.valid_until
 
     @property
     def successors(self) -> tuple[str, ...]:
         """The set that a majority knows, the holder first; empty while there is none of this term."""
-        return self._sets[self.known_set] if self.known_set else ()
+        return self._sets[self.known_set_number] if self.known_set_number else ()
 
     @property
     def possible_successors(self) -> frozenset[str]:
@@ -242,7 +244,7 @@
 
         Until a majority knows such a set, it may still grant the lease to successors that can't know our attempts.
         """
-        return number >> SET_BITS == self.term
+        return number >> SUCCESSOR_SET_BITS == self.term
 
     def _after_majority(self, values: list[int], more: int, none: int) -> int:
         """The value that a majority has reached, plus `more`; `none` where no majority has a value."""
@@ -268,8 +270,8 @@
         ):
             self.state = LeaseState.LOST
         number = self._after_majority(sets, 0, 0)
-        if self.state is LeaseState.HELD and number > self.known_set and self._is_of_this_term(number):
-            self.known_set = number
+        if self.state is LeaseState.HELD and number > self.known_set_number and self._is_of_this_term(number):
+            self.known_set_number = number
             self._sets = {one: successors for one, successors in self._sets.items() if one >= number}
 
     def _update_asking(self, now: int, granted: bool) -> None:
@@ -285,15 +287,15 @@
             self.probing = False
             self._newest_term = self.term
             self._requested_at = self._next_request_at = now
-            self._carry(SuccessorSet(self.newest_set, self._sets[self.newest_set]))
+            self._carry(SuccessorSet(self.newest_set_number, self._sets[self.newest_set_number]))
 
     def _end_probe(self) -> None:
         """Give up a probe: its term was never requested."""
         if self.probing:
             self.probing = False
-            self.term, self.known_set, self.newest_set, self._sets = self._before_probe
+            self.term, self.known_set_number, self.newest_set_number, self._sets = self._before_probe
 
     def _carry(self, own: SuccessorSet) -> None:
         """Set the successors that requests carry: the newest set known, if this member is in it, else the own one."""
-        carried = max(own, self.newest_named) if self.me in self.newest_named.names else own
-        self.newest_set, self._sets = carried.number, {carried.number: carried.names}
+        carried = max(own, self.newest_known_set) if self.me in self.newest_known_set.names else own
+        self.newest_set_number, self._sets = carried.number, {carried.number: carried.names}
--- a/cedarwick/fleet/leases.py
+++ b/cedarwick/fleet/leases.py
@@ -48,7 +48,7 @@
 CLOCK_DRIFT_DIVISOR = 20  # one part in 20: clocks may differ in pace by 5%, a hundred times what NTP tolerates
 MAX_PAUSE_US = 50_000  # for which a process may be descheduled between the check of its lease and the first byte
 REQUESTS_PER_SPAN = 4
-SET_BITS = 20  # low bits of a set's number; the bits above are the term that named it
+SUCCESSOR_SET_BITS = 20  # low bits of a set's number; the bits above are the term that named it
 EPOCH_BITS = 12
 PARTITION_PREFIX = "book:"
 CLOSED_PREFIX = "closed:"  # a row `closed:<slot>` has in `term` the epoch up to which all of its partitions are closed
@@ -59,12 +59,12 @@
     return members // 2 + 1
 
 
-def lease_of(partition: int) -> str:
+def lease_name(partition: int) -> str:
     """The name of the lease of a partition."""
     return f"{PARTITION_PREFIX}{partition}"
 
 
-def partition_of(lease: str) -> int | None:
+def partition_of_lease(lease: str) -> int | None:
     """The partition that a lease is for; None for any other lease."""
     number = lease.removeprefix(PARTITION_PREFIX)
     return int(number) if number != lease and number.isdecimal() else None
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -90,7 +90,7 @@
             now=clock.now,
             durable=store.durable,
         )
-        self.adoptions: dict[int, Takeover] = {}
+        self.takeovers: dict[int, Takeover] = {}
         self.held = {held.partition: held for held in self.fleet_files.held()}
         self.ownership: Ownership | None = None
         self.dispatcher: PartitionDispatcher
--- a/cedarwick/fleet/membership.py
+++ b/cedarwick/fleet/membership.py
@@ -142,7 +142,7 @@
             return self.incarnation
         return self._members[name].incarnation if name in self._members else 0
 
-    def replace(self, now: int, names_to_halls: Mapping[str, str]) -> None:
+    def replace_members(self, now: int, names_to_halls: Mapping[str, str]) -> None:
         """Set the members from now on; what is known of those that stay is kept."""
         self.halls = dict(names_to_halls)
         members = {}
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -46,13 +46,13 @@
         self.halls = {member.name: member.hall for member in settings.member}
         self.where = {member.name: address(member.address) for member in settings.member}
         self.peers.replace(self.where)
-        self.members.replace(now, self.halls)
-        self.grantor.replace(self.halls)
+        self.members.replace_members(now, self.halls)
+        self.grantor.replace_members(self.halls)
         self.exchange.replace(round(settings.follow_s * 1e6))
         if self.session_router is not None:
             self.session_router.replace()
-        for adoption in self.adoptions.values():
-            adoption.holder.replace(self.halls)
+        for takeover in self.takeovers.values():
+            takeover.holder.replace_members(self.halls)
         if self.ownership is not None:
             self.ownership.names = self.halls  # of the partitions that it opens from now on
         for name in sorted(set(self.halls) - before):
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -101,7 +101,7 @@
         key = self._key(name)
         facts: list[Fact] = []
         for number in self._marked(name, SOURCE_MARK):
-            fact = self.store.holdings[number >> 32].read(self.store, number)
+            fact = self.store.holdings[number >> 32].read_fact(self.store, number)
             if fact is None or fact.base is None:
                 return None
             facts.append(fact)
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -252,7 +252,7 @@
     # ---- restarts and partitions that change hands ----
 
     def marks_found(self, name: str, key: int, at_source: bool, now: int) -> list[MigrationStep]:
-        """Marked facts were found in a partition that this member holds, after its restart or after an adoption.
+        """Marked facts were found in a partition that this member holds, after its restart or after a takeover.
 
         For the target's side, call it only once every successor of that partition has the facts again: it may request
         the decision at once.
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -56,14 +56,14 @@
         mine = {number >> 32 for number in self.store.messages} - {0}
         for partition in sorted(mine - stored.keys()):
             # An adopted partition, or one whose lease record is lost: resume it if no other member holds it by now.
-            self.adoptions[partition] = Takeover(
+            self.takeovers[partition] = Takeover(
                 partition, self.name, self.halls, self._recorded_term(partition), resume=True
             )
         self.ownership = Ownership(self.name, slot, self.halls, stored)
         for partition in sorted(stored)[:-1]:
-            if partition not in self.adoptions and partition in mine:
-                self.adoptions[partition] = Takeover(partition, self.name, self.halls, stored[partition], resume=True)
-        for partition in sorted(mine & set(self.adoptions)):  # not those with a replica alone: it may be incomplete
+            if partition not in self.takeovers and partition in mine:
+                self.takeovers[partition] = Takeover(partition, self.name, self.halls, stored[partition], resume=True)
+        for partition in sorted(mine & set(self.takeovers)):  # not those with a replica alone: it may be incomplete
             self._hold_partition(partition)
         if self.store.damaged:
             # A replica may still have records that this folder has lost. Until that is settled it must not be brought
@@ -103,8 +103,8 @@
         self._guarded(self.exchange.look, now, self.alive, self.members.majority)
         self._guarded(self._learn_grants, now)
         self._guarded(self._ensure_open_partition, now)
-        for adoption in list(self.adoptions.values()):
-            self._guarded(self._step_takeover, now, adoption)
+        for takeover in list(self.takeovers.values()):
+            self._guarded(self._step_takeover, now, takeover)
         if self.session_router is not None:
             self._guarded(self.session_router.look, now)
         self._guarded(self.replicas.step)
@@ -127,7 +127,7 @@
         calls = [gevent.spawn(self._call, name, self._own_heartbeat(), CALL_TIMEOUT_S) for name in self.peers.names()]
         for holding in self.store.holdings.values():
             holding.serving = False  # before the release: after it a successor may fire
-            if len(holding.adoption.holder.successors) > 1 and (ask := holding.adoption.holder.release()) is not None:
+            if len(holding.takeover.holder.successors) > 1 and (ask := holding.takeover.holder.release()) is not None:
                 self._guarded(self._answer_lease_request, ask)
                 calls += [gevent.spawn(self._call, name, ask, CALL_TIMEOUT_S) for name in self.peers.names()]
         gevent.joinall(calls, timeout=CALL_TIMEOUT_S)
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -10,7 +10,7 @@
 from cedarwick.config.member_slots import slot_of
 from cedarwick.fleet.lease_holder import LeaseState
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, lease_of
+from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, lease_name
 from cedarwick.fleet.limits import (
     ANSWER_AHEAD_US,
     DAMAGED_FOLDER_US,
@@ -42,40 +42,40 @@
             self.counters.warning("no partition can be opened", error)
             return
         if begun is not None:
-            self.adoptions[begun.partition] = begun
+            self.takeovers[begun.partition] = begun
             holding = self._hold_partition(begun.partition)
             logger.info("partition {} is to be held", begun.partition)
             self.store.set_open_partition(holding, self._first_unused_number(begun.partition))
 
-    def _step_takeover(self, now: int, adoption: Takeover) -> None:
+    def _step_takeover(self, now: int, takeover: Takeover) -> None:
         """Ask the rules for the next step of one partition, and carry it out."""
-        partition = adoption.partition
+        partition = takeover.partition
         replica, holding = self.replicas.replica(partition), self.store.holdings.get(partition)
-        requested = adoption.stage is TakeoverStage.ASKING and not adoption.holder.probing
-        requested_term = adoption.holder.term if requested else 0
-        step = self._next_step(now, adoption, replica, holding)
+        requested = takeover.stage is TakeoverStage.ASKING and not takeover.holder.probing
+        requested_term = takeover.holder.term if requested else 0
+        step = self._next_step(now, takeover, replica, holding)
         if requested_term:
-            self._release_refused_term(adoption, requested_term)
-        if step.do is TakeoverAction.DROP:
+            self._release_refused_term(takeover, requested_term)
+        if step.action is TakeoverAction.DROP:
             self._drop_partition(partition)
             return
-        self._carry_out(now, adoption, step)
-        self._send_due_lease_request(now, adoption)
+        self._carry_out(now, takeover, step)
+        self._send_due_lease_request(now, takeover)
         if holding is not None:
             self._serve_partition(now, holding)
-        elif replica is not None and self._is_unwanted(now, partition, adoption):
+        elif replica is not None and self._is_unwanted(now, partition, takeover):
             self._drop_partition(partition)
 
     def _next_step(
-        self, now: int, adoption: Takeover, replica: Replica | None, holding: LeasedPartition | None
+        self, now: int, takeover: Takeover, replica: Replica | None, holding: LeasedPartition | None
     ) -> TakeoverStep:
         """What the rules ask for, given the partition's state at this member."""
-        partition, lease = adoption.partition, lease_of(adoption.partition)
-        return adoption.step(
+        partition, lease = takeover.partition, lease_name(takeover.partition)
+        return takeover.step(
             now,
             self.grantor.grant(lease),
             self._promised_until(lease, partition),
-            lambda name: self._status_for(now, name, adoption),
+            lambda name: self._status_for(now, name, takeover),
             self._has_complete_records(now, partition, replica, holding),
             self._owed_count(now, holding),
         )
@@ -104,38 +104,38 @@
         served_until = self.reported_serving[partition][1] + LEASE_SPAN_US if partition in self.reported_serving else 0
         return max(self.grantor.promised_until(lease), served_until)
 
-    def _release_refused_term(self, adoption: Takeover, requested_term: int) -> None:
+    def _release_refused_term(self, takeover: Takeover, requested_term: int) -> None:
         """Release the term that was asked for before the latest step, if the request has failed."""
-        holder = adoption.holder
+        holder = takeover.holder
         # Two members that ask in vain, each promised by itself, would block each other for ever.
-        if adoption.stage is not TakeoverStage.HOLDING and (holder.term, holder.state) != (
+        if takeover.stage is not TakeoverStage.HOLDING and (holder.term, holder.state) != (
             requested_term,
             LeaseState.ASKING,
         ):
-            self._release_lease(LeaseRequest(lease_of(adoption.partition), requested_term, self.name, 0))
+            self._release_lease(LeaseRequest(lease_name(takeover.partition), requested_term, self.name, 0))
 
-    def _carry_out(self, now: int, adoption: Takeover, step: TakeoverStep) -> None:
+    def _carry_out(self, now: int, takeover: Takeover, step: TakeoverStep) -> None:
         """Carry out any step but `DROP`."""
-        partition = adoption.partition
-        if step.do is TakeoverAction.ASK:
-            logger.info("partition {}: asking for term {}", partition, adoption.holder.term)
-        elif step.do is TakeoverAction.IMPORT:
-            self._import_partition(now, adoption)
-        elif step.do is TakeoverAction.CLOSE:
+        partition = takeover.partition
+        if step.action is TakeoverAction.ASK:
+            logger.info("partition {}: asking for term {}", partition, takeover.holder.term)
+        elif step.action is TakeoverAction.IMPORT:
+            self._import_partition(now, takeover)
+        elif step.action is TakeoverAction.CLOSE:
             logger.info("partition {}: nothing is owed, it is closed", partition)
-        elif step.do is TakeoverAction.OFFER and partition not in self.offers and not self.leaving:
-            self.offers[partition] = gevent.spawn(self._send_offer, adoption, step.to)
+        elif step.action is TakeoverAction.OFFER and partition not in self.offers and not self.leaving:
+            self.offers[partition] = gevent.spawn(self._send_offer, takeover, step.target)
 
-    def _send_due_lease_request(self, now: int, adoption: Takeover) -> None:
+    def _send_due_lease_request(self, now: int, takeover: Takeover) -> None:
         """Ask all members for the lease, or its renewal, if a request is due."""
-        ask = None if self.leaving else adoption.holder.due_request(now)
+        ask = None if self.leaving else takeover.holder.due_request(now)
         if ask is None:
             return
         reply = self._grant(ask)
         if ask.lease in self.unwritten_grants:
-            gevent.spawn(self._request_lease, adoption, ask, reply, now)
+            gevent.spawn(self._request_lease, takeover, ask, reply, now)
         else:
-            self._request_lease(adoption, ask, reply, now)
+            self._request_lease(takeover, ask, reply, now)
 
     def _expects_offer(self, now: int, holding: LeasedPartition) -> bool:
         """Whether the previous holder of an adopted partition may still offer facts that no replica received."""
@@ -148,8 +148,8 @@
             else now - holding.log_started_at < OFFER_EXPECTED_US
         )
 
-    def _is_unwanted(self, now: int, partition: int, adoption: Takeover) -> bool:
-        grant = self.grantor.grant(lease_of(partition))
+    def _is_unwanted(self, now: int, partition: int, takeover: Takeover) -> bool:
+        grant = self.grantor.grant(lease_name(partition))
         # The grant known here may be old; a replica that the holder still counts on is written to all the time.
         return (
             grant.set > 0
@@ -158,21 +158,21 @@
             and now - self.replica_written_at.setdefault(partition, now) > UNWANTED_REPLICA_US
         )
 
-    def _import_partition(self, now: int, adoption: Takeover) -> None:
+    def _import_partition(self, now: int, takeover: Takeover) -> None:
         """After the grant: store the partition's messages, update its replicas, then name its successors."""
-        holding = self._hold_partition(adoption.partition)
-        if holding.log.term != adoption.holder.term and not self._begin_term(adoption, holding):
+        holding = self._hold_partition(takeover.partition)
+        if holding.log.term != takeover.holder.term and not self._begin_term(takeover, holding):
             return
         self._update_pumps(now, holding)
         wanted = self._wanted_replicas(holding)
         complete = self._complete_replicas(now, holding, wanted)
         if len(complete) == len(wanted) or now - holding.log_started_at >= GATHER_REPLICAS_US:
             holding.imported = True
-            adoption.imported(now, complete)
+            takeover.note_imported(now, complete)
 
-    def _begin_term(self, adoption: Takeover, holding: LeasedPartition) -> bool:
+    def _begin_term(self, takeover: Takeover, holding: LeasedPartition) -> bool:
         """Store the partition's messages and begin its log; False without room for them: then the lease is released."""
-        partition, term = adoption.partition, adoption.holder.term
+        partition, term = takeover.partition, takeover.holder.term
         holding.imported = False
         replica = self.replicas.replica(partition)
         try:
@@ -182,10 +182,10 @@
                 self._import_replica(holding, term, replica)
         except NoSpaceError as error:
             self.counters.warning("a partition cannot be adopted", error)
-            ask = adoption.holder.release()
+            ask = takeover.holder.release()
             if ask is not None:
                 self._release_lease(ask)
-            adoption.holder.state = LeaseState.LOST  # asked for again after a while, if nobody else has it by then
+            takeover.holder.state = LeaseState.LOST  # asked for again after a while, if nobody else has it by then
             return False
         self._record_lease(partition, term, 0)
         self.store.begin_log(holding, term)
@@ -209,7 +209,7 @@
         heard = (head.at for fact in replica.owed.values() for head in fact.known.heads.values())
         behind = self.settings.ack == "own" or replica.behind  # its holder may have been started before us
         doubt_at = max(heard, default=1) if behind else 0
-        unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offered else ([], [])
+        unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offer_accepted else ([], [])
         facts = list(replica.owed.values())
         ends_upto = self.clock.now() + ANSWER_AHEAD_US
         self.store.import_replica(holding, facts, term, doubt_at, unsent, unacknowledged, ends_upto)
@@ -221,12 +221,12 @@
 
     def _serve_partition(self, now: int, holding: LeasedPartition) -> None:
         """Keep the successors up to date, and let the dispatcher send while the lease is valid."""
-        holder = holding.adoption.holder
-        if holding.adoption.stage is TakeoverStage.HOLDING and holding.imported:
+        holder = holding.takeover.holder
+        if holding.takeover.stage is TakeoverStage.HOLDING and holding.imported:
             self._update_pumps(now, holding)
             self._name_successors(now, holding)
         may = (
-            holding.adoption.stage is TakeoverStage.HOLDING
+            holding.takeover.stage is TakeoverStage.HOLDING
             and holding.imported
             and not self.leaving
             and holder.is_valid(now)
@@ -250,7 +250,7 @@
                 "partition {}: not served, {} messages ({})",
                 holding.partition,
                 len(numbers),
-                holding.adoption.stage.value if holder.is_valid(now) is False else "no replica follows",
+                holding.takeover.stage.value if holder.is_valid(now) is False else "no replica follows",
             )
             self.counters.add("partitions that are no longer served")
             self.dispatcher.park(numbers)
@@ -260,7 +260,7 @@
         holding = self.store.holdings.get(partition)
         if holding is not None and not self._rescue_unreplicated(holding):
             return
-        adoption = self.adoptions.pop(partition)
+        takeover = self.takeovers.pop(partition)
         self.damaged_partitions.discard(partition)
         if holding is not None:
             numbers = self.store.numbers(partition)
@@ -271,13 +271,13 @@
             logger.info(
                 "partition {}: given up ({}), {} messages are another sender's",
                 partition,
-                adoption.stage.value,
+                takeover.stage.value,
                 len(numbers),
             )
         if self.held.pop(partition, None) is not None:
             self.fleet_files.write_held(list(self.held.values()))
         replica = self.replicas.replica(partition)
-        closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(lease_of(partition)).closed
+        closed = takeover.holder.state is LeaseState.CLOSED or self.grantor.grant(lease_name(partition)).closed
         if holding is not None and replica is not None and replica.position.term > holding.log.term and not closed:
             self._follow_partition(partition)  # the newer holder counts on this replica by now
             return
@@ -289,7 +289,7 @@
 
     def _rescue_unreplicated(self, holding: LeasedPartition) -> bool:
         """Move what only this member has of a lost partition to the open one; False: to be tried again later."""
-        unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offered else ([], [])
+        unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offer_accepted else ([], [])
         if not unsent and not unacknowledged:
             return True
         if self.leaving or not self.store.taking():
--- a/cedarwick/fleet/peer_client.py
+++ b/cedarwick/fleet/peer_client.py
@@ -115,7 +115,7 @@
         for name, address in members.items():
             if name != self.gate.me and name not in self.peers:
                 self.peers[name] = PeerPool(name, address, self.in_flight)
-        self.gate.replace(members)
+        self.gate.replace_members(members)
 
     def names(self) -> Iterable[str]:
         """The other members."""
--- a/cedarwick/fleet/peer_verifier.py
+++ b/cedarwick/fleet/peer_verifier.py
@@ -54,9 +54,9 @@
         self.incarnation = incarnation
         self.newest: dict[str, int] = {}
         self.levels: dict[str, int] = {me: LEVEL}  # of what each member heard from can do
-        self.replace(members)
+        self.replace_members(members)
 
-    def replace(self, members: Iterable[str]) -> None:
+    def replace_members(self, members: Iterable[str]) -> None:
         """Take over another list of members; what was seen of their boots stays."""
         self.others = frozenset(members) - {self.me}
 
--- a/cedarwick/fleet/pending_order_keys.py
+++ b/cedarwick/fleet/pending_order_keys.py
@@ -9,7 +9,7 @@
 
 from cedarwick.fleet.held_partitions import HeldPartitions
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import lease_of
+from cedarwick.fleet.leases import lease_name
 from cedarwick.fleet.limits import CALL_TIMEOUT_S, MAX_OWED_MESSAGES
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import PENDING_ORDER_KEYS_LEVEL, PendingOrderKeys
@@ -31,7 +31,7 @@
             self.dispatcher.rest(self.order_key_hints.elsewhere)
 
     def _all_replica_order_keys(self, now: int) -> set[int]:
-        return set().union(*(self._replica_order_keys(now, adoption) for adoption in self.adoptions.values()))
+        return set().union(*(self._replica_order_keys(now, takeover) for takeover in self.takeovers.values()))
 
     def _backlog_order_keys(self, in_replicas: set[int]) -> set[int]:
         """The keys of the backlogs of served partitions; those of the other ones are added to `in_replicas`."""
@@ -63,12 +63,12 @@
             for name in others:
                 gevent.spawn(self._call, name, PendingOrderKeys(due), CALL_TIMEOUT_S)
 
-    def _replica_order_keys(self, now: int, adoption: Takeover) -> frozenset[int]:
+    def _replica_order_keys(self, now: int, takeover: Takeover) -> frozenset[int]:
         """The keys with pending messages in a replica here; none unless its holder is silent."""
-        partition, grant = adoption.partition, self.grantor.grant(lease_of(adoption.partition))
+        partition, grant = takeover.partition, self.grantor.grant(lease_name(takeover.partition))
         replica = self.replicas.replica(partition)
         # The own name is recorded from when this member asks for the partition until it has imported it.
-        alive = grant.holder != self.name and self._status_for(now, grant.holder, adoption) is MemberStatus.ALIVE
+        alive = grant.holder != self.name and self._status_for(now, grant.holder, takeover) is MemberStatus.ALIVE
         if replica is None or partition in self.store.holdings or self.name not in grant.successors or alive:
             self.replica_order_keys.pop(partition, None)
             return frozenset()
--- a/cedarwick/fleet/ports.py
+++ b/cedarwick/fleet/ports.py
@@ -63,6 +63,6 @@
     replicas: ReplicaStore
 
     @property
-    def adoptions(self) -> Container[int]:
+    def takeovers(self) -> Container[int]:
         """The partitions for which this member has a `Takeover`, as holder or as copy."""
         ...
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -100,23 +100,23 @@
             holding is not None
             and holding.serving
             and number not in self.inert
-            and holding.adoption.holder.is_valid(monotonic_time())
+            and holding.takeover.holder.is_valid(monotonic_time())
         )
 
     def term_of(self, number: int) -> int:
         """The newest term in which this sender has held, or asked for, the message's partition; 0: none."""
         holding = self.holdings.get(number >> 32)
-        return holding.adoption.holder.term if holding is not None else 0
+        return holding.takeover.holder.term if holding is not None else 0
 
     def deciding(self) -> bool:
         """Whether the leases of all partitions that the dispatcher serves are valid now."""
         now = monotonic_time()
-        return all(each.adoption.holder.is_valid(now) for each in self.holdings.values() if each.serving)
+        return all(each.takeover.holder.is_valid(now) for each in self.holdings.values() if each.serving)
 
     def taking(self) -> bool:
         """Whether new messages can be taken: the lease of the open partition is valid now."""
         current = self.open_partition
-        return current is not None and current.serving and current.adoption.holder.is_valid(monotonic_time())
+        return current is not None and current.serving and current.takeover.holder.is_valid(monotonic_time())
 
     def has_room(self, stored: StoredMessage) -> bool:
         """As `Store.has_room`; also False without a valid lease, or while no reserved number is left."""
@@ -197,24 +197,24 @@
         for holding in [each for each in self.holdings.values() if each.serving]:
             index = holding.log.next
             while holding.log.acked(self.successors_of(holding)) < index:
-                if holding.is_starving(monotonic_time()) or not self._wait_for_progress(until):
+                if holding.is_stalled(monotonic_time()) or not self._wait_for_progress(until):
                     self.on_replication_timeout(holding)
                     raise NotReplicatedError(
                         f"partition {holding.partition}: "
                         f"{index - holding.log.acked(self.successors_of(holding))} records "
                         f"are not at {', '.join(sorted(self.successors_of(holding)))}"
                     )
-            if not holding.alone_since and not holding.is_starving(monotonic_time()):
+            if not holding.unreplicated_since and not holding.is_stalled(monotonic_time()):
                 # Under load the replicas are always a little behind when the node looks. Without this reset a partition
                 # that starved once would be given up half a second later, with all its messages.
-                holding.starved_at = 0
+                holding.stalled_since = 0
             # The lease may have run out during the wait; who has adopted the partition meanwhile lacks these records.
-            if not holding.adoption.holder.is_valid(monotonic_time()):
+            if not holding.takeover.holder.is_valid(monotonic_time()):
                 raise NotReplicatedError(f"partition {holding.partition}: its lease has run out")
 
     def successors_of(self, holding: LeasedPartition) -> frozenset[str]:
         """The members that must have a record before it counts as replicated."""
-        return (holding.adoption.holder.possible_successors | holding.joining.keys()) - {holding.adoption.me}
+        return (holding.takeover.holder.possible_successors | holding.joining.keys()) - {holding.takeover.me}
 
     def _wait_for_progress(self, until: float) -> bool:
         left = until - time.monotonic()
@@ -331,7 +331,10 @@
     def begin_log(self, holding: LeasedPartition, term: int) -> None:
         """Start a new replication log for the partition under a term."""
         holding.log = ReplicationLog(
-            holding.partition, term, lambda number: holding.read_for_member(self, number), sorted(holding.ledger.known)
+            holding.partition,
+            term,
+            lambda number: holding.read_fact_for_member(self, number),
+            sorted(holding.ledger.known),
         )
         holding.log.behind = not self.by_copy
         holding.log_started_at = monotonic_time()
@@ -417,7 +420,7 @@
             for fact in decode_facts(encode_batch([logged.data])):
                 facts[fact.number] = join_facts(facts[fact.number], fact) if fact.number in facts else fact
         for number in list(holding.ledger.known):
-            owed = holding.read_for_member(self, number)
+            owed = holding.read_fact_for_member(self, number)
             if owed is not None:
                 facts[number] = join_facts(facts[number], owed) if number in facts else owed
         return [facts[number] for number in sorted(facts)]
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from cedarwick.fleet import placement
-from cedarwick.fleet.leased_partition import STARVED_US, LeasedPartition
+from cedarwick.fleet.leased_partition import STALLED_AFTER_US, LeasedPartition
 from cedarwick.fleet.limits import MAX_LAG_FACTS, MAX_LAG_US, REPLICA_TRUST_US, REPLICATE_PAUSE_S, REPLICATE_TIMEOUT_S
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
@@ -78,11 +78,11 @@
         return found
 
     def _name_successors(self, now: int, holding: LeasedPartition) -> None:
-        holder = holding.adoption.holder
+        holder = holding.takeover.holder
         wanted = self._wanted_replicas(holding)
         whole = self._complete_replicas(now, holding, wanted)
         if (
-            holding.is_starving(now)
+            holding.is_stalled(now)
             and self.settings.alone == "own"
             and not self._replicas_are_trusted(now, holding, whole)
         ):
@@ -105,14 +105,14 @@
         if this sender died at that moment. So new records wait for the replica first, and it is named once it has all
         earlier ones.
         """
-        bound, log = holding.adoption.holder.possible_successors, holding.log
+        bound, log = holding.takeover.holder.possible_successors, holding.log
         joining = {name: holding.joining.get(name, (log.next, now)) for name in whole if name not in bound}
         for name, (index, since) in joining.items():
-            if log.acked([name]) < index and now - since > STARVED_US:
+            if log.acked([name]) < index and now - since > STALLED_AFTER_US:
                 self.replica_refused_at[name] = now  # it does not keep up: another one is asked
-        if joining.keys() - holding.joining.keys() and holding.alone_since:
+        if joining.keys() - holding.joining.keys() and holding.unreplicated_since:
             logger.info("partition {}: replicas follow again", holding.partition)
-            holding.starved_at = holding.alone_since = 0
+            holding.stalled_since = holding.unreplicated_since = 0
         holding.joining = {name: each for name, each in joining.items() if self.replica_refused_at.get(name) != now}
         return [
             name
@@ -122,16 +122,16 @@
 
     def _note_replication_timeout(self, holding: LeasedPartition) -> None:
         """Note that a replica has not taken a record in time."""
-        if not holding.starved_at:
-            holding.starved_at = monotonic_time()
+        if not holding.stalled_since:
+            holding.stalled_since = monotonic_time()
             self.counters.warning("a replica does not follow", f"partition {holding.partition}")
 
     def _replicas_are_trusted(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
         """Whether replicas have followed for long enough (`REPLICA_TRUST_US`) for a sender that goes on alone."""
         if not whole:
-            holding.alone_since = now
+            holding.unreplicated_since = now
             return False
-        return now - holding.alone_since >= REPLICA_TRUST_US
+        return now - holding.unreplicated_since >= REPLICA_TRUST_US
 
     def _replicas_keep_up(self, now: int, holding: LeasedPartition) -> bool:
         """Under `ack = "copy"`: whether the successors keep up, or the setting `alone` allows to go on without."""
@@ -139,14 +139,14 @@
             return True
         successors = self.store.successors_of(holding)
         # Only named ones count: a replica that no majority knows as a successor would not be granted the partition.
-        if not successors or self.settings.alone == "busy" and not holding.adoption.holder.successors[1:]:
-            if self.settings.alone == "own" and not holding.alone_since:
+        if not successors or self.settings.alone == "busy" and not holding.takeover.holder.successors[1:]:
+            if self.settings.alone == "own" and not holding.unreplicated_since:
                 logger.warning("partition {}: goes on without a replica", holding.partition)
-                holding.alone_since = now
-                holding.starved_at = holding.starved_at or now - STARVED_US
+                holding.unreplicated_since = now
+                holding.stalled_since = holding.stalled_since or now - STALLED_AFTER_US
             return self.settings.alone == "own"
-        if holding.starved_at and holding.log.acked(successors) >= holding.log.next:
-            if holding.alone_since or holding.is_starving(now):
+        if holding.stalled_since and holding.log.acked(successors) >= holding.log.next:
+            if holding.unreplicated_since or holding.is_stalled(now):
                 logger.info("partition {}: replicas follow again", holding.partition)
-            holding.starved_at = holding.alone_since = 0
-        return not holding.is_starving(now)
+            holding.stalled_since = holding.unreplicated_since = 0
+        return not holding.is_stalled(now)
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -82,11 +82,11 @@
 
     def _replicate(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
         holding = self.store.holdings.get(body.partition)
-        if holding is not None and holding.adoption.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
+        if holding is not None and holding.takeover.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
             # A former holder that was paused must not count this member as its replica: the partition is held here.
             if isinstance(body, Digests):
-                return Digests(body.partition, holding.adoption.holder.term, ())
-            return ReplicaAck(body.partition, holding.adoption.holder.term, 0, OLD_TERM)
+                return Digests(body.partition, holding.takeover.holder.term, ())
+            return ReplicaAck(body.partition, holding.takeover.holder.term, 0, OLD_TERM)
         self.replica_written_at[body.partition] = monotonic_time()
         if isinstance(body, Digests):
             return self.replicas.digests(body)
@@ -95,7 +95,7 @@
         have = self.replicas.facts(body) if isinstance(body, ReplicateFacts) else self.replicas.piece(body)
         if self.replicas.unsynced:
             self.replicas.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
-        if body.partition not in self.adoptions and self.replicas.replica(body.partition) is not None:
+        if body.partition not in self.takeovers and self.replicas.replica(body.partition) is not None:
             self._follow_partition(body.partition)
         return have
 
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -7,7 +7,7 @@
 
 from cedarwick.config.member_slots import slot_of
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import EPOCH_BITS, lease_of
+from cedarwick.fleet.leases import EPOCH_BITS, lease_name
 from cedarwick.fleet.limits import ANSWER_AHEAD_US, US_PER_S
 from cedarwick.fleet.messages import SessionInheritance
 from cedarwick.fleet.recent_ids import RecentIds
@@ -64,7 +64,7 @@
     def _successor(self, name: str) -> str:
         """The member that holds the newest partition of a sender that is gone; empty if none is known."""
         partition = self._newest_partition(name)
-        grant = self.node.grantor.grant(lease_of(partition))
+        grant = self.node.grantor.grant(lease_name(partition))
         return grant.holder if partition and grant.holder != name and not grant.closed else ""
 
     def _inherit(self, key: int) -> bool:
@@ -97,7 +97,7 @@
 
     def _answer_inheritance(self, request: ClaimRequest, partition: int, by: str, now: int) -> ClaimAnswer:
         holder = request.over[1]
-        grant = self.node.grantor.grant(lease_of(partition))
+        grant = self.node.grantor.grant(lease_name(partition))
         holds = (
             partition == self._newest_partition(holder)
             and grant.holder == by
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -190,7 +190,7 @@
         self.directory.forget(now)
         self.migrations.forget(now)
         for known in (self.replica_recent_ids, self.inheritable_sessions):
-            for partition in [partition for partition in known if partition not in self.node.adoptions]:
+            for partition in [partition for partition in known if partition not in self.node.takeovers]:
                 del known[partition]
 
     def _send_locations_to_all(self, now: int) -> None:
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -12,7 +12,7 @@
     offering   it held the partition and another one does now: OFFER what only it knows, until `offered`
     gone       DROP all of it
 
-Turns: a successor waits 300 ms (`SUCCESSOR_TURN_US`) for each successor before it in the set that may be alive. A
+Turns: a successor waits 300 ms (`SUCCESSOR_STAGGER_US`) for each successor before it in the set that may be alive. A
 holder that is not known to be dead but has not renewed may come back at any moment (a restart, a partitioned network):
 then a successor first waits for `UNRENEWED_WAIT_US`.
 All times are whole microseconds of the member's own clock that goes on while the machine sleeps.
@@ -25,11 +25,11 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.lease_grantor import LeaseGrantor
 from cedarwick.fleet.lease_holder import LeaseHolder, LeaseState
-from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, lease_of
+from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, lease_name
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant
 
-SUCCESSOR_TURN_US = 300_000  # that each successor has before the next one asks: a request, its answers, one retry
+SUCCESSOR_STAGGER_US = 300_000  # that each successor has before the next one asks: a request, its answers, one retry
 UNRENEWED_WAIT_US = 3 * LEASE_SPAN_US  # for a holder that is alive and does not renew; a restart takes about a second
 
 
@@ -59,8 +59,8 @@
 class TakeoverStep(NamedTuple):
     """What is to be done, and with whom."""
 
-    do: TakeoverAction
-    to: str = ""
+    action: TakeoverAction
+    target: str = ""
 
 
 NO_STEP = TakeoverStep(TakeoverAction.NOTHING)
@@ -89,7 +89,7 @@
         self.me = me
         self.takes_new_messages = open
         self.stage = TakeoverStage.FOLLOWING
-        self.holder = LeaseHolder(lease_of(partition), me, names)
+        self.holder = LeaseHolder(lease_name(partition), me, names)
         self.holder.term = term
         self._has_held = resume  # it may know what nobody else does
         self._resume = resume
@@ -97,12 +97,12 @@
         self._absent_holder: tuple[str, int] | None = None  # the holder that is away, and since when
         self._lease_lost_at = 0  # when the lease was lost or refused
 
-    def imported(self, now: int, successors: Collection[str]) -> None:
+    def note_imported(self, now: int, successors: Collection[str]) -> None:
         """Note that the facts are stored here. `successors`: members with whole replicas, in the order of takeover."""
         self._imported = True
         self.holder.name_successors(now, successors)
 
-    def offered(self) -> None:
+    def note_offer_accepted(self) -> None:
         """The newer holder has taken all that this member knows."""
         if self.stage is TakeoverStage.OFFERING:
             self.stage = TakeoverStage.GONE
@@ -159,7 +159,9 @@
         """Somebody else may hold it: follow, wait for the turn, or offer what only this member knows."""
         # The own grantor may have granted a term to this member that a majority granted to another: that one holds it.
         term, holder = (
-            (grant.term, grant.holder) if grant.term > self.holder.newest_other.term else self.holder.newest_other
+            (grant.term, grant.holder)
+            if grant.term > self.holder.newest_other_holder.term
+            else self.holder.newest_other_holder
         )
         row = self.holder.newest_row(grant)
         if is_complete and self._is_my_turn(now, grant, row, promised, status_of, holder):
@@ -198,7 +200,7 @@
         # After a refusal promises to this member must run out first, or two successors would split each vote for ever.
         quiet = max(promised, self._lease_lost_at + LEASE_SPAN_US if self._lease_lost_at else 0)
         since = max(quiet, self._absent_holder[1]) if away and self._absent_holder else quiet + UNRENEWED_WAIT_US
-        return now >= since + place * SUCCESSOR_TURN_US
+        return now >= since + place * SUCCESSOR_STAGGER_US
 
     def _successors_before(self, grant: Grant, row: Grant) -> tuple[str, ...]:
         """The successors whose turn comes before this member's.
--- a/cedarwick/fleet/takeover_offers.py
+++ b/cedarwick/fleet/takeover_offers.py
@@ -11,7 +11,7 @@
 
 from cedarwick.fleet.held_partitions import HeldPartitions
 from cedarwick.fleet.lease_exchange import LeaseExchange
-from cedarwick.fleet.leases import lease_of
+from cedarwick.fleet.leases import lease_name
 from cedarwick.fleet.limits import HEARTBEAT_INTERVAL_S, OFFER_PART_BYTES, OFFER_TIMEOUT_S, PARTITION_CLOSED
 from cedarwick.fleet.messages import OfferReply, TakeoverOffer, digest_of
 from cedarwick.fleet.replicated_store import monotonic_time
@@ -35,24 +35,24 @@
 class TakeoverOffers(LeaseExchange, HeldPartitions):
     """Sends the offers of this member and answers those of others."""
 
-    def _send_offer(self, adoption: Takeover, to: str) -> None:
+    def _send_offer(self, takeover: Takeover, to: str) -> None:
         """Offer what this member knows to the newer holder, in parts of `OFFER_PART_BYTES`."""
-        holding = self.store.holdings.get(adoption.partition)
+        holding = self.store.holdings.get(takeover.partition)
         if holding is not None and not holding.ledger.term:
             # What an earlier process of this sender has taken or learned may be nowhere but in this store.
-            self.store.resume_ledger(holding, self._recorded_term(adoption.partition))
+            self.store.resume_ledger(holding, self._recorded_term(takeover.partition))
         known = self.store.facts_to_offer(holding) if holding is not None else []
         parts = offer_parts(known)
-        logger.info("partition {}: {} messages offered to {}", adoption.partition, len(known), to)
+        logger.info("partition {}: {} messages offered to {}", takeover.partition, len(known), to)
         try:
             for index, data in enumerate(parts):
                 offer = TakeoverOffer(
-                    adoption.partition,
+                    takeover.partition,
                     index,
                     index + 1 == len(parts),
                     data,
                     digest_of(data),
-                    adoption.holder.term if holding is None else holding.ledger.term,
+                    takeover.holder.term if holding is None else holding.ledger.term,
                 )
                 if holding is not None:
                     holding.offer_sent = True
@@ -62,18 +62,18 @@
                         self._learn_closed_partitions(to)
                     gevent.sleep(HEARTBEAT_INTERVAL_S)
                     return  # it is asked again at the next look, of whoever holds the partition then
-            adoption.offered()
+            takeover.note_offer_accepted()
             if holding is not None:
-                holding.offered = True
+                holding.offer_accepted = True
         finally:
-            self.offers.pop(adoption.partition, None)
+            self.offers.pop(takeover.partition, None)
 
     def _answer_offer(self, sender: str, body: TakeoverOffer) -> OfferReply:
         """Answer an earlier holder of a partition held here that offers what it knows."""
         holding = self.store.holdings.get(body.partition)
-        if holding is None and self.grantor.grant(lease_of(body.partition)).closed:
+        if holding is None and self.grantor.grant(lease_name(body.partition)).closed:
             return OfferReply(body.partition, body.part, PARTITION_CLOSED)
-        if holding is None or not holding.imported or holding.adoption.stage is not TakeoverStage.HOLDING:
+        if holding is None or not holding.imported or holding.takeover.stage is not TakeoverStage.HOLDING:
             return OfferReply(body.partition, body.part, "it is not held here")
         if digest_of(body.facts) != body.digest:
             return OfferReply(body.partition, body.part, "spoilt")
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -330,7 +330,7 @@
 
     def replace(self, members: Mapping[str, tuple[str, int]]) -> None:
         self.members = [name for name in members if name != self.gate.me]
-        self.gate.replace(members)
+        self.gate.replace_members(members)
 
     def names(self) -> Iterable[str]:
         return self.members
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -17,18 +17,18 @@
 
 from cedarwick.fleet.lease_grantor import LeaseGrantor
 from cedarwick.fleet.lease_holder import LeaseHolder, LeaseState
-from cedarwick.fleet.leases import LEASE_SPAN_US, SET_BITS, lease_of
+from cedarwick.fleet.leases import LEASE_SPAN_US, SUCCESSOR_SET_BITS, lease_name
 from cedarwick.fleet.messages import Grant, LeaseReply, LeaseRequest
 
 PARTITION = 7 << 12
-RIGHT = lease_of(PARTITION)
+RIGHT = lease_name(PARTITION)
 NAMES = ("H", "A", "B")
 PACE = {"H": 285_000, "A": 300_000, "B": 300_000}  # microseconds of each clock, between two ticks
 OTHERS = {name: tuple(other for other in NAMES if other != name) for name in NAMES}
 BEGIN = 4  # the tick at which histories begin
 TERMS = 3
 SETS = 3  # that one term names
-SET = (1 << SET_BITS) - 1
+SET = (1 << SUCCESSOR_SET_BITS) - 1
 
 
 class InvariantBrokenError(Exception):
@@ -86,13 +86,13 @@
             holder.state.value,
             holder.term,
             holder._newest_term,
-            holder.newest_other,
+            holder.newest_other_holder,
             holder.probing,
             tuple((who, min(now - at, LEASE_SPAN_US)) for who, at in sorted(holder._would_grant.items())),
-            holder.newest_named,
+            holder.newest_known_set,
             max(0, holder._refused_at + LEASE_SPAN_US - now) if holder._refused_at else 0,
-            holder.known_set,
-            holder.newest_set,
+            holder.known_set_number,
+            holder.newest_set_number,
             begun,
         )
         key = (key, own, tuple(holder._sets.items()), live, shut)
@@ -131,7 +131,7 @@
 
 def named(holder: LeaseHolder) -> frozenset[str]:
     """Whom a holder has named in its own term, and so given all that it knows: they may follow it."""
-    sets = [successors for number, successors in holder._sets.items() if number >> SET_BITS == holder.term]
+    sets = [successors for number, successors in holder._sets.items() if number >> SUCCESSOR_SET_BITS == holder.term]
     return frozenset(name for successors in sets for name in successors)
 
 
@@ -164,7 +164,7 @@
         nodes = {name: Node(name, self.grantor(name, NAMES, 0, (rows[name],)), None, True) for name in NAMES}
         held = self.holder(RIGHT, "H", NAMES)
         held.request_next_term(0, Grant(RIGHT, 0, ""))
-        held.newest_set, held._sets = rows["H"].set, {rows["H"].set: rows["H"].successors}
+        held.newest_set_number, held._sets = rows["H"].set, {rows["H"].set: rows["H"].successors}
         now = BEGIN * PACE["H"]
         answers = {name: LeaseReply(True, 1, "H", row.successors, row.set) for name, row in rows.items()}
         for name in NAMES:
@@ -200,7 +200,7 @@
 
     @staticmethod
     def _row(holder: str, term: int, number: int, *successors: str) -> Grant:
-        return Grant(RIGHT, term, holder, successors, term << SET_BITS | number)
+        return Grant(RIGHT, term, holder, successors, term << SUCCESSOR_SET_BITS | number)
 
     # ---- actions ----
 
@@ -232,12 +232,15 @@
         self, current: GlobalState, name: str, holder: LeaseHolder
     ) -> Iterator[tuple[tuple[Any, ...], Callable[[], GlobalState]]]:
         successors = [(name, other) for other in OTHERS[name]] if "name" in self.allowed else []
-        if holder.newest_set & SET < SETS or not holder._is_of_this_term(holder.newest_set):
+        if holder.newest_set_number & SET < SETS or not holder._is_of_this_term(holder.newest_set_number):
             for chosen in ((name,), *successors):
-                if not holder._is_of_this_term(holder.newest_set) or holder._sets[holder.newest_set] != chosen:
+                if (
+                    not holder._is_of_this_term(holder.newest_set_number)
+                    or holder._sets[holder.newest_set_number] != chosen
+                ):
                     for modes in ASKED[current.lates]:
                         yield ("name", chosen, modes), partial(self._name, current, name, chosen, modes)
-        if "close" in self.allowed and holder.known_set and name not in current.asked:
+        if "close" in self.allowed and holder.known_set_number and name not in current.asked:
             yield ("close", name), partial(self._close, current, name)
 
     def _ask(self, current: GlobalState, name: str, modes: tuple[str, ...], begin: bool) -> GlobalState:
--- a/tests/fleet/lease_histories.py
+++ b/tests/fleet/lease_histories.py
@@ -36,7 +36,7 @@
     def boot(self, now: int) -> None:
         self.grantor = LeaseGrantor(self.name, MEMBERS, now, self.rows)
         held = self.term >= 0
-        self.adoption = Takeover(PARTITION, self.name, MEMBERS, max(0, self.term), resume=held)
+        self.takeover = Takeover(PARTITION, self.name, MEMBERS, max(0, self.term), resume=held)
 
 
 class Histories(RuleBasedStateMachine):
@@ -108,7 +108,7 @@
                 sender.rows, sender.grantor.dirty = sender.grantor.table().grants, False
             self.send(by, sender, sent, told)
         elif isinstance(body, LeaseReply):
-            sender.adoption.holder.receive_reply(now, sent, by, body)
+            sender.takeover.holder.receive_reply(now, sent, by, body)
         elif isinstance(body, GrantTable):
             sender.grantor.learn_from(sent, by, body)
             if sender.grantor.dirty:
@@ -117,31 +117,31 @@
             self.send(by, sender, sent, sender.grantor.table())
 
     def turn(self, sender: Sender) -> None:
-        now, grantor, adoption = self.clock(sender), sender.grantor, sender.adoption
+        now, grantor, takeover = self.clock(sender), sender.grantor, sender.takeover
         for other in grantor.members_to_learn_from(now):
             self.send(other, sender, now, "tables")
-        step = adoption.step(now, grantor.grant(RIGHT), grantor.promised_until(RIGHT), self.standing, sender.whole, 1)
-        if step.do is TakeoverAction.IMPORT or (
-            adoption.stage is TakeoverStage.HOLDING and self.random.random() < 0.02
+        step = takeover.step(now, grantor.grant(RIGHT), grantor.promised_until(RIGHT), self.standing, sender.whole, 1)
+        if step.action is TakeoverAction.IMPORT or (
+            takeover.stage is TakeoverStage.HOLDING and self.random.random() < 0.02
         ):
             others = [one for one in self.senders.values() if one.up and one is not sender]
             successors = self.random.sample(others, min(2, len(others)))
-            adoption.imported(now, [one.name for one in successors])
+            takeover.note_imported(now, [one.name for one in successors])
             for one in successors:
                 one.whole = True
-        elif step.do is TakeoverAction.OFFER and self.senders[step.to].adoption.stage is TakeoverStage.HOLDING:
-            adoption.offered()
-        elif step.do is TakeoverAction.DROP:
-            sender.adoption, sender.whole, sender.term = Takeover(PARTITION, sender.name, MEMBERS), False, -1
-        if adoption.holder.state is LeaseState.HELD:
-            sender.term = adoption.holder.term
-        ask = sender.adoption.holder.due_request(now)
+        elif step.action is TakeoverAction.OFFER and self.senders[step.target].takeover.stage is TakeoverStage.HOLDING:
+            takeover.note_offer_accepted()
+        elif step.action is TakeoverAction.DROP:
+            sender.takeover, sender.whole, sender.term = Takeover(PARTITION, sender.name, MEMBERS), False, -1
+        if takeover.holder.state is LeaseState.HELD:
+            sender.term = takeover.holder.term
+        ask = sender.takeover.holder.due_request(now)
         if ask is not None:
             for to in (sender.name, *(name for name in MEMBERS if name != sender.name)):
                 self.send(to, sender, now, ask)
 
     def judge(self) -> None:
-        holders = {name: one.adoption.holder for name, one in self.senders.items() if one.up}
+        holders = {name: one.takeover.holder for name, one in self.senders.items() if one.up}
         firing = [name for name, holder in holders.items() if holder.is_valid(self.clock(self.senders[name]))]
         assert len(firing) <= 1, f"{firing} may fire at once"
         if firing and not self.faulty:
@@ -175,7 +175,7 @@
         complete = [name for name in self.legit if self.senders[name].whole]
         for _ in range(10):
             self.goes_on(24)
-            if any(one.adoption.holder.is_valid(self.clock(one)) for one in self.senders.values()):
+            if any(one.takeover.holder.is_valid(self.clock(one)) for one in self.senders.values()):
                 return
         successors = [name for name in complete if self.may_follow(name)]
         assert not successors, f"nobody holds the partition, though {successors} could"
--- a/tests/fleet/test_lease_recovery.py
+++ b/tests/fleet/test_lease_recovery.py
@@ -24,7 +24,7 @@
 
 from cedarwick.fleet.lease_grantor import LeaseGrantor
 from cedarwick.fleet.lease_holder import LeaseHolder, LeaseState
-from cedarwick.fleet.leases import LEASE_SPAN_US, SET_BITS
+from cedarwick.fleet.leases import LEASE_SPAN_US, SUCCESSOR_SET_BITS
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseRequest
 from cedarwick.fleet.takeover import UNRENEWED_WAIT_US, Takeover, TakeoverAction, TakeoverStage
@@ -32,7 +32,7 @@
 from tests.fleet.lease_soak import play
 
 MEMBERS = ("a", "b", "c", "d", "e")
-FIRST_SET, SECOND_SET = 1 << SET_BITS | 1, 2 << SET_BITS | 1
+FIRST_SET, SECOND_SET = 1 << SUCCESSOR_SET_BITS | 1, 2 << SUCCESSOR_SET_BITS | 1
 STEP = 100_000  # microseconds
 LONG_AFTER = 10 * LEASE_SPAN_US  # all promises from before have run out
 # On f71ae90 nobody holds the partition after these, as (seed, whether folders are lost).
@@ -85,8 +85,8 @@
         step = takeover.step(
             self.now, own.grant(RIGHT), own.promised_until(RIGHT), self.status_of, is_complete=complete, owed=1
         )
-        if step.do is TakeoverAction.IMPORT:
-            takeover.imported(self.now, ())
+        if step.action is TakeoverAction.IMPORT:
+            takeover.note_imported(self.now, ())
         ask = takeover.holder.due_request(self.now)
         if ask is not None:
             for name in (takeover.me, *(name for name in self.grantors if name != takeover.me)):
@@ -242,7 +242,7 @@
 
     def test_an_incomplete_replica_neither_enquires_nor_follows(self) -> None:
         self.network.run(seconds=30, complete=())
-        self.assertEqual([each.holder.newest_named.number for each in self.network.takeovers], [0, 0])
+        self.assertEqual([each.holder.newest_known_set.number for each in self.network.takeovers], [0, 0])
         self.assertEqual(self.held_by(), [])
 
 
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -7,12 +7,12 @@
 
 from cedarwick.fleet.lease_grantor import LeaseGrantor
 from cedarwick.fleet.lease_holder import LeaseHolder, LeaseState
-from cedarwick.fleet.leases import LEASE_SPAN_US, SET_BITS, lease_of
+from cedarwick.fleet.leases import LEASE_SPAN_US, SUCCESSOR_SET_BITS, lease_name
 from cedarwick.fleet.membership import Membership, MemberStatus
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
 from cedarwick.fleet.placement import choose_replicas
 from cedarwick.fleet.takeover import (
-    SUCCESSOR_TURN_US,
+    SUCCESSOR_STAGGER_US,
     UNRENEWED_WAIT_US,
     Ownership,
     PartitionsExhaustedError,
@@ -22,10 +22,10 @@
 )
 
 PARTITION = 9 << 12
-RIGHT = lease_of(PARTITION)
+RIGHT = lease_name(PARTITION)
 NAMES = ("a", "b", "c")
 HALLS = {"a": "north", "b": "north", "c": "south"}
-SET = 1 << SET_BITS | 1
+SET = 1 << SUCCESSOR_SET_BITS | 1
 ROW = Grant(RIGHT, 1, "a", ("a", "b", "c"), SET)
 
 
@@ -89,7 +89,7 @@
     def test_closed_partitions_shrink_to_a_number_and_stay_closed(self) -> None:
         grantor = LeaseGrantor("b", NAMES, 0, ())
         for epoch in (1, 0):
-            grantor.handle_request(0, ask(1, "a", lease_of(PARTITION + epoch), closed=True))
+            grantor.handle_request(0, ask(1, "a", lease_name(PARTITION + epoch), closed=True))
         self.assertEqual(grantor.table().grants, (Grant("closed:9", 1, "", closed=True),))
         again = LeaseGrantor("b", NAMES, 0, grantor.table().grants)
         self.assertEqual(again.handle_request(LEASE_SPAN_US, ask(9, "a")), LeaseReply(False, 0, "", closed=True))
@@ -134,7 +134,7 @@
         self.assertEqual((holder.state, holder.is_valid(0)), (LeaseState.HELD, False))
         holder.name_successors(0, ["c"])
         for name in "ac":
-            holder.receive_reply(9, 5, name, LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set))
+            holder.receive_reply(9, 5, name, LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set_number))
         self.assertEqual((holder.successors, holder.valid_until), (("a", "c"), 5 + 1_090_000))
         self.assertEqual([holder.is_valid(holder.valid_until - 1), holder.is_valid(holder.valid_until)], [True, False])
 
@@ -142,16 +142,16 @@
         holder = self.holder()
         holder.name_successors(0, ["b"])
         for name in "ab":
-            holder.receive_reply(0, 0, name, LeaseReply(True, 1, "a", ("a", "b"), holder.newest_set))
+            holder.receive_reply(0, 0, name, LeaseReply(True, 1, "a", ("a", "b"), holder.newest_set_number))
         holder.name_successors(1, ["c"])
-        holder.receive_reply(1, 1, "a", LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set))
+        holder.receive_reply(1, 1, "a", LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set_number))
         self.assertEqual(holder.possible_successors, {"a", "b", "c"})
         holder.receive_reply(
-            2 * LEASE_SPAN_US, 2 * LEASE_SPAN_US, "c", LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set)
+            2 * LEASE_SPAN_US, 2 * LEASE_SPAN_US, "c", LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set_number)
         )
         self.assertEqual(holder.successors, ("a", "b"))
         holder.receive_reply(
-            2 * LEASE_SPAN_US, 2 * LEASE_SPAN_US, "a", LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set)
+            2 * LEASE_SPAN_US, 2 * LEASE_SPAN_US, "a", LeaseReply(True, 1, "a", ("a", "c"), holder.newest_set_number)
         )
         self.assertEqual((holder.successors, holder.possible_successors), (("a", "c"), {"a", "c"}))
 
@@ -160,7 +160,7 @@
         holder.receive_reply(1, 1, "c", LeaseReply(False, 2, "c"))
         self.assertIs(holder.state, LeaseState.HELD)
         holder.update(LEASE_SPAN_US)
-        self.assertEqual((holder.state, holder.newest_other), (LeaseState.LOST, (2, "c")))
+        self.assertEqual((holder.state, holder.newest_other_holder), (LeaseState.LOST, (2, "c")))
 
     def test_what_a_member_that_has_gone_had_granted_counts_no_more(self) -> None:
         holder = LeaseHolder("r", "a", "abcd")
@@ -169,7 +169,7 @@
             for name in names:
                 holder.receive_reply(sent, sent, name, LeaseReply(True, 1, "a"))
         self.assertLess(holder.valid_until, LEASE_SPAN_US)
-        holder.replace("abc")
+        holder.replace_members("abc")
         # Danger: b and c, a majority of those that stay, may grant it to c from now on: b's promise has run out.
         self.assertLess(holder.valid_until, LEASE_SPAN_US)
 
@@ -187,38 +187,38 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    def step(self, adoption: Takeover, now: int, standing: dict[str, MemberStatus], owed: int = 1) -> TakeoverAction:
-        return adoption.step(
+    def step(self, takeover: Takeover, now: int, standing: dict[str, MemberStatus], owed: int = 1) -> TakeoverAction:
+        return takeover.step(
             now, ROW, LEASE_SPAN_US, lambda name: standing.get(name, MemberStatus.ALIVE), True, owed
-        ).do
+        ).action
 
     def test_the_second_successor_lets_the_first_one_go_first(self) -> None:
-        adoption = Takeover(PARTITION, "c", NAMES)
+        takeover = Takeover(PARTITION, "c", NAMES)
         dead = {"a": MemberStatus.DEAD}
-        self.assertIs(self.step(adoption, LEASE_SPAN_US, dead), TakeoverAction.NOTHING)
-        self.assertIs(self.step(adoption, LEASE_SPAN_US + SUCCESSOR_TURN_US - 1, dead), TakeoverAction.NOTHING)
-        self.assertIs(self.step(adoption, LEASE_SPAN_US + SUCCESSOR_TURN_US, dead), TakeoverAction.ASK)
+        self.assertIs(self.step(takeover, LEASE_SPAN_US, dead), TakeoverAction.NOTHING)
+        self.assertIs(self.step(takeover, LEASE_SPAN_US + SUCCESSOR_STAGGER_US - 1, dead), TakeoverAction.NOTHING)
+        self.assertIs(self.step(takeover, LEASE_SPAN_US + SUCCESSOR_STAGGER_US, dead), TakeoverAction.ASK)
 
     def test_a_holder_that_is_alive_has_patience_and_a_copy_that_is_no_successor_never_asks(self) -> None:
-        adoption = Takeover(PARTITION, "b", NAMES)
-        self.assertIs(self.step(adoption, LEASE_SPAN_US + UNRENEWED_WAIT_US, {}), TakeoverAction.NOTHING)
+        takeover = Takeover(PARTITION, "b", NAMES)
+        self.assertIs(self.step(takeover, LEASE_SPAN_US + UNRENEWED_WAIT_US, {}), TakeoverAction.NOTHING)
         self.assertIs(
-            self.step(adoption, LEASE_SPAN_US + UNRENEWED_WAIT_US + SUCCESSOR_TURN_US, {}), TakeoverAction.ASK
+            self.step(takeover, LEASE_SPAN_US + UNRENEWED_WAIT_US + SUCCESSOR_STAGGER_US, {}), TakeoverAction.ASK
         )
         other = Takeover(PARTITION, "d", NAMES)
         self.assertIs(self.step(other, 99 * LEASE_SPAN_US, {"a": MemberStatus.DEAD}), TakeoverAction.NOTHING)
 
     def test_imports_then_closes_once_nothing_is_owed(self) -> None:
-        adoption = Takeover(PARTITION, "b", NAMES)
-        self.step(adoption, LEASE_SPAN_US, {"a": MemberStatus.DEAD})
+        takeover = Takeover(PARTITION, "b", NAMES)
+        self.step(takeover, LEASE_SPAN_US, {"a": MemberStatus.DEAD})
         for name in "bc":
-            adoption.holder.receive_reply(LEASE_SPAN_US, LEASE_SPAN_US, name, LeaseReply(True, 2, "b"))
-        self.assertIs(self.step(adoption, LEASE_SPAN_US, {}, owed=0), TakeoverAction.IMPORT)
-        adoption.imported(LEASE_SPAN_US, ["c"])
-        self.assertIs(self.step(adoption, LEASE_SPAN_US, {}, owed=0), TakeoverAction.CLOSE)
+            takeover.holder.receive_reply(LEASE_SPAN_US, LEASE_SPAN_US, name, LeaseReply(True, 2, "b"))
+        self.assertIs(self.step(takeover, LEASE_SPAN_US, {}, owed=0), TakeoverAction.IMPORT)
+        takeover.note_imported(LEASE_SPAN_US, ["c"])
+        self.assertIs(self.step(takeover, LEASE_SPAN_US, {}, owed=0), TakeoverAction.CLOSE)
         for name in "bc":
-            adoption.holder.receive_reply(LEASE_SPAN_US, LEASE_SPAN_US, name, LeaseReply(True, 2, "b", closed=True))
-        self.assertIs(self.step(adoption, LEASE_SPAN_US, {}), TakeoverAction.DROP)
+            takeover.holder.receive_reply(LEASE_SPAN_US, LEASE_SPAN_US, name, LeaseReply(True, 2, "b", closed=True))
+        self.assertIs(self.step(takeover, LEASE_SPAN_US, {}), TakeoverAction.DROP)
 
     def test_a_woken_owner_offers_to_the_newer_holder_and_opens_the_next_partition(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, (ROW,))
@@ -233,13 +233,13 @@
         new = ownership.step(grantor)
         assert new is not None
         self.assertEqual((new.partition, new.takes_new_messages, old.takes_new_messages), (PARTITION + 1, True, False))
-        old.offered()
+        old.note_offer_accepted()
         self.assertIs(self.step(old, 2, {}), TakeoverAction.DROP)
         self.assertIs(old.stage, TakeoverStage.GONE)
 
     def test_no_partition_is_opened_by_one_that_forgot_nor_after_the_last_number(self) -> None:
         ownership = Ownership("a", 9, NAMES, {})
         self.assertIsNone(ownership.step(LeaseGrantor("a", NAMES, 0, None)))
-        last = Grant(lease_of(PARTITION + 4095), 1, "a")
+        last = Grant(lease_name(PARTITION + 4095), 1, "a")
         with self.assertRaises(PartitionsExhaustedError):
             ownership.step(LeaseGrantor("a", NAMES, 0, (last,)))
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -20,8 +20,8 @@
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError
 from cedarwick.fleet.lease_grantor import LeaseGrantor
 from cedarwick.fleet.lease_holder import KnownHolder
-from cedarwick.fleet.leased_partition import STARVED_US, LeasedPartition
-from cedarwick.fleet.leases import CLOSED_PREFIX, LEASE_SPAN_US, lease_of
+from cedarwick.fleet.leased_partition import STALLED_AFTER_US, LeasedPartition
+from cedarwick.fleet.leases import CLOSED_PREFIX, LEASE_SPAN_US, lease_name
 from cedarwick.fleet.member_state import MembershipChangeError
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import (
@@ -120,38 +120,38 @@
 
     def holding(self, node: FleetNode, term: int = 1, granted: bool = True) -> LeasedPartition:
         """The member has held the partition; and holds it now, where a majority has granted it that term."""
-        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
+        takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
         holding = node._hold_partition(PARTITION)
         node.store.resume_ledger(holding, term)
         node.store.begin_log(holding, term)
         holding.imported = True
         now = monotonic_time()
-        adoption.holder.term = term - 1
-        adoption.holder.request_next_term(now, Grant(lease_of(PARTITION), 0, ""))
-        adoption.stage = TakeoverStage.HOLDING
+        takeover.holder.term = term - 1
+        takeover.holder.request_next_term(now, Grant(lease_name(PARTITION), 0, ""))
+        takeover.stage = TakeoverStage.HOLDING
         if granted:
             for _ in range(2):  # the second answer is that to the successors it names
                 for name in NAMES:
-                    adoption.holder.receive_reply(
-                        now, now, name, LeaseReply(True, term, "a", (), adoption.holder.newest_set)
+                    takeover.holder.receive_reply(
+                        now, now, name, LeaseReply(True, term, "a", (), takeover.holder.newest_set_number)
                     )
-                adoption.holder.name_successors(now, ())
-            self.assertTrue(adoption.holder.is_valid(now))
+                takeover.holder.name_successors(now, ())
+            self.assertTrue(takeover.holder.is_valid(now))
         return holding
 
     def test_what_the_newer_holder_has_copied_here_outlives_the_partition_that_is_given_up(self) -> None:
         for closed in (False, True):
             node = self.member()
             holding = self.holding(node)
-            holding.offered = True
+            holding.offer_accepted = True
             data = encode_facts([fact(1)])
             node.replicas.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
             if closed:
-                node.grantor.learn_closed(GrantTable(False, (Grant(lease_of(PARTITION), 2, "b", closed=True),)))
+                node.grantor.learn_closed(GrantTable(False, (Grant(lease_name(PARTITION), 2, "b", closed=True),)))
             node._drop_partition(PARTITION)
             self.assertNotIn(PARTITION, node.store.holdings)
             self.assertEqual(
-                (node.replicas.replica(PARTITION) is None, PARTITION in node.adoptions), (closed, not closed)
+                (node.replicas.replica(PARTITION) is None, PARTITION in node.takeovers), (closed, not closed)
             )
 
     def test_alone_a_member_asks_for_nothing(self) -> None:
@@ -159,44 +159,44 @@
             node = self.member()
             node.grantor = LeaseGrantor("a", NAMES, monotonic_time(), ())
             node.no_majority_since = few
-            adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
+            takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
             node._hold_partition(PARTITION)
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-                node._step_takeover(monotonic_time(), adoption)
-            self.assertEqual(adoption.stage, stage)
+                node._step_takeover(monotonic_time(), takeover)
+            self.assertEqual(takeover.stage, stage)
 
     def test_a_holder_that_says_it_fires_is_left_alone_and_one_that_forgot_the_partition_is_gone(self) -> None:
         node, now = self.member(), monotonic_time()
-        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
-        with mock.patch.object(adoption, "step", wraps=adoption.step) as step:
+        takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
+        with mock.patch.object(takeover, "step", wraps=takeover.step) as step:
             node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
-            node._step_takeover(now, adoption)
+            node._step_takeover(now, takeover)
             self.assertGreaterEqual(step.call_args.args[2], now + LEASE_SPAN_US)
-            self.assertEqual(adoption.holder.newest_other, (3, "b"))
-            adoption.holder.term = 5  # asked for in vain
+            self.assertEqual(takeover.holder.newest_other_holder, (3, "b"))
+            takeover.holder.term = 5  # asked for in vain
             node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
-            self.assertEqual(adoption.holder.newest_other, (5, "b"))
+            self.assertEqual(takeover.holder.newest_other_holder, (5, "b"))
             standing = step.call_args.args[3]
             self.assertIs(standing("b"), MemberStatus.ALIVE)
             node._receive_heartbeat("b", 8, Heartbeat(False, {}))
             self.assertIs(standing("b"), MemberStatus.ALIVE)  # it may yet ask for the partition
-            node._step_takeover(monotonic_time() + limits.RESTARTED_REQUESTS_US, adoption)
+            node._step_takeover(monotonic_time() + limits.RESTARTED_REQUESTS_US, takeover)
             self.assertIs(step.call_args.args[3]("b"), MemberStatus.DEAD)
 
     def test_who_was_started_again_may_ask_for_its_partition_however_long_it_has_held_it(self) -> None:
         node = self.member()
-        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
+        takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
         node.presumed_holders[PARTITION] = "b", 1
         for boot, rights in ((7, (Right(PARTITION, 3),)), (8, ())):
             node._receive_heartbeat("b", boot, Heartbeat(False, {}, rights))
         now = monotonic_time()
-        self.assertIs(node._status_for(now, "b", adoption), MemberStatus.ALIVE)
-        self.assertIs(node._status_for(now + limits.RESTARTED_REQUESTS_US, "b", adoption), MemberStatus.DEAD)
+        self.assertIs(node._status_for(now, "b", takeover), MemberStatus.ALIVE)
+        self.assertIs(node._status_for(now + limits.RESTARTED_REQUESTS_US, "b", takeover), MemberStatus.DEAD)
 
     def test_who_asked_in_vain_is_taken_for_the_holder_only_for_a_while(self) -> None:
         node = self.member()
-        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
-        adoption.holder.newest_other = KnownHolder(3, "b")  # as a grantor said that has granted it to b, alone
+        takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
+        takeover.holder.newest_other_holder = KnownHolder(3, "b")  # as a grantor said that has granted it to b, alone
         now = monotonic_time() + 1
         with mock.patch.object(node.members, "status", return_value=MemberStatus.ALIVE):
             for after, name, stands in (
@@ -205,11 +205,11 @@
                 (limits.IDLE_HOLDER_US, "b", MemberStatus.DEAD),
                 (limits.IDLE_HOLDER_US, "c", MemberStatus.ALIVE),
             ):
-                self.assertIs(node._status_for(now + after, name, adoption), stands)
+                self.assertIs(node._status_for(now + after, name, takeover), stands)
 
     def test_who_leaves_or_fires_for_a_partition_no_more_is_waited_for_no_longer(self) -> None:
         node = self.member()
-        node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
+        node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
         node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
         node._receive_heartbeat("c", 7, Heartbeat(False, {}))
         self.assertIn(PARTITION, node.reported_serving)
@@ -257,7 +257,7 @@
 
         def ask(heard: str) -> None:
             node._receive_heartbeat("b", 7, Heartbeat(False, dict.fromkeys(heard, 0)))
-            node._answer("b", 7, LeaseRequest(lease_of(PARTITION), 1, "b", LEASE_SPAN_US))
+            node._answer("b", 7, LeaseRequest(lease_name(PARTITION), 1, "b", LEASE_SPAN_US))
 
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c"})  # {a, b} and {c, d, e}: two majorities
@@ -290,18 +290,18 @@
             assert node.store.open_partition is not None
             self.assertEqual(node.store.open_partition.partition, first)
             node.store.open_partition.serving = True
-            node.store.open_partition.adoption.holder.is_valid = lambda now: True  # type: ignore[method-assign]
+            node.store.open_partition.takeover.holder.is_valid = lambda now: True  # type: ignore[method-assign]
             self.assertFalse(node.store.has_room(kept(1)))
             node.check(monotonic_time())
         self.assertEqual(
-            (node.store.open_partition.partition, node.adoptions[first].takes_new_messages), (first + 1, False)
+            (node.store.open_partition.partition, node.takeovers[first].takes_new_messages), (first + 1, False)
         )
         self.assertEqual(node.store.next_number, (first + 1 << 32) + 1)
 
     def test_what_was_closed_while_a_member_was_away_leaves_its_table(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
-        rows = [Grant(lease_of(PARTITION + index), 1, "b", closed=index > 0) for index in range(3)]
+        rows = [Grant(lease_name(PARTITION + index), 1, "b", closed=index > 0) for index in range(3)]
         node.grantor = LeaseGrantor("a", NAMES, 0, rows)  # the first was closed meanwhile
         theirs = GrantTable(False, (Grant(f"{CLOSED_PREFIX}{PARTITION >> 12}", 0, "", closed=True),))
         with mock.patch.object(node, "_call", return_value=theirs):
@@ -327,12 +327,12 @@
             holding = self.holding(node, granted=granted is True)
             node.store.keep(kept(1, life=100_000))
             node.store.keep(kept(2))
-            holding.serving, holding.offered, holding.offer_sent = serving, offered, offered
+            holding.serving, holding.offer_accepted, holding.offer_sent = serving, offered, offered
             if granted is None:
-                holding.adoption.stage = TakeoverStage.GONE
+                holding.takeover.stage = TakeoverStage.GONE
             elif isinstance(granted, str):
                 node._receive_heartbeat("c", 7, Heartbeat(False, {}))
-                holding.adoption.stage, holding.adoption.holder.newest_other = (
+                holding.takeover.stage, holding.takeover.holder.newest_other_holder = (
                     TakeoverStage.OFFERING,
                     KnownHolder(2, granted),
                 )
@@ -347,7 +347,7 @@
             node._answer_late(1_000_000_000 + after, few=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
         holding = node.store.holdings[PARTITION]
-        with mock.patch.object(holding.adoption.holder, "is_valid", return_value=True):
+        with mock.patch.object(holding.takeover.holder, "is_valid", return_value=True):
             node._answer_late(2_000_000_000, few=False)
         self.assertEqual(holding.unheld_since, 0)  # what follows is another loss
 
@@ -355,9 +355,9 @@
         # A term that was granted here may be another's at the others.
         for newer, calls in (((0, ""), 1), ((1, "a"), 1), ((2, "b"), 0), ((2, "A"), 0)):
             node = self.member()
-            adoption = self.holding(node, granted=False).adoption
+            takeover = self.holding(node, granted=False).takeover
             node.grantor.grant = lambda lease: Grant(lease, 2, "a")  # type: ignore[method-assign]
-            adoption.stage, adoption.holder.newest_other = TakeoverStage.ASKING, KnownHolder(*newer)
+            takeover.stage, takeover.holder.newest_other_holder = TakeoverStage.ASKING, KnownHolder(*newer)
             node.store.keep(kept(1, life=100_000))
             for after in (0, limits.NO_MAJORITY_UNHELD_US):
                 node._answer_late(1_000_000_000 + after, few=False)
@@ -386,57 +386,57 @@
     def test_who_asked_in_vain_gives_its_own_promise_back(self) -> None:
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
-        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
+        takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
         node._hold_partition(PARTITION)
         now = monotonic_time()
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-            node._step_takeover(now, adoption)
+            node._step_takeover(now, takeover)
             self.assertEqual(node.grantor.table().grants, ())  # so far it only probes
-            adoption.holder.receive_reply(now, now, "b", LeaseReply(True, 0, "", probe=True))
-            node._step_takeover(now, adoption)
-            self.assertGreaterEqual(node.grantor.promised_until(lease_of(PARTITION)), now + LEASE_SPAN_US)
-            node._step_takeover(monotonic_time() + LEASE_SPAN_US, adoption)
-        self.assertLess(node.grantor.promised_until(lease_of(PARTITION)), now + LEASE_SPAN_US)
+            takeover.holder.receive_reply(now, now, "b", LeaseReply(True, 0, "", probe=True))
+            node._step_takeover(now, takeover)
+            self.assertGreaterEqual(node.grantor.promised_until(lease_name(PARTITION)), now + LEASE_SPAN_US)
+            node._step_takeover(monotonic_time() + LEASE_SPAN_US, takeover)
+        self.assertLess(node.grantor.promised_until(lease_name(PARTITION)), now + LEASE_SPAN_US)
 
     def test_a_probe_in_vain_gives_nothing_back_and_leaves_the_table_as_it_was(self) -> None:
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
-        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
+        takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
         node._hold_partition(PARTITION)
         now = monotonic_time()
         with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawned:
             for at in (now, now + LEASE_SPAN_US):
-                node._step_takeover(at, adoption)
-        self.assertIs(adoption.stage, TakeoverStage.WAITING)
-        self.assertEqual((node.grantor.table().grants, adoption.holder.term), ((), 0))
+                node._step_takeover(at, takeover)
+        self.assertIs(takeover.stage, TakeoverStage.WAITING)
+        self.assertEqual((node.grantor.table().grants, takeover.holder.term), ((), 0))
         sent = [each for call in spawned.mock_calls for each in call.args if isinstance(each, LeaseRequest)]
         self.assertEqual({each.probe for each in sent}, {True})
 
     def test_a_member_of_an_earlier_version_is_sent_no_probe_and_taken_to_agree(self) -> None:
         node = self.member()
-        adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
+        takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
         now = monotonic_time()
-        adoption.holder.request_next_term(now, Grant(lease_of(PARTITION), 0, ""), probe_first=True)
-        ask = adoption.holder.due_request(now)
+        takeover.holder.request_next_term(now, Grant(lease_name(PARTITION), 0, ""), probe_first=True)
+        ask = takeover.holder.due_request(now)
         assert ask is not None and ask.probe
         for level, called in ((LEASE_PROBE_LEVEL - 1, 0), (LEASE_PROBE_LEVEL, 1)):
             node.gate.levels["b"] = level
             with mock.patch.object(node, "_call", return_value=None) as call:
-                node._request_lease_from(adoption, "b", ask, now)
+                node._request_lease_from(takeover, "b", ask, now)
             self.assertEqual(call.call_count, called)
-        self.assertEqual(set(adoption.holder._would_grant), {"b"})
+        self.assertEqual(set(takeover.holder._would_grant), {"b"})
 
     def test_a_partition_that_finds_no_room_here_is_given_back_and_asked_for_again(self) -> None:
         node = self.member()
         holding = self.holding(node)
-        holding.log.term, holding.adoption._resume = 0, False
+        holding.log.term, holding.takeover._resume = 0, False
         with (
             mock.patch.object(node.store, "resume_ledger", side_effect=NoSpaceError("full")),
             mock.patch("cedarwick.fleet.node.gevent.spawn"),
         ):
-            node._import_partition(monotonic_time(), holding.adoption)
-        node._step_takeover(monotonic_time(), holding.adoption)
-        self.assertIs(holding.adoption.stage, TakeoverStage.WAITING)
+            node._import_partition(monotonic_time(), holding.takeover)
+        node._step_takeover(monotonic_time(), holding.takeover)
+        self.assertIs(holding.takeover.stage, TakeoverStage.WAITING)
 
     def test_a_damaged_folder_leaves_its_partitions_to_the_successors_for_a_while_and_a_copy_is_no_partition(
         self,
@@ -454,13 +454,13 @@
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             again.start(mock.Mock())
             self.assertEqual(
-                (set(again.store.holdings), set(again.adoptions)), ({PARTITION}, {PARTITION, PARTITION + 1})
+                (set(again.store.holdings), set(again.takeovers)), ({PARTITION}, {PARTITION, PARTITION + 1})
             )
             again.grantor = LeaseGrantor("a", NAMES, 0, ())
             now = again.begun_at + limits.DAMAGED_FOLDER_US
             for at, asks in ((now - 1, False), (now, True)):
-                again._step_takeover(at, again.adoptions[PARTITION])
-                self.assertEqual(again.adoptions[PARTITION].stage is TakeoverStage.ASKING, asks)
+                again._step_takeover(at, again.takeovers[PARTITION])
+                self.assertEqual(again.takeovers[PARTITION].stage is TakeoverStage.ASKING, asks)
 
     def test_no_second_attempt_goes_out_under_a_new_number_beside_the_first(self) -> None:
         node = self.member("own")
@@ -471,7 +471,7 @@
         with mock.patch.object(node, "_renumber") as rekey:
             node._drop_partition(PARTITION)
             rekey.assert_not_called()
-            self.assertIn(PARTITION, node.adoptions)
+            self.assertIn(PARTITION, node.takeovers)
 
     def test_what_a_receiver_answers_is_told_once_whatever_became_of_the_message_meanwhile(self) -> None:
         done = Fact(number(1), None, MessageKnowledge(end=(EndRank.NOTIFIED, 0)))
@@ -501,12 +501,12 @@
         node = self.member("own")
         holding = self.holding(node)
         holding.serving, node.store.open_partition = True, holding
-        holding.adoption.holder.name_successors(monotonic_time(), ())
+        holding.takeover.holder.name_successors(monotonic_time(), ())
         for index in (1, 2, 3):
             node.store.keep(kept(index))
         node.store.body = lambda number: b"" if number % 4 != 3 else self.fail_to_read()  # type: ignore[method-assign]
         opened = Takeover(PARTITION + 1, "a", NAMES, resume=True)
-        node.adoptions[PARTITION + 1] = opened
+        node.takeovers[PARTITION + 1] = opened
         fresh = node._hold_partition(PARTITION + 1)
         fresh.serving, opened.holder.is_valid = True, lambda now: True  # type: ignore[method-assign]
         node.store.open_partition, node.store.next_number, fresh.reserved_upto = (
@@ -525,7 +525,7 @@
         self.assertEqual(node.store.numbers(PARTITION), [number(2), number(3)])
         node.leaving = False
         node._drop_partition(PARTITION)
-        self.assertNotIn(PARTITION, node.adoptions)
+        self.assertNotIn(PARTITION, node.takeovers)
         ends = {each.id: each.end for each in node.store.messages.values()}
         self.assertEqual(ends, {"id-1": None, "id-2": None, "id-3": (False, 0)})  # the third could not be read
 
@@ -552,13 +552,13 @@
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
         for index, error in enumerate((OSError("full"), ValueError("spoilt"), None)):
-            adoption = node.adoptions[PARTITION + index] = Takeover(PARTITION + index, "a", NAMES)
-            adoption.step = mock.Mock(side_effect=error, return_value=NO_STEP)  # type: ignore[method-assign]
+            takeover = node.takeovers[PARTITION + index] = Takeover(PARTITION + index, "a", NAMES)
+            takeover.step = mock.Mock(side_effect=error, return_value=NO_STEP)  # type: ignore[method-assign]
         with mock.patch.object(node, "_answer_late") as late:
             node.check(monotonic_time())
             late.assert_called_once()
-        for adoption in node.adoptions.values():
-            adoption.step.assert_called_once()  # type: ignore[attr-defined]
+        for takeover in node.takeovers.values():
+            takeover.step.assert_called_once()  # type: ignore[attr-defined]
 
     def test_a_slow_disk_holds_up_only_the_answers_that_rest_on_it(self) -> None:
         node, go = self.member(), threading.Event()
@@ -595,10 +595,10 @@
         node = self.member()
         holding, now = self.holding(node), monotonic_time()
         node.store.on_replication_timeout = node._note_replication_timeout
-        holder = holding.adoption.holder
+        holder = holding.takeover.holder
         holder.name_successors(now, ["b"])
         for name in NAMES:
-            holder.receive_reply(now, now, name, LeaseReply(True, 1, "a", (), holder.newest_set))
+            holder.receive_reply(now, now, name, LeaseReply(True, 1, "a", (), holder.newest_set_number))
         holding.serving = True
         successor = holding.log.follow("b", now)
 
@@ -611,12 +611,12 @@
             self.assertRaisesRegex(NotReplicatedError, "are not at b"),
         ):
             node.store.flush()
-        self.assertTrue(holding.starved_at)
+        self.assertTrue(holding.stalled_since)
         has(1)
         node.store.flush()
         node.store.keep(kept(2))  # under load something is always on its way
-        self.assertTrue(node._replicas_keep_up(monotonic_time() + STARVED_US, holding))
-        holding.starved_at = monotonic_time() - 2 * STARVED_US
+        self.assertTrue(node._replicas_keep_up(monotonic_time() + STALLED_AFTER_US, holding))
+        holding.stalled_since = monotonic_time() - 2 * STALLED_AFTER_US
         with self.assertRaisesRegex(NotReplicatedError, "are not at b"):
             node.store.flush()
         self.assertFalse(node._replicas_keep_up(monotonic_time(), holding))
@@ -624,7 +624,7 @@
     def test_a_copy_counts_once_a_majority_knows_its_successor(self) -> None:
         node = self.member()
         holding = self.holding(node)
-        holding.adoption.holder.name_successors(monotonic_time(), ["b"])
+        holding.takeover.holder.name_successors(monotonic_time(), ["b"])
         self.assertFalse(node._replicas_keep_up(monotonic_time(), holding))
 
     def test_a_copy_becomes_a_successor_once_it_has_all_that_came_before_it_was_waited_for(self) -> None:
@@ -640,11 +640,11 @@
                 follower.position = ReplicaPosition(1, 1, EVERYTHING)  # whole, with a record on its way
                 node._name_successors(monotonic_time(), holding)
             # Danger: named now, and granted the next term in a moment, it would know nothing of the second.
-            self.assertNotIn(name, holding.adoption.holder.possible_successors)
+            self.assertNotIn(name, holding.takeover.holder.possible_successors)
             self.assertEqual(node.store.successors_of(holding), {name} if index > 1 else set())
         follower.position = ReplicaPosition(1, 2, EVERYTHING)
         node._name_successors(monotonic_time(), holding)
-        self.assertIn(name, holding.adoption.holder.possible_successors)  # the third waits for it already
+        self.assertIn(name, holding.takeover.holder.possible_successors)  # the third waits for it already
         node = self.member()
         holding = self.holding(node)
         node.alive = list(NAMES)
@@ -653,7 +653,7 @@
         now = monotonic_time()
         node._name_successors(now, holding)
         self.assertEqual(node.store.successors_of(holding), {name})
-        node._name_successors(now + STARVED_US + 1, holding)
+        node._name_successors(now + STALLED_AFTER_US + 1, holding)
         self.assertEqual(node.store.successors_of(holding), set())  # it does not keep up
         node.replica_refused_at = {each: monotonic_time() for each in node.replica_refused_at}
         self.assertEqual(node._wanted_replicas(holding), [other])
@@ -668,8 +668,8 @@
         node.store.close()
         again = self.member("own", node.store.folder.path)
         again._record_lease(PARTITION, 1, 0)
-        adoption = again.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
-        adoption.stage = TakeoverStage.OFFERING
+        takeover = again.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
+        takeover.stage = TakeoverStage.OFFERING
         holding = again._hold_partition(PARTITION)
         self.assertEqual(again.store.unreplicated(holding), ([], [number(1)]))
         offers: list[Any] = []
@@ -679,24 +679,24 @@
             return OfferReply(PARTITION, 0)
 
         with mock.patch.object(again, "_call", call):
-            again._send_offer(adoption, "b")
+            again._send_offer(takeover, "b")
         offer: TakeoverOffer = offers[0]
         self.assertEqual([each.number for each in decode_facts(offer.facts)], [number(1)])
-        self.assertEqual((offer.term, adoption.stage), (1, TakeoverStage.GONE))
+        self.assertEqual((offer.term, takeover.stage), (1, TakeoverStage.GONE))
 
     def test_a_copy_that_followed_behind_is_in_doubt_since_the_last_attempt_it_heard_of(self) -> None:
         attempt = Fact(number(1), fact(1).base, MessageKnowledge({1: TermAttempts(1, True, 77, 0)}))
         for ack, behind, doubt in (("own", True, 77), ("copy", True, 77), ("own", False, 77), ("copy", False, 0)):
             node = self.member(ack)
-            adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES)
+            takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
             data, tail = encode_facts([attempt]), encode_facts([fact(2)])
             node.replicas.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, data, 0, digest_of(data), behind))
             node.replicas.facts(ReplicateFacts(PARTITION, 1, 0, tail, digest_of(tail)))
             node.replicas.close()
             node.replicas.load()  # the file tells it as well
-            adoption.holder.term = 2
+            takeover.holder.term = 2
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-                node._import_partition(monotonic_time(), adoption)
+                node._import_partition(monotonic_time(), takeover)
             self.assertEqual([node.store.messages[number(index)].doubt_at for index in (1, 2)], [doubt, doubt])
             self.assertEqual(node.store.holdings[PARTITION].log.piece(0, EVERYTHING).behind, ack == "own")
 
@@ -721,7 +721,7 @@
         )
         node.replicas.piece(ReplicatePiece(PARTITION, 2, 0, EVERYTHING, data, 0, digest_of(data)))
         node._follow_partition(PARTITION)
-        node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_of(PARTITION), 2, "b", ("b", "a"), 1),))
+        node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_name(PARTITION), 2, "b", ("b", "a"), 1),))
         with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawn:
             with mock.patch.object(node, "_status_for", return_value=MemberStatus.ALIVE):
                 node._exchange_pending_order_keys(now)
@@ -731,14 +731,14 @@
             )  # b is silent: what a copy here says is owed is told, and rests here, too
             self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", PendingOrderKeys((8,)))])
             node.dispatcher.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
-            node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_of(PARTITION), 3, "a", ("b", "a"), 1),))
+            node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_name(PARTITION), 3, "a", ("b", "a"), 1),))
             node._exchange_pending_order_keys(
                 now
             )  # this member has asked for the partition, and has not taken it in yet
             self.assertEqual(node.order_key_hints.elsewhere, {8})
             self.assertIsInstance(node._answer("c", 1, PendingOrderKeys((5, 6))), Acknowledged)
             node.replicas.drop(PARTITION)
-            node.adoptions.clear()
+            node.takeovers.clear()
             node._exchange_pending_order_keys(now)
             self.assertEqual(node.order_key_hints.elsewhere, {5, 6})
             holding = self.holding(node)
@@ -787,10 +787,10 @@
         for term, from_term in ((2, 0), (3, 1)):
             node = self.member()
             node._record_lease(PARTITION, 1, 0)
-            adoption = node.adoptions[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
-            adoption.holder.term = term
+            takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
+            takeover.holder.term = term
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-                node._import_partition(monotonic_time(), adoption)
+                node._import_partition(monotonic_time(), takeover)
             self.assertEqual(node.store.holdings[PARTITION].imported_from_term, from_term)
 
     def test_an_adopted_partition_is_kept_for_what_its_last_holder_may_offer(self) -> None:
@@ -824,7 +824,7 @@
 class TablesTest(unittest.TestCase):
     def test_what_is_learned_counts_as_promised_for_a_span(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, None)
-        right = lease_of(PARTITION)
+        right = lease_name(PARTITION)
         rows = (Grant(right, 3, "b", ("b", "a"), 3 << 20 | 1),)
         for name in ("b", "c"):
             grantor.learn_from(LEASE_SPAN_US, name, GrantTable(False, rows))
@@ -832,12 +832,12 @@
 
     def test_only_closed_rows_of_another_table_are_taken_over(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, ())
-        other = lease_of(PARTITION + 2)
+        other = lease_name(PARTITION + 2)
         grantor.learn_closed(
-            GrantTable(False, (Grant(lease_of(PARTITION + 1), 2, "b", closed=True), Grant(other, 2, "b")))
+            GrantTable(False, (Grant(lease_name(PARTITION + 1), 2, "b", closed=True), Grant(other, 2, "b")))
         )
         self.assertEqual(
-            (grantor.grant(lease_of(PARTITION + 1)).closed, grantor.grant(other).term, grantor.dirty), (True, 0, True)
+            (grantor.grant(lease_name(PARTITION + 1)).closed, grantor.grant(other).term, grantor.dirty), (True, 0, True)
         )
 
 
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -19,7 +19,7 @@
 from cedarwick.fleet.fact_ledger import FactLedger
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import lease_of
+from cedarwick.fleet.leases import lease_name
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Body, ForwardReply, Grant, RecallForward, StageReply, StageSession
 from cedarwick.fleet.node import FleetNode
@@ -113,10 +113,10 @@
         self.addCleanup(node.stop)
         node.members.status = lambda now, name: MemberStatus.ALIVE  # type: ignore[method-assign]
         partition = slot_of(name) << 12
-        adoption: Any = SimpleNamespace(
+        takeover: Any = SimpleNamespace(
             me=name, holder=SimpleNamespace(possible_successors=frozenset(), is_valid=lambda now: True)
         )
-        holding = store.holdings[partition] = store.open_partition = LeasedPartition(partition, adoption)
+        holding = store.holdings[partition] = store.open_partition = LeasedPartition(partition, takeover)
         holding.ledger = FactLedger(0)
         store.resume_ledger(holding, 1)
         store.begin_log(holding, 1)
@@ -379,7 +379,7 @@
         a.hand_in(message("1"))
         self.exchange_locations()
         partition = slot_of("a") << 12
-        fact = a.store.holdings[partition].read(a.store, *a.store.messages)
+        fact = a.store.holdings[partition].read_fact(a.store, *a.store.messages)
         assert fact is not None
         c.replica_recent_ids[partition] = RecentIds(monotonic_time() - ID_RETENTION_US)
         c.replica_recent_ids[partition].term, c.replica_recent_ids[partition].next = 1, 4
@@ -391,7 +391,7 @@
                 MemberStatus.DEAD if name == "a" else MemberStatus.ALIVE
             )
             each.node.grantor.learning = False
-            each.node.grantor._grants[lease_of(partition)] = Grant(lease_of(partition), 2, "c")
+            each.node.grantor._grants[lease_name(partition)] = Grant(lease_name(partition), 2, "c")
         holder = SimpleNamespace(possible_successors=frozenset(), is_valid=lambda now: True)
         c.store.holdings[partition] = LeasedPartition(partition, SimpleNamespace(me="c", holder=holder))  # type: ignore[arg-type]
         c.store.holdings[partition].serving = True
@@ -412,7 +412,7 @@
         self.assertEqual(sorted(kept.id for kept in c.store.messages.values()), ["2b", "2c"])
         # It wakes, and has its next partition; what it had taken and told to nobody is neither answered nor delivered.
         self.lose = lambda to, body: ""
-        a.store.open_partition = LeasedPartition(partition + 1, a.store.holdings[partition].adoption)
+        a.store.open_partition = LeasedPartition(partition + 1, a.store.holdings[partition].takeover)
         a.store.open_partition.serving = True
         self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.ACCEPTED)
         self.assertEqual((a.dispatcher.submitted, a.directory.holder_of(KEY)), (1, "c"))  # type: ignore[attr-defined]
@@ -440,9 +440,9 @@
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         b.migrations.acceptor.rows.clear()
         b.migrations.acceptor.by_key.clear()
-        b.node.grantor._grants[lease_of(partition + 1)] = Grant(lease_of(partition + 1), 1, "a")
+        b.node.grantor._grants[lease_name(partition + 1)] = Grant(lease_name(partition + 1), 1, "a")
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        del b.node.grantor._grants[lease_of(partition + 1)]
+        del b.node.grantor._grants[lease_name(partition + 1)]
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.ACCEPTED)
         b.migrations.acceptor.raise_floor("a", 1)
         self.assertEqual(
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -409,9 +409,9 @@
         kept = self.peers.call("b", Acknowledged(), 5) and self.peers.peers["b"].idle[0]
         self.peers.replace({"b": (HOST, self.server.port), "c": (HOST, 2)})
         self.assertIs(self.peers.peers["b"].idle[0], kept)  # who stays keeps its connections
-        self.gate.replace(["b", "c"])
+        self.gate.replace_members(["b", "c"])
         self.refused(peer_verifier.UnknownMemberError.code)
-        self.gate.replace(NAMES)
+        self.gate.replace_members(NAMES)
         self.peers.gate.incarnation = 4
         self.refused(peer_verifier.StaleIncarnationError.code)  # what was seen outlives the list
 
