--- a/cedarwick/events/sources.py
+++ b/cedarwick/events/sources.py
@@ -31,7 +31,7 @@
         return True
 
     def _boot(self, member: str) -> int:
-        return self.gate.incarnation if member == self.gate.me else self.gate.newest.get(member, 0)
+        return self.gate.incarnation if member == self.gate.me else self.gate.newest_incarnations.get(member, 0)
 
 
 def stem(member: str) -> str:
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -16,7 +16,7 @@
 from cedarwick.fleet.fleet_files import CorruptFleetFileError, FleetFiles
 from cedarwick.fleet.messages import Acknowledged, Body, RetryAfterEntry, RetryAfterHint
 from cedarwick.fleet.messages import SuspensionMarks as SuspensionMarksMessage
-from cedarwick.fleet.suspensions import LONGEST, MOST_CALLS, SuspensionTable, newer
+from cedarwick.fleet.suspensions import MAX_CALLS, MAX_UID_LENGTH, SuspensionTable, is_newer
 from cedarwick.net.attempts import AttemptCall, AttemptResult
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
@@ -25,13 +25,13 @@
 from cedarwick.ops import saved_state as files
 from cedarwick.ops.management import ManagementCommands
 
-TURN_US = 250_000  # between two peer messages of a kind to one member
-REPEAT_US = 5_000_000  # between two peer messages without changes
+SEND_INTERVAL_US = 250_000  # between two peer messages of a kind to one member
+DIGEST_INTERVAL_US = 5_000_000  # between two peer messages without changes
 CALL_TIMEOUT_S = 0.4  # until a call is given up
 SAVE_RETRY_US = 10_000_000  # between two attempts to write what could not be written
-SAVE_INTERVAL_US = 3_600_000_000  # how far behind the file may be on when a member was met last
-SHORTEST_HINT_US = 300_000  # a wait that is over sooner is not sent
-SAME_END_US = 50_000  # an end that is only so much later than the one sent is not sent again
+SYNC_TIME_SAVE_INTERVAL_US = 3_600_000_000  # how far behind the file may be on when a member was met last
+MIN_WAIT_US = 300_000  # a wait that is over sooner is not sent
+SAME_WAIT_TOLERANCE_US = 50_000  # an end that is only so much later than the one sent is not sent again
 MAX_HINTS = 64  # waits in one hint: the newest
 
 
@@ -71,18 +71,18 @@
         self.counters = counters
         self.call = call
         self.attached = False
-        self.marks = SuspensionTable(name)
+        self.suspension_table = SuspensionTable(name)
         self.unsaved = False  # suspended.json says less than this process knows
         self.saved_at = 0
-        self.missing_at: dict[str, set[str]] = {}  # by member: uids whose rows it lacks
-        self.next_at: dict[str, int] = {}  # by member: when it is written to where nothing is new
+        self.missing_rows: dict[str, set[str]] = {}  # by member: uids whose rows it lacks
+        self.next_exchange_at: dict[str, int] = {}  # by member: when it is written to where nothing is new
         self.digests_sent: dict[str, int] = {}  # by member: the digest at the last peer message
         self.calls_in_progress: set[str] = set()
         self.out_of_date: set[str] = set()  # members that may have missed something, too
-        self.next_turn_at = 0
+        self.next_check_at = 0
         self.next_hint_at = 0
-        self.waits: dict[int, int] = {}  # by receiver: ends of waits to be sent, the newest last
-        self.hinted: dict[int, int] = {}  # by receiver: the end that was sent
+        self.pending_waits: dict[int, int] = {}  # by receiver: ends of waits to be sent, the newest last
+        self.sent_waits: dict[int, int] = {}  # by receiver: the end that was sent
         self.management: ManagementCommands
         self.endpoint_list: EndpointList
         self.dispatcher: Dispatcher
@@ -90,46 +90,53 @@
     def attach(self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
         """Load the saved marks, and listen to operators' commands and attempts; once this process owns the folder."""
         self.management, self.endpoint_list, self.dispatcher = management, endpoint_list, dispatcher
-        management.changed = self._changed
-        dispatcher.attempts.report_retry_after, dispatcher.attempts.report_result = self._apply_waits, self._ended
-        now, saved = wall_time(), self._file()
+        management.changed = self._suspension_changed
+        dispatcher.attempts.report_retry_after, dispatcher.attempts.report_result = (
+            self._apply_waits,
+            self._attempt_ended,
+        )
+        now, saved = wall_time(), self._read_suspended_file()
         try:
-            self.marks = SuspensionTable(self.name, self.fleet_files.marks())
+            self.suspension_table = SuspensionTable(self.name, self.fleet_files.marks())
         except CorruptFleetFileError as error:
             logger.error(error.line)
-            self.marks.doubt(saved or {})
-        self.marks.turn(now)
+            self.suspension_table.load_unversioned(saved or {})
+        self.suspension_table.refresh(now)
         if saved is not None:
-            self.marks.noticed(now, saved)
+            self.suspension_table.apply_saved_file(now, saved)
         self.attached = True
-        self._keep()
+        self._apply_and_save()
 
     # ---- called by the node ----
 
-    def look(self, now: int, alive: Iterable[str], majority: int) -> None:
+    def send_due(self, now: int, alive: Iterable[str], majority: int) -> None:
         """Send what is due. `now`: microseconds of the boot clock; `alive`: members; `majority`: of all members."""
         others = [name for name in alive if name != self.name]
-        if self.waits and now >= self.next_hint_at and (waits := self._hints()):
-            self.next_hint_at = now + TURN_US
+        if self.pending_waits and now >= self.next_hint_at and (waits := self._take_due_waits()):
+            self.next_hint_at = now + SEND_INTERVAL_US
             for name in others:
                 gevent.spawn(self.call, name, RetryAfterHint(waits), CALL_TIMEOUT_S)
-        if not self.attached or now < self.next_turn_at:
+        if not self.attached or now < self.next_check_at:
             return
-        self.next_turn_at = now + TURN_US
-        self.marks.turn(wall_time())
-        if self.marks.asleep and len(self.out_of_date) + 1 >= majority:
-            self.marks.awake(wall_time())
-            self._write()
+        self.next_check_at = now + SEND_INTERVAL_US
+        self.suspension_table.refresh(wall_time())
+        if self.suspension_table.stale and len(self.out_of_date) + 1 >= majority:
+            self.suspension_table.mark_synced(wall_time())
+            self._write_versions()
         if self.unsaved and wall_time() - self.saved_at > SAVE_RETRY_US:
-            self._keep()
-        digest = self.marks.digest()
+            self._apply_and_save()
+        digest = self.suspension_table.digest()
         for name in others:
-            due = self.digests_sent.get(name) != digest or self.missing_at.get(name) or now >= self.next_at.get(name, 0)
+            due = (
+                self.digests_sent.get(name) != digest
+                or self.missing_rows.get(name)
+                or now >= self.next_exchange_at.get(name, 0)
+            )
             if due and name not in self.calls_in_progress:
                 self.calls_in_progress.add(name)
-                gevent.spawn(self._talk, now, name)
+                gevent.spawn(self._exchange_rows, now, name)
 
-    def heard(self, sender: str, body: SuspensionMarksMessage | RetryAfterHint) -> Body:
+    def answer(self, sender: str, body: SuspensionMarksMessage | RetryAfterHint) -> Body:
         """The answer to another member's peer message."""
         if not self.attached:
             return Acknowledged()
@@ -140,100 +147,115 @@
             )
             self.counters.add("hints heard")
             return Acknowledged()
-        self.marks.turn(wall_time())
-        self._take(sender, lambda now: self.marks.merge(now, body.rows))
-        mine = self.marks.digest()
-        return SuspensionMarksMessage(mine, () if body.digest == mine else self.marks.offered(), self.marks.whole())
+        self.suspension_table.refresh(wall_time())
+        self._merge_received(sender, lambda now: self.suspension_table.merge(now, body.rows))
+        mine = self.suspension_table.digest()
+        return SuspensionMarksMessage(
+            mine,
+            () if body.digest == mine else self.suspension_table.shared_rows(),
+            self.suspension_table.is_complete(),
+        )
 
     # ---- receivers taken out by hand ----
 
-    def _changed(self, uid: str, calls: int) -> None:
+    def _suspension_changed(self, uid: str, calls: int) -> None:
         """Note an operator's command at this member and send it to the others."""
-        self.marks.turn(wall_time())
-        self.marks.set(wall_time(), uid, calls)
-        self._spread([uid])
-        self._keep()
-        self.next_turn_at = 0
+        self.suspension_table.refresh(wall_time())
+        self.suspension_table.set_calls(wall_time(), uid, calls)
+        self._add_missing([uid])
+        self._apply_and_save()
+        self.next_check_at = 0
 
-    def _talk(self, now: int, name: str) -> None:
+    def _exchange_rows(self, now: int, name: str) -> None:
         try:
-            self._say(now, name)
+            self._exchange_rows_with(now, name)
         finally:
             self.calls_in_progress.discard(name)
 
-    def _say(self, now: int, name: str) -> None:
-        sent = {row.uid: row for row in self.marks.offered() if row.uid in self.missing_at.get(name, ())}
-        all_sent, digest = self.marks.offered(), self.marks.digest()
+    def _exchange_rows_with(self, now: int, name: str) -> None:
+        sent = {
+            row.uid: row for row in self.suspension_table.shared_rows() if row.uid in self.missing_rows.get(name, ())
+        }
+        all_sent, digest = self.suspension_table.shared_rows(), self.suspension_table.digest()
         answer = self.call(name, SuspensionMarksMessage(digest, tuple(sent.values())), CALL_TIMEOUT_S)
         if not isinstance(answer, SuspensionMarksMessage):
-            self.next_at[name] = now + TURN_US
+            self.next_exchange_at[name] = now + SEND_INTERVAL_US
             return
         theirs = all_sent if answer.digest == digest else answer.rows
-        self.marks.turn(wall_time())
+        self.suspension_table.refresh(wall_time())
         if answer.whole:
             self.out_of_date.discard(name)
-            self._take(name, lambda at: self.marks.met(at, theirs))
+            self._merge_received(name, lambda at: self.suspension_table.merge_all(at, theirs))
         else:
             self.out_of_date.add(name)
-            self._take(name, lambda at: self.marks.merge(at, theirs))
+            self._merge_received(name, lambda at: self.suspension_table.merge(at, theirs))
         have = {row.uid: row for row in theirs}
-        missing = {row.uid for row in self.marks.offered() if row.uid not in have or newer(row, have[row.uid])}
+        missing = {
+            row.uid
+            for row in self.suspension_table.shared_rows()
+            if row.uid not in have or is_newer(row, have[row.uid])
+        }
         # Rows that the other does not take are not sent again: otherwise four times a second for ever.
-        refused = {uid for uid in missing if sent.get(uid) == self.marks.rows[uid]}
-        self.missing_at[name] = missing - refused
-        self.digests_sent[name] = self.marks.digest()
-        self.next_at[name] = now + REPEAT_US
+        refused = {uid for uid in missing if sent.get(uid) == self.suspension_table.rows[uid]}
+        self.missing_rows[name] = missing - refused
+        self.digests_sent[name] = self.suspension_table.digest()
+        self.next_exchange_at[name] = now + DIGEST_INTERVAL_US
 
-    def _take(self, sender: str, joined: Callable[[int], list[str]]) -> None:
+    def _merge_received(self, sender: str, joined: Callable[[int], list[str]]) -> None:
         """Merge rows of another member, and suspend or restore receivers accordingly."""
-        now, met_at = wall_time(), self.marks.met_at
-        saved = None if self.unsaved else self._file()
+        now, synced_at = wall_time(), self.suspension_table.synced_at
+        saved = None if self.unsaved else self._read_suspended_file()
         if saved is not None:
             # The process that replaces this one may have changed the file; writing ours would undo that.
-            self._spread(self.marks.noticed(now, saved))
+            self._add_missing(self.suspension_table.apply_saved_file(now, saved))
         changed = joined(now)
-        self._spread(changed, but=sender)
+        self._add_missing(changed, but=sender)
         for uid in changed:
-            logger.info("{} {}, reported by {}", uid, "suspended" if uid in self.marks.calls() else "restored", sender)
-        if changed or (saved is not None and saved != self.marks.calls()):
-            self._keep()
-        elif met_at != self.marks.met_at and now - self.saved_at > SAVE_INTERVAL_US:
-            self._write()
-
-    def _spread(self, uids: Iterable[str], but: str = "") -> None:
-        for name, lacks in self.missing_at.items():
+            logger.info(
+                "{} {}, reported by {}",
+                uid,
+                "suspended" if uid in self.suspension_table.suspensions() else "restored",
+                sender,
+            )
+        if changed or (saved is not None and saved != self.suspension_table.suspensions()):
+            self._apply_and_save()
+        elif synced_at != self.suspension_table.synced_at and now - self.saved_at > SYNC_TIME_SAVE_INTERVAL_US:
+            self._write_versions()
+
+    def _add_missing(self, uids: Iterable[str], but: str = "") -> None:
+        for name, lacks in self.missing_rows.items():
             if name != but:
                 lacks.update(uids)
 
-    def _file(self) -> dict[str, int] | None:
+    def _read_suspended_file(self) -> dict[str, int] | None:
         """The contents of suspended.json; None if it is missing or unreadable."""
         if not os.path.exists(os.path.join(self.management.folder, files.SUSPENDED)):
             return None
         try:
             return {
-                uid: min(calls, MOST_CALLS) for uid, calls in files.read(self.management.folder).items() if calls > 0
+                uid: min(calls, MAX_CALLS) for uid, calls in files.read(self.management.folder).items() if calls > 0
             }
         except files.UnreadableFileError as error:
             self.counters.warning("the receivers taken out by hand cannot be read", error)
             return None
 
-    def _keep(self) -> None:
+    def _apply_and_save(self) -> None:
         """Suspend what the marks say, and write suspended.json, then the marks."""
-        calls = self.marks.calls()
+        calls = self.suspension_table.suspensions()
         # The file before the marks: after a crash between the two, what it lacked would pass for restored by hand.
-        if calls != (self._file() or {}) or calls.keys() != self.endpoint_list.suspended:
+        if calls != (self._read_suspended_file() or {}) or calls.keys() != self.endpoint_list.suspended:
             self.unsaved = not self.management.keep(calls)
-        self._write()
-        if count := self.marks.unshared():
+        self._write_versions()
+        if count := self.suspension_table.unshared_count():
             self.counters.warning(
                 "receivers out by hand that the other members are not told of",
-                NotSharedError(f"{count} of {len(calls)}, at most {LONGEST} characters of ASCII each"),
+                NotSharedError(f"{count} of {len(calls)}, at most {MAX_UID_LENGTH} characters of ASCII each"),
             )
 
-    def _write(self) -> None:
+    def _write_versions(self) -> None:
         self.saved_at = wall_time()
         try:
-            self.fleet_files.write_marks(self.marks.saved())
+            self.fleet_files.write_marks(self.suspension_table.saved())
         except OSError as error:
             self.counters.warning("the fleet's marks are not kept", MarksNotSavedError(str(error)))
 
@@ -242,34 +264,36 @@
     def _apply_waits(self, waits: list[tuple[int, int]]) -> None:
         """A wait that is reported apart from its attempt's ending."""
         self.dispatcher.apply_retry_after(waits)
-        self._learned(waits)
+        self._queue_waits(waits)
 
-    def _ended(self, call: AttemptCall, ending: AttemptResult) -> None:
+    def _attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
         self.dispatcher.attempt_ended(call, ending)
         if ending.retry_after:
-            self._learned([(call.receiver, self.clock.now() + ending.retry_after)])
+            self._queue_waits([(call.receiver, self.clock.now() + ending.retry_after)])
 
-    def _learned(self, waits: list[tuple[int, int]]) -> None:
+    def _queue_waits(self, waits: list[tuple[int, int]]) -> None:
         """Receivers have asked this sender to wait; waits from other members' hints do not come here."""
         for receiver, until in waits:
-            if until > max(self.waits.get(receiver, 0), self.hinted.get(receiver, 0) + SAME_END_US):
-                self.waits.pop(receiver, None)
-                self.waits[receiver] = until
-        while len(self.waits) > MAX_HINTS:
-            del self.waits[next(iter(self.waits))]
-
-    def _hints(self) -> tuple[RetryAfterEntry, ...]:
+            if until > max(
+                self.pending_waits.get(receiver, 0), self.sent_waits.get(receiver, 0) + SAME_WAIT_TOLERANCE_US
+            ):
+                self.pending_waits.pop(receiver, None)
+                self.pending_waits[receiver] = until
+        while len(self.pending_waits) > MAX_HINTS:
+            del self.pending_waits[next(iter(self.pending_waits))]
+
+    def _take_due_waits(self) -> tuple[RetryAfterEntry, ...]:
         """The waits that are to be sent now."""
         now = self.clock.now()
-        self.hinted = {receiver: until for receiver, until in self.hinted.items() if until > now}
-        waits, self.waits = self.waits, {}
+        self.sent_waits = {receiver: until for receiver, until in self.sent_waits.items() if until > now}
+        waits, self.pending_waits = self.pending_waits, {}
         if not waits:
             return ()
         uids = self.endpoint_list.uids
         found = [
             RetryAfterEntry(uids[receiver], until - now)
             for receiver, until in waits.items()
-            if until - now > SHORTEST_HINT_US and receiver in uids and len(uids[receiver]) <= LONGEST
+            if until - now > MIN_WAIT_US and receiver in uids and len(uids[receiver]) <= MAX_UID_LENGTH
         ]
-        self.hinted.update(waits)
+        self.sent_waits.update(waits)
         return tuple(found)
--- a/cedarwick/fleet/heartbeats.py
+++ b/cedarwick/fleet/heartbeats.py
@@ -24,7 +24,7 @@
             answer = self._call(name, self._own_heartbeat(), CALL_TIMEOUT_S)
             took = monotonic_time() - began
             if isinstance(answer, Heartbeat):
-                self._receive_heartbeat(name, self.gate.newest.get(name, 0), answer)
+                self._receive_heartbeat(name, self.verifier.newest_incarnations.get(name, 0), answer)
             self.members.note_answer_time(monotonic_time(), name, took)
             gevent.sleep(max(0.0, HEARTBEAT_INTERVAL_S - took / 1e6))
 
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -68,12 +68,12 @@
         self.halls = {member.name: member.hall for member in settings.member}
         if name not in self.halls:
             raise NotAMemberError(f"fleet.member: no entry has the name of this sender, {name!r}")
-        self.where = {member.name: address(member.address) for member in settings.member}
+        self.addresses = {member.name: address(member.address) for member in settings.member}
         self.fleet_files = FleetFiles(state, store.durable)
         self.fleet_files.claim(settings.group, name)
         self.incarnation = self.fleet_files.boot(time.time_ns() // 1000)
-        self.gate = PeerVerifier(settings.group, name, self.incarnation, self.where)
-        self.peers = Peers(self.gate, self.where)
+        self.verifier = PeerVerifier(settings.group, name, self.incarnation, self.addresses)
+        self.peers = Peers(self.verifier, self.addresses)
         now = monotonic_time()
         self.members = Membership(name, self.halls, self.incarnation, now)
         table = self.fleet_files.table()
@@ -116,7 +116,7 @@
         self.order_key_hints = OrderKeyHints()
         # By partition: keys in a replica here whose holder is silent.
         self.replica_order_keys: dict[int, frozenset[int]] = {}
-        self.exchange = Exchange(name, self.gate, counters, self._call, state, round(settings.follow_s * 1e6))
+        self.exchange = Exchange(name, self.verifier, counters, self._call, state, round(settings.follow_s * 1e6))
         store.on_event = self.exchange.seen
         self.session_router: SessionRouter | None = None
 
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -34,7 +34,7 @@
             return
         before, now = set(self.halls), monotonic_time()
         stored = msgspec.structs.replace(self.settings, member=settings.member, follow_s=settings.follow_s)
-        moved = self.where[self.name] not in [
+        moved = self.addresses[self.name] not in [
             address(each.address) for each in settings.member if each.name == self.name
         ]
         if stored != settings or moved:
@@ -44,8 +44,8 @@
             )
         self.settings = stored
         self.halls = {member.name: member.hall for member in settings.member}
-        self.where = {member.name: address(member.address) for member in settings.member}
-        self.peers.replace(self.where)
+        self.addresses = {member.name: address(member.address) for member in settings.member}
+        self.peers.replace(self.addresses)
         self.members.replace_members(now, self.halls)
         self.grantor.replace_members(self.halls)
         self.exchange.replace(round(settings.follow_s * 1e6))
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -40,7 +40,7 @@
             from cedarwick.fleet import session_routing  # nothing of sessions is loaded where they are off
 
             self.session_router = session_routing.SessionRouter(self)
-        self.server = PeerServer(self.where[name], self.gate, counters, self.answer)
+        self.server = PeerServer(self.addresses[name], self.verifier, counters, self.answer)
 
     def start(self, dispatcher: PartitionDispatcher) -> list[gevent.Greenlet]:
         """Load the replicas, accept peer messages and start to run. Call it once the folder has been read.
@@ -99,7 +99,7 @@
         # heard nobody for long, and hears the others again a moment later.
         self.no_majority_since = 0 if len(self.alive) >= self.members.majority else self.no_majority_since or now
         few = self.no_majority_since > 0 and now - self.no_majority_since >= NO_MAJORITY_US
-        self._guarded(self.gossip.look, now, self.alive, self.members.majority)
+        self._guarded(self.gossip.send_due, now, self.alive, self.members.majority)
         self._guarded(self.exchange.look, now, self.alive, self.members.majority)
         self._guarded(self._learn_grants, now)
         self._guarded(self._ensure_open_partition, now)
--- a/cedarwick/fleet/peer_client.py
+++ b/cedarwick/fleet/peer_client.py
@@ -101,9 +101,9 @@
     """Calls to the other members: a few at once to each, the rest wait in a bounded queue."""
 
     def __init__(
-        self, gate: PeerVerifier, members: Mapping[str, Address], in_flight: int = MAX_CALLS_IN_FLIGHT
+        self, verifier: PeerVerifier, members: Mapping[str, Address], in_flight: int = MAX_CALLS_IN_FLIGHT
     ) -> None:
-        self.gate = gate
+        self.verifier = verifier
         self.in_flight = in_flight
         self.peers: dict[str, PeerPool] = {}
         self.replace(members)
@@ -113,9 +113,9 @@
         for name in [name for name, peer in self.peers.items() if members.get(name) != peer.address]:
             self.peers.pop(name).close_all()
         for name, address in members.items():
-            if name != self.gate.me and name not in self.peers:
+            if name != self.verifier.me and name not in self.peers:
                 self.peers[name] = PeerPool(name, address, self.in_flight)
-        self.gate.replace_members(members)
+        self.verifier.replace_members(members)
 
     def names(self) -> Iterable[str]:
         """The other members."""
@@ -142,7 +142,7 @@
             raise PeerUnreachableError(f"{member!r} is no other member")
         if peer.calls >= MAX_CALLS:
             raise PeerUnreachableError(f"{peer}: {MAX_CALLS} calls are out or wait already")
-        peer_message = encode(self.gate.peer_message(member, body))
+        peer_message = encode(self.verifier.peer_message(member, body))
         if len(peer_message) > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
                 f"a {type(body).__name__} of {len(peer_message)} bytes to {member!r}, "
@@ -162,13 +162,13 @@
             raise PeerUnreachableError(f"{peer}: {error or type(error).__name__}") from None
         finally:
             peer.calls -= 1
-        check_answer(self.gate, str(peer), answer)
+        check_answer(self.verifier, str(peer), answer)
         if (response.status, answer.sender) != (200, peer.name):
             raise PeerUnreachableError(f"{peer}: an answer of {answer.sender!r} with status {response.status}")
         return answer
 
 
-def check_answer(gate: PeerVerifier, peer: str, answer: PeerMessage) -> None:
+def check_answer(verifier: PeerVerifier, peer: str, answer: PeerMessage) -> None:
     """Check that an answer is no refusal and is meant for this sender.
 
     Raises `PeerRefusedError` with the refusal, `PeerUnreachableError` for an answer that the verifier does not accept.
@@ -178,7 +178,7 @@
         refusal.refused = answer.body
         raise refusal
     try:
-        gate.check(answer)
+        verifier.check(answer)
     except CedarwickError as error:
         raise PeerUnreachableError(f"{peer}: the answer is not its: {error}") from None
 
--- a/cedarwick/fleet/peer_server.py
+++ b/cedarwick/fleet/peer_server.py
@@ -59,9 +59,9 @@
 class PeerServer:
     """Answers the peer messages of other members, each in the greenlet of its connection."""
 
-    def __init__(self, where: Address, gate: PeerVerifier, counters: Counters, handler: Handler) -> None:
+    def __init__(self, where: Address, verifier: PeerVerifier, counters: Counters, handler: Handler) -> None:
         """Bind and listen at once; raises `OSError`. With port 0 the system chooses; `port` is the one in use."""
-        self.gate = gate
+        self.verifier = verifier
         self.counters = counters
         self.handler = handler
         self.in_progress = 0
@@ -139,7 +139,9 @@
         except CedarwickError as error:
             self.counters.warning("a peer message was refused", error)
             refusal = RequestRefused(error.code, str(error)[:512])
-            data = encode(self.gate.peer_message(request.header.sender if request.header is not None else "", refusal))
+            data = encode(
+                self.verifier.peer_message(request.header.sender if request.header is not None else "", refusal)
+            )
             return STATUS_LINES.get(type(error), REFUSED_STATUS_LINE), data
         finally:
             self.in_progress -= 1
@@ -175,10 +177,10 @@
         except InvalidPeerMessageError:
             if (header := head_of(data)) is not None:
                 request.header = header
-                self.gate.check_version(header)
+                self.verifier.check_version(header)
             raise
         request.header = peer_message
-        self.gate.check(peer_message)
+        self.verifier.check(peer_message)
         return peer_message
 
     def _call_handler(self, peer_message: PeerMessage) -> bytes:
@@ -189,15 +191,19 @@
             raise
         except Exception:  # one failing peer message must not end the connection
             self.counters.failed("answering a peer message failed")
-            raise AnswerFailedError(f"{self.gate.me!r} failed to answer a {type(peer_message.body).__name__}") from None
+            raise AnswerFailedError(
+                f"{self.verifier.me!r} failed to answer a {type(peer_message.body).__name__}"
+            ) from None
         if len(answer) > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
-                f"{self.gate.me!r} has an answer of {len(answer)} bytes, where {MAX_MESSAGE_BYTES} is the most"
+                f"{self.verifier.me!r} has an answer of {len(answer)} bytes, where {MAX_MESSAGE_BYTES} is the most"
             )
         return answer
 
     def _too_many_requests(self) -> TooManyRequestsError:
-        return TooManyRequestsError(f"{MAX_REQUESTS_IN_PROGRESS} peer messages are being answered at {self.gate.me!r}")
+        return TooManyRequestsError(
+            f"{MAX_REQUESTS_IN_PROGRESS} peer messages are being answered at {self.verifier.me!r}"
+        )
 
 
 def receive(sock: gevent.socket.socket, within_s: float) -> bytes:
--- a/cedarwick/fleet/peer_verifier.py
+++ b/cedarwick/fleet/peer_verifier.py
@@ -52,7 +52,7 @@
         self.group = group
         self.me = me
         self.incarnation = incarnation
-        self.newest: dict[str, int] = {}
+        self.newest_incarnations: dict[str, int] = {}
         self.levels: dict[str, int] = {me: LEVEL}  # of what each member heard from can do
         self.replace_members(members)
 
@@ -83,9 +83,9 @@
             raise UnknownMemberError(f"{head.sender!r} is no member of {self.group!r} at {self.me!r}")
         if head.to != self.me:
             raise MisdirectedMessageError(f"a peer message from {head.sender!r} to {head.to!r} has reached {self.me!r}")
-        newest = self.newest.get(head.sender, 0)
+        newest = self.newest_incarnations.get(head.sender, 0)
         if head.incarnation < newest:
             raise StaleIncarnationError(
                 f"boot {head.incarnation} of {head.sender!r}, where {self.me!r} has seen {newest}"
             )
-        self.newest[head.sender], self.levels[head.sender] = head.incarnation, head.level
+        self.newest_incarnations[head.sender], self.levels[head.sender] = head.incarnation, head.level
--- a/cedarwick/fleet/pending_order_keys.py
+++ b/cedarwick/fleet/pending_order_keys.py
@@ -26,9 +26,9 @@
         here = self._backlog_order_keys(in_replicas)
         here |= self._keys_of_running_attempts(here | in_replicas)
         self._send_pending_order_keys(now, here | in_replicas)
-        before = self.order_key_hints.elsewhere
-        if self.order_key_hints.rests(now, here, in_replicas) or before:
-            self.dispatcher.rest(self.order_key_hints.elsewhere)
+        before = self.order_key_hints.held_keys
+        if self.order_key_hints.update_held_keys(now, here, in_replicas) or before:
+            self.dispatcher.rest(self.order_key_hints.held_keys)
 
     def _all_replica_order_keys(self, now: int) -> set[int]:
         return set().union(*(self._replica_order_keys(now, takeover) for takeover in self.takeovers.values()))
@@ -49,7 +49,7 @@
         """Keys sent before whose messages have ended, while an attempt of one may still run."""
         return {
             key
-            for key in self.order_key_hints.sent_keys - counted - self.order_key_hints.elsewhere
+            for key in self.order_key_hints.sent_keys - counted - self.order_key_hints.held_keys
             if self.dispatcher.rest_of(key) > 0
         }
 
@@ -57,9 +57,9 @@
         others = [
             name
             for name in self.alive
-            if self.gate.levels.get(name, 0) >= PENDING_ORDER_KEYS_LEVEL and name != self.name
+            if self.verifier.levels.get(name, 0) >= PENDING_ORDER_KEYS_LEVEL and name != self.name
         ]
-        if (due := self.order_key_hints.tell(now, keys, others)) is not None:
+        if (due := self.order_key_hints.due_keys(now, keys, others)) is not None:
             for name in others:
                 gevent.spawn(self._call, name, PendingOrderKeys(due), CALL_TIMEOUT_S)
 
@@ -100,5 +100,5 @@
             ):
                 # An adopted partition counts whole: its keys rested here as a replica's, and would otherwise be sent no
                 # longer.
-                if holding is not self.store.open_partition or stored.turn not in self.order_key_hints.elsewhere:
+                if holding is not self.store.open_partition or stored.turn not in self.order_key_hints.held_keys:
                     holding.backlog[number] = stored.turn
--- a/cedarwick/fleet/ports.py
+++ b/cedarwick/fleet/ports.py
@@ -51,13 +51,13 @@
     name: str
     incarnation: int  # of this process
     halls: dict[str, str]  # by member
-    where: dict[str, tuple[str, int]]  # by member: its address
+    addresses: dict[str, tuple[str, int]]  # by member: its address
     leaving: bool  # whether this member is about to end
     store: ReplicatedStore
     fleet_files: FleetFiles
     clock: Clock
     counters: Counters
-    gate: PeerVerifier
+    verifier: PeerVerifier
     members: Membership
     grantor: LeaseGrantor
     replicas: ReplicaStore
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -43,7 +43,7 @@
 
     def answer(self, peer_message: PeerMessage) -> PeerMessage:
         """The answer to a peer message; raises `UnknownPeerMessageError` or an error of the part that answers."""
-        return self.gate.peer_message(
+        return self.verifier.peer_message(
             peer_message.sender, self._answer(peer_message.sender, peer_message.incarnation, peer_message.body)
         )
 
@@ -67,10 +67,10 @@
         if isinstance(body, TakeoverOffer):
             return self._answer_offer(sender, body)
         if isinstance(body, PendingOrderKeys):
-            self.order_key_hints.heard(monotonic_time(), sender, body.keys)
+            self.order_key_hints.receive(monotonic_time(), sender, body.keys)
             return Acknowledged()
         if isinstance(body, RetryAfterHint | SuspensionMarks):
-            return self.gossip.heard(sender, body)
+            return self.gossip.answer(sender, body)
         if isinstance(body, Subscribe | Matches | Cursors):
             return self.exchange.heard(sender, monotonic_time(), body)
         if (
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -39,7 +39,7 @@
         """Called when a partition is held here under a new term: keep the ids known from its copy for inheritance."""
         recent_ids, now = self.replica_recent_ids.pop(partition, None), monotonic_time()
         owner = next((name for name in self.node.halls if slot_of(name) == partition >> EPOCH_BITS), "")
-        if recent_ids is None or self.node.gate.levels.get(owner, 0) < INHERITANCE_LEVEL or owner == self.name:
+        if recent_ids is None or self.node.verifier.levels.get(owner, 0) < INHERITANCE_LEVEL or owner == self.name:
             logger.info(
                 "sessions of {} can be claimed {} s after its death: no recent ids are known",
                 owner or "?",
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -99,7 +99,7 @@
 
     def replace(self) -> None:
         """Called when the node has a new list of members."""
-        self.peers.replace(self.node.where)
+        self.peers.replace(self.node.addresses)
         self.moves.voters = tuple(sorted(self.node.halls))
         self.directory.members = len(self.node.halls)
 
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -57,7 +57,7 @@
         self.fleet_files = node.fleet_files
         self.counters = node.counters
         self.clock = node.clock
-        self.peers = Peers(node.gate, node.where, MAX_CALLS_IN_FLIGHT)
+        self.peers = Peers(node.verifier, node.addresses, MAX_CALLS_IN_FLIGHT)
         now = monotonic_time()
         self.directory = SessionDirectory(self.name, len(node.halls), now)
         self.migrations = SessionMigrations(
--- a/cedarwick/fleet/suspensions.py
+++ b/cedarwick/fleet/suspensions.py
@@ -13,12 +13,14 @@
 
 from cedarwick.fleet.messages import SuspensionMark
 
-KEEP = 30 * 86_400_000_000  # microseconds (30 days) that a restored receiver is remembered
-ASLEEP = KEEP - 86_400_000_000  # microseconds without contact after which a member may have missed a tombstone
-MOST = 4096  # rows that are sent to others, and accepted from them
-LONGEST = 128  # characters of a uid that can be sent
-MOST_CALLS = 1000  # suspensions counted for one receiver
-LAST = (1 << 62) - 1
+TOMBSTONE_LIFETIME_US = 30 * 86_400_000_000  # microseconds (30 days) that a restored receiver is remembered
+STALE_AFTER_US = (
+    TOMBSTONE_LIFETIME_US - 86_400_000_000
+)  # microseconds without contact after which a member may have missed a tombstone
+MAX_ROWS = 4096  # rows that are sent to others, and accepted from them
+MAX_UID_LENGTH = 128  # characters of a uid that can be sent
+MAX_CALLS = 1000  # suspensions counted for one receiver
+MAX_COUNTER = (1 << 62) - 1
 
 _encode = msgspec.msgpack.Encoder().encode
 
@@ -27,20 +29,20 @@
     """What is saved over restarts."""
 
     rows: tuple[SuspensionMark, ...]
-    met_at: int
-    fresh: tuple[str, ...]
+    synced_at: int
+    confirmed: tuple[str, ...]
 
 
-def newer(one: SuspensionMark, other: SuspensionMark) -> bool:
+def is_newer(one: SuspensionMark, other: SuspensionMark) -> bool:
     """Whether `one` wins over `other`, a row of the same receiver; of equal versions the suspended one does."""
     return (one.counter, one.member, one.calls) > (other.counter, other.member, other.calls)
 
 
-def join(one: Mapping[str, SuspensionMark], other: Mapping[str, SuspensionMark]) -> dict[str, SuspensionMark]:
+def join_rows(one: Mapping[str, SuspensionMark], other: Mapping[str, SuspensionMark]) -> dict[str, SuspensionMark]:
     """Both maps as one: commutative, associative, idempotent."""
     joined = dict(one)
     for uid, row in other.items():
-        if uid not in joined or newer(row, joined[uid]):
+        if uid not in joined or is_newer(row, joined[uid]):
             joined[uid] = row
     return joined
 
@@ -51,54 +53,60 @@
     def __init__(self, me: str, saved: SavedMarks | None = None) -> None:
         self.me = me
         self.rows = {row.uid: row for row in saved.rows} if saved is not None else {}
-        self.met_at = saved.met_at if saved is not None else 0  # when a member that is not asleep last sent everything
-        self.fresh = set(saved.fresh) if saved is not None else set()  # uids received or set here since: beyond doubt
-        self.asleep = True  # as of the last `turn`
-        self._offered: tuple[SuspensionMark, ...] | None = None
+        self.synced_at = (
+            saved.synced_at if saved is not None else 0
+        )  # when a member that is not asleep last sent everything
+        self.confirmed = (
+            set(saved.confirmed) if saved is not None else set()
+        )  # uids received or set here since: beyond doubt
+        self.stale = True  # as of the last `turn`
+        self._shared_rows: tuple[SuspensionMark, ...] | None = None
 
     def saved(self) -> SavedMarks:
         """What is to be saved over restarts."""
-        return SavedMarks(tuple(self.rows.values()), self.met_at, tuple(sorted(self.fresh)))
+        return SavedMarks(tuple(self.rows.values()), self.synced_at, tuple(sorted(self.confirmed)))
 
-    def calls(self) -> dict[str, int]:
+    def suspensions(self) -> dict[str, int]:
         """The suspensions in force, by uid."""
         return {uid: row.calls for uid, row in self.rows.items() if row.calls}
 
-    def turn(self, now: int) -> None:
+    def refresh(self, now: int) -> None:
         """Called before sending or merging: forget old tombstones, and see whether this member was away too long."""
-        self.asleep = self.met_at + ASLEEP < now
-        old = [uid for uid, row in self.rows.items() if self._over(now, row)]
+        self.stale = self.synced_at + STALE_AFTER_US < now
+        old = [uid for uid, row in self.rows.items() if self._is_expired(now, row)]
         for uid in old:
             del self.rows[uid]
-        self.fresh &= self.rows.keys()
-        self._offered = None if old or self.asleep else self._offered
+        self.confirmed &= self.rows.keys()
+        self._shared_rows = None if old or self.stale else self._shared_rows
 
     @staticmethod
-    def _over(now: int, row: SuspensionMark) -> bool:
-        return not row.calls and row.counter + KEEP < now
+    def _is_expired(now: int, row: SuspensionMark) -> bool:
+        return not row.calls and row.counter + TOMBSTONE_LIFETIME_US < now
 
-    def set(self, now: int, uid: str, calls: int) -> None:
+    def set_calls(self, now: int, uid: str, calls: int) -> None:
         """Note an operator's command at this member; `now`: wall microseconds, `calls`: 0 to restore."""
         before = self.rows[uid].counter if uid in self.rows else 0
-        self._put(SuspensionMark(uid, min(max(now, before + 1), LAST), self.me, min(calls, MOST_CALLS)), fresh=True)
+        self._put(
+            SuspensionMark(uid, min(max(now, before + 1), MAX_COUNTER), self.me, min(calls, MAX_CALLS)), confirmed=True
+        )
 
-    def _put(self, row: SuspensionMark, fresh: bool) -> None:
+    def _put(self, row: SuspensionMark, confirmed: bool) -> None:
         self.rows[row.uid] = row
-        self.fresh = self.fresh | {row.uid} if fresh else self.fresh - {row.uid}
-        self._offered = None
+        self.confirmed = self.confirmed | {row.uid} if confirmed else self.confirmed - {row.uid}
+        self._shared_rows = None
 
-    def noticed(self, now: int, calls: Mapping[str, int]) -> list[str]:
+    def apply_saved_file(self, now: int, calls: Mapping[str, int]) -> list[str]:
         """Take over the member's own file, which another process may have changed; returns the uids that differ."""
-        mine = self.calls()
+        mine = self.suspensions()
         changed = sorted(uid for uid in mine.keys() | calls.keys() if mine.get(uid, 0) != calls.get(uid, 0))
         for uid in changed:
-            self.set(now, uid, calls.get(uid, 0))
+            self.set_calls(now, uid, calls.get(uid, 0))
         return changed
 
-    def doubt(self, saved: Mapping[str, int]) -> None:
+    def load_unversioned(self, saved: Mapping[str, int]) -> None:
         """Start without versions: these receivers stay suspended until a member with newer rows restores them."""
         self.rows = {uid: SuspensionMark(uid, 0, "", calls) for uid, calls in saved.items()}
-        self.met_at, self.fresh, self._offered = 0, set(), None
+        self.synced_at, self.confirmed, self._shared_rows = 0, set(), None
 
     def merge(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
         """Merge rows of another member; returns the uids that changed here."""
@@ -106,53 +114,53 @@
         for row in rows:
             known = self.rows.get(row.uid)
             # Old tombstones are skipped: those forgotten here would come back from each member that still has them.
-            if self._over(now, row) or (known is not None and not newer(row, known)):
+            if self._is_expired(now, row) or (known is not None and not is_newer(row, known)):
                 continue
-            if known is None and len(self.rows) >= MOST:
+            if known is None and len(self.rows) >= MAX_ROWS:
                 continue  # bounds the map, whatever the others send
-            self._put(row, fresh=self.asleep)
+            self._put(row, confirmed=self.stale)
             changed.append(row.uid)
         return changed
 
-    def met(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
+    def merge_all(self, now: int, rows: Iterable[SuspensionMark]) -> list[str]:
         """Merge all rows of a member that is not asleep; returns the uids that changed here."""
         theirs = {row.uid: row for row in rows}
         dropped = []
-        if self.asleep:
+        if self.stale:
             # After a long absence this member would bring back suspensions that were lifted and forgotten meanwhile.
-            dropped = sorted(self.calls().keys() - self.fresh - theirs.keys())
+            dropped = sorted(self.suspensions().keys() - self.confirmed - theirs.keys())
             for uid in dropped:
                 del self.rows[uid]
         changed = self.merge(now, theirs.values())
-        self.fresh = {uid for uid in self.fresh if theirs.get(uid) != self.rows.get(uid)}
-        self.awake(now)
+        self.confirmed = {uid for uid in self.confirmed if theirs.get(uid) != self.rows.get(uid)}
+        self.mark_synced(now)
         return dropped + changed
 
-    def awake(self, now: int) -> None:
+    def mark_synced(self, now: int) -> None:
         """Note that this member is up to date with the others."""
-        self.met_at, self.asleep, self._offered = now, False, None
+        self.synced_at, self.stale, self._shared_rows = now, False, None
 
-    def offered(self) -> tuple[SuspensionMark, ...]:
+    def shared_rows(self) -> tuple[SuspensionMark, ...]:
         """The rows for others, by uid: all but those in doubt, and no more than `MOST`, those that are out first."""
-        if self._offered is None:
+        if self._shared_rows is None:
             shared = [row for row in self.rows.values() if self._is_shared(row)]
             shared.sort(key=lambda row: (not row.calls, -row.counter, row.uid))
-            self._offered = tuple(sorted(shared[:MOST], key=lambda row: row.uid))
-        return self._offered
+            self._shared_rows = tuple(sorted(shared[:MAX_ROWS], key=lambda row: row.uid))
+        return self._shared_rows
 
     def _is_shared(self, row: SuspensionMark) -> bool:
-        if len(row.uid) > LONGEST or not row.uid.isascii():
+        if len(row.uid) > MAX_UID_LENGTH or not row.uid.isascii():
             return False
-        return not self.asleep or not row.calls or row.uid in self.fresh
+        return not self.stale or not row.calls or row.uid in self.confirmed
 
-    def unshared(self) -> int:
+    def unshared_count(self) -> int:
         """How many suspended receivers cannot be shared with the other members."""
-        return len(self.calls().keys() - {row.uid for row in self.offered()}) if not self.asleep else 0
+        return len(self.suspensions().keys() - {row.uid for row in self.shared_rows()}) if not self.stale else 0
 
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether `offered` is complete, so that a receiver missing from it is not suspended."""
-        return not self.asleep and len(self.offered()) == len(self.rows)
+        return not self.stale and len(self.shared_rows()) == len(self.rows)
 
     def digest(self) -> int:
         """64 bits of what is offered."""
-        return xxhash.xxh3_64_intdigest(_encode(self.offered()))
+        return xxhash.xxh3_64_intdigest(_encode(self.shared_rows()))
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -316,21 +316,21 @@
         self,
         kernel: Kernel,
         carry: Carry,
-        gate: PeerVerifier,
+        verifier: PeerVerifier,
         members: Mapping[str, tuple[str, int]],
         in_flight: int = MAX_CALLS_IN_FLIGHT,
     ) -> None:
         self.kernel = kernel
         self.carry = carry
-        self.gate = gate
+        self.verifier = verifier
         self.in_flight = in_flight
         self.calls: Counter[str] = Counter()
         self.rooms: defaultdict[tuple[str, bool], list[object]] = defaultdict(list)  # by member, and whether urgent
         self.replace(members)
 
     def replace(self, members: Mapping[str, tuple[str, int]]) -> None:
-        self.members = [name for name in members if name != self.gate.me]
-        self.gate.replace_members(members)
+        self.members = [name for name in members if name != self.verifier.me]
+        self.verifier.replace_members(members)
 
     def names(self) -> Iterable[str]:
         return self.members
@@ -345,7 +345,7 @@
         """
         if member not in self.members or self.calls[member] >= MAX_CALLS:
             raise PeerUnreachableError(member)
-        peer_message, end = encode(self.gate.peer_message(member, body)), self.kernel.now + int(within_s * SECOND)
+        peer_message, end = encode(self.verifier.peer_message(member, body)), self.kernel.now + int(within_s * SECOND)
         room, place = self.rooms[member, isinstance(body, LeaseRequest | Heartbeat)], object()
         self.calls[member] += 1
         room.append(place)
@@ -355,7 +355,7 @@
                     raise PeerUnreachableError(member)
                 self.kernel.sleep(LOOK)
             box = AsyncResult()
-            self.carry(self.gate.me, member, peer_message, box)
+            self.carry(self.verifier.me, member, peer_message, box)
             encoded = box.get(max(0, end - self.kernel.now) / SECOND)
         except TimeoutError:
             raise PeerUnreachableError(member) from None
@@ -365,7 +365,7 @@
         if encoded is None:
             raise PeerUnreachableError(member)
         answer = decode(encoded)
-        check_answer(self.gate, member, answer)
+        check_answer(self.verifier, member, answer)
         return answer
 
 
@@ -386,9 +386,9 @@
     greenlets, clocks = kernel.gevent(), kernel.time()
 
     def peers(
-        gate: PeerVerifier, members: Mapping[str, tuple[str, int]], in_flight: int = MAX_CALLS_IN_FLIGHT
+        verifier: PeerVerifier, members: Mapping[str, tuple[str, int]], in_flight: int = MAX_CALLS_IN_FLIGHT
     ) -> Peers:
-        return Peers(kernel, carry, gate, members, in_flight)
+        return Peers(kernel, carry, verifier, members, in_flight)
 
     # Their classes have the real events for a default.
     made: list[tuple[object, str, Any]] = [
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -226,12 +226,12 @@
         if self.node is None:
             box.set(None)
             return
-        gate, read = self.node.gate, decode(peer_message)
+        verifier, read = self.node.verifier, decode(peer_message)
         try:
-            gate.check(read)
+            verifier.check(read)
             answered = self.node.answer(read)
         except CedarwickError as error:
-            answered = gate.peer_message(read.sender, RequestRefused(error.code, str(error)[:512]))
+            answered = verifier.peer_message(read.sender, RequestRefused(error.code, str(error)[:512]))
         box.set(encode(answered))
 
     def set_disk(self, size: int) -> None:
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -420,7 +420,7 @@
         ask = takeover.holder.due_request(now)
         assert ask is not None and ask.probe
         for level, called in ((LEASE_PROBE_LEVEL - 1, 0), (LEASE_PROBE_LEVEL, 1)):
-            node.gate.levels["b"] = level
+            node.verifier.levels["b"] = level
             with mock.patch.object(node, "_call", return_value=None) as call:
                 node._request_lease_from(takeover, "b", ask, now)
             self.assertEqual(call.call_count, called)
@@ -704,7 +704,7 @@
         node, now = self.member(), monotonic_time()
         node.dispatcher.rest_of.return_value = 0  # type: ignore[attr-defined]
         node.dispatcher.ordered = lambda priority_class: priority_class == "free"  # type: ignore[method-assign]
-        node.alive, node.gate.levels = (
+        node.alive, node.verifier.levels = (
             list(NAMES),
             {"a": PENDING_ORDER_KEYS_LEVEL, "b": PENDING_ORDER_KEYS_LEVEL - 1, "c": PENDING_ORDER_KEYS_LEVEL},
         )
@@ -725,7 +725,7 @@
         with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawn:
             with mock.patch.object(node, "_status_for", return_value=MemberStatus.ALIVE):
                 node._exchange_pending_order_keys(now)
-            self.assertEqual((spawn.call_args, node.order_key_hints.elsewhere), (None, frozenset()))
+            self.assertEqual((spawn.call_args, node.order_key_hints.held_keys), (None, frozenset()))
             node._exchange_pending_order_keys(
                 now
             )  # b is silent: what a copy here says is owed is told, and rests here, too
@@ -735,12 +735,12 @@
             node._exchange_pending_order_keys(
                 now
             )  # this member has asked for the partition, and has not taken it in yet
-            self.assertEqual(node.order_key_hints.elsewhere, {8})
+            self.assertEqual(node.order_key_hints.held_keys, {8})
             self.assertIsInstance(node._answer("c", 1, PendingOrderKeys((5, 6))), Acknowledged)
             node.replicas.drop(PARTITION)
             node.takeovers.clear()
             node._exchange_pending_order_keys(now)
-            self.assertEqual(node.order_key_hints.elsewhere, {5, 6})
+            self.assertEqual(node.order_key_hints.held_keys, {5, 6})
             holding = self.holding(node)
             for index, turn in enumerate((5, 7), 1):
                 holding.ledger.record_message(replace(kept(index), turn=turn), b"")
@@ -753,10 +753,10 @@
                 node._record_backlog(holding)
                 node._exchange_pending_order_keys(now)
                 self.assertEqual(node.order_key_hints.sent_keys, told)
-                self.assertLessEqual(told, node.order_key_hints.elsewhere)  # a partition that is not fired for
+                self.assertLessEqual(told, node.order_key_hints.held_keys)  # a partition that is not fired for
             holding.serving = True
             node._exchange_pending_order_keys(now)
-            self.assertEqual(node.order_key_hints.elsewhere, {6})
+            self.assertEqual(node.order_key_hints.held_keys, {6})
             holding.ledger.known.clear()
             node._exchange_pending_order_keys(now + SEND_INTERVAL_US)
             self.assertEqual(spawn.call_args.args[1:3], ("c", PendingOrderKeys()))
--- a/tests/fleet/test_order_key_hints.py
+++ b/tests/fleet/test_order_key_hints.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cedarwick.fleet.messages import MOST_KEYS
-from cedarwick.fleet.order_key_hints import HINT_LIFETIME_US, MAX_REST_US, SEND_INTERVAL_US, OrderKeyHints
+from cedarwick.fleet.order_key_hints import HINT_LIFETIME_US, MAX_HOLD_US, SEND_INTERVAL_US, OrderKeyHints
 from cedarwick.lab import invariants, virtual_day
 from cedarwick.lab.audit_cases import Case
 
@@ -19,35 +19,39 @@
 class OrderKeyHintsTest(unittest.TestCase):
     def test_keys_are_told_at_once_then_again_and_at_last_that_there_are_none(self) -> None:
         hints = OrderKeyHints()
-        self.assertIsNone(hints.tell(NOW, set(), ["b"]))
-        self.assertEqual(hints.tell(NOW, {7, 5}, ["b"]), (5, 7))
-        self.assertIsNone(hints.tell(NOW + SEND_INTERVAL_US - 1, {5}, ["b"]))  # what is over may wait
+        self.assertIsNone(hints.due_keys(NOW, set(), ["b"]))
+        self.assertEqual(hints.due_keys(NOW, {7, 5}, ["b"]), (5, 7))
+        self.assertIsNone(hints.due_keys(NOW + SEND_INTERVAL_US - 1, {5}, ["b"]))  # what is over may wait
         self.assertEqual(
-            hints.tell(NOW + SEND_INTERVAL_US - 1, {5}, ["b", "c"]), (5,)
+            hints.due_keys(NOW + SEND_INTERVAL_US - 1, {5}, ["b", "c"]), (5,)
         )  # who came back knows nothing yet
-        self.assertEqual(hints.tell(NOW + 2 * SEND_INTERVAL_US, {5}, ["b", "c"]), (5,))  # a peer message may be lost
-        self.assertEqual(hints.tell(NOW + 3 * SEND_INTERVAL_US, set(), ["b", "c"]), ())
-        self.assertIsNone(hints.tell(NOW + 9 * SEND_INTERVAL_US, set(), ["b", "c"]))
-        self.assertEqual(len(hints.tell(NOW + 9 * SEND_INTERVAL_US, set(range(9999)), ["b"]) or ()), MOST_KEYS)
+        self.assertEqual(
+            hints.due_keys(NOW + 2 * SEND_INTERVAL_US, {5}, ["b", "c"]), (5,)
+        )  # a peer message may be lost
+        self.assertEqual(hints.due_keys(NOW + 3 * SEND_INTERVAL_US, set(), ["b", "c"]), ())
+        self.assertIsNone(hints.due_keys(NOW + 9 * SEND_INTERVAL_US, set(), ["b", "c"]))
+        self.assertEqual(len(hints.due_keys(NOW + 9 * SEND_INTERVAL_US, set(range(9999)), ["b"]) or ()), MOST_KEYS)
 
     def test_a_key_rests_while_others_tell_it_and_never_for_those_who_wait_for_this_one(self) -> None:
         hints = OrderKeyHints()
-        hints.heard(NOW, "b", (1, 2))
-        hints.heard(NOW, "c", (2, 3))
-        self.assertEqual(hints.rests(NOW, {3}, {4}), {1, 2, 4})  # 3 is owed at both: they would wait for each other
-        hints.heard(NOW + 1, "b", ())
-        self.assertEqual(hints.rests(NOW + 1, {3}, NONE), {2})
-        self.assertEqual(hints.rests(NOW + HINT_LIFETIME_US, NONE, NONE), NONE)  # c is silent
+        hints.receive(NOW, "b", (1, 2))
+        hints.receive(NOW, "c", (2, 3))
+        self.assertEqual(
+            hints.update_held_keys(NOW, {3}, {4}), {1, 2, 4}
+        )  # 3 is owed at both: they would wait for each other
+        hints.receive(NOW + 1, "b", ())
+        self.assertEqual(hints.update_held_keys(NOW + 1, {3}, NONE), {2})
+        self.assertEqual(hints.update_held_keys(NOW + HINT_LIFETIME_US, NONE, NONE), NONE)  # c is silent
 
     def test_a_key_rests_no_longer_than_it_may_whoever_tells_it(self) -> None:
         hints = OrderKeyHints()
-        for at in range(NOW, NOW + 2 * MAX_REST_US, SEND_INTERVAL_US):
-            hints.heard(at, "b" if at < NOW + HINT_LIFETIME_US else "c", (1,))
-            self.assertEqual(hints.rests(at, NONE, NONE), {1} if at < NOW + MAX_REST_US else NONE)
-        hints.heard(at, "c", ())
-        hints.rests(at, NONE, NONE)
-        hints.heard(at + 1, "c", (1,))
-        self.assertEqual(hints.rests(at + 1, NONE, NONE), {1})  # it is owed anew
+        for at in range(NOW, NOW + 2 * MAX_HOLD_US, SEND_INTERVAL_US):
+            hints.receive(at, "b" if at < NOW + HINT_LIFETIME_US else "c", (1,))
+            self.assertEqual(hints.update_held_keys(at, NONE, NONE), {1} if at < NOW + MAX_HOLD_US else NONE)
+        hints.receive(at, "c", ())
+        hints.update_held_keys(at, NONE, NONE)
+        hints.receive(at + 1, "c", (1,))
+        self.assertEqual(hints.update_held_keys(at + 1, NONE, NONE), {1})  # it is owed anew
 
 
 class VirtualDaysTest(unittest.TestCase):
@@ -83,7 +87,7 @@
         pairs, overtaken = self.overtaken(5, 10, 11, **told)
         self.assertGreater(pairs, 20)
         self.assertLess(overtaken, 0.05 * pairs)  # in the second until the silence is noticed, or after `MOST`
-        with mock.patch.object(OrderKeyHints, "rests", return_value=NONE):
+        with mock.patch.object(OrderKeyHints, "update_held_keys", return_value=NONE):
             pairs, overtaken = self.overtaken(5, 10, 11, **told)
         self.assertGreater(overtaken, 0.1 * pairs)
 
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -386,7 +386,7 @@
         c._copied(partition, Step(1, 5, EVERYTHING, 0, 0, b""), [fact])
         self.lose = lambda to, body: "ask" if to == "a" else ""
         for each in (b, c):
-            each.node.gate.levels["a"] = level
+            each.node.verifier.levels["a"] = level
             each.node.members.status = lambda now, name: (  # type: ignore[method-assign]
                 MemberStatus.DEAD if name == "a" else MemberStatus.ALIVE
             )
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -119,12 +119,12 @@
         self.addCleanup(logger.enable, "cedarwick")
         self.counters = Counters()
         self.answer: Callable[[PeerMessage], messages.Body] = lambda peer_message: Acknowledged()
-        self.gate = PeerVerifier("g", "b", 5, NAMES)
+        self.verifier = PeerVerifier("g", "b", 5, NAMES)
         self.server = PeerServer(
             (HOST, 0),
-            self.gate,
+            self.verifier,
             self.counters,
-            lambda peer_message: self.gate.peer_message(peer_message.sender, self.answer(peer_message)),
+            lambda peer_message: self.verifier.peer_message(peer_message.sender, self.answer(peer_message)),
         )
         self.server.start()
         self.addCleanup(self.server.stop, 0)
@@ -187,10 +187,10 @@
         self.assertIn("'other'", self.refused(peer_verifier.OtherGroupError.code, self.peers_of(port, group="other")))
         self.assertIn("'z'", self.refused(peer_verifier.UnknownMemberError.code, self.peers_of(port, me="z")))
         same = self.peers_of(port)
-        same.gate.me = "b"
+        same.verifier.me = "b"
         self.assertIn("same name", self.refused(peer_verifier.UnknownMemberError.code, same))
         astray = self.peers_of(port)
-        astray.gate.peer_message = lambda to, body: PeerVerifier.peer_message(astray.gate, "c", body)  # type: ignore[method-assign]
+        astray.verifier.peer_message = lambda to, body: PeerVerifier.peer_message(astray.verifier, "c", body)  # type: ignore[method-assign]
         self.assertIn("'c'", self.refused(peer_verifier.MisdirectedMessageError.code, astray))
         self.peers_of(port, incarnation=7).call("b", Acknowledged(), 5)
         self.assertIn("boot 5", self.refused(peer_verifier.StaleIncarnationError.code))
@@ -409,10 +409,10 @@
         kept = self.peers.call("b", Acknowledged(), 5) and self.peers.peers["b"].idle[0]
         self.peers.replace({"b": (HOST, self.server.port), "c": (HOST, 2)})
         self.assertIs(self.peers.peers["b"].idle[0], kept)  # who stays keeps its connections
-        self.gate.replace_members(["b", "c"])
+        self.verifier.replace_members(["b", "c"])
         self.refused(peer_verifier.UnknownMemberError.code)
-        self.gate.replace_members(NAMES)
-        self.peers.gate.incarnation = 4
+        self.verifier.replace_members(NAMES)
+        self.peers.verifier.incarnation = 4
         self.refused(peer_verifier.StaleIncarnationError.code)  # what was seen outlives the list
 
     def test_a_peer_message_that_is_too_large_is_not_sent(self) -> None:
--- a/tests/processes/test_order.py
+++ b/tests/processes/test_order.py
@@ -5,7 +5,7 @@
 import gevent
 import msgspec
 
-from cedarwick.fleet.order_key_hints import MAX_REST_US
+from cedarwick.fleet.order_key_hints import MAX_HOLD_US
 from cedarwick.lab.audit_cases import FOREVER
 from cedarwick.lab.fleet import Fleet
 from cedarwick.lab.history import Called, Handed
@@ -76,7 +76,7 @@
         self.assertEqual([calls(fleet, each)[-1].status for each in (first, *later)], [200, 200, 200])
         begun = min(calls(fleet, each)[0].first for each in later)
         # On a loaded machine the adoption may take longer than a key rests for others.
-        self.assertGreater(begun, min(calls(fleet, first)[-1].ended, since + MAX_REST_US if hands_on else FOREVER))
+        self.assertGreater(begun, min(calls(fleet, first)[-1].ended, since + MAX_HOLD_US if hands_on else FOREVER))
 
     def test_a_sender_whose_copy_dies_keeps_the_order_around_an_attempt_that_is_out(self) -> None:
         self.play(hands_on=False)
