--- a/cedarwick/events/match_delivery.py
+++ b/cedarwick/events/match_delivery.py
@@ -81,7 +81,7 @@
         if not self.present(now) or now < self.next_at or self.reader is None or not self.reader.room:
             return []
         found = self.after(self.reader.held)
-        self.next_at = now + RESEND_AFTER + (self.waits.next() if found else 0)
+        self.next_at = now + RESEND_AFTER + (self.waits.next_wait() if found else 0)
         return found
 
     def after(self, cursor: int) -> list[Item]:
--- a/cedarwick/fleet/held_partitions.py
+++ b/cedarwick/fleet/held_partitions.py
@@ -6,7 +6,7 @@
 from cedarwick.fleet.fleet_files import LeaseRecord
 from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.leases import lease_name
-from cedarwick.fleet.limits import IDLE_HOLDER_US, RESTARTED_REQUESTS_US
+from cedarwick.fleet.limits import RESTART_REQUEST_WINDOW_US, START_SERVING_US
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.replicated_store import NUMBERS_PER_RESERVATION
@@ -77,6 +77,6 @@
             # be idle at once, and lose the partition before it can ask for it, with ends that no replica has.
             idle_since = max(self.presumed_holders[partition][1], at if who == name else 0, restarted_at)
             # A restarted member would have asked for the partition by now; an idle one has asked in vain.
-            if at < restarted_at <= now - RESTARTED_REQUESTS_US or idle_since <= now - IDLE_HOLDER_US:
+            if at < restarted_at <= now - RESTART_REQUEST_WINDOW_US or idle_since <= now - START_SERVING_US:
                 return MemberStatus.DEAD
         return state
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -4,7 +4,7 @@
 of the wall clock.
 """
 
-from cedarwick.fleet.limits import ANSWER_AHEAD_US, NO_MAJORITY_UNHELD_US, NO_MAJORITY_US
+from cedarwick.fleet.limits import DEADLINE_MARGIN_US, NO_MAJORITY_UNHELD_US, NO_MAJORITY_US
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.partition_takeover import PartitionTakeover
 from cedarwick.fleet.takeover import Takeover, TakeoverStage
@@ -20,7 +20,7 @@
         here but no replica follows; and where only this member has the message. In all other cases the lease is
         settled within a moment and its holder answers: an answer from here would be a second, maybe different one.
         """
-        soon = self.clock.now() + ANSWER_AHEAD_US
+        soon = self.clock.now() + DEADLINE_MARGIN_US
         self._answer_pre_fleet_messages(soon)
         for holding in list(self.store.holdings.values()):
             stage = holding.takeover.stage
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -10,7 +10,7 @@
 from cedarwick.fleet.consensus import (
     parts,
 )
-from cedarwick.fleet.limits import ANSWER_AHEAD_US
+from cedarwick.fleet.limits import DEADLINE_MARGIN_US
 from cedarwick.fleet.messages import (
     StageReply,
     StageSession,
@@ -106,7 +106,7 @@
 
     def _adopt_staged(self, numbers: list[int], offer: tuple[StageSession, int] | None) -> None:
         """Let the dispatcher go on with messages whose marks are cleared, and answer those near their deadline."""
-        soon = self.clock.now() + ANSWER_AHEAD_US
+        soon = self.clock.now() + DEADLINE_MARGIN_US
         # While the decision was not known the source may have answered messages near their deadline: they must not be
         # attempted here.
         late = [number for number in numbers if self.store.messages[number].deadline <= soon]
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -12,12 +12,12 @@
 from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.leases import EPOCH_BITS, LEASE_SPAN_US, lease_name
 from cedarwick.fleet.limits import (
-    ANSWER_AHEAD_US,
     DAMAGED_FOLDER_US,
-    GATHER_REPLICAS_US,
+    DEADLINE_MARGIN_US,
+    NEW_LOG_CATCH_UP_US,
     OFFER_EXPECTED_US,
     OFFER_TIMEOUT_S,
-    UNWANTED_REPLICA_US,
+    UNUSED_REPLICA_US,
 )
 from cedarwick.fleet.messages import LeaseRequest
 from cedarwick.fleet.pending_order_keys import PendingOrderKeyExchange
@@ -155,7 +155,7 @@
             grant.set > 0
             and self.name not in grant.successors
             and grant.holder != self.name
-            and now - self.replica_written_at.setdefault(partition, now) > UNWANTED_REPLICA_US
+            and now - self.replica_written_at.setdefault(partition, now) > UNUSED_REPLICA_US
         )
 
     def _import_partition(self, now: int, takeover: Takeover) -> None:
@@ -166,7 +166,7 @@
         self._update_pumps(now, holding)
         wanted = self._wanted_replicas(holding)
         complete = self._complete_replicas(now, holding, wanted)
-        if len(complete) == len(wanted) or now - holding.log_started_at >= GATHER_REPLICAS_US:
+        if len(complete) == len(wanted) or now - holding.log_started_at >= NEW_LOG_CATCH_UP_US:
             holding.imported = True
             takeover.note_imported(now, complete)
 
@@ -211,7 +211,7 @@
         doubt_at = max(heard, default=1) if behind else 0
         unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offer_accepted else ([], [])
         facts = list(replica.owed.values())
-        ends_upto = self.clock.now() + ANSWER_AHEAD_US
+        ends_upto = self.clock.now() + DEADLINE_MARGIN_US
         self.store.import_replica(holding, facts, term, doubt_at, unsent, unacknowledged, ends_upto)
         if self.session_router is not None:
             self.session_router.adopted(holding.partition)
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -26,8 +26,8 @@
 
     key: int  # of the session
     id: str
-    at: int  # when it came here: not before it was handed in
-    hashed: int
+    received_at: int  # when it came here: not before it was handed in
+    contents_hash: int
     ended: bool = False  # an end or an attempt is known
 
 
@@ -35,7 +35,7 @@
     """What a copy remembers of one partition; times are those of the copy's own clock."""
 
     def __init__(self, now: int) -> None:
-        self.since = now  # each recent id that was taken later is here
+        self.recorded_since = now  # each recent id that was taken later is here
         self.term = self.next = -1
         self.by_number: dict[int, RecentId] = {}  # by message number
         self.arrivals: deque[tuple[int, int]] = deque()  # when they came, and their numbers
@@ -47,14 +47,14 @@
         begins = entry.next - len(received) if tail else entry.next
         if (entry.term, begins) != (self.term, self.next):
             # A gap: messages between may have been taken and have ended without a trace here.
-            self.since = now
+            self.recorded_since = now
         self.term, self.next = entry.term, entry.next
         for fact in received:
             self._record_fact(fact, now)
         while self.arrivals and (self.arrivals[0][0] < now - ID_RETENTION_US or len(self.arrivals) > MAX_IDS):
-            at, number = self.arrivals.popleft()
-            if at >= now - ID_RETENTION_US:
-                self.since = max(self.since, at + 1)
+            received_at, number = self.arrivals.popleft()
+            if received_at >= now - ID_RETENTION_US:
+                self.recorded_since = max(self.recorded_since, received_at + 1)
             self.by_number.pop(number, None)
 
     def _record_fact(self, fact: Fact, now: int) -> None:
@@ -65,7 +65,7 @@
                     fact.base.turn,
                     fact.base.id,
                     now,
-                    hash_of(fact.base, known.end[0]),
+                    submission_hash(fact.base, known.end[0]),
                     bool(known.heads) or known.end[0] is not EndRank.NONE,
                 )
                 self.arrivals.append((now, fact.number))
@@ -78,17 +78,17 @@
 
     def complete_at(self) -> int:
         """The time from which on all ids that must not be taken again are known here."""
-        return self.since + ID_RETENTION_US
+        return self.recorded_since + ID_RETENTION_US
 
-    def by_key(self) -> dict[int, dict[str, tuple[int, int]]]:
+    def ids_by_session(self) -> dict[int, dict[str, tuple[int, int]]]:
         """By session: the ids, when they came and the hash of what came with them."""
         found: dict[int, dict[str, tuple[int, int]]] = {}
         for seen in self.by_number.values():
-            found.setdefault(seen.key, {})[seen.id] = seen.at, seen.hashed
+            found.setdefault(seen.key, {})[seen.id] = seen.received_at, seen.contents_hash
         return found
 
 
-def hash_of(base: MessageBase, end: EndRank = EndRank.NONE) -> int:
+def submission_hash(base: MessageBase, end: EndRank = EndRank.NONE) -> int:
     """A submission's hash, as at the holder; `UNKNOWN_HASH` for an ended message, whose body is no longer sent."""
     if end is not EndRank.NONE:
         return UNKNOWN_HASH
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -7,7 +7,7 @@
 
 from cedarwick.fleet import placement
 from cedarwick.fleet.leased_partition import STALLED_AFTER_US, LeasedPartition
-from cedarwick.fleet.limits import MAX_LAG_FACTS, MAX_LAG_US, REPLICA_TRUST_US, REPLICATE_PAUSE_S, REPLICATE_TIMEOUT_S
+from cedarwick.fleet.limits import MAX_LAG_FACTS, MAX_LAG_US, REPLICA_PROVEN_US, REPLICATE_PAUSE_S, REPLICATE_TIMEOUT_S
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
 from cedarwick.fleet.replicated_store import monotonic_time
@@ -61,7 +61,7 @@
         able = [
             name
             for name in self.alive
-            if now - self.replica_refused_at.get(name, -REPLICA_TRUST_US) >= REPLICA_TRUST_US
+            if now - self.replica_refused_at.get(name, -REPLICA_PROVEN_US) >= REPLICA_PROVEN_US
         ]
         able = able if len(able) > self.settings.copies else self.alive
         return placement.choose_replicas(holding.partition, self.name, self.halls, able, self.settings.copies)
@@ -127,11 +127,11 @@
             self.counters.warning("a replica does not follow", f"partition {holding.partition}")
 
     def _replicas_are_trusted(self, now: int, holding: LeasedPartition, whole: list[str]) -> bool:
-        """Whether replicas have followed for long enough (`REPLICA_TRUST_US`) for a sender that goes on alone."""
+        """Whether replicas have followed for long enough (`REPLICA_PROVEN_US`) for a sender that goes on alone."""
         if not whole:
             holding.unreplicated_since = now
             return False
-        return now - holding.unreplicated_since >= REPLICA_TRUST_US
+        return now - holding.unreplicated_since >= REPLICA_PROVEN_US
 
     def _replicas_keep_up(self, now: int, holding: LeasedPartition) -> bool:
         """Under `ack = "copy"`: whether the successors keep up, or the setting `alone` allows to go on without."""
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -8,7 +8,7 @@
 from cedarwick.config.member_slots import slot_of
 from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.leases import EPOCH_BITS, lease_name
-from cedarwick.fleet.limits import ANSWER_AHEAD_US, US_PER_S
+from cedarwick.fleet.limits import DEADLINE_MARGIN_US, US_PER_S
 from cedarwick.fleet.messages import SessionInheritance
 from cedarwick.fleet.recent_ids import RecentIds
 from cedarwick.fleet.replica import ReplicaEntry as Step
@@ -47,7 +47,7 @@
             )
             return
         self.inheritable_sessions[partition] = InheritableSessions(
-            owner, recent_ids.complete_at(), recent_ids.by_key(), set()
+            owner, recent_ids.complete_at(), recent_ids.ids_by_session(), set()
         )
         logger.info(
             "sessions of {} are inherited as they are used, {:.1f} s from now on",
@@ -111,7 +111,7 @@
 
     def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
         """Filter what the last holder of an adopted partition offers: messages of inherited sessions may not count."""
-        inheritable, soon = self.inheritable_sessions.get(holding.partition), self.clock.now() + 2 * ANSWER_AHEAD_US
+        inheritable, soon = self.inheritable_sessions.get(holding.partition), self.clock.now() + 2 * DEADLINE_MARGIN_US
         if inheritable is None or not inheritable.inherited_keys:
             return facts
         counts = []
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -17,7 +17,7 @@
     name_move,
     parts,
 )
-from cedarwick.fleet.limits import ANSWER_AHEAD_US
+from cedarwick.fleet.limits import DEADLINE_MARGIN_US
 from cedarwick.fleet.messages import (
     AcceptRequest,
     Body,
@@ -216,7 +216,7 @@
                     self.moves.side_lost(name, at_source)
 
     def _answer_late(self) -> None:
-        soon = self.clock.now() + ANSWER_AHEAD_US
+        soon = self.clock.now() + DEADLINE_MARGIN_US
         for number, (_, text) in list(self.store.inert.items()):
             stored, holding = self.store.messages.get(number), self.store.holdings.get(number >> 32)
             if stored is None or stored.end is not None or stored.deadline > soon or holding is None:
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -180,7 +180,7 @@
             self.assertIs(standing("b"), MemberStatus.ALIVE)
             node._receive_heartbeat("b", 8, Heartbeat(False, {}))
             self.assertIs(standing("b"), MemberStatus.ALIVE)  # it may yet ask for the partition
-            node._step_takeover(monotonic_time() + limits.RESTARTED_REQUESTS_US, takeover)
+            node._step_takeover(monotonic_time() + limits.RESTART_REQUEST_WINDOW_US, takeover)
             self.assertIs(step.call_args.args[3]("b"), MemberStatus.DEAD)
 
     def test_who_was_started_again_may_ask_for_its_partition_however_long_it_has_held_it(self) -> None:
@@ -191,7 +191,7 @@
             node._receive_heartbeat("b", boot, Heartbeat(False, {}, rights))
         now = monotonic_time()
         self.assertIs(node._status_for(now, "b", takeover), MemberStatus.ALIVE)
-        self.assertIs(node._status_for(now + limits.RESTARTED_REQUESTS_US, "b", takeover), MemberStatus.DEAD)
+        self.assertIs(node._status_for(now + limits.RESTART_REQUEST_WINDOW_US, "b", takeover), MemberStatus.DEAD)
 
     def test_who_asked_in_vain_is_taken_for_the_holder_only_for_a_while(self) -> None:
         node = self.member()
@@ -201,9 +201,9 @@
         with mock.patch.object(node.members, "status", return_value=MemberStatus.ALIVE):
             for after, name, stands in (
                 (0, "b", MemberStatus.ALIVE),
-                (limits.IDLE_HOLDER_US - 1, "b", MemberStatus.ALIVE),
-                (limits.IDLE_HOLDER_US, "b", MemberStatus.DEAD),
-                (limits.IDLE_HOLDER_US, "c", MemberStatus.ALIVE),
+                (limits.START_SERVING_US - 1, "b", MemberStatus.ALIVE),
+                (limits.START_SERVING_US, "b", MemberStatus.DEAD),
+                (limits.START_SERVING_US, "c", MemberStatus.ALIVE),
             ):
                 self.assertIs(node._status_for(now + after, name, takeover), stands)
 
--- a/tests/fleet/test_session_inheritance.py
+++ b/tests/fleet/test_session_inheritance.py
@@ -9,7 +9,7 @@
 
 from cedarwick.fleet.consensus import Acceptor, name_move
 from cedarwick.fleet.messages import LEVEL, VERSION, PeerMessage, RecentIdEntry, StageSession, decode, encode
-from cedarwick.fleet.recent_ids import UNKNOWN_HASH, RecentIds, hash_of
+from cedarwick.fleet.recent_ids import UNKNOWN_HASH, RecentIds, submission_hash
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication import EVERYTHING
 from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, MessageKnowledge, TermAttempts
@@ -336,10 +336,10 @@
             ),
             30,
         )
-        self.assertEqual(recent_ids.by_key(), {KEY: {"1": (10, hash_of(self.BASE))}})
+        self.assertEqual(recent_ids.ids_by_session(), {KEY: {"1": (10, submission_hash(self.BASE))}})
         self.assertEqual(recent_ids.complete_at(), ID_RETENTION_US)
         recent_ids.record(*self.step(10), ID_RETENTION_US + 11)
-        self.assertEqual(recent_ids.by_key(), {})
+        self.assertEqual(recent_ids.ids_by_session(), {})
 
     def test_a_gap_another_term_and_too_many_ids_begin_the_time_anew(self) -> None:
         for step, since in (
@@ -352,11 +352,11 @@
             recent_ids = RecentIds(0)
             recent_ids.record(ReplicaEntry(1, 3, 5, 0, 5, b""), (), 0)
             recent_ids.record(*step, 9)
-            self.assertEqual(recent_ids.since, since)
+            self.assertEqual(recent_ids.recorded_since, since)
         with mock.patch("cedarwick.fleet.recent_ids.MAX_IDS", 2):
             recent_ids.record(*self.step(3, *(Fact(number, self.BASE, MessageKnowledge()) for number in (1, 2))), 20)
             recent_ids.record(*self.step(5, Fact(3, self.BASE, MessageKnowledge())), 30)
-        self.assertEqual((recent_ids.since, list(recent_ids.by_number)), (21, [2, 3]))
+        self.assertEqual((recent_ids.recorded_since, list(recent_ids.by_number)), (21, [2, 3]))
 
     def test_an_id_whose_contents_are_not_known_goes_along_in_a_move(self) -> None:
         stage = StageSession("m", KEY, 1, b"", 0, (RecentIdEntry("1", 0, UNKNOWN_HASH),))
@@ -365,7 +365,7 @@
     def test_contents_that_are_not_told_any_more_are_those_of_no_request(self) -> None:
         recent_ids = RecentIds(0)
         recent_ids.record(*self.step(0, Fact(1, self.BASE, MessageKnowledge(end=(EndRank.FAILED, 0)))), 1)
-        self.assertEqual(recent_ids.by_key(), {KEY: {"1": (1, UNKNOWN_HASH)}})
+        self.assertEqual(recent_ids.ids_by_session(), {KEY: {"1": (1, UNKNOWN_HASH)}})
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -103,12 +103,12 @@
 class RetryTest(unittest.TestCase):
     def test_waits_are_drawn_under_a_bound_that_doubles_and_begins_anew(self) -> None:
         drawn = [Backoff(seed, 10, 40) for seed in range(200)]
-        most = [max(waits.next() for waits in drawn) for _ in range(5)]
+        most = [max(waits.next_wait() for waits in drawn) for _ in range(5)]
         self.assertEqual(most, [10, 20, 40, 40, 40])
-        self.assertEqual(min(waits.next() for waits in drawn), 0)
+        self.assertEqual(min(waits.next_wait() for waits in drawn), 0)
         for waits in drawn:
             waits.reset()
-        self.assertLessEqual(max(waits.next() for waits in drawn), 10)
+        self.assertLessEqual(max(waits.next_wait() for waits in drawn), 10)
 
 
 class LinkTestCase(unittest.TestCase):
