--- a/cedarwick/fleet/lease_holder.py
+++ b/cedarwick/fleet/lease_holder.py
@@ -1,4 +1,4 @@
-"""The holder of a lease: its requests, the replies of the grantors, and what follows from them. No I/O, no clock.
+"""The holder of a lease: its requests, the replies of the grantors, and the resulting state. No I/O, no clock.
 
 The rules, and the reasons for them, are in `leases.py`.
 """
@@ -21,7 +21,7 @@
 
 
 class KnownHolder(NamedTuple):
-    """A member that is said to hold a lease; of two the larger one is the newer."""
+    """A reported holder of a lease; of two, the larger one is the newer."""
 
     term: int
     name: str
@@ -31,7 +31,7 @@
 
 
 class HeldTerm(NamedTuple):
-    """A term, and the sets of successors that a holder has in it."""
+    """A term and its successor sets, as restored after a probe that was not answered by a majority."""
 
     term: int
     known_set_number: int
@@ -40,7 +40,7 @@
 
 
 class SuccessorSet(NamedTuple):
-    """A set of successors with its number; of two the larger number is the newer."""
+    """A successor set with its number; of two, the one with the larger number is the newer."""
 
     number: int
     names: tuple[str, ...]
@@ -50,18 +50,18 @@
 
 
 class LeaseState(Enum):
-    """How a holder stands to its lease."""
+    """The state of a lease at its holder."""
 
-    IDLE = "idle"  # it asks for nothing
-    ASKING = "asking"  # for a term that no majority has granted it yet; while `probing`, whether one would
-    HELD = "held"  # granted by a majority; whether attempts may be made now is `is_valid`
+    IDLE = "idle"  # nothing is requested
+    ASKING = "asking"  # a term is requested that no majority has granted yet, or, while `probing`, probed for
+    HELD = "held"  # granted by a majority; `is_valid` says whether attempts may be made now
     CLOSING = "closing"  # held, and being closed for good; no attempt may be made
     CLOSED = "closed"  # a majority has confirmed the closing
-    LOST = "lost"  # it ran out and cannot be renewed, or no majority granted it in time
+    LOST = "lost"  # it expired and cannot be renewed, or no majority granted it in time
 
 
 class LeaseHolder:
-    """One member's side of one lease, through all its terms there. Times are microseconds of the member's clock."""
+    """One member's side of one lease, through all its terms. Times are microseconds of the member's own clock."""
 
     def __init__(self, lease: str, me: str, names: Collection[str], span: int = LEASE_SPAN_US) -> None:
         self.lease = lease
@@ -69,30 +69,30 @@
         self.span = span
         self.state = LeaseState.IDLE
         self.term = 0
-        self.newest_other_holder = NO_HOLDER  # the newest term that somebody else was said to hold, and who
-        self.newest_known_set = NO_SET  # the newest set that any grantor was heard to know
-        self.probing = False  # `term` is not requested yet: a majority has to say first that it would be granted
+        self.newest_other_holder = NO_HOLDER  # the newest other holder in any reply, with its term
+        self.newest_known_set = NO_SET  # the newest successor set in any reply
+        self.probing = False  # `term` is not requested yet: a majority must first report that it would grant it
         self.known_set_number = 0  # the newest set of this term that a majority knows; 0: none yet
         self.newest_set_number = 0  # the newest set
-        self.valid_until = 0  # when the lease runs out unless it is renewed; 0: no majority has granted it
+        self.valid_until = 0  # when the lease expires unless it is renewed; 0: no majority has granted it
         self._names = frozenset(names) | {me}
-        self._sets: dict[int, tuple[str, ...]] = {}  # that one, and those named since, by number
-        self._newest_term = 0  # the newest term heard of
+        self._sets: dict[int, tuple[str, ...]] = {}  # by number: the set that a majority knows, and those named since
+        self._newest_term = 0  # the newest term in any reply
         self._requested_at = 0
         self._next_request_at = 0
-        self._grants: dict[str, tuple[int, int]] = {}  # when the ask was sent, and the set, by grantor
-        self._closings: dict[str, int] = {}  # when the ask was sent, by grantor
-        self._would_grant: dict[str, int] = {}  # when the probe was sent, by grantor that would grant `term`
-        self._before_probe = HeldTerm(0, 0, 0, {})  # to which a probe in vain returns
-        self._refused_at = 0  # when the newest request was sent that a grantor of this term refused for good
-        self._enquiry: LeaseRequest | None = None  # to be sent, while nothing is asked for
+        self._grants: dict[str, tuple[int, int]] = {}  # by grantor: when the request was sent, and the set's number
+        self._closings: dict[str, int] = {}  # by grantor that has closed the lease: when the request was sent
+        self._would_grant: dict[str, int] = {}  # by grantor that would grant `term`: when the probe was sent
+        self._before_probe = HeldTerm(0, 0, 0, {})  # restored when a probe is abandoned
+        self._refused_at = 0  # when the newest request was sent that a grantor of this term permanently refused
+        self._enquiry: LeaseRequest | None = None  # to be sent while nothing is requested
         self._next_enquiry_at = 0
 
     def request_next_term(self, now: int, grant: Grant, probe_first: bool = False) -> None:
-        """Ask for the next term. `grant` is the own grantor's row: from it come the successors, for grantors that lag.
+        """Request the next term. `grant` is the own grantor's row, whose successors are sent to grantors that lag.
 
-        Only for a member whose replica is whole, or for a lease that nobody has held. With `probe_first` the term is
-        requested only once a majority says that it would be granted: a request in vain would end the term of a member
+        Only for a member whose replica is complete, or for a lease that nobody has held. With `probe_first` the term is
+        requested only once a majority reports that it would grant it: a refused request would end the term of a member
         that can be granted one.
         """
         newest = max(grant.term, self.term, self._newest_term)
@@ -102,18 +102,18 @@
         self.state, self.probing = LeaseState.ASKING, probe_first
         self._requested_at = self._next_request_at = now
         self.known_set_number = 0
-        self._carry(SuccessorSet(grant.set, grant.successors))
+        self._set_requested_successors(SuccessorSet(grant.set, grant.successors))
         self._grants, self._closings, self._would_grant = {}, {}, {}
         self._update_valid_until()
 
     def newest_row(self, grant: Grant) -> Grant:
-        """The own grantor's row with the newest set of successors that any grantor was heard to know."""
+        """The own grantor's row with the newest successor set that any grantor is known to have."""
         if self.newest_known_set.number <= grant.set:
             return grant
         return msgspec.structs.replace(grant, successors=self.newest_known_set.names, set=self.newest_known_set.number)
 
     def enquire(self, now: int, grant: Grant) -> None:
-        """Have `due_request` ask all members for their rows, at most once a span, while nothing is asked for.
+        """Make `due_request` probe all members for their rows, at most once per span, while nothing is requested.
 
         The request that named this member a successor may have been lost; then its own grantor does not know of it.
         `grant` is the own grantor's row.
@@ -125,7 +125,7 @@
         self._enquiry = LeaseRequest(self.lease, term, self.me, self.span, grant.successors, grant.set, probe=True)
 
     def due_request(self, now: int) -> LeaseRequest | None:
-        """The request to send to all members now, to the own grantor before any other; None where none is due."""
+        """The request to send to all members now, to the own grantor first; None if none is due."""
         self._update_state(now)
         enquiry, self._enquiry = self._enquiry, None
         if enquiry is not None and self.state in (LeaseState.IDLE, LeaseState.LOST):
@@ -140,40 +140,40 @@
         )
 
     def update(self, now: int) -> None:
-        """Update the state for the time that has passed."""
+        """Update the state to the given time."""
         self._update_state(now)
 
     def receive_reply(self, now: int, sent_at: int, grantor: str, reply: LeaseReply) -> None:
-        """Take a grantor's answer to the request made at `sent_at`, the time that was passed to `due_request`."""
+        """Process a grantor's reply to the request sent at `sent_at`, the time that was passed to `due_request`."""
         if grantor not in self._names:
             return
         self._newest_term = max(self._newest_term, reply.term)
         if reply.holder not in ("", self.me):
             self.newest_other_holder = max(self.newest_other_holder, KnownHolder(reply.term, reply.holder))
         self.newest_known_set = max(self.newest_known_set, SuccessorSet(reply.set, reply.successors))
-        at = self._counted_from(sent_at, now)
+        counted_from = self._counted_from(sent_at, now)
         if sent_at >= self._requested_at:
-            self._count_reply(at, sent_at, grantor, reply)
+            self._count_reply(counted_from, sent_at, grantor, reply)
         if reply.closed:
-            self._closings[grantor] = max(self._closings.get(grantor, 0), at)
+            self._closings[grantor] = max(self._closings.get(grantor, 0), counted_from)
         self._update_state(now)
 
-    def _count_reply(self, at: int, sent_at: int, grantor: str, reply: LeaseReply) -> None:
-        """Count a reply to a request of the present term; the lease lasts from `at`."""
+    def _count_reply(self, counted_from: int, sent_at: int, grantor: str, reply: LeaseReply) -> None:
+        """Count a reply to a request of the present term; the lease lasts from `counted_from`."""
         if reply.probe:
             if self.probing and reply.granted:
                 self._would_grant[grantor] = max(self._would_grant.get(grantor, 0), sent_at)
         elif reply.granted and reply.term == self.term:
-            self.probing = False  # a member of an earlier version takes a probe for a request
-            # An answer that comes late or twice must not shorten the lease that a newer answer has extended.
-            self._grants[grantor] = max(self._grants.get(grantor, (0, 0)), (at, reply.set))
+            self.probing = False  # a member of an earlier version treats a probe as a request
+            # A late or duplicate reply must not shorten the lease that a newer reply has extended.
+            self._grants[grantor] = max(self._grants.get(grantor, (0, 0)), (counted_from, reply.set))
             self._update_valid_until()
         elif not reply.granted and reply.term == self.term and reply.holder != self.me:
-            # A grantor that lost its table, or that granted the term to another, never grants it to this member.
+            # A grantor that lost its table, or granted the term to another member, never grants it to this one.
             self._refused_at = max(self._refused_at, sent_at)
 
     def name_successors(self, now: int, successors: Collection[str]) -> None:
-        """Name the set of successors from now on: the members whose replicas are whole, in the order of takeover."""
+        """Name a new successor set: the members whose replicas are complete, in the order of takeover."""
         named = (self.me, *(name for name in successors if name != self.me))
         if (
             self.state is not LeaseState.HELD
@@ -186,18 +186,18 @@
         self._next_request_at = now
 
     def close(self, now: int) -> None:
-        """Start to close the lease for good; call it once the partition owes nothing any more."""
+        """Start to close the lease for good; called once the partition has no pending messages."""
         if self.state is LeaseState.HELD:
             self.state = LeaseState.CLOSING
             self._next_request_at = now
 
     def release(self) -> LeaseRequest | None:
-        """Give the lease up at once, so that a successor need not wait for its end.
+        """Give up the lease at once, so that a successor need not wait for it to expire.
 
-        Returns the request to send to all members; None where nothing was held or asked for.
+        Returns the request to send to all members; None where nothing was held or requested.
         """
         held = self.state in (LeaseState.ASKING, LeaseState.HELD) and not self.probing
-        self._end_probe()
+        self._abandon_probe()
         self.state = LeaseState.IDLE
         if not held:
             return None
@@ -206,55 +206,59 @@
         )
 
     def replace_members(self, names: Collection[str]) -> None:
-        """Set the members from now on; see `LeaseGrantor.replace_members`."""
+        """Replace the members; see `LeaseGrantor.replace_members`."""
         self._names = frozenset(names) | {self.me}
-        # Grants of a member that was removed must not count towards a majority of the remaining ones.
+        # Grants of a removed member must not count towards a majority of the remaining ones.
         self._grants = {name: each for name, each in self._grants.items() if name in self._names}
         self._closings = {name: each for name, each in self._closings.items() if name in self._names}
         self._update_valid_until()
 
     def is_valid(self, now: int) -> bool:
-        """Whether an attempt's first byte may be written now; the last check before the write."""
+        """Whether an attempt's first byte may be written now; this is the last check before the write."""
         return self.state is LeaseState.HELD and self.known_set_number > 0 and now < self.valid_until
 
     @property
     def successors(self) -> tuple[str, ...]:
-        """The set that a majority knows, the holder first; empty while there is none of this term."""
+        """The successor set that a majority knows, the holder first; empty while there is none of this term."""
         return self._sets[self.known_set_number] if self.known_set_number else ()
 
     @property
     def possible_successors(self) -> frozenset[str]:
-        """All that may be granted the next term: each must have a record before it counts as on every successor."""
+        """All members that may be granted the next term; a record is on every successor only if all of them have it."""
         return frozenset(name for successors in self._sets.values() for name in successors)
 
     def _update_valid_until(self) -> None:
-        """Compute `valid_until` when an answer or the members change: it is read far more often than it changes."""
-        self.valid_until = self._after_majority([sent for sent, _ in self._grants.values()], self._usable_span(), 0)
+        """Compute `valid_until` when the replies or the members change: it is read far more often than it changes."""
+        self.valid_until = self._majority_value([sent for sent, _ in self._grants.values()], self._usable_span(), 0)
 
     def _usable_span(self) -> int:
-        """Microseconds for which the lease lasts from when the request was sent."""
+        """How long the lease lasts, in microseconds, counted from when the request was sent."""
         return self.span - self.span // CLOCK_DRIFT_DIVISOR - MAX_PAUSE_US
 
     def _counted_from(self, sent_at: int, now: int) -> int:
-        """The start of a lease: the sending. The promise began between sending and answer, so no later time is safe."""
+        """The start of a lease: when the request was sent.
+
+        The promise began between the request and its reply, so no later time is safe.
+        """
         return sent_at
 
     def _is_of_this_term(self, number: int) -> bool:
         """Whether a set is of this term.
 
-        Until a majority knows such a set, it may still grant the lease to successors that can't know our attempts.
+        Until a majority knows such a set, it may still grant the lease to successors that cannot know the attempts of
+        this holder.
         """
         return number >> SUCCESSOR_SET_BITS == self.term
 
-    def _after_majority(self, values: list[int], more: int, none: int) -> int:
-        """The value that a majority has reached, plus `more`; `none` where no majority has a value."""
+    def _majority_value(self, values: list[int], offset: int, default: int) -> int:
+        """The largest value that a majority has reached, plus `offset`; `default` where no majority has a value."""
         majority = majority_of(len(self._names))
-        return sorted(values, reverse=True)[majority - 1] + more if len(values) >= majority else none
+        return sorted(values, reverse=True)[majority - 1] + offset if len(values) >= majority else default
 
     def _update_state(self, now: int) -> None:
-        """Derive the state from all answers so far."""
-        # A grantor that lost its table has forgotten its answers. Only answers younger than the lease count: such a
-        # grantor grants nothing for that long, and then reads the tables of others.
+        """Derive the state from all replies so far."""
+        # A grantor that lost its table has forgotten its replies. Only replies younger than the lease count: such a
+        # grantor grants nothing for that long, and then reads the tables of the other members.
         oldest = now - self._usable_span()
         sets = [number for sent, number in self._grants.values() if sent > oldest]
         closed = [sent for sent in self._closings.values() if sent > oldest]
@@ -269,33 +273,33 @@
             and (self._newest_term > self.term or self._refused_at > oldest)
         ):
             self.state = LeaseState.LOST
-        number = self._after_majority(sets, 0, 0)
+        number = self._majority_value(sets, 0, 0)
         if self.state is LeaseState.HELD and number > self.known_set_number and self._is_of_this_term(number):
             self.known_set_number = number
             self._sets = {one: successors for one, successors in self._sets.items() if one >= number}
 
     def _update_asking(self, now: int, granted: bool) -> None:
-        """Go on from a probe to the request once a majority would grant the term, and from either to its end."""
+        """Turn a probe into a request once a majority would grant the term; end either on success or failure."""
         if granted:
             self.state, self.probing = LeaseState.HELD, False
             return
-        taken = self._newest_term >= self.term if self.probing else self._newest_term > self.term
-        if taken or now >= self._requested_at + self.span:
-            self._end_probe()
-            self.state = LeaseState.LOST  # stop asking, so that the promises of a split vote run out
+        term_taken = self._newest_term >= self.term if self.probing else self._newest_term > self.term
+        if term_taken or now >= self._requested_at + self.span:
+            self._abandon_probe()
+            self.state = LeaseState.LOST  # request nothing for a while, so that the promises of a split vote expire
         elif self.probing and len(self._would_grant) >= majority_of(len(self._names)):
             self.probing = False
             self._newest_term = self.term
             self._requested_at = self._next_request_at = now
-            self._carry(SuccessorSet(self.newest_set_number, self._sets[self.newest_set_number]))
+            self._set_requested_successors(SuccessorSet(self.newest_set_number, self._sets[self.newest_set_number]))
 
-    def _end_probe(self) -> None:
-        """Give up a probe: its term was never requested."""
+    def _abandon_probe(self) -> None:
+        """Abandon a probe and restore the previous term: the probed one was never requested."""
         if self.probing:
             self.probing = False
             self.term, self.known_set_number, self.newest_set_number, self._sets = self._before_probe
 
-    def _carry(self, own: SuccessorSet) -> None:
-        """Set the successors that requests carry: the newest set known, if this member is in it, else the own one."""
-        carried = max(own, self.newest_known_set) if self.me in self.newest_known_set.names else own
-        self.newest_set_number, self._sets = carried.number, {carried.number: carried.names}
+    def _set_requested_successors(self, own: SuccessorSet) -> None:
+        """Set the successors that requests carry: the newest known set if this member is in it, else the own one."""
+        newest = max(own, self.newest_known_set) if self.me in self.newest_known_set.names else own
+        self.newest_set_number, self._sets = newest.number, {newest.number: newest.names}
--- a/tests/fleet/test_lease_histories.py
+++ b/tests/fleet/test_lease_histories.py
@@ -46,7 +46,7 @@
 
 
 class NoPromise(LeaseGrantor):
-    def _is_unpromised(self, now: int, known: Grant, ask: LeaseRequest) -> bool:
+    def _is_promise_free(self, now: int, known: Grant, ask: LeaseRequest) -> bool:
         return True
 
 
