--- a/cedarwick/fleet/__init__.py
+++ b/cedarwick/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many senders as one fleet; nothing of it is imported without a `[fleet]` table in the operator file."""
+"""Several senders that act as one fleet; imported only where the operator file has a `[fleet]` table."""
--- a/cedarwick/fleet/held_partitions.py
+++ b/cedarwick/fleet/held_partitions.py
@@ -36,7 +36,7 @@
         if (upto >> 32) != holding.partition:
             # A partition is full after 2**32 numbers: accept nothing more in it, so that the next one is opened.
             if self.ownership is not None:
-                self.ownership.full = holding is self.store.open_partition
+                self.ownership.exhausted = holding is self.store.open_partition
             return
         self._record_lease(holding.partition, holding.takeover.holder.term, upto)
         holding.reserved_upto = upto
--- a/cedarwick/fleet/lease_holder.py
+++ b/cedarwick/fleet/lease_holder.py
@@ -31,7 +31,7 @@
 
 
 class HeldTerm(NamedTuple):
-    """A term and its successor sets, as restored after a probe that was not answered by a majority."""
+    """A term and its successor sets as they were before a probe."""
 
     term: int
     known_set_number: int
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -83,11 +83,17 @@
     """
 
     def __init__(
-        self, partition: int, me: str, names: Collection[str], term: int = 0, resume: bool = False, open: bool = False
+        self,
+        partition: int,
+        me: str,
+        names: Collection[str],
+        term: int = 0,
+        resume: bool = False,
+        takes_new_messages: bool = False,
     ) -> None:
         self.partition = partition
         self.me = me
-        self.takes_new_messages = open
+        self.takes_new_messages = takes_new_messages
         self.stage = TakeoverStage.FOLLOWING
         self.holder = LeaseHolder(lease_name(partition), me, names)
         self.holder.term = term
@@ -114,7 +120,7 @@
         promised: int,
         status_of: Callable[[str], MemberStatus],
         is_complete: bool,
-        owed: int,
+        pending: int,
     ) -> TakeoverStep:
         """What is to be done now.
 
@@ -139,15 +145,15 @@
             self.stage = TakeoverStage.HOLDING
             self._has_held = True
         if self.stage is TakeoverStage.HOLDING:
-            return self._hold(now, owed)
+            return self._hold(now, pending)
         if self.stage in (TakeoverStage.ASKING, TakeoverStage.CLOSING):
             return NO_STEP
         return self._follow_or_ask(now, grant, promised, status_of, is_complete)
 
-    def _hold(self, now: int, owed: int) -> TakeoverStep:
+    def _hold(self, now: int, pending: int) -> TakeoverStep:
         if not self._imported:
             return TakeoverStep(TakeoverAction.IMPORT)
-        if owed or self.takes_new_messages:
+        if pending or self.takes_new_messages:
             return NO_STEP
         self.holder.close(now)
         self.stage = TakeoverStage.CLOSING
@@ -164,7 +170,7 @@
             else self.holder.newest_other_holder
         )
         row = self.holder.newest_row(grant)
-        if is_complete and self._is_my_turn(now, grant, row, promised, status_of, holder):
+        if is_complete and self._may_request(now, grant, row, promised, status_of, holder):
             self._resume = False
             self.stage = TakeoverStage.ASKING
             self.holder.request_next_term(now, grant, probe_first=True)
@@ -177,15 +183,15 @@
             self.holder.enquire(now, row)
         return NO_STEP
 
-    def _is_my_turn(
+    def _may_request(
         self, now: int, grant: Grant, row: Grant, promised: int, status_of: Callable[[str], MemberStatus], holder: str
     ) -> bool:
         """Whether it is this member's turn to ask.
 
         `grant` is the own grantor's row, `row` the same with the newest successors that any grantor was heard to know.
         """
-        away = holder in ("", self.me) or status_of(holder) in ABSENT
-        if not away:
+        holder_absent = holder in ("", self.me) or status_of(holder) in ABSENT
+        if not holder_absent:
             self._absent_holder = None
         elif self._absent_holder is None or self._absent_holder[0] != holder:
             self._absent_holder = (holder, now)
@@ -194,13 +200,17 @@
         # A replica that is no successor may lack attempts. Grantors refuse it, but its requests would use up terms.
         if self.me not in (*grant.successors, *row.successors):
             # Without a set nobody has fired yet, so every complete replica has all; the member that held it goes first.
-            patience = 0 if self._has_held else UNRENEWED_WAIT_US
-            return row.set == 0 and now >= max(promised, self._lease_lost_at + LEASE_SPAN_US) + patience
-        place = sum(status_of(name) not in ABSENT for name in self._successors_before(grant, row))
+            extra_wait = 0 if self._has_held else UNRENEWED_WAIT_US
+            return row.set == 0 and now >= max(promised, self._lease_lost_at + LEASE_SPAN_US) + extra_wait
+        rank = sum(status_of(name) not in ABSENT for name in self._successors_before(grant, row))
         # After a refusal promises to this member must run out first, or two successors would split each vote for ever.
-        quiet = max(promised, self._lease_lost_at + LEASE_SPAN_US if self._lease_lost_at else 0)
-        since = max(quiet, self._absent_holder[1]) if away and self._absent_holder else quiet + UNRENEWED_WAIT_US
-        return now >= since + place * SUCCESSOR_STAGGER_US
+        promises_end = max(promised, self._lease_lost_at + LEASE_SPAN_US if self._lease_lost_at else 0)
+        since = (
+            max(promises_end, self._absent_holder[1])
+            if holder_absent and self._absent_holder
+            else promises_end + UNRENEWED_WAIT_US
+        )
+        return now >= since + rank * SUCCESSOR_STAGGER_US
 
     def _successors_before(self, grant: Grant, row: Grant) -> tuple[str, ...]:
         """The successors whose turn comes before this member's.
@@ -223,7 +233,7 @@
         self.slot = slot
         self.names = names
         self.current: Takeover | None = None
-        self.full = False  # the open partition has no numbers left
+        self.exhausted = False  # the open partition has no numbers left
         self._stored = dict(stored)
         self._newest = max((partition % (1 << EPOCH_BITS) for partition in stored), default=-1)
 
@@ -233,11 +243,13 @@
         While the own grantor learns nothing is opened: the table may know partitions that this member has forgotten.
         Raises `PartitionsExhaustedError`.
         """
-        if self.current is not None and not self._is_lost(self.current) and not self.full:
+        if self.current is not None and not self._is_lost(self.current) and not self.exhausted:
             return None
         if self.current is None and self._stored:
             partition = max(self._stored)
-            self.current = Takeover(partition, self.me, self.names, self._stored[partition], resume=True, open=True)
+            self.current = Takeover(
+                partition, self.me, self.names, self._stored[partition], resume=True, takes_new_messages=True
+            )
             return self.current
         if grantor.learning:
             return None
@@ -245,11 +257,13 @@
         epoch = max(grantor.newest_epoch(self.slot), self._newest) + 1
         if epoch >> EPOCH_BITS:
             raise PartitionsExhaustedError(f"{self.me}: all {1 << EPOCH_BITS} partitions of its slot have been opened")
-        self.full = False
+        self.exhausted = False
         if self.current is not None:
             self.current.takes_new_messages = False  # if it comes back, it is closed once nothing is owed
         self._newest = epoch
-        self.current = Takeover(self.slot << EPOCH_BITS | epoch, self.me, self.names, resume=True, open=True)
+        self.current = Takeover(
+            self.slot << EPOCH_BITS | epoch, self.me, self.names, resume=True, takes_new_messages=True
+        )
         return self.current
 
     def partition(self, now: int) -> int | None:
--- a/tests/fleet/test_lease_recovery.py
+++ b/tests/fleet/test_lease_recovery.py
@@ -83,7 +83,7 @@
     def turn(self, takeover: Takeover, complete: bool) -> None:
         own = self.grantors[takeover.me]
         step = takeover.step(
-            self.now, own.grant(RIGHT), own.promised_until(RIGHT), self.status_of, is_complete=complete, owed=1
+            self.now, own.grant(RIGHT), own.promised_until(RIGHT), self.status_of, is_complete=complete, pending=1
         )
         if step.action is TakeoverAction.IMPORT:
             takeover.note_imported(self.now, ())
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -187,9 +187,9 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    def step(self, takeover: Takeover, now: int, standing: dict[str, MemberStatus], owed: int = 1) -> TakeoverAction:
+    def step(self, takeover: Takeover, now: int, standing: dict[str, MemberStatus], pending: int = 1) -> TakeoverAction:
         return takeover.step(
-            now, ROW, LEASE_SPAN_US, lambda name: standing.get(name, MemberStatus.ALIVE), True, owed
+            now, ROW, LEASE_SPAN_US, lambda name: standing.get(name, MemberStatus.ALIVE), True, pending
         ).action
 
     def test_the_second_successor_lets_the_first_one_go_first(self) -> None:
@@ -213,9 +213,9 @@
         self.step(takeover, LEASE_SPAN_US, {"a": MemberStatus.DEAD})
         for name in "bc":
             takeover.holder.receive_reply(LEASE_SPAN_US, LEASE_SPAN_US, name, LeaseReply(True, 2, "b"))
-        self.assertIs(self.step(takeover, LEASE_SPAN_US, {}, owed=0), TakeoverAction.IMPORT)
+        self.assertIs(self.step(takeover, LEASE_SPAN_US, {}, pending=0), TakeoverAction.IMPORT)
         takeover.note_imported(LEASE_SPAN_US, ["c"])
-        self.assertIs(self.step(takeover, LEASE_SPAN_US, {}, owed=0), TakeoverAction.CLOSE)
+        self.assertIs(self.step(takeover, LEASE_SPAN_US, {}, pending=0), TakeoverAction.CLOSE)
         for name in "bc":
             takeover.holder.receive_reply(LEASE_SPAN_US, LEASE_SPAN_US, name, LeaseReply(True, 2, "b", closed=True))
         self.assertIs(self.step(takeover, LEASE_SPAN_US, {}), TakeoverAction.DROP)
