--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -1,8 +1,8 @@
-"""Gossip between members, apart from partitions: receivers suspended by hand, and Retry-After waits.
+"""Gossip between members that does not concern partitions: suspended receivers and Retry-After waits.
 
-Suspension marks (`suspensions.py`) go at once to each member that lacks them, and digests every few seconds, so that
-members that were cut off, or are new, converge to the same map. A hint of Retry-After waits is sent once and may be
-lost: it only makes a sender more careful, and ends with the wait.
+Suspension rows (`suspensions.py`) are sent at once to each member that lacks them, and digests every few seconds, so
+that members that were cut off or are new converge to the same map. A hint of Retry-After waits is sent once and may be
+lost: it only makes a sender send less, and expires with the wait.
 """
 
 import os
@@ -26,36 +26,36 @@
 from cedarwick.ops.management import ManagementCommands
 
 SEND_INTERVAL_US = 250_000  # between two peer messages of a kind to one member
-DIGEST_INTERVAL_US = 5_000_000  # between two peer messages without changes
-CALL_TIMEOUT_S = 0.4  # until a call is given up
-SAVE_RETRY_US = 10_000_000  # between two attempts to write what could not be written
-SYNC_TIME_SAVE_INTERVAL_US = 3_600_000_000  # how far behind the file may be on when a member was met last
-MIN_WAIT_US = 300_000  # a wait that is over sooner is not sent
-SAME_WAIT_TOLERANCE_US = 50_000  # an end that is only so much later than the one sent is not sent again
-MAX_HINTS = 64  # waits in one hint: the newest
+DIGEST_INTERVAL_US = 5_000_000  # between two digests to a member while nothing changes
+CALL_TIMEOUT_S = 0.4
+SAVE_RETRY_US = 10_000_000  # between two attempts to write `suspended.json`
+SYNC_TIME_SAVE_INTERVAL_US = 3_600_000_000  # how old the time of the last synchronization in the file may be
+MIN_WAIT_US = 300_000  # a shorter remaining wait is not sent
+SAME_WAIT_TOLERANCE_US = 50_000  # a wait whose end is at most this much later than the one sent is not sent again
+MAX_HINTS = 64  # waits in one hint; the newest are sent
 
 
-class NotSharedError(CedarwickError):
-    """Receivers are out by hand here, and the other members cannot be told of all of them."""
+class SuspensionsNotSharedError(CedarwickError):
+    """Not all suspended receivers can be sent to the other members."""
 
     code = "CW745"
     remedy = "restore some, or suspend at each member those with a uid over 128 characters or not in ASCII"
 
 
-class MarksNotSavedError(CedarwickError):
-    """The versions of what is out by hand cannot be written; the members go on with what they hold in memory."""
+class SuspensionsNotSavedError(CedarwickError):
+    """The versions of suspensions cannot be written; the members continue with those in memory."""
 
     code = "CW746"
     remedy = "free the disk that holds $RELAY_STATE before this sender is restarted"
 
 
 def wall_time() -> int:
-    """Wall clock microseconds. The sender's own clock stops while the machine sleeps; later marks would look older."""
+    """Wall time in microseconds. The sender's own clock stops while the machine sleeps: later rows would look older."""
     return time.time_ns() // 1000
 
 
 class Gossip:
-    """Sends and answers the gossip of one member. Nothing is sent or merged before `attach`."""
+    """Sends and answers the gossip of one member. No suspension is sent or merged before `attach`."""
 
     def __init__(
         self,
@@ -72,13 +72,13 @@
         self.call = call
         self.attached = False
         self.suspension_table = SuspensionTable(name)
-        self.unsaved = False  # suspended.json says less than this process knows
+        self.unsaved = False  # whether suspended.json could not be written since the last change
         self.saved_at = 0
         self.missing_rows: dict[str, set[str]] = {}  # by member: uids whose rows it lacks
-        self.next_exchange_at: dict[str, int] = {}  # by member: when it is written to where nothing is new
-        self.digests_sent: dict[str, int] = {}  # by member: the digest at the last peer message
+        self.next_exchange_at: dict[str, int] = {}  # by member: when it is next called if nothing changes
+        self.digests_sent: dict[str, int] = {}  # by member: the digest after the last exchange
         self.calls_in_progress: set[str] = set()
-        self.out_of_date: set[str] = set()  # members that may have missed something, too
+        self.out_of_date: set[str] = set()  # members whose rows are incomplete, as they may have missed changes, too
         self.next_check_at = 0
         self.next_hint_at = 0
         self.pending_waits: dict[int, int] = {}  # by receiver: ends of waits to be sent, the newest last
@@ -88,7 +88,7 @@
         self.dispatcher: Dispatcher
 
     def attach(self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-        """Load the saved marks, and listen to operators' commands and attempts; once this process owns the folder."""
+        """Load the saved rows and subscribe to operators' commands and attempts, once this process owns the folder."""
         self.management, self.endpoint_list, self.dispatcher = management, endpoint_list, dispatcher
         management.changed = self._suspension_changed
         dispatcher.attempts.report_retry_after, dispatcher.attempts.report_result = (
@@ -110,7 +110,7 @@
     # ---- called by the node ----
 
     def send_due(self, now: int, alive: Iterable[str], majority: int) -> None:
-        """Send what is due. `now`: microseconds of the boot clock; `alive`: members; `majority`: of all members."""
+        """Send what is due. `now`: microseconds of the boot clock; `alive`: live members; `majority`: of all."""
         others = [name for name in alive if name != self.name]
         if self.pending_waits and now >= self.next_hint_at and (waits := self._take_due_waits()):
             self.next_hint_at = now + SEND_INTERVAL_US
@@ -137,7 +137,7 @@
                 gevent.spawn(self._exchange_rows, now, name)
 
     def answer(self, sender: str, body: SuspensionMarksMessage | RetryAfterHint) -> Body:
-        """The answer to another member's peer message."""
+        """Process another member's peer message and return the answer."""
         if not self.attached:
             return Acknowledged()
         if isinstance(body, RetryAfterHint):
@@ -149,17 +149,17 @@
             return Acknowledged()
         self.suspension_table.refresh(wall_time())
         self._merge_received(sender, lambda now: self.suspension_table.merge(now, body.rows))
-        mine = self.suspension_table.digest()
+        own_digest = self.suspension_table.digest()
         return SuspensionMarksMessage(
-            mine,
-            () if body.digest == mine else self.suspension_table.shared_rows(),
+            own_digest,
+            () if body.digest == own_digest else self.suspension_table.shared_rows(),
             self.suspension_table.is_complete(),
         )
 
-    # ---- receivers taken out by hand ----
+    # ---- suspended receivers ----
 
     def _suspension_changed(self, uid: str, calls: int) -> None:
-        """Note an operator's command at this member and send it to the others."""
+        """Record an operator's command at this member and send it to the others."""
         self.suspension_table.refresh(wall_time())
         self.suspension_table.set_calls(wall_time(), uid, calls)
         self._add_missing([uid])
@@ -168,11 +168,11 @@
 
     def _exchange_rows(self, now: int, name: str) -> None:
         try:
-            self._exchange_rows_with(now, name)
+            self._send_rows(now, name)
         finally:
             self.calls_in_progress.discard(name)
 
-    def _exchange_rows_with(self, now: int, name: str) -> None:
+    def _send_rows(self, now: int, name: str) -> None:
         sent = {
             row.uid: row for row in self.suspension_table.shared_rows() if row.uid in self.missing_rows.get(name, ())
         }
@@ -181,35 +181,35 @@
         if not isinstance(answer, SuspensionMarksMessage):
             self.next_exchange_at[name] = now + SEND_INTERVAL_US
             return
-        theirs = all_sent if answer.digest == digest else answer.rows
+        their_rows = all_sent if answer.digest == digest else answer.rows
         self.suspension_table.refresh(wall_time())
         if answer.whole:
             self.out_of_date.discard(name)
-            self._merge_received(name, lambda at: self.suspension_table.merge_all(at, theirs))
+            self._merge_received(name, lambda at: self.suspension_table.merge_all(at, their_rows))
         else:
             self.out_of_date.add(name)
-            self._merge_received(name, lambda at: self.suspension_table.merge(at, theirs))
-        have = {row.uid: row for row in theirs}
+            self._merge_received(name, lambda at: self.suspension_table.merge(at, their_rows))
+        received_rows = {row.uid: row for row in their_rows}
         missing = {
             row.uid
             for row in self.suspension_table.shared_rows()
-            if row.uid not in have or is_newer(row, have[row.uid])
+            if row.uid not in received_rows or is_newer(row, received_rows[row.uid])
         }
-        # Rows that the other does not take are not sent again: otherwise four times a second for ever.
+        # Rows that the other member does not accept are not sent again: they would be sent four times a second.
         refused = {uid for uid in missing if sent.get(uid) == self.suspension_table.rows[uid]}
         self.missing_rows[name] = missing - refused
         self.digests_sent[name] = self.suspension_table.digest()
         self.next_exchange_at[name] = now + DIGEST_INTERVAL_US
 
-    def _merge_received(self, sender: str, joined: Callable[[int], list[str]]) -> None:
+    def _merge_received(self, sender: str, merge: Callable[[int], list[str]]) -> None:
         """Merge rows of another member, and suspend or restore receivers accordingly."""
         now, synced_at = wall_time(), self.suspension_table.synced_at
         saved = None if self.unsaved else self._read_suspended_file()
         if saved is not None:
-            # The process that replaces this one may have changed the file; writing ours would undo that.
+            # The process that replaces this one may have changed the file; writing the own rows would undo that.
             self._add_missing(self.suspension_table.apply_saved_file(now, saved))
-        changed = joined(now)
-        self._add_missing(changed, but=sender)
+        changed = merge(now)
+        self._add_missing(changed, except_for=sender)
         for uid in changed:
             logger.info(
                 "{} {}, reported by {}",
@@ -222,9 +222,9 @@
         elif synced_at != self.suspension_table.synced_at and now - self.saved_at > SYNC_TIME_SAVE_INTERVAL_US:
             self._write_versions()
 
-    def _add_missing(self, uids: Iterable[str], but: str = "") -> None:
+    def _add_missing(self, uids: Iterable[str], except_for: str = "") -> None:
         for name, lacks in self.missing_rows.items():
-            if name != but:
+            if name != except_for:
                 lacks.update(uids)
 
     def _read_suspended_file(self) -> dict[str, int] | None:
@@ -240,16 +240,17 @@
             return None
 
     def _apply_and_save(self) -> None:
-        """Suspend what the marks say, and write suspended.json, then the marks."""
+        """Suspend the receivers of the table, write suspended.json, then the versions."""
         calls = self.suspension_table.suspensions()
-        # The file before the marks: after a crash between the two, what it lacked would pass for restored by hand.
+        # The file is written before the versions: after a crash between the two in the other order, a receiver missing
+        # from the file would look restored by an operator.
         if calls != (self._read_suspended_file() or {}) or calls.keys() != self.endpoint_list.suspended:
             self.unsaved = not self.management.keep(calls)
         self._write_versions()
         if count := self.suspension_table.unshared_count():
             self.counters.warning(
                 "receivers out by hand that the other members are not told of",
-                NotSharedError(f"{count} of {len(calls)}, at most {MAX_UID_LENGTH} characters of ASCII each"),
+                SuspensionsNotSharedError(f"{count} of {len(calls)}; a uid may have {MAX_UID_LENGTH} ASCII characters"),
             )
 
     def _write_versions(self) -> None:
@@ -257,12 +258,12 @@
         try:
             self.fleet_files.write_marks(self.suspension_table.saved())
         except OSError as error:
-            self.counters.warning("the fleet's marks are not kept", MarksNotSavedError(str(error)))
+            self.counters.warning("the fleet's marks are not kept", SuspensionsNotSavedError(str(error)))
 
     # ---- Retry-After waits ----
 
     def _apply_waits(self, waits: list[tuple[int, int]]) -> None:
-        """A wait that is reported apart from its attempt's ending."""
+        """Apply waits that are reported separately from the result of their attempt."""
         self.dispatcher.apply_retry_after(waits)
         self._queue_waits(waits)
 
@@ -272,7 +273,7 @@
             self._queue_waits([(call.receiver, self.clock.now() + ending.retry_after)])
 
     def _queue_waits(self, waits: list[tuple[int, int]]) -> None:
-        """Receivers have asked this sender to wait; waits from other members' hints do not come here."""
+        """Queue waits that receivers requested from this sender; waits from other members' hints are not queued."""
         for receiver, until in waits:
             if until > max(
                 self.pending_waits.get(receiver, 0), self.sent_waits.get(receiver, 0) + SAME_WAIT_TOLERANCE_US
@@ -283,17 +284,17 @@
             del self.pending_waits[next(iter(self.pending_waits))]
 
     def _take_due_waits(self) -> tuple[RetryAfterEntry, ...]:
-        """The waits that are to be sent now."""
+        """Remove the queued waits and return those to be sent."""
         now = self.clock.now()
         self.sent_waits = {receiver: until for receiver, until in self.sent_waits.items() if until > now}
         waits, self.pending_waits = self.pending_waits, {}
         if not waits:
             return ()
         uids = self.endpoint_list.uids
-        found = [
+        entries = [
             RetryAfterEntry(uids[receiver], until - now)
             for receiver, until in waits.items()
             if until - now > MIN_WAIT_US and receiver in uids and len(uids[receiver]) <= MAX_UID_LENGTH
         ]
         self.sent_waits.update(waits)
-        return tuple(found)
+        return tuple(entries)
--- a/tests/fleet/test_suspensions.py
+++ b/tests/fleet/test_suspensions.py
@@ -178,7 +178,7 @@
             file.write(b"spoilt")
         self.begin()
         self.assertEqual((self.listed.suspended, self.sharing.suspension_table.shared_rows()), (set("WXYZ"), ()))
-        self.sharing._exchange_rows_with(0, "n")  # which knows of none
+        self.sharing._send_rows(0, "n")  # which knows of none
         self.assertEqual(self.listed.suspended, set())
 
     def test_a_full_disk_undoes_nothing(self) -> None:
@@ -194,7 +194,7 @@
         self.sharing.suspension_table.set_calls(gossip.wall_time(), "X", 1)
         for turn in range(9):
             if turn == 0 or self.sharing.missing_rows["n"]:
-                self.sharing._exchange_rows_with(turn, "n")
+                self.sharing._send_rows(turn, "n")
         self.assertEqual([len(body.rows) for body in self.sent], [0, 1])
 
     def test_hints_are_few_say_what_is_left_and_are_not_passed_on(self) -> None:
