--- a/cedarwick/fleet/pending_order_keys.py
+++ b/cedarwick/fleet/pending_order_keys.py
@@ -10,7 +10,7 @@
 from cedarwick.fleet.held_partitions import HeldPartitions
 from cedarwick.fleet.leased_partition import LeasedPartition
 from cedarwick.fleet.leases import lease_name
-from cedarwick.fleet.limits import CALL_TIMEOUT_S, MAX_OWED_MESSAGES
+from cedarwick.fleet.limits import CALL_TIMEOUT_S, MAX_PENDING_SEARCHED
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import PENDING_ORDER_KEYS_LEVEL, PendingOrderKeys
 from cedarwick.fleet.replication_facts import EndRank
@@ -77,7 +77,7 @@
             self.replica_order_keys[partition] = frozenset(
                 [
                     fact.base.turn
-                    for fact in facts[:MAX_OWED_MESSAGES]
+                    for fact in facts[:MAX_PENDING_SEARCHED]
                     if fact.base is not None
                     and fact.known.end[0] is EndRank.NONE
                     and self.dispatcher.ordered(fact.base.priority_class)
@@ -90,7 +90,7 @@
 
         Messages of the open partition are left out if their key rests: older ones are pending elsewhere.
         """
-        for number in islice(holding.ledger.known, MAX_OWED_MESSAGES):
+        for number in islice(holding.ledger.known, MAX_PENDING_SEARCHED):
             stored = self.store.messages.get(number)
             if (
                 stored is not None
--- a/cedarwick/fleet/ports.py
+++ b/cedarwick/fleet/ports.py
@@ -1,7 +1,7 @@
-"""Protocols between a member of a fleet and what is above and below it.
+"""Interfaces between a member of a fleet, the dispatcher and the session modules.
 
-The dispatcher satisfies `PartitionDispatcher`, and `FleetNode` satisfies `SessionHost`: the session modules depend on
-it alone, so that imports only run downward, from the node to the sessions, never back.
+The dispatcher implements `PartitionDispatcher`, and `FleetNode` implements `SessionHost`, on which alone the session
+modules depend. So imports only run downward, from the node to the sessions, and never back.
 """
 
 from collections.abc import Container
@@ -18,41 +18,41 @@
 
 
 class PartitionDispatcher(Protocol):
-    """What the dispatcher does for partitions; messages are given by number."""
+    """The operations of the dispatcher on messages of partitions; messages are given by number."""
 
     def adopt(self, numbers: list[int]) -> None:
-        """Go on with stored messages, as after a restart."""
+        """Resume stored messages, as after a restart."""
         ...
 
     def park(self, numbers: list[int]) -> None:
-        """Leave messages alone from now on, without an answer."""
+        """Stop handling messages, without a final answer."""
         ...
 
     def answer_late(self, numbers: list[int]) -> None:
-        """Write off parked messages whose deadline is near."""
+        """Give parked messages whose deadline is near their final answer."""
         ...
 
     def ordered(self, priority_class: str) -> bool:
-        """Whether messages of a priority class are delivered one after another within a key."""
+        """Whether messages of a priority class are delivered in order within an order key."""
         ...
 
     def rest(self, keys: frozenset[int]) -> None:
-        """Hold back messages of these keys until a call without the key: earlier ones are owed by other members."""
+        """Hold back messages of these keys until a call without the key: other members have earlier ones pending."""
         ...
 
     def rest_of(self, key: int) -> int:
-        """Microseconds for which a key must rest here, since an attempt of it may be running."""
+        """How long a key must be held back here, in microseconds, since one of its attempts may be running."""
         ...
 
 
 class SessionHost(Protocol):
-    """The member of a fleet that holds sessions. Its lists of members change when the settings are reloaded."""
+    """A member of a fleet that holds sessions. Its members change when the settings are reloaded."""
 
     name: str
     incarnation: int  # of this process
     halls: dict[str, str]  # by member
-    addresses: dict[str, tuple[str, int]]  # by member: its address
-    leaving: bool  # whether this member is about to end
+    addresses: dict[str, tuple[str, int]]  # by member
+    leaving: bool  # whether this member is shutting down
     store: ReplicatedStore
     fleet_files: FleetFiles
     clock: Clock
@@ -64,5 +64,5 @@
 
     @property
     def takeovers(self) -> Container[int]:
-        """The partitions for which this member has a `Takeover`, as holder or as copy."""
+        """The partitions for which this member has a `Takeover`, as holder or as replica."""
         ...
