--- a/tests/fleet/lease_histories.py
+++ b/tests/fleet/lease_histories.py
@@ -14,7 +14,7 @@
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseReply, LeaseRequest
 from cedarwick.fleet.takeover import Takeover, TakeoverAction, TakeoverStage
-from tests.fleet.explore import PARTITION, RIGHT, named
+from tests.fleet.explore import LEASE, PARTITION, named_successors
 
 MEMBERS = ("a", "b", "c", "d", "e")
 STEP = 100_000  # microseconds
@@ -27,7 +27,7 @@
         self.name = name
         self.pace = pace  # microseconds of its clock for each 1,000 true ones
         self.rows: tuple[Grant, ...] | None = ()
-        self.whole = name == "a"
+        self.complete = name == "a"
         self.term = 0 if name == "a" else -1  # the newest that it held; -1: it is a copy
         self.up = True
         self.runs = True
@@ -50,9 +50,12 @@
         self.forgot = False
         self.senders = {name: Sender(name, self.random.choice((950, 975, 1000))) for name in MEMBERS}
         self.late: list[tuple[int, str, str, int, object]] = []  # when, to, from, sent at, body
-        self.fired, self.named = ("", 0), frozenset(MEMBERS[:1])  # who fired last; whom that one has named
+        self.last_attempt, self.named_successors = (
+            ("", 0),
+            frozenset(MEMBERS[:1]),
+        )  # who fired last; whom that one has named
         self.given: frozenset[str] = frozenset()  # who was given all since, by one that followed and has not fired yet
-        self.legit = self.named
+        self.allowed_successors = self.named_successors
         self.recovered_at = 0  # when somebody held it for the first time after the last fault; 0: nobody has
 
     @rule(steps=st.integers(1, 30))
@@ -66,7 +69,7 @@
             for sender in self.random.sample(list(self.senders.values()), len(self.senders)):
                 if sender.up and sender.runs:
                     self.turn(sender)
-            self.judge()
+            self.check()
 
     @rule(name=st.sampled_from(MEMBERS), how=st.sampled_from(("crash", "stop", "crash", "stop", "forget")))
     def fails(self, name: str, how: str) -> None:
@@ -77,7 +80,7 @@
             sender.up = False
             self.late = [one for one in self.late if one[1] != name]
             if how == "forget" and not self.forgot:
-                self.forgot, sender.rows, sender.whole, sender.term = True, None, False, -1
+                self.forgot, sender.rows, sender.complete, sender.term = True, None, False, -1
         else:
             self.restart(sender)
 
@@ -120,7 +123,9 @@
         now, grantor, takeover = self.clock(sender), sender.grantor, sender.takeover
         for other in grantor.members_to_learn_from(now):
             self.send(other, sender, now, "tables")
-        step = takeover.step(now, grantor.grant(RIGHT), grantor.promised_until(RIGHT), self.standing, sender.whole, 1)
+        step = takeover.step(
+            now, grantor.grant(LEASE), grantor.promised_until(LEASE), self.standing, sender.complete, 1
+        )
         if step.action is TakeoverAction.IMPORT or (
             takeover.stage is TakeoverStage.HOLDING and self.random.random() < 0.02
         ):
@@ -128,11 +133,11 @@
             successors = self.random.sample(others, min(2, len(others)))
             takeover.note_imported(now, [one.name for one in successors])
             for one in successors:
-                one.whole = True
+                one.complete = True
         elif step.action is TakeoverAction.OFFER and self.senders[step.target].takeover.stage is TakeoverStage.HOLDING:
             takeover.note_offer_accepted()
         elif step.action is TakeoverAction.DROP:
-            sender.takeover, sender.whole, sender.term = Takeover(PARTITION, sender.name, MEMBERS), False, -1
+            sender.takeover, sender.complete, sender.term = Takeover(PARTITION, sender.name, MEMBERS), False, -1
         if takeover.holder.state is LeaseState.HELD:
             sender.term = takeover.holder.term
         ask = sender.takeover.holder.due_request(now)
@@ -140,28 +145,34 @@
             for to in (sender.name, *(name for name in MEMBERS if name != sender.name)):
                 self.send(to, sender, now, ask)
 
-    def judge(self) -> None:
+    def check(self) -> None:
         holders = {name: one.takeover.holder for name, one in self.senders.items() if one.up}
-        firing = [name for name, holder in holders.items() if holder.is_valid(self.clock(self.senders[name]))]
-        assert len(firing) <= 1, f"{firing} may fire at once"
-        if firing and not self.faulty:
+        attempting = [name for name, holder in holders.items() if holder.is_valid(self.clock(self.senders[name]))]
+        assert len(attempting) <= 1, f"{attempting} may fire at once"
+        if attempting and not self.faulty:
             self.recovered_at = self.recovered_at or self.now
-        for name in firing:
-            if (name, holders[name].term) != self.fired:
-                assert not self.fired[1] or name in self.legit, f"{name} adopts from {self.fired} and is no successor"
-                assert holders[name].term > self.fired[1], f"{name} fires in an older term"
-                self.fired = (name, holders[name].term)
-        if firing:
+        for name in attempting:
+            if (name, holders[name].term) != self.last_attempt:
+                assert (
+                    not self.last_attempt[1] or name in self.allowed_successors
+                ), f"{name} adopts from {self.last_attempt} and is no successor"
+                assert holders[name].term > self.last_attempt[1], f"{name} fires in an older term"
+                self.last_attempt = (name, holders[name].term)
+        if attempting:
             self.given = frozenset()  # they were given what had been fired before
-        last = holders.get(self.fired[0])
+        last = holders.get(self.last_attempt[0])
         # A holder that was started again has named nobody yet in its new life; what it had named before stands.
-        if last is not None and last.term == self.fired[1] and (successors := named(last)):
-            self.named = successors
-        self.legit = self.named | self.given
+        if last is not None and last.term == self.last_attempt[1] and (successors := named_successors(last)):
+            self.named_successors = successors
+        self.allowed_successors = self.named_successors | self.given
         for name, holder in holders.items():  # one that may follow and has not fired yet may give all to more
-            if holder.state is LeaseState.HELD and holder.term > self.fired[1] and name in self.legit:
-                self.given |= named(holder)
-                self.legit |= named(holder)
+            if (
+                holder.state is LeaseState.HELD
+                and holder.term > self.last_attempt[1]
+                and name in self.allowed_successors
+            ):
+                self.given |= named_successors(holder)
+                self.allowed_successors |= named_successors(holder)
 
     def teardown(self) -> None:
         """Once all faults stop, a successor or the owner holds it again."""
@@ -172,7 +183,7 @@
             sender.runs = True
             if not sender.up:
                 self.restart(sender)
-        complete = [name for name in self.legit if self.senders[name].whole]
+        complete = [name for name in self.allowed_successors if self.senders[name].complete]
         for _ in range(10):
             self.goes_on(24)
             if any(one.takeover.holder.is_valid(self.clock(one)) for one in self.senders.values()):
@@ -186,6 +197,6 @@
         Allowed: the last holder had named itself alone, a majority knows that, and it has lost its folder. It may have
         fired what nobody else knows, so nobody may follow.
         """
-        rows = sorted((each.grantor.grant(RIGHT) for each in self.senders.values()), key=lambda row: -row.set)
+        rows = sorted((each.grantor.grant(LEASE) for each in self.senders.values()), key=lambda row: -row.set)
         binding = rows[majority_of(len(MEMBERS)) - 1].set
         return not binding or any(name in row.successors for row in rows if row.set >= binding)
--- a/tests/fleet/test_lease_histories.py
+++ b/tests/fleet/test_lease_histories.py
@@ -10,7 +10,7 @@
 from cedarwick.fleet.lease_holder import LeaseHolder
 from cedarwick.fleet.leases import majority_of
 from cedarwick.fleet.messages import Grant, LeaseRequest
-from tests.fleet.explore import Found, Model, explore
+from tests.fleet.explore import Exploration, Model, explore
 from tests.fleet.lease_histories import MEMBERS, Histories
 
 
@@ -20,47 +20,47 @@
     begin: str
     actions: str
     crashes: int
-    lates: int
+    late_messages: int
     depth: int
     states: int
 
 
 PARTS = {
-    "first": Part("blank", "H A B crash name", 1, 1, 3, 1971),
-    "late answers": Part("late", "A name", 0, 0, 8, 931),
-    "crash": Part("running", "A B crash", 1, 0, 7, 7308),
-    "forgot": Part("running", "H A B wipe", 1, 0, 5, 7343),
-    "closing": Part("running", "H A B close", 0, 0, 5, 6169),
-    "heirs": Part("running", "A B name", 0, 0, 6, 703),
-    "woken": Part("woken", "H crash", 1, 0, 7, 1194),
-    "two successors": Part("granted", "A B", 0, 0, 6, 2485),
-    "dead adopter": Part("granted", "A B crash", 1, 0, 5, 3339),
-    "probes": Part("granted", "A B probe", 0, 0, 6, 3638),
-    "probes and a crash": Part("granted", "A B crash probe", 1, 0, 5, 2874),
+    "first": Part("never_held", "H A B crash name", 1, 1, 3, 1971),
+    "late answers": Part("held_with_late_replies", "A name", 0, 0, 8, 931),
+    "crash": Part("held", "A B crash", 1, 0, 7, 7308),
+    "lost folder": Part("held", "H A B wipe", 1, 0, 5, 7343),
+    "closing": Part("held", "H A B close", 0, 0, 5, 6169),
+    "successors": Part("held", "A B name", 0, 0, 6, 703),
+    "woken": Part("holder_resumes", "H crash", 1, 0, 7, 1194),
+    "two successors": Part("next_term_granted", "A B", 0, 0, 6, 2485),
+    "dead successor": Part("next_term_granted", "A B crash", 1, 0, 5, 3339),
+    "probes": Part("next_term_granted", "A B probe", 0, 0, 6, 3638),
+    "probes and a crash": Part("next_term_granted", "A B crash probe", 1, 0, 5, 2874),
 }
 
 
 class AnyTerm(LeaseGrantor):
-    def _term_fits(self, known: Grant, ask: LeaseRequest) -> bool:
+    def _term_fits(self, known: Grant, request: LeaseRequest) -> bool:
         return True
 
 
 class NoPromise(LeaseGrantor):
-    def _is_promise_free(self, now: int, known: Grant, ask: LeaseRequest) -> bool:
+    def _is_promise_free(self, now: int, known: Grant, request: LeaseRequest) -> bool:
         return True
 
 
-class AnyHeir(LeaseGrantor):
-    def _is_successor(self, known: Grant, ask: LeaseRequest) -> bool:
+class AnySuccessor(LeaseGrantor):
+    def _is_successor(self, known: Grant, request: LeaseRequest) -> bool:
         return True
 
 
 class Reopening(LeaseGrantor):
-    def _is_open(self, known: Grant, ask: LeaseRequest) -> bool:
+    def _is_open(self, known: Grant, request: LeaseRequest) -> bool:
         return True
 
 
-class NoSilence(LeaseGrantor):
+class NoWaitAfterBoot(LeaseGrantor):
     def _promised_at_boot(self) -> int:
         return self.booted_at
 
@@ -70,17 +70,17 @@
         super().__init__(me, names, boot, grants or ())
 
 
-class NoMargin(LeaseHolder):
+class WholeSpan(LeaseHolder):
     def _usable_span(self) -> int:
         return self.span
 
 
-class FromAnswer(LeaseHolder):
+class CountedFromReply(LeaseHolder):
     def _counted_from(self, sent_at: int, now: int) -> int:
         return now
 
 
-class FiresUnnamed(LeaseHolder):
+class AttemptsBeforeNaming(LeaseHolder):
     def _is_of_this_term(self, number: int) -> bool:
         return True
 
@@ -88,18 +88,20 @@
 MUTANTS: dict[type[LeaseGrantor] | type[LeaseHolder], tuple[str, str]] = {
     AnyTerm: ("woken", "no successor"),
     NoPromise: ("late answers", "at once"),
-    AnyHeir: ("heirs", "no successor"),
+    AnySuccessor: ("successors", "no successor"),
     Reopening: ("closing", "closed"),
-    NoSilence: ("crash", "at once"),
-    NoLearning: ("forgot", "no successor"),
-    NoMargin: ("late answers", "at once"),
-    FromAnswer: ("late answers", "at once"),
-    FiresUnnamed: ("two successors", "no successor"),
+    NoWaitAfterBoot: ("crash", "at once"),
+    NoLearning: ("lost folder", "no successor"),
+    WholeSpan: ("late answers", "at once"),
+    CountedFromReply: ("late answers", "at once"),
+    AttemptsBeforeNaming: ("two successors", "no successor"),
 }
 
 
-def explored(part: Part, grantor: type[LeaseGrantor] = LeaseGrantor, holder: type[LeaseHolder] = LeaseHolder) -> Found:
-    model = Model(grantor, holder, part.actions, part.crashes, part.lates)
+def explore_part(
+    part: Part, grantor: type[LeaseGrantor] = LeaseGrantor, holder: type[LeaseHolder] = LeaseHolder
+) -> Exploration:
+    model = Model(grantor, holder, part.actions, part.crashes, part.late_messages)
     return explore(model, getattr(model, part.begin)(), part.depth)
 
 
@@ -107,16 +109,16 @@
     def test_no_history_of_three_members_breaks_a_claim(self) -> None:
         for name, part in PARTS.items():
             with self.subTest(name):
-                self.assertEqual(explored(part), (part.states, "", []))
+                self.assertEqual(explore_part(part), (part.states, "", []))
 
     def test_a_missing_guard_breaks_a_claim(self) -> None:
-        for mutant, (name, broken) in MUTANTS.items():
+        for mutant, (name, claim) in MUTANTS.items():
             with self.subTest(mutant.__name__):
                 if issubclass(mutant, LeaseGrantor):
-                    found = explored(PARTS[name], grantor=mutant)
+                    found = explore_part(PARTS[name], grantor=mutant)
                 else:
-                    found = explored(PARTS[name], holder=mutant)
-                self.assertIn(broken, found.broken)
+                    found = explore_part(PARTS[name], holder=mutant)
+                self.assertIn(claim, found.broken_claim)
 
 
 class ManyHistoriesTest(unittest.TestCase):
@@ -133,7 +135,7 @@
         history.fails(name="a", how="crash")
         history.fails(name="a", how="crash")  # one that is down is started again
         history.goes_on(steps=7)
-        self.assertEqual(history.fired, ("e", 2))  # the first successor
+        self.assertEqual(history.last_attempt, ("e", 2))  # the first successor
 
     def test_a_member_without_its_folder_completes_no_grant_that_it_had_refused(self) -> None:
         """b votes for d's term 2, loses its folder, learns a's newer, undecided term 3, and completes its majority."""
--- a/tests/fleet/test_lease_recovery.py
+++ b/tests/fleet/test_lease_recovery.py
@@ -28,7 +28,7 @@
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Grant, GrantTable, LeaseRequest
 from cedarwick.fleet.takeover import UNRENEWED_WAIT_US, Takeover, TakeoverAction, TakeoverStage
-from tests.fleet.explore import PARTITION, RIGHT
+from tests.fleet.explore import LEASE, PARTITION
 from tests.fleet.lease_soak import play
 
 MEMBERS = ("a", "b", "c", "d", "e")
@@ -51,7 +51,7 @@
 
 
 def row(term: int, holder: str, number: int, *successors: str) -> Grant:
-    return Grant(RIGHT, term, holder, successors, number)
+    return Grant(LEASE, term, holder, successors, number)
 
 
 def grantor(name: str, *rows: Grant) -> LeaseGrantor:
@@ -83,7 +83,7 @@
     def turn(self, takeover: Takeover, complete: bool) -> None:
         own = self.grantors[takeover.me]
         step = takeover.step(
-            self.now, own.grant(RIGHT), own.promised_until(RIGHT), self.status_of, is_complete=complete, pending=1
+            self.now, own.grant(LEASE), own.promised_until(LEASE), self.status_of, is_complete=complete, pending=1
         )
         if step.action is TakeoverAction.IMPORT:
             takeover.note_imported(self.now, ())
@@ -106,7 +106,7 @@
         self.grantor = learned(("a", self.asked_by_a), ("e", self.asked_by_a), ("c", self.held_by_d))
 
     def ask(self, term: int, holder: str, number: int, *successors: str) -> bool:
-        request = LeaseRequest(RIGHT, term, holder, LEASE_SPAN_US, successors, number)
+        request = LeaseRequest(LEASE, term, holder, LEASE_SPAN_US, successors, number)
         return self.grantor.handle_request(LONG_AFTER, request).granted
 
     def test_an_undecided_term_is_granted_to_neither(self) -> None:
@@ -132,25 +132,25 @@
         six = LeaseGrantor("b", (*MEMBERS, "f"), 0, None)
         for name in "acd":
             six.learn_from(LEASE_SPAN_US, name, GrantTable(False, (self.held_by_d,)))
-        self.assertEqual((six.learning, six.grant(RIGHT).holder), (False, ""))
+        self.assertEqual((six.learning, six.grant(LEASE).holder), (False, ""))
         with mock.patch.object(LeaseGrantor, "_is_decided", return_value=True):
             self.grantor = learned(*((name, self.held_by_d) for name in "ace"))
-            self.assertEqual(self.grantor.grant(RIGHT).holder, "d")
+            self.assertEqual(self.grantor.grant(LEASE).holder, "d")
 
     def test_a_table_without_the_row_does_not_count_towards_the_majority(self) -> None:
         made = LeaseGrantor("b", MEMBERS, 0, None)
         for name, rows in (("a", (self.held_by_d,)), ("c", (self.held_by_d,)), ("e", ())):
             made.learn_from(LEASE_SPAN_US, name, GrantTable(False, rows))
-        self.assertEqual((made.learning, made.grant(RIGHT).holder), (False, ""))
+        self.assertEqual((made.learning, made.grant(LEASE).holder), (False, ""))
 
 
 class AbstentionTest(unittest.TestCase):
     def held(self) -> LeaseHolder:
-        holder = LeaseHolder(RIGHT, "d", MEMBERS)
+        holder = LeaseHolder(LEASE, "d", MEMBERS)
         holder.request_next_term(0, row(1, "a", FIRST_SET, "a", "d"))
         for name in "bcd":
             answerer = grantor(name, row(1, "a", FIRST_SET, "a", "d"))
-            request = LeaseRequest(RIGHT, 2, "d", LEASE_SPAN_US, ("a", "d"), FIRST_SET)
+            request = LeaseRequest(LEASE, 2, "d", LEASE_SPAN_US, ("a", "d"), FIRST_SET)
             holder.receive_reply(0, 0, name, answerer.handle_request(LONG_AFTER, request))
         return holder
 
@@ -158,7 +158,7 @@
         holder = self.held()
         self.assertIs(holder.state, LeaseState.HELD)
         abstains = grantor("b", row(2, "", FIRST_SET, "a", "d"))
-        request = LeaseRequest(RIGHT, 2, "d", LEASE_SPAN_US, ("a", "d"), FIRST_SET)
+        request = LeaseRequest(LEASE, 2, "d", LEASE_SPAN_US, ("a", "d"), FIRST_SET)
         refused = abstains.handle_request(LONG_AFTER, request)
         self.assertFalse(refused.granted)
         at = holder.valid_until - STEP
@@ -177,7 +177,7 @@
         self.network = Network(grantors, Takeover(PARTITION, "e", MEMBERS))
 
     def terms(self) -> list[int]:
-        return [each.grant(RIGHT).term for each in self.network.grantors.values()]
+        return [each.grant(LEASE).term for each in self.network.grantors.values()]
 
     def test_a_member_that_cannot_be_granted_a_term_uses_up_none(self) -> None:
         before = self.terms()
@@ -202,18 +202,18 @@
 
     def test_a_probe_grants_nothing(self) -> None:
         made = grantor("a", row(1, "a", FIRST_SET, "a", "e"))
-        request = LeaseRequest(RIGHT, 2, "e", LEASE_SPAN_US, ("a", "e"), FIRST_SET, probe=True)
+        request = LeaseRequest(LEASE, 2, "e", LEASE_SPAN_US, ("a", "e"), FIRST_SET, probe=True)
         reply = made.handle_request(LONG_AFTER, request)
         self.assertEqual((reply.granted, reply.probe, reply.term), (True, True, 1))
-        self.assertEqual((made.grant(RIGHT).term, made.dirty), (1, False))
+        self.assertEqual((made.grant(LEASE).term, made.dirty), (1, False))
 
 
 class EnquiryTest(unittest.TestCase):
     """d named c and e as its successors; a and b have heard it, c and e have not, and d has lost its folder."""
 
     def setUp(self) -> None:
-        named, unnamed = row(2, "d", SECOND_SET, "d", "c", "e"), row(2, "d", 0)
-        grantors = [*(grantor(name, named) for name in "ab"), *(grantor(name, unnamed) for name in "ce")]
+        named_successors, unnamed = row(2, "d", SECOND_SET, "d", "c", "e"), row(2, "d", 0)
+        grantors = [*(grantor(name, named_successors) for name in "ab"), *(grantor(name, unnamed) for name in "ce")]
         self.network = Network(grantors, *(Takeover(PARTITION, name, MEMBERS) for name in "ce"))
 
     def held_by(self) -> list[str]:
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -22,14 +22,14 @@
 )
 
 PARTITION = 9 << 12
-RIGHT = lease_name(PARTITION)
+LEASE = lease_name(PARTITION)
 NAMES = ("a", "b", "c")
 HALLS = {"a": "north", "b": "north", "c": "south"}
 SET = 1 << SUCCESSOR_SET_BITS | 1
-ROW = Grant(RIGHT, 1, "a", ("a", "b", "c"), SET)
+ROW = Grant(LEASE, 1, "a", ("a", "b", "c"), SET)
 
 
-def ask(term: int, holder: str, right: str = RIGHT, closed: bool = False, span: int = LEASE_SPAN_US) -> LeaseRequest:
+def ask(term: int, holder: str, right: str = LEASE, closed: bool = False, span: int = LEASE_SPAN_US) -> LeaseRequest:
     return LeaseRequest(right, term, holder, span, ("a", "b", "c"), SET, closed)
 
 
@@ -103,8 +103,8 @@
         self.assertEqual(grantor.members_to_learn_from(now), ("a", "c"))
         grantor.learn_from(now, "a", GrantTable(False, (ROW,)))
         self.assertFalse(grantor.handle_request(now, ask(2, "b")).granted)
-        self.assertTrue(grantor.learn_from(now, "c", GrantTable(False, (Grant(RIGHT, 2, "c"),))))
-        self.assertEqual((grantor.grant(RIGHT).term, grantor.dirty), (2, True))
+        self.assertTrue(grantor.learn_from(now, "c", GrantTable(False, (Grant(LEASE, 2, "c"),))))
+        self.assertEqual((grantor.grant(LEASE).term, grantor.dirty), (2, True))
 
     def test_at_the_first_start_everybodys_empty_table_is_needed(self) -> None:
         grantor = LeaseGrantor("b", (*NAMES, "d", "e"), 0, None)
@@ -115,7 +115,7 @@
     def test_two_holders_of_one_term_are_neither(self) -> None:
         grantor = LeaseGrantor("b", NAMES, 0, None)
         for name in "ac":
-            grantor.learn_from(LEASE_SPAN_US, name, GrantTable(False, (Grant(RIGHT, 2, name, ROW.successors, SET),)))
+            grantor.learn_from(LEASE_SPAN_US, name, GrantTable(False, (Grant(LEASE, 2, name, ROW.successors, SET),)))
         self.assertFalse(grantor.handle_request(LEASE_SPAN_US, ask(2, "a")).granted)
         self.assertFalse(grantor.handle_request(2 * LEASE_SPAN_US - 1, ask(3, "a")).granted)
         self.assertTrue(grantor.handle_request(2 * LEASE_SPAN_US, ask(3, "a")).granted)
@@ -123,8 +123,8 @@
 
 class LeaseRightsTest(unittest.TestCase):
     def holder(self) -> LeaseHolder:
-        holder = LeaseHolder(RIGHT, "a", NAMES)
-        holder.request_next_term(0, Grant(RIGHT, 0, ""))
+        holder = LeaseHolder(LEASE, "a", NAMES)
+        holder.request_next_term(0, Grant(LEASE, 0, ""))
         for name in "ab":
             holder.receive_reply(0, 0, name, LeaseReply(True, 1, "a"))
         return holder
