--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -411,7 +411,7 @@
     """The result of a search: the number of distinct states, and a broken invariant with the actions that led there."""
 
     states: int
-    broken_claim: str
+    broken_invariant: str
     path: list[Any]
 
 
--- a/tests/fleet/lease_soak.py
+++ b/tests/fleet/lease_soak.py
@@ -1,7 +1,7 @@
-"""The lease rules under drawn histories, each from a seed alone: `make soak` and `test_lease_soak.py` play them.
+"""The lease rules under random histories, each determined by its seed; `make soak` and `test_lease_soak.py` play them.
 
-A history is 5 to 40 steps: six in ten let the time go on, the others stop, crash or restart a member, and where folders
-may be lost one member loses its folder. Then all faults end, and somebody must hold the partition soon.
+A history has 5 to 40 steps: six in ten only let time pass, the others stop, crash or restart a member. Where folders
+may be lost, one member loses its folder. Then all faults end, and some member must hold the partition soon.
 """
 
 import random
@@ -10,41 +10,41 @@
 
 from tests.fleet.lease_histories import MEMBERS, Histories
 
-STEPS = (5, 40)  # of a history: the fewest and the most
-LONGEST_STEP = 30  # of the 100 ms in which every member has its turn
-TIME_SHARE = 0.6  # of the steps only let the time go on
+STEPS = (5, 40)  # the minimum and the maximum in a history
+LONGEST_STEP = 30  # in units of 100 ms, in each of which every member runs once
+TIME_SHARE = 0.6  # the share of the steps that only let time pass
 FAULTS = ("crash", "stop")
-LOSING_FAULTS = ("crash", "stop", "crash", "stop", "forget")  # four in five leave the folder
+FAULTS_WITH_LOST_FOLDERS = ("crash", "stop", "crash", "stop", "forget")  # one in five loses the folder
 
 
-class Played(NamedTuple):
-    """How one history went."""
+class HistoryResult(NamedTuple):
+    """The result of one history."""
 
     seed: int
     folders_lost: bool
     finding: str  # empty: none
-    recovery_us: int  # from the end of all faults until somebody held the partition; -1: nobody could, or a finding
+    recovery_us: int  # from the end of all faults until the partition was held; -1: no member could, or a finding
 
 
-def play(seed: int, folders_lost: bool) -> Played:
-    """One drawn history; the seed alone decides all of it."""
-    chance = random.Random(f"history {seed}")
+def play(seed: int, folders_lost: bool) -> HistoryResult:
+    """Play one random history; the seed alone determines it."""
+    rng = random.Random(f"history {seed}")
     history = Histories()
     history.begin(seed=seed)
     try:
-        for _ in range(chance.randint(*STEPS)):
-            if chance.random() < TIME_SHARE:
-                history.goes_on(steps=chance.randint(1, LONGEST_STEP))
+        for _ in range(rng.randint(*STEPS)):
+            if rng.random() < TIME_SHARE:
+                history.pass_time(steps=rng.randint(1, LONGEST_STEP))
             else:
-                name, how = chance.choice(MEMBERS), chance.choice(LOSING_FAULTS if folders_lost else FAULTS)
-                history.fails(name=name, how=how)
+                name, kind = rng.choice(MEMBERS), rng.choice(FAULTS_WITH_LOST_FOLDERS if folders_lost else FAULTS)
+                history.fault(name=name, kind=kind)
         ended_at = history.now
         history.teardown()
     except AssertionError as error:
-        return Played(seed, folders_lost, str(error), -1)
-    return Played(seed, folders_lost, "", history.recovered_at - ended_at if history.recovered_at else -1)
+        return HistoryResult(seed, folders_lost, str(error), -1)
+    return HistoryResult(seed, folders_lost, "", history.recovered_at - ended_at if history.recovered_at else -1)
 
 
-def play_all(seeds: Iterable[int]) -> list[Played]:
-    """Each seed with and without lost folders."""
+def play_all(seeds: Iterable[int]) -> list[HistoryResult]:
+    """Play each seed with and without lost folders."""
     return [play(seed, folders_lost) for seed in seeds for folders_lost in (False, True)]
--- a/tests/fleet/test_lease_histories.py
+++ b/tests/fleet/test_lease_histories.py
@@ -1,4 +1,4 @@
-"""No history of three members breaks a claim, to a stated depth; without any one guard some history does."""
+"""All histories of three members keep the invariants up to a given depth; without any guard, some do not."""
 
 import unittest
 from collections.abc import Collection, Iterable
@@ -14,10 +14,10 @@
 from tests.fleet.lease_histories import MEMBERS, Histories
 
 
-class Part(NamedTuple):
-    """Where histories begin, who may act and how, faults for each, actions, and the distinct states there are."""
+class Search(NamedTuple):
+    """The start state, members and actions, the numbers of faults, the depth, and the number of distinct states."""
 
-    begin: str
+    start_state: str
     actions: str
     crashes: int
     late_messages: int
@@ -25,18 +25,18 @@
     states: int
 
 
-PARTS = {
-    "first": Part("never_held", "H A B crash name", 1, 1, 3, 1971),
-    "late answers": Part("held_with_late_replies", "A name", 0, 0, 8, 931),
-    "crash": Part("held", "A B crash", 1, 0, 7, 7308),
-    "lost folder": Part("held", "H A B wipe", 1, 0, 5, 7343),
-    "closing": Part("held", "H A B close", 0, 0, 5, 6169),
-    "successors": Part("held", "A B name", 0, 0, 6, 703),
-    "woken": Part("holder_resumes", "H crash", 1, 0, 7, 1194),
-    "two successors": Part("next_term_granted", "A B", 0, 0, 6, 2485),
-    "dead successor": Part("next_term_granted", "A B crash", 1, 0, 5, 3339),
-    "probes": Part("next_term_granted", "A B probe", 0, 0, 6, 3638),
-    "probes and a crash": Part("next_term_granted", "A B crash probe", 1, 0, 5, 2874),
+SEARCHES = {
+    "first": Search("never_held", "H A B crash name", 1, 1, 3, 1971),
+    "late replies": Search("held_with_late_replies", "A name", 0, 0, 8, 931),
+    "crash": Search("held", "A B crash", 1, 0, 7, 7308),
+    "lost folder": Search("held", "H A B wipe", 1, 0, 5, 7343),
+    "closing": Search("held", "H A B close", 0, 0, 5, 6169),
+    "successors": Search("held", "A B name", 0, 0, 6, 703),
+    "holder resumes": Search("holder_resumes", "H crash", 1, 0, 7, 1194),
+    "two successors": Search("next_term_granted", "A B", 0, 0, 6, 2485),
+    "dead successor": Search("next_term_granted", "A B crash", 1, 0, 5, 3339),
+    "probes": Search("next_term_granted", "A B probe", 0, 0, 6, 3638),
+    "probes and a crash": Search("next_term_granted", "A B crash probe", 1, 0, 5, 2874),
 }
 
 
@@ -66,8 +66,8 @@
 
 
 class NoLearning(LeaseGrantor):
-    def __init__(self, me: str, names: Collection[str], boot: int, grants: Iterable[Grant] | None) -> None:
-        super().__init__(me, names, boot, grants or ())
+    def __init__(self, me: str, names: Collection[str], booted_at: int, grants: Iterable[Grant] | None) -> None:
+        super().__init__(me, names, booted_at, grants or ())
 
 
 class WholeSpan(LeaseHolder):
@@ -86,91 +86,91 @@
 
 
 MUTANTS: dict[type[LeaseGrantor] | type[LeaseHolder], tuple[str, str]] = {
-    AnyTerm: ("woken", "no successor"),
-    NoPromise: ("late answers", "at once"),
+    AnyTerm: ("holder resumes", "no successor"),
+    NoPromise: ("late replies", "at once"),
     AnySuccessor: ("successors", "no successor"),
     Reopening: ("closing", "closed"),
     NoWaitAfterBoot: ("crash", "at once"),
     NoLearning: ("lost folder", "no successor"),
-    WholeSpan: ("late answers", "at once"),
-    CountedFromReply: ("late answers", "at once"),
+    WholeSpan: ("late replies", "at once"),
+    CountedFromReply: ("late replies", "at once"),
     AttemptsBeforeNaming: ("two successors", "no successor"),
 }
 
 
-def explore_part(
-    part: Part, grantor: type[LeaseGrantor] = LeaseGrantor, holder: type[LeaseHolder] = LeaseHolder
+def run_search(
+    search: Search, grantor: type[LeaseGrantor] = LeaseGrantor, holder: type[LeaseHolder] = LeaseHolder
 ) -> Exploration:
-    model = Model(grantor, holder, part.actions, part.crashes, part.late_messages)
-    return explore(model, getattr(model, part.begin)(), part.depth)
+    model = Model(grantor, holder, search.actions, search.crashes, search.late_messages)
+    return explore(model, getattr(model, search.start_state)(), search.depth)
 
 
-class EveryHistoryTest(unittest.TestCase):
-    def test_no_history_of_three_members_breaks_a_claim(self) -> None:
-        for name, part in PARTS.items():
+class ModelCheckTest(unittest.TestCase):
+    def test_every_history_of_three_members_keeps_the_invariants(self) -> None:
+        for name, search in SEARCHES.items():
             with self.subTest(name):
-                self.assertEqual(explore_part(part), (part.states, "", []))
+                self.assertEqual(run_search(search), (search.states, "", []))
 
-    def test_a_missing_guard_breaks_a_claim(self) -> None:
-        for mutant, (name, claim) in MUTANTS.items():
+    def test_a_missing_guard_breaks_an_invariant(self) -> None:
+        for mutant, (name, finding) in MUTANTS.items():
             with self.subTest(mutant.__name__):
                 if issubclass(mutant, LeaseGrantor):
-                    found = explore_part(PARTS[name], grantor=mutant)
+                    found = run_search(SEARCHES[name], grantor=mutant)
                 else:
-                    found = explore_part(PARTS[name], holder=mutant)
-                self.assertIn(claim, found.broken_claim)
+                    found = run_search(SEARCHES[name], holder=mutant)
+                self.assertIn(finding, found.broken_invariant)
 
 
-class ManyHistoriesTest(unittest.TestCase):
-    def test_a_restart_of_the_holder_takes_nothing_from_those_that_it_had_named(self) -> None:
-        """A stopped holder, started again after a successor has asked: the successor may still follow."""
+class RandomHistoriesTest(unittest.TestCase):
+    def test_successors_may_take_over_after_a_restart_of_the_holder(self) -> None:
+        """A stopped holder is restarted after a successor has sent a request: the successor may still take over."""
         history = Histories()
         history.begin(seed=0)
         for steps in (*[1] * 10, 17):
-            history.goes_on(steps=steps)
-        history.fails(name="a", how="stop")
-        history.goes_on(steps=18)
-        history.fails(name="a", how="stop")
-        history.goes_on(steps=1)
-        history.fails(name="a", how="crash")
-        history.fails(name="a", how="crash")  # one that is down is started again
-        history.goes_on(steps=7)
+            history.pass_time(steps=steps)
+        history.fault(name="a", kind="stop")
+        history.pass_time(steps=18)
+        history.fault(name="a", kind="stop")
+        history.pass_time(steps=1)
+        history.fault(name="a", kind="crash")
+        history.fault(name="a", kind="crash")  # restarts a member that is down
+        history.pass_time(steps=7)
         self.assertEqual(history.last_attempt, ("e", 2))  # the first successor
 
-    def test_a_member_without_its_folder_completes_no_grant_that_it_had_refused(self) -> None:
-        """b votes for d's term 2, loses its folder, learns a's newer, undecided term 3, and completes its majority."""
+    def test_a_member_that_lost_its_folder_does_not_complete_a_majority_that_it_had_refused(self) -> None:
+        """b grants term 2 of d, loses its folder, learns the undecided term 3 of a, and must not grant that one."""
         history = Histories()
         history.begin(seed=6138)
-        history.fails(name="b", how="stop")
-        history.fails(name="b", how="stop")  # one that is stopped goes on
-        history.goes_on(steps=25)
-        history.fails(name="a", how="crash")
-        history.fails(name="e", how="crash")
-        history.goes_on(steps=24)
-        history.fails(name="a", how="crash")  # one that is down is started again
-        history.fails(name="b", how="forget")
-        history.goes_on(steps=1)
-        history.fails(name="a", how="crash")
+        history.fault(name="b", kind="stop")
+        history.fault(name="b", kind="stop")  # resumes a member that is stopped
+        history.pass_time(steps=25)
+        history.fault(name="a", kind="crash")
+        history.fault(name="e", kind="crash")
+        history.pass_time(steps=24)
+        history.fault(name="a", kind="crash")  # restarts a member that is down
+        history.fault(name="b", kind="forget")
+        history.pass_time(steps=1)
+        history.fault(name="a", kind="crash")
         history.teardown()
 
-    def test_two_that_ask_in_turn_do_not_keep_the_lease_from_one_another_for_ever(self) -> None:
-        """a and b, granted by two and three members, each ask for a newer term whenever the other one gives up."""
+    def test_two_members_that_request_alternately_do_not_block_each_other_forever(self) -> None:
+        """a and b, granted by two and three members, each request a newer term whenever the other one gives up."""
         history = Histories()
         history.begin(seed=188)
         for steps in (1, 1, 1, 1, 1, 3):
-            history.goes_on(steps=steps)
-        history.fails(name="a", how="crash")
-        history.fails(name="b", how="crash")
-        history.fails(name="b", how="crash")  # one that is down is started again
+            history.pass_time(steps=steps)
+        history.fault(name="a", kind="crash")
+        history.fault(name="b", kind="crash")
+        history.fault(name="b", kind="crash")  # restarts a member that is down
         for steps in (1, 1, 1, 1, 16):
-            history.goes_on(steps=steps)
-        history.fails(name="a", how="crash")
+            history.pass_time(steps=steps)
+        history.fault(name="a", kind="crash")
         for steps in (1, 1, 1, 1):
-            history.goes_on(steps=steps)
-        history.fails(name="a", how="crash")
+            history.pass_time(steps=steps)
+        history.fault(name="a", kind="crash")
         history.teardown()
 
-    def test_drawn_histories_of_five_members_keep_the_claims(self) -> None:
+    def test_random_histories_of_five_members_keep_the_invariants(self) -> None:
         self.assertEqual(majority_of(len(MEMBERS)), 3)
         Histories.TestCase.settings = settings(
             max_examples=60, stateful_step_count=25, derandomize=True, deadline=None, database=None
--- a/tests/fleet/test_lease_recovery.py
+++ b/tests/fleet/test_lease_recovery.py
@@ -33,7 +33,7 @@
 
 MEMBERS = ("a", "b", "c", "d", "e")
 FIRST_SET, SECOND_SET = 1 << SUCCESSOR_SET_BITS | 1, 2 << SUCCESSOR_SET_BITS | 1
-STEP = 100_000  # microseconds
+STEP_US = 100_000  # microseconds
 LONG_AFTER = 10 * LEASE_SPAN_US  # all promises from before have run out
 # On f71ae90 nobody holds the partition after these, as (seed, whether folders are lost).
 STARVED = (
@@ -75,8 +75,8 @@
         self.now = LONG_AFTER
 
     def run(self, seconds: float, complete: Collection[str] = MEMBERS) -> None:
-        for _ in range(round(seconds * 1_000_000 / STEP)):
-            self.now += STEP
+        for _ in range(round(seconds * 1_000_000 / STEP_US)):
+            self.now += STEP_US
             for takeover in self.takeovers:
                 self.turn(takeover, takeover.me in complete)
 
@@ -161,7 +161,7 @@
         request = LeaseRequest(LEASE, 2, "d", LEASE_SPAN_US, ("a", "d"), FIRST_SET)
         refused = abstains.handle_request(LONG_AFTER, request)
         self.assertFalse(refused.granted)
-        at = holder.valid_until - STEP
+        at = holder.valid_until - STEP_US
         holder.receive_reply(at, at, "b", refused)
         self.assertIs(holder.state, LeaseState.HELD)  # the others may still renew it
         holder.update(holder.valid_until)
--- a/tests/fleet/test_leases.py
+++ b/tests/fleet/test_leases.py
@@ -187,9 +187,11 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    def step(self, takeover: Takeover, now: int, standing: dict[str, MemberStatus], pending: int = 1) -> TakeoverAction:
+    def step(
+        self, takeover: Takeover, now: int, status_of: dict[str, MemberStatus], pending: int = 1
+    ) -> TakeoverAction:
         return takeover.step(
-            now, ROW, LEASE_SPAN_US, lambda name: standing.get(name, MemberStatus.ALIVE), True, pending
+            now, ROW, LEASE_SPAN_US, lambda name: status_of.get(name, MemberStatus.ALIVE), True, pending
         ).action
 
     def test_the_second_successor_lets_the_first_one_go_first(self) -> None:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -19,7 +19,7 @@
 
 from cedarwick.lab.restart_soak import DayResult
 from tests.decisions.recovery_soak import Play
-from tests.fleet.lease_soak import Played, play_all
+from tests.fleet.lease_soak import HistoryResult, play_all
 
 AT_ONCE = 3  # days, each with two senders and the emulator; and lease processes
 PLAYS = 3  # of a day that is void
@@ -39,7 +39,7 @@
     """What a soak came to."""
 
     days: list[DayResult]
-    histories: list[Played]
+    histories: list[HistoryResult]
     outages: Sequence[OutageResult] = ()
 
     def findings(self) -> list[str]:
@@ -107,7 +107,7 @@
     return msgspec.json.decode(ended.stdout.splitlines()[-1], type=DayResult)
 
 
-def histories_of(seed: int) -> list[Played]:
+def histories_of(seed: int) -> list[HistoryResult]:
     """The lease histories of a seed."""
     return play_all(range(seed * HISTORIES_PER_SEED, (seed + 1) * HISTORIES_PER_SEED))
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,7 @@
 from cedarwick.lab.history import Called, History, Life
 from cedarwick.lab.restart_soak import DayResult, draw_plan, restarts, served_after_the_end
 from cedarwick.lab.units import SECOND
-from tests.fleet.lease_soak import Played
+from tests.fleet.lease_soak import HistoryResult
 from tests.soak import OutageResult, SoakResult, main, seeds_of
 
 SEEDS = ("1-6",)
@@ -51,7 +51,7 @@
 
     def test_findings_say_what_repeats_them_and_void_days_have_none(self) -> None:
         days = [DayResult(5, ["1: lost"]), DayResult(6, ["1: lost"], void="n0 waited 900 ms for a processor")]
-        histories = [Played(123, True, "nobody holds it", -1), Played(7, False, "", 1)]
+        histories = [HistoryResult(123, True, "nobody holds it", -1), HistoryResult(7, False, "", 1)]
         result = SoakResult(days, histories, [OutageResult(41, "fell"), OutageResult(42, "")])
         self.assertEqual(
             result.findings(),
