--- a/tests/fleet/lease_histories.py
+++ b/tests/fleet/lease_histories.py
@@ -17,7 +17,7 @@
 from tests.fleet.explore import LEASE, PARTITION, named_successors
 
 MEMBERS = ("a", "b", "c", "d", "e")
-STEP_US = 100_000  # microseconds
+STEP_US = 100_000
 
 
 class Member:
--- a/tests/fleet/test_lease_recovery.py
+++ b/tests/fleet/test_lease_recovery.py
@@ -1,21 +1,21 @@
-"""A partition finds a holder again: lost requests, lost folders, members that cannot be granted a term.
+"""Recovery of a partition after lost requests, lost folders and refused terms.
 
-The stories of five faults, found by drawn histories (`lease_soak.py`), the first three on f71ae90: some histories ended
-with nobody holding the partition, though a successor was up and had all records, and some let a member follow that was
-no successor (docs/results.md has how many). The last two came to light as the others were mended.
+The tests guard against five faults that random histories (`lease_soak.py`) found, the first three at f71ae90: no member
+held the partition although a complete successor was up, or a member took over that was no successor (docs/results.md
+has the counts). The last two appeared when the others were fixed.
 
-1. A member whose row has an older set of successors asks for term after term, and is refused each time by those that
-   know the newer set. Each of its terms ends that of a member which could win (terms went from 7 to 13). It now learns
-   the newer set from the refusals, lets its members go first, and asks by a probe that uses up no term.
+1. A member with an older successor set requested term after term, and was refused by the members that know the newer
+   set. Each of its terms ended that of a member that could win (terms rose from 7 to 13). It now learns the newer set
+   from the refusals, lets the members of that set go first, and probes, which uses up no term.
 2. The request that named a successor was lost, and so was the folder of the holder that had sent it: the successor's
-   own grantor does not know that it is one, so it never asks. A member with a whole replica now enquires after the rows
-   of the others once the promise has run out.
-3. A grantor without its folder learns the row of a newer, undecided term with the older set that its asker knew, and
-   completes that term's majority, though it had voted for another, and though it had known a newer set.
-4. The grantor that then abstains from a term keeps its holder from renewing: with two more members down the lease ran
-   out, no newer term existed, and the holder asked for the same one for ever.
-5. The first holder names its first successors, nobody hears of it, and it loses its folder: no row has any set, nobody
-   has ever fired, and no replica asked.
+   own grantor did not know of it, so it never sent a request. A member with a complete replica now probes the others
+   for their rows once the promise has expired.
+3. A grantor without its folder learned a newer, undecided term with the older set that the requester knew, and
+   completed its majority, although it had granted another term and known a newer set.
+4. The grantor that then abstains from a term keeps its holder from renewing: with two more members down the lease
+   expired, there was no newer term, and the holder requested the same term forever.
+5. The first holder named its successors, no member received that, and it lost its folder: no row had a set, no attempt
+   had ever been made, and no replica sent a request.
 """
 
 import unittest
@@ -33,10 +33,10 @@
 
 MEMBERS = ("a", "b", "c", "d", "e")
 FIRST_SET, SECOND_SET = 1 << SUCCESSOR_SET_BITS | 1, 2 << SUCCESSOR_SET_BITS | 1
-STEP_US = 100_000  # microseconds
-LONG_AFTER = 10 * LEASE_SPAN_US  # all promises from before have run out
-# On f71ae90 nobody holds the partition after these, as (seed, whether folders are lost).
-STARVED = (
+STEP_US = 100_000
+AFTER_ALL_PROMISES = 10 * LEASE_SPAN_US  # when all earlier promises have expired
+# Histories as (seed, whether folders are lost) after which no member held the partition at f71ae90.
+UNHELD_BEFORE = (
     (105, True),
     (187, True),
     (437, True),
@@ -46,11 +46,11 @@
     (1511, False),
     (1604, False),
 )
-UNHEARD = ((5376, True), (7947, True))  # nobody has heard of the only set that was named: with the first four mended
-FOLLOWED_WRONGLY = ((5684, True), (7582, True))  # on f71ae90 a member follows that is no successor
+UNKNOWN_SET = ((5376, True), (7947, True))  # fault 5: the only set was received by no member; faults 1 to 4 fixed
+WRONG_SUCCESSOR = ((5684, True), (7582, True))  # on f71ae90 a member follows that is no successor
 
 
-def row(term: int, holder: str, number: int, *successors: str) -> Grant:
+def grant_row(term: int, holder: str, number: int, *successors: str) -> Grant:
     return Grant(LEASE, term, holder, successors, number)
 
 
@@ -58,39 +58,39 @@
     return LeaseGrantor(name, MEMBERS, 0, rows)
 
 
-def learned(*tables: tuple[str, Grant]) -> LeaseGrantor:
-    """The grantor of b, which has lost its folder, with the tables of others."""
-    made = LeaseGrantor("b", MEMBERS, 0, None)
+def learned_grantor(*tables: tuple[str, Grant]) -> LeaseGrantor:
+    """The grantor of b, which has lost its folder and has learned the tables of other members."""
+    grantor_b = LeaseGrantor("b", MEMBERS, 0, None)
     for name, grant in tables:
-        made.learn_from(LEASE_SPAN_US, name, GrantTable(False, (grant,)))
-    return made
+        grantor_b.learn_from(LEASE_SPAN_US, name, GrantTable(False, (grant,)))
+    return grantor_b
 
 
 class Network:
-    """Members without faults: what a takeover sends is answered at once."""
+    """Members without faults: each request is answered at once."""
 
     def __init__(self, grantors: Collection[LeaseGrantor], *takeovers: Takeover) -> None:
         self.grantors = {each.me: each for each in grantors}
         self.takeovers = takeovers
-        self.now = LONG_AFTER
+        self.now = AFTER_ALL_PROMISES
 
     def run(self, seconds: float, complete: Collection[str] = MEMBERS) -> None:
         for _ in range(round(seconds * 1_000_000 / STEP_US)):
             self.now += STEP_US
             for takeover in self.takeovers:
-                self.turn(takeover, takeover.me in complete)
+                self.run_takeover(takeover, takeover.me in complete)
 
-    def turn(self, takeover: Takeover, complete: bool) -> None:
+    def run_takeover(self, takeover: Takeover, complete: bool) -> None:
         own = self.grantors[takeover.me]
         step = takeover.step(
             self.now, own.grant(LEASE), own.promised_until(LEASE), self.status_of, is_complete=complete, pending=1
         )
         if step.action is TakeoverAction.IMPORT:
             takeover.note_imported(self.now, ())
-        ask = takeover.holder.due_request(self.now)
-        if ask is not None:
+        request = takeover.holder.due_request(self.now)
+        if request is not None:
             for name in (takeover.me, *(name for name in self.grantors if name != takeover.me)):
-                reply = self.grantors[name].handle_request(self.now, ask)
+                reply = self.grantors[name].handle_request(self.now, request)
                 takeover.holder.receive_reply(self.now, self.now, name, reply)
 
     def status_of(self, name: str) -> MemberStatus:
@@ -98,81 +98,81 @@
 
 
 class LostFolderTest(unittest.TestCase):
-    """b had voted for d's term 2 and known d's successors; a asks for term 3, and knows the first set only."""
+    """b had granted d's term 2 and known d's successors; a requests term 3 and knows only the first set."""
 
     def setUp(self) -> None:
-        self.asked_by_a = row(3, "a", FIRST_SET, "a", "b", "d")
-        self.held_by_d = row(2, "d", SECOND_SET, "d", "c")
-        self.grantor = learned(("a", self.asked_by_a), ("e", self.asked_by_a), ("c", self.held_by_d))
+        self.requested_by_a = grant_row(3, "a", FIRST_SET, "a", "b", "d")
+        self.held_by_d = grant_row(2, "d", SECOND_SET, "d", "c")
+        self.grantor = learned_grantor(("a", self.requested_by_a), ("e", self.requested_by_a), ("c", self.held_by_d))
 
-    def ask(self, term: int, holder: str, number: int, *successors: str) -> bool:
+    def is_granted(self, term: int, holder: str, number: int, *successors: str) -> bool:
         request = LeaseRequest(LEASE, term, holder, LEASE_SPAN_US, successors, number)
-        return self.grantor.handle_request(LONG_AFTER, request).granted
+        return self.grantor.handle_request(AFTER_ALL_PROMISES, request).granted
 
     def test_an_undecided_term_is_granted_to_neither(self) -> None:
         self.assertFalse(self.grantor.learning)
-        self.assertFalse(self.ask(3, "a", FIRST_SET, "a", "b", "d"))
-        self.assertFalse(self.ask(3, "d", SECOND_SET, "d", "c"))
+        self.assertFalse(self.is_granted(3, "a", FIRST_SET, "a", "b", "d"))
+        self.assertFalse(self.is_granted(3, "d", SECOND_SET, "d", "c"))
 
-    def test_the_newest_successors_bind_whatever_row_had_the_newest_term(self) -> None:
-        self.assertFalse(self.ask(4, "a", FIRST_SET, "a", "b", "d"))
-        self.assertTrue(self.ask(4, "c", SECOND_SET, "d", "c"))
+    def test_the_newest_set_counts_whichever_row_has_the_newest_term(self) -> None:
+        self.assertFalse(self.is_granted(4, "a", FIRST_SET, "a", "b", "d"))
+        self.assertTrue(self.is_granted(4, "c", SECOND_SET, "d", "c"))
 
     def test_without_these_guards_the_undecided_term_is_completed(self) -> None:
         newest = mock.Mock(side_effect=lambda known, grant: max(known, grant, key=lambda one: one.term))
         with mock.patch.object(LeaseGrantor, "_row_with_successors", newest):
             self.setUp()
-            self.assertTrue(self.ask(4, "a", FIRST_SET, "a", "b", "d"))
+            self.assertTrue(self.is_granted(4, "a", FIRST_SET, "a", "b", "d"))
 
     def test_a_term_that_a_majority_has_granted_is_granted_to_its_holder(self) -> None:
-        self.grantor = learned(*((name, self.held_by_d) for name in "ace"))
-        self.assertTrue(self.ask(2, "d", SECOND_SET, "d", "c"))
+        self.grantor = learned_grantor(*((name, self.held_by_d) for name in "ace"))
+        self.assertTrue(self.is_granted(2, "d", SECOND_SET, "d", "c"))
 
-    def test_a_term_that_too_few_are_known_to_have_granted_is_not(self) -> None:
-        six = LeaseGrantor("b", (*MEMBERS, "f"), 0, None)
+    def test_a_term_without_a_known_majority_is_not_granted(self) -> None:
+        six_members = LeaseGrantor("b", (*MEMBERS, "f"), 0, None)
         for name in "acd":
-            six.learn_from(LEASE_SPAN_US, name, GrantTable(False, (self.held_by_d,)))
-        self.assertEqual((six.learning, six.grant(LEASE).holder), (False, ""))
+            six_members.learn_from(LEASE_SPAN_US, name, GrantTable(False, (self.held_by_d,)))
+        self.assertEqual((six_members.learning, six_members.grant(LEASE).holder), (False, ""))
         with mock.patch.object(LeaseGrantor, "_is_decided", return_value=True):
-            self.grantor = learned(*((name, self.held_by_d) for name in "ace"))
+            self.grantor = learned_grantor(*((name, self.held_by_d) for name in "ace"))
             self.assertEqual(self.grantor.grant(LEASE).holder, "d")
 
     def test_a_table_without_the_row_does_not_count_towards_the_majority(self) -> None:
-        made = LeaseGrantor("b", MEMBERS, 0, None)
+        grantor_b = LeaseGrantor("b", MEMBERS, 0, None)
         for name, rows in (("a", (self.held_by_d,)), ("c", (self.held_by_d,)), ("e", ())):
-            made.learn_from(LEASE_SPAN_US, name, GrantTable(False, rows))
-        self.assertEqual((made.learning, made.grant(LEASE).holder), (False, ""))
+            grantor_b.learn_from(LEASE_SPAN_US, name, GrantTable(False, rows))
+        self.assertEqual((grantor_b.learning, grantor_b.grant(LEASE).holder), (False, ""))
 
 
 class AbstentionTest(unittest.TestCase):
-    def held(self) -> LeaseHolder:
+    def lease_holder(self) -> LeaseHolder:
         holder = LeaseHolder(LEASE, "d", MEMBERS)
-        holder.request_next_term(0, row(1, "a", FIRST_SET, "a", "d"))
+        holder.request_next_term(0, grant_row(1, "a", FIRST_SET, "a", "d"))
         for name in "bcd":
-            answerer = grantor(name, row(1, "a", FIRST_SET, "a", "d"))
+            responder = grantor(name, grant_row(1, "a", FIRST_SET, "a", "d"))
             request = LeaseRequest(LEASE, 2, "d", LEASE_SPAN_US, ("a", "d"), FIRST_SET)
-            holder.receive_reply(0, 0, name, answerer.handle_request(LONG_AFTER, request))
+            holder.receive_reply(0, 0, name, responder.handle_request(AFTER_ALL_PROMISES, request))
         return holder
 
-    def test_a_holder_that_a_grantor_can_never_grant_its_term_asks_for_the_next_once_its_lease_is_over(self) -> None:
-        holder = self.held()
+    def test_a_holder_refused_for_good_requests_the_next_term_once_its_lease_expires(self) -> None:
+        holder = self.lease_holder()
         self.assertIs(holder.state, LeaseState.HELD)
-        abstains = grantor("b", row(2, "", FIRST_SET, "a", "d"))
+        abstaining_grantor = grantor("b", grant_row(2, "", FIRST_SET, "a", "d"))
         request = LeaseRequest(LEASE, 2, "d", LEASE_SPAN_US, ("a", "d"), FIRST_SET)
-        refused = abstains.handle_request(LONG_AFTER, request)
+        refused = abstaining_grantor.handle_request(AFTER_ALL_PROMISES, request)
         self.assertFalse(refused.granted)
-        at = holder.valid_until - STEP_US
-        holder.receive_reply(at, at, "b", refused)
+        refused_at = holder.valid_until - STEP_US
+        holder.receive_reply(refused_at, refused_at, "b", refused)
         self.assertIs(holder.state, LeaseState.HELD)  # the others may still renew it
         holder.update(holder.valid_until)
         self.assertIs(holder.state, LeaseState.LOST)
 
 
 class ProbeTest(unittest.TestCase):
-    """e knows the first set only. a, b and c know the second one, e is not in it, and its members are down."""
+    """e knows only the first set. a, b and c know the second one, which does not contain e; its members are down."""
 
     def setUp(self) -> None:
-        newer, older = row(2, "d", SECOND_SET, "d", "x"), row(1, "a", FIRST_SET, "a", "e")
+        newer, older = grant_row(2, "d", SECOND_SET, "d", "x"), grant_row(1, "a", FIRST_SET, "a", "e")
         grantors = [*(grantor(name, newer) for name in "abc"), grantor("e", older)]
         self.network = Network(grantors, Takeover(PARTITION, "e", MEMBERS))
 
@@ -185,70 +185,70 @@
         self.assertEqual(self.terms(), before)
 
     def test_without_the_probe_it_uses_up_term_after_term(self) -> None:
-        request = LeaseHolder.request_next_term
+        request_next_term = LeaseHolder.request_next_term
 
-        def at_once(holder: LeaseHolder, now: int, grant: Grant, probe_first: bool = False) -> None:
-            request(holder, now, grant)
+        def without_probe(holder: LeaseHolder, now: int, grant: Grant, probe_first: bool = False) -> None:
+            request_next_term(holder, now, grant)
 
-        with mock.patch.object(LeaseHolder, "request_next_term", at_once):
+        with mock.patch.object(LeaseHolder, "request_next_term", without_probe):
             self.network.run(seconds=30)
         self.assertGreater(max(self.terms()), 5)
 
-    def test_a_probe_in_vain_leaves_the_term_and_its_sets_as_they_were(self) -> None:
+    def test_a_refused_probe_restores_the_term_and_its_sets(self) -> None:
         holder = self.network.takeovers[0].holder
         holder.term = 1
         self.network.run(seconds=30)
         self.assertEqual((holder.term, holder.possible_successors), (1, frozenset()))
 
     def test_a_probe_grants_nothing(self) -> None:
-        made = grantor("a", row(1, "a", FIRST_SET, "a", "e"))
+        grantor_a = grantor("a", grant_row(1, "a", FIRST_SET, "a", "e"))
         request = LeaseRequest(LEASE, 2, "e", LEASE_SPAN_US, ("a", "e"), FIRST_SET, probe=True)
-        reply = made.handle_request(LONG_AFTER, request)
+        reply = grantor_a.handle_request(AFTER_ALL_PROMISES, request)
         self.assertEqual((reply.granted, reply.probe, reply.term), (True, True, 1))
-        self.assertEqual((made.grant(LEASE).term, made.dirty), (1, False))
+        self.assertEqual((grantor_a.grant(LEASE).term, grantor_a.dirty), (1, False))
 
 
 class EnquiryTest(unittest.TestCase):
-    """d named c and e as its successors; a and b have heard it, c and e have not, and d has lost its folder."""
+    """d named c and e as its successors; a and b know of it, c and e do not, and d has lost its folder."""
 
     def setUp(self) -> None:
-        named_successors, unnamed = row(2, "d", SECOND_SET, "d", "c", "e"), row(2, "d", 0)
+        named_successors, unnamed = grant_row(2, "d", SECOND_SET, "d", "c", "e"), grant_row(2, "d", 0)
         grantors = [*(grantor(name, named_successors) for name in "ab"), *(grantor(name, unnamed) for name in "ce")]
         self.network = Network(grantors, *(Takeover(PARTITION, name, MEMBERS) for name in "ce"))
 
-    def held_by(self) -> list[str]:
+    def holders(self) -> list[str]:
         return [each.me for each in self.network.takeovers if each.stage is TakeoverStage.HOLDING]
 
-    def test_a_successor_that_never_heard_that_it_is_one_learns_it_and_follows(self) -> None:
+    def test_a_successor_whose_naming_was_lost_learns_of_it_and_takes_over(self) -> None:
         self.network.run(seconds=12)
-        self.assertEqual(self.held_by(), ["c"])
+        self.assertEqual(self.holders(), ["c"])
 
-    def test_without_the_enquiry_nobody_follows(self) -> None:
+    def test_without_the_enquiry_no_member_takes_over(self) -> None:
         with (
             mock.patch.object(LeaseHolder, "enquire"),
             mock.patch("cedarwick.fleet.takeover.UNRENEWED_WAIT_US", 1 << 60),
         ):
             self.network.run(seconds=60)
-        self.assertEqual(self.held_by(), [])
+        self.assertEqual(self.holders(), [])
 
-    def test_where_no_set_was_ever_named_a_complete_replica_follows_after_a_wait(self) -> None:
-        grantors = [grantor(name, row(1, "a", 0)) for name in "bcde"]
+    def test_without_any_set_a_complete_replica_takes_over_after_a_wait(self) -> None:
+        grantors = [grantor(name, grant_row(1, "a", 0)) for name in "bcde"]
         self.network = Network(grantors, Takeover(PARTITION, "c", MEMBERS), Takeover(PARTITION, "e", MEMBERS))
-        self.network.now = LEASE_SPAN_US  # the promise of the folder ends now
+        self.network.now = LEASE_SPAN_US  # the promise assumed for the row of the folder expires now
         self.network.run(seconds=UNRENEWED_WAIT_US / 1_000_000)
-        self.assertEqual(self.held_by(), [])
+        self.assertEqual(self.holders(), [])
         self.network.run(seconds=6)
-        self.assertEqual(len(self.held_by()), 1)
+        self.assertEqual(len(self.holders()), 1)
 
-    def test_an_incomplete_replica_neither_enquires_nor_follows(self) -> None:
+    def test_an_incomplete_replica_neither_enquires_nor_takes_over(self) -> None:
         self.network.run(seconds=30, complete=())
         self.assertEqual([each.holder.newest_known_set.number for each in self.network.takeovers], [0, 0])
-        self.assertEqual(self.held_by(), [])
+        self.assertEqual(self.holders(), [])
 
 
-class FoundHistoriesTest(unittest.TestCase):
-    def test_somebody_holds_the_partition_again(self) -> None:
-        for seed, folders_lost in (*STARVED, *UNHEARD, *FOLLOWED_WRONGLY):
+class RegressionHistoriesTest(unittest.TestCase):
+    def test_the_partition_is_held_again(self) -> None:
+        for seed, folders_lost in (*UNHELD_BEFORE, *UNKNOWN_SET, *WRONG_SUCCESSOR):
             with self.subTest(seed):
                 self.assertEqual(play(seed, folders_lost).finding, "")
 
