--- a/cedarwick/fleet/lease_grantor.py
+++ b/cedarwick/fleet/lease_grantor.py
@@ -20,11 +20,11 @@
     """
 
     def __init__(
-        self, me: str, names: Collection[str], booted_at: int, grants: Iterable[Grant] | None, span: int = LEASE_SPAN_US
+        self, me: str, names: Collection[str], boot_time: int, grants: Iterable[Grant] | None, span: int = LEASE_SPAN_US
     ) -> None:
         self.me = me
         self.span = span
-        self.booted_at = booted_at
+        self.booted_at = boot_time
         self.dirty = False
         self.learning = grants is None
         self._names = frozenset(names) | {me}
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -81,7 +81,7 @@
 
     `term`: the newest term in which this member held it, according to its files; 0 for a replica.
     `resume`: set at boot for a partition that this member held according to its files, and for one that it opens.
-    `takes_new_messages`: whether new messages are stored in it; then it is not closed while it is empty.
+    `accepts_messages`: whether new messages are stored in it; then it is not closed while it is empty.
     """
 
     def __init__(
@@ -91,11 +91,11 @@
         names: Collection[str],
         term: int = 0,
         resume: bool = False,
-        takes_new_messages: bool = False,
+        accepts_messages: bool = False,
     ) -> None:
         self.partition = partition
         self.me = me
-        self.takes_new_messages = takes_new_messages
+        self.takes_new_messages = accepts_messages
         self.stage = TakeoverStage.FOLLOWING
         self.holder = LeaseHolder(lease_name(partition), me, names)
         self.holder.term = term
@@ -253,7 +253,7 @@
         if self.current is None and self._stored:
             partition = max(self._stored)
             self.current = Takeover(
-                partition, self.me, self.names, self._stored[partition], resume=True, takes_new_messages=True
+                partition, self.me, self.names, self._stored[partition], resume=True, accepts_messages=True
             )
             return self.current
         if grantor.learning:
@@ -267,7 +267,7 @@
             self.current.takes_new_messages = False  # if held again, it is closed once no message is pending
         self._newest = epoch
         self.current = Takeover(
-            self.slot << EPOCH_BITS | epoch, self.me, self.names, resume=True, takes_new_messages=True
+            self.slot << EPOCH_BITS | epoch, self.me, self.names, resume=True, accepts_messages=True
         )
         return self.current
 
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -164,17 +164,17 @@
         """
         rows = {name: self._row("H", 1, 2, "H", "A") for name in NAMES} | {"B": self._row("H", 1, 1, "H", "B")}
         nodes = {name: Node(name, self.grantor(name, NAMES, 0, (rows[name],)), None, True) for name in NAMES}
-        holder = self.holder(LEASE, "H", NAMES)
-        holder.request_next_term(0, Grant(LEASE, 0, ""))
-        holder.newest_set_number, holder._sets = rows["H"].set, {rows["H"].set: rows["H"].successors}
+        lease_holder = self.holder(LEASE, "H", NAMES)
+        lease_holder.request_next_term(0, Grant(LEASE, 0, ""))
+        lease_holder.newest_set_number, lease_holder._sets = rows["H"].set, {rows["H"].set: rows["H"].successors}
         now = FIRST_TICK * TICK_US["H"]
         answers = {name: LeaseReply(True, 1, "H", row.successors, row.set) for name, row in rows.items()}
         for name in NAMES:
             nodes[name].grantor._promises[LEASE] = FIRST_TICK * TICK_US[name] + LEASE_SPAN_US // (
                 1 if late_replies or name != "B" else 4
             )
-            holder.receive_reply(now, now - (late_replies and name != "H") * TICK_US["H"], name, answers[name])
-        nodes["H"] = nodes["H"].with_holder(holder)
+            lease_holder.receive_reply(now, now - (late_replies and name != "H") * TICK_US["H"], name, answers[name])
+        nodes["H"] = nodes["H"].with_holder(lease_holder)
         in_transit = frozenset(LateMessage("H", name, now, answers[name]) for name in OTHERS["H"] if late_replies)
         return GlobalState(
             FIRST_TICK,
@@ -183,7 +183,7 @@
             self.crashes,
             self.lates_left,
             last_attempt=("H", 1),
-            allowed_successors=named_successors(holder),
+            allowed_successors=named_successors(lease_holder),
         )
 
     def held_with_late_replies(self) -> GlobalState:
--- a/tests/fleet/lease_histories.py
+++ b/tests/fleet/lease_histories.py
@@ -185,12 +185,12 @@
             member.running = True
             if not member.up:
                 self.restart(member)
-        complete = [name for name in self.allowed_successors if self.members[name].complete]
+        candidates = [name for name in self.allowed_successors if self.members[name].complete]
         for _ in range(10):
             self.pass_time(24)
             if any(one.takeover.holder.is_valid(self.clock(one)) for one in self.members.values()):
                 return
-        successors = [name for name in complete if self.could_take_over(name)]
+        successors = [name for name in candidates if self.could_take_over(name)]
         assert not successors, f"no member holds the partition, though {successors} could"
 
     def could_take_over(self, name: str) -> bool:
--- a/tests/fleet/test_lease_histories.py
+++ b/tests/fleet/test_lease_histories.py
@@ -66,8 +66,8 @@
 
 
 class NoLearning(LeaseGrantor):
-    def __init__(self, me: str, names: Collection[str], booted_at: int, grants: Iterable[Grant] | None) -> None:
-        super().__init__(me, names, booted_at, grants or ())
+    def __init__(self, me: str, names: Collection[str], boot_time: int, grants: Iterable[Grant] | None) -> None:
+        super().__init__(me, names, boot_time, grants or ())
 
 
 class WholeSpan(LeaseHolder):
--- a/tests/fleet/test_lease_recovery.py
+++ b/tests/fleet/test_lease_recovery.py
@@ -185,10 +185,10 @@
         self.assertEqual(self.terms(), before)
 
     def test_without_the_probe_it_uses_up_term_after_term(self) -> None:
-        request_next_term = LeaseHolder.request_next_term
+        original_request = LeaseHolder.request_next_term
 
         def without_probe(holder: LeaseHolder, now: int, grant: Grant, probe_first: bool = False) -> None:
-            request_next_term(holder, now, grant)
+            original_request(holder, now, grant)
 
         with mock.patch.object(LeaseHolder, "request_next_term", without_probe):
             self.network.run(seconds=30)
