--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -146,7 +146,7 @@
         """Connect to the parts of the sender; called after every other part that wraps the attempt callbacks."""
         self.observer = EventObserver(self.name, site, dispatcher, endpoint_list)
         management.follows = self.answer
-        dispatcher.attempts.clear = partial(self._cleared, dispatcher.attempts.clear)
+        dispatcher.attempts.request_clearance = partial(self._cleared, dispatcher.attempts.request_clearance)
         dispatcher.attempts.report_result = partial(self._attempt_ended, dispatcher.attempts.report_result)
         self.begin()
 
@@ -174,7 +174,7 @@
         try:
             self._happened(kind, observer.message(kind, stored, figure))
         except Exception:  # a delivery must not fail because of its subscribers
-            self.counters.failed("an event was not published")
+            self.counters.log_exception("an event was not published")
 
     def adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
         """Emit events for messages taken over from another member."""
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -52,7 +52,7 @@
                 if self.store.messages[number].deadline <= soon and number not in self.store.inert
             ]
             if late:
-                self.dispatcher.answer_late(late)
+                self.dispatcher.abandon_parked(late)
 
     def _has_no_holder(self, adoption: Takeover) -> bool:
         """Whether this member asks for a partition, or will, and no other member is known to have held it since."""
@@ -75,4 +75,4 @@
             if number in self.store.messages and (number not in owed or self.store.messages[number].deadline <= soon)
         ]
         if late:
-            self.dispatcher.answer_late(late)
+            self.dispatcher.abandon_parked(late)
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -138,4 +138,4 @@
         except (OSError, NoSpaceError) as error:
             self.counters.warning("the fleet's folder cannot be used", error)
         except Exception:  # else the process would end, and again after each start on this folder
-            self.counters.failed(f"the fleet failed in {call.__name__}")
+            self.counters.log_exception(f"the fleet failed in {call.__name__}")
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -49,18 +49,18 @@
         key = self._key(name)
         still = self.dispatcher.freeze(key)
         if not still.wait(FREEZE_TIMEOUT_US / US_PER_S):
-            self.dispatcher.cut(key)
+            self.dispatcher.abort_attempts(key)
             still.wait(CUT_OFF_TIMEOUT_S)
         self.carry_out(self.moves.attempts_ended(name, monotonic_time()))
 
     def _mark(self, name: str) -> None:
         """Mark the pending messages as inert, in the folder and at all successors; call the move off on a failure."""
         key = self._key(name)
-        self.dispatcher.cut(key)
+        self.dispatcher.abort_attempts(key)
         # So that the ends of attempts that were cut off are recorded before the marks.
-        self.dispatcher.between(lambda: True).get()
+        self.dispatcher.run_in_dispatcher(lambda: True).get()
         partitions: set[int] = set()
-        marked = self.dispatcher.between(lambda: self._write_marks(name, key, partitions)).get()
+        marked = self.dispatcher.run_in_dispatcher(lambda: self._write_marks(name, key, partitions)).get()
         if marked and self._copied(partitions):
             self.carry_out(self.moves.marked(name, monotonic_time()))
         else:
@@ -113,7 +113,7 @@
         if len(ids) > MAX_STAGED_IDS:
             return None
         entries = tuple(RecentIdEntry(each, age, hashed) for each, (age, hashed) in ids.items())
-        rest = self.dispatcher.rest_of(key)
+        rest = self.dispatcher.key_hold_left_us(key)
         return StageSession(name, key, self.sequences[name], data, digest_of(data), entries, rest)
 
     def _forward(self, step: MigrationStep) -> None:
@@ -122,7 +122,7 @@
         if self._began_here(step.move):
             self.directory.record_new_holder(key, step.to, self.sequences[step.move] + 1, now)
             self.planner.ended(key, True, now)
-            self.dispatcher.thaw(key)
+            self.dispatcher.unfreeze(key)
             self.counters.add("sessions given away")
         self.change()
 
@@ -130,7 +130,7 @@
         """Make the messages live here again after a move was called off; repeated until it succeeds."""
         key, now, began_here = self._key(name), monotonic_time(), self._began_here(name)
         # If the file cannot be written now, giving up would leave the messages inert and the session frozen for good.
-        while not self.dispatcher.between(lambda: self._clear_marks(name, key, began_here, now)).get():
+        while not self.dispatcher.run_in_dispatcher(lambda: self._clear_marks(name, key, began_here, now)).get():
             gevent.sleep(RELEASE_RETRY_S)
         if began_here:
             self.planner.ended(key, False, monotonic_time())
@@ -152,16 +152,16 @@
                 self.directory.hold(
                     key, max(sequence, session.sequence), self.directory.recent_ids(key, now), now, session.sure
                 )
-            self.dispatcher.thaw(key)
+            self.dispatcher.unfreeze(key)
         pending = [
             stored.number
             for stored in self.store.messages.values()
             if (stored.turn == key and stored.end is None or stored.number in ended)
             and self.store.may_fire(stored.number)
         ]
-        self.dispatcher.adopt(pending, quietly=True)
+        self.dispatcher.adopt(pending, no_unrecorded_attempts=True)
         return True
 
     def _over(self, name: str) -> None:
         """Drop the messages here: the target is active."""
-        self.dispatcher.between(lambda: self._give_up(name, SOURCE_MARK)).get()
+        self.dispatcher.run_in_dispatcher(lambda: self._give_up(name, SOURCE_MARK)).get()
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -53,7 +53,7 @@
     def _write(self, name: str) -> None:
         """Store the staged messages, marked as inert, in the own folder and at every successor."""
         stage, _ = self.offers[name]
-        stored = self.dispatcher.between(lambda: self._store_staged(name, stage)).get()
+        stored = self.dispatcher.run_in_dispatcher(lambda: self._store_staged(name, stage)).get()
         open_partition = self.store.open_partition
         if stored and open_partition is not None and self._copied({open_partition.partition}):
             self.carry_out(self.moves.written(name, monotonic_time()))
@@ -81,7 +81,7 @@
     def _activate(self, name: str) -> None:
         """Clear the marks and go on with the messages; does nothing while this member may not fire for them."""
         key, offer = self._key(name), self.offers.get(name)
-        if self.dispatcher.between(lambda: self._make_active(name, key, offer)).get():
+        if self.dispatcher.run_in_dispatcher(lambda: self._make_active(name, key, offer)).get():
             self.counters.add("sessions taken over")
             self.carry_out(self.moves.activated(name, monotonic_time()))
 
@@ -110,13 +110,13 @@
         # While the decision was not known the source may have answered messages near their deadline: they must not be
         # attempted here.
         late = [number for number in numbers if self.store.messages[number].deadline <= soon]
-        self.dispatcher.answer_late(late)
+        self.dispatcher.abandon_parked(late)
         # Unless the source reported no rest, an attempt from before the move may still run, even one of a message that
-        # has ended; adopting not quietly then lets all keys rest.
-        quietly = offer is not None and not offer[0].rest
-        if numbers or not quietly:
-            self.dispatcher.adopt([number for number in numbers if number not in late], quietly)
+        # has ended; adopting not no_unrecorded_attempts then lets all keys rest.
+        no_unrecorded_attempts = offer is not None and not offer[0].rest
+        if numbers or not no_unrecorded_attempts:
+            self.dispatcher.adopt([number for number in numbers if number not in late], no_unrecorded_attempts)
 
     def _drop(self, name: str) -> None:
         """Drop the staged messages: the move was called off."""
-        self.dispatcher.between(lambda: self._give_up(name, TARGET_MARK)).get()
+        self.dispatcher.run_in_dispatcher(lambda: self._give_up(name, TARGET_MARK)).get()
--- a/cedarwick/fleet/peer_server.py
+++ b/cedarwick/fleet/peer_server.py
@@ -111,7 +111,7 @@
         except OSError:
             pass  # the caller went
         except Exception:  # one bad connection must not end the others
-            self.counters.failed("a request of a member broke")
+            self.counters.log_exception("a request of a member broke")
 
     def _read_head(self, sock: gevent.socket.socket) -> HttpRequest | None:
         """A request with its whole head; None where none comes, or not in time."""
@@ -188,7 +188,7 @@
         except CedarwickError:
             raise
         except Exception:  # one failing peer message must not end the connection
-            self.counters.failed("answering a peer message failed")
+            self.counters.log_exception("answering a peer message failed")
             raise AnswerFailedError(f"{self.gate.me!r} failed to answer a {type(peer_message.body).__name__}") from None
         if len(answer) > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
--- a/cedarwick/fleet/pending_order_keys.py
+++ b/cedarwick/fleet/pending_order_keys.py
@@ -28,7 +28,7 @@
         self._send_pending_order_keys(now, here | in_replicas)
         before = self.order_key_hints.elsewhere
         if self.order_key_hints.rests(now, here, in_replicas) or before:
-            self.dispatcher.rest(self.order_key_hints.elsewhere)
+            self.dispatcher.hold_keys(self.order_key_hints.elsewhere)
 
     def _all_replica_order_keys(self, now: int) -> set[int]:
         return set().union(*(self._replica_order_keys(now, adoption) for adoption in self.adoptions.values()))
@@ -50,7 +50,7 @@
         return {
             key
             for key in self.order_key_hints.sent_keys - counted - self.order_key_hints.elsewhere
-            if self.dispatcher.rest_of(key) > 0
+            if self.dispatcher.key_hold_left_us(key) > 0
         }
 
     def _send_pending_order_keys(self, now: int, keys: set[int]) -> None:
@@ -80,7 +80,7 @@
                     for fact in facts[:MAX_OWED_MESSAGES]
                     if fact.base is not None
                     and fact.known.end[0] is EndRank.NONE
-                    and self.dispatcher.ordered(fact.base.priority_class)
+                    and self.dispatcher.is_ordered(fact.base.priority_class)
                 ]
             )
         return self.replica_order_keys[partition]
@@ -96,7 +96,7 @@
                 stored is not None
                 and stored.turn
                 and stored.end is None
-                and self.dispatcher.ordered(stored.priority_class)
+                and self.dispatcher.is_ordered(stored.priority_class)
             ):
                 # An adopted partition counts whole: its keys rested here as a replica's, and would otherwise be sent no
                 # longer.
--- a/cedarwick/fleet/ports.py
+++ b/cedarwick/fleet/ports.py
@@ -28,19 +28,19 @@
         """Leave messages alone from now on, without an answer."""
         ...
 
-    def answer_late(self, numbers: list[int]) -> None:
+    def abandon_parked(self, numbers: list[int]) -> None:
         """Write off parked messages whose deadline is near."""
         ...
 
-    def ordered(self, priority_class: str) -> bool:
+    def is_ordered(self, priority_class: str) -> bool:
         """Whether messages of a priority class are delivered one after another within a key."""
         ...
 
-    def rest(self, keys: frozenset[int]) -> None:
+    def hold_keys(self, keys: frozenset[int]) -> None:
         """Hold back messages of these keys until a call without the key: earlier ones are owed by other members."""
         ...
 
-    def rest_of(self, key: int) -> int:
+    def key_hold_left_us(self, key: int) -> int:
         """Microseconds for which a key must rest here, since an attempt of it may be running."""
         ...
 
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -157,7 +157,7 @@
         try:
             work[step.action](step.move)
         except Exception:  # one move that fails must not keep the others from being settled
-            self.counters.failed(f"a move failed at {step.action.value}")
+            self.counters.log_exception(f"a move failed at {step.action.value}")
         finally:
             self.under_way.discard((step.move, step.action))
             self.change()
@@ -223,4 +223,4 @@
                 continue
             if holding.serving and self.moves.near_deadline(text[1:]) == "failed" and text[:1] == SOURCE_MARK:
                 self.counters.add("messages on the move that were answered by their limit")
-                self.dispatcher.answer_late([number])
+                self.dispatcher.abandon_parked([number])
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -303,7 +303,7 @@
         return ForwardReply("", 0, claim.granted, location_of(claim.entry))
 
     def _answer_recall(self, body: RecallForward) -> Acknowledged:
-        stored = self.store.messages.get(self.dispatcher.numbers.get(body.id, 0))
+        stored = self.store.messages.get(self.dispatcher.numbers_by_id.get(body.id, 0))
         if stored is not None and stored.turn == body.key and stored.number not in self.store.inert:
             self.counters.add("clients gone before their answer")
             self._withdraw(Submission(stored))
--- a/cedarwick/lab/virtual_clients.py
+++ b/cedarwick/lab/virtual_clients.py
@@ -115,7 +115,9 @@
         handed.answered, handed.sender = self.day.now(), sender.number
         if answer == "ok" and self.day.table.sessions:
             has = [
-                each.number for each in self.senders if each.node is not None and stored.id in each.dispatcher.numbers
+                each.number
+                for each in self.senders
+                if each.node is not None and stored.id in each.dispatcher.numbers_by_id
             ]
             handed.taker = has[0] if len(has) == 1 else -1
 
--- a/cedarwick/lab/virtual_partners.py
+++ b/cedarwick/lab/virtual_partners.py
@@ -94,7 +94,7 @@
         self.dispatcher = dispatcher
         self.sender = sender
         self.owner = owner
-        self.clear = dispatcher.clear
+        self.request_clearance = dispatcher.request_clearance
         self.report_result = dispatcher.attempt_ended
         self.in_flight = {}
         self.seen: dict[int, Called] = {}  # by message: the call that its partner has
@@ -104,7 +104,7 @@
         self.in_flight[task] = call
         task.rawlink(lambda ended: self.in_flight.pop(ended, None))
 
-    def cut(self, numbers: Collection[int]) -> None:
+    def abort(self, numbers: Collection[int]) -> None:
         for task, call in list(self.in_flight.items()):
             if call.message.number in numbers and not call.reported:
                 task.kill()
@@ -116,7 +116,7 @@
         day = self.day
         day.kernel.sleep(day.chance.uniform(0.0002, 0.002))
         for _ in range(3):
-            if not self.clear(call):
+            if not self.request_clearance(call):
                 call.reported = True
                 return
             if WALL + day.kernel.now - call.polled_at <= TOO_OLD:
@@ -124,7 +124,7 @@
             day.kernel.sleep()
         else:
             return self._ended(call, Outcome.MOOT)
-        if not self.dispatcher.may_fire(call.message.number):
+        if not self.dispatcher.may_send(call.message.number):
             return self._ended(call, Outcome.MOOT)
         self._ended(call, self._attempt(call))
 
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -56,9 +56,9 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__()
         self.kernel = kernel
-        self.quiet = 0.0
+        self.log_interval_s = 0.0
 
-    def failed(self, kind: str) -> None:
+    def log_exception(self, kind: str) -> None:
         self.kernel.errors.append(f"{kind}: {traceback.format_exc()}")
 
 
@@ -127,14 +127,14 @@
         self.dispatcher = dispatcher = Dispatcher(assignment, clock, counters, self.store, cast(PollClock, clock))
         self.store.load()
         receivers = range(SCENARIO.destinations() * RECEIVERS)
-        dispatcher.listed(
+        dispatcher.apply_endpoint_update(
             EndpointUpdate.CACHED,
             [ListedEndpoint(1 + each, 0, 0, each // RECEIVERS, EndpointState.READY, 100.0) for each in receivers],
         )
         dispatcher.notices = DrawnNotices(day, self.number, counters, dispatcher.acknowledged)
         dispatcher.attempts = DrawnAttempts(day, self.partners, dispatcher, self.number, self.owner)
-        dispatcher.free_links = lambda _: None
-        dispatcher.ask_for_list = lambda: None
+        dispatcher.release_connections = lambda _: None
+        dispatcher.reopen_list_watch = lambda: None
         dispatcher.restore()
         node = FleetNode(self.name, day.table, self.folder, self.store, clock, counters)
         self.client_listener = FakeClientListener(dispatcher)
@@ -168,10 +168,10 @@
             if session_router is not None:
                 session_router.leave()
             kernel.sleep(STAY)
-            self.dispatcher.hold_fire(ending=True)
+            self.dispatcher.stop_attempts(abandon_near_deadline=True)
             end = kernel.now + DRAIN
             while kernel.now < end and not (
-                self.dispatcher.idle()
+                self.dispatcher.is_idle()
                 and not self.dispatcher.notices.pending
                 and (session_router is None or session_router.left())
             ):
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -70,7 +70,7 @@
 class AttemptRunner:
     """Runs ordered attempts; each reports exactly one `AttemptResult` through `report_result`.
 
-    `clear` asks the dispatcher whether an attempt may go, `may_fire` asks again right before the first byte,
+    `clear` asks the dispatcher whether an attempt may go, `may_send` asks again right before the first byte,
     `report_retry_after` passes on Retry-After waits as (receiver, until in microseconds), and `report_late_success` an
     attempt whose good answer was read after its time-out had been reported.
     """
@@ -79,24 +79,24 @@
         self,
         clock: Clock,
         counters: Counters,
-        links: ConnectionPool,
-        columns: list[str],
-        polled: PollClock,
-        clear: Callable[[AttemptCall], bool],
+        connections: ConnectionPool,
+        report_columns: list[str],
+        poll_clock: PollClock,
+        request_clearance: Callable[[AttemptCall], bool],
         report_result: Callable[[AttemptCall, AttemptResult], None],
         report_retry_after: Callable[[list[tuple[int, int]]], None],
-        may_fire: Callable[[int], bool] = lambda _: True,
+        may_send: Callable[[int], bool] = lambda _: True,
         report_late_success: Callable[[AttemptCall], None] = lambda _: None,
     ) -> None:
         self.clock = clock
         self.counters = counters
-        self.links = links
-        self.columns = columns
-        self.polled = polled
-        self.clear = clear
+        self.connections = connections
+        self.report_columns = report_columns
+        self.poll_clock = poll_clock
+        self.request_clearance = request_clearance
         self.report_result = report_result
         self.report_retry_after = report_retry_after
-        self.may_fire = may_fire
+        self.may_send = may_send
         self.report_late_success = report_late_success
         self.in_flight: dict[gevent.Greenlet, AttemptCall] = {}
 
@@ -106,7 +106,7 @@
         self.in_flight[greenlet] = call
         greenlet.rawlink(lambda finished: self.in_flight.pop(finished, None))
 
-    def cut(self, numbers: Collection[int]) -> None:
+    def abort(self, numbers: Collection[int]) -> None:
         """Abort the running calls of some messages and close their connections; the messages may have run."""
         for greenlet, call in list(self.in_flight.items()):
             if call.message.number in numbers and not call.reported:
@@ -119,38 +119,38 @@
             self._run_attempt(call)
         except Exception:
             # Without a result the attempt would hold its slot and its message for ever.
-            self.counters.failed("an attempt failed")
+            self.counters.log_exception("an attempt failed")
             if not call.reported:
                 self._report_failure(call, Outcome.RESET)
 
     def _run_attempt(self, call: AttemptCall) -> None:
         try:
-            link = self.links.obtain(call.receiver, call.until, call.new_connection)
+            connection = self.connections.acquire(call.receiver, call.until, call.new_connection)
         except NoDescriptorError as error:
             self.counters.warning("no descriptor for an attempt", error.within(f"receiver {call.receiver}"))
             self._report_not_sent(call)
             return
         except OSError as error:
-            self.counters.warning("a link did not come up", error)
+            self.counters.warning("a connection could not be opened", error)
             self._report_failure(call, Outcome.CONNECT_FAILED)
             return
         usable = False
         try:
             # While the connection came up, a Retry-After wait or a drain may have arrived, or the message ended.
-            usable = not self._cleared(call)
+            usable = not self._obtain_clearance(call)
             if not usable:
-                usable = self._send_unless_expired(call, link)
+                usable = self._send_unless_expired(call, connection)
         finally:
-            self.links.give_back(link, usable)
+            self.connections.release(connection, usable)
 
-    def _send_unless_expired(self, call: AttemptCall, link: Connection) -> bool:
+    def _send_unless_expired(self, call: AttemptCall, connection: Connection) -> bool:
         """Make the call unless its time or connection ended during the clearance.
 
         Returns whether the connection can be used again.
         """
-        if is_closed(link.sock):
+        if is_closed(connection.sock):
             # Bytes that came before the request would be read as its answer.
-            if link.idle_since:
+            if connection.idle_since:
                 self._report_not_sent(call)
             else:
                 self.counters.add("new links that ended or spoke before their request")
@@ -160,13 +160,13 @@
             self.counters.add("attempts held back: their time was over")
             self._report_not_sent(call)
             return True
-        call.reused_connection = link.idle_since > 0
-        return self._exchange(call, link)
+        call.reused_connection = connection.idle_since > 0
+        return self._exchange(call, connection)
 
-    def _cleared(self, call: AttemptCall) -> bool:
+    def _obtain_clearance(self, call: AttemptCall) -> bool:
         """Whether the attempt may go now; where it may not, its result has been reported."""
         for _ in range(MAX_CLEARANCE_REQUESTS):
-            if not self.clear(call):
+            if not self.request_clearance(call):
                 call.reported = True
                 self.counters.add("attempts held back before their first byte")
                 return False
@@ -174,30 +174,30 @@
                 return True
             # The process was paused, or a round was long: a refusal may be waiting unread in a socket.
             self.counters.add("clearances that grew old")
-            self.polled.again()
+            self.poll_clock.again()
         self._report_not_sent(call)
         return False
 
-    def _exchange(self, call: AttemptCall, link: Connection) -> bool:
+    def _exchange(self, call: AttemptCall, connection: Connection) -> bool:
         """Write the request and read the answer; returns whether the connection can be used again."""
         answer = ResponseParser()
         broken: Outcome | None = Outcome.CONNECT_FAILED
         try:
-            self._wait_until(link, min(call.until, call.send_by))
+            self._wait_until(connection, min(call.until, call.send_by))
             whole = encode_request(call, self.clock.now())
             # The right to send may have expired since the clearance; another sender may hold it now.
-            if not self.may_fire(call.message.number):
+            if not self.may_send(call.message.number):
                 self.counters.add("attempts held back: no right to fire")
                 self._report_failure(call, Outcome.MOOT)
                 return True
             call.sent_at = self.clock.now()
-            link.sock.sendall(whole)
+            connection.sock.sendall(whole)
             self.counters.add("attempts sent")
-            self.counters.figures.attempts_sent += 1
-            broken = self._read(call, link, answer)
+            self.counters.metrics.attempts_sent += 1
+            broken = self._read(call, connection, answer)
         except OSError:
             # The last byte was never sent, so nothing ran; an early answer may say more.
-            self._read_unread_bytes(call, link, answer)
+            self._read_unread_bytes(call, connection, answer)
         if answer.complete or answer.status == 200:
             usable = answer.complete and answer.keep_alive and broken is None
             if not call.reported:
@@ -205,24 +205,24 @@
             return usable
         # End the call before its result is reported: a retry must not run beside it. A refusal counts only when its
         # answer is whole: if what follows its head is malformed, the attempt may have run.
-        if broken is Outcome.TIME_OUT and self.links.end_sending(link):
+        if broken is Outcome.TIME_OUT and self.connections.shut_down_sending(connection):
             self._report_failure(call, broken)
-            self._read_late_answer(call, link, answer)
+            self._read_late_answer(call, connection, answer)
         else:
-            self.links.give_back(link, usable=False)
+            self.connections.release(connection, usable=False)
             self._report_failure(call, broken or Outcome.RESET)
         return False
 
-    def _read(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> Outcome | None:
+    def _read(self, call: AttemptCall, connection: Connection, answer: ResponseParser) -> Outcome | None:
         """Read the answer to its end; returns the outcome if it broke off before that, else None."""
         until = call.until
         try:
             while not answer.complete:
-                self._wait_until(link, until)
-                if not link.buffer.fill(link.sock):
+                self._wait_until(connection, until)
+                if not connection.buffer.fill(connection.sock):
                     return None if answer.ended() else Outcome.RESET
                 begun = answer.status
-                answer.feed(link.buffer)
+                answer.feed(connection.buffer)
                 self._report_early_retry_after(call, answer)
                 if answer.status and not begun:
                     until = min(until, self.clock.now() + ANSWER_REST_TIMEOUT_US)
@@ -230,33 +230,33 @@
                     self._report_answer(call, answer)  # a success counts even if the rest of the answer is lost
         except TimeoutError:
             # After a pause of the process, answers that came in time are still unread.
-            self._read_unread_bytes(call, link, answer)
+            self._read_unread_bytes(call, connection, answer)
             return Outcome.RESET if answer.status else Outcome.TIME_OUT
         except (OSError, InvalidResponseError) as error:
             self.counters.warning("a link broke during an attempt", error)
             return Outcome.RESET
         return None
 
-    def _wait_until(self, link: Connection, until: int) -> None:
+    def _wait_until(self, connection: Connection, until: int) -> None:
         left = until - self.clock.now()
         if left <= 0:
             raise TimeoutError
-        link.sock.settimeout(left / 1_000_000)
+        connection.sock.settimeout(left / 1_000_000)
 
-    def _read_unread_bytes(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
-        self._read_more(link, answer, 0)
+    def _read_unread_bytes(self, call: AttemptCall, connection: Connection, answer: ResponseParser) -> None:
+        self._read_more(connection, answer, 0)
         self._report_early_retry_after(call, answer)
 
-    def _read_more(self, link: Connection, answer: ResponseParser, until: int) -> None:
+    def _read_more(self, connection: Connection, answer: ResponseParser, until: int) -> None:
         """Read until the head of an answer is there, up to a time; with 0, read only what has arrived."""
-        link.sock.settimeout(0.0)
+        connection.sock.settimeout(0.0)
         try:
             while not (answer.headed if until else answer.complete):
                 if until:
-                    self._wait_until(link, until)
-                if not link.buffer.fill(link.sock):
+                    self._wait_until(connection, until)
+                if not connection.buffer.fill(connection.sock):
                     return
-                answer.feed(link.buffer)
+                answer.feed(connection.buffer)
         except (OSError, InvalidResponseError):
             pass
 
@@ -274,14 +274,14 @@
             [(call.receiver, self.clock.now() + parse_retry_after(answer.headers.get("x-backoff-ms", "")))]
         )
 
-    def _read_late_answer(self, call: AttemptCall, link: Connection, answer: ResponseParser) -> None:
+    def _read_late_answer(self, call: AttemptCall, connection: Connection, answer: ResponseParser) -> None:
         """Read on for a moment on the connection of a call that timed out and whose result was reported.
 
         A refusal that arrives just after the time-out still sets a Retry-After wait, which later attempts must respect.
         A success delivers the message, unless its end has been decided meanwhile.
         """
         self.in_flight.pop(gevent.getcurrent(), None)
-        self._read_more(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
+        self._read_more(connection, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
         if answer.headed and self.counters.trace.enabled:
             stored = call.message
             self.counters.trace.add(
@@ -298,35 +298,35 @@
         took = self.clock.now() - call.ordered_at
         report = self._parse_report(answer.headers.get(REPORT_HEADER, ""))
         if answer.status == 200:
-            ending = AttemptResult(Outcome.COMPLETED, took, 0, True, report, call.reused_connection)
+            result = AttemptResult(Outcome.COMPLETED, took, 0, True, report, call.reused_connection)
         elif answer.status == 429:
             wait = parse_retry_after(answer.headers.get("x-backoff-ms", ""))
-            ending = AttemptResult(Outcome.FULL, took, wait, False, report)
+            result = AttemptResult(Outcome.FULL, took, wait, False, report)
         elif answer.status == 503 and answer.headers.get("x-egress-full") != "1":
-            ending = AttemptResult(Outcome.FULL, took, 0, False, report)
+            result = AttemptResult(Outcome.FULL, took, 0, False, report)
         elif answer.status in (503, 504):
-            ending = AttemptResult(Outcome.MOOT, took, 0, False, report)
+            result = AttemptResult(Outcome.MOOT, took, 0, False, report)
         elif answer.status == 410:
-            ending = AttemptResult(Outcome.MOOT, took, 0, True, report)
+            result = AttemptResult(Outcome.MOOT, took, 0, True, report)
         else:
             if answer.status != 500:
                 self.counters.warning("a receiver answered with an unknown status", answer.status)
-            ending = AttemptResult(Outcome.ERROR, took, 0, False, report)
+            result = AttemptResult(Outcome.ERROR, took, 0, False, report)
         self.counters.add(f"answers {answer.status}")
         call.status = answer.status
-        self._report(call, ending)
+        self._report(call, result)
 
     def _report_failure(self, call: AttemptCall, outcome: Outcome, not_sent: bool = False) -> None:
         self.counters.add(f"attempts without an answer: {outcome.value}")
         took = self.clock.now() - call.ordered_at
         self._report(call, AttemptResult(outcome, took, reused_connection=call.reused_connection, not_sent=not_sent))
 
-    def _report(self, call: AttemptCall, ending: AttemptResult) -> None:
+    def _report(self, call: AttemptCall, result: AttemptResult) -> None:
         call.reported = True
-        self._trace_attempt(call, ending)
-        self.report_result(call, ending)
+        self._trace_attempt(call, result)
+        self.report_result(call, result)
 
-    def _trace_attempt(self, call: AttemptCall, ending: AttemptResult) -> None:
+    def _trace_attempt(self, call: AttemptCall, result: AttemptResult) -> None:
         if not self.counters.trace.enabled:
             return
         stored = call.message
@@ -340,9 +340,9 @@
                 call.sent_at,
                 call.until,
                 self.clock.now(),
-                ending.outcome.value,
+                result.outcome.value,
                 call.status,
-                ending.not_sent,
+                result.not_sent,
             )
         )
 
@@ -354,7 +354,7 @@
         if not text:
             return ()
         reported = {name.strip(): value for name, _, value in (pair.partition("=") for pair in text.split(","))}
-        figures = [reported.get(name, "") for name in self.columns]
+        figures = [reported.get(name, "") for name in self.report_columns]
         # A single "nan" or "1e300" would spoil the rate of a destination for good.
         if not all(FIGURE_PATTERN.fullmatch(figure) for figure in figures):
             self.counters.warning("a report that cannot be read", text[:100])
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -105,7 +105,7 @@
             try:
                 sock, peer = self.listener.accept()
             except OSError as error:
-                self.descriptors.give_back()
+                self.descriptors.release()
                 self.counters.warning("accepting failed", error)
                 gevent.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
@@ -162,7 +162,7 @@
                 try:
                     sock, peer = self.listener.accept()
                 except OSError:  # there is none, or the listener is another process's already
-                    self.descriptors.give_back()
+                    self.descriptors.release()
                     return
                 self._start_serving(sock, peer)
 
@@ -210,7 +210,7 @@
             self.clients.discard(client)
             self._trace_close(client, reason)
             client.sock.close()
-            self.descriptors.give_back()
+            self.descriptors.release()
 
     def _trace_close(self, client: ClientConnection, reason: CloseReason) -> None:
         if self.counters.trace.enabled:
@@ -262,8 +262,8 @@
             name, _, value = pair.partition(b"=")
             if name == b"c":
                 priority_class = word(value.decode("utf-8", "replace"))
-                if priority_class in self.counters.figures.priority_classes:
-                    self.counters.figures.dropped[priority_class] += 1
+                if priority_class in self.counters.metrics.priority_classes:
+                    self.counters.metrics.dropped[priority_class] += 1
                 return
 
     def _answer(self, client: ClientConnection, parts: list[bytes]) -> bytes:
--- a/cedarwick/net/clock.py
+++ b/cedarwick/net/clock.py
@@ -4,8 +4,8 @@
 
 import gevent
 
-STEP = 0.001  # seconds of a timed wait over which the clock must advance
-MOST_STEPS = 100  # a clock that stands still for good must not keep the process from serving
+PROBE_WAIT_S = 0.001  # seconds of a timed wait over which the clock must advance
+MAX_PROBES = 100  # a clock that stands still for good must not keep the process from serving
 
 
 class Clock:
@@ -18,15 +18,15 @@
         """The time in microseconds since the epoch."""
         return (self.base + time.monotonic_ns()) // 1000
 
-    def in_step(self) -> bool:
+    def wait_until_advancing(self) -> bool:
         """Wait until the clock advances as much as a timed wait; returns whether it does.
 
         Where a CPU share is enforced through the clock, a start that used more than its share leaves the clock ahead
         of other processes', and it stands still until they catch up. Messages taken before that would end too late.
         """
-        for _ in range(MOST_STEPS):
+        for _ in range(MAX_PROBES):
             before = self.now()
-            gevent.sleep(STEP)
-            if self.now() - before >= STEP * 1_000_000:
+            gevent.sleep(PROBE_WAIT_S)
+            if self.now() - before >= PROBE_WAIT_S * 1_000_000:
                 return True
         return False
--- a/cedarwick/net/connections.py
+++ b/cedarwick/net/connections.py
@@ -23,7 +23,7 @@
 
 
 class NoDescriptorError(CedarwickError):
-    """All descriptors are taken, and no idle link could give way."""
+    """All descriptors are taken, and no idle connection could give way."""
 
     code = "CW302"
     remedy = "raise limits.sockets, or start another sender"
@@ -35,7 +35,7 @@
     def __init__(self, limit: int) -> None:
         self.set_limit(limit)
         self.used = 0
-        self.make_way: Callable[[], bool] = lambda: False
+        self.close_one: Callable[[], bool] = lambda: False
 
     def set_limit(self, limit: int) -> None:
         """Set the number of descriptors of the whole process; `RESERVED_DESCRIPTORS` of them stay free."""
@@ -43,11 +43,11 @@
 
     def claim(self) -> None:
         """Count one more descriptor; raises `NoDescriptorError` at the limit if no connection can be closed."""
-        if self.used >= self.limit and not self.make_way():
+        if self.used >= self.limit and not self.close_one():
             raise NoDescriptorError(f"all {self.limit} are taken")
         self.used += 1
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Count one descriptor less."""
         self.used -= 1
 
@@ -69,7 +69,7 @@
 class ConnectionPool:
     """Opens connections, pools the idle ones, and is the only place where they are closed.
 
-    `life` (how long an idle connection may be used) and `connect_limit` are microseconds.
+    `idle_lifetime_us` (how long an idle connection may be used) and `connect_timeout_us` are microseconds.
     """
 
     def __init__(
@@ -78,83 +78,83 @@
         counters: Counters,
         descriptors: DescriptorBudget,
         address_of: Callable[[int], tuple[str, int]],
-        life: int,
-        connect_limit: int,
+        idle_lifetime_us: int,
+        connect_timeout_us: int,
     ) -> None:
         self.clock = clock
         self.counters = counters
         self.descriptors = descriptors
         self.address_of = address_of
-        self.life = life
-        self.connect_limit = connect_limit
+        self.idle_lifetime_us = idle_lifetime_us
+        self.connect_timeout_us = connect_timeout_us
         self.idle: dict[int, deque[Connection]] = {}  # by receiver, the newest last
-        self.ending: dict[Connection, None] = {}  # connections that are only read from now on, the newest last
-        descriptors.make_way = self._give_way
+        self.half_closed: dict[Connection, None] = {}  # connections that are only read from now on, the newest last
+        descriptors.close_one = self._close_one
 
-    def obtain(self, receiver: int, until: int, new: bool = False) -> Connection:
+    def acquire(self, receiver: int, until: int, new: bool = False) -> Connection:
         """An idle connection or a new one, by `until`.
 
         Raises `OSError` where none comes up in time, `NoDescriptorError` where no descriptor is free.
         """
         address = self.address_of(receiver)
-        free_by = min(until, self.clock.now() + DESCRIPTOR_TIMEOUT_US)
-        while (link := None if new else self._reusable(receiver, address)) is None:
+        claim_by = min(until, self.clock.now() + DESCRIPTOR_TIMEOUT_US)
+        while (connection := None if new else self._take_idle(receiver, address)) is None:
             try:
                 self.descriptors.claim()
                 break
             except NoDescriptorError:
                 # Wait a little: if it failed at once while clients hold all descriptors, a message would soon be
                 # out of attempts.
-                if self.clock.now() >= free_by:
+                if self.clock.now() >= claim_by:
                     raise
                 gevent.sleep(DESCRIPTOR_POLL_INTERVAL_S)
-        if link is not None:
-            return link
+        if connection is not None:
+            return connection
         try:
-            limit = min(self.connect_limit, until - self.clock.now())
+            limit = min(self.connect_timeout_us, until - self.clock.now())
             sock = open_connection(address, max(limit, 1000) / 1_000_000)
         except BaseException:
-            self.descriptors.give_back()
+            self.descriptors.release()
             raise
-        self.counters.add("links opened")
+        self.counters.add("connections opened")
         return Connection(sock, receiver, address)
 
-    def _reusable(self, receiver: int, address: tuple[str, int]) -> Connection | None:
+    def _take_idle(self, receiver: int, address: tuple[str, int]) -> Connection | None:
         """The newest idle connection that can still be used, if any; those that cannot are closed."""
         waiting = self.idle.get(receiver)
         while waiting:
-            link = waiting.pop()
+            connection = waiting.pop()
             # Receivers close idle connections, and an attempt written just then is lost without a trace.
-            fresh = link.address == address and self.clock.now() - link.idle_since < self.life
-            if fresh and not is_closed(link.sock):
-                return link
-            self._close(link, CloseReason.NOT_REUSABLE)
+            fresh = connection.address == address and self.clock.now() - connection.idle_since < self.idle_lifetime_us
+            if fresh and not is_closed(connection.sock):
+                return connection
+            self._close(connection, CloseReason.NOT_REUSABLE)
         return None
 
-    def give_back(self, link: Connection, usable: bool) -> None:
+    def release(self, connection: Connection, usable: bool) -> None:
         """Return a connection to the pool; close it if it is not usable or has unread bytes."""
-        if not usable or len(link.buffer):
-            self._close(link, CloseReason.UNREAD_BYTES if usable else CloseReason.ANSWER_UNUSABLE)
+        if not usable or len(connection.buffer):
+            self._close(connection, CloseReason.UNREAD_BYTES if usable else CloseReason.ANSWER_UNUSABLE)
             return
-        link.idle_since = self.clock.now()
-        self.idle.setdefault(link.receiver, deque()).append(link)
+        connection.idle_since = self.clock.now()
+        self.idle.setdefault(connection.receiver, deque()).append(connection)
 
-    def end_sending(self, link: Connection) -> bool:
+    def shut_down_sending(self, connection: Connection) -> bool:
         """Shut down the sending side after a time-out, to read on until the connection is given back.
 
         False where it has broken.
         """
         try:
-            link.sock.shutdown(gevent.socket.SHUT_WR)
+            connection.sock.shutdown(gevent.socket.SHUT_WR)
         except OSError:
             return False
-        self.ending[link] = None
+        self.half_closed[connection] = None
         return True
 
-    def free(self, receiver: int) -> None:
+    def close_idle(self, receiver: int) -> None:
         """Close the idle connections to a receiver."""
-        for link in self.idle.pop(receiver, ()):
-            self._close(link, CloseReason.RELEASED)
+        for connection in self.idle.pop(receiver, ()):
+            self._close(connection, CloseReason.RELEASED)
 
     def sweep(self) -> None:
         """Never returns: closes idle connections before their receiver would."""
@@ -162,32 +162,34 @@
             gevent.sleep(IDLE_SWEEP_INTERVAL_S)
             now = self.clock.now()
             for receiver, waiting in list(self.idle.items()):
-                for link in list(waiting):
-                    if now - link.idle_since >= self.life or is_closed(link.sock):
-                        waiting.remove(link)
-                        self._close(link, CloseReason.IDLE)
+                for connection in list(waiting):
+                    if now - connection.idle_since >= self.idle_lifetime_us or is_closed(connection.sock):
+                        waiting.remove(connection)
+                        self._close(connection, CloseReason.IDLE)
                 if not waiting:
                     self.idle.pop(receiver, None)
 
-    def _give_way(self) -> bool:
-        if self.ending:
-            self._close(next(iter(self.ending)), CloseReason.DESCRIPTOR_WANTED)
+    def _close_one(self) -> bool:
+        if self.half_closed:
+            self._close(next(iter(self.half_closed)), CloseReason.DESCRIPTOR_WANTED)
             return True
-        longest = min(
-            (waiting[0] for waiting in self.idle.values() if waiting), key=lambda link: link.idle_since, default=None
+        oldest = min(
+            (waiting[0] for waiting in self.idle.values() if waiting),
+            key=lambda connection: connection.idle_since,
+            default=None,
         )
-        if longest is not None:
-            self.idle[longest.receiver].popleft()
-            self._close(longest, CloseReason.DESCRIPTOR_WANTED)
-        return longest is not None
+        if oldest is not None:
+            self.idle[oldest.receiver].popleft()
+            self._close(oldest, CloseReason.DESCRIPTOR_WANTED)
+        return oldest is not None
 
-    def _close(self, link: Connection, reason: CloseReason) -> None:
-        if link.closed:
+    def _close(self, connection: Connection, reason: CloseReason) -> None:
+        if connection.closed:
             return
-        link.closed = True
-        self.ending.pop(link, None)
-        link.sock.close()
-        self.descriptors.give_back()
-        self.counters.add("links closed")
+        connection.closed = True
+        self.half_closed.pop(connection, None)
+        connection.sock.close()
+        self.descriptors.release()
+        self.counters.add("connections closed")
         if self.counters.trace.enabled:
-            self.counters.trace.add(CloseTrace(f"receiver {link.receiver}", reason.value, self.clock.now()))
+            self.counters.trace.add(CloseTrace(f"receiver {connection.receiver}", reason.value, self.clock.now()))
--- a/cedarwick/net/counters.py
+++ b/cedarwick/net/counters.py
@@ -12,20 +12,23 @@
 from cedarwick.net.message_trace import MessageTrace
 from cedarwick.net.metrics import Metrics
 
-LOG_INTERVAL_S = 10.0  # between two log lines of one kind of warning, where the operator names no other
+DEFAULT_LOG_INTERVAL_S = 10.0  # between two log lines of one kind of warning, where the operator names no other
 LAG_INTERVAL_S = 0.1  # between two looks at the lag of the loop
 
 
 class Counters:
-    """Counts by name, the largest lag of the event loop (ms), and at most one log line a kind each `quiet` seconds."""
+    """Event counts by name, the largest lag of the event loop, and rate-limited warnings.
+
+    Each kind of warning is logged at most once every `log_interval_s` seconds.
+    """
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.lag_ms = 0.0
-        self.logged: dict[str, float] = {}
-        self.quiet = LOG_INTERVAL_S
-        self.every = 0.0  # seconds between two reports of all counters; 0: only when asked
-        self.figures = Metrics()  # the operators' figures, by priority class
+        self.last_logged: dict[str, float] = {}
+        self.log_interval_s = DEFAULT_LOG_INTERVAL_S
+        self.report_interval_s = 0.0  # seconds between two reports of all counters; 0: only when asked
+        self.metrics = Metrics()  # the operators' figures, by priority class
         self.trace = MessageTrace()
 
     def add(self, name: str) -> None:
@@ -36,11 +39,11 @@
         """Count a warning, and log it unless the same kind was logged a moment ago."""
         self.add(f"warning: {kind}")
         now = time.monotonic()
-        if now - self.logged.get(kind, -self.quiet) >= self.quiet:
-            self.logged[kind] = now
+        if now - self.last_logged.get(kind, -self.log_interval_s) >= self.log_interval_s:
+            self.last_logged[kind] = now
             logger.warning("{} (seen {} times): {}", kind, self.counts[f"warning: {kind}"], describe(detail))
 
-    def failed(self, kind: str) -> None:
+    def log_exception(self, kind: str) -> None:
         """Log an unexpected exception with its traceback; call it from the `except` block."""
         self.warning(kind, traceback.format_exc())
 
@@ -53,14 +56,14 @@
 
     def report(self) -> None:
         """Never returns: prints the counters as often as the operator wants them."""
-        printed = time.monotonic()
+        reported_at = time.monotonic()
         while True:
             gevent.sleep(1.0)
-            if self.every and time.monotonic() - printed >= self.every:
-                printed = time.monotonic()
-                self.print()
+            if self.report_interval_s and time.monotonic() - reported_at >= self.report_interval_s:
+                reported_at = time.monotonic()
+                self.log_counts()
 
-    def print(self) -> None:
+    def log_counts(self) -> None:
         """Log all counters in one line of JSON."""
         counts = dict(sorted(self.counts.items()))
         logger.info("counters {}", json.dumps({**counts, "largest lag of the loop, ms": round(self.lag_ms, 1)}))
--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -18,35 +18,35 @@
         stored = submission.message
         priority_class = self.priority_classes.get(stored.priority_class)
         if priority_class is None:
-            submission.answered(AdmissionResult.UNKNOWN_PRIORITY_CLASS)
+            submission.set_answer(AdmissionResult.UNKNOWN_PRIORITY_CLASS)
             return
         if stored.destination not in self.sender.destinations:
             self.counters.add("turned away: a destination that nobody listed")
-            submission.answered(AdmissionResult.UNKNOWN_DESTINATION)
+            submission.set_answer(AdmissionResult.UNKNOWN_DESTINATION)
             return
         now = self.clock.now()
         if stored.turn in self.frozen:
-            submission.answered(AdmissionResult.FROZEN)
+            submission.set_answer(AdmissionResult.FROZEN)
             return
         # A repeated id must not be sent again after its message ended, least of all with another body.
         copied = hash((stored.key, stored.turn, stored.priority_class, stored.tenant, stored.destination, stored.body))
-        known = self.recent.get(stored.id)
-        if known is not None or stored.id in self.numbers:
-            same = known is not None and known[1] == copied and stored.id in self.numbers
-            same = same and self.numbers[stored.id] not in self.new_submissions
-            submission.answered(AdmissionResult.ACCEPTED if same else AdmissionResult.REPEATED)
+        known = self.recent_ids.get(stored.id)
+        if known is not None or stored.id in self.numbers_by_id:
+            same = known is not None and known[1] == copied and stored.id in self.numbers_by_id
+            same = same and self.numbers_by_id[stored.id] not in self.new_submissions
+            submission.set_answer(AdmissionResult.ACCEPTED if same else AdmissionResult.REPEATED)
             return
-        while self.recent and next(iter(self.recent.values()))[0] < now - RECENT_ID_LIFETIME_US:
-            del self.recent[next(iter(self.recent))]
-        self.recent[stored.id] = now, copied
+        while self.recent_ids and next(iter(self.recent_ids.values()))[0] < now - RECENT_ID_LIFETIME_US:
+            del self.recent_ids[next(iter(self.recent_ids))]
+        self.recent_ids[stored.id] = now, copied
         if not self.store.has_room(stored):
             self.counters.add("turned away: no room in the folder")
-            submission.answered(AdmissionResult.BUSY)
+            submission.set_answer(AdmissionResult.BUSY)
             return
         stored.number = number = self.store.next_number
         self.store.next_number += 1
         self.new_submissions[number] = submission
-        self.numbers[stored.id] = number
+        self.numbers_by_id[stored.id] = number
         # Bound the time to live: an absurd one would take up room in the store for ever.
         stored.deadline = min(stored.deadline, now + self.sender.priority_classes[priority_class].deadline)
         self.handles[number] = self.sender.accept(
@@ -60,13 +60,13 @@
         )
         if stored.turn in self.keys_elsewhere and self.sender.priority_classes[priority_class].ordered:
             self.counters.add("messages that waited for others of their key elsewhere")
-            self._let_rest(stored.turn)
+            self._hold_key(stored.turn)
 
     def _withdraw(self, stored: StoredMessage) -> None:
-        self.leaving.discard(stored.number)
+        self.withdrawing.discard(stored.number)
         if stored.number in self.store.inert:
             return  # it is on its way to another sender, who knows nothing of this
-        self._end_unanswered(stored)
+        self._end_without_notice(stored)
 
     def _store_new(self) -> None:
         """At a hand-over: store and answer new messages; the next process decides on them."""
@@ -74,37 +74,39 @@
             self._store_message(submission)
         self.new_submissions.clear()
 
-    def _reject_new(self, now: int) -> None:
+    def _withdraw_new(self, now: int) -> None:
         """Refuse the submissions of this round, and withdraw them from the decisions."""
         for number, submission in self.new_submissions.items():
-            self.numbers.pop(submission.message.id, None)
+            self.numbers_by_id.pop(submission.message.id, None)
             self.handles.pop(number).withdrawn(now)
-            submission.answered(AdmissionResult.BUSY)
+            submission.set_answer(AdmissionResult.BUSY)
         self.new_submissions.clear()
 
     def _store_message(self, submission: Submission) -> None:
         """Store a message, then answer its client; attempts may go only after that."""
         stored = submission.message
-        if not self._recorded("a message", self.store.keep, stored):
-            del self.numbers[stored.id]
+        if not self._write_record("a message", self.store.keep, stored):
+            del self.numbers_by_id[stored.id]
             self.handles[stored.number].withdrawn(self.clock.now())
             if not self.handles[stored.number].in_flight:
                 del self.handles[stored.number]
-            submission.answered(AdmissionResult.BUSY)
+            submission.set_answer(AdmissionResult.BUSY)
             return
         if self.store.awaited:
-            self.after_flush.append((lambda: self._accepted(submission), lambda: self._rejected(submission)))
+            self.after_flush.append(
+                (lambda: self._accept_stored(submission), lambda: self._reject_unflushed(submission))
+            )
         else:
-            self._accepted(submission)
+            self._accept_stored(submission)
 
-    def _accepted(self, submission: Submission) -> None:
+    def _accept_stored(self, submission: Submission) -> None:
         if not self.store.may_fire(submission.message.number):
             # The right to send was lost in this round, so no copy of the message was waited for.
-            self._rejected(submission)
+            self._reject_unflushed(submission)
             return
         self.counters.add("taken")
-        submission.answered(AdmissionResult.ACCEPTED)
+        submission.set_answer(AdmissionResult.ACCEPTED)
 
-    def _rejected(self, submission: Submission) -> None:
+    def _reject_unflushed(self, submission: Submission) -> None:
         self._withdraw(submission.message)
-        submission.answered(AdmissionResult.BUSY)
+        submission.set_answer(AdmissionResult.BUSY)
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -20,18 +20,18 @@
     def _request_clearance(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
         self.clearance_requests.append((call, answer))
 
-    def _clear(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
-        call.polled_at = self.polled.at
+    def _decide_clearance(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
+        call.polled_at = self.poll_clock.at
         now, number = self.clock.now(), call.message.number
         handle = self.handles.get(number)
-        may = free = handle is not None and handle.may_start(now, call.receiver) and not self.holding_fire
+        may = free = handle is not None and handle.may_start(now, call.receiver) and not self.attempts_stopped
         may = may and self.store.may_fire(number)
         call.send_by = handle.send_by() if handle is not None else 0
         if may and number in self.store.messages and not call.recorded:
             zone = self.sender.receivers[call.receiver].zone
             mark = self.zones[zone] if zone < len(self.zones) else NOWHERE
-            may = self._with_body(call)
-            may = call.recorded = may and self._recorded(
+            may = self._load_body(call)
+            may = call.recorded = may and self._write_record(
                 "the record of an attempt", self.store.attempt, number, now, mark
             )
         if not may:
@@ -41,11 +41,11 @@
             self._attempt_ended(call, AttemptResult(Outcome.MOOT, not_sent=not free))
         elif self.store.awaited and not call.flushed:
             call.flushed = True
-            self.after_flush.append((lambda: answer.set(True), lambda: self._held_back(call, answer)))
+            self.after_flush.append((lambda: answer.set(True), lambda: self._deny_unflushed(call, answer)))
         else:
             answer.set(True)
 
-    def _with_body(self, call: AttemptCall) -> bool:
+    def _load_body(self, call: AttemptCall) -> bool:
         """Read the body back, which may be in the store only; returns whether that succeeded."""
         try:
             call.body = self.store.body(call.message.number)
@@ -54,22 +54,22 @@
             return False
         return True
 
-    def _held_back(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
+    def _deny_unflushed(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
         answer.set(False)
         self._attempt_ended(call, AttemptResult(Outcome.MOOT))
 
-    def _report_outcome(self, handle: Handle, call: AttemptCall, ending: AttemptResult) -> None:
+    def _report_outcome(self, handle: Handle, call: AttemptCall, result: AttemptResult) -> None:
         """Tell the decisions how an attempt of this message has ended."""
         handle.attempt_ended(
             self.clock.now(),
-            ending.outcome,
+            result.outcome,
             call.attempt,
             call.receiver,
-            ending.took,
-            ending.retry_after,
-            ending.last,
-            ending.report,
-            ending.reused_connection,
+            result.took,
+            result.retry_after,
+            result.last,
+            result.report,
+            result.reused_connection,
         )
 
     def _completed_late(self, call: AttemptCall) -> None:
@@ -82,39 +82,39 @@
         if handle is None or handle.ended or number not in self.store.messages:
             return
         self.counters.add("messages delivered by a late answer")
-        self.counters.figures.passed[call.message.priority_class] += 1
+        self.counters.metrics.passed[call.message.priority_class] += 1
         self._trace_end(call.message, "delivered", "late answer")
-        self._end_unanswered(call.message)
+        self._end_without_notice(call.message)
 
-    def _attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
+    def _attempt_ended(self, call: AttemptCall, result: AttemptResult) -> None:
         number = call.message.number
         if call.recorded:
-            self._recorded("the record of an outcome", self.store.outcome, number, ending.outcome)
+            self._write_record("the record of an outcome", self.store.outcome, number, result.outcome)
         handle = self.handles.get(number)
         if handle is None and (parked := self.parked.pop(number, None)) is not None:
-            self._report_outcome(parked, call, ending)
+            self._report_outcome(parked, call, result)
             frozen = self.frozen.get(call.message.turn)
             if frozen is not None:
                 frozen.in_flight.discard(number)
-                if not frozen.in_flight and not frozen.still.ready():
-                    frozen.still.set(True)
+                if not frozen.in_flight and not frozen.attempts_ended.ready():
+                    frozen.attempts_ended.set(True)
             if number in self.to_adopt:
                 self.to_adopt.discard(number)
                 self._adopt([number])
         if handle is None:
             return
-        self._report_outcome(handle, call, ending)
-        if ending.not_sent:
+        self._report_outcome(handle, call, result)
+        if result.not_sent:
             handle.attempt_not_sent()
         if handle.ended:
-            self.counters.add(f"messages over: {ending.outcome.value}")
-            if ending.outcome is Outcome.COMPLETED:
-                self.counters.figures.passed[call.message.priority_class] += 1
+            self.counters.add(f"messages over: {result.outcome.value}")
+            if result.outcome is Outcome.COMPLETED:
+                self.counters.metrics.passed[call.message.priority_class] += 1
                 self._trace_end(call.message, "delivered", "completed")
             del self.handles[number]
-            self._over(call.message)
+            self._delete_message(call.message)
         elif self.counters.trace.enabled:
             held = HeldTrace(
-                call.message.id, number, handle.attempts, ending.outcome.value, handle.due, self.clock.now()
+                call.message.id, number, handle.attempts, result.outcome.value, handle.due, self.clock.now()
             )
             self.counters.trace.add(held)
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -24,15 +24,15 @@
         """Take up what an earlier process of this sender left and it has the right to send; call once, at the start."""
         numbers = [number for number in sorted(self.store.messages) if self.store.may_fire(number)]
         if self.store.restarted:
-            taken_up = self._take_up(numbers)
+            taken_up = self._restore_messages(numbers)
             logger.info("restarted with {} unfinished messages, {} notices", taken_up, len(self.notices.pending))
 
-    def _take_up(self, numbers: Sequence[int], quietly: bool = False) -> int:
+    def _restore_messages(self, numbers: Sequence[int], no_unrecorded_attempts: bool = False) -> int:
         """Give stored messages to the decisions, or post their final answer; returns how many were not ended."""
         unfinished = []
         for number in numbers:
             stored = self.store.messages[number]
-            self.numbers[stored.id] = number
+            self.numbers_by_id[stored.id] = number
             if stored.end is None and stored.priority_class not in self.priority_classes:
                 self.counters.warning(
                     "a message of a priority class that is no more goes once at most", stored.priority_class
@@ -41,7 +41,7 @@
                 self.uncopied_ends.discard(number)
                 self.notices.post(number, stored.id, *stored.end)
                 continue
-            attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in stored.earlier_attempts()]
+            attempts = [attempt._replace(zone=self._zone_index(attempt.zone)) for attempt in stored.earlier_attempts()]
             priority_class = self.priority_classes.get(stored.priority_class, len(self.sender.priority_classes) - 1)
             unfinished.append(
                 UnfinishedMessage(
@@ -55,7 +55,7 @@
                 )
             )
         now = self.clock.now()
-        if quietly and all(
+        if no_unrecorded_attempts and all(
             attempt.outcome is not None and attempt.outcome.never_ran
             for each in unfinished
             for attempt in each.attempts
@@ -69,11 +69,11 @@
             self.handles[each.message_id] = handle
         return len(unfinished)
 
-    def _place_of(self, mark: int) -> int:
+    def _zone_index(self, mark: int) -> int:
         """The index of a recorded zone mark in the settings; `NOWHERE` unless exactly one zone has it."""
         return self.zones.index(mark) if self.zones.count(mark) == 1 else NOWHERE
 
-    def _adopt(self, numbers: list[int], quietly: bool = False) -> None:
+    def _adopt(self, numbers: list[int], no_unrecorded_attempts: bool = False) -> None:
         known = [
             number
             for number in numbers
@@ -85,18 +85,18 @@
         # An attempt from before the message was parked may still run; a second one must not run beside it.
         self.to_adopt.update(number for number in known if number in self.parked)
         taken_up = [number for number in known if number not in self.parked]
-        self._take_up(taken_up, quietly)
+        self._restore_messages(taken_up, no_unrecorded_attempts)
         joined: dict[int, list[Handle]] = {}
         for handle in [self.handles[number] for number in taken_up if number in self.handles]:
             if handle.priority_class.ordered and handle.key:
                 joined.setdefault(handle.key, []).append(handle)
         # Messages that come back together keep their order: they must not move ahead of one another.
-        not_sent = self.not_sent.difference(taken_up)
+        held_by_key = self.held_by_key.difference(taken_up)
 
         def before(one: Handle, other: Handle) -> bool:
             # A message whose attempt ran while its partition was parked comes back last: move it ahead of later ones.
             return (
-                other.id in not_sent
+                other.id in held_by_key
                 or other.id > one.id
                 and other.id >> PARTITION_SHIFT_BITS == one.id >> PARTITION_SHIFT_BITS
             )
@@ -104,24 +104,24 @@
         for key, handles in joined.items():
             self.sender.turns.line_up(key, handles, before)
 
-    def _rest(self, keys: frozenset[int]) -> None:
+    def _hold_keys(self, keys: frozenset[int]) -> None:
         self.keys_elsewhere = keys
-        self.not_sent &= self.handles.keys()
+        self.held_by_key &= self.handles.keys()
         for key in keys & self.sender.turns.lines.keys():
-            self._let_rest(key)
+            self._hold_key(key)
 
-    def _let_rest(self, key: int) -> None:
-        self.not_sent.update(each.id for each in self.sender.rest(self.clock.now(), key))
+    def _hold_key(self, key: int) -> None:
+        self.held_by_key.update(each.id for each in self.sender.rest(self.clock.now(), key))
 
     def _park(self, numbers: list[int]) -> None:
         now, given_up = self.clock.now(), set(numbers)
-        self.numbers = {each: number for each, number in self.numbers.items() if number not in given_up}
+        self.numbers_by_id = {each: number for each, number in self.numbers_by_id.items() if number not in given_up}
         for number in numbers:
             self.to_adopt.discard(number)
             self.notices.pending.pop(number, None)
             submission = self.new_submissions.pop(number, None)
             if submission is not None:
-                submission.answered(AdmissionResult.BUSY)
+                submission.set_answer(AdmissionResult.BUSY)
             handle = self.handles.pop(number, None)
             if handle is not None:
                 self._trace_parked(number, handle.in_flight)
@@ -136,18 +136,18 @@
             submission = self.new_submissions.pop(number, None)
             if submission is not None:
                 # It is not stored yet; forget its id, so that the client can submit it again after the move.
-                self.recent.pop(submission.message.id, None)
+                self.recent_ids.pop(submission.message.id, None)
                 submission.message.number = 0
-                submission.answered(AdmissionResult.FROZEN)
+                submission.set_answer(AdmissionResult.FROZEN)
         self._park(numbers)
         frozen.in_flight = {number for number, handle in self.parked.items() if handle.key == key}
         if not frozen.in_flight:
-            frozen.still.set(True)
+            frozen.attempts_ended.set(True)
 
-    def _cut(self, key: int) -> None:
+    def _abort_attempts(self, key: int) -> None:
         frozen = self.frozen.get(key)
         if frozen is not None and frozen.in_flight:
-            self.attempts.cut(frozen.in_flight)
+            self.attempts.abort(frozen.in_flight)
 
-    def _thaw(self, key: int) -> None:
+    def _unfreeze(self, key: int) -> None:
         self.frozen.pop(key, None)
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -35,7 +35,7 @@
 class FrozenSession:
     """A session that is moving: its attempts still running, and an event that is set once there are none."""
 
-    still: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
+    attempts_ended: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
     in_flight: set[int] = field(default_factory=set)
 
 
@@ -43,11 +43,11 @@
     """The state of a dispatcher, and how its parts write to the store."""
 
     def __init__(
-        self, assignment: Assignment, clock: Clock, counters: Counters, store: Store, polled: PollClock
+        self, assignment: Assignment, clock: Clock, counters: Counters, store: Store, poll_clock: PollClock
     ) -> None:
         self.clock = clock
         self.counters = counters
-        self.polled = polled
+        self.poll_clock = poll_clock
         self.store = store
         self.priority_classes = {
             assignment.settings[f"classes.{index}.name"]: index
@@ -62,13 +62,13 @@
         # One more class is for restored messages whose priority class was removed; without settings it is sent at most
         # once.
         self.sender.priority_classes.append(priority_class_of(assignment.settings, len(self.sender.priority_classes)))
-        counters.figures.priority_classes = list(self.priority_classes)
+        counters.metrics.priority_classes = list(self.priority_classes)
         # Here every attempt is a call of its own; if the decisions took some to share one, they would exceed limits.
         self.sender.per_call = []
         self.handles: dict[int, Handle] = {}
-        self.numbers: dict[str, int] = {}  # by id: messages that are stored
+        self.numbers_by_id: dict[str, int] = {}  # by id: messages that are stored
         # Recent ids: when they came (microseconds), and a hash of the submission.
-        self.recent: dict[str, tuple[int, int]] = {}
+        self.recent_ids: dict[str, tuple[int, int]] = {}
         self.new_submissions: dict[int, Submission] = {}  # admitted in this round, and not stored yet
         self.queue: gevent.queue.Queue = gevent.queue.Queue()
         # Attempts that ask for a clearance in this round.
@@ -76,28 +76,28 @@
         # What to call after the flush, or if it fails.
         self.after_flush: list[tuple[Callable[[], None], Callable[[], None]]] = []
         self.wake_at: int | None = None
-        self.holding_fire = False
-        self.ending = False  # while holding fire: what reaches its deadline ends here
-        self.keeping = False  # while holding fire: new messages are still stored, for the next process
+        self.attempts_stopped = False
+        self.abandoning_near_deadline = False  # while holding fire: what reaches its deadline ends here
+        self.storing_new = False  # while holding fire: new messages are still stored, for the next process
         self.parked: dict[int, Handle] = {}  # parked while an attempt was running: its result is still to come
         self.to_adopt: set[int] = set()  # parked messages to adopt once their attempt has ended
         self.frozen: dict[int, FrozenSession] = {}  # sessions on the move, by key
         self.keys_elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
-        self.not_sent: set[int] = set()  # messages that had no attempt while their key was among these
-        self.leaving: set[int] = set()  # withdrawn, but that call is still in the queue
+        self.held_by_key: set[int] = set()  # messages that had no attempt while their key was among these
+        self.withdrawing: set[int] = set()  # withdrawn, but that call is still in the queue
         self.uncopied_ends: set[int] = set()  # an end was chosen, and is posted once the copies have it
         self.attempts: AttemptRunner
         self.notices: Notifier
-        self.free_links: Callable[[int], None]
+        self.release_connections: Callable[[int], None]
         self.uid_of: Callable[[int], str] = str  # the name of a receiver by its number
         self.first_listing = True  # no update of the list has been handled yet
         self.health_file: HealthFile | None = None
         # What an earlier process knew of receivers that are not listed yet.
         self.earlier_health: dict[HealthKey, EarlierHealth] = {}
         self.recorded_uids: dict[int, str] = {}  # by number: receivers that are not in service
-        self.ask_for_list: Callable[[], None]
+        self.reopen_list_watch: Callable[[], None]
 
-    def _recorded(self, what: str, write: Callable[..., None], *arguments: Any) -> bool:
+    def _write_record(self, what: str, write: Callable[..., None], *arguments: Any) -> bool:
         """Write to the store; False, and a counted warning, where there is no room."""
         try:
             write(*arguments)
@@ -122,17 +122,17 @@
             term = self.store.term_of(number)
             self.counters.trace.add(ParkedTrace(stored.id, number, in_flight, term, self.clock.now()))
 
-    def _end_unanswered(self, stored: StoredMessage) -> None:
+    def _end_without_notice(self, stored: StoredMessage) -> None:
         """End a message that needs no final answer: no attempt begins any more, and one that is out changes nothing."""
         handle = self.handles.get(stored.number)
         if handle is not None:
             handle.withdrawn(self.clock.now())
             if not handle.in_flight:
                 del self.handles[stored.number]
-        self._over(stored)
+        self._delete_message(stored)
 
-    def _over(self, stored: StoredMessage) -> None:
+    def _delete_message(self, stored: StoredMessage) -> None:
         """Delete a message for which nothing more is to be done."""
-        self.numbers.pop(stored.id, None)
+        self.numbers_by_id.pop(stored.id, None)
         self.uncopied_ends.discard(stored.number)
-        self._recorded("the record of an end", self.store.over, stored.number)
+        self._write_record("the record of an end", self.store.over, stored.number)
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -37,7 +37,7 @@
 ERROR_BACKOFF_US = 100_000  # until the next round: an error that comes again must not fill the core
 
 
-def in_thread(call: Callable[..., None], *arguments: object) -> None:
+def run_in_thread(call: Callable[..., None], *arguments: object) -> None:
     """Run a blocking call in the thread pool: only the calling greenlet waits, and gets what the call raises."""
     gevent.get_hub().threadpool.apply(call, arguments)
 
@@ -53,33 +53,33 @@
 
     def withdraw(self, submission: Submission) -> None:
         """The client left before the answer was written: no attempt begins from now on, and the message is dropped."""
-        self.leaving.add(submission.message.number)
+        self.withdrawing.add(submission.message.number)
         self.queue.put((self._withdraw, (submission.message,)))
 
-    def clear(self, call: AttemptCall) -> bool:
+    def request_clearance(self, call: AttemptCall) -> bool:
         """Whether the attempt may still go out; its record is written then."""
         answer: gevent.event.AsyncResult = gevent.event.AsyncResult()
         self.queue.put((self._request_clearance, (call, answer)))
         return bool(answer.get())
 
-    def may_fire(self, number: int) -> bool:
+    def may_send(self, number: int) -> bool:
         """Whether an attempt may still go; asked right before its first byte.
 
         While the attempt's record was being written, the client may have left and submitted the same message elsewhere.
         """
-        return number in self.store.messages and number not in self.leaving and self.store.may_fire(number)
+        return number in self.store.messages and number not in self.withdrawing and self.store.may_fire(number)
 
-    def attempt_ended(self, call: AttemptCall, ending: AttemptResult) -> None:
+    def attempt_ended(self, call: AttemptCall, result: AttemptResult) -> None:
         """An attempt that `_decide` started has its result."""
-        self.queue.put((self._attempt_ended, (call, ending)))
+        self.queue.put((self._attempt_ended, (call, result)))
 
     def completed_late(self, call: AttemptCall) -> None:
         """The good answer of an attempt was read after its time-out had been reported."""
         self.queue.put((self._completed_late, (call,)))
 
-    def listed(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
+    def apply_endpoint_update(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
         """Pass on a full endpoint list, or changes of it."""
-        self.queue.put((self._listed, (change, listings)))
+        self.queue.put((self._apply_endpoint_update, (change, listings)))
 
     def list_poll_failed(self) -> None:
         """Report a failed call for the endpoint list; the decisions say when the next one is due."""
@@ -93,36 +93,36 @@
         """Apply Retry-After waits (receiver, until in microseconds), known early or from a replaced process."""
         self.queue.put((self._apply_retry_after, (waits,)))
 
-    def hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
+    def stop_attempts(self, store_new: bool = False, abandon_near_deadline: bool = False) -> None:
         """Start no attempt from now on, since the process ends soon; running ones go on.
 
         `keeping`: new messages are still stored, for the next process; otherwise they are refused.
         `ending`: other senders take over the stored messages; those that reach their deadline before are written off.
         """
-        self.queue.put((self._hold_fire, (keeping, ending)))
+        self.queue.put((self._stop_attempts, (store_new, abandon_near_deadline)))
 
-    def adopt(self, numbers: list[int], quietly: bool = False) -> None:
-        """Go on with stored messages, as after a restart, once this sender has the right to send them.
+    def adopt(self, numbers: list[int], no_unrecorded_attempts: bool = False) -> None:
+        """Resume work on stored messages, as after a restart, once this sender holds the lease to send them.
 
-        `quietly`: apart from the recorded attempts none of their keys can be running, so other keys need not rest.
+        `no_unrecorded_attempts`: all attempts of these messages are on record, so other order keys are not held.
         """
-        self.queue.put((self._adopt, (numbers, quietly)))
+        self.queue.put((self._adopt, (numbers, no_unrecorded_attempts)))
 
-    def rest_of(self, key: int) -> int:
+    def key_hold_left_us(self, key: int) -> int:
         """For how many microseconds a key still rests here, since an earlier attempt of it may be running."""
         turns = self.sender.turns
         return max(0, turns.all_rest - self.clock.now(), turns.rests.get(key, 0) - self.clock.now())
 
-    def ordered(self, priority_class: str) -> bool:
+    def is_ordered(self, priority_class: str) -> bool:
         """Whether messages of a priority class go one after another within a key."""
         return (
             priority_class in self.priority_classes
             and self.sender.priority_classes[self.priority_classes[priority_class]].ordered
         )
 
-    def rest(self, keys: frozenset[int]) -> None:
+    def hold_keys(self, keys: frozenset[int]) -> None:
         """Set the keys of which another sender has earlier messages: they rest here, until a later set omits them."""
-        self.queue.put((self._rest, (keys,)))
+        self.queue.put((self._hold_keys, (keys,)))
 
     def park(self, numbers: list[int]) -> None:
         """Stop work on messages, without a final answer: this sender has lost the right to send them."""
@@ -132,27 +132,27 @@
         """Stop attempts and admission of a session; the result is set once no attempt of it is running."""
         frozen = FrozenSession()
         self.queue.put((self._freeze, (key, frozen)))
-        return frozen.still
+        return frozen.attempts_ended
 
-    def cut(self, key: int) -> None:
+    def abort_attempts(self, key: int) -> None:
         """Abort the running attempts of a frozen session and close their connections; they may have run."""
-        self.queue.put((self._cut, (key,)))
+        self.queue.put((self._abort_attempts, (key,)))
 
-    def thaw(self, key: int) -> None:
+    def unfreeze(self, key: int) -> None:
         """Accept messages of a frozen session again; its stored messages wait until they are adopted."""
-        self.queue.put((self._thaw, (key,)))
+        self.queue.put((self._unfreeze, (key,)))
 
-    def between(self, call: Callable[[], bool]) -> gevent.event.AsyncResult:
+    def run_in_dispatcher(self, call: Callable[[], bool]) -> gevent.event.AsyncResult:
         """Make a call in the dispatcher's greenlet, while no flush runs; gives its result, False if it raises."""
         answer: gevent.event.AsyncResult = gevent.event.AsyncResult()
-        self.queue.put((self._between, (call, answer)))
+        self.queue.put((self._run_in_dispatcher, (call, answer)))
         return answer
 
-    def answer_late(self, numbers: list[int]) -> None:
+    def abandon_parked(self, numbers: list[int]) -> None:
         """Write parked messages off: their deadline is near, and no sender is known to have the right to them."""
-        self.queue.put((self._answer_late, (numbers,)))
+        self.queue.put((self._abandon_parked, (numbers,)))
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no attempt is running and no call is queued."""
         return not self.attempts.in_flight and self.queue.empty()
 
@@ -170,10 +170,10 @@
                 # Cleared only now: a refusal read in this round may have been queued behind the request for clearance.
                 requests, self.clearance_requests = self.clearance_requests, []
                 for each in requests:
-                    self._guarded(self._clear, *each)
+                    self._guarded(self._decide_clearance, *each)
                 gevent.sleep(0)  # cleared attempts go now, not after a long round
             self._guarded(
-                self._decide if not self.holding_fire else self._store_new if self.keeping else self._turn_away
+                self._decide if not self.attempts_stopped else self._store_new if self.storing_new else self._refuse_new
             )
             if self.after_flush:
                 self._guarded(self._flush)
@@ -192,17 +192,17 @@
         try:
             call(*arguments)
         except Exception:  # one bad event must not end the process: all else is still owed
-            self.counters.failed(f"the dispatcher failed in {call.__name__}")
+            self.counters.log_exception(f"the dispatcher failed in {call.__name__}")
             self.wake_at = self.clock.now() + ERROR_BACKOFF_US
-            for thing in arguments:
-                if isinstance(thing, gevent.event.AsyncResult) and not thing.ready():
-                    thing.set(False)
-                if isinstance(thing, Submission) and not thing.answer.ready():
-                    thing.answered(AdmissionResult.BUSY)
+            for argument in arguments:
+                if isinstance(argument, gevent.event.AsyncResult) and not argument.ready():
+                    argument.set(False)
+                if isinstance(argument, Submission) and not argument.answer.ready():
+                    argument.set_answer(AdmissionResult.BUSY)
 
     # ---- queued calls that only pass something on ----
 
-    def _listed(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
+    def _apply_endpoint_update(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
         self.sender.listed(self.clock.now(), change, listings)
         self._apply_earlier_health(listings)
 
@@ -214,11 +214,11 @@
         for receiver, until in waits:
             self.sender.apply_retry_after(now, receiver, until)
 
-    def _hold_fire(self, keeping: bool = False, ending: bool = False) -> None:
-        self.holding_fire, self.keeping, self.ending = True, keeping, ending
+    def _stop_attempts(self, store_new: bool = False, abandon_near_deadline: bool = False) -> None:
+        self.attempts_stopped, self.storing_new, self.abandoning_near_deadline = True, store_new, abandon_near_deadline
         self.wake_at = None
 
-    def _between(self, call: Callable[[], bool], answer: gevent.event.AsyncResult) -> None:
+    def _run_in_dispatcher(self, call: Callable[[], bool], answer: gevent.event.AsyncResult) -> None:
         answer.set(call())
 
     # ---- what the round decides ----
@@ -228,7 +228,7 @@
         if not self.store.deciding():
             # After a pause of this process another sender may have taken over: do not give a second final answer.
             self.wake_at = now + LEASE_RECHECK_DELAY_US
-            self._reject_new(now)
+            self._withdraw_new(now)
             return
         # A message that was given up takes room until its notice is acknowledged; without counting that room as free,
         # every round would give up more.
@@ -238,18 +238,18 @@
         for number, wait in verdicts.nacks:
             submission = self.new_submissions.pop(number, None)
             if submission is None:
-                self._final(number, True, wait // 1000)
+                self._record_final_answer(number, True, wait // 1000)
                 continue
-            del self.handles[number], self.numbers[submission.message.id]
+            del self.handles[number], self.numbers_by_id[submission.message.id]
             self.counters.add("rejected at admission")
-            submission.answered(AdmissionResult.BUSY, wait // 1000)
+            submission.set_answer(AdmissionResult.BUSY, wait // 1000)
         for number in verdicts.abandoned:
-            self._final(number, False, 0)
+            self._record_final_answer(number, False, 0)
         for submission in self.new_submissions.values():
             self._store_message(submission)
         self.new_submissions.clear()
         for receiver in verdicts.released_connections:
-            self.free_links(receiver)
+            self.release_connections(receiver)
         for number, receiver, patience in verdicts.attempts:
             handle = self.handles[number]
             if number in self.store.messages:
@@ -268,26 +268,26 @@
         for line in verdicts.log_lines:
             logger.info("{}", line)
         if verdicts.subscribe:
-            self.ask_for_list()
+            self.reopen_list_watch()
         self.wake_at = verdicts.wake_at
 
     def _sync_health(self) -> None:
         if self.health_file is not None:
-            self.health_file.sync(in_thread)
+            self.health_file.sync(run_in_thread)
 
-    def _turn_away(self) -> None:
+    def _refuse_new(self) -> None:
         for submission in self.new_submissions.values():
-            self.numbers.pop(submission.message.id, None)
-            submission.answered(AdmissionResult.BUSY)
+            self.numbers_by_id.pop(submission.message.id, None)
+            submission.set_answer(AdmissionResult.BUSY)
         self.new_submissions.clear()
-        if self.ending:
-            self._end_near()
+        if self.abandoning_near_deadline:
+            self._abandon_near_deadline()
 
     def _flush(self) -> None:
         """With a durable store: one fsync for all that this round has written, then the calls that waited for it."""
         waiting, self.after_flush = self.after_flush, []
         try:
-            self.store.flush(in_thread)
+            self.store.flush(run_in_thread)
         except OSError as error:
             self.counters.warning(
                 "what was written does not last yet",
--- a/cedarwick/net/submission.py
+++ b/cedarwick/net/submission.py
@@ -27,6 +27,6 @@
     message: StoredMessage
     answer: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
 
-    def answered(self, what: AdmissionResult, wait_ms: int = 0) -> None:
+    def set_answer(self, result: AdmissionResult, wait_ms: int = 0) -> None:
         """Set the answer, once; `wait_ms` is the advised wait of `BUSY`, 0 for none."""
-        self.answer.set((what, wait_ms))
+        self.answer.set((result, wait_ms))
--- a/cedarwick/ops/management_server.py
+++ b/cedarwick/ops/management_server.py
@@ -120,7 +120,7 @@
             self.counters.add(f"management calls refused: {error.code}")
             return refusal(error)
         except Exception:  # a failing call must not end the server: others still need STATUS
-            self.counters.failed(f"the management call {call.name} failed")
+            self.counters.log_exception(f"the management call {call.name} failed")
             return refusal(CallFailedError("the call failed"))
 
     def _unread(self, error: InvalidCallError) -> str:
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -69,9 +69,9 @@
     # The next process accepts no client while this one has the folder, and clients wait 400 ms at most. Until then
     # open connections are served, each closed after its answer; messages are stored, not attempted.
     client_listener.still_accepting = client_listener.closing = True
-    dispatcher.hold_fire(keeping=True)
+    dispatcher.stop_attempts(store_new=True)
     with gevent.Timeout(HANDOVER_IDLE_S, False):
-        while not dispatcher.idle():
+        while not dispatcher.is_idle():
             gevent.sleep(HANDOVER_POLL_INTERVAL_S)
     client_listener.stop()
     with gevent.Timeout(HANDOVER_ANSWERS_S, False):
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -108,7 +108,7 @@
     """Apply the log and counter settings of the operator file, which may change in service."""
     if operator is not None:
         log_to_stderr(operator.log.level, operator.log.format == "json")
-        counters.quiet, counters.every = operator.log.quiet_s, operator.counters.every_s
+        counters.log_interval_s, counters.report_interval_s = operator.log.quiet_s, operator.counters.every_s
         counters.trace.enabled = operator.log.messages
 
 
@@ -151,7 +151,7 @@
             self.poll_clock = PollClock(self.clock)
             self.dispatcher = self._new_dispatcher()
             self.endpoint_list = EndpointList(
-                assignment, self.counters, self.dispatcher.listed, self.dispatcher.list_poll_failed
+                assignment, self.counters, self.dispatcher.apply_endpoint_update, self.dispatcher.list_poll_failed
             )
             self.client_listener = ClientListener(
                 assignment.listen,
@@ -188,11 +188,11 @@
         self.dispatcher.restore()
         take_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
         self.node = join_fleet(self.assignment, self.operator, self.store, self.clock, self.counters)
-        if not self.clock.in_step():
+        if not self.clock.wait_until_advancing():
             logger.error("the clock does not move on while the process waits")
         gevent.signal_handler(signal.SIGTERM, self.stopping.set)
         gevent.signal_handler(signal.SIGINT, self.stopping.set)
-        gevent.signal_handler(signal.SIGUSR1, self.counters.print)
+        gevent.signal_handler(signal.SIGUSR1, self.counters.log_counts)
         self._spawn_parts(watch_list=holds_folder)  # if it had to wait for the folder, the watch is running already
         self._start_node()
         for greenlet in self.greenlets:
@@ -207,7 +207,7 @@
             self._hand_over()
         else:
             self._drain()
-        self.counters.print()
+        self.counters.log_counts()
 
     def _new_dispatcher(self) -> Dispatcher:
         dispatcher = Dispatcher(self.assignment, self.clock, self.counters, self.store, self.poll_clock)
@@ -219,7 +219,7 @@
         return self.endpoint_list.known and self.store.taking()
 
     def _metrics_text(self) -> str:
-        return self.counters.figures.text(*gauges(self.dispatcher, self.endpoint_list))
+        return self.counters.metrics.text(*gauges(self.dispatcher, self.endpoint_list))
 
     def _learn_known_list(self) -> None:
         """Start from the list of receivers saved in the assignment; raises `AssignmentError` if it is unreadable."""
@@ -263,13 +263,16 @@
             self.connections,
             dispatcher.sender.columns,
             self.poll_clock,
-            dispatcher.clear,
+            dispatcher.request_clearance,
             dispatcher.attempt_ended,
             dispatcher.apply_retry_after,
-            dispatcher.may_fire,
+            dispatcher.may_send,
             dispatcher.completed_late,
         )
-        dispatcher.free_links, dispatcher.ask_for_list = self.connections.free, self.endpoint_list.ask
+        dispatcher.release_connections, dispatcher.reopen_list_watch = (
+            self.connections.close_idle,
+            self.endpoint_list.ask,
+        )
         dispatcher.uid_of = self.endpoint_list.uid_of
 
     def _spawn_parts(self, watch_list: bool) -> None:
@@ -306,7 +309,7 @@
         # The saved list may be out of date: without waiting, a stored message could be attempted at a receiver that is
         # draining by now.
         if not self.endpoint_list.first_update.wait(FIRST_LIST_UPDATE_S):
-            self.dispatcher.holding_fire = self.dispatcher.keeping = True
+            self.dispatcher.attempts_stopped = self.dispatcher.storing_new = True
             gevent.spawn(self._attempt_after_silence)
         self.dispatcher.run()
 
@@ -317,7 +320,7 @@
     def _allow_attempts(self) -> None:
         # Once the process is ending, attempts must stay off.
         if not self.stopping.is_set():
-            self.dispatcher.holding_fire = self.dispatcher.keeping = False
+            self.dispatcher.attempts_stopped = self.dispatcher.storing_new = False
 
     def _follow_configuration(self) -> None:
         """Read the configuration again after each SIGHUP and apply what may change in service; never returns."""
@@ -374,7 +377,7 @@
             node.session_router.leave()
         self.client_listener.stop()
         gevent.sleep(DECIDING_AFTER_SIGTERM_S)
-        self.dispatcher.hold_fire(ending=node is not None)
+        self.dispatcher.stop_attempts(abandon_near_deadline=node is not None)
         with gevent.Timeout(DRAIN_DEADLINE_S - DECIDING_AFTER_SIGTERM_S, False):
             while not self._drained():
                 gevent.sleep(DRAIN_POLL_INTERVAL_S)
@@ -391,7 +394,7 @@
     def _drained(self) -> bool:
         """Whether no attempt, notification, client or session move is left."""
         return (
-            self.dispatcher.idle()
+            self.dispatcher.is_idle()
             and not self.notifier.pending
             and not self.client_listener.clients
             and (self.node is None or self.node.session_router is None or self.node.session_router.left())
--- a/tests/build.py
+++ b/tests/build.py
@@ -116,8 +116,8 @@
     made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, plain(settings))
     dispatcher = Dispatcher(made, clock, Counters(), store, PollClock(clock))
     dispatcher.notices = Notifier(("", 0), Counters(), lambda numbers: None)
-    dispatcher.free_links = lambda receiver: None
-    dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
+    dispatcher.release_connections = lambda receiver: None
+    dispatcher._apply_endpoint_update(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
     return made, store, dispatcher
 
 
--- a/tests/decisions/test_other_settings.py
+++ b/tests/decisions/test_other_settings.py
@@ -92,10 +92,12 @@
                     self.dispatcher.clock,
                     Counters(),
                     self.store,
-                    self.dispatcher.polled,
+                    self.dispatcher.poll_clock,
                 )
-                dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
-                attempts: Any = SimpleNamespace(columns=dispatcher.sender.columns, counters=Counters())
+                dispatcher._apply_endpoint_update(
+                    EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)]
+                )
+                attempts: Any = SimpleNamespace(report_columns=dispatcher.sender.columns, counters=Counters())
                 now = dispatcher.clock.now()
                 handle = dispatcher.sender.accept(now, 1, 0, 1, now + 8_000_000, 0, 0)
                 dispatcher.sender.decide(now)
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -337,7 +337,7 @@
                     KnownHolder(2, granted),
                 )
             node._answer_late(monotonic_time(), few)
-            self.assertEqual(node.dispatcher.answer_late.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
+            self.assertEqual(node.dispatcher.abandon_parked.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
 
     def test_a_right_that_no_majority_speaks_of_any_more_is_as_good_as_gone(self) -> None:
         node = self.member()
@@ -345,7 +345,7 @@
         node.store.keep(kept(1, life=100_000))
         for after, calls in ((0, 0), (limits.NO_MAJORITY_US - 1, 0), (limits.NO_MAJORITY_US, 1)):
             node._answer_late(1_000_000_000 + after, few=False)
-            self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
+            self.assertEqual(len(node.dispatcher.abandon_parked.mock_calls), calls)  # type: ignore[attr-defined]
         holding = node.store.holdings[PARTITION]
         with mock.patch.object(holding.adoption.holder, "is_valid", return_value=True):
             node._answer_late(2_000_000_000, few=False)
@@ -361,7 +361,7 @@
             node.store.keep(kept(1, life=100_000))
             for after in (0, limits.NO_MAJORITY_UNHELD_US):
                 node._answer_late(1_000_000_000 + after, few=False)
-            self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
+            self.assertEqual(len(node.dispatcher.abandon_parked.mock_calls), calls)  # type: ignore[attr-defined]
 
     def test_what_was_taken_before_the_fleet_goes_on_in_the_first_partition_or_is_answered_in_time(self) -> None:
         node = self.member()
@@ -371,7 +371,7 @@
             Store.keep(node.store, replace(kept(index, life), number=index))
         Store.ended(node.store, 3, True, 0)
         node.check(monotonic_time())
-        dispatcher.answer_late.assert_called_once_with(
+        dispatcher.abandon_parked.assert_called_once_with(
             [1, 3]
         )  # no majority grants a partition: one ends, one has its notice owed
         holding = self.holding(node)
@@ -702,8 +702,8 @@
 
     def test_keys_of_before_a_trouble_are_told_and_those_told_by_others_rest(self) -> None:
         node, now = self.member(), monotonic_time()
-        node.dispatcher.rest_of.return_value = 0  # type: ignore[attr-defined]
-        node.dispatcher.ordered = lambda priority_class: priority_class == "free"  # type: ignore[method-assign]
+        node.dispatcher.key_hold_left_us.return_value = 0  # type: ignore[attr-defined]
+        node.dispatcher.is_ordered = lambda priority_class: priority_class == "free"  # type: ignore[method-assign]
         node.alive, node.gate.levels = (
             list(NAMES),
             {"a": PENDING_ORDER_KEYS_LEVEL, "b": PENDING_ORDER_KEYS_LEVEL - 1, "c": PENDING_ORDER_KEYS_LEVEL},
@@ -730,7 +730,7 @@
                 now
             )  # b is silent: what a copy here says is owed is told, and rests here, too
             self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", PendingOrderKeys((8,)))])
-            node.dispatcher.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
+            node.dispatcher.hold_keys.assert_called_once_with({8})  # type: ignore[attr-defined]
             node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_of(PARTITION), 3, "a", ("b", "a"), 1),))
             node._exchange_pending_order_keys(
                 now
@@ -761,7 +761,7 @@
             node._exchange_pending_order_keys(now + SEND_INTERVAL_US)
             self.assertEqual(spawn.call_args.args[1:3], ("c", PendingOrderKeys()))
             node._exchange_pending_order_keys(now + HINT_LIFETIME_US + LEASE_SPAN_US)
-            self.assertEqual(node.dispatcher.rest.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
+            self.assertEqual(node.dispatcher.hold_keys.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
 
     def test_an_offer_that_finds_room_for_a_part_is_taken_whole_when_it_comes_again(self) -> None:
         node = self.member()
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -59,21 +59,21 @@
 
     def __init__(self, store: ReplicatedStore) -> None:
         self.store = store
-        self.numbers: dict[str, int] = {}
+        self.numbers_by_id: dict[str, int] = {}
         self.adopted: list[int] = []
         self.submitted = 0
         self.uncopied_ends: set[int] = set()
-        self.thaw = self.cut = self.answer_late = self.withdraw = lambda *_: None
-        self.rest_of = lambda key: 0
+        self.unfreeze = self.abort_attempts = self.abandon_parked = self.withdraw = lambda *_: None
+        self.key_hold_left_us = lambda key: 0
 
     def submit(self, submission: Submission) -> None:
         self.submitted += 1
         submission.message.number = self.store.next_number
         self.store.next_number += 1
         self.store.keep(submission.message)
-        submission.answered(AdmissionResult.ACCEPTED)
+        submission.set_answer(AdmissionResult.ACCEPTED)
 
-    def between(self, call: Callable[[], bool]) -> AsyncResult:
+    def run_in_dispatcher(self, call: Callable[[], bool]) -> AsyncResult:
         answer: AsyncResult = AsyncResult()
         try:
             answer.set(call())
@@ -82,9 +82,9 @@
         return answer
 
     def freeze(self, key: int) -> AsyncResult:
-        return self.between(lambda: True)
+        return self.run_in_dispatcher(lambda: True)
 
-    def adopt(self, numbers: list[int], quietly: bool = False) -> None:
+    def adopt(self, numbers: list[int], no_unrecorded_attempts: bool = False) -> None:
         self.adopted += [number for number in numbers if number not in self.store.inert]
 
 
@@ -223,7 +223,7 @@
         answered, _, withdraw = c.hand_in(message("2"))
         assert withdraw is not None
         number = max(a.store.messages)
-        a.dispatcher.numbers["2"] = number
+        a.dispatcher.numbers_by_id["2"] = number
         a.dispatcher.withdraw = mock.Mock()  # type: ignore[method-assign]
         withdraw()
         gevent.sleep(0.02)
@@ -279,7 +279,7 @@
     def test_a_session_whose_move_is_called_off_on_a_full_disk_is_taken_up_once_there_is_room(self) -> None:
         a = self.session_router["a"]
         a.hand_in(message("1"))
-        thawed = a.dispatcher.thaw = mock.Mock()  # type: ignore[method-assign]
+        thawed = a.dispatcher.unfreeze = mock.Mock()  # type: ignore[method-assign]
         self.lose = lambda to, body: "ask" if isinstance(body, StageSession) else ""
         with mock.patch.object(migration_source, "RELEASE_RETRY_S", 0.05):
             a.migrations.begin(KEY, "b", monotonic_time())
@@ -530,7 +530,7 @@
     def test_what_is_out_is_awaited_and_what_comes_is_to_be_handed_in_again(self) -> None:
         self.submission("a")
         self.dispatcher._decide()
-        self.dispatcher._clear(self.calls[0], AsyncResult())
+        self.dispatcher._decide_clearance(self.calls[0], AsyncResult())
         fresh = self.submission("b")
         still = self.frozen()
         self.assertEqual((fresh.answer.get()[0], fresh.message.number), (AdmissionResult.FROZEN, 0))
@@ -541,7 +541,7 @@
         self.assertTrue(self.store.messages[1].ran_at)
         self.dispatcher._adopt([1])
         self.assertEqual(self.dispatcher.handles, {})  # not while it is frozen
-        self.dispatcher._thaw(KEY)
+        self.dispatcher._unfreeze(KEY)
         self.store.inert[1] = 2, "<1/a/b"
         self.dispatcher._adopt([1])
         self.assertEqual(self.dispatcher.handles, {})  # nor while it is marked
@@ -555,13 +555,13 @@
         self.dispatcher._decide()
         self.frozen()
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
-        self.dispatcher._thaw(KEY)
+        self.dispatcher._unfreeze(KEY)
         before = self.dispatcher.sender.turns.all_rest
-        self.dispatcher._adopt([1], quietly=True)
+        self.dispatcher._adopt([1], no_unrecorded_attempts=True)
         self.assertEqual((list(self.dispatcher.handles), self.dispatcher.sender.turns.all_rest), ([1], before))
         self.dispatcher._park([1])
         self.store.messages[1].ran_at = 5
-        self.dispatcher._adopt([1], quietly=True)
+        self.dispatcher._adopt([1], no_unrecorded_attempts=True)
         self.assertGreater(self.dispatcher.sender.turns.all_rest, before)
 
 
--- a/tests/lab/broken.py
+++ b/tests/lab/broken.py
@@ -48,7 +48,7 @@
     def take(self: dispatch_admission.Admission, submission: Submission) -> None:
         count[0] += 1
         if count[0] % 10 == 0:
-            submission.answered(AdmissionResult.ACCEPTED)
+            submission.set_answer(AdmissionResult.ACCEPTED)
         else:
             honest(self, submission)
 
@@ -75,12 +75,12 @@
     """Every attempt goes out a second time over a link of its own, while the first one is out."""
     honest = attempts.AttemptRunner._exchange
 
-    def over(self: attempts.AttemptRunner, call: attempts.AttemptCall, link: Any) -> bool:
+    def over(self: attempts.AttemptRunner, call: attempts.AttemptCall, connection: Any) -> bool:
         gevent.spawn(copy, self, call)
-        return honest(self, call, link)
+        return honest(self, call, connection)
 
     def copy(self: attempts.AttemptRunner, call: attempts.AttemptCall) -> None:
-        with open_connection(self.links.address_of(call.receiver), 1.0) as sock:
+        with open_connection(self.connections.address_of(call.receiver), 1.0) as sock:
             sock.sendall(attempts.encode_request(call, self.clock.now()))
             sock.recv(100)
 
--- a/tests/net/test_client_listener_races.py
+++ b/tests/net/test_client_listener_races.py
@@ -305,11 +305,14 @@
         made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, plain(NESTED))
         dispatcher = Dispatcher(made, clock, counters, store, polled)
         links = ConnectionPool(clock, counters, descriptors, lambda _: self.receiver.getsockname(), 5_000_000, 500_000)
-        dispatcher.notices, dispatcher.free_links = Notifier(("", 0), counters, lambda numbers: None), links.free
+        dispatcher.notices, dispatcher.release_connections = (
+            Notifier(("", 0), counters, lambda numbers: None),
+            links.close_idle,
+        )
 
-        def may_fire(number: int) -> bool:
-            self.order.append("first byte" if dispatcher.may_fire(number) else "held back")
-            return dispatcher.may_fire(number)
+        def may_send(number: int) -> bool:
+            self.order.append("first byte" if dispatcher.may_send(number) else "held back")
+            return dispatcher.may_send(number)
 
         dispatcher.attempts = AttemptRunner(
             clock,
@@ -317,12 +320,12 @@
             links,
             [],
             polled,
-            dispatcher.clear,
+            dispatcher.request_clearance,
             dispatcher.attempt_ended,
             dispatcher.apply_retry_after,
-            may_fire,
+            may_send,
         )
-        dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
+        dispatcher._apply_endpoint_update(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
         door = ClientListener(("127.0.0.1", 0), clock, counters, descriptors, dispatcher, lambda: True)
         self.addCleanup(door.listener.close)
         for part in (dispatcher.run, door.accept):
@@ -379,10 +382,10 @@
             client.sendall(submit("left", body=b"2"))
             if step == "before it is read":
                 go()
-            passes(lambda: self.order and not dispatcher.store.messages and dispatcher.idle())
+            passes(lambda: self.order and not dispatcher.store.messages and dispatcher.is_idle())
         stays = step == "after the look"
         self.assertEqual(self.bodies, [b"2"] * stays)
-        self.assertEqual((dispatcher.store.messages, dispatcher.handles, dispatcher.leaving), ({}, {}, set()))
+        self.assertEqual((dispatcher.store.messages, dispatcher.handles, dispatcher.withdrawing), ({}, {}, set()))
         self.assertEqual([each for each in self.order if each != "held back"], ["look"] + ["first byte"] * stays)
         if how == "end sending":
             client.settimeout(1.0)
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -68,9 +68,9 @@
         returned = self.taken(name="b")
         self.store.may_fire = lambda number: False  # type: ignore[method-assign]
         self.dispatcher._park([1, 2])
-        self.dispatcher._final(2, True, 0)  # chosen, but no copy has it, and it was not told
+        self.dispatcher._record_final_answer(2, True, 0)  # chosen, but no copy has it, and it was not told
         self.dispatcher._flush()
-        self.dispatcher._answer_late([1, 2])
+        self.dispatcher._abandon_parked([1, 2])
         self.assertEqual(returned.answer.get()[0], AdmissionResult.ACCEPTED)
         self.assertEqual(
             [json.loads(line)["state"] for line in self.dispatcher.notices.pending.values()], ["failed", "failed"]
@@ -79,7 +79,7 @@
         del self.store.may_fire
         self.taken(name="d")
         with mock.patch.object(self.store, "may_fire", return_value=False):
-            self.dispatcher._final(self.dispatcher.numbers["d"], True, 0)
+            self.dispatcher._record_final_answer(self.dispatcher.numbers_by_id["d"], True, 0)
             self.dispatcher._flush()
         self.assertEqual(len(self.dispatcher.notices.pending), 2)
         self.dispatcher._flush()
@@ -106,12 +106,12 @@
         self.dispatcher.sender.priority_classes[0].ordered = True
         self.taken(name="held", key=5)  # number 1: its attempt is out
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
-        self.dispatcher._rest(frozenset([5, 6, 7]))
+        self.dispatcher._hold_keys(frozenset([5, 6, 7]))
         for name, key, life in (("b", 5, 8_000_000), ("c", 6, 8_000_000), ("d", 7, 900_000), ("e", 8, 8_000_000)):
             self.taken(name=name, key=key, life=life)
         self.dispatcher._decide()
         self.assertEqual([call.message.id for call in self.calls], ["held", "d", "e"])  # d has no second to spare
-        self.assertLess(0, self.dispatcher.rest_of(6))
+        self.assertLess(0, self.dispatcher.key_hold_left_us(6))
         other = 9 << PARTITION_SHIFT_BITS
         for number in (other + 1, other + 2):  # what a dead sender owed of the key, adopted here
             self.store.keep(
@@ -125,12 +125,12 @@
 
     def test_what_was_held_back_comes_back_in_its_order_where_its_move_is_called_off(self) -> None:
         self.dispatcher.sender.priority_classes[0].ordered = True
-        self.dispatcher._rest(frozenset([5]))
+        self.dispatcher._hold_keys(frozenset([5]))
         for name in "abc":
             self.taken(name=name, key=5)
-        self.assertEqual(self.dispatcher.not_sent, {1, 2, 3})
+        self.assertEqual(self.dispatcher.held_by_key, {1, 2, 3})
         self.dispatcher._park([1, 2, 3])
-        self.dispatcher._adopt([1, 2, 3], quietly=True)
+        self.dispatcher._adopt([1, 2, 3], no_unrecorded_attempts=True)
         self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[5]], [1, 2, 3])
 
     def test_a_message_is_kept_before_its_attempt_starts(self) -> None:
@@ -147,7 +147,7 @@
 
     def test_what_finds_no_room_is_not_sent(self) -> None:
         self.assertEqual(self.taken(size=50_000).answer.get(block=False), (AdmissionResult.BUSY, 0))
-        self.assertEqual((self.calls, self.dispatcher.handles, self.dispatcher.numbers), ([], {}, {}))
+        self.assertEqual((self.calls, self.dispatcher.handles, self.dispatcher.numbers_by_id), ([], {}, {}))
 
     def test_the_decisions_are_told_of_the_room_each_round(self) -> None:
         before = self.dispatcher.sender.room
@@ -162,10 +162,10 @@
 
     def test_a_completed_message_leaves_nothing_behind(self) -> None:
         self.taken()
-        self.dispatcher._clear(self.calls[0], AsyncResult())
+        self.dispatcher._decide_clearance(self.calls[0], AsyncResult())
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.COMPLETED, last=True))
         self.assertEqual(
-            (self.store.messages, self.dispatcher.handles, self.dispatcher.numbers, self.dispatcher.sender.open),
+            (self.store.messages, self.dispatcher.handles, self.dispatcher.numbers_by_id, self.dispatcher.sender.open),
             ({}, {}, {}, 0),
         )
 
@@ -183,7 +183,7 @@
         for number in range(3):
             with mock.patch.object(self.dispatcher.clock, "now", return_value=number * 10_000_000):
                 self.taken(name=f"a{number}")
-        self.assertEqual(list(self.dispatcher.recent), ["a1", "a2"])
+        self.assertEqual(list(self.dispatcher.recent_ids), ["a1", "a2"])
 
     def test_a_destination_that_nobody_listed_is_turned_away(self) -> None:
         self.assertEqual(self.taken(destination=9).answer.get(block=False), (AdmissionResult.UNKNOWN_DESTINATION, 0))
@@ -198,7 +198,7 @@
         call, told = self.dispatcher.queue.get()
         call(*told)
         cleared: AsyncResult = AsyncResult()
-        self.dispatcher._clear(self.calls[0], cleared)
+        self.dispatcher._decide_clearance(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
         self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.sender.open), ({}, {}, 0))
 
@@ -206,23 +206,23 @@
         self.store.awaited = True
         submission = self.taken()
         cleared: AsyncResult = AsyncResult()
-        self.dispatcher._clear(self.calls[0], cleared)
-        self.assertTrue(self.dispatcher.may_fire(1))
+        self.dispatcher._decide_clearance(self.calls[0], cleared)
+        self.assertTrue(self.dispatcher.may_send(1))
         with mock.patch.object(self.store, "flush", lambda call: self.dispatcher.withdraw(submission)):
             self.dispatcher._flush()
         self.assertIs(cleared.get(block=False), True)
         for _ in range(2):  # whether the dispatcher has come to it or not
-            self.assertFalse(self.dispatcher.may_fire(1))
+            self.assertFalse(self.dispatcher.may_send(1))
             if not self.dispatcher.queue.empty():
                 call, told = self.dispatcher.queue.get()
                 call(*told)
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
-        self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.leaving), ({}, {}, set()))
+        self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.withdrawing), ({}, {}, set()))
 
     def test_the_record_of_an_attempt_comes_before_its_first_byte(self) -> None:
         self.taken()
         cleared: AsyncResult = AsyncResult()
-        self.dispatcher._clear(self.calls[0], cleared)
+        self.dispatcher._decide_clearance(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), True)
         self.assertEqual(self.store.messages[1].attempts, 1)
 
@@ -232,21 +232,21 @@
         for number, handle in self.dispatcher.handles.items():
             handle.in_flight = number == 1
         for ending in (False, True):
-            self.dispatcher._hold_fire(ending=ending)
-            self.dispatcher._turn_away()
+            self.dispatcher._stop_attempts(abandon_near_deadline=ending)
+            self.dispatcher._refuse_new()
             self.assertEqual(sorted(self.dispatcher.notices.pending), [2] * ending)
         self.assertEqual(self.dispatcher.wake_at, self.store.messages[3].deadline - DEADLINE_MARGIN_US)
 
     def test_no_attempt_begins_when_the_end_is_near(self) -> None:
         self.taken()
-        self.dispatcher._hold_fire()
+        self.dispatcher._stop_attempts()
         cleared: AsyncResult = AsyncResult()
-        self.dispatcher._clear(self.calls[0], cleared)
+        self.dispatcher._decide_clearance(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
         self.assertEqual(self.store.messages[1].attempts, 0)
 
     def test_at_a_hand_over_what_comes_is_kept_and_not_attempt(self) -> None:
-        self.dispatcher._hold_fire(keeping=True)
+        self.dispatcher._stop_attempts(store_new=True)
         submission = Submission(
             StoredMessage(0, "a", "", 0, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
         )
@@ -256,12 +256,12 @@
         self.assertEqual((list(self.store.messages), self.calls), ([1], []))
 
     def test_at_an_end_what_comes_is_turned_away(self) -> None:
-        self.dispatcher._hold_fire()
+        self.dispatcher._stop_attempts()
         submission = Submission(
             StoredMessage(0, "a", "", 0, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
         )
         self.dispatcher._admit(submission)
-        self.dispatcher._turn_away()
+        self.dispatcher._refuse_new()
         self.assertEqual(submission.answer.get(block=False), (AdmissionResult.BUSY, 0))
         self.assertEqual(self.store.messages, {})
 
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -91,7 +91,7 @@
         made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.plain(NESTED))
         polled = PollClock(self.clock)
         self.dispatcher = Dispatcher(made, self.clock, self.counters, self.store, polled)
-        self.links = ConnectionPool(
+        self.connections = ConnectionPool(
             self.clock,
             self.counters,
             DescriptorBudget(200),
@@ -100,21 +100,23 @@
             500_000,
         )
         self.dispatcher.notices = Notifier(("", 0), self.counters, lambda numbers: None)
-        self.dispatcher.free_links = lambda receiver: None
+        self.dispatcher.release_connections = lambda receiver: None
         self.dispatcher.attempts = AttemptRunner(
             self.clock,
             self.counters,
-            self.links,
+            self.connections,
             self.dispatcher.sender.columns,
             polled,
-            self.dispatcher.clear,
+            self.dispatcher.request_clearance,
             self.dispatcher.attempt_ended,
             self.dispatcher.apply_retry_after,
             report_late_success=self.dispatcher.completed_late,
         )
-        self.dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
+        self.dispatcher._apply_endpoint_update(
+            EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)]
+        )
         running = gevent.spawn(self.dispatcher.run)
-        self.addCleanup(self.links.free, 1)
+        self.addCleanup(self.connections.close_idle, 1)
         self.addCleanup(lambda: gevent.killall(list(self.dispatcher.attempts.in_flight)))
         self.addCleanup(running.kill)
 
@@ -132,10 +134,10 @@
             gevent.sleep(every)
 
 
-class AgainstAPartnerTest(PartnerTestCase):
+class RetryAfterTest(PartnerTestCase):
     """Refusals in pieces, late, and beside other events."""
 
-    def kept_to_the_wait(self) -> None:
+    def assert_waits_respected(self) -> None:
         self.assertTrue(self.partner.told)
         self.assertEqual(self.partner.too_soon(), [])
 
@@ -150,7 +152,7 @@
 
         self.start(play)
         self.feed(0.7)
-        self.kept_to_the_wait()
+        self.assert_waits_respected()
 
     def test_a_refusal_that_stops_in_its_body_binds_and_may_have_run(self) -> None:
         def play(partner: Partner, sock: socket.socket, number: int) -> None:
@@ -160,7 +162,7 @@
         self.submit("first", priority_class="once")
         gevent.sleep(0.05)
         self.feed(0.7)
-        self.kept_to_the_wait()
+        self.assert_waits_respected()
         names = [name for _, name in self.partner.arrived]
         self.assertEqual(names.count("first"), 1)  # what never came may have told that it ran
         until(lambda: gevent.sleep(0.01) or self.store.messages.get(1) is None or self.store.messages[1].end, 2.0)
@@ -174,7 +176,7 @@
         given_up.set()
         gevent.sleep(0.02)
         self.feed(0.5)
-        self.kept_to_the_wait()
+        self.assert_waits_respected()
         self.assertEqual(self.counters.counts["waits heard after the call was given up"], 1)
 
     def test_a_call_that_is_given_up_ends_its_sending_at_once_and_its_link_soon(self) -> None:
@@ -189,49 +191,49 @@
         self.submit("first", life=250 * MS)
         until(lambda: gevent.sleep(0.005) or ended, 2.0)
         self.assertEqual(ended, [b""])
-        self.assertTrue(self.dispatcher.idle())  # nothing is out any more, though the link is still read
-        until(lambda: gevent.sleep(0.01) or not self.links.descriptors.used, 2.0)
+        self.assertTrue(self.dispatcher.is_idle())  # nothing is out any more, though the link is still read
+        until(lambda: gevent.sleep(0.01) or not self.connections.descriptors.used, 2.0)
 
     def test_links_that_are_only_read_any_more_give_way_first(self) -> None:
         self.start(lambda partner, sock, number: time.sleep(1.0))
-        self.links.descriptors.limit = 1
+        self.connections.descriptors.limit = 1
         self.submit("first", life=250 * MS)
-        until(lambda: gevent.sleep(0.005) or self.links.ending, 2.0)
-        self.links.descriptors.claim()
-        self.assertEqual((self.links.descriptors.used, len(self.links.ending)), (1, 0))
+        until(lambda: gevent.sleep(0.005) or self.connections.half_closed, 2.0)
+        self.connections.descriptors.claim()
+        self.assertEqual((self.connections.descriptors.used, len(self.connections.half_closed)), (1, 0))
 
     def test_a_process_stopped_between_clearance_and_first_byte_asks_again(self) -> None:
         second_cleared = threading.Event()
         self.start(refuses_first(second_cleared))
-        clear = self.dispatcher.attempts.clear
+        request_clearance = self.dispatcher.attempts.request_clearance
 
         def stopped(call: AttemptCall) -> bool:
-            may = clear(call)
+            may = request_clearance(call)
             if may and self.partner.arrived and not second_cleared.is_set():
                 second_cleared.set()
                 time.sleep(0.25)  # as SIGSTOP does: the refusal comes meanwhile, and nothing is read
             return may
 
-        self.dispatcher.attempts.clear = stopped
+        self.dispatcher.attempts.request_clearance = stopped
         self.submit("first")
         until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
         self.submit("second")
         self.feed(0.5)
         self.assertGreaterEqual(self.counters.counts["clearances that grew old"], 1)
-        self.kept_to_the_wait()
+        self.assert_waits_respected()
 
     def test_an_attempt_whose_clearances_all_grow_old_is_decided_on_anew(self) -> None:
         self.start(lambda partner, sock, number: sock.sendall(reply(200)))
-        clear = self.dispatcher.attempts.clear
+        request_clearance = self.dispatcher.attempts.request_clearance
         slow = iter([True] * attempts.MAX_CLEARANCE_REQUESTS)
 
         def stopped(call: AttemptCall) -> bool:
-            may = clear(call)
+            may = request_clearance(call)
             if next(slow, False):
                 time.sleep(attempts.CLEARANCE_LIFETIME_US * 1.2 / 1e6)
             return may
 
-        self.dispatcher.attempts.clear = stopped
+        self.dispatcher.attempts.request_clearance = stopped
         self.submit("first", priority_class="once")
         until(lambda: gevent.sleep(0.005) or self.counters.counts["answers 200"], 2.0)
         self.assertEqual(self.counters.counts["attempts without an answer: moot"], 1)
@@ -246,7 +248,7 @@
         handles[1].attempt_ended(self.clock.now(), Outcome.MOOT, 0, 1, 0, 0, False, ())
         kept = self.store.messages[1], self.store.messages[2]
         call = AttemptCall(kept[1], 1, 1, self.clock.now(), self.clock.now() + 1_000_000)
-        asking = gevent.spawn(self.dispatcher.clear, call)
+        asking = gevent.spawn(self.dispatcher.request_clearance, call)
         gevent.sleep(0)  # the question stands in the queue, and the refusal behind it
         refused = AttemptCall(kept[0], 0, 1, self.clock.now(), self.clock.now() + 1_000_000)
         self.dispatcher.attempt_ended(refused, AttemptResult(Outcome.FULL, 1000, WAIT))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -50,7 +50,7 @@
                     return round(sum(slept[stands:]) * 1_000_000)
 
                 with mock.patch.object(clock, "now", now), mock.patch("gevent.sleep", sleep):
-                    self.assertEqual(clock.in_step(), moved)
+                    self.assertEqual(clock.wait_until_advancing(), moved)
                 self.assertLessEqual(len(slept), 100)
                 self.assertGreaterEqual(len(slept), min(stands, 100))
 
@@ -59,7 +59,7 @@
         self.addCleanup(program.close)
         late = (
             "import gevent, sys; from cedarwick import program; from cedarwick.net import clock; "
-            "clock.Clock.in_step = lambda self: not gevent.sleep(0.8); sys.exit(program.main())"
+            "clock.Clock.wait_until_advancing = lambda self: not gevent.sleep(0.8); sys.exit(program.main())"
         )
         program.command = ("-c", late)
         program.process = program.spawn()
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -77,8 +77,8 @@
         self.calls: list[AttemptCall] = []
         self.dispatcher.attempts = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
         self.dispatcher.notices = Notifier(("", 0), self.counters, self.dispatcher.acknowledged)
-        self.dispatcher.free_links = lambda receiver: None
-        self.endpoint_list = EndpointList(made, self.counters, self.dispatcher._listed, lambda: None)
+        self.dispatcher.release_connections = lambda receiver: None
+        self.endpoint_list = EndpointList(made, self.counters, self.dispatcher._apply_endpoint_update, lambda: None)
         self.endpoint_list.learn(
             {
                 "rev": 1,
@@ -103,7 +103,7 @@
 
     def cleared(self, call: AttemptCall) -> bool:
         answer: AsyncResult = AsyncResult()
-        self.dispatcher._clear(call, answer)
+        self.dispatcher._decide_clearance(call, answer)
         return bool(answer.get(block=False))
 
 
@@ -402,13 +402,17 @@
 
     def start(self, buffers: int = 0) -> None:
         """The dispatcher, its attempts and its links, against a partner that completes all calls."""
-        self.made = test_retry_after.AgainstAPartnerTest("kept_to_the_wait")
+        self.made = test_retry_after.RetryAfterTest("assert_waits_respected")
         self.addCleanup(self.made.doCleanups)
         play = lambda partner, sock, number: sock.sendall(reply(200))  # noqa: E731
         with mock.patch("tests.net.test_retry_after.Partner", lambda _: Accepting(play, buffers)):
             self.made.start(play)
         self.partner = cast(Accepting, self.made.partner)
-        self.dispatcher, self.links, self.counts = self.made.dispatcher, self.made.links, self.made.counters.counts
+        self.dispatcher, self.links, self.counts = (
+            self.made.dispatcher,
+            self.made.connections,
+            self.made.counters.counts,
+        )
         self.priority_class = self.dispatcher.sender.priority_classes[0]
         self.priority_class.idempotent, self.priority_class.window = False, 1_000_000  # numbered
 
@@ -416,15 +420,15 @@
         self, then: Callable[[AttemptCall], None], after: Callable[[AttemptCall], None] = lambda call: None
     ) -> None:
         """Do something on the way to the dispatcher of each attempt, and on the way back."""
-        clear = self.dispatcher.attempts.clear
+        request_clearance = self.dispatcher.attempts.request_clearance
 
         def crossed(call: AttemptCall) -> bool:
             then(call)
-            may = clear(call)
+            may = request_clearance(call)
             after(call)
             return may
 
-        self.dispatcher.attempts.clear = crossed
+        self.dispatcher.attempts.request_clearance = crossed
 
     def wait_for(self, true: Callable[[], Any]) -> None:
         until(lambda: gevent.sleep(0.005) or true(), 5.0)
@@ -529,9 +533,9 @@
         self.before_clearing(waits)
         self.made.submit("a")
         self.assertTrue(asked.wait(2.0))
-        self.dispatcher.attempts.cut({1})
+        self.dispatcher.attempts.abort({1})
         self.wait_for(lambda: not self.made.store.messages and not self.dispatcher.attempts.in_flight)
-        self.links.free(1)
+        self.links.close_idle(1)
         self.assertEqual(self.links.descriptors.used, 0)
 
 
