--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -1,6 +1,7 @@
-"""Attempts: one HTTP call each over a pooled connection, from the clearance to its outcome.
+"""Attempts: each is one HTTP call over a pooled connection, run in its own greenlet.
 
-Times are microseconds. The dispatcher starts attempts; each runs in a greenlet of its own.
+The dispatcher starts attempts, gives them clearance before they are sent, and receives their results. Times are
+microseconds.
 """
 
 import re
@@ -21,58 +22,61 @@
 from cedarwick.store.records import StoredMessage
 
 REPORT_HEADER = "x-pressure"
-ANSWER_REST_TIMEOUT_US = 500_000  # for what follows the first line of an answer
-# A Retry-After wait binds from 100 ms after its answer was written (the protocol page): a clearance for the first byte
-# may rest on a poll of the sockets that is at most half as old.
+ANSWER_REST_TIMEOUT_US = 500_000  # for the rest of an answer once its status line has been read
+# The age of the socket poll on which a clearance is based. A Retry-After wait binds from 100 ms after its answer was
+# written (see the protocol page); half of that is allowed here.
 CLEARANCE_LIFETIME_US = 50_000
-MAX_CLEARANCE_REQUESTS = 3  # by one attempt whose clearances expire; then the decisions choose again
-# For an answer that is on its way when a call times out; the receiver sees the end of sending and ends sooner.
+MAX_CLEARANCE_REQUESTS = 3  # by an attempt whose clearances expire; then it is not sent, and is decided on again
+# How long an answer is awaited after its call timed out. The receiver sees the sending side closed, and ends sooner.
 LATE_ANSWER_TIMEOUT_US = 1_000_000
 MILLISECONDS_PATTERN = re.compile(r"([0-9]{1,300})(\.[0-9]{1,300})?")
-FIGURE_PATTERN = re.compile(r"-?[0-9]{1,9}(\.[0-9]{1,30})?(e-[0-9]{1,2})?")  # of a report
+NUMBER_PATTERN = re.compile(r"-?[0-9]{1,9}(\.[0-9]{1,30})?(e-[0-9]{1,2})?")  # a value in a report
 
 
 @dataclass(slots=True)
 class AttemptCall:
-    """One attempt that the decisions have ordered."""
+    """An attempt that the decisions have ordered, and its progress."""
 
     message: StoredMessage
     attempt: int
     receiver: int
     ordered_at: int
-    until: int
-    send_by: int = NEVER  # its last byte must have gone then
-    body: bytes = b""  # read from the store when the attempt is cleared
-    recorded: bool = False  # the store has its record
-    flushed: bool = False  # the record is on the disk, where the store is durable
-    polled_at: int = 0  # when the sockets were polled on which its clearance rests
-    sent_at: int = 0  # its first byte was handed to the connection; 0: no byte was
-    status: int = 0  # of its answer, as far as the head was read
-    retry_after_reported: bool = False  # its Retry-After wait has been passed on, ahead of the result
-    reported: bool = False  # its result has been passed on
-    new_connection: bool = False  # it may not reuse an idle connection
-    reused_connection: bool = False  # it goes over a connection that was used before
+    until: int  # when it times out
+    send_by: int = NEVER  # its last byte must be written by then
+    body: bytes = b""  # read from the store when the attempt gets its clearance
+    recorded: bool = False  # the store has a record of it
+    flushed: bool = False  # with a durable store: a flush of the record has been requested
+    polled_at: int = 0  # time of the socket poll on which its clearance is based
+    sent_at: int = 0  # when the first byte was written to the connection; 0: none was
+    status: int = 0  # of the answer, even if only its head was read
+    retry_after_reported: bool = False  # its Retry-After wait was reported ahead of the result
+    reported: bool = False  # its result was reported
+    new_connection: bool = False  # it must not use an idle connection
+    reused_connection: bool = False  # its connection was used before
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, as it is reported to the decisions; times are microseconds."""
+    """The result of an attempt as reported to the decisions; times are microseconds."""
 
     outcome: Outcome
-    took: int = 0
-    retry_after: int = 0
-    last: bool = False
-    report: Sequence[float] = ()
-    reused_connection: bool = False  # it went over a connection that had been used before
-    not_sent: bool = False  # no byte was sent, for a reason that the decisions take into account next time
+    took: int = 0  # since the attempt was ordered
+    retry_after: int = 0  # the Retry-After wait of the answer
+    last: bool = False  # no retry may follow
+    report: Sequence[float] = ()  # the values of the report header
+    reused_connection: bool = False  # its connection was used before
+    # No byte was sent, for a reason that the decisions consider in the next round: it does not count as an attempt.
+    not_sent: bool = False
 
 
 class AttemptRunner:
     """Runs ordered attempts; each reports exactly one `AttemptResult` through `report_result`.
 
-    `clear` asks the dispatcher whether an attempt may go, `may_send` asks again right before the first byte,
-    `report_retry_after` passes on Retry-After waits as (receiver, until in microseconds), and `report_late_success` an
-    attempt whose good answer was read after its time-out had been reported.
+    Attributes:
+        request_clearance: asks the dispatcher whether an attempt may be sent.
+        may_send: asks again right before the first byte, by message number.
+        report_retry_after: takes Retry-After waits as (receiver, until in microseconds).
+        report_late_success: takes an attempt whose 200 was read after its time-out had been reported.
     """
 
     def __init__(
@@ -101,24 +105,24 @@
         self.in_flight: dict[gevent.Greenlet, AttemptCall] = {}
 
     def start(self, call: AttemptCall) -> None:
-        """Make the attempt in a greenlet of its own."""
+        """Start a greenlet that makes the attempt."""
         greenlet = gevent.spawn(self._run, call)
         self.in_flight[greenlet] = call
         greenlet.rawlink(lambda finished: self.in_flight.pop(finished, None))
 
     def abort(self, numbers: Collection[int]) -> None:
-        """Abort the running calls of some messages and close their connections; the messages may have run."""
+        """Abort the running attempts of some messages and close their connections; they may have run."""
         for greenlet, call in list(self.in_flight.items()):
             if call.message.number in numbers and not call.reported:
                 greenlet.kill(block=False)
-                self.counters.add("attempts cut off: their session moves")
+                self.counters.add("attempts aborted: their session migrates")
                 self._report_failure(call, Outcome.RESET if call.recorded else Outcome.MOOT)
 
     def _run(self, call: AttemptCall) -> None:
         try:
             self._run_attempt(call)
         except Exception:
-            # Without a result the attempt would hold its slot and its message for ever.
+            # Without a result the attempt would occupy its slot and its message forever.
             self.counters.log_exception("an attempt failed")
             if not call.reported:
                 self._report_failure(call, Outcome.RESET)
@@ -136,7 +140,7 @@
             return
         usable = False
         try:
-            # While the connection came up, a Retry-After wait or a drain may have arrived, or the message ended.
+            # While the connection was opened, a Retry-After wait or a drain may have arrived, or the message ended.
             usable = not self._obtain_clearance(call)
             if not usable:
                 usable = self._send_unless_expired(call, connection)
@@ -144,27 +148,27 @@
             self.connections.release(connection, usable)
 
     def _send_unless_expired(self, call: AttemptCall, connection: Connection) -> bool:
-        """Make the call unless its time or connection ended during the clearance.
+        """Make the call unless it is too late for it, or its connection was closed during the clearance.
 
         Returns whether the connection can be used again.
         """
         if is_closed(connection.sock):
-            # Bytes that came before the request would be read as its answer.
+            # Bytes that arrived before the request would be read as its answer.
             if connection.idle_since:
                 self._report_not_sent(call)
             else:
-                self.counters.add("new links that ended or spoke before their request")
+                self.counters.add("new connections that the receiver closed or wrote to before the request")
                 self._report_failure(call, Outcome.CONNECT_FAILED)
             return False
         if self.clock.now() >= call.send_by:
-            self.counters.add("attempts held back: their time was over")
+            self.counters.add("attempts held back: too late to send")
             self._report_not_sent(call)
             return True
         call.reused_connection = connection.idle_since > 0
         return self._exchange(call, connection)
 
     def _obtain_clearance(self, call: AttemptCall) -> bool:
-        """Whether the attempt may go now; where it may not, its result has been reported."""
+        """Whether the attempt may be sent now; if not, its result has been reported."""
         for _ in range(MAX_CLEARANCE_REQUESTS):
             if not self.request_clearance(call):
                 call.reported = True
@@ -172,8 +176,8 @@
                 return False
             if self.clock.now() - call.polled_at <= CLEARANCE_LIFETIME_US:
                 return True
-            # The process was paused, or a round was long: a refusal may be waiting unread in a socket.
-            self.counters.add("clearances that grew old")
+            # The process was paused, or a round was long: a socket may hold an unread refusal.
+            self.counters.add("clearances that expired")
             self.poll_clock.again()
         self._report_not_sent(call)
         return False
@@ -181,55 +185,55 @@
     def _exchange(self, call: AttemptCall, connection: Connection) -> bool:
         """Write the request and read the answer; returns whether the connection can be used again."""
         answer = ResponseParser()
-        broken: Outcome | None = Outcome.CONNECT_FAILED
+        failure: Outcome | None = Outcome.CONNECT_FAILED
         try:
             self._wait_until(connection, min(call.until, call.send_by))
-            whole = encode_request(call, self.clock.now())
-            # The right to send may have expired since the clearance; another sender may hold it now.
+            request = encode_request(call, self.clock.now())
+            # The lease may have expired since the clearance, and another sender may hold it now.
             if not self.may_send(call.message.number):
-                self.counters.add("attempts held back: no right to fire")
+                self.counters.add("attempts held back: no lease to send")
                 self._report_failure(call, Outcome.MOOT)
                 return True
             call.sent_at = self.clock.now()
-            connection.sock.sendall(whole)
+            connection.sock.sendall(request)
             self.counters.add("attempts sent")
             self.counters.metrics.attempts_sent += 1
-            broken = self._read(call, connection, answer)
+            failure = self._read(call, connection, answer)
         except OSError:
-            # The last byte was never sent, so nothing ran; an early answer may say more.
+            # The last byte was not written, so the attempt never ran; an early answer may tell more.
             self._read_unread_bytes(call, connection, answer)
         if answer.complete or answer.status == 200:
-            usable = answer.complete and answer.keep_alive and broken is None
+            usable = answer.complete and answer.keep_alive and failure is None
             if not call.reported:
                 self._report_answer(call, answer)
             return usable
-        # End the call before its result is reported: a retry must not run beside it. A refusal counts only when its
-        # answer is whole: if what follows its head is malformed, the attempt may have run.
-        if broken is Outcome.TIME_OUT and self.connections.shut_down_sending(connection):
-            self._report_failure(call, broken)
+        # End the call before its result is reported, since a retry must not run at the same time. A refusal counts
+        # only if its answer is complete: if the bytes after its head are malformed, the attempt may have run.
+        if failure is Outcome.TIME_OUT and self.connections.shut_down_sending(connection):
+            self._report_failure(call, failure)
             self._read_late_answer(call, connection, answer)
         else:
             self.connections.release(connection, usable=False)
-            self._report_failure(call, broken or Outcome.RESET)
+            self._report_failure(call, failure or Outcome.RESET)
         return False
 
     def _read(self, call: AttemptCall, connection: Connection, answer: ResponseParser) -> Outcome | None:
-        """Read the answer to its end; returns the outcome if it broke off before that, else None."""
+        """Read the answer to its end; returns None, or the outcome if the answer stays incomplete."""
         until = call.until
         try:
             while not answer.complete:
                 self._wait_until(connection, until)
                 if not connection.buffer.fill(connection.sock):
                     return None if answer.ended() else Outcome.RESET
-                begun = answer.status
+                had_status = answer.status
                 answer.feed(connection.buffer)
                 self._report_early_retry_after(call, answer)
-                if answer.status and not begun:
+                if answer.status and not had_status:
                     until = min(until, self.clock.now() + ANSWER_REST_TIMEOUT_US)
                 if answer.headed and answer.status == 200 and not call.reported:
-                    self._report_answer(call, answer)  # a success counts even if the rest of the answer is lost
+                    self._report_answer(call, answer)  # a 200 counts even if the rest of the answer is lost
         except TimeoutError:
-            # After a pause of the process, answers that came in time are still unread.
+            # After a pause of the process, an answer that arrived in time may still be unread.
             self._read_unread_bytes(call, connection, answer)
             return Outcome.RESET if answer.status else Outcome.TIME_OUT
         except (OSError, InvalidResponseError) as error:
@@ -238,17 +242,17 @@
         return None
 
     def _wait_until(self, connection: Connection, until: int) -> None:
-        left = until - self.clock.now()
-        if left <= 0:
+        remaining_us = until - self.clock.now()
+        if remaining_us <= 0:
             raise TimeoutError
-        connection.sock.settimeout(left / 1_000_000)
+        connection.sock.settimeout(remaining_us / 1_000_000)
 
     def _read_unread_bytes(self, call: AttemptCall, connection: Connection, answer: ResponseParser) -> None:
-        self._read_more(connection, answer, 0)
+        self._continue_reading(connection, answer, 0)
         self._report_early_retry_after(call, answer)
 
-    def _read_more(self, connection: Connection, answer: ResponseParser, until: int) -> None:
-        """Read until the head of an answer is there, up to a time; with 0, read only what has arrived."""
+    def _continue_reading(self, connection: Connection, answer: ResponseParser, until: int) -> None:
+        """Read until the head of the answer is complete, at most up to `until`; if 0, read only what has arrived."""
         connection.sock.settimeout(0.0)
         try:
             while not (answer.headed if until else answer.complete):
@@ -261,9 +265,9 @@
             pass
 
     def _report_early_retry_after(self, call: AttemptCall, answer: ResponseParser) -> None:
-        """Pass on the Retry-After wait of a throttled call as soon as the answer's head is there.
+        """Report the Retry-After wait of a 429 as soon as the answer's head is complete.
 
-        Whether the rest comes only decides whether the attempt may have run.
+        The rest of the answer matters only to whether the attempt may have run.
         """
         if answer.headed and not answer.complete and answer.status == 429 and not call.retry_after_reported:
             self._report_retry_after(call, answer)
@@ -275,13 +279,13 @@
         )
 
     def _read_late_answer(self, call: AttemptCall, connection: Connection, answer: ResponseParser) -> None:
-        """Read on for a moment on the connection of a call that timed out and whose result was reported.
+        """Wait up to `LATE_ANSWER_TIMEOUT_US` for the answer of a call whose time-out was reported.
 
         A refusal that arrives just after the time-out still sets a Retry-After wait, which later attempts must respect.
-        A success delivers the message, unless its end has been decided meanwhile.
+        A 200 delivers the message, unless its final answer has been decided meanwhile.
         """
         self.in_flight.pop(gevent.getcurrent(), None)
-        self._read_more(connection, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
+        self._continue_reading(connection, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
         if answer.headed and self.counters.trace.enabled:
             stored = call.message
             self.counters.trace.add(
@@ -290,11 +294,11 @@
         if answer.headed and answer.status == 200:
             self.report_late_success(call)
         if answer.headed and answer.status == 429 and not call.retry_after_reported:
-            self.counters.add("waits heard after the call was given up")
+            self.counters.add("Retry-After waits read after the time-out")
             self._report_retry_after(call, answer)
 
     def _report_answer(self, call: AttemptCall, answer: ResponseParser) -> None:
-        """Report the result that an answer gives; its first line at least has been read."""
+        """Report the result that follows from an answer of which at least the status line has been read."""
         took = self.clock.now() - call.ordered_at
         report = self._parse_report(answer.headers.get(REPORT_HEADER, ""))
         if answer.status == 200:
@@ -350,26 +354,26 @@
         self._report_failure(call, Outcome.MOOT, not_sent=True)
 
     def _parse_report(self, text: str) -> Sequence[float]:
-        """The values that an answer reports, in the order of the settings; nothing if it cannot be read."""
+        """The values of a report header in the order of the settings; empty if the report is malformed."""
         if not text:
             return ()
         reported = {name.strip(): value for name, _, value in (pair.partition("=") for pair in text.split(","))}
-        figures = [reported.get(name, "") for name in self.report_columns]
-        # A single "nan" or "1e300" would spoil the rate of a destination for good.
-        if not all(FIGURE_PATTERN.fullmatch(figure) for figure in figures):
+        numbers = [reported.get(name, "") for name in self.report_columns]
+        # A single "nan" or "1e300" would make the destination's rate useless from then on.
+        if not all(NUMBER_PATTERN.fullmatch(number) for number in numbers):
             self.counters.warning("a report that cannot be read", text[:100])
             return ()
-        return [float(figure) for figure in figures]
+        return [float(number) for number in numbers]
 
 
 def parse_retry_after(text: str) -> int:
-    """A Retry-After wait in microseconds, the longest where a head has several; 0 where none can be read."""
+    """A Retry-After wait in microseconds: the longest if the head has several, 0 if none is valid."""
     waits = [MILLISECONDS_PATTERN.fullmatch(part.strip()) for part in text.split(",")]
     return max((int(each[1]) * 1000 + bool(each[2]) * 1000 for each in waits if each), default=0)
 
 
 def encode_request(call: AttemptCall, now: int) -> bytes:
-    """The HTTP request of an attempt; `now` in microseconds, for the time that remains of it."""
+    """The HTTP request of an attempt; it states the time that remains at `now`."""
     stored = call.message
     lines = ["POST /receive HTTP/1.1", "Host: receiver", f"X-Txn: {stored.id}"]
     if stored.key:
--- a/cedarwick/net/clock.py
+++ b/cedarwick/net/clock.py
@@ -1,15 +1,15 @@
-"""The process's clock: wall time at the start, then monotonic; microseconds."""
+"""The process's clock in microseconds: wall-clock time at the start, advanced by the monotonic clock."""
 
 import time
 
 import gevent
 
-PROBE_WAIT_S = 0.001  # seconds of a timed wait over which the clock must advance
-MAX_PROBES = 100  # a clock that stands still for good must not keep the process from serving
+PROBE_WAIT_S = 0.001  # the clock must advance by at least this much during a sleep of this length
+MAX_PROBES = 100  # then the process serves anyway, even if its clock never advances
 
 
 class Clock:
-    """Whole microseconds of wall time that never run backwards within the process."""
+    """Wall-clock time in whole microseconds that never goes backwards within the process."""
 
     def __init__(self) -> None:
         self.base = time.time_ns() - time.monotonic_ns()
@@ -19,10 +19,11 @@
         return (self.base + time.monotonic_ns()) // 1000
 
     def wait_until_advancing(self) -> bool:
-        """Wait until the clock advances as much as a timed wait; returns whether it does.
+        """Wait until the clock advances as fast as the process sleeps; returns False if it does not after all probes.
 
-        Where a CPU share is enforced through the clock, a start that used more than its share leaves the clock ahead
-        of other processes', and it stands still until they catch up. Messages taken before that would end too late.
+        Some platforms enforce a CPU share through the clock: after a start that used more than its share, the clock is
+        ahead of the clocks of other processes and stands still until they catch up. A message accepted before that
+        would get its final answer too late.
         """
         for _ in range(MAX_PROBES):
             before = self.now()
--- a/cedarwick/net/connections.py
+++ b/cedarwick/net/connections.py
@@ -1,6 +1,6 @@
-"""The pool of connections to receivers, and the budget of file descriptors that clients share with it.
+"""The pool of connections to receivers, and the budget of file descriptors that it shares with client connections.
 
-Times are microseconds unless a name ends in `_S` (seconds). Attempts and the client listener use this module.
+Times are microseconds, except in names that end in `_S` (seconds).
 """
 
 from collections import deque
@@ -16,21 +16,25 @@
 from cedarwick.net.message_trace import CloseReason, CloseTrace
 from cedarwick.net.sockets import is_closed, open_connection
 
-RESERVED_DESCRIPTORS = 64  # for the interpreter, the loop, the store and the platform
-IDLE_SWEEP_INTERVAL_S = 0.25  # between two looks at the idle connections
-DESCRIPTOR_TIMEOUT_US = 400_000  # for an attempt to get one; a longer wait would look like a silent receiver
-DESCRIPTOR_POLL_INTERVAL_S = 0.02  # between two looks for a free one
+RESERVED_DESCRIPTORS = 64  # for the interpreter, the event loop, the store and calls to the platform
+IDLE_SWEEP_INTERVAL_S = 0.25  # between two checks of the idle connections
+# How long an attempt waits for a descriptor; a longer wait would look like a receiver that does not answer.
+DESCRIPTOR_TIMEOUT_US = 400_000
+DESCRIPTOR_POLL_INTERVAL_S = 0.02  # between two tries to claim one
 
 
 class NoDescriptorError(CedarwickError):
-    """All descriptors are taken, and no idle connection could give way."""
+    """All descriptors are in use, and no connection can be closed for a new one."""
 
     code = "CW302"
     remedy = "raise limits.sockets, or start another sender"
 
 
 class DescriptorBudget:
-    """Counts the descriptors of clients and receivers; at the limit an idle connection is closed for another."""
+    """Limits the descriptors of connections to clients and receivers.
+
+    At the limit, `close_one` closes an idle connection to make room for a new one.
+    """
 
     def __init__(self, limit: int) -> None:
         self.set_limit(limit)
@@ -38,17 +42,21 @@
         self.close_one: Callable[[], bool] = lambda: False
 
     def set_limit(self, limit: int) -> None:
-        """Set the number of descriptors of the whole process; `RESERVED_DESCRIPTORS` of them stay free."""
+        """Set the limit of the whole process; `RESERVED_DESCRIPTORS` of it are kept for other uses."""
         self.limit = max(8, limit - RESERVED_DESCRIPTORS)
 
     def claim(self) -> None:
-        """Count one more descriptor; raises `NoDescriptorError` at the limit if no connection can be closed."""
+        """Claim one descriptor.
+
+        Raises:
+            NoDescriptorError: the limit is reached and no connection can be closed.
+        """
         if self.used >= self.limit and not self.close_one():
-            raise NoDescriptorError(f"all {self.limit} are taken")
+            raise NoDescriptorError(f"all {self.limit} descriptors are in use")
         self.used += 1
 
     def release(self) -> None:
-        """Count one descriptor less."""
+        """Release one descriptor."""
         self.used -= 1
 
 
@@ -67,9 +75,9 @@
 
 
 class ConnectionPool:
-    """Opens connections, pools the idle ones, and is the only place where they are closed.
+    """Opens connections to receivers, pools the idle ones, and is the only code that closes them.
 
-    `idle_lifetime_us` (how long an idle connection may be used) and `connect_timeout_us` are microseconds.
+    A connection that has been idle for `idle_lifetime_us` is not used again.
     """
 
     def __init__(
@@ -87,14 +95,16 @@
         self.address_of = address_of
         self.idle_lifetime_us = idle_lifetime_us
         self.connect_timeout_us = connect_timeout_us
-        self.idle: dict[int, deque[Connection]] = {}  # by receiver, the newest last
-        self.half_closed: dict[Connection, None] = {}  # connections that are only read from now on, the newest last
+        self.idle: dict[int, deque[Connection]] = {}  # by receiver, the last used one at the end
+        self.half_closed: dict[Connection, None] = {}  # only read from now on; the newest at the end
         descriptors.close_one = self._close_one
 
     def acquire(self, receiver: int, until: int, new: bool = False) -> Connection:
-        """An idle connection or a new one, by `until`.
+        """Return an idle connection, or a new one that is opened by `until`; with `new`, always a new one.
 
-        Raises `OSError` where none comes up in time, `NoDescriptorError` where no descriptor is free.
+        Raises:
+            OSError: no connection could be opened in time.
+            NoDescriptorError: no descriptor became free in time.
         """
         address = self.address_of(receiver)
         claim_by = min(until, self.clock.now() + DESCRIPTOR_TIMEOUT_US)
@@ -103,16 +113,15 @@
                 self.descriptors.claim()
                 break
             except NoDescriptorError:
-                # Wait a little: if it failed at once while clients hold all descriptors, a message would soon be
-                # out of attempts.
+                # If this failed at once while clients hold all descriptors, a message would soon use up its attempts.
                 if self.clock.now() >= claim_by:
                     raise
                 gevent.sleep(DESCRIPTOR_POLL_INTERVAL_S)
         if connection is not None:
             return connection
         try:
-            limit = min(self.connect_timeout_us, until - self.clock.now())
-            sock = open_connection(address, max(limit, 1000) / 1_000_000)
+            timeout_us = min(self.connect_timeout_us, until - self.clock.now())
+            sock = open_connection(address, max(timeout_us, 1000) / 1_000_000)
         except BaseException:
             self.descriptors.release()
             raise
@@ -120,19 +129,21 @@
         return Connection(sock, receiver, address)
 
     def _take_idle(self, receiver: int, address: tuple[str, int]) -> Connection | None:
-        """The newest idle connection that can still be used, if any; those that cannot are closed."""
-        waiting = self.idle.get(receiver)
-        while waiting:
-            connection = waiting.pop()
-            # Receivers close idle connections, and an attempt written just then is lost without a trace.
-            fresh = connection.address == address and self.clock.now() - connection.idle_since < self.idle_lifetime_us
-            if fresh and not is_closed(connection.sock):
+        """Take the last used idle connection that is still usable, if any; close those that are not."""
+        idle_connections = self.idle.get(receiver)
+        while idle_connections:
+            connection = idle_connections.pop()
+            # A receiver may close an idle connection just as an attempt is written to it; that attempt would be lost.
+            reusable = (
+                connection.address == address and self.clock.now() - connection.idle_since < self.idle_lifetime_us
+            )
+            if reusable and not is_closed(connection.sock):
                 return connection
             self._close(connection, CloseReason.NOT_REUSABLE)
         return None
 
     def release(self, connection: Connection, usable: bool) -> None:
-        """Return a connection to the pool; close it if it is not usable or has unread bytes."""
+        """Return a connection to the pool, or close it if it is not usable or has unread bytes."""
         if not usable or len(connection.buffer):
             self._close(connection, CloseReason.UNREAD_BYTES if usable else CloseReason.ANSWER_UNUSABLE)
             return
@@ -140,9 +151,9 @@
         self.idle.setdefault(connection.receiver, deque()).append(connection)
 
     def shut_down_sending(self, connection: Connection) -> bool:
-        """Shut down the sending side after a time-out, to read on until the connection is given back.
+        """Shut down the sending side after a time-out; the connection is still read until it is released.
 
-        False where it has broken.
+        Returns False if the connection is broken.
         """
         try:
             connection.sock.shutdown(gevent.socket.SHUT_WR)
@@ -157,24 +168,25 @@
             self._close(connection, CloseReason.RELEASED)
 
     def sweep(self) -> None:
-        """Never returns: closes idle connections before their receiver would."""
+        """Close idle connections before their receivers do; never returns."""
         while True:
             gevent.sleep(IDLE_SWEEP_INTERVAL_S)
             now = self.clock.now()
-            for receiver, waiting in list(self.idle.items()):
-                for connection in list(waiting):
+            for receiver, idle_connections in list(self.idle.items()):
+                for connection in list(idle_connections):
                     if now - connection.idle_since >= self.idle_lifetime_us or is_closed(connection.sock):
-                        waiting.remove(connection)
+                        idle_connections.remove(connection)
                         self._close(connection, CloseReason.IDLE)
-                if not waiting:
+                if not idle_connections:
                     self.idle.pop(receiver, None)
 
     def _close_one(self) -> bool:
+        """Close a half-closed connection, or else the one idle for longest; returns whether there was any."""
         if self.half_closed:
             self._close(next(iter(self.half_closed)), CloseReason.DESCRIPTOR_WANTED)
             return True
         oldest = min(
-            (waiting[0] for waiting in self.idle.values() if waiting),
+            (idle_connections[0] for idle_connections in self.idle.values() if idle_connections),
             key=lambda connection: connection.idle_since,
             default=None,
         )
--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -1,4 +1,4 @@
-"""Admission: which submissions are accepted, stored and answered, and which are refused.
+"""Admission: accepts, stores and answers submissions, or rejects them.
 
 A base class of `Dispatcher`; times are microseconds.
 """
@@ -8,11 +8,11 @@
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
-RECENT_ID_LIFETIME_US = 15_000_000  # for this long after a submission its id is not accepted again
+RECENT_ID_LIFETIME_US = 15_000_000  # how long after a submission its id is not accepted again
 
 
 class Admission(Sessions):
-    """Accepts submissions, and withdraws them where the client has gone."""
+    """Accepts submissions, and withdraws those whose client has disconnected."""
 
     def _admit(self, submission: Submission) -> None:
         stored = submission.message
@@ -28,17 +28,19 @@
         if stored.turn in self.frozen:
             submission.set_answer(AdmissionResult.FROZEN)
             return
-        # A repeated id must not be sent again after its message ended, least of all with another body.
-        copied = hash((stored.key, stored.turn, stored.priority_class, stored.tenant, stored.destination, stored.body))
-        known = self.recent_ids.get(stored.id)
-        if known is not None or stored.id in self.numbers_by_id:
-            same = known is not None and known[1] == copied and stored.id in self.numbers_by_id
-            same = same and self.numbers_by_id[stored.id] not in self.new_submissions
-            submission.set_answer(AdmissionResult.ACCEPTED if same else AdmissionResult.REPEATED)
+        # A repeated id must not be sent again after its message has ended, least of all with a different body.
+        content_hash = hash(
+            (stored.key, stored.turn, stored.priority_class, stored.tenant, stored.destination, stored.body)
+        )
+        recent = self.recent_ids.get(stored.id)
+        if recent is not None or stored.id in self.numbers_by_id:
+            is_duplicate = recent is not None and recent[1] == content_hash and stored.id in self.numbers_by_id
+            is_duplicate = is_duplicate and self.numbers_by_id[stored.id] not in self.new_submissions
+            submission.set_answer(AdmissionResult.ACCEPTED if is_duplicate else AdmissionResult.REPEATED)
             return
         while self.recent_ids and next(iter(self.recent_ids.values()))[0] < now - RECENT_ID_LIFETIME_US:
             del self.recent_ids[next(iter(self.recent_ids))]
-        self.recent_ids[stored.id] = now, copied
+        self.recent_ids[stored.id] = now, content_hash
         if not self.store.has_room(stored):
             self.counters.add("turned away: no room in the folder")
             submission.set_answer(AdmissionResult.BUSY)
@@ -47,7 +49,7 @@
         self.store.next_number += 1
         self.new_submissions[number] = submission
         self.numbers_by_id[stored.id] = number
-        # Bound the time to live: an absurd one would take up room in the store for ever.
+        # Limit the time to live: an extremely long one would occupy the store forever.
         stored.deadline = min(stored.deadline, now + self.sender.priority_classes[priority_class].deadline)
         self.handles[number] = self.sender.accept(
             now,
@@ -59,23 +61,23 @@
             stored.turn,
         )
         if stored.turn in self.keys_elsewhere and self.sender.priority_classes[priority_class].ordered:
-            self.counters.add("messages that waited for others of their key elsewhere")
+            self.counters.add("messages held for earlier ones of their key at another sender")
             self._hold_key(stored.turn)
 
     def _withdraw(self, stored: StoredMessage) -> None:
         self.withdrawing.discard(stored.number)
         if stored.number in self.store.inert:
-            return  # it is on its way to another sender, who knows nothing of this
+            return  # it is migrating to another sender, which does not learn of the withdrawal
         self._end_without_notice(stored)
 
     def _store_new(self) -> None:
-        """At a hand-over: store and answer new messages; the next process decides on them."""
+        """During a hand-over: store and answer new messages; the next process decides on them."""
         for submission in self.new_submissions.values():
             self._store_message(submission)
         self.new_submissions.clear()
 
     def _withdraw_new(self, now: int) -> None:
-        """Refuse the submissions of this round, and withdraw them from the decisions."""
+        """Reject the submissions of this round and withdraw them from the decisions."""
         for number, submission in self.new_submissions.items():
             self.numbers_by_id.pop(submission.message.id, None)
             self.handles.pop(number).withdrawn(now)
@@ -83,7 +85,7 @@
         self.new_submissions.clear()
 
     def _store_message(self, submission: Submission) -> None:
-        """Store a message, then answer its client; attempts may go only after that."""
+        """Store a message, then answer its client; attempts may be sent only after that."""
         stored = submission.message
         if not self._write_record("a message", self.store.keep, stored):
             del self.numbers_by_id[stored.id]
@@ -101,7 +103,7 @@
 
     def _accept_stored(self, submission: Submission) -> None:
         if not self.store.may_fire(submission.message.number):
-            # The right to send was lost in this round, so no copy of the message was waited for.
+            # The lease was lost in this round, so the flush did not wait for a copy of the message.
             self._reject_unflushed(submission)
             return
         self.counters.add("taken")
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in the dispatcher: their clearance, the record written before they go, and their results.
+"""Attempts in the dispatcher: their clearance, the record written before they are sent, and their results.
 
 A base class of `Dispatcher`; times are microseconds.
 """
@@ -15,7 +15,7 @@
 
 
 class Attempts(Sessions):
-    """Clears attempts as they start, and passes their results to the decisions."""
+    """Gives attempts their clearance and passes their results to the decisions."""
 
     def _request_clearance(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
         self.clearance_requests.append((call, answer))
@@ -24,21 +24,21 @@
         call.polled_at = self.poll_clock.at
         now, number = self.clock.now(), call.message.number
         handle = self.handles.get(number)
-        may = free = handle is not None and handle.may_start(now, call.receiver) and not self.attempts_stopped
-        may = may and self.store.may_fire(number)
+        may_send = startable = handle is not None and handle.may_start(now, call.receiver) and not self.attempts_stopped
+        may_send = may_send and self.store.may_fire(number)
         call.send_by = handle.send_by() if handle is not None else 0
-        if may and number in self.store.messages and not call.recorded:
+        if may_send and number in self.store.messages and not call.recorded:
             zone = self.sender.receivers[call.receiver].zone
             mark = self.zones[zone] if zone < len(self.zones) else NOWHERE
-            may = self._load_body(call)
-            may = call.recorded = may and self._write_record(
+            may_send = self._load_body(call)
+            may_send = call.recorded = may_send and self._write_record(
                 "the record of an attempt", self.store.attempt, number, now, mark
             )
-        if not may:
+        if not may_send:
             answer.set(False)
-            # Refused by the decisions: it does not count as an attempt. Refused by the store or for want of the right
-            # to send: it counts, or it would be ordered again at once, for ever.
-            self._attempt_ended(call, AttemptResult(Outcome.MOOT, not_sent=not free))
+            # If the decisions refused it, it does not count as an attempt. If the store did, or the lease was lost, it
+            # counts; otherwise it would be ordered again at once, over and over.
+            self._attempt_ended(call, AttemptResult(Outcome.MOOT, not_sent=not startable))
         elif self.store.awaited and not call.flushed:
             call.flushed = True
             self.after_flush.append((lambda: answer.set(True), lambda: self._deny_unflushed(call, answer)))
@@ -46,11 +46,11 @@
             answer.set(True)
 
     def _load_body(self, call: AttemptCall) -> bool:
-        """Read the body back, which may be in the store only; returns whether that succeeded."""
+        """Load the body, which may be only in the store; returns whether that succeeded."""
         try:
             call.body = self.store.body(call.message.number)
         except BodyLostError as error:
-            self.counters.warning("a body cannot be read back", error)
+            self.counters.warning("a message body cannot be read from the store", error)
             return False
         return True
 
@@ -59,7 +59,7 @@
         self._attempt_ended(call, AttemptResult(Outcome.MOOT))
 
     def _report_outcome(self, handle: Handle, call: AttemptCall, result: AttemptResult) -> None:
-        """Tell the decisions how an attempt of this message has ended."""
+        """Report the result of an attempt to the decisions."""
         handle.attempt_ended(
             self.clock.now(),
             result.outcome,
@@ -73,9 +73,9 @@
         )
 
     def _completed_late(self, call: AttemptCall) -> None:
-        """Deliver a message whose good answer came after the time-out of its attempt, unless it has its end by now.
+        """Complete a message whose 200 was read after the time-out of its attempt, unless it has ended since.
 
-        Without a handle its end is decided, or another sender may have it; then nothing is changed here.
+        Without a handle its final answer is decided, or another sender may hold it; then nothing changes here.
         """
         number = call.message.number
         handle = self.handles.get(number)
@@ -107,7 +107,7 @@
         if result.not_sent:
             handle.attempt_not_sent()
         if handle.ended:
-            self.counters.add(f"messages over: {result.outcome.value}")
+            self.counters.add(f"messages ended: {result.outcome.value}")
             if result.outcome is Outcome.COMPLETED:
                 self.counters.metrics.passed[call.message.priority_class] += 1
                 self._trace_end(call.message, "delivered", "completed")
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -1,4 +1,4 @@
-"""Final answers of stored messages: recorded, copied to other senders where there are any, then posted as notices.
+"""Final answers of stored messages: recorded, in a fleet copied to other senders, then posted as notices.
 
 A base class of `Dispatcher`; times are microseconds.
 """
@@ -7,28 +7,28 @@
 from cedarwick.net.dispatch_state import LEASE_RECHECK_DELAY_US, DispatcherState
 from cedarwick.store.records import StoredMessage
 
-# At the end of a process from which others take over, a message is written off this long before its deadline.
+# When a process ends and others take over, it abandons a message this long before the message's deadline.
 DEADLINE_MARGIN_US = 50_000
 
 
 class FinalAnswers(DispatcherState):
     """Ends messages that get no further attempt."""
 
-    def _record_final_answer(self, number: int, rejected: bool, wait_ms: int, alone: bool = False) -> None:
-        """The final answer of a stored message: recorded, then posted until it is acknowledged.
+    def _record_final_answer(self, number: int, rejected: bool, wait_ms: int, without_copy: bool = False) -> None:
+        """Record the final answer of a stored message, then post it until it is acknowledged.
 
-        `alone`: without waiting for a copy, since none can be asked.
+        `without_copy`: do not wait for a copy, since no other sender can be asked for one.
         """
         self.handles.pop(number, None)
         stored = self.store.messages.get(number)
         if stored is None:
             return
         self._write_record("the record of an end", self.store.ended, number, rejected, wait_ms)
-        self._trace_end(stored, "returned" if rejected else "failed", "no copy asked" if alone else "decided")
+        self._trace_end(stored, "returned" if rejected else "failed", "no copy asked" if without_copy else "decided")
         self.counters.add("rejected" if rejected else "abandoned")
         (self.counters.metrics.dropped if rejected else self.counters.metrics.bad_gateway)[stored.priority_class] += 1
         self.uncopied_ends.discard(number)
-        if self.store.by_copy and not alone:
+        if self.store.by_copy and not without_copy:
             self.uncopied_ends.add(number)
             self._post_after_replication(stored)
         else:
@@ -37,28 +37,28 @@
     def _post_after_replication(self, stored: StoredMessage) -> None:
         """Post the final answer once another sender has a copy of it.
 
-        If it were posted earlier, a sender that takes over could still make an attempt after it.
+        Without the copy, a sender that takes over could make another attempt after the answer was posted.
         """
 
         def post() -> None:
             if not self.store.may_fire(stored.number):
-                again()  # the right may be back soon, and then nobody else would post it
+                retry()  # the lease may be held again soon, and then no other sender would post the answer
             elif (
                 stored.end is not None and stored.number in self.store.messages and stored.number in self.uncopied_ends
             ):
                 self.uncopied_ends.discard(stored.number)
                 self.notices.post(stored.number, stored.id, *stored.end)
 
-        def again() -> None:
+        def retry() -> None:
             if stored.number in self.store.messages and stored.number in self.uncopied_ends:
                 if self.clock.now() >= stored.deadline and self.store.may_fire(stored.number):
-                    # After the deadline a sender that takes over makes no attempt either, and reports a failure too.
-                    self._record_final_answer(stored.number, False, 0, alone=True)
+                    # After the deadline, a sender that takes over makes no attempt either and also reports a failure.
+                    self._record_final_answer(stored.number, False, 0, without_copy=True)
                     return
-                self.after_flush.append((post, again))
+                self.after_flush.append((post, retry))
                 self.wake_at = min(self.wake_at or NEVER, self.clock.now() + LEASE_RECHECK_DELAY_US)
 
-        self.after_flush.append((post, again))
+        self.after_flush.append((post, retry))
 
     def _abandon_parked(self, numbers: list[int]) -> None:
         for number in numbers:
@@ -66,8 +66,8 @@
             if stored is None or number in self.handles or number in self.notices.pending:
                 continue
             if stored.end is None or number in self.uncopied_ends:
-                self.counters.warning("a message ends that nobody may fire for", number)
-                self._record_final_answer(number, False, 0, alone=True)
+                self.counters.warning("a message was abandoned without a lease", number)
+                self._record_final_answer(number, False, 0, without_copy=True)
             else:
                 self.notices.post(number, stored.id, *stored.end)
 
@@ -78,18 +78,18 @@
                 self._delete_message(self.store.messages[number])
 
     def _abandon_near_deadline(self) -> None:
-        """Write off what reaches its deadline before another sender can go on with it.
+        """Abandon messages that reach their deadline before another sender can take them over.
 
-        One hanging call delays the end of the process, and other messages could reach their deadline meanwhile.
+        A single call that hangs delays the end of the process; meanwhile other messages could reach their deadline.
         """
         now = self.clock.now()
-        limits = {
+        abandon_at = {
             number: self.store.messages[number].deadline - DEADLINE_MARGIN_US
             for number, handle in self.handles.items()
             if not handle.in_flight and number in self.store.messages
         }
-        for number, limit in limits.items():
-            if limit <= now:
+        for number, at in abandon_at.items():
+            if at <= now:
                 self.handles[number].withdrawn(now)
                 self._record_final_answer(number, False, 0)
-        self.wake_at = min((limit for limit in limits.values() if limit > now), default=None)
+        self.wake_at = min((at for at in abandon_at.values() if at > now), default=None)
--- a/cedarwick/net/dispatch_health.py
+++ b/cedarwick/net/dispatch_health.py
@@ -1,4 +1,4 @@
-"""Receivers' health in the dispatcher: its log, its record in the folder, and what an earlier process knew.
+"""Receivers' health in the dispatcher: it is logged, recorded in the state folder, and restored after a restart.
 
 A base class of `Dispatcher`; times are microseconds.
 """
@@ -17,21 +17,21 @@
     """Logs and stores each change of a receiver's health, and restores it after a restart."""
 
     def restore_health(self, health_file: HealthFile) -> None:
-        """Take up what an earlier process knew; call once, at the start, before a list update is handled."""
+        """Load what an earlier process recorded; call once at the start, before the first endpoint list update."""
         self.health_file = health_file
         self.earlier_health = health_file.load()
         if self.earlier_health:
             logger.info("health of {} receivers known from before the restart", len(self.earlier_health))
 
     def _apply_earlier_health(self, listings: Sequence[ListedEndpoint]) -> None:
-        """Tell the decisions what an earlier process knew of receivers that are listed for the first time."""
+        """Restore what an earlier process recorded of receivers that are now listed for the first time."""
         now = self.clock.now()
         first, self.first_listing = self.first_listing, False
         for listing in listings:
             key = HealthKey(self.uid_of(listing.receiver), listing.destination)
             earlier = self.earlier_health.pop(key, None)
             if earlier is None and first and self.health_file is not None and not self.health_file.complete:
-                # Nobody knows which receivers were out: each may be coming back.
+                # It is unknown which receivers were ejected; each may be recovering.
                 earlier = EarlierHealth(listing.destination, HealthState.RAMPING, False, 0.0, 0)
             if earlier is not None:
                 self.sender.restore_health(now, listing.receiver, earlier)
@@ -40,16 +40,16 @@
                 self.sender.restore_departed(now, earlier)
 
     def _store_health(self) -> None:
-        """Store what the events of this round have changed, and what could not be stored before."""
+        """Record what the events of this round have changed, and retry records that could not be written before."""
         self._record_health(self.sender.take_health_changes())
         if self.health_file is not None:
             self.health_file.retry()
 
     def _record_health(self, changes: Sequence[HealthChange]) -> None:
-        """Log and store changes; the record is written before a further attempt goes."""
+        """Log and record changes; the records are written before any further attempt is sent."""
         now = self.clock.now()
         for change in changes:
-            # The list may have forgotten a receiver that the decisions forget now.
+            # The endpoint list may no longer have a receiver that the decisions remove now.
             uid = self.uid_of(change.receiver) or self.recorded_uids.pop(change.receiver, "")
             self._log_health(change, uid, now)
             if uid and change.state is not HealthState.IN_SERVICE:
@@ -70,7 +70,7 @@
                 )
 
     def _log_health(self, change: HealthChange, uid: str, now: int) -> None:
-        """One line for each change: it explains canaries, ramps and held messages afterwards."""
+        """Log one line for a change, so that canaries, ramps and held messages can be explained later."""
         stored = self.store.messages.get(change.message)
         record = {
             "receiver": uid,
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -1,4 +1,4 @@
-"""Stored messages that come to this sender or leave it: after restarts, with partitions, and with moved sessions.
+"""Stored messages that this sender takes on or gives up: after restarts, with partitions, and with sessions.
 
 A base class of `Dispatcher`; times are microseconds.
 """
@@ -14,28 +14,28 @@
 from cedarwick.net.submission import AdmissionResult
 from cedarwick.store.records import NOWHERE
 
-PARTITION_SHIFT_BITS = 32  # a message number holds its partition above these bits, and counts up below them
+PARTITION_SHIFT_BITS = 32  # a message number is a partition, shifted by this, plus a count within the partition
 
 
 class Sessions(DispatcherState):
-    """Adopts, parks and freezes messages, and lets keys rest of which another sender has earlier messages."""
+    """Adopts, parks and freezes messages, and holds order keys of which another sender has earlier messages."""
 
     def restore(self) -> None:
-        """Take up what an earlier process of this sender left and it has the right to send; call once, at the start."""
+        """Restore the messages of an earlier process for which this sender holds the lease; call once at the start."""
         numbers = [number for number in sorted(self.store.messages) if self.store.may_fire(number)]
         if self.store.restarted:
-            taken_up = self._restore_messages(numbers)
-            logger.info("restarted with {} unfinished messages, {} notices", taken_up, len(self.notices.pending))
+            unfinished = self._restore_messages(numbers)
+            logger.info("restarted with {} unfinished messages, {} notices", unfinished, len(self.notices.pending))
 
     def _restore_messages(self, numbers: Sequence[int], no_unrecorded_attempts: bool = False) -> int:
-        """Give stored messages to the decisions, or post their final answer; returns how many were not ended."""
+        """Pass stored messages to the decisions, or post their final answers; returns how many had none."""
         unfinished = []
         for number in numbers:
             stored = self.store.messages[number]
             self.numbers_by_id[stored.id] = number
             if stored.end is None and stored.priority_class not in self.priority_classes:
                 self.counters.warning(
-                    "a message of a priority class that is no more goes once at most", stored.priority_class
+                    "a message of a removed priority class is sent at most once", stored.priority_class
                 )
             if stored.end is not None:
                 self.uncopied_ends.discard(number)
@@ -60,7 +60,7 @@
             for each in unfinished
             for attempt in each.attempts
         ):
-            # Sessions arrive one by one, and each `restore` would make the keys of all others rest.
+            # Sessions arrive one by one, and each call of `restore` would hold the keys of all others.
             for each in unfinished:
                 handle = self.handles[each.message_id] = self.sender.accept(now, *each[:-1])
                 handle.attempts = len(each.attempts)
@@ -70,11 +70,11 @@
         return len(unfinished)
 
     def _zone_index(self, mark: int) -> int:
-        """The index of a recorded zone mark in the settings; `NOWHERE` unless exactly one zone has it."""
+        """The index in the settings of the zone with this recorded mark; `NOWHERE` unless exactly one has it."""
         return self.zones.index(mark) if self.zones.count(mark) == 1 else NOWHERE
 
     def _adopt(self, numbers: list[int], no_unrecorded_attempts: bool = False) -> None:
-        known = [
+        adoptable = [
             number
             for number in numbers
             if number in self.store.messages
@@ -82,27 +82,27 @@
             and number not in self.store.inert
             and self.store.messages[number].turn not in self.frozen
         ]
-        # An attempt from before the message was parked may still run; a second one must not run beside it.
-        self.to_adopt.update(number for number in known if number in self.parked)
-        taken_up = [number for number in known if number not in self.parked]
-        self._restore_messages(taken_up, no_unrecorded_attempts)
-        joined: dict[int, list[Handle]] = {}
-        for handle in [self.handles[number] for number in taken_up if number in self.handles]:
+        # An attempt made before the message was parked may still be running; no second one may run at the same time.
+        self.to_adopt.update(number for number in adoptable if number in self.parked)
+        adopted = [number for number in adoptable if number not in self.parked]
+        self._restore_messages(adopted, no_unrecorded_attempts)
+        handles_by_key: dict[int, list[Handle]] = {}
+        for handle in [self.handles[number] for number in adopted if number in self.handles]:
             if handle.priority_class.ordered and handle.key:
-                joined.setdefault(handle.key, []).append(handle)
-        # Messages that come back together keep their order: they must not move ahead of one another.
-        held_by_key = self.held_by_key.difference(taken_up)
+                handles_by_key.setdefault(handle.key, []).append(handle)
+        # Messages that are adopted together keep their order among each other.
+        held_by_key = self.held_by_key.difference(adopted)
 
-        def before(one: Handle, other: Handle) -> bool:
-            # A message whose attempt ran while its partition was parked comes back last: move it ahead of later ones.
+        def goes_before(one: Handle, other: Handle) -> bool:
+            # A message whose attempt ran while its partition was parked is adopted last; move it before later ones.
             return (
                 other.id in held_by_key
                 or other.id > one.id
                 and other.id >> PARTITION_SHIFT_BITS == one.id >> PARTITION_SHIFT_BITS
             )
 
-        for key, handles in joined.items():
-            self.sender.turns.line_up(key, handles, before)
+        for key, handles in handles_by_key.items():
+            self.sender.turns.line_up(key, handles, goes_before)
 
     def _hold_keys(self, keys: frozenset[int]) -> None:
         self.keys_elsewhere = keys
@@ -114,8 +114,8 @@
         self.held_by_key.update(each.id for each in self.sender.rest(self.clock.now(), key))
 
     def _park(self, numbers: list[int]) -> None:
-        now, given_up = self.clock.now(), set(numbers)
-        self.numbers_by_id = {each: number for each, number in self.numbers_by_id.items() if number not in given_up}
+        now, to_park = self.clock.now(), set(numbers)
+        self.numbers_by_id = {each: number for each, number in self.numbers_by_id.items() if number not in to_park}
         for number in numbers:
             self.to_adopt.discard(number)
             self.notices.pending.pop(number, None)
@@ -135,7 +135,7 @@
         for number in numbers:
             submission = self.new_submissions.pop(number, None)
             if submission is not None:
-                # It is not stored yet; forget its id, so that the client can submit it again after the move.
+                # It is not stored yet. Its id is removed, so that the client can submit it again after the migration.
                 self.recent_ids.pop(submission.message.id, None)
                 submission.message.number = 0
                 submission.set_answer(AdmissionResult.FROZEN)
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -1,7 +1,7 @@
-"""The state that the dispatcher's parts share: the decisions, the store, and the messages by state.
+"""The state that the dispatcher's base classes share: the decisions, the store, and the messages by state.
 
-The parts (`dispatch_admission`, `dispatch_attempts`, `dispatch_sessions`, `dispatch_final_answers`) are base classes of
-`cedarwick.net.dispatcher.Dispatcher`: all of them run in its one greenlet, on this one state, so none needs a lock.
+`dispatch_admission`, `dispatch_attempts`, `dispatch_sessions`, `dispatch_final_answers` and `dispatch_health` hold base
+classes of `cedarwick.net.dispatcher.Dispatcher`. All of them run in its one greenlet, so the state needs no lock.
 """
 
 from collections.abc import Callable
@@ -28,19 +28,19 @@
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage, zone_mark
 
-LEASE_RECHECK_DELAY_US = 20_000  # microseconds until the next check of this sender's lease and its copies
+LEASE_RECHECK_DELAY_US = 20_000  # until the next check of this sender's lease and of its copies
 
 
 @dataclass(slots=True)
 class FrozenSession:
-    """A session that is moving: its attempts still running, and an event that is set once there are none."""
+    """A migrating session: its running attempts, and an event that is set once there are none."""
 
     attempts_ended: gevent.event.AsyncResult = field(default_factory=gevent.event.AsyncResult)
     in_flight: set[int] = field(default_factory=set)
 
 
 class DispatcherState:
-    """The state of a dispatcher, and how its parts write to the store."""
+    """The state of a dispatcher, and its writes to the store and to the message trace."""
 
     def __init__(
         self, assignment: Assignment, clock: Clock, counters: Counters, store: Store, poll_clock: PollClock
@@ -59,46 +59,46 @@
         ]
         self.zones = [zone_mark(name) for name in list_setting(assignment.settings, "zones")]
         self.sender = Sender(assignment.settings, assignment.seed, clock.now())
-        # One more class is for restored messages whose priority class was removed; without settings it is sent at most
-        # once.
+        # The additional class is for restored messages whose priority class was removed. It has no settings, so they
+        # are sent at most once.
         self.sender.priority_classes.append(priority_class_of(assignment.settings, len(self.sender.priority_classes)))
         counters.metrics.priority_classes = list(self.priority_classes)
-        # Here every attempt is a call of its own; if the decisions took some to share one, they would exceed limits.
+        # Each attempt is one call here. If the decisions assumed that attempts share calls, they would exceed limits.
         self.sender.per_call = []
         self.handles: dict[int, Handle] = {}
-        self.numbers_by_id: dict[str, int] = {}  # by id: messages that are stored
-        # Recent ids: when they came (microseconds), and a hash of the submission.
+        self.numbers_by_id: dict[str, int] = {}  # numbers of the messages that are stored or admitted
+        # By message id: when it was submitted (microseconds), and a hash of the submission.
         self.recent_ids: dict[str, tuple[int, int]] = {}
-        self.new_submissions: dict[int, Submission] = {}  # admitted in this round, and not stored yet
+        self.new_submissions: dict[int, Submission] = {}  # admitted in this round and not stored yet
         self.queue: gevent.queue.Queue = gevent.queue.Queue()
-        # Attempts that ask for a clearance in this round.
+        # Attempts that request a clearance in this round.
         self.clearance_requests: list[tuple[AttemptCall, gevent.event.AsyncResult]] = []
-        # What to call after the flush, or if it fails.
+        # Callbacks for after the flush: the first if it succeeds, the second if it fails.
         self.after_flush: list[tuple[Callable[[], None], Callable[[], None]]] = []
         self.wake_at: int | None = None
         self.attempts_stopped = False
-        self.abandoning_near_deadline = False  # while holding fire: what reaches its deadline ends here
-        self.storing_new = False  # while holding fire: new messages are still stored, for the next process
-        self.parked: dict[int, Handle] = {}  # parked while an attempt was running: its result is still to come
+        self.abandoning_near_deadline = False  # with `attempts_stopped`: messages are abandoned at their deadline
+        self.storing_new = False  # with `attempts_stopped`: new messages are stored, for the next process
+        self.parked: dict[int, Handle] = {}  # parked during an attempt whose result is still to come
         self.to_adopt: set[int] = set()  # parked messages to adopt once their attempt has ended
-        self.frozen: dict[int, FrozenSession] = {}  # sessions on the move, by key
+        self.frozen: dict[int, FrozenSession] = {}  # migrating sessions, by key
         self.keys_elsewhere: frozenset[int] = frozenset()  # keys of which another sender has earlier messages
-        self.held_by_key: set[int] = set()  # messages that had no attempt while their key was among these
-        self.withdrawing: set[int] = set()  # withdrawn, but that call is still in the queue
-        self.uncopied_ends: set[int] = set()  # an end was chosen, and is posted once the copies have it
+        self.held_by_key: set[int] = set()  # messages without an attempt when their key was in `keys_elsewhere`
+        self.withdrawing: set[int] = set()  # withdrawn, with the call still in the queue
+        self.uncopied_ends: set[int] = set()  # messages whose final answer is posted once it is copied
         self.attempts: AttemptRunner
         self.notices: Notifier
         self.release_connections: Callable[[int], None]
-        self.uid_of: Callable[[int], str] = str  # the name of a receiver by its number
-        self.first_listing = True  # no update of the list has been handled yet
+        self.uid_of: Callable[[int], str] = str  # the uid of a receiver, by its number
+        self.first_listing = True  # no endpoint list update has been handled yet
         self.health_file: HealthFile | None = None
-        # What an earlier process knew of receivers that are not listed yet.
+        # What an earlier process recorded of receivers that are not listed yet.
         self.earlier_health: dict[HealthKey, EarlierHealth] = {}
-        self.recorded_uids: dict[int, str] = {}  # by number: receivers that are not in service
+        self.recorded_uids: dict[int, str] = {}  # by number: receivers whose recorded state is not IN_SERVICE
         self.reopen_list_watch: Callable[[], None]
 
     def _write_record(self, what: str, write: Callable[..., None], *arguments: Any) -> bool:
-        """Write to the store; False, and a counted warning, where there is no room."""
+        """Write to the store; returns False, with a warning, if it has no room."""
         try:
             write(*arguments)
         except NoSpaceError as error:
@@ -123,7 +123,7 @@
             self.counters.trace.add(ParkedTrace(stored.id, number, in_flight, term, self.clock.now()))
 
     def _end_without_notice(self, stored: StoredMessage) -> None:
-        """End a message that needs no final answer: no attempt begins any more, and one that is out changes nothing."""
+        """End a message that needs no final answer: no attempt starts any more, and a running one has no effect."""
         handle = self.handles.get(stored.number)
         if handle is not None:
             handle.withdrawn(self.clock.now())
@@ -132,7 +132,7 @@
         self._delete_message(stored)
 
     def _delete_message(self, stored: StoredMessage) -> None:
-        """Delete a message for which nothing more is to be done."""
+        """Delete a message that needs no further work."""
         self.numbers_by_id.pop(stored.id, None)
         self.uncopied_ends.discard(stored.number)
         self._write_record("the record of an end", self.store.over, stored.number)
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -1,18 +1,18 @@
-"""The dispatcher: one greenlet owns the decisions, and everything that happens reaches it through one queue.
+"""The dispatcher: a single greenlet that owns the decisions and receives all events through one queue.
 
-A round of `Dispatcher.run`:
+Each round of `Dispatcher.run` does the following:
 
-1. It waits until the queue has an entry, or until the time at which the decisions want to be called again.
-2. Every queued call runs, in the order in which it came: submissions, results of attempts, changes of the endpoint
-   list, acknowledged notices, sessions that come or leave.
-3. Attempts that are about to be written to their connection are cleared or refused, after all results of this round.
-4. The decisions are called once. Their verdicts are carried out: new messages are stored or turned away, final answers
-   are recorded, attempts start. While no attempt may begin any more, new messages are only stored or turned away.
-5. With a durable store, one flush covers all that the round has written; then what waited for it goes on.
-6. The store does its own housekeeping, one step of it.
+1. Wait until the queue has an entry, or until the time for which the decisions asked to be called again.
+2. Run all queued calls in order: submissions, results of attempts, endpoint list updates, acknowledged notices,
+   sessions that arrive or leave.
+3. Give or refuse clearance to the attempts that are about to be sent, after all results of this round.
+4. Call the decisions once and carry out their verdicts: store or reject new messages, record final answers, start
+   attempts. Once attempts are stopped, new messages are only stored or rejected.
+5. With a durable store, flush all writes of the round once; then run the callbacks that waited for the flush.
+6. Run one step of the store's own maintenance.
 
-A call that raises is counted and logged, and the round goes on. What the queued calls do is in the base classes:
-`dispatch_admission`, `dispatch_attempts`, `dispatch_sessions` and `dispatch_final_answers`.
+A call that raises is counted and logged, and the round continues. The queued calls are implemented in the base classes:
+`dispatch_admission`, `dispatch_attempts`, `dispatch_sessions`, `dispatch_final_answers` and `dispatch_health`.
 """
 
 from collections.abc import Callable, Sequence
@@ -34,70 +34,72 @@
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.files import DiskError
 
-ERROR_BACKOFF_US = 100_000  # until the next round: an error that comes again must not fill the core
+ERROR_BACKOFF_US = 100_000  # until the next round, so that a recurring error does not use up the CPU
 
 
 def run_in_thread(call: Callable[..., None], *arguments: object) -> None:
-    """Run a blocking call in the thread pool: only the calling greenlet waits, and gets what the call raises."""
+    """Run a blocking call in the thread pool; only the calling greenlet waits. Exceptions are raised there."""
     gevent.get_hub().threadpool.apply(call, arguments)
 
 
 class Dispatcher(Admission, Attempts, FinalAnswers, ReceiverHealth):
-    """Queues what happens, and runs the rounds that decide on it."""
+    """Queues events and runs the decision rounds."""
 
-    # ---- the queue in: callable from any greenlet ----
+    # ---- queue a call; these may be called from any greenlet ----
 
     def submit(self, submission: Submission) -> None:
-        """A client hands a message in; `submission.answer` is set once that is decided and, if taken, stored."""
+        """Submit a client's message; `submission.answer` is set once it is rejected, or accepted and stored."""
         self.queue.put((self._admit, (submission,)))
 
     def withdraw(self, submission: Submission) -> None:
-        """The client left before the answer was written: no attempt begins from now on, and the message is dropped."""
+        """Drop a message whose client left before the answer was written; no attempt starts from now on."""
         self.withdrawing.add(submission.message.number)
         self.queue.put((self._withdraw, (submission.message,)))
 
     def request_clearance(self, call: AttemptCall) -> bool:
-        """Whether the attempt may still go out; its record is written then."""
+        """Whether the attempt may still be sent; if so, its record has been written."""
         answer: gevent.event.AsyncResult = gevent.event.AsyncResult()
         self.queue.put((self._request_clearance, (call, answer)))
         return bool(answer.get())
 
     def may_send(self, number: int) -> bool:
-        """Whether an attempt may still go; asked right before its first byte.
+        """Whether an attempt may still be sent, asked right before its first byte.
 
         While the attempt's record was being written, the client may have left and submitted the same message elsewhere.
         """
         return number in self.store.messages and number not in self.withdrawing and self.store.may_fire(number)
 
     def attempt_ended(self, call: AttemptCall, result: AttemptResult) -> None:
-        """An attempt that `_decide` started has its result."""
+        """Report the result of an attempt that `_decide` started."""
         self.queue.put((self._attempt_ended, (call, result)))
 
     def completed_late(self, call: AttemptCall) -> None:
-        """The good answer of an attempt was read after its time-out had been reported."""
+        """Report that the 200 of an attempt was read after its time-out had been reported."""
         self.queue.put((self._completed_late, (call,)))
 
     def apply_endpoint_update(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
-        """Pass on a full endpoint list, or changes of it."""
+        """Apply a full endpoint list, or changes to it."""
         self.queue.put((self._apply_endpoint_update, (change, listings)))
 
     def list_poll_failed(self) -> None:
-        """Report a failed call for the endpoint list; the decisions say when the next one is due."""
+        """Report a failed poll of the endpoint list; the decisions say when the next one is due."""
         self.queue.put((self._list_poll_failed, ()))
 
     def acknowledged(self, numbers: list[int]) -> None:
-        """The platform has acknowledged the notices of these messages: nothing more is due for them."""
+        """Report that the platform acknowledged the notices of these messages, which completes them."""
         self.queue.put((self._acknowledged, (numbers,)))
 
     def apply_retry_after(self, waits: list[tuple[int, int]]) -> None:
-        """Apply Retry-After waits (receiver, until in microseconds), known early or from a replaced process."""
+        """Apply Retry-After waits (receiver, until in microseconds) that are known apart from an attempt's result."""
         self.queue.put((self._apply_retry_after, (waits,)))
 
     def stop_attempts(self, store_new: bool = False, abandon_near_deadline: bool = False) -> None:
-        """Start no attempt from now on, since the process ends soon; running ones go on.
+        """Start no further attempt, since the process ends soon; running attempts continue.
 
-        `keeping`: new messages are still stored, for the next process; otherwise they are refused.
-        `ending`: other senders take over the stored messages; those that reach their deadline before are written off.
+        Args:
+            store_new: still store new messages, for the next process; otherwise they are rejected.
+            abandon_near_deadline: other senders take over the stored messages; abandon those that reach their
+                deadline before that.
         """
         self.queue.put((self._stop_attempts, (store_new, abandon_near_deadline)))
 
@@ -109,27 +111,27 @@
         self.queue.put((self._adopt, (numbers, no_unrecorded_attempts)))
 
     def key_hold_left_us(self, key: int) -> int:
-        """For how many microseconds a key still rests here, since an earlier attempt of it may be running."""
+        """For how many microseconds an order key is still held, since an earlier attempt of it may be running."""
         turns = self.sender.turns
         return max(0, turns.all_rest - self.clock.now(), turns.rests.get(key, 0) - self.clock.now())
 
     def is_ordered(self, priority_class: str) -> bool:
-        """Whether messages of a priority class go one after another within a key."""
+        """Whether messages of a priority class are delivered one after another within an order key."""
         return (
             priority_class in self.priority_classes
             and self.sender.priority_classes[self.priority_classes[priority_class]].ordered
         )
 
     def hold_keys(self, keys: frozenset[int]) -> None:
-        """Set the keys of which another sender has earlier messages: they rest here, until a later set omits them."""
+        """Hold these order keys, of which other senders have earlier messages, until a later call omits them."""
         self.queue.put((self._hold_keys, (keys,)))
 
     def park(self, numbers: list[int]) -> None:
-        """Stop work on messages, without a final answer: this sender has lost the right to send them."""
+        """Stop work on messages without a final answer, because this sender no longer holds their lease."""
         self.queue.put((self._park, (numbers,)))
 
     def freeze(self, key: int) -> gevent.event.AsyncResult:
-        """Stop attempts and admission of a session; the result is set once no attempt of it is running."""
+        """Stop the attempts and the admission of a session; the result is set once none of its attempts is running."""
         frozen = FrozenSession()
         self.queue.put((self._freeze, (key, frozen)))
         return frozen.attempts_ended
@@ -139,27 +141,27 @@
         self.queue.put((self._abort_attempts, (key,)))
 
     def unfreeze(self, key: int) -> None:
-        """Accept messages of a frozen session again; its stored messages wait until they are adopted."""
+        """Accept messages of a frozen session again; its stored messages stay parked until they are adopted."""
         self.queue.put((self._unfreeze, (key,)))
 
     def run_in_dispatcher(self, call: Callable[[], bool]) -> gevent.event.AsyncResult:
-        """Make a call in the dispatcher's greenlet, while no flush runs; gives its result, False if it raises."""
+        """Run a call in the dispatcher's greenlet while no flush runs; the result is False if it raises."""
         answer: gevent.event.AsyncResult = gevent.event.AsyncResult()
         self.queue.put((self._run_in_dispatcher, (call, answer)))
         return answer
 
     def abandon_parked(self, numbers: list[int]) -> None:
-        """Write parked messages off: their deadline is near, and no sender is known to have the right to them."""
+        """Abandon parked messages whose deadline is near and whose lease no sender is known to hold."""
         self.queue.put((self._abandon_parked, (numbers,)))
 
     def is_idle(self) -> bool:
         """Whether no attempt is running and no call is queued."""
         return not self.attempts.in_flight and self.queue.empty()
 
-    # ---- the one greenlet ----
+    # ---- the rounds, in the dispatcher's greenlet ----
 
     def run(self) -> None:
-        """Never returns: one round after another."""
+        """Run one round after another; never returns."""
         while True:
             self._wait()
             while not self.queue.empty():
@@ -167,11 +169,11 @@
                 self._guarded(call, *arguments)
             self._guarded(self._store_health)
             if self.clearance_requests:
-                # Cleared only now: a refusal read in this round may have been queued behind the request for clearance.
+                # Done after the queue is empty: a refusal read in this round may be queued behind a clearance request.
                 requests, self.clearance_requests = self.clearance_requests, []
-                for each in requests:
-                    self._guarded(self._decide_clearance, *each)
-                gevent.sleep(0)  # cleared attempts go now, not after a long round
+                for request in requests:
+                    self._guarded(self._decide_clearance, *request)
+                gevent.sleep(0)  # lets cleared attempts be sent before the rest of a long round
             self._guarded(
                 self._decide if not self.attempts_stopped else self._store_new if self.storing_new else self._refuse_new
             )
@@ -185,13 +187,13 @@
         try:
             self.queue.peek(timeout=wait)
         except gevent.queue.Empty:
-            # After a pause of the process, read what is waiting in the sockets first: it came before this wake-up.
+            # After a pause of the process, lets the sockets be read first: their data arrived before this wake-up.
             gevent.sleep(0)
 
     def _guarded(self, call: Callable[..., None], *arguments: Any) -> None:
         try:
             call(*arguments)
-        except Exception:  # one bad event must not end the process: all else is still owed
+        except Exception:  # one failing event must not end the process, which still owes all other final answers
             self.counters.log_exception(f"the dispatcher failed in {call.__name__}")
             self.wake_at = self.clock.now() + ERROR_BACKOFF_US
             for argument in arguments:
@@ -200,7 +202,7 @@
                 if isinstance(argument, Submission) and not argument.answer.ready():
                     argument.set_answer(AdmissionResult.BUSY)
 
-    # ---- queued calls that only pass something on ----
+    # ---- queued calls that are implemented here ----
 
     def _apply_endpoint_update(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
         self.sender.listed(self.clock.now(), change, listings)
@@ -221,17 +223,17 @@
     def _run_in_dispatcher(self, call: Callable[[], bool], answer: gevent.event.AsyncResult) -> None:
         answer.set(call())
 
-    # ---- what the round decides ----
+    # ---- parts of a round ----
 
     def _decide(self) -> None:
         now = self.clock.now()
         if not self.store.deciding():
-            # After a pause of this process another sender may have taken over: do not give a second final answer.
+            # After a pause of this process another sender may have taken over; avoid a second final answer.
             self.wake_at = now + LEASE_RECHECK_DELAY_US
             self._withdraw_new(now)
             return
-        # A message that was given up takes room until its notice is acknowledged; without counting that room as free,
-        # every round would give up more.
+        # An abandoned message takes up room until its notice is acknowledged. That room counts as free, or every round
+        # would abandon more messages.
         self.sender.room = self.store.room_for() + len(self.notices.pending)
         verdicts = self.sender.decide(now)
         self._record_health(verdicts.health_changes)
@@ -250,7 +252,7 @@
         self.new_submissions.clear()
         for receiver in verdicts.released_connections:
             self.release_connections(receiver)
-        for number, receiver, patience in verdicts.attempts:
+        for number, receiver, timeout_us in verdicts.attempts:
             handle = self.handles[number]
             if number in self.store.messages:
                 call = AttemptCall(
@@ -258,11 +260,11 @@
                     handle.attempts - 1,
                     receiver,
                     now,
-                    now + patience,
+                    now + timeout_us,
                     new_connection=handle.needs_new_connection(),
                 )
                 self.attempts.start(call)
-            else:  # it could not be stored
+            else:  # the message could not be stored
                 handle.attempt_ended(now, Outcome.MOOT, handle.attempts - 1, receiver, 0, 0, True, ())
                 self.handles.pop(number, None)
         for line in verdicts.log_lines:
@@ -284,17 +286,17 @@
             self._abandon_near_deadline()
 
     def _flush(self) -> None:
-        """With a durable store: one fsync for all that this round has written, then the calls that waited for it."""
-        waiting, self.after_flush = self.after_flush, []
+        """Flush the round's writes with one fsync, then run the callbacks that waited for it."""
+        callbacks, self.after_flush = self.after_flush, []
         try:
             self.store.flush(run_in_thread)
         except OSError as error:
             self.counters.warning(
-                "what was written does not last yet",
+                "the records of a round could not be flushed",
                 error if isinstance(error, CedarwickError) else DiskError(str(error)),
             )
-            for _, otherwise in waiting:
-                otherwise()
+            for _, on_failure in callbacks:
+                on_failure()
             return
-        for then, _ in waiting:
-            then()
+        for on_success, _ in callbacks:
+            on_success()
--- a/cedarwick/net/message_trace.py
+++ b/cedarwick/net/message_trace.py
@@ -1,11 +1,12 @@
-"""The trace of messages: one log line for each attempt, held message, refusal, decided end and acknowledged notice.
+"""The message trace: log lines that show what happened to each message.
 
-Connections that are closed have a line, too, with the reason.
+One line is written for each attempt, held message, refusal, final answer and acknowledged notice, and one for each
+closed connection, with the reason. The trace is off by default (`log.messages` in the operator file); the laboratory
+turns it on for fleets.
 
-Off by default (`log.messages` in the operator file); the laboratory turns it on for fleets. A line is `message trace `
-and a JSON object with the event, the message's id and number, and the fields of the event's record below. Times are
-wall-clock microseconds; 0 stands for 'never'. Lines of several senders are joined by the message's id: a number changes
-when a message moves to another partition.
+A line is `message trace ` and a JSON object with the event, the message's id and number, and the other fields of the
+event's record below. Times are wall-clock microseconds; 0 means 'never'. Join the lines of several senders by the
+message's id, since its number changes when it moves to another partition.
 """
 
 import json
@@ -19,38 +20,38 @@
 
 
 class AttemptTrace(NamedTuple):
-    """One attempt, written when its result is known."""
+    """An attempt whose result is known."""
 
     id: str
     number: int
     attempt: int  # counted from 0
     receiver: int
     ordered_at: int
-    sent_at: int  # its first byte was handed to the connection; 0: no byte was
-    until: int  # its time-out
+    sent_at: int  # when the first byte was written to the connection; 0: none was
+    until: int  # when it times out
     ended_at: int
     outcome: str
-    status: int  # of the answer, as far as its head was read; 0: none
+    status: int  # of the answer, even if only its head was read; 0: no answer
     not_sent: bool
 
 
 class HeldTrace(NamedTuple):
-    """A message is held after an attempt that did not deliver it; the next decision retries or ends it."""
+    """A message held after an attempt that did not deliver it, until a decision round retries or ends it."""
 
     id: str
     number: int
-    attempts: int  # that have gone so far
-    outcome: str  # of the last one
-    due_at: int  # a retry goes not before this
+    attempts: int  # made so far
+    outcome: str  # of the last attempt
+    due_at: int  # no retry starts earlier
     at: int
 
 
 class RefusalTrace(NamedTuple):
-    """A submission that was not taken on."""
+    """A submission that was not accepted."""
 
     id: str
     reason: str
-    wait_ms: int  # the advised wait; 0: none
+    wait_ms: int  # advised wait; 0: none
     at: int
 
 
@@ -70,7 +71,7 @@
 
 
 class CloseTrace(NamedTuple):
-    """A connection that was closed here."""
+    """A connection that this sender closed."""
 
     peer: str  # `receiver N`, or the client's address
     reason: str
@@ -88,18 +89,18 @@
 
 
 class EndTrace(NamedTuple):
-    """An end that this sender has decided on."""
+    """A final answer that this sender decided on."""
 
     id: str
     number: int
     state: str  # delivered, returned, failed
     reason: str
-    term: int  # of the lease under which it was decided; 0: without a fleet
+    term: int  # of the lease under which it was decided; 0: no fleet
     at: int
 
 
 class NoticeTrace(NamedTuple):
-    """A notice that the platform has acknowledged."""
+    """A notice that the platform acknowledged."""
 
     id: str
     number: int
@@ -108,12 +109,12 @@
 
 
 class ParkedTrace(NamedTuple):
-    """Work on a message was stopped without an end: its lease was lost or its session moves."""
+    """A message parked without a final answer: its lease was lost, or its session migrates."""
 
     id: str
     number: int
-    in_flight: bool  # an attempt was running
-    term: int  # the newest term of the lease that this sender knows of itself
+    in_flight: bool  # an attempt was in flight
+    term: int  # of the newest lease that this sender knows to have held
     at: int
 
 
@@ -133,14 +134,14 @@
 
 
 class MessageTrace:
-    """Writes trace lines while it is enabled. Callers test `enabled` before they build a record."""
+    """Writes trace lines while `enabled` is set. Callers check it before they build a record."""
 
     def __init__(self, write: Callable[[str], None] | None = None) -> None:
-        """`write` takes a line; by default it goes to the log, at the level INFO."""
+        """`write` receives each line; the default logs it at level INFO."""
         self.enabled = False
         self._write = write or (lambda line: logger.info("{}", line))
 
     def add(self, event: MessageEvent) -> None:
-        """Write one event."""
+        """Write the line of an event."""
         if self.enabled:
             self._write(TRACE_PREFIX + json.dumps({"event": EVENTS[type(event)], **event._asdict()}))
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -177,7 +177,7 @@
         gevent.sleep(0.02)
         self.feed(0.5)
         self.assert_waits_respected()
-        self.assertEqual(self.counters.counts["waits heard after the call was given up"], 1)
+        self.assertEqual(self.counters.counts["Retry-After waits read after the time-out"], 1)
 
     def test_a_call_that_is_given_up_ends_its_sending_at_once_and_its_link_soon(self) -> None:
         ended = []
@@ -219,7 +219,7 @@
         until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
         self.submit("second")
         self.feed(0.5)
-        self.assertGreaterEqual(self.counters.counts["clearances that grew old"], 1)
+        self.assertGreaterEqual(self.counters.counts["clearances that expired"], 1)
         self.assert_waits_respected()
 
     def test_an_attempt_whose_clearances_all_grow_old_is_decided_on_anew(self) -> None:
