--- a/tests/net/test_message_trace.py
+++ b/tests/net/test_message_trace.py
@@ -1,4 +1,4 @@
-"""Trace lines of messages: off by default, one for each attempt, end and notice when on."""
+"""The message trace: off by default; otherwise a line for each attempt, final answer and notice."""
 
 import json
 from typing import Any
@@ -10,54 +10,54 @@
 from cedarwick.net.attempts import AttemptResult
 from cedarwick.net.message_trace import TRACE_PREFIX, EndTrace, MessageTrace
 from tests.build import MS, reply, until
-from tests.net.test_net import DispatcherCase
+from tests.net.test_net import DispatcherTestCase
 from tests.net.test_retry_after import PartnerTestCase
 
 
-class MessageTraceTest(DispatcherCase):
+class MessageTraceTest(DispatcherTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.lines: list[str] = []
         self.dispatcher.counters.trace = MessageTrace(self.lines.append)
 
-    def traced(self) -> list[dict[str, Any]]:
+    def trace_records(self) -> list[dict[str, Any]]:
         return [json.loads(line.removeprefix(TRACE_PREFIX)) for line in self.lines]
 
-    def give_up(self) -> None:
-        self.taken("once", name="m1")
+    def abandon_a_message(self) -> None:
+        self.submit("once", name="m1")
         self.dispatcher._attempt_ended(self.calls[-1], AttemptResult(Outcome.TIME_OUT))
         self.dispatcher._decide()
         self.dispatcher._acknowledged([1])
 
     def test_nothing_is_written_by_default(self) -> None:
-        self.give_up()
+        self.abandon_a_message()
         self.assertEqual(self.lines, [])
 
-    def test_the_end_that_is_decided_and_its_notice(self) -> None:
+    def test_a_final_answer_and_its_notice_are_traced(self) -> None:
         self.dispatcher.counters.trace.enabled = True
-        self.give_up()
+        self.abandon_a_message()
         self.assertEqual(
-            [(each["event"], each["id"], each.get("state")) for each in self.traced()],
+            [(each["event"], each["id"], each.get("state")) for each in self.trace_records()],
             [("held", "m1", None), ("end", "m1", "failed"), ("notice", "m1", "failed")],
         )
 
-    def test_work_that_is_stopped_without_an_end(self) -> None:
+    def test_a_parked_message_is_traced(self) -> None:
         self.dispatcher.counters.trace.enabled = True
-        self.taken("free", name="m1")
+        self.submit("free", name="m1")
         self.dispatcher._park([1])
-        (parked,) = self.traced()
+        (parked,) = self.trace_records()
         self.assertEqual((parked["event"], parked["id"], parked["in_flight"]), ("parked", "m1", True))
 
-    def test_a_line_is_one_json_object_behind_its_prefix(self) -> None:
+    def test_a_line_is_a_prefix_and_one_json_object(self) -> None:
         trace = self.dispatcher.counters.trace
         trace.enabled = True
         trace.add(EndTrace("m1", 1, "failed", "decided", 3, 5))
         expected = {"event": "end", "id": "m1", "number": 1, "state": "failed", "reason": "decided", "term": 3, "at": 5}
-        self.assertEqual(self.traced(), [expected])
+        self.assertEqual(self.trace_records(), [expected])
 
 
-class ReasonTraceTest(DispatcherCase):
-    """What an incident could not be explained by: why a message was held, refused, and a receiver left alone."""
+class ReasonTraceTest(DispatcherTestCase):
+    """The reasons for held messages and for changes of a receiver's health are written, to explain incidents."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -68,8 +68,8 @@
         sink = logger.add(self.logged.append, format="{message}", level="INFO")
         self.addCleanup(logger.remove, sink)
 
-    def test_a_retry_says_which_outcome_it_follows_and_when_it_is_due(self) -> None:
-        self.taken("free", name="m1")
+    def test_a_held_message_is_traced_with_its_outcome_and_due_time(self) -> None:
+        self.submit("free", name="m1")
         self.dispatcher._attempt_ended(self.calls[-1], AttemptResult(Outcome.ERROR))
         (held,) = (json.loads(line.removeprefix(TRACE_PREFIX)) for line in self.lines)
         self.assertEqual(
@@ -79,7 +79,7 @@
 
     def test_a_change_of_health_is_logged_with_its_reason_and_message(self) -> None:
         for name in ("m1", "m2"):
-            self.taken("free", name=name)
+            self.submit("free", name=name)
             self.dispatcher._attempt_ended(self.calls[-1], AttemptResult(Outcome.CONNECT_FAILED))
         self.dispatcher._decide()
         lines = [line for line in self.logged if line.startswith("receiver health ")]
@@ -94,7 +94,7 @@
 
 
 class AttemptTraceTest(PartnerTestCase):
-    def test_an_attempt_says_when_its_first_byte_went_and_what_ended_it(self) -> None:
+    def test_an_attempt_is_traced_with_its_times_and_outcome(self) -> None:
         lines: list[str] = []
         self.start(lambda partner, sock, number: sock.sendall(reply(200)))
         self.counters.trace = MessageTrace(lines.append)
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -1,4 +1,4 @@
-"""The parts of the sender, each on its own."""
+"""Unit tests of the dispatcher, the parsers, the settings and the endpoint list."""
 
 import json
 import socket
@@ -31,28 +31,28 @@
 from tests.build import NESTED, dispatcher_alone, reply, words
 
 
-def kept(number: int, body: bytes = b"body") -> StoredMessage:
+def stored_message(number: int, body: bytes = b"body") -> StoredMessage:
     return StoredMessage(number, f"id-{number}", "k", 7, "band", "tenant", 3, 1_000_000, body)
 
 
-class DispatcherCase(unittest.TestCase):
-    """A dispatcher whose attempts are only noted."""
+class DispatcherTestCase(unittest.TestCase):
+    """A dispatcher that only records ordered attempts, in `calls`."""
 
     def setUp(self) -> None:
         _, self.store, self.dispatcher = dispatcher_alone(self, NESTED)
         self.calls: list[AttemptCall] = []
         self.dispatcher.attempts = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
 
-    def taken(
+    def submit(
         self,
         priority_class: str = "free",
         size: int = 1,
         name: str = "a",
         destination: int = 0,
-        life: int = 8_000_000,
+        lifetime_us: int = 8_000_000,
         key: int = 0,
     ) -> Submission:
-        limit = self.dispatcher.clock.now() + life
+        limit = self.dispatcher.clock.now() + lifetime_us
         submission = Submission(
             StoredMessage(0, name, "", key, priority_class, "second", destination, limit, bytes(size))
         )
@@ -61,59 +61,68 @@
         return submission
 
 
-class DispatcherTest(DispatcherCase):
-    def test_without_the_right_nothing_is_taken_and_what_ends_is_told_without_a_copy(self) -> None:
-        self.store.by_copy = True  # of several senders as one fleet
-        self.taken()
-        returned = self.taken(name="b")
+class DispatcherTest(DispatcherTestCase):
+    def test_without_a_lease_submissions_are_rejected_and_parked_messages_abandoned_without_a_copy(self) -> None:
+        self.store.by_copy = True  # as in a fleet
+        self.submit()
+        returned = self.submit(name="b")
         self.store.may_fire = lambda number: False  # type: ignore[method-assign]
         self.dispatcher._park([1, 2])
-        self.dispatcher._record_final_answer(2, True, 0)  # chosen, but no copy has it, and it was not told
+        self.dispatcher._record_final_answer(2, True, 0)  # decided, but not copied, so not posted
         self.dispatcher._flush()
         self.dispatcher._abandon_parked([1, 2])
         self.assertEqual(returned.answer.get()[0], AdmissionResult.ACCEPTED)
         self.assertEqual(
             [json.loads(line)["state"] for line in self.dispatcher.notices.pending.values()], ["failed", "failed"]
         )
-        self.assertEqual(self.taken(name="c").answer.get()[0], AdmissionResult.BUSY)
+        self.assertEqual(self.submit(name="c").answer.get()[0], AdmissionResult.BUSY)
         del self.store.may_fire
-        self.taken(name="d")
+        self.submit(name="d")
         with mock.patch.object(self.store, "may_fire", return_value=False):
             self.dispatcher._record_final_answer(self.dispatcher.numbers_by_id["d"], True, 0)
             self.dispatcher._flush()
         self.assertEqual(len(self.dispatcher.notices.pending), 2)
         self.dispatcher._flush()
-        self.assertEqual(len(self.dispatcher.notices.pending), 3)  # the right was back in a moment
+        self.assertEqual(len(self.dispatcher.notices.pending), 3)  # the lease is held again
 
-    def test_what_is_adopted_alone_stands_before_those_of_its_key_that_were_taken_after_it(self) -> None:
+    def test_a_message_adopted_alone_is_queued_before_later_ones_of_its_key(self) -> None:
         self.dispatcher.sender.priority_classes[0].ordered = True
         for name in "abc":
-            self.taken(name=name, key=5)
-        self.dispatcher._park([1, 2, 3])  # while the attempt of the first is out
+            self.submit(name=name, key=5)
+        self.dispatcher._park([1, 2, 3])  # during the attempt of the first
         self.dispatcher._adopt([1, 2, 3])
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.TIME_OUT))
         line = self.dispatcher.sender.turns.lines[5]
         self.assertEqual([handle.id for handle in line], [1, 2, 3])
-        self.dispatcher._park([2])  # somebody has told news of it
+        self.dispatcher._park([2])  # another member reported a change of it
         self.dispatcher._adopt([2])
         self.assertEqual([handle.id for handle in line], [1, 2, 3])
         line[2].in_flight = True
         self.dispatcher._park([2])
         self.dispatcher._adopt([2])
-        self.assertEqual([handle.id for handle in line], [1, 3, 2])  # nothing begins while an attempt of the key is out
+        self.assertEqual(
+            [handle.id for handle in line], [1, 3, 2]
+        )  # no reordering while an attempt of the key is running
 
-    def test_what_is_owed_elsewhere_goes_first_as_long_as_there_is_time(self) -> None:
+    def test_a_key_is_held_for_earlier_messages_elsewhere_unless_the_deadline_is_near(self) -> None:
         self.dispatcher.sender.priority_classes[0].ordered = True
-        self.taken(name="held", key=5)  # number 1: its attempt is out
+        self.submit(name="held", key=5)  # number 1, with a running attempt
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
         self.dispatcher._hold_keys(frozenset([5, 6, 7]))
-        for name, key, life in (("b", 5, 8_000_000), ("c", 6, 8_000_000), ("d", 7, 900_000), ("e", 8, 8_000_000)):
-            self.taken(name=name, key=key, life=life)
+        for name, key, lifetime_us in (
+            ("b", 5, 8_000_000),
+            ("c", 6, 8_000_000),
+            ("d", 7, 900_000),
+            ("e", 8, 8_000_000),
+        ):
+            self.submit(name=name, key=key, lifetime_us=lifetime_us)
         self.dispatcher._decide()
-        self.assertEqual([call.message.id for call in self.calls], ["held", "d", "e"])  # d has no second to spare
+        self.assertEqual(
+            [call.message.id for call in self.calls], ["held", "d", "e"]
+        )  # the deadline of d is less than a second away
         self.assertLess(0, self.dispatcher.key_hold_left_us(6))
         other = 9 << PARTITION_SHIFT_BITS
-        for number in (other + 1, other + 2):  # what a dead sender owed of the key, adopted here
+        for number in (other + 1, other + 2):  # unfinished messages of the key, adopted from a dead sender
             self.store.keep(
                 StoredMessage(
                     number, f"id-{number}", "", 6, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b""
@@ -121,47 +130,47 @@
             )
         self.dispatcher._adopt([other + 1, other + 2])
         self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[6]], [other + 1, other + 2, 3])
-        self.assertEqual(self.dispatcher.sender.turns.rests.get(9), None)  # nothing is kept for keys without a message
+        self.assertEqual(self.dispatcher.sender.turns.rests.get(9), None)  # no state for keys without a message
 
-    def test_what_was_held_back_comes_back_in_its_order_where_its_move_is_called_off(self) -> None:
+    def test_held_messages_keep_their_order_if_their_migration_is_cancelled(self) -> None:
         self.dispatcher.sender.priority_classes[0].ordered = True
         self.dispatcher._hold_keys(frozenset([5]))
         for name in "abc":
-            self.taken(name=name, key=5)
+            self.submit(name=name, key=5)
         self.assertEqual(self.dispatcher.held_by_key, {1, 2, 3})
         self.dispatcher._park([1, 2, 3])
         self.dispatcher._adopt([1, 2, 3], no_unrecorded_attempts=True)
         self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[5]], [1, 2, 3])
 
-    def test_a_message_is_kept_before_its_attempt_starts(self) -> None:
-        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
+    def test_a_message_is_stored_before_its_attempt_starts(self) -> None:
+        self.assertEqual(self.submit().answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
         self.assertEqual((list(self.store.messages), self.calls[0].message), ([1], self.store.messages[1]))
 
-    def test_each_attempt_is_a_call_of_its_own_whatever_the_settings_say(self) -> None:
+    def test_each_attempt_is_one_call_whatever_the_settings_say(self) -> None:
         self.assertEqual(self.dispatcher.sender.settings["family-info.per-call"], "20")
         self.assertEqual(self.dispatcher.sender.per_call, [])
 
     def test_the_tenant_reaches_the_decisions(self) -> None:
-        self.taken()
+        self.submit()
         self.assertEqual(self.dispatcher.handles[1].tenant, 1)
 
-    def test_what_finds_no_room_is_not_sent(self) -> None:
-        self.assertEqual(self.taken(size=50_000).answer.get(block=False), (AdmissionResult.BUSY, 0))
+    def test_a_message_without_room_in_the_store_is_not_sent(self) -> None:
+        self.assertEqual(self.submit(size=50_000).answer.get(block=False), (AdmissionResult.BUSY, 0))
         self.assertEqual((self.calls, self.dispatcher.handles, self.dispatcher.numbers_by_id), ([], {}, {}))
 
-    def test_the_decisions_are_told_of_the_room_each_round(self) -> None:
+    def test_the_decisions_get_the_store_room_in_each_round(self) -> None:
         before = self.dispatcher.sender.room
-        self.taken()
+        self.submit()
         self.assertLess(self.dispatcher.sender.room, before)
         self.store.set_limit(1)
         self.dispatcher._decide()
         self.assertEqual(self.dispatcher.sender.room, 0)
         self.dispatcher.notices.post(9, "i", True, 0)
         self.dispatcher._decide()
-        self.assertEqual(self.dispatcher.sender.room, 1)  # it leaves as it is acknowledged
+        self.assertEqual(self.dispatcher.sender.room, 1)  # a pending notice counts as free room
 
-    def test_a_completed_message_leaves_nothing_behind(self) -> None:
-        self.taken()
+    def test_a_completed_message_is_deleted(self) -> None:
+        self.submit()
         self.dispatcher._decide_clearance(self.calls[0], AsyncResult())
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.COMPLETED, last=True))
         self.assertEqual(
@@ -169,66 +178,66 @@
             ({}, {}, {}, 0),
         )
 
-    def test_a_copy_of_an_id_that_has_ended_is_not_taken(self) -> None:
-        self.test_a_completed_message_leaves_nothing_behind()
-        self.assertEqual(self.taken(size=4).answer.get(block=False), (AdmissionResult.REPEATED, 0))
+    def test_the_id_of_a_message_that_has_ended_is_not_accepted_again(self) -> None:
+        self.test_a_completed_message_is_deleted()
+        self.assertEqual(self.submit(size=4).answer.get(block=False), (AdmissionResult.REPEATED, 0))
         self.assertEqual((self.store.messages, len(self.calls)), ({}, 1))
 
-    def test_another_body_under_an_open_id_is_not_taken_for_the_same(self) -> None:
-        self.taken()
-        self.assertEqual(self.taken().answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
-        self.assertEqual(self.taken(size=4).answer.get(block=False), (AdmissionResult.REPEATED, 0))
+    def test_an_open_id_with_another_body_is_rejected(self) -> None:
+        self.submit()
+        self.assertEqual(self.submit().answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
+        self.assertEqual(self.submit(size=4).answer.get(block=False), (AdmissionResult.REPEATED, 0))
 
-    def test_ids_are_remembered_for_a_while_only(self) -> None:
+    def test_recent_ids_expire(self) -> None:
         for number in range(3):
             with mock.patch.object(self.dispatcher.clock, "now", return_value=number * 10_000_000):
-                self.taken(name=f"a{number}")
+                self.submit(name=f"a{number}")
         self.assertEqual(list(self.dispatcher.recent_ids), ["a1", "a2"])
 
-    def test_a_destination_that_nobody_listed_is_turned_away(self) -> None:
-        self.assertEqual(self.taken(destination=9).answer.get(block=False), (AdmissionResult.UNKNOWN_DESTINATION, 0))
+    def test_an_unlisted_destination_is_rejected(self) -> None:
+        self.assertEqual(self.submit(destination=9).answer.get(block=False), (AdmissionResult.UNKNOWN_DESTINATION, 0))
         self.assertEqual((self.store.messages, list(self.dispatcher.sender.destinations)), ({}, [0]))
 
-    def test_no_time_to_live_is_longer_than_the_settings_allow(self) -> None:
-        self.taken(life=10**15)
+    def test_the_time_to_live_is_limited_by_the_settings(self) -> None:
+        self.submit(lifetime_us=10**15)
         self.assertLess(self.dispatcher.handles[1].deadline, self.dispatcher.clock.now() + 17_000_000)
 
-    def test_a_withdrawn_message_does_not_go_out(self) -> None:
-        self.dispatcher.withdraw(self.taken())
-        call, told = self.dispatcher.queue.get()
-        call(*told)
+    def test_a_withdrawn_message_is_not_sent(self) -> None:
+        self.dispatcher.withdraw(self.submit())
+        call, arguments = self.dispatcher.queue.get()
+        call(*arguments)
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._decide_clearance(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
         self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.sender.open), ({}, {}, 0))
 
-    def test_one_withdrawn_while_the_record_of_its_attempt_was_waited_for_does_not_go_out(self) -> None:
+    def test_a_message_withdrawn_during_the_flush_of_its_attempt_is_not_sent(self) -> None:
         self.store.awaited = True
-        submission = self.taken()
+        submission = self.submit()
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._decide_clearance(self.calls[0], cleared)
         self.assertTrue(self.dispatcher.may_send(1))
         with mock.patch.object(self.store, "flush", lambda call: self.dispatcher.withdraw(submission)):
             self.dispatcher._flush()
         self.assertIs(cleared.get(block=False), True)
-        for _ in range(2):  # whether the dispatcher has come to it or not
+        for _ in range(2):  # before and after the dispatcher handles the withdrawal
             self.assertFalse(self.dispatcher.may_send(1))
             if not self.dispatcher.queue.empty():
-                call, told = self.dispatcher.queue.get()
-                call(*told)
+                call, arguments = self.dispatcher.queue.get()
+                call(*arguments)
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
         self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.withdrawing), ({}, {}, set()))
 
-    def test_the_record_of_an_attempt_comes_before_its_first_byte(self) -> None:
-        self.taken()
+    def test_an_attempt_is_recorded_before_its_first_byte(self) -> None:
+        self.submit()
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._decide_clearance(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), True)
         self.assertEqual(self.store.messages[1].attempts, 1)
 
-    def test_what_reaches_its_limit_while_calls_hold_up_the_end_is_written_off(self) -> None:
-        for name, life in (("out", 8_000_000), ("near", 40_000), ("later", 8_000_000)):
-            self.taken(name=name, life=life)
+    def test_messages_near_their_deadline_are_abandoned_while_calls_delay_the_exit(self) -> None:
+        for name, lifetime_us in (("out", 8_000_000), ("near", 40_000), ("later", 8_000_000)):
+            self.submit(name=name, lifetime_us=lifetime_us)
         for number, handle in self.dispatcher.handles.items():
             handle.in_flight = number == 1
         for ending in (False, True):
@@ -237,15 +246,15 @@
             self.assertEqual(sorted(self.dispatcher.notices.pending), [2] * ending)
         self.assertEqual(self.dispatcher.wake_at, self.store.messages[3].deadline - DEADLINE_MARGIN_US)
 
-    def test_no_attempt_begins_when_the_end_is_near(self) -> None:
-        self.taken()
+    def test_no_attempt_starts_after_attempts_are_stopped(self) -> None:
+        self.submit()
         self.dispatcher._stop_attempts()
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._decide_clearance(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
         self.assertEqual(self.store.messages[1].attempts, 0)
 
-    def test_at_a_hand_over_what_comes_is_kept_and_not_attempt(self) -> None:
+    def test_during_a_hand_over_new_messages_are_stored_and_not_attempted(self) -> None:
         self.dispatcher._stop_attempts(store_new=True)
         submission = Submission(
             StoredMessage(0, "a", "", 0, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
@@ -255,7 +264,7 @@
         self.assertEqual(submission.answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
         self.assertEqual((list(self.store.messages), self.calls), ([1], []))
 
-    def test_at_an_end_what_comes_is_turned_away(self) -> None:
+    def test_new_messages_are_rejected_while_the_process_ends(self) -> None:
         self.dispatcher._stop_attempts()
         submission = Submission(
             StoredMessage(0, "a", "", 0, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
@@ -265,7 +274,7 @@
         self.assertEqual(submission.answer.get(block=False), (AdmissionResult.BUSY, 0))
         self.assertEqual(self.store.messages, {})
 
-    def test_an_error_in_one_event_answers_it_and_ends_nothing(self) -> None:
+    def test_an_error_in_one_event_rejects_it_and_is_contained(self) -> None:
         self.dispatcher.sender = None  # type: ignore[assignment]
         submission = Submission(StoredMessage(0, "a", "", 0, "free", "", 0, 1, b""))
         self.dispatcher._guarded(self.dispatcher._admit, submission)
@@ -274,19 +283,19 @@
 
 class ParsingTest(unittest.TestCase):
     def test_a_buffer_grows_and_is_compacted_in_place(self) -> None:
-        near, far = socket.socketpair()
-        with near, gevent.socket.socket(fileno=far.detach()) as end:
+        local, remote = socket.socketpair()
+        with local, gevent.socket.socket(fileno=remote.detach()) as end:
             buffer = Buffer()
             data = buffer.data
-            near.sendall(bytes(4096))
+            local.sendall(bytes(4096))
             buffer.fill(end)
             buffer.skip(4000)
-            near.sendall(b"\x01" * 100)
+            local.sendall(b"\x01" * 100)
             buffer.fill(end)
             self.assertIs(buffer.data, data)
             self.assertEqual((buffer.take(96), buffer.peek(0, 999)), (bytes(96), b"\x01" * 100))
 
-    def test_commands_split_anywhere_are_read_whole(self) -> None:
+    def test_commands_split_at_any_byte_are_read(self) -> None:
         text = words(b"SUBMIT", b"\r\n$3\r\n", b"")
         for at in range(len(text)):
             buffer = Buffer()
@@ -296,13 +305,13 @@
             self.assertEqual(resp.command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
             self.assertEqual(len(buffer), 2)
 
-    def test_a_second_answer_is_not_read_as_the_first(self) -> None:
+    def test_a_second_answer_is_not_read_as_part_of_the_first(self) -> None:
         answer, buffer = ResponseParser(), Buffer()
         buffer.append(reply(500) + reply(200))
         answer.feed(buffer)
         self.assertEqual((answer.status, answer.complete, answer.keep_alive), (500, True, False))
 
-    def test_interim_answers_are_left_out_wherever_they_are_split(self) -> None:
+    def test_interim_answers_are_skipped_wherever_they_are_split(self) -> None:
         for code in (100, 101, 102, 103):
             text = b"HTTP/1.1 %d Wait\r\nLink: x\r\n\r\n" % code * 2 + reply(429, "X-Backoff-Ms: 70")
             for at in range(len(text)):
@@ -316,8 +325,8 @@
                         (429, {"content-length": "0", "x-backoff-ms": "70"}, True),
                     )
 
-    def test_a_report_that_cannot_be_read_reaches_no_decision(self) -> None:
-        made = AttemptRunner(Clock(), Counters(), None, ["x0", "x1"], None, None, None, None)  # type: ignore[arg-type]
+    def test_a_malformed_report_is_ignored(self) -> None:
+        runner = AttemptRunner(Clock(), Counters(), None, ["x0", "x1"], None, None, None, None)  # type: ignore[arg-type]
         for text, expected in (
             ("x0=0.4,x1=25", [0.4, 25.0]),
             ("x1=25, x0=-1e-07", [-1e-07, 25.0]),
@@ -329,9 +338,9 @@
             ("\xff,==,", ()),
         ):
             with self.subTest(text=text):
-                self.assertEqual(made._parse_report(text), expected)
+                self.assertEqual(runner._parse_report(text), expected)
 
-    def test_a_head_without_an_end_is_given_up(self) -> None:
+    def test_an_endless_head_is_an_error(self) -> None:
         answer, buffer = ResponseParser(), Buffer()
         buffer.append(b"HTTP/1.1 200 OK\r\nX: ")
         answer.feed(buffer)
@@ -340,39 +349,39 @@
                 buffer.append(b"x" * 4096)
                 answer.feed(buffer)
 
-    def test_bytes_that_are_no_answer(self) -> None:
+    def test_bytes_that_are_not_http_are_an_error(self) -> None:
         buffer = Buffer()
         buffer.append(b"\x00\x01 not http\r\n\r\n")
         with self.assertRaises(InvalidResponseError):
             ResponseParser().feed(buffer)
 
-    def test_waits_that_cannot_be_read_are_none(self) -> None:
+    def test_malformed_retry_after_waits_are_zero(self) -> None:
         self.assertEqual(
             [parse_retry_after(text) for text in ("250", "", "-1", "1e3", "9" * 40, "\u0661")],
             [250_000, 0, 0, 0, (10**40 - 1) * 1000, 0],
         )
 
-    def test_an_idle_link_that_has_ended_or_talks_is_found(self) -> None:
+    def test_an_idle_connection_that_is_closed_or_has_data_is_detected(self) -> None:
         for act, expected in (
-            ((lambda near: None), False),
-            ((lambda near: near.close()), True),
-            ((lambda near: near.sendall(b"late")), True),
+            ((lambda local: None), False),
+            ((lambda local: local.close()), True),
+            ((lambda local: local.sendall(b"late")), True),
         ):
-            near, far = socket.socketpair()
-            with near, gevent.socket.socket(fileno=far.detach()) as end:
-                act(near)
+            local, remote = socket.socketpair()
+            with local, gevent.socket.socket(fileno=remote.detach()) as end:
+                act(local)
                 self.assertIs(is_closed(end), expected)
 
-    def test_descriptors_are_bounded(self) -> None:
-        made = DescriptorBudget(66)
+    def test_descriptors_are_limited(self) -> None:
+        budget = DescriptorBudget(66)
         for _ in range(8):
-            made.claim()
+            budget.claim()
         with self.assertRaises(NoDescriptorError):
-            made.claim()
+            budget.claim()
 
 
 class SettingsAndListsTest(unittest.TestCase):
-    def test_settings_have_the_names_that_the_adapter_gives(self) -> None:
+    def test_settings_have_the_names_that_the_adapter_uses(self) -> None:
         nested = {
             "balancers": 2,
             "realms": [],
@@ -389,14 +398,14 @@
         )
         self.assertEqual(assignment.plain(nested), settings_of(text))
 
-    def test_a_setting_out_of_its_range_is_named_and_an_unknown_one_ignored(self) -> None:
+    def test_an_invalid_setting_is_named_and_an_unknown_one_ignored(self) -> None:
         for more, named in (
             ({"unheard-of": {"x": -1}}, ""),
             ({"rules": {"fall-ms": "long"}}, "settings.rules.fall-ms"),
             ({"family-info": {"late": "later"}}, "settings.family-info.late"),
         ):
             with self.subTest(named=named), tempfile.TemporaryDirectory() as folder:
-                told = {
+                config = {
                     "name": "n",
                     "listen": "h:1",
                     "discovery": "h:2",
@@ -405,20 +414,22 @@
                     "limits": {"sockets": 8, "disk_mb": 1},
                 }
                 with open(path := f"{folder}/c.json", "w", encoding="utf-8") as file:
-                    json.dump(told, file)
+                    json.dump(config, file)
                 try:
                     assignment.read({"RELAY_CONFIG": path, "RELAY_STATE": folder})
                     self.assertEqual(named, "")
                 except assignment.AssignmentError as error:
                     self.assertTrue(named and named in str(error), str(error))
 
-    def endpoint_list(self) -> tuple[EndpointList, list[Any]]:
-        told: list[Any] = []
-        made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, {"zones": "a,b", "kinds": "k"})
-        return EndpointList(made, Counters(), lambda *update: told.append(update), lambda: None), told
+    def new_endpoint_list(self) -> tuple[EndpointList, list[Any]]:
+        updates: list[Any] = []
+        sender_assignment = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, {"zones": "a,b", "kinds": "k"})
+        return EndpointList(
+            sender_assignment, Counters(), lambda *update: updates.append(update), lambda: None
+        ), updates
 
-    def test_list_updates_in_the_numbers_of_the_decisions(self) -> None:
-        made, told = self.endpoint_list()
+    def test_list_updates_use_the_numbers_of_the_decisions(self) -> None:
+        endpoint_list, updates = self.new_endpoint_list()
         entry = {
             "uid": "s",
             "endpoint": "127.0.0.1:9",
@@ -428,37 +439,37 @@
             "state": "up",
             "capacity_hint": 2.5,
         }
-        made.learn({"rev": 3, "all": True, "targets": [entry]}, saved=True)
-        made.learn({"rev": 5, "all": False, "targets": [{**entry, "state": "removed"}]})
+        endpoint_list.learn({"rev": 3, "all": True, "targets": [entry]}, saved=True)
+        endpoint_list.learn({"rev": 5, "all": False, "targets": [{**entry, "state": "removed"}]})
         line = ListedEndpoint(1, 1, 0, 4, EndpointState.READY, 2.5)
         self.assertEqual(
-            told,
+            updates,
             [(EndpointUpdate.CACHED, [line]), (EndpointUpdate.DELTA, [line._replace(phase=EndpointState.REMOVED)])],
         )
-        self.assertEqual((made.version, made.address_of(1)), (5, ("127.0.0.1", 9)))
+        self.assertEqual((endpoint_list.version, endpoint_list.address_of(1)), (5, ("127.0.0.1", 9)))
 
-    def test_receivers_that_have_gone_are_forgotten_and_their_numbers_not_used_again(self) -> None:
-        made, told = self.endpoint_list()
+    def test_removed_receivers_are_deleted_and_their_numbers_not_reused(self) -> None:
+        endpoint_list, updates = self.new_endpoint_list()
         for day in range(1, 51):
             with mock.patch("time.monotonic", return_value=day * 10.0):
                 entry = {"uid": f"s-{day}", "endpoint": "127.0.0.1:9", "state": "up"}
                 gone = {"uid": f"s-{day - 1}", "state": "removed"}
-                made.learn({"rev": day, "all": day % 2 > 0, "targets": [entry] if day % 2 else [gone, entry]})
-        self.assertEqual((told[-1][1][-1].receiver, made.address_of(50)), (50, ("127.0.0.1", 9)))
-        self.assertEqual((sorted(made.numbers.values()), len(made.addresses)), ([*range(43, 51)], 8))
+                endpoint_list.learn({"rev": day, "all": day % 2 > 0, "targets": [entry] if day % 2 else [gone, entry]})
+        self.assertEqual((updates[-1][1][-1].receiver, endpoint_list.address_of(50)), (50, ("127.0.0.1", 9)))
+        self.assertEqual((sorted(endpoint_list.numbers.values()), len(endpoint_list.addresses)), ([*range(43, 51)], 8))
 
-    def test_list_updates_that_cannot_be_read_change_nothing(self) -> None:
-        made, told = self.endpoint_list()
+    def test_malformed_list_updates_change_nothing(self) -> None:
+        endpoint_list, updates = self.new_endpoint_list()
         for update in ({}, {"rev": "x", "all": True, "targets": []}, json.loads("[]"), {"rev": 1, "all": True}):
             with self.subTest(update=update), self.assertRaises(ValueError):
-                made.learn(update)
-        self.assertEqual((told, made.version), ([], 0))
+                endpoint_list.learn(update)
+        self.assertEqual((updates, endpoint_list.version), ([], 0))
 
-    def test_a_line_that_cannot_be_read_does_not_hide_the_others(self) -> None:
-        made, told = self.endpoint_list()
+    def test_a_malformed_entry_does_not_hide_the_others(self) -> None:
+        endpoint_list, updates = self.new_endpoint_list()
         good = {"uid": "s", "endpoint": "127.0.0.1:9", "az": "a", "model": "k", "pod_group": 4, "state": "up"}
-        made.learn({"rev": 3, "all": False, "targets": [{}, 7, {**good, "endpoint": "no"}, good]})
-        self.assertEqual([line.destination for _, lines in told for line in lines], [4])
+        endpoint_list.learn({"rev": 3, "all": False, "targets": [{}, 7, {**good, "endpoint": "no"}, good]})
+        self.assertEqual([line.destination for _, lines in updates for line in lines], [4])
 
     GOOD = {
         "uid": "s",
@@ -470,35 +481,35 @@
         "capacity_hint": 7.5,
     }
 
-    def test_an_empty_whole_list_is_not_believed_once_any_receiver_is_known(self) -> None:
-        made, told = self.endpoint_list()
-        made.learn({"rev": 1, "all": True, "targets": []}, saved=True)
-        made.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
+    def test_an_empty_full_list_is_rejected_once_a_receiver_is_known(self) -> None:
+        endpoint_list, updates = self.new_endpoint_list()
+        endpoint_list.learn({"rev": 1, "all": True, "targets": []}, saved=True)
+        endpoint_list.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
         with self.assertRaises(ValueError):
-            made.learn({"rev": 3, "all": True, "targets": []})
-        self.assertEqual((len(told), made.version, made.knows("s")), (2, 2, True))
-
-    def test_in_a_whole_list_a_receiver_with_a_spoilt_line_is_kept_and_one_left_out_is_gone(self) -> None:
-        made, told = self.endpoint_list()
-        made.learn({"rev": 2, "all": True, "targets": [{**self.GOOD, "uid": uid} for uid in "stu"]})
-        made.learn({"rev": 3, "all": True, "targets": [self.GOOD, {"uid": "t", "state": 7}]})
-        self.assertEqual([change for change, _ in told], [EndpointUpdate.FULL, EndpointUpdate.FULL])
-        self.assertEqual(told[1][1], told[0][1][:2])
-        self.assertEqual((sorted(made.numbers), sorted(made.removed_at)), (["s", "t", "u"], ["u"]))
-
-    def test_a_listed_rate_that_is_none_leaves_the_one_before_and_the_line_in_force(self) -> None:
+            endpoint_list.learn({"rev": 3, "all": True, "targets": []})
+        self.assertEqual((len(updates), endpoint_list.version, endpoint_list.knows("s")), (2, 2, True))
+
+    def test_a_full_list_keeps_a_receiver_with_a_malformed_entry_and_removes_a_missing_one(self) -> None:
+        endpoint_list, updates = self.new_endpoint_list()
+        endpoint_list.learn({"rev": 2, "all": True, "targets": [{**self.GOOD, "uid": uid} for uid in "stu"]})
+        endpoint_list.learn({"rev": 3, "all": True, "targets": [self.GOOD, {"uid": "t", "state": 7}]})
+        self.assertEqual([change for change, _ in updates], [EndpointUpdate.FULL, EndpointUpdate.FULL])
+        self.assertEqual(updates[1][1], updates[0][1][:2])
+        self.assertEqual((sorted(endpoint_list.numbers), sorted(endpoint_list.removed_at)), (["s", "t", "u"], ["u"]))
+
+    def test_an_invalid_capacity_hint_leaves_the_earlier_rate_and_the_rest_of_the_entry_applies(self) -> None:
         hints: list[Any] = ["nine", None, -3, float("nan"), float("inf"), 1e300, [], 10**400]
         for hint in hints:
             with self.subTest(hint=hint):
-                made, told = self.endpoint_list()
-                made.learn({"rev": 1, "all": True, "targets": [self.GOOD]})
-                made.learn(
+                endpoint_list, updates = self.new_endpoint_list()
+                endpoint_list.learn({"rev": 1, "all": True, "targets": [self.GOOD]})
+                endpoint_list.learn(
                     {"rev": 2, "all": False, "targets": [{**self.GOOD, "state": "draining", "capacity_hint": hint}]}
                 )
-                line = told[-1][1][0]
+                line = updates[-1][1][0]
                 self.assertEqual((line.rate, line.phase), (7.5, EndpointState.DRAINING))
 
-    def test_discovery_that_refuses_stalls_or_answers_half_leaves_the_last_list(self) -> None:
+    def test_discovery_that_refuses_or_answers_incompletely_leaves_the_last_list(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         half = b'{"rev":9,"all":true,"targets":[{"uid":"s","st'
         for answer in (
@@ -512,23 +523,23 @@
             with self.subTest(answer=answer), gevent.socket.socket() as listener:
                 listener.bind(("127.0.0.1", 0))
                 listener.listen()
-                made, told = self.endpoint_list()
-                made.platform = listener.getsockname()
-                made.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
+                endpoint_list, updates = self.new_endpoint_list()
+                endpoint_list.platform = listener.getsockname()
+                endpoint_list.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
                 failed = AsyncResult()
-                made.report_failure = lambda failed=failed: failed.set(True)  # type: ignore[misc]
-                watching = gevent.spawn(made.watch)
+                endpoint_list.report_failure = lambda failed=failed: failed.set(True)  # type: ignore[misc]
+                watching = gevent.spawn(endpoint_list.watch)
                 sock, _ = listener.accept()
                 sock.recv(1000)
                 sock.sendall(answer)
                 sock.shutdown(socket.SHUT_WR)
                 self.assertTrue(failed.get(timeout=3))
-                self.assertEqual((len(told), made.version, made.knows("s")), (1, 2, True))
+                self.assertEqual((len(updates), endpoint_list.version, endpoint_list.knows("s")), (1, 2, True))
                 watching.kill()
                 sock.close()
 
-    def test_a_broken_watch_opens_anew_when_the_decisions_say_and_at_once_at_a_new_address(self) -> None:
-        endpoint_list, _ = self.endpoint_list()
+    def test_a_broken_watch_is_reopened_on_request_and_at_once_at_a_new_address(self) -> None:
+        endpoint_list, _ = self.new_endpoint_list()
         failed: list[int] = []
         endpoint_list.report_failure = lambda: failed.append(1)
         endpoint_list.platform = ("127.0.0.1", 1)  # nobody listens there
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Retry-After waits hold: every way from a refusal's head to the decisions, and from a decision to a first byte."""
+"""Retry-After waits: every path from a refusal's head to the decisions, and from a decision to the first byte."""
 
 import socket
 import tempfile
@@ -25,19 +25,19 @@
 from cedarwick.store.records import StoredMessage
 from tests.build import FREE, MS, NESTED, NOW, ONCE, Receiver, end, out, reply, sender, take, until
 
-WAIT = 600 * MS
+WAIT = 600 * MS  # as `REFUSAL` states it
 REFUSAL = reply(429, "X-Backoff-Ms: 600", body=b"later")
-SLACK = 0.1  # seconds for which calls are let through, as the protocol page says
+GRACE_S = 0.1  # a wait binds this long after its answer was written (see the protocol page)
 Play = Callable[["Partner", socket.socket, int], None]
 
 
 class Partner(Receiver):
-    """A partner in threads of its own, as another machine is: each call's part is played by a function."""
+    """A partner in threads of its own, like another machine; `play` answers each call."""
 
     def __init__(self, play: Play) -> None:
         self.play = play
-        self.arrived: list[tuple[float, str]] = []  # when a call was whole, and its id
-        self.told: list[float] = []  # when a refusal's head was written
+        self.arrived: list[tuple[float, str]] = []  # when a call was completely read, and its id
+        self.refused_at: list[float] = []  # when the head of a refusal was written
         super().__init__(None)
 
     def _serve(self, sock: socket.socket) -> None:
@@ -54,22 +54,24 @@
             except OSError:
                 return
 
-    def tell(self, sock: socket.socket, piece: bytes) -> None:
+    def send_refusal(self, sock: socket.socket, piece: bytes) -> None:
         sock.sendall(piece)
-        self.told.append(time.monotonic())
+        self.refused_at.append(time.monotonic())
 
-    def too_soon(self) -> list[str]:
-        """Ids of calls that arrived within a Retry-After wait, as the protocol page counts it."""
-        return [name for at, name in self.arrived for told in self.told if told + SLACK < at < told + WAIT / 1e6]
+    def calls_within_a_wait(self) -> list[str]:
+        """Ids of calls that arrived during a Retry-After wait, as the protocol page defines it."""
+        return [
+            name for at, name in self.arrived for start in self.refused_at if start + GRACE_S < at < start + WAIT / 1e6
+        ]
 
 
-def refuses_first(once: threading.Event) -> Play:
-    """The first call is refused once something has happened, all others are completed."""
+def refuse_first_call(event: threading.Event) -> Play:
+    """Refuse the first call once an event is set, and complete all others."""
 
     def play(partner: Partner, sock: socket.socket, number: int) -> None:
         if number == 1:
-            once.wait(5.0)
-            partner.tell(sock, REFUSAL)
+            event.wait(5.0)
+            partner.send_refusal(sock, REFUSAL)
         else:
             sock.sendall(reply(200))
 
@@ -77,7 +79,7 @@
 
 
 class PartnerTestCase(unittest.TestCase):
-    """The dispatcher, its attempts and its links against one scripted partner."""
+    """The dispatcher, its attempts and its connections against one scripted partner."""
 
     def start(self, play: Play, once: bool = False) -> None:
         self.partner = Partner(play)
@@ -88,9 +90,9 @@
         self.store = Store(folder.name, 1 << 20, now=self.clock.now)
         self.store.load()
         self.addCleanup(self.store.close)
-        made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.plain(NESTED))
-        polled = PollClock(self.clock)
-        self.dispatcher = Dispatcher(made, self.clock, self.counters, self.store, polled)
+        sender_assignment = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.plain(NESTED))
+        poll_clock = PollClock(self.clock)
+        self.dispatcher = Dispatcher(sender_assignment, self.clock, self.counters, self.store, poll_clock)
         self.connections = ConnectionPool(
             self.clock,
             self.counters,
@@ -106,7 +108,7 @@
             self.counters,
             self.connections,
             self.dispatcher.sender.columns,
-            polled,
+            poll_clock,
             self.dispatcher.request_clearance,
             self.dispatcher.attempt_ended,
             self.dispatcher.apply_retry_after,
@@ -120,66 +122,66 @@
         self.addCleanup(lambda: gevent.killall(list(self.dispatcher.attempts.in_flight)))
         self.addCleanup(running.kill)
 
-    def submit(self, name: str, priority_class: str = "free", life: int = 8_000_000) -> None:
+    def submit(self, name: str, priority_class: str = "free", lifetime_us: int = 8_000_000) -> None:
         self.dispatcher.submit(
-            Submission(StoredMessage(0, name, "", 0, priority_class, "", 0, self.clock.now() + life, b"x"))
+            Submission(StoredMessage(0, name, "", 0, priority_class, "", 0, self.clock.now() + lifetime_us, b"x"))
         )
 
-    def feed(self, seconds: float, every: float = 0.02, **told: int) -> None:
-        """Hand in a message every now and then."""
+    def submit_repeatedly(self, seconds: float, interval_s: float = 0.02, **submission: int) -> None:
+        """Submit a message every `interval_s` seconds."""
         end_at, count = time.monotonic() + seconds, 0
         while time.monotonic() < end_at:
-            self.submit(f"more-{count}", **told)  # type: ignore[arg-type]
+            self.submit(f"more-{count}", **submission)  # type: ignore[arg-type]
             count += 1
-            gevent.sleep(every)
+            gevent.sleep(interval_s)
 
 
 class RetryAfterTest(PartnerTestCase):
-    """Refusals in pieces, late, and beside other events."""
+    """Refusals in pieces, late, and concurrent with other events."""
 
     def assert_waits_respected(self) -> None:
-        self.assertTrue(self.partner.told)
-        self.assertEqual(self.partner.too_soon(), [])
+        self.assertTrue(self.partner.refused_at)
+        self.assertEqual(self.partner.calls_within_a_wait(), [])
 
     def test_a_refusal_in_pieces_binds_from_its_head_on(self) -> None:
         def play(partner: Partner, sock: socket.socket, number: int) -> None:
             if number > 1:
                 sock.sendall(reply(200))
                 return
-            partner.tell(sock, REFUSAL[:-5])
+            partner.send_refusal(sock, REFUSAL[:-5])
             time.sleep(0.3)
             sock.sendall(b"later")
 
         self.start(play)
-        self.feed(0.7)
+        self.submit_repeatedly(0.7)
         self.assert_waits_respected()
 
-    def test_a_refusal_that_stops_in_its_body_binds_and_may_have_run(self) -> None:
+    def test_a_refusal_cut_off_in_its_body_binds_and_may_have_run(self) -> None:
         def play(partner: Partner, sock: socket.socket, number: int) -> None:
-            partner.tell(sock, REFUSAL[:-5]) if number == 1 else sock.sendall(reply(200))
+            partner.send_refusal(sock, REFUSAL[:-5]) if number == 1 else sock.sendall(reply(200))
 
         self.start(play)
         self.submit("first", priority_class="once")
         gevent.sleep(0.05)
-        self.feed(0.7)
+        self.submit_repeatedly(0.7)
         self.assert_waits_respected()
         names = [name for _, name in self.partner.arrived]
-        self.assertEqual(names.count("first"), 1)  # what never came may have told that it ran
+        self.assertEqual(names.count("first"), 1)  # the bytes that are missing could have said that it ran
         until(lambda: gevent.sleep(0.01) or self.store.messages.get(1) is None or self.store.messages[1].end, 2.0)
         self.assertEqual(self.store.messages[1].end, (False, 0))
 
-    def test_a_refusal_that_crosses_the_giving_up_of_its_call_binds(self) -> None:
-        given_up = threading.Event()
-        self.start(refuses_first(given_up))
-        self.submit("first", life=250 * MS)
+    def test_a_refusal_read_after_the_time_out_binds(self) -> None:
+        timed_out = threading.Event()
+        self.start(refuse_first_call(timed_out))
+        self.submit("first", lifetime_us=250 * MS)
         until(lambda: gevent.sleep(0.005) or self.counters.counts["attempts without an answer: time-out"], 2.0)
-        given_up.set()
+        timed_out.set()
         gevent.sleep(0.02)
-        self.feed(0.5)
+        self.submit_repeatedly(0.5)
         self.assert_waits_respected()
         self.assertEqual(self.counters.counts["Retry-After waits read after the time-out"], 1)
 
-    def test_a_call_that_is_given_up_ends_its_sending_at_once_and_its_link_soon(self) -> None:
+    def test_a_timed_out_call_shuts_down_sending_at_once_and_closes_its_connection_soon(self) -> None:
         ended = []
 
         def play(partner: Partner, sock: socket.socket, number: int) -> None:
@@ -188,157 +190,157 @@
             sock.recv(1)
 
         self.start(play)
-        self.submit("first", life=250 * MS)
+        self.submit("first", lifetime_us=250 * MS)
         until(lambda: gevent.sleep(0.005) or ended, 2.0)
         self.assertEqual(ended, [b""])
-        self.assertTrue(self.dispatcher.is_idle())  # nothing is out any more, though the link is still read
+        self.assertTrue(self.dispatcher.is_idle())  # no attempt is running, though the connection is still read
         until(lambda: gevent.sleep(0.01) or not self.connections.descriptors.used, 2.0)
 
-    def test_links_that_are_only_read_any_more_give_way_first(self) -> None:
+    def test_half_closed_connections_are_closed_first_for_a_descriptor(self) -> None:
         self.start(lambda partner, sock, number: time.sleep(1.0))
         self.connections.descriptors.limit = 1
-        self.submit("first", life=250 * MS)
+        self.submit("first", lifetime_us=250 * MS)
         until(lambda: gevent.sleep(0.005) or self.connections.half_closed, 2.0)
         self.connections.descriptors.claim()
         self.assertEqual((self.connections.descriptors.used, len(self.connections.half_closed)), (1, 0))
 
-    def test_a_process_stopped_between_clearance_and_first_byte_asks_again(self) -> None:
+    def test_a_process_paused_between_clearance_and_first_byte_requests_clearance_again(self) -> None:
         second_cleared = threading.Event()
-        self.start(refuses_first(second_cleared))
+        self.start(refuse_first_call(second_cleared))
         request_clearance = self.dispatcher.attempts.request_clearance
 
-        def stopped(call: AttemptCall) -> bool:
+        def pausing_clearance(call: AttemptCall) -> bool:
             may = request_clearance(call)
             if may and self.partner.arrived and not second_cleared.is_set():
                 second_cleared.set()
-                time.sleep(0.25)  # as SIGSTOP does: the refusal comes meanwhile, and nothing is read
+                time.sleep(0.25)  # like SIGSTOP: the refusal arrives meanwhile and is not read
             return may
 
-        self.dispatcher.attempts.request_clearance = stopped
+        self.dispatcher.attempts.request_clearance = pausing_clearance
         self.submit("first")
         until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
         self.submit("second")
-        self.feed(0.5)
+        self.submit_repeatedly(0.5)
         self.assertGreaterEqual(self.counters.counts["clearances that expired"], 1)
         self.assert_waits_respected()
 
-    def test_an_attempt_whose_clearances_all_grow_old_is_decided_on_anew(self) -> None:
+    def test_an_attempt_whose_clearances_all_expire_is_decided_on_again(self) -> None:
         self.start(lambda partner, sock, number: sock.sendall(reply(200)))
         request_clearance = self.dispatcher.attempts.request_clearance
         slow = iter([True] * attempts.MAX_CLEARANCE_REQUESTS)
 
-        def stopped(call: AttemptCall) -> bool:
+        def pausing_clearance(call: AttemptCall) -> bool:
             may = request_clearance(call)
             if next(slow, False):
                 time.sleep(attempts.CLEARANCE_LIFETIME_US * 1.2 / 1e6)
             return may
 
-        self.dispatcher.attempts.request_clearance = stopped
+        self.dispatcher.attempts.request_clearance = pausing_clearance
         self.submit("first", priority_class="once")
         until(lambda: gevent.sleep(0.005) or self.counters.counts["answers 200"], 2.0)
         self.assertEqual(self.counters.counts["attempts without an answer: moot"], 1)
         self.assertEqual([name for _, name in self.partner.arrived], ["first"])
 
-    def test_a_refusal_read_in_the_same_round_goes_before_a_clearance(self) -> None:
+    def test_a_refusal_read_in_the_same_round_is_applied_before_a_clearance(self) -> None:
         self.start(lambda partner, sock, number: None)
         self.submit("first")
         self.submit("second")
         until(lambda: gevent.sleep(0.005) or len(self.partner.arrived) == 2, 2.0)
         handles = list(self.dispatcher.handles.values())
         handles[1].attempt_ended(self.clock.now(), Outcome.MOOT, 0, 1, 0, 0, False, ())
-        kept = self.store.messages[1], self.store.messages[2]
-        call = AttemptCall(kept[1], 1, 1, self.clock.now(), self.clock.now() + 1_000_000)
-        asking = gevent.spawn(self.dispatcher.request_clearance, call)
-        gevent.sleep(0)  # the question stands in the queue, and the refusal behind it
-        refused = AttemptCall(kept[0], 0, 1, self.clock.now(), self.clock.now() + 1_000_000)
+        stored = self.store.messages[1], self.store.messages[2]
+        call = AttemptCall(stored[1], 1, 1, self.clock.now(), self.clock.now() + 1_000_000)
+        clearance = gevent.spawn(self.dispatcher.request_clearance, call)
+        gevent.sleep(0)  # the clearance request is queued before the refusal
+        refused = AttemptCall(stored[0], 0, 1, self.clock.now(), self.clock.now() + 1_000_000)
         self.dispatcher.attempt_ended(refused, AttemptResult(Outcome.FULL, 1000, WAIT))
-        self.assertIs(asking.get(timeout=1.0), False)
+        self.assertIs(clearance.get(timeout=1.0), False)
 
 
-class ResponseHeadsTest(unittest.TestCase):
-    """What a head can tell of a wait."""
+class ResponseHeadTest(unittest.TestCase):
+    """The Retry-After waits in the head of an answer."""
 
-    def wait_in(self, *lines: str) -> int:
+    def reported_wait(self, *lines: str) -> int:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            near = gevent.socket.create_connection(listener.getsockname())
-            far, _ = listener.accept()
-        with near, far:
-            far.sendall(reply(429, *lines))
-            far.shutdown(socket.SHUT_WR)
-            told: list[int] = []
+            local = gevent.socket.create_connection(listener.getsockname())
+            remote, _ = listener.accept()
+        with local, remote:
+            remote.sendall(reply(429, *lines))
+            remote.shutdown(socket.SHUT_WR)
+            reported: list[int] = []
             clock = Clock()
-            made = AttemptRunner(
+            runner = AttemptRunner(
                 clock,
                 Counters(),
                 None,  # type: ignore[arg-type]
                 [],
                 None,  # type: ignore[arg-type]
                 None,  # type: ignore[arg-type]
-                lambda call, ending: told.append(ending.retry_after),
+                lambda call, result: reported.append(result.retry_after),
                 lambda waits: None,
             )
-            link = Connection(near, 1, ("", 0))
+            connection = Connection(local, 1, ("", 0))
             call = AttemptCall(
                 StoredMessage(1, "a", "", 0, "b", "", 0, 0, b""), 0, 1, clock.now(), clock.now() + 1_000_000
             )
             answer = ResponseParser()
-            made._read(call, link, answer)
-            made._report_answer(call, answer)
-        return told[0]
+            runner._read(call, connection, answer)
+            runner._report_answer(call, answer)
+        return reported[0]
 
-    def test_the_longest_of_several_waits_in_one_head_holds(self) -> None:
-        self.assertEqual(self.wait_in("X-Backoff-Ms: 400", "X-Backoff-Ms: 700", "x-backoff-ms: 50"), 700 * MS)
+    def test_the_longest_of_several_waits_in_one_head_applies(self) -> None:
+        self.assertEqual(self.reported_wait("X-Backoff-Ms: 400", "X-Backoff-Ms: 700", "x-backoff-ms: 50"), 700 * MS)
 
-    def test_waits_that_are_none(self) -> None:
+    def test_malformed_waits_are_zero(self) -> None:
         for text in ("-5", "soon", "", "1e3", "0x10", "NaN", "\u0661", "5 5"):
             self.assertEqual(parse_retry_after(text), 0, text)
-        self.assertEqual(self.wait_in("X-Backoff-Ms: -700"), 0)
+        self.assertEqual(self.reported_wait("X-Backoff-Ms: -700"), 0)
 
-    def test_parts_of_a_millisecond_are_waited_for(self) -> None:
+    def test_fractions_of_a_millisecond_are_rounded_up(self) -> None:
         self.assertEqual(parse_retry_after("718.2"), 719 * MS)
 
 
 class DecisionsTest(unittest.TestCase):
-    def test_an_absurd_wait_is_looked_into_after_an_hour(self) -> None:
-        made = sender()
-        end(out(made, 1), Outcome.FULL, NOW, retry_after=10**30)
-        self.assertLessEqual(made.receivers[1].pace.wait_until, NOW + 3_600_000 * MS)
-        handle = out(made, 2, now=NOW)
-        self.assertEqual(handle.attempts, 0)  # it ends at once: nothing may go in its time
+    def test_a_wait_is_limited_to_an_hour(self) -> None:
+        decisions = sender()
+        end(out(decisions, 1), Outcome.FULL, NOW, retry_after=10**30)
+        self.assertLessEqual(decisions.receivers[1].pace.wait_until, NOW + 3_600_000 * MS)
+        handle = out(decisions, 2, now=NOW)
+        self.assertEqual(handle.attempts, 0)  # it ends at once: no attempt fits before its deadline
         later = NOW + 3_600_000 * MS + 20_000 * MS
-        made.accept(later, 3, 7, FREE, later + 16_000 * MS, 0, 0)
+        decisions.accept(later, 3, 7, FREE, later + 16_000 * MS, 0, 0)
         for step in range(200):
-            if made.decide(later + step * 100 * MS).attempts:
+            if decisions.decide(later + step * 100 * MS).attempts:
                 return
-        self.fail("the sender stays silent")
-
-    def test_a_wait_told_apart_from_an_outcome_holds(self) -> None:
-        made = sender()
-        made.apply_retry_after(NOW, 1, NOW + WAIT)
-        take(made, 1)
-        self.assertEqual(made.decide(NOW).attempts, [])
-        self.assertEqual(made.decide(NOW + WAIT - 1).attempts, [])
-        self.assertEqual(len(made.decide(NOW + WAIT).attempts), 1)
-
-    def test_a_wait_that_is_told_while_a_call_is_out_stops_the_next(self) -> None:
-        made = sender()
-        first = out(made, 1, ONCE)
-        made.apply_retry_after(NOW, 1, NOW + WAIT)
-        second = take(made, 2)
-        self.assertEqual(made.decide(NOW).attempts, [])
+        self.fail("the sender makes no attempt after the wait")
+
+    def test_a_wait_reported_apart_from_an_outcome_applies(self) -> None:
+        decisions = sender()
+        decisions.apply_retry_after(NOW, 1, NOW + WAIT)
+        take(decisions, 1)
+        self.assertEqual(decisions.decide(NOW).attempts, [])
+        self.assertEqual(decisions.decide(NOW + WAIT - 1).attempts, [])
+        self.assertEqual(len(decisions.decide(NOW + WAIT).attempts), 1)
+
+    def test_a_wait_reported_during_a_call_stops_the_next_one(self) -> None:
+        decisions = sender()
+        first = out(decisions, 1, ONCE)
+        decisions.apply_retry_after(NOW, 1, NOW + WAIT)
+        second = take(decisions, 2)
+        self.assertEqual(decisions.decide(NOW).attempts, [])
         self.assertFalse(second.may_start(NOW + WAIT - 1, 1))
         end(first, Outcome.TIME_OUT, NOW + 1)
-        self.assertEqual(made.decide(NOW + 2).abandoned, [1])
+        self.assertEqual(decisions.decide(NOW + 2).abandoned, [1])
 
-    def test_a_receiver_that_leaves_and_comes_back_is_spared_to_the_end_of_its_wait(self) -> None:
-        for kind in (0, 1):  # of a pace that its destination shares, and of one of its own
-            made = sender(kind=kind)
-            made.apply_retry_after(NOW, 1, NOW + 60_000 * MS)
+    def test_a_wait_applies_to_a_receiver_that_is_removed_and_listed_again(self) -> None:
+        for kind in (0, 1):  # with a pace shared by its destination, and with one of its own
+            decisions = sender(kind=kind)
+            decisions.apply_retry_after(NOW, 1, NOW + 60_000 * MS)
             gone = ListedEndpoint(1, 0, kind, 7, EndpointState.REMOVED, 0.0)
             for at in (NOW, NOW + 25_000 * MS, NOW + 50_000 * MS):
-                made.listed(at, EndpointUpdate.DELTA, [gone])
+                decisions.listed(at, EndpointUpdate.DELTA, [gone])
             back = NOW + 55_000 * MS
-            made.listed(back, EndpointUpdate.DELTA, [gone._replace(phase=EndpointState.READY)])
-            handle = made.accept(back, 1, 7, FREE, back + 16_000 * MS, 0, 0)
-            self.assertEqual(made.decide(back).attempts, [], kind)
+            decisions.listed(back, EndpointUpdate.DELTA, [gone._replace(phase=EndpointState.READY)])
+            handle = decisions.accept(back, 1, 7, FREE, back + 16_000 * MS, 0, 0)
+            self.assertEqual(decisions.decide(back).attempts, [], kind)
             self.assertFalse(handle.may_start(back, 1))
