--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -65,7 +65,7 @@
         counters.metrics.priority_classes = list(self.priority_classes)
         # Each attempt is one call here. If the decisions assumed that attempts share calls, they would exceed limits.
         self.sender.per_call = []
-        self.handles: dict[int, Handle] = {}
+        self.handles: dict[int, Handle] = {}  # by message number
         self.numbers_by_id: dict[str, int] = {}  # numbers of the messages that are stored or admitted
         # By message id: when it was submitted (microseconds), and a hash of the submission.
         self.recent_ids: dict[str, tuple[int, int]] = {}
@@ -75,10 +75,10 @@
         self.clearance_requests: list[tuple[AttemptCall, gevent.event.AsyncResult]] = []
         # Callbacks for after the flush: the first if it succeeds, the second if it fails.
         self.after_flush: list[tuple[Callable[[], None], Callable[[], None]]] = []
-        self.wake_at: int | None = None
+        self.wake_at: int | None = None  # time of the next round if no call is queued
         self.attempts_stopped = False
-        self.abandoning_near_deadline = False  # with `attempts_stopped`: messages are abandoned at their deadline
-        self.storing_new = False  # with `attempts_stopped`: new messages are stored, for the next process
+        self.abandoning_near_deadline = False  # with `attempts_stopped`: abandon messages near their deadline
+        self.storing_new = False  # with `attempts_stopped`: store new messages, for the next process
         self.parked: dict[int, Handle] = {}  # parked during an attempt whose result is still to come
         self.to_adopt: set[int] = set()  # parked messages to adopt once their attempt has ended
         self.frozen: dict[int, FrozenSession] = {}  # migrating sessions, by key
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -38,7 +38,7 @@
 
 
 def run_in_thread(call: Callable[..., None], *arguments: object) -> None:
-    """Run a blocking call in the thread pool; only the calling greenlet waits. Exceptions are raised there."""
+    """Run a blocking call in the thread pool; only the calling greenlet waits, and gets its exceptions."""
     gevent.get_hub().threadpool.apply(call, arguments)
 
 
