--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -115,7 +115,7 @@
         for greenlet, call in list(self.in_flight.items()):
             if call.message.number in numbers and not call.reported:
                 greenlet.kill(block=False)
-                self.counters.add("attempts aborted: their session migrates")
+                self.counters.add("attempts cut off: their session moves")
                 self._report_failure(call, Outcome.RESET if call.recorded else Outcome.MOOT)
 
     def _run(self, call: AttemptCall) -> None:
@@ -135,7 +135,7 @@
             self._report_not_sent(call)
             return
         except OSError as error:
-            self.counters.warning("a connection could not be opened", error)
+            self.counters.warning("a link did not come up", error)
             self._report_failure(call, Outcome.CONNECT_FAILED)
             return
         usable = False
@@ -157,11 +157,11 @@
             if connection.idle_since:
                 self._report_not_sent(call)
             else:
-                self.counters.add("new connections that the receiver closed or wrote to before the request")
+                self.counters.add("new links that ended or spoke before their request")
                 self._report_failure(call, Outcome.CONNECT_FAILED)
             return False
         if self.clock.now() >= call.send_by:
-            self.counters.add("attempts held back: too late to send")
+            self.counters.add("attempts held back: their time was over")
             self._report_not_sent(call)
             return True
         call.reused_connection = connection.idle_since > 0
@@ -177,7 +177,7 @@
             if self.clock.now() - call.polled_at <= CLEARANCE_LIFETIME_US:
                 return True
             # The process was paused, or a round was long: a socket may hold an unread refusal.
-            self.counters.add("clearances that expired")
+            self.counters.add("clearances that grew old")
             self.poll_clock.again()
         self._report_not_sent(call)
         return False
@@ -191,7 +191,7 @@
             request = encode_request(call, self.clock.now())
             # The lease may have expired since the clearance, and another sender may hold it now.
             if not self.may_send(call.message.number):
-                self.counters.add("attempts held back: no lease to send")
+                self.counters.add("attempts held back: no right to fire")
                 self._report_failure(call, Outcome.MOOT)
                 return True
             call.sent_at = self.clock.now()
@@ -294,7 +294,7 @@
         if answer.headed and answer.status == 200:
             self.report_late_success(call)
         if answer.headed and answer.status == 429 and not call.retry_after_reported:
-            self.counters.add("Retry-After waits read after the time-out")
+            self.counters.add("waits heard after the call was given up")
             self._report_retry_after(call, answer)
 
     def _report_answer(self, call: AttemptCall, answer: ResponseParser) -> None:
--- a/cedarwick/net/connections.py
+++ b/cedarwick/net/connections.py
@@ -125,7 +125,7 @@
         except BaseException:
             self.descriptors.release()
             raise
-        self.counters.add("connections opened")
+        self.counters.add("links opened")
         return Connection(sock, receiver, address)
 
     def _take_idle(self, receiver: int, address: tuple[str, int]) -> Connection | None:
@@ -202,6 +202,6 @@
         self.half_closed.pop(connection, None)
         connection.sock.close()
         self.descriptors.release()
-        self.counters.add("connections closed")
+        self.counters.add("links closed")
         if self.counters.trace.enabled:
             self.counters.trace.add(CloseTrace(f"receiver {connection.receiver}", reason.value, self.clock.now()))
--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -61,7 +61,7 @@
             stored.turn,
         )
         if stored.turn in self.keys_elsewhere and self.sender.priority_classes[priority_class].ordered:
-            self.counters.add("messages held for earlier ones of their key at another sender")
+            self.counters.add("messages that waited for others of their key elsewhere")
             self._hold_key(stored.turn)
 
     def _withdraw(self, stored: StoredMessage) -> None:
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -50,7 +50,7 @@
         try:
             call.body = self.store.body(call.message.number)
         except BodyLostError as error:
-            self.counters.warning("a message body cannot be read from the store", error)
+            self.counters.warning("a body cannot be read back", error)
             return False
         return True
 
@@ -107,7 +107,7 @@
         if result.not_sent:
             handle.attempt_not_sent()
         if handle.ended:
-            self.counters.add(f"messages ended: {result.outcome.value}")
+            self.counters.add(f"messages over: {result.outcome.value}")
             if result.outcome is Outcome.COMPLETED:
                 self.counters.metrics.passed[call.message.priority_class] += 1
                 self._trace_end(call.message, "delivered", "completed")
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -66,7 +66,7 @@
             if stored is None or number in self.handles or number in self.notices.pending:
                 continue
             if stored.end is None or number in self.uncopied_ends:
-                self.counters.warning("a message was abandoned without a lease", number)
+                self.counters.warning("a message ends that nobody may fire for", number)
                 self._record_final_answer(number, False, 0, without_copy=True)
             else:
                 self.notices.post(number, stored.id, *stored.end)
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -35,7 +35,7 @@
             self.numbers_by_id[stored.id] = number
             if stored.end is None and stored.priority_class not in self.priority_classes:
                 self.counters.warning(
-                    "a message of a removed priority class is sent at most once", stored.priority_class
+                    "a message of a priority class that is no more goes once at most", stored.priority_class
                 )
             if stored.end is not None:
                 self.uncopied_ends.discard(number)
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -292,7 +292,7 @@
             self.store.flush(run_in_thread)
         except OSError as error:
             self.counters.warning(
-                "the records of a round could not be flushed",
+                "what was written does not last yet",
                 error if isinstance(error, CedarwickError) else DiskError(str(error)),
             )
             for _, on_failure in callbacks:
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -179,7 +179,7 @@
         gevent.sleep(0.02)
         self.submit_repeatedly(0.5)
         self.assert_waits_respected()
-        self.assertEqual(self.counters.counts["Retry-After waits read after the time-out"], 1)
+        self.assertEqual(self.counters.counts["waits heard after the call was given up"], 1)
 
     def test_a_timed_out_call_shuts_down_sending_at_once_and_closes_its_connection_soon(self) -> None:
         ended = []
@@ -221,7 +221,7 @@
         until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
         self.submit("second")
         self.submit_repeatedly(0.5)
-        self.assertGreaterEqual(self.counters.counts["clearances that expired"], 1)
+        self.assertGreaterEqual(self.counters.counts["clearances that grew old"], 1)
         self.assert_waits_respected()
 
     def test_an_attempt_whose_clearances_all_expire_is_decided_on_again(self) -> None:
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -455,7 +455,7 @@
                 self.made.submit("a")
                 self.wait_for(lambda: self.partner.arrived or self.made.store.messages[1].end)
                 self.assertEqual([name for _, name in self.partner.arrived], ["a"] * goes)
-                self.assertEqual(self.counts["attempts held back: too late to send"], not goes)
+                self.assertEqual(self.counts["attempts held back: their time was over"], not goes)
 
     def test_a_window_that_closes_within_the_write_keeps_the_last_byte_back(self) -> None:
         for goes in (False, True):
