--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -102,16 +102,16 @@
             )
 
         for key, handles in handles_by_key.items():
-            self.sender.turns.line_up(key, handles, goes_before)
+            self.sender.order_key_queues.insert_in_order(key, handles, goes_before)
 
     def _hold_keys(self, keys: frozenset[int]) -> None:
         self.keys_elsewhere = keys
         self.held_by_key &= self.handles.keys()
-        for key in keys & self.sender.turns.lines.keys():
+        for key in keys & self.sender.order_key_queues.queues.keys():
             self._hold_key(key)
 
     def _hold_key(self, key: int) -> None:
-        self.held_by_key.update(each.id for each in self.sender.rest(self.clock.now(), key))
+        self.held_by_key.update(each.id for each in self.sender.pause_key(self.clock.now(), key))
 
     def _park(self, numbers: list[int]) -> None:
         now, to_park = self.clock.now(), set(numbers)
--- a/cedarwick/net/dispatch_state.py
+++ b/cedarwick/net/dispatch_state.py
@@ -64,7 +64,7 @@
         self.sender.priority_classes.append(priority_class_of(assignment.settings, len(self.sender.priority_classes)))
         counters.metrics.priority_classes = list(self.priority_classes)
         # Each attempt is one call here. If the decisions assumed that attempts share calls, they would exceed limits.
-        self.sender.per_call = []
+        self.sender.messages_per_call = []
         self.handles: dict[int, Handle] = {}  # by message number
         self.numbers_by_id: dict[str, int] = {}  # numbers of the messages that are stored or admitted
         # By message id: when it was submitted (microseconds), and a hash of the submission.
--- a/cedarwick/net/dispatcher.py
+++ b/cedarwick/net/dispatcher.py
@@ -112,8 +112,12 @@
 
     def key_hold_left_us(self, key: int) -> int:
         """For how many microseconds an order key is still held, since an earlier attempt of it may be running."""
-        turns = self.sender.turns
-        return max(0, turns.all_rest - self.clock.now(), turns.rests.get(key, 0) - self.clock.now())
+        order_key_queues = self.sender.order_key_queues
+        return max(
+            0,
+            order_key_queues.all_paused_until - self.clock.now(),
+            order_key_queues.paused_until.get(key, 0) - self.clock.now(),
+        )
 
     def is_ordered(self, priority_class: str) -> bool:
         """Whether messages of a priority class are delivered one after another within an order key."""
@@ -205,7 +209,7 @@
     # ---- queued calls that are implemented here ----
 
     def _apply_endpoint_update(self, change: EndpointUpdate, listings: Sequence[ListedEndpoint]) -> None:
-        self.sender.listed(self.clock.now(), change, listings)
+        self.sender.apply_endpoint_list(self.clock.now(), change, listings)
         self._apply_earlier_health(listings)
 
     def _list_poll_failed(self) -> None:
@@ -234,7 +238,7 @@
             return
         # An abandoned message takes up room until its notice is acknowledged. That room counts as free, or every round
         # would abandon more messages.
-        self.sender.room = self.store.room_for() + len(self.notices.pending)
+        self.sender.storable_messages = self.store.room_for() + len(self.notices.pending)
         verdicts = self.sender.decide(now)
         self._record_health(verdicts.health_changes)
         for number, wait in verdicts.nacks:
--- a/tests/net/test_late_answers.py
+++ b/tests/net/test_late_answers.py
@@ -42,7 +42,7 @@
 class LateAnswerTest(PartnerTestCase):
     def test_a_late_success_delivers_the_message_and_no_retry_follows(self) -> None:
         self.start(answer_after_shutdown)
-        with mock.patch.object(self.dispatcher.sender, "_patience", return_value=ATTEMPT_TIMEOUT):
+        with mock.patch.object(self.dispatcher.sender, "_attempt_time_out", return_value=ATTEMPT_TIMEOUT):
             self.submit("first")
             until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
             stop_at = time.monotonic() + ATTEMPT_TIMEOUT / 1e6 + RETRY_WITHIN_S
@@ -63,7 +63,7 @@
         self.dispatcher._completed_late(self.calls[0])
         self.dispatcher._decide()
         self.assertEqual((self.dispatcher.notices.pending, self.store.messages, self.dispatcher.handles), ({}, {}, {}))
-        self.assertEqual(self.dispatcher.sender.open, 0)
+        self.assertEqual(self.dispatcher.sender.open_messages, 0)
 
     def test_a_late_success_after_the_final_answer_is_ignored(self) -> None:
         self.submit("once")
@@ -77,7 +77,7 @@
         self.submit("free")
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.TIME_OUT))
         handle = self.dispatcher.handles[1]
-        handle.due = 0
+        handle.not_before = 0
         self.dispatcher._decide()
         self.assertEqual(len(self.calls), 2)
         self.dispatcher._completed_late(self.calls[0])
@@ -85,7 +85,7 @@
         self.dispatcher._attempt_ended(self.calls[1], AttemptResult(Outcome.ERROR))
         self.dispatcher._decide()
         self.assertEqual((len(self.calls), self.dispatcher.notices.pending), (2, {}))
-        self.assertEqual((self.dispatcher.handles, self.dispatcher.sender.open), ({}, 0))
+        self.assertEqual((self.dispatcher.handles, self.dispatcher.sender.open_messages), ({}, 0))
 
     def test_a_late_success_of_a_lost_partition_is_ignored(self) -> None:
         self.submit("free")
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -92,7 +92,7 @@
         self.dispatcher._park([1, 2, 3])  # during the attempt of the first
         self.dispatcher._adopt([1, 2, 3])
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.TIME_OUT))
-        line = self.dispatcher.sender.turns.lines[5]
+        line = self.dispatcher.sender.order_key_queues.queues[5]
         self.assertEqual([handle.id for handle in line], [1, 2, 3])
         self.dispatcher._park([2])  # another member reported a change of it
         self.dispatcher._adopt([2])
@@ -129,8 +129,12 @@
                 )
             )
         self.dispatcher._adopt([other + 1, other + 2])
-        self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[6]], [other + 1, other + 2, 3])
-        self.assertEqual(self.dispatcher.sender.turns.rests.get(9), None)  # no state for keys without a message
+        self.assertEqual(
+            [each.id for each in self.dispatcher.sender.order_key_queues.queues[6]], [other + 1, other + 2, 3]
+        )
+        self.assertEqual(
+            self.dispatcher.sender.order_key_queues.paused_until.get(9), None
+        )  # no state for keys without a message
 
     def test_held_messages_keep_their_order_if_their_migration_is_cancelled(self) -> None:
         self.dispatcher.sender.priority_classes[0].ordered = True
@@ -140,7 +144,7 @@
         self.assertEqual(self.dispatcher.held_by_key, {1, 2, 3})
         self.dispatcher._park([1, 2, 3])
         self.dispatcher._adopt([1, 2, 3], no_unrecorded_attempts=True)
-        self.assertEqual([each.id for each in self.dispatcher.sender.turns.lines[5]], [1, 2, 3])
+        self.assertEqual([each.id for each in self.dispatcher.sender.order_key_queues.queues[5]], [1, 2, 3])
 
     def test_a_message_is_stored_before_its_attempt_starts(self) -> None:
         self.assertEqual(self.submit().answer.get(block=False), (AdmissionResult.ACCEPTED, 0))
@@ -148,7 +152,7 @@
 
     def test_each_attempt_is_one_call_whatever_the_settings_say(self) -> None:
         self.assertEqual(self.dispatcher.sender.settings["family-info.per-call"], "20")
-        self.assertEqual(self.dispatcher.sender.per_call, [])
+        self.assertEqual(self.dispatcher.sender.messages_per_call, [])
 
     def test_the_tenant_reaches_the_decisions(self) -> None:
         self.submit()
@@ -159,22 +163,27 @@
         self.assertEqual((self.calls, self.dispatcher.handles, self.dispatcher.numbers_by_id), ([], {}, {}))
 
     def test_the_decisions_get_the_store_room_in_each_round(self) -> None:
-        before = self.dispatcher.sender.room
+        before = self.dispatcher.sender.storable_messages
         self.submit()
-        self.assertLess(self.dispatcher.sender.room, before)
+        self.assertLess(self.dispatcher.sender.storable_messages, before)
         self.store.set_limit(1)
         self.dispatcher._decide()
-        self.assertEqual(self.dispatcher.sender.room, 0)
+        self.assertEqual(self.dispatcher.sender.storable_messages, 0)
         self.dispatcher.notices.post(9, "i", True, 0)
         self.dispatcher._decide()
-        self.assertEqual(self.dispatcher.sender.room, 1)  # a pending notice counts as free room
+        self.assertEqual(self.dispatcher.sender.storable_messages, 1)  # a pending notice counts as free room
 
     def test_a_completed_message_is_deleted(self) -> None:
         self.submit()
         self.dispatcher._decide_clearance(self.calls[0], AsyncResult())
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.COMPLETED, last=True))
         self.assertEqual(
-            (self.store.messages, self.dispatcher.handles, self.dispatcher.numbers_by_id, self.dispatcher.sender.open),
+            (
+                self.store.messages,
+                self.dispatcher.handles,
+                self.dispatcher.numbers_by_id,
+                self.dispatcher.sender.open_messages,
+            ),
             ({}, {}, {}, 0),
         )
 
@@ -209,7 +218,9 @@
         cleared: AsyncResult = AsyncResult()
         self.dispatcher._decide_clearance(self.calls[0], cleared)
         self.assertIs(cleared.get(block=False), False)
-        self.assertEqual((self.store.messages, self.dispatcher.handles, self.dispatcher.sender.open), ({}, {}, 0))
+        self.assertEqual(
+            (self.store.messages, self.dispatcher.handles, self.dispatcher.sender.open_messages), ({}, {}, 0)
+        )
 
     def test_a_message_withdrawn_during_the_flush_of_its_attempt_is_not_sent(self) -> None:
         self.store.awaited = True
@@ -444,7 +455,10 @@
         line = ListedEndpoint(1, 1, 0, 4, EndpointState.READY, 2.5)
         self.assertEqual(
             updates,
-            [(EndpointUpdate.CACHED, [line]), (EndpointUpdate.DELTA, [line._replace(phase=EndpointState.REMOVED)])],
+            [
+                (EndpointUpdate.CACHED, [line]),
+                (EndpointUpdate.DELTA, [line._replace(endpoint_state=EndpointState.REMOVED)]),
+            ],
         )
         self.assertEqual((endpoint_list.version, endpoint_list.address_of(1)), (5, ("127.0.0.1", 9)))
 
@@ -507,7 +521,7 @@
                     {"rev": 2, "all": False, "targets": [{**self.GOOD, "state": "draining", "capacity_hint": hint}]}
                 )
                 line = updates[-1][1][0]
-                self.assertEqual((line.rate, line.phase), (7.5, EndpointState.DRAINING))
+                self.assertEqual((line.rate, line.endpoint_state), (7.5, EndpointState.DRAINING))
 
     def test_discovery_that_refuses_or_answers_incompletely_leaves_the_last_list(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -107,7 +107,7 @@
             self.clock,
             self.counters,
             self.connections,
-            self.dispatcher.sender.columns,
+            self.dispatcher.sender.report_columns,
             poll_clock,
             self.dispatcher.request_clearance,
             self.dispatcher.attempt_ended,
@@ -304,7 +304,7 @@
     def test_a_wait_is_limited_to_an_hour(self) -> None:
         decisions = sender()
         end(out(decisions, 1), Outcome.FULL, NOW, retry_after=10**30)
-        self.assertLessEqual(decisions.receivers[1].pace.wait_until, NOW + 3_600_000 * MS)
+        self.assertLessEqual(decisions.receivers[1].rate_control.wait_until, NOW + 3_600_000 * MS)
         handle = out(decisions, 2, now=NOW)
         self.assertEqual(handle.attempts, 0)  # it ends at once: no attempt fits before its deadline
         later = NOW + 3_600_000 * MS + 20_000 * MS
@@ -338,9 +338,11 @@
             decisions.apply_retry_after(NOW, 1, NOW + 60_000 * MS)
             gone = ListedEndpoint(1, 0, kind, 7, EndpointState.REMOVED, 0.0)
             for at in (NOW, NOW + 25_000 * MS, NOW + 50_000 * MS):
-                decisions.listed(at, EndpointUpdate.DELTA, [gone])
+                decisions.apply_endpoint_list(at, EndpointUpdate.DELTA, [gone])
             back = NOW + 55_000 * MS
-            decisions.listed(back, EndpointUpdate.DELTA, [gone._replace(phase=EndpointState.READY)])
+            decisions.apply_endpoint_list(
+                back, EndpointUpdate.DELTA, [gone._replace(endpoint_state=EndpointState.READY)]
+            )
             handle = decisions.accept(back, 1, 7, FREE, back + 16_000 * MS, 0, 0)
             self.assertEqual(decisions.decide(back).attempts, [], kind)
             self.assertFalse(handle.may_start(back, 1))
