--- a/cedarwick/fleet/ports.py
+++ b/cedarwick/fleet/ports.py
@@ -28,19 +28,19 @@
         """Stop handling messages, without a final answer."""
         ...
 
-    def answer_late(self, numbers: list[int]) -> None:
+    def abandon_parked(self, numbers: list[int]) -> None:
         """Give parked messages whose deadline is near their final answer."""
         ...
 
-    def ordered(self, priority_class: str) -> bool:
+    def is_ordered(self, priority_class: str) -> bool:
         """Whether messages of a priority class are delivered in order within an order key."""
         ...
 
-    def rest(self, keys: frozenset[int]) -> None:
+    def hold_keys(self, keys: frozenset[int]) -> None:
         """Hold back messages of these keys until a call without the key: other members have earlier ones pending."""
         ...
 
-    def rest_of(self, key: int) -> int:
+    def key_hold_left_us(self, key: int) -> int:
         """How long a key must be held back here, in microseconds, since one of its attempts may be running."""
         ...
 
