--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from cedarwick.fleet.migration_table import MAX_MOVES_IN, MAX_MOVES_OUT
+from cedarwick.fleet.migration_table import MAX_INCOMING_MOVES, MAX_OUTGOING_MOVES
 from cedarwick.fleet.placement import weight
 
 MIN_STAY_US = 10_000_000  # that a session stays after a move, unless an operator moves it or its sender leaves
@@ -29,8 +29,8 @@
     """A session (by its key) that is to move, and why."""
 
     key: int
-    why: MigrationReason
-    to: str = ""  # the only member that may take it; empty: the preferred one
+    reason: MigrationReason
+    target: str = ""  # the only member that may take it; empty: the preferred one
 
 
 class Neighbour(NamedTuple):
@@ -38,26 +38,28 @@
 
     name: str
     hall: str
-    held: int  # sessions
-    most: int  # sessions that it may hold
-    well: bool = True  # not suspected, cut or slow
-    takes: bool = True  # alive, its hall not drained, not leaving
+    session_count: int  # sessions
+    capacity: int  # sessions that it may hold
+    healthy: bool = True  # not suspected, cut or slow
+    accepts_sessions: bool = True  # alive, its hall not drained, not leaving
 
 
-def preferred(key: int, hall: str, neighbours: Iterable[Neighbour], more: Mapping[str, int]) -> list[Neighbour]:
+def rank_targets(key: int, hall: str, neighbours: Iterable[Neighbour], incoming: Mapping[str, int]) -> list[Neighbour]:
     """The senders that may take a session, the best first.
 
     Order: same hall first, then lower load (in tenths of the capacity), then healthy before unhealthy, then rendezvous
-    hashing (Thaler and Ravishankar 1998), so that every sender finds the same order. `more` has, by name, the number of
-    sessions that are on their way there and not yet counted in `held`.
+    hashing (Thaler and Ravishankar 1998), so that every sender finds the same order. `incoming` maps a
+    sender's name to the sessions that are migrating there and not yet counted in `session_count`.
     """
 
     def order(each: Neighbour) -> tuple[bool, int, bool, int]:
-        load = (each.held + more.get(each.name, 0)) * 10 // max(each.most, 1)
-        return each.hall != hall, load, not each.well, -weight(key, each.name)
+        load = (each.session_count + incoming.get(each.name, 0)) * 10 // max(each.capacity, 1)
+        return each.hall != hall, load, not each.healthy, -weight(key, each.name)
 
     def has_room(each: Neighbour) -> bool:
-        return each.takes and each.held + more.get(each.name, 0) < MAX_LOAD_SHARE * each.most
+        return (
+            each.accepts_sessions and each.session_count + incoming.get(each.name, 0) < MAX_LOAD_SHARE * each.capacity
+        )
 
     return sorted((each for each in neighbours if has_room(each)), key=order)
 
@@ -71,11 +73,11 @@
         self.stays_until: dict[int, int] = {}  # by key: not moved before this time
         self.paused_until: dict[int, int] = {}  # by key, after a move called off: not offered before this time
 
-    def arrived(self, key: int, now: int) -> None:
+    def note_arrival(self, key: int, now: int) -> None:
         """Note that a session has become active here: it stays for `MIN_STAY_US` microseconds."""
         self.stays_until[key] = now + MIN_STAY_US
 
-    def ended(self, key: int, moved: bool, now: int) -> None:
+    def note_end(self, key: int, moved: bool, now: int) -> None:
         """Note the end of a move from here; not `moved`: it was called off."""
         self.targets.pop(key, None)
         if not moved:
@@ -86,32 +88,32 @@
     ) -> list[tuple[int, str]]:
         """The moves to begin now, as pairs of key and target; the caller asks for the others again later.
 
-        At most `MAX_MOVES_OUT` sessions are on the move from here at once, and `MAX_MOVES_IN` to each target.
+        At most `MAX_OUTGOING_MOVES` sessions migrate from here at once, and `MAX_INCOMING_MOVES` to each target.
         """
         self.stays_until = {key: until for key, until in self.stays_until.items() if until > now}
         self.paused_until = {key: until for key, until in self.paused_until.items() if until > now}
-        more: dict[str, int] = {}
+        incoming: dict[str, int] = {}
         for to in self.targets.values():
-            more[to] = more.get(to, 0) + 1
+            incoming[to] = incoming.get(to, 0) + 1
         chosen = []
-        for request in sorted(requests, key=lambda each: list(MigrationReason).index(each.why)):
-            stays = request.key in self.stays_until and request.why not in (
+        for request in sorted(requests, key=lambda each: list(MigrationReason).index(each.reason)):
+            stays = request.key in self.stays_until and request.reason not in (
                 MigrationReason.OPERATOR,
                 MigrationReason.LEAVING,
             )
             # `stays`: with a client at each of two senders a session would go to and fro, frozen most of the time.
             if (
-                len(self.targets) >= MAX_MOVES_OUT
+                len(self.targets) >= MAX_OUTGOING_MOVES
                 or request.key in self.targets
                 or request.key in self.paused_until
                 or stays
                 or not request.key
             ):
                 continue
-            for each in preferred(request.key, self.hall, neighbours, more):
-                if request.to in ("", each.name) and more.get(each.name, 0) < MAX_MOVES_IN:
+            for each in rank_targets(request.key, self.hall, neighbours, incoming):
+                if request.target in ("", each.name) and incoming.get(each.name, 0) < MAX_INCOMING_MOVES:
                     self.targets[request.key] = each.name
-                    more[each.name] = more.get(each.name, 0) + 1
+                    incoming[each.name] = incoming.get(each.name, 0) + 1
                     chosen.append((request.key, each.name))
                     break
         return chosen
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -9,7 +9,7 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.consensus import (
-    parts,
+    parse_move_name,
 )
 from cedarwick.fleet.limits import US_PER_S
 from cedarwick.fleet.messages import (
@@ -44,27 +44,27 @@
 class MigrationSource(MigrationState):
     """Freezes, marks, offers and releases a session that is held here."""
 
-    def _freeze(self, name: str) -> None:
+    def _freeze_session(self, name: str) -> None:
         """Stop new attempts of the session, and wait for those that are out; cut them off after `FREEZE_TIMEOUT_US`."""
-        key = self._key(name)
+        key = self._session_key(name)
         still = self.dispatcher.freeze(key)
         if not still.wait(FREEZE_TIMEOUT_US / US_PER_S):
             self.dispatcher.cut(key)
             still.wait(CUT_OFF_TIMEOUT_S)
-        self.carry_out(self.moves.attempts_ended(name, monotonic_time()))
+        self.carry_out(self.migration_table.on_attempts_ended(name, monotonic_time()))
 
-    def _mark(self, name: str) -> None:
+    def _mark_messages(self, name: str) -> None:
         """Mark the pending messages as inert, in the folder and at all successors; call the move off on a failure."""
-        key = self._key(name)
+        key = self._session_key(name)
         self.dispatcher.cut(key)
         # So that the ends of attempts that were cut off are recorded before the marks.
         self.dispatcher.between(lambda: True).get()
         partitions: set[int] = set()
         marked = self.dispatcher.between(lambda: self._write_marks(name, key, partitions)).get()
-        if marked and self._copied(partitions):
-            self.carry_out(self.moves.marked(name, monotonic_time()))
+        if marked and self._wait_until_replicated(partitions):
+            self.carry_out(self.migration_table.on_marked(name, monotonic_time()))
         else:
-            self.carry_out(self.moves.call_off(name, monotonic_time()))
+            self.carry_out(self.migration_table.call_off(name, monotonic_time()))
 
     def _write_marks(self, name: str, key: int, partitions: set[int]) -> bool:
         """Mark the pending messages in the own folder, and add their partitions to `partitions`."""
@@ -75,7 +75,7 @@
         ]
         if not self.store.taking() or not all(self.store.may_fire(stored.number) for stored in pending):
             return False
-        sequence, text = self.sequences[name], SOURCE_MARK + name
+        sequence, text = self.session_sequences[name], SOURCE_MARK + name
         if pending:
             self.files.write_marks(self.store.inert | {stored.number: (sequence, text) for stored in pending})
         for stored in pending:
@@ -83,24 +83,26 @@
         partitions.update(stored.number >> 32 for stored in pending)
         return True
 
-    def _stage(self, name: str) -> None:
+    def _offer_session(self, name: str) -> None:
         """Send the marked messages and the recent ids to the target; call the move off where it refuses them."""
         stage = self._session_to_stage(name)
         if stage is None:
-            self.carry_out(self.moves.call_off(name, monotonic_time()))
+            self.carry_out(self.migration_table.call_off(name, monotonic_time()))
             return
-        answer = self.call(parts(name)[2], stage, STAGE_TIMEOUT_S)
+        answer = self.call(parse_move_name(name)[2], stage, STAGE_TIMEOUT_S)
         if isinstance(answer, StageReply):
             now = monotonic_time()
             if not answer.stored:
                 self.counters.add("moves refused by the target")
-            self.carry_out(self.moves.staged(name, now) if answer.stored else self.moves.call_off(name, now))
+            self.carry_out(
+                self.migration_table.on_staged(name, now) if answer.stored else self.migration_table.call_off(name, now)
+            )
 
     def _session_to_stage(self, name: str) -> StageSession | None:
         """The session as it is sent to the target; None if it cannot be moved."""
-        key = self._key(name)
+        key = self._session_key(name)
         facts: list[Fact] = []
-        for number in self._marked(name, SOURCE_MARK):
+        for number in self._marked_messages(name, SOURCE_MARK):
             fact = self.store.holdings[number >> 32].read(self.store, number)
             if fact is None or fact.base is None:
                 return None
@@ -114,36 +116,36 @@
             return None
         entries = tuple(RecentIdEntry(each, age, hashed) for each, (age, hashed) in ids.items())
         rest = self.dispatcher.rest_of(key)
-        return StageSession(name, key, self.sequences[name], data, digest_of(data), entries, rest)
+        return StageSession(name, key, self.session_sequences[name], data, digest_of(data), entries, rest)
 
-    def _forward(self, step: MigrationStep) -> None:
+    def _start_forwarding(self, step: MigrationStep) -> None:
         """Record the target as the holder, and thaw the key: requests are forwarded from now on."""
-        key, now = self._key(step.move), monotonic_time()
+        key, now = self._session_key(step.move), monotonic_time()
         if self._began_here(step.move):
-            self.directory.record_new_holder(key, step.to, self.sequences[step.move] + 1, now)
-            self.planner.ended(key, True, now)
+            self.directory.record_new_holder(key, step.to, self.session_sequences[step.move] + 1, now)
+            self.planner.note_end(key, True, now)
             self.dispatcher.thaw(key)
             self.counters.add("sessions given away")
-        self.change()
+        self.notify_change()
 
-    def _release(self, name: str) -> None:
+    def _release_session(self, name: str) -> None:
         """Make the messages live here again after a move was called off; repeated until it succeeds."""
-        key, now, began_here = self._key(name), monotonic_time(), self._began_here(name)
+        key, now, began_here = self._session_key(name), monotonic_time(), self._began_here(name)
         # If the file cannot be written now, giving up would leave the messages inert and the session frozen for good.
-        while not self.dispatcher.between(lambda: self._clear_marks(name, key, began_here, now)).get():
+        while not self.dispatcher.between(lambda: self._clear_source_marks(name, key, began_here, now)).get():
             gevent.sleep(RELEASE_RETRY_S)
         if began_here:
-            self.planner.ended(key, False, monotonic_time())
+            self.planner.note_end(key, False, monotonic_time())
         self.counters.add("moves called off")
 
-    def _clear_marks(self, name: str, key: int, began_here: bool, now: int) -> bool:
+    def _clear_source_marks(self, name: str, key: int, began_here: bool, now: int) -> bool:
         """Clear the marks of a move that was called off, and go on with the session's messages."""
-        numbers = self._marked(name, SOURCE_MARK)
-        sequence = self._sequence(name, numbers) + 1
+        numbers = self._marked_messages(name, SOURCE_MARK)
+        sequence = self._session_sequence(name, numbers) + 1
         # A holder that adopted them without the marks may have decided their ends, and lost the notices as the marks
         # came. Those that wait for a copy are posted by the dispatcher.
         ended = {number for number in numbers if self.store.messages[number].end} - self.dispatcher.uncopied_ends
-        self._save_without(numbers)
+        self._save_marks_without(numbers)
         for number in numbers:
             self.store.mark(number, sequence, "")
         if began_here:
@@ -162,6 +164,6 @@
         self.dispatcher.adopt(pending, quietly=True)
         return True
 
-    def _over(self, name: str) -> None:
+    def _discard_at_source(self, name: str) -> None:
         """Drop the messages here: the target is active."""
-        self.dispatcher.between(lambda: self._give_up(name, SOURCE_MARK)).get()
+        self.dispatcher.between(lambda: self._discard_messages(name, SOURCE_MARK)).get()
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -1,6 +1,6 @@
 """The state and the helpers that both sides of a session's migration (move) share.
 
-`MigrationState` is the common base of the parts of `SessionMigrations`.
+`MigrationState` is the common base of the parse_move_name of `SessionMigrations`.
 """
 
 import random
@@ -14,7 +14,7 @@
 from cedarwick.fleet.consensus import (
     Acceptor,
     Proposer,
-    parts,
+    parse_move_name,
 )
 from cedarwick.fleet.messages import (
     Body,
@@ -54,27 +54,27 @@
         node: SessionHost,
         directory: SessionDirectory,
         call: Callable[[str, Body, float], Body | None],
-        takes: Callable[[], bool],
-        change: Callable[[], None],
+        accepts_sessions: Callable[[], bool],
+        notify_change: Callable[[], None],
     ) -> None:
         self.node = node
         self.name = node.name
         self.directory = directory
         self.call = call
-        self.takes = takes
-        self.change = change
+        self.accepts_sessions = accepts_sessions
+        self.notify_change = notify_change
         self.store = node.store
         self.files = SessionFiles(node.fleet_files)
         self.counters = node.counters
         self.clock = node.clock
         table = self.files.read_acceptor_table()
         self.acceptor = Acceptor(monotonic_time(), table is None, table)
-        self.unwritten: set[str] = set()  # moves with a vote of this member that is not on the disk
-        self.stamp = node.incarnation  # of the next move
-        self.acceptor.raise_floor(self.name, self.stamp)
+        self.unsaved_votes: set[str] = set()  # moves with a vote of this member that is not on the disk
+        self.next_stamp = node.incarnation  # of the next move
+        self.acceptor.raise_floor(self.name, self.next_stamp)
         self.files.write_acceptor_table(self.acceptor.table())
         chance = random.Random(node.incarnation)
-        self.moves = MigrationTable(
+        self.migration_table = MigrationTable(
             self.name,
             f"{self.name}#{node.incarnation}",
             tuple(sorted(node.halls)),
@@ -86,20 +86,20 @@
         self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.messages}
         self.store.write_move_marks = self.files.write_marks
         self.dispatcher: Dispatcher
-        self.offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
+        self.staged_offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
         self.staged_before_adoption: set[str] = set()  # of these, staged in a partition that was adopted since
-        self.sequences: dict[str, int] = {}  # by move: the sequence of its session since the move began
-        self.answers: dict[str, gevent.event.AsyncResult] = {}  # by move: whether it was staged
-        self.under_way: set[tuple[str, MigrationAction]] = set()
+        self.session_sequences: dict[str, int] = {}  # by move: the sequence of its session since the move began
+        self.staging_results: dict[str, gevent.event.AsyncResult] = {}  # by move: whether it was staged
+        self.running_steps: set[tuple[str, MigrationAction]] = set()
         # Of undecided moves that this member voted on and takes no part in:
         self.orphaned_proposers: dict[str, Proposer] = {}
-        self.limits_at = 0
+        self.deadlines_checked_at = 0
 
     @abstractmethod
     def carry_out(self, steps: Iterable[MigrationStep]) -> None:
         """Carry out steps of moves; a step that waits runs in a greenlet of its own."""
 
-    def _guarded(self, write: Callable[..., None], *arguments: object) -> bool:
+    def _try_to_save(self, write: Callable[..., None], *arguments: object) -> bool:
         """Call `write`; False where it raises OSError, which is counted and logged."""
         try:
             write(*arguments)
@@ -108,12 +108,12 @@
             return False
         return True
 
-    def _key(self, name: str) -> int:
+    def _session_key(self, name: str) -> int:
         """The key of a move's session; 0 where it is not known."""
-        known = self.moves.moves.get(name) or self.acceptor.rows.get(name)
+        known = self.migration_table.by_name.get(name) or self.acceptor.rows.get(name)
         return known.key if known is not None else 0
 
-    def _marked(self, name: str, side: str) -> list[int]:
+    def _marked_messages(self, name: str, side: str) -> list[int]:
         """Messages with the mark of one side of a move."""
         return sorted(
             number
@@ -123,19 +123,19 @@
 
     def _began_here(self, name: str) -> bool:
         """Whether this process began the move; if not, it was found after a restart or in an adopted partition."""
-        return parts(name)[1] == self.name and name in self.sequences
+        return parse_move_name(name)[1] == self.name and name in self.session_sequences
 
-    def _sequence(self, name: str, numbers: Iterable[int]) -> int:
+    def _session_sequence(self, name: str, numbers: Iterable[int]) -> int:
         """The sequence of the session since the move began: the largest one known here."""
-        return max([self.sequences.get(name, 0), *(self.store.inert[number][0] for number in numbers)])
+        return max([self.session_sequences.get(name, 0), *(self.store.inert[number][0] for number in numbers)])
 
-    def _save_without(self, numbers: Iterable[int]) -> None:
+    def _save_marks_without(self, numbers: Iterable[int]) -> None:
         """Write the file of inert messages without some of them; OSError where that fails."""
         gone = set(numbers)
         if gone:
             self.files.write_marks({number: mark for number, mark in self.store.inert.items() if number not in gone})
 
-    def _copied(self, partitions: set[int]) -> bool:
+    def _wait_until_replicated(self, partitions: set[int]) -> bool:
         """Wait until every successor has all records of these partitions; False after `REPLICATION_TIMEOUT_US`."""
         done, until = self.store.replication_check(partitions), monotonic_time() + REPLICATION_TIMEOUT_US
         while not done():
@@ -144,14 +144,14 @@
             gevent.sleep(REPLICATION_POLL_S)
         return True
 
-    def _give_up(self, name: str, side: str) -> bool:
+    def _discard_messages(self, name: str, side: str) -> bool:
         """Drop the messages of one side without a notice to anybody: the other side has them."""
-        numbers = self._marked(name, side)
+        numbers = self._marked_messages(name, side)
         for number in numbers:
             try:
                 self.store.over(number)
             except NoSpaceError as error:  # written once there is room; the other messages must not wait for that
                 self.counters.warning("no room for the record of an end", error)
             self.store.inert.pop(number, None)
-        self._save_without(numbers)
+        self._save_marks_without(numbers)
         return True
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -25,7 +25,7 @@
 from enum import Enum
 from typing import Final, Literal, NamedTuple
 
-from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Proposer, ProposerRequest, Value, parts
+from cedarwick.fleet.consensus import Acceptor, AcceptorReply, DecisionValue, Proposer, ProposerRequest, parse_move_name
 
 # The two values of a decision, as they are sent and stored.
 FOR_TARGET: Final = "taker"
@@ -39,8 +39,8 @@
 FORWARDING_US = 60_000_000  # microseconds for which the source forwards requests of the live connection
 FINISHED_RETENTION_US = 60_000_000  # microseconds that a finished migration is remembered
 FROZEN_WAIT_US = 250_000  # microseconds that a client's request on a frozen session waits before it is answered -BUSY
-MAX_MOVES_OUT = 20  # moves at once at a source
-MAX_MOVES_IN = 20  # staged at once at a target
+MAX_OUTGOING_MOVES = 20  # moves at once at a source
+MAX_INCOMING_MOVES = 20  # staged at once at a target
 
 
 class SourceStage(Enum):
@@ -50,7 +50,7 @@
     OFFERED = "offered"
     FORWARDING = "forwarding"
     CLOSED = "closed"
-    HELD = "held"  # called off
+    CALLED_OFF = "held"  # called off
 
 
 class TargetStage(Enum):
@@ -68,15 +68,15 @@
     FREEZE = "freeze"  # no new attempt of the key; call `attempts_ended` once none is under way
     MARK = "mark"  # unsettled attempts become may-have-run; mark in own folder and at every successor; then `marked`
     STAGE = "stage"  # send the facts and ids to `to`
-    WRITE = "write"  # store what was staged, marked, in own folder and at every successor; then `written`
-    STAGED = "staged"  # answer the source
+    STORE_OFFER = "write"  # store what was staged, marked, in own folder and at every successor; then `written`
+    CONFIRM_STAGED = "staged"  # answer the source
     REFUSE = "refuse"  # answer the source that it is not taken
-    ASK = "ask"  # send `ask` to an acceptor (maybe the own one), pass its answer to `answered`
-    TELL = "tell"  # send `MigrationDecided` to the holder of the partition of `to`; empty: to all members
+    REQUEST_VOTE = "ask"  # send `ask` to an acceptor (maybe the own one), pass its answer to `answered`
+    SEND_DECISION = "tell"  # send `MigrationDecided` to the holder of the partition of `to`; empty: to all members
     ACTIVATE = "activate"  # clear the target's marks, resume the messages; then `activated`
-    DROP = "drop"  # the target's are over without a notice
+    DISCARD_AT_TARGET = "drop"  # the target's are over without a notice
     RELEASE = "release"  # clear the source's marks, thaw the key
-    OVER = "over"  # the source's are over without a notice
+    DISCARD_AT_SOURCE = "over"  # the source's are over without a notice
     FORWARD = "forward"  # pass requests of the live connection on to `to`
     CLOSE = "close"  # stop forwarding
 
@@ -87,8 +87,8 @@
     action: MigrationAction
     move: str
     to: str = ""
-    ask: ProposerRequest | None = None
-    value: Value | None = None
+    vote_request: ProposerRequest | None = None
+    value: DecisionValue | None = None
     active: bool = False
 
 
@@ -101,10 +101,10 @@
     source_stage: SourceStage | None = None
     target_stage: TargetStage | None = None
     marking: bool = False  # the marks are being written
-    written: bool = False  # what was staged is stored
+    stored: bool = False  # what was staged is stored
     staged_answered: bool = False  # the target has answered `Staged`
-    confirmed: bool = False  # the target is active
-    value: Value | None = None  # the decision, once known
+    target_active: bool = False  # the target is active
+    value: DecisionValue | None = None  # the decision, once known
     proposer: Proposer | None = None
     began_at: int = 0
     settled_at: int = 0
@@ -117,64 +117,68 @@
 
     Args:
         name: this member.
-        mark: a text of this boot alone, as `name#incarnation`.
+        boot_id: a text of this boot alone, as `name#incarnation`.
         voters: all members, itself among them.
         acceptor: its own.
-        wait: as in `Proposer`.
+        backoff: as in `Proposer`.
     """
 
     def __init__(
-        self, name: str, mark: str, voters: tuple[str, ...], acceptor: Acceptor, wait: Callable[[int], int]
+        self, name: str, boot_id: str, voters: tuple[str, ...], acceptor: Acceptor, backoff: Callable[[int], int]
     ) -> None:
         self.name = name
-        self.mark = mark
+        self.boot_id = boot_id
         self.voters = voters
         self.acceptor = acceptor
-        self.wait = wait
-        self.moves: dict[str, Migration] = {}
+        self.backoff = backoff
+        self.by_name: dict[str, Migration] = {}
         self.by_key: dict[int, str] = {}  # the newest move of a session
-        self.proposers = 0
+        self.proposer_count = 0
 
     # ---- the source ----
 
     def begin(self, name: str, key: int, now: int) -> list[MigrationStep]:
         """Start to give a session away; no steps where it is on the move already, or too many sessions are."""
-        open_one = self.moves.get(self.by_key.get(key, ""))
+        open_one = self.by_name.get(self.by_key.get(key, ""))
         undecided = (SourceStage.FREEZING, SourceStage.OFFERED)
-        migrating = sum(1 for move in self.moves.values() if move.source_stage in undecided)
-        if (open_one is not None and not self._finished(open_one)) or migrating >= MAX_MOVES_OUT or name in self.moves:
+        migrating = sum(1 for move in self.by_name.values() if move.source_stage in undecided)
+        if (
+            (open_one is not None and not self._finished(open_one))
+            or migrating >= MAX_OUTGOING_MOVES
+            or name in self.by_name
+        ):
             return []
-        self.moves[name] = Migration(name, key, SourceStage.FREEZING, began_at=now)
+        self.by_name[name] = Migration(name, key, SourceStage.FREEZING, began_at=now)
         self.by_key[key] = name
         return [MigrationStep(MigrationAction.FREEZE, name)]
 
-    def attempts_ended(self, name: str, now: int) -> list[MigrationStep]:
+    def on_attempts_ended(self, name: str, now: int) -> list[MigrationStep]:
         """No attempt of the session is under way any more, or they have been awaited for long enough."""
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         if move is None or move.source_stage is not SourceStage.FREEZING or move.marking:
             return []
         move.marking = True
         return [MigrationStep(MigrationAction.MARK, name)]
 
-    def marked(self, name: str, now: int) -> list[MigrationStep]:
+    def on_marked(self, name: str, now: int) -> list[MigrationStep]:
         """The marks are in the own folder and at every successor of the partition."""
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         if move is None or move.source_stage is not SourceStage.FREEZING:
             return []
         move.source_stage = SourceStage.OFFERED
         move.next_at = now + MIN_RETRY_US
-        return [MigrationStep(MigrationAction.STAGE, name, parts(name)[2])]
+        return [MigrationStep(MigrationAction.STAGE, name, parse_move_name(name)[2])]
 
-    def staged(self, name: str, now: int) -> list[MigrationStep]:
+    def on_staged(self, name: str, now: int) -> list[MigrationStep]:
         """The target has stored the session and requests the decision itself; the source stops repeating `Stage`."""
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         if move is not None:
             move.staged_answered = True
         return []
 
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
         """The source wants the session back: the time is over, the target refused, or an operator asks for it."""
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         if move is None or move.source_stage not in (SourceStage.FREEZING, SourceStage.OFFERED):
             return []
         if move.source_stage is SourceStage.FREEZING:  # no target has ever heard of it
@@ -183,60 +187,70 @@
         # target may have stored the other one.
         return self._begin_settling(move, now)
 
-    def client_gone(self, key: int, now: int) -> list[MigrationStep]:
+    def stop_forwarding(self, key: int, now: int) -> list[MigrationStep]:
         """The live connection has ended."""
-        move = self.moves.get(self.by_key.get(key, ""))
+        move = self.by_name.get(self.by_key.get(key, ""))
         return self._close(move, now) if move is not None and move.source_stage is SourceStage.FORWARDING else []
 
     # ---- the target ----
 
-    def stage(self, name: str, key: int, room: bool, now: int) -> list[MigrationStep]:
+    def on_offer(self, name: str, key: int, room: bool, now: int) -> list[MigrationStep]:
         """A source offers a session. `room`: whether the folder and the load allow for it."""
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         if move is not None and move.target_stage is not None:
-            return [MigrationStep(MigrationAction.STAGED, name, parts(name)[1])] if move.written else []
-        staged = sum(1 for each in self.moves.values() if each.target_stage is TargetStage.STAGED)
-        # `may_open`: a `Stage` that arrives late or twice must not be stored again after its messages were sent or
+            return (
+                [MigrationStep(MigrationAction.CONFIRM_STAGED, name, parse_move_name(name)[1])] if move.stored else []
+            )
+        staged = sum(1 for each in self.by_name.values() if each.target_stage is TargetStage.STAGED)
+        # `may_add_row`: a `Stage` that arrives late or twice must not be stored again after its messages were sent or
         # dropped. The own acceptor votes once it is stored, so a move that it knows was staged or is being settled.
-        if not room or staged >= MAX_MOVES_IN or parts(name)[2] != self.name or not self.acceptor.may_open(name):
-            return [MigrationStep(MigrationAction.REFUSE, name, parts(name)[1])]
+        if (
+            not room
+            or staged >= MAX_INCOMING_MOVES
+            or parse_move_name(name)[2] != self.name
+            or not self.acceptor.may_add_row(name)
+        ):
+            return [MigrationStep(MigrationAction.REFUSE, name, parse_move_name(name)[1])]
         self._get_or_add(name, key, now).target_stage = TargetStage.STAGED
-        return [MigrationStep(MigrationAction.WRITE, name)]
+        return [MigrationStep(MigrationAction.STORE_OFFER, name)]
 
-    def written(self, name: str, now: int) -> list[MigrationStep]:
+    def on_stored(self, name: str, now: int) -> list[MigrationStep]:
         """What was staged is in the own folder and at every successor of the own partition."""
-        move = self.moves.get(name)
-        if move is None or move.target_stage is not TargetStage.STAGED or move.written:
+        move = self.by_name.get(name)
+        if move is None or move.target_stage is not TargetStage.STAGED or move.stored:
             return []
-        move.written = True
+        move.stored = True
         asks = self._proposer(move).begin_target_round(now) if move.proposer is None else []
-        return [MigrationStep(MigrationAction.STAGED, name, parts(name)[1]), *self._vote_requests(asks)]
+        return [
+            MigrationStep(MigrationAction.CONFIRM_STAGED, name, parse_move_name(name)[1]),
+            *self._vote_requests(asks),
+        ]
 
-    def activated(self, name: str, now: int) -> list[MigrationStep]:
+    def on_activated(self, name: str, now: int) -> list[MigrationStep]:
         """The messages are live here."""
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         if move is None or move.target_stage is not TargetStage.GRANTED:
             return []
         move.target_stage = TargetStage.ACTIVE
-        step = MigrationStep(MigrationAction.TELL, name, value=FOR_TARGET, active=True)
+        step = MigrationStep(MigrationAction.SEND_DECISION, name, value=FOR_TARGET, active=True)
         return [step, *self._note_target_active(move, now)]
 
     # ---- the decision ----
 
-    def answered(self, ask: ProposerRequest, answer: AcceptorReply, now: int) -> list[MigrationStep]:
+    def on_vote_reply(self, ask: ProposerRequest, answer: AcceptorReply, now: int) -> list[MigrationStep]:
         """Take an acceptor's answer to a vote request."""
-        move = self.moves.get(ask.move)
+        move = self.by_name.get(ask.move)
         if move is None or move.proposer is None or move.value is not None:
             return []
         asks = move.proposer.receive_reply(ask.to, ask.ballot, ask.value, answer, now)
         if move.proposer.decided is None:
             return self._vote_requests(asks)
         value = move.proposer.decided
-        return [MigrationStep(MigrationAction.TELL, ask.move, value=value), *self._decided(move, value, now)]
+        return [MigrationStep(MigrationAction.SEND_DECISION, ask.move, value=value), *self._decided(move, value, now)]
 
-    def settled(self, name: str, value: Value, active: bool, now: int) -> list[MigrationStep]:
+    def on_decision(self, name: str, value: DecisionValue, active: bool, now: int) -> list[MigrationStep]:
         """Take the decision from another member, also as an answer to `TELL`; `active`: the target's side is live."""
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         if move is None:
             return []
         steps = self._decided(move, value, now)
@@ -244,14 +258,14 @@
             steps += self._note_target_active(move, now)
         return steps
 
-    def known_decision(self, name: str) -> tuple[Value | None, bool]:
+    def known_decision(self, name: str) -> tuple[DecisionValue | None, bool]:
         """The answer to another member's `MigrationDecided`: the decision if known, and whether it is active here."""
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         return (None, False) if move is None else (move.value, move.target_stage is TargetStage.ACTIVE)
 
     # ---- restarts and partitions that change hands ----
 
-    def marks_found(self, name: str, key: int, at_source: bool, now: int) -> list[MigrationStep]:
+    def on_marks_found(self, name: str, key: int, at_source: bool, now: int) -> list[MigrationStep]:
         """Marked facts were found in a partition that this member holds, after its restart or after an adoption.
 
         For the target's side, call it only once every successor of that partition has the facts again: it may request
@@ -261,20 +275,20 @@
         if at_source and move.source_stage is None:
             move.source_stage = SourceStage.OFFERED
         elif not at_source and move.target_stage is None:
-            move.target_stage, move.written = TargetStage.STAGED, True
+            move.target_stage, move.stored = TargetStage.STAGED, True
         else:
             return []
         if move.value is not None:
             value, move.value = move.value, None
             steps = self._decided(move, value, now)
             return steps + (self._note_target_active(move, now) if move.target_stage is TargetStage.ACTIVE else [])
-        if not at_source and parts(name)[2] == self.name and move.proposer is None:
+        if not at_source and parse_move_name(name)[2] == self.name and move.proposer is None:
             return self._vote_requests(self._proposer(move).begin_target_round(now))
         return self._begin_settling(move, now)
 
-    def side_lost(self, name: str, at_source: bool) -> None:
+    def forget_side(self, name: str, at_source: bool) -> None:
         """The partition with this side has another holder now: forget this side."""
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         if move is None:
             return
         if at_source:
@@ -282,7 +296,7 @@
         else:
             move.target_stage = None
         if move.source_stage is None and move.target_stage is None:
-            del self.moves[name]
+            del self.by_name[name]
             if self.by_key.get(move.key) == name:
                 del self.by_key[move.key]
 
@@ -290,47 +304,51 @@
 
     def routing_state(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
         """What to do with a request for a session held here or on its way here, and the member to pass it to."""
-        move = self.moves.get(self.by_key.get(key, ""))
+        move = self.by_name.get(self.by_key.get(key, ""))
         if move is None:
             return "here", ""
         if move.source_stage is SourceStage.FORWARDING:
-            return "pass", parts(move.name)[2]
+            return "pass", parse_move_name(move.name)[2]
         frozen = move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED) or move.target_stage in (
             TargetStage.STAGED,
             TargetStage.GRANTED,
         )
         return ("wait" if frozen else "here"), ""
 
-    def near_deadline(self, name: str) -> Literal["failed", "over"] | None:
+    def action_near_deadline(self, name: str) -> Literal["failed", "over"] | None:
         """What to do with a marked message within 300 ms of its deadline.
 
         'failed': the holder of the source's partition answers that it failed, since it may have run at the target.
         'over': the target has it; no answer from here. None: it is at the target's side, and the source answers it.
         """
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         if move is None or move.source_stage in (None, SourceStage.CLOSED):
             return None
         return "over" if move.value == FOR_TARGET else "failed"
 
     # ---- time ----
 
-    def next_at(self) -> int | None:
+    def next_due_at(self) -> int | None:
         """When `due` is to be called next; None while there are no moves."""
-        return min((self._due_at(move) for move in self.moves.values()), default=None)
+        return min((self._due_at(move) for move in self.by_name.values()), default=None)
 
-    def due(self, now: int) -> list[MigrationStep]:
+    def due_steps(self, now: int) -> list[MigrationStep]:
         """The steps that are due: requests repeated, moves called off or forgotten, forwarding closed."""
         steps: list[MigrationStep] = []
-        for move in [each for each in self.moves.values() if self._due_at(each) <= now]:
+        for move in [each for each in self.by_name.values() if self._due_at(each) <= now]:
             if self._finished(move):
-                del self.moves[move.name]
+                del self.by_name[move.name]
                 if self.by_key.get(move.key) == move.name:
                     del self.by_key[move.key]
             elif move.source_stage is SourceStage.FORWARDING and now >= move.settled_at + FORWARDING_US:
                 steps += self._close(move, now)
-            elif move.source_stage is SourceStage.FORWARDING and not move.confirmed:
+            elif move.source_stage is SourceStage.FORWARDING and not move.target_active:
                 self._schedule_retry(move, now)
-                steps.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value=FOR_TARGET))
+                steps.append(
+                    MigrationStep(
+                        MigrationAction.SEND_DECISION, move.name, parse_move_name(move.name)[2], value=FOR_TARGET
+                    )
+                )
             elif move.value is not None:
                 self._schedule_retry(move, now)
                 steps.append(MigrationStep(MigrationAction.ACTIVATE, move.name))
@@ -341,10 +359,10 @@
             elif move.source_stage is None:  # the target could not store it, or not at every successor
                 steps += self._begin_settling(move, now)
             elif move.source_stage is SourceStage.FREEZING:
-                steps += self.attempts_ended(move.name, now)
+                steps += self.on_attempts_ended(move.name, now)
             elif move.source_stage is SourceStage.OFFERED and not move.staged_answered:
                 self._schedule_retry(move, now)
-                steps.append(MigrationStep(MigrationAction.STAGE, move.name, parts(move.name)[2]))
+                steps.append(MigrationStep(MigrationAction.STAGE, move.name, parse_move_name(move.name)[2]))
         return steps
 
     def _due_at(self, move: Migration) -> int:
@@ -353,7 +371,7 @@
         if move.source_stage is SourceStage.FORWARDING:
             return (
                 move.settled_at + FORWARDING_US
-                if move.confirmed
+                if move.target_active
                 else min(move.next_at, move.settled_at + FORWARDING_US)
             )
         if move.value is not None:
@@ -369,14 +387,14 @@
     # ---- within ----
 
     def _get_or_add(self, name: str, key: int, now: int) -> Migration:
-        if name not in self.moves:
-            self.moves[name] = Migration(name, key, began_at=now)
+        if name not in self.by_name:
+            self.by_name[name] = Migration(name, key, began_at=now)
             self.by_key[key] = name
-        return self.moves[name]
+        return self.by_name[name]
 
     @staticmethod
     def _finished(move: Migration) -> bool:
-        return move.source_stage in (None, SourceStage.CLOSED, SourceStage.HELD) and move.target_stage in (
+        return move.source_stage in (None, SourceStage.CLOSED, SourceStage.CALLED_OFF) and move.target_stage in (
             None,
             TargetStage.ACTIVE,
             TargetStage.DROPPED,
@@ -389,19 +407,19 @@
 
     @staticmethod
     def _vote_requests(asks: Iterable[ProposerRequest]) -> list[MigrationStep]:
-        return [MigrationStep(MigrationAction.ASK, ask.move, ask.to, ask) for ask in asks]
+        return [MigrationStep(MigrationAction.REQUEST_VOTE, ask.move, ask.to, ask) for ask in asks]
 
     def _proposer(self, move: Migration) -> Proposer:
         if move.proposer is None:
             # A second proposer of one boot, after the first was lost with its partition, must not share its ballots.
-            self.proposers += 1
-            move.proposer = Proposer(move.name, f"{self.mark}.{self.proposers}", self.voters, self.wait)
+            self.proposer_count += 1
+            move.proposer = Proposer(move.name, f"{self.boot_id}.{self.proposer_count}", self.voters, self.backoff)
         return move.proposer
 
     def _begin_settling(self, move: Migration, now: int) -> list[MigrationStep]:
         return self._vote_requests(self._proposer(move).begin_full_round(now)) if move.proposer is None else []
 
-    def _decided(self, move: Migration, value: Value, now: int) -> list[MigrationStep]:
+    def _decided(self, move: Migration, value: DecisionValue, now: int) -> list[MigrationStep]:
         """Note the decision and return the steps of each side, once."""
         if move.value is not None:
             return []
@@ -410,25 +428,31 @@
         if move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED):
             if value == FOR_TARGET:
                 move.source_stage = SourceStage.FORWARDING
-                steps.append(MigrationStep(MigrationAction.FORWARD, move.name, parts(move.name)[2]))
+                steps.append(MigrationStep(MigrationAction.FORWARD, move.name, parse_move_name(move.name)[2]))
                 if move.target_stage is not TargetStage.ACTIVE:
-                    steps.append(MigrationStep(MigrationAction.TELL, move.name, parts(move.name)[2], value=FOR_TARGET))
+                    steps.append(
+                        MigrationStep(
+                            MigrationAction.SEND_DECISION, move.name, parse_move_name(move.name)[2], value=FOR_TARGET
+                        )
+                    )
             else:
-                move.source_stage = SourceStage.HELD
+                move.source_stage = SourceStage.CALLED_OFF
                 steps.append(MigrationStep(MigrationAction.RELEASE, move.name))
         if move.target_stage is TargetStage.STAGED:
             move.target_stage = TargetStage.GRANTED if value == FOR_TARGET else TargetStage.DROPPED
             steps.append(
-                MigrationStep(MigrationAction.ACTIVATE if value == FOR_TARGET else MigrationAction.DROP, move.name)
+                MigrationStep(
+                    MigrationAction.ACTIVATE if value == FOR_TARGET else MigrationAction.DISCARD_AT_TARGET, move.name
+                )
             )
         return steps
 
     def _note_target_active(self, move: Migration, now: int) -> list[MigrationStep]:
         """Note that the target is active: the source's inert messages are over."""
-        if move.source_stage is not SourceStage.FORWARDING or move.confirmed:
+        if move.source_stage is not SourceStage.FORWARDING or move.target_active:
             return []
-        move.confirmed = True
-        return [MigrationStep(MigrationAction.OVER, move.name)]
+        move.target_active = True
+        return [MigrationStep(MigrationAction.DISCARD_AT_SOURCE, move.name)]
 
     def _close(self, move: Migration, now: int) -> list[MigrationStep]:
         over = self._note_target_active(
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -8,7 +8,7 @@
 import gevent.event
 
 from cedarwick.fleet.consensus import (
-    parts,
+    parse_move_name,
 )
 from cedarwick.fleet.limits import ANSWER_AHEAD_US
 from cedarwick.fleet.messages import (
@@ -27,38 +27,38 @@
 class MigrationTarget(MigrationState):
     """Stages, writes, activates and drops a session that is offered here."""
 
-    def _staged(self, body: StageSession, now: int) -> StageReply:
+    def _answer_offer(self, body: StageSession, now: int) -> StageReply:
         """Answer a source's offer; waits up to `STAGE_TIMEOUT_S` seconds until the messages are stored here."""
         if not whole(body):
             return StageReply(body.move, False, "spoilt")
-        room = self.takes() and len(self.directory.sessions) < MAX_SESSIONS
-        steps = self.moves.stage(body.move, body.key, room, now)
-        if any(step.action is MigrationAction.WRITE for step in steps):
-            self.offers[body.move] = body, now
-            self.sequences[body.move] = body.sequence
-        answer = self.answers.setdefault(body.move, gevent.event.AsyncResult())
+        room = self.accepts_sessions() and len(self.directory.sessions) < MAX_SESSIONS
+        steps = self.migration_table.on_offer(body.move, body.key, room, now)
+        if any(step.action is MigrationAction.STORE_OFFER for step in steps):
+            self.staged_offers[body.move] = body, now
+            self.session_sequences[body.move] = body.sequence
+        answer = self.staging_results.setdefault(body.move, gevent.event.AsyncResult())
         if steps and steps[0].action is MigrationAction.REFUSE:
-            self.answers.pop(body.move, None)
+            self.staging_results.pop(body.move, None)
             return StageReply(body.move, False, "no room")
         self.carry_out(steps)
         stored = answer.wait(STAGE_TIMEOUT_S)
         return StageReply(body.move, bool(stored), "" if stored else "it is not kept")
 
-    def _answer(self, name: str, staged: bool) -> None:
+    def _set_staging_result(self, name: str, staged: bool) -> None:
         """Wake those that wait in `_staged` for the outcome; only the first outcome counts."""
-        answer = self.answers.setdefault(name, gevent.event.AsyncResult())
+        answer = self.staging_results.setdefault(name, gevent.event.AsyncResult())
         if not answer.ready():
             answer.set(staged)
 
-    def _write(self, name: str) -> None:
+    def _store_offer(self, name: str) -> None:
         """Store the staged messages, marked as inert, in the own folder and at every successor."""
-        stage, _ = self.offers[name]
+        stage, _ = self.staged_offers[name]
         stored = self.dispatcher.between(lambda: self._store_staged(name, stage)).get()
         open_partition = self.store.open_partition
-        if stored and open_partition is not None and self._copied({open_partition.partition}):
-            self.carry_out(self.moves.written(name, monotonic_time()))
+        if stored and open_partition is not None and self._wait_until_replicated({open_partition.partition}):
+            self.carry_out(self.migration_table.on_stored(name, monotonic_time()))
         else:
-            self._answer(name, False)
+            self._set_staging_result(name, False)
 
     def _store_staged(self, name: str, stage: StageSession) -> bool:
         """Store the staged messages under numbers of the open partition; False if they cannot be stored now."""
@@ -78,30 +78,30 @@
             self.store.stage(stored, stage.sequence, TARGET_MARK + name)
         return True
 
-    def _activate(self, name: str) -> None:
+    def _activate_session(self, name: str) -> None:
         """Clear the marks and go on with the messages; does nothing while this member may not fire for them."""
-        key, offer = self._key(name), self.offers.get(name)
-        if self.dispatcher.between(lambda: self._make_active(name, key, offer)).get():
+        key, offer = self._session_key(name), self.staged_offers.get(name)
+        if self.dispatcher.between(lambda: self._clear_target_marks(name, key, offer)).get():
             self.counters.add("sessions taken over")
-            self.carry_out(self.moves.activated(name, monotonic_time()))
+            self.carry_out(self.migration_table.on_activated(name, monotonic_time()))
 
-    def _make_active(self, name: str, key: int, offer: tuple[StageSession, int] | None) -> bool:
-        numbers, now = self._marked(name, TARGET_MARK), monotonic_time()
+    def _clear_target_marks(self, name: str, key: int, offer: tuple[StageSession, int] | None) -> bool:
+        numbers, now = self._marked_messages(name, TARGET_MARK), monotonic_time()
         holdings = [self.store.holdings.get(number >> 32) for number in numbers]
         if not self.store.taking() or not all(each is not None and each.serving for each in holdings):
             return False
-        sequence = self._sequence(name, numbers) + 1
-        self._save_without(numbers)
+        sequence = self._session_sequence(name, numbers) + 1
+        self._save_marks_without(numbers)
         for number in numbers:
             self.store.mark(number, sequence, "")
         self._adopt_staged(numbers, offer)
         # If the decision came late, another member may have inherited the session (not its messages) from a dead
         # source; then this member must not claim to hold it.
-        if offer is not None and not self.directory.superseded(key, parts(name)[1], offer[0].sequence):
+        if offer is not None and not self.directory.superseded(key, parse_move_name(name)[1], offer[0].sequence):
             stage, at = offer  # without an offer the recent ids are unknown here; it is claimed later
             ids = {each.id: (each.age + now - at, each.hashed) for each in stage.ids}
             self.directory.hold(key, sequence, ids, now, name not in self.staged_before_adoption)
-            self.planner.arrived(key, now)
+            self.planner.note_arrival(key, now)
         return True
 
     def _adopt_staged(self, numbers: list[int], offer: tuple[StageSession, int] | None) -> None:
@@ -117,6 +117,6 @@
         if numbers or not quietly:
             self.dispatcher.adopt([number for number in numbers if number not in late], quietly)
 
-    def _drop(self, name: str) -> None:
+    def _discard_at_target(self, name: str) -> None:
         """Drop the staged messages: the move was called off."""
-        self.dispatcher.between(lambda: self._give_up(name, TARGET_MARK)).get()
+        self.dispatcher.between(lambda: self._discard_messages(name, TARGET_MARK)).get()
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -106,7 +106,7 @@
         )
         may_have_moved = self.migrations.acceptor.may_have_moved(
             request.key, holder, now - ID_RETENTION_US
-        ) or self.migrations.open_move(request.key)
+        ) or self.migrations.has_open_move(request.key)
         return self.directory.answer_inheritance(request, by, holds, may_have_moved, now)
 
     def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -14,8 +14,8 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.consensus import (
-    name_move,
-    parts,
+    format_move_name,
+    parse_move_name,
 )
 from cedarwick.fleet.limits import ANSWER_AHEAD_US
 from cedarwick.fleet.messages import (
@@ -34,7 +34,7 @@
     TargetStage,
 )
 from cedarwick.fleet.migration_target import MigrationTarget
-from cedarwick.fleet.migration_votes import MigrationVotes, ballot_of, value_of, voted
+from cedarwick.fleet.migration_votes import MigrationVotes, ballot_of, value_of, vote_reply_of
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.sessions import SESSION_TTL_US
 
@@ -53,70 +53,72 @@
 
     Args:
         call: a peer message to another member and its answer within so many seconds; None where there is none.
-        takes: whether this sender takes sessions now.
-        change: to be called when something has changed that a submission may wait for.
+        accepts_sessions: whether this sender takes sessions now.
+        notify_change: to be called when something has changed that a submission may wait for.
     """
 
-    def look(self, now: int) -> None:
+    def run_due_steps(self, now: int) -> None:
         """Do what is due now; called by the node at each turn, never waits."""
         self._check_marks(now)
-        self.carry_out(self.moves.due(now))
+        self.carry_out(self.migration_table.due_steps(now))
 
-    def forget(self, now: int) -> None:
+    def remove_expired(self, now: int) -> None:
         """Drop what is old; about once a second."""
         if self.acceptor.prune(now):
-            self._guarded(self.files.write_acceptor_table, self.acceptor.table())
+            self._try_to_save(self.files.write_acceptor_table, self.acceptor.table())
         self._settle_orphaned_moves(now)
-        for stored in (self.offers, self.sequences, self.answers):
-            for name in [name for name in stored if name not in self.moves.moves]:
+        for stored in (self.staged_offers, self.session_sequences, self.staging_results):
+            for name in [name for name in stored if name not in self.migration_table.by_name]:
                 del stored[name]
 
-    def under_way_here(self) -> bool:
+    def has_outgoing_moves(self) -> bool:
         """Whether a move that gives a session away from here is not over yet."""
         return any(
             move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED)
             or move.source_stage is SourceStage.FORWARDING
-            and not move.confirmed
-            for move in self.moves.moves.values()
+            and not move.target_active
+            for move in self.migration_table.by_name.values()
         )
 
     def begin(self, key: int, to: str, now: int) -> None:
         """Start to give a session that is held here to another member."""
         session = self.directory.sessions.get(key)
         if session is None or not session.sure or session.used < now - SESSION_TTL_US or not self.store.taking():
-            self.planner.ended(key, session is None, now)
+            self.planner.note_end(key, session is None, now)
             return
-        name = name_move(self.stamp, self.name, to)
-        self.stamp += 1
-        steps = self.moves.begin(name, key, now)
+        name = format_move_name(self.next_stamp, self.name, to)
+        self.next_stamp += 1
+        steps = self.migration_table.begin(name, key, now)
         if not steps:
-            self.planner.ended(key, False, now)
+            self.planner.note_end(key, False, now)
             return
-        self.sequences[name] = session.sequence + 1
+        self.session_sequences[name] = session.sequence + 1
         self.directory.hold(key, session.sequence + 1, self.directory.recent_ids(key, now), now)
         self.counters.add("moves begun")
         self.carry_out(steps)
 
-    def answer(self, body: StageSession | PrepareRequest | AcceptRequest | MigrationDecided, now: int) -> Body:
+    def answer_peer_message(
+        self, body: StageSession | PrepareRequest | AcceptRequest | MigrationDecided, now: int
+    ) -> Body:
         """The answer to another member's message about a move; raises `InvalidMoveNameError`."""
         try:
-            parts(body.move)
+            parse_move_name(body.move)
         except ValueError as error:
             raise InvalidMoveNameError(str(error)[:200]) from None
         if isinstance(body, StageSession):
-            return self._staged(body, now)
+            return self._answer_offer(body, now)
         if isinstance(body, PrepareRequest):
-            return voted(body.move, self.vote(body.move, ballot_of(body.ballot), None, body.key))
+            return vote_reply_of(body.move, self.vote(body.move, ballot_of(body.ballot), None, body.key))
         value = value_of(body.value)
         if value is None:
             raise InvalidMoveNameError(f"no value of a decision: {body.value!r}")
         if isinstance(body, AcceptRequest):
-            return voted(body.move, self.vote(body.move, ballot_of(body.ballot), value, body.key))
+            return vote_reply_of(body.move, self.vote(body.move, ballot_of(body.ballot), value, body.key))
         row = self.acceptor.note_decision(body.move, value, now)
         if row is not None:
-            self._guarded(self.files.append_vote, row)
-        self.carry_out(self.moves.settled(body.move, value, body.active, now))
-        known, active = self.moves.known_decision(body.move)
+            self._try_to_save(self.files.append_vote, row)
+        self.carry_out(self.migration_table.on_decision(body.move, value, body.active, now))
+        known, active = self.migration_table.known_decision(body.move)
         return MigrationDecided(body.move, known or "", active)
 
     def carry_out(self, steps: Iterable[MigrationStep]) -> None:
@@ -125,50 +127,55 @@
         now = monotonic_time()
         while todo:
             step = todo.popleft()
-            if step.action is MigrationAction.ASK and step.ask is not None:
-                if step.ask.to == self.name:
-                    answer = self.vote(step.ask.move, step.ask.ballot, step.ask.value, self._key(step.ask.move))
-                    todo.extend(self.moves.answered(step.ask, answer, now))
+            if step.action is MigrationAction.REQUEST_VOTE and step.vote_request is not None:
+                if step.vote_request.to == self.name:
+                    answer = self.vote(
+                        step.vote_request.move,
+                        step.vote_request.ballot,
+                        step.vote_request.value,
+                        self._session_key(step.vote_request.move),
+                    )
+                    todo.extend(self.migration_table.on_vote_reply(step.vote_request, answer, now))
                 else:
-                    gevent.spawn(self._ask, step.ask)
-            elif step.action is MigrationAction.TELL:
-                gevent.spawn(self._tell, step)
-            elif step.action in (MigrationAction.STAGED, MigrationAction.REFUSE):
-                self._answer(step.move, step.action is MigrationAction.STAGED)
+                    gevent.spawn(self._request_vote, step.vote_request)
+            elif step.action is MigrationAction.SEND_DECISION:
+                gevent.spawn(self._send_decision, step)
+            elif step.action in (MigrationAction.CONFIRM_STAGED, MigrationAction.REFUSE):
+                self._set_staging_result(step.move, step.action is MigrationAction.CONFIRM_STAGED)
             elif step.action is MigrationAction.FORWARD:
-                self._forward(step)
+                self._start_forwarding(step)
             elif step.action is MigrationAction.CLOSE:
                 self.counters.add("moves closed")
-            elif (step.move, step.action) not in self.under_way:
-                self.under_way.add((step.move, step.action))
-                gevent.spawn(self._do, step)
+            elif (step.move, step.action) not in self.running_steps:
+                self.running_steps.add((step.move, step.action))
+                gevent.spawn(self._run_step, step)
 
-    def _do(self, step: MigrationStep) -> None:
+    def _run_step(self, step: MigrationStep) -> None:
         work = {
-            MigrationAction.FREEZE: self._freeze,
-            MigrationAction.MARK: self._mark,
-            MigrationAction.STAGE: self._stage,
-            MigrationAction.WRITE: self._write,
-            MigrationAction.ACTIVATE: self._activate,
-            MigrationAction.DROP: self._drop,
-            MigrationAction.RELEASE: self._release,
-            MigrationAction.OVER: self._over,
+            MigrationAction.FREEZE: self._freeze_session,
+            MigrationAction.MARK: self._mark_messages,
+            MigrationAction.STAGE: self._offer_session,
+            MigrationAction.STORE_OFFER: self._store_offer,
+            MigrationAction.ACTIVATE: self._activate_session,
+            MigrationAction.DISCARD_AT_TARGET: self._discard_at_target,
+            MigrationAction.RELEASE: self._release_session,
+            MigrationAction.DISCARD_AT_SOURCE: self._discard_at_source,
         }
         try:
             work[step.action](step.move)
         except Exception:  # one move that fails must not keep the others from being settled
             self.counters.failed(f"a move failed at {step.action.value}")
         finally:
-            self.under_way.discard((step.move, step.action))
-            self.change()
+            self.running_steps.discard((step.move, step.action))
+            self.notify_change()
 
-    def open_move(self, key: int) -> bool:
+    def has_open_move(self, key: int) -> bool:
         """Whether this member takes part in a move of this session that is undecided or not carried out yet."""
-        move = self.moves.moves.get(self.moves.by_key.get(key, ""))
+        move = self.migration_table.by_name.get(self.migration_table.by_key.get(key, ""))
         return move is not None and (
             move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED)
             or move.source_stage is SourceStage.FORWARDING
-            and not move.confirmed
+            and not move.target_active
             or move.target_stage in (TargetStage.STAGED, TargetStage.GRANTED)
         )
 
@@ -181,9 +188,9 @@
         for text, numbers in numbers_by_mark.items():
             self._settle_found_move(text, numbers, now)
         self._forget_lost_sides(numbers_by_mark)
-        if now - self.limits_at >= DEADLINE_CHECK_US:
-            self.limits_at = now
-            self._answer_late()
+        if now - self.deadlines_checked_at >= DEADLINE_CHECK_US:
+            self.deadlines_checked_at = now
+            self._answer_messages_near_deadline()
 
     def _drop_marks_without_message(self) -> None:
         gone = [number for number in self.store.inert if number not in self.store.messages]
@@ -193,7 +200,7 @@
     def _settle_found_move(self, text: str, numbers: list[int], now: int) -> None:
         """Begin to settle the move of a mark if this member did not know that it has that side."""
         name, at_source = text[1:], text[:1] == SOURCE_MARK
-        move = self.moves.moves.get(name)
+        move = self.migration_table.by_name.get(name)
         if move is not None and (move.source_stage if at_source else move.target_stage) is not None:
             return
         partitions = {number >> 32 for number in numbers}
@@ -204,23 +211,27 @@
         if not at_source and not self.store.replication_check(partitions)():
             return
         logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
-        self.carry_out(self.moves.marks_found(name, self.store.messages[numbers[0]].turn, at_source, now))
+        self.carry_out(self.migration_table.on_marks_found(name, self.store.messages[numbers[0]].turn, at_source, now))
 
     def _forget_lost_sides(self, marks: Container[str]) -> None:
         """Forget sides that were found earlier, and whose partition has another holder by now."""
-        for name, move in list(self.moves.moves.items()):
+        for name, move in list(self.migration_table.by_name.items()):
             sides = ((True, move.source_stage, SOURCE_MARK), (False, move.target_stage, TARGET_MARK))
             for at_source, stage, mark in sides:
                 is_open = stage in (SourceStage.OFFERED, TargetStage.STAGED, TargetStage.GRANTED)
-                if is_open and name not in self.sequences and mark + name not in marks:
-                    self.moves.side_lost(name, at_source)
+                if is_open and name not in self.session_sequences and mark + name not in marks:
+                    self.migration_table.forget_side(name, at_source)
 
-    def _answer_late(self) -> None:
+    def _answer_messages_near_deadline(self) -> None:
         soon = self.clock.now() + ANSWER_AHEAD_US
         for number, (_, text) in list(self.store.inert.items()):
             stored, holding = self.store.messages.get(number), self.store.holdings.get(number >> 32)
             if stored is None or stored.end is not None or stored.deadline > soon or holding is None:
                 continue
-            if holding.serving and self.moves.near_deadline(text[1:]) == "failed" and text[:1] == SOURCE_MARK:
+            if (
+                holding.serving
+                and self.migration_table.action_near_deadline(text[1:]) == "failed"
+                and text[:1] == SOURCE_MARK
+            ):
                 self.counters.add("messages on the move that were answered by their limit")
                 self.dispatcher.answer_late([number])
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -133,8 +133,8 @@
 
     def left(self) -> bool:
         """Whether no move from here is under way, and no session is held that another member would take."""
-        held = self.directory.sessions and any(each.takes for each in self._neighbours())
-        return not held and not self.migrations.under_way_here()
+        held = self.directory.sessions and any(each.accepts_sessions for each in self._neighbours())
+        return not held and not self.migrations.has_outgoing_moves()
 
     def heard(self, sender: str, incarnation: int, body: Body) -> Body | None:
         """The answer to another member's peer message; None if it is not about sessions."""
@@ -151,7 +151,7 @@
         if isinstance(body, RecallForward):
             return self._answer_recall(body)
         if isinstance(body, StageSession | PrepareRequest | AcceptRequest | MigrationDecided):
-            return self.migrations.answer(body, now)
+            return self.migrations.answer_peer_message(body, now)
         return None
 
     def _answer_claim(self, sender: str, body: SessionClaim | SessionInheritance, now: int) -> ClaimAnswer:
@@ -159,7 +159,7 @@
         if isinstance(body, SessionInheritance):
             return self._answer_inheritance(request, body.partition, sender, now)
         # Refused during a move: decided late, it would make a second holder beside the claimer.
-        if self.migrations.open_move(body.key):
+        if self.migrations.has_open_move(body.key):
             return ClaimAnswer(False, None)
         return self.directory.answer_claim(request, sender, now)
 
@@ -173,7 +173,7 @@
         if now - self.forgot_at >= FORGET_INTERVAL_US:
             self.forgot_at = now
             self._forget(now)
-        self.migrations.look(now)
+        self.migrations.run_due_steps(now)
         self._plan(now)
         self._answer_move_commands()
 
@@ -188,7 +188,7 @@
     def _forget(self, now: int) -> None:
         """Drop what is old."""
         self.directory.forget(now)
-        self.migrations.forget(now)
+        self.migrations.remove_expired(now)
         for known in (self.replica_recent_ids, self.inheritable_sessions):
             for partition in [partition for partition in known if partition not in self.node.adoptions]:
                 del known[partition]
@@ -212,7 +212,7 @@
             return
         now = monotonic_time()
         self._receive_locations(name, answer, now)
-        self.migrations.learned(name, answer.stamp)
+        self.migrations.record_next_stamp(name, answer.stamp)
         # Only if no member has run before: one that forgot sessions must wait until ids of that time cannot come again.
         if answer.first and self.fleet_files.first:
             self.members_without_history.add(name)
@@ -222,7 +222,7 @@
 
     def _location_update(self, locations: tuple[SessionLocation, ...], first: bool) -> SessionLocations:
         return SessionLocations(
-            locations, len(self.directory.sessions), self._accepts_sessions(), self.migrations.stamp, first
+            locations, len(self.directory.sessions), self._accepts_sessions(), self.migrations.next_stamp, first
         )
 
     def _receive_locations(self, name: str, body: SessionLocations, now: int) -> None:
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -63,7 +63,7 @@
         self.migrations = SessionMigrations(
             node, self.directory, self._call, self._accepts_sessions, self._notify_change
         )
-        self.moves = self.migrations.moves
+        self.moves = self.migrations.migration_table
         self.dispatcher: Dispatcher
         self.client_listener: ClientListener
         self.leaving = False
@@ -103,7 +103,7 @@
         if current is not None and current.partition != self.partition:
             if self.partition:
                 self.directory.mark_all_unsure()
-                self.migrations.staged_before_adoption = set(self.migrations.offers)
+                self.migrations.staged_before_adoption = set(self.migrations.staged_offers)
             self.partition = current.partition
 
     def _accepts_sessions(self) -> bool:
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -136,7 +136,7 @@
         claim = ClaimAnswer(answer.disowned, entry_of(answer.entry))
         ruling = self.directory.forward_refused(key, by, claim, monotonic_time())
         if ruling is SubmissionRuling.CLAIM:
-            self.migrations.carry_out(self.moves.client_gone(key, monotonic_time()))
+            self.migrations.carry_out(self.moves.stop_forwarding(key, monotonic_time()))
             if self._claim(key):
                 return True
         # It may have come here meanwhile.
--- a/tests/fleet/test_consensus.py
+++ b/tests/fleet/test_consensus.py
@@ -14,11 +14,11 @@
     AcceptorReply,
     AcceptorTable,
     Proposer,
-    name_move,
-    parts,
+    format_move_name,
+    parse_move_name,
 )
 
-MOVE = name_move(10, "A", "B")
+MOVE = format_move_name(10, "A", "B")
 TAKERS = (1, "B")
 
 
@@ -49,7 +49,7 @@
                     proposer.begin_full_round(0) if proposer.backing_off else proposer.on_timer(ROUND_TIMEOUT_US)
                 )
             elif what == "lose" and not lost:
-                lost, voters[name] = True, Acceptor(0, lost=True)
+                lost, voters[name] = True, Acceptor(0, table_lost=True)
                 voters[name].raise_floor("A", 11)
             elif sent[who]:  # any question ever asked may come now, or once more
                 ask = sent[who][which % len(sent[who])]
@@ -73,30 +73,30 @@
     def test_the_row_is_given_for_writing_before_the_answer_and_once(self) -> None:
         voter = Acceptor(0)
         first = voter.prepare(MOVE, (2, "A#1"), 0)
-        self.assertEqual(first.write and first.write.promised, (2, "A#1"))
-        self.assertEqual(voter.prepare(MOVE, (2, "A#1"), 0), first._replace(write=None))
+        self.assertEqual(first.unsaved_row and first.unsaved_row.promised, (2, "A#1"))
+        self.assertEqual(voter.prepare(MOVE, (2, "A#1"), 0), first._replace(unsaved_row=None))
         again = Acceptor(5, table=voter.table())
         self.assertFalse(again.accept(MOVE, TAKERS, "taker", 5).granted)
 
     def test_who_has_lost_its_table_abstains_from_what_began_before(self) -> None:
-        voter = Acceptor(0, lost=True)
+        voter = Acceptor(0, table_lost=True)
         self.assertIs(voter.accept(MOVE, TAKERS, "taker", 0), ABSTENTION)
         voter.raise_floor("A", 11)
         voter = Acceptor(0, table=voter.table())
         self.assertIs(voter.prepare(MOVE, (2, "C#1"), 0), ABSTENTION)
-        self.assertIs(voter.prepare(name_move(99, "C", "B"), (2, "C#1"), 0), ABSTENTION)
-        self.assertTrue(voter.prepare(name_move(11, "A", "B"), (2, "C#1"), 0).granted)
+        self.assertIs(voter.prepare(format_move_name(99, "C", "B"), (2, "C#1"), 0), ABSTENTION)
+        self.assertTrue(voter.prepare(format_move_name(11, "A", "B"), (2, "C#1"), 0).granted)
 
     def test_a_pruned_decree_is_not_decided_once_more(self) -> None:
         voter = Acceptor(0)
         voter.accept(MOVE, TAKERS, "taker", 0)
-        self.assertEqual((voter.undecided(UNDECIDED_LIMIT_US), voter.prune(DECIDED_RETENTION_US)), ([MOVE], False))
+        self.assertEqual((voter.long_undecided(UNDECIDED_LIMIT_US), voter.prune(DECIDED_RETENTION_US)), ([MOVE], False))
         settled = voter.note_decision(MOVE, "taker", 0)
         self.assertTrue(settled is not None and settled.decided)
         self.assertTrue(voter.prepare(MOVE, (9, "A#1"), 0).decided)
         self.assertTrue(voter.prune(DECIDED_RETENTION_US))
         voter = Acceptor(0, table=voter.table())
-        self.assertEqual((voter.table(), voter.undecided(UNDECIDED_LIMIT_US)), (AcceptorTable([], {"A": 11}), []))
+        self.assertEqual((voter.table(), voter.long_undecided(UNDECIDED_LIMIT_US)), (AcceptorTable([], {"A": 11}), []))
         self.assertIs(voter.accept(MOVE, TAKERS, "taker", DECIDED_RETENTION_US), ABSTENTION)
 
     def test_silent_voters_are_asked_again_then_a_higher_round_follows(self) -> None:
@@ -127,9 +127,9 @@
         self.assertFalse(voter.accept(MOVE, (2, "C#1"), "off", 0).granted)
 
     def test_names(self) -> None:
-        self.assertEqual(parts(MOVE), (10, "A", "B"))
+        self.assertEqual(parse_move_name(MOVE), (10, "A", "B"))
         for bad in ("", "10/A", "x/A/B", "10//B", "1/A/B/C"):
             with self.assertRaises(ValueError):
-                parts(bad)
+                parse_move_name(bad)
         with self.assertRaises(ValueError):
-            name_move(1, "a/b", "c")
+            format_move_name(1, "a/b", "c")
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -16,7 +16,7 @@
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import Outcome
 from cedarwick.fleet import limits
-from cedarwick.fleet.consensus import parts
+from cedarwick.fleet.consensus import parse_move_name
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError
 from cedarwick.fleet.lease_grantor import LeaseGrantor
 from cedarwick.fleet.lease_holder import KnownHolder
@@ -861,7 +861,7 @@
                 message(stored_message_of(decode_facts(data)[0]), b"")
             else:
                 self.assertRaises(CorruptFactsError, decode_facts, data)
-        self.assertRaises(ValueError, parts, f"{1 << 62}/a/b")
+        self.assertRaises(ValueError, parse_move_name, f"{1 << 62}/a/b")
 
 
 class PostsTest(unittest.TestCase):
--- a/tests/fleet/test_session_inheritance.py
+++ b/tests/fleet/test_session_inheritance.py
@@ -7,7 +7,7 @@
 import unittest
 from unittest import mock
 
-from cedarwick.fleet.consensus import Acceptor, name_move
+from cedarwick.fleet.consensus import Acceptor, format_move_name
 from cedarwick.fleet.messages import LEVEL, VERSION, PeerMessage, RecentIdEntry, StageSession, decode, encode
 from cedarwick.fleet.recent_ids import UNKNOWN_HASH, RecentIds, hash_of
 from cedarwick.fleet.replica import ReplicaEntry
@@ -56,7 +56,7 @@
         ] = {}  # when whole; when the id was taken
 
     def barred(self, move: str, source: "Member", now: int) -> bool:
-        """As `MigrationVotes._barred`."""
+        """As `MigrationVotes._vote_forbidden`."""
         return self.directory.forbids_vote(KEY, source.name, now, move in self.acceptor.rows or source.awake)
 
 
@@ -158,7 +158,7 @@
         session = one.directory.sessions.get(KEY)
         if one.lost or one.frozen or session is None or not session.sure or session.used < self.now - SESSION_TTL_US:
             return
-        name = one.frozen = name_move(self.stamp, one.name, two.name)
+        name = one.frozen = format_move_name(self.stamp, one.name, two.name)
         self.stamp += 1
         one.directory.hold(KEY, session.sequence + 1, one.directory.recent_ids(KEY, self.now), self.now)
         self.began[name] = self.now
--- a/tests/fleet/test_session_migration.py
+++ b/tests/fleet/test_session_migration.py
@@ -12,7 +12,15 @@
 from hypothesis import strategies as st
 
 from cedarwick.fleet import migration_table as moves_module
-from cedarwick.fleet.consensus import Acceptor, AcceptorReply, Ballot, Proposer, ProposerRequest, Value, name_move
+from cedarwick.fleet.consensus import (
+    Acceptor,
+    AcceptorReply,
+    Ballot,
+    DecisionValue,
+    Proposer,
+    ProposerRequest,
+    format_move_name,
+)
 from cedarwick.fleet.migration_planner import (
     CALL_OFF_PAUSE_US,
     MAX_LOAD_SHARE,
@@ -26,8 +34,8 @@
     CALL_OFF_AFTER_US,
     FORWARDING_US,
     FREEZE_TIMEOUT_US,
-    MAX_MOVES_IN,
-    MAX_MOVES_OUT,
+    MAX_INCOMING_MOVES,
+    MAX_OUTGOING_MOVES,
     Migration,
     MigrationAction,
     MigrationStep,
@@ -50,29 +58,38 @@
 )
 
 KEY, MS = 7, 1000
-MOVE = name_move(10, "A", "B")
+MOVE = format_move_name(10, "A", "B")
 FROZEN = (SourceStage.FREEZING, SourceStage.OFFERED, SourceStage.FORWARDING)
 
 # What can happen to a member, and what leaves it: to whom, or of whom where it is for the judge alone.
 Event = (
     tuple[
         Literal[
-            "begin", "attempts_ended", "marked", "staged", "call_off", "written", "round", "learn", "restart", "due"
+            "begin",
+            "on_attempts_ended",
+            "on_marked",
+            "on_staged",
+            "call_off",
+            "on_stored",
+            "round",
+            "learn",
+            "restart",
+            "due",
         ]
     ]
     | tuple[Literal["stage", "bereft"], bool]
     | tuple[Literal["adopt"], bool, str | None]
     | tuple[Literal["ask"], str, ProposerRequest]
     | tuple[Literal["answer"], ProposerRequest, AcceptorReply]
-    | tuple[Literal["tell", "said"], str, Value, bool]
+    | tuple[Literal["tell", "said"], str, DecisionValue, bool]
 )
 Answering = tuple[Literal["answer"], str, ProposerRequest, AcceptorReply]
 Message = (
     tuple[Literal["stage", "staged", "refused", "again", "fired"], str]
     | tuple[Literal["ask"], str, str, ProposerRequest]
     | Answering
-    | tuple[Literal["tell", "said"], str, str, Value, bool]
-    | tuple[Literal["vote"], str, Ballot, Value]
+    | tuple[Literal["tell", "said"], str, str, DecisionValue, bool]
+    | tuple[Literal["vote"], str, Ballot, DecisionValue]
 )
 State = tuple[tuple[int, ...], int, int, int]  # members, messages sent, restarts and adoptions left
 View = tuple[list[Event], bool, bool, str | None, str | None, bool, bool, bool, bool, Migration | None]
@@ -80,10 +97,10 @@
 
 STAGED: Way = (
     (0, ("begin",)),
-    (0, ("attempts_ended",)),
-    (0, ("marked",)),
+    (0, ("on_attempts_ended",)),
+    (0, ("on_marked",)),
     (1, ("stage", True)),
-    (1, ("written",)),
+    (1, ("on_stored",)),
 )  # the straight way
 
 
@@ -109,7 +126,7 @@
                 self.name,
                 self.boots,
                 self.acceptor.rows,
-                self.moves.moves,
+                self.moves.by_name,
                 self.gives,
                 self.takes,
                 self.marked_at_successors,
@@ -120,7 +137,7 @@
         )
 
     def move(self) -> Migration | None:
-        return self.moves.moves.get(MOVE)
+        return self.moves.by_name.get(MOVE)
 
     def fires_as_giver(self) -> bool:
         move = self.move()
@@ -139,11 +156,11 @@
             found.append(("begin",))
         if move is not None:
             if move.source_stage is SourceStage.FREEZING:
-                found.append(("marked",) if move.marking else ("attempts_ended",))
+                found.append(("on_marked",) if move.marking else ("on_attempts_ended",))
             if move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED) and move.proposer is None:
                 found.append(("call_off",))
-            if move.target_stage is TargetStage.STAGED and not move.written and self.takes_held:
-                found.append(("written",))
+            if move.target_stage is TargetStage.STAGED and not move.stored and self.takes_held:
+                found.append(("on_stored",))
             if move.value is None and move.proposer is not None and move.proposer.highest_round < 3:
                 found.append(("round",))
             if (move.source_stage and not self.gives_held) or (move.target_stage and not self.takes_held):
@@ -156,21 +173,21 @@
         move = self.move()
         if event[0] == "begin":
             acts = self.moves.begin(MOVE, KEY, now)
-        elif event[0] == "marked":
+        elif event[0] == "on_marked":
             self.gives = "marked"
             if not self.gives_held:
                 return sent
             self.marked_at_successors = True
-            acts = self.moves.marked(MOVE, now)
-        elif event[0] == "written":
+            acts = self.moves.on_marked(MOVE, now)
+        elif event[0] == "on_stored":
             self.staged_at_successors = True
-            acts = self.moves.written(MOVE, now)
+            acts = self.moves.on_stored(MOVE, now)
         elif event[0] == "round":
             assert move is not None and move.proposer is not None
             acts = self.moves._vote_requests(move.proposer.begin_full_round(now))
         elif event[0] == "learn":
             for gives in [each for each, held in ((True, self.gives_held), (False, self.takes_held)) if not held]:
-                self.moves.side_lost(MOVE, gives)
+                self.moves.forget_side(MOVE, gives)
                 self.gives, self.takes = (None, self.takes) if gives else (self.gives, None)
         elif event[0] == "restart":
             self.boots += 1
@@ -178,34 +195,34 @@
             table = self.acceptor.table()
             self.acceptor.load(table, now)
             if self.gives_held and self.gives == "marked":
-                acts += self.moves.marks_found(MOVE, KEY, True, now)
+                acts += self.moves.on_marks_found(MOVE, KEY, True, now)
             if self.takes_held and self.takes == "staged":
                 self.staged_at_successors = True
-                acts += self.moves.marks_found(MOVE, KEY, False, now)
+                acts += self.moves.on_marks_found(MOVE, KEY, False, now)
         elif event[0] == "adopt":
             _, gives, found = event
             if gives:
                 self.gives, self.gives_held = found, True
             else:
                 self.takes, self.takes_held, self.staged_at_successors = found, True, True
-            acts = self.moves.marks_found(MOVE, KEY, gives, now) if found in ("marked", "staged") else []
+            acts = self.moves.on_marks_found(MOVE, KEY, gives, now) if found in ("marked", "staged") else []
         elif event[0] == "bereft":
             self.gives_held, self.takes_held = (False, self.takes_held) if event[1] else (self.gives_held, False)
             return sent
         elif event[0] == "stage":
-            acts = self.moves.stage(MOVE, KEY, event[1], now)
+            acts = self.moves.on_offer(MOVE, KEY, event[1], now)
         elif event[0] == "ask":
             votes, answer = self.asked(event[1], event[2])
             return [*votes, answer]
         elif event[0] == "tell" or event[0] == "said":
-            acts = self.moves.settled(MOVE, event[2], event[3], now)
+            acts = self.moves.on_decision(MOVE, event[2], event[3], now)
             value, active = self.moves.known_decision(MOVE)
             if value is not None and event[0] == "tell":
                 sent.append(("said", event[1], self.name, value, active))
         elif event[0] == "answer":
-            acts = self.moves.answered(event[1], event[2], now)
+            acts = self.moves.on_vote_reply(event[1], event[2], now)
         elif event[0] == "due":
-            acts = self.moves.due(now)
+            acts = self.moves.due_steps(now)
         else:
             acts = getattr(self.moves, event[0])(MOVE, now)
         for act in acts:
@@ -213,13 +230,13 @@
         return sent
 
     def act(self, act: MigrationStep, now: int) -> list[Message]:
-        if act.action is MigrationAction.ASK:
-            assert act.ask is not None
+        if act.action is MigrationAction.REQUEST_VOTE:
+            assert act.vote_request is not None
             if act.to == self.name:
-                votes, answer = self.asked(self.name, act.ask, now)
+                votes, answer = self.asked(self.name, act.vote_request, now)
                 return votes + self.do(("answer", answer[2], answer[3]), now)
-            return [("ask", act.to, self.name, act.ask)]
-        if act.action is MigrationAction.TELL:
+            return [("ask", act.to, self.name, act.vote_request)]
+        if act.action is MigrationAction.SEND_DECISION:
             assert act.value is not None
             return [
                 ("tell", to, self.name, act.value, act.active)
@@ -228,25 +245,25 @@
             ]
         if act.action is MigrationAction.STAGE:
             return [("stage", "B")]
-        if act.action is MigrationAction.STAGED:
+        if act.action is MigrationAction.CONFIRM_STAGED:
             return [("staged", "A")]
         if act.action is MigrationAction.REFUSE:
             return [("refused", "A")]
-        if act.action is MigrationAction.WRITE:
+        if act.action is MigrationAction.STORE_OFFER:
             again: list[Message] = [("again", self.name)] if self.takes in ("live", "dropped") else []
             self.takes = "staged"
             return again
         elif act.action is MigrationAction.ACTIVATE:
             self.takes = "live"
             sent: list[Message] = [("fired", self.name)] if self.takes_held else []
-            for each in self.moves.activated(MOVE, now):
+            for each in self.moves.on_activated(MOVE, now):
                 sent += self.act(each, now)
             return sent
-        elif act.action is MigrationAction.DROP:
+        elif act.action is MigrationAction.DISCARD_AT_TARGET:
             self.takes = "dropped"
         elif act.action is MigrationAction.RELEASE:
             self.gives = "live"
-        elif act.action is MigrationAction.OVER:
+        elif act.action is MigrationAction.DISCARD_AT_SOURCE:
             self.gives = "over"
         return []
 
@@ -257,7 +274,7 @@
         else:
             answer = acceptor.accept(ask.move, ask.ballot, ask.value, now)
         votes: list[Message] = [("vote", self.name, ask.ballot, ask.value)] if answer.granted and ask.value else []
-        return votes, ("answer", by, ask, answer._replace(write=None))
+        return votes, ("answer", by, ask, answer._replace(unsaved_row=None))
 
 
 class UnsafeMoveError(Exception):
@@ -328,7 +345,7 @@
         if message[0] == "stage":
             return [("stage", True), ("stage", False)]
         if message[0] == "staged":
-            return [("staged",)]
+            return [("on_staged",)]
         if message[0] == "refused":
             return [("call_off",)]
         if message[0] == "ask":
@@ -382,7 +399,7 @@
         """Raises UnsafeMoveError where a claim is broken."""
         members, sent, _, _ = state
         views = [self.views[number] for number in members]
-        votes: dict[tuple[Ballot, Value], set[str]] = {}
+        votes: dict[tuple[Ballot, DecisionValue], set[str]] = {}
         fired = False
         for message in (self.messages[index] for index in ones(sent)):
             if message[0] == "vote":
@@ -436,7 +453,7 @@
         for now in range(0, 20_000 * MS, 50 * MS):
             for member in members:
                 for event in member.events():
-                    if event[0] in ("attempts_ended", "marked", "written"):
+                    if event[0] in ("on_attempts_ended", "on_marked", "on_stored"):
                         queue += member.do(event, now)
                 queue += member.do(("due",), now)
             while queue:
@@ -451,40 +468,40 @@
 
 
 class Hasty(MigrationTable):
-    def staged(self, name: str, now: int) -> list[MigrationStep]:
-        move = self.moves.get(name)
+    def on_staged(self, name: str, now: int) -> list[MigrationStep]:
+        move = self.by_name.get(name)
         if move is None or move.source_stage is not SourceStage.OFFERED:
             return []
         move.source_stage = SourceStage.FORWARDING
-        return [MigrationStep(MigrationAction.OVER, name)]
+        return [MigrationStep(MigrationAction.DISCARD_AT_SOURCE, name)]
 
 
 class Eager(MigrationTable):
-    def written(self, name: str, now: int) -> list[MigrationStep]:
-        acts = super().written(name, now)
-        self.moves[name].target_stage = TargetStage.GRANTED
+    def on_stored(self, name: str, now: int) -> list[MigrationStep]:
+        acts = super().on_stored(name, now)
+        self.by_name[name].target_stage = TargetStage.GRANTED
         return [MigrationStep(MigrationAction.ACTIVATE, name), *acts]
 
 
 class Trusting(MigrationTable):
-    def stage(self, name: str, key: int, room: bool, now: int) -> list[MigrationStep]:
-        if name not in self.moves:
-            self.acceptor.may_open = lambda move: True  # type: ignore[method-assign]
+    def on_offer(self, name: str, key: int, room: bool, now: int) -> list[MigrationStep]:
+        if name not in self.by_name:
+            self.acceptor.may_add_row = lambda move: True  # type: ignore[method-assign]
             try:
-                return super().stage(name, key, room, now)
+                return super().on_offer(name, key, room, now)
             finally:
-                del self.acceptor.may_open
-        return super().stage(name, key, room, now)
+                del self.acceptor.may_add_row
+        return super().on_offer(name, key, room, now)
 
 
 class Giddy(MigrationTable):
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
-        move = self.moves.get(name)
+        move = self.by_name.get(name)
         return self._decided(move, "off", now) if move and move.source_stage is SourceStage.OFFERED else []
 
 
 class Forgetful(Acceptor):
-    def accept(self, move: str, ballot: Ballot, value: Value, now: int, key: int = 0) -> AcceptorReply:
+    def accept(self, move: str, ballot: Ballot, value: DecisionValue, now: int, key: int = 0) -> AcceptorReply:
         if move in self.rows:
             self.rows[move].promised = (0, "")
         return super().accept(move, ballot, value, now, key)
@@ -492,7 +509,7 @@
 
 class Deaf(Proposer):
     def receive_reply(
-        self, voter: str, ballot: Ballot, value: Value | None, answer: AcceptorReply, now: int
+        self, voter: str, ballot: Ballot, value: DecisionValue | None, answer: AcceptorReply, now: int
     ) -> list[ProposerRequest]:
         if value is None:
             answer = answer._replace(accepted=(0, ""), value=None)
@@ -501,7 +518,7 @@
 
 def asks(acts: list[MigrationStep]) -> list[ProposerRequest]:
     """What the acts ask; each of them must ask."""
-    found = [act.ask for act in acts if act.ask is not None]
+    found = [act.vote_request for act in acts if act.vote_request is not None]
     assert len(found) == len(acts)
     return found
 
@@ -533,31 +550,33 @@
         member = Member("A", MigrationTable, Acceptor)
         member.do(("begin",))
         moves = member.moves
-        self.assertEqual((moves.next_at(), moves.routing_state(KEY)), (FREEZE_TIMEOUT_US, ("wait", "")))
-        self.assertEqual([act.action for act in moves.due(FREEZE_TIMEOUT_US)], [MigrationAction.MARK])
-        self.assertEqual([act.action for act in moves.marked(MOVE, FREEZE_TIMEOUT_US)], [MigrationAction.STAGE])
-        self.assertEqual(moves.near_deadline(MOVE), "failed")
+        self.assertEqual((moves.next_due_at(), moves.routing_state(KEY)), (FREEZE_TIMEOUT_US, ("wait", "")))
+        self.assertEqual([act.action for act in moves.due_steps(FREEZE_TIMEOUT_US)], [MigrationAction.MARK])
+        self.assertEqual([act.action for act in moves.on_marked(MOVE, FREEZE_TIMEOUT_US)], [MigrationAction.STAGE])
+        self.assertEqual(moves.action_near_deadline(MOVE), "failed")
         self.assertEqual(
-            [act.action for act in moves.due(FREEZE_TIMEOUT_US + moves_module.MIN_RETRY_US)], [MigrationAction.STAGE]
+            [act.action for act in moves.due_steps(FREEZE_TIMEOUT_US + moves_module.MIN_RETRY_US)],
+            [MigrationAction.STAGE],
         )
-        self.assertEqual([ask.value for ask in asks(moves.due(CALL_OFF_AFTER_US))], [None] * 3)
-        moves.settled(MOVE, "taker", False, CALL_OFF_AFTER_US)
+        self.assertEqual([ask.value for ask in asks(moves.due_steps(CALL_OFF_AFTER_US))], [None] * 3)
+        moves.on_decision(MOVE, "taker", False, CALL_OFF_AFTER_US)
         self.assertEqual(
-            [act.action for act in moves.due(CALL_OFF_AFTER_US + moves_module.MIN_RETRY_US)], [MigrationAction.TELL]
+            [act.action for act in moves.due_steps(CALL_OFF_AFTER_US + moves_module.MIN_RETRY_US)],
+            [MigrationAction.SEND_DECISION],
         )
-        self.assertEqual((moves.routing_state(KEY), moves.near_deadline(MOVE)), (("pass", "B"), "over"))
+        self.assertEqual((moves.routing_state(KEY), moves.action_near_deadline(MOVE)), (("pass", "B"), "over"))
         self.assertEqual(
-            [act.action for act in moves.due(CALL_OFF_AFTER_US + FORWARDING_US)],
-            [MigrationAction.OVER, MigrationAction.CLOSE],
+            [act.action for act in moves.due_steps(CALL_OFF_AFTER_US + FORWARDING_US)],
+            [MigrationAction.DISCARD_AT_SOURCE, MigrationAction.CLOSE],
         )
-        moves.due(CALL_OFF_AFTER_US + FORWARDING_US + moves_module.FINISHED_RETENTION_US)
-        self.assertEqual((moves.moves, moves.by_key, moves.routing_state(KEY)), ({}, {}, ("here", "")))
+        moves.due_steps(CALL_OFF_AFTER_US + FORWARDING_US + moves_module.FINISHED_RETENTION_US)
+        self.assertEqual((moves.by_name, moves.by_key, moves.routing_state(KEY)), ({}, {}, ("here", "")))
 
     def test_a_partition_that_comes_back_is_settled_under_ballots_of_its_own(self) -> None:
         moves = Member("C", MigrationTable, Acceptor).moves
-        first = {ask.ballot for ask in asks(moves.marks_found(MOVE, KEY, True, 0))}
-        moves.side_lost(MOVE, True)
-        self.assertFalse(first & {ask.ballot for ask in asks(moves.marks_found(MOVE, KEY, True, 0))})
+        first = {ask.ballot for ask in asks(moves.on_marks_found(MOVE, KEY, True, 0))}
+        moves.forget_side(MOVE, True)
+        self.assertFalse(first & {ask.ballot for ask in asks(moves.on_marks_found(MOVE, KEY, True, 0))})
 
 
 class PlansTest(unittest.TestCase):
@@ -570,26 +589,26 @@
         for now in range(0, 100 * MS * 60, 100 * MS):
             seen = [Neighbour(name, "south", count, 500) for name, count in held.items()]
             chosen = planner.plan([MigrationRequest(key, MigrationReason.LEAVING) for key in sorted(left)], seen, now)
-            self.assertLessEqual(len(planner.targets), MAX_MOVES_OUT)
-            self.assertLessEqual(max(Counter(planner.targets.values()).values(), default=0), MAX_MOVES_IN)
+            self.assertLessEqual(len(planner.targets), MAX_OUTGOING_MOVES)
+            self.assertLessEqual(max(Counter(planner.targets.values()).values(), default=0), MAX_INCOMING_MOVES)
             for key, to in chosen:
-                planner.ended(key, True, now)
+                planner.note_end(key, True, now)
                 held[to] += 1
                 left.remove(key)
         self.assertFalse(left)
         self.assertLessEqual(max(held.values()), MAX_LOAD_SHARE * 500)
-        self.assertLessEqual(abs(held["E"] - held["W"]), max(50 + MAX_MOVES_OUT, abs(first - second)))
+        self.assertLessEqual(abs(held["E"] - held["W"]), max(50 + MAX_OUTGOING_MOVES, abs(first - second)))
 
     def test_a_session_that_has_just_moved_or_was_called_off_stays(self) -> None:
         planner, there = MigrationPlanner("north"), [Neighbour("E", "south", 0, 9)]
-        planner.arrived(KEY, 0)
+        planner.note_arrival(KEY, 0)
         client, operator = (
             MigrationRequest(KEY, MigrationReason.CLIENT, "E"),
             MigrationRequest(KEY, MigrationReason.OPERATOR, "E"),
         )
         self.assertEqual(planner.plan([client], there, MIN_STAY_US - 1), [])
         self.assertEqual(planner.plan([operator], there, MIN_STAY_US - 1), [(KEY, "E")])
-        planner.ended(KEY, False, MIN_STAY_US)
+        planner.note_end(KEY, False, MIN_STAY_US)
         self.assertEqual(planner.plan([client], there, MIN_STAY_US + CALL_OFF_PAUSE_US - 1), [])
         self.assertEqual(planner.plan([client], there, MIN_STAY_US + CALL_OFF_PAUSE_US), [(KEY, "E")])
         self.assertEqual(
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -15,7 +15,7 @@
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import Outcome
 from cedarwick.fleet import migration_source
-from cedarwick.fleet.consensus import UNDECIDED_LIMIT_US, Acceptor, AcceptorTable, InstanceState, name_move
+from cedarwick.fleet.consensus import UNDECIDED_LIMIT_US, Acceptor, AcceptorTable, InstanceState, format_move_name
 from cedarwick.fleet.fact_ledger import FactLedger
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.leased_partition import LeasedPartition
@@ -272,7 +272,7 @@
         b = self.session_router["b"]
         answer = b.heard("a", 1, StageSession("9/a/b", KEY, 2, b"facts", 1))
         self.assertEqual(answer, StageReply("9/a/b", False, "spoilt"))
-        b.migrations.vote(name_move(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
+        b.migrations.vote(format_move_name(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
         late = b.heard("a", 1, StageSession("8/a/b", KEY, 2, b"", 0x2D06800538D394C2))
         self.assertEqual((isinstance(late, StageReply) and late.stored, b.store.messages), (False, {}))
 
@@ -284,7 +284,7 @@
         with mock.patch.object(migration_source, "RELEASE_RETRY_S", 0.05):
             a.migrations.begin(KEY, "b", monotonic_time())
             self.turn(0.3)  # marked, and the target does not answer
-            with mock.patch.object(a.migrations, "_save_without", side_effect=OSError("full")) as save:
+            with mock.patch.object(a.migrations, "_save_marks_without", side_effect=OSError("full")) as save:
                 self.turn(0.6)
                 self.assertTrue(save.called)
                 self.assertEqual((len(a.store.inert), thawed.called), (1, False))
@@ -292,7 +292,10 @@
         self.assertEqual((a.store.inert, thawed.called, len(a.dispatcher.adopted)), ({}, True, 1))  # type: ignore[attr-defined]
 
     def test_a_vote_that_was_not_written_is_not_granted_when_it_is_asked_again(self) -> None:
-        made, move = self.session_router["b"].migrations, name_move(self.session_router["a"].migrations.stamp, "a", "b")
+        made, move = (
+            self.session_router["b"].migrations,
+            format_move_name(self.session_router["a"].migrations.next_stamp, "a", "b"),
+        )
         with mock.patch.object(made.files, "append_vote", side_effect=OSError("full")):
             asked = [made.vote(move, (2, "c#1"), None, KEY).granted for _ in range(2)]
             asked += [made.vote(move, (2, "c#1"), "off", KEY).granted for _ in range(2)]
@@ -343,7 +346,7 @@
         a.store.ended(ended, True, 0)
         a.store.ended(uncopied, True, 0)
         a.dispatcher.uncopied_ends = {uncopied}  # the dispatcher posts it by itself, once a copy has it
-        self.assertTrue(a.migrations._clear_marks("5/a/b", KEY, False, monotonic_time()))
+        self.assertTrue(a.migrations._clear_source_marks("5/a/b", KEY, False, monotonic_time()))
         self.assertEqual(a.dispatcher.adopted, [ended, owed])  # type: ignore[attr-defined]
 
     def test_time_on_the_way_does_not_lengthen_a_deadline(self) -> None:
@@ -436,7 +439,7 @@
         )
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         c.inheritable_sessions[partition] = inheritable._replace(complete_at=0)
-        b.migrations.vote(name_move(b.migrations.stamp, "b", "a"), (1, "a"), "taker", KEY)
+        b.migrations.vote(format_move_name(b.migrations.next_stamp, "b", "a"), (1, "a"), "taker", KEY)
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         b.migrations.acceptor.rows.clear()
         b.migrations.acceptor.by_key.clear()
@@ -447,7 +450,7 @@
         b.migrations.acceptor.raise_floor("a", 1)
         self.assertEqual(
             [
-                b.migrations.vote(name_move(a.migrations.stamp, "a", "b"), (1, "b"), "taker", key).granted
+                b.migrations.vote(format_move_name(a.migrations.next_stamp, "a", "b"), (1, "b"), "taker", key).granted
                 for key in (KEY, 0, KEY + 1)
             ],
             [False, False, True],
@@ -455,32 +458,32 @@
 
     def test_a_move_that_nobody_has_a_side_of_any_more_is_settled(self) -> None:
         a, b, c = (self.session_router[name] for name in NAMES)
-        move = name_move(a.migrations.stamp, "a", "b")
+        move = format_move_name(a.migrations.next_stamp, "a", "b")
         for voters in ((b,), (b, c)):
             for each in (b, c):
                 each.migrations.acceptor.raise_floor("a", 1)
             for each in voters:
                 self.assertTrue(each.migrations.vote(move, (1, "b"), "taker", KEY).granted)
                 each.migrations.acceptor.rows[move].at -= UNDECIDED_LIMIT_US
-            self.assertEqual(b.migrations.moves.moves, {})
-            b.migrations.forget(monotonic_time())
+            self.assertEqual(b.migrations.migration_table.by_name, {})
+            b.migrations.remove_expired(monotonic_time())
             gevent.sleep(0.05)
             rows = [each.migrations.acceptor.rows[move] for each in (b, c)]
             self.assertEqual([(row.decided, row.value, row.key) for row in rows], [(True, "taker", KEY)] * 2)
             self.assertEqual(b.migrations.orphaned_proposers, {})
-            move = name_move(a.migrations.stamp + 1, "a", "b")
+            move = format_move_name(a.migrations.next_stamp + 1, "a", "b")
 
 
 class StoredVotesTest(unittest.TestCase):
     def test_votes_outlive_a_restart_and_damage_makes_the_acceptor_abstain(self) -> None:
         folder = self.enterContext(tempfile.TemporaryDirectory())
-        session_files, move = SessionFiles(FleetFiles(folder)), name_move(5, "a", "b")
+        session_files, move = SessionFiles(FleetFiles(folder)), format_move_name(5, "a", "b")
         voter = Acceptor(0, True)
         voter.raise_floor("a", 5)
         session_files.write_acceptor_table(voter.table())
         answer = voter.prepare(move, (3, "c#1"), 0)
-        assert answer.write is not None
-        session_files.append_vote(answer.write)
+        assert answer.unsaved_row is not None
+        session_files.append_vote(answer.unsaved_row)
         again = Acceptor(0, False, SessionFiles(FleetFiles(folder)).read_acceptor_table())
         self.assertFalse(again.accept(move, (1, "b"), "taker", 0).granted)
         path = f"{session_files.fleet_files.path}/decrees"
--- a/tests/lab/test_virtual_days.py
+++ b/tests/lab/test_virtual_days.py
@@ -53,13 +53,13 @@
 
 def released_early(self: MigrationTable, name: str, now: int) -> list[MigrationStep]:
     """The source goes on as soon as the target has kept what it was offered."""
-    self.moves[name].staged_answered = True
+    self.by_name[name].staged_answered = True
     return [MigrationStep(MigrationAction.RELEASE, name)]
 
 
-def closed_early(self: SessionMigrations, name: str, honest: Any = SessionMigrations._stage) -> None:
+def closed_early(self: SessionMigrations, name: str, honest: Any = SessionMigrations._offer_session) -> None:
     """The source has given all up before it offers it."""
-    self._give_up(name, SOURCE_MARK)
+    self._discard_messages(name, SOURCE_MARK)
     honest(self, name)
 
 
@@ -79,8 +79,8 @@
 # name: the part, what is put in its place, the day, a rule that it breaks
 BROKEN: dict[str, tuple[Any, str, Any, dict[str, Any], int]] = {
     "a session is taken at two senders": (SessionRouter, "hand_in", taken_anywhere, {"sessions": True}, 2),
-    "a source goes on before the decision": (MigrationTable, "staged", released_early, {"sessions": True}, 12),
-    "a source closes too early": (SessionMigrations, "_stage", closed_early, {"sessions": True}, 11),
+    "a source goes on before the decision": (MigrationTable, "on_staged", released_early, {"sessions": True}, 12),
+    "a source closes too early": (SessionMigrations, "_offer_session", closed_early, {"sessions": True}, 11),
     "a filter drops matches": (Index, "matches", dropped, {"subscribers": 3}, 15),
     "an ended subscription rises again": (Registry, "end", forgotten, {"subscribers": 3}, 16),
 }
