--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -1,7 +1,7 @@
-"""Which sessions a sender migrates to other senders, to whom and when. No I/O, no clock.
+"""Chooses which sessions a sender migrates, to which senders and when. No I/O, no clock.
 
-Called by the session migrations of a member; how a migration then runs is in `migration_table.py`. Times are
-microseconds of any clock that never runs backwards.
+`SessionRouter` calls the planner; `migration_table.py` defines how a migration then runs. Times are microseconds of
+any monotonic clock.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -11,13 +11,15 @@
 from cedarwick.fleet.migration_table import MAX_INCOMING_MOVES, MAX_OUTGOING_MOVES
 from cedarwick.fleet.placement import weight
 
-MIN_STAY_US = 10_000_000  # that a session stays after a move, unless an operator moves it or its sender leaves
-CALL_OFF_PAUSE_US = 1_000_000  # microseconds until a session is offered again after its move was called off
-MAX_LOAD_SHARE = 0.8  # share of its capacity up to which a sender takes sessions
+MIN_STAY_US = (
+    10_000_000  # microseconds for which a session stays after a move; operators and leaving senders are exempt
+)
+CALL_OFF_PAUSE_US = 1_000_000  # microseconds until a session whose move was called off is offered again
+MAX_LOAD_SHARE = 0.8  # share of a sender's capacity up to which it is chosen as a target
 
 
 class MigrationReason(Enum):
-    """Why a session is to move; the most urgent first."""
+    """Why a session is to move, in order of urgency."""
 
     OPERATOR = "an operator asks for it"
     LEAVING = "this sender leaves"
@@ -26,30 +28,30 @@
 
 
 class MigrationRequest(NamedTuple):
-    """A session (by its key) that is to move, and why."""
+    """A request to move the session with a key."""
 
     key: int
     reason: MigrationReason
-    target: str = ""  # the only member that may take it; empty: the preferred one
+    target: str = ""  # the only allowed target; empty: the best ranked one
 
 
 class Neighbour(NamedTuple):
-    """Another sender as this one sees it now."""
+    """The state of another sender, as it is known here."""
 
     name: str
     hall: str
-    session_count: int  # sessions
+    session_count: int  # sessions held there
     capacity: int  # sessions that it may hold
-    healthy: bool = True  # not suspected, cut or slow
-    accepts_sessions: bool = True  # alive, its hall not drained, not leaving
+    healthy: bool = True  # not suspected, cut off or slow
+    accepts_sessions: bool = True  # alive, not leaving, and its hall is not drained
 
 
 def rank_targets(key: int, hall: str, neighbours: Iterable[Neighbour], incoming: Mapping[str, int]) -> list[Neighbour]:
     """The senders that may take a session, the best first.
 
-    Order: same hall first, then lower load (in tenths of the capacity), then healthy before unhealthy, then rendezvous
-    hashing (Thaler and Ravishankar 1998), so that every sender finds the same order. `incoming` maps a
-    sender's name to the sessions that are migrating there and not yet counted in `session_count`.
+    The order is: same hall first, then lower load (in tenths of the capacity), then healthy before unhealthy, then
+    rendezvous hashing (Thaler and Ravishankar 1998), so that every sender finds the same order. `incoming` maps the
+    name of a sender to the sessions that migrate there and are not yet counted in `session_count`.
     """
 
     def order(each: Neighbour) -> tuple[bool, int, bool, int]:
@@ -69,16 +71,16 @@
 
     def __init__(self, hall: str) -> None:
         self.hall = hall
-        self.targets: dict[int, str] = {}  # by key of a session on the move: its target
-        self.stays_until: dict[int, int] = {}  # by key: not moved before this time
-        self.paused_until: dict[int, int] = {}  # by key, after a move called off: not offered before this time
+        self.targets: dict[int, str] = {}  # by key of a migrating session
+        self.stays_until: dict[int, int] = {}  # by key: the session is not moved before this time
+        self.paused_until: dict[int, int] = {}  # by key: its move was called off; not offered before this time
 
     def note_arrival(self, key: int, now: int) -> None:
-        """Note that a session has become active here: it stays for `MIN_STAY_US` microseconds."""
+        """Record that a session has become active here; it stays for `MIN_STAY_US`."""
         self.stays_until[key] = now + MIN_STAY_US
 
     def note_end(self, key: int, moved: bool, now: int) -> None:
-        """Note the end of a move from here; not `moved`: it was called off."""
+        """Record the end of a move from here; `moved` is false if it was called off."""
         self.targets.pop(key, None)
         if not moved:
             self.paused_until[key] = now + CALL_OFF_PAUSE_US
@@ -86,7 +88,7 @@
     def plan(
         self, requests: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
     ) -> list[tuple[int, str]]:
-        """The moves to begin now, as pairs of key and target; the caller asks for the others again later.
+        """The moves to begin now, as pairs of key and target; the caller requests the others again later.
 
         At most `MAX_OUTGOING_MOVES` sessions migrate from here at once, and `MAX_INCOMING_MOVES` to each target.
         """
@@ -101,7 +103,8 @@
                 MigrationReason.OPERATOR,
                 MigrationReason.LEAVING,
             )
-            # `stays`: with a client at each of two senders a session would go to and fro, frozen most of the time.
+            # Without `stays` a session with clients at two senders would alternate between them and be frozen most of
+            # the time.
             if (
                 len(self.targets) >= MAX_OUTGOING_MOVES
                 or request.key in self.targets
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -1,23 +1,25 @@
-"""Migration of a session (a "move") from one sender, the source, to another, the target. No I/O, no clock.
-
-`SessionMigrations` drives it: it calls a method for each event and carries out the steps that are returned. Times are
-microseconds of the boot clock.
-
-Stages at the source: held, freezing, offered, forwarding, closed. Stages at the target: staged, granted, active, or
-dropped. From the first mark to the decision the session's messages are inert on both sides. The steps, and what is on
-the disk before each:
-
-1. The source freezes: no new attempt; attempts under way are awaited for `FREEZE_TIMEOUT_US`, then count as
-   may-have-run. It marks the facts (own folder and every successor of its partition: a successor without the mark would
-   fire), and sends `Stage`.
-2. The target stores them, marked, under its own numbers (own folder and every successor), answers `Staged`, and asks
-   for the decision with ballot 1.
-3. Decided for the target: it goes active and tells all; the source forwards, and its facts are over without a notice
-   once the target has said that it is active. Decided 'off': the source's live again, the target's are dropped.
-
-Whoever holds marked facts without knowing the decision (source or target after a while or a restart, the adopter of
-either partition) settles it; a decision is on a majority's disks, so what it lets happen needs no record of its own.
-The sequence of a session grows by one at each move begun, called off or taken, so that a cleared mark wins any join.
+"""State machine of the migration (move) of a session from one sender, the source, to another, the target.
+
+No I/O, no clock. `SessionMigrations` calls one method per event and carries out the steps that the method returns.
+Times are microseconds of the boot clock.
+
+The stages are freezing, offered, forwarding, closed or called off at the source, and staged, granted, active or dropped
+at the target. From the first mark to the decision the messages of the session are inert on both sides: neither sends
+attempts of them. A migration runs as follows:
+
+1. The source freezes the session and starts no new attempt of it. Attempts under way that do not end within
+   `FREEZE_TIMEOUT_US` count as "may have run". The source then marks the session's messages in its own folder and at
+   every successor of its partition, since a successor without the marks would send attempts, and sends `StageSession`.
+2. The target stores the messages, marked, under its own numbers, in its own folder and at every successor. It answers
+   the source and requests the decision with the ballot of round 1.
+3. If the decision is for the target, it activates the messages and tells all members. The source forwards requests, and
+   discards its copies without a notice once the target has reported that it is active. If the move is called off, the
+   source releases its messages and the target discards its copies.
+
+Every member that holds marked messages without knowing the decision settles the move: the source or the target after a
+timeout or a restart, and the member that adopts the partition of either. A decision is stored by a majority, so the
+steps that follow from it need no record of their own. The sequence of a session grows by one when a move begins, is
+called off or is completed, so that a cleared mark supersedes the mark wherever the two are merged.
 """
 
 from collections.abc import Callable, Iterable
@@ -27,20 +29,20 @@
 
 from cedarwick.fleet.consensus import Acceptor, AcceptorReply, DecisionValue, Proposer, ProposerRequest, parse_move_name
 
-# The two values of a decision, as they are sent and stored.
+# The values of a decision, as they are sent and stored.
 FOR_TARGET: Final = "taker"
 CALLED_OFF: Final = "off"
 
-FREEZE_TIMEOUT_US = 100_000  # microseconds for which attempts under way are awaited
-CALL_OFF_AFTER_US = 500_000  # microseconds after the freeze began: the source settles what is undecided
-MIN_RETRY_US = 100_000  # microseconds until a request without an answer is repeated, doubled each time up to
-MAX_RETRY_US = 2_000_000  # microseconds
+FREEZE_TIMEOUT_US = 100_000  # microseconds for which the source waits for attempts under way
+CALL_OFF_AFTER_US = 500_000  # microseconds after its beginning at which the source settles an undecided move
+MIN_RETRY_US = 100_000  # microseconds until an unanswered request is repeated the first time; doubled each time
+MAX_RETRY_US = 2_000_000  # microseconds; the upper bound of that delay
 MAX_RETRY_DOUBLINGS = 10
 FORWARDING_US = 60_000_000  # microseconds for which the source forwards requests of the live connection
-FINISHED_RETENTION_US = 60_000_000  # microseconds that a finished migration is remembered
-FROZEN_WAIT_US = 250_000  # microseconds that a client's request on a frozen session waits before it is answered -BUSY
-MAX_OUTGOING_MOVES = 20  # moves at once at a source
-MAX_INCOMING_MOVES = 20  # staged at once at a target
+FINISHED_RETENTION_US = 60_000_000  # microseconds for which a finished migration is kept
+FROZEN_WAIT_US = 250_000  # microseconds for which a request on a frozen session waits before it is answered -BUSY
+MAX_OUTGOING_MOVES = 20  # undecided moves of one source at a time
+MAX_INCOMING_MOVES = 20  # sessions staged at one target at a time
 
 
 class SourceStage(Enum):
@@ -50,7 +52,7 @@
     OFFERED = "offered"
     FORWARDING = "forwarding"
     CLOSED = "closed"
-    CALLED_OFF = "held"  # called off
+    CALLED_OFF = "held"
 
 
 class TargetStage(Enum):
@@ -63,26 +65,26 @@
 
 
 class MigrationAction(Enum):
-    """What the caller is to do; each action may safely be repeated."""
-
-    FREEZE = "freeze"  # no new attempt of the key; call `attempts_ended` once none is under way
-    MARK = "mark"  # unsettled attempts become may-have-run; mark in own folder and at every successor; then `marked`
-    STAGE = "stage"  # send the facts and ids to `to`
-    STORE_OFFER = "write"  # store what was staged, marked, in own folder and at every successor; then `written`
-    CONFIRM_STAGED = "staged"  # answer the source
-    REFUSE = "refuse"  # answer the source that it is not taken
-    REQUEST_VOTE = "ask"  # send `ask` to an acceptor (maybe the own one), pass its answer to `answered`
+    """What the caller does next; every action may be repeated safely. The values are those that are logged."""
+
+    FREEZE = "freeze"  # start no new attempt of the session; call `on_attempts_ended` once none is under way
+    MARK = "mark"  # count open attempts as "may have run", mark in the folder and at every successor; then `on_marked`
+    STAGE = "stage"  # send the messages and the recent ids to `to`
+    STORE_OFFER = "write"  # store the offered messages, marked, in the folder and at every successor; then `on_stored`
+    CONFIRM_STAGED = "staged"  # answer the source that the session is staged
+    REFUSE = "refuse"  # answer the source that the session is not taken
+    REQUEST_VOTE = "ask"  # send `vote_request` to an acceptor, maybe the local one; pass its answer to `on_vote_reply`
     SEND_DECISION = "tell"  # send `MigrationDecided` to the holder of the partition of `to`; empty: to all members
-    ACTIVATE = "activate"  # clear the target's marks, resume the messages; then `activated`
-    DISCARD_AT_TARGET = "drop"  # the target's are over without a notice
-    RELEASE = "release"  # clear the source's marks, thaw the key
-    DISCARD_AT_SOURCE = "over"  # the source's are over without a notice
-    FORWARD = "forward"  # pass requests of the live connection on to `to`
+    ACTIVATE = "activate"  # clear the marks of the target and resume the messages; then `on_activated`
+    DISCARD_AT_TARGET = "drop"  # end the messages of the target without a notice
+    RELEASE = "release"  # clear the marks of the source and thaw the session
+    DISCARD_AT_SOURCE = "over"  # end the messages of the source without a notice
+    FORWARD = "forward"  # forward requests of the live connection to `to`
     CLOSE = "close"  # stop forwarding
 
 
 class MigrationStep(NamedTuple):
-    """One action for the caller, with what it needs."""
+    """One action for the caller, with its arguments."""
 
     action: MigrationAction
     move: str
@@ -94,32 +96,32 @@
 
 @dataclass(slots=True)
 class Migration:
-    """One move as one member knows it. The member has one side of it, or both after adopting a partition."""
+    """One move, as this member knows it; it has one side of the move, or both after it has adopted a partition."""
 
     name: str
     key: int
     source_stage: SourceStage | None = None
     target_stage: TargetStage | None = None
     marking: bool = False  # the marks are being written
-    stored: bool = False  # what was staged is stored
-    staged_answered: bool = False  # the target has answered `Staged`
-    target_active: bool = False  # the target is active
+    stored: bool = False  # the staged messages are stored, here and at every successor
+    staged_answered: bool = False  # the target has answered that the session is staged
+    target_active: bool = False  # the target is known to be active
     value: DecisionValue | None = None  # the decision, once known
     proposer: Proposer | None = None
     began_at: int = 0
     settled_at: int = 0
-    next_at: int = 0  # when the request that is due is repeated
+    next_at: int = 0  # when the pending request is repeated
     retries: int = 0  # how often it was repeated
 
 
 class MigrationTable:
-    """All moves that this member has a side of.
+    """All moves in which this member is the source or the target, or has adopted the partition of one.
 
     Args:
-        name: this member.
-        boot_id: a text of this boot alone, as `name#incarnation`.
-        voters: all members, itself among them.
-        acceptor: its own.
+        name: the name of this member.
+        boot_id: a text unique to this process, such as `name#incarnation`.
+        voters: the names of all members, this one included.
+        acceptor: the acceptor of this member.
         backoff: as in `Proposer`.
     """
 
@@ -132,18 +134,18 @@
         self.acceptor = acceptor
         self.backoff = backoff
         self.by_name: dict[str, Migration] = {}
-        self.by_key: dict[int, str] = {}  # the newest move of a session
+        self.by_key: dict[int, str] = {}  # the name of the newest move of a session
         self.proposer_count = 0
 
     # ---- the source ----
 
     def begin(self, name: str, key: int, now: int) -> list[MigrationStep]:
-        """Start to give a session away; no steps where it is on the move already, or too many sessions are."""
-        open_one = self.by_name.get(self.by_key.get(key, ""))
+        """Start to move a session away; returns no steps if it or too many other sessions are already migrating."""
+        newest = self.by_name.get(self.by_key.get(key, ""))
         undecided = (SourceStage.FREEZING, SourceStage.OFFERED)
         migrating = sum(1 for move in self.by_name.values() if move.source_stage in undecided)
         if (
-            (open_one is not None and not self._finished(open_one))
+            (newest is not None and not self._is_finished(newest))
             or migrating >= MAX_OUTGOING_MOVES
             or name in self.by_name
         ):
@@ -153,7 +155,7 @@
         return [MigrationStep(MigrationAction.FREEZE, name)]
 
     def on_attempts_ended(self, name: str, now: int) -> list[MigrationStep]:
-        """No attempt of the session is under way any more, or they have been awaited for long enough."""
+        """No attempt of the session is under way, or `FREEZE_TIMEOUT_US` is over."""
         move = self.by_name.get(name)
         if move is None or move.source_stage is not SourceStage.FREEZING or move.marking:
             return []
@@ -161,7 +163,7 @@
         return [MigrationStep(MigrationAction.MARK, name)]
 
     def on_marked(self, name: str, now: int) -> list[MigrationStep]:
-        """The marks are in the own folder and at every successor of the partition."""
+        """The marks are stored in the folder and at every successor of the partition."""
         move = self.by_name.get(name)
         if move is None or move.source_stage is not SourceStage.FREEZING:
             return []
@@ -170,40 +172,41 @@
         return [MigrationStep(MigrationAction.STAGE, name, parse_move_name(name)[2])]
 
     def on_staged(self, name: str, now: int) -> list[MigrationStep]:
-        """The target has stored the session and requests the decision itself; the source stops repeating `Stage`."""
+        """The target has stored the session and requests the decision; the source stops repeating the offer."""
         move = self.by_name.get(name)
         if move is not None:
             move.staged_answered = True
         return []
 
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
-        """The source wants the session back: the time is over, the target refused, or an operator asks for it."""
+        """Take the session back to the source, because of a timeout, a refusal of the target or a local failure."""
         move = self.by_name.get(name)
         if move is None or move.source_stage not in (SourceStage.FREEZING, SourceStage.OFFERED):
             return []
-        if move.source_stage is SourceStage.FREEZING:  # no target has ever heard of it
-            return self._decided(move, CALLED_OFF, now)
-        # Only a decision ends the move: a `Stage` that was refused or got no answer may have arrived twice, and the
-        # target may have stored the other one.
+        if move.source_stage is SourceStage.FREEZING:  # it was not offered to the target yet
+            return self._record_decision(move, CALLED_OFF, now)
+        # Only a decision ends the move: an offer that was refused or not answered may have been delivered twice, and
+        # the target may have stored the other copy.
         return self._begin_settling(move, now)
 
     def stop_forwarding(self, key: int, now: int) -> list[MigrationStep]:
-        """The live connection has ended."""
+        """Stop forwarding the requests of a session, where the source still does."""
         move = self.by_name.get(self.by_key.get(key, ""))
         return self._close(move, now) if move is not None and move.source_stage is SourceStage.FORWARDING else []
 
     # ---- the target ----
 
     def on_offer(self, name: str, key: int, room: bool, now: int) -> list[MigrationStep]:
-        """A source offers a session. `room`: whether the folder and the load allow for it."""
+        """A source offers a session; `room` tells whether the folder and the load of this member allow it."""
         move = self.by_name.get(name)
         if move is not None and move.target_stage is not None:
             return (
                 [MigrationStep(MigrationAction.CONFIRM_STAGED, name, parse_move_name(name)[1])] if move.stored else []
             )
         staged = sum(1 for each in self.by_name.values() if each.target_stage is TargetStage.STAGED)
-        # `may_add_row`: a `Stage` that arrives late or twice must not be stored again after its messages were sent or
-        # dropped. The own acceptor votes once it is stored, so a move that it knows was staged or is being settled.
+        # `may_add_row`: an offer that arrives late or twice must not be stored again after its messages were sent or
+        # discarded. The local acceptor votes once the offer is stored, so a move that has a row was staged or is being
+        # settled.
         if (
             not room
             or staged >= MAX_INCOMING_MOVES
@@ -215,19 +218,19 @@
         return [MigrationStep(MigrationAction.STORE_OFFER, name)]
 
     def on_stored(self, name: str, now: int) -> list[MigrationStep]:
-        """What was staged is in the own folder and at every successor of the own partition."""
+        """The staged messages are stored in the folder and at every successor of the open partition."""
         move = self.by_name.get(name)
         if move is None or move.target_stage is not TargetStage.STAGED or move.stored:
             return []
         move.stored = True
-        asks = self._proposer(move).begin_target_round(now) if move.proposer is None else []
+        requests = self._proposer(move).begin_target_round(now) if move.proposer is None else []
         return [
             MigrationStep(MigrationAction.CONFIRM_STAGED, name, parse_move_name(name)[1]),
-            *self._vote_requests(asks),
+            *self._vote_requests(requests),
         ]
 
     def on_activated(self, name: str, now: int) -> list[MigrationStep]:
-        """The messages are live here."""
+        """The messages are active at this target."""
         move = self.by_name.get(name)
         if move is None or move.target_stage is not TargetStage.GRANTED:
             return []
@@ -237,39 +240,42 @@
 
     # ---- the decision ----
 
-    def on_vote_reply(self, ask: ProposerRequest, answer: AcceptorReply, now: int) -> list[MigrationStep]:
-        """Take an acceptor's answer to a vote request."""
-        move = self.by_name.get(ask.move)
+    def on_vote_reply(self, request: ProposerRequest, answer: AcceptorReply, now: int) -> list[MigrationStep]:
+        """Take the answer of an acceptor to a vote request."""
+        move = self.by_name.get(request.move)
         if move is None or move.proposer is None or move.value is not None:
             return []
-        asks = move.proposer.receive_reply(ask.to, ask.ballot, ask.value, answer, now)
+        requests = move.proposer.receive_reply(request.to, request.ballot, request.value, answer, now)
         if move.proposer.decided is None:
-            return self._vote_requests(asks)
+            return self._vote_requests(requests)
         value = move.proposer.decided
-        return [MigrationStep(MigrationAction.SEND_DECISION, ask.move, value=value), *self._decided(move, value, now)]
+        return [
+            MigrationStep(MigrationAction.SEND_DECISION, request.move, value=value),
+            *self._record_decision(move, value, now),
+        ]
 
     def on_decision(self, name: str, value: DecisionValue, active: bool, now: int) -> list[MigrationStep]:
-        """Take the decision from another member, also as an answer to `TELL`; `active`: the target's side is live."""
+        """Take the decision from another member, or from its answer to one; `active`: the target is active there."""
         move = self.by_name.get(name)
         if move is None:
             return []
-        steps = self._decided(move, value, now)
+        steps = self._record_decision(move, value, now)
         if active and value == FOR_TARGET:
             steps += self._note_target_active(move, now)
         return steps
 
     def known_decision(self, name: str) -> tuple[DecisionValue | None, bool]:
-        """The answer to another member's `MigrationDecided`: the decision if known, and whether it is active here."""
+        """The decision, if known, and whether the target is active here: the answer to `MigrationDecided`."""
         move = self.by_name.get(name)
         return (None, False) if move is None else (move.value, move.target_stage is TargetStage.ACTIVE)
 
-    # ---- restarts and partitions that change hands ----
+    # ---- restarts and adopted partitions ----
 
     def on_marks_found(self, name: str, key: int, at_source: bool, now: int) -> list[MigrationStep]:
-        """Marked facts were found in a partition that this member holds, after its restart or after an adoption.
+        """Marked messages were found in a partition that this member holds, after a restart or an adoption.
 
-        For the target's side, call it only once every successor of that partition has the facts again: it may request
-        the decision at once.
+        For the marks of a target the caller first waits until every successor of the partition has the messages again,
+        because the decision may be requested at once.
         """
         move = self._get_or_add(name, key, now)
         if at_source and move.source_stage is None:
@@ -280,14 +286,14 @@
             return []
         if move.value is not None:
             value, move.value = move.value, None
-            steps = self._decided(move, value, now)
+            steps = self._record_decision(move, value, now)
             return steps + (self._note_target_active(move, now) if move.target_stage is TargetStage.ACTIVE else [])
         if not at_source and parse_move_name(name)[2] == self.name and move.proposer is None:
             return self._vote_requests(self._proposer(move).begin_target_round(now))
         return self._begin_settling(move, now)
 
     def forget_side(self, name: str, at_source: bool) -> None:
-        """The partition with this side has another holder now: forget this side."""
+        """Forget one side of a move, because its partition has another holder now."""
         move = self.by_name.get(name)
         if move is None:
             return
@@ -303,7 +309,10 @@
     # ---- for the dispatcher ----
 
     def routing_state(self, key: int) -> tuple[Literal["here", "wait", "pass"], str]:
-        """What to do with a request for a session held here or on its way here, and the member to pass it to."""
+        """How to treat a request for a session, and the member to forward it to.
+
+        'here': handle it here. 'wait': the session is frozen. 'pass': forward it.
+        """
         move = self.by_name.get(self.by_key.get(key, ""))
         if move is None:
             return "here", ""
@@ -316,10 +325,11 @@
         return ("wait" if frozen else "here"), ""
 
     def action_near_deadline(self, name: str) -> Literal["failed", "over"] | None:
-        """What to do with a marked message within 300 ms of its deadline.
+        """What to do with a marked message that is within 300 ms of its deadline.
 
-        'failed': the holder of the source's partition answers that it failed, since it may have run at the target.
-        'over': the target has it; no answer from here. None: it is at the target's side, and the source answers it.
+        'failed': the holder of the source's partition answers that the message failed, since it may have run at the
+        target. 'over': the target has the message, and no answer is sent from here. None: the message is at the target,
+        and the source answers it.
         """
         move = self.by_name.get(name)
         if move is None or move.source_stage in (None, SourceStage.CLOSED):
@@ -329,14 +339,14 @@
     # ---- time ----
 
     def next_due_at(self) -> int | None:
-        """When `due` is to be called next; None while there are no moves."""
+        """When to call `due_steps` next; None while there are no moves."""
         return min((self._due_at(move) for move in self.by_name.values()), default=None)
 
     def due_steps(self, now: int) -> list[MigrationStep]:
-        """The steps that are due: requests repeated, moves called off or forgotten, forwarding closed."""
+        """The steps that are due at `now`; repeats requests, settles and removes moves, and stops forwarding."""
         steps: list[MigrationStep] = []
         for move in [each for each in self.by_name.values() if self._due_at(each) <= now]:
-            if self._finished(move):
+            if self._is_finished(move):
                 del self.by_name[move.name]
                 if self.by_key.get(move.key) == move.name:
                     del self.by_key[move.key]
@@ -356,7 +366,7 @@
                 steps += self._vote_requests(move.proposer.on_timer(now))
             elif move.source_stage is not None and now >= move.began_at + CALL_OFF_AFTER_US:
                 steps += self.call_off(move.name, now)
-            elif move.source_stage is None:  # the target could not store it, or not at every successor
+            elif move.source_stage is None:  # this target could not store the session, or not at every successor
                 steps += self._begin_settling(move, now)
             elif move.source_stage is SourceStage.FREEZING:
                 steps += self.on_attempts_ended(move.name, now)
@@ -366,7 +376,7 @@
         return steps
 
     def _due_at(self, move: Migration) -> int:
-        if self._finished(move):
+        if self._is_finished(move):
             return move.settled_at + FINISHED_RETENTION_US
         if move.source_stage is SourceStage.FORWARDING:
             return (
@@ -384,7 +394,7 @@
             return min(move.next_at, move.began_at + CALL_OFF_AFTER_US)
         return move.began_at + CALL_OFF_AFTER_US
 
-    # ---- within ----
+    # ---- internal ----
 
     def _get_or_add(self, name: str, key: int, now: int) -> Migration:
         if name not in self.by_name:
@@ -393,7 +403,7 @@
         return self.by_name[name]
 
     @staticmethod
-    def _finished(move: Migration) -> bool:
+    def _is_finished(move: Migration) -> bool:
         return move.source_stage in (None, SourceStage.CLOSED, SourceStage.CALLED_OFF) and move.target_stage in (
             None,
             TargetStage.ACTIVE,
@@ -406,12 +416,12 @@
         move.retries += 1
 
     @staticmethod
-    def _vote_requests(asks: Iterable[ProposerRequest]) -> list[MigrationStep]:
-        return [MigrationStep(MigrationAction.REQUEST_VOTE, ask.move, ask.to, ask) for ask in asks]
+    def _vote_requests(requests: Iterable[ProposerRequest]) -> list[MigrationStep]:
+        return [MigrationStep(MigrationAction.REQUEST_VOTE, request.move, request.to, request) for request in requests]
 
     def _proposer(self, move: Migration) -> Proposer:
         if move.proposer is None:
-            # A second proposer of one boot, after the first was lost with its partition, must not share its ballots.
+            # After an earlier proposer of the move was lost with its partition, the next must not reuse its ballots.
             self.proposer_count += 1
             move.proposer = Proposer(move.name, f"{self.boot_id}.{self.proposer_count}", self.voters, self.backoff)
         return move.proposer
@@ -419,8 +429,8 @@
     def _begin_settling(self, move: Migration, now: int) -> list[MigrationStep]:
         return self._vote_requests(self._proposer(move).begin_full_round(now)) if move.proposer is None else []
 
-    def _decided(self, move: Migration, value: DecisionValue, now: int) -> list[MigrationStep]:
-        """Note the decision and return the steps of each side, once."""
+    def _record_decision(self, move: Migration, value: DecisionValue, now: int) -> list[MigrationStep]:
+        """Record the decision and return the steps of both sides; returns no steps the second time."""
         if move.value is not None:
             return []
         move.value, move.settled_at, move.next_at, move.retries = value, now, now + MIN_RETRY_US, 0
@@ -448,16 +458,15 @@
         return steps
 
     def _note_target_active(self, move: Migration, now: int) -> list[MigrationStep]:
-        """Note that the target is active: the source's inert messages are over."""
+        """Record that the target is active, and end the inert messages of the source."""
         if move.source_stage is not SourceStage.FORWARDING or move.target_active:
             return []
         move.target_active = True
         return [MigrationStep(MigrationAction.DISCARD_AT_SOURCE, move.name)]
 
     def _close(self, move: Migration, now: int) -> list[MigrationStep]:
-        over = self._note_target_active(
-            move, now
-        )  # decided long ago: whoever holds the target's partition has the messages
+        # The move was decided long ago, so the holder of the target's partition has the messages.
+        steps = self._note_target_active(move, now)
         move.source_stage = SourceStage.CLOSED
         move.settled_at = now
-        return [*over, MigrationStep(MigrationAction.CLOSE, move.name)]
+        return [*steps, MigrationStep(MigrationAction.CLOSE, move.name)]
--- a/tests/fleet/test_session_migration.py
+++ b/tests/fleet/test_session_migration.py
@@ -497,7 +497,7 @@
 class Giddy(MigrationTable):
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
         move = self.by_name.get(name)
-        return self._decided(move, "off", now) if move and move.source_stage is SourceStage.OFFERED else []
+        return self._record_decision(move, "off", now) if move and move.source_stage is SourceStage.OFFERED else []
 
 
 class Forgetful(Acceptor):
