--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -1,7 +1,7 @@
 """The source side of a session's migration (move).
 
-Its methods carry out the steps that `MigrationTable` returns, each in a greenlet of its own where it waits. Spans that
-are waited for are seconds; `now` is microseconds of the boot clock.
+The methods carry out the steps that `MigrationTable` returns; those that wait run in their own greenlets. Timeouts are
+in seconds; `now` is in microseconds of the boot clock.
 """
 
 import gevent
@@ -27,37 +27,37 @@
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.replication_facts import Fact, encode_facts
 
-RELEASE_RETRY_S = 1.0  # seconds until the release of a session is tried again where it failed
-CUT_OFF_TIMEOUT_S = 0.1  # seconds in which attempts that were cut off end
-RECENT_IDS_BYTES = 1 << 17  # of the peer message with a staged session, kept free for its recent ids
-MAX_STAGED_BYTES = MAX_MESSAGE_BYTES - RECENT_IDS_BYTES  # of the session's facts
-MAX_STAGED_IDS = 1 << 12  # recent ids that go along with a session, at most
+RELEASE_RETRY_S = 1.0  # seconds until the failed release of a session is retried
+CUT_OFF_TIMEOUT_S = 0.1  # seconds for which the source waits for aborted attempts to end
+RECENT_IDS_BYTES = 1 << 17  # bytes of the peer message that are reserved for the recent ids of a session
+MAX_STAGED_BYTES = MAX_MESSAGE_BYTES - RECENT_IDS_BYTES  # bytes of a session's encoded messages
+MAX_STAGED_IDS = 1 << 12  # recent ids that are sent with a session
 
 
 class SessionTooLargeError(CedarwickError):
-    """A session's messages do not fit one peer message, so that it cannot be moved."""
+    """The messages of a session do not fit into one peer message, so the session cannot be moved."""
 
     code = "CW754"
     remedy = "wait until some of the session's messages have ended; until then it stays where it is"
 
 
 class MigrationSource(MigrationState):
-    """Freezes, marks, offers and releases a session that is held here."""
+    """Freezes, marks, offers and releases the sessions that this member moves away."""
 
     def _freeze_session(self, name: str) -> None:
-        """Stop new attempts of the session, and wait for those that are out; cut them off after `FREEZE_TIMEOUT_US`."""
+        """Stop new attempts of the session and wait for running ones; abort them after `FREEZE_TIMEOUT_US`."""
         key = self._session_key(name)
-        still = self.dispatcher.freeze(key)
-        if not still.wait(FREEZE_TIMEOUT_US / US_PER_S):
+        no_attempts = self.dispatcher.freeze(key)
+        if not no_attempts.wait(FREEZE_TIMEOUT_US / US_PER_S):
             self.dispatcher.cut(key)
-            still.wait(CUT_OFF_TIMEOUT_S)
+            no_attempts.wait(CUT_OFF_TIMEOUT_S)
         self.carry_out(self.migration_table.on_attempts_ended(name, monotonic_time()))
 
     def _mark_messages(self, name: str) -> None:
-        """Mark the pending messages as inert, in the folder and at all successors; call the move off on a failure."""
+        """Mark the pending messages as inert, in the folder and at all successors; on failure, call the move off."""
         key = self._session_key(name)
         self.dispatcher.cut(key)
-        # So that the ends of attempts that were cut off are recorded before the marks.
+        # Waits for one dispatcher round, so that the ends of aborted attempts are recorded before the marks.
         self.dispatcher.between(lambda: True).get()
         partitions: set[int] = set()
         marked = self.dispatcher.between(lambda: self._write_marks(name, key, partitions)).get()
@@ -67,7 +67,7 @@
             self.carry_out(self.migration_table.call_off(name, monotonic_time()))
 
     def _write_marks(self, name: str, key: int, partitions: set[int]) -> bool:
-        """Mark the pending messages in the own folder, and add their partitions to `partitions`."""
+        """Mark the pending messages in the folder, and add their partitions to `partitions`; False if it cannot."""
         pending = [
             stored
             for stored in self.store.messages.values()
@@ -84,12 +84,12 @@
         return True
 
     def _offer_session(self, name: str) -> None:
-        """Send the marked messages and the recent ids to the target; call the move off where it refuses them."""
-        stage = self._session_to_stage(name)
-        if stage is None:
+        """Send the marked messages and the recent ids to the target; if the target refuses, call the move off."""
+        offer = self._session_offer(name)
+        if offer is None:
             self.carry_out(self.migration_table.call_off(name, monotonic_time()))
             return
-        answer = self.call(parse_move_name(name)[2], stage, STAGE_TIMEOUT_S)
+        answer = self.call(parse_move_name(name)[2], offer, STAGE_TIMEOUT_S)
         if isinstance(answer, StageReply):
             now = monotonic_time()
             if not answer.stored:
@@ -98,8 +98,8 @@
                 self.migration_table.on_staged(name, now) if answer.stored else self.migration_table.call_off(name, now)
             )
 
-    def _session_to_stage(self, name: str) -> StageSession | None:
-        """The session as it is sent to the target; None if it cannot be moved."""
+    def _session_offer(self, name: str) -> StageSession | None:
+        """The session in the form that is sent to the target; None if it cannot be moved."""
         key = self._session_key(name)
         facts: list[Fact] = []
         for number in self._marked_messages(name, SOURCE_MARK):
@@ -109,17 +109,19 @@
             facts.append(fact)
         data = encode_facts(facts)
         if len(data) > MAX_STAGED_BYTES:
-            self.counters.warning("a session stays", SessionTooLargeError(f"{len(facts)} messages of {key:016x}"))
+            self.counters.warning(
+                "a session stays", SessionTooLargeError(f"{len(facts)} messages of session {key:016x}")
+            )
             return None
         ids = self.directory.recent_ids(key, monotonic_time())
         if len(ids) > MAX_STAGED_IDS:
             return None
         entries = tuple(RecentIdEntry(each, age, hashed) for each, (age, hashed) in ids.items())
-        rest = self.dispatcher.rest_of(key)
-        return StageSession(name, key, self.session_sequences[name], data, digest_of(data), entries, rest)
+        rest_us = self.dispatcher.rest_of(key)
+        return StageSession(name, key, self.session_sequences[name], data, digest_of(data), entries, rest_us)
 
     def _start_forwarding(self, step: MigrationStep) -> None:
-        """Record the target as the holder, and thaw the key: requests are forwarded from now on."""
+        """Record the target as the holder and thaw the session, so that its requests are forwarded."""
         key, now = self._session_key(step.move), monotonic_time()
         if self._began_here(step.move):
             self.directory.record_new_holder(key, step.to, self.session_sequences[step.move] + 1, now)
@@ -129,9 +131,9 @@
         self.notify_change()
 
     def _release_session(self, name: str) -> None:
-        """Make the messages live here again after a move was called off; repeated until it succeeds."""
+        """Resume the messages here after the move was called off; retries until that succeeds."""
         key, now, began_here = self._session_key(name), monotonic_time(), self._began_here(name)
-        # If the file cannot be written now, giving up would leave the messages inert and the session frozen for good.
+        # If the file cannot be written now, giving up would leave the messages inert and the session frozen forever.
         while not self.dispatcher.between(lambda: self._clear_source_marks(name, key, began_here, now)).get():
             gevent.sleep(RELEASE_RETRY_S)
         if began_here:
@@ -139,11 +141,11 @@
         self.counters.add("moves called off")
 
     def _clear_source_marks(self, name: str, key: int, began_here: bool, now: int) -> bool:
-        """Clear the marks of a move that was called off, and go on with the session's messages."""
+        """Clear the marks of a move that was called off, and resume the session's messages."""
         numbers = self._marked_messages(name, SOURCE_MARK)
         sequence = self._session_sequence(name, numbers) + 1
-        # A holder that adopted them without the marks may have decided their ends, and lost the notices as the marks
-        # came. Those that wait for a copy are posted by the dispatcher.
+        # A holder that adopted these messages without the marks may have ended some of them, and lost their notices
+        # when the marks arrived. The dispatcher itself posts the notices that wait until a copy has their end.
         ended = {number for number in numbers if self.store.messages[number].end} - self.dispatcher.uncopied_ends
         self._save_marks_without(numbers)
         for number in numbers:
@@ -165,5 +167,5 @@
         return True
 
     def _discard_at_source(self, name: str) -> None:
-        """Drop the messages here: the target is active."""
+        """Discard the messages here, because the target is active."""
         self.dispatcher.between(lambda: self._discard_messages(name, SOURCE_MARK)).get()
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -1,6 +1,6 @@
-"""The state and the helpers that both sides of a session's migration (move) share.
+"""State and helpers that both sides of a session's migration (move) share.
 
-`MigrationState` is the common base of the parse_move_name of `SessionMigrations`.
+`MigrationState` is the common base of the classes that make up `SessionMigrations`.
 """
 
 import random
@@ -31,23 +31,23 @@
 
 VOTE_TIMEOUT_S = 0.3  # seconds for the answer to a vote request or a decision
 STAGE_TIMEOUT_S = 0.45  # seconds for the answer to the offer of a session
-MAX_SESSIONS = 10_000  # that a sender holds, at most
-SOURCE_MARK, TARGET_MARK = "<", ">"  # how the mark of an inert message begins: at the source, at the target
-REPLICATION_TIMEOUT_US = 500_000  # microseconds in which the replicas must get a mark
-REPLICATION_POLL_S = 0.002  # seconds between two checks of whether they have it
-BALLOT_PAUSE_US = 50_000  # at most, drawn at random, between a ballot that lost and the next one
-MAX_PAUSE_DOUBLINGS = 5  # of `BALLOT_PAUSE_US`, one with each ballot that lost
+MAX_SESSIONS = 10_000  # sessions that one sender holds at most
+SOURCE_MARK, TARGET_MARK = "<", ">"  # first character of the mark of an inert message, by side
+REPLICATION_TIMEOUT_US = 500_000  # microseconds within which every successor must have a record
+REPLICATION_POLL_S = 0.002  # seconds between two checks of whether every successor has it
+BALLOT_PAUSE_US = 50_000  # microseconds; doubled with each failed round it bounds the random pause until the next
+MAX_PAUSE_DOUBLINGS = 5  # of `BALLOT_PAUSE_US`
 
 
 class VotesNotSavedError(CedarwickError):
-    """This member's votes on moves cannot be written, and it gives none; moves are settled by the others."""
+    """The votes of this member on moves cannot be written, so it gives none; the other members settle the moves."""
 
     code = "CW756"
     remedy = "free the disk that holds $RELAY_STATE"
 
 
 class MigrationState(ABC):
-    """The state and the helpers that both sides of a move share."""
+    """State and helpers that both sides of a move share."""
 
     def __init__(
         self,
@@ -69,38 +69,40 @@
         self.clock = node.clock
         table = self.files.read_acceptor_table()
         self.acceptor = Acceptor(monotonic_time(), table is None, table)
-        self.unsaved_votes: set[str] = set()  # moves with a vote of this member that is not on the disk
-        self.next_stamp = node.incarnation  # of the next move
+        self.unsaved_votes: set[str] = set()  # moves with a vote of this member that is not on disk
+        self.next_stamp = node.incarnation  # the stamp of the next move of this member
         self.acceptor.raise_floor(self.name, self.next_stamp)
         self.files.write_acceptor_table(self.acceptor.table())
-        chance = random.Random(node.incarnation)
+        rng = random.Random(node.incarnation)
         self.migration_table = MigrationTable(
             self.name,
             f"{self.name}#{node.incarnation}",
             tuple(sorted(node.halls)),
             self.acceptor,
-            lambda failed: chance.randint(0, BALLOT_PAUSE_US << min(failed, MAX_PAUSE_DOUBLINGS)),
+            lambda failed: rng.randint(0, BALLOT_PAUSE_US << min(failed, MAX_PAUSE_DOUBLINGS)),
         )
         self.planner = MigrationPlanner(node.halls[self.name])
         marks = self.files.read_marks()
         self.store.inert = {number: mark for number, mark in marks.items() if number in self.store.messages}
         self.store.write_move_marks = self.files.write_marks
         self.dispatcher: Dispatcher
-        self.staged_offers: dict[str, tuple[StageSession, int]] = {}  # by move: what was staged here, and when
-        self.staged_before_adoption: set[str] = set()  # of these, staged in a partition that was adopted since
-        self.session_sequences: dict[str, int] = {}  # by move: the sequence of its session since the move began
-        self.staging_results: dict[str, gevent.event.AsyncResult] = {}  # by move: whether it was staged
+        self.staged_offers: dict[str, tuple[StageSession, int]] = {}  # by move: the offer, and when it arrived
+        self.staged_before_adoption: set[str] = set()  # of these, offers stored in a partition that was adopted since
+        self.session_sequences: dict[
+            str, int
+        ] = {}  # by move: the sequence of its session from the beginning of the move
+        self.staging_results: dict[str, gevent.event.AsyncResult] = {}  # by move: whether the offer was stored
         self.running_steps: set[tuple[str, MigrationAction]] = set()
-        # Of undecided moves that this member voted on and takes no part in:
+        # By move: proposers of undecided moves that this member has voted on but takes no part in.
         self.orphaned_proposers: dict[str, Proposer] = {}
         self.deadlines_checked_at = 0
 
     @abstractmethod
     def carry_out(self, steps: Iterable[MigrationStep]) -> None:
-        """Carry out steps of moves; a step that waits runs in a greenlet of its own."""
+        """Carry out steps of moves; steps that wait run in their own greenlets."""
 
     def _try_to_save(self, write: Callable[..., None], *arguments: object) -> bool:
-        """Call `write`; False where it raises OSError, which is counted and logged."""
+        """Call `write`; if it raises OSError, log and count a warning and return False."""
         try:
             write(*arguments)
         except OSError as error:
@@ -109,12 +111,12 @@
         return True
 
     def _session_key(self, name: str) -> int:
-        """The key of a move's session; 0 where it is not known."""
+        """The key of the session of a move; 0 if unknown."""
         known = self.migration_table.by_name.get(name) or self.acceptor.rows.get(name)
         return known.key if known is not None else 0
 
     def _marked_messages(self, name: str, side: str) -> list[int]:
-        """Messages with the mark of one side of a move."""
+        """The numbers of the messages that are marked for one side of a move."""
         return sorted(
             number
             for number, (_, text) in self.store.inert.items()
@@ -122,35 +124,35 @@
         )
 
     def _began_here(self, name: str) -> bool:
-        """Whether this process began the move; if not, it was found after a restart or in an adopted partition."""
+        """Whether this process began the move; else it was found after a restart or in an adopted partition."""
         return parse_move_name(name)[1] == self.name and name in self.session_sequences
 
     def _session_sequence(self, name: str, numbers: Iterable[int]) -> int:
-        """The sequence of the session since the move began: the largest one known here."""
+        """The sequence of the session during the move: the largest one that is known here."""
         return max([self.session_sequences.get(name, 0), *(self.store.inert[number][0] for number in numbers)])
 
     def _save_marks_without(self, numbers: Iterable[int]) -> None:
-        """Write the file of inert messages without some of them; OSError where that fails."""
-        gone = set(numbers)
-        if gone:
-            self.files.write_marks({number: mark for number, mark in self.store.inert.items() if number not in gone})
+        """Write the file of marks without some messages; raises OSError."""
+        removed = set(numbers)
+        if removed:
+            self.files.write_marks({number: mark for number, mark in self.store.inert.items() if number not in removed})
 
     def _wait_until_replicated(self, partitions: set[int]) -> bool:
         """Wait until every successor has all records of these partitions; False after `REPLICATION_TIMEOUT_US`."""
-        done, until = self.store.replication_check(partitions), monotonic_time() + REPLICATION_TIMEOUT_US
-        while not done():
-            if monotonic_time() > until:
+        is_replicated, deadline = self.store.replication_check(partitions), monotonic_time() + REPLICATION_TIMEOUT_US
+        while not is_replicated():
+            if monotonic_time() > deadline:
                 return False
             gevent.sleep(REPLICATION_POLL_S)
         return True
 
     def _discard_messages(self, name: str, side: str) -> bool:
-        """Drop the messages of one side without a notice to anybody: the other side has them."""
+        """Discard the messages of one side without a notice, because the other side has them."""
         numbers = self._marked_messages(name, side)
         for number in numbers:
             try:
                 self.store.over(number)
-            except NoSpaceError as error:  # written once there is room; the other messages must not wait for that
+            except NoSpaceError as error:  # the record follows once there is room; the other messages do not wait
                 self.counters.warning("no room for the record of an end", error)
             self.store.inert.pop(number, None)
         self._save_marks_without(numbers)
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -1,8 +1,9 @@
-"""The I/O of moves: carries out what `migration_table.py` and `consensus.py` decide, for `SessionRouter`.
+"""The I/O of session migrations (moves): carries out the steps of `migration_table.py` for `SessionRouter`.
 
-What touches both the message store and the dispatcher is done between two of the dispatcher's rounds. A message on the
-move carries a mark, in the ledger of its partition (for the successors) and in a file of this member (for its next
-boot): the sequence of its session, and `<` (given) or `>` (taken) before the name of the move. Times are microseconds.
+Changes that touch both the message store and the dispatcher run between two rounds of the dispatcher. A message of a
+migrating session carries a mark, in the ledger of its partition (for the successors) and in a file of this member (for
+its next process). The mark is the sequence of the session and a text: `<` (at the source) or `>` (at the target),
+followed by the name of the move. Times are in microseconds.
 """
 
 from collections import deque
@@ -38,32 +39,33 @@
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.sessions import SESSION_TTL_US
 
-DEADLINE_CHECK_US = 100_000  # between two searches for messages on the move that are near their deadline
+DEADLINE_CHECK_US = 100_000  # microseconds between two searches for marked messages near their deadline
 
 
 class InvalidMoveNameError(CedarwickError):
-    """A peer message about a move whose name cannot be one."""
+    """A peer message names an impossible move, or carries an unknown decision."""
 
     code = "CW755"
     remedy = "bring all members to one version of the program"
 
 
 class SessionMigrations(MigrationVotes, MigrationSource, MigrationTarget):
-    """The moves in which this member is source or target. `dispatcher` must be set before any call.
+    """The moves in which this member takes part. The caller sets `dispatcher` before it calls any method.
 
     Args:
-        call: a peer message to another member and its answer within so many seconds; None where there is none.
-        accepts_sessions: whether this sender takes sessions now.
-        notify_change: to be called when something has changed that a submission may wait for.
+        call: sends a peer message to another member; returns its answer, or None if it takes longer than the seconds
+            given.
+        accepts_sessions: tells whether this sender accepts sessions now.
+        notify_change: called when something has changed that a submission may wait for.
     """
 
     def run_due_steps(self, now: int) -> None:
-        """Do what is due now; called by the node at each turn, never waits."""
+        """Carry out what is due; called in each round of the node, never blocks."""
         self._check_marks(now)
         self.carry_out(self.migration_table.due_steps(now))
 
     def remove_expired(self, now: int) -> None:
-        """Drop what is old; about once a second."""
+        """Remove expired state and settle orphaned moves; called about once a second."""
         if self.acceptor.prune(now):
             self._try_to_save(self.files.write_acceptor_table, self.acceptor.table())
         self._settle_orphaned_moves(now)
@@ -72,7 +74,7 @@
                 del stored[name]
 
     def has_outgoing_moves(self) -> bool:
-        """Whether a move that gives a session away from here is not over yet."""
+        """Whether a move that has this member as its source is not completed yet."""
         return any(
             move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED)
             or move.source_stage is SourceStage.FORWARDING
@@ -81,7 +83,7 @@
         )
 
     def begin(self, key: int, to: str, now: int) -> None:
-        """Start to give a session that is held here to another member."""
+        """Start to move a session that is held here to another member."""
         session = self.directory.sessions.get(key)
         if session is None or not session.sure or session.used < now - SESSION_TTL_US or not self.store.taking():
             self.planner.note_end(key, session is None, now)
@@ -100,7 +102,7 @@
     def answer_peer_message(
         self, body: StageSession | PrepareRequest | AcceptRequest | MigrationDecided, now: int
     ) -> Body:
-        """The answer to another member's message about a move; raises `InvalidMoveNameError`."""
+        """Answer the peer message of another member about a move; raises `InvalidMoveNameError`."""
         try:
             parse_move_name(body.move)
         except ValueError as error:
@@ -111,7 +113,7 @@
             return vote_reply_of(body.move, self.vote(body.move, ballot_of(body.ballot), None, body.key))
         value = value_of(body.value)
         if value is None:
-            raise InvalidMoveNameError(f"no value of a decision: {body.value!r}")
+            raise InvalidMoveNameError(f"unknown decision {body.value!r}")
         if isinstance(body, AcceptRequest):
             return vote_reply_of(body.move, self.vote(body.move, ballot_of(body.ballot), value, body.key))
         row = self.acceptor.note_decision(body.move, value, now)
@@ -122,11 +124,11 @@
         return MigrationDecided(body.move, known or "", active)
 
     def carry_out(self, steps: Iterable[MigrationStep]) -> None:
-        """Carry out steps of moves; those that wait for something run in greenlets of their own."""
-        todo = deque(steps)
+        """Carry out steps of moves; steps that wait run in their own greenlets."""
+        pending = deque(steps)
         now = monotonic_time()
-        while todo:
-            step = todo.popleft()
+        while pending:
+            step = pending.popleft()
             if step.action is MigrationAction.REQUEST_VOTE and step.vote_request is not None:
                 if step.vote_request.to == self.name:
                     answer = self.vote(
@@ -135,7 +137,7 @@
                         step.vote_request.value,
                         self._session_key(step.vote_request.move),
                     )
-                    todo.extend(self.migration_table.on_vote_reply(step.vote_request, answer, now))
+                    pending.extend(self.migration_table.on_vote_reply(step.vote_request, answer, now))
                 else:
                     gevent.spawn(self._request_vote, step.vote_request)
             elif step.action is MigrationAction.SEND_DECISION:
@@ -151,7 +153,7 @@
                 gevent.spawn(self._run_step, step)
 
     def _run_step(self, step: MigrationStep) -> None:
-        work = {
+        handlers = {
             MigrationAction.FREEZE: self._freeze_session,
             MigrationAction.MARK: self._mark_messages,
             MigrationAction.STAGE: self._offer_session,
@@ -162,15 +164,15 @@
             MigrationAction.DISCARD_AT_SOURCE: self._discard_at_source,
         }
         try:
-            work[step.action](step.move)
-        except Exception:  # one move that fails must not keep the others from being settled
+            handlers[step.action](step.move)
+        except Exception:  # the failure of one move must not keep others from being settled
             self.counters.failed(f"a move failed at {step.action.value}")
         finally:
             self.running_steps.discard((step.move, step.action))
             self.notify_change()
 
     def has_open_move(self, key: int) -> bool:
-        """Whether this member takes part in a move of this session that is undecided or not carried out yet."""
+        """Whether this member takes part in a move of the session that is undecided or not completed yet."""
         move = self.migration_table.by_name.get(self.migration_table.by_key.get(key, ""))
         return move is not None and (
             move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED)
@@ -180,7 +182,7 @@
         )
 
     def _check_marks(self, now: int) -> None:
-        """Settle moves whose marks are found here, and forget sides whose marks are gone."""
+        """Settle moves whose marks are found here, and forget the sides of moves whose marks are gone."""
         self._drop_marks_without_message()
         numbers_by_mark: dict[str, list[int]] = {}
         for number, (_, text) in self.store.inert.items():
@@ -193,12 +195,12 @@
             self._answer_messages_near_deadline()
 
     def _drop_marks_without_message(self) -> None:
-        gone = [number for number in self.store.inert if number not in self.store.messages]
-        for number in gone:
+        numbers = [number for number in self.store.inert if number not in self.store.messages]
+        for number in numbers:
             del self.store.inert[number]
 
     def _settle_found_move(self, text: str, numbers: list[int], now: int) -> None:
-        """Begin to settle the move of a mark if this member did not know that it has that side."""
+        """Begin to settle the move of a mark, if this member does not know yet that it has that side of the move."""
         name, at_source = text[1:], text[:1] == SOURCE_MARK
         move = self.migration_table.by_name.get(name)
         if move is not None and (move.source_stage if at_source else move.target_stage) is not None:
@@ -210,11 +212,11 @@
             return
         if not at_source and not self.store.replication_check(partitions)():
             return
-        logger.info("move {}: {} messages are marked here, it is to be settled", name, len(numbers))
+        logger.info("move {}: settling it, since {} messages with its mark were found here", name, len(numbers))
         self.carry_out(self.migration_table.on_marks_found(name, self.store.messages[numbers[0]].turn, at_source, now))
 
     def _forget_lost_sides(self, marks: Container[str]) -> None:
-        """Forget sides that were found earlier, and whose partition has another holder by now."""
+        """Forget the sides of moves that were found earlier, and whose partition has another holder now."""
         for name, move in list(self.migration_table.by_name.items()):
             sides = ((True, move.source_stage, SOURCE_MARK), (False, move.target_stage, TARGET_MARK))
             for at_source, stage, mark in sides:
