--- a/tests/fleet/test_session_migration.py
+++ b/tests/fleet/test_session_migration.py
@@ -1,4 +1,4 @@
-"""A session's move: all that can happen to one, up to a bound, and the cores beside it."""
+"""Session migrations: a bounded model check of the state machine, and the planner and session directory."""
 
 import pickle
 import random
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cedarwick.fleet import migration_table as moves_module
+from cedarwick.fleet import migration_table as migration_table_module
 from cedarwick.fleet.consensus import (
     Acceptor,
     AcceptorReply,
@@ -61,7 +61,8 @@
 MOVE = format_move_name(10, "A", "B")
 FROZEN = (SourceStage.FREEZING, SourceStage.OFFERED, SourceStage.FORWARDING)
 
-# What can happen to a member, and what leaves it: to whom, or of whom where it is for the judge alone.
+# Events of a member, and messages that it sends. The first name in a message is its receiver, or its sender where the
+# message is only evidence for `Explorer.check`.
 Event = (
     tuple[
         Literal[
@@ -71,37 +72,37 @@
             "on_staged",
             "call_off",
             "on_stored",
-            "round",
-            "learn",
+            "full_round",
+            "learn_loss",
             "restart",
             "due",
         ]
     ]
-    | tuple[Literal["stage", "bereft"], bool]
+    | tuple[Literal["stage", "lose_partition"], bool]
     | tuple[Literal["adopt"], bool, str | None]
-    | tuple[Literal["ask"], str, ProposerRequest]
-    | tuple[Literal["answer"], ProposerRequest, AcceptorReply]
-    | tuple[Literal["tell", "said"], str, DecisionValue, bool]
+    | tuple[Literal["vote_request"], str, ProposerRequest]
+    | tuple[Literal["vote_reply"], ProposerRequest, AcceptorReply]
+    | tuple[Literal["decision", "decision_reply"], str, DecisionValue, bool]
 )
-Answering = tuple[Literal["answer"], str, ProposerRequest, AcceptorReply]
+VoteReplyMessage = tuple[Literal["vote_reply"], str, ProposerRequest, AcceptorReply]
 Message = (
-    tuple[Literal["stage", "staged", "refused", "again", "fired"], str]
-    | tuple[Literal["ask"], str, str, ProposerRequest]
-    | Answering
-    | tuple[Literal["tell", "said"], str, str, DecisionValue, bool]
-    | tuple[Literal["vote"], str, Ballot, DecisionValue]
+    tuple[Literal["stage", "staged", "refused", "stored_again", "activated"], str]
+    | tuple[Literal["vote_request"], str, str, ProposerRequest]
+    | VoteReplyMessage
+    | tuple[Literal["decision", "decision_reply"], str, str, DecisionValue, bool]
+    | tuple[Literal["granted"], str, Ballot, DecisionValue]
 )
 State = tuple[tuple[int, ...], int, int, int]  # members, messages sent, restarts and adoptions left
 View = tuple[list[Event], bool, bool, str | None, str | None, bool, bool, bool, bool, Migration | None]
-Way = tuple[tuple[int, Event], ...]
+EventPath = tuple[tuple[int, Event], ...]
 
-STAGED: Way = (
+STAGED: EventPath = (
     (0, ("begin",)),
     (0, ("on_attempts_ended",)),
     (0, ("on_marked",)),
     (1, ("stage", True)),
     (1, ("on_stored",)),
-)  # the straight way
+)  # the path without failures until the session is staged
 
 
 def jitter(failed: int) -> int:
@@ -109,179 +110,196 @@
 
 
 class Member:
-    """One sender: what lies in its folder, and its moves, which a restart loses."""
+    """One sender: the contents of its folder, and its migrations, which are lost in a restart."""
 
-    def __init__(self, name: str, made: type[MigrationTable], acceptor: type[Acceptor]) -> None:
-        self.name, self.made, self.boots = name, made, 0
+    def __init__(self, name: str, table_class: type[MigrationTable], acceptor: type[Acceptor]) -> None:
+        self.name, self.table_class, self.boots = name, table_class, 0
         self.acceptor = acceptor(0)
-        self.moves = made(name, f"{name}#0", ("A", "B", "C"), self.acceptor, jitter)
-        self.gives: str | None = "live" if name == "A" else None  # the source's facts: live, marked, over
-        self.takes: str | None = None  # the target's: staged, live, dropped
+        self.migrations = table_class(name, f"{name}#0", ("A", "B", "C"), self.acceptor, jitter)
+        self.source_copy: str | None = "live" if name == "A" else None  # live, marked, over
+        self.target_copy: str | None = None  # staged, live, dropped
         self.marked_at_successors = self.staged_at_successors = False
-        self.gives_held, self.takes_held = name == "A", name == "B"  # the lease on the partition they lie in
+        self.holds_source_partition, self.holds_target_partition = name == "A", name == "B"
 
-    def key(self) -> str:
+    def state_key(self) -> str:
         return repr(
             (
                 self.name,
                 self.boots,
                 self.acceptor.rows,
-                self.moves.by_name,
-                self.gives,
-                self.takes,
+                self.migrations.by_name,
+                self.source_copy,
+                self.target_copy,
                 self.marked_at_successors,
                 self.staged_at_successors,
-                self.gives_held,
-                self.takes_held,
+                self.holds_source_partition,
+                self.holds_target_partition,
             )
         )
 
     def move(self) -> Migration | None:
-        return self.moves.by_name.get(MOVE)
+        return self.migrations.by_name.get(MOVE)
 
-    def fires_as_giver(self) -> bool:
+    def sends_as_source(self) -> bool:
         move = self.move()
-        return self.gives_held and self.gives == "live" and (move is None or move.source_stage not in FROZEN)
-
-    def fires_as_taker(self) -> bool:
-        return self.takes_held and self.takes == "live"
+        return (
+            self.holds_source_partition
+            and self.source_copy == "live"
+            and (move is None or move.source_stage not in FROZEN)
+        )
 
-    # What can happen; each returns the messages that leave.
+    def sends_as_target(self) -> bool:
+        return self.holds_target_partition and self.target_copy == "live"
 
     def events(self) -> list[Event]:
-        """What the member may do of its own accord."""
+        """The events that can occur without a message."""
         move = self.move()
         found: list[Event] = []
-        if self.name == "A" and self.gives == "live" and move is None and not self.boots:
+        if self.name == "A" and self.source_copy == "live" and move is None and not self.boots:
             found.append(("begin",))
         if move is not None:
             if move.source_stage is SourceStage.FREEZING:
                 found.append(("on_marked",) if move.marking else ("on_attempts_ended",))
             if move.source_stage in (SourceStage.FREEZING, SourceStage.OFFERED) and move.proposer is None:
                 found.append(("call_off",))
-            if move.target_stage is TargetStage.STAGED and not move.stored and self.takes_held:
+            if move.target_stage is TargetStage.STAGED and not move.stored and self.holds_target_partition:
                 found.append(("on_stored",))
             if move.value is None and move.proposer is not None and move.proposer.highest_round < 3:
-                found.append(("round",))
-            if (move.source_stage and not self.gives_held) or (move.target_stage and not self.takes_held):
-                found.append(("learn",))
+                found.append(("full_round",))
+            if (move.source_stage and not self.holds_source_partition) or (
+                move.target_stage and not self.holds_target_partition
+            ):
+                found.append(("learn_loss",))
         return found
 
-    def do(self, event: Event, now: int = 0) -> list[Message]:
+    def apply(self, event: Event, now: int = 0) -> list[Message]:
+        """Apply an event, and return the messages that the member sends."""
         sent: list[Message] = []
-        acts: list[MigrationStep] = []
+        steps: list[MigrationStep] = []
         move = self.move()
         if event[0] == "begin":
-            acts = self.moves.begin(MOVE, KEY, now)
+            steps = self.migrations.begin(MOVE, KEY, now)
         elif event[0] == "on_marked":
-            self.gives = "marked"
-            if not self.gives_held:
+            self.source_copy = "marked"
+            if not self.holds_source_partition:
                 return sent
             self.marked_at_successors = True
-            acts = self.moves.on_marked(MOVE, now)
+            steps = self.migrations.on_marked(MOVE, now)
         elif event[0] == "on_stored":
             self.staged_at_successors = True
-            acts = self.moves.on_stored(MOVE, now)
-        elif event[0] == "round":
+            steps = self.migrations.on_stored(MOVE, now)
+        elif event[0] == "full_round":
             assert move is not None and move.proposer is not None
-            acts = self.moves._vote_requests(move.proposer.begin_full_round(now))
-        elif event[0] == "learn":
-            for gives in [each for each, held in ((True, self.gives_held), (False, self.takes_held)) if not held]:
-                self.moves.forget_side(MOVE, gives)
-                self.gives, self.takes = (None, self.takes) if gives else (self.gives, None)
+            steps = self.migrations._vote_requests(move.proposer.begin_full_round(now))
+        elif event[0] == "learn_loss":
+            for at_source in [
+                each
+                for each, held in ((True, self.holds_source_partition), (False, self.holds_target_partition))
+                if not held
+            ]:
+                self.migrations.forget_side(MOVE, at_source)
+                self.source_copy, self.target_copy = (None, self.target_copy) if at_source else (self.source_copy, None)
         elif event[0] == "restart":
             self.boots += 1
-            self.moves = self.made(self.name, f"{self.name}#{self.boots}", ("A", "B", "C"), self.acceptor, jitter)
+            self.migrations = self.table_class(
+                self.name, f"{self.name}#{self.boots}", ("A", "B", "C"), self.acceptor, jitter
+            )
             table = self.acceptor.table()
             self.acceptor.load(table, now)
-            if self.gives_held and self.gives == "marked":
-                acts += self.moves.on_marks_found(MOVE, KEY, True, now)
-            if self.takes_held and self.takes == "staged":
+            if self.holds_source_partition and self.source_copy == "marked":
+                steps += self.migrations.on_marks_found(MOVE, KEY, True, now)
+            if self.holds_target_partition and self.target_copy == "staged":
                 self.staged_at_successors = True
-                acts += self.moves.on_marks_found(MOVE, KEY, False, now)
+                steps += self.migrations.on_marks_found(MOVE, KEY, False, now)
         elif event[0] == "adopt":
-            _, gives, found = event
-            if gives:
-                self.gives, self.gives_held = found, True
+            _, at_source, found = event
+            if at_source:
+                self.source_copy, self.holds_source_partition = found, True
             else:
-                self.takes, self.takes_held, self.staged_at_successors = found, True, True
-            acts = self.moves.on_marks_found(MOVE, KEY, gives, now) if found in ("marked", "staged") else []
-        elif event[0] == "bereft":
-            self.gives_held, self.takes_held = (False, self.takes_held) if event[1] else (self.gives_held, False)
+                self.target_copy, self.holds_target_partition, self.staged_at_successors = found, True, True
+            steps = self.migrations.on_marks_found(MOVE, KEY, at_source, now) if found in ("marked", "staged") else []
+        elif event[0] == "lose_partition":
+            self.holds_source_partition, self.holds_target_partition = (
+                (False, self.holds_target_partition) if event[1] else (self.holds_source_partition, False)
+            )
             return sent
         elif event[0] == "stage":
-            acts = self.moves.on_offer(MOVE, KEY, event[1], now)
-        elif event[0] == "ask":
-            votes, answer = self.asked(event[1], event[2])
+            steps = self.migrations.on_offer(MOVE, KEY, event[1], now)
+        elif event[0] == "vote_request":
+            votes, answer = self.vote(event[1], event[2])
             return [*votes, answer]
-        elif event[0] == "tell" or event[0] == "said":
-            acts = self.moves.on_decision(MOVE, event[2], event[3], now)
-            value, active = self.moves.known_decision(MOVE)
-            if value is not None and event[0] == "tell":
-                sent.append(("said", event[1], self.name, value, active))
-        elif event[0] == "answer":
-            acts = self.moves.on_vote_reply(event[1], event[2], now)
+        elif event[0] == "decision" or event[0] == "decision_reply":
+            steps = self.migrations.on_decision(MOVE, event[2], event[3], now)
+            value, active = self.migrations.known_decision(MOVE)
+            if value is not None and event[0] == "decision":
+                sent.append(("decision_reply", event[1], self.name, value, active))
+        elif event[0] == "vote_reply":
+            steps = self.migrations.on_vote_reply(event[1], event[2], now)
         elif event[0] == "due":
-            acts = self.moves.due_steps(now)
+            steps = self.migrations.due_steps(now)
         else:
-            acts = getattr(self.moves, event[0])(MOVE, now)
-        for act in acts:
-            sent += self.act(act, now)
+            steps = getattr(self.migrations, event[0])(MOVE, now)
+        for step in steps:
+            sent += self.carry_out(step, now)
         return sent
 
-    def act(self, act: MigrationStep, now: int) -> list[Message]:
-        if act.action is MigrationAction.REQUEST_VOTE:
-            assert act.vote_request is not None
-            if act.to == self.name:
-                votes, answer = self.asked(self.name, act.vote_request, now)
-                return votes + self.do(("answer", answer[2], answer[3]), now)
-            return [("ask", act.to, self.name, act.vote_request)]
-        if act.action is MigrationAction.SEND_DECISION:
-            assert act.value is not None
+    def carry_out(self, step: MigrationStep, now: int) -> list[Message]:
+        if step.action is MigrationAction.REQUEST_VOTE:
+            assert step.vote_request is not None
+            if step.to == self.name:
+                votes, answer = self.vote(self.name, step.vote_request, now)
+                return votes + self.apply(("vote_reply", answer[2], answer[3]), now)
+            return [("vote_request", step.to, self.name, step.vote_request)]
+        if step.action is MigrationAction.SEND_DECISION:
+            assert step.value is not None
             return [
-                ("tell", to, self.name, act.value, act.active)
-                for to in ([act.to] if act.to else "ABC")
+                ("decision", to, self.name, step.value, step.active)
+                for to in ([step.to] if step.to else "ABC")
                 if to != self.name
             ]
-        if act.action is MigrationAction.STAGE:
+        if step.action is MigrationAction.STAGE:
             return [("stage", "B")]
-        if act.action is MigrationAction.CONFIRM_STAGED:
+        if step.action is MigrationAction.CONFIRM_STAGED:
             return [("staged", "A")]
-        if act.action is MigrationAction.REFUSE:
+        if step.action is MigrationAction.REFUSE:
             return [("refused", "A")]
-        if act.action is MigrationAction.STORE_OFFER:
-            again: list[Message] = [("again", self.name)] if self.takes in ("live", "dropped") else []
-            self.takes = "staged"
-            return again
-        elif act.action is MigrationAction.ACTIVATE:
-            self.takes = "live"
-            sent: list[Message] = [("fired", self.name)] if self.takes_held else []
-            for each in self.moves.on_activated(MOVE, now):
-                sent += self.act(each, now)
+        if step.action is MigrationAction.STORE_OFFER:
+            stored_again: list[Message] = (
+                [("stored_again", self.name)] if self.target_copy in ("live", "dropped") else []
+            )
+            self.target_copy = "staged"
+            return stored_again
+        elif step.action is MigrationAction.ACTIVATE:
+            self.target_copy = "live"
+            sent: list[Message] = [("activated", self.name)] if self.holds_target_partition else []
+            for each in self.migrations.on_activated(MOVE, now):
+                sent += self.carry_out(each, now)
             return sent
-        elif act.action is MigrationAction.DISCARD_AT_TARGET:
-            self.takes = "dropped"
-        elif act.action is MigrationAction.RELEASE:
-            self.gives = "live"
-        elif act.action is MigrationAction.DISCARD_AT_SOURCE:
-            self.gives = "over"
+        elif step.action is MigrationAction.DISCARD_AT_TARGET:
+            self.target_copy = "dropped"
+        elif step.action is MigrationAction.RELEASE:
+            self.source_copy = "live"
+        elif step.action is MigrationAction.DISCARD_AT_SOURCE:
+            self.source_copy = "over"
         return []
 
-    def asked(self, by: str, ask: ProposerRequest, now: int = 0) -> tuple[list[Message], Answering]:
+    def vote(self, by: str, request: ProposerRequest, now: int = 0) -> tuple[list[Message], VoteReplyMessage]:
         acceptor = self.acceptor
-        if ask.value is None:
-            answer = acceptor.prepare(ask.move, ask.ballot, now)
+        if request.value is None:
+            answer = acceptor.prepare(request.move, request.ballot, now)
         else:
-            answer = acceptor.accept(ask.move, ask.ballot, ask.value, now)
-        votes: list[Message] = [("vote", self.name, ask.ballot, ask.value)] if answer.granted and ask.value else []
-        return votes, ("answer", by, ask, answer._replace(unsaved_row=None))
+            answer = acceptor.accept(request.move, request.ballot, request.value, now)
+        votes: list[Message] = (
+            [("granted", self.name, request.ballot, request.value)] if answer.granted and request.value else []
+        )
+        return votes, ("vote_reply", by, request, answer._replace(unsaved_row=None))
 
 
 class UnsafeMoveError(Exception):
     pass
 
 
-def ones(mask: int) -> Iterator[int]:
+def set_bits(mask: int) -> Iterator[int]:
     while mask:
         lowest = mask & -mask
         yield lowest.bit_length() - 1
@@ -289,185 +307,198 @@
 
 
 class Explorer:
-    """Breadth first over (members, messages sent, restarts left). Messages are a set that only grows: each may be
-    delivered at any time, in any order, any number of times or never; so loss and a crash before a send are in it."""
+    """Explores the states (members, messages sent, restarts and adoptions left) breadth first.
+
+    The messages form a set that only grows. Each may be delivered at any time, in any order, any number of times or
+    never, which covers lost messages and crashes before a send.
+    """
 
-    def __init__(self, made: type[MigrationTable] = MigrationTable, acceptor: type[Acceptor] = Acceptor) -> None:
-        self.ids: dict[str, int] = {}
-        self.blobs: list[bytes] = []
+    def __init__(self, table_class: type[MigrationTable] = MigrationTable, acceptor: type[Acceptor] = Acceptor) -> None:
+        self.member_ids: dict[str, int] = {}
+        self.pickles: list[bytes] = []
         self.views: list[View] = []
         self.messages: list[Message] = []
-        self.bits: dict[Message, int] = {}
-        self.handled: list[tuple[int, list[Event]]] = []
-        self.steps: dict[tuple[int, Event], tuple[int, int]] = {}
-        self.start = tuple(self.known(Member(name, made, acceptor)) for name in "ABC")
-
-    def known(self, member: Member) -> int:
-        key = member.key()
-        if key not in self.ids:
-            self.ids[key] = len(self.blobs)
-            self.blobs.append(pickle.dumps(member))
+        self.message_bits: dict[Message, int] = {}
+        self.deliveries: list[tuple[int, list[Event]]] = []
+        self.transitions: dict[tuple[int, Event], tuple[int, int]] = {}
+        self.start = tuple(self.intern(Member(name, table_class, acceptor)) for name in "ABC")
+
+    def intern(self, member: Member) -> int:
+        key = member.state_key()
+        if key not in self.member_ids:
+            self.member_ids[key] = len(self.pickles)
+            self.pickles.append(pickle.dumps(member))
             move = member.move()
             self.views.append(
                 (
                     member.events(),
-                    member.fires_as_giver(),
-                    member.fires_as_taker(),
-                    member.gives,
-                    member.takes,
-                    member.gives_held,
-                    member.takes_held,
+                    member.sends_as_source(),
+                    member.sends_as_target(),
+                    member.source_copy,
+                    member.target_copy,
+                    member.holds_source_partition,
+                    member.holds_target_partition,
                     member.marked_at_successors,
                     member.staged_at_successors,
                     move,
                 )
             )
-        return self.ids[key]
+        return self.member_ids[key]
 
-    def bit(self, message: Message) -> int:
-        if message not in self.bits:
-            self.bits[message] = len(self.messages)
+    def message_bit(self, message: Message) -> int:
+        if message not in self.message_bits:
+            self.message_bits[message] = len(self.messages)
             self.messages.append(message)
-            self.handled.append(("ABC".index(message[1]), self.event(message)))
-        return 1 << self.bits[message]
+            self.deliveries.append(("ABC".index(message[1]), self.events_on(message)))
+        return 1 << self.message_bits[message]
 
-    def step(self, number: int, event: Event) -> tuple[int, int]:
-        done = self.steps.get((number, event))
-        if done is None:
-            member: Member = pickle.loads(self.blobs[number])
+    def apply_event(self, member_id: int, event: Event) -> tuple[int, int]:
+        result = self.transitions.get((member_id, event))
+        if result is None:
+            member: Member = pickle.loads(self.pickles[member_id])
             sent = 0
-            for message in member.do(event):
-                sent |= self.bit(message)
-            done = self.steps[number, event] = self.known(member), sent
-        return done
+            for message in member.apply(event):
+                sent |= self.message_bit(message)
+            result = self.transitions[member_id, event] = self.intern(member), sent
+        return result
 
-    def event(self, message: Message) -> list[Event]:
+    def events_on(self, message: Message) -> list[Event]:
         if message[0] == "stage":
             return [("stage", True), ("stage", False)]
         if message[0] == "staged":
             return [("on_staged",)]
         if message[0] == "refused":
             return [("call_off",)]
-        if message[0] == "ask":
-            return [("ask", message[2], message[3])]
-        if message[0] == "answer":
-            return [("answer", message[2], message[3])]
-        if message[0] == "tell" or message[0] == "said":
+        if message[0] == "vote_request":
+            return [("vote_request", message[2], message[3])]
+        if message[0] == "vote_reply":
+            return [("vote_reply", message[2], message[3])]
+        if message[0] == "decision" or message[0] == "decision_reply":
             return [(message[0], message[2], message[3], message[4])]
         return []
 
-    def following(self, state: State) -> Iterator[State]:
+    def next_states(self, state: State) -> Iterator[State]:
         members, sent, restarts, adoptions = state
-        for place, number in enumerate(members):
-            view = self.views[number]
+        for position, member_id in enumerate(members):
+            view = self.views[member_id]
             events = list(view[0])
             if restarts:
                 events.append(("restart",))
             for event in events:
-                yield self.after(state, place, event, restarts - (event[0] == "restart"))
-        for index in ones(sent):
-            place, events = self.handled[index]
+                yield self.state_after(state, position, event, restarts - (event[0] == "restart"))
+        for bit in set_bits(sent):
+            position, events = self.deliveries[bit]
             for event in events:
-                number, new = self.step(members[place], event)
-                if number != members[place] or new & ~sent:
-                    yield (*members[:place], number, *members[place + 1 :]), sent | new, restarts, adoptions
+                member_id, new_messages = self.apply_event(members[position], event)
+                if member_id != members[position] or new_messages & ~sent:
+                    yield (
+                        (*members[:position], member_id, *members[position + 1 :]),
+                        sent | new_messages,
+                        restarts,
+                        adoptions,
+                    )
         if adoptions:
-            for gives, owner in ((True, 0), (False, 1)):
+            for at_source, owner in ((True, 0), (False, 1)):
                 view = self.views[members[owner]]
-                if view[5 if gives else 6]:
-                    for found in self.copies(view, gives):
-                        bereft = self.after(state, owner, ("bereft", gives), restarts)
-                        yield self.after((*bereft[:3], adoptions - 1), 2, ("adopt", gives, found), restarts)
+                if view[5 if at_source else 6]:
+                    for found in self.possible_copies(view, at_source):
+                        without_partition = self.state_after(state, owner, ("lose_partition", at_source), restarts)
+                        yield self.state_after(
+                            (*without_partition[:3], adoptions - 1), 2, ("adopt", at_source, found), restarts
+                        )
 
     @staticmethod
-    def copies(view: View, gives: bool) -> list[str | None]:
-        """What a successor may have of a side when it adopts the partition:
+    def possible_copies(view: View, at_source: bool) -> list[str | None]:
+        """What a successor may have of one side when it adopts the partition.
 
-        it knows of marks for sure once `marked` ran.
+        It is certain to have the marks once the holder has seen them at every successor.
         """
-        mine, sure = (view[3], view[7]) if gives else (view[4], view[8])
-        if gives:
-            return ["marked"] if sure else ["live"] if mine == "live" else ["live", "marked"]
-        return ["staged"] if sure else [None] if mine is None else [None, "staged"]
+        copy, is_certain = (view[3], view[7]) if at_source else (view[4], view[8])
+        if at_source:
+            return ["marked"] if is_certain else ["live"] if copy == "live" else ["live", "marked"]
+        return ["staged"] if is_certain else [None] if copy is None else [None, "staged"]
 
-    def after(self, state: State, place: int, event: Event, restarts: int) -> State:
+    def state_after(self, state: State, position: int, event: Event, restarts: int) -> State:
         members, sent, _, adoptions = state
-        number, new = self.step(members[place], event)
-        return (*members[:place], number, *members[place + 1 :]), sent | new, restarts, adoptions
+        member_id, new_messages = self.apply_event(members[position], event)
+        return (*members[:position], member_id, *members[position + 1 :]), sent | new_messages, restarts, adoptions
 
-    def judge(self, state: State) -> None:
-        """Raises UnsafeMoveError where a claim is broken."""
+    def check(self, state: State) -> None:
+        """Raise UnsafeMoveError if the state violates an invariant."""
         members, sent, _, _ = state
-        views = [self.views[number] for number in members]
+        views = [self.views[member_id] for member_id in members]
         votes: dict[tuple[Ballot, DecisionValue], set[str]] = {}
-        fired = False
-        for message in (self.messages[index] for index in ones(sent)):
-            if message[0] == "vote":
+        activated = False
+        for message in (self.messages[bit] for bit in set_bits(sent)):
+            if message[0] == "granted":
                 votes.setdefault(message[2:], set()).add(message[1])
-            fired = fired or message[0] == "fired"
-            if message[0] == "again":
-                raise UnsafeMoveError("taken again")
+            activated = activated or message[0] == "activated"
+            if message[0] == "stored_again":
+                raise UnsafeMoveError("an offer was stored again")
         decided = {value for (_, value), voters in votes.items() if len(voters) > 1}
         if len(decided) > 1:
-            raise UnsafeMoveError("decided twice")
-        gives = any(view[1] for view in views)
-        if gives and (fired or any(view[2] for view in views)):
-            raise UnsafeMoveError("both may fire")
+            raise UnsafeMoveError("two values were decided")
+        source_sends = any(view[1] for view in views)
+        if source_sends and (activated or any(view[2] for view in views)):
+            raise UnsafeMoveError("both sides may send attempts")
         if sum(view[1] for view in views) > 1 or sum(view[2] for view in views) > 1:
-            raise UnsafeMoveError("two holders fire")
-        givers = {view[3] for view in views if view[5]}
-        takers = {view[4] for view in views if view[6]}
-        if not givers & {"live", "marked"} and not takers & {"staged", "live"}:
-            raise UnsafeMoveError("lost")
-        if decided == {"off"} and not givers & {"live", "marked"}:
-            raise UnsafeMoveError("called off, and the source's gone")
-        if decided == {"taker"} and not takers & {"staged", "live"} or fired and decided != {"taker"}:
-            raise UnsafeMoveError("the target's without the decision, or the decision without the target's")
-
-    def explore(self, depth: int, restarts: int, adoptions: int, every: int = 0, after: Way = ()) -> int:
-        """States seen; each is judged, and one in `every` is run to its fair end. `after`: begin with these events."""
+            raise UnsafeMoveError("two holders of one side may send attempts")
+        source_copies = {view[3] for view in views if view[5]}
+        target_copies = {view[4] for view in views if view[6]}
+        if not source_copies & {"live", "marked"} and not target_copies & {"staged", "live"}:
+            raise UnsafeMoveError("the messages are lost")
+        if decided == {"off"} and not source_copies & {"live", "marked"}:
+            raise UnsafeMoveError("the move was called off, but the source has no messages")
+        if decided == {"taker"} and not target_copies & {"staged", "live"} or activated and decided != {"taker"}:
+            raise UnsafeMoveError("the target is active without the decision, or has no messages after it")
+
+    def explore(self, depth: int, restarts: int, adoptions: int, every: int = 0, after: EventPath = ()) -> int:
+        """Check all states within `depth` events and return their number.
+
+        The exploration begins after the events of `after`. From one state in `every`, `check_fair_end` is run.
+        """
         first: State = (self.start, 0, restarts, adoptions)
-        for place, event in after:
-            first = self.after(first, place, event, restarts)
+        for position, event in after:
+            first = self.state_after(first, position, event, restarts)
         seen, layer = {first}, [first]
         for _ in range(depth):
-            new = []
+            next_layer = []
             for state in layer:
-                for following in self.following(state):
-                    if following not in seen:
-                        seen.add(following)
-                        self.judge(following)
+                for next_state in self.next_states(state):
+                    if next_state not in seen:
+                        seen.add(next_state)
+                        self.check(next_state)
                         if every and len(seen) % every == 0:
-                            self.fair_end(following)
-                        new.append(following)
-            layer = new
+                            self.check_fair_end(next_state)
+                        next_layer.append(next_state)
+            layer = next_layer
         return len(seen)
 
-    def fair_end(self, state: State) -> None:
-        """Every message arrives from here on, once and in order, and the clocks go on: one side must own it."""
-        members: list[Member] = [pickle.loads(self.blobs[number]) for number in state[0]]
+    def check_fair_end(self, state: State) -> None:
+        """From here on each message arrives once, in order, and time passes: exactly one side must own the session."""
+        members: list[Member] = [pickle.loads(self.pickles[number]) for number in state[0]]
         queue: list[Message] = []
         for member in members:
-            if ("learn",) in member.events():
-                member.do(("learn",))
+            if ("learn_loss",) in member.events():
+                member.apply(("learn_loss",))
         for now in range(0, 20_000 * MS, 50 * MS):
             for member in members:
                 for event in member.events():
                     if event[0] in ("on_attempts_ended", "on_marked", "on_stored"):
-                        queue += member.do(event, now)
-                queue += member.do(("due",), now)
+                        queue += member.apply(event, now)
+                queue += member.apply(("due",), now)
             while queue:
                 message = queue.pop(0)
-                for event in self.event(message)[:1]:
-                    queue += members["ABC".index(message[1])].do(event, now)
-        gives = [member.gives for member in members if member.gives_held]
-        takes = [member.takes for member in members if member.takes_held]
-        fires = sum(member.fires_as_giver() + member.fires_as_taker() for member in members)
-        if fires != 1 or "staged" in takes or (gives != ["live"] and takes != ["live"]):
-            raise UnsafeMoveError(f"no end: {gives} {takes} {fires}")
+                for event in self.events_on(message)[:1]:
+                    queue += members["ABC".index(message[1])].apply(event, now)
+        source_copies = [member.source_copy for member in members if member.holds_source_partition]
+        target_copies = [member.target_copy for member in members if member.holds_target_partition]
+        sending_sides = sum(member.sends_as_source() + member.sends_as_target() for member in members)
+        if sending_sides != 1 or "staged" in target_copies or (source_copies != ["live"] and target_copies != ["live"]):
+            raise UnsafeMoveError(f"the move did not end: {source_copies} {target_copies} {sending_sides}")
 
 
-class Hasty(MigrationTable):
+class DiscardsBeforeDecision(MigrationTable):
     def on_staged(self, name: str, now: int) -> list[MigrationStep]:
         move = self.by_name.get(name)
         if move is None or move.source_stage is not SourceStage.OFFERED:
@@ -476,14 +507,14 @@
         return [MigrationStep(MigrationAction.DISCARD_AT_SOURCE, name)]
 
 
-class Eager(MigrationTable):
+class ActivatesBeforeDecision(MigrationTable):
     def on_stored(self, name: str, now: int) -> list[MigrationStep]:
-        acts = super().on_stored(name, now)
+        steps = super().on_stored(name, now)
         self.by_name[name].target_stage = TargetStage.GRANTED
-        return [MigrationStep(MigrationAction.ACTIVATE, name), *acts]
+        return [MigrationStep(MigrationAction.ACTIVATE, name), *steps]
 
 
-class Trusting(MigrationTable):
+class StoresOfferTwice(MigrationTable):
     def on_offer(self, name: str, key: int, room: bool, now: int) -> list[MigrationStep]:
         if name not in self.by_name:
             self.acceptor.may_add_row = lambda move: True  # type: ignore[method-assign]
@@ -494,20 +525,20 @@
         return super().on_offer(name, key, room, now)
 
 
-class Giddy(MigrationTable):
+class CallsOffWithoutDecision(MigrationTable):
     def call_off(self, name: str, now: int) -> list[MigrationStep]:
         move = self.by_name.get(name)
         return self._record_decision(move, "off", now) if move and move.source_stage is SourceStage.OFFERED else []
 
 
-class Forgetful(Acceptor):
+class ForgetsPromises(Acceptor):
     def accept(self, move: str, ballot: Ballot, value: DecisionValue, now: int, key: int = 0) -> AcceptorReply:
         if move in self.rows:
             self.rows[move].promised = (0, "")
         return super().accept(move, ballot, value, now, key)
 
 
-class Deaf(Proposer):
+class IgnoresAcceptedValues(Proposer):
     def receive_reply(
         self, voter: str, ballot: Ballot, value: DecisionValue | None, answer: AcceptorReply, now: int
     ) -> list[ProposerRequest]:
@@ -516,113 +547,129 @@
         return super().receive_reply(voter, ballot, value, answer, now)
 
 
-def asks(acts: list[MigrationStep]) -> list[ProposerRequest]:
-    """What the acts ask; each of them must ask."""
-    found = [act.vote_request for act in acts if act.vote_request is not None]
-    assert len(found) == len(acts)
-    return found
+def vote_requests(steps: list[MigrationStep]) -> list[ProposerRequest]:
+    """The vote requests of steps, all of which must have one."""
+    requests = [step.vote_request for step in steps if step.vote_request is not None]
+    assert len(requests) == len(steps)
+    return requests
 
 
-class ModelHistoriesTest(unittest.TestCase):
-    def test_every_course_of_a_move_is_safe_and_has_an_end(self) -> None:
-        for after, depth, restarts, adoptions, states in (
+class MigrationModelTest(unittest.TestCase):
+    def test_every_reachable_state_is_safe_and_every_move_ends(self) -> None:
+        for after, depth, restarts, adoptions, state_count in (
             ((), 12, 0, 0, 34283),
             ((), 9, 1, 2, 19948),
             (STAGED, 6, 1, 1, 93072),
         ):
             with self.subTest(depth=depth, restarts=restarts, adoptions=adoptions):
-                self.assertEqual(Explorer().explore(depth, restarts, adoptions, 499, after), states)
-
-    def test_a_broken_part_is_caught(self) -> None:
-        for made, acceptor, after, depth in (
-            (Hasty, Acceptor, STAGED, 6),
-            (Eager, Acceptor, (), 8),
-            (Trusting, Acceptor, STAGED, 6),
-            (Giddy, Acceptor, STAGED, 5),
-            (MigrationTable, Forgetful, STAGED, 8),
+                self.assertEqual(Explorer().explore(depth, restarts, adoptions, 499, after), state_count)
+
+    def test_the_model_check_detects_faulty_implementations(self) -> None:
+        for table_class, acceptor, after, depth in (
+            (DiscardsBeforeDecision, Acceptor, STAGED, 6),
+            (ActivatesBeforeDecision, Acceptor, (), 8),
+            (StoresOfferTwice, Acceptor, STAGED, 6),
+            (CallsOffWithoutDecision, Acceptor, STAGED, 5),
+            (MigrationTable, ForgetsPromises, STAGED, 8),
+        ):
+            with self.subTest(table_class=table_class, acceptor=acceptor), self.assertRaises(UnsafeMoveError):
+                Explorer(table_class, acceptor).explore(depth, 1, 0, 0, after)
+        with (
+            unittest.mock.patch.object(migration_table_module, "Proposer", IgnoresAcceptedValues),
+            self.assertRaises(UnsafeMoveError),
         ):
-            with self.subTest(made=made, acceptor=acceptor), self.assertRaises(UnsafeMoveError):
-                Explorer(made, acceptor).explore(depth, 1, 0, 0, after)
-        with unittest.mock.patch.object(moves_module, "Proposer", Deaf), self.assertRaises(UnsafeMoveError):
             Explorer().explore(8, 0, 0, 0, STAGED)
 
-    def test_the_clock(self) -> None:
+    def test_retries_and_timeouts_of_a_source(self) -> None:
         member = Member("A", MigrationTable, Acceptor)
-        member.do(("begin",))
-        moves = member.moves
-        self.assertEqual((moves.next_due_at(), moves.routing_state(KEY)), (FREEZE_TIMEOUT_US, ("wait", "")))
-        self.assertEqual([act.action for act in moves.due_steps(FREEZE_TIMEOUT_US)], [MigrationAction.MARK])
-        self.assertEqual([act.action for act in moves.on_marked(MOVE, FREEZE_TIMEOUT_US)], [MigrationAction.STAGE])
-        self.assertEqual(moves.action_near_deadline(MOVE), "failed")
+        member.apply(("begin",))
+        migrations = member.migrations
+        self.assertEqual((migrations.next_due_at(), migrations.routing_state(KEY)), (FREEZE_TIMEOUT_US, ("wait", "")))
+        self.assertEqual([step.action for step in migrations.due_steps(FREEZE_TIMEOUT_US)], [MigrationAction.MARK])
         self.assertEqual(
-            [act.action for act in moves.due_steps(FREEZE_TIMEOUT_US + moves_module.MIN_RETRY_US)],
+            [step.action for step in migrations.on_marked(MOVE, FREEZE_TIMEOUT_US)], [MigrationAction.STAGE]
+        )
+        self.assertEqual(migrations.action_near_deadline(MOVE), "failed")
+        self.assertEqual(
+            [step.action for step in migrations.due_steps(FREEZE_TIMEOUT_US + migration_table_module.MIN_RETRY_US)],
             [MigrationAction.STAGE],
         )
-        self.assertEqual([ask.value for ask in asks(moves.due_steps(CALL_OFF_AFTER_US))], [None] * 3)
-        moves.on_decision(MOVE, "taker", False, CALL_OFF_AFTER_US)
         self.assertEqual(
-            [act.action for act in moves.due_steps(CALL_OFF_AFTER_US + moves_module.MIN_RETRY_US)],
+            [request.value for request in vote_requests(migrations.due_steps(CALL_OFF_AFTER_US))], [None] * 3
+        )
+        migrations.on_decision(MOVE, "taker", False, CALL_OFF_AFTER_US)
+        self.assertEqual(
+            [step.action for step in migrations.due_steps(CALL_OFF_AFTER_US + migration_table_module.MIN_RETRY_US)],
             [MigrationAction.SEND_DECISION],
         )
-        self.assertEqual((moves.routing_state(KEY), moves.action_near_deadline(MOVE)), (("pass", "B"), "over"))
         self.assertEqual(
-            [act.action for act in moves.due_steps(CALL_OFF_AFTER_US + FORWARDING_US)],
+            (migrations.routing_state(KEY), migrations.action_near_deadline(MOVE)), (("pass", "B"), "over")
+        )
+        self.assertEqual(
+            [step.action for step in migrations.due_steps(CALL_OFF_AFTER_US + FORWARDING_US)],
             [MigrationAction.DISCARD_AT_SOURCE, MigrationAction.CLOSE],
         )
-        moves.due_steps(CALL_OFF_AFTER_US + FORWARDING_US + moves_module.FINISHED_RETENTION_US)
-        self.assertEqual((moves.by_name, moves.by_key, moves.routing_state(KEY)), ({}, {}, ("here", "")))
+        migrations.due_steps(CALL_OFF_AFTER_US + FORWARDING_US + migration_table_module.FINISHED_RETENTION_US)
+        self.assertEqual((migrations.by_name, migrations.by_key, migrations.routing_state(KEY)), ({}, {}, ("here", "")))
 
-    def test_a_partition_that_comes_back_is_settled_under_ballots_of_its_own(self) -> None:
-        moves = Member("C", MigrationTable, Acceptor).moves
-        first = {ask.ballot for ask in asks(moves.on_marks_found(MOVE, KEY, True, 0))}
-        moves.forget_side(MOVE, True)
-        self.assertFalse(first & {ask.ballot for ask in asks(moves.on_marks_found(MOVE, KEY, True, 0))})
+    def test_a_move_found_again_is_settled_with_new_ballots(self) -> None:
+        migrations = Member("C", MigrationTable, Acceptor).migrations
+        first = {request.ballot for request in vote_requests(migrations.on_marks_found(MOVE, KEY, True, 0))}
+        migrations.forget_side(MOVE, True)
+        self.assertFalse(
+            first & {request.ballot for request in vote_requests(migrations.on_marks_found(MOVE, KEY, True, 0))}
+        )
 
 
-class PlansTest(unittest.TestCase):
+class MigrationPlannerTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=60, deadline=None)
     @given(st.integers(0, 300), st.integers(0, 300), st.integers(1, 1 << 40))
-    def test_a_hall_s_sessions_go_to_both_neighbours_by_load_within_limits(
+    def test_sessions_of_a_leaving_sender_are_spread_by_load_within_limits(
         self, first: int, second: int, seed: int
     ) -> None:
-        planner, held, left = MigrationPlanner("north"), {"E": first, "W": second}, set(range(seed, seed + 200))
+        planner, held, remaining = MigrationPlanner("north"), {"E": first, "W": second}, set(range(seed, seed + 200))
         for now in range(0, 100 * MS * 60, 100 * MS):
-            seen = [Neighbour(name, "south", count, 500) for name, count in held.items()]
-            chosen = planner.plan([MigrationRequest(key, MigrationReason.LEAVING) for key in sorted(left)], seen, now)
+            neighbours = [Neighbour(name, "south", count, 500) for name, count in held.items()]
+            chosen = planner.plan(
+                [MigrationRequest(key, MigrationReason.LEAVING) for key in sorted(remaining)], neighbours, now
+            )
             self.assertLessEqual(len(planner.targets), MAX_OUTGOING_MOVES)
             self.assertLessEqual(max(Counter(planner.targets.values()).values(), default=0), MAX_INCOMING_MOVES)
-            for key, to in chosen:
+            for key, target in chosen:
                 planner.note_end(key, True, now)
-                held[to] += 1
-                left.remove(key)
-        self.assertFalse(left)
+                held[target] += 1
+                remaining.remove(key)
+        self.assertFalse(remaining)
         self.assertLessEqual(max(held.values()), MAX_LOAD_SHARE * 500)
         self.assertLessEqual(abs(held["E"] - held["W"]), max(50 + MAX_OUTGOING_MOVES, abs(first - second)))
 
-    def test_a_session_that_has_just_moved_or_was_called_off_stays(self) -> None:
-        planner, there = MigrationPlanner("north"), [Neighbour("E", "south", 0, 9)]
+    def test_a_session_stays_for_a_while_after_a_move_or_a_call_off(self) -> None:
+        planner, neighbours = MigrationPlanner("north"), [Neighbour("E", "south", 0, 9)]
         planner.note_arrival(KEY, 0)
         client, operator = (
             MigrationRequest(KEY, MigrationReason.CLIENT, "E"),
             MigrationRequest(KEY, MigrationReason.OPERATOR, "E"),
         )
-        self.assertEqual(planner.plan([client], there, MIN_STAY_US - 1), [])
-        self.assertEqual(planner.plan([operator], there, MIN_STAY_US - 1), [(KEY, "E")])
+        self.assertEqual(planner.plan([client], neighbours, MIN_STAY_US - 1), [])
+        self.assertEqual(planner.plan([operator], neighbours, MIN_STAY_US - 1), [(KEY, "E")])
         planner.note_end(KEY, False, MIN_STAY_US)
-        self.assertEqual(planner.plan([client], there, MIN_STAY_US + CALL_OFF_PAUSE_US - 1), [])
-        self.assertEqual(planner.plan([client], there, MIN_STAY_US + CALL_OFF_PAUSE_US), [(KEY, "E")])
+        self.assertEqual(planner.plan([client], neighbours, MIN_STAY_US + CALL_OFF_PAUSE_US - 1), [])
+        self.assertEqual(planner.plan([client], neighbours, MIN_STAY_US + CALL_OFF_PAUSE_US), [(KEY, "E")])
         self.assertEqual(
-            planner.plan([MigrationRequest(8, MigrationReason.CLIENT, "W")], there, MIN_STAY_US + CALL_OFF_PAUSE_US), []
+            planner.plan(
+                [MigrationRequest(8, MigrationReason.CLIENT, "W")], neighbours, MIN_STAY_US + CALL_OFF_PAUSE_US
+            ),
+            [],
         )
 
 
-def claim(one: SessionDirectory) -> ClaimRequest:
-    asking = one.begin_claim(KEY, 0)
-    assert asking is not None
-    return asking
+def opened_claim(directory: SessionDirectory) -> ClaimRequest:
+    request = directory.begin_claim(KEY, 0)
+    assert request is not None
+    return request
 
 
-class DirectoriesTest(unittest.TestCase):
+class SessionDirectoryTest(unittest.TestCase):
     entries = st.lists(
         st.builds(
             Entry,
@@ -636,7 +683,9 @@
 
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(entries, st.randoms(use_true_random=False))
-    def test_news_may_come_in_any_order_and_twice(self, entries: list[Entry], order: random.Random) -> None:
+    def test_entries_merge_alike_in_any_order_and_when_repeated(
+        self, entries: list[Entry], order: random.Random
+    ) -> None:
         one, two = SessionDirectory("me", 3, 0), SessionDirectory("me", 3, 0)
         one.merge_entries(entries, ENTRY_TTL_US)
         shuffled = entries + entries[:3]
@@ -645,7 +694,7 @@
         self.assertEqual(one.entries, two.entries)
         self.assertNotIn(0, one.entries)
 
-    def test_what_is_kept_is_bounded_and_forgotten(self) -> None:
+    def test_entries_and_sessions_are_bounded_and_expire(self) -> None:
         one = SessionDirectory("me", 1, 0, alone=True)
         one.begin_claim(KEY, 0)
         one.merge_entries([Entry(key, "A", 1, MAX_ENTRIES + 9 - key) for key in range(8, MAX_ENTRIES + 9)], MAX_ENTRIES)
@@ -656,61 +705,60 @@
         one.forget(ENTRY_TTL_US + MAX_ENTRIES + 1)
         self.assertEqual((one.entries, one.sessions), ({}, {}))
 
-    def test_an_id_is_taken_once_wherever_its_client_goes(self) -> None:
+    def test_an_id_is_accepted_once_at_whichever_member_its_client_submits_it(self) -> None:
         for seed in range(400):
             with self.subTest(seed=seed):
-                self.course(random.Random(seed))
+                self.run_random_events(random.Random(seed))
 
-    def course(self, drawn: random.Random) -> None:
-        names, now, taken = "ABC", 0, -ENTRY_TTL_US
+    def run_random_events(self, rng: random.Random) -> None:
+        names, now, accepted_at = "ABC", 0, -ENTRY_TTL_US
         peer_messages: list[tuple[int, int, ClaimRequest, ClaimAnswer | None]] = []
-        every = [SessionDirectory(name, 3, now, alone=True) for name in names]
+        directories = [SessionDirectory(name, 3, now, alone=True) for name in names]
         for _ in range(150):
-            what = drawn.choice(["submit"] * 5 + ["deliver"] * 9 + ["restart"] + ["move"] * 2)
-            at, other, which = drawn.randrange(3), drawn.randrange(3), drawn.randrange(10)
-            later = drawn.choice([0] * 25 + [1_000_000, ID_RETENTION_US + 1, SESSION_TTL_US + 1, ENTRY_TTL_US + 1])
-            now += later
-            for each in every:
+            action = rng.choice(["submit"] * 5 + ["deliver"] * 9 + ["restart"] + ["move"] * 2)
+            at, other, index = rng.randrange(3), rng.randrange(3), rng.randrange(10)
+            elapsed = rng.choice([0] * 25 + [1_000_000, ID_RETENTION_US + 1, SESSION_TTL_US + 1, ENTRY_TTL_US + 1])
+            now += elapsed
+            for each in directories:
                 each.forget(now)
-            one, two, session = every[at], every[other], every[at].sessions.get(KEY)
-            if what == "restart":
-                every[at] = SessionDirectory(names[at], 3, now)
-            elif what == "deliver" and peer_messages:  # any claim or answer that was ever sent
-                to, by, asking, answer = peer_messages[-1 - which % len(peer_messages)]
+            one, two, session = directories[at], directories[other], directories[at].sessions.get(KEY)
+            if action == "restart":
+                directories[at] = SessionDirectory(names[at], 3, now)
+            elif action == "deliver" and peer_messages:  # any claim or answer sent so far
+                to, by, request, answer = peer_messages[-1 - index % len(peer_messages)]
                 if answer is None:
-                    peer_messages.append((by, to, asking, every[to].answer_claim(asking, names[by], now)))
+                    peer_messages.append((by, to, request, directories[to].answer_claim(request, names[by], now)))
                 else:
-                    every[to].record_claim_answer(asking, names[by], answer, now)
-            elif what == "move" and session is not None and at != other:
+                    directories[to].record_claim_answer(request, names[by], answer, now)
+            elif action == "move" and session is not None and at != other:
                 two.hold(KEY, session.sequence + 1, one.recent_ids(KEY, now), now)
                 one.record_new_holder(KEY, names[other], session.sequence + 1, now)
-            elif what == "submit" and at != other:  # a client at `at`, which has a link to `other` alone
+            elif action == "submit" and at != other:  # a client at `at`, which reaches only `other`
                 ruling, holder = one.rule(KEY, "id", 1, False, now), at
                 if ruling is SubmissionRuling.FORWARD and one.holder_of(KEY) == names[other]:
                     ruling, holder = two.rule(KEY, "id", 1, True, now), other
                     if ruling is SubmissionRuling.NOT_HELD:
                         ruling = one.forward_refused(KEY, names[other], two.answer_not_held(KEY, now), now)
-                begun = one.begin_claim(KEY, now) if ruling is SubmissionRuling.CLAIM else None
-                if begun is not None:
-                    peer_messages += [(to, at, begun, None) for to in range(3) if to != at]
+                claim_request = one.begin_claim(KEY, now) if ruling is SubmissionRuling.CLAIM else None
+                if claim_request is not None:
+                    peer_messages += [(to, at, claim_request, None) for to in range(3) if to != at]
                 if ruling is SubmissionRuling.ACCEPT:
-                    self.assertGreater(now - taken, ID_RETENTION_US)
-                    taken = now
-                    every[holder].record_accepted(KEY, "id", 1, now)
-                    told = every[holder].next_locations(
-                        9, now
-                    )  # its lease was renewed by a majority, which hears this too
-                    every[at + other - holder].merge_entries(told, now)
-
-    def test_who_does_not_hold_a_session_neither_takes_nor_opens_it(self) -> None:
+                    self.assertGreater(now - accepted_at, ID_RETENTION_US)
+                    accepted_at = now
+                    directories[holder].record_accepted(KEY, "id", 1, now)
+                    # The majority that has renewed the holder's lease gets these entries too.
+                    entries = directories[holder].next_locations(9, now)
+                    directories[at + other - holder].merge_entries(entries, now)
+
+    def test_a_member_that_does_not_hold_a_session_neither_accepts_for_it_nor_opens_it(self) -> None:
         one, two = SessionDirectory("A", 3, 0, alone=True), SessionDirectory("B", 3, 0, alone=True)
         self.assertIs(one.rule(KEY, "id", 1, True, 0), SubmissionRuling.NOT_HELD)
-        asking = claim(one)
+        request = opened_claim(one)
         self.assertEqual(
             (one.rule(KEY, "id", 1, False, 0), one.answer_not_held(KEY, 0).granted), (SubmissionRuling.BUSY, False)
         )
         self.assertIs(one.rule(KEY, "id", 1, False, CLAIM_TIMEOUT_US), SubmissionRuling.CLAIM)
-        self.assertTrue(one.record_claim_answer(asking, "B", two.answer_claim(asking, "A", 0), 0))
+        self.assertTrue(one.record_claim_answer(request, "B", two.answer_claim(request, "A", 0), 0))
         self.assertFalse(one.answer_claim(ClaimRequest(KEY, 9, (8, "A"), 0), "C", 0).granted)
         one.record_accepted(KEY, "id", 1, 0)
         two.hold(KEY, 2, one.recent_ids(KEY, 5), 5)
@@ -726,12 +774,12 @@
         one.forget(7 + ID_RETENTION_US)
         self.assertEqual((one.holder_of(KEY), two.holder_of(KEY)), (None, "B"))
 
-    def test_who_has_just_started_or_slept_trusts_nothing_of_its_own(self) -> None:
+    def test_a_member_does_not_trust_its_own_state_after_a_start_or_a_pause(self) -> None:
         new, old = SessionDirectory("A", 3, 0), SessionDirectory("B", 3, 0, alone=True)
         self.assertFalse(
             new.answer_not_held(KEY, ID_RETENTION_US - 1).granted or new.begin_claim(KEY, ID_RETENTION_US - 1)
         )
-        self.assertFalse(new.answer_claim(claim(old), "B", ID_RETENTION_US - 1).granted)
+        self.assertFalse(new.answer_claim(opened_claim(old), "B", ID_RETENTION_US - 1).granted)
         self.assertTrue(new.answer_not_held(KEY, ID_RETENTION_US).granted)
         old.hold(KEY, 4, {}, 0)
         self.assertIs(old.rule(KEY, "id", 1, False, SESSION_TTL_US), SubmissionRuling.ACCEPT)
@@ -739,15 +787,15 @@
         old.merge_entries([Entry(KEY, "A", 5, 0)], 1)
         self.assertIs(old.rule(KEY, "id", 1, False, 1), SubmissionRuling.FORWARD)
 
-    def test_of_two_claims_at_once_one_gives_way(self) -> None:
+    def test_only_one_of_two_concurrent_claims_is_granted(self) -> None:
         one, two, third = (SessionDirectory(name, 3, 0, alone=True) for name in "ABC")
-        first, second = claim(one), claim(two)
+        first, second = opened_claim(one), opened_claim(two)
         self.assertFalse(two.answer_claim(first, "A", 0).granted)
-        for asking, now in ((second._replace(at=-1), 0), (second, CLAIM_TIMEOUT_US)):
-            self.assertFalse(two.record_claim_answer(asking, "C", ClaimAnswer(True, None), now))
+        for request, now in ((second._replace(at=-1), 0), (second, CLAIM_TIMEOUT_US)):
+            self.assertFalse(two.record_claim_answer(request, "C", ClaimAnswer(True, None), now))
         self.assertTrue(two.record_claim_answer(second, "A", one.answer_claim(second, "B", 0), 0))
         self.assertTrue(third.answer_claim(first, "A", 0).granted)
         self.assertFalse(one.record_claim_answer(first, "C", third.answer_claim(first, "A", 0), 0))
 
-    def test_contents_tell_parts_apart(self) -> None:
+    def test_the_contents_hash_separates_its_parts(self) -> None:
         self.assertNotEqual(contents_hash("ab", b"c"), contents_hash("a", b"bc"))
