--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -95,8 +95,8 @@
         self.stays_until = {key: until for key, until in self.stays_until.items() if until > now}
         self.paused_until = {key: until for key, until in self.paused_until.items() if until > now}
         incoming: dict[str, int] = {}
-        for to in self.targets.values():
-            incoming[to] = incoming.get(to, 0) + 1
+        for sender in self.targets.values():
+            incoming[sender] = incoming.get(sender, 0) + 1
         chosen = []
         for request in sorted(requests, key=lambda each: list(MigrationReason).index(each.reason)):
             stays = request.key in self.stays_until and request.reason not in (
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -28,7 +28,7 @@
 from cedarwick.fleet.replication_facts import Fact, encode_facts
 
 RELEASE_RETRY_S = 1.0  # seconds until the failed release of a session is retried
-CUT_OFF_TIMEOUT_S = 0.1  # seconds for which the source waits for aborted attempts to end
+ABORT_TIMEOUT_S = 0.1  # seconds for which the source waits for aborted attempts to end
 RECENT_IDS_BYTES = 1 << 17  # bytes of the peer message that are reserved for the recent ids of a session
 MAX_STAGED_BYTES = MAX_MESSAGE_BYTES - RECENT_IDS_BYTES  # bytes of a session's encoded messages
 MAX_STAGED_IDS = 1 << 12  # recent ids that are sent with a session
@@ -50,7 +50,7 @@
         no_attempts = self.dispatcher.freeze(key)
         if not no_attempts.wait(FREEZE_TIMEOUT_US / US_PER_S):
             self.dispatcher.cut(key)
-            no_attempts.wait(CUT_OFF_TIMEOUT_S)
+            no_attempts.wait(ABORT_TIMEOUT_S)
         self.carry_out(self.migration_table.on_attempts_ended(name, monotonic_time()))
 
     def _mark_messages(self, name: str) -> None:
--- a/cedarwick/fleet/migration_state.py
+++ b/cedarwick/fleet/migration_state.py
@@ -88,9 +88,7 @@
         self.dispatcher: Dispatcher
         self.staged_offers: dict[str, tuple[StageSession, int]] = {}  # by move: the offer, and when it arrived
         self.staged_before_adoption: set[str] = set()  # of these, offers stored in a partition that was adopted since
-        self.session_sequences: dict[
-            str, int
-        ] = {}  # by move: the sequence of its session from the beginning of the move
+        self.session_sequences: dict[str, int] = {}  # by move: the sequence of its session when the move began
         self.staging_results: dict[str, gevent.event.AsyncResult] = {}  # by move: whether the offer was stored
         self.running_steps: set[tuple[str, MigrationAction]] = set()
         # By move: proposers of undecided moves that this member has voted on but takes no part in.
--- a/cedarwick/fleet/migration_table.py
+++ b/cedarwick/fleet/migration_table.py
@@ -109,7 +109,7 @@
     value: DecisionValue | None = None  # the decision, once known
     proposer: Proposer | None = None
     began_at: int = 0
-    settled_at: int = 0
+    settled_at: int = 0  # when the decision became known here; later, when forwarding stopped
     next_at: int = 0  # when the pending request is repeated
     retries: int = 0  # how often it was repeated
 
@@ -196,8 +196,8 @@
 
     # ---- the target ----
 
-    def on_offer(self, name: str, key: int, room: bool, now: int) -> list[MigrationStep]:
-        """A source offers a session; `room` tells whether the folder and the load of this member allow it."""
+    def on_offer(self, name: str, key: int, has_room: bool, now: int) -> list[MigrationStep]:
+        """A source offers a session; `has_room` tells whether the folder and the load of this member allow it."""
         move = self.by_name.get(name)
         if move is not None and move.target_stage is not None:
             return (
@@ -208,7 +208,7 @@
         # discarded. The local acceptor votes once the offer is stored, so a move that has a row was staged or is being
         # settled.
         if (
-            not room
+            not has_room
             or staged >= MAX_INCOMING_MOVES
             or parse_move_name(name)[2] != self.name
             or not self.acceptor.may_add_row(name)
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -31,8 +31,8 @@
         """Answer the offer of a source; waits up to `STAGE_TIMEOUT_S` until the messages are stored here."""
         if not whole(body):
             return StageReply(body.move, False, "spoilt")
-        room = self.accepts_sessions() and len(self.directory.sessions) < MAX_SESSIONS
-        steps = self.migration_table.on_offer(body.move, body.key, room, now)
+        has_room = self.accepts_sessions() and len(self.directory.sessions) < MAX_SESSIONS
+        steps = self.migration_table.on_offer(body.move, body.key, has_room, now)
         if any(step.action is MigrationAction.STORE_OFFER for step in steps):
             self.staged_offers[body.move] = body, now
             self.session_sequences[body.move] = body.sequence
--- a/tests/fleet/test_session_migration.py
+++ b/tests/fleet/test_session_migration.py
@@ -515,14 +515,14 @@
 
 
 class StoresOfferTwice(MigrationTable):
-    def on_offer(self, name: str, key: int, room: bool, now: int) -> list[MigrationStep]:
+    def on_offer(self, name: str, key: int, has_room: bool, now: int) -> list[MigrationStep]:
         if name not in self.by_name:
             self.acceptor.may_add_row = lambda move: True  # type: ignore[method-assign]
             try:
-                return super().on_offer(name, key, room, now)
+                return super().on_offer(name, key, has_room, now)
             finally:
                 del self.acceptor.may_add_row
-        return super().on_offer(name, key, room, now)
+        return super().on_offer(name, key, has_room, now)
 
 
 class CallsOffWithoutDecision(MigrationTable):
