--- a/cedarwick/cli/config.py
+++ b/cedarwick/cli/config.py
@@ -13,7 +13,7 @@
 from cedarwick.config.operator import Operator, load
 from cedarwick.lab.scenario import Scenario, sender_settings
 from cedarwick.lab.scenario import load as load_scenario
-from cedarwick.net.assignment import AssignmentError, read
+from cedarwick.net.assignment import AssignmentError, read_assignment
 
 FILE_TYPES: dict[str, type[msgspec.Struct]] = {"operator": Operator, "scenario": Scenario}
 of_kind_option = click.option(
@@ -45,7 +45,7 @@
     """What kind of file it is; `ConfigFileError` or `AssignmentError` where it cannot be used as that."""
     if file.endswith(".json"):
         with tempfile.TemporaryDirectory() as folder:  # the folder that lasts is not the file's matter
-            read({"RELAY_CONFIG": file, "RELAY_STATE": folder})
+            read_assignment({"RELAY_CONFIG": file, "RELAY_STATE": folder})
         return "configuration of a sender"
     if {"band", "partner"} & read_toml(file).keys():
         load_scenario(os.path.join(os.path.dirname(file) or ".", os.path.basename(file)))
--- a/cedarwick/cli/load.py
+++ b/cedarwick/cli/load.py
@@ -9,7 +9,7 @@
 
 from cedarwick.cli.say import Progress, console, unusable, write_json
 from cedarwick.lab.load import Loader, Plan, Report, pongs
-from cedarwick.net.assignment import address
+from cedarwick.net.assignment import parse_address
 
 PROGRESS_INTERVAL_S = 0.2  # between two updates of the progress line
 
@@ -51,7 +51,7 @@
     tool itself was too slow for the rate, so the figures say nothing.
     """
     try:
-        places = [address(each) for each in addresses]
+        places = [parse_address(each) for each in addresses]
     except ValueError as error:
         unusable(error)
     for place, text in zip(places, addresses, strict=True):
--- a/cedarwick/config/operator.py
+++ b/cedarwick/config/operator.py
@@ -197,7 +197,7 @@
     """What no type says of a fleet; `ConfigFileError` names the first key that does not fit."""
     # Only a file with a fleet pays for the hash and the rest.
     from cedarwick.config.member_slots import slot_of
-    from cedarwick.net.assignment import address
+    from cedarwick.net.assignment import parse_address
 
     names: dict[str, int] = {}
     addresses: dict[tuple[str, int], int] = {}
@@ -205,7 +205,7 @@
     for index, member in enumerate(fleet.member):
         where = f"{path}: fleet.member[{index}]"
         try:
-            listens = address(member.address)
+            listens = parse_address(member.address)
         except ValueError:
             raise ConfigFileError(f"{where}.address: Expected `host:port`, got {member.address!r}") from None
         if (first := names.setdefault(member.name, index)) != index:
--- a/cedarwick/events/event_source.py
+++ b/cedarwick/events/event_source.py
@@ -105,7 +105,7 @@
     def receiver_changes(self) -> list[Happened]:
         """Events of receivers avoided or used again, suspended or restored since the last call."""
         now = self.dispatcher.clock.now()
-        self.uids = {number: uid for uid, number in self.endpoint_list.numbers.items()}
+        self.uids = {number: uid for uid, number in self.endpoint_list.receiver_numbers.items()}
         avoided = {
             self._uid(each.id): (each.destination, each.ejected_since)
             for each in self.dispatcher.sender.receivers.values()
@@ -139,12 +139,12 @@
 
     def _receiver(self, uid: str, destination: int | None = None) -> dict[str, Value]:
         if destination is None:
-            receiver = self.dispatcher.sender.receivers.get(self.endpoint_list.numbers.get(uid, -1))
+            receiver = self.dispatcher.sender.receivers.get(self.endpoint_list.receiver_numbers.get(uid, -1))
             destination = receiver.destination if receiver is not None else None
         known: dict[str, Value] = {} if destination is None else {"destination": destination}
         return {**self.here, "receiver": uid[:LONGEST_TEXT], **known}
 
     def _uid(self, receiver: int) -> str:
         if receiver not in self.uids and receiver in self.dispatcher.sender.receivers:
-            self.uids = {number: uid for uid, number in self.endpoint_list.numbers.items()}
+            self.uids = {number: uid for uid, number in self.endpoint_list.receiver_numbers.items()}
         return self.uids.get(receiver, "")[:LONGEST_TEXT]
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -134,7 +134,7 @@
         if not self.attached:
             return Acknowledged()
         if isinstance(body, RetryAfterHint):
-            now, numbers = self.clock.now(), self.endpoint_list.numbers
+            now, numbers = self.clock.now(), self.endpoint_list.receiver_numbers
             self.dispatcher.apply_retry_after(
                 [(numbers[each.uid], now + each.left) for each in body.waits if each.uid in numbers]
             )
@@ -265,7 +265,7 @@
         waits, self.waits = self.waits, {}
         if not waits:
             return ()
-        uids = self.endpoint_list.uids
+        uids = self.endpoint_list.uids_by_number
         found = [
             RetryAfterEntry(uids[receiver], until - now)
             for receiver, until in waits.items()
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -26,7 +26,7 @@
 from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
 from cedarwick.fleet.replicated_store import ReplicatedStore, monotonic_time
 from cedarwick.fleet.takeover import Ownership, Takeover
-from cedarwick.net.assignment import address
+from cedarwick.net.assignment import parse_address
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.store.files import NoSpaceError
@@ -68,7 +68,7 @@
         self.halls = {member.name: member.hall for member in settings.member}
         if name not in self.halls:
             raise NotAMemberError(f"fleet.member: no entry has the name of this sender, {name!r}")
-        self.where = {member.name: address(member.address) for member in settings.member}
+        self.where = {member.name: parse_address(member.address) for member in settings.member}
         self.fleet_files = FleetFiles(state, store.durable)
         self.fleet_files.claim(settings.group, name)
         self.incarnation = self.fleet_files.boot(time.time_ns() // 1000)
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -10,7 +10,7 @@
 from cedarwick.fleet.member_state import MembershipChangeError, NotAMemberError
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.takeover import ABSENT
-from cedarwick.net.assignment import address
+from cedarwick.net.assignment import parse_address
 
 
 class MembershipReload(Heartbeats):
@@ -35,7 +35,7 @@
         before, now = set(self.halls), monotonic_time()
         stored = msgspec.structs.replace(self.settings, member=settings.member, follow_s=settings.follow_s)
         moved = self.where[self.name] not in [
-            address(each.address) for each in settings.member if each.name == self.name
+            parse_address(each.address) for each in settings.member if each.name == self.name
         ]
         if stored != settings or moved:
             logger.warning(
@@ -44,7 +44,7 @@
             )
         self.settings = stored
         self.halls = {member.name: member.hall for member in settings.member}
-        self.where = {member.name: address(member.address) for member in settings.member}
+        self.where = {member.name: parse_address(member.address) for member in settings.member}
         self.peers.replace(self.where)
         self.members.replace(now, self.halls)
         self.grantor.replace(self.halls)
--- a/cedarwick/fleet/peer_client.py
+++ b/cedarwick/fleet/peer_client.py
@@ -201,7 +201,7 @@
         while not answer.complete:
             if connection.buffer.fill(connection.sock):
                 answer.feed(connection.buffer)
-            elif not answer.ended():
+            elif not answer.feed_eof():
                 raise http.InvalidResponseError("the connection ended before the answer did")
             if len(data) > MAX_MESSAGE_BYTES:
                 raise http.InvalidResponseError(f"an answer of more than {MAX_MESSAGE_BYTES} bytes")
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -90,7 +90,7 @@
         self.dispatcher = self.migrations.dispatcher = dispatcher
         self.restore_sessions()
         self.client_listener = client_listener
-        client_listener.hand_in = self.hand_in
+        client_listener.submit_message = self.hand_in
         commands.moves = self.move_on_command
 
     def stop(self) -> None:
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -68,7 +68,7 @@
         It begins no step after `CLIENT_TIMEOUT_US`.
         """
         if not stored.turn:
-            return self.client_listener.to_dispatcher(stored)
+            return self.client_listener.submit_to_dispatcher(stored)
         began = monotonic_time()
         submission = RoutedSubmission(stored, hash_of(stored), began + FROZEN_WAIT_US)
         give_up_at = began + CLIENT_TIMEOUT_US
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -18,7 +18,7 @@
 from cedarwick.lab.virtual import WALL, AsyncResult, Kernel, Owner
 from cedarwick.lab.virtual_partners import DrawnAttempts, DrawnNotices, DrawnPartners
 from cedarwick.lab.virtual_state import LOOK, RECEIVERS, SCENARIO, DayState, usual_disk
-from cedarwick.net.assignment import Assignment, plain
+from cedarwick.net.assignment import Assignment, flatten_settings
 from cedarwick.net.client_listener import ClientListener
 from cedarwick.net.client_listener import SubmitResult as Answer
 from cedarwick.net.clock import Clock
@@ -45,7 +45,7 @@
         return WALL + self.kernel.now
 
     @property
-    def at(self) -> int:
+    def last_poll_at(self) -> int:
         """As of `PollClock`."""
         return self.now()
 
@@ -68,9 +68,9 @@
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
         self.paused = False
-        self.hand_in: Callable[[StoredMessage], Answer] = self.to_dispatcher
+        self.submit_message: Callable[[StoredMessage], Answer] = self.submit_to_dispatcher
 
-    def to_dispatcher(self, stored: StoredMessage) -> Answer:
+    def submit_to_dispatcher(self, stored: StoredMessage) -> Answer:
         submission = Submission(stored, AsyncResult())
         self.dispatcher.submit(submission)
         answered, wait_ms = submission.answer.get()
@@ -115,7 +115,7 @@
             2000,
             self.disk,
             {},
-            plain(sender_settings(SCENARIO, day.fleet_size)),
+            flatten_settings(sender_settings(SCENARIO, day.fleet_size)),
         )
         self.store = ReplicatedStore(
             self.folder,
@@ -140,7 +140,7 @@
         self.client_listener = FakeClientListener(dispatcher)
         self.management = SimpleNamespace(follows=not_in_a_fleet, moves=no_sessions)
         management = cast(ManagementCommands, self.management)
-        listed = SimpleNamespace(numbers={f"s-{1 + each}": 1 + each for each in receivers}, suspended=set())
+        listed = SimpleNamespace(receiver_numbers={f"s-{1 + each}": 1 + each for each in receivers}, suspended=set())
         node.exchange.attach(management, cast(EndpointList, listed), dispatcher, node.halls[self.name])
         if node.session_router is not None:
             node.session_router.attach(management, cast(ClientListener, self.client_listener), dispatcher)
@@ -206,7 +206,7 @@
         if self.node is None or self.leaving or not self.store.taking():
             box.set("busy")
             return
-        what, _, withdraw = self.client_listener.hand_in(stored)
+        what, _, withdraw = self.client_listener.submit_message(stored)
         if withdraw is not None and gone():
             withdraw()
         elif what is not AdmissionResult.UNSURE:
--- a/cedarwick/net/assignment.py
+++ b/cedarwick/net/assignment.py
@@ -1,6 +1,6 @@
 """The assignment: the configuration that a sender starts with, read from a JSON file and `RELAY_` variables.
 
-The service calls `read` at the start, and again when the file has changed.
+The service calls `read_assignment` at the start, and again when the file has changed.
 """
 
 import json
@@ -35,7 +35,7 @@
     settings: dict[str, str]
     management: tuple[str, int] | None = None  # the address for management calls; None: there is none
 
-    def fixed_and_other(self, other: "Assignment") -> list[str]:
+    def fields_needing_restart(self, other: "Assignment") -> list[str]:
         """The names of the fields that differ in another configuration and take effect only at a start."""
         return [
             name
@@ -44,7 +44,7 @@
         ]
 
 
-def read(environment: Mapping[str, str]) -> Assignment:
+def read_assignment(environment: Mapping[str, str]) -> Assignment:
     """Read the assignment that the environment names; raises `AssignmentError`, in one line, where it is wrong."""
     path = environment.get("RELAY_CONFIG", "")
     if not path:
@@ -61,17 +61,17 @@
         limits = document.get("limits", {})
         made = Assignment(
             name=str(environment.get("RELAY_NAME") or document["name"]),
-            listen=address(environment.get("RELAY_LISTEN") or document["listen"]),
+            listen=parse_address(environment.get("RELAY_LISTEN") or document["listen"]),
             # The file wins: it may be replaced while the process runs, the variable keeps its value from the start.
-            platform=address(document.get("discovery") or environment.get("RELAY_DISCOVERY") or ""),
+            platform=parse_address(document.get("discovery") or environment.get("RELAY_DISCOVERY") or ""),
             folder=folder,
             seed=int(document["seed"], 16),
             descriptors=int(limits["sockets"]),
             disk_bytes=int(float(limits["disk_mb"]) * (1 << 20)),
             known=dict(document.get("known") or {}),
-            settings=plain(document["settings"]),
+            settings=flatten_settings(document["settings"]),
             # Here the variable wins: a replacing process gets the same file, but needs an address of its own.
-            management=address(manage)
+            management=parse_address(manage)
             if (manage := environment.get("RELAY_MANAGEMENT") or document.get("management"))
             else None,
         )
@@ -88,7 +88,7 @@
     return made
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Host and port of `host:port`; `ValueError` where the text is no address."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isdecimal() and 0 < int(port) < 1 << 16):
@@ -96,24 +96,24 @@
     return host.strip("[]"), int(port)
 
 
-def plain(settings: Any, path: str = "") -> dict[str, str]:
+def flatten_settings(settings: Any, path: str = "") -> dict[str, str]:
     """Flatten nested settings to a map of dotted names to text, in the form of the simulator's protocol."""
     if isinstance(settings, dict):
         found = {}
         for name, value in settings.items():
-            found.update(plain(value, f"{path}.{name}" if path else name))
+            found.update(flatten_settings(value, f"{path}.{name}" if path else name))
         return found
     if isinstance(settings, list) and any(isinstance(item, dict) for item in settings):
         found = {f"{path}.count": str(len(settings))}
         for index, item in enumerate(settings):
-            found.update(plain(item, f"{path}.{index}"))
+            found.update(flatten_settings(item, f"{path}.{index}"))
         return found
     if isinstance(settings, list):
-        return {path: ",".join(word(item) for item in settings)}
-    return {path: word(settings)}
+        return {path: ",".join(setting_text(item) for item in settings)}
+    return {path: setting_text(settings)}
 
 
-def word(value: Any) -> str:
+def setting_text(value: Any) -> str:
     """One plain value as text."""
     if value is None:
         return ""
@@ -122,6 +122,6 @@
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def place(names: list[str], name: object) -> int:
+def setting_index(names: list[str], name: object) -> int:
     """The index of a name in a list of the settings; the length of the list for a name that it lacks."""
-    return names.index(word(name)) if word(name) in names else len(names)
+    return names.index(setting_text(name)) if setting_text(name) in names else len(names)
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -174,7 +174,7 @@
                 return True
             # The process was paused, or a round was long: a refusal may be waiting unread in a socket.
             self.counters.add("clearances that grew old")
-            self.polled.again()
+            self.polled.wait_for_next_poll()
         self._report_not_sent(call)
         return False
 
@@ -220,13 +220,13 @@
             while not answer.complete:
                 self._wait_until(link, until)
                 if not link.buffer.fill(link.sock):
-                    return None if answer.ended() else Outcome.RESET
+                    return None if answer.feed_eof() else Outcome.RESET
                 begun = answer.status
                 answer.feed(link.buffer)
                 self._report_early_retry_after(call, answer)
                 if answer.status and not begun:
                     until = min(until, self.clock.now() + ANSWER_REST_TIMEOUT_US)
-                if answer.headed and answer.status == 200 and not call.reported:
+                if answer.headers_complete and answer.status == 200 and not call.reported:
                     self._report_answer(call, answer)  # a success counts even if the rest of the answer is lost
         except TimeoutError:
             # After a pause of the process, answers that came in time are still unread.
@@ -251,7 +251,7 @@
         """Read until the head of an answer is there, up to a time; with 0, read only what has arrived."""
         link.sock.settimeout(0.0)
         try:
-            while not (answer.headed if until else answer.complete):
+            while not (answer.headers_complete if until else answer.complete):
                 if until:
                     self._wait_until(link, until)
                 if not link.buffer.fill(link.sock):
@@ -265,7 +265,7 @@
 
         Whether the rest comes only decides whether the attempt may have run.
         """
-        if answer.headed and not answer.complete and answer.status == 429 and not call.retry_after_reported:
+        if answer.headers_complete and not answer.complete and answer.status == 429 and not call.retry_after_reported:
             self._report_retry_after(call, answer)
 
     def _report_retry_after(self, call: AttemptCall, answer: ResponseParser) -> None:
@@ -282,14 +282,14 @@
         """
         self.in_flight.pop(gevent.getcurrent(), None)
         self._read_more(link, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
-        if answer.headed and self.counters.trace.enabled:
+        if answer.headers_complete and self.counters.trace.enabled:
             stored = call.message
             self.counters.trace.add(
                 LateAnswerTrace(stored.id, stored.number, call.attempt, answer.status, self.clock.now())
             )
-        if answer.headed and answer.status == 200:
+        if answer.headers_complete and answer.status == 200:
             self.report_late_success(call)
-        if answer.headed and answer.status == 429 and not call.retry_after_reported:
+        if answer.headers_complete and answer.status == 429 and not call.retry_after_reported:
             self.counters.add("waits heard after the call was given up")
             self._report_retry_after(call, answer)
 
--- a/cedarwick/net/client_connections.py
+++ b/cedarwick/net/client_connections.py
@@ -13,7 +13,7 @@
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.clock import Clock
 from cedarwick.net.connections import DescriptorBudget, NoDescriptorError
-from cedarwick.net.resp import MalformedRequestError, command
+from cedarwick.net.resp import MalformedRequestError, read_command
 from cedarwick.net.sockets import peek_byte
 
 # An error or a close is due within 3 s of connecting; a client with no open request may be closed after 2 s.
@@ -68,7 +68,7 @@
         self.served = False  # it has handed in something that could be used
         self.unusable = 0  # requests in a row that could not
 
-    def patience(self) -> float:
+    def idle_timeout_s(self) -> float:
         """For how many seconds nothing need come."""
         return FIRST_REQUEST_TIMEOUT_S if not self.served else NEXT_REQUEST_TIMEOUT_S
 
@@ -80,7 +80,7 @@
         self.clock = clock
         self.descriptors = descriptors
         self.clients: set[ClientConnection] = set()
-        self.waste = bytearray(DISCARD_BUFFER_BYTES)  # receives bytes that are discarded
+        self.discard_buffer = bytearray(DISCARD_BUFFER_BYTES)  # receives bytes that are discarded
 
     # ---- which to close ----
 
@@ -88,18 +88,18 @@
         """Close clients between requests; others close after their answer. New clients only where `fresh` is set."""
         for client in list(self.clients):
             # A new connection is left open: its first request may be on its way, and BUSY is better than a close.
-            idle = client.waiting and not len(client.buffer) and self._silent(client)
+            idle = client.waiting and not len(client.buffer) and self._nothing_unread(client)
             if idle and (client.has_sent_request or fresh):
                 self._shut_down(client)
 
-    def _silent(self, client: ClientConnection) -> bool:
+    def _nothing_unread(self, client: ClientConnection) -> bool:
         """Whether nothing is unread: a request that was written before the connection closes must be answered."""
         timeout = client.sock.gettimeout()
         unread = peek_byte(client.sock)
         client.sock.settimeout(timeout)
         return unread is None
 
-    def _make_room(self) -> None:
+    def _free_descriptors(self) -> None:
         """Close idle clients where descriptors are short and clients hold at least half of them.
 
         Raises `NoDescriptorError` where that frees none.
@@ -131,7 +131,7 @@
                     client.idle_since,
                 )
             )
-            free = (client for client in idle if client.shut_down or self._silent(client))
+            free = (client for client in idle if client.shut_down or self._nothing_unread(client))
             for client in itertools.islice(free, 1 + len(idle) // 8):
                 self._refuse_unanswered(client)
                 self._close(client)
@@ -163,7 +163,7 @@
         """Refuse all requests read from a client, an incomplete one too, and shut down our side of its connection."""
         unanswered = 0
         with contextlib.suppress(MalformedRequestError):
-            while command(client.buffer) is not None:
+            while read_command(client.buffer) is not None:
                 unanswered += 1
         unanswered += len(client.buffer) > 0
         client.buffer.skip(len(client.buffer))
@@ -172,13 +172,13 @@
             client.sock.send(BUSY * unanswered)
             client.sock.shutdown(gevent.socket.SHUT_WR)
 
-    def _await_departure(self, client: ClientConnection) -> None:
+    def _await_client_close(self, client: ClientConnection) -> None:
         """Return once the client has closed its connection, or has had time to give up its request."""
         until = self.clock.now() + CLIENT_ANSWER_TIMEOUT_US
         while self.clock.now() < until and peek_byte(client.sock) != b"":
             gevent.sleep(POLL_INTERVAL_S)
 
-    def _await_close(self, client: ClientConnection) -> None:
+    def _close_gracefully(self, client: ClientConnection) -> None:
         """Shut down our side, unless done, and let the client close first; what it still sends stays unread."""
         if client.closed:
             return
@@ -203,6 +203,6 @@
 
     def _discard_input(self, client: ClientConnection) -> None:
         """Discard input up to `MAX_DISCARDED_BYTES`; reading more would take CPU from others, and a reset will do."""
-        wasted = 0
-        while wasted < MAX_DISCARDED_BYTES and (got := client.sock.recv_into(self.waste)):
-            wasted += got
+        discarded = 0
+        while discarded < MAX_DISCARDED_BYTES and (got := client.sock.recv_into(self.discard_buffer)):
+            discarded += got
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -11,7 +11,7 @@
 import gevent.socket
 
 from cedarwick.errors import CedarwickError
-from cedarwick.net.assignment import word
+from cedarwick.net.assignment import setting_text
 from cedarwick.net.client_connections import (
     BUSY,
     POLL_INTERVAL_S,
@@ -23,7 +23,7 @@
 from cedarwick.net.counters import Counters
 from cedarwick.net.dispatcher import Dispatcher
 from cedarwick.net.message_trace import CloseReason, CloseTrace, RefusalTrace
-from cedarwick.net.resp import InvalidSubmitError, MalformedRequestError, command, read_submission
+from cedarwick.net.resp import InvalidSubmitError, MalformedRequestError, read_command, read_submission
 from cedarwick.net.sockets import peek_byte
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
@@ -80,8 +80,8 @@
         self.ready = ready  # whether the store has been read and the endpoint list is known
         self.closing = False
         self.paused = False  # paused by the operators: PING is refused, clients are closed between requests
-        self.still_accepting = False  # while closing: requests that were read are still stored, for a hand-over
-        self.hand_in: Callable[[StoredMessage], SubmitResult] = self.to_dispatcher
+        self.accept_while_closing = False  # while closing: requests that were read are still stored, for a hand-over
+        self.submit_message: Callable[[StoredMessage], SubmitResult] = self.submit_to_dispatcher
         if listener is not None:
             self.listener = listener  # the platform's, shared with a process that replaces this one
             return
@@ -96,7 +96,7 @@
             # Yield: accepting without a pause would starve the greenlets of clients accepted before.
             gevent.sleep(0)
             try:
-                self._make_room()
+                self._free_descriptors()
                 self.descriptors.claim()
             except NoDescriptorError as error:
                 self.counters.warning("no descriptor for a client", error)
@@ -117,7 +117,7 @@
         self.clients.add(client)
         gevent.spawn(self._serve, client)
 
-    def mid_request(self) -> bool:
+    def has_request_in_progress(self) -> bool:
         """Whether of a client a request, or the first bytes of one, were read and are not answered yet."""
         return any(client.answering or len(client.buffer) for client in self.clients)
 
@@ -135,7 +135,7 @@
         self.closing = True
         self._shut_down_idle()
 
-    def end(self, seconds: float) -> None:
+    def drain_and_close(self, seconds: float) -> None:
         """Close the listener, and return once every request is answered and every client gone, or after `seconds`.
 
         Requests that are incomplete by then are refused.
@@ -175,12 +175,12 @@
                 reply = self._answer(client, parts)
                 if not reply:
                     # The result is not known: any answer may be wrong, and a close would be taken for a refusal.
-                    self._await_departure(client)
+                    self._await_client_close(client)
                     client.answering = False
                     break
                 if reply.startswith(BUSY[:5]) and len(parts) == 5:
                     self._count_rejection(parts[3])
-                last = (self.closing or self.paused) and not len(client.buffer) and self._silent(client)
+                last = (self.closing or self.paused) and not len(client.buffer) and self._nothing_unread(client)
                 client.sock.settimeout(PARTIAL_REQUEST_TIMEOUT_S)
                 client.sock.sendall(reply)
                 client.answering = False
@@ -194,7 +194,7 @@
                     gevent.sleep(min(LONGEST_PAUSE_S, FIRST_PAUSE_S * (1 << client.unusable - 1)))
                 elif len(client.buffer):
                     gevent.sleep(0)  # hundreds of commands at once must not hold up all others
-            self._await_close(client)
+            self._close_gracefully(client)
         except MalformedRequestError as error:
             reason = CloseReason.MALFORMED_REQUEST
             self.counters.warning("a malformed request", error)
@@ -225,10 +225,10 @@
 
     def _next(self, client: ClientConnection) -> list[bytes] | None:
         """The next request; None at the end of the connection, or where none came for long enough."""
-        while (parts := command(client.buffer)) is None:
+        while (parts := read_command(client.buffer)) is None:
             begun = len(client.buffer) > 0
             client.waiting, client.idle_since = not begun, self.clock.now()
-            left = client.patience()
+            left = client.idle_timeout_s()
             if begun:
                 client.begun_at = client.begun_at or client.idle_since
                 left = PARTIAL_REQUEST_TIMEOUT_S - (client.idle_since - client.begun_at) / 1_000_000
@@ -249,7 +249,7 @@
             except TimeoutError:
                 if begun:
                     raise MalformedRequestError("Protocol error: the request did not end") from None
-                if not self._silent(client):
+                if not self._nothing_unread(client):
                     continue  # it came as the time ran out
                 self.counters.add("clients let go that asked for nothing")
                 return None
@@ -261,7 +261,7 @@
         for pair in pairs.split(b","):
             name, _, value = pair.partition(b"=")
             if name == b"c":
-                priority_class = word(value.decode("utf-8", "replace"))
+                priority_class = setting_text(value.decode("utf-8", "replace"))
                 if priority_class in self.counters.figures.priority_classes:
                     self.counters.figures.dropped[priority_class] += 1
                 return
@@ -281,12 +281,12 @@
             self.counters.warning("a request that cannot be taken", error)
             return f"-ERR {error}\r\n".encode()
         self.counters.add("handed in again" if again else "handed in")
-        if self.closing and not self.still_accepting or not self.ready():
+        if self.closing and not self.accept_while_closing or not self.ready():
             self.counters.add("turned away at a start or an end")
             self._trace_refusal(stored, "starting or ending")
             client.unusable += not self.closing and client.unusable < MAX_DOUBTFUL_REQUESTS
             return BUSY
-        answered, wait_ms, withdraw = self.hand_in(stored)
+        answered, wait_ms, withdraw = self.submit_message(stored)
         if answered is not AdmissionResult.ACCEPTED:
             self._trace_refusal(stored, answered.value, wait_ms)
         if answered in (AdmissionResult.ACCEPTED, AdmissionResult.BUSY):
@@ -306,7 +306,7 @@
             return b"-BUSY %d\r\n" % wait_ms
         return REPLIES[answered]
 
-    def to_dispatcher(self, stored: StoredMessage) -> SubmitResult:
+    def submit_to_dispatcher(self, stored: StoredMessage) -> SubmitResult:
         """Submit a message to this sender's own dispatcher and wait for the result."""
         submission = Submission(stored)
         self.dispatcher.submit(submission)
--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -3,7 +3,7 @@
 A base class of `Dispatcher`; times are microseconds.
 """
 
-from cedarwick.net.assignment import place
+from cedarwick.net.assignment import setting_index
 from cedarwick.net.dispatch_sessions import Sessions
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
@@ -55,7 +55,7 @@
             stored.destination,
             priority_class,
             stored.deadline,
-            place(self.tenants, stored.tenant),
+            setting_index(self.tenants, stored.tenant),
             stored.turn,
         )
         if stored.turn in self.keys_elsewhere and self.sender.priority_classes[priority_class].ordered:
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -21,7 +21,7 @@
         self.clearance_requests.append((call, answer))
 
     def _clear(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
-        call.polled_at = self.polled.at
+        call.polled_at = self.polled.last_poll_at
         now, number = self.clock.now(), call.message.number
         handle = self.handles.get(number)
         may = free = handle is not None and handle.may_start(now, call.receiver) and not self.holding_fire
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -32,7 +32,7 @@
             self.uncopied_ends.add(number)
             self._post_once_copied(stored)
         else:
-            self.notices.post(number, stored.id, rejected, wait_ms)
+            self.notices.enqueue(number, stored.id, rejected, wait_ms)
 
     def _post_once_copied(self, stored: StoredMessage) -> None:
         """Post the final answer once another sender has a copy of it.
@@ -47,7 +47,7 @@
                 stored.end is not None and stored.number in self.store.messages and stored.number in self.uncopied_ends
             ):
                 self.uncopied_ends.discard(stored.number)
-                self.notices.post(stored.number, stored.id, *stored.end)
+                self.notices.enqueue(stored.number, stored.id, *stored.end)
 
         def again() -> None:
             if stored.number in self.store.messages and stored.number in self.uncopied_ends:
@@ -69,7 +69,7 @@
                 self.counters.warning("a message ends that nobody may fire for", number)
                 self._final(number, False, 0, alone=True)
             else:
-                self.notices.post(number, stored.id, *stored.end)
+                self.notices.enqueue(number, stored.id, *stored.end)
 
     def _acknowledged(self, numbers: list[int]) -> None:
         for number in numbers:
--- a/cedarwick/net/dispatch_sessions.py
+++ b/cedarwick/net/dispatch_sessions.py
@@ -9,7 +9,7 @@
 
 from cedarwick.decisions.interface import UnfinishedMessage
 from cedarwick.decisions.message_handle import Handle
-from cedarwick.net.assignment import place
+from cedarwick.net.assignment import setting_index
 from cedarwick.net.dispatch_state import DispatcherState, FrozenSession
 from cedarwick.net.submission import AdmissionResult
 from cedarwick.store.records import NOWHERE
@@ -39,7 +39,7 @@
                 )
             if stored.end is not None:
                 self.uncopied_ends.discard(number)
-                self.notices.post(number, stored.id, *stored.end)
+                self.notices.enqueue(number, stored.id, *stored.end)
                 continue
             attempts = [attempt._replace(zone=self._place_of(attempt.zone)) for attempt in stored.earlier_attempts()]
             priority_class = self.priority_classes.get(stored.priority_class, len(self.sender.priority_classes) - 1)
@@ -49,7 +49,7 @@
                     stored.destination,
                     priority_class,
                     stored.deadline,
-                    place(self.tenants, stored.tenant),
+                    setting_index(self.tenants, stored.tenant),
                     stored.turn,
                     attempts,
                 )
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -12,7 +12,7 @@
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, list_setting
 from cedarwick.errors import CedarwickError
-from cedarwick.net.assignment import Assignment, address, place
+from cedarwick.net.assignment import Assignment, parse_address, setting_index
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
 from cedarwick.net.http import InvalidResponseError, ResponseParser
@@ -25,7 +25,7 @@
 LINE_TIMEOUT_S = 4.2  # until a line ends: an empty one comes every two seconds, so two of them are missing
 UNREAD_BYTES_TIMEOUT_S = 0.01  # for bytes that came before the time-out, as after a stop of the process
 STABLE_WATCH_S = 1.0  # a watch that lasted this long after its answer does not count as a failed call
-MOVE_GRACE_S = 4.0  # after a move: for so long a new agent that is not up yet is called again soon
+ADDRESS_CHANGE_GRACE_S = 4.0  # after a move: for so long a new agent that is not up yet is called again soon
 MAX_OBJECT_BYTES = 1 << 22  # one JSON object of the list
 MAX_CALLS_PER_SECOND = 1_000_000  # a listed rate above this is no rate
 FORGET_GONE_AFTER_S = 60.0  # longer than any attempt to a receiver, and than the decisions know it
@@ -56,26 +56,28 @@
         self.report_failure = report_failure
         self.version = 0  # of the last update that was passed on; 0 asks for the full list
         self.needs_full_list = False  # part of an update could not be read, or was out of order
-        self.numbers: dict[str, int] = {}
-        self.uids: dict[int, str] = {}  # by number
+        self.receiver_numbers: dict[str, int] = {}
+        self.uids_by_number: dict[int, str] = {}  # by number
         self.next_number = 1  # never used twice: a new receiver must not inherit what is known of a gone one
         self.addresses: dict[int, tuple[str, int]] = {}
         self.removed_at: dict[str, float] = {}  # by uid
-        self.asked = gevent.event.Event()
-        self.moved = False  # the platform has another address since the watch was opened
-        self.moved_at = -MOVE_GRACE_S
+        self.reopen_requested = gevent.event.Event()
+        self.address_changed = False  # the platform has another address since the watch was opened
+        self.address_changed_at = -ADDRESS_CHANGE_GRACE_S
         self.connected = False  # the last call got a connection
         self.was_stable = False  # the last watch was answered, and lasted for `STABLE_WATCH_S`
         self.failure_reported = False  # the call was reported as failed, but an answer is still awaited
         self.refused = False  # it was answered with another status
         self.full_list_requested = False  # by the call for this watch, since the one before was unclear
         self.first_update = gevent.event.Event()  # set once the agent has sent its first update, or failed to
-        self.follow_greenlet: gevent.Greenlet | None = None
-        self.known = False  # whether any receiver has been learned of
-        self.last: dict[str, ListedEndpoint] = {}  # by uid: the newest line of the list as the platform gave it
+        self.watch_greenlet: gevent.Greenlet | None = None
+        self.has_receivers = False  # whether any receiver has been learned of
+        self.latest_listings: dict[
+            str, ListedEndpoint
+        ] = {}  # by uid: the newest line of the list as the platform gave it
         self.suspended: set[str] = set()  # uids suspended by the operators: draining even if the list says ready
 
-    def learn(self, update: dict[str, Any], saved: bool = False) -> bool:
+    def apply_update(self, update: dict[str, Any], saved: bool = False) -> bool:
         """Pass on one update of the list.
 
         Returns False where a line of it cannot be read; raises `InvalidUpdateError` where none of it can be used.
@@ -103,21 +105,21 @@
                     "a line of the list cannot be read", InvalidUpdateError(f"{type(error).__name__}: {error}")
                 )
                 clear = False
-                if uid not in self.last:
+                if uid not in self.latest_listings:
                     continue
-                listing = self.last[uid]  # if left out of a full list, it would count as removed
-            self.last[uid] = listing
+                listing = self.latest_listings[uid]  # if left out of a full list, it would count as removed
+            self.latest_listings[uid] = listing
             listings.append(self._with_suspension(uid, listing))
             if listing.phase is not EndpointState.REMOVED:
                 named.add(uid)
-        if whole and not listings and self.known:
+        if whole and not listings and self.has_receivers:
             # A platform that restarts has an empty list for a moment; accepting it would stop all traffic.
             raise InvalidUpdateError("a whole list with nothing in it")
         self._forget(named, whole)
         self.version = version
         # Later deltas do not repeat what an unreadable line said; only a full list does.
         self.needs_full_list = not clear or self.needs_full_list and not whole
-        self.known = self.known or bool(listings)
+        self.has_receivers = self.has_receivers or bool(listings)
         self.report_update(
             EndpointUpdate.CACHED if saved else EndpointUpdate.FULL if whole else EndpointUpdate.DELTA, listings
         )
@@ -129,25 +131,29 @@
         for uid in named:
             self.removed_at.pop(uid, None)
         if whole:
-            for uid in self.numbers.keys() - named:
+            for uid in self.receiver_numbers.keys() - named:
                 self.removed_at.setdefault(uid, now)
         for uid, since in list(self.removed_at.items()):
             if now - since > FORGET_GONE_AFTER_S:
                 del self.removed_at[uid]
-                self.last.pop(uid, None)
-                number = self.numbers.pop(uid)
-                del self.uids[number]
+                self.latest_listings.pop(uid, None)
+                number = self.receiver_numbers.pop(uid)
+                del self.uids_by_number[number]
                 self.addresses.pop(number, None)
 
     def knows(self, uid: str) -> bool:
         """Whether the list has named this receiver, and not so long ago that it is forgotten."""
-        return uid in self.last
+        return uid in self.latest_listings
 
     def set_suspended(self, uids: set[str]) -> None:
         """Set the suspended uids: the decisions see these receivers as draining, until a later set omits them."""
         changed = self.suspended ^ uids
         self.suspended = set(uids)
-        listings = [self._with_suspension(uid, self.last[uid]) for uid in sorted(changed) if uid in self.last]
+        listings = [
+            self._with_suspension(uid, self.latest_listings[uid])
+            for uid in sorted(changed)
+            if uid in self.latest_listings
+        ]
         if listings:
             self.report_update(EndpointUpdate.DELTA, listings)
 
@@ -157,27 +163,27 @@
 
     def uid_of(self, receiver: int) -> str:
         """The uid of a receiver by number; empty where it is not known (any more)."""
-        return self.uids.get(receiver, "")
+        return self.uids_by_number.get(receiver, "")
 
     def address_of(self, receiver: int) -> tuple[str, int]:
         """Host and port of a receiver by number; `KeyError` where it is not known (any more)."""
         return self.addresses[receiver]
 
-    def ask(self) -> None:
+    def reopen_watch(self) -> None:
         """Open a watch that broke, or that was never answered, again now; the decisions order this."""
-        self.asked.set()
-        if self.failure_reported and self.follow_greenlet is not None:
-            self.follow_greenlet.kill(block=False)
+        self.reopen_requested.set()
+        if self.failure_reported and self.watch_greenlet is not None:
+            self.watch_greenlet.kill(block=False)
 
-    def move(self, platform: tuple[str, int]) -> None:
+    def change_address(self, platform: tuple[str, int]) -> None:
         """Move the watch to another address of the platform, at once."""
         self.platform = platform
         # Another agent may count versions differently; changes since our version could omit something.
         self.version = 0
-        self.moved, self.moved_at = True, time.monotonic()
-        self.asked.set()
-        if self.follow_greenlet is not None:
-            self.follow_greenlet.kill(block=False)
+        self.address_changed, self.address_changed_at = True, time.monotonic()
+        self.reopen_requested.set()
+        if self.watch_greenlet is not None:
+            self.watch_greenlet.kill(block=False)
 
     def watch(self) -> None:
         """Never returns: keeps a watch open, from the last version on.
@@ -186,12 +192,12 @@
         cheaply. So is one that is to ask for the full list. After a failed call the decisions say when.
         """
         while True:
-            self.moved = self.was_stable = self.failure_reported = self.refused = self.connected = False
-            self.follow_greenlet = gevent.spawn(self._follow_to_its_end)
-            self.follow_greenlet.join()
+            self.address_changed = self.was_stable = self.failure_reported = self.refused = self.connected = False
+            self.watch_greenlet = gevent.spawn(self._follow_to_its_end)
+            self.watch_greenlet.join()
             first = self.needs_full_list and not self.full_list_requested
             self.full_list_requested = self.needs_full_list
-            if self.moved or self.was_stable or first:
+            if self.address_changed or self.was_stable or first:
                 continue
             self.first_update.set()
             # Report the failure, unless `_more` has done so. A refusal is reported again, so that the wait starts with
@@ -199,11 +205,11 @@
             if self.refused or not self.failure_reported:
                 self._call_failed()
             # An agent at a new address may not be up yet: keep calling, which costs nobody anything.
-            soon = not self.connected and time.monotonic() - self.moved_at < MOVE_GRACE_S
-            self.asked.wait(STABLE_WATCH_S if soon else None)
+            soon = not self.connected and time.monotonic() - self.address_changed_at < ADDRESS_CHANGE_GRACE_S
+            self.reopen_requested.wait(STABLE_WATCH_S if soon else None)
 
     def _call_failed(self) -> None:
-        self.asked.clear()  # a request from before the failure must not open the next watch at once
+        self.reopen_requested.clear()  # a request from before the failure must not open the next watch at once
         self.report_failure()
 
     def _follow_to_its_end(self) -> None:
@@ -235,7 +241,7 @@
             self.counters.add("watches opened")
             learned = False  # an object of this watch
             while not answer.complete and self._more(sock, raw, answer, alive):
-                if self.moved:
+                if self.address_changed:
                     return  # a late line of the old agent must not override the new one's
                 answer.feed(raw)
                 self.refused = answer.status not in (0, 200)
@@ -248,7 +254,7 @@
                     alive = answered = time.monotonic()
                 came = text.take(len(text))
                 for update in objects.read(came):
-                    if not self.learn(update) and (learned or not self.full_list_requested):
+                    if not self.apply_update(update) and (learned or not self.full_list_requested):
                         raise InvalidUpdateError("unclear changes: the whole list is asked for")
                     learned, alive = True, time.monotonic()
                 if came and not objects.depth:
@@ -287,22 +293,26 @@
         if phase is None:
             raise ValueError(f"unknown state {entry['state']!r}")
         try:
-            at = address(str(entry["endpoint"])) if phase is not EndpointState.REMOVED or "endpoint" in entry else None
+            at = (
+                parse_address(str(entry["endpoint"]))
+                if phase is not EndpointState.REMOVED or "endpoint" in entry
+                else None
+            )
             group = int(entry.get("pod_group", 0))
-            zone, kind = place(self.zones, entry.get("az")), place(self.kinds, entry.get("model"))
+            zone, kind = setting_index(self.zones, entry.get("az")), setting_index(self.kinds, entry.get("model"))
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-            if phase is EndpointState.READY or uid not in self.last:
+            if phase is EndpointState.READY or uid not in self.latest_listings:
                 raise
             # An unreadable field must not hide a drain or removal in the same line.
             self.counters.warning(
                 "a line of the list is spoilt", InvalidUpdateError(f"{uid}: {type(error).__name__}: {error}")
             )
-            at, (_, zone, kind, group, *_) = None, self.last[uid]
-        if uid not in self.numbers:
-            self.numbers[uid] = self.next_number
-            self.uids[self.next_number] = uid
+            at, (_, zone, kind, group, *_) = None, self.latest_listings[uid]
+        if uid not in self.receiver_numbers:
+            self.receiver_numbers[uid] = self.next_number
+            self.uids_by_number[self.next_number] = uid
             self.next_number += 1
-        number = self.numbers[uid]
+        number = self.receiver_numbers[uid]
         if phase is EndpointState.REMOVED:
             self.removed_at.setdefault(uid, time.monotonic())
         if at is not None:
@@ -315,7 +325,7 @@
             return float(hint)
         # One invalid number must not hide a drain in the same line, or lift the rate limit.
         self.counters.warning("a listed rate that is none", InvalidUpdateError(f"{uid}: {str(hint)[:40]}"))
-        return self.last[uid].rate if uid in self.last else 0.0
+        return self.latest_listings[uid].rate if uid in self.latest_listings else 0.0
 
 
 def _uid(value: object) -> str:
--- a/cedarwick/net/http.py
+++ b/cedarwick/net/http.py
@@ -27,7 +27,7 @@
         self.headers: dict[str, str] = {}
         self.fed = 0
         self.begun = False  # the real answer; what stood in front of it is left out
-        self.headed = False
+        self.headers_complete = False
         self.complete = False
         self.keep_alive = False
         self.parser = httptools.HttpResponseParser(self)
@@ -55,7 +55,7 @@
     def on_headers_complete(self) -> None:
         """Parser callback: the head is complete."""
         self.on_status(b"")
-        self.headed = True
+        self.headers_complete = True
 
     def on_body(self, part: bytes) -> None:
         """Parser callback: pass a part of the body on, if anybody wants it."""
@@ -70,7 +70,7 @@
     def feed(self, buffer: Buffer) -> None:
         """Consume what the buffer holds; raises `InvalidResponseError` where it is no HTTP answer or too long."""
         self.begun = self.begun or self._nothing_in_front(buffer)
-        if not self.headed and self.fed + len(buffer) > MAX_HEAD_BYTES:
+        if not self.headers_complete and self.fed + len(buffer) > MAX_HEAD_BYTES:
             raise InvalidResponseError("a head without an end")
         if not self.begun:
             return
@@ -98,8 +98,8 @@
             buffer.skip(end + 4)
         return True
 
-    def ended(self) -> bool:
+    def feed_eof(self) -> bool:
         """Note the connection's end, which completes an answer without a length; returns whether it is complete."""
-        if self.headed and not self.complete:
+        if self.headers_complete and not self.complete:
             self.complete = not {"content-length", "transfer-encoding"} & self.headers.keys()
         return self.complete
--- a/cedarwick/net/notifications.py
+++ b/cedarwick/net/notifications.py
@@ -1,6 +1,6 @@
 """Notices of final answers, posted to the platform's `/status` until each is acknowledged with a 204.
 
-Names in `_S` are seconds. The dispatcher calls `post`; the service runs `run`.
+Names in `_S` are seconds. The dispatcher calls `enqueue`; the service runs `run`.
 """
 
 import json
@@ -28,37 +28,37 @@
     ) -> None:
         self.platform = platform
         self.counters = counters
-        self.acknowledged = acknowledged
+        self.on_acknowledged = acknowledged
         self.pending: dict[int, bytes] = {}  # by message number; bounded by the store's size
-        self.unposted = gevent.event.Event()
+        self.has_unposted = gevent.event.Event()
         self.sock: gevent.socket.socket | None = None
-        self.sock_leads_to = platform
-        self.posting: gevent.Greenlet | None = None
+        self.sock_address = platform
+        self.post_greenlet: gevent.Greenlet | None = None
 
-    def move(self, platform: tuple[str, int]) -> None:
+    def change_address(self, platform: tuple[str, int]) -> None:
         """Change the platform's address; a post without an answer yet is repeated to the new one."""
         self.platform = platform
-        if self.posting is not None:
-            self.posting.kill(block=False)
+        if self.post_greenlet is not None:
+            self.post_greenlet.kill(block=False)
 
-    def post(self, number: int, message: str, rejected: bool, wait_ms: int) -> None:
+    def enqueue(self, number: int, message: str, rejected: bool, wait_ms: int) -> None:
         """Queue a notice: `returned`, with an advised wait in milliseconds if there is one, or `failed`."""
         notice: dict[str, object] = {"id": message, "state": "returned" if rejected else "failed"}
         if rejected and wait_ms > 0:
             notice["after_ms"] = wait_ms
         self.pending[number] = json.dumps(notice).encode() + b"\n"
-        self.unposted.set()
+        self.has_unposted.set()
 
     def run(self) -> None:
         """Never returns: posts the queued notices, in batches, and repeats failed posts."""
         most = MAX_LINES_PER_POST
         while True:
-            self.unposted.wait()
-            self.unposted.clear()
+            self.has_unposted.wait()
+            self.has_unposted.clear()
             while self.pending:
                 batch = list(self.pending)[:most]
-                self.posting = gevent.spawn(self._post, b"".join(self.pending[number] for number in batch))
-                status = self.posting.get()
+                self.post_greenlet = gevent.spawn(self._post, b"".join(self.pending[number] for number in batch))
+                status = self.post_greenlet.get()
                 if isinstance(status, gevent.GreenletExit):  # the platform has moved meanwhile
                     continue
                 if not status:
@@ -75,7 +75,7 @@
                 for number in batch:
                     self.pending.pop(number, None)  # it may have been given up meanwhile
                 self.counters.add("posts of notices acknowledged")
-                self.acknowledged(batch)
+                self.on_acknowledged(batch)
 
     def _post(self, body: bytes) -> int:
         """The status of the answer; 0 where none came."""
@@ -91,10 +91,10 @@
             raise
 
     def _send(self, body: bytes) -> int:
-        if self.sock is not None and (self.sock_leads_to != self.platform or is_closed(self.sock)):
+        if self.sock is not None and (self.sock_address != self.platform or is_closed(self.sock)):
             self._close()
         if self.sock is None:
-            self.sock, self.sock_leads_to = open_connection(self.platform, POST_TIMEOUT_S), self.platform
+            self.sock, self.sock_address = open_connection(self.platform, POST_TIMEOUT_S), self.platform
         self.sock.settimeout(None)
         head = (
             f"POST /status HTTP/1.1\r\nHost: {self.platform[0]}:{self.platform[1]}\r\n"
--- a/cedarwick/net/resp.py
+++ b/cedarwick/net/resp.py
@@ -3,7 +3,7 @@
 import re
 
 from cedarwick.errors import CedarwickError
-from cedarwick.net.assignment import word
+from cedarwick.net.assignment import setting_text
 from cedarwick.net.buffer import Buffer
 from cedarwick.store.records import StoredMessage
 
@@ -34,12 +34,12 @@
     remedy = "correct the client: the text says which argument cannot be read"
 
 
-def command(buffer: Buffer) -> list[bytes] | None:
+def read_command(buffer: Buffer) -> list[bytes] | None:
     """Take the next whole command out of the buffer; None while it is incomplete.
 
     Raises `MalformedRequestError` where the bytes are no RESP2 command, or one that is too long.
     """
-    head = count_at(buffer, 0, b"*")
+    head = read_length(buffer, 0, b"*")
     if head is None:
         return None
     count, at = head
@@ -47,7 +47,7 @@
         raise MalformedRequestError("Protocol error: too many parts")
     spans = []
     for _ in range(count):
-        head = count_at(buffer, at, b"$")
+        head = read_length(buffer, at, b"$")
         if head is None:
             return None
         size, at = head
@@ -64,7 +64,7 @@
     return parts
 
 
-def count_at(buffer: Buffer, at: int, mark: bytes) -> tuple[int, int] | None:
+def read_length(buffer: Buffer, at: int, mark: bytes) -> tuple[int, int] | None:
     """The number on a line that starts with the mark, and the offset of the next line; None while incomplete.
 
     Raises `MalformedRequestError` where there is no such line.
@@ -83,7 +83,7 @@
     return int(digits), end + 2
 
 
-def name_in(fields: dict[bytes, bytes], which: bytes) -> str:
+def read_name(fields: dict[bytes, bytes], which: bytes) -> str:
     """The name of a class or tenant as the settings write it; empty where none is given.
 
     Raises `InvalidSubmitError` where it cannot be read.
@@ -94,7 +94,7 @@
         name = "\0"
     if name and not NAME_PATTERN.fullmatch(name):
         raise InvalidSubmitError(f"{which.decode()} cannot be read")
-    return word(name)
+    return setting_text(name)
 
 
 def read_submission(parts: list[bytes], now: int) -> tuple[StoredMessage, bool]:
@@ -115,7 +115,7 @@
         raise InvalidSubmitError("the key cannot be read")
     if not NUMBER_PATTERN.fullmatch(fields.get(b"d", b"")) or not NUMBER_PATTERN.fullmatch(fields.get(b"dest", b"")):
         raise InvalidSubmitError("d and dest must be whole numbers")
-    priority_class, tenant = name_in(fields, b"c"), name_in(fields, b"t")
+    priority_class, tenant = read_name(fields, b"c"), read_name(fields, b"t")
     if not priority_class:
         raise InvalidSubmitError("c is missing")
     limit = now + int(fields[b"d"]) * 1000 - READ_DELAY_ALLOWANCE_US
--- a/cedarwick/net/sockets.py
+++ b/cedarwick/net/sockets.py
@@ -14,19 +14,19 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.at = clock.now()
-        self.times = 0
+        self.last_poll_at = clock.now()
+        self.poll_count = 0
         self.watcher = gevent.get_hub().loop.check(ref=False)
         self.watcher.start(self._polled)
 
     def _polled(self) -> None:
-        self.at = self.clock.now()
-        self.times += 1
+        self.last_poll_at = self.clock.now()
+        self.poll_count += 1
 
-    def again(self) -> None:
+    def wait_for_next_poll(self) -> None:
         """Return after the next poll, when greenlets that wait for a socket have read what is there now."""
-        before = self.times
-        while self.times == before:
+        before = self.poll_count
+        while self.poll_count == before:
             gevent.sleep(0)
 
 
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -25,7 +25,7 @@
 
     A failed write is logged only.
     """
-    uids = endpoint_list.uids
+    uids = endpoint_list.uids_by_number
     running = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
     waits = {uids[receiver]: until for receiver, until in running if receiver in uids}
     try:
@@ -42,7 +42,11 @@
         logger.error("the Retry-After waits of the replaced process cannot be read: {}", error.line)
         return
     dispatcher.apply_retry_after(
-        [(endpoint_list.numbers[uid], until) for uid, until in waits.items() if uid in endpoint_list.numbers]
+        [
+            (endpoint_list.receiver_numbers[uid], until)
+            for uid, until in waits.items()
+            if uid in endpoint_list.receiver_numbers
+        ]
     )
 
 
@@ -68,16 +72,16 @@
     client_listener.listener.close()  # only this process's descriptor: the platform's socket stays open
     # The next process accepts no client while this one has the folder, and clients wait 400 ms at most. Until then
     # open connections are served, each closed after its answer; messages are stored, not attempted.
-    client_listener.still_accepting = client_listener.closing = True
+    client_listener.accept_while_closing = client_listener.closing = True
     dispatcher.hold_fire(keeping=True)
     with gevent.Timeout(HANDOVER_IDLE_S, False):
         while not dispatcher.idle():
             gevent.sleep(HANDOVER_POLL_INTERVAL_S)
     client_listener.stop()
     with gevent.Timeout(HANDOVER_ANSWERS_S, False):
-        while client_listener.mid_request():
+        while client_listener.has_request_in_progress():
             gevent.sleep(HANDOVER_POLL_INTERVAL_S)
-    client_listener.still_accepting = False
+    client_listener.accept_while_closing = False
     logger.info(
         "handing over: {} messages stored, {} attempts without an outcome",
         len(store.messages),
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -17,7 +17,7 @@
 from cedarwick.decisions.interface import EndpointState, duration_setting
 from cedarwick.decisions.sender_state import LIST_WAIT
 from cedarwick.errors import CedarwickError
-from cedarwick.net.assignment import Assignment, AssignmentError, read
+from cedarwick.net.assignment import Assignment, AssignmentError, read_assignment
 from cedarwick.net.attempts import AttemptRunner
 from cedarwick.net.client_listener import ClientListener
 from cedarwick.net.clock import Clock
@@ -78,7 +78,7 @@
     # First of all: the default action of SIGHUP would end a starting process.
     gevent.signal_handler(signal.SIGHUP, replaced.set)
     try:
-        assignment, operator = read(os.environ), read_operator()
+        assignment, operator = read_assignment(os.environ), read_operator()
         return serve(assignment, operator, replaced)
     except CedarwickError as error:
         print(f"cedarwick: {error.line}", file=sys.stderr)
@@ -216,7 +216,7 @@
         return dispatcher
 
     def _ready(self) -> bool:
-        return self.endpoint_list.known and self.store.taking()
+        return self.endpoint_list.has_receivers and self.store.taking()
 
     def _metrics_text(self) -> str:
         return self.counters.figures.text(*gauges(self.dispatcher, self.endpoint_list))
@@ -227,7 +227,7 @@
             return
         # Before the watch starts: the saved list replaces the whole list, and would undo a newer update.
         try:
-            self.endpoint_list.learn(self.assignment.known, saved=True)
+            self.endpoint_list.apply_update(self.assignment.known, saved=True)
         except ValueError as error:
             raise AssignmentError(f"the known list cannot be read: {error}") from None
 
@@ -243,7 +243,7 @@
         logger.info("{} holds the folder", self.assignment.name)
         self.management_commands.take_over()
         # A list call may have failed during the wait, and no round has run yet that would have repeated it.
-        self.endpoint_list.ask()
+        self.endpoint_list.reopen_watch()
 
     def _connect_dispatcher(self) -> None:
         """Create connections, notifier and attempt runner, and connect the dispatcher to them."""
@@ -269,7 +269,7 @@
             dispatcher.may_fire,
             dispatcher.completed_late,
         )
-        dispatcher.free_links, dispatcher.ask_for_list = self.connections.free, self.endpoint_list.ask
+        dispatcher.free_links, dispatcher.ask_for_list = self.connections.free, self.endpoint_list.reopen_watch
         dispatcher.uid_of = self.endpoint_list.uid_of
 
     def _spawn_parts(self, watch_list: bool) -> None:
@@ -326,7 +326,7 @@
             self.replaced.wait()
             self.replaced.clear()
             try:
-                assignment, operator = read(os.environ), read_operator()
+                assignment, operator = read_assignment(os.environ), read_operator()
             except CedarwickError as error:
                 logger.error("the configuration stays as it was: {}", error.line)
                 continue
@@ -336,8 +336,8 @@
     def _reload(self, current: Assignment, assignment: Assignment, operator: "Operator | None") -> None:
         """Apply what may change in service; other differences are logged and apply at the next start."""
         if assignment.platform != current.platform:
-            self.endpoint_list.move(assignment.platform)
-            self.notifier.move(assignment.platform)
+            self.endpoint_list.change_address(assignment.platform)
+            self.notifier.change_address(assignment.platform)
         apply_operator_settings(operator, self.counters)
         if self.node is not None and operator is not None and operator.fleet is not None:
             self.node.replace(operator.fleet)
@@ -349,7 +349,7 @@
         logger.info(
             "configuration read again: platform {}:{}; for the next start: {}",
             *assignment.platform,
-            ", ".join(current.fixed_and_other(assignment)) or "nothing",
+            ", ".join(current.fields_needing_restart(assignment)) or "nothing",
         )
 
     def _hand_over(self) -> None:
@@ -365,7 +365,7 @@
         with gevent.Timeout(HANDOVER_CLIENT_CLOSE_S, False):
             while self.client_listener.clients:
                 gevent.sleep(HANDOVER_POLL_INTERVAL_S)
-        self.client_listener.end(LAST_ANSWERS_S)
+        self.client_listener.drain_and_close(LAST_ANSWERS_S)
 
     def _drain(self) -> None:
         """End at SIGTERM without a successor: attempt messages for a while, then wait for what is in flight."""
@@ -379,7 +379,7 @@
             while not self._drained():
                 gevent.sleep(DRAIN_POLL_INTERVAL_S)
         self.accepting.kill()
-        self.client_listener.end(LAST_ANSWERS_S)
+        self.client_listener.drain_and_close(LAST_ANSWERS_S)
         if node is not None:
             node.leave()
         gevent.killall(self.greenlets)
@@ -453,11 +453,13 @@
 def gauges(dispatcher: Dispatcher, endpoint_list: EndpointList) -> tuple[int, int, int]:
     """Counts of unfinished messages, of listed receivers, and of those among them that are suspended or avoided."""
     listed = {
-        endpoint_list.numbers[uid]
-        for uid, listing in endpoint_list.last.items()
+        endpoint_list.receiver_numbers[uid]
+        for uid, listing in endpoint_list.latest_listings.items()
         if listing.phase is not EndpointState.REMOVED
     }
-    avoided = {endpoint_list.numbers[uid] for uid in endpoint_list.suspended if uid in endpoint_list.numbers}
+    avoided = {
+        endpoint_list.receiver_numbers[uid] for uid in endpoint_list.suspended if uid in endpoint_list.receiver_numbers
+    }
     avoided |= {receiver.id for receiver in dispatcher.sender.receivers.values() if receiver.ejected_since}
     return len(dispatcher.handles), len(listed), len(avoided & listed)
 
--- a/tests/build.py
+++ b/tests/build.py
@@ -20,7 +20,7 @@
 from cedarwick.decisions.message_handle import Handle
 from cedarwick.decisions.policy import Sender
 from cedarwick.lab.listeners import ReservedPort
-from cedarwick.net.assignment import Assignment, plain
+from cedarwick.net.assignment import Assignment, flatten_settings
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.dispatcher import Dispatcher
@@ -113,7 +113,7 @@
     store = Store(folder.name, 120_000, now=clock.now)
     store.load()
     case.addCleanup(store.close)
-    made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, plain(settings))
+    made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, flatten_settings(settings))
     dispatcher = Dispatcher(made, clock, Counters(), store, PollClock(clock))
     dispatcher.notices = Notifier(("", 0), Counters(), lambda numbers: None)
     dispatcher.free_links = lambda receiver: None
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -20,7 +20,7 @@
 from cedarwick.decisions.policy import Sender
 from cedarwick.lab import scenario as scenarios
 from cedarwick.lab.scenario import Scenario, sender_settings
-from cedarwick.net.assignment import plain
+from cedarwick.net.assignment import flatten_settings
 from tests.build import Program, Receiver, reply
 
 GOOD = """
@@ -160,7 +160,7 @@
         for name in scenarios.shipped():
             told = scenarios.load(name)
             self.assertEqual((told.name, bool(told.about)), (name, True))
-            made = Sender(plain(sender_settings(told, 2)), 1, 0)
+            made = Sender(flatten_settings(sender_settings(told, 2)), 1, 0)
             self.assertEqual(
                 [priority_class.at_most_once for priority_class in made.priority_classes],
                 [priority_class.repeat == "at-most-once" for priority_class in told.priority_classes],
--- a/tests/decisions/test_other_settings.py
+++ b/tests/decisions/test_other_settings.py
@@ -80,7 +80,7 @@
         made = EndpointList(self.assignment, Counters(), lambda *update: told.append(update), lambda: None)
         for zone, kind, places in (("yard", "plain", (2, 0)), ("ä,b", "big, old", (1, 1)), ("elsewhere", None, (3, 2))):
             line = {"uid": zone, "endpoint": "127.0.0.1:9", "az": zone, "model": kind, "pod_group": 1, "state": "up"}
-            made.learn({"rev": 1, "all": False, "targets": [line]})
+            made.apply_update({"rev": 1, "all": False, "targets": [line]})
             self.assertEqual((told[-1][1][0].zone, told[-1][1][0].kind), places)
 
     def test_a_report_is_read_by_the_names_of_its_columns(self) -> None:
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -877,7 +877,7 @@
                 mock.patch.object(notices, "_post", post),
                 mock.patch("cedarwick.net.notifications.gevent.sleep", side_effect=KeyboardInterrupt),
             ):
-                notices.post(1, "id", True, 0)
+                notices.enqueue(1, "id", True, 0)
                 with self.assertRaises(KeyboardInterrupt):  # it came to its next step
                     notices.run()
 
--- a/tests/fleet/test_suspensions.py
+++ b/tests/fleet/test_suspensions.py
@@ -134,8 +134,8 @@
         """A process on the folder; its dispatcher, its list and its links are made up."""
         self.dispatcher: Any = Made(apply_retry_after=mock.Mock(), attempt_ended=mock.Mock(), attempts=Made())
         self.listed: Any = Made(
-            numbers={f"u{i}": i for i in range(100)},
-            uids={i: f"u{i}" for i in range(100)},
+            receiver_numbers={f"u{i}": i for i in range(100)},
+            uids_by_number={i: f"u{i}" for i in range(100)},
             suspended=set(),
             knows=lambda uid: True,
             set_suspended=lambda uids: setattr(self.listed, "suspended", uids),
--- a/tests/lab/broken.py
+++ b/tests/lab/broken.py
@@ -57,7 +57,7 @@
 
 def tells_no_end() -> None:
     """No notice is ever posted."""
-    notifications.Notifier.post = lambda *_: None  # type: ignore[method-assign]
+    notifications.Notifier.enqueue = lambda *_: None  # type: ignore[method-assign]
 
 
 def overtakes() -> None:
--- a/tests/lab/test_virtual_days.py
+++ b/tests/lab/test_virtual_days.py
@@ -48,7 +48,7 @@
 
 def taken_anywhere(self: SessionRouter, kept: StoredMessage) -> SubmitResult:
     """No session has a holder: who is asked takes."""
-    return self.client_listener.to_dispatcher(kept)
+    return self.client_listener.submit_to_dispatcher(kept)
 
 
 def released_early(self: MigrationTable, name: str, now: int) -> list[MigrationStep]:
--- a/tests/net/test_client_listener_races.py
+++ b/tests/net/test_client_listener_races.py
@@ -19,7 +19,7 @@
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
 from cedarwick.net import client_connections, client_listener
-from cedarwick.net.assignment import Assignment, plain
+from cedarwick.net.assignment import Assignment, flatten_settings
 from cedarwick.net.attempts import AttemptRunner
 from cedarwick.net.client_connections import ClientConnection
 from cedarwick.net.client_listener import ClientListener, SubmitResult
@@ -63,7 +63,7 @@
             lambda: True,
         )
         self.address = self.door.listener.getsockname()
-        self.door.hand_in = self.hand_in
+        self.door.submit_message = self.hand_in
         self.accepting = gevent.spawn(self.door.accept)
         self.addCleanup(self.accepting.kill)
         self.addCleanup(self.door.listener.close)
@@ -82,7 +82,7 @@
             sock.sendall(piece)
             client = next(each for each in self.door.clients if each.sock.getpeername() == sock.getsockname())
             gevent.sleep(0)
-            passes(lambda: client.shut_down or self.door._silent(client))  # noqa: B023
+            passes(lambda: client.shut_down or self.door._nothing_unread(client))  # noqa: B023
         return sock
 
     def heard(self, sock: gevent.socket.socket, seconds: float = 1.0) -> tuple[bytes, str]:
@@ -98,7 +98,7 @@
 
     def end(self) -> None:
         self.accepting.kill()
-        self.door.end(0.15)
+        self.door.drain_and_close(0.15)
 
 
 class ShutdownTest(RunningListenerTestCase):
@@ -166,7 +166,7 @@
         for crossing in (b"*", submit("b"), submit("b") * 2000):
             with self.subTest(size=len(crossing)):
                 sock = self.connect(submit("a"))
-                silent = self.door._silent
+                silent = self.door._nothing_unread
 
                 def cross(
                     client: ClientConnection, crossing: bytes = crossing, sock: gevent.socket.socket = sock
@@ -176,7 +176,7 @@
                     sock.send(crossing)  # between the look and the answer
                     return was
 
-                with mock.patch.object(self.door, "_silent", cross):
+                with mock.patch.object(self.door, "_nothing_unread", cross):
                     self.door.closing = True
                     sock.sendall(submit("c"))
                     gevent.sleep(0.1)
@@ -212,7 +212,7 @@
                     mock.patch.object(client_connections, "CONNECTION_POOL_DIVISOR", 8),
                     mock.patch.object(self.door, "clients", ManyClients(self.door.clients)),
                 ):
-                    self.assertRaises(NoDescriptorError, self.door._make_room)
+                    self.assertRaises(NoDescriptorError, self.door._free_descriptors)
                 self.assertEqual(self.heard(sock, 1.0), expected)
 
     def test_who_was_told_the_end_makes_way_before_a_connection_that_has_not_asked_yet(self) -> None:
@@ -224,7 +224,7 @@
         for client in self.door.clients:
             client.idle_since -= 1_000_000
         with mock.patch.object(self.door, "clients", ManyClients(self.door.clients)):
-            self.assertRaises(NoDescriptorError, self.door._make_room)
+            self.assertRaises(NoDescriptorError, self.door._free_descriptors)
         self.assertEqual(self.heard(crossed), (BUSY, "end"))
         fresh.sendall(submit("c"))
         self.assertEqual(self.heard(fresh), (BUSY, "end"))
@@ -302,7 +302,7 @@
         store = Store(folder.name, 1 << 20, now=clock.now, durable=durable)
         store.load()
         self.addCleanup(store.close)
-        made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, plain(NESTED))
+        made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, flatten_settings(NESTED))
         dispatcher = Dispatcher(made, clock, counters, store, polled)
         links = ConnectionPool(clock, counters, descriptors, lambda _: self.receiver.getsockname(), 5_000_000, 500_000)
         dispatcher.notices, dispatcher.free_links = Notifier(("", 0), counters, lambda numbers: None), links.free
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -95,7 +95,7 @@
         self.made.platform = self.listener.getsockname()
         watching = gevent.spawn(self.made.watch)
         self.addCleanup(watching.kill)
-        self.addCleanup(lambda: self.made.follow_greenlet and self.made.follow_greenlet.kill())
+        self.addCleanup(lambda: self.made.watch_greenlet and self.made.watch_greenlet.kill())
 
     def agent(self) -> gevent.socket.socket:
         listener = gevent.socket.socket()
@@ -128,7 +128,7 @@
         for at in range(0, len(text), 50):
             sock.sendall(chunk(text[at : at + 50]))
             gevent.sleep(0)
-        self.happens(lambda: self.made.version == 3 and self.made.known)
+        self.happens(lambda: self.made.version == 3 and self.made.has_receivers)
         self.assertEqual(self.failed, [])
 
     def test_a_watch_that_fell_silent_or_was_cut_after_a_while_opens_anew_at_once(self) -> None:
@@ -160,20 +160,20 @@
             self.happens(lambda: len(self.failed) == nth)  # noqa: B023
             with self.assertRaises(gevent.Timeout):
                 self.opened(within=0.15)
-            self.made.ask()
+            self.made.reopen_watch()
 
     def test_a_call_without_an_answer_has_failed_and_is_listened_to_until_the_next_one_is_wanted(self) -> None:
         first, _ = self.opened()
         self.happens(lambda: self.failed)
         self.assertTrue(self.made.first_update.is_set())
         gevent.sleep(0.5)
-        self.made.ask()
+        self.made.reopen_watch()
         second, _ = self.opened()
         self.assertEqual((first.recv(1), len(self.failed)), (b"", 1))
         self.happens(lambda: len(self.failed) == 2)
         second.sendall(HEAD + chunk(self.update_line(5)))
         self.happens(lambda: self.made.version == 5)
-        self.made.ask()  # it is answered now: nothing is to be opened
+        self.made.reopen_watch()  # it is answered now: nothing is to be opened
         with self.assertRaises(gevent.Timeout):
             self.opened(within=0.2)
 
@@ -189,7 +189,7 @@
                 with self.assertRaises(gevent.Timeout):
                     self.opened(within=0.3)
                 self.assertEqual(len(self.failed), before + 1 + refused)
-                self.made.ask()
+                self.made.reopen_watch()
 
     def test_an_object_that_was_torn_does_not_swallow_what_follows(self) -> None:
         sock, _ = self.opened()
@@ -214,8 +214,8 @@
         late = json.dumps({"rev": 90, "all": True, "targets": [{**self.GOOD, "state": "draining"}]}).encode()
         sock.sendall(chunk(late))
         new = self.agent()
-        with mock.patch.object(self.made, "follow_greenlet"):  # as late as a kill can come
-            self.made.move(new.getsockname())
+        with mock.patch.object(self.made, "watch_greenlet"):  # as late as a kill can come
+            self.made.change_address(new.getsockname())
         _, line = self.opened(new)
         self.assertIn(b"since=0 ", line)
         self.assertEqual((len(self.told), self.failed, sock.recv(1)), (1, [], b""))
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -183,7 +183,7 @@
 
     def phases(self) -> str:
         """How the decisions take each receiver, by uid."""
-        uids = {number: uid for uid, number in self.made.numbers.items()}
+        uids = {number: uid for uid, number in self.made.receiver_numbers.items()}
         state: dict[str, EndpointState] = {}
         for change, listings in self.told:
             state = state if change is EndpointUpdate.DELTA else {}
@@ -260,14 +260,14 @@
             self.assertIn(b"since=0 ", line)
             sock.sendall(HEAD + self.piece(9, self.line("a"), whole=True) + self.piece(8, self.line("a")))
             self.happens(lambda: len(self.failed) == nth + 1)  # noqa: B023
-            self.made.ask()
+            self.made.reopen_watch()
 
     def test_a_version_below_the_saved_one_asks_for_the_whole_list(self) -> None:
         sock, _ = self.opened()
-        self.made.learn({"rev": 10**30, "all": True, "targets": [self.GOOD]}, saved=True)
+        self.made.apply_update({"rev": 10**30, "all": True, "targets": [self.GOOD]}, saved=True)
         sock.close()
         self.happens(lambda: self.failed)
-        self.made.ask()
+        self.made.reopen_watch()
         sock, line = self.opened()
         self.assertIn(b"since=1000", line)
         sock.sendall(HEAD + self.update_line(2).join([b"%x\r\n" % len(self.update_line(2)), b"\r\n"]))
@@ -280,24 +280,24 @@
         """In each: told once, then twice in a row, and with `ask` on either side of it."""
 
         def move(new: Any) -> None:
-            self.made.move(new.getsockname())
+            self.made.change_address(new.getsockname())
 
         def twice(new: Any) -> None:
             move(self.agent())
             move(new)
 
         def asked_first(new: Any) -> None:
-            self.made.ask()
+            self.made.reopen_watch()
             move(new)
 
         def asked_after(new: Any) -> None:
             move(new)
-            self.made.ask()
+            self.made.reopen_watch()
 
         for how in (move, twice, asked_first, asked_after):
             for state in ("starting", "reading", "in doubt", "waiting", "ending"):
                 with self.subTest(state=state, how=how.__name__):
-                    self.made.move(self.listener.getsockname())
+                    self.made.change_address(self.listener.getsockname())
                     sock, _ = self.opened()
                     failed = len(self.failed)
                     if state in ("reading", "ending"):
@@ -308,7 +308,7 @@
                     elif state == "waiting":
                         sock.close()
                         self.happens(lambda: len(self.failed) > failed)  # noqa: B023
-                    new, old = self.agent(), self.made.follow_greenlet
+                    new, old = self.agent(), self.made.watch_greenlet
                     if state == "ending":  # the watch has ended, and nobody has seen it yet
                         assert old is not None
                         old.link(lambda _, how=how, new=new: how(new))
@@ -329,13 +329,13 @@
         for window in (9.0, 0.0):
             with (
                 self.subTest(window=window),
-                mock.patch.object(module, "MOVE_GRACE_S", window),
+                mock.patch.object(module, "ADDRESS_CHANGE_GRACE_S", window),
                 gevent.socket.socket() as new,
             ):
                 new.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_REUSEADDR, 1)
                 new.bind(("127.0.0.1", 0))
                 failed, begun = len(self.failed), time.monotonic()
-                self.made.move(new.getsockname())
+                self.made.change_address(new.getsockname())
                 self.happens(lambda: len(self.failed) >= failed + (3 if window else 1))  # noqa: B023
                 calls = len(self.failed) - failed
                 self.assertLessEqual(calls, 1 + (time.monotonic() - begun) / module.STABLE_WATCH_S)
@@ -343,7 +343,7 @@
                 if not window:
                     with self.assertRaises(gevent.Timeout):
                         self.opened(new, within=module.STABLE_WATCH_S + 0.2)
-                    self.made.ask()
+                    self.made.reopen_watch()
                 _, line = self.opened(new, within=module.STABLE_WATCH_S + 0.4)
                 self.assertIn(b"since=0 ", line)
 
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -156,7 +156,7 @@
         self.store.set_limit(1)
         self.dispatcher._decide()
         self.assertEqual(self.dispatcher.sender.room, 0)
-        self.dispatcher.notices.post(9, "i", True, 0)
+        self.dispatcher.notices.enqueue(9, "i", True, 0)
         self.dispatcher._decide()
         self.assertEqual(self.dispatcher.sender.room, 1)  # it leaves as it is acknowledged
 
@@ -291,9 +291,9 @@
         for at in range(len(text)):
             buffer = Buffer()
             buffer.append(text[:at])
-            self.assertIsNone(resp.command(buffer))
+            self.assertIsNone(resp.read_command(buffer))
             buffer.append(text[at:] + b"*1")
-            self.assertEqual(resp.command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
+            self.assertEqual(resp.read_command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
             self.assertEqual(len(buffer), 2)
 
     def test_a_second_answer_is_not_read_as_the_first(self) -> None:
@@ -387,7 +387,7 @@
             b"classes.0.worth=1.0\nclasses.0.streaming=false\nrules.fall-ms=2000.0\n"
             b"family-info.notes=full:_wait__or_0\nfamily-info.kind-apart=false,true\n"
         )
-        self.assertEqual(assignment.plain(nested), settings_of(text))
+        self.assertEqual(assignment.flatten_settings(nested), settings_of(text))
 
     def test_a_setting_out_of_its_range_is_named_and_an_unknown_one_ignored(self) -> None:
         for more, named in (
@@ -407,7 +407,7 @@
                 with open(path := f"{folder}/c.json", "w", encoding="utf-8") as file:
                     json.dump(told, file)
                 try:
-                    assignment.read({"RELAY_CONFIG": path, "RELAY_STATE": folder})
+                    assignment.read_assignment({"RELAY_CONFIG": path, "RELAY_STATE": folder})
                     self.assertEqual(named, "")
                 except assignment.AssignmentError as error:
                     self.assertTrue(named and named in str(error), str(error))
@@ -428,8 +428,8 @@
             "state": "up",
             "capacity_hint": 2.5,
         }
-        made.learn({"rev": 3, "all": True, "targets": [entry]}, saved=True)
-        made.learn({"rev": 5, "all": False, "targets": [{**entry, "state": "removed"}]})
+        made.apply_update({"rev": 3, "all": True, "targets": [entry]}, saved=True)
+        made.apply_update({"rev": 5, "all": False, "targets": [{**entry, "state": "removed"}]})
         line = ListedEndpoint(1, 1, 0, 4, EndpointState.READY, 2.5)
         self.assertEqual(
             told,
@@ -443,21 +443,21 @@
             with mock.patch("time.monotonic", return_value=day * 10.0):
                 entry = {"uid": f"s-{day}", "endpoint": "127.0.0.1:9", "state": "up"}
                 gone = {"uid": f"s-{day - 1}", "state": "removed"}
-                made.learn({"rev": day, "all": day % 2 > 0, "targets": [entry] if day % 2 else [gone, entry]})
+                made.apply_update({"rev": day, "all": day % 2 > 0, "targets": [entry] if day % 2 else [gone, entry]})
         self.assertEqual((told[-1][1][-1].receiver, made.address_of(50)), (50, ("127.0.0.1", 9)))
-        self.assertEqual((sorted(made.numbers.values()), len(made.addresses)), ([*range(43, 51)], 8))
+        self.assertEqual((sorted(made.receiver_numbers.values()), len(made.addresses)), ([*range(43, 51)], 8))
 
     def test_list_updates_that_cannot_be_read_change_nothing(self) -> None:
         made, told = self.endpoint_list()
         for update in ({}, {"rev": "x", "all": True, "targets": []}, json.loads("[]"), {"rev": 1, "all": True}):
             with self.subTest(update=update), self.assertRaises(ValueError):
-                made.learn(update)
+                made.apply_update(update)
         self.assertEqual((told, made.version), ([], 0))
 
     def test_a_line_that_cannot_be_read_does_not_hide_the_others(self) -> None:
         made, told = self.endpoint_list()
         good = {"uid": "s", "endpoint": "127.0.0.1:9", "az": "a", "model": "k", "pod_group": 4, "state": "up"}
-        made.learn({"rev": 3, "all": False, "targets": [{}, 7, {**good, "endpoint": "no"}, good]})
+        made.apply_update({"rev": 3, "all": False, "targets": [{}, 7, {**good, "endpoint": "no"}, good]})
         self.assertEqual([line.destination for _, lines in told for line in lines], [4])
 
     GOOD = {
@@ -472,27 +472,27 @@
 
     def test_an_empty_whole_list_is_not_believed_once_any_receiver_is_known(self) -> None:
         made, told = self.endpoint_list()
-        made.learn({"rev": 1, "all": True, "targets": []}, saved=True)
-        made.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
+        made.apply_update({"rev": 1, "all": True, "targets": []}, saved=True)
+        made.apply_update({"rev": 2, "all": True, "targets": [self.GOOD]})
         with self.assertRaises(ValueError):
-            made.learn({"rev": 3, "all": True, "targets": []})
+            made.apply_update({"rev": 3, "all": True, "targets": []})
         self.assertEqual((len(told), made.version, made.knows("s")), (2, 2, True))
 
     def test_in_a_whole_list_a_receiver_with_a_spoilt_line_is_kept_and_one_left_out_is_gone(self) -> None:
         made, told = self.endpoint_list()
-        made.learn({"rev": 2, "all": True, "targets": [{**self.GOOD, "uid": uid} for uid in "stu"]})
-        made.learn({"rev": 3, "all": True, "targets": [self.GOOD, {"uid": "t", "state": 7}]})
+        made.apply_update({"rev": 2, "all": True, "targets": [{**self.GOOD, "uid": uid} for uid in "stu"]})
+        made.apply_update({"rev": 3, "all": True, "targets": [self.GOOD, {"uid": "t", "state": 7}]})
         self.assertEqual([change for change, _ in told], [EndpointUpdate.FULL, EndpointUpdate.FULL])
         self.assertEqual(told[1][1], told[0][1][:2])
-        self.assertEqual((sorted(made.numbers), sorted(made.removed_at)), (["s", "t", "u"], ["u"]))
+        self.assertEqual((sorted(made.receiver_numbers), sorted(made.removed_at)), (["s", "t", "u"], ["u"]))
 
     def test_a_listed_rate_that_is_none_leaves_the_one_before_and_the_line_in_force(self) -> None:
         hints: list[Any] = ["nine", None, -3, float("nan"), float("inf"), 1e300, [], 10**400]
         for hint in hints:
             with self.subTest(hint=hint):
                 made, told = self.endpoint_list()
-                made.learn({"rev": 1, "all": True, "targets": [self.GOOD]})
-                made.learn(
+                made.apply_update({"rev": 1, "all": True, "targets": [self.GOOD]})
+                made.apply_update(
                     {"rev": 2, "all": False, "targets": [{**self.GOOD, "state": "draining", "capacity_hint": hint}]}
                 )
                 line = told[-1][1][0]
@@ -514,7 +514,7 @@
                 listener.listen()
                 made, told = self.endpoint_list()
                 made.platform = listener.getsockname()
-                made.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
+                made.apply_update({"rev": 2, "all": True, "targets": [self.GOOD]})
                 failed = AsyncResult()
                 made.report_failure = lambda failed=failed: failed.set(True)  # type: ignore[misc]
                 watching = gevent.spawn(made.watch)
@@ -532,15 +532,15 @@
         failed: list[int] = []
         endpoint_list.report_failure = lambda: failed.append(1)
         endpoint_list.platform = ("127.0.0.1", 1)  # nobody listens there
-        endpoint_list.ask()  # as at the start, while the first watch is opened
+        endpoint_list.reopen_watch()  # as at the start, while the first watch is opened
         watching = gevent.spawn(endpoint_list.watch)
         self.addCleanup(watching.kill)
         gevent.sleep(0.6)
         self.assertEqual(len(failed), 1)
-        endpoint_list.ask()
+        endpoint_list.reopen_watch()
         gevent.sleep(0.1)
         self.assertEqual(len(failed), 2)
-        endpoint_list.move(("127.0.0.1", 2))
+        endpoint_list.change_address(("127.0.0.1", 2))
         gevent.sleep(0.1)
         self.assertEqual(len(failed), 3)
 
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -88,7 +88,7 @@
         self.store = Store(folder.name, 1 << 20, now=self.clock.now)
         self.store.load()
         self.addCleanup(self.store.close)
-        made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.plain(NESTED))
+        made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.flatten_settings(NESTED))
         polled = PollClock(self.clock)
         self.dispatcher = Dispatcher(made, self.clock, self.counters, self.store, polled)
         self.links = ConnectionPool(
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -72,14 +72,16 @@
         self.clock.base += later * 1_000_000
         self.store = Store(folder, 1 << 20, now=self.clock.now)
         self.store.load()
-        made = Assignment("n", ("", 0), ("", 0), folder, 1, 64, 1 << 20, {}, assignment.plain(copy.deepcopy(settings)))
+        made = Assignment(
+            "n", ("", 0), ("", 0), folder, 1, 64, 1 << 20, {}, assignment.flatten_settings(copy.deepcopy(settings))
+        )
         self.dispatcher = Dispatcher(made, self.clock, self.counters, self.store, PollClock(self.clock))
         self.calls: list[AttemptCall] = []
         self.dispatcher.attempts = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
         self.dispatcher.notices = Notifier(("", 0), self.counters, self.dispatcher.acknowledged)
         self.dispatcher.free_links = lambda receiver: None
         self.endpoint_list = EndpointList(made, self.counters, self.dispatcher._listed, lambda: None)
-        self.endpoint_list.learn(
+        self.endpoint_list.apply_update(
             {
                 "rev": 1,
                 "all": True,
@@ -99,7 +101,7 @@
 
     def at(self, call: AttemptCall) -> str:
         """The receiver of a call."""
-        return next(uid for uid, number in self.endpoint_list.numbers.items() if number == call.receiver)
+        return next(uid for uid, number in self.endpoint_list.receiver_numbers.items() if number == call.receiver)
 
     def cleared(self, call: AttemptCall) -> bool:
         answer: AsyncResult = AsyncResult()
