--- a/cedarwick/net/assignment.py
+++ b/cedarwick/net/assignment.py
@@ -1,6 +1,6 @@
-"""The assignment: the configuration that a sender starts with, read from a JSON file and `RELAY_` variables.
+"""The assignment: the configuration of one sender process, read from a JSON file and `RELAY_` variables.
 
-The service calls `read_assignment` at the start, and again when the file has changed.
+The process calls `read_assignment` at start-up and again on SIGHUP.
 """
 
 import json
@@ -14,15 +14,15 @@
 
 
 class AssignmentError(CedarwickError):
-    """The program cannot start with its configuration."""
+    """The configuration of the sender is invalid."""
 
     code = "CW101"
-    remedy = "correct the file or the RELAY_ variable that is named, then start again"
+    remedy = "correct the file or the RELAY_ variable that the text names, then start the sender again"
 
 
 @dataclass(frozen=True)
 class Assignment:
-    """A configuration: name, addresses, limits, the endpoint list as last known, and the flat map of settings."""
+    """One configuration: name, addresses, limits, the last known endpoint list, and the flattened settings."""
 
     name: str
     listen: tuple[str, int]
@@ -33,10 +33,10 @@
     disk_bytes: int
     known: dict[str, Any]
     settings: dict[str, str]
-    management: tuple[str, int] | None = None  # the address for management calls; None: there is none
+    management: tuple[str, int] | None = None  # address of the management server; None: no server is started
 
     def fields_needing_restart(self, other: "Assignment") -> list[str]:
-        """The names of the fields that differ in another configuration and take effect only at a start."""
+        """Return the names of the fields that differ in another configuration and need a restart to take effect."""
         return [
             name
             for name in ("name", "listen", "settings", "seed", "known", "management")
@@ -45,7 +45,7 @@
 
 
 def read_assignment(environment: Mapping[str, str]) -> Assignment:
-    """Read the assignment that the environment names; raises `AssignmentError`, in one line, where it is wrong."""
+    """Read the assignment that the environment names; raises `AssignmentError` if it is invalid."""
     path = environment.get("RELAY_CONFIG", "")
     if not path:
         raise AssignmentError("RELAY_CONFIG is not set")
@@ -56,13 +56,13 @@
         raise AssignmentError(f"{path}: {error}") from None
     folder = environment.get("RELAY_STATE", "")
     if not os.path.isdir(folder):
-        raise AssignmentError(f"RELAY_STATE is no folder: {folder!r}")
+        raise AssignmentError(f"RELAY_STATE is not a folder: {folder!r}")
     try:
         limits = document.get("limits", {})
-        made = Assignment(
+        assignment = Assignment(
             name=str(environment.get("RELAY_NAME") or document["name"]),
             listen=parse_address(environment.get("RELAY_LISTEN") or document["listen"]),
-            # The file wins: it may be replaced while the process runs, the variable keeps its value from the start.
+            # The file takes precedence: it can change while the process runs, but the variable cannot.
             platform=parse_address(document.get("discovery") or environment.get("RELAY_DISCOVERY") or ""),
             folder=folder,
             seed=int(document["seed"], 16),
@@ -70,51 +70,51 @@
             disk_bytes=int(float(limits["disk_mb"]) * (1 << 20)),
             known=dict(document.get("known") or {}),
             settings=flatten_settings(document["settings"]),
-            # Here the variable wins: a replacing process gets the same file, but needs an address of its own.
-            management=parse_address(manage)
-            if (manage := environment.get("RELAY_MANAGEMENT") or document.get("management"))
+            # The variable takes precedence: a replacing process reads the same file but needs its own address.
+            management=parse_address(management_address)
+            if (management_address := environment.get("RELAY_MANAGEMENT") or document.get("management"))
             else None,
         )
     except KeyError as error:
         raise AssignmentError(f"{path}: {error.args[0]} is missing") from None
     except (TypeError, ValueError, AttributeError) as error:
         raise AssignmentError(f"{path}: {error}") from None
-    if "classes.count" not in made.settings:
-        raise AssignmentError(f"{path}: the settings name no classes")
+    if "classes.count" not in assignment.settings:
+        raise AssignmentError(f"{path}: the settings have no priority classes")
     try:
-        setting_rules.check(made.settings)
+        setting_rules.check(assignment.settings)
     except setting_rules.SettingError as error:
         raise AssignmentError(f"{path}: settings.{error}") from None
-    return made
+    return assignment
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of `host:port`; `ValueError` where the text is no address."""
+    """Return host and port of `host:port`; raises `ValueError` if the text is not an address."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isdecimal() and 0 < int(port) < 1 << 16):
-        raise ValueError(f"no address: {text!r}")
+        raise ValueError(f"expected host:port, got {text!r}")
     return host.strip("[]"), int(port)
 
 
 def flatten_settings(settings: Any, path: str = "") -> dict[str, str]:
-    """Flatten nested settings to a map of dotted names to text, in the form of the simulator's protocol."""
+    """Flatten nested settings to a map from dotted names to text, the form that the simulator's protocol uses."""
     if isinstance(settings, dict):
-        found = {}
+        flat = {}
         for name, value in settings.items():
-            found.update(flatten_settings(value, f"{path}.{name}" if path else name))
-        return found
+            flat.update(flatten_settings(value, f"{path}.{name}" if path else name))
+        return flat
     if isinstance(settings, list) and any(isinstance(item, dict) for item in settings):
-        found = {f"{path}.count": str(len(settings))}
+        flat = {f"{path}.count": str(len(settings))}
         for index, item in enumerate(settings):
-            found.update(flatten_settings(item, f"{path}.{index}"))
-        return found
+            flat.update(flatten_settings(item, f"{path}.{index}"))
+        return flat
     if isinstance(settings, list):
         return {path: ",".join(setting_text(item) for item in settings)}
     return {path: setting_text(settings)}
 
 
 def setting_text(value: Any) -> str:
-    """One plain value as text."""
+    """Return the text of one scalar value; spaces and commas become underscores."""
     if value is None:
         return ""
     if isinstance(value, bool):
@@ -123,5 +123,5 @@
 
 
 def setting_index(names: list[str], name: object) -> int:
-    """The index of a name in a list of the settings; the length of the list for a name that it lacks."""
+    """Return the index of a name in a list from the settings; the length of the list if the name is not in it."""
     return names.index(setting_text(name)) if setting_text(name) in names else len(names)
--- a/cedarwick/net/buffer.py
+++ b/cedarwick/net/buffer.py
@@ -1,13 +1,13 @@
-"""The read buffer of a connection, used by the client listener and the readers of HTTP answers."""
+"""Read buffer of a connection, used by the client listener, the management server and the HTTP parsers."""
 
 import gevent.socket
 
-INITIAL_BYTES = 4096  # of an empty buffer
-MAX_EMPTY_BYTES = 1 << 16  # an emptied buffer larger than this shrinks again
+INITIAL_BYTES = 4096  # capacity of an empty buffer
+MAX_EMPTY_BYTES = 1 << 16  # a larger buffer shrinks to INITIAL_BYTES once it is empty
 
 
 class Buffer:
-    """Bytes that were received and not consumed yet; grows as needed and is compacted in place."""
+    """Bytes that were received and are not consumed yet; the buffer grows as needed and is compacted in place."""
 
     __slots__ = ("data", "start", "end")
 
@@ -20,30 +20,30 @@
         return self.end - self.start
 
     def fill(self, sock: gevent.socket.socket) -> int:
-        """Read once from a socket; returns the number of bytes, 0 at its end. Raises what `recv_into` raises."""
-        self._make_room(1)
-        with memoryview(self.data) as whole, whole[self.end :] as free:
-            got: int = sock.recv_into(free)
-        self.end += got
-        return got
+        """Read once from the socket and return the number of bytes, 0 at its end; raises what `recv_into` raises."""
+        self._reserve(1)
+        with memoryview(self.data) as view, view[self.end :] as free:
+            received: int = sock.recv_into(free)
+        self.end += received
+        return received
 
-    def append(self, more: bytes) -> None:
-        """Add bytes at the end."""
-        self._make_room(len(more))
-        self.data[self.end : self.end + len(more)] = more
-        self.end += len(more)
+    def append(self, chunk: bytes) -> None:
+        """Append bytes to the buffer."""
+        self._reserve(len(chunk))
+        self.data[self.end : self.end + len(chunk)] = chunk
+        self.end += len(chunk)
 
-    def find(self, mark: bytes, at: int = 0) -> int:
-        """The offset of a mark from the first byte that is not consumed, searched from `at`; -1 if it is not there."""
-        place = self.data.find(mark, self.start + at, self.end)
-        return place - self.start if place >= 0 else -1
+    def find(self, delimiter: bytes, offset: int = 0) -> int:
+        """Return the offset of a delimiter from the first unconsumed byte, searching from `offset`; -1 if not found."""
+        position = self.data.find(delimiter, self.start + offset, self.end)
+        return position - self.start if position >= 0 else -1
 
-    def peek(self, at: int, size: int) -> bytes:
-        """Up to `size` bytes from offset `at`, without consuming them."""
-        return bytes(self.data[self.start + at : min(self.end, self.start + at + size)])
+    def peek(self, offset: int, size: int) -> bytes:
+        """Return up to `size` bytes from `offset` without consuming them."""
+        return bytes(self.data[self.start + offset : min(self.end, self.start + offset + size)])
 
     def skip(self, size: int) -> None:
-        """Consume bytes; a large buffer that becomes empty gives its memory back."""
+        """Consume bytes; a large buffer that becomes empty releases its memory."""
         self.start += size
         if self.start == self.end:
             self.start = self.end = 0
@@ -52,16 +52,16 @@
 
     def take(self, size: int) -> bytes:
         """Consume bytes and return them."""
-        taken = self.peek(0, size)
+        data = self.peek(0, size)
         self.skip(size)
-        return taken
+        return data
 
-    def _make_room(self, size: int) -> None:
+    def _reserve(self, size: int) -> None:
         if len(self.data) - self.end >= size:
             return
         if self.start:
-            held = len(self)
-            self.data[:held] = self.data[self.start : self.end]
-            self.start, self.end = 0, held
+            length = len(self)
+            self.data[:length] = self.data[self.start : self.end]
+            self.start, self.end = 0, length
         while len(self.data) - self.end < size:
             self.data.extend(bytes(len(self.data)))
--- a/cedarwick/net/http.py
+++ b/cedarwick/net/http.py
@@ -1,4 +1,4 @@
-"""Parsing of HTTP answers, for attempts, the endpoint list and notices."""
+"""Incremental parser for HTTP answers, used by attempts, the endpoint list, notices and the fleet's peer client."""
 
 from collections.abc import Callable
 
@@ -8,47 +8,47 @@
 from cedarwick.net.buffer import Buffer
 
 MAX_HEAD_BYTES = 1 << 16
-MAX_ANSWER_BYTES = MAX_HEAD_BYTES + (1 << 17)  # head and body, where the body is not passed on as it comes
-INTERIM_PREFIXES = (b"HTTP/1.1 1", b"HTTP/1.0 1")  # how answers in front of the real one begin
+MAX_ANSWER_BYTES = MAX_HEAD_BYTES + (1 << 17)  # head and body of an answer whose body is not streamed to a callback
+INTERIM_PREFIXES = (b"HTTP/1.1 1", b"HTTP/1.0 1")  # first bytes of an interim (1xx) answer
 
 
 class InvalidResponseError(CedarwickError):
-    """Bytes that are no HTTP answer."""
+    """The received bytes are not a valid HTTP answer."""
 
     code = "CW301"
     remedy = "ask whose address this is: the partner's endpoint or the platform's list answers wrongly"
 
 
 class ResponseParser:
-    """One answer, parsed as its bytes arrive; httptools calls the `on_` methods."""
+    """Parses one answer as its bytes arrive; httptools calls the `on_` methods."""
 
     def __init__(self, on_body: Callable[[bytes], None] | None = None) -> None:
-        self.status = 0  # of the first line, as soon as that was read
+        self.status = 0  # 0 until the status line was parsed
         self.headers: dict[str, str] = {}
-        self.fed = 0
-        self.begun = False  # the real answer; what stood in front of it is left out
+        self.bytes_fed = 0
+        self.final_answer_started = False  # interim (1xx) answers before it are skipped
         self.headers_complete = False
         self.complete = False
         self.keep_alive = False
         self.parser = httptools.HttpResponseParser(self)
-        self.pass_on = on_body
+        self.body_callback = on_body
 
     def on_message_begin(self) -> None:
         """Parser callback: an answer begins; raises `InvalidResponseError` for a second one."""
-        if self.complete:  # a further answer: nobody asked for it, and it must not be read as this one
-            raise InvalidResponseError("bytes after the answer")
+        if self.complete:  # an unsolicited second answer must not overwrite the first
+            raise InvalidResponseError("unexpected bytes after the answer")
 
     def on_status(self, _: bytes) -> None:
-        """Parser callback: the status line was read."""
+        """Parser callback: the status line is complete."""
         self.status = self.parser.get_status_code()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback: keep a header field, at most 100 of them; names are lower case."""
+        """Parser callback: store a header field under its lower-case name, up to 100 fields."""
         if not self.status:
-            self.on_status(b"")  # a first line without a phrase has no call of its own
+            self.on_status(b"")  # httptools skips on_status for a status line without a reason phrase
         field, content = name.decode("latin-1").lower(), value.decode("latin-1").strip()
         if field in self.headers:
-            self.headers[field] += ", " + content  # as RFC 9110 joins the lines of one field
+            self.headers[field] += ", " + content  # combined as RFC 9110 defines for repeated fields
         elif len(self.headers) < 100:
             self.headers[field] = content
 
@@ -57,10 +57,10 @@
         self.on_status(b"")
         self.headers_complete = True
 
-    def on_body(self, part: bytes) -> None:
-        """Parser callback: pass a part of the body on, if anybody wants it."""
-        if self.pass_on is not None:
-            self.pass_on(part)
+    def on_body(self, chunk: bytes) -> None:
+        """Parser callback: pass a chunk of the body to the callback, if there is one."""
+        if self.body_callback is not None:
+            self.body_callback(chunk)
 
     def on_message_complete(self) -> None:
         """Parser callback: the answer is complete."""
@@ -68,38 +68,38 @@
         self.keep_alive = self.parser.should_keep_alive()
 
     def feed(self, buffer: Buffer) -> None:
-        """Consume what the buffer holds; raises `InvalidResponseError` where it is no HTTP answer or too long."""
-        self.begun = self.begun or self._nothing_in_front(buffer)
-        if not self.headers_complete and self.fed + len(buffer) > MAX_HEAD_BYTES:
-            raise InvalidResponseError("a head without an end")
-        if not self.begun:
+        """Consume and parse the buffer; raises `InvalidResponseError` if it is not an HTTP answer or is too long."""
+        self.final_answer_started = self.final_answer_started or self._skip_interim_answers(buffer)
+        if not self.headers_complete and self.bytes_fed + len(buffer) > MAX_HEAD_BYTES:
+            raise InvalidResponseError("the HTTP head is too long")
+        if not self.final_answer_started:
             return
-        part = buffer.take(len(buffer))
-        self.fed += len(part)
-        if self.pass_on is None and self.fed > MAX_ANSWER_BYTES and not self.complete:
-            raise InvalidResponseError("an answer without an end")
+        data = buffer.take(len(buffer))
+        self.bytes_fed += len(data)
+        if self.body_callback is None and self.bytes_fed > MAX_ANSWER_BYTES and not self.complete:
+            raise InvalidResponseError("the HTTP answer is too long")
         try:
-            self.parser.feed_data(part)
+            self.parser.feed_data(data)
         except (InvalidResponseError, httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError) as error:
             if not self.complete:
                 raise InvalidResponseError(str(error) or type(error).__name__) from None
-            self.keep_alive = False  # bytes after a whole answer: nobody asked for them
+            self.keep_alive = False  # unsolicited bytes follow the complete answer
 
-    def _nothing_in_front(self, buffer: Buffer) -> bool:
-        """Skip interim (1xx) answers; returns whether the final one begins here.
+    def _skip_interim_answers(self, buffer: Buffer) -> bool:
+        """Skip interim (1xx) answers; returns whether the buffer now starts with the final answer.
 
-        They are skipped by hand, since the parser takes a 101 for the end of HTTP.
+        The parser cannot do this: it treats a 101 as an upgrade to another protocol.
         """
-        while any(begin.startswith(buffer.peek(0, len(begin))) for begin in INTERIM_PREFIXES):
+        while any(prefix.startswith(buffer.peek(0, len(prefix))) for prefix in INTERIM_PREFIXES):
             end = buffer.find(b"\r\n\r\n")
             if end < 0:
                 return False
-            self.fed += end + 4
+            self.bytes_fed += end + 4
             buffer.skip(end + 4)
         return True
 
     def feed_eof(self) -> bool:
-        """Note the connection's end, which completes an answer without a length; returns whether it is complete."""
+        """Handle the end of the connection, which completes an answer without a length; returns `complete`."""
         if self.headers_complete and not self.complete:
             self.complete = not {"content-length", "transfer-encoding"} & self.headers.keys()
         return self.complete
--- a/cedarwick/net/json_objects.py
+++ b/cedarwick/net/json_objects.py
@@ -1,63 +1,63 @@
-"""JSON objects from a stream of bytes, with any white space in or between them; used by the endpoint list."""
+"""Reads JSON objects from a stream of bytes, with any white space in or between them; used by the endpoint list."""
 
 import json
 import re
 from collections.abc import Iterator
 from typing import Any
 
-SOLID = re.compile(rb"[^ \t\r\n]")
-PLAIN = re.compile(rb'["{}]')  # what matters outside a string
-QUOTED = re.compile(rb'"|\\(?s:.)?|[\x00-\x1f]')  # and inside one
+NON_SPACE = re.compile(rb"[^ \t\r\n]")
+STRUCTURE = re.compile(rb'["{}]')  # bytes that matter outside a string
+IN_STRING = re.compile(rb'"|\\(?s:.)?|[\x00-\x1f]')  # bytes that matter inside a string
 
 
 class JsonObjectReader:
-    """Buffers the incomplete object and finds its end, scanning each byte once; `json` parses it."""
+    """Buffers an incomplete object and finds its end, scanning each byte once; `json` parses it."""
 
-    def __init__(self, longest: int) -> None:
-        self.longest = longest  # bytes of an object
-        self.held = bytearray()
-        self.seen = 0  # bytes of it that were looked at
-        self.depth = 0  # braces that are open outside strings
-        self.quoted = False  # whether a string is open
+    def __init__(self, max_object_bytes: int) -> None:
+        self.max_object_bytes = max_object_bytes
+        self.pending = bytearray()
+        self.scanned = 0  # bytes of `pending` that were scanned
+        self.depth = 0  # open braces outside strings
+        self.in_string = False  # whether the scan position is inside a string
 
-    def read(self, more: bytes) -> Iterator[dict[str, Any]]:
-        """Yield the objects that end in these bytes; raises `ValueError` where the text is no JSON or too long."""
-        self.held += more
-        while end := self._end():
-            text = bytes(self.held[:end])
-            del self.held[:end]
-            self.seen = 0
+    def read(self, data: bytes) -> Iterator[dict[str, Any]]:
+        """Yield the objects that are complete with these bytes; raises `ValueError` if one is invalid or too long."""
+        self.pending += data
+        while end := self._find_end():
+            text = bytes(self.pending[:end])
+            del self.pending[:end]
+            self.scanned = 0
             try:
                 yield json.loads(text)
             except RecursionError:
-                raise ValueError("an object nested too deeply") from None
-        if len(self.held) > self.longest:
-            raise ValueError("an object without an end")
+                raise ValueError("JSON object is nested too deeply") from None
+        if len(self.pending) > self.max_object_bytes:
+            raise ValueError("JSON object is too long")
 
-    def _end(self) -> int:
-        """Where the first object ends; 0 where its end has not come."""
+    def _find_end(self) -> int:
+        """Return the end offset of the first object; 0 while it is incomplete."""
         if not self.depth:
-            begin = SOLID.search(self.held)
-            if begin is None:
-                self.held.clear()
+            first = NON_SPACE.search(self.pending)
+            if first is None:
+                self.pending.clear()
                 return 0
-            del self.held[: begin.start()]
-            if not self.held.startswith(b"{"):
-                raise ValueError(f"no object begins with {bytes(self.held[:20])!r}")
-        while found := (QUOTED if self.quoted else PLAIN).search(self.held, self.seen):
-            mark = found[0]
-            if mark == b"\\":  # what it stands before has not come
-                self.seen = found.start()
+            del self.pending[: first.start()]
+            if not self.pending.startswith(b"{"):
+                raise ValueError(f"expected a JSON object, got {bytes(self.pending[:20])!r}")
+        while match := (IN_STRING if self.in_string else STRUCTURE).search(self.pending, self.scanned):
+            token = match[0]
+            if token == b"\\":  # the escaped character has not arrived yet
+                self.scanned = match.start()
                 return 0
-            self.seen = found.end()
-            if mark == b'"':
-                self.quoted = not self.quoted
-            elif self.quoted and len(mark) == 1:
-                # A truncated string would swallow all that follows, and no later update would be read.
-                raise ValueError("a line that ends in a string")
-            elif not self.quoted:
-                self.depth += 1 if mark == b"{" else -1
+            self.scanned = match.end()
+            if token == b'"':
+                self.in_string = not self.in_string
+            elif self.in_string and len(token) == 1:
+                # Without this check a truncated string would absorb all later updates.
+                raise ValueError("control character in a JSON string")
+            elif not self.in_string:
+                self.depth += 1 if token == b"{" else -1
                 if not self.depth:
-                    return self.seen
-        self.seen = len(self.held)
+                    return self.scanned
+        self.scanned = len(self.pending)
         return 0
--- a/cedarwick/net/notifications.py
+++ b/cedarwick/net/notifications.py
@@ -1,6 +1,6 @@
 """Notices of final answers, posted to the platform's `/status` until each is acknowledged with a 204.
 
-Names in `_S` are seconds. The dispatcher calls `enqueue`; the service runs `run`.
+Names that end in `_S` are in seconds. The dispatcher calls `enqueue`; the process runs `run` in a greenlet.
 """
 
 import json
@@ -15,72 +15,72 @@
 from cedarwick.net.http import InvalidResponseError, ResponseParser
 from cedarwick.net.sockets import is_closed, open_connection
 
-POST_TIMEOUT_S = 2.0  # for a post and its answer
+POST_TIMEOUT_S = 2.0  # for connecting, the post and its answer
 RETRY_DELAY_S = 0.25  # before a failed post is sent again
-MAX_LINES_PER_POST = 100
+MAX_NOTICES_PER_POST = 100
 
 
 class Notifier:
-    """Owns the notices that have not been acknowledged, and the connection they travel on."""
+    """Owns the notices that are not acknowledged yet, and the connection to the platform."""
 
     def __init__(
-        self, platform: tuple[str, int], counters: Counters, acknowledged: Callable[[list[int]], None]
+        self, platform: tuple[str, int], counters: Counters, on_acknowledged: Callable[[list[int]], None]
     ) -> None:
         self.platform = platform
         self.counters = counters
-        self.on_acknowledged = acknowledged
-        self.pending: dict[int, bytes] = {}  # by message number; bounded by the store's size
+        self.on_acknowledged = on_acknowledged  # called with the message numbers
+        self.pending: dict[int, bytes] = {}  # by message number; bounded by the number of stored messages
         self.has_unposted = gevent.event.Event()
         self.sock: gevent.socket.socket | None = None
         self.sock_address = platform
         self.post_greenlet: gevent.Greenlet | None = None
 
     def change_address(self, platform: tuple[str, int]) -> None:
-        """Change the platform's address; a post without an answer yet is repeated to the new one."""
+        """Change the platform's address; a post that has no answer yet is repeated at the new one."""
         self.platform = platform
         if self.post_greenlet is not None:
             self.post_greenlet.kill(block=False)
 
-    def enqueue(self, number: int, message: str, rejected: bool, wait_ms: int) -> None:
-        """Queue a notice: `returned`, with an advised wait in milliseconds if there is one, or `failed`."""
-        notice: dict[str, object] = {"id": message, "state": "returned" if rejected else "failed"}
+    def enqueue(self, number: int, message_id: str, rejected: bool, wait_ms: int) -> None:
+        """Queue a notice: `returned`, with the advised wait in milliseconds if there is one, or `failed`."""
+        notice: dict[str, object] = {"id": message_id, "state": "returned" if rejected else "failed"}
         if rejected and wait_ms > 0:
             notice["after_ms"] = wait_ms
         self.pending[number] = json.dumps(notice).encode() + b"\n"
         self.has_unposted.set()
 
     def run(self) -> None:
-        """Never returns: posts the queued notices, in batches, and repeats failed posts."""
-        most = MAX_LINES_PER_POST
+        """Post the queued notices in batches and repeat failed posts; never returns."""
+        batch_size = MAX_NOTICES_PER_POST
         while True:
             self.has_unposted.wait()
             self.has_unposted.clear()
             while self.pending:
-                batch = list(self.pending)[:most]
+                batch = list(self.pending)[:batch_size]
                 self.post_greenlet = gevent.spawn(self._post, b"".join(self.pending[number] for number in batch))
                 status = self.post_greenlet.get()
-                if isinstance(status, gevent.GreenletExit):  # the platform has moved meanwhile
+                if isinstance(status, gevent.GreenletExit):  # `change_address` aborted the post
                     continue
                 if not status:
                     gevent.sleep(RETRY_DELAY_S)
                     continue
                 if status != 204:
                     self.counters.warning("a notice was not accepted", status)
-                    most = 1  # a line that cannot be read must not hold up the others
+                    batch_size = 1  # isolates an unreadable notice, which would block the others
                     if (first := self.pending.pop(batch[0], None)) is not None:
                         self.pending[batch[0]] = first
                     gevent.sleep(RETRY_DELAY_S)
                     continue
-                most = MAX_LINES_PER_POST
+                batch_size = MAX_NOTICES_PER_POST
                 for number in batch:
-                    self.pending.pop(number, None)  # it may have been given up meanwhile
+                    self.pending.pop(number, None)  # the dispatcher may have dropped it meanwhile
                 self.counters.add("posts of notices acknowledged")
                 self.on_acknowledged(batch)
 
     def _post(self, body: bytes) -> int:
-        """The status of the answer; 0 where none came."""
+        """Post a batch of notices and return the status of the answer; 0 if there was none."""
         try:
-            with gevent.Timeout(POST_TIMEOUT_S, TimeoutError("no answer in time")):
+            with gevent.Timeout(POST_TIMEOUT_S, TimeoutError("the platform did not answer in time")):
                 return self._send(body)
         except (OSError, InvalidResponseError) as error:
             self._close()
@@ -104,7 +104,7 @@
         answer, buffer = ResponseParser(), Buffer()
         while not answer.complete:
             if not buffer.fill(self.sock):
-                raise InvalidResponseError("the connection ended before the answer")
+                raise InvalidResponseError("the connection was closed before the answer was complete")
             answer.feed(buffer)
         if not answer.keep_alive:
             self._close()
--- a/cedarwick/net/sockets.py
+++ b/cedarwick/net/sockets.py
@@ -1,4 +1,4 @@
-"""Socket helpers: opening a connection, peeking at one, and the time of the event loop's last poll.
+"""Socket helpers: open a connection, peek at its input, and track when the event loop last polled its sockets.
 
 Used by attempts, the connection pool, the client listener, the endpoint list and notices.
 """
@@ -10,31 +10,31 @@
 
 
 class PollClock:
-    """The time (microseconds) of the event loop's last poll; sockets found readable are read before all else."""
+    """Time of the event loop's last poll, in microseconds; the loop serves readable sockets before anything else."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.last_poll_at = clock.now()
         self.poll_count = 0
         self.watcher = gevent.get_hub().loop.check(ref=False)
-        self.watcher.start(self._polled)
+        self.watcher.start(self._record_poll)
 
-    def _polled(self) -> None:
+    def _record_poll(self) -> None:
         self.last_poll_at = self.clock.now()
         self.poll_count += 1
 
     def wait_for_next_poll(self) -> None:
-        """Return after the next poll, when greenlets that wait for a socket have read what is there now."""
-        before = self.poll_count
-        while self.poll_count == before:
+        """Return after the next poll, when greenlets that wait for a socket have read the input available now."""
+        previous = self.poll_count
+        while self.poll_count == previous:
             gevent.sleep(0)
 
 
-def open_connection(address: tuple[str, int], seconds: float) -> gevent.socket.socket:
-    """Open a TCP connection; raises `OSError` where none comes up within `seconds`."""
+def open_connection(address: tuple[str, int], timeout_s: float) -> gevent.socket.socket:
+    """Open a TCP connection; raises `OSError` if it is not established within `timeout_s`."""
     sock = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
     try:
-        sock.settimeout(seconds)
+        sock.settimeout(timeout_s)
         sock.connect(address)
         sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
     except BaseException:
@@ -44,9 +44,9 @@
 
 
 def peek_byte(sock: gevent.socket.socket) -> bytes | None:
-    """Peek at the next byte: None if nothing is there, `b""` if the connection has ended or broken.
+    """Peek at the next byte: None if there is no input, `b""` if the connection is closed or broken.
 
-    Leaves the socket without a time-out (non-blocking).
+    Leaves the socket in non-blocking mode.
     """
     sock.settimeout(0.0)
     try:
@@ -58,5 +58,5 @@
 
 
 def is_closed(sock: gevent.socket.socket) -> bool:
-    """Whether an idle connection has ended, or has received unexpected bytes."""
+    """Whether an idle connection was closed by its peer or has received unexpected bytes."""
     return peek_byte(sock) is not None
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -53,7 +53,7 @@
             made = JsonObjectReader(1 << 20)
             parts = [text[begin:end] for begin, end in zip([0, *places], [*places, len(text)], strict=True)]
             self.assertEqual([found for part in parts for found in made.read(part)], [each for each, _, _ in told])
-            self.assertEqual((made.depth, len(made.held)), (0, 0))
+            self.assertEqual((made.depth, len(made.pending)), (0, 0))
 
     def test_spoilt_text_is_told_after_the_objects_in_front_of_it(self) -> None:
         deep = b'{"a":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
@@ -70,7 +70,7 @@
         found: list[Any] = []
         with mock.patch("json.loads", wraps=json.loads) as loads:
             for at in range(0, len(text), 4096):
-                looked += len(made.held) - made.seen
+                looked += len(made.pending) - made.scanned
                 found += made.read(text[at : at + 4096])
         self.assertEqual((len(found), loads.call_count, looked), (1, 1, 0))
 
