--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -1,6 +1,7 @@
 """The client listener: accepts connections, reads RESP2 requests and writes their answers.
 
-Names in `_S` are seconds, `_US` and clock times microseconds. The service makes one `ClientListener`, and stops it.
+Names that end in `_S` are in seconds, those in `_US` and clock times in microseconds. A sender process has one
+`ClientListener`.
 """
 
 import contextlib
@@ -28,16 +29,17 @@
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
-PARTIAL_REQUEST_TIMEOUT_S = 2.0  # for the rest of a begun request, or until there is room for an answer
-MAX_UNUSABLE_REQUESTS = 8  # in a row: so many end the connection
-MAX_DOUBTFUL_REQUESTS = 3  # that count as unusable, of those that may be right, as where the list is old
-FIRST_PAUSE_S = 0.02  # after the first unusable request, doubling up to LONGEST_PAUSE_S
-LONGEST_PAUSE_S = 0.5
-MAX_BUFFERED_BYTES = 1 << 23  # in the buffers of all clients together; requests that need more are refused
-SMALL_BUFFER_BYTES = 1 << 13  # a buffer up to this size is not checked against the others
-DESCRIPTOR_RETRY_DELAY_S = 0.005  # before a descriptor for a client is asked for again
-ACCEPT_RETRY_DELAY_S = 0.02  # after an accept that failed
-BACKLOG = 1024  # connections that wait to be accepted
+PARTIAL_REQUEST_TIMEOUT_S = 2.0  # for the rest of an incomplete request, and for writing an answer
+MAX_UNUSABLE_REQUESTS = 8  # consecutive; the connection is then closed
+# Refused requests that may be valid, as with an outdated endpoint list, count as unusable only up to this number.
+MAX_DOUBTFUL_REQUESTS = 3
+MIN_PENALTY_DELAY_S = 0.02  # after the first unusable request; doubles with each further one
+MAX_PENALTY_DELAY_S = 0.5
+MAX_BUFFERED_BYTES = 1 << 23  # total size of all client buffers; requests that need more are refused
+SMALL_BUFFER_BYTES = 1 << 13  # a buffer up to this size is not checked against MAX_BUFFERED_BYTES
+DESCRIPTOR_RETRY_DELAY_S = 0.005  # before the next attempt to claim a descriptor for a client
+ACCEPT_RETRY_DELAY_S = 0.02  # after a failed accept
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
 
 PONG, LOADING = b"+PONG\r\n", b"-LOADING not ready yet\r\n"
 PAUSED = b"-LOADING paused by the operators\r\n"
@@ -50,19 +52,20 @@
     AdmissionResult.FROZEN: BUSY,
     AdmissionResult.UNSURE: b"",
 }
-# What became of a message, the advised wait, and what takes it back where it was taken just now.
+# The result of a submission, the advised wait in milliseconds, and a function that withdraws the message if it was
+# admitted just now.
 SubmitResult = tuple[AdmissionResult, int, Callable[[], None] | None]
 
 
 class ConnectionShedError(CedarwickError):
-    """The buffers of all clients together are as large as they may be."""
+    """The buffers of all clients together have reached their size limit."""
 
     code = "CW902"
-    remedy = "start another sender, or have clients send smaller bodies and fewer at once"
+    remedy = "start another sender, or have clients send smaller bodies and fewer of them at once"
 
 
 class ClientListener(ClientConnections):
-    """Accepts clients, reads their requests one after another, and writes each one's answer."""
+    """Accepts clients, reads the requests of each in order, and writes the answers."""
 
     def __init__(
         self,
@@ -77,13 +80,13 @@
         super().__init__(clock, descriptors)
         self.counters = counters
         self.dispatcher = dispatcher
-        self.ready = ready  # whether the store has been read and the endpoint list is known
+        self.ready = ready  # whether the store is loaded and the endpoint list is known
         self.closing = False
-        self.paused = False  # paused by the operators: PING is refused, clients are closed between requests
-        self.accept_while_closing = False  # while closing: requests that were read are still stored, for a hand-over
+        self.paused = False  # by the operators: PING is refused, and clients are disconnected between requests
+        self.accept_while_closing = False  # during a hand-over: requests read while closing are still stored
         self.submit_message: Callable[[StoredMessage], SubmitResult] = self.submit_to_dispatcher
         if listener is not None:
-            self.listener = listener  # the platform's, shared with a process that replaces this one
+            self.listener = listener  # inherited from the platform, shared with a process that replaces this one
             return
         self.listener = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
         self.listener.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_REUSEADDR, 1)
@@ -91,9 +94,9 @@
         self.listener.listen(BACKLOG)
 
     def accept(self) -> None:
-        """Never returns: accepts clients as long as there are descriptors for them."""
+        """Accept clients as long as descriptors are available; never returns."""
         while True:
-            # Yield: accepting without a pause would starve the greenlets of clients accepted before.
+            # Yield: a tight accept loop would starve the greenlets of clients that are connected already.
             gevent.sleep(0)
             try:
                 self._free_descriptors()
@@ -118,16 +121,16 @@
         gevent.spawn(self._serve, client)
 
     def has_request_in_progress(self) -> bool:
-        """Whether of a client a request, or the first bytes of one, were read and are not answered yet."""
+        """Whether a request, or part of one, was read from any client and is not answered yet."""
         return any(client.answering or len(client.buffer) for client in self.clients)
 
     def pause(self) -> None:
-        """Pause for the operators: serve requests that were read, close connections when idle; PING is refused."""
+        """Pause for the operators: answer requests already read, close idle connections and refuse PING."""
         self.paused = True
         self._shut_down_idle()
 
     def resume(self) -> None:
-        """The end of a pause: clients are served again."""
+        """Serve clients again after a pause."""
         self.paused = False
 
     def stop(self) -> None:
@@ -135,33 +138,33 @@
         self.closing = True
         self._shut_down_idle()
 
-    def drain_and_close(self, seconds: float) -> None:
-        """Close the listener, and return once every request is answered and every client gone, or after `seconds`.
+    def drain_and_close(self, timeout_s: float) -> None:
+        """Close the listener; return once all requests are answered and all clients gone, or after `timeout_s`.
 
         Requests that are incomplete by then are refused.
         """
-        self._shut_down_idle(fresh=True)
-        self._accept_waiting()
+        self._shut_down_idle(include_new=True)
+        self._accept_backlog()
         self.listener.close()
-        with gevent.Timeout(seconds, False):
+        with gevent.Timeout(timeout_s, False):
             while self.clients:
                 gevent.sleep(POLL_INTERVAL_S)
                 self._shut_down_idle()
-        self._shut_down_idle(fresh=True)
+        self._shut_down_idle(include_new=True)
         for client in self.clients:
-            # Not while an answer is under way: the client would take the refusal for that answer.
+            # If an answer is pending, the client would mistake this refusal for it.
             if len(client.buffer) and not client.answering:
                 self._refuse_unanswered(client)
 
-    def _accept_waiting(self) -> None:
-        """Accept all waiting connections: closing the listener would reset them, with their requests unanswered."""
+    def _accept_backlog(self) -> None:
+        """Accept all queued connections: closing the listener would reset them with their requests unanswered."""
         self.listener.settimeout(0.0)
         with contextlib.suppress(NoDescriptorError):
             while True:
                 self.descriptors.claim()
                 try:
                     sock, peer = self.listener.accept()
-                except OSError:  # there is none, or the listener is another process's already
+                except OSError:  # the queue is empty, or another process has accepted the connection
                     self.descriptors.give_back()
                     return
                 self._start_serving(sock, peer)
@@ -170,30 +173,30 @@
         reason = CloseReason.SERVED
         try:
             client.sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
-            while (parts := self._next(client)) is not None:
+            while (parts := self._read_request(client)) is not None:
                 client.answering = True
                 reply = self._answer(client, parts)
                 if not reply:
-                    # The result is not known: any answer may be wrong, and a close would be taken for a refusal.
+                    # The result is unknown: any answer may be wrong, and the client would take a close for a refusal.
                     self._await_client_close(client)
                     client.answering = False
                     break
                 if reply.startswith(BUSY[:5]) and len(parts) == 5:
                     self._count_rejection(parts[3])
-                last = (self.closing or self.paused) and not len(client.buffer) and self._nothing_unread(client)
+                last_answer = (self.closing or self.paused) and not len(client.buffer) and self._nothing_unread(client)
                 client.sock.settimeout(PARTIAL_REQUEST_TIMEOUT_S)
                 client.sock.sendall(reply)
                 client.answering = False
-                if last:
+                if last_answer:
                     break
                 if client.unusable >= MAX_UNUSABLE_REQUESTS:
                     raise MalformedRequestError("too many requests that cannot be used")
                 if client.unusable:
-                    # A client that repeats a bad request without a pause would use up the CPU.
+                    # Throttled, since a client that repeats a bad request without a delay would use up the CPU.
                     client.waiting, client.idle_since = not len(client.buffer), self.clock.now()
-                    gevent.sleep(min(LONGEST_PAUSE_S, FIRST_PAUSE_S * (1 << client.unusable - 1)))
+                    gevent.sleep(min(MAX_PENALTY_DELAY_S, MIN_PENALTY_DELAY_S * (1 << client.unusable - 1)))
                 elif len(client.buffer):
-                    gevent.sleep(0)  # hundreds of commands at once must not hold up all others
+                    gevent.sleep(0)  # a long pipeline of one client must not block the others
             self._close_gracefully(client)
         except MalformedRequestError as error:
             reason = CloseReason.MALFORMED_REQUEST
@@ -223,42 +226,42 @@
         if self.counters.trace.enabled:
             self.counters.trace.add(RefusalTrace(stored.id, reason, wait_ms, self.clock.now()))
 
-    def _next(self, client: ClientConnection) -> list[bytes] | None:
-        """The next request; None at the end of the connection, or where none came for long enough."""
+    def _read_request(self, client: ClientConnection) -> list[bytes] | None:
+        """Read the next request; None if the connection has ended or no request came within the timeout."""
         while (parts := read_command(client.buffer)) is None:
-            begun = len(client.buffer) > 0
-            client.waiting, client.idle_since = not begun, self.clock.now()
-            left = client.idle_timeout_s()
-            if begun:
+            incomplete = len(client.buffer) > 0
+            client.waiting, client.idle_since = not incomplete, self.clock.now()
+            timeout_s = client.idle_timeout_s()
+            if incomplete:
                 client.begun_at = client.begun_at or client.idle_since
-                left = PARTIAL_REQUEST_TIMEOUT_S - (client.idle_since - client.begun_at) / 1_000_000
+                timeout_s = PARTIAL_REQUEST_TIMEOUT_S - (client.idle_since - client.begun_at) / 1_000_000
                 if len(client.buffer.data) > SMALL_BUFFER_BYTES and MAX_BUFFERED_BYTES < sum(
                     len(other.buffer.data) for other in self.clients
                 ):
-                    raise ConnectionShedError(f"a request of more than {len(client.buffer)} bytes")
+                    raise ConnectionShedError(f"no buffer space for a request of more than {len(client.buffer)} bytes")
             try:
-                if left <= 0:
+                if timeout_s <= 0:
                     raise TimeoutError
-                client.sock.settimeout(left)
-                if not begun:
+                client.sock.settimeout(timeout_s)
+                if not incomplete:
                     client.sock.recv(1, gevent.socket.MSG_PEEK)
                     if client.shut_down or client.closed:
                         return None
                 if not client.buffer.fill(client.sock):
                     return None
             except TimeoutError:
-                if begun:
+                if incomplete:
                     raise MalformedRequestError("Protocol error: the request did not end") from None
                 if not self._nothing_unread(client):
-                    continue  # it came as the time ran out
+                    continue  # input arrived just as the timeout expired
                 self.counters.add("clients let go that asked for nothing")
                 return None
         client.waiting, client.begun_at, client.has_sent_request = False, 0, True
         return parts
 
-    def _count_rejection(self, pairs: bytes) -> None:
-        """Count a SUBMIT that was refused at admission, by its priority class where the settings have it."""
-        for pair in pairs.split(b","):
+    def _count_rejection(self, fields: bytes) -> None:
+        """Count a SUBMIT that was rejected at admission under its priority class, if the settings have that class."""
+        for pair in fields.split(b","):
             name, _, value = pair.partition(b"=")
             if name == b"c":
                 priority_class = setting_text(value.decode("utf-8", "replace"))
@@ -275,41 +278,41 @@
             self.counters.add("unknown commands")
             return b"-ERR unknown command\r\n"
         try:
-            stored, again = read_submission(parts, self.clock.now())
+            stored, is_repeated = read_submission(parts, self.clock.now())
         except InvalidSubmitError as error:
             client.unusable += 1
             self.counters.warning("a request that cannot be taken", error)
             return f"-ERR {error}\r\n".encode()
-        self.counters.add("handed in again" if again else "handed in")
+        self.counters.add("handed in again" if is_repeated else "handed in")
         if self.closing and not self.accept_while_closing or not self.ready():
             self.counters.add("turned away at a start or an end")
             self._trace_refusal(stored, "starting or ending")
             client.unusable += not self.closing and client.unusable < MAX_DOUBTFUL_REQUESTS
             return BUSY
-        answered, wait_ms, withdraw = self.submit_message(stored)
-        if answered is not AdmissionResult.ACCEPTED:
-            self._trace_refusal(stored, answered.value, wait_ms)
-        if answered in (AdmissionResult.ACCEPTED, AdmissionResult.BUSY):
+        result, wait_ms, withdraw = self.submit_message(stored)
+        if result is not AdmissionResult.ACCEPTED:
+            self._trace_refusal(stored, result.value, wait_ms)
+        if result in (AdmissionResult.ACCEPTED, AdmissionResult.BUSY):
             client.served, client.unusable = True, 0
         elif (
-            answered in (AdmissionResult.UNKNOWN_PRIORITY_CLASS, AdmissionResult.REPEATED)
+            result in (AdmissionResult.UNKNOWN_PRIORITY_CLASS, AdmissionResult.REPEATED)
             or client.unusable < MAX_DOUBTFUL_REQUESTS
         ):
             client.unusable += 1
         if withdraw is not None and peek_byte(client.sock) == b"":
-            # A client that left before its answer submits to another sender; no attempt has gone out yet.
+            # A client that disconnects before its answer submits to another sender; no attempt was sent yet.
             self.counters.add("clients gone before their answer")
             self._trace_refusal(stored, "its client left before the answer")
             withdraw()
             return BUSY
-        if answered is AdmissionResult.BUSY and wait_ms:
+        if result is AdmissionResult.BUSY and wait_ms:
             return b"-BUSY %d\r\n" % wait_ms
-        return REPLIES[answered]
+        return REPLIES[result]
 
     def submit_to_dispatcher(self, stored: StoredMessage) -> SubmitResult:
-        """Submit a message to this sender's own dispatcher and wait for the result."""
+        """Submit a message to the dispatcher of this process and wait for the result."""
         submission = Submission(stored)
         self.dispatcher.submit(submission)
-        answered, wait_ms = submission.answer.get()
-        taken = answered is AdmissionResult.ACCEPTED and stored.number
-        return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
+        result, wait_ms = submission.answer.get()
+        admitted = result is AdmissionResult.ACCEPTED and stored.number
+        return result, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if admitted else None
--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -1,6 +1,7 @@
-"""Endpoint discovery: the watch of the platform's list of receivers, and the numbers that stand for their uids.
+"""Endpoint discovery: watches the platform's list of receivers and maps their uids to receiver numbers.
 
-Names in `_S` are seconds. The service runs `watch`; updates go to the dispatcher through `report_update`.
+Names that end in `_S` are in seconds. The process runs `watch` in a greenlet; updates go to the dispatcher through
+`report_update`.
 """
 
 import time
@@ -19,27 +20,27 @@
 from cedarwick.net.json_objects import JsonObjectReader
 from cedarwick.net.sockets import open_connection
 
-PHASES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
-CONNECT_TIMEOUT_S = 1.0  # for a connection to the platform to come up
-ANSWER_TIMEOUT_S = 1.0  # for the first byte of the answer to a call for the list: the agent answers at once
-LINE_TIMEOUT_S = 4.2  # until a line ends: an empty one comes every two seconds, so two of them are missing
-UNREAD_BYTES_TIMEOUT_S = 0.01  # for bytes that came before the time-out, as after a stop of the process
-STABLE_WATCH_S = 1.0  # a watch that lasted this long after its answer does not count as a failed call
-ADDRESS_CHANGE_GRACE_S = 4.0  # after a move: for so long a new agent that is not up yet is called again soon
-MAX_OBJECT_BYTES = 1 << 22  # one JSON object of the list
-MAX_CALLS_PER_SECOND = 1_000_000  # a listed rate above this is no rate
-FORGET_GONE_AFTER_S = 60.0  # longer than any attempt to a receiver, and than the decisions know it
+PHASES_BY_STATE = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
+CONNECT_TIMEOUT_S = 1.0  # for a connection to the platform
+ANSWER_TIMEOUT_S = 1.0  # for the status of the answer to a list call; a working agent answers at once
+LINE_TIMEOUT_S = 4.2  # for a complete line; the agent sends an empty one every 2 s, so two are missing
+UNREAD_BYTES_TIMEOUT_S = 0.01  # to read bytes that arrived before the timeout, as while the process was stopped
+STABLE_WATCH_S = 1.0  # a watch that lasts this long after its answer does not count as a failed call
+ADDRESS_CHANGE_GRACE_S = 4.0  # after a change of address an agent that is not up yet is called again soon
+MAX_OBJECT_BYTES = 1 << 22  # of one JSON object of the list
+MAX_CALLS_PER_SECOND = 1_000_000  # a higher listed rate is invalid
+FORGET_REMOVED_AFTER_S = 60.0  # longer than any attempt, and than the decisions keep a removed receiver
 
 
 class InvalidUpdateError(CedarwickError, ValueError):
-    """An update of the list that cannot be read or believed; the list stays as it was."""
+    """An update of the endpoint list is invalid or out of order; the list is unchanged."""
 
     code = "CW303"
-    remedy = "ask the platform what its list says; until then the sender goes on with the last good list"
+    remedy = "check the list that the platform sends; the sender keeps using the last valid one"
 
 
 class EndpointList:
-    """Owns the watch; passes changes to the dispatcher, with receiver numbers in place of uids."""
+    """Owns the watch and passes changes to the dispatcher, with receiver numbers instead of uids."""
 
     def __init__(
         self,
@@ -54,87 +55,85 @@
         self.counters = counters
         self.report_update = report_update
         self.report_failure = report_failure
-        self.version = 0  # of the last update that was passed on; 0 asks for the full list
-        self.needs_full_list = False  # part of an update could not be read, or was out of order
-        self.receiver_numbers: dict[str, int] = {}
-        self.uids_by_number: dict[int, str] = {}  # by number
-        self.next_number = 1  # never used twice: a new receiver must not inherit what is known of a gone one
-        self.addresses: dict[int, tuple[str, int]] = {}
-        self.removed_at: dict[str, float] = {}  # by uid
+        self.version = 0  # of the last update passed on; 0 requests the full list
+        self.needs_full_list = False  # part of an update was unreadable or out of order
+        self.receiver_numbers: dict[str, int] = {}  # by uid
+        self.uids_by_number: dict[int, str] = {}
+        self.next_number = 1  # never reused: a new receiver must not inherit the state of a removed one
+        self.addresses: dict[int, tuple[str, int]] = {}  # by receiver number
+        self.removed_at: dict[str, float] = {}  # monotonic time by uid
         self.reopen_requested = gevent.event.Event()
-        self.address_changed = False  # the platform has another address since the watch was opened
+        self.address_changed = False  # the platform's address has changed since the watch was opened
         self.address_changed_at = -ADDRESS_CHANGE_GRACE_S
-        self.connected = False  # the last call got a connection
-        self.was_stable = False  # the last watch was answered, and lasted for `STABLE_WATCH_S`
-        self.failure_reported = False  # the call was reported as failed, but an answer is still awaited
-        self.refused = False  # it was answered with another status
-        self.full_list_requested = False  # by the call for this watch, since the one before was unclear
-        self.first_update = gevent.event.Event()  # set once the agent has sent its first update, or failed to
+        self.connected = False  # the last call established a connection
+        self.was_stable = False  # the last watch was answered and lasted for `STABLE_WATCH_S`
+        self.failure_reported = False  # the call was reported as failed, but its answer is still awaited
+        self.refused = False  # the call was answered with a status other than 200
+        self.full_list_requested = False  # by the current watch, because the previous one had an unreadable update
+        self.first_update = gevent.event.Event()  # set once the agent has sent its first update, or has failed to
         self.watch_greenlet: gevent.Greenlet | None = None
-        self.has_receivers = False  # whether any receiver has been learned of
-        self.latest_listings: dict[
-            str, ListedEndpoint
-        ] = {}  # by uid: the newest line of the list as the platform gave it
-        self.suspended: set[str] = set()  # uids suspended by the operators: draining even if the list says ready
+        self.has_receivers = False  # whether any receiver was ever listed
+        self.latest_listings: dict[str, ListedEndpoint] = {}  # by uid, as the platform sent them last
+        self.suspended: set[str] = set()  # uids suspended by the operators: draining even if listed as ready
 
     def apply_update(self, update: dict[str, Any], saved: bool = False) -> bool:
-        """Pass on one update of the list.
+        """Validate one update of the list and pass it on.
 
-        Returns False where a line of it cannot be read; raises `InvalidUpdateError` where none of it can be used.
+        Returns False if some of its lines are unreadable; raises `InvalidUpdateError` if none of it can be used.
         """
         try:
-            entries, version, whole = list(update["targets"]), int(update["rev"]), update["all"]
+            entries, version, is_full = list(update["targets"]), int(update["rev"]), update["all"]
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise InvalidUpdateError(f"a list update without {error}") from None
-        if not isinstance(whole, bool):
-            raise InvalidUpdateError(f"whole or changes: {str(whole)[:40]!r}")
+            raise InvalidUpdateError(f"list update: missing or invalid field: {error}") from None
+        if not isinstance(is_full, bool):
+            raise InvalidUpdateError(f"list update: `all` is not a boolean: {str(is_full)[:40]!r}")
         if version < self.version:
-            # A late update would undo a drain. If the agent restarted its count instead, asking for the full list
-            # (`needs_full_list`) accepts the new one.
+            # A late update would undo a drain. If the agent has restarted its version count instead, requesting the
+            # full list (`needs_full_list`) accepts the new count.
             self.needs_full_list = True
-            raise InvalidUpdateError(f"version {version} after {self.version}")
-        listings, named, clear = [], set(), True
+            raise InvalidUpdateError(f"list update: version {version} after {self.version}")
+        listings, present, all_readable = [], set(), True
         for entry in entries:
             uid = ""
             try:
                 uid = _uid(entry["uid"])
                 listing = self._listing(uid, entry)
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-                # One unreadable line must not block all others.
+                # One unreadable line must not block the others.
                 self.counters.warning(
                     "a line of the list cannot be read", InvalidUpdateError(f"{type(error).__name__}: {error}")
                 )
-                clear = False
+                all_readable = False
                 if uid not in self.latest_listings:
                     continue
-                listing = self.latest_listings[uid]  # if left out of a full list, it would count as removed
+                listing = self.latest_listings[uid]  # a receiver missing from a full list would count as removed
             self.latest_listings[uid] = listing
             listings.append(self._with_suspension(uid, listing))
             if listing.phase is not EndpointState.REMOVED:
-                named.add(uid)
-        if whole and not listings and self.has_receivers:
-            # A platform that restarts has an empty list for a moment; accepting it would stop all traffic.
+                present.add(uid)
+        if is_full and not listings and self.has_receivers:
+            # The list of a restarting platform is empty for a moment; accepting it would stop all traffic.
             raise InvalidUpdateError("a whole list with nothing in it")
-        self._forget(named, whole)
+        self._forget_removed(present, is_full)
         self.version = version
-        # Later deltas do not repeat what an unreadable line said; only a full list does.
-        self.needs_full_list = not clear or self.needs_full_list and not whole
+        # Later deltas do not repeat the content of an unreadable line; only a full list does.
+        self.needs_full_list = not all_readable or self.needs_full_list and not is_full
         self.has_receivers = self.has_receivers or bool(listings)
         self.report_update(
-            EndpointUpdate.CACHED if saved else EndpointUpdate.FULL if whole else EndpointUpdate.DELTA, listings
+            EndpointUpdate.CACHED if saved else EndpointUpdate.FULL if is_full else EndpointUpdate.DELTA, listings
         )
-        return clear
+        return all_readable
 
-    def _forget(self, named: set[str], whole: bool) -> None:
-        """Delete the records of receivers that left long ago; without this, replacements add up in memory."""
+    def _forget_removed(self, present: set[str], is_full: bool) -> None:
+        """Delete receivers that were removed long ago; otherwise replaced receivers would accumulate in memory."""
         now = time.monotonic()
-        for uid in named:
+        for uid in present:
             self.removed_at.pop(uid, None)
-        if whole:
-            for uid in self.receiver_numbers.keys() - named:
+        if is_full:
+            for uid in self.receiver_numbers.keys() - present:
                 self.removed_at.setdefault(uid, now)
         for uid, since in list(self.removed_at.items()):
-            if now - since > FORGET_GONE_AFTER_S:
+            if now - since > FORGET_REMOVED_AFTER_S:
                 del self.removed_at[uid]
                 self.latest_listings.pop(uid, None)
                 number = self.receiver_numbers.pop(uid)
@@ -142,11 +141,11 @@
                 self.addresses.pop(number, None)
 
     def knows(self, uid: str) -> bool:
-        """Whether the list has named this receiver, and not so long ago that it is forgotten."""
+        """Whether this receiver is listed, or was until recently."""
         return uid in self.latest_listings
 
     def set_suspended(self, uids: set[str]) -> None:
-        """Set the suspended uids: the decisions see these receivers as draining, until a later set omits them."""
+        """Set the suspended uids: the decisions see these receivers as draining until a later call omits them."""
         changed = self.suspended ^ uids
         self.suspended = set(uids)
         listings = [
@@ -158,27 +157,27 @@
             self.report_update(EndpointUpdate.DELTA, listings)
 
     def _with_suspension(self, uid: str, listing: ListedEndpoint) -> ListedEndpoint:
-        suspended_now = uid in self.suspended and listing.phase is EndpointState.READY
-        return listing._replace(phase=EndpointState.DRAINING) if suspended_now else listing
+        is_suspended = uid in self.suspended and listing.phase is EndpointState.READY
+        return listing._replace(phase=EndpointState.DRAINING) if is_suspended else listing
 
     def uid_of(self, receiver: int) -> str:
-        """The uid of a receiver by number; empty where it is not known (any more)."""
+        """Return the uid of a receiver by its number; empty if the receiver is not known."""
         return self.uids_by_number.get(receiver, "")
 
     def address_of(self, receiver: int) -> tuple[str, int]:
-        """Host and port of a receiver by number; `KeyError` where it is not known (any more)."""
+        """Return host and port of a receiver by its number; raises `KeyError` if it is not known."""
         return self.addresses[receiver]
 
     def reopen_watch(self) -> None:
-        """Open a watch that broke, or that was never answered, again now; the decisions order this."""
+        """Reopen a watch that broke or was never answered, at once; the decisions choose the time."""
         self.reopen_requested.set()
         if self.failure_reported and self.watch_greenlet is not None:
             self.watch_greenlet.kill(block=False)
 
     def change_address(self, platform: tuple[str, int]) -> None:
-        """Move the watch to another address of the platform, at once."""
+        """Reopen the watch at another address of the platform, at once."""
         self.platform = platform
-        # Another agent may count versions differently; changes since our version could omit something.
+        # Another agent may count versions differently, so the changes since our version could be incomplete.
         self.version = 0
         self.address_changed, self.address_changed_at = True, time.monotonic()
         self.reopen_requested.set()
@@ -186,51 +185,51 @@
             self.watch_greenlet.kill(block=False)
 
     def watch(self) -> None:
-        """Never returns: keeps a watch open, from the last version on.
+        """Keep a watch open, starting from the last version; never returns.
 
-        A watch that lasted is opened again at once: its end is no refusal, and the agent on this machine answers
-        cheaply. So is one that is to ask for the full list. After a failed call the decisions say when.
+        A watch that lasted is reopened at once: its end is not a refusal, and a call to the agent on this machine is
+        cheap. So is a watch that must request the full list. After a failed call the decisions choose the time.
         """
         while True:
             self.address_changed = self.was_stable = self.failure_reported = self.refused = self.connected = False
-            self.watch_greenlet = gevent.spawn(self._follow_to_its_end)
+            self.watch_greenlet = gevent.spawn(self._watch_once)
             self.watch_greenlet.join()
-            first = self.needs_full_list and not self.full_list_requested
+            must_request_full = self.needs_full_list and not self.full_list_requested
             self.full_list_requested = self.needs_full_list
-            if self.address_changed or self.was_stable or first:
+            if self.address_changed or self.was_stable or must_request_full:
                 continue
             self.first_update.set()
-            # Report the failure, unless `_more` has done so. A refusal is reported again, so that the wait starts with
-            # it: otherwise all senders that an overloaded discovery refuses late would call again at once.
+            # Report the failure, unless `_receive` has done so. A refusal is reported again, so that the backoff starts
+            # from it: otherwise all senders that an overloaded discovery refuses late would call again at once.
             if self.refused or not self.failure_reported:
-                self._call_failed()
-            # An agent at a new address may not be up yet: keep calling, which costs nobody anything.
-            soon = not self.connected and time.monotonic() - self.address_changed_at < ADDRESS_CHANGE_GRACE_S
-            self.reopen_requested.wait(STABLE_WATCH_S if soon else None)
+                self._report_call_failure()
+            # The agent at a new address may not be up yet: keep calling, which loads nobody.
+            retry_soon = not self.connected and time.monotonic() - self.address_changed_at < ADDRESS_CHANGE_GRACE_S
+            self.reopen_requested.wait(STABLE_WATCH_S if retry_soon else None)
 
-    def _call_failed(self) -> None:
-        self.reopen_requested.clear()  # a request from before the failure must not open the next watch at once
+    def _report_call_failure(self) -> None:
+        self.reopen_requested.clear()  # an earlier request must not reopen the watch at once
         self.report_failure()
 
-    def _follow_to_its_end(self) -> None:
+    def _watch_once(self) -> None:
         try:
-            self._follow()
+            self._follow_updates()
         except (OSError, InvalidResponseError, InvalidUpdateError) as error:
             self.counters.warning("the watch of the list broke", error)
         except ValueError as error:
             self.counters.warning(
-                "the watch of the list broke", InvalidUpdateError(f"an update that cannot be read: {error}")
+                "the watch of the list broke", InvalidUpdateError(f"list update: invalid JSON: {error}")
             )
 
-    def _follow(self) -> None:
-        text, raw = Buffer(), Buffer()
-        answer, objects = ResponseParser(text.append), JsonObjectReader(MAX_OBJECT_BYTES)
+    def _follow_updates(self) -> None:
+        body, raw = Buffer(), Buffer()
+        answer, objects = ResponseParser(body.append), JsonObjectReader(MAX_OBJECT_BYTES)
         if self.needs_full_list:
             self.version = 0
         sock = open_connection(self.platform, CONNECT_TIMEOUT_S)
         self.connected = True
-        alive = time.monotonic()  # the call, then its answer, each object that ends and each empty line
-        answered = 0.0
+        last_progress = time.monotonic()  # the call, then its answer, each complete object and each empty line
+        answered_at = 0.0  # 0: not yet
         try:
             host = f"{self.platform[0]}:{self.platform[1]}"
             sock.settimeout(ANSWER_TIMEOUT_S)
@@ -239,10 +238,10 @@
                 f"Host: {host}\r\nAccept: application/json\r\n\r\n".encode()
             )
             self.counters.add("watches opened")
-            learned = False  # an object of this watch
-            while not answer.complete and self._more(sock, raw, answer, alive):
+            update_applied = False  # in this watch
+            while not answer.complete and self._receive(sock, raw, answer, last_progress):
                 if self.address_changed:
-                    return  # a late line of the old agent must not override the new one's
+                    return  # a late update of the old agent must not override the new one
                 answer.feed(raw)
                 self.refused = answer.status not in (0, 200)
                 if self.refused:
@@ -250,50 +249,50 @@
                 if not answer.status:
                     continue
                 self.failure_reported = False
-                if not answered:
-                    alive = answered = time.monotonic()
-                came = text.take(len(text))
-                for update in objects.read(came):
-                    if not self.apply_update(update) and (learned or not self.full_list_requested):
-                        raise InvalidUpdateError("unclear changes: the whole list is asked for")
-                    learned, alive = True, time.monotonic()
-                if came and not objects.depth:
-                    self.first_update.set()  # an empty line means that there are no changes
-                    alive = time.monotonic()
-                # After a truncated object, whatever follows would be read as part of it for ever.
-                if time.monotonic() - alive > LINE_TIMEOUT_S:
-                    raise InvalidResponseError("no line ended")
-            raise InvalidResponseError("the watch ended")
+                if not answered_at:
+                    last_progress = answered_at = time.monotonic()
+                received = body.take(len(body))
+                for update in objects.read(received):
+                    if not self.apply_update(update) and (update_applied or not self.full_list_requested):
+                        raise InvalidUpdateError("list update: some lines are invalid; requesting the full list")
+                    update_applied, last_progress = True, time.monotonic()
+                if received and not objects.depth:
+                    self.first_update.set()  # an empty line means "no changes"
+                    last_progress = time.monotonic()
+                # Without this check everything after a truncated object would be read as part of it for ever.
+                if time.monotonic() - last_progress > LINE_TIMEOUT_S:
+                    raise InvalidResponseError("no complete line in time")
+            raise InvalidResponseError("the platform ended the watch")
         finally:
             sock.close()
-            self.was_stable = bool(answered) and time.monotonic() - answered >= STABLE_WATCH_S
+            self.was_stable = bool(answered_at) and time.monotonic() - answered_at >= STABLE_WATCH_S
 
-    def _more(self, sock: gevent.socket.socket, raw: Buffer, answer: ResponseParser, alive: float) -> int:
-        """Read once; returns 0 at the end. Raises `TimeoutError` where an answered watch sends no line in time."""
+    def _receive(self, sock: gevent.socket.socket, raw: Buffer, answer: ResponseParser, last_progress: float) -> int:
+        """Read once; returns 0 at the end. Raises `TimeoutError` if an answered watch makes no progress in time."""
         if not self.failure_reported:
             # A dead platform may send nothing, or a stray byte now and then; its list must not be trusted for ever.
-            left = alive + (LINE_TIMEOUT_S if answer.status else ANSWER_TIMEOUT_S) - time.monotonic()
-            sock.settimeout(max(UNREAD_BYTES_TIMEOUT_S, left))
+            timeout_s = last_progress + (LINE_TIMEOUT_S if answer.status else ANSWER_TIMEOUT_S) - time.monotonic()
+            sock.settimeout(max(UNREAD_BYTES_TIMEOUT_S, timeout_s))
         try:
             return raw.fill(sock)
         except TimeoutError:
             if answer.status or self.failure_reported:
                 raise
-        # While discovery is down the agent does not answer, but its later answer counts from the moment it is sent. So
-        # the call is reported as failed, but an answer to it is awaited until the decisions want the next call.
+        # While discovery is down the agent does not answer, but a late answer is valid from the moment it is sent. So
+        # the call is reported as failed, but its answer is awaited until the decisions want the next call.
         self.counters.warning("a call for the list without an answer", f"{ANSWER_TIMEOUT_S} s")
         self.failure_reported = True
         self.first_update.set()
-        self._call_failed()
+        self._report_call_failure()
         sock.settimeout(None)
         return raw.fill(sock)
 
     def _listing(self, uid: str, entry: dict[str, Any]) -> ListedEndpoint:
-        phase = PHASES.get(entry["state"])
+        phase = PHASES_BY_STATE.get(entry["state"])
         if phase is None:
             raise ValueError(f"unknown state {entry['state']!r}")
         try:
-            at = (
+            listed_address = (
                 parse_address(str(entry["endpoint"]))
                 if phase is not EndpointState.REMOVED or "endpoint" in entry
                 else None
@@ -307,7 +306,7 @@
             self.counters.warning(
                 "a line of the list is spoilt", InvalidUpdateError(f"{uid}: {type(error).__name__}: {error}")
             )
-            at, (_, zone, kind, group, *_) = None, self.latest_listings[uid]
+            listed_address, (_, zone, kind, group, *_) = None, self.latest_listings[uid]
         if uid not in self.receiver_numbers:
             self.receiver_numbers[uid] = self.next_number
             self.uids_by_number[self.next_number] = uid
@@ -315,20 +314,20 @@
         number = self.receiver_numbers[uid]
         if phase is EndpointState.REMOVED:
             self.removed_at.setdefault(uid, time.monotonic())
-        if at is not None:
-            self.addresses[number] = at
+        if listed_address is not None:
+            self.addresses[number] = listed_address
         return ListedEndpoint(number, zone, kind, group, phase, self._rate(uid, entry.get("capacity_hint", 0.0)))
 
     def _rate(self, uid: str, hint: object) -> float:
-        """The listed rate (calls a second); where it is invalid, the one listed before, or 0."""
+        """Return the listed rate in calls per second; if it is invalid, the one listed before, or 0."""
         if isinstance(hint, int | float) and 0 <= hint <= MAX_CALLS_PER_SECOND:
             return float(hint)
-        # One invalid number must not hide a drain in the same line, or lift the rate limit.
+        # An invalid rate must not hide a drain in the same line or lift the rate limit.
         self.counters.warning("a listed rate that is none", InvalidUpdateError(f"{uid}: {str(hint)[:40]}"))
         return self.latest_listings[uid].rate if uid in self.latest_listings else 0.0
 
 
 def _uid(value: object) -> str:
     if not isinstance(value, str):
-        raise ValueError(f"no uid: {str(value)[:40]}")
+        raise ValueError(f"uid is not a string: {str(value)[:40]}")
     return value
