--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -203,7 +203,7 @@
             # from it: otherwise all senders that an overloaded discovery refuses late would call again at once.
             if self.refused or not self.failure_reported:
                 self._report_call_failure()
-            # The agent at a new address may not be up yet: keep calling, which loads nobody.
+            # The agent at a new address may not be up yet; a call that gets no connection costs the platform nothing.
             retry_soon = not self.connected and time.monotonic() - self.address_changed_at < ADDRESS_CHANGE_GRACE_S
             self.reopen_requested.wait(STABLE_WATCH_S if retry_soon else None)
 
@@ -217,9 +217,7 @@
         except (OSError, InvalidResponseError, InvalidUpdateError) as error:
             self.counters.warning("the watch of the list broke", error)
         except ValueError as error:
-            self.counters.warning(
-                "the watch of the list broke", InvalidUpdateError(f"list update: invalid JSON: {error}")
-            )
+            self.counters.warning("the watch of the list broke", InvalidUpdateError(f"unreadable list update: {error}"))
 
     def _follow_updates(self) -> None:
         body, raw = Buffer(), Buffer()
--- a/tests/net/test_client_listener_races.py
+++ b/tests/net/test_client_listener_races.py
@@ -1,4 +1,4 @@
-"""Clients' connections where two events cross: bytes and the end, a cut, a time that runs out, a client that leaves."""
+"""Races on client connections: input that crosses a shutdown, a reclaimed descriptor, a timeout or a disconnect."""
 
 import contextlib
 import itertools
@@ -34,255 +34,264 @@
 from cedarwick.store.records import StoredMessage
 from tests.build import NESTED, Program, Receiver, ask, line_of, reply, submit, until, words
 
-OK, BUSY, NO = b"+OK\r\n", b"-BUSY\r\n", b"-ERR unknown command\r\n"
-HALF, REST = submit("a")[:30], submit("a")[30:]
+OK, BUSY, UNKNOWN_COMMAND = b"+OK\r\n", b"-BUSY\r\n", b"-ERR unknown command\r\n"
+FIRST_HALF, SECOND_HALF = submit("a")[:30], submit("a")[30:]
 
 
-def passes(true: Callable[[], Any]) -> None:
-    """Lets all else run until it is true."""
+def wait_until(condition: Callable[[], Any]) -> None:
+    """Let other greenlets run until the condition holds."""
     with gevent.Timeout(8.0):
-        while not true():
+        while not condition():
             gevent.sleep(0.001)
 
 
 class RunningListenerTestCase(unittest.TestCase):
-    """The client listener on a real listener, in one thread with its clients: nothing runs but where a test lets it."""
+    """The client listener on a real socket, in one thread with its clients: it runs only when a test yields."""
 
     def setUp(self) -> None:
-        self.taken: list[str] = []
-        self.answer: Callable[[StoredMessage], SubmitResult] = lambda kept: (AdmissionResult.ACCEPTED, 0, None)
-        self.open()
+        self.submitted_ids: list[str] = []
+        self.submit_result: Callable[[StoredMessage], SubmitResult] = lambda message: (
+            AdmissionResult.ACCEPTED,
+            0,
+            None,
+        )
+        self.start_listener()
 
-    def open(self, sockets: int = 256) -> None:
-        self.door = ClientListener(
+    def start_listener(self, descriptor_limit: int = 256) -> None:
+        self.client_listener = ClientListener(
             ("127.0.0.1", 0),
             Clock(),
             Counters(),
-            DescriptorBudget(sockets),
+            DescriptorBudget(descriptor_limit),
             None,  # type: ignore[arg-type]
             lambda: True,
         )
-        self.address = self.door.listener.getsockname()
-        self.door.submit_message = self.hand_in
-        self.accepting = gevent.spawn(self.door.accept)
-        self.addCleanup(self.accepting.kill)
-        self.addCleanup(self.door.listener.close)
-
-    def hand_in(self, kept: StoredMessage) -> SubmitResult:
-        self.taken.append(kept.id)
-        return self.answer(kept)
-
-    def connect(self, *sent: bytes, accepted: bool = True) -> gevent.socket.socket:
-        """A client; each piece that it sends has been read, and what it asks been answered, on the return."""
+        self.address = self.client_listener.listener.getsockname()
+        self.client_listener.submit_message = self.record_submission
+        self.accept_greenlet = gevent.spawn(self.client_listener.accept)
+        self.addCleanup(self.accept_greenlet.kill)
+        self.addCleanup(self.client_listener.listener.close)
+
+    def record_submission(self, message: StoredMessage) -> SubmitResult:
+        self.submitted_ids.append(message.id)
+        return self.submit_result(message)
+
+    def connect(self, *pieces: bytes, accepted: bool = True) -> gevent.socket.socket:
+        """Connect a client; on return each piece that it sent was read, and its requests were answered."""
         sock = gevent.socket.create_connection(self.address)
         self.addCleanup(sock.close)
-        before = len(self.door.clients)
-        passes(lambda: not accepted or len(self.door.clients) > before)
-        for piece in sent:
+        before = len(self.client_listener.clients)
+        wait_until(lambda: not accepted or len(self.client_listener.clients) > before)
+        for piece in pieces:
             sock.sendall(piece)
-            client = next(each for each in self.door.clients if each.sock.getpeername() == sock.getsockname())
+            client = next(one for one in self.client_listener.clients if one.sock.getpeername() == sock.getsockname())
             gevent.sleep(0)
-            passes(lambda: client.shut_down or self.door._nothing_unread(client))  # noqa: B023
+            wait_until(lambda: client.shut_down or self.client_listener._nothing_unread(client))  # noqa: B023
         return sock
 
-    def heard(self, sock: gevent.socket.socket, seconds: float = 1.0) -> tuple[bytes, str]:
-        """All that a client reads, and what came then."""
-        sock.settimeout(seconds)
-        got = b""
+    def read_all(self, sock: gevent.socket.socket, timeout_s: float = 1.0) -> tuple[bytes, str]:
+        """Return all bytes that a client reads, and how reading ended: "end" or the name of the error."""
+        sock.settimeout(timeout_s)
+        received = b""
         try:
-            while more := sock.recv(1 << 16):
-                got += more
+            while chunk := sock.recv(1 << 16):
+                received += chunk
         except OSError as error:
-            return got, type(error).__name__
-        return got, "end"
+            return received, type(error).__name__
+        return received, "end"
 
-    def end(self) -> None:
-        self.accepting.kill()
-        self.door.drain_and_close(0.15)
+    def end_listener(self) -> None:
+        self.accept_greenlet.kill()
+        self.client_listener.drain_and_close(0.15)
 
 
 class ShutdownTest(RunningListenerTestCase):
-    def test_what_was_sent_before_the_listener_closes_is_answered_and_never_reset(self) -> None:
+    def test_requests_sent_before_the_listener_closes_are_answered_and_never_reset(self) -> None:
         for name, read, unread, expected in (
             ("nothing", (), b"", b""),
-            ("a whole request that nobody has read", (), submit("a"), BUSY),
-            ("half of one, read", (HALF,), b"", BUSY),
-            ("half of one, read, and the rest", (HALF,), REST, BUSY),
-            ("half of one that nobody has read", (), HALF, BUSY),
-            ("several that nobody has read", (), submit("a") * 20, BUSY * 20),
-            ("one behind others that are slowed down", (words(b"NO") * 6 + submit("a"),), b"", NO * 4 + BUSY * 3),
+            ("a complete request, unread", (), submit("a"), BUSY),
+            ("half a request, read", (FIRST_HALF,), b"", BUSY),
+            ("half a request, read, and its rest, unread", (FIRST_HALF,), SECOND_HALF, BUSY),
+            ("half a request, unread", (), FIRST_HALF, BUSY),
+            ("several requests, unread", (), submit("a") * 20, BUSY * 20),
+            (
+                "a request behind unusable ones that delay it",
+                (words(b"NO") * 6 + submit("a"),),
+                b"",
+                UNKNOWN_COMMAND * 4 + BUSY * 3,
+            ),
         ):
             for accepted in (True, False) if not read else (True,):
                 with self.subTest(name=name, accepted=accepted):
-                    self.open()
+                    self.start_listener()
                     gevent.sleep(0)
-                    self.door.stop()
+                    self.client_listener.stop()
                     if not accepted:
-                        self.accepting.kill()
+                        self.accept_greenlet.kill()
                     sock = self.connect(*read, accepted=accepted)
                     if unread:
                         sock.sendall(unread)
-                    self.end()
-                    self.assertEqual(self.heard(sock), (expected, "end"))
-        self.assertEqual(self.taken, [])
+                    self.end_listener()
+                    self.assertEqual(self.read_all(sock), (expected, "end"))
+        self.assertEqual(self.submitted_ids, [])
 
-    def test_commands_read_and_not_answered_when_the_end_comes_between_two_are_turned_away(self) -> None:
+    def test_pipelined_commands_that_are_unanswered_at_shutdown_are_refused(self) -> None:
         sock = self.connect()
         sock.sendall(submit("a") * 30)
-        while len(self.taken) < 5:
+        while len(self.submitted_ids) < 5:
             gevent.sleep(0)
-        self.door.stop()
-        self.end()
-        self.assertEqual((len(self.taken), self.heard(sock)), (5, (OK * 5 + BUSY * 25, "end")))
+        self.client_listener.stop()
+        self.end_listener()
+        self.assertEqual((len(self.submitted_ids), self.read_all(sock)), (5, (OK * 5 + BUSY * 25, "end")))
 
-    def test_nothing_is_written_before_an_answer_that_is_under_way(self) -> None:
+    def test_no_refusal_is_written_before_a_pending_answer(self) -> None:
         gate = gevent.event.Event()
-        self.answer = (
-            lambda kept: (AdmissionResult.ACCEPTED, 0, None) if gate.wait() else (AdmissionResult.BUSY, 0, None)
+        self.submit_result = (
+            lambda message: (AdmissionResult.ACCEPTED, 0, None) if gate.wait() else (AdmissionResult.BUSY, 0, None)
         )
         sock = self.connect(submit("a") + submit("b"))
-        self.door.stop()
-        self.end()
+        self.client_listener.stop()
+        self.end_listener()
         gate.set()
-        self.assertEqual((self.taken, self.heard(sock)), (["a"], (OK + BUSY, "end")))
+        self.assertEqual((self.submitted_ids, self.read_all(sock)), (["a"], (OK + BUSY, "end")))
 
-    def test_who_crosses_the_end_late_reads_it_before_the_reset_all_the_same(self) -> None:
+    def test_a_client_whose_request_crosses_the_shutdown_late_reads_the_end_before_the_reset(self) -> None:
         with (
             mock.patch.object(client_connections, "CLOSE_TIMEOUT_S", 0.05),
             mock.patch.object(client_connections, "CROSSED_REQUEST_TIMEOUT_S", 5.0),
         ):
             sock = self.connect(submit("a"))
-            (client,) = self.door.clients
-            self.door.stop()
+            (client,) = self.client_listener.clients
+            self.client_listener.stop()
             sock.sendall(submit("b"))
-            passes(lambda: client.closed)
+            wait_until(lambda: client.closed)
             for _ in range(9):
                 gevent.sleep(0)
-        self.assertIn(client, self.door.clients)
-        self.assertEqual(self.heard(sock), (OK, "end"))
+        self.assertIn(client, self.client_listener.clients)
+        self.assertEqual(self.read_all(sock), (OK, "end"))
         client.descriptor_wanted.set()
 
-    def test_what_crosses_the_end_is_not_read_and_does_not_reset_the_answer_before_it(self) -> None:
+    def test_input_that_crosses_the_shutdown_stays_unread_and_does_not_reset_the_previous_answer(self) -> None:
         for crossing in (b"*", submit("b"), submit("b") * 2000):
             with self.subTest(size=len(crossing)):
                 sock = self.connect(submit("a"))
-                silent = self.door._nothing_unread
+                nothing_unread = self.client_listener._nothing_unread
 
-                def cross(
+                def send_after_check(
                     client: ClientConnection, crossing: bytes = crossing, sock: gevent.socket.socket = sock
                 ) -> bool:
-                    was = silent(client)  # noqa: B023
+                    result = nothing_unread(client)  # noqa: B023
                     sock.setblocking(False)
-                    sock.send(crossing)  # between the look and the answer
-                    return was
+                    sock.send(crossing)  # between the check and the answer
+                    return result
 
-                with mock.patch.object(self.door, "_nothing_unread", cross):
-                    self.door.closing = True
+                with mock.patch.object(self.client_listener, "_nothing_unread", send_after_check):
+                    self.client_listener.closing = True
                     sock.sendall(submit("c"))
                     gevent.sleep(0.1)
-                self.assertEqual(self.heard(sock, 0.1), (OK + BUSY, "end"))
-                self.door.closing = False
-        self.assertEqual(self.taken, ["a"] * 3)
+                self.assertEqual(self.read_all(sock, 0.1), (OK + BUSY, "end"))
+                self.client_listener.closing = False
+        self.assertEqual(self.submitted_ids, ["a"] * 3)
 
 
 class OpenConnectionsTest(RunningListenerTestCase):
-    def test_a_cut_for_want_of_descriptors_leaves_no_request_that_was_read_without_an_answer(self) -> None:
-        late = round(client_connections.SLOW_REQUEST_S * 1_000_000) + 1
+    def test_closing_a_client_to_free_its_descriptor_leaves_no_read_request_unanswered(self) -> None:
+        slow_us = round(client_connections.SLOW_REQUEST_S * 1_000_000) + 1
         for name, read, crossing, expected in (
-            ("silent", (), b"", (b"", "end")),
-            ("one that waits to be read", (), submit("a"), (OK, "TimeoutError")),
-            ("half of one", (HALF,), b"", (BUSY, "end")),
-            ("half of one whose rest waits to be read", (HALF,), REST, (OK, "TimeoutError")),
+            ("no request", (), b"", (b"", "end")),
+            ("a request, unread", (), submit("a"), (OK, "TimeoutError")),
+            ("half a request, read", (FIRST_HALF,), b"", (BUSY, "end")),
+            ("half a request, read, and its rest, unread", (FIRST_HALF,), SECOND_HALF, (OK, "TimeoutError")),
             (
-                "commands behind others that are slowed down",
+                "a request behind unusable ones that delay it",
                 (words(b"NO") * 6 + submit("a"),),
                 b"",
-                (NO * 6 + OK, "TimeoutError"),
+                (UNKNOWN_COMMAND * 6 + OK, "TimeoutError"),
             ),
         ):
             with self.subTest(name=name):
-                self.open(sockets=64 + 8)
+                self.start_listener(descriptor_limit=64 + 8)
                 sock = self.connect(*read)
-                self.door.descriptors.used = 8
-                for client in self.door.clients:
-                    client.idle_since -= late
+                self.client_listener.descriptors.used = 8
+                for client in self.client_listener.clients:
+                    client.idle_since -= slow_us
                 if crossing:
                     sock.sendall(crossing)
                 with (
                     mock.patch.object(client_connections, "CONNECTION_POOL_DIVISOR", 8),
-                    mock.patch.object(self.door, "clients", ManyClients(self.door.clients)),
+                    mock.patch.object(self.client_listener, "clients", ManyClients(self.client_listener.clients)),
                 ):
-                    self.assertRaises(NoDescriptorError, self.door._free_descriptors)
-                self.assertEqual(self.heard(sock, 1.0), expected)
-
-    def test_who_was_told_the_end_makes_way_before_a_connection_that_has_not_asked_yet(self) -> None:
-        self.open(sockets=64 + 8)
-        fresh = self.connect()
-        self.door.closing = True
-        crossed = self.connect(submit("a"), submit("b"))
-        self.door.descriptors.used = 8
-        for client in self.door.clients:
+                    self.assertRaises(NoDescriptorError, self.client_listener._free_descriptors)
+                self.assertEqual(self.read_all(sock, 1.0), expected)
+
+    def test_a_connection_that_is_shut_down_is_closed_before_one_without_a_request_yet(self) -> None:
+        self.start_listener(descriptor_limit=64 + 8)
+        new_client = self.connect()
+        self.client_listener.closing = True
+        shut_down_client = self.connect(submit("a"), submit("b"))
+        self.client_listener.descriptors.used = 8
+        for client in self.client_listener.clients:
             client.idle_since -= 1_000_000
-        with mock.patch.object(self.door, "clients", ManyClients(self.door.clients)):
-            self.assertRaises(NoDescriptorError, self.door._free_descriptors)
-        self.assertEqual(self.heard(crossed), (BUSY, "end"))
-        fresh.sendall(submit("c"))
-        self.assertEqual(self.heard(fresh), (BUSY, "end"))
+        with mock.patch.object(self.client_listener, "clients", ManyClients(self.client_listener.clients)):
+            self.assertRaises(NoDescriptorError, self.client_listener._free_descriptors)
+        self.assertEqual(self.read_all(shut_down_client), (BUSY, "end"))
+        new_client.sendall(submit("c"))
+        self.assertEqual(self.read_all(new_client), (BUSY, "end"))
 
-    def test_a_request_that_comes_as_the_time_for_it_runs_out_is_answered(self) -> None:
+    def test_a_request_that_arrives_just_as_its_timeout_expires_is_answered(self) -> None:
         wait = gevent.socket.socket._wait
 
-        def cross(waiting: gevent.socket.socket, *told: object) -> None:
+        def send_at_timeout(waiting: gevent.socket.socket, *args: object) -> None:
             try:
-                wait(waiting, *told)
+                wait(waiting, *args)
             except TimeoutError:
                 sock.sendall(submit("a"))
                 raise
 
         with (
             mock.patch.object(client_connections, "FIRST_REQUEST_TIMEOUT_S", 0.1),
-            mock.patch.object(gevent.socket.socket, "_wait", cross),
+            mock.patch.object(gevent.socket.socket, "_wait", send_at_timeout),
         ):
             sock = self.connect()
             gevent.sleep(0.15)
-        self.assertEqual(self.heard(sock, 0.2), (OK, "TimeoutError"))
+        self.assertEqual(self.read_all(sock, 0.2), (OK, "TimeoutError"))
 
-    def test_who_may_be_right_is_answered_in_time_and_never_ended(self) -> None:
-        for answered, closing in (
+    def test_a_client_with_possibly_valid_requests_is_answered_without_delay_and_not_disconnected(self) -> None:
+        for result, closing in (
             (AdmissionResult.UNKNOWN_DESTINATION, False),
             (AdmissionResult.FROZEN, False),
             (AdmissionResult.ACCEPTED, True),
         ):
-            with self.subTest(answered=answered, closing=closing):
-                self.answer = mock.Mock(return_value=(answered, 0, None))
+            with self.subTest(result=result, closing=closing):
+                self.submit_result = mock.Mock(return_value=(result, 0, None))
                 sock = self.connect()
-                self.door.closing = closing
+                self.client_listener.closing = closing
                 sock.sendall(submit("a") * 12)
-                self.assertEqual(self.heard(sock, 0.4), (BUSY * 12, "end" if closing else "TimeoutError"))
-                self.door.closing = False
+                self.assertEqual(self.read_all(sock, 0.4), (BUSY * 12, "end" if closing else "TimeoutError"))
+                self.client_listener.closing = False
 
 
 class ManyClients(set[ClientConnection]):
-    """Clients that count as most of the descriptors."""
+    """A set of clients that seems to hold most of the descriptors."""
 
     def __len__(self) -> int:
         return 1000
 
 
 class ClientDepartureTest(unittest.TestCase):
-    """A client that leaves at each step: its message is kept, told and sent once, or never sent."""
+    """A client disconnects at each step of a submission: its message is acknowledged and sent once, or never sent."""
 
     def setUp(self) -> None:
         self.bodies: list[bytes] = []
-        self.order: list[str] = []
+        self.events: list[str] = []
         self.receiver = gevent.socket.socket()
         self.receiver.bind(("127.0.0.1", 0))
         self.receiver.listen()
-        self.serving = gevent.spawn(self.receive)
+        self.receiver_greenlet = gevent.spawn(self.accept_calls)
         self.addCleanup(self.receiver.close)
-        self.addCleanup(self.serving.kill)
+        self.addCleanup(self.receiver_greenlet.kill)
 
-    def receive(self) -> None:
+    def accept_calls(self) -> None:
         while True:
             gevent.spawn(self.answer_calls, self.receiver.accept()[0])
 
@@ -294,111 +303,115 @@
                 self.bodies.append(stream.read(1))
                 sock.sendall(reply(200))
 
-    def begin(self, durable: bool) -> tuple[ClientListener, Dispatcher]:
+    def start_sender(self, durable: bool) -> tuple[ClientListener, Dispatcher]:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         clock, counters, descriptors = Clock(), Counters(), DescriptorBudget(256)
-        polled = PollClock(clock)
+        poll_clock = PollClock(clock)
         store = Store(folder.name, 1 << 20, now=clock.now, durable=durable)
         store.load()
         self.addCleanup(store.close)
-        made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, flatten_settings(NESTED))
-        dispatcher = Dispatcher(made, clock, counters, store, polled)
-        links = ConnectionPool(clock, counters, descriptors, lambda _: self.receiver.getsockname(), 5_000_000, 500_000)
-        dispatcher.notices, dispatcher.free_links = Notifier(("", 0), counters, lambda numbers: None), links.free
+        assignment = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, flatten_settings(NESTED))
+        dispatcher = Dispatcher(assignment, clock, counters, store, poll_clock)
+        connections = ConnectionPool(
+            clock, counters, descriptors, lambda _: self.receiver.getsockname(), 5_000_000, 500_000
+        )
+        dispatcher.notices, dispatcher.free_links = Notifier(("", 0), counters, lambda numbers: None), connections.free
 
         def may_fire(number: int) -> bool:
-            self.order.append("first byte" if dispatcher.may_fire(number) else "held back")
+            self.events.append("first byte" if dispatcher.may_fire(number) else "held back")
             return dispatcher.may_fire(number)
 
         dispatcher.attempts = AttemptRunner(
             clock,
             counters,
-            links,
+            connections,
             [],
-            polled,
+            poll_clock,
             dispatcher.clear,
             dispatcher.attempt_ended,
             dispatcher.apply_retry_after,
             may_fire,
         )
         dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
-        door = ClientListener(("127.0.0.1", 0), clock, counters, descriptors, dispatcher, lambda: True)
-        self.addCleanup(door.listener.close)
-        for part in (dispatcher.run, door.accept):
+        running_listener = ClientListener(("127.0.0.1", 0), clock, counters, descriptors, dispatcher, lambda: True)
+        self.addCleanup(running_listener.listener.close)
+        for part in (dispatcher.run, running_listener.accept):
             self.addCleanup(gevent.spawn(part).kill)
-        return door, dispatcher
+        return running_listener, dispatcher
 
-    def test_it_is_told_kept_and_sent_once_or_never_sent(self) -> None:
-        for told in itertools.product(
+    def test_the_message_is_acknowledged_and_sent_once_or_never_sent(self) -> None:
+        for case in itertools.product(
             (False, True),
             (False, True),
             ("close", "reset", "end sending"),
-            ("before it is read", "as it is taken", "as it is recorded", "before the look", "after the look"),
+            ("before it is read", "as it is admitted", "as it is stored", "before the check", "after the check"),
         ):
-            with self.subTest(durable_keptlink_leave_step=told):
-                self.leave(*told)
+            with self.subTest(durable_reused_how_step=case):
+                self.disconnect(*case)
 
-    def leave(self, durable: bool, reused_connection: bool, how: str, step: str) -> None:
-        door, dispatcher = self.begin(durable)
-        client = gevent.socket.create_connection(door.listener.getsockname())
+    def disconnect(self, durable: bool, reused_connection: bool, how: str, step: str) -> None:
+        running_listener, dispatcher = self.start_sender(durable)
+        client = gevent.socket.create_connection(running_listener.listener.getsockname())
         self.addCleanup(client.close)
         if reused_connection:
             client.sendall(submit("first", body=b"1"))
             self.assertEqual(client.recv(9), OK)
-            passes(lambda: not dispatcher.store.messages and not dispatcher.attempts.in_flight)
+            wait_until(lambda: not dispatcher.store.messages and not dispatcher.attempts.in_flight)
         self.bodies.clear()
-        self.order.clear()
+        self.events.clear()
 
-        def go() -> None:
+        def hang_up() -> None:
             if how == "end sending":
                 client.shutdown(socket.SHUT_WR)
                 return
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", how == "reset", 0))
             client.close()
 
-        def crossing(name: str, call: Callable[..., Any]) -> Callable[..., Any]:
-            def crossed(*told: Any) -> Any:
+        def hang_up_at_step(name: str, call: Callable[..., Any]) -> Callable[..., Any]:
+            def wrapper(*args: Any) -> Any:
                 if name == step:
-                    go()
-                result = call(*told)
-                if name == "before the look":
-                    self.order.append("look")
-                    if step == "after the look":
-                        go()
+                    hang_up()
+                result = call(*args)
+                if name == "before the check":
+                    self.events.append("check")
+                    if step == "after the check":
+                        hang_up()
                 return result
 
-            return crossed
+            return wrapper
 
         with (
-            mock.patch.object(client_listener, "peek_byte", crossing("before the look", peek_byte)),
-            mock.patch.object(client_connections, "peek_byte", crossing("before the look", peek_byte)),
-            mock.patch.object(dispatcher, "_admit", crossing("as it is taken", dispatcher._admit)),
-            mock.patch.object(dispatcher, "_store_message", crossing("as it is recorded", dispatcher._store_message)),
+            mock.patch.object(client_listener, "peek_byte", hang_up_at_step("before the check", peek_byte)),
+            mock.patch.object(client_connections, "peek_byte", hang_up_at_step("before the check", peek_byte)),
+            mock.patch.object(dispatcher, "_admit", hang_up_at_step("as it is admitted", dispatcher._admit)),
+            mock.patch.object(
+                dispatcher, "_store_message", hang_up_at_step("as it is stored", dispatcher._store_message)
+            ),
         ):
             client.sendall(submit("left", body=b"2"))
             if step == "before it is read":
-                go()
-            passes(lambda: self.order and not dispatcher.store.messages and dispatcher.idle())
-        stays = step == "after the look"
-        self.assertEqual(self.bodies, [b"2"] * stays)
+                hang_up()
+            wait_until(lambda: self.events and not dispatcher.store.messages and dispatcher.idle())
+        is_sent = step == "after the check"
+        self.assertEqual(self.bodies, [b"2"] * is_sent)
         self.assertEqual((dispatcher.store.messages, dispatcher.handles, dispatcher.leaving), ({}, {}, set()))
-        self.assertEqual([each for each in self.order if each != "held back"], ["look"] + ["first byte"] * stays)
+        self.assertEqual([event for event in self.events if event != "held back"], ["check"] + ["first byte"] * is_sent)
         if how == "end sending":
             client.settimeout(1.0)
-            self.assertEqual(client.recv(9), OK if stays else BUSY)
+            self.assertEqual(client.recv(9), OK if is_sent else BUSY)
 
 
 class ReplacedProcessTest(unittest.TestCase):
-    def test_half_a_request_is_refused_before_the_process_that_hands_over_has_gone(self) -> None:
+    def test_half_a_request_is_refused_before_the_replaced_process_exits(self) -> None:
         program = Program([Receiver(reply(200))])
         self.addCleanup(program.close)
         with socket.create_server(("127.0.0.1", program.port)) as listener:
             program.start(fds=(listener.fileno(),), RELAY_SOCKET_FD=str(listener.fileno()))
-            with program.connect() as sock, program.connect() as fresh:
-                self.assertEqual(ask(fresh, b"PING"), b"+PONG\r\n")  # so the other, older one is accepted
-                sock.sendall(HALF)
-                self.assertEqual(ask(fresh, b"PING"), b"+PONG\r\n")  # and its bytes have been read
+            with program.connect() as sock, program.connect() as newer:
+                self.assertEqual(ask(newer, b"PING"), b"+PONG\r\n")  # the older connection is accepted before this one
+                sock.sendall(FIRST_HALF)
+                self.assertEqual(ask(newer, b"PING"), b"+PONG\r\n")  # the bytes of the older one were read
                 program.signal(signal.SIGTERM)
                 self.assertEqual((line_of(sock), sock.recv(1)), (BUSY, b""))
             assert program.process is not None
@@ -406,34 +419,34 @@
 
 
 class SignalsAtStartTest(unittest.TestCase):
-    def test_a_new_configuration_told_while_the_program_loads_does_not_end_it(self) -> None:
+    def test_a_signal_during_start_up_does_not_end_the_process(self) -> None:
         program = Program([Receiver(reply(200))])
         self.addCleanup(program.close)
         with tempfile.TemporaryDirectory() as folder:
             gate = os.path.join(folder, "gate")
             os.mkfifo(gate)
-            lines = (
+            stub = (
                 f"import sys\nopen({gate!r}, 'w').close()\nopen({gate!r}).close()\nsys.path.remove({folder!r})\n"
                 "del sys.modules['loguru']\nimport loguru\nsys.modules['loguru'] = loguru\n"
             )
             with open(os.path.join(folder, "loguru.py"), "w", encoding="utf-8") as file:
-                file.write(lines)
-            for number in (signal.SIGHUP, signal.SIGUSR1):
+                file.write(stub)
+            for signal_number in (signal.SIGHUP, signal.SIGUSR1):
                 program.process = program.spawn(PYTHONPATH=f"{folder}:{os.getcwd()}")
-                open(gate, encoding="utf-8").close()  # the interpreter loads its modules now
-                program.signal(number)
-                held = os.open(gate, os.O_RDWR)
+                open(gate, encoding="utf-8").close()  # the interpreter is loading its modules
+                program.signal(signal_number)
+                gate_file = os.open(gate, os.O_RDWR)
                 until(lambda: program._ready() or program.process.poll() is not None)  # type: ignore[union-attr]
-                os.close(held)
+                os.close(gate_file)
                 self.assertIsNone(program.process.poll())
                 program.kill()
 
-    def test_the_run_line_ignores_it_before_the_interpreter_starts(self) -> None:
+    def test_the_run_command_ignores_sighup_before_the_interpreter_starts(self) -> None:
         with open("deploy/balancer.toml", "rb") as file:
-            line = tomllib.load(file)["run"]
-        shown = line.replace("-m cedarwick", "-c 'import signal; print(signal.getsignal(signal.SIGHUP).name)'")
-        self.assertNotEqual(shown, line)
-        self.assertEqual(subprocess.check_output(["/bin/sh", "-c", shown], text=True), "SIG_IGN\n")
+            command = tomllib.load(file)["run"]
+        probe = command.replace("-m cedarwick", "-c 'import signal; print(signal.getsignal(signal.SIGHUP).name)'")
+        self.assertNotEqual(probe, command)
+        self.assertEqual(subprocess.check_output(["/bin/sh", "-c", probe], text=True), "SIG_IGN\n")
 
 
 if __name__ == "__main__":
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -1,4 +1,4 @@
-"""The watch of the list where two events cross: silence, spoilt and old updates, moves, late answers, many senders."""
+"""Races on the watch of the endpoint list: silence, invalid or old updates, new addresses, late answers, fleets."""
 
 import contextlib
 import heapq
@@ -19,391 +19,404 @@
 from cedarwick.decisions.state import SECOND
 from cedarwick.net import endpoint_list as module
 from tests.build import NESTED, NOW, SETTINGS, Program, Receiver, free_port, line_of, reply, submit, until
-from tests.net.test_endpoint_list import HEAD, WatchedTestCase, chunk
+from tests.net.test_endpoint_list import HEAD, WatchTestCase, chunk
 
 
-class Fleet:
-    """Senders that ask a discovery as `Directory` does: it says nothing at first, then answers so many calls a second.
+class SimulatedDiscovery:
+    """Senders that call one simulated discovery as `EndpointList` does.
 
-    It takes calls in turn, answers 503 where that would take over 2 s, and has the work of those all the same.
+    The discovery is silent until `recovered_at`, then serves `rate` calls a second in order of arrival. A call that
+    would take over 2 s is answered with 503, but costs the discovery its time all the same.
     """
 
-    def __init__(self, senders: int, rate: float, down: float) -> None:
-        self.down, self.rate, self.busy = down, rate, down
+    def __init__(self, senders: int, rate: float, recovered_at: float) -> None:
+        self.recovered_at, self.rate, self.busy_until = recovered_at, rate, recovered_at
         self.senders = [Sender({**SETTINGS, "balancers": str(senders)}, seed, NOW) for seed in range(senders)]
-        self.told: dict[int, float] = {}
+        self.answered_after: dict[int, float] = {}  # by sender, in seconds since the recovery
         self.calls: list[list[float]] = [[] for _ in self.senders]
         self.events: list[tuple[float, int, int, Callable[[int, float], None]]] = []
         for sender in range(senders):
-            self.at(sender / 1000, sender, self.call)
+            self.schedule(sender / 1000, sender, self.call)
 
-    def at(self, when: float, sender: int, event: Callable[[int, float], None]) -> None:
+    def schedule(self, when: float, sender: int, event: Callable[[int, float], None]) -> None:
         heapq.heappush(self.events, (when, len(self.events) + len(self.calls[sender]) * 1000, sender, event))
 
-    def play(self, seconds: float) -> None:
-        while self.events and self.events[0][0] < seconds and len(self.told) < len(self.senders):
+    def run(self, seconds: float) -> None:
+        while self.events and self.events[0][0] < seconds and len(self.answered_after) < len(self.senders):
             when, _, sender, event = heapq.heappop(self.events)
-            if sender not in self.told:
+            if sender not in self.answered_after:
                 event(sender, when)
 
     def call(self, sender: int, now: float) -> None:
-        """The decisions want it: the call before it is closed."""
-        made, moment = self.senders[sender], NOW + round(now * SECOND)
+        """Start the call that the decisions of a sender want; its previous call is closed."""
+        decisions, now_us = self.senders[sender], NOW + round(now * SECOND)
         if self.calls[sender]:
-            if moment < made.subscribe_at:
-                return  # it was drawn anew
-            assert made.decide(moment).subscribe
+            if now_us < decisions.subscribe_at:
+                return  # the time of the call was drawn again
+            assert decisions.decide(now_us).subscribe
         self.calls[sender].append(now)
-        mine = len(self.calls[sender])
+        call_number = len(self.calls[sender])
 
-        def unless_closed(then: Callable[[int, float], None]) -> Callable[[int, float], None]:
-            return lambda each, at: then(each, at) if len(self.calls[each]) == mine else None
+        def unless_closed(handler: Callable[[int, float], None]) -> Callable[[int, float], None]:
+            return lambda caller, at: handler(caller, at) if len(self.calls[caller]) == call_number else None
 
-        if now < self.down:
-            self.at(now + module.ANSWER_TIMEOUT_S, sender, unless_closed(self.failed))
+        if now < self.recovered_at:
+            self.schedule(now + module.ANSWER_TIMEOUT_S, sender, unless_closed(self.failed))
             return
-        self.busy = max(self.busy, now) + 1 / self.rate
-        if self.busy - now > module.ANSWER_TIMEOUT_S:
-            self.at(now + module.ANSWER_TIMEOUT_S, sender, unless_closed(self.failed))
-        late = self.busy - now > 2.0
-        self.at(now + 2.0 if late else self.busy, sender, unless_closed(self.failed if late else self.answered))
+        self.busy_until = max(self.busy_until, now) + 1 / self.rate
+        if self.busy_until - now > module.ANSWER_TIMEOUT_S:
+            self.schedule(now + module.ANSWER_TIMEOUT_S, sender, unless_closed(self.failed))
+        refused = self.busy_until - now > 2.0
+        self.schedule(
+            now + 2.0 if refused else self.busy_until, sender, unless_closed(self.failed if refused else self.answered)
+        )
 
     def failed(self, sender: int, now: float) -> None:
-        made = self.senders[sender]
-        made.list_poll_failed(NOW + round(now * SECOND))
-        self.at((made.subscribe_at - NOW) / SECOND + 1e-6, sender, self.call)
+        decisions = self.senders[sender]
+        decisions.list_poll_failed(NOW + round(now * SECOND))
+        self.schedule((decisions.subscribe_at - NOW) / SECOND + 1e-6, sender, self.call)
 
     def answered(self, sender: int, now: float) -> None:
-        self.told[sender] = now - self.down
+        self.answered_after[sender] = now - self.recovered_at
 
 
 class ManySendersTest(unittest.TestCase):
-    """Calls that fail are spread, and yet made again in time for the clock of 6 s."""
+    """Failed list calls are spread over time, yet all senders get the list within 6 s of a recovery."""
 
-    def test_all_of_a_fleet_hear_of_it_within_the_clock_and_ask_no_more_than_they_need(self) -> None:
+    def test_all_senders_get_the_list_within_6_s_with_few_superfluous_calls(self) -> None:
         for senders in (2, 17, 40, 200):
-            for all_in in (0.5, 4.0, 5.5)[: 1 if senders == 2 else 3]:  # seconds in which all can be answered
-                with self.subTest(senders=senders, all_in=all_in):
-                    fleet = Fleet(senders, senders / all_in, down=8.0)
-                    fleet.play(60.0)
-                    self.assertEqual(len(fleet.told), senders)
-                    self.assertLess(max(fleet.told.values()), 6.0)
-                    after = sum(call >= 8.0 for calls in fleet.calls for call in calls)
-                    self.assertLessEqual(after, 1.2 * senders + 2)
-                    gaps = [calls[nth] - calls[nth - 1] for calls in fleet.calls for nth in range(1, len(calls))]
+            for all_in_s in (0.5, 4.0, 5.5)[: 1 if senders == 2 else 3]:  # in which the discovery can answer all
+                with self.subTest(senders=senders, all_in_s=all_in_s):
+                    simulation = SimulatedDiscovery(senders, senders / all_in_s, recovered_at=8.0)
+                    simulation.run(60.0)
+                    self.assertEqual(len(simulation.answered_after), senders)
+                    self.assertLess(max(simulation.answered_after.values()), 6.0)
+                    calls_after_recovery = sum(call >= 8.0 for calls in simulation.calls for call in calls)
+                    self.assertLessEqual(calls_after_recovery, 1.2 * senders + 2)
+                    gaps = [calls[nth] - calls[nth - 1] for calls in simulation.calls for nth in range(1, len(calls))]
                     self.assertLessEqual(max(gaps), 5.0 + 1e-5)
 
-    def test_on_sockets_one_clock_holds_and_the_simulator_has_what_its_settings_allow(self) -> None:
-        for name, longest in (("", 4.0), ("0", 4.0), ("10000", 10.0)):
+    def test_the_backoff_has_its_own_limit_unless_the_simulator_settings_allow_more(self) -> None:
+        for setting, max_wait_s in (("", 4.0), ("0", 4.0), ("10000", 10.0)):
             waits = []
             for seed in range(100):
-                made = Sender({**SETTINGS, "balancers": "200", "rules.ask-within-ms": name}, seed, NOW)
-                made.list_poll_failed(NOW)
-                waits.append((made.subscribe_at - NOW) / SECOND)
-            self.assertLessEqual(max(waits), longest + 1e-5)
-            self.assertGreater(max(waits) - min(waits), (longest - 2.0) * 0.9)
-            self.assertGreater(min(waits), 1.99)  # many that lost it together: not so many that nobody is answered
+                sender = Sender({**SETTINGS, "balancers": "200", "rules.ask-within-ms": setting}, seed, NOW)
+                sender.list_poll_failed(NOW)
+                waits.append((sender.subscribe_at - NOW) / SECOND)
+            self.assertLessEqual(max(waits), max_wait_s + 1e-5)
+            self.assertGreater(max(waits) - min(waits), (max_wait_s - 2.0) * 0.9)
+            self.assertGreater(min(waits), 1.99)  # or senders that lost the list together would overload the discovery
 
 
-class SilentWatchTest(WatchedTestCase):
-    LATE = 0.3  # seconds after the limit
+class SilentWatchTest(WatchTestCase):
+    TOLERANCE_S = 0.3  # after the timeout
 
-    def test_what_says_nothing_whole_any_more_is_left_in_time(self) -> None:
-        """However it goes on: silent, or a byte now and then."""
-        blank, line = chunk(b"\n"), self.update_line(7)
-        begun = b"%x\r\n" % (len(line) + 99)
+    def test_a_watch_without_a_complete_line_is_closed_in_time(self) -> None:
+        """The agent either falls silent or sends a byte now and then."""
+        empty_line, line = chunk(b"\n"), self.update_line(7)
+        chunk_size = b"%x\r\n" % (len(line) + 99)
         cases: list[tuple[str, bytes, bytes]] = [
             ("the head", HEAD, b""),
-            ("empty lines", HEAD + blank + blank, b""),
-            ("half an object", HEAD + blank + chunk(line[:20]), b""),
+            ("empty lines", HEAD + empty_line + empty_line, b""),
+            ("half an object", HEAD + empty_line + chunk(line[:20]), b""),
             ("an object, then half of one", HEAD + chunk(line + line[:20]), b""),
-            ("an object byte by byte", HEAD + blank, b"".join(chunk(line[at : at + 1]) for at in range(len(line)))),
-            ("a chunk byte by byte", HEAD + blank + begun, line * 9),
-            ("a size byte by byte", HEAD + blank, b"0" * 99),
+            (
+                "an object byte by byte",
+                HEAD + empty_line,
+                b"".join(chunk(line[offset : offset + 1]) for offset in range(len(line))),
+            ),
+            ("a chunk byte by byte", HEAD + empty_line + chunk_size, line * 9),
+            ("a size byte by byte", HEAD + empty_line, b"0" * 99),
             ("a head byte by byte", HEAD[:17] + b"X: ", b"y" * 99),
         ]
-        for name, first, more in cases:
+        for name, first, rest in cases:
             with self.subTest(after=name):
-                sock, _ = self.opened(within=2.0)
-                said = time.monotonic()
+                sock, _ = self.accept_call(within_s=2.0)
+                sent_at = time.monotonic()
                 sock.sendall(first)
                 step = len(chunk(b"x")) if name == "an object byte by byte" else 1
 
-                def go_on(sock: Any = sock, more: bytes = more, step: int = step) -> None:
+                def send_more(sock: Any = sock, rest: bytes = rest, step: int = step) -> None:
                     with contextlib.suppress(OSError):
-                        for at in range(0, len(more), step):
-                            gevent.sleep(module.LINE_TIMEOUT_S - 0.01)  # each within the limit since the one before
-                            sock.sendall(more[at : at + step])
-
-                going = gevent.spawn(go_on)
-                self.addCleanup(going.kill)
-                again, _ = self.opened(within=module.LINE_TIMEOUT_S + 0.8)
-                self.assertLess(time.monotonic() - said, module.LINE_TIMEOUT_S + self.LATE)
-                going.kill()
+                        for offset in range(0, len(rest), step):
+                            gevent.sleep(module.LINE_TIMEOUT_S - 0.01)  # just within the timeout each time
+                            sock.sendall(rest[offset : offset + step])
+
+                sending = gevent.spawn(send_more)
+                self.addCleanup(sending.kill)
+                again, _ = self.accept_call(within_s=module.LINE_TIMEOUT_S + 0.8)
+                self.assertLess(time.monotonic() - sent_at, module.LINE_TIMEOUT_S + self.TOLERANCE_S)
+                sending.kill()
                 again.sendall(HEAD + chunk(b"\n"))
-                self.happens(lambda: not self.made.failure_reported)
+                self.wait_until(lambda: not self.endpoint_list.failure_reported)
                 gevent.sleep(module.STABLE_WATCH_S + 0.15)
                 again.close()
-        self.assertEqual(self.failed, [])
+        self.assertEqual(self.failure_times, [])
 
-    def test_a_head_that_trickles_before_its_status_has_failed_in_time(self) -> None:
-        sock, _ = self.opened()
-        begun = time.monotonic()
+    def test_a_call_whose_status_line_arrives_byte_by_byte_fails_in_time(self) -> None:
+        sock, _ = self.accept_call()
+        started_at = time.monotonic()
         for byte in b"HTTP/1.1 100 Go\r\n\r\nHTTP/1":
-            if self.failed:
+            if self.failure_times:
                 break
             sock.sendall(bytes([byte]))
             gevent.sleep(module.ANSWER_TIMEOUT_S / 5)
-        self.assertLess(self.failed[0] - begun, module.ANSWER_TIMEOUT_S + self.LATE)
+        self.assertLess(self.failure_times[0] - started_at, module.ANSWER_TIMEOUT_S + self.TOLERANCE_S)
 
-    def test_a_watch_that_was_answered_late_and_ended_at_once_was_no_watch(self) -> None:
-        sock, _ = self.opened()
-        self.happens(lambda: self.failed)
+    def test_a_watch_that_was_answered_late_and_ended_at_once_counts_as_failed(self) -> None:
+        sock, _ = self.accept_call()
+        self.wait_until(lambda: self.failure_times)
         sock.sendall(HEAD + chunk(self.update_line(3)) + b"0\r\n\r\n")
-        self.happens(lambda: len(self.failed) == 2)
-        self.assertEqual(self.made.version, 3)
+        self.wait_until(lambda: len(self.failure_times) == 2)
+        self.assertEqual(self.endpoint_list.version, 3)
         with self.assertRaises(gevent.Timeout):
-            self.opened(within=0.2)
+            self.accept_call(within_s=0.2)
 
-    def test_what_lies_there_after_a_stop_of_the_process_is_read(self) -> None:
-        sock, _ = self.opened()
+    def test_input_that_arrived_while_the_process_was_stopped_is_read(self) -> None:
+        sock, _ = self.accept_call()
         sock.sendall(HEAD + chunk(b"\n"))
-        self.happens(self.made.first_update.is_set)
+        self.wait_until(self.endpoint_list.first_update.is_set)
         sock.sendall(chunk(self.update_line(4)))
-        time.sleep(module.LINE_TIMEOUT_S + 0.1)  # all stands still
-        self.happens(lambda: self.made.version == 4)
+        time.sleep(module.LINE_TIMEOUT_S + 0.1)  # blocks the whole process
+        self.wait_until(lambda: self.endpoint_list.version == 4)
 
 
-class OldAndCorruptListsTest(WatchedTestCase):
-    def line(self, uid: str, **spoilt: Any) -> dict[str, Any]:
-        return {**self.GOOD, "uid": uid, "capacity_hint": 1.0, **spoilt}
+class OldAndInvalidListsTest(WatchTestCase):
+    def line(self, uid: str, **changes: Any) -> dict[str, Any]:
+        return {**self.ENTRY, "uid": uid, "capacity_hint": 1.0, **changes}
 
-    def piece(self, rev: int, *lines: Any, whole: bool = False) -> bytes:
-        return chunk(json.dumps({"rev": rev, "all": whole, "targets": lines}).encode() + b"\n")
+    def update_chunk(self, rev: int, *lines: Any, full: bool = False) -> bytes:
+        return chunk(json.dumps({"rev": rev, "all": full, "targets": lines}).encode() + b"\n")
 
     def phases(self) -> str:
-        """How the decisions take each receiver, by uid."""
-        uids = {number: uid for uid, number in self.made.receiver_numbers.items()}
-        state: dict[str, EndpointState] = {}
-        for change, listings in self.told:
-            state = state if change is EndpointUpdate.DELTA else {}
-            state.update({uids[each.receiver]: each.phase for each in listings})
+        """The phase of each receiver as passed to the decisions, by uid."""
+        uids = {number: uid for uid, number in self.endpoint_list.receiver_numbers.items()}
+        phase_by_uid: dict[str, EndpointState] = {}
+        for change, listings in self.updates:
+            phase_by_uid = phase_by_uid if change is EndpointUpdate.DELTA else {}
+            phase_by_uid.update({uids[listing.receiver]: listing.phase for listing in listings})
         marks = {EndpointState.READY: "+", EndpointState.DRAINING: "-", EndpointState.REMOVED: "x"}
-        return " ".join(uid + marks[phase] for uid, phase in sorted(state.items()))
+        return " ".join(uid + marks[phase] for uid, phase in sorted(phase_by_uid.items()))
 
-    def test_what_is_unclear_is_taken_carefully_and_the_whole_list_asked_for_at_once(self) -> None:
+    def test_invalid_or_old_lines_cause_no_harm_and_the_full_list_is_requested_at_once(self) -> None:
         a, b = self.line("a"), self.line("b")
         drained = self.line("a", state="draining")
         cases: list[tuple[str, list[bytes], str]] = [
             (
-                "a line that says draining, spoilt elsewhere",
+                "a draining line with another invalid field",
                 [
-                    self.piece(3, self.line("a", state="draining", endpoint="?")),
-                    self.piece(4, self.line("b", state="removed", pod_group=[])),
+                    self.update_chunk(3, self.line("a", state="draining", endpoint="?")),
+                    self.update_chunk(4, self.line("b", state="removed", pod_group=[])),
                 ],
                 "a- bx",
             ),
             (
-                "a whole list with a spoilt line, and one left out",
-                [self.piece(3, self.line("a", az=[], endpoint=7), whole=True), b""],
+                "a full list with an invalid line and a missing one",
+                [self.update_chunk(3, self.line("a", az=[], endpoint=7), full=True), b""],
                 "a+",
             ),
-            ("a whole list with a line that names nobody", [self.piece(3, a, {"state": "up"}, whole=True), b""], "a+"),
-            ("changes with a spoilt line", [self.piece(3, {"uid": "b", "state": "?"}, drained), b""], "a- b+"),
-            ("an older whole list", [self.piece(5, drained), self.piece(4, a, b, whole=True), b""], "a- b+"),
-            ("older changes", [self.piece(5, drained), self.piece(4, a), b""], "a- b+"),
+            ("a full list with a line without a uid", [self.update_chunk(3, a, {"state": "up"}, full=True), b""], "a+"),
+            ("a delta with an invalid line", [self.update_chunk(3, {"uid": "b", "state": "?"}, drained), b""], "a- b+"),
+            (
+                "an older full list",
+                [self.update_chunk(5, drained), self.update_chunk(4, a, b, full=True), b""],
+                "a- b+",
+            ),
+            ("an older delta", [self.update_chunk(5, drained), self.update_chunk(4, a), b""], "a- b+"),
             (
-                "the same whole list twice, changes between",
-                [self.piece(3, drained, b, whole=True), self.piece(3, drained, b, whole=True)],
+                "the same full list twice",
+                [self.update_chunk(3, drained, b, full=True), self.update_chunk(3, drained, b, full=True)],
                 "a- b+",
             ),
         ]
-        for name, pieces, phases in cases:
+        for name, chunks, phases in cases:
             with self.subTest(name):
-                self.told.clear()
-                sock, _ = self.opened()
-                sock.sendall(HEAD + self.piece(2, a, b, whole=True))
-                self.happens(lambda: self.made.version == 2)
-                for each in pieces:
+                self.updates.clear()
+                sock, _ = self.accept_call()
+                sock.sendall(HEAD + self.update_chunk(2, a, b, full=True))
+                self.wait_until(lambda: self.endpoint_list.version == 2)
+                for each in chunks:
                     if each:
                         sock.sendall(each)
-                    else:  # at once, though the watch has not held for long; and no failed call
-                        again, line = self.opened(within=0.4)
+                    else:  # reopened at once, although the watch was short, and not reported as failed
+                        again, line = self.accept_call(within_s=0.4)
                         self.assertIn(b"since=0 ", line)
                         self.assertEqual(self.phases(), phases)
                         sock = again
-                self.happens(lambda: self.phases() == phases)  # noqa: B023
-                sock.sendall(HEAD + self.piece(1, a, b, whole=True) if b"" in pieces else b"")  # it counts anew
-                self.happens(lambda: self.made.version == 1 or b"" not in pieces)  # noqa: B023
-                self.assertFalse(self.made.needs_full_list)
-                self.made.version = 0
-                self.assertEqual(self.failed, [])
+                self.wait_until(lambda: self.phases() == phases)  # noqa: B023
+                # The agent restarts its count.
+                sock.sendall(HEAD + self.update_chunk(1, a, b, full=True) if b"" in chunks else b"")
+                self.wait_until(lambda: self.endpoint_list.version == 1 or b"" not in chunks)  # noqa: B023
+                self.assertFalse(self.endpoint_list.needs_full_list)
+                self.endpoint_list.version = 0
+                self.assertEqual(self.failure_times, [])
                 gevent.sleep(module.STABLE_WATCH_S + 0.15)
                 sock.close()
 
-    def test_an_agent_that_tells_spoilt_or_old_lists_again_and_again_is_not_asked_all_the_time(self) -> None:
-        spoilt = self.piece(3, self.line("a"), {"uid": 7}, whole=True)
-        sock, _ = self.opened()
-        sock.sendall(HEAD + spoilt)
-        sock, line = self.opened(within=0.3)
+    def test_an_agent_that_keeps_sending_invalid_or_old_lists_is_not_called_continuously(self) -> None:
+        invalid_list = self.update_chunk(3, self.line("a"), {"uid": 7}, full=True)
+        sock, _ = self.accept_call()
+        sock.sendall(HEAD + invalid_list)
+        sock, line = self.accept_call(within_s=0.3)
         self.assertIn(b"since=0 ", line)
-        self.assertFalse(self.made.first_update.is_set())  # attempts would go by the saved list
-        sock.sendall(HEAD + spoilt)  # that is how it is: this one is listened to
-        sock.sendall(self.piece(4, self.line("a", state="draining")))
-        self.happens(lambda: self.phases() == "a-")
+        self.assertFalse(self.endpoint_list.first_update.is_set())  # otherwise attempts would follow the saved list
+        sock.sendall(HEAD + invalid_list)  # the same again: this watch stays open
+        sock.sendall(self.update_chunk(4, self.line("a", state="draining")))
+        self.wait_until(lambda: self.phases() == "a-")
         with self.assertRaises(gevent.Timeout):
-            self.opened(within=0.2)
+            self.accept_call(within_s=0.2)
         gevent.sleep(module.STABLE_WATCH_S)
         sock.close()
-        for nth in range(2):  # the second was asked for the whole list as well: the decisions say when
-            sock, line = self.opened()
+        for count in range(2):  # each requests the full list already: the decisions choose the time of the next call
+            sock, line = self.accept_call()
             self.assertIn(b"since=0 ", line)
-            sock.sendall(HEAD + self.piece(9, self.line("a"), whole=True) + self.piece(8, self.line("a")))
-            self.happens(lambda: len(self.failed) == nth + 1)  # noqa: B023
-            self.made.reopen_watch()
+            sock.sendall(HEAD + self.update_chunk(9, self.line("a"), full=True) + self.update_chunk(8, self.line("a")))
+            self.wait_until(lambda: len(self.failure_times) == count + 1)  # noqa: B023
+            self.endpoint_list.reopen_watch()
 
-    def test_a_version_below_the_saved_one_asks_for_the_whole_list(self) -> None:
-        sock, _ = self.opened()
-        self.made.apply_update({"rev": 10**30, "all": True, "targets": [self.GOOD]}, saved=True)
+    def test_a_version_below_the_saved_one_causes_a_request_for_the_full_list(self) -> None:
+        sock, _ = self.accept_call()
+        self.endpoint_list.apply_update({"rev": 10**30, "all": True, "targets": [self.ENTRY]}, saved=True)
         sock.close()
-        self.happens(lambda: self.failed)
-        self.made.reopen_watch()
-        sock, line = self.opened()
+        self.wait_until(lambda: self.failure_times)
+        self.endpoint_list.reopen_watch()
+        sock, line = self.accept_call()
         self.assertIn(b"since=1000", line)
         sock.sendall(HEAD + self.update_line(2).join([b"%x\r\n" % len(self.update_line(2)), b"\r\n"]))
-        _, line = self.opened(within=0.4)
+        _, line = self.accept_call(within_s=0.4)
         self.assertIn(b"since=0 ", line)
 
 
-class ChangedAddressTest(WatchedTestCase):
-    def test_a_move_in_any_state_of_the_watch_opens_the_new_one_at_once(self) -> None:
-        """In each: told once, then twice in a row, and with `ask` on either side of it."""
+class ChangedAddressTest(WatchTestCase):
+    def test_a_change_of_address_in_any_state_reopens_the_watch_at_once(self) -> None:
+        """In each state: changed once, changed twice in a row, and with `reopen_watch` before or after the change."""
 
-        def move(new: Any) -> None:
-            self.made.change_address(new.getsockname())
+        def change(new: Any) -> None:
+            self.endpoint_list.change_address(new.getsockname())
 
-        def twice(new: Any) -> None:
-            move(self.agent())
-            move(new)
+        def change_twice(new: Any) -> None:
+            change(self.start_agent())
+            change(new)
 
-        def asked_first(new: Any) -> None:
-            self.made.reopen_watch()
-            move(new)
+        def reopen_first(new: Any) -> None:
+            self.endpoint_list.reopen_watch()
+            change(new)
 
-        def asked_after(new: Any) -> None:
-            move(new)
-            self.made.reopen_watch()
+        def reopen_after(new: Any) -> None:
+            change(new)
+            self.endpoint_list.reopen_watch()
 
-        for how in (move, twice, asked_first, asked_after):
-            for state in ("starting", "reading", "in doubt", "waiting", "ending"):
+        for how in (change, change_twice, reopen_first, reopen_after):
+            for state in ("starting", "reading", "unanswered", "waiting", "ending"):
                 with self.subTest(state=state, how=how.__name__):
-                    self.made.change_address(self.listener.getsockname())
-                    sock, _ = self.opened()
-                    failed = len(self.failed)
+                    self.endpoint_list.change_address(self.listener.getsockname())
+                    sock, _ = self.accept_call()
+                    failed = len(self.failure_times)
                     if state in ("reading", "ending"):
                         sock.sendall(HEAD + chunk(self.update_line(7)))
-                        self.happens(lambda: self.made.version == 7)
-                    elif state == "in doubt":
-                        self.happens(lambda: self.made.failure_reported)
+                        self.wait_until(lambda: self.endpoint_list.version == 7)
+                    elif state == "unanswered":
+                        self.wait_until(lambda: self.endpoint_list.failure_reported)
                     elif state == "waiting":
                         sock.close()
-                        self.happens(lambda: len(self.failed) > failed)  # noqa: B023
-                    new, old = self.agent(), self.made.watch_greenlet
-                    if state == "ending":  # the watch has ended, and nobody has seen it yet
+                        self.wait_until(lambda: len(self.failure_times) > failed)  # noqa: B023
+                    new, old = self.start_agent(), self.endpoint_list.watch_greenlet
+                    if state == "ending":  # the watch has ended, but `watch` has not run since
                         assert old is not None
                         old.link(lambda _, how=how, new=new: how(new))
                         sock.close()
                     else:
                         how(new)
-                    fresh, line = self.opened(new, within=0.2)
+                    new_sock, line = self.accept_call(new, within_s=0.2)
                     self.assertIn(b"since=0 ", line)
                     if state == "reading":
                         with contextlib.suppress(OSError):
                             sock.sendall(chunk(self.update_line(90)))
-                    fresh.sendall(HEAD + chunk(self.update_line(3)))
-                    self.happens(lambda: self.made.version == 3)
+                    new_sock.sendall(HEAD + chunk(self.update_line(3)))
+                    self.wait_until(lambda: self.endpoint_list.version == 3)
                     gevent.sleep(0.02)
-                    self.assertEqual((self.made.version, self.made.platform), (3, new.getsockname()))
+                    self.assertEqual((self.endpoint_list.version, self.endpoint_list.platform), (3, new.getsockname()))
 
-    def test_a_new_address_that_is_not_up_yet_is_called_each_second_at_first_then_as_the_decisions_say(self) -> None:
-        for window in (9.0, 0.0):
+    def test_an_agent_at_a_new_address_that_is_not_up_yet_is_called_often_during_the_grace_period(self) -> None:
+        for grace_s in (9.0, 0.0):
             with (
-                self.subTest(window=window),
-                mock.patch.object(module, "ADDRESS_CHANGE_GRACE_S", window),
+                self.subTest(grace_s=grace_s),
+                mock.patch.object(module, "ADDRESS_CHANGE_GRACE_S", grace_s),
                 gevent.socket.socket() as new,
             ):
                 new.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_REUSEADDR, 1)
                 new.bind(("127.0.0.1", 0))
-                failed, begun = len(self.failed), time.monotonic()
-                self.made.change_address(new.getsockname())
-                self.happens(lambda: len(self.failed) >= failed + (3 if window else 1))  # noqa: B023
-                calls = len(self.failed) - failed
-                self.assertLessEqual(calls, 1 + (time.monotonic() - begun) / module.STABLE_WATCH_S)
+                failed, started_at = len(self.failure_times), time.monotonic()
+                self.endpoint_list.change_address(new.getsockname())
+                self.wait_until(lambda: len(self.failure_times) >= failed + (3 if grace_s else 1))  # noqa: B023
+                calls = len(self.failure_times) - failed
+                self.assertLessEqual(calls, 1 + (time.monotonic() - started_at) / module.STABLE_WATCH_S)
                 new.listen()
-                if not window:
+                if not grace_s:
                     with self.assertRaises(gevent.Timeout):
-                        self.opened(new, within=module.STABLE_WATCH_S + 0.2)
-                    self.made.reopen_watch()
-                _, line = self.opened(new, within=module.STABLE_WATCH_S + 0.4)
+                        self.accept_call(new, within_s=module.STABLE_WATCH_S + 0.2)
+                    self.endpoint_list.reopen_watch()
+                _, line = self.accept_call(new, within_s=module.STABLE_WATCH_S + 0.4)
                 self.assertIn(b"since=0 ", line)
 
 
 class FirstAttemptsTest(unittest.TestCase):
-    def test_while_the_first_answer_is_late_messages_are_kept_and_not_attempt_on_the_saved_list(self) -> None:
+    def test_until_the_first_answer_messages_are_stored_and_not_attempted_by_the_saved_list(self) -> None:
         program = Program([Receiver(None), Receiver(reply(200))])
         self.addCleanup(program.close)
         program.configure(known={"rev": 0, "all": True, "targets": [program.target(0), program.target(1)]})
         program.platform.targets = [program.target(0, "draining"), program.target(1)]
-        answers = program.platform.finish_request
-        for late in (0.5, 5.0):
+        original = program.platform.finish_request
+        for delay_s in (0.5, 5.0):
 
-            def answer(*told: Any, late: float = late) -> None:
-                time.sleep(late)
-                answers(*told)
+            def finish_late(*args: Any, delay_s: float = delay_s) -> None:
+                time.sleep(delay_s)
+                original(*args)
 
-            with mock.patch.object(program.platform, "finish_request", answer):
+            with mock.patch.object(program.platform, "finish_request", finish_late):
                 program.start()
-                begun = time.monotonic()
+                started_at = time.monotonic()
                 with program.connect() as sock:
                     for dest in (0, 1):
-                        sock.sendall(submit(f"{late}-{dest}", dest=dest))
+                        sock.sendall(submit(f"{delay_s}-{dest}", dest=dest))
                         self.assertEqual(line_of(sock), b"+OK\r\n")
-                self.assertLess(time.monotonic() - begun, 0.38)
-                until(lambda: len(program.receivers[1].calls) == 1 + (late > 1))  # noqa: B023
-                self.assertLess(time.monotonic() - begun, 1.3)
+                self.assertLess(time.monotonic() - started_at, 0.38)
+                until(lambda: len(program.receivers[1].calls) == 1 + (delay_s > 1))  # noqa: B023
+                self.assertLess(time.monotonic() - started_at, 1.3)
                 time.sleep(0.3)
-                self.assertEqual(bool(program.receivers[0].calls), late > 1)
+                self.assertEqual(bool(program.receivers[0].calls), delay_s > 1)
             program.kill()
 
-    def test_a_call_that_failed_while_the_folder_was_waited_for_is_made_anew_as_soon_as_it_is_held(self) -> None:
-        """Of many senders the decisions, which run from then on only, would want it 2 to 4 s later."""
+    def test_a_list_call_that_failed_during_the_wait_for_the_folder_is_repeated_once_the_folder_is_held(self) -> None:
+        """With many senders the decisions, which start only then, would repeat the call 2 to 4 s later."""
         program = Program([Receiver(None)])
         self.addCleanup(program.close)
         program.configure(
             known={"rev": 0, "all": True, "targets": [program.target(0)]}, settings={**NESTED, "balancers": 200}
         )
-        gone = socket.create_server(("127.0.0.1", 0))
-        self.addCleanup(gone.close)
+        silent_agent = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(silent_agent.close)
         with socket.create_server(("127.0.0.1", program.port), backlog=64) as listener:
             fd = listener.fileno()
             program.start((fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{free_port()}")
-            program.configure(discovery=f"127.0.0.1:{gone.getsockname()[1]}")  # connections come up there, no more
-            newer = program.spawn((fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{free_port()}")
-            self.addCleanup(newer.communicate)
-            self.addCleanup(newer.kill)
-            gone.settimeout(8)
-            first, _ = gone.accept()
+            # The new agent accepts connections, but does not answer.
+            program.configure(discovery=f"127.0.0.1:{silent_agent.getsockname()[1]}")
+            replacement = program.spawn((fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{free_port()}")
+            self.addCleanup(replacement.communicate)
+            self.addCleanup(replacement.kill)
+            silent_agent.settimeout(8)
+            first, _ = silent_agent.accept()
             self.addCleanup(first.close)
             time.sleep(module.ANSWER_TIMEOUT_S + 0.5)
             program.signal(signal.SIGTERM)
             assert program.process is not None
             program.process.wait(8)
-            held = time.monotonic()
-            again, _ = gone.accept()
+            held_at = time.monotonic()
+            again, _ = silent_agent.accept()
             again.close()
-            self.assertLess(time.monotonic() - held, 1.0)
+            self.assertLess(time.monotonic() - held_at, 1.0)
 
-    def test_the_longest_wait_and_the_net_limits_stay_under_the_clock(self) -> None:
+    def test_the_longest_backoff_and_the_timeouts_add_up_to_less_than_6_s(self) -> None:
         self.assertLess(module.CONNECT_TIMEOUT_S + LIST_WAIT / SECOND, 5.5)
         self.assertLess(module.ANSWER_TIMEOUT_S + LIST_WAIT / SECOND, 5.5)
 
