--- a/cedarwick/cli/run.py
+++ b/cedarwick/cli/run.py
@@ -13,5 +13,5 @@
 def command(operator: str | None) -> None:
     """Run a sender until SIGTERM, with what RELAY_CONFIG and RELAY_STATE tell."""
     if operator is not None:
-        os.environ[program.OPERATOR] = operator
+        os.environ[program.OPERATOR_FILE_VARIABLE] = operator
     sys.exit(program.main())
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -145,7 +145,7 @@
     ) -> None:
         """Connect to the parts of the sender; called after every other part that wraps the attempt callbacks."""
         self.observer = EventObserver(self.name, site, dispatcher, endpoint_list)
-        management.follows = self.answer
+        management.subscription_handler = self.answer
         dispatcher.attempts.clear = partial(self._cleared, dispatcher.attempts.clear)
         dispatcher.attempts.report_result = partial(self._attempt_ended, dispatcher.attempts.report_result)
         self.begin()
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -90,7 +90,7 @@
     def attach(self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
         """Load the saved marks, and listen to operators' commands and attempts; once this process owns the folder."""
         self.management, self.endpoint_list, self.dispatcher = management, endpoint_list, dispatcher
-        management.changed = self._changed
+        management.on_suspension_change = self._changed
         dispatcher.attempts.report_retry_after, dispatcher.attempts.report_result = self._apply_waits, self._ended
         now, saved = wall_time(), self._file()
         try:
@@ -207,11 +207,13 @@
 
     def _file(self) -> dict[str, int] | None:
         """The contents of suspended.json; None if it is missing or unreadable."""
-        if not os.path.exists(os.path.join(self.management.folder, files.SUSPENDED)):
+        if not os.path.exists(os.path.join(self.management.folder, files.SUSPENSIONS_FILE)):
             return None
         try:
             return {
-                uid: min(calls, MOST_CALLS) for uid, calls in files.read(self.management.folder).items() if calls > 0
+                uid: min(calls, MOST_CALLS)
+                for uid, calls in files.read_suspensions(self.management.folder).items()
+                if calls > 0
             }
         except files.UnreadableFileError as error:
             self.counters.warning("the receivers taken out by hand cannot be read", error)
@@ -222,7 +224,7 @@
         calls = self.marks.calls()
         # The file before the marks: after a crash between the two, what it lacked would pass for restored by hand.
         if calls != (self._file() or {}) or calls.keys() != self.endpoint_list.suspended:
-            self.unsaved = not self.management.keep(calls)
+            self.unsaved = not self.management.save_suspensions(calls)
         self._write()
         if count := self.marks.unshared():
             self.counters.warning(
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -91,7 +91,7 @@
         self.restore_sessions()
         self.client_listener = client_listener
         client_listener.submit_message = self.hand_in
-        commands.moves = self.move_on_command
+        commands.move_handler = self.move_on_command
 
     def stop(self) -> None:
         """Close the connections to the other members."""
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -28,7 +28,7 @@
 from cedarwick.net.sockets import PollClock
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.ops import commands
-from cedarwick.ops.management import ManagementCommands, no_sessions, not_in_a_fleet
+from cedarwick.ops.management import ManagementCommands, refuse_move, refuse_subscription
 from cedarwick.store.records import StoredMessage
 
 STAY = 1.2  # seconds for which a sender that got SIGTERM goes on to take what was routed to it
@@ -138,7 +138,7 @@
         dispatcher.restore()
         node = FleetNode(self.name, day.table, self.folder, self.store, clock, counters)
         self.client_listener = FakeClientListener(dispatcher)
-        self.management = SimpleNamespace(follows=not_in_a_fleet, moves=no_sessions)
+        self.management = SimpleNamespace(subscription_handler=refuse_subscription, move_handler=refuse_move)
         management = cast(ManagementCommands, self.management)
         listed = SimpleNamespace(receiver_numbers={f"s-{1 + each}": 1 + each for each in receivers}, suspended=set())
         node.exchange.attach(management, cast(EndpointList, listed), dispatcher, node.halls[self.name])
@@ -217,7 +217,7 @@
 
         def call() -> None:
             with suppress(CedarwickError):
-                self.management.moves(commands.Call(name, argument))
+                self.management.move_handler(commands.Call(name, argument))
 
         self.day.kernel.spawn_as(self.owner, call)
 
--- a/cedarwick/lab/virtual_subscribers.py
+++ b/cedarwick/lab/virtual_subscribers.py
@@ -144,7 +144,7 @@
 def follow(sender: Sender, connection: FakeConnection, words: str) -> None:
     """In the member's process: a call of `FOLLOW`, as the management address answers it."""
     try:
-        answer = sender.management.follows(Call("FOLLOW", words))
+        answer = sender.management.subscription_handler(Call("FOLLOW", words))
         if not isinstance(answer, str):
             answer(connection)
     except CedarwickError as error:
@@ -159,7 +159,7 @@
 
     def ask() -> None:
         try:
-            answers.append(str(sender.management.follows(Call("UNFOLLOW", name))))
+            answers.append(str(sender.management.subscription_handler(Call("UNFOLLOW", name))))
         except CedarwickError:
             answers.append("")
 
--- a/cedarwick/ops/commands.py
+++ b/cedarwick/ops/commands.py
@@ -45,7 +45,7 @@
     argument: str
 
 
-def parse(line: bytes) -> Call:
+def parse_call(line: bytes) -> Call:
     """Parse one line, given without its line end.
 
     Raises `InvalidCallError` if it is no valid call.
--- a/cedarwick/ops/management.py
+++ b/cedarwick/ops/management.py
@@ -74,17 +74,17 @@
         self.listener = listener
         self.endpoints = endpoints
         self.folder = folder
-        self.changed: Callable[[str, int], None] = (
+        self.on_suspension_change: Callable[[str, int], None] = (
             lambda *_: None
         )  # called after each change made here: uid, calls in force or 0
-        self.follows: Callable[[Call], str | StreamingAnswer] = not_in_a_fleet
-        self.moves: Callable[[Call], str] = no_sessions
-        self.taking = False  # whether this process accepts clients, or will once it has the folder
+        self.subscription_handler: Callable[[Call], str | StreamingAnswer] = refuse_subscription
+        self.move_handler: Callable[[Call], str] = refuse_move
+        self.accepts_clients = False  # whether this process accepts clients, or will once it has the folder
 
     def answer(self, call: Call) -> str | StreamingAnswer:
         """Answer one call; raises a `CedarwickError` with the reason if it is refused."""
         if call.name == "STATUS":
-            return "YES taking clients\n" if self.taking and self.ready() else "NO not ready yet\n"
+            return "YES taking clients\n" if self.accepts_clients and self.ready() else "NO not ready yet\n"
         if call.name == "PAUSE":
             if self.listener.paused:
                 return "YES already paused\n"
@@ -98,15 +98,15 @@
         if call.name in ("SUSPEND", "RESTORE"):
             return self._suspend_or_restore(call)
         if call.name in SUBSCRIPTION_CALLS:
-            return self.follows(call)
+            return self.subscription_handler(call)
         if call.name == "MOVE":
-            return self.moves(call)
+            return self.move_handler(call)
         return self.metrics_text() + "END\n"
 
-    def take_over(self) -> None:
+    def apply_saved_suspensions(self) -> None:
         """Suspend the receivers named in the saved file; called at start-up and again once the folder is taken."""
         try:
-            self.endpoints.set_suspended(set(saved_state.read(self.folder)))
+            self.endpoints.set_suspended(set(saved_state.read_suspensions(self.folder)))
         except saved_state.UnreadableFileError as error:
             logger.error("the receivers taken out by hand cannot be read: {}", error.line)
 
@@ -114,7 +114,7 @@
         uid = call.argument
         try:
             # Read the file each time: a process that replaces this one, or is replaced, may have changed it meanwhile.
-            suspensions = Suspensions(saved_state.read(self.folder).items())
+            suspensions = Suspensions(saved_state.read_suspensions(self.folder).items())
         except saved_state.UnreadableFileError as error:
             logger.error("the receivers taken out by hand cannot be read: {}", error.line)
             suspensions = Suspensions()
@@ -127,15 +127,15 @@
             answer = f"YES {uid} restored\n"
         else:
             raise NotSuspendedError(f"{uid} is not suspended")
-        self.keep(suspensions.calls)
-        self.changed(uid, suspensions.calls.get(uid, 0))
+        self.save_suspensions(suspensions.calls)
+        self.on_suspension_change(uid, suspensions.calls.get(uid, 0))
         return answer
 
-    def keep(self, calls: dict[str, int]) -> bool:
+    def save_suspensions(self, calls: dict[str, int]) -> bool:
         """Suspend exactly the receivers of these calls from now on; returns whether the file could be written."""
         written = True
         try:
-            saved_state.write(self.folder, calls)
+            saved_state.write_suspensions(self.folder, calls)
         except OSError as error:
             written = False
             logger.error(DiskError(f"the receivers taken out by hand cannot be saved: {error}").line)
@@ -143,11 +143,11 @@
         return written
 
 
-def no_sessions(call: Call) -> str:
+def refuse_move(call: Call) -> str:
     """Refuse MOVE at a sender that holds no sessions."""
     raise SessionsDisabledError(f"{call.name} at a sender whose `fleet.sessions` is off")
 
 
-def not_in_a_fleet(call: Call) -> str:
+def refuse_subscription(call: Call) -> str:
     """Refuse FOLLOW and UNFOLLOW at a sender without a fleet."""
     raise NotInFleetError(f"{call.name} at a sender without a fleet, or one that has only begun to start")
--- a/cedarwick/ops/management_server.py
+++ b/cedarwick/ops/management_server.py
@@ -11,7 +11,7 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.counters import Counters
-from cedarwick.ops.commands import Call, InvalidCallError, max_line_bytes, parse
+from cedarwick.ops.commands import Call, InvalidCallError, max_line_bytes, parse_call
 from cedarwick.ops.management import StreamingAnswer
 
 LINE_DEADLINE_S = 2.0  # for a caller to finish its line; some connect and send nothing for 4 s
@@ -110,7 +110,7 @@
                 return self._unread(InvalidCallError("the line did not end"))
         line = buffer.take(end + 1).rstrip(b"\r\n")
         try:
-            call = parse(line)
+            call = parse_call(line)
         except InvalidCallError as error:
             return self._unread(error)
         self.counters.add(f"management calls: {call.name}")
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -20,7 +20,7 @@
 HANDOVER_POLL_INTERVAL_S = 0.01  # between two checks of the folder, or of what is still in flight or connected
 
 
-def leave_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
+def save_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
     """Save the Retry-After waits of receivers for the next process; called before the folder is released.
 
     A failed write is logged only.
@@ -34,7 +34,7 @@
         logger.error(DiskError(f"the Retry-After waits cannot be handed over: {error}").line)
 
 
-def take_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
+def restore_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
     """Apply the Retry-After waits that the replaced process saved; the saved list must have been learned before."""
     try:
         waits = saved_state.take_waits(folder)
@@ -50,7 +50,7 @@
     )
 
 
-def hold(store: Store, replacing: bool) -> bool:
+def try_load_store(store: Store, replacing: bool) -> bool:
     """Lock and read the folder; returns False if the replaced process still has it.
 
     Raises what `Store.load` raises; `FolderInUseError` only if no process is being replaced.
--- a/cedarwick/ops/saved_state.py
+++ b/cedarwick/ops/saved_state.py
@@ -9,8 +9,8 @@
 
 from cedarwick.errors import CedarwickError
 
-SUSPENDED = "suspended.json"  # SUSPEND calls in force by uid; they last until RESTORE, over restarts too
-WAITS = "waits.json"  # by uid: the end of a Retry-After wait in wall microseconds; read once, by the next process
+SUSPENSIONS_FILE = "suspended.json"  # SUSPEND calls in force by uid; they last until RESTORE, over restarts too
+WAITS_FILE = "waits.json"  # by uid: the end of a Retry-After wait in wall microseconds; read once, by the next process
 MAX_FILE_BYTES = 1 << 20  # a larger file was not written by this module
 
 
@@ -21,19 +21,19 @@
     remedy = "look at the file that is named; where it is spoilt, delete it and suspend again what was out"
 
 
-def read(folder: str) -> dict[str, int]:
+def read_suspensions(folder: str) -> dict[str, int]:
     """SUSPEND calls in force by uid; empty if there is no file. Raises `UnreadableFileError`."""
-    return _read(os.path.join(folder, SUSPENDED), keep=True)
+    return _read(os.path.join(folder, SUSPENSIONS_FILE), keep=True)
 
 
-def write(folder: str, calls: dict[str, int]) -> None:
+def write_suspensions(folder: str, calls: dict[str, int]) -> None:
     """Replace the SUSPEND calls in force, by uid. Raises OSError."""
-    _write(os.path.join(folder, SUSPENDED), calls)
+    _write(os.path.join(folder, SUSPENSIONS_FILE), calls)
 
 
 def write_waits(folder: str, waits: dict[str, int]) -> None:
     """Replace the ends of Retry-After waits, by uid, in wall microseconds. Raises OSError."""
-    _write(os.path.join(folder, WAITS), waits)
+    _write(os.path.join(folder, WAITS_FILE), waits)
 
 
 def take_waits(folder: str) -> dict[str, int]:
@@ -41,7 +41,7 @@
 
     Raises `UnreadableFileError`.
     """
-    return _read(os.path.join(folder, WAITS), keep=False)
+    return _read(os.path.join(folder, WAITS_FILE), keep=False)
 
 
 def _read(path: str, keep: bool) -> dict[str, int]:
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -34,9 +34,9 @@
     HANDOVER_CLIENT_CLOSE_S,
     HANDOVER_POLL_INTERVAL_S,
     hand_over,
-    hold,
-    leave_waits,
-    take_waits,
+    restore_waits,
+    save_waits,
+    try_load_store,
 )
 from cedarwick.store.files import Folder
 from cedarwick.store.health_file import HealthFile
@@ -46,7 +46,7 @@
     from cedarwick.config.operator import Operator
     from cedarwick.fleet.node import FleetNode
 
-OPERATOR = "CEDARWICK_OPERATOR"  # path of the operator file; if unset, the config package is not loaded
+OPERATOR_FILE_VARIABLE = "CEDARWICK_OPERATOR"  # path of the operator file; if unset, the config package is not loaded
 
 # Seconds from SIGTERM on, if no next process has the clients' socket:
 DECIDING_AFTER_SIGTERM_S = 2.2  # stored messages are still attempted; the last second is for attempts in flight
@@ -96,7 +96,7 @@
 
     Raises a `CedarwickError` if the file cannot be used.
     """
-    path = os.environ.get(OPERATOR, "")
+    path = os.environ.get(OPERATOR_FILE_VARIABLE, "")
     if not path:
         return None
     from cedarwick.config.operator import load
@@ -165,7 +165,7 @@
             self.management_commands = ManagementCommands(
                 self._ready, self.client_listener, self.endpoint_list, assignment.folder, self._metrics_text
             )
-            self.management_commands.taking = True
+            self.management_commands.accepts_clients = True
             self.management = (
                 ManagementServer(assignment.management, self.counters, self.management_commands.answer)
                 if assignment.management
@@ -175,9 +175,9 @@
     def start(self) -> None:
         """Take the folder, resume its messages and start every part; raises a `CedarwickError` if that fails."""
         with startup_errors():
-            holds_folder = hold(self.store, replacing=self.inherited is not None)
+            holds_folder = try_load_store(self.store, replacing=self.inherited is not None)
         self._learn_known_list()
-        self.management_commands.take_over()
+        self.management_commands.apply_saved_suspensions()
         if self.management is not None:
             self.greenlets.append(gevent.spawn(self.management.serve))
         if not holds_folder:
@@ -186,7 +186,7 @@
         self.health_file = HealthFile(Folder(self.assignment.folder), self.counters.warning, self.store.durable)
         self.dispatcher.restore_health(self.health_file)
         self.dispatcher.restore()
-        take_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
+        restore_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
         self.node = join_fleet(self.assignment, self.operator, self.store, self.clock, self.counters)
         if not self.clock.in_step():
             logger.error("the clock does not move on while the process waits")
@@ -201,7 +201,7 @@
 
     def shut_down(self) -> None:
         """End every part within the time that SIGTERM leaves; hand over if a next process has the socket."""
-        self.management_commands.taking = False
+        self.management_commands.accepts_clients = False
         logger.info("ending: {} messages stored", len(self.store.messages))
         if self.inherited is not None:
             self._hand_over()
@@ -238,10 +238,10 @@
         logger.info("{} waits for the folder of the process it replaces", self.assignment.name)
         self.greenlets.append(gevent.spawn(self.endpoint_list.watch))
         with startup_errors():
-            while not hold(self.store, replacing=True):
+            while not try_load_store(self.store, replacing=True):
                 gevent.sleep(HANDOVER_POLL_INTERVAL_S)
         logger.info("{} holds the folder", self.assignment.name)
-        self.management_commands.take_over()
+        self.management_commands.apply_saved_suspensions()
         # A list call may have failed during the wait, and no round has run yet that would have repeated it.
         self.endpoint_list.reopen_watch()
 
@@ -359,7 +359,7 @@
         if self.node is not None:
             self.node.hand_over()
             self.node.stop()
-        leave_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
+        save_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
         self.health_file.close()
         self.store.close()  # from here on the next process may take the folder
         with gevent.Timeout(HANDOVER_CLIENT_CLOSE_S, False):
--- a/tests/events/test_exchange.py
+++ b/tests/events/test_exchange.py
@@ -22,7 +22,7 @@
 from cedarwick.fleet.messages import Body, Cursor, Cursors, Matches, Stream, Subscribe, decode, encode
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.net.counters import Counters
-from cedarwick.ops.commands import Call, parse
+from cedarwick.ops.commands import Call, parse_call
 
 NAMES = ("n0", "n1", "n2")
 MATCH = 'kind = "taken" and destination = 1'
@@ -96,7 +96,7 @@
             self.talk.kill()
         self.written = []
         words = ["FOLLOW", self.name, *(f"{source}:{at}" for source, at in self.cursors.items()), "WHERE", filter_]
-        talk = self.net.members[member].answer(parse(" ".join(words).encode()))
+        talk = self.net.members[member].answer(parse_call(" ".join(words).encode()))
         assert callable(talk)
         self.talk = gevent.spawn(talk, self)
         gevent.sleep(0)
@@ -270,7 +270,7 @@
                 net.members["n0"].answer(Call("FOLLOW", told))
         self.assertRaises(CedarwickError, net.members["n0"].answer, Call("UNFOLLOW", "desk more"))
         self.assertEqual(net.members["n0"].registry.entries, {})
-        self.assertEqual(parse(b'follow desk WHERE  id =  "a  b"'), Call("FOLLOW", 'desk WHERE  id =  "a  b"'))
+        self.assertEqual(parse_call(b'follow desk WHERE  id =  "a  b"'), Call("FOLLOW", 'desk WHERE  id =  "a  b"'))
 
     def test_another_members_word_moves_no_cursor_but_its_own(self) -> None:
         net = Net()
--- a/tests/fleet/test_suspensions.py
+++ b/tests/fleet/test_suspensions.py
@@ -141,7 +141,7 @@
             set_suspended=lambda uids: setattr(self.listed, "suspended", uids),
         )
         self.management = ManagementCommands(lambda: True, Made(), self.listed, self.state, lambda: "")
-        self.management.take_over()
+        self.management.apply_saved_suspensions()
         clock: Any = Made(now=lambda: NOW)
         self.sharing = gossip.Gossip("m", FleetFiles(self.state), clock, Counters(), self.told)
         self.sharing.attach(self.management, self.listed, self.dispatcher)
@@ -155,17 +155,22 @@
 
     def test_what_another_process_wrote_stands_and_what_a_crash_tore_apart_is_not_undone(self) -> None:
         self.management.answer(Call("SUSPEND", "X"))
-        files.write(self.state, {"X": 1, "W": 1})  # the process that replaces this one
+        files.write_suspensions(self.state, {"X": 1, "W": 1})  # the process that replaces this one
         self.hear("Y")
-        self.assertEqual((files.read(self.state), self.listed.suspended), ({"W": 1, "X": 1, "Y": 1}, set("WXY")))
-        with mock.patch.object(files, "write", side_effect=KeyboardInterrupt), self.assertRaises(KeyboardInterrupt):
+        self.assertEqual(
+            (files.read_suspensions(self.state), self.listed.suspended), ({"W": 1, "X": 1, "Y": 1}, set("WXY"))
+        )
+        with (
+            mock.patch.object(files, "write_suspensions", side_effect=KeyboardInterrupt),
+            self.assertRaises(KeyboardInterrupt),
+        ):
             self.hear("Z")
         self.begin()
         self.assertNotIn("Z", self.sharing.marks.rows)  # not taken for restored here
         with mock.patch.object(FleetFiles, "write_marks", side_effect=OSError):
             self.hear("Z")
         self.begin()
-        os.unlink(os.path.join(self.state, files.SUSPENDED))
+        os.unlink(os.path.join(self.state, files.SUSPENSIONS_FILE))
         self.begin()
         self.assertEqual(self.listed.suspended, set("WXYZ"))
         with open(os.path.join(self.state, "fleet", "marks"), "wb") as file:
@@ -176,13 +181,13 @@
         self.assertEqual(self.listed.suspended, set())
 
     def test_a_full_disk_undoes_nothing(self) -> None:
-        with mock.patch.object(files, "write", side_effect=OSError):
+        with mock.patch.object(files, "write_suspensions", side_effect=OSError):
             self.management.answer(Call("SUSPEND", "X"))
             self.hear("Y")
         self.assertEqual(self.listed.suspended, {"X", "Y"})
         self.sharing.saved_at = 0
         self.sharing.look(1, (), 2)
-        self.assertEqual(files.read(self.state), {"X": 1, "Y": 1})
+        self.assertEqual(files.read_suspensions(self.state), {"X": 1, "Y": 1})
 
     def test_what_the_other_does_not_take_is_not_sent_on_and_on(self) -> None:
         self.sharing.marks.set(gossip.wall_time(), "X", 1)
--- a/tests/ops/test_ops.py
+++ b/tests/ops/test_ops.py
@@ -13,7 +13,7 @@
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint
 from cedarwick.ops import saved_state
-from cedarwick.ops.commands import MAX_LINE_BYTES, Call, InvalidCallError, Suspensions, parse
+from cedarwick.ops.commands import MAX_LINE_BYTES, Call, InvalidCallError, Suspensions, parse_call
 from cedarwick.ops.management import NotSuspendedError, UnlistedReceiverError
 from tests.build import NOW, Program, Receiver, ask, free_port, line_of, reply, sender, submit, until
 
@@ -33,9 +33,9 @@
 
 class ManagementCallsTest(unittest.TestCase):
     def test_calls_are_read_with_their_arguments(self) -> None:
-        self.assertEqual(parse(b"STATUS"), Call("STATUS", ""))
-        self.assertEqual(parse(b"suspend s-1"), Call("SUSPEND", "s-1"))
-        self.assertEqual(parse(b"  RESUME  "), Call("RESUME", ""))
+        self.assertEqual(parse_call(b"STATUS"), Call("STATUS", ""))
+        self.assertEqual(parse_call(b"suspend s-1"), Call("SUSPEND", "s-1"))
+        self.assertEqual(parse_call(b"  RESUME  "), Call("RESUME", ""))
 
     def test_bad_lines_say_why(self) -> None:
         for line, why in (
@@ -48,12 +48,12 @@
             (b"S" * (MAX_LINE_BYTES + 1), "too long"),
         ):
             with self.subTest(line=line[:20]), self.assertRaisesRegex(InvalidCallError, why):
-                parse(line)
+                parse_call(line)
 
     @given(st.binary(max_size=2 * MAX_LINE_BYTES))
     def test_any_bytes_are_a_call_or_a_reason(self, line: bytes) -> None:
         try:
-            made = parse(line)
+            made = parse_call(line)
         except InvalidCallError as error:
             self.assertTrue(str(error))
         else:
@@ -71,16 +71,19 @@
 class SavedStateTest(unittest.TestCase):
     def test_what_is_written_is_read_and_spoilt_files_are_named(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            self.assertEqual(saved_state.read(folder), {})
-            saved_state.write(folder, {"s-1": 2})
-            self.assertEqual(saved_state.read(folder), {"s-1": 2})
+            self.assertEqual(saved_state.read_suspensions(folder), {})
+            saved_state.write_suspensions(folder, {"s-1": 2})
+            self.assertEqual(saved_state.read_suspensions(folder), {"s-1": 2})
             saved_state.write_waits(folder, {"s-2": 5})
             self.assertEqual((saved_state.take_waits(folder), saved_state.take_waits(folder)), ({"s-2": 5}, {}))
             for spoilt in (b"\xff{", b"[1]", b'{"s-1": "two"}', b'{"s-1": true}'):
-                with self.subTest(spoilt=spoilt), open(os.path.join(folder, saved_state.SUSPENDED), "wb") as file:
+                with (
+                    self.subTest(spoilt=spoilt),
+                    open(os.path.join(folder, saved_state.SUSPENSIONS_FILE), "wb") as file,
+                ):
                     file.write(spoilt)
-                with self.assertRaisesRegex(saved_state.UnreadableFileError, saved_state.SUSPENDED):
-                    saved_state.read(folder)
+                with self.assertRaisesRegex(saved_state.UnreadableFileError, saved_state.SUSPENSIONS_FILE):
+                    saved_state.read_suspensions(folder)
 
 
 class ManagementAddressTest(unittest.TestCase):
--- a/tests/processes/test_sharing.py
+++ b/tests/processes/test_sharing.py
@@ -50,7 +50,7 @@
                 return {call.sender for call in fleet.history.called if call.endpoint == uid and call.first >= since}
 
             def out() -> set[int]:
-                return {member.number for member in fleet.members if uid in saved_state.read(member.state)}
+                return {member.number for member in fleet.members if uid in saved_state.read_suspensions(member.state)}
 
             fleet.load(40, rate=120)
             self.assertEqual(callers(1.5), {0, 1, 2})
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -277,7 +277,7 @@
         )
 
     def test_suspensions_and_waits(self) -> None:
-        self.assertEqual(saved_state.read(self.state), {"uid-1": 3, "uid-9": 1})
+        self.assertEqual(saved_state.read_suspensions(self.state), {"uid-1": 3, "uid-9": 1})
         self.assertEqual(saved_state.take_waits(self.state), {"uid-2": NOW + 30})
         self.assertEqual(saved_state.take_waits(self.state), {})
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -11,7 +11,7 @@
 from cedarwick.config.remedies import name, row, types
 from cedarwick.errors import CedarwickError
 from cedarwick.net.counters import Counters
-from cedarwick.ops.commands import InvalidCallError, parse
+from cedarwick.ops.commands import InvalidCallError, parse_call
 from cedarwick.ops.management_server import refusal
 from tests.build import Program, Receiver, free_port, reply
 from tests.ops.test_ops import call
@@ -78,7 +78,7 @@
 
     def test_a_refused_management_call_is_one_line_whatever_it_holds(self) -> None:
         with self.assertRaises(InvalidCallError) as caught:
-            parse(b"NONSENSE")
+            parse_call(b"NONSENSE")
         self.assertEqual(refusal(caught.exception), f"NO unknown call 'NONSENSE' [CW401: {InvalidCallError.remedy}]\n")
         self.assertEqual(refusal(InvalidCallError("a\nb\r\n  c")), f"NO a b c [CW401: {InvalidCallError.remedy}]\n")
         program, manage = self.program(), free_port()
