--- a/cedarwick/__main__.py
+++ b/cedarwick/__main__.py
@@ -1,22 +1,25 @@
-"""`python -m cedarwick`: the sender where no sub-command is given, else the command line."""
+"""`python -m cedarwick`: runs the sender, or the command line if a sub-command is given."""
 
 import signal
 import sys
 
 
 def main() -> int:
-    """The exit status. Danger: the sender runs on part of a core; the command line is loaded for others only."""
+    """Run the sender or the command line and return the exit status.
+
+    The sender gets only part of a core, so the command line is imported only for other sub-commands.
+    """
     if sys.argv[1:2] in ([], ["run"]):
-        # Danger: told of a new configuration or asked for its counters, a process that still loads would end.
-        for early in (signal.SIGHUP, signal.SIGUSR1):
-            signal.signal(early, signal.SIG_IGN)
+        # Until handlers are installed, a SIGHUP (reload) or SIGUSR1 (print counters) would end the starting process.
+        for signal_number in (signal.SIGHUP, signal.SIGUSR1):
+            signal.signal(signal_number, signal.SIG_IGN)
     if sys.argv[1:] in ([], ["run"]):
-        from cedarwick.program import main as run
+        from cedarwick.program import main as run_sender
 
-        return run()
+        return run_sender()
     from cedarwick.cli import command
 
-    command.main(prog_name="cedarwick")  # click ends the process with its own status
+    command.main(prog_name="cedarwick")  # click exits with its own status
     return 0
 
 
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -1,4 +1,4 @@
-"""One sender process: wires its parts together, starts them, reloads on SIGHUP, and ends or hands over on SIGTERM.
+"""One sender process: creates and starts its parts, reloads on SIGHUP, and drains or hands over on SIGTERM.
 
 `python -m cedarwick` and the command line call `main`. Constants that end in `_S` are in seconds.
 """
@@ -46,40 +46,40 @@
     from cedarwick.config.operator import Operator
     from cedarwick.fleet.node import FleetNode
 
-OPERATOR_FILE_VARIABLE = "CEDARWICK_OPERATOR"  # path of the operator file; if unset, the config package is not loaded
+OPERATOR_FILE_VARIABLE = "CEDARWICK_OPERATOR"  # path of the operator file; if unset, `cedarwick.config` is not imported
 
-# Seconds from SIGTERM on, if no next process has the clients' socket:
-DECIDING_AFTER_SIGTERM_S = 2.2  # stored messages are still attempted; the last second is for attempts in flight
-DRAIN_DEADLINE_S = 3.2  # the process ends; SIGKILL may follow half a second later
+# Times after SIGTERM, if no replacement process shares the clients' socket:
+DECIDING_AFTER_SIGTERM_S = 2.2  # no new attempts from then on; the remaining second is for attempts in flight
+DRAIN_DEADLINE_S = 3.2  # the process exits; SIGKILL may follow half a second later
 DRAIN_POLL_INTERVAL_S = 0.02  # between two checks whether anything is still in flight
-LAST_ANSWERS_S = 0.15  # after that, to write the answers to requests already read
+LAST_ANSWERS_S = 0.15  # after the drain, to write the answers to requests already read
 
-# Most seconds that the decisions wait for the first list; after its PONG a client waits 0.4 s for an answer.
+# Longest wait of the decisions for the first list update; after its PONG a client waits 0.4 s for an answer.
 FIRST_LIST_UPDATE_S = 0.2
-# Seconds after that in which messages are stored and answered but not attempted, unless the list arrives; then they
-# are attempted without it.
+# Longest further wait, in which messages are stored and answered but not attempted; then they are attempted without
+# the update.
 FIRST_ATTEMPT_S = 0.8
 
 
 class StartupError(CedarwickError):
-    """The system or the folder does not let the program start."""
+    """The system or the state folder prevents the start of the program."""
 
     code = "CW103"
-    remedy = "see that the addresses are free and the folder may be written, then start again"
+    remedy = "check that the addresses are free and the folder is writable, then start the sender again"
 
 
 def main() -> int:
     """Run a sender as the environment configures it.
 
-    Returns the exit status: 0, or 2 if it cannot start; the reason is then on standard error.
+    Returns the exit status: 0, or 2 if it cannot start; the reason is then written to standard error.
     """
     log_to_stderr("INFO", as_json=False)
-    replaced = gevent.event.Event()
-    # First of all: the default action of SIGHUP would end a starting process.
-    gevent.signal_handler(signal.SIGHUP, replaced.set)
+    reload_requested = gevent.event.Event()
+    # Before anything else: the default action of SIGHUP would end a starting process.
+    gevent.signal_handler(signal.SIGHUP, reload_requested.set)
     try:
-        assignment, operator = read_assignment(os.environ), read_operator()
-        return serve(assignment, operator, replaced)
+        assignment, operator = read_assignment(os.environ), load_operator_file()
+        return serve(assignment, operator, reload_requested)
     except CedarwickError as error:
         print(f"cedarwick: {error.line}", file=sys.stderr)
         return 2
@@ -91,7 +91,7 @@
     logger.add(sys.stderr, format="{level} {message}", level=level, serialize=as_json, backtrace=False, diagnose=False)
 
 
-def read_operator() -> "Operator | None":
+def load_operator_file() -> "Operator | None":
     """Load the operator file that the environment names; None if it names none.
 
     Raises a `CedarwickError` if the file cannot be used.
@@ -105,48 +105,50 @@
 
 
 def apply_operator_settings(operator: "Operator | None", counters: Counters) -> None:
-    """Apply the log and counter settings of the operator file, which may change in service."""
+    """Apply the log and counter settings of the operator file, which may change at run time."""
     if operator is not None:
         log_to_stderr(operator.log.level, operator.log.format == "json")
         counters.quiet, counters.every = operator.log.quiet_s, operator.counters.every_s
         counters.trace.enabled = operator.log.messages
 
 
-def serve(assignment: Assignment, operator: "Operator | None", replaced: gevent.event.Event) -> int:
+def serve(assignment: Assignment, operator: "Operator | None", reload_requested: gevent.event.Event) -> int:
     """Run one sender until SIGTERM or SIGINT and return its exit status.
 
-    `replaced` is set by SIGHUP: the configuration is then read again. Raises a `CedarwickError` if the sender cannot
-    start.
+    SIGHUP sets `reload_requested`: the configuration is then read again. Raises a `CedarwickError` if the sender
+    cannot start.
     """
-    process = SenderProcess(assignment, operator, replaced)
+    process = SenderProcess(assignment, operator, reload_requested)
     process.start()
-    process.stopping.wait()
+    process.stop_requested.wait()
     process.shut_down()
     return 0
 
 
 class SenderProcess:
-    """The parts of one sender, wired together here, and their life: start-up, reload, shutdown or hand-over.
+    """Creates and connects the parts of one sender, and controls their start-up, reload, and drain or hand-over.
 
-    The constructor opens the folder's store object and the listening sockets, but starts nothing.
+    The constructor creates the store object and the listening sockets, but starts nothing.
     """
 
-    connections: ConnectionPool  # this and the next three are set by `start`, once it has the folder
+    connections: ConnectionPool  # this and the next three are set by `start`, once it holds the folder
     notifier: Notifier
     health_file: HealthFile
     node: "FleetNode | None"
 
-    def __init__(self, assignment: Assignment, operator: "Operator | None", replaced: gevent.event.Event) -> None:
+    def __init__(
+        self, assignment: Assignment, operator: "Operator | None", reload_requested: gevent.event.Event
+    ) -> None:
         self.assignment = assignment
         self.operator = operator
-        self.replaced = replaced
-        self.stopping = gevent.event.Event()
-        self.greenlets: list[gevent.Greenlet] = []  # parts that run until the process ends
+        self.reload_requested = reload_requested
+        self.stop_requested = gevent.event.Event()
+        self.greenlets: list[gevent.Greenlet] = []  # run until the process ends
         self.clock, self.counters = Clock(), Counters()
         apply_operator_settings(operator, self.counters)
-        self.inherited = inherited_listener(os.environ)
+        self.inherited_socket = inherited_listener(os.environ)
         self.descriptors = DescriptorBudget(assignment.descriptors)
-        self.store = folder_of(assignment, operator, self.clock)
+        self.store = create_store(assignment, operator, self.clock)
         with startup_errors():
             self.poll_clock = PollClock(self.clock)
             self.dispatcher = self._new_dispatcher()
@@ -160,7 +162,7 @@
                 self.descriptors,
                 self.dispatcher,
                 self._ready,
-                listener=self.inherited,
+                listener=self.inherited_socket,
             )
             self.management_commands = ManagementCommands(
                 self._ready, self.client_listener, self.endpoint_list, assignment.folder, self._metrics_text
@@ -173,9 +175,9 @@
             )
 
     def start(self) -> None:
-        """Take the folder, resume its messages and start every part; raises a `CedarwickError` if that fails."""
+        """Lock the folder, resume its messages and start every part; raises a `CedarwickError` if that fails."""
         with startup_errors():
-            holds_folder = try_load_store(self.store, replacing=self.inherited is not None)
+            holds_folder = try_load_store(self.store, replacing=self.inherited_socket is not None)
         self._learn_known_list()
         self.management_commands.apply_saved_suspensions()
         if self.management is not None:
@@ -187,23 +189,23 @@
         self.dispatcher.restore_health(self.health_file)
         self.dispatcher.restore()
         restore_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
-        self.node = join_fleet(self.assignment, self.operator, self.store, self.clock, self.counters)
+        self.node = create_fleet_node(self.assignment, self.operator, self.store, self.clock, self.counters)
         if not self.clock.in_step():
             logger.error("the clock does not move on while the process waits")
-        gevent.signal_handler(signal.SIGTERM, self.stopping.set)
-        gevent.signal_handler(signal.SIGINT, self.stopping.set)
+        gevent.signal_handler(signal.SIGTERM, self.stop_requested.set)
+        gevent.signal_handler(signal.SIGINT, self.stop_requested.set)
         gevent.signal_handler(signal.SIGUSR1, self.counters.print)
-        self._spawn_parts(watch_list=holds_folder)  # if it had to wait for the folder, the watch is running already
+        self._spawn_parts(watch_list=holds_folder)  # after a wait for the folder the watch is already running
         self._start_node()
         for greenlet in self.greenlets:
-            greenlet.link_exception(broken)
+            greenlet.link_exception(exit_on_failure)
         logger.info("{} listens on {}:{}", self.assignment.name, *self.assignment.listen)
 
     def shut_down(self) -> None:
-        """End every part within the time that SIGTERM leaves; hand over if a next process has the socket."""
+        """End every part within the time that SIGTERM allows; hand over if a replacement shares the clients' socket."""
         self.management_commands.accepts_clients = False
         logger.info("ending: {} messages stored", len(self.store.messages))
-        if self.inherited is not None:
+        if self.inherited_socket is not None:
             self._hand_over()
         else:
             self._drain()
@@ -211,7 +213,7 @@
 
     def _new_dispatcher(self) -> Dispatcher:
         dispatcher = Dispatcher(self.assignment, self.clock, self.counters, self.store, self.poll_clock)
-        # Caps the back-off after a failed list call at LIST_WAIT, whatever the settings allow.
+        # Caps the backoff after a failed list call at LIST_WAIT, whatever the settings allow.
         dispatcher.sender.max_poll_backoff = min(dispatcher.sender.max_poll_backoff, LIST_WAIT)
         return dispatcher
 
@@ -219,22 +221,22 @@
         return self.endpoint_list.has_receivers and self.store.taking()
 
     def _metrics_text(self) -> str:
-        return self.counters.figures.text(*gauges(self.dispatcher, self.endpoint_list))
+        return self.counters.figures.text(*gauge_values(self.dispatcher, self.endpoint_list))
 
     def _learn_known_list(self) -> None:
-        """Start from the list of receivers saved in the assignment; raises `AssignmentError` if it is unreadable."""
+        """Start from the list of receivers saved in the assignment; raises `AssignmentError` if it is invalid."""
         if not self.assignment.known:
             return
-        # Before the watch starts: the saved list replaces the whole list, and would undo a newer update.
+        # Before the watch starts: the saved list replaces the full list and would undo a newer update.
         try:
             self.endpoint_list.apply_update(self.assignment.known, saved=True)
         except ValueError as error:
-            raise AssignmentError(f"the known list cannot be read: {error}") from None
+            raise AssignmentError(f"invalid known list: {error}") from None
 
     def _wait_for_folder(self) -> None:
         """Wait until the replaced process has released the folder; the list is watched meanwhile."""
-        # The management address already answers: the replaced process is ended, and its folder released, only once this
-        # one reports that it is ready.
+        # The management address already answers: only once this process reports that it is ready is the replaced one
+        # stopped and its folder released.
         logger.info("{} waits for the folder of the process it replaces", self.assignment.name)
         self.greenlets.append(gevent.spawn(self.endpoint_list.watch))
         with startup_errors():
@@ -242,11 +244,11 @@
                 gevent.sleep(HANDOVER_POLL_INTERVAL_S)
         logger.info("{} holds the folder", self.assignment.name)
         self.management_commands.apply_saved_suspensions()
-        # A list call may have failed during the wait, and no round has run yet that would have repeated it.
+        # A list call may have failed during the wait, and no decision round has run yet that would repeat it.
         self.endpoint_list.reopen_watch()
 
     def _connect_dispatcher(self) -> None:
-        """Create connections, notifier and attempt runner, and connect the dispatcher to them."""
+        """Create the connection pool, the notifier and the attempt runner, and connect the dispatcher to them."""
         dispatcher = self.dispatcher
         self.connections = ConnectionPool(
             self.clock,
@@ -273,11 +275,11 @@
         dispatcher.uid_of = self.endpoint_list.uid_of
 
     def _spawn_parts(self, watch_list: bool) -> None:
-        """Start the parts that run until the process ends. The order of the spawns is fixed."""
-        deciding = gevent.spawn(self._decide)
-        self.accepting = gevent.spawn(self.client_listener.accept)
-        self.greenlets += [deciding, self.accepting]
-        later = [
+        """Start the parts that run until the process ends; their order must not change."""
+        decision_greenlet = gevent.spawn(self._decide)
+        self.accept_greenlet = gevent.spawn(self.client_listener.accept)
+        self.greenlets += [decision_greenlet, self.accept_greenlet]
+        loops = [
             self.connections.sweep,
             self.notifier.run,
             self.counters.watch_lag,
@@ -285,11 +287,11 @@
             self._follow_configuration,
         ]
         if watch_list:
-            later.append(self.endpoint_list.watch)
-        self.greenlets += [gevent.spawn(part) for part in later]
+            loops.append(self.endpoint_list.watch)
+        self.greenlets += [gevent.spawn(loop) for loop in loops]
 
     def _start_node(self) -> None:
-        """Attach the fleet node, if there is one, to the parts that it uses, and start it."""
+        """Connect the fleet node, if there is one, to the parts that it uses, and start it."""
         node = self.node
         if node is None:
             return
@@ -303,7 +305,7 @@
 
     def _decide(self) -> None:
         """Run the dispatcher once the agent has answered, or after FIRST_LIST_UPDATE_S; never returns."""
-        # The saved list may be out of date: without waiting, a stored message could be attempted at a receiver that is
+        # The saved list may be out of date: without this wait a stored message could be attempted at a receiver that is
         # draining by now.
         if not self.endpoint_list.first_update.wait(FIRST_LIST_UPDATE_S):
             self.dispatcher.holding_fire = self.dispatcher.keeping = True
@@ -315,18 +317,18 @@
         self.dispatcher.queue.put((self._allow_attempts, ()))
 
     def _allow_attempts(self) -> None:
-        # Once the process is ending, attempts must stay off.
-        if not self.stopping.is_set():
+        # While the process is stopping, attempts must stay off.
+        if not self.stop_requested.is_set():
             self.dispatcher.holding_fire = self.dispatcher.keeping = False
 
     def _follow_configuration(self) -> None:
-        """Read the configuration again after each SIGHUP and apply what may change in service; never returns."""
+        """Read the configuration again after each SIGHUP and apply what may change at run time; never returns."""
         current = self.assignment
         while True:
-            self.replaced.wait()
-            self.replaced.clear()
+            self.reload_requested.wait()
+            self.reload_requested.clear()
             try:
-                assignment, operator = read_assignment(os.environ), read_operator()
+                assignment, operator = read_assignment(os.environ), load_operator_file()
             except CedarwickError as error:
                 logger.error("the configuration stays as it was: {}", error.line)
                 continue
@@ -334,7 +336,7 @@
             current = assignment
 
     def _reload(self, current: Assignment, assignment: Assignment, operator: "Operator | None") -> None:
-        """Apply what may change in service; other differences are logged and apply at the next start."""
+        """Apply the settings that may change at run time; the others are logged and take effect at the next start."""
         if assignment.platform != current.platform:
             self.endpoint_list.change_address(assignment.platform)
             self.notifier.change_address(assignment.platform)
@@ -342,7 +344,7 @@
         if self.node is not None and operator is not None and operator.fleet is not None:
             self.node.replace(operator.fleet)
         elif self.node is not None or operator is not None and operator.fleet is not None:
-            logger.error("whether this sender is a member of a fleet is taken over at a start only")
+            logger.error("a change of fleet membership takes effect only after a restart of this sender")
         self.descriptors.set_limit(assignment.descriptors)
         self.store.set_limit(assignment.disk_bytes)
         self.counters.add("configurations taken over")
@@ -353,22 +355,22 @@
         )
 
     def _hand_over(self) -> None:
-        """End at SIGTERM with a successor, which takes over the clients' socket and the folder."""
-        hand_over(self.accepting, self.client_listener, self.dispatcher, self.store)
+        """Stop at SIGTERM with a replacement process, which takes over the clients' socket and the folder."""
+        hand_over(self.accept_greenlet, self.client_listener, self.dispatcher, self.store)
         gevent.killall(self.greenlets)
         if self.node is not None:
             self.node.hand_over()
             self.node.stop()
         save_waits(self.assignment.folder, self.endpoint_list, self.dispatcher)
         self.health_file.close()
-        self.store.close()  # from here on the next process may take the folder
+        self.store.close()  # from here on the replacement may lock the folder
         with gevent.Timeout(HANDOVER_CLIENT_CLOSE_S, False):
             while self.client_listener.clients:
                 gevent.sleep(HANDOVER_POLL_INTERVAL_S)
         self.client_listener.drain_and_close(LAST_ANSWERS_S)
 
     def _drain(self) -> None:
-        """End at SIGTERM without a successor: attempt messages for a while, then wait for what is in flight."""
+        """Stop at SIGTERM without a replacement: attempt messages for a while, then wait for attempts in flight."""
         node = self.node
         if node is not None and node.session_router is not None:
             node.session_router.leave()
@@ -378,7 +380,7 @@
         with gevent.Timeout(DRAIN_DEADLINE_S - DECIDING_AFTER_SIGTERM_S, False):
             while not self._drained():
                 gevent.sleep(DRAIN_POLL_INTERVAL_S)
-        self.accepting.kill()
+        self.accept_greenlet.kill()
         self.client_listener.drain_and_close(LAST_ANSWERS_S)
         if node is not None:
             node.leave()
@@ -389,7 +391,7 @@
         self.store.close()
 
     def _drained(self) -> bool:
-        """Whether no attempt, notification, client or session move is left."""
+        """Whether no attempt, notice, client connection or session migration is left."""
         return (
             self.dispatcher.idle()
             and not self.notifier.pending
@@ -409,16 +411,21 @@
         raise StartupError(f"cannot start: {type(error).__name__}: {error}") from None
 
 
-def folder_of(assignment: Assignment, operator: "Operator | None", clock: Clock) -> Store:
+def create_store(assignment: Assignment, operator: "Operator | None", clock: Clock) -> Store:
     """Create the store of the state folder; with a fleet in the operator file, one that replicates to other members."""
-    limits = operator.store if operator is not None else None
-    durable = limits is not None and limits.durability == "group"
-    bodies = round(limits.bodies_mb * (1 << 20)) if limits is not None else BODIES
-    segment = round(limits.segment_kb * 1024) if limits is not None else 0
+    settings = operator.store if operator is not None else None
+    durable = settings is not None and settings.durability == "group"
+    body_cache_bytes = round(settings.bodies_mb * (1 << 20)) if settings is not None else BODIES
+    segment_bytes = round(settings.segment_kb * 1024) if settings is not None else 0
     fleet = operator.fleet if operator is not None else None
     if fleet is None:
         return Store(
-            assignment.folder, assignment.disk_bytes, now=clock.now, durable=durable, bodies=bodies, segment=segment
+            assignment.folder,
+            assignment.disk_bytes,
+            now=clock.now,
+            durable=durable,
+            bodies=body_cache_bytes,
+            segment=segment_bytes,
         )
     from cedarwick.fleet.replicated_store import ReplicatedStore
 
@@ -427,14 +434,14 @@
         assignment.disk_bytes,
         now=clock.now,
         durable=durable,
-        bodies=bodies,
-        segment=segment,
+        bodies=body_cache_bytes,
+        segment=segment_bytes,
         by_copy=fleet.ack == "copy",
         ack_timeout_us=round(fleet.ack_within_ms * 1000),
     )
 
 
-def join_fleet(
+def create_fleet_node(
     assignment: Assignment, operator: "Operator | None", store: Store, clock: Clock, counters: Counters
 ) -> "FleetNode | None":
     """Create the fleet node of this sender; None without a fleet. Raises `StartupError`."""
@@ -447,24 +454,24 @@
     try:
         return FleetNode(assignment.name, operator.fleet, assignment.folder, store, clock, counters)
     except OSError as error:
-        raise StartupError(f"cannot start: the fleet's address or folder: {error}") from None
+        raise StartupError(f"cannot start: cannot use the fleet's address or folder: {error}") from None
 
 
-def gauges(dispatcher: Dispatcher, endpoint_list: EndpointList) -> tuple[int, int, int]:
-    """Counts of unfinished messages, of listed receivers, and of those among them that are suspended or avoided."""
+def gauge_values(dispatcher: Dispatcher, endpoint_list: EndpointList) -> tuple[int, int, int]:
+    """Return the numbers of unfinished messages, of listed receivers, and of listed ones that get no attempts."""
     listed = {
         endpoint_list.receiver_numbers[uid]
         for uid, listing in endpoint_list.latest_listings.items()
         if listing.phase is not EndpointState.REMOVED
     }
-    avoided = {
+    skipped = {
         endpoint_list.receiver_numbers[uid] for uid in endpoint_list.suspended if uid in endpoint_list.receiver_numbers
     }
-    avoided |= {receiver.id for receiver in dispatcher.sender.receivers.values() if receiver.ejected_since}
-    return len(dispatcher.handles), len(listed), len(avoided & listed)
+    skipped |= {receiver.id for receiver in dispatcher.sender.receivers.values() if receiver.ejected_since}
+    return len(dispatcher.handles), len(listed), len(skipped & listed)
 
 
-def broken(part: gevent.Greenlet) -> None:
-    """Exit at once: a part that must run forever has failed, and the sender would look alive without working."""
-    logger.error("a part of the sender ended: {!r}", part.exception)
+def exit_on_failure(greenlet: gevent.Greenlet) -> None:
+    """Exit at once: a part that must run forever has failed, and the sender would seem alive without working."""
+    logger.error("a part of the sender ended: {!r}", greenlet.exception)
     os._exit(1)
