--- a/cedarwick/ops/commands.py
+++ b/cedarwick/ops/commands.py
@@ -1,4 +1,4 @@
-"""The line protocol of the management address, and the counted suspensions. No sockets, files or clock.
+"""The line protocol of the management address, and the counting of suspensions; without sockets, files or a clock.
 
 Used by `management_server.py` (parsing) and `management.py` (suspensions).
 """
@@ -8,14 +8,14 @@
 
 from cedarwick.errors import CedarwickError
 
-MAX_LINE_BYTES = 256  # of a call with its line end; a longer one is refused and the connection closed
-MAX_FOLLOW_LINE_BYTES = 40 << 10  # of a FOLLOW with a filter and a subscriber's cursors
+MAX_LINE_BYTES = 256  # of a call, line end included; a longer one is refused and its connection closed
+MAX_FOLLOW_LINE_BYTES = 40 << 10  # of a FOLLOW call with a filter and the subscriber's cursors
 ARGUMENT_COUNTS = {"STATUS": 0, "METRICS": 0, "SUSPEND": 1, "RESTORE": 1, "PAUSE": 0, "RESUME": 0, "MOVE": 2}
-SUBSCRIPTION_CALLS = ("FOLLOW", "UNFOLLOW")  # the rest of the line is their argument
+SUBSCRIPTION_CALLS = ("FOLLOW", "UNFOLLOW")  # their argument is the rest of the line
 
 
 class InvalidCallError(CedarwickError):
-    """A line that is no call; its text is the reason given after `NO`."""
+    """A management call is invalid; the text is the reason given after `NO`."""
 
     code = "CW401"
     remedy = (
@@ -25,30 +25,30 @@
 
 
 class NotInFleetError(CedarwickError):
-    """Events can be followed at a member of a fleet only."""
+    """Events can only be followed at a member of a fleet."""
 
     code = "CW406"
-    remedy = "give the operator file a table `[fleet]`, or follow at a sender that has one"
+    remedy = "add a table `[fleet]` to the operator file, or follow at a sender that has one"
 
 
 class SessionsDisabledError(CedarwickError):
-    """The sender belongs to no fleet that assigns sessions, so there is none to move."""
+    """The sender has no sessions that could be moved, as `fleet.sessions` is off."""
 
     code = "CW750"
     remedy = "set `sessions = true` in `[fleet]` of every member's operator file and restart them in turn"
 
 
 class Call(NamedTuple):
-    """One call: its name in capitals and its arguments separated by one space, empty if it takes none."""
+    """One call: its name in capitals and its arguments, separated by one space; empty if it takes none."""
 
     name: str
     argument: str
 
 
 def parse_call(line: bytes) -> Call:
-    """Parse one line, given without its line end.
+    """Parse one line without its line end.
 
-    Raises `InvalidCallError` if it is no valid call.
+    Raises `InvalidCallError` if the line is not a valid call.
     """
     if len(line) > max_line_bytes(line):
         raise InvalidCallError("the line is too long")
@@ -64,32 +64,32 @@
     name = words[0].upper()
     if name in SUBSCRIPTION_CALLS and len(words) > 1:
         return Call(name, text.split(maxsplit=1)[1])
-    wanted = ARGUMENT_COUNTS.get(name, 1 if name in SUBSCRIPTION_CALLS else None)
-    if wanted is None:
+    argument_count = ARGUMENT_COUNTS.get(name, 1 if name in SUBSCRIPTION_CALLS else None)
+    if argument_count is None:
         raise InvalidCallError(f"unknown call {words[0][:40]!r}")
-    if len(words) - 1 != wanted:
-        raise InvalidCallError(f"{name} takes {('no argument', 'one argument', 'two arguments')[wanted]}")
+    if len(words) - 1 != argument_count:
+        raise InvalidCallError(f"{name} takes {('no argument', 'one argument', 'two arguments')[argument_count]}")
     return Call(name, " ".join(words[1:]))
 
 
 def max_line_bytes(line: bytes) -> int:
-    """The most bytes, line end included, of a line with this beginning."""
+    """Return the maximum length, line end included, of a line with this beginning."""
     return MAX_FOLLOW_LINE_BYTES if line[:7].upper() == b"FOLLOW " else MAX_LINE_BYTES
 
 
 class Suspensions:
-    """Receivers suspended by hand: by uid, how many SUSPEND calls are in force. One RESTORE ends all of them."""
+    """Receivers suspended by operators, with the number of SUSPEND calls in force. One RESTORE ends all of them."""
 
-    def __init__(self, counted: Iterable[tuple[str, int]] = ()) -> None:
-        self.calls: dict[str, int] = {uid: count for uid, count in counted if count > 0}
+    def __init__(self, counts: Iterable[tuple[str, int]] = ()) -> None:
+        self.calls: dict[str, int] = {uid: count for uid, count in counts if count > 0}  # by uid
 
     def suspend(self, uid: str) -> int:
-        """Count one more call; returns the calls in force for this receiver."""
+        """Count one more SUSPEND call; returns the number in force for this receiver."""
         self.calls[uid] = self.calls.get(uid, 0) + 1
         return self.calls[uid]
 
     def restore(self, uid: str) -> bool:
-        """End the suspension; returns whether there was one."""
+        """End the suspension of a receiver; returns whether there was one."""
         return self.calls.pop(uid, None) is not None
 
     def __contains__(self, uid: object) -> bool:
--- a/cedarwick/ops/handover.py
+++ b/cedarwick/ops/handover.py
@@ -1,6 +1,6 @@
-"""The clients' listening socket that a process inherits when it replaces another; called at start-up.
+"""Inherits the listening socket of clients when a process replaces another; called at start-up.
 
-The platform holds the socket open meanwhile, so that no connection is refused.
+The platform keeps the socket open during the replacement, so that no connection is refused.
 """
 
 from collections.abc import Mapping
@@ -14,22 +14,22 @@
 
 
 class InheritedSocketError(CedarwickError, ValueError):
-    """The clients' socket that was to be handed over cannot be used."""
+    """The inherited listening socket of clients is unusable."""
 
     code = "CW104"
-    remedy = "hand over an open, listening TCP socket and name its descriptor, or leave RELAY_SOCKET_FD out"
+    remedy = "pass the descriptor of an open, listening TCP socket in RELAY_SOCKET_FD, or unset the variable"
 
 
 def inherited_listener(environment: Mapping[str, str]) -> gevent.socket.socket | None:
-    """The listening socket whose descriptor `$RELAY_SOCKET_FD` names; None if it is not set.
+    """Return the listening socket whose descriptor `$RELAY_SOCKET_FD` names; None if the variable is not set.
 
-    Raises `InheritedSocketError` if the descriptor is no listening TCP socket over IPv4.
+    Raises `InheritedSocketError` if the descriptor is not a listening TCP socket over IPv4.
     """
     text = environment.get(SOCKET_FD, "")
     if not text:
         return None
     if not text.isdecimal() or int(text) < FIRST_FREE_FD:
-        raise InheritedSocketError(f"{SOCKET_FD} is no descriptor: {text!r}")
+        raise InheritedSocketError(f"{SOCKET_FD} is not a descriptor: {text!r}")
     try:
         sock = gevent.socket.socket(fileno=int(text))
     except OSError as error:
@@ -43,6 +43,6 @@
     except OSError:
         usable = False
     if not usable:
-        sock.detach()  # without closing: the descriptor may belong to another part of the process
-        raise InheritedSocketError(f"{SOCKET_FD} {text} is no listening TCP socket")
+        sock.detach()  # not closed: the descriptor may belong to another part of the process
+        raise InheritedSocketError(f"{SOCKET_FD} {text} is not a listening TCP socket")
     return sock
--- a/cedarwick/ops/management.py
+++ b/cedarwick/ops/management.py
@@ -1,6 +1,6 @@
-"""The answers to management calls, from state that the parts of the sender already hold.
+"""Answers management calls from the current state of the sender.
 
-Called by `management_server.py`, from the greenlet of the caller.
+Called by `management_server.py`, in the greenlet of the caller.
 """
 
 from collections.abc import Callable
@@ -14,22 +14,22 @@
 from cedarwick.ops.commands import SUBSCRIPTION_CALLS, Call, NotInFleetError, SessionsDisabledError, Suspensions
 from cedarwick.store.files import DiskError
 
-# Writes an answer for as long as the caller stays connected, such as that to FOLLOW.
+# Writes an answer, such as that to FOLLOW, for as long as the caller stays connected.
 StreamingAnswer = Callable[[gevent.socket.socket], None]
 
 
 class UnlistedReceiverError(CedarwickError):
-    """The list names no such receiver, and none such is suspended."""
+    """No receiver with this uid is listed or suspended."""
 
     code = "CW402"
-    remedy = "give the receiver's uid as the platform's list has it"
+    remedy = "use the uid of the receiver in the platform's list"
 
 
 class NotSuspendedError(CedarwickError):
-    """A receiver that is to be restored was not suspended."""
+    """The receiver to be restored is not suspended."""
 
     code = "CW403"
-    remedy = "nothing to do here; what is suspended stands in suspended.json of the sender's folder"
+    remedy = "see suspended.json in the state folder for the receivers that are suspended"
 
 
 class PausableListener(Protocol):
@@ -50,7 +50,7 @@
     """The part of the endpoint list that SUSPEND and RESTORE use."""
 
     def knows(self, uid: str) -> bool:
-        """Whether the list names this receiver."""
+        """Whether this receiver is listed."""
         ...
 
     def set_suspended(self, uids: set[str]) -> None:
@@ -59,7 +59,7 @@
 
 
 class ManagementCommands:
-    """Answers management calls; STATUS reads a flag and never waits on the dispatcher."""
+    """Answers management calls; STATUS reads a flag and never waits for the dispatcher."""
 
     def __init__(
         self,
@@ -74,12 +74,11 @@
         self.listener = listener
         self.endpoints = endpoints
         self.folder = folder
-        self.on_suspension_change: Callable[[str, int], None] = (
-            lambda *_: None
-        )  # called after each change made here: uid, calls in force or 0
+        # Called after each SUSPEND and RESTORE at this sender, with the uid and the number of calls in force.
+        self.on_suspension_change: Callable[[str, int], None] = lambda *_: None
         self.subscription_handler: Callable[[Call], str | StreamingAnswer] = refuse_subscription
         self.move_handler: Callable[[Call], str] = refuse_move
-        self.accepts_clients = False  # whether this process accepts clients, or will once it has the folder
+        self.accepts_clients = False  # whether this process accepts clients, or will once it holds the folder
 
     def answer(self, call: Call) -> str | StreamingAnswer:
         """Answer one call; raises a `CedarwickError` with the reason if it is refused."""
@@ -104,7 +103,7 @@
         return self.metrics_text() + "END\n"
 
     def apply_saved_suspensions(self) -> None:
-        """Suspend the receivers named in the saved file; called at start-up and again once the folder is taken."""
+        """Apply the saved suspensions; called at start-up and again once the folder is held."""
         try:
             self.endpoints.set_suspended(set(saved_state.read_suspensions(self.folder)))
         except saved_state.UnreadableFileError as error:
@@ -113,7 +112,7 @@
     def _suspend_or_restore(self, call: Call) -> str:
         uid = call.argument
         try:
-            # Read the file each time: a process that replaces this one, or is replaced, may have changed it meanwhile.
+            # Read the file each time: a process that replaces this one, or is replaced by it, may have changed it.
             suspensions = Suspensions(saved_state.read_suspensions(self.folder).items())
         except saved_state.UnreadableFileError as error:
             logger.error("the receivers taken out by hand cannot be read: {}", error.line)
@@ -132,7 +131,7 @@
         return answer
 
     def save_suspensions(self, calls: dict[str, int]) -> bool:
-        """Suspend exactly the receivers of these calls from now on; returns whether the file could be written."""
+        """Suspend exactly these receivers and save their calls; returns whether the file was written."""
         written = True
         try:
             saved_state.write_suspensions(self.folder, calls)
@@ -144,7 +143,7 @@
 
 
 def refuse_move(call: Call) -> str:
-    """Refuse MOVE at a sender that holds no sessions."""
+    """Refuse MOVE at a sender without sessions."""
     raise SessionsDisabledError(f"{call.name} at a sender whose `fleet.sessions` is off")
 
 
--- a/cedarwick/ops/process_handover.py
+++ b/cedarwick/ops/process_handover.py
@@ -1,4 +1,4 @@
-"""Replacing a process in service: what the old process leaves in the folder, and what the next one takes over.
+"""Hand-over from a running process to its replacement through the state folder.
 
 Called by `program.py` at start-up and at SIGTERM. Constants that end in `_S` are in seconds.
 """
@@ -13,21 +13,21 @@
 from cedarwick.store.files import DiskError, FolderInUseError
 from cedarwick.store.journal import Store
 
-# Longest duration of each step, one after the other, from SIGTERM on if the next process has the clients' socket:
+# Maximum duration of the consecutive steps after SIGTERM, if a replacement process shares the clients' socket:
 HANDOVER_IDLE_S = 0.2  # for requests already read to be answered and attempts in flight to end
-HANDOVER_ANSWERS_S = 0.05  # for answers being written; then the next process may take the folder
-HANDOVER_CLIENT_CLOSE_S = 1.1  # for clients with their last answer to close
-HANDOVER_POLL_INTERVAL_S = 0.01  # between two checks of the folder, or of what is still in flight or connected
+HANDOVER_ANSWERS_S = 0.05  # for pending answers; then the replacement may lock the folder
+HANDOVER_CLIENT_CLOSE_S = 1.1  # for clients to close after their last answer
+HANDOVER_POLL_INTERVAL_S = 0.01  # between two checks of the folder, of attempts in flight or of connections
 
 
 def save_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-    """Save the Retry-After waits of receivers for the next process; called before the folder is released.
+    """Save the Retry-After waits of receivers for the replacement process; called before the folder is released.
 
-    A failed write is logged only.
+    A failed write is only logged.
     """
     uids = endpoint_list.uids_by_number
-    running = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
-    waits = {uids[receiver]: until for receiver, until in running if receiver in uids}
+    current_waits = dispatcher.sender.retry_after_waits(dispatcher.clock.now())
+    waits = {uids[receiver]: until for receiver, until in current_waits if receiver in uids}
     try:
         saved_state.write_waits(folder, waits)
     except OSError as error:
@@ -35,7 +35,7 @@
 
 
 def restore_waits(folder: str, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
-    """Apply the Retry-After waits that the replaced process saved; the saved list must have been learned before."""
+    """Apply the Retry-After waits that the replaced process saved; the saved endpoint list must be applied before."""
     try:
         waits = saved_state.take_waits(folder)
     except saved_state.UnreadableFileError as error:
@@ -51,9 +51,9 @@
 
 
 def try_load_store(store: Store, replacing: bool) -> bool:
-    """Lock and read the folder; returns False if the replaced process still has it.
+    """Lock and load the folder; returns False if the replaced process still holds it.
 
-    Raises what `Store.load` raises; `FolderInUseError` only if no process is being replaced.
+    Raises what `Store.load` raises, but `FolderInUseError` only if no process is being replaced.
     """
     try:
         store.load()
@@ -65,13 +65,13 @@
 
 
 def hand_over(
-    accepting: gevent.Greenlet, client_listener: ClientListener, dispatcher: Dispatcher, store: Store
+    accept_greenlet: gevent.Greenlet, client_listener: ClientListener, dispatcher: Dispatcher, store: Store
 ) -> None:
-    """Stop accepting clients and finish or cancel what is in flight, so that the next process may take the folder."""
-    accepting.kill()
-    client_listener.listener.close()  # only this process's descriptor: the platform's socket stays open
-    # The next process accepts no client while this one has the folder, and clients wait 400 ms at most. Until then
-    # open connections are served, each closed after its answer; messages are stored, not attempted.
+    """Stop accepting clients and finish or cancel attempts, so that the replacement may lock the folder."""
+    accept_greenlet.kill()
+    client_listener.listener.close()  # only the descriptor of this process; the platform keeps the socket open
+    # The replacement accepts no clients while this process holds the folder, and clients wait 400 ms at most. Until
+    # then open connections are served and closed after their answer; messages are stored but not attempted.
     client_listener.accept_while_closing = client_listener.closing = True
     dispatcher.hold_fire(keeping=True)
     with gevent.Timeout(HANDOVER_IDLE_S, False):
@@ -87,5 +87,5 @@
         len(store.messages),
         len(dispatcher.attempts.in_flight),
     )
-    # The next process may attempt these messages again: a call that still completed here would be a second copy.
+    # The replacement may repeat these attempts: a call that completed here later would deliver a second copy.
     gevent.killall(list(dispatcher.attempts.in_flight))
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -14,7 +14,7 @@
 from cedarwick.ops.commands import InvalidCallError, parse_call
 from cedarwick.ops.management_server import refusal
 from tests.build import Program, Receiver, free_port, reply
-from tests.ops.test_ops import call
+from tests.ops.test_ops import management_call
 
 ROW = re.compile(r"\| CW\d{3} \|.*\|")
 OUTSIDE = re.compile(r"\| `([\w.]+)` \|")
@@ -84,7 +84,7 @@
         program, manage = self.program(), free_port()
         program.start(RELAY_MANAGEMENT=f"127.0.0.1:{manage}")
         for line, code in ((b"NONSENSE\n", b"CW401"), (b"SUSPEND s-9\n", b"CW402"), (b"RESTORE s-0\n", b"CW403")):
-            self.assertRegex(call(manage, line), rb"\ANO [^\n]+ \[" + code + rb": [^\n]+\]\n\Z")
+            self.assertRegex(management_call(manage, line), rb"\ANO [^\n]+ \[" + code + rb": [^\n]+\]\n\Z")
 
     def test_a_log_line_shows_the_code_and_braces_in_a_text_are_no_fields(self) -> None:
         lines: list[str] = []
