--- a/tests/build.py
+++ b/tests/build.py
@@ -1,4 +1,4 @@
-"""Builds the states that the tests need, and the stand-ins that the program speaks to."""
+"""Test fixtures: decision states, fake receivers and a fake platform, and the program as a subprocess."""
 
 import contextlib
 import http.server
@@ -62,31 +62,33 @@
 
 
 def sender(receivers: int = 1, kind: int = 0, rate: float = 0.0, **settings: str) -> Sender:
-    """A sender whose destination 7 has receivers 1, 2, ...; a dot in a name is written as two underscores."""
-    more = {name.replace("__", ".").replace("_", "-"): value for name, value in settings.items()}
-    made = Sender({**SETTINGS, **more}, 5, NOW)
-    lines = [ListedEndpoint(1 + n, 0, kind, 7, EndpointState.READY, rate) for n in range(receivers)]
-    made.listed(NOW, EndpointUpdate.CACHED, lines)
-    return made
+    """Create a sender whose destination 7 has receivers 1, 2, ...; settings write a dot as two underscores."""
+    overrides = {name.replace("__", ".").replace("_", "-"): value for name, value in settings.items()}
+    decisions = Sender({**SETTINGS, **overrides}, 5, NOW)
+    listings = [ListedEndpoint(1 + n, 0, kind, 7, EndpointState.READY, rate) for n in range(receivers)]
+    decisions.listed(NOW, EndpointUpdate.CACHED, listings)
+    return decisions
 
 
-def take(made: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
-    return made.accept(now, message, 7, priority_class, now + 16_000 * MS, 0, key)
+def take(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
+    """Accept a message for destination 7."""
+    return decisions.accept(now, message, 7, priority_class, now + 16_000 * MS, 0, key)
 
 
-def out(made: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
-    """A message whose first attempt is out."""
-    handle = take(made, message, priority_class, key, now)
-    made.decide(now)
+def out(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
+    """Accept a message and start its first attempt."""
+    handle = take(decisions, message, priority_class, key, now)
+    decisions.decide(now)
     return handle
 
 
 def end(handle: Handle, outcome: Outcome, now: int, retry_after: int = 0, receiver: int = 1) -> None:
+    """End the last attempt of a message with an outcome."""
     last = outcome is Outcome.COMPLETED
     handle.attempt_ended(now, outcome, handle.attempts - 1, receiver, 100 * MS, retry_after, last, ())
 
 
-# ---- stand-ins for the other parties, and the program itself ----
+# ---- fakes of the other parties, and the program itself ----
 
 NESTED = {
     "balancers": 1,
@@ -106,52 +108,52 @@
 
 
 def dispatcher_alone(case: unittest.TestCase, settings: dict[str, Any]) -> tuple[Assignment, Store, Dispatcher]:
-    """A dispatcher over a folder of its own: nested settings, one receiver at destination 0, nobody around it."""
+    """Create a dispatcher with a folder of its own and one receiver at destination 0, but no attempts or clients."""
     folder = tempfile.TemporaryDirectory()
     case.addCleanup(folder.cleanup)
     clock = Clock()
     store = Store(folder.name, 120_000, now=clock.now)
     store.load()
     case.addCleanup(store.close)
-    made = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, flatten_settings(settings))
-    dispatcher = Dispatcher(made, clock, Counters(), store, PollClock(clock))
+    config = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, flatten_settings(settings))
+    dispatcher = Dispatcher(config, clock, Counters(), store, PollClock(clock))
     dispatcher.notices = Notifier(("", 0), Counters(), lambda numbers: None)
     dispatcher.free_links = lambda receiver: None
     dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
-    return made, store, dispatcher
+    return config, store, dispatcher
 
 
-MOST_RESERVED = 64  # ports that are held at once; the program listens on its own long before so many more are asked for
-RESERVED: deque[ReservedPort] = deque()
+MAX_RESERVED_PORTS = 64  # the program listens on a port long before this many later ones are reserved
+RESERVED_PORTS: deque[ReservedPort] = deque()
 
 
 def free_port() -> int:
-    """A free port of 127.0.0.1, held so that no other socket gets it before the program listens on it."""
-    RESERVED.append(ReservedPort("127.0.0.1"))
-    if len(RESERVED) > MOST_RESERVED:
-        RESERVED.popleft().release()
-    return RESERVED[-1].number
-
-
-def until(true: Callable[[], Any], seconds: float = 8.0) -> Any:
-    """What the call returns once that is true; the test fails after a while."""
-    end_at = time.monotonic() + seconds
-    while not (found := true()):
-        if time.monotonic() > end_at:
-            raise AssertionError("it did not happen in time")
+    """Return a free port of 127.0.0.1, reserved so that no other socket gets it before the program listens on it."""
+    RESERVED_PORTS.append(ReservedPort("127.0.0.1"))
+    if len(RESERVED_PORTS) > MAX_RESERVED_PORTS:
+        RESERVED_PORTS.popleft().release()
+    return RESERVED_PORTS[-1].number
+
+
+def until(condition: Callable[[], Any], timeout_s: float = 8.0) -> Any:
+    """Wait until the condition returns a true value, and return it; fails the test after a timeout."""
+    deadline = time.monotonic() + timeout_s
+    while not (result := condition()):
+        if time.monotonic() > deadline:
+            raise AssertionError("the condition did not become true in time")
         time.sleep(0.01)
-    return found
+    return result
 
 
 Answering = bytes | None | Callable[[int], bytes | None]
 
 
 class Receiver:
-    """A partner's endpoint: keeps each call, and answers always alike or by the call's number; None hangs."""
+    """A partner's endpoint that records calls and answers with fixed bytes or by call number; None: no answer."""
 
     def __init__(self, answer: Answering) -> None:
         self.answer = answer
-        self.calls: list[tuple[float, bytes, bytes]] = []  # when, head, body
+        self.calls: list[tuple[float, bytes, bytes]] = []  # monotonic time, head, body
         self.connections = 0
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.port = int(self.listener.getsockname()[1])
@@ -160,7 +162,7 @@
     def close(self) -> None:
         """Refuse connections from now on."""
         with contextlib.suppress(OSError):
-            self.listener.shutdown(socket.SHUT_RDWR)  # a close alone leaves a blocked accept listening
+            self.listener.shutdown(socket.SHUT_RDWR)  # a close alone does not end a blocked accept
         self.listener.close()
 
     def _accept(self) -> None:
@@ -183,19 +185,20 @@
                 self.calls.append((time.monotonic(), head, stream.read(size)))
                 reply = self.answer(len(self.calls)) if callable(self.answer) else self.answer
                 if reply is None:
-                    continue  # a hang: it takes the call and says nothing
+                    continue  # accepts the call without an answer
                 sock.sendall(reply)
                 if b"connection: close" in reply.lower():
                     return
 
 
 def reply(status: int, *lines: str, body: bytes = b"") -> bytes:
+    """Build an HTTP answer with further header lines."""
     head = "\r\n".join([f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *lines])
     return head.encode() + b"\r\n\r\n" + body
 
 
 class Platform(http.server.ThreadingHTTPServer):
-    """The platform: the endpoint list with its watch, and the notices that are posted to `/status`."""
+    """A fake platform: serves the endpoint list and its watch, and accepts the notices posted to `/status`."""
 
     daemon_threads = True
 
@@ -205,10 +208,10 @@
         self.targets = targets
         self.notices: list[dict[str, Any]] = []
         self.watches = 0
-        self.silent = False  # a watch says nothing after its first line
+        self.silent = False  # watches send nothing after their first line
         self.posts = 0
-        self.deaf = False  # posts get no answer
-        self.refusals = 0  # so many posts are answered 500 first
+        self.deaf = False  # posts are not answered
+        self.refusals = 0  # number of posts to answer with 500 first
         threading.Thread(target=self.serve_forever, args=(0.05,), daemon=True).start()
 
 
@@ -216,7 +219,7 @@
     protocol_version = "HTTP/1.1"
     server: Platform
 
-    def do_GET(self) -> None:  # noqa: N802 (the name that http.server calls)
+    def do_GET(self) -> None:  # noqa: N802 (required by http.server)
         self.send_response(200)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
@@ -252,7 +255,7 @@
 
 
 class Program:
-    """`python -m cedarwick` with a folder that outlives its processes."""
+    """Runs `python -m cedarwick`; its state folder outlives the processes."""
 
     def __init__(self, receivers: list[Receiver], **limits: float) -> None:
         self.receivers = receivers
@@ -261,7 +264,7 @@
         self.reserved = ReservedPort("127.0.0.1")
         self.port = self.reserved.number
         self.process: subprocess.Popen[str] | None = None
-        self.command = ("-m", "cedarwick")  # what the interpreter is started with
+        self.command = ("-m", "cedarwick")  # arguments of the interpreter
         platform = f"127.0.0.1:{self.platform.server_address[1]}"
         self.configuration: dict[str, Any] = {
             "name": "t0",
@@ -275,9 +278,9 @@
         os.mkdir(self.path("state"))
         self.configure()
 
-    def configure(self, **news: Any) -> None:
-        """Write the configuration, with what is new in it."""
-        self.configuration.update(news)
+    def configure(self, **changes: Any) -> None:
+        """Write the configuration with these changes."""
+        self.configuration.update(changes)
         with open(self.path("config.json"), "w", encoding="utf-8") as file:
             json.dump(self.configuration, file)
 
@@ -302,11 +305,11 @@
             until(self._ready)
         except AssertionError as error:
             if self.process.poll() is None:
-                raise AssertionError(f"{error}: the program runs and does not say +PONG") from None
-            raise AssertionError(f"{error}: the program ended: {self.process.communicate()[1]}") from None
+                raise AssertionError(f"{error}: the program runs, but does not answer +PONG") from None
+            raise AssertionError(f"{error}: the program exited: {self.process.communicate()[1]}") from None
 
     def spawn(self, fds: tuple[int, ...] = (), **variables: str) -> "subprocess.Popen[str]":
-        """One more process of this sender, with these descriptors inherited."""
+        """Start another process of this sender, which inherits these descriptors."""
         environment = {
             **os.environ,
             "RELAY_CONFIG": self.path("config.json"),
@@ -342,7 +345,7 @@
         self.process.communicate()
 
     def terminate(self) -> tuple[int, str]:
-        """The exit status and the log."""
+        """Stop the process with SIGTERM and return its exit status and log."""
         assert self.process is not None
         self.process.terminate()
         log = self.process.communicate(timeout=10)[1]
@@ -360,15 +363,18 @@
 
 
 def words(*parts: bytes) -> bytes:
+    """Encode a RESP2 command."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
 def submit(message: str, priority_class: str = "free", d: int = 8000, dest: int = 0, body: bytes = b"x") -> bytes:
+    """Encode a SUBMIT command; `d` is the time until the deadline in milliseconds."""
     pairs = f"c={priority_class},d={d},dest={dest}".encode()
     return words(b"SUBMIT", b"0000000000000000", message.encode(), pairs, body)
 
 
 def line_of(sock: socket.socket) -> bytes:
+    """Read one line; shorter at the end of the connection."""
     line = b""
     while not line.endswith(b"\n") and (byte := sock.recv(1)):
         line += byte
@@ -376,5 +382,6 @@
 
 
 def ask(sock: socket.socket, *parts: bytes) -> bytes:
+    """Send a RESP2 command and read its answer."""
     sock.sendall(words(*parts))
     return line_of(sock)
