--- a/cedarwick/net/client_connections.py
+++ b/cedarwick/net/client_connections.py
@@ -19,7 +19,7 @@
 
 # A client must see an error or a close within 3 s of connecting; one without an open request may be closed after 2 s.
 FIRST_REQUEST_TIMEOUT_S = 2.2  # until the first byte of the first request
-# A new client that has been silent for this long is closed before all others.
+# A new client that has been silent for this long is closed before clients that were served.
 LATE_FIRST_REQUEST_US = round(FIRST_REQUEST_TIMEOUT_S * 900_000)
 NEXT_REQUEST_TIMEOUT_S = 4.0  # until the first byte of a later request
 SLOW_REQUEST_S = 0.3  # without input on an incomplete request; its descriptor may then be reclaimed
--- a/cedarwick/net/client_listener.py
+++ b/cedarwick/net/client_listener.py
@@ -164,7 +164,7 @@
                 self.descriptors.claim()
                 try:
                     sock, peer = self.listener.accept()
-                except OSError:  # the queue is empty, or another process has accepted the connection
+                except OSError:  # the queue is empty, or the listener was handed over and is closed here
                     self.descriptors.give_back()
                     return
                 self._start_serving(sock, peer)
--- a/cedarwick/ops/management.py
+++ b/cedarwick/ops/management.py
@@ -137,7 +137,7 @@
             saved_state.write_suspensions(self.folder, calls)
         except OSError as error:
             written = False
-            logger.error(DiskError(f"the receivers taken out by hand cannot be saved: {error}").line)
+            logger.error(DiskError(f"cannot save the suspended receivers: {error}").line)
         self.endpoints.set_suspended(set(calls))
         return written
 
