--- a/cedarwick/net/endpoint_list.py
+++ b/cedarwick/net/endpoint_list.py
@@ -20,7 +20,7 @@
 from cedarwick.net.json_objects import JsonObjectReader
 from cedarwick.net.sockets import open_connection
 
-PHASES_BY_STATE = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
+ENDPOINT_STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
 CONNECT_TIMEOUT_S = 1.0  # for a connection to the platform
 ANSWER_TIMEOUT_S = 1.0  # for the status of the answer to a list call; a working agent answers at once
 LINE_TIMEOUT_S = 4.2  # for a complete line; the agent sends an empty one every 2 s, so two are missing
@@ -109,7 +109,7 @@
                 listing = self.latest_listings[uid]  # a receiver missing from a full list would count as removed
             self.latest_listings[uid] = listing
             listings.append(self._with_suspension(uid, listing))
-            if listing.phase is not EndpointState.REMOVED:
+            if listing.endpoint_state is not EndpointState.REMOVED:
                 present.add(uid)
         if is_full and not listings and self.has_receivers:
             # The list of a restarting platform is empty for a moment; accepting it would stop all traffic.
@@ -157,8 +157,8 @@
             self.report_update(EndpointUpdate.DELTA, listings)
 
     def _with_suspension(self, uid: str, listing: ListedEndpoint) -> ListedEndpoint:
-        is_suspended = uid in self.suspended and listing.phase is EndpointState.READY
-        return listing._replace(phase=EndpointState.DRAINING) if is_suspended else listing
+        is_suspended = uid in self.suspended and listing.endpoint_state is EndpointState.READY
+        return listing._replace(endpoint_state=EndpointState.DRAINING) if is_suspended else listing
 
     def uid_of(self, receiver: int) -> str:
         """Return the uid of a receiver by its number; empty if the receiver is not known."""
@@ -286,19 +286,19 @@
         return raw.fill(sock)
 
     def _listing(self, uid: str, entry: dict[str, Any]) -> ListedEndpoint:
-        phase = PHASES_BY_STATE.get(entry["state"])
-        if phase is None:
+        endpoint_state = ENDPOINT_STATES.get(entry["state"])
+        if endpoint_state is None:
             raise ValueError(f"unknown state {entry['state']!r}")
         try:
             listed_address = (
                 parse_address(str(entry["endpoint"]))
-                if phase is not EndpointState.REMOVED or "endpoint" in entry
+                if endpoint_state is not EndpointState.REMOVED or "endpoint" in entry
                 else None
             )
             group = int(entry.get("pod_group", 0))
             zone, kind = setting_index(self.zones, entry.get("az")), setting_index(self.kinds, entry.get("model"))
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-            if phase is EndpointState.READY or uid not in self.latest_listings:
+            if endpoint_state is EndpointState.READY or uid not in self.latest_listings:
                 raise
             # An unreadable field must not hide a drain or removal in the same line.
             self.counters.warning(
@@ -310,11 +310,13 @@
             self.uids_by_number[self.next_number] = uid
             self.next_number += 1
         number = self.receiver_numbers[uid]
-        if phase is EndpointState.REMOVED:
+        if endpoint_state is EndpointState.REMOVED:
             self.removed_at.setdefault(uid, time.monotonic())
         if listed_address is not None:
             self.addresses[number] = listed_address
-        return ListedEndpoint(number, zone, kind, group, phase, self._rate(uid, entry.get("capacity_hint", 0.0)))
+        return ListedEndpoint(
+            number, zone, kind, group, endpoint_state, self._rate(uid, entry.get("capacity_hint", 0.0))
+        )
 
     def _rate(self, uid: str, hint: object) -> float:
         """Return the listed rate in calls per second; if it is invalid, the one listed before, or 0."""
--- a/tests/build.py
+++ b/tests/build.py
@@ -66,7 +66,7 @@
     overrides = {name.replace("__", ".").replace("_", "-"): value for name, value in settings.items()}
     decisions = Sender({**SETTINGS, **overrides}, 5, NOW)
     listings = [ListedEndpoint(1 + n, 0, kind, 7, EndpointState.READY, rate) for n in range(receivers)]
-    decisions.listed(NOW, EndpointUpdate.CACHED, listings)
+    decisions.apply_endpoint_list(NOW, EndpointUpdate.CACHED, listings)
     return decisions
 
 
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -15,7 +15,7 @@
 
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate
 from cedarwick.decisions.policy import Sender
-from cedarwick.decisions.sender_state import LIST_WAIT
+from cedarwick.decisions.sender_state import MAX_LIST_POLL_DELAY
 from cedarwick.decisions.state import SECOND
 from cedarwick.net import endpoint_list as module
 from tests.build import NESTED, NOW, SETTINGS, Program, Receiver, free_port, line_of, reply, submit, until
@@ -194,7 +194,7 @@
         phase_by_uid: dict[str, EndpointState] = {}
         for change, listings in self.updates:
             phase_by_uid = phase_by_uid if change is EndpointUpdate.DELTA else {}
-            phase_by_uid.update({uids[listing.receiver]: listing.phase for listing in listings})
+            phase_by_uid.update({uids[listing.receiver]: listing.endpoint_state for listing in listings})
         marks = {EndpointState.READY: "+", EndpointState.DRAINING: "-", EndpointState.REMOVED: "x"}
         return " ".join(uid + marks[phase] for uid, phase in sorted(phase_by_uid.items()))
 
@@ -417,8 +417,8 @@
             self.assertLess(time.monotonic() - held_at, 1.0)
 
     def test_the_longest_backoff_and_the_timeouts_add_up_to_less_than_6_s(self) -> None:
-        self.assertLess(module.CONNECT_TIMEOUT_S + LIST_WAIT / SECOND, 5.5)
-        self.assertLess(module.ANSWER_TIMEOUT_S + LIST_WAIT / SECOND, 5.5)
+        self.assertLess(module.CONNECT_TIMEOUT_S + MAX_LIST_POLL_DELAY / SECOND, 5.5)
+        self.assertLess(module.ANSWER_TIMEOUT_S + MAX_LIST_POLL_DELAY / SECOND, 5.5)
 
 
 if __name__ == "__main__":
--- a/tests/ops/test_ops.py
+++ b/tests/ops/test_ops.py
@@ -247,17 +247,25 @@
 class ReturnAfterDrainTest(unittest.TestCase):
     def test_a_receiver_back_after_a_drain_is_ramped(self) -> None:
         decisions = sender()
-        decisions.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
+        decisions.apply_endpoint_list(
+            NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)]
+        )
         decisions.decide(NOW)
         returned_at = NOW + 3_000_000  # longer than rules.fall-ms
-        decisions.listed(returned_at, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)])
+        decisions.apply_endpoint_list(
+            returned_at, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)]
+        )
         self.assertEqual(decisions.receivers[1].recovered_at, returned_at)
 
     def test_a_receiver_back_after_a_moment_is_not_ramped(self) -> None:
         decisions = sender()
-        decisions.listed(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
+        decisions.apply_endpoint_list(
+            NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)]
+        )
         decisions.decide(NOW)
-        decisions.listed(NOW + 500_000, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)])
+        decisions.apply_endpoint_list(
+            NOW + 500_000, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.READY, 0.0)]
+        )
         self.assertEqual(decisions.receivers[1].recovered_at, 0)
 
 
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -151,8 +151,8 @@
             repeated_in = set()
             for _ in range(4):
                 for handle in second.dispatcher.handles.values():
-                    handle.due = 0
-                second.dispatcher.sender.turns.all_rest = 0
+                    handle.not_before = 0
+                second.dispatcher.sender.order_key_queues.all_paused_until = 0
                 second.dispatcher._decide()
                 for call in second.calls:
                     repeated_in.add(second.receiver_of(call))
@@ -257,7 +257,7 @@
                 )
                 for _ in range(3):
                     for handle in second.dispatcher.handles.values():
-                        handle.due = 0
+                        handle.not_before = 0
                     second.dispatcher._decide()
                     for call in second.calls:
                         self.assertTrue(second.is_cleared(call))
@@ -333,7 +333,7 @@
         for max_open, room, count in (("100", 1 << 62, 98), ("8", 1 << 62, 98), ("8", 1, 60), ("100", 1, 1)):
             with self.subTest(max_open=max_open, room=room, count=count):
                 decisions = sender(policy_limits__max_open=max_open, family_info__max_calls="1")
-                decisions.room = room
+                decisions.storable_messages = room
                 decisions.restore(
                     NOW,
                     [UnfinishedMessage(number, 7, number % 3, NOW + 8_000 * MS, 0, 0, ()) for number in range(count)],
@@ -343,10 +343,9 @@
                     verdicts = decisions.decide(now)
                     self.assertEqual((verdicts.nacks, verdicts.abandoned), ([], []))
                     untried -= {number for number, _, _ in verdicts.attempts}
-                self.assertEqual(
-                    len(untried), max(0, count - 1)
-                )  # the first attempt keeps the only slot; all other messages still wait
-                decisions.room = 0
+                # The first attempt keeps the only slot; all other messages still wait.
+                self.assertEqual(len(untried), max(0, count - 1))
+                decisions.storable_messages = 0
                 take(decisions, 1000)
                 self.assertTrue(decisions.decide(NOW + 4_000 * MS).nacks)  # new messages are limited as before
 
@@ -446,7 +445,7 @@
             self.fixture.counters.counts,
         )
         self.priority_class = self.dispatcher.sender.priority_classes[0]
-        self.priority_class.idempotent, self.priority_class.window = False, 1_000_000  # numbered
+        self.priority_class.idempotent, self.priority_class.dedup_window = False, 1_000_000  # numbered
 
     def hook_clearance(
         self, before: Callable[[AttemptCall], None], after: Callable[[AttemptCall], None] = lambda call: None
@@ -470,7 +469,7 @@
 
         def set_ran_at(call: AttemptCall) -> None:
             handle = self.dispatcher.handles[call.message.number]
-            handle.ran_at = handle.ran_at or self.fixture.clock.now() + remaining_us - self.priority_class.window
+            handle.ran_at = handle.ran_at or self.fixture.clock.now() + remaining_us - self.priority_class.dedup_window
 
         return set_ran_at
 
@@ -483,7 +482,7 @@
                     self.fixture.clock.base += 0 if is_sent else 3_000_000_000
 
                 self.hook_clearance(self.open_window(3_000_000), advance_clock)
-                self.priority_class.window = 4_000_000
+                self.priority_class.dedup_window = 4_000_000
                 self.fixture.submit("a")
                 self.wait_until(lambda: self.partner.arrived or self.fixture.store.messages[1].end)
                 self.assertEqual([name for _, name in self.partner.arrived], ["a"] * is_sent)
