--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -90,8 +90,8 @@
         self.dispatcher = self.migrations.dispatcher = dispatcher
         self.restore_sessions()
         self.client_listener = client_listener
-        client_listener.hand_in = self.hand_in
-        commands.moves = self.move_on_command
+        client_listener.submit_message = self.hand_in
+        commands.move_handler = self.move_on_command
 
     def stop(self) -> None:
         """Close the connections to the other members."""
--- a/cedarwick/net/dispatch_attempts.py
+++ b/cedarwick/net/dispatch_attempts.py
@@ -21,7 +21,7 @@
         self.clearance_requests.append((call, answer))
 
     def _decide_clearance(self, call: AttemptCall, answer: gevent.event.AsyncResult) -> None:
-        call.polled_at = self.poll_clock.at
+        call.polled_at = self.poll_clock.last_poll_at
         now, number = self.clock.now(), call.message.number
         handle = self.handles.get(number)
         may_send = startable = handle is not None and handle.may_start(now, call.receiver) and not self.attempts_stopped
--- a/cedarwick/net/dispatch_final_answers.py
+++ b/cedarwick/net/dispatch_final_answers.py
@@ -32,7 +32,7 @@
             self.uncopied_ends.add(number)
             self._post_after_replication(stored)
         else:
-            self.notices.post(number, stored.id, rejected, wait_ms)
+            self.notices.enqueue(number, stored.id, rejected, wait_ms)
 
     def _post_after_replication(self, stored: StoredMessage) -> None:
         """Post the final answer once another sender has a copy of it.
@@ -49,7 +49,7 @@
                 and stored.number in self.uncopied_ends
             ):
                 self.uncopied_ends.discard(stored.number)
-                self.notices.post(stored.number, stored.id, *stored.final_answer)
+                self.notices.enqueue(stored.number, stored.id, *stored.final_answer)
 
         def retry() -> None:
             if stored.number in self.store.messages and stored.number in self.uncopied_ends:
@@ -71,7 +71,7 @@
                 self.counters.warning("a message ends that nobody may fire for", number)
                 self._record_final_answer(number, False, 0, without_copy=True)
             else:
-                self.notices.post(number, stored.id, *stored.final_answer)
+                self.notices.enqueue(number, stored.id, *stored.final_answer)
 
     def _acknowledged(self, numbers: list[int]) -> None:
         for number in numbers:
--- a/tests/decisions/test_other_settings.py
+++ b/tests/decisions/test_other_settings.py
@@ -84,7 +84,7 @@
             ("elsewhere", None, (3, 2)),
         ):
             line = {"uid": zone, "endpoint": "127.0.0.1:9", "az": zone, "model": kind, "pod_group": 1, "state": "up"}
-            endpoint_list.learn({"rev": 1, "all": False, "targets": [line]})
+            endpoint_list.apply_update({"rev": 1, "all": False, "targets": [line]})
             self.assertEqual((updates[-1][1][0].zone, updates[-1][1][0].kind), indexes)
 
     def test_a_report_is_parsed_by_the_names_of_its_columns(self) -> None:
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -169,7 +169,7 @@
         self.store.set_limit(1)
         self.dispatcher._decide()
         self.assertEqual(self.dispatcher.sender.storable_messages, 0)
-        self.dispatcher.notices.post(9, "i", True, 0)
+        self.dispatcher.notices.enqueue(9, "i", True, 0)
         self.dispatcher._decide()
         self.assertEqual(self.dispatcher.sender.storable_messages, 1)  # a pending notice counts as free room
 
@@ -311,9 +311,9 @@
         for at in range(len(text)):
             buffer = Buffer()
             buffer.append(text[:at])
-            self.assertIsNone(resp.command(buffer))
+            self.assertIsNone(resp.read_command(buffer))
             buffer.append(text[at:] + b"*1")
-            self.assertEqual(resp.command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
+            self.assertEqual(resp.read_command(buffer), [b"SUBMIT", b"\r\n$3\r\n", b""])
             self.assertEqual(len(buffer), 2)
 
     def test_a_second_answer_is_not_read_as_part_of_the_first(self) -> None:
@@ -407,7 +407,7 @@
             b"classes.0.worth=1.0\nclasses.0.streaming=false\nrules.fall-ms=2000.0\n"
             b"family-info.notes=full:_wait__or_0\nfamily-info.kind-apart=false,true\n"
         )
-        self.assertEqual(assignment.plain(nested), settings_of(text))
+        self.assertEqual(assignment.flatten_settings(nested), settings_of(text))
 
     def test_an_invalid_setting_is_named_and_an_unknown_one_ignored(self) -> None:
         for more, named in (
@@ -427,7 +427,7 @@
                 with open(path := f"{folder}/c.json", "w", encoding="utf-8") as file:
                     json.dump(config, file)
                 try:
-                    assignment.read({"RELAY_CONFIG": path, "RELAY_STATE": folder})
+                    assignment.read_assignment({"RELAY_CONFIG": path, "RELAY_STATE": folder})
                     self.assertEqual(named, "")
                 except assignment.AssignmentError as error:
                     self.assertTrue(named and named in str(error), str(error))
@@ -450,8 +450,8 @@
             "state": "up",
             "capacity_hint": 2.5,
         }
-        endpoint_list.learn({"rev": 3, "all": True, "targets": [entry]}, saved=True)
-        endpoint_list.learn({"rev": 5, "all": False, "targets": [{**entry, "state": "removed"}]})
+        endpoint_list.apply_update({"rev": 3, "all": True, "targets": [entry]}, saved=True)
+        endpoint_list.apply_update({"rev": 5, "all": False, "targets": [{**entry, "state": "removed"}]})
         line = ListedEndpoint(1, 1, 0, 4, EndpointState.READY, 2.5)
         self.assertEqual(
             updates,
@@ -468,21 +468,25 @@
             with mock.patch("time.monotonic", return_value=day * 10.0):
                 entry = {"uid": f"s-{day}", "endpoint": "127.0.0.1:9", "state": "up"}
                 gone = {"uid": f"s-{day - 1}", "state": "removed"}
-                endpoint_list.learn({"rev": day, "all": day % 2 > 0, "targets": [entry] if day % 2 else [gone, entry]})
+                endpoint_list.apply_update(
+                    {"rev": day, "all": day % 2 > 0, "targets": [entry] if day % 2 else [gone, entry]}
+                )
         self.assertEqual((updates[-1][1][-1].receiver, endpoint_list.address_of(50)), (50, ("127.0.0.1", 9)))
-        self.assertEqual((sorted(endpoint_list.numbers.values()), len(endpoint_list.addresses)), ([*range(43, 51)], 8))
+        self.assertEqual(
+            (sorted(endpoint_list.receiver_numbers.values()), len(endpoint_list.addresses)), ([*range(43, 51)], 8)
+        )
 
     def test_malformed_list_updates_change_nothing(self) -> None:
         endpoint_list, updates = self.new_endpoint_list()
         for update in ({}, {"rev": "x", "all": True, "targets": []}, json.loads("[]"), {"rev": 1, "all": True}):
             with self.subTest(update=update), self.assertRaises(ValueError):
-                endpoint_list.learn(update)
+                endpoint_list.apply_update(update)
         self.assertEqual((updates, endpoint_list.version), ([], 0))
 
     def test_a_malformed_entry_does_not_hide_the_others(self) -> None:
         endpoint_list, updates = self.new_endpoint_list()
         good = {"uid": "s", "endpoint": "127.0.0.1:9", "az": "a", "model": "k", "pod_group": 4, "state": "up"}
-        endpoint_list.learn({"rev": 3, "all": False, "targets": [{}, 7, {**good, "endpoint": "no"}, good]})
+        endpoint_list.apply_update({"rev": 3, "all": False, "targets": [{}, 7, {**good, "endpoint": "no"}, good]})
         self.assertEqual([line.destination for _, lines in updates for line in lines], [4])
 
     GOOD = {
@@ -497,27 +501,29 @@
 
     def test_an_empty_full_list_is_rejected_once_a_receiver_is_known(self) -> None:
         endpoint_list, updates = self.new_endpoint_list()
-        endpoint_list.learn({"rev": 1, "all": True, "targets": []}, saved=True)
-        endpoint_list.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
+        endpoint_list.apply_update({"rev": 1, "all": True, "targets": []}, saved=True)
+        endpoint_list.apply_update({"rev": 2, "all": True, "targets": [self.GOOD]})
         with self.assertRaises(ValueError):
-            endpoint_list.learn({"rev": 3, "all": True, "targets": []})
+            endpoint_list.apply_update({"rev": 3, "all": True, "targets": []})
         self.assertEqual((len(updates), endpoint_list.version, endpoint_list.knows("s")), (2, 2, True))
 
     def test_a_full_list_keeps_a_receiver_with_a_malformed_entry_and_removes_a_missing_one(self) -> None:
         endpoint_list, updates = self.new_endpoint_list()
-        endpoint_list.learn({"rev": 2, "all": True, "targets": [{**self.GOOD, "uid": uid} for uid in "stu"]})
-        endpoint_list.learn({"rev": 3, "all": True, "targets": [self.GOOD, {"uid": "t", "state": 7}]})
+        endpoint_list.apply_update({"rev": 2, "all": True, "targets": [{**self.GOOD, "uid": uid} for uid in "stu"]})
+        endpoint_list.apply_update({"rev": 3, "all": True, "targets": [self.GOOD, {"uid": "t", "state": 7}]})
         self.assertEqual([change for change, _ in updates], [EndpointUpdate.FULL, EndpointUpdate.FULL])
         self.assertEqual(updates[1][1], updates[0][1][:2])
-        self.assertEqual((sorted(endpoint_list.numbers), sorted(endpoint_list.removed_at)), (["s", "t", "u"], ["u"]))
+        self.assertEqual(
+            (sorted(endpoint_list.receiver_numbers), sorted(endpoint_list.removed_at)), (["s", "t", "u"], ["u"])
+        )
 
     def test_an_invalid_capacity_hint_leaves_the_earlier_rate_and_the_rest_of_the_entry_applies(self) -> None:
         hints: list[Any] = ["nine", None, -3, float("nan"), float("inf"), 1e300, [], 10**400]
         for hint in hints:
             with self.subTest(hint=hint):
                 endpoint_list, updates = self.new_endpoint_list()
-                endpoint_list.learn({"rev": 1, "all": True, "targets": [self.GOOD]})
-                endpoint_list.learn(
+                endpoint_list.apply_update({"rev": 1, "all": True, "targets": [self.GOOD]})
+                endpoint_list.apply_update(
                     {"rev": 2, "all": False, "targets": [{**self.GOOD, "state": "draining", "capacity_hint": hint}]}
                 )
                 line = updates[-1][1][0]
@@ -539,7 +545,7 @@
                 listener.listen()
                 endpoint_list, updates = self.new_endpoint_list()
                 endpoint_list.platform = listener.getsockname()
-                endpoint_list.learn({"rev": 2, "all": True, "targets": [self.GOOD]})
+                endpoint_list.apply_update({"rev": 2, "all": True, "targets": [self.GOOD]})
                 failed = AsyncResult()
                 endpoint_list.report_failure = lambda failed=failed: failed.set(True)  # type: ignore[misc]
                 watching = gevent.spawn(endpoint_list.watch)
@@ -557,15 +563,15 @@
         failed: list[int] = []
         endpoint_list.report_failure = lambda: failed.append(1)
         endpoint_list.platform = ("127.0.0.1", 1)  # nobody listens there
-        endpoint_list.ask()  # as at the start, while the first watch is opened
+        endpoint_list.reopen_watch()  # as at the start, while the first watch is opened
         watching = gevent.spawn(endpoint_list.watch)
         self.addCleanup(watching.kill)
         gevent.sleep(0.6)
         self.assertEqual(len(failed), 1)
-        endpoint_list.ask()
+        endpoint_list.reopen_watch()
         gevent.sleep(0.1)
         self.assertEqual(len(failed), 2)
-        endpoint_list.move(("127.0.0.1", 2))
+        endpoint_list.change_address(("127.0.0.1", 2))
         gevent.sleep(0.1)
         self.assertEqual(len(failed), 3)
 
