--- a/tests/processes/rig.py
+++ b/tests/processes/rig.py
@@ -25,7 +25,7 @@
     return [int(seed) for seed in os.environ.get("CEDARWICK_SEEDS", "").split()] or [1]
 
 
-def long() -> bool:
+def is_full_length() -> bool:
     """Whether seeds were asked for: then days have their full length."""
     return bool(os.environ.get("CEDARWICK_SEEDS"))
 
@@ -36,10 +36,10 @@
 ROOM = 1 << 30  # bytes
 WITHIN = MEMORY if os.access(MEMORY, os.W_OK) and shutil.disk_usage(MEMORY).free > ROOM else None
 fleet = partial(Fleet, within=WITHIN)
-PLAYS = 3  # of a case whose days say nothing of the senders
+MAX_RUNS = 3  # of a case whose days say nothing of the senders
 
 
-def judged(
+def run_judged(
     made: Callable[[], Fleet], case: Callable[[Fleet], None], excused: tuple[type[Exception], ...] = (Exception,)
 ) -> None:
     """Play a case on a fleet. What fails while the machine was too busy to serve it is played again, and said so.
@@ -47,7 +47,7 @@
     The day tells by its own measures (`Day.void`): a sender without a processor for most of the time in which its
     answers count is the cut that it looks like, and times out as it should. `excused`: only what is one of these.
     """
-    for left in reversed(range(PLAYS)):
+    for left in reversed(range(MAX_RUNS)):
         with made() as fleet:
             try:
                 fleet.begin()
@@ -61,5 +61,5 @@
                 print(f"\nseed {fleet.seed}: played again, since {void}; it failed so: {repr(error)[-600:]}")
 
 
-def unsaid(_: str) -> None:
+def discard_output(_: str) -> None:
     """What a fleet does is not printed."""
--- a/tests/processes/test_events.py
+++ b/tests/processes/test_events.py
@@ -118,9 +118,14 @@
         for seed in rig.seeds():
             with self.subTest(seed=seed):
                 # A busy machine may hold up senders; it makes nothing of what was told untrue, and loses nothing.
-                rig.judged(
+                rig.run_judged(
                     lambda seed=seed: rig.fleet(  # type: ignore[misc]
-                        rig.SCENARIO, seed, ("east", "east", "west"), ack="copy", keys='alone = "own"', say=rig.unsaid
+                        rig.SCENARIO,
+                        seed,
+                        ("east", "east", "west"),
+                        ack="copy",
+                        keys='alone = "own"',
+                        say=rig.discard_output,
                     ),
                     whole,
                     excused=(OSError, SenderNotReadyError),
--- a/tests/processes/test_fleet.py
+++ b/tests/processes/test_fleet.py
@@ -33,14 +33,14 @@
 
         for seed in rig.seeds():
             with self.subTest(seed=seed):
-                rig.judged(
+                rig.run_judged(
                     lambda seed=seed: rig.fleet(  # type: ignore[misc]
                         rig.SCENARIO,
                         seed,
                         halls,
                         ack=ack,  # type: ignore[arg-type]
                         keys=keys,
-                        say=rig.unsaid,
+                        say=rig.discard_output,
                     ),
                     whole,
                 )
@@ -48,7 +48,7 @@
     def test_an_owner_dies_for_good_with_hundreds_held(self) -> None:
         def case(fleet: Fleet) -> None:
             ends = [fleet.begin_effect(destination, Effect("hang")) for destination in range(3)]
-            handed = fleet.hand_in(0, 500 if rig.long() else 200, "free")
+            handed = fleet.hand_in(0, 500 if rig.is_full_length() else 200, "free")
             self.assertGreater(sum(each.answer == "ok" for each in handed), 100)
             fleet.delete_folder(0)
             died = fleet.day.now()
@@ -75,10 +75,10 @@
 
     def test_an_owner_that_slept_fires_nothing_of_what_was_adopted(self) -> None:
         def case(fleet: Fleet) -> None:
-            fleet.load(10 if rig.long() else 5)
+            fleet.load(10 if rig.is_full_length() else 5)
             gevent.sleep(1.0)
             fleet.stop(0)
-            gevent.sleep(20 if rig.long() else 4)
+            gevent.sleep(20 if rig.is_full_length() else 4)
             fleet.cont(0)
             fleet.until(lambda: "given up" in fleet.log(0), 15.0, "the loss of the partition")
             # A client that was turned away is slowed at the door, and let go after eight times.
@@ -90,10 +90,10 @@
 
     def test_a_copy_that_was_away_behind_a_compaction_catches_up(self) -> None:
         def case(fleet: Fleet) -> None:
-            fleet.load(30 if rig.long() else 5, rate=150)
+            fleet.load(30 if rig.is_full_length() else 5, rate=150)
             gevent.sleep(0.5)
             fleet.stop(2)
-            gevent.sleep(60 if rig.long() else 3)
+            gevent.sleep(60 if rig.is_full_length() else 3)
             fleet.cont(2)
             gevent.sleep(2.0)
             fleet.kill(0)
@@ -157,9 +157,9 @@
 
 class DrawnDaysTest(unittest.TestCase):
     def test_drawn_troubles(self) -> None:
-        seconds = 20.0 if rig.long() else 6.0
-        say: Callable[[str], None] = rig.unsaid
-        if rig.long():
+        seconds = 20.0 if rig.is_full_length() else 6.0
+        say: Callable[[str], None] = rig.discard_output
+        if rig.is_full_length():
             say = print
         for seed in rig.seeds():
             for ack in ("copy", "own"):
@@ -172,11 +172,11 @@
                     self.assertEqual((verdict.findings, fleet.failed), ([], []), fleet.report(verdict))
 
                 with self.subTest(seed=seed, ack=ack):
-                    rig.judged(
+                    rig.run_judged(
                         lambda seed=seed, ack=ack: rig.fleet(  # type: ignore
                             rig.SCENARIO,
                             seed,
-                            FIVE if rig.long() else ("east", "east", "west"),
+                            FIVE if rig.is_full_length() else ("east", "east", "west"),
                             ack=ack,
                             keys='alone = "own"',
                             say=say,
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -85,7 +85,7 @@
         assert not verdict.findings and not fleet.failed, fleet.report(verdict)
 
     try:
-        rig.judged(
+        rig.run_judged(
             lambda: rig.fleet(
                 rig.SCENARIO,
                 seed,
@@ -93,7 +93,7 @@
                 ack=ack,  # type: ignore[arg-type]
                 keys=KEYS,
                 relays=relays,
-                say=rig.unsaid,
+                say=rig.discard_output,
             ),
             whole,
         )
@@ -207,7 +207,7 @@
             (fault, step)
             for place, fault in enumerate(faults)
             for step in STEPS
-            if rig.long() or STEPS[place % len(STEPS)] == step
+            if rig.is_full_length() or STEPS[place % len(STEPS)] == step
         ]
         self.judged({f"{fault} at {step}": functools.partial(play, at_step(step, fault)) for fault, step in drawn})
 
@@ -225,12 +225,12 @@
         self.judged({"moves": functools.partial(play, case)})
 
     def test_a_hall_s_sessions_go_to_both_neighbours_when_it_is_drained_or_its_sender_ends(self) -> None:
-        count = 200 if rig.long() else 40
+        count = 200 if rig.is_full_length() else 40
         keys = [f"{number:016x}" for number in range(1001, 1001 + count)]
 
         def case(how: str, fleet: Fleet) -> None:
             fleet.hand_in(1)
-            fleet.load(6, rate=60 if rig.long() else 10)
+            fleet.load(6, rate=60 if rig.is_full_length() else 10)
             answers: list[str] = []
             while answers.count("ok") < count * 0.9:
                 answers = hand_in_all(fleet, 0, keys)
@@ -284,7 +284,7 @@
 
         self.judged({how: functools.partial(play, functools.partial(case, how)) for how in ("killed", "stopped")})
 
-    @unittest.skipUnless(rig.long(), "a day for each seed")
+    @unittest.skipUnless(rig.is_full_length(), "a day for each seed")
     def test_drawn_troubles_while_sessions_are_on(self) -> None:
         def case(fleet: Fleet) -> None:
             fleet.load(15, rate=60)
--- a/tests/processes/test_recovery.py
+++ b/tests/processes/test_recovery.py
@@ -15,12 +15,12 @@
 from cedarwick.lab.run import Result, play
 from cedarwick.lab.scenario import Scenario
 from tests.processes.recovery_days import killed, recovery_day
-from tests.processes.rig import PLAYS, seeds
+from tests.processes.rig import MAX_RUNS, seeds
 
 
 def played(scenario: Scenario, seed: int) -> Result:
     """A day that says something of the senders: one whose emulator ran late is played again, and said so."""
-    for _ in range(PLAYS):
+    for _ in range(MAX_RUNS):
         result = play(scenario, seed)
         if not result.void:
             break
--- a/tests/processes/test_rig.py
+++ b/tests/processes/test_rig.py
@@ -19,7 +19,7 @@
 
 class RigTest(unittest.TestCase):
     def test_senders_on_their_own_are_started_served_killed_and_judged(self) -> None:
-        seconds = 15.0 if rig.long() else 3.0
+        seconds = 15.0 if rig.is_full_length() else 3.0
         for seed in rig.seeds():
             with self.subTest(seed=seed), rig.fleet(rig.SCENARIO, seed, group="", say=lambda _: None) as fleet:
                 fleet.begin()
@@ -108,7 +108,7 @@
     def test_only_what_fails_on_a_day_that_says_nothing_is_played_again(self) -> None:
         for waits, excused, plays in (
             ((300_000, 0), (Exception,), 2),
-            ((300_000,) * 9, (Exception,), rig.PLAYS),
+            ((300_000,) * 9, (Exception,), rig.MAX_RUNS),
             ((0, 0), (Exception,), 1),
             ((300_000, 0), (OSError,), 1),
         ):
@@ -126,7 +126,7 @@
                 self.assertGreater(0, 1, "it fails")
 
             with self.assertRaises(AssertionError), contextlib.redirect_stdout(io.StringIO()):
-                rig.judged(made, case, excused)
+                rig.run_judged(made, case, excused)
             self.assertEqual(len(days), plays)
 
 
--- a/tests/processes/test_sharing.py
+++ b/tests/processes/test_sharing.py
@@ -28,13 +28,13 @@
 
         for seed in rig.seeds():
             with self.subTest(seed=seed):
-                rig.judged(
+                rig.run_judged(
                     lambda seed=seed: rig.fleet(  # type: ignore[misc]
                         scenario,
                         seed,
                         ack="copy",
                         keys='alone = "own"',
-                        say=rig.unsaid,
+                        say=rig.discard_output,
                     ),
                     whole,
                 )
