--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -15,7 +15,7 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.events.registry import MAX_ENTRIES, Entry, Registry, join
-from cedarwick.fleet.fleet_files import FOLDER, CorruptFleetFileError
+from cedarwick.fleet.fleet_files import FLEET_FOLDER, CorruptFleetFileError
 from cedarwick.net.counters import Counters
 from cedarwick.store.records import DamagedRange, encode_frame, may_be_partial_frame, scan_frames
 
@@ -84,7 +84,7 @@
     """
 
     def __init__(self, state: str, registry: Registry, counters: Counters) -> None:
-        self.path = os.path.join(state, FOLDER, NAME)
+        self.path = os.path.join(state, FLEET_FOLDER, NAME)
         self.registry = registry
         self.counters = counters
         self.written: dict[str, Entry] = {}  # entries as in the file
--- a/cedarwick/fleet/fleet_files.py
+++ b/cedarwick/fleet/fleet_files.py
@@ -1,7 +1,7 @@
-"""The small files of `$RELAY_STATE/fleet`: the leases this member has granted and the partitions that it holds.
+"""The small files of `$RELAY_STATE/fleet`: granted leases, held partitions, suspension marks, incarnation and owner.
 
-Each file is MessagePack in frames as in the message store (`store/records.py`), one frame unless it is long, and is
-replaced whole: a crash leaves the old file or the new one. Copies of other members' partitions are beside them, in
+A file is MessagePack in frames as in the message store (`store/records.py`), one frame unless it is long. Files are
+replaced atomically: a crash leaves the old file or the new one. Replicas of other members' partitions are in
 `copies/` (`replica_files.py`).
 """
 
@@ -17,142 +17,143 @@
 from cedarwick.fleet.suspensions import SavedMarks
 from cedarwick.store.records import MAX_PAYLOAD_BYTES, DamagedRange, encode_frame, scan_frames
 
-FOLDER = "fleet"
-COPIES = "copies"
-GRANTS = "grants"
-HELD = "held"
-BOOT = "boot"
-WHOSE = "whose"
-MARKS = "marks"
-LARGEST = 1 << 26  # bytes of a file that are read
+FLEET_FOLDER = "fleet"
+REPLICAS_FOLDER = "copies"
+GRANT_TABLE_NAME = "grants"
+HELD_PARTITIONS_NAME = "held"
+INCARNATION_NAME = "boot"
+OWNER_NAME = "whose"
+SUSPENSION_MARKS_NAME = "marks"
+MAX_FILE_BYTES = 1 << 26  # maximum number of bytes that are read of a file
 
 
 class CorruptFleetFileError(CedarwickError):
-    """A small file of the fleet's folder cannot be read and counts as gone."""
+    """A small file in the fleet folder cannot be read and counts as missing."""
 
     code = "CW740"
-    remedy = "look at the disk; this member learns from the others before it grants or opens anything"
+    remedy = "check the disk; this member learns from the others before it grants leases or opens partitions"
 
 
 class ForeignFolderError(CedarwickError):
-    """The folder is that of another member, or of a member of another group."""
+    """The folder belongs to another member, or to a member of another group."""
 
     code = "CW747"
-    remedy = "give each sender its own $RELAY_STATE, an empty one for a new name; for a new group delete fleet/whose"
+    remedy = "give each sender its own $RELAY_STATE, and a new name an empty one; for a new group delete fleet/whose"
 
 
 class LeaseRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A partition that this member has held."""
+    """A partition that this member holds or has held."""
 
     partition: int
-    term: int  # the newest
-    upto: int  # numbers of it up to this one may have been given
+    term: int  # the newest term of its lease here
+    upto: int  # message numbers up to this one may be in use
 
 
-HELD_FILE: msgspec.msgpack.Decoder[list[LeaseRecord]] = msgspec.msgpack.Decoder(list[LeaseRecord])
-TABLE: msgspec.msgpack.Decoder[GrantTable] = msgspec.msgpack.Decoder(GrantTable)
-OWNER: msgspec.msgpack.Decoder[tuple[str, str]] = msgspec.msgpack.Decoder(tuple[str, str])
-SAVED: msgspec.msgpack.Decoder[SavedMarks] = msgspec.msgpack.Decoder(SavedMarks)
+HELD_DECODER: msgspec.msgpack.Decoder[list[LeaseRecord]] = msgspec.msgpack.Decoder(list[LeaseRecord])
+GRANT_TABLE_DECODER: msgspec.msgpack.Decoder[GrantTable] = msgspec.msgpack.Decoder(GrantTable)
+OWNER_DECODER: msgspec.msgpack.Decoder[tuple[str, str]] = msgspec.msgpack.Decoder(tuple[str, str])
+SUSPENSION_MARKS_DECODER: msgspec.msgpack.Decoder[SavedMarks] = msgspec.msgpack.Decoder(SavedMarks)
 ENCODER = msgspec.msgpack.Encoder()
 
 
 class FleetFiles:
-    """Reads and replaces the files. Calls raise `OSError` if the folder cannot be used.
+    """Reads and replaces the files. Methods raise `OSError` if the folder cannot be used.
 
-    `durable`: what a call has written is synced to disk when it returns.
+    `durable`: methods that write return after the data has been synced to disk.
     """
 
-    def __init__(self, state: str, durable: bool = False) -> None:
+    def __init__(self, state_folder: str, durable: bool = False) -> None:
         self.durable = durable
-        self.path = os.path.join(state, FOLDER)
-        self.is_first_boot = (
-            False  # once `next_incarnation` was called: whether no boot before this one has left its file
-        )
-        os.makedirs(os.path.join(self.path, COPIES), exist_ok=True)
+        self.path = os.path.join(state_folder, FLEET_FOLDER)
+        # Set by `next_incarnation`: whether no earlier boot has left its file.
+        self.is_first_boot = False
+        os.makedirs(os.path.join(self.path, REPLICAS_FOLDER), exist_ok=True)
 
     @property
     def replicas_path(self) -> str:
-        """The path of the folder of copies."""
-        return os.path.join(self.path, COPIES)
+        """The path of the folder of replica files."""
+        return os.path.join(self.path, REPLICAS_FOLDER)
 
     def read_grant_table(self) -> GrantTable | None:
-        """The leases this member has granted; None if the file is gone or damaged, or at the first start."""
-        data = self.read(GRANTS)
+        """The leases this member has granted; None if the file is missing (as at the first start) or damaged."""
+        data = self.read(GRANT_TABLE_NAME)
         try:
-            return TABLE.decode(data) if data is not None else None
+            return GRANT_TABLE_DECODER.decode(data) if data is not None else None
         except msgspec.MsgspecError as error:
-            logger.error(CorruptFleetFileError(f"{self.path}/{GRANTS}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.path}/{GRANT_TABLE_NAME}: {error}").line)
             return None
 
     def write_grant_table(self, table: GrantTable) -> None:
         """Replace the table of granted leases."""
-        self.write(GRANTS, ENCODER.encode(table))
+        self.write(GRANT_TABLE_NAME, ENCODER.encode(table))
 
     def read_held_partitions(self) -> list[LeaseRecord]:
-        """The partitions that this member has held, the newest state of each; empty where the file is gone."""
-        data = self.read(HELD)
+        """The partitions that this member holds or has held; empty if the file is missing or damaged."""
+        data = self.read(HELD_PARTITIONS_NAME)
         try:
-            return HELD_FILE.decode(data) if data is not None else []
+            return HELD_DECODER.decode(data) if data is not None else []
         except msgspec.MsgspecError as error:
-            logger.error(CorruptFleetFileError(f"{self.path}/{HELD}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.path}/{HELD_PARTITIONS_NAME}: {error}").line)
             return []
 
     def write_held_partitions(self, held: list[LeaseRecord]) -> None:
         """Replace the list of partitions held."""
-        self.write(HELD, ENCODER.encode(held))
+        self.write(HELD_PARTITIONS_NAME, ENCODER.encode(held))
 
     def read_suspension_marks(self) -> SavedMarks | None:
         """The receivers suspended by hand, with their versions; None if there is no file.
 
         Raises `CorruptFleetFileError` for an unreadable file, which must not be mistaken for a first start.
         """
-        path = os.path.join(self.path, MARKS)
+        path = os.path.join(self.path, SUSPENSION_MARKS_NAME)
         if not os.path.exists(path):
             return None
-        data = self.read(MARKS)
+        data = self.read(SUSPENSION_MARKS_NAME)
         if data is None:
-            raise CorruptFleetFileError(f"{path}: what is out by hand is kept until a member that knows says otherwise")
+            raise CorruptFleetFileError(
+                f"{path}: receivers stay suspended until another member reports the current marks"
+            )
         try:
-            return SAVED.decode(data)
+            return SUSPENSION_MARKS_DECODER.decode(data)
         except msgspec.MsgspecError as error:
             raise CorruptFleetFileError(f"{path}: {error}") from None
 
     def write_suspension_marks(self, saved: SavedMarks) -> None:
         """Replace the suspension marks."""
-        self.write(MARKS, ENCODER.encode(saved))
+        self.write(SUSPENSION_MARKS_NAME, ENCODER.encode(saved))
 
     def claim_folder(self, group: str, name: str) -> None:
-        """Mark the folder as this member's; raises `ForeignFolderError` if it is another member's."""
-        data = self.read(WHOSE)
+        """Record this member as the owner of the folder; raises `ForeignFolderError` if that is another member."""
+        data = self.read(OWNER_NAME)
         try:
-            owner = OWNER.decode(data) if data is not None else (group, name)
+            owner = OWNER_DECODER.decode(data) if data is not None else (group, name)
         except msgspec.MsgspecError as error:
-            logger.error(CorruptFleetFileError(f"{self.path}/{WHOSE}: {error}").line)
+            logger.error(CorruptFleetFileError(f"{self.path}/{OWNER_NAME}: {error}").line)
             owner = group, name
-        # Another member's grants do not bind this one, and messages it ended long ago would be offered as owed.
+        # Another member's grants do not bind this one, and messages that finished long ago would be offered as pending.
         if owner != (group, name):
             raise ForeignFolderError(
-                f"{self.path} is that of {owner[1]!r} in {owner[0]!r}, not of {name!r} in {group!r}"
+                f"{self.path} belongs to {owner[1]!r} in {owner[0]!r}, not to {name!r} in {group!r}"
             )
         if data is None:
-            self.write(WHOSE, ENCODER.encode(owner))
+            self.write(OWNER_NAME, ENCODER.encode(owner))
 
     def next_incarnation(self, now: int) -> int:
-        """The incarnation of this boot: wall microseconds, and larger than every one before."""
-        data = self.read(BOOT)
+        """Store and return the incarnation of this boot: wall microseconds, but always larger than the previous one."""
+        data = self.read(INCARNATION_NAME)
         self.is_first_boot = data is None
         last = int(data) if data is not None and data.isdigit() else 0
-        # If the clock was set back, the others would otherwise take this boot for an older one.
+        # If the clock was set back, the other members would otherwise treat this boot as an earlier one.
         incarnation = max(now, last + 1)
-        self.write(BOOT, b"%d" % incarnation)
+        self.write(INCARNATION_NAME, b"%d" % incarnation)
         return incarnation
 
     def read(self, name: str) -> bytes | None:
-        """The joined payloads of a file's frames; None if it is missing, or (logged) not all frames are good."""
+        """The joined payloads of a file's frames; None if it is missing or (logged as an error) damaged."""
         path = os.path.join(self.path, name)
         try:
             with open(path, "rb") as file:
-                data = file.read(LARGEST + 1)
+                data = file.read(MAX_FILE_BYTES + 1)
         except FileNotFoundError:
             return None
         payloads: list[bytes] = []
@@ -162,13 +163,15 @@
                 break
             payloads.append(found.payload)
         if not payloads:
-            logger.error(CorruptFleetFileError(f"{path}: {len(data)} bytes that are not whole records").line)
+            logger.error(
+                CorruptFleetFileError(f"{path}: its {len(data)} bytes are not a sequence of complete records").line
+            )
             return None
         return b"".join(payloads)
 
     def write(self, name: str, payload: bytes) -> None:
-        """Replace a file."""
-        # Split, since a frame longer than MAX_PAYLOAD_BYTES would be written without an error but read as damage.
+        """Replace a file by this payload."""
+        # Split, because a frame longer than MAX_PAYLOAD_BYTES would be written without an error but read as damaged.
         self.replace(name, (payload[at : at + MAX_PAYLOAD_BYTES] for at in range(0, len(payload), MAX_PAYLOAD_BYTES)))
 
     def replace(self, name: str, payloads: Iterable[bytes]) -> None:
@@ -193,7 +196,7 @@
             self._sync(file)
 
     def _sync(self, file: IO[bytes]) -> None:
-        # Otherwise a power cut could lose a grant, vote or block of numbers in use, and it would be given twice.
+        # Without this a power cut could lose a grant, a vote or a block of numbers in use, which would be given twice.
         if self.durable:
             file.flush()
             os.fsync(file.fileno())
