--- a/tests/fleet/test_replication.py
+++ b/tests/fleet/test_replication.py
@@ -43,11 +43,11 @@
 class Files(FakeFolder, ReplicaFolder):
     """The files of copies in memory."""
 
-    def replace(self, name: str, by: str) -> None:
+    def replace(self, name: str, source: str) -> None:
         if self._call("replace"):
             raise Crash
-        self.files[name] = self.files.pop(by)
-        self.open_files = {file: name for file, held in self.open_files.items() if held == by}
+        self.files[name] = self.files.pop(source)
+        self.open_files = {file: name for file, held in self.open_files.items() if held == source}
 
 
 class Member:
@@ -424,7 +424,7 @@
         while held.compact_step():
             pass
         folder.failing_calls, written = {"replace"}, held.written_bytes
-        held.files[PARTITION].torn = True  # it must be written anew
+        held.files[PARTITION].ends_in_partial_record = True  # it must be written anew
         for _ in range(50):
             held.compact_step()  # what can't take the name is not written again and again
         self.assertLess(held.written_bytes - written, 2 * held.used_bytes)
