--- a/tests/fleet/test_replication.py
+++ b/tests/fleet/test_replication.py
@@ -1,5 +1,4 @@
-"""A partition's facts on their way to two copies, over a link that loses, doubles and turns round, and files that
-fail."""
+"""Replication of a partition to two replicas over a link that loses, repeats and reorders messages, with file errors."""
 
 import random
 import unittest
@@ -29,7 +28,7 @@
 from tests.store.test_store import Crash, FakeFolder
 
 PARTITION = 3
-NAMES = ["b", "c"]
+MEMBER_NAMES = ["b", "c"]
 
 
 def setUpModule() -> None:
@@ -40,8 +39,8 @@
     logger.enable("cedarwick.fleet")
 
 
-class Files(FakeFolder, ReplicaFolder):
-    """The files of copies in memory."""
+class FakeReplicaFolder(FakeFolder, ReplicaFolder):
+    """Replica files in memory."""
 
     def replace(self, name: str, source: str) -> None:
         if self._call("replace"):
@@ -50,52 +49,52 @@
         self.open_files = {file: name for file, held in self.open_files.items() if held == source}
 
 
-class Member:
-    """One that keeps a copy; it dies with what it had in memory."""
+class ReplicaMember:
+    """A member with a replica; a crash loses what it had in memory."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytearray] = {}
-        self.life = 0
+        self.incarnation = 0
         self.start()
 
     def start(self) -> None:
-        self.life += 1
-        self.folder = Files(self.files)
-        self.copies = ReplicaStore(self.folder, 1 << 22, now=lambda: 50)
-        self.copies.load()
-
-    def held(self) -> dict[int, Fact]:
-        found = self.copies.replica(PARTITION)
-        return found.pending if found is not None else {}
-
-    def on_disk(self) -> replication.ReplicaPosition:
-        """Where its file ends, read by another process."""
-        other = ReplicaStore(
-            Files({name: bytearray(data) for name, data in self.files.items()}), 1 << 22, now=lambda: 50
+        self.incarnation += 1
+        self.folder = FakeReplicaFolder(self.files)
+        self.replicas = ReplicaStore(self.folder, 1 << 22, now=lambda: 50)
+        self.replicas.load()
+
+    def pending(self) -> dict[int, Fact]:
+        replica = self.replicas.replica(PARTITION)
+        return replica.pending if replica is not None else {}
+
+    def stored_position(self) -> replication.ReplicaPosition:
+        """The position that another process reads from its file."""
+        reader = ReplicaStore(
+            FakeReplicaFolder({name: bytearray(data) for name, data in self.files.items()}), 1 << 22, now=lambda: 50
         )
-        other.load()
-        found = other.replica(PARTITION)
-        return found.position if found is not None else replication.NO_POSITION
+        reader.load()
+        replica = reader.replica(PARTITION)
+        return replica.position if replica is not None else replication.NO_POSITION
 
 
-class Link:
-    """Messages under way; drawn from a seed."""
+class Simulation:
+    """A holder, its replicas and the messages between them, driven by a random seed."""
 
     def __init__(self, seed: int, members: int = 2) -> None:
-        self.draw = random.Random(seed)
+        self.random = random.Random(seed)
         self.now = 0
-        self.wild = True
+        self.unreliable = True
         self.term = 0
         self.number = PARTITION << 32
-        self.bases: dict[int, Fact] = {}  # what the holder owes
+        self.bases: dict[int, Fact] = {}  # pending at the holder, each with its base
         self.ledger = FactLedger(0)
-        self.members = dict(zip(NAMES, [Member() for _ in range(members)], strict=False))
-        self.under_way: list[tuple[str, int, Any]] = []  # member, its life or the holder's term, message
-        self.seen: dict[str, int] = {}  # acknowledged, when its file was looked at last
-        self.rise()
+        self.members = dict(zip(MEMBER_NAMES, [ReplicaMember() for _ in range(members)], strict=False))
+        self.in_transit: list[tuple[str, int, Any]] = []  # member, its incarnation (0: sent by the holder), message
+        self.checked: dict[str, int] = {}  # acknowledged index when the file was last checked
+        self.begin_term()
 
-    def rise(self) -> None:
-        """The holder begins a term, with what it owed before."""
+    def begin_term(self) -> None:
+        """The holder begins a term with the messages that are still pending."""
         self.term += 1
         self.ledger.begin_term(self.term)
         self.log = ReplicationLog(PARTITION, self.term, self.read, self.bases)
@@ -105,97 +104,97 @@
     def read(self, number: int) -> Fact | None:
         return trimmed(Fact(number, self.bases[number].base, self.ledger.known[number]))
 
-    def tell(self, fact: Fact) -> None:
+    def append(self, fact: Fact) -> None:
         if fact.base is not None:
             self.bases[fact.number] = fact
         if fact.number not in self.ledger.known:
             del self.bases[fact.number]
         self.log.append(fact, self.now)
 
-    def take(self, size: int = 60) -> int:
+    def admit(self, size: int = 60) -> int:
         self.number += 1
-        kept = StoredMessage(self.number, f"i{self.number}", "", 0, "free", "", 7, 10**9, b"x" * size)
-        self.tell(self.ledger.note_message(kept, kept.body or b""))
+        stored = StoredMessage(self.number, f"i{self.number}", "", 0, "free", "", 7, 10**9, b"x" * size)
+        self.append(self.ledger.note_message(stored, stored.body or b""))
         return self.number
 
-    def live(self, events: int) -> None:
-        """What comes at a holder that serves."""
-        for _ in range(events):
-            number = self.draw.choice(list(self.bases)) if self.bases else 0
-            what = self.draw.random()
-            if not number or what < 0.3:
-                self.take(self.draw.choice([0, 60, 900]))
-            elif what < 0.5:
-                self.tell(self.ledger.note_attempt(number, self.now + 1, self.draw.randrange(3)))
-            elif what < 0.65:
-                self.tell(
-                    self.ledger.note_outcome(number, self.draw.random() < 0.5, completed=self.draw.random() < 0.3)
+    def apply_random_changes(self, count: int) -> None:
+        """Random messages, attempts and ends at the holder."""
+        for _ in range(count):
+            number = self.random.choice(list(self.bases)) if self.bases else 0
+            change = self.random.random()
+            if not number or change < 0.3:
+                self.admit(self.random.choice([0, 60, 900]))
+            elif change < 0.5:
+                self.append(self.ledger.note_attempt(number, self.now + 1, self.random.randrange(3)))
+            elif change < 0.65:
+                self.append(
+                    self.ledger.note_outcome(number, self.random.random() < 0.5, completed=self.random.random() < 0.3)
                 )
-            elif what < 0.75:
-                self.tell(self.ledger.note_final_answer(number, self.draw.random() < 0.5, 5))
+            elif change < 0.75:
+                self.append(self.ledger.note_final_answer(number, self.random.random() < 0.5, 5))
             else:
-                self.tell(self.ledger.note_finished(number))
+                self.append(self.ledger.note_finished(number))
 
-    def turn(self) -> None:
-        """A few milliseconds: both sides send, some of what is under way arrives."""
-        self.now += self.draw.choice([1_000, 20_000, 200_000 if self.wild else 20_000])
+    def advance(self) -> None:
+        """Advance the clock: both sides send, and some of the messages in transit are delivered."""
+        self.now += self.random.choice([1_000, 20_000, 200_000 if self.unreliable else 20_000])
         for name, follower in self.log.followers.items():
             while (message := follower.next_message(self.now)) is not None:
-                self.under_way.append((name, 0, message))
-        if self.wild:
-            self.draw.shuffle(self.under_way)
-        arriving, left = self.under_way, []
-        for each in arriving:
-            fate = self.draw.random() if self.wild else 0.5
+                self.in_transit.append((name, 0, message))
+        if self.unreliable:
+            self.random.shuffle(self.in_transit)
+        delivered, remaining = self.in_transit, []
+        for each in delivered:
+            fate = self.random.random() if self.unreliable else 0.5
             if fate < 0.1:
                 continue
             if fate > 0.65:
-                left.append(each)  # late, or twice
+                remaining.append(each)  # delayed or repeated
             if fate < 0.8:
-                left.extend(self.arrive(*each))
-        self.under_way = left[-200:]
+                remaining.extend(self.deliver(*each))
+        self.in_transit = remaining[-200:]
         for member in self.members.values():
             try:
-                member.copies.compact_step()
+                member.replicas.compact_step()
             except Crash:
                 member.start()
         self.check()
 
-    def arrive(self, name: str, life: int, message: Any) -> list[tuple[str, int, Any]]:
+    def deliver(self, name: str, incarnation: int, message: Any) -> list[tuple[str, int, Any]]:
         member, follower = self.members[name], self.log.followers[name]
-        if life and isinstance(message, Digests):
-            follower.receive_digests(self.now, message, life)
-        elif life:
-            follower.receive_ack(self.now, message, life)
+        if incarnation and isinstance(message, Digests):
+            follower.receive_digests(self.now, message, incarnation)
+        elif incarnation:
+            follower.receive_ack(self.now, message, incarnation)
         else:
             try:
-                answers: dict[type, Any] = {
-                    ReplicateFacts: member.copies.receive_facts,
-                    ReplicatePiece: member.copies.receive_piece,
-                    Digests: member.copies.compare_digests,
+                handlers: dict[type, Any] = {
+                    ReplicateFacts: member.replicas.receive_facts,
+                    ReplicatePiece: member.replicas.receive_piece,
+                    Digests: member.replicas.compare_digests,
                 }
-                answer = answers[type(message)]
-                return [(name, member.life, answer(message))]
+                handler = handlers[type(message)]
+                return [(name, member.incarnation, handler(message))]
             except Crash:
                 member.start()
         return []
 
     def check(self) -> None:
-        """Nothing is taken for acknowledged that its file does not hold."""
+        """Check that each replica's file has all that counts as acknowledged."""
         for name, follower in self.log.followers.items():
-            if follower.incarnation == self.members[name].life and follower.acked_index not in (0, self.seen.get(name)):
-                self.seen[name] = follower.acked_index
-                place = self.members[name].on_disk()
-                assert place[:2] >= (self.term, follower.acked_index), "acknowledged and not written"
+            if follower.incarnation == self.members[name].incarnation and follower.acked_index not in (0, self.checked.get(name)):
+                self.checked[name] = follower.acked_index
+                position = self.members[name].stored_position()
+                assert position[:2] >= (self.term, follower.acked_index), "acknowledged but not written"
 
     def settle(self) -> None:
-        """The link is good and nothing new comes: the copies must come to what is owed."""
-        self.wild = False
+        """With a reliable link and no new changes, the replicas must converge to the pending messages."""
+        self.unreliable = False
         for name, member in self.members.items():
-            if self.log.followers[name].incarnation != member.life:
-                self.log.followers[name].forget_position()  # heard in its beats
+            if self.log.followers[name].incarnation != member.incarnation:
+                self.log.followers[name].forget_position()  # known from its heartbeats
         for _ in range(400):
-            self.turn()
+            self.advance()
             if all(
                 each.is_complete
                 and each.acked_index == self.log.next_index
@@ -204,46 +203,46 @@
                 for each in self.log.followers.values()
             ):
                 break
-        owed = {number: self.read(number) for number in self.bases}
+        expected = {number: self.read(number) for number in self.bases}
         for name, member in self.members.items():
             follower = self.log.followers[name]
-            assert follower.is_complete and follower.lag(self.now) == (0, 0), f"{name} is not whole"
-            assert sorted(member.held()) == sorted(owed), f"{name} holds other messages than are owed"
-            for number, fact in member.held().items():
-                mine = owed[number]
-                assert mine is not None and fact.base == mine.base and join_facts(fact, mine) == fact, "knows less"
+            assert follower.is_complete and follower.lag(self.now) == (0, 0), f"{name} is not complete"
+            assert sorted(member.pending()) == sorted(expected), f"{name} has other messages than are pending"
+            for number, fact in member.pending().items():
+                own = expected[number]
+                assert own is not None and fact.base == own.base and join_facts(fact, own) == fact, "knows less"
             member.start()
-            assert sorted(member.held()) == sorted(owed), f"{name} reads back other messages"
+            assert sorted(member.pending()) == sorted(expected), f"{name} reloads other messages"
 
 
-def history(seed: int, turns: int = 80) -> Link:
-    """A drawn history with crashes on both sides, a short window and files that are written anew."""
-    link = Link(seed)
-    for _ in range(turns):
-        link.live(link.draw.choice([0, 0, 1, 2, 30]))
-        link.turn()
-        for member in link.members.values():
-            fate = link.draw.random()
+def run_history(seed: int, steps: int = 80) -> Simulation:
+    """Run a random history with crashes on both sides, a short window and files that are compacted."""
+    simulation = Simulation(seed)
+    for _ in range(steps):
+        simulation.apply_random_changes(simulation.random.choice([0, 0, 1, 2, 30]))
+        simulation.advance()
+        for member in simulation.members.values():
+            fate = simulation.random.random()
             if fate < 0.03:
                 member.start()
             elif fate < 0.06:
-                member.folder.crash_at = member.folder.calls + link.draw.randint(1, 4)
+                member.folder.crash_at = member.folder.calls + simulation.random.randint(1, 4)
             elif fate < 0.07:
-                member.files.clear()  # the folder is gone
+                member.files.clear()  # its folder is deleted
                 member.start()
             elif fate < 0.09:
-                member.folder.failing_calls = {link.draw.choice(["append", "truncate", "replace", "create"])}
+                member.folder.failing_calls = {simulation.random.choice(["append", "truncate", "replace", "create"])}
             elif fate < 0.2:
                 member.folder.failing_calls = set()
-        if link.draw.random() < 0.03:
-            link.rise()
-    for member in link.members.values():
+        if simulation.random.random() < 0.03:
+            simulation.begin_term()
+    for member in simulation.members.values():
         member.folder.failing_calls, member.folder.crash_at = set(), 0
-    link.settle()
-    return link
+    simulation.settle()
+    return simulation
 
 
-class HistoriesTest(unittest.TestCase):
+class RandomHistoriesTest(unittest.TestCase):
     def setUp(self) -> None:
         for module, values in (
             (
@@ -257,25 +256,25 @@
                 patched.start()
                 self.addCleanup(patched.stop)
 
-    def test_copies_come_to_what_is_owed(self) -> None:
-        links = [history(seed) for seed in range(25)]
-        followers = [each for link in links for each in link.log.followers.values()]
+    def test_replicas_converge_to_the_pending_messages(self) -> None:
+        simulations = [run_history(seed) for seed in range(25)]
+        followers = [each for simulation in simulations for each in simulation.log.followers.values()]
         self.assertGreater(sum(each.pieces_taken for each in followers), 100)
 
-    def caught(self, what: str, seeds: int = 40) -> None:
-        with self.assertRaises(AssertionError, msg=what):
+    def assert_detected(self, fault: str, seeds: int = 40) -> None:
+        with self.assertRaises(AssertionError, msg=fault):
             for seed in range(seeds):
-                history(seed)
+                run_history(seed)
 
-    def test_an_old_piece_that_drops_what_the_tail_brought_is_noticed(self) -> None:
-        honest = Replica.step_for_piece
+    def test_an_old_piece_that_drops_facts_of_the_tail_is_detected(self) -> None:
+        original = Replica.step_for_piece
 
-        def piece(self: Replica, message: ReplicatePiece) -> ReplicaStep:
-            place = self.position
-            if message.term == place.term and message.next < place.next_index and message.after <= place.covered_upto:
-                self.position = place._replace(next_index=message.next)
-                step = honest(self, message)
-                self.position = place
+        def accept_old_piece(self: Replica, message: ReplicatePiece) -> ReplicaStep:
+            position = self.position
+            if message.term == position.term and message.next < position.next_index and message.after <= position.covered_upto:
+                self.position = position._replace(next_index=message.next)
+                step = original(self, message)
+                self.position = position
                 return step._replace(
                     entry=step.entry
                     and ReplicaEntry(
@@ -287,92 +286,92 @@
                         message.facts,
                     )
                 )
-            return honest(self, message)
+            return original(self, message)
 
-        with unittest.mock.patch.object(Replica, "step_for_piece", piece):
-            self.caught("an old piece")
+        with unittest.mock.patch.object(Replica, "step_for_piece", accept_old_piece):
+            self.assert_detected("an old piece")
 
-    def test_an_answer_before_writing_is_noticed(self) -> None:
-        def done(self: ReplicaStore, copy: replica_files.ReplicaFile, step: ReplicaStep) -> Any:
+    def test_an_answer_before_writing_is_detected(self) -> None:
+        def answer_without_writing(self: ReplicaStore, replica_file: replica_files.ReplicaFile, step: ReplicaStep) -> Any:
             if step.entry is not None:
-                copy.replica.apply(step.entry, step.facts)
-                self.files[copy.replica.partition] = copy
+                replica_file.replica.apply(step.entry, step.facts)
+                self.files[replica_file.replica.partition] = replica_file
             return step.ack
 
-        with unittest.mock.patch.object(ReplicaStore, "_apply", done):
-            self.caught("an answer before writing")
+        with unittest.mock.patch.object(ReplicaStore, "_apply", answer_without_writing):
+            self.assert_detected("an answer before writing")
 
-    def test_a_join_that_forgets_an_attempt_is_noticed(self) -> None:
+    def test_a_join_that_loses_an_attempt_is_detected(self) -> None:
         with unittest.mock.patch.object(replica_module, "join_facts", lambda a, b: a):
-            self.caught("a join that forgets")
+            self.assert_detected("a join that loses an attempt")
 
-    def test_an_earlier_life_taken_at_its_word_is_noticed(self) -> None:
-        honest = replication.FollowerProgress.receive_ack
+    def test_trusting_the_position_of_an_earlier_incarnation_is_detected(self) -> None:
+        original = replication.FollowerProgress.receive_ack
         with unittest.mock.patch.object(
             replication.FollowerProgress,
             "receive_ack",
-            lambda self, now, message, life: honest(
-                self, now, message, self.incarnation if 0 <= self.incarnation <= life else life
+            lambda self, now, message, incarnation: original(
+                self, now, message, self.incarnation if 0 <= self.incarnation <= incarnation else incarnation
             ),
         ):
-            self.caught("a copy whose file is gone")
-
-    def test_ranges_that_differ_silently_are_sent_again(self) -> None:
-        link = Link(1)
-        link.wild = False
-        link.live(60)
-        link.settle()
-        held = link.members["b"].held()
-        lost, spoilt = list(held)[1], list(held)[-1]
-        del held[lost]
-        held[spoilt] = Fact(spoilt, held[spoilt].base, MessageKnowledge())
-        held[(PARTITION << 32) + 99_999] = held[spoilt]
+            self.assert_detected("a replica whose file is gone")
+
+    def test_ranges_with_different_digests_are_sent_again(self) -> None:
+        simulation = Simulation(1)
+        simulation.unreliable = False
+        simulation.apply_random_changes(60)
+        simulation.settle()
+        pending = simulation.members["b"].pending()
+        lost, damaged = list(pending)[1], list(pending)[-1]
+        del pending[lost]
+        pending[damaged] = Fact(damaged, pending[damaged].base, MessageKnowledge())
+        pending[(PARTITION << 32) + 99_999] = pending[damaged]
         for _ in range(300):
-            link.turn()
-        link.settle()
-        self.assertGreater(link.log.followers["b"].ranges_resent, 0)
-        self.assertEqual(link.log.followers["c"].ranges_resent, 0)
-        more = link.members["c"].held()
+            simulation.advance()
+        simulation.settle()
+        self.assertGreater(simulation.log.followers["b"].ranges_resent, 0)
+        self.assertEqual(simulation.log.followers["c"].ranges_resent, 0)
+        more = simulation.members["c"].pending()
         number = next(iter(more))
         more[number] = with_records_lost(
             more[number], 7
         )  # the copy knows more: a join keeps that, so it is not sent for ever
         for _ in range(400):
-            link.turn()
-        self.assertEqual(link.log.followers["c"].ranges_resent, replication.MAX_RESENDS)
+            simulation.advance()
+        self.assertEqual(simulation.log.followers["c"].ranges_resent, replication.MAX_RESENDS)
 
 
 class ReplicaTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.link = Link(2, members=1)
-        self.link.settle()
+        self.simulation = Simulation(2, members=1)
+        self.simulation.settle()
         for _ in range(20):
-            self.link.take(3000)
-            self.link.turn()
-        self.link.settle()
-        self.member = self.link.members["b"]
+            self.simulation.admit(3000)
+            self.simulation.advance()
+        self.simulation.settle()
+        self.member = self.simulation.members["b"]
 
-    def facts(self, **told: Any) -> ReplicateFacts:
-        data = told.pop("data", None) or encode_facts([])
+    def facts_message(self, **fields: Any) -> ReplicateFacts:
+        data = fields.pop("data", None) or encode_facts([])
         return ReplicateFacts(
-            **{"partition": PARTITION, "term": 1, "first": 0, "facts": data, "digest": digest(data), **told}
+            **{"partition": PARTITION, "term": 1, "first": 0, "facts": data, "digest": digest(data), **fields}
         )
 
-    def test_what_does_not_fit_is_dropped_whole(self) -> None:
-        wrong = encode_facts([Fact(5, None, MessageKnowledge())])
-        other = b"\x92\x63\x90"
-        for told, problem in (
+    def test_an_invalid_message_is_dropped_whole(self) -> None:
+        wrong_partition = encode_facts([Fact(5, None, MessageKnowledge())])
+        other_version = b"\x92\x63\x90"
+        for fields, problem in (
             ({"term": 0}, OLD_TERM),
             ({"digest": 1}, CORRUPT),
             ({"data": b"\xc1"}, CORRUPT),
-            ({"data": wrong}, CORRUPT),
-            ({"data": other}, OTHER_VERSION),
+            ({"data": wrong_partition}, CORRUPT),
+            ({"data": other_version}, OTHER_VERSION),
             ({"first": 21}, "gap"),
             ({"term": 2}, "gap"),
         ):
-            before = dict(self.member.held())
-            self.assertEqual(self.member.copies.receive_facts(self.facts(**told)).problem, problem)
-            self.assertEqual(self.member.held(), before)
+            before = dict(self.member.pending())
+            self.assertEqual(self.member.replicas.receive_facts(self.facts_message(**fields)).problem, problem)
+            self.assertEqual(self.member.pending(), before)
         replica = Replica(PARTITION)
         low, high = ((PARTITION << 32) + each for each in (1, 9))
         for after, numbers, problem in ((0, [], ""), (high, [], "gap"), (low, [low], CORRUPT)):
@@ -384,113 +383,113 @@
         replica.apply(ReplicaEntry(1, 6, low, 0, 0, b""), [Fact(high, None, MessageKnowledge())])
         self.assertEqual(
             (replica.pending, replica.position), ({}, (1, 6, low))
-        )  # news of what a piece is still to bring
+        )  # an update of a message that a later piece brings
 
-    def test_behind_a_torn_record_nothing_is_written(self) -> None:
+    def test_nothing_is_written_after_a_partial_record(self) -> None:
         folder = self.member.folder
         folder.disk_bytes = sum(map(len, folder.files.values())) + 100
         folder.failing_calls = {"truncate"}
-        self.link.take(3000)
+        self.simulation.admit(3000)
         for _ in range(3):
-            self.link.turn()
-        self.assertEqual(self.link.log.followers["b"].problem, NO_ROOM)
+            self.simulation.advance()
+        self.assertEqual(self.simulation.log.followers["b"].problem, NO_ROOM)
         folder.disk_bytes = 1 << 60
-        told = self.facts(first=20, data=encode_batch(self.link.log.tail(20)))
-        self.assertEqual(self.member.copies.receive_facts(told).problem, NO_ROOM)
+        message = self.facts_message(first=20, data=encode_batch(self.simulation.log.tail(20)))
+        self.assertEqual(self.member.replicas.receive_facts(message).problem, NO_ROOM)
         for _ in range(200):
-            self.link.turn()  # written anew, since the torn end cannot be cut off
-        self.link.settle()
-        self.assertEqual(len(self.member.held()), 21)
-
-    def test_a_full_disk_refuses_and_says_so_and_drops_nothing(self) -> None:
-        self.link.take(3000)
-        self.member.copies.limit_bytes = 100
-        self.link.turn()
-        self.link.turn()
-        follower = self.link.log.followers["b"]
-        self.assertEqual((follower.problem, follower.is_complete, follower.lag(self.link.now)[0]), (NO_ROOM, False, 1))
-        self.member.copies.limit_bytes = 1 << 22
+            self.simulation.advance()  # the file is compacted, since the partial record cannot be truncated
+        self.simulation.settle()
+        self.assertEqual(len(self.member.pending()), 21)
+
+    def test_a_full_disk_refuses_messages_and_loses_nothing(self) -> None:
+        self.simulation.admit(3000)
+        self.member.replicas.limit_bytes = 100
+        self.simulation.advance()
+        self.simulation.advance()
+        follower = self.simulation.log.followers["b"]
+        self.assertEqual((follower.problem, follower.is_complete, follower.lag(self.simulation.now)[0]), (NO_ROOM, False, 1))
+        self.member.replicas.limit_bytes = 1 << 22
         for _ in range(100):
-            self.link.turn()
-        self.link.settle()
-
-    def test_a_fresh_file_that_misses_an_entry_does_not_take_the_name(self) -> None:
-        folder, held = self.member.folder, self.member.copies
-        held._begin_compaction(held.files[PARTITION])
-        folder.disk_bytes = sum(map(len, folder.files.values())) + 4000  # for the entry once, not twice
-        self.link.take(3000)
-        self.assertEqual(held.receive_facts(self.facts(first=20, data=encode_batch(self.link.log.tail(20)))).next, 21)
+            self.simulation.advance()
+        self.simulation.settle()
+
+    def test_a_new_file_that_lacks_an_entry_does_not_replace_the_old_one(self) -> None:
+        folder, replicas = self.member.folder, self.member.replicas
+        replicas._begin_compaction(replicas.files[PARTITION])
+        folder.disk_bytes = sum(map(len, folder.files.values())) + 4000  # room for one copy of the entry, not for two
+        self.simulation.admit(3000)
+        self.assertEqual(replicas.receive_facts(self.facts_message(first=20, data=encode_batch(self.simulation.log.tail(20)))).next, 21)
         folder.disk_bytes = 1 << 60
-        while held.compact_step():
+        while replicas.compact_step():
             pass
-        folder.failing_calls, written = {"replace"}, held.written_bytes
-        held.files[PARTITION].ends_in_partial_record = True  # it must be written anew
+        folder.failing_calls, written = {"replace"}, replicas.written_bytes
+        replicas.files[PARTITION].ends_in_partial_record = True  # it must be compacted
         for _ in range(50):
-            held.compact_step()  # what can't take the name is not written again and again
-        self.assertLess(held.written_bytes - written, 2 * held.used_bytes)
+            replicas.compact_step()  # a new file that cannot be renamed must not be written in every step
+        self.assertLess(replicas.written_bytes - written, 2 * replicas.used_bytes)
         folder.failing_calls = set()
         self.member.start()
-        self.assertEqual([fact.known.records_lost_since for fact in self.member.held().values()], [0] * 21)
+        self.assertEqual([fact.known.records_lost_since for fact in self.member.pending().values()], [0] * 21)
 
-    def test_what_came_while_the_disk_was_busy_is_synced_too(self) -> None:
-        held, others = self.member.copies, [20, 21]
-        held.durable = True
-        self.link.take()
-        self.link.take()
+    def test_entries_that_arrive_during_a_sync_are_synced_too(self) -> None:
+        replicas, indexes = self.member.replicas, [20, 21]
+        replicas.durable = True
+        self.simulation.admit()
+        self.simulation.admit()
 
-        def come(*_: Any) -> None:
-            first = others.pop(0)
-            held.receive_facts(self.facts(first=first, data=encode_batch(self.link.log.tail(first)[:1])))
+        def receive_next(*_: Any) -> None:
+            first = indexes.pop(0)
+            replicas.receive_facts(self.facts_message(first=first, data=encode_batch(self.simulation.log.tail(first)[:1])))
 
-        come()
-        held.flush(come)
-        self.assertTrue(held.unsynced)
-        held.flush()
-        self.assertFalse(held.unsynced)
+        receive_next()
+        replicas.flush(receive_next)
+        self.assertTrue(replicas.unsynced)
+        replicas.flush()
+        self.assertFalse(replicas.unsynced)
 
-    def test_a_torn_end_is_cut_off_and_damage_puts_all_in_doubt(self) -> None:
+    def test_a_partial_record_is_truncated_and_damage_puts_all_messages_in_doubt(self) -> None:
         name = f"{PARTITION}.log"
-        whole = len(self.member.files[name])
+        complete_size = len(self.member.files[name])
         self.member.files[name] += encode_frame(b"x" * 99)[:50]
         self.member.start()
-        self.assertEqual((len(self.member.files[name]), self.member.on_disk()[:2]), (whole, (1, 20)))
-        self.member.files[name][whole - FRAME_HEADER.size - 100] ^= 1
+        self.assertEqual((len(self.member.files[name]), self.member.stored_position()[:2]), (complete_size, (1, 20)))
+        self.member.files[name][complete_size - FRAME_HEADER.size - 100] ^= 1
         self.member.start()
-        held = self.member.held()
-        self.assertTrue(held and all(fact.known.records_lost_since == 50 for fact in held.values()))
-        self.assertEqual(self.member.on_disk(), (1, 0, 0))
+        pending = self.member.pending()
+        self.assertTrue(pending and all(fact.known.records_lost_since == 50 for fact in pending.values()))
+        self.assertEqual(self.member.stored_position(), (1, 0, 0))
         for _ in range(5):
-            self.member.copies.compact_step()
-        self.member.start()  # written anew: the doubt stays, the damage does not
-        self.assertTrue(all(fact.known.records_lost_since == 50 for fact in self.member.held().values()))
-        self.link.settle()
-        self.assertEqual(len(self.member.held()), 20)
+            self.member.replicas.compact_step()
+        self.member.start()  # after the compaction the doubt remains, the damage does not
+        self.assertTrue(all(fact.known.records_lost_since == 50 for fact in self.member.pending().values()))
+        self.simulation.settle()
+        self.assertEqual(len(self.member.pending()), 20)
 
-    def test_a_file_of_another_version_is_put_aside(self) -> None:
+    def test_a_file_of_another_version_is_renamed(self) -> None:
         name = f"{PARTITION}.log"
         with unittest.mock.patch.object(replica_files, "VERSION", 9):
             self.member.start()
-        self.assertEqual((self.member.held(), list(self.member.files)), ({}, [name + ".other"]))
-        self.link.settle()
-        self.member.copies.drop(PARTITION)
+        self.assertEqual((self.member.pending(), list(self.member.files)), ({}, [name + ".other"]))
+        self.simulation.settle()
+        self.member.replicas.drop(PARTITION)
         self.assertEqual(list(self.member.files), [name + ".other"])
 
-    def test_a_holder_that_was_superseded_stops(self) -> None:
-        before = self.link.log
-        self.link.rise()
-        self.link.settle()
-        follower = before.followers["b"]
-        follower.receive_ack(self.link.now, self.member.copies.receive_facts(self.facts()), self.member.life)
+    def test_a_superseded_holder_stops_sending(self) -> None:
+        old_log = self.simulation.log
+        self.simulation.begin_term()
+        self.simulation.settle()
+        follower = old_log.followers["b"]
+        follower.receive_ack(self.simulation.now, self.member.replicas.receive_facts(self.facts_message()), self.member.incarnation)
         self.assertTrue(follower.superseded)
-        self.assertIsNone(follower.next_message(self.link.now + 10**9))
+        self.assertIsNone(follower.next_message(self.simulation.now + 10**9))
 
-    def test_a_walk_goes_on_where_it_was_cut_and_no_faster_than_its_share(self) -> None:
+    def test_a_full_transfer_resumes_where_it_stopped_and_is_rate_limited(self) -> None:
         for _ in range(100):
-            self.link.take(3000)
-        self.link.rise()
-        log, now = self.link.log, self.link.now
+            self.simulation.admit(3000)
+        self.simulation.begin_term()
+        log, now = self.simulation.log, self.simulation.now
         follower = log.followers["b"]
-        follower.receive_ack(now, self.member.copies.receive_facts(self.facts(term=2)), self.member.life)
+        follower.receive_ack(now, self.member.replicas.receive_facts(self.facts_message(term=2)), self.member.incarnation)
         sent: list[ReplicatePiece] = []
         while not follower.is_complete:
             now += 1_000
@@ -498,9 +497,9 @@
             if isinstance(message, ReplicatePiece):
                 sent.append(message)
                 if len(sent) == 2:
-                    self.member.start()  # the copy's process ends; its file goes on
-                follower.receive_ack(now, self.member.copies.receive_piece(message), self.member.life)
+                    self.member.start()  # the replica's process restarts with its file
+                follower.receive_ack(now, self.member.replicas.receive_piece(message), self.member.incarnation)
         self.assertEqual([each.after for each in sent], [0, *[each.upto for each in sent[:-1]]])
         self.assertEqual(sent[-1].upto, MAX_MESSAGE_NUMBER)
-        rate = sum(len(each.facts) for each in sent[1:]) / (now - self.link.now) * 1e6
+        rate = sum(len(each.facts) for each in sent[1:]) / (now - self.simulation.now) * 1e6
         self.assertLess(rate, replication.MIN_PIECE_BYTES_PER_S * 1.3)
