--- a/tests/processes/rig.py
+++ b/tests/processes/rig.py
@@ -1,4 +1,4 @@
-"""What the cases with several processes share: a scenario, and the seeds that are played."""
+"""What the tests with several processes share: a scenario, the seeds, and how a case is run."""
 
 import os
 import shutil
@@ -21,45 +21,55 @@
 
 
 def seeds() -> list[int]:
-    """Those of CEDARWICK_SEEDS, separated by blanks; one where it is not set."""
+    """The seeds in CEDARWICK_SEEDS, separated by spaces; a single one if it is not set."""
     return [int(seed) for seed in os.environ.get("CEDARWICK_SEEDS", "").split()] or [1]
 
 
 def is_full_length() -> bool:
-    """Whether seeds were asked for: then days have their full length."""
+    """Whether seeds were requested: then test days have their full length."""
     return bool(os.environ.get("CEDARWICK_SEEDS"))
 
 
-# Danger: a grant is on the disk before it is answered; on a busy disk that takes up to a second, a cut for the
-# others. Of a killed process memory keeps as much as a disk does.
-MEMORY = "/dev/shm"
-ROOM = 1 << 30  # bytes
-WITHIN = MEMORY if os.access(MEMORY, os.W_OK) and shutil.disk_usage(MEMORY).free > ROOM else None
-fleet = partial(Fleet, within=WITHIN)
-MAX_RUNS = 3  # of a case whose days say nothing of the senders
+# Folders are in memory if possible. A grant is written to disk before it is answered, which takes up to a second on a
+# busy disk and looks like a broken link to the other members. After a process is killed, a file system in memory keeps
+# as much as a disk does.
+MEMORY_FOLDER = "/dev/shm"
+MIN_FREE_BYTES = 1 << 30
+PARENT_FOLDER = (
+    MEMORY_FOLDER
+    if os.access(MEMORY_FOLDER, os.W_OK) and shutil.disk_usage(MEMORY_FOLDER).free > MIN_FREE_BYTES
+    else None
+)
+fleet = partial(Fleet, within=PARENT_FOLDER)
+MAX_RUNS = 3  # of a case while the machine is too busy for a valid result
 
 
 def run_judged(
-    made: Callable[[], Fleet], case: Callable[[Fleet], None], excused: tuple[type[Exception], ...] = (Exception,)
+    make_fleet: Callable[[], Fleet], case: Callable[[Fleet], None], excused: tuple[type[Exception], ...] = (Exception,)
 ) -> None:
-    """Play a case on a fleet. What fails while the machine was too busy to serve it is played again, and said so.
+    """Run a case on a fleet; repeat it, with a printed note, if it failed while the machine was too busy.
+
+    The day's own measurements tell whether the machine was (`Day.void`): a sender that has no processor for most of the
+    time in which its answers count looks like a broken link, and times out as it should.
 
-    The day tells by its own measures (`Day.void`): a sender without a processor for most of the time in which its
-    answers count is the cut that it looks like, and times out as it should. `excused`: only what is one of these.
+    Args:
+        make_fleet: creates the fleet of one run.
+        case: the test case.
+        excused: only exceptions of these types lead to another run.
     """
-    for left in reversed(range(MAX_RUNS)):
-        with made() as fleet:
+    for runs_left in reversed(range(MAX_RUNS)):
+        with make_fleet() as fleet:
             try:
                 fleet.begin()
                 return case(fleet)
             except Exception as error:
                 void = fleet.day.void()
-                if not (left and void and isinstance(error, excused)):
+                if not (runs_left and void and isinstance(error, excused)):
                     for member in fleet.members:
                         print(f"seed {fleet.seed}, n{member.number}:\n{fleet.log(member.number)[-6000:]}")
                     raise
-                print(f"\nseed {fleet.seed}: played again, since {void}; it failed so: {repr(error)[-600:]}")
+                print(f"\nseed {fleet.seed}: played again, since {void}; the failure was: {repr(error)[-600:]}")
 
 
 def discard_output(_: str) -> None:
-    """What a fleet does is not printed."""
+    """Print nothing of what a fleet does."""
--- a/tests/processes/test_order.py
+++ b/tests/processes/test_order.py
@@ -1,4 +1,4 @@
-"""Order by key within one sender whose copy dies, and between two as clients of a dead sender go elsewhere."""
+"""Order by key in a sender that loses its replica, and across two senders when clients leave a dead one."""
 
 import unittest
 
@@ -13,33 +13,34 @@
 from cedarwick.lab.partner import Effect
 from tests.processes import rig
 
-KEY = "00000000000000a5"
-SLOW, QUICK = 0, 1  # destinations
+ORDER_KEY = "00000000000000a5"
+HANGING_DESTINATION, NORMAL_DESTINATION = 0, 1
 SCENARIO = msgspec.structs.replace(
     rig.SCENARIO, priority_classes=[msgspec.structs.replace(LINE, repeat="reissuable", outer_ms=15_000)]
 )
-SUCCESSOR = 2  # of n1: a member of another hall
+SUCCESSOR = 2  # successor of n1: the member in the other hall
 
 
-def taken(fleet: Fleet, number: int, destination: int, turn: str = KEY) -> str:
-    """The id of a message that a sender has taken; a loaded machine may answer the first ones with `-BUSY`."""
-    handed: list[Handed] = []
+def submit(fleet: Fleet, number: int, destination: int, order_key: str = ORDER_KEY) -> str:
+    """Submit until a message is accepted and return its id; a loaded machine may answer the first ones with `-BUSY`."""
+    submitted: list[Handed] = []
 
-    def ok() -> bool:
-        handed.extend(fleet.hand_in(number, 1, "line", destination, turn))
-        return handed[-1].answer == "ok"
+    def accepted() -> bool:
+        submitted.extend(fleet.hand_in(number, 1, "line", destination, order_key))
+        return submitted[-1].answer == "ok"
 
-    fleet.until(ok, 5.0, f"an answer of n{number}")
-    return handed[-1].id
+    fleet.until(accepted, 5.0, f"an answer of n{number}")
+    return submitted[-1].id
 
 
 def calls(fleet: Fleet, id: str) -> list[Called]:
+    """The calls of a message, in order."""
     return [call for call in fleet.history.called if call.id == id]
 
 
 class OrderTest(unittest.TestCase):
-    def play(self, hands_on: bool) -> None:
-        """The first message of a key hangs at its partner; then its sender's successor dies, or it itself."""
+    def run_seeds(self, kill_sender: bool) -> None:
+        """The first message of a key hangs at its endpoint; then its sender is killed, or the sender's successor."""
         for seed in rig.seeds():
             with (
                 self.subTest(seed=seed),
@@ -48,41 +49,43 @@
                     seed,
                     ("east", "east", "west"),
                     ack="copy",
-                    keys="" if hands_on else 'alone = "own"',
+                    keys="" if kill_sender else 'alone = "own"',
                     say=lambda _: None,
                 ) as fleet,
             ):
                 fleet.begin()
-                self.one(fleet, hands_on)
+                self.run_case(fleet, kill_sender)
 
-    def one(self, fleet: Fleet, hands_on: bool) -> None:
-        taken(fleet, 1, QUICK, "0" * 16)
-        end = fleet.begin_effect(SLOW, Effect("hang"))
-        first = taken(fleet, 1, SLOW)
+    def run_case(self, fleet: Fleet, kill_sender: bool) -> None:
+        submit(fleet, 1, NORMAL_DESTINATION, "0" * 16)
+        end_effect = fleet.begin_effect(HANGING_DESTINATION, Effect("hang"))
+        first = submit(fleet, 1, HANGING_DESTINATION)
         fleet.until(lambda: calls(fleet, first), 3.0, "the first attempt")
         since = fleet.day.now()
-        if hands_on:
+        if kill_sender:
             fleet.kill(1)
-            gevent.sleep(1.6)  # until its silence is noticed, and told
-            later = [taken(fleet, 0, QUICK), taken(fleet, 0, QUICK)]
+            gevent.sleep(1.6)  # until the other members have noticed its silence and shared its order keys
+            later = [submit(fleet, 0, NORMAL_DESTINATION), submit(fleet, 0, NORMAL_DESTINATION)]
         else:
-            later = [taken(fleet, 1, QUICK), taken(fleet, 1, QUICK)]
+            later = [submit(fleet, 1, NORMAL_DESTINATION), submit(fleet, 1, NORMAL_DESTINATION)]
             fleet.kill(SUCCESSOR)
         fleet.until(lambda: len(calls(fleet, first)) > 1, 9.0, "another attempt of the first one")
-        end()
+        end_effect()
         fleet.settle()
         verdict = fleet.judge()
         self.assertEqual((verdict.findings, fleet.failed), ([], []), fleet.report(verdict))
         self.assertEqual([calls(fleet, each)[-1].status for each in (first, *later)], [200, 200, 200])
-        begun = min(calls(fleet, each)[0].first for each in later)
-        # On a loaded machine the adoption may take longer than a key rests for others.
-        self.assertGreater(begun, min(calls(fleet, first)[-1].ended, since + MAX_REST_US if hands_on else FOREVER))
+        first_later_call = min(calls(fleet, each)[0].first for each in later)
+        # On a loaded machine the takeover may take longer than the other members hold back the key.
+        self.assertGreater(
+            first_later_call, min(calls(fleet, first)[-1].ended, since + MAX_REST_US if kill_sender else FOREVER)
+        )
 
-    def test_a_sender_whose_copy_dies_keeps_the_order_around_an_attempt_that_is_out(self) -> None:
-        self.play(hands_on=False)
+    def test_a_sender_whose_replica_dies_keeps_the_order_around_an_attempt_in_flight(self) -> None:
+        self.run_seeds(kill_sender=False)
 
-    def test_a_client_of_a_dead_sender_that_goes_to_another_does_not_overtake_itself(self) -> None:
-        self.play(hands_on=True)
+    def test_messages_of_a_client_that_left_a_dead_sender_keep_their_order(self) -> None:
+        self.run_seeds(kill_sender=True)
 
 
 if __name__ == "__main__":
--- a/tests/processes/test_rig.py
+++ b/tests/processes/test_rig.py
@@ -1,4 +1,4 @@
-"""The rig itself: senders that know nothing of each other, killed and started again, and what it says of them."""
+"""The test rig: senders without a fleet are run and judged, operations reach their process, void runs are repeated."""
 
 import contextlib
 import io
@@ -18,17 +18,17 @@
 
 
 class RigTest(unittest.TestCase):
-    def test_senders_on_their_own_are_started_served_killed_and_judged(self) -> None:
+    def test_senders_without_a_fleet_are_started_used_killed_and_judged(self) -> None:
         seconds = 15.0 if rig.is_full_length() else 3.0
         for seed in rig.seeds():
             with self.subTest(seed=seed), rig.fleet(rig.SCENARIO, seed, group="", say=lambda _: None) as fleet:
                 fleet.begin()
                 fleet.load(seconds)
-                end = fleet.begin_effect(0, Effect("hang"))
-                answers = {handed.answer for handed in fleet.hand_in(2, 20, "once")}
+                end_effect = fleet.begin_effect(0, Effect("hang"))
+                answers = {submitted.answer for submitted in fleet.hand_in(2, 20, "once")}
                 plan = draw(seed, 3, seconds, kinds=("kill", "stop", "term", "disk-full"), longest_s=2.0)
                 fleet.carry_out(plan)
-                end()
+                end_effect()
                 pids = [member.process.pid for member in fleet.members if member.process]
                 fleet.settle()
                 verdict = fleet.judge()
@@ -61,21 +61,21 @@
                 fleet.until(lambda: False, 0.05, "the moon")
             process = fleet.members[0].process
             assert process is not None
-            fleet.stop(0)  # one that stands still is ended, too
+            fleet.stop(0)  # a stopped process must be ended, too
         self.assertIsNotNone(process.poll())
 
-    def test_each_sender_is_told_of_its_own_address_and_of_the_relays_to_the_others(self) -> None:
-        said: list[str] = []
+    def test_each_sender_is_configured_with_its_own_address_and_the_relays_to_the_others(self) -> None:
+        output: list[str] = []
         halls = "east", "east", "west"
-        with rig.fleet(rig.SCENARIO, 1, halls, ack="copy", keys="copies_mb = 8", say=said.append) as fleet:
-            told = tomllib.loads(fleet.table(1))["fleet"]
+        with rig.fleet(rig.SCENARIO, 1, halls, ack="copy", keys="copies_mb = 8", say=output.append) as fleet:
+            configured = tomllib.loads(fleet.table(1))["fleet"]
             self.assertEqual(fleet.terms().ack, "copy")
             self.assertEqual(
-                {key: told[key] for key in told if key != "member"},
+                {key: configured[key] for key in configured if key != "member"},
                 {"group": "harbour", "ack": "copy", "copies": 1, "copies_mb": 8},
             )
             self.assertEqual(
-                [(each["name"], each["hall"], each["address"]) for each in told["member"]],
+                [(each["name"], each["hall"], each["address"]) for each in configured["member"]],
                 [
                     ("n0", "east", "{}:{}".format(*fleet.relays[1, 0].address)),
                     ("n1", "east", "{}:{}".format(*fleet.members[1].link)),
@@ -101,12 +101,12 @@
             self.assertEqual(
                 [(gone.kind, gone.on) for gone in fleet.history.gone], [("split", ["n2"]), ("cut", ["n0>n1"])]
             )
-            self.assertEqual(len(said), 2 * 4 + 2 * 2)
+            self.assertEqual(len(output), 2 * 4 + 2 * 2)
 
 
-class JudgementTest(unittest.TestCase):
-    def test_only_what_fails_on_a_day_that_says_nothing_is_played_again(self) -> None:
-        for waits, excused, plays in (
+class RepeatedRunsTest(unittest.TestCase):
+    def test_only_a_failure_on_a_void_day_is_run_again(self) -> None:
+        for waits, excused, runs in (
             ((300_000, 0), (Exception,), 2),
             ((300_000,) * 9, (Exception,), rig.MAX_RUNS),
             ((0, 0), (Exception,), 1),
@@ -114,7 +114,7 @@
         ):
             days: list[Day] = []
 
-            def made(waits: tuple[int, ...] = waits, days: list[Day] = days) -> Fleet:
+            def make_fleet(waits: tuple[int, ...] = waits, days: list[Day] = days) -> Fleet:
                 fleet = mock.MagicMock(members=[], day=Day(), seed=1)
                 fleet.__enter__.return_value = fleet
                 fleet.__exit__.return_value = False
@@ -123,25 +123,27 @@
                 return fleet
 
             def case(fleet: Fleet) -> None:
-                self.assertGreater(0, 1, "it fails")
+                self.assertGreater(0, 1, "the case fails")
 
             with self.assertRaises(AssertionError), contextlib.redirect_stdout(io.StringIO()):
-                rig.run_judged(made, case, excused)
-            self.assertEqual(len(days), plays)
+                rig.run_judged(make_fleet, case, excused)
+            self.assertEqual(len(days), runs)
 
 
 class DrawnFaultsTest(unittest.TestCase):
-    def test_a_seed_draws_one_plan_and_never_more_than_a_minority_is_out(self) -> None:
+    def test_a_seed_always_draws_the_same_plan_and_at_most_a_minority_fails_at_once(self) -> None:
         for senders in (3, 5, 7):
             for seed in range(20):
                 plan = draw(seed, senders, 30, count=20)
                 self.assertEqual(plan.json(), draw(seed, senders, 30, count=20).json())
                 self.assertGreater(len(plan.faults), 8)
                 for each in plan.faults:
-                    now = [other for other in plan.faults if other.begin <= each.begin < other.end + RECOVERS]
-                    out = set().union(*(other.out() for other in now))
-                    lost = any(other.kind in LOSING for other in now)
-                    self.assertLessEqual(len(out), 1 if lost else (senders - 1) // 2, "\n".join(plan.lines()))
+                    overlapping = [other for other in plan.faults if other.begin <= each.begin < other.end + RECOVERS]
+                    members_out = set().union(*(other.out() for other in overlapping))
+                    loses_data = any(other.kind in LOSING for other in overlapping)
+                    self.assertLessEqual(
+                        len(members_out), 1 if loses_data else (senders - 1) // 2, "\n".join(plan.lines())
+                    )
         self.assertNotEqual(draw(1, 3, 30).json(), draw(2, 3, 30).json())
         kinds = {each.kind for seed in range(40) for each in draw(seed, 5, 30).faults}
         self.assertLess(set(DOWN) | {"split", "cut", "twice"}, kinds)
--- a/tests/processes/test_sharing.py
+++ b/tests/processes/test_sharing.py
@@ -1,4 +1,4 @@
-"""What members tell each other beside their partitions: receivers taken out by hand, and waits that they were told."""
+"""State that members share besides their partitions: receivers suspended by hand, and Retry-After waits."""
 
 import unittest
 from collections.abc import Callable
@@ -12,15 +12,15 @@
 from cedarwick.ops import saved_state
 from tests.processes import rig
 
-TWO = msgspec.structs.replace(
+TWO_RECEIVERS = msgspec.structs.replace(
     rig.SCENARIO, partner=[msgspec.structs.replace(rig.SCENARIO.partner[0], destinations=2, endpoints=2)]
 )
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 class SharingTest(unittest.TestCase):
-    def play(self, scenario: Scenario, case: Callable[[Fleet], None]) -> None:
-        def whole(fleet: Fleet) -> None:
+    def run_case(self, scenario: Scenario, case: Callable[[Fleet], None]) -> None:
+        def judged_case(fleet: Fleet) -> None:
             case(fleet)
             fleet.settle()
             verdict = fleet.judge()
@@ -36,61 +36,61 @@
                         keys='alone = "own"',
                         say=rig.discard_output,
                     ),
-                    whole,
+                    judged_case,
                 )
 
-    def test_staff_take_a_receiver_out_at_one_member_and_back_at_another(self) -> None:
+    def test_a_receiver_suspended_at_one_member_can_be_restored_at_another(self) -> None:
         def case(fleet: Fleet) -> None:
             uid = fleet.environment.servers_of(0)[0].endpoint.uid
 
             def callers(seconds: float) -> set[int]:
-                """The senders that call the receiver from now on, watched for so long."""
+                """The senders that call the receiver during the next seconds."""
                 since = fleet.day.now()
                 gevent.sleep(seconds)
                 return {call.sender for call in fleet.history.called if call.endpoint == uid and call.first >= since}
 
-            def out() -> set[int]:
+            def suspended_at() -> set[int]:
                 return {member.number for member in fleet.members if uid in saved_state.read(member.state)}
 
             fleet.load(40, rate=120)
             self.assertEqual(callers(1.5), {0, 1, 2})
             fleet.call(0, f"SUSPEND {uid}")
-            fleet.until(lambda: out() == {0, 1, 2}, 1.0, "the suspension everywhere")
+            fleet.until(lambda: suspended_at() == {0, 1, 2}, 1.0, "the suspension everywhere")
             gevent.sleep(0.5)
             self.assertEqual(callers(1.5), set())
             fleet.term(2)
             fleet.start(2)
             fleet.until(lambda: fleet.call(2, "STATUS").startswith("YES"), 6.0, "n2's return")
-            broken = fleet.isolate(0)
+            faults = fleet.isolate(0)
             fleet.call(1, f"RESTORE {uid}")
             self.assertLessEqual({1, 2}, callers(3.0))
-            self.assertEqual(out(), {0})
-            fleet.heal(broken)
-            fleet.until(lambda: not out(), 2.0, "the restored receiver at n0")
+            self.assertEqual(suspended_at(), {0})
+            fleet.heal(faults)
+            fleet.until(lambda: not suspended_at(), 2.0, "the restored receiver at n0")
             fleet.until(lambda: 0 in callers(0.5), 6.0, "n0's calls")
             fleet.end_loads()
 
-        self.play(TWO, case)
+        self.run_case(TWO_RECEIVERS, case)
 
-    def test_a_wait_told_to_one_sender_is_kept_by_the_others(self) -> None:
+    def test_a_retry_after_wait_of_one_sender_is_honoured_by_the_others(self) -> None:
         def case(fleet: Fleet) -> None:
-            wait = 2 * S
+            wait = 2 * SECOND_US
             for number in range(3):
                 fleet.hand_in(number, 1, "free")
             fleet.until(lambda: not fleet.owed(), 3.0, "the first ends")
-            end = fleet.begin_effect(0, Effect("shut", wait=wait))
+            end_effect = fleet.begin_effect(0, Effect("shut", wait=wait))
             fleet.hand_in(0, 1, "free")
             fleet.until(lambda: any(call.status == 429 for call in fleet.history.called), 2.0, "a refusal")
-            end()  # whoever calls now is served
-            refused = next(call.ended for call in fleet.history.called if call.status == 429)
+            end_effect()  # calls from now on succeed
+            refused_at = next(call.ended for call in fleet.history.called if call.status == 429)
             gevent.sleep(0.5)
             self.assertEqual({each.answer for number in (1, 2) for each in fleet.hand_in(number, 3, "free")}, {"ok"})
             fleet.until(lambda: not fleet.owed(), 6.0, "the last ends")
-            later = [call for call in fleet.history.called if call.first > refused]
+            later = [call for call in fleet.history.called if call.first > refused_at]
             self.assertLessEqual({1, 2}, {call.sender for call in later})
-            self.assertGreater(min(call.first for call in later), refused + wait - S // 50)
+            self.assertGreater(min(call.first for call in later), refused_at + wait - SECOND_US // 50)
 
-        self.play(rig.SCENARIO, case)
+        self.run_case(rig.SCENARIO, case)
 
 
 if __name__ == "__main__":
