--- a/cedarwick/fleet/replica_files.py
+++ b/cedarwick/fleet/replica_files.py
@@ -90,9 +90,7 @@
         self.new_file = -1  # descriptor of the new file of a compaction; -1: none is running
         self.new_file_size = 0
         self.new_file_upto = 0  # the new file has the pending messages up to this number
-        self.ends_in_partial_record = (
-            False  # the file ends in a partial record: nothing can be appended until it is compacted
-        )
+        self.ends_in_partial_record = False  # if so, nothing can be appended until the file is compacted
         self.compacted_size = 0  # size after the last compaction
         self.retry_at_step = 0  # no compaction begins before this step
 
@@ -107,9 +105,8 @@
         self.now = now
         self.durable = durable
         self.files: dict[int, ReplicaFile] = {}
-        self.unsynced: dict[
-            int, int
-        ] = {}  # by descriptor: `written_bytes` after the last append that is not synced yet
+        # Files with unsynced data, by descriptor: `written_bytes` after the last append.
+        self.unsynced: dict[int, int] = {}
         self.refusing: set[int] = set()  # partitions whose holders were answered `NO_ROOM`, so that it is logged once
         self.steps = 0  # counts calls of `compact_step` without a running compaction
         self.written_bytes = 0  # total bytes written
@@ -148,7 +145,7 @@
         replica_file = self._file_of(message.partition)
         return self._apply(replica_file, replica_file.replica.step_for_piece(message))
 
-    def compare_digests(self, message: Digests) -> Digests:
+    def handle_digests(self, message: Digests) -> Digests:
         """The replica's digests of the ranges in the message."""
         return self._file_of(message.partition).replica.answer_digests(message)
 
@@ -311,9 +308,7 @@
             return
         try:
             if self.durable:
-                self.folder.sync(
-                    replica_file.new_file
-                )  # before the rename, since a power cut could otherwise lose both files
+                self.folder.sync(replica_file.new_file)  # before the rename: a power cut could lose both files
             self.folder.replace(replica_file.name, replica_file.name + NEW_FILE_SUFFIX)
         except OSError:
             self._abandon_compaction(replica_file)
--- a/cedarwick/fleet/replication.py
+++ b/cedarwick/fleet/replication.py
@@ -31,19 +31,19 @@
 MAX_MESSAGE_NUMBER = (1 << 63) - 1  # no message has a larger number
 MAX_WINDOW_FACTS = 4096  # facts of the log kept in the holder's memory
 MAX_WINDOW_BYTES = 1 << 23  # encoded bytes of these facts
-MESSAGE_BYTES = 1 << 16  # encoded facts in one message; exceeded only by a single larger fact
+MESSAGE_BYTES = 1 << 16  # bytes of facts in one message; exceeded only by a single larger fact
 MESSAGE_FACTS = 1024  # maximum number of facts in one message
 MAX_UNACKED = 4  # tail messages to one replica that may be unacknowledged at a time
 ACK_TIMEOUT_US = 500_000  # after which an unanswered message is sent again
 COMPARE_RETRY_US = 1_000_000  # after which an unanswered comparison is sent again
-LIVE_BYTES_PER_PIECE_BYTE = 2  # pieces may use this fraction of the live traffic
+LIVE_BYTES_PER_PIECE_BYTE = 2  # bytes of live traffic that allow one byte of pieces
 MIN_PIECE_BYTES_PER_S = 1 << 20  # minimum rate of pieces when there is little live traffic
 COMPARE_INTERVAL_US = 10_000_000  # between the starts of two full comparisons
 COMPARE_PAUSE_US = 20_000  # between two messages of one comparison
 RANGE_FACTS = 128  # facts in one compared range
 RANGES_PER_MESSAGE = 2  # compared ranges in one message
 MAX_DIFFERENCES = 64  # differing ranges remembered from one full comparison to the next
-MAX_RESENDS = 3  # of a range whose difference stays the same: then the replica knows more, and joins keep that
+MAX_RESENDS = 3  # of a range with the same difference: after that the replica knows more, which a join keeps
 NO_PROBLEM, GAP, OLD_TERM, CORRUPT, OTHER_VERSION, NO_ROOM = "", "gap", "term", "spoilt", "version", "no room"
 # By problem: how long nothing is sent to a replica after it has refused a message.
 REFUSAL_PAUSE_US = {OLD_TERM: 100_000, CORRUPT: 100_000, OTHER_VERSION: 1_000_000, NO_ROOM: 1_000_000}
--- a/cedarwick/fleet/replication_facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -34,9 +34,8 @@
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Zone = Annotated[int, msgspec.Meta(ge=-(1 << 15), lt=1 << 15)]
 Wait = Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]
-Text = Annotated[
-    str, msgspec.Meta(max_length=16000)
-]  # at most 4 bytes per character; a stored record holds lengths up to 65,535
+# At most 4 bytes per character; a stored record holds lengths up to 65,535 bytes.
+Text = Annotated[str, msgspec.Meta(max_length=16000)]
 Body = Annotated[bytes, msgspec.Meta(max_length=1 << 19)]
 
 
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -89,7 +89,7 @@
             return ReplicaAck(body.partition, holding.adoption.holder.term, 0, OLD_TERM)
         self.replica_written_at[body.partition] = monotonic_time()
         if isinstance(body, Digests):
-            return self.replicas.compare_digests(body)
+            return self.replicas.handle_digests(body)
         if isinstance(body, ReplicateFacts):
             self._wait_for_earlier(body)
         have = (
--- a/tests/fleet/test_replication.py
+++ b/tests/fleet/test_replication.py
@@ -171,7 +171,7 @@
                 handlers: dict[type, Any] = {
                     ReplicateFacts: member.replicas.receive_facts,
                     ReplicatePiece: member.replicas.receive_piece,
-                    Digests: member.replicas.compare_digests,
+                    Digests: member.replicas.handle_digests,
                 }
                 handler = handlers[type(message)]
                 return [(name, member.boot_number, handler(message))]
