--- a/cedarwick/fleet/held_partitions.py
+++ b/cedarwick/fleet/held_partitions.py
@@ -5,8 +5,8 @@
 
 from cedarwick.fleet.fleet_files import LeaseRecord
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import lease_of
-from cedarwick.fleet.limits import IDLE_HOLDER_US, RESTARTED_REQUESTS_US
+from cedarwick.fleet.leases import lease_name
+from cedarwick.fleet.limits import RESTART_REQUEST_WINDOW_US, START_SERVING_US
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.replicated_store import NUMBERS_PER_RESERVATION
@@ -18,8 +18,8 @@
 
     def _follow_partition(self, partition: int) -> None:
         """Begin to follow a partition of which this member has a replica."""
-        if partition not in self.adoptions:
-            self.adoptions[partition] = Takeover(partition, self.name, self.halls, self._recorded_term(partition))
+        if partition not in self.takeovers:
+            self.takeovers[partition] = Takeover(partition, self.name, self.halls, self._recorded_term(partition))
 
     def _recorded_term(self, partition: int) -> int:
         """The term in the lease record of a partition; 0 without one."""
@@ -36,9 +36,9 @@
         if (upto >> 32) != holding.partition:
             # A partition is full after 2**32 numbers: accept nothing more in it, so that the next one is opened.
             if self.ownership is not None:
-                self.ownership.full = holding is self.store.open_partition
+                self.ownership.exhausted = holding is self.store.open_partition
             return
-        self._record_lease(holding.partition, holding.adoption.holder.term, upto)
+        self._record_lease(holding.partition, holding.takeover.holder.term, upto)
         holding.reserved_upto = upto
 
     def _record_lease(self, partition: int, term: int, upto: int) -> None:
@@ -50,22 +50,22 @@
     def _hold_partition(self, partition: int) -> LeasedPartition:
         """The `LeasedPartition` of a partition that this sender is about to hold, made where there is none."""
         if partition not in self.store.leased_partitions:
-            self.store.leased_partitions[partition] = LeasedPartition(partition, self.adoptions[partition])
+            self.store.leased_partitions[partition] = LeasedPartition(partition, self.takeovers[partition])
         holding = self.store.leased_partitions[partition]
-        holding.adoption = self.adoptions[partition]
+        holding.takeover = self.takeovers[partition]
         return holding
 
-    def _presumed_holder(self, adoption: Takeover) -> str:
+    def _presumed_holder(self, takeover: Takeover) -> str:
         """The presumed holder of a partition; empty where none is known."""
-        grant, (term, holder) = self.grantor.grant(lease_of(adoption.partition)), adoption.holder.newest_other
+        grant, (term, holder) = self.grantor.grant(lease_name(takeover.partition)), takeover.holder.newest_other_holder
         # At equal terms the report counts: the own grantor may have granted a term to this member while a majority
         # granted it to another.
         return grant.holder if grant.term > term else holder
 
-    def _status_for(self, now: int, name: str, adoption: Takeover) -> MemberStatus:
+    def _status_for(self, now: int, name: str, takeover: Takeover) -> MemberStatus:
         """A member's status as to a partition: its presumed holder counts as dead where it does not serve it."""
-        partition, grant = adoption.partition, self.grantor.grant(lease_of(adoption.partition))
-        term, holder = adoption.holder.newest_other
+        partition, grant = takeover.partition, self.grantor.grant(lease_name(takeover.partition))
+        term, holder = takeover.holder.newest_other_holder
         holder = grant.holder if grant.term > term else holder
         if self.presumed_holders.get(partition, ("", 0))[0] != holder:
             self.presumed_holders[partition] = holder, now
@@ -77,6 +77,6 @@
             # be idle at once, and lose the partition before it can ask for it, with ends that no replica has.
             idle_since = max(self.presumed_holders[partition][1], at if who == name else 0, restarted_at)
             # A restarted member would have asked for the partition by now; an idle one has asked in vain.
-            if at < restarted_at <= now - RESTARTED_REQUESTS_US or idle_since <= now - IDLE_HOLDER_US:
+            if at < restarted_at <= now - RESTART_REQUEST_WINDOW_US or idle_since <= now - START_SERVING_US:
                 return MemberStatus.DEAD
         return state
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -4,7 +4,7 @@
 of the wall clock.
 """
 
-from cedarwick.fleet.limits import ANSWER_AHEAD_US, NO_MAJORITY_UNHELD_US, NO_MAJORITY_US
+from cedarwick.fleet.limits import DEADLINE_MARGIN_US, NO_MAJORITY_UNHELD_US, NO_MAJORITY_US
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.partition_takeover import PartitionTakeover
 from cedarwick.fleet.takeover import Takeover, TakeoverStage
@@ -20,14 +20,14 @@
         here but no replica follows; and where only this member has the message. In all other cases the lease is
         settled within a moment and its holder answers: an answer from here would be a second, maybe different one.
         """
-        soon = self.clock.now() + ANSWER_AHEAD_US
+        soon = self.clock.now() + DEADLINE_MARGIN_US
         self._answer_pre_fleet_messages(soon)
         for holding in list(self.store.leased_partitions.values()):
-            stage = holding.adoption.stage
+            stage = holding.takeover.stage
             held = stage is TakeoverStage.HOLDING and holding.imported
-            ours = held and holding.adoption.holder.is_valid(now)
+            ours = held and holding.takeover.holder.is_valid(now)
             # Also partitions that no majority grants to anybody, as after a restart: nobody else would answer them.
-            unheld = held and not ours or self._has_no_holder(holding.adoption)
+            unheld = held and not ours or self._has_no_holder(holding.takeover)
             holding.unheld_since = (holding.unheld_since or now) if unheld else 0
             if holding.serving or self.leaving:
                 continue
@@ -39,12 +39,12 @@
             if stage is TakeoverStage.OFFERING:
                 # Nobody else can answer what no replica was sent and nobody was offered. An offer without an answer
                 # may have been stored, and the new holder may have answered the message otherwise.
-                heard = self.members.status(now, self._presumed_holder(holding.adoption)) is MemberStatus.ALIVE
+                heard = self.members.status(now, self._presumed_holder(holding.takeover)) is MemberStatus.ALIVE
                 if not heard and not holding.offer_sent:
                     numbers = self.store.unreplicated(holding).unsent
             elif ours or few:
                 numbers = self.store.message_numbers(holding.partition)
-            elif stage is TakeoverStage.GONE and not holding.offered:
+            elif stage is TakeoverStage.GONE and not holding.offer_accepted:
                 numbers = sum(self.store.unreplicated(holding), [])
             late = [
                 number
@@ -52,12 +52,12 @@
                 if self.store.messages[number].deadline <= soon and number not in self.store.migrating
             ]
             if late:
-                self.dispatcher.answer_late(late)
+                self.dispatcher.abandon_parked(late)
 
-    def _has_no_holder(self, adoption: Takeover) -> bool:
+    def _has_no_holder(self, takeover: Takeover) -> bool:
         """Whether this member asks for a partition, or will, and no other member is known to have held it since."""
-        waits = adoption.stage in (TakeoverStage.FOLLOWING, TakeoverStage.WAITING, TakeoverStage.ASKING)
-        return waits and self._presumed_holder(adoption) in ("", self.name)
+        waits = takeover.stage in (TakeoverStage.FOLLOWING, TakeoverStage.WAITING, TakeoverStage.ASKING)
+        return waits and self._presumed_holder(takeover) in ("", self.name)
 
     def _answer_pre_fleet_messages(self, soon: int) -> None:
         """Move messages from before this sender was a member to the open partition; answer those near their deadline.
@@ -75,4 +75,4 @@
             if number in self.store.messages and (number not in owed or self.store.messages[number].deadline <= soon)
         ]
         if late:
-            self.dispatcher.answer_late(late)
+            self.dispatcher.abandon_parked(late)
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -10,7 +10,7 @@
 from cedarwick.fleet.member_state import MembershipChangeError, NotAMemberError
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.takeover import ABSENT
-from cedarwick.net.assignment import address
+from cedarwick.net.assignment import parse_address
 
 
 class MembershipReload(Heartbeats):
@@ -34,8 +34,8 @@
             return
         before, now = set(self.halls), monotonic_time()
         stored = msgspec.structs.replace(self.settings, member=settings.member, follow_s=settings.follow_s)
-        moved = self.where[self.name] not in [
-            address(each.address) for each in settings.member if each.name == self.name
+        moved = self.addresses[self.name] not in [
+            parse_address(each.address) for each in settings.member if each.name == self.name
         ]
         if stored != settings or moved:
             logger.warning(
@@ -44,15 +44,15 @@
             )
         self.settings = stored
         self.halls = {member.name: member.hall for member in settings.member}
-        self.where = {member.name: address(member.address) for member in settings.member}
-        self.peers.replace(self.where)
-        self.members.replace(now, self.halls)
-        self.grantor.replace(self.halls)
+        self.addresses = {member.name: parse_address(member.address) for member in settings.member}
+        self.peers.replace(self.addresses)
+        self.members.replace_members(now, self.halls)
+        self.grantor.replace_members(self.halls)
         self.exchange.replace(round(settings.follow_s * 1e6))
         if self.session_router is not None:
             self.session_router.replace()
-        for adoption in self.adoptions.values():
-            adoption.holder.replace(self.halls)
+        for takeover in self.takeovers.values():
+            takeover.holder.replace_members(self.halls)
         if self.ownership is not None:
             self.ownership.names = self.halls  # of the partitions that it opens from now on
         for name in sorted(set(self.halls) - before):
--- a/cedarwick/fleet/pending_order_keys.py
+++ b/cedarwick/fleet/pending_order_keys.py
@@ -9,8 +9,8 @@
 
 from cedarwick.fleet.held_partitions import HeldPartitions
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import lease_of
-from cedarwick.fleet.limits import CALL_TIMEOUT_S, MAX_OWED_MESSAGES
+from cedarwick.fleet.leases import lease_name
+from cedarwick.fleet.limits import CALL_TIMEOUT_S, MAX_PENDING_SEARCHED
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import PENDING_ORDER_KEYS_LEVEL, PendingOrderKeys
 from cedarwick.fleet.replication_facts import EndRank
@@ -26,12 +26,12 @@
         here = self._backlog_order_keys(in_replicas)
         here |= self._keys_of_running_attempts(here | in_replicas)
         self._send_pending_order_keys(now, here | in_replicas)
-        before = self.order_key_hints.elsewhere
-        if self.order_key_hints.rests(now, here, in_replicas) or before:
-            self.dispatcher.rest(self.order_key_hints.elsewhere)
+        before = self.order_key_hints.held_keys
+        if self.order_key_hints.update_held_keys(now, here, in_replicas) or before:
+            self.dispatcher.hold_keys(self.order_key_hints.held_keys)
 
     def _all_replica_order_keys(self, now: int) -> set[int]:
-        return set().union(*(self._replica_order_keys(now, adoption) for adoption in self.adoptions.values()))
+        return set().union(*(self._replica_order_keys(now, takeover) for takeover in self.takeovers.values()))
 
     def _backlog_order_keys(self, in_replicas: set[int]) -> set[int]:
         """The keys of the backlogs of served partitions; those of the other ones are added to `in_replicas`."""
@@ -49,26 +49,26 @@
         """Keys sent before whose messages have ended, while an attempt of one may still run."""
         return {
             key
-            for key in self.order_key_hints.sent_keys - counted - self.order_key_hints.elsewhere
-            if self.dispatcher.rest_of(key) > 0
+            for key in self.order_key_hints.sent_keys - counted - self.order_key_hints.held_keys
+            if self.dispatcher.key_hold_left_us(key) > 0
         }
 
     def _send_pending_order_keys(self, now: int, keys: set[int]) -> None:
         others = [
             name
             for name in self.alive
-            if self.gate.levels.get(name, 0) >= PENDING_ORDER_KEYS_LEVEL and name != self.name
+            if self.verifier.levels.get(name, 0) >= PENDING_ORDER_KEYS_LEVEL and name != self.name
         ]
-        if (due := self.order_key_hints.tell(now, keys, others)) is not None:
+        if (due := self.order_key_hints.due_keys(now, keys, others)) is not None:
             for name in others:
                 gevent.spawn(self._call, name, PendingOrderKeys(due), CALL_TIMEOUT_S)
 
-    def _replica_order_keys(self, now: int, adoption: Takeover) -> frozenset[int]:
+    def _replica_order_keys(self, now: int, takeover: Takeover) -> frozenset[int]:
         """The keys with pending messages in a replica here; none unless its holder is silent."""
-        partition, grant = adoption.partition, self.grantor.grant(lease_of(adoption.partition))
+        partition, grant = takeover.partition, self.grantor.grant(lease_name(takeover.partition))
         replica = self.replicas.replica(partition)
         # The own name is recorded from when this member asks for the partition until it has imported it.
-        alive = grant.holder != self.name and self._status_for(now, grant.holder, adoption) is MemberStatus.ALIVE
+        alive = grant.holder != self.name and self._status_for(now, grant.holder, takeover) is MemberStatus.ALIVE
         if replica is None or partition in self.store.leased_partitions or self.name not in grant.successors or alive:
             self.replica_order_keys.pop(partition, None)
             return frozenset()
@@ -77,10 +77,10 @@
             self.replica_order_keys[partition] = frozenset(
                 [
                     fact.base.ordering_key
-                    for fact in facts[:MAX_OWED_MESSAGES]
+                    for fact in facts[:MAX_PENDING_SEARCHED]
                     if fact.base is not None
                     and fact.known.end[0] is EndRank.NONE
-                    and self.dispatcher.ordered(fact.base.priority_class)
+                    and self.dispatcher.is_ordered(fact.base.priority_class)
                 ]
             )
         return self.replica_order_keys[partition]
@@ -90,15 +90,15 @@
 
         Messages of the open partition are left out if their key rests: older ones are pending elsewhere.
         """
-        for number in islice(holding.ledger.known, MAX_OWED_MESSAGES):
+        for number in islice(holding.ledger.known, MAX_PENDING_SEARCHED):
             stored = self.store.messages.get(number)
             if (
                 stored is not None
                 and stored.order_key
                 and stored.final_answer is None
-                and self.dispatcher.ordered(stored.priority_class)
+                and self.dispatcher.is_ordered(stored.priority_class)
             ):
                 # An adopted partition counts whole: its keys rested here as a replica's, and would otherwise be sent no
                 # longer.
-                if holding is not self.store.open_partition or stored.order_key not in self.order_key_hints.elsewhere:
+                if holding is not self.store.open_partition or stored.order_key not in self.order_key_hints.held_keys:
                     holding.backlog[number] = stored.order_key
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -103,23 +103,23 @@
             leased is not None
             and leased.serving
             and number not in self.migrating
-            and leased.adoption.holder.is_valid(monotonic_time())
+            and leased.takeover.holder.is_valid(monotonic_time())
         )
 
     def term_of(self, number: int) -> int:
         """The newest term in which this sender has held or requested the message's partition; 0: none."""
         leased = self.leased_partitions.get(number >> 32)
-        return leased.adoption.holder.term if leased is not None else 0
+        return leased.takeover.holder.term if leased is not None else 0
 
     def may_answer(self) -> bool:
         """Whether the leases of all partitions that the dispatcher serves are valid now."""
         now = monotonic_time()
-        return all(each.adoption.holder.is_valid(now) for each in self.leased_partitions.values() if each.serving)
+        return all(each.takeover.holder.is_valid(now) for each in self.leased_partitions.values() if each.serving)
 
     def accepts_messages(self) -> bool:
         """Whether new messages can be accepted: the lease of the open partition is valid now."""
         partition = self.open_partition
-        return partition is not None and partition.serving and partition.adoption.holder.is_valid(monotonic_time())
+        return partition is not None and partition.serving and partition.takeover.holder.is_valid(monotonic_time())
 
     def has_room(self, stored: StoredMessage) -> bool:
         """As `Store.has_room`; also False without a valid lease or if no reserved number is left."""
@@ -200,24 +200,24 @@
         for leased in [each for each in self.leased_partitions.values() if each.serving]:
             index = leased.log.next_index
             while leased.log.acked_by(self.successors_of(leased)) < index:
-                if leased.is_starving(monotonic_time()) or not self._wait_for_progress(deadline):
+                if leased.is_stalled(monotonic_time()) or not self._wait_for_progress(deadline):
                     self.on_replication_timeout(leased)
                     raise NotReplicatedError(
                         f"partition {leased.partition}: "
                         f"{index - leased.log.acked_by(self.successors_of(leased))} records "
                         f"are not at {', '.join(sorted(self.successors_of(leased)))}"
                     )
-            if not leased.alone_since and not leased.is_starving(monotonic_time()):
+            if not leased.unreplicated_since and not leased.is_stalled(monotonic_time()):
                 # Under load the replicas always lag a little when the node checks. Without this reset a partition whose
                 # replicas lagged once would be given up half a second later, with all its messages.
-                leased.starved_at = 0
+                leased.stalled_since = 0
             # The lease may have run out during the wait; a member that took over the partition lacks these records.
-            if not leased.adoption.holder.is_valid(monotonic_time()):
+            if not leased.takeover.holder.is_valid(monotonic_time()):
                 raise NotReplicatedError(f"partition {leased.partition}: its lease has run out")
 
     def successors_of(self, leased: LeasedPartition) -> frozenset[str]:
         """The members that must acknowledge a record before it counts as replicated."""
-        return (leased.adoption.holder.possible_successors | leased.joining.keys()) - {leased.adoption.me}
+        return (leased.takeover.holder.possible_successors | leased.joining.keys()) - {leased.takeover.me}
 
     def _wait_for_progress(self, deadline: float) -> bool:
         remaining = deadline - time.monotonic()
@@ -334,7 +334,10 @@
     def begin_log(self, leased: LeasedPartition, term: int) -> None:
         """Start a new replication log of the partition under a term."""
         leased.log = ReplicationLog(
-            leased.partition, term, lambda number: leased.read_for_member(self, number), sorted(leased.ledger.known)
+            leased.partition,
+            term,
+            lambda number: leased.read_fact_for_member(self, number),
+            sorted(leased.ledger.known),
         )
         leased.log.asynchronous = not self.ack_after_replication
         leased.log_started_at = monotonic_time()
@@ -422,7 +425,7 @@
             for fact in decode_facts(encode_batch([logged.data])):
                 facts[fact.number] = join_facts(facts[fact.number], fact) if fact.number in facts else fact
         for number in list(leased.ledger.known):
-            pending_fact = leased.read_for_member(self, number)
+            pending_fact = leased.read_fact_for_member(self, number)
             if pending_fact is not None:
                 facts[number] = join_facts(facts[number], pending_fact) if number in facts else pending_fact
         return [facts[number] for number in sorted(facts)]
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -43,7 +43,7 @@
 
     def answer(self, peer_message: PeerMessage) -> PeerMessage:
         """The answer to a peer message; raises `UnknownPeerMessageError` or an error of the part that answers."""
-        return self.gate.peer_message(
+        return self.verifier.peer_message(
             peer_message.sender, self._answer(peer_message.sender, peer_message.incarnation, peer_message.body)
         )
 
@@ -67,10 +67,10 @@
         if isinstance(body, TakeoverOffer):
             return self._answer_offer(sender, body)
         if isinstance(body, PendingOrderKeys):
-            self.order_key_hints.heard(monotonic_time(), sender, body.keys)
+            self.order_key_hints.receive(monotonic_time(), sender, body.keys)
             return Acknowledged()
         if isinstance(body, RetryAfterHint | SuspensionMarks):
-            return self.gossip.heard(sender, body)
+            return self.gossip.answer(sender, body)
         if isinstance(body, Subscribe | Matches | Cursors):
             return self.exchange.heard(sender, monotonic_time(), body)
         if (
@@ -82,11 +82,11 @@
 
     def _replicate(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
         holding = self.store.leased_partitions.get(body.partition)
-        if holding is not None and holding.adoption.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
+        if holding is not None and holding.takeover.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
             # A former holder that was paused must not count this member as its replica: the partition is held here.
             if isinstance(body, Digests):
-                return Digests(body.partition, holding.adoption.holder.term, ())
-            return ReplicaAck(body.partition, holding.adoption.holder.term, 0, OLD_TERM)
+                return Digests(body.partition, holding.takeover.holder.term, ())
+            return ReplicaAck(body.partition, holding.takeover.holder.term, 0, OLD_TERM)
         self.replica_written_at[body.partition] = monotonic_time()
         if isinstance(body, Digests):
             return self.replicas.handle_digests(body)
@@ -97,7 +97,7 @@
         )
         if self.replicas.unsynced:
             self.replicas.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
-        if body.partition not in self.adoptions and self.replicas.replica(body.partition) is not None:
+        if body.partition not in self.takeovers and self.replicas.replica(body.partition) is not None:
             self._follow_partition(body.partition)
         return have
 
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -7,8 +7,8 @@
 
 from cedarwick.config.member_slots import slot_of
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import EPOCH_BITS, lease_of
-from cedarwick.fleet.limits import ANSWER_AHEAD_US, US_PER_S
+from cedarwick.fleet.leases import EPOCH_BITS, lease_name
+from cedarwick.fleet.limits import DEADLINE_MARGIN_US, US_PER_S
 from cedarwick.fleet.messages import SessionInheritance
 from cedarwick.fleet.recent_ids import RecentIds
 from cedarwick.fleet.replica import ReplicaEntry as Step
@@ -39,7 +39,7 @@
         """Called when a partition is held here under a new term: keep the ids known from its copy for inheritance."""
         recent_ids, now = self.replica_recent_ids.pop(partition, None), monotonic_time()
         owner = next((name for name in self.node.halls if slot_of(name) == partition >> EPOCH_BITS), "")
-        if recent_ids is None or self.node.gate.levels.get(owner, 0) < INHERITANCE_LEVEL or owner == self.name:
+        if recent_ids is None or self.node.verifier.levels.get(owner, 0) < INHERITANCE_LEVEL or owner == self.name:
             logger.info(
                 "sessions of {} can be claimed {} s after its death: no recent ids are known",
                 owner or "?",
@@ -47,7 +47,7 @@
             )
             return
         self.inheritable_sessions[partition] = InheritableSessions(
-            owner, recent_ids.complete_at(), recent_ids.by_key(), set()
+            owner, recent_ids.complete_at(), recent_ids.ids_by_session(), set()
         )
         logger.info(
             "sessions of {} are inherited as they are used, {:.1f} s from now on",
@@ -64,7 +64,7 @@
     def _successor(self, name: str) -> str:
         """The member that holds the newest partition of a sender that is gone; empty if none is known."""
         partition = self._newest_partition(name)
-        grant = self.node.grantor.grant(lease_of(partition))
+        grant = self.node.grantor.grant(lease_name(partition))
         return grant.holder if partition and grant.holder != name and not grant.closed else ""
 
     def _inherit(self, key: int) -> bool:
@@ -103,7 +103,7 @@
 
     def _answer_inheritance(self, request: ClaimRequest, partition: int, by: str, now: int) -> ClaimAnswer:
         holder = request.over[1]
-        grant = self.node.grantor.grant(lease_of(partition))
+        grant = self.node.grantor.grant(lease_name(partition))
         holds = (
             partition == self._newest_partition(holder)
             and grant.holder == by
@@ -112,12 +112,12 @@
         )
         may_have_moved = self.migrations.acceptor.may_have_moved(
             request.key, holder, now - ID_RETENTION_US
-        ) or self.migrations.open_move(request.key)
+        ) or self.migrations.has_open_move(request.key)
         return self.directory.answer_inheritance(request, by, holds, may_have_moved, now)
 
     def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
         """Filter what the last holder of an adopted partition offers: messages of inherited sessions may not count."""
-        inheritable, soon = self.inheritable_sessions.get(holding.partition), self.clock.now() + 2 * ANSWER_AHEAD_US
+        inheritable, soon = self.inheritable_sessions.get(holding.partition), self.clock.now() + 2 * DEADLINE_MARGIN_US
         if inheritable is None or not inheritable.inherited_keys:
             return facts
         counts = []
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -57,13 +57,13 @@
         self.fleet_files = node.fleet_files
         self.counters = node.counters
         self.clock = node.clock
-        self.peers = Peers(node.gate, node.where, MAX_CALLS_IN_FLIGHT)
+        self.peers = Peers(node.verifier, node.addresses, MAX_CALLS_IN_FLIGHT)
         now = monotonic_time()
         self.directory = SessionDirectory(self.name, len(node.halls), now)
         self.migrations = SessionMigrations(
             node, self.directory, self._call, self._accepts_sessions, self._notify_change
         )
-        self.moves = self.migrations.moves
+        self.moves = self.migrations.migration_table
         self.dispatcher: Dispatcher
         self.client_listener: ClientListener
         self.leaving = False
@@ -103,7 +103,7 @@
         if current is not None and current.partition != self.partition:
             if self.partition:
                 self.directory.mark_all_unsure()
-                self.migrations.staged_before_adoption = set(self.migrations.offers)
+                self.migrations.staged_before_adoption = set(self.migrations.staged_offers)
             self.partition = current.partition
 
     def _accepts_sessions(self) -> bool:
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -18,7 +18,7 @@
 from cedarwick.lab.virtual import WALL, AsyncResult, Kernel, Owner
 from cedarwick.lab.virtual_partners import DrawnAttempts, DrawnNotices, DrawnPartners
 from cedarwick.lab.virtual_state import LOOK, RECEIVERS, SCENARIO, DayState, usual_disk
-from cedarwick.net.assignment import Assignment, plain
+from cedarwick.net.assignment import Assignment, flatten_settings
 from cedarwick.net.client_listener import ClientListener
 from cedarwick.net.client_listener import SubmitResult as Answer
 from cedarwick.net.clock import Clock
@@ -28,7 +28,7 @@
 from cedarwick.net.sockets import PollClock
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.ops import commands
-from cedarwick.ops.management import ManagementCommands, no_sessions, not_in_a_fleet
+from cedarwick.ops.management import ManagementCommands, refuse_move, refuse_subscription
 from cedarwick.store.records import StoredMessage
 
 STAY = 1.2  # seconds for which a sender that got SIGTERM goes on to take what was routed to it
@@ -45,7 +45,7 @@
         return WALL + self.kernel.now
 
     @property
-    def at(self) -> int:
+    def last_poll_at(self) -> int:
         """As of `PollClock`."""
         return self.now()
 
@@ -56,9 +56,9 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__()
         self.kernel = kernel
-        self.quiet = 0.0
+        self.log_interval_s = 0.0
 
-    def failed(self, kind: str) -> None:
+    def log_exception(self, kind: str) -> None:
         self.kernel.errors.append(f"{kind}: {traceback.format_exc()}")
 
 
@@ -68,9 +68,9 @@
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
         self.paused = False
-        self.hand_in: Callable[[StoredMessage], Answer] = self.to_dispatcher
+        self.submit_message: Callable[[StoredMessage], Answer] = self.submit_to_dispatcher
 
-    def to_dispatcher(self, stored: StoredMessage) -> Answer:
+    def submit_to_dispatcher(self, stored: StoredMessage) -> Answer:
         submission = Submission(stored, AsyncResult())
         self.dispatcher.submit(submission)
         answered, wait_ms = submission.answer.get()
@@ -115,7 +115,7 @@
             2000,
             self.disk,
             {},
-            plain(sender_settings(SCENARIO, day.fleet_size)),
+            flatten_settings(sender_settings(SCENARIO, day.fleet_size)),
         )
         self.store = ReplicatedStore(
             self.folder,
@@ -127,20 +127,20 @@
         self.dispatcher = dispatcher = Dispatcher(assignment, clock, counters, self.store, cast(PollClock, clock))
         self.store.load()
         receivers = range(SCENARIO.destinations() * RECEIVERS)
-        dispatcher.listed(
+        dispatcher.apply_endpoint_update(
             EndpointUpdate.CACHED,
             [ListedEndpoint(1 + each, 0, 0, each // RECEIVERS, EndpointState.READY, 100.0) for each in receivers],
         )
         dispatcher.notices = DrawnNotices(day, self.number, counters, dispatcher.acknowledged)
         dispatcher.attempts = DrawnAttempts(day, self.partners, dispatcher, self.number, self.owner)
-        dispatcher.free_links = lambda _: None
-        dispatcher.ask_for_list = lambda: None
+        dispatcher.release_connections = lambda _: None
+        dispatcher.reopen_list_watch = lambda: None
         dispatcher.restore()
         node = FleetNode(self.name, day.table, self.folder, self.store, clock, counters)
         self.client_listener = FakeClientListener(dispatcher)
-        self.management = SimpleNamespace(follows=not_in_a_fleet, moves=no_sessions)
+        self.management = SimpleNamespace(subscription_handler=refuse_subscription, move_handler=refuse_move)
         management = cast(ManagementCommands, self.management)
-        listed = SimpleNamespace(numbers={f"s-{1 + each}": 1 + each for each in receivers}, suspended=set())
+        listed = SimpleNamespace(receiver_numbers={f"s-{1 + each}": 1 + each for each in receivers}, suspended=set())
         node.exchange.attach(management, cast(EndpointList, listed), dispatcher, node.halls[self.name])
         if node.session_router is not None:
             node.session_router.attach(management, cast(ClientListener, self.client_listener), dispatcher)
@@ -168,10 +168,10 @@
             if session_router is not None:
                 session_router.leave()
             kernel.sleep(STAY)
-            self.dispatcher.hold_fire(ending=True)
+            self.dispatcher.stop_attempts(abandon_near_deadline=True)
             end = kernel.now + DRAIN
             while kernel.now < end and not (
-                self.dispatcher.idle()
+                self.dispatcher.is_idle()
                 and not self.dispatcher.notices.pending
                 and (session_router is None or session_router.left())
             ):
@@ -206,7 +206,7 @@
         if self.node is None or self.leaving or not self.store.accepts_messages():
             box.set("busy")
             return
-        what, _, withdraw = self.client_listener.hand_in(stored)
+        what, _, withdraw = self.client_listener.submit_message(stored)
         if withdraw is not None and gone():
             withdraw()
         elif what is not AdmissionResult.UNSURE:
@@ -217,7 +217,7 @@
 
         def call() -> None:
             with suppress(CedarwickError):
-                self.management.moves(commands.Call(name, argument))
+                self.management.move_handler(commands.Call(name, argument))
 
         self.day.kernel.spawn_as(self.owner, call)
 
@@ -226,12 +226,12 @@
         if self.node is None:
             box.set(None)
             return
-        gate, read = self.node.gate, decode(peer_message)
+        verifier, read = self.node.verifier, decode(peer_message)
         try:
-            gate.check(read)
+            verifier.check(read)
             answered = self.node.answer(read)
         except CedarwickError as error:
-            answered = gate.peer_message(read.sender, RequestRefused(error.code, str(error)[:512]))
+            answered = verifier.peer_message(read.sender, RequestRefused(error.code, str(error)[:512]))
         box.set(encode(answered))
 
     def set_disk(self, size: int) -> None:
--- a/tests/decisions/test_other_settings.py
+++ b/tests/decisions/test_other_settings.py
@@ -84,7 +84,7 @@
             ("elsewhere", None, (3, 2)),
         ):
             line = {"uid": zone, "endpoint": "127.0.0.1:9", "az": zone, "model": kind, "pod_group": 1, "state": "up"}
-            endpoint_list.learn({"rev": 1, "all": False, "targets": [line]})
+            endpoint_list.apply_update({"rev": 1, "all": False, "targets": [line]})
             self.assertEqual((updates[-1][1][0].zone, updates[-1][1][0].kind), indexes)
 
     def test_a_report_is_parsed_by_the_names_of_its_columns(self) -> None:
@@ -96,10 +96,12 @@
                     self.dispatcher.clock,
                     Counters(),
                     self.store,
-                    self.dispatcher.polled,
+                    self.dispatcher.poll_clock,
                 )
-                dispatcher._listed(EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)])
-                attempts: Any = SimpleNamespace(columns=dispatcher.sender.report_columns, counters=Counters())
+                dispatcher._apply_endpoint_update(
+                    EndpointUpdate.CACHED, [ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 0.0)]
+                )
+                attempts: Any = SimpleNamespace(report_columns=dispatcher.sender.report_columns, counters=Counters())
                 now = dispatcher.clock.now()
                 handle = dispatcher.sender.accept(now, 1, 0, 1, now + 8_000_000, 0, 0)
                 dispatcher.sender.decide(now)
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -15,11 +15,11 @@
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import Outcome
 from cedarwick.fleet import migration_source
-from cedarwick.fleet.consensus import UNDECIDED_LIMIT_US, Acceptor, AcceptorTable, InstanceState, name_move
+from cedarwick.fleet.consensus import UNDECIDED_LIMIT_US, Acceptor, AcceptorTable, InstanceState, format_move_name
 from cedarwick.fleet.fact_ledger import FactLedger
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.leased_partition import LeasedPartition
-from cedarwick.fleet.leases import lease_of
+from cedarwick.fleet.leases import lease_name
 from cedarwick.fleet.membership import MemberStatus
 from cedarwick.fleet.messages import Body, ForwardReply, Grant, RecallForward, StageReply, StageSession
 from cedarwick.fleet.node import FleetNode
@@ -59,21 +59,21 @@
 
     def __init__(self, store: ReplicatedStore) -> None:
         self.store = store
-        self.numbers: dict[str, int] = {}
+        self.numbers_by_id: dict[str, int] = {}
         self.adopted: list[int] = []
         self.submitted = 0
         self.uncopied_ends: set[int] = set()
-        self.thaw = self.cut = self.answer_late = self.withdraw = lambda *_: None
-        self.rest_of = lambda key: 0
+        self.unfreeze = self.abort_attempts = self.abandon_parked = self.withdraw = lambda *_: None
+        self.key_hold_left_us = lambda key: 0
 
     def submit(self, submission: Submission) -> None:
         self.submitted += 1
         submission.message.number = self.store.next_number
         self.store.next_number += 1
         self.store.add_message(submission.message)
-        submission.answered(AdmissionResult.ACCEPTED)
+        submission.set_answer(AdmissionResult.ACCEPTED)
 
-    def between(self, call: Callable[[], bool]) -> AsyncResult:
+    def run_in_dispatcher(self, call: Callable[[], bool]) -> AsyncResult:
         answer: AsyncResult = AsyncResult()
         try:
             answer.set(call())
@@ -82,9 +82,9 @@
         return answer
 
     def freeze(self, key: int) -> AsyncResult:
-        return self.between(lambda: True)
+        return self.run_in_dispatcher(lambda: True)
 
-    def adopt(self, numbers: list[int], quietly: bool = False) -> None:
+    def adopt(self, numbers: list[int], no_unrecorded_attempts: bool = False) -> None:
         self.adopted += [number for number in numbers if number not in self.store.migrating]
 
 
@@ -113,10 +113,10 @@
         self.addCleanup(node.stop)
         node.members.status = lambda now, name: MemberStatus.ALIVE  # type: ignore[method-assign]
         partition = slot_of(name) << 12
-        adoption: Any = SimpleNamespace(
+        takeover: Any = SimpleNamespace(
             me=name, holder=SimpleNamespace(possible_successors=frozenset(), is_valid=lambda now: True)
         )
-        holding = store.leased_partitions[partition] = store.open_partition = LeasedPartition(partition, adoption)
+        holding = store.leased_partitions[partition] = store.open_partition = LeasedPartition(partition, takeover)
         holding.ledger = FactLedger(0)
         store.resume_ledger(holding, 1)
         store.begin_log(holding, 1)
@@ -223,7 +223,7 @@
         answered, _, withdraw = c.hand_in(message("2"))
         assert withdraw is not None
         number = max(a.store.messages)
-        a.dispatcher.numbers["2"] = number
+        a.dispatcher.numbers_by_id["2"] = number
         a.dispatcher.withdraw = mock.Mock()  # type: ignore[method-assign]
         withdraw()
         gevent.sleep(0.02)
@@ -272,19 +272,19 @@
         b = self.session_router["b"]
         answer = b.heard("a", 1, StageSession("9/a/b", KEY, 2, b"facts", 1))
         self.assertEqual(answer, StageReply("9/a/b", False, "spoilt"))
-        b.migrations.vote(name_move(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
+        b.migrations.vote(format_move_name(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
         late = b.heard("a", 1, StageSession("8/a/b", KEY, 2, b"", 0x2D06800538D394C2))
         self.assertEqual((isinstance(late, StageReply) and late.stored, b.store.messages), (False, {}))
 
     def test_a_session_whose_move_is_called_off_on_a_full_disk_is_taken_up_once_there_is_room(self) -> None:
         a = self.session_router["a"]
         a.hand_in(message("1"))
-        thawed = a.dispatcher.thaw = mock.Mock()  # type: ignore[method-assign]
+        thawed = a.dispatcher.unfreeze = mock.Mock()  # type: ignore[method-assign]
         self.lose = lambda to, body: "ask" if isinstance(body, StageSession) else ""
         with mock.patch.object(migration_source, "RELEASE_RETRY_S", 0.05):
             a.migrations.begin(KEY, "b", monotonic_time())
             self.turn(0.3)  # marked, and the target does not answer
-            with mock.patch.object(a.migrations, "_save_without", side_effect=OSError("full")) as save:
+            with mock.patch.object(a.migrations, "_save_marks_without", side_effect=OSError("full")) as save:
                 self.turn(0.6)
                 self.assertTrue(save.called)
                 self.assertEqual((len(a.store.migrating), thawed.called), (1, False))
@@ -292,7 +292,10 @@
         self.assertEqual((a.store.migrating, thawed.called, len(a.dispatcher.adopted)), ({}, True, 1))  # type: ignore[attr-defined]
 
     def test_a_vote_that_was_not_written_is_not_granted_when_it_is_asked_again(self) -> None:
-        made, move = self.session_router["b"].migrations, name_move(self.session_router["a"].migrations.stamp, "a", "b")
+        made, move = (
+            self.session_router["b"].migrations,
+            format_move_name(self.session_router["a"].migrations.next_stamp, "a", "b"),
+        )
         with mock.patch.object(made.files, "append_vote", side_effect=OSError("full")):
             asked = [made.vote(move, (2, "c#1"), None, KEY).granted for _ in range(2)]
             asked += [made.vote(move, (2, "c#1"), "off", KEY).granted for _ in range(2)]
@@ -343,7 +346,7 @@
         a.store.record_final_answer(ended, True, 0)
         a.store.record_final_answer(uncopied, True, 0)
         a.dispatcher.uncopied_ends = {uncopied}  # the dispatcher posts it by itself, once a copy has it
-        self.assertTrue(a.migrations._clear_marks("5/a/b", KEY, False, monotonic_time()))
+        self.assertTrue(a.migrations._clear_source_marks("5/a/b", KEY, False, monotonic_time()))
         self.assertEqual(a.dispatcher.adopted, [ended, owed])  # type: ignore[attr-defined]
 
     def test_time_on_the_way_does_not_lengthen_a_deadline(self) -> None:
@@ -379,19 +382,19 @@
         a.hand_in(message("1"))
         self.exchange_locations()
         partition = slot_of("a") << 12
-        fact = a.store.leased_partitions[partition].read(a.store, *a.store.messages)
+        fact = a.store.leased_partitions[partition].read_fact(a.store, *a.store.messages)
         assert fact is not None
         c.replica_recent_ids[partition] = RecentIds(monotonic_time() - ID_RETENTION_US)
         c.replica_recent_ids[partition].term, c.replica_recent_ids[partition].next = 1, 4
         c._copied(partition, Step(1, 5, MAX_MESSAGE_NUMBER, 0, 0, b""), [fact])
         self.lose = lambda to, body: "ask" if to == "a" else ""
         for each in (b, c):
-            each.node.gate.levels["a"] = level
+            each.node.verifier.levels["a"] = level
             each.node.members.status = lambda now, name: (  # type: ignore[method-assign]
                 MemberStatus.DEAD if name == "a" else MemberStatus.ALIVE
             )
             each.node.grantor.learning = False
-            each.node.grantor._grants[lease_of(partition)] = Grant(lease_of(partition), 2, "c")
+            each.node.grantor._grants[lease_name(partition)] = Grant(lease_name(partition), 2, "c")
         holder = SimpleNamespace(possible_successors=frozenset(), is_valid=lambda now: True)
         c.store.leased_partitions[partition] = LeasedPartition(partition, SimpleNamespace(me="c", holder=holder))  # type: ignore[arg-type]
         c.store.leased_partitions[partition].serving = True
@@ -412,7 +415,7 @@
         self.assertEqual(sorted(kept.id for kept in c.store.messages.values()), ["2b", "2c"])
         # It wakes, and has its next partition; what it had taken and told to nobody is neither answered nor delivered.
         self.lose = lambda to, body: ""
-        a.store.open_partition = LeasedPartition(partition + 1, a.store.leased_partitions[partition].adoption)
+        a.store.open_partition = LeasedPartition(partition + 1, a.store.leased_partitions[partition].takeover)
         a.store.open_partition.serving = True
         self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.ACCEPTED)
         self.assertEqual((a.dispatcher.submitted, a.directory.holder_of(KEY)), (1, "c"))  # type: ignore[attr-defined]
@@ -436,18 +439,18 @@
         )
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         c.inheritable_sessions[partition] = inheritable._replace(complete_at=0)
-        b.migrations.vote(name_move(b.migrations.stamp, "b", "a"), (1, "a"), "taker", KEY)
+        b.migrations.vote(format_move_name(b.migrations.next_stamp, "b", "a"), (1, "a"), "taker", KEY)
         self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
         b.migrations.acceptor.rows.clear()
         b.migrations.acceptor.by_key.clear()
-        b.node.grantor._grants[lease_of(partition + 1)] = Grant(lease_of(partition + 1), 1, "a")
+        b.node.grantor._grants[lease_name(partition + 1)] = Grant(lease_name(partition + 1), 1, "a")
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
-        del b.node.grantor._grants[lease_of(partition + 1)]
+        del b.node.grantor._grants[lease_name(partition + 1)]
         self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.ACCEPTED)
         b.migrations.acceptor.raise_floor("a", 1)
         self.assertEqual(
             [
-                b.migrations.vote(name_move(a.migrations.stamp, "a", "b"), (1, "b"), "taker", key).granted
+                b.migrations.vote(format_move_name(a.migrations.next_stamp, "a", "b"), (1, "b"), "taker", key).granted
                 for key in (KEY, 0, KEY + 1)
             ],
             [False, False, True],
@@ -455,32 +458,32 @@
 
     def test_a_move_that_nobody_has_a_side_of_any_more_is_settled(self) -> None:
         a, b, c = (self.session_router[name] for name in NAMES)
-        move = name_move(a.migrations.stamp, "a", "b")
+        move = format_move_name(a.migrations.next_stamp, "a", "b")
         for voters in ((b,), (b, c)):
             for each in (b, c):
                 each.migrations.acceptor.raise_floor("a", 1)
             for each in voters:
                 self.assertTrue(each.migrations.vote(move, (1, "b"), "taker", KEY).granted)
                 each.migrations.acceptor.rows[move].at -= UNDECIDED_LIMIT_US
-            self.assertEqual(b.migrations.moves.moves, {})
-            b.migrations.forget(monotonic_time())
+            self.assertEqual(b.migrations.migration_table.by_name, {})
+            b.migrations.remove_expired(monotonic_time())
             gevent.sleep(0.05)
             rows = [each.migrations.acceptor.rows[move] for each in (b, c)]
             self.assertEqual([(row.decided, row.value, row.key) for row in rows], [(True, "taker", KEY)] * 2)
             self.assertEqual(b.migrations.orphaned_proposers, {})
-            move = name_move(a.migrations.stamp + 1, "a", "b")
+            move = format_move_name(a.migrations.next_stamp + 1, "a", "b")
 
 
 class StoredVotesTest(unittest.TestCase):
     def test_votes_outlive_a_restart_and_damage_makes_the_acceptor_abstain(self) -> None:
         folder = self.enterContext(tempfile.TemporaryDirectory())
-        session_files, move = SessionFiles(FleetFiles(folder)), name_move(5, "a", "b")
+        session_files, move = SessionFiles(FleetFiles(folder)), format_move_name(5, "a", "b")
         voter = Acceptor(0, True)
         voter.raise_floor("a", 5)
         session_files.write_acceptor_table(voter.table())
         answer = voter.prepare(move, (3, "c#1"), 0)
-        assert answer.write is not None
-        session_files.append_vote(answer.write)
+        assert answer.unsaved_row is not None
+        session_files.append_vote(answer.unsaved_row)
         again = Acceptor(0, False, SessionFiles(FleetFiles(folder)).read_acceptor_table())
         self.assertFalse(again.accept(move, (1, "b"), "taker", 0).granted)
         path = f"{session_files.fleet_files.path}/decrees"
@@ -530,7 +533,7 @@
     def test_what_is_out_is_awaited_and_what_comes_is_to_be_handed_in_again(self) -> None:
         self.submission("a")
         self.dispatcher._decide()
-        self.dispatcher._clear(self.calls[0], AsyncResult())
+        self.dispatcher._decide_clearance(self.calls[0], AsyncResult())
         fresh = self.submission("b")
         still = self.frozen()
         self.assertEqual((fresh.answer.get()[0], fresh.message.number), (AdmissionResult.FROZEN, 0))
@@ -541,7 +544,7 @@
         self.assertTrue(self.store.messages[1].may_have_run_at)
         self.dispatcher._adopt([1])
         self.assertEqual(self.dispatcher.handles, {})  # not while it is frozen
-        self.dispatcher._thaw(KEY)
+        self.dispatcher._unfreeze(KEY)
         self.store.migrating[1] = 2, "<1/a/b"
         self.dispatcher._adopt([1])
         self.assertEqual(self.dispatcher.handles, {})  # nor while it is marked
@@ -555,15 +558,15 @@
         self.dispatcher._decide()
         self.frozen()
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
-        self.dispatcher._thaw(KEY)
+        self.dispatcher._unfreeze(KEY)
         before = self.dispatcher.sender.order_key_queues.all_paused_until
-        self.dispatcher._adopt([1], quietly=True)
+        self.dispatcher._adopt([1], no_unrecorded_attempts=True)
         self.assertEqual(
             (list(self.dispatcher.handles), self.dispatcher.sender.order_key_queues.all_paused_until), ([1], before)
         )
         self.dispatcher._park([1])
         self.store.messages[1].may_have_run_at = 5
-        self.dispatcher._adopt([1], quietly=True)
+        self.dispatcher._adopt([1], no_unrecorded_attempts=True)
         self.assertGreater(self.dispatcher.sender.order_key_queues.all_paused_until, before)
 
 
--- a/tests/processes/test_order.py
+++ b/tests/processes/test_order.py
@@ -5,7 +5,7 @@
 import gevent
 import msgspec
 
-from cedarwick.fleet.order_key_hints import MAX_REST_US
+from cedarwick.fleet.order_key_hints import MAX_HOLD_US
 from cedarwick.lab.audit_cases import FOREVER
 from cedarwick.lab.fleet import Fleet
 from cedarwick.lab.history import Called, Handed
@@ -78,7 +78,7 @@
         first_later_call = min(calls(fleet, each)[0].first for each in later)
         # On a loaded machine the takeover may take longer than the other members hold back the key.
         self.assertGreater(
-            first_later_call, min(calls(fleet, first)[-1].ended, since + MAX_REST_US if kill_sender else FOREVER)
+            first_later_call, min(calls(fleet, first)[-1].ended, since + MAX_HOLD_US if kill_sender else FOREVER)
         )
 
     def test_a_sender_whose_replica_dies_keeps_the_order_around_an_attempt_in_flight(self) -> None:
