--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -470,7 +470,7 @@
                 final_answer=end,
             )
             if not self.has_room(new):
-                raise NoSpaceError("a message does not fit in the open partition")
+                raise NoSpaceError("a message cannot be added to the open partition")
             self.next_number += 1
             if number in self.migrating:
                 self.write_move_marks(self.migrating | {new.number: self.migrating[number]})
