--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -97,7 +97,7 @@
         )
         now, saved = wall_time(), self._read_suspended_file()
         try:
-            self.suspension_table = SuspensionTable(self.name, self.fleet_files.marks())
+            self.suspension_table = SuspensionTable(self.name, self.fleet_files.read_suspension_marks())
         except CorruptFleetFileError as error:
             logger.error(error.line)
             self.suspension_table.load_unversioned(saved or {})
@@ -258,7 +258,7 @@
     def _write_versions(self) -> None:
         self.saved_at = wall_time()
         try:
-            self.fleet_files.write_marks(self.suspension_table.saved())
+            self.fleet_files.write_suspension_marks(self.suspension_table.saved())
         except OSError as error:
             self.counters.warning("the fleet's marks are not kept", SuspensionsNotSavedError(str(error)))
 
