--- a/cedarwick/fleet/heartbeats.py
+++ b/cedarwick/fleet/heartbeats.py
@@ -46,7 +46,7 @@
                     del self.reported_serving[partition]
         if 0 < before < incarnation:
             self.restarted_at[name] = now
-            for holding in self.store.holdings.values():
+            for holding in self.store.leased_partitions.values():
                 if name in holding.log.followers:
                     holding.log.followers[name].forget_position()  # its replica may have been lost with the restart
 
@@ -55,7 +55,7 @@
         now = monotonic_time()
         leases = tuple(
             HeldLease(holding.partition, holding.takeover.holder.term)
-            for holding in self.store.holdings.values()
+            for holding in self.store.leased_partitions.values()
             if holding.serving and not self.leaving
         )
         return Heartbeat(self.leaving, self.members.heartbeat_ages(now), leases)
--- a/tests/fleet/test_suspensions.py
+++ b/tests/fleet/test_suspensions.py
@@ -185,7 +185,7 @@
             self.receive_suspended("Z")
         self.start_process()
         self.assertNotIn("Z", self.gossip_of_m.suspension_table.rows)  # it does not count as restored here
-        with mock.patch.object(FleetFiles, "write_marks", side_effect=OSError):
+        with mock.patch.object(FleetFiles, "write_suspension_marks", side_effect=OSError):
             self.receive_suspended("Z")
         self.start_process()
         os.unlink(os.path.join(self.state_folder, files.SUSPENSIONS_FILE))
