--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -16,7 +16,7 @@
 class MembershipReload(Heartbeats):
     """Replaces the list of members in service."""
 
-    def replace(self, settings: Fleet) -> None:
+    def reload_settings(self, settings: Fleet) -> None:
         """Apply a new list of members and `follow_s`; other changes are logged and ignored until the next start.
 
         A list that lacks this sender, or that `_one_at_a_time` refuses, is logged and changes nothing.
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -40,7 +40,7 @@
             from cedarwick.fleet import session_routing  # nothing of sessions is loaded where they are off
 
             self.session_router = session_routing.SessionRouter(self)
-        self.server = PeerServer(self.addresses[name], self.verifier, counters, self.answer)
+        self.server = PeerServer(self.addresses[name], self.verifier, counters, self.handle_peer_message)
 
     def start(self, dispatcher: PartitionDispatcher) -> list[gevent.Greenlet]:
         """Load the replicas, accept peer messages and start to run. Call it once the folder has been read.
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -41,7 +41,7 @@
 class RequestHandling(Heartbeats, PartitionTakeover):
     """Passes each peer message to the part of the node that answers it."""
 
-    def answer(self, peer_message: PeerMessage) -> PeerMessage:
+    def handle_peer_message(self, peer_message: PeerMessage) -> PeerMessage:
         """The answer to a peer message; raises `UnknownPeerMessageError` or an error of the part that answers."""
         return self.verifier.peer_message(
             peer_message.sender, self._answer(peer_message.sender, peer_message.incarnation, peer_message.body)
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -229,7 +229,7 @@
         verifier, read = self.node.verifier, decode(peer_message)
         try:
             verifier.check(read)
-            answered = self.node.answer(read)
+            answered = self.node.handle_peer_message(read)
         except CedarwickError as error:
             answered = verifier.peer_message(read.sender, RequestRefused(error.code, str(error)[:512]))
         box.set(encode(answered))
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -340,7 +340,7 @@
             self.notifier.move(assignment.platform)
         apply_operator_settings(operator, self.counters)
         if self.node is not None and operator is not None and operator.fleet is not None:
-            self.node.replace(operator.fleet)
+            self.node.reload_settings(operator.fleet)
         elif self.node is not None or operator is not None and operator.fleet is not None:
             logger.error("whether this sender is a member of a fleet is taken over at a start only")
         self.descriptors.set_limit(assignment.descriptors)
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -235,7 +235,7 @@
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node.start(mock.Mock())
             more = Member(name="d", address="127.0.0.1:1", hall="d")
-            node.replace(msgspec.structs.replace(node.settings, member=[*node.settings.member, more]))
+            node.reload_settings(msgspec.structs.replace(node.settings, member=[*node.settings.member, more]))
         assert node.ownership is not None
         self.assertIn("d", node.ownership.names)
 
@@ -243,7 +243,7 @@
         node = self.member()
 
         def reload(*names: str) -> set[str]:
-            node.replace(
+            node.reload_settings(
                 msgspec.structs.replace(
                     node.settings,
                     ack="own",
