--- a/cedarwick/fleet/held_partitions.py
+++ b/cedarwick/fleet/held_partitions.py
@@ -23,11 +23,11 @@
 
     def _recorded_term(self, partition: int) -> int:
         """The term in the lease record of a partition; 0 without one."""
-        return self.held[partition].term if partition in self.held else 0
+        return self.lease_records[partition].term if partition in self.lease_records else 0
 
     def _first_unused_number(self, partition: int) -> int:
         """The first message number of a partition that is surely unused."""
-        upto = self.held[partition].upto if partition in self.held else partition << 32
+        upto = self.lease_records[partition].upto if partition in self.lease_records else partition << 32
         return max([upto, partition << 32, *self.store.numbers(partition)]) + 1
 
     def _reserve_numbers(self, holding: LeasedPartition) -> None:
@@ -43,9 +43,9 @@
 
     def _record_lease(self, partition: int, term: int, upto: int) -> None:
         """Raise term and end of the reserved numbers in a lease record, and write all records; raises OSError."""
-        before = self.held.get(partition, LeaseRecord(partition, 0, 0))
-        self.held[partition] = LeaseRecord(partition, max(term, before.term), max(upto, before.upto))
-        self.fleet_files.write_held(list(self.held.values()))
+        before = self.lease_records.get(partition, LeaseRecord(partition, 0, 0))
+        self.lease_records[partition] = LeaseRecord(partition, max(term, before.term), max(upto, before.upto))
+        self.fleet_files.write_held(list(self.lease_records.values()))
 
     def _hold_partition(self, partition: int) -> LeasedPartition:
         """The `LeasedPartition` of a partition that this sender is about to hold, made where there is none."""
@@ -62,7 +62,7 @@
         # granted it to another.
         return grant.holder if grant.term > term else holder
 
-    def _status_for(self, now: int, name: str, takeover: Takeover) -> MemberStatus:
+    def _status_for_partition(self, now: int, name: str, takeover: Takeover) -> MemberStatus:
         """A member's status as to a partition: its presumed holder counts as dead where it does not serve it."""
         partition, grant = takeover.partition, self.grantor.grant(lease_name(takeover.partition))
         term, holder = takeover.holder.newest_other_holder
--- a/cedarwick/fleet/lease_exchange.py
+++ b/cedarwick/fleet/lease_exchange.py
@@ -26,11 +26,11 @@
 
     def _answer_lease_request(self, ask: LeaseRequest) -> LeaseReply:
         """Answer a lease request once the grant is on the disk; OSError where it cannot be written."""
-        reply = self._grant(ask)
+        reply = self._own_grantor_reply(ask)
         self._write_table(ask.lease)
         return reply
 
-    def _grant(self, ask: LeaseRequest) -> LeaseReply:
+    def _own_grantor_reply(self, ask: LeaseRequest) -> LeaseReply:
         """The own grantor's answer. It must not be sent or counted before `_write_table` of its lease has returned."""
         reply = self.grantor.handle_request(monotonic_time(), ask)
         if self.grantor.dirty:
@@ -68,9 +68,9 @@
         for name in self.grantor.members_to_learn_from(now):
             if name not in self.tables_requested:
                 self.tables_requested.add(name)
-                gevent.spawn(self._ask_table, name)
+                gevent.spawn(self._request_table, name)
 
-    def _ask_table(self, name: str) -> None:
+    def _request_table(self, name: str) -> None:
         """Request the table of one member; not again before `HEARTBEAT_INTERVAL_S` seconds if it has none."""
         sent_at = monotonic_time()
         answer = self._call(name, GrantTableRequest(), CALL_TIMEOUT_S)
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -91,11 +91,11 @@
             durable=store.durable,
         )
         self.takeovers: dict[int, Takeover] = {}
-        self.held = {held.partition: held for held in self.fleet_files.held()}
+        self.lease_records = {held.partition: held for held in self.fleet_files.held()}
         self.ownership: Ownership | None = None
         self.dispatcher: PartitionDispatcher
         self.replica_written_at: dict[int, int] = {}  # by partition: when its holder last wrote to the copy here
-        self.begun_at = now
+        self.started_at = now
         # Whether messages may be left that were taken before this sender was a member.
         self.has_pre_fleet_messages = True
         # Partitions of a damaged folder: successors may have more of their records.
@@ -107,8 +107,8 @@
         self.replica_refused_at: dict[str, int] = {}  # when a member has refused to keep a copy
         self.tables_requested: set[str] = set()  # grantors whose tables were asked for and have not come
         self.pumps: dict[tuple[int, str], gevent.Greenlet] = {}
-        self.offers: dict[int, gevent.Greenlet] = {}
-        self.alive: list[str] = []  # as of the latest check
+        self.running_offers: dict[int, gevent.Greenlet] = {}
+        self.alive_members: list[str] = []  # as of the latest check
         self.deadlines_checked_at = 0.0
         self.no_majority_since = 0  # since when too few members are alive to grant anything; 0: enough are
         self.leaving = False
@@ -122,10 +122,10 @@
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
         """Call another member and return its answer's body; None on any failure, which is counted."""
-        answer = self._peer_message(name, body, within_s)
+        answer = self._send_peer_message(name, body, within_s)
         return answer.body if answer is not None else None
 
-    def _peer_message(self, name: str, body: Body, within_s: float) -> PeerMessage | None:
+    def _send_peer_message(self, name: str, body: Body, within_s: float) -> PeerMessage | None:
         return counted_call(self.peers.peer_message, name, body, within_s, self.counters)
 
     def _guarded(self, call: Callable[..., object], *arguments: object) -> None:
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -19,7 +19,7 @@
     def reload_settings(self, settings: Fleet) -> None:
         """Apply a new list of members and `follow_s`; other changes are logged and ignored until the next start.
 
-        A list that lacks this sender, or that `_one_at_a_time` refuses, is logged and changes nothing.
+        A list that lacks this sender, or that `_check_membership_change` refuses, is logged and changes nothing.
         """
         if self.name not in {member.name for member in settings.member}:
             error: CedarwickError = NotAMemberError(
@@ -28,7 +28,7 @@
             logger.error("the members stay as they were: {}", error.line)
             return
         try:
-            self._one_at_a_time({member.name for member in settings.member})
+            self._check_membership_change({member.name for member in settings.member})
         except MembershipChangeError as error:
             logger.error("the members stay as they were: {}", error.line)
             return
@@ -59,7 +59,7 @@
             gevent.spawn(self._exchange_heartbeats, name)
         logger.info("members of {}: {}", settings.group, ", ".join(sorted(self.halls)))
 
-    def _one_at_a_time(self, names: set[str]) -> None:
+    def _check_membership_change(self, names: set[str]) -> None:
         """Check a new list; `MembershipChangeError` if a majority of it might not overlap with one of a list in use."""
         mine = self.members.names
         if len(mine ^ names) > 1:
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -52,7 +52,7 @@
         for partition in self.replicas.files:
             self._follow_partition(partition)
         slot = slot_of(self.name)
-        stored = {held.partition: held.term for held in self.held.values() if held.partition >> 12 == slot}
+        stored = {held.partition: held.term for held in self.lease_records.values() if held.partition >> 12 == slot}
         mine = {number >> 32 for number in self.store.messages} - {0}
         for partition in sorted(mine - stored.keys()):
             # An adopted partition, or one whose lease record is lost: resume it if no other member holds it by now.
@@ -94,13 +94,15 @@
             self.exchange.member(change, self.members.heartbeat_ages(now).get(change.name, 0))
             if change.current is MemberStatus.ALIVE and not self.grantor.learning:
                 gevent.spawn(self._learn_closed_partitions, change.name)
-        self.alive = [name for name in self.halls if self.members.status(now, name) is MemberStatus.ALIVE]
+        self.alive_members = [name for name in self.halls if self.members.status(now, name) is MemberStatus.ALIVE]
         # Counted from the first check without a majority, not from the last heartbeat: a process that was suspended has
         # heard nobody for long, and hears the others again a moment later.
-        self.no_majority_since = 0 if len(self.alive) >= self.members.majority else self.no_majority_since or now
+        self.no_majority_since = (
+            0 if len(self.alive_members) >= self.members.majority else self.no_majority_since or now
+        )
         few = self.no_majority_since > 0 and now - self.no_majority_since >= NO_MAJORITY_US
-        self._guarded(self.gossip.send_due, now, self.alive, self.members.majority)
-        self._guarded(self.exchange.look, now, self.alive, self.members.majority)
+        self._guarded(self.gossip.send_due, now, self.alive_members, self.members.majority)
+        self._guarded(self.exchange.look, now, self.alive_members, self.members.majority)
         self._guarded(self._learn_grants, now)
         self._guarded(self._ensure_open_partition, now)
         for takeover in list(self.takeovers.values()):
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -63,7 +63,7 @@
         self._send_due_lease_request(now, takeover)
         if holding is not None:
             self._serve_partition(now, holding)
-        elif replica is not None and self._is_unwanted(now, partition, takeover):
+        elif replica is not None and self._is_unused_replica(now, partition, takeover):
             self._drop_partition(partition)
 
     def _next_step(
@@ -75,9 +75,9 @@
             now,
             self.grantor.grant(lease),
             self._promised_until(lease, partition),
-            lambda name: self._status_for(now, name, takeover),
+            lambda name: self._status_for_partition(now, name, takeover),
             self._has_complete_records(now, partition, replica, holding),
-            self._owed_count(now, holding),
+            self._pending_count(now, holding),
         )
 
     def _has_complete_records(
@@ -87,10 +87,10 @@
         # Cut off, a member is granted no term, and its vain requests would cost the holder its own after the cut.
         if self.no_majority_since:
             return False
-        doubted = partition in self.damaged_partitions and now - self.begun_at < DAMAGED_FOLDER_US
+        doubted = partition in self.damaged_partitions and now - self.started_at < DAMAGED_FOLDER_US
         return holding is not None and not doubted or (replica is not None and replica.is_complete)
 
-    def _owed_count(self, now: int, holding: LeasedPartition | None) -> int:
+    def _pending_count(self, now: int, holding: LeasedPartition | None) -> int:
         """How many messages are owed; at least 1 while the partition must not be closed."""
         if holding is None or not holding.imported:
             return 1
@@ -123,15 +123,15 @@
             self._import_partition(now, takeover)
         elif step.action is TakeoverAction.CLOSE:
             logger.info("partition {}: nothing is owed, it is closed", partition)
-        elif step.action is TakeoverAction.OFFER and partition not in self.offers and not self.leaving:
-            self.offers[partition] = gevent.spawn(self._send_offer, takeover, step.target)
+        elif step.action is TakeoverAction.OFFER and partition not in self.running_offers and not self.leaving:
+            self.running_offers[partition] = gevent.spawn(self._send_offer, takeover, step.target)
 
     def _send_due_lease_request(self, now: int, takeover: Takeover) -> None:
         """Ask all members for the lease, or its renewal, if a request is due."""
         ask = None if self.leaving else takeover.holder.due_request(now)
         if ask is None:
             return
-        reply = self._grant(ask)
+        reply = self._own_grantor_reply(ask)
         if ask.lease in self.unwritten_grants:
             gevent.spawn(self._request_lease, takeover, ask, reply, now)
         else:
@@ -148,7 +148,7 @@
             else now - holding.log_started_at < OFFER_EXPECTED_US
         )
 
-    def _is_unwanted(self, now: int, partition: int, takeover: Takeover) -> bool:
+    def _is_unused_replica(self, now: int, partition: int, takeover: Takeover) -> bool:
         grant = self.grantor.grant(lease_name(partition))
         # The grant known here may be old; a replica that the holder still counts on is written to all the time.
         return (
@@ -258,7 +258,7 @@
     def _drop_partition(self, partition: int) -> None:
         """Give up a partition that is over or belongs to another member for good; may be put off to a later call."""
         holding = self.store.holdings.get(partition)
-        if holding is not None and not self._rescue_unreplicated(holding):
+        if holding is not None and not self._move_unreplicated(holding):
             return
         takeover = self.takeovers.pop(partition)
         self.damaged_partitions.discard(partition)
@@ -274,8 +274,8 @@
                 takeover.stage.value,
                 len(numbers),
             )
-        if self.held.pop(partition, None) is not None:
-            self.fleet_files.write_held(list(self.held.values()))
+        if self.lease_records.pop(partition, None) is not None:
+            self.fleet_files.write_held(list(self.lease_records.values()))
         replica = self.replicas.replica(partition)
         closed = takeover.holder.state is LeaseState.CLOSED or self.grantor.grant(lease_name(partition)).closed
         if holding is not None and replica is not None and replica.position.term > holding.log.term and not closed:
@@ -287,7 +287,7 @@
         self.reported_serving.pop(partition, None)
         self.presumed_holders.pop(partition, None)
 
-    def _rescue_unreplicated(self, holding: LeasedPartition) -> bool:
+    def _move_unreplicated(self, holding: LeasedPartition) -> bool:
         """Move what only this member has of a lost partition to the open one; False: to be tried again later."""
         unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offer_accepted else ([], [])
         if not unsent and not unacknowledged:
--- a/cedarwick/fleet/pending_order_keys.py
+++ b/cedarwick/fleet/pending_order_keys.py
@@ -56,7 +56,7 @@
     def _send_pending_order_keys(self, now: int, keys: set[int]) -> None:
         others = [
             name
-            for name in self.alive
+            for name in self.alive_members
             if self.verifier.levels.get(name, 0) >= PENDING_ORDER_KEYS_LEVEL and name != self.name
         ]
         if (due := self.order_key_hints.due_keys(now, keys, others)) is not None:
@@ -68,7 +68,9 @@
         partition, grant = takeover.partition, self.grantor.grant(lease_name(takeover.partition))
         replica = self.replicas.replica(partition)
         # The own name is recorded from when this member asks for the partition until it has imported it.
-        alive = grant.holder != self.name and self._status_for(now, grant.holder, takeover) is MemberStatus.ALIVE
+        alive = (
+            grant.holder != self.name and self._status_for_partition(now, grant.holder, takeover) is MemberStatus.ALIVE
+        )
         if replica is None or partition in self.store.holdings or self.name not in grant.successors or alive:
             self.replica_order_keys.pop(partition, None)
             return frozenset()
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -40,12 +40,14 @@
                 self.store.replication_progress.wait(0.05)
                 continue
             holding.sent_upto = max(holding.sent_upto, follower.sent)
-            gevent.spawn(self._send, follower, name, message)
+            gevent.spawn(self._send_to_follower, follower, name, message)
             gevent.sleep(0 if self.store.ack_after_replication else REPLICATE_PAUSE_S)
         self.pumps.pop((holding.partition, name), None)
 
-    def _send(self, follower: FollowerProgress, name: str, message: ReplicateFacts | ReplicatePiece | Digests) -> None:
-        answer = self._peer_message(name, message, REPLICATE_TIMEOUT_S)
+    def _send_to_follower(
+        self, follower: FollowerProgress, name: str, message: ReplicateFacts | ReplicatePiece | Digests
+    ) -> None:
+        answer = self._send_peer_message(name, message, REPLICATE_TIMEOUT_S)
         # The answer's own incarnation: a late answer of an earlier boot must not count for the files of the new one.
         if answer is not None and isinstance(answer.body, ReplicaAck):
             if answer.body.problem in (NO_ROOM, OTHER_VERSION):
@@ -60,10 +62,10 @@
         now = monotonic_time()
         able = [
             name
-            for name in self.alive
+            for name in self.alive_members
             if now - self.replica_refused_at.get(name, -REPLICA_PROVEN_US) >= REPLICA_PROVEN_US
         ]
-        able = able if len(able) > self.settings.copies else self.alive
+        able = able if len(able) > self.settings.copies else self.alive_members
         return placement.choose_replicas(holding.partition, self.name, self.halls, able, self.settings.copies)
 
     def _complete_replicas(self, now: int, holding: LeasedPartition, names: Iterable[str]) -> list[str]:
@@ -90,7 +92,7 @@
             holding.joining = {}
             return
         if self.store.ack_after_replication:
-            whole = self._joined_replicas(now, holding, whole)
+            whole = self._nameable_replicas(now, holding, whole)
         old = [name for name in holder.successors[1:] if name in holding.log.followers and name not in wanted]
         if len(whole) < len(wanted):
             whole += [name for name in self._complete_replicas(now, holding, old) if name not in whole]
@@ -98,7 +100,7 @@
             return  # without a successor, acknowledged messages would be in one folder only
         holder.name_successors(now, placement.replica_order(holding.partition, self.name, self.halls, whole))
 
-    def _joined_replicas(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
+    def _nameable_replicas(self, now: int, holding: LeasedPartition, whole: list[str]) -> list[str]:
         """Those of some whole replicas that are successors, or may be named for ones.
 
         A replica that was named while records are on their way to it could take over without them, attempts among them,
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -44,10 +44,10 @@
     def handle_peer_message(self, peer_message: PeerMessage) -> PeerMessage:
         """The answer to a peer message; raises `UnknownPeerMessageError` or an error of the part that answers."""
         return self.verifier.peer_message(
-            peer_message.sender, self._answer(peer_message.sender, peer_message.incarnation, peer_message.body)
+            peer_message.sender, self._answer_body(peer_message.sender, peer_message.incarnation, peer_message.body)
         )
 
-    def _answer(self, sender: str, incarnation: int, body: Body) -> Body:
+    def _answer_body(self, sender: str, incarnation: int, body: Body) -> Body:
         if isinstance(body, Heartbeat):
             self._receive_heartbeat(sender, incarnation, body)
             return self._own_heartbeat()
@@ -63,7 +63,7 @@
         if isinstance(body, GrantTableRequest):
             return self.grantor.table()
         if isinstance(body, ReplicateFacts | ReplicatePiece | Digests):
-            return self._replicate(body)
+            return self._answer_replication(body)
         if isinstance(body, TakeoverOffer):
             return self._answer_offer(sender, body)
         if isinstance(body, PendingOrderKeys):
@@ -80,7 +80,7 @@
             return said
         raise UnknownPeerMessageError(f"a {type(body).__name__} from {sender!r}")
 
-    def _replicate(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
+    def _answer_replication(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
         holding = self.store.holdings.get(body.partition)
         if holding is not None and holding.takeover.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
             # A former holder that was paused must not count this member as its replica: the partition is held here.
@@ -91,7 +91,7 @@
         if isinstance(body, Digests):
             return self.replicas.digests(body)
         if isinstance(body, ReplicateFacts):
-            self._wait_for_earlier(body)
+            self._wait_for_preceding_facts(body)
         have = self.replicas.facts(body) if isinstance(body, ReplicateFacts) else self.replicas.piece(body)
         if self.replicas.unsynced:
             self.replicas.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
@@ -99,7 +99,7 @@
             self._follow_partition(body.partition)
         return have
 
-    def _wait_for_earlier(self, body: ReplicateFacts) -> None:
+    def _wait_for_preceding_facts(self, body: ReplicateFacts) -> None:
         """Messages out at once come on connections of their own, and need not be read in their order.
 
         A refusal would make the holder send all unanswered messages again, so wait up to `REORDER_WAIT_US` first.
--- a/cedarwick/fleet/takeover_offers.py
+++ b/cedarwick/fleet/takeover_offers.py
@@ -66,7 +66,7 @@
             if holding is not None:
                 holding.offer_accepted = True
         finally:
-            self.offers.pop(takeover.partition, None)
+            self.running_offers.pop(takeover.partition, None)
 
     def _answer_offer(self, sender: str, body: TakeoverOffer) -> OfferReply:
         """Answer an earlier holder of a partition held here that offers what it knows."""
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -190,8 +190,10 @@
         for boot, rights in ((7, (Right(PARTITION, 3),)), (8, ())):
             node._receive_heartbeat("b", boot, Heartbeat(False, {}, rights))
         now = monotonic_time()
-        self.assertIs(node._status_for(now, "b", takeover), MemberStatus.ALIVE)
-        self.assertIs(node._status_for(now + limits.RESTART_REQUEST_WINDOW_US, "b", takeover), MemberStatus.DEAD)
+        self.assertIs(node._status_for_partition(now, "b", takeover), MemberStatus.ALIVE)
+        self.assertIs(
+            node._status_for_partition(now + limits.RESTART_REQUEST_WINDOW_US, "b", takeover), MemberStatus.DEAD
+        )
 
     def test_who_asked_in_vain_is_taken_for_the_holder_only_for_a_while(self) -> None:
         node = self.member()
@@ -205,7 +207,7 @@
                 (limits.START_SERVING_US, "b", MemberStatus.DEAD),
                 (limits.START_SERVING_US, "c", MemberStatus.ALIVE),
             ):
-                self.assertIs(node._status_for(now + after, name, takeover), stands)
+                self.assertIs(node._status_for_partition(now + after, name, takeover), stands)
 
     def test_who_leaves_or_fires_for_a_partition_no_more_is_waited_for_no_longer(self) -> None:
         node = self.member()
@@ -223,11 +225,11 @@
     def test_a_member_without_room_is_no_place_for_a_copy_while_there_is_another(self) -> None:
         node = self.member()
         holding, now = self.holding(node), monotonic_time()
-        node.alive = list(NAMES)
+        node.alive_members = list(NAMES)
         first = node._wanted_replicas(holding)
         node.replica_refused_at[first[0]] = now
         self.assertNotEqual(node._wanted_replicas(holding), first)
-        node.alive = ["a", first[0]]
+        node.alive_members = ["a", first[0]]
         self.assertEqual(node._wanted_replicas(holding), first)
 
     def test_partitions_that_are_opened_later_know_the_new_members(self) -> None:
@@ -257,7 +259,7 @@
 
         def ask(heard: str) -> None:
             node._receive_heartbeat("b", 7, Heartbeat(False, dict.fromkeys(heard, 0)))
-            node._answer("b", 7, LeaseRequest(lease_name(PARTITION), 1, "b", LEASE_SPAN_US))
+            node._answer_body("b", 7, LeaseRequest(lease_name(PARTITION), 1, "b", LEASE_SPAN_US))
 
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c"})  # {a, b} and {c, d, e}: two majorities
@@ -457,7 +459,7 @@
                 (set(again.store.holdings), set(again.takeovers)), ({PARTITION}, {PARTITION, PARTITION + 1})
             )
             again.grantor = LeaseGrantor("a", NAMES, 0, ())
-            now = again.begun_at + limits.DAMAGED_FOLDER_US
+            now = again.started_at + limits.DAMAGED_FOLDER_US
             for at, asks in ((now - 1, False), (now, True)):
                 again._step_takeover(at, again.takeovers[PARTITION])
                 self.assertEqual(again.takeovers[PARTITION].stage is TakeoverStage.ASKING, asks)
@@ -583,12 +585,12 @@
         )
         parts = [encode_facts([fact(index)]) for index in (1, 2)]
         peer_messages = [ReplicateFacts(PARTITION, 1, place, part, digest_of(part)) for place, part in enumerate(parts)]
-        out = [gevent.spawn(node._replicate, peer_message) for peer_message in reversed(peer_messages)]
+        out = [gevent.spawn(node._answer_replication, peer_message) for peer_message in reversed(peer_messages)]
         self.assertEqual(
             [each.get(timeout=2) for each in out],
             [ReplicaAck(PARTITION, 1, 2, "", EVERYTHING), ReplicaAck(PARTITION, 1, 1, "", EVERYTHING)],
         )
-        late = node._replicate(ReplicateFacts(PARTITION, 1, 7, parts[0], digest_of(parts[0])))
+        late = node._answer_replication(ReplicateFacts(PARTITION, 1, 7, parts[0], digest_of(parts[0])))
         self.assertEqual(getattr(late, "problem", ""), GAP)  # not for ever
 
     def test_a_partition_that_starved_once_follows_again_by_one_round_in_time(self) -> None:
@@ -631,7 +633,7 @@
         node = self.member()
         holding = self.holding(node)
         holding.serving, node.store.open_partition = True, holding
-        node.alive = list(NAMES)
+        node.alive_members = list(NAMES)
         name, other = node._wanted_replicas(holding)[0], ({"b", "c"} - set(node._wanted_replicas(holding))).pop()
         follower = holding.log.follow(name, monotonic_time())
         for index in (1, 2, 3):
@@ -647,7 +649,7 @@
         self.assertIn(name, holding.takeover.holder.possible_successors)  # the third waits for it already
         node = self.member()
         holding = self.holding(node)
-        node.alive = list(NAMES)
+        node.alive_members = list(NAMES)
         holding.log.follow(name, monotonic_time()).position = ReplicaPosition(1, 0, EVERYTHING)
         node.store.add_message(kept(1))
         now = monotonic_time()
@@ -706,7 +708,7 @@
         node, now = self.member(), monotonic_time()
         node.dispatcher.rest_of.return_value = 0  # type: ignore[attr-defined]
         node.dispatcher.ordered = lambda priority_class: priority_class == "free"  # type: ignore[method-assign]
-        node.alive, node.verifier.levels = (
+        node.alive_members, node.verifier.levels = (
             list(NAMES),
             {"a": PENDING_ORDER_KEYS_LEVEL, "b": PENDING_ORDER_KEYS_LEVEL - 1, "c": PENDING_ORDER_KEYS_LEVEL},
         )
@@ -725,7 +727,7 @@
         node._follow_partition(PARTITION)
         node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_name(PARTITION), 2, "b", ("b", "a"), 1),))
         with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawn:
-            with mock.patch.object(node, "_status_for", return_value=MemberStatus.ALIVE):
+            with mock.patch.object(node, "_status_for_partition", return_value=MemberStatus.ALIVE):
                 node._exchange_pending_order_keys(now)
             self.assertEqual((spawn.call_args, node.order_key_hints.held_keys), (None, frozenset()))
             node._exchange_pending_order_keys(
@@ -738,7 +740,7 @@
                 now
             )  # this member has asked for the partition, and has not taken it in yet
             self.assertEqual(node.order_key_hints.held_keys, {8})
-            self.assertIsInstance(node._answer("c", 1, PendingOrderKeys((5, 6))), Acknowledged)
+            self.assertIsInstance(node._answer_body("c", 1, PendingOrderKeys((5, 6))), Acknowledged)
             node.replicas.drop(PARTITION)
             node.takeovers.clear()
             node._exchange_pending_order_keys(now)
