--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -1,7 +1,7 @@
-"""The state that all parts of one fleet member share, and its calls to other members.
+"""The state shared by all parts of a fleet member, and its calls to other members.
 
-`MemberState` is the common base of the parts of `FleetNode`; each part has the parts that it calls as its bases. Times
-are microseconds of the boot clock (`monotonic_time`) unless a name ends with `_s` (seconds).
+`MemberState` is the common base class of the parts of `FleetNode`; each part inherits from the parts that it calls.
+Times are microseconds of the boot clock (`monotonic_time`) unless a name ends in `_s` (seconds).
 """
 
 import time
@@ -36,29 +36,29 @@
 
 
 class NotAMemberError(CedarwickError):
-    """The operator file has a fleet of which this sender is no member."""
+    """The fleet in the operator file has no entry for this sender."""
 
     code = "CW743"
     remedy = "give the sender an entry in `[[fleet.member]]` under the name that the platform's configuration has"
 
 
 class MembershipChangeError(CedarwickError):
-    """Two lists of members differ by more than one, so a majority of each could grant one right twice."""
+    """Two lists of members differ in more than one member, so disjoint majorities could both grant the same lease."""
 
     code = "CW744"
     remedy = "change one member at a time: in all files, SIGHUP to all senders, then the next one"
 
 
 class MemberState:
-    """The state that the parts of a member share, and calls of other members."""
+    """The state that the parts of a member share, and the calls to other members."""
 
     def __init__(
-        self, name: str, settings: Fleet, state: str, store: ReplicatedStore, clock: Clock, counters: Counters
+        self, name: str, settings: Fleet, state_folder: str, store: ReplicatedStore, clock: Clock, counters: Counters
     ) -> None:
-        """Open the fleet's files in the folder `state`.
+        """Open the fleet's files in the state folder.
 
-        Raises OSError where the folder or the address cannot be used, `NotAMemberError` where the operator file has no
-        entry for this sender, and the error of `FleetFiles.claim` where the folder is another member's.
+        Raises OSError if the folder cannot be used, `NotAMemberError` if the operator file has no entry for this
+        sender, and the error of `FleetFiles.claim` if the folder belongs to another member.
         """
         self.name = name
         self.settings = settings
@@ -69,7 +69,7 @@
         if name not in self.halls:
             raise NotAMemberError(f"fleet.member: no entry has the name of this sender, {name!r}")
         self.addresses = {member.name: address(member.address) for member in settings.member}
-        self.fleet_files = FleetFiles(state, store.durable)
+        self.fleet_files = FleetFiles(state_folder, store.durable)
         self.fleet_files.claim(settings.group, name)
         self.incarnation = self.fleet_files.boot(time.time_ns() // 1000)
         self.verifier = PeerVerifier(settings.group, name, self.incarnation, self.addresses)
@@ -77,11 +77,11 @@
         now = monotonic_time()
         self.members = Membership(name, self.halls, self.incarnation, now)
         table = self.fleet_files.table()
-        known = table.grants if table is not None and not table.learning else None
-        self.grantor = LeaseGrantor(name, self.halls, now, known)
-        # Versions of its table: the newest, and that on the disk.
+        known_grants = table.grants if table is not None and not table.learning else None
+        self.grantor = LeaseGrantor(name, self.halls, now, known_grants)
+        # Versions of the grantor's table: the newest one, and the one on the disk.
         self.grants_version = self.written_grants_version = 0
-        # By lease: the version with its newest row, where that is not on the disk.
+        # By lease: the version with its newest row, if that version is not on the disk yet.
         self.unwritten_grants: dict[str, int] = {}
         self.writing_grants = False
         self.replicas = ReplicaStore(
@@ -91,51 +91,55 @@
             durable=store.durable,
         )
         self.takeovers: dict[int, Takeover] = {}
-        self.lease_records = {held.partition: held for held in self.fleet_files.held()}
+        self.lease_records = {record.partition: record for record in self.fleet_files.held()}  # by partition
         self.ownership: Ownership | None = None
         self.dispatcher: PartitionDispatcher
-        self.replica_written_at: dict[int, int] = {}  # by partition: when its holder last wrote to the copy here
+        self.replica_written_at: dict[int, int] = {}  # by partition: when its holder last wrote to the replica here
         self.started_at = now
-        # Whether messages may be left that were taken before this sender was a member.
+        # Whether there may still be messages that were accepted before this sender was a member.
         self.has_pre_fleet_messages = True
-        # Partitions of a damaged folder: successors may have more of their records.
+        # Partitions of a damaged folder: the replicas of successors may have records that this folder has lost.
         self.damaged_partitions: set[int] = set()
-        self.restarted_at: dict[str, int] = {}  # when a member was first heard under a newer incarnation than before
+        # By member: when its first heartbeat under a newer incarnation arrived.
+        self.restarted_at: dict[str, int] = {}
         # By partition: which member reported that it serves it, and when.
         self.reported_serving: dict[int, tuple[str, int]] = {}
         self.presumed_holders: dict[int, tuple[str, int]] = {}  # by partition: the presumed holder, and since when
-        self.replica_refused_at: dict[str, int] = {}  # when a member has refused to keep a copy
-        self.tables_requested: set[str] = set()  # grantors whose tables were asked for and have not come
-        self.pumps: dict[tuple[int, str], gevent.Greenlet] = {}
-        self.running_offers: dict[int, gevent.Greenlet] = {}
+        self.replica_refused_at: dict[str, int] = {}  # by member: when it last refused a replica
+        self.tables_requested: set[str] = set()  # grantors whose table was requested and has not arrived
+        self.pumps: dict[tuple[int, str], gevent.Greenlet] = {}  # by partition and replica
+        self.running_offers: dict[int, gevent.Greenlet] = {}  # by partition
         self.alive_members: list[str] = []  # as of the latest check
-        self.deadlines_checked_at = 0.0
-        self.no_majority_since = 0  # since when too few members are alive to grant anything; 0: enough are
+        self.deadlines_checked_at = 0.0  # `time.monotonic`, seconds
+        self.no_majority_since = 0  # since when too few members are alive for a majority; 0: there is one
         self.leaving = False
         self.gossip = Gossip(name, self.fleet_files, clock, counters, self._call)
         self.order_key_hints = OrderKeyHints()
-        # By partition: keys in a replica here whose holder is silent.
+        # By partition: the order keys with pending messages in a replica here whose holder is silent.
         self.replica_order_keys: dict[int, frozenset[int]] = {}
-        self.exchange = Exchange(name, self.verifier, counters, self._call, state, round(settings.follow_s * 1e6))
+        self.exchange = Exchange(
+            name, self.verifier, counters, self._call, state_folder, round(settings.follow_s * 1e6)
+        )
         store.on_event = self.exchange.seen
         self.session_router: SessionRouter | None = None
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
-        """Call another member and return its answer's body; None on any failure, which is counted."""
+        """Send a peer message and return the body of the answer; None on any failure, which is counted."""
         answer = self._send_peer_message(name, body, within_s)
         return answer.body if answer is not None else None
 
     def _send_peer_message(self, name: str, body: Body, within_s: float) -> PeerMessage | None:
+        """Send a peer message and return the answer; None on any failure, which is counted."""
         return counted_call(self.peers.peer_message, name, body, within_s, self.counters)
 
     def _guarded(self, call: Callable[..., object], *arguments: object) -> None:
-        """Call it; errors are counted and logged, not raised.
+        """Run `call`; errors are counted and logged, not raised.
 
-        Otherwise one partition that cannot be written would stop the renewal of all others, and their answers.
+        Otherwise one partition that cannot be written would stop the lease renewals and the answers of all others.
         """
         try:
             call(*arguments)
         except (OSError, NoSpaceError) as error:
             self.counters.warning("the fleet's folder cannot be used", error)
-        except Exception:  # else the process would end, and again after each start on this folder
+        except Exception:  # otherwise the process would end, and again after each restart on this folder
             self.counters.failed(f"the fleet failed in {call.__name__}")
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -1,4 +1,4 @@
-"""Reload of the list of members from the operator file (SIGHUP), one change at a time."""
+"""Reload of the list of members from the operator file (SIGHUP). Only one member may change at a time."""
 
 import gevent
 import msgspec
@@ -14,35 +14,35 @@
 
 
 class MembershipReload(Heartbeats):
-    """Replaces the list of members in service."""
+    """Replaces the list of members while the sender runs."""
 
     def reload_settings(self, settings: Fleet) -> None:
-        """Apply a new list of members and `follow_s`; other changes are logged and ignored until the next start.
+        """Apply a new list of members and `follow_s`; other changes are logged, and ignored until the next start.
 
-        A list that lacks this sender, or that `_check_membership_change` refuses, is logged and changes nothing.
+        If the list lacks this sender, or `_check_membership_change` refuses it, that is logged and nothing changes.
         """
         if self.name not in {member.name for member in settings.member}:
             error: CedarwickError = NotAMemberError(
                 f"fleet.member: no entry has the name of this sender, {self.name!r}"
             )
-            logger.error("the members stay as they were: {}", error.line)
+            logger.error("the members stay as they were; the new list is not applied: {}", error.line)
             return
         try:
             self._check_membership_change({member.name for member in settings.member})
         except MembershipChangeError as error:
-            logger.error("the members stay as they were: {}", error.line)
+            logger.error("the members stay as they were; the new list is not applied: {}", error.line)
             return
-        before, now = set(self.halls), monotonic_time()
-        stored = msgspec.structs.replace(self.settings, member=settings.member, follow_s=settings.follow_s)
-        moved = self.addresses[self.name] not in [
-            address(each.address) for each in settings.member if each.name == self.name
+        previous_members, now = set(self.halls), monotonic_time()
+        applied = msgspec.structs.replace(self.settings, member=settings.member, follow_s=settings.follow_s)
+        address_changed = self.addresses[self.name] not in [
+            address(entry.address) for entry in settings.member if entry.name == self.name
         ]
-        if stored != settings or moved:
+        if applied != settings or address_changed:
             logger.warning(
-                "but for the members and follow_s, the fleet's table and its own address are taken "
-                "over at a start only"
+                "changes of this sender's own address, and of settings in `[fleet]` other than the members and "
+                "`follow_s`, take effect at the next start only"
             )
-        self.settings = stored
+        self.settings = applied
         self.halls = {member.name: member.hall for member in settings.member}
         self.addresses = {member.name: address(member.address) for member in settings.member}
         self.peers.replace(self.addresses)
@@ -54,21 +54,25 @@
         for takeover in self.takeovers.values():
             takeover.holder.replace_members(self.halls)
         if self.ownership is not None:
-            self.ownership.names = self.halls  # of the partitions that it opens from now on
-        for name in sorted(set(self.halls) - before):
+            self.ownership.names = self.halls  # for the partitions that it opens from now on
+        for name in sorted(set(self.halls) - previous_members):
             gevent.spawn(self._exchange_heartbeats, name)
         logger.info("members of {}: {}", settings.group, ", ".join(sorted(self.halls)))
 
     def _check_membership_change(self, names: set[str]) -> None:
-        """Check a new list; `MembershipChangeError` if a majority of it might not overlap with one of a list in use."""
-        mine = self.members.names
-        if len(mine ^ names) > 1:
-            raise MembershipChangeError(f"the file changes {', '.join(sorted(mine ^ names))} at once")
-        # All others must have applied the previous change: for one that has not, the next is two changes at once.
-        behind = [
-            name for name in sorted(mine) if self.members.members_known_to(name) not in (None, mine, frozenset(names))
+        """Check a new list; `MembershipChangeError` if a majority of it might not overlap one of a list in use."""
+        current = self.members.names
+        if len(current ^ names) > 1:
+            raise MembershipChangeError(
+                f"the operator file changes more than one member at once: {', '.join(sorted(current ^ names))}"
+            )
+        # All others must have applied the previous change: one that has not would see two changes at once.
+        outdated = [
+            name
+            for name in sorted(current)
+            if self.members.members_known_to(name) not in (None, current, frozenset(names))
         ]
-        if mine > names:  # dead members cannot apply a change; several of them may be removed in turn
-            behind = [name for name in behind if self.members.status(monotonic_time(), name) not in ABSENT]
-        if mine != names and behind:
-            raise MembershipChangeError(f"{', '.join(behind)} have not taken over the change before this one")
+        if current > names:  # dead members cannot apply a change; several of them may be removed in turn
+            outdated = [name for name in outdated if self.members.status(monotonic_time(), name) not in ABSENT]
+        if current != names and outdated:
+            raise MembershipChangeError(f"{', '.join(outdated)} have not applied the previous change of members yet")
