--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -1,7 +1,7 @@
-"""Carries out what the rules of `takeover.py` decide for each partition, from the lease request to its end.
+"""Carries out what the rules of `takeover.py` decide for each partition, from the lease request to its removal.
 
-A part of the fleet node: it imports replicas, serves partitions, offers what it knows to a newer holder and drops what
-is over. Times are microseconds of the boot clock unless a name ends in `_S` (seconds).
+A part of `FleetNode`: it imports replicas, serves partitions, offers what it knows to a newer holder and drops
+partitions that it no longer needs. Times are microseconds of the boot clock unless a name ends in `_S` (seconds).
 """
 
 import gevent
@@ -29,26 +29,26 @@
 
 
 class PartitionTakeover(TakeoverOffers, ReplicationPumps, PendingOrderKeyExchange):
-    """Imports, serves and gives up partitions."""
+    """Imports, serves and drops partitions."""
 
     def _ensure_open_partition(self, now: int) -> None:
-        """Open a partition for new messages when the rules ask for one."""
+        """Open a partition for new messages if the rules require one."""
         assert self.ownership is not None
         if self.leaving:
             return
         try:
-            begun = self.ownership.step(self.grantor)
+            new_takeover = self.ownership.step(self.grantor)
         except PartitionsExhaustedError as error:
             self.counters.warning("no partition can be opened", error)
             return
-        if begun is not None:
-            self.takeovers[begun.partition] = begun
-            holding = self._hold_partition(begun.partition)
-            logger.info("partition {} is to be held", begun.partition)
-            self.store.set_open_partition(holding, self._first_unused_number(begun.partition))
+        if new_takeover is not None:
+            self.takeovers[new_takeover.partition] = new_takeover
+            holding = self._hold_partition(new_takeover.partition)
+            logger.info("partition {}: to be opened for new messages", new_takeover.partition)
+            self.store.set_open_partition(holding, self._first_unused_number(new_takeover.partition))
 
     def _step_takeover(self, now: int, takeover: Takeover) -> None:
-        """Ask the rules for the next step of one partition, and carry it out."""
+        """Determine the next step of one partition by the rules, and carry it out."""
         partition = takeover.partition
         replica, holding = self.replicas.replica(partition), self.store.holdings.get(partition)
         requested = takeover.stage is TakeoverStage.ASKING and not takeover.holder.probing
@@ -69,7 +69,7 @@
     def _next_step(
         self, now: int, takeover: Takeover, replica: Replica | None, holding: LeasedPartition | None
     ) -> TakeoverStep:
-        """What the rules ask for, given the partition's state at this member."""
+        """The step that the rules require, given the partition's state at this member."""
         partition, lease = takeover.partition, lease_name(takeover.partition)
         return takeover.step(
             now,
@@ -83,31 +83,33 @@
     def _has_complete_records(
         self, now: int, partition: int, replica: Replica | None, holding: LeasedPartition | None
     ) -> bool:
-        """Whether this member may ask for the partition with the records that it has."""
-        # Cut off, a member is granted no term, and its vain requests would cost the holder its own after the cut.
+        """Whether this member may request the partition's lease with the records that it has."""
+        # A member without a majority is granted no term, and after the network partition its refused requests would
+        # cost the holder its term.
         if self.no_majority_since:
             return False
-        doubted = partition in self.damaged_partitions and now - self.started_at < DAMAGED_FOLDER_US
-        return holding is not None and not doubted or (replica is not None and replica.is_complete)
+        may_lack_records = partition in self.damaged_partitions and now - self.started_at < DAMAGED_FOLDER_US
+        return holding is not None and not may_lack_records or (replica is not None and replica.is_complete)
 
     def _pending_count(self, now: int, holding: LeasedPartition | None) -> int:
-        """How many messages are owed; at least 1 while the partition must not be closed."""
+        """The number of pending messages; at least 1 while the partition must not be closed."""
         if holding is None or not holding.imported:
             return 1
-        owed = len(holding.ledger.known)
-        return owed or 1 if self._expects_offer(now, holding) else owed
+        pending = len(holding.ledger.known)
+        return pending or 1 if self._expects_offer(now, holding) else pending
 
     def _promised_until(self, lease: str, partition: int) -> int:
         """Until when the partition's lease counts as promised to its holder."""
-        # A holder that its heartbeats show serving counts as promised, too: the own grantor may have given a term to
-        # a member that never got it, and does not know the real holder.
+        # A member whose heartbeats report that it serves the partition counts as promised too: the own grantor may
+        # have granted a term to a member that got no majority, and not know the actual holder.
         served_until = self.reported_serving[partition][1] + LEASE_SPAN_US if partition in self.reported_serving else 0
         return max(self.grantor.promised_until(lease), served_until)
 
     def _release_refused_term(self, takeover: Takeover, requested_term: int) -> None:
-        """Release the term that was asked for before the latest step, if the request has failed."""
+        """Release the term that was requested before the latest step, if the request has failed."""
         holder = takeover.holder
-        # Two members that ask in vain, each promised by itself, would block each other for ever.
+        # Otherwise two members whose requests fail, each with a promise by its own grantor, would block each other
+        # forever.
         if takeover.stage is not TakeoverStage.HOLDING and (holder.term, holder.state) != (
             requested_term,
             LeaseState.ASKING,
@@ -118,30 +120,31 @@
         """Carry out any step but `DROP`."""
         partition = takeover.partition
         if step.action is TakeoverAction.ASK:
-            logger.info("partition {}: asking for term {}", partition, takeover.holder.term)
+            logger.info("partition {}: requesting term {}", partition, takeover.holder.term)
         elif step.action is TakeoverAction.IMPORT:
             self._import_partition(now, takeover)
         elif step.action is TakeoverAction.CLOSE:
-            logger.info("partition {}: nothing is owed, it is closed", partition)
+            logger.info("partition {}: no message is pending; closing it", partition)
         elif step.action is TakeoverAction.OFFER and partition not in self.running_offers and not self.leaving:
             self.running_offers[partition] = gevent.spawn(self._send_offer, takeover, step.target)
 
     def _send_due_lease_request(self, now: int, takeover: Takeover) -> None:
-        """Ask all members for the lease, or its renewal, if a request is due."""
-        ask = None if self.leaving else takeover.holder.due_request(now)
-        if ask is None:
+        """Request the lease or its renewal from all members, if a request is due."""
+        request = None if self.leaving else takeover.holder.due_request(now)
+        if request is None:
             return
-        reply = self._own_grantor_reply(ask)
-        if ask.lease in self.unwritten_grants:
-            gevent.spawn(self._request_lease, takeover, ask, reply, now)
+        reply = self._own_grantor_reply(request)
+        if request.lease in self.unwritten_grants:
+            gevent.spawn(self._request_lease, takeover, request, reply, now)
         else:
-            self._request_lease(takeover, ask, reply, now)
+            self._request_lease(takeover, request, reply, now)
 
     def _expects_offer(self, now: int, holding: LeasedPartition) -> bool:
         """Whether the previous holder of an adopted partition may still offer facts that no replica received."""
         if not holding.imported_from_term:
             return False
-        # If the partition were closed before the offer is answered, the previous holder would end all of it itself.
+        # If the partition were closed before the offer is answered, the previous holder would give all of its messages
+        # their final answers itself.
         return (
             now - holding.offer_completed_at < 3 * OFFER_TIMEOUT_S * 1e6
             if holding.offer_completed_at
@@ -149,8 +152,9 @@
         )
 
     def _is_unused_replica(self, now: int, partition: int, takeover: Takeover) -> bool:
+        """Whether the holder does not use the replica here any more: no successor, and without recent writes."""
         grant = self.grantor.grant(lease_name(partition))
-        # The grant known here may be old; a replica that the holder still counts on is written to all the time.
+        # The grant known here may be outdated, but a replica that the holder still uses is written to all the time.
         return (
             grant.set > 0
             and self.name not in grant.successors
@@ -159,7 +163,7 @@
         )
 
     def _import_partition(self, now: int, takeover: Takeover) -> None:
-        """After the grant: store the partition's messages, update its replicas, then name its successors."""
+        """After the grant: store the partition's messages, let its replicas catch up, then name its successors."""
         holding = self._hold_partition(takeover.partition)
         if holding.log.term != takeover.holder.term and not self._begin_term(takeover, holding):
             return
@@ -171,7 +175,7 @@
             takeover.note_imported(now, complete)
 
     def _begin_term(self, takeover: Takeover, holding: LeasedPartition) -> bool:
-        """Store the partition's messages and begin its log; False without room for them: then the lease is released."""
+        """Store the partition's messages and begin its log; if there is no room, release the lease and return False."""
         partition, term = takeover.partition, takeover.holder.term
         holding.imported = False
         replica = self.replicas.replica(partition)
@@ -182,33 +186,34 @@
                 self._import_replica(holding, term, replica)
         except NoSpaceError as error:
             self.counters.warning("a partition cannot be adopted", error)
-            ask = takeover.holder.release()
-            if ask is not None:
-                self._release_lease(ask)
-            takeover.holder.state = LeaseState.LOST  # asked for again after a while, if nobody else has it by then
+            request = takeover.holder.release()
+            if request is not None:
+                self._release_lease(request)
+            takeover.holder.state = LeaseState.LOST  # requested again later, if no other member holds it by then
             return False
         self._record_lease(partition, term, 0)
         self.store.begin_log(holding, term)
         self._record_backlog(holding)
         self.replicas.drop(partition)
-        logger.info("partition {}: held under term {}, {} messages owed", partition, term, len(holding.ledger.known))
+        logger.info("partition {}: held under term {}, {} pending messages", partition, term, len(holding.ledger.known))
         return True
 
     def _resume_own_records(self, holding: LeasedPartition, term: int) -> None:
-        """Go on with the records in this member's own folder."""
-        last = self._recorded_term(holding.partition)
-        if 0 < last < term - 1:
-            holding.imported_from_term = last  # somebody else may have held it between
+        """Continue with the records in this member's own folder."""
+        recorded_term = self._recorded_term(holding.partition)
+        if 0 < recorded_term < term - 1:
+            holding.imported_from_term = recorded_term  # another member may have held the partition in between
         self.store.resume_ledger(holding, term)
 
     def _import_replica(self, holding: LeasedPartition, term: int, replica: Replica) -> None:
-        """Store what the replica here knows, and report the sessions and events that come with it."""
+        """Store the facts of the replica here, and pass on the sessions and events that come with them."""
         holding.imported_from_term = replica.position.term
-        # A replica that lags may lack an attempt, so its messages may have run. Attempts arrive in order: only those
-        # after the last one in the replica can be missing.
-        heard = (head.at for fact in replica.owed.values() for head in fact.known.heads.values())
-        behind = self.settings.ack == "own" or replica.behind  # its holder may have been started before us
-        doubt_at = max(heard, default=1) if behind else 0
+        # A replica that lags may lack an attempt, so its messages may have run. Attempts arrive in order, so only
+        # attempts after the last one in the replica can be missing.
+        attempt_times = (head.at for fact in replica.owed.values() for head in fact.known.heads.values())
+        # `replica.behind` comes from its holder, which may have been started with another `ack` setting.
+        may_lag = self.settings.ack == "own" or replica.behind
+        doubt_at = max(attempt_times, default=1) if may_lag else 0
         unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offer_accepted else ([], [])
         facts = list(replica.owed.values())
         ends_upto = self.clock.now() + DEADLINE_MARGIN_US
@@ -220,26 +225,26 @@
         self.exchange.adopted([self.store.messages[number] for number in self.store.numbers(holding.partition)], owner)
 
     def _serve_partition(self, now: int, holding: LeasedPartition) -> None:
-        """Keep the successors up to date, and let the dispatcher send while the lease is valid."""
+        """Keep the successors up to date, and let the dispatcher make attempts while the lease is valid."""
         holder = holding.takeover.holder
         if holding.takeover.stage is TakeoverStage.HOLDING and holding.imported:
             self._update_pumps(now, holding)
             self._name_successors(now, holding)
-        may = (
+        may_serve = (
             holding.takeover.stage is TakeoverStage.HOLDING
             and holding.imported
             and not self.leaving
             and holder.is_valid(now)
             and self._replicas_keep_up(now, holding)
         )
-        if may == holding.serving:
+        if may_serve == holding.serving:
             return
-        holding.serving = may
+        holding.serving = may_serve
         self._record_backlog(holding)
         numbers = self.store.numbers(holding.partition)
-        if may:
+        if may_serve:
             logger.info(
-                "partition {}: served from now on, {} messages, successors {}",
+                "partition {}: now served, with {} messages and successors {}",
                 holding.partition,
                 len(numbers),
                 ", ".join(holder.successors[1:]) or "none",
@@ -247,16 +252,16 @@
             self.dispatcher.adopt(numbers)
         else:
             logger.warning(
-                "partition {}: not served, {} messages ({})",
+                "partition {}: no longer served, with {} messages ({})",
                 holding.partition,
                 len(numbers),
-                holding.takeover.stage.value if holder.is_valid(now) is False else "no replica follows",
+                holding.takeover.stage.value if holder.is_valid(now) is False else "no replica is up to date",
             )
             self.counters.add("partitions that are no longer served")
             self.dispatcher.park(numbers)
 
     def _drop_partition(self, partition: int) -> None:
-        """Give up a partition that is over or belongs to another member for good; may be put off to a later call."""
+        """Drop a partition that is closed or finally held by another member; may be postponed to a later call."""
         holding = self.store.holdings.get(partition)
         if holding is not None and not self._move_unreplicated(holding):
             return
@@ -269,7 +274,7 @@
                 holding.log.unfollow(name)
             self.store.remove_partition(partition)
             logger.info(
-                "partition {}: given up ({}), {} messages are another sender's",
+                "partition {}: given up ({}), another sender is responsible for its {} messages",
                 partition,
                 takeover.stage.value,
                 len(numbers),
@@ -279,7 +284,7 @@
         replica = self.replicas.replica(partition)
         closed = takeover.holder.state is LeaseState.CLOSED or self.grantor.grant(lease_name(partition)).closed
         if holding is not None and replica is not None and replica.position.term > holding.log.term and not closed:
-            self._follow_partition(partition)  # the newer holder counts on this replica by now
+            self._follow_partition(partition)  # the newer holder already uses this replica
             return
         self.replicas.drop(partition)
         self.replica_order_keys.pop(partition, None)
@@ -288,32 +293,32 @@
         self.presumed_holders.pop(partition, None)
 
     def _move_unreplicated(self, holding: LeasedPartition) -> bool:
-        """Move what only this member has of a lost partition to the open one; False: to be tried again later."""
+        """Move the messages of a lost partition that only this member has to the open one; False: try again later."""
         unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offer_accepted else ([], [])
         if not unsent and not unacknowledged:
             return True
         if self.leaving or not self.store.accepts_messages():
-            # They are moved to the open partition once there is one, of the next process if need be; till then they are
-            # answered when late.
+            # They are moved once a partition is open, possibly by the next process. Until then they are answered when
+            # their deadline is near.
             return False
         if any(self.store.messages[number].in_flight_since for number in unsent + unacknowledged):
-            return False  # under its new number a second attempt would run beside the first
-        # What found no room is nowhere else: next time.
+            return False  # under its new number, a second attempt could run at the same time as the first
+        # Messages for which there was no room are at no other member, so the next call tries them again.
         return self._renumber(unsent) and self._renumber(unacknowledged, failed=True)
 
     def _renumber(self, numbers: list[int], failed: bool = False) -> bool:
         """Move messages that only this member has to the open partition; returns whether all were moved."""
         self.dispatcher.park(numbers)
-        made: list[int] = []
+        new_numbers: list[int] = []
         try:
             for number in self.store.renumber(numbers, failed):
-                made.append(number)
+                new_numbers.append(number)
         except (OSError, NoSpaceError) as error:
             self.counters.warning("messages cannot be taken over into the open partition", error)
             return False
         finally:
-            # Also after an error: no other member has those that were moved before it.
-            if made:
-                logger.info("{} messages go on in partition {}", len(made), made[0] >> 32)
-                self.dispatcher.adopt(made)
+            # Also after an error: no other member has the messages that were moved before it.
+            if new_numbers:
+                logger.info("{} messages moved to partition {}", len(new_numbers), new_numbers[0] >> 32)
+                self.dispatcher.adopt(new_numbers)
         return True
--- a/cedarwick/fleet/takeover_offers.py
+++ b/cedarwick/fleet/takeover_offers.py
@@ -1,7 +1,7 @@
-"""Offers after a takeover: a lost holder sends all that it knows of a partition to the member that holds it now.
+"""Offers after a takeover: a former holder sends all that it knows of a partition to the member that holds it now.
 
-A part of the fleet node, used by `PartitionTakeover`. Times are microseconds of the boot clock unless a name ends in
-`_S` (seconds).
+A part of `FleetNode`, used by `PartitionTakeover`. Times are microseconds of the boot clock unless a name ends in `_S`
+(seconds).
 """
 
 from collections.abc import Iterable
@@ -20,7 +20,7 @@
 
 
 def offer_parts(facts: Iterable[Fact]) -> list[bytes]:
-    """Facts as the encoded parts of an offer, each of about `OFFER_PART_BYTES`; one empty part where there are none."""
+    """Facts as the encoded parts of an offer, each of about `OFFER_PART_BYTES`; one empty part if there are none."""
     parts: list[bytes] = []
     part: list[bytes] = []
     for fact in facts:
@@ -33,17 +33,17 @@
 
 
 class TakeoverOffers(LeaseExchange, HeldPartitions):
-    """Sends the offers of this member and answers those of others."""
+    """Sends this member's offers and answers those of other members."""
 
-    def _send_offer(self, takeover: Takeover, to: str) -> None:
+    def _send_offer(self, takeover: Takeover, recipient: str) -> None:
         """Offer what this member knows to the newer holder, in parts of `OFFER_PART_BYTES`."""
         holding = self.store.holdings.get(takeover.partition)
         if holding is not None and not holding.ledger.term:
-            # What an earlier process of this sender has taken or learned may be nowhere but in this store.
+            # What an earlier process of this sender accepted or learned may be in this store only.
             self.store.resume_ledger(holding, self._recorded_term(takeover.partition))
-        known = self.store.facts_to_offer(holding) if holding is not None else []
-        parts = offer_parts(known)
-        logger.info("partition {}: {} messages offered to {}", takeover.partition, len(known), to)
+        facts = self.store.facts_to_offer(holding) if holding is not None else []
+        parts = offer_parts(facts)
+        logger.info("partition {}: offering {} messages to {}", takeover.partition, len(facts), recipient)
         try:
             for index, data in enumerate(parts):
                 offer = TakeoverOffer(
@@ -56,12 +56,12 @@
                 )
                 if holding is not None:
                     holding.offer_sent = True
-                answer = self._call(to, offer, OFFER_TIMEOUT_S)
+                answer = self._call(recipient, offer, OFFER_TIMEOUT_S)
                 if not isinstance(answer, OfferReply) or answer.problem:
                     if isinstance(answer, OfferReply) and answer.problem == PARTITION_CLOSED:
-                        self._learn_closed_partitions(to)
+                        self._learn_closed_partitions(recipient)
                     gevent.sleep(HEARTBEAT_INTERVAL_S)
-                    return  # it is asked again at the next look, of whoever holds the partition then
+                    return  # the next check starts a new offer, to the member that holds the partition then
             takeover.note_offer_accepted()
             if holding is not None:
                 holding.offer_accepted = True
@@ -69,7 +69,7 @@
             self.running_offers.pop(takeover.partition, None)
 
     def _answer_offer(self, sender: str, body: TakeoverOffer) -> OfferReply:
-        """Answer an earlier holder of a partition held here that offers what it knows."""
+        """Merge a part of an earlier holder's offer for a partition that is held here, and answer it."""
         holding = self.store.holdings.get(body.partition)
         if holding is None and self.grantor.grant(lease_name(body.partition)).closed:
             return OfferReply(body.partition, body.part, PARTITION_CLOSED)
@@ -84,7 +84,7 @@
         except CorruptFactsError as error:
             return OfferReply(body.partition, body.part, str(error)[:512])
         logger.info(
-            "partition {}: {} reported {} ends and {} updates",
+            "partition {}: the offer of {} had {} new final answers and {} updates",
             body.partition,
             sender,
             len(merged.ended),
@@ -93,7 +93,7 @@
         if body.last and not merged.problem:
             holding.offer_completed_at = monotonic_time()
         if holding.serving and (merged.ended or merged.changed):
-            # The dispatcher decides anew with the added facts.
+            # The dispatcher decides again, with the added facts.
             self.dispatcher.park(merged.ended + merged.changed)
             self.dispatcher.adopt(merged.changed)
         return OfferReply(body.partition, body.part, merged.problem[:512])
