--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -1,4 +1,4 @@
-"""Answers for messages near their deadline that no member may attempt.
+"""Final answers for messages near their deadline for which no member may make an attempt.
 
 Called by `FleetNode.check` every `DEADLINE_CHECK_S` seconds. Times are microseconds: `now` of the boot clock, deadlines
 of the wall clock.
@@ -11,68 +11,70 @@
 
 
 class LateAnswers(PartitionTakeover):
-    """Answers messages that would pass their deadline unanswered while there is no majority."""
+    """Gives final answers to messages that would otherwise pass their deadline unanswered."""
 
-    def _answer_late(self, now: int, few: bool) -> None:
-        """Answer messages near their deadline as ones that may have run, where no other member can answer them.
+    def _answer_late(self, now: int, majority_lost: bool) -> None:
+        """Answer messages near their deadline as ones that may have run, if no other member can answer them.
 
-        That is so without a majority (`few`), as nobody can find out who holds the lease; where the partition is held
-        here but no replica follows; and where only this member has the message. In all other cases the lease is
-        settled within a moment and its holder answers: an answer from here would be a second, maybe different one.
+        That is the case while there is no majority (`majority_lost`), since no member can learn who holds the lease;
+        if the partition is held here but no replica is up to date; and if only this member has the message. In all
+        other cases the lease is decided soon and its holder answers. An answer from here would be a second one, and
+        could differ.
         """
-        soon = self.clock.now() + DEADLINE_MARGIN_US
-        self._answer_pre_fleet_messages(soon)
+        near_deadline = self.clock.now() + DEADLINE_MARGIN_US
+        self._answer_pre_fleet_messages(near_deadline)
         for holding in list(self.store.holdings.values()):
             stage = holding.takeover.stage
             held = stage is TakeoverStage.HOLDING and holding.imported
-            ours = held and holding.takeover.holder.is_valid(now)
-            # Also partitions that no majority grants to anybody, as after a restart: nobody else would answer them.
-            unheld = held and not ours or self._has_no_holder(holding.takeover)
+            answer_here = held and holding.takeover.holder.is_valid(now)
+            # Also partitions that no majority grants to any member, as after a restart: no other member would answer.
+            unheld = held and not answer_here or self._has_no_holder(holding.takeover)
             holding.unheld_since = (holding.unheld_since or now) if unheld else 0
             if holding.serving or self.leaving:
                 continue
-            # How long no majority has answered lease requests, though members may be heard. Longer where this process
-            # has not held the partition: it may have much to learn from others yet.
-            wait = NO_MAJORITY_US if held else NO_MAJORITY_UNHELD_US
-            ours = ours or holding.unheld_since > 0 and now - holding.unheld_since >= wait
+            # For how long no majority may have answered lease requests, even if heartbeats of members arrive. The limit
+            # is longer if this process has not held the partition, since it may still have much to learn from others.
+            unheld_limit = NO_MAJORITY_US if held else NO_MAJORITY_UNHELD_US
+            answer_here = answer_here or holding.unheld_since > 0 and now - holding.unheld_since >= unheld_limit
             numbers: list[int] = []
             if stage is TakeoverStage.OFFERING:
-                # Nobody else can answer what no replica was sent and nobody was offered. An offer without an answer
-                # may have been stored, and the new holder may have answered the message otherwise.
-                heard = self.members.status(now, self._presumed_holder(holding.takeover)) is MemberStatus.ALIVE
-                if not heard and not holding.offer_sent:
+                # No other member can answer messages that were sent to no replica and in no offer. An offer without a
+                # reply may have been stored, and the new holder may have given the message another final answer.
+                holder_alive = self.members.status(now, self._presumed_holder(holding.takeover)) is MemberStatus.ALIVE
+                if not holder_alive and not holding.offer_sent:
                     numbers = self.store.unreplicated(holding).unsent
-            elif ours or few:
+            elif answer_here or majority_lost:
                 numbers = self.store.numbers(holding.partition)
             elif stage is TakeoverStage.GONE and not holding.offer_accepted:
                 numbers = sum(self.store.unreplicated(holding), [])
             late = [
                 number
                 for number in numbers
-                if self.store.messages[number].deadline <= soon and number not in self.store.migrating
+                if self.store.messages[number].deadline <= near_deadline and number not in self.store.migrating
             ]
             if late:
                 self.dispatcher.answer_late(late)
 
     def _has_no_holder(self, takeover: Takeover) -> bool:
-        """Whether this member asks for a partition, or will, and no other member is known to have held it since."""
-        waits = takeover.stage in (TakeoverStage.FOLLOWING, TakeoverStage.WAITING, TakeoverStage.ASKING)
-        return waits and self._presumed_holder(takeover) in ("", self.name)
+        """Whether this member requests a partition, or will, and no other member is known to have held it since."""
+        not_held_yet = takeover.stage in (TakeoverStage.FOLLOWING, TakeoverStage.WAITING, TakeoverStage.ASKING)
+        return not_held_yet and self._presumed_holder(takeover) in ("", self.name)
 
-    def _answer_pre_fleet_messages(self, soon: int) -> None:
+    def _answer_pre_fleet_messages(self, near_deadline: int) -> None:
         """Move messages from before this sender was a member to the open partition; answer those near their deadline.
 
-        `soon`: wall clock microseconds; deadlines up to it are near. No other member has these messages.
+        `near_deadline`: wall clock microseconds; deadlines up to it are near. No other member has these messages.
         """
         numbers = self.store.numbers(0) if self.has_pre_fleet_messages else []
         self.has_pre_fleet_messages = bool(numbers)
-        owed = [number for number in numbers if self.store.messages[number].final_answer is None]
-        if owed and self.store.accepts_messages():
-            self._renumber(owed)
+        pending = [number for number in numbers if self.store.messages[number].final_answer is None]
+        if pending and self.store.accepts_messages():
+            self._renumber(pending)
         late = [
             number
             for number in numbers
-            if number in self.store.messages and (number not in owed or self.store.messages[number].deadline <= soon)
+            if number in self.store.messages
+            and (number not in pending or self.store.messages[number].deadline <= near_deadline)
         ]
         if late:
             self.dispatcher.answer_late(late)
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -1,4 +1,4 @@
-"""Answers the peer messages of other members, in the greenlets of their connections; a part of the fleet node."""
+"""Answers the peer messages of other members, in the greenlets of their connections; a part of `FleetNode`."""
 
 import gevent
 
@@ -32,17 +32,17 @@
 
 
 class UnknownPeerMessageError(CedarwickError):
-    """A peer message whose kind this member does not answer."""
+    """A peer message of a kind that this member does not handle."""
 
     code = "CW742"
     remedy = "bring all members to one version of the program"
 
 
 class RequestHandling(Heartbeats, PartitionTakeover):
-    """Passes each peer message to the part of the node that answers it."""
+    """Passes each peer message to the part of `FleetNode` that answers it."""
 
     def handle_peer_message(self, peer_message: PeerMessage) -> PeerMessage:
-        """The answer to a peer message; raises `UnknownPeerMessageError` or an error of the part that answers."""
+        """Answer a peer message; raises `UnknownPeerMessageError`, or an error of the part that answers it."""
         return self.verifier.peer_message(
             peer_message.sender, self._answer_body(peer_message.sender, peer_message.incarnation, peer_message.body)
         )
@@ -52,12 +52,12 @@
             self._receive_heartbeat(sender, incarnation, body)
             return self._own_heartbeat()
         if isinstance(body, LeaseRequest):
-            apart = self.members.list_difference(sender)
-            if len(apart) > 1:
-                # With two lists that differ in more than one member, two majorities without a common member could each
-                # grant the same lease.
+            difference = self.members.list_difference(sender)
+            if len(difference) > 1:
+                # If two lists differ in more than one member, two majorities without a common member could each grant
+                # the same lease.
                 raise MembershipChangeError(
-                    f"{sender!r} has another list than {self.name!r}, by {', '.join(sorted(apart))}"
+                    f"the lists of members of {sender!r} and {self.name!r} differ in {', '.join(sorted(difference))}"
                 )
             return self._answer_lease_request(body)
         if isinstance(body, GrantTableRequest):
@@ -75,15 +75,16 @@
             return self.exchange.heard(sender, monotonic_time(), body)
         if (
             self.session_router is not None
-            and (said := self.session_router.heard(sender, incarnation, body)) is not None
+            and (reply := self.session_router.heard(sender, incarnation, body)) is not None
         ):
-            return said
-        raise UnknownPeerMessageError(f"a {type(body).__name__} from {sender!r}")
+            return reply
+        raise UnknownPeerMessageError(f"cannot handle a {type(body).__name__} from {sender!r}")
 
     def _answer_replication(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
+        """Apply a message of a partition's holder to the replica here, and acknowledge it."""
         holding = self.store.holdings.get(body.partition)
         if holding is not None and holding.takeover.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
-            # A former holder that was paused must not count this member as its replica: the partition is held here.
+            # The partition is held here, so a former holder that was paused must not count this member as a replica.
             if isinstance(body, Digests):
                 return Digests(body.partition, holding.takeover.holder.term, ())
             return ReplicaAck(body.partition, holding.takeover.holder.term, 0, OLD_TERM)
@@ -92,23 +93,24 @@
             return self.replicas.digests(body)
         if isinstance(body, ReplicateFacts):
             self._wait_for_preceding_facts(body)
-        have = self.replicas.facts(body) if isinstance(body, ReplicateFacts) else self.replicas.piece(body)
+        ack = self.replicas.facts(body) if isinstance(body, ReplicateFacts) else self.replicas.piece(body)
         if self.replicas.unsynced:
             self.replicas.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
         if body.partition not in self.takeovers and self.replicas.replica(body.partition) is not None:
             self._follow_partition(body.partition)
-        return have
+        return ack
 
     def _wait_for_preceding_facts(self, body: ReplicateFacts) -> None:
-        """Messages out at once come on connections of their own, and need not be read in their order.
+        """Wait up to `REORDER_WAIT_US` until the replica has the facts before those of a message.
 
-        A refusal would make the holder send all unanswered messages again, so wait up to `REORDER_WAIT_US` first.
+        Messages that are in flight at the same time use separate connections and may be read out of order. Refusing
+        such a message would make the holder resend all unanswered ones.
         """
-        until = monotonic_time() + REORDER_WAIT_US
+        wait_until = monotonic_time() + REORDER_WAIT_US
         while (
             (replica := self.replicas.replica(body.partition)) is not None
             and replica.position.term == body.term
             and replica.position.next < body.first
-            and monotonic_time() < until
+            and monotonic_time() < wait_until
         ):
             gevent.sleep(0.0005)
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -346,11 +346,11 @@
         self.holding(node, granted=False)
         node.store.add_message(kept(1, life=100_000))
         for after, calls in ((0, 0), (limits.NO_MAJORITY_US - 1, 0), (limits.NO_MAJORITY_US, 1)):
-            node._answer_late(1_000_000_000 + after, few=False)
+            node._answer_late(1_000_000_000 + after, majority_lost=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
         holding = node.store.holdings[PARTITION]
         with mock.patch.object(holding.takeover.holder, "is_valid", return_value=True):
-            node._answer_late(2_000_000_000, few=False)
+            node._answer_late(2_000_000_000, majority_lost=False)
         self.assertEqual(holding.unheld_since, 0)  # what follows is another loss
 
     def test_a_partition_that_is_asked_for_in_vain_after_a_restart_is_answered_in_time(self) -> None:
@@ -362,7 +362,7 @@
             takeover.stage, takeover.holder.newest_other_holder = TakeoverStage.ASKING, KnownHolder(*newer)
             node.store.add_message(kept(1, life=100_000))
             for after in (0, limits.NO_MAJORITY_UNHELD_US):
-                node._answer_late(1_000_000_000 + after, few=False)
+                node._answer_late(1_000_000_000 + after, majority_lost=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
 
     def test_what_was_taken_before_the_fleet_goes_on_in_the_first_partition_or_is_answered_in_time(self) -> None:
@@ -381,7 +381,7 @@
         node.store.next_number, holding.reserved_upto = number(1), number(9)
         with mock.patch.object(node.store, "has_room", side_effect=[True, False, True]):
             for left in ([2, 3], [3]):
-                node._answer_late(monotonic_time(), few=False)
+                node._answer_late(monotonic_time(), majority_lost=False)
                 self.assertEqual(node.store.numbers(0), left)
         self.assertEqual(dispatcher.adopt.mock_calls, [mock.call([number(index)]) for index in (1, 2)])
 
