--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -32,6 +32,7 @@
     Grant,
     GrantTable,
     Heartbeat,
+    HeldLease,
     LeaseReply,
     LeaseRequest,
     OfferReply,
@@ -42,7 +43,6 @@
     TakeoverOffer,
     digest_of,
 )
-from cedarwick.fleet.messages import HeldLease as Right
 from cedarwick.fleet.node import FleetNode
 from cedarwick.fleet.order_key_hints import HINT_LIFETIME_US, SEND_INTERVAL_US
 from cedarwick.fleet.replica import Replica
@@ -83,7 +83,7 @@
     return (PARTITION << 32) + index
 
 
-def kept(index: int, life: int = 60_000_000) -> StoredMessage:
+def stored_message(index: int, life: int = 60_000_000) -> StoredMessage:
     return StoredMessage(number(index), f"id-{index}", "k", 0, "free", "", 0, CLOCK.now() + life, b"body")
 
 
@@ -95,7 +95,7 @@
     )
 
 
-class MemberTest(unittest.TestCase):
+class FleetNodeTest(unittest.TestCase):
     def setUp(self) -> None:
         logger.disable("cedarwick")
         self.addCleanup(logger.enable, "cedarwick")
@@ -139,7 +139,7 @@
             self.assertTrue(takeover.holder.is_valid(now))
         return holding
 
-    def test_what_the_newer_holder_has_copied_here_outlives_the_partition_that_is_given_up(self) -> None:
+    def test_dropping_a_partition_keeps_the_replica_of_its_newer_holder(self) -> None:
         for closed in (False, True):
             node = self.member()
             holding = self.holding(node)
@@ -154,7 +154,7 @@
                 (node.replicas.replica(PARTITION) is None, PARTITION in node.takeovers), (closed, not closed)
             )
 
-    def test_alone_a_member_asks_for_nothing(self) -> None:
+    def test_without_a_majority_no_lease_is_requested(self) -> None:
         for few, stage in ((0, TakeoverStage.ASKING), (1, TakeoverStage.WAITING)):
             node = self.member()
             node.grantor = LeaseGrantor("a", NAMES, monotonic_time(), ())
@@ -165,16 +165,16 @@
                 node._step_takeover(monotonic_time(), takeover)
             self.assertEqual(takeover.stage, stage)
 
-    def test_a_holder_that_says_it_fires_is_left_alone_and_one_that_forgot_the_partition_is_gone(self) -> None:
+    def test_a_reported_holder_counts_until_it_restarts_without_the_partition(self) -> None:
         node, now = self.member(), monotonic_time()
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
         with mock.patch.object(takeover, "step", wraps=takeover.step) as step:
-            node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
+            node._receive_heartbeat("b", 7, Heartbeat(False, {}, (HeldLease(PARTITION, 3),)))
             node._step_takeover(now, takeover)
             self.assertGreaterEqual(step.call_args.args[2], now + LEASE_SPAN_US)
             self.assertEqual(takeover.holder.newest_other_holder, (3, "b"))
             takeover.holder.term = 5  # asked for in vain
-            node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
+            node._receive_heartbeat("b", 7, Heartbeat(False, {}, (HeldLease(PARTITION, 3),)))
             self.assertEqual(takeover.holder.newest_other_holder, (5, "b"))
             standing = step.call_args.args[3]
             self.assertIs(standing("b"), MemberStatus.ALIVE)
@@ -183,11 +183,11 @@
             node._step_takeover(monotonic_time() + limits.RESTART_REQUEST_WINDOW_US, takeover)
             self.assertIs(step.call_args.args[3]("b"), MemberStatus.DEAD)
 
-    def test_who_was_started_again_may_ask_for_its_partition_however_long_it_has_held_it(self) -> None:
+    def test_a_restarted_holder_has_time_to_request_its_partition(self) -> None:
         node = self.member()
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
         node.presumed_holders[PARTITION] = "b", 1
-        for boot, rights in ((7, (Right(PARTITION, 3),)), (8, ())):
+        for boot, rights in ((7, (HeldLease(PARTITION, 3),)), (8, ())):
             node._receive_heartbeat("b", boot, Heartbeat(False, {}, rights))
         now = monotonic_time()
         self.assertIs(node._status_for_partition(now, "b", takeover), MemberStatus.ALIVE)
@@ -195,7 +195,7 @@
             node._status_for_partition(now + limits.RESTART_REQUEST_WINDOW_US, "b", takeover), MemberStatus.DEAD
         )
 
-    def test_who_asked_in_vain_is_taken_for_the_holder_only_for_a_while(self) -> None:
+    def test_a_presumed_holder_that_does_not_serve_counts_as_dead_after_a_while(self) -> None:
         node = self.member()
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
         takeover.holder.newest_other_holder = KnownHolder(3, "b")  # as a grantor said that has granted it to b, alone
@@ -209,10 +209,10 @@
             ):
                 self.assertIs(node._status_for_partition(now + after, name, takeover), stands)
 
-    def test_who_leaves_or_fires_for_a_partition_no_more_is_waited_for_no_longer(self) -> None:
+    def test_a_member_that_leaves_or_stops_serving_is_not_reported_as_serving(self) -> None:
         node = self.member()
         node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
-        node._receive_heartbeat("b", 7, Heartbeat(False, {}, (Right(PARTITION, 3),)))
+        node._receive_heartbeat("b", 7, Heartbeat(False, {}, (HeldLease(PARTITION, 3),)))
         node._receive_heartbeat("c", 7, Heartbeat(False, {}))
         self.assertIn(PARTITION, node.reported_serving)
         node._receive_heartbeat("b", 7, Heartbeat(True, {}))
@@ -222,7 +222,7 @@
         node.leaving = True
         self.assertEqual(node._own_heartbeat().leases, ())
 
-    def test_a_member_without_room_is_no_place_for_a_copy_while_there_is_another(self) -> None:
+    def test_a_member_that_refused_a_replica_is_avoided_if_there_is_another(self) -> None:
         node = self.member()
         holding, now = self.holding(node), monotonic_time()
         node.alive_members = list(NAMES)
@@ -232,7 +232,7 @@
         node.alive_members = ["a", first[0]]
         self.assertEqual(node._wanted_replicas(holding), first)
 
-    def test_partitions_that_are_opened_later_know_the_new_members(self) -> None:
+    def test_partitions_opened_after_a_reload_use_the_new_members(self) -> None:
         node = self.member()
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node.start(mock.Mock())
@@ -241,7 +241,7 @@
         assert node.ownership is not None
         self.assertIn("d", node.ownership.names)
 
-    def test_members_change_one_at_a_time_and_not_before_the_others_have_followed(self) -> None:
+    def test_members_change_one_at_a_time_after_all_others_applied_the_previous_change(self) -> None:
         node = self.member()
 
         def reload(*names: str) -> set[str]:
@@ -281,7 +281,7 @@
         with self.assertRaises(MembershipChangeError):
             ask("ac")
 
-    def test_a_partition_without_numbers_is_followed_by_the_next(self) -> None:
+    def test_a_partition_without_free_numbers_is_replaced_by_the_next(self) -> None:
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         first = slot_of("a") << 12
@@ -293,14 +293,14 @@
             self.assertEqual(node.store.open_partition.partition, first)
             node.store.open_partition.serving = True
             node.store.open_partition.takeover.holder.is_valid = lambda now: True  # type: ignore[method-assign]
-            self.assertFalse(node.store.has_room(kept(1)))
+            self.assertFalse(node.store.has_room(stored_message(1)))
             node.check(monotonic_time())
         self.assertEqual(
             (node.store.open_partition.partition, node.takeovers[first].takes_new_messages), (first + 1, False)
         )
         self.assertEqual(node.store.next_number, (first + 1 << 32) + 1)
 
-    def test_what_was_closed_while_a_member_was_away_leaves_its_table(self) -> None:
+    def test_partitions_closed_during_an_absence_are_removed_from_the_table(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
         rows = [Grant(lease_name(PARTITION + index), 1, "b", closed=index > 0) for index in range(3)]
@@ -312,7 +312,7 @@
             gevent.sleep(0.01)
         self.assertEqual([each.lease for each in node.grantor.table().grants], [f"{CLOSED_PREFIX}{PARTITION >> 12}"])
 
-    def test_what_nobody_else_can_answer_is_answered_late(self) -> None:
+    def test_messages_that_no_other_member_can_answer_are_answered_near_their_deadline(self) -> None:
         late, ours, others = [number(1)], True, False
         for granted, serving, offered, few, ack, answered in (
             (True, False, False, False, "copy", ours),  # no copy follows
@@ -327,8 +327,8 @@
         ):  # it may have been taken
             node = self.member(ack)
             holding = self.holding(node, granted=granted is True)
-            node.store.add_message(kept(1, life=100_000))
-            node.store.add_message(kept(2))
+            node.store.add_message(stored_message(1, life=100_000))
+            node.store.add_message(stored_message(2))
             holding.serving, holding.offer_accepted, holding.offer_sent = serving, offered, offered
             if granted is None:
                 holding.takeover.stage = TakeoverStage.GONE
@@ -341,10 +341,10 @@
             node._answer_late(monotonic_time(), few)
             self.assertEqual(node.dispatcher.answer_late.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
 
-    def test_a_right_that_no_majority_speaks_of_any_more_is_as_good_as_gone(self) -> None:
+    def test_a_lease_that_no_majority_confirms_for_long_counts_as_lost(self) -> None:
         node = self.member()
         self.holding(node, granted=False)
-        node.store.add_message(kept(1, life=100_000))
+        node.store.add_message(stored_message(1, life=100_000))
         for after, calls in ((0, 0), (limits.NO_MAJORITY_US - 1, 0), (limits.NO_MAJORITY_US, 1)):
             node._answer_late(1_000_000_000 + after, majority_lost=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
@@ -353,24 +353,24 @@
             node._answer_late(2_000_000_000, majority_lost=False)
         self.assertEqual(holding.unheld_since, 0)  # what follows is another loss
 
-    def test_a_partition_that_is_asked_for_in_vain_after_a_restart_is_answered_in_time(self) -> None:
+    def test_messages_of_a_partition_not_regained_after_a_restart_are_answered_in_time(self) -> None:
         # A term that was granted here may be another's at the others.
         for newer, calls in (((0, ""), 1), ((1, "a"), 1), ((2, "b"), 0), ((2, "A"), 0)):
             node = self.member()
             takeover = self.holding(node, granted=False).takeover
             node.grantor.grant = lambda lease: Grant(lease, 2, "a")  # type: ignore[method-assign]
             takeover.stage, takeover.holder.newest_other_holder = TakeoverStage.ASKING, KnownHolder(*newer)
-            node.store.add_message(kept(1, life=100_000))
+            node.store.add_message(stored_message(1, life=100_000))
             for after in (0, limits.NO_MAJORITY_UNHELD_US):
                 node._answer_late(1_000_000_000 + after, majority_lost=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
 
-    def test_what_was_taken_before_the_fleet_goes_on_in_the_first_partition_or_is_answered_in_time(self) -> None:
+    def test_pre_fleet_messages_move_to_the_first_partition_or_are_answered_in_time(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
         dispatcher: Any = node.dispatcher
         for index, life in ((1, 100_000), (2, 60_000_000), (3, 60_000_000)):
-            Store.add_message(node.store, replace(kept(index, life), number=index))
+            Store.add_message(node.store, replace(stored_message(index, life), number=index))
         Store.record_final_answer(node.store, 3, True, 0)
         node.check(monotonic_time())
         dispatcher.answer_late.assert_called_once_with(
@@ -385,7 +385,7 @@
                 self.assertEqual(node.store.numbers(0), left)
         self.assertEqual(dispatcher.adopt.mock_calls, [mock.call([number(index)]) for index in (1, 2)])
 
-    def test_who_asked_in_vain_gives_its_own_promise_back(self) -> None:
+    def test_a_failed_lease_request_releases_the_own_promise(self) -> None:
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
@@ -400,7 +400,7 @@
             node._step_takeover(monotonic_time() + LEASE_SPAN_US, takeover)
         self.assertLess(node.grantor.promised_until(lease_name(PARTITION)), now + LEASE_SPAN_US)
 
-    def test_a_probe_in_vain_gives_nothing_back_and_leaves_the_table_as_it_was(self) -> None:
+    def test_a_failed_probe_releases_nothing_and_leaves_the_table_unchanged(self) -> None:
         node = self.member()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
@@ -414,7 +414,7 @@
         sent = [each for call in spawned.mock_calls for each in call.args if isinstance(each, LeaseRequest)]
         self.assertEqual({each.probe for each in sent}, {True})
 
-    def test_a_member_of_an_earlier_version_is_sent_no_probe_and_taken_to_agree(self) -> None:
+    def test_a_member_of_an_earlier_version_is_sent_no_probe_and_counts_as_agreeing(self) -> None:
         node = self.member()
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
         now = monotonic_time()
@@ -428,7 +428,7 @@
             self.assertEqual(call.call_count, called)
         self.assertEqual(set(takeover.holder._would_grant), {"b"})
 
-    def test_a_partition_that_finds_no_room_here_is_given_back_and_asked_for_again(self) -> None:
+    def test_a_partition_without_room_here_is_released_and_requested_again_later(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.log.term, holding.takeover._resume = 0, False
@@ -440,12 +440,12 @@
         node._step_takeover(monotonic_time(), holding.takeover)
         self.assertIs(holding.takeover.stage, TakeoverStage.WAITING)
 
-    def test_a_damaged_folder_leaves_its_partitions_to_the_successors_for_a_while_and_a_copy_is_no_partition(
+    def test_a_damaged_folder_delays_its_requests_and_a_replica_is_not_a_held_partition(
         self,
     ) -> None:
         node = self.member()
         self.holding(node)
-        node.store.add_message(kept(1))
+        node.store.add_message(stored_message(1))
         node.store.close()
         again = self.member(folder=node.store.folder.path)
         again.replicas.piece(
@@ -464,18 +464,18 @@
                 again._step_takeover(at, again.takeovers[PARTITION])
                 self.assertEqual(again.takeovers[PARTITION].stage is TakeoverStage.ASKING, asks)
 
-    def test_no_second_attempt_goes_out_under_a_new_number_beside_the_first(self) -> None:
+    def test_a_message_with_an_attempt_in_flight_is_not_renumbered(self) -> None:
         node = self.member("own")
         holding = self.holding(node)
         holding.serving, node.store.open_partition = True, holding
-        node.store.add_message(kept(1))
+        node.store.add_message(stored_message(1))
         node.store.record_attempt(number(1), CLOCK.now(), 0)
         with mock.patch.object(node, "_renumber") as rekey:
             node._drop_partition(PARTITION)
             rekey.assert_not_called()
             self.assertIn(PARTITION, node.takeovers)
 
-    def test_what_a_receiver_answers_is_told_once_whatever_became_of_the_message_meanwhile(self) -> None:
+    def test_an_outcome_is_reported_once_even_if_the_message_has_ended_meanwhile(self) -> None:
         done = Fact(number(1), None, MessageKnowledge(end=(EndRank.NOTIFIED, 0)))
         ways: tuple[Callable[[ReplicatedStore], object], ...] = (
             lambda store: None,
@@ -489,7 +489,7 @@
                 self.holding(node)
                 store = node.store
                 store.on_event = seen
-                store.add_message(kept(1))
+                store.add_message(stored_message(1))
                 store.record_attempt(number(1), CLOCK.now(), 0)
                 gone(store)
                 store.record_outcome(number(1), outcome)
@@ -499,13 +499,13 @@
                 )
                 self.assertEqual(store.in_flight, {})
 
-    def test_what_only_this_member_has_is_never_forgotten_for_want_of_room_or_at_the_end(self) -> None:
+    def test_unreplicated_messages_are_not_lost_without_room_or_at_shutdown(self) -> None:
         node = self.member("own")
         holding = self.holding(node)
         holding.serving, node.store.open_partition = True, holding
         holding.takeover.holder.name_successors(monotonic_time(), ())
         for index in (1, 2, 3):
-            node.store.add_message(kept(index))
+            node.store.add_message(stored_message(index))
         node.store.read_body = lambda number: b"" if number % 4 != 3 else self.fail_to_read()  # type: ignore[method-assign]
         opened = Takeover(PARTITION + 1, "a", NAMES, resume=True)
         node.takeovers[PARTITION + 1] = opened
@@ -531,10 +531,10 @@
         ends = {each.id: each.final_answer for each in node.store.messages.values()}
         self.assertEqual(ends, {"id-1": None, "id-2": None, "id-3": (False, 0)})  # the third could not be read
 
-    def test_a_body_that_cannot_be_read_leaves_no_copy_without_its_message(self) -> None:
+    def test_a_message_whose_body_is_lost_is_replicated_as_failed(self) -> None:
         node = self.member()
         holding = self.holding(node)
-        node.store.add_message(kept(1))
+        node.store.add_message(stored_message(1))
         node.store.read_body = lambda number: self.fail_to_read()  # type: ignore[method-assign]
         copy = Replica(PARTITION)
         step = copy.step_for_piece(holding.log.piece(0, EVERYTHING))
@@ -550,7 +550,7 @@
     def fail_to_write(self) -> None:
         raise NoSpaceError("full")
 
-    def test_a_partition_that_cannot_be_looked_at_holds_up_neither_the_others_nor_the_late_answers(self) -> None:
+    def test_an_error_in_one_partition_stops_neither_the_others_nor_late_answers(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
         for index, error in enumerate((OSError("full"), ValueError("spoilt"), None)):
@@ -562,7 +562,7 @@
         for takeover in node.takeovers.values():
             takeover.step.assert_called_once()  # type: ignore[attr-defined]
 
-    def test_a_slow_disk_holds_up_only_the_answers_that_rest_on_it(self) -> None:
+    def test_a_slow_disk_delays_only_replies_that_depend_on_the_write(self) -> None:
         node, go = self.member(), threading.Event()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
         asks = [LeaseRequest(f"book:{partition}", 1, "b", LEASE_SPAN_US) for partition in (1, 2)]
@@ -578,7 +578,7 @@
         table = node.fleet_files.table()
         self.assertEqual([grant.lease for grant in table.grants] if table else [], ["book:1", "book:2"])
 
-    def test_a_message_that_was_overtaken_is_waited_for(self) -> None:
+    def test_an_out_of_order_replication_message_waits_for_the_one_before(self) -> None:
         node = self.member()
         node.replicas.piece(
             ReplicatePiece(PARTITION, 1, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([])))
@@ -593,7 +593,7 @@
         late = node._answer_replication(ReplicateFacts(PARTITION, 1, 7, parts[0], digest_of(parts[0])))
         self.assertEqual(getattr(late, "problem", ""), GAP)  # not for ever
 
-    def test_a_partition_that_starved_once_follows_again_by_one_round_in_time(self) -> None:
+    def test_one_flush_in_time_ends_a_stall(self) -> None:
         node = self.member()
         holding, now = self.holding(node), monotonic_time()
         node.store.on_replication_timeout = node._note_replication_timeout
@@ -607,7 +607,7 @@
         def has(index: int) -> None:
             successor.receive_ack(monotonic_time(), ReplicaAck(PARTITION, 1, index, "", EVERYTHING), 1)
 
-        node.store.add_message(kept(1))
+        node.store.add_message(stored_message(1))
         with (
             mock.patch.object(node.store, "ack_timeout_us", 0),
             self.assertRaisesRegex(NotReplicatedError, "are not at b"),
@@ -616,20 +616,20 @@
         self.assertTrue(holding.stalled_since)
         has(1)
         node.store.flush()
-        node.store.add_message(kept(2))  # under load something is always on its way
+        node.store.add_message(stored_message(2))  # under load something is always on its way
         self.assertTrue(node._replicas_keep_up(monotonic_time() + STALLED_AFTER_US, holding))
         holding.stalled_since = monotonic_time() - 2 * STALLED_AFTER_US
         with self.assertRaisesRegex(NotReplicatedError, "are not at b"):
             node.store.flush()
         self.assertFalse(node._replicas_keep_up(monotonic_time(), holding))
 
-    def test_a_copy_counts_once_a_majority_knows_its_successor(self) -> None:
+    def test_a_replica_counts_only_once_a_majority_knows_it_as_a_successor(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.takeover.holder.name_successors(monotonic_time(), ["b"])
         self.assertFalse(node._replicas_keep_up(monotonic_time(), holding))
 
-    def test_a_copy_becomes_a_successor_once_it_has_all_that_came_before_it_was_waited_for(self) -> None:
+    def test_a_replica_is_named_a_successor_once_it_has_all_records_from_before_it_was_waited_for(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.serving, node.store.open_partition = True, holding
@@ -637,7 +637,7 @@
         name, other = node._wanted_replicas(holding)[0], ({"b", "c"} - set(node._wanted_replicas(holding))).pop()
         follower = holding.log.follow(name, monotonic_time())
         for index in (1, 2, 3):
-            node.store.add_message(kept(index))
+            node.store.add_message(stored_message(index))
             if index == 2:
                 follower.position = ReplicaPosition(1, 1, EVERYTHING)  # whole, with a record on its way
                 node._name_successors(monotonic_time(), holding)
@@ -651,7 +651,7 @@
         holding = self.holding(node)
         node.alive_members = list(NAMES)
         holding.log.follow(name, monotonic_time()).position = ReplicaPosition(1, 0, EVERYTHING)
-        node.store.add_message(kept(1))
+        node.store.add_message(stored_message(1))
         now = monotonic_time()
         node._name_successors(now, holding)
         self.assertEqual(node.store.successors_of(holding), {name})
@@ -663,10 +663,10 @@
         node.store.begin_log(holding, 2)
         self.assertEqual(holding.joining, {})
 
-    def test_an_owner_that_was_started_again_offers_what_lies_in_its_folder(self) -> None:
+    def test_a_restarted_former_holder_offers_the_records_of_its_folder(self) -> None:
         node = self.member("own")
         self.holding(node)
-        node.store.add_message(kept(1))
+        node.store.add_message(stored_message(1))
         node.store.close()
         again = self.member("own", node.store.folder.path)
         again._record_lease(PARTITION, 1, 0)
@@ -686,7 +686,7 @@
         self.assertEqual([each.number for each in decode_facts(offer.facts)], [number(1)])
         self.assertEqual((offer.term, takeover.stage), (1, TakeoverStage.GONE))
 
-    def test_a_copy_that_followed_behind_is_in_doubt_since_the_last_attempt_it_heard_of(self) -> None:
+    def test_a_lagging_replica_is_in_doubt_from_its_last_known_attempt(self) -> None:
         attempt = Fact(number(1), fact(1).base, MessageKnowledge({1: TermAttempts(1, True, 77, 0)}))
         for ack, behind, doubt in (("own", True, 77), ("copy", True, 77), ("own", False, 77), ("copy", False, 0)):
             node = self.member(ack)
@@ -704,7 +704,7 @@
             )
             self.assertEqual(node.store.holdings[PARTITION].log.piece(0, EVERYTHING).behind, ack == "own")
 
-    def test_keys_of_before_a_trouble_are_told_and_those_told_by_others_rest(self) -> None:
+    def test_order_keys_of_the_backlog_are_sent_and_received_ones_are_held_back(self) -> None:
         node, now = self.member(), monotonic_time()
         node.dispatcher.rest_of.return_value = 0  # type: ignore[attr-defined]
         node.dispatcher.ordered = lambda priority_class: priority_class == "free"  # type: ignore[method-assign]
@@ -747,8 +747,8 @@
             self.assertEqual(node.order_key_hints.held_keys, {5, 6})
             holding = self.holding(node)
             for index, turn in enumerate((5, 7), 1):
-                holding.ledger.record_message(replace(kept(index), order_key=turn), b"")
-                node.store.messages[number(index)] = replace(kept(index), order_key=turn)
+                holding.ledger.record_message(replace(stored_message(index), order_key=turn), b"")
+                node.store.messages[number(index)] = replace(stored_message(index), order_key=turn)
             for open_partition, told in (
                 (holding, {7}),
                 (None, {5, 7}),
@@ -767,7 +767,7 @@
             node._exchange_pending_order_keys(now + HINT_LIFETIME_US + LEASE_SPAN_US)
             self.assertEqual(node.dispatcher.rest.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
 
-    def test_an_offer_that_finds_room_for_a_part_is_taken_whole_when_it_comes_again(self) -> None:
+    def test_an_offer_that_is_stored_in_part_is_stored_whole_when_repeated(self) -> None:
         node = self.member()
         holding = self.holding(node)
         holding.serving = True
@@ -776,18 +776,18 @@
         keep, problems = Store.add_message, []
         for room in ((1,), (1, 2, 3)):
 
-            def kept_if(store: Store, each: StoredMessage, room: tuple[int, ...] = room) -> None:
+            def add_if_room(store: Store, each: StoredMessage, room: tuple[int, ...] = room) -> None:
                 if each.number not in map(number, room):
                     raise NoSpaceError("full")
                 keep(store, each)
 
-            with mock.patch.object(Store, "add_message", kept_if):
+            with mock.patch.object(Store, "add_message", add_if_room):
                 problems.append(node._answer_offer("b", TakeoverOffer(PARTITION, 0, True, data, digest_of(data), 1)))
         self.assertEqual(problems, [OfferReply(PARTITION, 0, "full"), OfferReply(PARTITION, 0)])
         self.assertEqual(dispatcher.adopt.mock_calls, [mock.call([number(1)]), mock.call([number(2), number(3)])])
         self.assertEqual(sorted(node.store.messages), sorted(holding.ledger.known))
 
-    def test_an_owner_that_comes_back_after_others_waits_for_what_they_may_offer(self) -> None:
+    def test_a_holder_that_resumes_after_other_holders_expects_an_offer(self) -> None:
         for term, from_term in ((2, 0), (3, 1)):
             node = self.member()
             node._record_lease(PARTITION, 1, 0)
@@ -797,7 +797,7 @@
                 node._import_partition(monotonic_time(), takeover)
             self.assertEqual(node.store.holdings[PARTITION].imported_from_term, from_term)
 
-    def test_an_adopted_partition_is_kept_for_what_its_last_holder_may_offer(self) -> None:
+    def test_an_adopted_partition_stays_open_for_an_offer_of_its_previous_holder(self) -> None:
         for from_term, waits in ((1, True), (0, False)):
             node = self.member()
             holding = self.holding(node)
@@ -810,13 +810,13 @@
             self.assertEqual(node._expects_offer(now, holding), waits)  # it may not have the answer yet
             self.assertFalse(node._expects_offer(now + 4_000_000, holding))
 
-    def test_what_is_adopted_at_its_limit_has_failed_and_what_only_this_member_had_is_kept(self) -> None:
+    def test_import_fails_messages_near_their_deadline_and_keeps_unreplicated_ones(self) -> None:
         store = self.member().store
         holding = LeasedPartition(PARTITION, mock.Mock())
         store.holdings[PARTITION] = holding
         for index in (3, 4, 5):
             holding.ledger.known[number(index)] = MessageKnowledge()
-            super(ReplicatedStore, store).add_message(kept(index))
+            super(ReplicatedStore, store).add_message(stored_message(index))
         soon = CLOCK.now() + 300_000
         moving = msgspec.structs.replace(fact(6, life=0), known=MessageKnowledge(move=(1, "<1/a/b")))
         store.import_replica(holding, [fact(1), fact(2, life=0), moving], 2, 0, [number(3)], [number(4)], soon)
@@ -829,8 +829,8 @@
         self.assertEqual(holding.ledger.known[number(4)].end[0], EndRank.FAILED)
 
 
-class TablesTest(unittest.TestCase):
-    def test_what_is_learned_counts_as_promised_for_a_span(self) -> None:
+class GrantTableTest(unittest.TestCase):
+    def test_learned_grants_count_as_promised_for_one_lease_span(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, None)
         right = lease_name(PARTITION)
         rows = (Grant(right, 3, "b", ("b", "a"), 3 << 20 | 1),)
@@ -838,7 +838,7 @@
             grantor.learn_from(LEASE_SPAN_US, name, GrantTable(False, rows))
         self.assertEqual((grantor.learning, grantor.promised_until(right)), (False, 2 * LEASE_SPAN_US))
 
-    def test_only_closed_rows_of_another_table_are_taken_over(self) -> None:
+    def test_only_closed_rows_of_another_table_are_merged(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, ())
         other = lease_name(PARTITION + 2)
         grantor.learn_closed(
@@ -849,8 +849,8 @@
         )
 
 
-class FoldersTest(unittest.TestCase):
-    def test_a_folder_of_another_member_or_group_is_refused_and_stays_as_it_is(self) -> None:
+class FolderOwnerTest(unittest.TestCase):
+    def test_a_folder_of_another_member_or_group_is_refused_and_left_unchanged(self) -> None:
         folder = self.enterContext(tempfile.TemporaryDirectory())
         FleetFiles(folder).claim("g", "a")
         for group, name in (("g", "b"), ("h", "a")):
@@ -859,8 +859,8 @@
         FleetFiles(folder).claim("g", "a")
 
 
-class NumbersTest(unittest.TestCase):
-    def test_no_number_that_a_member_tells_is_beyond_what_the_folder_holds(self) -> None:
+class FactRangeTest(unittest.TestCase):
+    def test_facts_with_numbers_beyond_the_record_format_are_refused(self) -> None:
         for destination, fits in (((1 << 32) - 1, True), (1 << 32, False)):
             data = encode_facts(
                 [Fact(number(1), MessageBase("id", "k", 0, "free", "", destination, 1, b""), MessageKnowledge())]
@@ -872,8 +872,8 @@
         self.assertRaises(ValueError, parts, f"{1 << 62}/a/b")
 
 
-class PostsTest(unittest.TestCase):
-    def test_a_notice_that_was_given_up_during_its_post_does_no_harm(self) -> None:
+class NotifierTest(unittest.TestCase):
+    def test_a_notice_that_is_removed_during_its_post_does_not_stop_the_notifier(self) -> None:
         for status in (204, 500):
             notices = Notifier(("", 0), Counters(), mock.Mock(side_effect=KeyboardInterrupt))
 
