--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -1,4 +1,4 @@
-"""A member's own steps that tie rules, files and dispatcher together, each without the network."""
+"""The steps of `FleetNode` that connect the rules with files and dispatcher, without the network."""
 
 import tempfile
 import threading
@@ -83,14 +83,14 @@
     return (PARTITION << 32) + index
 
 
-def stored_message(index: int, life: int = 60_000_000) -> StoredMessage:
-    return StoredMessage(number(index), f"id-{index}", "k", 0, "free", "", 0, CLOCK.now() + life, b"body")
+def stored_message(index: int, lifetime_us: int = 60_000_000) -> StoredMessage:
+    return StoredMessage(number(index), f"id-{index}", "k", 0, "free", "", 0, CLOCK.now() + lifetime_us, b"body")
 
 
-def fact(index: int, life: int = 60_000_000) -> Fact:
+def fact(index: int, lifetime_us: int = 60_000_000) -> Fact:
     return Fact(
         number(index),
-        MessageBase(f"id-{index}", "k", 0, "free", "", 0, CLOCK.now() + life, b"body"),
+        MessageBase(f"id-{index}", "k", 0, "free", "", 0, CLOCK.now() + lifetime_us, b"body"),
         MessageKnowledge(),
     )
 
@@ -102,24 +102,24 @@
 
     def member(self, ack: str = "copy", folder: str = "") -> FleetNode:
         if not folder:
-            made = tempfile.TemporaryDirectory()
-            self.addCleanup(made.cleanup)
-            folder = made.name
+            temporary = tempfile.TemporaryDirectory()
+            self.addCleanup(temporary.cleanup)
+            folder = temporary.name
         store = ReplicatedStore(folder, 1 << 20, now=CLOCK.now, ack_after_replication=ack == "copy")
         store.load()
         self.addCleanup(store.close)
-        told = Fleet(
+        settings = Fleet(
             group="g",
             ack=ack,  # type: ignore[arg-type]
             member=[Member(name=name, address=f"127.0.0.1:{free_port()}", hall=name) for name in NAMES],
         )
-        node = FleetNode("a", told, folder, store, CLOCK, Counters())
+        node = FleetNode("a", settings, folder, store, CLOCK, Counters())
         node.dispatcher = mock.Mock()
         self.addCleanup(node.stop)
         return node
 
     def holding(self, node: FleetNode, term: int = 1, granted: bool = True) -> LeasedPartition:
-        """The member has held the partition; and holds it now, where a majority has granted it that term."""
+        """Return a partition that the member has held, and holds now if a majority `granted` it that term."""
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
         holding = node._hold_partition(PARTITION)
         node.store.resume_ledger(holding, term)
@@ -130,7 +130,7 @@
         takeover.holder.request_next_term(now, Grant(lease_name(PARTITION), 0, ""))
         takeover.stage = TakeoverStage.HOLDING
         if granted:
-            for _ in range(2):  # the second answer is that to the successors it names
+            for _ in range(2):  # the second round confirms the successors that it names
                 for name in NAMES:
                     takeover.holder.receive_reply(
                         now, now, name, LeaseReply(True, term, "a", (), takeover.holder.newest_set_number)
@@ -155,10 +155,10 @@
             )
 
     def test_without_a_majority_no_lease_is_requested(self) -> None:
-        for few, stage in ((0, TakeoverStage.ASKING), (1, TakeoverStage.WAITING)):
+        for lost_since, stage in ((0, TakeoverStage.ASKING), (1, TakeoverStage.WAITING)):
             node = self.member()
             node.grantor = LeaseGrantor("a", NAMES, monotonic_time(), ())
-            node.no_majority_since = few
+            node.no_majority_since = lost_since
             takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
             node._hold_partition(PARTITION)
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
@@ -173,13 +173,13 @@
             node._step_takeover(now, takeover)
             self.assertGreaterEqual(step.call_args.args[2], now + LEASE_SPAN_US)
             self.assertEqual(takeover.holder.newest_other_holder, (3, "b"))
-            takeover.holder.term = 5  # asked for in vain
+            takeover.holder.term = 5  # requested without success
             node._receive_heartbeat("b", 7, Heartbeat(False, {}, (HeldLease(PARTITION, 3),)))
             self.assertEqual(takeover.holder.newest_other_holder, (5, "b"))
-            standing = step.call_args.args[3]
-            self.assertIs(standing("b"), MemberStatus.ALIVE)
+            status_of = step.call_args.args[3]
+            self.assertIs(status_of("b"), MemberStatus.ALIVE)
             node._receive_heartbeat("b", 8, Heartbeat(False, {}))
-            self.assertIs(standing("b"), MemberStatus.ALIVE)  # it may yet ask for the partition
+            self.assertIs(status_of("b"), MemberStatus.ALIVE)  # it may still request the partition
             node._step_takeover(monotonic_time() + limits.RESTART_REQUEST_WINDOW_US, takeover)
             self.assertIs(step.call_args.args[3]("b"), MemberStatus.DEAD)
 
@@ -187,8 +187,8 @@
         node = self.member()
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
         node.presumed_holders[PARTITION] = "b", 1
-        for boot, rights in ((7, (HeldLease(PARTITION, 3),)), (8, ())):
-            node._receive_heartbeat("b", boot, Heartbeat(False, {}, rights))
+        for incarnation, leases in ((7, (HeldLease(PARTITION, 3),)), (8, ())):
+            node._receive_heartbeat("b", incarnation, Heartbeat(False, {}, leases))
         now = monotonic_time()
         self.assertIs(node._status_for_partition(now, "b", takeover), MemberStatus.ALIVE)
         self.assertIs(
@@ -198,16 +198,17 @@
     def test_a_presumed_holder_that_does_not_serve_counts_as_dead_after_a_while(self) -> None:
         node = self.member()
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
-        takeover.holder.newest_other_holder = KnownHolder(3, "b")  # as a grantor said that has granted it to b, alone
+        # As reported by a grantor that granted the term to b, without a majority.
+        takeover.holder.newest_other_holder = KnownHolder(3, "b")
         now = monotonic_time() + 1
         with mock.patch.object(node.members, "status", return_value=MemberStatus.ALIVE):
-            for after, name, stands in (
+            for elapsed_us, name, expected in (
                 (0, "b", MemberStatus.ALIVE),
                 (limits.START_SERVING_US - 1, "b", MemberStatus.ALIVE),
                 (limits.START_SERVING_US, "b", MemberStatus.DEAD),
                 (limits.START_SERVING_US, "c", MemberStatus.ALIVE),
             ):
-                self.assertIs(node._status_for_partition(now + after, name, takeover), stands)
+                self.assertIs(node._status_for_partition(now + elapsed_us, name, takeover), expected)
 
     def test_a_member_that_leaves_or_stops_serving_is_not_reported_as_serving(self) -> None:
         node = self.member()
@@ -218,7 +219,7 @@
         node._receive_heartbeat("b", 7, Heartbeat(True, {}))
         self.assertNotIn(PARTITION, node.reported_serving)
         self.holding(node).serving = True
-        self.assertEqual([right.partition for right in node._own_heartbeat().leases], [PARTITION])
+        self.assertEqual([lease.partition for lease in node._own_heartbeat().leases], [PARTITION])
         node.leaving = True
         self.assertEqual(node._own_heartbeat().leases, ())
 
@@ -257,29 +258,30 @@
             )
             return set(node.halls)
 
-        def ask(heard: str) -> None:
-            node._receive_heartbeat("b", 7, Heartbeat(False, dict.fromkeys(heard, 0)))
+        def request_lease_of_b(known_members: str) -> None:
+            node._receive_heartbeat("b", 7, Heartbeat(False, dict.fromkeys(known_members, 0)))
             node._answer_body("b", 7, LeaseRequest(lease_name(PARTITION), 1, "b", LEASE_SPAN_US))
 
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-            self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c"})  # {a, b} and {c, d, e}: two majorities
+            # {a, b} and {c, d, e} could be majorities at the same time.
+            self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c"})
             self.assertEqual(reload("a", "b", "d"), {"a", "b", "c"})
-            ask("ac")
+            request_lease_of_b("ac")
             self.assertEqual(reload("a", "b", "c", "d"), {"a", "b", "c", "d"})
-            self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c", "d"})  # b knows nothing of d yet
-            ask("ac")
-            ask("acd")
+            self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c", "d"})  # b does not know of d yet
+            request_lease_of_b("ac")
+            request_lease_of_b("acd")
             self.assertEqual(reload("a", "b", "c", "d", "e"), {"a", "b", "c", "d", "e"})
             self.assertEqual(node.settings.ack, "copy")
-            ask("acde")
+            request_lease_of_b("acde")
             self.assertEqual(reload("a", "b", "c", "e"), {"a", "b", "c", "e"})
             self.assertEqual(reload("a", "b", "c"), {"a", "b", "c", "e"})
-            node._receive_heartbeat("b", 7, Heartbeat(True, dict.fromkeys("acde", 0)))  # it has ended
+            node._receive_heartbeat("b", 7, Heartbeat(True, dict.fromkeys("acde", 0)))  # it leaves
             self.assertEqual(reload("a", "b", "c"), {"a", "b", "c"})
-            self.assertEqual(reload("a", "b", "c", "f"), {"a", "b", "c"})  # it may come back with five
+            self.assertEqual(reload("a", "b", "c", "f"), {"a", "b", "c"})  # it may return with a list of five members
         node._receive_heartbeat("b", 8, Heartbeat(False, dict.fromkeys("acde", 0)))
         with self.assertRaises(MembershipChangeError):
-            ask("ac")
+            request_lease_of_b("ac")
 
     def test_a_partition_without_free_numbers_is_replaced_by_the_next(self) -> None:
         node = self.member()
@@ -304,30 +306,30 @@
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
         rows = [Grant(lease_name(PARTITION + index), 1, "b", closed=index > 0) for index in range(3)]
-        node.grantor = LeaseGrantor("a", NAMES, 0, rows)  # the first was closed meanwhile
-        theirs = GrantTable(False, (Grant(f"{CLOSED_PREFIX}{PARTITION >> 12}", 0, "", closed=True),))
-        with mock.patch.object(node, "_call", return_value=theirs):
+        node.grantor = LeaseGrantor("a", NAMES, 0, rows)  # the first was closed during the absence
+        other_table = GrantTable(False, (Grant(f"{CLOSED_PREFIX}{PARTITION >> 12}", 0, "", closed=True),))
+        with mock.patch.object(node, "_call", return_value=other_table):
             node._receive_heartbeat("b", 7, Heartbeat(False, {}))
             node.check(monotonic_time())
             gevent.sleep(0.01)
         self.assertEqual([each.lease for each in node.grantor.table().grants], [f"{CLOSED_PREFIX}{PARTITION >> 12}"])
 
     def test_messages_that_no_other_member_can_answer_are_answered_near_their_deadline(self) -> None:
-        late, ours, others = [number(1)], True, False
-        for granted, serving, offered, few, ack, answered in (
-            (True, False, False, False, "copy", ours),  # no copy follows
-            (True, True, False, False, "copy", others),  # the dispatcher sees to it
-            (False, False, False, False, "copy", others),  # whoever is granted it answers
-            (False, False, False, True, "copy", ours),
-            (None, False, False, False, "own", ours),  # lost, and told to nobody
-            (None, False, True, False, "own", others),
-            ("b", False, False, True, "own", ours),  # told to nobody, and the newer holder is not heard
-            ("c", False, False, True, "own", others),
-            ("b", False, True, True, "own", others),
-        ):  # it may have been taken
+        late, by_this_member, by_others = [number(1)], True, False
+        for granted, serving, offered, majority_lost, ack, answered in (
+            (True, False, False, False, "copy", by_this_member),  # no replica is up to date
+            (True, True, False, False, "copy", by_others),  # the dispatcher handles it
+            (False, False, False, False, "copy", by_others),  # the member that is granted the lease answers
+            (False, False, False, True, "copy", by_this_member),
+            (None, False, False, False, "own", by_this_member),  # lost, and not offered to any member
+            (None, False, True, False, "own", by_others),
+            ("b", False, False, True, "own", by_this_member),  # not offered, and the newer holder is silent
+            ("c", False, False, True, "own", by_others),
+            ("b", False, True, True, "own", by_others),  # the offer may have been stored
+        ):
             node = self.member(ack)
             holding = self.holding(node, granted=granted is True)
-            node.store.add_message(stored_message(1, life=100_000))
+            node.store.add_message(stored_message(1, lifetime_us=100_000))
             node.store.add_message(stored_message(2))
             holding.serving, holding.offer_accepted, holding.offer_sent = serving, offered, offered
             if granted is None:
@@ -338,51 +340,53 @@
                     TakeoverStage.OFFERING,
                     KnownHolder(2, granted),
                 )
-            node._answer_late(monotonic_time(), few)
+            node._answer_late(monotonic_time(), majority_lost)
             self.assertEqual(node.dispatcher.answer_late.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
 
     def test_a_lease_that_no_majority_confirms_for_long_counts_as_lost(self) -> None:
         node = self.member()
         self.holding(node, granted=False)
-        node.store.add_message(stored_message(1, life=100_000))
-        for after, calls in ((0, 0), (limits.NO_MAJORITY_US - 1, 0), (limits.NO_MAJORITY_US, 1)):
-            node._answer_late(1_000_000_000 + after, majority_lost=False)
+        node.store.add_message(stored_message(1, lifetime_us=100_000))
+        for elapsed_us, calls in ((0, 0), (limits.NO_MAJORITY_US - 1, 0), (limits.NO_MAJORITY_US, 1)):
+            node._answer_late(1_000_000_000 + elapsed_us, majority_lost=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
         holding = node.store.holdings[PARTITION]
         with mock.patch.object(holding.takeover.holder, "is_valid", return_value=True):
             node._answer_late(2_000_000_000, majority_lost=False)
-        self.assertEqual(holding.unheld_since, 0)  # what follows is another loss
+        self.assertEqual(holding.unheld_since, 0)  # the next loss is counted from its own start
 
     def test_messages_of_a_partition_not_regained_after_a_restart_are_answered_in_time(self) -> None:
-        # A term that was granted here may be another's at the others.
-        for newer, calls in (((0, ""), 1), ((1, "a"), 1), ((2, "b"), 0), ((2, "A"), 0)):
+        # Other grantors may have granted another member the term that the own grantor granted this one.
+        for known_holder, calls in (((0, ""), 1), ((1, "a"), 1), ((2, "b"), 0), ((2, "A"), 0)):
             node = self.member()
             takeover = self.holding(node, granted=False).takeover
             node.grantor.grant = lambda lease: Grant(lease, 2, "a")  # type: ignore[method-assign]
-            takeover.stage, takeover.holder.newest_other_holder = TakeoverStage.ASKING, KnownHolder(*newer)
-            node.store.add_message(stored_message(1, life=100_000))
-            for after in (0, limits.NO_MAJORITY_UNHELD_US):
-                node._answer_late(1_000_000_000 + after, majority_lost=False)
+            takeover.stage, takeover.holder.newest_other_holder = (
+                TakeoverStage.ASKING,
+                KnownHolder(*known_holder),
+            )
+            node.store.add_message(stored_message(1, lifetime_us=100_000))
+            for elapsed_us in (0, limits.NO_MAJORITY_UNHELD_US):
+                node._answer_late(1_000_000_000 + elapsed_us, majority_lost=False)
             self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
 
     def test_pre_fleet_messages_move_to_the_first_partition_or_are_answered_in_time(self) -> None:
         node = self.member()
         node.ownership = mock.Mock(**{"step.return_value": None})
         dispatcher: Any = node.dispatcher
-        for index, life in ((1, 100_000), (2, 60_000_000), (3, 60_000_000)):
-            Store.add_message(node.store, replace(stored_message(index, life), number=index))
+        for index, lifetime_us in ((1, 100_000), (2, 60_000_000), (3, 60_000_000)):
+            Store.add_message(node.store, replace(stored_message(index, lifetime_us), number=index))
         Store.record_final_answer(node.store, 3, True, 0)
         node.check(monotonic_time())
-        dispatcher.answer_late.assert_called_once_with(
-            [1, 3]
-        )  # no majority grants a partition: one ends, one has its notice owed
+        # No partition is granted: message 1 is near its deadline, and the notice of message 3 is to be sent.
+        dispatcher.answer_late.assert_called_once_with([1, 3])
         holding = self.holding(node)
         holding.serving, node.store.open_partition = True, holding
         node.store.next_number, holding.reserved_upto = number(1), number(9)
         with mock.patch.object(node.store, "has_room", side_effect=[True, False, True]):
-            for left in ([2, 3], [3]):
+            for remaining in ([2, 3], [3]):
                 node._answer_late(monotonic_time(), majority_lost=False)
-                self.assertEqual(node.store.numbers(0), left)
+                self.assertEqual(node.store.numbers(0), remaining)
         self.assertEqual(dispatcher.adopt.mock_calls, [mock.call([number(index)]) for index in (1, 2)])
 
     def test_a_failed_lease_request_releases_the_own_promise(self) -> None:
@@ -393,7 +397,7 @@
         now = monotonic_time()
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
             node._step_takeover(now, takeover)
-            self.assertEqual(node.grantor.table().grants, ())  # so far it only probes
+            self.assertEqual(node.grantor.table().grants, ())  # only a probe so far
             takeover.holder.receive_reply(now, now, "b", LeaseReply(True, 0, "", probe=True))
             node._step_takeover(now, takeover)
             self.assertGreaterEqual(node.grantor.promised_until(lease_name(PARTITION)), now + LEASE_SPAN_US)
@@ -406,26 +410,26 @@
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
         node._hold_partition(PARTITION)
         now = monotonic_time()
-        with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawned:
+        with mock.patch("cedarwick.fleet.node.gevent.spawn") as spawn:
             for at in (now, now + LEASE_SPAN_US):
                 node._step_takeover(at, takeover)
         self.assertIs(takeover.stage, TakeoverStage.WAITING)
         self.assertEqual((node.grantor.table().grants, takeover.holder.term), ((), 0))
-        sent = [each for call in spawned.mock_calls for each in call.args if isinstance(each, LeaseRequest)]
-        self.assertEqual({each.probe for each in sent}, {True})
+        requests = [each for call in spawn.mock_calls for each in call.args if isinstance(each, LeaseRequest)]
+        self.assertEqual({each.probe for each in requests}, {True})
 
     def test_a_member_of_an_earlier_version_is_sent_no_probe_and_counts_as_agreeing(self) -> None:
         node = self.member()
         takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, resume=True)
         now = monotonic_time()
         takeover.holder.request_next_term(now, Grant(lease_name(PARTITION), 0, ""), probe_first=True)
-        ask = takeover.holder.due_request(now)
-        assert ask is not None and ask.probe
-        for level, called in ((LEASE_PROBE_LEVEL - 1, 0), (LEASE_PROBE_LEVEL, 1)):
+        request = takeover.holder.due_request(now)
+        assert request is not None and request.probe
+        for level, expected_calls in ((LEASE_PROBE_LEVEL - 1, 0), (LEASE_PROBE_LEVEL, 1)):
             node.verifier.levels["b"] = level
             with mock.patch.object(node, "_call", return_value=None) as call:
-                node._request_lease_from(takeover, "b", ask, now)
-            self.assertEqual(call.call_count, called)
+                node._request_lease_from(takeover, "b", request, now)
+            self.assertEqual(call.call_count, expected_calls)
         self.assertEqual(set(takeover.holder._would_grant), {"b"})
 
     def test_a_partition_without_room_here_is_released_and_requested_again_later(self) -> None:
@@ -447,22 +451,22 @@
         self.holding(node)
         node.store.add_message(stored_message(1))
         node.store.close()
-        again = self.member(folder=node.store.folder.path)
-        again.replicas.piece(
+        restarted = self.member(folder=node.store.folder.path)
+        restarted.replicas.piece(
             ReplicatePiece(PARTITION + 1, 2, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([])))
         )
-        again.replicas.close()
-        again.store.damaged = True
+        restarted.replicas.close()
+        restarted.store.damaged = True
         with mock.patch("cedarwick.fleet.node.gevent.spawn"):
-            again.start(mock.Mock())
+            restarted.start(mock.Mock())
             self.assertEqual(
-                (set(again.store.holdings), set(again.takeovers)), ({PARTITION}, {PARTITION, PARTITION + 1})
+                (set(restarted.store.holdings), set(restarted.takeovers)), ({PARTITION}, {PARTITION, PARTITION + 1})
             )
-            again.grantor = LeaseGrantor("a", NAMES, 0, ())
-            now = again.started_at + limits.DAMAGED_FOLDER_US
-            for at, asks in ((now - 1, False), (now, True)):
-                again._step_takeover(at, again.takeovers[PARTITION])
-                self.assertEqual(again.takeovers[PARTITION].stage is TakeoverStage.ASKING, asks)
+            restarted.grantor = LeaseGrantor("a", NAMES, 0, ())
+            now = restarted.started_at + limits.DAMAGED_FOLDER_US
+            for at, requested in ((now - 1, False), (now, True)):
+                restarted._step_takeover(at, restarted.takeovers[PARTITION])
+                self.assertEqual(restarted.takeovers[PARTITION].stage is TakeoverStage.ASKING, requested)
 
     def test_a_message_with_an_attempt_in_flight_is_not_renumbered(self) -> None:
         node = self.member("own")
@@ -470,31 +474,32 @@
         holding.serving, node.store.open_partition = True, holding
         node.store.add_message(stored_message(1))
         node.store.record_attempt(number(1), CLOCK.now(), 0)
-        with mock.patch.object(node, "_renumber") as rekey:
+        with mock.patch.object(node, "_renumber") as renumber:
             node._drop_partition(PARTITION)
-            rekey.assert_not_called()
+            renumber.assert_not_called()
             self.assertIn(PARTITION, node.takeovers)
 
     def test_an_outcome_is_reported_once_even_if_the_message_has_ended_meanwhile(self) -> None:
-        done = Fact(number(1), None, MessageKnowledge(end=(EndRank.NOTIFIED, 0)))
-        ways: tuple[Callable[[ReplicatedStore], object], ...] = (
+        ended_fact = Fact(number(1), None, MessageKnowledge(end=(EndRank.NOTIFIED, 0)))
+        changes: tuple[Callable[[ReplicatedStore], object], ...] = (
             lambda store: None,
-            lambda store: store.finish(number(1)),  # its client had left
-            lambda store: store.remove_partition(PARTITION),  # another sender has its partition
-            lambda store: store.merge_offer(store.holdings[PARTITION], [done], 1),  # an earlier holder has ended it
+            lambda store: store.finish(number(1)),  # its client has disconnected
+            lambda store: store.remove_partition(PARTITION),  # another sender holds its partition
+            # An earlier holder has given it its final answer.
+            lambda store: store.merge_offer(store.holdings[PARTITION], [ended_fact], 1),
         )
-        for gone in ways:
+        for change in changes:
             for outcome, kind in ((Outcome.COMPLETED, "completed"), (Outcome.TIME_OUT, "outcome")):
-                node, seen = self.member(), mock.Mock()
+                node, reported = self.member(), mock.Mock()
                 self.holding(node)
                 store = node.store
-                store.on_event = seen
+                store.on_event = reported
                 store.add_message(stored_message(1))
                 store.record_attempt(number(1), CLOCK.now(), 0)
-                gone(store)
+                change(store)
                 store.record_outcome(number(1), outcome)
                 self.assertEqual(
-                    [(call.args[0], call.args[1].id) for call in seen.mock_calls],
+                    [(call.args[0], call.args[1].id) for call in reported.mock_calls],
                     [("taken", "id-1"), ("shot", "id-1"), (kind, "id-1")],
                 )
                 self.assertEqual(store.in_flight, {})
@@ -507,18 +512,18 @@
         for index in (1, 2, 3):
             node.store.add_message(stored_message(index))
         node.store.read_body = lambda number: b"" if number % 4 != 3 else self.fail_to_read()  # type: ignore[method-assign]
-        opened = Takeover(PARTITION + 1, "a", NAMES, resume=True)
-        node.takeovers[PARTITION + 1] = opened
-        fresh = node._hold_partition(PARTITION + 1)
-        fresh.serving, opened.holder.is_valid = True, lambda now: True  # type: ignore[method-assign]
-        node.store.open_partition, node.store.next_number, fresh.reserved_upto = (
-            fresh,
+        new_takeover = Takeover(PARTITION + 1, "a", NAMES, resume=True)
+        node.takeovers[PARTITION + 1] = new_takeover
+        new_holding = node._hold_partition(PARTITION + 1)
+        new_holding.serving, new_takeover.holder.is_valid = True, lambda now: True  # type: ignore[method-assign]
+        node.store.open_partition, node.store.next_number, new_holding.reserved_upto = (
+            new_holding,
             (PARTITION + 1 << 32) + 1,
             (PARTITION + 1 << 32) + 99,
         )
-        keep = node.store.add_message
-        with mock.patch.object(node.store, "add_message") as full:
-            full.side_effect = lambda each: keep(each) if full.call_count == 1 else self.fail_to_write()
+        store_message = node.store.add_message
+        with mock.patch.object(node.store, "add_message") as adding:
+            adding.side_effect = lambda each: store_message(each) if adding.call_count == 1 else self.fail_to_write()
             node._drop_partition(PARTITION)
         node.dispatcher.adopt.assert_called_once_with([(PARTITION + 1 << 32) + 1])  # type: ignore[attr-defined]
         self.assertEqual(node.store.numbers(PARTITION), [number(2), number(3)])
@@ -529,20 +534,20 @@
         node._drop_partition(PARTITION)
         self.assertNotIn(PARTITION, node.takeovers)
         ends = {each.id: each.final_answer for each in node.store.messages.values()}
-        self.assertEqual(ends, {"id-1": None, "id-2": None, "id-3": (False, 0)})  # the third could not be read
+        self.assertEqual(ends, {"id-1": None, "id-2": None, "id-3": (False, 0)})  # the body of the third cannot be read
 
     def test_a_message_whose_body_is_lost_is_replicated_as_failed(self) -> None:
         node = self.member()
         holding = self.holding(node)
         node.store.add_message(stored_message(1))
         node.store.read_body = lambda number: self.fail_to_read()  # type: ignore[method-assign]
-        copy = Replica(PARTITION)
-        step = copy.step_for_piece(holding.log.piece(0, EVERYTHING))
+        replica = Replica(PARTITION)
+        step = replica.step_for_piece(holding.log.piece(0, EVERYTHING))
         assert step.entry is not None
-        copy.apply(step.entry, step.facts)
-        for told in (copy.owed[number(1)], *node.store.facts_to_offer(holding)):
-            self.assertEqual((told.base is not None, told.known.end[0]), (True, EndRank.FAILED))
-        self.assertEqual(holding.ledger.known[number(1)].end[0], EndRank.NONE)  # it may yet be read here
+        replica.apply(step.entry, step.facts)
+        for sent_fact in (replica.owed[number(1)], *node.store.facts_to_offer(holding)):
+            self.assertEqual((sent_fact.base is not None, sent_fact.known.end[0]), (True, EndRank.FAILED))
+        self.assertEqual(holding.ledger.known[number(1)].end[0], EndRank.NONE)  # its body may become readable here
 
     def fail_to_read(self) -> bytes:
         raise BodyLostError("cut")
@@ -563,18 +568,20 @@
             takeover.step.assert_called_once()  # type: ignore[attr-defined]
 
     def test_a_slow_disk_delays_only_replies_that_depend_on_the_write(self) -> None:
-        node, go = self.member(), threading.Event()
+        node, may_write = self.member(), threading.Event()
         node.grantor = LeaseGrantor("a", NAMES, 0, ())
-        asks = [LeaseRequest(f"book:{partition}", 1, "b", LEASE_SPAN_US) for partition in (1, 2)]
-        node._answer_lease_request(asks[0])
-        write = node.fleet_files.write_table
-        with mock.patch.object(node.fleet_files, "write_table", side_effect=lambda table: go.wait(5) and write(table)):
-            out = [gevent.spawn(node._answer_lease_request, asks[1]) for _ in range(2)]
+        requests = [LeaseRequest(f"book:{partition}", 1, "b", LEASE_SPAN_US) for partition in (1, 2)]
+        node._answer_lease_request(requests[0])
+        write_to_disk = node.fleet_files.write_table
+        with mock.patch.object(
+            node.fleet_files, "write_table", side_effect=lambda table: may_write.wait(5) and write_to_disk(table)
+        ):
+            replies = [gevent.spawn(node._answer_lease_request, requests[1]) for _ in range(2)]
             gevent.sleep(0.02)
-            self.assertTrue(node._answer_lease_request(asks[0]).granted)  # on the disk since before
-            self.assertFalse(any(each.ready() for each in out))
-            go.set()
-            self.assertTrue(all(each.get(timeout=5).granted for each in out))
+            self.assertTrue(node._answer_lease_request(requests[0]).granted)  # already on the disk
+            self.assertFalse(any(each.ready() for each in replies))
+            may_write.set()
+            self.assertTrue(all(each.get(timeout=5).granted for each in replies))
         table = node.fleet_files.table()
         self.assertEqual([grant.lease for grant in table.grants] if table else [], ["book:1", "book:2"])
 
@@ -584,14 +591,17 @@
             ReplicatePiece(PARTITION, 1, 0, EVERYTHING, encode_facts([]), 0, digest_of(encode_facts([])))
         )
         parts = [encode_facts([fact(index)]) for index in (1, 2)]
-        peer_messages = [ReplicateFacts(PARTITION, 1, place, part, digest_of(part)) for place, part in enumerate(parts)]
-        out = [gevent.spawn(node._answer_replication, peer_message) for peer_message in reversed(peer_messages)]
+        peer_messages = [
+            ReplicateFacts(PARTITION, 1, index_of_part, part, digest_of(part))
+            for index_of_part, part in enumerate(parts)
+        ]
+        acks = [gevent.spawn(node._answer_replication, peer_message) for peer_message in reversed(peer_messages)]
         self.assertEqual(
-            [each.get(timeout=2) for each in out],
+            [each.get(timeout=2) for each in acks],
             [ReplicaAck(PARTITION, 1, 2, "", EVERYTHING), ReplicaAck(PARTITION, 1, 1, "", EVERYTHING)],
         )
-        late = node._answer_replication(ReplicateFacts(PARTITION, 1, 7, parts[0], digest_of(parts[0])))
-        self.assertEqual(getattr(late, "problem", ""), GAP)  # not for ever
+        refused = node._answer_replication(ReplicateFacts(PARTITION, 1, 7, parts[0], digest_of(parts[0])))
+        self.assertEqual(getattr(refused, "problem", ""), GAP)  # the wait is limited
 
     def test_one_flush_in_time_ends_a_stall(self) -> None:
         node = self.member()
@@ -604,7 +614,7 @@
         holding.serving = True
         successor = holding.log.follow("b", now)
 
-        def has(index: int) -> None:
+        def acknowledge(index: int) -> None:
             successor.receive_ack(monotonic_time(), ReplicaAck(PARTITION, 1, index, "", EVERYTHING), 1)
 
         node.store.add_message(stored_message(1))
@@ -614,9 +624,9 @@
         ):
             node.store.flush()
         self.assertTrue(holding.stalled_since)
-        has(1)
+        acknowledge(1)
         node.store.flush()
-        node.store.add_message(stored_message(2))  # under load something is always on its way
+        node.store.add_message(stored_message(2))  # under load some records are always in flight
         self.assertTrue(node._replicas_keep_up(monotonic_time() + STALLED_AFTER_US, holding))
         holding.stalled_since = monotonic_time() - 2 * STALLED_AFTER_US
         with self.assertRaisesRegex(NotReplicatedError, "are not at b"):
@@ -639,14 +649,14 @@
         for index in (1, 2, 3):
             node.store.add_message(stored_message(index))
             if index == 2:
-                follower.position = ReplicaPosition(1, 1, EVERYTHING)  # whole, with a record on its way
+                follower.position = ReplicaPosition(1, 1, EVERYTHING)  # complete, with a record in flight
                 node._name_successors(monotonic_time(), holding)
-            # Danger: named now, and granted the next term in a moment, it would know nothing of the second.
+            # If it were named now and then granted the next term, it would not know the second message.
             self.assertNotIn(name, holding.takeover.holder.possible_successors)
             self.assertEqual(node.store.successors_of(holding), {name} if index > 1 else set())
         follower.position = ReplicaPosition(1, 2, EVERYTHING)
         node._name_successors(monotonic_time(), holding)
-        self.assertIn(name, holding.takeover.holder.possible_successors)  # the third waits for it already
+        self.assertIn(name, holding.takeover.holder.possible_successors)  # acknowledging the third already waits for it
         node = self.member()
         holding = self.holding(node)
         node.alive_members = list(NAMES)
@@ -668,39 +678,45 @@
         self.holding(node)
         node.store.add_message(stored_message(1))
         node.store.close()
-        again = self.member("own", node.store.folder.path)
-        again._record_lease(PARTITION, 1, 0)
-        takeover = again.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
+        restarted = self.member("own", node.store.folder.path)
+        restarted._record_lease(PARTITION, 1, 0)
+        takeover = restarted.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES, 1, resume=True)
         takeover.stage = TakeoverStage.OFFERING
-        holding = again._hold_partition(PARTITION)
-        self.assertEqual(again.store.unreplicated(holding), ([], [number(1)]))
+        holding = restarted._hold_partition(PARTITION)
+        self.assertEqual(restarted.store.unreplicated(holding), ([], [number(1)]))
         offers: list[Any] = []
 
         def call(name: str, body: Body, within_s: float) -> Body:
             offers.append(body)
             return OfferReply(PARTITION, 0)
 
-        with mock.patch.object(again, "_call", call):
-            again._send_offer(takeover, "b")
+        with mock.patch.object(restarted, "_call", call):
+            restarted._send_offer(takeover, "b")
         offer: TakeoverOffer = offers[0]
         self.assertEqual([each.number for each in decode_facts(offer.facts)], [number(1)])
         self.assertEqual((offer.term, takeover.stage), (1, TakeoverStage.GONE))
 
     def test_a_lagging_replica_is_in_doubt_from_its_last_known_attempt(self) -> None:
         attempt = Fact(number(1), fact(1).base, MessageKnowledge({1: TermAttempts(1, True, 77, 0)}))
-        for ack, behind, doubt in (("own", True, 77), ("copy", True, 77), ("own", False, 77), ("copy", False, 0)):
+        for ack, behind, in_doubt_since in (
+            ("own", True, 77),
+            ("copy", True, 77),
+            ("own", False, 77),
+            ("copy", False, 0),
+        ):
             node = self.member(ack)
             takeover = node.takeovers[PARTITION] = Takeover(PARTITION, "a", NAMES)
             data, tail = encode_facts([attempt]), encode_facts([fact(2)])
             node.replicas.piece(ReplicatePiece(PARTITION, 1, 0, EVERYTHING, data, 0, digest_of(data), behind))
             node.replicas.facts(ReplicateFacts(PARTITION, 1, 0, tail, digest_of(tail)))
             node.replicas.close()
-            node.replicas.load()  # the file tells it as well
+            node.replicas.load()  # the file contains it too
             takeover.holder.term = 2
             with mock.patch("cedarwick.fleet.node.gevent.spawn"):
                 node._import_partition(monotonic_time(), takeover)
             self.assertEqual(
-                [node.store.messages[number(index)].records_lost_since for index in (1, 2)], [doubt, doubt]
+                [node.store.messages[number(index)].records_lost_since for index in (1, 2)],
+                [in_doubt_since, in_doubt_since],
             )
             self.assertEqual(node.store.holdings[PARTITION].log.piece(0, EVERYTHING).behind, ack == "own")
 
@@ -730,15 +746,12 @@
             with mock.patch.object(node, "_status_for_partition", return_value=MemberStatus.ALIVE):
                 node._exchange_pending_order_keys(now)
             self.assertEqual((spawn.call_args, node.order_key_hints.held_keys), (None, frozenset()))
-            node._exchange_pending_order_keys(
-                now
-            )  # b is silent: what a copy here says is owed is told, and rests here, too
+            # b is silent: the keys of its replica here are sent, and held back here too.
+            node._exchange_pending_order_keys(now)
             self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", PendingOrderKeys((8,)))])
             node.dispatcher.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
             node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_name(PARTITION), 3, "a", ("b", "a"), 1),))
-            node._exchange_pending_order_keys(
-                now
-            )  # this member has asked for the partition, and has not taken it in yet
+            node._exchange_pending_order_keys(now)  # this member has requested the partition and not imported it yet
             self.assertEqual(node.order_key_hints.held_keys, {8})
             self.assertIsInstance(node._answer_body("c", 1, PendingOrderKeys((5, 6))), Acknowledged)
             node.replicas.drop(PARTITION)
@@ -749,15 +762,16 @@
             for index, turn in enumerate((5, 7), 1):
                 holding.ledger.record_message(replace(stored_message(index), order_key=turn), b"")
                 node.store.messages[number(index)] = replace(stored_message(index), order_key=turn)
-            for open_partition, told in (
+            for open_partition, expected_keys in (
                 (holding, {7}),
                 (None, {5, 7}),
-            ):  # in the open partition 5 waits for c by itself
+            ):
+                # In the open partition, key 5 is held back for c anyway.
                 node.store.open_partition = open_partition
                 node._record_backlog(holding)
                 node._exchange_pending_order_keys(now)
-                self.assertEqual(node.order_key_hints.sent_keys, told)
-                self.assertLessEqual(told, node.order_key_hints.held_keys)  # a partition that is not fired for
+                self.assertEqual(node.order_key_hints.sent_keys, expected_keys)
+                self.assertLessEqual(expected_keys, node.order_key_hints.held_keys)  # the partition is not served
             holding.serving = True
             node._exchange_pending_order_keys(now)
             self.assertEqual(node.order_key_hints.held_keys, {6})
@@ -773,13 +787,13 @@
         holding.serving = True
         dispatcher: Any = node.dispatcher
         data = encode_facts([fact(1), fact(2), fact(3)])
-        keep, problems = Store.add_message, []
+        store_message, problems = Store.add_message, []
         for room in ((1,), (1, 2, 3)):
 
-            def add_if_room(store: Store, each: StoredMessage, room: tuple[int, ...] = room) -> None:
-                if each.number not in map(number, room):
+            def add_if_room(store: Store, stored: StoredMessage, room: tuple[int, ...] = room) -> None:
+                if stored.number not in map(number, room):
                     raise NoSpaceError("full")
-                keep(store, each)
+                store_message(store, stored)
 
             with mock.patch.object(Store, "add_message", add_if_room):
                 problems.append(node._answer_offer("b", TakeoverOffer(PARTITION, 0, True, data, digest_of(data), 1)))
@@ -807,7 +821,7 @@
             self.assertFalse(node._expects_offer(now + limits.OFFER_EXPECTED_US, holding))
             empty = encode_facts([])
             node._answer_offer("b", TakeoverOffer(PARTITION, 0, True, empty, digest_of(empty), 1))
-            self.assertEqual(node._expects_offer(now, holding), waits)  # it may not have the answer yet
+            self.assertEqual(node._expects_offer(now, holding), waits)  # the previous holder may not have the reply yet
             self.assertFalse(node._expects_offer(now + 4_000_000, holding))
 
     def test_import_fails_messages_near_their_deadline_and_keeps_unreplicated_ones(self) -> None:
@@ -818,25 +832,25 @@
             holding.ledger.known[number(index)] = MessageKnowledge()
             super(ReplicatedStore, store).add_message(stored_message(index))
         soon = CLOCK.now() + 300_000
-        moving = msgspec.structs.replace(fact(6, life=0), known=MessageKnowledge(move=(1, "<1/a/b")))
-        store.import_replica(holding, [fact(1), fact(2, life=0), moving], 2, 0, [number(3)], [number(4)], soon)
+        moving = msgspec.structs.replace(fact(6, lifetime_us=0), known=MessageKnowledge(move=(1, "<1/a/b")))
+        store.import_replica(holding, [fact(1), fact(2, lifetime_us=0), moving], 2, 0, [number(3)], [number(4)], soon)
         ends = {
             index: store.messages[number(index)].final_answer
             for index in range(1, 7)
             if number(index) in store.messages
         }
-        self.assertEqual(ends, {1: None, 2: (False, 0), 3: None, 4: (False, 0), 6: None})  # it is on the move
+        self.assertEqual(ends, {1: None, 2: (False, 0), 3: None, 4: (False, 0), 6: None})  # it is being migrated
         self.assertEqual(holding.ledger.known[number(4)].end[0], EndRank.FAILED)
 
 
 class GrantTableTest(unittest.TestCase):
     def test_learned_grants_count_as_promised_for_one_lease_span(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, None)
-        right = lease_name(PARTITION)
-        rows = (Grant(right, 3, "b", ("b", "a"), 3 << 20 | 1),)
+        lease = lease_name(PARTITION)
+        rows = (Grant(lease, 3, "b", ("b", "a"), 3 << 20 | 1),)
         for name in ("b", "c"):
             grantor.learn_from(LEASE_SPAN_US, name, GrantTable(False, rows))
-        self.assertEqual((grantor.learning, grantor.promised_until(right)), (False, 2 * LEASE_SPAN_US))
+        self.assertEqual((grantor.learning, grantor.promised_until(lease)), (False, 2 * LEASE_SPAN_US))
 
     def test_only_closed_rows_of_another_table_are_merged(self) -> None:
         grantor = LeaseGrantor("a", NAMES, 0, ())
@@ -886,7 +900,7 @@
                 mock.patch("cedarwick.net.notifications.gevent.sleep", side_effect=KeyboardInterrupt),
             ):
                 notices.post(1, "id", True, 0)
-                with self.assertRaises(KeyboardInterrupt):  # it came to its next step
+                with self.assertRaises(KeyboardInterrupt):  # raised by the first step after the post
                     notices.run()
 
 
