--- a/tests/processes/recovery_days.py
+++ b/tests/processes/recovery_days.py
@@ -1,18 +1,18 @@
-"""Days on which a destination fails, comes back with little of its speed, and many senders hold messages for it."""
+"""Scenarios in which a destination fails and comes back slow while many senders hold messages for it."""
 
 import msgspec
 
 from cedarwick.lab.mixed_classes import FREE, MARKED, ONCE
 from cedarwick.lab.scenario import Clients, InjectedFault, Limits, Load, Partner, Scenario, Service, WarmUp
 
-SENDERS = 24  # more than `MANY_SENDERS`
-FAILS_AT_S, BACK_AT_S, DAY_S = 3.0, 9.0, 15.0
+SENDER_COUNT = 24  # more than `MANY_SENDERS`
+FAILS_AT_S, BACK_AT_S, DAY_S = 3.0, 9.0, 15.0  # the outage's begin and end, and the length of the scenario
 DEADLINE_MS = 9000.0
-RESTART_S = 0.65  # from SIGKILL until the process is started again
+RESTART_S = 0.65  # from SIGKILL until the process is restarted
 
 
-def recovery_day(kind: str, *faults: InjectedFault, senders: int = SENDERS) -> Scenario:
-    """A day on which one of two destinations fails in the way that `kind` says; `faults` come besides."""
+def outage_day(kind: str, *faults: InjectedFault, senders: int = SENDER_COUNT) -> Scenario:
+    """A scenario in which one of two destinations fails in the way of `kind`; `faults` are injected as well."""
     classes = [
         msgspec.structs.replace(FREE, share=6, outer_ms=DEADLINE_MS, expected_ms=3000),
         msgspec.structs.replace(MARKED, share=3, outer_ms=DEADLINE_MS, expected_ms=3000, window_ms=8000),
@@ -42,6 +42,6 @@
     )
 
 
-def killed(at_s: float, part: float = 0.7) -> InjectedFault:
-    """Seven in ten of the senders are killed at once, `at_s` after the return (or before it), and started again."""
+def kill_after_return(at_s: float, part: float = 0.7) -> InjectedFault:
+    """A fault: `part` of the senders are killed `at_s` seconds after the return (negative: before) and restarted."""
     return InjectedFault(kind="kill", begin_s=BACK_AT_S + at_s, length_s=RESTART_S, part=part)
--- a/tests/processes/test_fleet.py
+++ b/tests/processes/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several senders as one fleet while parts of it fail: the named cases, and drawn days."""
+"""Several sender processes as one fleet while parts of it fail: named cases, and days with random faults."""
 
 import unittest
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 from cedarwick.lab.schedule import draw
 from tests.processes import rig
 
-FIVE = ("east", "east", "east", "west", "west")
+FIVE_HALLS = ("east", "east", "east", "west", "west")
 
 
 class FleetCasesTest(unittest.TestCase):
-    """Each plays one case on its seeds and has the whole history judged."""
+    """Each test runs one case on the seeds and audits the whole history."""
 
-    def play(
+    def run_case(
         self,
         case: Callable[[Fleet], None],
         halls: tuple[str, ...] = ("east", "east", "west"),
@@ -25,7 +25,7 @@
         keys: str = 'alone = "own"',
         terms: Terms | None = None,
     ) -> None:
-        def whole(fleet: Fleet) -> None:
+        def run_and_audit(fleet: Fleet) -> None:
             case(fleet)
             fleet.settle()
             verdict = fleet.judge(terms)
@@ -42,38 +42,40 @@
                         keys=keys,
                         say=rig.unsaid,
                     ),
-                    whole,
+                    run_and_audit,
                 )
 
-    def test_an_owner_dies_for_good_with_hundreds_held(self) -> None:
+    def test_a_sender_is_lost_for_good_with_hundreds_of_pending_messages(self) -> None:
         def case(fleet: Fleet) -> None:
-            ends = [fleet.begin_effect(destination, Effect("hang")) for destination in range(3)]
-            handed = fleet.hand_in(0, 500 if rig.long() else 200, "free")
-            self.assertGreater(sum(each.answer == "ok" for each in handed), 100)
+            end_effects = [fleet.begin_effect(destination, Effect("hang")) for destination in range(3)]
+            submitted = fleet.hand_in(0, 500 if rig.long() else 200, "free")
+            self.assertGreater(sum(each.answer == "ok" for each in submitted), 100)
             fleet.delete_folder(0)
-            died = fleet.day.now()
-            for end in ends:
-                end()
-            owed = {each.id for each in handed if each.answer == "ok"}
-            fleet.until(lambda: self.first_end(fleet, owed, died), 6.0, "the first end of an orphan")
-            first = self.first_end(fleet, owed, died)
-            self.assertLess(first - died, 3_500_000)
-            fleet.until(lambda: not fleet.owed(), 8.0, "the last end of an orphan")
+            lost_at = fleet.day.now()
+            for end_effect in end_effects:
+                end_effect()
+            accepted_ids = {each.id for each in submitted if each.answer == "ok"}
+            fleet.until(
+                lambda: self.first_ended_at(fleet, accepted_ids, lost_at), 6.0, "the first final answer after the loss"
+            )
+            first_at = self.first_ended_at(fleet, accepted_ids, lost_at)
+            self.assertLess(first_at - lost_at, 3_500_000)
+            fleet.until(lambda: not fleet.owed(), 8.0, "the last final answer after the loss")
             fleet.start(0)
             self.assertEqual({each.answer for each in fleet.hand_in(0, 20, "free")}, {"ok"})
 
-        self.play(case)
+        self.run_case(case)
 
     @staticmethod
-    def first_end(fleet: Fleet, ids: set[str], since: int) -> int:
-        """When the first of these ended after a time; 0: none has."""
-        ended = [notice.at for notice in fleet.history.noticed if notice.id in ids and notice.at > since]
-        ended += [
+    def first_ended_at(fleet: Fleet, ids: set[str], since: int) -> int:
+        """When the first of these messages ended after `since`; 0: none has."""
+        end_times = [notice.at for notice in fleet.history.noticed if notice.id in ids and notice.at > since]
+        end_times += [
             call.ended for call in fleet.history.called if call.id in ids and call.status == 200 and call.ended > since
         ]
-        return min(ended, default=0)
+        return min(end_times, default=0)
 
-    def test_an_owner_that_slept_fires_nothing_of_what_was_adopted(self) -> None:
+    def test_a_suspended_holder_makes_no_attempts_for_an_adopted_partition(self) -> None:
         def case(fleet: Fleet) -> None:
             fleet.load(10 if rig.long() else 5)
             gevent.sleep(1.0)
@@ -81,14 +83,14 @@
             gevent.sleep(20 if rig.long() else 4)
             fleet.cont(0)
             fleet.until(lambda: "given up" in fleet.log(0), 15.0, "the loss of the partition")
-            # A client that was turned away is slowed at the door, and let go after eight times.
+            # A client that was refused gets delayed replies, and its connection is closed after eight refusals.
             fleet.until(
                 lambda: [each.answer for each in fleet.hand_in(0, 1, "free")] == ["ok"], 15.0, "a new partition"
             )
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_a_copy_that_was_away_behind_a_compaction_catches_up(self) -> None:
+    def test_a_replica_that_missed_a_compaction_catches_up(self) -> None:
         def case(fleet: Fleet) -> None:
             fleet.load(30 if rig.long() else 5, rate=150)
             gevent.sleep(0.5)
@@ -100,35 +102,39 @@
             gevent.sleep(3.0)
             fleet.start(0)
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_a_split_with_clients_on_both_sides(self) -> None:
+    def test_a_network_partition_with_clients_on_both_sides(self) -> None:
         def case(fleet: Fleet) -> None:
             fleet.load(30, rate=90)
             gevent.sleep(1.0)
-            broken = fleet.split({0, 1, 2}, {3, 4}, silent=True)
+            fault = fleet.split({0, 1, 2}, {3, 4}, silent=True)
             gevent.sleep(5.0)
             answers = {each.answer for each in fleet.hand_in(3, 4, "free")}
-            self.assertNotIn("ok", answers)  # the minority takes nothing
+            self.assertNotIn("ok", answers)  # the minority accepts no messages
             self.assertIn("ok", {each.answer for each in fleet.hand_in(0, 4, "free")})
-            fleet.heal(broken)
-            fleet.until(lambda: [each.answer for each in fleet.hand_in(3, 1, "free")] == ["ok"], 15.0, "the healing")
+            fleet.heal(fault)
+            fleet.until(
+                lambda: [each.answer for each in fleet.hand_in(3, 1, "free")] == ["ok"],
+                15.0,
+                "the end of the network partition",
+            )
             gevent.sleep(1.0)
             fleet.end_loads()
 
-        self.play(case, FIVE)
+        self.run_case(case, FIVE_HALLS)
 
-    def test_a_one_way_cut_between_an_owner_and_its_copy(self) -> None:
+    def test_a_one_way_cut_between_a_holder_and_its_replica(self) -> None:
         def case(fleet: Fleet) -> None:
             fleet.load(6)
             gevent.sleep(1.0)
-            broken = fleet.cut_one_way(0, 2)
+            fault = fleet.cut_one_way(0, 2)
             gevent.sleep(4.0)
-            fleet.heal(broken)
+            fleet.heal(fault)
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_all_are_restarted_in_turn_under_load(self) -> None:
+    def test_all_senders_are_restarted_in_turn_under_load(self) -> None:
         def case(fleet: Fleet) -> None:
             fleet.load(40)
             for number in range(3):
@@ -142,9 +148,9 @@
             gevent.sleep(1.0)
             fleet.end_loads()
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_a_copy_behind_loses_nothing_that_was_told_in_time(self) -> None:
+    def test_a_replica_that_was_down_loses_nothing_under_ack_own(self) -> None:
         def case(fleet: Fleet) -> None:
             fleet.load(6)
             gevent.sleep(1.5)
@@ -152,11 +158,11 @@
             gevent.sleep(4.0)
             fleet.start(1)
 
-        self.play(case, ack="own")
+        self.run_case(case, ack="own")
 
 
-class DrawnDaysTest(unittest.TestCase):
-    def test_drawn_troubles(self) -> None:
+class RandomFaultsTest(unittest.TestCase):
+    def test_random_faults(self) -> None:
         seconds = 20.0 if rig.long() else 6.0
         say: Callable[[str], None] = rig.unsaid
         if rig.long():
@@ -164,7 +170,7 @@
         for seed in rig.seeds():
             for ack in ("copy", "own"):
 
-                def whole(fleet: Fleet) -> None:
+                def run_and_audit(fleet: Fleet) -> None:
                     fleet.load(seconds)
                     fleet.carry_out(draw(fleet.seed, len(fleet.halls), seconds))
                     fleet.settle()
@@ -176,12 +182,12 @@
                         lambda seed=seed, ack=ack: rig.fleet(  # type: ignore
                             rig.SCENARIO,
                             seed,
-                            FIVE if rig.long() else ("east", "east", "west"),
+                            FIVE_HALLS if rig.long() else ("east", "east", "west"),
                             ack=ack,
                             keys='alone = "own"',
                             say=say,
                         ),
-                        whole,
+                        run_and_audit,
                     )
 
 
