--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -50,6 +50,7 @@
     def _send_to_follower(
         self, follower: FollowerProgress, name: str, message: ReplicateFacts | ReplicatePiece | Digests
     ) -> None:
+        """Send one replication message and record the answer in the replica's progress."""
         answer = self._send_peer_message(name, message, REPLICATE_TIMEOUT_S)
         # The incarnation is that of the answer: a late answer from before a restart must not count for the files of
         # the restarted member.
