--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -90,7 +90,7 @@
     def attach(self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher) -> None:
         """Load the saved rows and subscribe to operators' commands and attempts, once this process owns the folder."""
         self.management, self.endpoint_list, self.dispatcher = management, endpoint_list, dispatcher
-        management.changed = self._suspension_changed
+        management.on_suspension_change = self._suspension_changed
         dispatcher.attempts.report_retry_after, dispatcher.attempts.report_result = (
             self._apply_waits,
             self._attempt_ended,
@@ -141,7 +141,7 @@
         if not self.attached:
             return Acknowledged()
         if isinstance(body, RetryAfterHint):
-            now, numbers = self.clock.now(), self.endpoint_list.numbers
+            now, numbers = self.clock.now(), self.endpoint_list.receiver_numbers
             self.dispatcher.apply_retry_after(
                 [(numbers[each.uid], now + each.left) for each in body.waits if each.uid in numbers]
             )
@@ -229,11 +229,13 @@
 
     def _read_suspended_file(self) -> dict[str, int] | None:
         """The contents of suspended.json; None if it is missing or unreadable."""
-        if not os.path.exists(os.path.join(self.management.folder, files.SUSPENDED)):
+        if not os.path.exists(os.path.join(self.management.folder, files.SUSPENSIONS_FILE)):
             return None
         try:
             return {
-                uid: min(calls, MAX_CALLS) for uid, calls in files.read(self.management.folder).items() if calls > 0
+                uid: min(calls, MAX_CALLS)
+                for uid, calls in files.read_suspensions(self.management.folder).items()
+                if calls > 0
             }
         except files.UnreadableFileError as error:
             self.counters.warning("the receivers taken out by hand cannot be read", error)
@@ -245,7 +247,7 @@
         # The file is written before the versions: after a crash between the two in the other order, a receiver missing
         # from the file would look restored by an operator.
         if calls != (self._read_suspended_file() or {}) or calls.keys() != self.endpoint_list.suspended:
-            self.unsaved = not self.management.keep(calls)
+            self.unsaved = not self.management.save_suspensions(calls)
         self._write_versions()
         if count := self.suspension_table.unshared_count():
             self.counters.warning(
@@ -290,7 +292,7 @@
         waits, self.pending_waits = self.pending_waits, {}
         if not waits:
             return ()
-        uids = self.endpoint_list.uids
+        uids = self.endpoint_list.uids_by_number
         entries = [
             RetryAfterEntry(uids[receiver], until - now)
             for receiver, until in waits.items()
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -53,7 +53,7 @@
                 if self.store.messages[number].deadline <= near_deadline and number not in self.store.migrating
             ]
             if late:
-                self.dispatcher.answer_late(late)
+                self.dispatcher.abandon_parked(late)
 
     def _has_no_holder(self, takeover: Takeover) -> bool:
         """Whether this member requests a partition, or will, and no other member is known to have held it since."""
@@ -77,4 +77,4 @@
             and (number not in pending or self.store.messages[number].deadline <= near_deadline)
         ]
         if late:
-            self.dispatcher.answer_late(late)
+            self.dispatcher.abandon_parked(late)
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -26,7 +26,7 @@
 from cedarwick.fleet.replica_files import ReplicaFolder, ReplicaStore
 from cedarwick.fleet.replicated_store import ReplicatedStore, monotonic_time
 from cedarwick.fleet.takeover import Ownership, Takeover
-from cedarwick.net.assignment import address
+from cedarwick.net.assignment import parse_address
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.store.files import NoSpaceError
@@ -68,7 +68,7 @@
         self.halls = {member.name: member.hall for member in settings.member}
         if name not in self.halls:
             raise NotAMemberError(f"fleet.member: no entry has the name of this sender, {name!r}")
-        self.addresses = {member.name: address(member.address) for member in settings.member}
+        self.addresses = {member.name: parse_address(member.address) for member in settings.member}
         self.fleet_files = FleetFiles(state_folder, store.durable)
         self.fleet_files.claim(settings.group, name)
         self.incarnation = self.fleet_files.boot(time.time_ns() // 1000)
@@ -142,4 +142,4 @@
         except (OSError, NoSpaceError) as error:
             self.counters.warning("the fleet's folder cannot be used", error)
         except Exception:  # otherwise the process would end, and again after each restart on this folder
-            self.counters.failed(f"the fleet failed in {call.__name__}")
+            self.counters.log_exception(f"the fleet failed in {call.__name__}")
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -10,7 +10,7 @@
 from cedarwick.fleet.member_state import MembershipChangeError, NotAMemberError
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.takeover import ABSENT
-from cedarwick.net.assignment import address
+from cedarwick.net.assignment import parse_address
 
 
 class MembershipReload(Heartbeats):
@@ -35,7 +35,7 @@
         previous_members, now = set(self.halls), monotonic_time()
         applied = msgspec.structs.replace(self.settings, member=settings.member, follow_s=settings.follow_s)
         address_changed = self.addresses[self.name] not in [
-            address(entry.address) for entry in settings.member if entry.name == self.name
+            parse_address(entry.address) for entry in settings.member if entry.name == self.name
         ]
         if applied != settings or address_changed:
             logger.warning(
@@ -44,7 +44,7 @@
             )
         self.settings = applied
         self.halls = {member.name: member.hall for member in settings.member}
-        self.addresses = {member.name: address(member.address) for member in settings.member}
+        self.addresses = {member.name: parse_address(member.address) for member in settings.member}
         self.peers.replace(self.addresses)
         self.members.replace_members(now, self.halls)
         self.grantor.replace_members(self.halls)
--- a/cedarwick/fleet/migration_planner.py
+++ b/cedarwick/fleet/migration_planner.py
@@ -1,23 +1,25 @@
-"""Which sessions a sender migrates to other senders, to whom and when. No I/O, no clock.
+"""Chooses which sessions a sender migrates, to which senders and when. No I/O, no clock.
 
-Called by the session migrations of a member; how a migration then runs is in `migration_table.py`. Times are
-microseconds of any clock that never runs backwards.
+`SessionRouter` calls the planner; `migration_table.py` defines how a migration then runs. Times are microseconds of
+any monotonic clock.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
 from enum import Enum
 from typing import NamedTuple
 
-from cedarwick.fleet.migration_table import MAX_MOVES_IN, MAX_MOVES_OUT
+from cedarwick.fleet.migration_table import MAX_INCOMING_MOVES, MAX_OUTGOING_MOVES
 from cedarwick.fleet.placement import weight
 
-MIN_STAY_US = 10_000_000  # that a session stays after a move, unless an operator moves it or its sender leaves
-CALL_OFF_PAUSE_US = 1_000_000  # microseconds until a session is offered again after its move was called off
-MAX_LOAD_SHARE = 0.8  # share of its capacity up to which a sender takes sessions
+MIN_STAY_US = (
+    10_000_000  # microseconds for which a session stays after a move; operators and leaving senders are exempt
+)
+CALL_OFF_PAUSE_US = 1_000_000  # microseconds until a session whose move was called off is offered again
+MAX_LOAD_SHARE = 0.8  # share of a sender's capacity up to which it is chosen as a target
 
 
 class MigrationReason(Enum):
-    """Why a session is to move; the most urgent first."""
+    """Why a session is to move, in order of urgency."""
 
     OPERATOR = "an operator asks for it"
     LEAVING = "this sender leaves"
@@ -26,38 +28,40 @@
 
 
 class MigrationRequest(NamedTuple):
-    """A session (by its key) that is to move, and why."""
+    """A request to move the session with a key."""
 
     key: int
-    why: MigrationReason
-    to: str = ""  # the only member that may take it; empty: the preferred one
+    reason: MigrationReason
+    target: str = ""  # the only allowed target; empty: the best ranked one
 
 
 class Neighbour(NamedTuple):
-    """Another sender as this one sees it now."""
+    """The state of another sender, as it is known here."""
 
     name: str
     hall: str
-    held: int  # sessions
-    most: int  # sessions that it may hold
-    well: bool = True  # not suspected, cut or slow
-    takes: bool = True  # alive, its hall not drained, not leaving
+    session_count: int  # sessions held there
+    capacity: int  # sessions that it may hold
+    healthy: bool = True  # not suspected, cut off or slow
+    accepts_sessions: bool = True  # alive, not leaving, and its hall is not drained
 
 
-def preferred(key: int, hall: str, neighbours: Iterable[Neighbour], more: Mapping[str, int]) -> list[Neighbour]:
+def rank_targets(key: int, hall: str, neighbours: Iterable[Neighbour], incoming: Mapping[str, int]) -> list[Neighbour]:
     """The senders that may take a session, the best first.
 
-    Order: same hall first, then lower load (in tenths of the capacity), then healthy before unhealthy, then rendezvous
-    hashing (Thaler and Ravishankar 1998), so that every sender finds the same order. `more` has, by name, the number of
-    sessions that are on their way there and not yet counted in `held`.
+    The order is: same hall first, then lower load (in tenths of the capacity), then healthy before unhealthy, then
+    rendezvous hashing (Thaler and Ravishankar 1998), so that every sender finds the same order. `incoming` maps the
+    name of a sender to the sessions that migrate there and are not yet counted in `session_count`.
     """
 
     def order(each: Neighbour) -> tuple[bool, int, bool, int]:
-        load = (each.held + more.get(each.name, 0)) * 10 // max(each.most, 1)
-        return each.hall != hall, load, not each.well, -weight(key, each.name)
+        load = (each.session_count + incoming.get(each.name, 0)) * 10 // max(each.capacity, 1)
+        return each.hall != hall, load, not each.healthy, -weight(key, each.name)
 
     def has_room(each: Neighbour) -> bool:
-        return each.takes and each.held + more.get(each.name, 0) < MAX_LOAD_SHARE * each.most
+        return (
+            each.accepts_sessions and each.session_count + incoming.get(each.name, 0) < MAX_LOAD_SHARE * each.capacity
+        )
 
     return sorted((each for each in neighbours if has_room(each)), key=order)
 
@@ -67,16 +71,16 @@
 
     def __init__(self, hall: str) -> None:
         self.hall = hall
-        self.targets: dict[int, str] = {}  # by key of a session on the move: its target
-        self.stays_until: dict[int, int] = {}  # by key: not moved before this time
-        self.paused_until: dict[int, int] = {}  # by key, after a move called off: not offered before this time
+        self.targets: dict[int, str] = {}  # by key of a migrating session
+        self.stays_until: dict[int, int] = {}  # by key: the session is not moved before this time
+        self.paused_until: dict[int, int] = {}  # by key: its move was called off; not offered before this time
 
-    def arrived(self, key: int, now: int) -> None:
-        """Note that a session has become active here: it stays for `MIN_STAY_US` microseconds."""
+    def note_arrival(self, key: int, now: int) -> None:
+        """Record that a session has become active here; it stays for `MIN_STAY_US`."""
         self.stays_until[key] = now + MIN_STAY_US
 
-    def ended(self, key: int, moved: bool, now: int) -> None:
-        """Note the end of a move from here; not `moved`: it was called off."""
+    def note_end(self, key: int, moved: bool, now: int) -> None:
+        """Record the end of a move from here; `moved` is false if it was called off."""
         self.targets.pop(key, None)
         if not moved:
             self.paused_until[key] = now + CALL_OFF_PAUSE_US
@@ -84,34 +88,35 @@
     def plan(
         self, requests: Sequence[MigrationRequest], neighbours: Sequence[Neighbour], now: int
     ) -> list[tuple[int, str]]:
-        """The moves to begin now, as pairs of key and target; the caller asks for the others again later.
+        """The moves to begin now, as pairs of key and target; the caller requests the others again later.
 
-        At most `MAX_MOVES_OUT` sessions are on the move from here at once, and `MAX_MOVES_IN` to each target.
+        At most `MAX_OUTGOING_MOVES` sessions migrate from here at once, and `MAX_INCOMING_MOVES` to each target.
         """
         self.stays_until = {key: until for key, until in self.stays_until.items() if until > now}
         self.paused_until = {key: until for key, until in self.paused_until.items() if until > now}
-        more: dict[str, int] = {}
-        for to in self.targets.values():
-            more[to] = more.get(to, 0) + 1
+        incoming: dict[str, int] = {}
+        for sender in self.targets.values():
+            incoming[sender] = incoming.get(sender, 0) + 1
         chosen = []
-        for request in sorted(requests, key=lambda each: list(MigrationReason).index(each.why)):
-            stays = request.key in self.stays_until and request.why not in (
+        for request in sorted(requests, key=lambda each: list(MigrationReason).index(each.reason)):
+            stays = request.key in self.stays_until and request.reason not in (
                 MigrationReason.OPERATOR,
                 MigrationReason.LEAVING,
             )
-            # `stays`: with a client at each of two senders a session would go to and fro, frozen most of the time.
+            # Without `stays` a session with clients at two senders would alternate between them and be frozen most of
+            # the time.
             if (
-                len(self.targets) >= MAX_MOVES_OUT
+                len(self.targets) >= MAX_OUTGOING_MOVES
                 or request.key in self.targets
                 or request.key in self.paused_until
                 or stays
                 or not request.key
             ):
                 continue
-            for each in preferred(request.key, self.hall, neighbours, more):
-                if request.to in ("", each.name) and more.get(each.name, 0) < MAX_MOVES_IN:
+            for each in rank_targets(request.key, self.hall, neighbours, incoming):
+                if request.target in ("", each.name) and incoming.get(each.name, 0) < MAX_INCOMING_MOVES:
                     self.targets[request.key] = each.name
-                    more[each.name] = more.get(each.name, 0) + 1
+                    incoming[each.name] = incoming.get(each.name, 0) + 1
                     chosen.append((request.key, each.name))
                     break
         return chosen
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -68,7 +68,7 @@
         It begins no step after `CLIENT_TIMEOUT_US`.
         """
         if not stored.order_key:
-            return self.client_listener.to_dispatcher(stored)
+            return self.client_listener.submit_to_dispatcher(stored)
         began = monotonic_time()
         submission = RoutedSubmission(stored, hash_of(stored), began + FROZEN_WAIT_US)
         give_up_at = began + CLIENT_TIMEOUT_US
@@ -136,7 +136,7 @@
         claim = ClaimAnswer(answer.disowned, entry_of(answer.entry))
         ruling = self.directory.forward_refused(key, by, claim, monotonic_time())
         if ruling is SubmissionRuling.CLAIM:
-            self.migrations.carry_out(self.moves.client_gone(key, monotonic_time()))
+            self.migrations.carry_out(self.moves.stop_forwarding(key, monotonic_time()))
             if self._claim(key):
                 return True
         # It may have come here meanwhile.
@@ -303,7 +303,7 @@
         return ForwardReply("", 0, claim.granted, location_of(claim.entry))
 
     def _answer_recall(self, body: RecallForward) -> Acknowledged:
-        stored = self.store.messages.get(self.dispatcher.numbers.get(body.id, 0))
+        stored = self.store.messages.get(self.dispatcher.numbers_by_id.get(body.id, 0))
         if stored is not None and stored.order_key == body.key and stored.number not in self.store.migrating:
             self.counters.add("clients gone before their answer")
             self._withdraw(Submission(stored))
--- a/cedarwick/net/connections.py
+++ b/cedarwick/net/connections.py
@@ -1,6 +1,6 @@
-"""The pool of connections to receivers, and the budget of file descriptors that clients share with it.
+"""The pool of connections to receivers, and the budget of file descriptors that it shares with client connections.
 
-Times are microseconds unless a name ends in `_S` (seconds). Attempts and the client listener use this module.
+Times are microseconds, except in names that end in `_S` (seconds).
 """
 
 from collections import deque
@@ -16,39 +16,47 @@
 from cedarwick.net.message_trace import CloseReason, CloseTrace
 from cedarwick.net.sockets import is_closed, open_connection
 
-RESERVED_DESCRIPTORS = 64  # for the interpreter, the loop, the store and the platform
-IDLE_SWEEP_INTERVAL_S = 0.25  # between two looks at the idle connections
-DESCRIPTOR_TIMEOUT_US = 400_000  # for an attempt to get one; a longer wait would look like a silent receiver
-DESCRIPTOR_POLL_INTERVAL_S = 0.02  # between two looks for a free one
+RESERVED_DESCRIPTORS = 64  # for the interpreter, the event loop, the store and calls to the platform
+IDLE_SWEEP_INTERVAL_S = 0.25  # between two checks of the idle connections
+# How long an attempt waits for a descriptor; a longer wait would look like a receiver that does not answer.
+DESCRIPTOR_TIMEOUT_US = 400_000
+DESCRIPTOR_POLL_INTERVAL_S = 0.02  # between two tries to claim one
 
 
 class NoDescriptorError(CedarwickError):
-    """All descriptors are taken, and no idle link could give way."""
+    """All descriptors are in use, and no connection can be closed for a new one."""
 
     code = "CW302"
     remedy = "raise limits.sockets, or start another sender"
 
 
 class DescriptorBudget:
-    """Counts the descriptors of clients and receivers; at the limit an idle connection is closed for another."""
+    """Limits the descriptors of connections to clients and receivers.
+
+    At the limit, `close_one` closes an idle connection to make room for a new one.
+    """
 
     def __init__(self, limit: int) -> None:
         self.set_limit(limit)
         self.used = 0
-        self.make_way: Callable[[], bool] = lambda: False
+        self.close_one: Callable[[], bool] = lambda: False
 
     def set_limit(self, limit: int) -> None:
-        """Set the number of descriptors of the whole process; `RESERVED_DESCRIPTORS` of them stay free."""
+        """Set the limit of the whole process; `RESERVED_DESCRIPTORS` of it are kept for other uses."""
         self.limit = max(8, limit - RESERVED_DESCRIPTORS)
 
     def claim(self) -> None:
-        """Count one more descriptor; raises `NoDescriptorError` at the limit if no connection can be closed."""
-        if self.used >= self.limit and not self.make_way():
-            raise NoDescriptorError(f"all {self.limit} are taken")
+        """Claim one descriptor.
+
+        Raises:
+            NoDescriptorError: the limit is reached and no connection can be closed.
+        """
+        if self.used >= self.limit and not self.close_one():
+            raise NoDescriptorError(f"all {self.limit} descriptors are in use")
         self.used += 1
 
-    def give_back(self) -> None:
-        """Count one descriptor less."""
+    def release(self) -> None:
+        """Release one descriptor."""
         self.used -= 1
 
 
@@ -67,9 +75,9 @@
 
 
 class ConnectionPool:
-    """Opens connections, pools the idle ones, and is the only place where they are closed.
+    """Opens connections to receivers, pools the idle ones, and is the only code that closes them.
 
-    `life` (how long an idle connection may be used) and `connect_limit` are microseconds.
+    A connection that has been idle for `idle_lifetime_us` is not used again.
     """
 
     def __init__(
@@ -78,116 +86,122 @@
         counters: Counters,
         descriptors: DescriptorBudget,
         address_of: Callable[[int], tuple[str, int]],
-        life: int,
-        connect_limit: int,
+        idle_lifetime_us: int,
+        connect_timeout_us: int,
     ) -> None:
         self.clock = clock
         self.counters = counters
         self.descriptors = descriptors
         self.address_of = address_of
-        self.life = life
-        self.connect_limit = connect_limit
-        self.idle: dict[int, deque[Connection]] = {}  # by receiver, the newest last
-        self.ending: dict[Connection, None] = {}  # connections that are only read from now on, the newest last
-        descriptors.make_way = self._give_way
-
-    def obtain(self, receiver: int, until: int, new: bool = False) -> Connection:
-        """An idle connection or a new one, by `until`.
-
-        Raises `OSError` where none comes up in time, `NoDescriptorError` where no descriptor is free.
+        self.idle_lifetime_us = idle_lifetime_us
+        self.connect_timeout_us = connect_timeout_us
+        self.idle: dict[int, deque[Connection]] = {}  # by receiver, the last used one at the end
+        self.half_closed: dict[Connection, None] = {}  # only read from now on; the newest at the end
+        descriptors.close_one = self._close_one
+
+    def acquire(self, receiver: int, until: int, new: bool = False) -> Connection:
+        """Return an idle connection, or a new one that is opened by `until`; with `new`, always a new one.
+
+        Raises:
+            OSError: no connection could be opened in time.
+            NoDescriptorError: no descriptor became free in time.
         """
         address = self.address_of(receiver)
-        free_by = min(until, self.clock.now() + DESCRIPTOR_TIMEOUT_US)
-        while (link := None if new else self._reusable(receiver, address)) is None:
+        claim_by = min(until, self.clock.now() + DESCRIPTOR_TIMEOUT_US)
+        while (connection := None if new else self._take_idle(receiver, address)) is None:
             try:
                 self.descriptors.claim()
                 break
             except NoDescriptorError:
-                # Wait a little: if it failed at once while clients hold all descriptors, a message would soon be
-                # out of attempts.
-                if self.clock.now() >= free_by:
+                # If this failed at once while clients hold all descriptors, a message would soon use up its attempts.
+                if self.clock.now() >= claim_by:
                     raise
                 gevent.sleep(DESCRIPTOR_POLL_INTERVAL_S)
-        if link is not None:
-            return link
+        if connection is not None:
+            return connection
         try:
-            limit = min(self.connect_limit, until - self.clock.now())
-            sock = open_connection(address, max(limit, 1000) / 1_000_000)
+            timeout_us = min(self.connect_timeout_us, until - self.clock.now())
+            sock = open_connection(address, max(timeout_us, 1000) / 1_000_000)
         except BaseException:
-            self.descriptors.give_back()
+            self.descriptors.release()
             raise
         self.counters.add("links opened")
         return Connection(sock, receiver, address)
 
-    def _reusable(self, receiver: int, address: tuple[str, int]) -> Connection | None:
-        """The newest idle connection that can still be used, if any; those that cannot are closed."""
-        waiting = self.idle.get(receiver)
-        while waiting:
-            link = waiting.pop()
-            # Receivers close idle connections, and an attempt written just then is lost without a trace.
-            fresh = link.address == address and self.clock.now() - link.idle_since < self.life
-            if fresh and not is_closed(link.sock):
-                return link
-            self._close(link, CloseReason.NOT_REUSABLE)
+    def _take_idle(self, receiver: int, address: tuple[str, int]) -> Connection | None:
+        """Take the last used idle connection that is still usable, if any; close those that are not."""
+        idle_connections = self.idle.get(receiver)
+        while idle_connections:
+            connection = idle_connections.pop()
+            # A receiver may close an idle connection just as an attempt is written to it; that attempt would be lost.
+            reusable = (
+                connection.address == address and self.clock.now() - connection.idle_since < self.idle_lifetime_us
+            )
+            if reusable and not is_closed(connection.sock):
+                return connection
+            self._close(connection, CloseReason.NOT_REUSABLE)
         return None
 
-    def give_back(self, link: Connection, usable: bool) -> None:
-        """Return a connection to the pool; close it if it is not usable or has unread bytes."""
-        if not usable or len(link.buffer):
-            self._close(link, CloseReason.UNREAD_BYTES if usable else CloseReason.ANSWER_UNUSABLE)
+    def release(self, connection: Connection, usable: bool) -> None:
+        """Return a connection to the pool, or close it if it is not usable or has unread bytes."""
+        if not usable or len(connection.buffer):
+            self._close(connection, CloseReason.UNREAD_BYTES if usable else CloseReason.ANSWER_UNUSABLE)
             return
-        link.idle_since = self.clock.now()
-        self.idle.setdefault(link.receiver, deque()).append(link)
+        connection.idle_since = self.clock.now()
+        self.idle.setdefault(connection.receiver, deque()).append(connection)
 
-    def end_sending(self, link: Connection) -> bool:
-        """Shut down the sending side after a time-out, to read on until the connection is given back.
+    def shut_down_sending(self, connection: Connection) -> bool:
+        """Shut down the sending side after a time-out; the connection is still read until it is released.
 
-        False where it has broken.
+        Returns False if the connection is broken.
         """
         try:
-            link.sock.shutdown(gevent.socket.SHUT_WR)
+            connection.sock.shutdown(gevent.socket.SHUT_WR)
         except OSError:
             return False
-        self.ending[link] = None
+        self.half_closed[connection] = None
         return True
 
-    def free(self, receiver: int) -> None:
+    def close_idle(self, receiver: int) -> None:
         """Close the idle connections to a receiver."""
-        for link in self.idle.pop(receiver, ()):
-            self._close(link, CloseReason.RELEASED)
+        for connection in self.idle.pop(receiver, ()):
+            self._close(connection, CloseReason.RELEASED)
 
     def sweep(self) -> None:
-        """Never returns: closes idle connections before their receiver would."""
+        """Close idle connections before their receivers do; never returns."""
         while True:
             gevent.sleep(IDLE_SWEEP_INTERVAL_S)
             now = self.clock.now()
-            for receiver, waiting in list(self.idle.items()):
-                for link in list(waiting):
-                    if now - link.idle_since >= self.life or is_closed(link.sock):
-                        waiting.remove(link)
-                        self._close(link, CloseReason.IDLE)
-                if not waiting:
+            for receiver, idle_connections in list(self.idle.items()):
+                for connection in list(idle_connections):
+                    if now - connection.idle_since >= self.idle_lifetime_us or is_closed(connection.sock):
+                        idle_connections.remove(connection)
+                        self._close(connection, CloseReason.IDLE)
+                if not idle_connections:
                     self.idle.pop(receiver, None)
 
-    def _give_way(self) -> bool:
-        if self.ending:
-            self._close(next(iter(self.ending)), CloseReason.DESCRIPTOR_WANTED)
+    def _close_one(self) -> bool:
+        """Close a half-closed connection, or else the one idle for longest; returns whether there was any."""
+        if self.half_closed:
+            self._close(next(iter(self.half_closed)), CloseReason.DESCRIPTOR_WANTED)
             return True
-        longest = min(
-            (waiting[0] for waiting in self.idle.values() if waiting), key=lambda link: link.idle_since, default=None
+        oldest = min(
+            (idle_connections[0] for idle_connections in self.idle.values() if idle_connections),
+            key=lambda connection: connection.idle_since,
+            default=None,
         )
-        if longest is not None:
-            self.idle[longest.receiver].popleft()
-            self._close(longest, CloseReason.DESCRIPTOR_WANTED)
-        return longest is not None
+        if oldest is not None:
+            self.idle[oldest.receiver].popleft()
+            self._close(oldest, CloseReason.DESCRIPTOR_WANTED)
+        return oldest is not None
 
-    def _close(self, link: Connection, reason: CloseReason) -> None:
-        if link.closed:
+    def _close(self, connection: Connection, reason: CloseReason) -> None:
+        if connection.closed:
             return
-        link.closed = True
-        self.ending.pop(link, None)
-        link.sock.close()
-        self.descriptors.give_back()
+        connection.closed = True
+        self.half_closed.pop(connection, None)
+        connection.sock.close()
+        self.descriptors.release()
         self.counters.add("links closed")
         if self.counters.trace.enabled:
-            self.counters.trace.add(CloseTrace(f"receiver {link.receiver}", reason.value, self.clock.now()))
+            self.counters.trace.add(CloseTrace(f"receiver {connection.receiver}", reason.value, self.clock.now()))
--- a/cedarwick/net/dispatch_admission.py
+++ b/cedarwick/net/dispatch_admission.py
@@ -1,55 +1,55 @@
-"""Admission: which submissions are accepted, stored and answered, and which are refused.
+"""Admission: accepts, stores and answers submissions, or rejects them.
 
 A base class of `Dispatcher`; times are microseconds.
 """
 
-from cedarwick.net.assignment import place
+from cedarwick.net.assignment import setting_index
 from cedarwick.net.dispatch_sessions import Sessions
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
-RECENT_ID_LIFETIME_US = 15_000_000  # for this long after a submission its id is not accepted again
+RECENT_ID_LIFETIME_US = 15_000_000  # how long after a submission its id is not accepted again
 
 
 class Admission(Sessions):
-    """Accepts submissions, and withdraws them where the client has gone."""
+    """Accepts submissions, and withdraws those whose client has disconnected."""
 
     def _admit(self, submission: Submission) -> None:
         stored = submission.message
         priority_class = self.priority_classes.get(stored.priority_class)
         if priority_class is None:
-            submission.answered(AdmissionResult.UNKNOWN_PRIORITY_CLASS)
+            submission.set_answer(AdmissionResult.UNKNOWN_PRIORITY_CLASS)
             return
         if stored.destination not in self.sender.destinations:
             self.counters.add("turned away: a destination that nobody listed")
-            submission.answered(AdmissionResult.UNKNOWN_DESTINATION)
+            submission.set_answer(AdmissionResult.UNKNOWN_DESTINATION)
             return
         now = self.clock.now()
         if stored.order_key in self.frozen:
-            submission.answered(AdmissionResult.FROZEN)
+            submission.set_answer(AdmissionResult.FROZEN)
             return
-        # A repeated id must not be sent again after its message ended, least of all with another body.
-        copied = hash(
+        # A repeated id must not be sent again after its message has ended, least of all with a different body.
+        content_hash = hash(
             (stored.key, stored.order_key, stored.priority_class, stored.tenant, stored.destination, stored.body)
         )
-        known = self.recent.get(stored.id)
-        if known is not None or stored.id in self.numbers:
-            same = known is not None and known[1] == copied and stored.id in self.numbers
-            same = same and self.numbers[stored.id] not in self.new_submissions
-            submission.answered(AdmissionResult.ACCEPTED if same else AdmissionResult.REPEATED)
+        recent = self.recent_ids.get(stored.id)
+        if recent is not None or stored.id in self.numbers_by_id:
+            is_duplicate = recent is not None and recent[1] == content_hash and stored.id in self.numbers_by_id
+            is_duplicate = is_duplicate and self.numbers_by_id[stored.id] not in self.new_submissions
+            submission.set_answer(AdmissionResult.ACCEPTED if is_duplicate else AdmissionResult.REPEATED)
             return
-        while self.recent and next(iter(self.recent.values()))[0] < now - RECENT_ID_LIFETIME_US:
-            del self.recent[next(iter(self.recent))]
-        self.recent[stored.id] = now, copied
+        while self.recent_ids and next(iter(self.recent_ids.values()))[0] < now - RECENT_ID_LIFETIME_US:
+            del self.recent_ids[next(iter(self.recent_ids))]
+        self.recent_ids[stored.id] = now, content_hash
         if not self.store.has_room(stored):
             self.counters.add("turned away: no room in the folder")
-            submission.answered(AdmissionResult.BUSY)
+            submission.set_answer(AdmissionResult.BUSY)
             return
         stored.number = number = self.store.next_number
         self.store.next_number += 1
         self.new_submissions[number] = submission
-        self.numbers[stored.id] = number
-        # Bound the time to live: an absurd one would take up room in the store for ever.
+        self.numbers_by_id[stored.id] = number
+        # Limit the time to live: an extremely long one would occupy the store forever.
         stored.deadline = min(stored.deadline, now + self.sender.priority_classes[priority_class].deadline)
         self.handles[number] = self.sender.accept(
             now,
@@ -57,56 +57,58 @@
             stored.destination,
             priority_class,
             stored.deadline,
-            place(self.tenants, stored.tenant),
+            setting_index(self.tenants, stored.tenant),
             stored.order_key,
         )
         if stored.order_key in self.keys_elsewhere and self.sender.priority_classes[priority_class].ordered:
             self.counters.add("messages that waited for others of their key elsewhere")
-            self._let_rest(stored.order_key)
+            self._hold_key(stored.order_key)
 
     def _withdraw(self, stored: StoredMessage) -> None:
-        self.leaving.discard(stored.number)
+        self.withdrawing.discard(stored.number)
         if stored.number in self.store.migrating:
-            return  # it is on its way to another sender, who knows nothing of this
-        self._end_unanswered(stored)
+            return  # it is migrating to another sender, which does not learn of the withdrawal
+        self._end_without_notice(stored)
 
     def _store_new(self) -> None:
-        """At a hand-over: store and answer new messages; the next process decides on them."""
+        """During a hand-over: store and answer new messages; the next process decides on them."""
         for submission in self.new_submissions.values():
             self._store_message(submission)
         self.new_submissions.clear()
 
-    def _reject_new(self, now: int) -> None:
-        """Refuse the submissions of this round, and withdraw them from the decisions."""
+    def _withdraw_new(self, now: int) -> None:
+        """Reject the submissions of this round and withdraw them from the decisions."""
         for number, submission in self.new_submissions.items():
-            self.numbers.pop(submission.message.id, None)
+            self.numbers_by_id.pop(submission.message.id, None)
             self.handles.pop(number).withdrawn(now)
-            submission.answered(AdmissionResult.BUSY)
+            submission.set_answer(AdmissionResult.BUSY)
         self.new_submissions.clear()
 
     def _store_message(self, submission: Submission) -> None:
-        """Store a message, then answer its client; attempts may go only after that."""
+        """Store a message, then answer its client; attempts may be sent only after that."""
         stored = submission.message
-        if not self._recorded("a message", self.store.add_message, stored):
-            del self.numbers[stored.id]
+        if not self._write_record("a message", self.store.add_message, stored):
+            del self.numbers_by_id[stored.id]
             self.handles[stored.number].withdrawn(self.clock.now())
             if not self.handles[stored.number].in_flight:
                 del self.handles[stored.number]
-            submission.answered(AdmissionResult.BUSY)
+            submission.set_answer(AdmissionResult.BUSY)
             return
         if self.store.answers_wait_for_flush:
-            self.after_flush.append((lambda: self._accepted(submission), lambda: self._rejected(submission)))
+            self.after_flush.append(
+                (lambda: self._accept_stored(submission), lambda: self._reject_unflushed(submission))
+            )
         else:
-            self._accepted(submission)
+            self._accept_stored(submission)
 
-    def _accepted(self, submission: Submission) -> None:
+    def _accept_stored(self, submission: Submission) -> None:
         if not self.store.may_send_attempt(submission.message.number):
-            # The right to send was lost in this round, so no copy of the message was waited for.
-            self._rejected(submission)
+            # The lease was lost in this round, so the flush did not wait for a copy of the message.
+            self._reject_unflushed(submission)
             return
         self.counters.add("taken")
-        submission.answered(AdmissionResult.ACCEPTED)
+        submission.set_answer(AdmissionResult.ACCEPTED)
 
-    def _rejected(self, submission: Submission) -> None:
+    def _reject_unflushed(self, submission: Submission) -> None:
         self._withdraw(submission.message)
-        submission.answered(AdmissionResult.BUSY)
+        submission.set_answer(AdmissionResult.BUSY)
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -16,7 +16,7 @@
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import Outcome
 from cedarwick.fleet import limits
-from cedarwick.fleet.consensus import parts
+from cedarwick.fleet.consensus import parse_move_name
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError
 from cedarwick.fleet.lease_grantor import LeaseGrantor
 from cedarwick.fleet.lease_holder import KnownHolder
@@ -341,7 +341,7 @@
                     KnownHolder(2, granted),
                 )
             node._answer_late(monotonic_time(), majority_lost)
-            self.assertEqual(node.dispatcher.answer_late.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
+            self.assertEqual(node.dispatcher.abandon_parked.mock_calls, [mock.call(late)] * answered)  # type: ignore[attr-defined]
 
     def test_a_lease_that_no_majority_confirms_for_long_counts_as_lost(self) -> None:
         node = self.member()
@@ -349,7 +349,7 @@
         node.store.add_message(stored_message(1, lifetime_us=100_000))
         for elapsed_us, calls in ((0, 0), (limits.NO_MAJORITY_US - 1, 0), (limits.NO_MAJORITY_US, 1)):
             node._answer_late(1_000_000_000 + elapsed_us, majority_lost=False)
-            self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
+            self.assertEqual(len(node.dispatcher.abandon_parked.mock_calls), calls)  # type: ignore[attr-defined]
         holding = node.store.holdings[PARTITION]
         with mock.patch.object(holding.takeover.holder, "is_valid", return_value=True):
             node._answer_late(2_000_000_000, majority_lost=False)
@@ -368,7 +368,7 @@
             node.store.add_message(stored_message(1, lifetime_us=100_000))
             for elapsed_us in (0, limits.NO_MAJORITY_UNHELD_US):
                 node._answer_late(1_000_000_000 + elapsed_us, majority_lost=False)
-            self.assertEqual(len(node.dispatcher.answer_late.mock_calls), calls)  # type: ignore[attr-defined]
+            self.assertEqual(len(node.dispatcher.abandon_parked.mock_calls), calls)  # type: ignore[attr-defined]
 
     def test_pre_fleet_messages_move_to_the_first_partition_or_are_answered_in_time(self) -> None:
         node = self.member()
@@ -379,7 +379,7 @@
         Store.record_final_answer(node.store, 3, True, 0)
         node.check(monotonic_time())
         # No partition is granted: message 1 is near its deadline, and the notice of message 3 is to be sent.
-        dispatcher.answer_late.assert_called_once_with([1, 3])
+        dispatcher.abandon_parked.assert_called_once_with([1, 3])
         holding = self.holding(node)
         holding.serving, node.store.open_partition = True, holding
         node.store.next_number, holding.reserved_upto = number(1), number(9)
@@ -722,8 +722,8 @@
 
     def test_order_keys_of_the_backlog_are_sent_and_received_ones_are_held_back(self) -> None:
         node, now = self.member(), monotonic_time()
-        node.dispatcher.rest_of.return_value = 0  # type: ignore[attr-defined]
-        node.dispatcher.ordered = lambda priority_class: priority_class == "free"  # type: ignore[method-assign]
+        node.dispatcher.key_hold_left_us.return_value = 0  # type: ignore[attr-defined]
+        node.dispatcher.is_ordered = lambda priority_class: priority_class == "free"  # type: ignore[method-assign]
         node.alive_members, node.verifier.levels = (
             list(NAMES),
             {"a": PENDING_ORDER_KEYS_LEVEL, "b": PENDING_ORDER_KEYS_LEVEL - 1, "c": PENDING_ORDER_KEYS_LEVEL},
@@ -749,7 +749,7 @@
             # b is silent: the keys of its replica here are sent, and held back here too.
             node._exchange_pending_order_keys(now)
             self.assertEqual([call.args[1:3] for call in spawn.call_args_list], [("c", PendingOrderKeys((8,)))])
-            node.dispatcher.rest.assert_called_once_with({8})  # type: ignore[attr-defined]
+            node.dispatcher.hold_keys.assert_called_once_with({8})  # type: ignore[attr-defined]
             node.grantor = LeaseGrantor("a", NAMES, now, (Grant(lease_name(PARTITION), 3, "a", ("b", "a"), 1),))
             node._exchange_pending_order_keys(now)  # this member has requested the partition and not imported it yet
             self.assertEqual(node.order_key_hints.held_keys, {8})
@@ -779,7 +779,7 @@
             node._exchange_pending_order_keys(now + SEND_INTERVAL_US)
             self.assertEqual(spawn.call_args.args[1:3], ("c", PendingOrderKeys()))
             node._exchange_pending_order_keys(now + HINT_LIFETIME_US + LEASE_SPAN_US)
-            self.assertEqual(node.dispatcher.rest.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
+            self.assertEqual(node.dispatcher.hold_keys.call_args.args, (frozenset(),))  # type: ignore[attr-defined]
 
     def test_an_offer_that_is_stored_in_part_is_stored_whole_when_repeated(self) -> None:
         node = self.member()
@@ -883,7 +883,7 @@
                 encode_message(stored_message_of(decode_facts(data)[0]), b"")
             else:
                 self.assertRaises(CorruptFactsError, decode_facts, data)
-        self.assertRaises(ValueError, parts, f"{1 << 62}/a/b")
+        self.assertRaises(ValueError, parse_move_name, f"{1 << 62}/a/b")
 
 
 class NotifierTest(unittest.TestCase):
@@ -899,7 +899,7 @@
                 mock.patch.object(notices, "_post", post),
                 mock.patch("cedarwick.net.notifications.gevent.sleep", side_effect=KeyboardInterrupt),
             ):
-                notices.post(1, "id", True, 0)
+                notices.enqueue(1, "id", True, 0)
                 with self.assertRaises(KeyboardInterrupt):  # raised by the first step after the post
                     notices.run()
 
