--- a/cedarwick/lab/invariants.py
+++ b/cedarwick/lab/invariants.py
@@ -111,7 +111,7 @@
         *fires_after_end(scenario, cases, spans),
         *one_fires(scenario, cases, lives, spans, terms),
         *never_ran(cases),
-        *order(scenario, cases, lives, spans, terms),
+        *find_key_order_violations(scenario, cases, lives, spans, terms),
         *(audit_subscribers.subscribed(watched) if watched is not None else ()),
     ]
     return Verdict(account(scenario, cases, findings), findings)
@@ -262,7 +262,9 @@
             continue
         once = priority_classes[case.handed.priority_class].repeat == "at-most-once"
         for place, later in enumerate(case.calls):
-            both = [earlier for earlier in case.calls[:place] if out_until(earlier, lives) > later.first + AT_ONCE]
+            both = [
+                earlier for earlier in case.calls[:place] if in_flight_until(earlier, lives) > later.first + AT_ONCE
+            ]
             for earlier in both:
                 let_go = earlier.sender != later.sender and any(
                     earlier.sender in span.who and span.begin + lease <= later.first and earlier.first <= span.end
@@ -281,7 +283,7 @@
             break
 
 
-def out_until(call: Called, lives: Lives) -> int:
+def in_flight_until(call: Called, lives: Lives) -> int:
     """When a call was no longer out."""
     deaths = [at for at in lives.ends[call.sender] if at >= call.first]
     return min([call.ended if call.ended != NEVER else FOREVER, *deaths])
@@ -307,7 +309,7 @@
 # ---- 14: order by key ----
 
 
-def order(
+def find_key_order_violations(
     scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[Span], terms: Terms
 ) -> Iterator[Finding]:
     """Messages of one key go one after another, whoever took them.
@@ -329,7 +331,7 @@
             for earlier in before:
                 assert earlier.handed is not None and later.handed is not None
                 begun = later.calls[0].first
-                if max(out_until(call, lives) for call in earlier.calls) <= begun + AT_ONCE:
+                if max(in_flight_until(call, lives) for call in earlier.calls) <= begun + AT_ONCE:
                     continue
                 callers = {call.sender for call in (*earlier.calls, later.calls[0])}
                 apart = (earlier.handed.sender != later.handed.sender or len(callers) > 1) and any(
--- a/cedarwick/lab/virtual_day.py
+++ b/cedarwick/lab/virtual_day.py
@@ -105,7 +105,7 @@
         return any(each.answer == "ok" and each.id not in ended for each in self.state.history.handed)
 
 
-def play(
+def run_day(
     seed: int,
     senders: int = 3,
     ack: Ack = "own",
@@ -187,7 +187,7 @@
     broken = False
     for seed in range(options.first, options.last + 1):
         path = os.path.join(options.history, f"{seed}.jsonl") if options.history else ""
-        verdict = play(
+        verdict = run_day(
             seed,
             options.senders,
             options.ack,
--- a/tests/fleet/test_order_key_hints.py
+++ b/tests/fleet/test_order_key_hints.py
@@ -74,12 +74,12 @@
                     for earlier in key_cases[max(0, index - 8) : index]:
                         if len({call.sender for call in (*earlier.calls, later.calls[0])}) > 1:
                             counts[0] += 1
-                            counts[1] += invariants.out_until(earlier.calls[-1], lives) > later.calls[0].first
+                            counts[1] += invariants.in_flight_until(earlier.calls[-1], lives) > later.calls[0].first
             return ()
 
-        with mock.patch.object(invariants, "order", count_pairs):
+        with mock.patch.object(invariants, "find_key_order_violations", count_pairs):
             for seed in seeds:
-                self.assertEqual(virtual_day.play(seed, seconds=6.0, **day_options).findings, [])
+                self.assertEqual(virtual_day.run_day(seed, seconds=6.0, **day_options).findings, [])
         return counts[0], counts[1]
 
     def test_few_messages_are_overtaken_when_clients_of_a_killed_sender_switch_and_come_back(self) -> None:
--- a/tests/lab/test_virtual_days.py
+++ b/tests/lab/test_virtual_days.py
@@ -20,7 +20,7 @@
 from cedarwick.fleet.replication_facts import Fact, stored_message_of
 from cedarwick.fleet.session_migration import SessionMigrations
 from cedarwick.fleet.session_routing import SessionRouter
-from cedarwick.lab.virtual_day import play
+from cedarwick.lab.virtual_day import run_day
 from cedarwick.net.client_listener import SubmitResult
 from cedarwick.store.records import StoredMessage
 
@@ -95,7 +95,7 @@
         for name, told in SETTINGS.items():
             for seed in (1, 2):
                 with self.subTest(name, seed=seed):
-                    verdict = play(seed, seconds=SECONDS, **told)
+                    verdict = run_day(seed, seconds=SECONDS, **told)
                     self.assertEqual([], verdict.findings)
                     self.assertGreater(verdict.account.delivered, 100)
 
@@ -115,24 +115,24 @@
             "2",
         ]
         told = json.loads(subprocess.run(run, capture_output=True, check=True, timeout=120).stdout)
-        account = play(3, ack="copy", seconds=SECONDS, sessions=True, subscribers=2).account
+        account = run_day(3, ack="copy", seconds=SECONDS, sessions=True, subscribers=2).account
         self.assertEqual(told, {"seed": 3, "findings": [], "account": msgspec.to_builtins(account)})
 
     def test_an_adopter_that_forgets_attempts_is_found(self) -> None:
         told: dict[str, Any] = {"seconds": SECONDS, "kinds": ("kill", "folder-lost"), "level": "worst"}
-        self.assertEqual([], play(4, **told).findings)
+        self.assertEqual([], run_day(4, **told).findings)
         with patch.object(replicated_store, "stored_message_of", forgetful):
-            self.assertIn(13, play(4, **told).broken())
+            self.assertIn(13, run_day(4, **told).broken())
 
     def test_sessions_and_subscriptions_that_are_broken_on_purpose_are_found(self) -> None:
         for name, (place, what, broken, told, rule) in BROKEN.items():
             with self.subTest(name), patch.object(place, what, broken):
-                self.assertIn(rule, play(7, ack="copy", seconds=SECONDS, level="calm", **told).broken())
+                self.assertIn(rule, run_day(7, ack="copy", seconds=SECONDS, level="calm", **told).broken())
         for told in ({"sessions": True}, {"subscribers": 3}):
-            self.assertEqual([], play(7, ack="copy", seconds=SECONDS, level="calm", **told).findings)
+            self.assertEqual([], run_day(7, ack="copy", seconds=SECONDS, level="calm", **told).findings)
 
     def test_an_error_in_the_program_is_a_finding(self) -> None:
         with patch.object(node.FleetNode, "_receive_heartbeat", failing):
-            verdict = play(1, seconds=SECONDS)
+            verdict = run_day(1, seconds=SECONDS)
         self.assertIn("ValueError: a beat", verdict.findings[0].text)
         self.assertIs(vars(node)["gevent"], gevent)
