--- a/cedarwick/lab/invariants.py
+++ b/cedarwick/lab/invariants.py
@@ -41,7 +41,7 @@
 from cedarwick.lab.schedule import DOWN, LINKS, LOSING, SPLITS
 from cedarwick.lab.units import MS
 
-CUT_OFF = 500 * MS  # so near to its deadline a holder that is cut off answers by itself
+ISOLATED_ANSWER_WINDOW_US = 500 * MS  # so near to its deadline a holder that is cut off answers by itself
 
 
 class Terms(msgspec.Struct, frozen=True, kw_only=True):
@@ -58,35 +58,39 @@
 # ---- what was done to them ----
 
 
-class Span(NamedTuple):
+class FaultSpan(NamedTuple):
     """A time in which some senders were out, or their links had a fault."""
 
     begin: int
     end: int
-    who: frozenset[int]
+    senders_hit: frozenset[int]
     kind: str
 
 
-def spans_of(history: History, lives: Lives) -> list[Span]:
+def collect_fault_spans(history: History, lives: Lives) -> list[FaultSpan]:
     """All faults and all times in which a sender was out, in the order of time."""
     found = [
-        Span(begin, end, frozenset([sender]), "down") for sender, unfit in lives.unfit.items() for begin, end in unfit
+        FaultSpan(begin, end, frozenset([sender]), "down")
+        for sender, down_times in lives.unfit.items()
+        for begin, end in down_times
     ]
-    for gone in history.gone:
-        who = {int(name[1:]) for on in gone.on for name in on.split(">") if name[1:].isdecimal()}
-        found.append(Span(gone.began, FOREVER if gone.ended == NEVER else gone.ended, frozenset(who), gone.kind))
+    for fault in history.gone:
+        senders_hit = {int(name[1:]) for on in fault.on for name in on.split(">") if name[1:].isdecimal()}
+        found.append(
+            FaultSpan(fault.began, FOREVER if fault.ended == NEVER else fault.ended, frozenset(senders_hit), fault.kind)
+        )
     return sorted(found)
 
 
-def majority_gone(spans: list[Span], senders: int) -> list[Span]:
+def find_majority_outages(spans: list[FaultSpan], senders: int) -> list[FaultSpan]:
     """When half of the senders or more were out at once, each counted once."""
-    out = [span for span in spans if span.kind == "down" or span.kind in DOWN or span.kind in SPLITS]
-    edges = sorted({at for span in out for at in (span.begin, span.end)})
+    outages = [span for span in spans if span.kind == "down" or span.kind in DOWN or span.kind in SPLITS]
+    edges = sorted({at for span in outages for at in (span.begin, span.end)})
     found = []
     for begin, end in zip(edges, edges[1:], strict=False):
-        who = frozenset().union(*(span.who for span in out if span.begin <= begin < span.end))
-        if 2 * (senders - len(who)) <= senders:
-            found.append(Span(begin, end, who, "majority gone"))
+        senders_hit = frozenset().union(*(span.senders_hit for span in outages if span.begin <= begin < span.end))
+        if 2 * (senders - len(senders_hit)) <= senders:
+            found.append(FaultSpan(begin, end, senders_hit, "majority gone"))
     return found
 
 
@@ -97,7 +101,7 @@
     """Account for every message and judge rules and claims; `ended` is when the watching stopped, microseconds."""
     cases = cases_of(history)
     lives = Lives(history)
-    spans = spans_of(history, lives)
+    spans = collect_fault_spans(history, lives)
     findings = [
         *audit_rules.strangers(cases),
         *audit_rules.cut_off(cases, lives),
@@ -107,10 +111,10 @@
         *audit_rules.waits(scenario, history, lives),
         *audit_rules.unowed(history, lives),
         *audit_rules.crashed(history),
-        *one_end(scenario, cases, lives, spans, ended, terms),
-        *fires_after_end(scenario, cases, spans),
-        *one_fires(scenario, cases, lives, spans, terms),
-        *never_ran(cases),
+        *find_final_answer_violations(scenario, cases, lives, spans, ended, terms),
+        *find_calls_after_final_answer(scenario, cases, spans),
+        *find_concurrent_attempts(scenario, cases, lives, spans, terms),
+        *find_false_returns(cases),
         *find_key_order_violations(scenario, cases, lives, spans, terms),
         *(audit_subscribers.subscribed(watched) if watched is not None else ()),
     ]
@@ -120,8 +124,8 @@
 # ---- 11: one final answer ----
 
 
-def one_end(
-    scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[Span], ended: int, terms: Terms
+def find_final_answer_violations(
+    scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[FaultSpan], ended: int, terms: Terms
 ) -> Iterator[Finding]:
     """What was taken on has one end, in time.
 
@@ -131,37 +135,39 @@
     honest only where a fault lay between the two, or where each good answer was written to a caller that had left
     (`delivered_unheard`); one by who was cut off (`cut_off_answer`) stands beside any end.
     """
-    grace, restart = round(scenario.rules.end_grace_ms * MS), round(scenario.rules.restart_grace_ms * MS)
-    adopt = round(terms.adopt_ms * MS)
-    gone = majority_gone(spans, terms.senders)
+    end_grace, restart_grace = round(scenario.rules.end_grace_ms * MS), round(scenario.rules.restart_grace_ms * MS)
+    adoption_limit = round(terms.adopt_ms * MS)
+    majority_outages = find_majority_outages(spans, terms.senders)
     for case in cases.values():
         handed = case.handed
         if handed is None:
             continue
-        delivered, states = case.delivered(), {notice.state for notice in case.notices}
-        others = {notice.state for notice in case.notices if not cut_off_answer(case, notice, spans)}
-        if len(others) > 1:
-            yield finding(11, f"two different ends: {' and '.join(sorted(states))}", case)
-        if delivered != NEVER and "failed" in states and not delivered_unheard(case):
+        delivered, notice_states = case.delivered(), {notice.state for notice in case.notices}
+        other_states = {notice.state for notice in case.notices if not failed_while_isolated(case, notice, spans)}
+        if len(other_states) > 1:
+            yield finding(11, f"two different ends: {' and '.join(sorted(notice_states))}", case)
+        if delivered != NEVER and "failed" in notice_states and not delivered_after_caller_left(case):
             notified = min(notice.at for notice in case.notices)
-            begun = min(call.first for call in case.calls if call.status == 200)
-            if not any(span.begin <= max(notified, delivered) and begun <= span.end + adopt for span in spans):
+            first_call_at = min(call.first for call in case.calls if call.status == 200)
+            if not any(
+                span.begin <= max(notified, delivered) and first_call_at <= span.end + adoption_limit for span in spans
+            ):
                 yield finding(11, "delivered, and said to have failed, with no trouble between", case)
         if handed.answer != "ok":
             continue
-        due = handed.outer + grace
-        due = max([due, *(span.begin + adopt for span in spans if handed.answered <= span.begin <= due)])
-        for span in gone:
+        due = handed.outer + end_grace
+        due = max([due, *(span.begin + adoption_limit for span in spans if handed.answered <= span.begin <= due)])
+        for span in majority_outages:
             if span.begin <= due and handed.answered <= span.end:
-                due = max(due, span.end + adopt + grace)
-        if no_copy_yet(case, spans, terms):
-            if lost_folder(case, spans, terms):
+                due = max(due, span.end + adoption_limit + end_grace)
+        if may_lack_copy(case, spans, terms):
+            if folder_was_lost(case, spans, terms):
                 continue
-            due = max(due, lives.excused_until(taker_of(case), due, max(adopt, restart)))
+            due = max(due, lives.excused_until(accepting_sender(case), due, max(adoption_limit, restart_grace)))
         yield from audit_rules.overdue_end(11, case, due, ended)
 
 
-def delivered_unheard(case: Case) -> bool:
+def delivered_after_caller_left(case: Case) -> bool:
     """Whether every good answer was written after its caller had closed its sending side, as at a time-out.
 
     No caller can hear such an answer before it gives up, and 'failed' says that the message may have run.
@@ -169,49 +175,56 @@
     return all(call.left for call in case.calls if call.status == 200)
 
 
-def cut_off_answer(case: Case, notice: Noticed, spans: list[Span]) -> bool:
+def failed_while_isolated(case: Case, notice: Noticed, spans: list[FaultSpan]) -> bool:
     """Whether a 'failed' is that of a holder that was cut off, as its deadline came.
 
     It can't know whether others have adopted the message, and may not wait until it can ask: an end in time that
     says 'may have run' is what it owes. So whoever has adopted may deliver it, or give another end, beside this one.
     """
     assert case.handed is not None
-    near = abs(notice.at - case.handed.outer) <= CUT_OFF
+    near_deadline = abs(notice.at - case.handed.outer) <= ISOLATED_ANSWER_WINDOW_US
     return (
         notice.state == "failed"
-        and near
+        and near_deadline
         and any(
             span.kind in (*SPLITS, *LINKS)
-            and notice.sender in span.who
-            and span.begin <= notice.at <= span.end + CUT_OFF
+            and notice.sender in span.senders_hit
+            and span.begin <= notice.at <= span.end + ISOLATED_ANSWER_WINDOW_US
             for span in spans
         )
     )
 
 
-def taker_of(case: Case) -> int:
+def accepting_sender(case: Case) -> int:
     """The sender that took it on: the one that was asked, or the holder of its session."""
     assert case.handed is not None
     return case.handed.sender if case.handed.taker < 0 else case.handed.taker
 
 
-def no_copy_yet(case: Case, spans: list[Span], terms: Terms) -> bool:
+def may_lack_copy(case: Case, spans: list[FaultSpan], terms: Terms) -> bool:
     """Whether its taker may have been lost, or cut off, before anyone else knew of it."""
     assert case.handed is not None
-    taken, lag = case.handed.answered, round(terms.lag_ms * MS)
+    accepted_at, replication_lag = case.handed.answered, round(terms.lag_ms * MS)
     return terms.ack == "own" and any(
-        taker_of(case) in span.who and span.begin <= taken + lag and taken <= span.end + lag for span in spans
+        accepting_sender(case) in span.senders_hit
+        and span.begin <= accepted_at + replication_lag
+        and accepted_at <= span.end + replication_lag
+        for span in spans
     )
 
 
-def lost_folder(case: Case, spans: list[Span], terms: Terms) -> bool:
+def folder_was_lost(case: Case, spans: list[FaultSpan], terms: Terms) -> bool:
     """Whether its taker's folder was lost before anyone else knew of it."""
     assert case.handed is not None
-    since = case.handed.answered
-    return any(span.kind in LOSING and taker_of(case) in span.who and since <= span.end for span in spans)
+    accepted_at = case.handed.answered
+    return any(
+        span.kind in LOSING and accepting_sender(case) in span.senders_hit and accepted_at <= span.end for span in spans
+    )
 
 
-def fires_after_end(scenario: Scenario, cases: dict[str, Case], spans: list[Span]) -> Iterator[Finding]:
+def find_calls_after_final_answer(
+    scenario: Scenario, cases: dict[str, Case], spans: list[FaultSpan]
+) -> Iterator[Finding]:
     """Nothing goes out after the final answer.
 
     Allowed: a repeatable message comes once more where a fault met the sender that had delivered it before its
@@ -221,33 +234,39 @@
     for case in cases.values():
         if case.handed is None:
             continue
-        notified = min((notice.at for notice in case.notices if not cut_off_answer(case, notice, spans)), default=NEVER)
-        good = [call for call in case.calls if call.status == 200]
+        notified = min(
+            (notice.at for notice in case.notices if not failed_while_isolated(case, notice, spans)), default=NEVER
+        )
+        delivering_calls = [call for call in case.calls if call.status == 200]
         for call in case.calls:
             if notified != NEVER and call.first > notified + AT_ONCE:
                 yield finding(11, f"called at {seconds(call.first)}, after its notice at {seconds(notified)}", case)
                 break
-            done = [each for each in good if each.ended + AT_ONCE < call.first]
-            if not done:
+            earlier_deliveries = [each for each in delivering_calls if each.ended + AT_ONCE < call.first]
+            if not earlier_deliveries:
                 continue
-            met = all(met_by_fault(spans, each.sender, each.first, call.first) for each in done)
-            if priority_classes[case.handed.priority_class].repeat == "at-most-once" or not met:
+            all_hit_by_fault = all(
+                overlaps_fault(spans, each.sender, each.first, call.first) for each in earlier_deliveries
+            )
+            if priority_classes[case.handed.priority_class].repeat == "at-most-once" or not all_hit_by_fault:
                 yield finding(
-                    11, f"called at {seconds(call.first)}, after its delivery at {seconds(done[0].ended)}", case
+                    11,
+                    f"called at {seconds(call.first)}, after its delivery at {seconds(earlier_deliveries[0].ended)}",
+                    case,
                 )
                 break
 
 
-def met_by_fault(spans: list[Span], sender: int, begin: int, end: int) -> bool:
+def overlaps_fault(spans: list[FaultSpan], sender: int, begin: int, end: int) -> bool:
     """Whether a fault met a sender within a time, or lasted into it."""
-    return any(sender in span.who and span.begin <= end and begin <= span.end for span in spans)
+    return any(sender in span.senders_hit and span.begin <= end and begin <= span.end for span in spans)
 
 
 # ---- 12: one sender at a time ----
 
 
-def one_fires(
-    scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[Span], terms: Terms
+def find_concurrent_attempts(
+    scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[FaultSpan], terms: Terms
 ) -> Iterator[Finding]:
     """Never two attempts of a message out at once.
 
@@ -260,17 +279,19 @@
     for case in cases.values():
         if case.handed is None:
             continue
-        once = priority_classes[case.handed.priority_class].repeat == "at-most-once"
-        for place, later in enumerate(case.calls):
-            both = [
-                earlier for earlier in case.calls[:place] if in_flight_until(earlier, lives) > later.first + AT_ONCE
+        at_most_once = priority_classes[case.handed.priority_class].repeat == "at-most-once"
+        for index, later in enumerate(case.calls):
+            overlapping = [
+                earlier for earlier in case.calls[:index] if in_flight_until(earlier, lives) > later.first + AT_ONCE
             ]
-            for earlier in both:
-                let_go = earlier.sender != later.sender and any(
-                    earlier.sender in span.who and span.begin + lease <= later.first and earlier.first <= span.end
+            for earlier in overlapping:
+                lease_expired = earlier.sender != later.sender and any(
+                    earlier.sender in span.senders_hit
+                    and span.begin + lease <= later.first
+                    and earlier.first <= span.end
                     for span in spans
                 )
-                if once or not let_go:
+                if at_most_once or not lease_expired:
                     yield finding(
                         12,
                         f"n{later.sender} fired at {seconds(later.first)} while the attempt of n{earlier.sender} "
@@ -292,7 +313,7 @@
 # ---- 13: knowledge only grows ----
 
 
-def never_ran(cases: dict[str, Case]) -> Iterator[Finding]:
+def find_false_returns(cases: dict[str, Case]) -> Iterator[Finding]:
     """'Returned' is said only of what no partner has run, or may have run."""
     for case in cases.values():
         returned = [notice for notice in case.notices if notice.state == "returned"]
@@ -310,7 +331,7 @@
 
 
 def find_key_order_violations(
-    scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[Span], terms: Terms
+    scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[FaultSpan], terms: Terms
 ) -> Iterator[Finding]:
     """Messages of one key go one after another, whoever took them.
 
@@ -322,21 +343,24 @@
     messages come and for some seconds, which is no promise; `tests/fleet/test_order_key_hints.py`
     counts how often that does.
     """
-    adopt = round(terms.adopt_ms * MS)
-    lines: defaultdict[tuple[str, int], list[Case]] = defaultdict(list)
+    adoption_limit = round(terms.adopt_ms * MS)
+    cases_by_key: defaultdict[tuple[str, int], list[Case]] = defaultdict(list)
     for handed, case in audit_rules.taken_in_turn(scenario, cases):
-        lines[handed.turn, -1 if terms.across else handed.sender].append(case)
-    for line in lines.values():
-        for later, before in audit_rules.in_doubtless_order(line):
-            for earlier in before:
+        cases_by_key[handed.turn, -1 if terms.across else handed.sender].append(case)
+    for key_cases in cases_by_key.values():
+        for later, earlier_cases in audit_rules.in_doubtless_order(key_cases):
+            for earlier in earlier_cases:
                 assert earlier.handed is not None and later.handed is not None
-                begun = later.calls[0].first
-                if max(in_flight_until(call, lives) for call in earlier.calls) <= begun + AT_ONCE:
+                first_call_at = later.calls[0].first
+                if max(in_flight_until(call, lives) for call in earlier.calls) <= first_call_at + AT_ONCE:
                     continue
                 callers = {call.sender for call in (*earlier.calls, later.calls[0])}
-                apart = (earlier.handed.sender != later.handed.sender or len(callers) > 1) and any(
-                    span.begin <= begun and earlier.handed.answered <= span.end + adopt for span in spans
+                excused_by_fault = (earlier.handed.sender != later.handed.sender or len(callers) > 1) and any(
+                    span.begin <= first_call_at and earlier.handed.answered <= span.end + adoption_limit
+                    for span in spans
                 )
-                if not apart and not no_copy_yet(earlier, spans, terms):
-                    yield finding(14, f"overtaken: the later one was called at {seconds(begun)}", earlier, later)
+                if not excused_by_fault and not may_lack_copy(earlier, spans, terms):
+                    yield finding(
+                        14, f"overtaken: the later one was called at {seconds(first_call_at)}", earlier, later
+                    )
                     break
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -50,23 +50,25 @@
 from cedarwick.lab.units import SECOND
 from cedarwick.net import dispatch_state, dispatcher, notifications, submission
 
-WALL = 1_790_000_000 * SECOND  # wall time at the kernel's begin
-BOOTED = 1000 * SECOND  # the boot clock then
-IN_THREAD = 0.001  # seconds that a call in a thread takes
-LOOK = 0.003  # seconds between two looks whether a peer message may go
-FOREVER = 1e9  # seconds
+WALL_CLOCK_AT_START = 1_790_000_000 * SECOND  # wall time at the kernel's begin
+BOOT_CLOCK_AT_START = 1000 * SECOND  # the boot clock then
+THREAD_CALL_S = 0.001  # seconds that a call in a thread takes
+IN_FLIGHT_POLL_S = 0.003  # seconds between two looks whether a peer message may go
+NO_TIMEOUT_S = 1e9  # seconds
 
-Carry = Callable[[str, str, bytes, "AsyncResult"], None]  # from, to, peer message; set to the answer, or None: reset
+DeliverPeerMessage = Callable[
+    [str, str, bytes, "AsyncResult"], None
+]  # from, to, peer message; set to the answer, or None: reset
 
 
-class Owner:
+class VirtualProcess:
     """One process of a sender (one of its lives), which owns tasks."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.dead = False
         self.stopped = False
-        self.deferred: list[tuple[Task, int]] = []  # what was due while it was stopped
+        self.deferred_wakeups: list[tuple[Task, int]] = []  # what was due while it was stopped
 
 
 class Kernel:
@@ -80,31 +82,34 @@
         self.errors: list[str] = []  # traces of tasks that ended by an error
         self.closed = False
         self.hub = greenlet.getcurrent()
-        self._due: list[tuple[int, int, Task, int]] = []
-        self._count = 0
+        self._wakeups: list[tuple[int, int, Task, int]] = []
+        self._sequence = 0
         self._tasks: list[Task] = []  # Danger: a dead process's task must not be collected, that would run its code
 
-    def at(self, when: int, task: "Task", turn: int | None = None) -> None:
+    def schedule(self, wake_at: int, task: "Task", generation: int | None = None) -> None:
         """Resume a task then, unless something else has resumed it since."""
-        self._count += 1
-        heapq.heappush(self._due, (max(when, self.now), self._count, task, task.turn if turn is None else turn))
+        self._sequence += 1
+        heapq.heappush(
+            self._wakeups,
+            (max(wake_at, self.now), self._sequence, task, task.generation if generation is None else generation),
+        )
 
     def run(self, until: int) -> None:
         """All that is due up to a time."""
-        while self._due and self._due[0][0] <= until:
-            when, _, task, turn = heapq.heappop(self._due)
-            self.now = when
-            self._resume(task, turn)
+        while self._wakeups and self._wakeups[0][0] <= until:
+            wake_at, _, task, generation = heapq.heappop(self._wakeups)
+            self.now = wake_at
+            self._resume(task, generation)
         self.now = max(self.now, until)
 
-    def _resume(self, task: "Task", turn: int) -> None:
-        owner = task.owner
-        if task.on or task.turn != turn or owner is not None and owner.dead:
+    def _resume(self, task: "Task", generation: int) -> None:
+        process = task.process
+        if task.flag or task.generation != generation or process is not None and process.dead:
             return
-        if owner is not None and owner.stopped:
-            owner.deferred.append((task, turn))
+        if process is not None and process.stopped:
+            process.deferred_wakeups.append((task, generation))
             return
-        task.turn += 1
+        task.generation += 1
         self.current = task
         task.greenlet.switch()
         self.current = None
@@ -115,31 +120,31 @@
             raise greenlet.GreenletExit
         self.hub.switch()
 
-    def me(self) -> "Task":
+    def current_task(self) -> "Task":
         """The running task."""
         assert self.current is not None
         return self.current
 
-    def spawn(self, call: Callable[..., Any], *arguments: Any) -> "Task":
+    def spawn(self, function: Callable[..., Any], *arguments: Any) -> "Task":
         """Start a task of the same owner."""
-        return self.spawn_as(self.current.owner if self.current else None, call, *arguments)
+        return self.spawn_in(self.current.process if self.current else None, function, *arguments)
 
-    def spawn_as(self, owner: Owner | None, call: Callable[..., Any], *arguments: Any) -> "Task":
-        task = Task(owner, call, arguments)
+    def spawn_in(self, process: VirtualProcess | None, function: Callable[..., Any], *arguments: Any) -> "Task":
+        task = Task(process, function, arguments)
         self._tasks.append(task)
-        self.at(self.now, task)
+        self.schedule(self.now, task)
         return task
 
     def sleep(self, seconds: float = 0) -> None:
-        self.at(self.now + (max(1, int(seconds * SECOND)) if seconds > 0 else 0), self.me())
+        self.schedule(self.now + (max(1, int(seconds * SECOND)) if seconds > 0 else 0), self.current_task())
         self.block()
 
-    def go_on(self, owner: Owner) -> None:
+    def resume_process(self, process: VirtualProcess) -> None:
         """Continue a stopped process: the tasks that it has missed are due now."""
-        owner.stopped = False
-        for task, turn in owner.deferred:
-            self.at(self.now, task, turn)
-        owner.deferred = []
+        process.stopped = False
+        for task, generation in process.deferred_wakeups:
+            self.schedule(self.now, task, generation)
+        process.deferred_wakeups = []
 
     def close(self) -> None:
         """End every task that is left."""
@@ -147,20 +152,20 @@
         for task in self._tasks:
             if task.greenlet:
                 task.greenlet.throw(greenlet.GreenletExit)
-        self._tasks, self._due = [], []
+        self._tasks, self._wakeups = [], []
 
-    def joinall(self, tasks: Iterable["Task"], timeout: float = FOREVER) -> None:
+    def joinall(self, tasks: Iterable["Task"], timeout: float = NO_TIMEOUT_S) -> None:
         end = self.now + int(timeout * SECOND)
         for task in tasks:
             task.wait(max(0, end - self.now) / SECOND)
 
-    def in_thread(self, call: Callable[..., Any], arguments: tuple[Any, ...]) -> Any:
-        self.sleep(IN_THREAD)
-        return call(*arguments)
+    def run_in_thread(self, function: Callable[..., Any], arguments: tuple[Any, ...]) -> Any:
+        self.sleep(THREAD_CALL_S)
+        return function(*arguments)
 
     def gevent(self) -> SimpleNamespace:
         """What the fleet's modules use of gevent."""
-        hub = SimpleNamespace(threadpool=SimpleNamespace(apply=self.in_thread))
+        hub = SimpleNamespace(threadpool=SimpleNamespace(apply=self.run_in_thread))
         return SimpleNamespace(
             spawn=self.spawn,
             sleep=self.sleep,
@@ -175,9 +180,9 @@
     def time(self) -> SimpleNamespace:
         """What the fleet's modules use of `time`."""
         return SimpleNamespace(
-            monotonic=lambda: (BOOTED + self.now) / SECOND,
-            time_ns=lambda: (WALL + self.now) * 1000,
-            clock_gettime_ns=lambda _: (BOOTED + self.now) * 1000,
+            monotonic=lambda: (BOOT_CLOCK_AT_START + self.now) / SECOND,
+            time_ns=lambda: (WALL_CLOCK_AT_START + self.now) * 1000,
+            clock_gettime_ns=lambda _: (BOOT_CLOCK_AT_START + self.now) * 1000,
             CLOCK_BOOTTIME=0,
         )
 
@@ -187,27 +192,27 @@
 
     def __init__(self) -> None:
         self.kernel = Kernel.running
-        self.on = False
-        self.waiting: list[tuple[Task, int]] = []
+        self.flag = False
+        self.waiters: list[tuple[Task, int]] = []
 
     def set(self) -> None:
-        self.on = True
-        waiting, self.waiting = self.waiting, []
-        for task, turn in waiting:
-            self.kernel.at(self.kernel.now, task, turn)
+        self.flag = True
+        waiters, self.waiters = self.waiters, []
+        for task, generation in waiters:
+            self.kernel.schedule(self.kernel.now, task, generation)
 
     def clear(self) -> None:
-        self.on = False
+        self.flag = False
 
     def wait(self, timeout: float | None = None) -> bool:
-        if not self.on:
-            me = self.kernel.me()
-            self.waiting = [each for each in self.waiting if each[0].turn == each[1]]
-            self.waiting.append((me, me.turn))
+        if not self.flag:
+            task = self.kernel.current_task()
+            self.waiters = [each for each in self.waiters if each[0].generation == each[1]]
+            self.waiters.append((task, task.generation))
             if timeout is not None:
-                self.kernel.at(self.kernel.now + max(0, int(timeout * SECOND) + 1), me)
+                self.kernel.schedule(self.kernel.now + max(0, int(timeout * SECOND) + 1), task)
             self.kernel.block()
-        return self.on
+        return self.flag
 
 
 class AsyncResult(Event):
@@ -220,9 +225,9 @@
         super().set()
 
     def ready(self) -> bool:
-        return self.on
+        return self.flag
 
-    def came(self, timeout: float) -> bool:
+    def wait_until_set(self, timeout: float) -> bool:
         """Whether it is set within so many seconds."""
         return super().wait(timeout)
 
@@ -234,7 +239,7 @@
     def get(self, timeout: float | None = None) -> Any:
         """The value; TimeoutError where none comes within so many seconds."""
         self.wait(timeout)
-        if not self.on:
+        if not self.flag:
             raise TimeoutError
         return self.value
 
@@ -242,23 +247,25 @@
 class Task(AsyncResult):
     """A fake for a gevent greenlet."""
 
-    def __init__(self, owner: Owner | None, call: Callable[..., Any], arguments: tuple[Any, ...]) -> None:
+    def __init__(
+        self, process: VirtualProcess | None, function: Callable[..., Any], arguments: tuple[Any, ...]
+    ) -> None:
         super().__init__()
-        self.owner = owner
-        self.call = call
+        self.process = process
+        self.function = function
         self.arguments = arguments
-        self.turn = 0  # how often it was resumed: a wake-up for an earlier wait is void
+        self.generation = 0  # how often it was resumed: a wake-up for an earlier wait is void
         self.links: list[Callable[[Task], object]] = []
         self.greenlet = greenlet.greenlet(self._run, parent=self.kernel.hub)
 
     def _run(self) -> None:
         value = None
         try:
-            value = self.call(*self.arguments)
+            value = self.function(*self.arguments)
         except greenlet.GreenletExit:
             return
         except Exception:
-            name = self.owner.name if self.owner is not None else "the day"
+            name = self.process.name if self.process is not None else "the day"
             self.kernel.errors.append(f"{self.kernel.now / SECOND:.3f} s, {name}: {traceback.format_exc()}")
         self.set(value)
         for link in self.links:
@@ -269,7 +276,7 @@
 
     def kill(self) -> None:
         """Never resume the task; unlike by gevent's `kill`, nothing is raised in it."""
-        self.turn += 1
+        self.generation += 1
         for link in self.links:
             link(self)
 
@@ -282,31 +289,31 @@
     """A fake for a gevent queue with one reader."""
 
     def __init__(self) -> None:
-        self.held: deque[Any] = deque()
-        self.filled = Event()
+        self.items: deque[Any] = deque()
+        self.not_empty = Event()
 
     def put(self, item: Any) -> None:
-        self.held.append(item)
-        self.filled.set()
+        self.items.append(item)
+        self.not_empty.set()
 
     def get(self) -> Any:
-        return self.held.popleft()
+        return self.items.popleft()
 
     def empty(self) -> bool:
-        return not self.held
+        return not self.items
 
     def peek(self, timeout: float | None = None) -> Any:
-        if not self.held:
-            self.filled.clear()
-            if not self.filled.wait(timeout):
+        if not self.items:
+            self.not_empty.clear()
+            if not self.not_empty.wait(timeout):
                 raise QueueEmptyError
-        return self.held[0]
+        return self.items[0]
 
 
 # ---- the link ----
 
 
-class Peers:
+class VirtualPeers:
     """A fake for the calls to other members, with the link's bounds.
 
     `carry` takes a peer message and brings an answer.
@@ -315,17 +322,17 @@
     def __init__(
         self,
         kernel: Kernel,
-        carry: Carry,
+        deliver: DeliverPeerMessage,
         verifier: PeerVerifier,
         members: Mapping[str, tuple[str, int]],
         in_flight: int = MAX_CALLS_IN_FLIGHT,
     ) -> None:
         self.kernel = kernel
-        self.carry = carry
+        self.deliver = deliver
         self.verifier = verifier
         self.in_flight = in_flight
-        self.calls: Counter[str] = Counter()
-        self.rooms: defaultdict[tuple[str, bool], list[object]] = defaultdict(list)  # by member, and whether urgent
+        self.open_calls: Counter[str] = Counter()
+        self.queues: defaultdict[tuple[str, bool], list[object]] = defaultdict(list)  # by member, and whether urgent
         self.replace(members)
 
     def replace(self, members: Mapping[str, tuple[str, int]]) -> None:
@@ -343,25 +350,25 @@
 
         `PeerUnreachableError` without an answer in time, `PeerRefusedError` where the member says why not.
         """
-        if member not in self.members or self.calls[member] >= MAX_CALLS:
+        if member not in self.members or self.open_calls[member] >= MAX_CALLS:
             raise PeerUnreachableError(member)
         peer_message, end = encode(self.verifier.peer_message(member, body)), self.kernel.now + int(within_s * SECOND)
-        room, place = self.rooms[member, isinstance(body, LeaseRequest | Heartbeat)], object()
-        self.calls[member] += 1
-        room.append(place)
+        queue, ticket = self.queues[member, isinstance(body, LeaseRequest | Heartbeat)], object()
+        self.open_calls[member] += 1
+        queue.append(ticket)
         try:
-            while room.index(place) >= self.in_flight:
+            while queue.index(ticket) >= self.in_flight:
                 if self.kernel.now >= end:
                     raise PeerUnreachableError(member)
-                self.kernel.sleep(LOOK)
-            box = AsyncResult()
-            self.carry(self.verifier.me, member, peer_message, box)
-            encoded = box.get(max(0, end - self.kernel.now) / SECOND)
+                self.kernel.sleep(IN_FLIGHT_POLL_S)
+            result = AsyncResult()
+            self.deliver(self.verifier.me, member, peer_message, result)
+            encoded = result.get(max(0, end - self.kernel.now) / SECOND)
         except TimeoutError:
             raise PeerUnreachableError(member) from None
         finally:
-            self.calls[member] -= 1
-            room.remove(place)
+            self.open_calls[member] -= 1
+            queue.remove(ticket)
         if encoded is None:
             raise PeerUnreachableError(member)
         answer = decode(encoded)
@@ -369,7 +376,7 @@
         return answer
 
 
-class Unused:
+class NoOpPart:
     """A fake for a part of the fleet that the day does not run: every call of it does nothing."""
 
     def __init__(self, *arguments: Any) -> None:
@@ -380,18 +387,20 @@
 
 
 @contextmanager
-def standing_in(kernel: Kernel, carry: Carry, watching: Callable[..., exchange.Exchange]) -> Iterator[None]:
+def patched_runtime(
+    kernel: Kernel, deliver: DeliverPeerMessage, exchange_class: Callable[..., exchange.Exchange]
+) -> Iterator[None]:
     """Within it the fleet's modules have the kernel's time and greenlets, the given network, and what is `watching`
     in the place of `Exchange`."""
-    greenlets, clocks = kernel.gevent(), kernel.time()
+    fake_gevent, fake_time = kernel.gevent(), kernel.time()
 
     def peers(
         verifier: PeerVerifier, members: Mapping[str, tuple[str, int]], in_flight: int = MAX_CALLS_IN_FLIGHT
-    ) -> Peers:
-        return Peers(kernel, carry, verifier, members, in_flight)
+    ) -> VirtualPeers:
+        return VirtualPeers(kernel, deliver, verifier, members, in_flight)
 
     # Their classes have the real events for a default.
-    made: list[tuple[object, str, Any]] = [
+    factories: list[tuple[object, str, Any]] = [
         (session_submissions, "Submission", lambda stored: submission.Submission(stored, AsyncResult())),
         (dispatcher, "FrozenSession", lambda frozen=dispatch_state.FrozenSession: frozen(AsyncResult())),
         (
@@ -400,11 +409,11 @@
             lambda reader, connection=subscription_server.Connection: connection(reader, Event()),
         ),
     ]
-    changes: list[tuple[object, str, Any]] = [
+    patches: list[tuple[object, str, Any]] = [
         (Kernel, "running", kernel),
-        *made,
+        *factories,
         *(
-            (module, "gevent", greenlets)
+            (module, "gevent", fake_gevent)
             for module in (
                 member_state,
                 heartbeats,
@@ -433,18 +442,18 @@
                 subscription_server,
             )
         ),
-        *((module, "time", clocks) for module in (member_state, node, replicated_store, session_routing, exchange)),
-        (node, "PeerServer", Unused),
+        *((module, "time", fake_time) for module in (member_state, node, replicated_store, session_routing, exchange)),
+        (node, "PeerServer", NoOpPart),
         (member_state, "Peers", peers),
         (session_state, "Peers", peers),
-        (member_state, "Exchange", watching),
-        (member_state, "Gossip", Unused),
+        (member_state, "Exchange", exchange_class),
+        (member_state, "Gossip", NoOpPart),
     ]
-    before = [getattr(place, name, None) for place, name, _ in changes]
-    for place, name, new in changes:
-        setattr(place, name, new)
+    originals = [getattr(target, name, None) for target, name, _ in patches]
+    for target, name, replacement in patches:
+        setattr(target, name, replacement)
     try:
         yield
     finally:
-        for (place, name, _), old in zip(changes, before, strict=True):
-            setattr(place, name, old)
+        for (target, name, _), original in zip(patches, originals, strict=True):
+            setattr(target, name, original)
--- a/cedarwick/lab/virtual_clients.py
+++ b/cedarwick/lab/virtual_clients.py
@@ -7,150 +7,172 @@
 from cedarwick.lab.history import Handed
 from cedarwick.lab.scenario import PriorityClass
 from cedarwick.lab.units import SECOND
-from cedarwick.lab.virtual import WALL, AsyncResult
+from cedarwick.lab.virtual import WALL_CLOCK_AT_START, AsyncResult
 from cedarwick.lab.virtual_senders import Sender
 from cedarwick.lab.virtual_state import SCENARIO, DayState
 from cedarwick.store.records import StoredMessage
 
-PATIENCE = 400_000  # microseconds that a client waits
-KNOWN_GONE = SECOND // 2  # so long after a sender's end clients go to others
-KEYS = 6  # sessions
-AT_HOME = 3.0  # seconds that the client of a session stays with one sender, on the average
-AGAIN = 0.1  # how many clients submit once more what was answered
-AGAIN_AFTER = 0.5  # seconds until then, on the average
-MOVES = 0.4  # seconds between two sessions that the operator moves, on the average
-PAUSES = 4.0  # seconds between two drains by the operator
-PAUSED = (0.5, 2.5)  # seconds
+CLIENT_TIMEOUT_US = 400_000  # microseconds that a client waits
+SENDER_LOSS_NOTICED_US = SECOND // 2  # so long after a sender's end clients go to others
+SESSION_COUNT = 6  # sessions
+MEAN_STAY_S = 3.0  # seconds that the client of a session stays with one sender, on the average
+RESUBMIT_PROBABILITY = 0.1  # how many clients submit once more what was answered
+MEAN_RESUBMIT_DELAY_S = 0.5  # seconds until then, on the average
+MEAN_MOVE_INTERVAL_S = 0.4  # seconds between two sessions that the operator moves, on the average
+MEAN_DRAIN_INTERVAL_S = 4.0  # seconds between two drains by the operator
+DRAIN_DURATION_RANGE_S = (0.5, 2.5)  # seconds
 
 
-class DrawnClients:
+class SimulatedClients:
     """Submit messages, open loop, each at a sender that it knows."""
 
     def __init__(self, day: DayState, senders: Sequence[Sender]) -> None:
         self.day = day
         self.senders = senders
-        self.homes: dict[int, tuple[Sender, int]] = {}  # by session: where its client is, and until when
+        self.senders_by_session: dict[int, tuple[Sender, int]] = {}  # by session: where its client is, and until when
 
-    def load(self, until: int) -> None:
+    def submit_until(self, until: int) -> None:
         """Messages come until then, microseconds of virtual time."""
         while self.day.now() < until:
-            self.day.kernel.sleep(self.day.chance.expovariate(SCENARIO.load.rate))
-            priority_class = self.day.chance.choice(SCENARIO.priority_classes)
-            keys = KEYS if self.day.table.sessions else priority_class.keys if priority_class.in_turn else 0
-            turn = self.day.chance.randint(1, keys) if keys else 0
-            self.day.kernel.spawn_as(None, self._hand_in, priority_class, turn)
+            self.day.kernel.sleep(self.day.rng.expovariate(SCENARIO.load.rate))
+            priority_class = self.day.rng.choice(SCENARIO.priority_classes)
+            key_count = (
+                SESSION_COUNT
+                if self.day.fleet_config.sessions
+                else priority_class.keys
+                if priority_class.in_turn
+                else 0
+            )
+            order_key = self.day.rng.randint(1, key_count) if key_count else 0
+            self.day.kernel.spawn_in(None, self._submit_new_message, priority_class, order_key)
 
-    def _chosen(self, turn: int) -> Sender:
+    def _choose_sender(self, order_key: int) -> Sender:
         """The sender that a client submits to: for one key always the same, as long as that one runs."""
-        usable = [each for each in self.senders if each.running or self.day.now() - each.ended_at < KNOWN_GONE]
-        if not turn or not usable:
-            return self.day.chance.choice(usable or self.senders)
-        if self.day.table.sessions:
-            open_ones = [each for each in usable if each.node is None or not each.client_listener.paused] or usable
-            home, until = self.homes.get(turn, (usable[0], 0))
-            if self.day.now() >= until or home not in open_ones:
-                home = self.day.chance.choice(open_ones)
-                self.homes[turn] = home, self.day.now() + round(self.day.chance.expovariate(1 / AT_HOME) * SECOND)
-            return home
-        return max(usable, key=lambda each: digest_of(f"{turn} {each.name}".encode()))
-
-    def _hand_in(self, priority_class: PriorityClass, turn: int) -> None:
-        sender, destination = self._chosen(turn), self.day.chance.randrange(SCENARIO.destinations())
-        number, mark = (f"{self.day.chance.getrandbits(63):016x}" for _ in range(2))
-        outer = self.day.now() + round(priority_class.outer_ms * 1000)
+        usable = [
+            each for each in self.senders if each.running or self.day.now() - each.ended_at < SENDER_LOSS_NOTICED_US
+        ]
+        if not order_key or not usable:
+            return self.day.rng.choice(usable or self.senders)
+        if self.day.fleet_config.sessions:
+            not_draining = [each for each in usable if each.node is None or not each.client_listener.paused] or usable
+            chosen, until = self.senders_by_session.get(order_key, (usable[0], 0))
+            if self.day.now() >= until or chosen not in not_draining:
+                chosen = self.day.rng.choice(not_draining)
+                self.senders_by_session[order_key] = (
+                    chosen,
+                    self.day.now() + round(self.day.rng.expovariate(1 / MEAN_STAY_S) * SECOND),
+                )
+            return chosen
+        return max(usable, key=lambda each: digest_of(f"{order_key} {each.name}".encode()))
+
+    def _submit_new_message(self, priority_class: PriorityClass, order_key: int) -> None:
+        sender, destination = self._choose_sender(order_key), self.day.rng.randrange(SCENARIO.destinations())
+        message_id, idempotency_key = (f"{self.day.rng.getrandbits(63):016x}" for _ in range(2))
+        deadline = self.day.now() + round(priority_class.outer_ms * 1000)
         handed = Handed(
-            number,
-            number,
+            message_id,
+            message_id,
             priority_class.name,
             destination,
-            mark,
-            f"{turn:016x}",
+            idempotency_key,
+            f"{order_key:016x}",
             self.day.now(),
             self.day.now(),
-            outer,
+            deadline,
             sender.number,
         )
         self.day.history.add(handed)
-        stored = StoredMessage(
+        message = StoredMessage(
             0,
-            number,
-            mark,
-            turn,
+            message_id,
+            idempotency_key,
+            order_key,
             priority_class.name,
             "",
             destination,
-            WALL + outer,
-            bytes(self.day.chance.randint(1, 400)),
+            WALL_CLOCK_AT_START + deadline,
+            bytes(self.day.rng.randint(1, 400)),
         )
-        self._ask(handed, stored, sender, hasty=True)
-        if self.day.table.sessions and handed.answer != "none" and self.day.chance.random() < AGAIN:
+        self._submit_to(handed, message, sender, withdraw_late=True)
+        if self.day.fleet_config.sessions and handed.answer != "none" and self.day.rng.random() < RESUBMIT_PROBABILITY:
             # The same once more, under the same id: it must not be taken twice, wherever its session is by then.
             # Where its client has gone without an answer, it may be withdrawn just as the second one is answered +OK.
-            self.day.kernel.sleep(self.day.chance.expovariate(1 / AGAIN_AFTER))
-            if self.day.now() < outer:
-                self._ask(
+            self.day.kernel.sleep(self.day.rng.expovariate(1 / MEAN_RESUBMIT_DELAY_S))
+            if self.day.now() < deadline:
+                self._submit_to(
                     handed,
-                    stored,
-                    self.day.chance.choice([each for each in self.senders if each.running] or [sender]),
-                    hasty=False,
+                    message,
+                    self.day.rng.choice([each for each in self.senders if each.running] or [sender]),
+                    withdraw_late=False,
                 )
 
-    def _ask(self, handed: Handed, stored: StoredMessage, sender: Sender, hasty: bool) -> None:
+    def _submit_to(self, handed: Handed, message: StoredMessage, sender: Sender, withdraw_late: bool) -> None:
         """Submit to a sender, and record its answer, except where another one has taken it before.
 
         `hasty`: what is taken for a client that has gone by then is withdrawn.
         """
-        sent, owner, box, end = self.day.now(), sender.owner, AsyncResult(), self.day.now() + PATIENCE
+        submitted_at, process, result, gives_up_at = (
+            self.day.now(),
+            sender.process,
+            AsyncResult(),
+            self.day.now() + CLIENT_TIMEOUT_US,
+        )
         if sender.running:
-            self.day.kernel.spawn_as(
-                owner,
+            self.day.kernel.spawn_in(
+                process,
                 sender.submit,
-                replace(stored, short_record_segments=[]),
-                box,
-                lambda: hasty and self.day.now() >= end,
+                replace(message, short_record_segments=[]),
+                result,
+                lambda: withdraw_late and self.day.now() >= gives_up_at,
             )
-            while not box.came(0.05) and self.day.now() < end and not owner.dead:
+            while not result.wait_until_set(0.05) and self.day.now() < gives_up_at and not process.dead:
                 continue
         if handed.answer == "ok":
             return
-        answer = box.value if box.on else "down" if not sender.running and self.day.now() == sent else "none"
+        answer = (
+            result.value if result.flag else "down" if not sender.running and self.day.now() == submitted_at else "none"
+        )
         # Danger: who has not answered may have taken it, whatever the next one says.
         handed.answer = answer if answer in ("ok", "none") or not handed.answer else handed.answer
         handed.answered, handed.sender = self.day.now(), sender.number
-        if answer == "ok" and self.day.table.sessions:
-            has = [
+        if answer == "ok" and self.day.fleet_config.sessions:
+            holders = [
                 each.number
                 for each in self.senders
-                if each.node is not None and stored.id in each.dispatcher.numbers_by_id
+                if each.node is not None and message.id in each.dispatcher.numbers_by_id
             ]
-            handed.taker = has[0] if len(has) == 1 else -1
+            handed.taker = holders[0] if len(holders) == 1 else -1
 
 
-class DrawnOperator:
+class SimulatedOperator:
     """Calls of the management address where sessions are on."""
 
     def __init__(self, day: DayState, senders: Sequence[Sender]) -> None:
         self.day = day
         self.senders = senders
 
-    def move(self) -> None:
+    def move_sessions(self) -> None:
         """Move sessions between senders."""
-        while not self.day.resting:
-            self.day.kernel.sleep(self.day.chance.expovariate(1 / MOVES))
-            key, to = self.day.chance.randint(1, KEYS), self.day.chance.choice(self.senders).name
+        while not self.day.quiescent:
+            self.day.kernel.sleep(self.day.rng.expovariate(1 / MEAN_MOVE_INTERVAL_S))
+            order_key, target = self.day.rng.randint(1, SESSION_COUNT), self.day.rng.choice(self.senders).name
             for sender in self.senders:
                 session_router = sender.node.session_router if sender.node is not None else None
-                if session_router is not None and key in session_router.directory.sessions and not sender.owner.stopped:
-                    sender.said("MOVE", f"{key:x} {to}")
-
-    def pause(self) -> None:
+                if (
+                    session_router is not None
+                    and order_key in session_router.directory.sessions
+                    and not sender.process.stopped
+                ):
+                    sender.call_management("MOVE", f"{order_key:x} {target}")
+
+    def drain_senders(self) -> None:
         """Drain one sender after another for a moment."""
-        while not self.day.resting:
-            self.day.kernel.sleep(self.day.chance.expovariate(1 / PAUSES))
-            sender = self.day.chance.choice(self.senders)
+        while not self.day.quiescent:
+            self.day.kernel.sleep(self.day.rng.expovariate(1 / MEAN_DRAIN_INTERVAL_S))
+            sender = self.day.rng.choice(self.senders)
             if sender.node is None:
                 continue
             client_listener = sender.client_listener
             client_listener.paused = True
-            self.day.kernel.sleep(self.day.chance.uniform(*PAUSED))
+            self.day.kernel.sleep(self.day.rng.uniform(*DRAIN_DURATION_RANGE_S))
             client_listener.paused = False
--- a/cedarwick/lab/virtual_day.py
+++ b/cedarwick/lab/virtual_day.py
@@ -22,22 +22,28 @@
 from cedarwick.lab.audit_cases import Finding, Verdict
 from cedarwick.lab.schedule import KINDS, DrawnFault, draw
 from cedarwick.lab.units import SECOND
-from cedarwick.lab.virtual import Kernel, Task, standing_in
-from cedarwick.lab.virtual_clients import DrawnClients, DrawnOperator
+from cedarwick.lab.virtual import Kernel, Task, patched_runtime
+from cedarwick.lab.virtual_clients import SimulatedClients, SimulatedOperator
 from cedarwick.lab.virtual_faults import FaultRunner
-from cedarwick.lab.virtual_network import Network
-from cedarwick.lab.virtual_partners import DrawnPartners
+from cedarwick.lab.virtual_network import SimulatedNetwork
+from cedarwick.lab.virtual_partners import SimulatedPartners
 from cedarwick.lab.virtual_senders import Sender
-from cedarwick.lab.virtual_state import LONGEST, LOOK, SCENARIO, DayState, Level
-from cedarwick.lab.virtual_subscribers import SETTLED, Subscribers
+from cedarwick.lab.virtual_state import DAY_LIMIT_US, SCENARIO, STATE_POLL_S, DayState, Level
+from cedarwick.lab.virtual_subscribers import EVENT_DRAIN_US, SimulatedSubscribers
 
 Ack = Literal["own", "copy"]
 Alone = Literal["busy", "own"]
 
-HALLS = {3: "eew", 4: "eeww", 5: "eeeww", 6: "eeewww", 7: "eeeewww"}  # by the number of senders: each one's hall
-SETTLE = 1.8  # seconds from when all senders are ready to the first message
-WATCHED = 12 * SECOND  # the longest that ends are awaited after the last fault
-QUIET = 10  # looks in a row, a tenth of a second apart, that find nothing owed
+HALL_PATTERNS = {
+    3: "eew",
+    4: "eeww",
+    5: "eeeww",
+    6: "eeewww",
+    7: "eeeewww",
+}  # by the number of senders: each one's hall
+STARTUP_DELAY_S = 1.8  # seconds from when all senders are ready to the first message
+MAX_END_WAIT_US = 12 * SECOND  # the longest that ends are awaited after the last fault
+REQUIRED_IDLE_CHECKS = 10  # looks in a row, a tenth of a second apart, that find nothing owed
 
 
 class Day:
@@ -47,58 +53,58 @@
         """`seconds`: how long messages come; `subscribers`: how many."""
         self.state = state
         self.seconds = seconds
-        partners = DrawnPartners(state)
+        partners = SimulatedPartners(state)
         self.senders = [Sender(state, partners, number) for number in range(state.fleet_size)]
-        self.network = Network(state, self.senders)
+        self.network = SimulatedNetwork(state, self.senders)
         self.faults = FaultRunner(state, self.network, self.senders)
-        self.clients = DrawnClients(state, self.senders)
-        self.operator = DrawnOperator(state, self.senders)
-        self.subscribers = Subscribers(state, self.senders, subscribers)
+        self.clients = SimulatedClients(state, self.senders)
+        self.operator = SimulatedOperator(state, self.senders)
+        self.subscribers = SimulatedSubscribers(state, self.senders, subscribers)
         self.tasks: list[Task] = []  # the load and the faults
         self.ended_at = 0  # when the watching stopped
 
     def run(self, faults: list[DrawnFault]) -> None:
         """`TimeoutError` where the day does not end."""
-        with standing_in(self.state.kernel, self.network.carry, self.subscribers.exchange_class()):
+        with patched_runtime(self.state.kernel, self.network.deliver, self.subscribers.exchange_class()):
             try:
-                self.state.kernel.spawn_as(None, self._run, faults)
-                while not self.ended_at and not self.state.kernel.errors and self.state.now() < LONGEST:
+                self.state.kernel.spawn_in(None, self._run, faults)
+                while not self.ended_at and not self.state.kernel.errors and self.state.now() < DAY_LIMIT_US:
                     self.state.kernel.run(self.state.now() + SECOND // 10)
             finally:
                 self.state.kernel.close()
                 for sender in self.senders:
                     sender.close()
         if not self.ended_at and not self.state.kernel.errors:
-            raise TimeoutError(f"the day of seed {self.state.seed} is not over after {LONGEST // SECOND} s")
+            raise TimeoutError(f"the day of seed {self.state.seed} is not over after {DAY_LIMIT_US // SECOND} s")
 
     def _run(self, faults: list[DrawnFault]) -> None:
         kernel = self.state.kernel
         for sender in self.senders:
             sender.start()
         while any(sender.node is None for sender in self.senders):
-            kernel.sleep(LOOK)
-        kernel.sleep(SETTLE)
-        begun = self.state.now()
-        self.tasks = [kernel.spawn_as(None, self.clients.load, begun + round(self.seconds * SECOND))]
-        self.tasks += [kernel.spawn_as(None, self.faults.carry_out, each, begun) for each in faults]
-        if self.state.table.sessions:
-            for task in (self.operator.move, self.operator.pause):
-                kernel.spawn_as(None, task)
-        for follower in self.subscribers.followers:
-            kernel.spawn_as(None, follower.run)
+            kernel.sleep(STATE_POLL_S)
+        kernel.sleep(STARTUP_DELAY_S)
+        load_begin = self.state.now()
+        self.tasks = [kernel.spawn_in(None, self.clients.submit_until, load_begin + round(self.seconds * SECOND))]
+        self.tasks += [kernel.spawn_in(None, self.faults.run_fault, each, load_begin) for each in faults]
+        if self.state.fleet_config.sessions:
+            for task in (self.operator.move_sessions, self.operator.drain_senders):
+                kernel.spawn_in(None, task)
+        for subscriber in self.subscribers.active:
+            kernel.spawn_in(None, subscriber.run)
         kernel.joinall(self.tasks)
-        self.state.resting = True
-        end, quiet = self.state.now() + WATCHED, 0
-        while quiet < QUIET and self.state.now() < end:
+        self.state.quiescent = True
+        wait_until, idle_checks = self.state.now() + MAX_END_WAIT_US, 0
+        while idle_checks < REQUIRED_IDLE_CHECKS and self.state.now() < wait_until:
             kernel.sleep(0.1)
-            quiet = quiet + 1 if not self._owed() else 0
-        if self.subscribers.followers:
-            self.state.watched.settled = self.state.now()
-            kernel.sleep(SETTLED / SECOND)
-            self.subscribers.probe()
+            idle_checks = idle_checks + 1 if not self._has_unfinished() else 0
+        if self.subscribers.active:
+            self.state.subscriber_records.settled = self.state.now()
+            kernel.sleep(EVENT_DRAIN_US / SECOND)
+            self.subscribers.probe_ended_subscriptions()
         self.ended_at = self.state.now()
 
-    def _owed(self) -> bool:
+    def _has_unfinished(self) -> bool:
         """Whether a message that was taken has no end yet."""
         ended = {each.id for each in self.state.history.noticed}
         ended |= {each.id for each in self.state.history.called if each.status == 200}
@@ -126,7 +132,7 @@
     `sessions`: every message has a key, clients change senders, an operator moves sessions and drains senders.
     """
     halls = {"e": "east", "w": "west"}
-    table = Fleet(
+    fleet_config = Fleet(
         group="virtual",
         ack=ack,
         alone=alone,
@@ -134,37 +140,39 @@
         sessions=sessions,
         member=[
             Member(name=f"n{number}", address=f"127.0.0.{number + 1}:7000", hall=halls[hall])
-            for number, hall in enumerate(HALLS[senders])
+            for number, hall in enumerate(HALL_PATTERNS[senders])
         ],
     )
-    many: dict[str, Any] = {"count": round(seconds), "longest_s": 2.5} if level != "usual" else {}
-    faults = draw(seed, senders, seconds, kinds=kinds, copies=copies, **many).faults if level != "calm" else []
-    with tempfile.TemporaryDirectory() as scratch:
-        state = DayState(seed, table, level, scratch)
+    schedule_options: dict[str, Any] = {"count": round(seconds), "longest_s": 2.5} if level != "usual" else {}
+    faults = (
+        draw(seed, senders, seconds, kinds=kinds, copies=copies, **schedule_options).faults if level != "calm" else []
+    )
+    with tempfile.TemporaryDirectory() as scratch_dir:
+        state = DayState(seed, fleet_config, level, scratch_dir)
         day = Day(state, seconds, subscribers)
         day.run(faults)
     if history:
         state.history.write(history)
     # What goes on alone promises no more than the own folder.
     terms = invariants.Terms(senders=senders, ack="own" if alone == "own" else ack)
-    watched = state.watched if subscribers else None
-    verdict = invariants.judge(SCENARIO, state.history, day.ended_at or state.now(), terms, watched)
+    subscriber_records = state.subscriber_records if subscribers else None
+    verdict = invariants.judge(SCENARIO, state.history, day.ended_at or state.now(), terms, subscriber_records)
     verdict.findings[:0] = [Finding(0, (), error) for error in state.kernel.errors]  # the day has ended with it
     return verdict
 
 
-def line_of(_: object) -> str:
+def log_format(_: object) -> str:
     """The format of a line of the log: virtual time, and whose it is."""
     kernel = Kernel.running
-    owner = kernel.current.owner if kernel.current is not None else None
-    return f"{kernel.now / SECOND:8.3f} {owner.name if owner is not None else '--'} {{message}}\n"
+    process = kernel.current.process if kernel.current is not None else None
+    return f"{kernel.now / SECOND:8.3f} {process.name if process is not None else '--'} {{message}}\n"
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m cedarwick.lab.virtual_day", description=__doc__)
     parser.add_argument("first", type=int, help="the first seed")
     parser.add_argument("last", type=int, help="the last seed")
-    parser.add_argument("--senders", type=int, default=3, choices=sorted(HALLS))
+    parser.add_argument("--senders", type=int, default=3, choices=sorted(HALL_PATTERNS))
     parser.add_argument("--ack", default="own", choices=("own", "copy"))
     parser.add_argument("--alone", default="busy", choices=("busy", "own"))
     parser.add_argument("--copies", type=int, default=1)
@@ -183,8 +191,8 @@
     options = parser.parse_args(arguments)
     logger.remove()
     if options.log:
-        logger.add(sys.stderr, format=line_of)
-    broken = False
+        logger.add(sys.stderr, format=log_format)
+    any_findings = False
     for seed in range(options.first, options.last + 1):
         path = os.path.join(options.history, f"{seed}.jsonl") if options.history else ""
         verdict = run_day(
@@ -200,11 +208,11 @@
             options.sessions,
             options.subscribers,
         )
-        broken = broken or bool(verdict.findings)
-        found = [{"rule": each.rule, "ids": each.ids, "text": each.text} for each in verdict.findings]
-        line = {"seed": seed, "findings": found, "account": msgspec.to_builtins(verdict.account)}
+        any_findings = any_findings or bool(verdict.findings)
+        rows = [{"rule": each.rule, "ids": each.ids, "text": each.text} for each in verdict.findings]
+        line = {"seed": seed, "findings": rows, "account": msgspec.to_builtins(verdict.account)}
         print(json.dumps(line), flush=True)
-    return int(broken)
+    return int(any_findings)
 
 
 if __name__ == "__main__":
--- a/cedarwick/lab/virtual_faults.py
+++ b/cedarwick/lab/virtual_faults.py
@@ -12,62 +12,62 @@
 from cedarwick.lab.history import Gone
 from cedarwick.lab.relay import Fault
 from cedarwick.lab.schedule import LINKS, DrawnFault
-from cedarwick.lab.virtual_network import Network
+from cedarwick.lab.virtual_network import SimulatedNetwork
 from cedarwick.lab.virtual_senders import Sender
-from cedarwick.lab.virtual_state import LOOK, DayState, Pair, usual_disk
+from cedarwick.lab.virtual_state import STATE_POLL_S, DayState, Link, default_disk_bytes
 
-FULL = 10_000  # bytes of a folder whose disk is full
+FULL_DISK_BYTES = 10_000  # bytes of a folder whose disk is full
 
 
 class FaultRunner:
     """Begins and ends each fault at its time, and writes it to the history."""
 
-    def __init__(self, day: DayState, network: Network, senders: Sequence[Sender]) -> None:
+    def __init__(self, day: DayState, network: SimulatedNetwork, senders: Sequence[Sender]) -> None:
         self.day = day
         self.network = network
         self.senders = senders
 
-    def carry_out(self, drawn: DrawnFault, begun: int) -> None:
+    def run_fault(self, drawn: DrawnFault, load_begin: int) -> None:
         """One of them, to its end; `begun`: when the load began, microseconds of virtual time."""
-        self.day.sleep_until(begun + drawn.begin)
+        self.day.sleep_until(load_begin + drawn.begin)
         logger.info("{}", drawn.line())
-        end = begun + drawn.end
+        end = load_begin + drawn.end
         if drawn.kind in LINKS and drawn.fault is not None:
-            with self._spoilt(drawn, drawn.fault, drawn.pairs):
+            with self._apply_to_links(drawn, drawn.fault, drawn.pairs):
                 self.day.sleep_until(end)
         elif drawn.kind == "split":
             fault = Fault(kind="silent" if drawn.draw & 1 else "cut")
-            everybody = range(self.day.fleet_size)
-            parted = [
-                (one, other) for one in everybody for other in everybody if (one in drawn.on) != (other in drawn.on)
+            members = range(self.day.fleet_size)
+            separated = [
+                (one, other) for one in members for other in members if (one in drawn.on) != (other in drawn.on)
             ]
-            with self._spoilt(drawn, fault, parted):
+            with self._apply_to_links(drawn, fault, separated):
                 self.day.sleep_until(end)
         else:
-            self._at_sender(drawn, self.senders[drawn.on[0]], end)
+            self._run_at_sender(drawn, self.senders[drawn.on[0]], end)
 
     @contextmanager
-    def _spoilt(self, drawn: DrawnFault, fault: Fault, pairs: Sequence[Pair]) -> Iterator[None]:
+    def _apply_to_links(self, drawn: DrawnFault, fault: Fault, pairs: Sequence[Link]) -> Iterator[None]:
         """Apply a fault to some links while it lasts."""
         began = self.day.now()
-        faults = [(pair, msgspec.structs.replace(fault)) for pair in pairs]
+        faults = [(link, msgspec.structs.replace(fault)) for link in pairs]
         self.network.faults += faults
         yield
         self.network.faults = [each for each in self.network.faults if all(each is not other for other in faults)]
         self.day.history.add(Gone(drawn.number, drawn.kind, began, self.day.now(), drawn.names(), 0.0))
 
-    def _at_sender(self, drawn: DrawnFault, sender: Sender, end: int) -> None:
+    def _run_at_sender(self, drawn: DrawnFault, sender: Sender, end: int) -> None:
         if drawn.kind == "disk-full":
-            sender.set_disk(FULL)
+            sender.set_disk_limit(FULL_DISK_BYTES)
             self.day.sleep_until(end)
-            sender.set_disk(usual_disk())
+            sender.set_disk_limit(default_disk_bytes())
         elif drawn.kind == "stop":
             if sender.running:
-                owner = sender.owner
+                process = sender.process
                 sender.stop()
                 self.day.sleep_until(end)
-                if sender.owner is owner and sender.running:
-                    sender.go_on()
+                if sender.process is process and sender.running:
+                    sender.resume()
         else:
             self._restart(drawn, sender, end)
 
@@ -80,28 +80,28 @@
             shutil.rmtree(sender.folder)
             os.makedirs(sender.folder)
         elif drawn.kind == "folder-spoilt":
-            corrupt(sender.folder, drawn.draw)
+            corrupt_file(sender.folder, drawn.draw)
         if drawn.kind in ("folder-lost", "folder-spoilt"):
             self.day.history.add(Gone(drawn.number, drawn.kind, self.day.now(), self.day.now(), drawn.names(), 0.0))
         self.day.sleep_until(end)
         while sender.running:
-            self.day.kernel.sleep(LOOK)
+            self.day.kernel.sleep(STATE_POLL_S)
         sender.start()
         while sender.running and sender.node is None:
-            self.day.kernel.sleep(LOOK)
+            self.day.kernel.sleep(STATE_POLL_S)
 
 
-def corrupt(folder: str, draw: int) -> None:
+def corrupt_file(folder: str, seed: int) -> None:
     """Flip some bytes of one of the files, both drawn."""
-    held = sorted(os.path.join(at, name) for at, _, names in os.walk(folder) for name in names)
-    found = [path for path in held if os.path.getsize(path)]
-    if not found:
+    paths = sorted(os.path.join(directory, name) for directory, _, names in os.walk(folder) for name in names)
+    not_empty = [path for path in paths if os.path.getsize(path)]
+    if not not_empty:
         return
-    chance = random.Random(draw)
-    path = chance.choice(found)
-    begin = chance.randrange(os.path.getsize(path))
+    rng = random.Random(seed)
+    path = rng.choice(not_empty)
+    begin = rng.randrange(os.path.getsize(path))
     with open(path, "r+b") as file:
         file.seek(begin)
-        spoilt = bytes(byte ^ 0xA5 for byte in file.read(64))
+        flipped = bytes(byte ^ 0xA5 for byte in file.read(64))
         file.seek(begin)
-        file.write(spoilt)
+        file.write(flipped)
--- a/cedarwick/lab/virtual_network.py
+++ b/cedarwick/lab/virtual_network.py
@@ -5,78 +5,80 @@
 from cedarwick.lab.relay import Fault, Way
 from cedarwick.lab.virtual import AsyncResult
 from cedarwick.lab.virtual_senders import Sender
-from cedarwick.lab.virtual_state import LOOK, DayState, Pair
+from cedarwick.lab.virtual_state import STATE_POLL_S, DayState, Link
 
 
-class Network:
+class SimulatedNetwork:
     """Carries peer messages between senders, as the faults that are on have it."""
 
     def __init__(self, day: DayState, senders: Sequence[Sender]) -> None:
         self.day = day
         self.senders = senders
-        self.faults: list[tuple[Pair, Fault]] = []
+        self.faults: list[tuple[Link, Fault]] = []
 
-    def carry(self, asks: str, answers: str, peer_message: bytes, box: AsyncResult) -> None:
+    def deliver(self, caller: str, callee: str, peer_message: bytes, result: AsyncResult) -> None:
         """As `virtual.Carry`."""
-        self.day.kernel.spawn_as(None, self._carry, (int(asks[1:]), int(answers[1:])), peer_message, box)
+        self.day.kernel.spawn_in(None, self._deliver, (int(caller[1:]), int(callee[1:])), peer_message, result)
 
-    def _carry(self, pair: Pair, peer_message: bytes, box: AsyncResult) -> None:
-        kernel, sender = self.day.kernel, self.senders[pair[1]]
-        if not self._through(pair, "asks", "ask-lost", len(peer_message), box):
+    def _deliver(self, link: Link, peer_message: bytes, result: AsyncResult) -> None:
+        kernel, sender = self.day.kernel, self.senders[link[1]]
+        if not self._passes(link, "asks", "ask-lost", len(peer_message), result):
             return
         if not sender.running:
-            return box.set(None)
-        if (twice := self._hit(pair, "twice", "asks")) is not None:
-            kernel.spawn_as(None, self._again, sender, peer_message, self._wait(twice))
-        owner, answered = sender.owner, AsyncResult()
-        kernel.spawn_as(owner, sender.answer, peer_message, answered)
-        while not answered.came(0.05):
-            if owner.dead:
-                return box.set(None)
-        if answered.value is None or self._through(pair, "answers", "answer-lost", len(answered.value), box):
-            box.set(answered.value)
+            return result.set(None)
+        if (duplicate := self._draw_fault(link, "twice", "asks")) is not None:
+            kernel.spawn_in(None, self._deliver_again, sender, peer_message, self._delay_s(duplicate))
+        process, answer = sender.process, AsyncResult()
+        kernel.spawn_in(process, sender.answer_peer_message, peer_message, answer)
+        while not answer.wait_until_set(0.05):
+            if process.dead:
+                return result.set(None)
+        if answer.value is None or self._passes(link, "answers", "answer-lost", len(answer.value), result):
+            result.set(answer.value)
 
-    def _again(self, sender: Sender, peer_message: bytes, after: float) -> None:
-        self.day.kernel.sleep(after)
+    def _deliver_again(self, sender: Sender, peer_message: bytes, delay_s: float) -> None:
+        self.day.kernel.sleep(delay_s)
         if sender.running:
-            self.day.kernel.spawn_as(sender.owner, sender.answer, peer_message, AsyncResult())
+            self.day.kernel.spawn_in(sender.process, sender.answer_peer_message, peer_message, AsyncResult())
 
-    def _through(self, pair: Pair, way: Way, loss: str, size: int, box: AsyncResult) -> bool:
+    def _passes(self, link: Link, way: Way, loss_kind: str, size: int, result: AsyncResult) -> bool:
         """Whether a message gets through, after its time on the way; the box is set where its connection is reset."""
-        lost = self._hit(pair, loss, way)
-        if lost is not None and lost.then == "silent":
+        loss = self._draw_fault(link, loss_kind, way)
+        if loss is not None and loss.then == "silent":
             return False
-        if lost is not None or self._hit(pair, "reset", way) is not None:
-            box.set(None)
+        if loss is not None or self._draw_fault(link, "reset", way) is not None:
+            result.set(None)
             return False
-        for late in (0.0, self._late(pair, way, size)):
-            self.day.kernel.sleep(late)
-            while any(fault.kind == "silent" and fault.held for fault in self._on(pair, way)):
-                self.day.kernel.sleep(LOOK)
-            if any(fault.kind == "cut" and fault.way == "both" for fault in self._on(pair, way)):
-                box.set(None)
+        for transit_s in (0.0, self._transit_s(link, way, size)):
+            self.day.kernel.sleep(transit_s)
+            while any(fault.kind == "silent" and fault.held for fault in self._active_faults(link, way)):
+                self.day.kernel.sleep(STATE_POLL_S)
+            if any(fault.kind == "cut" and fault.way == "both" for fault in self._active_faults(link, way)):
+                result.set(None)
                 return False
-            if any(fault.kind in ("cut", "silent") for fault in self._on(pair, way)):
+            if any(fault.kind in ("cut", "silent") for fault in self._active_faults(link, way)):
                 return False
         return True
 
-    def _on(self, pair: Pair, way: Way) -> Iterator[Fault]:
-        return (fault for met, fault in self.faults if met == pair and fault.goes(way))
+    def _active_faults(self, link: Link, way: Way) -> Iterator[Fault]:
+        return (fault for faulty_link, fault in self.faults if faulty_link == link and fault.goes(way))
 
-    def _hit(self, pair: Pair, kind: str, way: Way) -> Fault | None:
+    def _draw_fault(self, link: Link, kind: str, way: Way) -> Fault | None:
         """The first fault of a kind that meets this message, by its share."""
-        chance = self.day.chance
-        return next((each for each in self._on(pair, way) if each.kind == kind and chance.random() < each.share), None)
+        rng = self.day.rng
+        return next(
+            (each for each in self._active_faults(link, way) if each.kind == kind and rng.random() < each.share), None
+        )
 
-    def _wait(self, fault: Fault) -> float:
-        return (fault.ms + self.day.chance.uniform(0, fault.jitter_ms)) / 1000
+    def _delay_s(self, fault: Fault) -> float:
+        return (fault.ms + self.day.rng.uniform(0, fault.jitter_ms)) / 1000
 
-    def _late(self, pair: Pair, way: Way, size: int) -> float:
+    def _transit_s(self, link: Link, way: Way, size: int) -> float:
         """Seconds that a message is on its way."""
-        took = self.day.chance.uniform(0.0001, 0.0008)
-        for fault in self._on(pair, way):
+        duration_s = self.day.rng.uniform(0.0001, 0.0008)
+        for fault in self._active_faults(link, way):
             if fault.kind == "delay":
-                took += self._wait(fault)
+                duration_s += self._delay_s(fault)
             elif fault.kind == "trickle":
-                took += size / fault.size * fault.ms / 1000
-        return took
+                duration_s += size / fault.size * fault.ms / 1000
+        return duration_s
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -15,12 +15,11 @@
 from cedarwick.lab.history import Life
 from cedarwick.lab.scenario import sender_settings
 from cedarwick.lab.units import SECOND
-from cedarwick.lab.virtual import WALL, AsyncResult, Kernel, Owner
-from cedarwick.lab.virtual_partners import DrawnAttempts, DrawnNotices, DrawnPartners
-from cedarwick.lab.virtual_state import LOOK, RECEIVERS, SCENARIO, DayState, usual_disk
+from cedarwick.lab.virtual import WALL_CLOCK_AT_START, AsyncResult, Kernel, VirtualProcess
+from cedarwick.lab.virtual_partners import SimulatedAttemptRunner, SimulatedNotifier, SimulatedPartners
+from cedarwick.lab.virtual_state import RECEIVERS_PER_DESTINATION, SCENARIO, STATE_POLL_S, DayState, default_disk_bytes
 from cedarwick.net.assignment import Assignment, flatten_settings
-from cedarwick.net.client_listener import ClientListener
-from cedarwick.net.client_listener import SubmitResult as Answer
+from cedarwick.net.client_listener import ClientListener, SubmitResult
 from cedarwick.net.clock import Clock
 from cedarwick.net.counters import Counters
 from cedarwick.net.dispatcher import Dispatcher
@@ -31,8 +30,8 @@
 from cedarwick.ops.management import ManagementCommands, refuse_move, refuse_subscription
 from cedarwick.store.records import StoredMessage
 
-STAY = 1.2  # seconds for which a sender that got SIGTERM goes on to take what was routed to it
-DRAIN = 2 * SECOND  # in which it ends what is out
+LEAVE_DELAY_S = 1.2  # seconds for which a sender that got SIGTERM goes on to take what was routed to it
+DRAIN_LIMIT_US = 2 * SECOND  # in which it ends what is out
 
 
 class VirtualClock(Clock):
@@ -42,7 +41,7 @@
         self.kernel = kernel
 
     def now(self) -> int:
-        return WALL + self.kernel.now
+        return WALL_CLOCK_AT_START + self.kernel.now
 
     @property
     def last_poll_at(self) -> int:
@@ -68,30 +67,30 @@
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
         self.paused = False
-        self.submit_message: Callable[[StoredMessage], Answer] = self.submit_to_dispatcher
+        self.submit_message: Callable[[StoredMessage], SubmitResult] = self.submit_to_dispatcher
 
-    def submit_to_dispatcher(self, stored: StoredMessage) -> Answer:
+    def submit_to_dispatcher(self, stored: StoredMessage) -> SubmitResult:
         submission = Submission(stored, AsyncResult())
         self.dispatcher.submit(submission)
-        answered, wait_ms = submission.answer.get()
-        taken = answered is AdmissionResult.ACCEPTED and stored.number
-        return answered, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if taken else None
+        response, wait_ms = submission.answer.get()
+        accepted = response is AdmissionResult.ACCEPTED and stored.number
+        return response, wait_ms, (lambda: self.dispatcher.withdraw(submission)) if accepted else None
 
 
 class Sender:
     """One sender over all its processes: its folder stays, the rest is made anew by each `start`."""
 
-    def __init__(self, day: DayState, partners: DrawnPartners, number: int) -> None:
+    def __init__(self, day: DayState, partners: SimulatedPartners, number: int) -> None:
         self.day = day
         self.partners = partners
         self.number = number
         self.name = f"n{number}"
-        self.folder = os.path.join(day.scratch, self.name)
+        self.folder = os.path.join(day.scratch_dir, self.name)
         os.makedirs(self.folder)
-        self.owner: Owner = Owner(self.name)
-        self.running = self.leaving = False
+        self.process: VirtualProcess = VirtualProcess(self.name)
+        self.running = self.terminating = False
         self.node: FleetNode | None = None  # None until it is ready
-        self.disk = usual_disk()
+        self.disk_bytes = default_disk_bytes()
         self.ended_at = 0
         self.store: ReplicatedStore
         self.dispatcher: Dispatcher
@@ -99,13 +98,13 @@
         self.management: SimpleNamespace  # what the management address calls
 
     def start(self) -> None:
-        self.owner, self.running, self.leaving = Owner(self.name), True, False
-        self._life("started")
-        self.day.kernel.spawn_as(self.owner, self._start)
+        self.process, self.running, self.terminating = VirtualProcess(self.name), True, False
+        self._record_life("started")
+        self.day.kernel.spawn_in(self.process, self._start)
 
     def _start(self) -> None:
         day, clock, counters = self.day, VirtualClock(self.day.kernel), StrictCounters(self.day.kernel)
-        day.kernel.sleep(day.chance.uniform(0.3, 0.9))
+        day.kernel.sleep(day.rng.uniform(0.3, 0.9))
         assignment = Assignment(
             self.name,
             ("", 0),
@@ -113,53 +112,58 @@
             self.folder,
             day.seed * 16 + self.number,
             2000,
-            self.disk,
+            self.disk_bytes,
             {},
             flatten_settings(sender_settings(SCENARIO, day.fleet_size)),
         )
         self.store = ReplicatedStore(
             self.folder,
-            self.disk,
+            self.disk_bytes,
             now=clock.now,
-            ack_after_replication=day.table.ack == "copy",
-            ack_timeout_us=round(day.table.ack_within_ms * 1000),
+            ack_after_replication=day.fleet_config.ack == "copy",
+            ack_timeout_us=round(day.fleet_config.ack_within_ms * 1000),
         )
         self.dispatcher = dispatcher = Dispatcher(assignment, clock, counters, self.store, cast(PollClock, clock))
         self.store.load()
-        receivers = range(SCENARIO.destinations() * RECEIVERS)
+        receivers = range(SCENARIO.destinations() * RECEIVERS_PER_DESTINATION)
         dispatcher.apply_endpoint_update(
             EndpointUpdate.CACHED,
-            [ListedEndpoint(1 + each, 0, 0, each // RECEIVERS, EndpointState.READY, 100.0) for each in receivers],
+            [
+                ListedEndpoint(1 + each, 0, 0, each // RECEIVERS_PER_DESTINATION, EndpointState.READY, 100.0)
+                for each in receivers
+            ],
         )
-        dispatcher.notices = DrawnNotices(day, self.number, counters, dispatcher.acknowledged)
-        dispatcher.attempts = DrawnAttempts(day, self.partners, dispatcher, self.number, self.owner)
+        dispatcher.notices = SimulatedNotifier(day, self.number, counters, dispatcher.acknowledged)
+        dispatcher.attempts = SimulatedAttemptRunner(day, self.partners, dispatcher, self.number, self.process)
         dispatcher.release_connections = lambda _: None
         dispatcher.reopen_list_watch = lambda: None
         dispatcher.restore()
-        node = FleetNode(self.name, day.table, self.folder, self.store, clock, counters)
+        node = FleetNode(self.name, day.fleet_config, self.folder, self.store, clock, counters)
         self.client_listener = FakeClientListener(dispatcher)
         self.management = SimpleNamespace(subscription_handler=refuse_subscription, move_handler=refuse_move)
         management = cast(ManagementCommands, self.management)
-        listed = SimpleNamespace(receiver_numbers={f"s-{1 + each}": 1 + each for each in receivers}, suspended=set())
-        node.exchange.attach(management, cast(EndpointList, listed), dispatcher, node.halls[self.name])
+        endpoint_list = SimpleNamespace(
+            receiver_numbers={f"s-{1 + each}": 1 + each for each in receivers}, suspended=set()
+        )
+        node.exchange.attach(management, cast(EndpointList, endpoint_list), dispatcher, node.halls[self.name])
         if node.session_router is not None:
             node.session_router.attach(management, cast(ClientListener, self.client_listener), dispatcher)
         day.kernel.spawn(dispatcher.run)
         day.kernel.spawn(dispatcher.notices.run)
         node.start(dispatcher)
         self.node = node
-        self._life("ready")
+        self._record_life("ready")
 
     def kill(self) -> None:
         if self.running:
-            self._life("killed")
-            self.gone()
+            self._record_life("killed")
+            self.process_ended()
 
     def term(self) -> None:
         if self.running:
-            self._life("termed")
-            self.leaving = True
-            self.day.kernel.spawn_as(self.owner, self._leave)
+            self._record_life("termed")
+            self.terminating = True
+            self.day.kernel.spawn_in(self.process, self._leave)
 
     def _leave(self) -> None:
         kernel = self.day.kernel
@@ -167,77 +171,77 @@
             session_router = self.node.session_router
             if session_router is not None:
                 session_router.leave()
-            kernel.sleep(STAY)
+            kernel.sleep(LEAVE_DELAY_S)
             self.dispatcher.stop_attempts(abandon_near_deadline=True)
-            end = kernel.now + DRAIN
-            while kernel.now < end and not (
+            drain_until = kernel.now + DRAIN_LIMIT_US
+            while kernel.now < drain_until and not (
                 self.dispatcher.is_idle()
                 and not self.dispatcher.notices.pending
                 and (session_router is None or session_router.left())
             ):
-                kernel.sleep(LOOK)
+                kernel.sleep(STATE_POLL_S)
             self.node.leave()
-        self.gone()
+        self.process_ended()
 
     def stop(self) -> None:
-        self._life("stopped")
-        self.owner.stopped = True
+        self._record_life("stopped")
+        self.process.stopped = True
 
-    def go_on(self) -> None:
-        self.day.kernel.go_on(self.owner)
-        self._life("continued")
+    def resume(self) -> None:
+        self.day.kernel.resume_process(self.process)
+        self._record_life("continued")
 
-    def gone(self) -> None:
+    def process_ended(self) -> None:
         """The process has ended."""
         self.close()
         self.ended_at = self.day.now()
-        self._life("ended")
+        self._record_life("ended")
 
     def close(self) -> None:
         """Kill the process: none of its tasks goes on, and its files stay as they are."""
-        self.running, self.owner.dead = False, True
+        self.running, self.process.dead = False, True
         if self.node is not None:
             self.node.replicas.close()
             self.store.close()
         self.node = None
 
-    def submit(self, stored: StoredMessage, box: AsyncResult, gone: Callable[[], bool]) -> None:
+    def submit(self, stored: StoredMessage, result: AsyncResult, client_gone: Callable[[], bool]) -> None:
         """What a client is answered, into the box; `gone`: whether it has given up."""
-        if self.node is None or self.leaving or not self.store.accepts_messages():
-            box.set("busy")
+        if self.node is None or self.terminating or not self.store.accepts_messages():
+            result.set("busy")
             return
-        what, _, withdraw = self.client_listener.submit_message(stored)
-        if withdraw is not None and gone():
+        admission, _, withdraw = self.client_listener.submit_message(stored)
+        if withdraw is not None and client_gone():
             withdraw()
-        elif what is not AdmissionResult.UNSURE:
-            box.set("ok" if what is AdmissionResult.ACCEPTED else "busy")
+        elif admission is not AdmissionResult.UNSURE:
+            result.set("ok" if admission is AdmissionResult.ACCEPTED else "busy")
 
-    def said(self, name: str, argument: str) -> None:
+    def call_management(self, name: str, argument: str) -> None:
         """A management call in a task of its own; its answer is ignored."""
 
         def call() -> None:
             with suppress(CedarwickError):
                 self.management.move_handler(commands.Call(name, argument))
 
-        self.day.kernel.spawn_as(self.owner, call)
+        self.day.kernel.spawn_in(self.process, call)
 
-    def answer(self, peer_message: bytes, box: AsyncResult) -> None:
+    def answer_peer_message(self, peer_message: bytes, result: AsyncResult) -> None:
         """The answer to a peer message, as the link's server gives it; None where nobody listens."""
         if self.node is None:
-            box.set(None)
+            result.set(None)
             return
-        verifier, read = self.node.verifier, decode(peer_message)
+        verifier, request = self.node.verifier, decode(peer_message)
         try:
-            verifier.check(read)
-            answered = self.node.handle_peer_message(read)
+            verifier.check(request)
+            response = self.node.handle_peer_message(request)
         except CedarwickError as error:
-            answered = verifier.peer_message(read.sender, RequestRefused(error.code, str(error)[:512]))
-        box.set(encode(answered))
+            response = verifier.peer_message(request.sender, RequestRefused(error.code, str(error)[:512]))
+        result.set(encode(response))
 
-    def set_disk(self, size: int) -> None:
-        self.disk = size
+    def set_disk_limit(self, size_bytes: int) -> None:
+        self.disk_bytes = size_bytes
         if self.node is not None:
-            self.store.set_limit(size)
+            self.store.set_limit(size_bytes)
 
-    def _life(self, event: str) -> None:
+    def _record_life(self, event: str) -> None:
         self.day.history.add(Life(self.number, event, self.day.now()))
--- a/cedarwick/lab/virtual_state.py
+++ b/cedarwick/lab/virtual_state.py
@@ -12,7 +12,7 @@
 from cedarwick.lab.virtual import Kernel
 
 Level = Literal["calm", "usual", "hard", "worst"]
-Pair = tuple[int, int]  # who asks, who answers
+Link = tuple[int, int]  # who asks, who answers
 
 SCENARIO = Scenario(
     name="virtual",
@@ -21,26 +21,28 @@
     priority_classes=MIXED_CLASSES,
     partner=[Partner(name="hotel", destinations=3, workers=8, service=Service(mean_ms=20))],
 )
-RECEIVERS = 2  # of each destination
-LONGEST = 200 * SECOND  # a day that is not over by then has failed
-LOOK = 0.02  # seconds between two looks at a state that is awaited
+RECEIVERS_PER_DESTINATION = 2  # of each destination
+DAY_LIMIT_US = 200 * SECOND  # a day that is not over by then has failed
+STATE_POLL_S = 0.02  # seconds between two looks at a state that is awaited
 
 
 class DayState:
     """One drawn day as its parties see it. Every draw is made from `chance`: their order makes the day."""
 
-    def __init__(self, seed: int, table: Fleet, level: Level, scratch: str) -> None:
+    def __init__(self, seed: int, fleet_config: Fleet, level: Level, scratch_dir: str) -> None:
         """`scratch`: the directory that holds the senders' folders."""
         self.seed = seed
-        self.table = table
+        self.fleet_config = fleet_config
         self.level = level
-        self.scratch = scratch
-        self.fleet_size = len(table.member)
-        self.chance = random.Random(f"virtual {seed} {self.fleet_size} {table.ack} {table.alone} {table.copies}")
+        self.scratch_dir = scratch_dir
+        self.fleet_size = len(fleet_config.member)
+        self.rng = random.Random(
+            f"virtual {seed} {self.fleet_size} {fleet_config.ack} {fleet_config.alone} {fleet_config.copies}"
+        )
         self.kernel = Kernel()
         self.history = History()
-        self.watched = Watched()
-        self.resting = False  # nothing is drawn any more: what is there stays as it is to the end
+        self.subscriber_records = Watched()
+        self.quiescent = False  # nothing is drawn any more: what is there stays as it is to the end
 
     def now(self) -> int:
         return self.kernel.now
@@ -50,6 +52,6 @@
             self.kernel.sleep((at - self.now()) / SECOND)
 
 
-def usual_disk() -> int:
+def default_disk_bytes() -> int:
     """Bytes of a folder."""
     return round(SCENARIO.limits.disk_mb * (1 << 20))
--- a/tests/lab/test_invariants.py
+++ b/tests/lab/test_invariants.py
@@ -5,8 +5,8 @@
 
 from cedarwick.lab.audit_subscribers import Ended, Evaluates, Gap, Matched, Occurred, Watched
 from cedarwick.lab.history import Gone, History, Life, Noticed
-from cedarwick.lab.invariants import Span as Out
-from cedarwick.lab.invariants import Terms, judge, majority_gone
+from cedarwick.lab.invariants import FaultSpan as Out
+from cedarwick.lab.invariants import Terms, find_majority_outages, judge
 from tests.lab.test_audit import MS, SCENARIO, SECOND, called, handed, killed
 
 OWN, COPY = Terms(senders=3), Terms(senders=3, ack="copy")
@@ -249,9 +249,9 @@
             Out(3, 6, frozenset([1]), "split"),
             Out(2, 8, frozenset([2]), "delay"),
         ]
-        self.assertEqual([(each.begin, each.end) for each in majority_gone(spans, 3)], [(3, 4), (4, 6)])
-        self.assertEqual([(each.begin, each.end) for each in majority_gone(spans, 4)], [(3, 4), (4, 6)])
-        self.assertEqual(majority_gone(spans, 5), [])
+        self.assertEqual([(each.begin, each.end) for each in find_majority_outages(spans, 3)], [(3, 4), (4, 6)])
+        self.assertEqual([(each.begin, each.end) for each in find_majority_outages(spans, 4)], [(3, 4), (4, 6)])
+        self.assertEqual(find_majority_outages(spans, 5), [])
 
 
 if __name__ == "__main__":
