--- a/cedarwick/lab/invariants.py
+++ b/cedarwick/lab/invariants.py
@@ -1,18 +1,20 @@
-"""The audit of several senders as one fleet: what `audit.py` judges of each, and what they promise together.
+"""The audit of a fleet of senders: the rules of `audit.py` for each sender, and the guarantees of the fleet as a whole.
 
     verdict = judge(scenario, history, ended, Terms(ack="copy", senders=5), watched)
 
-A pure function of what clients, partners, platform and subscribers saw, of what was done to senders and links
-(`Life`, `Gone`), and of the terms. Findings have the rules' numbers of `audit_rules.py`, and these of the fleet's own:
+`judge` is a pure function of what clients, partners, platform and subscribers observed, of the faults that were
+injected into senders and links (`Life`, `Gone`), and of the terms. Findings have the rule numbers of `audit_rules.py`,
+and these for the fleet:
 
-    11  one final answer in time, whoever gives it, though any one sender dies for good
-    12  one sender at a time fires for a message
-    13  'returned' says never ran: knowledge of attempts only grows
-    14  order by key across senders
-    15  each match of a subscriber once, in the order of its source, none missing outside a gap that it was notified of
+    11  a message gets one final answer in time, from any member, even if one sender is lost for good
+    12  at most one sender at a time has an attempt of a message in flight
+    13  'returned' means never ran: knowledge of attempts is never lost
+    14  messages of an order key keep their order across senders
+    15  a subscriber gets each match once, in the order of its source, with no match missing outside a reported gap
     16  an ended subscription delivers nothing
 
-Where what was seen leaves a doubt, it judges for the senders; each allowance is named where it is made.
+Where the observations are ambiguous, the audit decides in favour of the senders; each function documents its
+allowances.
 """
 
 from collections import defaultdict
@@ -41,25 +43,27 @@
 from cedarwick.lab.schedule import DOWN, LINKS, LOSING, SPLITS
 from cedarwick.lab.units import MS
 
-ISOLATED_ANSWER_WINDOW_US = 500 * MS  # so near to its deadline a holder that is cut off answers by itself
+ISOLATED_ANSWER_WINDOW_US = 500 * MS  # an isolated holder gives its own final answer this close to the deadline
 
 
 class Terms(msgspec.Struct, frozen=True, kw_only=True):
-    """What the fleet promises; times are milliseconds."""
+    """The guarantees of the fleet; times are in milliseconds."""
 
     senders: int
     ack: Literal["own", "copy"] = "own"
-    adopt_ms: float = 2500.0  # from the loss of a sender to the ends that were due meanwhile
-    lag_ms: float = 1000.0  # with `own`, what was taken so shortly before its sender's loss may have no copy
-    lease_ms: float = 1000.0  # who has been out so long holds fire, and knows it: a lease of 1.2 s, renewed before
-    across: bool = True  # whether order is judged between senders, too
+    adopt_ms: float = 2500.0  # limit from the loss of a sender to the final answers that fell due meanwhile
+    lag_ms: float = 1000.0  # with `own`, a message accepted this shortly before its sender's loss may have no copy
+    lease_ms: float = (
+        1000.0  # a sender out for this long starts no attempts: its lease of 1.2 s, renewed before, is over
+    )
+    across: bool = True  # whether order by key is also audited between senders
 
 
-# ---- what was done to them ----
+# ---- faults ----
 
 
 class FaultSpan(NamedTuple):
-    """A time in which some senders were out, or their links had a fault."""
+    """A period in which some senders were unavailable, or their links had a fault."""
 
     begin: int
     end: int
@@ -68,7 +72,7 @@
 
 
 def collect_fault_spans(history: History, lives: Lives) -> list[FaultSpan]:
-    """All faults and all times in which a sender was out, in the order of time."""
+    """Return all faults and all periods in which a sender was unavailable, in order of time."""
     found = [
         FaultSpan(begin, end, frozenset([sender]), "down")
         for sender, down_times in lives.unfit.items()
@@ -83,14 +87,14 @@
 
 
 def find_majority_outages(spans: list[FaultSpan], senders: int) -> list[FaultSpan]:
-    """When half of the senders or more were out at once, each counted once."""
+    """Return the periods in which half or more of the senders were unavailable; spans of one sender count once."""
     outages = [span for span in spans if span.kind == "down" or span.kind in DOWN or span.kind in SPLITS]
     edges = sorted({at for span in outages for at in (span.begin, span.end)})
     found = []
     for begin, end in zip(edges, edges[1:], strict=False):
         senders_hit = frozenset().union(*(span.senders_hit for span in outages if span.begin <= begin < span.end))
         if 2 * (senders - len(senders_hit)) <= senders:
-            found.append(FaultSpan(begin, end, senders_hit, "majority gone"))
+            found.append(FaultSpan(begin, end, senders_hit, "majority outage"))
     return found
 
 
@@ -98,7 +102,7 @@
 
 
 def judge(scenario: Scenario, history: History, ended: int, terms: Terms, watched: Watched | None = None) -> Verdict:
-    """Account for every message and judge rules and claims; `ended` is when the watching stopped, microseconds."""
+    """Account for every message and audit all rules. `ended`: when recording stopped, in microseconds."""
     cases = cases_of(history)
     lives = Lives(history)
     spans = collect_fault_spans(history, lives)
@@ -127,13 +131,14 @@
 def find_final_answer_violations(
     scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[FaultSpan], ended: int, terms: Terms
 ) -> Iterator[Finding]:
-    """What was taken on has one end, in time.
-
-    Allowed: `adopt_ms` from the begin of a fault that met anybody before it was due; the time in which a majority
-    was gone, and `adopt_ms` more; with `own`, what was taken within `lag_ms` of its sender's loss waits for that
-    sender to return, and is forgiven where its folder was lost. A notice that says 'failed' beside a delivery is
-    honest only where a fault lay between the two, or where each good answer was written to a caller that had left
-    (`delivered_unheard`); one by who was cut off (`cut_off_answer`) stands beside any end.
+    """Rule 11: an accepted message gets exactly one final answer, in time.
+
+    Allowances: `adopt_ms` from the start of a fault at any sender before the answer was due; the duration of a majority
+    outage and `adopt_ms` more; with `own`, a message accepted within `lag_ms` of its sender's loss waits for that
+    sender to return, and may be lost if its folder was lost. A 'failed' notice beside a delivery is correct only if a
+    fault lies between the two, or if each successful answer was written to a caller that had left
+    (`delivered_after_caller_left`); the notice of an isolated holder (`failed_while_isolated`) may stand beside any
+    final answer.
     """
     end_grace, restart_grace = round(scenario.rules.end_grace_ms * MS), round(scenario.rules.restart_grace_ms * MS)
     adoption_limit = round(terms.adopt_ms * MS)
@@ -168,18 +173,19 @@
 
 
 def delivered_after_caller_left(case: Case) -> bool:
-    """Whether every good answer was written after its caller had closed its sending side, as at a time-out.
+    """Whether every successful answer was written after its caller had closed its sending side, as on a time-out.
 
-    No caller can hear such an answer before it gives up, and 'failed' says that the message may have run.
+    No caller can read such an answer before it gives up, and 'failed' means that the message may have run.
     """
     return all(call.left for call in case.calls if call.status == 200)
 
 
 def failed_while_isolated(case: Case, notice: Noticed, spans: list[FaultSpan]) -> bool:
-    """Whether a 'failed' is that of a holder that was cut off, as its deadline came.
+    """Whether a 'failed' notice came from a holder that was isolated close to the message's deadline.
 
-    It can't know whether others have adopted the message, and may not wait until it can ask: an end in time that
-    says 'may have run' is what it owes. So whoever has adopted may deliver it, or give another end, beside this one.
+    Such a holder can't know whether another member has taken the message over, and must not wait until it can ask: it
+    has to give a final answer in time that means 'may have run'. So a successor may deliver the message, or give
+    another final answer, beside this one.
     """
     assert case.handed is not None
     near_deadline = abs(notice.at - case.handed.outer) <= ISOLATED_ANSWER_WINDOW_US
@@ -196,13 +202,13 @@
 
 
 def accepting_sender(case: Case) -> int:
-    """The sender that took it on: the one that was asked, or the holder of its session."""
+    """Return the sender that accepted the message: the one that the client called, or the holder of its session."""
     assert case.handed is not None
     return case.handed.sender if case.handed.taker < 0 else case.handed.taker
 
 
 def may_lack_copy(case: Case, spans: list[FaultSpan], terms: Terms) -> bool:
-    """Whether its taker may have been lost, or cut off, before anyone else knew of it."""
+    """Whether the accepting sender may have been lost or isolated before another member had a copy."""
     assert case.handed is not None
     accepted_at, replication_lag = case.handed.answered, round(terms.lag_ms * MS)
     return terms.ack == "own" and any(
@@ -214,7 +220,7 @@
 
 
 def folder_was_lost(case: Case, spans: list[FaultSpan], terms: Terms) -> bool:
-    """Whether its taker's folder was lost before anyone else knew of it."""
+    """Whether the accepting sender's folder was lost before another member had a copy."""
     assert case.handed is not None
     accepted_at = case.handed.answered
     return any(
@@ -225,10 +231,11 @@
 def find_calls_after_final_answer(
     scenario: Scenario, cases: dict[str, Case], spans: list[FaultSpan]
 ) -> Iterator[Finding]:
-    """Nothing goes out after the final answer.
+    """Rule 11: no attempt starts after the final answer.
 
-    Allowed: a repeatable message comes once more where a fault met the sender that had delivered it before its
-    record of that may have got about. A `cut_off_answer` does not bind whoever has adopted the message.
+    Allowances: a repeatable message may be delivered again if a fault hit the sender that had delivered it before its
+    record of the delivery may have been replicated. A final answer given by an isolated holder
+    (`failed_while_isolated`) does not bind a member that has taken the message over.
     """
     priority_classes = scenario.classes_by_name()
     for case in cases.values():
@@ -258,21 +265,21 @@
 
 
 def overlaps_fault(spans: list[FaultSpan], sender: int, begin: int, end: int) -> bool:
-    """Whether a fault met a sender within a time, or lasted into it."""
+    """Whether a fault of a sender overlaps a period."""
     return any(sender in span.senders_hit and span.begin <= end and begin <= span.end for span in spans)
 
 
-# ---- 12: one sender at a time ----
+# ---- 12: one attempt at a time ----
 
 
 def find_concurrent_attempts(
     scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[FaultSpan], terms: Terms
 ) -> Iterator[Finding]:
-    """Never two attempts of a message out at once.
+    """Rule 12: a message never has two attempts in flight at once.
 
-    An attempt ends with its answer, its connection or its sender's process. Allowed between two senders, and never for
-    an at-most-once message: the earlier one's sender had been out for `lease_ms` when the later one began, so its
-    attempt is a call that may have run and that nobody waits for.
+    An attempt ends with its answer, its connection or its sender's process. Allowance, between two senders and never
+    for an at-most-once message: the sender of the earlier attempt had been unavailable for `lease_ms` when the later
+    one started, so the earlier attempt is a call that may have run and that nobody waits for.
     """
     priority_classes = scenario.classes_by_name()
     lease = round(terms.lease_ms * MS)
@@ -305,16 +312,16 @@
 
 
 def in_flight_until(call: Called, lives: Lives) -> int:
-    """When a call was no longer out."""
+    """Return the time at which a call was no longer in flight: its end, or the end of its sender's process."""
     deaths = [at for at in lives.ends[call.sender] if at >= call.first]
     return min([call.ended if call.ended != NEVER else FOREVER, *deaths])
 
 
-# ---- 13: knowledge only grows ----
+# ---- 13: 'returned' means never ran ----
 
 
 def find_false_returns(cases: dict[str, Case]) -> Iterator[Finding]:
-    """'Returned' is said only of what no partner has run, or may have run."""
+    """Rule 13: 'returned' is reported only for messages that no partner has run or may have run."""
     for case in cases.values():
         returned = [notice for notice in case.notices if notice.state == "returned"]
         ran = [call for call in case.calls if call.ran or may_have_run(call)]
@@ -333,15 +340,15 @@
 def find_key_order_violations(
     scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[FaultSpan], terms: Terms
 ) -> Iterator[Finding]:
-    """Messages of one key go one after another, whoever took them.
-
-    Judged where the earlier one was answered before the later one was sent. Allowed: the earlier one's taker was
-    lost before anyone else knew of it (`own`); its call's sender died in the middle of it. Between two senders that
-    take or call, besides: a fault anywhere from when the earlier one was taken on, since it held up that one's
-    partition
-    (a copy's fault holds up its holder, too). Then a key rests elsewhere by what members tell, as far as peer
-    messages come and for some seconds, which is no promise; `tests/fleet/test_order_key_hints.py`
-    counts how often that does.
+    """Rule 14: messages of one order key are called one after another, whichever senders accepted them.
+
+    Audited where the earlier message was answered before the later one was sent. Allowances: the sender that accepted
+    the earlier message was lost before another member had a copy (`own`), or the sender of its call died during the
+    call. If more than one sender accepted or called the two messages, also any fault since the earlier message was
+    accepted, because it delays that message's partition (a fault of a replica also delays its holder). Meanwhile other
+    members hold the key back by the hints in peer messages, which arrive only as far as the network allows and expire
+    after some seconds, so order is not guaranteed; `tests/fleet/test_order_key_hints.py` counts how often messages are
+    overtaken.
     """
     adoption_limit = round(terms.adopt_ms * MS)
     cases_by_key: defaultdict[tuple[str, int], list[Case]] = defaultdict(list)
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -1,14 +1,15 @@
-"""Virtual time for a fleet in one process: a kernel on greenlets, and fakes for gevent, `time` and the link.
+"""Discrete-event simulation of a fleet in one process: a scheduler, and fakes for gevent, `time` and peer calls.
 
     kernel = Kernel()
-    with standing_in(kernel, carry):   the fleet's modules use the kernel; restored at the end
-        kernel.spawn_as(owner, call)
+    with patched_runtime(kernel, deliver, exchange_class):   the fleet's modules use the kernel; restored on exit
+        kernel.spawn_in(process, function)
         kernel.run(until)
     kernel.close()
 
-Time does not pass while code runs, and jumps to the next task that is due, so a day takes as long as its code, and
-one seed gives one order of events. Times are whole microseconds from the kernel's begin. A process of the day is an
-`Owner`: a dead one's tasks are never resumed, a stopped one's wait until it goes on.
+Virtual time stands still while code runs and then jumps to the next wake-up, so a simulated day takes only as long as
+its code runs, and a seed always gives the same order of events. Times are whole microseconds since the start of the
+kernel. A `VirtualProcess` owns the tasks of one simulated process: tasks of a dead process are never resumed, tasks of
+a stopped one are resumed when it continues.
 """
 
 import heapq
@@ -50,44 +51,46 @@
 from cedarwick.lab.units import SECOND
 from cedarwick.net import dispatch_state, dispatcher, notifications, submission
 
-WALL_CLOCK_AT_START = 1_790_000_000 * SECOND  # wall time at the kernel's begin
-BOOT_CLOCK_AT_START = 1000 * SECOND  # the boot clock then
-THREAD_CALL_S = 0.001  # seconds that a call in a thread takes
-IN_FLIGHT_POLL_S = 0.003  # seconds between two looks whether a peer message may go
-NO_TIMEOUT_S = 1e9  # seconds
+WALL_CLOCK_AT_START = 1_790_000_000 * SECOND  # microseconds since the epoch, at kernel time 0
+BOOT_CLOCK_AT_START = 1000 * SECOND  # microseconds since boot, at kernel time 0
+THREAD_CALL_S = 0.001  # duration of a call in the thread pool
+IN_FLIGHT_POLL_S = 0.003  # poll interval while the limit of calls in flight holds a peer message back
+NO_TIMEOUT_S = 1e9
 
-DeliverPeerMessage = Callable[
-    [str, str, bytes, "AsyncResult"], None
-]  # from, to, peer message; set to the answer, or None: reset
+# Arguments: caller, callee, encoded peer message, and the result, which is set to the answer, or to None on a reset.
+DeliverPeerMessage = Callable[[str, str, bytes, "AsyncResult"], None]
 
 
 class VirtualProcess:
-    """One process of a sender (one of its lives), which owns tasks."""
+    """One operating-system process of a sender, from start to exit; it owns tasks."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.dead = False
         self.stopped = False
-        self.deferred_wakeups: list[tuple[Task, int]] = []  # what was due while it was stopped
+        self.deferred_wakeups: list[
+            tuple[Task, int]
+        ] = []  # tasks, with their generations, that became due while it was stopped
 
 
 class Kernel:
-    """Resumes tasks in the order of virtual time, and within one moment in the order in which they became due."""
+    """Resumes tasks in the order of virtual time; wake-ups at the same time run in the order they were scheduled."""
 
-    running: ClassVar["Kernel"]  # the one within `standing_in`: what is made there is its own
+    running: ClassVar["Kernel"]  # set by `patched_runtime`; events created inside it belong to this kernel
 
     def __init__(self) -> None:
         self.now = 0
         self.current: Task | None = None
-        self.errors: list[str] = []  # traces of tasks that ended by an error
+        self.errors: list[str] = []  # tracebacks of tasks that raised an exception
         self.closed = False
         self.hub = greenlet.getcurrent()
         self._wakeups: list[tuple[int, int, Task, int]] = []
         self._sequence = 0
-        self._tasks: list[Task] = []  # Danger: a dead process's task must not be collected, that would run its code
+        # Keeps all tasks alive: collecting a dead process's greenlet would raise `GreenletExit` in it and run its code.
+        self._tasks: list[Task] = []
 
     def schedule(self, wake_at: int, task: "Task", generation: int | None = None) -> None:
-        """Resume a task then, unless something else has resumed it since."""
+        """Resume a task at `wake_at`, unless another wake-up resumes it first."""
         self._sequence += 1
         heapq.heappush(
             self._wakeups,
@@ -95,7 +98,7 @@
         )
 
     def run(self, until: int) -> None:
-        """All that is due up to a time."""
+        """Process every wake-up that is due up to and including `until`."""
         while self._wakeups and self._wakeups[0][0] <= until:
             wake_at, _, task, generation = heapq.heappop(self._wakeups)
             self.now = wake_at
@@ -115,39 +118,41 @@
         self.current = None
 
     def block(self) -> None:
-        """Switch away until somebody resumes this task."""
+        """Suspend the running task until a wake-up resumes it."""
         if self.closed:
             raise greenlet.GreenletExit
         self.hub.switch()
 
     def current_task(self) -> "Task":
-        """The running task."""
+        """Return the running task."""
         assert self.current is not None
         return self.current
 
     def spawn(self, function: Callable[..., Any], *arguments: Any) -> "Task":
-        """Start a task of the same owner."""
+        """Start a task in the process of the running task."""
         return self.spawn_in(self.current.process if self.current else None, function, *arguments)
 
     def spawn_in(self, process: VirtualProcess | None, function: Callable[..., Any], *arguments: Any) -> "Task":
+        """Start a task in a process; with None it belongs to the simulation itself."""
         task = Task(process, function, arguments)
         self._tasks.append(task)
         self.schedule(self.now, task)
         return task
 
     def sleep(self, seconds: float = 0) -> None:
+        """Suspend the running task; a positive duration lasts at least one microsecond."""
         self.schedule(self.now + (max(1, int(seconds * SECOND)) if seconds > 0 else 0), self.current_task())
         self.block()
 
     def resume_process(self, process: VirtualProcess) -> None:
-        """Continue a stopped process: the tasks that it has missed are due now."""
+        """Continue a stopped process: wake-ups that it missed are due now."""
         process.stopped = False
         for task, generation in process.deferred_wakeups:
             self.schedule(self.now, task, generation)
         process.deferred_wakeups = []
 
     def close(self) -> None:
-        """End every task that is left."""
+        """Terminate all remaining tasks."""
         self.closed = True
         for task in self._tasks:
             if task.greenlet:
@@ -155,16 +160,18 @@
         self._tasks, self._wakeups = [], []
 
     def joinall(self, tasks: Iterable["Task"], timeout: float = NO_TIMEOUT_S) -> None:
+        """Wait for tasks to finish, at most `timeout` seconds in all."""
         end = self.now + int(timeout * SECOND)
         for task in tasks:
             task.wait(max(0, end - self.now) / SECOND)
 
     def run_in_thread(self, function: Callable[..., Any], arguments: tuple[Any, ...]) -> Any:
+        """Call a function as if in the thread pool; it runs in the task itself, after a fixed delay."""
         self.sleep(THREAD_CALL_S)
         return function(*arguments)
 
     def gevent(self) -> SimpleNamespace:
-        """What the fleet's modules use of gevent."""
+        """Return a fake `gevent` module with the attributes that the fleet's modules use."""
         hub = SimpleNamespace(threadpool=SimpleNamespace(apply=self.run_in_thread))
         return SimpleNamespace(
             spawn=self.spawn,
@@ -178,7 +185,7 @@
         )
 
     def time(self) -> SimpleNamespace:
-        """What the fleet's modules use of `time`."""
+        """Return a fake `time` module with the attributes that the fleet's modules use."""
         return SimpleNamespace(
             monotonic=lambda: (BOOT_CLOCK_AT_START + self.now) / SECOND,
             time_ns=lambda: (WALL_CLOCK_AT_START + self.now) * 1000,
@@ -188,7 +195,7 @@
 
 
 class Event:
-    """A fake for gevent's Event."""
+    """A fake of `gevent.event.Event` in virtual time."""
 
     def __init__(self) -> None:
         self.kernel = Kernel.running
@@ -216,7 +223,7 @@
 
 
 class AsyncResult(Event):
-    """A fake for gevent's AsyncResult."""
+    """A fake of `gevent.event.AsyncResult` in virtual time."""
 
     value: Any = None
 
@@ -225,19 +232,20 @@
         super().set()
 
     def ready(self) -> bool:
+        """Whether the value is set."""
         return self.flag
 
     def wait_until_set(self, timeout: float) -> bool:
-        """Whether it is set within so many seconds."""
+        """Wait for the value, at most `timeout` seconds, and return whether it is set."""
         return super().wait(timeout)
 
     def wait(self, timeout: float | None = None) -> Any:
-        """The value; None where none comes within so many seconds."""
+        """Wait for the value and return it; None on a time-out."""
         super().wait(timeout)
         return self.value
 
     def get(self, timeout: float | None = None) -> Any:
-        """The value; TimeoutError where none comes within so many seconds."""
+        """Wait for the value and return it; raises `TimeoutError` on a time-out."""
         self.wait(timeout)
         if not self.flag:
             raise TimeoutError
@@ -245,7 +253,7 @@
 
 
 class Task(AsyncResult):
-    """A fake for a gevent greenlet."""
+    """A fake of `gevent.Greenlet` in virtual time."""
 
     def __init__(
         self, process: VirtualProcess | None, function: Callable[..., Any], arguments: tuple[Any, ...]
@@ -254,7 +262,7 @@
         self.process = process
         self.function = function
         self.arguments = arguments
-        self.generation = 0  # how often it was resumed: a wake-up for an earlier wait is void
+        self.generation = 0  # incremented on each resume, which cancels wake-ups of earlier waits
         self.links: list[Callable[[Task], object]] = []
         self.greenlet = greenlet.greenlet(self._run, parent=self.kernel.hub)
 
@@ -272,21 +280,22 @@
             link(self)
 
     def rawlink(self, link: Callable[["Task"], object]) -> None:
+        """Call `link` with this task when it ends."""
         self.links.append(link)
 
     def kill(self) -> None:
-        """Never resume the task; unlike by gevent's `kill`, nothing is raised in it."""
+        """Cancel all wake-ups of the task. Unlike with gevent's `kill`, no exception is raised in it."""
         self.generation += 1
         for link in self.links:
             link(self)
 
 
 class QueueEmptyError(Exception):
-    """Nothing came into the queue in time."""
+    """No item arrived in the queue before the time-out."""
 
 
 class Queue:
-    """A fake for a gevent queue with one reader."""
+    """A fake of `gevent.queue.Queue` with a single reader."""
 
     def __init__(self) -> None:
         self.items: deque[Any] = deque()
@@ -310,13 +319,13 @@
         return self.items[0]
 
 
-# ---- the link ----
+# ---- calls to peers ----
 
 
 class VirtualPeers:
-    """A fake for the calls to other members, with the link's bounds.
+    """A fake of `fleet.peer_client.Peers` with the same limits on calls.
 
-    `carry` takes a peer message and brings an answer.
+    Each encoded peer message goes to `deliver`, which sets the result to the encoded answer.
     """
 
     def __init__(
@@ -332,7 +341,7 @@
         self.verifier = verifier
         self.in_flight = in_flight
         self.open_calls: Counter[str] = Counter()
-        self.queues: defaultdict[tuple[str, bool], list[object]] = defaultdict(list)  # by member, and whether urgent
+        self.queues: defaultdict[tuple[str, bool], list[object]] = defaultdict(list)  # by member and urgency
         self.replace(members)
 
     def replace(self, members: Mapping[str, tuple[str, int]]) -> None:
@@ -346,9 +355,9 @@
         return self.peer_message(member, body, within_s).body
 
     def peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
-        """As the link's:
+        """Send a request and return the answer, as the real class does.
 
-        `PeerUnreachableError` without an answer in time, `PeerRefusedError` where the member says why not.
+        Raises `PeerUnreachableError` if no answer arrives in time, and `PeerRefusedError` if the member refuses.
         """
         if member not in self.members or self.open_calls[member] >= MAX_CALLS:
             raise PeerUnreachableError(member)
@@ -377,10 +386,10 @@
 
 
 class NoOpPart:
-    """A fake for a part of the fleet that the day does not run: every call of it does nothing."""
+    """A fake of a component that the simulation leaves out: each of its methods does nothing."""
 
     def __init__(self, *arguments: Any) -> None:
-        """As any part's."""
+        """Accept the arguments of any component."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *arguments: None
@@ -390,8 +399,10 @@
 def patched_runtime(
     kernel: Kernel, deliver: DeliverPeerMessage, exchange_class: Callable[..., exchange.Exchange]
 ) -> Iterator[None]:
-    """Within it the fleet's modules have the kernel's time and greenlets, the given network, and what is `watching`
-    in the place of `Exchange`."""
+    """Patch the fleet's modules to use the kernel's time and greenlets, the network `deliver` and `exchange_class`.
+
+    The original attributes are restored on exit.
+    """
     fake_gevent, fake_time = kernel.gevent(), kernel.time()
 
     def peers(
@@ -399,7 +410,7 @@
     ) -> VirtualPeers:
         return VirtualPeers(kernel, deliver, verifier, members, in_flight)
 
-    # Their classes have the real events for a default.
+    # The constructors of these classes create real gevent events by default.
     factories: list[tuple[object, str, Any]] = [
         (session_submissions, "Submission", lambda stored: submission.Submission(stored, AsyncResult())),
         (dispatcher, "FrozenSession", lambda frozen=dispatch_state.FrozenSession: frozen(AsyncResult())),
--- a/cedarwick/lab/virtual_clients.py
+++ b/cedarwick/lab/virtual_clients.py
@@ -1,4 +1,4 @@
-"""Clients of a virtual day, who submit messages, and an operator, who moves sessions and drains senders; all drawn."""
+"""Simulated clients of a virtual day, and an operator who moves sessions and drains senders at random times."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -12,27 +12,28 @@
 from cedarwick.lab.virtual_state import SCENARIO, DayState
 from cedarwick.store.records import StoredMessage
 
-CLIENT_TIMEOUT_US = 400_000  # microseconds that a client waits
-SENDER_LOSS_NOTICED_US = SECOND // 2  # so long after a sender's end clients go to others
-SESSION_COUNT = 6  # sessions
-MEAN_STAY_S = 3.0  # seconds that the client of a session stays with one sender, on the average
-RESUBMIT_PROBABILITY = 0.1  # how many clients submit once more what was answered
-MEAN_RESUBMIT_DELAY_S = 0.5  # seconds until then, on the average
-MEAN_MOVE_INTERVAL_S = 0.4  # seconds between two sessions that the operator moves, on the average
-MEAN_DRAIN_INTERVAL_S = 4.0  # seconds between two drains by the operator
-DRAIN_DURATION_RANGE_S = (0.5, 2.5)  # seconds
+CLIENT_TIMEOUT_US = 400_000  # time that a client waits for an answer
+SENDER_LOSS_NOTICED_US = SECOND // 2  # delay after which clients avoid a sender that has ended
+SESSION_COUNT = 6
+MEAN_STAY_S = 3.0  # mean time for which the client of a session uses one sender
+RESUBMIT_PROBABILITY = 0.1  # share of the answered messages that are submitted once more
+MEAN_RESUBMIT_DELAY_S = 0.5
+MEAN_MOVE_INTERVAL_S = 0.4  # mean time between two session moves by the operator
+MEAN_DRAIN_INTERVAL_S = 4.0  # mean time between two drains by the operator
+DRAIN_DURATION_RANGE_S = (0.5, 2.5)
 
 
 class SimulatedClients:
-    """Submit messages, open loop, each at a sender that it knows."""
+    """Submit messages in an open loop, each to a sender that the client believes to be up."""
 
     def __init__(self, day: DayState, senders: Sequence[Sender]) -> None:
         self.day = day
         self.senders = senders
-        self.senders_by_session: dict[int, tuple[Sender, int]] = {}  # by session: where its client is, and until when
+        # By session: the sender that its client uses, and the time at which the client leaves that sender.
+        self.senders_by_session: dict[int, tuple[Sender, int]] = {}
 
     def submit_until(self, until: int) -> None:
-        """Messages come until then, microseconds of virtual time."""
+        """Submit messages at random intervals until a virtual time, in microseconds."""
         while self.day.now() < until:
             self.day.kernel.sleep(self.day.rng.expovariate(SCENARIO.load.rate))
             priority_class = self.day.rng.choice(SCENARIO.priority_classes)
@@ -47,7 +48,11 @@
             self.day.kernel.spawn_in(None, self._submit_new_message, priority_class, order_key)
 
     def _choose_sender(self, order_key: int) -> Sender:
-        """The sender that a client submits to: for one key always the same, as long as that one runs."""
+        """Choose the sender for a message.
+
+        Without sessions, an order key always maps to the same sender while it runs. With sessions, the client of a key
+        stays with a random sender for a while.
+        """
         usable = [
             each for each in self.senders if each.running or self.day.now() - each.ended_at < SENDER_LOSS_NOTICED_US
         ]
@@ -95,8 +100,9 @@
         )
         self._submit_to(handed, message, sender, withdraw_late=True)
         if self.day.fleet_config.sessions and handed.answer != "none" and self.day.rng.random() < RESUBMIT_PROBABILITY:
-            # The same once more, under the same id: it must not be taken twice, wherever its session is by then.
-            # Where its client has gone without an answer, it may be withdrawn just as the second one is answered +OK.
+            # Submits the message again under the same id: it must not be accepted twice, wherever its session is by
+            # then. Not if the client left without an answer: the first submission may be withdrawn just as the second
+            # is answered +OK.
             self.day.kernel.sleep(self.day.rng.expovariate(1 / MEAN_RESUBMIT_DELAY_S))
             if self.day.now() < deadline:
                 self._submit_to(
@@ -107,9 +113,9 @@
                 )
 
     def _submit_to(self, handed: Handed, message: StoredMessage, sender: Sender, withdraw_late: bool) -> None:
-        """Submit to a sender, and record its answer, except where another one has taken it before.
+        """Submit to a sender and record its answer, unless an earlier submission was accepted.
 
-        `hasty`: what is taken for a client that has gone by then is withdrawn.
+        `withdraw_late`: the sender withdraws the message if the client has timed out when it is accepted.
         """
         submitted_at, process, result, gives_up_at = (
             self.day.now(),
@@ -132,7 +138,7 @@
         answer = (
             result.value if result.flag else "down" if not sender.running and self.day.now() == submitted_at else "none"
         )
-        # Danger: who has not answered may have taken it, whatever the next one says.
+        # A sender that did not answer may have accepted the message, so a later refusal must not replace "none".
         handed.answer = answer if answer in ("ok", "none") or not handed.answer else handed.answer
         handed.answered, handed.sender = self.day.now(), sender.number
         if answer == "ok" and self.day.fleet_config.sessions:
@@ -145,14 +151,14 @@
 
 
 class SimulatedOperator:
-    """Calls of the management address where sessions are on."""
+    """Simulates an operator's session moves and drains, for days with sessions."""
 
     def __init__(self, day: DayState, senders: Sequence[Sender]) -> None:
         self.day = day
         self.senders = senders
 
     def move_sessions(self) -> None:
-        """Move sessions between senders."""
+        """Move random sessions to random senders, until the day is quiescent."""
         while not self.day.quiescent:
             self.day.kernel.sleep(self.day.rng.expovariate(1 / MEAN_MOVE_INTERVAL_S))
             order_key, target = self.day.rng.randint(1, SESSION_COUNT), self.day.rng.choice(self.senders).name
@@ -166,7 +172,7 @@
                     sender.call_management("MOVE", f"{order_key:x} {target}")
 
     def drain_senders(self) -> None:
-        """Drain one sender after another for a moment."""
+        """Drain random senders, one at a time and for a short while, until the day is quiescent."""
         while not self.day.quiescent:
             self.day.kernel.sleep(self.day.rng.expovariate(1 / MEAN_DRAIN_INTERVAL_S))
             sender = self.day.rng.choice(self.senders)
--- a/cedarwick/lab/virtual_day.py
+++ b/cedarwick/lab/virtual_day.py
@@ -1,9 +1,10 @@
-"""Days of a fleet in one process with virtual time: `python -m cedarwick.lab.virtual_day FIRST LAST [--senders N] ...`.
+"""Simulates a fleet in one process in virtual time: `python -m cedarwick.lab.virtual_day FIRST LAST [OPTION]...`.
 
-The members, their desks, decisions, peer messages, notices and files are the real ones. Network, partners, clients and
-the platform are drawn from the seed; faults are those of `schedule.py`, carried out on the drawn network and on the
-senders' folders; `invariants.py` judges what was seen. One seed gives one day. Prints a JSON line for each day: its
-seed, findings and account; ends with 1 where there are findings.
+The members run the real code for dispatch, decisions, peer messages, notices and storage. Network, partners, clients
+and the platform are simulated with random numbers from the seed. The faults are those of `schedule.py`, injected into
+the simulated network and the senders' folders, and `invariants.py` audits the recorded history. A seed always gives the
+same day. Prints a JSON line for each day with its seed, findings and account; the exit status is 1 if there are any
+findings.
 """
 
 import argparse
@@ -34,23 +35,18 @@
 Ack = Literal["own", "copy"]
 Alone = Literal["busy", "own"]
 
-HALL_PATTERNS = {
-    3: "eew",
-    4: "eeww",
-    5: "eeeww",
-    6: "eeewww",
-    7: "eeeewww",
-}  # by the number of senders: each one's hall
-STARTUP_DELAY_S = 1.8  # seconds from when all senders are ready to the first message
-MAX_END_WAIT_US = 12 * SECOND  # the longest that ends are awaited after the last fault
-REQUIRED_IDLE_CHECKS = 10  # looks in a row, a tenth of a second apart, that find nothing owed
+# By the number of senders: the hall of each, "e" for east and "w" for west.
+HALL_PATTERNS = {3: "eew", 4: "eeww", 5: "eeeww", 6: "eeewww", 7: "eeeewww"}
+STARTUP_DELAY_S = 1.8  # delay between readiness of all senders and the first message
+MAX_END_WAIT_US = 12 * SECOND  # limit on the wait for final answers after load and faults
+REQUIRED_IDLE_CHECKS = 10  # successive checks, 0.1 s apart, that find no unfinished message
 
 
 class Day:
-    """One drawn day, from the start of its senders to its last end."""
+    """One simulated day, from the start of its senders to the last final answer."""
 
     def __init__(self, state: DayState, seconds: float, subscribers: int) -> None:
-        """`seconds`: how long messages come; `subscribers`: how many."""
+        """`seconds`: duration of the load; `subscribers`: their number."""
         self.state = state
         self.seconds = seconds
         partners = SimulatedPartners(state)
@@ -61,10 +57,10 @@
         self.operator = SimulatedOperator(state, self.senders)
         self.subscribers = SimulatedSubscribers(state, self.senders, subscribers)
         self.tasks: list[Task] = []  # the load and the faults
-        self.ended_at = 0  # when the watching stopped
+        self.ended_at = 0  # virtual time at which recording ended; 0 while the day runs
 
     def run(self, faults: list[DrawnFault]) -> None:
-        """`TimeoutError` where the day does not end."""
+        """Run the day; raises `TimeoutError` if it does not end within the limit of virtual time."""
         with patched_runtime(self.state.kernel, self.network.deliver, self.subscribers.exchange_class()):
             try:
                 self.state.kernel.spawn_in(None, self._run, faults)
@@ -75,7 +71,9 @@
                 for sender in self.senders:
                     sender.close()
         if not self.ended_at and not self.state.kernel.errors:
-            raise TimeoutError(f"the day of seed {self.state.seed} is not over after {DAY_LIMIT_US // SECOND} s")
+            raise TimeoutError(
+                f"the day of seed {self.state.seed} did not end within {DAY_LIMIT_US // SECOND} s of virtual time"
+            )
 
     def _run(self, faults: list[DrawnFault]) -> None:
         kernel = self.state.kernel
@@ -105,7 +103,7 @@
         self.ended_at = self.state.now()
 
     def _has_unfinished(self) -> bool:
-        """Whether a message that was taken has no end yet."""
+        """Whether an accepted message has neither a notice nor a delivery yet."""
         ended = {each.id for each in self.state.history.noticed}
         ended |= {each.id for each in self.state.history.called if each.status == 200}
         return any(each.answer == "ok" and each.id not in ended for each in self.state.history.handed)
@@ -124,12 +122,13 @@
     sessions: bool = False,
     subscribers: int = 0,
 ) -> Verdict:
-    """The verdict on the day of a seed. An error in the program is a finding of rule 0; `history`: a file to write.
+    """Run the day of a seed and return the audit's verdict. An exception in the program is a finding of rule 0.
 
-    `level`: "hard" has twice as many faults, shorter ones, and receivers that are bad more often; on the "worst"
-    days most of all calls are refused, hang or are reset, so that little is delivered. "calm": bad receivers alone. The
-    audit of order between senders allows for every fault, so it says most where sessions move on calm days.
-    `sessions`: every message has a key, clients change senders, an operator moves sessions and drains senders.
+    `history`: a file to write the history to. `level`: "hard" has twice as many faults, shorter ones, and receivers
+    that fail more often; on "worst" days most calls are refused, hang or are reset, so that little is delivered; "calm"
+    has failing receivers but no other faults. The audit of order across senders makes an allowance for every fault, so
+    it is strictest with sessions that move on calm days. `sessions`: every message has an order key, clients change
+    senders, and an operator moves sessions and drains senders.
     """
     halls = {"e": "east", "w": "west"}
     fleet_config = Fleet(
@@ -153,16 +152,16 @@
         day.run(faults)
     if history:
         state.history.write(history)
-    # What goes on alone promises no more than the own folder.
+    # A sender that accepts messages while isolated guarantees no more than its own folder does.
     terms = invariants.Terms(senders=senders, ack="own" if alone == "own" else ack)
     subscriber_records = state.subscriber_records if subscribers else None
     verdict = invariants.judge(SCENARIO, state.history, day.ended_at or state.now(), terms, subscriber_records)
-    verdict.findings[:0] = [Finding(0, (), error) for error in state.kernel.errors]  # the day has ended with it
+    verdict.findings[:0] = [Finding(0, (), error) for error in state.kernel.errors]  # an exception ends the day
     return verdict
 
 
 def log_format(_: object) -> str:
-    """The format of a line of the log: virtual time, and whose it is."""
+    """Return the format of a log line: virtual time and the name of the process."""
     kernel = Kernel.running
     process = kernel.current.process if kernel.current is not None else None
     return f"{kernel.now / SECOND:8.3f} {process.name if process is not None else '--'} {{message}}\n"
@@ -176,18 +175,22 @@
     parser.add_argument("--ack", default="own", choices=("own", "copy"))
     parser.add_argument("--alone", default="busy", choices=("busy", "own"))
     parser.add_argument("--copies", type=int, default=1)
-    parser.add_argument("--seconds", type=float, default=8.0, help="in which messages come")
+    parser.add_argument("--seconds", type=float, default=8.0, help="duration of the load")
     parser.add_argument("--kinds", nargs="+", default=KINDS, choices=KINDS, metavar="KIND", help=", ".join(KINDS))
     parser.add_argument(
         "--level",
         default="usual",
         choices=("calm", "usual", "hard", "worst"),
-        help="how many faults, and what partners are like",
+        help="number of faults and behaviour of the partners",
     )
-    parser.add_argument("--sessions", action="store_true", help="sessions that change senders")
-    parser.add_argument("--subscribers", type=int, default=0, help="that follow events here and there")
-    parser.add_argument("--history", default="", metavar="FOLDER", help="write each day's history to a file in it")
-    parser.add_argument("--log", action="store_true", help="what the senders log, to the standard error")
+    parser.add_argument(
+        "--sessions", action="store_true", help="give each message an order key and move sessions between senders"
+    )
+    parser.add_argument("--subscribers", type=int, default=0, help="number of subscribers that follow events")
+    parser.add_argument(
+        "--history", default="", metavar="FOLDER", help="write the history of each day to a file in FOLDER"
+    )
+    parser.add_argument("--log", action="store_true", help="write the senders' log to standard error")
     options = parser.parse_args(arguments)
     logger.remove()
     if options.log:
--- a/cedarwick/lab/virtual_faults.py
+++ b/cedarwick/lab/virtual_faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults that `schedule.py` draws for a virtual day: on its network, its senders and their folders."""
+"""Injects the faults that `schedule.py` draws for a virtual day into its network, its senders and their folders."""
 
 import os
 import random
@@ -16,11 +16,11 @@
 from cedarwick.lab.virtual_senders import Sender
 from cedarwick.lab.virtual_state import STATE_POLL_S, DayState, Link, default_disk_bytes
 
-FULL_DISK_BYTES = 10_000  # bytes of a folder whose disk is full
+FULL_DISK_BYTES = 10_000  # size limit of a state folder during a disk-full fault
 
 
 class FaultRunner:
-    """Begins and ends each fault at its time, and writes it to the history."""
+    """Starts and ends each fault on schedule and records it in the history."""
 
     def __init__(self, day: DayState, network: SimulatedNetwork, senders: Sequence[Sender]) -> None:
         self.day = day
@@ -28,7 +28,7 @@
         self.senders = senders
 
     def run_fault(self, drawn: DrawnFault, load_begin: int) -> None:
-        """One of them, to its end; `begun`: when the load began, microseconds of virtual time."""
+        """Inject one fault and wait for its end; `load_begin` is the virtual start time of the load."""
         self.day.sleep_until(load_begin + drawn.begin)
         logger.info("{}", drawn.line())
         end = load_begin + drawn.end
@@ -47,10 +47,10 @@
             self._run_at_sender(drawn, self.senders[drawn.on[0]], end)
 
     @contextmanager
-    def _apply_to_links(self, drawn: DrawnFault, fault: Fault, pairs: Sequence[Link]) -> Iterator[None]:
-        """Apply a fault to some links while it lasts."""
+    def _apply_to_links(self, drawn: DrawnFault, fault: Fault, links: Sequence[Link]) -> Iterator[None]:
+        """Apply a fault to links for the duration of the context, and record it on exit."""
         began = self.day.now()
-        faults = [(link, msgspec.structs.replace(fault)) for link in pairs]
+        faults = [(link, msgspec.structs.replace(fault)) for link in links]
         self.network.faults += faults
         yield
         self.network.faults = [each for each in self.network.faults if all(each is not other for other in faults)]
@@ -92,7 +92,7 @@
 
 
 def corrupt_file(folder: str, seed: int) -> None:
-    """Flip some bytes of one of the files, both drawn."""
+    """Flip up to 64 bytes of a randomly chosen file at a random offset."""
     paths = sorted(os.path.join(directory, name) for directory, _, names in os.walk(folder) for name in names)
     not_empty = [path for path in paths if os.path.getsize(path)]
     if not not_empty:
--- a/cedarwick/lab/virtual_network.py
+++ b/cedarwick/lab/virtual_network.py
@@ -1,4 +1,4 @@
-"""The drawn network of a virtual day: carries peer messages between senders, as its faults have it."""
+"""The simulated network of a virtual day: delivers peer messages between senders, subject to network faults."""
 
 from collections.abc import Iterator, Sequence
 
@@ -9,7 +9,7 @@
 
 
 class SimulatedNetwork:
-    """Carries peer messages between senders, as the faults that are on have it."""
+    """Delivers peer messages between senders, subject to the faults that are active."""
 
     def __init__(self, day: DayState, senders: Sequence[Sender]) -> None:
         self.day = day
@@ -17,7 +17,7 @@
         self.faults: list[tuple[Link, Fault]] = []
 
     def deliver(self, caller: str, callee: str, peer_message: bytes, result: AsyncResult) -> None:
-        """As `virtual.Carry`."""
+        """Deliver a request and set `result` to its answer, as `virtual.DeliverPeerMessage` describes."""
         self.day.kernel.spawn_in(None, self._deliver, (int(caller[1:]), int(callee[1:])), peer_message, result)
 
     def _deliver(self, link: Link, peer_message: bytes, result: AsyncResult) -> None:
@@ -42,7 +42,7 @@
             self.day.kernel.spawn_in(sender.process, sender.answer_peer_message, peer_message, AsyncResult())
 
     def _passes(self, link: Link, way: Way, loss_kind: str, size: int, result: AsyncResult) -> bool:
-        """Whether a message gets through, after its time on the way; the box is set where its connection is reset."""
+        """Wait for the transit time and return whether the message arrives; sets `result` to None on a reset."""
         loss = self._draw_fault(link, loss_kind, way)
         if loss is not None and loss.then == "silent":
             return False
@@ -64,7 +64,7 @@
         return (fault for faulty_link, fault in self.faults if faulty_link == link and fault.goes(way))
 
     def _draw_fault(self, link: Link, kind: str, way: Way) -> Fault | None:
-        """The first fault of a kind that meets this message, by its share."""
+        """Return the first active fault of a kind that affects this message; each does with probability `share`."""
         rng = self.day.rng
         return next(
             (each for each in self._active_faults(link, way) if each.kind == kind and rng.random() < each.share), None
@@ -74,7 +74,7 @@
         return (fault.ms + self.day.rng.uniform(0, fault.jitter_ms)) / 1000
 
     def _transit_s(self, link: Link, way: Way, size: int) -> float:
-        """Seconds that a message is on its way."""
+        """Return the transit time of a message."""
         duration_s = self.day.rng.uniform(0.0001, 0.0008)
         for fault in self._active_faults(link, way):
             if fault.kind == "delay":
--- a/cedarwick/lab/virtual_partners.py
+++ b/cedarwick/lab/virtual_partners.py
@@ -1,4 +1,4 @@
-"""Drawn partners and platform of a virtual day, and fakes for a sender's attempts and notices."""
+"""Simulated partners and platform of a virtual day, and fakes of a sender's attempt runner and notifier."""
 
 import json
 from bisect import bisect_right
@@ -15,18 +15,19 @@
 from cedarwick.net.notifications import Notifier
 
 ANSWERS = ("ok", "full", "error", "hang", "reset")
-# How often partners answer so: a receiver that is well, one in a bad spell, and all of the worst days.
+# Relative frequency of each answer: for a healthy receiver, for a failing one, and for all receivers on "worst" days.
 HEALTHY_WEIGHTS, FAILING_WEIGHTS, WORST_WEIGHTS = (970, 20, 4, 3, 3), (10, 25, 20, 25, 20), (30, 15, 10, 25, 20)
-# Seconds that a receiver is well and bad, on the average. Danger: failures that come one by one, at any call, are no
-# fault that a partner has; the decisions take each for an outage, and hardly anything is delivered.
+# Mean duration in seconds of a receiver's healthy and failing phases. Failures have to come in phases: with independent
+# failures at any call, which real partners don't have, the decisions take each for an outage and hardly anything is
+# delivered.
 MEAN_PHASE_S = {"calm": (4.0, 1.5), "usual": (8.0, 0.8), "hard": (4.0, 1.5)}
 STATUS_BY_ANSWER = {"ok": 200, "full": 503, "error": 500}
 OUTCOME_BY_ANSWER = {"ok": Outcome.COMPLETED, "full": Outcome.FULL, "error": Outcome.ERROR, "reset": Outcome.RESET}
-MAX_CLEARANCE_AGE_US = 50_000  # a clearance that rests on an older look at the sockets is asked for anew
+MAX_CLEARANCE_AGE_US = 50_000  # a clearance based on an older poll of the sockets is requested again
 
 
 class SimulatedPartners:
-    """The receivers of all destinations: what each answers, and what it sees of a call."""
+    """The receivers of all destinations: draws their answers and records the calls that they see."""
 
     def __init__(self, day: DayState) -> None:
         self.day = day
@@ -35,7 +36,7 @@
         ]
 
     def _draw_phase_changes(self) -> list[int]:
-        """When a receiver turns bad, and well again, in turn."""
+        """Draw the times at which a receiver starts to fail and recovers, alternately."""
         if self.day.level == "worst":
             return []
         changes, change_at = [], 0.0
@@ -46,7 +47,7 @@
         return changes
 
     def answer_weights(self, receiver: int) -> Sequence[int]:
-        """How often a receiver gives each answer now."""
+        """Return the relative frequency of each answer of a receiver at this time."""
         if self.day.level == "worst":
             return WORST_WEIGHTS
         return (
@@ -54,7 +55,7 @@
         )
 
     def serve(self, record: Called, process: VirtualProcess, answer: str, answers_at: int) -> None:
-        """What a partner sees of a call, until it has answered or the caller has gone."""
+        """Record how a call ends at its partner: it answers at `answers_at`, unless the caller leaves before."""
         while self.day.now() < answers_at and not process.dead and record.ended == NEVER:
             self.day.kernel.sleep(min(0.01, (answers_at - self.day.now()) / SECOND))
         record.ran = answer in ("ok", "reset") or answer in ("error", "hang") and self.day.rng.random() < 0.5
@@ -64,7 +65,7 @@
 
 
 class SimulatedNotifier(Notifier):
-    """Posts to a platform that takes a moment, and sometimes loses an answer."""
+    """A notifier whose platform answers after a short delay, and in 3 % of the posts loses its answer."""
 
     def __init__(
         self, day: DayState, sender: int, counters: Counters, acknowledged: Callable[[list[int]], None]
@@ -87,12 +88,12 @@
 
 
 class SimulatedAttemptRunner(AttemptRunner):
-    """Attempts at partners whose answers are drawn, with the looks before the first byte that the real ones make."""
+    """An attempt runner with simulated partners; it makes the same checks before sending as the real one."""
 
     def __init__(
         self, day: DayState, partners: SimulatedPartners, dispatcher: Dispatcher, sender: int, process: VirtualProcess
     ) -> None:
-        """For one process of a sender, `owner`."""
+        """`process`: the sender's process that makes the attempts."""
         self.day = day
         self.partners = partners
         self.dispatcher = dispatcher
@@ -101,7 +102,7 @@
         self.request_clearance = dispatcher.request_clearance
         self.report_result = dispatcher.attempt_ended
         self.in_flight = {}
-        self.records_by_number: dict[int, Called] = {}  # by message: the call that its partner has
+        self.records_by_number: dict[int, Called] = {}  # calls in flight, by message number
 
     def start(self, call: AttemptCall) -> None:
         task = self.day.kernel.spawn(self._run, call)
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -1,4 +1,4 @@
-"""Senders of a virtual day: the real parts of a fleet's member over drawn partners, process by process."""
+"""Senders of a virtual day: real fleet members with simulated partners, and the life cycle of their processes."""
 
 import os
 import traceback
@@ -30,12 +30,12 @@
 from cedarwick.ops.management import ManagementCommands, refuse_move, refuse_subscription
 from cedarwick.store.records import StoredMessage
 
-LEAVE_DELAY_S = 1.2  # seconds for which a sender that got SIGTERM goes on to take what was routed to it
-DRAIN_LIMIT_US = 2 * SECOND  # in which it ends what is out
+LEAVE_DELAY_S = 1.2  # after SIGTERM a sender still accepts messages that were routed to it
+DRAIN_LIMIT_US = 2 * SECOND  # time limit for its attempts in flight and pending notices
 
 
 class VirtualClock(Clock):
-    """The kernel's wall time; the loop looks at its sockets all the time."""
+    """The wall clock in the kernel's time. It also serves as a `PollClock` that has always just polled."""
 
     def __init__(self, kernel: Kernel) -> None:
         self.kernel = kernel
@@ -45,12 +45,12 @@
 
     @property
     def last_poll_at(self) -> int:
-        """As of `PollClock`."""
+        """The time of the last poll, as in `PollClock`: always now."""
         return self.now()
 
 
 class StrictCounters(Counters):
-    """Counters for which an error that the program would only log ends the day as a finding."""
+    """Counters that end the day with a finding on an exception that the program would only log."""
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__()
@@ -62,7 +62,7 @@
 
 
 class FakeClientListener:
-    """A fake for the client listener, as far as sessions and drains concern it."""
+    """A fake client listener with the parts that sessions and drains use."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
@@ -70,6 +70,7 @@
         self.submit_message: Callable[[StoredMessage], SubmitResult] = self.submit_to_dispatcher
 
     def submit_to_dispatcher(self, stored: StoredMessage) -> SubmitResult:
+        """Submit a message and wait for the result; the last item withdraws the message if it was accepted."""
         submission = Submission(stored, AsyncResult())
         self.dispatcher.submit(submission)
         response, wait_ms = submission.answer.get()
@@ -78,7 +79,7 @@
 
 
 class Sender:
-    """One sender over all its processes: its folder stays, the rest is made anew by each `start`."""
+    """One sender across restarts: its folder persists, and each `start` creates everything else anew."""
 
     def __init__(self, day: DayState, partners: SimulatedPartners, number: int) -> None:
         self.day = day
@@ -89,15 +90,16 @@
         os.makedirs(self.folder)
         self.process: VirtualProcess = VirtualProcess(self.name)
         self.running = self.terminating = False
-        self.node: FleetNode | None = None  # None until it is ready
+        self.node: FleetNode | None = None  # set while a process is ready
         self.disk_bytes = default_disk_bytes()
         self.ended_at = 0
         self.store: ReplicatedStore
         self.dispatcher: Dispatcher
         self.client_listener: FakeClientListener
-        self.management: SimpleNamespace  # what the management address calls
+        self.management: SimpleNamespace  # handlers of the management commands
 
     def start(self) -> None:
+        """Start a new process on the sender's folder."""
         self.process, self.running, self.terminating = VirtualProcess(self.name), True, False
         self._record_life("started")
         self.day.kernel.spawn_in(self.process, self._start)
@@ -155,11 +157,13 @@
         self._record_life("ready")
 
     def kill(self) -> None:
+        """End the process as SIGKILL does."""
         if self.running:
             self._record_life("killed")
             self.process_ended()
 
     def term(self) -> None:
+        """Shut the process down as on SIGTERM: it hands over its sessions, drains and exits."""
         if self.running:
             self._record_life("termed")
             self.terminating = True
@@ -184,21 +188,23 @@
         self.process_ended()
 
     def stop(self) -> None:
+        """Suspend the process as SIGSTOP does."""
         self._record_life("stopped")
         self.process.stopped = True
 
     def resume(self) -> None:
+        """Continue the process as SIGCONT does."""
         self.day.kernel.resume_process(self.process)
         self._record_life("continued")
 
     def process_ended(self) -> None:
-        """The process has ended."""
+        """Close the process and record its end."""
         self.close()
         self.ended_at = self.day.now()
         self._record_life("ended")
 
     def close(self) -> None:
-        """Kill the process: none of its tasks goes on, and its files stay as they are."""
+        """Make the process dead: its tasks are never resumed, and its files stay as they are."""
         self.running, self.process.dead = False, True
         if self.node is not None:
             self.node.replicas.close()
@@ -206,7 +212,7 @@
         self.node = None
 
     def submit(self, stored: StoredMessage, result: AsyncResult, client_gone: Callable[[], bool]) -> None:
-        """What a client is answered, into the box; `gone`: whether it has given up."""
+        """Submit a client's message and set `result` to the answer; `client_gone`: whether the client has timed out."""
         if self.node is None or self.terminating or not self.store.accepts_messages():
             result.set("busy")
             return
@@ -217,7 +223,7 @@
             result.set("ok" if admission is AdmissionResult.ACCEPTED else "busy")
 
     def call_management(self, name: str, argument: str) -> None:
-        """A management call in a task of its own; its answer is ignored."""
+        """Run a management command in a new task of the process, ignoring its answer."""
 
         def call() -> None:
             with suppress(CedarwickError):
@@ -226,7 +232,7 @@
         self.day.kernel.spawn_in(self.process, call)
 
     def answer_peer_message(self, peer_message: bytes, result: AsyncResult) -> None:
-        """The answer to a peer message, as the link's server gives it; None where nobody listens."""
+        """Answer a peer message as the real peer server does; the result is None if the node is not ready."""
         if self.node is None:
             result.set(None)
             return
@@ -239,6 +245,7 @@
         result.set(encode(response))
 
     def set_disk_limit(self, size_bytes: int) -> None:
+        """Set the size limit of the state folder, also for later processes."""
         self.disk_bytes = size_bytes
         if self.node is not None:
             self.store.set_limit(size_bytes)
--- a/cedarwick/lab/virtual_state.py
+++ b/cedarwick/lab/virtual_state.py
@@ -1,4 +1,4 @@
-"""What all parties of a drawn day share: its seed, settings, virtual time and history, and the scenario."""
+"""The state that all parts of a simulated day share (seed, settings, virtual time, history), and the scenario."""
 
 import random
 from typing import Literal
@@ -12,7 +12,7 @@
 from cedarwick.lab.virtual import Kernel
 
 Level = Literal["calm", "usual", "hard", "worst"]
-Link = tuple[int, int]  # who asks, who answers
+Link = tuple[int, int]  # numbers of the calling and the answering sender
 
 SCENARIO = Scenario(
     name="virtual",
@@ -21,16 +21,19 @@
     priority_classes=MIXED_CLASSES,
     partner=[Partner(name="hotel", destinations=3, workers=8, service=Service(mean_ms=20))],
 )
-RECEIVERS_PER_DESTINATION = 2  # of each destination
-DAY_LIMIT_US = 200 * SECOND  # a day that is not over by then has failed
-STATE_POLL_S = 0.02  # seconds between two looks at a state that is awaited
+RECEIVERS_PER_DESTINATION = 2
+DAY_LIMIT_US = 200 * SECOND  # a day that takes longer in virtual time fails
+STATE_POLL_S = 0.02  # poll interval while waiting for a state
 
 
 class DayState:
-    """One drawn day as its parties see it. Every draw is made from `chance`: their order makes the day."""
+    """Shared state of one simulated day.
+
+    Every random number comes from `rng`, so the order of the draws determines the day.
+    """
 
     def __init__(self, seed: int, fleet_config: Fleet, level: Level, scratch_dir: str) -> None:
-        """`scratch`: the directory that holds the senders' folders."""
+        """`scratch_dir`: the directory that holds the senders' state folders."""
         self.seed = seed
         self.fleet_config = fleet_config
         self.level = level
@@ -42,16 +45,18 @@
         self.kernel = Kernel()
         self.history = History()
         self.subscriber_records = Watched()
-        self.quiescent = False  # nothing is drawn any more: what is there stays as it is to the end
+        self.quiescent = False  # set when load and faults have ended: no further faults, moves or drains start
 
     def now(self) -> int:
+        """Return the virtual time in microseconds."""
         return self.kernel.now
 
     def sleep_until(self, at: int) -> None:
+        """Suspend the running task until a virtual time; returns at once if it has passed."""
         if at > self.now():
             self.kernel.sleep((at - self.now()) / SECOND)
 
 
 def default_disk_bytes() -> int:
-    """Bytes of a folder."""
+    """Return the size limit of a sender's state folder when no fault applies."""
     return round(SCENARIO.limits.disk_mb * (1 << 20))
--- a/cedarwick/lab/virtual_subscribers.py
+++ b/cedarwick/lab/virtual_subscribers.py
@@ -1,7 +1,7 @@
-"""Subscribers of a virtual day: each follows at one member after another, and what it received is stored for the audit.
+"""Simulated subscribers of a virtual day: each follows events at one member after another and records what it receives.
 
-Whether an event meets a filter is settled here by `reference_matcher.py`, at the source, before the source's own part
-looks at it.
+`reference_matcher.py` determines here which filters an event matches, at the source and before the source's exchange
+evaluates it, so the audit does not depend on the filter index under test.
 """
 
 import json
@@ -29,33 +29,34 @@
     'sender = "n1" and age > 50ms',
     "sample(1/3)",
 )
-MEAN_STAY_S = 3.0  # seconds that a subscriber stays at one member, on the average
-END_PROBABILITY = 0.25  # how many of its leavings end the subscription
-RECONNECT_DELAY_S = 0.1  # seconds until a connection that ended is followed by another
-EVENT_DRAIN_US = 8_000_000  # microseconds in which everybody is sent all: places, then what waited, then tries again
-PROBE_S = 1.0  # seconds in which what rises again would have an event
-MAX_EVENT_NUMBER = (1 << 62) - 1  # an event number after all others
+MEAN_STAY_S = 3.0  # mean time that a subscriber follows at one member
+END_PROBABILITY = 0.25  # probability that a subscriber ends its subscription on leaving a member
+RECONNECT_DELAY_S = 0.1  # delay between two connections of a subscriber
+EVENT_DRAIN_US = 8_000_000  # time to send all subscribers their positions, queued events and retries
+PROBE_S = 1.0  # time in which a subscription that was wrongly revived would receive an event
+MAX_EVENT_NUMBER = (1 << 62) - 1  # upper bound of all event numbers
 
 
 class FakeConnection:
-    """A fake for a subscriber's connection: what is written arrives a moment later, unless the subscriber has gone."""
+    """A fake of a subscriber's socket: data arrives after a short delay, unless the subscriber has closed it."""
 
     def __init__(self, subscriber: "SimulatedSubscriber") -> None:
         self.subscriber = subscriber
         self.kernel = subscriber.day.kernel
         self.latency_s = subscriber.day.rng.uniform(0.0002, 0.005)
-        self.closed_by_subscriber = False  # the subscriber has closed it
-        self.closed_by_member = False  # the member has
+        self.closed_by_subscriber = False
+        self.closed_by_member = False
 
     def settimeout(self, seconds: float) -> None:
-        """As a socket's."""
+        """Do nothing; part of the socket interface."""
 
     def setsockopt(self, *options: int) -> None:
-        """As a socket's."""
+        """Do nothing; part of the socket interface."""
 
     def sendall(self, data: bytes) -> None:
+        """Send data to the subscriber; raises `ConnectionResetError` if it has closed the connection."""
         if self.closed_by_subscriber:
-            raise ConnectionResetError("the subscriber has gone")
+            raise ConnectionResetError("the subscriber closed the connection")
         self.kernel.spawn_in(None, self._deliver, data)
 
     def _deliver(self, data: bytes) -> None:
@@ -66,7 +67,7 @@
 
 
 class SimulatedSubscriber:
-    """One subscriber. It begins subscriptions one after another, each under a name of its own."""
+    """One subscriber, with one subscription at a time; each of its subscriptions has a name of its own."""
 
     def __init__(self, group: "SimulatedSubscribers", number: int, generation: int = 1) -> None:
         self.subscribers = group
@@ -80,10 +81,11 @@
         self.expression = parse_filter(self.filter).term
 
     def matches_event(self, event: Event) -> bool:
+        """Whether the subscriber's filter matches an event, by the reference matcher."""
         return reference_matcher.matches(self.expression, event)
 
     def run(self) -> None:
-        """Follow here and there, for as long as the day lasts."""
+        """Follow events at random members until the day ends."""
         day = self.day
         while True:
             usable = [each for each in self.subscribers.senders if each.node is not None]
@@ -106,19 +108,19 @@
             day.kernel.sleep(RECONNECT_DELAY_S)
 
     def _end_subscription(self, sender: Sender) -> bool:
-        """Whether the subscription could be ended at a member."""
+        """End the subscription at a member; returns whether the member confirmed it."""
         answer = unfollow(sender, self.name)
         if not answer:
             return False
         self.subscribers.ended[self.name] = self
         if "not yet told" not in answer:
             self.records.ended.append(Ended(self.name, self.day.now()))
-        for source, at in self.cursors.items():  # it has gone, and is owed nothing more
+        for source, at in self.cursors.items():  # nothing more has to be delivered to it
             self.records.gaps.append(Gap(self.name, source, at + 1, MAX_EVENT_NUMBER, self.day.now()))
         return True
 
     def receive_line(self, connection: FakeConnection, line: str) -> None:
-        """Take one line of the stream."""
+        """Process one line of the event stream."""
         if not line.startswith("{"):
             connection.closed_by_member = connection.closed_by_member or line.startswith("NO")
             return
@@ -132,17 +134,17 @@
             self.cursors[record["source"]] = record["last"]
         elif record["type"] == "from":
             source, number = record["source"], record["number"]
-            if source in self.cursors:  # what lies between is kept no more
+            if source in self.cursors:  # events between the cursor and `number` are no longer stored
                 records.gaps.append(Gap(self.name, source, self.cursors[source] + 1, number - 1, at))
             records.evaluates.append(Evaluates(self.name, source, number, at))
             self.cursors[source] = number - 1
-        else:  # the source has ended, and what it had not handed over is lost
+        else:  # the source has ended, and events that it had not sent are lost
             records.gaps.append(Gap(self.name, record["source"], record["after"] + 1, MAX_EVENT_NUMBER, at))
             self.cursors.pop(record["source"], None)
 
 
 def follow(sender: Sender, connection: FakeConnection, arguments: str) -> None:
-    """In the member's process: a call of `FOLLOW`, as the management address answers it."""
+    """Handle a `FOLLOW` command in the member's process, as the management listener does."""
     try:
         answer = sender.management.subscription_handler(Call("FOLLOW", arguments))
         if not isinstance(answer, str):
@@ -154,7 +156,7 @@
 
 
 def unfollow(sender: Sender, name: str) -> str:
-    """What a member answers to `UNFOLLOW`; empty where it refuses, or does not answer."""
+    """Return a member's answer to `UNFOLLOW`; empty if it refuses or does not answer."""
     answers: list[str] = []
 
     def ask() -> None:
@@ -171,16 +173,16 @@
 
 
 class SimulatedSubscribers:
-    """All subscribers of a day, those whose subscriptions were ended among them."""
+    """All subscribers of a day, and the subscriptions that they have ended."""
 
     def __init__(self, day: DayState, senders: Sequence[Sender], count: int) -> None:
         self.day = day
         self.senders = senders
-        self.ended: dict[str, SimulatedSubscriber] = {}  # subscriptions that were ended, by name
+        self.ended: dict[str, SimulatedSubscriber] = {}  # subscriptions that were ended, by subscription name
         self.active = [SimulatedSubscriber(self, number) for number in range(count)]
 
     def probe_ended_subscriptions(self) -> None:
-        """At the end: an ended subscription can't be followed by its name alone, and gets nothing."""
+        """At the end of a day, try to follow each ended subscription by its name alone; nothing may be delivered."""
         day, records = self.day, self.day.subscriber_records
         recorded = {each.subscription for each in records.ended}
         for name, subscriber in self.ended.items():
@@ -195,12 +197,12 @@
                     connection.closed_by_subscriber = True
 
     def exchange_class(self) -> type[Exchange]:
-        """The class whose events the day's history has."""
+        """Create a subclass of `RecordingExchange` that is bound to these subscribers."""
         return type("Seen", (RecordingExchange,), {"subscribers": self})
 
 
 class RecordingExchange(Exchange):
-    """An exchange whose events are known to the day."""
+    """An exchange that records each event and the subscriptions that it matches."""
 
     subscribers: SimulatedSubscribers
 
--- a/tests/lab/test_virtual_days.py
+++ b/tests/lab/test_virtual_days.py
@@ -1,4 +1,4 @@
-"""Drawn days of a fleet in virtual time: clean in each setting, the same twice, and faults of a fleet are found."""
+"""Simulated days of a fleet: no findings in each setting, reproducible by seed, and injected defects are found."""
 
 import json
 import subprocess
@@ -35,54 +35,72 @@
 }
 
 
-def forgetful(fact: Fact, doubt_at: int = 0) -> StoredMessage:
-    """Who takes a message over knows nothing of its attempts."""
-    kept = stored_message_of(fact, doubt_at)
-    kept.attempts = kept.may_have_run_at = kept.in_flight_since = kept.records_lost_since = 0
-    return kept
+def forget_attempts(fact: Fact, doubt_at: int = 0) -> StoredMessage:
+    """Defect: a successor that takes a message over knows nothing of its attempts."""
+    stored = stored_message_of(fact, doubt_at)
+    stored.attempts = stored.may_have_run_at = stored.in_flight_since = stored.records_lost_since = 0
+    return stored
 
 
-def failing(*_: object) -> None:
-    raise ValueError("a beat")
+def raise_heartbeat_error(*_: object) -> None:
+    raise ValueError("heartbeat failed")
 
 
-def taken_anywhere(self: SessionRouter, kept: StoredMessage) -> SubmitResult:
-    """No session has a holder: who is asked takes."""
-    return self.client_listener.submit_to_dispatcher(kept)
+def accept_without_holder(self: SessionRouter, stored: StoredMessage) -> SubmitResult:
+    """Defect: each sender accepts messages itself instead of routing them to the session's holder."""
+    return self.client_listener.submit_to_dispatcher(stored)
 
 
-def released_early(self: MigrationTable, name: str, now: int) -> list[MigrationStep]:
-    """The source goes on as soon as the target has kept what it was offered."""
+def release_before_decision(self: MigrationTable, name: str, now: int) -> list[MigrationStep]:
+    """Defect: the source releases the session once the target has staged it, without waiting for the decision."""
     self.by_name[name].staged_answered = True
     return [MigrationStep(MigrationAction.RELEASE, name)]
 
 
-def closed_early(self: SessionMigrations, name: str, honest: Any = SessionMigrations._offer_session) -> None:
-    """The source has given all up before it offers it."""
+def discard_before_offer(self: SessionMigrations, name: str, original: Any = SessionMigrations._offer_session) -> None:
+    """Defect: the source discards the session's messages before it offers them."""
     self._discard_messages(name, SOURCE_MARK)
-    honest(self, name)
+    original(self, name)
 
 
-def dropped(self: Index, event: Event, honest: Any = Index.matches) -> list[str]:
-    """Every seventh event meets no filter."""
-    found: list[str] = honest(self, event)
-    return found if event.number % 7 else []
+def drop_every_seventh(self: Index, event: Event, original: Any = Index.matches) -> list[str]:
+    """Defect: every seventh event matches no filter."""
+    matching: list[str] = original(self, event)
+    return matching if event.number % 7 else []
 
 
-def forgotten(self: Registry, now: int, name: str) -> Entry:
-    """An end leaves nothing behind, so that others bring back what they hold."""
-    held = self._living(now, name)
+def forget_ended_subscription(self: Registry, now: int, name: str) -> Entry:
+    """Defect: ending a subscription leaves no tombstone, so other members restore their copies of it."""
+    entry = self._living(now, name)
     del self.entries[name]
-    return held
-
-
-# name: the part, what is put in its place, the day, a rule that it breaks
-BROKEN: dict[str, tuple[Any, str, Any, dict[str, Any], int]] = {
-    "a session is taken at two senders": (SessionRouter, "hand_in", taken_anywhere, {"sessions": True}, 2),
-    "a source goes on before the decision": (MigrationTable, "on_staged", released_early, {"sessions": True}, 12),
-    "a source closes too early": (SessionMigrations, "_offer_session", closed_early, {"sessions": True}, 11),
-    "a filter drops matches": (Index, "matches", dropped, {"subscribers": 3}, 15),
-    "an ended subscription rises again": (Registry, "end", forgotten, {"subscribers": 3}, 16),
+    return entry
+
+
+# name: patched object, attribute, replacement, options of the day, a rule that it violates
+INJECTED_DEFECTS: dict[str, tuple[Any, str, Any, dict[str, Any], int]] = {
+    "two senders accept messages of one session": (
+        SessionRouter,
+        "hand_in",
+        accept_without_holder,
+        {"sessions": True},
+        2,
+    ),
+    "a source releases a session before the decision": (
+        MigrationTable,
+        "on_staged",
+        release_before_decision,
+        {"sessions": True},
+        12,
+    ),
+    "a source discards a session before it offers it": (
+        SessionMigrations,
+        "_offer_session",
+        discard_before_offer,
+        {"sessions": True},
+        11,
+    ),
+    "a filter drops matches": (Index, "matches", drop_every_seventh, {"subscribers": 3}, 15),
+    "an ended subscription is restored": (Registry, "end", forget_ended_subscription, {"subscribers": 3}, 16),
 }
 
 
@@ -91,16 +109,16 @@
         logger.disable("cedarwick")
         self.addCleanup(logger.enable, "cedarwick")
 
-    def test_drawn_days_have_no_findings(self) -> None:
-        for name, told in SETTINGS.items():
+    def test_simulated_days_have_no_findings(self) -> None:
+        for name, options in SETTINGS.items():
             for seed in (1, 2):
                 with self.subTest(name, seed=seed):
-                    verdict = run_day(seed, seconds=SECONDS, **told)
+                    verdict = run_day(seed, seconds=SECONDS, **options)
                     self.assertEqual([], verdict.findings)
                     self.assertGreater(verdict.account.delivered, 100)
 
     def test_a_seed_gives_the_same_account_in_another_process(self) -> None:
-        run = [
+        command = [
             sys.executable,
             "-m",
             "cedarwick.lab.virtual_day",
@@ -114,25 +132,25 @@
             "--subscribers",
             "2",
         ]
-        told = json.loads(subprocess.run(run, capture_output=True, check=True, timeout=120).stdout)
+        line = json.loads(subprocess.run(command, capture_output=True, check=True, timeout=120).stdout)
         account = run_day(3, ack="copy", seconds=SECONDS, sessions=True, subscribers=2).account
-        self.assertEqual(told, {"seed": 3, "findings": [], "account": msgspec.to_builtins(account)})
-
-    def test_an_adopter_that_forgets_attempts_is_found(self) -> None:
-        told: dict[str, Any] = {"seconds": SECONDS, "kinds": ("kill", "folder-lost"), "level": "worst"}
-        self.assertEqual([], run_day(4, **told).findings)
-        with patch.object(replicated_store, "stored_message_of", forgetful):
-            self.assertIn(13, run_day(4, **told).broken())
-
-    def test_sessions_and_subscriptions_that_are_broken_on_purpose_are_found(self) -> None:
-        for name, (place, what, broken, told, rule) in BROKEN.items():
-            with self.subTest(name), patch.object(place, what, broken):
-                self.assertIn(rule, run_day(7, ack="copy", seconds=SECONDS, level="calm", **told).broken())
-        for told in ({"sessions": True}, {"subscribers": 3}):
-            self.assertEqual([], run_day(7, ack="copy", seconds=SECONDS, level="calm", **told).findings)
-
-    def test_an_error_in_the_program_is_a_finding(self) -> None:
-        with patch.object(node.FleetNode, "_receive_heartbeat", failing):
+        self.assertEqual(line, {"seed": 3, "findings": [], "account": msgspec.to_builtins(account)})
+
+    def test_successor_that_forgets_attempts_is_found(self) -> None:
+        options: dict[str, Any] = {"seconds": SECONDS, "kinds": ("kill", "folder-lost"), "level": "worst"}
+        self.assertEqual([], run_day(4, **options).findings)
+        with patch.object(replicated_store, "stored_message_of", forget_attempts):
+            self.assertIn(13, run_day(4, **options).broken())
+
+    def test_injected_defects_of_sessions_and_subscriptions_are_found(self) -> None:
+        for name, (target, attribute, replacement, options, rule) in INJECTED_DEFECTS.items():
+            with self.subTest(name), patch.object(target, attribute, replacement):
+                self.assertIn(rule, run_day(7, ack="copy", seconds=SECONDS, level="calm", **options).broken())
+        for options in ({"sessions": True}, {"subscribers": 3}):
+            self.assertEqual([], run_day(7, ack="copy", seconds=SECONDS, level="calm", **options).findings)
+
+    def test_exception_in_the_program_is_a_finding(self) -> None:
+        with patch.object(node.FleetNode, "_receive_heartbeat", raise_heartbeat_error):
             verdict = run_day(1, seconds=SECONDS)
-        self.assertIn("ValueError: a beat", verdict.findings[0].text)
+        self.assertIn("ValueError: heartbeat failed", verdict.findings[0].text)
         self.assertIs(vars(node)["gevent"], gevent)
