--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -405,7 +405,7 @@
     """
     fake_gevent, fake_time = kernel.gevent(), kernel.time()
 
-    def peers(
+    def make_peers(
         verifier: PeerVerifier, members: Mapping[str, tuple[str, int]], in_flight: int = MAX_CALLS_IN_FLIGHT
     ) -> VirtualPeers:
         return VirtualPeers(kernel, deliver, verifier, members, in_flight)
@@ -455,8 +455,8 @@
         ),
         *((module, "time", fake_time) for module in (member_state, node, replicated_store, session_routing, exchange)),
         (node, "PeerServer", NoOpPart),
-        (member_state, "Peers", peers),
-        (session_state, "Peers", peers),
+        (member_state, "Peers", make_peers),
+        (session_state, "Peers", make_peers),
         (member_state, "Exchange", exchange_class),
         (member_state, "Gossip", NoOpPart),
     ]
