--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -50,7 +50,7 @@
         self.grantor.replace_members(self.halls)
         self.exchange.replace(round(settings.follow_s * 1e6))
         if self.session_router is not None:
-            self.session_router.replace()
+            self.session_router.update_members()
         for takeover in self.takeovers.values():
             takeover.holder.replace_members(self.halls)
         if self.ownership is not None:
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -158,7 +158,7 @@
             session = self.directory.sessions.get(key)
             if session is not None:
                 self.directory.hold(
-                    key, max(sequence, session.sequence), self.directory.recent_ids(key, now), now, session.sure
+                    key, max(sequence, session.sequence), self.directory.recent_ids(key, now), now, session.is_certain
                 )
             self.dispatcher.unfreeze(key)
         pending = [
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -98,7 +98,7 @@
         self._adopt_staged(numbers, offer)
         # If the decision came late, another member may have inherited the session (without its messages) from a dead
         # source. This member must not claim to hold it then.
-        if offer is not None and not self.directory.superseded(key, parse_move_name(name)[1], offer[0].sequence):
+        if offer is not None and not self.directory.is_superseded(key, parse_move_name(name)[1], offer[0].sequence):
             staged, at = offer  # without an offer the recent ids are unknown here, and the session is claimed later
             ids = {each.id: (each.age + now - at, each.hashed) for each in staged.ids}
             self.directory.hold(key, sequence, ids, now, name not in self.staged_before_adoption)
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -214,7 +214,7 @@
         ends_upto = self.clock.now() + DEADLINE_MARGIN_US
         self.store.import_replica(holding, facts, term, doubt_at, unsent, unacknowledged, ends_upto)
         if self.session_router is not None:
-            self.session_router.adopted(holding.partition)
+            self.session_router.on_partition_adopted(holding.partition)
         slot = holding.partition >> EPOCH_BITS
         owner = next((name for name in self.halls if slot_of(name) == slot), "")
         self.exchange.adopted([self.store.messages[number] for number in self.store.numbers(holding.partition)], owner)
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -13,7 +13,7 @@
 
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, nothing_owed
-from cedarwick.fleet.sessions import ID_RETENTION_US, contents_hash
+from cedarwick.fleet.sessions import ID_RETENTION_US, hash_contents
 
 MAX_IDS = 1 << 16  # ids of one partition; beyond it the oldest are dropped, which shortens the period that is covered
 # The hash of unknown contents: any submission with such an id counts as a different request. It must be a valid hash (a
@@ -93,4 +93,4 @@
     """The hash of a submission, as at the holder; `UNKNOWN_HASH` for an ended message, whose body is not sent."""
     if end is not EndRank.NONE:
         return UNKNOWN_HASH
-    return contents_hash(base.key, base.priority_class, base.tenant, base.destination, base.body)
+    return hash_contents(base.key, base.priority_class, base.tenant, base.destination, base.body)
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -75,7 +75,7 @@
             return self.exchange.heard(sender, monotonic_time(), body)
         if (
             self.session_router is not None
-            and (said := self.session_router.heard(sender, incarnation, body)) is not None
+            and (said := self.session_router.handle_peer_message(sender, incarnation, body)) is not None
         ):
             return said
         raise UnknownPeerMessageError(f"a {type(body).__name__} from {sender!r}")
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -29,13 +29,13 @@
 class SessionInheritances(SessionState):
     """Inherits sessions of senders that are gone."""
 
-    def _copied(self, partition: int, step: Step, facts: list[Fact]) -> None:
+    def _record_replica_step(self, partition: int, step: Step, facts: list[Fact]) -> None:
         now = monotonic_time()
         if partition not in self.replica_recent_ids:
             self.replica_recent_ids[partition] = RecentIds(now)
         self.replica_recent_ids[partition].record(step, facts, now)
 
-    def adopted(self, partition: int) -> None:
+    def on_partition_adopted(self, partition: int) -> None:
         """Called when a partition is held here under a new term: keep the ids known from its copy for inheritance."""
         recent_ids, now = self.replica_recent_ids.pop(partition, None), monotonic_time()
         owner = next((name for name in self.node.halls if slot_of(name) == partition >> EPOCH_BITS), "")
@@ -95,7 +95,7 @@
         request = self.directory.begin_inheritance(key, ids, now)
         if request is None:
             return False
-        # Noted for `offered`: what no copy had was never answered, and may have been taken here since.
+        # Noted for `filter_offered_facts`: what no copy had was never answered, and may have been taken here since.
         inheritable.inherited_keys.add(key)
         self._ask_all(request, SessionInheritance(request.key, request.sequence, *request.over, partition, request.at))
         self.counters.add("sessions inherited" if key in self.directory.sessions else "inheritances that failed")
@@ -115,7 +115,7 @@
         ) or self.migrations.has_open_move(request.key)
         return self.directory.answer_inheritance(request, by, holds, may_have_moved, now)
 
-    def offered(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
+    def filter_offered_facts(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
         """Filter what the last holder of an adopted partition offers: messages of inherited sessions may not count."""
         inheritable, soon = self.inheritable_sessions.get(holding.partition), self.clock.now() + 2 * DEADLINE_MARGIN_US
         if inheritable is None or not inheritable.inherited_keys:
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -87,8 +87,8 @@
         session = self.directory.sessions.get(key)
         if (
             session is None
-            or not session.sure
-            or session.used < now - SESSION_TTL_US
+            or not session.is_certain
+            or session.last_used_at < now - SESSION_TTL_US
             or not self.store.accepts_messages()
         ):
             self.planner.note_end(key, session is None, now)
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -34,7 +34,7 @@
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_files import HeldSession, HeldSessions
 from cedarwick.fleet.session_submissions import SessionSubmissions
-from cedarwick.fleet.session_wire import entry_of, location_of
+from cedarwick.fleet.session_wire import entry_from_location, location_from_entry
 from cedarwick.fleet.sessions import (
     SESSION_TTL_US,
     ClaimAnswer,
@@ -83,25 +83,25 @@
     def __init__(self, node: SessionHost) -> None:
         super().__init__(node)
         if self.store.ack_after_replication:
-            node.replicas.on_step = self._copied
+            node.replicas.on_step = self._record_replica_step
 
     def attach(self, commands: ManagementCommands, client_listener: ClientListener, dispatcher: Dispatcher) -> None:
         """Take clients' submissions and operators' `MOVE` commands; called before the first peer message."""
         self.dispatcher = self.migrations.dispatcher = dispatcher
         self.restore_sessions()
         self.client_listener = client_listener
-        client_listener.submit_message = self.hand_in
-        commands.move_handler = self.move_on_command
+        client_listener.submit_message = self.route_submission
+        commands.move_handler = self.handle_move_command
 
     def stop(self) -> None:
         """Close the connections to the other members."""
         self.peers.close()
 
-    def replace(self) -> None:
+    def update_members(self) -> None:
         """Called when the node has a new list of members."""
         self.peers.replace(self.node.addresses)
         self.moves.voters = tuple(sorted(self.node.halls))
-        self.directory.members = len(self.node.halls)
+        self.directory.member_count = len(self.node.halls)
 
     def restore_sessions(self) -> None:
         """Go on with the sessions of the process that this one replaces, if it ended a moment ago."""
@@ -112,17 +112,19 @@
             for each in previous.sessions:
                 ids = {id: (then + age, hashed) for id, (then, hashed) in each.ids.items()}
                 self.directory.hold(each.key, each.sequence, ids, now)
-            self.partition = previous.partition  # if it was adopted meanwhile, `_mark_unsure_after_takeover` sees it
+            self.partition = previous.partition  # if it was adopted meanwhile, `_mark_uncertain_after_takeover` sees it
             logger.info("{} sessions of the process before go on", len(previous.sessions))
 
     def hand_over(self) -> None:
         """Write the held sessions for the process that replaces this one; raises `OSError`."""
         now = monotonic_time()
-        self._mark_unsure_after_takeover()
+        self._mark_uncertain_after_takeover()
         held = [
             HeldSession(key, session.sequence, self.directory.recent_ids(key, now))
             for key, session in self.directory.sessions.items()
-            if session.sure and session.used >= now - SESSION_TTL_US and self._routing_state(key)[0] == "here"
+            if session.is_certain
+            and session.last_used_at >= now - SESSION_TTL_US
+            and self._routing_state(key)[0] == "here"
         ]
         self.migrations.files.write_sessions(HeldSessions(time.time_ns() // 1000, held, self.partition))
         self.directory.sessions.clear()
@@ -131,12 +133,12 @@
         """Begin to move all sessions to other members, since this sender ends."""
         self.leaving = True
 
-    def left(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether no move from here is under way, and no session is held that another member would take."""
         held = self.directory.sessions and any(each.accepts_sessions for each in self._neighbours())
         return not held and not self.migrations.has_outgoing_moves()
 
-    def heard(self, sender: str, incarnation: int, body: Body) -> Body | None:
+    def handle_peer_message(self, sender: str, incarnation: int, body: Body) -> Body | None:
         """The answer to another member's peer message; None if it is not about sessions."""
         now = monotonic_time()
         if isinstance(body, ForwardedSubmit):
@@ -147,7 +149,7 @@
             return self._location_update((), first)
         if isinstance(body, SessionClaim | SessionInheritance):
             answer = self._answer_claim(sender, body, now)
-            return ClaimReply(answer.granted, location_of(answer.entry))
+            return ClaimReply(answer.granted, location_from_entry(answer.entry))
         if isinstance(body, RecallForward):
             return self._answer_recall(body)
         if isinstance(body, StageSession | PrepareRequest | AcceptRequest | MigrationDecided):
@@ -165,7 +167,7 @@
 
     def look(self, now: int) -> None:
         """Do what is due now; called by the node at each turn, never waits."""
-        self._mark_unsure_after_takeover()
+        self._mark_uncertain_after_takeover()
         self._expire_entries_of_dead_members(now)
         if now - self.locations_sent_at >= LOCATIONS_INTERVAL_US:
             self.locations_sent_at = now
@@ -187,7 +189,7 @@
 
     def _forget(self, now: int) -> None:
         """Drop what is old."""
-        self.directory.forget(now)
+        self.directory.clean_up(now)
         self.migrations.remove_expired(now)
         for known in (self.replica_recent_ids, self.inheritable_sessions):
             for partition in [partition for partition in known if partition not in self.node.takeovers]:
@@ -200,7 +202,7 @@
             share = len(self.directory.sessions) // UPDATES_PER_ROUND
             limit = min(MAX_LOCATIONS_PER_UPDATE, MIN_LOCATIONS_PER_UPDATE + share)
         entries = self.directory.next_locations(limit, now)
-        locations = tuple(location for entry in entries if (location := location_of(entry)) is not None)
+        locations = tuple(location for entry in entries if (location := location_from_entry(entry)) is not None)
         for name in self.node.halls:
             if name != self.name:
                 gevent.spawn(self._send_locations, name, locations)
@@ -216,8 +218,8 @@
         # Only if no member has run before: one that forgot sessions must wait until ids of that time cannot come again.
         if answer.first and self.fleet_files.first:
             self.members_without_history.add(name)
-            if len(self.members_without_history) == len(self.node.halls) - 1 and self.directory.grants_at > now:
-                self.directory.grants_at = now
+            if len(self.members_without_history) == len(self.node.halls) - 1 and self.directory.grants_from > now:
+                self.directory.grants_from = now
                 logger.info("sessions may be opened: no member has run before")
 
     def _location_update(self, locations: tuple[SessionLocation, ...], first: bool) -> SessionLocations:
@@ -227,7 +229,7 @@
 
     def _receive_locations(self, name: str, body: SessionLocations, now: int) -> None:
         self.locations_by_member[name] = body
-        entries = [entry for location in body.locations if (entry := entry_of(location)) is not None]
+        entries = [entry for location in body.locations if (entry := entry_from_location(location)) is not None]
         self.directory.merge_entries(entries, now)
 
     def _neighbours(self) -> list[Neighbour]:
@@ -258,7 +260,7 @@
         for key, to in self.migrations.planner.plan(requests, self._neighbours(), now) if requests else ():
             self.migrations.begin(key, to, now)
 
-    def move_on_command(self, call: Call) -> str:
+    def handle_move_command(self, call: Call) -> str:
         """Carry out the command `MOVE KEY SENDER` and return its answer.
 
         Raises `InvalidMoveError`, `SessionNotHeldError`, or `SessionNotMovedError` after a while.
--- a/cedarwick/fleet/session_state.py
+++ b/cedarwick/fleet/session_state.py
@@ -24,7 +24,7 @@
 from cedarwick.fleet.recent_ids import RecentIds
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_migration import SessionMigrations
-from cedarwick.fleet.session_wire import entry_of
+from cedarwick.fleet.session_wire import entry_from_location
 from cedarwick.fleet.sessions import (
     CLAIM_TIMEOUT_US,
     ClaimAnswer,
@@ -97,12 +97,12 @@
         changed, self.changed = self.changed, gevent.event.Event()
         changed.set()
 
-    def _mark_unsure_after_takeover(self) -> None:
+    def _mark_uncertain_after_takeover(self) -> None:
         """Called before each ruling: after a change of the open partition no held session is certain any more."""
         current = self.store.open_partition
         if current is not None and current.partition != self.partition:
             if self.partition:
-                self.directory.mark_all_unsure()
+                self.directory.mark_all_uncertain()
                 self.migrations.staged_before_adoption = set(self.migrations.staged_offers)
             self.partition = current.partition
 
@@ -132,7 +132,7 @@
         def ask(name: str) -> None:
             answer = self._call(name, body, CLAIM_TIMEOUT_US / US_PER_S)
             if isinstance(answer, ClaimReply):
-                claim = ClaimAnswer(answer.granted, entry_of(answer.entry))
+                claim = ClaimAnswer(answer.granted, entry_from_location(answer.entry))
                 if self.directory.record_claim_answer(request, name, claim, monotonic_time()):
                     self._notify_change()
                     over.set()
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -22,10 +22,10 @@
 from cedarwick.fleet.recent_ids import UNKNOWN_HASH
 from cedarwick.fleet.replicated_store import monotonic_time
 from cedarwick.fleet.session_inheritance import SessionInheritances
-from cedarwick.fleet.session_wire import entry_of, hash_of, location_of
+from cedarwick.fleet.session_wire import entry_from_location, location_from_entry, message_hash
 from cedarwick.fleet.sessions import (
     ClaimAnswer,
-    Entry,
+    SessionEntry,
     SubmissionRuling,
 )
 from cedarwick.fleet.transport import PeerUnreachableError
@@ -62,7 +62,7 @@
 
     # ---- from clients ----
 
-    def hand_in(self, stored: StoredMessage) -> SubmitResult:
+    def route_submission(self, stored: StoredMessage) -> SubmitResult:
         """Take or forward a client's submission; runs in its connection's greenlet.
 
         It begins no step after `CLIENT_TIMEOUT_US`.
@@ -70,7 +70,7 @@
         if not stored.order_key:
             return self.client_listener.submit_to_dispatcher(stored)
         began = monotonic_time()
-        submission = RoutedSubmission(stored, hash_of(stored), began + FROZEN_WAIT_US)
+        submission = RoutedSubmission(stored, message_hash(stored), began + FROZEN_WAIT_US)
         give_up_at = began + CLIENT_TIMEOUT_US
         while (now := monotonic_time()) < give_up_at:
             result = self._route(submission, give_up_at, now)
@@ -80,10 +80,10 @@
 
     def _route(self, submission: RoutedSubmission, give_up_at: int, now: int) -> SubmitResult | None:
         """Take one step for a client's submission; None if the next step is to be chosen anew."""
-        self._mark_unsure_after_takeover()
+        self._mark_uncertain_after_takeover()
         stored, hashed, key = submission.stored, submission.hashed, submission.stored.order_key
         there, holder = self._routing_state(key)
-        ruling = self.directory.rule(key, stored.id, hashed, False, now) if there == "here" else None
+        ruling = self.directory.rule_on_submission(key, stored.id, hashed, False, now) if there == "here" else None
         if there == "wait" or ruling is SubmissionRuling.BUSY:
             return None if self._wait_for_change(submission.wait_until) else BUSY
         if ruling in (SubmissionRuling.ACCEPT, SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT):
@@ -111,7 +111,7 @@
         submission.claims += 1
         return submission.claims <= MAX_CLAIMS and self._claim(submission.stored.order_key)
 
-    def _recipient(self, submission: RoutedSubmission, holder: str, now: int) -> tuple[str, Entry | None] | None:
+    def _recipient(self, submission: RoutedSubmission, holder: str, now: int) -> tuple[str, SessionEntry | None] | None:
         """The member to forward to, and the entry of a dead holder whose partition it has, if so.
 
         None if this member has claimed the session of a dead holder as its successor. `holder`: the target of the
@@ -133,7 +133,7 @@
 
     def _go_on_after_not_held(self, key: int, by: str, answer: ForwardReply) -> bool:
         """Whether to choose the next step anew after `by` answered that it does not hold the session."""
-        claim = ClaimAnswer(answer.disowned, entry_of(answer.entry))
+        claim = ClaimAnswer(answer.disowned, entry_from_location(answer.entry))
         ruling = self.directory.forward_refused(key, by, claim, monotonic_time())
         if ruling is SubmissionRuling.CLAIM:
             self.migrations.carry_out(self.moves.stop_forwarding(key, monotonic_time()))
@@ -182,7 +182,7 @@
         self.dispatcher.withdraw(submission)
 
     def _forward_submission(
-        self, stored: StoredMessage, to: str, give_up_at: int, moved: bool, dead_holder: Entry | None
+        self, stored: StoredMessage, to: str, give_up_at: int, moved: bool, dead_holder: SessionEntry | None
     ) -> ForwardReply | SubmitResult:
         """Forward a submission and return the answer; `BUSY` if surely nothing was taken, `UNSURE` if it may have been.
 
@@ -208,7 +208,7 @@
         return BUSY if surely_not_taken else UNSURE
 
     def _forwarded_submit(
-        self, stored: StoredMessage, left: int, moved: bool, dead_holder: Entry | None
+        self, stored: StoredMessage, left: int, moved: bool, dead_holder: SessionEntry | None
     ) -> ForwardedSubmit:
         return ForwardedSubmit(
             stored.order_key,
@@ -221,7 +221,7 @@
             left - MIN_TIME_LEFT_US,
             stored.body or b"",
             moved,
-            location_of(dead_holder),
+            location_from_entry(dead_holder),
             max(0, stored.deadline),
         )
 
@@ -237,8 +237,8 @@
         """Answer a submission that another member forwards."""
         wait_until = monotonic_time() + min(body.within, FROZEN_WAIT_US)
         stored = self._forwarded_message(body)
-        submission = RoutedSubmission(stored, hash_of(stored), wait_until)
-        if (dead_holder := entry_of(body.entry)) is not None:
+        submission = RoutedSubmission(stored, message_hash(stored), wait_until)
+        if (dead_holder := entry_from_location(body.entry)) is not None:
             self.directory.merge_entries([dead_holder], monotonic_time())
         while body.key:
             reply = self._handle_forwarded(sender, body, submission)
@@ -269,13 +269,13 @@
     ) -> ForwardReply | None:
         """Take one step for a forwarded submission; None if the next step is to be chosen anew."""
         now = monotonic_time()
-        self._mark_unsure_after_takeover()
+        self._mark_uncertain_after_takeover()
         there, _ = self._routing_state(body.key)
         if there == "wait":
             return None if self._wait_for_change(submission.wait_until) else BUSY_REPLY
         ruling = SubmissionRuling.NOT_HELD
         if there == "here":
-            ruling = self.directory.rule(body.key, body.id, submission.hashed, True, now)
+            ruling = self.directory.rule_on_submission(body.key, body.id, submission.hashed, True, now)
         if ruling is SubmissionRuling.BUSY:
             return BUSY_REPLY
         if ruling is SubmissionRuling.CLAIM:
@@ -300,7 +300,7 @@
             if self._inherit(key):
                 return None
         claim = self.directory.answer_not_held(key, now)
-        return ForwardReply("", 0, claim.granted, location_of(claim.entry))
+        return ForwardReply("", 0, claim.granted, location_from_entry(claim.entry))
 
     def _answer_recall(self, body: RecallForward) -> Acknowledged:
         stored = self.store.messages.get(self.dispatcher.numbers_by_id.get(body.id, 0))
--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -1,7 +1,7 @@
 """Sessions: which member holds which, and which ids were taken recently. No I/O, no clock.
 
 A session has a key (64 bits; 0: none), one holder and a sequence that grows by one with each change of its holder. Who
-holds it alone takes its submissions, and it alone remembers their ids. Everybody else keeps an `Entry`, perhaps old:
+holds it alone takes its submissions, and it alone remembers their ids. Everybody else keeps a `SessionEntry`:
 
 - A wrong guess costs one hop: a submission that was passed on is not passed on again. A member that gets one without
   holding the session takes nothing. It answers with the entry it knows, or disowns the session if it is thought to be
@@ -17,7 +17,7 @@
   with a move are not in the partition. Whoever has granted it votes on no move of that session for `ID_RETENTION_US`.
   So an inheritance and a move, or a new partition of the lost sender, which each need a majority as well, meet at one
   member at least.
-- So a sender that has lost its partition is sure of none of its sessions (`mark_all_unsure`): once it has the next
+- So a sender that has lost its partition is sure of none of its sessions (`mark_all_uncertain`): once it has the next
   partition it claims each of them anew before it takes anything more, and goes on with the ids that it knows.
 
 The caller takes nothing for a session while it has no lease on its own partition: cut off, it might not learn that its
@@ -40,7 +40,7 @@
 INHERITED_SEQUENCE_STEP = 64  # to be above all sequences that the last holder may not have sent any more
 
 
-def contents_hash(*parts: object) -> int:
+def hash_contents(*parts: object) -> int:
     """A hash of what came with an id, the same in every process (that of Python isn't)."""
     whole = xxhash.xxh3_64()
     for part in parts:
@@ -49,7 +49,7 @@
     return whole.intdigest()
 
 
-class Entry(NamedTuple):
+class SessionEntry(NamedTuple):
     """Who holds a session, as far as is known."""
 
     key: int
@@ -64,7 +64,7 @@
 
     holder: str
     sequence: int
-    used: int
+    last_used_at: int
     confirmed: bool = True  # by the holder itself; else granted here, and no majority is known to have granted it
 
 
@@ -73,9 +73,9 @@
     """A session that is held here."""
 
     sequence: int
-    used: int
+    last_used_at: int
     ids: dict[str, tuple[int, int]] = field(default_factory=dict)  # recent ones: when, and the hash of the contents
-    sure: bool = True  # nobody can have inherited it
+    is_certain: bool = True  # nobody can have inherited it
 
 
 class SubmissionRuling(Enum):
@@ -94,7 +94,7 @@
     """The answer to a claim, or to a submission that was passed to the wrong member."""
 
     granted: bool  # the claim, or: disowned, so that it may be claimed
-    entry: Entry | None  # who stands in the way, or is thought to be the holder
+    entry: SessionEntry | None  # who stands in the way, or is thought to be the holder
 
 
 class ClaimRequest(NamedTuple):
@@ -121,18 +121,18 @@
 
     Args:
         name: this member.
-        members: how many there are, itself counted.
+        member_count: how many there are, itself counted.
         alone: there is no other one, or the fleet starts for the first time: nothing can have been taken before.
     """
 
-    def __init__(self, name: str, members: int, now: int, alone: bool = False) -> None:
+    def __init__(self, name: str, member_count: int, now: int, has_no_history: bool = False) -> None:
         self.name = name
-        self.members = members
-        self.grants_at = now if alone else now + ID_RETENTION_US
+        self.member_count = member_count
+        self.grants_from = now if has_no_history else now + ID_RETENTION_US
         self.entries: dict[int, KnownHolder] = {}  # in the order of their last change or use
         self.sessions: dict[int, Session] = {}
         self.claims: dict[int, PendingClaim] = {}
-        self.unsent: dict[int, None] = {}  # changed here and not sent yet
+        self.unsent_keys: dict[int, None] = {}  # changed here and not sent yet
         self.resend_queue: list[int] = []  # of the held ones, those that are to be sent again
         self.granted_inheritances: dict[int, tuple[int, str, str]] = {}  # recent ones: when, to whom, and from whom
 
@@ -141,22 +141,22 @@
         known = self.entries.get(key)
         return known.holder if known is not None else None
 
-    def entry(self, key: int, now: int) -> Entry | None:
+    def entry(self, key: int, now: int) -> SessionEntry | None:
         """What is known of a session, to be sent to another member."""
         known = self.entries.get(key)
         # Only confirmed: a claim granted here alone would look like a holder, to the real holder like its successor.
         if known is None or not known.confirmed:
             return None
-        return Entry(key, known.holder, known.sequence, max(0, now - known.used))
+        return SessionEntry(key, known.holder, known.sequence, max(0, now - known.last_used_at))
 
     # ---- submissions ----
 
-    def rule(self, key: int, message: str, hashed: int, forwarded: bool, now: int) -> SubmissionRuling:
+    def rule_on_submission(self, key: int, message: str, hashed: int, forwarded: bool, now: int) -> SubmissionRuling:
         """What to do with a submission of a session (key not 0); `forwarded`: by another member, not by a client."""
         session = self.sessions.get(key)
         # A session unused for long may have been forgotten by the others and claimed anew.
-        if session is not None and session.used >= now - SESSION_TTL_US:
-            if not session.sure:
+        if session is not None and session.last_used_at >= now - SESSION_TTL_US:
+            if not session.is_certain:
                 return SubmissionRuling.BUSY if self.is_claiming(key, now) else SubmissionRuling.CLAIM
             known = session.ids.get(message)
             if known is None or known[0] < now - ID_RETENTION_US:
@@ -183,7 +183,7 @@
             del session.ids[next(iter(session.ids))]
         session.ids.pop(message, None)
         session.ids[message] = now, hashed
-        session.used = now
+        session.last_used_at = now
         self._merge_entry(key, self.name, session.sequence, now)
 
     # ---- opening ----
@@ -191,7 +191,7 @@
     def answer_not_held(self, key: int, now: int) -> ClaimAnswer:
         """The answer to a submission that was passed to this member, which does not hold the session."""
         # A member that has just restarted must not disown ids that it took a moment ago: another would take them again.
-        disowned = self.grants_at <= now and self.holder_of(key) in (None, self.name) and key not in self.claims
+        disowned = self.grants_from <= now and self.holder_of(key) in (None, self.name) and key not in self.claims
         return ClaimAnswer(disowned, self.entry(key, now))
 
     def forward_refused(self, key: int, by: str, answer: ClaimAnswer, now: int) -> SubmissionRuling:
@@ -208,7 +208,7 @@
         Where this member is alone in its fleet it holds the session at once.
         """
         self.claims = {each: claim for each, claim in self.claims.items() if claim.until > now}
-        if key in self.claims or self.grants_at > now:
+        if key in self.claims or self.grants_from > now:
             return None
         known = self.entries.get(key)
         over = (known.sequence, known.holder) if known is not None else (0, "")
@@ -224,7 +224,7 @@
         hash of all recent ids.
         """
         known = self.entries.get(key)
-        if known is None or self.grants_at > now or self.is_claiming(key, now):
+        if known is None or self.grants_from > now or self.is_claiming(key, now):
             return None
         request = ClaimRequest(key, known.sequence + INHERITED_SEQUENCE_STEP, (known.sequence, known.holder), now)
         self.granted_inheritances[key] = now, self.name, known.holder
@@ -237,9 +237,9 @@
         key = request.key
         known = self.entries.get(key)
         theirs = request.sequence, by
-        if key in self.sessions and self.sessions[key].used >= now - SESSION_TTL_US:
+        if key in self.sessions and self.sessions[key].last_used_at >= now - SESSION_TTL_US:
             return ClaimAnswer(False, self.entry(key, now))
-        if known is not None and now - known.used <= ENTRY_TTL_US:
+        if known is not None and now - known.last_used_at <= ENTRY_TTL_US:
             if tuple(request.over) < (known.sequence, known.holder) != theirs:
                 return ClaimAnswer(False, self.entry(key, now))
             # A claimer that was paused cannot void the entry of a member that opened the session meanwhile.
@@ -248,7 +248,7 @@
         own = self.claims.get(key)
         if own is not None and own.until > now and (own.request.sequence, self.name) > theirs:
             return ClaimAnswer(False, None)
-        if self.grants_at > now:
+        if self.grants_from > now:
             return ClaimAnswer(False, None)
         self.claims.pop(key, None)  # it gives way
         self._merge_entry(key, by, request.sequence, now, False)
@@ -262,9 +262,9 @@
             moved: a vote of late on a move of the session stands in the way (`Acceptor.moved`), or an open move.
         """
         key, known = request.key, self.entries.get(request.key)
-        if not holds or moved or self.grants_at > now or by != self.name and self.is_claiming(key, now):
+        if not holds or moved or self.grants_from > now or by != self.name and self.is_claiming(key, now):
             return ClaimAnswer(False, self.entry(key, now))
-        if key in self.sessions and (self.sessions[key].used >= now - SESSION_TTL_US or by == self.name):
+        if key in self.sessions and (self.sessions[key].last_used_at >= now - SESSION_TTL_US or by == self.name):
             return ClaimAnswer(False, self.entry(key, now))
         # A second successor, or a successor's successor, does not know the ids that came by inheritance.
         if self.forbids_vote(key, by, now):
@@ -285,14 +285,14 @@
         `known`: it knew of the move before it started, or the source is alive and so holds its partition.
         """
         # What was granted before a restart is not known here.
-        if not known and self.grants_at > now and source != self.name:
+        if not known and self.grants_from > now and source != self.name:
             return True
         at, by, _ = self.granted_inheritances.get(key, (0, source, ""))
         if not key:  # a member of an older level does not send the session
             return any(of == source and at >= now - ID_RETENTION_US for at, _, of in self.granted_inheritances.values())
         return by != source and at >= now - ID_RETENTION_US
 
-    def superseded(self, key: int, source: str, sequence: int) -> bool:
+    def is_superseded(self, key: int, source: str, sequence: int) -> bool:
         """Whether a session that is to come here has another holder since its move began, or is held here already.
 
         `sequence`: of the session, since then.
@@ -303,10 +303,10 @@
         # The source may have named this member to all others before it has learned that it is the holder.
         return key in self.sessions if known.holder == self.name else known.holder != source
 
-    def mark_all_unsure(self) -> None:
+    def mark_all_uncertain(self) -> None:
         """Mark all held sessions: this member's partition was adopted, so each may have been inherited."""
         for session in self.sessions.values():
-            session.sure = False
+            session.is_certain = False
 
     def record_claim_answer(self, request: ClaimRequest, by: str, answer: ClaimAnswer, now: int) -> bool:
         """Note an answer to a claim of this member; True: the session is held here from now on."""
@@ -326,7 +326,7 @@
 
     def _open_if_granted(self, key: int, now: int) -> bool:
         claim = self.claims[key]
-        if len(claim.granted) * 2 <= self.members:
+        if len(claim.granted) * 2 <= self.member_count:
             return False
         del self.claims[key]
         passed = now - claim.request.at
@@ -336,7 +336,7 @@
 
     # ---- sessions that come and go ----
 
-    def hold(self, key: int, sequence: int, ids: dict[str, tuple[int, int]], now: int, sure: bool = True) -> None:
+    def hold(self, key: int, sequence: int, ids: dict[str, tuple[int, int]], now: int, is_certain: bool = True) -> None:
         """A session is held here from now on: claimed, active after a move, or adopted.
 
         Args:
@@ -346,9 +346,9 @@
         """
         self.claims.pop(key, None)
         taken = {each: (now - age, hashed) for each, (age, hashed) in sorted(ids.items(), key=lambda one: -one[1][0])}
-        self.sessions[key] = Session(sequence, now, taken, sure)
+        self.sessions[key] = Session(sequence, now, taken, is_certain)
         self._merge_entry(key, self.name, sequence, now)
-        self.unsent[key] = None
+        self.unsent_keys[key] = None
 
     def recent_ids(self, key: int, now: int) -> dict[str, tuple[int, int]]:
         """The recent ids of a session held here, for its next holder: id -> (age in microseconds, hash of contents)."""
@@ -363,47 +363,47 @@
         """Note that a session that was held here has another holder, and its sequence there."""
         self.sessions.pop(key, None)
         if self._merge_entry(key, holder, sequence, now):
-            self.unsent[key] = None
+            self.unsent_keys[key] = None
 
     def expire_entries_of(self, holder: str, now: int) -> None:
         """Age the entries of a dead member: any member may claim its sessions once `ID_RETENTION_US` has passed."""
         for known in self.entries.values():
             if known.holder == holder:
-                known.used = min(known.used, now - ENTRY_TTL_US + ID_RETENTION_US)
+                known.last_used_at = min(known.last_used_at, now - ENTRY_TTL_US + ID_RETENTION_US)
 
     # ---- gossip ----
 
-    def next_locations(self, limit: int, now: int) -> list[Entry]:
+    def next_locations(self, limit: int, now: int) -> list[SessionEntry]:
         """What to send to all others next: what has changed here, then the held sessions in turn."""
-        keys = [key for key in self.unsent if key not in self.sessions or self.sessions[key].sure][:limit]
+        keys = [key for key in self.unsent_keys if key not in self.sessions or self.sessions[key].is_certain][:limit]
         for key in keys:
-            del self.unsent[key]
+            del self.unsent_keys[key]
         if not self.resend_queue:
             self.resend_queue = list(self.sessions)
         while self.resend_queue and len(keys) < limit:
             key = self.resend_queue.pop()
-            if key in self.sessions and self.sessions[key].sure and key not in keys:
+            if key in self.sessions and self.sessions[key].is_certain and key not in keys:
                 keys.append(key)
         entries = (self.entry(key, now) for key in keys)
         return [each for each in entries if each is not None]
 
-    def merge_entries(self, entries: Iterable[Entry], now: int) -> None:
+    def merge_entries(self, entries: Iterable[SessionEntry], now: int) -> None:
         """Join entries of another member; in any order, any number of times."""
         for entry in entries:
             if 0 < entry.key < 1 << 64 and entry.sequence > 0 and 0 <= entry.age <= ENTRY_TTL_US and entry.holder:
                 self._merge_entry(entry.key, entry.holder, entry.sequence, now - entry.age)
 
-    def forget(self, now: int) -> None:
+    def clean_up(self, now: int) -> None:
         """Drop what is old; to be called about once a second."""
         self.granted_inheritances = {
             key: grant for key, grant in self.granted_inheritances.items() if grant[0] >= now - ID_RETENTION_US
         }
-        for key in [each for each, session in self.sessions.items() if session.used < now - SESSION_TTL_US]:
+        for key in [each for each, session in self.sessions.items() if session.last_used_at < now - SESSION_TTL_US]:
             del self.sessions[key]
-        for key in [each for each, known in self.entries.items() if known.used < now - ENTRY_TTL_US]:
+        for key in [each for each, known in self.entries.items() if known.last_used_at < now - ENTRY_TTL_US]:
             del self.entries[key]
 
-    def _merge_entry(self, key: int, holder: str, sequence: int, used: int, confirmed: bool = True) -> bool:
+    def _merge_entry(self, key: int, holder: str, sequence: int, last_used_at: int, confirmed: bool = True) -> bool:
         """Join an entry by (sequence, holder), then the later use; whether it is another one now.
 
         Of two claims at once the one that its holder has confirmed was granted; then nobody else's was.
@@ -413,14 +413,14 @@
         if known is not None and not beats and (sequence, holder) < (known.sequence, known.holder):
             return False
         changed = known is None or beats or (sequence, holder) > (known.sequence, known.holder)
-        if known is not None and not changed and used <= known.used:
+        if known is not None and not changed and last_used_at <= known.last_used_at:
             return False
         if changed and holder != self.name and key in self.sessions:
             # It moved on or was adopted during a pause of this member, which must not take ids for it any more.
             del self.sessions[key]
         self.entries.pop(key, None)
         confirmed = confirmed or known is not None and not changed and known.confirmed
-        self.entries[key] = KnownHolder(holder, sequence, used, confirmed)
+        self.entries[key] = KnownHolder(holder, sequence, last_used_at, confirmed)
         if len(self.entries) > MAX_ENTRIES:
             oldest = next((each for each in self.entries if each not in self.sessions), key)
             del self.entries[oldest]
--- a/cedarwick/fleet/takeover_offers.py
+++ b/cedarwick/fleet/takeover_offers.py
@@ -79,7 +79,9 @@
             return OfferReply(body.partition, body.part, "spoilt")
         try:
             facts = decode_facts(body.facts)
-            facts = self.session_router.offered(holding, facts) if self.session_router is not None else facts
+            facts = (
+                self.session_router.filter_offered_facts(holding, facts) if self.session_router is not None else facts
+            )
             merged = self.store.merge_offer(holding, facts, body.term)
         except CorruptFactsError as error:
             return OfferReply(body.partition, body.part, str(error)[:512])
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -173,7 +173,7 @@
             while kernel.now < end and not (
                 self.dispatcher.is_idle()
                 and not self.dispatcher.notices.pending
-                and (session_router is None or session_router.left())
+                and (session_router is None or session_router.is_drained())
             ):
                 kernel.sleep(LOOK)
             self.node.leave()
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -399,7 +399,7 @@
             self.dispatcher.is_idle()
             and not self.notifier.pending
             and not self.client_listener.clients
-            and (self.node is None or self.node.session_router is None or self.node.session_router.left())
+            and (self.node is None or self.node.session_router is None or self.node.session_router.is_drained())
         )
 
 
--- a/tests/fleet/test_session_inheritance.py
+++ b/tests/fleet/test_session_inheritance.py
@@ -41,7 +41,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.directory = SessionDirectory(name, len(NAMES), 0, alone=True)
+        self.directory = SessionDirectory(name, len(NAMES), 0, has_no_history=True)
         self.acceptor = Acceptor(0)
         self.newest = dict.fromkeys(NAMES, 0)  # partition by owner, as far as was granted here
         self.holders = {(owner, 0): owner for owner in NAMES}
@@ -80,7 +80,7 @@
         self.now += self.drawn.choice([0] * 60 + [SECOND, 4 * SECOND, ID_RETENTION_US + 1])
         for each in self.members.values():
             if each.awake:
-                each.directory.forget(self.now)
+                each.directory.clean_up(self.now)
         one, two = (self.members[name] for name in self.drawn.sample(NAMES, 2))
         if one.awake:
             getattr(self, what)(one, two)
@@ -123,7 +123,7 @@
         for each in (one, two):
             each.newest[one.name] = max(each.newest[one.name], one.partition)
             each.holders[one.name, one.partition] = one.name
-        one.directory.mark_all_unsure()
+        one.directory.mark_all_uncertain()
         one.slept = one.staged
 
     def gap(self, one: Member, two: Member) -> None:
@@ -156,7 +156,13 @@
 
     def move(self, one: Member, two: Member) -> None:
         session = one.directory.sessions.get(KEY)
-        if one.lost or one.frozen or session is None or not session.sure or session.used < self.now - SESSION_TTL_US:
+        if (
+            one.lost
+            or one.frozen
+            or session is None
+            or not session.is_certain
+            or session.last_used_at < self.now - SESSION_TTL_US
+        ):
             return
         name = one.frozen = format_move_name(self.stamp, one.name, two.name)
         self.stamp += 1
@@ -188,7 +194,7 @@
         if one.name == target and "active" not in votes and not one.lost:
             votes.add("active")
             directory, one.staged = one.directory, ""
-            if not directory.superseded(KEY, source, sequence):
+            if not directory.is_superseded(KEY, source, sequence):
                 directory.hold(
                     KEY,
                     sequence + 1,
@@ -246,14 +252,14 @@
         """A client of `one`, which passes to `two` alone."""
         if one.frozen or one.staged:
             return
-        ruling, holder = one.directory.rule(KEY, "id", 1, False, self.now), one
+        ruling, holder = one.directory.rule_on_submission(KEY, "id", 1, False, self.now), one
         if (
             ruling is SubmissionRuling.FORWARD
             and two.awake
             and one.directory.holder_of(KEY) == two.name
             and not two.frozen + two.staged
         ):
-            ruling, holder = two.directory.rule(KEY, "id", 1, True, self.now), two
+            ruling, holder = two.directory.rule_on_submission(KEY, "id", 1, True, self.now), two
             if ruling is SubmissionRuling.NOT_HELD:
                 ruling = one.directory.forward_refused(
                     KEY, two.name, two.directory.answer_not_held(KEY, self.now), self.now
--- a/tests/fleet/test_session_migration.py
+++ b/tests/fleet/test_session_migration.py
@@ -51,10 +51,10 @@
     SESSION_TTL_US,
     ClaimAnswer,
     ClaimRequest,
-    Entry,
     SessionDirectory,
+    SessionEntry,
     SubmissionRuling,
-    contents_hash,
+    hash_contents,
 )
 
 KEY, MS = 7, 1000
@@ -672,7 +672,7 @@
 class SessionDirectoryTest(unittest.TestCase):
     entries = st.lists(
         st.builds(
-            Entry,
+            SessionEntry,
             st.integers(0, 2),
             st.sampled_from(["A", "B", "me"]),
             st.integers(0, 3),
@@ -684,7 +684,7 @@
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(entries, st.randoms(use_true_random=False))
     def test_entries_merge_alike_in_any_order_and_when_repeated(
-        self, entries: list[Entry], order: random.Random
+        self, entries: list[SessionEntry], order: random.Random
     ) -> None:
         one, two = SessionDirectory("me", 3, 0), SessionDirectory("me", 3, 0)
         one.merge_entries(entries, ENTRY_TTL_US)
@@ -695,14 +695,16 @@
         self.assertNotIn(0, one.entries)
 
     def test_entries_and_sessions_are_bounded_and_expire(self) -> None:
-        one = SessionDirectory("me", 1, 0, alone=True)
+        one = SessionDirectory("me", 1, 0, has_no_history=True)
         one.begin_claim(KEY, 0)
-        one.merge_entries([Entry(key, "A", 1, MAX_ENTRIES + 9 - key) for key in range(8, MAX_ENTRIES + 9)], MAX_ENTRIES)
-        one.merge_entries([Entry(5, "A", 1, ENTRY_TTL_US + 1)], MAX_ENTRIES)
+        one.merge_entries(
+            [SessionEntry(key, "A", 1, MAX_ENTRIES + 9 - key) for key in range(8, MAX_ENTRIES + 9)], MAX_ENTRIES
+        )
+        one.merge_entries([SessionEntry(5, "A", 1, ENTRY_TTL_US + 1)], MAX_ENTRIES)
         self.assertIsNone(one.holder_of(5))
         self.assertEqual((len(one.entries), one.holder_of(8), one.holder_of(KEY)), (MAX_ENTRIES, None, "me"))
         self.assertEqual(one.next_locations(9, 0)[0].key, KEY)
-        one.forget(ENTRY_TTL_US + MAX_ENTRIES + 1)
+        one.clean_up(ENTRY_TTL_US + MAX_ENTRIES + 1)
         self.assertEqual((one.entries, one.sessions), ({}, {}))
 
     def test_an_id_is_accepted_once_at_whichever_member_its_client_submits_it(self) -> None:
@@ -713,14 +715,14 @@
     def run_random_events(self, rng: random.Random) -> None:
         names, now, accepted_at = "ABC", 0, -ENTRY_TTL_US
         peer_messages: list[tuple[int, int, ClaimRequest, ClaimAnswer | None]] = []
-        directories = [SessionDirectory(name, 3, now, alone=True) for name in names]
+        directories = [SessionDirectory(name, 3, now, has_no_history=True) for name in names]
         for _ in range(150):
             action = rng.choice(["submit"] * 5 + ["deliver"] * 9 + ["restart"] + ["move"] * 2)
             at, other, index = rng.randrange(3), rng.randrange(3), rng.randrange(10)
             elapsed = rng.choice([0] * 25 + [1_000_000, ID_RETENTION_US + 1, SESSION_TTL_US + 1, ENTRY_TTL_US + 1])
             now += elapsed
             for each in directories:
-                each.forget(now)
+                each.clean_up(now)
             one, two, session = directories[at], directories[other], directories[at].sessions.get(KEY)
             if action == "restart":
                 directories[at] = SessionDirectory(names[at], 3, now)
@@ -734,9 +736,9 @@
                 two.hold(KEY, session.sequence + 1, one.recent_ids(KEY, now), now)
                 one.record_new_holder(KEY, names[other], session.sequence + 1, now)
             elif action == "submit" and at != other:  # a client at `at`, which reaches only `other`
-                ruling, holder = one.rule(KEY, "id", 1, False, now), at
+                ruling, holder = one.rule_on_submission(KEY, "id", 1, False, now), at
                 if ruling is SubmissionRuling.FORWARD and one.holder_of(KEY) == names[other]:
-                    ruling, holder = two.rule(KEY, "id", 1, True, now), other
+                    ruling, holder = two.rule_on_submission(KEY, "id", 1, True, now), other
                     if ruling is SubmissionRuling.NOT_HELD:
                         ruling = one.forward_refused(KEY, names[other], two.answer_not_held(KEY, now), now)
                 claim_request = one.begin_claim(KEY, now) if ruling is SubmissionRuling.CLAIM else None
@@ -751,44 +753,45 @@
                     directories[at + other - holder].merge_entries(entries, now)
 
     def test_a_member_that_does_not_hold_a_session_neither_accepts_for_it_nor_opens_it(self) -> None:
-        one, two = SessionDirectory("A", 3, 0, alone=True), SessionDirectory("B", 3, 0, alone=True)
-        self.assertIs(one.rule(KEY, "id", 1, True, 0), SubmissionRuling.NOT_HELD)
+        one, two = SessionDirectory("A", 3, 0, has_no_history=True), SessionDirectory("B", 3, 0, has_no_history=True)
+        self.assertIs(one.rule_on_submission(KEY, "id", 1, True, 0), SubmissionRuling.NOT_HELD)
         request = opened_claim(one)
         self.assertEqual(
-            (one.rule(KEY, "id", 1, False, 0), one.answer_not_held(KEY, 0).granted), (SubmissionRuling.BUSY, False)
+            (one.rule_on_submission(KEY, "id", 1, False, 0), one.answer_not_held(KEY, 0).granted),
+            (SubmissionRuling.BUSY, False),
         )
-        self.assertIs(one.rule(KEY, "id", 1, False, CLAIM_TIMEOUT_US), SubmissionRuling.CLAIM)
+        self.assertIs(one.rule_on_submission(KEY, "id", 1, False, CLAIM_TIMEOUT_US), SubmissionRuling.CLAIM)
         self.assertTrue(one.record_claim_answer(request, "B", two.answer_claim(request, "A", 0), 0))
         self.assertFalse(one.answer_claim(ClaimRequest(KEY, 9, (8, "A"), 0), "C", 0).granted)
         one.record_accepted(KEY, "id", 1, 0)
         two.hold(KEY, 2, one.recent_ids(KEY, 5), 5)
         one.record_new_holder(KEY, "B", 2, 5)
         self.assertEqual(
-            [two.rule(KEY, "id", hashed, True, ID_RETENTION_US) for hashed in (1, 2)],
+            [two.rule_on_submission(KEY, "id", hashed, True, ID_RETENTION_US) for hashed in (1, 2)],
             [SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT],
         )
-        self.assertIs(two.rule(KEY, "id", 2, True, ID_RETENTION_US + 1), SubmissionRuling.ACCEPT)
-        self.assertIs(one.rule(KEY, "id", 1, False, 6), SubmissionRuling.FORWARD)
+        self.assertIs(two.rule_on_submission(KEY, "id", 2, True, ID_RETENTION_US + 1), SubmissionRuling.ACCEPT)
+        self.assertIs(one.rule_on_submission(KEY, "id", 1, False, 6), SubmissionRuling.FORWARD)
         two.expire_entries_of("A", 6)
         one.expire_entries_of("B", 6)
-        one.forget(7 + ID_RETENTION_US)
+        one.clean_up(7 + ID_RETENTION_US)
         self.assertEqual((one.holder_of(KEY), two.holder_of(KEY)), (None, "B"))
 
     def test_a_member_does_not_trust_its_own_state_after_a_start_or_a_pause(self) -> None:
-        new, old = SessionDirectory("A", 3, 0), SessionDirectory("B", 3, 0, alone=True)
+        new, old = SessionDirectory("A", 3, 0), SessionDirectory("B", 3, 0, has_no_history=True)
         self.assertFalse(
             new.answer_not_held(KEY, ID_RETENTION_US - 1).granted or new.begin_claim(KEY, ID_RETENTION_US - 1)
         )
         self.assertFalse(new.answer_claim(opened_claim(old), "B", ID_RETENTION_US - 1).granted)
         self.assertTrue(new.answer_not_held(KEY, ID_RETENTION_US).granted)
         old.hold(KEY, 4, {}, 0)
-        self.assertIs(old.rule(KEY, "id", 1, False, SESSION_TTL_US), SubmissionRuling.ACCEPT)
-        self.assertIs(old.rule(KEY, "id", 1, False, SESSION_TTL_US + 1), SubmissionRuling.CLAIM)
-        old.merge_entries([Entry(KEY, "A", 5, 0)], 1)
-        self.assertIs(old.rule(KEY, "id", 1, False, 1), SubmissionRuling.FORWARD)
+        self.assertIs(old.rule_on_submission(KEY, "id", 1, False, SESSION_TTL_US), SubmissionRuling.ACCEPT)
+        self.assertIs(old.rule_on_submission(KEY, "id", 1, False, SESSION_TTL_US + 1), SubmissionRuling.CLAIM)
+        old.merge_entries([SessionEntry(KEY, "A", 5, 0)], 1)
+        self.assertIs(old.rule_on_submission(KEY, "id", 1, False, 1), SubmissionRuling.FORWARD)
 
     def test_only_one_of_two_concurrent_claims_is_granted(self) -> None:
-        one, two, third = (SessionDirectory(name, 3, 0, alone=True) for name in "ABC")
+        one, two, third = (SessionDirectory(name, 3, 0, has_no_history=True) for name in "ABC")
         first, second = opened_claim(one), opened_claim(two)
         self.assertFalse(two.answer_claim(first, "A", 0).granted)
         for request, now in ((second._replace(at=-1), 0), (second, CLAIM_TIMEOUT_US)):
@@ -798,4 +801,4 @@
         self.assertFalse(one.record_claim_answer(first, "C", third.answer_claim(first, "A", 0), 0))
 
     def test_the_contents_hash_separates_its_parts(self) -> None:
-        self.assertNotEqual(contents_hash("ab", b"c"), contents_hash("a", b"bc"))
+        self.assertNotEqual(hash_contents("ab", b"c"), hash_contents("a", b"bc"))
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -137,7 +137,7 @@
         lost = self.lose(to, body)
         if lost == "ask":
             raise PeerUnreachableError(to)
-        answer = self.session_router[to].heard(by, 1, body)
+        answer = self.session_router[to].handle_peer_message(by, 1, body)
         if lost == "answer" or answer is None:
             raise PeerUnreachableError(to)
         return answer
@@ -157,7 +157,7 @@
             gevent.sleep(0.005)
 
     def move(self, source: str, target: str) -> str:
-        moving = gevent.spawn(self.session_router[source].move_on_command, Call("MOVE", f"{KEY:x} {target}"))
+        moving = gevent.spawn(self.session_router[source].handle_move_command, Call("MOVE", f"{KEY:x} {target}"))
         while not moving.ready():
             self.turn(0.01)
         return str(moving.get())
@@ -165,7 +165,7 @@
     def test_a_session_moves_with_its_messages_and_ids_and_no_id_is_taken_twice(self) -> None:
         a, b, c = (self.session_router[name] for name in NAMES)
         for id in ("1", "2"):
-            self.assertEqual(a.hand_in(message(id))[0], AdmissionResult.ACCEPTED)
+            self.assertEqual(a.route_submission(message(id))[0], AdmissionResult.ACCEPTED)
         self.assertEqual(self.move("a", "b"), "YES 00000000000000a1 moved to b\n")
         self.turn()
         self.assertEqual(
@@ -175,15 +175,15 @@
         self.assertEqual([each.store.migrating for each in (a, b)], [{}, {}])
         self.assertEqual([each.migrations.files.read_marks() for each in (a, b)], [{}, {}])
         for who in (a, c):  # the connection that stayed, and a client that comes elsewhere
-            self.assertEqual(who.hand_in(message("1"))[0], AdmissionResult.ACCEPTED)
-            self.assertEqual(who.hand_in(message("2", b"other"))[0], AdmissionResult.REPEATED)
-            self.assertEqual(who.hand_in(message(f"3{who.name}"))[0], AdmissionResult.ACCEPTED)
+            self.assertEqual(who.route_submission(message("1"))[0], AdmissionResult.ACCEPTED)
+            self.assertEqual(who.route_submission(message("2", b"other"))[0], AdmissionResult.REPEATED)
+            self.assertEqual(who.route_submission(message(f"3{who.name}"))[0], AdmissionResult.ACCEPTED)
         self.assertEqual(sorted(kept.id for kept in b.store.messages.values()), ["1", "2", "3a", "3c"])
 
     def test_a_full_folder_at_the_giver_keeps_no_message_from_being_given_up(self) -> None:
         a, b = self.session_router["a"], self.session_router["b"]
         for id in ("1", "2"):
-            a.hand_in(message(id))
+            a.route_submission(message(id))
         over = a.store.finish
 
         def full(number: int) -> None:
@@ -198,7 +198,7 @@
 
     def test_an_answer_that_is_lost_is_asked_for_again_and_never_made_up(self) -> None:
         a, c = self.session_router["a"], self.session_router["c"]
-        a.hand_in(message("1"))
+        a.route_submission(message("1"))
         self.exchange_locations()
         lost: list[Body] = []
 
@@ -209,18 +209,18 @@
             return ""
 
         self.lose = once
-        self.assertEqual((c.hand_in(message("2"))[0], len(lost)), (AdmissionResult.ACCEPTED, 1))
+        self.assertEqual((c.route_submission(message("2"))[0], len(lost)), (AdmissionResult.ACCEPTED, 1))
         self.assertEqual(a.dispatcher.submitted, 2)  # type: ignore[attr-defined]
         self.lose = lambda to, body: "answer" if to == "a" else ""
-        self.assertEqual(c.hand_in(message("3"))[0], AdmissionResult.UNSURE)
+        self.assertEqual(c.route_submission(message("3"))[0], AdmissionResult.UNSURE)
         c.node.members.status = lambda now, name: MemberStatus.DEAD  # type: ignore[method-assign]
-        self.assertEqual(c.hand_in(message("4"))[0], AdmissionResult.BUSY)
+        self.assertEqual(c.route_submission(message("4"))[0], AdmissionResult.BUSY)
 
     def test_a_client_gone_before_its_answer_is_withdrawn_at_the_holder(self) -> None:
         a, c = self.session_router["a"], self.session_router["c"]
-        a.hand_in(message("1"))
+        a.route_submission(message("1"))
         self.exchange_locations()
-        answered, _, withdraw = c.hand_in(message("2"))
+        answered, _, withdraw = c.route_submission(message("2"))
         assert withdraw is not None
         number = max(a.store.messages)
         a.dispatcher.numbers_by_id["2"] = number
@@ -229,12 +229,12 @@
         gevent.sleep(0.02)
         self.assertEqual(a.dispatcher.withdraw.call_args[0][0].message.number, number)
         a.store.migrating[number] = 1, ">1/b/a"
-        a.heard("c", 1, RecallForward(KEY, "2"))  # Danger: on the move it may be another sender's already
+        a.handle_peer_message("c", 1, RecallForward(KEY, "2"))  # Danger: on the move it may be another sender's already
         self.assertEqual(a.dispatcher.withdraw.call_count, 1)
 
     def test_marks_outlive_a_restart_and_the_move_is_settled_then(self) -> None:
         a = self.session_router["a"]
-        a.hand_in(message("1"))
+        a.route_submission(message("1"))
         (number,) = a.store.messages
         self.lose = lambda to, body: "ask"  # all of it is lost from the first peer message on
         a.migrations.begin(KEY, "b", monotonic_time())
@@ -256,29 +256,30 @@
 
     def test_the_process_that_replaces_this_one_goes_on_with_its_sessions_once(self) -> None:
         a = self.session_router["a"]
-        a.hand_in(message("1"))
+        a.route_submission(message("1"))
         a.hand_over()
         self.nodes["a"].stop()
         a.store.close()
         again = self.member("a")
         dispatcher: Any = again.dispatcher
         self.assertEqual(
-            [again.hand_in(message(id))[0] for id in ("1", "2")], [AdmissionResult.ACCEPTED, AdmissionResult.ACCEPTED]
+            [again.route_submission(message(id))[0] for id in ("1", "2")],
+            [AdmissionResult.ACCEPTED, AdmissionResult.ACCEPTED],
         )
         self.assertEqual(dispatcher.submitted, 1)
         self.assertIsNone(again.migrations.files.read_and_delete_sessions())
 
     def test_a_stage_that_comes_spoilt_or_late_is_not_kept(self) -> None:
         b = self.session_router["b"]
-        answer = b.heard("a", 1, StageSession("9/a/b", KEY, 2, b"facts", 1))
+        answer = b.handle_peer_message("a", 1, StageSession("9/a/b", KEY, 2, b"facts", 1))
         self.assertEqual(answer, StageReply("9/a/b", False, "spoilt"))
         b.migrations.vote(format_move_name(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
-        late = b.heard("a", 1, StageSession("8/a/b", KEY, 2, b"", 0x2D06800538D394C2))
+        late = b.handle_peer_message("a", 1, StageSession("8/a/b", KEY, 2, b"", 0x2D06800538D394C2))
         self.assertEqual((isinstance(late, StageReply) and late.stored, b.store.messages), (False, {}))
 
     def test_a_session_whose_move_is_called_off_on_a_full_disk_is_taken_up_once_there_is_room(self) -> None:
         a = self.session_router["a"]
-        a.hand_in(message("1"))
+        a.route_submission(message("1"))
         thawed = a.dispatcher.unfreeze = mock.Mock()  # type: ignore[method-assign]
         self.lose = lambda to, body: "ask" if isinstance(body, StageSession) else ""
         with mock.patch.object(migration_source, "RELEASE_RETRY_S", 0.05):
@@ -307,9 +308,9 @@
 
     def test_who_is_cut_off_takes_nothing_of_its_sessions(self) -> None:
         a = self.session_router["a"]
-        a.hand_in(message("1"))
+        a.route_submission(message("1"))
         with mock.patch.object(a.store, "accepts_messages", return_value=False):
-            self.assertEqual(a.hand_in(message("2"))[0], AdmissionResult.BUSY)
+            self.assertEqual(a.route_submission(message("2"))[0], AdmissionResult.BUSY)
         passed = a._answer_forwarded(
             "c",
             SimpleNamespace(  # type: ignore[arg-type]
@@ -339,7 +340,7 @@
         """
         a = self.session_router["a"]
         for id in ("1", "2", "3"):
-            a.hand_in(message(id))
+            a.route_submission(message(id))
         ended, owed, uncopied = sorted(a.store.messages)
         for number in (ended, owed, uncopied):
             a.store.mark(number, 1, "<5/a/b")
@@ -379,14 +380,14 @@
     def adopted(self, level: int = INHERITANCE_LEVEL) -> tuple[SessionRouter, SessionRouter, SessionRouter, int]:
         """The partition of a, which has taken "1" and does not answer, is held by c, whose copy was old and whole."""
         a, b, c = (self.session_router[name] for name in NAMES)
-        a.hand_in(message("1"))
+        a.route_submission(message("1"))
         self.exchange_locations()
         partition = slot_of("a") << 12
         fact = a.store.holdings[partition].read_fact(a.store, *a.store.messages)
         assert fact is not None
         c.replica_recent_ids[partition] = RecentIds(monotonic_time() - ID_RETENTION_US)
         c.replica_recent_ids[partition].term, c.replica_recent_ids[partition].next = 1, 4
-        c._copied(partition, Step(1, 5, EVERYTHING, 0, 0, b""), [fact])
+        c._record_replica_step(partition, Step(1, 5, EVERYTHING, 0, 0, b""), [fact])
         self.lose = lambda to, body: "ask" if to == "a" else ""
         for each in (b, c):
             each.node.verifier.levels["a"] = level
@@ -398,7 +399,7 @@
         holder = SimpleNamespace(possible_successors=frozenset(), is_valid=lambda now: True)
         c.store.holdings[partition] = LeasedPartition(partition, SimpleNamespace(me="c", holder=holder))  # type: ignore[arg-type]
         c.store.holdings[partition].serving = True
-        c.adopted(partition)
+        c.on_partition_adopted(partition)
         return a, b, c, partition
 
     def test_the_successor_of_a_dead_sender_goes_on_with_its_sessions_and_ids(self) -> None:
@@ -406,9 +407,9 @@
         for who in (b, c):
             self.assertEqual(
                 [
-                    who.hand_in(message("1"))[0],
-                    who.hand_in(message("1", b"other"))[0],
-                    who.hand_in(message(f"2{who.name}"))[0],
+                    who.route_submission(message("1"))[0],
+                    who.route_submission(message("1", b"other"))[0],
+                    who.route_submission(message(f"2{who.name}"))[0],
                 ],
                 [AdmissionResult.ACCEPTED, AdmissionResult.REPEATED, AdmissionResult.ACCEPTED],
             )
@@ -417,36 +418,36 @@
         self.lose = lambda to, body: ""
         a.store.open_partition = LeasedPartition(partition + 1, a.store.holdings[partition].takeover)
         a.store.open_partition.serving = True
-        self.assertEqual(a.hand_in(message("2b"))[0], AdmissionResult.ACCEPTED)
+        self.assertEqual(a.route_submission(message("2b"))[0], AdmissionResult.ACCEPTED)
         self.assertEqual((a.dispatcher.submitted, a.directory.holder_of(KEY)), (1, "c"))  # type: ignore[attr-defined]
         ((number, kept),) = a.store.messages.items()
         holding = c.store.holdings[partition]
         fact = Fact(number, base_of(kept, b"x"), MessageKnowledge())
-        self.assertEqual(c.offered(holding, [fact]), [])
+        self.assertEqual(c.filter_offered_facts(holding, [fact]), [])
         c.store.messages[number] = kept
         holding.ledger.known[number] = MessageKnowledge()
         gone = Fact(number, None, MessageKnowledge(end=(EndRank.NOTIFIED, 0)))
         done = Fact(number, None, MessageKnowledge(end=(EndRank.COMPLETED, 0)))
-        self.assertEqual(c.offered(holding, [gone, done]), [done])
+        self.assertEqual(c.filter_offered_facts(holding, [gone, done]), [done])
         kept.deadline = 0
-        self.assertEqual(c.offered(holding, [gone]), [gone])
+        self.assertEqual(c.filter_offered_facts(holding, [gone]), [gone])
 
     def test_nobody_inherits_from_an_older_member_nor_what_a_vote_or_a_young_copy_speaks_against(self) -> None:
         a, b, c, partition = self.adopted(INHERITANCE_LEVEL - 1)
-        self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
+        self.assertEqual(b.route_submission(message("2"))[0], AdmissionResult.BUSY)
         c.inheritable_sessions[partition] = inheritable = InheritableSessions(
             "a", monotonic_time() + 60_000_000, {}, set()
         )
-        self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
+        self.assertEqual(b.route_submission(message("2"))[0], AdmissionResult.BUSY)
         c.inheritable_sessions[partition] = inheritable._replace(complete_at=0)
         b.migrations.vote(format_move_name(b.migrations.next_stamp, "b", "a"), (1, "a"), "taker", KEY)
-        self.assertEqual(b.hand_in(message("2"))[0], AdmissionResult.BUSY)
+        self.assertEqual(b.route_submission(message("2"))[0], AdmissionResult.BUSY)
         b.migrations.acceptor.rows.clear()
         b.migrations.acceptor.by_key.clear()
         b.node.grantor._grants[lease_name(partition + 1)] = Grant(lease_name(partition + 1), 1, "a")
-        self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.BUSY)
+        self.assertEqual(c.route_submission(message("2"))[0], AdmissionResult.BUSY)
         del b.node.grantor._grants[lease_name(partition + 1)]
-        self.assertEqual(c.hand_in(message("2"))[0], AdmissionResult.ACCEPTED)
+        self.assertEqual(c.route_submission(message("2"))[0], AdmissionResult.ACCEPTED)
         b.migrations.acceptor.raise_floor("a", 1)
         self.assertEqual(
             [
--- a/tests/lab/test_virtual_days.py
+++ b/tests/lab/test_virtual_days.py
@@ -78,7 +78,7 @@
 
 # name: the part, what is put in its place, the day, a rule that it breaks
 BROKEN: dict[str, tuple[Any, str, Any, dict[str, Any], int]] = {
-    "a session is taken at two senders": (SessionRouter, "hand_in", taken_anywhere, {"sessions": True}, 2),
+    "a session is taken at two senders": (SessionRouter, "route_submission", taken_anywhere, {"sessions": True}, 2),
     "a source goes on before the decision": (MigrationTable, "on_staged", released_early, {"sessions": True}, 12),
     "a source closes too early": (SessionMigrations, "_offer_session", closed_early, {"sessions": True}, 11),
     "a filter drops matches": (Index, "matches", dropped, {"subscribers": 3}, 15),
