--- a/cedarwick/fleet/session_files.py
+++ b/cedarwick/fleet/session_files.py
@@ -1,6 +1,7 @@
-"""The small files of sessions in `$RELAY_STATE/fleet`: marks of moves, votes, and sessions for the next process.
+"""The session files in `$RELAY_STATE/fleet`: marks of moves, votes, and the sessions handed over to the next process.
 
-Written as in `fleet_files.py`, except that votes are appended, one frame each, to the table written at the start.
+They are written as described in `fleet_files.py`, except that each vote is appended as one frame to the table that was
+written at the start of the process.
 """
 
 import os
@@ -22,11 +23,11 @@
 
 
 class HeldSession(msgspec.Struct, array_like=True, frozen=True):
-    """A session that was held at the end of a process, for the one that replaces it."""
+    """A session held at the end of a process, for the process that replaces it."""
 
     key: int
     sequence: int
-    ids: dict[str, tuple[int, int]]  # recent ones: age in microseconds, hash of contents
+    ids: dict[str, tuple[int, int]]  # recent ones: age in microseconds, contents hash
 
 
 class HeldSessions(msgspec.Struct, array_like=True, frozen=True):
@@ -34,20 +35,20 @@
 
     written_at_us: int
     sessions: list[HeldSession]
-    partition: int = 0  # in which they were taken; 0: written by an older version, not inherited
+    partition: int = 0  # the open one in which they were held; 0: not stored by older versions, never inherited
 
 
 SESSIONS_DECODER: msgspec.msgpack.Decoder[HeldSessions] = msgspec.msgpack.Decoder(HeldSessions)
 
 
 class SessionFiles:
-    """Reads and replaces these files. Raises `OSError` if the folder cannot be used."""
+    """Reads and writes the session files. Raises `OSError` if the folder cannot be used."""
 
     def __init__(self, fleet_files: FleetFiles) -> None:
         self.fleet_files = fleet_files
 
     def read_marks(self) -> dict[int, tuple[int, str]]:
-        """Messages on the move by number: the sequence of their session, and the text of their mark."""
+        """Read the marks of moving messages: number -> (sequence of the session, text of the mark)."""
         data = self.fleet_files.read(MARKS_NAME)
         try:
             return MARKS_DECODER.decode(data) if data is not None else {}
@@ -56,11 +57,11 @@
             return {}
 
     def write_marks(self, marks: dict[int, tuple[int, str]]) -> None:
-        """Replace the marks of messages on the move."""
+        """Replace the marks of moving messages."""
         self.fleet_files.write(MARKS_NAME, ENCODER.encode(marks))
 
     def read_and_delete_sessions(self) -> HeldSessions | None:
-        """The sessions of the process that this one replaces; the file is deleted, so that nobody takes them twice."""
+        """Read the sessions of the process that this one replaces, and delete the file: they are restored only once."""
         data = self.fleet_files.read(SESSIONS_NAME)
         try:
             os.unlink(os.path.join(self.fleet_files.path, SESSIONS_NAME))
@@ -77,7 +78,7 @@
         self.fleet_files.write(SESSIONS_NAME, ENCODER.encode(sessions))
 
     def read_acceptor_table(self) -> AcceptorTable | None:
-        """What this member has promised and accepted; None if the file is lost or damaged, or at the first start."""
+        """Read this member's promises and accepted values; None if the file is missing (first start) or damaged."""
         path = os.path.join(self.fleet_files.path, VOTES_NAME)
         try:
             with open(path, "rb") as file:
@@ -88,7 +89,7 @@
             payloads = []
             for found in scan_frames(data, 0, is_last_chunk=True):
                 if isinstance(found, DamagedRange):
-                    # The lost row may be a promise that was answered, so the whole table is unusable.
+                    # The damaged row may be a promise that was sent, so the whole table is unusable.
                     raise msgspec.DecodeError(f"damage at {found.offset}")
                 payloads.append(found.payload)
             table = VOTES_DECODER.decode(payloads[0])
@@ -104,5 +105,5 @@
         self.fleet_files.replace(VOTES_NAME, [ENCODER.encode(AcceptorTable([], table.floors)), *rows])
 
     def append_vote(self, row: InstanceState) -> None:
-        """Append one row to the table that was written at the start."""
+        """Append a row to the table that was written at the start of the process."""
         self.fleet_files.append(VOTES_NAME, ENCODER.encode(row))
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -1,4 +1,4 @@
-"""Clients' submissions: taken here, or passed on to the member that holds the session.
+"""Clients' submissions: accepted here, or forwarded to the member that holds the session.
 
 A part of `SessionRouter`. Times are microseconds unless stated otherwise.
 """
@@ -33,14 +33,16 @@
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
 
-MAX_FORWARDS = 2  # of one submission: to the presumed holder, and to the one that it names
-MAX_CLAIMS = 2  # for one submission: a claim that fails was refused, or met members that are slow
-CLIENT_TIMEOUT_US = 330_000  # microseconds in which a client's request is answered, of the 400 ms that it waits
-FORWARD_TIMEOUT_S = 0.15  # seconds until a submission that was passed on without an answer is passed on again
-RETRY_PAUSE_S = 0.005  # before a submission without an answer is forwarded again
-MIN_TIME_LEFT_US = 15_000  # microseconds without which nothing more is tried for a client
-LONGEST_TRANSIT_US = 1_200_000  # that a forwarded submission may be on its way: after a lease its sender gives it up
-CLIENT_REQUEST_TTL_US = 1_000_000  # microseconds for which a client that came to another sender counts as being there
+MAX_FORWARDS = 2  # per submission: to the presumed holder, and to the one that it names
+MAX_CLAIMS = 2  # per submission; a claim fails if it is refused, or if members answer too slowly
+CLIENT_TIMEOUT_US = 330_000  # microseconds within which a client is answered; it waits for 400 ms
+FORWARD_TIMEOUT_S = 0.15  # seconds after which a forwarded submission without an answer is forwarded again
+RETRY_PAUSE_S = 0.005  # seconds before a submission without an answer is forwarded again
+MIN_TIME_LEFT_US = 15_000  # microseconds until the answer is due; with less, a submission is not forwarded
+# A forwarded submission may be in transit for so many microseconds: the forwarding member gives up after a lease term.
+LONGEST_TRANSIT_US = 1_200_000
+# A client counts as connected to the sender that forwarded its submission for so many microseconds.
+CLIENT_REQUEST_TTL_US = 1_000_000
 UNSURE: SubmitResult = (AdmissionResult.UNSURE, 0, None)
 BUSY: SubmitResult = (AdmissionResult.BUSY, 0, None)
 BUSY_REPLY = ForwardReply(AdmissionResult.BUSY.value)
@@ -48,30 +50,30 @@
 
 @dataclass(slots=True)
 class RoutedSubmission:
-    """A submission of a session, and what was done for it so far."""
+    """A submission of a session, with its claims and forwards so far."""
 
     stored: StoredMessage
-    hashed: int  # of its contents
-    wait_until: int  # boot clock: how long a change of the session, such as the end of its move, is waited for
+    contents_hash: int
+    wait_until: int  # boot clock: deadline for a change of the session, such as the end of its move
     claims: int = 0
     forwards: int = 0
 
 
 class SessionSubmissions(SessionInheritances):
-    """Takes or forwards submissions, and answers those that other members forward."""
+    """Accepts or forwards submissions, and answers those that other members forward."""
 
     # ---- from clients ----
 
     def route_submission(self, stored: StoredMessage) -> SubmitResult:
-        """Take or forward a client's submission; runs in its connection's greenlet.
+        """Accept or forward a client's submission; runs in the greenlet of its connection.
 
         It begins no step after `CLIENT_TIMEOUT_US`.
         """
         if not stored.order_key:
             return self.client_listener.submit_to_dispatcher(stored)
-        began = monotonic_time()
-        submission = RoutedSubmission(stored, message_hash(stored), began + FROZEN_WAIT_US)
-        give_up_at = began + CLIENT_TIMEOUT_US
+        started_at = monotonic_time()
+        submission = RoutedSubmission(stored, message_hash(stored), started_at + FROZEN_WAIT_US)
+        give_up_at = started_at + CLIENT_TIMEOUT_US
         while (now := monotonic_time()) < give_up_at:
             result = self._route(submission, give_up_at, now)
             if result is not None:
@@ -79,15 +81,17 @@
         return BUSY
 
     def _route(self, submission: RoutedSubmission, give_up_at: int, now: int) -> SubmitResult | None:
-        """Take one step for a client's submission; None if the next step is to be chosen anew."""
+        """Execute one step of a client's submission; None if another step is needed."""
         self._mark_uncertain_after_takeover()
-        stored, hashed, key = submission.stored, submission.hashed, submission.stored.order_key
-        there, holder = self._routing_state(key)
-        ruling = self.directory.rule_on_submission(key, stored.id, hashed, False, now) if there == "here" else None
-        if there == "wait" or ruling is SubmissionRuling.BUSY:
+        stored, contents_hash, key = submission.stored, submission.contents_hash, submission.stored.order_key
+        route, holder = self._routing_state(key)
+        ruling = (
+            self.directory.rule_on_submission(key, stored.id, contents_hash, False, now) if route == "here" else None
+        )
+        if route == "wait" or ruling is SubmissionRuling.BUSY:
             return None if self._wait_for_change(submission.wait_until) else BUSY
         if ruling in (SubmissionRuling.ACCEPT, SubmissionRuling.DUPLICATE, SubmissionRuling.CONFLICT):
-            return self._accept(stored, hashed, ruling, now)
+            return self._accept(stored, contents_hash, ruling, now)
         if ruling is SubmissionRuling.CLAIM or ruling is None and not holder:
             return None if self._claim_for(submission) else BUSY
         recipient = self._recipient(submission, holder, now)
@@ -97,29 +101,29 @@
         if submission.forwards == MAX_FORWARDS or not self._is_alive(to):
             return BUSY
         submission.forwards += 1
-        answer = self._forward_submission(stored, to, give_up_at, there == "pass", dead_holder)
+        answer = self._forward_submission(stored, to, give_up_at, route == "pass", dead_holder)
         if isinstance(answer, tuple):
             return answer
         if not answer.answer:
-            return None if self._go_on_after_not_held(key, to, answer) else BUSY
+            return None if self._may_retry_after_not_held(key, to, answer) else BUSY
         accepted = answer.answer == AdmissionResult.ACCEPTED.value
         recall = self._recall_on_disconnect(stored, to) if accepted else None
         return AdmissionResult(answer.answer), answer.wait_ms, recall
 
     def _claim_for(self, submission: RoutedSubmission) -> bool:
-        """Claim the session of a submission; False if no claim was made, or too many were."""
+        """Claim the session of a submission; False if no claim was made, or the limit of claims is reached."""
         submission.claims += 1
         return submission.claims <= MAX_CLAIMS and self._claim(submission.stored.order_key)
 
     def _recipient(self, submission: RoutedSubmission, holder: str, now: int) -> tuple[str, SessionEntry | None] | None:
-        """The member to forward to, and the entry of a dead holder whose partition it has, if so.
+        """Return the member to forward to, and the entry of the dead holder whose partition it holds, if any.
 
         None if this member has claimed the session of a dead holder as its successor. `holder`: the target of the
         session's last move from here, or empty.
         """
         key = submission.stored.order_key
         known = self.directory.holder_of(key)
-        to = holder if known in (None, self.name) else known or ""  # it may have moved on since
+        to = holder if known in (None, self.name) else known or ""  # the session may have moved on
         entry = self.directory.entry(key, now)
         if self._is_alive(to):
             return to, None
@@ -131,51 +135,53 @@
         submission.claims = MAX_CLAIMS
         return successor, entry
 
-    def _go_on_after_not_held(self, key: int, by: str, answer: ForwardReply) -> bool:
-        """Whether to choose the next step anew after `by` answered that it does not hold the session."""
+    def _may_retry_after_not_held(self, key: int, responder: str, answer: ForwardReply) -> bool:
+        """Whether another step may succeed after `responder` answered that it does not hold the session."""
         claim = ClaimAnswer(answer.disowned, entry_from_location(answer.entry))
-        ruling = self.directory.forward_refused(key, by, claim, monotonic_time())
+        ruling = self.directory.forward_refused(key, responder, claim, monotonic_time())
         if ruling is SubmissionRuling.CLAIM:
-            self.migrations.carry_out(self.moves.stop_forwarding(key, monotonic_time()))
+            self.migrations.carry_out(self.local_migrations.stop_forwarding(key, monotonic_time()))
             if self._claim(key):
                 return True
-        # It may have come here meanwhile.
+        # The session may have moved here meanwhile.
         return (
             ruling is SubmissionRuling.FORWARD
             or key in self.directory.sessions
             or self._routing_state(key)[0] == "wait"
         )
 
-    def _accept(self, stored: StoredMessage, hashed: int, ruling: SubmissionRuling, now: int) -> SubmitResult | None:
-        """Take a submission of a session that is held here; None if the session was frozen meanwhile."""
-        pending = self.pending.get(stored.id)
+    def _accept(
+        self, stored: StoredMessage, contents_hash: int, ruling: SubmissionRuling, now: int
+    ) -> SubmitResult | None:
+        """Accept a submission of a session that is held here; None if the session was frozen meanwhile."""
+        pending = self.pending_submissions.get(stored.id)
         if ruling is SubmissionRuling.CONFLICT:
             return AdmissionResult.REPEATED, 0, None
         if ruling is SubmissionRuling.DUPLICATE:
-            # A submission that was passed on twice gets the answer of the first, not a refusal.
-            answered, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.ACCEPTED, 0)
-            return None if answered is AdmissionResult.FROZEN else (answered, wait_ms, None)
+            # A submission that was forwarded twice gets the answer of the first one, not a refusal.
+            admission, wait_ms = pending.answer.get() if pending is not None else (AdmissionResult.ACCEPTED, 0)
+            return None if admission is AdmissionResult.FROZEN else (admission, wait_ms, None)
         if not self.store.accepts_messages():
-            return BUSY  # cut off, it may not know that the session has another holder
-        self.directory.record_accepted(stored.order_key, stored.id, hashed, now)
-        submission = self.pending[stored.id] = Submission(stored)
+            return BUSY  # a member that is cut off may not know that the session has another holder
+        self.directory.record_accepted(stored.order_key, stored.id, contents_hash, now)
+        submission = self.pending_submissions[stored.id] = Submission(stored)
         try:
             self.dispatcher.submit(submission)
-            answered, wait_ms = submission.answer.get()
+            admission, wait_ms = submission.answer.get()
         finally:
-            del self.pending[stored.id]
+            del self.pending_submissions[stored.id]
         if (
-            answered is not AdmissionResult.ACCEPTED
+            admission is not AdmissionResult.ACCEPTED
             and (session := self.directory.sessions.get(stored.order_key)) is not None
         ):
             session.ids.pop(stored.id, None)
-        if answered is AdmissionResult.FROZEN:
+        if admission is AdmissionResult.FROZEN:
             return None
-        taken = answered is AdmissionResult.ACCEPTED and stored.number
-        return answered, wait_ms, (lambda: self._withdraw(submission)) if taken else None
+        may_withdraw = admission is AdmissionResult.ACCEPTED and stored.number
+        return admission, wait_ms, (lambda: self._withdraw(submission)) if may_withdraw else None
 
     def _withdraw(self, submission: Submission) -> None:
-        # Otherwise the same id, submitted again, would get +OK for a message that is no more.
+        # Otherwise the same id, submitted again, would get +OK for a message that has been removed.
         session = self.directory.sessions.get(submission.message.order_key)
         if session is not None and submission.message.id in session.ids:
             session.ids[submission.message.id] = session.ids[submission.message.id][0], UNKNOWN_HASH
@@ -184,17 +190,18 @@
     def _forward_submission(
         self, stored: StoredMessage, to: str, give_up_at: int, moved: bool, dead_holder: SessionEntry | None
     ) -> ForwardReply | SubmitResult:
-        """Forward a submission and return the answer; `BUSY` if surely nothing was taken, `UNSURE` if it may have been.
+        """Forward a submission and return the answer.
 
-        `moved`: the session has moved away from here. `dead_holder`: the entry of one whose partition `to` has.
+        Without one: `BUSY` if it cannot have been accepted, `UNSURE` if it may have been. `moved`: the session has
+        moved away from here. `dead_holder`: the entry of the holder whose partition `to` holds.
         """
-        surely_not_taken = True
-        while (left := give_up_at - monotonic_time()) > MIN_TIME_LEFT_US:
-            body = self._forwarded_submit(stored, left, moved, dead_holder)
+        surely_not_accepted = True
+        while (left_us := give_up_at - monotonic_time()) > MIN_TIME_LEFT_US:
+            body = self._forwarded_submit(stored, left_us, moved, dead_holder)
             try:
-                answer = self.peers.call(to, body, min(left / US_PER_S, FORWARD_TIMEOUT_S))
+                answer = self.peers.call(to, body, min(left_us / US_PER_S, FORWARD_TIMEOUT_S))
             except PeerUnreachableError:
-                surely_not_taken = False
+                surely_not_accepted = False
                 self.counters.add(f"submissions passed on without an answer: {to}")
                 gevent.sleep(RETRY_PAUSE_S)
                 continue
@@ -205,10 +212,10 @@
                 self.counters.add("submissions passed on")
                 return answer
             break
-        return BUSY if surely_not_taken else UNSURE
+        return BUSY if surely_not_accepted else UNSURE
 
     def _forwarded_submit(
-        self, stored: StoredMessage, left: int, moved: bool, dead_holder: SessionEntry | None
+        self, stored: StoredMessage, left_us: int, moved: bool, dead_holder: SessionEntry | None
     ) -> ForwardedSubmit:
         return ForwardedSubmit(
             stored.order_key,
@@ -218,7 +225,7 @@
             stored.tenant,
             stored.destination,
             stored.deadline - self.clock.now(),
-            left - MIN_TIME_LEFT_US,
+            left_us - MIN_TIME_LEFT_US,
             stored.body or b"",
             moved,
             location_from_entry(dead_holder),
@@ -234,7 +241,7 @@
     # ---- from other members ----
 
     def _answer_forwarded(self, sender: str, body: ForwardedSubmit) -> ForwardReply:
-        """Answer a submission that another member forwards."""
+        """Answer a submission that another member has forwarded."""
         wait_until = monotonic_time() + min(body.within, FROZEN_WAIT_US)
         stored = self._forwarded_message(body)
         submission = RoutedSubmission(stored, message_hash(stored), wait_until)
@@ -249,8 +256,8 @@
     def _forwarded_message(self, body: ForwardedSubmit) -> StoredMessage:
         deadline = self.clock.now() + body.left
         if body.deadline:
-            # `left` counts from the sending: what the message spends on the way, or in the socket of a stopped process,
-            # would lengthen its deadline. The two clocks may differ; so much can't come of the way alone.
+            # `left` counts from the time of sending: the time in transit, or in the socket of a stopped process, would
+            # extend the deadline. A larger difference than the longest transit comes from different clocks.
             deadline = max(min(deadline, body.deadline), deadline - LONGEST_TRANSIT_US)
         return StoredMessage(
             0,
@@ -267,15 +274,15 @@
     def _handle_forwarded(
         self, sender: str, body: ForwardedSubmit, submission: RoutedSubmission
     ) -> ForwardReply | None:
-        """Take one step for a forwarded submission; None if the next step is to be chosen anew."""
+        """Execute one step of a forwarded submission; None if another step is needed."""
         now = monotonic_time()
         self._mark_uncertain_after_takeover()
-        there, _ = self._routing_state(body.key)
-        if there == "wait":
+        route, _ = self._routing_state(body.key)
+        if route == "wait":
             return None if self._wait_for_change(submission.wait_until) else BUSY_REPLY
         ruling = SubmissionRuling.NOT_HELD
-        if there == "here":
-            ruling = self.directory.rule_on_submission(body.key, body.id, submission.hashed, True, now)
+        if route == "here":
+            ruling = self.directory.rule_on_submission(body.key, body.id, submission.contents_hash, True, now)
         if ruling is SubmissionRuling.BUSY:
             return BUSY_REPLY
         if ruling is SubmissionRuling.CLAIM:
@@ -285,7 +292,7 @@
         if not body.moved and self.node.halls.get(sender) != self.node.halls[self.name]:
             request = MigrationRequest(body.key, MigrationReason.CLIENT, sender)
             self.requested_migrations[body.key] = request, now + CLIENT_REQUEST_TTL_US
-        result = self._accept(submission.stored, submission.hashed, ruling, now)
+        result = self._accept(submission.stored, submission.contents_hash, ruling, now)
         return ForwardReply(result[0].value, result[1]) if result is not None else None
 
     def _handle_not_held(self, submission: RoutedSubmission, now: int) -> ForwardReply | None:
--- a/cedarwick/fleet/session_wire.py
+++ b/cedarwick/fleet/session_wire.py
@@ -11,17 +11,17 @@
 
 
 def message_hash(stored: StoredMessage) -> int:
-    """The hash of a submission's contents; the same at every member."""
+    """Hash the contents of a submission; the hash is the same at every member."""
     return hash_contents(stored.key, stored.priority_class, stored.tenant, stored.destination, stored.body or b"")
 
 
 def entry_from_location(location: SessionLocation | None) -> SessionEntry | None:
-    """The entry in a peer message; None for none."""
+    """Convert a location of a peer message to an entry; None for None."""
     return (
         SessionEntry(location.key, location.holder, location.sequence, location.age) if location is not None else None
     )
 
 
 def location_from_entry(entry: SessionEntry | None) -> SessionLocation | None:
-    """An entry as it is sent in peer messages; None for none."""
+    """Convert an entry to a location for a peer message; None for None."""
     return SessionLocation(*entry) if entry is not None else None
--- a/tests/fleet/test_session_inheritance.py
+++ b/tests/fleet/test_session_inheritance.py
@@ -240,7 +240,7 @@
 
     def successor_claims(self, member: Member, asking: ClaimRequest, partition: int, by: str) -> ClaimAnswer:
         """As `SessionInheritances._answer_inheritance`."""
-        holder = asking.over[1]
+        holder = asking.replaced[1]
         holds = member.newest[holder] == partition and member.holders.get((holder, partition)) == by
         may_have_moved = (
             member.acceptor.may_have_moved(KEY, holder, self.now - ID_RETENTION_US)
--- a/tests/fleet/test_session_migration.py
+++ b/tests/fleet/test_session_migration.py
@@ -794,7 +794,7 @@
         one, two, third = (SessionDirectory(name, 3, 0, has_no_history=True) for name in "ABC")
         first, second = opened_claim(one), opened_claim(two)
         self.assertFalse(two.answer_claim(first, "A", 0).granted)
-        for request, now in ((second._replace(at=-1), 0), (second, CLAIM_TIMEOUT_US)):
+        for request, now in ((second._replace(claimed_at=-1), 0), (second, CLAIM_TIMEOUT_US)):
             self.assertFalse(two.record_claim_answer(request, "C", ClaimAnswer(True, None), now))
         self.assertTrue(two.record_claim_answer(second, "A", one.answer_claim(second, "B", 0), 0))
         self.assertTrue(third.answer_claim(first, "A", 0).granted)
