--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -1,4 +1,4 @@
-"""Sessions in service, in one process: three members whose peer messages are calls."""
+"""The session routers of three members in one process, whose peer messages are direct calls."""
 
 import tempfile
 import unittest
@@ -54,8 +54,8 @@
     return StoredMessage(0, id, "", KEY, "line", "", 0, CLOCK.now() + 6_000_000, body)
 
 
-class Desk:
-    """Takes all that comes, at once."""
+class StubDispatcher:
+    """A dispatcher that accepts every submission at once."""
 
     def __init__(self, store: ReplicatedStore) -> None:
         self.store = store
@@ -90,23 +90,23 @@
 
 class MembersTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.session_router: dict[str, SessionRouter] = {}
+        self.session_routers: dict[str, SessionRouter] = {}
         self.nodes: dict[str, FleetNode] = {}
-        self.lose: Callable[[str, Body], str] = lambda to, body: ""  # "ask", "answer" or neither
+        self.injected_fault: Callable[[str, Body], str] = lambda to, body: ""  # "ask", "answer" or neither
         self.folders = {name: self.enterContext(tempfile.TemporaryDirectory()) for name in NAMES}
         for name in NAMES:
-            self.session_router[name] = self.member(name)
+            self.session_routers[name] = self.make_router(name)
         self.exchange_locations()
 
-    def member(self, name: str) -> SessionRouter:
+    def make_router(self, name: str) -> SessionRouter:
         store = ReplicatedStore(self.folders[name], 1 << 20, now=CLOCK.now)
         store.load()
-        told = Fleet(
+        fleet_config = Fleet(
             group="g",
             sessions=True,
             member=[Member(name=each, address=f"127.0.0.1:{free_port()}", hall=each) for each in NAMES],
         )
-        node = FleetNode(name, told, self.folders[name], store, CLOCK, Counters())
+        node = FleetNode(name, fleet_config, self.folders[name], store, CLOCK, Counters())
         node.dispatcher = mock.Mock()
         self.nodes[name] = node
         self.addCleanup(store.close)
@@ -123,101 +123,101 @@
         holding.serving, holding.reserved_upto = True, (partition + 1) << 32
         store.next_number = max([partition << 32, *store.numbers(partition)]) + 1
         assert node.session_router is not None
-        made = node.session_router
+        router = node.session_router
         client_listener: Any = SimpleNamespace(paused=False)
-        made.attach(mock.Mock(), client_listener, Desk(store))  # type: ignore[arg-type]
-        made.peers = SimpleNamespace(
-            call=lambda to, body, within: self.call(name, to, body),  # type: ignore[assignment]
+        router.attach(mock.Mock(), client_listener, StubDispatcher(store))  # type: ignore[arg-type]
+        router.peers = SimpleNamespace(
+            call=lambda to, body, within: self.call_router(name, to, body),  # type: ignore[assignment]
             close=lambda: None,
         )
-        return made
+        return router
 
-    def call(self, by: str, to: str, body: Body) -> Body:
+    def call_router(self, by: str, to: str, body: Body) -> Body:
         gevent.sleep(0)
-        lost = self.lose(to, body)
-        if lost == "ask":
+        fault = self.injected_fault(to, body)
+        if fault == "ask":
             raise PeerUnreachableError(to)
-        answer = self.session_router[to].handle_peer_message(by, 1, body)
-        if lost == "answer" or answer is None:
+        answer = self.session_routers[to].handle_peer_message(by, 1, body)
+        if fault == "answer" or answer is None:
             raise PeerUnreachableError(to)
         return answer
 
     def exchange_locations(self) -> None:
         """Every member sends its session locations to every other one."""
         for name in NAMES:
-            self.session_router[name].locations_sent_at = 0
-            self.session_router[name].look(monotonic_time())
+            self.session_routers[name].locations_sent_at = 0
+            self.session_routers[name].look(monotonic_time())
         gevent.sleep(0.02)
 
-    def turn(self, seconds: float = 0.3) -> None:
+    def run_for(self, seconds: float = 0.3) -> None:
         until = monotonic_time() + round(seconds * 1_000_000)
         while monotonic_time() < until:
             for name in NAMES:
-                self.session_router[name].look(monotonic_time())
+                self.session_routers[name].look(monotonic_time())
             gevent.sleep(0.005)
 
-    def move(self, source: str, target: str) -> str:
-        moving = gevent.spawn(self.session_router[source].handle_move_command, Call("MOVE", f"{KEY:x} {target}"))
+    def move_session(self, source: str, target: str) -> str:
+        moving = gevent.spawn(self.session_routers[source].handle_move_command, Call("MOVE", f"{KEY:x} {target}"))
         while not moving.ready():
-            self.turn(0.01)
+            self.run_for(0.01)
         return str(moving.get())
 
-    def test_a_session_moves_with_its_messages_and_ids_and_no_id_is_taken_twice(self) -> None:
-        a, b, c = (self.session_router[name] for name in NAMES)
+    def test_a_session_moves_with_its_messages_and_ids_and_no_id_is_accepted_twice(self) -> None:
+        a, b, c = (self.session_routers[name] for name in NAMES)
         for id in ("1", "2"):
             self.assertEqual(a.route_submission(message(id))[0], AdmissionResult.ACCEPTED)
-        self.assertEqual(self.move("a", "b"), "YES 00000000000000a1 moved to b\n")
-        self.turn()
+        self.assertEqual(self.move_session("a", "b"), "YES 00000000000000a1 moved to b\n")
+        self.run_for()
         self.assertEqual(
-            [sorted(kept.id for kept in each.store.messages.values()) for each in (a, b, c)], [[], ["1", "2"], []]
+            [sorted(stored.id for stored in each.store.messages.values()) for each in (a, b, c)], [[], ["1", "2"], []]
         )
         self.assertEqual(len(b.dispatcher.adopted), 2)  # type: ignore[attr-defined]
         self.assertEqual([each.store.migrating for each in (a, b)], [{}, {}])
         self.assertEqual([each.migrations.files.read_marks() for each in (a, b)], [{}, {}])
-        for who in (a, c):  # the connection that stayed, and a client that comes elsewhere
-            self.assertEqual(who.route_submission(message("1"))[0], AdmissionResult.ACCEPTED)
-            self.assertEqual(who.route_submission(message("2", b"other"))[0], AdmissionResult.REPEATED)
-            self.assertEqual(who.route_submission(message(f"3{who.name}"))[0], AdmissionResult.ACCEPTED)
-        self.assertEqual(sorted(kept.id for kept in b.store.messages.values()), ["1", "2", "3a", "3c"])
-
-    def test_a_full_folder_at_the_giver_keeps_no_message_from_being_given_up(self) -> None:
-        a, b = self.session_router["a"], self.session_router["b"]
+        for router in (a, c):  # a client still connected to the source, and one at another member
+            self.assertEqual(router.route_submission(message("1"))[0], AdmissionResult.ACCEPTED)
+            self.assertEqual(router.route_submission(message("2", b"other"))[0], AdmissionResult.REPEATED)
+            self.assertEqual(router.route_submission(message(f"3{router.name}"))[0], AdmissionResult.ACCEPTED)
+        self.assertEqual(sorted(stored.id for stored in b.store.messages.values()), ["1", "2", "3a", "3c"])
+
+    def test_a_full_folder_at_the_source_does_not_keep_messages_after_a_move(self) -> None:
+        a, b = self.session_routers["a"], self.session_routers["b"]
         for id in ("1", "2"):
             a.route_submission(message(id))
-        over = a.store.finish
+        finish_in_store = a.store.finish
 
-        def full(number: int) -> None:
-            over(number)
-            raise NoSpaceError("the folder is full")  # as the store does: the record is owed
+        def finish_on_full_folder(number: int) -> None:
+            finish_in_store(number)
+            raise NoSpaceError("the folder is full")  # as the store does; the record is written later
 
-        with mock.patch.object(a.store, "finish", full):
-            self.move("a", "b")
-            self.turn()
+        with mock.patch.object(a.store, "finish", finish_on_full_folder):
+            self.move_session("a", "b")
+            self.run_for()
         self.assertEqual((a.store.messages, a.store.migrating, a.migrations.files.read_marks()), ({}, {}, {}))
         self.assertEqual(len(b.store.messages), 2)
 
-    def test_an_answer_that_is_lost_is_asked_for_again_and_never_made_up(self) -> None:
-        a, c = self.session_router["a"], self.session_router["c"]
+    def test_a_submission_with_a_lost_answer_is_forwarded_again_or_unsure(self) -> None:
+        a, c = self.session_routers["a"], self.session_routers["c"]
         a.route_submission(message("1"))
         self.exchange_locations()
-        lost: list[Body] = []
+        lost_answers: list[Body] = []
 
-        def once(to: str, body: Body) -> str:
-            if to == "a" and not lost:
-                lost.append(body)
+        def lose_one_answer(to: str, body: Body) -> str:
+            if to == "a" and not lost_answers:
+                lost_answers.append(body)
                 return "answer"
             return ""
 
-        self.lose = once
-        self.assertEqual((c.route_submission(message("2"))[0], len(lost)), (AdmissionResult.ACCEPTED, 1))
+        self.injected_fault = lose_one_answer
+        self.assertEqual((c.route_submission(message("2"))[0], len(lost_answers)), (AdmissionResult.ACCEPTED, 1))
         self.assertEqual(a.dispatcher.submitted, 2)  # type: ignore[attr-defined]
-        self.lose = lambda to, body: "answer" if to == "a" else ""
+        self.injected_fault = lambda to, body: "answer" if to == "a" else ""
         self.assertEqual(c.route_submission(message("3"))[0], AdmissionResult.UNSURE)
         c.node.members.status = lambda now, name: MemberStatus.DEAD  # type: ignore[method-assign]
         self.assertEqual(c.route_submission(message("4"))[0], AdmissionResult.BUSY)
 
-    def test_a_client_gone_before_its_answer_is_withdrawn_at_the_holder(self) -> None:
-        a, c = self.session_router["a"], self.session_router["c"]
+    def test_a_submission_is_withdrawn_at_the_holder_if_its_client_disconnects(self) -> None:
+        a, c = self.session_routers["a"], self.session_routers["c"]
         a.route_submission(message("1"))
         self.exchange_locations()
         answered, _, withdraw = c.route_submission(message("2"))
@@ -229,89 +229,89 @@
         gevent.sleep(0.02)
         self.assertEqual(a.dispatcher.withdraw.call_args[0][0].message.number, number)
         a.store.migrating[number] = 1, ">1/b/a"
-        a.handle_peer_message("c", 1, RecallForward(KEY, "2"))  # Danger: on the move it may be another sender's already
+        a.handle_peer_message("c", 1, RecallForward(KEY, "2"))  # a moving message may belong to another sender
         self.assertEqual(a.dispatcher.withdraw.call_count, 1)
 
-    def test_marks_outlive_a_restart_and_the_move_is_settled_then(self) -> None:
-        a = self.session_router["a"]
+    def test_marks_survive_a_restart_and_the_move_is_decided_afterwards(self) -> None:
+        a = self.session_routers["a"]
         a.route_submission(message("1"))
         (number,) = a.store.messages
-        self.lose = lambda to, body: "ask"  # all of it is lost from the first peer message on
+        self.injected_fault = lambda to, body: "ask"  # every peer message is lost
         a.migrations.begin(KEY, "b", monotonic_time())
-        self.turn(0.1)
+        self.run_for(0.1)
         self.assertEqual((list(a.store.migrating), a.store.may_send_attempt(number)), ([number], False))
         self.nodes["a"].stop()
         a.store.close()
-        again = self.session_router["a"] = self.member("a")
-        self.assertFalse(again.store.may_send_attempt(number))
-        known = again.store.holdings[number >> 32].ledger.known[number].move
+        restarted = self.session_routers["a"] = self.make_router("a")
+        self.assertFalse(restarted.store.may_send_attempt(number))
+        known = restarted.store.holdings[number >> 32].ledger.known[number].move
         assert known is not None
         self.assertEqual(known[1][:1], "<")
-        self.turn(0.1)
-        self.assertEqual(again.dispatcher.adopted, [])  # type: ignore[attr-defined]
-        self.lose = lambda to, body: ""
-        self.turn(1.0)
-        self.assertEqual((again.dispatcher.adopted, again.store.may_send_attempt(number)), ([number], True))  # type: ignore[attr-defined]
-        self.assertEqual(self.session_router["b"].store.messages, {})
-
-    def test_the_process_that_replaces_this_one_goes_on_with_its_sessions_once(self) -> None:
-        a = self.session_router["a"]
+        self.run_for(0.1)
+        self.assertEqual(restarted.dispatcher.adopted, [])  # type: ignore[attr-defined]
+        self.injected_fault = lambda to, body: ""
+        self.run_for(1.0)
+        self.assertEqual((restarted.dispatcher.adopted, restarted.store.may_send_attempt(number)), ([number], True))  # type: ignore[attr-defined]
+        self.assertEqual(self.session_routers["b"].store.messages, {})
+
+    def test_the_next_process_restores_the_sessions_once(self) -> None:
+        a = self.session_routers["a"]
         a.route_submission(message("1"))
         a.hand_over()
         self.nodes["a"].stop()
         a.store.close()
-        again = self.member("a")
-        dispatcher: Any = again.dispatcher
+        restarted = self.make_router("a")
+        dispatcher: Any = restarted.dispatcher
         self.assertEqual(
-            [again.route_submission(message(id))[0] for id in ("1", "2")],
+            [restarted.route_submission(message(id))[0] for id in ("1", "2")],
             [AdmissionResult.ACCEPTED, AdmissionResult.ACCEPTED],
         )
         self.assertEqual(dispatcher.submitted, 1)
-        self.assertIsNone(again.migrations.files.read_and_delete_sessions())
+        self.assertIsNone(restarted.migrations.files.read_and_delete_sessions())
 
-    def test_a_stage_that_comes_spoilt_or_late_is_not_kept(self) -> None:
-        b = self.session_router["b"]
+    def test_a_damaged_or_late_offer_is_not_stored(self) -> None:
+        b = self.session_routers["b"]
         answer = b.handle_peer_message("a", 1, StageSession("9/a/b", KEY, 2, b"facts", 1))
         self.assertEqual(answer, StageReply("9/a/b", False, "spoilt"))
-        b.migrations.vote(format_move_name(8, "a", "b"), (2, "c#1"), None, KEY)  # somebody settles it already
+        b.migrations.vote(format_move_name(8, "a", "b"), (2, "c#1"), None, KEY)  # another member is already deciding it
         late = b.handle_peer_message("a", 1, StageSession("8/a/b", KEY, 2, b"", 0x2D06800538D394C2))
         self.assertEqual((isinstance(late, StageReply) and late.stored, b.store.messages), (False, {}))
 
-    def test_a_session_whose_move_is_called_off_on_a_full_disk_is_taken_up_once_there_is_room(self) -> None:
-        a = self.session_router["a"]
+    def test_a_session_whose_move_is_called_off_on_a_full_disk_is_released_once_there_is_room(self) -> None:
+        a = self.session_routers["a"]
         a.route_submission(message("1"))
-        thawed = a.dispatcher.unfreeze = mock.Mock()  # type: ignore[method-assign]
-        self.lose = lambda to, body: "ask" if isinstance(body, StageSession) else ""
+        unfreeze_mock = a.dispatcher.unfreeze = mock.Mock()  # type: ignore[method-assign]
+        self.injected_fault = lambda to, body: "ask" if isinstance(body, StageSession) else ""
         with mock.patch.object(migration_source, "RELEASE_RETRY_S", 0.05):
             a.migrations.begin(KEY, "b", monotonic_time())
-            self.turn(0.3)  # marked, and the target does not answer
+            self.run_for(0.3)  # the messages are marked, and the target does not answer
             with mock.patch.object(a.migrations, "_save_marks_without", side_effect=OSError("full")) as save:
-                self.turn(0.6)
+                self.run_for(0.6)
                 self.assertTrue(save.called)
-                self.assertEqual((len(a.store.migrating), thawed.called), (1, False))
-            self.turn(0.3)
-        self.assertEqual((a.store.migrating, thawed.called, len(a.dispatcher.adopted)), ({}, True, 1))  # type: ignore[attr-defined]
-
-    def test_a_vote_that_was_not_written_is_not_granted_when_it_is_asked_again(self) -> None:
-        made, move = (
-            self.session_router["b"].migrations,
-            format_move_name(self.session_router["a"].migrations.next_stamp, "a", "b"),
+                self.assertEqual((len(a.store.migrating), unfreeze_mock.called), (1, False))
+            self.run_for(0.3)
+        self.assertEqual((a.store.migrating, unfreeze_mock.called, len(a.dispatcher.adopted)), ({}, True, 1))  # type: ignore[attr-defined]
+
+    def test_a_vote_that_was_not_written_is_not_granted_on_a_repeated_request(self) -> None:
+        target_migrations, move = (
+            self.session_routers["b"].migrations,
+            format_move_name(self.session_routers["a"].migrations.next_stamp, "a", "b"),
         )
-        with mock.patch.object(made.files, "append_vote", side_effect=OSError("full")):
-            asked = [made.vote(move, (2, "c#1"), None, KEY).granted for _ in range(2)]
-            asked += [made.vote(move, (2, "c#1"), "off", KEY).granted for _ in range(2)]
-        self.assertEqual(asked, [False] * 4)
-        self.assertTrue(made.vote(move, (2, "c#1"), "off", KEY).granted)
-        table = made.files.read_acceptor_table()
+        with mock.patch.object(target_migrations.files, "append_vote", side_effect=OSError("full")):
+            grants = [target_migrations.vote(move, (2, "c#1"), None, KEY).granted for _ in range(2)]
+            grants += [target_migrations.vote(move, (2, "c#1"), "off", KEY).granted for _ in range(2)]
+        self.assertEqual(grants, [False] * 4)
+        self.assertTrue(target_migrations.vote(move, (2, "c#1"), "off", KEY).granted)
+        table = target_migrations.files.read_acceptor_table()
         assert table is not None
         self.assertEqual([(row.move, row.value) for row in table.rows], [(move, "off")])
 
-    def test_who_is_cut_off_takes_nothing_of_its_sessions(self) -> None:
-        a = self.session_router["a"]
+    def test_a_member_that_is_cut_off_accepts_nothing_for_its_sessions(self) -> None:
+        a = self.session_routers["a"]
         a.route_submission(message("1"))
         with mock.patch.object(a.store, "accepts_messages", return_value=False):
             self.assertEqual(a.route_submission(message("2"))[0], AdmissionResult.BUSY)
-        passed = a._answer_forwarded(
+        reply = a._answer_forwarded(
             "c",
             SimpleNamespace(  # type: ignore[arg-type]
                 key=KEY + 1,
@@ -328,17 +328,17 @@
                 deadline=0,
             ),
         )
-        self.assertEqual(passed, ForwardReply("", 0, True, None))
+        self.assertEqual(reply, ForwardReply("", 0, True, None))
 
-    def test_after_a_move_that_is_called_off_ends_that_were_decided_before_are_posted(self) -> None:
-        """Virtual day 2020 (`--ack copy --level worst --sessions --subscribers 2`): a message without any end.
+    def test_final_answers_from_before_a_move_are_posted_after_it_is_called_off(self) -> None:
+        """Virtual day 2020 (`--ack copy --level worst --sessions --subscribers 2`): a message without a final answer.
 
-        n1 marks a session's messages for a move, its links are cut, and it dies. n2 adopts the partition without the
-        marks and returns a message at its deadline. 8 ms later n1 is back and offers what it knows: the marks come with
-        it, the message is parked, its unposted notice goes, and as a marked one it is not taken up again. The move is
-        called off 18 ms after that, but only messages without an end were taken up: nobody posted the notice.
+        n1 marks the messages of a session for a move, is cut off and dies. n2 adopts the partition without the marks
+        and returns a message at its deadline. n1 is back 8 ms later and offers its facts with the marks: the message
+        is parked, its unposted notice is dropped, and as a marked message it is not adopted. The move is called off
+        18 ms later, but only messages without a final answer were adopted then, so the notice was never posted.
         """
-        a = self.session_router["a"]
+        a = self.session_routers["a"]
         for id in ("1", "2", "3"):
             a.route_submission(message(id))
         ended, owed, uncopied = sorted(a.store.messages)
@@ -346,22 +346,22 @@
             a.store.mark(number, 1, "<5/a/b")
         a.store.record_final_answer(ended, True, 0)
         a.store.record_final_answer(uncopied, True, 0)
-        a.dispatcher.uncopied_ends = {uncopied}  # the dispatcher posts it by itself, once a copy has it
+        a.dispatcher.uncopied_ends = {uncopied}  # the dispatcher posts it once a replica has it
         self.assertTrue(a.migrations._clear_source_marks("5/a/b", KEY, False, monotonic_time()))
         self.assertEqual(a.dispatcher.adopted, [ended, owed])  # type: ignore[attr-defined]
 
-    def test_time_on_the_way_does_not_lengthen_a_deadline(self) -> None:
-        """Virtual days 1010 and 1017 (`--ack own --level worst --sessions --subscribers 2`): ends 47 and 105 ms late.
+    def test_transit_time_does_not_extend_a_deadline(self) -> None:
+        """Virtual days 1010 and 1017 (`--ack own --level worst --sessions --subscribers 2`): late final answers.
 
-        A client's message was passed on over a slow link. `left` is the time that it had when it was sent, so the
-        holder took its 311 ms on the way for time that it still had, and answered beyond the deadline's grace.
+        A message was forwarded over a slow link. `left` counts from the time of sending, so the holder added the 311 ms
+        in transit to the remaining time. The final answers came 47 and 105 ms after the deadline's grace.
         """
-        a, c = self.session_router["a"], self.session_router["c"]
+        a, c = self.session_routers["a"], self.session_routers["c"]
         for late, clock_ahead, lengthened in (
             (0, 0, 0),
             (311_000, 0, 0),
-            (311_000, -50_000, 50_000),  # by the difference of the clocks
-            (100_000, 9_000_000, 100_000 - LONGEST_TRANSIT_US),  # a clock that is far off counts as the longest way
+            (311_000, -50_000, 50_000),  # the difference of the clocks
+            (100_000, 9_000_000, 100_000 - LONGEST_TRANSIT_US),  # limited to the longest transit if a clock is far off
         ):
             with self.subTest(late=late, clock_ahead=clock_ahead):
                 stored = message("1")
@@ -369,17 +369,19 @@
                 body = a._forwarded_submit(stored, 300_000, False, None)
                 with mock.patch.object(c.clock, "now", return_value=sent_at + late + clock_ahead):
                     taken = c._forwarded_message(body)
-                ends_at = taken.deadline - clock_ahead  # by the clock of the member that the client asked
+                ends_at = taken.deadline - clock_ahead  # by the clock of the forwarding member
                 self.assertAlmostEqual(ends_at - stored.deadline, lengthened, delta=2_000)
 
-    def test_an_older_member_says_only_how_much_time_was_left(self) -> None:
-        a, c = self.session_router["a"], self.session_router["c"]
+    def test_an_older_member_sends_only_the_time_left(self) -> None:
+        a, c = self.session_routers["a"], self.session_routers["c"]
         body = msgspec.structs.replace(a._forwarded_submit(message("1"), 300_000, False, None), deadline=0)
         self.assertAlmostEqual(c._forwarded_message(body).deadline, c.clock.now() + body.left, delta=2_000)
 
-    def adopted(self, level: int = INHERITANCE_LEVEL) -> tuple[SessionRouter, SessionRouter, SessionRouter, int]:
-        """The partition of a, which has taken "1" and does not answer, is held by c, whose copy was old and whole."""
-        a, b, c = (self.session_router[name] for name in NAMES)
+    def adopt_partition(
+        self, level: int = INHERITANCE_LEVEL
+    ) -> tuple[SessionRouter, SessionRouter, SessionRouter, int]:
+        """Let c adopt the partition of a with all recent ids; a has accepted "1" and is unreachable."""
+        a, b, c = (self.session_routers[name] for name in NAMES)
         a.route_submission(message("1"))
         self.exchange_locations()
         partition = slot_of("a") << 12
@@ -388,7 +390,7 @@
         c.replica_recent_ids[partition] = RecentIds(monotonic_time() - ID_RETENTION_US)
         c.replica_recent_ids[partition].term, c.replica_recent_ids[partition].next = 1, 4
         c._record_replica_step(partition, Step(1, 5, EVERYTHING, 0, 0, b""), [fact])
-        self.lose = lambda to, body: "ask" if to == "a" else ""
+        self.injected_fault = lambda to, body: "ask" if to == "a" else ""
         for each in (b, c):
             each.node.verifier.levels["a"] = level
             each.node.members.status = lambda now, name: (  # type: ignore[method-assign]
@@ -402,38 +404,38 @@
         c.on_partition_adopted(partition)
         return a, b, c, partition
 
-    def test_the_successor_of_a_dead_sender_goes_on_with_its_sessions_and_ids(self) -> None:
-        a, b, c, partition = self.adopted()
-        for who in (b, c):
+    def test_the_successor_of_a_dead_sender_inherits_its_sessions_and_ids(self) -> None:
+        a, b, c, partition = self.adopt_partition()
+        for router in (b, c):
             self.assertEqual(
                 [
-                    who.route_submission(message("1"))[0],
-                    who.route_submission(message("1", b"other"))[0],
-                    who.route_submission(message(f"2{who.name}"))[0],
+                    router.route_submission(message("1"))[0],
+                    router.route_submission(message("1", b"other"))[0],
+                    router.route_submission(message(f"2{router.name}"))[0],
                 ],
                 [AdmissionResult.ACCEPTED, AdmissionResult.REPEATED, AdmissionResult.ACCEPTED],
             )
-        self.assertEqual(sorted(kept.id for kept in c.store.messages.values()), ["2b", "2c"])
-        # It wakes, and has its next partition; what it had taken and told to nobody is neither answered nor delivered.
-        self.lose = lambda to, body: ""
+        self.assertEqual(sorted(stored.id for stored in c.store.messages.values()), ["2b", "2c"])
+        # a is back with its next partition. A message that it accepted without a replica is neither answered nor sent.
+        self.injected_fault = lambda to, body: ""
         a.store.open_partition = LeasedPartition(partition + 1, a.store.holdings[partition].takeover)
         a.store.open_partition.serving = True
         self.assertEqual(a.route_submission(message("2b"))[0], AdmissionResult.ACCEPTED)
         self.assertEqual((a.dispatcher.submitted, a.directory.holder_of(KEY)), (1, "c"))  # type: ignore[attr-defined]
-        ((number, kept),) = a.store.messages.items()
+        ((number, stored),) = a.store.messages.items()
         holding = c.store.holdings[partition]
-        fact = Fact(number, base_of(kept, b"x"), MessageKnowledge())
+        fact = Fact(number, base_of(stored, b"x"), MessageKnowledge())
         self.assertEqual(c.filter_offered_facts(holding, [fact]), [])
-        c.store.messages[number] = kept
+        c.store.messages[number] = stored
         holding.ledger.known[number] = MessageKnowledge()
-        gone = Fact(number, None, MessageKnowledge(end=(EndRank.NOTIFIED, 0)))
-        done = Fact(number, None, MessageKnowledge(end=(EndRank.COMPLETED, 0)))
-        self.assertEqual(c.filter_offered_facts(holding, [gone, done]), [done])
-        kept.deadline = 0
-        self.assertEqual(c.filter_offered_facts(holding, [gone]), [gone])
-
-    def test_nobody_inherits_from_an_older_member_nor_what_a_vote_or_a_young_copy_speaks_against(self) -> None:
-        a, b, c, partition = self.adopted(INHERITANCE_LEVEL - 1)
+        withdrawn = Fact(number, None, MessageKnowledge(end=(EndRank.NOTIFIED, 0)))
+        completed = Fact(number, None, MessageKnowledge(end=(EndRank.COMPLETED, 0)))
+        self.assertEqual(c.filter_offered_facts(holding, [withdrawn, completed]), [completed])
+        stored.deadline = 0
+        self.assertEqual(c.filter_offered_facts(holding, [withdrawn]), [withdrawn])
+
+    def test_no_inheritance_from_an_older_member_after_a_vote_or_with_a_recent_replica(self) -> None:
+        a, b, c, partition = self.adopt_partition(INHERITANCE_LEVEL - 1)
         self.assertEqual(b.route_submission(message("2"))[0], AdmissionResult.BUSY)
         c.inheritable_sessions[partition] = inheritable = InheritableSessions(
             "a", monotonic_time() + 60_000_000, {}, set()
@@ -457,8 +459,8 @@
             [False, False, True],
         )
 
-    def test_a_move_that_nobody_has_a_side_of_any_more_is_settled(self) -> None:
-        a, b, c = (self.session_router[name] for name in NAMES)
+    def test_a_move_without_source_and_target_is_decided(self) -> None:
+        a, b, c = (self.session_routers[name] for name in NAMES)
         move = format_move_name(a.migrations.next_stamp, "a", "b")
         for voters in ((b,), (b, c)):
             for each in (b, c):
@@ -476,7 +478,7 @@
 
 
 class StoredVotesTest(unittest.TestCase):
-    def test_votes_outlive_a_restart_and_damage_makes_the_acceptor_abstain(self) -> None:
+    def test_votes_survive_a_restart_and_damage_makes_the_acceptor_abstain(self) -> None:
         folder = self.enterContext(tempfile.TemporaryDirectory())
         session_files, move = SessionFiles(FleetFiles(folder)), format_move_name(5, "a", "b")
         voter = Acceptor(0, True)
@@ -493,9 +495,9 @@
             file.write(b"\0")
         self.assertIsNone(SessionFiles(FleetFiles(folder)).read_acceptor_table())
 
-    def test_files_longer_than_a_record_are_read_again(self) -> None:
+    def test_files_larger_than_a_record_are_read_back(self) -> None:
         files = SessionFiles(FleetFiles(self.enterContext(tempfile.TemporaryDirectory())))
-        marks = {number: (1, "<1790000000000000/n0/n1") for number in range(40_000)}  # as many as 20 long sessions have
+        marks = {number: (1, "<1790000000000000/n0/n1") for number in range(40_000)}  # as many as in 20 long sessions
         files.write_marks(marks)
         self.assertEqual(files.read_marks(), marks)
         rows = [
@@ -506,8 +508,8 @@
         files.append_vote(InstanceState("20001/n0/n1"))
         self.assertEqual(files.read_acceptor_table(), AcceptorTable([*rows, InstanceState("20001/n0/n1")], {"n0": 7}))
 
-    def test_what_a_durable_folder_is_told_is_on_the_disk_before_it_counts(self) -> None:
-        for durable, syncs in ((False, 0), (True, 3)):  # the file, the folder; then a row
+    def test_writes_to_a_durable_folder_are_synced(self) -> None:
+        for durable, syncs in ((False, 0), (True, 3)):  # the file, the folder, then the row
             files = SessionFiles(FleetFiles(self.enterContext(tempfile.TemporaryDirectory()), durable))
             with mock.patch("os.fsync") as synced:
                 files.write_acceptor_table(AcceptorTable([], {}))
@@ -516,48 +518,48 @@
 
 
 class FrozenSessionTest(test_net.DispatcherTest):
-    """The dispatcher's side; what the base class tests holds as before."""
+    """Frozen sessions in the dispatcher; the inherited tests run as well."""
 
-    def submission(self, name: str) -> Submission:
-        made = Submission(
-            StoredMessage(0, name, "", KEY, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
+    def submit_message(self, id: str) -> Submission:
+        submission = Submission(
+            StoredMessage(0, id, "", KEY, "free", "second", 0, self.dispatcher.clock.now() + 8_000_000, b"x")
         )
-        self.dispatcher._admit(made)
-        return made
+        self.dispatcher._admit(submission)
+        return submission
 
-    def frozen(self) -> AsyncResult:
-        still = self.dispatcher.freeze(KEY)
-        call, told = self.dispatcher.queue.get()
-        call(*told)
-        return still
+    def freeze_session(self) -> AsyncResult:
+        frozen_result = self.dispatcher.freeze(KEY)
+        call, arguments = self.dispatcher.queue.get()
+        call(*arguments)
+        return frozen_result
 
-    def test_what_is_out_is_awaited_and_what_comes_is_to_be_handed_in_again(self) -> None:
-        self.submission("a")
+    def test_freezing_waits_for_attempts_and_new_submissions_are_to_be_submitted_again(self) -> None:
+        self.submit_message("a")
         self.dispatcher._decide()
         self.dispatcher._decide_clearance(self.calls[0], AsyncResult())
-        fresh = self.submission("b")
-        still = self.frozen()
+        fresh = self.submit_message("b")
+        frozen_result = self.freeze_session()
         self.assertEqual((fresh.answer.get()[0], fresh.message.number), (AdmissionResult.FROZEN, 0))
-        self.assertEqual(self.submission("c").answer.get()[0], AdmissionResult.FROZEN)
-        self.assertFalse(still.ready())
+        self.assertEqual(self.submit_message("c").answer.get()[0], AdmissionResult.FROZEN)
+        self.assertFalse(frozen_result.ready())
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.RESET))
-        self.assertTrue(still.ready())
+        self.assertTrue(frozen_result.ready())
         self.assertTrue(self.store.messages[1].may_have_run_at)
         self.dispatcher._adopt([1])
-        self.assertEqual(self.dispatcher.handles, {})  # not while it is frozen
+        self.assertEqual(self.dispatcher.handles, {})  # not while the session is frozen
         self.dispatcher._unfreeze(KEY)
         self.store.migrating[1] = 2, "<1/a/b"
         self.dispatcher._adopt([1])
-        self.assertEqual(self.dispatcher.handles, {})  # nor while it is marked
+        self.assertEqual(self.dispatcher.handles, {})  # nor while the message is marked
         del self.store.migrating[1]
         self.dispatcher._adopt([1])
         self.assertEqual(list(self.dispatcher.handles), [1])
-        self.assertEqual(self.submission("b").answer.ready(), False)  # its id was not remembered
+        self.assertEqual(self.submit_message("b").answer.ready(), False)  # its id was not recorded
 
-    def test_a_session_that_comes_quietly_lets_the_keys_of_others_go_on(self) -> None:
-        self.submission("a")
+    def test_a_session_without_unrecorded_attempts_does_not_pause_other_keys(self) -> None:
+        self.submit_message("a")
         self.dispatcher._decide()
-        self.frozen()
+        self.freeze_session()
         self.dispatcher._attempt_ended(self.calls[0], AttemptResult(Outcome.MOOT))
         self.dispatcher._unfreeze(KEY)
         before = self.dispatcher.sender.order_key_queues.all_paused_until
