--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from cedarwick.fleet.replica import ReplicaEntry
-from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, nothing_owed
+from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, is_finished
 from cedarwick.fleet.sessions import ID_RETENTION_US, hash_contents
 
 MAX_IDS = 1 << 16  # ids of one partition; beyond it the oldest are dropped, which shortens the period that is covered
@@ -45,11 +45,11 @@
         """Record the facts of a replicated entry that is in the replica's file."""
         fact_list = list(facts)
         is_tail = entry.upto <= entry.after
-        first_index = entry.next - len(fact_list) if is_tail else entry.next
+        first_index = entry.next_index - len(fact_list) if is_tail else entry.next_index
         if (entry.term, first_index) != (self.term, self.next):
             # A gap: messages in it may have been accepted and have ended without being recorded here.
             self.recorded_since = now
-        self.term, self.next = entry.term, entry.next
+        self.term, self.next = entry.term, entry.next_index
         for fact in fact_list:
             self._record_fact(fact, now)
         while self.arrivals and (self.arrivals[0][0] < now - ID_RETENTION_US or len(self.arrivals) > MAX_IDS):
@@ -61,21 +61,21 @@
     def _record_fact(self, fact: Fact, now: int) -> None:
         known, known_id = fact.known, self.by_number.get(fact.number)
         if known_id is None:
-            if fact.base is not None and fact.base.turn and not nothing_owed(known):
+            if fact.base is not None and fact.base.ordering_key and not is_finished(known):
                 self.by_number[fact.number] = RecentId(
-                    fact.base.turn,
+                    fact.base.ordering_key,
                     fact.base.id,
                     now,
                     submission_hash(fact.base, known.end[0]),
-                    bool(known.heads) or known.end[0] is not EndRank.NONE,
+                    bool(known.attempts_by_term) or known.end[0] is not EndRank.NONE,
                 )
                 self.arrivals.append((now, fact.number))
             return
-        if known.end[0] is EndRank.NOTIFIED and not known.heads and not known_id.ended:
+        if known.end[0] is EndRank.NOTIFIED and not known.attempts_by_term and not known_id.ended:
             # Withdrawn without an attempt or an end: its client was refused, so the id may be accepted again.
             del self.by_number[fact.number]
         else:
-            known_id.ended |= bool(known.heads) or known.end[0] is not EndRank.NONE
+            known_id.ended |= bool(known.attempts_by_term) or known.end[0] is not EndRank.NONE
 
     def complete_at(self) -> int:
         """When all ids that must not be accepted again are known here."""
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -71,7 +71,7 @@
         """Claim a session whose last holder's partition is held here; returns whether a claim was made."""
         now, entry = monotonic_time(), self.directory.entry(key, monotonic_time())
         partition = self._newest_partition(entry.holder) if entry is not None else 0
-        inheritable, holding = self.inheritable_sessions.get(partition), self.store.holdings.get(partition)
+        inheritable, holding = self.inheritable_sessions.get(partition), self.store.leased_partitions.get(partition)
         if (
             entry is None
             or inheritable is None
@@ -119,7 +119,7 @@
         return self.directory.answer_inheritance(request, claimer, holds_partition, may_have_moved, now)
 
     def filter_offered_facts(self, holding: LeasedPartition, facts: list[Fact]) -> list[Fact]:
-        """Drop those facts offered by the last holder of an adopted partition that the inheritance has superseded."""
+        """Drop those facts offered by the last holder of an adopted partition that inherited sessions supersede."""
         inheritable, nearest_deadline = (
             self.inheritable_sessions.get(holding.partition),
             self.clock.now() + 2 * DEADLINE_MARGIN_US,
@@ -130,13 +130,12 @@
         for fact in facts:
             stored, known = self.store.messages.get(fact.number), holding.ledger.known.get(fact.number)
             if known is None:
-                if fact.base is not None and fact.base.turn in inheritable.inherited_keys:
+                if fact.base is not None and fact.base.ordering_key in inheritable.inherited_keys:
                     continue  # no replica had it: its client got no answer and may have submitted it here
             elif stored is not None and stored.order_key in inheritable.inherited_keys and known.end[0] is EndRank.NONE:
                 was_withdrawn = fact.known.end[0] is EndRank.NOTIFIED and not (fact.known.move and fact.known.move[1])
-                if (
-                    was_withdrawn and stored.deadline > nearest_deadline
-                ):  # nearer its deadline it may have been answered 'failed' there
+                # Nearer its deadline, a message may have been answered 'failed' there, although no replica knows of it.
+                if was_withdrawn and stored.deadline > nearest_deadline:
                     continue  # its client was refused there, and may have got +OK here since
             accepted.append(fact)
         return accepted
--- a/tests/fleet/test_session_inheritance.py
+++ b/tests/fleet/test_session_inheritance.py
@@ -11,7 +11,7 @@
 from cedarwick.fleet.messages import LEVEL, VERSION, PeerMessage, RecentIdEntry, StageSession, decode, encode
 from cedarwick.fleet.recent_ids import UNKNOWN_HASH, RecentIds, submission_hash
 from cedarwick.fleet.replica import ReplicaEntry
-from cedarwick.fleet.replication import EVERYTHING
+from cedarwick.fleet.replication import MAX_MESSAGE_NUMBER
 from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, MessageKnowledge, TermAttempts
 from cedarwick.fleet.sessions import (
     ENTRY_TTL_US,
@@ -282,13 +282,13 @@
         if ruling is SubmissionRuling.ACCEPT and not holder.lost_partition:
             last = max((at for at, _, _ in self.accepted), default=-ENTRY_TTL_US)
             if self.now - last <= ID_RETENTION_US:
-                raise AssertionError(f"taken at {last} and {self.now}: {self.accepted[-2:]}, now by {holder.name}")
+                raise AssertionError(f"accepted at {last} and {self.now}: {self.accepted[-2:]}, now by {holder.name}")
             self.accepted.append((self.now, holder.name, holder.partition))
             holder.directory.record_accepted(KEY, "id", 1, self.now)
             # A majority renews its lease, and receives its session locations.
-            request = holder.directory.next_locations(9, self.now)
+            locations = holder.directory.next_locations(9, self.now)
             self.members[self.rng.choice([name for name in NAMES if name != holder.name])].directory.merge_entries(
-                request, self.now
+                locations, self.now
             )
 
     def inherit(self, actor: Member) -> None:
@@ -334,11 +334,11 @@
     BASE = MessageBase("1", "", KEY, "line", "", 0, 9, b"x")
 
     def replica_step(self, first: int, *facts: Fact, term: int = 1) -> tuple[ReplicaEntry, tuple[Fact, ...]]:
-        return ReplicaEntry(term, first + len(facts), EVERYTHING, 0, 0, b""), facts
+        return ReplicaEntry(term, first + len(facts), MAX_MESSAGE_NUMBER, 0, 0, b""), facts
 
     def test_an_answered_id_is_kept_for_its_retention_time_and_a_refused_one_is_not(self) -> None:
         recent_ids = RecentIds(0)
-        recent_ids.record(ReplicaEntry(1, 5, EVERYTHING, 0, EVERYTHING, b""), (), 0)
+        recent_ids.record(ReplicaEntry(1, 5, MAX_MESSAGE_NUMBER, 0, MAX_MESSAGE_NUMBER, b""), (), 0)
         second = MessageBase("2", "", KEY, "line", "", 0, 9, b"y")
         recent_ids.record(
             *self.replica_step(5, Fact(1, self.BASE, MessageKnowledge()), Fact(2, second, MessageKnowledge())), 10
@@ -362,8 +362,8 @@
             (self.replica_step(3), 0),
             (self.replica_step(4), 9),
             (self.replica_step(3, term=2), 9),
-            ((ReplicaEntry(1, 8, EVERYTHING, 0, EVERYTHING, b""), ()), 9),
-            ((ReplicaEntry(1, 3, EVERYTHING, 0, EVERYTHING, b""), ()), 0),
+            ((ReplicaEntry(1, 8, MAX_MESSAGE_NUMBER, 0, MAX_MESSAGE_NUMBER, b""), ()), 9),
+            ((ReplicaEntry(1, 3, MAX_MESSAGE_NUMBER, 0, MAX_MESSAGE_NUMBER, b""), ()), 0),
         ):
             recent_ids = RecentIds(0)
             recent_ids.record(ReplicaEntry(1, 3, 5, 0, 5, b""), (), 0)
