--- a/cedarwick/fleet/sessions.py
+++ b/cedarwick/fleet/sessions.py
@@ -19,7 +19,7 @@
   `ID_RETENTION_US`. An inheritance and a move, or a new partition of the lost sender, each need a majority, so at least
   one member sees both.
 - A sender that has lost its partition is therefore certain of none of its sessions (`mark_all_uncertain`): once it
-  has a new partition, it claims each session anew before it accepts another submission of it, and keeps the ids that
+  has a new partition, it claims each session again before it accepts another submission of it, and keeps the ids that
   it knows.
 
 The caller accepts nothing for a session while it has no lease on its own partition: a member that is cut off may not
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -368,8 +368,8 @@
                 sent_at = a.clock.now()
                 body = a._forwarded_submit(stored, 300_000, False, None)
                 with mock.patch.object(c.clock, "now", return_value=sent_at + late + clock_ahead):
-                    taken = c._forwarded_message(body)
-                ends_at = taken.deadline - clock_ahead  # by the clock of the forwarding member
+                    forwarded = c._forwarded_message(body)
+                ends_at = forwarded.deadline - clock_ahead  # by the clock of the forwarding member
                 self.assertAlmostEqual(ends_at - stored.deadline, lengthened, delta=2_000)
 
     def test_an_older_member_sends_only_the_time_left(self) -> None:
