--- a/cedarwick/events/anti_entropy.py
+++ b/cedarwick/events/anti_entropy.py
@@ -11,7 +11,7 @@
 import xxhash
 
 from cedarwick.events.registry import Entry, Registry, Verdict
-from cedarwick.fleet.messages import MOST_ENTRIES, Subscribe
+from cedarwick.fleet.messages import MAX_SUBSCRIPTION_ENTRIES, Subscribe
 
 BUCKETS = 256
 ENTRIES_BYTES = 1 << 18  # approximate bytes of entries in one peer message; at least one bucket
@@ -58,18 +58,22 @@
         size = 0
         for name in names:
             entry = self.registry.entries.get(name)
-            if entry is not None and size <= MAX_ENTRIES_BYTES and len(found) < MOST_ENTRIES:
+            if entry is not None and size <= MAX_ENTRIES_BYTES and len(found) < MAX_SUBSCRIPTION_ENTRIES:
                 found[name] = entry
                 size += len(entry.filter) + ENTRY_BYTES
         return Subscribe(self.registry.epoch, self.digest(), found, tuple(asked))
 
     def answer(self, received: Subscribe) -> Subscribe:
         """Build the answer to another member's message, after its entries were merged."""
-        asked = {each for each in received.asked if each < BUCKETS}
+        asked = {each for each in received.requested_buckets if each < BUCKETS}
         if asked:
             return self.peer_message(self._within(asked))
         answer = self.peer_message()
-        return answer if answer.digest == received.digest else msgspec.structs.replace(answer, buckets=self.digests())
+        return (
+            answer
+            if answer.digest == received.digest
+            else msgspec.structs.replace(answer, bucket_digests=self.digests())
+        )
 
     def join(self, now: int, received: Subscribe) -> Verdict:
         """Merge the entries of a message into the registry; returns whether it was accepted, or why not."""
@@ -81,7 +85,9 @@
     def differing(self, answer: Subscribe) -> Subscribe | None:
         """Build a message with the differing buckets that fit, asking for the same ones; None if none differ."""
         differ = [
-            place for place, (mine, its) in enumerate(zip(self.digests(), answer.buckets, strict=False)) if mine != its
+            place
+            for place, (mine, its) in enumerate(zip(self.digests(), answer.bucket_digests, strict=False))
+            if mine != its
         ]
         sizes = [0] * BUCKETS
         for name, entry in self.registry.entries.items():
--- a/cedarwick/events/registry_exchange.py
+++ b/cedarwick/events/registry_exchange.py
@@ -104,7 +104,7 @@
             self.lacks.setdefault(name, set()).update(names)
             self.failed_until[name] = now + RETRY_AFTER
             return False
-        if answer.buckets and (wish := self.sync.differing(answer)) is not None:
+        if answer.bucket_digests and (wish := self.sync.differing(answer)) is not None:
             answer = self.ask(name, wish) or answer
         self.agreed[name] = self.sync.digest()
         return answer.digest == self.agreed[name]
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -293,8 +293,8 @@
             # A member where the subscriber was before reports the position of an old connection: ignore it.
             if delivery is None or entry is None or entry.member != sender:
                 continue
-            if row.began:
-                delivery.reader_reached(now, Reached(sender, row.began, row.held, row.written, row.room))
+            if row.connected_at:
+                delivery.reader_reached(now, Reached(sender, row.connected_at, row.received, row.written, row.has_room))
                 self.active[row.name] = None
             else:
                 delivery.disconnected(sender)
--- a/cedarwick/fleet/counted_calls.py
+++ b/cedarwick/fleet/counted_calls.py
@@ -22,7 +22,7 @@
     """Send a peer message to the member `name` and return its answer; None on any failure, which is counted.
 
     Args:
-        send: as `Peers.call` or `Peers.peer_message`.
+        send: as `Peers.call` or `Peers.call_for_peer_message`.
         within_s: seconds in which the answer must come.
         subject: what the message is about, for the names of the counters; empty: anything.
     """
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -143,12 +143,12 @@
         if isinstance(body, RetryAfterHint):
             now, numbers = self.clock.now(), self.endpoint_list.numbers
             self.dispatcher.apply_retry_after(
-                [(numbers[each.uid], now + each.left) for each in body.waits if each.uid in numbers]
+                [(numbers[each.uid], now + each.remaining_us) for each in body.waits if each.uid in numbers]
             )
             self.counters.add("hints heard")
             return Acknowledged()
         self.suspension_table.refresh(wall_time())
-        self._merge_received(sender, lambda now: self.suspension_table.merge(now, body.rows))
+        self._merge_received(sender, lambda now: self.suspension_table.merge(now, body.marks))
         own_digest = self.suspension_table.digest()
         return SuspensionMarksMessage(
             own_digest,
@@ -181,9 +181,9 @@
         if not isinstance(answer, SuspensionMarksMessage):
             self.next_exchange_at[name] = now + SEND_INTERVAL_US
             return
-        their_rows = all_sent if answer.digest == digest else answer.rows
+        their_rows = all_sent if answer.digest == digest else answer.marks
         self.suspension_table.refresh(wall_time())
-        if answer.whole:
+        if answer.complete:
             self.out_of_date.discard(name)
             self._merge_received(name, lambda at: self.suspension_table.merge_all(at, their_rows))
         else:
--- a/cedarwick/fleet/lease_exchange.py
+++ b/cedarwick/fleet/lease_exchange.py
@@ -10,7 +10,7 @@
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import (
     LEASE_PROBE_LEVEL,
-    LEVEL,
+    PROTOCOL_LEVEL,
     Body,
     GrantTable,
     GrantTableRequest,
@@ -114,7 +114,7 @@
 
     def _request_lease_from(self, takeover: Takeover, name: str, ask: LeaseRequest, sent_at: int) -> None:
         """Send a lease request to one member and pass its answer to the lease holder."""
-        if ask.probe and self.verifier.levels.get(name, LEVEL) < LEASE_PROBE_LEVEL:
+        if ask.probe and self.verifier.levels.get(name, PROTOCOL_LEVEL) < LEASE_PROBE_LEVEL:
             # It would take the probe for a request. Without one, as before, it is taken to agree.
             answer: Body | None = LeaseReply(True, 0, "", probe=True)
         else:
--- a/cedarwick/fleet/lease_grantor.py
+++ b/cedarwick/fleet/lease_grantor.py
@@ -53,13 +53,13 @@
         if granted and not request.probe:
             # The successor set of the request may be newer than the stored one: a majority knew it, and some of those
             # members may be down now. Storing the older set would let a member without the newest records take over.
-            newest: LeaseRequest | Grant = request if request.set > known.set else known
+            newest: LeaseRequest | Grant = request if request.set_number > known.set_number else known
             stored = Grant(
                 request.lease,
                 request.term,
                 request.holder,
                 newest.successors,
-                newest.set,
+                newest.set_number,
                 known.closed or request.closed,
             )
             until = now + request.span
@@ -69,7 +69,9 @@
                 self.dirty = True
             if stored.closed:
                 self._prune(request.lease)
-        return LeaseReply(granted, known.term, known.holder, known.successors, known.set, known.closed, request.probe)
+        return LeaseReply(
+            granted, known.term, known.holder, known.successors, known.set_number, known.closed, request.probe
+        )
 
     def _is_open(self, known: Grant, request: LeaseRequest) -> bool:
         """Whether the lease is open. A closed lease is never granted again, but its closing may be repeated."""
@@ -92,8 +94,8 @@
         """Whether the requester is in the newest successor set known to either side; a lease never held has no set."""
         if request.term == known.term:
             return True
-        successors = request.successors if request.set > known.set else known.successors
-        return request.holder in successors or not known.set
+        successors = request.successors if request.set_number > known.set_number else known.successors
+        return request.holder in successors or not known.set_number
 
     # ---- reading the table ----
 
@@ -207,13 +209,13 @@
         if self._is_pruned(grant.lease):
             return
         known = self._grants.get(grant.lease, grant)
-        newest = max(known, grant, key=lambda one: (one.term, one.set))
+        newest = max(known, grant, key=lambda one: (one.term, one.set_number))
         named = self._row_with_successors(known, grant)
         closed = newest.closed or (known.term == grant.term and (known.closed or grant.closed))
         # Where the rows differ, this member cannot tell which request it has granted. With no holder recorded, it
         # grants that term to nobody again.
         holder = newest.holder if (known.term, known.holder) == (grant.term, grant.holder) else ""
-        self._grants[grant.lease] = Grant(grant.lease, newest.term, holder, named.successors, named.set, closed)
+        self._grants[grant.lease] = Grant(grant.lease, newest.term, holder, named.successors, named.set_number, closed)
         if closed:
             self._prune(grant.lease)
 
@@ -223,7 +225,7 @@
 
         A newer term may be requested by a member that does not know the newest set, and be granted by nobody else.
         """
-        return max(known, grant, key=lambda one: one.set)
+        return max(known, grant, key=lambda one: one.set_number)
 
     def _is_pruned(self, lease: str) -> bool:
         """Whether the partition's row was replaced by the epoch up to which all partitions of its slot are closed."""
--- a/cedarwick/fleet/lease_holder.py
+++ b/cedarwick/fleet/lease_holder.py
@@ -102,15 +102,17 @@
         self.state, self.probing = LeaseState.ASKING, probe_first
         self._requested_at = self._next_request_at = now
         self.known_set_number = 0
-        self._set_requested_successors(SuccessorSet(grant.set, grant.successors))
+        self._set_requested_successors(SuccessorSet(grant.set_number, grant.successors))
         self._grants, self._closings, self._would_grant = {}, {}, {}
         self._update_valid_until()
 
     def newest_row(self, grant: Grant) -> Grant:
         """The own grantor's row with the newest successor set that any grantor is known to have."""
-        if self.newest_known_set.number <= grant.set:
+        if self.newest_known_set.number <= grant.set_number:
             return grant
-        return msgspec.structs.replace(grant, successors=self.newest_known_set.names, set=self.newest_known_set.number)
+        return msgspec.structs.replace(
+            grant, successors=self.newest_known_set.names, set_number=self.newest_known_set.number
+        )
 
     def enquire(self, now: int, grant: Grant) -> None:
         """Make `due_request` probe all members for their rows, at most once per span, while nothing is requested.
@@ -122,7 +124,9 @@
             return
         self._next_enquiry_at = now + self.span
         term = max(grant.term, self.term, self._newest_term) + 1
-        self._enquiry = LeaseRequest(self.lease, term, self.me, self.span, grant.successors, grant.set, probe=True)
+        self._enquiry = LeaseRequest(
+            self.lease, term, self.me, self.span, grant.successors, grant.set_number, probe=True
+        )
 
     def due_request(self, now: int) -> LeaseRequest | None:
         """The request to send to all members now, to the own grantor first; None if none is due."""
@@ -150,7 +154,7 @@
         self._newest_term = max(self._newest_term, reply.term)
         if reply.holder not in ("", self.me):
             self.newest_other_holder = max(self.newest_other_holder, KnownHolder(reply.term, reply.holder))
-        self.newest_known_set = max(self.newest_known_set, SuccessorSet(reply.set, reply.successors))
+        self.newest_known_set = max(self.newest_known_set, SuccessorSet(reply.set_number, reply.successors))
         counted_from = self._counted_from(sent_at, now)
         if sent_at >= self._requested_at:
             self._count_reply(counted_from, sent_at, grantor, reply)
@@ -166,7 +170,7 @@
         elif reply.granted and reply.term == self.term:
             self.probing = False  # a member of an earlier version treats a probe as a request
             # A late or duplicate reply must not shorten the lease that a newer reply has extended.
-            self._grants[grantor] = max(self._grants.get(grantor, (0, 0)), (counted_from, reply.set))
+            self._grants[grantor] = max(self._grants.get(grantor, (0, 0)), (counted_from, reply.set_number))
             self._update_valid_until()
         elif not reply.granted and reply.term == self.term and reply.holder != self.me:
             # A grantor that lost its table, or granted the term to another member, never grants it to this one.
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -126,7 +126,7 @@
         return answer.body if answer is not None else None
 
     def _peer_message(self, name: str, body: Body, within_s: float) -> PeerMessage | None:
-        return counted_call(self.peers.peer_message, name, body, within_s, self.counters)
+        return counted_call(self.peers.call_for_peer_message, name, body, within_s, self.counters)
 
     def _guarded(self, call: Callable[..., object], *arguments: object) -> None:
         """Call it; errors are counted and logged, not raised.
--- a/cedarwick/fleet/messages/codec.py
+++ b/cedarwick/fleet/messages/codec.py
@@ -5,7 +5,7 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.messages.events import Cursors, Matches, Subscribe
-from cedarwick.fleet.messages.fields import MAX_MESSAGE_BYTES, Count, Name, PeerBody, Text, Word
+from cedarwick.fleet.messages.fields import MAX_MESSAGE_BYTES, Name, PeerBody, ShortText, Text, Unsigned
 from cedarwick.fleet.messages.gossip import PendingOrderKeys, RetryAfterHint, SuspensionMarks
 from cedarwick.fleet.messages.membership import GrantTable, GrantTableRequest, Heartbeat, LeaseReply, LeaseRequest
 from cedarwick.fleet.messages.replication import (
@@ -32,8 +32,8 @@
     VoteReply,
 )
 
-VERSION = 1  # of the wire format; a peer message of another one is refused
-LEVEL = 4  # of what a member can do; sent along, and checked where a feature needs it
+PROTOCOL_VERSION = 1  # of the wire format; a peer message of another one is refused
+PROTOCOL_LEVEL = 4  # of what a member can do; sent along, and checked where a feature needs it
 
 
 class InvalidPeerMessageError(CedarwickError):
@@ -50,8 +50,8 @@
 class RequestRefused(PeerBody, frozen=True, tag="Refused"):
     """The request was not acted on: the code of the error and its text."""
 
-    code: Word
-    why: Text
+    code: ShortText
+    reason: Text
 
 
 Body = (
@@ -67,11 +67,11 @@
 class PeerMessageHeader(msgspec.Struct, frozen=True, array_like=True):
     """The start of a peer message in every version, so that members of different versions can refuse one another."""
 
-    version: Count
-    level: Count
+    version: Unsigned
+    level: Unsigned
     group: Name
     sender: Name
-    incarnation: Count  # of the sender's process: wall clock microseconds of its start
+    incarnation: Unsigned  # of the sender's process: wall clock microseconds of its start
     to: Name
 
 
@@ -100,7 +100,7 @@
         raise InvalidPeerMessageError(f"no peer message: {str(error)[:300]}") from None
 
 
-def head_of(data: bytes) -> PeerMessageHeader | None:
+def decode_peer_header(data: bytes) -> PeerMessageHeader | None:
     """The header of a peer message whose body may be unreadable; None if the header is too."""
     try:
         return _headers.decode(data)
@@ -113,6 +113,6 @@
     return xxhash.xxh3_64_intdigest(data)
 
 
-def whole(body: ReplicateFacts | ReplicatePiece | TakeoverOffer | StageSession) -> bool:
+def digest_matches(body: ReplicateFacts | ReplicatePiece | TakeoverOffer | StageSession) -> bool:
     """Whether the facts of a body match the digest sent with them."""
     return digest_of(body.facts) == body.digest
--- a/cedarwick/fleet/messages/events.py
+++ b/cedarwick/fleet/messages/events.py
@@ -5,20 +5,30 @@
 from msgspec import Meta
 
 from cedarwick.events.registry import Entry
-from cedarwick.fleet.messages.fields import MAX_MESSAGE_BYTES, Count, Name, PeerBody, PeerBodyPart, Place, Word
+from cedarwick.fleet.messages.fields import (
+    MAX_MESSAGE_BYTES,
+    EventNumber,
+    Name,
+    PeerBody,
+    PeerBodyPart,
+    ShortText,
+    Unsigned,
+)
 
-MOST_ENTRIES = 1 << 12  # subscriptions in one peer message, at most
+MAX_SUBSCRIPTION_ENTRIES = 1 << 12  # subscriptions in one peer message, at most
 
 
 class Subscribe(PeerBody, frozen=True):
     """Entries of the subscription registry and the digest of all of it. Answered by `Subscribe`."""
 
-    epoch: Count
-    digest: Count
-    entries: Annotated[dict[Name, Entry], Meta(max_length=MOST_ENTRIES)] = {}
-    asked: Annotated[tuple[Count, ...], Meta(max_length=256)] = ()  # buckets that the receiver is asked to send
-    buckets: Annotated[
-        tuple[Count, ...], Meta(max_length=256)
+    epoch: Unsigned
+    digest: Unsigned
+    entries: Annotated[dict[Name, Entry], Meta(max_length=MAX_SUBSCRIPTION_ENTRIES)] = {}
+    requested_buckets: Annotated[
+        tuple[Unsigned, ...], Meta(max_length=256)
+    ] = ()  # buckets that the receiver is asked to send
+    bucket_digests: Annotated[
+        tuple[Unsigned, ...], Meta(max_length=256)
     ] = ()  # in an answer: the digest of each bucket, where the whole differs
 
 
@@ -26,14 +36,14 @@
     """Items for one subscriber that follow the number `after` without a gap."""
 
     name: Name
-    after: Place
+    after: EventNumber
     items: Annotated[bytes, Meta(max_length=MAX_MESSAGE_BYTES >> 1)]  # empty: only the answer is wanted
 
 
 class Matches(PeerBody, frozen=True):
     """Events of one source for its subscribers. Answered by the `Cursors` of those named."""
 
-    source: Word
+    source: ShortText
     streams: Annotated[tuple[Stream, ...], Meta(max_length=1 << 10)]
 
 
@@ -41,14 +51,14 @@
     """How far a subscriber is with a source, as reported by the member it is connected to."""
 
     name: Name
-    began: Count  # when its connection began; 0: none
-    held: Place  # the last number received there
-    written: Place  # the last number written to the subscriber
-    room: bool = True  # whether more may come now
+    connected_at: Unsigned  # when its connection began; 0: none
+    received: EventNumber  # the last number received there
+    written: EventNumber  # the last number written to the subscriber
+    has_room: bool = True  # whether more may come now
 
 
 class Cursors(PeerBody, frozen=True):
     """Places of subscribers in one source. Answered by `Acknowledged` where it is not an answer itself."""
 
-    source: Word
+    source: ShortText
     cursors: Annotated[tuple[Cursor, ...], Meta(max_length=1 << 12)]
--- a/cedarwick/fleet/messages/fields.py
+++ b/cedarwick/fleet/messages/fields.py
@@ -9,22 +9,24 @@
 from msgspec import Meta
 
 MAX_MESSAGE_BYTES = 1 << 20  # bytes of an encoded peer message
-MEMBERS = 64  # members of a group, at most
+MAX_MEMBERS = 64  # members of a group, at most
 
 Name = Annotated[str, Meta(max_length=64)]  # of a member, a group, a subscription; empty: nobody
 Text = Annotated[str, Meta(max_length=512)]  # read by a person
-Word = Annotated[str, Meta(max_length=128)]  # an id, the name of a lease
-Move = Annotated[str, Meta(max_length=200)]  # the name of a migration: a stamp and two members
-Id = Annotated[str, Meta(max_length=200)]  # of a message, as a client may give it
-Count = Annotated[int, Meta(ge=0)]  # numbers, terms, microseconds
+ShortText = Annotated[str, Meta(max_length=128)]  # an id, the name of a lease
+MigrationName = Annotated[str, Meta(max_length=200)]  # the name of a migration: a stamp and two members
+ClientText = Annotated[str, Meta(max_length=200)]  # of a message, as a client may give it
+Unsigned = Annotated[int, Meta(ge=0)]  # numbers, terms, microseconds
 # Bounded well below 64 bits: terms are incremented and packed with other numbers, and the result must still fit into a
 # peer message and a file.
 Term = Annotated[int, Meta(ge=0, lt=1 << 40)]  # one a second for 30,000 years
-Order = Annotated[int, Meta(ge=0, lt=1 << 62)]  # of successor sets, of a session's holders, of migrations
-Place = Annotated[int, Meta(ge=-1)]  # the number of the last event that was reached; -1: none
-Bulk = Annotated[bytes, Meta(max_length=MAX_MESSAGE_BYTES - (1 << 14))]  # leaves room for the rest of the peer message
-Request = Annotated[bytes, Meta(max_length=1 << 18)]  # one request of a client, or its answer
-Names = Annotated[tuple[Name, ...], Meta(max_length=MEMBERS)]
+SequenceNumber = Annotated[int, Meta(ge=0, lt=1 << 62)]  # of successor sets, of a session's holders, of migrations
+EventNumber = Annotated[int, Meta(ge=-1)]  # the number of the last event that was reached; -1: none
+EncodedFacts = Annotated[
+    bytes, Meta(max_length=MAX_MESSAGE_BYTES - (1 << 14))
+]  # leaves room for the rest of the peer message
+ClientRequest = Annotated[bytes, Meta(max_length=1 << 18)]  # one request of a client, or its answer
+MemberNames = Annotated[tuple[Name, ...], Meta(max_length=MAX_MEMBERS)]
 
 
 class PeerBody(msgspec.Struct, frozen=True, array_like=True, tag=True):
--- a/cedarwick/fleet/messages/gossip.py
+++ b/cedarwick/fleet/messages/gossip.py
@@ -4,10 +4,10 @@
 
 from msgspec import Meta
 
-from cedarwick.fleet.messages.fields import Count, Name, PeerBody, PeerBodyPart, Word
+from cedarwick.fleet.messages.fields import Name, PeerBody, PeerBodyPart, ShortText, Unsigned
 
 PENDING_ORDER_KEYS_LEVEL = 3  # the level from which on a member reads `PendingOrderKeys`
-MOST_KEYS = 4096  # keys in one `PendingOrderKeys`, at most
+MAX_ORDER_KEYS = 4096  # keys in one `PendingOrderKeys`, at most
 
 
 class PendingOrderKeys(PeerBody, frozen=True, tag="Owed"):
@@ -16,14 +16,14 @@
     Answered by `Acknowledged`.
     """
 
-    keys: Annotated[tuple[Count, ...], Meta(max_length=MOST_KEYS)] = ()
+    keys: Annotated[tuple[Unsigned, ...], Meta(max_length=MAX_ORDER_KEYS)] = ()
 
 
 class RetryAfterEntry(PeerBodyPart, frozen=True):
-    """A receiver that asked, by Retry-After, for a pause of `left` microseconds from now on."""
+    """A receiver that asked, by Retry-After, for a pause of `remaining_us` microseconds from now on."""
 
-    uid: Word
-    left: Annotated[int, Meta(ge=0, lt=1 << 40)]  # a span, not a time: the clocks of two machines differ
+    uid: ShortText
+    remaining_us: Annotated[int, Meta(ge=0, lt=1 << 40)]  # a span, not a time: the clocks of two machines differ
 
 
 class RetryAfterHint(PeerBody, frozen=True, tag="Hint"):
@@ -35,7 +35,7 @@
 class SuspensionMark(PeerBodyPart, frozen=True):
     """A receiver suspended by hand, or restored; the mark with the larger (counter, member) wins."""
 
-    uid: Word
+    uid: ShortText
     counter: Annotated[int, Meta(ge=0, lt=1 << 62)]  # wall clock microseconds, or more
     member: Name  # where an operator set it
     calls: Annotated[int, Meta(ge=0, le=1000)]  # suspensions in force; 0: restored
@@ -47,6 +47,6 @@
     Answered by `SuspensionMarks`, with all marks of the receiver if the digests differ.
     """
 
-    digest: Count
-    rows: Annotated[tuple[SuspensionMark, ...], Meta(max_length=4096)] = ()
-    whole: bool = False  # in an answer: a receiver that is not listed was restored, or never suspended
+    digest: Unsigned
+    marks: Annotated[tuple[SuspensionMark, ...], Meta(max_length=4096)] = ()
+    complete: bool = False  # in an answer: a receiver that is not listed was restored, or never suspended
--- a/cedarwick/fleet/messages/membership.py
+++ b/cedarwick/fleet/messages/membership.py
@@ -4,7 +4,17 @@
 
 from msgspec import Meta
 
-from cedarwick.fleet.messages.fields import MEMBERS, Count, Name, Names, Order, PeerBody, PeerBodyPart, Term, Word
+from cedarwick.fleet.messages.fields import (
+    MAX_MEMBERS,
+    MemberNames,
+    Name,
+    PeerBody,
+    PeerBodyPart,
+    SequenceNumber,
+    ShortText,
+    Term,
+    Unsigned,
+)
 
 LEASE_PROBE_LEVEL = 4  # the level from which on a member knows a probe from a request
 
@@ -12,7 +22,7 @@
 class HeldLease(PeerBodyPart, frozen=True):
     """A partition whose lease the sender of the heartbeat holds."""
 
-    partition: Count
+    partition: Unsigned
     term: Term
 
 
@@ -20,19 +30,19 @@
     """Says that the sender is alive. Answered by a `Heartbeat`."""
 
     leaving: bool  # the sender ends; successors may take over
-    heard: Annotated[dict[Name, Count], Meta(max_length=MEMBERS)]  # microseconds ago, by member
+    heard: Annotated[dict[Name, Unsigned], Meta(max_length=MAX_MEMBERS)]  # microseconds ago, by member
     leases: Annotated[tuple[HeldLease, ...], Meta(max_length=4096)] = ()
 
 
 class LeaseRequest(PeerBody, frozen=True, tag="Ask"):
     """Asks for a lease of `span` microseconds. Answered by `LeaseReply`."""
 
-    lease: Word
+    lease: ShortText
     term: Term
     holder: Name  # the member that asks
-    span: Count  # microseconds; 0: the lease is given up
-    successors: Names = ()
-    set: Order = 0  # the larger number is the newer list of successors
+    span: Unsigned  # microseconds; 0: the lease is given up
+    successors: MemberNames = ()
+    set_number: SequenceNumber = 0  # the larger number is the newer list of successors
     closed: bool = False  # close the lease for good
     probe: bool = False  # only asks whether the lease would be granted; uses up no term
 
@@ -43,8 +53,8 @@
     granted: bool
     term: Term
     holder: Name
-    successors: Names = ()
-    set: Order = 0
+    successors: MemberNames = ()
+    set_number: SequenceNumber = 0
     closed: bool = False
     probe: bool = False  # answers a probe: nothing was granted
 
@@ -56,11 +66,11 @@
 class Grant(PeerBodyPart, frozen=True):
     """A row of a grantor's table."""
 
-    lease: Word
+    lease: ShortText
     term: Term
     holder: Name
-    successors: Names = ()
-    set: Order = 0
+    successors: MemberNames = ()
+    set_number: SequenceNumber = 0
     closed: bool = False
 
 
--- a/cedarwick/fleet/messages/replication.py
+++ b/cedarwick/fleet/messages/replication.py
@@ -4,17 +4,17 @@
 
 from msgspec import Meta
 
-from cedarwick.fleet.messages.fields import Bulk, Count, PeerBody, PeerBodyPart, Term, Text
+from cedarwick.fleet.messages.fields import EncodedFacts, PeerBody, PeerBodyPart, Term, Text, Unsigned
 
 
 class ReplicateFacts(PeerBody, frozen=True, tag="Facts"):
     """The tail of a partition's log from index `first` on. Answered by `ReplicaAck`."""
 
-    partition: Count
+    partition: Unsigned
     term: Term
-    first: Count
-    facts: Bulk
-    digest: Count
+    first: Unsigned
+    facts: EncodedFacts
+    digest: Unsigned
 
 
 class ReplicatePiece(PeerBody, frozen=True, tag="Piece"):
@@ -23,33 +23,33 @@
     Answered by `ReplicaAck`.
     """
 
-    partition: Count
+    partition: Unsigned
     term: Term
-    after: Count
-    upto: Count
-    facts: Bulk
-    next: Count
-    digest: Count
+    after: Unsigned
+    upto: Unsigned
+    facts: EncodedFacts
+    next: Unsigned
+    digest: Unsigned
     behind: bool = False  # the holder acknowledges to clients what no replica has yet
 
 
 class ReplicaAck(PeerBody, frozen=True, tag="Have"):
     """A replica's position in the log; `problem` says why the message was dropped as a whole."""
 
-    partition: Count
+    partition: Unsigned
     term: Term
-    next: Count  # the log index that it needs next
+    next: Unsigned  # the log index that it needs next
     problem: Text = ""
-    covered: Count = 0  # the full transfer of this term has reached it up to this number
+    covered: Unsigned = 0  # the full transfer of this term has reached it up to this number
 
 
 class DigestRange(PeerBodyPart, frozen=True):
     """The owed messages with numbers above `after`, up to `upto`, as their count and digest."""
 
-    after: Count
-    upto: Count
-    count: Count
-    digest: Count
+    after: Unsigned
+    upto: Unsigned
+    count: Unsigned
+    digest: Unsigned
 
 
 class Digests(PeerBody, frozen=True):
@@ -58,10 +58,10 @@
     Answered by the replica's own `Digests` over the same ranges.
     """
 
-    partition: Count
+    partition: Unsigned
     term: Term
     ranges: Annotated[tuple[DigestRange, ...], Meta(max_length=4096)]
-    next: Count = 0  # the log index at which they were taken; a replica at another one answers with no ranges
+    next: Unsigned = 0  # the log index at which they were taken; a replica at another one answers with no ranges
 
 
 class TakeoverOffer(PeerBody, frozen=True, tag="Offer"):
@@ -70,17 +70,17 @@
     Answered by `OfferReply`.
     """
 
-    partition: Count
-    part: Count
+    partition: Unsigned
+    part: Unsigned
     last: bool
-    facts: Bulk
-    digest: Count
+    facts: EncodedFacts
+    digest: Unsigned
     term: Term = 0  # the newest in which the sender has held the partition
 
 
 class OfferReply(PeerBody, frozen=True, tag="Taken"):
     """The part is merged into the new holder's folder; if not, `problem` says why."""
 
-    partition: Count
-    part: Count
+    partition: Unsigned
+    part: Unsigned
     problem: Text = ""
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -14,7 +14,7 @@
 from cedarwick.fleet.messages import (
     StageReply,
     StageSession,
-    whole,
+    digest_matches,
 )
 from cedarwick.fleet.migration_state import MAX_SESSIONS, STAGE_TIMEOUT_S, TARGET_MARK, MigrationState
 from cedarwick.fleet.migration_table import (
@@ -29,7 +29,7 @@
 
     def _staged(self, body: StageSession, now: int) -> StageReply:
         """Answer a source's offer; waits up to `STAGE_TIMEOUT_S` seconds until the messages are stored here."""
-        if not whole(body):
+        if not digest_matches(body):
             return StageReply(body.move, False, "spoilt")
         room = self.takes() and len(self.directory.sessions) < MAX_SESSIONS
         steps = self.moves.stage(body.move, body.key, room, now)
@@ -99,7 +99,7 @@
         # source; then this member must not claim to hold it.
         if offer is not None and not self.directory.superseded(key, parts(name)[1], offer[0].sequence):
             stage, at = offer  # without an offer the recent ids are unknown here; it is claimed later
-            ids = {each.id: (each.age + now - at, each.hashed) for each in stage.ids}
+            ids = {each.id: (each.age + now - at, each.content_hash) for each in stage.ids}
             self.directory.hold(key, sequence, ids, now, name not in self.staged_before_adoption)
             self.planner.arrived(key, now)
         return True
@@ -113,7 +113,7 @@
         self.dispatcher.abandon_parked(late)
         # Unless the source reported no rest, an attempt from before the move may still run, even one of a message that
         # has ended; adopting not no_unrecorded_attempts then lets all keys rest.
-        no_unrecorded_attempts = offer is not None and not offer[0].rest
+        no_unrecorded_attempts = offer is not None and not offer[0].attempt_remaining_us
         if numbers or not no_unrecorded_attempts:
             self.dispatcher.adopt([number for number in numbers if number not in late], no_unrecorded_attempts)
 
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -41,7 +41,7 @@
 
 def ballot_of(vote: BallotNumber) -> Ballot:
     """The ballot that a peer message carries."""
-    return vote.round, vote.mark
+    return vote.round, vote.proposer
 
 
 def value_of(text: str) -> Value | None:
--- a/cedarwick/fleet/order_key_hints.py
+++ b/cedarwick/fleet/order_key_hints.py
@@ -12,7 +12,7 @@
 
 from collections.abc import Collection, Iterable, Set
 
-from cedarwick.fleet.messages import MOST_KEYS
+from cedarwick.fleet.messages import MAX_ORDER_KEYS
 
 SEND_INTERVAL_US = 250_000  # between two hints while messages are pending
 HINT_LIFETIME_US = 1_000_000  # for which a hint is valid: three hints in a row may be lost
@@ -35,7 +35,7 @@
         self._received[sender] = now, frozenset(keys)
 
     def due_keys(self, now: int, keys: Set[int], recipients: Collection[str]) -> tuple[int, ...] | None:
-        """The keys to send to the other members now, `MOST_KEYS` at most; None if no hint is due.
+        """The keys to send to the other members now, `MAX_ORDER_KEYS` at most; None if no hint is due.
 
         Once the backlog is empty, one empty hint is sent.
         """
@@ -43,7 +43,7 @@
         if not (keys or self.sent_keys) or now < self._sent_at + SEND_INTERVAL_US and not (keys and changed):
             return None
         self.sent_keys, self._sent_at, self._sent_to = frozenset(keys), now, tuple(recipients)
-        return tuple(sorted(keys)[:MOST_KEYS])
+        return tuple(sorted(keys)[:MAX_ORDER_KEYS])
 
     def update_held_keys(self, now: int, own_backlog: Set[int], in_replicas: Set[int]) -> frozenset[int]:
         """Update and return the keys to hold back here.
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -152,7 +152,7 @@
         grant = self.grantor.grant(lease_name(partition))
         # The grant known here may be old; a replica that the holder still counts on is written to all the time.
         return (
-            grant.set > 0
+            grant.set_number > 0
             and self.name not in grant.successors
             and grant.holder != self.name
             and now - self.replica_written_at.setdefault(partition, now) > UNUSED_REPLICA_US
--- a/cedarwick/fleet/peer_client.py
+++ b/cedarwick/fleet/peer_client.py
@@ -22,7 +22,7 @@
 )
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.transport import (
-    PATH,
+    PEER_MESSAGE_PATH,
     Address,
     PeerMessageTooLargeError,
     PeerRefusedError,
@@ -35,7 +35,7 @@
 # For which an idle connection is kept: less than `peer_server.IDLE_TIMEOUT_S`, or it would meet the server's close.
 IDLE_TIMEOUT_S = 10.0
 MAX_CALLS_IN_FLIGHT = 4  # to one member at once, each on a connection of its own
-MAX_CALLS = 64  # to one member, in flight and waiting
+MAX_PENDING_CALLS = 64  # to one member, in flight and waiting
 
 
 class HttpResponse(NamedTuple):
@@ -128,10 +128,10 @@
         self.peers.clear()
 
     def call(self, member: str, body: Body, within_s: float) -> Body:
-        """The body of the member's answer; errors as in `peer_message`."""
-        return self.peer_message(member, body, within_s).body
+        """The body of the member's answer; errors as in `call_for_peer_message`."""
+        return self.call_for_peer_message(member, body, within_s).body
 
-    def peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
+    def call_for_peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
         """The member's answer, within `within_s` seconds including the wait in the queue.
 
         Raises `PeerUnreachableError` without a readable answer, `PeerRefusedError` if the member refused, and
@@ -140,8 +140,8 @@
         peer = self.peers.get(member)
         if peer is None:
             raise PeerUnreachableError(f"{member!r} is no other member")
-        if peer.calls >= MAX_CALLS:
-            raise PeerUnreachableError(f"{peer}: {MAX_CALLS} calls are out or wait already")
+        if peer.calls >= MAX_PENDING_CALLS:
+            raise PeerUnreachableError(f"{peer}: {MAX_PENDING_CALLS} calls are out or wait already")
         peer_message = encode(self.verifier.peer_message(member, body))
         if len(peer_message) > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
@@ -174,7 +174,7 @@
     Raises `PeerRefusedError` with the refusal, `PeerUnreachableError` for an answer that the verifier does not accept.
     """
     if isinstance(answer.body, RequestRefused):
-        refusal = PeerRefusedError(f"{peer} refused: {answer.body.why} ({answer.body.code})")
+        refusal = PeerRefusedError(f"{peer} refused: {answer.body.reason} ({answer.body.code})")
         refusal.refused = answer.body
         raise refusal
     try:
@@ -194,7 +194,7 @@
         connection.sock.sendall(
             b"POST %s HTTP/1.1\r\nHost: %s:%d\r\nContent-Type: application/msgpack\r\n"
             b"Content-Length: %d\r\n\r\n%s"
-            % (PATH, peer.address[0].encode(), peer.address[1], len(peer_message), peer_message)
+            % (PEER_MESSAGE_PATH, peer.address[0].encode(), peer.address[1], len(peer_message), peer_message)
         )
         data = bytearray()
         answer = http.ResponseParser(data.extend)
--- a/cedarwick/fleet/peer_server.py
+++ b/cedarwick/fleet/peer_server.py
@@ -18,13 +18,13 @@
     PeerMessage,
     RequestRefused,
     decode,
+    decode_peer_header,
     encode,
-    head_of,
 )
 from cedarwick.fleet.peer_request import HttpRequest
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.transport import (
-    PATH,
+    PEER_MESSAGE_PATH,
     Address,
     AnswerFailedError,
     NotAPeerMessageError,
@@ -162,7 +162,7 @@
 
     def _check_head(self, request: HttpRequest, caller: str) -> None:
         """Refuse a request that brings no peer message, or too large a one."""
-        if (request.method, request.url) != (b"POST", PATH) or request.content_length < 0:
+        if (request.method, request.url) != (b"POST", PEER_MESSAGE_PATH) or request.content_length < 0:
             raise NotAPeerMessageError(f"{request.method.decode()} {request.url[:100].decode('latin-1')} of {caller}")
         if request.content_length > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
@@ -175,7 +175,7 @@
         try:
             peer_message = decode(data)
         except InvalidPeerMessageError:
-            if (header := head_of(data)) is not None:
+            if (header := decode_peer_header(data)) is not None:
                 request.header = header
                 self.verifier.check_version(header)
             raise
--- a/cedarwick/fleet/peer_verifier.py
+++ b/cedarwick/fleet/peer_verifier.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from cedarwick.errors import CedarwickError
-from cedarwick.fleet.messages import LEVEL, VERSION, Body, PeerMessage, PeerMessageHeader
+from cedarwick.fleet.messages import PROTOCOL_LEVEL, PROTOCOL_VERSION, Body, PeerMessage, PeerMessageHeader
 
 
 class ProtocolVersionError(CedarwickError):
@@ -53,7 +53,7 @@
         self.me = me
         self.incarnation = incarnation
         self.newest_incarnations: dict[str, int] = {}
-        self.levels: dict[str, int] = {me: LEVEL}  # by member: the protocol level of its last message
+        self.levels: dict[str, int] = {me: PROTOCOL_LEVEL}  # by member: the protocol level of its last message
         self.replace_members(members)
 
     def replace_members(self, members: Iterable[str]) -> None:
@@ -62,13 +62,13 @@
 
     def peer_message(self, to: str, body: Body) -> PeerMessage:
         """A peer message from this member with its header, ready to be encoded."""
-        return PeerMessage(VERSION, LEVEL, self.group, self.me, self.incarnation, to, body)
+        return PeerMessage(PROTOCOL_VERSION, PROTOCOL_LEVEL, self.group, self.me, self.incarnation, to, body)
 
     def check_version(self, header: PeerMessageHeader) -> None:
         """Raise `ProtocolVersionError` for a message of another version, whose body cannot be decoded."""
-        if header.version != VERSION:
+        if header.version != PROTOCOL_VERSION:
             raise ProtocolVersionError(
-                f"version {header.version} from {header.sender!r}, where {self.me!r} speaks {VERSION}"
+                f"version {header.version} from {header.sender!r}, where {self.me!r} speaks {PROTOCOL_VERSION}"
             )
 
     def check(self, header: PeerMessageHeader) -> None:
--- a/cedarwick/fleet/replica.py
+++ b/cedarwick/fleet/replica.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from cedarwick.fleet.messages import DigestRange, Digests, ReplicaAck, ReplicateFacts, ReplicatePiece, whole
+from cedarwick.fleet.messages import DigestRange, Digests, ReplicaAck, ReplicateFacts, ReplicatePiece, digest_matches
 from cedarwick.fleet.replication import (
     CORRUPT,
     EVERYTHING,
@@ -187,7 +187,7 @@
 
     def _decoded(self, message: ReplicateFacts | ReplicatePiece, after: int, upto: int) -> list[Fact] | str:
         """The facts of a message, or the reason why the whole message is refused."""
-        if not whole(message):
+        if not digest_matches(message):
             return CORRUPT
         try:
             facts = decode_facts(message.facts)
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -155,7 +155,7 @@
         return None
 
     def _answer_claim(self, sender: str, body: SessionClaim | SessionInheritance, now: int) -> ClaimAnswer:
-        request = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
+        request = ClaimRequest(body.key, body.sequence, (body.replaced_sequence, body.replaced_holder), body.at)
         if isinstance(body, SessionInheritance):
             return self._answer_inheritance(request, body.partition, sender, now)
         # Refused during a move: decided late, it would make a second holder beside the claimer.
@@ -212,9 +212,9 @@
             return
         now = monotonic_time()
         self._receive_locations(name, answer, now)
-        self.migrations.learned(name, answer.stamp)
+        self.migrations.learned(name, answer.next_stamp)
         # Only if no member has run before: one that forgot sessions must wait until ids of that time cannot come again.
-        if answer.first and self.fleet_files.first:
+        if answer.is_first_run and self.fleet_files.first:
             self.members_without_history.add(name)
             if len(self.members_without_history) == len(self.node.halls) - 1 and self.directory.grants_at > now:
                 self.directory.grants_at = now
@@ -236,10 +236,10 @@
             Neighbour(
                 name,
                 halls[name],
-                location.held,
+                location.session_count,
                 MAX_SESSIONS,
                 not members.notes(now, name),
-                location.takes and members.status(now, name) is MemberStatus.ALIVE,
+                location.accepts_sessions and members.status(now, name) is MemberStatus.ALIVE,
             )
             for name, location in self.locations_by_member.items()
             if name in halls
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -235,7 +235,7 @@
 
     def _answer_forwarded(self, sender: str, body: ForwardedSubmit) -> ForwardReply:
         """Answer a submission that another member forwards."""
-        wait_until = monotonic_time() + min(body.within, FROZEN_WAIT_US)
+        wait_until = monotonic_time() + min(body.answer_within_us, FROZEN_WAIT_US)
         stored = self._forwarded_message(body)
         submission = RoutedSubmission(stored, hash_of(stored), wait_until)
         if (dead_holder := entry_of(body.entry)) is not None:
@@ -247,15 +247,15 @@
         return BUSY_REPLY
 
     def _forwarded_message(self, body: ForwardedSubmit) -> StoredMessage:
-        deadline = self.clock.now() + body.left
+        deadline = self.clock.now() + body.remaining_us
         if body.deadline:
-            # `left` counts from the sending: what the message spends on the way, or in the socket of a stopped process,
-            # would lengthen its deadline. The two clocks may differ; so much can't come of the way alone.
+            # `remaining_us` counts from the sending: what the message spends on the way, or in the socket of a stopped
+            # process, would lengthen its deadline. The two clocks may differ; so much can't come of the way alone.
             deadline = max(min(deadline, body.deadline), deadline - LONGEST_TRANSIT_US)
         return StoredMessage(
             0,
             body.id,
-            body.mark,
+            body.idempotency_key,
             body.key,
             body.priority_class,
             body.tenant,
--- a/cedarwick/fleet/takeover.py
+++ b/cedarwick/fleet/takeover.py
@@ -205,7 +205,7 @@
             # Without a set, nobody has made attempts, so every complete replica has all records. The member that held
             # the partition goes first.
             extra_wait = 0 if self._has_held else UNRENEWED_WAIT_US
-            return row.set == 0 and now >= max(promised, self._lease_lost_at + LEASE_SPAN_US) + extra_wait
+            return row.set_number == 0 and now >= max(promised, self._lease_lost_at + LEASE_SPAN_US) + extra_wait
         rank = sum(status_of(name) not in ABSENT for name in self._successors_before(grant, row))
         # After a refusal, the promises to this member must expire first, or two successors could split every vote.
         promises_end = max(promised, self._lease_lost_at + LEASE_SPAN_US if self._lease_lost_at else 0)
--- a/cedarwick/fleet/transport.py
+++ b/cedarwick/fleet/transport.py
@@ -8,7 +8,7 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.messages import RequestRefused
 
-PATH = b"/fleet/1"
+PEER_MESSAGE_PATH = b"/fleet/1"
 
 Address = tuple[str, int]  # host and port
 
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -44,7 +44,7 @@
     takeover_offers,
 )
 from cedarwick.fleet.messages import Body, Heartbeat, LeaseRequest, PeerMessage, decode, encode
-from cedarwick.fleet.peer_client import MAX_CALLS, MAX_CALLS_IN_FLIGHT, check_answer
+from cedarwick.fleet.peer_client import MAX_CALLS_IN_FLIGHT, MAX_PENDING_CALLS, check_answer
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.transport import PeerUnreachableError
 from cedarwick.lab.units import SECOND
@@ -336,14 +336,14 @@
         return self.members
 
     def call(self, member: str, body: Body, within_s: float) -> Body:
-        return self.peer_message(member, body, within_s).body
+        return self.call_for_peer_message(member, body, within_s).body
 
-    def peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
+    def call_for_peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
         """As the link's:
 
         `PeerUnreachableError` without an answer in time, `PeerRefusedError` where the member says why not.
         """
-        if member not in self.members or self.calls[member] >= MAX_CALLS:
+        if member not in self.members or self.calls[member] >= MAX_PENDING_CALLS:
             raise PeerUnreachableError(member)
         peer_message, end = encode(self.verifier.peer_message(member, body)), self.kernel.now + int(within_s * SECOND)
         room, place = self.rooms[member, isinstance(body, LeaseRequest | Heartbeat)], object()
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -76,7 +76,7 @@
             else None
         )
         granted = grantor.grant(LEASE)
-        row = (granted.term, granted.holder, granted.successors, granted.set, granted.closed)
+        row = (granted.term, granted.holder, granted.successors, granted.set_number, granted.closed)
         key: tuple[Any, ...] = (self.complete, row, max(0, grantor.promised_until(LEASE) - now), learning_key)
         if holder is None:
             return NodeView(key, False, False)
@@ -166,9 +166,12 @@
         nodes = {name: Node(name, self.grantor(name, NAMES, 0, (rows[name],)), None, True) for name in NAMES}
         lease_holder = self.holder(LEASE, "H", NAMES)
         lease_holder.request_next_term(0, Grant(LEASE, 0, ""))
-        lease_holder.newest_set_number, lease_holder._sets = rows["H"].set, {rows["H"].set: rows["H"].successors}
+        lease_holder.newest_set_number, lease_holder._sets = (
+            rows["H"].set_number,
+            {rows["H"].set_number: rows["H"].successors},
+        )
         now = FIRST_TICK * TICK_US["H"]
-        answers = {name: LeaseReply(True, 1, "H", row.successors, row.set) for name, row in rows.items()}
+        answers = {name: LeaseReply(True, 1, "H", row.successors, row.set_number) for name, row in rows.items()}
         for name in NAMES:
             nodes[name].grantor._promises[LEASE] = FIRST_TICK * TICK_US[name] + LEASE_SPAN_US // (
                 1 if late_replies or name != "B" else 4
--- a/tests/fleet/lease_histories.py
+++ b/tests/fleet/lease_histories.py
@@ -199,6 +199,6 @@
         No member needs to be: if the last holder had named only itself, a majority knows that, and it has lost its
         folder, it may have made attempts that no other member knows, so no member may take over.
         """
-        rows = sorted((each.grantor.grant(LEASE) for each in self.members.values()), key=lambda row: -row.set)
-        majority_set = rows[majority_of(len(MEMBERS)) - 1].set
-        return not majority_set or any(name in row.successors for row in rows if row.set >= majority_set)
+        rows = sorted((each.grantor.grant(LEASE) for each in self.members.values()), key=lambda row: -row.set_number)
+        majority_set = rows[majority_of(len(MEMBERS)) - 1].set_number
+        return not majority_set or any(name in row.successors for row in rows if row.set_number >= majority_set)
--- a/tests/fleet/test_order_key_hints.py
+++ b/tests/fleet/test_order_key_hints.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from cedarwick.fleet.messages import MOST_KEYS
+from cedarwick.fleet.messages import MAX_ORDER_KEYS
 from cedarwick.fleet.order_key_hints import HINT_LIFETIME_US, MAX_HOLD_US, SEND_INTERVAL_US, OrderKeyHints
 from cedarwick.lab import invariants, virtual_day
 from cedarwick.lab.audit_cases import Case
@@ -30,7 +30,7 @@
         )  # repeated, since a hint may be lost
         self.assertEqual(hints.due_keys(NOW + 3 * SEND_INTERVAL_US, set(), ["b", "c"]), ())
         self.assertIsNone(hints.due_keys(NOW + 9 * SEND_INTERVAL_US, set(), ["b", "c"]))
-        self.assertEqual(len(hints.due_keys(NOW + 9 * SEND_INTERVAL_US, set(range(9999)), ["b"]) or ()), MOST_KEYS)
+        self.assertEqual(len(hints.due_keys(NOW + 9 * SEND_INTERVAL_US, set(range(9999)), ["b"]) or ()), MAX_ORDER_KEYS)
 
     def test_a_key_is_held_back_while_others_send_it_unless_it_is_in_the_own_backlog(self) -> None:
         hints = OrderKeyHints()
--- a/tests/fleet/test_session_inheritance.py
+++ b/tests/fleet/test_session_inheritance.py
@@ -8,7 +8,15 @@
 from unittest import mock
 
 from cedarwick.fleet.consensus import Acceptor, name_move
-from cedarwick.fleet.messages import LEVEL, VERSION, PeerMessage, RecentIdEntry, StageSession, decode, encode
+from cedarwick.fleet.messages import (
+    PROTOCOL_LEVEL,
+    PROTOCOL_VERSION,
+    PeerMessage,
+    RecentIdEntry,
+    StageSession,
+    decode,
+    encode,
+)
 from cedarwick.fleet.recent_ids import UNKNOWN_HASH, RecentIds, submission_hash
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication import EVERYTHING
@@ -360,7 +368,9 @@
 
     def test_an_id_whose_contents_are_not_known_goes_along_in_a_move(self) -> None:
         stage = StageSession("m", KEY, 1, b"", 0, (RecentIdEntry("1", 0, UNKNOWN_HASH),))
-        self.assertEqual(decode(encode(PeerMessage(VERSION, LEVEL, "g", "a", 1, "b", stage))).body, stage)
+        self.assertEqual(
+            decode(encode(PeerMessage(PROTOCOL_VERSION, PROTOCOL_LEVEL, "g", "a", 1, "b", stage))).body, stage
+        )
 
     def test_contents_that_are_not_told_any_more_are_those_of_no_request(self) -> None:
         recent_ids = RecentIds(0)
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -312,12 +312,12 @@
             SimpleNamespace(  # type: ignore[arg-type]
                 key=KEY + 1,
                 id="3",
-                mark="",
+                idempotency_key="",
                 priority_class="line",
                 tenant="",
                 destination=0,
-                left=1,
-                within=50_000,
+                remaining_us=1,
+                answer_within_us=50_000,
                 body=b"",
                 moved=False,
                 entry=None,
@@ -349,8 +349,8 @@
     def test_time_on_the_way_does_not_lengthen_a_deadline(self) -> None:
         """Virtual days 1010 and 1017 (`--ack own --level worst --sessions --subscribers 2`): ends 47 and 105 ms late.
 
-        A client's message was passed on over a slow link. `left` is the time that it had when it was sent, so the
-        holder took its 311 ms on the way for time that it still had, and answered beyond the deadline's grace.
+        A client's message was passed on over a slow link. `remaining_us` is the time that it had when it was sent, so
+        the holder took its 311 ms on the way for time that it still had, and answered beyond the deadline's grace.
         """
         a, c = self.session_router["a"], self.session_router["c"]
         for late, clock_ahead, lengthened in (
@@ -371,7 +371,7 @@
     def test_an_older_member_says_only_how_much_time_was_left(self) -> None:
         a, c = self.session_router["a"], self.session_router["c"]
         body = msgspec.structs.replace(a._forwarded_submit(message("1"), 300_000, False, None), deadline=0)
-        self.assertAlmostEqual(c._forwarded_message(body).deadline, c.clock.now() + body.left, delta=2_000)
+        self.assertAlmostEqual(c._forwarded_message(body).deadline, c.clock.now() + body.remaining_us, delta=2_000)
 
     def adopted(self, level: int = INHERITANCE_LEVEL) -> tuple[SessionRouter, SessionRouter, SessionRouter, int]:
         """The partition of a, which has taken "1" and does not answer, is held by c, whose copy was old and whole."""
--- a/tests/fleet/test_suspensions.py
+++ b/tests/fleet/test_suspensions.py
@@ -210,7 +210,7 @@
         for turn in range(9):
             if turn == 0 or self.gossip_of_m.missing_rows["n"]:
                 self.gossip_of_m._send_rows(turn, "n")
-        self.assertEqual([len(body.rows) for body in self.sent], [0, 1])
+        self.assertEqual([len(body.marks) for body in self.sent], [0, 1])
 
     def test_hints_are_bounded_have_the_remaining_waits_and_are_not_forwarded(self) -> None:
         self.dispatcher.attempts.report_retry_after([(1, NOW + 300_000), *((i, NOW + SECOND_US) for i in range(2, 70))])
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -90,12 +90,12 @@
         for told in (noise, good[:at], good[:at] + noise):
             with contextlib.suppress(InvalidPeerMessageError):
                 self.assertIsInstance(decode(told), PeerMessage)
-            messages.head_of(told)
+            messages.decode_peer_header(told)
 
     def test_spoilt_facts_are_seen_and_fields_of_later_versions_are_passed_over(self) -> None:
         body = ReplicateFacts(1, 2, 3, b"facts", messages.digest_of(b"facts"))
-        self.assertTrue(messages.whole(body))
-        self.assertFalse(messages.whole(msgspec.structs.replace(body, facts=b"fact5")))
+        self.assertTrue(messages.digest_matches(body))
+        self.assertFalse(messages.digest_matches(msgspec.structs.replace(body, facts=b"fact5")))
         later = msgspec.msgpack.encode([1, 9, "g", "a", 1, "b", ["Settled", "m", "b", True, "more"], "more"])
         self.assertEqual(decode(later).body, messages.MigrationDecided("m", "b", True))
 
@@ -139,7 +139,7 @@
         with self.assertRaises(PeerRefusedError) as caught:
             (peers or self.peers).call("b", body or Acknowledged(), 5)
         self.assertEqual(caught.exception.refused.code, code)
-        return caught.exception.refused.why
+        return caught.exception.refused.reason
 
     def unreachable(self, why: str, peers: Peers, within_s: float = 5) -> None:
         with self.assertRaisesRegex(PeerUnreachableError, why):
@@ -299,7 +299,7 @@
         ended = [gevent.spawn(self.ends, self.peers) for _ in range(200)]
         self.assertEqual(
             sorted(each.get() for each in ended),
-            ["Acknowledged"] * peer_client.MAX_CALLS + ["CW712"] * (200 - peer_client.MAX_CALLS),
+            ["Acknowledged"] * peer_client.MAX_PENDING_CALLS + ["CW712"] * (200 - peer_client.MAX_PENDING_CALLS),
         )
         self.assertEqual(
             (most, len(self.peers.peers["b"].connections)),
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -313,7 +313,7 @@
         facts = self.check("Facts").body
         assert isinstance(facts, ReplicateFacts)
         self.assertEqual((facts.partition, facts.term, facts.first), (3, 5, 2))
-        self.assertTrue(messages.whole(facts))
+        self.assertTrue(messages.digest_matches(facts))
         self.assertEqual(decode_facts(facts.facts), [THIRD_FACT])
 
     def check(self, tag: str) -> PeerMessage:
