--- a/cedarwick/fleet/counted_calls.py
+++ b/cedarwick/fleet/counted_calls.py
@@ -1,4 +1,4 @@
-"""Calls of other members whose failure is counted and logged instead of raised."""
+"""Calls to other members whose failures are counted and logged instead of raised."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -19,12 +19,15 @@
     counters: Counters,
     subject: str = "",
 ) -> Answer | None:
-    """Send a peer message to the member `name` and return its answer; None on any failure, which is counted.
+    """Send a peer message to the member `name` and return its answer; on failure, count it and return None.
 
     Args:
-        send: as `Peers.call` or `Peers.call_for_peer_message`.
-        within_s: seconds in which the answer must come.
-        subject: what the message is about, for the names of the counters; empty: anything.
+        send: `Peers.call`, `Peers.call_for_peer_message` or a function with the same parameters.
+        name: the member to call.
+        body: the body of the message.
+        within_s: time limit in seconds.
+        counters: where failures are counted.
+        subject: what the message is about, for the names of the counters; empty: not named.
     """
     about = f" about {subject}" if subject else ""
     try:
--- a/cedarwick/fleet/messages/codec.py
+++ b/cedarwick/fleet/messages/codec.py
@@ -1,4 +1,4 @@
-"""The peer message around a body, its MessagePack codec, and the digest that goes with facts."""
+"""The peer message around a body, its MessagePack codec, and the digest sent with facts."""
 
 import msgspec
 import xxhash
@@ -32,23 +32,23 @@
     VoteReply,
 )
 
-PROTOCOL_VERSION = 1  # of the wire format; a peer message of another one is refused
-PROTOCOL_LEVEL = 4  # of what a member can do; sent along, and checked where a feature needs it
+PROTOCOL_VERSION = 1  # of the wire format; peer messages of other versions are refused
+PROTOCOL_LEVEL = 4  # feature level of this member; sent in each header and checked by features that need it
 
 
 class InvalidPeerMessageError(CedarwickError):
-    """Bytes that are no peer message of a fleet."""
+    """Bytes that cannot be decoded as a peer message."""
 
     code = "CW701"
-    remedy = "ask who sends this to the fleet's address; compare the versions of the members"
+    remedy = "find out which process sends this to the fleet's address; compare the versions of the members"
 
 
 class Acknowledged(PeerBody, frozen=True, tag="Noted"):
-    """The request was read; the answer carries nothing."""
+    """The request was read; the answer carries no data."""
 
 
 class RequestRefused(PeerBody, frozen=True, tag="Refused"):
-    """The request was not acted on: the code of the error and its text."""
+    """The request was refused: code and text of the error."""
 
     code: ShortText
     reason: Text
@@ -65,54 +65,56 @@
 
 
 class PeerMessageHeader(msgspec.Struct, frozen=True, array_like=True):
-    """The start of a peer message in every version, so that members of different versions can refuse one another."""
+    """The first fields of a peer message, equal in every version, so that members can refuse another version."""
 
     version: Unsigned
     level: Unsigned
     group: Name
     sender: Name
-    incarnation: Unsigned  # of the sender's process: wall clock microseconds of its start
+    incarnation: Unsigned  # start time of the sender's process, wall clock microseconds
     to: Name
 
 
 class PeerMessage(PeerMessageHeader, frozen=True, array_like=True):
-    """A body with its sender, group and receiver."""
+    """A body and its header."""
 
     body: Body
 
 
 encode = msgspec.msgpack.Encoder().encode
-_peer_messages: msgspec.msgpack.Decoder[PeerMessage] = msgspec.msgpack.Decoder(PeerMessage)
-_headers: msgspec.msgpack.Decoder[PeerMessageHeader] = msgspec.msgpack.Decoder(PeerMessageHeader)
+_message_decoder: msgspec.msgpack.Decoder[PeerMessage] = msgspec.msgpack.Decoder(PeerMessage)
+_header_decoder: msgspec.msgpack.Decoder[PeerMessageHeader] = msgspec.msgpack.Decoder(PeerMessageHeader)
 
 
 def decode(data: bytes) -> PeerMessage:
     """Decode a peer message.
 
     Raises:
-        InvalidPeerMessageError: its text names the field that does not fit.
+        InvalidPeerMessageError: the text names the invalid field.
     """
     if len(data) > MAX_MESSAGE_BYTES:
-        raise InvalidPeerMessageError(f"a peer message of {len(data)} bytes, where {MAX_MESSAGE_BYTES} is the most")
+        raise InvalidPeerMessageError(
+            f"peer message of {len(data)} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes"
+        )
     try:
-        return _peer_messages.decode(data)
+        return _message_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise InvalidPeerMessageError(f"no peer message: {str(error)[:300]}") from None
+        raise InvalidPeerMessageError(f"invalid peer message: {str(error)[:300]}") from None
 
 
 def decode_peer_header(data: bytes) -> PeerMessageHeader | None:
-    """The header of a peer message whose body may be unreadable; None if the header is too."""
+    """Decode the header of a peer message whose body may be invalid; None if the header is invalid too."""
     try:
-        return _headers.decode(data)
+        return _header_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return None
 
 
 def digest_of(data: bytes) -> int:
-    """The 64-bit digest that is sent along with facts."""
+    """Return the 64-bit digest that is sent with facts."""
     return xxhash.xxh3_64_intdigest(data)
 
 
 def digest_matches(body: ReplicateFacts | ReplicatePiece | TakeoverOffer | StageSession) -> bool:
-    """Whether the facts of a body match the digest sent with them."""
+    """Return whether the facts of a body match the digest sent with them."""
     return digest_of(body.facts) == body.digest
--- a/cedarwick/fleet/messages/fields.py
+++ b/cedarwick/fleet/messages/fields.py
@@ -1,6 +1,6 @@
-"""Field types and limits that all peer messages share, and the base types of bodies and of rows within them.
+"""Field types and limits shared by all peer messages, and the base types of bodies and of rows within them.
 
-A reader holds a peer message whole, so each text, list and byte string has a bound.
+The receiver holds a whole peer message in memory, so every string, list and byte string has a maximum length.
 """
 
 from typing import Annotated
@@ -8,30 +8,30 @@
 import msgspec
 from msgspec import Meta
 
-MAX_MESSAGE_BYTES = 1 << 20  # bytes of an encoded peer message
-MAX_MEMBERS = 64  # members of a group, at most
-
-Name = Annotated[str, Meta(max_length=64)]  # of a member, a group, a subscription; empty: nobody
-Text = Annotated[str, Meta(max_length=512)]  # read by a person
-ShortText = Annotated[str, Meta(max_length=128)]  # an id, the name of a lease
-MigrationName = Annotated[str, Meta(max_length=200)]  # the name of a migration: a stamp and two members
-ClientText = Annotated[str, Meta(max_length=200)]  # of a message, as a client may give it
-Unsigned = Annotated[int, Meta(ge=0)]  # numbers, terms, microseconds
-# Bounded well below 64 bits: terms are incremented and packed with other numbers, and the result must still fit into a
-# peer message and a file.
-Term = Annotated[int, Meta(ge=0, lt=1 << 40)]  # one a second for 30,000 years
-SequenceNumber = Annotated[int, Meta(ge=0, lt=1 << 62)]  # of successor sets, of a session's holders, of migrations
-EventNumber = Annotated[int, Meta(ge=-1)]  # the number of the last event that was reached; -1: none
+MAX_MESSAGE_BYTES = 1 << 20  # of an encoded peer message
+MAX_MEMBERS = 64  # of a group
+
+Name = Annotated[str, Meta(max_length=64)]  # of a member, group or subscription; empty: none
+Text = Annotated[str, Meta(max_length=512)]  # for people to read
+ShortText = Annotated[str, Meta(max_length=128)]  # an identifier, such as the name of a lease
+MigrationName = Annotated[str, Meta(max_length=200)]  # made of a stamp and two member names
+ClientText = Annotated[str, Meta(max_length=200)]  # a string that a client supplies, such as a message id
+Unsigned = Annotated[int, Meta(ge=0)]  # a counter, a number or microseconds
+# Limited well below 64 bits: terms are incremented and packed with other numbers, and the result must still fit into a
+# peer message and into a file.
+Term = Annotated[int, Meta(ge=0, lt=1 << 40)]  # one term per second lasts for 30,000 years
+SequenceNumber = Annotated[int, Meta(ge=0, lt=1 << 62)]  # of successor sets, session holders and migrations
+EventNumber = Annotated[int, Meta(ge=-1)]  # of the last event reached; -1: none
 EncodedFacts = Annotated[
     bytes, Meta(max_length=MAX_MESSAGE_BYTES - (1 << 14))
 ]  # leaves room for the rest of the peer message
-ClientRequest = Annotated[bytes, Meta(max_length=1 << 18)]  # one request of a client, or its answer
+ClientRequest = Annotated[bytes, Meta(max_length=1 << 18)]  # the body of a client's submission
 MemberNames = Annotated[tuple[Name, ...], Meta(max_length=MAX_MEMBERS)]
 
 
 class PeerBody(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """The body of a peer message, an array on the wire with its tag first."""
+    """The body of a peer message; encoded as an array with the tag first."""
 
 
 class PeerBodyPart(msgspec.Struct, frozen=True, array_like=True):
-    """A row within a body, an array on the wire without a tag."""
+    """A row within a body; encoded as an array without a tag."""
--- a/cedarwick/fleet/messages/gossip.py
+++ b/cedarwick/fleet/messages/gossip.py
@@ -1,4 +1,4 @@
-"""Hints that members spread: keys that are owed, Retry-After waits, suspensions by hand."""
+"""Hints shared between members: pending order keys, Retry-After waits and manual suspensions."""
 
 from typing import Annotated
 
@@ -6,12 +6,12 @@
 
 from cedarwick.fleet.messages.fields import Name, PeerBody, PeerBodyPart, ShortText, Unsigned
 
-PENDING_ORDER_KEYS_LEVEL = 3  # the level from which on a member reads `PendingOrderKeys`
-MAX_ORDER_KEYS = 4096  # keys in one `PendingOrderKeys`, at most
+PENDING_ORDER_KEYS_LEVEL = 3  # lowest level of a member that can read `PendingOrderKeys`
+MAX_ORDER_KEYS = 4096  # per `PendingOrderKeys`
 
 
 class PendingOrderKeys(PeerBody, frozen=True, tag="Owed"):
-    """All order keys with messages that are pending at the sender since before a change among the members.
+    """All order keys with messages that have been pending at the sender since before a membership change.
 
     Answered by `Acknowledged`.
     """
@@ -20,33 +20,33 @@
 
 
 class RetryAfterEntry(PeerBodyPart, frozen=True):
-    """A receiver that asked, by Retry-After, for a pause of `remaining_us` microseconds from now on."""
+    """A receiver whose Retry-After wait has `remaining_us` microseconds left."""
 
     uid: ShortText
-    remaining_us: Annotated[int, Meta(ge=0, lt=1 << 40)]  # a span, not a time: the clocks of two machines differ
+    remaining_us: Annotated[int, Meta(ge=0, lt=1 << 40)]  # a duration, since the clocks of two machines differ
 
 
 class RetryAfterHint(PeerBody, frozen=True, tag="Hint"):
-    """Retry-After waits that receivers asked of the sender. Answered by `Acknowledged`."""
+    """Retry-After waits that receivers requested from the sender. Answered by `Acknowledged`."""
 
     waits: Annotated[tuple[RetryAfterEntry, ...], Meta(max_length=4096)] = ()
 
 
 class SuspensionMark(PeerBodyPart, frozen=True):
-    """A receiver suspended by hand, or restored; the mark with the larger (counter, member) wins."""
+    """A receiver that was suspended manually, or restored; the mark with the larger (counter, member) wins."""
 
     uid: ShortText
-    counter: Annotated[int, Meta(ge=0, lt=1 << 62)]  # wall clock microseconds, or more
-    member: Name  # where an operator set it
+    counter: Annotated[int, Meta(ge=0, lt=1 << 62)]  # wall clock microseconds, or larger
+    member: Name  # at which an operator set it
     calls: Annotated[int, Meta(ge=0, le=1000)]  # suspensions in force; 0: restored
 
 
 class SuspensionMarks(PeerBody, frozen=True, tag="Marks"):
-    """Marks that the receiver may lack, and the digest of all.
+    """Marks that the receiver may lack, and the digest of all marks of the sender.
 
-    Answered by `SuspensionMarks`, with all marks of the receiver if the digests differ.
+    Answered by `SuspensionMarks`, which holds all marks of the receiver if the digests differ.
     """
 
     digest: Unsigned
     marks: Annotated[tuple[SuspensionMark, ...], Meta(max_length=4096)] = ()
-    complete: bool = False  # in an answer: a receiver that is not listed was restored, or never suspended
+    complete: bool = False  # in an answer: receivers that are not listed are not suspended
--- a/cedarwick/fleet/messages/membership.py
+++ b/cedarwick/fleet/messages/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats, and the leases that a majority of the members grants. Times are microseconds."""
+"""Heartbeats, and the leases that a majority of the members grants. Durations are in microseconds."""
 
 from typing import Annotated
 
@@ -16,39 +16,41 @@
     Unsigned,
 )
 
-LEASE_PROBE_LEVEL = 4  # the level from which on a member knows a probe from a request
+LEASE_PROBE_LEVEL = 4  # lowest level of a member that can tell a probe from a request
 
 
 class HeldLease(PeerBodyPart, frozen=True):
-    """A partition whose lease the sender of the heartbeat holds."""
+    """A partition whose lease is held by the sender of the heartbeat."""
 
     partition: Unsigned
     term: Term
 
 
 class Heartbeat(PeerBody, frozen=True, tag="Beat"):
-    """Says that the sender is alive. Answered by a `Heartbeat`."""
+    """Reports that the sender is alive. Answered by `Heartbeat`."""
 
-    leaving: bool  # the sender ends; successors may take over
-    heard: Annotated[dict[Name, Unsigned], Meta(max_length=MAX_MEMBERS)]  # microseconds ago, by member
+    leaving: bool  # the sender is shutting down; successors may take over
+    heard: Annotated[
+        dict[Name, Unsigned], Meta(max_length=MAX_MEMBERS)
+    ]  # by member: microseconds since it was last heard
     leases: Annotated[tuple[HeldLease, ...], Meta(max_length=4096)] = ()
 
 
 class LeaseRequest(PeerBody, frozen=True, tag="Ask"):
-    """Asks for a lease of `span` microseconds. Answered by `LeaseReply`."""
+    """Requests a lease for `span` microseconds. Answered by `LeaseReply`."""
 
     lease: ShortText
     term: Term
-    holder: Name  # the member that asks
-    span: Unsigned  # microseconds; 0: the lease is given up
+    holder: Name  # the requesting member
+    span: Unsigned  # microseconds; 0: the holder releases the lease
     successors: MemberNames = ()
-    set_number: SequenceNumber = 0  # the larger number is the newer list of successors
-    closed: bool = False  # close the lease for good
-    probe: bool = False  # only asks whether the lease would be granted; uses up no term
+    set_number: SequenceNumber = 0  # the list of successors with the larger number is newer
+    closed: bool = False  # close the lease permanently
+    probe: bool = False  # only asks whether the lease would be granted; uses no term
 
 
 class LeaseReply(PeerBody, frozen=True, tag="Told"):
-    """The grantor's entry for the lease, and whether it was granted; for a probe, whether it would be."""
+    """The grantor's entry for the lease and whether it was granted; for a probe, whether it would be granted."""
 
     granted: bool
     term: Term
@@ -56,11 +58,11 @@
     successors: MemberNames = ()
     set_number: SequenceNumber = 0
     closed: bool = False
-    probe: bool = False  # answers a probe: nothing was granted
+    probe: bool = False  # answers a probe; no lease was granted
 
 
 class GrantTableRequest(PeerBody, frozen=True, tag="Tables"):
-    """Asks for a whole table of grants, since the sender's own is lost. Answered by `GrantTable`."""
+    """Requests the receiver's table of grants, since the sender has lost its own. Answered by `GrantTable`."""
 
 
 class Grant(PeerBodyPart, frozen=True):
@@ -75,7 +77,7 @@
 
 
 class GrantTable(PeerBody, frozen=True, tag="Table"):
-    """A whole table of grants; `learning`: the grantor has lost its table and not rebuilt it yet."""
+    """All grants of a grantor; `learning`: it has lost its table and has not rebuilt it yet."""
 
     learning: bool
     grants: Annotated[tuple[Grant, ...], Meta(max_length=1 << 14)] = ()
--- a/cedarwick/fleet/messages/replication.py
+++ b/cedarwick/fleet/messages/replication.py
@@ -1,4 +1,4 @@
-"""Replication of a partition: the log, the pieces of a full transfer, comparison, and the offer after a takeover."""
+"""Replication of a partition: log entries, full transfer, comparison by digests, and the offer after a takeover."""
 
 from typing import Annotated
 
@@ -8,7 +8,7 @@
 
 
 class ReplicateFacts(PeerBody, frozen=True, tag="Facts"):
-    """The tail of a partition's log from index `first` on. Answered by `ReplicaAck`."""
+    """Entries of a partition's log from index `first` to its end. Answered by `ReplicaAck`."""
 
     partition: Unsigned
     term: Term
@@ -18,7 +18,7 @@
 
 
 class ReplicatePiece(PeerBody, frozen=True, tag="Piece"):
-    """All owed messages with numbers above `after`, up to `upto`; the log continues at index `next`.
+    """A piece of a full transfer: all owed messages with `after` < number <= `upto`; the log continues at index `next`.
 
     Answered by `ReplicaAck`.
     """
@@ -30,21 +30,21 @@
     facts: EncodedFacts
     next: Unsigned
     digest: Unsigned
-    behind: bool = False  # the holder acknowledges to clients what no replica has yet
+    behind: bool = False  # the holder acknowledges messages to clients before any replica has them
 
 
 class ReplicaAck(PeerBody, frozen=True, tag="Have"):
-    """A replica's position in the log; `problem` says why the message was dropped as a whole."""
+    """A replica's position in the log; `problem` is the reason if it discarded the whole message."""
 
     partition: Unsigned
     term: Term
-    next: Unsigned  # the log index that it needs next
+    next: Unsigned  # the next log index that it needs
     problem: Text = ""
-    covered: Unsigned = 0  # the full transfer of this term has reached it up to this number
+    covered: Unsigned = 0  # it has received the full transfer of this term up to this message number
 
 
 class DigestRange(PeerBodyPart, frozen=True):
-    """The owed messages with numbers above `after`, up to `upto`, as their count and digest."""
+    """Count and digest of the owed messages with `after` < number <= `upto`."""
 
     after: Unsigned
     upto: Unsigned
@@ -53,19 +53,21 @@
 
 
 class Digests(PeerBody, frozen=True):
-    """Ranges of a partition as the holder has them.
+    """Ranges of a partition at its holder.
 
-    Answered by the replica's own `Digests` over the same ranges.
+    Answered by the replica's `Digests` of the same ranges.
     """
 
     partition: Unsigned
     term: Term
     ranges: Annotated[tuple[DigestRange, ...], Meta(max_length=4096)]
-    next: Unsigned = 0  # the log index at which they were taken; a replica at another one answers with no ranges
+    next: Unsigned = (
+        0  # the log index of the holder when it computed them; a replica at another index answers with no ranges
+    )
 
 
 class TakeoverOffer(PeerBody, frozen=True, tag="Offer"):
-    """What the previous holder of a partition knows, part by part, for the member that took it over.
+    """Facts of the previous holder of a partition, sent in parts to the member that took it over.
 
     Answered by `OfferReply`.
     """
@@ -75,11 +77,11 @@
     last: bool
     facts: EncodedFacts
     digest: Unsigned
-    term: Term = 0  # the newest in which the sender has held the partition
+    term: Term = 0  # the newest term in which the sender held the partition
 
 
 class OfferReply(PeerBody, frozen=True, tag="Taken"):
-    """The part is merged into the new holder's folder; if not, `problem` says why."""
+    """Confirms that the new holder has stored a part; otherwise `problem` is the reason."""
 
     partition: Unsigned
     part: Unsigned
--- a/cedarwick/fleet/messages/sessions.py
+++ b/cedarwick/fleet/messages/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: where they are held, their migration and its decision, claims, and forwarded submissions."""
+"""Sessions: their locations, migrations and the decisions on them, claims, and forwarded submissions."""
 
 from typing import Annotated
 
@@ -20,49 +20,52 @@
 
 
 class SessionLocation(PeerBodyPart, frozen=True):
-    """The holder of the session of a key; the entry with the larger sequence is the newer one."""
+    """The holder of the session of a key; the entry with the larger sequence is newer."""
 
     key: Unsigned
     holder: Name
     sequence: SequenceNumber
-    age: Unsigned  # microseconds since its last use
+    age: Unsigned  # microseconds since the session was last used
 
 
 class SessionLocations(PeerBody, frozen=True, tag="Lodgings"):
-    """Changed session locations, and whether the sender takes more sessions.
+    """Changed session locations, and whether the sender accepts more sessions.
 
     Answered by `SessionLocations` without `locations`.
     """
 
     locations: Annotated[tuple[SessionLocation, ...], Meta(max_length=4096)] = ()
-    session_count: Unsigned = 0  # sessions
-    accepts_sessions: bool = False  # whether the sender takes more sessions
-    next_stamp: SequenceNumber = 0  # of the next migration that the sender begins
-    is_first_run: bool = False  # as far as the sender knows, neither member has run before
+    session_count: Unsigned = 0  # held by the sender
+    accepts_sessions: bool = False  # whether the sender accepts more sessions
+    next_stamp: SequenceNumber = 0  # of the next migration that the sender starts
+    is_first_run: bool = False  # as far as the sender knows, neither of the two members has run before
 
 
 class RecentIdEntry(PeerBodyPart, frozen=True):
-    """The id of a message accepted a short while ago, so that a repeat is recognised."""
+    """The id of a recently accepted message, used to recognise repeats."""
 
     id: ClientText
     age: Unsigned  # microseconds
-    content_hash: Unsigned  # digest of the submission that came with it
+    content_hash: Unsigned  # hash of the contents of its submission
 
 
 class StageSession(PeerBody, frozen=True, tag="Stage"):
-    """The messages of a session, to be stored inert until its migration is decided. Answered by `StageReply`."""
+    """The messages of a session; the target stores them inactive until the migration is decided.
+
+    Answered by `StageReply`.
+    """
 
     move: MigrationName
     key: Unsigned
-    sequence: SequenceNumber  # of the session since the migration began
+    sequence: SequenceNumber  # the session's sequence after the start of the migration
     facts: EncodedFacts
     digest: Unsigned
     ids: Annotated[tuple[RecentIdEntry, ...], Meta(max_length=1 << 14)] = ()
-    attempt_remaining_us: Unsigned = 0  # microseconds in which an attempt of the session may still run
+    attempt_remaining_us: Unsigned = 0  # for which an attempt of the session may still run
 
 
 class StageReply(PeerBody, frozen=True, tag="Staged"):
-    """Whether the session is in the target's folder; if not, `why`."""
+    """Whether the target has stored the session; if not, the reason."""
 
     move: MigrationName
     stored: bool
@@ -70,22 +73,22 @@
 
 
 class BallotNumber(PeerBodyPart, frozen=True):
-    """A ballot: its round, and the text of one proposer of one boot."""
+    """A Paxos ballot number: its round, and text that identifies a proposer in one run of its process."""
 
     round: SequenceNumber
     proposer: ShortText
 
 
 class PrepareRequest(PeerBody, frozen=True, tag="Prepare"):
-    """First phase of a Paxos decision. Answered by `VoteReply`."""
+    """First phase of a Paxos decision: prepare a ballot. Answered by `VoteReply`."""
 
     move: MigrationName
     ballot: BallotNumber
-    key: Unsigned = 0  # of the session; 0: sent by a member of a level below 3
+    key: Unsigned = 0  # of the session; 0: the sender's level is below 3
 
 
 class AcceptRequest(PeerBody, frozen=True, tag="Accept"):
-    """Second phase of a Paxos decision: accept the value. Answered by `VoteReply`."""
+    """Second phase of a Paxos decision: accept a value. Answered by `VoteReply`."""
 
     move: MigrationName
     ballot: BallotNumber
@@ -98,74 +101,74 @@
 
     move: MigrationName
     granted: bool
-    promised: BallotNumber  # the highest
+    promised: BallotNumber  # the highest ballot promised
     accepted: BallotNumber
-    value: Name = ""  # accepted, or decided; empty: none
+    value: Name = ""  # accepted or decided; empty: none
     decided: bool = False
 
 
 class MigrationDecided(PeerBody, frozen=True, tag="Settled"):
     """The decided value of a migration, and whether the target is active.
 
-    Answered by a `MigrationDecided` with what the receiver knows.
+    Answered by a `MigrationDecided` with the receiver's knowledge.
     """
 
     move: MigrationName
-    value: Name  # empty, in an answer: not known
+    value: Name  # empty in an answer: unknown
     active: bool = False
 
 
 class SessionClaim(PeerBody, frozen=True, tag="Claims"):
-    """Asks whether the sender may open the session of a key. Answered by `ClaimReply`."""
+    """Asks for permission to open the session of a key at the sender. Answered by `ClaimReply`."""
 
     key: Unsigned
     sequence: SequenceNumber
-    replaced_sequence: SequenceNumber  # sequence and holder of the entry that it replaces
+    replaced_sequence: SequenceNumber  # of the entry that the claim replaces; 0: none
     replaced_holder: Name
-    at: Unsigned
+    at: Unsigned  # microseconds of the sender's clock; identifies the claim
 
 
 class SessionInheritance(PeerBody, frozen=True, tag="Inherits"):
-    """Asks for the session of a lost holder whose partition, and recent ids, the sender has.
+    """Asks for the session of a lost holder whose partition and recent ids the sender has.
 
-    Answered by `ClaimReply`. Members below level 3 cannot read it, so that nobody grants it who would also vote on a
-    migration of the session.
+    Answered by `ClaimReply`. Members below level 3 cannot read this message, so no member grants it that would also
+    vote on a migration of the session.
     """
 
     key: Unsigned
     sequence: Unsigned
-    replaced_sequence: Unsigned  # sequence and name of the last holder
+    replaced_sequence: Unsigned  # of the last holder
     replaced_holder: Name
-    partition: Unsigned  # the newest that the last holder had
-    at: Unsigned
+    partition: Unsigned  # the newest partition of the last holder
+    at: Unsigned  # as in `SessionClaim`
 
 
 class ClaimReply(PeerBody, frozen=True, tag="Claimed"):
-    """Whether the claim is granted; if not, the entry that stands against it, where known."""
+    """Whether the claim is granted; if not, the conflicting entry, if known."""
 
     granted: bool
     entry: SessionLocation | None = None
 
 
 class ForwardedSubmit(PeerBody, frozen=True, tag="Pass"):
-    """A client's submission for the session's holder; it is not forwarded again. Answered by `ForwardReply`."""
+    """A client's submission, forwarded once to the session's holder. Answered by `ForwardReply`."""
 
     key: Unsigned
     id: ClientText
-    idempotency_key: ClientText  # equal for repeats of one message: `key` of the stored record
+    idempotency_key: ClientText  # equal for all repeats of a message; `key` of the stored record
     priority_class: ClientText
     tenant: ClientText
     destination: Unsigned
-    remaining_us: Annotated[int, Meta(ge=-(1 << 62), lt=1 << 62)]  # microseconds to its deadline
-    answer_within_us: Unsigned  # microseconds in which the client's answer is wanted
+    remaining_us: Annotated[int, Meta(ge=-(1 << 62), lt=1 << 62)]  # until its deadline
+    answer_within_us: Unsigned  # time limit of the answer to the client
     body: ClientRequest
-    moved: bool = False  # forwarded by the previous holder, whose client connection stayed open
-    entry: SessionLocation | None = None  # the lost holder, for the member that holds its partition now
-    deadline: Unsigned = 0  # wall microseconds of the member that forwards it; 0: an older member does not say
+    moved: bool = False  # forwarded by the previous holder, whose client is still connected
+    entry: SessionLocation | None = None  # of the lost holder, for the member that now holds its partition
+    deadline: Unsigned = 0  # wall clock microseconds at the forwarding member; 0: not sent by older members
 
 
 class ForwardReply(PeerBody, frozen=True, tag="Passed"):
-    """The answer for the client; empty: the session is held elsewhere (`entry`), or disowned."""
+    """The answer for the client; empty: another member holds the session (`entry`), or nobody holds it (`disowned`)."""
 
     answer: Name
     wait_ms: Unsigned = 0
--- a/cedarwick/fleet/peer_client.py
+++ b/cedarwick/fleet/peer_client.py
@@ -1,4 +1,4 @@
-"""The client of peer messages: a connection pool for each other member, and the calls on it."""
+"""Client for peer messages: one connection pool per other member, and calls over these pools."""
 
 import time
 from collections.abc import Iterable, Mapping
@@ -32,21 +32,22 @@
 from cedarwick.net.buffer import Buffer
 from cedarwick.net.sockets import is_closed, open_connection
 
-# For which an idle connection is kept: less than `peer_server.IDLE_TIMEOUT_S`, or it would meet the server's close.
+# Maximum idle time of a pooled connection. Below `peer_server.IDLE_TIMEOUT_S`, so that the client does not send a
+# request on a connection that the server is closing.
 IDLE_TIMEOUT_S = 10.0
-MAX_CALLS_IN_FLIGHT = 4  # to one member at once, each on a connection of its own
-MAX_PENDING_CALLS = 64  # to one member, in flight and waiting
+MAX_CALLS_IN_FLIGHT = 4  # per member, each on its own connection
+MAX_PENDING_CALLS = 64  # per member, in flight or queued
 
 
 class HttpResponse(NamedTuple):
-    """The status and the body of an answer."""
+    """Status and body of an HTTP response."""
 
     status: int
     body: bytes
 
 
 class PooledConnection:
-    """A connection to a member: carries one request at a time."""
+    """A connection to a member; it carries one request at a time."""
 
     __slots__ = ("sock", "buffer", "used_at")
 
@@ -57,15 +58,16 @@
 
 
 class PeerPool:
-    """The address of one other member, and the connections to it."""
+    """Address of one other member, and the connections to it."""
 
     def __init__(self, name: str, address: Address, in_flight: int) -> None:
         self.name = name
         self.address = address
-        self.idle: list[PooledConnection] = []  # the one used last is the next
+        self.idle: list[PooledConnection] = []  # used last in, first out
         self.connections: set[PooledConnection] = set()
         self.call_slots = BoundedSemaphore(in_flight)
-        # For heartbeats and lease requests: behind records on a slow network they would come too late.
+        # For heartbeats and lease requests, which would arrive too late if they queued behind replicated facts on a
+        # slow network.
         self.urgent_call_slots = BoundedSemaphore(in_flight)
         self.calls = 0
         self.closed = False
@@ -74,23 +76,23 @@
         return f"{self.name} at {self.address[0]}:{self.address[1]}"
 
     def obtain(self, within_s: float) -> PooledConnection:
-        """An idle connection that is still open, or a new one; raises `OSError`."""
+        """Return an idle connection that is still open, or open a new one; raises `OSError`."""
         while self.idle:
             connection = self.idle.pop()
             if time.monotonic() - connection.used_at < IDLE_TIMEOUT_S and not is_closed(connection.sock):
                 return connection
-            self.close(connection)  # nothing was written on it: no failure
+            self.close(connection)  # no request was sent on it, so this is no failure
         connection = PooledConnection(open_connection(self.address, within_s))
         self.connections.add(connection)
         return connection
 
     def close(self, connection: PooledConnection) -> None:
-        """Close one connection."""
+        """Close a connection and remove it from the pool."""
         self.connections.discard(connection)
         connection.sock.close()
 
     def close_all(self) -> None:
-        """Close all; a call that is out ends as `PeerUnreachableError`."""
+        """Close all connections; calls in flight raise `PeerUnreachableError`."""
         self.closed = True
         self.idle.clear()
         for connection in list(self.connections):
@@ -98,7 +100,7 @@
 
 
 class Peers:
-    """Calls to the other members: a few at once to each, the rest wait in a bounded queue."""
+    """Calls to other members, with limits per member on calls in flight and on queued calls."""
 
     def __init__(
         self, verifier: PeerVerifier, members: Mapping[str, Address], in_flight: int = MAX_CALLS_IN_FLIGHT
@@ -109,7 +111,7 @@
         self.replace(members)
 
     def replace(self, members: Mapping[str, Address]) -> None:
-        """Take over another list of members by name; connections to those that went or moved are closed."""
+        """Replace the members; connections to members that were removed or changed address are closed."""
         for name in [name for name, peer in self.peers.items() if members.get(name) != peer.address]:
             self.peers.pop(name).close_all()
         for name, address in members.items():
@@ -118,44 +120,49 @@
         self.verifier.replace_members(members)
 
     def names(self) -> Iterable[str]:
-        """The other members."""
+        """Return the names of the other members."""
         return self.peers.keys()
 
     def close(self) -> None:
-        """Close every connection; calls that are out end as `PeerUnreachableError`."""
+        """Close all connections; calls in flight raise `PeerUnreachableError`."""
         for peer in self.peers.values():
             peer.close_all()
         self.peers.clear()
 
     def call(self, member: str, body: Body, within_s: float) -> Body:
-        """The body of the member's answer; errors as in `call_for_peer_message`."""
+        """Send a body to a member and return the body of its answer; raises as `call_for_peer_message`."""
         return self.call_for_peer_message(member, body, within_s).body
 
     def call_for_peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
-        """The member's answer, within `within_s` seconds including the wait in the queue.
+        """Send a body to a member and return its answer; `within_s` includes the time in the queue.
 
-        Raises `PeerUnreachableError` without a readable answer, `PeerRefusedError` if the member refused, and
-        `PeerMessageTooLargeError` if the message was too large to be sent.
+        Raises:
+            PeerUnreachableError: no valid answer came in time.
+            PeerRefusedError: the member refused the message.
+            PeerMessageTooLargeError: the message exceeds the size limit and was not sent.
         """
         peer = self.peers.get(member)
         if peer is None:
-            raise PeerUnreachableError(f"{member!r} is no other member")
+            raise PeerUnreachableError(f"{member!r} is not another member")
         if peer.calls >= MAX_PENDING_CALLS:
-            raise PeerUnreachableError(f"{peer}: {MAX_PENDING_CALLS} calls are out or wait already")
+            raise PeerUnreachableError(f"{peer}: {MAX_PENDING_CALLS} calls are already in flight or queued")
         peer_message = encode(self.verifier.peer_message(member, body))
         if len(peer_message) > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
-                f"a {type(body).__name__} of {len(peer_message)} bytes to {member!r}, "
-                f"where {MAX_MESSAGE_BYTES} is the most"
+                f"{type(body).__name__} of {len(peer_message)} bytes to {member!r} "
+                f"exceeds the limit of {MAX_MESSAGE_BYTES} bytes"
             )
-        limit = gevent.Timeout(within_s)
+        call_timeout = gevent.Timeout(within_s)
         peer.calls += 1
         try:
-            with limit, peer.urgent_call_slots if isinstance(body, LeaseRequest | Heartbeat) else peer.call_slots:
-                response = exchange(peer, peer_message, within_s)
+            with (
+                call_timeout,
+                peer.urgent_call_slots if isinstance(body, LeaseRequest | Heartbeat) else peer.call_slots,
+            ):
+                response = send_request(peer, peer_message, within_s)
             answer = decode(response.body)
-        except gevent.Timeout as late:
-            if late is not limit:
+        except gevent.Timeout as expired:
+            if expired is not call_timeout:
                 raise
             raise PeerUnreachableError(f"{peer}: no answer within {within_s:g} s") from None
         except (OSError, http.InvalidResponseError, InvalidPeerMessageError) as error:
@@ -164,14 +171,16 @@
             peer.calls -= 1
         check_answer(self.verifier, str(peer), answer)
         if (response.status, answer.sender) != (200, peer.name):
-            raise PeerUnreachableError(f"{peer}: an answer of {answer.sender!r} with status {response.status}")
+            raise PeerUnreachableError(f"{peer}: answer from {answer.sender!r} with HTTP status {response.status}")
         return answer
 
 
 def check_answer(verifier: PeerVerifier, peer: str, answer: PeerMessage) -> None:
-    """Check that an answer is no refusal and is meant for this sender.
+    """Check that an answer is not a refusal and passes verification.
 
-    Raises `PeerRefusedError` with the refusal, `PeerUnreachableError` for an answer that the verifier does not accept.
+    Raises:
+        PeerRefusedError: the answer is a refusal.
+        PeerUnreachableError: the verifier rejects the answer.
     """
     if isinstance(answer.body, RequestRefused):
         refusal = PeerRefusedError(f"{peer} refused: {answer.body.reason} ({answer.body.code})")
@@ -180,37 +189,37 @@
     try:
         verifier.check(answer)
     except CedarwickError as error:
-        raise PeerUnreachableError(f"{peer}: the answer is not its: {error}") from None
+        raise PeerUnreachableError(f"{peer}: answer failed verification: {error}") from None
 
 
-def exchange(peer: PeerPool, peer_message: bytes, within_s: float) -> HttpResponse:
-    """Send one peer message and read its answer; raises `OSError` or `http.InvalidResponseError`."""
+def send_request(peer: PeerPool, peer_message: bytes, within_s: float) -> HttpResponse:
+    """Send one encoded peer message and read the response; raises `OSError` or `http.InvalidResponseError`."""
     if peer.closed:
-        raise ConnectionAbortedError("no member any more")
+        raise ConnectionAbortedError("the member has been removed")
     connection = peer.obtain(within_s)
     reusable = False
     try:
-        connection.sock.settimeout(None)  # the time limit is the whole call's
+        connection.sock.settimeout(None)  # the caller limits the time of the whole call
         connection.sock.sendall(
             b"POST %s HTTP/1.1\r\nHost: %s:%d\r\nContent-Type: application/msgpack\r\n"
             b"Content-Length: %d\r\n\r\n%s"
             % (PEER_MESSAGE_PATH, peer.address[0].encode(), peer.address[1], len(peer_message), peer_message)
         )
         data = bytearray()
-        answer = http.ResponseParser(data.extend)
-        while not answer.complete:
+        parser = http.ResponseParser(data.extend)
+        while not parser.complete:
             if connection.buffer.fill(connection.sock):
-                answer.feed(connection.buffer)
-            elif not answer.ended():
-                raise http.InvalidResponseError("the connection ended before the answer did")
+                parser.feed(connection.buffer)
+            elif not parser.ended():
+                raise http.InvalidResponseError("connection closed before the answer was complete")
             if len(data) > MAX_MESSAGE_BYTES:
-                raise http.InvalidResponseError(f"an answer of more than {MAX_MESSAGE_BYTES} bytes")
-        # False if bytes follow the answer: they would be read as the answer to the next message.
-        reusable = answer.keep_alive
+                raise http.InvalidResponseError(f"answer exceeds the limit of {MAX_MESSAGE_BYTES} bytes")
+        # False if more bytes follow the answer: they would be read as the answer to the next request.
+        reusable = parser.keep_alive
     finally:
         if reusable:
             connection.used_at = time.monotonic()
             peer.idle.append(connection)
         else:
             peer.close(connection)
-    return HttpResponse(answer.status, bytes(data))
+    return HttpResponse(parser.status, bytes(data))
--- a/cedarwick/fleet/peer_request.py
+++ b/cedarwick/fleet/peer_request.py
@@ -1,37 +1,37 @@
-"""A request to the peer server as it is parsed."""
+"""Incremental parser of HTTP requests to the peer server."""
 
 import httptools
 
 from cedarwick.fleet.messages import PeerMessageHeader
 from cedarwick.net import http
 
-MAX_HEAD_BYTES = 1 << 13  # of header lines
+MAX_HEAD_BYTES = 1 << 13  # of the request line and the header lines
 
 
 class HttpRequest:
-    """One request as it comes in; the parser calls the `on_` methods."""
+    """A partly or fully parsed request; httptools calls the `on_` methods."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
-        self.fed_bytes = 0  # up to the end of the head at least
+        self.fed_bytes = 0  # counted at least up to the end of the head
         self.url = b""
-        self.method = b""  # once the head was read
-        self.content_length = -1  # -1: not given
-        self.body: bytearray | None = bytearray()  # so far; None: nobody wants it
+        self.method = b""  # empty until the head is complete
+        self.content_length = -1  # -1: no Content-Length header
+        self.body: bytearray | None = bytearray()  # received so far; None: the body is discarded
         self.complete = False
         self.keep_alive = False
-        self.header: PeerMessageHeader | None = None  # of the peer message, once it was read so far
+        self.header: PeerMessageHeader | None = None  # of the peer message; None until it is decoded
 
     def on_message_begin(self) -> None:
-        """Raises `http.InvalidResponseError` for a second request in the same bytes."""
+        """Raise `http.InvalidResponseError` for a second request in the same bytes."""
         if self.complete:
-            raise http.InvalidResponseError("bytes after the request")
+            raise http.InvalidResponseError("unexpected bytes after the request")
 
     def on_url(self, part: bytes) -> None:
         self.url += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Note the size of the body; raises `ValueError` for one that is no number."""
+        """Record the Content-Length; raises `ValueError` if it is not a number."""
         if name.lower() == b"content-length":
             self.content_length = int(value)
 
@@ -47,18 +47,18 @@
         self.keep_alive = self.parser.should_keep_alive()
 
     def feed(self, data: bytes) -> None:
-        """Parse more bytes; raises `http.InvalidResponseError` for what is no request, or for too long a head."""
-        first = data if self.method else data[: MAX_HEAD_BYTES - self.fed_bytes]
-        self.fed_bytes += len(first)
+        """Parse more bytes; raises `http.InvalidResponseError` for an invalid request or a head that is too long."""
+        chunk = data if self.method else data[: MAX_HEAD_BYTES - self.fed_bytes]
+        self.fed_bytes += len(chunk)
         try:
-            self.parser.feed_data(first)
+            self.parser.feed_data(chunk)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError) as error:
             if not self.complete:
                 raise http.InvalidResponseError(str(error) or type(error).__name__) from None
-            self.keep_alive = False  # bytes after a whole request: members never write any
+            self.keep_alive = False  # bytes after a complete request; members never send any
         if not self.method and self.fed_bytes >= MAX_HEAD_BYTES:
-            raise http.InvalidResponseError("a head without an end")
+            raise http.InvalidResponseError("HTTP request head exceeds the size limit")
         if self.complete:
-            self.keep_alive &= len(first) == len(data)
-        elif len(first) < len(data):
-            self.feed(data[len(first) :])
+            self.keep_alive &= len(chunk) == len(data)
+        elif len(chunk) < len(data):
+            self.feed(data[len(chunk) :])
--- a/cedarwick/fleet/peer_server.py
+++ b/cedarwick/fleet/peer_server.py
@@ -1,4 +1,4 @@
-"""The server of peer messages: answers those of other members over HTTP/1.1 on this member's own address."""
+"""Server for peer messages: answers other members over HTTP/1.1 on this member's fleet address."""
 
 import contextlib
 import time
@@ -35,13 +35,13 @@
 from cedarwick.net import http
 from cedarwick.net.counters import Counters
 
-MAX_REQUESTS_IN_PROGRESS = 64  # those above get 503, but for heartbeats and lease requests
-SMALL_MESSAGE_BYTES = 1 << 13  # of a heartbeat or a lease request, at most
-MAX_CONNECTIONS = 256  # further ones wait in the backlog
+MAX_REQUESTS_IN_PROGRESS = 64  # requests above this get 503, except heartbeats and lease requests
+SMALL_MESSAGE_BYTES = 1 << 13  # upper bound of a heartbeat or a lease request
+MAX_CONNECTIONS = 256  # further connections wait in the backlog
 LISTEN_BACKLOG = 256  # connections
-READ_BYTES = 1 << 16  # in one read
-READ_TIMEOUT_S = 2.0  # for a body, and for a head on top of the idle time
-IDLE_TIMEOUT_S = 15.0  # for which a connection may be idle at the server
+READ_BYTES = 1 << 16  # per read
+READ_TIMEOUT_S = 2.0  # for a body, and for a head in addition to the idle time
+IDLE_TIMEOUT_S = 15.0  # maximum idle time of a connection
 
 Handler = Callable[[PeerMessage], PeerMessage]
 
@@ -53,14 +53,14 @@
     InvalidPeerMessageError: b"400 Bad Request",
     AnswerFailedError: b"500 Internal Server Error",
 }
-REFUSED_STATUS_LINE = b"409 Conflict"  # every other refusal
+REFUSED_STATUS_LINE = b"409 Conflict"  # for all other errors
 
 
 class PeerServer:
-    """Answers the peer messages of other members, each in the greenlet of its connection."""
+    """Answers peer messages of other members; each connection is served by its own greenlet."""
 
-    def __init__(self, where: Address, verifier: PeerVerifier, counters: Counters, handler: Handler) -> None:
-        """Bind and listen at once; raises `OSError`. With port 0 the system chooses; `port` is the one in use."""
+    def __init__(self, address: Address, verifier: PeerVerifier, counters: Counters, handler: Handler) -> None:
+        """Bind and listen; raises `OSError`. Port 0 lets the system choose; `self.port` is the port in use."""
         self.verifier = verifier
         self.counters = counters
         self.handler = handler
@@ -68,28 +68,28 @@
         listener = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
         try:
             listener.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_REUSEADDR, 1)
-            listener.bind(where)
+            listener.bind(address)
             listener.listen(LISTEN_BACKLOG)
         except OSError:
             listener.close()
             raise
         self.port = int(listener.getsockname()[1])
-        self.stream_server = StreamServer(listener, self._connection, spawn=Pool(MAX_CONNECTIONS))
+        self.stream_server = StreamServer(listener, self._serve_connection, spawn=Pool(MAX_CONNECTIONS))
 
     def start(self) -> None:
-        """Begin to accept connections."""
+        """Start accepting connections."""
         self.stream_server.start()
 
     def stop(self, within_s: float = 0.5) -> None:
-        """Accept no more, wait up to `within_s` seconds for answers in progress, then close every connection."""
+        """Stop accepting, wait up to `within_s` seconds for requests in progress, then close all connections."""
         self.stream_server.close()
-        end = time.monotonic() + within_s
-        while self.in_progress and time.monotonic() < end:
+        deadline = time.monotonic() + within_s
+        while self.in_progress and time.monotonic() < deadline:
             gevent.sleep(0.005)
         self.stream_server.stop(timeout=0)
 
-    def _connection(self, sock: gevent.socket.socket, caller: Address) -> None:
-        """One request after another, until the caller goes, is silent for too long or cannot be understood."""
+    def _serve_connection(self, sock: gevent.socket.socket, caller: Address) -> None:
+        """Serve requests one after another until the caller disconnects, is idle too long or sends invalid HTTP."""
         try:
             sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
             while (request := self._read_head(sock)) is not None:
@@ -101,7 +101,7 @@
                     % (status, len(data), b"" if keep_alive else b"Connection: close\r\n", data)
                 )
                 if not keep_alive:
-                    return  # closed, rather than reading the rest of an unwanted body
+                    return  # close instead of reading the rest of a discarded body
         except http.InvalidResponseError as error:
             self.counters.warning(
                 "a request on the fleet's address that cannot be read", NotAPeerMessageError(str(error))
@@ -109,19 +109,19 @@
             with contextlib.suppress(OSError):
                 sock.sendall(b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
         except OSError:
-            pass  # the caller went
-        except Exception:  # one bad connection must not end the others
+            pass  # the caller disconnected
+        except Exception:  # an error on one connection must not affect the others
             self.counters.log_exception("a request of a member broke")
 
     def _read_head(self, sock: gevent.socket.socket) -> HttpRequest | None:
-        """A request with its whole head; None where none comes, or not in time."""
+        """Read a request up to the end of its head; None if the caller disconnects or the time limit is reached."""
         request = HttpRequest()
-        # One limit for the whole head: a caller that writes it byte by byte never exceeds the limit of a single read.
-        end = time.monotonic() + IDLE_TIMEOUT_S + READ_TIMEOUT_S
+        # A limit for the whole head: a caller that sends it byte by byte never exceeds the limit of a single read.
+        deadline = time.monotonic() + IDLE_TIMEOUT_S + READ_TIMEOUT_S
         while not request.method:
-            left = min(IDLE_TIMEOUT_S, end - time.monotonic())
+            remaining_s = min(IDLE_TIMEOUT_S, deadline - time.monotonic())
             try:
-                data = receive(sock, left)
+                data = receive(sock, remaining_s)
             except TimeoutError:
                 if request.fed_bytes:
                     self.counters.add("fleet connections that were silent")
@@ -132,7 +132,7 @@
         return request
 
     def _respond(self, request: HttpRequest, sock: gevent.socket.socket, caller: Address) -> tuple[bytes, bytes]:
-        """Status and body of the answer to a request: of a handler, or a refusal."""
+        """Return status line and body of the answer to a request: the handler's answer or a refusal."""
         self.in_progress += 1
         try:
             return b"200 OK", self._handle(request, sock, caller[0])
@@ -147,7 +147,7 @@
             self.in_progress -= 1
 
     def _handle(self, request: HttpRequest, sock: gevent.socket.socket, caller: str) -> bytes:
-        """The handler's answer, encoded; every refusal is raised."""
+        """Return the handler's encoded answer; raises the error for every refusal."""
         self._check_head(request, caller)
         overloaded = self.in_progress > MAX_REQUESTS_IN_PROGRESS
         if overloaded and request.content_length > SMALL_MESSAGE_BYTES:
@@ -155,22 +155,24 @@
             read_body(request, sock)
             raise self._too_many_requests()
         peer_message = self._read_message(request, sock)
-        # Not these two: kept out by messages that wait for replicas or frozen sessions, members' leases would run out.
+        # Heartbeats and lease requests are exempt: if messages that wait for replicas or frozen sessions blocked them,
+        # members' leases would expire.
         if overloaded and not isinstance(peer_message.body, Heartbeat | LeaseRequest):
             raise self._too_many_requests()
         return self._call_handler(peer_message)
 
     def _check_head(self, request: HttpRequest, caller: str) -> None:
-        """Refuse a request that brings no peer message, or too large a one."""
+        """Refuse a request that is not a peer message or exceeds the size limit."""
         if (request.method, request.url) != (b"POST", PEER_MESSAGE_PATH) or request.content_length < 0:
-            raise NotAPeerMessageError(f"{request.method.decode()} {request.url[:100].decode('latin-1')} of {caller}")
+            raise NotAPeerMessageError(f"{request.method.decode()} {request.url[:100].decode('latin-1')} from {caller}")
         if request.content_length > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
-                f"a peer message of {request.content_length} bytes from {caller}, where {MAX_MESSAGE_BYTES} is the most"
+                f"peer message of {request.content_length} bytes from {caller} "
+                f"exceeds the limit of {MAX_MESSAGE_BYTES} bytes"
             )
 
     def _read_message(self, request: HttpRequest, sock: gevent.socket.socket) -> PeerMessage:
-        """The peer message of a request, read and verified; `request.header` is set as soon as it is known."""
+        """Read and verify the peer message of a request; sets `request.header` as soon as the header is decoded."""
         data = read_body(request, sock)
         try:
             peer_message = decode(data)
@@ -184,30 +186,30 @@
         return peer_message
 
     def _call_handler(self, peer_message: PeerMessage) -> bytes:
-        """The encoded answer of the handler; an error of the program is counted and raised as `AnswerFailedError`."""
+        """Return the handler's encoded answer; logs an unexpected error and raises `AnswerFailedError` for it."""
         try:
             answer = encode(self.handler(peer_message))
         except CedarwickError:
             raise
-        except Exception:  # one failing peer message must not end the connection
+        except Exception:  # a failing handler must not end the connection
             self.counters.log_exception("answering a peer message failed")
             raise AnswerFailedError(
                 f"{self.verifier.me!r} failed to answer a {type(peer_message.body).__name__}"
             ) from None
         if len(answer) > MAX_MESSAGE_BYTES:
             raise PeerMessageTooLargeError(
-                f"{self.verifier.me!r} has an answer of {len(answer)} bytes, where {MAX_MESSAGE_BYTES} is the most"
+                f"{self.verifier.me!r}: answer of {len(answer)} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes"
             )
         return answer
 
     def _too_many_requests(self) -> TooManyRequestsError:
         return TooManyRequestsError(
-            f"{MAX_REQUESTS_IN_PROGRESS} peer messages are being answered at {self.verifier.me!r}"
+            f"{MAX_REQUESTS_IN_PROGRESS} peer messages are already in progress at {self.verifier.me!r}"
         )
 
 
 def receive(sock: gevent.socket.socket, within_s: float) -> bytes:
-    """The next bytes of a connection, none at its end; raises `TimeoutError` or another `OSError`."""
+    """Return the next bytes of a connection, empty at its end; raises `TimeoutError` or another `OSError`."""
     if within_s <= 0:
         raise TimeoutError
     sock.settimeout(within_s)
@@ -216,18 +218,27 @@
 
 
 def read_body(request: HttpRequest, sock: gevent.socket.socket) -> bytes:
-    """The whole body of a request; raises `RequestTimeoutError` or `InvalidPeerMessageError`."""
-    end = time.monotonic() + READ_TIMEOUT_S
+    """Read the rest of a request and return its body.
+
+    Raises:
+        RequestTimeoutError: the body did not arrive in time.
+        InvalidPeerMessageError: the connection ended before the body was complete.
+    """
+    deadline = time.monotonic() + READ_TIMEOUT_S
     try:
         while not request.complete:
-            data = receive(sock, end - time.monotonic())
+            data = receive(sock, deadline - time.monotonic())
             if not data:
-                raise InvalidPeerMessageError(f"a peer message of {request.content_length} bytes was cut")
+                raise InvalidPeerMessageError(
+                    f"connection closed within a peer message of {request.content_length} bytes"
+                )
             request.feed(data)
     except TimeoutError:
         raise RequestTimeoutError(
-            f"{request.content_length} bytes of a peer message did not come within {READ_TIMEOUT_S:g} s"
+            f"peer message of {request.content_length} bytes did not arrive within {READ_TIMEOUT_S:g} s"
         ) from None
     except OSError as error:
-        raise InvalidPeerMessageError(f"a peer message of {request.content_length} bytes was cut: {error}") from None
+        raise InvalidPeerMessageError(
+            f"connection lost within a peer message of {request.content_length} bytes: {error}"
+        ) from None
     return bytes(request.body or b"")
--- a/cedarwick/fleet/transport.py
+++ b/cedarwick/fleet/transport.py
@@ -1,8 +1,8 @@
-"""What server and client of the peer messages share: HTTP/1.1 by POST to one path, and the errors of both.
+"""Transport of peer messages: HTTP/1.1 POST requests to one path, and the errors of server and client.
 
-A refusal is a peer message with `RequestRefused`, whatever the status beside it: 4xx where the peer message is at
-fault, 503 where there are too many, 500 where its handler failed. Callers retry with `backoff.Backoff`; nothing is sent
-twice here. The server is in `peer_server.py`, the client in `peer_client.py`.
+A refusal is a peer message with a `RequestRefused` body. Its HTTP status is 4xx if the request is at fault, 503 if too
+many requests are in progress, and 500 if the handler failed. The transport never sends a message twice; callers retry
+with `backoff.Backoff`. The server is in `peer_server.py`, the client in `peer_client.py`.
 """
 
 from cedarwick.errors import CedarwickError
@@ -14,50 +14,50 @@
 
 
 class NotAPeerMessageError(CedarwickError):
-    """A request to the fleet's address that brings no peer message."""
+    """A request on the fleet's address that is not a peer message."""
 
     code = "CW707"
-    remedy = "ask who calls the fleet's address: only members do, by POST with a Content-Length"
+    remedy = "find out who calls the fleet's address: only members may, by POST with a Content-Length"
 
 
 class PeerMessageTooLargeError(CedarwickError):
-    """A peer message larger than any member reads."""
+    """A peer message above the size limit."""
 
     code = "CW708"
-    remedy = "report it, with the log of the sender that wrote it"
+    remedy = "report it with the log of the sender that encoded it"
 
 
 class TooManyRequestsError(CedarwickError):
-    """As many peer messages are being answered as may be at once."""
+    """The member already answers the maximum number of peer messages."""
 
     code = "CW709"
-    remedy = "the caller tries again by itself; if it lasts, look at the load and lag of this member"
+    remedy = "the caller retries by itself; if it persists, check the load and lag of this member"
 
 
 class RequestTimeoutError(CedarwickError):
-    """A request on the fleet's address that did not come in time."""
+    """A request on the fleet's address that did not arrive in time."""
 
     code = "CW710"
-    remedy = "look at the network between the two senders"
+    remedy = "check the network between the two senders"
 
 
 class AnswerFailedError(CedarwickError):
-    """A peer message met an error in the program; the sender goes on."""
+    """An unexpected error in the handler of a peer message; the member keeps running."""
 
     code = "CW711"
-    remedy = "see the log of the member that was called for the trace, and report it"
+    remedy = "find the traceback in the log of the member that was called, and report it"
 
 
 class PeerUnreachableError(CedarwickError):
-    """A member did not answer, or not with a peer message: the request may have got through."""
+    """A member gave no valid answer; it may have handled the request."""
 
     code = "CW712"
-    remedy = "look at that member's process and at the network between the two"
+    remedy = "check that member's process and the network between the two members"
 
 
 class PeerRefusedError(CedarwickError):
-    """A member read the peer message and refused it; `refused` is its answer."""
+    """A member refused a peer message; `refused` is its answer."""
 
     code = "CW713"
-    remedy = "do what docs/errors.md says for the code that the member gave"
+    remedy = "follow docs/errors.md for the code in the member's answer"
     refused: RequestRefused
