--- a/cedarwick/cli/config.py
+++ b/cedarwick/cli/config.py
@@ -125,8 +125,8 @@
 def reference(kind: str) -> None:
     """Every key of a file, or every error, as Markdown, as the pages in docs/ hold it."""
     if kind == "errors":
-        from cedarwick.config.remedies import rows
+        from cedarwick.config.remedies import table_rows
 
-        click.echo("\n".join(rows()))
+        click.echo("\n".join(table_rows()))
         return
     click.echo(texts.reference(FILE_TYPES[kind]))
--- a/cedarwick/config/files.py
+++ b/cedarwick/config/files.py
@@ -10,7 +10,7 @@
 from cedarwick.errors import CedarwickError
 
 # Splits a message of msgspec into what is wrong and the key path.
-PLACE = re.compile(r"^(?P<what>.*?)(?: - at `\$\.?(?P<where>.*?)`)?$", re.DOTALL)
+VALIDATION_MESSAGE = re.compile(r"^(?P<what>.*?)(?: - at `\$\.?(?P<where>.*?)`)?$", re.DOTALL)
 MAX_FILE_BYTES = 1 << 20  # of a file that a person writes
 
 Made = TypeVar("Made")
@@ -28,7 +28,7 @@
 
     Raises `ConfigFileError`, which names file, key path and what was expected.
     """
-    return decoded(read_toml(path), into, path)
+    return decode_tables(read_toml(path), into, path)
 
 
 def read_toml(path: str) -> dict[str, Any]:
@@ -44,12 +44,12 @@
         raise ConfigFileError(f"{path}: no TOML: {error}") from None
 
 
-def decoded(tables: dict[str, Any], into: type[Made], path: str) -> Made:
+def decode_tables(tables: dict[str, Any], into: type[Made], path: str) -> Made:
     """Plain tables as the type `into`. Raises `ConfigFileError`, which names the path."""
     try:
         return msgspec.convert(tables, into)
     except msgspec.ValidationError as error:
-        found = PLACE.match(str(error))
+        found = VALIDATION_MESSAGE.match(str(error))
         assert found is not None
         where = found["where"] or "the top"
         raise ConfigFileError(f"{path}: {where}: {found['what']}") from None
--- a/cedarwick/config/operator.py
+++ b/cedarwick/config/operator.py
@@ -189,11 +189,11 @@
     """The operator file at a path; `ConfigFileError` says in one line what is wrong with it."""
     made = load_toml(path, Operator)
     if made.fleet is not None:
-        check(made.fleet, path)
+        check_fleet(made.fleet, path)
     return made
 
 
-def check(fleet: Fleet, path: str) -> None:
+def check_fleet(fleet: Fleet, path: str) -> None:
     """What no type says of a fleet; `ConfigFileError` names the first key that does not fit."""
     # Only a file with a fleet pays for the hash and the rest.
     from cedarwick.config.member_slots import slot_of
--- a/cedarwick/config/remedies.py
+++ b/cedarwick/config/remedies.py
@@ -8,9 +8,9 @@
 from cedarwick.errors import CedarwickError
 
 
-def types() -> tuple[list[type[Exception]], list[str]]:
+def exception_types() -> tuple[list[type[Exception]], list[str]]:
     """The exception types of all modules, and the modules that were left out since a library of theirs is missing."""
-    found: dict[str, type[Exception]] = {}
+    by_name: dict[str, type[Exception]] = {}
     left_out = []
     for module in pkgutil.walk_packages(cedarwick.__path__, "cedarwick."):
         try:
@@ -20,22 +20,28 @@
                 raise
             left_out.append(module.name)
             continue
-        for _, each in inspect.getmembers(loaded, inspect.isclass):
-            if issubclass(each, Exception) and each.__module__ == module.name and each is not CedarwickError:
-                found[name(each)] = each
-    return list(found.values()), left_out
+        for _, error_type in inspect.getmembers(loaded, inspect.isclass):
+            if (
+                issubclass(error_type, Exception)
+                and error_type.__module__ == module.name
+                and error_type is not CedarwickError
+            ):
+                by_name[qualified_name(error_type)] = error_type
+    return list(by_name.values()), left_out
 
 
-def name(each: type[Exception]) -> str:
+def qualified_name(error_type: type[Exception]) -> str:
     """Module and type, without the package."""
-    return f"{each.__module__.removeprefix('cedarwick.')}.{each.__name__}"
+    return f"{error_type.__module__.removeprefix('cedarwick.')}.{error_type.__name__}"
 
 
-def row(each: type[CedarwickError]) -> str:
+def table_row(error: type[CedarwickError]) -> str:
     """A type's line of the table: code, type, what happened, what to do."""
-    return f"| {each.code} | `{name(each)}` | {str(each.__doc__).splitlines()[0]} | {each.remedy} |"
+    return f"| {error.code} | `{qualified_name(error)}` | {str(error.__doc__).splitlines()[0]} | {error.remedy} |"
 
 
-def rows() -> list[str]:
+def table_rows() -> list[str]:
     """The table, by code."""
-    return sorted(row(each) for each in types()[0] if issubclass(each, CedarwickError))
+    return sorted(
+        table_row(error_type) for error_type in exception_types()[0] if issubclass(error_type, CedarwickError)
+    )
--- a/cedarwick/lab/scenario.py
+++ b/cedarwick/lab/scenario.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from cedarwick.config.files import ConfigFileError, decoded, read_toml
+from cedarwick.config.files import ConfigFileError, decode_tables, read_toml
 
 SHIPPED = os.path.join(os.path.dirname(__file__), "scenarios")
 MOST_ARRIVALS = 2_000_000
@@ -260,7 +260,7 @@
         path = name_or_path
         if not os.path.exists(path):
             raise ConfigFileError(f"{path}: neither a file nor one of {', '.join(shipped())}")
-    return checked(decoded(read_toml(path), Scenario, path), path)
+    return checked(decode_tables(read_toml(path), Scenario, path), path)
 
 
 def shipped() -> list[str]:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from cedarwick.config.remedies import name, row, types
+from cedarwick.config.remedies import exception_types, qualified_name, table_row
 from cedarwick.errors import CedarwickError
 from cedarwick.net.counters import Counters
 from cedarwick.ops.commands import InvalidCallError, parse
@@ -24,7 +24,7 @@
     maxDiff = None
 
     def setUp(self) -> None:
-        self.found, self.left_out = types()
+        self.found, self.left_out = exception_types()
         self.troubles = [each for each in self.found if issubclass(each, CedarwickError)]
         with open("docs/errors.md", encoding="utf-8") as file:
             self.page = file.read()
@@ -33,20 +33,20 @@
         codes = [each.__dict__.get("code", "") for each in self.troubles]
         self.assertEqual(sorted({code for code in codes if codes.count(code) > 1}), [])
         for each in self.troubles:
-            with self.subTest(type=name(each)):
+            with self.subTest(type=qualified_name(each)):
                 self.assertRegex(each.__dict__.get("code", ""), r"\ACW[1-9]\d\d\Z")
                 self.assertRegex(each.__dict__.get("remedy", ""), r"\A[^\n|]*[^\n|\].]\Z")
                 self.assertEqual(each("what and where").line, f"what and where [{each.code}: {each.remedy}]")
 
     def test_the_page_has_a_row_for_each_type_and_no_other(self) -> None:
         listed = ROW.findall(self.page)
-        made = sorted(row(each) for each in self.troubles)
+        made = sorted(table_row(each) for each in self.troubles)
         if self.left_out:  # what their types are called cannot be known here
             listed = [each for each in listed if each in made]
         self.assertEqual(listed, made, "`cedarwick config reference --of errors` prints the rows anew")
 
     def test_the_page_names_every_type_that_stays_outside(self) -> None:
-        outside = sorted(name(each) for each in self.found if not issubclass(each, CedarwickError))
+        outside = sorted(qualified_name(each) for each in self.found if not issubclass(each, CedarwickError))
         self.assertEqual(OUTSIDE.findall(self.page.partition("## No operator meets these")[2]), outside)
 
 
