--- a/cedarwick/config/__init__.py
+++ b/cedarwick/config/__init__.py
@@ -1,1 +1,1 @@
-"""Files that an operator writes: their types, checks, and the texts made from them."""
+"""Configuration files written by operators: their types, their checks and the documentation generated from them."""
--- a/cedarwick/config/member_slots.py
+++ b/cedarwick/config/member_slots.py
@@ -1,13 +1,13 @@
-"""The slot of a member: the number under which its partitions stand, from its name alone.
+"""The slot of a member: a number derived from its name that identifies its partitions.
 
-Its own module, since it loads a hash that only a sender with a `[fleet]` table needs.
+A separate module, since it imports a hash library that only senders with a `[fleet]` table need.
 """
 
 import xxhash
 
-SLOT_BITS = 18  # of a member's slot
+SLOT_BITS = 18  # of a slot
 
 
 def slot_of(name: str) -> int:
-    """A member's slot: 18 bits of the xxh3 of its name."""
+    """Return the slot of a member: the low 18 bits of the xxh3 hash of its name."""
     return xxhash.xxh3_64_intdigest(name.encode()) & ((1 << SLOT_BITS) - 1)
--- a/cedarwick/config/operator.py
+++ b/cedarwick/config/operator.py
@@ -1,7 +1,7 @@
-"""The operator file: what the platform's configuration does not cover. Each key is described here, once.
+"""The operator file: settings outside the platform's configuration. This module is the only description of its keys.
 
-Every table belongs to one subsystem and is off, or as without a file, until it is written. A new subsystem adds
-its table to `Operator`; example, schema and the page in `docs/` follow from that.
+Each table belongs to one subsystem. If a table is missing, its subsystem is off or uses its defaults. A new subsystem
+adds its table to `Operator`; the example, the schema and the page in `docs/` are generated from these types.
 """
 
 from typing import Annotated, Literal
@@ -17,65 +17,66 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One table of the file; a key that it does not know is an error."""
+    """A table of the file; unknown keys are errors."""
 
 
 class Log(Table, frozen=True, kw_only=True):
-    """The log on standard error."""
+    """Logging to standard error."""
 
     level: Annotated[
         Literal["DEBUG", "INFO", "WARNING", "ERROR"],
-        Meta(description="The least severe lines that are written."),
+        Meta(description="Minimum severity of the lines that are written."),
     ] = "INFO"
     format: Annotated[
         Literal["text", "json"],
-        Meta(description="Plain lines, or one JSON object a line with time, level and place."),
+        Meta(description="Plain text, or one JSON object per line with time, level and source location."),
     ] = "text"
     quiet_s: Annotated[
         float,
         Meta(
             ge=0,
             le=3600,
-            description="At least so long between two lines on one kind of trouble.",
+            description="Minimum interval between two lines about the same kind of problem.",
             extra={"unit": "seconds"},
         ),
     ] = 10.0
     messages: Annotated[
         bool,
-        Meta(description="One line for each attempt, each decided end and each acknowledged notice of a message."),
+        Meta(description="One line for each attempt, each final answer and each acknowledged notice of a message."),
     ] = False
 
 
 class CounterSettings(Table, frozen=True, kw_only=True):
-    """What was taken, sent and answered, by count."""
+    """Counters of accepted messages, attempts and answers."""
 
     every_s: Annotated[
         float,
         Meta(
             ge=0,
             le=86400,
-            description="All counters go to the log so often; 0: on SIGUSR1 and at the end only.",
+            description="Interval at which all counters are logged; 0: only on SIGUSR1 and at shutdown.",
             extra={"unit": "seconds"},
         ),
     ] = 0.0
 
 
 class StoreSettings(Table, frozen=True, kw_only=True):
-    """The folder that lasts."""
+    """The state folder."""
 
     durability: Annotated[
         Literal["none", "group"],
         Meta(
-            description="None beyond the write, which outlives the process; or an fsync for each round's records "
-            "before what waits for them, which outlives the machine's power. Taken over at a start only."
+            description="`none`: records are written without fsync and survive a crash of the process. `group`: the "
+            "records of each round are synced once, before anything that waits for them, and survive a loss of power. "
+            "Read at startup only."
         ),
     ] = "none"
     bodies_mb: Annotated[
         float,
         Meta(
             ge=0,
-            description="Bodies of waiting messages that are held in memory; the rest is read from the folder for "
-            "the attempt. Taken over at a start only.",
+            description="Memory for the bodies of waiting messages; other bodies are read from the folder for each "
+            "attempt. Read at startup only.",
             extra={"unit": "MB"},
         ),
     ] = 64.0
@@ -84,20 +85,20 @@
         Meta(
             ge=0,
             le=1 << 20,
-            description="The size at which a segment is sealed; 0: a part of the limit, 64 KB at least. Taken over "
-            "at a start only.",
+            description="Size at which a segment is sealed; 0: a fraction of the folder's size limit, at least 64 KB. "
+            "Read at startup only.",
             extra={"unit": "KB"},
         ),
     ] = 0.0
 
 
 class Member(Table, frozen=True, kw_only=True):
-    """One sender of the fleet, this one too; the list is the same in every member's file."""
+    """One sender of the fleet, including this one; the list must be the same in every member's file."""
 
     name: Annotated[
         Name,
         Meta(
-            description="The sender's name, as the platform's configuration has it.",
+            description="Name of the sender, as in the platform's configuration.",
             extra_json_schema={"examples": ["n0", "n1"]},
         ),
     ]
@@ -105,26 +106,26 @@
         str,
         Meta(
             max_length=255,
-            description="Where it listens for the other members, as `host:port`; not an address of clients.",
+            description="Address at which it listens for other members, as `host:port`; not the address for clients.",
             extra_json_schema={"examples": ["10.0.0.1:6400", "10.0.1.1:6400"]},
         ),
     ]
     hall: Annotated[
         Name,
         Meta(
-            description="The hall that it stands in; copies go to another hall first.",
+            description="The hall where it runs; replicas in other halls are preferred.",
             extra_json_schema={"examples": ["north", "south"]},
         ),
     ]
 
 
 class Fleet(Table, frozen=True, kw_only=True):
-    """Senders that keep copies for one another and take over from one that dies."""
+    """Senders that replicate messages to each other and take over from failed members."""
 
     group: Annotated[
         Name,
         Meta(
-            description="The fleet's name; a member of another one is refused.",
+            description="Name of the fleet; members of other fleets are refused.",
             extra_json_schema={"examples": ["halls"]},
         ),
     ]
@@ -132,36 +133,38 @@
     ack: Annotated[
         Literal["own", "copy"],
         Meta(
-            description="`+OK` once the message is in the own folder, with the copy behind it; or once every copy has "
-            "it too."
+            description="When `+OK` is answered. `own`: once the message is in this sender's folder, with replication "
+            "following later. `copy`: once every replica has it too."
         ),
     ] = "own"
-    copies: Annotated[int, Meta(ge=0, le=2, description="Members that keep a copy of what a sender owes.")] = 1
+    copies: Annotated[
+        int, Meta(ge=0, le=2, description="Number of members that keep a replica of a sender's owed messages.")
+    ] = 1
     ack_within_ms: Annotated[
         float,
         Meta(
             ge=1,
             le=400,
-            description="So long a copy may take to say that it has a message, under `ack` by copy.",
+            description="Time limit for the acknowledgement of a replica if `ack` is `copy`.",
             extra={"unit": "milliseconds"},
         ),
     ] = 150.0
     alone: Annotated[
         Literal["busy", "own"],
         Meta(
-            description="Where no copy answers in time, under `ack` by copy: answer `-BUSY`, or go on with the own "
-            "folder alone until a copy has been whole for 10 s."
+            description="What to do if `ack` is `copy` and no replica answers in time. `busy`: answer `-BUSY`. `own`: "
+            "continue with this sender's folder alone until a replica has been complete for 10 s."
         ),
     ] = "busy"
     copies_mb: Annotated[
         float,
-        Meta(ge=1, description="Room in the folder for what is kept for other members.", extra={"unit": "MB"}),
+        Meta(ge=1, description="Space in the folder for the replicas of other members.", extra={"unit": "MB"}),
     ] = 64.0
     sessions: Annotated[
         bool,
         Meta(
-            description="Whether each key of `SUBMIT` has one sender of the fleet that takes it, and may move to "
-            "another; the same in every member's file."
+            description="Whether each order key is served by one sender of the fleet at a time and can migrate to "
+            "another. Must be the same in every member's file."
         ),
     ] = False
     follow_s: Annotated[
@@ -169,24 +172,24 @@
         Meta(
             ge=60,
             le=43200,
-            description="A subscription that nobody has followed for so long has ended. Of members that differ, the "
-            "one where it was followed last decides, for all.",
+            description="A subscription without a subscriber for this long expires. If members have different values, "
+            "the value of the member where it was followed last applies at all members.",
             extra={"unit": "seconds"},
         ),
     ] = 3600.0
 
 
 class Operator(Table, frozen=True, kw_only=True):
-    """The whole file."""
+    """The whole operator file."""
 
-    log: Annotated[Log, Meta(description="The log on standard error.")] = Log()
-    counters: Annotated[CounterSettings, Meta(description="Counters in the log.")] = CounterSettings()
-    store: Annotated[StoreSettings, Meta(description="The folder that lasts.")] = StoreSettings()
-    fleet: Annotated[Fleet | None, Meta(description="Many senders as one fleet.")] = None
+    log: Annotated[Log, Meta(description="Logging to standard error.")] = Log()
+    counters: Annotated[CounterSettings, Meta(description="Periodic counters in the log.")] = CounterSettings()
+    store: Annotated[StoreSettings, Meta(description="The state folder.")] = StoreSettings()
+    fleet: Annotated[Fleet | None, Meta(description="Several senders as one fleet.")] = None
 
 
 def load(path: str) -> Operator:
-    """The operator file at a path; `ConfigFileError` says in one line what is wrong with it."""
+    """Read the operator file at a path; raises `ConfigFileError` with a one-line text."""
     made = load_toml(path, Operator)
     if made.fleet is not None:
         check_fleet(made.fleet, path)
@@ -194,8 +197,8 @@
 
 
 def check_fleet(fleet: Fleet, path: str) -> None:
-    """What no type says of a fleet; `ConfigFileError` names the first key that does not fit."""
-    # Only a file with a fleet pays for the hash and the rest.
+    """Check what the types cannot express about a fleet; raises `ConfigFileError` for the first invalid key."""
+    # Imported here, so that only files with a fleet load the hash library and the network modules.
     from cedarwick.config.member_slots import slot_of
     from cedarwick.net.assignment import address
 
@@ -205,19 +208,19 @@
     for index, member in enumerate(fleet.member):
         where = f"{path}: fleet.member[{index}]"
         try:
-            listens = address(member.address)
+            listen_address = address(member.address)
         except ValueError:
             raise ConfigFileError(f"{where}.address: Expected `host:port`, got {member.address!r}") from None
         if (first := names.setdefault(member.name, index)) != index:
             raise ConfigFileError(f"{where}.name: {member.name!r} is given twice, first in member[{first}]")
-        if (first := addresses.setdefault(listens, index)) != index:
+        if (first := addresses.setdefault(listen_address, index)) != index:
             raise ConfigFileError(f"{where}.address: {member.address!r} is given twice, first in member[{first}]")
-        # Danger: two members with one slot would give two messages one number.
+        # Two members with the same slot would give the same number to two messages.
         if (first := slots.setdefault(slot_of(member.name), index)) != index:
             raise ConfigFileError(
-                f"{where}.name: {member.name!r} has the slot of {fleet.member[first].name!r}; rename one"
+                f"{where}.name: {member.name!r} has the slot of {fleet.member[first].name!r}; rename one of them"
             )
     if fleet.copies >= len(fleet.member):
         raise ConfigFileError(f"{path}: fleet.copies: {fleet.copies} copies need {fleet.copies + 1} members")
     if fleet.ack == "copy" and not fleet.copies:
-        raise ConfigFileError(f"{path}: fleet.copies: `ack` by copy needs 1 at least")
+        raise ConfigFileError(f"{path}: fleet.copies: `ack` by copy requires at least 1")
--- a/cedarwick/config/texts.py
+++ b/cedarwick/config/texts.py
@@ -1,4 +1,4 @@
-"""Example, JSON Schema and reference made from the types of a file: no key is described twice."""
+"""Generates the example, the JSON Schema and the reference of a configuration file from its types."""
 
 import json
 from collections.abc import Iterator
@@ -9,18 +9,18 @@
 
 
 class Key(NamedTuple):
-    """One key of a table as its type describes it."""
+    """One key of a table, as described by its type."""
 
     name: str
     type: str
     unit: str
-    default: str  # as TOML; empty where the key must be given
+    default: str  # as TOML; empty if the key is required
     description: str
-    examples: list[str]  # as TOML; for a key without a default
+    examples: list[str]  # as TOML; for required keys
 
 
 def keys(table: type[msgspec.Struct]) -> Iterator[Key]:
-    """The plain keys of a table, in the order of its type."""
+    """Yield the keys of a table, in the order of its type."""
     info = inspect.type_info(table)
     assert isinstance(info, inspect.StructType)
     for field in info.fields:
@@ -41,7 +41,7 @@
 
 
 def tables(file_type: type[msgspec.Struct]) -> Iterator[tuple[str, str, type[msgspec.Struct], bool]]:
-    """The tables within a type: name, sentence, type, and whether it may come several times."""
+    """Yield the tables within a type: name, description, type, and whether it may be repeated."""
     info = inspect.type_info(file_type)
     assert isinstance(info, inspect.StructType)
     for field in info.fields:
@@ -57,7 +57,7 @@
 
 
 def unwrap_optional_table(field_type: Any) -> Any:
-    """The table of one that may be left out; any other type as it is."""
+    """Return the table type of an optional table; other types are returned unchanged."""
     if isinstance(field_type, inspect.UnionType):
         for each in field_type.types:
             if isinstance(each, inspect.StructType):
@@ -66,7 +66,7 @@
 
 
 def type_name(field_type: Any) -> str:
-    """A type in a reader's words."""
+    """Return a readable name of a type."""
     field_type = unwrap_optional_table(field_type)
     if isinstance(field_type, inspect.LiteralType):
         return " or ".join(json.dumps(value) for value in field_type.values)
@@ -93,20 +93,20 @@
 
 
 def to_toml(value: Any) -> str:
-    """A plain default as TOML writes it; empty for what has no plain form."""
+    """Return a default value as TOML; empty for tables and None."""
     if isinstance(value, msgspec.Struct) or value is None:
         return ""
     return json.dumps(msgspec.to_builtins(value))
 
 
 def example(file_type: type[msgspec.Struct]) -> str:
-    """A file in which every key stands with its default, commented out."""
-    parts = ["# Every key is optional; what stands here is its default."]
+    """Return an example file with every key at its default, commented out."""
+    parts = ["# Every key is optional; the values shown are the defaults."]
     settings = file_type()
     for name, description, table, _ in tables(file_type):
         off = getattr(settings, name) is None
         parts += ["", f"# {description}"]
-        prefix = "" if off else "# "  # the whole table is commented out, or each key
+        prefix = "" if off else "# "  # comments out each key, unless the whole table is commented out below
         lines = [f"[{name}]", *example_keys(table, prefix)]
         for inner, _, inner_table, repeated in tables(table):
             rows = list(keys(inner_table))
@@ -114,13 +114,13 @@
                 lines.append(f"[[{name}.{inner}]]" if repeated else f"[{name}.{inner}]")
                 lines += example_keys(inner_table, prefix, index)
         if off:
-            parts.append("# Off while it is left out: to have it, take the `## ` away from the lines that you need.")
+            parts.append("# Off by default; to enable it, remove the `## ` from the lines that you need.")
         parts += ["## " + line if off else line for line in lines]
     return "\n".join(parts) + "\n"
 
 
 def example_keys(table: type[msgspec.Struct], prefix: str, index: int = 0) -> Iterator[str]:
-    """What a key means and its default, or one of its examples, line by line."""
+    """Yield the lines of each key: its description, then its default or one of its examples."""
     for key in keys(table):
         if not key.type.endswith("StructType"):
             unit = f", in {key.unit}" if key.unit else ""
@@ -129,16 +129,16 @@
 
 
 def schema(file_type: type[msgspec.Struct]) -> str:
-    """The JSON Schema of a file."""
+    """Return the JSON Schema of a file."""
     return json.dumps(msgspec.json.schema(file_type), indent=2, sort_keys=True)
 
 
 def reference(file_type: type[msgspec.Struct]) -> str:
-    """The tables and keys of a file as Markdown."""
+    """Return the tables and keys of a file as Markdown."""
     parts: list[str] = []
     top = [key for key in keys(file_type) if not key.type.endswith("StructType")]
     if top:
-        parts += ["Top of the file:", "", *markdown(top), ""]
+        parts += ["Top level:", "", *markdown(top), ""]
     for name, description, table, repeated in tables(file_type):
         heading = f"[[{name}]]" if repeated else f"[{name}]"
         parts += [f"### `{heading}`", "", description, "", *markdown(list(keys(table))), ""]
@@ -158,13 +158,13 @@
     lines = ["| key | type | unit | default | meaning |", "| --- | --- | --- | --- | --- |"]
     for key in rows:
         if not key.type.endswith("StructType"):
-            default = f"`{key.default}`" if key.default else "must be given"
+            default = f"`{key.default}`" if key.default else "required"
             lines.append(f"| `{key.name}` | {key.type} | {key.unit or '-'} | {default} | {key.description} |")
     return lines
 
 
 def effective(settings: msgspec.Struct, given: dict[str, Any]) -> str:
-    """What is in force, as TOML; each line says whether the file gave it or it is the default.
+    """Return the effective settings as TOML; each line says whether its value is from the file or the default.
 
     `given` holds the plain tables of the file.
     """
