--- a/cedarwick/config/operator.py
+++ b/cedarwick/config/operator.py
@@ -200,7 +200,7 @@
     """Check what the types cannot express about a fleet; raises `ConfigFileError` for the first invalid key."""
     # Imported here, so that only files with a fleet load the hash library and the network modules.
     from cedarwick.config.member_slots import slot_of
-    from cedarwick.net.assignment import address
+    from cedarwick.net.assignment import parse_address
 
     names: dict[str, int] = {}
     addresses: dict[tuple[str, int], int] = {}
@@ -208,7 +208,7 @@
     for index, member in enumerate(fleet.member):
         where = f"{path}: fleet.member[{index}]"
         try:
-            listen_address = address(member.address)
+            listen_address = parse_address(member.address)
         except ValueError:
             raise ConfigFileError(f"{where}.address: Expected `host:port`, got {member.address!r}") from None
         if (first := names.setdefault(member.name, index)) != index:
--- a/cedarwick/fleet/peer_client.py
+++ b/cedarwick/fleet/peer_client.py
@@ -210,7 +210,7 @@
         while not parser.complete:
             if connection.buffer.fill(connection.sock):
                 parser.feed(connection.buffer)
-            elif not parser.ended():
+            elif not parser.feed_eof():
                 raise http.InvalidResponseError("connection closed before the answer was complete")
             if len(data) > MAX_MESSAGE_BYTES:
                 raise http.InvalidResponseError(f"answer exceeds the limit of {MAX_MESSAGE_BYTES} bytes")
--- a/cedarwick/net/attempts.py
+++ b/cedarwick/net/attempts.py
@@ -178,7 +178,7 @@
                 return True
             # The process was paused, or a round was long: a socket may hold an unread refusal.
             self.counters.add("clearances that grew old")
-            self.poll_clock.again()
+            self.poll_clock.wait_for_next_poll()
         self._report_not_sent(call)
         return False
 
@@ -224,13 +224,13 @@
             while not answer.complete:
                 self._wait_until(connection, until)
                 if not connection.buffer.fill(connection.sock):
-                    return None if answer.ended() else Outcome.RESET
+                    return None if answer.feed_eof() else Outcome.RESET
                 had_status = answer.status
                 answer.feed(connection.buffer)
                 self._report_early_retry_after(call, answer)
                 if answer.status and not had_status:
                     until = min(until, self.clock.now() + ANSWER_REST_TIMEOUT_US)
-                if answer.headed and answer.status == 200 and not call.reported:
+                if answer.headers_complete and answer.status == 200 and not call.reported:
                     self._report_answer(call, answer)  # a 200 counts even if the rest of the answer is lost
         except TimeoutError:
             # After a pause of the process, an answer that arrived in time may still be unread.
@@ -255,7 +255,7 @@
         """Read until the head of the answer is complete, at most up to `until`; if 0, read only what has arrived."""
         connection.sock.settimeout(0.0)
         try:
-            while not (answer.headed if until else answer.complete):
+            while not (answer.headers_complete if until else answer.complete):
                 if until:
                     self._wait_until(connection, until)
                 if not connection.buffer.fill(connection.sock):
@@ -269,7 +269,7 @@
 
         The rest of the answer matters only to whether the attempt may have run.
         """
-        if answer.headed and not answer.complete and answer.status == 429 and not call.retry_after_reported:
+        if answer.headers_complete and not answer.complete and answer.status == 429 and not call.retry_after_reported:
             self._report_retry_after(call, answer)
 
     def _report_retry_after(self, call: AttemptCall, answer: ResponseParser) -> None:
@@ -286,14 +286,14 @@
         """
         self.in_flight.pop(gevent.getcurrent(), None)
         self._continue_reading(connection, answer, self.clock.now() + LATE_ANSWER_TIMEOUT_US)
-        if answer.headed and self.counters.trace.enabled:
+        if answer.headers_complete and self.counters.trace.enabled:
             stored = call.message
             self.counters.trace.add(
                 LateAnswerTrace(stored.id, stored.number, call.attempt, answer.status, self.clock.now())
             )
-        if answer.headed and answer.status == 200:
+        if answer.headers_complete and answer.status == 200:
             self.report_late_success(call)
-        if answer.headed and answer.status == 429 and not call.retry_after_reported:
+        if answer.headers_complete and answer.status == 429 and not call.retry_after_reported:
             self.counters.add("waits heard after the call was given up")
             self._report_retry_after(call, answer)
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -20,7 +20,7 @@
 from cedarwick.decisions.policy import Sender
 from cedarwick.lab import scenario as scenarios
 from cedarwick.lab.scenario import Scenario, sender_settings
-from cedarwick.net.assignment import plain
+from cedarwick.net.assignment import flatten_settings
 from tests.build import Program, Receiver, reply
 
 MINIMAL_SCENARIO = """
@@ -160,7 +160,7 @@
         for name in scenarios.shipped():
             scenario = scenarios.load(name)
             self.assertEqual((scenario.name, bool(scenario.about)), (name, True))
-            sender = Sender(plain(sender_settings(scenario, 2)), 1, 0)
+            sender = Sender(flatten_settings(sender_settings(scenario, 2)), 1, 0)
             self.assertEqual(
                 [priority_class.at_most_once for priority_class in sender.priority_classes],
                 [priority_class.repeat == "at-most-once" for priority_class in scenario.priority_classes],
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -16,7 +16,7 @@
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.decisions.interface import Outcome
 from cedarwick.fleet import limits
-from cedarwick.fleet.consensus import parts
+from cedarwick.fleet.consensus import parse_move_name
 from cedarwick.fleet.fleet_files import FleetFiles, ForeignFolderError
 from cedarwick.fleet.lease_grantor import LeaseGrantor
 from cedarwick.fleet.lease_holder import KnownHolder
@@ -867,7 +867,7 @@
                 encode_message(stored_message_of(decode_facts(data)[0]), b"")
             else:
                 self.assertRaises(CorruptFactsError, decode_facts, data)
-        self.assertRaises(ValueError, parts, f"{1 << 62}/a/b")
+        self.assertRaises(ValueError, parse_move_name, f"{1 << 62}/a/b")
 
 
 class PostsTest(unittest.TestCase):
@@ -883,7 +883,7 @@
                 mock.patch.object(notices, "_post", post),
                 mock.patch("cedarwick.net.notifications.gevent.sleep", side_effect=KeyboardInterrupt),
             ):
-                notices.post(1, "id", True, 0)
+                notices.enqueue(1, "id", True, 0)
                 with self.assertRaises(KeyboardInterrupt):  # it came to its next step
                     notices.run()
 
--- a/tests/fleet/test_suspensions.py
+++ b/tests/fleet/test_suspensions.py
@@ -147,8 +147,8 @@
             apply_retry_after=mock.Mock(), attempt_ended=mock.Mock(), attempts=SimpleNamespace()
         )
         self.endpoint_list: Any = SimpleNamespace(
-            numbers={f"u{i}": i for i in range(100)},
-            uids={i: f"u{i}" for i in range(100)},
+            receiver_numbers={f"u{i}": i for i in range(100)},
+            uids_by_number={i: f"u{i}" for i in range(100)},
             suspended=set(),
             knows=lambda uid: True,
             set_suspended=lambda uids: setattr(self.endpoint_list, "suspended", uids),
@@ -156,7 +156,7 @@
         self.management = ManagementCommands(
             lambda: True, SimpleNamespace(), self.endpoint_list, self.state_folder, lambda: ""
         )
-        self.management.take_over()
+        self.management.apply_saved_suspensions()
         clock: Any = SimpleNamespace(now=lambda: NOW)
         self.gossip_of_m = gossip.Gossip("m", FleetFiles(self.state_folder), clock, Counters(), self.answer_marks)
         self.gossip_of_m.attach(self.management, self.endpoint_list, self.dispatcher)
@@ -172,19 +172,23 @@
 
     def test_writes_of_another_process_and_half_written_changes_are_not_undone(self) -> None:
         self.management.answer(Call("SUSPEND", "X"))
-        files.write(self.state_folder, {"X": 1, "W": 1})  # the process that replaces this one
+        files.write_suspensions(self.state_folder, {"X": 1, "W": 1})  # the process that replaces this one
         self.receive_suspended("Y")
         self.assertEqual(
-            (files.read(self.state_folder), self.endpoint_list.suspended), ({"W": 1, "X": 1, "Y": 1}, set("WXY"))
+            (files.read_suspensions(self.state_folder), self.endpoint_list.suspended),
+            ({"W": 1, "X": 1, "Y": 1}, set("WXY")),
         )
-        with mock.patch.object(files, "write", side_effect=KeyboardInterrupt), self.assertRaises(KeyboardInterrupt):
+        with (
+            mock.patch.object(files, "write_suspensions", side_effect=KeyboardInterrupt),
+            self.assertRaises(KeyboardInterrupt),
+        ):
             self.receive_suspended("Z")
         self.start_process()
         self.assertNotIn("Z", self.gossip_of_m.suspension_table.rows)  # it does not count as restored here
         with mock.patch.object(FleetFiles, "write_marks", side_effect=OSError):
             self.receive_suspended("Z")
         self.start_process()
-        os.unlink(os.path.join(self.state_folder, files.SUSPENDED))
+        os.unlink(os.path.join(self.state_folder, files.SUSPENSIONS_FILE))
         self.start_process()
         self.assertEqual(self.endpoint_list.suspended, set("WXYZ"))
         with open(os.path.join(self.state_folder, "fleet", "marks"), "wb") as file:
@@ -197,13 +201,13 @@
         self.assertEqual(self.endpoint_list.suspended, set())
 
     def test_a_full_disk_undoes_no_suspension(self) -> None:
-        with mock.patch.object(files, "write", side_effect=OSError):
+        with mock.patch.object(files, "write_suspensions", side_effect=OSError):
             self.management.answer(Call("SUSPEND", "X"))
             self.receive_suspended("Y")
         self.assertEqual(self.endpoint_list.suspended, {"X", "Y"})
         self.gossip_of_m.saved_at = 0
         self.gossip_of_m.send_due(1, (), 2)
-        self.assertEqual(files.read(self.state_folder), {"X": 1, "Y": 1})
+        self.assertEqual(files.read_suspensions(self.state_folder), {"X": 1, "Y": 1})
 
     def test_rows_that_another_member_does_not_accept_are_not_sent_again(self) -> None:
         self.gossip_of_m.suspension_table.set_calls(gossip.wall_time(), "X", 1)
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -90,7 +90,9 @@
         self.store = Store(folder.name, 1 << 20, now=self.clock.now)
         self.store.load()
         self.addCleanup(self.store.close)
-        sender_assignment = Assignment("n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.plain(NESTED))
+        sender_assignment = Assignment(
+            "n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.flatten_settings(NESTED)
+        )
         poll_clock = PollClock(self.clock)
         self.dispatcher = Dispatcher(sender_assignment, self.clock, self.counters, self.store, poll_clock)
         self.connections = ConnectionPool(
