--- a/cedarwick/adapter/__init__.py
+++ b/cedarwick/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Connects the decisions to the simulator's wire protocol, on standard input and output."""
+"""Connects the decisions to the simulator's wire protocol over standard input and output."""
--- a/cedarwick/adapter/__main__.py
+++ b/cedarwick/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cedarwick.adapter`: serves the decisions to the simulator on standard input and output."""
+"""`python -m cedarwick.adapter`: serves the decisions to the simulator over standard input and output."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 def main() -> int:
-    """Serve until input ends; returns the exit status: 0, or 2 after an error, which is printed."""
+    """Serve until the input ends; returns the exit status: 0, or 2 after printing an error."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except CedarwickError as error:
--- a/cedarwick/adapter/host.py
+++ b/cedarwick/adapter/host.py
@@ -1,6 +1,6 @@
-"""Runs many independent instances of the decisions behind the simulator's wire; times are in microseconds.
+"""Hosts many independent instances of the decisions for the simulator; times are in microseconds.
 
-Called by `python -m cedarwick.adapter`.
+Started by `python -m cedarwick.adapter`.
 """
 
 from collections.abc import Iterator
@@ -12,144 +12,152 @@
 from cedarwick.decisions.message_handle import Handle
 from cedarwick.decisions.policy import Sender
 
-MAX_SLEEP = 70 * 60 * 1_000_000  # microseconds; the wire allows 71 minutes
+MAX_SLEEP_US = 70 * 60 * 1_000_000  # 70 minutes; the wire protocol allows 71
 
 
 class Instance:
-    """One simulated sender: its decisions, the handles of its open messages and the wake-up it has asked for."""
+    """One simulated sender: its decisions, the handles of its open messages and its requested wake-up."""
 
     def __init__(self, sender: Sender) -> None:
         self.sender = sender
         self.handles: dict[int, Handle] = {}
         self.wake_at: int | None = None
-        self.mark = 0
-        self.notes_dropped = 0  # datagrams of other senders, all dropped: the decisions use none
-        self.notes_logged = 0  # `notes_dropped` at the last log line
+        self.wake_up_id = 0
+        self.datagrams_dropped = 0  # datagrams of other senders; all are dropped, since the decisions use none
+        self.datagrams_logged = 0  # `datagrams_dropped` at the last log line
 
 
 class Host:
-    """Dispatches the records of each batch to the instances and encodes their decisions."""
+    """Applies the records of each batch to the instances and encodes their decisions."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
-        self.lists: dict[int, list[ListedEndpoint]] = {}
+        self.endpoint_lists: dict[int, list[ListedEndpoint]] = {}
 
     def answer(self, now: int, count: int, body: bytes) -> bytes:
         """Apply `count` records at `now` microseconds and return the reply frame.
 
-        An instance that raises is ended with `bail_out`; `WireError` and `SettingError` end the process.
+        An instance that raises an exception is ended with `bail_out`; `WireError` and `SettingError` are raised to the
+        caller and end the process.
         """
-        touched: dict[int, None] = {}
-        broken: dict[int, str] = {}
-        for code, values, extra in codec.records(count, body):
+        affected: dict[int, None] = {}
+        errors_by_instance: dict[int, str] = {}
+        for code, fixed_fields, variable_part in codec.decode_records(count, body):
             if code == codec.REGISTER_CODE:
-                self.lists[values[0]] = extra
+                self.endpoint_lists[fixed_fields[0]] = variable_part
                 continue
-            number = values[0]
-            if number in broken:
+            instance_id = fixed_fields[0]
+            if instance_id in errors_by_instance:
                 continue
-            touched[number] = None
+            affected[instance_id] = None
             try:
-                self._pass_on(now, code, values, extra)
+                self._apply_record(now, code, fixed_fields, variable_part)
             except (codec.WireError, setting_rules.SettingError):
                 raise
             except Exception as error:
-                broken[number] = f"{type(error).__name__}: {error}"
+                errors_by_instance[instance_id] = f"{type(error).__name__}: {error}"
         actions: list[bytes] = []
-        for number in touched:
+        for instance_id in affected:
             try:
-                if number not in broken:
-                    actions.extend(self._round(now, number))
+                if instance_id not in errors_by_instance:
+                    actions.extend(self._decide(now, instance_id))
             except Exception as error:
-                broken[number] = f"{type(error).__name__}: {error}"
-            if number in broken:
-                actions.append(codec.bail_out(number, broken[number]))
-        return codec.reply(actions)
+                errors_by_instance[instance_id] = f"{type(error).__name__}: {error}"
+            if instance_id in errors_by_instance:
+                actions.append(codec.encode_bail_out(instance_id, errors_by_instance[instance_id]))
+        return codec.encode_reply(actions)
 
-    def _pass_on(self, now: int, code: int, values: tuple[Any, ...], extra: Any) -> None:
-        number = values[0]
+    def _apply_record(self, now: int, code: int, fixed_fields: tuple[Any, ...], variable_part: Any) -> None:
+        instance_id = fixed_fields[0]
         if code == codec.POWER_ON_CODE:
-            settings = codec.settings_of(extra)
+            settings = codec.decode_settings(variable_part)
             setting_rules.check(settings)
-            self.instances[number] = Instance(Sender(settings, values[1], now))
+            self.instances[instance_id] = Instance(Sender(settings, fixed_fields[1], now))
             return
-        instance = self.instances.get(number)
+        instance = self.instances.get(instance_id)
         if instance is None:
             return
         sender = instance.sender
         if code == codec.DOWN_CODE:
-            del self.instances[number]
+            del self.instances[instance_id]
         elif code == codec.DATAGRAM_CODE:
-            instance.notes_dropped += 1
+            instance.datagrams_dropped += 1
         elif code == codec.ORDER_CODE:
-            _, message, tenant, _, limit, _, key, destination, priority_class = values
+            _, message, tenant, _, deadline_ms, _, key, destination, priority_class = fixed_fields
             instance.handles[message] = sender.accept(
-                now, message, int(destination), priority_class, codec.micros(limit), tenant, key
+                now, message, int(destination), priority_class, codec.to_microseconds(deadline_ms), tenant, key
             )
         elif code == codec.FINISHED_CODE:
-            _, message, rc, attempt, note, receiver, last, took, _ = values
-            outcome = codec.outcome_of(rc)
+            _, message, outcome_code, attempt, outcome_detail, receiver, is_last, duration_ms, _ = fixed_fields
+            outcome = codec.decode_outcome(outcome_code)
             handle = instance.handles.get(message)
             if handle is not None:
-                retry_after = codec.micros(note) if outcome is Outcome.FULL else 0
+                retry_after = codec.to_microseconds(outcome_detail) if outcome is Outcome.FULL else 0
                 handle.attempt_ended(
-                    now, outcome, attempt, receiver, codec.micros(took), retry_after, bool(last), extra
+                    now,
+                    outcome,
+                    attempt,
+                    receiver,
+                    codec.to_microseconds(duration_ms),
+                    retry_after,
+                    bool(is_last),
+                    variable_part,
                 )
                 if handle.ended and not handle.in_flight:
                     del instance.handles[message]
         elif code == codec.LEFT_CODE:
-            handle = instance.handles.get(values[1])
+            handle = instance.handles.get(fixed_fields[1])
             if handle is not None:
                 handle.withdrawn(now)
                 if not handle.in_flight:
-                    del instance.handles[values[1]]
+                    del instance.handles[fixed_fields[1]]
         elif code == codec.SYNC_CODE:
-            _, how, _, slot = values
-            if how not in codec.LIST_CHANGES:
-                raise codec.WireError(f"unknown kind of list update {how}")
-            change = codec.LIST_CHANGES[how]
+            _, update_code, _, list_slot = fixed_fields
+            if update_code not in codec.LIST_CHANGES:
+                raise codec.WireError(f"unknown list update code {update_code}")
+            change = codec.LIST_CHANGES[update_code]
             if change is None:
                 sender.list_poll_failed(now)
-            elif slot not in self.lists:
-                raise codec.WireError(f"list {slot} was never declared")
+            elif list_slot not in self.endpoint_lists:
+                raise codec.WireError(f"list {list_slot} was never declared")
             else:
-                sender.apply_endpoint_list(now, change, self.lists[slot])
-        elif code == codec.WAKE_CODE and values[1] == instance.mark:
+                sender.apply_endpoint_list(now, change, self.endpoint_lists[list_slot])
+        elif code == codec.WAKE_CODE and fixed_fields[1] == instance.wake_up_id:
             instance.wake_at = None
 
-    def _round(self, now: int, number: int) -> Iterator[bytes]:
-        instance = self.instances.get(number)
+    def _decide(self, now: int, instance_id: int) -> Iterator[bytes]:
+        instance = self.instances.get(instance_id)
         if instance is None:
             return
-        verdicts: Decisions = instance.sender.decide(now)
-        for message, wait in verdicts.nacks:
+        decided: Decisions = instance.sender.decide(now)
+        for message, wait in decided.nacks:
             instance.handles.pop(message, None)
-            yield codec.deny(number, message, wait)
-        for message in verdicts.abandoned:
+            yield codec.encode_deny(instance_id, message, wait)
+        for message in decided.abandoned:
             instance.handles.pop(message, None)
-            yield codec.report_failure(number, message)
-        for receiver in verdicts.released_connections:
-            yield codec.free_links(number, receiver)
-        for message, receiver, time_out in verdicts.attempts:
-            yield codec.hand_off(number, message, receiver, time_out)
-        for line in verdicts.log_lines:
-            yield codec.write_log(number, line)
-        if instance.notes_dropped >= max(
-            1, 2 * instance.notes_logged
-        ):  # at each doubling: a line for each would flood the log
-            instance.notes_logged = instance.notes_dropped
-            yield codec.write_log(number, f"notes dropped: {instance.notes_dropped}")
-        if verdicts.subscribe:
-            yield codec.subscribe(number)
-        wake_at = verdicts.wake_at
+            yield codec.encode_report_failure(instance_id, message)
+        for receiver in decided.released_connections:
+            yield codec.encode_free_links(instance_id, receiver)
+        for message, receiver, time_out in decided.attempts:
+            yield codec.encode_hand_off(instance_id, message, receiver, time_out)
+        for line in decided.log_lines:
+            yield codec.encode_write_log(instance_id, line)
+        if instance.datagrams_dropped >= max(
+            1, 2 * instance.datagrams_logged
+        ):  # one line per doubling, since a line per datagram would flood the log
+            instance.datagrams_logged = instance.datagrams_dropped
+            yield codec.encode_write_log(instance_id, f"datagrams dropped: {instance.datagrams_dropped}")
+        if decided.subscribe:
+            yield codec.encode_subscribe(instance_id)
+        wake_at = decided.wake_at
         if wake_at is not None and (instance.wake_at is None or wake_at < instance.wake_at):
             instance.wake_at = wake_at
-            instance.mark = (instance.mark + 1) & 0xFFFFFFFF
-            yield codec.sleep(number, min(max(wake_at - now, 0), MAX_SLEEP), instance.mark)
+            instance.wake_up_id = (instance.wake_up_id + 1) & 0xFFFFFFFF
+            yield codec.encode_sleep(instance_id, min(max(wake_at - now, 0), MAX_SLEEP_US), instance.wake_up_id)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each batch with one flushed reply until input ends."""
+    """Answer each batch with one flushed reply until the input ends."""
     host = Host()
     while (batch := codec.read_batch(source)) is not None:
         sink.write(host.answer(*batch))
--- a/tests/adapter/test_adapter.py
+++ b/tests/adapter/test_adapter.py
@@ -1,4 +1,4 @@
-"""Frames of the tests' own, and bad input."""
+"""Tests of the simulator adapter: encoded frames, settings, hosted instances and invalid input."""
 
 import io
 import struct
@@ -16,8 +16,8 @@
     return struct.pack("<dII", now, len(body), len(records)) + body
 
 
-def power_on(instance: int, told: dict[str, str] | None = None, seed: int = 3) -> bytes:
-    settings = {**SETTINGS, "unheard-of": "1", **(told or {})}
+def power_on(instance: int, overrides: dict[str, str] | None = None, seed: int = 3) -> bytes:
+    settings = {**SETTINGS, "unheard-of": "1", **(overrides or {})}
     text = "".join(f"{name}={value}\n" for name, value in settings.items()).encode()
     return struct.pack("<BIQI", 30, instance, seed, len(text)) + text
 
@@ -44,21 +44,21 @@
     def test_an_empty_batch_gets_an_empty_reply(self) -> None:
         self.assertEqual(replies(batch(1.0)), bytes(8))
 
-    def test_actions_are_laid_out_as_the_wire_says(self) -> None:
+    def test_actions_are_encoded_as_specified(self) -> None:
         self.assertEqual(
-            codec.hand_off(258, 5, 6, 1_500).hex(),
+            codec.encode_hand_off(258, 5, 6, 1_500).hex(),
             "64020100000500000000000000" "06000000" + struct.pack("<d", 1.5).hex(),
         )
-        self.assertEqual(codec.write_log(1, "hi").hex(), "280100000002006869")
-        self.assertEqual(codec.sleep(1, 2_000, 9).hex(), "6e010000000000000000000040" "09000000")
-        self.assertEqual(codec.report_failure(1, 2).hex(), "5a010000000200000000000000")
+        self.assertEqual(codec.encode_write_log(1, "hi").hex(), "280100000002006869")
+        self.assertEqual(codec.encode_sleep(1, 2_000, 9).hex(), "6e010000000000000000000040" "09000000")
+        self.assertEqual(codec.encode_report_failure(1, 2).hex(), "5a010000000200000000000000")
 
-    def test_bad_input_is_refused(self) -> None:
-        whole = order(1, 1)
+    def test_invalid_input_is_refused(self) -> None:
+        record = order(1, 1)
         for frame in (
             b"abc",
             batch(1.0, b"\x07"),
-            batch(1.0, whole[:-1]),
+            batch(1.0, record[:-1]),
             batch(float("nan")),
             struct.pack("<dII", 1.0, 9, 0),
         ):
@@ -67,7 +67,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_a_setting_of_a_wrong_type_or_range_ends_the_adapter_with_a_line_that_names_it(self) -> None:
+    def test_an_invalid_setting_ends_the_adapter_with_one_line_that_names_it(self) -> None:
         for name, value in (
             ("classes.count", "many"),
             ("balancers", "0"),
@@ -85,22 +85,22 @@
                 self.assertEqual(main(), 2)
                 self.assertEqual((lines.getvalue().count("\n"), name in lines.getvalue()), (1, True))
 
-    def test_settings_and_notes_that_nobody_knows_are_ignored(self) -> None:
+    def test_unknown_settings_and_datagrams_are_ignored(self) -> None:
         host = Host()
         host.answer(1_000, 1, power_on(1, {"discovery": "", "family-info.unheard-of": "-1"}))
-        for bytes_ in (b"", b"\x09" * 256):
-            host.answer(2_000, 1, struct.pack("<BIIH", 20, 1, 99, len(bytes_)) + bytes_)
-        self.assertEqual(host.instances[1].notes_dropped, 2)
+        for payload in (b"", b"\x09" * 256):
+            host.answer(2_000, 1, struct.pack("<BIIH", 20, 1, 99, len(payload)) + payload)
+        self.assertEqual(host.instances[1].datagrams_dropped, 2)
 
 
-class HostingTest(unittest.TestCase):
-    def test_a_reused_list_number_is_resolved_in_event_order(self) -> None:
+class HostTest(unittest.TestCase):
+    def test_a_reused_list_slot_is_resolved_in_event_order(self) -> None:
         host = Host()
         frame = batch(1.0, power_on(1), register(0, 11), sync(1, 0), power_on(2), register(0, 22), sync(2, 0))
         host.answer(1_000, 6, frame[16:])
         self.assertEqual([list(host.instances[n].sender.receivers) for n in (1, 2)], [[11], [22]])
 
-    def test_down_and_power_on_in_one_batch_start_a_new_life(self) -> None:
+    def test_down_and_power_on_in_one_batch_start_a_new_instance(self) -> None:
         host = Host()
         host.answer(1_000, 4, b"".join([power_on(1), register(0, 11), sync(1, 0), order(1, 5)]))
         old = host.instances[1]
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -12,7 +12,7 @@
 import gevent.socket
 from gevent.event import AsyncResult
 
-from cedarwick.adapter.codec import settings_of
+from cedarwick.adapter.codec import decode_settings
 from cedarwick.decisions.interface import EndpointState, EndpointUpdate, ListedEndpoint, Outcome
 from cedarwick.net import assignment, resp
 from cedarwick.net.assignment import Assignment
@@ -407,7 +407,7 @@
             b"classes.0.worth=1.0\nclasses.0.streaming=false\nrules.fall-ms=2000.0\n"
             b"family-info.notes=full:_wait__or_0\nfamily-info.kind-apart=false,true\n"
         )
-        self.assertEqual(assignment.flatten_settings(nested), settings_of(text))
+        self.assertEqual(assignment.flatten_settings(nested), decode_settings(text))
 
     def test_an_invalid_setting_is_named_and_an_unknown_one_ignored(self) -> None:
         for more, named in (
