--- a/cedarwick/cli/config.py
+++ b/cedarwick/cli/config.py
@@ -1,4 +1,4 @@
-"""`cedarwick config`: check, show and explain configuration files."""
+"""`cedarwick config`: check, show and document configuration files."""
 
 import json
 import os
@@ -7,7 +7,7 @@
 import click
 import msgspec
 
-from cedarwick.cli.say import unusable
+from cedarwick.cli.say import exit_with_error
 from cedarwick.config import texts
 from cedarwick.config.files import ConfigFileError, read_toml
 from cedarwick.config.operator import Operator, load
@@ -22,29 +22,29 @@
     type=click.Choice(list(FILE_TYPES)),
     default="operator",
     show_default=True,
-    help="Which kind of file.",
+    help="The kind of file.",
 )
 
 
 @click.group()
 def command() -> None:
-    """Check, show and explain configuration files."""
+    """Check, show and document configuration files."""
 
 
 @command.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
-    """Check FILE: a platform's configuration (.json), an operator file or a scenario (.toml)."""
+    """Validate FILE: a platform's configuration (.json), an operator file or a scenario (.toml)."""
     try:
-        click.echo(f"{file}: a good {checked(file)}")
+        click.echo(f"{file}: valid {identify_file(file)}")
     except (ConfigFileError, AssignmentError) as error:
-        unusable(error)
+        exit_with_error(error)
 
 
-def checked(file: str) -> str:
-    """What kind of file it is; `ConfigFileError` or `AssignmentError` where it cannot be used as that."""
+def identify_file(file: str) -> str:
+    """Validate a file and return its kind; raises `ConfigFileError` or `AssignmentError` if it is invalid."""
     if file.endswith(".json"):
-        with tempfile.TemporaryDirectory() as folder:  # the folder that lasts is not the file's matter
+        with tempfile.TemporaryDirectory() as folder:  # the state folder is not part of the check
             read_assignment({"RELAY_CONFIG": file, "RELAY_STATE": folder})
         return "configuration of a sender"
     if {"band", "partner"} & read_toml(file).keys():
@@ -57,18 +57,18 @@
 @command.command()
 @click.argument("file", type=click.Path(), required=False)
 def show(file: str | None) -> None:
-    """What is in force with an operator FILE, each line with its source; the defaults without one."""
+    """Show the effective settings of an operator FILE and the source of each; without FILE, the defaults."""
     file = file or os.environ.get("CEDARWICK_OPERATOR") or None
     try:
         click.echo(texts.effective(load(file), read_toml(file)) if file else texts.effective(Operator(), {}))
     except ConfigFileError as error:
-        unusable(error)
+        exit_with_error(error)
 
 
 @command.command()
 @of_kind_option
 def schema(kind: str) -> None:
-    """The JSON Schema of a file."""
+    """Print the JSON Schema of a file."""
     click.echo(texts.schema(FILE_TYPES[kind]))
 
 
@@ -79,10 +79,10 @@
     type=click.Choice(["operator", "sender"]),
     default="operator",
     show_default=True,
-    help="Which kind of file: the operator's, or the platform's JSON that a sender is given.",
+    help="The kind of file: the operator file, or the platform's JSON configuration of a sender.",
 )
 def example(kind: str) -> None:
-    """A file to begin with: every key of the operator's, or a whole configuration of one sender."""
+    """Print an example file: every key of the operator file, or a complete configuration of one sender."""
     if kind == "operator":
         click.echo(texts.example(Operator), nl=False)
         return
@@ -120,10 +120,10 @@
     type=click.Choice([*FILE_TYPES, "errors"]),
     default="operator",
     show_default=True,
-    help="Which kind of file, or all errors with code and remedy.",
+    help="The kind of file, or all errors with code and remedy.",
 )
 def reference(kind: str) -> None:
-    """Every key of a file, or every error, as Markdown, as the pages in docs/ hold it."""
+    """Print every key of a file, or every error, as Markdown, as included in the pages in docs/."""
     if kind == "errors":
         from cedarwick.config.remedies import table_rows
 
--- a/cedarwick/cli/load.py
+++ b/cedarwick/cli/load.py
@@ -1,4 +1,4 @@
-"""`cedarwick load`: an open-loop load against any sender."""
+"""`cedarwick load`: an open-loop load generator for senders."""
 
 import sys
 import time
@@ -7,31 +7,49 @@
 import click
 from rich.table import Table
 
-from cedarwick.cli.say import Progress, console, unusable, write_json
+from cedarwick.cli.say import Progress, console, exit_with_error, write_json
 from cedarwick.lab.load import Loader, Plan, Report, pongs
 from cedarwick.net.assignment import parse_address
 
-PROGRESS_INTERVAL_S = 0.2  # between two updates of the progress line
+PROGRESS_INTERVAL_S = 0.2  # between updates of the progress line
 
 
 @click.command()
 @click.argument("addresses", nargs=-1, required=True, metavar="ADDRESS...")
-@click.option("--rate", default=100.0, show_default=True, type=click.FloatRange(0.1, 1e6), help="Requests a second.")
+@click.option("--rate", default=100.0, show_default=True, type=click.FloatRange(0.1, 1e6), help="Requests per second.")
 @click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(0.1, 86400))
 @click.option(
     "--band",
     "priority_class",
     default="price",
     show_default=True,
-    help="A priority class that the sender's settings name.",
+    help="Priority class, as named in the sender's settings.",
 )
-@click.option("--destinations", default=1, show_default=True, type=click.IntRange(1), help="Number 0 and up, in turn.")
-@click.option("--bytes", "size", default=212, show_default=True, type=click.IntRange(0, 65536), help="Of a body.")
-@click.option("--outer-ms", default=8000, show_default=True, type=click.IntRange(1), help="The deadline.")
-@click.option("--patience-ms", default=400.0, show_default=True, type=click.FloatRange(1), help="For an answer.")
-@click.option("--connections", default=64, show_default=True, type=click.IntRange(1, 10000), help="To each address.")
-@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Draws the gaps between requests.")
-@click.option("--json", "json_file", type=click.Path(), help="Write the figures here; - for standard output.")
+@click.option(
+    "--destinations",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1),
+    help="Number of destinations, used in turn from 0.",
+)
+@click.option(
+    "--bytes", "size", default=212, show_default=True, type=click.IntRange(0, 65536), help="Size of a message body."
+)
+@click.option("--outer-ms", default=8000, show_default=True, type=click.IntRange(1), help="Deadline of each message.")
+@click.option(
+    "--patience-ms", default=400.0, show_default=True, type=click.FloatRange(1), help="Time to wait for an answer."
+)
+@click.option(
+    "--connections", default=64, show_default=True, type=click.IntRange(1, 10000), help="Connections per address."
+)
+@click.option(
+    "--seed",
+    default=1,
+    show_default=True,
+    type=click.IntRange(0),
+    help="Seed of the random intervals between requests.",
+)
+@click.option("--json", "json_file", type=click.Path(), help="Write the results to this file; - for standard output.")
 def command(
     addresses: Sequence[str],
     rate: float,
@@ -45,52 +63,63 @@
     seed: int,
     json_file: str | None,
 ) -> None:
-    """Drive senders at ADDRESS (host:port; several share the rate) with an open-loop load.
+    """Put an open-loop load on the senders at ADDRESS (host:port; several addresses share the rate).
 
-    The time of an answer counts from when its request was due, whenever it could be written. Exit status 4: the
-    tool itself was too slow for the rate, so the figures say nothing.
+    Response times are measured from the time a request was due, even if it was written later. Exit status 4: the
+    load generator itself was too slow for the rate, so the results are void.
     """
     try:
-        places = [parse_address(each) for each in addresses]
+        parsed_addresses = [parse_address(each) for each in addresses]
     except ValueError as error:
-        unusable(error)
-    for place, text in zip(places, addresses, strict=True):
-        if not pongs(place):
-            unusable(f"{text}: no sender answers PING there")
+        exit_with_error(error)
+    for parsed_address, text in zip(parsed_addresses, addresses, strict=True):
+        if not pongs(parsed_address):
+            exit_with_error(f"{text}: no sender answers PING")
     loader = Loader(
-        Plan(places, rate, seconds, priority_class, destinations, size, outer_ms, patience_ms / 1000, connections, seed)
+        Plan(
+            parsed_addresses,
+            rate,
+            seconds,
+            priority_class,
+            destinations,
+            size,
+            outer_ms,
+            patience_ms / 1000,
+            connections,
+            seed,
+        )
     )
-    progress, begun = Progress(), time.monotonic()
-    last = [0.0]
+    progress, started_at = Progress(), time.monotonic()
+    printed_at = [0.0]
 
-    def say(state: Loader) -> None:
-        now = time.monotonic() - begun
-        if now - last[0] > PROGRESS_INTERVAL_S:
-            last[0] = now
-            progress.say(
+    def show_progress(state: Loader) -> None:
+        now = time.monotonic() - started_at
+        if now - printed_at[0] > PROGRESS_INTERVAL_S:
+            printed_at[0] = now
+            progress.update(
                 now,
                 f"{now:5.1f} s: {state.sent} sent, {state.out} without an answer, "
                 + ", ".join(f"{count} {name}" for name, count in sorted(state.answers.items())),
             )
 
-    found = loader.run(say)
-    progress.end()
+    report = loader.run(show_progress)
+    progress.clear()
     if json_file != "-":
-        show(found)
-    write_json(found, json_file)
-    sys.exit(4 if found.void else 0)
+        print_report(report)
+    write_json(report, json_file)
+    sys.exit(4 if report.void else 0)
 
 
-def show(found: Report) -> None:
-    """The figures as a table."""
-    out = console()
-    table = Table("ms", "count", "mean", *(f"p{part}" for part in found.took.at), box=None)
-    for name, row in (("from due", found.took), ("from written", found.service)):
-        table.add_row(name, str(row.count), f"{row.mean:.2f}", *(f"{value:.2f}" for value in row.at.values()))
-    out.print(
-        f"asked {found.asked_rate:g} a second, answered {found.sent_rate:g}, taken {found.taken_rate:g}; "
-        + ", ".join(f"{count} {name}" for name, count in sorted(found.answers.items()))
+def print_report(report: Report) -> None:
+    """Print the results as a table."""
+    output = console()
+    table = Table("ms", "count", "mean", *(f"p{part}" for part in report.took.at), box=None)
+    for name, times in (("from due", report.took), ("from written", report.service)):
+        table.add_row(name, str(times.count), f"{times.mean:.2f}", *(f"{value:.2f}" for value in times.at.values()))
+    output.print(
+        f"asked {report.asked_rate:g} a second, answered {report.sent_rate:g}, taken {report.taken_rate:g}; "
+        + ", ".join(f"{count} {name}" for name, count in sorted(report.answers.items()))
     )
-    out.print(table)
-    if found.void:
-        out.print(f"[yellow]void[/]: {found.void}")
+    output.print(table)
+    if report.void:
+        output.print(f"[yellow]void[/]: {report.void}")
--- a/cedarwick/cli/run.py
+++ b/cedarwick/cli/run.py
@@ -1,4 +1,4 @@
-"""`cedarwick run`: a sender until SIGTERM."""
+"""`cedarwick run`: run a sender until SIGTERM."""
 
 import os
 import sys
@@ -9,9 +9,11 @@
 
 
 @click.command()
-@click.option("--operator", type=click.Path(), help="The operator file; else what CEDARWICK_OPERATOR names, or none.")
+@click.option(
+    "--operator", type=click.Path(), help="The operator file; default: the file named by CEDARWICK_OPERATOR, or none."
+)
 def command(operator: str | None) -> None:
-    """Run a sender until SIGTERM, with what RELAY_CONFIG and RELAY_STATE tell."""
+    """Run a sender until SIGTERM, configured by RELAY_CONFIG and RELAY_STATE."""
     if operator is not None:
         os.environ[program.OPERATOR_FILE_VARIABLE] = operator
     sys.exit(program.main())
--- a/cedarwick/cli/sim.py
+++ b/cedarwick/cli/sim.py
@@ -1,4 +1,4 @@
-"""`cedarwick sim`: the decisions on the simulator's wire."""
+"""`cedarwick sim`: serve the decisions to the simulator."""
 
 import sys
 
@@ -9,5 +9,5 @@
 
 @click.command()
 def command() -> None:
-    """The decisions on the simulator's wire: batches on standard input, replies on standard output."""
+    """Serve the decisions to the simulator: batches on standard input, replies on standard output."""
     sys.exit(main())
--- a/cedarwick/cli/store.py
+++ b/cedarwick/cli/store.py
@@ -1,4 +1,4 @@
-"""`cedarwick store`."""
+"""`cedarwick store`: inspect, copy and compact a state folder."""
 
 import json
 import sys
@@ -8,17 +8,17 @@
 import msgspec
 from rich.table import Table
 
-from cedarwick.cli.say import console, unusable
+from cedarwick.cli.say import console, exit_with_error
 from cedarwick.store import tools
 from cedarwick.store.files import FolderInUseError, NoSpaceError
 
 
 @click.group()
 def command() -> None:
-    """Look at, copy and compact the folder that lasts."""
+    """Inspect, copy and compact a state folder."""
 
 
-def show(summary: tools.Summary, as_json: bool) -> None:
+def print_summary(summary: tools.Summary, as_json: bool) -> None:
     if as_json:
         click.echo(msgspec.json.format(msgspec.json.encode(summary), indent=1).decode())
         return
@@ -33,35 +33,35 @@
 
 @command.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the summary as JSON.")
 def verify(folder: str, as_json: bool) -> None:
-    """Read FOLDER as a start would, and write nothing. Exit status 3 where anything is wrong with it."""
+    """Read FOLDER as a starting sender would, without writing to it. Exit status 3 if there are findings."""
     try:
         summary = tools.verify(folder)
     except OSError as error:
-        unusable(error, folder)
-    show(summary, as_json)
+        exit_with_error(error, folder)
+    print_summary(summary, as_json)
     sys.exit(3 if summary.findings else 0)
 
 
 @command.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def dump(folder: str) -> None:
-    """Everything that FOLDER owes, one JSON object a line, without bodies."""
+    """Print all messages in FOLDER without a final answer, one JSON object per line, without bodies."""
     for row in tools.dump(folder):
         click.echo(json.dumps(row))
 
 
 @command.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--disk-mb", default=0.0, help="The limit; else twice what the folder takes now, and 16 MB more.")
+@click.option("--disk-mb", default=0.0, help="Size limit of the folder; default: twice its present size plus 16 MB.")
 def compact(folder: str, disk_mb: float) -> None:
-    """Move what lives in FOLDER together. No sender may run on it."""
+    """Compact the live records in FOLDER. No sender may be running on it."""
     try:
         limit = round(disk_mb * (1 << 20)) or 2 * tools.verify(folder).used_bytes + (1 << 24)
         before, after = tools.compact(folder, limit, lambda: time.time_ns() // 1000)
     except (FolderInUseError, NoSpaceError, OSError) as error:
-        unusable(error)
+        exit_with_error(error)
     click.echo(f"{before} bytes before, {after} after")
 
 
@@ -69,8 +69,8 @@
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 @click.argument("to", type=click.Path())
 def backup(folder: str, to: str) -> None:
-    """Copy FOLDER to the new folder TO as of one moment; a sender may run on it."""
+    """Copy a consistent snapshot of FOLDER to the new folder TO; a sender may be running on it."""
     try:
-        show(tools.backup(folder, to), as_json=False)
+        print_summary(tools.backup(folder, to), as_json=False)
     except OSError as error:
-        unusable(error)
+        exit_with_error(error)
