--- a/cedarwick/fleet/peer_client.py
+++ b/cedarwick/fleet/peer_client.py
@@ -63,7 +63,7 @@
     def __init__(self, name: str, address: Address, in_flight: int) -> None:
         self.name = name
         self.address = address
-        self.idle: list[PooledConnection] = []  # used last in, first out
+        self.idle: list[PooledConnection] = []  # the most recently used connection is reused first
         self.connections: set[PooledConnection] = set()
         self.call_slots = BoundedSemaphore(in_flight)
         # For heartbeats and lease requests, which would arrive too late if they queued behind replicated facts on a
--- a/tests/processes/test_moves.py
+++ b/tests/processes/test_moves.py
@@ -85,7 +85,7 @@
         assert not verdict.findings and not fleet.failed, fleet.report(verdict)
 
     try:
-        rig.judged(
+        rig.run_judged(
             lambda: rig.fleet(
                 rig.SCENARIO,
                 seed,
@@ -93,7 +93,7 @@
                 ack=ack,  # type: ignore[arg-type]
                 keys=FLEET_SETTINGS,
                 relays=relays,
-                say=rig.unsaid,
+                say=rig.discard_output,
             ),
             run_and_audit,
         )
@@ -208,7 +208,7 @@
             (fault, step)
             for index, fault in enumerate(faults)
             for step in STEPS
-            if rig.long() or STEPS[index % len(STEPS)] == step
+            if rig.is_full_length() or STEPS[index % len(STEPS)] == step
         ]
         self.run_cases(
             {f"{fault} at {step}": functools.partial(run_case, at_step(step, fault)) for fault, step in combinations}
@@ -228,12 +228,12 @@
         self.run_cases({"moves": functools.partial(run_case, case)})
 
     def test_sessions_move_to_both_other_senders_when_their_sender_is_paused_or_ends(self) -> None:
-        count = 200 if rig.long() else 40
+        count = 200 if rig.is_full_length() else 40
         keys = [f"{number:016x}" for number in range(1001, 1001 + count)]
 
         def case(how: str, fleet: Fleet) -> None:
             fleet.hand_in(1)
-            fleet.load(6, rate=60 if rig.long() else 10)
+            fleet.load(6, rate=60 if rig.is_full_length() else 10)
             answers: list[str] = []
             while answers.count("ok") < count * 0.9:
                 answers = submit_for_all(fleet, 0, keys)
@@ -298,7 +298,7 @@
             {how: functools.partial(run_case, functools.partial(case, how)) for how in ("killed", "stopped")}
         )
 
-    @unittest.skipUnless(rig.long(), "runs one long day per seed, only if seeds are given")
+    @unittest.skipUnless(rig.is_full_length(), "runs one long day per seed, only if seeds are given")
     def test_random_faults_with_sessions_enabled(self) -> None:
         def case(fleet: Fleet) -> None:
             fleet.load(15, rate=60)
