--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -162,7 +162,7 @@
         return None
 
     def _answer_claim(self, sender: str, body: SessionClaim | SessionInheritance, now: int) -> ClaimAnswer:
-        request = ClaimRequest(body.key, body.sequence, (body.over, body.over_holder), body.at)
+        request = ClaimRequest(body.key, body.sequence, (body.replaced_sequence, body.replaced_holder), body.at)
         if isinstance(body, SessionInheritance):
             return self._answer_inheritance(request, body.partition, sender, now)
         # Refused during a move: if that is decided later, it would make a second holder beside the claimer.
@@ -219,10 +219,10 @@
             return
         now = monotonic_time()
         self._receive_locations(name, answer, now)
-        self.migrations.record_next_stamp(name, answer.stamp)
+        self.migrations.record_next_stamp(name, answer.next_stamp)
         # Sessions may be opened at once only if no member has run before. Otherwise a member that has lost its sessions
         # must wait until ids of that time cannot be submitted again.
-        if answer.first and self.fleet_files.is_first_boot:
+        if answer.is_first_run and self.fleet_files.is_first_boot:
             self.members_without_earlier_run.add(name)
             if len(self.members_without_earlier_run) == len(self.node.halls) - 1 and self.directory.grants_from > now:
                 self.directory.grants_from = now
@@ -244,10 +244,10 @@
             Neighbour(
                 name,
                 halls[name],
-                location.held,
+                location.session_count,
                 MAX_SESSIONS,
                 not members.notes(now, name),
-                location.takes and members.status(now, name) is MemberStatus.ALIVE,
+                location.accepts_sessions and members.status(now, name) is MemberStatus.ALIVE,
             )
             for name, location in self.locations_by_member.items()
             if name in halls
--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -242,7 +242,7 @@
 
     def _answer_forwarded(self, sender: str, body: ForwardedSubmit) -> ForwardReply:
         """Answer a submission that another member has forwarded."""
-        wait_until = monotonic_time() + min(body.within, FROZEN_WAIT_US)
+        wait_until = monotonic_time() + min(body.answer_within_us, FROZEN_WAIT_US)
         stored = self._forwarded_message(body)
         submission = RoutedSubmission(stored, message_hash(stored), wait_until)
         if (dead_holder := entry_from_location(body.entry)) is not None:
@@ -254,15 +254,16 @@
         return BUSY_REPLY
 
     def _forwarded_message(self, body: ForwardedSubmit) -> StoredMessage:
-        deadline = self.clock.now() + body.left
+        deadline = self.clock.now() + body.remaining_us
         if body.deadline:
-            # `left` counts from the time of sending: the time in transit, or in the socket of a stopped process, would
+            # `remaining_us` counts from the time of sending: the time in transit, or in the socket of a stopped
+            # process, would
             # extend the deadline. A larger difference than the longest transit comes from different clocks.
             deadline = max(min(deadline, body.deadline), deadline - LONGEST_TRANSIT_US)
         return StoredMessage(
             0,
             body.id,
-            body.mark,
+            body.idempotency_key,
             body.key,
             body.priority_class,
             body.tenant,
