--- a/cedarwick/fleet/session_submissions.py
+++ b/cedarwick/fleet/session_submissions.py
@@ -257,8 +257,8 @@
         deadline = self.clock.now() + body.remaining_us
         if body.deadline:
             # `remaining_us` counts from the time of sending: the time in transit, or in the socket of a stopped
-            # process, would
-            # extend the deadline. A larger difference than the longest transit comes from different clocks.
+            # process, would extend the deadline. A larger difference than the longest transit comes from different
+            # clocks.
             deadline = max(min(deadline, body.deadline), deadline - LONGEST_TRANSIT_US)
         return StoredMessage(
             0,
