--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -353,8 +353,8 @@
     def test_transit_time_does_not_extend_a_deadline(self) -> None:
         """Virtual days 1010 and 1017 (`--ack own --level worst --sessions --subscribers 2`): late final answers.
 
-        A message was forwarded over a slow link. `remaining_us` counts from the time of sending, so the holder added the
-        311 ms in transit to the remaining time. The final answers came 47 and 105 ms after the deadline's grace.
+        A message was forwarded over a slow link. `remaining_us` counts from the time of sending, so the holder added
+        the 311 ms in transit to the remaining time. The final answers came 47 and 105 ms after the deadline's grace.
         """
         a, c = self.session_routers["a"], self.session_routers["c"]
         for late, clock_ahead, lengthened in (
