--- a/cedarwick/fleet/lease_exchange.py
+++ b/cedarwick/fleet/lease_exchange.py
@@ -10,7 +10,7 @@
 from cedarwick.fleet.member_state import MemberState
 from cedarwick.fleet.messages import (
     LEASE_PROBE_LEVEL,
-    LEVEL,
+    PROTOCOL_LEVEL,
     Body,
     GrantTable,
     GrantTableRequest,
@@ -116,7 +116,7 @@
 
     def _request_lease_from(self, takeover: Takeover, name: str, request: LeaseRequest, sent_at: int) -> None:
         """Send a lease request to one member and pass its reply to the lease holder."""
-        if request.probe and self.verifier.levels.get(name, LEVEL) < LEASE_PROBE_LEVEL:
+        if request.probe and self.verifier.levels.get(name, PROTOCOL_LEVEL) < LEASE_PROBE_LEVEL:
             # A member of an earlier version would treat the probe as a request. It is sent none and counted as
             # agreeing, so the term is requested of it without a probe, as in that version.
             answer: Body | None = LeaseReply(True, 0, "", probe=True)
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -132,7 +132,7 @@
 
     def _send_peer_message(self, name: str, body: Body, within_s: float) -> PeerMessage | None:
         """Send a peer message and return the answer; None on any failure, which is counted."""
-        return counted_call(self.peers.peer_message, name, body, within_s, self.counters)
+        return counted_call(self.peers.call_for_peer_message, name, body, within_s, self.counters)
 
     def _guarded(self, call: Callable[..., object], *arguments: object) -> None:
         """Run `call`; errors are counted and logged, not raised.
--- a/cedarwick/fleet/messages/replication.py
+++ b/cedarwick/fleet/messages/replication.py
@@ -1,86 +1,88 @@
-"""Replication of a partition: the log, the pieces of a full transfer, comparison, and the offer after a takeover."""
+"""Replication of a partition: log entries, full transfer, comparison by digests, and the offer after a takeover."""
 
 from typing import Annotated
 
 from msgspec import Meta
 
-from cedarwick.fleet.messages.fields import Bulk, Count, PeerBody, PeerBodyPart, Term, Text
+from cedarwick.fleet.messages.fields import EncodedFacts, PeerBody, PeerBodyPart, Term, Text, Unsigned
 
 
 class ReplicateFacts(PeerBody, frozen=True, tag="Facts"):
-    """The tail of a partition's log from index `first` on. Answered by `ReplicaAck`."""
+    """Entries of a partition's log from index `first` to its end. Answered by `ReplicaAck`."""
 
-    partition: Count
+    partition: Unsigned
     term: Term
-    first: Count
-    facts: Bulk
-    digest: Count
+    first: Unsigned
+    facts: EncodedFacts
+    digest: Unsigned
 
 
 class ReplicatePiece(PeerBody, frozen=True, tag="Piece"):
-    """All owed messages with numbers above `after`, up to `upto`; the log continues at index `next`.
+    """A piece of a full transfer: all owed messages with `after` < number <= `upto`; the log continues at index `next`.
 
     Answered by `ReplicaAck`.
     """
 
-    partition: Count
+    partition: Unsigned
     term: Term
-    after: Count
-    upto: Count
-    facts: Bulk
-    next: Count
-    digest: Count
-    behind: bool = False  # the holder acknowledges to clients what no replica has yet
+    after: Unsigned
+    upto: Unsigned
+    facts: EncodedFacts
+    next: Unsigned
+    digest: Unsigned
+    behind: bool = False  # the holder acknowledges messages to clients before any replica has them
 
 
 class ReplicaAck(PeerBody, frozen=True, tag="Have"):
-    """A replica's position in the log; `problem` says why the message was dropped as a whole."""
+    """A replica's position in the log; `problem` is the reason if it discarded the whole message."""
 
-    partition: Count
+    partition: Unsigned
     term: Term
-    next: Count  # the log index that it needs next
+    next: Unsigned  # the next log index that it needs
     problem: Text = ""
-    covered: Count = 0  # the full transfer of this term has reached it up to this number
+    covered: Unsigned = 0  # it has received the full transfer of this term up to this message number
 
 
 class DigestRange(PeerBodyPart, frozen=True):
-    """The owed messages with numbers above `after`, up to `upto`, as their count and digest."""
+    """Count and digest of the owed messages with `after` < number <= `upto`."""
 
-    after: Count
-    upto: Count
-    count: Count
-    digest: Count
+    after: Unsigned
+    upto: Unsigned
+    count: Unsigned
+    digest: Unsigned
 
 
 class Digests(PeerBody, frozen=True):
-    """Ranges of a partition as the holder has them.
+    """Ranges of a partition at its holder.
 
-    Answered by the replica's own `Digests` over the same ranges.
+    Answered by the replica's `Digests` of the same ranges.
     """
 
-    partition: Count
+    partition: Unsigned
     term: Term
     ranges: Annotated[tuple[DigestRange, ...], Meta(max_length=4096)]
-    next: Count = 0  # the log index at which they were taken; a replica at another one answers with no ranges
+    next: Unsigned = (
+        0  # the log index of the holder when it computed them; a replica at another index answers with no ranges
+    )
 
 
 class TakeoverOffer(PeerBody, frozen=True, tag="Offer"):
-    """What the previous holder of a partition knows, part by part, for the member that took it over.
+    """Facts of the previous holder of a partition, sent in parts to the member that took it over.
 
     Answered by `OfferReply`.
     """
 
-    partition: Count
-    part: Count
+    partition: Unsigned
+    part: Unsigned
     last: bool
-    facts: Bulk
-    digest: Count
-    term: Term = 0  # the newest in which the sender has held the partition
+    facts: EncodedFacts
+    digest: Unsigned
+    term: Term = 0  # the newest term in which the sender held the partition
 
 
 class OfferReply(PeerBody, frozen=True, tag="Taken"):
-    """The part is merged into the new holder's folder; if not, `problem` says why."""
+    """Confirms that the new holder has stored a part; otherwise `problem` is the reason."""
 
-    partition: Count
-    part: Count
+    partition: Unsigned
+    part: Unsigned
     problem: Text = ""
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -156,7 +156,7 @@
         grant = self.grantor.grant(lease_name(partition))
         # The grant known here may be outdated, but a replica that the holder still uses is written to all the time.
         return (
-            grant.set > 0
+            grant.set_number > 0
             and self.name not in grant.successors
             and grant.holder != self.name
             and now - self.replica_written_at.setdefault(partition, now) > UNUSED_REPLICA_US
@@ -221,7 +221,7 @@
         ends_upto = self.clock.now() + DEADLINE_MARGIN_US
         self.store.import_replica(holding, facts, term, doubt_at, unsent, unacknowledged, ends_upto)
         if self.session_router is not None:
-            self.session_router.adopted(holding.partition)
+            self.session_router.on_partition_adopted(holding.partition)
         slot = holding.partition >> EPOCH_BITS
         owner = next((name for name in self.halls if slot_of(name) == slot), "")
         self.exchange.adopted(
--- a/cedarwick/lab/virtual.py
+++ b/cedarwick/lab/virtual.py
@@ -45,7 +45,7 @@
     takeover_offers,
 )
 from cedarwick.fleet.messages import Body, Heartbeat, LeaseRequest, PeerMessage, decode, encode
-from cedarwick.fleet.peer_client import MAX_CALLS, MAX_CALLS_IN_FLIGHT, check_answer
+from cedarwick.fleet.peer_client import MAX_CALLS_IN_FLIGHT, MAX_PENDING_CALLS, check_answer
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.transport import PeerUnreachableError
 from cedarwick.lab.units import SECOND
@@ -352,14 +352,14 @@
         return self.members
 
     def call(self, member: str, body: Body, within_s: float) -> Body:
-        return self.peer_message(member, body, within_s).body
+        return self.call_for_peer_message(member, body, within_s).body
 
-    def peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
+    def call_for_peer_message(self, member: str, body: Body, within_s: float) -> PeerMessage:
         """Send a request and return the answer, as the real class does.
 
         Raises `PeerUnreachableError` if no answer arrives in time, and `PeerRefusedError` if the member refuses.
         """
-        if member not in self.members or self.open_calls[member] >= MAX_CALLS:
+        if member not in self.members or self.open_calls[member] >= MAX_PENDING_CALLS:
             raise PeerUnreachableError(member)
         peer_message, end = encode(self.verifier.peer_message(member, body)), self.kernel.now + int(within_s * SECOND)
         queue, ticket = self.queues[member, isinstance(body, LeaseRequest | Heartbeat)], object()
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -181,7 +181,7 @@
             while kernel.now < drain_until and not (
                 self.dispatcher.is_idle()
                 and not self.dispatcher.notices.pending
-                and (session_router is None or session_router.left())
+                and (session_router is None or session_router.is_drained())
             ):
                 kernel.sleep(STATE_POLL_S)
             self.node.leave()
--- a/tests/lab/test_virtual_days.py
+++ b/tests/lab/test_virtual_days.py
@@ -80,7 +80,7 @@
 INJECTED_DEFECTS: dict[str, tuple[Any, str, Any, dict[str, Any], int]] = {
     "two senders accept messages of one session": (
         SessionRouter,
-        "hand_in",
+        "route_submission",
         accept_without_holder,
         {"sessions": True},
         2,
