--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -81,7 +81,7 @@
     remedy = "follow at another member, or end connections that nobody needs"
 
 
-def wall() -> int:
+def wall_time() -> int:
     """The wall clock in microseconds."""
     # Not the sender's own clock, which stops while the machine sleeps: later entries would seem older than they are.
     return time.time_ns() // 1000
@@ -116,10 +116,10 @@
         self.counters = counters
         self.call = call
         self.sources = Sources(gate)
-        self.sync = RegistrySync(Registry(name, wall(), lasts))
-        self.peers = RegistryExchange(name, self.sync, counters, call, wall, self._merged)
+        self.sync = RegistrySync(Registry(name, wall_time(), lasts))
+        self.peers = RegistryExchange(name, self.sync, counters, call, wall_time, self._merged)
         self.store = SubscriptionStore(state, self.registry, counters) if state else None
-        self.serving: SubscriptionServer | None = None
+        self.server: SubscriptionServer | None = None
         self.loading = False
         self.first = 1  # number of the next event until the server is loaded
         self.alive: list[str] = [name]
@@ -129,14 +129,14 @@
         self.observer: EventObserver | None = None
         self.offset: int | None = None  # wall clock minus steady clock
         if self.store is not None:
-            self.store.load(wall())
+            self.store.load(wall_time())
 
     @property
     def registry(self) -> Registry:
         """All subscriptions known to this member."""
         return self.sync.registry
 
-    def replace(self, lasts: int) -> None:
+    def set_lifetime(self, lasts: int) -> None:
         """Set the lifetime in microseconds without a follower of subscriptions followed here, current ones included."""
         self.registry.lasts = lasts
 
@@ -153,42 +153,42 @@
     def begin(self) -> None:
         """Compile saved subscriptions before the first event, as far as START_PORTIONS allows."""
         # The server takes time to load; loaded later, it would miss the events until then.
-        living = self.registry.living(wall())
+        living = self.registry.living(wall_time())
         if living:
-            serving = self._load()
-            self.dirty = not any(serving.evaluate(living) for _ in range(START_PORTIONS))
+            server = self._load()
+            self.dirty = not any(server.evaluate(living) for _ in range(START_PORTIONS))
 
     # ---- events here ----
 
     @property
     def watching(self) -> bool:
         """Whether there is any subscription; without one, events are only numbered."""
-        return self.serving is not None and bool(self.serving.source.outboxes)
+        return self.server is not None and bool(self.server.source.outboxes)
 
-    def seen(self, kind: str, stored: StoredMessage, figure: int) -> None:
-        """Handle an event of a message; the arguments are those of `Shared.seen`."""
+    def on_message_event(self, kind: str, stored: StoredMessage, figure: int) -> None:
+        """Handle an event of a message; the arguments are those of `ReplicatedStore.on_event`."""
         observer = self.observer
         if observer is None or not self.watching:
             self._unseen()
             return
         try:
-            self._happened(kind, observer.message(kind, stored, figure))
+            self._publish(kind, observer.message(kind, stored, figure))
         except Exception:  # a delivery must not fail because of its subscribers
             self.counters.log_exception("an event was not published")
 
-    def adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
+    def on_messages_adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
         """Emit events for messages taken over from another member."""
         for each in stored:
             if self.watching and self.observer is not None:
-                self._happened("adopted", self.observer.message("adopted", each, 0) | self.observer.member(member))
+                self._publish("adopted", self.observer.message("adopted", each, 0) | self.observer.member(member))
             else:
                 self._unseen()
 
-    def moved(self, key: str, tenant: str, member: str, age: int) -> None:
+    def on_session_moved(self, key: str, tenant: str, member: str, age: int) -> None:
         """Emit the event of a session moved to a member, `age` microseconds after the move began."""
         self._of_member("moved", member, {"id": key, "age": age, **({"tenant": tenant} if tenant else {})})
 
-    def member(self, change: MemberChange, silent: int) -> None:
+    def on_member_changed(self, change: MemberChange, silent: int) -> None:
         """Emit the event of a member's changed status; `silent`: microseconds since it was last heard."""
         if change.current is MemberStatus.ALIVE:
             self._of_member("member-came", change.name, {})
@@ -197,20 +197,20 @@
 
     def _of_member(self, kind: str, member: str, more: dict[str, Value]) -> None:
         if self.watching and self.observer is not None:
-            self._happened(kind, self.observer.member(member) | more)
+            self._publish(kind, self.observer.member(member) | more)
         else:
             self._unseen()
 
     def _unseen(self) -> None:
-        if self.serving is not None:
-            self.serving.source.next += 1
+        if self.server is not None:
+            self.server.source.next_number += 1
         else:
             self.first += 1
 
-    def _happened(self, kind: str, fields: dict[str, Value]) -> None:
-        assert self.serving is not None
+    def _publish(self, kind: str, fields: dict[str, Value]) -> None:
+        assert self.server is not None
         try:
-            self.serving.happened(wall(), kind, fields)
+            self.server.publish(wall_time(), kind, fields)
         except InvalidEventError as error:
             self.counters.warning("an event that cannot be published", error)
 
@@ -239,39 +239,39 @@
             self._tick(now, len(self.alive) >= majority)
         if self.dirty:
             self._evaluate()
-        if self.serving is not None:
-            self.serving.look(now, self.alive)
+        if self.server is not None:
+            self.server.run_due_tasks(now, self.alive)
         if now < self.turn_at:
             return
         self.turn_at = now + TURN_INTERVAL
         if self.watching and self.observer is not None:
             for kind, fields in self.observer.receiver_changes():
-                self._happened(kind, fields)
+                self._publish(kind, fields)
         elif self.observer is not None and self.observer.observing:
             self.observer.pause()
         self.peers.look(now, self.alive)
 
-    def heard(self, sender: str, now: int, body: Subscribe | Matches | Cursors) -> Body:
+    def handle_peer_message(self, sender: str, now: int, body: Subscribe | Matches | Cursors) -> Body:
         """Handle another member's message and return the answer."""
         if isinstance(body, Subscribe):
             self.peers.merge(sender, body)
             return self.sync.answer(body)
-        if self.serving is None:
+        if self.server is None:
             return Cursors(body.source, ()) if isinstance(body, Matches) else Acknowledged()
         if isinstance(body, Matches):
-            return self.serving.matched(sender, body)
-        self.serving.positions_received(now, sender, body)
+            return self.server.matched(sender, body)
+        self.server.positions_received(now, sender, body)
         return Acknowledged()
 
     def stop(self) -> None:
         """Save and stop: the sender ends, and another process may use the folder from now on."""
         if self.store is not None:
-            self.store.close(wall())
-        if self.serving is not None:
-            self.serving.summary()
+            self.store.close(wall_time())
+        if self.server is not None:
+            self.server.summary()
 
     def _tick(self, now: int, with_majority: bool) -> None:
-        count, at = len(self.registry.entries), wall()
+        count, at = len(self.registry.entries), wall_time()
         offset = self.offset = at - now if self.offset is None else self.offset
         if abs(at - now - offset) > CLOCK_JUMP:
             logger.warning("the wall clock has jumped by {} s", (at - now - offset) / SECOND)
@@ -282,8 +282,8 @@
             self._end(name, SubscriptionExpiredError(f"{name}: this member was cut off for too long"))
         if count != len(self.registry.entries):
             self._changed()
-        if self.serving is not None:
-            for name in list(self.serving.connections):
+        if self.server is not None:
+            for name in list(self.server.connections):
                 if self.registry.lives(at, name) and self.registry.due(at, name):
                     self.registry.followed(at, name)
                     self._changed(name)
@@ -294,11 +294,11 @@
             self.store.look(at, now)
 
     def _evaluate(self) -> None:
-        living = self.registry.living(wall())
-        if self.serving is None and not living:
+        living = self.registry.living(wall_time())
+        if self.server is None and not living:
             self.dirty = False
-        elif self.serving is not None:
-            self.dirty = not self.serving.evaluate(living)
+        elif self.server is not None:
+            self.dirty = not self.server.evaluate(living)
         elif not self.loading:
             self.loading = True
             gevent.spawn(self._load)
@@ -311,8 +311,8 @@
             )
         finally:
             self.loading = False
-        if self.serving is None:
-            self.serving = module.SubscriptionServer(
+        if self.server is None:
+            self.server = module.SubscriptionServer(
                 self.name,
                 self.sources,
                 self.first,
@@ -320,13 +320,13 @@
                 self.call,
                 self.counters,
             )
-        return cast("SubscriptionServer", self.serving)
+        return cast("SubscriptionServer", self.server)
 
     # ---- the registry ----
 
     def _changed(self, *names: str, but: str = "") -> None:
         """Save changed entries, act on them, and mark them for the members other than `but`, their sender."""
-        at = wall()
+        at = wall_time()
         if self.store is not None:
             # Save first: a member that acknowledges an end and forgets it at a restart would bring it back.
             self.store.changed(at, names)
@@ -334,9 +334,9 @@
         self.dirty = True
         self.turn_at = 0
         self.peers.mark(names, (self.gate.others - {but}) if names else ())
-        if self.serving is None:
+        if self.server is None:
             return
-        for name in list(self.serving.connections):
+        for name in list(self.server.connections):
             entry = self.registry.entries.get(name)
             if entry is None or not self.registry.lives(at, name):
                 self._end(name, UnfollowedError(f"{name} has ended"))
@@ -344,8 +344,8 @@
                 self._end(name, SubscriptionMovedError(f"{name} is followed at {entry.member}"))
 
     def _end(self, name: str, why: CedarwickError) -> None:
-        if self.serving is not None and name in self.serving.connections:
-            self.serving.connections[name].end(why)
+        if self.server is not None and name in self.server.connections:
+            self.server.connections[name].end(why)
 
     def _merged(self, names: list[str], sender: str) -> None:
         """Act on entries that another member has changed."""
@@ -357,10 +357,10 @@
         """Answer `FOLLOW` and `UNFOLLOW`; raises a `CedarwickError` if the call is refused."""
         if call.name == "UNFOLLOW":
             return self._unfollow(call.argument)
-        if self.serving is None:
+        if self.server is None:
             # Answer from a streaming reply: on a busy machine the first load may take longer than the call's deadline.
             return partial(self._load_and_follow, call.argument)
-        return self._follow(self.serving, call.argument)
+        return self._follow(self.server, call.argument)
 
     def _load_and_follow(self, argument: str, sock: gevent.socket.socket) -> None:
         try:
@@ -371,7 +371,7 @@
         else:
             talk(sock)
 
-    def _follow(self, serving: "SubscriptionServer", argument: str) -> StreamingAnswer:
+    def _follow(self, server: "SubscriptionServer", argument: str) -> StreamingAnswer:
         from cedarwick.events.streams import decoded
         from cedarwick.events.subscriber_reader import Reader
 
@@ -379,9 +379,9 @@
         name, cursors = decoded(target)
         if where is not None and not where.strip():
             raise InvalidFollowError("no filter after WHERE")
-        if len(serving.connections) >= MAX_READERS and name not in serving.connections:
+        if len(server.connections) >= MAX_READERS and name not in server.connections:
             raise TooManyReadersError(f"{MAX_READERS} subscribers are connected here")
-        at = wall()
+        at = wall_time()
         if where is not None:
             text = self._checked_filter(where)
         else:
@@ -390,9 +390,9 @@
             text = self.registry.entries[name].filter
         self.registry.follow(at, name, text)
         self.began = max(self.began + 1, at)
-        connection = serving.connect(Reader(name, self.began, cursors), self.alive)
+        connection = server.connect(Reader(name, self.began, cursors), self.alive)
         self._changed(name)
-        return partial(serving.talk, connection, alive=lambda: self.alive)
+        return partial(server.talk, connection, alive=lambda: self.alive)
 
     def _checked_filter(self, text: str) -> str:
         """The canonical text of a filter that every member can evaluate. Raises `FilterError`."""
@@ -407,7 +407,7 @@
         name = argument.strip()
         if not name or " " in name:
             raise InvalidFollowError("UNFOLLOW takes one name")
-        self.registry.end(wall(), name)
+        self.registry.end(wall_time(), name)
         self._changed(name)
         peer_message = self.sync.peer_message([name])
         # `self.alive` may change while the answers are awaited, so the calls are chosen once.
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -153,7 +153,7 @@
 
     def followed(self, now: int, name: str) -> Entry:
         """Renew a subscription whose subscriber is still here, when it is `due`. Raises NotFollowedError."""
-        held = self._living(now, name)
+        held = self._live_entry(now, name)
         # After a clock was set back, the time must not stand still: it would expire at the other members.
         at = max(now, held.followed_at + max(0, self.age(now, name)))
         return self._put(now, name, msgspec.structs.replace(held, followed_at=at, lasts=self.lasts))
@@ -165,7 +165,7 @@
 
     def end(self, now: int, name: str) -> Entry:
         """End a subscription for everyone. Raises NotFollowedError."""
-        held = self._living(now, name)
+        held = self._live_entry(now, name)
         return self._put(now, name, Entry(self._counter(now, held), self.member, True, held.filter, now, held.lasts))
 
     def age(self, now: int, name: str) -> int:
@@ -236,7 +236,7 @@
         self.entries[name] = entry
         return entry
 
-    def _living(self, now: int, name: str) -> Entry:
+    def _live_entry(self, now: int, name: str) -> Entry:
         if not self.lives(now, name):
             raise NotFollowedError(f"no subscription is called '{name[:80]}'")
         return self.entries[name]
--- a/cedarwick/events/streams.py
+++ b/cedarwick/events/streams.py
@@ -123,7 +123,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.next = 1
+        self.next_number = 1
         self.index = Index()
         self.outboxes: dict[str, Outbox] = {}
         self.unread: dict[str, tuple[str, FilterError]] = {}  # by name: filters that cannot be evaluated here, and why
@@ -146,20 +146,20 @@
                 except FilterError as error:
                     self.unread[name] = entry.filter, error
                 else:
-                    self.outboxes[name] = Outbox(self.name, self.next)
+                    self.outboxes[name] = Outbox(self.name, self.next_number)
         return {name: error for name, (_, error) in self.unread.items()}
 
     def _drop(self, name: str) -> None:
         self.index.remove(name)
         self.outboxes.pop(name, None)
 
-    def happened(self, at: int, kind: str, fields: dict[str, Value]) -> list[str]:
+    def publish(self, at: int, kind: str, fields: dict[str, Value]) -> list[str]:
         """Number an event and queue it for the subscriptions that it matches; returns their names.
 
         Raises InvalidEventError; the number is then used up.
         """
-        number = self.next
-        self.next += 1
+        number = self.next_number
+        self.next_number += 1
         if not self.outboxes:
             return []
         event = Event(self.name, number, at, kind, fields)
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -115,7 +115,7 @@
         self.call = call
         self.counters = counters
         self.source = Source(sources.of(me))
-        self.source.next = first
+        self.source.next_number = first
         self.deliveries: dict[str, MatchDelivery] = {}
         self.active: dict[str, None] = {}  # deliveries that may have something to send, in turn
         self.unlocated: dict[str, None] = {}  # deliveries whose subscribers' positions are not known
@@ -164,14 +164,14 @@
                 self.deliveries[name] = MatchDelivery(outbox, zlib.crc32(f"{self.source.name} {name}".encode()))
                 self.unlocated[name] = None
 
-    def happened(self, at: int, kind: str, fields: dict[str, Value]) -> None:
+    def publish(self, at: int, kind: str, fields: dict[str, Value]) -> None:
         """Number an event and queue it for the subscriptions that it matches. Raises `InvalidEventError`."""
-        for name in self.source.happened(at, kind, fields):
+        for name in self.source.publish(at, kind, fields):
             self.active[name] = None
 
     # ---- again and again ----
 
-    def look(self, now: int, alive: Iterable[str]) -> None:
+    def run_due_tasks(self, now: int, alive: Iterable[str]) -> None:
         """Report ended sources and positions, and send matches; called regularly.
 
         `now`: microseconds of a clock that also runs while the machine sleeps.
@@ -362,4 +362,4 @@
     def summary(self) -> None:
         """Log the number of events and the bytes of matches sent to each member."""
         sent = ", ".join(f"{member} {count}" for member, count in sorted(self.bytes.items()))
-        logger.info("events: {} numbered; bytes of matches: {}", self.source.next - 1, sent or "none")
+        logger.info("events: {} numbered; bytes of matches: {}", self.source.next_number - 1, sent or "none")
--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -19,7 +19,7 @@
 from cedarwick.net.counters import Counters
 from cedarwick.store.records import DamagedRange, encode_frame, may_be_partial_frame, scan_frames
 
-NAME = "subscriptions"
+FILE_NAME = "subscriptions"
 MAX_FILE_BYTES = 1 << 28  # twice the size of all subscriptions with the longest filters
 PAGE_ENTRIES = 128  # fit into one frame even with the longest filters
 MIN_GROWTH_BYTES = 1 << 16  # appended at least before the file is replaced
@@ -46,14 +46,14 @@
 _page: msgspec.msgpack.Decoder[Page] = msgspec.msgpack.Decoder(Page)
 
 
-def packed(at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> bytes:
+def encode_pages(at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> bytes:
     """Encode entries as frames of pages, at least one page."""
     rows = list(entries)
     pages = [dict(rows[begin : begin + PAGE_ENTRIES]) for begin in range(0, max(1, len(rows)), PAGE_ENTRIES)]
     return b"".join(encode_frame(_encode(Page(at, epoch, page))) for page in pages)
 
 
-def unpacked(data: bytes) -> Page | None:
+def decode_pages(data: bytes) -> Page | None:
     """Decode and merge all pages of a file; None if it is empty. Raises ValueError if any is damaged.
 
     An incomplete last frame is ignored: it has not been acknowledged to anybody.
@@ -84,7 +84,7 @@
     """
 
     def __init__(self, state: str, registry: Registry, counters: Counters) -> None:
-        self.path = os.path.join(state, FLEET_FOLDER, NAME)
+        self.path = os.path.join(state, FLEET_FOLDER, FILE_NAME)
         self.registry = registry
         self.counters = counters
         self.written: dict[str, Entry] = {}  # entries as in the file
@@ -103,7 +103,7 @@
                 data = file.read(MAX_FILE_BYTES + 1)
             if len(data) > MAX_FILE_BYTES:
                 raise ValueError(f"more than {MAX_FILE_BYTES} bytes")
-            held = unpacked(data)
+            held = decode_pages(data)
         except FileNotFoundError:
             return
         except (OSError, ValueError) as error:
@@ -151,7 +151,7 @@
             self._replace(now)
             return
         entries = {name: self.registry.entries[name] for name in names}
-        data = packed(now, self.registry.epoch, entries.items())
+        data = encode_pages(now, self.registry.epoch, entries.items())
         if self.size + len(data) > self.room:
             self._replace(now)
             return
@@ -168,7 +168,7 @@
     def _replace(self, now: int) -> None:
         """Write the whole file anew under another name and rename it over the old one."""
         entries = dict(self.registry.entries)
-        data = packed(now, self.registry.epoch, entries.items())
+        data = encode_pages(now, self.registry.epoch, entries.items())
 
         def write() -> None:
             with open(f"{self.path}.new", "wb") as file:
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -117,7 +117,7 @@
         # By partition: keys in a replica here whose holder is silent.
         self.replica_order_keys: dict[int, frozenset[int]] = {}
         self.exchange = Exchange(name, self.verifier, counters, self._call, state, round(settings.follow_s * 1e6))
-        store.on_event = self.exchange.seen
+        store.on_event = self.exchange.on_message_event
         self.session_router: SessionRouter | None = None
 
     def _call(self, name: str, body: Body, within_s: float) -> Body | None:
--- a/cedarwick/fleet/membership_reload.py
+++ b/cedarwick/fleet/membership_reload.py
@@ -48,7 +48,7 @@
         self.peers.replace(self.addresses)
         self.members.replace_members(now, self.halls)
         self.grantor.replace_members(self.halls)
-        self.exchange.replace(round(settings.follow_s * 1e6))
+        self.exchange.set_lifetime(round(settings.follow_s * 1e6))
         if self.session_router is not None:
             self.session_router.replace()
         for takeover in self.takeovers.values():
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -91,7 +91,7 @@
         """Do all work due at `now`, microseconds of the boot clock. A part that fails does not stop the others."""
         for change in (changes := self.members.changes(now)):
             logger.info("member {} is {} (was {})", change.name, change.current.value, change.previous.value)
-            self.exchange.member(change, self.members.heartbeat_ages(now).get(change.name, 0))
+            self.exchange.on_member_changed(change, self.members.heartbeat_ages(now).get(change.name, 0))
             if change.current is MemberStatus.ALIVE and not self.grantor.learning:
                 gevent.spawn(self._learn_closed_partitions, change.name)
         self.alive = [name for name in self.halls if self.members.status(now, name) is MemberStatus.ALIVE]
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -217,7 +217,7 @@
             self.session_router.adopted(holding.partition)
         slot = holding.partition >> EPOCH_BITS
         owner = next((name for name in self.halls if slot_of(name) == slot), "")
-        self.exchange.adopted(
+        self.exchange.on_messages_adopted(
             [self.store.messages[number] for number in self.store.message_numbers(holding.partition)], owner
         )
 
--- a/cedarwick/lab/virtual_subscribers.py
+++ b/cedarwick/lab/virtual_subscribers.py
@@ -204,13 +204,13 @@
 
     subscribers: Subscribers
 
-    def _happened(self, kind: str, fields: dict[str, Value]) -> None:
-        assert self.serving is not None
-        source, number = self.serving.source.name, self.serving.source.next
+    def _publish(self, kind: str, fields: dict[str, Value]) -> None:
+        assert self.server is not None
+        source, number = self.server.source.name, self.server.source.next_number
         event = Event(source, number, 0, kind, fields)
         meets = tuple(
             each.name for each in (*self.subscribers.followers, *self.subscribers.ended.values()) if each.meets(event)
         )
         day = self.subscribers.day
         day.watched.occurred.append(Occurred(source, number, day.now(), meets))
-        super()._happened(kind, fields)
+        super()._publish(kind, fields)
--- a/tests/events/test_exchange.py
+++ b/tests/events/test_exchange.py
@@ -53,9 +53,9 @@
                 late += 1
             if {sender, to} & self.down or self.chance.random() < self.faults:
                 return None
-            answer = self.members[to].heard(sender, self.now, peer_message.body)  # type: ignore[arg-type]
+            answer = self.members[to].handle_peer_message(sender, self.now, peer_message.body)  # type: ignore[arg-type]
             if self.chance.random() < self.faults:
-                answer = self.members[to].heard(sender, self.now, peer_message.body)  # type: ignore[arg-type]
+                answer = self.members[to].handle_peer_message(sender, self.now, peer_message.body)  # type: ignore[arg-type]
             return None if self.chance.random() < self.faults else answer
 
         return call
@@ -75,9 +75,9 @@
             self.turn()
 
     def happens(self, name: str, destination: int = 1) -> None:
-        serving = self.members[name].serving
-        assert serving is not None
-        serving.happened(0, "taken", {"destination": destination})
+        server = self.members[name].server
+        assert server is not None
+        server.publish(0, "taken", {"destination": destination})
 
 
 class Subscriber:
@@ -159,9 +159,9 @@
                 for _ in range(60):
                     name = net.chance.choice(NAMES)
                     for _ in range(net.chance.choice((1, 3, 150))):
-                        serving, destination = net.members[name].serving, net.chance.choice((1, 1, 2))
-                        if serving is not None and destination == 1:
-                            matched[name].add(serving.source.next)
+                        server, destination = net.members[name].server, net.chance.choice((1, 1, 2))
+                        if server is not None and destination == 1:
+                            matched[name].add(server.source.next_number)
                         net.happens(name, destination)
                     net.turn(net.chance.randrange(6))
                     subscriber.take(net.chance.randrange(40))
@@ -197,7 +197,7 @@
     def test_a_member_that_dies_or_comes_while_an_end_is_told_changes_nothing_of_the_answer(self) -> None:
         net = Net()
         member = net.members["n0"]
-        member.registry.follow(exchange.wall(), "desk", MATCH)
+        member.registry.follow(exchange.wall_time(), "desk", MATCH)
         net.turn(2)
         honest = member.call
 
@@ -217,18 +217,18 @@
         self.assertEqual(net.members["n2"].answer(Call("UNFOLLOW", "desk")), "YES desk ended, not yet told: n1\n")
         net.turn(3)
         self.assertIn("CW834", subscriber.written[-1])
-        self.assertIn("desk", net.members["n1"].registry.living(exchange.wall()))
+        self.assertIn("desk", net.members["n1"].registry.living(exchange.wall_time()))
         net.down = set()
         net.turn(60)
         for member in net.members.values():
-            self.assertEqual((member.registry.living(exchange.wall()), member.watching), ({}, False))
+            self.assertEqual((member.registry.living(exchange.wall_time()), member.watching), ({}, False))
             self.assertRaises(registry.NotFollowedError, member.answer, Call("FOLLOW", "desk"))
 
     def test_many_subscriptions_reach_one_that_was_away(self) -> None:
         net = Net()
         net.down = {"n2"}
         for place in range(400):
-            net.members["n0"].registry.follow(exchange.wall(), f"s{place}", f'id = "{"x" * 2000}{place}"')
+            net.members["n0"].registry.follow(exchange.wall_time(), f"s{place}", f'id = "{"x" * 2000}{place}"')
         net.members["n0"].sync.changed()
         net.turn(5)
         net.down = set()
@@ -277,11 +277,11 @@
         Subscriber(net).follow("n0")
         net.ready()
         net.turn(5)
-        serving = net.members["n0"].serving
-        assert serving is not None
-        reader: Reader = serving.connections["desk"].reader
+        server = net.members["n0"].server
+        assert server is not None
+        reader: Reader = server.connections["desk"].reader
         before = dict(reader.inbox.cursors)
-        made = serving.matched("n1", Matches("n2-102", ()))
+        made = server.matched("n1", Matches("n2-102", ()))
         self.assertEqual(made.cursors, ())
         forged = encode([streams.From("n2-102", 50)])
         for sender, source, after, items in (
@@ -290,10 +290,10 @@
             ("n2", "n2-102", 40, forged),
             ("n2", "n2-102", 0, b"\xc1"),
         ):
-            serving.matched(sender, Matches(source, (Stream("desk", after, items),)))
+            server.matched(sender, Matches(source, (Stream("desk", after, items),)))
         self.assertEqual(reader.inbox.cursors, before)
-        delivery = serving.deliveries["desk"]
-        serving.positions_received(
+        delivery = server.deliveries["desk"]
+        server.positions_received(
             net.now, "n1", Cursors("n0-100", (Cursor("desk", 1 << 60, 7, 7),))
         )  # the subscriber is at n0
         self.assertEqual(delivery.reader, reader.reached("n0", "n0-100"))
@@ -324,7 +324,9 @@
     def test_entries_from_a_clock_far_ahead_are_not_taken(self) -> None:
         net = Net()
         ahead = Entry(1 << 60, "n1", False, "has id", 1 << 60)
-        net.members["n0"].heard("n1", net.now, Subscribe(net.members["n1"].registry.epoch, 0, {"desk": ahead}))
+        net.members["n0"].handle_peer_message(
+            "n1", net.now, Subscribe(net.members["n1"].registry.epoch, 0, {"desk": ahead})
+        )
         self.assertEqual(net.members["n0"].registry.entries, {})
 
 
--- a/tests/events/test_subscription_store.py
+++ b/tests/events/test_subscription_store.py
@@ -25,7 +25,7 @@
     Registry,
     Verdict,
 )
-from cedarwick.events.subscription_store import SubscriptionStore, packed, unpacked
+from cedarwick.events.subscription_store import SubscriptionStore, decode_pages, encode_pages
 from cedarwick.fleet.fleet_files import FleetFiles
 from cedarwick.fleet.messages import Cursors
 from cedarwick.fleet.peer_verifier import PeerVerifier
@@ -57,7 +57,7 @@
 
     @property
     def path(self) -> str:
-        return os.path.join(self.fleet_files.path, subscription_store.NAME)
+        return os.path.join(self.fleet_files.path, subscription_store.FILE_NAME)
 
     def start(self, now: int) -> Registry:
         self.registry = made = Registry(self.name, now, self.lasts)
@@ -343,7 +343,7 @@
                 held.followed(now, "x")
             keeper.look(now, now)
         self.assertLessEqual(keeper.writes - writes, 5)
-        self.assertEqual(unpacked(self.data(member)).entries, held.entries)  # type: ignore[union-attr]
+        self.assertEqual(decode_pages(self.data(member)).entries, held.entries)  # type: ignore[union-attr]
 
     def test_the_file_is_bounded_and_a_spoilt_one_is_one_error(self) -> None:
         member = self.member()
@@ -354,11 +354,11 @@
             member.changed(NOW + turn)
         self.assertLess(os.path.getsize(member.path), subscription_store.MIN_GROWTH_BYTES + 2000)
         data = self.data(member)
-        self.assertEqual(unpacked(data).entries, held.entries)  # type: ignore[union-attr]
+        self.assertEqual(decode_pages(data).entries, held.entries)  # type: ignore[union-attr]
         with open(member.path, "wb") as file:  # broken off in its last page: nobody was told of that
-            file.write(data + packed(NOW, 0, [("y", held.entries["x"])])[:-1])
+            file.write(data + encode_pages(NOW, 0, [("y", held.entries["x"])])[:-1])
         self.assertEqual(list(member.start(NOW).entries), ["x"])
-        self.assertEqual(len(self.data(member)), len(packed(NOW, held.epoch, held.entries.items())))
+        self.assertEqual(len(self.data(member)), len(encode_pages(NOW, held.epoch, held.entries.items())))
         for place in (0, 3, 30, len(data) // 2, len(data) - 1):
             spoilt = bytearray(data)
             spoilt[place] ^= 0xA5
@@ -370,7 +370,7 @@
             self.assertIn("CW740", error.call_args[0][0])
             found.follow(NOW, "z", "has id")
             member.changed(NOW)
-            self.assertEqual(list(unpacked(self.data(member)).entries), ["z"])  # type: ignore[union-attr]
+            self.assertEqual(list(decode_pages(self.data(member)).entries), ["z"])  # type: ignore[union-attr]
 
     def test_a_write_that_fails_is_one_trouble_and_is_made_again_whole(self) -> None:
         member = self.member()
@@ -384,11 +384,11 @@
             keeper.look(NOW + 1, NOW + 1)
         self.assertEqual(keeper.counters.counts["warning: the subscriptions are not saved"], 2)
         keeper.look(NOW + 2 * SECOND, NOW + 2 * SECOND)
-        self.assertTrue(unpacked(self.data(member)).entries["x"].ended)  # type: ignore[union-attr]
+        self.assertTrue(decode_pages(self.data(member)).entries["x"].ended)  # type: ignore[union-attr]
         keeper.close(NOW)
         held.follow(NOW + 2, "x", "has id")  # the folder is another process's
         member.changed(NOW + 2)
-        self.assertTrue(unpacked(self.data(member)).entries["x"].ended)  # type: ignore[union-attr]
+        self.assertTrue(decode_pages(self.data(member)).entries["x"].ended)  # type: ignore[union-attr]
 
     def test_a_life_told_by_the_last_member_holds_at_all_and_a_shorter_one_at_once(self) -> None:
         one, other = Registry("n0", NOW, MINUTE), Registry("n1", NOW, MAX_LIFETIME)
@@ -498,11 +498,11 @@
     def test_another_follow_s_holds_for_who_is_connected(self) -> None:
         net = Restarted(self.folder, 1)
         Subscriber(net).follow("n0")
-        net.members["n0"].replace(MINUTE)
+        net.members["n0"].set_lifetime(MINUTE)
         net.turn(30)
         self.assertEqual({member.registry.entries["desk"].lasts for member in net.members.values()}, {MINUTE})
         net.members["n0"].stop()
-        now = exchange.wall()
+        now = exchange.wall_time()
         self.assertEqual(Restarted(self.folder, 2).members["n0"].registry.entries["desk"].lasts, MINUTE)
         self.assertFalse(net.members["n2"].registry.lives(now + 2 * MINUTE, "desk"))
 
--- a/tests/events/test_subscriptions.py
+++ b/tests/events/test_subscriptions.py
@@ -165,7 +165,7 @@
 
 def happen(made: Source, *attempts: int) -> None:
     for each in attempts:
-        made.happened(0, "nacked", {"shots": each})
+        made.publish(0, "nacked", {"shots": each})
 
 
 def numbers(items: list[Item]) -> list[Any]:
@@ -180,7 +180,7 @@
         inbox, old, given, matched = Inbox(), list[Item](), list[Item](), list[int]()
         for step in [*steps, "give", "give", "give"]:
             if step in ("match", "other"):
-                matched += [made.next] * (step == "match")
+                matched += [made.next_number] * (step == "match")
                 happen(made, int(step == "match"))
                 continue
             offered = box.offer()
@@ -223,7 +223,7 @@
         made, box = source(most=1000)
         box.most_bytes = 2000
         for _ in range(100):
-            made.happened(0, "nacked", {"shots": 1, "id": "x" * 256})
+            made.publish(0, "nacked", {"shots": 1, "id": "x" * 256})
         self.assertLessEqual((len(box.waiting), box.bytes), (2, 2000))
         self.assertEqual(box.bytes, sum(size for _, size in box.waiting))
         self.assertEqual(box.gap and box.gap.count, 100 - len(box.waiting))
@@ -249,7 +249,7 @@
         made.evaluate({"x": Entry(3, "fir", False, "shots > 1", 2)})
         self.assertEqual(numbers(made.outboxes["x"].offer()), [From("elm.1", 5)])
         made.evaluate({})
-        self.assertEqual((made.happened(0, "nacked", {"shots": 9}), made.outboxes, len(made.index)), ([], {}, 0))
+        self.assertEqual((made.publish(0, "nacked", {"shots": 9}), made.outboxes, len(made.index)), ([], {}, 0))
 
     def test_an_inbox_passes_on_news_of_its_own_sources_alone(self) -> None:
         inbox = Inbox({"elm.1": 5})
--- a/tests/lab/test_virtual_days.py
+++ b/tests/lab/test_virtual_days.py
@@ -71,7 +71,7 @@
 
 def forgotten(self: Registry, now: int, name: str) -> Entry:
     """An end leaves nothing behind, so that others bring back what they hold."""
-    held = self._living(now, name)
+    held = self._live_entry(now, name)
     del self.entries[name]
     return held
 
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -272,8 +272,8 @@
         self.assertEqual(replica.pending, {fact.number: fact for fact in (first, second, THIRD_FACT)})
 
     def test_subscriptions(self) -> None:
-        with open(os.path.join(self.state, "fleet", subscription_store.NAME), "rb") as file:
-            page = subscription_store.unpacked(file.read())
+        with open(os.path.join(self.state, "fleet", subscription_store.FILE_NAME), "rb") as file:
+            page = subscription_store.decode_pages(file.read())
         assert page is not None
         self.assertEqual((page.at, page.epoch), (NOW + 21, 527777))
         self.assertEqual(
