--- a/cedarwick/events/anti_entropy.py
+++ b/cedarwick/events/anti_entropy.py
@@ -10,13 +10,13 @@
 import msgspec
 import xxhash
 
-from cedarwick.events.registry import Entry, Registry, Verdict
+from cedarwick.events.registry import Entry, MergeResult, Registry
 from cedarwick.fleet.messages import MOST_ENTRIES, Subscribe
 
 BUCKETS = 256
 ENTRIES_BYTES = 1 << 18  # approximate bytes of entries in one peer message; at least one bucket
 MAX_ENTRIES_BYTES = 3 * ENTRIES_BYTES  # hard limit, for an unusually full bucket
-ENTRY_BYTES = 128  # approximate bytes of an entry without its filter
+ENTRY_OVERHEAD_BYTES = 128  # approximate bytes of an entry without its filter
 _encode = msgspec.msgpack.Encoder().encode
 
 
@@ -25,28 +25,28 @@
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
-        self.stale = True
-        self.hashes: dict[str, tuple[Entry, int]] = {}
-        self.buckets = [0] * BUCKETS
+        self.digests_stale = True
+        self.entry_hashes: dict[str, tuple[Entry, int]] = {}
+        self.bucket_digests = [0] * BUCKETS
 
-    def changed(self) -> None:
+    def mark_changed(self) -> None:
         """Mark the digests stale; they are computed anew at the next use."""
-        self.stale = True
+        self.digests_stale = True
 
     def digests(self) -> tuple[int, ...]:
         """The digest of each bucket."""
-        if self.stale:
-            self.stale = False
-            held, buckets = self.hashes, [0] * BUCKETS
-            self.hashes = {}
+        if self.digests_stale:
+            self.digests_stale = False
+            previous, buckets = self.entry_hashes, [0] * BUCKETS
+            self.entry_hashes = {}
             for name, entry in self.registry.entries.items():
-                known = held.get(name)
+                known = previous.get(name)
                 if known is None or known[0] is not entry:
                     known = entry, xxhash.xxh3_64_intdigest(_encode((name, entry)))
-                self.hashes[name] = known
-                buckets[bucket(name)] ^= known[1]
-            self.buckets = buckets
-        return tuple(self.buckets)
+                self.entry_hashes[name] = known
+                buckets[bucket_of(name)] ^= known[1]
+            self.bucket_digests = buckets
+        return tuple(self.bucket_digests)
 
     def digest(self) -> int:
         """The digest of the whole registry."""
@@ -60,47 +60,49 @@
             entry = self.registry.entries.get(name)
             if entry is not None and size <= MAX_ENTRIES_BYTES and len(found) < MOST_ENTRIES:
                 found[name] = entry
-                size += len(entry.filter) + ENTRY_BYTES
+                size += len(entry.filter) + ENTRY_OVERHEAD_BYTES
         return Subscribe(self.registry.epoch, self.digest(), found, tuple(asked))
 
     def answer(self, received: Subscribe) -> Subscribe:
         """Build the answer to another member's message, after its entries were merged."""
         asked = {each for each in received.asked if each < BUCKETS}
         if asked:
-            return self.peer_message(self._within(asked))
+            return self.peer_message(self._names_in_buckets(asked))
         answer = self.peer_message()
         return answer if answer.digest == received.digest else msgspec.structs.replace(answer, buckets=self.digests())
 
-    def join(self, now: int, received: Subscribe) -> Verdict:
+    def merge_entries(self, now: int, received: Subscribe) -> MergeResult:
         """Merge the entries of a message into the registry; returns whether it was accepted, or why not."""
-        verdict = self.registry.merge(now, received.epoch, received.entries.items())
-        if verdict is Verdict.JOINED and received.entries:
-            self.changed()
-        return verdict
+        result = self.registry.merge(now, received.epoch, received.entries.items())
+        if result is MergeResult.MERGED and received.entries:
+            self.mark_changed()
+        return result
 
-    def differing(self, answer: Subscribe) -> Subscribe | None:
+    def request_differing(self, answer: Subscribe) -> Subscribe | None:
         """Build a message with the differing buckets that fit, asking for the same ones; None if none differ."""
         differ = [
-            place for place, (mine, its) in enumerate(zip(self.digests(), answer.buckets, strict=False)) if mine != its
+            number
+            for number, (ours, theirs) in enumerate(zip(self.digests(), answer.buckets, strict=False))
+            if ours != theirs
         ]
         sizes = [0] * BUCKETS
         for name, entry in self.registry.entries.items():
-            sizes[bucket(name)] += len(entry.filter) + ENTRY_BYTES
+            sizes[bucket_of(name)] += len(entry.filter) + ENTRY_OVERHEAD_BYTES
         asked: list[int] = []
-        for place in differ:
-            if asked and sum(sizes[each] for each in asked) + sizes[place] > ENTRIES_BYTES:
+        for number in differ:
+            if asked and sum(sizes[each] for each in asked) + sizes[number] > ENTRIES_BYTES:
                 break
-            asked.append(place)
-        return self.peer_message(self._within(set(asked)), asked) if asked else None
+            asked.append(number)
+        return self.peer_message(self._names_in_buckets(set(asked)), asked) if asked else None
 
-    def _within(self, buckets: set[int]) -> list[str]:
+    def _names_in_buckets(self, buckets: set[int]) -> list[str]:
         return [
             name
-            for name in sorted(self.registry.entries, key=lambda name: (bucket(name), name))
-            if bucket(name) in buckets
+            for name in sorted(self.registry.entries, key=lambda name: (bucket_of(name), name))
+            if bucket_of(name) in buckets
         ]
 
 
-def bucket(name: str) -> int:
+def bucket_of(name: str) -> int:
     """The bucket number of a name."""
     return xxhash.xxh3_64_intdigest(name.encode()) % BUCKETS
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -38,10 +38,10 @@
 if TYPE_CHECKING:
     from cedarwick.events.subscription_server import SubscriptionServer
 
-TURN_INTERVAL = 250_000  # microseconds between two checks of registry and receivers
+CHECK_INTERVAL = 250_000  # microseconds between two checks of registry and receivers
 TICK_INTERVAL = 1_000_000  # microseconds between two ticks of the registry
-CLOCK_JUMP = 10_000_000  # microseconds of drift from the steady clock at which the wall clock counts as set
-START_PORTIONS = 20  # portions of stored filters compiled during start-up: 200 filters, 0.1 s
+MIN_CLOCK_JUMP = 10_000_000  # microseconds of drift from the steady clock at which the wall clock counts as set
+MAX_STARTUP_BATCHES = 20  # portions of stored filters compiled during start-up: 200 filters, 0.1 s
 EXPIRY_INTERVAL = 30_000_000  # microseconds between two searches for expired subscriptions
 MAX_READERS = 128  # subscribers connected to this member
 
@@ -87,13 +87,13 @@
     return time.time_ns() // 1000
 
 
-def split_follow(argument: str) -> tuple[str, str | None]:
+def split_follow_argument(argument: str) -> tuple[str, str | None]:
     """Split the argument of FOLLOW into name with cursors, and the filter's text (None without WHERE)."""
     # Cursors contain a colon, so the first word WHERE after the name begins the filter.
     words = argument.split(" ")
-    place = next((at for at, word in enumerate(words[1:], 1) if word.upper() == "WHERE"), len(words))
-    target = " ".join(word for word in words[:place] if word)
-    return target, " ".join(words[place + 1 :]) if place < len(words) else None
+    filter_start = next((at for at, word in enumerate(words[1:], 1) if word.upper() == "WHERE"), len(words))
+    target = " ".join(word for word in words[:filter_start] if word)
+    return target, " ".join(words[filter_start + 1 :]) if filter_start < len(words) else None
 
 
 class Exchange:
@@ -102,74 +102,76 @@
     def __init__(
         self,
         name: str,
-        gate: PeerVerifier,
+        verifier: PeerVerifier,
         counters: Counters,
         call: Callable[[str, Body, float], Body | None],
         state: str = "",
-        lasts: int = DEFAULT_LIFETIME,
+        lifetime: int = DEFAULT_LIFETIME,
     ) -> None:
         """`state`: folder to save subscriptions in (empty: none); `lasts`: their lifetime without a follower, in
         microseconds; `call` sends a message to a member and waits so many seconds for the answer.
         """
         self.name = name
-        self.gate = gate
+        self.verifier = verifier
         self.counters = counters
         self.call = call
-        self.sources = Sources(gate)
-        self.sync = RegistrySync(Registry(name, wall_time(), lasts))
-        self.peers = RegistryExchange(name, self.sync, counters, call, wall_time, self._merged)
+        self.sources = Sources(verifier)
+        self.registry_sync = RegistrySync(Registry(name, wall_time(), lifetime))
+        self.registry_exchange = RegistryExchange(
+            name, self.registry_sync, counters, call, wall_time, self._entries_merged
+        )
         self.store = SubscriptionStore(state, self.registry, counters) if state else None
         self.server: SubscriptionServer | None = None
         self.loading = False
-        self.first = 1  # number of the next event until the server is loaded
+        self.first_number = 1  # number of the next event until the server is loaded
         self.alive: list[str] = [name]
-        self.dirty = False  # subscriptions have changed, or some are not compiled yet
-        self.began = gate.incarnation  # start time of the newest connection here
-        self.turn_at = self.tick_at = self.expiry_at = 0
+        self.compilation_due = False  # subscriptions have changed, or some are not compiled yet
+        self.last_connected_at = verifier.incarnation  # start time of the newest connection here
+        self.next_check_at = self.next_tick_at = self.next_expiry_check_at = 0
         self.observer: EventObserver | None = None
-        self.offset: int | None = None  # wall clock minus steady clock
+        self.clock_offset: int | None = None  # wall clock minus steady clock
         if self.store is not None:
             self.store.load(wall_time())
 
     @property
     def registry(self) -> Registry:
         """All subscriptions known to this member."""
-        return self.sync.registry
+        return self.registry_sync.registry
 
-    def set_lifetime(self, lasts: int) -> None:
+    def set_lifetime(self, lifetime: int) -> None:
         """Set the lifetime in microseconds without a follower of subscriptions followed here, current ones included."""
-        self.registry.lasts = lasts
+        self.registry.lifetime = lifetime
 
     def attach(
         self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher, site: str
     ) -> None:
         """Connect to the parts of the sender; called after every other part that wraps the attempt callbacks."""
         self.observer = EventObserver(self.name, site, dispatcher, endpoint_list)
-        management.subscription_handler = self.answer
-        dispatcher.attempts.request_clearance = partial(self._cleared, dispatcher.attempts.request_clearance)
-        dispatcher.attempts.report_result = partial(self._attempt_ended, dispatcher.attempts.report_result)
-        self.begin()
+        management.subscription_handler = self.handle_call
+        dispatcher.attempts.request_clearance = partial(self._request_clearance, dispatcher.attempts.request_clearance)
+        dispatcher.attempts.report_result = partial(self._report_result, dispatcher.attempts.report_result)
+        self.compile_stored()
 
-    def begin(self) -> None:
+    def compile_stored(self) -> None:
         """Compile saved subscriptions before the first event, as far as START_PORTIONS allows."""
         # The server takes time to load; loaded later, it would miss the events until then.
-        living = self.registry.living(wall_time())
-        if living:
-            server = self._load()
-            self.dirty = not any(server.evaluate(living) for _ in range(START_PORTIONS))
+        live_entries = self.registry.live_entries(wall_time())
+        if live_entries:
+            server = self._load_server()
+            self.compilation_due = not any(server.set_subscriptions(live_entries) for _ in range(MAX_STARTUP_BATCHES))
 
     # ---- events here ----
 
     @property
-    def watching(self) -> bool:
+    def has_subscriptions(self) -> bool:
         """Whether there is any subscription; without one, events are only numbered."""
         return self.server is not None and bool(self.server.source.outboxes)
 
     def on_message_event(self, kind: str, stored: StoredMessage, figure: int) -> None:
         """Handle an event of a message; the arguments are those of `ReplicatedStore.on_event`."""
         observer = self.observer
-        if observer is None or not self.watching:
-            self._unseen()
+        if observer is None or not self.has_subscriptions:
+            self._skip_event_number()
             return
         try:
             self._publish(kind, observer.message(kind, stored, figure))
@@ -179,33 +181,33 @@
     def on_messages_adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
         """Emit events for messages taken over from another member."""
         for each in stored:
-            if self.watching and self.observer is not None:
+            if self.has_subscriptions and self.observer is not None:
                 self._publish("adopted", self.observer.message("adopted", each, 0) | self.observer.member(member))
             else:
-                self._unseen()
+                self._skip_event_number()
 
     def on_session_moved(self, key: str, tenant: str, member: str, age: int) -> None:
         """Emit the event of a session moved to a member, `age` microseconds after the move began."""
-        self._of_member("moved", member, {"id": key, "age": age, **({"tenant": tenant} if tenant else {})})
+        self._publish_member_event("moved", member, {"id": key, "age": age, **({"tenant": tenant} if tenant else {})})
 
     def on_member_changed(self, change: MemberChange, silent: int) -> None:
         """Emit the event of a member's changed status; `silent`: microseconds since it was last heard."""
         if change.current is MemberStatus.ALIVE:
-            self._of_member("member-came", change.name, {})
+            self._publish_member_event("member-came", change.name, {})
         elif change.current in (MemberStatus.DEAD, MemberStatus.LEFT):
-            self._of_member("member-went", change.name, {"age": silent})
+            self._publish_member_event("member-went", change.name, {"age": silent})
 
-    def _of_member(self, kind: str, member: str, more: dict[str, Value]) -> None:
-        if self.watching and self.observer is not None:
-            self._publish(kind, self.observer.member(member) | more)
+    def _publish_member_event(self, kind: str, member: str, extra_fields: dict[str, Value]) -> None:
+        if self.has_subscriptions and self.observer is not None:
+            self._publish(kind, self.observer.member(member) | extra_fields)
         else:
-            self._unseen()
+            self._skip_event_number()
 
-    def _unseen(self) -> None:
+    def _skip_event_number(self) -> None:
         if self.server is not None:
             self.server.source.next_number += 1
         else:
-            self.first += 1
+            self.first_number += 1
 
     def _publish(self, kind: str, fields: dict[str, Value]) -> None:
         assert self.server is not None
@@ -214,17 +216,17 @@
         except InvalidEventError as error:
             self.counters.warning("an event that cannot be published", error)
 
-    def _cleared(self, clear: Callable[[AttemptCall], bool], call: AttemptCall) -> bool:
-        if self.watching and self.observer is not None:
+    def _request_clearance(self, request_clearance: Callable[[AttemptCall], bool], call: AttemptCall) -> bool:
+        if self.has_subscriptions and self.observer is not None:
             self.observer.attempt_begins(call)
-        return clear(call)
+        return request_clearance(call)
 
-    def _attempt_ended(
-        self, report_result: Callable[[AttemptCall, AttemptResult], None], call: AttemptCall, ending: AttemptResult
+    def _report_result(
+        self, report_result: Callable[[AttemptCall, AttemptResult], None], call: AttemptCall, result: AttemptResult
     ) -> None:
-        if self.watching and self.observer is not None:
-            self.observer.attempt_ended(call, ending)
-        report_result(call, ending)
+        if self.has_subscriptions and self.observer is not None:
+            self.observer.attempt_ended(call, result)
+        report_result(call, result)
 
     # ---- called by the node ----
 
@@ -234,33 +236,33 @@
         `now`: microseconds of a clock that also runs while the machine sleeps; `majority`: members that make one.
         """
         self.alive = list(alive)
-        if now >= self.tick_at:
-            self.tick_at = now + TICK_INTERVAL
+        if now >= self.next_tick_at:
+            self.next_tick_at = now + TICK_INTERVAL
             self._tick(now, len(self.alive) >= majority)
-        if self.dirty:
-            self._evaluate()
+        if self.compilation_due:
+            self._compile_filters()
         if self.server is not None:
             self.server.run_due_tasks(now, self.alive)
-        if now < self.turn_at:
+        if now < self.next_check_at:
             return
-        self.turn_at = now + TURN_INTERVAL
-        if self.watching and self.observer is not None:
+        self.next_check_at = now + CHECK_INTERVAL
+        if self.has_subscriptions and self.observer is not None:
             for kind, fields in self.observer.receiver_changes():
                 self._publish(kind, fields)
         elif self.observer is not None and self.observer.observing:
             self.observer.pause()
-        self.peers.look(now, self.alive)
+        self.registry_exchange.start_due_exchanges(now, self.alive)
 
     def handle_peer_message(self, sender: str, now: int, body: Subscribe | Matches | Cursors) -> Body:
         """Handle another member's message and return the answer."""
         if isinstance(body, Subscribe):
-            self.peers.merge(sender, body)
-            return self.sync.answer(body)
+            self.registry_exchange.merge(sender, body)
+            return self.registry_sync.answer(body)
         if self.server is None:
             return Cursors(body.source, ()) if isinstance(body, Matches) else Acknowledged()
         if isinstance(body, Matches):
-            return self.server.matched(sender, body)
-        self.server.positions_received(now, sender, body)
+            return self.server.handle_matches(sender, body)
+        self.server.handle_positions(now, sender, body)
         return Acknowledged()
 
     def stop(self) -> None:
@@ -268,42 +270,42 @@
         if self.store is not None:
             self.store.close(wall_time())
         if self.server is not None:
-            self.server.summary()
+            self.server.log_summary()
 
     def _tick(self, now: int, with_majority: bool) -> None:
         count, at = len(self.registry.entries), wall_time()
-        offset = self.offset = at - now if self.offset is None else self.offset
-        if abs(at - now - offset) > CLOCK_JUMP:
+        offset = self.clock_offset = at - now if self.clock_offset is None else self.clock_offset
+        if abs(at - now - offset) > MIN_CLOCK_JUMP:
             logger.warning("the wall clock has jumped by {} s", (at - now - offset) / SECOND)
-            self.registry.stepped(at - now - offset)
-            self.offset = at - now
+            self.registry.correct_clock_jump(at - now - offset)
+            self.clock_offset = at - now
         lost = self.registry.tick(at, with_majority)
         for name in lost:
-            self._end(name, SubscriptionExpiredError(f"{name}: this member was cut off for too long"))
+            self._end_connection(name, SubscriptionExpiredError(f"{name}: this member was cut off for too long"))
         if count != len(self.registry.entries):
-            self._changed()
+            self._entries_changed()
         if self.server is not None:
             for name in list(self.server.connections):
-                if self.registry.lives(at, name) and self.registry.due(at, name):
-                    self.registry.followed(at, name)
-                    self._changed(name)
-        if now >= self.expiry_at:
-            self.expiry_at = now + EXPIRY_INTERVAL
-            self.dirty = bool(self.registry.entries) or self.dirty
+                if self.registry.is_live(at, name) and self.registry.renewal_due(at, name):
+                    self.registry.renew(at, name)
+                    self._entries_changed(name)
+        if now >= self.next_expiry_check_at:
+            self.next_expiry_check_at = now + EXPIRY_INTERVAL
+            self.compilation_due = bool(self.registry.entries) or self.compilation_due
         if self.store is not None:
-            self.store.look(at, now)
+            self.store.write_due_changes(at, now)
 
-    def _evaluate(self) -> None:
-        living = self.registry.living(wall_time())
-        if self.server is None and not living:
-            self.dirty = False
+    def _compile_filters(self) -> None:
+        live_entries = self.registry.live_entries(wall_time())
+        if self.server is None and not live_entries:
+            self.compilation_due = False
         elif self.server is not None:
-            self.dirty = not self.server.evaluate(living)
+            self.compilation_due = not self.server.set_subscriptions(live_entries)
         elif not self.loading:
             self.loading = True
-            gevent.spawn(self._load)
+            gevent.spawn(self._load_server)
 
-    def _load(self) -> "SubscriptionServer":
+    def _load_server(self) -> "SubscriptionServer":
         """Load the subscription server in a thread, because reading its grammar would block the event loop."""
         try:
             module = gevent.get_hub().threadpool.apply(
@@ -315,7 +317,7 @@
             self.server = module.SubscriptionServer(
                 self.name,
                 self.sources,
-                self.first,
+                self.first_number,
                 lambda name: self.registry.entries.get(name),
                 self.call,
                 self.counters,
@@ -324,36 +326,36 @@
 
     # ---- the registry ----
 
-    def _changed(self, *names: str, but: str = "") -> None:
+    def _entries_changed(self, *names: str, origin: str = "") -> None:
         """Save changed entries, act on them, and mark them for the members other than `but`, their sender."""
         at = wall_time()
         if self.store is not None:
             # Save first: a member that acknowledges an end and forgets it at a restart would bring it back.
-            self.store.changed(at, names)
-        self.sync.changed()
-        self.dirty = True
-        self.turn_at = 0
-        self.peers.mark(names, (self.gate.others - {but}) if names else ())
+            self.store.write_changes(at, names)
+        self.registry_sync.mark_changed()
+        self.compilation_due = True
+        self.next_check_at = 0
+        self.registry_exchange.mark_unsent(names, (self.verifier.others - {origin}) if names else ())
         if self.server is None:
             return
         for name in list(self.server.connections):
             entry = self.registry.entries.get(name)
-            if entry is None or not self.registry.lives(at, name):
-                self._end(name, UnfollowedError(f"{name} has ended"))
+            if entry is None or not self.registry.is_live(at, name):
+                self._end_connection(name, UnfollowedError(f"{name} has ended"))
             elif entry.member != self.name:
-                self._end(name, SubscriptionMovedError(f"{name} is followed at {entry.member}"))
+                self._end_connection(name, SubscriptionMovedError(f"{name} is followed at {entry.member}"))
 
-    def _end(self, name: str, why: CedarwickError) -> None:
+    def _end_connection(self, name: str, why: CedarwickError) -> None:
         if self.server is not None and name in self.server.connections:
             self.server.connections[name].end(why)
 
-    def _merged(self, names: list[str], sender: str) -> None:
+    def _entries_merged(self, names: list[str], sender: str) -> None:
         """Act on entries that another member has changed."""
-        self._changed(*names, but=sender)
+        self._entries_changed(*names, origin=sender)
 
     # ---- management calls ----
 
-    def answer(self, call: commands.Call) -> str | StreamingAnswer:
+    def handle_call(self, call: commands.Call) -> str | StreamingAnswer:
         """Answer `FOLLOW` and `UNFOLLOW`; raises a `CedarwickError` if the call is refused."""
         if call.name == "UNFOLLOW":
             return self._unfollow(call.argument)
@@ -364,19 +366,19 @@
 
     def _load_and_follow(self, argument: str, sock: gevent.socket.socket) -> None:
         try:
-            talk = self._follow(self._load(), argument)
+            serve = self._follow(self._load_server(), argument)
         except CedarwickError as error:
             self.counters.add(f"management calls refused: {error.code}")
             sock.sendall(f"NO {error.line}\n".encode("ascii", "replace"))
         else:
-            talk(sock)
+            serve(sock)
 
     def _follow(self, server: "SubscriptionServer", argument: str) -> StreamingAnswer:
-        from cedarwick.events.streams import decoded
+        from cedarwick.events.streams import decode_cursors
         from cedarwick.events.subscriber_reader import Reader
 
-        target, where = split_follow(argument)
-        name, cursors = decoded(target)
+        target, where = split_follow_argument(argument)
+        name, cursors = decode_cursors(target)
         if where is not None and not where.strip():
             raise InvalidFollowError("no filter after WHERE")
         if len(server.connections) >= MAX_READERS and name not in server.connections:
@@ -385,22 +387,24 @@
         if where is not None:
             text = self._checked_filter(where)
         else:
-            if not self.registry.lives(at, name):
+            if not self.registry.is_live(at, name):
                 raise NotFollowedError(f"no subscription is called '{name}' here")
             text = self.registry.entries[name].filter
         self.registry.follow(at, name, text)
-        self.began = max(self.began + 1, at)
-        connection = server.connect(Reader(name, self.began, cursors), self.alive)
-        self._changed(name)
-        return partial(server.talk, connection, alive=lambda: self.alive)
+        self.last_connected_at = max(self.last_connected_at + 1, at)
+        connection = server.connect(Reader(name, self.last_connected_at, cursors), self.alive)
+        self._entries_changed(name)
+        return partial(server.serve, connection, alive=lambda: self.alive)
 
     def _checked_filter(self, text: str) -> str:
         """The canonical text of a filter that every member can evaluate. Raises `FilterError`."""
         from cedarwick.events.language import check_levels, read
 
         found = read(text)
-        levels = self.gate.levels
-        check_levels(found, {member: levels[member] for member in (self.name, *self.gate.others) if member in levels})
+        levels = self.verifier.levels
+        check_levels(
+            found, {member: levels[member] for member in (self.name, *self.verifier.others) if member in levels}
+        )
         return found.text
 
     def _unfollow(self, argument: str) -> str:
@@ -408,17 +412,17 @@
         if not name or " " in name:
             raise InvalidFollowError("UNFOLLOW takes one name")
         self.registry.end(wall_time(), name)
-        self._changed(name)
-        peer_message = self.sync.peer_message([name])
+        self._entries_changed(name)
+        peer_message = self.registry_sync.peer_message([name])
         # `self.alive` may change while the answers are awaited, so the calls are chosen once.
         calls = {
-            member: gevent.spawn(self.peers.ask, member, peer_message)
-            for member in sorted(self.gate.others)
+            member: gevent.spawn(self.registry_exchange.send, member, peer_message)
+            for member in sorted(self.verifier.others)
             if member in self.alive
         }
         gevent.joinall(list(calls.values()), timeout=ANSWER_TIMEOUT_S)
         uninformed = [
-            member for member in sorted(self.gate.others) if member not in calls or calls[member].value is None
+            member for member in sorted(self.verifier.others) if member not in calls or calls[member].value is None
         ]
         logger.info("{} ended; members not informed yet: {}", name, ", ".join(uninformed) or "nobody")
         return f"YES {name} ended" + (f", not yet told: {', '.join(uninformed)}" if uninformed else "") + "\n"
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -75,7 +75,7 @@
         return self.counter, self.member, self.ended, self.filter, self.lasts
 
     @property
-    def sound(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether its sizes are what a member may send."""
         return (
             len(self.filter.encode(errors="replace")) <= MAX_FILTER_BYTES
@@ -84,29 +84,29 @@
         )
 
 
-def join(held: Entry | None, other: Entry) -> Entry:
+def newer_entry(held: Entry | None, other: Entry) -> Entry:
     """Merge two entries: the newer one. The order of several merges does not matter."""
     return other if held is None else max(held, other)
 
 
-class Verdict(Enum):
+class MergeResult(Enum):
     """The result of merging another member's registry."""
 
-    JOINED = "joined"
-    AWAY = "its member was away from a majority for too long: it starts anew once it is with one"
-    BEHIND = "this member was away from a majority for too long: it starts anew once it is with one"
-    AHEAD = "one of the two clocks is off by more than five minutes"
+    MERGED = "joined"
+    SENDER_OUTDATED = "its member was away from a majority for too long: it starts anew once it is with one"
+    RECEIVER_OUTDATED = "this member was away from a majority for too long: it starts anew once it is with one"
+    CLOCK_SKEWED = "one of the two clocks is off by more than five minutes"
 
 
 class Registry:
     """All subscriptions by name, at one member. `lasts`: lifetime without a follower of those followed here."""
 
-    def __init__(self, member: str, now: int, lasts: int = DEFAULT_LIFETIME) -> None:
+    def __init__(self, member: str, now: int, lifetime: int = DEFAULT_LIFETIME) -> None:
         self.member = member
-        self.lasts = lasts
+        self.lifetime = lifetime
         self.entries: dict[str, Entry] = {}
         self.epoch = now // EPOCH_LENGTH
-        self.jumped: dict[str, int] = {}  # by name: microseconds of clock jumps that are not part of its age
+        self.clock_corrections: dict[str, int] = {}  # by name: microseconds of clock jumps that are not part of its age
 
     def restore(self, now: int, written_at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> None:
         """Start from this member's saved state, as if it had slept since `written_at` (wall clock at that time).
@@ -118,7 +118,7 @@
         self.epoch = now // EPOCH_LENGTH if away else min(epoch, now // EPOCH_LENGTH)
         for name, entry in entries:
             if (
-                not entry.sound
+                not entry.is_valid
                 or not NAME.fullmatch(name)
                 or away
                 and not entry.ended
@@ -136,7 +136,7 @@
                 # While all members are down nobody can follow; a clock set meanwhile would expire everything at once.
                 age = min(age, entry.lasts - entry.lasts // 4)
             self.entries[name] = entry
-            self.jumped[name] = now - entry.followed_at - age
+            self.clock_corrections[name] = now - entry.followed_at - age
 
     def follow(self, now: int, name: str, text: str) -> Entry:
         """Register a subscriber at this member; `text` is its filter's canonical text.
@@ -149,43 +149,45 @@
         if held is None and len(self.entries) >= MAX_ENTRIES:
             raise TooManySubscriptionsError(f"{MAX_ENTRIES} subscriptions are held, '{name}' would be one more")
         # Always a new version: otherwise this would lose to an older one at a member not heard from yet.
-        return self._put(now, name, Entry(self._counter(now, held), self.member, False, text, now, self.lasts))
+        return self._put(now, name, Entry(self._next_counter(now, held), self.member, False, text, now, self.lifetime))
 
-    def followed(self, now: int, name: str) -> Entry:
+    def renew(self, now: int, name: str) -> Entry:
         """Renew a subscription whose subscriber is still here, when it is `due`. Raises NotFollowedError."""
         held = self._live_entry(now, name)
         # After a clock was set back, the time must not stand still: it would expire at the other members.
         at = max(now, held.followed_at + max(0, self.age(now, name)))
-        return self._put(now, name, msgspec.structs.replace(held, followed_at=at, lasts=self.lasts))
+        return self._put(now, name, msgspec.structs.replace(held, followed_at=at, lasts=self.lifetime))
 
-    def due(self, now: int, name: str) -> bool:
+    def renewal_due(self, now: int, name: str) -> bool:
         """Whether to call `followed`: a quarter of its lifetime has passed, or the lifetime was changed."""
         lasts = self.entries[name].lasts
-        return lasts != self.lasts or self.age(now, name) > lasts // 4
+        return lasts != self.lifetime or self.age(now, name) > lasts // 4
 
     def end(self, now: int, name: str) -> Entry:
         """End a subscription for everyone. Raises NotFollowedError."""
         held = self._live_entry(now, name)
-        return self._put(now, name, Entry(self._counter(now, held), self.member, True, held.filter, now, held.lasts))
+        return self._put(
+            now, name, Entry(self._next_counter(now, held), self.member, True, held.filter, now, held.lasts)
+        )
 
     def age(self, now: int, name: str) -> int:
         """Microseconds since a known subscription was last followed, as far as this member knows."""
-        return now - self.entries[name].followed_at - self.jumped.get(name, 0)
+        return now - self.entries[name].followed_at - self.clock_corrections.get(name, 0)
 
-    def lives(self, now: int, name: str) -> bool:
+    def is_live(self, now: int, name: str) -> bool:
         """Whether a subscription is known, not ended and not expired."""
         entry = self.entries.get(name)
         return entry is not None and not entry.ended and self.age(now, name) <= entry.lasts
 
-    def living(self, now: int) -> dict[str, Entry]:
+    def live_entries(self, now: int) -> dict[str, Entry]:
         """The live subscriptions, by name."""
-        return {name: entry for name, entry in self.entries.items() if self.lives(now, name)}
+        return {name: entry for name, entry in self.entries.items() if self.is_live(now, name)}
 
-    def stepped(self, by: int) -> None:
+    def correct_clock_jump(self, by: int) -> None:
         """Correct all ages for a jump of the wall clock by `by` microseconds."""
         # Otherwise a clock set forward by an hour would expire everything at once, and one set back would keep entries
         # too long.
-        self.jumped = {name: self.jumped.get(name, 0) + by for name in self.entries}
+        self.clock_corrections = {name: self.clock_corrections.get(name, 0) + by for name in self.entries}
 
     def tick(self, now: int, with_majority: bool) -> list[str]:
         """Advance the epoch while with a majority, and drop entries that are too old.
@@ -197,54 +199,54 @@
         # Only with a majority: a member cut off that advanced its epoch would be trusted after any time away.
         if with_majority:
             if now // EPOCH_LENGTH - self.epoch > MAX_EPOCHS_AWAY:
-                lost = sorted(self.living(now))
+                lost = sorted(self.live_entries(now))
                 # Ended entries stay: this may be the only member that knows them, and they revive nothing.
                 self.entries = {name: entry for name, entry in self.entries.items() if entry.ended}
             self.epoch = max(self.epoch, now // EPOCH_LENGTH)
-        self.entries = {name: entry for name, entry in self.entries.items() if not self._forgotten(entry)}
-        if len(self.jumped) > len(self.entries):
-            self.jumped = {name: by for name, by in self.jumped.items() if name in self.entries}
+        self.entries = {name: entry for name, entry in self.entries.items() if not self._is_outdated(entry)}
+        if len(self.clock_corrections) > len(self.entries):
+            self.clock_corrections = {name: by for name, by in self.clock_corrections.items() if name in self.entries}
         return lost
 
-    def merge(self, now: int, epoch: int, theirs: Iterable[tuple[str, Entry]]) -> Verdict:
+    def merge(self, now: int, epoch: int, theirs: Iterable[tuple[str, Entry]]) -> MergeResult:
         """Merge another member's registry, or parts of it; invalid entries are skipped. Returns the verdict."""
         theirs = list(theirs)
         # A clock far ahead would make all other registries look too old, or an entry live almost forever.
         if epoch * EPOCH_LENGTH > now + MAX_CLOCK_SKEW or any(
             each.counter > now + MAX_CLOCK_SKEW or each.followed_at > now + MAX_CLOCK_SKEW for _, each in theirs
         ):
-            return Verdict.AHEAD
+            return MergeResult.CLOCK_SKEWED
         # A member that was away for longer than tombstones are retained may have live entries that ended meanwhile.
         if epoch < self.epoch - MAX_EPOCHS_AWAY:
-            return Verdict.AWAY
+            return MergeResult.SENDER_OUTDATED
         if self.epoch < epoch - MAX_EPOCHS_AWAY:
-            return Verdict.BEHIND
+            return MergeResult.RECEIVER_OUTDATED
         for name, entry in theirs:
-            if not self._forgotten(entry) and entry.sound and NAME.fullmatch(name):
+            if not self._is_outdated(entry) and entry.is_valid and NAME.fullmatch(name):
                 held = self.entries.get(name)
                 if held is not None or len(self.entries) < MAX_ENTRIES:
-                    self._put(now, name, join(held, entry))
-        return Verdict.JOINED
+                    self._put(now, name, newer_entry(held, entry))
+        return MergeResult.MERGED
 
     def _put(self, now: int, name: str, entry: Entry) -> Entry:
-        jumped = self.jumped.pop(name, 0)
-        if jumped:
+        correction = self.clock_corrections.pop(name, 0)
+        if correction:
             if self.entries.get(name) != entry:
                 # Only the part of the jump since the new `followed_at` still applies.
-                jumped = sorted((0, jumped, now - entry.followed_at))[1]
-            self.jumped[name] = jumped
+                correction = sorted((0, correction, now - entry.followed_at))[1]
+            self.clock_corrections[name] = correction
         self.entries[name] = entry
         return entry
 
     def _live_entry(self, now: int, name: str) -> Entry:
-        if not self.lives(now, name):
+        if not self.is_live(now, name):
             raise NotFollowedError(f"no subscription is called '{name[:80]}'")
         return self.entries[name]
 
-    def _forgotten(self, entry: Entry) -> bool:
+    def _is_outdated(self, entry: Entry) -> bool:
         """Whether an entry is too old to retain; decided by the epoch, so that members in the same epoch agree."""
         return max(entry.counter, entry.followed_at) // EPOCH_LENGTH < self.epoch - TOMBSTONE_EPOCHS
 
     @staticmethod
-    def _counter(now: int, held: Entry | None) -> int:
+    def _next_counter(now: int, held: Entry | None) -> int:
         return max(now, held.counter + 1 if held is not None else 0)
--- a/cedarwick/events/registry_exchange.py
+++ b/cedarwick/events/registry_exchange.py
@@ -10,7 +10,7 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.events.anti_entropy import RegistrySync
-from cedarwick.events.registry import Verdict
+from cedarwick.events.registry import MergeResult
 from cedarwick.fleet.messages import Body, Subscribe
 from cedarwick.net.counters import Counters
 
@@ -19,7 +19,7 @@
 ANSWER_TIMEOUT_S = 0.4  # to wait for another member's answer
 
 
-class NotJoinedError(CedarwickError):
+class MergeRefusedError(CedarwickError):
     """The registry of another member is not taken over."""
 
     code = "CW838"
@@ -32,57 +32,57 @@
     def __init__(
         self,
         name: str,
-        sync: RegistrySync,
+        registry_sync: RegistrySync,
         counters: Counters,
         call: Callable[[str, Body, float], Body | None],
-        wall: Callable[[], int],
-        merged: Callable[[list[str], str], None],
+        wall_time: Callable[[], int],
+        on_merged: Callable[[list[str], str], None],
     ) -> None:
         """`call` sends a message to a member and waits so many seconds for the answer; `wall` is the wall clock.
 
         `merged` is called with the names of entries that another member has changed, and that member's name.
         """
         self.name = name
-        self.sync = sync
+        self.registry_sync = registry_sync
         self.counters = counters
         self.call = call
-        self.wall = wall
-        self.merged = merged
-        self.lacks: dict[str, set[str]] = {}  # by member: subscriptions not sent to it yet
-        self.agreed: dict[str, int] = {}  # by member: our digest at the last exchange
-        self.next_at: dict[str, int] = {}  # by member: time of the next comparison if nothing changes
-        self.failed_until: dict[str, int] = {}  # by member: no exchange before this time
-        self.talking: set[str] = set()  # members with which an exchange is under way
-
-    def mark(self, names: Iterable[str], members: Iterable[str]) -> None:
+        self.wall_time = wall_time
+        self.on_merged = on_merged
+        self.unsent: dict[str, set[str]] = {}  # by member: subscriptions not sent to it yet
+        self.agreed_digests: dict[str, int] = {}  # by member: our digest at the last exchange
+        self.next_comparison_at: dict[str, int] = {}  # by member: time of the next comparison if nothing changes
+        self.retry_at: dict[str, int] = {}  # by member: no exchange before this time
+        self.exchanging: set[str] = set()  # members with which an exchange is under way
+
+    def mark_unsent(self, names: Iterable[str], members: Iterable[str]) -> None:
         """Note that some members lack the newest versions of these entries."""
         for member in members:
-            self.lacks.setdefault(member, set()).update(names)
+            self.unsent.setdefault(member, set()).update(names)
 
-    def look(self, now: int, alive: Iterable[str]) -> None:
+    def start_due_exchanges(self, now: int, alive: Iterable[str]) -> None:
         """Start the exchanges that are due, each in a greenlet of its own."""
-        digest = self.sync.digest()
+        digest = self.registry_sync.digest()
         for name in alive:
-            new = bool(self.lacks.get(name)) or self.agreed.get(name) != digest
-            due = new and now >= self.failed_until.get(name, 0) or now >= self.next_at.get(name, 0)
-            if name != self.name and due and name not in self.talking:
-                self.talking.add(name)
-                gevent.spawn(self._talk, now, name)
+            new = bool(self.unsent.get(name)) or self.agreed_digests.get(name) != digest
+            due = new and now >= self.retry_at.get(name, 0) or now >= self.next_comparison_at.get(name, 0)
+            if name != self.name and due and name not in self.exchanging:
+                self.exchanging.add(name)
+                gevent.spawn(self._exchange, now, name)
 
     def merge(self, sender: str, received: Subscribe) -> None:
         """Merge another member's entries and report the new ones to `merged`."""
-        entries = self.sync.registry.entries
+        entries = self.registry_sync.registry.entries
         before = dict(entries) if received.entries else {}
-        verdict = self.sync.join(self.wall(), received)
-        if verdict is not Verdict.JOINED:
-            self.counters.warning("subscriptions of another member", NotJoinedError(f"{sender}: {verdict.value}"))
+        result = self.registry_sync.merge_entries(self.wall_time(), received)
+        if result is not MergeResult.MERGED:
+            self.counters.warning("subscriptions of another member", MergeRefusedError(f"{sender}: {result.value}"))
             return
-        entries = self.sync.registry.entries
+        entries = self.registry_sync.registry.entries
         changed = [name for name in received.entries if name in entries and before.get(name) is not entries[name]]
         if changed:
-            self.merged(changed, sender)
+            self.on_merged(changed, sender)
 
-    def ask(self, name: str, peer_message: Subscribe) -> Subscribe | None:
+    def send(self, name: str, peer_message: Subscribe) -> Subscribe | None:
         """Send a member a message and merge its answer; returns the answer, None where none came."""
         answer = self.call(name, peer_message, ANSWER_TIMEOUT_S)
         if not isinstance(answer, Subscribe):
@@ -90,21 +90,21 @@
         self.merge(name, answer)
         return answer
 
-    def _talk(self, now: int, name: str) -> None:
+    def _exchange(self, now: int, name: str) -> None:
         try:
-            self.next_at[name] = now + (COMPARE_INTERVAL if self._compare(now, name) else RETRY_AFTER)
+            self.next_comparison_at[name] = now + (COMPARE_INTERVAL if self._compare(now, name) else RETRY_AFTER)
         finally:
-            self.talking.discard(name)
+            self.exchanging.discard(name)
 
     def _compare(self, now: int, name: str) -> bool:
         """Send another member what it lacks and compare digests; returns whether the registries are equal."""
-        names = self.lacks.pop(name, set())
-        answer = self.ask(name, self.sync.peer_message(names))
+        names = self.unsent.pop(name, set())
+        answer = self.send(name, self.registry_sync.peer_message(names))
         if answer is None:
-            self.lacks.setdefault(name, set()).update(names)
-            self.failed_until[name] = now + RETRY_AFTER
+            self.unsent.setdefault(name, set()).update(names)
+            self.retry_at[name] = now + RETRY_AFTER
             return False
-        if answer.buckets and (wish := self.sync.differing(answer)) is not None:
-            answer = self.ask(name, wish) or answer
-        self.agreed[name] = self.sync.digest()
-        return answer.digest == self.agreed[name]
+        if answer.buckets and (request := self.registry_sync.request_differing(answer)) is not None:
+            answer = self.send(name, request) or answer
+        self.agreed_digests[name] = self.registry_sync.digest()
+        return answer.digest == self.agreed_digests[name]
--- a/cedarwick/events/sources.py
+++ b/cedarwick/events/sources.py
@@ -13,27 +13,31 @@
 class Sources:
     """The members' boots, as seen by the verifier of peer messages."""
 
-    def __init__(self, gate: PeerVerifier) -> None:
-        self.gate = gate
+    def __init__(self, verifier: PeerVerifier) -> None:
+        self.verifier = verifier
 
-    def of(self, member: str) -> str:
+    def current(self, member: str) -> str:
         """The source of a member's newest boot; empty if none is known."""
-        boot = self._boot(member)
-        return f"{stem(member)}-{boot}" if boot else ""
+        incarnation = self._incarnation(member)
+        return f"{member_stem(member)}-{incarnation}" if incarnation else ""
 
-    def over(self, source: str) -> bool:
+    def has_ended(self, source: str) -> bool:
         """Whether a source has ended for good: its member has restarted, or is no longer a member."""
-        source_stem, _, boot = source.rpartition("-")
-        for member in (self.gate.me, *self.gate.others):
-            if stem(member) == source_stem:
-                newest = self._boot(member)
-                return newest > 0 and (not boot.isdecimal() or int(boot) < newest)
+        source_stem, _, incarnation = source.rpartition("-")
+        for member in (self.verifier.me, *self.verifier.others):
+            if member_stem(member) == source_stem:
+                newest = self._incarnation(member)
+                return newest > 0 and (not incarnation.isdecimal() or int(incarnation) < newest)
         return True
 
-    def _boot(self, member: str) -> int:
-        return self.gate.incarnation if member == self.gate.me else self.gate.newest_incarnations.get(member, 0)
+    def _incarnation(self, member: str) -> int:
+        return (
+            self.verifier.incarnation
+            if member == self.verifier.me
+            else self.verifier.newest_incarnations.get(member, 0)
+        )
 
 
-def stem(member: str) -> str:
+def member_stem(member: str) -> str:
     """The first part of a source's name: the member's name, or its slot if the name does not fit."""
     return member if len(member) <= MAX_STEM_LENGTH and NAME.fullmatch(member) else f"m{slot_of(member)}"
--- a/cedarwick/events/streams.py
+++ b/cedarwick/events/streams.py
@@ -41,14 +41,14 @@
     count: int
 
 
-class From(msgspec.Struct, frozen=True, tag="from"):
+class EvaluationStart(msgspec.Struct, frozen=True, tag="from"):
     """The source evaluates the filter from this number on; of events before it nothing is known."""
 
     source: str
     number: int
 
 
-class Ended(msgspec.Struct, frozen=True, tag="ended"):
+class SourceEnded(msgspec.Struct, frozen=True, tag="ended"):
     """The source has ended; what it had matched after this number and not handed over is lost, if there was any."""
 
     source: str
@@ -61,7 +61,7 @@
     event: Event
 
 
-Item = Match | Gap | From
+Item = Match | Gap | EvaluationStart
 
 
 def position(item: Item) -> int:
@@ -74,45 +74,47 @@
 class Outbox:
     """The matches of one subscription at this source that its subscriber has not seen yet."""
 
-    def __init__(self, source: str, begins: int, most: int = MAX_WAITING, most_bytes: int = MAX_WAITING_BYTES) -> None:
+    def __init__(
+        self, source: str, first_number: int, max_waiting: int = MAX_WAITING, max_waiting_bytes: int = MAX_WAITING_BYTES
+    ) -> None:
         self.source = source
-        self.most = most
-        self.most_bytes = most_bytes
+        self.max_waiting = max_waiting
+        self.max_waiting_bytes = max_waiting_bytes
         self.window: list[Item] = []  # offered and not seen yet
-        self.beginning: From | None = From(source, begins)
+        self.start: EvaluationStart | None = EvaluationStart(source, first_number)
         self.gap: Gap | None = None  # dropped items between the window and `waiting`
         self.waiting: deque[tuple[Event, int]] = deque()  # events not offered yet, with their approximate bytes
-        self.bytes = 0  # approximate bytes of `waiting`
+        self.waiting_bytes = 0  # approximate bytes of `waiting`
 
     def add(self, event: Event) -> None:
         """Queue a match; beyond the limits the oldest unoffered matches are dropped and counted in a `Gap`."""
-        size = weight(event)
+        size = approximate_bytes(event)
         self.waiting.append((event, size))
-        self.bytes += size
+        self.waiting_bytes += size
         # Without the limits, a slow or lost subscriber would use up the sender's memory.
-        while len(self.waiting) > self.most or self.bytes > self.most_bytes:
+        while len(self.waiting) > self.max_waiting or self.waiting_bytes > self.max_waiting_bytes:
             dropped, size = self.waiting.popleft()
-            self.bytes -= size
+            self.waiting_bytes -= size
             first, count = (self.gap.first, self.gap.count) if self.gap else (dropped.number, 0)
             self.gap = Gap(self.source, first, dropped.number, count + 1)
 
     def offer(self) -> list[Item]:
         """The items to send now, in order; the same ones until all of them are seen."""
         if not self.window:
-            self.window = [item for item in (self.beginning, self.gap) if item is not None]
-            self.beginning = self.gap = None
+            self.window = [item for item in (self.start, self.gap) if item is not None]
+            self.start = self.gap = None
             while self.waiting and len(self.window) < WINDOW:
                 event, size = self.waiting.popleft()
-                self.bytes -= size
+                self.waiting_bytes -= size
                 self.window.append(Match(event))
         return list(self.window)
 
-    def seen(self, cursor: int) -> None:
+    def acknowledge(self, cursor: int) -> None:
         """Drop offered items up to a cursor, which the subscriber has seen; unoffered ones stay."""
         self.window = [item for item in self.window if position(item) > cursor]
 
 
-def weight(event: Event) -> int:
+def approximate_bytes(event: Event) -> int:
     """The approximate bytes of memory that an event takes."""
     texts = sum(len(value) for value in event.fields.values() if isinstance(value, str))
     return EVENT_BYTES + 16 * len(event.fields) + 4 * texts
@@ -126,9 +128,11 @@
         self.next_number = 1
         self.index = Index()
         self.outboxes: dict[str, Outbox] = {}
-        self.unread: dict[str, tuple[str, FilterError]] = {}  # by name: filters that cannot be evaluated here, and why
+        self.failed_filters: dict[
+            str, tuple[str, FilterError]
+        ] = {}  # by name: filters that cannot be evaluated here, and why
 
-    def evaluate(self, subscriptions: Mapping[str, Entry]) -> dict[str, FilterError]:
+    def set_subscriptions(self, subscriptions: Mapping[str, Entry]) -> dict[str, FilterError]:
         """Set the live subscriptions, by name, from the next event on.
 
         A subscription with a new filter starts anew: unseen matches of the old one are dropped. Returns the errors of
@@ -136,18 +140,18 @@
         """
         for name in self.outboxes.keys() - subscriptions.keys():
             self._drop(name)
-        self.unread = {name: held for name, held in self.unread.items() if name in subscriptions}
+        self.failed_filters = {name: held for name, held in self.failed_filters.items() if name in subscriptions}
         for name, entry in subscriptions.items():
-            if entry.filter not in (self.index.texts.get(name), self.unread.get(name, ("",))[0]):
+            if entry.filter not in (self.index.texts.get(name), self.failed_filters.get(name, ("",))[0]):
                 self._drop(name)
-                self.unread.pop(name, None)
+                self.failed_filters.pop(name, None)
                 try:
                     self.index.add(name, read(entry.filter))
                 except FilterError as error:
-                    self.unread[name] = entry.filter, error
+                    self.failed_filters[name] = entry.filter, error
                 else:
                     self.outboxes[name] = Outbox(self.name, self.next_number)
-        return {name: error for name, (_, error) in self.unread.items()}
+        return {name: error for name, (_, error) in self.failed_filters.items()}
 
     def _drop(self, name: str) -> None:
         self.index.remove(name)
@@ -181,30 +185,30 @@
         new: list[Item] = []
         for item in items:
             held = self.cursors.get(source)
-            reached = position(item)
-            named = item.event.source if isinstance(item, Match) else item.source
+            cursor = position(item)
+            item_source = item.event.source if isinstance(item, Match) else item.source
             # Drop repeated and late items, which would duplicate matches; items naming another source, which would move
             # its cursor; and items of too many sources, which would use up memory.
-            again = reached <= held if held is not None else len(self.cursors) >= MAX_SOURCES
-            if again or named != source:
+            is_repeated = cursor <= held if held is not None else len(self.cursors) >= MAX_SOURCES
+            if is_repeated or item_source != source:
                 self.dropped += 1
                 continue
-            self.cursors[source] = reached
+            self.cursors[source] = cursor
             new.append(item)
         return new
 
-    def end(self, source: str) -> list[Ended]:
+    def end_source(self, source: str) -> list[SourceEnded]:
         """Drop the cursor of a source that has ended for good; returns the item that reports this to the subscriber."""
         cursor = self.cursors.pop(source, None)
-        return [] if cursor is None else [Ended(source, cursor)]
+        return [] if cursor is None else [SourceEnded(source, cursor)]
 
 
-def encoded(name: str, cursors: Mapping[str, int]) -> str:
+def encode_cursors(name: str, cursors: Mapping[str, int]) -> str:
     """Encode a subscription's name and cursors as a subscriber stores them: `NAME SOURCE:NUMBER ...`."""
     return " ".join([name, *(f"{source}:{cursors[source]}" for source in sorted(cursors))])
 
 
-def decoded(text: str) -> tuple[str, dict[str, int]]:
+def decode_cursors(text: str) -> tuple[str, dict[str, int]]:
     """Decode a subscription's name and cursors. Raises InvalidCursorsError."""
     name, *parts = text.split(" ", MAX_SOURCES + 1)
     if not NAME.fullmatch(name):
@@ -214,8 +218,8 @@
     cursors: dict[str, int] = {}
     for part in parts:
         source, _, number = part.rpartition(":")
-        plain = number.isascii() and number.isdigit() and len(number) < 20 and int(number) <= LARGEST
-        if not plain or not NAME.fullmatch(source) or source in cursors:
+        is_valid = number.isascii() and number.isdigit() and len(number) < 20 and int(number) <= LARGEST
+        if not is_valid or not NAME.fullmatch(source) or source in cursors:
             raise InvalidCursorsError(f"'{part[:80]}' is no cursor, or the source is named twice")
         cursors[source] = int(number)
     return name, cursors
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -18,7 +18,7 @@
 
 from cedarwick.errors import CedarwickError
 from cedarwick.events.kinds import Value
-from cedarwick.events.match_delivery import NOWHERE, MatchDelivery, Reached
+from cedarwick.events.match_delivery import NO_POSITION, MatchDelivery, ReaderPosition
 from cedarwick.events.registry import Entry
 from cedarwick.events.sources import Sources
 from cedarwick.events.streams import Item, Source
@@ -35,7 +35,7 @@
 MATCHES_BYTES = 1 << 18  # approximate bytes of matches in one peer message
 MAX_STREAMS = 500  # subscriptions in one peer message
 MAX_POSITIONS = 2000  # positions in one peer message
-FILTERS_PER_LOOK = 10  # compiled in one call of `evaluate`: each takes up to a millisecond
+FILTERS_PER_CALL = 10  # compiled in one call of `evaluate`: each takes up to a millisecond
 _encode = msgspec.msgpack.Encoder().encode
 _items: msgspec.msgpack.Decoder[list[Item]] = msgspec.msgpack.Decoder(list[Item])
 
@@ -77,7 +77,7 @@
 
     def end(self, why: CedarwickError) -> None:
         """End the connection; the first reason given is sent to the subscriber."""
-        self.reader.over = self.reader.over or why
+        self.reader.end_reason = self.reader.end_reason or why
         self.arrived.set()
 
 
@@ -102,67 +102,77 @@
 
     def __init__(
         self,
-        me: str,
+        member_name: str,
         sources: Sources,
-        first: int,
-        entries: Callable[[str], Entry | None],
+        first_number: int,
+        entry_lookup: Callable[[str], Entry | None],
         call: Callable[[str, Body, float], Body | None],
         counters: Counters,
     ) -> None:
-        self.me = me
+        self.member_name = member_name
         self.sources = sources
-        self.entry = entries
+        self.find_entry = entry_lookup
         self.call = call
         self.counters = counters
-        self.source = Source(sources.of(me))
-        self.source.next_number = first
+        self.source = Source(sources.current(member_name))
+        self.source.next_number = first_number
         self.deliveries: dict[str, MatchDelivery] = {}
         self.active: dict[str, None] = {}  # deliveries that may have something to send, in turn
-        self.unlocated: dict[str, None] = {}  # deliveries whose subscribers' positions are not known
-        self.asked: dict[str, str] = {}  # by subscription: the member asked last for the position
-        self.sending: set[str] = set()  # members with an unanswered message of matches
-        self.reporting: set[str] = set()  # members with an unanswered message of positions
+        self.position_unknown: dict[str, None] = {}  # deliveries whose subscribers' positions are not known
+        self.position_requests: dict[str, str] = {}  # by subscription: the member asked last for the position
+        self.awaiting_matches_answer: set[str] = set()  # members with an unanswered message of matches
+        self.awaiting_report_answer: set[str] = set()  # members with an unanswered message of positions
         self.due_reports: dict[str, dict[str, None]] = {}  # by member: readers whose positions must be reported to it
         self.connections: dict[str, Connection] = {}
-        self.positions_at = self.endings_at = 0
-        self.bytes: dict[str, int] = {}  # of matches sent, by member
+        self.next_reports_at = self.next_endings_check_at = 0
+        self.match_bytes: dict[str, int] = {}  # of matches sent, by member
 
     # ---- what happens here ----
 
-    def evaluate(self, living: Mapping[str, Entry]) -> bool:
+    def set_subscriptions(self, live_entries: Mapping[str, Entry]) -> bool:
         """Set the live subscriptions; returns False if some filters are left for the next call."""
-        texts, unread = self.source.index.texts, self.source.unread
-        fresh = [
-            name for name, entry in living.items() if entry.filter not in (texts.get(name), unread.get(name, ("",))[0])
+        texts, failed_filters = self.source.index.texts, self.source.failed_filters
+        new_names = [
+            name
+            for name, entry in live_entries.items()
+            if entry.filter not in (texts.get(name), failed_filters.get(name, ("",))[0])
         ]
         # Compiling thousands of new filters at once would delay message deliveries for seconds.
-        left = set(fresh[FILTERS_PER_LOOK:])
-        found = self.source.evaluate({name: entry for name, entry in living.items() if name not in left})
-        for name in fresh[:FILTERS_PER_LOOK]:
+        postponed = set(new_names[FILTERS_PER_CALL:])
+        found = self.source.set_subscriptions(
+            {name: entry for name, entry in live_entries.items() if name not in postponed}
+        )
+        for name in new_names[:FILTERS_PER_CALL]:
             if name in found:
                 self.counters.warning(
                     "a filter that cannot be evaluated", CannotEvaluateError(f"{name}: {found[name]}")
                 )
-        self._follow_outboxes()
-        for name, entry in living.items():  # ask at once for the position of a subscriber that has moved
+        self._update_deliveries()
+        for name, entry in live_entries.items():  # ask at once for the position of a subscriber that has moved
             delivery = self.deliveries.get(name)
             if delivery is not None:
-                known = delivery.reader.member if delivery.reader is not None else self.asked.get(name, entry.member)
+                known = (
+                    delivery.reported.member
+                    if delivery.reported is not None
+                    else self.position_requests.get(name, entry.member)
+                )
                 if known != entry.member:
-                    self.unlocated[name] = None
-        return not left
+                    self.position_unknown[name] = None
+        return not postponed
 
-    def _follow_outboxes(self) -> None:
+    def _update_deliveries(self) -> None:
         """Create one delivery for each outbox; a new one must first learn the position of its subscriber."""
         outboxes = self.source.outboxes
         self.deliveries = {
             name: delivery for name, delivery in self.deliveries.items() if outboxes.get(name) is delivery.outbox
         }
-        self.asked = {name: member for name, member in self.asked.items() if name in self.deliveries}
+        self.position_requests = {
+            name: member for name, member in self.position_requests.items() if name in self.deliveries
+        }
         for name, outbox in outboxes.items():
             if name not in self.deliveries:
                 self.deliveries[name] = MatchDelivery(outbox, zlib.crc32(f"{self.source.name} {name}".encode()))
-                self.unlocated[name] = None
+                self.position_unknown[name] = None
 
     def publish(self, at: int, kind: str, fields: dict[str, Value]) -> None:
         """Number an event and queue it for the subscriptions that it matches. Raises `InvalidEventError`."""
@@ -177,14 +187,14 @@
         `now`: microseconds of a clock that also runs while the machine sleeps.
         """
         alive = list(alive)
-        if now >= self.endings_at:
-            self.endings_at = now + ENDINGS_INTERVAL
+        if now >= self.next_endings_check_at:
+            self.next_endings_check_at = now + ENDINGS_INTERVAL
             for connection in self.connections.values():
-                for source in [each for each in connection.reader.inbox.cursors if self.sources.over(each)]:
-                    connection.reader.end(source)
+                for source in [each for each in connection.reader.inbox.cursors if self.sources.has_ended(each)]:
+                    connection.reader.end_source(source)
                     connection.arrived.set()
-        if now >= self.positions_at:
-            self.positions_at = now + POSITIONS_INTERVAL
+        if now >= self.next_reports_at:
+            self.next_reports_at = now + POSITIONS_INTERVAL
             for name in self.connections:
                 self._schedule_report(name, alive)
         for member in alive:
@@ -197,123 +207,123 @@
 
     def _report_positions(self, now: int, member: str) -> None:
         """Report to one member the positions of the readers here in its source."""
-        source = self.sources.of(member)
-        if not self.due_reports.get(member) or not source or member in self.reporting:
+        source = self.sources.current(member)
+        if not self.due_reports.get(member) or not source or member in self.awaiting_report_answer:
             return
         names = list(self.due_reports[member])[:MAX_POSITIONS]
         for name in names:
             del self.due_reports[member][name]
         positions = Cursors(source, tuple(self._position(name, source) for name in names))
-        if member == self.me:
-            self.positions_received(now, member, positions)
+        if member == self.member_name:
+            self.handle_positions(now, member, positions)
             return
-        self.reporting.add(member)
+        self.awaiting_report_answer.add(member)
 
         def report() -> None:
             try:
                 self.call(member, positions, ANSWER_TIMEOUT_S)
             finally:
-                self.reporting.discard(member)
+                self.awaiting_report_answer.discard(member)
 
         gevent.spawn(report)
 
     def _position(self, name: str, source: str) -> Cursor:
         connection = self.connections.get(name)
         if connection is None:
-            return Cursor(name, 0, NOWHERE, NOWHERE)
-        reached = connection.reader.reached(self.me, source)
-        return Cursor(name, reached.began, reached.held, reached.written, reached.room)
+            return Cursor(name, 0, NO_POSITION, NO_POSITION)
+        position = connection.reader.position_in(self.member_name, source)
+        return Cursor(name, position.connected_at, position.received, position.written, position.has_room)
 
     def _send_due(self, now: int, alive: set[str]) -> None:
         """Send matches and requests for positions: one message at a time to each member."""
         drafts: dict[str, MatchesDraft] = {}
-        for name in [*self.unlocated, *self.active]:
-            delivery, entry = self.deliveries.get(name), self.entry(name)
+        for name in [*self.position_unknown, *self.active]:
+            delivery, entry = self.deliveries.get(name), self.find_entry(name)
             if delivery is None or entry is None:
                 self.active.pop(name, None)
-                self.unlocated.pop(name, None)
+                self.position_unknown.pop(name, None)
                 continue
             member = entry.member
             draft = drafts.setdefault(member, MatchesDraft())
-            if member in self.sending or draft.full:
+            if member in self.awaiting_matches_answer or draft.full:
                 continue
-            if name not in self.unlocated:
+            if name not in self.position_unknown:
                 self._add_matches(now, member, name, delivery, draft)
             elif member in alive:
                 self._add_position_request(member, name, draft)
         for member, draft in drafts.items():
             if draft.streams:
-                self.bytes[member] = self.bytes.get(member, 0) + draft.size
+                self.match_bytes[member] = self.match_bytes.get(member, 0) + draft.size
                 self._send(now, member, Matches(self.source.name, tuple(draft.streams)))
 
     def _add_position_request(self, member: str, name: str, draft: MatchesDraft) -> None:
         """Ask a member for the position of a subscriber: a stream without items."""
-        del self.unlocated[name]
-        self.asked[name] = member
-        draft.streams.append(Stream(name, NOWHERE, b""))
+        del self.position_unknown[name]
+        self.position_requests[name] = member
+        draft.streams.append(Stream(name, NO_POSITION, b""))
 
     def _add_matches(self, now: int, member: str, name: str, delivery: MatchDelivery, draft: MatchesDraft) -> None:
         """Add the matches that are due for a subscription, if its subscriber is connected to this member."""
-        reader = delivery.reader
-        if delivery.done or not delivery.present(now) or reader is None or reader.member != member:
+        reported = delivery.reported
+        if delivery.all_written or not delivery.is_connected(now) or reported is None or reported.member != member:
             del self.active[name]  # until an event matches or its position is reported
             return
-        items = delivery.send(now)
+        items = delivery.due_items(now)
         if items:
             data = _encode(items)
             draft.size += len(data)
-            draft.streams.append(Stream(name, reader.held, data))
+            draft.streams.append(Stream(name, reported.received, data))
             del self.active[name]
             self.active[name] = None  # move to the end of the queue
 
     def _send(self, now: int, member: str, matches: Matches) -> None:
-        if member == self.me:
-            self.positions_received(now, member, self.matched(member, matches))
+        if member == self.member_name:
+            self.handle_positions(now, member, self.handle_matches(member, matches))
             return
-        self.sending.add(member)
+        self.awaiting_matches_answer.add(member)
 
         def send() -> None:
             try:
                 answer = self.call(member, matches, ANSWER_TIMEOUT_S)
                 if isinstance(answer, Cursors):
-                    self.positions_received(now, member, answer)
+                    self.handle_positions(now, member, answer)
             finally:
-                self.sending.discard(member)
+                self.awaiting_matches_answer.discard(member)
 
         gevent.spawn(send)
 
     # ---- peer messages of others ----
 
-    def positions_received(self, now: int, sender: str, body: Cursors) -> None:
+    def handle_positions(self, now: int, sender: str, body: Cursors) -> None:
         """Take in a member's report of its readers' positions in the source here."""
         if body.source != self.source.name:
             return
         for row in body.cursors:
-            delivery, entry = self.deliveries.get(row.name), self.entry(row.name)
+            delivery, entry = self.deliveries.get(row.name), self.find_entry(row.name)
             # A member where the subscriber was before reports the position of an old connection: ignore it.
             if delivery is None or entry is None or entry.member != sender:
                 continue
             if row.began:
-                delivery.reader_reached(now, Reached(sender, row.began, row.held, row.written, row.room))
+                delivery.handle_report(now, ReaderPosition(sender, row.began, row.held, row.written, row.room))
                 self.active[row.name] = None
             else:
                 delivery.disconnected(sender)
 
-    def matched(self, sender: str, body: Matches) -> Cursors:
+    def handle_matches(self, sender: str, body: Matches) -> Cursors:
         """Take in matches of another member's source; returns the positions of the readers here."""
         # Matches in the name of another member's source could move its cursors irrevocably.
-        if body.source != self.sources.of(sender):
+        if body.source != self.sources.current(sender):
             return Cursors(body.source, ())
         for stream in body.streams:
             connection = self.connections.get(stream.name)
-            if connection is None or not stream.items or not connection.reader.room:
+            if connection is None or not stream.items or not connection.reader.has_room:
                 continue
             try:
                 items = _items.decode(stream.items)
             except msgspec.DecodeError as error:
                 self.counters.warning("matches that cannot be read", UnreadableMatchesError(f"{sender}: {error}"))
                 continue
-            if connection.reader.take(body.source, stream.after, items):
+            if connection.reader.accept(body.source, stream.after, items):
                 connection.arrived.set()
         return Cursors(body.source, tuple(self._position(stream.name, body.source) for stream in body.streams))
 
@@ -328,26 +338,26 @@
         self._schedule_report(reader.name, alive)
         return made
 
-    def talk(self, connection: Connection, sock: gevent.socket.socket, alive: Callable[[], Iterable[str]]) -> None:
+    def serve(self, connection: Connection, sock: gevent.socket.socket, alive: Callable[[], Iterable[str]]) -> None:
         """Write to a subscriber until it disconnects or its connection is ended here."""
         reader = connection.reader
         try:
             sock.settimeout(WRITE_TIMEOUT_S)
             sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_SNDBUF, SEND_BUFFER_BYTES)
             sock.sendall(f"YES following {reader.name}\n".encode())
-            while reader.over is None:
-                full = not reader.room
-                data, reached = reader.lines()
+            while reader.end_reason is None:
+                full = not reader.has_room
+                data, cursors = reader.take_lines()
                 if not data:
                     connection.arrived.clear()
                     if connection.arrived.wait(IDLE_LINE_S):
                         continue
                     data = b"\n"
                 sock.sendall(data)
-                reader.wrote(reached)
-                members = [each for each in alive() if full or self.sources.of(each) in reached]
+                reader.mark_written(cursors)
+                members = [each for each in alive() if full or self.sources.current(each) in cursors]
                 self._schedule_report(reader.name, members)
-            sock.sendall(f"NO {reader.over.line}\n".encode("ascii", "replace"))
+            sock.sendall(f"NO {reader.end_reason.line}\n".encode("ascii", "replace"))
         except TimeoutError:
             self.counters.warning(
                 "a subscriber reads too slowly", SlowReaderError(f"{reader.name}: {WRITE_TIMEOUT_S:g} s")
@@ -359,7 +369,7 @@
                 del self.connections[reader.name]
                 self._schedule_report(reader.name, alive())
 
-    def summary(self) -> None:
+    def log_summary(self) -> None:
         """Log the number of events and the bytes of matches sent to each member."""
-        sent = ", ".join(f"{member} {count}" for member, count in sorted(self.bytes.items()))
+        sent = ", ".join(f"{member} {count}" for member, count in sorted(self.match_bytes.items()))
         logger.info("events: {} numbered; bytes of matches: {}", self.source.next_number - 1, sent or "none")
--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from cedarwick.errors import CedarwickError
-from cedarwick.events.registry import MAX_ENTRIES, Entry, Registry, join
+from cedarwick.events.registry import MAX_ENTRIES, Entry, Registry, newer_entry
 from cedarwick.fleet.fleet_files import FLEET_FOLDER, CorruptFleetFileError
 from cedarwick.net.counters import Counters
 from cedarwick.store.records import DamagedRange, encode_frame, may_be_partial_frame, scan_frames
@@ -23,7 +23,7 @@
 MAX_FILE_BYTES = 1 << 28  # twice the size of all subscriptions with the longest filters
 PAGE_ENTRIES = 128  # fit into one frame even with the longest filters
 MIN_GROWTH_BYTES = 1 << 16  # appended at least before the file is replaced
-LOOK_INTERVAL = 30_000_000  # microseconds between two writes of changes that can wait
+WRITE_INTERVAL = 30_000_000  # microseconds between two writes of changes that can wait
 RETRY_AFTER = 1_000_000  # microseconds until a failed write is repeated
 
 
@@ -71,7 +71,7 @@
         count += 1
         at, epoch = page.at, max(epoch, page.epoch)
         for name, entry in page.entries.items():
-            entries[name] = join(entries.get(name), entry)
+            entries[name] = newer_entry(entries.get(name), entry)
         if len(entries) > MAX_ENTRIES:
             raise ValueError(f"more than {MAX_ENTRIES} subscriptions")
     return Page(at, epoch, entries) if count else None
@@ -87,14 +87,14 @@
         self.path = os.path.join(state, FLEET_FOLDER, FILE_NAME)
         self.registry = registry
         self.counters = counters
-        self.written: dict[str, Entry] = {}  # entries as in the file
-        self.epoch = 0  # epoch as in the file; 0: nothing is written yet
-        self.living = 0  # live subscriptions at the last `look`
-        self.size = 0  # bytes of the file
-        self.room = 0  # bytes up to which the file may grow; 0: replace it at the next write
-        self.look_at = 0
-        self.open = True
-        self.writes = self.bytes = 0
+        self.written_entries: dict[str, Entry] = {}  # entries as in the file
+        self.written_epoch = 0  # epoch as in the file; 0: nothing is written yet
+        self.live_count = 0  # live subscriptions at the last `look`
+        self.file_size = 0  # bytes of the file
+        self.max_file_size = 0  # bytes up to which the file may grow; 0: replace it at the next write
+        self.next_write_at = 0
+        self.is_open = True
+        self.write_count = self.bytes_written = 0
 
     def load(self, now: int) -> None:
         """Restore the registry from the file; an unreadable file is logged and ignored."""
@@ -112,47 +112,49 @@
         if held is None:
             return
         self.registry.restore(now, held.at, held.epoch, held.entries.items())
-        logger.info("{} subscriptions recovered, {} of them live", len(held.entries), len(self.registry.living(now)))
+        logger.info(
+            "{} subscriptions recovered, {} of them live", len(held.entries), len(self.registry.live_entries(now))
+        )
         self._replace(now)
 
-    def changed(self, now: int, names: Iterable[str]) -> None:
+    def write_changes(self, now: int, names: Iterable[str]) -> None:
         """Write changed entries if any has a new version; a failed write is logged and repeated later."""
-        entries, written = self.registry.entries, self.written
+        entries, written = self.registry.entries, self.written_entries
         if any(
             name in entries and (name not in written or written[name].version != entries[name].version)
             for name in names
         ):
             self._write(now, [name for name in names if name in entries and written.get(name) is not entries[name]])
 
-    def look(self, now: int, steady: int) -> None:
+    def write_due_changes(self, now: int, steady: int) -> None:
         """Write the changes that could wait, if it is time.
 
         `steady`: microseconds of a clock that also runs while the machine sleeps.
         """
-        if steady < self.look_at:
+        if steady < self.next_write_at:
             return
-        self.look_at = steady + LOOK_INTERVAL
-        registry, living = self.registry, len(self.registry.living(now))
-        names = [name for name, entry in registry.entries.items() if self.written.get(name) is not entry]
+        self.next_write_at = steady + WRITE_INTERVAL
+        registry, living = self.registry, len(self.registry.live_entries(now))
+        names = [name for name, entry in registry.entries.items() if self.written_entries.get(name) is not entry]
         # Also if a subscription has expired: a later restart must not restore it as live.
-        if names or living < self.living or self.epoch and registry.epoch != self.epoch:
+        if names or living < self.live_count or self.written_epoch and registry.epoch != self.written_epoch:
             self._write(now, names)
-        self.living = living
-        if not self.room and registry.entries:
-            self.look_at = steady + RETRY_AFTER
+        self.live_count = living
+        if not self.max_file_size and registry.entries:
+            self.next_write_at = steady + RETRY_AFTER
 
     def close(self, now: int) -> None:
         """Write what is left and write nothing more: another process may use the folder from now on."""
-        self.look(now, self.look_at)
-        self.open = False
+        self.write_due_changes(now, self.next_write_at)
+        self.is_open = False
 
     def _write(self, now: int, names: list[str]) -> None:
-        if not self.room:
+        if not self.max_file_size:
             self._replace(now)
             return
         entries = {name: self.registry.entries[name] for name in names}
         data = encode_pages(now, self.registry.epoch, entries.items())
-        if self.size + len(data) > self.room:
+        if self.file_size + len(data) > self.max_file_size:
             self._replace(now)
             return
 
@@ -160,10 +162,10 @@
             with open(self.path, "ab") as file:
                 file.write(data)
 
-        if self._try(write, len(data)):
-            self.size += len(data)
-            self.written.update(entries)
-            self.epoch = self.registry.epoch
+        if self._try_write(write, len(data)):
+            self.file_size += len(data)
+            self.written_entries.update(entries)
+            self.written_epoch = self.registry.epoch
 
     def _replace(self, now: int) -> None:
         """Write the whole file anew under another name and rename it over the old one."""
@@ -175,25 +177,25 @@
                 file.write(data)
             os.replace(f"{self.path}.new", self.path)
 
-        if self._try(write, len(data)):
-            self.size = len(data)
-            self.room = 2 * self.size + MIN_GROWTH_BYTES
-            self.written = entries
-            self.epoch = self.registry.epoch
+        if self._try_write(write, len(data)):
+            self.file_size = len(data)
+            self.max_file_size = 2 * self.file_size + MIN_GROWTH_BYTES
+            self.written_entries = entries
+            self.written_epoch = self.registry.epoch
 
-    def _try(self, write: Callable[[], None], size: int) -> bool:
-        if not self.open:
+    def _try_write(self, write: Callable[[], None], size: int) -> bool:
+        if not self.is_open:
             return False
         try:
             write()
         except OSError as error:
             # Replace the file next: pages after a partly written one could not be read.
-            self.room = 0
-            self.look_at = 0
+            self.max_file_size = 0
+            self.next_write_at = 0
             self.counters.warning(
                 "the subscriptions are not saved", SubscriptionsNotSavedError(f"{self.path}: {error}")
             )
             return False
-        self.writes += 1
-        self.bytes += size
+        self.write_count += 1
+        self.bytes_written += size
         return True
--- a/tests/events/test_subscription_store.py
+++ b/tests/events/test_subscription_store.py
@@ -22,8 +22,8 @@
     SECOND,
     TOMBSTONE_EPOCHS,
     Entry,
+    MergeResult,
     Registry,
-    Verdict,
 )
 from cedarwick.events.subscription_store import SubscriptionStore, decode_pages, encode_pages
 from cedarwick.fleet.fleet_files import FleetFiles
@@ -31,17 +31,17 @@
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.net.counters import Counters
 from cedarwick.ops.commands import Call
-from tests.events.test_exchange import NAMES, Net, Subscriber
+from tests.events.test_exchange import NAMES, FakeNetwork, Subscriber
 
 NOW = 500_000 * EPOCH_LENGTH
 MINUTE = 60 * SECOND
 HOUR = 3600 * SECOND
-PLACES = st.integers(0, 2)
-SOME = st.sets(PLACES, min_size=1).map(sorted)
+MEMBER_NUMBERS = st.integers(0, 2)
+SOME_MEMBERS = st.sets(MEMBER_NUMBERS, min_size=1).map(sorted)
 STEPS = st.one_of(
-    st.tuples(st.sampled_from(["follow", "unfollow", "refresh"]), PLACES.map(lambda place: [place])),
-    st.tuples(st.sampled_from(["kill", "start", "start", "cut", "heal"]), SOME),
-    st.tuples(st.sampled_from(["lose", "spoil", "shorten"]), PLACES.map(lambda place: [place])),
+    st.tuples(st.sampled_from(["follow", "unfollow", "refresh"]), MEMBER_NUMBERS.map(lambda number: [number])),
+    st.tuples(st.sampled_from(["kill", "start", "start", "cut", "heal"]), SOME_MEMBERS),
+    st.tuples(st.sampled_from(["lose", "spoil", "shorten"]), MEMBER_NUMBERS.map(lambda number: [number])),
     st.tuples(st.sampled_from([MINUTE, 20 * MINUTE, HOUR, 11 * HOUR, 13 * HOUR, 30 * HOUR]).map(str), st.just([0])),
 )
 
@@ -50,26 +50,26 @@
     """One member's registry and its folder; `registry` is None while it is down."""
 
     def __init__(self, name: str, state: str, lasts: int) -> None:
-        self.name, self.state, self.lasts = name, state, lasts
+        self.name, self.state, self.lifetime = name, state, lasts
         self.fleet_files = FleetFiles(state)
         self.registry: Registry | None = None
-        self.knows: set[int] = set()  # counters of the ends that it has kept, unless its file was lost since
+        self.known_ends: set[int] = set()  # counters of the ends that it has kept, unless its file was lost since
 
     @property
     def path(self) -> str:
         return os.path.join(self.fleet_files.path, subscription_store.FILE_NAME)
 
     def start(self, now: int) -> Registry:
-        self.registry = made = Registry(self.name, now, self.lasts)
-        self.keeper = SubscriptionStore(self.state, made, Counters())
-        self.keeper.load(now)
+        self.registry = made = Registry(self.name, now, self.lifetime)
+        self.store = SubscriptionStore(self.state, made, Counters())
+        self.store.load(now)
         return made
 
-    def changed(self, now: int) -> None:
+    def write_changes(self, now: int) -> None:
         """As the exchange: kept before anybody is answered."""
         assert self.registry is not None
-        self.keeper.changed(now, list(self.registry.entries))
-        self.knows |= {entry.counter for entry in self.registry.entries.values() if entry.ended}
+        self.store.write_changes(now, list(self.registry.entries))
+        self.known_ends |= {entry.counter for entry in self.registry.entries.values() if entry.ended}
 
 
 class History:
@@ -79,74 +79,74 @@
         self.test = test
         self.now = NOW
         self.members = [
-            Member(f"n{place}", os.path.join(folder, f"n{place}"), lasts)
-            for place, lasts in enumerate((DEFAULT_LIFETIME, DEFAULT_LIFETIME, MAX_LIFETIME))
+            Member(f"n{number}", os.path.join(folder, f"n{number}"), lasts)
+            for number, lasts in enumerate((DEFAULT_LIFETIME, DEFAULT_LIFETIME, MAX_LIFETIME))
         ]
-        self.cut: set[int] = set()
-        self.followed: Entry | None = None  # the newest
-        self.holds: set[int] = set()  # members that have kept it since
-        self.ends: list[int] = []  # counters
+        self.isolated: set[int] = set()
+        self.latest_follow: Entry | None = None  # the newest
+        self.members_with_latest: set[int] = set()  # members that have kept it since
+        self.end_counters: list[int] = []  # counters
         for member in self.members:
             member.start(self.now)
 
-    def up(self) -> list[Member]:
+    def connected_members(self) -> list[Member]:
         """Those that are with one another."""
-        return [member for place, member in enumerate(self.members) if member.registry and place not in self.cut]
+        return [member for number, member in enumerate(self.members) if member.registry and number not in self.isolated]
 
-    def living(self, place: int) -> bool:
-        held = self.members[place].registry
-        return held is not None and held.lives(self.now, "x")
+    def living(self, number: int) -> bool:
+        held = self.members[number].registry
+        return held is not None and held.is_live(self.now, "x")
 
-    def step(self, what: str, places: list[int]) -> None:
+    def step(self, action: str, numbers: list[int]) -> None:
         self.now += 1
-        if what.isdigit():
-            end = self.now + int(what)
+        if action.isdigit():
+            end = self.now + int(action)
             while self.now < end:
                 self.now = min(end, self.now + 10 * MINUTE)
-                self.meet()
+                self.synchronize()
             return
-        for place in places:
-            getattr(self, f"do_{what}")(place, self.members[place])
-        self.meet()
+        for number in numbers:
+            getattr(self, f"do_{action}")(number, self.members[number])
+        self.synchronize()
 
-    def meet(self) -> None:
-        up = self.up()
+    def synchronize(self) -> None:
+        connected_members = self.connected_members()
         for member in self.members:
             if member.registry is not None:
-                member.registry.tick(self.now, member in up and len(up) >= 2)
-                member.keeper.look(self.now, self.now)
-        for one in up:
-            for other in up:
+                member.registry.tick(self.now, member in connected_members and len(connected_members) >= 2)
+                member.store.write_due_changes(self.now, self.now)
+        for one in connected_members:
+            for other in connected_members:
                 if one is not other and one.registry and other.registry:
                     other.registry.merge(self.now, one.registry.epoch, list(one.registry.entries.items()))
-                    other.changed(self.now)
-        self.judge()
+                    other.write_changes(self.now)
+        self.check_invariants()
 
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         """Who knows of an end does not evaluate what was ended."""
-        for place, member in enumerate(self.members):
-            if member.registry is not None and (entry := member.registry.living(self.now).get("x")) is not None:
-                self.test.assertFalse([end for end in member.knows if end >= entry.counter])
-            if member.registry is not None and self.followed is not None:
+        for number, member in enumerate(self.members):
+            if member.registry is not None and (entry := member.registry.live_entries(self.now).get("x")) is not None:
+                self.test.assertFalse([end for end in member.known_ends if end >= entry.counter])
+            if member.registry is not None and self.latest_follow is not None:
                 held = member.registry.entries.get("x")
-                if held is not None and held.counter >= self.followed.counter:
-                    self.holds.add(place)
+                if held is not None and held.counter >= self.latest_follow.counter:
+                    self.members_with_latest.add(number)
 
-    def do_follow(self, place: int, member: Member) -> None:
+    def do_follow(self, number: int, member: Member) -> None:
         if member.registry is not None:
-            self.followed = member.registry.follow(self.now, "x", "has id")
-            self.holds = {place}
-            member.changed(self.now)
+            self.latest_follow = member.registry.follow(self.now, "x", "has id")
+            self.members_with_latest = {number}
+            member.write_changes(self.now)
 
-    def do_unfollow(self, place: int, member: Member) -> None:
-        if member.registry is not None and self.living(place):
-            self.ends.append(member.registry.end(self.now, "x").counter)
-            member.changed(self.now)
+    def do_unfollow(self, number: int, member: Member) -> None:
+        if member.registry is not None and self.living(number):
+            self.end_counters.append(member.registry.end(self.now, "x").counter)
+            member.write_changes(self.now)
 
-    def do_refresh(self, place: int, member: Member) -> None:
-        if member.registry is not None and self.living(place):
-            member.registry.followed(self.now, "x")
-            member.changed(self.now)
+    def do_refresh(self, number: int, member: Member) -> None:
+        if member.registry is not None and self.living(number):
+            member.registry.renew(self.now, "x")
+            member.write_changes(self.now)
 
     def do_kill(self, _: int, member: Member) -> None:
         member.registry = None
@@ -155,33 +155,33 @@
         if member.registry is None:
             member.start(self.now)
 
-    def do_cut(self, place: int, _: Member) -> None:
-        self.cut.add(place)
+    def do_cut(self, number: int, _: Member) -> None:
+        self.isolated.add(number)
 
-    def do_heal(self, place: int, _: Member) -> None:
-        self.cut.discard(place)
+    def do_heal(self, number: int, _: Member) -> None:
+        self.isolated.discard(number)
 
-    def do_lose(self, place: int, member: Member) -> None:
-        self.broken(place, member, b"")
+    def do_lose(self, number: int, member: Member) -> None:
+        self.damage_file(number, member, b"")
 
-    def do_spoil(self, place: int, member: Member) -> None:
+    def do_spoil(self, number: int, member: Member) -> None:
         if os.path.exists(member.path):
             with open(member.path, "rb") as file:
                 data = bytearray(file.read())
             at = self.now % len(data)
             data[at] ^= 0x55
-            self.broken(place, member, bytes(data))
+            self.damage_file(number, member, bytes(data))
 
-    def do_shorten(self, place: int, member: Member) -> None:
+    def do_shorten(self, number: int, member: Member) -> None:
         if os.path.exists(member.path):
             with open(member.path, "rb") as file:
                 data = file.read()
-            self.broken(place, member, data[: self.now % len(data)])
+            self.damage_file(number, member, data[: self.now % len(data)])
 
-    def broken(self, place: int, member: Member, data: bytes) -> None:
+    def damage_file(self, number: int, member: Member, data: bytes) -> None:
         member.registry = None
-        member.knows.clear()
-        self.holds.discard(place)
+        member.known_ends.clear()
+        self.members_with_latest.discard(number)
         if data:
             with open(member.path, "wb") as file:
                 file.write(data)
@@ -190,24 +190,30 @@
 
     def finish(self) -> None:
         """All are up and with one another: what must be gone everywhere, and what must be there."""
-        told = [end for end in self.ends if sum(end in member.knows for member in self.members) >= 2]
-        self.cut.clear()
-        for place in (2, 0, 1):
-            self.do_start(place, self.members[place])
+        acknowledged_ends = [
+            end for end in self.end_counters if sum(end in member.known_ends for member in self.members) >= 2
+        ]
+        self.isolated.clear()
+        for number in (2, 0, 1):
+            self.do_start(number, self.members[number])
         for _ in range(3):
             self.now += 1
-            self.meet()
+            self.synchronize()
         registries = [member.registry for member in self.members if member.registry is not None]
         entries = [held.entries for held in registries]
         self.test.assertEqual(entries[0], entries[1])
         self.test.assertEqual(entries[0], entries[2])
         living = entries[0].get("x")
         if living is not None and not living.ended:
-            self.test.assertFalse([end for end in told if end >= living.counter])
-        followed = self.followed
-        if followed is not None and len(self.holds) >= 2 and not [end for end in self.ends if end > followed.counter]:
+            self.test.assertFalse([end for end in acknowledged_ends if end >= living.counter])
+        followed = self.latest_follow
+        if (
+            followed is not None
+            and len(self.members_with_latest) >= 2
+            and not [end for end in self.end_counters if end > followed.counter]
+        ):
             if self.now - followed.followed_at <= followed.lasts:
-                self.test.assertTrue(all(held.lives(self.now, "x") for held in registries))
+                self.test.assertTrue(all(held.is_live(self.now, "x") for held in registries))
 
 
 class StoredSubscriptionsTest(unittest.TestCase):
@@ -245,10 +251,10 @@
                 for _ in range(3 * hours + 1):
                     history.step("refresh", [2])
                     history.step(str(20 * MINUTE), [0])
-                self.assertTrue(all(history.living(place) for place in (1, 2)))  # nobody there has heard
+                self.assertTrue(all(history.living(number) for number in (1, 2)))  # nobody there has heard
                 history.step(back, [0])
                 history.finish()
-                self.assertFalse(any(history.living(place) for place in range(3)))
+                self.assertFalse(any(history.living(number) for number in range(3)))
 
     def test_a_sleep_in_pieces_is_one_sleep(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -277,29 +283,29 @@
                 member = self.member()
                 assert member.registry is not None
                 member.registry.follow(NOW, "x", "has id")
-                member.changed(NOW)
+                member.write_changes(NOW)
                 begun = NOW + away
                 found = member.start(begun)
-                self.assertTrue(found.lives(begun + lives, "x"))
-                self.assertFalse(found.lives(begun + lives + 1, "x"))
-                member.keeper.look(begun, 0)
+                self.assertTrue(found.is_live(begun + lives, "x"))
+                self.assertFalse(found.is_live(begun + lives + 1, "x"))
+                member.store.write_due_changes(begun, 0)
                 ended = begun + lives + 5 * SECOND
-                member.keeper.look(ended, DEFAULT_LIFETIME)
-                self.assertFalse(member.start(ended).lives(ended, "x"))
+                member.store.write_due_changes(ended, DEFAULT_LIFETIME)
+                self.assertFalse(member.start(ended).is_live(ended, "x"))
                 os.unlink(member.path)
 
     def test_a_jump_of_the_clock_neither_ends_nor_keeps_what_is_followed(self) -> None:
         for by in (3 * HOUR, -3 * HOUR):
             held = Registry("n0", NOW)
             held.follow(NOW, "x", "has id")
-            held.stepped(by)
+            held.correct_clock_jump(by)
             now = NOW + by
-            self.assertTrue(held.lives(now + DEFAULT_LIFETIME, "x"))
-            self.assertFalse(held.lives(now + DEFAULT_LIFETIME + 1, "x"))
-            before = held.followed(now + MINUTE, "x").followed_at
+            self.assertTrue(held.is_live(now + DEFAULT_LIFETIME, "x"))
+            self.assertFalse(held.is_live(now + DEFAULT_LIFETIME + 1, "x"))
+            before = held.renew(now + MINUTE, "x").followed_at
             self.assertGreaterEqual(before, NOW + MINUTE)  # moves on for the others, too
-            self.assertTrue(held.lives(now + MINUTE + DEFAULT_LIFETIME, "x"))
-            self.assertFalse(held.lives(now + MINUTE + DEFAULT_LIFETIME + 1, "x"))
+            self.assertTrue(held.is_live(now + MINUTE + DEFAULT_LIFETIME, "x"))
+            self.assertFalse(held.is_live(now + MINUTE + DEFAULT_LIFETIME + 1, "x"))
             held.follow(now + HOUR, "x", "has id")
             self.assertEqual(held.age(now + HOUR, "x"), 0)
 
@@ -311,7 +317,7 @@
         self.assertEqual((found.epoch, found.age(NOW, "x")), (NOW // EPOCH_LENGTH, MINUTE))
         other = Registry("n1", NOW)
         other.entries = {name: Entry(NOW - MINUTE, "n1", False, "has age", NOW - MINUTE) for name in ("x", "y")}
-        self.assertIs(other.merge(NOW, found.epoch, found.entries.items()), Verdict.JOINED)
+        self.assertIs(other.merge(NOW, found.epoch, found.entries.items()), MergeResult.MERGED)
         self.assertEqual((other.entries["x"].filter, other.entries["y"].ended), ("has age", True))
 
     def test_a_member_that_was_down_too_long_keeps_ends_alone(self) -> None:
@@ -320,7 +326,7 @@
         for name in ("x", "y"):
             member.registry.follow(NOW, name, "has id")
         member.registry.end(NOW, "y")
-        member.changed(NOW)
+        member.write_changes(NOW)
         found = member.start(NOW + (MAX_EPOCHS_AWAY + 1) * EPOCH_LENGTH)
         self.assertEqual((list(found.entries), found.epoch), (["y"], NOW // EPOCH_LENGTH + MAX_EPOCHS_AWAY + 1))
         found.tick(NOW + (TOMBSTONE_EPOCHS + 1) * EPOCH_LENGTH, with_majority=True)
@@ -328,21 +334,21 @@
 
     def test_a_cursor_or_a_word_from_the_subscriber_costs_no_write_and_an_hour_few(self) -> None:
         member = self.member()
-        held, keeper = member.registry, member.keeper
+        held, store = member.registry, member.store
         assert held is not None
         held.follow(NOW, "x", "has id")
-        member.changed(NOW)
-        writes = keeper.writes
-        held.followed(NOW + 1, "x")
-        member.changed(NOW + 1)
-        self.assertEqual(keeper.writes, writes)
+        member.write_changes(NOW)
+        writes = store.write_count
+        held.renew(NOW + 1, "x")
+        member.write_changes(NOW + 1)
+        self.assertEqual(store.write_count, writes)
         for second in range(3600):
             now = NOW + second * SECOND
             held.tick(now, with_majority=True)
-            if held.due(now, "x"):
-                held.followed(now, "x")
-            keeper.look(now, now)
-        self.assertLessEqual(keeper.writes - writes, 5)
+            if held.renewal_due(now, "x"):
+                held.renew(now, "x")
+            store.write_due_changes(now, now)
+        self.assertLessEqual(store.write_count - writes, 5)
         self.assertEqual(decode_pages(self.data(member)).entries, held.entries)  # type: ignore[union-attr]
 
     def test_the_file_is_bounded_and_a_spoilt_one_is_one_error(self) -> None:
@@ -351,7 +357,7 @@
         assert held is not None
         for turn in range(3000):
             held.follow(NOW + turn, "x", f'id = "{"a" * 200}"')
-            member.changed(NOW + turn)
+            member.write_changes(NOW + turn)
         self.assertLess(os.path.getsize(member.path), subscription_store.MIN_GROWTH_BYTES + 2000)
         data = self.data(member)
         self.assertEqual(decode_pages(data).entries, held.entries)  # type: ignore[union-attr]
@@ -359,47 +365,47 @@
             file.write(data + encode_pages(NOW, 0, [("y", held.entries["x"])])[:-1])
         self.assertEqual(list(member.start(NOW).entries), ["x"])
         self.assertEqual(len(self.data(member)), len(encode_pages(NOW, held.epoch, held.entries.items())))
-        for place in (0, 3, 30, len(data) // 2, len(data) - 1):
+        for number in (0, 3, 30, len(data) // 2, len(data) - 1):
             spoilt = bytearray(data)
-            spoilt[place] ^= 0xA5
+            spoilt[number] ^= 0xA5
             with open(member.path, "wb") as file:
                 file.write(spoilt)
             with mock.patch.object(logger, "error") as error:
                 found = member.start(NOW)
-            self.assertEqual((found.entries, error.call_count), ({}, 1), place)
+            self.assertEqual((found.entries, error.call_count), ({}, 1), number)
             self.assertIn("CW740", error.call_args[0][0])
             found.follow(NOW, "z", "has id")
-            member.changed(NOW)
+            member.write_changes(NOW)
             self.assertEqual(list(decode_pages(self.data(member)).entries), ["z"])  # type: ignore[union-attr]
 
     def test_a_write_that_fails_is_one_trouble_and_is_made_again_whole(self) -> None:
         member = self.member()
-        held, keeper = member.registry, member.keeper
+        held, store = member.registry, member.store
         assert held is not None
         held.follow(NOW, "x", "has id")
-        member.changed(NOW)
+        member.write_changes(NOW)
         with mock.patch.object(subscription_store, "open", create=True, side_effect=OSError(28, "full")):
             held.end(NOW + 1, "x")
-            member.changed(NOW + 1)
-            keeper.look(NOW + 1, NOW + 1)
-        self.assertEqual(keeper.counters.counts["warning: the subscriptions are not saved"], 2)
-        keeper.look(NOW + 2 * SECOND, NOW + 2 * SECOND)
+            member.write_changes(NOW + 1)
+            store.write_due_changes(NOW + 1, NOW + 1)
+        self.assertEqual(store.counters.counts["warning: the subscriptions are not saved"], 2)
+        store.write_due_changes(NOW + 2 * SECOND, NOW + 2 * SECOND)
         self.assertTrue(decode_pages(self.data(member)).entries["x"].ended)  # type: ignore[union-attr]
-        keeper.close(NOW)
+        store.close(NOW)
         held.follow(NOW + 2, "x", "has id")  # the folder is another process's
-        member.changed(NOW + 2)
+        member.write_changes(NOW + 2)
         self.assertTrue(decode_pages(self.data(member)).entries["x"].ended)  # type: ignore[union-attr]
 
     def test_a_life_told_by_the_last_member_holds_at_all_and_a_shorter_one_at_once(self) -> None:
         one, other = Registry("n0", NOW, MINUTE), Registry("n1", NOW, MAX_LIFETIME)
         one.follow(NOW, "x", "has id")
         other.merge(NOW, one.epoch, one.entries.items())
-        self.assertEqual([held.lives(NOW + MINUTE + 1, "x") for held in (one, other)], [False, False])
-        one.lasts = HOUR  # by SIGHUP
-        self.assertTrue(one.due(NOW, "x"))
-        one.followed(NOW + 1, "x")
+        self.assertEqual([held.is_live(NOW + MINUTE + 1, "x") for held in (one, other)], [False, False])
+        one.lifetime = HOUR  # by SIGHUP
+        self.assertTrue(one.renewal_due(NOW, "x"))
+        one.renew(NOW + 1, "x")
         other.merge(NOW + 1, one.epoch, one.entries.items())
-        self.assertEqual([held.lives(NOW + HOUR, "x") for held in (one, other)], [True, True])
+        self.assertEqual([held.is_live(NOW + HOUR, "x") for held in (one, other)], [True, True])
         for lasts in (registry.MIN_LIFETIME - 1, MAX_LIFETIME + 1):
             other.merge(NOW, one.epoch, [("y", Entry(NOW, "n0", False, "has id", NOW, lasts))])
         self.assertNotIn("y", other.entries)
@@ -411,23 +417,23 @@
             return file.read()
 
 
-class Restarted(Net):
+class RestartedNetwork(FakeNetwork):
     """Members over folders that outlive them; the boots of all are newer than of the last."""
 
-    def __init__(self, folder: str, boot: int, but: tuple[str, ...] = ()) -> None:
+    def __init__(self, folder: str, incarnation: int, stopped: tuple[str, ...] = ()) -> None:
         super().__init__()
-        self.gates = {name: PeerVerifier("g", name, 100 * boot, NAMES) for name in NAMES}
+        self.verifiers = {name: PeerVerifier("g", name, 100 * incarnation, NAMES) for name in NAMES}
         self.members = {
-            name: Exchange(name, gate, Counters(), self.caller(name), os.path.join(folder, name))
-            for name, gate in self.gates.items()
+            name: Exchange(name, verifier, Counters(), self.caller(name), os.path.join(folder, name))
+            for name, verifier in self.verifiers.items()
         }
-        self.down = set(but)
+        self.down = set(stopped)
         for name, member in self.members.items():
             FleetFiles(os.path.join(folder, name))
-            member._load() if boot == 1 else None
+            member._load_server() if incarnation == 1 else None
             for other in NAMES:
-                if other != name and other not in but:
-                    self.gates[name].check(self.gates[other].peer_message(name, Cursors("", ())))
+                if other != name and other not in stopped:
+                    self.verifiers[name].check(self.verifiers[other].peer_message(name, Cursors("", ())))
 
 
 def lines(subscriber: Subscriber) -> list[dict[str, Any]]:
@@ -444,67 +450,73 @@
         self.folder = made.name
 
     def test_a_subscriber_goes_on_after_a_restart_of_all(self) -> None:
-        net = Restarted(self.folder, 1)
-        before = Subscriber(net)
+        network = RestartedNetwork(self.folder, 1)
+        before = Subscriber(network)
         before.follow("n0")
-        net.ready()
-        net.turn(10)
+        network.wait_until_evaluated()
+        network.run_rounds(10)
         for name in NAMES:
-            net.happens(name)
-        net.turn(10)
-        before.take()
+            network.publish_event(name)
+        network.run_rounds(10)
+        before.read_lines()
         self.assertEqual(before.cursors, dict.fromkeys(("n0-100", "n1-100", "n2-100"), 1))
-        net = Restarted(self.folder, 2, but=("n2",))
-        for member in net.members.values():
-            member.begin()  # evaluates before the first event, and before anybody follows again
-        net.happens("n1")
-        net.turn(15)  # each has asked n0 for the subscriber, in vain
-        after = Subscriber(net)
+        network = RestartedNetwork(self.folder, 2, stopped=("n2",))
+        for member in network.members.values():
+            member.compile_stored()  # evaluates before the first event, and before anybody follows again
+        network.publish_event("n1")
+        network.run_rounds(15)  # each has asked n0 for the subscriber, in vain
+        after = Subscriber(network)
         after.cursors = dict(before.cursors)
         after.follow("n1")
-        net.turn(5)
+        network.run_rounds(5)
         ended = [each for each in lines(after) if each["type"] == "ended"]
         self.assertEqual([(each["source"], each["after"]) for each in ended], [("n0-100", 1), ("n1-100", 1)])
         self.assertEqual({each["source"] for each in lines(after) if each["type"] == "from"}, {"n0-200", "n1-200"})
-        net.down.clear()  # one that comes later
+        network.down.clear()  # one that comes later
         for name in ("n0", "n1"):
-            net.gates[name].check(net.gates["n2"].peer_message(name, Cursors("", ())))
-        net.turn(10)
-        net.happens("n2")
-        net.turn(10)
-        told = lines(after)
-        self.assertIn(("n2-100", 1), [(each["source"], each["after"]) for each in told if each["type"] == "ended"])
+            network.verifiers[name].check(network.verifiers["n2"].peer_message(name, Cursors("", ())))
+        network.run_rounds(10)
+        network.publish_event("n2")
+        network.run_rounds(10)
+        acknowledged_ends = lines(after)
+        self.assertIn(
+            ("n2-100", 1), [(each["source"], each["after"]) for each in acknowledged_ends if each["type"] == "ended"]
+        )
         self.assertEqual(
-            {(each["source"], each["number"]) for each in told if each["type"] == "from"},
+            {(each["source"], each["number"]) for each in acknowledged_ends if each["type"] == "from"},
             {(f"{name}-200", 1) for name in NAMES},
         )
         self.assertEqual(
-            [(each["event"]["source"], each["event"]["number"]) for each in told if each["type"] == "match"],
+            [
+                (each["event"]["source"], each["event"]["number"])
+                for each in acknowledged_ends
+                if each["type"] == "match"
+            ],
             [("n1-200", 1), ("n2-200", 1)],
         )
 
     def test_an_end_that_was_answered_is_known_after_a_restart_of_all_but_who_told_it(self) -> None:
-        net = Restarted(self.folder, 1)
-        Subscriber(net).follow("n0")
-        net.ready()
-        self.assertEqual(net.members["n0"].answer(Call("UNFOLLOW", "desk")), "YES desk ended\n")
-        for but in (("n0", "n1"), ("n1", "n2"), ("n0", "n2")):
-            net = Restarted(self.folder, 2, but)
-            net.turn(20)
+        network = RestartedNetwork(self.folder, 1)
+        Subscriber(network).follow("n0")
+        network.wait_until_evaluated()
+        self.assertEqual(network.members["n0"].handle_call(Call("UNFOLLOW", "desk")), "YES desk ended\n")
+        for stopped in (("n0", "n1"), ("n1", "n2"), ("n0", "n2")):
+            network = RestartedNetwork(self.folder, 2, stopped)
+            network.run_rounds(20)
             for name in NAMES:
-                net.members[name]._load()
-                self.assertRaises(registry.NotFollowedError, net.members[name].answer, Call("FOLLOW", "desk"))
+                network.members[name]._load_server()
+                self.assertRaises(registry.NotFollowedError, network.members[name].handle_call, Call("FOLLOW", "desk"))
 
     def test_another_follow_s_holds_for_who_is_connected(self) -> None:
-        net = Restarted(self.folder, 1)
-        Subscriber(net).follow("n0")
-        net.members["n0"].set_lifetime(MINUTE)
-        net.turn(30)
-        self.assertEqual({member.registry.entries["desk"].lasts for member in net.members.values()}, {MINUTE})
-        net.members["n0"].stop()
+        network = RestartedNetwork(self.folder, 1)
+        Subscriber(network).follow("n0")
+        network.members["n0"].set_lifetime(MINUTE)
+        network.run_rounds(30)
+        self.assertEqual({member.registry.entries["desk"].lasts for member in network.members.values()}, {MINUTE})
+        network.members["n0"].stop()
         now = exchange.wall_time()
-        self.assertEqual(Restarted(self.folder, 2).members["n0"].registry.entries["desk"].lasts, MINUTE)
-        self.assertFalse(net.members["n2"].registry.lives(now + 2 * MINUTE, "desk"))
+        self.assertEqual(RestartedNetwork(self.folder, 2).members["n0"].registry.entries["desk"].lasts, MINUTE)
+        self.assertFalse(network.members["n2"].registry.is_live(now + 2 * MINUTE, "desk"))
 
 
 if __name__ == "__main__":
--- a/tests/events/test_subscriptions.py
+++ b/tests/events/test_subscriptions.py
@@ -13,11 +13,11 @@
     MAX_EPOCHS_AWAY,
     TOMBSTONE_EPOCHS,
     Entry,
+    MergeResult,
     Registry,
-    Verdict,
-    join,
+    newer_entry,
 )
-from cedarwick.events.streams import From, Gap, Inbox, Item, Match, Outbox, Source
+from cedarwick.events.streams import EvaluationStart, Gap, Inbox, Item, Match, Outbox, Source
 
 NOW = 500_000 * EPOCH_LENGTH
 MINUTE = 60_000_000
@@ -34,15 +34,15 @@
 DRAWN = settings(derandomize=True, max_examples=200, deadline=None)
 
 
-def tell(giver: Registry, taker: Registry, now: int) -> Verdict:
-    return taker.merge(now, giver.epoch, giver.entries.items())
+def send_entries(sender: Registry, receiver: Registry, now: int) -> MergeResult:
+    return receiver.merge(now, sender.epoch, sender.entries.items())
 
 
 def pair(now: int = NOW) -> tuple[Registry, Registry]:
     """Two members that both know a subscription 'x', which was followed at the second."""
     elm, fir = Registry("elm", now), Registry("fir", now)
     fir.follow(now, "x", "has id")
-    tell(fir, elm, now)
+    send_entries(fir, elm, now)
     return elm, fir
 
 
@@ -51,9 +51,9 @@
     @given(st.lists(ENTRIES, min_size=3, max_size=5))
     def test_the_join_is_commutative_associative_and_idempotent(self, entries: list[Entry]) -> None:
         one, two, three, *_ = entries
-        self.assertEqual(join(one, two), join(two, one))
-        self.assertEqual(join(join(one, two), three), join(one, join(two, three)))
-        self.assertEqual(join(one, one), one)
+        self.assertEqual(newer_entry(one, two), newer_entry(two, one))
+        self.assertEqual(newer_entry(newer_entry(one, two), three), newer_entry(one, newer_entry(two, three)))
+        self.assertEqual(newer_entry(one, one), one)
         ends = set()
         for order in itertools.permutations(entries[:3]):
             held = Registry("elm", NOW)
@@ -63,7 +63,7 @@
         self.assertEqual(len(ends), 1)
 
     def test_an_ended_subscription_does_not_come_back_with_a_sleeper(self) -> None:
-        for slept in (
+        for away in (
             MINUTE,
             MAX_EPOCHS_AWAY * EPOCH_LENGTH,
             (MAX_EPOCHS_AWAY + 1) * EPOCH_LENGTH,
@@ -71,38 +71,42 @@
         ):
             elm, fir = pair()
             ended = NOW + EPOCH_LENGTH
-            elm.followed(ended - 1, "x")
+            elm.renew(ended - 1, "x")
             elm.end(ended, "x")
-            now = ended + slept
+            now = ended + away
             for hour in range(ended, now + 1, EPOCH_LENGTH):
                 elm.tick(hour, with_majority=True)
                 fir.tick(hour, with_majority=False)
                 if hour - ended < EPOCH_LENGTH:
-                    fir.followed(hour, "x")
+                    fir.renew(hour, "x")
             fir.entries["x"] = Entry(NOW, "fir", False, "has id", now)  # followed there all the time, cut off
-            self.assertEqual("x" in elm.entries, slept <= TOMBSTONE_EPOCHS * EPOCH_LENGTH)
-            verdict = tell(fir, elm, now)
-            self.assertEqual(verdict is Verdict.JOINED, slept < MAX_EPOCHS_AWAY * EPOCH_LENGTH)
-            self.assertNotIn("x", elm.living(now))
-            self.assertEqual(tell(elm, fir, now) is Verdict.BEHIND, verdict is Verdict.AWAY)
+            self.assertEqual("x" in elm.entries, away <= TOMBSTONE_EPOCHS * EPOCH_LENGTH)
+            result = send_entries(fir, elm, now)
+            self.assertEqual(result is MergeResult.MERGED, away < MAX_EPOCHS_AWAY * EPOCH_LENGTH)
+            self.assertNotIn("x", elm.live_entries(now))
+            self.assertEqual(
+                send_entries(elm, fir, now) is MergeResult.RECEIVER_OUTDATED, result is MergeResult.SENDER_OUTDATED
+            )
             lost = fir.tick(now, with_majority=True)
-            self.assertEqual(lost, ["x"] if verdict is Verdict.AWAY else [])
-            self.assertEqual((tell(elm, fir, now), tell(fir, elm, now)), (Verdict.JOINED, Verdict.JOINED))
-            self.assertFalse({*elm.living(now), *fir.living(now)})
+            self.assertEqual(lost, ["x"] if result is MergeResult.SENDER_OUTDATED else [])
+            self.assertEqual(
+                (send_entries(elm, fir, now), send_entries(fir, elm, now)), (MergeResult.MERGED, MergeResult.MERGED)
+            )
+            self.assertFalse({*elm.live_entries(now), *fir.live_entries(now)})
 
     def test_what_nobody_follows_ends_everywhere_and_a_follower_keeps_it(self) -> None:
         elm, fir = pair()
         later = NOW + DEFAULT_LIFETIME
-        self.assertIn("x", elm.living(later))
-        self.assertFalse({*elm.living(later + 1), *fir.living(later + 1)})
+        self.assertIn("x", elm.live_entries(later))
+        self.assertFalse({*elm.live_entries(later + 1), *fir.live_entries(later + 1)})
         with self.assertRaises(registry.NotFollowedError):
-            elm.followed(later + 1, "x")
-        fir.followed(later, "x")
-        fir.followed(NOW, "x")  # a clock that steps back takes nothing away
-        tell(fir, elm, later)
-        self.assertIn("x", elm.living(later + DEFAULT_LIFETIME))
+            elm.renew(later + 1, "x")
+        fir.renew(later, "x")
+        fir.renew(NOW, "x")  # a clock that steps back takes nothing away
+        send_entries(fir, elm, later)
+        self.assertIn("x", elm.live_entries(later + DEFAULT_LIFETIME))
         fir.follow(later + DEFAULT_LIFETIME + 1, "x", "has id")  # it ended, and begins anew
-        self.assertIn("x", fir.living(later + DEFAULT_LIFETIME + 1))
+        self.assertIn("x", fir.live_entries(later + DEFAULT_LIFETIME + 1))
         for hour in range((TOMBSTONE_EPOCHS + 2) * 4):
             elm.follow(NOW + hour * EPOCH_LENGTH // 4, "y", "has id")
         elm.tick(NOW + hour * EPOCH_LENGTH // 4, with_majority=False)
@@ -116,13 +120,13 @@
     def test_a_late_word_of_an_old_follower_does_not_revive_an_old_filter(self) -> None:
         elm, fir = pair()
         elm.follow(NOW, "x", "has age")  # the same moment: one of the two is newer, the same one everywhere
-        fir.followed(NOW + MINUTE, "x")
-        tell(fir, elm, NOW + MINUTE)
-        tell(elm, fir, NOW + MINUTE)
+        fir.renew(NOW + MINUTE, "x")
+        send_entries(fir, elm, NOW + MINUTE)
+        send_entries(elm, fir, NOW + MINUTE)
         self.assertEqual((elm.entries, elm.entries["x"].filter), (fir.entries, "has age"))
         blank = Registry("elm", NOW + MINUTE)  # it has forgotten everything, and yet is newer
         blank.follow(NOW + MINUTE, "x", "has wait")
-        tell(blank, fir, NOW + MINUTE)
+        send_entries(blank, fir, NOW + MINUTE)
         self.assertEqual(fir.entries["x"].filter, "has wait")
 
     def test_clocks_that_are_off_and_unsound_entries_are_refused(self) -> None:
@@ -132,7 +136,7 @@
             (elm.epoch, Entry(NOW, "fir", False, "has id", NOW + MAX_CLOCK_SKEW + 1)),
             (elm.epoch + 1, Entry(NOW, "fir", False, "has id", NOW)),
         ]:
-            self.assertIs(elm.merge(NOW, epoch, [("x", entry)]), Verdict.AHEAD)
+            self.assertIs(elm.merge(NOW, epoch, [("x", entry)]), MergeResult.CLOCK_SKEWED)
         good = Entry(NOW, "fir", False, "has id", NOW)
         old = Entry(NOW - (TOMBSTONE_EPOCHS + 1) * EPOCH_LENGTH, "fir", True, "has id", 0)
         bad = [
@@ -141,7 +145,7 @@
             ("x", Entry(NOW, "fir", False, "é" * 2049, NOW)),
             ("x", old),
         ]
-        self.assertIs(elm.merge(NOW, elm.epoch, bad), Verdict.JOINED)
+        self.assertIs(elm.merge(NOW, elm.epoch, bad), MergeResult.MERGED)
         self.assertEqual(elm.entries, {})
         with self.assertRaises(registry.SubscriptionNameError):
             elm.follow(NOW, "x y", "has id")
@@ -156,16 +160,16 @@
         elm.follow(NOW + 1, "n1", "has age")
 
 
-def source(most: int = 4) -> tuple[Source, Outbox]:
-    made = Source("elm.1")
-    made.evaluate({"x": Entry(1, "elm", False, "shots > 0", 1)})
-    box = made.outboxes["x"] = Outbox("elm.1", 1, most)
-    return made, box
+def make_source(max_waiting: int = 4) -> tuple[Source, Outbox]:
+    source_ = Source("elm.1")
+    source_.set_subscriptions({"x": Entry(1, "elm", False, "shots > 0", 1)})
+    outbox = source_.outboxes["x"] = Outbox("elm.1", 1, max_waiting)
+    return source_, outbox
 
 
-def happen(made: Source, *attempts: int) -> None:
+def publish_attempts(source_: Source, *attempts: int) -> None:
     for each in attempts:
-        made.publish(0, "nacked", {"shots": each})
+        source_.publish(0, "nacked", {"shots": each})
 
 
 def numbers(items: list[Item]) -> list[Any]:
@@ -176,96 +180,104 @@
     @DRAWN
     @given(st.lists(st.sampled_from(STEPS), max_size=60))
     def test_each_match_comes_once_in_order_or_in_a_counted_gap(self, steps: list[str]) -> None:
-        made, box = source(most=3)
+        source_, outbox = make_source(max_waiting=3)
         inbox, old, given, matched = Inbox(), list[Item](), list[Item](), list[int]()
         for step in [*steps, "give", "give", "give"]:
             if step in ("match", "other"):
-                matched += [made.next_number] * (step == "match")
-                happen(made, int(step == "match"))
+                matched += [source_.next_number] * (step == "match")
+                publish_attempts(source_, int(step == "match"))
                 continue
-            offered = box.offer()
+            offered = outbox.offer()
             if step == "elsewhere":  # what the last inbox passed on was seen; the answer to the source was lost
-                inbox = Inbox(streams.decoded(streams.encoded("x", inbox.cursors))[1])
+                inbox = Inbox(streams.decode_cursors(streams.encode_cursors("x", inbox.cursors))[1])
             if step != "lose":
                 given += inbox.receive("elm.1", old if step == "late" else offered)
                 given += inbox.receive("elm.1", offered if step == "twice" else [])
             if step in ("give", "twice"):
-                box.seen(inbox.cursors["elm.1"])
+                outbox.acknowledge(inbox.cursors["elm.1"])
             old = offered
         seen = [item.event.number for item in given if isinstance(item, Match)]
         gaps = [item for item in given if isinstance(item, Gap)]
         self.assertEqual(seen, sorted(set(seen)))
-        self.assertEqual(given.count(From("elm.1", 1)), 1)
+        self.assertEqual(given.count(EvaluationStart("elm.1", 1)), 1)
         missed = [number for number in matched if number not in seen]
-        told = [[number for number in missed if gap.first <= number <= gap.last] for gap in gaps]
+        reported = [[number for number in missed if gap.first <= number <= gap.last] for gap in gaps]
         self.assertEqual(
-            [(gap.count, gap.first, gap.last) for gap in gaps], [(len(each), each[0], each[-1]) for each in told]
+            [(gap.count, gap.first, gap.last) for gap in gaps], [(len(each), each[0], each[-1]) for each in reported]
         )
-        self.assertEqual(sum(told, []), missed)
+        self.assertEqual(sum(reported, []), missed)
         self.assertEqual([streams.position(item) for item in given], sorted(streams.position(item) for item in given))
 
     def test_a_full_buffer_tells_a_gap_in_the_place_of_the_oldest(self) -> None:
-        made, box = source(most=2)
-        happen(made, 1, 0, 1, 1, 0, 1)
-        self.assertEqual(numbers(box.offer()), [From("elm.1", 1), Gap("elm.1", 1, 3, 2), 4, 6])
-        happen(made, 1, 1, 1)
-        self.assertEqual(len(box.offer()), 4)  # what was offered stays as it is
-        box.seen(4)
-        self.assertEqual(numbers(box.offer()), [6])
-        box.seen(6)
-        self.assertEqual(numbers(box.offer()), [Gap("elm.1", 7, 7, 1), 8, 9])
-        box.seen(10**9)
-        self.assertEqual(box.offer(), [])
-        happen(made, 1)
-        self.assertEqual(numbers(box.offer()), [10])
+        source_, outbox = make_source(max_waiting=2)
+        publish_attempts(source_, 1, 0, 1, 1, 0, 1)
+        self.assertEqual(numbers(outbox.offer()), [EvaluationStart("elm.1", 1), Gap("elm.1", 1, 3, 2), 4, 6])
+        publish_attempts(source_, 1, 1, 1)
+        self.assertEqual(len(outbox.offer()), 4)  # what was offered stays as it is
+        outbox.acknowledge(4)
+        self.assertEqual(numbers(outbox.offer()), [6])
+        outbox.acknowledge(6)
+        self.assertEqual(numbers(outbox.offer()), [Gap("elm.1", 7, 7, 1), 8, 9])
+        outbox.acknowledge(10**9)
+        self.assertEqual(outbox.offer(), [])
+        publish_attempts(source_, 1)
+        self.assertEqual(numbers(outbox.offer()), [10])
 
     def test_a_buffer_is_bounded_in_bytes(self) -> None:
-        made, box = source(most=1000)
-        box.most_bytes = 2000
+        source_, outbox = make_source(max_waiting=1000)
+        outbox.max_waiting_bytes = 2000
         for _ in range(100):
-            made.publish(0, "nacked", {"shots": 1, "id": "x" * 256})
-        self.assertLessEqual((len(box.waiting), box.bytes), (2, 2000))
-        self.assertEqual(box.bytes, sum(size for _, size in box.waiting))
-        self.assertEqual(box.gap and box.gap.count, 100 - len(box.waiting))
-        box.offer()
-        self.assertEqual(box.bytes, 0)
+            source_.publish(0, "nacked", {"shots": 1, "id": "x" * 256})
+        self.assertLessEqual((len(outbox.waiting), outbox.waiting_bytes), (2, 2000))
+        self.assertEqual(outbox.waiting_bytes, sum(size for _, size in outbox.waiting))
+        self.assertEqual(outbox.gap and outbox.gap.count, 100 - len(outbox.waiting))
+        outbox.offer()
+        self.assertEqual(outbox.waiting_bytes, 0)
 
     def test_a_window_is_bounded(self) -> None:
-        made, box = source(most=1000)
-        happen(made, *[1] * 2 * streams.WINDOW)
-        self.assertEqual(len(box.offer()), streams.WINDOW)
+        source_, outbox = make_source(max_waiting=1000)
+        publish_attempts(source_, *[1] * 2 * streams.WINDOW)
+        self.assertEqual(len(outbox.offer()), streams.WINDOW)
 
     def test_a_source_says_from_which_number_on_it_evaluates(self) -> None:
-        made = Source("elm.1")
-        happen(made, 1, 1)
+        source_ = Source("elm.1")
+        publish_attempts(source_, 1, 1)
         entry = Entry(1, "elm", False, "shots > 0", 1)
-        made.evaluate({"x": entry, "y": Entry(1, "elm", False, "shots of a newer kind", 1)})
-        self.assertEqual(set(made.unread), {"y"})
-        self.assertEqual(made.evaluate({"x": entry, "y": entry}), {})
-        happen(made, 0, 1)
-        self.assertEqual(numbers(made.outboxes["x"].offer()), [From("elm.1", 3), 4])
-        made.evaluate({"x": Entry(2, "fir", False, "shots > 0", 2)})  # the subscriber is elsewhere now: the box stays
-        self.assertEqual((len(made.outboxes["x"].offer()), made.unread), (2, {}))
-        made.evaluate({"x": Entry(3, "fir", False, "shots > 1", 2)})
-        self.assertEqual(numbers(made.outboxes["x"].offer()), [From("elm.1", 5)])
-        made.evaluate({})
-        self.assertEqual((made.publish(0, "nacked", {"shots": 9}), made.outboxes, len(made.index)), ([], {}, 0))
+        source_.set_subscriptions({"x": entry, "y": Entry(1, "elm", False, "shots of a newer kind", 1)})
+        self.assertEqual(set(source_.failed_filters), {"y"})
+        self.assertEqual(source_.set_subscriptions({"x": entry, "y": entry}), {})
+        publish_attempts(source_, 0, 1)
+        self.assertEqual(numbers(source_.outboxes["x"].offer()), [EvaluationStart("elm.1", 3), 4])
+        source_.set_subscriptions(
+            {"x": Entry(2, "fir", False, "shots > 0", 2)}
+        )  # the subscriber is elsewhere now: the box stays
+        self.assertEqual((len(source_.outboxes["x"].offer()), source_.failed_filters), (2, {}))
+        source_.set_subscriptions({"x": Entry(3, "fir", False, "shots > 1", 2)})
+        self.assertEqual(numbers(source_.outboxes["x"].offer()), [EvaluationStart("elm.1", 5)])
+        source_.set_subscriptions({})
+        self.assertEqual(
+            (source_.publish(0, "nacked", {"shots": 9}), source_.outboxes, len(source_.index)), ([], {}, 0)
+        )
 
     def test_an_inbox_passes_on_news_of_its_own_sources_alone(self) -> None:
         inbox = Inbox({"elm.1": 5})
-        self.assertEqual(inbox.receive("elm.1", [From("elm.1", 6), Gap("elm.1", 2, 5, 3)]), [])
-        self.assertEqual(inbox.receive("elm.1", [From("elm.1", 9)]), [From("elm.1", 9)])  # 6 to 8 are not known of
-        self.assertEqual(inbox.receive("elm.1", [From("fir.1", 20)]), [])
+        self.assertEqual(inbox.receive("elm.1", [EvaluationStart("elm.1", 6), Gap("elm.1", 2, 5, 3)]), [])
+        self.assertEqual(
+            inbox.receive("elm.1", [EvaluationStart("elm.1", 9)]), [EvaluationStart("elm.1", 9)]
+        )  # 6 to 8 are not known of
+        self.assertEqual(inbox.receive("elm.1", [EvaluationStart("fir.1", 20)]), [])
         self.assertEqual((inbox.cursors, inbox.dropped), ({"elm.1": 8}, 3))
-        self.assertEqual((inbox.end("elm.1"), inbox.end("elm.1")), ([streams.Ended("elm.1", 8)], []))
+        self.assertEqual(
+            (inbox.end_source("elm.1"), inbox.end_source("elm.1")), ([streams.SourceEnded("elm.1", 8)], [])
+        )
         for number in range(streams.MAX_SOURCES + 9):
-            inbox.receive(f"s.{number}", [From(f"s.{number}", 1)])
+            inbox.receive(f"s.{number}", [EvaluationStart(f"s.{number}", 1)])
         self.assertEqual(len(inbox.cursors), streams.MAX_SOURCES)
 
     def test_cursors_are_read_as_they_were_told(self) -> None:
         held = {"elm.1": 0, "fir.22": (1 << 63) - 1}
-        self.assertEqual(streams.decoded(streams.encoded("x", held)), ("x", held))
-        self.assertEqual(streams.decoded("x"), ("x", {}))
+        self.assertEqual(streams.decode_cursors(streams.encode_cursors("x", held)), ("x", held))
+        self.assertEqual(streams.decode_cursors("x"), ("x", {}))
         many = " ".join(f"s{n}:1" for n in range(257))
         for text in (
             "",
@@ -282,4 +294,4 @@
             "x" * 40_000,
         ):
             with self.subTest(text[:20]), self.assertRaises(streams.InvalidCursorsError):
-                streams.decoded(text)
+                streams.decode_cursors(text)
