--- a/cedarwick/events/anti_entropy.py
+++ b/cedarwick/events/anti_entropy.py
@@ -1,8 +1,9 @@
-"""Reconciles the registries of two members: first by digests, then by whole buckets that differ. No I/O.
+"""Anti-entropy between the registries of two members: compares digests, then exchanges the buckets that differ. No I/O.
 
-Names are hashed into buckets. Two members compare one digest of everything; if it differs, one answers with the digests
-of its buckets, and the other asks for some that differ and sends its own (one level of a hash tree). Merging entries is
-idempotent and commutative, so messages may be repeated, late or lost. Used by `exchange.py`; sizes are in bytes.
+Subscriptions are hashed by name into buckets. Two members compare a digest of their whole registries; if it differs,
+one answers with the digests of its buckets, and the other requests some of those that differ and sends its own
+contents of them (a hash tree of one level). Merging entries is idempotent and commutative, so messages may be repeated,
+delayed or lost. Used by `exchange.py`; sizes are in bytes.
 """
 
 from collections.abc import Iterable
@@ -14,14 +15,14 @@
 from cedarwick.fleet.messages import MOST_ENTRIES, Subscribe
 
 BUCKETS = 256
-ENTRIES_BYTES = 1 << 18  # approximate bytes of entries in one peer message; at least one bucket
+ENTRIES_BYTES = 1 << 18  # approximate bytes of entries in one peer message; at least one bucket is sent
 MAX_ENTRIES_BYTES = 3 * ENTRIES_BYTES  # hard limit, for an unusually full bucket
 ENTRY_OVERHEAD_BYTES = 128  # approximate bytes of an entry without its filter
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class RegistrySync:
-    """One member's registry and its digests; call `changed` after each change of the registry."""
+    """One member's registry and its digests; `mark_changed` is called after each change of the registry."""
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
@@ -30,7 +31,7 @@
         self.bucket_digests = [0] * BUCKETS
 
     def mark_changed(self) -> None:
-        """Mark the digests stale; they are computed anew at the next use."""
+        """Mark the digests stale; their next use computes them again."""
         self.digests_stale = True
 
     def digests(self) -> tuple[int, ...]:
@@ -53,7 +54,7 @@
         return xxhash.xxh3_64_intdigest(_encode(self.digests()))
 
     def peer_message(self, names: Iterable[str] = (), asked: Iterable[int] = ()) -> Subscribe:
-        """Build a message: the digest, the named entries as far as they fit, and the buckets asked for."""
+        """Build a message of the digest, the named entries as far as they fit, and the buckets requested."""
         found: dict[str, Entry] = {}
         size = 0
         for name in names:
@@ -72,14 +73,14 @@
         return answer if answer.digest == received.digest else msgspec.structs.replace(answer, buckets=self.digests())
 
     def merge_entries(self, now: int, received: Subscribe) -> MergeResult:
-        """Merge the entries of a message into the registry; returns whether it was accepted, or why not."""
+        """Merge the entries of a message into the registry; returns whether they were accepted, or why not."""
         result = self.registry.merge(now, received.epoch, received.entries.items())
         if result is MergeResult.MERGED and received.entries:
             self.mark_changed()
         return result
 
     def request_differing(self, answer: Subscribe) -> Subscribe | None:
-        """Build a message with the differing buckets that fit, asking for the same ones; None if none differ."""
+        """Build a message that sends and requests the buckets that differ, as many as fit; None if none differ."""
         differ = [
             number
             for number, (ours, theirs) in enumerate(zip(self.digests(), answer.buckets, strict=False))
@@ -104,5 +105,5 @@
 
 
 def bucket_of(name: str) -> int:
-    """The bucket number of a name."""
+    """The number of the bucket that holds a name."""
     return xxhash.xxh3_64_intdigest(name.encode()) % BUCKETS
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -1,9 +1,9 @@
-"""One fleet member's part in subscriptions: the replicated registry, `FOLLOW` and `UNFOLLOW`, and the events here.
+"""The subscriptions of one fleet member: the registry replica, the `FOLLOW` and `UNFOLLOW` calls, and local events.
 
-Created with the fleet node, which calls `look` regularly. It costs almost nothing until somebody follows: only then
-`subscription_server.py` is loaded, and with it lark. `registry_exchange.py` exchanges the registry with other members,
-`subscription_store.py` saves it, `registry.py` defines what its entries mean. Times are microseconds unless a name
-ends in `_S` (seconds).
+The fleet node creates an `Exchange` and calls its `look` regularly. `subscription_server.py`, and lark with it, is
+loaded only for the first subscription, so that a member without subscriptions spends almost nothing on them.
+`registry_exchange.py` exchanges the registry with other members, `subscription_store.py` saves it, and `registry.py`
+defines its entries. Times are microseconds unless a name ends in `_S` (seconds).
 """
 
 import importlib
@@ -38,44 +38,46 @@
 if TYPE_CHECKING:
     from cedarwick.events.subscription_server import SubscriptionServer
 
-CHECK_INTERVAL = 250_000  # microseconds between two checks of registry and receivers
+CHECK_INTERVAL = 250_000  # microseconds between two checks of the registry and the receivers
 TICK_INTERVAL = 1_000_000  # microseconds between two ticks of the registry
-MIN_CLOCK_JUMP = 10_000_000  # microseconds of drift from the steady clock at which the wall clock counts as set
-MAX_STARTUP_BATCHES = 20  # portions of stored filters compiled during start-up: 200 filters, 0.1 s
+MIN_CLOCK_JUMP = (
+    10_000_000  # microseconds of drift from the monotonic clock beyond which the wall clock is taken to have been set
+)
+MAX_STARTUP_BATCHES = 20  # batches of stored filters compiled during start-up: 200 filters, 0.1 s
 EXPIRY_INTERVAL = 30_000_000  # microseconds between two searches for expired subscriptions
 MAX_READERS = 128  # subscribers connected to this member
 
 
 class InvalidFollowError(CedarwickError):
-    """A call of `FOLLOW` or `UNFOLLOW` that cannot be read."""
+    """A `FOLLOW` or `UNFOLLOW` call cannot be parsed."""
 
     code = "CW831"
     remedy = "write FOLLOW NAME WHERE FILTER, FOLLOW NAME SOURCE:NUMBER ... WHERE FILTER, or UNFOLLOW NAME"
 
 
 class SubscriptionMovedError(CedarwickError):
-    """The subscriber has followed at another member since."""
+    """The subscriber has connected to another member in the meantime."""
 
     code = "CW833"
     remedy = "read there; two subscribers need two names"
 
 
 class UnfollowedError(CedarwickError):
-    """The subscription has ended: somebody has said so, or nobody has followed it for long."""
+    """The subscription has ended, either by `UNFOLLOW` or because it had no follower for its whole lifetime."""
 
     code = "CW834"
     remedy = "follow with the filter to begin a new one"
 
 
 class SubscriptionExpiredError(CedarwickError):
-    """This member was cut off for so long that it could not know what had ended meanwhile, and begins anew."""
+    """This member discarded its registry: it was cut off for so long that it may have missed ended subscriptions."""
 
     code = "CW835"
     remedy = "follow again with cursors and filter, here or at any other member"
 
 
 class TooManyReadersError(CedarwickError):
-    """As many subscribers are connected to this member as may be."""
+    """The limit of subscribers connected to this member is reached."""
 
     code = "CW830"
     remedy = "follow at another member, or end connections that nobody needs"
@@ -83,12 +85,12 @@
 
 def wall_time() -> int:
     """The wall clock in microseconds."""
-    # Not the sender's own clock, which stops while the machine sleeps: later entries would seem older than they are.
+    # The sender's own clock stops while the machine sleeps; by it, later entries would seem older than they are.
     return time.time_ns() // 1000
 
 
 def split_follow_argument(argument: str) -> tuple[str, str | None]:
-    """Split the argument of FOLLOW into name with cursors, and the filter's text (None without WHERE)."""
+    """Split the argument of FOLLOW into the name with its cursors and the text of the filter (None without WHERE)."""
     # Cursors contain a colon, so the first word WHERE after the name begins the filter.
     words = argument.split(" ")
     filter_start = next((at for at, word in enumerate(words[1:], 1) if word.upper() == "WHERE"), len(words))
@@ -108,8 +110,8 @@
         state: str = "",
         lifetime: int = DEFAULT_LIFETIME,
     ) -> None:
-        """`state`: folder to save subscriptions in (empty: none); `lasts`: their lifetime without a follower, in
-        microseconds; `call` sends a message to a member and waits so many seconds for the answer.
+        """`state`: the state folder, empty if nothing is saved; `lifetime`: microseconds that a subscription lasts
+        without a follower; `call`: sends a message to a member and waits up to the given seconds for its answer.
         """
         self.name = name
         self.verifier = verifier
@@ -123,13 +125,13 @@
         self.store = SubscriptionStore(state, self.registry, counters) if state else None
         self.server: SubscriptionServer | None = None
         self.loading = False
-        self.first_number = 1  # number of the next event until the server is loaded
+        self.first_number = 1  # number of the next event while the server is not loaded
         self.alive: list[str] = [name]
-        self.compilation_due = False  # subscriptions have changed, or some are not compiled yet
-        self.last_connected_at = verifier.incarnation  # start time of the newest connection here
+        self.compilation_due = False  # subscriptions have changed, or some filters are not compiled yet
+        self.last_connected_at = verifier.incarnation  # start time of the newest connection of a subscriber
         self.next_check_at = self.next_tick_at = self.next_expiry_check_at = 0
         self.observer: EventObserver | None = None
-        self.clock_offset: int | None = None  # wall clock minus steady clock
+        self.clock_offset: int | None = None  # wall clock minus monotonic clock
         if self.store is not None:
             self.store.load(wall_time())
 
@@ -139,13 +141,13 @@
         return self.registry_sync.registry
 
     def set_lifetime(self, lifetime: int) -> None:
-        """Set the lifetime in microseconds without a follower of subscriptions followed here, current ones included."""
+        """Set how many microseconds subscriptions followed here last without a follower, existing ones included."""
         self.registry.lifetime = lifetime
 
     def attach(
         self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher, site: str
     ) -> None:
-        """Connect to the parts of the sender; called after every other part that wraps the attempt callbacks."""
+        """Attach to the parts of the sender; called after all other parts have wrapped the attempt callbacks."""
         self.observer = EventObserver(self.name, site, dispatcher, endpoint_list)
         management.subscription_handler = self.handle_call
         dispatcher.attempts.request_clearance = partial(self._request_clearance, dispatcher.attempts.request_clearance)
@@ -153,33 +155,33 @@
         self.compile_stored()
 
     def compile_stored(self) -> None:
-        """Compile saved subscriptions before the first event, as far as START_PORTIONS allows."""
-        # The server takes time to load; loaded later, it would miss the events until then.
+        """Compile the filters of saved subscriptions before the first event, at most MAX_STARTUP_BATCHES batches."""
+        # The server takes time to load; events before that would not be matched.
         live_entries = self.registry.live_entries(wall_time())
         if live_entries:
             server = self._load_server()
             self.compilation_due = not any(server.set_subscriptions(live_entries) for _ in range(MAX_STARTUP_BATCHES))
 
-    # ---- events here ----
+    # ---- local events ----
 
     @property
     def has_subscriptions(self) -> bool:
-        """Whether there is any subscription; without one, events are only numbered."""
+        """Whether any subscription is evaluated here; if not, events are only numbered."""
         return self.server is not None and bool(self.server.source.outboxes)
 
     def on_message_event(self, kind: str, stored: StoredMessage, figure: int) -> None:
-        """Handle an event of a message; the arguments are those of `ReplicatedStore.on_event`."""
+        """Publish an event of a message; the arguments are those of `ReplicatedStore.on_event`."""
         observer = self.observer
         if observer is None or not self.has_subscriptions:
             self._skip_event_number()
             return
         try:
             self._publish(kind, observer.message(kind, stored, figure))
-        except Exception:  # a delivery must not fail because of its subscribers
+        except Exception:  # a failure to publish must not fail the delivery
             self.counters.log_exception("an event was not published")
 
     def on_messages_adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
-        """Emit events for messages taken over from another member."""
+        """Publish an event for each message taken over from another member."""
         for each in stored:
             if self.has_subscriptions and self.observer is not None:
                 self._publish("adopted", self.observer.message("adopted", each, 0) | self.observer.member(member))
@@ -187,11 +189,11 @@
                 self._skip_event_number()
 
     def on_session_moved(self, key: str, tenant: str, member: str, age: int) -> None:
-        """Emit the event of a session moved to a member, `age` microseconds after the move began."""
+        """Publish the event of a session that moved to a member, `age` microseconds after its migration began."""
         self._publish_member_event("moved", member, {"id": key, "age": age, **({"tenant": tenant} if tenant else {})})
 
     def on_member_changed(self, change: MemberChange, silent: int) -> None:
-        """Emit the event of a member's changed status; `silent`: microseconds since it was last heard."""
+        """Publish the event of a member's changed status; `silent`: microseconds since its last heartbeat."""
         if change.current is MemberStatus.ALIVE:
             self._publish_member_event("member-came", change.name, {})
         elif change.current in (MemberStatus.DEAD, MemberStatus.LEFT):
@@ -231,10 +233,11 @@
     # ---- called by the node ----
 
     def look(self, now: int, alive: Iterable[str], majority: int) -> None:
-        """Do what is due; called regularly by the node.
+        """Run all tasks that are due; called regularly by the node.
 
-        `now`: microseconds of a clock that also runs while the machine sleeps; `majority`: members that make one.
+        `now`: microseconds of a clock that also runs while the machine sleeps; `majority`: members needed for one.
         """
+        # The name `look` is part of the key of a counter of failed calls.
         self.alive = list(alive)
         if now >= self.next_tick_at:
             self.next_tick_at = now + TICK_INTERVAL
@@ -266,7 +269,7 @@
         return Acknowledged()
 
     def stop(self) -> None:
-        """Save and stop: the sender ends, and another process may use the folder from now on."""
+        """Save the subscriptions and stop; afterwards another process may use the folder."""
         if self.store is not None:
             self.store.close(wall_time())
         if self.server is not None:
@@ -306,7 +309,7 @@
             gevent.spawn(self._load_server)
 
     def _load_server(self) -> "SubscriptionServer":
-        """Load the subscription server in a thread, because reading its grammar would block the event loop."""
+        """Load the subscription server in a thread, because parsing its grammar would block the event loop."""
         try:
             module = gevent.get_hub().threadpool.apply(
                 importlib.import_module, ("cedarwick.events.subscription_server",)
@@ -327,10 +330,10 @@
     # ---- the registry ----
 
     def _entries_changed(self, *names: str, origin: str = "") -> None:
-        """Save changed entries, act on them, and mark them for the members other than `but`, their sender."""
+        """Save and apply changed entries, and mark them unsent for all members but `origin`, which sent them."""
         at = wall_time()
         if self.store is not None:
-            # Save first: a member that acknowledges an end and forgets it at a restart would bring it back.
+            # Save first: a member that acknowledged an end and lost it in a restart would revive the subscription.
             self.store.write_changes(at, names)
         self.registry_sync.mark_changed()
         self.compilation_due = True
@@ -350,17 +353,17 @@
             self.server.connections[name].end(why)
 
     def _entries_merged(self, names: list[str], sender: str) -> None:
-        """Act on entries that another member has changed."""
+        """Apply entries that another member has changed."""
         self._entries_changed(*names, origin=sender)
 
     # ---- management calls ----
 
     def handle_call(self, call: commands.Call) -> str | StreamingAnswer:
-        """Answer `FOLLOW` and `UNFOLLOW`; raises a `CedarwickError` if the call is refused."""
+        """Answer `FOLLOW` or `UNFOLLOW`. Raises a `CedarwickError` if the call is refused."""
         if call.name == "UNFOLLOW":
             return self._unfollow(call.argument)
         if self.server is None:
-            # Answer from a streaming reply: on a busy machine the first load may take longer than the call's deadline.
+            # Load within a streaming answer: on a busy machine the first load may exceed the deadline of a call.
             return partial(self._load_and_follow, call.argument)
         return self._follow(self.server, call.argument)
 
@@ -397,7 +400,7 @@
         return partial(server.serve, connection, alive=lambda: self.alive)
 
     def _checked_filter(self, text: str) -> str:
-        """The canonical text of a filter that every member can evaluate. Raises `FilterError`."""
+        """Return the canonical text of a filter that every member can evaluate. Raises `FilterError`."""
         from cedarwick.events.language import check_levels, read
 
         found = read(text)
@@ -414,7 +417,7 @@
         self.registry.end(wall_time(), name)
         self._entries_changed(name)
         peer_message = self.registry_sync.peer_message([name])
-        # `self.alive` may change while the answers are awaited, so the calls are chosen once.
+        # `self.alive` may change while the answers are awaited, so the members to call are chosen once.
         calls = {
             member: gevent.spawn(self.registry_exchange.send, member, peer_message)
             for member in sorted(self.verifier.others)
--- a/cedarwick/events/match_delivery.py
+++ b/cedarwick/events/match_delivery.py
@@ -1,9 +1,9 @@
 """Delivery of matches from a source to the member of one subscriber: what to send and resend. No clock, no I/O.
 
-The subscriber's member reports its position again and again (cumulative acknowledgement, as in go-back-N): `held`, the
-last number received there, and `written`, the last written to the subscriber. Written items are retained for a while,
-because a subscriber that loses its connection returns, perhaps to another member, with the cursor of what it has
-actually read. Used by `subscription_server.py`; times are microseconds.
+The member that the subscriber is connected to reports a position periodically (cumulative acknowledgement, as in
+go-back-N): `received`, the last number that the member has, and `written`, the last one written to the subscriber.
+Written items are retained for a while, because a subscriber that loses its connection returns, perhaps to another
+member, with the cursor of what it has actually read. Used by `subscription_server.py`; times are microseconds.
 """
 
 from collections import deque
@@ -12,30 +12,30 @@
 from cedarwick.events.streams import WINDOW, EvaluationStart, Item, Match, Outbox, approximate_bytes, position
 from cedarwick.fleet.backoff import Backoff
 
-REPORT_TIMEOUT = 6_000_000  # microseconds without a report after which a subscriber counts as gone
-RESEND_AFTER = 300_000  # microseconds until unacknowledged items are sent again, plus a random back-off
-MAX_RETAINED_ITEMS = 2 * WINDOW  # written items retained for a subscriber that returns
+REPORT_TIMEOUT = 6_000_000  # microseconds without a report after which a subscriber counts as disconnected
+RESEND_AFTER = 300_000  # microseconds until unacknowledged items are sent again, plus a random backoff
+MAX_RETAINED_ITEMS = 2 * WINDOW  # written items retained for a subscriber that reconnects
 MAX_RETAINED_BYTES = 1 << 16  # approximate bytes of these items
-NO_POSITION = -1  # the position of a subscriber that has nothing of a source
+NO_POSITION = -1  # the position of a subscriber that has received nothing from a source
 
 
 class ReaderPosition(NamedTuple):
     """A subscriber's position in a source, as reported by its member."""
 
     member: str
-    connected_at: int  # identifies its connection there; later ones are larger
+    connected_at: int  # identifies the connection to that member; later connections have larger values
     received: int
     written: int
-    has_room: bool = True  # whether the member accepts more now
+    has_room: bool = True  # whether the member accepts more items now
 
 
 class MatchDelivery:
-    """The delivery from one outbox to its subscriber. Times are microseconds of a clock that never goes back."""
+    """The delivery from one outbox to its subscriber. Times are microseconds of a monotonic clock."""
 
     def __init__(self, outbox: Outbox, seed: int) -> None:
         self.outbox = outbox
-        self.retained: deque[Item] = deque()  # written, the newest last
-        self.retained_bytes = 0  # approximate bytes of the trail
+        self.retained: deque[Item] = deque()  # written items, the newest last
+        self.retained_bytes = 0  # approximate bytes of `retained`
         self.dropped_up_to = NO_POSITION  # written items up to this number were dropped
         self.reported: ReaderPosition | None = None
         self.connected_until = 0  # microseconds
@@ -43,7 +43,7 @@
         self.backoff = Backoff(seed)
 
     def handle_report(self, now: int, report: ReaderPosition) -> None:
-        """Take in a position report of the subscriber's member; reports of older connections are ignored."""
+        """Apply a position report of the subscriber's member; reports of older connections are ignored."""
         before = self.reported
         if before is not None and before.member == report.member:
             if report.connected_at < before.connected_at:
@@ -59,7 +59,7 @@
         self._retain_written(report.written)
 
     def disconnected(self, member: str) -> None:
-        """Note that the subscriber is no longer connected to this member."""
+        """Record that the subscriber is no longer connected to `member`."""
         if self.reported is not None and self.reported.member == member:
             self.connected_until = 0
 
@@ -69,15 +69,15 @@
 
     @property
     def all_written(self) -> bool:
-        """Whether the subscriber has been written everything, so that nothing is left to send."""
+        """Whether everything was written to the subscriber, so that nothing is left to send."""
         outbox = self.outbox
         last = position(self.retained[-1]) if self.retained else self.dropped_up_to
         behind = self.reported is not None and self.reported.received < last
         return not (behind or outbox.window or outbox.waiting or outbox.start or outbox.gap)
 
     def due_items(self, now: int) -> list[Item]:
-        """The items to send now, following those held at the member; empty until a resend is due."""
-        # Items that a slow subscriber has no room for would be sent again and again, and cost its member the decoding.
+        """The items to send now, after those that the member has received; empty until a resend is due."""
+        # Without room at the member, items would be resent repeatedly, and the member would decode them for nothing.
         if not self.is_connected(now) or now < self.next_send_at or self.reported is None or not self.reported.has_room:
             return []
         found = self.items_after(self.reported.received)
@@ -85,9 +85,9 @@
         return found
 
     def items_after(self, cursor: int) -> list[Item]:
-        """The items after a cursor, in order; a `From` first if items after the cursor were dropped."""
+        """The items after a cursor, in order; an `EvaluationStart` first if items after the cursor were dropped."""
         found = [item for item in (*self.retained, *self.outbox.offer()) if position(item) > cursor]
-        # The `From` reports the gap: items written to a lost connection and never read would otherwise vanish silently.
+        # The `EvaluationStart` reports the loss of items that were written to a broken connection and never read.
         return (
             [EvaluationStart(self.outbox.source, self.dropped_up_to + 1), *found]
             if cursor < self.dropped_up_to
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -1,18 +1,18 @@
 """The registry of subscriptions, replicated to every member. No clock, no I/O; times are wall-clock microseconds.
 
-Entries are merged by taking the larger in one total order, so that the merge is commutative, associative and idempotent
-(a state-based CRDT: Shapiro et al., 2011). Version counters follow the clock where it is ahead (hybrid logical clocks:
-Kulkarni et al., 2014), so that a member which has lost its state still makes newer versions than before.
-
-An ended entry stays as a tombstone for TOMBSTONE_EPOCHS. A member that was away for longer could bring back entries
-that it still has as live, so every registry carries an epoch: the time slice in which its member was last with a
-majority, or started empty. A registry more than MAX_EPOCHS_AWAY behind is refused; its member discards its live entries
-once it is with a majority again, and takes those of the others from there. The state that a member reads from its
-folder at a start (`subscription_store.py`) is its own at an earlier time: a restart is treated like a sleep since then.
-
-Whether a subscription without a follower has expired is decided by its entry alone, which holds its lifetime. Its age
-is measured by the wall clock, corrected for jumps of the clock since the entry arrived here. Used by `exchange.py` and
-`anti_entropy.py`.
+Two entries are merged by taking the larger in one total order, so the merge is commutative, associative and idempotent
+(a state-based CRDT: Shapiro et al., 2011). Version counters follow the clock if it is ahead of them (hybrid logical
+clocks: Kulkarni et al., 2014), so a member that has lost its state still makes versions newer than its earlier ones.
+
+An ended entry stays as a tombstone for TOMBSTONE_EPOCHS. A member that was away for longer could revive entries that it
+still has as live, so every registry carries an epoch: the time slice in which its member was last with a majority, or
+started empty. A registry more than MAX_EPOCHS_AWAY behind is refused; its member discards its live entries once it is
+with a majority again, and receives those of the other members. The state that a member reads from its folder at a start
+(`subscription_store.py`) is its own earlier state, so a restart is treated like a machine that slept since then.
+
+Whether a subscription without a follower has expired depends on its entry alone, which holds its lifetime. The age of
+an entry is measured by the wall clock, corrected for jumps of the clock since the entry arrived at this member. Used by
+`exchange.py` and `anti_entropy.py`.
 """
 
 import re
@@ -25,58 +25,58 @@
 
 SECOND = 1_000_000
 DEFAULT_LIFETIME = 3600 * SECOND  # microseconds without a follower until a subscription ends
-MIN_LIFETIME = 60 * SECOND  # microseconds; the least that may be set
-# Less than MAX_EPOCHS_AWAY: a subscription with a longer lifetime could be lost just because its member was away.
-MAX_LIFETIME = 12 * 3600 * SECOND  # microseconds; the most that may be set
+MIN_LIFETIME = 60 * SECOND  # microseconds; the smallest value of the setting
+# Not above MAX_EPOCHS_AWAY: a subscription with a longer lifetime could be lost only because its member was away.
+MAX_LIFETIME = 12 * 3600 * SECOND  # microseconds; the largest value of the setting
 EPOCH_LENGTH = 3600 * SECOND  # microseconds
 TOMBSTONE_EPOCHS = 24  # epochs for which tombstones stay
-# A member that was away for longer starts anew; the rest of TOMBSTONE_EPOCHS leaves time for its entries to spread.
+# A member that was away for longer starts over; the rest of TOMBSTONE_EPOCHS leaves time for tombstones to spread.
 MAX_EPOCHS_AWAY = 12
 MAX_CLOCK_SKEW = 300 * SECOND  # microseconds by which members' wall clocks may differ
 MAX_ENTRIES = 20_000  # entries, tombstones among them
-MAX_FILTER_BYTES = 4096  # of a filter's text
+MAX_FILTER_BYTES = 4096  # bytes of a filter's text
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 
 
 class SubscriptionNameError(CedarwickError):
-    """A subscription's name can't be used."""
+    """The name of a subscription is invalid."""
 
     code = "CW821"
     remedy = "name it with 1 to 64 letters, digits, dots, dashes and underscores, a letter or digit first"
 
 
 class NotFollowedError(CedarwickError):
-    """No subscription has the name."""
+    """No live subscription has the given name."""
 
     code = "CW822"
     remedy = "follow it with its filter first; one that nobody followed for fleet.follow_s has ended"
 
 
 class TooManySubscriptionsError(CedarwickError):
-    """The fleet holds as many subscriptions as it may, ended ones of the last day among them."""
+    """The limit of subscriptions in the fleet is reached; those that ended within the last day count."""
 
     code = "CW823"
     remedy = "end subscriptions that are not needed, or follow again once those ended a day ago are forgotten"
 
 
 class Entry(msgspec.Struct, frozen=True, order=True, omit_defaults=True):
-    """A subscription. Order decides which of two is the newer, field by field."""
+    """A subscription. The order of entries, field by field, decides which of two is newer."""
 
-    counter: int  # of its version; microseconds, or one more than the version before
-    member: str  # the member that made the version, where the subscriber is; breaks ties of counters
+    counter: int  # version counter: wall clock in microseconds, or one more than that of the previous version
+    member: str  # the member that made the version, and to which the subscriber connected; breaks ties
     ended: bool
     filter: str
     followed_at: int  # microseconds of the wall clock
-    lasts: int = DEFAULT_LIFETIME  # microseconds without a follower; set by the member where it was last followed
+    lasts: int = DEFAULT_LIFETIME  # microseconds without a follower; set by the member that it was last followed at
 
     @property
     def version(self) -> tuple[int, str, bool, str, int]:
-        """All but when it was followed."""
+        """All fields except `followed_at`."""
         return self.counter, self.member, self.ended, self.filter, self.lasts
 
     @property
     def is_valid(self) -> bool:
-        """Whether its sizes are what a member may send."""
+        """Whether its member's name, the size of its filter and its lifetime are within the limits."""
         return (
             len(self.filter.encode(errors="replace")) <= MAX_FILTER_BYTES
             and NAME.fullmatch(self.member) is not None
@@ -85,7 +85,7 @@
 
 
 def newer_entry(held: Entry | None, other: Entry) -> Entry:
-    """Merge two entries: the newer one. The order of several merges does not matter."""
+    """Merge two entries by returning the newer one; the order of several merges does not matter."""
     return other if held is None else max(held, other)
 
 
@@ -99,20 +99,23 @@
 
 
 class Registry:
-    """All subscriptions by name, at one member. `lasts`: lifetime without a follower of those followed here."""
+    """One member's replica of all subscriptions, by name.
+
+    `lifetime`: microseconds without a follower until a subscription followed at this member ends.
+    """
 
     def __init__(self, member: str, now: int, lifetime: int = DEFAULT_LIFETIME) -> None:
         self.member = member
         self.lifetime = lifetime
         self.entries: dict[str, Entry] = {}
         self.epoch = now // EPOCH_LENGTH
-        self.clock_corrections: dict[str, int] = {}  # by name: microseconds of clock jumps that are not part of its age
+        self.clock_corrections: dict[str, int] = {}  # by name: microseconds of clock jumps to subtract from its age
 
     def restore(self, now: int, written_at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> None:
-        """Start from this member's saved state, as if it had slept since `written_at` (wall clock at that time).
+        """Restore this member's saved state, as if the machine had slept since `written_at` (wall clock at that time).
 
-        Entries live at that time keep at least a quarter of their lifetime, so that their subscribers can return. If
-        the member was away for too long by the clock, only ended entries are restored.
+        Entries that were live then retain at least a quarter of their lifetime, so that their subscribers can
+        reconnect. If the member was away for too long by the clock, only ended entries are restored.
         """
         away = now // EPOCH_LENGTH - epoch > MAX_EPOCHS_AWAY
         self.epoch = now // EPOCH_LENGTH if away else min(epoch, now // EPOCH_LENGTH)
@@ -127,19 +130,19 @@
                 continue
             age = max(now, written_at) - entry.followed_at
             if max(entry.counter, entry.followed_at) > now + MAX_CLOCK_SKEW:
-                # The clock was ahead when this was saved. Other members refuse entries later than their clocks, and its
-                # lifetime would be too long by the error. A live entry then loses to any other version, an end does
-                # not lose to an older one.
+                # The clock was ahead when the entry was saved. Other members refuse entries later than their clocks,
+                # and the entry would live too long by the error. A live entry gets the lowest version, so that it
+                # loses to any other; an ended one gets the current time, so that it does not lose to an older one.
                 age = max(0, written_at - entry.followed_at)
                 entry = msgspec.structs.replace(entry, counter=now if entry.ended else 0, followed_at=now - age)
             if not entry.ended and age <= entry.lasts + max(0, now - written_at):
-                # While all members are down nobody can follow; a clock set meanwhile would expire everything at once.
+                # Nobody can follow while all members are down; a clock set meanwhile would expire everything at once.
                 age = min(age, entry.lasts - entry.lasts // 4)
             self.entries[name] = entry
             self.clock_corrections[name] = now - entry.followed_at - age
 
     def follow(self, now: int, name: str, text: str) -> Entry:
-        """Register a subscriber at this member; `text` is its filter's canonical text.
+        """Register a subscriber at this member; `text` is the canonical text of its filter.
 
         Raises SubscriptionNameError and TooManySubscriptionsError.
         """
@@ -148,34 +151,34 @@
         held = self.entries.get(name)
         if held is None and len(self.entries) >= MAX_ENTRIES:
             raise TooManySubscriptionsError(f"{MAX_ENTRIES} subscriptions are held, '{name}' would be one more")
-        # Always a new version: otherwise this would lose to an older one at a member not heard from yet.
+        # Always make a new version; the same one would lose to a version of a member not heard from yet.
         return self._put(now, name, Entry(self._next_counter(now, held), self.member, False, text, now, self.lifetime))
 
     def renew(self, now: int, name: str) -> Entry:
-        """Renew a subscription whose subscriber is still here, when it is `due`. Raises NotFollowedError."""
+        """Renew a subscription whose subscriber is still connected, when `renewal_due`. Raises NotFollowedError."""
         held = self._live_entry(now, name)
-        # After a clock was set back, the time must not stand still: it would expire at the other members.
+        # `followed_at` must advance even after the clock was set back, or the entry would expire at other members.
         at = max(now, held.followed_at + max(0, self.age(now, name)))
         return self._put(now, name, msgspec.structs.replace(held, followed_at=at, lasts=self.lifetime))
 
     def renewal_due(self, now: int, name: str) -> bool:
-        """Whether to call `followed`: a quarter of its lifetime has passed, or the lifetime was changed."""
+        """Whether to call `renew`: a quarter of the lifetime has passed, or the lifetime setting has changed."""
         lasts = self.entries[name].lasts
         return lasts != self.lifetime or self.age(now, name) > lasts // 4
 
     def end(self, now: int, name: str) -> Entry:
-        """End a subscription for everyone. Raises NotFollowedError."""
+        """End a subscription at all members. Raises NotFollowedError."""
         held = self._live_entry(now, name)
         return self._put(
             now, name, Entry(self._next_counter(now, held), self.member, True, held.filter, now, held.lasts)
         )
 
     def age(self, now: int, name: str) -> int:
-        """Microseconds since a known subscription was last followed, as far as this member knows."""
+        """Microseconds since a subscription in the registry was last followed, as far as this member knows."""
         return now - self.entries[name].followed_at - self.clock_corrections.get(name, 0)
 
     def is_live(self, now: int, name: str) -> bool:
-        """Whether a subscription is known, not ended and not expired."""
+        """Whether a subscription is in the registry, not ended and not expired."""
         entry = self.entries.get(name)
         return entry is not None and not entry.ended and self.age(now, name) <= entry.lasts
 
@@ -185,22 +188,22 @@
 
     def correct_clock_jump(self, by: int) -> None:
         """Correct all ages for a jump of the wall clock by `by` microseconds."""
-        # Otherwise a clock set forward by an hour would expire everything at once, and one set back would keep entries
-        # too long.
+        # Without the correction, a clock set forward by an hour would expire all entries at once, and one set back
+        # would keep entries for too long.
         self.clock_corrections = {name: self.clock_corrections.get(name, 0) + by for name in self.entries}
 
     def tick(self, now: int, with_majority: bool) -> list[str]:
         """Advance the epoch while with a majority, and drop entries that are too old.
 
         Returns the names of live subscriptions discarded because this member was away for too long. Their subscribers
-        must follow again; if they have followed elsewhere, the other members know them.
+        must follow again; if they have followed at another member, the other members have their entries.
         """
         lost: list[str] = []
-        # Only with a majority: a member cut off that advanced its epoch would be trusted after any time away.
+        # Only with a majority: a member that advanced its epoch while cut off would never be refused.
         if with_majority:
             if now // EPOCH_LENGTH - self.epoch > MAX_EPOCHS_AWAY:
                 lost = sorted(self.live_entries(now))
-                # Ended entries stay: this may be the only member that knows them, and they revive nothing.
+                # Ended entries stay: this may be the only member that has them, and they cannot revive a subscription.
                 self.entries = {name: entry for name, entry in self.entries.items() if entry.ended}
             self.epoch = max(self.epoch, now // EPOCH_LENGTH)
         self.entries = {name: entry for name, entry in self.entries.items() if not self._is_outdated(entry)}
@@ -209,14 +212,14 @@
         return lost
 
     def merge(self, now: int, epoch: int, theirs: Iterable[tuple[str, Entry]]) -> MergeResult:
-        """Merge another member's registry, or parts of it; invalid entries are skipped. Returns the verdict."""
+        """Merge all or a part of another member's registry, without invalid entries; returns the result."""
         theirs = list(theirs)
-        # A clock far ahead would make all other registries look too old, or an entry live almost forever.
+        # A clock far ahead would make all other registries seem too old, or an entry live almost forever.
         if epoch * EPOCH_LENGTH > now + MAX_CLOCK_SKEW or any(
             each.counter > now + MAX_CLOCK_SKEW or each.followed_at > now + MAX_CLOCK_SKEW for _, each in theirs
         ):
             return MergeResult.CLOCK_SKEWED
-        # A member that was away for longer than tombstones are retained may have live entries that ended meanwhile.
+        # A member that was away for longer than tombstones are retained may have entries as live that have ended since.
         if epoch < self.epoch - MAX_EPOCHS_AWAY:
             return MergeResult.SENDER_OUTDATED
         if self.epoch < epoch - MAX_EPOCHS_AWAY:
@@ -232,7 +235,7 @@
         correction = self.clock_corrections.pop(name, 0)
         if correction:
             if self.entries.get(name) != entry:
-                # Only the part of the jump since the new `followed_at` still applies.
+                # Only the part of the jump after the new `followed_at` still applies.
                 correction = sorted((0, correction, now - entry.followed_at))[1]
             self.clock_corrections[name] = correction
         self.entries[name] = entry
@@ -244,7 +247,7 @@
         return self.entries[name]
 
     def _is_outdated(self, entry: Entry) -> bool:
-        """Whether an entry is too old to retain; decided by the epoch, so that members in the same epoch agree."""
+        """Whether an entry is too old to retain; this depends on the epoch, so members in the same epoch agree."""
         return max(entry.counter, entry.followed_at) // EPOCH_LENGTH < self.epoch - TOMBSTONE_EPOCHS
 
     @staticmethod
--- a/cedarwick/events/registry_exchange.py
+++ b/cedarwick/events/registry_exchange.py
@@ -1,6 +1,6 @@
-"""Exchanges the registry of subscriptions with the other members: changes at once, and digests now and then.
+"""Exchanges the registry of subscriptions with the other members: changes immediately, digests periodically.
 
-`exchange.py` calls it; `anti_entropy.py` builds and merges the peer messages. Times are microseconds unless a name
+Called by `exchange.py`; `anti_entropy.py` builds and merges the peer messages. Times are microseconds unless a name
 ends in `_S` (seconds).
 """
 
@@ -16,18 +16,18 @@
 
 COMPARE_INTERVAL = 5_000_000  # microseconds between two comparisons with a member if nothing has changed
 RETRY_AFTER = 1_000_000  # microseconds until a comparison that failed or was incomplete is repeated
-ANSWER_TIMEOUT_S = 0.4  # to wait for another member's answer
+ANSWER_TIMEOUT_S = 0.4  # timeout of a call to another member
 
 
 class MergeRefusedError(CedarwickError):
-    """The registry of another member is not taken over."""
+    """Entries of another member's registry were not merged."""
 
     code = "CW838"
     remedy = "compare the clocks of the two machines; one that was cut off for long begins anew by itself"
 
 
 class RegistryExchange:
-    """What each other member is known to have of this member's registry, and the calls that bring it the rest."""
+    """Records what each member has of this member's registry, and sends it the rest."""
 
     def __init__(
         self,
@@ -38,9 +38,10 @@
         wall_time: Callable[[], int],
         on_merged: Callable[[list[str], str], None],
     ) -> None:
-        """`call` sends a message to a member and waits so many seconds for the answer; `wall` is the wall clock.
+        """`call` sends a message to a member and waits up to the given seconds for its answer.
 
-        `merged` is called with the names of entries that another member has changed, and that member's name.
+        `wall_time` returns the wall clock in microseconds. `on_merged` is called with the names of entries that
+        another member has changed, and the name of that member.
         """
         self.name = name
         self.registry_sync = registry_sync
@@ -49,18 +50,18 @@
         self.wall_time = wall_time
         self.on_merged = on_merged
         self.unsent: dict[str, set[str]] = {}  # by member: subscriptions not sent to it yet
-        self.agreed_digests: dict[str, int] = {}  # by member: our digest at the last exchange
-        self.next_comparison_at: dict[str, int] = {}  # by member: time of the next comparison if nothing changes
-        self.retry_at: dict[str, int] = {}  # by member: no exchange before this time
+        self.agreed_digests: dict[str, int] = {}  # by member: this member's digest at the last exchange
+        self.next_comparison_at: dict[str, int] = {}  # by member: when to compare next if nothing changes
+        self.retry_at: dict[str, int] = {}  # by member: when to retry after a failed exchange
         self.exchanging: set[str] = set()  # members with which an exchange is under way
 
     def mark_unsent(self, names: Iterable[str], members: Iterable[str]) -> None:
-        """Note that some members lack the newest versions of these entries."""
+        """Record that members lack the newest versions of these entries."""
         for member in members:
             self.unsent.setdefault(member, set()).update(names)
 
     def start_due_exchanges(self, now: int, alive: Iterable[str]) -> None:
-        """Start the exchanges that are due, each in a greenlet of its own."""
+        """Start the exchanges that are due, each in its own greenlet."""
         digest = self.registry_sync.digest()
         for name in alive:
             new = bool(self.unsent.get(name)) or self.agreed_digests.get(name) != digest
@@ -70,7 +71,7 @@
                 gevent.spawn(self._exchange, now, name)
 
     def merge(self, sender: str, received: Subscribe) -> None:
-        """Merge another member's entries and report the new ones to `merged`."""
+        """Merge another member's entries and report the changed ones to `on_merged`."""
         entries = self.registry_sync.registry.entries
         before = dict(entries) if received.entries else {}
         result = self.registry_sync.merge_entries(self.wall_time(), received)
@@ -83,7 +84,7 @@
             self.on_merged(changed, sender)
 
     def send(self, name: str, peer_message: Subscribe) -> Subscribe | None:
-        """Send a member a message and merge its answer; returns the answer, None where none came."""
+        """Send a message to a member and merge its answer; returns the answer, None if there was none."""
         answer = self.call(name, peer_message, ANSWER_TIMEOUT_S)
         if not isinstance(answer, Subscribe):
             return None
@@ -97,7 +98,7 @@
             self.exchanging.discard(name)
 
     def _compare(self, now: int, name: str) -> bool:
-        """Send another member what it lacks and compare digests; returns whether the registries are equal."""
+        """Send a member the entries that it lacks and compare digests; returns whether the registries are equal."""
         names = self.unsent.pop(name, set())
         answer = self.send(name, self.registry_sync.peer_message(names))
         if answer is None:
--- a/cedarwick/events/sources.py
+++ b/cedarwick/events/sources.py
@@ -1,4 +1,4 @@
-"""The names of event sources, one for each boot of each member, and which of them have ended.
+"""The names of event sources, one for each incarnation of each member, and which of them have ended.
 
 Used by `exchange.py` and `subscription_server.py`.
 """
@@ -11,18 +11,18 @@
 
 
 class Sources:
-    """The members' boots, as seen by the verifier of peer messages."""
+    """The members' event sources, by the incarnations that the verifier of peer messages has seen."""
 
     def __init__(self, verifier: PeerVerifier) -> None:
         self.verifier = verifier
 
     def current(self, member: str) -> str:
-        """The source of a member's newest boot; empty if none is known."""
+        """The source of a member's newest incarnation; empty if none is known."""
         incarnation = self._incarnation(member)
         return f"{member_stem(member)}-{incarnation}" if incarnation else ""
 
     def has_ended(self, source: str) -> bool:
-        """Whether a source has ended for good: its member has restarted, or is no longer a member."""
+        """Whether a source has ended for good: its member has restarted or left the fleet."""
         source_stem, _, incarnation = source.rpartition("-")
         for member in (self.verifier.me, *self.verifier.others):
             if member_stem(member) == source_stem:
@@ -39,5 +39,5 @@
 
 
 def member_stem(member: str) -> str:
-    """The first part of a source's name: the member's name, or its slot if the name does not fit."""
+    """The first part of a source's name: the name of its member, or the member's slot if the name does not fit."""
     return member if len(member) <= MAX_STEM_LENGTH and NAME.fullmatch(member) else f"m{slot_of(member)}"
--- a/cedarwick/events/subscriber_reader.py
+++ b/cedarwick/events/subscriber_reader.py
@@ -1,4 +1,4 @@
-"""A subscriber connected to this member: the items for it, its cursors and the lines to write. No I/O.
+"""A subscriber connected to this member: its pending items, its cursors and the lines to write. No I/O.
 
 Used by `subscription_server.py`, which writes the lines to the socket.
 """
@@ -12,27 +12,27 @@
 from cedarwick.events.match_delivery import NO_POSITION, ReaderPosition
 from cedarwick.events.streams import Inbox, Item, Match, SourceEnded, position
 
-MAX_PENDING = 1000  # items waiting to be written; beyond that none are accepted, and the sources retain them
+MAX_PENDING = 1000  # items waiting to be written; beyond this, items are refused and their sources retain them
 LINES_BYTES = 1 << 15  # approximate bytes written at once
 
 
 class Reader:
-    """One connection of a subscriber. `over` is the reason for its end, once it ends."""
+    """One connection of a subscriber. `end_reason` is set when the connection is to end."""
 
     def __init__(self, name: str, connected_at: int, cursors: Mapping[str, int]) -> None:
         self.name = name
         self.connected_at = connected_at
         self.inbox = Inbox(cursors)
-        self.written = dict(cursors)  # by source: the last number that was written
+        self.written = dict(cursors)  # by source: the last number written to the subscriber
         self.pending: deque[Item | SourceEnded] = deque()
         self.end_reason: CedarwickError | None = None
 
     def accept(self, source: str, after: int, items: Iterable[Item]) -> bool:
-        """Accept items of a source that follow number `after` without a gap; returns False if they were refused."""
-        # Items sent for an earlier connection may leave out some that this one has not received.
+        """Queue items of a source that directly follow number `after`; returns False if they are refused."""
+        # Items sent for an earlier connection may skip some that this connection has not received.
         if self.end_reason is not None or after > self.inbox.cursors.get(source, NO_POSITION):
             return False
-        # Without a limit, a slow subscriber would use up this member's memory.
+        # Without a limit, a slow subscriber would exhaust this member's memory.
         if not self.has_room:
             return False
         self.pending.extend(self.inbox.receive(source, items))
@@ -44,7 +44,7 @@
         return len(self.pending) < MAX_PENDING
 
     def position_in(self, member: str, source: str) -> ReaderPosition:
-        """Its position in a source, as reported by `member`, the member to which it is connected."""
+        """The subscriber's position in a source, as reported by `member`, which it is connected to."""
         return ReaderPosition(
             member,
             self.connected_at,
@@ -54,11 +54,11 @@
         )
 
     def end_source(self, source: str) -> None:
-        """Queue the line that reports the end of a source, after all items received from it."""
+        """Queue the item that reports the end of a source, after all items received from that source."""
         self.pending.extend(self.inbox.end_source(source))
 
     def take_lines(self) -> tuple[bytes, dict[str, int]]:
-        """Take the next lines to write from the queue; returns them with the last number of each source in them."""
+        """Remove the next items from the queue; returns their lines, and the last number of each source in them."""
         data, cursors = bytearray(), dict[str, int]()
         while self.pending and len(data) < LINES_BYTES:
             item = self.pending.popleft()
@@ -71,5 +71,5 @@
         return bytes(data), cursors
 
     def mark_written(self, cursors: Mapping[str, int]) -> None:
-        """Note the positions of lines that were written to the subscriber."""
+        """Record the last numbers of the lines that were written to the subscriber."""
         self.written.update(cursors)
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -1,8 +1,8 @@
-"""The subscription server of one member: matches events, sends matches to other members, and writes to subscribers.
+"""The subscription server of one member: matches events, sends matches to other members and writes to subscribers.
 
-Loaded with the first subscription, together with the grammar, by `exchange.py`. `match_delivery.py` and
-`subscriber_reader.py` decide what is sent and written; this module calls other members and writes to sockets. Message
-deliveries never wait for it: events go into bounded buffers, and everything else runs in greenlets of its own. Times
+`exchange.py` loads this module, and the grammar with it, for the first subscription. `match_delivery.py` and
+`subscriber_reader.py` decide what is sent and written; this module calls other members and writes to sockets. The
+delivery of messages never waits for it: events go into bounded buffers, and all else runs in separate greenlets. Times
 are microseconds unless a name ends in `_S` (seconds).
 """
 
@@ -26,43 +26,43 @@
 from cedarwick.fleet.messages import Body, Cursor, Cursors, Matches, Stream
 from cedarwick.net.counters import Counters
 
-IDLE_LINE_S = 2.0  # after which an idle reader is sent an empty line
-WRITE_TIMEOUT_S = 10.0  # for a reader to take what is written
-SEND_BUFFER_BYTES = 1 << 16  # of the socket of a reader
+IDLE_LINE_S = 2.0  # idle time after which a reader is sent an empty line
+WRITE_TIMEOUT_S = 10.0  # timeout of writing to a reader
+SEND_BUFFER_BYTES = 1 << 16  # send buffer of a reader's socket
 POSITIONS_INTERVAL = 2_000_000  # microseconds between two reports of the positions of all readers
 ENDINGS_INTERVAL = 250_000  # microseconds between two searches for ended sources
-ANSWER_TIMEOUT_S = 1.0  # to wait for another member's answer
+ANSWER_TIMEOUT_S = 1.0  # timeout of a call to another member
 MATCHES_BYTES = 1 << 18  # approximate bytes of matches in one peer message
 MAX_STREAMS = 500  # subscriptions in one peer message
 MAX_POSITIONS = 2000  # positions in one peer message
-FILTERS_PER_CALL = 10  # compiled in one call of `evaluate`: each takes up to a millisecond
+FILTERS_PER_CALL = 10  # filters compiled in one call of `set_subscriptions`: each takes up to a millisecond
 _encode = msgspec.msgpack.Encoder().encode
 _items: msgspec.msgpack.Decoder[list[Item]] = msgspec.msgpack.Decoder(list[Item])
 
 
 class SupersededError(CedarwickError):
-    """Another connection follows under the same name at this member."""
+    """A newer connection to this member follows under the same name."""
 
     code = "CW832"
     remedy = "let one subscriber follow under a name; give the other one a name of its own"
 
 
 class CannotEvaluateError(CedarwickError):
-    """A subscription has a filter that this sender cannot read."""
+    """A subscription has a filter that this sender cannot evaluate."""
 
     code = "CW837"
     remedy = "bring all members to one version of the program; until then its subscribers get nothing of this sender"
 
 
 class SlowReaderError(CedarwickError):
-    """A subscriber has not taken what was written to it, and its connection is closed."""
+    """A subscriber did not read in time, and its connection was closed."""
 
     code = "CW839"
     remedy = "follow again with the cursors; read faster, or write a filter that matches less"
 
 
 class UnreadableMatchesError(CedarwickError):
-    """Matches of another member cannot be read."""
+    """Matches sent by another member cannot be decoded."""
 
     code = "CW836"
     remedy = "bring all members to one version of the program"
@@ -70,34 +70,35 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """A connected reader, and an event that is set when something has arrived for it."""
+    """A connected reader, and a gevent event that is set when items have arrived for it or it is to end."""
 
     reader: Reader
     arrived: gevent.event.Event = field(default_factory=gevent.event.Event)
 
     def end(self, why: CedarwickError) -> None:
-        """End the connection; the first reason given is sent to the subscriber."""
+        """End the connection; the subscriber is sent the first reason given."""
         self.reader.end_reason = self.reader.end_reason or why
         self.arrived.set()
 
 
 @dataclass(slots=True)
 class MatchesDraft:
-    """A peer message of matches that is being put together; `size` is the bytes of its matches."""
+    """A peer message of matches under construction; `size` is the bytes of its matches."""
 
     streams: list[Stream] = field(default_factory=list)
     size: int = 0
 
     @property
     def full(self) -> bool:
-        """Whether nothing more goes into this message."""
+        """Whether the message has reached a limit."""
         return self.size >= MATCHES_BYTES or len(self.streams) >= MAX_STREAMS
 
 
 class SubscriptionServer:
     """The subscriptions evaluated at this member, and the readers connected to it.
 
-    `call` sends a message to a member and waits so many seconds for the answer; event numbers begin with `first`.
+    `call` sends a message to a member and waits up to the given seconds for its answer; events are numbered from
+    `first_number` on; `entry_lookup` returns the registry's entry of a name.
     """
 
     def __init__(
@@ -117,20 +118,20 @@
         self.source = Source(sources.current(member_name))
         self.source.next_number = first_number
         self.deliveries: dict[str, MatchDelivery] = {}
-        self.active: dict[str, None] = {}  # deliveries that may have something to send, in turn
-        self.position_unknown: dict[str, None] = {}  # deliveries whose subscribers' positions are not known
-        self.position_requests: dict[str, str] = {}  # by subscription: the member asked last for the position
+        self.active: dict[str, None] = {}  # deliveries that may have items to send, in the order of their turns
+        self.position_unknown: dict[str, None] = {}  # deliveries whose subscribers' positions must be requested
+        self.position_requests: dict[str, str] = {}  # by subscription: the member last asked for the position
         self.awaiting_matches_answer: set[str] = set()  # members with an unanswered message of matches
         self.awaiting_report_answer: set[str] = set()  # members with an unanswered message of positions
         self.due_reports: dict[str, dict[str, None]] = {}  # by member: readers whose positions must be reported to it
         self.connections: dict[str, Connection] = {}
         self.next_reports_at = self.next_endings_check_at = 0
-        self.match_bytes: dict[str, int] = {}  # of matches sent, by member
+        self.match_bytes: dict[str, int] = {}  # by member: bytes of matches sent
 
-    # ---- what happens here ----
+    # ---- local events ----
 
     def set_subscriptions(self, live_entries: Mapping[str, Entry]) -> bool:
-        """Set the live subscriptions; returns False if some filters are left for the next call."""
+        """Replace the live subscriptions; returns False if some filters are left for the next call."""
         texts, failed_filters = self.source.index.texts, self.source.failed_filters
         new_names = [
             name
@@ -148,7 +149,10 @@
                     "a filter that cannot be evaluated", CannotEvaluateError(f"{name}: {found[name]}")
                 )
         self._update_deliveries()
-        for name, entry in live_entries.items():  # ask at once for the position of a subscriber that has moved
+        for (
+            name,
+            entry,
+        ) in live_entries.items():  # request the position of a subscriber that has moved without waiting for a match
             delivery = self.deliveries.get(name)
             if delivery is not None:
                 known = (
@@ -161,7 +165,7 @@
         return not postponed
 
     def _update_deliveries(self) -> None:
-        """Create one delivery for each outbox; a new one must first learn the position of its subscriber."""
+        """Create one delivery for each outbox; a new delivery must first request its subscriber's position."""
         outboxes = self.source.outboxes
         self.deliveries = {
             name: delivery for name, delivery in self.deliveries.items() if outboxes.get(name) is delivery.outbox
@@ -175,14 +179,14 @@
                 self.position_unknown[name] = None
 
     def publish(self, at: int, kind: str, fields: dict[str, Value]) -> None:
-        """Number an event and queue it for the subscriptions that it matches. Raises `InvalidEventError`."""
+        """Number an event and queue it for the subscriptions whose filters match it. Raises `InvalidEventError`."""
         for name in self.source.publish(at, kind, fields):
             self.active[name] = None
 
-    # ---- again and again ----
+    # ---- periodic tasks ----
 
     def run_due_tasks(self, now: int, alive: Iterable[str]) -> None:
-        """Report ended sources and positions, and send matches; called regularly.
+        """Report ended sources and positions, and send matches; called regularly by `Exchange.look`.
 
         `now`: microseconds of a clock that also runs while the machine sleeps.
         """
@@ -206,7 +210,7 @@
             self.due_reports.setdefault(member, {})[name] = None
 
     def _report_positions(self, now: int, member: str) -> None:
-        """Report to one member the positions of the readers here in its source."""
+        """Report to a member the positions of the readers connected here in that member's source."""
         source = self.sources.current(member)
         if not self.due_reports.get(member) or not source or member in self.awaiting_report_answer:
             return
@@ -235,7 +239,7 @@
         return Cursor(name, position.connected_at, position.received, position.written, position.has_room)
 
     def _send_due(self, now: int, alive: set[str]) -> None:
-        """Send matches and requests for positions: one message at a time to each member."""
+        """Send matches and requests for positions, with at most one unanswered message to each member."""
         drafts: dict[str, MatchesDraft] = {}
         for name in [*self.position_unknown, *self.active]:
             delivery, entry = self.deliveries.get(name), self.find_entry(name)
@@ -257,16 +261,16 @@
                 self._send(now, member, Matches(self.source.name, tuple(draft.streams)))
 
     def _add_position_request(self, member: str, name: str, draft: MatchesDraft) -> None:
-        """Ask a member for the position of a subscriber: a stream without items."""
+        """Add a request for the position of a subscriber: a stream without items."""
         del self.position_unknown[name]
         self.position_requests[name] = member
         draft.streams.append(Stream(name, NO_POSITION, b""))
 
     def _add_matches(self, now: int, member: str, name: str, delivery: MatchDelivery, draft: MatchesDraft) -> None:
-        """Add the matches that are due for a subscription, if its subscriber is connected to this member."""
+        """Add the matches that are due for a subscription, if its subscriber is connected to `member`."""
         reported = delivery.reported
         if delivery.all_written or not delivery.is_connected(now) or reported is None or reported.member != member:
-            del self.active[name]  # until an event matches or its position is reported
+            del self.active[name]  # until another event matches or the position is reported again
             return
         items = delivery.due_items(now)
         if items:
@@ -292,15 +296,15 @@
 
         gevent.spawn(send)
 
-    # ---- peer messages of others ----
+    # ---- messages of other members ----
 
     def handle_positions(self, now: int, sender: str, body: Cursors) -> None:
-        """Take in a member's report of its readers' positions in the source here."""
+        """Apply a member's report of its readers' positions in this member's source."""
         if body.source != self.source.name:
             return
         for row in body.cursors:
             delivery, entry = self.deliveries.get(row.name), self.find_entry(row.name)
-            # A member where the subscriber was before reports the position of an old connection: ignore it.
+            # Ignore reports of members that the subscriber has left: they are positions of old connections.
             if delivery is None or entry is None or entry.member != sender:
                 continue
             if row.began:
@@ -310,8 +314,8 @@
                 delivery.disconnected(sender)
 
     def handle_matches(self, sender: str, body: Matches) -> Cursors:
-        """Take in matches of another member's source; returns the positions of the readers here."""
-        # Matches in the name of another member's source could move its cursors irrevocably.
+        """Accept matches of another member's source; returns the positions of the readers connected here."""
+        # Matches that a member sends for another member's source could advance its cursors irrevocably.
         if body.source != self.sources.current(sender):
             return Cursors(body.source, ())
         for stream in body.streams:
@@ -327,10 +331,10 @@
                 connection.arrived.set()
         return Cursors(body.source, tuple(self._position(stream.name, body.source) for stream in body.streams))
 
-    # ---- subscribers that are here ----
+    # ---- connected subscribers ----
 
     def connect(self, reader: Reader, alive: Iterable[str]) -> Connection:
-        """Register a connected reader; an earlier connection of the same name is ended."""
+        """Register a connected reader and end an earlier connection of the same name."""
         before = self.connections.get(reader.name)
         if before is not None:
             before.end(SupersededError(f"a newer connection follows {reader.name}"))
@@ -339,7 +343,7 @@
         return made
 
     def serve(self, connection: Connection, sock: gevent.socket.socket, alive: Callable[[], Iterable[str]]) -> None:
-        """Write to a subscriber until it disconnects or its connection is ended here."""
+        """Write to a subscriber until it disconnects or its connection is ended by this member."""
         reader = connection.reader
         try:
             sock.settimeout(WRITE_TIMEOUT_S)
--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -1,10 +1,10 @@
 """Saves the subscriptions in `$RELAY_STATE/fleet/subscriptions`, so that they survive a restart of all members at once.
 
-The file is a sequence of frames as in the message store (`store/records.py`), each a `Page` of entries. Pages are
-merged when read, so a change costs one appended page; once the appended bytes outweigh the live ones, the whole file is
-replaced. A file that lacks its end is the member's state at an earlier time, which the registry treats as a sleep. A
-new version of an entry is written before it is acknowledged; when a subscription was last followed, and
-the epoch, are written at most twice a minute. Called by `exchange.py`.
+The file is a sequence of frames in the format of the message store (`store/records.py`); each holds a `Page` of
+entries. Pages are merged when read, so a change costs one appended page; the file is replaced once it has grown to more
+than twice its size at the last replacement. A truncated file is the member's state at an earlier time, which the
+registry treats as a sleep. A new version of an entry is written before it is acknowledged; the time a subscription was
+last followed and the epoch are written at most twice a minute. Called by `exchange.py`.
 """
 
 import os
@@ -20,22 +20,22 @@
 from cedarwick.store.records import DamagedRange, encode_frame, may_be_partial_frame, scan_frames
 
 FILE_NAME = "subscriptions"
-MAX_FILE_BYTES = 1 << 28  # twice the size of all subscriptions with the longest filters
-PAGE_ENTRIES = 128  # fit into one frame even with the longest filters
-MIN_GROWTH_BYTES = 1 << 16  # appended at least before the file is replaced
-WRITE_INTERVAL = 30_000_000  # microseconds between two writes of changes that can wait
+MAX_FILE_BYTES = 1 << 28  # twice the bytes of all subscriptions with the longest filters
+PAGE_ENTRIES = 128  # entries in a page; they fit into one frame even with the longest filters
+MIN_GROWTH_BYTES = 1 << 16  # the file is not replaced before this many bytes were appended
+WRITE_INTERVAL = 30_000_000  # microseconds between two writes of deferred changes
 RETRY_AFTER = 1_000_000  # microseconds until a failed write is repeated
 
 
 class SubscriptionsNotSavedError(CedarwickError):
-    """The subscriptions cannot be written to the folder; after a restart this member learns them from the others."""
+    """The subscriptions cannot be written; after a restart this member receives them from the other members."""
 
     code = "CW840"
     remedy = "make room for the folder, or look at the disk; it is tried again by itself"
 
 
 class Page(msgspec.Struct, array_like=True, frozen=True):
-    """The whole registry, or changes to it. Later pages are newer; entries are merged."""
+    """The whole registry or changes to it. Later pages are newer; their entries are merged."""
 
     at: int  # microseconds of the wall clock
     epoch: int
@@ -47,7 +47,7 @@
 
 
 def encode_pages(at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> bytes:
-    """Encode entries as frames of pages, at least one page."""
+    """Encode entries as frames that hold a page each; at least one page."""
     rows = list(entries)
     pages = [dict(rows[begin : begin + PAGE_ENTRIES]) for begin in range(0, max(1, len(rows)), PAGE_ENTRIES)]
     return b"".join(encode_frame(_encode(Page(at, epoch, page))) for page in pages)
@@ -56,7 +56,7 @@
 def decode_pages(data: bytes) -> Page | None:
     """Decode and merge all pages of a file; None if it is empty. Raises ValueError if any is damaged.
 
-    An incomplete last frame is ignored: it has not been acknowledged to anybody.
+    An incomplete last frame is ignored: its entries were never acknowledged.
     """
     at = epoch = 0
     entries: dict[str, Entry] = {}
@@ -65,7 +65,7 @@
         if isinstance(found, DamagedRange):
             if found.end_offset == len(data) and may_be_partial_frame(data, found.offset):
                 break
-            # Refuse the whole file: the damaged page may hold the end of a subscription that another page has as live.
+            # Refuse the whole file: the damaged page may hold the end of a subscription that is live in another page.
             raise ValueError(f"bytes {found.offset} to {found.end_offset} are damaged")
         page = _page.decode(found.payload)
         count += 1
@@ -78,20 +78,20 @@
 
 
 class SubscriptionStore:
-    """Writes a registry's changes to the folder, and reads them at start-up.
+    """Writes the changes of a registry to the state folder, and restores them at start-up.
 
-    It must be used only while this process has the folder. Times are microseconds.
+    May be used only while this process holds the folder. Times are microseconds.
     """
 
     def __init__(self, state: str, registry: Registry, counters: Counters) -> None:
         self.path = os.path.join(state, FLEET_FOLDER, FILE_NAME)
         self.registry = registry
         self.counters = counters
-        self.written_entries: dict[str, Entry] = {}  # entries as in the file
-        self.written_epoch = 0  # epoch as in the file; 0: nothing is written yet
-        self.live_count = 0  # live subscriptions at the last `look`
+        self.written_entries: dict[str, Entry] = {}  # entries as they are in the file
+        self.written_epoch = 0  # epoch as it is in the file; 0: nothing is written yet
+        self.live_count = 0  # number of live subscriptions at the last `write_due_changes`
         self.file_size = 0  # bytes of the file
-        self.max_file_size = 0  # bytes up to which the file may grow; 0: replace it at the next write
+        self.max_file_size = 0  # bytes; a write beyond it replaces the file. 0: replace at the next write
         self.next_write_at = 0
         self.is_open = True
         self.write_count = self.bytes_written = 0
@@ -118,7 +118,7 @@
         self._replace(now)
 
     def write_changes(self, now: int, names: Iterable[str]) -> None:
-        """Write changed entries if any has a new version; a failed write is logged and repeated later."""
+        """Write changed entries if any has a new version; a failed write is logged and retried later."""
         entries, written = self.registry.entries, self.written_entries
         if any(
             name in entries and (name not in written or written[name].version != entries[name].version)
@@ -127,7 +127,7 @@
             self._write(now, [name for name in names if name in entries and written.get(name) is not entries[name]])
 
     def write_due_changes(self, now: int, steady: int) -> None:
-        """Write the changes that could wait, if it is time.
+        """Write deferred changes if they are due.
 
         `steady`: microseconds of a clock that also runs while the machine sleeps.
         """
@@ -136,7 +136,7 @@
         self.next_write_at = steady + WRITE_INTERVAL
         registry, living = self.registry, len(self.registry.live_entries(now))
         names = [name for name, entry in registry.entries.items() if self.written_entries.get(name) is not entry]
-        # Also if a subscription has expired: a later restart must not restore it as live.
+        # An expired subscription also causes a write, because a later restart must not restore it as live.
         if names or living < self.live_count or self.written_epoch and registry.epoch != self.written_epoch:
             self._write(now, names)
         self.live_count = living
@@ -144,7 +144,7 @@
             self.next_write_at = steady + RETRY_AFTER
 
     def close(self, now: int) -> None:
-        """Write what is left and write nothing more: another process may use the folder from now on."""
+        """Write the remaining changes, and nothing afterwards: another process may use the folder then."""
         self.write_due_changes(now, self.next_write_at)
         self.is_open = False
 
@@ -168,7 +168,7 @@
             self.written_epoch = self.registry.epoch
 
     def _replace(self, now: int) -> None:
-        """Write the whole file anew under another name and rename it over the old one."""
+        """Write the whole registry to a new file and rename it over the old one."""
         entries = dict(self.registry.entries)
         data = encode_pages(now, self.registry.epoch, entries.items())
 
@@ -189,7 +189,7 @@
         try:
             write()
         except OSError as error:
-            # Replace the file next: pages after a partly written one could not be read.
+            # Replace the file at the next write: pages after a partly written one could not be read.
             self.max_file_size = 0
             self.next_write_at = 0
             self.counters.warning(
