--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -107,11 +107,11 @@
         verifier: PeerVerifier,
         counters: Counters,
         call: Callable[[str, Body, float], Body | None],
-        state: str = "",
+        state_folder: str = "",
         lifetime: int = DEFAULT_LIFETIME,
     ) -> None:
-        """`state`: the state folder, empty if nothing is saved; `lifetime`: microseconds that a subscription lasts
-        without a follower; `call`: sends a message to a member and waits up to the given seconds for its answer.
+        """`state_folder`: empty if nothing is saved; `lifetime`: microseconds that a subscription lasts without a
+        follower; `call`: sends a message to a member and waits up to the given seconds for its answer.
         """
         self.name = name
         self.verifier = verifier
@@ -122,7 +122,7 @@
         self.registry_exchange = RegistryExchange(
             name, self.registry_sync, counters, call, wall_time, self._entries_merged
         )
-        self.store = SubscriptionStore(state, self.registry, counters) if state else None
+        self.store = SubscriptionStore(state_folder, self.registry, counters) if state_folder else None
         self.server: SubscriptionServer | None = None
         self.loading = False
         self.first_number = 1  # number of the next event while the server is not loaded
@@ -192,12 +192,12 @@
         """Publish the event of a session that moved to a member, `age` microseconds after its migration began."""
         self._publish_member_event("moved", member, {"id": key, "age": age, **({"tenant": tenant} if tenant else {})})
 
-    def on_member_changed(self, change: MemberChange, silent: int) -> None:
-        """Publish the event of a member's changed status; `silent`: microseconds since its last heartbeat."""
+    def on_member_changed(self, change: MemberChange, silent_for: int) -> None:
+        """Publish the event of a member's changed status; `silent_for`: microseconds since its last heartbeat."""
         if change.current is MemberStatus.ALIVE:
             self._publish_member_event("member-came", change.name, {})
         elif change.current in (MemberStatus.DEAD, MemberStatus.LEFT):
-            self._publish_member_event("member-went", change.name, {"age": silent})
+            self._publish_member_event("member-went", change.name, {"age": silent_for})
 
     def _publish_member_event(self, kind: str, member: str, extra_fields: dict[str, Value]) -> None:
         if self.has_subscriptions and self.observer is not None:
@@ -276,7 +276,7 @@
             self.server.log_summary()
 
     def _tick(self, now: int, with_majority: bool) -> None:
-        count, at = len(self.registry.entries), wall_time()
+        entry_count, at = len(self.registry.entries), wall_time()
         offset = self.clock_offset = at - now if self.clock_offset is None else self.clock_offset
         if abs(at - now - offset) > MIN_CLOCK_JUMP:
             logger.warning("the wall clock has jumped by {} s", (at - now - offset) / SECOND)
@@ -285,7 +285,7 @@
         lost = self.registry.tick(at, with_majority)
         for name in lost:
             self._end_connection(name, SubscriptionExpiredError(f"{name}: this member was cut off for too long"))
-        if count != len(self.registry.entries):
+        if entry_count != len(self.registry.entries):
             self._entries_changed()
         if self.server is not None:
             for name in list(self.server.connections):
@@ -348,9 +348,9 @@
             elif entry.member != self.name:
                 self._end_connection(name, SubscriptionMovedError(f"{name} is followed at {entry.member}"))
 
-    def _end_connection(self, name: str, why: CedarwickError) -> None:
+    def _end_connection(self, name: str, reason: CedarwickError) -> None:
         if self.server is not None and name in self.server.connections:
-            self.server.connections[name].end(why)
+            self.server.connections[name].end(reason)
 
     def _entries_merged(self, names: list[str], sender: str) -> None:
         """Apply entries that another member has changed."""
@@ -380,15 +380,15 @@
         from cedarwick.events.streams import decode_cursors
         from cedarwick.events.subscriber_reader import Reader
 
-        target, where = split_follow_argument(argument)
+        target, filter_text = split_follow_argument(argument)
         name, cursors = decode_cursors(target)
-        if where is not None and not where.strip():
+        if filter_text is not None and not filter_text.strip():
             raise InvalidFollowError("no filter after WHERE")
         if len(server.connections) >= MAX_READERS and name not in server.connections:
             raise TooManyReadersError(f"{MAX_READERS} subscribers are connected here")
         at = wall_time()
-        if where is not None:
-            text = self._checked_filter(where)
+        if filter_text is not None:
+            text = self._checked_filter(filter_text)
         else:
             if not self.registry.is_live(at, name):
                 raise NotFollowedError(f"no subscription is called '{name}' here")
--- a/cedarwick/events/match_delivery.py
+++ b/cedarwick/events/match_delivery.py
@@ -44,15 +44,15 @@
 
     def handle_report(self, now: int, report: ReaderPosition) -> None:
         """Apply a position report of the subscriber's member; reports of older connections are ignored."""
-        before = self.reported
-        if before is not None and before.member == report.member:
-            if report.connected_at < before.connected_at:
+        previous = self.reported
+        if previous is not None and previous.member == report.member:
+            if report.connected_at < previous.connected_at:
                 return
-            if report.connected_at == before.connected_at:  # reports may arrive out of order; a position only advances
+            if report.connected_at == previous.connected_at:  # reports may be reordered; a position only advances
                 report = report._replace(
-                    received=max(report.received, before.received), written=max(report.written, before.written)
+                    received=max(report.received, previous.received), written=max(report.written, previous.written)
                 )
-        if before is None or before != report:
+        if previous is None or previous != report:
             self.backoff.reset()
             self.next_send_at = 0
         self.reported, self.connected_until = report, now + REPORT_TIMEOUT
@@ -80,24 +80,24 @@
         # Without room at the member, items would be resent repeatedly, and the member would decode them for nothing.
         if not self.is_connected(now) or now < self.next_send_at or self.reported is None or not self.reported.has_room:
             return []
-        found = self.items_after(self.reported.received)
-        self.next_send_at = now + RESEND_AFTER + (self.backoff.next_wait() if found else 0)
-        return found
+        items = self.items_after(self.reported.received)
+        self.next_send_at = now + RESEND_AFTER + (self.backoff.next_wait() if items else 0)
+        return items
 
     def items_after(self, cursor: int) -> list[Item]:
         """The items after a cursor, in order; an `EvaluationStart` first if items after the cursor were dropped."""
-        found = [item for item in (*self.retained, *self.outbox.offer()) if position(item) > cursor]
+        items = [item for item in (*self.retained, *self.outbox.offer()) if position(item) > cursor]
         # The `EvaluationStart` reports the loss of items that were written to a broken connection and never read.
         return (
-            [EvaluationStart(self.outbox.source, self.dropped_up_to + 1), *found]
+            [EvaluationStart(self.outbox.source, self.dropped_up_to + 1), *items]
             if cursor < self.dropped_up_to
-            else found
+            else items
         )
 
     def _retain_written(self, cursor: int) -> None:
-        passed = [item for item in self.outbox.window if position(item) <= cursor]
+        newly_written = [item for item in self.outbox.window if position(item) <= cursor]
         self.outbox.acknowledge(cursor)
-        for item in passed:
+        for item in newly_written:
             self.retained.append(item)
             self.retained_bytes += _item_bytes(item)
         while len(self.retained) > MAX_RETAINED_ITEMS or self.retained_bytes > MAX_RETAINED_BYTES:
--- a/cedarwick/events/registry.py
+++ b/cedarwick/events/registry.py
@@ -158,8 +158,8 @@
         """Renew a subscription whose subscriber is still connected, when `renewal_due`. Raises NotFollowedError."""
         held = self._live_entry(now, name)
         # `followed_at` must advance even after the clock was set back, or the entry would expire at other members.
-        at = max(now, held.followed_at + max(0, self.age(now, name)))
-        return self._put(now, name, msgspec.structs.replace(held, followed_at=at, lasts=self.lifetime))
+        renewed_at = max(now, held.followed_at + max(0, self.age(now, name)))
+        return self._put(now, name, msgspec.structs.replace(held, followed_at=renewed_at, lasts=self.lifetime))
 
     def renewal_due(self, now: int, name: str) -> bool:
         """Whether to call `renew`: a quarter of the lifetime has passed, or the lifetime setting has changed."""
@@ -186,11 +186,11 @@
         """The live subscriptions, by name."""
         return {name: entry for name, entry in self.entries.items() if self.is_live(now, name)}
 
-    def correct_clock_jump(self, by: int) -> None:
-        """Correct all ages for a jump of the wall clock by `by` microseconds."""
+    def correct_clock_jump(self, jump: int) -> None:
+        """Correct all ages for a jump of the wall clock by `jump` microseconds."""
         # Without the correction, a clock set forward by an hour would expire all entries at once, and one set back
         # would keep entries for too long.
-        self.clock_corrections = {name: self.clock_corrections.get(name, 0) + by for name in self.entries}
+        self.clock_corrections = {name: self.clock_corrections.get(name, 0) + jump for name in self.entries}
 
     def tick(self, now: int, with_majority: bool) -> list[str]:
         """Advance the epoch while with a majority, and drop entries that are too old.
@@ -198,25 +198,27 @@
         Returns the names of live subscriptions discarded because this member was away for too long. Their subscribers
         must follow again; if they have followed at another member, the other members have their entries.
         """
-        lost: list[str] = []
+        discarded: list[str] = []
         # Only with a majority: a member that advanced its epoch while cut off would never be refused.
         if with_majority:
             if now // EPOCH_LENGTH - self.epoch > MAX_EPOCHS_AWAY:
-                lost = sorted(self.live_entries(now))
+                discarded = sorted(self.live_entries(now))
                 # Ended entries stay: this may be the only member that has them, and they cannot revive a subscription.
                 self.entries = {name: entry for name, entry in self.entries.items() if entry.ended}
             self.epoch = max(self.epoch, now // EPOCH_LENGTH)
         self.entries = {name: entry for name, entry in self.entries.items() if not self._is_outdated(entry)}
         if len(self.clock_corrections) > len(self.entries):
-            self.clock_corrections = {name: by for name, by in self.clock_corrections.items() if name in self.entries}
-        return lost
+            self.clock_corrections = {
+                name: jump for name, jump in self.clock_corrections.items() if name in self.entries
+            }
+        return discarded
 
-    def merge(self, now: int, epoch: int, theirs: Iterable[tuple[str, Entry]]) -> MergeResult:
+    def merge(self, now: int, epoch: int, other_entries: Iterable[tuple[str, Entry]]) -> MergeResult:
         """Merge all or a part of another member's registry, without invalid entries; returns the result."""
-        theirs = list(theirs)
+        other_entries = list(other_entries)
         # A clock far ahead would make all other registries seem too old, or an entry live almost forever.
         if epoch * EPOCH_LENGTH > now + MAX_CLOCK_SKEW or any(
-            each.counter > now + MAX_CLOCK_SKEW or each.followed_at > now + MAX_CLOCK_SKEW for _, each in theirs
+            each.counter > now + MAX_CLOCK_SKEW or each.followed_at > now + MAX_CLOCK_SKEW for _, each in other_entries
         ):
             return MergeResult.CLOCK_SKEWED
         # A member that was away for longer than tombstones are retained may have entries as live that have ended since.
@@ -224,7 +226,7 @@
             return MergeResult.SENDER_OUTDATED
         if self.epoch < epoch - MAX_EPOCHS_AWAY:
             return MergeResult.RECEIVER_OUTDATED
-        for name, entry in theirs:
+        for name, entry in other_entries:
             if not self._is_outdated(entry) and entry.is_valid and NAME.fullmatch(name):
                 held = self.entries.get(name)
                 if held is not None or len(self.entries) < MAX_ENTRIES:
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -75,9 +75,9 @@
     reader: Reader
     arrived: gevent.event.Event = field(default_factory=gevent.event.Event)
 
-    def end(self, why: CedarwickError) -> None:
+    def end(self, reason: CedarwickError) -> None:
         """End the connection; the subscriber is sent the first reason given."""
-        self.reader.end_reason = self.reader.end_reason or why
+        self.reader.end_reason = self.reader.end_reason or reason
         self.arrived.set()
 
 
@@ -140,13 +140,13 @@
         ]
         # Compiling thousands of new filters at once would delay message deliveries for seconds.
         postponed = set(new_names[FILTERS_PER_CALL:])
-        found = self.source.set_subscriptions(
+        filter_errors = self.source.set_subscriptions(
             {name: entry for name, entry in live_entries.items() if name not in postponed}
         )
         for name in new_names[:FILTERS_PER_CALL]:
-            if name in found:
+            if name in filter_errors:
                 self.counters.warning(
-                    "a filter that cannot be evaluated", CannotEvaluateError(f"{name}: {found[name]}")
+                    "a filter that cannot be evaluated", CannotEvaluateError(f"{name}: {filter_errors[name]}")
                 )
         self._update_deliveries()
         for (
@@ -302,14 +302,16 @@
         """Apply a member's report of its readers' positions in this member's source."""
         if body.source != self.source.name:
             return
-        for row in body.cursors:
-            delivery, entry = self.deliveries.get(row.name), self.find_entry(row.name)
+        for cursor in body.cursors:
+            delivery, entry = self.deliveries.get(cursor.name), self.find_entry(cursor.name)
             # Ignore reports of members that the subscriber has left: they are positions of old connections.
             if delivery is None or entry is None or entry.member != sender:
                 continue
-            if row.began:
-                delivery.handle_report(now, ReaderPosition(sender, row.began, row.held, row.written, row.room))
-                self.active[row.name] = None
+            if cursor.began:
+                delivery.handle_report(
+                    now, ReaderPosition(sender, cursor.began, cursor.held, cursor.written, cursor.room)
+                )
+                self.active[cursor.name] = None
             else:
                 delivery.disconnected(sender)
 
@@ -335,12 +337,12 @@
 
     def connect(self, reader: Reader, alive: Iterable[str]) -> Connection:
         """Register a connected reader and end an earlier connection of the same name."""
-        before = self.connections.get(reader.name)
-        if before is not None:
-            before.end(SupersededError(f"a newer connection follows {reader.name}"))
-        self.connections[reader.name] = made = Connection(reader)
+        earlier = self.connections.get(reader.name)
+        if earlier is not None:
+            earlier.end(SupersededError(f"a newer connection follows {reader.name}"))
+        self.connections[reader.name] = connection = Connection(reader)
         self._schedule_report(reader.name, alive)
-        return made
+        return connection
 
     def serve(self, connection: Connection, sock: gevent.socket.socket, alive: Callable[[], Iterable[str]]) -> None:
         """Write to a subscriber until it disconnects or its connection is ended by this member."""
--- a/cedarwick/events/subscription_store.py
+++ b/cedarwick/events/subscription_store.py
@@ -48,8 +48,10 @@
 
 def encode_pages(at: int, epoch: int, entries: Iterable[tuple[str, Entry]]) -> bytes:
     """Encode entries as frames that hold a page each; at least one page."""
-    rows = list(entries)
-    pages = [dict(rows[begin : begin + PAGE_ENTRIES]) for begin in range(0, max(1, len(rows)), PAGE_ENTRIES)]
+    entry_list = list(entries)
+    pages = [
+        dict(entry_list[begin : begin + PAGE_ENTRIES]) for begin in range(0, max(1, len(entry_list)), PAGE_ENTRIES)
+    ]
     return b"".join(encode_frame(_encode(Page(at, epoch, page))) for page in pages)
 
 
@@ -61,13 +63,13 @@
     at = epoch = 0
     entries: dict[str, Entry] = {}
     count = 0
-    for found in scan_frames(data, 0, is_last_chunk=True):
-        if isinstance(found, DamagedRange):
-            if found.end_offset == len(data) and may_be_partial_frame(data, found.offset):
+    for scanned in scan_frames(data, 0, is_last_chunk=True):
+        if isinstance(scanned, DamagedRange):
+            if scanned.end_offset == len(data) and may_be_partial_frame(data, scanned.offset):
                 break
             # Refuse the whole file: the damaged page may hold the end of a subscription that is live in another page.
-            raise ValueError(f"bytes {found.offset} to {found.end_offset} are damaged")
-        page = _page.decode(found.payload)
+            raise ValueError(f"bytes {scanned.offset} to {scanned.end_offset} are damaged")
+        page = _page.decode(scanned.payload)
         count += 1
         at, epoch = page.at, max(epoch, page.epoch)
         for name, entry in page.entries.items():
@@ -83,8 +85,8 @@
     May be used only while this process holds the folder. Times are microseconds.
     """
 
-    def __init__(self, state: str, registry: Registry, counters: Counters) -> None:
-        self.path = os.path.join(state, FLEET_FOLDER, FILE_NAME)
+    def __init__(self, state_folder: str, registry: Registry, counters: Counters) -> None:
+        self.path = os.path.join(state_folder, FLEET_FOLDER, FILE_NAME)
         self.registry = registry
         self.counters = counters
         self.written_entries: dict[str, Entry] = {}  # entries as they are in the file
@@ -126,22 +128,22 @@
         ):
             self._write(now, [name for name in names if name in entries and written.get(name) is not entries[name]])
 
-    def write_due_changes(self, now: int, steady: int) -> None:
+    def write_due_changes(self, now: int, monotonic_now: int) -> None:
         """Write deferred changes if they are due.
 
-        `steady`: microseconds of a clock that also runs while the machine sleeps.
+        `monotonic_now`: microseconds of a clock that also runs while the machine sleeps.
         """
-        if steady < self.next_write_at:
+        if monotonic_now < self.next_write_at:
             return
-        self.next_write_at = steady + WRITE_INTERVAL
-        registry, living = self.registry, len(self.registry.live_entries(now))
+        self.next_write_at = monotonic_now + WRITE_INTERVAL
+        registry, live_count = self.registry, len(self.registry.live_entries(now))
         names = [name for name, entry in registry.entries.items() if self.written_entries.get(name) is not entry]
         # An expired subscription also causes a write, because a later restart must not restore it as live.
-        if names or living < self.live_count or self.written_epoch and registry.epoch != self.written_epoch:
+        if names or live_count < self.live_count or self.written_epoch and registry.epoch != self.written_epoch:
             self._write(now, names)
-        self.live_count = living
+        self.live_count = live_count
         if not self.max_file_size and registry.entries:
-            self.next_write_at = steady + RETRY_AFTER
+            self.next_write_at = monotonic_now + RETRY_AFTER
 
     def close(self, now: int) -> None:
         """Write the remaining changes, and nothing afterwards: another process may use the folder then."""
