--- a/tests/events/test_exchange.py
+++ b/tests/events/test_exchange.py
@@ -1,7 +1,4 @@
-"""Following in one process:
-
-members that speak over a net that loses, doubles, holds back and reorders peer messages.
-"""
+"""Subscriptions of several members in one process, over a network that loses, repeats, delays and reorders messages."""
 
 import json
 import random
@@ -29,7 +26,7 @@
 
 
 class FakeNetwork:
-    """Exchanges of one fleet, turned by hand; peer messages go through their bytes."""
+    """The exchanges of one fleet, run in rounds; peer messages are encoded and decoded."""
 
     def __init__(self, seed: int = 1, faults: float = 0.0) -> None:
         self.rng = random.Random(seed)
@@ -41,7 +38,7 @@
             name: Exchange(name, verifier, Counters(), self.caller(name)) for name, verifier in self.verifiers.items()
         }
         for member in self.members.values():
-            member._load_server()  # at a time that no thread settles
+            member._load_server()  # in advance: the time of a load in a thread varies
         for verifier in self.verifiers.values():
             for other in self.verifiers.values():
                 verifier.check(other.peer_message(verifier.me, Cursors("", ()))) if other is not verifier else None
@@ -51,7 +48,7 @@
             peer_message = decode(encode(self.verifiers[sender].peer_message(to, body)))
             delays = 0
             while self.rng.random() < self.faults and delays < 4:
-                gevent.sleep(0)  # others overtake it
+                gevent.sleep(0)  # lets other messages overtake it
                 delays += 1
             if {sender, to} & self.down or self.rng.random() < self.faults:
                 return None
@@ -72,7 +69,7 @@
                 gevent.sleep(0)
 
     def wait_until_evaluated(self) -> None:
-        """Until all evaluate the subscription."""
+        """Run rounds until all members evaluate the subscription."""
         while not all(each.has_subscriptions for each in self.members.values()):
             self.run_rounds()
 
@@ -83,7 +80,7 @@
 
 
 class Subscriber:
-    """Has read what it took from the socket; the rest of what was written is lost with the connection."""
+    """A subscriber; lines written but not read yet are lost with its connection."""
 
     def __init__(self, network: FakeNetwork, name: str = "desk") -> None:
         self.network = network
@@ -129,7 +126,7 @@
         self.addCleanup(gevent.sleep, 0)
 
     def assert_complete(self, subscriber: Subscriber, matched: dict[str, set[int]]) -> None:
-        """Each match once, in order, or within what a gap or a `from` tells of; a gap's count is the truth."""
+        """Check that each match arrived once and in order, or lies in a reported gap with the right count."""
         for name in NAMES:
             at, covered, source = 0, set[int](), ""
             for record in subscriber.records:
@@ -137,7 +134,7 @@
                 if not event["source"].startswith(f"{name}-"):
                     continue
                 source = event["source"]
-                if record["type"] == "from":  # what was written before and never read
+                if record["type"] == "from":  # earlier matches were written and never read
                     covered |= {number for number in matched[name] if at < number < event["number"]}
                     at = max(at, event["number"] - 1)
                 elif record["type"] == "gap":
@@ -151,7 +148,7 @@
                     covered.add(at)
             self.assertEqual(covered, matched[name], (name, source))
 
-    def test_each_match_once_in_order_whatever_the_net_does_and_wherever_the_subscriber_goes(self) -> None:
+    def test_each_match_arrives_once_and_in_order_despite_network_faults_and_reconnections(self) -> None:
         for seed in range(8):
             with self.subTest(seed=seed):
                 network = FakeNetwork(seed, 0.3)
@@ -176,7 +173,7 @@
                 self.assertGreater(sum(record["type"] == "match" for record in subscriber.records), 100)
                 self.assert_complete(subscriber, matched)
 
-    def test_what_a_bounded_buffer_drops_while_nobody_reads_is_told_as_a_gap(self) -> None:
+    def test_matches_dropped_while_no_subscriber_is_connected_are_reported_as_a_gap(self) -> None:
         network = FakeNetwork()
         subscriber = Subscriber(network)
         subscriber.follow("n0")
@@ -196,7 +193,7 @@
         self.assertEqual([gap["source"] for gap in gaps], ["n1-101"])
         self.assert_complete(subscriber, {"n0": set(), "n1": set(range(1, streams.MAX_WAITING + 501)), "n2": set()})
 
-    def test_a_member_that_dies_or_comes_while_an_end_is_told_changes_nothing_of_the_answer(self) -> None:
+    def test_membership_changes_during_an_unfollow_do_not_affect_its_answer(self) -> None:
         network = FakeNetwork()
         member = network.members["n0"]
         member.registry.follow(exchange.wall_time(), "desk", MATCH)
@@ -210,7 +207,7 @@
         with mock.patch.object(member, "call", call):
             self.assertEqual(member.handle_call(Call("UNFOLLOW", "desk")), "YES desk ended\n")
 
-    def test_what_was_ended_while_a_member_slept_does_not_come_back_with_it(self) -> None:
+    def test_a_subscription_ended_while_a_member_was_down_is_not_revived_by_it(self) -> None:
         network = FakeNetwork()
         subscriber = Subscriber(network)
         subscriber.follow("n0")
@@ -230,7 +227,7 @@
             )
             self.assertRaises(registry.NotFollowedError, member.handle_call, Call("FOLLOW", "desk"))
 
-    def test_many_subscriptions_reach_one_that_was_away(self) -> None:
+    def test_many_subscriptions_reach_a_member_that_was_down(self) -> None:
         network = FakeNetwork()
         network.down = {"n2"}
         for number in range(400):
@@ -242,7 +239,7 @@
             network.run_rounds(120)
         self.assertEqual(network.members["n2"].registry.entries, network.members["n0"].registry.entries)
 
-    def test_a_newer_connection_wins_and_one_that_moved_is_told_where(self) -> None:
+    def test_a_newer_connection_ends_the_older_one_and_names_the_new_member(self) -> None:
         network = FakeNetwork()
         first, second = Subscriber(network), Subscriber(network)
         first.follow("n0")
@@ -253,16 +250,16 @@
         network.run_rounds(5)
         self.assertRegex(second.written[-1], "^NO desk is followed at n1 .*CW833")
 
-    def test_a_filter_that_a_member_is_too_old_for_is_refused_by_its_name(self) -> None:
+    def test_a_filter_that_an_older_member_cannot_evaluate_is_refused_naming_that_member(self) -> None:
         network = FakeNetwork()
         network.verifiers["n0"].levels["n2"] = 1
         with self.assertRaisesRegex(FilterTooNewError, r"n2 \(level 1\)"):
             network.members["n0"].handle_call(Call("FOLLOW", 'desk WHERE id like "a*"'))
         self.assertTrue(callable(network.members["n0"].handle_call(Call("FOLLOW", 'desk WHERE id = "a"'))))
 
-    def test_calls_that_cannot_be_used_are_refused_and_change_nothing(self) -> None:
+    def test_invalid_calls_are_refused_and_change_nothing(self) -> None:
         network = FakeNetwork()
-        for record in (
+        for argument in (
             "desk",
             "desk WHERE",
             "desk WHERE  ",
@@ -272,13 +269,13 @@
             "desk has id",
             "desk n0:-1",
         ):
-            with self.subTest(record), self.assertRaises(CedarwickError):
-                network.members["n0"].handle_call(Call("FOLLOW", record))
+            with self.subTest(argument), self.assertRaises(CedarwickError):
+                network.members["n0"].handle_call(Call("FOLLOW", argument))
         self.assertRaises(CedarwickError, network.members["n0"].handle_call, Call("UNFOLLOW", "desk more"))
         self.assertEqual(network.members["n0"].registry.entries, {})
         self.assertEqual(parse_call(b'follow desk WHERE  id =  "a  b"'), Call("FOLLOW", 'desk WHERE  id =  "a  b"'))
 
-    def test_another_members_word_moves_no_cursor_but_its_own(self) -> None:
+    def test_a_member_cannot_advance_the_cursors_of_another_members_source(self) -> None:
         network = FakeNetwork()
         Subscriber(network).follow("n0")
         network.wait_until_evaluated()
@@ -287,8 +284,8 @@
         assert server is not None
         reader: Reader = server.connections["desk"].reader
         before = dict(reader.inbox.cursors)
-        made = server.handle_matches("n1", Matches("n2-102", ()))
-        self.assertEqual(made.cursors, ())
+        answer = server.handle_matches("n1", Matches("n2-102", ()))
+        self.assertEqual(answer.cursors, ())
         forged = encode([streams.EvaluationStart("n2-102", 50)])
         for sender, source, after, items in (
             ("n1", "n2-102", 0, forged),
@@ -301,10 +298,10 @@
         delivery = server.deliveries["desk"]
         server.handle_positions(
             network.now, "n1", Cursors("n0-100", (Cursor("desk", 1 << 60, 7, 7),))
-        )  # the subscriber is at n0
+        )  # the subscriber is connected to n0
         self.assertEqual(delivery.reported, reader.position_in("n0", "n0-100"))
 
-    def test_a_place_only_moves_on_and_what_is_on_its_way_is_not_sent_again_at_once(self) -> None:
+    def test_a_position_only_advances_and_items_in_flight_are_not_resent_immediately(self) -> None:
         outbox = streams.Outbox("n0-1", 1)
         delivery, matches = MatchDelivery(outbox, 1), [Event("n0-1", number, 0, "taken", {}) for number in (1, 2)]
         outbox.add(matches[0])
@@ -314,20 +311,20 @@
         self.assertEqual(delivery.due_items(3), [])
         outbox.add(matches[1])
         delivery.handle_report(4, ReaderPosition("n1", 5, 1, 0))
-        delivery.handle_report(5, ReaderPosition("n1", 5, 0, -1))  # overtaken
-        delivery.handle_report(6, ReaderPosition("n1", 4, 9, 9))  # of a connection before
+        delivery.handle_report(5, ReaderPosition("n1", 5, 0, -1))  # late
+        delivery.handle_report(6, ReaderPosition("n1", 4, 9, 9))  # of an earlier connection
         self.assertEqual((outbox.window, delivery.due_items(7)), ([streams.Match(matches[0])], []))
         delivery.handle_report(8, ReaderPosition("n1", 5, 1, 1))
         self.assertEqual(delivery.due_items(9), [streams.Match(matches[1])])
 
-    def test_a_reader_that_has_enough_takes_nothing(self) -> None:
+    def test_a_full_reader_refuses_items(self) -> None:
         reader = Reader("desk", 1, {})
         items = [streams.Match(Event("n0-1", number, 0, "taken", {})) for number in range(1, MAX_PENDING + 2)]
         self.assertTrue(reader.accept("n0-1", -1, items[:-1]))
         self.assertFalse(reader.accept("n0-1", MAX_PENDING, items[-1:]))
         self.assertEqual(reader.position_in("n1", "n0-1"), ReaderPosition("n1", 1, MAX_PENDING, -1, False))
 
-    def test_entries_from_a_clock_far_ahead_are_not_taken(self) -> None:
+    def test_entries_from_a_clock_far_ahead_are_refused(self) -> None:
         network = FakeNetwork()
         ahead = Entry(1 << 60, "n1", False, "has id", 1 << 60)
         network.members["n0"].handle_peer_message(
--- a/tests/events/test_subscription_store.py
+++ b/tests/events/test_subscription_store.py
@@ -1,4 +1,4 @@
-"""The subscriptions in the folder: drawn histories of restarts, losses and sleeps; and what is read of the file."""
+"""Stored subscriptions: generated histories of restarts, damaged files and isolated members; reading the file."""
 
 import json
 import os
@@ -47,13 +47,13 @@
 
 
 class Member:
-    """One member's registry and its folder; `registry` is None while it is down."""
+    """One member's registry and its state folder; `registry` is None while the member is down."""
 
     def __init__(self, name: str, state: str, lasts: int) -> None:
         self.name, self.state, self.lifetime = name, state, lasts
         self.fleet_files = FleetFiles(state)
         self.registry: Registry | None = None
-        self.known_ends: set[int] = set()  # counters of the ends that it has kept, unless its file was lost since
+        self.known_ends: set[int] = set()  # counters of the ends that it has stored, unless its file was lost since
 
     @property
     def path(self) -> str:
@@ -66,14 +66,14 @@
         return made
 
     def write_changes(self, now: int) -> None:
-        """As the exchange: kept before anybody is answered."""
+        """Write changes as `Exchange` does: before any call is answered."""
         assert self.registry is not None
         self.store.write_changes(now, list(self.registry.entries))
         self.known_ends |= {entry.counter for entry in self.registry.entries.values() if entry.ended}
 
 
 class History:
-    """Three members and one subscription; all that are up and not cut off speak at every step."""
+    """Three members and one subscription; members that are up and not isolated synchronize at every step."""
 
     def __init__(self, folder: str, test: unittest.TestCase) -> None:
         self.test = test
@@ -83,14 +83,14 @@
             for number, lasts in enumerate((DEFAULT_LIFETIME, DEFAULT_LIFETIME, MAX_LIFETIME))
         ]
         self.isolated: set[int] = set()
-        self.latest_follow: Entry | None = None  # the newest
-        self.members_with_latest: set[int] = set()  # members that have kept it since
-        self.end_counters: list[int] = []  # counters
+        self.latest_follow: Entry | None = None
+        self.members_with_latest: set[int] = set()  # members that have it or a newer entry
+        self.end_counters: list[int] = []
         for member in self.members:
             member.start(self.now)
 
     def connected_members(self) -> list[Member]:
-        """Those that are with one another."""
+        """The members that are up and not isolated."""
         return [member for number, member in enumerate(self.members) if member.registry and number not in self.isolated]
 
     def living(self, number: int) -> bool:
@@ -123,7 +123,7 @@
         self.check_invariants()
 
     def check_invariants(self) -> None:
-        """Who knows of an end does not evaluate what was ended."""
+        """Check that a member that stored an end does not evaluate the ended version."""
         for number, member in enumerate(self.members):
             if member.registry is not None and (entry := member.registry.live_entries(self.now).get("x")) is not None:
                 self.test.assertFalse([end for end in member.known_ends if end >= entry.counter])
@@ -189,7 +189,7 @@
             os.unlink(member.path)
 
     def finish(self) -> None:
-        """All are up and with one another: what must be gone everywhere, and what must be there."""
+        """Connect all members and check which subscriptions must have ended and which must be live."""
         acknowledged_ends = [
             end for end in self.end_counters if sum(end in member.known_ends for member in self.members) >= 2
         ]
@@ -239,7 +239,7 @@
                 history.step(what, places)
             history.finish()
 
-    def test_the_one_that_knew_of_the_end_comes_last(self) -> None:
+    def test_an_end_holds_if_the_only_member_that_knows_it_returns_last(self) -> None:
         for gone, back, hours in [*(("kill", "start", hours) for hours in (0, 11, 13, 23)), ("cut", "heal", 13)]:
             with self.subTest(gone, hours=hours), tempfile.TemporaryDirectory() as folder:
                 history = History(folder, self)
@@ -251,12 +251,14 @@
                 for _ in range(3 * hours + 1):
                     history.step("refresh", [2])
                     history.step(str(20 * MINUTE), [0])
-                self.assertTrue(all(history.living(number) for number in (1, 2)))  # nobody there has heard
+                self.assertTrue(
+                    all(history.living(number) for number in (1, 2))
+                )  # these members do not know of the end
                 history.step(back, [0])
                 history.finish()
                 self.assertFalse(any(history.living(number) for number in range(3)))
 
-    def test_a_sleep_in_pieces_is_one_sleep(self) -> None:
+    def test_several_restarts_count_as_one_absence(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             history = History(folder, self)
             history.step("follow", [2])
@@ -264,21 +266,21 @@
             history.step("unfollow", [0])
             for _ in range(3):
                 history.step("refresh", [2])
-                history.step(str(MINUTE), [0])  # until that is written
+                history.step(str(MINUTE), [0])  # until the renewal is written
                 history.step("kill", [2])
                 history.step(str(11 * HOUR), [0])
                 history.step("start", [2])
-            history.finish()  # what the others knew of the end is forgotten
+            history.finish()  # the tombstones at the other members have expired
             self.assertEqual(history.members[0].registry.entries, {})  # type: ignore[union-attr]
 
-    def test_what_a_start_finds_is_left_time_for_its_subscriber_once(self) -> None:
+    def test_restored_subscriptions_get_time_for_their_subscribers_to_return_once(self) -> None:
         for away, lives in (
             (MINUTE, DEFAULT_LIFETIME - MINUTE),
             (HOUR, DEFAULT_LIFETIME // 4),
             (10 * HOUR, DEFAULT_LIFETIME // 4),
             (-2 * HOUR, DEFAULT_LIFETIME),
             (-3 * SECOND, DEFAULT_LIFETIME),
-        ):  # the clock may be set back meanwhile
+        ):  # negative: the clock was set back meanwhile
             with self.subTest(away=away):
                 member = self.member()
                 assert member.registry is not None
@@ -294,7 +296,7 @@
                 self.assertFalse(member.start(ended).is_live(ended, "x"))
                 os.unlink(member.path)
 
-    def test_a_jump_of_the_clock_neither_ends_nor_keeps_what_is_followed(self) -> None:
+    def test_a_clock_jump_neither_shortens_nor_extends_a_lifetime(self) -> None:
         for by in (3 * HOUR, -3 * HOUR):
             held = Registry("n0", NOW)
             held.follow(NOW, "x", "has id")
@@ -303,13 +305,13 @@
             self.assertTrue(held.is_live(now + DEFAULT_LIFETIME, "x"))
             self.assertFalse(held.is_live(now + DEFAULT_LIFETIME + 1, "x"))
             before = held.renew(now + MINUTE, "x").followed_at
-            self.assertGreaterEqual(before, NOW + MINUTE)  # moves on for the others, too
+            self.assertGreaterEqual(before, NOW + MINUTE)  # it also advances at the other members
             self.assertTrue(held.is_live(now + MINUTE + DEFAULT_LIFETIME, "x"))
             self.assertFalse(held.is_live(now + MINUTE + DEFAULT_LIFETIME + 1, "x"))
             held.follow(now + HOUR, "x", "has id")
             self.assertEqual(held.age(now + HOUR, "x"), 0)
 
-    def test_what_is_later_than_the_clock_gives_way_to_any_other_and_an_end_stays_one(self) -> None:
+    def test_restored_entries_later_than_the_clock_lose_to_others_unless_they_are_ends(self) -> None:
         ahead = NOW + 40 * EPOCH_LENGTH
         entries = {"x": Entry(ahead, "n0", False, "has id", ahead), "y": Entry(ahead, "n0", True, "has id", ahead)}
         found = Registry("n0", NOW)
@@ -320,7 +322,7 @@
         self.assertIs(other.merge(NOW, found.epoch, found.entries.items()), MergeResult.MERGED)
         self.assertEqual((other.entries["x"].filter, other.entries["y"].ended), ("has age", True))
 
-    def test_a_member_that_was_down_too_long_keeps_ends_alone(self) -> None:
+    def test_a_member_that_was_down_too_long_restores_only_ended_entries(self) -> None:
         member = self.member(MAX_LIFETIME)
         assert member.registry is not None
         for name in ("x", "y"):
@@ -332,7 +334,7 @@
         found.tick(NOW + (TOMBSTONE_EPOCHS + 1) * EPOCH_LENGTH, with_majority=True)
         self.assertEqual(found.entries, {})
 
-    def test_a_cursor_or_a_word_from_the_subscriber_costs_no_write_and_an_hour_few(self) -> None:
+    def test_a_renewal_causes_no_immediate_write_and_few_writes_in_an_hour(self) -> None:
         member = self.member()
         held, store = member.registry, member.store
         assert held is not None
@@ -351,7 +353,7 @@
         self.assertLessEqual(store.write_count - writes, 5)
         self.assertEqual(decode_pages(self.data(member)).entries, held.entries)  # type: ignore[union-attr]
 
-    def test_the_file_is_bounded_and_a_spoilt_one_is_one_error(self) -> None:
+    def test_the_file_size_is_limited_and_a_damaged_file_is_logged_once(self) -> None:
         member = self.member()
         held = member.registry
         assert held is not None
@@ -361,15 +363,15 @@
         self.assertLess(os.path.getsize(member.path), subscription_store.MIN_GROWTH_BYTES + 2000)
         data = self.data(member)
         self.assertEqual(decode_pages(data).entries, held.entries)  # type: ignore[union-attr]
-        with open(member.path, "wb") as file:  # broken off in its last page: nobody was told of that
+        with open(member.path, "wb") as file:  # truncated in its last page, which was never acknowledged
             file.write(data + encode_pages(NOW, 0, [("y", held.entries["x"])])[:-1])
         self.assertEqual(list(member.start(NOW).entries), ["x"])
         self.assertEqual(len(self.data(member)), len(encode_pages(NOW, held.epoch, held.entries.items())))
         for number in (0, 3, 30, len(data) // 2, len(data) - 1):
-            spoilt = bytearray(data)
-            spoilt[number] ^= 0xA5
+            damaged = bytearray(data)
+            damaged[number] ^= 0xA5
             with open(member.path, "wb") as file:
-                file.write(spoilt)
+                file.write(damaged)
             with mock.patch.object(logger, "error") as error:
                 found = member.start(NOW)
             self.assertEqual((found.entries, error.call_count), ({}, 1), number)
@@ -378,7 +380,7 @@
             member.write_changes(NOW)
             self.assertEqual(list(decode_pages(self.data(member)).entries), ["z"])  # type: ignore[union-attr]
 
-    def test_a_write_that_fails_is_one_trouble_and_is_made_again_whole(self) -> None:
+    def test_a_failed_write_is_counted_and_the_whole_file_is_written_again(self) -> None:
         member = self.member()
         held, store = member.registry, member.store
         assert held is not None
@@ -392,11 +394,11 @@
         store.write_due_changes(NOW + 2 * SECOND, NOW + 2 * SECOND)
         self.assertTrue(decode_pages(self.data(member)).entries["x"].ended)  # type: ignore[union-attr]
         store.close(NOW)
-        held.follow(NOW + 2, "x", "has id")  # the folder is another process's
+        held.follow(NOW + 2, "x", "has id")  # the folder belongs to another process
         member.write_changes(NOW + 2)
         self.assertTrue(decode_pages(self.data(member)).entries["x"].ended)  # type: ignore[union-attr]
 
-    def test_a_life_told_by_the_last_member_holds_at_all_and_a_shorter_one_at_once(self) -> None:
+    def test_the_lifetime_set_by_the_last_member_applies_at_all_members(self) -> None:
         one, other = Registry("n0", NOW, MINUTE), Registry("n1", NOW, MAX_LIFETIME)
         one.follow(NOW, "x", "has id")
         other.merge(NOW, one.epoch, one.entries.items())
@@ -409,7 +411,7 @@
         for lasts in (registry.MIN_LIFETIME - 1, MAX_LIFETIME + 1):
             other.merge(NOW, one.epoch, [("y", Entry(NOW, "n0", False, "has id", NOW, lasts))])
         self.assertNotIn("y", other.entries)
-        hour = Entry(NOW, "n0", False, "has id", NOW)  # reads the same at members that know nothing of it
+        hour = Entry(NOW, "n0", False, "has id", NOW)  # members without the field read the entry alike
         self.assertNotIn(b"lasts", msgspec.msgpack.encode(hour))
 
     def data(self, member: Member) -> bytes:
@@ -418,7 +420,7 @@
 
 
 class RestartedNetwork(FakeNetwork):
-    """Members over folders that outlive them; the boots of all are newer than of the last."""
+    """Members that restore their state from folders; `incarnation` is higher after each restart."""
 
     def __init__(self, folder: str, incarnation: int, stopped: tuple[str, ...] = ()) -> None:
         super().__init__()
@@ -437,7 +439,7 @@
 
 
 def lines(subscriber: Subscriber) -> list[dict[str, Any]]:
-    """All that was written to it so far, but for the answer."""
+    """The records written to a subscriber so far, without the answer to its call."""
     return [json.loads(line) for line in subscriber.written if line.startswith("{")]
 
 
@@ -449,7 +451,7 @@
         self.addCleanup(made.cleanup)
         self.folder = made.name
 
-    def test_a_subscriber_goes_on_after_a_restart_of_all(self) -> None:
+    def test_a_subscriber_continues_after_a_restart_of_all_members(self) -> None:
         network = RestartedNetwork(self.folder, 1)
         before = Subscriber(network)
         before.follow("n0")
@@ -462,9 +464,9 @@
         self.assertEqual(before.cursors, dict.fromkeys(("n0-100", "n1-100", "n2-100"), 1))
         network = RestartedNetwork(self.folder, 2, stopped=("n2",))
         for member in network.members.values():
-            member.compile_stored()  # evaluates before the first event, and before anybody follows again
+            member.compile_stored()  # evaluates before the first event and before any subscriber reconnects
         network.publish_event("n1")
-        network.run_rounds(15)  # each has asked n0 for the subscriber, in vain
+        network.run_rounds(15)  # each has asked n0 for the subscriber's position without success
         after = Subscriber(network)
         after.cursors = dict(before.cursors)
         after.follow("n1")
@@ -472,30 +474,24 @@
         ended = [each for each in lines(after) if each["type"] == "ended"]
         self.assertEqual([(each["source"], each["after"]) for each in ended], [("n0-100", 1), ("n1-100", 1)])
         self.assertEqual({each["source"] for each in lines(after) if each["type"] == "from"}, {"n0-200", "n1-200"})
-        network.down.clear()  # one that comes later
+        network.down.clear()  # a member that starts later
         for name in ("n0", "n1"):
             network.verifiers[name].check(network.verifiers["n2"].peer_message(name, Cursors("", ())))
         network.run_rounds(10)
         network.publish_event("n2")
         network.run_rounds(10)
-        acknowledged_ends = lines(after)
-        self.assertIn(
-            ("n2-100", 1), [(each["source"], each["after"]) for each in acknowledged_ends if each["type"] == "ended"]
-        )
+        records = lines(after)
+        self.assertIn(("n2-100", 1), [(each["source"], each["after"]) for each in records if each["type"] == "ended"])
         self.assertEqual(
-            {(each["source"], each["number"]) for each in acknowledged_ends if each["type"] == "from"},
+            {(each["source"], each["number"]) for each in records if each["type"] == "from"},
             {(f"{name}-200", 1) for name in NAMES},
         )
         self.assertEqual(
-            [
-                (each["event"]["source"], each["event"]["number"])
-                for each in acknowledged_ends
-                if each["type"] == "match"
-            ],
+            [(each["event"]["source"], each["event"]["number"]) for each in records if each["type"] == "match"],
             [("n1-200", 1), ("n2-200", 1)],
         )
 
-    def test_an_end_that_was_answered_is_known_after_a_restart_of_all_but_who_told_it(self) -> None:
+    def test_an_acknowledged_end_survives_a_restart_at_each_single_member(self) -> None:
         network = RestartedNetwork(self.folder, 1)
         Subscriber(network).follow("n0")
         network.wait_until_evaluated()
@@ -507,7 +503,7 @@
                 network.members[name]._load_server()
                 self.assertRaises(registry.NotFollowedError, network.members[name].handle_call, Call("FOLLOW", "desk"))
 
-    def test_another_follow_s_holds_for_who_is_connected(self) -> None:
+    def test_a_changed_lifetime_applies_to_connected_subscribers(self) -> None:
         network = RestartedNetwork(self.folder, 1)
         Subscriber(network).follow("n0")
         network.members["n0"].set_lifetime(MINUTE)
--- a/tests/events/test_subscriptions.py
+++ b/tests/events/test_subscriptions.py
@@ -39,7 +39,7 @@
 
 
 def pair(now: int = NOW) -> tuple[Registry, Registry]:
-    """Two members that both know a subscription 'x', which was followed at the second."""
+    """Two members that both have the subscription 'x', which was followed at the second."""
     elm, fir = Registry("elm", now), Registry("fir", now)
     fir.follow(now, "x", "has id")
     send_entries(fir, elm, now)
@@ -49,7 +49,7 @@
 class ReplicatedRegistryTest(unittest.TestCase):
     @DRAWN
     @given(st.lists(ENTRIES, min_size=3, max_size=5))
-    def test_the_join_is_commutative_associative_and_idempotent(self, entries: list[Entry]) -> None:
+    def test_the_merge_is_commutative_associative_and_idempotent(self, entries: list[Entry]) -> None:
         one, two, three, *_ = entries
         self.assertEqual(newer_entry(one, two), newer_entry(two, one))
         self.assertEqual(newer_entry(newer_entry(one, two), three), newer_entry(one, newer_entry(two, three)))
@@ -62,7 +62,7 @@
             ends.add(held.entries["x"])
         self.assertEqual(len(ends), 1)
 
-    def test_an_ended_subscription_does_not_come_back_with_a_sleeper(self) -> None:
+    def test_an_ended_subscription_is_not_revived_by_a_member_that_was_away(self) -> None:
         for away in (
             MINUTE,
             MAX_EPOCHS_AWAY * EPOCH_LENGTH,
@@ -79,7 +79,7 @@
                 fir.tick(hour, with_majority=False)
                 if hour - ended < EPOCH_LENGTH:
                     fir.renew(hour, "x")
-            fir.entries["x"] = Entry(NOW, "fir", False, "has id", now)  # followed there all the time, cut off
+            fir.entries["x"] = Entry(NOW, "fir", False, "has id", now)  # renewed there while the member was cut off
             self.assertEqual("x" in elm.entries, away <= TOMBSTONE_EPOCHS * EPOCH_LENGTH)
             result = send_entries(fir, elm, now)
             self.assertEqual(result is MergeResult.MERGED, away < MAX_EPOCHS_AWAY * EPOCH_LENGTH)
@@ -87,14 +87,14 @@
             self.assertEqual(
                 send_entries(elm, fir, now) is MergeResult.RECEIVER_OUTDATED, result is MergeResult.SENDER_OUTDATED
             )
-            lost = fir.tick(now, with_majority=True)
-            self.assertEqual(lost, ["x"] if result is MergeResult.SENDER_OUTDATED else [])
+            discarded = fir.tick(now, with_majority=True)
+            self.assertEqual(discarded, ["x"] if result is MergeResult.SENDER_OUTDATED else [])
             self.assertEqual(
                 (send_entries(elm, fir, now), send_entries(fir, elm, now)), (MergeResult.MERGED, MergeResult.MERGED)
             )
             self.assertFalse({*elm.live_entries(now), *fir.live_entries(now)})
 
-    def test_what_nobody_follows_ends_everywhere_and_a_follower_keeps_it(self) -> None:
+    def test_a_subscription_without_a_follower_expires_at_all_members_and_renewal_extends_it(self) -> None:
         elm, fir = pair()
         later = NOW + DEFAULT_LIFETIME
         self.assertIn("x", elm.live_entries(later))
@@ -102,34 +102,34 @@
         with self.assertRaises(registry.NotFollowedError):
             elm.renew(later + 1, "x")
         fir.renew(later, "x")
-        fir.renew(NOW, "x")  # a clock that steps back takes nothing away
+        fir.renew(NOW, "x")  # a clock that was set back does not shorten the lifetime
         send_entries(fir, elm, later)
         self.assertIn("x", elm.live_entries(later + DEFAULT_LIFETIME))
-        fir.follow(later + DEFAULT_LIFETIME + 1, "x", "has id")  # it ended, and begins anew
+        fir.follow(later + DEFAULT_LIFETIME + 1, "x", "has id")  # it had expired and starts over
         self.assertIn("x", fir.live_entries(later + DEFAULT_LIFETIME + 1))
         for hour in range((TOMBSTONE_EPOCHS + 2) * 4):
             elm.follow(NOW + hour * EPOCH_LENGTH // 4, "y", "has id")
         elm.tick(NOW + hour * EPOCH_LENGTH // 4, with_majority=False)
         elm.epoch += TOMBSTONE_EPOCHS + 3
         elm.tick(NOW, with_majority=False)
-        self.assertEqual(list(elm.entries), ["y"])  # made days ago, followed ever since
+        self.assertEqual(list(elm.entries), ["y"])  # created days ago, followed ever since
         elm.epoch += 2 * TOMBSTONE_EPOCHS + 9
         elm.tick(NOW, with_majority=False)
         self.assertEqual(elm.entries, {})
 
-    def test_a_late_word_of_an_old_follower_does_not_revive_an_old_filter(self) -> None:
+    def test_a_late_renewal_does_not_restore_an_old_filter(self) -> None:
         elm, fir = pair()
-        elm.follow(NOW, "x", "has age")  # the same moment: one of the two is newer, the same one everywhere
+        elm.follow(NOW, "x", "has age")  # at the same time: one of the two is newer, the same one at all members
         fir.renew(NOW + MINUTE, "x")
         send_entries(fir, elm, NOW + MINUTE)
         send_entries(elm, fir, NOW + MINUTE)
         self.assertEqual((elm.entries, elm.entries["x"].filter), (fir.entries, "has age"))
-        blank = Registry("elm", NOW + MINUTE)  # it has forgotten everything, and yet is newer
-        blank.follow(NOW + MINUTE, "x", "has wait")
-        send_entries(blank, fir, NOW + MINUTE)
+        restarted = Registry("elm", NOW + MINUTE)  # it has lost its state, yet its version is newer
+        restarted.follow(NOW + MINUTE, "x", "has wait")
+        send_entries(restarted, fir, NOW + MINUTE)
         self.assertEqual(fir.entries["x"].filter, "has wait")
 
-    def test_clocks_that_are_off_and_unsound_entries_are_refused(self) -> None:
+    def test_skewed_clocks_and_invalid_entries_are_refused(self) -> None:
         elm = Registry("elm", NOW)
         for epoch, entry in [
             (elm.epoch, Entry(NOW + MAX_CLOCK_SKEW + 1, "fir", False, "has id", NOW)),
@@ -150,7 +150,7 @@
         with self.assertRaises(registry.SubscriptionNameError):
             elm.follow(NOW, "x y", "has id")
 
-    def test_subscriptions_are_bounded(self) -> None:
+    def test_the_number_of_subscriptions_is_limited(self) -> None:
         elm = Registry("elm", NOW)
         elm.entries = {f"n{n}": Entry(NOW, "elm", False, "has id", NOW) for n in range(registry.MAX_ENTRIES)}
         with self.assertRaises(registry.TooManySubscriptionsError):
@@ -161,15 +161,15 @@
 
 
 def make_source(max_waiting: int = 4) -> tuple[Source, Outbox]:
-    source_ = Source("elm.1")
-    source_.set_subscriptions({"x": Entry(1, "elm", False, "shots > 0", 1)})
-    outbox = source_.outboxes["x"] = Outbox("elm.1", 1, max_waiting)
-    return source_, outbox
+    event_source = Source("elm.1")
+    event_source.set_subscriptions({"x": Entry(1, "elm", False, "shots > 0", 1)})
+    outbox = event_source.outboxes["x"] = Outbox("elm.1", 1, max_waiting)
+    return event_source, outbox
 
 
-def publish_attempts(source_: Source, *attempts: int) -> None:
+def publish_attempts(event_source: Source, *attempts: int) -> None:
     for each in attempts:
-        source_.publish(0, "nacked", {"shots": each})
+        event_source.publish(0, "nacked", {"shots": each})
 
 
 def numbers(items: list[Item]) -> list[Any]:
@@ -179,16 +179,18 @@
 class StreamsTest(unittest.TestCase):
     @DRAWN
     @given(st.lists(st.sampled_from(STEPS), max_size=60))
-    def test_each_match_comes_once_in_order_or_in_a_counted_gap(self, steps: list[str]) -> None:
-        source_, outbox = make_source(max_waiting=3)
+    def test_each_match_arrives_once_and_in_order_or_in_a_counted_gap(self, steps: list[str]) -> None:
+        event_source, outbox = make_source(max_waiting=3)
         inbox, old, given, matched = Inbox(), list[Item](), list[Item](), list[int]()
         for step in [*steps, "give", "give", "give"]:
             if step in ("match", "other"):
-                matched += [source_.next_number] * (step == "match")
-                publish_attempts(source_, int(step == "match"))
+                matched += [event_source.next_number] * (step == "match")
+                publish_attempts(event_source, int(step == "match"))
                 continue
             offered = outbox.offer()
-            if step == "elsewhere":  # what the last inbox passed on was seen; the answer to the source was lost
+            if (
+                step == "elsewhere"
+            ):  # the subscriber has the last inbox's items; the acknowledgement to the source was lost
                 inbox = Inbox(streams.decode_cursors(streams.encode_cursors("x", inbox.cursors))[1])
             if step != "lose":
                 given += inbox.receive("elm.1", old if step == "late" else offered)
@@ -208,63 +210,64 @@
         self.assertEqual(sum(reported, []), missed)
         self.assertEqual([streams.position(item) for item in given], sorted(streams.position(item) for item in given))
 
-    def test_a_full_buffer_tells_a_gap_in_the_place_of_the_oldest(self) -> None:
-        source_, outbox = make_source(max_waiting=2)
-        publish_attempts(source_, 1, 0, 1, 1, 0, 1)
+    def test_a_full_buffer_reports_a_gap_in_place_of_the_oldest_matches(self) -> None:
+        event_source, outbox = make_source(max_waiting=2)
+        publish_attempts(event_source, 1, 0, 1, 1, 0, 1)
         self.assertEqual(numbers(outbox.offer()), [EvaluationStart("elm.1", 1), Gap("elm.1", 1, 3, 2), 4, 6])
-        publish_attempts(source_, 1, 1, 1)
-        self.assertEqual(len(outbox.offer()), 4)  # what was offered stays as it is
+        publish_attempts(event_source, 1, 1, 1)
+        self.assertEqual(len(outbox.offer()), 4)  # offered items are not dropped
         outbox.acknowledge(4)
         self.assertEqual(numbers(outbox.offer()), [6])
         outbox.acknowledge(6)
         self.assertEqual(numbers(outbox.offer()), [Gap("elm.1", 7, 7, 1), 8, 9])
         outbox.acknowledge(10**9)
         self.assertEqual(outbox.offer(), [])
-        publish_attempts(source_, 1)
+        publish_attempts(event_source, 1)
         self.assertEqual(numbers(outbox.offer()), [10])
 
-    def test_a_buffer_is_bounded_in_bytes(self) -> None:
-        source_, outbox = make_source(max_waiting=1000)
+    def test_the_bytes_of_a_buffer_are_limited(self) -> None:
+        event_source, outbox = make_source(max_waiting=1000)
         outbox.max_waiting_bytes = 2000
         for _ in range(100):
-            source_.publish(0, "nacked", {"shots": 1, "id": "x" * 256})
+            event_source.publish(0, "nacked", {"shots": 1, "id": "x" * 256})
         self.assertLessEqual((len(outbox.waiting), outbox.waiting_bytes), (2, 2000))
         self.assertEqual(outbox.waiting_bytes, sum(size for _, size in outbox.waiting))
         self.assertEqual(outbox.gap and outbox.gap.count, 100 - len(outbox.waiting))
         outbox.offer()
         self.assertEqual(outbox.waiting_bytes, 0)
 
-    def test_a_window_is_bounded(self) -> None:
-        source_, outbox = make_source(max_waiting=1000)
-        publish_attempts(source_, *[1] * 2 * streams.WINDOW)
+    def test_a_window_is_limited(self) -> None:
+        event_source, outbox = make_source(max_waiting=1000)
+        publish_attempts(event_source, *[1] * 2 * streams.WINDOW)
         self.assertEqual(len(outbox.offer()), streams.WINDOW)
 
-    def test_a_source_says_from_which_number_on_it_evaluates(self) -> None:
-        source_ = Source("elm.1")
-        publish_attempts(source_, 1, 1)
+    def test_a_source_reports_the_number_from_which_it_evaluates_a_filter(self) -> None:
+        event_source = Source("elm.1")
+        publish_attempts(event_source, 1, 1)
         entry = Entry(1, "elm", False, "shots > 0", 1)
-        source_.set_subscriptions({"x": entry, "y": Entry(1, "elm", False, "shots of a newer kind", 1)})
-        self.assertEqual(set(source_.failed_filters), {"y"})
-        self.assertEqual(source_.set_subscriptions({"x": entry, "y": entry}), {})
-        publish_attempts(source_, 0, 1)
-        self.assertEqual(numbers(source_.outboxes["x"].offer()), [EvaluationStart("elm.1", 3), 4])
-        source_.set_subscriptions(
+        event_source.set_subscriptions({"x": entry, "y": Entry(1, "elm", False, "shots of a newer kind", 1)})
+        self.assertEqual(set(event_source.failed_filters), {"y"})
+        self.assertEqual(event_source.set_subscriptions({"x": entry, "y": entry}), {})
+        publish_attempts(event_source, 0, 1)
+        self.assertEqual(numbers(event_source.outboxes["x"].offer()), [EvaluationStart("elm.1", 3), 4])
+        event_source.set_subscriptions(
             {"x": Entry(2, "fir", False, "shots > 0", 2)}
-        )  # the subscriber is elsewhere now: the box stays
-        self.assertEqual((len(source_.outboxes["x"].offer()), source_.failed_filters), (2, {}))
-        source_.set_subscriptions({"x": Entry(3, "fir", False, "shots > 1", 2)})
-        self.assertEqual(numbers(source_.outboxes["x"].offer()), [EvaluationStart("elm.1", 5)])
-        source_.set_subscriptions({})
+        )  # the subscriber has moved: the outbox stays
+        self.assertEqual((len(event_source.outboxes["x"].offer()), event_source.failed_filters), (2, {}))
+        event_source.set_subscriptions({"x": Entry(3, "fir", False, "shots > 1", 2)})
+        self.assertEqual(numbers(event_source.outboxes["x"].offer()), [EvaluationStart("elm.1", 5)])
+        event_source.set_subscriptions({})
         self.assertEqual(
-            (source_.publish(0, "nacked", {"shots": 9}), source_.outboxes, len(source_.index)), ([], {}, 0)
+            (event_source.publish(0, "nacked", {"shots": 9}), event_source.outboxes, len(event_source.index)),
+            ([], {}, 0),
         )
 
-    def test_an_inbox_passes_on_news_of_its_own_sources_alone(self) -> None:
+    def test_an_inbox_drops_repeated_items_and_items_of_other_sources(self) -> None:
         inbox = Inbox({"elm.1": 5})
         self.assertEqual(inbox.receive("elm.1", [EvaluationStart("elm.1", 6), Gap("elm.1", 2, 5, 3)]), [])
         self.assertEqual(
             inbox.receive("elm.1", [EvaluationStart("elm.1", 9)]), [EvaluationStart("elm.1", 9)]
-        )  # 6 to 8 are not known of
+        )  # nothing is known of 6 to 8
         self.assertEqual(inbox.receive("elm.1", [EvaluationStart("fir.1", 20)]), [])
         self.assertEqual((inbox.cursors, inbox.dropped), ({"elm.1": 8}, 3))
         self.assertEqual(
@@ -274,7 +277,7 @@
             inbox.receive(f"s.{number}", [EvaluationStart(f"s.{number}", 1)])
         self.assertEqual(len(inbox.cursors), streams.MAX_SOURCES)
 
-    def test_cursors_are_read_as_they_were_told(self) -> None:
+    def test_cursors_are_decoded_as_they_were_encoded(self) -> None:
         held = {"elm.1": 0, "fir.22": (1 << 63) - 1}
         self.assertEqual(streams.decode_cursors(streams.encode_cursors("x", held)), ("x", held))
         self.assertEqual(streams.decode_cursors("x"), ("x", {}))
