--- a/tests/processes/test_events.py
+++ b/tests/processes/test_events.py
@@ -1,4 +1,4 @@
-"""Subscribers of a fleet of real senders, while parts of it fail: what they got against what the partners saw."""
+"""Subscribers of a fleet of real senders with faults: what they received is compared with what the partners saw."""
 
 import contextlib
 import json
@@ -20,7 +20,7 @@
 
 
 class Subscriber:
-    """Follows at one sender at a time; keeps its cursors, and all that it was told."""
+    """Follows at one sender at a time; retains its cursors and all records that it received."""
 
     def __init__(self, fleet: Fleet, name: str = "desk", filter_: str = FILTER) -> None:
         self.fleet = fleet
@@ -30,29 +30,29 @@
         self.events: list[dict[str, Any]] = []
         self.watched = Watched()
         self.ended: list[str] = []  # sources
-        self.last = ""  # the line that is no JSON, beside the empty ones
-        self.bytes = 0
+        self.last_text = ""  # the last line that is neither JSON nor empty
+        self.bytes_read = 0
         self.reading: gevent.Greenlet | None = None
 
     def follow(self, number: int) -> "Subscriber":
-        """Connect with what it has read so far, and read on."""
-        self.leave()
+        """Connect with the current cursors and read in a greenlet."""
+        self.disconnect()
         sock = gevent.socket.create_connection(self.fleet.members[number].management, 5.0)
         cursors = [f"{source}:{at}" for source, at in self.cursors.items()]
         sock.sendall(" ".join(["FOLLOW", self.name, *cursors, "WHERE", self.filter]).encode() + b"\n")
         self.reading = gevent.spawn(self._read, sock)
         return self
 
-    def begin(self) -> None:
-        """Returns once all senders evaluate."""
+    def wait_until_evaluated(self) -> None:
+        """Wait until all senders evaluate the filter."""
         self.fleet.until(lambda: self.sources() == set(NAMES), 20.0, "the sources")
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         if self.reading is not None:
             self.reading.kill()
 
     def sources(self) -> set[str]:
-        """Members of which the newest boot has said from where on it evaluates."""
+        """Members whose sources have reported from which number on they evaluate the filter."""
         return {source.rpartition("-")[0] for source in self.cursors}
 
     def ids(self, member: str) -> set[str]:
@@ -62,35 +62,35 @@
         with sock, sock.makefile("rb") as lines:
             try:
                 for line in lines:
-                    self.bytes += len(line)
+                    self.bytes_read += len(line)
                     if line.strip():
-                        self._line(line.decode())
+                        self._handle_line(line.decode())
             except OSError:
                 return
 
-    def _line(self, line: str) -> None:
+    def _handle_line(self, line: str) -> None:
         if not line.startswith("{"):
-            self.last = line
+            self.last_text = line
             return
-        told, at, watched = json.loads(line), self.fleet.day.now(), self.watched
-        if told["type"] == "match":
-            event = told["event"]
+        record, at, watched = json.loads(line), self.fleet.day.now(), self.watched
+        if record["type"] == "match":
+            event = record["event"]
             self.events.append(event)
             watched.matched.append(Matched(self.name, event["source"], event["number"], at))
             self.cursors[event["source"]] = event["number"]
-        elif told["type"] == "gap":
-            watched.gaps.append(Gap(self.name, told["source"], told["first"], told["last"], at))
-            self.cursors[told["source"]] = told["last"]
-        elif told["type"] == "from":
-            watched.evaluates.append(Evaluates(self.name, told["source"], told["number"], at))
-            self.cursors[told["source"]] = told["number"] - 1
+        elif record["type"] == "gap":
+            watched.gaps.append(Gap(self.name, record["source"], record["first"], record["last"], at))
+            self.cursors[record["source"]] = record["last"]
+        elif record["type"] == "from":
+            watched.evaluates.append(Evaluates(self.name, record["source"], record["number"], at))
+            self.cursors[record["source"]] = record["number"] - 1
         else:
-            self.ended.append(told["source"])
-            self.cursors.pop(told["source"])
+            self.ended.append(record["source"])
+            self.cursors.pop(record["source"])
 
 
 def completed(fleet: Fleet, sender: int) -> set[str]:
-    """Messages that a sender has delivered, by the partners."""
+    """The ids of messages that a sender has delivered, according to the partners."""
     return {
         call.id
         for call in fleet.history.called
@@ -98,26 +98,26 @@
     }
 
 
-def heard(fleet: Fleet, subscriber: Subscriber) -> None:
-    """Returns once some matches of each sender have come."""
+def wait_for_matches(fleet: Fleet, subscriber: Subscriber) -> None:
+    """Wait until several matches of each sender have arrived."""
     fleet.until(lambda: all(len(subscriber.ids(name)) > 5 for name in NAMES), 10.0, "matches of all senders")
 
 
 class SubscribersTest(unittest.TestCase):
-    def play(self, case: Callable[[Fleet, Subscriber], None], but: Iterable[int] = ()) -> None:
-        """Play a case, then hold what was told against the partners' history; `but`: senders that have died in it."""
+    def run_case(self, case: Callable[[Fleet, Subscriber], None], killed: Iterable[int] = ()) -> None:
+        """Run a case and compare its records with the partners' history; `killed`: senders killed in the case."""
 
-        def whole(fleet: Fleet) -> None:
+        def run(fleet: Fleet) -> None:
             subscriber = Subscriber(fleet).follow(0)
-            subscriber.begin()
+            subscriber.wait_until_evaluated()
             case(fleet, subscriber)
-            self.wait(fleet, subscriber, but)
-            self.judge(fleet, subscriber)
-            subscriber.leave()
+            self.wait_for_deliveries(fleet, subscriber, killed)
+            self.check_findings(fleet, subscriber)
+            subscriber.disconnect()
 
         for seed in rig.seeds():
             with self.subTest(seed=seed):
-                # A busy machine may hold up senders; it makes nothing of what was told untrue, and loses nothing.
+                # A busy machine may delay senders, but must not make a record wrong or lose one.
                 rig.run_judged(
                     lambda seed=seed: rig.fleet(  # type: ignore[misc]
                         rig.SCENARIO,
@@ -127,61 +127,62 @@
                         keys='alone = "own"',
                         say=rig.discard_output,
                     ),
-                    whole,
+                    run,
                     excused=(OSError, SenderNotReadyError),
                 )
 
-    def wait(self, fleet: Fleet, subscriber: Subscriber, but: Iterable[int] = ()) -> None:
-        """Until nothing is owed to clients, and nothing to the subscriber by the sources that have not ended.
+    def wait_for_deliveries(self, fleet: Fleet, subscriber: Subscriber, killed: Iterable[int] = ()) -> None:
+        """Wait until all messages have ended and the subscriber has all matches of sources that have not ended.
 
-        Whatever a receiver has delivered, its sender tells as completed, or as an attempt whose answer it never read.
+        A sender reports each message that a receiver has delivered as completed, or as an attempt without an answer.
         """
 
         def missing() -> dict[int, set[str]]:
-            left = {
+            missing_ids = {
                 number: completed(fleet, number) - subscriber.ids(f"n{number}")
                 for number in range(3)
-                if number not in but
+                if number not in killed
             }
-            return {number: ids for number, ids in left.items() if ids}
+            return {number: ids for number, ids in missing_ids.items() if ids}
 
         while fleet.under_way:
             gevent.sleep(0.05)
         fleet.until(lambda: not fleet.owed(), 15.0, "the last ends")
-        # A sender that has not read a partner's answer in time says so once its attempt is given up.
+        # A sender that has not read a partner's answer reports the outcome once it gives up the attempt.
         with contextlib.suppress(TimeoutError):
             fleet.until(lambda: not missing(), 9.0)
-        self.assertEqual(missing(), {}, "delivered, and never told")
+        self.assertEqual(missing(), {}, "delivered, but not reported")
 
-    def judge(self, fleet: Fleet, subscriber: Subscriber) -> None:
-        """Claims 14 to 16; what met the filter is known by the partners."""
-        fleet.settle()  # the subscriber goes on reading until the senders end
-        true = set().union(*(completed(fleet, number) for number in range(3)))
+    def check_findings(self, fleet: Fleet, subscriber: Subscriber) -> None:
+        """Check rules 14 to 16; which events match the filter is taken from the partners' history."""
+        fleet.settle()  # the subscriber continues to read until the senders end
+        delivered = set().union(*(completed(fleet, number) for number in range(3)))
         watched = subscriber.watched
         watched.occurred = [
             Occurred(
                 event["source"],
                 event["number"],
                 0,
-                (subscriber.name,) * (event["kind"] == "outcome" or event["fields"]["id"] in true),
+                (subscriber.name,) * (event["kind"] == "outcome" or event["fields"]["id"] in delivered),
             )
             for event in subscriber.events
         ]
         verdict = fleet.judge(None, watched)
-        mine = [finding for finding in verdict.findings if finding.rule in (14, 15, 16)]  # test_fleet.py has all
-        self.assertEqual((mine, fleet.failed), ([], []), fleet.report(verdict))
+        # test_fleet.py checks all rules.
+        event_findings = [finding for finding in verdict.findings if finding.rule in (14, 15, 16)]
+        self.assertEqual((event_findings, fleet.failed), ([], []), fleet.report(verdict))
 
     def test_all_matches_of_all_senders_in_order(self) -> None:
         def case(fleet: Fleet, subscriber: Subscriber) -> None:
             fleet.load(3, rate=120)
-            heard(fleet, subscriber)
+            wait_for_matches(fleet, subscriber)
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_the_subscribers_sender_dies_and_it_goes_on_elsewhere(self) -> None:
+    def test_a_subscriber_continues_at_another_sender_after_its_sender_was_killed(self) -> None:
         def case(fleet: Fleet, subscriber: Subscriber) -> None:
             fleet.load(20, rate=120)
-            heard(fleet, subscriber)
+            wait_for_matches(fleet, subscriber)
             fleet.kill(0)
             subscriber.follow(2)
             gevent.sleep(2)
@@ -190,49 +191,49 @@
             gevent.sleep(1)
             fleet.end_loads()
 
-        self.play(case, but={0})
+        self.run_case(case, killed={0})
 
-    def test_a_subscriber_goes_on_elsewhere_while_its_sender_is_cut_off(self) -> None:
+    def test_a_subscriber_continues_at_another_sender_while_its_sender_is_isolated(self) -> None:
         def case(fleet: Fleet, subscriber: Subscriber) -> None:
             fleet.load(8, rate=90)
-            heard(fleet, subscriber)
-            broken = fleet.isolate(0, silent=True)
+            wait_for_matches(fleet, subscriber)
+            faults = fleet.isolate(0, silent=True)
             gevent.sleep(1)
             subscriber.follow(2)
-            gevent.sleep(3)  # n0's partition is another's by then
-            fleet.heal(broken)
+            gevent.sleep(3)  # n0's partition has been taken over by then
+            fleet.heal(faults)
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_an_ended_subscription_does_not_come_back_with_one_that_slept(self) -> None:
+    def test_an_ended_subscription_is_not_revived_by_a_sender_that_was_suspended(self) -> None:
         def case(fleet: Fleet, subscriber: Subscriber) -> None:
             fleet.load(2, rate=60)
             gevent.sleep(1)
-            self.wait(fleet, subscriber)
+            self.wait_for_deliveries(fleet, subscriber)
             fleet.stop(1)
             gevent.sleep(2)
             answer = fleet.call(0, f"UNFOLLOW {subscriber.name}")
             self.assertRegex(answer, "^YES desk ended, not yet told: n1")
-            fleet.until(lambda: "CW834" in subscriber.last, 1.0, "the end")
+            fleet.until(lambda: "CW834" in subscriber.last_text, 1.0, "the end")
             subscriber.watched.ended.append(Ended(subscriber.name, fleet.day.now()))
             fleet.cont(1)
             gevent.sleep(2)
             for number in range(3):
                 self.assertRegex(fleet.call(number, f"UNFOLLOW {subscriber.name}"), "^NO no subscription")
 
-        self.play(case)
+        self.run_case(case)
 
-    def test_a_subscription_outlives_a_restart_of_all_at_once(self) -> None:
+    def test_a_subscription_survives_a_simultaneous_restart_of_all_senders(self) -> None:
         def case(fleet: Fleet, subscriber: Subscriber) -> None:
             fleet.load(3, rate=90)
             gevent.sleep(2)
-            over = Subscriber(fleet, "over").follow(1)
-            over.begin()
+            second = Subscriber(fleet, "over").follow(1)
+            second.wait_until_evaluated()
             self.assertRegex(fleet.call(2, "UNFOLLOW over"), "^YES over ended")
             before = dict(subscriber.cursors)
-            for act in (fleet.kill, fleet.start):
-                gevent.joinall([gevent.spawn(act, number) for number in range(3)], raise_error=True)
-            known = [completed(fleet, number) for number in range(3)]
+            for action in (fleet.kill, fleet.start):
+                gevent.joinall([gevent.spawn(action, number) for number in range(3)], raise_error=True)
+            delivered_before = [completed(fleet, number) for number in range(3)]
             fleet.load(6, rate=90)
             gevent.sleep(2)
             subscriber.follow(2)
@@ -244,29 +245,32 @@
             while fleet.under_way:
                 gevent.sleep(0.05)
             fleet.until(lambda: not fleet.owed(), 8.0, "the last ends")
-            # The sources evaluate what they have kept from their first event on, before anybody follows again.
+            # The sources evaluate stored subscriptions from their first event on, before the subscriber reconnects.
             self.assertEqual({each.since for each in subscriber.watched.evaluates if each.source not in before}, {1})
 
             def missing() -> set[str]:
-                # One that was withdrawn as its client hung up, its attempt out, tells no end.
+                # A message withdrawn during its attempt, because its client disconnected, has no final event.
                 taken = {each.id for each in fleet.history.handed if each.answer == "ok"}
                 return taken & set().union(
-                    *(completed(fleet, number) - known[number] - subscriber.ids(f"n{number}") for number in range(3))
+                    *(
+                        completed(fleet, number) - delivered_before[number] - subscriber.ids(f"n{number}")
+                        for number in range(3)
+                    )
                 )
 
             with gevent.Timeout(9.0, False):
                 while missing():
                     gevent.sleep(0.05)
-            late = [call for call in fleet.history.called if call.id in missing()]
-            self.assertEqual(late, [], (subscriber.watched.evaluates, fleet.history.life))
-            self.assertTrue(all(completed(fleet, number) - known[number] for number in range(3)))
-            subscriber.leave()  # what a late end still brings is no part of what is judged
+            late_calls = [call for call in fleet.history.called if call.id in missing()]
+            self.assertEqual(late_calls, [], (subscriber.watched.evaluates, fleet.history.life))
+            self.assertTrue(all(completed(fleet, number) - delivered_before[number] for number in range(3)))
+            subscriber.disconnect()  # records of late endings are not part of the check
 
-        self.play(case, but={0, 1, 2})
+        self.run_case(case, killed={0, 1, 2})
 
 
 class CostsTest(unittest.TestCase):
-    def test_a_subscriber_that_never_reads_costs_deliveries_nothing_and_only_matches_cross(self) -> None:
+    def test_subscribers_that_never_read_do_not_delay_deliveries_and_only_matches_are_sent(self) -> None:
         seed = rig.seeds()[0]
         command = (COMMAND[0], "-X", "importtime", *COMMAND[1:])
         with rig.fleet(rig.SCENARIO, seed, ("east", "east", "west"), command=command, say=lambda _: None) as fleet:
@@ -274,31 +278,31 @@
             fleet.load(5, rate=120)
             while fleet.under_way:
                 gevent.sleep(0.05)
-            alone = self.late(fleet, 0)
-            logs = [fleet.log(number) for number in range(3)]  # without a subscriber nothing of the grammar is loaded
+            baseline = self.answer_p99_us(fleet, 0)
+            logs = [fleet.log(number) for number in range(3)]  # without a subscriber the grammar is not loaded
             self.assertEqual([("cedarwick.events.exchange" in log, "lark" in log) for log in logs], [(True, False)] * 3)
-            begun = fleet.day.now()
+            started_at = fleet.day.now()
             narrow = Subscriber(fleet, "narrow").follow(0)
             everything = Subscriber(fleet, "everything", "has sender").follow(1)
-            for place in range(3):  # these read nothing, at the third sender
+            for index in range(3):  # these subscribers of the third sender read nothing
                 sock = gevent.socket.socket()
                 sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_RCVBUF, 4096)
                 sock.connect(fleet.members[2].management)
-                sock.sendall(f"FOLLOW deaf{place} WHERE has sender\n".encode())
+                sock.sendall(f"FOLLOW deaf{index} WHERE has sender\n".encode())
                 self.addCleanup(sock.close)
-            narrow.begin()
-            everything.begin()
+            narrow.wait_until_evaluated()
+            everything.wait_until_evaluated()
             fleet.load(5, rate=120)
             while fleet.under_way:
                 gevent.sleep(0.05)
-            deaf = self.late(fleet, begun)
+            loaded = self.answer_p99_us(fleet, started_at)
             print(
-                f"\nanswer p99 with nobody following {alone / 1000:.1f} ms, with three that never read "
-                f"{deaf / 1000:.1f} ms; bytes to subscribers: a narrow filter {narrow.bytes}, "
-                f"all events {everything.bytes}"
+                f"\nanswer p99 with nobody following {baseline / 1000:.1f} ms, with three that never read "
+                f"{loaded / 1000:.1f} ms; bytes to subscribers: a narrow filter {narrow.bytes_read}, "
+                f"all events {everything.bytes_read}"
             )
-            self.assertLess(deaf, 2 * alone + 500_000)  # microseconds; the machine may be busy
-            self.assertLess(narrow.bytes, everything.bytes / 5)
+            self.assertLess(loaded, 2 * baseline + 500_000)  # microseconds; the machine may be busy
+            self.assertLess(narrow.bytes_read, everything.bytes_read / 5)
             fleet.settle()
             print(
                 "\n".join(
@@ -310,12 +314,12 @@
             )
 
     @staticmethod
-    def late(fleet: Fleet, since: int) -> float:
-        """p99 of what an answer of OK took, microseconds."""
-        took = [
+    def answer_p99_us(fleet: Fleet, since: int) -> float:
+        """The 99th percentile of the time until an OK answer, in microseconds."""
+        durations = [
             each.answered - each.sent for each in fleet.history.handed if each.answer == "ok" and each.sent >= since
         ]
-        return statistics.quantiles(took, n=100)[-1]
+        return statistics.quantiles(durations, n=100)[-1]
 
 
 if __name__ == "__main__":
