--- a/cedarwick/config/remedies.py
+++ b/cedarwick/config/remedies.py
@@ -1,4 +1,4 @@
-"""Every exception type of the package, and the table of `docs/errors.md` as the types have it."""
+"""Lists the exception types of the package and generates the table of `docs/errors.md` from them."""
 
 import importlib
 import inspect
@@ -8,34 +8,40 @@
 from cedarwick.errors import CedarwickError
 
 
-def types() -> tuple[list[type[Exception]], list[str]]:
-    """The exception types of all modules, and the modules that were left out since a library of theirs is missing."""
-    found: dict[str, type[Exception]] = {}
-    left_out = []
+def exception_types() -> tuple[list[type[Exception]], list[str]]:
+    """Return the exception types of all modules, and the modules skipped because a library they import is missing."""
+    by_name: dict[str, type[Exception]] = {}
+    skipped = []
     for module in pkgutil.walk_packages(cedarwick.__path__, "cedarwick."):
         try:
             loaded = importlib.import_module(module.name)
         except ModuleNotFoundError as error:
             if str(error.name).startswith("cedarwick"):
                 raise
-            left_out.append(module.name)
+            skipped.append(module.name)
             continue
-        for _, each in inspect.getmembers(loaded, inspect.isclass):
-            if issubclass(each, Exception) and each.__module__ == module.name and each is not CedarwickError:
-                found[name(each)] = each
-    return list(found.values()), left_out
+        for _, error_type in inspect.getmembers(loaded, inspect.isclass):
+            if (
+                issubclass(error_type, Exception)
+                and error_type.__module__ == module.name
+                and error_type is not CedarwickError
+            ):
+                by_name[qualified_name(error_type)] = error_type
+    return list(by_name.values()), skipped
 
 
-def name(each: type[Exception]) -> str:
-    """Module and type, without the package."""
-    return f"{each.__module__.removeprefix('cedarwick.')}.{each.__name__}"
+def qualified_name(error_type: type[Exception]) -> str:
+    """Return module and type name, without the package."""
+    return f"{error_type.__module__.removeprefix('cedarwick.')}.{error_type.__name__}"
 
 
-def row(each: type[CedarwickError]) -> str:
-    """A type's line of the table: code, type, what happened, what to do."""
-    return f"| {each.code} | `{name(each)}` | {str(each.__doc__).splitlines()[0]} | {each.remedy} |"
+def table_row(error: type[CedarwickError]) -> str:
+    """Return the table row of an error: code, type, what happened, what to do."""
+    return f"| {error.code} | `{qualified_name(error)}` | {str(error.__doc__).splitlines()[0]} | {error.remedy} |"
 
 
-def rows() -> list[str]:
-    """The table, by code."""
-    return sorted(row(each) for each in types()[0] if issubclass(each, CedarwickError))
+def table_rows() -> list[str]:
+    """Return the table rows, sorted by code."""
+    return sorted(
+        table_row(error_type) for error_type in exception_types()[0] if issubclass(error_type, CedarwickError)
+    )
--- a/cedarwick/events/anti_entropy.py
+++ b/cedarwick/events/anti_entropy.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from cedarwick.events.registry import Entry, MergeResult, Registry
-from cedarwick.fleet.messages import MOST_ENTRIES, Subscribe
+from cedarwick.fleet.messages import MAX_SUBSCRIPTION_ENTRIES, Subscribe
 
 BUCKETS = 256
 ENTRIES_BYTES = 1 << 18  # approximate bytes of entries in one peer message; at least one bucket is sent
@@ -59,18 +59,22 @@
         size = 0
         for name in names:
             entry = self.registry.entries.get(name)
-            if entry is not None and size <= MAX_ENTRIES_BYTES and len(found) < MOST_ENTRIES:
+            if entry is not None and size <= MAX_ENTRIES_BYTES and len(found) < MAX_SUBSCRIPTION_ENTRIES:
                 found[name] = entry
                 size += len(entry.filter) + ENTRY_OVERHEAD_BYTES
         return Subscribe(self.registry.epoch, self.digest(), found, tuple(asked))
 
     def answer(self, received: Subscribe) -> Subscribe:
         """Build the answer to another member's message, after its entries were merged."""
-        asked = {each for each in received.asked if each < BUCKETS}
+        asked = {each for each in received.requested_buckets if each < BUCKETS}
         if asked:
             return self.peer_message(self._names_in_buckets(asked))
         answer = self.peer_message()
-        return answer if answer.digest == received.digest else msgspec.structs.replace(answer, buckets=self.digests())
+        return (
+            answer
+            if answer.digest == received.digest
+            else msgspec.structs.replace(answer, bucket_digests=self.digests())
+        )
 
     def merge_entries(self, now: int, received: Subscribe) -> MergeResult:
         """Merge the entries of a message into the registry; returns whether they were accepted, or why not."""
@@ -83,7 +87,7 @@
         """Build a message that sends and requests the buckets that differ, as many as fit; None if none differ."""
         differ = [
             number
-            for number, (ours, theirs) in enumerate(zip(self.digests(), answer.buckets, strict=False))
+            for number, (ours, theirs) in enumerate(zip(self.digests(), answer.bucket_digests, strict=False))
             if ours != theirs
         ]
         sizes = [0] * BUCKETS
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -176,7 +176,7 @@
             self._skip_event_number()
             return
         try:
-            self._publish(kind, observer.message(kind, stored, figure))
+            self._publish(kind, observer.message_fields(kind, stored, figure))
         except Exception:  # a failure to publish must not fail the delivery
             self.counters.log_exception("an event was not published")
 
@@ -184,7 +184,9 @@
         """Publish an event for each message taken over from another member."""
         for each in stored:
             if self.has_subscriptions and self.observer is not None:
-                self._publish("adopted", self.observer.message("adopted", each, 0) | self.observer.member(member))
+                self._publish(
+                    "adopted", self.observer.message_fields("adopted", each, 0) | self.observer.member_fields(member)
+                )
             else:
                 self._skip_event_number()
 
@@ -201,7 +203,7 @@
 
     def _publish_member_event(self, kind: str, member: str, extra_fields: dict[str, Value]) -> None:
         if self.has_subscriptions and self.observer is not None:
-            self._publish(kind, self.observer.member(member) | extra_fields)
+            self._publish(kind, self.observer.member_fields(member) | extra_fields)
         else:
             self._skip_event_number()
 
@@ -220,7 +222,7 @@
 
     def _request_clearance(self, request_clearance: Callable[[AttemptCall], bool], call: AttemptCall) -> bool:
         if self.has_subscriptions and self.observer is not None:
-            self.observer.attempt_begins(call)
+            self.observer.attempt_started(call)
         return request_clearance(call)
 
     def _report_result(
@@ -401,14 +403,14 @@
 
     def _checked_filter(self, text: str) -> str:
         """Return the canonical text of a filter that every member can evaluate. Raises `FilterError`."""
-        from cedarwick.events.language import check_levels, read
+        from cedarwick.events.language import check_levels, parse_filter
 
-        found = read(text)
+        parsed = parse_filter(text)
         levels = self.verifier.levels
         check_levels(
-            found, {member: levels[member] for member in (self.name, *self.verifier.others) if member in levels}
+            parsed, {member: levels[member] for member in (self.name, *self.verifier.others) if member in levels}
         )
-        return found.text
+        return parsed.canonical_text
 
     def _unfollow(self, argument: str) -> str:
         name = argument.strip()
--- a/cedarwick/events/registry_exchange.py
+++ b/cedarwick/events/registry_exchange.py
@@ -105,7 +105,7 @@
             self.unsent.setdefault(name, set()).update(names)
             self.retry_at[name] = now + RETRY_AFTER
             return False
-        if answer.buckets and (request := self.registry_sync.request_differing(answer)) is not None:
+        if answer.bucket_digests and (request := self.registry_sync.request_differing(answer)) is not None:
             answer = self.send(name, request) or answer
         self.agreed_digests[name] = self.registry_sync.digest()
         return answer.digest == self.agreed_digests[name]
--- a/cedarwick/events/subscription_server.py
+++ b/cedarwick/events/subscription_server.py
@@ -132,7 +132,7 @@
 
     def set_subscriptions(self, live_entries: Mapping[str, Entry]) -> bool:
         """Replace the live subscriptions; returns False if some filters are left for the next call."""
-        texts, failed_filters = self.source.index.texts, self.source.failed_filters
+        texts, failed_filters = self.source.index.texts_by_name, self.source.failed_filters
         new_names = [
             name
             for name, entry in live_entries.items()
@@ -149,10 +149,8 @@
                     "a filter that cannot be evaluated", CannotEvaluateError(f"{name}: {filter_errors[name]}")
                 )
         self._update_deliveries()
-        for (
-            name,
-            entry,
-        ) in live_entries.items():  # request the position of a subscriber that has moved without waiting for a match
+        # Request the position of a subscriber that has moved at once, without waiting for a match.
+        for name, entry in live_entries.items():
             delivery = self.deliveries.get(name)
             if delivery is not None:
                 known = (
@@ -307,9 +305,9 @@
             # Ignore reports of members that the subscriber has left: they are positions of old connections.
             if delivery is None or entry is None or entry.member != sender:
                 continue
-            if cursor.began:
+            if cursor.connected_at:
                 delivery.handle_report(
-                    now, ReaderPosition(sender, cursor.began, cursor.held, cursor.written, cursor.room)
+                    now, ReaderPosition(sender, cursor.connected_at, cursor.received, cursor.written, cursor.has_room)
                 )
                 self.active[cursor.name] = None
             else:
--- a/cedarwick/program.py
+++ b/cedarwick/program.py
@@ -345,7 +345,7 @@
             self.notifier.change_address(assignment.platform)
         apply_operator_settings(operator, self.counters)
         if self.node is not None and operator is not None and operator.fleet is not None:
-            self.node.replace(operator.fleet)
+            self.node.reload_settings(operator.fleet)
         elif self.node is not None or operator is not None and operator.fleet is not None:
             logger.error("a change of fleet membership takes effect only after a restart of this sender")
         self.descriptors.set_limit(assignment.descriptors)
@@ -399,7 +399,7 @@
             self.dispatcher.is_idle()
             and not self.notifier.pending
             and not self.client_listener.clients
-            and (self.node is None or self.node.session_router is None or self.node.session_router.left())
+            and (self.node is None or self.node.session_router is None or self.node.session_router.is_drained())
         )
 
 
