--- a/cedarwick/events/anti_entropy.py
+++ b/cedarwick/events/anti_entropy.py
@@ -53,22 +53,22 @@
         """The digest of the whole registry."""
         return xxhash.xxh3_64_intdigest(_encode(self.digests()))
 
-    def peer_message(self, names: Iterable[str] = (), asked: Iterable[int] = ()) -> Subscribe:
+    def peer_message(self, names: Iterable[str] = (), requested: Iterable[int] = ()) -> Subscribe:
         """Build a message of the digest, the named entries as far as they fit, and the buckets requested."""
-        found: dict[str, Entry] = {}
+        selected: dict[str, Entry] = {}
         size = 0
         for name in names:
             entry = self.registry.entries.get(name)
-            if entry is not None and size <= MAX_ENTRIES_BYTES and len(found) < MAX_SUBSCRIPTION_ENTRIES:
-                found[name] = entry
+            if entry is not None and size <= MAX_ENTRIES_BYTES and len(selected) < MAX_SUBSCRIPTION_ENTRIES:
+                selected[name] = entry
                 size += len(entry.filter) + ENTRY_OVERHEAD_BYTES
-        return Subscribe(self.registry.epoch, self.digest(), found, tuple(asked))
+        return Subscribe(self.registry.epoch, self.digest(), selected, tuple(requested))
 
     def answer(self, received: Subscribe) -> Subscribe:
         """Build the answer to another member's message, after its entries were merged."""
-        asked = {each for each in received.requested_buckets if each < BUCKETS}
-        if asked:
-            return self.peer_message(self._names_in_buckets(asked))
+        requested = {each for each in received.requested_buckets if each < BUCKETS}
+        if requested:
+            return self.peer_message(self._names_in_buckets(requested))
         answer = self.peer_message()
         return (
             answer
@@ -93,12 +93,12 @@
         sizes = [0] * BUCKETS
         for name, entry in self.registry.entries.items():
             sizes[bucket_of(name)] += len(entry.filter) + ENTRY_OVERHEAD_BYTES
-        asked: list[int] = []
+        requested: list[int] = []
         for number in differ:
-            if asked and sum(sizes[each] for each in asked) + sizes[number] > ENTRIES_BYTES:
+            if requested and sum(sizes[each] for each in requested) + sizes[number] > ENTRIES_BYTES:
                 break
-            asked.append(number)
-        return self.peer_message(self._names_in_buckets(set(asked)), asked) if asked else None
+            requested.append(number)
+        return self.peer_message(self._names_in_buckets(set(requested)), requested) if requested else None
 
     def _names_in_buckets(self, buckets: set[int]) -> list[str]:
         return [
--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -40,9 +40,7 @@
 
 CHECK_INTERVAL = 250_000  # microseconds between two checks of the registry and the receivers
 TICK_INTERVAL = 1_000_000  # microseconds between two ticks of the registry
-MIN_CLOCK_JUMP = (
-    10_000_000  # microseconds of drift from the monotonic clock beyond which the wall clock is taken to have been set
-)
+MIN_CLOCK_JUMP = 10_000_000  # microseconds of drift from the monotonic clock that count as a jump of the wall clock
 MAX_STARTUP_BATCHES = 20  # batches of stored filters compiled during start-up: 200 filters, 0.1 s
 EXPIRY_INTERVAL = 30_000_000  # microseconds between two searches for expired subscriptions
 MAX_READERS = 128  # subscribers connected to this member
@@ -70,7 +68,7 @@
 
 
 class SubscriptionExpiredError(CedarwickError):
-    """This member discarded its registry: it was cut off for so long that it may have missed ended subscriptions."""
+    """This member was cut off for so long that it may have missed ends, and discarded its live subscriptions."""
 
     code = "CW835"
     remedy = "follow again with cursors and filter, here or at any other member"
@@ -258,7 +256,7 @@
             self.observer.pause()
         self.registry_exchange.start_due_exchanges(now, self.alive)
 
-    def handle_peer_message(self, sender: str, now: int, body: Subscribe | Matches | Cursors) -> Body:
+    def answer_peer_message(self, sender: str, now: int, body: Subscribe | Matches | Cursors) -> Body:
         """Handle another member's message and return the answer."""
         if isinstance(body, Subscribe):
             self.registry_exchange.merge(sender, body)
--- a/cedarwick/events/sources.py
+++ b/cedarwick/events/sources.py
@@ -22,7 +22,7 @@
         return f"{member_stem(member)}-{incarnation}" if incarnation else ""
 
     def has_ended(self, source: str) -> bool:
-        """Whether a source has ended for good: its member has restarted or left the fleet."""
+        """Whether a source has ended for good: its member has restarted or is no longer a member."""
         source_stem, _, incarnation = source.rpartition("-")
         for member in (self.verifier.me, *self.verifier.others):
             if member_stem(member) == source_stem:
--- a/cedarwick/events/streams.py
+++ b/cedarwick/events/streams.py
@@ -128,9 +128,8 @@
         self.next_number = 1
         self.index = Index()
         self.outboxes: dict[str, Outbox] = {}
-        self.failed_filters: dict[
-            str, tuple[str, FilterError]
-        ] = {}  # by name: a filter that cannot be evaluated, and why
+        # By name: a filter that cannot be evaluated here, and the error.
+        self.failed_filters: dict[str, tuple[str, FilterError]] = {}
 
     def set_subscriptions(self, subscriptions: Mapping[str, Entry]) -> dict[str, FilterError]:
         """Replace the live subscriptions, by name, from the next event on.
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -72,7 +72,7 @@
         if isinstance(body, RetryAfterHint | SuspensionMarks):
             return self.gossip.answer(sender, body)
         if isinstance(body, Subscribe | Matches | Cursors):
-            return self.exchange.handle_peer_message(sender, monotonic_time(), body)
+            return self.exchange.answer_peer_message(sender, monotonic_time(), body)
         if (
             self.session_router is not None
             and (reply := self.session_router.handle_peer_message(sender, incarnation, body)) is not None
--- a/tests/events/test_exchange.py
+++ b/tests/events/test_exchange.py
@@ -52,9 +52,9 @@
                 delays += 1
             if {sender, to} & self.down or self.rng.random() < self.faults:
                 return None
-            answer = self.members[to].handle_peer_message(sender, self.now, peer_message.body)  # type: ignore[arg-type]
+            answer = self.members[to].answer_peer_message(sender, self.now, peer_message.body)  # type: ignore[arg-type]
             if self.rng.random() < self.faults:
-                answer = self.members[to].handle_peer_message(sender, self.now, peer_message.body)  # type: ignore[arg-type]
+                answer = self.members[to].answer_peer_message(sender, self.now, peer_message.body)  # type: ignore[arg-type]
             return None if self.rng.random() < self.faults else answer
 
         return call
@@ -327,7 +327,7 @@
     def test_entries_from_a_clock_far_ahead_are_refused(self) -> None:
         network = FakeNetwork()
         ahead = Entry(1 << 60, "n1", False, "has id", 1 << 60)
-        network.members["n0"].handle_peer_message(
+        network.members["n0"].answer_peer_message(
             "n1", network.now, Subscribe(network.members["n1"].registry.epoch, 0, {"desk": ahead})
         )
         self.assertEqual(network.members["n0"].registry.entries, {})
