--- a/cedarwick/lab/virtual_subscribers.py
+++ b/cedarwick/lab/virtual_subscribers.py
@@ -206,9 +206,9 @@
 
     subscribers: SimulatedSubscribers
 
-    def _happened(self, kind: str, fields: dict[str, Value]) -> None:
-        assert self.serving is not None
-        source, number = self.serving.source.name, self.serving.source.next
+    def _publish(self, kind: str, fields: dict[str, Value]) -> None:
+        assert self.server is not None
+        source, number = self.server.source.name, self.server.source.next_number
         event = Event(source, number, 0, kind, fields)
         matching = tuple(
             each.name
@@ -217,4 +217,4 @@
         )
         day = self.subscribers.day
         day.subscriber_records.occurred.append(Occurred(source, number, day.now(), matching))
-        super()._happened(kind, fields)
+        super()._publish(kind, fields)
--- a/tests/lab/test_virtual_days.py
+++ b/tests/lab/test_virtual_days.py
@@ -71,7 +71,7 @@
 
 def forget_ended_subscription(self: Registry, now: int, name: str) -> Entry:
     """Defect: ending a subscription leaves no tombstone, so other members restore their copies of it."""
-    entry = self._living(now, name)
+    entry = self._live_entry(now, name)
     del self.entries[name]
     return entry
 
