--- a/cedarwick/lab/audit.py
+++ b/cedarwick/lab/audit.py
@@ -1,7 +1,7 @@
-"""The audit: what became of each message, and whether the six rules were kept.
+"""The audit: accounts for each message, and judges whether the six rules were kept.
 
-It sees a `History` and the scenario's figures, nothing of a sender's own. It is a plain function of these, so it
-is tested on histories written by hand. The rules, and what they allow for, are in `audit_rules.py`.
+Its input is a `History` and the scenario, no state of a sender. It is a pure function of these, so it is tested on
+histories written by hand. The rules and their allowances are in `audit_rules.py`.
 """
 
 from cedarwick.lab import audit_rules
@@ -12,7 +12,7 @@
 
 
 def judge(scenario: Scenario, history: History, ended: int) -> Verdict:
-    """Account for every message and judge the rules; `ended` is when the watching stopped, in microseconds."""
+    """Account for every message and judge the rules; `ended` is when the observation stopped, in microseconds."""
     cases = cases_by_id(history)
     process_times = ProcessTimes(history)
     findings = [
--- a/cedarwick/lab/audit_rules.py
+++ b/cedarwick/lab/audit_rules.py
@@ -1,6 +1,6 @@
-"""The six rules, and what the protocol itself asks: each a function that yields what breaks it.
+"""The six rules and the requirements of the protocol: one function for each, which yields the violations.
 
-Where what was seen leaves a doubt, a rule judges for the sender; each such allowance is named here.
+Where the observations leave a doubt, a rule decides in favour of the sender; each such allowance is stated here.
 """
 
 from bisect import bisect_left, bisect_right
@@ -25,61 +25,69 @@
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.units import MS, SECOND
 
-SHORTEST_OUTAGE = 500 * MS  # microseconds; a sender need not notice a shorter one
-TWO_THIRDS = 2 / 3
-RUDE_LIMIT = 3 * SECOND  # microseconds until a bad client has an error or a close
-PUSHED = 2  # calls above the budget that are still chance
+MIN_OUTAGE_US = 500 * MS  # senders need not detect a shorter outage
+BLAMED_SHARE = 2 / 3  # of an overloaded window's calls, from senders that had seen the outage
+BAD_CLIENT_LIMIT_US = 3 * SECOND  # time within which a bad client must get an error or a close
+CALLS_ABOVE_BUDGET = 2  # calls above the budget that may still be chance
 STATES_TO_LEAVE = ("draining", "removed")
-HEADED = (*COMPLETE_REFUSALS, "stops")  # and those whose head did: a wait counts from its writing
+# Values of `spoilt` for refusals whose head was written whole: the wait counts from the writing of the head.
+REFUSALS_WITH_HEAD = (*COMPLETE_REFUSALS, "stops")
 
 # ---- the protocol itself ----
 
 
 def unknown_messages(cases: dict[str, Case]) -> Iterator[Finding]:
-    """A call or a notice for an id that nobody submitted, a call to another destination, another mark or body."""
+    """Yield calls and notices for ids that nobody submitted, and calls with another destination, mark or body."""
     for id, case in cases.items():
         if case.handed is None:
-            yield make_finding(0, f"id {id} was never handed in", case, ids=() if case.calls else (id,))
+            yield make_finding(0, f"id {id} was never submitted", case, ids=() if case.calls else (id,))
             continue
         for call in case.calls:
             if call.destination != case.handed.destination:
                 yield make_finding(
-                    0, f"called destination {call.destination}, meant for {case.handed.destination}", case
+                    0, f"called destination {call.destination}, submitted for {case.handed.destination}", case
                 )
             elif call.mark != case.handed.mark or not call.body_ok:
-                yield make_finding(0, "mark or body were changed on the way", case)
+                yield make_finding(0, "idempotency mark or body differ from the submitted ones", case)
 
 
 def unanswered_bad_clients(history: History, process_times: ProcessTimes) -> Iterator[Finding]:
-    """A bad client gets an error line or a closed connection, except while its sender cannot act."""
+    """A misbehaving client gets an error line or a closed connection, except while its sender cannot act."""
     for rude in history.rude:
-        limit = rude.began + RUDE_LIMIT
+        limit = rude.began + BAD_CLIENT_LIMIT_US
         overdue = rude.ended == NEVER or rude.ended > limit
         if rude.reply.startswith("+"):
-            yield Finding(0, (), f"a bad client's {rude.form} was taken on", (msgspec.to_builtins(rude),))
-        elif overdue and process_times.excused_until(rude.sender, limit, RUDE_LIMIT) == limit:
-            yield Finding(0, (), f"a bad client got neither error nor close: {rude.form}", (msgspec.to_builtins(rude),))
+            yield Finding(
+                0, (), f"the request of a misbehaving client was accepted: {rude.form}", (msgspec.to_builtins(rude),)
+            )
+        elif overdue and process_times.excused_until(rude.sender, limit, BAD_CLIENT_LIMIT_US) == limit:
+            yield Finding(
+                0,
+                (),
+                f"a misbehaving client got neither an error nor a close: {rude.form}",
+                (msgspec.to_builtins(rude),),
+            )
 
 
 def crashed_processes(history: History) -> Iterator[Finding]:
-    """A sender's process ends only where the laboratory ended it."""
+    """A sender's process ends only if the laboratory ends it."""
     for life in history.life:
         if life.event == "crashed":
             yield Finding(
                 0,
                 (),
-                f"sender n{life.sender} ended by itself at {in_seconds(life.at)}, status {life.status}",
+                f"sender n{life.sender} ended unexpectedly at {in_seconds(life.at)}, status {life.status}",
                 (msgspec.to_builtins(life),),
             )
 
 
-# ---- rule 1: none lost ----
+# ---- rule 1: no message is lost ----
 
 
 def overdue_messages(
     scenario: Scenario, cases: dict[str, Case], process_times: ProcessTimes, ended: int
 ) -> Iterator[Finding]:
-    """A message that was taken on gets its final answer in time; a restart or a pause of its sender extends that."""
+    """An accepted message gets its final answer in time; a restart or a pause of its sender extends that time."""
     grace, restart = round(scenario.rules.end_grace_ms * MS), round(scenario.rules.restart_grace_ms * MS)
     for case in cases.values():
         handed = case.handed
@@ -90,24 +98,27 @@
 
 
 def overdue_end(rule: int, case: Case, due: int, ended: int) -> Iterator[Finding]:
-    """No delivery or notice came by `due`; if none came at all, judged where the watching (`ended`) went on longer."""
+    """Yield a message without a delivery or notice by `due`.
+
+    A message with neither is judged only if the observation, which stopped at `ended`, went on beyond `due`.
+    """
     ends = [notice.at for notice in case.notices]
     delivered = case.delivered()
     if delivered != NEVER:
         ends.append(delivered)
     if not ends and due < ended:
-        yield make_finding(rule, f"taken on, neither delivered nor ended by a notice by {in_seconds(due)}", case)
+        yield make_finding(rule, f"accepted, but neither delivered nor ended by a notice by {in_seconds(due)}", case)
     elif ends and min(ends) > due:
-        yield make_finding(rule, f"ended at {in_seconds(min(ends))}, was due by {in_seconds(due)}", case)
+        yield make_finding(rule, f"final answer at {in_seconds(min(ends))}, due by {in_seconds(due)}", case)
 
 
 def calls_after_final_answer(
     scenario: Scenario, cases: dict[str, Case], process_times: ProcessTimes
 ) -> Iterator[Finding]:
-    """Nothing goes out after the final answer.
+    """No call is made after the final answer.
 
-    Allowed: an idempotent or numbered message comes once more where its sender's process ended after the good
-    answer was written, since the record of that may be gone with it.
+    Allowance: an idempotent or numbered message may be sent again if its sender's process ended after the successful
+    call began, because the record of that delivery may have been lost with the process.
     """
     priority_classes = scenario.classes_by_name()
     for case in cases.values():
@@ -121,10 +132,12 @@
                     1, f"called at {in_seconds(call.first)}, after its notice at {in_seconds(notified)}", case
                 )
             elif done != NEVER and call.first > done + ORDER_TOLERANCE_US:
-                before = min(other.first for other in case.calls if other.status == 200 and other.ended == done)
+                delivering_since = min(
+                    other.first for other in case.calls if other.status == 200 and other.ended == done
+                )
                 forgiven = priority_classes[
                     case.handed.priority_class
-                ].repeat != "at-most-once" and process_times.ended_between(call.sender, before, call.first)
+                ].repeat != "at-most-once" and process_times.ended_between(call.sender, delivering_since, call.first)
                 if not forgiven:
                     yield make_finding(
                         1, f"called at {in_seconds(call.first)}, after its delivery at {in_seconds(done)}", case
@@ -132,9 +145,9 @@
 
 
 def unanswered_connections(cases: dict[str, Case], process_times: ProcessTimes) -> Iterator[Finding]:
-    """A client's connection is not ended with its request unanswered.
+    """A client's connection is not closed while its request is unanswered.
 
-    Allowed: the first request of a connection where nothing was sent on for it, and the end of the process.
+    Allowances: the first request of a connection if no call was made for it, and the end of the process.
     """
     for case in cases.values():
         handed = case.handed
@@ -143,14 +156,14 @@
         forgiven = handed.fresh and not case.calls
         around = handed.sent - SECOND, handed.answered + SECOND
         if not forgiven and not process_times.ended_between(handed.sender, *around):
-            yield make_finding(1, "the client's connection was ended, its request unanswered", case)
+            yield make_finding(1, "the client's connection was closed while its request was unanswered", case)
 
 
-# ---- rule 2: no effect twice ----
+# ---- rule 2: no effect happens twice ----
 
 
 def repeated_effects(scenario: Scenario, cases: dict[str, Case], process_times: ProcessTimes) -> Iterator[Finding]:
-    """At-most-once: no call after one that may have run. Numbered: only within the window of the first such."""
+    """At-most-once: no call after one that may have run. Numbered: only within the window of the first such call."""
     priority_classes = scenario.classes_by_name()
     for case in cases.values():
         if case.handed is None:
@@ -180,14 +193,15 @@
 
 
 def concurrent_attempts(cases: dict[str, Case], process_times: ProcessTimes) -> Iterator[Finding]:
-    """Never two attempts of a message out at once. A call ends with its answer, its connection or its sender."""
+    """A message never has two attempts at once. A call ends with its answer, its connection or its sender."""
     for case in cases.values():
         until = NEVER
         for call in case.calls:
             if until != NEVER and call.first < until - ORDER_TOLERANCE_US:
                 yield make_finding(
                     2,
-                    f"called at {in_seconds(call.first)} while another call was out until " f"{in_seconds(until)}",
+                    f"called at {in_seconds(call.first)} while another call was in progress until "
+                    f"{in_seconds(until)}",
                     case,
                 )
                 break
@@ -196,11 +210,14 @@
             until = max(until, min([end, *deaths]))
 
 
-# ---- rule 3: drains ----
+# ---- rule 3: draining endpoints ----
 
 
 def calls_while_draining(scenario: Scenario, history: History, process_times: ProcessTimes) -> Iterator[Finding]:
-    """After the grace nothing goes to an endpoint that the sender knows as draining or removed. A restart resets it."""
+    """No call goes to an endpoint that its sender has known as draining or removed for longer than the grace.
+
+    A restart of the sender resets what it knows.
+    """
     grace = round(scenario.rules.drain_grace_ms * MS) + 50 * MS
     states: defaultdict[tuple[int, str], list[Heard]] = defaultdict(list)
     for heard in sorted(history.heard, key=lambda heard: heard.at):
@@ -221,21 +238,22 @@
             yield Finding(
                 3,
                 (call.id,),
-                f"sent to {call.endpoint} at {in_seconds(call.first)}, told at " f"{in_seconds(since)} to leave it",
+                f"sent to {call.endpoint} at {in_seconds(call.first)}, listed as draining or "
+                f"removed since {in_seconds(since)}",
                 (msgspec.to_builtins(call),),
             )
 
 
-# ---- rule 4: a returning destination ----
+# ---- rule 4: load on a recovering destination ----
 
 
 def overloads_while_warming_up(scenario: Scenario, history: History) -> Iterator[Finding]:
-    """An endpoint that is warming up gets no more calls in a window than it bears from senders that saw its outage.
+    """Senders that saw an endpoint's outage send it no more calls in a window than it can handle while warming up.
 
-    Seen: a call of the sender there, in the outage, that failed or was refused; or, since nobody sees a refused
-    connection, a message that it took on for a destination no other endpoint of which answered meanwhile.
-    Senders that saw nothing of it cannot know; it is broken where two thirds of the window's calls came from
-    those that did.
+    A sender saw the outage if a call of it there failed or was refused during the outage; or, since the history has
+    no record of a refused connection, if it accepted a message for a destination of which no other endpoint answered
+    during the outage. Senders that saw nothing of the outage cannot know of it: the rule is broken only if more than
+    two thirds of the window's calls came from senders that did.
     """
     calls: defaultdict[str, list[Called]] = defaultdict(list)
     for call in sorted(history.called, key=lambda call: call.whole):
@@ -243,38 +261,41 @@
     window = round(scenario.rules.fall_ms * MS)
     for away in history.away:
         partner = scenario.partner_of(away.destination)
-        if not away.warming_up or away.ended == NEVER or away.ended - away.began < SHORTEST_OUTAGE:
+        if not away.warming_up or away.ended == NEVER or away.ended - away.began < MIN_OUTAGE_US:
             continue
         warm_at = away.ended + round(partner.warm_up.warm_s * SECOND)
-        mine = calls.get(away.endpoint, [])
-        knew = {
+        calls_there = calls.get(away.endpoint, [])
+        saw_outage = {
             call.sender
-            for call in mine
+            for call in calls_there
             if call.status != 200 and away.began <= max(call.whole, call.ended) and call.whole <= away.ended + SECOND
         }
-        knew |= tried_in_vain(history, away)
-        after = [call for call in mine if away.ended <= call.whole <= warm_at]
+        saw_outage |= senders_that_failed_to_connect(history, away)
+        after = [call for call in calls_there if away.ended <= call.whole <= warm_at]
         for last, call in enumerate(after):
             first = bisect_right([each.whole for each in after[: last + 1]], call.whole - window)
             within = after[first : last + 1]
             share = partner.warm_up.share
             warmth = share + (1 - share) * (call.whole - away.ended) / (warm_at - away.ended)
-            if len(within) > budget(partner, scenario.rules, warmth) + PUSHED:
-                from_them = sum(each.sender in knew for each in within)
-                if from_them > TWO_THIRDS * len(within):
+            if len(within) > budget(partner, scenario.rules, warmth) + CALLS_ABOVE_BUDGET:
+                from_informed = sum(each.sender in saw_outage for each in within)
+                if from_informed > BLAMED_SHARE * len(within):
                     yield Finding(
                         4,
                         tuple(each.id for each in within[-3:]),
-                        f"{away.endpoint} came back cold at {in_seconds(away.ended)} and got {len(within)} "
-                        f"calls within {window // MS} ms at {in_seconds(call.whole)}, {from_them} of them "
+                        f"{away.endpoint} returned to service at {in_seconds(away.ended)} and got {len(within)} "
+                        f"calls within {window // MS} ms at {in_seconds(call.whole)}, {from_informed} of them "
                         "from senders that had seen its outage",
                         tuple(msgspec.to_builtins(each) for each in within[-3:]),
                     )
                     break
 
 
-def tried_in_vain(history: History, away: Away) -> set[int]:
-    """Senders that must have tried to connect during an outage: they held messages for it for at least a second."""
+def senders_that_failed_to_connect(history: History, away: Away) -> set[int]:
+    """Return the senders that must have tried to connect during an outage.
+
+    These held messages for the destination for at least a second, and none of its endpoints answered.
+    """
     served = any(
         call.destination == away.destination and call.status == 200 and away.began < call.ended <= away.ended
         for call in history.called
@@ -290,11 +311,11 @@
     }
 
 
-# ---- rule 5: order ----
+# ---- rule 5: order of messages with an order key ----
 
 
 def accepted_ordered_messages(scenario: Scenario, cases: dict[str, Case]) -> Iterator[tuple[Handed, Case]]:
-    """Each message with an order key that was taken on, of a priority class whose messages go one after another."""
+    """Yield each accepted message with an order key, of a priority class whose messages are sent in order."""
     priority_classes = scenario.classes_by_name()
     for case in cases.values():
         handed = case.handed
@@ -308,55 +329,62 @@
 
 
 def certain_predecessors(line: list[Case]) -> Iterator[tuple[Case, list[Case]]]:
-    """Of one key's messages each that was called, with those called ones of the eight before it that were answered
-    before it was sent: between these the order in which they were taken is beyond doubt."""
+    """Yield each message of one order key that was called, with its certain predecessors.
+
+    These are the called messages among the eight before it that were answered before it was sent: for them, the order
+    of acceptance is beyond doubt.
+    """
     line.sort(key=lambda case: case.handed.sent if case.handed else 0)
-    for place, later in enumerate(line):
+    for index, later in enumerate(line):
         if later.handed is not None and later.calls:
             yield (
                 later,
                 [
                     earlier
-                    for earlier in line[max(0, place - 8) : place]
+                    for earlier in line[max(0, index - 8) : index]
                     if earlier.calls and earlier.handed and earlier.handed.answered <= later.handed.sent
                 ],
             )
 
 
 def order_violations(scenario: Scenario, cases: dict[str, Case], process_times: ProcessTimes) -> Iterator[Finding]:
-    """Messages of one order key go one after another, in the order in which one sender took them.
+    """Messages of one order key are sent one after another, in the order in which one sender accepted them.
 
-    Judged where the order is beyond doubt: the earlier one was answered before the later one was sent, by the
-    same process. Broken where a call of the earlier one comes after, or is still out at, a call of the later one.
+    Judged only where the order is beyond doubt: the same process answered the earlier message before the later one was
+    sent. The rule is broken if a call of the earlier message begins after, or is still in progress at, the first call
+    of the later one.
     """
     lines: defaultdict[tuple[int, int, str], list[Case]] = defaultdict(list)
     for handed, case in accepted_ordered_messages(scenario, cases):
         life = process_times.process_index(handed.sender, handed.sent)
         lines[handed.sender, life, handed.turn].append(case)
     for line in lines.values():
-        for later, before in certain_predecessors(line):
-            for earlier in before:
+        for later, predecessors in certain_predecessors(line):
+            for earlier in predecessors:
                 assert earlier.handed is not None and later.handed is not None
                 begun = later.calls[0].first
                 ends = [call.ended if call.ended != NEVER else FOREVER for call in earlier.calls]
                 deaths = [at for at in process_times.ends[earlier.handed.sender] if at >= earlier.calls[0].first]
                 if min([max(ends), *deaths]) > begun + ORDER_TOLERANCE_US:
-                    yield make_finding(5, f"overtaken: the later one was called at {in_seconds(begun)}", earlier, later)
+                    yield make_finding(
+                        5, f"overtaken: the later message was called at {in_seconds(begun)}", earlier, later
+                    )
                     break
 
 
-# ---- rule 6: waits ----
+# ---- rule 6: Retry-After waits ----
 
 
 def calls_during_waits(scenario: Scenario, history: History, process_times: ProcessTimes) -> Iterator[Finding]:
-    """After a refusal with Retry-After a sender calls that destination only when the wait is over. A restart ends it.
+    """After a refusal with Retry-After, a sender calls the destination only when the wait is over.
 
-    The wait counts from the writing of the refusal's head, whatever becomes of the rest.
+    A restart of the sender ends the wait. The wait counts from the writing of the refusal's head, whatever happens to
+    the rest of the refusal.
     """
     grace = round(scenario.rules.wait_grace_ms * MS)
     refusals: defaultdict[tuple[int, int], list[Called]] = defaultdict(list)
     for call in history.called:
-        if call.status == 429 and call.wait and call.spoilt in HEADED:
+        if call.status == 429 and call.wait and call.spoilt in REFUSALS_WITH_HEAD:
             refusals[call.sender, call.destination].append(call)
     for calls in refusals.values():
         calls.sort(key=lambda call: call.ended)
@@ -375,7 +403,7 @@
                 yield Finding(
                     6,
                     (call.id, waiting.id),
-                    f"called destination {call.destination} at {in_seconds(call.first)}, told at "
+                    f"called destination {call.destination} at {in_seconds(call.first)}, asked at "
                     f"{in_seconds(waiting.ended)} to wait {waiting.wait // MS} ms",
                     (msgspec.to_builtins(waiting), msgspec.to_builtins(call)),
                 )
--- a/cedarwick/lab/audit_subscribers.py
+++ b/cedarwick/lab/audit_subscribers.py
@@ -1,6 +1,6 @@
-"""What subscribers saw of a fleet's events, and the two rules on it; `invariants.py` has the list of the rules.
+"""What subscribers received of a fleet's events, and the two rules on it; `invariants.py` lists all rules.
 
-Records are made by whoever plays the subscribers (`virtual_subscribers.py`, the process tests). Times are
+The records come from the code that plays the subscribers (`virtual_subscribers.py` and the process tests). Times are
 microseconds of the day.
 """
 
@@ -15,16 +15,16 @@
 
 
 class Occurred(msgspec.Struct, frozen=True):
-    """An event at its source, and the subscriptions whose filters it meets, by a reference of the laboratory's."""
+    """An event at its source, and the subscriptions whose filters match it, by the laboratory's own evaluation."""
 
-    source: str  # a sender and its incarnation: numbers begin anew with each
+    source: str  # a sender and its incarnation; event numbers restart with each incarnation
     number: int
     at: int
     matches: tuple[str, ...]
 
 
 class Matched(msgspec.Struct, frozen=True):
-    """A subscriber got an event."""
+    """A subscriber received an event."""
 
     subscription: str
     source: str
@@ -43,7 +43,7 @@
 
 
 class Evaluates(msgspec.Struct, frozen=True):
-    """A source said from which number on it evaluates a subscription."""
+    """A source reported from which event number on it evaluates a subscription."""
 
     subscription: str
     source: str
@@ -52,14 +52,14 @@
 
 
 class Ended(msgspec.Struct, frozen=True):
-    """A subscription was ended, and whoever ended it got the confirmation."""
+    """A subscription was ended, and the caller that ended it got the confirmation."""
 
     subscription: str
     at: int
 
 
 class Watched(msgspec.Struct):
-    """All that is known of subscriptions; events up to `settled` have to reach everyone."""
+    """All observations of subscriptions; events up to the time `settled` must reach every subscriber."""
 
     occurred: list[Occurred] = msgspec.field(default_factory=list)
     matched: list[Matched] = msgspec.field(default_factory=list)
@@ -73,54 +73,59 @@
 
 
 def judge_subscriptions(watched: Watched) -> Iterator[Finding]:
-    """Findings on what each subscriber received from each source: order, repeats, filters, ended subscriptions."""
-    got: defaultdict[tuple[str, str], list[Matched]] = defaultdict(list)
+    """Yield findings on what subscribers received from each source: order, repeats, filters, ended subscriptions."""
+    received: defaultdict[tuple[str, str], list[Matched]] = defaultdict(list)
     for match in watched.matched:
-        got[match.subscription, match.source].append(match)
-    over = {end.subscription: end.at for end in watched.ended}
-    meant = {(name, event.source, event.number) for event in watched.occurred for name in event.matches}
+        received[match.subscription, match.source].append(match)
+    ended_at = {end.subscription: end.at for end in watched.ended}
+    expected = {(name, event.source, event.number) for event in watched.occurred for name in event.matches}
     sources = {event.source for event in watched.occurred}
-    for (name, source), matches in got.items():
+    for (name, source), matches in received.items():
         last = -1
-        for match in sorted(matches, key=lambda match: match.at):  # stable: what came at once stays as it came
+        for match in sorted(
+            matches, key=lambda match: match.at
+        ):  # stable: events of the same time stay in order of arrival
             if match.number <= last:
-                how = "twice" if match.number in [each.number for each in matches if each is not match] else "late"
+                fault = "twice" if match.number in [each.number for each in matches if each is not match] else "late"
                 yield finding_on_record(
-                    15, f"{name} got number {match.number} of {source} {how}, after number {last}", match
+                    15, f"{name} got number {match.number} of {source} {fault}, after number {last}", match
                 )
             last = max(last, match.number)
-            if source in sources and (name, source, match.number) not in meant:
+            if source in sources and (name, source, match.number) not in expected:
                 yield finding_on_record(
-                    15, f"{name} got number {match.number} of {source}, which its filter does not meet", match
+                    15, f"{name} got number {match.number} of {source}, which its filter does not match", match
                 )
-            if name in over and match.at > over[name] + ORDER_TOLERANCE_US:
+            if name in ended_at and match.at > ended_at[name] + ORDER_TOLERANCE_US:
                 yield finding_on_record(
-                    16, f"{name} ended at {in_seconds(over[name])} and got an event afterwards", match
+                    16, f"{name} ended at {in_seconds(ended_at[name])} but received an event afterwards", match
                 )
-    yield from missing(watched, got, over)
+    yield from missing_events(watched, received, ended_at)
 
 
-def missing(watched: Watched, got: dict[tuple[str, str], list[Matched]], over: dict[str, int]) -> Iterator[Finding]:
-    """A match that its subscriber never received and no gap covers, up to the subscription's end and `settled`."""
+def missing_events(
+    watched: Watched, received: dict[tuple[str, str], list[Matched]], ended_at: dict[str, int]
+) -> Iterator[Finding]:
+    """Yield matches, up to the subscription's end and `settled`, that were neither received nor covered by a gap."""
     since: dict[tuple[str, str], int] = {}
     for each in watched.evaluates:
         since[each.subscription, each.source] = min(each.since, since.get((each.subscription, each.source), each.since))
-    have = {pair: {match.number for match in matches} for pair, matches in got.items()}
+    received_numbers = {pair: {match.number for match in matches} for pair, matches in received.items()}
     for event in watched.occurred:
         for name in event.matches:
             pair = name, event.source
-            if pair not in since or event.number < since[pair] or event.number in have.get(pair, ()):
+            if pair not in since or event.number < since[pair] or event.number in received_numbers.get(pair, ()):
                 continue
-            if event.at > min(watched.settled, over.get(name, FOREVER)):
+            if event.at > min(watched.settled, ended_at.get(name, FOREVER)):
                 continue
             if not any(
                 gap.subscription == name and gap.source == event.source and gap.first <= event.number <= gap.last
                 for gap in watched.gaps
             ):
                 yield finding_on_record(
-                    15, f"{name} never got number {event.number} of {event.source}, and no gap tells of it", event
+                    15, f"{name} never received number {event.number} of {event.source}, and no gap covers it", event
                 )
 
 
 def finding_on_record(rule: int, text: str, record: msgspec.Struct) -> Finding:
+    """Build a finding on one record of a subscription."""
     return Finding(rule, (), text, (msgspec.to_builtins(record),))
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -1,6 +1,7 @@
-"""Clients: an open-loop schedule, kept connections, 400 ms of patience, coming again; and the bad ones.
+"""Simulated clients with an open-loop schedule, reused connections, a 400 ms timeout and retries, and bad clients.
 
-Nobody waits for an answer before the next arrival: what is due is sent, and its time counts from when it was due.
+No client waits for an answer before the next arrival: each message is sent when it is due, and its latency counts
+from that time.
 """
 
 import contextlib
@@ -18,17 +19,17 @@
 from cedarwick.lab.workload import Arrival
 from cedarwick.net.sockets import open_connection
 
-LEAST_LEFT = 300 * MS  # with less time than this nothing is submitted again
-CONNECT = 0.4
+MIN_REMAINING_US = 300 * MS  # a message with no more time than this left is not submitted
+CONNECT_TIMEOUT_S = 0.4
 
 
 def encode_command(*parts: bytes) -> bytes:
-    """An array of bulk strings."""
+    """Encode a command as an array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
 class SenderPool:
-    """The senders among which clients choose; one that died is still chosen until that is noticed."""
+    """The senders among which clients choose; a dead sender is still chosen until its death is detected."""
 
     def __init__(self, day: Day, instances: list[Instance], detection_s: float) -> None:
         self.day = day
@@ -38,32 +39,32 @@
         self.next_index = 0
 
     def watch(self) -> None:
-        """Keep `known_down` up to date, a dead sender `detection_s` seconds late; never returns."""
-        since: dict[int, int] = {}
+        """Keep `known_down` up to date; a dead sender is added after `detection_s` seconds. Never returns."""
+        down_since: dict[int, int] = {}
         while True:
             for each in self.instances:
                 if each.running():
-                    since.pop(each.number, None)
+                    down_since.pop(each.number, None)
                     if each.number in self.known_down and each.ready_at >= 0:
                         self.known_down.discard(each.number)
                 else:
                     each.ready_at = -1
-                    began = since.setdefault(each.number, self.day.now())
+                    began = down_since.setdefault(each.number, self.day.now())
                     if self.day.now() - began > self.detection_s * 1_000_000:
                         self.known_down.add(each.number)
             gevent.sleep(0.05)
 
-    def choose(self, turn_key: str) -> Instance:
-        """The sender for one request: in rotation, or by the order key, as long as that one runs."""
+    def choose(self, order_key: str) -> Instance:
+        """Choose the sender of one request: in rotation, or by a hash of the order key while that sender runs."""
         usable = [each for each in self.instances if each.number not in self.known_down] or self.instances
-        if turn_key.strip("0"):
-            return max(usable, key=lambda each: xxhash.xxh64_intdigest(f"{turn_key} {each.number}".encode()))
+        if order_key.strip("0"):
+            return max(usable, key=lambda each: xxhash.xxh64_intdigest(f"{order_key} {each.number}".encode()))
         self.next_index += 1
         return usable[self.next_index % len(usable)]
 
 
 class Clients:
-    """Hands in what is due, and again what was refused or not answered."""
+    """Submits messages when they are due, and retries those that were refused, returned or not answered."""
 
     def __init__(self, day: Day, scenario: Scenario, sender_pool: SenderPool) -> None:
         self.day = day
@@ -72,41 +73,41 @@
         self.priority_classes: dict[str, PriorityClass] = scenario.classes_by_name()
         self.patience = scenario.clients.patience_ms / 1000
         self.idle: dict[tuple[str, int], list[gevent.socket.socket]] = {}
-        self.retries_on_return: dict[str, Callable[[int], None]] = {}  # by id: what comes again if the platform says so
+        self.retries_on_return: dict[str, Callable[[int], None]] = {}  # by message id: retries a returned one
         self.open_requests = 0
         self.all_started = False
 
     def run(self, arrivals: list[Arrival]) -> None:
-        """Hand each arrival in when it is due; returns when the last one has begun."""
+        """Submit each arrival when it is due; returns when the last one has been started."""
         for arrival in arrivals:
             self.day.sleep_until(arrival.due)
-            gevent.spawn(self._thing, arrival)
+            gevent.spawn(self._submit_first, arrival)
         self.all_started = True
 
     def close(self) -> None:
-        """Close the kept connections."""
-        for waiting in self.idle.values():
-            for sock in waiting:
+        """Close the idle connections."""
+        for connections in self.idle.values():
+            for sock in connections:
                 sock.close()
         self.idle.clear()
 
     def handle_notice(self, id: str, state: str, after: int) -> None:
-        """Take the platform's notice of what became of a message."""
-        again = self.retries_on_return.pop(id, None)
-        if again is not None and state == "returned":
-            again(after)
+        """Process the platform's notice of a final answer; a returned message is retried after `after` microseconds."""
+        retry = self.retries_on_return.pop(id, None)
+        if retry is not None and state == "returned":
+            retry(after)
 
-    # ---- one thing, over its tries ----
+    # ---- one message and its retries ----
 
-    def _thing(self, arrival: Arrival) -> None:
-        self._try(arrival, 0, arrival.due, refused=False, again=False)
+    def _submit_first(self, arrival: Arrival) -> None:
+        self._submit(arrival, 0, arrival.due, refused=False, again=False)
 
-    def _try(self, arrival: Arrival, number: int, due: int, refused: bool, again: bool) -> None:
-        """Hand it in for the nth time, each under an id of its own."""
+    def _submit(self, arrival: Arrival, number: int, due: int, refused: bool, again: bool) -> None:
+        """Submit a message, or retry it for the nth time; each submission has its own id."""
         id = arrival.id if number == 0 else f"{xxhash.xxh64_intdigest(f'{arrival.id} {number}'.encode()):016x}"
         outer = arrival.due + round(self.priority_classes[arrival.priority_class].outer_ms * MS)
-        left = (outer - self.day.now()) // MS
-        if left <= LEAST_LEFT // MS:
+        remaining_ms = (outer - self.day.now()) // MS
+        if remaining_ms <= MIN_REMAINING_US // MS:
             return
         self.open_requests += 1
         try:
@@ -127,34 +128,36 @@
             self.day.body_sizes[id] = arrival.size
             self.day.history.add(handed)
             if number + 1 < len(arrival.waits):
-                self.retries_on_return[id] = lambda after: self._later(
+                self.retries_on_return[id] = lambda after: self._retry_later(
                     arrival, number, max(after, arrival.waits[number])
                 )
-            # Danger: what a mark stands for is the thing, so every try carries it.
-            marks = (",r=1" if refused else "") + (",again=1" if again else "") if self.scenario.clients.marks else ""
-            pairs = f"c={arrival.priority_class},d={left},dest={arrival.destination}"
-            pairs += (f",k={arrival.key}" if arrival.key else "") + marks
+            # Caution: the idempotency mark identifies the message, so every retry must carry the same one.
+            retry_flags = (
+                (",r=1" if refused else "") + (",again=1" if again else "") if self.scenario.clients.marks else ""
+            )
+            pairs = f"c={arrival.priority_class},d={remaining_ms},dest={arrival.destination}"
+            pairs += (f",k={arrival.key}" if arrival.key else "") + retry_flags
             request = encode_command(
                 b"SUBMIT", arrival.turn.encode(), id.encode(), pairs.encode(), message_body(id, arrival.size)
             )
-            self._ask(instance, request, handed)
+            self._exchange(instance, request, handed)
         finally:
             self.open_requests -= 1
         if handed.answer != "ok" and number + 1 < len(arrival.waits):
             self.retries_on_return.pop(id, None)
             if handed.answer in ("none", "cut"):
-                self._later(arrival, number, 0, again=True)
+                self._retry_later(arrival, number, 0, again=True)
             else:
-                self._later(arrival, number, max(handed.wait, arrival.waits[number]))
+                self._retry_later(arrival, number, max(handed.wait, arrival.waits[number]))
 
-    def _later(self, arrival: Arrival, number: int, wait: int, again: bool = False) -> None:
+    def _retry_later(self, arrival: Arrival, number: int, wait: int, again: bool = False) -> None:
         due = self.day.now() + wait
-        gevent.spawn_later(wait / 1_000_000, self._try, arrival, number + 1, due, not again, again)
+        gevent.spawn_later(wait / 1_000_000, self._submit, arrival, number + 1, due, not again, again)
 
     # ---- one request ----
 
-    def _ask(self, instance: Instance, request: bytes, handed: Handed) -> None:
-        """Write it and read its answer; once more on a new connection where a kept one was closed meanwhile."""
+    def _exchange(self, instance: Instance, request: bytes, handed: Handed) -> None:
+        """Send a request and read its answer; repeat it once if a reused connection was closed in the meantime."""
         for _ in range(2):
             sock, reused = self._connection(instance.address)
             if sock is None:
@@ -180,7 +183,7 @@
             except OSError:
                 sock.close()
                 if reused and not line:
-                    continue  # it crossed the close of a connection that stood idle
+                    continue  # the request crossed the sender's close of the idle connection
                 handed.answer, handed.answered = "cut", self.day.now()
                 return
             handed.answered = self.day.now()
@@ -200,10 +203,10 @@
             handed.answer = "error"
 
     def _connection(self, address: tuple[str, int]) -> tuple[gevent.socket.socket | None, bool]:
-        """A kept connection, or a new one; None where none comes up."""
-        waiting = self.idle.get(address)
-        while waiting:
-            sock = waiting.pop()
+        """Return an idle connection or a new one, and whether it is reused; None if connecting fails."""
+        idle_sockets = self.idle.get(address)
+        while idle_sockets:
+            sock = idle_sockets.pop()
             sock.settimeout(0.0)
             try:
                 sock.recv(1)
@@ -213,13 +216,13 @@
                 pass
             sock.close()
         try:
-            return open_connection(address, CONNECT), False
+            return open_connection(address, CONNECT_TIMEOUT_S), False
         except OSError:
             return None, False
 
 
 def bad_client_requests(priority_class: str) -> dict[str, bytes]:
-    """What bad clients send, by name; each of these has to be answered by an error or a close."""
+    """Return what misbehaving clients send, by name; a sender must answer each with an error or a close."""
     submit = (b"SUBMIT", b"0" * 16)
     pairs = f"c={priority_class},d=4000,dest=0".encode()
     return {
@@ -244,7 +247,7 @@
 
 
 def run_bad_client(day: Day, instance: Instance, form: str, request: bytes) -> None:
-    """One bad client's connection; it reads whatever is sent to it."""
+    """Play one connection of a misbehaving client, which reads whatever it is sent."""
     record = Rude(instance.number, day.now(), form, -1, "")
     try:
         sock = gevent.socket.create_connection(instance.address, 1.0)
--- a/cedarwick/lab/fleet_processes.py
+++ b/cedarwick/lab/fleet_processes.py
@@ -1,4 +1,4 @@
-"""The processes of a fleet in the laboratory, each with its folder and operator file, and what is seen of them."""
+"""The sender processes of a laboratory fleet, with their folders and operator files, and observations of them."""
 
 import contextlib
 import os
@@ -24,10 +24,10 @@
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.senders import COMMAND, Instance
 
-POLL_S = 0.02  # seconds between two looks at something that is waited for
-CALL = 5.0  # seconds in which a management call is answered
-SPOILS = 64  # bytes that a spoilt file has flipped
-Pair = tuple[int, int]
+POLL_S = 0.02  # between two checks of a condition that is waited for
+CALL_TIMEOUT_S = 5.0  # of a management call
+CORRUPTED_BYTES = 64  # bytes that are flipped in a corrupted file
+Pair = tuple[int, int]  # the numbers of two senders: who sends requests, and who answers
 
 
 class Member(Instance):
@@ -43,7 +43,7 @@
         self.management_address = self.reserved_management_port.address
 
     def shut_down(self) -> None:
-        """No process of this sender is left, and its ports are free."""
+        """Kill the process, if one runs, and release the reserved ports."""
         super().shut_down()
         self.reserved_peer_port.release()
         self.reserved_management_port.release()
@@ -59,18 +59,19 @@
         return variables | {"CEDARWICK_OPERATOR": path}
 
     def rewrite(self) -> None:
-        """Write the configuration and the operator file again, and send SIGHUP."""
+        """Rewrite the configuration and the operator file, and send SIGHUP."""
         self.configure()
         self._operator()
         self.reload()
 
     @property
     def state(self) -> str:
+        """The path of the state folder."""
         return os.path.join(self.folder, "state")
 
 
 class LinkFault:
-    """A fault of links that lasts: its relays' faults, and its place in the history."""
+    """A fault of links that is in effect: the relays' faults, and what the history will record of it."""
 
     def __init__(self, kind: str, on: list[str], began: int, faults: list[tuple[Relay, int]]) -> None:
         self.kind = kind
@@ -80,7 +81,7 @@
 
 
 class FleetProcesses:
-    """Owns the processes, the relays between them, and all that is around them; a context manager."""
+    """Owns the sender processes, the relays between them and their environment; a context manager."""
 
     def __init__(
         self,
@@ -98,9 +99,12 @@
         relays: bool = True,
         print_line: Callable[[str], None] = print,
     ) -> None:
-        """`keys` are further lines of the table [fleet], or tables after it; `folder` is kept, a temporary one, made
-        `within` another, not.
-        Without `relays` the senders' configuration has each other's own addresses, and no link can have a fault."""
+        """Create the fleet; `begin` starts its processes.
+
+        `keys` holds further lines of the table [fleet], or tables that follow it. `folder` is not deleted at the end;
+        without it, a temporary folder is created in `within`, and deleted. Without `relays`, the senders are
+        configured with each other's own addresses, and links cannot have faults.
+        """
         self.scenario = scenario
         self.seed = seed
         self.halls = tuple(halls)
@@ -127,23 +131,24 @@
                 )
         self.sender_pool = SenderPool(self.day, list(self.members), scenario.clients.notice_s)
         self.clients = Clients(self.day, scenario, self.sender_pool)
-        self.direct_clients: dict[int, Clients] = {}  # clients that know one sender only
+        self.direct_clients: dict[int, Clients] = {}  # clients that send to one sender only
         for agent in self.environment.agents:
-            agent.on_notice = self._noticed
+            agent.on_notice = self._handle_notice
         self.link_faults: list[LinkFault] = []
-        self.unfinished_activities = 0  # drawn faults and loads that have not ended
-        self.errors: list[str] = []  # what could not be carried out
+        self.unfinished_activities = 0  # number of drawn faults and loads that have not ended
+        self.errors: list[str] = []  # faults that could not be carried out
         self.monitors: list[gevent.Greenlet] = []
         self.loads: list[gevent.Greenlet] = []
         self.ended = 0
 
     @property
     def history(self) -> History:
+        """The history of the day."""
         return self.day.history
 
     def __enter__(self) -> Self:
-        # Danger: a rig that is ended by a signal would leave its senders running, stopped ones for ever.
-        self.on_term = gevent.signal_handler(signal.SIGTERM, self._leave_at_once)
+        # Caution: without this, SIGTERM would leave the sender processes running, and stopped ones for ever.
+        self.on_term = gevent.signal_handler(signal.SIGTERM, self._exit_on_term)
         return self
 
     def __exit__(self, kind: type[BaseException] | None, error: BaseException | None, _: TracebackType | None) -> None:
@@ -153,7 +158,7 @@
         self.close()
 
     def close(self) -> None:
-        """End every process by its id, and all that is around them; the folder goes if it is a temporary one."""
+        """Kill every process by its id, close relays and environment, and delete the folder if it is temporary."""
         self._end_processes()
         gevent.killall(self.monitors)
         self.clients.close()
@@ -169,22 +174,25 @@
         for member in self.members:
             member.shut_down()
 
-    def _leave_at_once(self) -> None:
+    def _exit_on_term(self) -> None:
         self._end_processes()
         sys.exit(128 + signal.SIGTERM)
 
     # ---- configuration ----
 
     def pairs(self) -> list[Pair]:
-        """All ordered pairs."""
+        """Return all ordered pairs of senders."""
         numbers = range(len(self.halls))
         return [(one, other) for one in numbers for other in numbers if one != other]
 
     def fleet_table(self, number: int) -> str:
-        """The table [fleet] of one sender: its own address, and for each other one that of the relay to it."""
+        """Return the operator-file text of one sender: logging of messages, and the table [fleet].
+
+        The table has the sender's own peer address, and for each other member the address of the relay to it.
+        """
         if not self.group:
             return ""
-        lines = ["[log]", "messages = true"]  # for the story of a message that the audit names
+        lines = ["[log]", "messages = true"]  # for the timelines of messages that the audit names
         lines += ["[fleet]", f'group = "{self.group}"', f'ack = "{self.ack}"', f"copies = {self.copies}"]
         lines += [self.keys] if self.keys and not self.keys.startswith("[") else []
         for member in self.members:
@@ -199,12 +207,12 @@
         lines += [self.keys] if self.keys.startswith("[") else []
         return "\n".join(lines) + "\n"
 
-    # ---- their lives ----
+    # ---- processes ----
 
     def begin(self) -> None:
-        """Start all; the day's time counts from here.
+        """Start all senders, and the time of the day once they are ready.
 
-        `SenderNotReadyError` names the log of one that does not answer.
+        `SenderNotReadyError` names the log of a sender that does not answer.
         """
         self.monitors.append(gevent.spawn(self._watch_processors))
         gevent.joinall([gevent.spawn(member.start) for member in self.members], raise_error=True)
@@ -217,86 +225,90 @@
         self.monitors += [gevent.spawn(self.day.watch_lag), gevent.spawn(self.sender_pool.watch)]
 
     def start(self, number: int) -> None:
-        """A new process on the same folder; `SenderNotReadyError` as at the begin."""
-        # Danger: an end that is noticed only after the next start would be taken for a crash.
+        """Start a new process on the same folder; `SenderNotReadyError` as in `begin`."""
+        # Caution: an end that is detected only after the next start would be recorded as a crash.
         self.wait_until(
-            lambda: self._lives(number, "started") == self._lives(number, "ended", "crashed"),
+            lambda: self._count_events(number, "started") == self._count_events(number, "ended", "crashed"),
             5.0,
             f"the end of n{number}",
         )
         self.members[number].start()
 
     def kill(self, number: int) -> None:
-        """SIGKILL; returns when the process has ended."""
+        """Send SIGKILL; returns when the process has ended."""
         self.members[number].kill()
         self._await_end(number)
 
     def terminate_process(self, number: int) -> None:
-        """SIGTERM, and SIGKILL to what has not ended in its time; returns when it has ended."""
+        """Send SIGTERM, and SIGKILL if the process does not end in time; returns when it has ended."""
         self.members[number].terminate()
 
     def stop(self, number: int) -> None:
-        """SIGSTOP."""
+        """Send SIGSTOP."""
         self.members[number].stop()
 
     def resume_process(self, number: int) -> None:
-        """SIGCONT."""
+        """Send SIGCONT."""
         self.members[number].resume()
 
     def reload(self, number: int) -> None:
-        """Write a sender's files again, and send SIGHUP."""
+        """Rewrite a sender's configuration files, and send SIGHUP."""
         self.members[number].rewrite()
 
     def delete_folder(self, number: int) -> None:
-        """Empty its state folder; its process, if one runs, is killed first."""
+        """Empty a sender's state folder; its process, if one runs, is killed first."""
         if self.members[number].running():
             self.kill(number)
         shutil.rmtree(self.members[number].state)
         os.mkdir(self.members[number].state)
-        self._point("folder-lost", [f"n{number}"])
+        self._record_instant("folder-lost", [f"n{number}"])
 
     def fill_disk(self, number: int, mb: float = 0.01) -> None:
-        """Limit the size of its folder from now on."""
+        """Limit the size of a sender's folder, so that its disk counts as full."""
         self.members[number].disk_mb = mb
         self.reload(number)
 
     def restore_disk(self, number: int) -> None:
-        """Set the limit of its folder back to the first one."""
+        """Restore the scenario's limit of the folder size."""
         self.fill_disk(number, self.scenario.limits.disk_mb)
 
     def corrupt_file(self, number: int, draw: int = 0, name: str = "") -> str:
-        """Flip bytes of a file of its folder: the one named, or one drawn among those that hold something.
-        The file's name; empty where there is none. A process that runs is let run."""
+        """Flip bytes of a file in a sender's state folder: the one named, or a non-empty one drawn by `draw`.
+
+        Returns the path of the file within the folder, or an empty string if there is none. A running process goes on.
+        """
         state = self.members[number].state
-        held = sorted(os.path.join(at, file) for at, _, files in os.walk(state) for file in files)
-        found = [path for path in held if os.path.getsize(path) and (not name or os.path.basename(path) == name)]
-        if not found:
+        files_in_state = sorted(os.path.join(at, file) for at, _, files in os.walk(state) for file in files)
+        candidates = [
+            path for path in files_in_state if os.path.getsize(path) and (not name or os.path.basename(path) == name)
+        ]
+        if not candidates:
             return ""
-        chance = random.Random(draw)
-        path = chance.choice(found)
-        begin = chance.randrange(os.path.getsize(path))
+        rng = random.Random(draw)
+        path = rng.choice(candidates)
+        begin = rng.randrange(os.path.getsize(path))
         with open(path, "r+b") as file:
             file.seek(begin)
-            spoilt = bytes(byte ^ 0xA5 for byte in file.read(SPOILS))
+            flipped = bytes(byte ^ 0xA5 for byte in file.read(CORRUPTED_BYTES))
             file.seek(begin)
-            file.write(spoilt)
-        self._print_timed(f"n{number}: {os.path.relpath(path, state)} spoilt at {begin}")
-        self._point("folder-spoilt", [f"n{number}"])
+            file.write(flipped)
+        self._print_timed(f"n{number}: {os.path.relpath(path, state)} corrupted at byte {begin}")
+        self._record_instant("folder-spoilt", [f"n{number}"])
         return os.path.relpath(path, state)
 
-    def _lives(self, number: int, *events: str) -> int:
+    def _count_events(self, number: int, *events: str) -> int:
         return sum(life.sender == number and life.event in events for life in self.history.life)
 
     def _await_end(self, number: int) -> None:
         while self.members[number].running():
             gevent.sleep(0.005)
 
-    def _point(self, kind: str, on: list[str]) -> None:
+    def _record_instant(self, kind: str, on: list[str]) -> None:
         now = self.day.now()
         self.history.add(Gone(len(self.history.gone), kind, now, now, on, 0.0))
 
     def _watch_processors(self) -> None:
-        """Record how long the senders waited for a processor, by the kernel's count; never returns."""
+        """Record how long the senders waited for a processor, as counted by the kernel; never returns."""
         before: dict[int, int] = {}
         while True:
             now = {}
@@ -306,18 +318,18 @@
                 with contextlib.suppress(OSError, ValueError, IndexError):
                     with open(f"/proc/{member.process.pid}/schedstat", encoding="ascii") as file:
                         now[member.process.pid] = waited = int(file.read().split()[1]) // 1000
-                    took = waited - before.get(member.process.pid, waited)
+                    newly_waited = waited - before.get(member.process.pid, waited)
                     name = f"n{member.number}"
-                    self.day.processor_waits_us[name] = max(took, self.day.processor_waits_us.get(name, 0))
+                    self.day.processor_waits_us[name] = max(newly_waited, self.day.processor_waits_us.get(name, 0))
             before = now
             gevent.sleep(PROCESSOR_WINDOW_US / 1_000_000)
 
-    # ---- what is seen of them ----
+    # ---- observations ----
 
     def call(self, number: int, line: str) -> str:
-        """A call at a sender's management address, and its whole answer; OSError where none comes."""
-        with gevent.socket.create_connection(self.members[number].management_address, CALL) as sock:
-            sock.settimeout(CALL)
+        """Call a sender's management address and return the whole answer; OSError if there is none."""
+        with gevent.socket.create_connection(self.members[number].management_address, CALL_TIMEOUT_S) as sock:
+            sock.settimeout(CALL_TIMEOUT_S)
             sock.sendall(line.encode() + b"\n")
             parts = []
             while part := sock.recv(65536):
@@ -325,7 +337,7 @@
             return b"".join(parts).decode()
 
     def metrics(self, number: int) -> dict[str, float]:
-        """What METRICS says: values by name and labels, as `sender_passed_total{category=free}`."""
+        """Return the metrics of a sender by name and labels, such as `sender_passed_total{category=free}`."""
         from prometheus_client.parser import text_string_to_metric_families
 
         text = self.call(number, "METRICS").removesuffix("END\n")
@@ -337,12 +349,12 @@
         return found
 
     def log(self, number: int) -> str:
-        """All that a sender has logged, over all its processes."""
+        """Return all that a sender has logged, over all of its processes."""
         with open(self.members[number].log, encoding="utf-8", errors="replace") as file:
             return file.read()
 
     def counters(self, number: int, seconds: float = 2.0) -> str:
-        """The counters that a running sender logs on SIGUSR1."""
+        """Return the counters that a running sender logs on SIGUSR1."""
         before = len(self.log(number))
         process = self.members[number].process
         assert process is not None
@@ -352,21 +364,21 @@
         return self.log(number)[before:]
 
     def wait_until(self, condition: Callable[[], Any], seconds: float, what: str | Callable[[], str] = "it") -> None:
-        """Wait for something; TimeoutError names it, as it is called at the end of the wait, and the seed."""
+        """Wait for a condition; TimeoutError names the seed and `what`, which is evaluated at the end of the wait."""
         end = self.day.now() + round(seconds * 1_000_000)
         while not condition():
             if self.day.now() > end:
-                named = what if isinstance(what, str) else what()
-                raise TimeoutError(f"seed {self.seed}: {named} did not come within {seconds} s")
+                name = what if isinstance(what, str) else what()
+                raise TimeoutError(f"seed {self.seed}: {name} did not come within {seconds} s")
             gevent.sleep(POLL_S)
 
     def unfinished(self) -> list[Handed]:
-        """What was taken on and has no end yet."""
+        """Return the accepted messages that have no final answer yet."""
         ended = {notice.id for notice in self.history.noticed}
         ended.update(call.id for call in self.history.called if call.status == 200)
         return [handed for handed in self.history.handed if handed.answer == "ok" and handed.id not in ended]
 
-    def _noticed(self, id: str, state: str, after: int) -> None:
+    def _handle_notice(self, id: str, state: str, after: int) -> None:
         for clients in (self.clients, *self.direct_clients.values()):
             clients.handle_notice(id, state, after)
 
--- a/cedarwick/lab/history.py
+++ b/cedarwick/lab/history.py
@@ -1,7 +1,7 @@
-"""What clients, partners and platform saw of a day: one record per thing, kept as JSON lines.
+"""The history of a day: one record per observation of clients, partners and the platform, stored as JSON lines.
 
-Nothing here comes from a sender's own words. Times are whole microseconds from the begin of the day; -1 stands
-for 'never'.
+No record comes from what a sender reports of itself. Times are whole microseconds since the start of the day;
+-1 means "never".
 """
 
 from collections.abc import Iterator
@@ -15,62 +15,62 @@
 
 
 class Record(msgspec.Struct, tag_field="what", gc=False):
-    """Base of the records: one observation."""
+    """Base class of the records, each of which is one observation."""
 
 
 class Handed(Record, tag="handed"):
-    """One request of a client, under an id of its own."""
+    """One request of a client, with its own message id."""
 
     id: str
-    first: str  # the id under which the same thing was first submitted
+    first: str  # the id of the first request for the same message
     priority_class: str = msgspec.field(name="band")
     destination: int
     mark: str
     turn: str
-    due: int  # when the thing was due by the schedule, or this retry
-    sent: int  # the last byte of the request was written
-    outer: int  # its deadline
+    due: int  # when the schedule, or the retry, had the request due
+    sent: int  # when the last byte of the request was written
+    outer: int  # the deadline
     sender: int
-    answer: str = ""  # ok, busy, error, none (patience ran out), cut (the connection ended), down (none came up)
+    answer: str = ""  # ok, busy, error, none (client timeout), cut (connection ended), down (connect failed)
     answered: int = NEVER
-    wait: int = 0  # the advised wait of a `busy` answer, microseconds
-    fresh: bool = True  # the first request of its connection
-    again: bool = False  # a sender had it before and did not answer, or died
-    taker: int = -1  # the sender that the one asked has passed it to, where that is known
+    wait: int = 0  # microseconds that a `busy` answer asks the client to wait
+    fresh: bool = True  # whether it was the first request on its connection
+    again: bool = False  # whether a sender had the message before and did not answer, or died
+    taker: int = -1  # the sender to which the receiving sender forwarded it, if known
 
 
 class Called(Record, tag="called"):
-    """One call at a partner."""
+    """One call that a partner's endpoint received."""
 
     id: str
     mark: str
     endpoint: str
     destination: int
     sender: int
-    first: int  # its first byte was read
-    whole: int  # its last byte was read
-    ended: int = NEVER  # the answer was written, or the connection ended
+    first: int  # when its first byte was read
+    whole: int  # when its last byte was read
+    ended: int = NEVER  # when the answer was written, or the connection ended
     status: int = 0  # 0: no answer was written
-    wait: int = 0  # the Retry-After wait of its answer, microseconds
+    wait: int = 0  # Retry-After wait of the answer, in microseconds
     ran: bool = False
-    repeat: bool = False  # its mark was known
-    spoilt: str = ""
+    repeat: bool = False  # whether its idempotency mark was already known
+    spoilt: str = ""  # how the answer was malformed, cut short or delayed
     body_ok: bool = True
-    left: bool = False  # its caller had closed its sending side before the answer was written
+    left: bool = False  # whether the caller had closed its sending side before the answer was written
 
 
 class Noticed(Record, tag="noticed"):
-    """One notice that the platform received at `/status`."""
+    """A notice that the platform received at `/status`."""
 
     id: str
     state: str
-    after: int  # microseconds
+    after: int  # wait before a retry, in microseconds
     at: int
     sender: int
 
 
 class Heard(Record, tag="heard"):
-    """A line of the list as it was written to one sender."""
+    """An entry of the endpoint list as it was written to one sender."""
 
     uid: str
     destination: int
@@ -85,13 +85,13 @@
     endpoint: str
     destination: int
     began: int
-    ended: int  # NEVER: to the end of the day
+    ended: int  # NEVER: it lasted until the end of the day
     warming_up: bool = msgspec.field(name="cold")
-    fell: bool  # because it was overloaded while warming up
+    fell: bool  # whether overload while warming up caused the outage
 
 
 class Gone(Record, tag="gone"):
-    """An injected fault, as it was carried out."""
+    """An injected fault as it took place."""
 
     number: int
     kind: str
@@ -102,7 +102,7 @@
 
 
 class Life(Record, tag="life"):
-    """A change of a sender's process: its start, its readiness, a signal, its end."""
+    """A change of state of a sender's process: start, readiness, signal or end."""
 
     sender: int
     event: str  # started, ready, killed, termed, stopped, continued, ended
@@ -111,27 +111,27 @@
 
 
 class Rude(Record, tag="rude"):
-    """A bad client's connection."""
+    """A connection of a misbehaving client."""
 
     sender: int
     began: int
     form: str
-    ended: int  # an error line was read, or the connection ended; NEVER: neither came
+    ended: int  # when an error line was read or the connection ended; NEVER: neither happened
     reply: str
 
 
 class Sampled(Record, tag="sampled"):
-    """A sample of the memory, descriptors and processor time of a sender's process."""
+    """A sample of the memory, descriptors and processor time that a sender's process uses."""
 
     sender: int
     at: int
-    memory: int  # bytes, resident
+    memory: int  # resident bytes
     descriptors: int
-    cpu: int  # microseconds since its start
+    cpu: int  # microseconds of processor time since the start of the process
 
 
 class Late(Record, tag="late"):
-    """The laboratory's own event loop was late."""
+    """A delay of the laboratory's own event loop."""
 
     at: int
     by: int
@@ -141,7 +141,10 @@
 
 
 class History:
-    """All records of a day by type, each in the order of their begins."""
+    """All records of a day by type, each type in the order in which the observations began.
+
+    Each attribute has the lower-case name of its record class.
+    """
 
     def __init__(self) -> None:
         self.handed: list[Handed] = []
@@ -156,13 +159,16 @@
         self.late: list[Late] = []
 
     def add(self, record: AnyRecord) -> None:
+        """Append a record to the list of its type."""
         getattr(self, type(record).__name__.lower()).append(record)
 
     def records(self) -> Iterator[AnyRecord]:
-        for each in vars(self).values():
-            yield from each
+        """Yield all records, type by type."""
+        for of_type in vars(self).values():
+            yield from of_type
 
     def write(self, path: str) -> None:
+        """Write all records to a file, one JSON object per line."""
         encoder = msgspec.json.Encoder()
         with open(path, "wb") as file:
             for record in self.records():
@@ -170,14 +176,14 @@
 
 
 class CorruptHistoryError(CedarwickError, ValueError):
-    """A kept history of a day has a line that cannot be read."""
+    """A stored history of a day has a line that cannot be read."""
 
     code = "CW602"
     remedy = "play the day again; the file that is named was cut or changed after it was written"
 
 
 def read_history(path: str) -> History:
-    """A history that was written before; `CorruptHistoryError` names the line that cannot be read."""
+    """Read a history file; `CorruptHistoryError` names the first line that cannot be read."""
     history = History()
     decoder: msgspec.json.Decoder[AnyRecord] = msgspec.json.Decoder(AnyRecord)
     with open(path, "rb") as file:
@@ -190,7 +196,7 @@
 
 
 def write_lines(path: str, rows: list[Any]) -> None:
-    """Any records, one JSON object a line."""
+    """Write any records to a file, one JSON object per line."""
     with open(path, "wb") as file:
         for row in rows:
             file.write(msgspec.json.encode(row) + b"\n")
--- a/cedarwick/lab/restart_soak.py
+++ b/cedarwick/lab/restart_soak.py
@@ -2,7 +2,7 @@
 
 `python -m cedarwick.lab.restart_soak SEED` plays one day and prints one JSON line, a `DayResult`. `tests/soak.py` plays
 many. Clients go on with their open connections after SIGTERM until the process is gone; SIGKILL follows at the earliest
-moment that the pages allow (`TERM_LASTS`). Some days have a crowd of idle clients that fills the descriptors,
+moment that the pages allow (`TERM_TIMEOUT_S`). Some days have a crowd of idle clients that fills the descriptors,
 receivers that hang, break off or reset, and a platform whose list falls silent.
 """
 
--- a/cedarwick/lab/schedule.py
+++ b/cedarwick/lab/schedule.py
@@ -1,11 +1,11 @@
-"""Faults among several senders, drawn by a seed alone: what, when, whom, for how long. No clock, no sockets.
+"""Draws the faults of several senders from a seed: kind, time, senders and duration. Uses no clock and no sockets.
 
     plan = draw_plan(seed, senders=5, length_s=30)
     print("\\n".join(plan.lines()))
 
-One seed gives one plan. At no time are more senders out (down, stopped, or cut off from the others) than a
-minority, unless `free`; and never more than `copies` at once where a folder may be lost, since two lost folders
-may be all that a message was in.
+The same seed gives the same plan. Unless `unlimited`, the senders that are out at one time (down, stopped, or cut off
+from the others) are a minority, and no more than `copies` while a folder may be lost: two lost folders may be the only
+two that held a message.
 """
 
 import random
@@ -18,12 +18,12 @@
 
 PROCESS_KINDS = ("kill", "term", "stop", "folder-lost", "folder-spoilt")  # the sender itself is out
 FOLDER_KINDS = ("folder-lost", "folder-spoilt")
-SPLIT_KINDS = ("split",)  # some are cut off from all others
-LINK_KINDS: tuple[str, ...] = get_args(Kind)  # faults of one pair's link; see the relay
-PARTITION_KINDS = ("cut", "silent")  # of these: the two may take each other for dead
+SPLIT_KINDS = ("split",)  # some senders are cut off from all others
+LINK_KINDS: tuple[str, ...] = get_args(Kind)  # faults of the link of one pair; see `relay.py`
+PARTITION_KINDS = ("cut", "silent")  # link faults after which the two may consider each other dead
 KINDS = (*PROCESS_KINDS, "disk-full", *SPLIT_KINDS, *LINK_KINDS)
-RECOVERY_US = 4 * SECOND  # so long after its fault a sender still counts as out: it starts, catches up
-DRAW_ATTEMPTS = 200  # places that are tried for one fault
+RECOVERY_US = 4 * SECOND  # a sender counts as out for this long after its fault, while it starts and catches up
+DRAW_ATTEMPTS = 200  # draws of one fault before it is left out of the plan
 
 
 class DrawnFault(msgspec.Struct, frozen=True):
@@ -33,32 +33,34 @@
     kind: str
     begin: int
     length: int
-    on: tuple[int, ...] = ()  # senders that it meets, or that are cut off
-    pairs: tuple[tuple[int, int], ...] = ()  # of a link's fault: who asks, who answers
+    on: tuple[int, ...] = ()  # senders that it affects, or that are cut off
+    pairs: tuple[tuple[int, int], ...] = ()  # of a link fault: caller and callee
     fault: Fault | None = None
-    draw: int = 0  # for what is chosen when it is carried out: a file, a place in it
+    draw: int = 0  # seed for choices made during injection: a file, an offset in it
 
     @property
     def end(self) -> int:
+        """When the fault ends, in microseconds of the day."""
         return self.begin + self.length
 
     def senders_out(self) -> set[int]:
-        """The senders that may be out because of it; one with a full disk can take nothing over."""
+        """Return the senders that may be out because of the fault; one with a full disk cannot take over any work."""
         if self.kind in PROCESS_KINDS or self.kind in SPLIT_KINDS or self.kind == "disk-full":
             return set(self.on)
         return {self.pairs[0][0]} if self.kind in PARTITION_KINDS else set()
 
     def names(self) -> list[str]:
-        """Whom it meets, as the history names them."""
+        """Return the affected senders and pairs, as the history names them."""
         return [f"n{each}" for each in self.on] + [f"n{one}>n{other}" for one, other in self.pairs]
 
     def format(self) -> str:
+        """Return the fault as one printed line."""
         what = self.fault.describe() if self.fault is not None else self.kind
         return f"{self.begin / SECOND:7.2f} s to {self.end / SECOND:6.2f} s  {' '.join(self.names()):24}  {what}"
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """All faults of a day, in the order of their begins."""
+    """All faults of a day, in the order in which they begin."""
 
     seed: int
     senders: int
@@ -66,13 +68,14 @@
     faults: list[DrawnFault] = msgspec.field(name="troubles")
 
     def lines(self) -> list[str]:
-        """The plan as it is printed."""
+        """Return the plan as printed lines."""
         return [
             f"seed {self.seed}: {len(self.faults)} faults, {self.senders} senders",
             *(each.format() for each in self.faults),
         ]
 
     def json(self) -> bytes:
+        """Encode the plan as JSON."""
         return msgspec.json.encode(self)
 
 
@@ -86,43 +89,45 @@
     unlimited: bool = False,
     longest_s: float = 6.0,
 ) -> Plan:
-    """The plan of a seed; `count` 0 draws one fault for every two seconds or so. Faults that would put too
-    many out at once are drawn anew, and left out where none fits."""
+    """Draw the plan of a seed; `count` 0 means about one fault for every two seconds.
+
+    A fault that would put too many senders out at once is drawn again, and left out after `DRAW_ATTEMPTS` draws.
+    """
     rng = random.Random(f"schedule {seed}")
     length = round(length_s * SECOND)
     wanted = count or max(1, round(length_s / 2))
-    found: list[DrawnFault] = []
+    faults: list[DrawnFault] = []
     for _ in range(wanted):
         for _ in range(DRAW_ATTEMPTS):
             drawn = draw_fault(rng, kinds, senders, length, longest_s)
-            if unlimited or is_allowed(drawn, found, senders, copies):
-                found.append(drawn)
+            if unlimited or is_allowed(drawn, faults, senders, copies):
+                faults.append(drawn)
                 break
-    found.sort(key=lambda each: each.begin)
-    numbered = [msgspec.structs.replace(each, number=number) for number, each in enumerate(found)]
+    faults.sort(key=lambda each: each.begin)
+    numbered = [msgspec.structs.replace(each, number=number) for number, each in enumerate(faults)]
     return Plan(seed, senders, length, numbered)
 
 
 def draw_fault(rng: random.Random, kinds: tuple[str, ...], senders: int, length: int, longest_s: float) -> DrawnFault:
-    """Any fault within a day."""
+    """Draw one fault within a day, of any of the kinds."""
     kind = rng.choice(kinds)
-    took = round(rng.uniform(0.5, longest_s) * SECOND)
-    begin = round(rng.uniform(0.05 * length, max(0.05 * length, 0.9 * length - took)))
+    duration = round(rng.uniform(0.5, longest_s) * SECOND)
+    begin = round(rng.uniform(0.05 * length, max(0.05 * length, 0.9 * length - duration)))
     draw = rng.getrandbits(32)
     order = rng.sample(range(senders), senders)
     if kind in LINK_KINDS:
-        here, there = order[0], order[1]
+        caller, callee = order[0], order[1]
         fault = draw_link_fault(rng, kind)
         both = kind in PARTITION_KINDS and fault.way == "both"
-        pairs = ((here, there), (there, here)) if both else ((here, there),)
-        return DrawnFault(0, kind, begin, took, pairs=pairs, fault=fault, draw=draw)
+        pairs = ((caller, callee), (callee, caller)) if both else ((caller, callee),)
+        return DrawnFault(0, kind, begin, duration, pairs=pairs, fault=fault, draw=draw)
     most = max(1, (senders - 1) // 2)
     on = tuple(sorted(order[: rng.randint(1, most)])) if kind in SPLIT_KINDS else (order[0],)
-    return DrawnFault(0, kind, begin, took, on, draw=draw)
+    return DrawnFault(0, kind, begin, duration, on, draw=draw)
 
 
 def draw_link_fault(rng: random.Random, kind: str) -> Fault:
-    """A relay's fault of a kind, with what makes it hard drawn."""
+    """Draw the settings of a relay fault of one kind."""
     if kind == "cut":
         return Fault(kind="cut", way=rng.choice(("both", "asks", "answers")))
     if kind == "silent":
@@ -156,17 +161,17 @@
 
 
 def is_allowed(drawn: DrawnFault, others: list[DrawnFault], senders: int, copies: int) -> bool:
-    """Whether no moment of it has too many senders out, together with the others."""
+    """Whether the fault, together with the others, never puts too many senders out at one time."""
     if not drawn.senders_out() and drawn.kind != "disk-full":
         return True
     near = [each for each in others if each.begin < drawn.end + RECOVERY_US and drawn.begin < each.end + RECOVERY_US]
     if any(set(each.on) & set(drawn.on) for each in near if each.on):
-        return False  # one fault of a sender's own at a time
+        return False  # a sender has one fault of its own at a time
     for at in [drawn.begin, *(each.begin for each in near if each.begin > drawn.begin)]:
-        now = [drawn, *(each for each in near if each.begin <= at < each.end + RECOVERY_US)]
-        out = set().union(*(each.senders_out() for each in now))
+        active = [drawn, *(each for each in near if each.begin <= at < each.end + RECOVERY_US)]
+        out = set().union(*(each.senders_out() for each in active))
         most = (senders - 1) // 2
-        if any(each.kind in FOLDER_KINDS for each in now):
+        if any(each.kind in FOLDER_KINDS for each in active):
             most = min(most, copies)
         if len(out) > most:
             return False
--- a/cedarwick/lab/senders.py
+++ b/cedarwick/lab/senders.py
@@ -1,4 +1,4 @@
-"""Senders: each is a real process of `python -m cedarwick` with an address, an agent and a folder of its own."""
+"""Senders of the laboratory: real `python -m cedarwick` processes, each with its own address, agent and folder."""
 
 import json
 import os
@@ -19,23 +19,23 @@
 from cedarwick.lab.register import Agent
 from cedarwick.lab.scenario import Scenario, sender_settings
 
-READY_IN = 15.0  # seconds in which a started sender must answer PING
-REAP = 0.05  # seconds between two looks at a process
-SAMPLE = 0.5  # seconds between two looks at what it uses
-TERM_LASTS = 3.7  # seconds from SIGTERM to SIGKILL
+READY_TIMEOUT_S = 15.0  # time within which a started sender must answer PING
+REAP_INTERVAL_S = 0.05  # between two checks whether a process has ended
+SAMPLE_INTERVAL_S = 0.5  # between two samples of the resources that a process uses
+TERM_TIMEOUT_S = 3.7  # from SIGTERM to SIGKILL
 PING = b"*1\r\n$4\r\nPING\r\n"
 COMMAND = (sys.executable, "-m", "cedarwick")
 
 
 class SenderNotReadyError(CedarwickError):
-    """A sender did not start; the text says how its process ended and names its log."""
+    """A sender did not become ready; the text says what happened and names its log."""
 
     code = "CW601"
     remedy = "read the log that is named; its last line says why the sender did not start"
 
 
 class Instance:
-    """One sender over all its processes (lives)."""
+    """One sender over all of its successive processes."""
 
     def __init__(
         self,
@@ -61,23 +61,25 @@
         self.reserved = ReservedPort(host_of(number))
         self.process: subprocess.Popen[bytes] | None = None
         self.starts = 0
-        self.expected_to_end: set[int] = set()  # processes, by id
-        self.faults_holding_down = 0  # faults that keep it from running
+        self.expected_to_end: set[int] = set()  # ids of processes that the laboratory ends itself
+        self.faults_holding_down = 0  # active faults that keep the process from running
         self.disk_mb = scenario.limits.disk_mb
         self.ready_at = -1
 
     @property
     def address(self) -> tuple[str, int]:
+        """The address on which the sender listens for clients."""
         return self.reserved.address
 
     @property
     def config(self) -> str:
+        """The path of the configuration file."""
         return os.path.join(self.folder, "config.json")
 
-    # ---- its life ----
+    # ---- the process ----
 
     def start(self) -> None:
-        """A new process on the same folder; `SenderNotReadyError` where it does not answer PING in time."""
+        """Start a new process on the same folder; `SenderNotReadyError` if it does not answer PING in time."""
         self.starts += 1
         self.configure()
         environment = {
@@ -89,22 +91,22 @@
         }
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(self.command, env=environment, stdout=log, stderr=log)
-        self._life("started")
+        self._record("started")
         gevent.spawn(self._reap, self.process)
-        end_at = self.day.now() + round(READY_IN * 1_000_000)
-        while not self._pongs():
+        end_at = self.day.now() + round(READY_TIMEOUT_S * 1_000_000)
+        while not self._answers_ping():
             if self.faults_holding_down:
-                return  # another fault has ended it meanwhile, and will start it again
+                return  # another fault ended the process in the meantime, and will restart it
             if (status := self.process.poll()) is not None:
                 raise self._not_ready(f"ended with status {status} before it answered PING")
             if self.day.now() > end_at:
-                raise self._not_ready(f"did not answer PING within {READY_IN:g} s")
+                raise self._not_ready(f"did not answer PING within {READY_TIMEOUT_S:g} s")
             gevent.sleep(0.02)
         self.ready_at = self.day.now()
-        self._life("ready")
+        self._record("ready")
 
     def take_down(self, gently: bool) -> None:
-        """Begin a fault that ends the process, if one runs, and keeps it down until its `bring_up`."""
+        """Begin a fault that ends the process, if one runs, and keeps it down until `bring_up`."""
         self.faults_holding_down += 1
         process = self.process
         if process is None or process.poll() is not None:
@@ -117,13 +119,13 @@
             gevent.sleep(0.01)
 
     def bring_up(self) -> None:
-        """End such a fault; the last one of several that overlap starts the process again."""
+        """End such a fault; the end of the last of several overlapping faults restarts the process."""
         self.faults_holding_down -= 1
         if not self.faults_holding_down:
             self.start()
 
     def _operator(self) -> dict[str, str]:
-        """The variable that names an operator file, where the scenario wants one."""
+        """Write the operator file if the scenario needs one, and return the environment variable that names it."""
         limits = self.scenario.limits
         if not (limits.segment_kb or limits.durable):
             return {}
@@ -134,43 +136,44 @@
         return {"CEDARWICK_OPERATOR": path}
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL."""
         self._expect_end()
-        self._life("killed")
+        self._record("killed")
         self.send_signal(signal.SIGKILL)
 
     def terminate(self) -> None:
-        """SIGTERM, and SIGKILL to what has not ended in its time. Returns when it has ended."""
+        """Send SIGTERM, and SIGKILL after `TERM_TIMEOUT_S`; returns when the process has ended."""
         process = self.process
         self._expect_end()
-        self._life("termed")
+        self._record("termed")
         self.send_signal(signal.SIGTERM)
-        end_at = self.day.now() + round(TERM_LASTS * 1_000_000)
-        # Danger: meanwhile another fault may have ended it, and a later process may run by now.
+        end_at = self.day.now() + round(TERM_TIMEOUT_S * 1_000_000)
+        # Caution: another fault may end this process in the meantime, and a later process may already run.
         while process is not None and process.poll() is None:
             if self.day.now() > end_at:
                 self.kill()
             gevent.sleep(0.02)
 
     def stop(self) -> None:
-        """SIGSTOP: the process is paused, its connections stay open."""
-        self._life("stopped")
+        """Send SIGSTOP: the process is paused, and its connections stay open."""
+        self._record("stopped")
         self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """SIGCONT."""
+        """Send SIGCONT."""
         self.send_signal(signal.SIGCONT)
-        self._life("continued")
+        self._record("continued")
 
     def reload(self) -> None:
-        """SIGHUP."""
+        """Send SIGHUP."""
         self.send_signal(signal.SIGHUP)
 
     def running(self) -> bool:
+        """Whether a process of this sender runs."""
         return self.process is not None and self.process.poll() is None
 
     def shut_down(self) -> None:
-        """No process of this sender is left, and its port is free."""
+        """Kill the process, if one runs, and release the reserved port."""
         self.reserved.release()
         if self.running():
             assert self.process is not None
@@ -179,7 +182,7 @@
             self.process.wait()
 
     def configure(self, **changes: Any) -> None:
-        """Write the configuration as it is now, with the given keys changed."""
+        """Write the configuration file from the present state, with the given keys replaced."""
         limits = self.scenario.limits
         assignment = {
             "name": f"n{self.number}",
@@ -201,62 +204,62 @@
         os.replace(self.config + ".new", self.config)
 
     def spoil_configuration(self) -> None:
-        """Replace the configuration by one that cannot be read."""
+        """Replace the configuration file by one that cannot be parsed."""
         with open(self.config, "w", encoding="utf-8") as file:
             file.write('{"name": "n')
 
-    # ---- what is seen of it ----
+    # ---- observations ----
 
     def sample(self) -> None:
-        """Sample what the process uses; never returns."""
+        """Record the memory, descriptors and processor time of the process at intervals; never returns."""
         while True:
             process = self.process
             if process is not None and process.poll() is None:
                 try:
-                    seen = psutil.Process(process.pid)
-                    times = seen.cpu_times()
+                    observed = psutil.Process(process.pid)
+                    times = observed.cpu_times()
                     self.day.history.add(
                         Sampled(
                             self.number,
                             self.day.now(),
-                            seen.memory_info().rss,
-                            seen.num_fds(),
+                            observed.memory_info().rss,
+                            observed.num_fds(),
                             round((times.user + times.system) * 1_000_000),
                         )
                     )
                 except psutil.Error:
                     pass
-            gevent.sleep(SAMPLE)
+            gevent.sleep(SAMPLE_INTERVAL_S)
 
     def _reap(self, process: subprocess.Popen[bytes]) -> None:
         while process.poll() is None:
-            gevent.sleep(REAP)
+            gevent.sleep(REAP_INTERVAL_S)
         if process.pid in self.expected_to_end:
-            self._life("ended", 0)
+            self._record("ended", 0)
         else:
-            self._life("crashed", process.returncode)
+            self._record("crashed", process.returncode)
 
     def _expect_end(self) -> None:
-        """Note that the present process ends because the laboratory ends it."""
+        """Mark the end of the present process as caused by the laboratory, so that it does not count as a crash."""
         if self.process is not None:
             self.expected_to_end.add(self.process.pid)
 
-    def _life(self, event: str, status: int = 0) -> None:
+    def _record(self, event: str, status: int = 0) -> None:
         self.day.history.add(Life(self.number, event, self.day.now(), status))
 
     def _not_ready(self, what: str) -> SenderNotReadyError:
-        """An error with what happened, the last line of the sender's log, and where that is."""
+        """Build the error from what happened, the path of the sender's log and its last line."""
         with open(self.log, encoding="utf-8", errors="replace") as log:
             last = (log.read().splitlines() or ["empty"])[-1]
         return SenderNotReadyError(f"sender n{self.number} {what}; its log is {self.log}, last line: {last}")
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to the process, if one runs."""
+        """Send a signal to the process if it runs."""
         if self.running():
             assert self.process is not None
             self.process.send_signal(number)
 
-    def _pongs(self) -> bool:
+    def _answers_ping(self) -> bool:
         try:
             with gevent.socket.create_connection(self.address, 0.5) as sock:
                 sock.settimeout(0.5)
--- a/tests/lab/test_relay.py
+++ b/tests/lab/test_relay.py
@@ -82,7 +82,7 @@
         self.relay.end(number)
         self.assertEqual(self.ask(b"later", self.connect()), "retal")
         self.arrived(b"abc", b"later")
-        self.assertEqual(self.said, ["n0>n1: cut", "n0>n1: no more cut"])
+        self.assertEqual(self.said, ["n0>n1: cut", "n0>n1: cut ended"])
 
     def test_a_cut_of_one_way_loses_that_way_alone(self) -> None:
         self.ask()
@@ -171,7 +171,7 @@
         gevent.sleep(0.03)
         self.assertEqual(self.ask(b"two"), "owt")
         self.arrived(b"one", b"one", b"two")
-        self.assertEqual(self.relay.counts["given twice"], 1)
+        self.assertEqual(self.relay.counts["duplicates sent"], 1)
         self.relay.begin(Fault(kind="twice", ms=150, times=1))
         self.assertEqual(self.ask(b"cut"), "tuc")
         self.relay.begin(Fault(kind="cut"))
