--- a/tests/lab/broken.py
+++ b/tests/lab/broken.py
@@ -1,4 +1,4 @@
-"""`python -m tests.lab.broken FAULT`: a sender that is broken on purpose, so that the audit can be seen to notice."""
+"""`python -m tests.lab.broken FAULT`: a sender with a deliberate fault, for tests that the audit detects it."""
 
 import sys
 from collections.abc import Callable, Sequence
@@ -15,11 +15,11 @@
 
 
 def repeats_at_most_once() -> None:
-    """Every priority class is taken for an idempotent one."""
-    honest = policy.priority_class_of
+    """Every priority class is treated as idempotent."""
+    original = policy.priority_class_of
 
     def priority_class_of(settings: Any, index: int) -> state.PriorityClass:
-        priority_class = honest(settings, index)
+        priority_class = original(settings, index)
         priority_class.idempotent, priority_class.at_most_once = True, False
         return priority_class
 
@@ -27,18 +27,18 @@
 
 
 def ignores_waits() -> None:
-    """No Retry-After wait is read."""
+    """Retry-After waits are ignored."""
     attempts.parse_retry_after = lambda text: 0
 
 
 def ignores_drains() -> None:
-    """What drains or goes is taken for ready."""
-    honest = policy.Sender.apply_endpoint_list
+    """Draining and removed endpoints are treated as ready."""
+    original = policy.Sender.apply_endpoint_list
 
     def apply_endpoint_list(
         self: policy.Sender, now: int, change: EndpointUpdate, listings: Sequence[ListedEndpoint]
     ) -> None:
-        honest(
+        original(
             self, now, EndpointUpdate.DELTA, [each._replace(endpoint_state=EndpointState.READY) for each in listings]
         )
 
@@ -46,17 +46,17 @@
 
 
 def loses_messages() -> None:
-    """Every tenth message is answered +OK and forgotten."""
-    honest, count = dispatcher.Dispatcher._admit, [0]
+    """Every tenth message is answered +OK and dropped."""
+    original, count = dispatcher.Dispatcher._admit, [0]
 
-    def take(self: dispatch_admission.Admission, submission: Submission) -> None:
+    def admit(self: dispatch_admission.Admission, submission: Submission) -> None:
         count[0] += 1
         if count[0] % 10 == 0:
             submission.set_answer(AdmissionResult.ACCEPTED)
         else:
-            honest(self, submission)
+            original(self, submission)
 
-    dispatcher.Dispatcher._admit = take  # type: ignore[method-assign]
+    dispatcher.Dispatcher._admit = admit  # type: ignore[method-assign]
 
 
 def posts_no_notices() -> None:
@@ -65,30 +65,30 @@
 
 
 def ignores_order_keys() -> None:
-    """It is everyone's turn."""
+    """Messages with an order key do not wait for their predecessors."""
     state.OrderKeyQueues.ready_at = lambda self, key, message: 0  # type: ignore[method-assign]
 
 
 def floods_a_returning_destination() -> None:
-    """No outage is noticed, so a destination that returns gets everything at once."""
+    """Outages are not detected, so a destination that returns gets its whole backlog at once."""
     policy.Sender._eject = lambda *_, **__: None  # type: ignore[method-assign]
     policy.Sender._is_silent = lambda self, now, receiver: False  # type: ignore[method-assign]
 
 
 def runs_concurrent_attempts() -> None:
-    """Every attempt goes out a second time over a link of its own, while the first one is out."""
-    honest = attempts.AttemptRunner._exchange
+    """Every attempt is made a second time on a separate connection, while the first one is in progress."""
+    original = attempts.AttemptRunner._exchange
 
-    def over(self: attempts.AttemptRunner, call: attempts.AttemptCall, connection: Any) -> bool:
-        gevent.spawn(copy, self, call)
-        return honest(self, call, connection)
+    def exchange_twice(self: attempts.AttemptRunner, call: attempts.AttemptCall, connection: Any) -> bool:
+        gevent.spawn(send_copy, self, call)
+        return original(self, call, connection)
 
-    def copy(self: attempts.AttemptRunner, call: attempts.AttemptCall) -> None:
+    def send_copy(self: attempts.AttemptRunner, call: attempts.AttemptCall) -> None:
         with open_connection(self.connections.address_of(call.receiver), 1.0) as sock:
             sock.sendall(attempts.encode_request(call, self.clock.now()))
             sock.recv(100)
 
-    attempts.AttemptRunner._exchange = over  # type: ignore[method-assign]
+    attempts.AttemptRunner._exchange = exchange_twice  # type: ignore[method-assign]
 
 
 FAULTS: dict[str, Callable[[], None]] = {
--- a/tests/lab/test_audit.py
+++ b/tests/lab/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit on histories written by hand: for each rule one that breaks it, and a near miss that does not."""
+"""The audit judges histories written by hand: for each rule one that breaks it, and a near miss that does not."""
 
 import unittest
 from typing import Any
@@ -28,7 +28,8 @@
 
 
 def handed(id: str = "a", priority_class: str = "free", sent: int = 0, answer: str = "ok", **more: Any) -> Handed:
-    told: dict[str, Any] = {
+    """A request that was answered 2 ms after it was sent, with a deadline of 6 s."""
+    fields: dict[str, Any] = {
         "first": id,
         "destination": 0,
         "mark": "m" if priority_class in ("marked", "line") else "",
@@ -39,11 +40,12 @@
         "answered": sent + 2 * MS,
         **more,
     }
-    return Handed(id=id, priority_class=priority_class, sent=sent, answer=answer, **told)
+    return Handed(id=id, priority_class=priority_class, sent=sent, answer=answer, **fields)
 
 
 def called(id: str = "a", at: int = 10 * MS, took: int = 50 * MS, status: int = 200, **more: Any) -> Called:
-    told: dict[str, Any] = {
+    """A call that was answered after `took`."""
+    fields: dict[str, Any] = {
         "mark": "",
         "endpoint": "e",
         "destination": 0,
@@ -51,10 +53,11 @@
         "ran": status in (0, 200, 500),
         **more,
     }
-    return Called(id=id, first=at, whole=at, ended=at + took, status=status, **told)
+    return Called(id=id, first=at, whole=at, ended=at + took, status=status, **fields)
 
 
-def seen(*records: Any, until: int = 20 * SECOND) -> Verdict:
+def audit_records(*records: Any, until: int = 20 * SECOND) -> Verdict:
+    """The verdict on some records, with the observation stopped at `until`."""
     history = History()
     for record in records:
         history.add(record)
@@ -62,6 +65,7 @@
 
 
 def killed(at: int, ready: int, sender: int = 0) -> list[Life]:
+    """A SIGKILL of a sender at a time, and a new process that is ready at another."""
     return [
         Life(sender, "killed", at),
         Life(sender, "ended", at + 1),
@@ -71,139 +75,143 @@
 
 
 class JudgingTestCase(unittest.TestCase):
-    def broken(self, rule: int, *records: Any) -> None:
-        self.assertEqual(sorted(seen(*records).counts_by_rule()), [rule])
+    def assert_breaks(self, rule: int, *records: Any) -> None:
+        self.assertEqual(sorted(audit_records(*records).counts_by_rule()), [rule])
 
-    def kept(self, *records: Any) -> None:
-        self.assertEqual(seen(*records).findings, [])
+    def assert_no_finding(self, *records: Any) -> None:
+        self.assertEqual(audit_records(*records).findings, [])
 
 
 class ProtocolTest(JudgingTestCase):
-    def test_a_call_for_an_id_that_nobody_handed_in(self) -> None:
-        self.broken(0, handed(), called(), called("stranger"))
-        self.kept(handed(), called(), handed("stranger", answer="none"), called("stranger"))
+    def test_a_call_for_an_id_that_nobody_submitted(self) -> None:
+        self.assert_breaks(0, handed(), called(), called("stranger"))
+        self.assert_no_finding(handed(), called(), handed("stranger", answer="none"), called("stranger"))
 
     def test_a_call_to_another_destination_or_with_another_mark_or_body(self) -> None:
-        self.broken(0, handed(), called(destination=1))
-        self.broken(0, handed(priority_class="marked"), called(mark="other"))
-        self.broken(0, handed(), called(body_ok=False))
-        self.kept(handed(priority_class="marked"), called(mark="m"))
-
-    def test_a_process_that_ends_by_itself(self) -> None:
-        self.broken(0, Life(0, "crashed", SECOND, 1))
-        self.kept(*killed(SECOND, 2 * SECOND))
-
-    def test_a_bad_client_is_owed_an_error_or_a_close_in_three_seconds(self) -> None:
-        self.broken(0, Rude(0, SECOND, "noise", -1, ""))
-        self.broken(0, Rude(0, SECOND, "noise", 5 * SECOND, "-ERR"))
-        self.broken(0, Rude(0, SECOND, "no id", 2 * SECOND, "+OK"))
-        self.kept(Rude(0, SECOND, "noise", 4 * SECOND, "-ERR"))
-        self.kept(
+        self.assert_breaks(0, handed(), called(destination=1))
+        self.assert_breaks(0, handed(priority_class="marked"), called(mark="other"))
+        self.assert_breaks(0, handed(), called(body_ok=False))
+        self.assert_no_finding(handed(priority_class="marked"), called(mark="m"))
+
+    def test_a_process_that_ends_unexpectedly(self) -> None:
+        self.assert_breaks(0, Life(0, "crashed", SECOND, 1))
+        self.assert_no_finding(*killed(SECOND, 2 * SECOND))
+
+    def test_a_bad_client_must_get_an_error_or_a_close_in_three_seconds(self) -> None:
+        self.assert_breaks(0, Rude(0, SECOND, "noise", -1, ""))
+        self.assert_breaks(0, Rude(0, SECOND, "noise", 5 * SECOND, "-ERR"))
+        self.assert_breaks(0, Rude(0, SECOND, "no id", 2 * SECOND, "+OK"))
+        self.assert_no_finding(Rude(0, SECOND, "noise", 4 * SECOND, "-ERR"))
+        self.assert_no_finding(
             Rude(0, SECOND, "noise", 5 * SECOND, "-ERR"), Life(0, "stopped", SECOND), Life(0, "continued", 4 * SECOND)
         )
 
 
-class NoneLostTest(JudgingTestCase):
-    def test_taken_on_without_an_end(self) -> None:
-        self.broken(1, handed(), called(status=503))
-        self.kept(handed(), called(status=503), Noticed("a", "failed", 0, 6 * SECOND + 349 * MS, 0))
+class NoMessageLostTest(JudgingTestCase):
+    def test_an_accepted_message_without_a_final_answer(self) -> None:
+        self.assert_breaks(1, handed(), called(status=503))
+        self.assert_no_finding(handed(), called(status=503), Noticed("a", "failed", 0, 6 * SECOND + 349 * MS, 0))
 
-    def test_an_end_that_comes_too_late(self) -> None:
-        self.broken(1, handed(), Noticed("a", "returned", 0, 6 * SECOND + 351 * MS, 0))
+    def test_a_final_answer_that_comes_too_late(self) -> None:
+        self.assert_breaks(1, handed(), Noticed("a", "returned", 0, 6 * SECOND + 351 * MS, 0))
 
-    def test_what_is_not_due_yet_when_the_watching_stops_is_not_lost(self) -> None:
+    def test_a_message_that_is_not_due_when_the_observation_stops_is_not_lost(self) -> None:
         history = History()
         history.add(handed())
         self.assertEqual(judge(SCENARIO, history, 6 * SECOND).findings, [])
 
-    def test_a_restart_puts_the_end_off(self) -> None:
+    def test_a_restart_extends_the_time_for_the_final_answer(self) -> None:
         late = Noticed("a", "failed", 0, 9 * SECOND, 0)
-        self.kept(handed(), late, *killed(5 * SECOND, 8 * SECOND))
-        self.broken(1, handed(), Noticed("a", "failed", 0, 10 * SECOND, 0), *killed(5 * SECOND, 8 * SECOND))
-        self.broken(1, handed(), late, *killed(5 * SECOND, 8 * SECOND, sender=1))
+        self.assert_no_finding(handed(), late, *killed(5 * SECOND, 8 * SECOND))
+        self.assert_breaks(1, handed(), Noticed("a", "failed", 0, 10 * SECOND, 0), *killed(5 * SECOND, 8 * SECOND))
+        self.assert_breaks(1, handed(), late, *killed(5 * SECOND, 8 * SECOND, sender=1))
 
-    def test_a_second_restart_puts_it_off_further(self) -> None:
-        self.kept(
+    def test_a_second_restart_extends_that_time_further(self) -> None:
+        self.assert_no_finding(
             handed(),
             Noticed("a", "failed", 0, 11 * SECOND, 0),
             *killed(5 * SECOND, 8 * SECOND),
             *killed(9 * SECOND, 10 * SECOND),
         )
 
-    def test_a_client_without_an_answer_is_owed_nothing(self) -> None:
-        self.kept(handed(answer="none"))
-        self.kept(handed(answer="none"), called(at=450 * MS))  # the sender had it on disk just as the client left
+    def test_a_request_without_an_answer_needs_no_final_answer(self) -> None:
+        self.assert_no_finding(handed(answer="none"))
+        self.assert_no_finding(
+            handed(answer="none"), called(at=450 * MS)
+        )  # the sender had stored it just when the client closed its connection
 
-    def test_called_after_its_notice(self) -> None:
-        self.broken(1, handed(), Noticed("a", "failed", 0, SECOND, 0), called(at=2 * SECOND))
-        self.kept(handed(), called(at=SECOND - MS, status=500), Noticed("a", "failed", 0, SECOND, 0))
+    def test_a_call_after_the_notice(self) -> None:
+        self.assert_breaks(1, handed(), Noticed("a", "failed", 0, SECOND, 0), called(at=2 * SECOND))
+        self.assert_no_finding(handed(), called(at=SECOND - MS, status=500), Noticed("a", "failed", 0, SECOND, 0))
 
-    def test_called_after_its_delivery(self) -> None:
-        self.broken(1, handed(), called(), called(at=SECOND))
-        self.kept(handed(), called(), called(at=3 * SECOND), *killed(30 * MS, 2 * SECOND))
+    def test_a_call_after_the_delivery(self) -> None:
+        self.assert_breaks(1, handed(), called(), called(at=SECOND))
+        self.assert_no_finding(handed(), called(), called(at=3 * SECOND), *killed(30 * MS, 2 * SECOND))
 
-    def test_at_most_once_never_comes_again_after_its_delivery(self) -> None:
-        verdict = seen(handed(priority_class="once"), called(), called(at=3 * SECOND), *killed(30 * MS, 2 * SECOND))
+    def test_an_at_most_once_message_is_never_called_after_its_delivery(self) -> None:
+        verdict = audit_records(
+            handed(priority_class="once"), called(), called(at=3 * SECOND), *killed(30 * MS, 2 * SECOND)
+        )
         self.assertEqual(sorted(verdict.counts_by_rule()), [1, 2])
 
     def test_a_connection_that_ends_without_an_answer(self) -> None:
-        self.broken(1, handed(answer="cut", fresh=False))
-        self.broken(1, handed(answer="cut"), called())
-        self.kept(handed(answer="cut"))  # the first of its connection, nothing was sent on
-        self.kept(handed(answer="cut", fresh=False, sent=SECOND), *killed(SECOND, 2 * SECOND))
+        self.assert_breaks(1, handed(answer="cut", fresh=False))
+        self.assert_breaks(1, handed(answer="cut"), called())
+        self.assert_no_finding(handed(answer="cut"))  # the first request of its connection, and no call was made for it
+        self.assert_no_finding(handed(answer="cut", fresh=False, sent=SECOND), *killed(SECOND, 2 * SECOND))
 
 
-class NoEffectTwiceTest(JudgingTestCase):
-    def test_at_most_once_goes_again_only_after_a_proof(self) -> None:
+class NoRepeatedEffectTest(JudgingTestCase):
+    def test_an_at_most_once_message_is_retried_only_after_a_call_that_never_ran(self) -> None:
         for status in (0, 500):
-            self.broken(2, handed(priority_class="once"), called(status=status), called(at=SECOND))
+            self.assert_breaks(2, handed(priority_class="once"), called(status=status), called(at=SECOND))
         for status in (429, 503):
-            self.kept(handed(priority_class="once"), called(status=status), called(at=SECOND))
+            self.assert_no_finding(handed(priority_class="once"), called(status=status), called(at=SECOND))
 
-    def test_a_spoilt_refusal_proves_nothing(self) -> None:
-        self.broken(2, handed(priority_class="once"), called(status=503, spoilt="short"), called(at=SECOND))
+    def test_a_malformed_refusal_does_not_prove_that_the_call_never_ran(self) -> None:
+        self.assert_breaks(2, handed(priority_class="once"), called(status=503, spoilt="short"), called(at=SECOND))
 
-    def test_numbered_goes_again_only_in_its_window(self) -> None:
+    def test_a_numbered_message_is_retried_only_in_its_window(self) -> None:
         first = called(mark="m", status=0, at=10 * MS)
-        self.kept(handed(priority_class="marked"), first, called(mark="m", at=2 * SECOND + 59 * MS))
-        self.broken(2, handed(priority_class="marked"), first, called(mark="m", at=2 * SECOND + 61 * MS))
+        self.assert_no_finding(handed(priority_class="marked"), first, called(mark="m", at=2 * SECOND + 59 * MS))
+        self.assert_breaks(2, handed(priority_class="marked"), first, called(mark="m", at=2 * SECOND + 61 * MS))
 
-    def test_the_window_runs_from_the_first_that_may_have_run(self) -> None:
-        self.kept(
+    def test_the_window_starts_with_the_first_call_that_may_have_run(self) -> None:
+        self.assert_no_finding(
             handed(priority_class="marked"),
             called(mark="m", status=503),
             called(mark="m", at=SECOND, status=0),
             called(mark="m", at=2900 * MS),
         )
 
-    def test_never_two_out_at_once(self) -> None:
-        self.broken(2, handed(), called(status=500, took=500 * MS), called(at=400 * MS))
-        self.kept(handed(), called(status=500, took=500 * MS), called(at=511 * MS))
+    def test_two_attempts_at_once(self) -> None:
+        self.assert_breaks(2, handed(), called(status=500, took=500 * MS), called(at=400 * MS))
+        self.assert_no_finding(handed(), called(status=500, took=500 * MS), called(at=511 * MS))
 
     def test_a_call_ends_with_its_sender(self) -> None:
-        out = called(status=0, took=9 * SECOND)
-        self.kept(handed(), out, called(at=3 * SECOND), *killed(SECOND, 2 * SECOND))
-        self.broken(2, handed(), out, called(at=3 * SECOND), *killed(SECOND, 2 * SECOND, sender=1))
+        open_call = called(status=0, took=9 * SECOND)
+        self.assert_no_finding(handed(), open_call, called(at=3 * SECOND), *killed(SECOND, 2 * SECOND))
+        self.assert_breaks(2, handed(), open_call, called(at=3 * SECOND), *killed(SECOND, 2 * SECOND, sender=1))
 
 
 class DrainingTest(JudgingTestCase):
-    def test_sent_to_what_was_told_to_leave_after_the_grace(self) -> None:
-        told = Heard("e", 0, "draining", SECOND, 0)
+    def test_a_call_to_a_draining_endpoint_after_the_grace(self) -> None:
+        listed = Heard("e", 0, "draining", SECOND, 0)
         call = handed(sent=2 * SECOND), called(at=2 * SECOND + 60 * MS)
-        self.broken(3, told, *call)
-        self.kept(Heard("e", 0, "draining", SECOND + 20 * MS, 0), *call)
-        self.kept(Heard("e", 0, "draining", SECOND, 1), *call)  # another sender was told
+        self.assert_breaks(3, listed, *call)
+        self.assert_no_finding(Heard("e", 0, "draining", SECOND + 20 * MS, 0), *call)
+        self.assert_no_finding(Heard("e", 0, "draining", SECOND, 1), *call)  # another sender received the entry
 
-    def test_the_grace_runs_from_the_first_telling_and_up_ends_it(self) -> None:
+    def test_the_grace_starts_with_the_first_entry_and_state_up_ends_it(self) -> None:
         call = handed(sent=3 * SECOND), called(at=3 * SECOND)
-        self.broken(3, Heard("e", 0, "draining", SECOND, 0), Heard("e", 0, "removed", 2500 * MS, 0), *call)
-        self.kept(Heard("e", 0, "draining", SECOND, 0), Heard("e", 0, "up", 2500 * MS, 0), *call)
+        self.assert_breaks(3, Heard("e", 0, "draining", SECOND, 0), Heard("e", 0, "removed", 2500 * MS, 0), *call)
+        self.assert_no_finding(Heard("e", 0, "draining", SECOND, 0), Heard("e", 0, "up", 2500 * MS, 0), *call)
 
-    def test_a_restart_forgets_what_was_told(self) -> None:
+    def test_a_restart_resets_the_known_states(self) -> None:
         call = handed(sent=4 * SECOND), called(at=4 * SECOND)
         begun = Life(0, "started", 0)
-        self.kept(begun, Heard("e", 0, "removed", SECOND, 0), *killed(2 * SECOND, 3 * SECOND), *call)
-        self.broken(3, begun, Heard("e", 0, "removed", SECOND, 0), *call)
+        self.assert_no_finding(begun, Heard("e", 0, "removed", SECOND, 0), *killed(2 * SECOND, 3 * SECOND), *call)
+        self.assert_breaks(3, begun, Heard("e", 0, "removed", SECOND, 0), *call)
 
 
 class RecoveryTest(JudgingTestCase):
@@ -214,19 +222,19 @@
             records += [handed(id, sent=at, sender=sender), called(id, at=at, took=5 * MS, sender=sender)]
         return records
 
-    def knew(self, sender: int) -> list[Any]:
+    def failed_call(self, sender: int) -> list[Any]:
         return [
-            handed("knew", sent=2 * SECOND),
-            called("knew", at=2 * SECOND, status=0, sender=sender),
-            Noticed("knew", "failed", 0, 3 * SECOND, 0),
+            handed("seen", sent=2 * SECOND),
+            called("seen", at=2 * SECOND, status=0, sender=sender),
+            Noticed("seen", "failed", 0, 3 * SECOND, 0),
         ]
 
-    def test_a_cold_endpoint_is_not_pushed_by_those_who_saw_its_outage(self) -> None:
-        self.broken(4, *self.calls(60), *self.knew(0))
-        self.kept(*self.calls(20), *self.knew(0))
+    def test_senders_that_saw_the_outage_do_not_overload_an_endpoint_that_is_warming_up(self) -> None:
+        self.assert_breaks(4, *self.calls(60), *self.failed_call(0))
+        self.assert_no_finding(*self.calls(20), *self.failed_call(0))
 
-    def test_a_call_that_was_out_when_it_began_tells_of_it(self) -> None:
-        self.broken(
+    def test_a_call_in_progress_at_the_start_of_the_outage_shows_it_to_the_sender(self) -> None:
+        self.assert_breaks(
             4,
             *self.calls(60),
             handed("out", sent=0),
@@ -234,70 +242,78 @@
             Noticed("out", "failed", 0, 2 * SECOND, 0),
         )
 
-    def test_who_held_something_for_it_must_have_knocked_unless_another_endpoint_served(self) -> None:
+    def test_a_sender_with_a_message_must_have_tried_to_connect_unless_another_endpoint_answered(self) -> None:
         held = handed("held", sent=1500 * MS, sender=0), Noticed("held", "returned", 0, 2900 * MS, 0)
-        self.broken(4, *self.calls(60), *held)
-        self.kept(
+        self.assert_breaks(4, *self.calls(60), *held)
+        self.assert_no_finding(
             *self.calls(60), *held, handed("other", sent=2 * SECOND), called("other", at=2 * SECOND, endpoint="f")
         )
 
-    def test_who_saw_nothing_cannot_know(self) -> None:
-        self.kept(*self.calls(60, sender=1), *self.knew(0))
+    def test_a_sender_that_saw_nothing_of_the_outage_is_not_blamed(self) -> None:
+        self.assert_no_finding(*self.calls(60, sender=1), *self.failed_call(0))
 
 
 class OrderTest(JudgingTestCase):
-    def line(self, id: str, sent: int, **more: Any) -> Handed:
+    def request(self, id: str, sent: int, **more: Any) -> Handed:
         return handed(id, priority_class="line", sent=sent, turn="7", **more)
 
-    def test_overtaken(self) -> None:
-        later = self.line("b", 20 * MS), called("b", mark="m", at=30 * MS)
-        self.broken(5, self.line("a", 0), called(mark="m", at=100 * MS), *later)
-        self.broken(5, self.line("a", 0), called(mark="m", at=5 * MS, took=80 * MS), *later)
-        self.kept(self.line("a", 0), called(mark="m", at=5 * MS, took=30 * MS), *later)
+    def test_a_later_message_is_called_first(self) -> None:
+        later = self.request("b", 20 * MS), called("b", mark="m", at=30 * MS)
+        self.assert_breaks(5, self.request("a", 0), called(mark="m", at=100 * MS), *later)
+        self.assert_breaks(5, self.request("a", 0), called(mark="m", at=5 * MS, took=80 * MS), *later)
+        self.assert_no_finding(self.request("a", 0), called(mark="m", at=5 * MS, took=30 * MS), *later)
 
-    def test_doubtful_orders_other_keys_and_other_senders_are_not_judged(self) -> None:
+    def test_uncertain_order_other_keys_and_other_senders_are_not_judged(self) -> None:
         first = called(mark="m", at=100 * MS)
-        self.kept(
-            self.line("a", 0, answered=25 * MS), first, self.line("b", 20 * MS), called("b", mark="m", at=30 * MS)
+        self.assert_no_finding(
+            self.request("a", 0, answered=25 * MS), first, self.request("b", 20 * MS), called("b", mark="m", at=30 * MS)
         )
-        self.kept(
-            self.line("a", 0),
+        self.assert_no_finding(
+            self.request("a", 0),
             first,
             handed("b", priority_class="line", sent=20 * MS, turn="8"),
             called("b", mark="m", at=30 * MS),
         )
-        self.kept(
-            self.line("a", 0), first, self.line("b", 20 * MS, sender=1), called("b", mark="m", at=30 * MS, sender=1)
+        self.assert_no_finding(
+            self.request("a", 0),
+            first,
+            self.request("b", 20 * MS, sender=1),
+            called("b", mark="m", at=30 * MS, sender=1),
         )
 
 
 class RetryAfterTest(JudgingTestCase):
     def test_a_retry_after_wait_binds_the_sender_for_the_whole_destination(self) -> None:
-        told = handed(), called(status=429, wait=800 * MS, took=0), called(at=2 * SECOND)
-        self.broken(6, *told, handed("b", sent=300 * MS), called("b", at=310 * MS, endpoint="f"))
-        self.kept(*told, handed("b", sent=100 * MS), called("b", at=159 * MS))  # it crossed the wait
-        self.kept(*told, handed("b", sent=300 * MS), called("b", at=765 * MS))  # it was over
-        self.kept(*told, handed("b", sent=300 * MS, sender=1), called("b", at=310 * MS, sender=1))
-        self.kept(*told, handed("b", sent=300 * MS, destination=1), called("b", at=310 * MS, destination=1))
-
-    def test_a_restart_ends_a_wait_and_a_spoilt_one_binds_nobody(self) -> None:
+        refused = handed(), called(status=429, wait=800 * MS, took=0), called(at=2 * SECOND)
+        self.assert_breaks(6, *refused, handed("b", sent=300 * MS), called("b", at=310 * MS, endpoint="f"))
+        self.assert_no_finding(*refused, handed("b", sent=100 * MS), called("b", at=159 * MS))  # it crossed the refusal
+        self.assert_no_finding(*refused, handed("b", sent=300 * MS), called("b", at=765 * MS))  # the wait was over
+        self.assert_no_finding(*refused, handed("b", sent=300 * MS, sender=1), called("b", at=310 * MS, sender=1))
+        self.assert_no_finding(
+            *refused, handed("b", sent=300 * MS, destination=1), called("b", at=310 * MS, destination=1)
+        )
+
+    def test_a_restart_ends_a_wait_and_a_malformed_refusal_starts_none(self) -> None:
         after = handed("b", sent=300 * MS), called("b", at=310 * MS), called(at=2 * SECOND)
-        self.kept(handed(), called(status=429, wait=800 * MS, took=0), *after, *killed(100 * MS, 200 * MS))
-        self.kept(handed(), called(status=429, wait=800 * MS, took=0, spoilt="short"), *after)
+        self.assert_no_finding(handed(), called(status=429, wait=800 * MS, took=0), *after, *killed(100 * MS, 200 * MS))
+        self.assert_no_finding(handed(), called(status=429, wait=800 * MS, took=0, spoilt="short"), *after)
 
-    def test_a_refusal_in_pieces_or_without_its_rest_binds_from_its_head_on(self) -> None:
+    def test_a_refusal_in_pieces_or_cut_after_its_head_starts_a_wait(self) -> None:
         after = called(at=2 * SECOND), handed("b", sent=200 * MS), called("b", at=210 * MS)
-        for how in ("pieces", "stops", "last"):
-            self.broken(6, handed(), called(status=429, wait=800 * MS, took=0, spoilt=how), *after)
+        for form in ("pieces", "stops", "last"):
+            self.assert_breaks(6, handed(), called(status=429, wait=800 * MS, took=0, spoilt=form), *after)
 
-    def test_a_refusal_without_its_rest_may_have_run(self) -> None:
-        for how, judged in (("stops", self.broken), ("pieces", lambda rule, *seen: self.kept(*seen))):
-            judged(2, handed(priority_class="once"), called(status=429, took=0, spoilt=how), called(at=2 * SECOND))
+    def test_a_call_with_a_refusal_cut_after_its_head_may_have_run(self) -> None:
+        for form, check in (
+            ("stops", self.assert_breaks),
+            ("pieces", lambda rule, *records: self.assert_no_finding(*records)),
+        ):
+            check(2, handed(priority_class="once"), called(status=429, took=0, spoilt=form), called(at=2 * SECOND))
 
 
 class AccountingTest(unittest.TestCase):
-    def test_every_request_has_its_place(self) -> None:
-        found = seen(
+    def test_every_request_is_counted_by_its_outcome(self) -> None:
+        found = audit_records(
             handed("a"),
             called("a"),
             handed("b", answer="busy"),
@@ -318,20 +334,20 @@
         )
         self.assertEqual((found.delivered, found.late, found.returned, found.written_off, found.lost), (2, 1, 1, 1, 1))
 
-    def test_tries_of_one_thing_are_one_thing(self) -> None:
-        found = seen(
+    def test_retries_of_a_message_count_as_one_message(self) -> None:
+        found = audit_records(
             handed("a", answer="busy"), handed("b", sent=SECOND, first="a", due=SECOND), called("b", at=SECOND + MS)
         ).account
         self.assertEqual((found.things, found.things_delivered, found.in_time), (1, 1, 1))
 
-    def test_what_a_client_gave_up_earns_nothing(self) -> None:
-        self.assertEqual(seen(handed(answer="none"), called()).account.things_delivered, 0)
+    def test_a_delivery_after_the_clients_timeout_earns_nothing(self) -> None:
+        self.assertEqual(audit_records(handed(answer="none"), called()).account.things_delivered, 0)
 
-    def test_worth_falls_evenly_after_the_expected_time(self) -> None:
+    def test_worth_falls_linearly_after_the_expected_time(self) -> None:
         self.assertEqual([earned_share(1000, 3000, 0.5, at * MS) for at in (1000, 2000, 3000, 3001)], [1, 0.75, 0.5, 0])
 
-    def test_a_finding_brings_the_whole_history_of_its_messages(self) -> None:
-        found = seen(handed(priority_class="once"), called(status=0), called(at=SECOND)).findings[0]
+    def test_a_finding_contains_all_records_of_its_messages(self) -> None:
+        found = audit_records(handed(priority_class="once"), called(status=0), called(at=SECOND)).findings[0]
         self.assertEqual((found.ids, [each["what"] for each in found.seen]), (("a",), ["handed", "called", "called"]))
 
 
@@ -349,11 +365,11 @@
 class AnyHistoryTest(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(calls, max_size=12), st.sampled_from(["free", "marked", "once", "line"]))
-    def test_the_account_adds_up_and_nothing_fails(self, drawn: list[Called], priority_class: str) -> None:
-        taken = [handed(id, priority_class=priority_class, turn="7") for id in "abc"]
-        found = seen(*taken, *drawn, *killed(4 * SECOND, 5 * SECOND)).account
-        self.assertEqual(found.taken, found.delivered + found.returned + found.written_off + found.lost)
-        self.assertEqual(found.taken, 3)
+    def test_the_account_adds_up_for_any_history(self, drawn: list[Called], priority_class: str) -> None:
+        accepted = [handed(id, priority_class=priority_class, turn="7") for id in "abc"]
+        counts = audit_records(*accepted, *drawn, *killed(4 * SECOND, 5 * SECOND)).account
+        self.assertEqual(counts.taken, counts.delivered + counts.returned + counts.written_off + counts.lost)
+        self.assertEqual(counts.taken, 3)
 
 
 if __name__ == "__main__":
--- a/tests/lab/test_message_story.py
+++ b/tests/lab/test_message_story.py
@@ -1,4 +1,4 @@
-"""The story of a message joins what was seen from outside with what all senders have traced."""
+"""The timeline of a message merges observations from outside with the traces of all senders."""
 
 import unittest
 
@@ -16,17 +16,17 @@
 )
 
 
-class StoryTest(unittest.TestCase):
-    def test_lines_of_the_message_stand_in_the_order_of_the_day(self) -> None:
+class MessageTimelineTest(unittest.TestCase):
+    def test_entries_of_the_message_are_sorted_by_time_of_the_day(self) -> None:
         case = Case()
         case.handed, case.calls = handed(), [called(at=10 * MS, took=60 * MS)]
-        lines = message_timeline(case, "a", [("n0", ""), ("n1", LOG)], OFFSET)
+        entries = message_timeline(case, "a", [("n0", ""), ("n1", LOG)], OFFSET)
         self.assertEqual(
-            [(line.source, line.text.split()[0]) for line in lines],
+            [(entry.source, entry.text.split()[0]) for entry in entries],
             [("", "handed"), ("n1", "attempt"), ("", "called"), ("n1", "end")],
         )
-        self.assertEqual(lines[1].at, 60 * MS)
-        self.assertIn(f"sent_at={10 * MS}", lines[1].text)
+        self.assertEqual(entries[1].at, 60 * MS)
+        self.assertIn(f"sent_at={10 * MS}", entries[1].text)
 
 
 if __name__ == "__main__":
