--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -92,7 +92,7 @@
         self.idle.clear()
 
     def handle_notice(self, id: str, state: str, after: int) -> None:
-        """Process the platform's notice of a final answer; a returned message is retried after `after` microseconds."""
+        """Process the platform's notice of a final answer; a returned message is retried `after` microseconds later or more."""
         retry = self.retries_on_return.pop(id, None)
         if retry is not None and state == "returned":
             retry(after)
--- a/cedarwick/lab/relay.py
+++ b/cedarwick/lab/relay.py
@@ -147,6 +147,7 @@
             connection.end()
 
     def _apply_change(self) -> None:
+        """Wake the waiting connections, and reset those that the change of faults ends."""
         self.changed.set()
         self.changed = gevent.event.Event()
         for connection in list(self.connections):
@@ -376,8 +377,8 @@
             sock.sendall(raw)
         else:
             step = max(1, slow.size)
-            for at in range(0, len(raw), step):
-                sock.sendall(raw[at : at + step])
+            for offset in range(0, len(raw), step):
+                sock.sendall(raw[offset : offset + step])
                 gevent.sleep(slow.ms / 1000)
         self.relay.counts[f"{way}: passed"] += 1
 
