--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -156,7 +156,7 @@
         grant = self.grantor.grant(lease_name(partition))
         # The grant known here may be outdated, but a replica that the holder still uses is written to all the time.
         return (
-            grant.set > 0
+            grant.set_number > 0
             and self.name not in grant.successors
             and grant.holder != self.name
             and now - self.replica_written_at.setdefault(partition, now) > UNUSED_REPLICA_US
@@ -224,7 +224,7 @@
             self.session_router.on_partition_adopted(holding.partition)
         slot = holding.partition >> EPOCH_BITS
         owner = next((name for name in self.halls if slot_of(name) == slot), "")
-        self.exchange.adopted(
+        self.exchange.on_messages_adopted(
             [self.store.messages[number] for number in self.store.message_numbers(holding.partition)], owner
         )
 
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -92,7 +92,10 @@
         self.idle.clear()
 
     def handle_notice(self, id: str, state: str, after: int) -> None:
-        """Process the platform's notice of a final answer; a returned message is retried `after` microseconds later or more."""
+        """Process the platform's notice of a final answer.
+
+        A returned message is retried, no sooner than `after` microseconds from now.
+        """
         retry = self.retries_on_return.pop(id, None)
         if retry is not None and state == "returned":
             retry(after)
--- a/tests/fleet/test_session_inheritance.py
+++ b/tests/fleet/test_session_inheritance.py
@@ -8,7 +8,15 @@
 from unittest import mock
 
 from cedarwick.fleet.consensus import Acceptor, format_move_name
-from cedarwick.fleet.messages import LEVEL, VERSION, PeerMessage, RecentIdEntry, StageSession, decode, encode
+from cedarwick.fleet.messages import (
+    PROTOCOL_LEVEL,
+    PROTOCOL_VERSION,
+    PeerMessage,
+    RecentIdEntry,
+    StageSession,
+    decode,
+    encode,
+)
 from cedarwick.fleet.recent_ids import UNKNOWN_HASH, RecentIds, submission_hash
 from cedarwick.fleet.replica import ReplicaEntry
 from cedarwick.fleet.replication import MAX_MESSAGE_NUMBER
@@ -378,7 +386,9 @@
 
     def test_an_id_with_unknown_contents_is_transferred_with_a_move(self) -> None:
         stage = StageSession("m", KEY, 1, b"", 0, (RecentIdEntry("1", 0, UNKNOWN_HASH),))
-        self.assertEqual(decode(encode(PeerMessage(VERSION, LEVEL, "g", "a", 1, "b", stage))).body, stage)
+        self.assertEqual(
+            decode(encode(PeerMessage(PROTOCOL_VERSION, PROTOCOL_LEVEL, "g", "a", 1, "b", stage))).body, stage
+        )
 
     def test_contents_that_are_no_longer_sent_match_no_submission(self) -> None:
         recent_ids = RecentIds(0)
--- a/tests/fleet/test_session_routing.py
+++ b/tests/fleet/test_session_routing.py
@@ -316,12 +316,12 @@
             SimpleNamespace(  # type: ignore[arg-type]
                 key=KEY + 1,
                 id="3",
-                mark="",
+                idempotency_key="",
                 priority_class="line",
                 tenant="",
                 destination=0,
-                left=1,
-                within=50_000,
+                remaining_us=1,
+                answer_within_us=50_000,
                 body=b"",
                 moved=False,
                 entry=None,
@@ -353,8 +353,8 @@
     def test_transit_time_does_not_extend_a_deadline(self) -> None:
         """Virtual days 1010 and 1017 (`--ack own --level worst --sessions --subscribers 2`): late final answers.
 
-        A message was forwarded over a slow link. `left` counts from the time of sending, so the holder added the 311 ms
-        in transit to the remaining time. The final answers came 47 and 105 ms after the deadline's grace.
+        A message was forwarded over a slow link. `remaining_us` counts from the time of sending, so the holder added
+        the 311 ms in transit to the remaining time. The final answers came 47 and 105 ms after the deadline's grace.
         """
         a, c = self.session_routers["a"], self.session_routers["c"]
         for late, clock_ahead, lengthened in (
@@ -375,7 +375,7 @@
     def test_an_older_member_sends_only_the_time_left(self) -> None:
         a, c = self.session_routers["a"], self.session_routers["c"]
         body = msgspec.structs.replace(a._forwarded_submit(message("1"), 300_000, False, None), deadline=0)
-        self.assertAlmostEqual(c._forwarded_message(body).deadline, c.clock.now() + body.left, delta=2_000)
+        self.assertAlmostEqual(c._forwarded_message(body).deadline, c.clock.now() + body.remaining_us, delta=2_000)
 
     def adopt_partition(
         self, level: int = INHERITANCE_LEVEL
