--- a/cedarwick/lab/invariants.py
+++ b/cedarwick/lab/invariants.py
@@ -26,21 +26,21 @@
 from cedarwick.lab import audit_rules, audit_subscribers
 from cedarwick.lab.audit_account import account
 from cedarwick.lab.audit_cases import (
-    AT_ONCE,
     FOREVER,
+    ORDER_TOLERANCE_US,
     Case,
     Finding,
-    Lives,
+    ProcessTimes,
     Verdict,
-    cases_of,
-    finding,
+    cases_by_id,
+    in_seconds,
+    make_finding,
     may_have_run,
-    seconds,
 )
 from cedarwick.lab.audit_subscribers import Watched
 from cedarwick.lab.history import NEVER, Called, History, Noticed
 from cedarwick.lab.scenario import Scenario
-from cedarwick.lab.schedule import DOWN, LINKS, LOSING, SPLITS
+from cedarwick.lab.schedule import FOLDER_KINDS, LINK_KINDS, PROCESS_KINDS, SPLIT_KINDS
 from cedarwick.lab.units import MS
 
 ISOLATED_ANSWER_WINDOW_US = 500 * MS  # an isolated holder gives its own final answer this close to the deadline
@@ -71,11 +71,11 @@
     kind: str
 
 
-def collect_fault_spans(history: History, lives: Lives) -> list[FaultSpan]:
+def collect_fault_spans(history: History, process_times: ProcessTimes) -> list[FaultSpan]:
     """Return all faults and all periods in which a sender was unavailable, in order of time."""
     found = [
         FaultSpan(begin, end, frozenset([sender]), "down")
-        for sender, down_times in lives.unfit.items()
+        for sender, down_times in process_times.unavailable.items()
         for begin, end in down_times
     ]
     for fault in history.gone:
@@ -88,7 +88,7 @@
 
 def find_majority_outages(spans: list[FaultSpan], senders: int) -> list[FaultSpan]:
     """Return the periods in which half or more of the senders were unavailable; spans of one sender count once."""
-    outages = [span for span in spans if span.kind == "down" or span.kind in DOWN or span.kind in SPLITS]
+    outages = [span for span in spans if span.kind == "down" or span.kind in PROCESS_KINDS or span.kind in SPLIT_KINDS]
     edges = sorted({at for span in outages for at in (span.begin, span.end)})
     found = []
     for begin, end in zip(edges, edges[1:], strict=False):
@@ -103,24 +103,24 @@
 
 def judge(scenario: Scenario, history: History, ended: int, terms: Terms, watched: Watched | None = None) -> Verdict:
     """Account for every message and audit all rules. `ended`: when recording stopped, in microseconds."""
-    cases = cases_of(history)
-    lives = Lives(history)
-    spans = collect_fault_spans(history, lives)
+    cases = cases_by_id(history)
+    process_times = ProcessTimes(history)
+    spans = collect_fault_spans(history, process_times)
     findings = [
-        *audit_rules.strangers(cases),
-        *audit_rules.cut_off(cases, lives),
-        *audit_rules.effects(scenario, cases, lives),
-        *audit_rules.drains(scenario, history, lives),
-        *audit_rules.pushed_over(scenario, history),
-        *audit_rules.waits(scenario, history, lives),
-        *audit_rules.unowed(history, lives),
-        *audit_rules.crashed(history),
-        *find_final_answer_violations(scenario, cases, lives, spans, ended, terms),
+        *audit_rules.unknown_messages(cases),
+        *audit_rules.unanswered_connections(cases, process_times),
+        *audit_rules.repeated_effects(scenario, cases, process_times),
+        *audit_rules.calls_while_draining(scenario, history, process_times),
+        *audit_rules.overloads_while_warming_up(scenario, history),
+        *audit_rules.calls_during_waits(scenario, history, process_times),
+        *audit_rules.unanswered_bad_clients(history, process_times),
+        *audit_rules.crashed_processes(history),
+        *find_final_answer_violations(scenario, cases, process_times, spans, ended, terms),
         *find_calls_after_final_answer(scenario, cases, spans),
-        *find_concurrent_attempts(scenario, cases, lives, spans, terms),
+        *find_concurrent_attempts(scenario, cases, process_times, spans, terms),
         *find_false_returns(cases),
-        *find_key_order_violations(scenario, cases, lives, spans, terms),
-        *(audit_subscribers.subscribed(watched) if watched is not None else ()),
+        *find_key_order_violations(scenario, cases, process_times, spans, terms),
+        *(audit_subscribers.judge_subscriptions(watched) if watched is not None else ()),
     ]
     return Verdict(account(scenario, cases, findings), findings)
 
@@ -129,7 +129,12 @@
 
 
 def find_final_answer_violations(
-    scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[FaultSpan], ended: int, terms: Terms
+    scenario: Scenario,
+    cases: dict[str, Case],
+    process_times: ProcessTimes,
+    spans: list[FaultSpan],
+    ended: int,
+    terms: Terms,
 ) -> Iterator[Finding]:
     """Rule 11: an accepted message gets exactly one final answer, in time.
 
@@ -150,14 +155,14 @@
         delivered, notice_states = case.delivered(), {notice.state for notice in case.notices}
         other_states = {notice.state for notice in case.notices if not failed_while_isolated(case, notice, spans)}
         if len(other_states) > 1:
-            yield finding(11, f"two different ends: {' and '.join(sorted(notice_states))}", case)
+            yield make_finding(11, f"two different ends: {' and '.join(sorted(notice_states))}", case)
         if delivered != NEVER and "failed" in notice_states and not delivered_after_caller_left(case):
             notified = min(notice.at for notice in case.notices)
             first_call_at = min(call.first for call in case.calls if call.status == 200)
             if not any(
                 span.begin <= max(notified, delivered) and first_call_at <= span.end + adoption_limit for span in spans
             ):
-                yield finding(11, "delivered, and said to have failed, with no trouble between", case)
+                yield make_finding(11, "delivered, and said to have failed, with no trouble between", case)
         if handed.answer != "ok":
             continue
         due = handed.outer + end_grace
@@ -168,7 +173,7 @@
         if may_lack_copy(case, spans, terms):
             if folder_was_lost(case, spans, terms):
                 continue
-            due = max(due, lives.excused_until(accepting_sender(case), due, max(adoption_limit, restart_grace)))
+            due = max(due, process_times.excused_until(accepting_sender(case), due, max(adoption_limit, restart_grace)))
         yield from audit_rules.overdue_end(11, case, due, ended)
 
 
@@ -193,7 +198,7 @@
         notice.state == "failed"
         and near_deadline
         and any(
-            span.kind in (*SPLITS, *LINKS)
+            span.kind in (*SPLIT_KINDS, *LINK_KINDS)
             and notice.sender in span.senders_hit
             and span.begin <= notice.at <= span.end + ISOLATED_ANSWER_WINDOW_US
             for span in spans
@@ -224,7 +229,8 @@
     assert case.handed is not None
     accepted_at = case.handed.answered
     return any(
-        span.kind in LOSING and accepting_sender(case) in span.senders_hit and accepted_at <= span.end for span in spans
+        span.kind in FOLDER_KINDS and accepting_sender(case) in span.senders_hit and accepted_at <= span.end
+        for span in spans
     )
 
 
@@ -246,19 +252,22 @@
         )
         delivering_calls = [call for call in case.calls if call.status == 200]
         for call in case.calls:
-            if notified != NEVER and call.first > notified + AT_ONCE:
-                yield finding(11, f"called at {seconds(call.first)}, after its notice at {seconds(notified)}", case)
+            if notified != NEVER and call.first > notified + ORDER_TOLERANCE_US:
+                yield make_finding(
+                    11, f"called at {in_seconds(call.first)}, after its notice at {in_seconds(notified)}", case
+                )
                 break
-            earlier_deliveries = [each for each in delivering_calls if each.ended + AT_ONCE < call.first]
+            earlier_deliveries = [each for each in delivering_calls if each.ended + ORDER_TOLERANCE_US < call.first]
             if not earlier_deliveries:
                 continue
             all_hit_by_fault = all(
                 overlaps_fault(spans, each.sender, each.first, call.first) for each in earlier_deliveries
             )
             if priority_classes[case.handed.priority_class].repeat == "at-most-once" or not all_hit_by_fault:
-                yield finding(
+                yield make_finding(
                     11,
-                    f"called at {seconds(call.first)}, after its delivery at {seconds(earlier_deliveries[0].ended)}",
+                    f"called at {in_seconds(call.first)}, "
+                    f"after its delivery at {in_seconds(earlier_deliveries[0].ended)}",
                     case,
                 )
                 break
@@ -273,7 +282,7 @@
 
 
 def find_concurrent_attempts(
-    scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[FaultSpan], terms: Terms
+    scenario: Scenario, cases: dict[str, Case], process_times: ProcessTimes, spans: list[FaultSpan], terms: Terms
 ) -> Iterator[Finding]:
     """Rule 12: a message never has two attempts in flight at once.
 
@@ -289,7 +298,9 @@
         at_most_once = priority_classes[case.handed.priority_class].repeat == "at-most-once"
         for index, later in enumerate(case.calls):
             overlapping = [
-                earlier for earlier in case.calls[:index] if in_flight_until(earlier, lives) > later.first + AT_ONCE
+                earlier
+                for earlier in case.calls[:index]
+                if in_flight_until(earlier, process_times) > later.first + ORDER_TOLERANCE_US
             ]
             for earlier in overlapping:
                 lease_expired = earlier.sender != later.sender and any(
@@ -299,10 +310,10 @@
                     for span in spans
                 )
                 if at_most_once or not lease_expired:
-                    yield finding(
+                    yield make_finding(
                         12,
-                        f"n{later.sender} fired at {seconds(later.first)} while the attempt of n{earlier.sender} "
-                        f"from {seconds(earlier.first)} was out",
+                        f"n{later.sender} fired at {in_seconds(later.first)} while the attempt of n{earlier.sender} "
+                        f"from {in_seconds(earlier.first)} was out",
                         case,
                     )
                     break
@@ -311,9 +322,9 @@
             break
 
 
-def in_flight_until(call: Called, lives: Lives) -> int:
+def in_flight_until(call: Called, process_times: ProcessTimes) -> int:
     """Return the time at which a call was no longer in flight: its end, or the end of its sender's process."""
-    deaths = [at for at in lives.ends[call.sender] if at >= call.first]
+    deaths = [at for at in process_times.ends[call.sender] if at >= call.first]
     return min([call.ended if call.ended != NEVER else FOREVER, *deaths])
 
 
@@ -326,10 +337,10 @@
         returned = [notice for notice in case.notices if notice.state == "returned"]
         ran = [call for call in case.calls if call.ran or may_have_run(call)]
         if returned and ran:
-            yield finding(
+            yield make_finding(
                 13,
-                f"returned at {seconds(returned[0].at)} by n{returned[0].sender}; the call of n{ran[0].sender} at "
-                f"{seconds(ran[0].first)} may have run",
+                f"returned at {in_seconds(returned[0].at)} by n{returned[0].sender}; the call of n{ran[0].sender} at "
+                f"{in_seconds(ran[0].first)} may have run",
                 case,
             )
 
@@ -338,7 +349,7 @@
 
 
 def find_key_order_violations(
-    scenario: Scenario, cases: dict[str, Case], lives: Lives, spans: list[FaultSpan], terms: Terms
+    scenario: Scenario, cases: dict[str, Case], process_times: ProcessTimes, spans: list[FaultSpan], terms: Terms
 ) -> Iterator[Finding]:
     """Rule 14: messages of one order key are called one after another, whichever senders accepted them.
 
@@ -352,14 +363,17 @@
     """
     adoption_limit = round(terms.adopt_ms * MS)
     cases_by_key: defaultdict[tuple[str, int], list[Case]] = defaultdict(list)
-    for handed, case in audit_rules.taken_in_turn(scenario, cases):
+    for handed, case in audit_rules.accepted_ordered_messages(scenario, cases):
         cases_by_key[handed.turn, -1 if terms.across else handed.sender].append(case)
     for key_cases in cases_by_key.values():
-        for later, earlier_cases in audit_rules.in_doubtless_order(key_cases):
+        for later, earlier_cases in audit_rules.certain_predecessors(key_cases):
             for earlier in earlier_cases:
                 assert earlier.handed is not None and later.handed is not None
                 first_call_at = later.calls[0].first
-                if max(in_flight_until(call, lives) for call in earlier.calls) <= first_call_at + AT_ONCE:
+                if (
+                    max(in_flight_until(call, process_times) for call in earlier.calls)
+                    <= first_call_at + ORDER_TOLERANCE_US
+                ):
                     continue
                 callers = {call.sender for call in (*earlier.calls, later.calls[0])}
                 excused_by_fault = (earlier.handed.sender != later.handed.sender or len(callers) > 1) and any(
@@ -367,7 +381,7 @@
                     for span in spans
                 )
                 if not excused_by_fault and not may_lack_copy(earlier, spans, terms):
-                    yield finding(
-                        14, f"overtaken: the later one was called at {seconds(first_call_at)}", earlier, later
+                    yield make_finding(
+                        14, f"overtaken: the later one was called at {in_seconds(first_call_at)}", earlier, later
                     )
                     break
--- a/cedarwick/lab/virtual_day.py
+++ b/cedarwick/lab/virtual_day.py
@@ -21,7 +21,7 @@
 from cedarwick.config.operator import Fleet, Member
 from cedarwick.lab import invariants
 from cedarwick.lab.audit_cases import Finding, Verdict
-from cedarwick.lab.schedule import KINDS, DrawnFault, draw
+from cedarwick.lab.schedule import KINDS, DrawnFault, draw_plan
 from cedarwick.lab.units import SECOND
 from cedarwick.lab.virtual import Kernel, Task, patched_runtime
 from cedarwick.lab.virtual_clients import SimulatedClients, SimulatedOperator
@@ -144,7 +144,9 @@
     )
     schedule_options: dict[str, Any] = {"count": round(seconds), "longest_s": 2.5} if level != "usual" else {}
     faults = (
-        draw(seed, senders, seconds, kinds=kinds, copies=copies, **schedule_options).faults if level != "calm" else []
+        draw_plan(seed, senders, seconds, kinds=kinds, copies=copies, **schedule_options).faults
+        if level != "calm"
+        else []
     )
     with tempfile.TemporaryDirectory() as scratch_dir:
         state = DayState(seed, fleet_config, level, scratch_dir)
--- a/cedarwick/lab/virtual_faults.py
+++ b/cedarwick/lab/virtual_faults.py
@@ -11,7 +11,7 @@
 
 from cedarwick.lab.history import Gone
 from cedarwick.lab.relay import Fault
-from cedarwick.lab.schedule import LINKS, DrawnFault
+from cedarwick.lab.schedule import LINK_KINDS, DrawnFault
 from cedarwick.lab.virtual_network import SimulatedNetwork
 from cedarwick.lab.virtual_senders import Sender
 from cedarwick.lab.virtual_state import STATE_POLL_S, DayState, Link, default_disk_bytes
@@ -30,9 +30,9 @@
     def run_fault(self, drawn: DrawnFault, load_begin: int) -> None:
         """Inject one fault and wait for its end; `load_begin` is the virtual start time of the load."""
         self.day.sleep_until(load_begin + drawn.begin)
-        logger.info("{}", drawn.line())
+        logger.info("{}", drawn.format())
         end = load_begin + drawn.end
-        if drawn.kind in LINKS and drawn.fault is not None:
+        if drawn.kind in LINK_KINDS and drawn.fault is not None:
             with self._apply_to_links(drawn, drawn.fault, drawn.pairs):
                 self.day.sleep_until(end)
         elif drawn.kind == "split":
--- a/cedarwick/lab/virtual_network.py
+++ b/cedarwick/lab/virtual_network.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator, Sequence
 
-from cedarwick.lab.relay import Fault, Way
+from cedarwick.lab.relay import Direction, Fault
 from cedarwick.lab.virtual import AsyncResult
 from cedarwick.lab.virtual_senders import Sender
 from cedarwick.lab.virtual_state import STATE_POLL_S, DayState, Link
@@ -41,7 +41,7 @@
         if sender.running:
             self.day.kernel.spawn_in(sender.process, sender.answer_peer_message, peer_message, AsyncResult())
 
-    def _passes(self, link: Link, way: Way, loss_kind: str, size: int, result: AsyncResult) -> bool:
+    def _passes(self, link: Link, way: Direction, loss_kind: str, size: int, result: AsyncResult) -> bool:
         """Wait for the transit time and return whether the message arrives; sets `result` to None on a reset."""
         loss = self._draw_fault(link, loss_kind, way)
         if loss is not None and loss.then == "silent":
@@ -60,10 +60,10 @@
                 return False
         return True
 
-    def _active_faults(self, link: Link, way: Way) -> Iterator[Fault]:
-        return (fault for faulty_link, fault in self.faults if faulty_link == link and fault.goes(way))
+    def _active_faults(self, link: Link, way: Direction) -> Iterator[Fault]:
+        return (fault for faulty_link, fault in self.faults if faulty_link == link and fault.applies_to(way))
 
-    def _draw_fault(self, link: Link, kind: str, way: Way) -> Fault | None:
+    def _draw_fault(self, link: Link, kind: str, way: Direction) -> Fault | None:
         """Return the first active fault of a kind that affects this message; each does with probability `share`."""
         rng = self.day.rng
         return next(
@@ -73,7 +73,7 @@
     def _delay_s(self, fault: Fault) -> float:
         return (fault.ms + self.day.rng.uniform(0, fault.jitter_ms)) / 1000
 
-    def _transit_s(self, link: Link, way: Way, size: int) -> float:
+    def _transit_s(self, link: Link, way: Direction, size: int) -> float:
         """Return the transit time of a message."""
         duration_s = self.day.rng.uniform(0.0001, 0.0008)
         for fault in self._active_faults(link, way):
--- a/tests/lab/test_invariants.py
+++ b/tests/lab/test_invariants.py
@@ -292,13 +292,13 @@
                 for record in records:
                     history.add(record)
                 verdict = judge(SCENARIO, history, 30 * SECOND, terms)
-                self.assertEqual(sorted(verdict.broken()), violated, verdict.findings)
+                self.assertEqual(sorted(verdict.counts_by_rule()), violated, verdict.findings)
 
     def test_subscriber_records_violate_exactly_the_expected_rules(self) -> None:
         for name, violated, watched in SUBSCRIBER_CASES:
             with self.subTest(name):
                 verdict = judge(SCENARIO, History(), 30 * SECOND, COPY, watched)
-                self.assertEqual(sorted(verdict.broken()), violated, verdict.findings)
+                self.assertEqual(sorted(verdict.counts_by_rule()), violated, verdict.findings)
 
     def test_majority_outage_counts_each_unavailable_sender_once(self) -> None:
         spans = [
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from cedarwick.lab import scenario as scenarios
-from cedarwick.lab.clients import command
+from cedarwick.lab.clients import encode_command
 from cedarwick.lab.day import Day
 from cedarwick.lab.environment import Environment
-from cedarwick.lab.history import read
+from cedarwick.lab.history import read_history
 from cedarwick.lab.listeners import ReservedPort, host_of, listen, listen_at_all
 from cedarwick.lab.partner import Effect
 from cedarwick.lab.register import Agent, Register
@@ -87,7 +87,7 @@
 
     def check(self, fault: str, rule: int, told: Scenario) -> None:
         found, clean = both(fault, told)
-        self.assertIn(rule, found.verdict.broken(), found.verdict.account)
+        self.assertIn(rule, found.verdict.counts_by_rule(), found.verdict.account)
         self.assertEqual((found.status, found.void), (3, ""))
         self.assertEqual((clean.verdict.findings, clean.status), ([], 0))
 
@@ -120,20 +120,24 @@
 
     def test_ends_that_are_never_told(self) -> None:
         self.check(
-            "tells_no_end", 1, day(priority_classes=[ONCE], partner=[msgspec.structs.replace(HOTEL, error_share=0.2)])
+            "posts_no_notices",
+            1,
+            day(priority_classes=[ONCE], partner=[msgspec.structs.replace(HOTEL, error_share=0.2)]),
         )
 
     def test_an_order_that_is_not_kept(self) -> None:
         line = PriorityClass(name="line", repeat="numbered", in_turn=True, keys=3, outer_ms=2500, expected_ms=800)
         self.check(
-            "overtakes",
+            "ignores_order_keys",
             5,
             day(priority_classes=[line], partner=[msgspec.structs.replace(HOTEL, service=Service(mean_ms=80))]),
         )
 
     def test_two_attempts_out_at_once(self) -> None:
         self.check(
-            "two_out", 2, day(partner=[msgspec.structs.replace(HOTEL, service=Service(kind="fixed", mean_ms=60))])
+            "runs_concurrent_attempts",
+            2,
+            day(partner=[msgspec.structs.replace(HOTEL, service=Service(kind="fixed", mean_ms=60))]),
         )
 
     def test_a_returning_destination_that_is_pushed(self) -> None:
@@ -175,12 +179,14 @@
             self.assertEqual(events.count("started"), events.count("ready"))
             self.assertGreater(result.verdict.account.delivered, 100)
             # What was written says the same as what was seen.
-            self.assertEqual(len(read(os.path.join(folder, "history.jsonl")).handed), len(result.history.handed))
+            self.assertEqual(
+                len(read_history(os.path.join(folder, "history.jsonl")).handed), len(result.history.handed)
+            )
             self.assertEqual(read_head(folder).account, result.verdict.account)
 
     def test_the_emulators_own_lateness_makes_a_day_void(self) -> None:
         late = Day()
-        self.assertEqual(late.void(), "")
+        self.assertEqual(late.void_reason(), "")
         watch = gevent.spawn(late.watch_lag)
         gevent.sleep(0.01)
         begun = late.now()
@@ -188,7 +194,7 @@
             pass  # the loop stands still
         gevent.sleep(0.05)
         watch.kill()
-        self.assertIn("ms late", late.void())
+        self.assertIn("ms late", late.void_reason())
 
 
 class EndpointServersTest(unittest.TestCase):
@@ -312,7 +318,7 @@
         agent = Agent(made, Register(), 0)
         self.addCleanup(agent.close)
         instance = Instance(made, scenario, 0, 1, agent, folder.name, 1, command)
-        self.addCleanup(instance.end)
+        self.addCleanup(instance.shut_down)
         return instance
 
     def test_no_other_socket_gets_the_port_before_the_sender_listens(self) -> None:
@@ -364,7 +370,7 @@
 
 class CommandsAsSentTest(unittest.TestCase):
     def test_an_array_of_bulk_strings(self) -> None:
-        self.assertEqual(command(b"PING", b""), b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n")
+        self.assertEqual(encode_command(b"PING", b""), b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n")
 
 
 if __name__ == "__main__":
--- a/tests/lab/test_virtual_days.py
+++ b/tests/lab/test_virtual_days.py
@@ -140,12 +140,12 @@
         options: dict[str, Any] = {"seconds": SECONDS, "kinds": ("kill", "folder-lost"), "level": "worst"}
         self.assertEqual([], run_day(4, **options).findings)
         with patch.object(replicated_store, "stored_message_of", forget_attempts):
-            self.assertIn(13, run_day(4, **options).broken())
+            self.assertIn(13, run_day(4, **options).counts_by_rule())
 
     def test_injected_defects_of_sessions_and_subscriptions_are_found(self) -> None:
         for name, (target, attribute, replacement, options, rule) in INJECTED_DEFECTS.items():
             with self.subTest(name), patch.object(target, attribute, replacement):
-                self.assertIn(rule, run_day(7, ack="copy", seconds=SECONDS, level="calm", **options).broken())
+                self.assertIn(rule, run_day(7, ack="copy", seconds=SECONDS, level="calm", **options).counts_by_rule())
         for options in ({"sessions": True}, {"subscribers": 3}):
             self.assertEqual([], run_day(7, ack="copy", seconds=SECONDS, level="calm", **options).findings)
 
