--- a/tests/build.py
+++ b/tests/build.py
@@ -135,7 +135,7 @@
     return RESERVED_PORTS[-1].number
 
 
-def until(condition: Callable[[], Any], timeout_s: float = 8.0) -> Any:
+def wait_for_condition(condition: Callable[[], Any], timeout_s: float = 8.0) -> Any:
     """Wait until the condition returns a true value, and return it; fails the test after a timeout."""
     deadline = time.monotonic() + timeout_s
     while not (result := condition()):
@@ -302,7 +302,7 @@
     def start(self, fds: tuple[int, ...] = (), **variables: str) -> None:
         self.process = self.spawn(fds, **variables)
         try:
-            until(self._ready)
+            wait_for_condition(self._ready)
         except AssertionError as error:
             if self.process.poll() is None:
                 raise AssertionError(f"{error}: the program runs, but does not answer +PONG") from None
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -34,7 +34,7 @@
 from cedarwick.fleet.peer_verifier import PeerVerifier
 from cedarwick.fleet.transport import PeerRefusedError, PeerUnreachableError
 from cedarwick.net.counters import Counters
-from tests.build import Receiver, free_port, reply, until
+from tests.build import Receiver, free_port, reply, wait_for_condition
 
 HOST = "127.0.0.1"
 MEMBER_NAMES = ("a", "b", "c")
@@ -354,7 +354,7 @@
             (peers.peers["b"].connections, peers.peers["b"].call_slots.counter),
             (set(), peer_client.MAX_CALLS_IN_FLIGHT),
         )
-        until(lambda: len(silent_receiver.calls) >= peer_client.MAX_CALLS_IN_FLIGHT)
+        wait_for_condition(lambda: len(silent_receiver.calls) >= peer_client.MAX_CALLS_IN_FLIGHT)
         self.assertEqual(
             silent_receiver.connections, peer_client.MAX_CALLS_IN_FLIGHT
         )  # no message is sent twice; queued ones were never sent
--- a/tests/net/test_client_listener_races.py
+++ b/tests/net/test_client_listener_races.py
@@ -32,7 +32,7 @@
 from cedarwick.net.submission import AdmissionResult
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import NESTED, Program, Receiver, ask, line_of, reply, submit, until, words
+from tests.build import NESTED, Program, Receiver, ask, line_of, reply, submit, wait_for_condition, words
 
 OK, BUSY, UNKNOWN_COMMAND = b"+OK\r\n", b"-BUSY\r\n", b"-ERR unknown command\r\n"
 FIRST_HALF, SECOND_HALF = submit("a")[:30], submit("a")[30:]
@@ -439,7 +439,7 @@
                 open(gate, encoding="utf-8").close()  # the interpreter is loading its modules
                 program.signal(signal_number)
                 gate_file = os.open(gate, os.O_RDWR)
-                until(lambda: program._ready() or program.process.poll() is not None)  # type: ignore[union-attr]
+                wait_for_condition(lambda: program._ready() or program.process.poll() is not None)  # type: ignore[union-attr]
                 os.close(gate_file)
                 self.assertIsNone(program.process.poll())
                 program.kill()
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -18,7 +18,7 @@
 from cedarwick.net.counters import Counters
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.json_objects import JsonObjectReader
-from tests.build import Program, Receiver, line_of, submit, until
+from tests.build import Program, Receiver, line_of, submit, wait_for_condition
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 JSON_VALUES = st.recursive(
@@ -237,7 +237,7 @@
         with program.connect() as sock:
             sock.sendall(submit("a"))
             line_of(sock)
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
         program.platform.targets = [program.target(0, "draining"), program.target(1)]
         for _ in range(2):
             program.kill()
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -18,7 +18,7 @@
 from cedarwick.decisions.sender_state import MAX_LIST_POLL_DELAY
 from cedarwick.decisions.state import SECOND
 from cedarwick.net import endpoint_list as module
-from tests.build import NESTED, NOW, SETTINGS, Program, Receiver, free_port, line_of, reply, submit, until
+from tests.build import NESTED, NOW, SETTINGS, Program, Receiver, free_port, line_of, reply, submit, wait_for_condition
 from tests.net.test_endpoint_list import HEAD, WatchTestCase, chunk
 
 
@@ -381,7 +381,7 @@
                         sock.sendall(submit(f"{delay_s}-{dest}", dest=dest))
                         self.assertEqual(line_of(sock), b"+OK\r\n")
                 self.assertLess(time.monotonic() - started_at, 0.38)
-                until(lambda: len(program.receivers[1].calls) == 1 + (delay_s > 1))  # noqa: B023
+                wait_for_condition(lambda: len(program.receivers[1].calls) == 1 + (delay_s > 1))  # noqa: B023
                 self.assertLess(time.monotonic() - started_at, 1.3)
                 time.sleep(0.3)
                 self.assertEqual(bool(program.receivers[0].calls), delay_s > 1)
--- a/tests/net/test_late_answers.py
+++ b/tests/net/test_late_answers.py
@@ -25,7 +25,7 @@
 
 from cedarwick.decisions.interface import Outcome
 from cedarwick.net.attempts import AttemptResult
-from tests.build import MS, reply, until
+from tests.build import MS, reply, wait_for_condition
 from tests.net.test_net import DispatcherTestCase
 from tests.net.test_retry_after import Partner, PartnerTestCase
 
@@ -44,7 +44,7 @@
         self.start(answer_after_shutdown)
         with mock.patch.object(self.dispatcher.sender, "_attempt_time_out", return_value=ATTEMPT_TIMEOUT):
             self.submit("first")
-            until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
+            wait_for_condition(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
             stop_at = time.monotonic() + ATTEMPT_TIMEOUT / 1e6 + RETRY_WITHIN_S
             while time.monotonic() < stop_at:
                 gevent.sleep(0.01)
--- a/tests/net/test_message_trace.py
+++ b/tests/net/test_message_trace.py
@@ -9,7 +9,7 @@
 from cedarwick.decisions.interface import HealthReason, HealthState, Outcome
 from cedarwick.net.attempts import AttemptResult
 from cedarwick.net.message_trace import TRACE_PREFIX, EndTrace, MessageTrace
-from tests.build import MS, reply, until
+from tests.build import MS, reply, wait_for_condition
 from tests.net.test_net import DispatcherTestCase
 from tests.net.test_retry_after import PartnerTestCase
 
@@ -100,7 +100,7 @@
         self.counters.trace = MessageTrace(lines.append)
         self.counters.trace.enabled = True
         self.submit("first")
-        until(lambda: gevent.sleep(0.005) or len(lines) == 2, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or len(lines) == 2, 2.0)
         attempt, end = (json.loads(line.removeprefix(TRACE_PREFIX)) for line in lines)
         self.assertEqual((attempt["event"], attempt["outcome"], attempt["status"]), ("attempt", "completed", 200))
         self.assertLessEqual(attempt["ordered_at"], attempt["sent_at"])
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -23,7 +23,7 @@
 from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import FREE, MS, NESTED, NOW, ONCE, Receiver, end, out, reply, sender, take, until
+from tests.build import FREE, MS, NESTED, NOW, ONCE, Receiver, end, out, reply, sender, take, wait_for_condition
 
 WAIT = 600 * MS  # as `REFUSAL` states it
 REFUSAL = reply(429, "X-Backoff-Ms: 600", body=b"later")
@@ -169,7 +169,7 @@
         self.assert_waits_respected()
         names = [name for _, name in self.partner.arrived]
         self.assertEqual(names.count("first"), 1)  # the bytes that are missing could have said that it ran
-        until(
+        wait_for_condition(
             lambda: gevent.sleep(0.01) or self.store.messages.get(1) is None or self.store.messages[1].final_answer, 2.0
         )
         self.assertEqual(self.store.messages[1].final_answer, (False, 0))
@@ -178,7 +178,9 @@
         timed_out = threading.Event()
         self.start(refuse_first_call(timed_out))
         self.submit("first", lifetime_us=250 * MS)
-        until(lambda: gevent.sleep(0.005) or self.counters.counts["attempts without an answer: time-out"], 2.0)
+        wait_for_condition(
+            lambda: gevent.sleep(0.005) or self.counters.counts["attempts without an answer: time-out"], 2.0
+        )
         timed_out.set()
         gevent.sleep(0.02)
         self.submit_repeatedly(0.5)
@@ -195,16 +197,16 @@
 
         self.start(play)
         self.submit("first", lifetime_us=250 * MS)
-        until(lambda: gevent.sleep(0.005) or ended, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or ended, 2.0)
         self.assertEqual(ended, [b""])
         self.assertTrue(self.dispatcher.is_idle())  # no attempt is running, though the connection is still read
-        until(lambda: gevent.sleep(0.01) or not self.connections.descriptors.used, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.01) or not self.connections.descriptors.used, 2.0)
 
     def test_half_closed_connections_are_closed_first_for_a_descriptor(self) -> None:
         self.start(lambda partner, sock, number: time.sleep(1.0))
         self.connections.descriptors.limit = 1
         self.submit("first", lifetime_us=250 * MS)
-        until(lambda: gevent.sleep(0.005) or self.connections.half_closed, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or self.connections.half_closed, 2.0)
         self.connections.descriptors.claim()
         self.assertEqual((self.connections.descriptors.used, len(self.connections.half_closed)), (1, 0))
 
@@ -222,7 +224,7 @@
 
         self.dispatcher.attempts.request_clearance = pausing_clearance
         self.submit("first")
-        until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
         self.submit("second")
         self.submit_repeatedly(0.5)
         self.assertGreaterEqual(self.counters.counts["clearances that grew old"], 1)
@@ -241,7 +243,7 @@
 
         self.dispatcher.attempts.request_clearance = pausing_clearance
         self.submit("first", priority_class="once")
-        until(lambda: gevent.sleep(0.005) or self.counters.counts["answers 200"], 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or self.counters.counts["answers 200"], 2.0)
         self.assertEqual(self.counters.counts["attempts without an answer: moot"], 1)
         self.assertEqual([name for _, name in self.partner.arrived], ["first"])
 
@@ -249,7 +251,7 @@
         self.start(lambda partner, sock, number: None)
         self.submit("first")
         self.submit("second")
-        until(lambda: gevent.sleep(0.005) or len(self.partner.arrived) == 2, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or len(self.partner.arrived) == 2, 2.0)
         handles = list(self.dispatcher.handles.values())
         handles[1].attempt_ended(self.clock.now(), Outcome.MOOT, 0, 1, 0, 0, False, ())
         stored = self.store.messages[1], self.store.messages[2]
--- a/tests/ops/test_ops.py
+++ b/tests/ops/test_ops.py
@@ -15,7 +15,7 @@
 from cedarwick.ops import saved_state
 from cedarwick.ops.commands import MAX_LINE_BYTES, Call, InvalidCallError, Suspensions, parse_call
 from cedarwick.ops.management import NotSuspendedError, UnlistedReceiverError
-from tests.build import NOW, Program, Receiver, ask, free_port, line_of, reply, sender, submit, until
+from tests.build import NOW, Program, Receiver, ask, free_port, line_of, reply, sender, submit, wait_for_condition
 
 OK = b"+OK\r\n"
 
@@ -135,7 +135,7 @@
             sock.sendall(submit("a"))
             self.assertEqual(line_of(sock), OK)  # a request that was read is answered
             self.assertEqual(sock.recv(10), b"")  # the connection is closed after the answer
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
         self.assertEqual(management_call(self.management_port, b"RESUME\n"), b"YES resumed\n")
         self.assertEqual(management_call(self.management_port, b"RESUME\n"), b"YES not paused\n")
         with program.connect() as sock:
@@ -171,7 +171,7 @@
             self.assertEqual(ask(sock, b"PING"), b"+PONG\r\n")
         replacement = program.spawn((fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{second}")
         self.addCleanup(stop_process, replacement)
-        until(lambda: self._is_ready(second), 6)  # while the first process still holds the folder
+        wait_for_condition(lambda: self._is_ready(second), 6)  # while the first process still holds the folder
         with program.connect() as sock:
             self.assertEqual(submit_and_read_line(sock, "before"), OK)
         idle = program.connect()
@@ -189,7 +189,7 @@
                 answers.append(submit_and_read_line(sock, f"after-{number}"))
             time.sleep(0.02)
         self.assertEqual(answers, [OK] * 20)
-        until(lambda: len(program.receivers[0].calls) >= 21)
+        wait_for_condition(lambda: len(program.receivers[0].calls) >= 21)
         time.sleep(0.3)
         ids = [head.split(b"X-Txn: ")[1].split(b"\r\n")[0] for _, head, _ in program.receivers[0].calls]
         self.assertEqual(sorted(set(ids)), sorted(ids))  # no message was sent twice
@@ -207,12 +207,12 @@
         program.start(fds=(fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{free_port()}")
         replacement = program.spawn((fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{second}")
         self.addCleanup(stop_process, replacement)
-        until(lambda: self._is_ready(second), 6)
+        wait_for_condition(lambda: self._is_ready(second), 6)
         with program.connect() as sock:
             self.assertEqual(submit_and_read_line(sock, "a"), OK)
-        answered_at = until(lambda: program.receivers[0].calls)[0][0]
+        answered_at = wait_for_condition(lambda: program.receivers[0].calls)[0][0]
         program.signal(signal.SIGTERM)
-        calls = until(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls, 6)
+        calls = wait_for_condition(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls, 6)
         self.assertGreaterEqual(calls[1][0] - answered_at, 1.5)
 
     def _is_ready(self, port: int) -> bool:
@@ -289,7 +289,7 @@
         with program.connect() as sock:
             self.assertEqual(submit_and_read_line(sock, "a", dest=0), OK)
             self.assertEqual(submit_and_read_line(sock, "b", dest=1), OK)
-        until(lambda: program.receivers[1].calls)
+        wait_for_condition(lambda: program.receivers[1].calls)
         program.terminate()
         program.start(RELAY_MANAGEMENT=f"127.0.0.1:{management_port}")  # the platform still lists s-0 as up
         time.sleep(0.5)
@@ -297,7 +297,7 @@
         self.assertEqual(
             management_call(management_port, b"RESTORE s-0\n"), b"YES s-0 restored\n"
         )  # one RESTORE for two SUSPEND calls
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
 
 
 def read_metrics(port: int) -> dict[str, float]:
@@ -330,7 +330,7 @@
             self.assertEqual(line_of(sock)[:5], b"-BUSY")
             sock.sendall(submit("bad", priority_class="once", dest=1))
             self.assertEqual(line_of(sock), OK)
-        until(lambda: read_metrics(management_port)['sender_bad_gateway_total{category="once"}'] == 1)
+        wait_for_condition(lambda: read_metrics(management_port)['sender_bad_gateway_total{category="once"}'] == 1)
         after = read_metrics(management_port)
         self.assertEqual(after['sender_passed_total{category="free"}'], 3)
         self.assertEqual(after['sender_dropped_total{category="free"}'], 1)
--- a/tests/store/test_store_tools.py
+++ b/tests/store/test_store_tools.py
@@ -17,7 +17,7 @@
 from cedarwick.store import tools
 from cedarwick.store.files import Folder
 from cedarwick.store.journal import Store
-from tests.build import Program, Receiver, free_port, reply, submit, until
+from tests.build import Program, Receiver, free_port, reply, submit, wait_for_condition
 from tests.store.test_store import History, open_store
 
 
@@ -145,7 +145,9 @@
         program = self.start_program(settings)
         self.assertEqual(self.submit_messages(program, 20, 4000), 20)
         program.receivers[0].answer = reply(200)
-        until(lambda: len({head for _, head, body in program.receivers[0].calls if body == b"b" * 4000}) >= 20, 14)
+        wait_for_condition(
+            lambda: len({head for _, head, body in program.receivers[0].calls if body == b"b" * 4000}) >= 20, 14
+        )
         program.kill()
         summary = tools.verify(program.path("state"))
         self.assertEqual(summary.findings, [])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -14,7 +14,7 @@
 from unittest import mock
 
 from cedarwick.net.clock import Clock
-from tests.build import Answering, Platform, Program, Receiver, ask, line_of, reply, submit, until, words
+from tests.build import Answering, Platform, Program, Receiver, ask, line_of, reply, submit, wait_for_condition, words
 
 OK = b"+OK\r\n"
 
@@ -63,7 +63,7 @@
         )
         program.command = ("-c", code)
         program.process = program.spawn()
-        sock = until(lambda: self._connected(program))
+        sock = wait_for_condition(lambda: self._connected(program))
         self.addCleanup(sock.close)
         sock.settimeout(0.4)
         sock.sendall(words(b"PING"))
@@ -71,7 +71,7 @@
             sock.recv(1)
         sock.settimeout(5)
         self.assertTrue(line_of(sock))  # the answer may be LOADING: the endpoint list is not known yet
-        until(program._ready)
+        wait_for_condition(program._ready)
 
     def _connected(self, program: Program) -> socket.socket | None:
         try:
@@ -90,7 +90,7 @@
                 sock.sendall(request[offset : offset + 9999])
                 time.sleep(0.002)
             self.assertEqual(line_of(sock), OK)
-        _, head, received = until(lambda: program.receivers[0].calls)[0]
+        _, head, received = wait_for_condition(lambda: program.receivers[0].calls)[0]
         self.assertEqual(received, body)
         self.assertTrue(head.startswith(b"POST /receive HTTP/1.1\r\n"))
         self.assertIn(b"\r\nX-Txn: id-1\r\n", head)
@@ -124,23 +124,23 @@
         for number in range(3):
             for dest in (0, 1):
                 self.send_requests(program, submit(f"{dest}-{number}", dest=dest))
-                until(lambda: len(program.receivers[dest].calls) > number)  # noqa: B023
+                wait_for_condition(lambda: len(program.receivers[dest].calls) > number)  # noqa: B023
                 time.sleep(0.05)
         self.assertEqual([receiver.connections for receiver in program.receivers], [1, 3])
 
     def test_a_retry_after_wait_is_respected(self) -> None:
         program = self.start_program(lambda call: reply(200) if call > 1 else reply(429, "X-Backoff-Ms: 400"))
         self.send_requests(program, submit("a"))
-        calls = until(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls)
+        calls = wait_for_condition(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls)
         self.assertGreaterEqual(calls[1][0] - calls[0][0], 0.4)
 
     def test_a_draining_receiver_gets_no_new_attempts(self) -> None:
         program = self.start_program(reply(200))
         program.platform.news.put({"rev": 2, "all": False, "targets": [program.target(0, "draining")]})
-        until(program.platform.news.empty)
+        wait_for_condition(program.platform.news.empty)
         time.sleep(0.1)
         self.send_requests(program, submit("a", d=400))
-        until(lambda: program.platform.notices)
+        wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "returned"}])
         self.assertEqual(program.receivers[0].calls, [])
 
@@ -172,7 +172,7 @@
     def test_an_unreadable_answer_counts_as_a_reset_and_an_at_most_once_message_is_not_repeated(self) -> None:
         program = self.start_program(b"SSH-2.0-nothing\r\n\r\n" * 50)
         self.send_requests(program, submit("a", priority_class="once"))
-        until(lambda: program.platform.notices)
+        wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "failed"}])
         self.assertEqual(len(program.receivers[0].calls), 1)
 
@@ -193,7 +193,7 @@
             with self.subTest(rest=rest[:40]):
                 program = self.start_program(*answers)
                 self.send_requests(program, *(submit(str(dest), priority_class="once", dest=dest) for dest in range(5)))
-                until(lambda: len(program.platform.notices) == 4)  # noqa: B023
+                wait_for_condition(lambda: len(program.platform.notices) == 4)  # noqa: B023
                 self.assertEqual(
                     {(notice["id"], notice["state"]) for notice in program.platform.notices},
                     {(str(dest), "failed") for dest in range(1, 5)},
@@ -204,7 +204,7 @@
         program = self.start_program(reply(200) + reply(503), reply(200) + b"\x00")
         for number in range(2):
             self.send_requests(program, submit(f"a{number}"), submit(f"b{number}", dest=1))
-            until(lambda: all(len(receiver.calls) > number for receiver in program.receivers))  # noqa: B023
+            wait_for_condition(lambda: all(len(receiver.calls) > number for receiver in program.receivers))  # noqa: B023
             time.sleep(0.1)
         self.assertEqual(
             ([receiver.connections for receiver in program.receivers], program.platform.notices), ([2, 2], [])
@@ -215,7 +215,7 @@
         program.receivers[0].close()
         started_at = time.monotonic()
         self.assertEqual(self.send_requests(program, submit("a", priority_class="once", d=900)), [OK])
-        until(lambda: program.platform.notices)
+        wait_for_condition(lambda: program.platform.notices)
         self.assertLess(time.monotonic() - started_at, 2.0)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "returned"}])
 
@@ -223,19 +223,19 @@
         program = self.start_program(reply(500))
         program.platform.refusals = 2
         self.send_requests(program, submit("a", priority_class="once"), submit("b", priority_class="once"))
-        until(lambda: len(program.platform.notices) == 2)
+        wait_for_condition(lambda: len(program.platform.notices) == 2)
         self.assertEqual(sorted(notice["id"] for notice in program.platform.notices), ["a", "b"])
 
     def test_a_timeout_closes_its_connection_before_the_next_attempt(self) -> None:
         program = self.start_program(lambda call: None if call == 1 else reply(200))
         self.send_requests(program, submit("a"))
-        until(lambda: len(program.receivers[0].calls) == 2)
+        wait_for_condition(lambda: len(program.receivers[0].calls) == 2)
         self.assertEqual(program.receivers[0].connections, 2)
 
     def test_an_early_answer_counts_although_the_request_was_not_read(self) -> None:
         program = self.start_program(reply(410))
         self.send_requests(program, submit("a"))
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
         time.sleep(0.2)
         self.assertEqual((len(program.receivers[0].calls), program.platform.notices), (1, []))
 
@@ -309,7 +309,7 @@
 
         program = self.start_program(answer_soon)
         self.send_requests(program, submit("a", priority_class="once", d=1000))
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
         program.signal(signal.SIGSTOP)
         time.sleep(1.2)
         program.signal(signal.SIGCONT)
@@ -330,10 +330,10 @@
         program = self.start_program(reply(200))
         program.platform.silent = True
         program.platform.targets = [program.target(0, "draining")]
-        until(lambda: program.platform.watches > 1)
+        wait_for_condition(lambda: program.platform.watches > 1)
         time.sleep(0.2)
         self.send_requests(program, submit("a", d=400))
-        until(lambda: program.platform.notices)
+        wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.receivers[0].calls, [])
 
 
@@ -341,26 +341,26 @@
     def test_after_a_kill_an_idempotent_message_is_delivered(self) -> None:
         program = self.start_program(lambda call: None if call == 1 else reply(200))
         self.assertEqual(self.send_requests(program, submit("a", body=b"kept")), [OK])
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
         program.kill()
         program.start()
-        calls = until(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls)
+        calls = wait_for_condition(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls)
         self.assertEqual(calls[1][2], b"kept")
 
     def test_after_a_kill_an_at_most_once_message_in_flight_fails(self) -> None:
         program = self.start_program(None)
         self.send_requests(program, submit("a", priority_class="once"))
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
         program.kill()
         program.start()
-        until(lambda: program.platform.notices)
+        wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "failed"}])
         self.assertEqual(len(program.receivers[0].calls), 1)
 
     def test_after_a_kill_a_completed_message_is_not_repeated(self) -> None:
         program = self.start_program(reply(200))
         self.send_requests(program, submit("a"))
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
         time.sleep(0.1)
         program.kill()
         program.start()
@@ -389,7 +389,9 @@
             return [head.partition(b"X-Txn: ")[2].split(b"\r\n")[0].decode() for head in heads]
 
         self.assertEqual(len(accepted), 48)
-        until(lambda: not set(accepted) - set(calls()) - {notice["id"] for notice in program.platform.notices}, 20.0)
+        wait_for_condition(
+            lambda: not set(accepted) - set(calls()) - {notice["id"] for notice in program.platform.notices}, 20.0
+        )
         once = [name for name in calls() if int(name.partition("-")[2]) % 2]
         self.assertEqual(len(once), len(set(once)))
 
@@ -401,7 +403,7 @@
     def check_delivery_after_wait(self, wait_ms: int) -> None:
         program = self.start_program(lambda call: reply(200) if call > 1 else reply(429, f"X-Backoff-Ms: {wait_ms}"))
         self.send_requests(program, submit("a"))
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
         status, log = program.terminate()
         self.assertEqual((status, len(program.receivers[0].calls)), (0, 2))
         self.assertIn('"answers 200": 1', log)
@@ -413,7 +415,7 @@
 
         program = self.start_program(answer_late)
         self.send_requests(program, submit("a", priority_class="once"))
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
         program.signal(signal.SIGTERM)
         time.sleep(0.1)
         self.assertEqual(self.send_requests(program, submit("b")), [b"-BUSY\r\n"])
@@ -450,7 +452,7 @@
         self.addCleanup(partial_client.close)
         program.signal(signal.SIGTERM)
         signalled_at = time.monotonic()
-        until(lambda: select.select([crossing_client], [], [], 0)[0])
+        wait_for_condition(lambda: select.select([crossing_client], [], [], 0)[0])
         crossing_client.sendall(submit("crosses"))  # the client has received our shutdown, but has not noticed it
         time.sleep(0.1)
         crossing_client.sendall(b"*")  # would fail after a reset
@@ -479,10 +481,10 @@
     def test_the_watch_and_the_notices_use_the_new_address_at_once(self) -> None:
         program = self.start_program(reply(200), reply(500))
         platform = self.change_platform(program)
-        until(lambda: platform.watches)
+        wait_for_condition(lambda: platform.watches)
         time.sleep(0.1)
         self.send_requests(program, submit("gone", d=400), submit("a", priority_class="once", dest=1))
-        until(lambda: len(platform.notices) == 2)
+        wait_for_condition(lambda: len(platform.notices) == 2)
         self.assertEqual(sorted(notice["id"] for notice in platform.notices), ["a", "gone"])
         self.assertEqual((program.receivers[0].calls, program.platform.notices), ([], []))
 
@@ -490,10 +492,10 @@
         program = self.start_program(reply(200), reply(500))
         program.platform.deaf = True
         self.send_requests(program, submit("a", priority_class="once", dest=1))
-        until(lambda: program.platform.posts)
+        wait_for_condition(lambda: program.platform.posts)
         started_at = time.monotonic()
         platform = self.change_platform(program)
-        until(lambda: platform.notices)
+        wait_for_condition(lambda: platform.notices)
         self.assertLess(time.monotonic() - started_at, 1.0)
 
     def test_an_unreadable_file_has_no_effect(self) -> None:
@@ -509,10 +511,10 @@
     def test_after_a_reload_a_restart_prefers_the_file_to_the_environment(self) -> None:
         program = self.start_program(reply(200), reply(500))
         platform = self.change_platform(program)
-        until(lambda: platform.watches)
+        wait_for_condition(lambda: platform.watches)
         program.kill()
         program.start(RELAY_DISCOVERY=f"127.0.0.1:{program.platform.server_address[1]}")
-        until(lambda: platform.watches > 1)
+        wait_for_condition(lambda: platform.watches > 1)
 
 
 class StartTest(unittest.TestCase):
@@ -531,7 +533,7 @@
         assert program.process is not None and program.process.stderr is not None
         log = program.process.stderr
         program.signal(signal.SIGUSR1)
-        line = until(lambda: next((line for line in log if "counters" in line), ""))
+        line = wait_for_condition(lambda: next((line for line in log if "counters" in line), ""))
         self.assertIn("clients accepted", line)
         with program.connect() as sock:
             self.assertEqual(ask(sock, b"PING"), b"+PONG\r\n")
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -34,7 +34,7 @@
 from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import MS, NESTED, NOW, NUMBERED, reply, sender, take, until
+from tests.build import MS, NESTED, NOW, NUMBERED, reply, sender, take, wait_for_condition
 from tests.net import test_retry_after
 from tests.net.test_retry_after import Partner, Play
 
@@ -462,7 +462,7 @@
         self.dispatcher.attempts.request_clearance = clear_with_hooks
 
     def wait_until(self, condition: Callable[[], Any]) -> None:
-        until(lambda: gevent.sleep(0.005) or condition(), 5.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or condition(), 5.0)
 
     def open_window(self, remaining_us: int) -> Callable[[AttemptCall], None]:
         """Return a hook that makes an earlier attempt possible; its window stays open for the remaining time."""
