--- a/tests/build.py
+++ b/tests/build.py
@@ -70,14 +70,14 @@
     return decisions
 
 
-def take(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
+def accept_message(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
     """Accept a message for destination 7."""
     return decisions.accept(now, message, 7, priority_class, now + 16_000 * MS, 0, key)
 
 
 def out(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
     """Accept a message and start its first attempt."""
-    handle = take(decisions, message, priority_class, key, now)
+    handle = accept_message(decisions, message, priority_class, key, now)
     decisions.decide(now)
     return handle
 
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -15,13 +15,13 @@
 from cedarwick.decisions.policy import Sender
 from cedarwick.decisions.rate_control import RATE_STEP_INTERVAL
 from cedarwick.decisions.sender_state import BACKOFF_BASE, THROTTLE_WINDOW
-from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, end, out, sender, take
+from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, accept_message, end, out, sender
 
 
 class FinalAnswerTest(unittest.TestCase):
     def test_a_message_without_an_attempt_is_nacked_before_its_deadline(self) -> None:
         policy = sender(receivers=0)
-        take(policy, 1)
+        accept_message(policy, 1)
         wake_at = policy.decide(NOW).wake_at
         assert wake_at is not None
         self.assertLess(wake_at, NOW + 16_000 * MS)
@@ -42,7 +42,7 @@
 
     def test_a_withdrawn_message_gets_no_attempt(self) -> None:
         policy = sender()
-        take(policy, 1).withdrawn(NOW)
+        accept_message(policy, 1).withdrawn(NOW)
         self.assertEqual(policy.decide(NOW).attempts, [])
 
 
@@ -67,20 +67,20 @@
 
     def test_the_time_out_of_a_guarded_message_allows_a_retry_within_its_window(self) -> None:
         policy = sender()
-        take(policy, 1, NUMBERED)
+        accept_message(policy, 1, NUMBERED)
         self.assertLess(policy.decide(NOW).attempts[0][2], 6_000 * MS)
 
     def test_with_scarce_slots_an_at_most_once_attempt_times_out_before_the_deadline(self) -> None:
         policy = sender(family_info__max_calls="2")
         policy.receivers[1].mean_latency = 500.0 * MS
-        take(policy, 1, ONCE)
-        take(policy, 2, ONCE)
+        accept_message(policy, 1, ONCE)
+        accept_message(policy, 2, ONCE)
         self.assertEqual([attempt[2] for attempt in policy.decide(NOW).attempts], [3_000 * MS, 3_000 * MS])
 
     def test_a_single_guarded_attempt_times_out_before_the_deadline(self) -> None:
         policy = sender(classes__1__dedup_window_ms="16000")
         policy.receivers[1].mean_latency = 500.0 * MS
-        take(policy, 1, NUMBERED)
+        accept_message(policy, 1, NUMBERED)
         self.assertEqual(policy.decide(NOW).attempts[0][2], 2_000 * MS)
 
     def test_a_message_has_one_attempt_at_a_time(self) -> None:
@@ -93,13 +93,13 @@
     def test_a_draining_receiver_gets_no_attempt(self) -> None:
         policy = sender()
         policy.apply_endpoint_list(NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)])
-        take(policy, 1)
+        accept_message(policy, 1)
         self.assertEqual(policy.decide(NOW).attempts, [])
 
     def test_a_full_list_replaces_the_previous_one(self) -> None:
         policy = sender(receivers=2)
         policy.apply_endpoint_list(NOW, EndpointUpdate.FULL, [ListedEndpoint(2, 0, 0, 7, EndpointState.READY, 0.0)])
-        take(policy, 1)
+        accept_message(policy, 1)
         self.assertEqual([attempt[1] for attempt in policy.decide(NOW).attempts], [2])
 
 
@@ -109,12 +109,12 @@
         end(out(policy, 1), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
         end(out(policy, 9), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
         for message in (2, 3, 4):
-            take(policy, message, now=NOW + 1_000 * MS)
+            accept_message(policy, message, now=NOW + 1_000 * MS)
         self.assertEqual(len(policy.decide(NOW + 5_000 * MS).attempts), 1)
 
     def test_a_canary_that_found_no_slot_does_not_count_as_in_flight(self) -> None:
         policy = sender()
-        take(policy, 1)
+        accept_message(policy, 1)
         policy.calls_in_flight, policy.receivers[1].ejected_since = 10, NOW - 1
         policy.decide(NOW)
         self.assertFalse(policy.receivers[1].canary_in_flight)
@@ -126,7 +126,7 @@
         record.ejected_since, record.outage_confirmed, record.observed_rate = NOW, True, 4.0
         end(handle, Outcome.COMPLETED, NOW + 3_000 * MS)
         for message in range(2, 9):
-            take(policy, message, now=NOW + 3_000 * MS)
+            accept_message(policy, message, now=NOW + 3_000 * MS)
         self.assertEqual(policy.decide(NOW + 3_000 * MS).attempts, [])
 
     def test_a_failure_restarts_the_ramp(self) -> None:
@@ -152,13 +152,13 @@
         policy = sender(kind=1)
         policy.receivers[1].consecutive_throttles, policy.receivers[1].rate_control.rate = 1, 0.5
         for message in range(1, 10):
-            take(policy, message)
+            accept_message(policy, message)
         self.assertEqual(len(policy.decide(NOW).attempts), 4)
 
     def test_a_message_shares_a_call_of_its_round_before_it_takes_a_slot(self) -> None:
         policy = sender(receivers=2, kind=1, family_info__max_calls="1")
         for message in (1, 2, 3):
-            take(policy, message)
+            accept_message(policy, message)
         self.assertEqual(len({attempt[1] for attempt in policy.decide(NOW).attempts}), 1)
         self.assertEqual(len(policy.destinations[7].held), 0)
 
@@ -167,7 +167,7 @@
         out(policy, 1)
         out(policy, 2, now=NOW + MS)
         policy.receivers[1].rate_control.has_completed = True
-        take(policy, 3, now=NOW + 2_500 * MS)
+        accept_message(policy, 3, now=NOW + 2_500 * MS)
         self.assertEqual(policy.decide(NOW + 2_500 * MS).attempts, [])
 
     def test_a_replacement_of_an_ejected_receiver_starts_ejected(self) -> None:
@@ -190,7 +190,7 @@
     def test_a_very_low_even_share_does_not_delay_a_single_message(self) -> None:
         policy = sender(rate=4.0, balancers="200", weight_source="nominal")
         end(out(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
-        take(policy, 2, now=NOW + 1_000 * MS)
+        accept_message(policy, 2, now=NOW + 1_000 * MS)
         self.assertEqual([attempt[0] for attempt in policy.decide(NOW + 1_000 * MS).attempts], [2])
 
     def test_a_rate_cut_uses_the_observed_send_rate_however_old(self) -> None:
@@ -331,17 +331,17 @@
         policy.receivers[8].ejected_since, policy.receivers[8].canary_at = NOW - 9_000 * MS, NOW + 60_000 * MS
         policy.accept(NOW, 50, 8, FREE, NOW + 16_000 * MS, 0, 0)
         for message in range(1, 5):
-            take(policy, message)
+            accept_message(policy, message)
         self.assertEqual([nack[0] for nack in policy.decide(NOW).nacks], [50])
 
     def test_a_full_store_sheds_the_messages_of_lowest_weight(self) -> None:
         for room, shed in ((2, []), (1, []), (0, [3])):
             policy = sender(classes__2__worth="4")
             policy.receivers[1].rate_control.wait_until = NOW + 5_000 * MS
-            take(policy, 1, ONCE)
-            take(policy, 2)
-            take(policy, 3)
-            take(policy, 4, ONCE)
+            accept_message(policy, 1, ONCE)
+            accept_message(policy, 2)
+            accept_message(policy, 3)
+            accept_message(policy, 4, ONCE)
             policy.storable_messages = room
             self.assertEqual(sorted(nack[0] for nack in policy.decide(NOW).nacks), shed, room)
             policy.storable_messages = 1  # the shed message has freed its space
@@ -352,7 +352,7 @@
         handle = out(policy, 1)
         handle.attempt_ended(NOW, Outcome.ERROR, 0, 1, MS, 0, False, ())
         policy.receivers[1].rate_control.wait_until = NOW + 5_000 * MS
-        take(policy, 2, ONCE)
+        accept_message(policy, 2, ONCE)
         decisions = policy.decide(NOW)
         self.assertEqual((decisions.nacks, decisions.abandoned), ([], [1]))
 
@@ -374,8 +374,8 @@
         now = NOW + 9_000 * MS
         for late, first in (("by_half", 2), ("even", 1)):
             policy = sender(family_info__late=late, classes__0__late_worth="0.3", family_info__max_calls="1")
-            take(policy, 1)
-            take(policy, 2, now=now)
+            accept_message(policy, 1)
+            accept_message(policy, 2, now=now)
             self.assertEqual([attempt[0] for attempt in policy.decide(now).attempts], [first])
 
     def test_with_many_senders_a_scarce_slot_goes_to_the_faster_destination(self) -> None:
@@ -385,15 +385,15 @@
                 NOW, EndpointUpdate.DELTA, [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)]
             )
             policy.receivers[1].mean_latency, policy.receivers[8].mean_latency = 2_000.0 * MS, 200.0 * MS
-            take(policy, 1)
+            accept_message(policy, 1)
             policy.accept(NOW, 2, 8, FREE, NOW + 16_000 * MS, 0, 0)
             self.assertEqual([attempt[0] for attempt in policy.decide(NOW).attempts], [first])
 
     def test_the_first_message_of_a_key_counts_for_all_that_wait_for_it(self) -> None:
         policy = sender(family_info__max_calls="1", balancers="200")
-        take(policy, 1)
+        accept_message(policy, 1)
         for message in (2, 3, 4):
-            take(policy, message, NUMBERED, key=9)
+            accept_message(policy, message, NUMBERED, key=9)
         self.assertEqual([attempt[0] for attempt in policy.decide(NOW).attempts], [2])
 
 
@@ -401,7 +401,7 @@
     def test_the_next_message_of_a_key_waits_for_the_first(self) -> None:
         policy = sender()
         out(policy, 1, NUMBERED, key=9)
-        take(policy, 2, NUMBERED, key=9)
+        accept_message(policy, 2, NUMBERED, key=9)
         self.assertEqual(policy.decide(NOW).attempts, [])
 
     def test_the_next_message_of_a_key_may_have_another_destination(self) -> None:
@@ -416,7 +416,7 @@
     def test_a_key_is_paused_after_a_time_out_even_if_a_throttle_followed(self) -> None:
         policy = sender()
         handle = out(policy, 1, NUMBERED, key=9)
-        take(policy, 2, NUMBERED, key=9)
+        accept_message(policy, 2, NUMBERED, key=9)
         handle.attempts, handle.ran_at, handle.doubtful_at = 6, NOW, NOW + 90 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
         decisions = policy.decide(NOW + 100 * MS)
@@ -434,7 +434,7 @@
 
     def test_at_most_once_uses_a_new_connection_while_reused_ones_break(self) -> None:
         policy = sender()
-        once, free = take(policy, 2, ONCE), out(policy, 1)
+        once, free = accept_message(policy, 2, ONCE), out(policy, 1)
         self.assertFalse(once.needs_new_connection())
         free.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
         self.assertEqual((once.needs_new_connection(), free.needs_new_connection()), (True, False))
@@ -450,7 +450,7 @@
     def test_held_messages_share_one_search_for_candidates(self) -> None:
         policy = sender(receivers=2)
         for message in range(60):
-            take(policy, message, (FREE, ONCE)[message % 2])
+            accept_message(policy, message, (FREE, ONCE)[message % 2])
         with mock.patch.object(policy, "_find_candidates", wraps=policy._find_candidates) as asked:
             self.assertEqual(len(policy.decide(NOW).attempts), 2)
             self.assertLess(asked.call_count, 10)
@@ -484,14 +484,14 @@
     def test_a_retry_after_wait_applies_to_all_receivers_and_messages(self) -> None:
         policy = sender(receivers=2)
         end(out(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=800 * MS)
-        take(policy, 2, now=NOW + 200 * MS)
+        accept_message(policy, 2, now=NOW + 200 * MS)
         self.assertEqual(policy.decide(NOW + 899 * MS).attempts, [])
 
     def test_a_retry_after_wait_applies_to_one_receiver_of_a_separate_kind(self) -> None:
         policy = sender(receivers=2, kind=1)
         handle = out(policy, 1)
         end(handle, Outcome.FULL, NOW + 100 * MS, retry_after=800 * MS, receiver=1)
-        take(policy, 2, now=NOW + 200 * MS)
+        accept_message(policy, 2, now=NOW + 200 * MS)
         self.assertEqual([attempt[1] for attempt in policy.decide(NOW + 200 * MS).attempts], [2])
 
     def test_throttles_halve_the_rate_once_per_window(self) -> None:
@@ -566,7 +566,7 @@
         policy = sender(kind=1)
         policy.receivers[1].rate_control.rate = 0.5
         for message in (1, 2, 3):
-            take(policy, message, FREE)
+            accept_message(policy, message, FREE)
         self.assertEqual((len(policy.decide(NOW).attempts), policy.calls_in_flight), (3, 1))
 
     def test_a_call_to_a_receiver_in_its_ramp_carries_few_messages(self) -> None:
@@ -574,13 +574,13 @@
         policy.receivers[1].recovered_at = policy.receivers[1].ramp_bucket.refilled_at = NOW
         policy.receivers[1].ramp_bucket.tokens = 1.0
         for message in range(1, 10):
-            take(policy, message)
+            accept_message(policy, message)
         self.assertEqual(len(policy.decide(NOW).attempts), 4)
 
     def test_a_destination_without_a_completion_gets_few_calls(self) -> None:
         policy = sender()
         for message in range(1, 6):
-            take(policy, message)
+            accept_message(policy, message)
         self.assertEqual(len(policy.decide(NOW).attempts), 2)
 
 
@@ -657,7 +657,7 @@
         update = [ListedEndpoint(8, 0, 0, 8, EndpointState.READY, 0.0)]
         policy.apply_endpoint_list(NOW, EndpointUpdate.DELTA, update)
         self.assertEqual(policy.changed_destinations, set())
-        take(policy, 1)
+        accept_message(policy, 1)
         policy.decide(NOW)
         policy.apply_endpoint_list(NOW, EndpointUpdate.DELTA, update)
         self.assertEqual(policy.changed_destinations, {7})
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -23,7 +23,20 @@
 from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import FREE, MS, NESTED, NOW, ONCE, Receiver, end, out, reply, sender, take, wait_for_condition
+from tests.build import (
+    FREE,
+    MS,
+    NESTED,
+    NOW,
+    ONCE,
+    Receiver,
+    accept_message,
+    end,
+    out,
+    reply,
+    sender,
+    wait_for_condition,
+)
 
 WAIT = 600 * MS  # as `REFUSAL` states it
 REFUSAL = reply(429, "X-Backoff-Ms: 600", body=b"later")
@@ -323,7 +336,7 @@
     def test_a_wait_reported_apart_from_an_outcome_applies(self) -> None:
         decisions = sender()
         decisions.apply_retry_after(NOW, 1, NOW + WAIT)
-        take(decisions, 1)
+        accept_message(decisions, 1)
         self.assertEqual(decisions.decide(NOW).attempts, [])
         self.assertEqual(decisions.decide(NOW + WAIT - 1).attempts, [])
         self.assertEqual(len(decisions.decide(NOW + WAIT).attempts), 1)
@@ -332,7 +345,7 @@
         decisions = sender()
         first = out(decisions, 1, ONCE)
         decisions.apply_retry_after(NOW, 1, NOW + WAIT)
-        second = take(decisions, 2)
+        second = accept_message(decisions, 2)
         self.assertEqual(decisions.decide(NOW).attempts, [])
         self.assertFalse(second.may_start(NOW + WAIT - 1, 1))
         end(first, Outcome.TIME_OUT, NOW + 1)
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -34,7 +34,7 @@
 from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import MS, NESTED, NOW, NUMBERED, reply, sender, take, wait_for_condition
+from tests.build import MS, NESTED, NOW, NUMBERED, accept_message, reply, sender, wait_for_condition
 from tests.net import test_retry_after
 from tests.net.test_retry_after import Partner, Play
 
@@ -346,7 +346,7 @@
                 # The first attempt keeps the only slot; all other messages still wait.
                 self.assertEqual(len(untried), max(0, count - 1))
                 decisions.storable_messages = 0
-                take(decisions, 1000)
+                accept_message(decisions, 1000)
                 self.assertTrue(decisions.decide(NOW + 4_000 * MS).nacks)  # new messages are limited as before
 
 
@@ -357,7 +357,7 @@
         """Return the time limit in ms, at most 16 s; `ran_ago`: age in ms of an earlier attempt that may have run."""
         decisions = sender(classes__1__dedup_window_ms=str(window), classes__1__in_turn="false")
         decisions.receivers[1].mean_latency = mean * MS
-        handle = take(decisions, 1, NUMBERED)
+        handle = accept_message(decisions, 1, NUMBERED)
         handle.attempts = attempts
         if ran_ago is not None:
             handle.ran_at = NOW - ran_ago * MS
