--- a/tests/build.py
+++ b/tests/build.py
@@ -75,7 +75,7 @@
     return decisions.accept(now, message, 7, priority_class, now + 16_000 * MS, 0, key)
 
 
-def out(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
+def start_attempt(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
     """Accept a message and start its first attempt."""
     handle = accept_message(decisions, message, priority_class, key, now)
     decisions.decide(now)
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -15,7 +15,7 @@
 from cedarwick.decisions.policy import Sender
 from cedarwick.decisions.rate_control import RATE_STEP_INTERVAL
 from cedarwick.decisions.sender_state import BACKOFF_BASE, THROTTLE_WINDOW
-from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, accept_message, end, out, sender
+from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, accept_message, end, sender, start_attempt
 
 
 class FinalAnswerTest(unittest.TestCase):
@@ -29,13 +29,13 @@
 
     def test_a_time_out_at_the_deadline_abandons_the_message_in_the_same_round(self) -> None:
         policy = sender()
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         end(handle, Outcome.TIME_OUT, NOW + 16_000 * MS)
         self.assertEqual(policy.decide(NOW + 16_000 * MS).abandoned, [1])
 
     def test_a_message_without_attempts_left_is_nacked_at_once(self) -> None:
         policy = sender()
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         handle.attempts = 6
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(policy.decide(NOW + 100 * MS).nacks, [(1, 0)])
@@ -49,18 +49,18 @@
 class DuplicateEffectTest(unittest.TestCase):
     def test_an_at_most_once_message_is_abandoned_after_a_time_out(self) -> None:
         policy = sender()
-        end(out(policy, 1, ONCE), Outcome.TIME_OUT, NOW + 900 * MS)
+        end(start_attempt(policy, 1, ONCE), Outcome.TIME_OUT, NOW + 900 * MS)
         self.assertEqual(policy.decide(NOW + 900 * MS).abandoned, [1])
 
     def test_an_at_most_once_message_is_retried_after_a_throttle(self) -> None:
         policy = sender()
-        handle = out(policy, 1, ONCE)
+        handle = start_attempt(policy, 1, ONCE)
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual([attempt[0] for attempt in policy.decide(handle.not_before + 9_000 * MS).attempts], [1])
 
     def test_a_guarded_message_is_not_retried_after_its_deduplication_window(self) -> None:
         policy = sender()
-        handle = out(policy, 1, NUMBERED)
+        handle = start_attempt(policy, 1, NUMBERED)
         end(handle, Outcome.ERROR, NOW + 6_001 * MS)
         decisions = policy.decide(NOW + 6_001 * MS)
         self.assertEqual((decisions.attempts, decisions.abandoned), ([], [1]))
@@ -85,7 +85,7 @@
 
     def test_a_message_has_one_attempt_at_a_time(self) -> None:
         policy = sender()
-        out(policy, 1)
+        start_attempt(policy, 1)
         self.assertEqual(policy.decide(NOW + 1_000 * MS).attempts, [])
 
 
@@ -106,8 +106,8 @@
 class RecoveryTest(unittest.TestCase):
     def test_an_ejected_receiver_gets_one_canary_at_a_time(self) -> None:
         policy = sender()
-        end(out(policy, 1), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
-        end(out(policy, 9), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
+        end(start_attempt(policy, 1), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
+        end(start_attempt(policy, 9), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
         for message in (2, 3, 4):
             accept_message(policy, message, now=NOW + 1_000 * MS)
         self.assertEqual(len(policy.decide(NOW + 5_000 * MS).attempts), 1)
@@ -121,7 +121,7 @@
 
     def test_a_recovered_receiver_ramps_up(self) -> None:
         policy = sender()
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         record = policy.receivers[1]
         record.ejected_since, record.outage_confirmed, record.observed_rate = NOW, True, 4.0
         end(handle, Outcome.COMPLETED, NOW + 3_000 * MS)
@@ -131,21 +131,21 @@
 
     def test_a_failure_restarts_the_ramp(self) -> None:
         policy = sender()
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         policy.receivers[1].recovered_at = NOW - 9_000 * MS
         end(handle, Outcome.ERROR, NOW + 100 * MS)
         self.assertEqual(policy.receivers[1].recovered_at, NOW + 100 * MS)
 
     def test_only_throttles_for_a_long_time_are_an_outage(self) -> None:
         policy = sender()
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         policy.receivers[1].consecutive_throttles, policy.receivers[1].throttled_since = 6, NOW - 3_000 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertTrue(policy.receivers[1].ejected_since)
 
     def test_a_long_retry_after_wait_is_an_outage_of_the_whole_destination(self) -> None:
         policy = sender(receivers=2)
-        end(out(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=5_000 * MS)
+        end(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=5_000 * MS)
         self.assertTrue(all(receiver.ejected_since for receiver in policy.receivers.values()))
 
     def test_a_call_after_a_throttle_carries_few_messages(self) -> None:
@@ -164,8 +164,8 @@
 
     def test_a_silent_receiver_gets_no_further_attempts(self) -> None:
         policy = sender()
-        out(policy, 1)
-        out(policy, 2, now=NOW + MS)
+        start_attempt(policy, 1)
+        start_attempt(policy, 2, now=NOW + MS)
         policy.receivers[1].rate_control.has_completed = True
         accept_message(policy, 3, now=NOW + 2_500 * MS)
         self.assertEqual(policy.decide(NOW + 2_500 * MS).attempts, [])
@@ -178,7 +178,7 @@
 
     def test_failures_among_completions_are_no_outage(self) -> None:
         policy = sender()
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         policy.receivers[1].recent_successes.extend([True, False, True, True, True, False])
         end(handle, Outcome.TIME_OUT, NOW + 3_000 * MS)
         self.assertFalse(policy.receivers[1].ejected_since)
@@ -189,14 +189,14 @@
 
     def test_a_very_low_even_share_does_not_delay_a_single_message(self) -> None:
         policy = sender(rate=4.0, balancers="200", weight_source="nominal")
-        end(out(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
+        end(start_attempt(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
         accept_message(policy, 2, now=NOW + 1_000 * MS)
         self.assertEqual([attempt[0] for attempt in policy.decide(NOW + 1_000 * MS).attempts], [2])
 
     def test_a_rate_cut_uses_the_observed_send_rate_however_old(self) -> None:
         policy = sender(balancers="200")
         policy.started_at = NOW - 20_000 * MS
-        end(out(policy, 1), Outcome.FULL, NOW + 100 * MS)
+        end(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS)
         rate = policy.receivers[1].rate_control.rate
         assert rate is not None
         self.assertLess(rate, 0.05)
@@ -204,12 +204,12 @@
     def test_one_failure_without_a_recent_completion_is_an_outage(self) -> None:
         for senders, ejected in (("2", False), ("200", True)):
             policy = sender(balancers=senders)
-            end(out(policy, 1), Outcome.TIME_OUT, NOW + 1_000 * MS)
+            end(start_attempt(policy, 1), Outcome.TIME_OUT, NOW + 1_000 * MS)
             self.assertEqual(bool(policy.receivers[1].ejected_since), ejected)
 
     def test_three_throttles_without_a_recent_completion_are_an_outage(self) -> None:
         policy = sender(balancers="200")
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         policy.receivers[1].consecutive_throttles, policy.receivers[1].throttled_since = 2, NOW - 3_000 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertTrue(policy.receivers[1].ejected_since)
@@ -217,7 +217,7 @@
     def test_with_many_senders_a_used_up_limit_cuts_the_rate_to_the_safe_share(self) -> None:
         for senders, left, expected in (("200", 0.0, 0.6 * 40 / 200), ("200", 0.3, 0.25), ("2", 0.0, 1.2 * 40 / 2 / 2)):
             policy = sender(balancers=senders, report__columns="x0,x1", rate=40.0, weight_source="nominal")
-            handle = out(policy, 1)
+            handle = start_attempt(policy, 1)
             policy.receivers[1].rate_control.rate = 1.2 * 40 / int(senders)
             handle.attempt_ended(NOW + 100 * MS, Outcome.FULL, 0, 1, 100 * MS, 0, False, (left, 40.0))
             self.assertAlmostEqual(policy.receivers[1].rate_control.rate or 0.0, expected, 6, (senders, left))
@@ -228,7 +228,7 @@
 
     def rate_after_reports(self, policy: Sender, *limits: float) -> float:
         """Return the rate after reports of these limits, one after another and before the next attempt."""
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         receiver = policy.receivers[1]
         for limit in limits:
             receiver.unanswered_attempts[handle.sent_at] = 1
@@ -265,7 +265,7 @@
     def test_a_throttle_while_the_limit_is_not_used_up_is_an_outage(self) -> None:
         for left, ejected in ((0.1, False), (0.8, True)):
             policy = sender(balancers="200", report__columns="x0,x1", rate=8.0, weight_source="nominal")
-            handle = out(policy, 1)
+            handle = start_attempt(policy, 1)
             handle.attempt_ended(NOW + 100 * MS, Outcome.FULL, 0, 1, 100 * MS, 0, False, (left, 8.0))
             self.assertEqual(bool(policy.receivers[1].ejected_since), ejected)
 
@@ -294,7 +294,7 @@
     def test_the_recovery_is_estimated_between_the_last_two_attempts(self) -> None:
         for senders, gap, recovered_at in (("2", 6_000, 100), ("200", 6_000, -2_900), ("200", 99_000, -4_950)):
             policy = sender(balancers=senders)
-            handle, receiver = out(policy, 1), policy.receivers[1]
+            handle, receiver = start_attempt(policy, 1), policy.receivers[1]
             receiver.ejected_since, receiver.outage_confirmed, receiver.last_attempt_gap = (
                 NOW - 10_000 * MS,
                 True,
@@ -306,12 +306,12 @@
     def test_many_senders_do_not_return_at_the_end_of_a_wait_at_the_same_time(self) -> None:
         for senders, spread in (("2", False), ("200", True)):
             policy = sender(balancers=senders)
-            end(out(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=4_000 * MS)
+            end(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=4_000 * MS)
             self.assertEqual(policy.receivers[1].canary_at > NOW + 4_100 * MS, spread)
 
     def test_an_idle_connection_that_will_not_be_reused_is_released(self) -> None:
         policy = sender(balancers="200")
-        end(out(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
+        end(start_attempt(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
         self.assertEqual(policy.decide(NOW + 100 * MS).released_connections, [1])
 
 
@@ -320,7 +320,7 @@
         for failed_at, released in ((0, []), (NOW - 3_000 * MS, [1])):
             policy = sender()
             policy.destinations[7].connect_failed_at = failed_at
-            end(out(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
+            end(start_attempt(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
             self.assertEqual(policy.decide(NOW + 100 * MS).released_connections, released)
 
 
@@ -349,7 +349,7 @@
 
     def test_a_message_that_may_have_run_is_shed_before_a_more_important_one(self) -> None:
         policy = sender(policy_limits__max_open="3", classes__2__worth="4")
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         handle.attempt_ended(NOW, Outcome.ERROR, 0, 1, MS, 0, False, ())
         policy.receivers[1].rate_control.wait_until = NOW + 5_000 * MS
         accept_message(policy, 2, ONCE)
@@ -400,14 +400,14 @@
 class OrderKeyTest(unittest.TestCase):
     def test_the_next_message_of_a_key_waits_for_the_first(self) -> None:
         policy = sender()
-        out(policy, 1, NUMBERED, key=9)
+        start_attempt(policy, 1, NUMBERED, key=9)
         accept_message(policy, 2, NUMBERED, key=9)
         self.assertEqual(policy.decide(NOW).attempts, [])
 
     def test_the_next_message_of_a_key_may_have_another_destination(self) -> None:
         policy = sender()
         policy.apply_endpoint_list(NOW, EndpointUpdate.DELTA, [ListedEndpoint(9, 0, 0, 8, EndpointState.READY, 0.0)])
-        handle = out(policy, 1, NUMBERED, key=9)
+        handle = start_attempt(policy, 1, NUMBERED, key=9)
         policy.accept(NOW, 2, 8, NUMBERED, NOW + 16_000 * MS, 0, 9)
         policy.decide(NOW)
         end(handle, Outcome.COMPLETED, NOW + 100 * MS)
@@ -415,7 +415,7 @@
 
     def test_a_key_is_paused_after_a_time_out_even_if_a_throttle_followed(self) -> None:
         policy = sender()
-        handle = out(policy, 1, NUMBERED, key=9)
+        handle = start_attempt(policy, 1, NUMBERED, key=9)
         accept_message(policy, 2, NUMBERED, key=9)
         handle.attempts, handle.ran_at, handle.doubtful_at = 6, NOW, NOW + 90 * MS
         end(handle, Outcome.FULL, NOW + 100 * MS)
@@ -427,21 +427,21 @@
 class ReusedConnectionsTest(unittest.TestCase):
     def test_a_reset_on_a_reused_connection_is_no_evidence_and_needs_no_backoff(self) -> None:
         policy = sender()
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         handle.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
         self.assertEqual((list(policy.receivers[1].recent_successes), handle.not_before), ([], NOW + 9 * MS + 1))
         self.assertEqual(handle.ran_at, NOW)
 
     def test_at_most_once_uses_a_new_connection_while_reused_ones_break(self) -> None:
         policy = sender()
-        once, free = accept_message(policy, 2, ONCE), out(policy, 1)
+        once, free = accept_message(policy, 2, ONCE), start_attempt(policy, 1)
         self.assertFalse(once.needs_new_connection())
         free.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
         self.assertEqual((once.needs_new_connection(), free.needs_new_connection()), (True, False))
         policy.receivers[1].rate_control.has_completed = True
         for message in range(3, 30):
             now = NOW + message * 100 * MS
-            handle = out(policy, message, now=now)
+            handle = start_attempt(policy, message, now=now)
             handle.attempt_ended(now, Outcome.COMPLETED, 0, 1, MS, 0, True, (), reused_connection=True)
         self.assertFalse(once.needs_new_connection())
 
@@ -457,7 +457,7 @@
 
     def test_a_receiver_that_left_is_forgotten_once_no_attempt_is_in_flight(self) -> None:
         policy = sender(receivers=3)
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         held = next(each for each in policy.receivers if policy.receivers[each].unanswered_attempts)
         for after in (0, 21):
             policy.apply_endpoint_list(
@@ -472,7 +472,7 @@
     def test_unused_keys_are_forgotten(self) -> None:
         policy = sender()
         for key in range(1, 40):
-            handle = out(policy, key, NUMBERED, key=key, now=NOW + key * 1000 * MS)
+            handle = start_attempt(policy, key, NUMBERED, key=key, now=NOW + key * 1000 * MS)
             handle.doubtful_at = NOW + key * 1000 * MS
             end(handle, Outcome.COMPLETED, NOW + (key * 1000 + 100) * MS)
         self.assertEqual(
@@ -483,13 +483,13 @@
 class RetryAfterAndRateTest(unittest.TestCase):
     def test_a_retry_after_wait_applies_to_all_receivers_and_messages(self) -> None:
         policy = sender(receivers=2)
-        end(out(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=800 * MS)
+        end(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=800 * MS)
         accept_message(policy, 2, now=NOW + 200 * MS)
         self.assertEqual(policy.decide(NOW + 899 * MS).attempts, [])
 
     def test_a_retry_after_wait_applies_to_one_receiver_of_a_separate_kind(self) -> None:
         policy = sender(receivers=2, kind=1)
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         end(handle, Outcome.FULL, NOW + 100 * MS, retry_after=800 * MS, receiver=1)
         accept_message(policy, 2, now=NOW + 200 * MS)
         self.assertEqual([attempt[1] for attempt in policy.decide(NOW + 200 * MS).attempts], [2])
@@ -498,7 +498,7 @@
         policy = sender(rate=10.0, weight_source="nominal")
         before = policy.receivers[1].rate_control.rate
         assert before is not None
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(policy.receivers[1].rate_control.rate, before / 2)
         policy._adjust_rate_after_throttle(NOW + THROTTLE_WINDOW // 2, policy.receivers[1].rate_control, True)
@@ -506,21 +506,21 @@
 
     def test_a_single_throttle_does_not_cut_a_rate_below_the_even_share(self) -> None:
         policy = sender(rate=10.0, weight_source="nominal")
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         policy.receivers[1].rate_control.rate = 4.0
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(policy.receivers[1].rate_control.rate, 4.0)
 
     def test_a_throttle_empties_the_bucket(self) -> None:
         policy = sender(rate=10.0, weight_source="nominal")
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         policy.receivers[1].rate_control.bucket.tokens = 4.0
         end(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(policy.receivers[1].rate_control.bucket.tokens, 0.0)
 
     def test_a_rate_without_throttles_rises_in_small_steps(self) -> None:
         policy = sender()
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         rate_control = policy.receivers[1].rate_control
         rate_control.rate, rate_control.reference_rate, rate_control.raised_at = 2.0, 4.0, NOW
         end(handle, Outcome.COMPLETED, NOW + RATE_STEP_INTERVAL)
@@ -528,7 +528,7 @@
 
     def test_an_unused_limit_allows_larger_steps(self) -> None:
         policy = sender(report__columns="x0,x1", rate=8.0, weight_source="nominal")
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         rate_control = policy.receivers[1].rate_control
         rate_control.rate, rate_control.cut_at = 1.0, NOW - THROTTLE_WINDOW
         handle.attempt_ended(NOW + RATE_STEP_INTERVAL, Outcome.COMPLETED, 0, 1, 100 * MS, 0, True, (0.9, 8.0))
@@ -539,7 +539,7 @@
         for seed in range(40):
             policy = sender()
             policy.random_source.state = seed
-            handle = out(policy, 1)
+            handle = start_attempt(policy, 1)
             handle.attempts = 2
             end(handle, Outcome.FULL, NOW)
             dues.append(handle.not_before - NOW)
@@ -550,7 +550,7 @@
         for seed, quickest in [(seed, quickest) for seed in range(40) for quickest in (0.0, 1.0 * MS, 900.0 * MS)]:
             policy = sender(policy_limits__most_tries="12")
             policy.random_source.state, policy.receivers[1].mean_latency = seed, quickest
-            handle = out(policy, 1)
+            handle = start_attempt(policy, 1)
             handle.attempts = 8
             end(handle, Outcome.CONNECT_FAILED, NOW + 4_000 * MS)
             decisions = policy.decide(NOW + 4_000 * MS)
@@ -559,7 +559,7 @@
 
     def test_a_retry_after_wait_beyond_the_deadline_ends_the_message_at_once(self) -> None:
         policy = sender()
-        end(out(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=17_000 * MS)
+        end(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=17_000 * MS)
         self.assertEqual(policy.decide(NOW + 100 * MS).nacks, [(1, 0)])
 
     def test_attempts_of_a_round_share_a_call_and_a_slot(self) -> None:
@@ -621,23 +621,23 @@
 
 class StartCheckTest(unittest.TestCase):
     def test_an_attempt_may_start_if_nothing_changed(self) -> None:
-        self.assertTrue(out(sender(), 1).may_start(NOW, 1))
+        self.assertTrue(start_attempt(sender(), 1).may_start(NOW, 1))
 
     def test_not_during_a_retry_after_wait(self) -> None:
         policy = sender()
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         policy.receivers[1].rate_control.wait_until = NOW + 500 * MS
         self.assertEqual([handle.may_start(NOW + after * MS, 1) for after in (499, 500)], [False, True])
 
     def test_not_to_a_draining_receiver(self) -> None:
         policy = sender()
-        handle = out(policy, 1)
+        handle = start_attempt(policy, 1)
         policy.receivers[1].ready = False
         self.assertFalse(handle.may_start(NOW, 1))
 
     def test_not_if_withdrawn_or_past_its_deadline_or_window(self) -> None:
         policy = sender()
-        handle, numbered = out(policy, 1), out(policy, 2, NUMBERED)
+        handle, numbered = start_attempt(policy, 1), start_attempt(policy, 2, NUMBERED)
         self.assertFalse(handle.may_start(handle.deadline, 1))
         numbered.ran_at = NOW - 6_000 * MS
         self.assertFalse(numbered.may_start(NOW, 1))
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -4,7 +4,7 @@
 
 from cedarwick.decisions.interface import EarlierHealth, HealthReason, HealthState, Outcome
 from cedarwick.decisions.policy import Sender
-from tests.build import MS, NOW, end, out, sender
+from tests.build import MS, NOW, end, sender, start_attempt
 
 SECOND = 1000 * MS
 
@@ -19,10 +19,10 @@
         self.policy.take_health_changes()
 
     def failed_call(self, policy: Sender, at: int) -> None:
-        end(out(policy, 1, now=at), Outcome.ERROR, at + 100 * MS)
+        end(start_attempt(policy, 1, now=at), Outcome.ERROR, at + 100 * MS)
 
     def complete(self, policy: Sender, at: int) -> None:
-        end(out(policy, 2, now=at), Outcome.COMPLETED, at + 100 * MS)
+        end(start_attempt(policy, 2, now=at), Outcome.COMPLETED, at + 100 * MS)
 
     def test_a_single_failure_ejects_no_receiver_but_the_next_completion_starts_a_ramp(self) -> None:
         self.failed_call(self.policy, NOW)
@@ -55,7 +55,7 @@
         self.assertFalse(self.first.rate_control.failed_since)
 
     def test_a_short_silence_after_a_failure_ends_with_a_ramp_too(self) -> None:
-        hanging = out(self.policy, 3)
+        hanging = start_attempt(self.policy, 3)
         self.failed_call(self.policy, NOW + MS)
         self.policy._eject_silent(NOW + 2 * SECOND, self.second)
         end(hanging, Outcome.COMPLETED, NOW + 3 * SECOND, receiver=2)
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -32,9 +32,9 @@
     Receiver,
     accept_message,
     end,
-    out,
     reply,
     sender,
+    start_attempt,
     wait_for_condition,
 )
 
@@ -322,9 +322,9 @@
 class DecisionsTest(unittest.TestCase):
     def test_a_wait_is_limited_to_an_hour(self) -> None:
         decisions = sender()
-        end(out(decisions, 1), Outcome.FULL, NOW, retry_after=10**30)
+        end(start_attempt(decisions, 1), Outcome.FULL, NOW, retry_after=10**30)
         self.assertLessEqual(decisions.receivers[1].rate_control.wait_until, NOW + 3_600_000 * MS)
-        handle = out(decisions, 2, now=NOW)
+        handle = start_attempt(decisions, 2, now=NOW)
         self.assertEqual(handle.attempts, 0)  # it ends at once: no attempt fits before its deadline
         later = NOW + 3_600_000 * MS + 20_000 * MS
         decisions.accept(later, 3, 7, FREE, later + 16_000 * MS, 0, 0)
@@ -343,7 +343,7 @@
 
     def test_a_wait_reported_during_a_call_stops_the_next_one(self) -> None:
         decisions = sender()
-        first = out(decisions, 1, ONCE)
+        first = start_attempt(decisions, 1, ONCE)
         decisions.apply_retry_after(NOW, 1, NOW + WAIT)
         second = accept_message(decisions, 2)
         self.assertEqual(decisions.decide(NOW).attempts, [])
