--- a/tests/build.py
+++ b/tests/build.py
@@ -82,7 +82,7 @@
     return handle
 
 
-def end(handle: Handle, outcome: Outcome, now: int, retry_after: int = 0, receiver: int = 1) -> None:
+def end_attempt(handle: Handle, outcome: Outcome, now: int, retry_after: int = 0, receiver: int = 1) -> None:
     """End the last attempt of a message with an outcome."""
     last = outcome is Outcome.COMPLETED
     handle.attempt_ended(now, outcome, handle.attempts - 1, receiver, 100 * MS, retry_after, last, ())
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -15,7 +15,7 @@
 from cedarwick.decisions.policy import Sender
 from cedarwick.decisions.rate_control import RATE_STEP_INTERVAL
 from cedarwick.decisions.sender_state import BACKOFF_BASE, THROTTLE_WINDOW
-from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, accept_message, end, sender, start_attempt
+from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, accept_message, end_attempt, sender, start_attempt
 
 
 class FinalAnswerTest(unittest.TestCase):
@@ -30,14 +30,14 @@
     def test_a_time_out_at_the_deadline_abandons_the_message_in_the_same_round(self) -> None:
         policy = sender()
         handle = start_attempt(policy, 1)
-        end(handle, Outcome.TIME_OUT, NOW + 16_000 * MS)
+        end_attempt(handle, Outcome.TIME_OUT, NOW + 16_000 * MS)
         self.assertEqual(policy.decide(NOW + 16_000 * MS).abandoned, [1])
 
     def test_a_message_without_attempts_left_is_nacked_at_once(self) -> None:
         policy = sender()
         handle = start_attempt(policy, 1)
         handle.attempts = 6
-        end(handle, Outcome.FULL, NOW + 100 * MS)
+        end_attempt(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(policy.decide(NOW + 100 * MS).nacks, [(1, 0)])
 
     def test_a_withdrawn_message_gets_no_attempt(self) -> None:
@@ -49,19 +49,19 @@
 class DuplicateEffectTest(unittest.TestCase):
     def test_an_at_most_once_message_is_abandoned_after_a_time_out(self) -> None:
         policy = sender()
-        end(start_attempt(policy, 1, ONCE), Outcome.TIME_OUT, NOW + 900 * MS)
+        end_attempt(start_attempt(policy, 1, ONCE), Outcome.TIME_OUT, NOW + 900 * MS)
         self.assertEqual(policy.decide(NOW + 900 * MS).abandoned, [1])
 
     def test_an_at_most_once_message_is_retried_after_a_throttle(self) -> None:
         policy = sender()
         handle = start_attempt(policy, 1, ONCE)
-        end(handle, Outcome.FULL, NOW + 100 * MS)
+        end_attempt(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual([attempt[0] for attempt in policy.decide(handle.not_before + 9_000 * MS).attempts], [1])
 
     def test_a_guarded_message_is_not_retried_after_its_deduplication_window(self) -> None:
         policy = sender()
         handle = start_attempt(policy, 1, NUMBERED)
-        end(handle, Outcome.ERROR, NOW + 6_001 * MS)
+        end_attempt(handle, Outcome.ERROR, NOW + 6_001 * MS)
         decisions = policy.decide(NOW + 6_001 * MS)
         self.assertEqual((decisions.attempts, decisions.abandoned), ([], [1]))
 
@@ -106,8 +106,8 @@
 class RecoveryTest(unittest.TestCase):
     def test_an_ejected_receiver_gets_one_canary_at_a_time(self) -> None:
         policy = sender()
-        end(start_attempt(policy, 1), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
-        end(start_attempt(policy, 9), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
+        end_attempt(start_attempt(policy, 1), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
+        end_attempt(start_attempt(policy, 9), Outcome.CONNECT_FAILED, NOW + 1_000 * MS)
         for message in (2, 3, 4):
             accept_message(policy, message, now=NOW + 1_000 * MS)
         self.assertEqual(len(policy.decide(NOW + 5_000 * MS).attempts), 1)
@@ -124,7 +124,7 @@
         handle = start_attempt(policy, 1)
         record = policy.receivers[1]
         record.ejected_since, record.outage_confirmed, record.observed_rate = NOW, True, 4.0
-        end(handle, Outcome.COMPLETED, NOW + 3_000 * MS)
+        end_attempt(handle, Outcome.COMPLETED, NOW + 3_000 * MS)
         for message in range(2, 9):
             accept_message(policy, message, now=NOW + 3_000 * MS)
         self.assertEqual(policy.decide(NOW + 3_000 * MS).attempts, [])
@@ -133,19 +133,19 @@
         policy = sender()
         handle = start_attempt(policy, 1)
         policy.receivers[1].recovered_at = NOW - 9_000 * MS
-        end(handle, Outcome.ERROR, NOW + 100 * MS)
+        end_attempt(handle, Outcome.ERROR, NOW + 100 * MS)
         self.assertEqual(policy.receivers[1].recovered_at, NOW + 100 * MS)
 
     def test_only_throttles_for_a_long_time_are_an_outage(self) -> None:
         policy = sender()
         handle = start_attempt(policy, 1)
         policy.receivers[1].consecutive_throttles, policy.receivers[1].throttled_since = 6, NOW - 3_000 * MS
-        end(handle, Outcome.FULL, NOW + 100 * MS)
+        end_attempt(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertTrue(policy.receivers[1].ejected_since)
 
     def test_a_long_retry_after_wait_is_an_outage_of_the_whole_destination(self) -> None:
         policy = sender(receivers=2)
-        end(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=5_000 * MS)
+        end_attempt(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=5_000 * MS)
         self.assertTrue(all(receiver.ejected_since for receiver in policy.receivers.values()))
 
     def test_a_call_after_a_throttle_carries_few_messages(self) -> None:
@@ -180,7 +180,7 @@
         policy = sender()
         handle = start_attempt(policy, 1)
         policy.receivers[1].recent_successes.extend([True, False, True, True, True, False])
-        end(handle, Outcome.TIME_OUT, NOW + 3_000 * MS)
+        end_attempt(handle, Outcome.TIME_OUT, NOW + 3_000 * MS)
         self.assertFalse(policy.receivers[1].ejected_since)
 
 
@@ -189,14 +189,14 @@
 
     def test_a_very_low_even_share_does_not_delay_a_single_message(self) -> None:
         policy = sender(rate=4.0, balancers="200", weight_source="nominal")
-        end(start_attempt(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
+        end_attempt(start_attempt(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
         accept_message(policy, 2, now=NOW + 1_000 * MS)
         self.assertEqual([attempt[0] for attempt in policy.decide(NOW + 1_000 * MS).attempts], [2])
 
     def test_a_rate_cut_uses_the_observed_send_rate_however_old(self) -> None:
         policy = sender(balancers="200")
         policy.started_at = NOW - 20_000 * MS
-        end(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS)
+        end_attempt(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS)
         rate = policy.receivers[1].rate_control.rate
         assert rate is not None
         self.assertLess(rate, 0.05)
@@ -204,14 +204,14 @@
     def test_one_failure_without_a_recent_completion_is_an_outage(self) -> None:
         for senders, ejected in (("2", False), ("200", True)):
             policy = sender(balancers=senders)
-            end(start_attempt(policy, 1), Outcome.TIME_OUT, NOW + 1_000 * MS)
+            end_attempt(start_attempt(policy, 1), Outcome.TIME_OUT, NOW + 1_000 * MS)
             self.assertEqual(bool(policy.receivers[1].ejected_since), ejected)
 
     def test_three_throttles_without_a_recent_completion_are_an_outage(self) -> None:
         policy = sender(balancers="200")
         handle = start_attempt(policy, 1)
         policy.receivers[1].consecutive_throttles, policy.receivers[1].throttled_since = 2, NOW - 3_000 * MS
-        end(handle, Outcome.FULL, NOW + 100 * MS)
+        end_attempt(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertTrue(policy.receivers[1].ejected_since)
 
     def test_with_many_senders_a_used_up_limit_cuts_the_rate_to_the_safe_share(self) -> None:
@@ -300,18 +300,18 @@
                 True,
                 gap * MS,
             )
-            end(handle, Outcome.COMPLETED, NOW + 100 * MS)
+            end_attempt(handle, Outcome.COMPLETED, NOW + 100 * MS)
             self.assertEqual(receiver.recovered_at, NOW + recovered_at * MS, (senders, gap))
 
     def test_many_senders_do_not_return_at_the_end_of_a_wait_at_the_same_time(self) -> None:
         for senders, spread in (("2", False), ("200", True)):
             policy = sender(balancers=senders)
-            end(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=4_000 * MS)
+            end_attempt(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=4_000 * MS)
             self.assertEqual(policy.receivers[1].canary_at > NOW + 4_100 * MS, spread)
 
     def test_an_idle_connection_that_will_not_be_reused_is_released(self) -> None:
         policy = sender(balancers="200")
-        end(start_attempt(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
+        end_attempt(start_attempt(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
         self.assertEqual(policy.decide(NOW + 100 * MS).released_connections, [1])
 
 
@@ -320,7 +320,7 @@
         for failed_at, released in ((0, []), (NOW - 3_000 * MS, [1])):
             policy = sender()
             policy.destinations[7].connect_failed_at = failed_at
-            end(start_attempt(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
+            end_attempt(start_attempt(policy, 1), Outcome.COMPLETED, NOW + 100 * MS)
             self.assertEqual(policy.decide(NOW + 100 * MS).released_connections, released)
 
 
@@ -410,7 +410,7 @@
         handle = start_attempt(policy, 1, NUMBERED, key=9)
         policy.accept(NOW, 2, 8, NUMBERED, NOW + 16_000 * MS, 0, 9)
         policy.decide(NOW)
-        end(handle, Outcome.COMPLETED, NOW + 100 * MS)
+        end_attempt(handle, Outcome.COMPLETED, NOW + 100 * MS)
         self.assertEqual([attempt[0] for attempt in policy.decide(NOW + 100 * MS).attempts], [2])
 
     def test_a_key_is_paused_after_a_time_out_even_if_a_throttle_followed(self) -> None:
@@ -418,7 +418,7 @@
         handle = start_attempt(policy, 1, NUMBERED, key=9)
         accept_message(policy, 2, NUMBERED, key=9)
         handle.attempts, handle.ran_at, handle.doubtful_at = 6, NOW, NOW + 90 * MS
-        end(handle, Outcome.FULL, NOW + 100 * MS)
+        end_attempt(handle, Outcome.FULL, NOW + 100 * MS)
         decisions = policy.decide(NOW + 100 * MS)
         self.assertEqual((decisions.attempts, decisions.abandoned), ([], [1]))
         self.assertEqual(policy.order_key_queues.paused_until[9], NOW + 390 * MS)
@@ -464,7 +464,7 @@
                 NOW + after * 1000 * MS, EndpointUpdate.FULL, [ListedEndpoint(9, 0, 0, 7, EndpointState.READY, 0.0)]
             )
         self.assertEqual((sorted(policy.receivers), policy.destinations[7].receiver_ids), ([held, 9], [held, 9]))
-        end(handle, Outcome.COMPLETED, NOW + 21_000 * MS, receiver=held)
+        end_attempt(handle, Outcome.COMPLETED, NOW + 21_000 * MS, receiver=held)
         policy.apply_endpoint_list(NOW + 22_000 * MS, EndpointUpdate.DELTA, [])
         policy.decide(NOW + 22_000 * MS)
         self.assertEqual((list(policy.receivers), policy.destinations[7].receiver_ids), ([9], [9]))
@@ -474,7 +474,7 @@
         for key in range(1, 40):
             handle = start_attempt(policy, key, NUMBERED, key=key, now=NOW + key * 1000 * MS)
             handle.doubtful_at = NOW + key * 1000 * MS
-            end(handle, Outcome.COMPLETED, NOW + (key * 1000 + 100) * MS)
+            end_attempt(handle, Outcome.COMPLETED, NOW + (key * 1000 + 100) * MS)
         self.assertEqual(
             (list(policy.order_key_queues.paused_until), list(policy.order_key_queues.queues)), ([39], [39])
         )
@@ -483,14 +483,14 @@
 class RetryAfterAndRateTest(unittest.TestCase):
     def test_a_retry_after_wait_applies_to_all_receivers_and_messages(self) -> None:
         policy = sender(receivers=2)
-        end(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=800 * MS)
+        end_attempt(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=800 * MS)
         accept_message(policy, 2, now=NOW + 200 * MS)
         self.assertEqual(policy.decide(NOW + 899 * MS).attempts, [])
 
     def test_a_retry_after_wait_applies_to_one_receiver_of_a_separate_kind(self) -> None:
         policy = sender(receivers=2, kind=1)
         handle = start_attempt(policy, 1)
-        end(handle, Outcome.FULL, NOW + 100 * MS, retry_after=800 * MS, receiver=1)
+        end_attempt(handle, Outcome.FULL, NOW + 100 * MS, retry_after=800 * MS, receiver=1)
         accept_message(policy, 2, now=NOW + 200 * MS)
         self.assertEqual([attempt[1] for attempt in policy.decide(NOW + 200 * MS).attempts], [2])
 
@@ -499,7 +499,7 @@
         before = policy.receivers[1].rate_control.rate
         assert before is not None
         handle = start_attempt(policy, 1)
-        end(handle, Outcome.FULL, NOW + 100 * MS)
+        end_attempt(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(policy.receivers[1].rate_control.rate, before / 2)
         policy._adjust_rate_after_throttle(NOW + THROTTLE_WINDOW // 2, policy.receivers[1].rate_control, True)
         self.assertEqual(policy.receivers[1].rate_control.rate, before / 2)
@@ -508,14 +508,14 @@
         policy = sender(rate=10.0, weight_source="nominal")
         handle = start_attempt(policy, 1)
         policy.receivers[1].rate_control.rate = 4.0
-        end(handle, Outcome.FULL, NOW + 100 * MS)
+        end_attempt(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(policy.receivers[1].rate_control.rate, 4.0)
 
     def test_a_throttle_empties_the_bucket(self) -> None:
         policy = sender(rate=10.0, weight_source="nominal")
         handle = start_attempt(policy, 1)
         policy.receivers[1].rate_control.bucket.tokens = 4.0
-        end(handle, Outcome.FULL, NOW + 100 * MS)
+        end_attempt(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual(policy.receivers[1].rate_control.bucket.tokens, 0.0)
 
     def test_a_rate_without_throttles_rises_in_small_steps(self) -> None:
@@ -523,7 +523,7 @@
         handle = start_attempt(policy, 1)
         rate_control = policy.receivers[1].rate_control
         rate_control.rate, rate_control.reference_rate, rate_control.raised_at = 2.0, 4.0, NOW
-        end(handle, Outcome.COMPLETED, NOW + RATE_STEP_INTERVAL)
+        end_attempt(handle, Outcome.COMPLETED, NOW + RATE_STEP_INTERVAL)
         self.assertAlmostEqual(rate_control.rate, 2.2)
 
     def test_an_unused_limit_allows_larger_steps(self) -> None:
@@ -541,7 +541,7 @@
             policy.random_source.state = seed
             handle = start_attempt(policy, 1)
             handle.attempts = 2
-            end(handle, Outcome.FULL, NOW)
+            end_attempt(handle, Outcome.FULL, NOW)
             dues.append(handle.not_before - NOW)
         self.assertLess(max(dues), BACKOFF_BASE * 2)
         self.assertGreater(len(set(dues)), 20)
@@ -552,14 +552,14 @@
             policy.random_source.state, policy.receivers[1].mean_latency = seed, quickest
             handle = start_attempt(policy, 1)
             handle.attempts = 8
-            end(handle, Outcome.CONNECT_FAILED, NOW + 4_000 * MS)
+            end_attempt(handle, Outcome.CONNECT_FAILED, NOW + 4_000 * MS)
             decisions = policy.decide(NOW + 4_000 * MS)
             self.assertEqual((decisions.nacks, decisions.abandoned), ([], []), (seed, quickest))
             self.assertLess(handle.not_before, NOW + 16_000 * MS - quickest)
 
     def test_a_retry_after_wait_beyond_the_deadline_ends_the_message_at_once(self) -> None:
         policy = sender()
-        end(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=17_000 * MS)
+        end_attempt(start_attempt(policy, 1), Outcome.FULL, NOW + 100 * MS, retry_after=17_000 * MS)
         self.assertEqual(policy.decide(NOW + 100 * MS).nacks, [(1, 0)])
 
     def test_attempts_of_a_round_share_a_call_and_a_slot(self) -> None:
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -4,7 +4,7 @@
 
 from cedarwick.decisions.interface import EarlierHealth, HealthReason, HealthState, Outcome
 from cedarwick.decisions.policy import Sender
-from tests.build import MS, NOW, end, sender, start_attempt
+from tests.build import MS, NOW, end_attempt, sender, start_attempt
 
 SECOND = 1000 * MS
 
@@ -19,10 +19,10 @@
         self.policy.take_health_changes()
 
     def failed_call(self, policy: Sender, at: int) -> None:
-        end(start_attempt(policy, 1, now=at), Outcome.ERROR, at + 100 * MS)
+        end_attempt(start_attempt(policy, 1, now=at), Outcome.ERROR, at + 100 * MS)
 
     def complete(self, policy: Sender, at: int) -> None:
-        end(start_attempt(policy, 2, now=at), Outcome.COMPLETED, at + 100 * MS)
+        end_attempt(start_attempt(policy, 2, now=at), Outcome.COMPLETED, at + 100 * MS)
 
     def test_a_single_failure_ejects_no_receiver_but_the_next_completion_starts_a_ramp(self) -> None:
         self.failed_call(self.policy, NOW)
@@ -58,7 +58,7 @@
         hanging = start_attempt(self.policy, 3)
         self.failed_call(self.policy, NOW + MS)
         self.policy._eject_silent(NOW + 2 * SECOND, self.second)
-        end(hanging, Outcome.COMPLETED, NOW + 3 * SECOND, receiver=2)
+        end_attempt(hanging, Outcome.COMPLETED, NOW + 3 * SECOND, receiver=2)
         self.assertTrue(self.second.recovered_at)
 
     def test_a_restart_keeps_the_suspicion_and_spreads_the_first_calls(self) -> None:
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -31,7 +31,7 @@
     ONCE,
     Receiver,
     accept_message,
-    end,
+    end_attempt,
     reply,
     sender,
     start_attempt,
@@ -322,7 +322,7 @@
 class DecisionsTest(unittest.TestCase):
     def test_a_wait_is_limited_to_an_hour(self) -> None:
         decisions = sender()
-        end(start_attempt(decisions, 1), Outcome.FULL, NOW, retry_after=10**30)
+        end_attempt(start_attempt(decisions, 1), Outcome.FULL, NOW, retry_after=10**30)
         self.assertLessEqual(decisions.receivers[1].rate_control.wait_until, NOW + 3_600_000 * MS)
         handle = start_attempt(decisions, 2, now=NOW)
         self.assertEqual(handle.attempts, 0)  # it ends at once: no attempt fits before its deadline
@@ -348,7 +348,7 @@
         second = accept_message(decisions, 2)
         self.assertEqual(decisions.decide(NOW).attempts, [])
         self.assertFalse(second.may_start(NOW + WAIT - 1, 1))
-        end(first, Outcome.TIME_OUT, NOW + 1)
+        end_attempt(first, Outcome.TIME_OUT, NOW + 1)
         self.assertEqual(decisions.decide(NOW + 2).abandoned, [1])
 
     def test_a_wait_applies_to_a_receiver_that_is_removed_and_listed_again(self) -> None:
