--- a/tests/build.py
+++ b/tests/build.py
@@ -362,7 +362,7 @@
         self.folder.cleanup()
 
 
-def words(*parts: bytes) -> bytes:
+def encode_command(*parts: bytes) -> bytes:
     """Encode a RESP2 command."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
@@ -370,7 +370,7 @@
 def submit(message: str, priority_class: str = "free", d: int = 8000, dest: int = 0, body: bytes = b"x") -> bytes:
     """Encode a SUBMIT command; `d` is the time until the deadline in milliseconds."""
     pairs = f"c={priority_class},d={d},dest={dest}".encode()
-    return words(b"SUBMIT", b"0000000000000000", message.encode(), pairs, body)
+    return encode_command(b"SUBMIT", b"0000000000000000", message.encode(), pairs, body)
 
 
 def line_of(sock: socket.socket) -> bytes:
@@ -383,5 +383,5 @@
 
 def ask(sock: socket.socket, *parts: bytes) -> bytes:
     """Send a RESP2 command and read its answer."""
-    sock.sendall(words(*parts))
+    sock.sendall(encode_command(*parts))
     return line_of(sock)
--- a/tests/net/test_client_listener_races.py
+++ b/tests/net/test_client_listener_races.py
@@ -32,7 +32,7 @@
 from cedarwick.net.submission import AdmissionResult
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import NESTED, Program, Receiver, ask, line_of, reply, submit, wait_for_condition, words
+from tests.build import NESTED, Program, Receiver, ask, encode_command, line_of, reply, submit, wait_for_condition
 
 OK, BUSY, UNKNOWN_COMMAND = b"+OK\r\n", b"-BUSY\r\n", b"-ERR unknown command\r\n"
 FIRST_HALF, SECOND_HALF = submit("a")[:30], submit("a")[30:]
@@ -116,7 +116,7 @@
             ("several requests, unread", (), submit("a") * 20, BUSY * 20),
             (
                 "a request behind unusable ones that delay it",
-                (words(b"NO") * 6 + submit("a"),),
+                (encode_command(b"NO") * 6 + submit("a"),),
                 b"",
                 UNKNOWN_COMMAND * 4 + BUSY * 3,
             ),
@@ -204,7 +204,7 @@
             ("half a request, read, and its rest, unread", (FIRST_HALF,), SECOND_HALF, (OK, "TimeoutError")),
             (
                 "a request behind unusable ones that delay it",
-                (words(b"NO") * 6 + submit("a"),),
+                (encode_command(b"NO") * 6 + submit("a"),),
                 b"",
                 (UNKNOWN_COMMAND * 6 + OK, "TimeoutError"),
             ),
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -28,7 +28,7 @@
 from cedarwick.net.sockets import is_closed
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
-from tests.build import NESTED, dispatcher_alone, reply, words
+from tests.build import NESTED, dispatcher_alone, encode_command, reply
 
 
 def stored_message(number: int, body: bytes = b"body") -> StoredMessage:
@@ -307,7 +307,7 @@
             self.assertEqual((buffer.take(96), buffer.peek(0, 999)), (bytes(96), b"\x01" * 100))
 
     def test_commands_split_at_any_byte_are_read(self) -> None:
-        text = words(b"SUBMIT", b"\r\n$3\r\n", b"")
+        text = encode_command(b"SUBMIT", b"\r\n$3\r\n", b"")
         for at in range(len(text)):
             buffer = Buffer()
             buffer.append(text[:at])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -14,7 +14,18 @@
 from unittest import mock
 
 from cedarwick.net.clock import Clock
-from tests.build import Answering, Platform, Program, Receiver, ask, line_of, reply, submit, wait_for_condition, words
+from tests.build import (
+    Answering,
+    Platform,
+    Program,
+    Receiver,
+    ask,
+    encode_command,
+    line_of,
+    reply,
+    submit,
+    wait_for_condition,
+)
 
 OK = b"+OK\r\n"
 
@@ -66,7 +77,7 @@
         sock = wait_for_condition(lambda: self._connected(program))
         self.addCleanup(sock.close)
         sock.settimeout(0.4)
-        sock.sendall(words(b"PING"))
+        sock.sendall(encode_command(b"PING"))
         with self.assertRaises(TimeoutError):
             sock.recv(1)
         sock.settimeout(5)
@@ -84,7 +95,7 @@
     def test_a_message_is_delivered_unchanged(self) -> None:
         program = self.start_program(reply(200))
         body = bytes(range(256)) * 256
-        request = words(b"SUBMIT", b"0" * 16, b"id-1", b"c=free,d=8000,k=abc,dest=0,again=1", body)
+        request = encode_command(b"SUBMIT", b"0" * 16, b"id-1", b"c=free,d=8000,k=abc,dest=0,again=1", body)
         with program.connect() as sock:
             for offset in range(0, len(request), 9999):
                 sock.sendall(request[offset : offset + 9999])
@@ -100,12 +111,12 @@
         program = self.start_program(reply(200))
         answers = self.send_requests(
             program,
-            words(b"PING"),
+            encode_command(b"PING"),
             submit("a"),
             submit("b"),
-            words(b"NONSENSE"),
+            encode_command(b"NONSENSE"),
             submit("c", priority_class="unheard-of"),
-            words(b"ping"),
+            encode_command(b"ping"),
         )
         self.assertEqual(
             answers, [b"+PONG\r\n", OK, OK, b"-ERR unknown command\r\n", b"-ERR unknown class\r\n", b"+PONG\r\n"]
@@ -161,12 +172,14 @@
                 sock.sendall(request)
                 self.assertTrue(line_of(sock).startswith(b"-ERR "))
                 self.assertEqual(sock.recv(1), b"")
-        self.assertEqual(self.send_requests(program, words(b"PING")), [b"+PONG\r\n"])
+        self.assertEqual(self.send_requests(program, encode_command(b"PING")), [b"+PONG\r\n"])
 
     def test_an_invalid_submit_is_answered_with_an_error_and_no_close(self) -> None:
         program = self.start_program(reply(200))
-        injection = words(b"SUBMIT", b"0", b"a\r\nX-More: 1", b"c=free,d=1000,dest=0", b"")
-        answers = self.send_requests(program, words(b"SUBMIT", b"0"), injection, submit("a", d=-1), words(b"PING"))
+        injection = encode_command(b"SUBMIT", b"0", b"a\r\nX-More: 1", b"c=free,d=1000,dest=0", b"")
+        answers = self.send_requests(
+            program, encode_command(b"SUBMIT", b"0"), injection, submit("a", d=-1), encode_command(b"PING")
+        )
         self.assertEqual([answer[:4] for answer in answers], [b"-ERR"] * 3 + [b"+PON"])
 
     def test_an_unreadable_answer_counts_as_a_reset_and_an_at_most_once_message_is_not_repeated(self) -> None:
@@ -254,7 +267,7 @@
         self.assertEqual(line_of(active), OK)
         started_at = time.monotonic()
         slow_clients = [program.connect() for _ in range(3)]
-        for sock, sent in zip(slow_clients, (b"", b"*5\r\n$6\r\nSUBMIT\r\n", words(b"PING")), strict=True):
+        for sock, sent in zip(slow_clients, (b"", b"*5\r\n$6\r\nSUBMIT\r\n", encode_command(b"PING")), strict=True):
             self.addCleanup(sock.close)
             sock.sendall(sent)
         self.assertEqual([sock.makefile("rb").read()[:4] for sock in slow_clients], [b"", b"-ERR", b"+PON"])
