--- a/tests/build.py
+++ b/tests/build.py
@@ -367,7 +367,9 @@
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
-def submit(message: str, priority_class: str = "free", d: int = 8000, dest: int = 0, body: bytes = b"x") -> bytes:
+def encode_submit(
+    message: str, priority_class: str = "free", d: int = 8000, dest: int = 0, body: bytes = b"x"
+) -> bytes:
     """Encode a SUBMIT command; `d` is the time until the deadline in milliseconds."""
     pairs = f"c={priority_class},d={d},dest={dest}".encode()
     return encode_command(b"SUBMIT", b"0000000000000000", message.encode(), pairs, body)
--- a/tests/net/test_client_listener_races.py
+++ b/tests/net/test_client_listener_races.py
@@ -32,10 +32,20 @@
 from cedarwick.net.submission import AdmissionResult
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import NESTED, Program, Receiver, ask, encode_command, line_of, reply, submit, wait_for_condition
+from tests.build import (
+    NESTED,
+    Program,
+    Receiver,
+    ask,
+    encode_command,
+    encode_submit,
+    line_of,
+    reply,
+    wait_for_condition,
+)
 
 OK, BUSY, UNKNOWN_COMMAND = b"+OK\r\n", b"-BUSY\r\n", b"-ERR unknown command\r\n"
-FIRST_HALF, SECOND_HALF = submit("a")[:30], submit("a")[30:]
+FIRST_HALF, SECOND_HALF = encode_submit("a")[:30], encode_submit("a")[30:]
 
 
 def wait_until(condition: Callable[[], Any]) -> None:
@@ -109,14 +119,14 @@
     def test_requests_sent_before_the_listener_closes_are_answered_and_never_reset(self) -> None:
         for name, read, unread, expected in (
             ("nothing", (), b"", b""),
-            ("a complete request, unread", (), submit("a"), BUSY),
+            ("a complete request, unread", (), encode_submit("a"), BUSY),
             ("half a request, read", (FIRST_HALF,), b"", BUSY),
             ("half a request, read, and its rest, unread", (FIRST_HALF,), SECOND_HALF, BUSY),
             ("half a request, unread", (), FIRST_HALF, BUSY),
-            ("several requests, unread", (), submit("a") * 20, BUSY * 20),
+            ("several requests, unread", (), encode_submit("a") * 20, BUSY * 20),
             (
                 "a request behind unusable ones that delay it",
-                (encode_command(b"NO") * 6 + submit("a"),),
+                (encode_command(b"NO") * 6 + encode_submit("a"),),
                 b"",
                 UNKNOWN_COMMAND * 4 + BUSY * 3,
             ),
@@ -137,7 +147,7 @@
 
     def test_pipelined_commands_that_are_unanswered_at_shutdown_are_refused(self) -> None:
         sock = self.connect()
-        sock.sendall(submit("a") * 30)
+        sock.sendall(encode_submit("a") * 30)
         while len(self.submitted_ids) < 5:
             gevent.sleep(0)
         self.client_listener.stop()
@@ -149,7 +159,7 @@
         self.submit_result = (
             lambda message: (AdmissionResult.ACCEPTED, 0, None) if gate.wait() else (AdmissionResult.BUSY, 0, None)
         )
-        sock = self.connect(submit("a") + submit("b"))
+        sock = self.connect(encode_submit("a") + encode_submit("b"))
         self.client_listener.stop()
         self.end_listener()
         gate.set()
@@ -160,10 +170,10 @@
             mock.patch.object(client_connections, "CLOSE_TIMEOUT_S", 0.05),
             mock.patch.object(client_connections, "CROSSED_REQUEST_TIMEOUT_S", 5.0),
         ):
-            sock = self.connect(submit("a"))
+            sock = self.connect(encode_submit("a"))
             (client,) = self.client_listener.clients
             self.client_listener.stop()
-            sock.sendall(submit("b"))
+            sock.sendall(encode_submit("b"))
             wait_until(lambda: client.closed)
             for _ in range(9):
                 gevent.sleep(0)
@@ -172,9 +182,9 @@
         client.descriptor_wanted.set()
 
     def test_input_that_crosses_the_shutdown_stays_unread_and_does_not_reset_the_previous_answer(self) -> None:
-        for crossing in (b"*", submit("b"), submit("b") * 2000):
+        for crossing in (b"*", encode_submit("b"), encode_submit("b") * 2000):
             with self.subTest(size=len(crossing)):
-                sock = self.connect(submit("a"))
+                sock = self.connect(encode_submit("a"))
                 nothing_unread = self.client_listener._nothing_unread
 
                 def send_after_check(
@@ -187,7 +197,7 @@
 
                 with mock.patch.object(self.client_listener, "_nothing_unread", send_after_check):
                     self.client_listener.closing = True
-                    sock.sendall(submit("c"))
+                    sock.sendall(encode_submit("c"))
                     gevent.sleep(0.1)
                 self.assertEqual(self.read_all(sock, 0.1), (OK + BUSY, "end"))
                 self.client_listener.closing = False
@@ -199,12 +209,12 @@
         slow_us = round(client_connections.SLOW_REQUEST_S * 1_000_000) + 1
         for name, read, crossing, expected in (
             ("no request", (), b"", (b"", "end")),
-            ("a request, unread", (), submit("a"), (OK, "TimeoutError")),
+            ("a request, unread", (), encode_submit("a"), (OK, "TimeoutError")),
             ("half a request, read", (FIRST_HALF,), b"", (BUSY, "end")),
             ("half a request, read, and its rest, unread", (FIRST_HALF,), SECOND_HALF, (OK, "TimeoutError")),
             (
                 "a request behind unusable ones that delay it",
-                (encode_command(b"NO") * 6 + submit("a"),),
+                (encode_command(b"NO") * 6 + encode_submit("a"),),
                 b"",
                 (UNKNOWN_COMMAND * 6 + OK, "TimeoutError"),
             ),
@@ -228,14 +238,14 @@
         self.start_listener(descriptor_limit=64 + 8)
         new_client = self.connect()
         self.client_listener.closing = True
-        shut_down_client = self.connect(submit("a"), submit("b"))
+        shut_down_client = self.connect(encode_submit("a"), encode_submit("b"))
         self.client_listener.descriptors.used = 8
         for client in self.client_listener.clients:
             client.idle_since -= 1_000_000
         with mock.patch.object(self.client_listener, "clients", ManyClients(self.client_listener.clients)):
             self.assertRaises(NoDescriptorError, self.client_listener._free_descriptors)
         self.assertEqual(self.read_all(shut_down_client), (BUSY, "end"))
-        new_client.sendall(submit("c"))
+        new_client.sendall(encode_submit("c"))
         self.assertEqual(self.read_all(new_client), (BUSY, "end"))
 
     def test_a_request_that_arrives_just_as_its_timeout_expires_is_answered(self) -> None:
@@ -245,7 +255,7 @@
             try:
                 wait(waiting, *args)
             except TimeoutError:
-                sock.sendall(submit("a"))
+                sock.sendall(encode_submit("a"))
                 raise
 
         with (
@@ -266,7 +276,7 @@
                 self.submit_result = mock.Mock(return_value=(result, 0, None))
                 sock = self.connect()
                 self.client_listener.closing = closing
-                sock.sendall(submit("a") * 12)
+                sock.sendall(encode_submit("a") * 12)
                 self.assertEqual(self.read_all(sock, 0.4), (BUSY * 12, "end" if closing else "TimeoutError"))
                 self.client_listener.closing = False
 
@@ -358,7 +368,7 @@
         client = gevent.socket.create_connection(running_listener.listener.getsockname())
         self.addCleanup(client.close)
         if reused_connection:
-            client.sendall(submit("first", body=b"1"))
+            client.sendall(encode_submit("first", body=b"1"))
             self.assertEqual(client.recv(9), OK)
             wait_until(lambda: not dispatcher.store.messages and not dispatcher.attempts.in_flight)
         self.bodies.clear()
@@ -392,7 +402,7 @@
                 dispatcher, "_store_message", hang_up_at_step("as it is stored", dispatcher._store_message)
             ),
         ):
-            client.sendall(submit("left", body=b"2"))
+            client.sendall(encode_submit("left", body=b"2"))
             if step == "before it is read":
                 hang_up()
             wait_until(lambda: self.events and not dispatcher.store.messages and dispatcher.is_idle())
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -18,7 +18,18 @@
 from cedarwick.decisions.sender_state import MAX_LIST_POLL_DELAY
 from cedarwick.decisions.state import SECOND
 from cedarwick.net import endpoint_list as module
-from tests.build import NESTED, NOW, SETTINGS, Program, Receiver, free_port, line_of, reply, submit, wait_for_condition
+from tests.build import (
+    NESTED,
+    NOW,
+    SETTINGS,
+    Program,
+    Receiver,
+    encode_submit,
+    free_port,
+    line_of,
+    reply,
+    wait_for_condition,
+)
 from tests.net.test_endpoint_list import HEAD, WatchTestCase, chunk
 
 
@@ -378,7 +389,7 @@
                 started_at = time.monotonic()
                 with program.connect() as sock:
                     for dest in (0, 1):
-                        sock.sendall(submit(f"{delay_s}-{dest}", dest=dest))
+                        sock.sendall(encode_submit(f"{delay_s}-{dest}", dest=dest))
                         self.assertEqual(line_of(sock), b"+OK\r\n")
                 self.assertLess(time.monotonic() - started_at, 0.38)
                 wait_for_condition(lambda: len(program.receivers[1].calls) == 1 + (delay_s > 1))  # noqa: B023
--- a/tests/ops/test_ops.py
+++ b/tests/ops/test_ops.py
@@ -15,7 +15,18 @@
 from cedarwick.ops import saved_state
 from cedarwick.ops.commands import MAX_LINE_BYTES, Call, InvalidCallError, Suspensions, parse_call
 from cedarwick.ops.management import NotSuspendedError, UnlistedReceiverError
-from tests.build import NOW, Program, Receiver, ask, free_port, line_of, reply, sender, submit, wait_for_condition
+from tests.build import (
+    NOW,
+    Program,
+    Receiver,
+    ask,
+    encode_submit,
+    free_port,
+    line_of,
+    reply,
+    sender,
+    wait_for_condition,
+)
 
 OK = b"+OK\r\n"
 
@@ -132,7 +143,7 @@
             self.assertEqual(ask(sock, b"PING")[:1], b"-")
         with program.connect() as sock:
             sock.settimeout(2)
-            sock.sendall(submit("a"))
+            sock.sendall(encode_submit("a"))
             self.assertEqual(line_of(sock), OK)  # a request that was read is answered
             self.assertEqual(sock.recv(10), b"")  # the connection is closed after the answer
         wait_for_condition(lambda: program.receivers[0].calls)
@@ -240,7 +251,7 @@
 
 
 def submit_and_read_line(sock: socket.socket, message: str, dest: int = 0) -> bytes:
-    sock.sendall(submit(message, dest=dest))
+    sock.sendall(encode_submit(message, dest=dest))
     return line_of(sock)
 
 
@@ -326,9 +337,9 @@
         with program.connect() as sock:
             for number in range(3):
                 self.assertEqual(submit_and_read_line(sock, f"good-{number}"), OK)
-            sock.sendall(submit("nowhere", dest=9))
+            sock.sendall(encode_submit("nowhere", dest=9))
             self.assertEqual(line_of(sock)[:5], b"-BUSY")
-            sock.sendall(submit("bad", priority_class="once", dest=1))
+            sock.sendall(encode_submit("bad", priority_class="once", dest=1))
             self.assertEqual(line_of(sock), OK)
         wait_for_condition(lambda: read_metrics(management_port)['sender_bad_gateway_total{category="once"}'] == 1)
         after = read_metrics(management_port)
--- a/tests/store/test_store_tools.py
+++ b/tests/store/test_store_tools.py
@@ -17,7 +17,7 @@
 from cedarwick.store import tools
 from cedarwick.store.files import Folder
 from cedarwick.store.journal import Store
-from tests.build import Program, Receiver, free_port, reply, submit, wait_for_condition
+from tests.build import Program, Receiver, encode_submit, free_port, reply, wait_for_condition
 from tests.store.test_store import History, open_store
 
 
@@ -121,7 +121,7 @@
         accepted = 0
         with program.connect() as sock:
             for number in range(count):
-                sock.sendall(submit(f"e{number}", d=15000, body=b"b" * size))
+                sock.sendall(encode_submit(f"e{number}", d=15000, body=b"b" * size))
                 accepted += sock.recv(100) == b"+OK\r\n"
         return accepted
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -21,9 +21,9 @@
     Receiver,
     ask,
     encode_command,
+    encode_submit,
     line_of,
     reply,
-    submit,
     wait_for_condition,
 )
 
@@ -112,10 +112,10 @@
         answers = self.send_requests(
             program,
             encode_command(b"PING"),
-            submit("a"),
-            submit("b"),
+            encode_submit("a"),
+            encode_submit("b"),
             encode_command(b"NONSENSE"),
-            submit("c", priority_class="unheard-of"),
+            encode_submit("c", priority_class="unheard-of"),
             encode_command(b"ping"),
         )
         self.assertEqual(
@@ -124,7 +124,7 @@
 
     def test_a_repeated_request_is_accepted_only_once(self) -> None:
         program = self.start_program(None)
-        self.assertEqual(self.send_requests(program, submit("a"), submit("a")), [OK, OK])
+        self.assertEqual(self.send_requests(program, encode_submit("a"), encode_submit("a")), [OK, OK])
         time.sleep(0.2)
         self.assertEqual(len(program.receivers[0].calls), 1)
 
@@ -134,14 +134,14 @@
         program.receivers[0].answer = lambda call: chunked if call % 2 else reply(200)
         for number in range(3):
             for dest in (0, 1):
-                self.send_requests(program, submit(f"{dest}-{number}", dest=dest))
+                self.send_requests(program, encode_submit(f"{dest}-{number}", dest=dest))
                 wait_for_condition(lambda: len(program.receivers[dest].calls) > number)  # noqa: B023
                 time.sleep(0.05)
         self.assertEqual([receiver.connections for receiver in program.receivers], [1, 3])
 
     def test_a_retry_after_wait_is_respected(self) -> None:
         program = self.start_program(lambda call: reply(200) if call > 1 else reply(429, "X-Backoff-Ms: 400"))
-        self.send_requests(program, submit("a"))
+        self.send_requests(program, encode_submit("a"))
         calls = wait_for_condition(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls)
         self.assertGreaterEqual(calls[1][0] - calls[0][0], 0.4)
 
@@ -150,7 +150,7 @@
         program.platform.news.put({"rev": 2, "all": False, "targets": [program.target(0, "draining")]})
         wait_for_condition(program.platform.news.empty)
         time.sleep(0.1)
-        self.send_requests(program, submit("a", d=400))
+        self.send_requests(program, encode_submit("a", d=400))
         wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "returned"}])
         self.assertEqual(program.receivers[0].calls, [])
@@ -178,13 +178,13 @@
         program = self.start_program(reply(200))
         injection = encode_command(b"SUBMIT", b"0", b"a\r\nX-More: 1", b"c=free,d=1000,dest=0", b"")
         answers = self.send_requests(
-            program, encode_command(b"SUBMIT", b"0"), injection, submit("a", d=-1), encode_command(b"PING")
+            program, encode_command(b"SUBMIT", b"0"), injection, encode_submit("a", d=-1), encode_command(b"PING")
         )
         self.assertEqual([answer[:4] for answer in answers], [b"-ERR"] * 3 + [b"+PON"])
 
     def test_an_unreadable_answer_counts_as_a_reset_and_an_at_most_once_message_is_not_repeated(self) -> None:
         program = self.start_program(b"SSH-2.0-nothing\r\n\r\n" * 50)
-        self.send_requests(program, submit("a", priority_class="once"))
+        self.send_requests(program, encode_submit("a", priority_class="once"))
         wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "failed"}])
         self.assertEqual(len(program.receivers[0].calls), 1)
@@ -205,7 +205,9 @@
             answers = [head(status, rest) for status in (200, 429, 410, 503, 504)]
             with self.subTest(rest=rest[:40]):
                 program = self.start_program(*answers)
-                self.send_requests(program, *(submit(str(dest), priority_class="once", dest=dest) for dest in range(5)))
+                self.send_requests(
+                    program, *(encode_submit(str(dest), priority_class="once", dest=dest) for dest in range(5))
+                )
                 wait_for_condition(lambda: len(program.platform.notices) == 4)  # noqa: B023
                 self.assertEqual(
                     {(notice["id"], notice["state"]) for notice in program.platform.notices},
@@ -216,7 +218,7 @@
     def test_an_answer_followed_by_unexpected_bytes_counts_but_its_connection_is_closed(self) -> None:
         program = self.start_program(reply(200) + reply(503), reply(200) + b"\x00")
         for number in range(2):
-            self.send_requests(program, submit(f"a{number}"), submit(f"b{number}", dest=1))
+            self.send_requests(program, encode_submit(f"a{number}"), encode_submit(f"b{number}", dest=1))
             wait_for_condition(lambda: all(len(receiver.calls) > number for receiver in program.receivers))  # noqa: B023
             time.sleep(0.1)
         self.assertEqual(
@@ -227,7 +229,7 @@
         program = self.start_program(reply(200))
         program.receivers[0].close()
         started_at = time.monotonic()
-        self.assertEqual(self.send_requests(program, submit("a", priority_class="once", d=900)), [OK])
+        self.assertEqual(self.send_requests(program, encode_submit("a", priority_class="once", d=900)), [OK])
         wait_for_condition(lambda: program.platform.notices)
         self.assertLess(time.monotonic() - started_at, 2.0)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "returned"}])
@@ -235,19 +237,21 @@
     def test_a_notice_is_repeated_until_it_is_acknowledged(self) -> None:
         program = self.start_program(reply(500))
         program.platform.refusals = 2
-        self.send_requests(program, submit("a", priority_class="once"), submit("b", priority_class="once"))
+        self.send_requests(
+            program, encode_submit("a", priority_class="once"), encode_submit("b", priority_class="once")
+        )
         wait_for_condition(lambda: len(program.platform.notices) == 2)
         self.assertEqual(sorted(notice["id"] for notice in program.platform.notices), ["a", "b"])
 
     def test_a_timeout_closes_its_connection_before_the_next_attempt(self) -> None:
         program = self.start_program(lambda call: None if call == 1 else reply(200))
-        self.send_requests(program, submit("a"))
+        self.send_requests(program, encode_submit("a"))
         wait_for_condition(lambda: len(program.receivers[0].calls) == 2)
         self.assertEqual(program.receivers[0].connections, 2)
 
     def test_an_early_answer_counts_although_the_request_was_not_read(self) -> None:
         program = self.start_program(reply(410))
-        self.send_requests(program, submit("a"))
+        self.send_requests(program, encode_submit("a"))
         wait_for_condition(lambda: program.receivers[0].calls)
         time.sleep(0.2)
         self.assertEqual((len(program.receivers[0].calls), program.platform.notices), (1, []))
@@ -257,13 +261,13 @@
         clients = [program.connect() for _ in range(40)]
         for sock in clients:
             self.addCleanup(sock.close)
-        self.assertEqual(self.send_requests(program, submit("a")), [OK])
+        self.assertEqual(self.send_requests(program, encode_submit("a")), [OK])
 
     def test_a_silent_client_or_an_incomplete_request_is_closed_within_three_seconds(self) -> None:
         program = self.start_program(reply(200))
         active = program.connect()
         self.addCleanup(active.close)
-        active.sendall(submit("a"))
+        active.sendall(encode_submit("a"))
         self.assertEqual(line_of(active), OK)
         started_at = time.monotonic()
         slow_clients = [program.connect() for _ in range(3)]
@@ -286,10 +290,10 @@
     def test_a_client_that_repeats_an_invalid_request_is_delayed_and_closed(self) -> None:
         program = self.start_program(reply(200))
         with program.connect() as bad_client:
-            bad_client.sendall(submit("a", priority_class="unheard-of") * 300)
+            bad_client.sendall(encode_submit("a", priority_class="unheard-of") * 300)
             self.assertTrue(line_of(bad_client).startswith(b"-ERR"))
             started_at = time.monotonic()
-            self.assertEqual(self.send_requests(program, submit("b")), [OK])
+            self.assertEqual(self.send_requests(program, encode_submit("b")), [OK])
             self.assertLess(time.monotonic() - started_at, 0.1)
             with contextlib.suppress(ConnectionResetError):
                 self.assertLess(len(bad_client.makefile("rb").read().splitlines()), 20)
@@ -301,14 +305,16 @@
         for number in range(40):
             sock = program.connect()
             self.addCleanup(sock.close)
-            sock.sendall(submit(f"a{number}"))
+            sock.sendall(encode_submit(f"a{number}"))
             self.assertEqual(line_of(sock), OK)
-        new_client.sendall(submit("late"))
+        new_client.sendall(encode_submit("late"))
         self.assertEqual(line_of(new_client), OK)
 
     def test_a_full_folder_causes_messages_to_be_refused(self) -> None:
         program = self.start_program(None, disk_mb=0.2)
-        answers = [self.send_requests(program, submit(f"e{number}", body=bytes(30_000)))[0] for number in range(4)]
+        answers = [
+            self.send_requests(program, encode_submit(f"e{number}", body=bytes(30_000)))[0] for number in range(4)
+        ]
         self.assertEqual(answers, [OK, OK, OK, b"-BUSY\r\n"])
         used_bytes = sum(
             os.path.getsize(os.path.join(program.path("state"), name)) for name in os.listdir(program.path("state"))
@@ -321,7 +327,7 @@
             return reply(200)
 
         program = self.start_program(answer_soon)
-        self.send_requests(program, submit("a", priority_class="once", d=1000))
+        self.send_requests(program, encode_submit("a", priority_class="once", d=1000))
         wait_for_condition(lambda: program.receivers[0].calls)
         program.signal(signal.SIGSTOP)
         time.sleep(1.2)
@@ -334,7 +340,7 @@
         program = self.start_program(reply(200))
         program.signal(signal.SIGSTOP)
         with program.connect() as sock:
-            sock.sendall(submit("a"))
+            sock.sendall(encode_submit("a"))
         program.signal(signal.SIGCONT)
         time.sleep(0.3)
         self.assertEqual((program.receivers[0].calls, program.platform.notices), ([], []))
@@ -345,7 +351,7 @@
         program.platform.targets = [program.target(0, "draining")]
         wait_for_condition(lambda: program.platform.watches > 1)
         time.sleep(0.2)
-        self.send_requests(program, submit("a", d=400))
+        self.send_requests(program, encode_submit("a", d=400))
         wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.receivers[0].calls, [])
 
@@ -353,7 +359,7 @@
 class RestartsTest(RunningTestCase):
     def test_after_a_kill_an_idempotent_message_is_delivered(self) -> None:
         program = self.start_program(lambda call: None if call == 1 else reply(200))
-        self.assertEqual(self.send_requests(program, submit("a", body=b"kept")), [OK])
+        self.assertEqual(self.send_requests(program, encode_submit("a", body=b"kept")), [OK])
         wait_for_condition(lambda: program.receivers[0].calls)
         program.kill()
         program.start()
@@ -362,7 +368,7 @@
 
     def test_after_a_kill_an_at_most_once_message_in_flight_fails(self) -> None:
         program = self.start_program(None)
-        self.send_requests(program, submit("a", priority_class="once"))
+        self.send_requests(program, encode_submit("a", priority_class="once"))
         wait_for_condition(lambda: program.receivers[0].calls)
         program.kill()
         program.start()
@@ -372,7 +378,7 @@
 
     def test_after_a_kill_a_completed_message_is_not_repeated(self) -> None:
         program = self.start_program(reply(200))
-        self.send_requests(program, submit("a"))
+        self.send_requests(program, encode_submit("a"))
         wait_for_condition(lambda: program.receivers[0].calls)
         time.sleep(0.1)
         program.kill()
@@ -391,7 +397,7 @@
             with program.connect() as sock:
                 for number in range(16):
                     name, priority_class = f"{run}-{number}", ("free", "once")[number % 2]
-                    sock.sendall(submit(name, priority_class=priority_class, dest=number // 2 % 2))
+                    sock.sendall(encode_submit(name, priority_class=priority_class, dest=number // 2 % 2))
                     if line_of(sock) == OK:
                         accepted.append(name)
             stop()
@@ -415,7 +421,7 @@
 
     def check_delivery_after_wait(self, wait_ms: int) -> None:
         program = self.start_program(lambda call: reply(200) if call > 1 else reply(429, f"X-Backoff-Ms: {wait_ms}"))
-        self.send_requests(program, submit("a"))
+        self.send_requests(program, encode_submit("a"))
         wait_for_condition(lambda: program.receivers[0].calls)
         status, log = program.terminate()
         self.assertEqual((status, len(program.receivers[0].calls)), (0, 2))
@@ -427,11 +433,11 @@
             return reply(200)
 
         program = self.start_program(answer_late)
-        self.send_requests(program, submit("a", priority_class="once"))
+        self.send_requests(program, encode_submit("a", priority_class="once"))
         wait_for_condition(lambda: program.receivers[0].calls)
         program.signal(signal.SIGTERM)
         time.sleep(0.1)
-        self.assertEqual(self.send_requests(program, submit("b")), [b"-BUSY\r\n"])
+        self.assertEqual(self.send_requests(program, encode_submit("b")), [b"-BUSY\r\n"])
         status, log = program.terminate()
         self.assertEqual(status, 0)
         counters = json.loads(log.partition("counters ")[2].splitlines()[0])
@@ -452,7 +458,7 @@
             """Send one request after another until the sender closes the connection."""
             with program.connect() as sock, contextlib.suppress(OSError):
                 for turn in range(10_000):
-                    sock.sendall(submit(f"{number}-{turn}"))
+                    sock.sendall(encode_submit(f"{number}-{turn}"))
                     if not (line := line_of(sock)):
                         return
                     answered.append(line)
@@ -466,16 +472,18 @@
         program.signal(signal.SIGTERM)
         signalled_at = time.monotonic()
         wait_for_condition(lambda: select.select([crossing_client], [], [], 0)[0])
-        crossing_client.sendall(submit("crosses"))  # the client has received our shutdown, but has not noticed it
+        crossing_client.sendall(
+            encode_submit("crosses")
+        )  # the client has received our shutdown, but has not noticed it
         time.sleep(0.1)
         crossing_client.sendall(b"*")  # would fail after a reset
         self.assertEqual(crossing_client.recv(100), b"")
-        new_client.sendall(submit("fresh"))
+        new_client.sendall(encode_submit("fresh"))
         self.assertEqual(line_of(new_client), b"-BUSY\r\n")
         for client in clients:
             client.join()
         time.sleep(1.6 - (time.monotonic() - signalled_at))
-        partial_client.sendall(submit("slow")[:-5])
+        partial_client.sendall(encode_submit("slow")[:-5])
         self.assertEqual(line_of(partial_client), b"-BUSY\r\n")
         log = program.terminate()[1]
         self.assertIn(f'"handed in": {len(answered) + 1},', log)
@@ -496,7 +504,7 @@
         platform = self.change_platform(program)
         wait_for_condition(lambda: platform.watches)
         time.sleep(0.1)
-        self.send_requests(program, submit("gone", d=400), submit("a", priority_class="once", dest=1))
+        self.send_requests(program, encode_submit("gone", d=400), encode_submit("a", priority_class="once", dest=1))
         wait_for_condition(lambda: len(platform.notices) == 2)
         self.assertEqual(sorted(notice["id"] for notice in platform.notices), ["a", "gone"])
         self.assertEqual((program.receivers[0].calls, program.platform.notices), ([], []))
@@ -504,7 +512,7 @@
     def test_a_notice_without_an_answer_is_repeated_at_the_new_address(self) -> None:
         program = self.start_program(reply(200), reply(500))
         program.platform.deaf = True
-        self.send_requests(program, submit("a", priority_class="once", dest=1))
+        self.send_requests(program, encode_submit("a", priority_class="once", dest=1))
         wait_for_condition(lambda: program.platform.posts)
         started_at = time.monotonic()
         platform = self.change_platform(program)
@@ -518,7 +526,7 @@
         program.signal(signal.SIGHUP)
         program.signal(signal.SIGHUP)
         time.sleep(0.2)
-        self.assertEqual(self.send_requests(program, submit("a")), [OK])
+        self.assertEqual(self.send_requests(program, encode_submit("a")), [OK])
         self.assertEqual((program.platform.watches, program.terminate()[0]), (1, 0))
 
     def test_after_a_reload_a_restart_prefers_the_file_to_the_environment(self) -> None:
