--- a/tests/build.py
+++ b/tests/build.py
@@ -375,7 +375,7 @@
     return encode_command(b"SUBMIT", b"0000000000000000", message.encode(), pairs, body)
 
 
-def line_of(sock: socket.socket) -> bytes:
+def read_line(sock: socket.socket) -> bytes:
     """Read one line; shorter at the end of the connection."""
     line = b""
     while not line.endswith(b"\n") and (byte := sock.recv(1)):
@@ -386,4 +386,4 @@
 def ask(sock: socket.socket, *parts: bytes) -> bytes:
     """Send a RESP2 command and read its answer."""
     sock.sendall(encode_command(*parts))
-    return line_of(sock)
+    return read_line(sock)
--- a/tests/net/test_client_listener_races.py
+++ b/tests/net/test_client_listener_races.py
@@ -39,7 +39,7 @@
     ask,
     encode_command,
     encode_submit,
-    line_of,
+    read_line,
     reply,
     wait_for_condition,
 )
@@ -426,7 +426,7 @@
                 sock.sendall(FIRST_HALF)
                 self.assertEqual(ask(newer, b"PING"), b"+PONG\r\n")  # the bytes of the older one were read
                 program.signal(signal.SIGTERM)
-                self.assertEqual((line_of(sock), sock.recv(1)), (BUSY, b""))
+                self.assertEqual((read_line(sock), sock.recv(1)), (BUSY, b""))
             assert program.process is not None
             self.assertEqual(program.process.wait(5), 0)
 
--- a/tests/net/test_endpoint_list.py
+++ b/tests/net/test_endpoint_list.py
@@ -18,7 +18,7 @@
 from cedarwick.net.counters import Counters
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.json_objects import JsonObjectReader
-from tests.build import Program, Receiver, encode_submit, line_of, wait_for_condition
+from tests.build import Program, Receiver, encode_submit, read_line, wait_for_condition
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 JSON_VALUES = st.recursive(
@@ -236,7 +236,7 @@
         program.configure(known={"rev": 0, "all": True, "targets": [program.target(0), program.target(1)]})
         with program.connect() as sock:
             sock.sendall(encode_submit("a"))
-            line_of(sock)
+            read_line(sock)
         wait_for_condition(lambda: program.receivers[0].calls)
         program.platform.targets = [program.target(0, "draining"), program.target(1)]
         for _ in range(2):
@@ -254,7 +254,7 @@
             with program.connect() as sock:
                 started_at = time.monotonic()
                 sock.sendall(encode_submit("a"))
-                self.assertEqual(line_of(sock), b"+OK\r\n")
+                self.assertEqual(read_line(sock), b"+OK\r\n")
         self.assertLess(time.monotonic() - started_at, 0.38)
 
 
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -26,7 +26,7 @@
     Receiver,
     encode_submit,
     free_port,
-    line_of,
+    read_line,
     reply,
     wait_for_condition,
 )
@@ -390,7 +390,7 @@
                 with program.connect() as sock:
                     for dest in (0, 1):
                         sock.sendall(encode_submit(f"{delay_s}-{dest}", dest=dest))
-                        self.assertEqual(line_of(sock), b"+OK\r\n")
+                        self.assertEqual(read_line(sock), b"+OK\r\n")
                 self.assertLess(time.monotonic() - started_at, 0.38)
                 wait_for_condition(lambda: len(program.receivers[1].calls) == 1 + (delay_s > 1))  # noqa: B023
                 self.assertLess(time.monotonic() - started_at, 1.3)
--- a/tests/ops/test_ops.py
+++ b/tests/ops/test_ops.py
@@ -22,7 +22,7 @@
     ask,
     encode_submit,
     free_port,
-    line_of,
+    read_line,
     reply,
     sender,
     wait_for_condition,
@@ -128,7 +128,7 @@
         with socket.create_connection(("127.0.0.1", self.management_port)) as sock:
             sock.settimeout(4)
             sock.sendall(b"STAT")
-            self.assertTrue(line_of(sock).startswith(b"NO "))
+            self.assertTrue(read_line(sock).startswith(b"NO "))
 
     def test_a_pause_closes_idle_clients_and_answers_requests_already_read(self) -> None:
         program = self.start_program()
@@ -144,7 +144,7 @@
         with program.connect() as sock:
             sock.settimeout(2)
             sock.sendall(encode_submit("a"))
-            self.assertEqual(line_of(sock), OK)  # a request that was read is answered
+            self.assertEqual(read_line(sock), OK)  # a request that was read is answered
             self.assertEqual(sock.recv(10), b"")  # the connection is closed after the answer
         wait_for_condition(lambda: program.receivers[0].calls)
         self.assertEqual(management_call(self.management_port, b"RESUME\n"), b"YES resumed\n")
@@ -252,7 +252,7 @@
 
 def submit_and_read_line(sock: socket.socket, message: str, dest: int = 0) -> bytes:
     sock.sendall(encode_submit(message, dest=dest))
-    return line_of(sock)
+    return read_line(sock)
 
 
 class ReturnAfterDrainTest(unittest.TestCase):
@@ -338,9 +338,9 @@
             for number in range(3):
                 self.assertEqual(submit_and_read_line(sock, f"good-{number}"), OK)
             sock.sendall(encode_submit("nowhere", dest=9))
-            self.assertEqual(line_of(sock)[:5], b"-BUSY")
+            self.assertEqual(read_line(sock)[:5], b"-BUSY")
             sock.sendall(encode_submit("bad", priority_class="once", dest=1))
-            self.assertEqual(line_of(sock), OK)
+            self.assertEqual(read_line(sock), OK)
         wait_for_condition(lambda: read_metrics(management_port)['sender_bad_gateway_total{category="once"}'] == 1)
         after = read_metrics(management_port)
         self.assertEqual(after['sender_passed_total{category="free"}'], 3)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -22,7 +22,7 @@
     ask,
     encode_command,
     encode_submit,
-    line_of,
+    read_line,
     reply,
     wait_for_condition,
 )
@@ -42,7 +42,7 @@
     def send_requests(self, program: Program, *requests: bytes) -> list[bytes]:
         with program.connect() as sock:
             sock.sendall(b"".join(requests))
-            return [line_of(sock) for _ in requests]
+            return [read_line(sock) for _ in requests]
 
 
 class ClockAtStartTest(unittest.TestCase):
@@ -81,7 +81,7 @@
         with self.assertRaises(TimeoutError):
             sock.recv(1)
         sock.settimeout(5)
-        self.assertTrue(line_of(sock))  # the answer may be LOADING: the endpoint list is not known yet
+        self.assertTrue(read_line(sock))  # the answer may be LOADING: the endpoint list is not known yet
         wait_for_condition(program._ready)
 
     def _connected(self, program: Program) -> socket.socket | None:
@@ -100,7 +100,7 @@
             for offset in range(0, len(request), 9999):
                 sock.sendall(request[offset : offset + 9999])
                 time.sleep(0.002)
-            self.assertEqual(line_of(sock), OK)
+            self.assertEqual(read_line(sock), OK)
         _, head, received = wait_for_condition(lambda: program.receivers[0].calls)[0]
         self.assertEqual(received, body)
         self.assertTrue(head.startswith(b"POST /receive HTTP/1.1\r\n"))
@@ -170,7 +170,7 @@
         ):
             with self.subTest(request=request), program.connect() as sock:
                 sock.sendall(request)
-                self.assertTrue(line_of(sock).startswith(b"-ERR "))
+                self.assertTrue(read_line(sock).startswith(b"-ERR "))
                 self.assertEqual(sock.recv(1), b"")
         self.assertEqual(self.send_requests(program, encode_command(b"PING")), [b"+PONG\r\n"])
 
@@ -268,7 +268,7 @@
         active = program.connect()
         self.addCleanup(active.close)
         active.sendall(encode_submit("a"))
-        self.assertEqual(line_of(active), OK)
+        self.assertEqual(read_line(active), OK)
         started_at = time.monotonic()
         slow_clients = [program.connect() for _ in range(3)]
         for sock, sent in zip(slow_clients, (b"", b"*5\r\n$6\r\nSUBMIT\r\n", encode_command(b"PING")), strict=True):
@@ -282,7 +282,7 @@
         program = self.start_program(reply(200))
         with program.connect() as sock, contextlib.suppress(OSError):
             sock.sendall(b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$1\r\na\r\n$1\r\nc\r\n$60000000\r\n")
-            self.assertTrue(line_of(sock).startswith(b"-ERR"))
+            self.assertTrue(read_line(sock).startswith(b"-ERR"))
             for _ in range(60):
                 sock.sendall(bytes(1_000_000))
             self.fail("the whole body was read")
@@ -291,7 +291,7 @@
         program = self.start_program(reply(200))
         with program.connect() as bad_client:
             bad_client.sendall(encode_submit("a", priority_class="unheard-of") * 300)
-            self.assertTrue(line_of(bad_client).startswith(b"-ERR"))
+            self.assertTrue(read_line(bad_client).startswith(b"-ERR"))
             started_at = time.monotonic()
             self.assertEqual(self.send_requests(program, encode_submit("b")), [OK])
             self.assertLess(time.monotonic() - started_at, 0.1)
@@ -306,9 +306,9 @@
             sock = program.connect()
             self.addCleanup(sock.close)
             sock.sendall(encode_submit(f"a{number}"))
-            self.assertEqual(line_of(sock), OK)
+            self.assertEqual(read_line(sock), OK)
         new_client.sendall(encode_submit("late"))
-        self.assertEqual(line_of(new_client), OK)
+        self.assertEqual(read_line(new_client), OK)
 
     def test_a_full_folder_causes_messages_to_be_refused(self) -> None:
         program = self.start_program(None, disk_mb=0.2)
@@ -398,7 +398,7 @@
                 for number in range(16):
                     name, priority_class = f"{run}-{number}", ("free", "once")[number % 2]
                     sock.sendall(encode_submit(name, priority_class=priority_class, dest=number // 2 % 2))
-                    if line_of(sock) == OK:
+                    if read_line(sock) == OK:
                         accepted.append(name)
             stop()
             program.start()
@@ -459,7 +459,7 @@
             with program.connect() as sock, contextlib.suppress(OSError):
                 for turn in range(10_000):
                     sock.sendall(encode_submit(f"{number}-{turn}"))
-                    if not (line := line_of(sock)):
+                    if not (line := read_line(sock)):
                         return
                     answered.append(line)
 
@@ -479,12 +479,12 @@
         crossing_client.sendall(b"*")  # would fail after a reset
         self.assertEqual(crossing_client.recv(100), b"")
         new_client.sendall(encode_submit("fresh"))
-        self.assertEqual(line_of(new_client), b"-BUSY\r\n")
+        self.assertEqual(read_line(new_client), b"-BUSY\r\n")
         for client in clients:
             client.join()
         time.sleep(1.6 - (time.monotonic() - signalled_at))
         partial_client.sendall(encode_submit("slow")[:-5])
-        self.assertEqual(line_of(partial_client), b"-BUSY\r\n")
+        self.assertEqual(read_line(partial_client), b"-BUSY\r\n")
         log = program.terminate()[1]
         self.assertIn(f'"handed in": {len(answered) + 1},', log)
 
