--- a/tests/build.py
+++ b/tests/build.py
@@ -328,7 +328,7 @@
     def _ready(self) -> bool:
         try:
             with self.connect() as sock:
-                return ask(sock, b"PING") == b"+PONG\r\n"
+                return send_command(sock, b"PING") == b"+PONG\r\n"
         except OSError:
             return False
 
@@ -383,7 +383,7 @@
     return line
 
 
-def ask(sock: socket.socket, *parts: bytes) -> bytes:
+def send_command(sock: socket.socket, *parts: bytes) -> bytes:
     """Send a RESP2 command and read its answer."""
     sock.sendall(encode_command(*parts))
     return read_line(sock)
--- a/tests/net/test_client_listener_races.py
+++ b/tests/net/test_client_listener_races.py
@@ -36,11 +36,11 @@
     NESTED,
     Program,
     Receiver,
-    ask,
     encode_command,
     encode_submit,
     read_line,
     reply,
+    send_command,
     wait_for_condition,
 )
 
@@ -422,9 +422,11 @@
         with socket.create_server(("127.0.0.1", program.port)) as listener:
             program.start(fds=(listener.fileno(),), RELAY_SOCKET_FD=str(listener.fileno()))
             with program.connect() as sock, program.connect() as newer:
-                self.assertEqual(ask(newer, b"PING"), b"+PONG\r\n")  # the older connection is accepted before this one
+                self.assertEqual(
+                    send_command(newer, b"PING"), b"+PONG\r\n"
+                )  # the older connection is accepted before this one
                 sock.sendall(FIRST_HALF)
-                self.assertEqual(ask(newer, b"PING"), b"+PONG\r\n")  # the bytes of the older one were read
+                self.assertEqual(send_command(newer, b"PING"), b"+PONG\r\n")  # the bytes of the older one were read
                 program.signal(signal.SIGTERM)
                 self.assertEqual((read_line(sock), sock.recv(1)), (BUSY, b""))
             assert program.process is not None
--- a/tests/ops/test_ops.py
+++ b/tests/ops/test_ops.py
@@ -19,11 +19,11 @@
     NOW,
     Program,
     Receiver,
-    ask,
     encode_submit,
     free_port,
     read_line,
     reply,
+    send_command,
     sender,
     wait_for_condition,
 )
@@ -134,13 +134,13 @@
         program = self.start_program()
         idle = program.connect()
         self.addCleanup(idle.close)
-        self.assertEqual(ask(idle, b"PING"), b"+PONG\r\n")
+        self.assertEqual(send_command(idle, b"PING"), b"+PONG\r\n")
         self.assertEqual(management_call(self.management_port, b"PAUSE\n"), b"YES paused\n")
         self.assertEqual(management_call(self.management_port, b"PAUSE\n"), b"YES already paused\n")
         idle.settimeout(2)
         self.assertEqual(idle.recv(10), b"")  # the idle connection is closed
         with program.connect() as sock:
-            self.assertEqual(ask(sock, b"PING")[:1], b"-")
+            self.assertEqual(send_command(sock, b"PING")[:1], b"-")
         with program.connect() as sock:
             sock.settimeout(2)
             sock.sendall(encode_submit("a"))
@@ -150,7 +150,7 @@
         self.assertEqual(management_call(self.management_port, b"RESUME\n"), b"YES resumed\n")
         self.assertEqual(management_call(self.management_port, b"RESUME\n"), b"YES not paused\n")
         with program.connect() as sock:
-            self.assertEqual(ask(sock, b"PING"), b"+PONG\r\n")
+            self.assertEqual(send_command(sock, b"PING"), b"+PONG\r\n")
 
     def test_an_invalid_management_address_prevents_the_start(self) -> None:
         program = Program([Receiver(reply(200))])
@@ -179,7 +179,7 @@
         program.start(fds=(fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{first}")
         self.assertTrue(management_call(first, b"STATUS\n").startswith(b"YES"))
         with program.connect() as sock:
-            self.assertEqual(ask(sock, b"PING"), b"+PONG\r\n")
+            self.assertEqual(send_command(sock, b"PING"), b"+PONG\r\n")
         replacement = program.spawn((fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{second}")
         self.addCleanup(stop_process, replacement)
         wait_for_condition(lambda: self._is_ready(second), 6)  # while the first process still holds the folder
@@ -187,7 +187,7 @@
             self.assertEqual(submit_and_read_line(sock, "before"), OK)
         idle = program.connect()
         self.addCleanup(idle.close)
-        self.assertEqual(ask(idle, b"PING"), b"+PONG\r\n")
+        self.assertEqual(send_command(idle, b"PING"), b"+PONG\r\n")
         program.signal(signal.SIGTERM)
         idle.settimeout(2)
         self.assertEqual(idle.recv(10), b"")  # the idle connection is closed; its client reconnects
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,11 +19,11 @@
     Platform,
     Program,
     Receiver,
-    ask,
     encode_command,
     encode_submit,
     read_line,
     reply,
+    send_command,
     wait_for_condition,
 )
 
@@ -276,7 +276,7 @@
             sock.sendall(sent)
         self.assertEqual([sock.makefile("rb").read()[:4] for sock in slow_clients], [b"", b"-ERR", b"+PON"])
         self.assertLess(time.monotonic() - started_at, 3.0)
-        self.assertEqual(ask(active, b"PING"), b"+PONG\r\n")
+        self.assertEqual(send_command(active, b"PING"), b"+PONG\r\n")
 
     def test_a_body_that_is_too_long_is_refused_while_it_is_being_sent(self) -> None:
         program = self.start_program(reply(200))
@@ -451,7 +451,7 @@
         crossing_client, new_client = program.connect(), program.connect()
         self.addCleanup(crossing_client.close)
         self.addCleanup(new_client.close)
-        self.assertEqual(ask(crossing_client, b"PING"), b"+PONG\r\n")
+        self.assertEqual(send_command(crossing_client, b"PING"), b"+PONG\r\n")
         answered: list[bytes] = []
 
         def keep_sending(number: int) -> None:
@@ -557,7 +557,7 @@
         line = wait_for_condition(lambda: next((line for line in log if "counters" in line), ""))
         self.assertIn("clients accepted", line)
         with program.connect() as sock:
-            self.assertEqual(ask(sock, b"PING"), b"+PONG\r\n")
+            self.assertEqual(send_command(sock, b"PING"), b"+PONG\r\n")
 
 
 if __name__ == "__main__":
