--- a/tests/build.py
+++ b/tests/build.py
@@ -61,7 +61,7 @@
 FREE, NUMBERED, ONCE = 0, 1, 2
 
 
-def sender(receivers: int = 1, kind: int = 0, rate: float = 0.0, **settings: str) -> Sender:
+def make_sender(receivers: int = 1, kind: int = 0, rate: float = 0.0, **settings: str) -> Sender:
     """Create a sender whose destination 7 has receivers 1, 2, ...; settings write a dot as two underscores."""
     overrides = {name.replace("__", ".").replace("_", "-"): value for name, value in settings.items()}
     decisions = Sender({**SETTINGS, **overrides}, 5, NOW)
--- a/tests/decisions/test_earlier_outages.py
+++ b/tests/decisions/test_earlier_outages.py
@@ -11,7 +11,7 @@
     ListedEndpoint,
 )
 from cedarwick.decisions.policy import Sender
-from tests.build import MS, NOW, sender
+from tests.build import MS, NOW, make_sender
 
 SECOND = 1000 * MS
 EJECTED_HEALTH = EarlierHealth(7, HealthState.EJECTED, False, 0.5, 10 * SECOND)
@@ -26,7 +26,7 @@
 
 class RestartTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.policy = sender(receivers=2, balancers="42")
+        self.policy = make_sender(receivers=2, balancers="42")
         self.first, self.second = self.policy.receivers[1], self.policy.receivers[2]
         self.policy.take_health_changes()
 
@@ -41,7 +41,7 @@
     def test_the_canaries_of_restarted_senders_are_spread_over_a_canary_gap(self) -> None:
         times = []
         for seed in range(200):
-            policy = sender(receivers=1, balancers="42")
+            policy = make_sender(receivers=1, balancers="42")
             policy.random_source.state = seed << 40
             policy.restore_health(NOW, 1, EJECTED_HEALTH)
             gap = policy._canary_gap(NOW, policy.receivers[1])
@@ -72,7 +72,7 @@
 
     def test_a_recent_rate_cut_survives_a_restart(self) -> None:
         for recorded_age, rate in ((SECOND, 0.25), (self.policy.ramp_time, None)):
-            policy = sender(receivers=1, balancers="42")
+            policy = make_sender(receivers=1, balancers="42")
             policy.restore_health(NOW, 1, EarlierHealth(7, HealthState.IN_SERVICE, True, 0.5, 0, 0.25, recorded_age))
             self.assertEqual(policy.receivers[1].rate_control.rate, rate)
             self.assertFalse(policy.receivers[1].recovered_at)
@@ -80,7 +80,7 @@
     def test_after_unlisted_ejected_receivers_the_others_ramp_up_and_new_ones_start_ejected(self) -> None:
         self.policy.restore_departed(NOW, EJECTED_HEALTH)
         self.assertEqual((self.first.recovered_at, self.second.recovered_at), (NOW, NOW))
-        alone = sender(receivers=0, balancers="42")
+        alone = make_sender(receivers=0, balancers="42")
         alone.restore_departed(NOW, EJECTED_HEALTH)
         listed(alone, NOW + SECOND, 9)
         self.assertEqual(alone.receivers[9].ejected_since, NOW - EJECTED_HEALTH.age)
@@ -94,7 +94,7 @@
     """
 
     def test_an_outage_outlasts_the_records_of_its_receivers(self) -> None:
-        policy = sender(receivers=1, balancers="42")
+        policy = make_sender(receivers=1, balancers="42")
         policy._eject(NOW, policy.receivers[1], False, HealthReason.FAILURES)
         for passed in (5, 30, 60):  # it leaves the list, and its record is deleted at the second update
             listed(policy, NOW + passed * SECOND)
@@ -106,7 +106,7 @@
         self.assertEqual((change.state, change.reason), (HealthState.EJECTED, HealthReason.REPLACEMENT))
 
     def test_a_new_receiver_is_not_ejected_while_another_is_in_service(self) -> None:
-        policy = sender(receivers=2, balancers="42")
+        policy = make_sender(receivers=2, balancers="42")
         policy._eject(NOW, policy.receivers[1], False, HealthReason.FAILURES)
         for passed in (5, 30, 60):
             listed(policy, NOW + passed * SECOND, 2)
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -4,14 +4,14 @@
 
 from cedarwick.decisions.interface import EarlierHealth, HealthReason, HealthState, Outcome
 from cedarwick.decisions.policy import Sender
-from tests.build import MS, NOW, end_attempt, sender, start_attempt
+from tests.build import MS, NOW, end_attempt, make_sender, start_attempt
 
 SECOND = 1000 * MS
 
 
 class SuspicionTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.policy = sender(receivers=2, balancers="42", rules__fall_ms="2000")
+        self.policy = make_sender(receivers=2, balancers="42", rules__fall_ms="2000")
         self.first, self.second = self.policy.receivers[1], self.policy.receivers[2]
         for receiver in (self.first, self.second):
             receiver.completion_times.append(NOW - SECOND)
@@ -64,7 +64,7 @@
     def test_a_restart_keeps_the_suspicion_and_spreads_the_first_calls(self) -> None:
         gaps = []
         for seed in range(50):
-            policy = sender(receivers=1, balancers="42", rules__fall_ms="2000")
+            policy = make_sender(receivers=1, balancers="42", rules__fall_ms="2000")
             policy.random_source.state = seed << 40
             policy.restore_health(NOW, 1, EarlierHealth(7, HealthState.SUSPECTED, False, 0.5, 3 * SECOND))
             gaps.append(policy._available_at(NOW, policy.receivers[1]) - NOW)
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -32,8 +32,8 @@
     Receiver,
     accept_message,
     end_attempt,
+    make_sender,
     reply,
-    sender,
     start_attempt,
     wait_for_condition,
 )
@@ -321,7 +321,7 @@
 
 class DecisionsTest(unittest.TestCase):
     def test_a_wait_is_limited_to_an_hour(self) -> None:
-        decisions = sender()
+        decisions = make_sender()
         end_attempt(start_attempt(decisions, 1), Outcome.FULL, NOW, retry_after=10**30)
         self.assertLessEqual(decisions.receivers[1].rate_control.wait_until, NOW + 3_600_000 * MS)
         handle = start_attempt(decisions, 2, now=NOW)
@@ -334,7 +334,7 @@
         self.fail("the sender makes no attempt after the wait")
 
     def test_a_wait_reported_apart_from_an_outcome_applies(self) -> None:
-        decisions = sender()
+        decisions = make_sender()
         decisions.apply_retry_after(NOW, 1, NOW + WAIT)
         accept_message(decisions, 1)
         self.assertEqual(decisions.decide(NOW).attempts, [])
@@ -342,7 +342,7 @@
         self.assertEqual(len(decisions.decide(NOW + WAIT).attempts), 1)
 
     def test_a_wait_reported_during_a_call_stops_the_next_one(self) -> None:
-        decisions = sender()
+        decisions = make_sender()
         first = start_attempt(decisions, 1, ONCE)
         decisions.apply_retry_after(NOW, 1, NOW + WAIT)
         second = accept_message(decisions, 2)
@@ -353,7 +353,7 @@
 
     def test_a_wait_applies_to_a_receiver_that_is_removed_and_listed_again(self) -> None:
         for kind in (0, 1):  # with a pace shared by its destination, and with one of its own
-            decisions = sender(kind=kind)
+            decisions = make_sender(kind=kind)
             decisions.apply_retry_after(NOW, 1, NOW + 60_000 * MS)
             gone = ListedEndpoint(1, 0, kind, 7, EndpointState.REMOVED, 0.0)
             for at in (NOW, NOW + 25_000 * MS, NOW + 50_000 * MS):
--- a/tests/ops/test_ops.py
+++ b/tests/ops/test_ops.py
@@ -21,10 +21,10 @@
     Receiver,
     encode_submit,
     free_port,
+    make_sender,
     read_line,
     reply,
     send_command,
-    sender,
     wait_for_condition,
 )
 
@@ -257,7 +257,7 @@
 
 class ReturnAfterDrainTest(unittest.TestCase):
     def test_a_receiver_back_after_a_drain_is_ramped(self) -> None:
-        decisions = sender()
+        decisions = make_sender()
         decisions.apply_endpoint_list(
             NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)]
         )
@@ -269,7 +269,7 @@
         self.assertEqual(decisions.receivers[1].recovered_at, returned_at)
 
     def test_a_receiver_back_after_a_moment_is_not_ramped(self) -> None:
-        decisions = sender()
+        decisions = make_sender()
         decisions.apply_endpoint_list(
             NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)]
         )
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -34,7 +34,7 @@
 from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import MS, NESTED, NOW, NUMBERED, accept_message, reply, sender, wait_for_condition
+from tests.build import MS, NESTED, NOW, NUMBERED, accept_message, make_sender, reply, wait_for_condition
 from tests.net import test_retry_after
 from tests.net.test_retry_after import Partner, Play
 
@@ -332,7 +332,7 @@
     def test_no_restored_message_is_dropped_if_the_new_limits_are_smaller(self) -> None:
         for max_open, room, count in (("100", 1 << 62, 98), ("8", 1 << 62, 98), ("8", 1, 60), ("100", 1, 1)):
             with self.subTest(max_open=max_open, room=room, count=count):
-                decisions = sender(policy_limits__max_open=max_open, family_info__max_calls="1")
+                decisions = make_sender(policy_limits__max_open=max_open, family_info__max_calls="1")
                 decisions.storable_messages = room
                 decisions.restore(
                     NOW,
@@ -355,7 +355,7 @@
 
     def attempt_time_ms(self, window: int, ran_ago: int | None, mean: int, attempts: int = 0) -> int:
         """Return the time limit in ms, at most 16 s; `ran_ago`: age in ms of an earlier attempt that may have run."""
-        decisions = sender(classes__1__dedup_window_ms=str(window), classes__1__in_turn="false")
+        decisions = make_sender(classes__1__dedup_window_ms=str(window), classes__1__in_turn="false")
         decisions.receivers[1].mean_latency = mean * MS
         handle = accept_message(decisions, 1, NUMBERED)
         handle.attempts = attempts
