--- a/tests/build.py
+++ b/tests/build.py
@@ -107,7 +107,7 @@
 }
 
 
-def dispatcher_alone(case: unittest.TestCase, settings: dict[str, Any]) -> tuple[Assignment, Store, Dispatcher]:
+def make_dispatcher(case: unittest.TestCase, settings: dict[str, Any]) -> tuple[Assignment, Store, Dispatcher]:
     """Create a dispatcher with a folder of its own and one receiver at destination 0, but no attempts or clients."""
     folder = tempfile.TemporaryDirectory()
     case.addCleanup(folder.cleanup)
--- a/tests/decisions/test_other_settings.py
+++ b/tests/decisions/test_other_settings.py
@@ -12,7 +12,7 @@
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.resp import InvalidSubmitError, read_submission
 from cedarwick.net.submission import Submission
-from tests.build import NESTED, dispatcher_alone
+from tests.build import NESTED, make_dispatcher
 
 OTHER_SETTINGS: dict[str, Any] = {
     **NESTED,
@@ -32,7 +32,7 @@
 
 class SettingNamesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.assignment, self.store, self.dispatcher = dispatcher_alone(self, OTHER_SETTINGS)
+        self.assignment, self.store, self.dispatcher = make_dispatcher(self, OTHER_SETTINGS)
         self.dispatcher.attempts = SimpleNamespace(start=lambda call: None)  # type: ignore[assignment]
 
     def submit(self, priority_class: bytes, tenant: bytes, name: bytes = b"a") -> Submission:
