--- a/tests/build.py
+++ b/tests/build.py
@@ -90,7 +90,7 @@
 
 # ---- fakes of the other parties, and the program itself ----
 
-NESTED = {
+NESTED_SETTINGS = {
     "balancers": 1,
     "zones": ["here"],
     "kinds": ["plain"],
@@ -273,7 +273,7 @@
             "seed": "1f",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3, **limits},
             "known": {"rev": 0, "all": True, "targets": []},
-            "settings": NESTED,
+            "settings": NESTED_SETTINGS,
         }
         os.mkdir(self.path("state"))
         self.configure()
--- a/tests/decisions/test_other_settings.py
+++ b/tests/decisions/test_other_settings.py
@@ -12,10 +12,10 @@
 from cedarwick.net.endpoint_list import EndpointList
 from cedarwick.net.resp import InvalidSubmitError, read_submission
 from cedarwick.net.submission import Submission
-from tests.build import NESTED, make_dispatcher
+from tests.build import NESTED_SETTINGS, make_dispatcher
 
 OTHER_SETTINGS: dict[str, Any] = {
-    **NESTED,
+    **NESTED_SETTINGS,
     "zones": ["quay west", "ä,b", "yard"],
     "kinds": ["plain", "big, old"],
     "weight-source": "nominal",
--- a/tests/net/test_client_listener_races.py
+++ b/tests/net/test_client_listener_races.py
@@ -33,7 +33,7 @@
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
 from tests.build import (
-    NESTED,
+    NESTED_SETTINGS,
     Program,
     Receiver,
     encode_command,
@@ -321,7 +321,7 @@
         store = Store(folder.name, 1 << 20, now=clock.now, durable=durable)
         store.load()
         self.addCleanup(store.close)
-        assignment = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, flatten_settings(NESTED))
+        assignment = Assignment("n", ("", 0), ("", 0), "", 1, 64, 100_000, {}, flatten_settings(NESTED_SETTINGS))
         dispatcher = Dispatcher(assignment, clock, counters, store, poll_clock)
         connections = ConnectionPool(
             clock, counters, descriptors, lambda _: self.receiver.getsockname(), 5_000_000, 500_000
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -19,7 +19,7 @@
 from cedarwick.decisions.state import SECOND
 from cedarwick.net import endpoint_list as module
 from tests.build import (
-    NESTED,
+    NESTED_SETTINGS,
     NOW,
     SETTINGS,
     Program,
@@ -403,7 +403,8 @@
         program = Program([Receiver(None)])
         self.addCleanup(program.close)
         program.configure(
-            known={"rev": 0, "all": True, "targets": [program.target(0)]}, settings={**NESTED, "balancers": 200}
+            known={"rev": 0, "all": True, "targets": [program.target(0)]},
+            settings={**NESTED_SETTINGS, "balancers": 200},
         )
         silent_agent = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(silent_agent.close)
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -28,7 +28,7 @@
 from cedarwick.net.sockets import is_closed
 from cedarwick.net.submission import AdmissionResult, Submission
 from cedarwick.store.records import StoredMessage
-from tests.build import NESTED, encode_command, make_dispatcher, reply
+from tests.build import NESTED_SETTINGS, encode_command, make_dispatcher, reply
 
 
 def stored_message(number: int, body: bytes = b"body") -> StoredMessage:
@@ -39,7 +39,7 @@
     """A dispatcher that only records ordered attempts, in `calls`."""
 
     def setUp(self) -> None:
-        _, self.store, self.dispatcher = make_dispatcher(self, NESTED)
+        _, self.store, self.dispatcher = make_dispatcher(self, NESTED_SETTINGS)
         self.calls: list[AttemptCall] = []
         self.dispatcher.attempts = SimpleNamespace(start=self.calls.append)  # type: ignore[assignment]
 
@@ -421,7 +421,7 @@
                     "listen": "h:1",
                     "discovery": "h:2",
                     "seed": "1",
-                    "settings": {**NESTED, **more},
+                    "settings": {**NESTED_SETTINGS, **more},
                     "limits": {"sockets": 8, "disk_mb": 1},
                 }
                 with open(path := f"{folder}/c.json", "w", encoding="utf-8") as file:
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -26,7 +26,7 @@
 from tests.build import (
     FREE,
     MS,
-    NESTED,
+    NESTED_SETTINGS,
     NOW,
     ONCE,
     Receiver,
@@ -104,7 +104,7 @@
         self.store.load()
         self.addCleanup(self.store.close)
         sender_assignment = Assignment(
-            "n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.flatten_settings(NESTED)
+            "n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.flatten_settings(NESTED_SETTINGS)
         )
         poll_clock = PollClock(self.clock)
         self.dispatcher = Dispatcher(sender_assignment, self.clock, self.counters, self.store, poll_clock)
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -34,7 +34,7 @@
 from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import MS, NESTED, NOW, NUMBERED, accept_message, make_sender, reply, wait_for_condition
+from tests.build import MS, NESTED_SETTINGS, NOW, NUMBERED, accept_message, make_sender, reply, wait_for_condition
 from tests.net import test_retry_after
 from tests.net.test_retry_after import Partner, Play
 
@@ -46,16 +46,16 @@
     "slo-ms": 2000.0,
     "deadline-ms": 16000.0,
 }
-CLASSES: Any = NESTED["classes"]
+CLASSES: Any = NESTED_SETTINGS["classes"]
 FREE, ONCE = CLASSES
 OLD_SETTINGS: dict[str, Any] = {
-    **NESTED,
+    **NESTED_SETTINGS,
     "zones": ["north", "south"],
     "realms": [{"name": "first"}, {"name": "second"}],
     "classes": [FREE, {**ONCE, "name": "changed", "repeat": "free"}, ONCE, ZONAL, {**FREE, "name": "given-up"}],
 }
 NEW_SETTINGS: dict[str, Any] = {
-    **NESTED,
+    **NESTED_SETTINGS,
     "zones": ["east", "south", "north"],
     "realms": [{"name": "new"}, {"name": "second"}, {"name": "first"}],
     "classes": [ZONAL, ONCE, {**ONCE, "name": "changed", "repeat": "single_shot"}, FREE],
