--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -15,7 +15,7 @@
 from cedarwick.decisions.policy import Sender
 from cedarwick.decisions.rate_control import RATE_STEP_INTERVAL
 from cedarwick.decisions.sender_state import BACKOFF_BASE, THROTTLE_WINDOW
-from tests.build import FREE, MS, NOW, NUMBERED, ONCE, SETTINGS, accept_message, end_attempt, make_sender, start_attempt
+from tests.build import FREE, GUARDED, MS, NOW, ONCE, SETTINGS, accept_message, end_attempt, make_sender, start_attempt
 
 
 class FinalAnswerTest(unittest.TestCase):
@@ -60,14 +60,14 @@
 
     def test_a_guarded_message_is_not_retried_after_its_deduplication_window(self) -> None:
         policy = make_sender()
-        handle = start_attempt(policy, 1, NUMBERED)
+        handle = start_attempt(policy, 1, GUARDED)
         end_attempt(handle, Outcome.ERROR, NOW + 6_001 * MS)
         decisions = policy.decide(NOW + 6_001 * MS)
         self.assertEqual((decisions.attempts, decisions.abandoned), ([], [1]))
 
     def test_the_time_out_of_a_guarded_message_allows_a_retry_within_its_window(self) -> None:
         policy = make_sender()
-        accept_message(policy, 1, NUMBERED)
+        accept_message(policy, 1, GUARDED)
         self.assertLess(policy.decide(NOW).attempts[0][2], 6_000 * MS)
 
     def test_with_scarce_slots_an_at_most_once_attempt_times_out_before_the_deadline(self) -> None:
@@ -80,7 +80,7 @@
     def test_a_single_guarded_attempt_times_out_before_the_deadline(self) -> None:
         policy = make_sender(classes__1__dedup_window_ms="16000")
         policy.receivers[1].mean_latency = 500.0 * MS
-        accept_message(policy, 1, NUMBERED)
+        accept_message(policy, 1, GUARDED)
         self.assertEqual(policy.decide(NOW).attempts[0][2], 2_000 * MS)
 
     def test_a_message_has_one_attempt_at_a_time(self) -> None:
@@ -393,30 +393,30 @@
         policy = make_sender(family_info__max_calls="1", balancers="200")
         accept_message(policy, 1)
         for message in (2, 3, 4):
-            accept_message(policy, message, NUMBERED, key=9)
+            accept_message(policy, message, GUARDED, key=9)
         self.assertEqual([attempt[0] for attempt in policy.decide(NOW).attempts], [2])
 
 
 class OrderKeyTest(unittest.TestCase):
     def test_the_next_message_of_a_key_waits_for_the_first(self) -> None:
         policy = make_sender()
-        start_attempt(policy, 1, NUMBERED, key=9)
-        accept_message(policy, 2, NUMBERED, key=9)
+        start_attempt(policy, 1, GUARDED, key=9)
+        accept_message(policy, 2, GUARDED, key=9)
         self.assertEqual(policy.decide(NOW).attempts, [])
 
     def test_the_next_message_of_a_key_may_have_another_destination(self) -> None:
         policy = make_sender()
         policy.apply_endpoint_list(NOW, EndpointUpdate.DELTA, [ListedEndpoint(9, 0, 0, 8, EndpointState.READY, 0.0)])
-        handle = start_attempt(policy, 1, NUMBERED, key=9)
-        policy.accept(NOW, 2, 8, NUMBERED, NOW + 16_000 * MS, 0, 9)
+        handle = start_attempt(policy, 1, GUARDED, key=9)
+        policy.accept(NOW, 2, 8, GUARDED, NOW + 16_000 * MS, 0, 9)
         policy.decide(NOW)
         end_attempt(handle, Outcome.COMPLETED, NOW + 100 * MS)
         self.assertEqual([attempt[0] for attempt in policy.decide(NOW + 100 * MS).attempts], [2])
 
     def test_a_key_is_paused_after_a_time_out_even_if_a_throttle_followed(self) -> None:
         policy = make_sender()
-        handle = start_attempt(policy, 1, NUMBERED, key=9)
-        accept_message(policy, 2, NUMBERED, key=9)
+        handle = start_attempt(policy, 1, GUARDED, key=9)
+        accept_message(policy, 2, GUARDED, key=9)
         handle.attempts, handle.ran_at, handle.doubtful_at = 6, NOW, NOW + 90 * MS
         end_attempt(handle, Outcome.FULL, NOW + 100 * MS)
         decisions = policy.decide(NOW + 100 * MS)
@@ -472,7 +472,7 @@
     def test_unused_keys_are_forgotten(self) -> None:
         policy = make_sender()
         for key in range(1, 40):
-            handle = start_attempt(policy, key, NUMBERED, key=key, now=NOW + key * 1000 * MS)
+            handle = start_attempt(policy, key, GUARDED, key=key, now=NOW + key * 1000 * MS)
             handle.doubtful_at = NOW + key * 1000 * MS
             end_attempt(handle, Outcome.COMPLETED, NOW + (key * 1000 + 100) * MS)
         self.assertEqual(
@@ -602,8 +602,8 @@
 
     def test_the_deduplication_window_starts_at_the_first_attempt_that_may_have_run(self) -> None:
         first, second = EarlierAttempt(NOW - 6_001 * MS, 0, Outcome.RESET), EarlierAttempt(NOW - 900 * MS, 0, None)
-        self.assertEqual(self.restored_policy(NUMBERED, first, second).decide(NOW).abandoned, [1])
-        self.assertEqual(len(self.restored_policy(NUMBERED, second).decide(NOW).attempts), 1)
+        self.assertEqual(self.restored_policy(GUARDED, first, second).decide(NOW).abandoned, [1])
+        self.assertEqual(len(self.restored_policy(GUARDED, second).decide(NOW).attempts), 1)
 
     def test_the_number_of_attempts_survives(self) -> None:
         attempts = [EarlierAttempt(NOW - 900 * MS, 0, Outcome.FULL)] * 6
@@ -613,7 +613,7 @@
         self.assertEqual(self.restored_policy(FREE, limit=-5).decide(NOW).nacks, [(1, 0)])
 
     def test_keys_are_paused_after_a_restart(self) -> None:
-        policy = self.restored_policy(NUMBERED, EarlierAttempt(NOW - 900 * MS, 0, None), key=9)
+        policy = self.restored_policy(GUARDED, EarlierAttempt(NOW - 900 * MS, 0, None), key=9)
         decisions = policy.decide(NOW)
         self.assertEqual((decisions.attempts, decisions.wake_at), ([], NOW + 300 * MS))
         self.assertEqual(len(policy.decide(NOW + 300 * MS).attempts), 1)
@@ -637,7 +637,7 @@
 
     def test_not_if_withdrawn_or_past_its_deadline_or_window(self) -> None:
         policy = make_sender()
-        handle, numbered = start_attempt(policy, 1), start_attempt(policy, 2, NUMBERED)
+        handle, numbered = start_attempt(policy, 1), start_attempt(policy, 2, GUARDED)
         self.assertFalse(handle.may_start(handle.deadline, 1))
         numbered.ran_at = NOW - 6_000 * MS
         self.assertFalse(numbered.may_start(NOW, 1))
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -34,7 +34,7 @@
 from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import MS, NESTED_SETTINGS, NOW, NUMBERED, accept_message, make_sender, reply, wait_for_condition
+from tests.build import GUARDED, MS, NESTED_SETTINGS, NOW, accept_message, make_sender, reply, wait_for_condition
 from tests.net import test_retry_after
 from tests.net.test_retry_after import Partner, Play
 
@@ -357,7 +357,7 @@
         """Return the time limit in ms, at most 16 s; `ran_ago`: age in ms of an earlier attempt that may have run."""
         decisions = make_sender(classes__1__dedup_window_ms=str(window), classes__1__in_turn="false")
         decisions.receivers[1].mean_latency = mean * MS
-        handle = accept_message(decisions, 1, NUMBERED)
+        handle = accept_message(decisions, 1, GUARDED)
         handle.attempts = attempts
         if ran_ago is not None:
             handle.ran_at = NOW - ran_ago * MS
