--- a/tests/build.py
+++ b/tests/build.py
@@ -58,7 +58,7 @@
     "rules.fall-ms": "2000",
 }
 NOW = 1_000_000_000
-FREE, GUARDED, ONCE = 0, 1, 2
+FREE, GUARDED, AT_MOST_ONCE = 0, 1, 2
 
 
 def make_sender(receivers: int = 1, kind: int = 0, rate: float = 0.0, **settings: str) -> Sender:
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -15,7 +15,18 @@
 from cedarwick.decisions.policy import Sender
 from cedarwick.decisions.rate_control import RATE_STEP_INTERVAL
 from cedarwick.decisions.sender_state import BACKOFF_BASE, THROTTLE_WINDOW
-from tests.build import FREE, GUARDED, MS, NOW, ONCE, SETTINGS, accept_message, end_attempt, make_sender, start_attempt
+from tests.build import (
+    AT_MOST_ONCE,
+    FREE,
+    GUARDED,
+    MS,
+    NOW,
+    SETTINGS,
+    accept_message,
+    end_attempt,
+    make_sender,
+    start_attempt,
+)
 
 
 class FinalAnswerTest(unittest.TestCase):
@@ -49,12 +60,12 @@
 class DuplicateEffectTest(unittest.TestCase):
     def test_an_at_most_once_message_is_abandoned_after_a_time_out(self) -> None:
         policy = make_sender()
-        end_attempt(start_attempt(policy, 1, ONCE), Outcome.TIME_OUT, NOW + 900 * MS)
+        end_attempt(start_attempt(policy, 1, AT_MOST_ONCE), Outcome.TIME_OUT, NOW + 900 * MS)
         self.assertEqual(policy.decide(NOW + 900 * MS).abandoned, [1])
 
     def test_an_at_most_once_message_is_retried_after_a_throttle(self) -> None:
         policy = make_sender()
-        handle = start_attempt(policy, 1, ONCE)
+        handle = start_attempt(policy, 1, AT_MOST_ONCE)
         end_attempt(handle, Outcome.FULL, NOW + 100 * MS)
         self.assertEqual([attempt[0] for attempt in policy.decide(handle.not_before + 9_000 * MS).attempts], [1])
 
@@ -73,8 +84,8 @@
     def test_with_scarce_slots_an_at_most_once_attempt_times_out_before_the_deadline(self) -> None:
         policy = make_sender(family_info__max_calls="2")
         policy.receivers[1].mean_latency = 500.0 * MS
-        accept_message(policy, 1, ONCE)
-        accept_message(policy, 2, ONCE)
+        accept_message(policy, 1, AT_MOST_ONCE)
+        accept_message(policy, 2, AT_MOST_ONCE)
         self.assertEqual([attempt[2] for attempt in policy.decide(NOW).attempts], [3_000 * MS, 3_000 * MS])
 
     def test_a_single_guarded_attempt_times_out_before_the_deadline(self) -> None:
@@ -338,10 +349,10 @@
         for room, shed in ((2, []), (1, []), (0, [3])):
             policy = make_sender(classes__2__worth="4")
             policy.receivers[1].rate_control.wait_until = NOW + 5_000 * MS
-            accept_message(policy, 1, ONCE)
+            accept_message(policy, 1, AT_MOST_ONCE)
             accept_message(policy, 2)
             accept_message(policy, 3)
-            accept_message(policy, 4, ONCE)
+            accept_message(policy, 4, AT_MOST_ONCE)
             policy.storable_messages = room
             self.assertEqual(sorted(nack[0] for nack in policy.decide(NOW).nacks), shed, room)
             policy.storable_messages = 1  # the shed message has freed its space
@@ -352,7 +363,7 @@
         handle = start_attempt(policy, 1)
         handle.attempt_ended(NOW, Outcome.ERROR, 0, 1, MS, 0, False, ())
         policy.receivers[1].rate_control.wait_until = NOW + 5_000 * MS
-        accept_message(policy, 2, ONCE)
+        accept_message(policy, 2, AT_MOST_ONCE)
         decisions = policy.decide(NOW)
         self.assertEqual((decisions.nacks, decisions.abandoned), ([], [1]))
 
@@ -434,7 +445,7 @@
 
     def test_at_most_once_uses_a_new_connection_while_reused_ones_break(self) -> None:
         policy = make_sender()
-        once, free = accept_message(policy, 2, ONCE), start_attempt(policy, 1)
+        once, free = accept_message(policy, 2, AT_MOST_ONCE), start_attempt(policy, 1)
         self.assertFalse(once.needs_new_connection())
         free.attempt_ended(NOW + 9 * MS, Outcome.RESET, 0, 1, 9 * MS, 0, False, (), reused_connection=True)
         self.assertEqual((once.needs_new_connection(), free.needs_new_connection()), (True, False))
@@ -450,7 +461,7 @@
     def test_held_messages_share_one_search_for_candidates(self) -> None:
         policy = make_sender(receivers=2)
         for message in range(60):
-            accept_message(policy, message, (FREE, ONCE)[message % 2])
+            accept_message(policy, message, (FREE, AT_MOST_ONCE)[message % 2])
         with mock.patch.object(policy, "_find_candidates", wraps=policy._find_candidates) as asked:
             self.assertEqual(len(policy.decide(NOW).attempts), 2)
             self.assertLess(asked.call_count, 10)
@@ -593,11 +604,11 @@
         return policy
 
     def test_at_most_once_with_an_attempt_without_outcome_is_abandoned(self) -> None:
-        decisions = self.restored_policy(ONCE, EarlierAttempt(NOW - 900 * MS, 0, None)).decide(NOW)
+        decisions = self.restored_policy(AT_MOST_ONCE, EarlierAttempt(NOW - 900 * MS, 0, None)).decide(NOW)
         self.assertEqual((decisions.attempts, decisions.abandoned), ([], [1]))
 
     def test_at_most_once_is_retried_if_no_attempt_ran(self) -> None:
-        decisions = self.restored_policy(ONCE, EarlierAttempt(NOW - 900 * MS, 0, Outcome.FULL)).decide(NOW)
+        decisions = self.restored_policy(AT_MOST_ONCE, EarlierAttempt(NOW - 900 * MS, 0, Outcome.FULL)).decide(NOW)
         self.assertEqual([attempt[0] for attempt in decisions.attempts], [1])
 
     def test_the_deduplication_window_starts_at_the_first_attempt_that_may_have_run(self) -> None:
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -24,11 +24,11 @@
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
 from tests.build import (
+    AT_MOST_ONCE,
     FREE,
     MS,
     NESTED_SETTINGS,
     NOW,
-    ONCE,
     Receiver,
     accept_message,
     end_attempt,
@@ -343,7 +343,7 @@
 
     def test_a_wait_reported_during_a_call_stops_the_next_one(self) -> None:
         decisions = make_sender()
-        first = start_attempt(decisions, 1, ONCE)
+        first = start_attempt(decisions, 1, AT_MOST_ONCE)
         decisions.apply_retry_after(NOW, 1, NOW + WAIT)
         second = accept_message(decisions, 2)
         self.assertEqual(decisions.decide(NOW).attempts, [])
