--- a/tests/build.py
+++ b/tests/build.py
@@ -204,14 +204,14 @@
 
     def __init__(self, targets: list[dict[str, Any]]) -> None:
         super().__init__(("127.0.0.1", 0), PlatformCall)
-        self.news: queue.Queue[dict[str, Any]] = queue.Queue()
+        self.list_updates: queue.Queue[dict[str, Any]] = queue.Queue()
         self.targets = targets
         self.notices: list[dict[str, Any]] = []
         self.watches = 0
-        self.silent = False  # watches send nothing after their first line
+        self.holds_watches = False  # watches send nothing after their first line
         self.posts = 0
-        self.deaf = False  # posts are not answered
-        self.refusals = 0  # number of posts to answer with 500 first
+        self.holds_posts = False  # posts are not answered
+        self.posts_to_refuse = 0  # number of posts to answer with 500 first
         threading.Thread(target=self.serve_forever, args=(0.05,), daemon=True).start()
 
 
@@ -224,25 +224,25 @@
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
         self.server.watches += 1
-        news: dict[str, Any] | None = {"rev": 1, "all": True, "targets": self.server.targets}
+        list_update: dict[str, Any] | None = {"rev": 1, "all": True, "targets": self.server.targets}
         with contextlib.suppress(OSError):
             while True:
-                line = json.dumps(news).encode() + b"\n" if news else b"\n"
+                line = json.dumps(list_update).encode() + b"\n" if list_update else b"\n"
                 self.wfile.write(b"%x\r\n%s\r\n" % (len(line), line))
-                while self.server.silent:
+                while self.server.holds_watches:
                     time.sleep(0.1)
                 try:
-                    news = self.server.news.get(timeout=0.5)
+                    list_update = self.server.list_updates.get(timeout=0.5)
                 except queue.Empty:
-                    news = None
+                    list_update = None
 
     def do_POST(self) -> None:  # noqa: N802
         body = self.rfile.read(int(self.headers["Content-Length"]))
         self.server.posts += 1
-        while self.server.deaf:
+        while self.server.holds_posts:
             time.sleep(0.1)
-        self.server.refusals -= 1
-        accepted = self.server.refusals < 0
+        self.server.posts_to_refuse -= 1
+        accepted = self.server.posts_to_refuse < 0
         if accepted:
             self.server.notices += [json.loads(line) for line in body.splitlines()]
         self.send_response(204 if accepted else 500)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -147,8 +147,8 @@
 
     def test_a_draining_receiver_gets_no_new_attempts(self) -> None:
         program = self.start_program(reply(200))
-        program.platform.news.put({"rev": 2, "all": False, "targets": [program.target(0, "draining")]})
-        wait_for_condition(program.platform.news.empty)
+        program.platform.list_updates.put({"rev": 2, "all": False, "targets": [program.target(0, "draining")]})
+        wait_for_condition(program.platform.list_updates.empty)
         time.sleep(0.1)
         self.send_requests(program, encode_submit("a", d=400))
         wait_for_condition(lambda: program.platform.notices)
@@ -236,7 +236,7 @@
 
     def test_a_notice_is_repeated_until_it_is_acknowledged(self) -> None:
         program = self.start_program(reply(500))
-        program.platform.refusals = 2
+        program.platform.posts_to_refuse = 2
         self.send_requests(
             program, encode_submit("a", priority_class="once"), encode_submit("b", priority_class="once")
         )
@@ -347,7 +347,7 @@
 
     def test_a_silent_watch_is_reopened(self) -> None:
         program = self.start_program(reply(200))
-        program.platform.silent = True
+        program.platform.holds_watches = True
         program.platform.targets = [program.target(0, "draining")]
         wait_for_condition(lambda: program.platform.watches > 1)
         time.sleep(0.2)
@@ -511,7 +511,7 @@
 
     def test_a_notice_without_an_answer_is_repeated_at_the_new_address(self) -> None:
         program = self.start_program(reply(200), reply(500))
-        program.platform.deaf = True
+        program.platform.holds_posts = True
         self.send_requests(program, encode_submit("a", priority_class="once", dest=1))
         wait_for_condition(lambda: program.platform.posts)
         started_at = time.monotonic()
