--- a/tests/build.py
+++ b/tests/build.py
@@ -28,7 +28,7 @@
 from cedarwick.net.sockets import PollClock
 from cedarwick.store.journal import Store
 
-MS = 1000
+MS = 1000  # microseconds
 SETTINGS = {
     "classes.count": "3",
     "balancers": "2",
@@ -57,12 +57,12 @@
     "rules.fall-multiple": "1.5",
     "rules.fall-ms": "2000",
 }
-NOW = 1_000_000_000
-FREE, GUARDED, AT_MOST_ONCE = 0, 1, 2
+NOW = 1_000_000_000  # microseconds
+FREE, GUARDED, AT_MOST_ONCE = 0, 1, 2  # indexes of the priority classes in SETTINGS
 
 
 def make_sender(receivers: int = 1, kind: int = 0, rate: float = 0.0, **settings: str) -> Sender:
-    """Create a sender whose destination 7 has receivers 1, 2, ...; settings write a dot as two underscores."""
+    """Create a sender whose destination 7 has receivers 1, 2, ...; two underscores in a setting stand for a dot."""
     overrides = {name.replace("__", ".").replace("_", "-"): value for name, value in settings.items()}
     decisions = Sender({**SETTINGS, **overrides}, 5, NOW)
     listings = [ListedEndpoint(1 + n, 0, kind, 7, EndpointState.READY, rate) for n in range(receivers)]
@@ -83,12 +83,12 @@
 
 
 def end_attempt(handle: Handle, outcome: Outcome, now: int, retry_after: int = 0, receiver: int = 1) -> None:
-    """End the last attempt of a message with an outcome."""
+    """Report the outcome of the last attempt of a message."""
     last = outcome is Outcome.COMPLETED
     handle.attempt_ended(now, outcome, handle.attempts - 1, receiver, 100 * MS, retry_after, last, ())
 
 
-# ---- fakes of the other parties, and the program itself ----
+# ---- fake receivers and platform, and the program as a subprocess ----
 
 NESTED_SETTINGS = {
     "balancers": 1,
@@ -136,7 +136,7 @@
 
 
 def wait_for_condition(condition: Callable[[], Any], timeout_s: float = 8.0) -> Any:
-    """Wait until the condition returns a true value, and return it; fails the test after a timeout."""
+    """Poll the condition until its result is true, and return the result; fail the test after a timeout."""
     deadline = time.monotonic() + timeout_s
     while not (result := condition()):
         if time.monotonic() > deadline:
@@ -208,9 +208,9 @@
         self.targets = targets
         self.notices: list[dict[str, Any]] = []
         self.watches = 0
-        self.holds_watches = False  # watches send nothing after their first line
+        self.holds_watches = False  # keeps watches open without sending anything after their first line
         self.posts = 0
-        self.holds_posts = False  # posts are not answered
+        self.holds_posts = False  # keeps posts open without an answer
         self.posts_to_refuse = 0  # number of posts to answer with 500 first
         threading.Thread(target=self.serve_forever, args=(0.05,), daemon=True).start()
 
@@ -376,7 +376,7 @@
 
 
 def read_line(sock: socket.socket) -> bytes:
-    """Read one line; shorter at the end of the connection."""
+    """Read up to the end of the line or of the connection."""
     line = b""
     while not line.endswith(b"\n") and (byte := sock.recv(1)):
         line += byte
@@ -384,6 +384,6 @@
 
 
 def send_command(sock: socket.socket, *parts: bytes) -> bytes:
-    """Send a RESP2 command and read its answer."""
+    """Send a RESP2 command and return the first line of its answer."""
     sock.sendall(encode_command(*parts))
     return read_line(sock)
