--- a/cedarwick/lab/endpoint_server.py
+++ b/cedarwick/lab/endpoint_server.py
@@ -1,7 +1,7 @@
-"""Partners' endpoints on sockets: one `EndpointServer` for each endpoint, with a listener for each sender.
+"""HTTP servers of the partners' endpoints: an `EndpointServer` for each, with a listener for each sender.
 
-A sender reaches every endpoint at an address of its own, so it is known at each call who made it. What an
-endpoint does with a call is decided by its model (`partner.py`); this module reads it and writes the answer.
+Every sender calls an endpoint at a loopback address of its own, which tells the server the sender of each call. The
+model in `partner.py` decides the answer; this module parses requests and writes answers.
 """
 
 import contextlib
@@ -14,29 +14,29 @@
 from cedarwick.lab.day import Day, body_of
 from cedarwick.lab.history import Away, Called
 from cedarwick.lab.listeners import BACKLOG, accept_connections, listen_on_all, reset_connection
-from cedarwick.lab.partner import Effect, Endpoint, Reply, Work
+from cedarwick.lab.partner import CallInProgress, Effect, Endpoint, Reply
 from cedarwick.net.sockets import peek_byte
 
-AT_ONCE = 300  # microseconds: what ends sooner needs no timer
-SPOILT_STAYS = 3.0  # seconds in which a connection with a spoilt answer may still be open
-PIECES = 0.2  # seconds from a torn refusal's head to its body
-LONGEST_LAST = 6_000_000  # microseconds for which a refusal may be kept for the end of the caller's patience
-HUGE = 1 << 20  # bytes that are written of an answer said to hold 3 GB
-TIME_IS_UP = TimeoutError("time is up")
-REASONS = {200: b"OK", 429: b"Too Many Requests", 500: b"Internal Server Error", 503: b"Service Unavailable"}
+MIN_TIMER_US = 300  # shorter waits are skipped
+SPOILT_TIMEOUT_S = 3.0  # a connection with a spoilt answer is closed when its caller sends nothing for so long
+TORN_BODY_DELAY_S = 0.2  # from the head of a torn refusal to its body
+MAX_LAST_DELAY_US = 6_000_000  # the longest that a refusal is held back until the caller's time-out
+HUGE_WRITTEN_BYTES = 1 << 20  # written of an answer that announces 3 GB
+WAIT_TIMED_OUT = TimeoutError("wait timed out")
+REASON_PHRASES = {200: b"OK", 429: b"Too Many Requests", 500: b"Internal Server Error", 503: b"Service Unavailable"}
 
 
 class Incoming:
-    """One request as it is parsed; httptools calls the `on_` methods."""
+    """A request while it is parsed; httptools calls the `on_` methods."""
 
     __slots__ = ("id", "mark", "left", "parts", "complete")
 
     def __init__(self) -> None:
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         self.id = self.mark = ""
-        self.left = 0  # microseconds for which the caller will wait, as it said
+        self.left = 0  # microseconds until the caller's time-out, from its X-Remaining-Ms header
         self.parts: list[bytes] = []
         self.complete = False
 
@@ -57,7 +57,7 @@
 
 
 class EndpointServer:
-    """One endpoint with its listeners and connections."""
+    """The listeners and connections of one endpoint."""
 
     def __init__(
         self, day: Day, endpoint: Endpoint, hosts: list[str], port: int = 0, record_calls: bool = True
@@ -65,14 +65,14 @@
         self.day = day
         self.endpoint = endpoint
         self.hosts = hosts
-        self.record_calls = record_calls  # whether calls are written down
+        self.record_calls = record_calls  # whether calls go to the history
         self.calls = 0
-        self.conns: set[gevent.socket.socket] = set()
-        self.held: dict[gevent.socket.socket, Called] = {}  # calls that are out, by connection
+        self.sockets: set[gevent.socket.socket] = set()
+        self.open_calls: dict[gevent.socket.socket, Called] = {}  # calls not answered yet
         self.blockers: list[gevent.socket.socket] = []
         self.cut = False
         self.closed = False
-        self.accepting: list[gevent.Greenlet] = []
+        self.acceptors: list[gevent.Greenlet] = []
         self.port, self.listeners = listen_on_all(hosts, port)
         self._accept()
 
@@ -83,60 +83,67 @@
     # ---- faults ----
 
     def begin_fault(self, effect: Effect) -> Callable[[bool], None]:
-        """Begin a fault; the returned function ends it, with `True` for an endpoint that then warms up."""
+        """Begin a fault. The returned function ends it; its argument says whether the endpoint has to warm up."""
         number = self.endpoint.begin_fault(self.day.now(), effect)
         if effect.kind == "crash":
-            self._go_down()
+            self._close_sockets()
         elif effect.kind == "cut":
-            self._fall_silent()
+            self._cut_network()
 
         def end(warming_up: bool) -> None:
             if effect.kind == "cut":
-                self._be_heard()
+                self._restore_network()
             self.endpoint.end_fault(self.day.now(), number, warming_up)
             if effect.kind == "crash":
-                self._come_up()
+                self._reopen()
 
         return end
 
     def close(self) -> None:
-        """Close listeners and connections for good."""
+        """Close the listeners and connections for good."""
         self.closed = True
-        self._go_down()
+        self._close_sockets()
 
     def outage_records(self) -> list[Away]:
-        """Its outages so far, as records of the history."""
+        """The endpoint's outages so far, as records for the history."""
         return [
-            Away(self.endpoint.uid, self.destination_number, each.began, each.ended or -1, each.warming_up, each.fell)
+            Away(
+                self.endpoint.uid,
+                self.destination_number,
+                each.began,
+                each.ended or -1,
+                each.warming_up,
+                each.overloaded,
+            )
             for each in self.endpoint.outages
         ]
 
-    def _go_down(self) -> None:
-        gevent.killall(self.accepting, block=False)
+    def _close_sockets(self) -> None:
+        gevent.killall(self.acceptors, block=False)
         for sock in self.listeners:
             sock.close()
         self.listeners = []
-        for sock in list(self.conns):
+        for sock in list(self.sockets):
             reset_connection(sock)
 
-    def _come_up(self) -> None:
-        if self.closed or self.listeners or self.endpoint.down(self.day.now()):
+    def _reopen(self) -> None:
+        if self.closed or self.listeners or self.endpoint.is_down(self.day.now()):
             return
         _, self.listeners = listen_on_all(self.hosts, self.port)
         self._accept()
 
-    def _fall(self) -> None:
-        """Overloaded while it warms up: it goes down, and comes up by itself after a while."""
-        self._go_down()
-        gevent.spawn_later((self.endpoint.fallen_until - self.day.now()) / 1_000_000 + 0.001, self._come_up)
+    def _go_down_overloaded(self) -> None:
+        """Close all sockets after an overload, and reopen the listeners once the outage is over."""
+        self._close_sockets()
+        gevent.spawn_later((self.endpoint.down_until - self.day.now()) / 1_000_000 + 0.001, self._reopen)
 
-    def _fall_silent(self) -> None:
-        """The network is cut: connections stay open and silent, new ones never come up.
+    def _cut_network(self) -> None:
+        """Simulate a cut network: connections stay open without traffic, and new ones are not established.
 
-        A listener that nobody accepts from, its queue filled, lets the kernel drop new connections.
+        The listeners are not accepted from and their backlogs are filled, so that the kernel drops new connections.
         """
         self.cut = True
-        gevent.killall(self.accepting, block=False)
+        gevent.killall(self.acceptors, block=False)
         for sock, host in zip(self.listeners, self.hosts, strict=True):
             sock.listen(0)
             for _ in range(3):
@@ -146,13 +153,13 @@
                     blocker.connect((host, self.port))
                 self.blockers.append(blocker)
 
-    def _be_heard(self) -> None:
-        """The network is back: open connections are reset, and those that waited at the listeners are dropped."""
+    def _restore_network(self) -> None:
+        """End a simulated cut: reset the open connections and those in the listeners' backlogs."""
         self.cut = False
         for blocker in self.blockers:
             blocker.close()
         self.blockers.clear()
-        for sock in list(self.conns):
+        for sock in list(self.sockets):
             reset_connection(sock)
         for sock in self.listeners:
             sock.setblocking(False)
@@ -166,11 +173,11 @@
     # ---- connections ----
 
     def _accept(self) -> None:
-        self.accepting = [gevent.spawn(self._accept_at, sock, sender) for sender, sock in enumerate(self.listeners)]
+        self.acceptors = [gevent.spawn(self._accept_at, sock, sender) for sender, sock in enumerate(self.listeners)]
 
     def _accept_at(self, listener: gevent.socket.socket, sender: int) -> None:
         for sock in accept_connections(listener):
-            self.conns.add(sock)
+            self.sockets.add(sock)
             self.endpoint.connections += 1
             gevent.spawn(self._serve, sock, sender)
 
@@ -181,10 +188,10 @@
         except (OSError, httptools.HttpParserError):
             pass
         finally:
-            record = self.held.pop(sock, None)
+            record = self.open_calls.pop(sock, None)
             if record is not None:
                 record.ended = self.day.now()
-            self.conns.discard(sock)
+            self.sockets.discard(sock)
             self.endpoint.connections -= 1
             sock.close()
 
@@ -195,89 +202,95 @@
             sock.settimeout(self.endpoint.destination.partner.idle_s)
             idle_since = self.day.now()
             data = sock.recv(65536)
-            first = self.day.now()
+            first_byte_at = self.day.now()
             if not data or self.cut:
-                return self._while_cut(sock) if self.cut else None
-            drop = self.endpoint.has("idle-drop")
-            if drop is not None and not first_call and first - idle_since > drop.size * 1_000_000:
-                # Dropped on the way while it was idle: the call never arrived.
+                return self._wait_while_cut(sock) if self.cut else None
+            drop = self.endpoint.strongest_effect("idle-drop")
+            if drop is not None and not first_call and first_byte_at - idle_since > drop.size * 1_000_000:
+                # A device on the way dropped the idle connection: the call counts as not arrived.
                 reset_connection(sock)
                 return
-            incoming.begin()
+            incoming.reset()
             parser.feed_data(data)
             sock.settimeout(5.0)
             while not incoming.complete:
                 if not (data := sock.recv(65536)) or self.cut:
-                    return self._while_cut(sock) if self.cut else None
+                    return self._wait_while_cut(sock) if self.cut else None
                 parser.feed_data(data)
             if first_call:
-                setup = self.endpoint.has("setup")
+                setup = self.endpoint.strongest_effect("setup")
                 gevent.sleep((self.endpoint.destination.partner.setup_ms + (setup.size if setup else 0)) / 1000)
-            if not self._carry(sock, sender, incoming, first, first_call):
+            if not self._serve_call(sock, sender, incoming, first_byte_at, first_call):
                 return
             first_call = False
 
-    def _while_cut(self, sock: gevent.socket.socket) -> None:
-        """Keep the connection open and silent until the machine is back, which resets it."""
-        while self.cut and sock in self.conns and sock.fileno() >= 0:
+    def _wait_while_cut(self, sock: gevent.socket.socket) -> None:
+        """Keep a connection open without traffic until the network is back, when it is reset."""
+        while self.cut and sock in self.sockets and sock.fileno() >= 0:
             gevent.sleep(0.05)
 
-    def _carry(self, sock: gevent.socket.socket, sender: int, incoming: Incoming, first: int, new: bool) -> bool:
-        """One call from its last byte to its answer; whether the connection goes on."""
+    def _serve_call(
+        self, sock: gevent.socket.socket, sender: int, incoming: Incoming, first_byte_at: int, first_call: bool
+    ) -> bool:
+        """Handle a complete request and write its answer; whether the connection stays open."""
         now = self.day.now()
         self.calls += 1
         body = b"".join(incoming.parts)
-        record = Called(incoming.id, incoming.mark, self.endpoint.uid, self.destination_number, sender, first, now)
+        record = Called(
+            incoming.id, incoming.mark, self.endpoint.uid, self.destination_number, sender, first_byte_at, now
+        )
         if self.record_calls:
             record.body_ok = body == body_of(incoming.id, self.day.sizes.get(incoming.id, 0)) if incoming.id else False
             self.day.history.called.append(record)
-        self.held[sock] = record
-        reply: Reply | Work | None
-        if new and self.endpoint.full():
+        self.open_calls[sock] = record
+        reply: Reply | CallInProgress | None
+        if first_call and self.endpoint.connections_full():
             reply = Reply(503)
         else:
-            reply = self.endpoint.arrive(now, incoming.id, incoming.mark)
+            reply = self.endpoint.handle_call(now, incoming.id, incoming.mark)
         if reply is None:
-            self._fall()
+            self._go_down_overloaded()
             return False
-        if isinstance(reply, Work):
-            settled: Reply | int = reply.finish
-            while isinstance(settled, int):
-                if not self._still_there(sock, settled):
+        if isinstance(reply, CallInProgress):
+            finished: Reply | int = reply.finish
+            while isinstance(finished, int):
+                if not self._caller_waits_until(sock, finished):
                     return False
-                settled = self.endpoint.settle(max(self.day.now(), settled), reply)
-            reply = settled
-        if reply.spoilt == "last" and not self._still_there(sock, first + min(incoming.left, LONGEST_LAST)):
+                finished = self.endpoint.finish_call(max(self.day.now(), finished), reply)
+            reply = finished
+        if reply.spoilt == "last" and not self._caller_waits_until(
+            sock, first_byte_at + min(incoming.left, MAX_LAST_DELAY_US)
+        ):
             return False
         if self.cut:
             record.ran = reply.ran
-            self._watch_silently(sock, record)
+            self._wait_for_caller_to_give_up(sock, record)
             return False
         record.ended, record.status, record.wait = self.day.now(), reply.status, reply.wait
         record.ran, record.repeat, record.spoilt = reply.ran, reply.repeat, reply.spoilt
         record.left = peek_byte(sock) == b""  # sets the timeout to 0
         if reply.spoilt == "noise":
             record.status = 0
-        del self.held[sock]
+        del self.open_calls[sock]
         sock.settimeout(5.0)
-        whole = written(reply)
+        answer = encode_answer(reply)
         if reply.spoilt == "pieces":
-            sock.sendall(whole[:-2])
-            gevent.sleep(PIECES)
-            whole = whole[-2:]
-        sock.sendall(whole)
+            sock.sendall(answer[:-2])
+            gevent.sleep(TORN_BODY_DELAY_S)
+            answer = answer[-2:]
+        sock.sendall(answer)
         if reply.spoilt in ("", "copy", "report", "interim", "pieces", "last"):
-            return not (new and self.endpoint.full())
-        self._after_spoilt(sock, reply)
+            return not (first_call and self.endpoint.connections_full())
+        self._finish_spoilt_answer(sock, reply)
         return False
 
-    def _still_there(self, sock: gevent.socket.socket, until: int) -> bool:
-        """Wait until a time; whether the caller is still there. What it sends meanwhile is not read."""
-        while (left := until - self.day.now()) > AT_ONCE:
-            if sock.fileno() < 0:  # a fault has reset the connection during the sleep below
+    def _caller_waits_until(self, sock: gevent.socket.socket, until: int) -> bool:
+        """Wait until a time; whether the caller is still connected. Bytes that it sends meanwhile are not read."""
+        while (left := until - self.day.now()) > MIN_TIMER_US:
+            if sock.fileno() < 0:  # a fault reset the connection during the sleep below
                 return False
             try:
-                gevent.socket.wait_read(sock.fileno(), left / 1_000_000, TIME_IS_UP)
+                gevent.socket.wait_read(sock.fileno(), left / 1_000_000, WAIT_TIMED_OUT)
             except TimeoutError:
                 return True
             if not sock.recv(1, gevent.socket.MSG_PEEK):
@@ -285,51 +298,51 @@
             gevent.sleep(min(left / 1_000_000, 0.005))
         return True
 
-    def _watch_silently(self, sock: gevent.socket.socket, record: Called) -> None:
-        """A call whose answer is lost on a cut network: it is out until its caller gives it up."""
-        while self.cut and sock in self.conns:
+    def _wait_for_caller_to_give_up(self, sock: gevent.socket.socket, record: Called) -> None:
+        """Leave a call unanswered on a cut network until its caller closes the connection."""
+        while self.cut and sock in self.sockets:
             try:
-                gevent.socket.wait_read(sock.fileno(), 0.05, TIME_IS_UP)
+                gevent.socket.wait_read(sock.fileno(), 0.05, WAIT_TIMED_OUT)
             except TimeoutError:
                 continue
             if not sock.recv(1, gevent.socket.MSG_PEEK):
                 return
             gevent.sleep(0.01)
 
-    def _after_spoilt(self, sock: gevent.socket.socket, reply: Reply) -> None:
+    def _finish_spoilt_answer(self, sock: gevent.socket.socket, reply: Reply) -> None:
         sent = 0
         if reply.spoilt == "huge":
-            while sent < HUGE:
+            while sent < HUGE_WRITTEN_BYTES:
                 sock.sendall(b"z" * 65536)
                 sent += 65536
-        sock.settimeout(SPOILT_STAYS)
+        sock.settimeout(SPOILT_TIMEOUT_S)
         while sock.recv(4096):
             pass
 
 
-def written(reply: Reply) -> bytes:
-    """An answer's bytes, spoilt where the model says so."""
-    status = b"HTTP/1.1 %d %s\r\n" % (reply.status, REASONS[reply.status])
-    lines = status
+def encode_answer(reply: Reply) -> bytes:
+    """The bytes of an answer, in the spoilt form that the model has chosen."""
+    status = b"HTTP/1.1 %d %s\r\n" % (reply.status, REASON_PHRASES[reply.status])
+    head = status
     if reply.wait:
-        lines += b"X-Backoff-Ms: %d\r\n" % (reply.wait // 1000)
+        head += b"X-Backoff-Ms: %d\r\n" % (reply.wait // 1000)
     if reply.spoilt == "report":
-        lines += b"X-Pressure: x0=nan,x1=1e999,=,\xff\r\n"
+        head += b"X-Pressure: x0=nan,x1=1e999,=,\xff\r\n"
     elif reply.report is not None:
-        lines += b"X-Pressure: x0=%g,x1=%g\r\n" % reply.report
-    whole = lines + b"Content-Length: 2\r\n\r\nok"
+        head += b"X-Pressure: x0=%g,x1=%g\r\n" % reply.report
+    answer = head + b"Content-Length: 2\r\n\r\nok"
     if reply.spoilt == "noise":
         return bytes(range(1, 200)) * 3
     if reply.spoilt == "endless":
-        return lines + b"X-Fill: " + b"y" * 70000
+        return head + b"X-Fill: " + b"y" * 70000
     if reply.spoilt == "short":
-        return lines + b"Content-Length: 999\r\n\r\nok"
+        return head + b"Content-Length: 999\r\n\r\nok"
     if reply.spoilt == "huge":
-        return lines + b"Content-Length: 3000000000\r\n\r\n"
+        return head + b"Content-Length: 3000000000\r\n\r\n"
     if reply.spoilt == "stops":
-        return whole[:-2]
+        return answer[:-2]
     if reply.spoilt == "copy":
-        return whole + whole
+        return answer + answer
     if reply.spoilt == "interim":
-        return b"HTTP/1.1 100 Continue\r\n\r\n" + whole
-    return whole
+        return b"HTTP/1.1 100 Continue\r\n\r\n" + answer
+    return answer
--- a/cedarwick/lab/environment.py
+++ b/cedarwick/lab/environment.py
@@ -1,4 +1,4 @@
-"""What surrounds the senders of a day: the partners' endpoints, the endpoint list, and one agent for each sender."""
+"""The senders' environment on a day: the partners' endpoints, the endpoint list, and an agent for each sender."""
 
 import gevent
 
@@ -10,13 +10,13 @@
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.workload import random_generator
 
-LINGERS = 2.5  # seconds from an endpoint's removal from the list until its server closes
+CLOSE_DELAY_S = 2.5  # from an endpoint's removal from the list until its server closes
 
 
 class Environment:
-    """Starts, changes and closes the endpoints' servers and the agents; every change goes to the endpoint list.
+    """Starts, changes and closes endpoint servers and agents, and publishes each change in the endpoint list.
 
-    Each agent hears of a change late, by a delay that is drawn from the scenario's `news_ms`.
+    Each agent learns of a change after a delay of its own, drawn from the scenario's `news_ms`.
     """
 
     def __init__(self, day: Day, scenario: Scenario, seed: int, senders: int, record_calls: bool = True) -> None:
@@ -24,9 +24,9 @@
         self.scenario = scenario
         self.record_calls = record_calls
         self.hosts = [sender_host(sender) for sender in range(senders)]
-        self.chance = random_generator(seed, 4)
+        self.delay_generator = random_generator(seed, 4)
         self.endpoint_list = EndpointList()
-        self.servers: list[EndpointServer] = []  # closed ones, too: their outages are part of the history
+        self.servers: list[EndpointServer] = []  # with closed ones, whose outages belong to the history
         self.next_uid = 1
         window = round(max((each.window_ms for each in scenario.priority_classes), default=0.0) * 1000)
         self.destination_models = [
@@ -40,49 +40,50 @@
         self.agents = [Agent(day, self.endpoint_list, sender) for sender in range(senders)]
 
     def servers_of(self, destination_number: int) -> list[EndpointServer]:
-        """The servers of a destination that are not closed."""
+        """The open servers of a destination."""
         return [
             server for server in self.servers if server.destination_number == destination_number and not server.closed
         ]
 
     def add_endpoint(self, destination_number: int, port: int = 0, warming_up: bool = False) -> EndpointServer:
-        """A new endpoint, at a port of its own or at that of one that is removed, which is closed first."""
+        """Start an endpoint on a new port, or on that of a removed endpoint, whose server is closed first."""
         destination = self.destination_models[destination_number]
         uid = f"s-{self.next_uid:05d}"
         self.next_uid += 1
         if port:
-            for old in self.servers:
-                if old.port == port and not old.closed:
-                    old.close()
-        endpoint = destination.add(uid)
+            for predecessor in self.servers:
+                if predecessor.port == port and not predecessor.closed:
+                    predecessor.close()
+        endpoint = destination.add_endpoint(uid)
         server = EndpointServer(self.day, endpoint, self.hosts, port, self.record_calls)
         if warming_up:
-            endpoint.warm_from = self.day.now()
+            endpoint.warm_up_began = self.day.now()
         self.servers.append(server)
-        self._tell(server, "up")
+        self._publish(server, "up")
         return server
 
     def drain_endpoint(self, server: EndpointServer) -> None:
-        """Mark the endpoint as draining in the list."""
-        self._tell(server, "draining")
+        """List the endpoint as draining."""
+        self._publish(server, "draining")
 
     def remove_endpoint(self, server: EndpointServer) -> None:
-        """Remove the endpoint from the list, and close its server `LINGERS` seconds later."""
-        self._tell(server, "removed")
-        gevent.spawn_later(LINGERS, server.close)
+        """Remove the endpoint from the list, and close its server `CLOSE_DELAY_S` later."""
+        self._publish(server, "removed")
+        gevent.spawn_later(CLOSE_DELAY_S, server.close)
 
     def close(self) -> None:
+        """Close all agents and endpoint servers."""
         for agent in self.agents:
             agent.close()
         for server in self.servers:
             if not server.closed:
                 server.close()
 
-    def _tell(self, server: EndpointServer, state: str) -> None:
+    def _publish(self, server: EndpointServer, state: str) -> None:
         destination = server.endpoint.destination
         self.endpoint_list.put(server.endpoint.uid, server.port, destination.number, destination.partner.name, state)
         revision = len(self.endpoint_list.changes)
         low, high = self.scenario.news_ms
         for agent in self.agents:
-            late = low + (high - low) * float(self.chance.uniform())
-            gevent.spawn_later(late / 1000, agent.learn_up_to, revision)
+            delay_ms = low + (high - low) * float(self.delay_generator.uniform())
+            gevent.spawn_later(delay_ms / 1000, agent.learn_up_to, revision)
--- a/cedarwick/lab/faults.py
+++ b/cedarwick/lab/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the planned faults, each from its begin to its end; they overlap as the schedule has it."""
+"""Applies the planned faults of a day, each from its begin to its end; they may overlap."""
 
 from collections.abc import Callable
 
@@ -14,11 +14,11 @@
 from cedarwick.lab.senders import Instance, SenderNotReadyError
 from cedarwick.lab.workload import PlannedFault
 
-RESTART = 0.6  # seconds after its end until a sender is started again, at the least
+MIN_DOWN_S = 0.6  # the least time from the end of a sender's process to its restart
 
 
-class Faults:
-    """One greenlet for each planned fault."""
+class FaultRunner:
+    """Applies each planned fault in a greenlet of its own."""
 
     def __init__(self, day: Day, environment: Environment, instances: list[Instance]) -> None:
         self.day = day
@@ -27,10 +27,11 @@
         self.under_way = 0
 
     def start(self, planned: list[PlannedFault]) -> None:
+        """Start a greenlet for each fault; `under_way` counts those that have not ended."""
         for fault in planned:
-            if fault.kind != "burst":  # the schedule holds its arrivals already
+            if fault.kind != "burst":  # the arrivals of a burst are part of the schedule
                 self.under_way += 1
-                gevent.spawn(self._carry_out, fault)
+                gevent.spawn(self._run_fault, fault)
             else:
                 self.day.history.add(
                     Gone(
@@ -43,20 +44,20 @@
                     )
                 )
 
-    def _carry_out(self, fault: PlannedFault) -> None:
+    def _run_fault(self, fault: PlannedFault) -> None:
         self.day.sleep_until(fault.begin)
         began = self.day.now()
-        on: list[str] = []
+        hit: list[str] = []
         try:
-            on = self._one(fault)
+            hit = self._apply(fault)
         except (OSError, SenderNotReadyError) as error:
-            self.day.failed = f"the fault {fault.kind} could not be carried out: {describe(error)}"
+            self.day.failed = f"the fault {fault.kind} could not be applied: {describe(error)}"
         finally:
             self.under_way -= 1
-            self.day.history.add(Gone(fault.number, fault.kind, began, self.day.now(), on, fault.size))
+            self.day.history.add(Gone(fault.number, fault.kind, began, self.day.now(), hit, fault.size))
 
-    def _one(self, fault: PlannedFault) -> list[str]:
-        """Carry the fault out to its end; the names of those that it hit."""
+    def _apply(self, fault: PlannedFault) -> list[str]:
+        """Apply the fault until its end; the names of the endpoints or senders that it hit."""
         end = fault.begin + fault.length
         if fault.kind == "replace":
             return self._replace(fault, end)
@@ -69,49 +70,49 @@
         return self._at_senders(fault, end)
 
     def _at_partners(self, fault: PlannedFault, end: int) -> list[str]:
-        ends: list[Callable[[bool], None]] = []
-        on = []
+        end_calls: list[Callable[[bool], None]] = []
+        hit = []
         for destination in fault.destinations:
             servers = self.environment.servers_of(destination)
             for server in servers if fault.whole else servers[:1]:
-                on.append(server.endpoint.uid)
-                ends.append(server.begin_fault(Effect(fault.kind, fault.size, fault.wait)))
+                hit.append(server.endpoint.uid)
+                end_calls.append(server.begin_fault(Effect(fault.kind, fault.size, fault.wait)))
         self.day.sleep_until(end)
-        for each in ends:
-            each(fault.warming_up)
-        return on
+        for end_fault in end_calls:
+            end_fault(fault.warming_up)
+        return hit
 
     def _replace(self, fault: PlannedFault, end: int) -> list[str]:
-        """Endpoints drain and are removed, and others are added, every second one at the address of its predecessor."""
-        on, old = [], []
+        """Drain and remove endpoints, and add one for each, every second one at the address of its predecessor."""
+        hit, replaced = [], []
         for destination in fault.destinations:
             for server in list(self.environment.servers_of(destination)):
-                on.append(server.endpoint.uid)
-                old.append(server)
+                hit.append(server.endpoint.uid)
+                replaced.append(server)
                 self.environment.drain_endpoint(server)
-        half = fault.begin + fault.length // 2
-        for place, server in enumerate(old):
-            if place % 2:
+        midpoint = fault.begin + fault.length // 2
+        for index, server in enumerate(replaced):
+            if index % 2:
                 self.environment.add_endpoint(server.destination_number, warming_up=fault.warming_up)
-        self.day.sleep_until(half)
-        for server in old:
+        self.day.sleep_until(midpoint)
+        for server in replaced:
             self.environment.remove_endpoint(server)
-        for place, server in enumerate(old):
-            if place % 2 == 0:
+        for index, server in enumerate(replaced):
+            if index % 2 == 0:
                 self.environment.add_endpoint(server.destination_number, server.port, warming_up=fault.warming_up)
         self.day.sleep_until(end)
-        return on
+        return hit
 
     def _at_senders(self, fault: PlannedFault, end: int) -> list[str]:
-        met = [self.instances[number] for number in fault.senders]
-        jobs = [gevent.spawn(self._at_sender, fault, end, instance) for instance in met]
+        hit_instances = [self.instances[number] for number in fault.senders]
+        jobs = [gevent.spawn(self._at_sender, fault, end, instance) for instance in hit_instances]
         gevent.joinall(jobs, raise_error=True)
-        return [f"n{instance.number}" for instance in met]
+        return [f"n{instance.number}" for instance in hit_instances]
 
     def _at_sender(self, fault: PlannedFault, end: int, instance: Instance) -> None:
         if fault.kind in ("kill", "term"):
             instance.take_down(gently=fault.kind == "term")
-            gevent.sleep(RESTART)
+            gevent.sleep(MIN_DOWN_S)
             self.day.sleep_until(end)
             instance.bring_up()
         elif fault.kind == "stop":
@@ -119,10 +120,10 @@
             self.day.sleep_until(end)
             instance.go_on()
         elif fault.kind == "full-folder":
-            usual, instance.disk_mb = instance.disk_mb, fault.size
+            usual_mb, instance.disk_mb = instance.disk_mb, fault.size
             self._reconfigure(instance)
             self.day.sleep_until(end)
-            instance.disk_mb = usual
+            instance.disk_mb = usual_mb
             self._reconfigure(instance)
         elif fault.kind == "reload":
             instance.spoil_configuration()
--- a/cedarwick/lab/listeners.py
+++ b/cedarwick/lab/listeners.py
@@ -1,4 +1,4 @@
-"""Listeners on loopback addresses: the host of each sender, ports that are reserved, one port at several hosts."""
+"""Listeners on loopback addresses: a host for each sender, reserved ports, and one port on several hosts."""
 
 import contextlib
 import struct
@@ -10,18 +10,18 @@
 
 from cedarwick.errors import CedarwickError
 
-BACKLOG = 512
-PATIENCE = 100  # looks for a port, 20 ms apart
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
+BACKLOG = 512  # connections that may wait to be accepted
+MAX_PORT_TRIES = 100  # attempts to open a port on all hosts, 20 ms apart
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: closing sends a reset
 
 
 def sender_host(sender: int) -> str:
-    """The loopback host at which a sender reaches all others."""
+    """The loopback host at which a sender reaches its partners and the platform."""
     return f"127.0.{10 + sender // 200}.{1 + sender % 200}"
 
 
-def bound(address: tuple[str, int], *, reuse: bool = True) -> gevent.socket.socket:
-    """A socket that is bound to an address and does not listen; port 0 takes a free one."""
+def bind_socket(address: tuple[str, int], *, reuse: bool = True) -> gevent.socket.socket:
+    """A socket that is bound to an address and does not listen; port 0 takes a free port."""
     sock = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
     if reuse:
         sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_REUSEADDR, 1)
@@ -34,8 +34,8 @@
 
 
 def listen(address: tuple[str, int], backlog: int = BACKLOG, *, reuse: bool = True) -> gevent.socket.socket:
-    """A listener; port 0 takes a free one. Without `reuse` a port that a `ReservedPort` holds counts as in use."""
-    sock = bound(address, reuse=reuse)
+    """A listener; port 0 takes a free port. Without `reuse`, a port that a `ReservedPort` holds counts as in use."""
+    sock = bind_socket(address, reuse=reuse)
     try:
         sock.listen(backlog)
     except OSError:
@@ -45,7 +45,7 @@
 
 
 def accept_connections(listener: gevent.socket.socket) -> Iterator[gevent.socket.socket]:
-    """Each connection as it comes up, until the listener is closed."""
+    """Yield each new connection until the listener is closed."""
     while True:
         try:
             sock, _ = listener.accept()
@@ -55,16 +55,16 @@
 
 
 class ReservedPort:
-    """A free port of a loopback host, kept for one listener until `release`.
+    """A free port of a loopback host, reserved for one listener until `release`.
 
-    A bound socket that does not listen holds the port: the system gives it to no other socket that asks for any free
-    port, while a listener with SO_REUSEADDR, as `listen` and the sender's own are, can still be opened on it, again
-    after each restart. A port that was only looked up and closed could go to another socket before its listener opens.
+    A bound socket that does not listen holds the port: the system assigns it to no other socket that asks for any free
+    port, while a listener with SO_REUSEADDR, such as that of `listen` or of a sender, can still be opened on it, also
+    after a restart. A port that was only looked up and closed could be assigned to another socket in the meantime.
     """
 
     def __init__(self, host: str) -> None:
-        """Raises OSError where no port of the host is free."""
-        self._socket = bound((host, 0))
+        """Reserve any free port of the host; OSError where there is none."""
+        self._socket = bind_socket((host, 0))
         self.host = host
         self.number = int(self._socket.getsockname()[1])
 
@@ -73,7 +73,7 @@
         return self.host, self.number
 
     def release(self) -> None:
-        """Give the port back; a second call does nothing."""
+        """Release the port; a second call does nothing."""
         self._socket.close()
 
     def __enter__(self) -> Self:
@@ -84,31 +84,33 @@
 
 
 class PortTakenError(CedarwickError, OSError):
-    """A port that the laboratory needs is taken."""
+    """A port that the laboratory needs is in use."""
 
     code = "CW603"
-    remedy = "end what listens on loopback addresses, an earlier day perhaps, and play again"
+    remedy = "end the processes that listen on loopback addresses, such as those of an earlier run, and run again"
 
 
 def listen_on_all(hosts: list[str], port: int = 0) -> tuple[int, list[gevent.socket.socket]]:
-    """One port at several hosts; port 0 looks for one that is free at all of them."""
-    for _ in range(PATIENCE):
-        made: list[gevent.socket.socket] = []
+    """Open one port on several hosts; port 0 finds one that is free on all of them."""
+    for _ in range(MAX_PORT_TRIES):
+        opened: list[gevent.socket.socket] = []
         try:
-            made.append(listen((hosts[0], port)))
-            found = int(made[0].getsockname()[1])
-            made += [listen((host, found), reuse=bool(port)) for host in hosts[1:]]
+            opened.append(listen((hosts[0], port)))
+            found_port = int(opened[0].getsockname()[1])
+            opened += [listen((host, found_port), reuse=bool(port)) for host in hosts[1:]]
         except OSError:
-            for sock in made:
+            for sock in opened:
                 sock.close()
-            gevent.sleep(0.02)  # the port of a listener that has just gone is in use for a moment
+            gevent.sleep(0.02)  # the port of a listener that was just closed stays in use for a moment
             continue
-        return found, made
-    raise PortTakenError(f"no port is free at {hosts[0]} and all others" if not port else f"port {port} stays in use")
+        return found_port, opened
+    raise PortTakenError(
+        f"no port is free on {hosts[0]} and all other hosts" if not port else f"port {port} stays in use"
+    )
 
 
 def reset_connection(sock: gevent.socket.socket) -> None:
-    """End a connection as a process that died does."""
+    """Close a connection with a reset, as when its process has died."""
     with contextlib.suppress(OSError):
-        sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_LINGER, RESET)
+        sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_LINGER, LINGER_RESET)
     sock.close()
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -18,7 +18,7 @@
 from cedarwick.lab.clients import Clients, SenderPool
 from cedarwick.lab.day import Day
 from cedarwick.lab.environment import Environment
-from cedarwick.lab.faults import Faults
+from cedarwick.lab.faults import FaultRunner
 from cedarwick.lab.figures import Figures, figures_of
 from cedarwick.lab.history import History, write_lines
 from cedarwick.lab.scenario import Scenario
@@ -128,7 +128,7 @@
         heard.at -= shift
     watches = [gevent.spawn(day.watch_lag), gevent.spawn(sender_pool.watch)]
     watches += [gevent.spawn(instance.sample) for instance in instances]
-    faults = Faults(day, environment, instances)
+    faults = FaultRunner(day, environment, instances)
     faults.start(drawn.faults)
     gevent.spawn(clients.run, drawn.arrivals)
     last = drawn.length + round(
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -273,7 +273,7 @@
     def test_a_port_that_stays_taken_is_an_error_that_names_it(self) -> None:
         from cedarwick.lab import listeners
 
-        usual, listeners.PATIENCE = listeners.PATIENCE, 2
+        usual, listeners.MAX_PORT_TRIES = listeners.MAX_PORT_TRIES, 2
         self.addCleanup(setattr, listeners, "PATIENCE", usual)
         with self.assertRaisesRegex(OSError, str(self.server.port)):
             listen_on_all([sender_host(0)], self.server.port)
