--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -260,7 +260,7 @@
             with (
                 self.subTest(leaves=leaves),
                 gevent.socket.create_connection(self.address) as sock,
-                mock.patch.object(self.server, "_still_there", return_value=True),
+                mock.patch.object(self.server, "_caller_waits_until", return_value=True),
             ):
                 sock.sendall(b"POST /receive HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 1\r\n\r\nx")
                 if leaves:
@@ -274,7 +274,7 @@
         from cedarwick.lab import listeners
 
         usual, listeners.MAX_PORT_TRIES = listeners.MAX_PORT_TRIES, 2
-        self.addCleanup(setattr, listeners, "PATIENCE", usual)
+        self.addCleanup(setattr, listeners, "MAX_PORT_TRIES", usual)
         with self.assertRaisesRegex(OSError, str(self.server.port)):
             listen_on_all([sender_host(0)], self.server.port)
 
