--- a/cedarwick/lab/closed.py
+++ b/cedarwick/lab/closed.py
@@ -1,7 +1,7 @@
-"""`python -m cedarwick.lab.closed HOST PORT CLIENTS SECONDS BAND DESTINATIONS BYTES TAG`: clients back to back.
+"""`python -m cedarwick.lab.closed HOST PORT CLIENTS SECONDS BAND DESTINATIONS BYTES TAG`: a closed load.
 
-Each asks again as soon as it has its answer, so a server is never idle: for ceilings, not for times of answers.
-Prints one JSON line of counts.
+Each client sends its next request as soon as it has an answer, which keeps the server busy: it measures the highest
+throughput, not response times. Prints a JSON line with the number of answers of each kind.
 """
 
 import json
@@ -16,7 +16,7 @@
 from cedarwick.lab.day import body_of
 
 
-def ask(
+def run_client(
     address: tuple[str, int],
     end_at: float,
     client: int,
@@ -26,7 +26,7 @@
     tag: str,
     answers: Counter[str],
 ) -> None:
-    """One client until the time is up."""
+    """Run one client until `end_at`."""
     number = 0
     sock = gevent.socket.create_connection(address)
     sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
@@ -49,11 +49,13 @@
     host, port, clients, seconds, priority_class, destinations, size, tag = sys.argv[1:9]
     answers: Counter[str] = Counter()
     end_at = time.monotonic() + float(seconds)
-    jobs = [
-        gevent.spawn(ask, (host, int(port)), end_at, client, priority_class, int(destinations), int(size), tag, answers)
+    client_greenlets = [
+        gevent.spawn(
+            run_client, (host, int(port)), end_at, client, priority_class, int(destinations), int(size), tag, answers
+        )
         for client in range(int(clients))
     ]
-    gevent.joinall(jobs)
+    gevent.joinall(client_greenlets)
     print(json.dumps(dict(answers)), flush=True)
     return 0
 
--- a/cedarwick/lab/load.py
+++ b/cedarwick/lab/load.py
@@ -1,6 +1,6 @@
-"""An open-loop load on any sender: each request is due at a time, and its answer's time counts from that.
+"""An open-loop load on any sender: each request has a due time, from which its response time is measured.
 
-A sender that stands still for a second is charged for all that was due in that second, not for one slow answer.
+A sender that stalls for a second is charged with every request that was due in that second, not with one slow answer.
 """
 
 import gc
@@ -22,15 +22,15 @@
 from cedarwick.lab.workload import random_generator
 from cedarwick.net.sockets import open_connection
 
-LATE = 10_000  # microseconds: a request begun so much after it was due was late by the tool's own fault
-SPARE = 1_500  # microseconds until the next request in which histograms may be filled
-AT_ONCE = 40  # times that are brought into them then
-MOST_LATE = 0.01  # a larger part of these makes the run void
+MAX_BEGIN_DELAY_US = 10_000  # a request begun later than this after its due time was delayed by this tool
+SPARE_TIME_US = 1_500  # the least time until the next request in which histograms may be updated
+RECORD_BATCH = 40  # times that are added to the histograms at once
+MAX_LATE_SHARE = 0.01  # a larger share of delayed requests makes the run void
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What is sent: where, how fast, how long, and what a message looks like."""
+    """A load: its targets, rate and length, and the messages that it consists of."""
 
     addresses: list[tuple[str, int]]
     rate: float  # requests a second, all addresses together
@@ -40,77 +40,79 @@
     size: int  # bytes of a body
     outer_ms: int
     patience: float  # seconds
-    connections: int  # at most, to each address
+    connections: int  # the most to each address
     seed: int = 1
-    first: int = 0  # the lowest number of a destination
+    first: int = 0  # the lowest destination number
 
 
 class Report(msgspec.Struct):
-    """What a load found."""
+    """The result of a load."""
 
     asked_rate: float
-    sent_rate: float  # requests answered or given up, a second
-    taken_rate: float  # answered +OK, a second
+    sent_rate: float  # requests per second that were answered or given up
+    taken_rate: float  # requests per second that were answered +OK
     answers: dict[str, int]
-    took: Quantiles  # from due to answer, of all that were answered
-    service: Quantiles  # from written to answer, of the same
+    took: Quantiles  # from due time to answer, of all answered requests
+    service: Quantiles  # from the sending to the answer, of the same requests
     worst_lag_ms: float
     void: str
 
 
 @dataclass
-class Line:
-    """The kept connections to one address, and the room for more."""
+class AddressConnections:
+    """The idle connections to an address, and the slots that limit how many are in use."""
 
     address: tuple[str, int]
-    room: gevent.lock.BoundedSemaphore
+    free_slots: gevent.lock.BoundedSemaphore
     idle: deque[gevent.socket.socket] = field(default_factory=deque)
 
 
 class Loader:
-    """Runs a plan once."""
+    """Runs a plan once; `progress` callbacks may read its counts."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.day = Day()
-        self.lines = [Line(address, gevent.lock.BoundedSemaphore(plan.connections)) for address in plan.addresses]
+        self.connections_by_address = [
+            AddressConnections(address, gevent.lock.BoundedSemaphore(plan.connections)) for address in plan.addresses
+        ]
         self.answers: Counter[str] = Counter()
         self.took, self.service = recorder(), recorder()
-        self.seen: deque[tuple[int, int]] = deque()  # times that are not in the histograms yet
+        self.unrecorded: deque[tuple[int, int]] = deque()  # response and service times not in the histograms yet
         self.late = 0
         self.sent = 0
         self.out = 0
-        self.nonce = secrets.token_hex(4)  # a second run must not submit the ids of the first
+        self.id_prefix = secrets.token_hex(4)  # random, so that two runs never submit the same ids
 
     def run(self, progress: Callable[["Loader"], None] = lambda _: None) -> Report:
-        """Send all that is due, wait for its answers, and report."""
+        """Send every request at its due time, wait for the answers, and report."""
         plan = self.plan
-        chance = random_generator(plan.seed, 9)
+        generator = random_generator(plan.seed, 9)
         gaps = itertools.chain.from_iterable(
-            chance.exponential(1_000_000 / plan.rate, 1024).tolist() for _ in itertools.count()
+            generator.exponential(1_000_000 / plan.rate, 1024).tolist() for _ in itertools.count()
         )
-        turns = itertools.cycle(self.lines)
+        address_cycle = itertools.cycle(self.connections_by_address)
         gc.collect()
-        gc.freeze()  # Danger: a collection over everything at hand makes requests late that were not the sender's
+        gc.freeze()  # Danger: a collection of all objects delays requests, which is no fault of the sender
         self.day.begin()
         watch = gevent.spawn(self.day.watch_lag)
         due, end = 0.0, plan.seconds * 1_000_000
         while due < end:
             if due - self.day.now() > 500:
-                self._record(AT_ONCE if due - self.day.now() > SPARE else 0)
+                self._record(RECORD_BATCH if due - self.day.now() > SPARE_TIME_US else 0)
                 self.day.sleep_until(round(due))
                 progress(self)
             self.sent += 1
             self.out += 1
-            gevent.spawn(self._one, self.sent, round(due), next(turns))
+            gevent.spawn(self._send_request, self.sent, round(due), next(address_cycle))
             due += next(gaps)
             if self.sent % 64 == 0:
-                gevent.sleep(0)  # Danger: catching up must not keep answers from being read
+                gevent.sleep(0)  # Danger: without it, answers are not read while the tool catches up
         while self.out:
             gevent.sleep(0.01)
         watch.kill()
         gc.unfreeze()
-        self._record(len(self.seen))
+        self._record(len(self.unrecorded))
         took = self.day.now() / 1_000_000
         answered = sum(self.answers.values())
         return Report(
@@ -125,50 +127,51 @@
         )
 
     def _record(self, count: int) -> None:
-        """Bring some of what was seen into the histograms, when there is time for it."""
-        for _ in range(min(count, len(self.seen))):
-            took, service = self.seen.popleft()
+        """Add up to `count` times to the histograms."""
+        for _ in range(min(count, len(self.unrecorded))):
+            took, service = self.unrecorded.popleft()
             self.took.record_value(min(LONGEST, took))
             self.service.record_value(min(LONGEST, service))
 
     def void(self) -> str:
-        if self.late > MOST_LATE * max(1, self.sent):
+        """Why the run proves nothing, as this tool was too slow; empty where it is valid."""
+        if self.late > MAX_LATE_SHARE * max(1, self.sent):
             return (
-                f"{self.late} of {self.sent} requests were begun over {LATE // 1000} ms late: "
+                f"{self.late} of {self.sent} requests were begun over {MAX_BEGIN_DELAY_US // 1000} ms late: "
                 "this tool or its machine is too slow for the rate"
             )
         return ""
 
-    def _one(self, number: int, due: int, line: Line) -> None:
-        self.late += self.day.now() - due > LATE
+    def _send_request(self, number: int, due: int, connections: AddressConnections) -> None:
+        self.late += self.day.now() - due > MAX_BEGIN_DELAY_US
         plan = self.plan
-        id = f"{self.nonce}{number:08x}"
+        id = f"{self.id_prefix}{number:08x}"
         pairs = f"c={plan.priority_class},d={plan.outer_ms},dest={plan.first + number % plan.destinations}".encode()
         request = command(b"SUBMIT", b"0" * 16, id.encode(), pairs, body_of(id, plan.size))
-        with line.room:  # waiting for a connection is part of the time
-            sent = self.day.now()
-            answer = self._ask(line, request)
+        with connections.free_slots:  # the wait for a connection is part of the response time
+            sent_at = self.day.now()
+            answer = self._exchange(connections, request)
         now = self.day.now()
         self.answers[answer] += 1
         if answer in ("ok", "busy", "error"):
-            self.seen.append((max(1, now - due), max(1, now - sent)))
+            self.unrecorded.append((max(1, now - due), max(1, now - sent_at)))
         self.out -= 1
 
-    def _ask(self, line: Line, request: bytes) -> str:
-        """What came of one request: ok, busy, error, none, cut or down."""
-        sock = line.idle.pop() if line.idle else None
+    def _exchange(self, connections: AddressConnections, request: bytes) -> str:
+        """Send a request and read its answer; the result: ok, busy, error, none, cut or down."""
+        sock = connections.idle.pop() if connections.idle else None
         reused = sock is not None
         try:
             if sock is None:
-                sock = open_connection(line.address, self.plan.patience)
+                sock = open_connection(connections.address, self.plan.patience)
         except OSError:
             return "down"
         try:
             sock.sendall(request)
             reply = sock.recv(512)
             while reply and not reply.endswith(b"\r\n"):
-                more = sock.recv(512)
-                reply = reply + more if more else b""
+                rest = sock.recv(512)
+                reply = reply + rest if rest else b""
         except TimeoutError:
             sock.close()
             return "none"
@@ -176,13 +179,13 @@
             reply = b""
         if not reply:
             sock.close()
-            return self._ask(line, request) if reused else "cut"
-        line.idle.append(sock)
+            return self._exchange(connections, request) if reused else "cut"
+        connections.idle.append(sock)
         return "ok" if reply[:1] == b"+" else "busy" if reply.startswith(b"-BUSY") else "error"
 
 
 def answers_ping(address: tuple[str, int], seconds: float = 2.0) -> bool:
-    """Whether a sender at an address answers PING."""
+    """Whether the sender at an address answers PING."""
     try:
         with gevent.socket.create_connection(address, seconds) as sock:
             sock.settimeout(seconds)
--- a/cedarwick/lab/mixed_classes.py
+++ b/cedarwick/lab/mixed_classes.py
@@ -1,4 +1,7 @@
-"""The four priority classes of days that mix all kinds of messages: one for each effect of a repeat, one in turn."""
+"""Priority classes for days that mix all kinds of messages.
+
+One class for each setting of `repeat`, and one whose messages are ordered by order keys.
+"""
 
 from cedarwick.lab.scenario import PriorityClass
 
--- a/cedarwick/lab/quick.py
+++ b/cedarwick/lab/quick.py
@@ -1,6 +1,6 @@
-"""`python -m cedarwick.lab.quick HOST PORT`: a partner that answers at once, for ceilings; ends on SIGTERM.
+"""`python -m cedarwick.lab.quick HOST PORT`: a partner that answers at once, for throughput limits; ends on SIGTERM.
 
-On its end it prints one JSON line: how many calls came in each tenth of a second of its wall time.
+At its end it prints a JSON line with the number of calls in each tenth of a second of wall time.
 """
 
 import json
@@ -16,40 +16,40 @@
 from cedarwick.lab.listeners import listen
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-COUNT_INTERVAL_S = 0.1  # seconds of one count
+COUNT_INTERVAL_S = 0.1  # the time over which each count extends
 
 
-def serve(listener: gevent.socket.socket, counts: Counter[int]) -> None:
-    """Never returns: answers every call on every connection."""
+def accept_calls(listener: gevent.socket.socket, counts: Counter[int]) -> None:
+    """Accept connections and answer all calls on them; never returns."""
     while True:
         sock, _ = listener.accept()
-        gevent.spawn(answer, sock, counts)
+        gevent.spawn(answer_calls, sock, counts)
 
 
-def answer(sock: gevent.socket.socket, counts: Counter[int]) -> None:
-    """All calls of one connection. Calls are not checked: they come from this repository's own programs."""
+def answer_calls(sock: gevent.socket.socket, counts: Counter[int]) -> None:
+    """Answer all calls of a connection. Calls are not validated: only programs of this package send them."""
     sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
-    held = b""
+    buffer = b""
     with sock:
         while data := sock.recv(65536):
-            held += data
-            while (end := held.find(b"\r\n\r\n")) >= 0:
-                at = held.find(b"Content-Length: ")
-                size = int(held[at + 16 : held.find(b"\r\n", at)])
-                if len(held) < end + 4 + size:
+            buffer += data
+            while (end := buffer.find(b"\r\n\r\n")) >= 0:
+                length_at = buffer.find(b"Content-Length: ")
+                size = int(buffer[length_at + 16 : buffer.find(b"\r\n", length_at)])
+                if len(buffer) < end + 4 + size:
                     break
-                held = held[end + 4 + size :]
+                buffer = buffer[end + 4 + size :]
                 counts[int(time.time() / COUNT_INTERVAL_S)] += 1
                 sock.sendall(ANSWER)
 
 
 def main() -> int:
-    ended = gevent.event.Event()
-    gevent.signal_handler(signal.SIGTERM, ended.set)
+    stopped = gevent.event.Event()
+    gevent.signal_handler(signal.SIGTERM, stopped.set)
     counts: Counter[int] = Counter()
-    gevent.spawn(serve, listen((sys.argv[1], int(sys.argv[2]))), counts)
+    gevent.spawn(accept_calls, listen((sys.argv[1], int(sys.argv[2]))), counts)
     print("ready", flush=True)
-    ended.wait()
+    stopped.wait()
     print(json.dumps(sorted(counts.items())), flush=True)
     return 0
 
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -1,4 +1,4 @@
-"""One day in the laboratory, from the drawing of its schedule to the audit's verdict."""
+"""Runs a day in the laboratory, from the draw of its schedule to the audit's verdict."""
 
 import gc
 import importlib.metadata
@@ -25,14 +25,14 @@
 from cedarwick.lab.senders import COMMAND, Instance
 from cedarwick.lab.workload import Schedule, draw_schedule
 
-LOOK = 0.1  # seconds between two looks at how the day stands
-WATCH_ON = 1_000_000  # microseconds that are watched after the last end
-NAMES = ("gevent", "httptools", "loguru", "msgspec", "numpy")
+POLL_INTERVAL_S = 0.1  # between two checks whether the day is over
+QUIET_PERIOD_US = 1_000_000  # after the last final answer, before the day ends
+REPORTED_PACKAGES = ("gevent", "httptools", "loguru", "msgspec", "numpy")
 
 
 @dataclass
 class Result:
-    """A day that has been played."""
+    """A day that was run."""
 
     scenario: Scenario
     seed: int
@@ -42,14 +42,14 @@
     history: History
     verdict: Verdict
     figures: Figures
-    void: str  # why it says nothing of the senders; empty where it does
-    took: float
+    void: str  # why the day proves nothing about the senders; empty where it is valid
+    took: float  # seconds
     folder: str = ""
     versions: dict[str, str] = field(default_factory=dict)
 
     @property
     def status(self) -> int:
-        """The exit status: 0 good, 3 a rule broken or a message unaccounted for, 4 void."""
+        """The exit status: 0 good, 3 a broken rule or a lost message, 4 void."""
         return 4 if self.void else 3 if self.verdict.findings or self.verdict.account.lost else 0
 
 
@@ -62,28 +62,28 @@
     command: Sequence[str] = COMMAND,
     progress: Callable[[Day, Clients, int], None] = lambda *_: None,
 ) -> Result:
-    """Play a day to its end. `out` is a folder for all that was seen; a temporary one, removed, where it is empty."""
+    """Run a day to its end. `out` is a folder for all records; empty: a temporary one, removed."""
     senders = senders or scenario.senders
     drawn = draw_schedule(scenario, seed, senders, short)
-    begun = time.monotonic()
-    with tempfile.TemporaryDirectory(prefix="cedarwick-lab-") as scratch:
+    started_at = time.monotonic()
+    with tempfile.TemporaryDirectory(prefix="cedarwick-lab-") as temporary_folder:
         day = Day()
         environment = Environment(day, scenario, seed, senders)
-        folder = os.path.join(out, "senders") if out else scratch
+        folder = os.path.join(out, "senders") if out else temporary_folder
         os.makedirs(folder, exist_ok=True)
         instances = [
             Instance(day, scenario, number, senders, environment.agents[number], folder, seed, command)
             for number in range(senders)
         ]
         try:
-            ended = _through(day, scenario, drawn, environment, instances, progress)
+            ended = _run_to_end(day, scenario, drawn, environment, instances, progress)
         finally:
             for instance in instances:
                 instance.end()
             environment.close()
     for server in environment.servers:
-        for away in server.outage_records():
-            day.history.add(away)
+        for outage in server.outage_records():
+            day.history.add(outage)
     verdict = judge(scenario, day.history, ended)
     result = Result(
         scenario,
@@ -95,16 +95,16 @@
         verdict,
         figures_of(scenario, day.history, drawn.length, verdict.account),
         day.void(),
-        time.monotonic() - begun,
+        time.monotonic() - started_at,
         out,
         versions(),
     )
     if out:
-        write(result, out)
+        write_run(result, out)
     return result
 
 
-def _through(
+def _run_to_end(
     day: Day,
     scenario: Scenario,
     drawn: Schedule,
@@ -112,57 +112,57 @@
     instances: list[Instance],
     progress: Callable[[Day, Clients, int], None],
 ) -> int:
-    """Start all senders, let the day run, end them; when the watching stopped."""
+    """Start all senders, run the day and end them; the time at which observation stopped."""
     gevent.joinall([gevent.spawn(instance.start) for instance in instances], raise_error=True)
     sender_pool = SenderPool(day, instances, scenario.clients.notice_s)
     clients = Clients(day, scenario, sender_pool)
     for agent in environment.agents:
         agent.on_notice = clients.notice
     gc.collect()
-    gc.freeze()  # Danger: a collection over all that is drawn stops every party for a moment
+    gc.freeze()  # Danger: a collection that scans the whole schedule pauses every party of the day
     shift = day.now()
     day.begin()
     for life in day.history.life:
         life.at -= shift
     for heard in day.history.heard:
         heard.at -= shift
-    watches = [gevent.spawn(day.watch_lag), gevent.spawn(sender_pool.watch)]
-    watches += [gevent.spawn(instance.sample) for instance in instances]
+    watchers = [gevent.spawn(day.watch_lag), gevent.spawn(sender_pool.watch)]
+    watchers += [gevent.spawn(instance.sample) for instance in instances]
     faults = FaultRunner(day, environment, instances)
     faults.start(drawn.faults)
     gevent.spawn(clients.run, drawn.arrivals)
-    last = drawn.length + round(
+    latest_end = drawn.length + round(
         max(each.outer_ms + scenario.rules.end_grace_ms for each in scenario.priority_classes) * 1000
     )
-    last += 5_000_000  # restarts may put ends off
+    latest_end += 5_000_000  # restarts may delay final answers
     quiet_since = 0
-    while day.now() < last:
-        gevent.sleep(LOOK)
-        progress(day, clients, last)
-        owed = not clients.done or clients.busy or faults.under_way or _open(day.history)
-        quiet_since = 0 if owed else quiet_since or day.now()
-        if quiet_since and day.now() - quiet_since > WATCH_ON:
+    while day.now() < latest_end:
+        gevent.sleep(POLL_INTERVAL_S)
+        progress(day, clients, latest_end)
+        unfinished = not clients.done or clients.busy or faults.under_way or _has_open_messages(day.history)
+        quiet_since = 0 if unfinished else quiet_since or day.now()
+        if quiet_since and day.now() - quiet_since > QUIET_PERIOD_US:
             break
     ended = day.now()
-    gevent.killall(watches)
-    jobs = [gevent.spawn(instance.terminate) for instance in instances if instance.running()]
-    gevent.joinall(jobs, timeout=5.0)
+    gevent.killall(watchers)
+    terminations = [gevent.spawn(instance.terminate) for instance in instances if instance.running()]
+    gevent.joinall(terminations, timeout=5.0)
     clients.close()
     gc.unfreeze()
     return ended
 
 
-def _open(history: History) -> bool:
-    """Whether anything that was taken on has no end yet."""
+def _has_open_messages(history: History) -> bool:
+    """Whether an accepted message has no final answer yet."""
     ended = {notice.id for notice in history.noticed}
     ended.update(call.id for call in history.called if call.status == 200)
     return any(handed.answer == "ok" and handed.id not in ended for handed in history.handed)
 
 
 def versions() -> dict[str, str]:
-    """What the figures of a day depend on."""
+    """The software and the machine that a day's figures depend on."""
     found = {"python": platform.python_version(), "machine": platform.machine(), "cores": str(os.cpu_count())}
-    for name in ("cedarwick", *NAMES):
+    for name in ("cedarwick", *REPORTED_PACKAGES):
         try:
             found[name] = importlib.metadata.version(name)
         except importlib.metadata.PackageNotFoundError:
@@ -171,7 +171,7 @@
 
 
 class RunSummary(msgspec.Struct):
-    """The head of a run's folder."""
+    """The summary of a run, `run.json` in its folder."""
 
     scenario: Scenario
     seed: int
@@ -187,6 +187,7 @@
 
 
 def summarize_run(result: Result) -> RunSummary:
+    """The summary of a run, as it is written to its folder."""
     return RunSummary(
         result.scenario,
         result.seed,
@@ -202,8 +203,8 @@
     )
 
 
-def write(result: Result, folder: str) -> None:
-    """The run's folder: its head, the drawn schedule, and all that was seen."""
+def write_run(result: Result, folder: str) -> None:
+    """Write a run's folder: its summary, its schedule and its history."""
     os.makedirs(folder, exist_ok=True)
     with open(os.path.join(folder, "run.json"), "wb") as file:
         file.write(msgspec.json.format(msgspec.json.encode(summarize_run(result)), indent=1))
@@ -213,11 +214,11 @@
 
 
 def read_run_summary(folder: str) -> RunSummary:
-    """The head of a run that was written before; ValueError or OSError where it cannot be read."""
+    """Read the summary in a run's folder; ValueError or OSError where it cannot be read."""
     with open(os.path.join(folder, "run.json"), "rb") as file:
         return msgspec.json.decode(file.read(), type=RunSummary)
 
 
-def stop_on_signals(end: Callable[[], None]) -> None:
-    """SIGTERM ends a day as an interrupt does, so that no sender is left behind."""
-    gevent.signal_handler(signal.SIGTERM, end)
+def stop_on_signals(stop: Callable[[], None]) -> None:
+    """Stop the day on SIGTERM as on an interrupt, so that no sender process is left running."""
+    gevent.signal_handler(signal.SIGTERM, stop)
--- a/cedarwick/lab/serve.py
+++ b/cedarwick/lab/serve.py
@@ -1,4 +1,4 @@
-"""A scenario's partners, platform and senders without clients or faults, for a load from outside."""
+"""Runs a scenario's partners, platform and senders without clients and faults, for an external load."""
 
 import gc
 import signal
@@ -15,12 +15,12 @@
 
 
 def serve_until_stopped(
-    scenario: Scenario, seed: int, senders: int, seconds: float, say: Callable[[str], None]
+    scenario: Scenario, seed: int, senders: int, seconds: float, print_line: Callable[[str], None]
 ) -> None:
-    """Start everything, say each sender's address, and end it after so long or at SIGINT or SIGTERM."""
-    ended = gevent.event.Event()
-    gevent.signal_handler(signal.SIGTERM, ended.set)
-    gevent.signal_handler(signal.SIGINT, ended.set)
+    """Start everything, print the senders' addresses, and stop after `seconds` or on SIGINT or SIGTERM."""
+    stopped = gevent.event.Event()
+    gevent.signal_handler(signal.SIGTERM, stopped.set)
+    gevent.signal_handler(signal.SIGINT, stopped.set)
     with tempfile.TemporaryDirectory(prefix="cedarwick-serve-") as folder:
         day = Day()
         environment = Environment(day, scenario, seed, senders, record_calls=False)
@@ -31,11 +31,11 @@
         try:
             gevent.joinall([gevent.spawn(instance.start) for instance in instances], raise_error=True)
             for instance in instances:
-                say(f"{instance.address[0]}:{instance.address[1]}")
+                print_line(f"{instance.address[0]}:{instance.address[1]}")
             gc.collect()
             gc.freeze()
             watch = gevent.spawn(day.watch_lag)
-            ended.wait(seconds)
+            stopped.wait(seconds)
             watch.kill()
             gevent.joinall(
                 [gevent.spawn(instance.terminate) for instance in instances if instance.running()],
@@ -46,4 +46,4 @@
                 instance.end()
             environment.close()
     calls = sum(server.calls for server in environment.servers)
-    say(f"{calls} calls were answered; the emulator was at most {day.worst_lag / 1000:.0f} ms late")
+    print_line(f"{calls} calls were answered; the emulator was at most {day.worst_lag / 1000:.0f} ms late")
--- a/tests/lab/test_formats.py
+++ b/tests/lab/test_formats.py
@@ -1,4 +1,4 @@
-"""Files of the laboratory keep their keys, whatever the fields are called in Python: scenarios, histories, plans."""
+"""Scenario, history and plan files keep their keys, whatever the names of the fields in Python."""
 
 import os
 import tempfile
@@ -14,7 +14,7 @@
 from cedarwick.lab.schedule import draw
 from cedarwick.lab.workload import Arrival, PlannedFault
 
-# Lines as they were written when the fields had the names of their keys.
+# Lines from a version in which the fields had the same names as the keys.
 HANDED = (
     b'{"what":"handed","id":"a","first":"b","band":"free","destination":1,"mark":"m","turn":"t","due":1,"sent":2,'
     b'"outer":3,"sender":4,"answer":"","answered":-1,"wait":0,"fresh":true,"again":false,"taker":-1}\n'
@@ -23,36 +23,39 @@
 GONE = b'{"what":"gone","number":1,"kind":"k","began":2,"ended":3,"on":["n0"],"size":0.5}\n'
 
 
-def missing_from(written: Any, made: Any, at: str = "") -> list[str]:
-    """The keys of a file whose value is not found again under the same key."""
+def changed_keys(written: Any, encoded: Any, at: str = "") -> list[str]:
+    """The keys of a file that are missing or have another value in its encoded form."""
     if isinstance(written, dict):
-        lost = [f"{at}.{key}" for key in written if key not in made]
-        return lost + [
-            each for key in written if key in made for each in missing_from(written[key], made[key], f"{at}.{key}")
+        missing = [f"{at}.{key}" for key in written if key not in encoded]
+        return missing + [
+            found
+            for key in written
+            if key in encoded
+            for found in changed_keys(written[key], encoded[key], f"{at}.{key}")
         ]
-    if isinstance(written, list) and len(written) == len(made):
-        return [each for row, other in zip(written, made, strict=True) for each in missing_from(row, other, at)]
-    return [] if written == made else [at]
+    if isinstance(written, list) and len(written) == len(encoded):
+        return [each for row, other in zip(written, encoded, strict=True) for each in changed_keys(row, other, at)]
+    return [] if written == encoded else [at]
 
 
 class ScenarioFilesTest(unittest.TestCase):
-    def test_every_key_of_a_shipped_scenario_comes_back_under_its_name(self) -> None:
+    def test_shipped_scenarios_keep_their_keys(self) -> None:
         for name in scenarios.shipped_scenarios():
             with self.subTest(name):
                 with open(os.path.join(scenarios.SHIPPED_FOLDER, f"{name}.toml"), "rb") as file:
                     written = tomllib.load(file)
                 loaded = scenarios.load_scenario(name)
-                self.assertEqual(missing_from(written, msgspec.to_builtins(loaded)), [])
+                self.assertEqual(changed_keys(written, msgspec.to_builtins(loaded)), [])
                 again: scenarios.Scenario = msgspec.json.decode(msgspec.json.encode(loaded), type=scenarios.Scenario)
                 self.assertEqual(again, loaded)
 
-    def test_the_keys_of_the_renamed_fields(self) -> None:
+    def test_fields_with_other_python_names_keep_their_keys(self) -> None:
         written = msgspec.to_builtins(scenarios.load_scenario("drains"))
         self.assertLessEqual({"band", "partner", "trouble"}, written.keys())
         self.assertIn("cold", written["partner"][0])
         self.assertIn("cold", written["trouble"][0])
 
-    def test_a_python_name_is_no_key(self) -> None:
+    def test_python_names_are_not_accepted_as_keys(self) -> None:
         for renamed in ("priority_classes", "faults"):
             with self.subTest(renamed), self.assertRaises(msgspec.ValidationError):
                 msgspec.convert({"name": "s", "band": [], "partner": [], renamed: []}, scenarios.Scenario)
@@ -64,7 +67,7 @@
         self.addCleanup(folder.cleanup)
         self.path = os.path.join(folder.name, "history.jsonl")
 
-    def test_a_history_written_before_is_read_and_written_the_same(self) -> None:
+    def test_an_earlier_history_is_read_and_written_unchanged(self) -> None:
         with open(self.path, "wb") as file:
             file.write(HANDED + AWAY + GONE)
         history = read(self.path)
