--- a/cedarwick/events/exchange.py
+++ b/cedarwick/events/exchange.py
@@ -1,9 +1,9 @@
-"""One fleet member's part in subscriptions: the replicated registry, `FOLLOW` and `UNFOLLOW`, and the events here.
+"""The subscriptions of one fleet member: the registry replica, the `FOLLOW` and `UNFOLLOW` calls, and local events.
 
-Created with the fleet node, which calls `look` regularly. It costs almost nothing until somebody follows: only then
-`subscription_server.py` is loaded, and with it lark. `registry_exchange.py` exchanges the registry with other members,
-`subscription_store.py` saves it, `registry.py` defines what its entries mean. Times are microseconds unless a name
-ends in `_S` (seconds).
+The fleet node creates an `Exchange` and calls its `look` regularly. `subscription_server.py`, and lark with it, is
+loaded only for the first subscription, so that a member without subscriptions spends almost nothing on them.
+`registry_exchange.py` exchanges the registry with other members, `subscription_store.py` saves it, and `registry.py`
+defines its entries. Times are microseconds unless a name ends in `_S` (seconds).
 """
 
 import importlib
@@ -38,62 +38,62 @@
 if TYPE_CHECKING:
     from cedarwick.events.subscription_server import SubscriptionServer
 
-TURN_INTERVAL = 250_000  # microseconds between two checks of registry and receivers
+CHECK_INTERVAL = 250_000  # microseconds between two checks of the registry and the receivers
 TICK_INTERVAL = 1_000_000  # microseconds between two ticks of the registry
-CLOCK_JUMP = 10_000_000  # microseconds of drift from the steady clock at which the wall clock counts as set
-START_PORTIONS = 20  # portions of stored filters compiled during start-up: 200 filters, 0.1 s
+MIN_CLOCK_JUMP = 10_000_000  # microseconds of drift from the monotonic clock that count as a jump of the wall clock
+MAX_STARTUP_BATCHES = 20  # batches of stored filters compiled during start-up: 200 filters, 0.1 s
 EXPIRY_INTERVAL = 30_000_000  # microseconds between two searches for expired subscriptions
 MAX_READERS = 128  # subscribers connected to this member
 
 
 class InvalidFollowError(CedarwickError):
-    """A call of `FOLLOW` or `UNFOLLOW` that cannot be read."""
+    """A `FOLLOW` or `UNFOLLOW` call cannot be parsed."""
 
     code = "CW831"
     remedy = "write FOLLOW NAME WHERE FILTER, FOLLOW NAME SOURCE:NUMBER ... WHERE FILTER, or UNFOLLOW NAME"
 
 
 class SubscriptionMovedError(CedarwickError):
-    """The subscriber has followed at another member since."""
+    """The subscriber has connected to another member in the meantime."""
 
     code = "CW833"
     remedy = "read there; two subscribers need two names"
 
 
 class UnfollowedError(CedarwickError):
-    """The subscription has ended: somebody has said so, or nobody has followed it for long."""
+    """The subscription has ended, either by `UNFOLLOW` or because it had no follower for its whole lifetime."""
 
     code = "CW834"
     remedy = "follow with the filter to begin a new one"
 
 
 class SubscriptionExpiredError(CedarwickError):
-    """This member was cut off for so long that it could not know what had ended meanwhile, and begins anew."""
+    """This member was cut off for so long that it may have missed ends, and discarded its live subscriptions."""
 
     code = "CW835"
     remedy = "follow again with cursors and filter, here or at any other member"
 
 
 class TooManyReadersError(CedarwickError):
-    """As many subscribers are connected to this member as may be."""
+    """The limit of subscribers connected to this member is reached."""
 
     code = "CW830"
     remedy = "follow at another member, or end connections that nobody needs"
 
 
-def wall() -> int:
+def wall_time() -> int:
     """The wall clock in microseconds."""
-    # Not the sender's own clock, which stops while the machine sleeps: later entries would seem older than they are.
+    # The sender's own clock stops while the machine sleeps; by it, later entries would seem older than they are.
     return time.time_ns() // 1000
 
 
-def split_follow(argument: str) -> tuple[str, str | None]:
-    """Split the argument of FOLLOW into name with cursors, and the filter's text (None without WHERE)."""
+def split_follow_argument(argument: str) -> tuple[str, str | None]:
+    """Split the argument of FOLLOW into the name with its cursors and the text of the filter (None without WHERE)."""
     # Cursors contain a colon, so the first word WHERE after the name begins the filter.
     words = argument.split(" ")
-    place = next((at for at, word in enumerate(words[1:], 1) if word.upper() == "WHERE"), len(words))
-    target = " ".join(word for word in words[:place] if word)
-    return target, " ".join(words[place + 1 :]) if place < len(words) else None
+    filter_start = next((at for at, word in enumerate(words[1:], 1) if word.upper() == "WHERE"), len(words))
+    target = " ".join(word for word in words[:filter_start] if word)
+    return target, " ".join(words[filter_start + 1 :]) if filter_start < len(words) else None
 
 
 class Exchange:
@@ -102,325 +102,330 @@
     def __init__(
         self,
         name: str,
-        gate: PeerVerifier,
+        verifier: PeerVerifier,
         counters: Counters,
         call: Callable[[str, Body, float], Body | None],
-        state: str = "",
-        lasts: int = DEFAULT_LIFETIME,
+        state_folder: str = "",
+        lifetime: int = DEFAULT_LIFETIME,
     ) -> None:
-        """`state`: folder to save subscriptions in (empty: none); `lasts`: their lifetime without a follower, in
-        microseconds; `call` sends a message to a member and waits so many seconds for the answer.
+        """`state_folder`: empty if nothing is saved; `lifetime`: microseconds that a subscription lasts without a
+        follower; `call`: sends a message to a member and waits up to the given seconds for its answer.
         """
         self.name = name
-        self.gate = gate
+        self.verifier = verifier
         self.counters = counters
         self.call = call
-        self.sources = Sources(gate)
-        self.sync = RegistrySync(Registry(name, wall(), lasts))
-        self.peers = RegistryExchange(name, self.sync, counters, call, wall, self._merged)
-        self.store = SubscriptionStore(state, self.registry, counters) if state else None
-        self.serving: SubscriptionServer | None = None
+        self.sources = Sources(verifier)
+        self.registry_sync = RegistrySync(Registry(name, wall_time(), lifetime))
+        self.registry_exchange = RegistryExchange(
+            name, self.registry_sync, counters, call, wall_time, self._entries_merged
+        )
+        self.store = SubscriptionStore(state_folder, self.registry, counters) if state_folder else None
+        self.server: SubscriptionServer | None = None
         self.loading = False
-        self.first = 1  # number of the next event until the server is loaded
+        self.first_number = 1  # number of the next event while the server is not loaded
         self.alive: list[str] = [name]
-        self.dirty = False  # subscriptions have changed, or some are not compiled yet
-        self.began = gate.incarnation  # start time of the newest connection here
-        self.turn_at = self.tick_at = self.expiry_at = 0
+        self.compilation_due = False  # subscriptions have changed, or some filters are not compiled yet
+        self.last_connected_at = verifier.incarnation  # start time of the newest connection of a subscriber
+        self.next_check_at = self.next_tick_at = self.next_expiry_check_at = 0
         self.observer: EventObserver | None = None
-        self.offset: int | None = None  # wall clock minus steady clock
+        self.clock_offset: int | None = None  # wall clock minus monotonic clock
         if self.store is not None:
-            self.store.load(wall())
+            self.store.load(wall_time())
 
     @property
     def registry(self) -> Registry:
         """All subscriptions known to this member."""
-        return self.sync.registry
+        return self.registry_sync.registry
 
-    def replace(self, lasts: int) -> None:
-        """Set the lifetime in microseconds without a follower of subscriptions followed here, current ones included."""
-        self.registry.lasts = lasts
+    def set_lifetime(self, lifetime: int) -> None:
+        """Set how many microseconds subscriptions followed here last without a follower, existing ones included."""
+        self.registry.lifetime = lifetime
 
     def attach(
         self, management: ManagementCommands, endpoint_list: EndpointList, dispatcher: Dispatcher, site: str
     ) -> None:
-        """Connect to the parts of the sender; called after every other part that wraps the attempt callbacks."""
+        """Attach to the parts of the sender; called after all other parts have wrapped the attempt callbacks."""
         self.observer = EventObserver(self.name, site, dispatcher, endpoint_list)
-        management.subscription_handler = self.answer
-        dispatcher.attempts.request_clearance = partial(self._cleared, dispatcher.attempts.request_clearance)
-        dispatcher.attempts.report_result = partial(self._attempt_ended, dispatcher.attempts.report_result)
-        self.begin()
+        management.subscription_handler = self.handle_call
+        dispatcher.attempts.request_clearance = partial(self._request_clearance, dispatcher.attempts.request_clearance)
+        dispatcher.attempts.report_result = partial(self._report_result, dispatcher.attempts.report_result)
+        self.compile_stored()
 
-    def begin(self) -> None:
-        """Compile saved subscriptions before the first event, as far as START_PORTIONS allows."""
-        # The server takes time to load; loaded later, it would miss the events until then.
-        living = self.registry.living(wall())
-        if living:
-            serving = self._load()
-            self.dirty = not any(serving.evaluate(living) for _ in range(START_PORTIONS))
+    def compile_stored(self) -> None:
+        """Compile the filters of saved subscriptions before the first event, at most MAX_STARTUP_BATCHES batches."""
+        # The server takes time to load; events before that would not be matched.
+        live_entries = self.registry.live_entries(wall_time())
+        if live_entries:
+            server = self._load_server()
+            self.compilation_due = not any(server.set_subscriptions(live_entries) for _ in range(MAX_STARTUP_BATCHES))
 
-    # ---- events here ----
+    # ---- local events ----
 
     @property
-    def watching(self) -> bool:
-        """Whether there is any subscription; without one, events are only numbered."""
-        return self.serving is not None and bool(self.serving.source.outboxes)
+    def has_subscriptions(self) -> bool:
+        """Whether any subscription is evaluated here; if not, events are only numbered."""
+        return self.server is not None and bool(self.server.source.outboxes)
 
-    def seen(self, kind: str, stored: StoredMessage, figure: int) -> None:
-        """Handle an event of a message; the arguments are those of `Shared.seen`."""
+    def on_message_event(self, kind: str, stored: StoredMessage, figure: int) -> None:
+        """Publish an event of a message; the arguments are those of `ReplicatedStore.on_event`."""
         observer = self.observer
-        if observer is None or not self.watching:
-            self._unseen()
+        if observer is None or not self.has_subscriptions:
+            self._skip_event_number()
             return
         try:
-            self._happened(kind, observer.message_fields(kind, stored, figure))
-        except Exception:  # a delivery must not fail because of its subscribers
+            self._publish(kind, observer.message_fields(kind, stored, figure))
+        except Exception:  # a failure to publish must not fail the delivery
             self.counters.log_exception("an event was not published")
 
-    def adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
-        """Emit events for messages taken over from another member."""
+    def on_messages_adopted(self, stored: Iterable[StoredMessage], member: str) -> None:
+        """Publish an event for each message taken over from another member."""
         for each in stored:
-            if self.watching and self.observer is not None:
-                self._happened(
+            if self.has_subscriptions and self.observer is not None:
+                self._publish(
                     "adopted", self.observer.message_fields("adopted", each, 0) | self.observer.member_fields(member)
                 )
             else:
-                self._unseen()
+                self._skip_event_number()
 
-    def moved(self, key: str, tenant: str, member: str, age: int) -> None:
-        """Emit the event of a session moved to a member, `age` microseconds after the move began."""
-        self._of_member("moved", member, {"id": key, "age": age, **({"tenant": tenant} if tenant else {})})
+    def on_session_moved(self, key: str, tenant: str, member: str, age: int) -> None:
+        """Publish the event of a session that moved to a member, `age` microseconds after its migration began."""
+        self._publish_member_event("moved", member, {"id": key, "age": age, **({"tenant": tenant} if tenant else {})})
 
-    def member(self, change: MemberChange, silent: int) -> None:
-        """Emit the event of a member's changed status; `silent`: microseconds since it was last heard."""
+    def on_member_changed(self, change: MemberChange, silent_for: int) -> None:
+        """Publish the event of a member's changed status; `silent_for`: microseconds since its last heartbeat."""
         if change.current is MemberStatus.ALIVE:
-            self._of_member("member-came", change.name, {})
+            self._publish_member_event("member-came", change.name, {})
         elif change.current in (MemberStatus.DEAD, MemberStatus.LEFT):
-            self._of_member("member-went", change.name, {"age": silent})
+            self._publish_member_event("member-went", change.name, {"age": silent_for})
 
-    def _of_member(self, kind: str, member: str, more: dict[str, Value]) -> None:
-        if self.watching and self.observer is not None:
-            self._happened(kind, self.observer.member_fields(member) | more)
+    def _publish_member_event(self, kind: str, member: str, extra_fields: dict[str, Value]) -> None:
+        if self.has_subscriptions and self.observer is not None:
+            self._publish(kind, self.observer.member_fields(member) | extra_fields)
         else:
-            self._unseen()
+            self._skip_event_number()
 
-    def _unseen(self) -> None:
-        if self.serving is not None:
-            self.serving.source.next += 1
+    def _skip_event_number(self) -> None:
+        if self.server is not None:
+            self.server.source.next_number += 1
         else:
-            self.first += 1
+            self.first_number += 1
 
-    def _happened(self, kind: str, fields: dict[str, Value]) -> None:
-        assert self.serving is not None
+    def _publish(self, kind: str, fields: dict[str, Value]) -> None:
+        assert self.server is not None
         try:
-            self.serving.happened(wall(), kind, fields)
+            self.server.publish(wall_time(), kind, fields)
         except InvalidEventError as error:
             self.counters.warning("an event that cannot be published", error)
 
-    def _cleared(self, clear: Callable[[AttemptCall], bool], call: AttemptCall) -> bool:
-        if self.watching and self.observer is not None:
+    def _request_clearance(self, request_clearance: Callable[[AttemptCall], bool], call: AttemptCall) -> bool:
+        if self.has_subscriptions and self.observer is not None:
             self.observer.attempt_started(call)
-        return clear(call)
+        return request_clearance(call)
 
-    def _attempt_ended(
-        self, report_result: Callable[[AttemptCall, AttemptResult], None], call: AttemptCall, ending: AttemptResult
+    def _report_result(
+        self, report_result: Callable[[AttemptCall, AttemptResult], None], call: AttemptCall, result: AttemptResult
     ) -> None:
-        if self.watching and self.observer is not None:
-            self.observer.attempt_ended(call, ending)
-        report_result(call, ending)
+        if self.has_subscriptions and self.observer is not None:
+            self.observer.attempt_ended(call, result)
+        report_result(call, result)
 
     # ---- called by the node ----
 
     def look(self, now: int, alive: Iterable[str], majority: int) -> None:
-        """Do what is due; called regularly by the node.
+        """Run all tasks that are due; called regularly by the node.
 
-        `now`: microseconds of a clock that also runs while the machine sleeps; `majority`: members that make one.
+        `now`: microseconds of a clock that also runs while the machine sleeps; `majority`: members needed for one.
         """
+        # The name `look` is part of the key of a counter of failed calls.
         self.alive = list(alive)
-        if now >= self.tick_at:
-            self.tick_at = now + TICK_INTERVAL
+        if now >= self.next_tick_at:
+            self.next_tick_at = now + TICK_INTERVAL
             self._tick(now, len(self.alive) >= majority)
-        if self.dirty:
-            self._evaluate()
-        if self.serving is not None:
-            self.serving.look(now, self.alive)
-        if now < self.turn_at:
+        if self.compilation_due:
+            self._compile_filters()
+        if self.server is not None:
+            self.server.run_due_tasks(now, self.alive)
+        if now < self.next_check_at:
             return
-        self.turn_at = now + TURN_INTERVAL
-        if self.watching and self.observer is not None:
+        self.next_check_at = now + CHECK_INTERVAL
+        if self.has_subscriptions and self.observer is not None:
             for kind, fields in self.observer.receiver_changes():
-                self._happened(kind, fields)
+                self._publish(kind, fields)
         elif self.observer is not None and self.observer.observing:
             self.observer.pause()
-        self.peers.look(now, self.alive)
+        self.registry_exchange.start_due_exchanges(now, self.alive)
 
-    def heard(self, sender: str, now: int, body: Subscribe | Matches | Cursors) -> Body:
+    def answer_peer_message(self, sender: str, now: int, body: Subscribe | Matches | Cursors) -> Body:
         """Handle another member's message and return the answer."""
         if isinstance(body, Subscribe):
-            self.peers.merge(sender, body)
-            return self.sync.answer(body)
-        if self.serving is None:
+            self.registry_exchange.merge(sender, body)
+            return self.registry_sync.answer(body)
+        if self.server is None:
             return Cursors(body.source, ()) if isinstance(body, Matches) else Acknowledged()
         if isinstance(body, Matches):
-            return self.serving.matched(sender, body)
-        self.serving.positions_received(now, sender, body)
+            return self.server.handle_matches(sender, body)
+        self.server.handle_positions(now, sender, body)
         return Acknowledged()
 
     def stop(self) -> None:
-        """Save and stop: the sender ends, and another process may use the folder from now on."""
+        """Save the subscriptions and stop; afterwards another process may use the folder."""
         if self.store is not None:
-            self.store.close(wall())
-        if self.serving is not None:
-            self.serving.summary()
+            self.store.close(wall_time())
+        if self.server is not None:
+            self.server.log_summary()
 
     def _tick(self, now: int, with_majority: bool) -> None:
-        count, at = len(self.registry.entries), wall()
-        offset = self.offset = at - now if self.offset is None else self.offset
-        if abs(at - now - offset) > CLOCK_JUMP:
+        entry_count, at = len(self.registry.entries), wall_time()
+        offset = self.clock_offset = at - now if self.clock_offset is None else self.clock_offset
+        if abs(at - now - offset) > MIN_CLOCK_JUMP:
             logger.warning("the wall clock has jumped by {} s", (at - now - offset) / SECOND)
-            self.registry.stepped(at - now - offset)
-            self.offset = at - now
+            self.registry.correct_clock_jump(at - now - offset)
+            self.clock_offset = at - now
         lost = self.registry.tick(at, with_majority)
         for name in lost:
-            self._end(name, SubscriptionExpiredError(f"{name}: this member was cut off for too long"))
-        if count != len(self.registry.entries):
-            self._changed()
-        if self.serving is not None:
-            for name in list(self.serving.connections):
-                if self.registry.lives(at, name) and self.registry.due(at, name):
-                    self.registry.followed(at, name)
-                    self._changed(name)
-        if now >= self.expiry_at:
-            self.expiry_at = now + EXPIRY_INTERVAL
-            self.dirty = bool(self.registry.entries) or self.dirty
+            self._end_connection(name, SubscriptionExpiredError(f"{name}: this member was cut off for too long"))
+        if entry_count != len(self.registry.entries):
+            self._entries_changed()
+        if self.server is not None:
+            for name in list(self.server.connections):
+                if self.registry.is_live(at, name) and self.registry.renewal_due(at, name):
+                    self.registry.renew(at, name)
+                    self._entries_changed(name)
+        if now >= self.next_expiry_check_at:
+            self.next_expiry_check_at = now + EXPIRY_INTERVAL
+            self.compilation_due = bool(self.registry.entries) or self.compilation_due
         if self.store is not None:
-            self.store.look(at, now)
-
-    def _evaluate(self) -> None:
-        living = self.registry.living(wall())
-        if self.serving is None and not living:
-            self.dirty = False
-        elif self.serving is not None:
-            self.dirty = not self.serving.evaluate(living)
+            self.store.write_due_changes(at, now)
+
+    def _compile_filters(self) -> None:
+        live_entries = self.registry.live_entries(wall_time())
+        if self.server is None and not live_entries:
+            self.compilation_due = False
+        elif self.server is not None:
+            self.compilation_due = not self.server.set_subscriptions(live_entries)
         elif not self.loading:
             self.loading = True
-            gevent.spawn(self._load)
+            gevent.spawn(self._load_server)
 
-    def _load(self) -> "SubscriptionServer":
-        """Load the subscription server in a thread, because reading its grammar would block the event loop."""
+    def _load_server(self) -> "SubscriptionServer":
+        """Load the subscription server in a thread, because parsing its grammar would block the event loop."""
         try:
             module = gevent.get_hub().threadpool.apply(
                 importlib.import_module, ("cedarwick.events.subscription_server",)
             )
         finally:
             self.loading = False
-        if self.serving is None:
-            self.serving = module.SubscriptionServer(
+        if self.server is None:
+            self.server = module.SubscriptionServer(
                 self.name,
                 self.sources,
-                self.first,
+                self.first_number,
                 lambda name: self.registry.entries.get(name),
                 self.call,
                 self.counters,
             )
-        return cast("SubscriptionServer", self.serving)
+        return cast("SubscriptionServer", self.server)
 
     # ---- the registry ----
 
-    def _changed(self, *names: str, but: str = "") -> None:
-        """Save changed entries, act on them, and mark them for the members other than `but`, their sender."""
-        at = wall()
+    def _entries_changed(self, *names: str, origin: str = "") -> None:
+        """Save and apply changed entries, and mark them unsent for all members but `origin`, which sent them."""
+        at = wall_time()
         if self.store is not None:
-            # Save first: a member that acknowledges an end and forgets it at a restart would bring it back.
-            self.store.changed(at, names)
-        self.sync.changed()
-        self.dirty = True
-        self.turn_at = 0
-        self.peers.mark(names, (self.gate.others - {but}) if names else ())
-        if self.serving is None:
+            # Save first: a member that acknowledged an end and lost it in a restart would revive the subscription.
+            self.store.write_changes(at, names)
+        self.registry_sync.mark_changed()
+        self.compilation_due = True
+        self.next_check_at = 0
+        self.registry_exchange.mark_unsent(names, (self.verifier.others - {origin}) if names else ())
+        if self.server is None:
             return
-        for name in list(self.serving.connections):
+        for name in list(self.server.connections):
             entry = self.registry.entries.get(name)
-            if entry is None or not self.registry.lives(at, name):
-                self._end(name, UnfollowedError(f"{name} has ended"))
+            if entry is None or not self.registry.is_live(at, name):
+                self._end_connection(name, UnfollowedError(f"{name} has ended"))
             elif entry.member != self.name:
-                self._end(name, SubscriptionMovedError(f"{name} is followed at {entry.member}"))
+                self._end_connection(name, SubscriptionMovedError(f"{name} is followed at {entry.member}"))
 
-    def _end(self, name: str, why: CedarwickError) -> None:
-        if self.serving is not None and name in self.serving.connections:
-            self.serving.connections[name].end(why)
+    def _end_connection(self, name: str, reason: CedarwickError) -> None:
+        if self.server is not None and name in self.server.connections:
+            self.server.connections[name].end(reason)
 
-    def _merged(self, names: list[str], sender: str) -> None:
-        """Act on entries that another member has changed."""
-        self._changed(*names, but=sender)
+    def _entries_merged(self, names: list[str], sender: str) -> None:
+        """Apply entries that another member has changed."""
+        self._entries_changed(*names, origin=sender)
 
     # ---- management calls ----
 
-    def answer(self, call: commands.Call) -> str | StreamingAnswer:
-        """Answer `FOLLOW` and `UNFOLLOW`; raises a `CedarwickError` if the call is refused."""
+    def handle_call(self, call: commands.Call) -> str | StreamingAnswer:
+        """Answer `FOLLOW` or `UNFOLLOW`. Raises a `CedarwickError` if the call is refused."""
         if call.name == "UNFOLLOW":
             return self._unfollow(call.argument)
-        if self.serving is None:
-            # Answer from a streaming reply: on a busy machine the first load may take longer than the call's deadline.
+        if self.server is None:
+            # Load within a streaming answer: on a busy machine the first load may exceed the deadline of a call.
             return partial(self._load_and_follow, call.argument)
-        return self._follow(self.serving, call.argument)
+        return self._follow(self.server, call.argument)
 
     def _load_and_follow(self, argument: str, sock: gevent.socket.socket) -> None:
         try:
-            talk = self._follow(self._load(), argument)
+            serve = self._follow(self._load_server(), argument)
         except CedarwickError as error:
             self.counters.add(f"management calls refused: {error.code}")
             sock.sendall(f"NO {error.line}\n".encode("ascii", "replace"))
         else:
-            talk(sock)
+            serve(sock)
 
-    def _follow(self, serving: "SubscriptionServer", argument: str) -> StreamingAnswer:
-        from cedarwick.events.streams import decoded
+    def _follow(self, server: "SubscriptionServer", argument: str) -> StreamingAnswer:
+        from cedarwick.events.streams import decode_cursors
         from cedarwick.events.subscriber_reader import Reader
 
-        target, where = split_follow(argument)
-        name, cursors = decoded(target)
-        if where is not None and not where.strip():
+        target, filter_text = split_follow_argument(argument)
+        name, cursors = decode_cursors(target)
+        if filter_text is not None and not filter_text.strip():
             raise InvalidFollowError("no filter after WHERE")
-        if len(serving.connections) >= MAX_READERS and name not in serving.connections:
+        if len(server.connections) >= MAX_READERS and name not in server.connections:
             raise TooManyReadersError(f"{MAX_READERS} subscribers are connected here")
-        at = wall()
-        if where is not None:
-            text = self._checked_filter(where)
+        at = wall_time()
+        if filter_text is not None:
+            text = self._checked_filter(filter_text)
         else:
-            if not self.registry.lives(at, name):
+            if not self.registry.is_live(at, name):
                 raise NotFollowedError(f"no subscription is called '{name}' here")
             text = self.registry.entries[name].filter
         self.registry.follow(at, name, text)
-        self.began = max(self.began + 1, at)
-        connection = serving.connect(Reader(name, self.began, cursors), self.alive)
-        self._changed(name)
-        return partial(serving.talk, connection, alive=lambda: self.alive)
+        self.last_connected_at = max(self.last_connected_at + 1, at)
+        connection = server.connect(Reader(name, self.last_connected_at, cursors), self.alive)
+        self._entries_changed(name)
+        return partial(server.serve, connection, alive=lambda: self.alive)
 
     def _checked_filter(self, text: str) -> str:
-        """The canonical text of a filter that every member can evaluate. Raises `FilterError`."""
+        """Return the canonical text of a filter that every member can evaluate. Raises `FilterError`."""
         from cedarwick.events.language import check_levels, parse_filter
 
-        found = parse_filter(text)
-        levels = self.gate.levels
-        check_levels(found, {member: levels[member] for member in (self.name, *self.gate.others) if member in levels})
-        return found.canonical_text
+        parsed = parse_filter(text)
+        levels = self.verifier.levels
+        check_levels(
+            parsed, {member: levels[member] for member in (self.name, *self.verifier.others) if member in levels}
+        )
+        return parsed.canonical_text
 
     def _unfollow(self, argument: str) -> str:
         name = argument.strip()
         if not name or " " in name:
             raise InvalidFollowError("UNFOLLOW takes one name")
-        self.registry.end(wall(), name)
-        self._changed(name)
-        peer_message = self.sync.peer_message([name])
-        # `self.alive` may change while the answers are awaited, so the calls are chosen once.
+        self.registry.end(wall_time(), name)
+        self._entries_changed(name)
+        peer_message = self.registry_sync.peer_message([name])
+        # `self.alive` may change while the answers are awaited, so the members to call are chosen once.
         calls = {
-            member: gevent.spawn(self.peers.ask, member, peer_message)
-            for member in sorted(self.gate.others)
+            member: gevent.spawn(self.registry_exchange.send, member, peer_message)
+            for member in sorted(self.verifier.others)
             if member in self.alive
         }
         gevent.joinall(list(calls.values()), timeout=ANSWER_TIMEOUT_S)
         uninformed = [
-            member for member in sorted(self.gate.others) if member not in calls or calls[member].value is None
+            member for member in sorted(self.verifier.others) if member not in calls or calls[member].value is None
         ]
         logger.info("{} ended; members not informed yet: {}", name, ", ".join(uninformed) or "nobody")
         return f"YES {name} ended" + (f", not yet told: {', '.join(uninformed)}" if uninformed else "") + "\n"
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -14,7 +14,7 @@
 from cedarwick.fleet.messages import (
     StageReply,
     StageSession,
-    whole,
+    digest_matches,
 )
 from cedarwick.fleet.migration_state import MAX_SESSIONS, STAGE_TIMEOUT_S, TARGET_MARK, MigrationState
 from cedarwick.fleet.migration_table import (
@@ -29,7 +29,7 @@
 
     def _answer_offer(self, body: StageSession, now: int) -> StageReply:
         """Answer the offer of a source; waits up to `STAGE_TIMEOUT_S` until the messages are stored here."""
-        if not whole(body):
+        if not digest_matches(body):
             return StageReply(body.move, False, "spoilt")
         has_room = self.accepts_sessions() and len(self.directory.sessions) < MAX_SESSIONS
         steps = self.migration_table.on_offer(body.move, body.key, has_room, now)
@@ -98,9 +98,9 @@
         self._adopt_staged(numbers, offer)
         # If the decision came late, another member may have inherited the session (without its messages) from a dead
         # source. This member must not claim to hold it then.
-        if offer is not None and not self.directory.superseded(key, parse_move_name(name)[1], offer[0].sequence):
+        if offer is not None and not self.directory.is_superseded(key, parse_move_name(name)[1], offer[0].sequence):
             staged, at = offer  # without an offer the recent ids are unknown here, and the session is claimed later
-            ids = {each.id: (each.age + now - at, each.hashed) for each in staged.ids}
+            ids = {each.id: (each.age + now - at, each.content_hash) for each in staged.ids}
             self.directory.hold(key, sequence, ids, now, name not in self.staged_before_adoption)
             self.planner.note_arrival(key, now)
         return True
@@ -114,7 +114,7 @@
         self.dispatcher.abandon_parked(late)
         # Unless the source reported that the key need not rest, an attempt from before the move may still be running,
         # even one of a message that has ended. Unless `no_unrecorded_attempts` is set, `adopt` then holds all keys.
-        no_unrecorded_attempts = offer is not None and not offer[0].rest
+        no_unrecorded_attempts = offer is not None and not offer[0].attempt_remaining_us
         if numbers or not no_unrecorded_attempts:
             self.dispatcher.adopt([number for number in numbers if number not in late], no_unrecorded_attempts)
 
--- a/cedarwick/fleet/migration_votes.py
+++ b/cedarwick/fleet/migration_votes.py
@@ -41,7 +41,7 @@
 
 def ballot_of(ballot: BallotNumber) -> Ballot:
     """Convert the ballot of a peer message."""
-    return ballot.round, ballot.mark
+    return ballot.round, ballot.proposer
 
 
 def value_of(text: str) -> DecisionValue | None:
--- a/cedarwick/lab/scenario.py
+++ b/cedarwick/lab/scenario.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from cedarwick.config.files import ConfigFileError, decoded, read_toml
+from cedarwick.config.files import ConfigFileError, decode_tables, read_toml
 
 SHIPPED_FOLDER = os.path.join(os.path.dirname(__file__), "scenarios")
 MAX_ARRIVALS = 2_000_000  # messages in a day
@@ -284,7 +284,7 @@
         path = name_or_path
         if not os.path.exists(path):
             raise ConfigFileError(f"{path}: neither a file nor one of {', '.join(shipped_scenarios())}")
-    return check_scenario(decoded(read_toml(path), Scenario, path), path)
+    return check_scenario(decode_tables(read_toml(path), Scenario, path), path)
 
 
 def shipped_scenarios() -> list[str]:
--- a/cedarwick/lab/virtual_senders.py
+++ b/cedarwick/lab/virtual_senders.py
@@ -173,7 +173,7 @@
             while kernel.now < end and not (
                 self.dispatcher.is_idle()
                 and not self.dispatcher.notices.pending
-                and (session_router is None or session_router.left())
+                and (session_router is None or session_router.is_drained())
             ):
                 kernel.sleep(LOOK)
             self.node.leave()
@@ -229,7 +229,7 @@
         verifier, read = self.node.verifier, decode(peer_message)
         try:
             verifier.check(read)
-            answered = self.node.answer(read)
+            answered = self.node.handle_peer_message(read)
         except CedarwickError as error:
             answered = verifier.peer_message(read.sender, RequestRefused(error.code, str(error)[:512]))
         box.set(encode(answered))
