--- a/cedarwick/lab/endpoint_server.py
+++ b/cedarwick/lab/endpoint_server.py
@@ -11,7 +11,7 @@
 import gevent.socket
 import httptools
 
-from cedarwick.lab.day import Day, body_of
+from cedarwick.lab.day import Day, message_body
 from cedarwick.lab.history import Away, Called
 from cedarwick.lab.listeners import BACKLOG, accept_connections, listen_on_all, reset_connection
 from cedarwick.lab.partner import CallInProgress, Effect, Endpoint, Reply
@@ -240,7 +240,9 @@
             incoming.id, incoming.mark, self.endpoint.uid, self.destination_number, sender, first_byte_at, now
         )
         if self.record_calls:
-            record.body_ok = body == body_of(incoming.id, self.day.sizes.get(incoming.id, 0)) if incoming.id else False
+            record.body_ok = (
+                body == message_body(incoming.id, self.day.body_sizes.get(incoming.id, 0)) if incoming.id else False
+            )
             self.day.history.called.append(record)
         self.open_calls[sock] = record
         reply: Reply | CallInProgress | None
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -79,7 +79,7 @@
             ended = _run_to_end(day, scenario, drawn, environment, instances, progress)
         finally:
             for instance in instances:
-                instance.end()
+                instance.shut_down()
             environment.close()
     for server in environment.servers:
         for outage in server.outage_records():
@@ -94,7 +94,7 @@
         day.history,
         verdict,
         figures_of(scenario, day.history, drawn.length, verdict.account),
-        day.void(),
+        day.void_reason(),
         time.monotonic() - started_at,
         out,
         versions(),
@@ -117,7 +117,7 @@
     sender_pool = SenderPool(day, instances, scenario.clients.notice_s)
     clients = Clients(day, scenario, sender_pool)
     for agent in environment.agents:
-        agent.on_notice = clients.notice
+        agent.on_notice = clients.handle_notice
     gc.collect()
     gc.freeze()  # Danger: a collection that scans the whole schedule pauses every party of the day
     shift = day.now()
@@ -139,7 +139,9 @@
     while day.now() < latest_end:
         gevent.sleep(POLL_INTERVAL_S)
         progress(day, clients, latest_end)
-        unfinished = not clients.done or clients.busy or faults.under_way or _has_open_messages(day.history)
+        unfinished = (
+            not clients.all_started or clients.open_requests or faults.under_way or _has_open_messages(day.history)
+        )
         quiet_since = 0 if unfinished else quiet_since or day.now()
         if quiet_since and day.now() - quiet_since > QUIET_PERIOD_US:
             break
--- a/cedarwick/lab/serve.py
+++ b/cedarwick/lab/serve.py
@@ -43,7 +43,7 @@
             )
         finally:
             for instance in instances:
-                instance.end()
+                instance.shut_down()
             environment.close()
     calls = sum(server.calls for server in environment.servers)
-    print_line(f"{calls} calls were answered; the emulator was at most {day.worst_lag / 1000:.0f} ms late")
+    print_line(f"{calls} calls were answered; the emulator was at most {day.worst_lag_us / 1000:.0f} ms late")
--- a/tests/processes/test_events.py
+++ b/tests/processes/test_events.py
@@ -37,7 +37,7 @@
     def follow(self, number: int) -> "Subscriber":
         """Connect with the current cursors and read in a greenlet."""
         self.disconnect()
-        sock = gevent.socket.create_connection(self.fleet.members[number].management, 5.0)
+        sock = gevent.socket.create_connection(self.fleet.members[number].management_address, 5.0)
         cursors = [f"{source}:{at}" for source, at in self.cursors.items()]
         sock.sendall(" ".join(["FOLLOW", self.name, *cursors, "WHERE", self.filter]).encode() + b"\n")
         self.reading = gevent.spawn(self._read, sock)
@@ -45,7 +45,7 @@
 
     def wait_until_evaluated(self) -> None:
         """Wait until all senders evaluate the filter."""
-        self.fleet.until(lambda: self.sources() == set(NAMES), 20.0, "the sources")
+        self.fleet.wait_until(lambda: self.sources() == set(NAMES), 20.0, "the sources")
 
     def disconnect(self) -> None:
         if self.reading is not None:
@@ -100,7 +100,7 @@
 
 def wait_for_matches(fleet: Fleet, subscriber: Subscriber) -> None:
     """Wait until several matches of each sender have arrived."""
-    fleet.until(lambda: all(len(subscriber.ids(name)) > 5 for name in NAMES), 10.0, "matches of all senders")
+    fleet.wait_until(lambda: all(len(subscriber.ids(name)) > 5 for name in NAMES), 10.0, "matches of all senders")
 
 
 class SubscribersTest(unittest.TestCase):
@@ -125,7 +125,7 @@
                         ("east", "east", "west"),
                         ack="copy",
                         keys='alone = "own"',
-                        say=rig.discard_output,
+                        print_line=rig.discard_output,
                     ),
                     run,
                     excused=(OSError, SenderNotReadyError),
@@ -145,12 +145,12 @@
             }
             return {number: ids for number, ids in missing_ids.items() if ids}
 
-        while fleet.under_way:
+        while fleet.unfinished_activities:
             gevent.sleep(0.05)
-        fleet.until(lambda: not fleet.owed(), 15.0, "the last ends")
+        fleet.wait_until(lambda: not fleet.unfinished(), 15.0, "the last ends")
         # A sender that has not read a partner's answer reports the outcome once it gives up the attempt.
         with contextlib.suppress(TimeoutError):
-            fleet.until(lambda: not missing(), 9.0)
+            fleet.wait_until(lambda: not missing(), 9.0)
         self.assertEqual(missing(), {}, "delivered, but not reported")
 
     def check_findings(self, fleet: Fleet, subscriber: Subscriber) -> None:
@@ -170,7 +170,7 @@
         verdict = fleet.judge(None, watched)
         # test_fleet.py checks all rules.
         event_findings = [finding for finding in verdict.findings if finding.rule in (14, 15, 16)]
-        self.assertEqual((event_findings, fleet.failed), ([], []), fleet.report(verdict))
+        self.assertEqual((event_findings, fleet.errors), ([], []), fleet.report(verdict))
 
     def test_all_matches_of_all_senders_in_order(self) -> None:
         def case(fleet: Fleet, subscriber: Subscriber) -> None:
@@ -187,7 +187,7 @@
             subscriber.follow(2)
             gevent.sleep(2)
             fleet.start(0)
-            fleet.until(lambda: "n0" in subscriber.sources() and subscriber.ended, 10.0, "n0's new source")
+            fleet.wait_until(lambda: "n0" in subscriber.sources() and subscriber.ended, 10.0, "n0's new source")
             gevent.sleep(1)
             fleet.end_loads()
 
@@ -214,9 +214,9 @@
             gevent.sleep(2)
             answer = fleet.call(0, f"UNFOLLOW {subscriber.name}")
             self.assertRegex(answer, "^YES desk ended, not yet told: n1")
-            fleet.until(lambda: "CW834" in subscriber.last_text, 1.0, "the end")
+            fleet.wait_until(lambda: "CW834" in subscriber.last_text, 1.0, "the end")
             subscriber.watched.ended.append(Ended(subscriber.name, fleet.day.now()))
-            fleet.cont(1)
+            fleet.resume_process(1)
             gevent.sleep(2)
             for number in range(3):
                 self.assertRegex(fleet.call(number, f"UNFOLLOW {subscriber.name}"), "^NO no subscription")
@@ -237,14 +237,14 @@
             fleet.load(6, rate=90)
             gevent.sleep(2)
             subscriber.follow(2)
-            fleet.until(lambda: set(subscriber.ended) == set(before), 8.0, "the ends of the old sources")
-            fleet.until(lambda: subscriber.sources() == set(NAMES), 8.0, "the new sources")
+            fleet.wait_until(lambda: set(subscriber.ended) == set(before), 8.0, "the ends of the old sources")
+            fleet.wait_until(lambda: subscriber.sources() == set(NAMES), 8.0, "the new sources")
             for number in range(3):
                 self.assertRegex(fleet.log(number), "2 subscriptions recovered")
                 self.assertRegex(fleet.call(number, "UNFOLLOW over"), "^NO no subscription")
-            while fleet.under_way:
+            while fleet.unfinished_activities:
                 gevent.sleep(0.05)
-            fleet.until(lambda: not fleet.owed(), 8.0, "the last ends")
+            fleet.wait_until(lambda: not fleet.unfinished(), 8.0, "the last ends")
             # The sources evaluate stored subscriptions from their first event on, before the subscriber reconnects.
             self.assertEqual({each.since for each in subscriber.watched.evaluates if each.source not in before}, {1})
 
@@ -273,10 +273,12 @@
     def test_subscribers_that_never_read_do_not_delay_deliveries_and_only_matches_are_sent(self) -> None:
         seed = rig.seeds()[0]
         command = (COMMAND[0], "-X", "importtime", *COMMAND[1:])
-        with rig.fleet(rig.SCENARIO, seed, ("east", "east", "west"), command=command, say=lambda _: None) as fleet:
+        with rig.fleet(
+            rig.SCENARIO, seed, ("east", "east", "west"), command=command, print_line=lambda _: None
+        ) as fleet:
             fleet.begin()
             fleet.load(5, rate=120)
-            while fleet.under_way:
+            while fleet.unfinished_activities:
                 gevent.sleep(0.05)
             baseline = self.answer_p99_us(fleet, 0)
             logs = [fleet.log(number) for number in range(3)]  # without a subscriber the grammar is not loaded
@@ -287,13 +289,13 @@
             for index in range(3):  # these subscribers of the third sender read nothing
                 sock = gevent.socket.socket()
                 sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_RCVBUF, 4096)
-                sock.connect(fleet.members[2].management)
+                sock.connect(fleet.members[2].management_address)
                 sock.sendall(f"FOLLOW deaf{index} WHERE has sender\n".encode())
                 self.addCleanup(sock.close)
             narrow.wait_until_evaluated()
             everything.wait_until_evaluated()
             fleet.load(5, rate=120)
-            while fleet.under_way:
+            while fleet.unfinished_activities:
                 gevent.sleep(0.05)
             loaded = self.answer_p99_us(fleet, started_at)
             print(
