--- a/cedarwick/lab/figures.py
+++ b/cedarwick/lab/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a day, from what was seen of it."""
+"""Computes the figures of a day from its history."""
 
 from collections import Counter, defaultdict
 
@@ -11,27 +11,27 @@
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.units import SECOND
 
-STEP = SECOND // 2  # figures over time come in steps of this
-QUANTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
-MAX_RECORDED_TIME = 120 * SECOND
+TIME_STEP = SECOND // 2  # microseconds; the resolution of figures over time
+PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
+MAX_RECORDED_TIME = 120 * SECOND  # microseconds; histograms count longer times as this
 
 
 class Quantiles(msgspec.Struct):
-    """Times in milliseconds."""
+    """The mean and the percentiles of a set of times, in milliseconds."""
 
     count: int
     mean: float
-    at: dict[str, float]
+    at: dict[str, float]  # time by percentile, such as "99.9"
 
 
 class PriorityClassFigures(msgspec.Struct):
-    """One priority class over the day."""
+    """The figures of one priority class over the day; its logical messages are counted as `things`."""
 
     things: int
     delivered: int
     in_time: int
-    service: float  # the worth earned over the worth asked for
-    took: Quantiles  # from when a thing was due to its delivery
+    service: float  # achieved value divided by the value if every message were delivered in time
+    took: Quantiles  # from the due time of a message to its delivery
 
 
 class Figures(msgspec.Struct):
@@ -41,110 +41,118 @@
     priority_classes: dict[str, PriorityClassFigures] = msgspec.field(name="bands")
     answers: dict[str, int]
     outcomes: dict[str, int]
-    answered: Quantiles  # from when a request was due to its answer
+    answered: Quantiles  # from the due time of a request to its answer
     calls: int
     calls_per_thing: float
     memory_mb: float  # the largest resident size of a sender
     descriptors: int
-    cpu_share: float  # of a core, of the busiest sender
-    fell_over: int
-    worst_lag_ms: float
+    cpu_share: float  # share of a core that the busiest sender used
+    fell_over: int  # outages of endpoints that were overloaded while warming up
+    worst_lag_ms: float  # largest delay of the emulator's own event loop
 
 
 def new_histogram() -> HdrHistogram:
+    """Return an empty histogram of times in microseconds."""
     return HdrHistogram(1, MAX_RECORDED_TIME, 3)
 
 
 def summarize_histogram(histogram: HdrHistogram) -> Quantiles:
-    """A histogram of microseconds in milliseconds."""
+    """Convert a histogram of microseconds to percentiles in milliseconds."""
     count = int(histogram.get_total_count())
-    at = {f"{part:g}": round(histogram.get_value_at_percentile(part) / 1000, 2) for part in QUANTILES} if count else {}
+    at = (
+        {
+            f"{percentile:g}": round(histogram.get_value_at_percentile(percentile) / 1000, 2)
+            for percentile in PERCENTILES
+        }
+        if count
+        else {}
+    )
     return Quantiles(count, round(histogram.get_mean_value() / 1000, 2) if count else 0.0, at)
 
 
 def compute_figures(scenario: Scenario, history: History, length: int, account: Account) -> Figures:
-    """All figures of a day; `length` is the time of arrivals in microseconds."""
-    done = delivery_times(history)
+    """Compute all figures of a day; `length` is the time in which messages arrive, in microseconds."""
+    delivered_at = delivery_times(history)
     priority_classes = scenario.classes_by_name()
-    took = {name: new_histogram() for name in priority_classes}
-    things: Counter[str] = Counter()
+    delivery_histograms = {name: new_histogram() for name in priority_classes}
+    messages: Counter[str] = Counter()
     delivered: Counter[str] = Counter()
     in_time: Counter[str] = Counter()
-    earned: defaultdict[str, float] = defaultdict(float)
-    for class_name, due, at in logical_messages(history, done):
-        things[class_name] += 1
+    achieved_values: defaultdict[str, float] = defaultdict(float)
+    for class_name, due, at in logical_messages(history, delivered_at):
+        messages[class_name] += 1
         if at != NEVER:
             priority_class = priority_classes[class_name]
-            worth = worth_of(priority_class.expected_ms, priority_class.outer_ms, priority_class.late_share, at - due)
+            value = worth_of(priority_class.expected_ms, priority_class.outer_ms, priority_class.late_share, at - due)
             delivered[class_name] += 1
-            in_time[class_name] += worth >= 1
-            earned[class_name] += worth
-            took[class_name].record_value(max(1, min(MAX_RECORDED_TIME, at - due)))
-    answered = new_histogram()
+            in_time[class_name] += value >= 1
+            achieved_values[class_name] += value
+            delivery_histograms[class_name].record_value(max(1, min(MAX_RECORDED_TIME, at - due)))
+    answer_histogram = new_histogram()
     for handed in history.handed:
         if handed.answer in ("ok", "busy", "error"):
-            answered.record_value(max(1, min(MAX_RECORDED_TIME, handed.answered - handed.due)))
-    worth = sum(things[name] * priority_classes[name].importance for name in priority_classes)
-    total = sum(earned[name] * priority_classes[name].importance for name in priority_classes)
-    cpu: dict[int, tuple[int, int]] = {}
-    share = 0.0
+            answer_histogram.record_value(max(1, min(MAX_RECORDED_TIME, handed.answered - handed.due)))
+    possible_value = sum(messages[name] * priority_classes[name].importance for name in priority_classes)
+    achieved_value = sum(achieved_values[name] * priority_classes[name].importance for name in priority_classes)
+    last_samples: dict[int, tuple[int, int]] = {}
+    cpu_share = 0.0
     for sample in history.sampled:
-        before = cpu.get(sample.sender)
-        cpu[sample.sender] = sample.at, sample.cpu
-        if before and sample.cpu >= before[1] and sample.at > before[0]:
-            share = max(share, (sample.cpu - before[1]) / (sample.at - before[0]))
+        previous = last_samples.get(sample.sender)
+        last_samples[sample.sender] = sample.at, sample.cpu
+        if previous and sample.cpu >= previous[1] and sample.at > previous[0]:
+            cpu_share = max(cpu_share, (sample.cpu - previous[1]) / (sample.at - previous[0]))
     return Figures(
-        round(total / worth, 4) if worth else 0.0,
+        round(achieved_value / possible_value, 4) if possible_value else 0.0,
         {
             name: PriorityClassFigures(
-                things[name],
+                messages[name],
                 delivered[name],
                 in_time[name],
-                round(earned[name] / things[name], 4) if things[name] else 0.0,
-                summarize_histogram(took[name]),
+                round(achieved_values[name] / messages[name], 4) if messages[name] else 0.0,
+                summarize_histogram(delivery_histograms[name]),
             )
             for name in priority_classes
         },
         dict(Counter(handed.answer or "open" for handed in history.handed)),
         dict(Counter(call_outcome(call.status, call.spoilt) for call in history.called)),
-        summarize_histogram(answered),
+        summarize_histogram(answer_histogram),
         len(history.called),
         round(len(history.called) / max(1, account.things), 3),
         round(max((sample.memory for sample in history.sampled), default=0) / (1 << 20), 1),
         max((sample.descriptors for sample in history.sampled), default=0),
-        round(share, 3),
+        round(cpu_share, 3),
         sum(away.fell for away in history.away),
         round(max((late.by for late in history.late), default=0) / 1000, 1),
     )
 
 
 def call_outcome(status: int, spoilt: str) -> str:
-    """How a call ended, as the partner saw it."""
+    """Return how a call ended, as the partner saw it."""
     if spoilt in ("noise", "endless", "short", "huge", "stops"):
         return "spoilt"
-    words = {0: "no answer", 200: "completed", 429: "told to wait", 500: "error", 503: "turned away"}
-    return words.get(status, str(status))
+    names = {0: "no answer", 200: "completed", 429: "told to wait", 500: "error", 503: "turned away"}
+    return names.get(status, str(status))
 
 
 def delivery_times(history: History) -> dict[str, int]:
-    """When each id was delivered: its first good answer."""
-    done: dict[str, int] = {}
+    """Return the time of delivery of each id: the end of its first call that was answered with status 200."""
+    delivered_at: dict[str, int] = {}
     for call in history.called:
         if call.status == 200:
-            done[call.id] = min(call.ended, done.get(call.id, call.ended))
-    return done
+            delivered_at[call.id] = min(call.ended, delivered_at.get(call.id, call.ended))
+    return delivered_at
 
 
-def logical_messages(history: History, done: dict[str, int]) -> list[tuple[str, int, int]]:
-    """Each thing that clients wanted delivered:
+def logical_messages(history: History, delivered_at: dict[str, int]) -> list[tuple[str, int, int]]:
+    """Return priority class, due time and time of delivery (NEVER if not delivered) of each logical message.
 
-    priority class, when it was due, when it was delivered (NEVER if not).
+    A logical message is one message of a client over all its submissions, each of which has an id of its own.
     """
-    things: dict[str, tuple[str, int, int]] = {}
+    messages: dict[str, tuple[str, int, int]] = {}
     for handed in history.handed:
-        priority_class, due, at = things.get(handed.first, (handed.priority_class, handed.due, NEVER))
-        delivered = done.get(handed.id, NEVER) if handed.answer == "ok" else NEVER
-        if delivered != NEVER:
-            at = delivered if at == NEVER else min(at, delivered)
-        things[handed.first] = priority_class, min(due, handed.due), at
-    return list(things.values())
+        priority_class, due, first_completed_at = messages.get(handed.first, (handed.priority_class, handed.due, NEVER))
+        completed_at = delivered_at.get(handed.id, NEVER) if handed.answer == "ok" else NEVER
+        if completed_at != NEVER:
+            first_completed_at = completed_at if first_completed_at == NEVER else min(first_completed_at, completed_at)
+        messages[handed.first] = priority_class, min(due, handed.due), first_completed_at
+    return list(messages.values())
