--- a/cedarwick/lab/ceiling.py
+++ b/cedarwick/lab/ceiling.py
@@ -1,7 +1,7 @@
-"""What one sender manages on one core, beside a bare loop that does the same I/O, in one run.
+"""Measures the throughput of one sender on one core, compared with a bare loop that does the same I/O.
 
-Clients ask back to back and the partner answers at once, so the core of the measured process is the only bound.
-Measured is what comes out: calls at the partner a second, from a while after the begin to a while before the end.
+Clients submit in a closed loop and the partner answers at once, so that the core of the measured process is the only
+limit. The result is the number of calls a second at the partner, without the first and the last second.
 """
 
 import json
@@ -26,44 +26,45 @@
 from cedarwick.lab.scenario import Limits, Partner, PriorityClass, Scenario
 from cedarwick.lab.senders import COMMAND, Instance
 
-SETTLE = 1.0  # seconds at both ends that are left out
-CLIENTS = 32
-LOADERS = 2  # processes that ask, so that none of them is the bound
+EXCLUDED_S = 1.0  # seconds at the begin and at the end of a measurement that are not counted
+CLIENTS = 32  # connections to the measured process
+LOAD_PROCESSES = 2  # client processes; several, so that they do not limit the throughput
 DESTINATIONS = 20
-BYTES = 212
+BODY_BYTES = 212  # size of a message body
 
 
 class Ceiling(msgspec.Struct):
-    """One measured program."""
+    """The result of one measured program."""
 
     name: str
     per_second: float  # calls at the partner
-    cpu_share: float  # of its core, while it was measured
-    answered: dict[str, int]
+    cpu_share: float  # share of its core that the program used
+    answered: dict[str, int]  # number of answers to clients, by kind
     memory_mb: float
 
 
 def measure_ceiling(seconds: float, say: Callable[[str], None] = lambda _: None) -> list[Ceiling]:
-    """The bare loop first, then the sender, each alone with the same clients and partner."""
-    found = []
+    """Measure the bare loop and then the sender, with the same clients and partner."""
+    results = []
     for name in ("bare loop", "sender"):
         say(f"{name}: {seconds:g} s")
         with tempfile.TemporaryDirectory(prefix="cedarwick-ceiling-") as folder:
-            found.append(one(name, seconds, folder))
-    return found
+            results.append(measure_program(name, seconds, folder))
+    return results
 
 
-def one(name: str, seconds: float, folder: str) -> Ceiling:
+def measure_program(name: str, seconds: float, folder: str) -> Ceiling:
+    """Measure the bare loop or a sender, whose state is in the folder, with a partner process of its own."""
     host = host_of(0)
     cores = sorted(os.sched_getaffinity(0))
     with ReservedPort(host) as partner_port, ReservedPort(host) as port:
         with run_program(["cedarwick.lab.quick", host, str(partner_port.number)], cores[1 % len(cores)]) as partner:
             if name == "sender":
-                with sender(folder, partner_port.number, cores[0]) as (process, address):
+                with run_sender(folder, partner_port.number, cores[0]) as (process, address):
                     answered, cpu, memory = run_closed_loop_clients(address, seconds, process, cores)
             else:
-                words = ["cedarwick.lab.bare", host, str(port.number), host, str(partner_port.number), folder]
-                with run_program(words, cores[0]) as bare:
+                command = ["cedarwick.lab.bare", host, str(port.number), host, str(partner_port.number), folder]
+                with run_program(command, cores[0]) as bare:
                     answered, cpu, memory = run_closed_loop_clients(
                         port.address, seconds, psutil.Process(bare.pid), cores
                     )
@@ -73,61 +74,61 @@
 
 
 def steady_rate(counts: list[list[int]]) -> float:
-    """Calls a second between the ends that are left out."""
+    """Return the calls a second, without `EXCLUDED_S` at both ends; `counts` holds pairs of step number and calls."""
     if not counts:
         return 0.0
-    skip = round(SETTLE / STEP)
-    first, last = counts[0][0] + skip, counts[-1][0] - skip
+    skipped = round(EXCLUDED_S / STEP)
+    first, last = counts[0][0] + skipped, counts[-1][0] - skipped
     return round(sum(count for at, count in counts if first <= at < last) / max(STEP, (last - first) * STEP), 1)
 
 
 def run_closed_loop_clients(
     address: tuple[str, int], seconds: float, process: psutil.Process, cores: list[int]
 ) -> tuple[dict[str, int], float, float]:
-    """Clients back to back: what they were answered, the process's share of a core, its memory in MB."""
-    begun, before = time.monotonic(), process.cpu_times()
-    loaders = []
-    for place in range(LOADERS):
-        words = [
+    """Run closed-loop clients; return their answers by kind, the process's share of a core and its memory in MB."""
+    started_at, before = time.monotonic(), process.cpu_times()
+    clients = []
+    for number in range(LOAD_PROCESSES):
+        command = [
             sys.executable,
             "-m",
             "cedarwick.lab.closed",
             address[0],
             str(address[1]),
-            str(CLIENTS // LOADERS),
+            str(CLIENTS // LOAD_PROCESSES),
             str(seconds),
             "only",
             str(DESTINATIONS),
-            str(BYTES),
-            f"{place:02x}",
+            str(BODY_BYTES),
+            f"{number:02x}",
         ]
-        loaders.append(subprocess.Popen(words, stdout=subprocess.PIPE))
-        psutil.Process(loaders[-1].pid).cpu_affinity([cores[(2 + place) % len(cores)]])
+        clients.append(subprocess.Popen(command, stdout=subprocess.PIPE))
+        psutil.Process(clients[-1].pid).cpu_affinity([cores[(2 + number) % len(cores)]])
     answered: dict[str, int] = {}
-    for loader in loaders:
-        for answer, count in json.loads(loader.communicate(timeout=seconds + 60)[0]).items():
+    for client in clients:
+        for answer, count in json.loads(client.communicate(timeout=seconds + 60)[0]).items():
             answered[answer] = answered.get(answer, 0) + count
     after = process.cpu_times()
-    used = after.user + after.system - before.user - before.system
-    return answered, used / (time.monotonic() - begun), process.memory_info().rss / (1 << 20)
+    cpu_seconds = after.user + after.system - before.user - before.system
+    return answered, cpu_seconds / (time.monotonic() - started_at), process.memory_info().rss / (1 << 20)
 
 
 class ProgramNotStartedError(CedarwickError, OSError):
-    """A program that the measurement needs did not come up."""
+    """A program that the measurement needs did not start."""
 
     code = "CW604"
-    remedy = "start the module that is named by hand and read what it says"
+    remedy = "run the named module by hand and read its output"
 
 
 @contextmanager
-def run_program(words: list[str], core: int) -> Iterator[subprocess.Popen[bytes]]:
-    """One of this package's programs on a core of its own, once it says that it is ready."""
-    process = subprocess.Popen([sys.executable, "-m", *words], stdout=subprocess.PIPE)
+def run_program(command: list[str], core: int) -> Iterator[subprocess.Popen[bytes]]:
+    """Run one of this package's programs on the given core; the context begins when it prints that it is ready."""
+    process = subprocess.Popen([sys.executable, "-m", *command], stdout=subprocess.PIPE)
     try:
         psutil.Process(process.pid).cpu_affinity([core])
         assert process.stdout is not None
         if process.stdout.readline().strip() != b"ready":
-            raise ProgramNotStartedError(f"{words[0]} did not start")
+            raise ProgramNotStartedError(f"{command[0]} did not start")
         yield process
     finally:
         process.kill()
@@ -135,8 +136,11 @@
 
 
 @contextmanager
-def sender(folder: str, partner_port: int, core: int) -> Iterator[tuple[psutil.Process, tuple[str, int]]]:
-    """A sender on a core of its own, with a list of destinations that all live at one quick partner."""
+def run_sender(folder: str, partner_port: int, core: int) -> Iterator[tuple[psutil.Process, tuple[str, int]]]:
+    """Run a sender on the given core, with an endpoint list in which one partner serves all destinations.
+
+    Yields its process and the address at which it listens.
+    """
     scenario = Scenario(
         name="ceiling",
         priority_classes=[PriorityClass(name="only", outer_ms=20_000)],
--- a/cedarwick/lab/folder.py
+++ b/cedarwick/lab/folder.py
@@ -1,7 +1,7 @@
-"""What the state folder costs: longest stop, throughput beside a folder that needs no compaction, start, room.
+"""Measures the cost of the state folder: longest pause, throughput, write amplification, space and startup.
 
-The store is called as the dispatcher calls it, in one process without sockets: rounds of a few messages, each kept,
-attempt at and ended, while as many as wanted stay alive.
+The store is called in one process without sockets, as the dispatcher calls it: each round stores, attempts and finishes
+a few messages while the number of live messages stays constant. A folder that needs no compaction is the baseline.
 """
 
 import gc
@@ -18,106 +18,107 @@
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
 
-ROUND = 8  # messages of one round
-FILLS = (0.02, 0.5, 0.7, 0.9)
-SYNCED = 500  # rounds of the measurement with fsync, each as slow as the disk
-FAR = 10**15
+MESSAGES_PER_ROUND = 8
+FILLS = (0.02, 0.5, 0.7, 0.9)  # live data divided by the size limit; at 0.02 no compaction is needed
+MAX_DURABLE_ROUNDS = 500  # each round of the measurement with fsync waits for the disk
+FAR_DEADLINE = 10**15  # microseconds
 
 
 class Churn(msgspec.Struct):
-    """One folder under a steady change of messages."""
+    """The result for one folder in which messages are replaced at a constant number of live messages."""
 
-    fill: float  # live data over the limit
-    live: int
-    per_second: float  # messages kept, attempt at and ended
-    longest_ms: float  # of one round's calls
+    fill: float  # live data divided by the size limit
+    live: int  # messages
+    per_second: float  # messages stored, attempted and finished
+    longest_ms: float  # longest duration of one round
     p999_ms: float
-    amplification: float  # bytes written over bytes of new records
-    used_share: float  # of the limit, at the end
-    presses: int  # steps that had to be done on the spot
-    refused: int  # times that a new message was turned away until a later round
-    durable: bool = False  # with an fsync each round
+    amplification: float  # bytes written divided by bytes of new records
+    used_share: float  # used space divided by the size limit, at the end
+    presses: int  # compactions within a call of the store, for lack of space
+    refused: int  # times that a new message was refused for lack of space
+    durable: bool = False  # with an fsync in each round
 
 
 class Start(msgspec.Struct):
-    """A start on a folder that was left by a SIGKILL."""
+    """The result of a start on a folder as a SIGKILL leaves it."""
 
-    live: int
+    live: int  # messages
     seconds: float
     memory_mb: float
 
 
-def message(number: int, size: int) -> StoredMessage:
-    return StoredMessage(number, f"{number:016x}", "", 0, "band", "", number % 50, FAR, bytes(size))
+def new_message(number: int, size: int) -> StoredMessage:
+    """Return a message with a body of the given size."""
+    return StoredMessage(number, f"{number:016x}", "", 0, "band", "", number % 50, FAR_DEADLINE, bytes(size))
 
 
 def measure_churn(
     path: str, live: int, size: int, fill: float, rounds: int, seed: int = 1, durable: bool = False
 ) -> Churn:
-    """Fill a folder to `live` messages at a part of its limit, then replace them round by round.
+    """Fill a folder to `live` messages and the share `fill` of its size limit, then replace messages in rounds.
 
-    A message without room comes again in a later round, as one does that a sender has refused.
+    A message that is refused for lack of space is stored in a later round, as a client retries it.
     """
-    each = 10 + 60 + 40 + 20 + size
-    limit = round(live * each / fill)
-    made = Store(Folder(path), limit, now=lambda: time.time_ns() // 1000, body_cache_bytes=1 << 25, durable=durable)
-    made.load()
-    chance = random.Random(seed)
+    record_bytes = 10 + 60 + 40 + 20 + size
+    limit = round(live * record_bytes / fill)
+    store = Store(Folder(path), limit, now=lambda: time.time_ns() // 1000, body_cache_bytes=1 << 25, durable=durable)
+    store.load()
+    rng = random.Random(seed)
     numbers: list[int] = []
     for number in range(1, live + 1):
-        made.add_message(message(number, size))
+        store.add_message(new_message(number, size))
         numbers.append(number)
-        if number % ROUND == 0:
-            made.step()
+        if number % MESSAGES_PER_ROUND == 0:
+            store.step()
     if durable:
-        made.flush()
-    made.next_number = live + 1
+        store.flush()
+    store.next_number = live + 1
     gc.collect()
-    gc.disable()  # what a collection over all messages stops is not the folder's doing
-    moved, written, presses = made.moved_bytes, made.written_bytes, made.inline_compactions
-    times, refused = [], 0
-    begun = time.perf_counter()
+    gc.disable()  # a pause of the garbage collector is not a cost of the folder
+    moved_before, written_before, compactions_before = store.moved_bytes, store.written_bytes, store.inline_compactions
+    durations, refused = [], 0
+    started_at = time.perf_counter()
     for _ in range(rounds):
         at = time.perf_counter()
-        for _ in range(ROUND):
-            place = chance.randrange(len(numbers))
-            ended = numbers[place]
-            made.record_attempt(ended, 1, 0)
-            made.record_outcome(ended, Outcome.COMPLETED)
-            fresh = message(made.next_number, size)
-            made.next_number += 1
-            while not store_message(made, fresh):
+        for _ in range(MESSAGES_PER_ROUND):
+            index = rng.randrange(len(numbers))
+            finished = numbers[index]
+            store.record_attempt(finished, 1, 0)
+            store.record_outcome(finished, Outcome.COMPLETED)
+            added = new_message(store.next_number, size)
+            store.next_number += 1
+            while not store_message(store, added):
                 refused += 1
-                made.step()
-                times.append(time.perf_counter() - at)
+                store.step()
+                durations.append(time.perf_counter() - at)
                 at = time.perf_counter()
-            numbers[place] = fresh.number
+            numbers[index] = added.number
         if durable:
-            made.flush()
-        made.step()
-        times.append(time.perf_counter() - at)
-    took = time.perf_counter() - begun
+            store.flush()
+        store.step()
+        durations.append(time.perf_counter() - at)
+    elapsed = time.perf_counter() - started_at
     gc.enable()
-    times.sort()
-    new = made.written_bytes - written - (made.moved_bytes - moved)
-    found = Churn(
+    durations.sort()
+    new_bytes = store.written_bytes - written_before - (store.moved_bytes - moved_before)
+    result = Churn(
         fill,
         live,
-        round(rounds * ROUND / took, 1),
-        round(times[-1] * 1000, 2),
-        round(times[int(len(times) * 0.999)] * 1000, 2),
-        round((made.written_bytes - written) / new, 2),
-        round(made.used_bytes / limit, 3),
-        made.inline_compactions - presses,
+        round(rounds * MESSAGES_PER_ROUND / elapsed, 1),
+        round(durations[-1] * 1000, 2),
+        round(durations[int(len(durations) * 0.999)] * 1000, 2),
+        round((store.written_bytes - written_before) / new_bytes, 2),
+        round(store.used_bytes / limit, 3),
+        store.inline_compactions - compactions_before,
         refused,
         durable,
     )
-    made.close()
-    return found
+    store.close()
+    return result
 
 
 def store_message(store: Store, message: StoredMessage) -> bool:
-    """Store a new message; False if there is no room for it."""
+    """Store a new message; return False if there is no space for it."""
     try:
         store.add_message(message)
     except NoSpaceError:
@@ -126,54 +127,56 @@
 
 
 def measure_start(path: str, live: int) -> Start:
-    """A new process reads a folder."""
+    """Measure the time and memory that a new process needs to read a folder."""
     code = (
         "import sys, time, os, psutil\n"
         "from cedarwick.store.journal import Store\n"
         "before = psutil.Process().memory_info().rss; at = time.perf_counter()\n"
-        "made = Store(sys.argv[1], 1 << 40, now=lambda: 1)\n"
-        "made.load()\n"
-        "print(len(made.messages), time.perf_counter() - at, (psutil.Process().memory_info().rss - before) / 2**20)\n"
+        "store = Store(sys.argv[1], 1 << 40, now=lambda: 1)\n"
+        "store.load()\n"
+        "print(len(store.messages), time.perf_counter() - at, (psutil.Process().memory_info().rss - before) / 2**20)\n"
     )
-    said = subprocess.run([sys.executable, "-c", code, path], capture_output=True, text=True, check=True).stdout
-    stored, seconds, memory = said.split()
-    assert int(stored) == live, said
+    output = subprocess.run([sys.executable, "-c", code, path], capture_output=True, text=True, check=True).stdout
+    stored, seconds, memory = output.split()
+    assert int(stored) == live, output
     return Start(live, round(float(seconds), 3), round(float(memory), 1))
 
 
 def measure_folder(live: int, size: int, rounds: int) -> tuple[list[Churn], Start]:
-    """A folder with much room (no compaction), then ever fuller ones, one synced each round; a start on the fullest."""
-    found = []
+    """Measure folders of each fill, one with an fsync in each round, and a start on the fullest folder."""
+    results = []
     for fill in FILLS:
         with tempfile.TemporaryDirectory(prefix="cedarwick-folder-") as path:
-            found.append(measure_churn(path, live, size, fill, rounds))
+            results.append(measure_churn(path, live, size, fill, rounds))
             if fill == 0.9:
-                begun = measure_start(path, live)
+                start = measure_start(path, live)
     with tempfile.TemporaryDirectory(prefix="cedarwick-folder-") as path:
-        found.append(measure_churn(path, live, size, FILLS[1], min(rounds, SYNCED), durable=True))
-    return found, begun
+        results.append(measure_churn(path, live, size, FILLS[1], min(rounds, MAX_DURABLE_ROUNDS), durable=True))
+    return results, start
 
 
-def plot_churn(found: list[Churn], path: str) -> None:
-    """Stops, throughput and write amplification by fill, as a PNG."""
-    import matplotlib  # late: half a second, for a picture that few want
+def plot_churn(results: list[Churn], path: str) -> None:
+    """Plot pauses, throughput and write amplification by fill, as a PNG file."""
+    import matplotlib  # imported here: it takes half a second, and most calls do not plot
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    plain = [each for each in found if not each.durable]
-    fills = [each.fill for each in plain]
-    figure, (stops, flow, cost) = pyplot.subplots(1, 3, figsize=(11, 3.2), layout="constrained")
-    stops.plot(fills, [each.longest_ms for each in plain], "o-", label="longest")
-    stops.plot(fills, [each.p999_ms for each in plain], "s--", label="p99.9")
-    stops.axhline(5, color="gray", linewidth=0.8, label="aim")
-    stops.set(title="One round", ylabel="ms", ylim=(0, None))
-    stops.legend()
-    flow.plot(fills, [each.per_second for each in plain], "o-")
-    flow.set(title="Messages a second", ylim=(0, None))
-    cost.plot(fills, [each.amplification for each in plain], "o-")
-    cost.set(title="Bytes written over new bytes", ylim=(0, None))
-    for axes in (stops, flow, cost):
-        axes.set_xlabel("live data over the limit")
+    not_durable = [each for each in results if not each.durable]
+    fills = [each.fill for each in not_durable]
+    figure, (pause_axes, throughput_axes, amplification_axes) = pyplot.subplots(
+        1, 3, figsize=(11, 3.2), layout="constrained"
+    )
+    pause_axes.plot(fills, [each.longest_ms for each in not_durable], "o-", label="longest")
+    pause_axes.plot(fills, [each.p999_ms for each in not_durable], "s--", label="p99.9")
+    pause_axes.axhline(5, color="gray", linewidth=0.8, label="aim")
+    pause_axes.set(title="One round", ylabel="ms", ylim=(0, None))
+    pause_axes.legend()
+    throughput_axes.plot(fills, [each.per_second for each in not_durable], "o-")
+    throughput_axes.set(title="Messages a second", ylim=(0, None))
+    amplification_axes.plot(fills, [each.amplification for each in not_durable], "o-")
+    amplification_axes.set(title="Write amplification", ylim=(0, None))
+    for axes in (pause_axes, throughput_axes, amplification_axes):
+        axes.set_xlabel("live data divided by the limit")
     figure.savefig(path, dpi=110)
     pyplot.close(figure)
--- a/cedarwick/lab/restart_soak.py
+++ b/cedarwick/lab/restart_soak.py
@@ -1,9 +1,10 @@
-"""Restart days: real senders that are told to end, killed and started again, in series, drawn by a seed alone.
+"""Restart days: real senders get drawn series of signals and are started again.
 
 `python -m cedarwick.lab.restart_soak SEED` plays one day and prints one JSON line, a `DayResult`. `tests/soak.py` plays
-many. Clients go on with their open connections after SIGTERM until the process is gone; SIGKILL follows at the earliest
-moment that the pages allow (`TERM_LASTS`). Some days have a crowd of idle clients that fills the descriptors,
-receivers that hang, break off or reset, and a platform whose list falls silent.
+many days. The seed alone determines a day. Clients use their open connections after SIGTERM until the process has
+ended; SIGKILL follows at the earliest time that the specification allows (`TERM_LASTS`). Some days have idle clients
+that use up the file descriptors, receivers that hang, break off or reset connections, and a platform that stops serving
+the endpoint list.
 """
 
 import contextlib
@@ -28,15 +29,15 @@
 
 SENDERS = ("hall", "hall")
 LOAD_S = 9.0  # seconds in which messages arrive
-LAST_SERIES_S = 6.0  # the last series of signals begins by then
+LATEST_SERIES_S = 6.0  # no series of signals begins later
 DOWN_S = (0.05, 0.8)  # seconds between the end of a process and the next start
-CROWD = 90  # idle connections for each sender; clients hold half of the descriptors
-CROWD_STAYS_S = 8.0
-READY_WITHIN = 10 * SECOND
-READY_SHARE = 0.9  # of the restarted processes
-# From SIGTERM on: attempts begin for 2.2 s, and the process ends by 3.2 s; the rest is for a busy machine.
-LAST_ATTEMPT = 3_300 * MS
-# The platform's run line: SIGHUP is ignored until the sender listens.
+IDLE_CLIENTS = 90  # for each sender; connections of clients may use half of the descriptors
+IDLE_CLIENT_TIMEOUT_S = 8.0
+READY_TIMEOUT = 10 * SECOND  # microseconds
+MIN_READY_SHARE = 0.9  # of the restarted processes, ready within `READY_TIMEOUT`
+# After SIGTERM, attempts begin for 2.2 s, and the process ends within 3.2 s; the rest allows for a busy machine.
+LATEST_ATTEMPT = 3_300 * MS
+# The command line that the platform runs: SIGHUP is ignored until the sender listens.
 COMMAND = ("sh", "-c", 'trap "" HUP; exec "$0" -m cedarwick', sys.executable)
 SERIES: dict[str, tuple[str, ...]] = {
     "term": ("term",),
@@ -62,7 +63,7 @@
 
 
 class PlannedSeries(NamedTuple):
-    """A series of signals to one sender, and the seconds between its parts."""
+    """A series of signals to one sender, and the seconds after each of its parts."""
 
     sender: int
     begin_s: float
@@ -81,47 +82,47 @@
 
 
 class RestartPlan(NamedTuple):
-    """What one seed draws."""
+    """The signals and faults of a day."""
 
     series: tuple[PlannedSeries, ...]
     effects: tuple[PlannedEffect, ...]
-    crowd: bool
-    silent_list_s: tuple[float, float] | None  # the platform's list falls silent: begin, length
+    idle_clients: bool
+    silent_list_s: tuple[float, float] | None  # the platform stops serving the endpoint list: begin, length
 
 
 class DayResult(msgspec.Struct):
-    """What came of one day."""
+    """The result of one day."""
 
     seed: int
     findings: list[str] = []
-    void: str = ""  # why the day says nothing of the senders; empty where it does
+    void: str = ""  # why the day is not a valid measurement of the senders; empty if it is
     messages: int = 0
-    starts: int = 0  # of processes, after the first ones
-    slow_starts: int = 0  # of these: not ready within `READY_WITHIN`, and not ended before
+    starts: int = 0  # restarted processes
+    slow_starts: int = 0  # restarted processes that were neither ready within `READY_TIMEOUT` nor ended before
 
 
 def draw_plan(seed: int) -> RestartPlan:
-    """The plan of a seed."""
-    chance = random.Random(f"restarts {seed}")
+    """Draw the plan of a seed."""
+    rng = random.Random(f"restarts {seed}")
     series = []
     for sender in range(len(SENDERS)):
-        at = chance.uniform(0.5, 2.0)
-        while at < LAST_SERIES_S:
-            name = chance.choice(list(SERIES))
-            gaps = tuple(chance.uniform(0.0, 0.6) for _ in SERIES[name])
-            series.append(PlannedSeries(sender, at, name, gaps, chance.uniform(*DOWN_S)))
-            at += chance.uniform(3.0, 6.0)
+        at = rng.uniform(0.5, 2.0)
+        while at < LATEST_SERIES_S:
+            name = rng.choice(list(SERIES))
+            gaps = tuple(rng.uniform(0.0, 0.6) for _ in SERIES[name])
+            series.append(PlannedSeries(sender, at, name, gaps, rng.uniform(*DOWN_S)))
+            at += rng.uniform(3.0, 6.0)
     effects = tuple(
-        PlannedEffect(destination, chance.choice(EFFECTS), chance.uniform(0.0, 5.0), chance.uniform(0.5, 4.0))
-        for destination in chance.sample(range(SCENARIO.destinations()), chance.randint(0, 2))
+        PlannedEffect(destination, rng.choice(EFFECTS), rng.uniform(0.0, 5.0), rng.uniform(0.5, 4.0))
+        for destination in rng.sample(range(SCENARIO.destinations()), rng.randint(0, 2))
     )
-    crowd = chance.random() < 0.3
-    silent = (chance.uniform(0.0, 4.0), chance.uniform(1.0, 5.0)) if chance.random() < 0.3 else None
-    return RestartPlan(tuple(series), effects, crowd, silent)
+    idle_clients = rng.random() < 0.3
+    silent_list_s = (rng.uniform(0.0, 4.0), rng.uniform(1.0, 5.0)) if rng.random() < 0.3 else None
+    return RestartPlan(tuple(series), effects, idle_clients, silent_list_s)
 
 
 class RestartDay:
-    """One day under way."""
+    """Carries out a plan on a fleet."""
 
     def __init__(self, fleet: Fleet, plan: RestartPlan) -> None:
         self.fleet = fleet
@@ -129,53 +130,58 @@
         self.failed: list[str] = []
 
     def play(self) -> None:
-        """Play the day to the end of all that is owed."""
+        """Play the day until every message has its final answer."""
         self.fleet.load(LOAD_S)
-        jobs = [gevent.spawn(self._series, each) for each in self._in_turn()]
-        jobs += [gevent.spawn(self._effect, each) for each in self.plan.effects]
+        greenlets = [gevent.spawn(self._play_series, each) for each in self._series_by_sender()]
+        greenlets += [gevent.spawn(self._play_effect, each) for each in self.plan.effects]
         if self.plan.silent_list_s is not None:
-            jobs.append(gevent.spawn(self._silent_list, *self.plan.silent_list_s))
-        if self.plan.crowd:
-            jobs += [gevent.spawn(self._crowd, member) for member in self.fleet.members for _ in range(CROWD)]
-        gevent.joinall(jobs)
+            greenlets.append(gevent.spawn(self._silence_list, *self.plan.silent_list_s))
+        if self.plan.idle_clients:
+            greenlets += [
+                gevent.spawn(self._hold_idle_connection, member)
+                for member in self.fleet.members
+                for _ in range(IDLE_CLIENTS)
+            ]
+        gevent.joinall(greenlets)
         self.fleet.settle()
 
-    def _in_turn(self) -> list[list[PlannedSeries]]:
-        """The series of each sender; one begins once the one before is over."""
+    def _series_by_sender(self) -> list[list[PlannedSeries]]:
+        """Return the planned series of each sender in their order."""
         return [[each for each in self.plan.series if each.sender == sender] for sender in range(len(SENDERS))]
 
-    def _series(self, planned: list[PlannedSeries]) -> None:
+    def _play_series(self, planned: list[PlannedSeries]) -> None:
+        """Play the series of one sender; each begins after the end of the one before."""
         for each in planned:
             self._sleep_until(each.begin_s)
             member = self.fleet.members[each.sender]
-            ending: list[gevent.Greenlet] = []
+            running: list[gevent.Greenlet] = []
             for part, gap in zip(SERIES[each.name], each.gaps_s, strict=True):
-                ending += self._part(member, part)
+                running += self._begin_part(member, part)
                 gevent.sleep(gap)
-            gevent.joinall(ending)
+            gevent.joinall(running)
             gevent.sleep(each.down_s)
-            self._bring_up(member)
+            self._start_again(member)
 
-    def _part(self, member: Instance, part: str) -> list[gevent.Greenlet]:
-        """Begin one part of a series; what has to be over before the next start."""
+    def _begin_part(self, member: Instance, part: str) -> list[gevent.Greenlet]:
+        """Begin one part of a series; return the greenlets that must end before the sender is started again."""
         if part == "hup":
             member.reload()
         elif part == "second term":
             member.send_signal(signal.SIGTERM)
         elif part == "early kill":
-            # The process may have ended by itself: then nothing is left to be killed.
+            # The process may have ended already.
             if member.running():
                 member.kill()
         elif part == "start":
             while member.running():
                 gevent.sleep(0.01)
-            return [gevent.spawn(self._bring_up, member)]
+            return [gevent.spawn(self._start_again, member)]
         elif not member.held_down:
             return [gevent.spawn(member.take_down, part == "term")]
         return []
 
-    def _bring_up(self, member: Instance) -> None:
-        """Start the sender again, unless it runs; one that is ended again meanwhile need not get ready."""
+    def _start_again(self, member: Instance) -> None:
+        """Start the sender if it is stopped; a start that another part of the series ends need not get ready."""
         if not member.held_down:
             return
         try:
@@ -183,13 +189,14 @@
         except (SenderNotReadyError, OSError) as error:
             self.failed.append(str(error))
 
-    def _effect(self, planned: PlannedEffect) -> None:
+    def _play_effect(self, planned: PlannedEffect) -> None:
         self._sleep_until(planned.begin_s)
         end = self.fleet.begin_effect(planned.destination, Effect(planned.kind, size=0.6))
         gevent.sleep(planned.length_s)
         end()
 
-    def _silent_list(self, begin_s: float, length_s: float) -> None:
+    def _silence_list(self, begin_s: float, length_s: float) -> None:
+        """Let the platform stop serving the endpoint list for some time."""
         self._sleep_until(begin_s)
         for agent in self.fleet.environment.agents:
             agent.hush(True)
@@ -197,10 +204,10 @@
         for agent in self.fleet.environment.agents:
             agent.hush(False)
 
-    def _crowd(self, member: Instance) -> None:
-        """One idle client, for as long as the sender lets it be."""
+    def _hold_idle_connection(self, member: Instance) -> None:
+        """Keep one idle connection open until the sender closes it or `IDLE_CLIENT_TIMEOUT_S` has passed."""
         with contextlib.suppress(OSError), gevent.socket.create_connection(member.address, 1.0) as sock:
-            sock.settimeout(CROWD_STAYS_S)
+            sock.settimeout(IDLE_CLIENT_TIMEOUT_S)
             sock.recv(1)
 
     def _sleep_until(self, seconds: float) -> None:
@@ -208,40 +215,42 @@
 
 
 def calls_after_termination(history: History) -> list[str]:
-    """Calls that began later than `LAST_ATTEMPT` after their sender's process was told to end."""
-    found: list[str] = []
-    for termed in (life for life in history.life if life.event == "termed"):
+    """Return the calls that began more than `LATEST_ATTEMPT` after their sender's process got SIGTERM."""
+    findings: list[str] = []
+    for terminated in (life for life in history.life if life.event == "termed"):
         started = [
             life.at
             for life in history.life
-            if life.sender == termed.sender and life.event == "started" and life.at > termed.at
+            if life.sender == terminated.sender and life.event == "started" and life.at > terminated.at
         ]
         until = min(started, default=FOREVER)
-        found += [
-            f"n{termed.sender}, told to end at {seconds(termed.at)}, called at {seconds(call.first)}: {call.id}"
+        findings += [
+            f"n{terminated.sender}, got SIGTERM at {seconds(terminated.at)}, called at {seconds(call.first)}: {call.id}"
             for call in history.called
-            if call.sender == termed.sender and termed.at + LAST_ATTEMPT < call.first < until
+            if call.sender == terminated.sender and terminated.at + LATEST_ATTEMPT < call.first < until
         ]
-    return found
+    return findings
 
 
 def count_restarts(history: History, senders: int) -> tuple[int, int]:
-    """How many processes were started after the first ones, and how many of these got ready too late."""
+    """Count the restarted processes, and those of them that were ready too late or never."""
     starts = slow = 0
     for sender in range(senders):
         lives = [life for life in history.life if life.sender == sender]
-        begun = [place for place, life in enumerate(lives) if life.event == "started"][1:]
-        for place in begun:
-            after = [life for life in lives[place + 1 :] if life.event in ("ready", "killed", "termed", "ended")]
+        start_indexes = [index for index, life in enumerate(lives) if life.event == "started"][1:]
+        for index in start_indexes:
+            next_events = [life for life in lives[index + 1 :] if life.event in ("ready", "killed", "termed", "ended")]
             starts += 1
-            slow += not after or (after[0].event == "ready" and after[0].at - lives[place].at > READY_WITHIN)
+            slow += not next_events or (
+                next_events[0].event == "ready" and next_events[0].at - lives[index].at > READY_TIMEOUT
+            )
     return starts, slow
 
 
-def play(seed: int, say: Callable[[str], None] = lambda _: None) -> DayResult:
-    """Play the day of a seed and judge it."""
+def play(seed: int, report_progress: Callable[[str], None] = lambda _: None) -> DayResult:
+    """Play the day of a seed and check its history against the rules."""
     plan = draw_plan(seed)
-    with Fleet(SCENARIO, seed, halls=SENDERS, group="", command=COMMAND, say=say) as fleet:
+    with Fleet(SCENARIO, seed, halls=SENDERS, group="", command=COMMAND, say=report_progress) as fleet:
         fleet.begin()
         day = RestartDay(fleet, plan)
         day.play()
@@ -250,13 +259,13 @@
         findings += calls_after_termination(fleet.history)
         findings += [f"a start failed: {text}" for text in (*day.failed, *fleet.failed)]
         starts, slow = count_restarts(fleet.history, len(SENDERS))
-        if starts - slow < READY_SHARE * starts:
+        if starts - slow < MIN_READY_SHARE * starts:
             findings.append(f"{slow} of {starts} restarted processes were not ready within 10 s")
         return DayResult(seed, findings, fleet.day.void(), len(fleet.history.handed), starts, slow)
 
 
 def main() -> int:
-    """Play the seed of the command line."""
+    """Play the day of the seed on the command line and print its result."""
     print(msgspec.json.encode(play(int(sys.argv[1]))).decode(), flush=True)
     return 0
 
