--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a known fault of the program, which is not mended yet.
+"""A mark for tests that fail because of a known fault of the program that is not fixed yet.
 
-`KNOWN-RED.txt` at the root lists them, one line each: the test's id, the cause, where it is followed. The continuous
-integration passes over just these and prints them; `test_source_layout` compares the list with the marked tests.
+`KNOWN-RED.txt` at the root lists these tests, one line each: the test's id, the cause and the issue. Their failure does
+not fail the continuous integration, which prints them; `test_source_layout` compares the list with the marked tests.
 """
 
 import functools
@@ -15,9 +15,10 @@
 
 
 def known_red(failure: str, *, sometimes: bool = False) -> Callable[[Callable[[Case], None]], Callable[[Case], None]]:
-    """Mark a test that fails with an `AssertionError` whose whole text matches `failure`: print it and pass over it.
+    """Mark a test that fails with an `AssertionError` whose whole text matches `failure`; print the failure only.
 
-    Any other failure fails the run. So does a pass, which has to leave the list, unless it fails `sometimes` only.
+    Any other failure of the test fails the run. So does a pass, because the test must then be removed from the list,
+    unless it fails `sometimes` only.
     """
 
     def mark(test: Callable[[Case], None]) -> Callable[[Case], None]:
@@ -31,7 +32,7 @@
                 print(f"known red: {case.id()}: {error}", file=sys.stderr)
             else:
                 if not sometimes:
-                    case.fail(f"this test passes; take it out of KNOWN-RED.txt, where it fails with {failure!r}")
+                    case.fail(f"this test passes; remove it from KNOWN-RED.txt, which lists it with {failure!r}")
 
         return run
 
--- a/tests/lab/test_folder.py
+++ b/tests/lab/test_folder.py
@@ -1,4 +1,4 @@
-"""The measurement of the state folder, on a small one."""
+"""Tests the measurement of the state folder with small folders."""
 
 import os
 import tempfile
@@ -8,19 +8,19 @@
 
 
 class FolderTest(unittest.TestCase):
-    def test_a_full_folder_moves_more_than_an_empty_one_and_loses_nothing(self) -> None:
-        found = []
+    def test_write_amplification_grows_with_the_fill(self) -> None:
+        results = []
         for fill, durable in ((0.05, False), (0.85, False), (0.5, True)):
             with tempfile.TemporaryDirectory() as path:
-                found.append(measure_churn(path, 4000, 1000, fill, 600, durable=durable))
-        easy, full, synced = found
-        self.assertEqual((easy.amplification, easy.presses, easy.refused), (1.0, 0, 0))
+                results.append(measure_churn(path, 4000, 1000, fill, 600, durable=durable))
+        nearly_empty, full, durable_result = results
+        self.assertEqual((nearly_empty.amplification, nearly_empty.presses, nearly_empty.refused), (1.0, 0, 0))
         self.assertGreater(full.amplification, 1.2)
         self.assertLessEqual(full.used_share, 1.0)
         self.assertGreaterEqual(full.longest_ms, full.p999_ms)
-        self.assertTrue(synced.durable)
+        self.assertTrue(durable_result.durable)
         with tempfile.TemporaryDirectory() as path:
-            plot_churn(found, os.path.join(path, "folder.png"))
+            plot_churn(results, os.path.join(path, "folder.png"))
             with open(os.path.join(path, "folder.png"), "rb") as file:
                 self.assertEqual(file.read(8), b"\x89PNG\r\n\x1a\n")
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak, short and seeded; `make soak SEEDS=1-50` plays more."""
+"""Tests the soak with a few seeds; `make soak SEEDS=1-50` plays more."""
 
 import contextlib
 import io
@@ -13,11 +13,12 @@
 SEEDS = ("1-6",)
 
 
-def history(*records: Called | Life) -> History:
-    made = History()
+def make_history(*records: Called | Life) -> History:
+    """Return a history of the given records."""
+    history = History()
     for each in records:
-        made.add(each)
-    return made
+        history.add(each)
+    return history
 
 
 class ShortSoakTest(unittest.TestCase):
@@ -29,27 +30,27 @@
         self.assertRegex(printed.getvalue().splitlines()[-1], r"^soak: seeds 1 to 6 \(6\): 6 days .* 0 findings$")
 
 
-class SoakJudgeTest(unittest.TestCase):
-    """The soak's own rules find what breaks them."""
+class SoakRulesTest(unittest.TestCase):
+    """Tests the rules that only the soak checks, and its output."""
 
-    def test_a_call_long_after_sigterm_is_found_and_one_of_the_next_process_is_not(self) -> None:
+    def test_only_a_call_of_the_terminated_process_long_after_sigterm_is_a_finding(self) -> None:
         lives = [Life(0, "termed", SECOND), Life(0, "ended", 6 * SECOND), Life(0, "started", 7 * SECOND)]
-        for at, found in ((4 * SECOND, 0), (5 * SECOND, 1), (8 * SECOND, 0)):
+        for at, finding_count in ((4 * SECOND, 0), (5 * SECOND, 1), (8 * SECOND, 0)):
             with self.subTest(at):
                 call = Called("a", "", "s", 0, 0, at, at)
-                self.assertEqual(len(calls_after_termination(history(*lives, call))), found)
+                self.assertEqual(len(calls_after_termination(make_history(*lives, call))), finding_count)
 
-    def test_slow_starts_are_counted_and_those_that_were_ended_again_are_not(self) -> None:
+    def test_starts_that_were_ended_before_they_were_ready_are_not_slow(self) -> None:
         first = [Life(0, "started", 0), Life(0, "ready", SECOND)]
         second = [Life(0, "started", 2 * SECOND), Life(0, "killed", 3 * SECOND)]
         third = [Life(0, "started", 4 * SECOND), Life(0, "ready", 15 * SECOND)]
-        self.assertEqual(count_restarts(history(*first, *second, *third), 1), (2, 1))
+        self.assertEqual(count_restarts(make_history(*first, *second, *third), 1), (2, 1))
 
-    def test_a_seed_draws_the_same_plan_again(self) -> None:
+    def test_the_seed_alone_determines_a_plan(self) -> None:
         self.assertEqual(draw_plan(3), draw_plan(3))
         self.assertNotEqual(draw_plan(3), draw_plan(4))
 
-    def test_findings_say_what_repeats_them_and_void_days_have_none(self) -> None:
+    def test_findings_have_the_command_that_reproduces_them_and_void_days_are_omitted(self) -> None:
         days = [DayResult(5, ["1: lost"]), DayResult(6, ["1: lost"], void="n0 waited 900 ms for a processor")]
         histories = [HistoryResult(123, True, "nobody holds it", -1), HistoryResult(7, False, "", 1)]
         result = SoakResult(days, histories, [OutageResult(41, "fell"), OutageResult(42, "")])
