--- a/cedarwick/lab/load.py
+++ b/cedarwick/lab/load.py
@@ -18,7 +18,7 @@
 
 from cedarwick.lab.clients import encode_command
 from cedarwick.lab.day import Day, message_body
-from cedarwick.lab.figures import LONGEST, Quantiles, quantiles, recorder
+from cedarwick.lab.figures import MAX_RECORDED_TIME, Quantiles, new_histogram, summarize_histogram
 from cedarwick.lab.workload import random_generator
 from cedarwick.net.sockets import open_connection
 
@@ -77,7 +77,7 @@
             AddressConnections(address, gevent.lock.BoundedSemaphore(plan.connections)) for address in plan.addresses
         ]
         self.answers: Counter[str] = Counter()
-        self.took, self.service = recorder(), recorder()
+        self.took, self.service = new_histogram(), new_histogram()
         self.unrecorded: deque[tuple[int, int]] = deque()  # response and service times not in the histograms yet
         self.late = 0
         self.sent = 0
@@ -120,8 +120,8 @@
             round(answered / took, 1),
             round(self.answers["ok"] / took, 1),
             dict(self.answers),
-            quantiles(self.took),
-            quantiles(self.service),
+            summarize_histogram(self.took),
+            summarize_histogram(self.service),
             round(self.day.worst_lag_us / 1000, 1),
             self.void(),
         )
@@ -130,8 +130,8 @@
         """Add up to `count` times to the histograms."""
         for _ in range(min(count, len(self.unrecorded))):
             took, service = self.unrecorded.popleft()
-            self.took.record_value(min(LONGEST, took))
-            self.service.record_value(min(LONGEST, service))
+            self.took.record_value(min(MAX_RECORDED_TIME, took))
+            self.service.record_value(min(MAX_RECORDED_TIME, service))
 
     def void(self) -> str:
         """Why the run proves nothing, as this tool was too slow; empty where it is valid."""
