--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -17,7 +17,7 @@
 from cedarwick.lab.audit_cases import Account
 from cedarwick.lab.clients import Clients
 from cedarwick.lab.day import Day
-from cedarwick.lab.run import Result, head_of, play, stop_on_signals
+from cedarwick.lab.run import Result, run_day, stop_on_signals, summarize_run
 from cedarwick.lab.senders import SenderNotReadyError
 
 RULES = {
@@ -40,8 +40,8 @@
 def list_() -> None:
     """List the shipped scenarios."""
     table = Table("scenario", "length, s", "short, s", "senders", "about", box=None)
-    for name in scenarios.shipped():
-        each = scenarios.load(name)
+    for name in scenarios.shipped_scenarios():
+        each = scenarios.load_scenario(name)
         table.add_row(name, f"{each.length_s:g}", f"{each.short_s:g}", str(each.senders), each.about)
     console().print(table)
 
@@ -75,7 +75,7 @@
     4 the run is void, since the emulator itself was too slow.
     """
     try:
-        chosen_scenario = scenarios.load(scenario)
+        chosen_scenario = scenarios.load_scenario(scenario)
     except ConfigFileError as error:
         exit_with_error(error)
     if out and os.path.exists(os.path.join(out, "run.json")):
@@ -84,11 +84,11 @@
         out = os.path.join("lab-runs", f"{chosen_scenario.name}-{seed}-{time.strftime('%H%M%S')}")
     result = play_with_progress(chosen_scenario, seed, senders, short, out or "")
     print_result(result, quiet=json_file == "-")
-    write_json(head_of(result), json_file)
+    write_json(summarize_run(result), json_file)
     if out and report is not False:
-        from cedarwick.lab.report import make
+        from cedarwick.lab.report import write_report
 
-        click.echo(f"report: {make([out], out)}", err=json_file == "-")
+        click.echo(f"report: {write_report([out], out)}", err=json_file == "-")
     sys.exit(result.status)
 
 
@@ -107,7 +107,7 @@
 
     stop_on_signals(lambda: os._exit(1))
     try:
-        return play(chosen_scenario, seed, senders, short, out, progress=show_progress)
+        return run_day(chosen_scenario, seed, senders, short, out, progress=show_progress)
     except (SenderNotReadyError, OSError) as error:
         exit_with_error(error, "the run could not start")
     finally:
@@ -184,10 +184,10 @@
 @click.option("--out", type=click.Path(), help="Save the runs below this folder.")
 def sweep(names: Sequence[str], seeds: int, jobs: int, short: bool, out: str | None) -> None:
     """Run scenarios (default: all) with several seeds; a void run is repeated once."""
-    days = [(name, seed) for name in names or scenarios.shipped() for seed in range(1, seeds + 1)]
+    days = [(name, seed) for name in names or scenarios.shipped_scenarios() for seed in range(1, seeds + 1)]
     try:
         for name in names:
-            scenarios.load(name)
+            scenarios.load_scenario(name)
     except ConfigFileError as error:
         exit_with_error(error)
 
@@ -233,10 +233,10 @@
 @click.option("--out", type=click.Path(), help="Folder for the page and its plots; default: that of the first run.")
 def report(folders: Sequence[str], out: str | None) -> None:
     """Create one HTML page and PNG plots that compare one or several runs."""
-    from cedarwick.lab.report import make
+    from cedarwick.lab.report import write_report
 
     try:
-        click.echo(make(list(folders), out or folders[0]))
+        click.echo(write_report(list(folders), out or folders[0]))
     except (OSError, ValueError, msgspec.DecodeError) as error:
         exit_with_error(error, "cannot read a run")
 
@@ -248,9 +248,9 @@
 @click.option("--json", "json_file", type=click.Path(), help="Write the results to this file; - for standard output.")
 def ceiling(seconds: float, json_file: str | None) -> None:
     """Measure the throughput of one sender on one core, compared with a bare loop with the same I/O."""
-    from cedarwick.lab.ceiling import measure
+    from cedarwick.lab.ceiling import measure_ceiling
 
-    measurements = measure(seconds, lambda text: click.echo(text, err=True))
+    measurements = measure_ceiling(seconds, lambda text: click.echo(text, err=True))
     table = Table("program", "calls/s", "of the bare loop", "core", "MB", "answers", box=None)
     for each in measurements:
         table.add_row(
@@ -278,11 +278,11 @@
 
     Prints the senders' addresses, one per line, for `cedarwick load`. Calls are answered but not recorded.
     """
-    from cedarwick.lab.serve import serve as until_ended
+    from cedarwick.lab.serve import serve_until_stopped
 
     try:
-        chosen_scenario = scenarios.load(scenario)
-        until_ended(chosen_scenario, seed, senders or chosen_scenario.senders, seconds, click.echo)
+        chosen_scenario = scenarios.load_scenario(scenario)
+        serve_until_stopped(chosen_scenario, seed, senders or chosen_scenario.senders, seconds, click.echo)
     except ConfigFileError as error:
         exit_with_error(error)
     except (SenderNotReadyError, OSError) as error:
@@ -301,11 +301,11 @@
 @click.option("--plot", "plot_file", type=click.Path(), help="Plot the results to this PNG file.")
 def folder(live: int, size: int, rounds: int, json_file: str | None, plot_file: str | None) -> None:
     """Measure the cost of the state folder: longest pause, throughput, write amplification, space, startup."""
-    from cedarwick.lab.folder import measure, plot
+    from cedarwick.lab.folder import measure_folder, plot_churn
 
-    measurements, start = measure(live, size, rounds)
+    measurements, start = measure_folder(live, size, rounds)
     if plot_file:
-        plot(measurements, plot_file)
+        plot_churn(measurements, plot_file)
     table = Table(
         "fill", "messages/s", "longest ms", "p99.9 ms", "amplification", "used", "on the spot", "refused", box=None
     )
--- a/cedarwick/cli/load.py
+++ b/cedarwick/cli/load.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 
 from cedarwick.cli.say import Progress, console, exit_with_error, write_json
-from cedarwick.lab.load import Loader, Plan, Report, pongs
+from cedarwick.lab.load import Loader, Plan, Report, answers_ping
 from cedarwick.net.assignment import parse_address
 
 PROGRESS_INTERVAL_S = 0.2  # between updates of the progress line
@@ -73,7 +73,7 @@
     except ValueError as error:
         exit_with_error(error)
     for parsed_address, text in zip(parsed_addresses, addresses, strict=True):
-        if not pongs(parsed_address):
+        if not answers_ping(parsed_address):
             exit_with_error(f"{text}: no sender answers PING")
     loader = Loader(
         Plan(
--- a/cedarwick/lab/audit_rules.py
+++ b/cedarwick/lab/audit_rules.py
@@ -21,14 +21,14 @@
     may_have_run,
 )
 from cedarwick.lab.history import NEVER, Away, Called, Handed, Heard, History
-from cedarwick.lab.partner import budget
+from cedarwick.lab.partner import overload_threshold
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.units import MS, SECOND
 
 MIN_OUTAGE_US = 500 * MS  # senders need not detect a shorter outage
 BLAMED_SHARE = 2 / 3  # of an overloaded window's calls, from senders that had seen the outage
 BAD_CLIENT_LIMIT_US = 3 * SECOND  # time within which a bad client must get an error or a close
-CALLS_ABOVE_BUDGET = 2  # calls above the budget that may still be chance
+CALLS_ABOVE_THRESHOLD = 2  # calls above the overload threshold that may still be chance
 STATES_TO_LEAVE = ("draining", "removed")
 # Values of `spoilt` for refusals whose head was written whole: the wait counts from the writing of the head.
 REFUSALS_WITH_HEAD = (*COMPLETE_REFUSALS, "stops")
@@ -277,7 +277,7 @@
             within = after[first : last + 1]
             share = partner.warm_up.share
             warmth = share + (1 - share) * (call.whole - away.ended) / (warm_at - away.ended)
-            if len(within) > budget(partner, scenario.rules, warmth) + CALLS_ABOVE_BUDGET:
+            if len(within) > overload_threshold(partner, scenario.rules, warmth) + CALLS_ABOVE_THRESHOLD:
                 from_informed = sum(each.sender in saw_outage for each in within)
                 if from_informed > BLAMED_SHARE * len(within):
                     yield Finding(
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -135,7 +135,7 @@
 class ScenariosTest(ConfigFileTestCase):
     def assert_invalid(self, toml: str, *parts: str) -> None:
         with self.assertRaises(ConfigFileError) as caught:
-            scenarios.load(self.write(MINIMAL_SCENARIO + toml))
+            scenarios.load_scenario(self.write(MINIMAL_SCENARIO + toml))
         for part in (self.path, *parts):
             self.assertIn(part, str(caught.exception))
 
@@ -153,12 +153,12 @@
 
     def test_an_unknown_scenario_lists_the_shipped_ones(self) -> None:
         with self.assertRaisesRegex(ConfigFileError, "calm"):
-            scenarios.load("no-such-day")
+            scenarios.load_scenario("no-such-day")
 
     def test_shipped_scenarios_and_their_sender_settings_are_valid(self) -> None:
-        self.assertGreaterEqual(len(scenarios.shipped()), 12)
-        for name in scenarios.shipped():
-            scenario = scenarios.load(name)
+        self.assertGreaterEqual(len(scenarios.shipped_scenarios()), 12)
+        for name in scenarios.shipped_scenarios():
+            scenario = scenarios.load_scenario(name)
             self.assertEqual((scenario.name, bool(scenario.about)), (name, True))
             sender = Sender(flatten_settings(sender_settings(scenario, 2)), 1, 0)
             self.assertEqual(
