--- a/tests/build.py
+++ b/tests/build.py
@@ -28,7 +28,7 @@
 from cedarwick.net.sockets import PollClock
 from cedarwick.store.journal import Store
 
-MS = 1000
+MS = 1000  # microseconds
 SETTINGS = {
     "classes.count": "3",
     "balancers": "2",
@@ -57,12 +57,12 @@
     "rules.fall-multiple": "1.5",
     "rules.fall-ms": "2000",
 }
-NOW = 1_000_000_000
-FREE, NUMBERED, ONCE = 0, 1, 2
+NOW = 1_000_000_000  # microseconds
+FREE, GUARDED, AT_MOST_ONCE = 0, 1, 2  # indexes of the priority classes in SETTINGS
 
 
-def sender(receivers: int = 1, kind: int = 0, rate: float = 0.0, **settings: str) -> Sender:
-    """Create a sender whose destination 7 has receivers 1, 2, ...; settings write a dot as two underscores."""
+def make_sender(receivers: int = 1, kind: int = 0, rate: float = 0.0, **settings: str) -> Sender:
+    """Create a sender whose destination 7 has receivers 1, 2, ...; two underscores in a setting stand for a dot."""
     overrides = {name.replace("__", ".").replace("_", "-"): value for name, value in settings.items()}
     decisions = Sender({**SETTINGS, **overrides}, 5, NOW)
     listings = [ListedEndpoint(1 + n, 0, kind, 7, EndpointState.READY, rate) for n in range(receivers)]
@@ -70,27 +70,27 @@
     return decisions
 
 
-def take(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
+def accept_message(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
     """Accept a message for destination 7."""
     return decisions.accept(now, message, 7, priority_class, now + 16_000 * MS, 0, key)
 
 
-def out(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
+def start_attempt(decisions: Sender, message: int, priority_class: int = FREE, key: int = 0, now: int = NOW) -> Handle:
     """Accept a message and start its first attempt."""
-    handle = take(decisions, message, priority_class, key, now)
+    handle = accept_message(decisions, message, priority_class, key, now)
     decisions.decide(now)
     return handle
 
 
-def end(handle: Handle, outcome: Outcome, now: int, retry_after: int = 0, receiver: int = 1) -> None:
-    """End the last attempt of a message with an outcome."""
+def end_attempt(handle: Handle, outcome: Outcome, now: int, retry_after: int = 0, receiver: int = 1) -> None:
+    """Report the outcome of the last attempt of a message."""
     last = outcome is Outcome.COMPLETED
     handle.attempt_ended(now, outcome, handle.attempts - 1, receiver, 100 * MS, retry_after, last, ())
 
 
-# ---- fakes of the other parties, and the program itself ----
+# ---- fake receivers and platform, and the program as a subprocess ----
 
-NESTED = {
+NESTED_SETTINGS = {
     "balancers": 1,
     "zones": ["here"],
     "kinds": ["plain"],
@@ -107,7 +107,7 @@
 }
 
 
-def dispatcher_alone(case: unittest.TestCase, settings: dict[str, Any]) -> tuple[Assignment, Store, Dispatcher]:
+def make_dispatcher(case: unittest.TestCase, settings: dict[str, Any]) -> tuple[Assignment, Store, Dispatcher]:
     """Create a dispatcher with a folder of its own and one receiver at destination 0, but no attempts or clients."""
     folder = tempfile.TemporaryDirectory()
     case.addCleanup(folder.cleanup)
@@ -135,8 +135,8 @@
     return RESERVED_PORTS[-1].number
 
 
-def until(condition: Callable[[], Any], timeout_s: float = 8.0) -> Any:
-    """Wait until the condition returns a true value, and return it; fails the test after a timeout."""
+def wait_for_condition(condition: Callable[[], Any], timeout_s: float = 8.0) -> Any:
+    """Poll the condition until its result is true, and return the result; fail the test after a timeout."""
     deadline = time.monotonic() + timeout_s
     while not (result := condition()):
         if time.monotonic() > deadline:
@@ -204,14 +204,14 @@
 
     def __init__(self, targets: list[dict[str, Any]]) -> None:
         super().__init__(("127.0.0.1", 0), PlatformCall)
-        self.news: queue.Queue[dict[str, Any]] = queue.Queue()
+        self.list_updates: queue.Queue[dict[str, Any]] = queue.Queue()
         self.targets = targets
         self.notices: list[dict[str, Any]] = []
         self.watches = 0
-        self.silent = False  # watches send nothing after their first line
+        self.holds_watches = False  # keeps watches open without sending anything after their first line
         self.posts = 0
-        self.deaf = False  # posts are not answered
-        self.refusals = 0  # number of posts to answer with 500 first
+        self.holds_posts = False  # keeps posts open without an answer
+        self.posts_to_refuse = 0  # number of posts to answer with 500 first
         threading.Thread(target=self.serve_forever, args=(0.05,), daemon=True).start()
 
 
@@ -224,25 +224,25 @@
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
         self.server.watches += 1
-        news: dict[str, Any] | None = {"rev": 1, "all": True, "targets": self.server.targets}
+        list_update: dict[str, Any] | None = {"rev": 1, "all": True, "targets": self.server.targets}
         with contextlib.suppress(OSError):
             while True:
-                line = json.dumps(news).encode() + b"\n" if news else b"\n"
+                line = json.dumps(list_update).encode() + b"\n" if list_update else b"\n"
                 self.wfile.write(b"%x\r\n%s\r\n" % (len(line), line))
-                while self.server.silent:
+                while self.server.holds_watches:
                     time.sleep(0.1)
                 try:
-                    news = self.server.news.get(timeout=0.5)
+                    list_update = self.server.list_updates.get(timeout=0.5)
                 except queue.Empty:
-                    news = None
+                    list_update = None
 
     def do_POST(self) -> None:  # noqa: N802
         body = self.rfile.read(int(self.headers["Content-Length"]))
         self.server.posts += 1
-        while self.server.deaf:
+        while self.server.holds_posts:
             time.sleep(0.1)
-        self.server.refusals -= 1
-        accepted = self.server.refusals < 0
+        self.server.posts_to_refuse -= 1
+        accepted = self.server.posts_to_refuse < 0
         if accepted:
             self.server.notices += [json.loads(line) for line in body.splitlines()]
         self.send_response(204 if accepted else 500)
@@ -273,7 +273,7 @@
             "seed": "1f",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 3, **limits},
             "known": {"rev": 0, "all": True, "targets": []},
-            "settings": NESTED,
+            "settings": NESTED_SETTINGS,
         }
         os.mkdir(self.path("state"))
         self.configure()
@@ -302,7 +302,7 @@
     def start(self, fds: tuple[int, ...] = (), **variables: str) -> None:
         self.process = self.spawn(fds, **variables)
         try:
-            until(self._ready)
+            wait_for_condition(self._ready)
         except AssertionError as error:
             if self.process.poll() is None:
                 raise AssertionError(f"{error}: the program runs, but does not answer +PONG") from None
@@ -328,7 +328,7 @@
     def _ready(self) -> bool:
         try:
             with self.connect() as sock:
-                return ask(sock, b"PING") == b"+PONG\r\n"
+                return send_command(sock, b"PING") == b"+PONG\r\n"
         except OSError:
             return False
 
@@ -362,26 +362,28 @@
         self.folder.cleanup()
 
 
-def words(*parts: bytes) -> bytes:
+def encode_command(*parts: bytes) -> bytes:
     """Encode a RESP2 command."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
-def submit(message: str, priority_class: str = "free", d: int = 8000, dest: int = 0, body: bytes = b"x") -> bytes:
+def encode_submit(
+    message: str, priority_class: str = "free", d: int = 8000, dest: int = 0, body: bytes = b"x"
+) -> bytes:
     """Encode a SUBMIT command; `d` is the time until the deadline in milliseconds."""
     pairs = f"c={priority_class},d={d},dest={dest}".encode()
-    return words(b"SUBMIT", b"0000000000000000", message.encode(), pairs, body)
+    return encode_command(b"SUBMIT", b"0000000000000000", message.encode(), pairs, body)
 
 
-def line_of(sock: socket.socket) -> bytes:
-    """Read one line; shorter at the end of the connection."""
+def read_line(sock: socket.socket) -> bytes:
+    """Read up to the end of the line or of the connection."""
     line = b""
     while not line.endswith(b"\n") and (byte := sock.recv(1)):
         line += byte
     return line
 
 
-def ask(sock: socket.socket, *parts: bytes) -> bytes:
-    """Send a RESP2 command and read its answer."""
-    sock.sendall(words(*parts))
-    return line_of(sock)
+def send_command(sock: socket.socket, *parts: bytes) -> bytes:
+    """Send a RESP2 command and return the first line of its answer."""
+    sock.sendall(encode_command(*parts))
+    return read_line(sock)
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -4,14 +4,14 @@
 
 from cedarwick.decisions.interface import EarlierHealth, HealthReason, HealthState, Outcome
 from cedarwick.decisions.policy import Sender
-from tests.build import MS, NOW, end, out, sender
+from tests.build import MS, NOW, end_attempt, make_sender, start_attempt
 
 SECOND = 1000 * MS
 
 
 class SuspicionTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.policy = sender(receivers=2, balancers="42", rules__fall_ms="2000")
+        self.policy = make_sender(receivers=2, balancers="42", rules__fall_ms="2000")
         self.first, self.second = self.policy.receivers[1], self.policy.receivers[2]
         for receiver in (self.first, self.second):
             receiver.completion_times.append(NOW - SECOND)
@@ -19,10 +19,10 @@
         self.policy.take_health_changes()
 
     def failed_call(self, policy: Sender, at: int) -> None:
-        end(out(policy, 1, now=at), Outcome.ERROR, at + 100 * MS)
+        end_attempt(start_attempt(policy, 1, now=at), Outcome.ERROR, at + 100 * MS)
 
     def complete(self, policy: Sender, at: int) -> None:
-        end(out(policy, 2, now=at), Outcome.COMPLETED, at + 100 * MS)
+        end_attempt(start_attempt(policy, 2, now=at), Outcome.COMPLETED, at + 100 * MS)
 
     def test_a_single_failure_ejects_no_receiver_but_the_next_completion_starts_a_ramp(self) -> None:
         self.failed_call(self.policy, NOW)
@@ -55,16 +55,16 @@
         self.assertFalse(self.first.rate_control.failed_since)
 
     def test_a_short_silence_after_a_failure_ends_with_a_ramp_too(self) -> None:
-        hanging = out(self.policy, 3)
+        hanging = start_attempt(self.policy, 3)
         self.failed_call(self.policy, NOW + MS)
         self.policy._eject_silent(NOW + 2 * SECOND, self.second)
-        end(hanging, Outcome.COMPLETED, NOW + 3 * SECOND, receiver=2)
+        end_attempt(hanging, Outcome.COMPLETED, NOW + 3 * SECOND, receiver=2)
         self.assertTrue(self.second.recovered_at)
 
     def test_a_restart_keeps_the_suspicion_and_spreads_the_first_calls(self) -> None:
         gaps = []
         for seed in range(50):
-            policy = sender(receivers=1, balancers="42", rules__fall_ms="2000")
+            policy = make_sender(receivers=1, balancers="42", rules__fall_ms="2000")
             policy.random_source.state = seed << 40
             policy.restore_health(NOW, 1, EarlierHealth(7, HealthState.SUSPECTED, False, 0.5, 3 * SECOND))
             gaps.append(policy._available_at(NOW, policy.receivers[1]) - NOW)
--- a/tests/net/test_endpoint_list_races.py
+++ b/tests/net/test_endpoint_list_races.py
@@ -18,7 +18,18 @@
 from cedarwick.decisions.sender_state import MAX_LIST_POLL_DELAY
 from cedarwick.decisions.state import SECOND
 from cedarwick.net import endpoint_list as module
-from tests.build import NESTED, NOW, SETTINGS, Program, Receiver, free_port, line_of, reply, submit, until
+from tests.build import (
+    NESTED_SETTINGS,
+    NOW,
+    SETTINGS,
+    Program,
+    Receiver,
+    encode_submit,
+    free_port,
+    read_line,
+    reply,
+    wait_for_condition,
+)
 from tests.net.test_endpoint_list import HEAD, WatchTestCase, chunk
 
 
@@ -378,10 +389,10 @@
                 started_at = time.monotonic()
                 with program.connect() as sock:
                     for dest in (0, 1):
-                        sock.sendall(submit(f"{delay_s}-{dest}", dest=dest))
-                        self.assertEqual(line_of(sock), b"+OK\r\n")
+                        sock.sendall(encode_submit(f"{delay_s}-{dest}", dest=dest))
+                        self.assertEqual(read_line(sock), b"+OK\r\n")
                 self.assertLess(time.monotonic() - started_at, 0.38)
-                until(lambda: len(program.receivers[1].calls) == 1 + (delay_s > 1))  # noqa: B023
+                wait_for_condition(lambda: len(program.receivers[1].calls) == 1 + (delay_s > 1))  # noqa: B023
                 self.assertLess(time.monotonic() - started_at, 1.3)
                 time.sleep(0.3)
                 self.assertEqual(bool(program.receivers[0].calls), delay_s > 1)
@@ -392,7 +403,8 @@
         program = Program([Receiver(None)])
         self.addCleanup(program.close)
         program.configure(
-            known={"rev": 0, "all": True, "targets": [program.target(0)]}, settings={**NESTED, "balancers": 200}
+            known={"rev": 0, "all": True, "targets": [program.target(0)]},
+            settings={**NESTED_SETTINGS, "balancers": 200},
         )
         silent_agent = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(silent_agent.close)
--- a/tests/net/test_retry_after.py
+++ b/tests/net/test_retry_after.py
@@ -23,7 +23,20 @@
 from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import FREE, MS, NESTED, NOW, ONCE, Receiver, end, out, reply, sender, take, until
+from tests.build import (
+    AT_MOST_ONCE,
+    FREE,
+    MS,
+    NESTED_SETTINGS,
+    NOW,
+    Receiver,
+    accept_message,
+    end_attempt,
+    make_sender,
+    reply,
+    start_attempt,
+    wait_for_condition,
+)
 
 WAIT = 600 * MS  # as `REFUSAL` states it
 REFUSAL = reply(429, "X-Backoff-Ms: 600", body=b"later")
@@ -91,7 +104,7 @@
         self.store.load()
         self.addCleanup(self.store.close)
         sender_assignment = Assignment(
-            "n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.flatten_settings(NESTED)
+            "n", ("", 0), ("", 0), "", 1, 64, 1 << 20, {}, assignment.flatten_settings(NESTED_SETTINGS)
         )
         poll_clock = PollClock(self.clock)
         self.dispatcher = Dispatcher(sender_assignment, self.clock, self.counters, self.store, poll_clock)
@@ -169,7 +182,7 @@
         self.assert_waits_respected()
         names = [name for _, name in self.partner.arrived]
         self.assertEqual(names.count("first"), 1)  # the bytes that are missing could have said that it ran
-        until(
+        wait_for_condition(
             lambda: gevent.sleep(0.01) or self.store.messages.get(1) is None or self.store.messages[1].final_answer, 2.0
         )
         self.assertEqual(self.store.messages[1].final_answer, (False, 0))
@@ -178,7 +191,9 @@
         timed_out = threading.Event()
         self.start(refuse_first_call(timed_out))
         self.submit("first", lifetime_us=250 * MS)
-        until(lambda: gevent.sleep(0.005) or self.counters.counts["attempts without an answer: time-out"], 2.0)
+        wait_for_condition(
+            lambda: gevent.sleep(0.005) or self.counters.counts["attempts without an answer: time-out"], 2.0
+        )
         timed_out.set()
         gevent.sleep(0.02)
         self.submit_repeatedly(0.5)
@@ -195,16 +210,16 @@
 
         self.start(play)
         self.submit("first", lifetime_us=250 * MS)
-        until(lambda: gevent.sleep(0.005) or ended, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or ended, 2.0)
         self.assertEqual(ended, [b""])
         self.assertTrue(self.dispatcher.is_idle())  # no attempt is running, though the connection is still read
-        until(lambda: gevent.sleep(0.01) or not self.connections.descriptors.used, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.01) or not self.connections.descriptors.used, 2.0)
 
     def test_half_closed_connections_are_closed_first_for_a_descriptor(self) -> None:
         self.start(lambda partner, sock, number: time.sleep(1.0))
         self.connections.descriptors.limit = 1
         self.submit("first", lifetime_us=250 * MS)
-        until(lambda: gevent.sleep(0.005) or self.connections.half_closed, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or self.connections.half_closed, 2.0)
         self.connections.descriptors.claim()
         self.assertEqual((self.connections.descriptors.used, len(self.connections.half_closed)), (1, 0))
 
@@ -222,7 +237,7 @@
 
         self.dispatcher.attempts.request_clearance = pausing_clearance
         self.submit("first")
-        until(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or self.partner.arrived, 2.0)
         self.submit("second")
         self.submit_repeatedly(0.5)
         self.assertGreaterEqual(self.counters.counts["clearances that grew old"], 1)
@@ -241,7 +256,7 @@
 
         self.dispatcher.attempts.request_clearance = pausing_clearance
         self.submit("first", priority_class="once")
-        until(lambda: gevent.sleep(0.005) or self.counters.counts["answers 200"], 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or self.counters.counts["answers 200"], 2.0)
         self.assertEqual(self.counters.counts["attempts without an answer: moot"], 1)
         self.assertEqual([name for _, name in self.partner.arrived], ["first"])
 
@@ -249,7 +264,7 @@
         self.start(lambda partner, sock, number: None)
         self.submit("first")
         self.submit("second")
-        until(lambda: gevent.sleep(0.005) or len(self.partner.arrived) == 2, 2.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or len(self.partner.arrived) == 2, 2.0)
         handles = list(self.dispatcher.handles.values())
         handles[1].attempt_ended(self.clock.now(), Outcome.MOOT, 0, 1, 0, 0, False, ())
         stored = self.store.messages[1], self.store.messages[2]
@@ -306,10 +321,10 @@
 
 class DecisionsTest(unittest.TestCase):
     def test_a_wait_is_limited_to_an_hour(self) -> None:
-        decisions = sender()
-        end(out(decisions, 1), Outcome.FULL, NOW, retry_after=10**30)
+        decisions = make_sender()
+        end_attempt(start_attempt(decisions, 1), Outcome.FULL, NOW, retry_after=10**30)
         self.assertLessEqual(decisions.receivers[1].rate_control.wait_until, NOW + 3_600_000 * MS)
-        handle = out(decisions, 2, now=NOW)
+        handle = start_attempt(decisions, 2, now=NOW)
         self.assertEqual(handle.attempts, 0)  # it ends at once: no attempt fits before its deadline
         later = NOW + 3_600_000 * MS + 20_000 * MS
         decisions.accept(later, 3, 7, FREE, later + 16_000 * MS, 0, 0)
@@ -319,26 +334,26 @@
         self.fail("the sender makes no attempt after the wait")
 
     def test_a_wait_reported_apart_from_an_outcome_applies(self) -> None:
-        decisions = sender()
+        decisions = make_sender()
         decisions.apply_retry_after(NOW, 1, NOW + WAIT)
-        take(decisions, 1)
+        accept_message(decisions, 1)
         self.assertEqual(decisions.decide(NOW).attempts, [])
         self.assertEqual(decisions.decide(NOW + WAIT - 1).attempts, [])
         self.assertEqual(len(decisions.decide(NOW + WAIT).attempts), 1)
 
     def test_a_wait_reported_during_a_call_stops_the_next_one(self) -> None:
-        decisions = sender()
-        first = out(decisions, 1, ONCE)
+        decisions = make_sender()
+        first = start_attempt(decisions, 1, AT_MOST_ONCE)
         decisions.apply_retry_after(NOW, 1, NOW + WAIT)
-        second = take(decisions, 2)
+        second = accept_message(decisions, 2)
         self.assertEqual(decisions.decide(NOW).attempts, [])
         self.assertFalse(second.may_start(NOW + WAIT - 1, 1))
-        end(first, Outcome.TIME_OUT, NOW + 1)
+        end_attempt(first, Outcome.TIME_OUT, NOW + 1)
         self.assertEqual(decisions.decide(NOW + 2).abandoned, [1])
 
     def test_a_wait_applies_to_a_receiver_that_is_removed_and_listed_again(self) -> None:
         for kind in (0, 1):  # with a pace shared by its destination, and with one of its own
-            decisions = sender(kind=kind)
+            decisions = make_sender(kind=kind)
             decisions.apply_retry_after(NOW, 1, NOW + 60_000 * MS)
             gone = ListedEndpoint(1, 0, kind, 7, EndpointState.REMOVED, 0.0)
             for at in (NOW, NOW + 25_000 * MS, NOW + 50_000 * MS):
--- a/tests/ops/test_ops.py
+++ b/tests/ops/test_ops.py
@@ -15,7 +15,18 @@
 from cedarwick.ops import saved_state
 from cedarwick.ops.commands import MAX_LINE_BYTES, Call, InvalidCallError, Suspensions, parse_call
 from cedarwick.ops.management import NotSuspendedError, UnlistedReceiverError
-from tests.build import NOW, Program, Receiver, ask, free_port, line_of, reply, sender, submit, until
+from tests.build import (
+    NOW,
+    Program,
+    Receiver,
+    encode_submit,
+    free_port,
+    make_sender,
+    read_line,
+    reply,
+    send_command,
+    wait_for_condition,
+)
 
 OK = b"+OK\r\n"
 
@@ -117,29 +128,29 @@
         with socket.create_connection(("127.0.0.1", self.management_port)) as sock:
             sock.settimeout(4)
             sock.sendall(b"STAT")
-            self.assertTrue(line_of(sock).startswith(b"NO "))
+            self.assertTrue(read_line(sock).startswith(b"NO "))
 
     def test_a_pause_closes_idle_clients_and_answers_requests_already_read(self) -> None:
         program = self.start_program()
         idle = program.connect()
         self.addCleanup(idle.close)
-        self.assertEqual(ask(idle, b"PING"), b"+PONG\r\n")
+        self.assertEqual(send_command(idle, b"PING"), b"+PONG\r\n")
         self.assertEqual(management_call(self.management_port, b"PAUSE\n"), b"YES paused\n")
         self.assertEqual(management_call(self.management_port, b"PAUSE\n"), b"YES already paused\n")
         idle.settimeout(2)
         self.assertEqual(idle.recv(10), b"")  # the idle connection is closed
         with program.connect() as sock:
-            self.assertEqual(ask(sock, b"PING")[:1], b"-")
+            self.assertEqual(send_command(sock, b"PING")[:1], b"-")
         with program.connect() as sock:
             sock.settimeout(2)
-            sock.sendall(submit("a"))
-            self.assertEqual(line_of(sock), OK)  # a request that was read is answered
+            sock.sendall(encode_submit("a"))
+            self.assertEqual(read_line(sock), OK)  # a request that was read is answered
             self.assertEqual(sock.recv(10), b"")  # the connection is closed after the answer
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
         self.assertEqual(management_call(self.management_port, b"RESUME\n"), b"YES resumed\n")
         self.assertEqual(management_call(self.management_port, b"RESUME\n"), b"YES not paused\n")
         with program.connect() as sock:
-            self.assertEqual(ask(sock, b"PING"), b"+PONG\r\n")
+            self.assertEqual(send_command(sock, b"PING"), b"+PONG\r\n")
 
     def test_an_invalid_management_address_prevents_the_start(self) -> None:
         program = Program([Receiver(reply(200))])
@@ -168,15 +179,15 @@
         program.start(fds=(fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{first}")
         self.assertTrue(management_call(first, b"STATUS\n").startswith(b"YES"))
         with program.connect() as sock:
-            self.assertEqual(ask(sock, b"PING"), b"+PONG\r\n")
+            self.assertEqual(send_command(sock, b"PING"), b"+PONG\r\n")
         replacement = program.spawn((fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{second}")
         self.addCleanup(stop_process, replacement)
-        until(lambda: self._is_ready(second), 6)  # while the first process still holds the folder
+        wait_for_condition(lambda: self._is_ready(second), 6)  # while the first process still holds the folder
         with program.connect() as sock:
             self.assertEqual(submit_and_read_line(sock, "before"), OK)
         idle = program.connect()
         self.addCleanup(idle.close)
-        self.assertEqual(ask(idle, b"PING"), b"+PONG\r\n")
+        self.assertEqual(send_command(idle, b"PING"), b"+PONG\r\n")
         program.signal(signal.SIGTERM)
         idle.settimeout(2)
         self.assertEqual(idle.recv(10), b"")  # the idle connection is closed; its client reconnects
@@ -189,7 +200,7 @@
                 answers.append(submit_and_read_line(sock, f"after-{number}"))
             time.sleep(0.02)
         self.assertEqual(answers, [OK] * 20)
-        until(lambda: len(program.receivers[0].calls) >= 21)
+        wait_for_condition(lambda: len(program.receivers[0].calls) >= 21)
         time.sleep(0.3)
         ids = [head.split(b"X-Txn: ")[1].split(b"\r\n")[0] for _, head, _ in program.receivers[0].calls]
         self.assertEqual(sorted(set(ids)), sorted(ids))  # no message was sent twice
@@ -207,12 +218,12 @@
         program.start(fds=(fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{free_port()}")
         replacement = program.spawn((fd,), RELAY_SOCKET_FD=str(fd), RELAY_MANAGEMENT=f"127.0.0.1:{second}")
         self.addCleanup(stop_process, replacement)
-        until(lambda: self._is_ready(second), 6)
+        wait_for_condition(lambda: self._is_ready(second), 6)
         with program.connect() as sock:
             self.assertEqual(submit_and_read_line(sock, "a"), OK)
-        answered_at = until(lambda: program.receivers[0].calls)[0][0]
+        answered_at = wait_for_condition(lambda: program.receivers[0].calls)[0][0]
         program.signal(signal.SIGTERM)
-        calls = until(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls, 6)
+        calls = wait_for_condition(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls, 6)
         self.assertGreaterEqual(calls[1][0] - answered_at, 1.5)
 
     def _is_ready(self, port: int) -> bool:
@@ -240,13 +251,13 @@
 
 
 def submit_and_read_line(sock: socket.socket, message: str, dest: int = 0) -> bytes:
-    sock.sendall(submit(message, dest=dest))
-    return line_of(sock)
+    sock.sendall(encode_submit(message, dest=dest))
+    return read_line(sock)
 
 
 class ReturnAfterDrainTest(unittest.TestCase):
     def test_a_receiver_back_after_a_drain_is_ramped(self) -> None:
-        decisions = sender()
+        decisions = make_sender()
         decisions.apply_endpoint_list(
             NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)]
         )
@@ -258,7 +269,7 @@
         self.assertEqual(decisions.receivers[1].recovered_at, returned_at)
 
     def test_a_receiver_back_after_a_moment_is_not_ramped(self) -> None:
-        decisions = sender()
+        decisions = make_sender()
         decisions.apply_endpoint_list(
             NOW, EndpointUpdate.DELTA, [ListedEndpoint(1, 0, 0, 7, EndpointState.DRAINING, 0.0)]
         )
@@ -289,7 +300,7 @@
         with program.connect() as sock:
             self.assertEqual(submit_and_read_line(sock, "a", dest=0), OK)
             self.assertEqual(submit_and_read_line(sock, "b", dest=1), OK)
-        until(lambda: program.receivers[1].calls)
+        wait_for_condition(lambda: program.receivers[1].calls)
         program.terminate()
         program.start(RELAY_MANAGEMENT=f"127.0.0.1:{management_port}")  # the platform still lists s-0 as up
         time.sleep(0.5)
@@ -297,7 +308,7 @@
         self.assertEqual(
             management_call(management_port, b"RESTORE s-0\n"), b"YES s-0 restored\n"
         )  # one RESTORE for two SUSPEND calls
-        until(lambda: program.receivers[0].calls)
+        wait_for_condition(lambda: program.receivers[0].calls)
 
 
 def read_metrics(port: int) -> dict[str, float]:
@@ -326,11 +337,11 @@
         with program.connect() as sock:
             for number in range(3):
                 self.assertEqual(submit_and_read_line(sock, f"good-{number}"), OK)
-            sock.sendall(submit("nowhere", dest=9))
-            self.assertEqual(line_of(sock)[:5], b"-BUSY")
-            sock.sendall(submit("bad", priority_class="once", dest=1))
-            self.assertEqual(line_of(sock), OK)
-        until(lambda: read_metrics(management_port)['sender_bad_gateway_total{category="once"}'] == 1)
+            sock.sendall(encode_submit("nowhere", dest=9))
+            self.assertEqual(read_line(sock)[:5], b"-BUSY")
+            sock.sendall(encode_submit("bad", priority_class="once", dest=1))
+            self.assertEqual(read_line(sock), OK)
+        wait_for_condition(lambda: read_metrics(management_port)['sender_bad_gateway_total{category="once"}'] == 1)
         after = read_metrics(management_port)
         self.assertEqual(after['sender_passed_total{category="free"}'], 3)
         self.assertEqual(after['sender_dropped_total{category="free"}'], 1)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -14,7 +14,18 @@
 from unittest import mock
 
 from cedarwick.net.clock import Clock
-from tests.build import Answering, Platform, Program, Receiver, ask, line_of, reply, submit, until, words
+from tests.build import (
+    Answering,
+    Platform,
+    Program,
+    Receiver,
+    encode_command,
+    encode_submit,
+    read_line,
+    reply,
+    send_command,
+    wait_for_condition,
+)
 
 OK = b"+OK\r\n"
 
@@ -31,7 +42,7 @@
     def send_requests(self, program: Program, *requests: bytes) -> list[bytes]:
         with program.connect() as sock:
             sock.sendall(b"".join(requests))
-            return [line_of(sock) for _ in requests]
+            return [read_line(sock) for _ in requests]
 
 
 class ClockAtStartTest(unittest.TestCase):
@@ -63,15 +74,15 @@
         )
         program.command = ("-c", code)
         program.process = program.spawn()
-        sock = until(lambda: self._connected(program))
+        sock = wait_for_condition(lambda: self._connected(program))
         self.addCleanup(sock.close)
         sock.settimeout(0.4)
-        sock.sendall(words(b"PING"))
+        sock.sendall(encode_command(b"PING"))
         with self.assertRaises(TimeoutError):
             sock.recv(1)
         sock.settimeout(5)
-        self.assertTrue(line_of(sock))  # the answer may be LOADING: the endpoint list is not known yet
-        until(program._ready)
+        self.assertTrue(read_line(sock))  # the answer may be LOADING: the endpoint list is not known yet
+        wait_for_condition(program._ready)
 
     def _connected(self, program: Program) -> socket.socket | None:
         try:
@@ -84,13 +95,13 @@
     def test_a_message_is_delivered_unchanged(self) -> None:
         program = self.start_program(reply(200))
         body = bytes(range(256)) * 256
-        request = words(b"SUBMIT", b"0" * 16, b"id-1", b"c=free,d=8000,k=abc,dest=0,again=1", body)
+        request = encode_command(b"SUBMIT", b"0" * 16, b"id-1", b"c=free,d=8000,k=abc,dest=0,again=1", body)
         with program.connect() as sock:
             for offset in range(0, len(request), 9999):
                 sock.sendall(request[offset : offset + 9999])
                 time.sleep(0.002)
-            self.assertEqual(line_of(sock), OK)
-        _, head, received = until(lambda: program.receivers[0].calls)[0]
+            self.assertEqual(read_line(sock), OK)
+        _, head, received = wait_for_condition(lambda: program.receivers[0].calls)[0]
         self.assertEqual(received, body)
         self.assertTrue(head.startswith(b"POST /receive HTTP/1.1\r\n"))
         self.assertIn(b"\r\nX-Txn: id-1\r\n", head)
@@ -100,12 +111,12 @@
         program = self.start_program(reply(200))
         answers = self.send_requests(
             program,
-            words(b"PING"),
-            submit("a"),
-            submit("b"),
-            words(b"NONSENSE"),
-            submit("c", priority_class="unheard-of"),
-            words(b"ping"),
+            encode_command(b"PING"),
+            encode_submit("a"),
+            encode_submit("b"),
+            encode_command(b"NONSENSE"),
+            encode_submit("c", priority_class="unheard-of"),
+            encode_command(b"ping"),
         )
         self.assertEqual(
             answers, [b"+PONG\r\n", OK, OK, b"-ERR unknown command\r\n", b"-ERR unknown class\r\n", b"+PONG\r\n"]
@@ -113,7 +124,7 @@
 
     def test_a_repeated_request_is_accepted_only_once(self) -> None:
         program = self.start_program(None)
-        self.assertEqual(self.send_requests(program, submit("a"), submit("a")), [OK, OK])
+        self.assertEqual(self.send_requests(program, encode_submit("a"), encode_submit("a")), [OK, OK])
         time.sleep(0.2)
         self.assertEqual(len(program.receivers[0].calls), 1)
 
@@ -123,24 +134,24 @@
         program.receivers[0].answer = lambda call: chunked if call % 2 else reply(200)
         for number in range(3):
             for dest in (0, 1):
-                self.send_requests(program, submit(f"{dest}-{number}", dest=dest))
-                until(lambda: len(program.receivers[dest].calls) > number)  # noqa: B023
+                self.send_requests(program, encode_submit(f"{dest}-{number}", dest=dest))
+                wait_for_condition(lambda: len(program.receivers[dest].calls) > number)  # noqa: B023
                 time.sleep(0.05)
         self.assertEqual([receiver.connections for receiver in program.receivers], [1, 3])
 
     def test_a_retry_after_wait_is_respected(self) -> None:
         program = self.start_program(lambda call: reply(200) if call > 1 else reply(429, "X-Backoff-Ms: 400"))
-        self.send_requests(program, submit("a"))
-        calls = until(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls)
+        self.send_requests(program, encode_submit("a"))
+        calls = wait_for_condition(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls)
         self.assertGreaterEqual(calls[1][0] - calls[0][0], 0.4)
 
     def test_a_draining_receiver_gets_no_new_attempts(self) -> None:
         program = self.start_program(reply(200))
-        program.platform.news.put({"rev": 2, "all": False, "targets": [program.target(0, "draining")]})
-        until(program.platform.news.empty)
+        program.platform.list_updates.put({"rev": 2, "all": False, "targets": [program.target(0, "draining")]})
+        wait_for_condition(program.platform.list_updates.empty)
         time.sleep(0.1)
-        self.send_requests(program, submit("a", d=400))
-        until(lambda: program.platform.notices)
+        self.send_requests(program, encode_submit("a", d=400))
+        wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "returned"}])
         self.assertEqual(program.receivers[0].calls, [])
 
@@ -159,20 +170,22 @@
         ):
             with self.subTest(request=request), program.connect() as sock:
                 sock.sendall(request)
-                self.assertTrue(line_of(sock).startswith(b"-ERR "))
+                self.assertTrue(read_line(sock).startswith(b"-ERR "))
                 self.assertEqual(sock.recv(1), b"")
-        self.assertEqual(self.send_requests(program, words(b"PING")), [b"+PONG\r\n"])
+        self.assertEqual(self.send_requests(program, encode_command(b"PING")), [b"+PONG\r\n"])
 
     def test_an_invalid_submit_is_answered_with_an_error_and_no_close(self) -> None:
         program = self.start_program(reply(200))
-        injection = words(b"SUBMIT", b"0", b"a\r\nX-More: 1", b"c=free,d=1000,dest=0", b"")
-        answers = self.send_requests(program, words(b"SUBMIT", b"0"), injection, submit("a", d=-1), words(b"PING"))
+        injection = encode_command(b"SUBMIT", b"0", b"a\r\nX-More: 1", b"c=free,d=1000,dest=0", b"")
+        answers = self.send_requests(
+            program, encode_command(b"SUBMIT", b"0"), injection, encode_submit("a", d=-1), encode_command(b"PING")
+        )
         self.assertEqual([answer[:4] for answer in answers], [b"-ERR"] * 3 + [b"+PON"])
 
     def test_an_unreadable_answer_counts_as_a_reset_and_an_at_most_once_message_is_not_repeated(self) -> None:
         program = self.start_program(b"SSH-2.0-nothing\r\n\r\n" * 50)
-        self.send_requests(program, submit("a", priority_class="once"))
-        until(lambda: program.platform.notices)
+        self.send_requests(program, encode_submit("a", priority_class="once"))
+        wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "failed"}])
         self.assertEqual(len(program.receivers[0].calls), 1)
 
@@ -192,8 +205,10 @@
             answers = [head(status, rest) for status in (200, 429, 410, 503, 504)]
             with self.subTest(rest=rest[:40]):
                 program = self.start_program(*answers)
-                self.send_requests(program, *(submit(str(dest), priority_class="once", dest=dest) for dest in range(5)))
-                until(lambda: len(program.platform.notices) == 4)  # noqa: B023
+                self.send_requests(
+                    program, *(encode_submit(str(dest), priority_class="once", dest=dest) for dest in range(5))
+                )
+                wait_for_condition(lambda: len(program.platform.notices) == 4)  # noqa: B023
                 self.assertEqual(
                     {(notice["id"], notice["state"]) for notice in program.platform.notices},
                     {(str(dest), "failed") for dest in range(1, 5)},
@@ -203,8 +218,8 @@
     def test_an_answer_followed_by_unexpected_bytes_counts_but_its_connection_is_closed(self) -> None:
         program = self.start_program(reply(200) + reply(503), reply(200) + b"\x00")
         for number in range(2):
-            self.send_requests(program, submit(f"a{number}"), submit(f"b{number}", dest=1))
-            until(lambda: all(len(receiver.calls) > number for receiver in program.receivers))  # noqa: B023
+            self.send_requests(program, encode_submit(f"a{number}"), encode_submit(f"b{number}", dest=1))
+            wait_for_condition(lambda: all(len(receiver.calls) > number for receiver in program.receivers))  # noqa: B023
             time.sleep(0.1)
         self.assertEqual(
             ([receiver.connections for receiver in program.receivers], program.platform.notices), ([2, 2], [])
@@ -214,28 +229,30 @@
         program = self.start_program(reply(200))
         program.receivers[0].close()
         started_at = time.monotonic()
-        self.assertEqual(self.send_requests(program, submit("a", priority_class="once", d=900)), [OK])
-        until(lambda: program.platform.notices)
+        self.assertEqual(self.send_requests(program, encode_submit("a", priority_class="once", d=900)), [OK])
+        wait_for_condition(lambda: program.platform.notices)
         self.assertLess(time.monotonic() - started_at, 2.0)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "returned"}])
 
     def test_a_notice_is_repeated_until_it_is_acknowledged(self) -> None:
         program = self.start_program(reply(500))
-        program.platform.refusals = 2
-        self.send_requests(program, submit("a", priority_class="once"), submit("b", priority_class="once"))
-        until(lambda: len(program.platform.notices) == 2)
+        program.platform.posts_to_refuse = 2
+        self.send_requests(
+            program, encode_submit("a", priority_class="once"), encode_submit("b", priority_class="once")
+        )
+        wait_for_condition(lambda: len(program.platform.notices) == 2)
         self.assertEqual(sorted(notice["id"] for notice in program.platform.notices), ["a", "b"])
 
     def test_a_timeout_closes_its_connection_before_the_next_attempt(self) -> None:
         program = self.start_program(lambda call: None if call == 1 else reply(200))
-        self.send_requests(program, submit("a"))
-        until(lambda: len(program.receivers[0].calls) == 2)
+        self.send_requests(program, encode_submit("a"))
+        wait_for_condition(lambda: len(program.receivers[0].calls) == 2)
         self.assertEqual(program.receivers[0].connections, 2)
 
     def test_an_early_answer_counts_although_the_request_was_not_read(self) -> None:
         program = self.start_program(reply(410))
-        self.send_requests(program, submit("a"))
-        until(lambda: program.receivers[0].calls)
+        self.send_requests(program, encode_submit("a"))
+        wait_for_condition(lambda: program.receivers[0].calls)
         time.sleep(0.2)
         self.assertEqual((len(program.receivers[0].calls), program.platform.notices), (1, []))
 
@@ -244,28 +261,28 @@
         clients = [program.connect() for _ in range(40)]
         for sock in clients:
             self.addCleanup(sock.close)
-        self.assertEqual(self.send_requests(program, submit("a")), [OK])
+        self.assertEqual(self.send_requests(program, encode_submit("a")), [OK])
 
     def test_a_silent_client_or_an_incomplete_request_is_closed_within_three_seconds(self) -> None:
         program = self.start_program(reply(200))
         active = program.connect()
         self.addCleanup(active.close)
-        active.sendall(submit("a"))
-        self.assertEqual(line_of(active), OK)
+        active.sendall(encode_submit("a"))
+        self.assertEqual(read_line(active), OK)
         started_at = time.monotonic()
         slow_clients = [program.connect() for _ in range(3)]
-        for sock, sent in zip(slow_clients, (b"", b"*5\r\n$6\r\nSUBMIT\r\n", words(b"PING")), strict=True):
+        for sock, sent in zip(slow_clients, (b"", b"*5\r\n$6\r\nSUBMIT\r\n", encode_command(b"PING")), strict=True):
             self.addCleanup(sock.close)
             sock.sendall(sent)
         self.assertEqual([sock.makefile("rb").read()[:4] for sock in slow_clients], [b"", b"-ERR", b"+PON"])
         self.assertLess(time.monotonic() - started_at, 3.0)
-        self.assertEqual(ask(active, b"PING"), b"+PONG\r\n")
+        self.assertEqual(send_command(active, b"PING"), b"+PONG\r\n")
 
     def test_a_body_that_is_too_long_is_refused_while_it_is_being_sent(self) -> None:
         program = self.start_program(reply(200))
         with program.connect() as sock, contextlib.suppress(OSError):
             sock.sendall(b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$1\r\na\r\n$1\r\nc\r\n$60000000\r\n")
-            self.assertTrue(line_of(sock).startswith(b"-ERR"))
+            self.assertTrue(read_line(sock).startswith(b"-ERR"))
             for _ in range(60):
                 sock.sendall(bytes(1_000_000))
             self.fail("the whole body was read")
@@ -273,10 +290,10 @@
     def test_a_client_that_repeats_an_invalid_request_is_delayed_and_closed(self) -> None:
         program = self.start_program(reply(200))
         with program.connect() as bad_client:
-            bad_client.sendall(submit("a", priority_class="unheard-of") * 300)
-            self.assertTrue(line_of(bad_client).startswith(b"-ERR"))
+            bad_client.sendall(encode_submit("a", priority_class="unheard-of") * 300)
+            self.assertTrue(read_line(bad_client).startswith(b"-ERR"))
             started_at = time.monotonic()
-            self.assertEqual(self.send_requests(program, submit("b")), [OK])
+            self.assertEqual(self.send_requests(program, encode_submit("b")), [OK])
             self.assertLess(time.monotonic() - started_at, 0.1)
             with contextlib.suppress(ConnectionResetError):
                 self.assertLess(len(bad_client.makefile("rb").read().splitlines()), 20)
@@ -288,14 +305,16 @@
         for number in range(40):
             sock = program.connect()
             self.addCleanup(sock.close)
-            sock.sendall(submit(f"a{number}"))
-            self.assertEqual(line_of(sock), OK)
-        new_client.sendall(submit("late"))
-        self.assertEqual(line_of(new_client), OK)
+            sock.sendall(encode_submit(f"a{number}"))
+            self.assertEqual(read_line(sock), OK)
+        new_client.sendall(encode_submit("late"))
+        self.assertEqual(read_line(new_client), OK)
 
     def test_a_full_folder_causes_messages_to_be_refused(self) -> None:
         program = self.start_program(None, disk_mb=0.2)
-        answers = [self.send_requests(program, submit(f"e{number}", body=bytes(30_000)))[0] for number in range(4)]
+        answers = [
+            self.send_requests(program, encode_submit(f"e{number}", body=bytes(30_000)))[0] for number in range(4)
+        ]
         self.assertEqual(answers, [OK, OK, OK, b"-BUSY\r\n"])
         used_bytes = sum(
             os.path.getsize(os.path.join(program.path("state"), name)) for name in os.listdir(program.path("state"))
@@ -308,8 +327,8 @@
             return reply(200)
 
         program = self.start_program(answer_soon)
-        self.send_requests(program, submit("a", priority_class="once", d=1000))
-        until(lambda: program.receivers[0].calls)
+        self.send_requests(program, encode_submit("a", priority_class="once", d=1000))
+        wait_for_condition(lambda: program.receivers[0].calls)
         program.signal(signal.SIGSTOP)
         time.sleep(1.2)
         program.signal(signal.SIGCONT)
@@ -321,46 +340,46 @@
         program = self.start_program(reply(200))
         program.signal(signal.SIGSTOP)
         with program.connect() as sock:
-            sock.sendall(submit("a"))
+            sock.sendall(encode_submit("a"))
         program.signal(signal.SIGCONT)
         time.sleep(0.3)
         self.assertEqual((program.receivers[0].calls, program.platform.notices), ([], []))
 
     def test_a_silent_watch_is_reopened(self) -> None:
         program = self.start_program(reply(200))
-        program.platform.silent = True
+        program.platform.holds_watches = True
         program.platform.targets = [program.target(0, "draining")]
-        until(lambda: program.platform.watches > 1)
+        wait_for_condition(lambda: program.platform.watches > 1)
         time.sleep(0.2)
-        self.send_requests(program, submit("a", d=400))
-        until(lambda: program.platform.notices)
+        self.send_requests(program, encode_submit("a", d=400))
+        wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.receivers[0].calls, [])
 
 
 class RestartsTest(RunningTestCase):
     def test_after_a_kill_an_idempotent_message_is_delivered(self) -> None:
         program = self.start_program(lambda call: None if call == 1 else reply(200))
-        self.assertEqual(self.send_requests(program, submit("a", body=b"kept")), [OK])
-        until(lambda: program.receivers[0].calls)
+        self.assertEqual(self.send_requests(program, encode_submit("a", body=b"kept")), [OK])
+        wait_for_condition(lambda: program.receivers[0].calls)
         program.kill()
         program.start()
-        calls = until(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls)
+        calls = wait_for_condition(lambda: len(program.receivers[0].calls) > 1 and program.receivers[0].calls)
         self.assertEqual(calls[1][2], b"kept")
 
     def test_after_a_kill_an_at_most_once_message_in_flight_fails(self) -> None:
         program = self.start_program(None)
-        self.send_requests(program, submit("a", priority_class="once"))
-        until(lambda: program.receivers[0].calls)
+        self.send_requests(program, encode_submit("a", priority_class="once"))
+        wait_for_condition(lambda: program.receivers[0].calls)
         program.kill()
         program.start()
-        until(lambda: program.platform.notices)
+        wait_for_condition(lambda: program.platform.notices)
         self.assertEqual(program.platform.notices, [{"id": "a", "state": "failed"}])
         self.assertEqual(len(program.receivers[0].calls), 1)
 
     def test_after_a_kill_a_completed_message_is_not_repeated(self) -> None:
         program = self.start_program(reply(200))
-        self.send_requests(program, submit("a"))
-        until(lambda: program.receivers[0].calls)
+        self.send_requests(program, encode_submit("a"))
+        wait_for_condition(lambda: program.receivers[0].calls)
         time.sleep(0.1)
         program.kill()
         program.start()
@@ -378,8 +397,8 @@
             with program.connect() as sock:
                 for number in range(16):
                     name, priority_class = f"{run}-{number}", ("free", "once")[number % 2]
-                    sock.sendall(submit(name, priority_class=priority_class, dest=number // 2 % 2))
-                    if line_of(sock) == OK:
+                    sock.sendall(encode_submit(name, priority_class=priority_class, dest=number // 2 % 2))
+                    if read_line(sock) == OK:
                         accepted.append(name)
             stop()
             program.start()
@@ -389,7 +408,9 @@
             return [head.partition(b"X-Txn: ")[2].split(b"\r\n")[0].decode() for head in heads]
 
         self.assertEqual(len(accepted), 48)
-        until(lambda: not set(accepted) - set(calls()) - {notice["id"] for notice in program.platform.notices}, 20.0)
+        wait_for_condition(
+            lambda: not set(accepted) - set(calls()) - {notice["id"] for notice in program.platform.notices}, 20.0
+        )
         once = [name for name in calls() if int(name.partition("-")[2]) % 2]
         self.assertEqual(len(once), len(set(once)))
 
@@ -400,8 +421,8 @@
 
     def check_delivery_after_wait(self, wait_ms: int) -> None:
         program = self.start_program(lambda call: reply(200) if call > 1 else reply(429, f"X-Backoff-Ms: {wait_ms}"))
-        self.send_requests(program, submit("a"))
-        until(lambda: program.receivers[0].calls)
+        self.send_requests(program, encode_submit("a"))
+        wait_for_condition(lambda: program.receivers[0].calls)
         status, log = program.terminate()
         self.assertEqual((status, len(program.receivers[0].calls)), (0, 2))
         self.assertIn('"answers 200": 1', log)
@@ -412,11 +433,11 @@
             return reply(200)
 
         program = self.start_program(answer_late)
-        self.send_requests(program, submit("a", priority_class="once"))
-        until(lambda: program.receivers[0].calls)
+        self.send_requests(program, encode_submit("a", priority_class="once"))
+        wait_for_condition(lambda: program.receivers[0].calls)
         program.signal(signal.SIGTERM)
         time.sleep(0.1)
-        self.assertEqual(self.send_requests(program, submit("b")), [b"-BUSY\r\n"])
+        self.assertEqual(self.send_requests(program, encode_submit("b")), [b"-BUSY\r\n"])
         status, log = program.terminate()
         self.assertEqual(status, 0)
         counters = json.loads(log.partition("counters ")[2].splitlines()[0])
@@ -430,15 +451,15 @@
         crossing_client, new_client = program.connect(), program.connect()
         self.addCleanup(crossing_client.close)
         self.addCleanup(new_client.close)
-        self.assertEqual(ask(crossing_client, b"PING"), b"+PONG\r\n")
+        self.assertEqual(send_command(crossing_client, b"PING"), b"+PONG\r\n")
         answered: list[bytes] = []
 
         def keep_sending(number: int) -> None:
             """Send one request after another until the sender closes the connection."""
             with program.connect() as sock, contextlib.suppress(OSError):
                 for turn in range(10_000):
-                    sock.sendall(submit(f"{number}-{turn}"))
-                    if not (line := line_of(sock)):
+                    sock.sendall(encode_submit(f"{number}-{turn}"))
+                    if not (line := read_line(sock)):
                         return
                     answered.append(line)
 
@@ -450,18 +471,20 @@
         self.addCleanup(partial_client.close)
         program.signal(signal.SIGTERM)
         signalled_at = time.monotonic()
-        until(lambda: select.select([crossing_client], [], [], 0)[0])
-        crossing_client.sendall(submit("crosses"))  # the client has received our shutdown, but has not noticed it
+        wait_for_condition(lambda: select.select([crossing_client], [], [], 0)[0])
+        crossing_client.sendall(
+            encode_submit("crosses")
+        )  # the client has received our shutdown, but has not noticed it
         time.sleep(0.1)
         crossing_client.sendall(b"*")  # would fail after a reset
         self.assertEqual(crossing_client.recv(100), b"")
-        new_client.sendall(submit("fresh"))
-        self.assertEqual(line_of(new_client), b"-BUSY\r\n")
+        new_client.sendall(encode_submit("fresh"))
+        self.assertEqual(read_line(new_client), b"-BUSY\r\n")
         for client in clients:
             client.join()
         time.sleep(1.6 - (time.monotonic() - signalled_at))
-        partial_client.sendall(submit("slow")[:-5])
-        self.assertEqual(line_of(partial_client), b"-BUSY\r\n")
+        partial_client.sendall(encode_submit("slow")[:-5])
+        self.assertEqual(read_line(partial_client), b"-BUSY\r\n")
         log = program.terminate()[1]
         self.assertIn(f'"handed in": {len(answered) + 1},', log)
 
@@ -479,21 +502,21 @@
     def test_the_watch_and_the_notices_use_the_new_address_at_once(self) -> None:
         program = self.start_program(reply(200), reply(500))
         platform = self.change_platform(program)
-        until(lambda: platform.watches)
+        wait_for_condition(lambda: platform.watches)
         time.sleep(0.1)
-        self.send_requests(program, submit("gone", d=400), submit("a", priority_class="once", dest=1))
-        until(lambda: len(platform.notices) == 2)
+        self.send_requests(program, encode_submit("gone", d=400), encode_submit("a", priority_class="once", dest=1))
+        wait_for_condition(lambda: len(platform.notices) == 2)
         self.assertEqual(sorted(notice["id"] for notice in platform.notices), ["a", "gone"])
         self.assertEqual((program.receivers[0].calls, program.platform.notices), ([], []))
 
     def test_a_notice_without_an_answer_is_repeated_at_the_new_address(self) -> None:
         program = self.start_program(reply(200), reply(500))
-        program.platform.deaf = True
-        self.send_requests(program, submit("a", priority_class="once", dest=1))
-        until(lambda: program.platform.posts)
+        program.platform.holds_posts = True
+        self.send_requests(program, encode_submit("a", priority_class="once", dest=1))
+        wait_for_condition(lambda: program.platform.posts)
         started_at = time.monotonic()
         platform = self.change_platform(program)
-        until(lambda: platform.notices)
+        wait_for_condition(lambda: platform.notices)
         self.assertLess(time.monotonic() - started_at, 1.0)
 
     def test_an_unreadable_file_has_no_effect(self) -> None:
@@ -503,16 +526,16 @@
         program.signal(signal.SIGHUP)
         program.signal(signal.SIGHUP)
         time.sleep(0.2)
-        self.assertEqual(self.send_requests(program, submit("a")), [OK])
+        self.assertEqual(self.send_requests(program, encode_submit("a")), [OK])
         self.assertEqual((program.platform.watches, program.terminate()[0]), (1, 0))
 
     def test_after_a_reload_a_restart_prefers_the_file_to_the_environment(self) -> None:
         program = self.start_program(reply(200), reply(500))
         platform = self.change_platform(program)
-        until(lambda: platform.watches)
+        wait_for_condition(lambda: platform.watches)
         program.kill()
         program.start(RELAY_DISCOVERY=f"127.0.0.1:{program.platform.server_address[1]}")
-        until(lambda: platform.watches > 1)
+        wait_for_condition(lambda: platform.watches > 1)
 
 
 class StartTest(unittest.TestCase):
@@ -531,10 +554,10 @@
         assert program.process is not None and program.process.stderr is not None
         log = program.process.stderr
         program.signal(signal.SIGUSR1)
-        line = until(lambda: next((line for line in log if "counters" in line), ""))
+        line = wait_for_condition(lambda: next((line for line in log if "counters" in line), ""))
         self.assertIn("clients accepted", line)
         with program.connect() as sock:
-            self.assertEqual(ask(sock, b"PING"), b"+PONG\r\n")
+            self.assertEqual(send_command(sock, b"PING"), b"+PONG\r\n")
 
 
 if __name__ == "__main__":
--- a/tests/test_restart_races.py
+++ b/tests/test_restart_races.py
@@ -34,7 +34,7 @@
 from cedarwick.net.submission import Submission
 from cedarwick.store.journal import Store
 from cedarwick.store.records import StoredMessage
-from tests.build import MS, NESTED, NOW, NUMBERED, reply, sender, take, until
+from tests.build import GUARDED, MS, NESTED_SETTINGS, NOW, accept_message, make_sender, reply, wait_for_condition
 from tests.net import test_retry_after
 from tests.net.test_retry_after import Partner, Play
 
@@ -46,16 +46,16 @@
     "slo-ms": 2000.0,
     "deadline-ms": 16000.0,
 }
-CLASSES: Any = NESTED["classes"]
+CLASSES: Any = NESTED_SETTINGS["classes"]
 FREE, ONCE = CLASSES
 OLD_SETTINGS: dict[str, Any] = {
-    **NESTED,
+    **NESTED_SETTINGS,
     "zones": ["north", "south"],
     "realms": [{"name": "first"}, {"name": "second"}],
     "classes": [FREE, {**ONCE, "name": "changed", "repeat": "free"}, ONCE, ZONAL, {**FREE, "name": "given-up"}],
 }
 NEW_SETTINGS: dict[str, Any] = {
-    **NESTED,
+    **NESTED_SETTINGS,
     "zones": ["east", "south", "north"],
     "realms": [{"name": "new"}, {"name": "second"}, {"name": "first"}],
     "classes": [ZONAL, ONCE, {**ONCE, "name": "changed", "repeat": "single_shot"}, FREE],
@@ -332,7 +332,7 @@
     def test_no_restored_message_is_dropped_if_the_new_limits_are_smaller(self) -> None:
         for max_open, room, count in (("100", 1 << 62, 98), ("8", 1 << 62, 98), ("8", 1, 60), ("100", 1, 1)):
             with self.subTest(max_open=max_open, room=room, count=count):
-                decisions = sender(policy_limits__max_open=max_open, family_info__max_calls="1")
+                decisions = make_sender(policy_limits__max_open=max_open, family_info__max_calls="1")
                 decisions.storable_messages = room
                 decisions.restore(
                     NOW,
@@ -346,7 +346,7 @@
                 # The first attempt keeps the only slot; all other messages still wait.
                 self.assertEqual(len(untried), max(0, count - 1))
                 decisions.storable_messages = 0
-                take(decisions, 1000)
+                accept_message(decisions, 1000)
                 self.assertTrue(decisions.decide(NOW + 4_000 * MS).nacks)  # new messages are limited as before
 
 
@@ -355,9 +355,9 @@
 
     def attempt_time_ms(self, window: int, ran_ago: int | None, mean: int, attempts: int = 0) -> int:
         """Return the time limit in ms, at most 16 s; `ran_ago`: age in ms of an earlier attempt that may have run."""
-        decisions = sender(classes__1__dedup_window_ms=str(window), classes__1__in_turn="false")
+        decisions = make_sender(classes__1__dedup_window_ms=str(window), classes__1__in_turn="false")
         decisions.receivers[1].mean_latency = mean * MS
-        handle = take(decisions, 1, NUMBERED)
+        handle = accept_message(decisions, 1, GUARDED)
         handle.attempts = attempts
         if ran_ago is not None:
             handle.ran_at = NOW - ran_ago * MS
@@ -462,7 +462,7 @@
         self.dispatcher.attempts.request_clearance = clear_with_hooks
 
     def wait_until(self, condition: Callable[[], Any]) -> None:
-        until(lambda: gevent.sleep(0.005) or condition(), 5.0)
+        wait_for_condition(lambda: gevent.sleep(0.005) or condition(), 5.0)
 
     def open_window(self, remaining_us: int) -> Callable[[AttemptCall], None]:
         """Return a hook that makes an earlier attempt possible; its window stays open for the remaining time."""
