--- a/cedarwick/fleet/lease_exchange.py
+++ b/cedarwick/fleet/lease_exchange.py
@@ -76,7 +76,7 @@
         sent_at = monotonic_time()
         answer = self._call(name, GrantTableRequest(), CALL_TIMEOUT_S)
         if isinstance(answer, GrantTable) and self.grantor.learn_from(sent_at, name, answer):
-            logger.info("rebuilt the lost table of lease grants from the tables of other members")
+            logger.info("the table of grants is complete")
             self._write_table()
         if not isinstance(answer, GrantTable) or answer.learning:
             gevent.sleep(HEARTBEAT_INTERVAL_S)
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -120,11 +120,11 @@
         """Carry out any step but `DROP`."""
         partition = takeover.partition
         if step.action is TakeoverAction.ASK:
-            logger.info("partition {}: requesting term {}", partition, takeover.holder.term)
+            logger.info("partition {}: asking for term {}", partition, takeover.holder.term)
         elif step.action is TakeoverAction.IMPORT:
             self._import_partition(now, takeover)
         elif step.action is TakeoverAction.CLOSE:
-            logger.info("partition {}: no message is pending; closing it", partition)
+            logger.info("partition {}: nothing is owed, it is closed", partition)
         elif step.action is TakeoverAction.OFFER and partition not in self.running_offers and not self.leaving:
             self.running_offers[partition] = gevent.spawn(self._send_offer, takeover, step.target)
 
@@ -195,7 +195,7 @@
         self.store.begin_log(holding, term)
         self._record_backlog(holding)
         self.replicas.drop(partition)
-        logger.info("partition {}: held under term {}, {} pending messages", partition, term, len(holding.ledger.known))
+        logger.info("partition {}: held under term {}, {} messages owed", partition, term, len(holding.ledger.known))
         return True
 
     def _resume_own_records(self, holding: LeasedPartition, term: int) -> None:
@@ -248,7 +248,7 @@
         numbers = self.store.message_numbers(holding.partition)
         if may_serve:
             logger.info(
-                "partition {}: now served, with {} messages and successors {}",
+                "partition {}: served from now on, {} messages, successors {}",
                 holding.partition,
                 len(numbers),
                 ", ".join(holder.successors[1:]) or "none",
@@ -256,10 +256,10 @@
             self.dispatcher.adopt(numbers)
         else:
             logger.warning(
-                "partition {}: no longer served, with {} messages ({})",
+                "partition {}: not served, {} messages ({})",
                 holding.partition,
                 len(numbers),
-                holding.takeover.stage.value if holder.is_valid(now) is False else "no replica is up to date",
+                holding.takeover.stage.value if holder.is_valid(now) is False else "no replica follows",
             )
             self.counters.add("partitions that are no longer served")
             self.dispatcher.park(numbers)
--- a/cedarwick/fleet/replica_files.py
+++ b/cedarwick/fleet/replica_files.py
@@ -385,7 +385,9 @@
             ignore_os_error(self.folder.unlink, replica_file.name)
             return
         if damaged or not created_at:
-            logger.error(ReplicaDamagedError(f"{replica_file.name}: {len(replica.pending)} messages are in doubt").line)
+            logger.error(
+                ReplicaDamagedError(f"{replica_file.name}: {len(replica.pending)} messages are put in doubt").line
+            )
             replica.mark_records_lost(created_at or 1)
             replica_file.ends_in_partial_record = True
         replica_file.size = size
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -126,7 +126,7 @@
             if log.acked_by([name]) < index and now - since > STALLED_AFTER_US:
                 self.replica_refused_at[name] = now  # it does not keep up: another member is chosen
         if joining.keys() - holding.joining.keys() and holding.unreplicated_since:
-            logger.info("partition {}: replicas are up to date again", holding.partition)
+            logger.info("partition {}: replicas follow again", holding.partition)
             holding.stalled_since = holding.unreplicated_since = 0
         holding.joining = {
             name: position for name, position in joining.items() if self.replica_refused_at.get(name) != now
@@ -158,12 +158,12 @@
         # Only named successors count: a replica that no majority knows as one would not be granted the partition.
         if not successors or self.settings.alone == "busy" and not holding.takeover.holder.successors[1:]:
             if self.settings.alone == "own" and not holding.unreplicated_since:
-                logger.warning("partition {}: served without a replica, since none keeps up", holding.partition)
+                logger.warning("partition {}: goes on without a replica", holding.partition)
                 holding.unreplicated_since = now
                 holding.stalled_since = holding.stalled_since or now - STALLED_AFTER_US
             return self.settings.alone == "own"
         if holding.stalled_since and holding.log.acked_by(successors) >= holding.log.next_index:
             if holding.unreplicated_since or holding.is_stalled(now):
-                logger.info("partition {}: replicas are up to date again", holding.partition)
+                logger.info("partition {}: replicas follow again", holding.partition)
             holding.stalled_since = holding.unreplicated_since = 0
         return not holding.is_stalled(now)
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -41,7 +41,7 @@
         owner = next((name for name in self.node.halls if slot_of(name) == partition >> EPOCH_BITS), "")
         if recent_ids is None or self.node.verifier.levels.get(owner, 0) < INHERITANCE_LEVEL or owner == self.name:
             logger.info(
-                "sessions of {} can be claimed {} s after it was declared dead: their recent ids are not known",
+                "sessions of {} can be claimed {} s after its death: no recent ids are known",
                 owner or "?",
                 ID_RETENTION_US // US_PER_S,
             )
@@ -50,7 +50,7 @@
             owner, recent_ids.complete_at(), recent_ids.ids_by_session(), set()
         )
         logger.info(
-            "sessions of {} can be inherited in {:.1f} s, each at its next submission",
+            "sessions of {} are inherited as they are used, {:.1f} s from now on",
             owner,
             max(0, recent_ids.complete_at() - now) / US_PER_S,
         )
--- a/cedarwick/ops/handover.py
+++ b/cedarwick/ops/handover.py
@@ -44,5 +44,5 @@
         usable = False
     if not usable:
         sock.detach()  # not closed: the descriptor may belong to another part of the process
-        raise InheritedSocketError(f"{SOCKET_FD} {text} is not a listening TCP socket")
+        raise InheritedSocketError(f"{SOCKET_FD} {text} is no listening TCP socket")
     return sock
--- a/cedarwick/store/compaction.py
+++ b/cedarwick/store/compaction.py
@@ -137,7 +137,7 @@
             if not self.numbers_to_move and not victim.unknown_records:
                 self._drop_victim(victim)
         except (NoSpaceError, BodyLostError, OSError) as error:
-            logger.error("{} cannot be compacted for now: {}", segment_name(victim.number), describe(error))
+            logger.error("{} cannot be compacted now: {}", segment_name(victim.number), describe(error))
             self._postpone(victim)
             return False
         return True
--- a/cedarwick/store/health_file.py
+++ b/cedarwick/store/health_file.py
@@ -81,7 +81,7 @@
         for oldest in list(self.entries)[:-MAX_ENTRIES]:
             del self.entries[oldest]
         if partial_line:
-            self._report_incomplete(f"the last line was cut off after {len(partial_line)} bytes")
+            self._report_incomplete(f"its last line was cut off: {len(partial_line)} bytes")
         if data or not self.complete:
             self._rewrite()
         now = self.clock.now()
--- a/cedarwick/store/journal.py
+++ b/cedarwick/store/journal.py
@@ -139,7 +139,7 @@
         ]
         self._open_active_segment(found.newest_valid_bytes)
         if legacy_files:
-            logger.info("converting a folder of format version 1: {} messages", len(legacy_messages))
+            logger.info("a folder of the first format is taken over: {} messages", len(legacy_messages))
             for stored in legacy_messages.values():
                 if stored.number not in self.messages:
                     self.write_message(stored, stored.body or b"", RecordUse.MOVE)
@@ -166,7 +166,7 @@
             self.begin_segment()
         except NoSpaceError as error:
             # Start anyway: a sender that does not start on a full folder can never finish the messages that fill it.
-            logger.error("no segment can be written yet: {}", error.line)
+            logger.error("the folder takes no records so far: {}", error.line)
 
     # ---- in service ----
 
--- a/cedarwick/store/recovery.py
+++ b/cedarwick/store/recovery.py
@@ -90,7 +90,7 @@
             report(f"{name} is not a segment of this journal; ignored")
     for number, header in list(headers.items()):
         if header is not None and header.number != number:
-            report(f"{segment_name(number)} is a copy of segment {header.number}; ignored")
+            report(f"{segment_name(number)} is a copy of segment {header.number} and is left out")
             present.remove(number)
             del headers[number]
     found.last_segment = max([*present, 0])
@@ -103,8 +103,8 @@
         if number not in present:
             report(
                 FolderDamagedError(
-                    f"{segment_name(number)} is missing and its records are lost; "
-                    f"{len(found.segment_index.messages)} messages may have unrecorded attempts"
+                    f"{segment_name(number)} is missing: what it held is lost, "
+                    f"{len(found.segment_index.messages)} messages are put in doubt"
                 ).line
             )
             mark_records_lost(found, lost_since)
@@ -135,7 +135,7 @@
             expected.discard(number)
             found.leftover_files.append(segment_name(number))
     if found.leftover_files:
-        report(f"files that are not needed: {', '.join(found.leftover_files)}")
+        report(f"left over and not needed: {', '.join(found.leftover_files)}")
     return expected, lengths
 
 
@@ -180,8 +180,8 @@
     if header is not None and header.version != VERSION:
         report(
             StoreVersionError(
-                f"{name} has format version {header.version}, this program supports {VERSION}: ignored and preserved; "
-                f"{len(found.segment_index.messages)} messages may have unrecorded attempts"
+                f"{name} is of version {header.version}, this program knows {VERSION}: it is left alone, and "
+                f"{len(found.segment_index.messages)} messages are put in doubt"
             ).line
         )
         segment.other_version = True
@@ -202,14 +202,14 @@
             continue
         if is_newest and each.end_offset >= file_bytes and header is not None:
             # A write that was interrupted when the process ended; it was not acknowledged, so nothing is lost.
-            report(f"{name}: {each.end_offset - each.offset} bytes of a last record that was cut off are ignored")
+            report(f"{name}: {each.end_offset - each.offset} bytes of a last record that was cut off are left out")
             continue
         if header is None and each.offset == 0 and not is_newest:
             report(FolderDamagedError(f"{name}: the header cannot be read").line)
         report(
             FolderDamagedError(
                 f"{name}: bytes {each.offset} to {each.end_offset} are damaged; "
-                f"{len(found.segment_index.messages)} messages may have unrecorded attempts"
+                f"{len(found.segment_index.messages)} messages are put in doubt"
             ).line
         )
         mark_records_lost(found, lost_since)
@@ -234,7 +234,9 @@
     if kind > DROP:
         found.unknown_record_count += 1
         if found.unknown_record_count == 1:
-            report(f"{segment_name(segment.number)}: a record of unknown kind {kind} at {record.offset} is preserved")
+            report(
+                f"{segment_name(segment.number)}: a record of the unknown kind {kind} at {record.offset} is retained"
+            )
         segment_index.add_unknown_record(segment, record.offset + FRAME_HEADER.size, len(payload))
         if kind < FIRST_UNRELATED_KIND and len(payload) >= MIN_STATE_PAYLOAD_BYTES:
             affected = segment_index.messages.get(STATE_HEAD.unpack_from(payload)[1])
