--- a/cedarwick/fleet/fact_ledger.py
+++ b/cedarwick/fleet/fact_ledger.py
@@ -9,9 +9,9 @@
     MessageKnowledge,
     TermAttempts,
     base_of,
+    is_finished,
     join,
     knowledge_of,
-    nothing_owed,
     trimmed,
     with_unsettled_as_run,
 )
@@ -28,43 +28,47 @@
         self.term = term
         self.known: dict[int, MessageKnowledge] = {}
 
-    def record_message(self, stored: StoredMessage, body: bytes) -> Fact:
+    def note_message(self, stored: StoredMessage, body: bytes) -> Fact:
         """Note a message that was taken, or is left from before a restart."""
         self.known[stored.number] = known = knowledge_of(stored, self.term)
         return Fact(stored.number, base_of(stored, body), known)
 
-    def attempt(self, number: int, at: int, zone: int) -> Fact:
+    def note_attempt(self, number: int, at: int, zone: int) -> Fact:
         """Note an attempt before it is sent, at a wall time in microseconds.
 
         An earlier attempt without an outcome counts as one that may have run.
         """
         known = self.known[number]
-        head = known.heads.get(self.term)
-        ran = known.ran
+        head = known.attempts_by_term.get(self.term)
+        ran = known.first_may_have_run
         if head is not None and not head.settled:
-            ran = min(ran or (head.at, head.zone), (head.at, head.zone))
+            ran = min(ran or (head.sent_at, head.zone), (head.sent_at, head.zone))
         return self._attempted(number, TermAttempts(head.attempts + 1 if head else 1, False, at, zone), ran)
 
-    def outcome(self, number: int, never_ran: bool, completed: bool) -> Fact:
+    def note_outcome(self, number: int, never_ran: bool, completed: bool) -> Fact:
         """Note the outcome of the attempt that was out."""
         known = self.known[number]
-        head = known.heads.get(self.term)
+        head = known.attempts_by_term.get(self.term)
         if completed:
             return self._end(number, (EndRank.COMPLETED, 0))
         if head is None or head.settled:
             return Fact(number, None, known)  # of a term before, which `renew` has taken for one that may have run
-        ran = known.ran if never_ran else min(known.ran or (head.at, head.zone), (head.at, head.zone))
+        ran = (
+            known.first_may_have_run
+            if never_ran
+            else min(known.first_may_have_run or (head.sent_at, head.zone), (head.sent_at, head.zone))
+        )
         return self._attempted(number, head._replace(settled=True), ran)
 
-    def ended(self, number: int, returned: bool, wait_ms: int) -> Fact:
+    def note_final_answer(self, number: int, returned: bool, wait_ms: int) -> Fact:
         """Note the final answer, whose notice is still owed; `wait_ms`: advised wait in milliseconds."""
         return self._end(number, (EndRank.RETURNED if returned else EndRank.FAILED, wait_ms))
 
-    def over(self, number: int) -> Fact:
+    def note_finished(self, number: int) -> Fact:
         """Note that nothing more is owed."""
         return self._end(number, (EndRank.NOTIFIED, self.known[number].end[1]))
 
-    def moved(self, number: int, sequence: int, text: str) -> Fact:
+    def note_move_mark(self, number: int, sequence: int, text: str) -> Fact:
         """Note that the message is part of a move, or with an empty text no longer."""
         return self._join(number, MessageKnowledge(move=(sequence, text)))
 
@@ -74,18 +78,18 @@
         A number that is not known here is taken for one that is owed, so the caller must leave out of an earlier
         holder's offer what has ended since, at this holder or at one between.
         """
-        self.renew(term)
+        self.begin_term(term)
         taken = []
         for fact in facts:
             known = with_unsettled_as_run(join(self.known.get(fact.number, NO_KNOWLEDGE), fact.known), term)
-            if nothing_owed(known):
+            if is_finished(known):
                 self.known.pop(fact.number, None)
             else:
                 self.known[fact.number] = known
                 taken.append(trimmed(Fact(fact.number, fact.base, known)))
         return taken
 
-    def renew(self, term: int) -> None:
+    def begin_term(self, term: int) -> None:
         """Go on under a new term: what was out under an older one may have run."""
         self.term = term
         self.known = {number: with_unsettled_as_run(known, term) for number, known in self.known.items()}
@@ -99,7 +103,7 @@
     def _join(self, number: int, added: MessageKnowledge) -> Fact:
         """All that is known goes along, not the change alone, so that a fact that is joined late forgets nothing."""
         known = join(self.known[number], added)
-        if nothing_owed(known):
+        if is_finished(known):
             del self.known[number]
         else:
             self.known[number] = known
--- a/cedarwick/fleet/fleet_files.py
+++ b/cedarwick/fleet/fleet_files.py
@@ -65,15 +65,17 @@
     def __init__(self, state: str, durable: bool = False) -> None:
         self.durable = durable
         self.path = os.path.join(state, FOLDER)
-        self.first = False  # once `boot` was called: whether no boot before this one has left its file
+        self.is_first_boot = (
+            False  # once `next_incarnation` was called: whether no boot before this one has left its file
+        )
         os.makedirs(os.path.join(self.path, COPIES), exist_ok=True)
 
     @property
-    def copies(self) -> str:
+    def replicas_path(self) -> str:
         """The path of the folder of copies."""
         return os.path.join(self.path, COPIES)
 
-    def table(self) -> GrantTable | None:
+    def read_grant_table(self) -> GrantTable | None:
         """The leases this member has granted; None if the file is gone or damaged, or at the first start."""
         data = self.read(GRANTS)
         try:
@@ -82,11 +84,11 @@
             logger.error(CorruptFleetFileError(f"{self.path}/{GRANTS}: {error}").line)
             return None
 
-    def write_table(self, table: GrantTable) -> None:
+    def write_grant_table(self, table: GrantTable) -> None:
         """Replace the table of granted leases."""
         self.write(GRANTS, ENCODER.encode(table))
 
-    def held(self) -> list[LeaseRecord]:
+    def read_held_partitions(self) -> list[LeaseRecord]:
         """The partitions that this member has held, the newest state of each; empty where the file is gone."""
         data = self.read(HELD)
         try:
@@ -95,11 +97,11 @@
             logger.error(CorruptFleetFileError(f"{self.path}/{HELD}: {error}").line)
             return []
 
-    def write_held(self, held: list[LeaseRecord]) -> None:
+    def write_held_partitions(self, held: list[LeaseRecord]) -> None:
         """Replace the list of partitions held."""
         self.write(HELD, ENCODER.encode(held))
 
-    def marks(self) -> SavedMarks | None:
+    def read_suspension_marks(self) -> SavedMarks | None:
         """The receivers suspended by hand, with their versions; None if there is no file.
 
         Raises `CorruptFleetFileError` for an unreadable file, which must not be mistaken for a first start.
@@ -115,11 +117,11 @@
         except msgspec.MsgspecError as error:
             raise CorruptFleetFileError(f"{path}: {error}") from None
 
-    def write_marks(self, saved: SavedMarks) -> None:
+    def write_suspension_marks(self, saved: SavedMarks) -> None:
         """Replace the suspension marks."""
         self.write(MARKS, ENCODER.encode(saved))
 
-    def claim(self, group: str, name: str) -> None:
+    def claim_folder(self, group: str, name: str) -> None:
         """Mark the folder as this member's; raises `ForeignFolderError` if it is another member's."""
         data = self.read(WHOSE)
         try:
@@ -135,10 +137,10 @@
         if data is None:
             self.write(WHOSE, ENCODER.encode(owner))
 
-    def boot(self, now: int) -> int:
+    def next_incarnation(self, now: int) -> int:
         """The incarnation of this boot: wall microseconds, and larger than every one before."""
         data = self.read(BOOT)
-        self.first = data is None
+        self.is_first_boot = data is None
         last = int(data) if data is not None and data.isdigit() else 0
         # If the clock was set back, the others would otherwise take this boot for an older one.
         incarnation = max(now, last + 1)
--- a/cedarwick/fleet/gossip.py
+++ b/cedarwick/fleet/gossip.py
@@ -94,7 +94,7 @@
         dispatcher.attempts.report_retry_after, dispatcher.attempts.report_result = self._apply_waits, self._ended
         now, saved = wall_time(), self._file()
         try:
-            self.marks = SuspensionTable(self.name, self.fleet_files.marks())
+            self.marks = SuspensionTable(self.name, self.fleet_files.read_suspension_marks())
         except CorruptFleetFileError as error:
             logger.error(error.line)
             self.marks.doubt(saved or {})
@@ -233,7 +233,7 @@
     def _write(self) -> None:
         self.saved_at = wall_time()
         try:
-            self.fleet_files.write_marks(self.marks.saved())
+            self.fleet_files.write_suspension_marks(self.marks.saved())
         except OSError as error:
             self.counters.warning("the fleet's marks are not kept", MarksNotSavedError(str(error)))
 
--- a/cedarwick/fleet/heartbeats.py
+++ b/cedarwick/fleet/heartbeats.py
@@ -44,7 +44,7 @@
                     del self.reported_serving[partition]
         if 0 < before < incarnation:
             self.restarted_at[name] = now
-            for holding in self.store.holdings.values():
+            for holding in self.store.leased_partitions.values():
                 if name in holding.log.followers:
                     holding.log.followers[name].forget_position()  # its replica may have been lost with the restart
 
@@ -53,7 +53,7 @@
         now = monotonic_time()
         leases = tuple(
             HeldLease(holding.partition, holding.adoption.holder.term)
-            for holding in self.store.holdings.values()
+            for holding in self.store.leased_partitions.values()
             if holding.serving and not self.leaving
         )
         return Heartbeat(self.leaving, self.members.heartbeat_ages(now), leases)
--- a/cedarwick/fleet/held_partitions.py
+++ b/cedarwick/fleet/held_partitions.py
@@ -28,7 +28,7 @@
     def _first_unused_number(self, partition: int) -> int:
         """The first message number of a partition that is surely unused."""
         upto = self.held[partition].upto if partition in self.held else partition << 32
-        return max([upto, partition << 32, *self.store.numbers(partition)]) + 1
+        return max([upto, partition << 32, *self.store.message_numbers(partition)]) + 1
 
     def _reserve_numbers(self, holding: LeasedPartition) -> None:
         """Reserve the next block of message numbers on the disk, before the first of them is used; raises OSError."""
@@ -45,13 +45,13 @@
         """Raise term and end of the reserved numbers in a lease record, and write all records; raises OSError."""
         before = self.held.get(partition, LeaseRecord(partition, 0, 0))
         self.held[partition] = LeaseRecord(partition, max(term, before.term), max(upto, before.upto))
-        self.fleet_files.write_held(list(self.held.values()))
+        self.fleet_files.write_held_partitions(list(self.held.values()))
 
     def _hold_partition(self, partition: int) -> LeasedPartition:
         """The `LeasedPartition` of a partition that this sender is about to hold, made where there is none."""
-        if partition not in self.store.holdings:
-            self.store.holdings[partition] = LeasedPartition(partition, self.adoptions[partition])
-        holding = self.store.holdings[partition]
+        if partition not in self.store.leased_partitions:
+            self.store.leased_partitions[partition] = LeasedPartition(partition, self.adoptions[partition])
+        holding = self.store.leased_partitions[partition]
         holding.adoption = self.adoptions[partition]
         return holding
 
--- a/cedarwick/fleet/late_answers.py
+++ b/cedarwick/fleet/late_answers.py
@@ -22,7 +22,7 @@
         """
         soon = self.clock.now() + ANSWER_AHEAD_US
         self._answer_pre_fleet_messages(soon)
-        for holding in list(self.store.holdings.values()):
+        for holding in list(self.store.leased_partitions.values()):
             stage = holding.adoption.stage
             held = stage is TakeoverStage.HOLDING and holding.imported
             ours = held and holding.adoption.holder.is_valid(now)
@@ -43,7 +43,7 @@
                 if not heard and not holding.offer_sent:
                     numbers = self.store.unreplicated(holding).unsent
             elif ours or few:
-                numbers = self.store.numbers(holding.partition)
+                numbers = self.store.message_numbers(holding.partition)
             elif stage is TakeoverStage.GONE and not holding.offered:
                 numbers = sum(self.store.unreplicated(holding), [])
             late = [
@@ -64,7 +64,7 @@
 
         `soon`: wall clock microseconds; deadlines up to it are near. No other member has these messages.
         """
-        numbers = self.store.numbers(0) if self.has_pre_fleet_messages else []
+        numbers = self.store.message_numbers(0) if self.has_pre_fleet_messages else []
         self.has_pre_fleet_messages = bool(numbers)
         owed = [number for number in numbers if self.store.messages[number].final_answer is None]
         if owed and self.store.accepts_messages():
--- a/cedarwick/fleet/lease_exchange.py
+++ b/cedarwick/fleet/lease_exchange.py
@@ -55,7 +55,7 @@
             self.writing_grants, upto, table = True, self.grants_version, self.grantor.table()
             try:
                 # In a thread: a rename on a busy disk may take seconds; a process blocked so long loses its leases.
-                gevent.get_hub().threadpool.apply(self.fleet_files.write_table, (table,))
+                gevent.get_hub().threadpool.apply(self.fleet_files.write_grant_table, (table,))
             finally:
                 self.writing_grants = False
             self.written_grants_version = upto
--- a/cedarwick/fleet/member_state.py
+++ b/cedarwick/fleet/member_state.py
@@ -58,7 +58,7 @@
         """Open the fleet's files in the folder `state`.
 
         Raises OSError where the folder or the address cannot be used, `NotAMemberError` where the operator file has no
-        entry for this sender, and the error of `FleetFiles.claim` where the folder is another member's.
+        entry for this sender, and the error of `FleetFiles.claim_folder` where the folder is another member's.
         """
         self.name = name
         self.settings = settings
@@ -70,13 +70,13 @@
             raise NotAMemberError(f"fleet.member: no entry has the name of this sender, {name!r}")
         self.where = {member.name: address(member.address) for member in settings.member}
         self.fleet_files = FleetFiles(state, store.durable)
-        self.fleet_files.claim(settings.group, name)
-        self.incarnation = self.fleet_files.boot(time.time_ns() // 1000)
+        self.fleet_files.claim_folder(settings.group, name)
+        self.incarnation = self.fleet_files.next_incarnation(time.time_ns() // 1000)
         self.gate = PeerVerifier(settings.group, name, self.incarnation, self.where)
         self.peers = Peers(self.gate, self.where)
         now = monotonic_time()
         self.members = Membership(name, self.halls, self.incarnation, now)
-        table = self.fleet_files.table()
+        table = self.fleet_files.read_grant_table()
         known = table.grants if table is not None and not table.learning else None
         self.grantor = LeaseGrantor(name, self.halls, now, known)
         # Versions of its table: the newest, and that on the disk.
@@ -85,13 +85,13 @@
         self.unwritten_grants: dict[str, int] = {}
         self.writing_grants = False
         self.replicas = ReplicaStore(
-            ReplicaFolder(self.fleet_files.copies),
+            ReplicaFolder(self.fleet_files.replicas_path),
             round(settings.copies_mb * (1 << 20)),
             now=clock.now,
             durable=store.durable,
         )
         self.adoptions: dict[int, Takeover] = {}
-        self.held = {held.partition: held for held in self.fleet_files.held()}
+        self.held = {held.partition: held for held in self.fleet_files.read_held_partitions()}
         self.ownership: Ownership | None = None
         self.dispatcher: PartitionDispatcher
         self.replica_written_at: dict[int, int] = {}  # by partition: when its holder last wrote to the copy here
--- a/cedarwick/fleet/migration_source.py
+++ b/cedarwick/fleet/migration_source.py
@@ -81,7 +81,7 @@
         if pending:
             self.files.write_marks(self.store.migrating | {stored.number: (sequence, text) for stored in pending})
         for stored in pending:
-            self.store.mark(stored.number, sequence, text)
+            self.store.set_move_mark(stored.number, sequence, text)
         partitions.update(stored.number >> 32 for stored in pending)
         return True
 
@@ -103,7 +103,7 @@
         key = self._key(name)
         facts: list[Fact] = []
         for number in self._marked(name, SOURCE_MARK):
-            fact = self.store.holdings[number >> 32].read(self.store, number)
+            fact = self.store.leased_partitions[number >> 32].read(self.store, number)
             if fact is None or fact.base is None:
                 return None
             facts.append(fact)
@@ -149,7 +149,7 @@
         } - self.dispatcher.uncopied_ends
         self._save_without(numbers)
         for number in numbers:
-            self.store.mark(number, sequence, "")
+            self.store.set_move_mark(number, sequence, "")
         if began_here:
             session = self.directory.sessions.get(key)
             if session is not None:
--- a/cedarwick/fleet/migration_target.py
+++ b/cedarwick/fleet/migration_target.py
@@ -75,7 +75,7 @@
             self.files.write_marks(self.store.migrating | {stored.number: mark for stored in messages})
         for stored in messages:
             self.store.next_number += 1
-            self.store.stage(stored, stage.sequence, TARGET_MARK + name)
+            self.store.stage_message(stored, stage.sequence, TARGET_MARK + name)
         return True
 
     def _activate(self, name: str) -> None:
@@ -87,13 +87,13 @@
 
     def _make_active(self, name: str, key: int, offer: tuple[StageSession, int] | None) -> bool:
         numbers, now = self._marked(name, TARGET_MARK), monotonic_time()
-        holdings = [self.store.holdings.get(number >> 32) for number in numbers]
+        holdings = [self.store.leased_partitions.get(number >> 32) for number in numbers]
         if not self.store.accepts_messages() or not all(each is not None and each.serving for each in holdings):
             return False
         sequence = self._sequence(name, numbers) + 1
         self._save_without(numbers)
         for number in numbers:
-            self.store.mark(number, sequence, "")
+            self.store.set_move_mark(number, sequence, "")
         self._adopt_staged(numbers, offer)
         # If the decision came late, another member may have inherited the session (not its messages) from a dead
         # source; then this member must not claim to hold it.
--- a/cedarwick/fleet/node.py
+++ b/cedarwick/fleet/node.py
@@ -107,10 +107,10 @@
             self._guarded(self._step_takeover, now, adoption)
         if self.session_router is not None:
             self._guarded(self.session_router.look, now)
-        self._guarded(self.replicas.step)
+        self._guarded(self.replicas.compact_step)
         # Clients may return to the member that is back; what is owed here now is older than what it will accept.
         if any(change.current is MemberStatus.ALIVE for change in changes):
-            for holding in self.store.holdings.values():
+            for holding in self.store.leased_partitions.values():
                 self._record_backlog(holding)
         if changes or time.monotonic() - self.deadlines_checked_at >= DEADLINE_CHECK_S:
             self._guarded(self._exchange_pending_order_keys, now)
@@ -125,7 +125,7 @@
         """
         self.leaving = True
         calls = [gevent.spawn(self._call, name, self._own_heartbeat(), CALL_TIMEOUT_S) for name in self.peers.names()]
-        for holding in self.store.holdings.values():
+        for holding in self.store.leased_partitions.values():
             holding.serving = False  # before the release: after it a successor may fire
             if len(holding.adoption.holder.successors) > 1 and (ask := holding.adoption.holder.release()) is not None:
                 self._guarded(self._answer_lease_request, ask)
--- a/cedarwick/fleet/partition_takeover.py
+++ b/cedarwick/fleet/partition_takeover.py
@@ -50,7 +50,7 @@
     def _step_takeover(self, now: int, adoption: Takeover) -> None:
         """Ask the rules for the next step of one partition, and carry it out."""
         partition = adoption.partition
-        replica, holding = self.replicas.replica(partition), self.store.holdings.get(partition)
+        replica, holding = self.replicas.replica(partition), self.store.leased_partitions.get(partition)
         requested = adoption.stage is TakeoverStage.ASKING and not adoption.holder.probing
         requested_term = adoption.holder.term if requested else 0
         step = self._next_step(now, adoption, replica, holding)
@@ -206,18 +206,20 @@
         holding.imported_from_term = replica.position.term
         # A replica that lags may lack an attempt, so its messages may have run. Attempts arrive in order: only those
         # after the last one in the replica can be missing.
-        heard = (head.at for fact in replica.owed.values() for head in fact.known.heads.values())
-        behind = self.settings.ack == "own" or replica.behind  # its holder may have been started before us
+        heard = (head.sent_at for fact in replica.pending.values() for head in fact.known.attempts_by_term.values())
+        behind = self.settings.ack == "own" or replica.asynchronous  # its holder may have been started before us
         doubt_at = max(heard, default=1) if behind else 0
         unsent, unacknowledged = self.store.unreplicated(holding) if not holding.offered else ([], [])
-        facts = list(replica.owed.values())
+        facts = list(replica.pending.values())
         ends_upto = self.clock.now() + ANSWER_AHEAD_US
         self.store.import_replica(holding, facts, term, doubt_at, unsent, unacknowledged, ends_upto)
         if self.session_router is not None:
             self.session_router.adopted(holding.partition)
         slot = holding.partition >> EPOCH_BITS
         owner = next((name for name in self.halls if slot_of(name) == slot), "")
-        self.exchange.adopted([self.store.messages[number] for number in self.store.numbers(holding.partition)], owner)
+        self.exchange.adopted(
+            [self.store.messages[number] for number in self.store.message_numbers(holding.partition)], owner
+        )
 
     def _serve_partition(self, now: int, holding: LeasedPartition) -> None:
         """Keep the successors up to date, and let the dispatcher send while the lease is valid."""
@@ -236,7 +238,7 @@
             return
         holding.serving = may
         self._record_backlog(holding)
-        numbers = self.store.numbers(holding.partition)
+        numbers = self.store.message_numbers(holding.partition)
         if may:
             logger.info(
                 "partition {}: served from now on, {} messages, successors {}",
@@ -257,16 +259,16 @@
 
     def _drop_partition(self, partition: int) -> None:
         """Give up a partition that is over or belongs to another member for good; may be put off to a later call."""
-        holding = self.store.holdings.get(partition)
+        holding = self.store.leased_partitions.get(partition)
         if holding is not None and not self._rescue_unreplicated(holding):
             return
         adoption = self.adoptions.pop(partition)
         self.damaged_partitions.discard(partition)
         if holding is not None:
-            numbers = self.store.numbers(partition)
+            numbers = self.store.message_numbers(partition)
             self.dispatcher.park(numbers)
             for name in list(holding.log.followers):
-                holding.log.unfollow(name)
+                holding.log.remove_follower(name)
             self.store.remove_partition(partition)
             logger.info(
                 "partition {}: given up ({}), {} messages are another sender's",
@@ -275,7 +277,7 @@
                 len(numbers),
             )
         if self.held.pop(partition, None) is not None:
-            self.fleet_files.write_held(list(self.held.values()))
+            self.fleet_files.write_held_partitions(list(self.held.values()))
         replica = self.replicas.replica(partition)
         closed = adoption.holder.state is LeaseState.CLOSED or self.grantor.grant(lease_of(partition)).closed
         if holding is not None and replica is not None and replica.position.term > holding.log.term and not closed:
--- a/cedarwick/fleet/pending_order_keys.py
+++ b/cedarwick/fleet/pending_order_keys.py
@@ -36,7 +36,7 @@
     def _backlog_order_keys(self, in_replicas: set[int]) -> set[int]:
         """The keys of the backlogs of served partitions; those of the other ones are added to `in_replicas`."""
         here: set[int] = set()
-        for holding in self.store.holdings.values():
+        for holding in self.store.leased_partitions.values():
             if holding.backlog:
                 known = holding.ledger.known
                 holding.backlog = {number: key for number, key in holding.backlog.items() if number in known}
@@ -69,14 +69,14 @@
         replica = self.replicas.replica(partition)
         # The own name is recorded from when this member asks for the partition until it has imported it.
         alive = grant.holder != self.name and self._status_for(now, grant.holder, adoption) is MemberStatus.ALIVE
-        if replica is None or partition in self.store.holdings or self.name not in grant.successors or alive:
+        if replica is None or partition in self.store.leased_partitions or self.name not in grant.successors or alive:
             self.replica_order_keys.pop(partition, None)
             return frozenset()
         if partition not in self.replica_order_keys:  # once: a silent holder adds nothing
-            facts = [fact for fact in replica.owed.values() if fact.base is not None and fact.base.turn]
+            facts = [fact for fact in replica.pending.values() if fact.base is not None and fact.base.ordering_key]
             self.replica_order_keys[partition] = frozenset(
                 [
-                    fact.base.turn
+                    fact.base.ordering_key
                     for fact in facts[:MAX_OWED_MESSAGES]
                     if fact.base is not None
                     and fact.known.end[0] is EndRank.NONE
--- a/cedarwick/fleet/recent_ids.py
+++ b/cedarwick/fleet/recent_ids.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from cedarwick.fleet.replica import ReplicaEntry
-from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, nothing_owed
+from cedarwick.fleet.replication_facts import EndRank, Fact, MessageBase, is_finished
 from cedarwick.fleet.sessions import ID_RETENTION_US, contents_hash
 
 MAX_IDS = 1 << 16  # ids of one partition; above it the oldest are dropped, and the time that the memory covers shrinks
@@ -44,11 +44,11 @@
         """Record the facts of a replicated entry that is in the replica's file."""
         received = list(facts)
         tail = entry.upto <= entry.after
-        begins = entry.next - len(received) if tail else entry.next
+        begins = entry.next_index - len(received) if tail else entry.next_index
         if (entry.term, begins) != (self.term, self.next):
             # A gap: messages between may have been taken and have ended without a trace here.
             self.since = now
-        self.term, self.next = entry.term, entry.next
+        self.term, self.next = entry.term, entry.next_index
         for fact in received:
             self._record_fact(fact, now)
         while self.arrivals and (self.arrivals[0][0] < now - ID_RETENTION_US or len(self.arrivals) > MAX_IDS):
@@ -60,21 +60,21 @@
     def _record_fact(self, fact: Fact, now: int) -> None:
         known, seen = fact.known, self.by_number.get(fact.number)
         if seen is None:
-            if fact.base is not None and fact.base.turn and not nothing_owed(known):
+            if fact.base is not None and fact.base.ordering_key and not is_finished(known):
                 self.by_number[fact.number] = RecentId(
-                    fact.base.turn,
+                    fact.base.ordering_key,
                     fact.base.id,
                     now,
                     hash_of(fact.base, known.end[0]),
-                    bool(known.heads) or known.end[0] is not EndRank.NONE,
+                    bool(known.attempts_by_term) or known.end[0] is not EndRank.NONE,
                 )
                 self.arrivals.append((now, fact.number))
             return
-        if known.end[0] is EndRank.NOTIFIED and not known.heads and not seen.ended:
+        if known.end[0] is EndRank.NOTIFIED and not known.attempts_by_term and not seen.ended:
             # Withdrawn without attempt or end: its client was refused, so the same id must not get +OK unless taken.
             del self.by_number[fact.number]
         else:
-            seen.ended |= bool(known.heads) or known.end[0] is not EndRank.NONE
+            seen.ended |= bool(known.attempts_by_term) or known.end[0] is not EndRank.NONE
 
     def complete_at(self) -> int:
         """The time from which on all ids that must not be taken again are known here."""
--- a/cedarwick/fleet/replica.py
+++ b/cedarwick/fleet/replica.py
@@ -16,8 +16,8 @@
 from cedarwick.fleet.messages import DigestRange, Digests, ReplicaAck, ReplicateFacts, ReplicatePiece, whole
 from cedarwick.fleet.replication import (
     CORRUPT,
-    EVERYTHING,
     GAP,
+    MAX_MESSAGE_NUMBER,
     NO_PROBLEM,
     OLD_TERM,
     OTHER_VERSION,
@@ -32,10 +32,10 @@
     decode_facts,
     encode_fact,
     encode_facts,
-    in_doubt,
+    is_finished,
     join_facts,
-    nothing_owed,
     trimmed,
+    with_records_lost,
 )
 
 
@@ -43,12 +43,12 @@
     """A step of a replica as stored in its file: facts to be joined, and the position after that."""
 
     term: int
-    next: int
-    covered: int
+    next_index: int
+    covered_upto: int
     after: int  # what is held in this range and not among the facts is over; an empty range: the tail
     upto: int
     facts: bytes
-    behind: bool = False  # as in `ReplicatePiece`
+    asynchronous: bool = False  # as in `ReplicatePiece`
 
 
 class ReplicaStep(NamedTuple):
@@ -65,46 +65,48 @@
     def __init__(self, partition: int) -> None:
         self.partition = partition
         self.position = ReplicaPosition(0, 0, 0)
-        self.owed: dict[int, Fact] = {}  # what is owed, with bases
-        self.owed_bytes = 0  # about the bytes of that
-        self.behind = False  # its holder has acknowledged to clients more than the replica has
+        self.pending: dict[int, Fact] = {}  # what is owed, with bases
+        self.pending_bytes = 0  # about the bytes of that
+        self.asynchronous = False  # its holder has acknowledged to clients more than the replica has
 
     @property
     def is_complete(self) -> bool:
         """Whether it has received everything of its term."""
-        return self.position.covered == EVERYTHING
+        return self.position.covered_upto == MAX_MESSAGE_NUMBER
 
     def step_for_facts(self, message: ReplicateFacts) -> ReplicaStep:
         """The step for a part of the log's tail."""
         position = self.position
         if message.term != position.term:
             return self._refused(OLD_TERM if message.term < position.term else GAP)
-        if message.first > position.next:
+        if message.first > position.next_index:
             return self._refused(GAP)
-        read = self._decoded(message, 0, EVERYTHING)
+        read = self._decoded(message, 0, MAX_MESSAGE_NUMBER)
         if isinstance(read, str):
             return self._refused(read)
-        fresh = read[position.next - message.first :]
+        fresh = read[position.next_index - message.first :]
         if not fresh:
             return ReplicaStep(self.ack())
         data = message.facts if len(fresh) == len(read) else encode_facts(fresh)
-        return self._step(position._replace(next=position.next + len(fresh)), 0, 0, data, fresh, self.behind)
+        return self._step(
+            position._replace(next_index=position.next_index + len(fresh)), 0, 0, data, fresh, self.asynchronous
+        )
 
     def step_for_piece(self, message: ReplicatePiece) -> ReplicaStep:
         """The step for a piece: all that is owed in a range of message numbers."""
         position = self.position
         if message.term < position.term:
             return self._refused(OLD_TERM)
-        jumps = message.after == 0 and (message.term > position.term or message.next > position.next)
+        jumps = message.after == 0 and (message.term > position.term or message.next > position.next_index)
         if not jumps and (
-            message.term > position.term or message.next < position.next or message.after > position.covered
+            message.term > position.term or message.next < position.next_index or message.after > position.covered_upto
         ):
             return self._refused(GAP)
         read = self._decoded(message, message.after, message.upto)
         if isinstance(read, str):
             return self._refused(read)
-        covered = message.upto if jumps else max(position.covered, message.upto)
-        index = message.next if jumps else position.next
+        covered = message.upto if jumps else max(position.covered_upto, message.upto)
+        index = message.next if jumps else position.next_index
         return self._step(
             ReplicaPosition(message.term, index, covered),
             message.after,
@@ -117,62 +119,67 @@
     def answer_digests(self, message: Digests) -> Digests:
         """The replica's digests of the same ranges; no ranges if it is at another position."""
         if (message.term, message.next) != self.position[:2]:
-            return Digests(self.partition, self.position.term, (), self.position.next)
-        numbers, made = sorted(self.owed), []
+            return Digests(self.partition, self.position.term, (), self.position.next_index)
+        numbers, made = sorted(self.pending), []
         for span in message.ranges:
             inside = numbers[bisect_right(numbers, span.after) : bisect_right(numbers, span.upto)]
             made.append(
                 DigestRange(
-                    span.after, span.upto, *count_and_digest(encode_fact(self.owed[number]) for number in inside)
+                    span.after, span.upto, *count_and_digest(encode_fact(self.pending[number]) for number in inside)
                 )
             )
-        return Digests(self.partition, self.position.term, tuple(made), self.position.next)
+        return Digests(self.partition, self.position.term, tuple(made), self.position.next_index)
 
     def ack(self, problem: str = NO_PROBLEM) -> ReplicaAck:
         """The answer to the holder: the position of the replica, and why a message was refused."""
-        return ReplicaAck(self.partition, self.position.term, self.position.next, problem, self.position.covered)
+        return ReplicaAck(
+            self.partition, self.position.term, self.position.next_index, problem, self.position.covered_upto
+        )
 
     def apply(self, entry: ReplicaEntry, facts: Iterable[Fact]) -> None:
         """Apply a step that is already in the replica's file."""
         if entry.upto > entry.after:
             listed = {fact.number for fact in facts}
-            for number in [each for each in self.owed if entry.after < each <= entry.upto and each not in listed]:
+            for number in [each for each in self.pending if entry.after < each <= entry.upto and each not in listed]:
                 self._remove(number)
         for fact in facts:
-            before = self.owed.get(fact.number)
+            before = self.pending.get(fact.number)
             if before is None and fact.base is None:
                 continue  # an update of what has ended, or of what a piece is still to bring
             joined = trimmed(fact) if before is None else join_facts(before, fact)
             self._remove(fact.number)
-            if not nothing_owed(joined.known):
-                self.owed[fact.number] = joined
-                self.owed_bytes += approximate_bytes(joined)
-        self.position, self.behind = ReplicaPosition(entry.term, entry.next, entry.covered), entry.behind
+            if not is_finished(joined.known):
+                self.pending[fact.number] = joined
+                self.pending_bytes += approximate_bytes(joined)
+        self.position, self.asynchronous = (
+            ReplicaPosition(entry.term, entry.next_index, entry.covered_upto),
+            entry.asynchronous,
+        )
 
     def mark_in_doubt(self, since: int) -> None:
         """Note that a part of the file is lost: updates may be missing since a wall time (microseconds).
 
         The holder must send everything again.
         """
-        self.owed = {number: in_doubt(fact, since) for number, fact in self.owed.items()}
+        self.pending = {number: with_records_lost(fact, since) for number, fact in self.pending.items()}
         self.position = ReplicaPosition(self.position.term, 0, 0)
 
     def snapshot_part(self, after: int, size: int) -> ReplicaEntry:
         """A part of what is held, above number `after` and of about `size` bytes, for a fresh file."""
         taken: list[Fact] = []
-        upto, left = EVERYTHING, size
-        for number in sorted(each for each in self.owed if each > after):
+        upto, left = MAX_MESSAGE_NUMBER, size
+        for number in sorted(each for each in self.pending if each > after):
             if taken and left <= 0:
                 upto = taken[-1].number
                 break
-            taken.append(self.owed[number])
+            taken.append(self.pending[number])
             left -= approximate_bytes(taken[-1])
-        return ReplicaEntry(*self.position, after, upto, encode_facts(taken), self.behind)
+        return ReplicaEntry(*self.position, after, upto, encode_facts(taken), self.asynchronous)
 
     def _remove(self, number: int) -> None:
-        before = self.owed.pop(number, None)
+        before = self.pending.pop(number, None)
         if before is not None:
-            self.owed_bytes -= approximate_bytes(before)
+            self.pending_bytes -= approximate_bytes(before)
 
     def _refused(self, problem: str) -> ReplicaStep:
         return ReplicaStep(self.ack(problem))
@@ -182,7 +189,9 @@
     ) -> ReplicaStep:
         entry = ReplicaEntry(*position, after, upto, data, behind)
         return ReplicaStep(
-            ReplicaAck(self.partition, position.term, position.next, NO_PROBLEM, position.covered), entry, facts
+            ReplicaAck(self.partition, position.term, position.next_index, NO_PROBLEM, position.covered_upto),
+            entry,
+            facts,
         )
 
     def _decoded(self, message: ReplicateFacts | ReplicatePiece, after: int, upto: int) -> list[Fact] | str:
--- a/cedarwick/fleet/replica_files.py
+++ b/cedarwick/fleet/replica_files.py
@@ -17,7 +17,7 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.fleet.messages import Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
 from cedarwick.fleet.replica import Replica, ReplicaEntry, ReplicaStep
-from cedarwick.fleet.replication import EVERYTHING, NO_ROOM
+from cedarwick.fleet.replication import MAX_MESSAGE_NUMBER, NO_ROOM
 from cedarwick.fleet.replication_facts import CorruptFactsError, Fact, decode_facts
 from cedarwick.store.files import Folder, ignore_os_error
 from cedarwick.store.records import FRAME_HEADER, MAX_PAYLOAD_BYTES, DamagedRange, encode_frame, may_be_partial_frame
@@ -130,17 +130,17 @@
         copy = self.files.get(partition)
         return copy.replica if copy is not None else None
 
-    def facts(self, message: ReplicateFacts) -> ReplicaAck:
+    def receive_facts(self, message: ReplicateFacts) -> ReplicaAck:
         """Take a part of a partition's tail; written before this returns the answer."""
         copy = self._file_of(message.partition)
         return self._apply(copy, copy.replica.step_for_facts(message))
 
-    def piece(self, message: ReplicatePiece) -> ReplicaAck:
+    def receive_piece(self, message: ReplicatePiece) -> ReplicaAck:
         """Take all that a partition owes in a range; written before this returns the answer."""
         copy = self._file_of(message.partition)
         return self._apply(copy, copy.replica.step_for_piece(message))
 
-    def digests(self, message: Digests) -> Digests:
+    def compare_digests(self, message: Digests) -> Digests:
         """The digests of a replica for the ranges in the message."""
         return self._file_of(message.partition).replica.answer_digests(message)
 
@@ -174,7 +174,7 @@
             if self.unsynced.get(file) == written:
                 del self.unsynced[file]
 
-    def step(self) -> bool:
+    def compact_step(self) -> bool:
         """Do a bounded part of compacting a file that has grown too large; returns whether there is more to do."""
         for copy in self.files.values():
             if copy.fresh >= 0:
@@ -182,7 +182,7 @@
                 return True
         self.steps += 1
         for copy in self.files.values():
-            least = max(copy.replica.owed_bytes, copy.compacted_size)
+            least = max(copy.replica.pending_bytes, copy.compacted_size)
             most = least * 5 // 4 + COMPACTION_PART_BYTES if self.refusing else least * 2 + COMPACTION_SLACK_BYTES
             if (copy.torn or copy.size > most) and copy.retry_at_step <= self.steps:
                 return self._begin_compaction(copy)
@@ -223,7 +223,7 @@
 
         Raises `ReplicaRefusedError` or `OSError`; then it is in neither.
         """
-        largest = max((each.replica.owed_bytes for each in self.files.values()), default=0)
+        largest = max((each.replica.pending_bytes for each in self.files.values()), default=0)
         if self.used_bytes + 2 * len(frame) + largest > self.limit_bytes:  # room for the largest to be written anew
             raise ReplicaRefusedError(f"{self.used_bytes} bytes are in use, and {self.limit_bytes} are the most")
         if len(frame) > MAX_PAYLOAD_BYTES or copy.torn:
@@ -285,7 +285,7 @@
             self._abandon_compaction(copy)
             return
         copy.compacted_upto = part.upto
-        if part.upto < EVERYTHING:
+        if part.upto < MAX_MESSAGE_NUMBER:
             return
         try:
             if self.durable:
@@ -350,14 +350,14 @@
             except (msgspec.MsgspecError, CorruptFactsError):
                 damaged = True
             end = each.offset + FRAME_HEADER.size + len(each.payload)
-        if not made_at and not replica.owed:  # nothing was acknowledged, or nothing can be read
+        if not made_at and not replica.pending:  # nothing was acknowledged, or nothing can be read
             if damaged:
                 logger.error(ReplicaDamagedError(f"{copy.name}: nothing of it can be read").line)
             self._close(copy.file)
             ignore_os_error(self.folder.unlink, copy.name)
             return
         if damaged or not made_at:
-            logger.error(ReplicaDamagedError(f"{copy.name}: {len(replica.owed)} messages are put in doubt").line)
+            logger.error(ReplicaDamagedError(f"{copy.name}: {len(replica.pending)} messages are put in doubt").line)
             replica.mark_in_doubt(made_at or 1)
             copy.torn = True
         copy.size = size
--- a/cedarwick/fleet/replicated_store.py
+++ b/cedarwick/fleet/replicated_store.py
@@ -24,11 +24,11 @@
     Fact,
     decode_facts,
     encode_batch,
-    in_doubt,
+    is_finished,
     join_facts,
-    nothing_owed,
     stored_message_of,
     with_end,
+    with_records_lost,
 )
 from cedarwick.store.bodies import BodyLostError
 from cedarwick.store.files import NoSpaceError
@@ -81,7 +81,7 @@
         self.answers_wait_for_flush = self.answers_wait_for_flush or ack_after_replication
         self.ack_after_replication = ack_after_replication
         self.ack_timeout_us = ack_timeout_us
-        self.holdings: dict[int, LeasedPartition] = {}
+        self.leased_partitions: dict[int, LeasedPartition] = {}
         self.open_partition: LeasedPartition | None = None  # new messages are taken in this one
         # Writes the reservation of a block of numbers to the disk.
         self.reserve_numbers: Callable[[LeasedPartition], None] = lambda _: None
@@ -97,7 +97,7 @@
 
     def may_send_attempt(self, number: int) -> bool:
         """Whether the lease allows this sender to send a message now; False also for a message of a moving session."""
-        holding = self.holdings.get(number >> 32)
+        holding = self.leased_partitions.get(number >> 32)
         return (
             holding is not None
             and holding.serving
@@ -107,13 +107,13 @@
 
     def term_of(self, number: int) -> int:
         """The newest term in which this sender has held, or asked for, the message's partition; 0: none."""
-        holding = self.holdings.get(number >> 32)
+        holding = self.leased_partitions.get(number >> 32)
         return holding.adoption.holder.term if holding is not None else 0
 
     def may_answer(self) -> bool:
         """Whether the leases of all partitions that the dispatcher serves are valid now."""
         now = monotonic_time()
-        return all(each.adoption.holder.is_valid(now) for each in self.holdings.values() if each.serving)
+        return all(each.adoption.holder.is_valid(now) for each in self.leased_partitions.values() if each.serving)
 
     def accepts_messages(self) -> bool:
         """Whether new messages can be taken: the lease of the open partition is valid now."""
@@ -140,8 +140,8 @@
     def add_message(self, stored: StoredMessage) -> None:
         """As `Store.add_message`; replicated."""
         super().add_message(stored)
-        holding = self.holdings[stored.number >> 32]
-        self._replicate(holding, holding.ledger.record_message(stored, stored.body or b""))
+        holding = self.leased_partitions[stored.number >> 32]
+        self._replicate(holding, holding.ledger.note_message(stored, stored.body or b""))
         self.on_event("taken", stored, 0)
 
     def record_attempt(self, number: int, sent_at: int, zone: int) -> None:
@@ -149,7 +149,7 @@
         super().record_attempt(number, sent_at, zone)
         holding = self._owed_in(number)
         if holding is not None:
-            self._replicate(holding, holding.ledger.attempt(number, sent_at, zone))
+            self._replicate(holding, holding.ledger.note_attempt(number, sent_at, zone))
         self.in_flight[number] = self.messages[number]
         self.on_event("shot", self.messages[number], zone)
 
@@ -158,7 +158,9 @@
         stored, holding = self.messages.get(number), self._owed_in(number)
         if stored is not None and stored.in_flight_since and holding is not None:
             # Before the store's own record: after it a completed message would already be over, like any other end.
-            self._replicate(holding, holding.ledger.outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED))
+            self._replicate(
+                holding, holding.ledger.note_outcome(number, outcome.never_ran, outcome is Outcome.COMPLETED)
+            )
         # Looked up in `out` too: the record may have gone while the attempt was out (its client left, or another sender
         # has the partition by now), and nobody else would report the receiver's answer. Reported before the record is
         # written, since a full store raises and writes the record later.
@@ -173,7 +175,7 @@
         """As `Store.record_final_answer`; replicated first. `wait_ms`: milliseconds."""
         holding = self._owed_in(number)
         if holding is not None:
-            self._replicate(holding, holding.ledger.ended(number, rejected, wait_ms))
+            self._replicate(holding, holding.ledger.note_final_answer(number, rejected, wait_ms))
         stored = self.messages.get(number)
         super().record_final_answer(number, rejected, wait_ms)
         if stored is not None:
@@ -183,7 +185,7 @@
         """As `Store.finish`; replicated first."""
         holding = self._owed_in(number)
         if holding is not None:
-            self._replicate(holding, holding.ledger.over(number))
+            self._replicate(holding, holding.ledger.note_finished(number))
         super().finish(number)
 
     def flush(self, call: Callable[..., object] | None = None) -> None:
@@ -196,14 +198,14 @@
         if not self.ack_after_replication:
             return
         until = time.monotonic() + self.ack_timeout_us / 1e6
-        for holding in [each for each in self.holdings.values() if each.serving]:
-            index = holding.log.next
-            while holding.log.acked(self.successors_of(holding)) < index:
+        for holding in [each for each in self.leased_partitions.values() if each.serving]:
+            index = holding.log.next_index
+            while holding.log.acked_by(self.successors_of(holding)) < index:
                 if holding.is_starving(monotonic_time()) or not self._wait_for_progress(until):
                     self.on_replication_timeout(holding)
                     raise NotReplicatedError(
                         f"partition {holding.partition}: "
-                        f"{index - holding.log.acked(self.successors_of(holding))} records "
+                        f"{index - holding.log.acked_by(self.successors_of(holding))} records "
                         f"are not at {', '.join(sorted(self.successors_of(holding)))}"
                     )
             if not holding.alone_since and not holding.is_starving(monotonic_time()):
@@ -228,20 +230,20 @@
 
     # ---- sessions that move ----
 
-    def stage(self, stored: StoredMessage, sequence: int, text: str) -> None:
+    def stage_message(self, stored: StoredMessage, sequence: int, text: str) -> None:
         """Store a message of a session that moves here: inert from its first record on, here and at every successor.
 
         The caller has already written the mark to disk (`write_move_marks`). Raises `NoSpaceError`.
         """
-        holding = self.holdings[stored.number >> 32]
+        holding = self.leased_partitions[stored.number >> 32]
         self.migrating[stored.number] = sequence, text
         super().add_message(stored)
-        fact = holding.ledger.record_message(stored, stored.body or b"")
+        fact = holding.ledger.note_message(stored, stored.body or b"")
         # One fact for message and mark: a successor that learns of the message before its mark might send it.
-        known = holding.ledger.moved(stored.number, sequence, text).known
+        known = holding.ledger.note_move_mark(stored.number, sequence, text).known
         self._replicate(holding, Fact(stored.number, fact.base, known))
 
-    def mark(self, number: int, sequence: int, text: str) -> None:
+    def set_move_mark(self, number: int, sequence: int, text: str) -> None:
         """Make a message inert, or with an empty `text` end that; replicated to the successors."""
         if text:
             self.migrating[number] = sequence, text
@@ -249,16 +251,16 @@
             self.migrating.pop(number, None)
         holding = self._owed_in(number)
         if holding is not None:
-            self._replicate(holding, holding.ledger.moved(number, sequence, text))
+            self._replicate(holding, holding.ledger.note_move_mark(number, sequence, text))
 
     def replication_check(self, partitions: Iterable[int]) -> Callable[[], bool]:
         """Return a check: whether all successors of these partitions have what is in the logs at this moment."""
-        upto = {partition: self.holdings[partition].log.next for partition in partitions}
+        upto = {partition: self.leased_partitions[partition].log.next_index for partition in partitions}
 
         def now() -> bool:
-            held = {partition: self.holdings.get(partition) for partition in upto}
+            held = {partition: self.leased_partitions.get(partition) for partition in upto}
             return all(
-                each is not None and each.serving and each.log.acked(self.successors_of(each)) >= upto[partition]
+                each is not None and each.serving and each.log.acked_by(self.successors_of(each)) >= upto[partition]
                 for partition, each in held.items()
             )
 
@@ -266,7 +268,7 @@
 
     # ---- partitions that come and go ----
 
-    def numbers(self, partition: int) -> list[int]:
+    def message_numbers(self, partition: int) -> list[int]:
         """The numbers of a partition's messages in the store, in the order in which they were taken."""
         return sorted(number for number in self.messages if number >> 32 == partition)
 
@@ -291,7 +293,7 @@
             unacknowledged: numbers that may or may not have reached a replica then.
             ends_upto: wall microseconds; messages whose deadline is not after it end now.
         """
-        marked = [in_doubt(fact, doubt_at) if doubt_at else fact for fact in facts]
+        marked = [with_records_lost(fact, doubt_at) if doubt_at else fact for fact in facts]
         # 'failed', since a holder that was cut off has answered late messages so; 'returned' would be a second,
         # different end. Messages on the move get no end while they are inert: the rules of the move answer them.
         marked = [
@@ -304,14 +306,14 @@
             for fact in marked
         ]
         listed = {fact.number for fact in marked}
-        for number in self.numbers(holding.partition):  # held here before: what the replica lacks is over
+        for number in self.message_numbers(holding.partition):  # held here before: what the replica lacks is over
             if number in listed or number in unsent:
-                holding.ledger.record_message(self.messages[number], b"")
+                holding.ledger.note_message(self.messages[number], b"")
             elif number in unacknowledged:
                 # A holder in between may have ended it, and nobody can be asked.
                 if self.messages[number].final_answer is None:
                     super().record_final_answer(number, False, 0)
-                holding.ledger.record_message(self.messages[number], b"")
+                holding.ledger.note_message(self.messages[number], b"")
             else:
                 super().finish(number)
         changed = holding.ledger.adopt(marked, term)
@@ -322,20 +324,20 @@
     def resume_ledger(self, holding: LeasedPartition, term: int) -> None:
         """Fill the ledger from the messages that are already in this store, under a new term."""
         if holding.ledger.term:
-            holding.ledger.renew(term)
+            holding.ledger.begin_term(term)
             return
         holding.ledger = FactLedger(term)
-        for number in self.numbers(holding.partition):
-            holding.ledger.record_message(self.messages[number], b"")
+        for number in self.message_numbers(holding.partition):
+            holding.ledger.note_message(self.messages[number], b"")
             if number in self.migrating:
-                holding.ledger.moved(number, *self.migrating[number])
+                holding.ledger.note_move_mark(number, *self.migrating[number])
 
     def begin_log(self, holding: LeasedPartition, term: int) -> None:
         """Start a new replication log for the partition under a term."""
         holding.log = ReplicationLog(
             holding.partition, term, lambda number: holding.read_for_member(self, number), sorted(holding.ledger.known)
         )
-        holding.log.behind = not self.ack_after_replication
+        holding.log.asynchronous = not self.ack_after_replication
         holding.log_started_at = monotonic_time()
         holding.sent_upto, holding.joining = 0, {}  # an index is one of its log
 
@@ -355,7 +357,7 @@
             if fact.number >> 32 == holding.partition
             # What has ended here must not come back as owed.
             and fact.number not in holding.ended_numbers
-            and (fact.number in before or fact.base is not None and not nothing_owed(fact.known))
+            and (fact.number in before or fact.base is not None and not is_finished(fact.known))
         }
         changed: list[int] = []
         all_changed = holding.ledger.adopt(listed.values(), holding.ledger.term)
@@ -405,9 +407,11 @@
             super().add_message(stored_message_of(fact))
             return
         stored = self.messages[fact.number]
-        if fact.known.ran is not None and (not stored.may_have_run_at or fact.known.ran[0] < stored.may_have_run_at):
+        if fact.known.first_may_have_run is not None and (
+            not stored.may_have_run_at or fact.known.first_may_have_run[0] < stored.may_have_run_at
+        ):
             with suppress(NoSpaceError):  # it is known from here on, and its record is owed
-                self.record_may_have_run(fact.number, *fact.known.ran)
+                self.record_may_have_run(fact.number, *fact.known.first_may_have_run)
         if fact.known.end[0] is not EndRank.NONE and stored.final_answer is None:
             with suppress(NoSpaceError):
                 super().record_final_answer(fact.number, fact.known.end[0] is EndRank.RETURNED, fact.known.end[1])
@@ -427,11 +431,13 @@
     def unreplicated(self, holding: LeasedPartition) -> UnreplicatedMessages:
         """The owed messages of a lost partition that no other member may have."""
         if not holding.log.term:  # of an earlier process: nobody knows what that has sent
-            return UnreplicatedMessages([], [] if self.ack_after_replication else self.numbers(holding.partition))
-        acked = max((follower.acked for follower in holding.log.followers.values()), default=holding.sent_upto)
+            return UnreplicatedMessages(
+                [], [] if self.ack_after_replication else self.message_numbers(holding.partition)
+            )
+        acked = max((follower.acked_index for follower in holding.log.followers.values()), default=holding.sent_upto)
         found = UnreplicatedMessages([], [])
-        first = max(0, min(holding.sent_upto, acked) - holding.log.oldest)
-        for index, logged in enumerate(islice(holding.log.window, first, None), holding.log.oldest + first):
+        first = max(0, min(holding.sent_upto, acked) - holding.log.oldest_index)
+        for index, logged in enumerate(islice(holding.log.window, first, None), holding.log.oldest_index + first):
             for fact in decode_facts(encode_batch([logged.data])):
                 if fact.base is not None and fact.number in holding.ledger.known and fact.number in self.messages:
                     (found.unsent if index >= holding.sent_upto else found.unacknowledged).append(fact.number)
@@ -466,8 +472,8 @@
             self.next_number += 1
             if number in self.migrating:
                 self.write_move_marks(self.migrating | {new.number: self.migrating[number]})
-                self.stage(new, *self.migrating[number])
-                del self.migrating[number]  # only now: before `stage` the old number would be live
+                self.stage_message(new, *self.migrating[number])
+                del self.migrating[number]  # only now: before `stage_message` the old number would be live
             else:
                 self.add_message(new)
             yield new.number
@@ -475,18 +481,18 @@
 
     def remove_partition(self, partition: int) -> None:
         """Remove a partition that another member answers for from this store; nothing is replicated or answered."""
-        for number in self.numbers(partition):
+        for number in self.message_numbers(partition):
             super().finish(number)
-        self.holdings.pop(partition, None)
+        self.leased_partitions.pop(partition, None)
         if self.open_partition is not None and self.open_partition.partition == partition:
             self.open_partition = None
 
     def _owed_in(self, number: int) -> LeasedPartition | None:
-        holding = self.holdings.get(number >> 32)
+        holding = self.leased_partitions.get(number >> 32)
         return holding if holding is not None and number in holding.ledger.known else None
 
     def _replicate(self, holding: LeasedPartition, fact: Fact) -> None:
         holding.log.append(fact, monotonic_time())
-        if nothing_owed(fact.known) and holding.imported_from_term:
+        if is_finished(fact.known) and holding.imported_from_term:
             holding.ended_numbers.add(fact.number)
         self.replication_progress.set()
--- a/cedarwick/fleet/replication.py
+++ b/cedarwick/fleet/replication.py
@@ -25,9 +25,9 @@
 import xxhash
 
 from cedarwick.fleet.messages import DigestRange, Digests, ReplicaAck, ReplicateFacts, ReplicatePiece
-from cedarwick.fleet.replication_facts import Fact, digest, encode_batch, encode_fact, nothing_owed, trimmed
+from cedarwick.fleet.replication_facts import Fact, digest, encode_batch, encode_fact, is_finished, trimmed
 
-EVERYTHING = (1 << 63) - 1  # above every number
+MAX_MESSAGE_NUMBER = (1 << 63) - 1  # above every number
 MAX_WINDOW_FACTS = 4096  # facts of the log that the holder keeps in memory
 MAX_WINDOW_BYTES = 1 << 23  # of them
 MESSAGE_BYTES = 1 << 16  # of facts in one message; more only where a single one is larger
@@ -52,8 +52,8 @@
     """What a replica has; the larger one is the newer."""
 
     term: int
-    next: int
-    covered: int
+    next_index: int
+    covered_upto: int
 
 
 NO_POSITION = ReplicaPosition(-1, 0, 0)
@@ -80,58 +80,59 @@
         self.partition = partition
         self.term = term
         self.read = read
-        self.owed = sorted(owed)
+        self.pending_numbers = sorted(owed)
         self.window: deque[LoggedFact] = deque()
-        self.oldest = 0  # the index of the window's first
+        self.oldest_index = 0  # the index of the window's first
         self.window_bytes = 0  # of the window
         self.appended_bytes = 0  # bytes appended ever
-        self.behind = False  # nothing that is answered waits for a replica
+        self.asynchronous = False  # nothing that is answered waits for a replica
         self.followers: dict[str, FollowerProgress] = {}
 
     @property
-    def next(self) -> int:
+    def next_index(self) -> int:
         """The index that the next fact gets."""
-        return self.oldest + len(self.window)
+        return self.oldest_index + len(self.window)
 
     def append(self, fact: Fact, now: int) -> int:
         """Number a fact, at a time in microseconds; its index."""
-        index = bisect_left(self.owed, fact.number)
-        there = index < len(self.owed) and self.owed[index] == fact.number
-        if nothing_owed(fact.known):
+        index = bisect_left(self.pending_numbers, fact.number)
+        there = index < len(self.pending_numbers) and self.pending_numbers[index] == fact.number
+        if is_finished(fact.known):
             if there:
-                del self.owed[index]
+                del self.pending_numbers[index]
         elif not there:
-            insort(self.owed, fact.number)
+            insort(self.pending_numbers, fact.number)
         data = encode_fact(trimmed(fact))
         self.window.append(LoggedFact(data, now))
         self.window_bytes += len(data)
         self.appended_bytes += len(data)
         while len(self.window) > MAX_WINDOW_FACTS or self.window_bytes > MAX_WINDOW_BYTES and len(self.window) > 1:
             self.window_bytes -= len(self.window.popleft().data)
-            self.oldest += 1
-        return self.next - 1
+            self.oldest_index += 1
+        return self.next_index - 1
 
-    def follow(self, name: str, now: int) -> "FollowerProgress":
+    def add_follower(self, name: str, now: int) -> "FollowerProgress":
         """Begin to send to a replica."""
         self.followers[name] = FollowerProgress(self, now)
         return self.followers[name]
 
-    def unfollow(self, name: str) -> None:
+    def remove_follower(self, name: str) -> None:
         """Stop sending to a replica."""
         self.followers.pop(name, None)
 
-    def acked(self, successors: Iterable[str]) -> int:
+    def acked_by(self, successors: Iterable[str]) -> int:
         """The index below which each of these replicas has all facts in its file; -1: one lacks the start state."""
         found = [self.followers.get(name) for name in successors]
         return min(
-            (each.acked if each is not None and each.has_start_state else -1 for each in found), default=self.next
+            (each.acked_index if each is not None and each.has_start_state else -1 for each in found),
+            default=self.next_index,
         )
 
     def tail(self, first: int) -> list[bytes]:
         """Facts of the window from an index on, as many as a message takes."""
         taken: list[bytes] = []
         size = 0
-        for index in range(first - self.oldest, min(len(self.window), first - self.oldest + MESSAGE_FACTS)):
+        for index in range(first - self.oldest_index, min(len(self.window), first - self.oldest_index + MESSAGE_FACTS)):
             data = self.window[index].data
             size += len(data)
             if taken and size > MESSAGE_BYTES:
@@ -139,21 +140,21 @@
             taken.append(data)
         return taken
 
-    def owed_facts(self, after: int, upto: int) -> Iterator[tuple[int, bytes]]:
+    def pending_facts(self, after: int, upto: int) -> Iterator[tuple[int, bytes]]:
         """What is owed in a range, in ascending order, with its number."""
-        for index in range(bisect_right(self.owed, after), len(self.owed)):
-            number = self.owed[index]
+        for index in range(bisect_right(self.pending_numbers, after), len(self.pending_numbers)):
+            number = self.pending_numbers[index]
             if number > upto:
                 return
             fact = self.read(number)
             if fact is not None:
                 yield number, encode_fact(trimmed(fact))
 
-    def piece(self, after: int, upto: int) -> ReplicatePiece:
+    def build_piece(self, after: int, upto: int) -> ReplicatePiece:
         """All that is owed in a range, or in a first part of it."""
         taken: list[bytes] = []
         size, last = 0, after
-        for number, data in self.owed_facts(after, upto):
+        for number, data in self.pending_facts(after, upto):
             size += len(data)
             if taken and (size > MESSAGE_BYTES or len(taken) == MESSAGE_FACTS):
                 upto = last
@@ -161,15 +162,19 @@
             taken.append(data)
             last = number
         facts = encode_batch(taken)
-        return ReplicatePiece(self.partition, self.term, after, upto, facts, self.next, digest(facts), self.behind)
+        return ReplicatePiece(
+            self.partition, self.term, after, upto, facts, self.next_index, digest(facts), self.asynchronous
+        )
 
     def digest_ranges(self, after: int) -> tuple[DigestRange, ...]:
-        """Ranges from a number on, with what they hold; the last one of all ends at `EVERYTHING`."""
+        """Ranges from a number on, with what they hold; the last one of all ends at `MAX_MESSAGE_NUMBER`."""
         made: list[DigestRange] = []
-        while len(made) < RANGES_PER_MESSAGE and after < EVERYTHING:
-            index = bisect_right(self.owed, after) + RANGE_FACTS - 1
-            upto = self.owed[index] if index + 1 < len(self.owed) else EVERYTHING
-            made.append(DigestRange(after, upto, *count_and_digest(data for _, data in self.owed_facts(after, upto))))
+        while len(made) < RANGES_PER_MESSAGE and after < MAX_MESSAGE_NUMBER:
+            index = bisect_right(self.pending_numbers, after) + RANGE_FACTS - 1
+            upto = self.pending_numbers[index] if index + 1 < len(self.pending_numbers) else MAX_MESSAGE_NUMBER
+            made.append(
+                DigestRange(after, upto, *count_and_digest(data for _, data in self.pending_facts(after, upto)))
+            )
             after = upto
         return tuple(made)
 
@@ -212,7 +217,7 @@
         self.incarnation = -1  # the replica's incarnation
         self.problem = NO_PROBLEM  # of its last answer
         self.superseded = False  # it knows a newer term: the holder has lost the partition
-        self.sent = 0  # the index that is sent next
+        self.next_to_send = 0  # the index that is sent next
         self.unacked: deque[SentRange] = deque()  # of the tail
         self.unacked_piece: SentRange | None = None
         self.ranges_to_resend: deque[tuple[int, int]] = deque()  # ranges that differ
@@ -232,27 +237,27 @@
         """Whether it has all that is owed but for the tail, and that lies in the window."""
         return (
             self._is_in_window()
-            and self.position.covered == EVERYTHING
+            and self.position.covered_upto == MAX_MESSAGE_NUMBER
             and self.problem not in (OTHER_VERSION, NO_ROOM)
         )
 
     @property
     def has_start_state(self) -> bool:
         """Whether it has all that the term began with."""
-        return self.position.term == self.log.term and self.position.covered == EVERYTHING
+        return self.position.term == self.log.term and self.position.covered_upto == MAX_MESSAGE_NUMBER
 
     @property
-    def acked(self) -> int:
+    def acked_index(self) -> int:
         """Every fact with a lower index is in its file."""
-        return self.position.next if self.has_start_state else 0
+        return self.position.next_index if self.has_start_state else 0
 
     def lag(self, now: int) -> ReplicaLag:
         """Facts that it lacks, and for how many microseconds the oldest of them."""
-        first = self.position.next if self.position.term == self.log.term else 0
-        missing = self.log.next - first
+        first = self.position.next_index if self.position.term == self.log.term else 0
+        missing = self.log.next_index - first
         if missing <= 0:
             return ReplicaLag(0, 0)
-        return ReplicaLag(missing, now - self.log.window[max(0, first - self.log.oldest)].appended_at)
+        return ReplicaLag(missing, now - self.log.window[max(0, first - self.log.oldest_index)].appended_at)
 
     def next_message(self, now: int) -> ReplicateFacts | ReplicatePiece | Digests | None:
         """The message to send now; None while there is nothing to send or answers are awaited.
@@ -268,12 +273,12 @@
         if self.unacked and self.unacked[0].expires_at <= now:
             self._rewind()
         if self.incarnation < 0:
-            return None if self.unacked else self._tail(now, self.log.next)  # where are you?
+            return None if self.unacked else self._tail(now, self.log.next_index)  # where are you?
         piece = self._piece(now)
         if piece is not None or not self._is_in_window():
             return piece
-        if self.sent < self.log.next:
-            return self._tail(now, self.sent) if len(self.unacked) < MAX_UNACKED else None
+        if self.next_to_send < self.log.next_index:
+            return self._tail(now, self.next_to_send) if len(self.unacked) < MAX_UNACKED else None
         return self._compare(now)
 
     def receive_ack(self, now: int, message: ReplicaAck, incarnation: int) -> None:
@@ -288,11 +293,11 @@
         elif reported > self.position:
             self.position = reported
         # A replica ahead of this holder has facts of another holder, which this one could never send.
-        self.superseded |= reported[:2] > (self.log.term, self.log.next)
+        self.superseded |= reported[:2] > (self.log.term, self.log.next_index)
         self.problem = message.problem
         if self.position.term == self.log.term:
-            self.sent = max(self.sent, self.position.next)
-            while self.unacked and self.unacked[0].upto <= self.position.next:
+            self.next_to_send = max(self.next_to_send, self.position.next_index)
+            while self.unacked and self.unacked[0].upto <= self.position.next_index:
                 self.unacked.popleft()
         if message.problem:
             self._rewind()
@@ -300,7 +305,7 @@
         elif (
             self.unacked_piece is not None
             and self.position.term == self.log.term
-            and self.position.covered >= self.unacked_piece.upto
+            and self.position.covered_upto >= self.unacked_piece.upto
         ):
             self.unacked_piece = None
             self.pieces_taken += 1
@@ -327,7 +332,7 @@
                 self.ranges_resent += 1
         self.compare_from = sent[-1].upto if sent else self.compare_from
         self.compare_at = now + COMPARE_PAUSE_US
-        if self.compare_from == EVERYTHING:
+        if self.compare_from == MAX_MESSAGE_NUMBER:
             self.compare_from = self.log.partition << 32
             self.compare_at = max(now, self.comparison_began_at + COMPARE_INTERVAL_US)
             self.comparison_began_at = self.compare_at
@@ -340,27 +345,27 @@
 
     def _is_in_window(self) -> bool:
         """Whether the tail alone brings it up to date."""
-        return self.position.term == self.log.term and self.position.next >= self.log.oldest
+        return self.position.term == self.log.term and self.position.next_index >= self.log.oldest_index
 
     def _rewind(self) -> None:
         """Send again from the position that it has reported."""
         self.unacked.clear()
         self.unacked_piece = None
-        self.sent = self.position.next if self.position.term == self.log.term else self.log.next
+        self.next_to_send = self.position.next_index if self.position.term == self.log.term else self.log.next_index
 
     def _tail(self, now: int, first: int) -> ReplicateFacts:
         taken = self.log.tail(first)
         facts = encode_batch(taken)
-        self.sent = first + len(taken)
-        self.unacked.append(SentRange(self.sent, now + ACK_TIMEOUT_US))
+        self.next_to_send = first + len(taken)
+        self.unacked.append(SentRange(self.next_to_send, now + ACK_TIMEOUT_US))
         return ReplicateFacts(self.log.partition, self.log.term, first, facts, digest(facts))
 
     def _piece(self, now: int) -> ReplicatePiece | None:
         """The next piece of a walk or of what differs, where one is due and the pace allows it."""
         if not self._is_in_window():
-            span = 0, EVERYTHING
-        elif self.position.covered < EVERYTHING:
-            span = self.position.covered, EVERYTHING
+            span = 0, MAX_MESSAGE_NUMBER
+        elif self.position.covered_upto < MAX_MESSAGE_NUMBER:
+            span = self.position.covered_upto, MAX_MESSAGE_NUMBER
         elif self.ranges_to_resend:
             span = self.ranges_to_resend[0]
         else:
@@ -373,8 +378,8 @@
         self.piece_credit_bytes = min(self.piece_credit_bytes + grown, MESSAGE_BYTES)
         if self.piece_credit_bytes <= 0:
             return None
-        piece = self.log.piece(*span)
-        if self.position.covered == EVERYTHING and self._is_in_window():
+        piece = self.log.build_piece(*span)
+        if self.position.covered_upto == MAX_MESSAGE_NUMBER and self._is_in_window():
             self.ranges_to_resend.popleft()
             if piece.upto < span[1]:
                 self.ranges_to_resend.appendleft((piece.upto, span[1]))
@@ -383,8 +388,8 @@
         return piece
 
     def _compare(self, now: int) -> Digests | None:
-        if now < self.compare_at or self.position.covered < EVERYTHING:
+        if now < self.compare_at or self.position.covered_upto < MAX_MESSAGE_NUMBER:
             return None
         self.compare_at = now + COMPARE_RETRY_US  # where no answer comes
         self.compared_ranges = self.log.digest_ranges(self.compare_from)
-        return Digests(self.log.partition, self.log.term, self.compared_ranges, self.log.next)
+        return Digests(self.log.partition, self.log.term, self.compared_ranges, self.log.next_index)
--- a/cedarwick/fleet/replication_facts.py
+++ b/cedarwick/fleet/replication_facts.py
@@ -67,7 +67,7 @@
 
     attempts: Count  # in that term
     settled: bool  # whether its outcome is known; one that may have run is in `MessageKnowledge.ran` then
-    at: Count  # when it was sent, wall microseconds
+    sent_at: Count  # when it was sent, wall microseconds
     zone: Zone
 
 
@@ -76,7 +76,7 @@
 
     id: Text
     key: Text
-    turn: Annotated[int, msgspec.Meta(ge=0)]  # 0 for none; the whole of 64 bits
+    ordering_key: Annotated[int, msgspec.Meta(ge=0)]  # 0 for none; the whole of 64 bits
     priority_class: Text
     tenant: Text
     destination: Annotated[int, msgspec.Meta(ge=0, lt=1 << 32)]  # the range of a stored record
@@ -87,9 +87,9 @@
 class MessageKnowledge(msgspec.Struct, array_like=True, frozen=True):
     """What is known of a message's attempts and end."""
 
-    heads: Annotated[dict[Count, TermAttempts], msgspec.Meta(max_length=256)] = {}
-    ran: tuple[Count, Zone] | None = None  # when and where the first attempt was sent that may have run
-    doubt: Count = 0  # records are lost from then on; 0: none are
+    attempts_by_term: Annotated[dict[Count, TermAttempts], msgspec.Meta(max_length=256)] = {}
+    first_may_have_run: tuple[Count, Zone] | None = None  # when and where the first attempt was sent that may have run
+    records_lost_since: Count = 0  # records are lost from then on; 0: none are
     end: tuple[EndRank, Wait] = (EndRank.NONE, 0)  # and the advised wait in milliseconds
     move: tuple[Count, Text] | None = None  # the newest move
 
@@ -120,8 +120,8 @@
 def encode_fact(fact: Fact) -> bytes:
     """One fact, the same bytes for the same fact everywhere: its heads go by term."""
     known = fact.known
-    if len(known.heads) > 1:
-        known = msgspec.structs.replace(known, heads=dict(sorted(known.heads.items())))
+    if len(known.attempts_by_term) > 1:
+        known = msgspec.structs.replace(known, attempts_by_term=dict(sorted(known.attempts_by_term.items())))
         fact = Fact(fact.number, fact.base, known)
     return ENCODER.encode(fact)
 
@@ -175,14 +175,14 @@
     """The join of what two members know."""
     if a == b:
         return a
-    heads = dict(a.heads)
-    for term, head in b.heads.items():
+    heads = dict(a.attempts_by_term)
+    for term, head in b.attempts_by_term.items():
         heads[term] = max(heads.get(term, head), head)
-    ran, doubt, move = a.ran, a.doubt, a.move
-    if b.ran is not None and (ran is None or b.ran < ran):
-        ran = b.ran
-    if b.doubt and (not doubt or b.doubt < doubt):
-        doubt = b.doubt
+    ran, doubt, move = a.first_may_have_run, a.records_lost_since, a.move
+    if b.first_may_have_run is not None and (ran is None or b.first_may_have_run < ran):
+        ran = b.first_may_have_run
+    if b.records_lost_since and (not doubt or b.records_lost_since < doubt):
+        doubt = b.records_lost_since
     if b.move is not None and (move is None or b.move > move):
         move = b.move
     return MessageKnowledge(heads, ran, doubt, a.end if a.end > b.end else b.end, move)
@@ -204,22 +204,24 @@
 
 def may_have_run(known: MessageKnowledge) -> bool:
     """Whether an attempt may have run for all that any term can still say."""
-    return known.ran is not None or known.doubt > 0
+    return known.first_may_have_run is not None or known.records_lost_since > 0
 
 
-def nothing_owed(known: MessageKnowledge) -> bool:
+def is_finished(known: MessageKnowledge) -> bool:
     """Whether nothing more is owed."""
     return known.end[0] >= EndRank.NOTIFIED
 
 
-def attempts_of(known: MessageKnowledge) -> int:
+def total_attempts(known: MessageKnowledge) -> int:
     """How many attempts are known; one that two lives of a sender both know may be counted twice, none is left out."""
-    return sum(head.attempts for head in known.heads.values())
+    return sum(head.attempts for head in known.attempts_by_term.values())
 
 
 def unsettled_attempts(known: MessageKnowledge, term: int) -> list[tuple[int, int]]:
     """Times and zones of the attempts of terms before this one whose outcome nobody knows, the earliest first."""
-    return sorted((head.at, head.zone) for of, head in known.heads.items() if of < term and not head.settled)
+    return sorted(
+        (head.sent_at, head.zone) for of, head in known.attempts_by_term.items() if of < term and not head.settled
+    )
 
 
 def with_unsettled_as_run(known: MessageKnowledge, term: int) -> MessageKnowledge:
@@ -229,12 +231,12 @@
     'may have run'.
     """
     out = unsettled_attempts(known, term)
-    return join(known, MessageKnowledge(ran=out[0])) if out else known
+    return join(known, MessageKnowledge(first_may_have_run=out[0])) if out else known
 
 
-def in_doubt(fact: Fact, since: int) -> Fact:
+def with_records_lost(fact: Fact, since: int) -> Fact:
     """A fact of which updates may be lost, from a wall time on."""
-    return Fact(fact.number, fact.base, join(fact.known, MessageKnowledge(doubt=since)))
+    return Fact(fact.number, fact.base, join(fact.known, MessageKnowledge(records_lost_since=since)))
 
 
 def with_end(fact: Fact, rank: EndRank) -> Fact:
@@ -291,10 +293,10 @@
     without a base, and if nothing more is owed.
     """
     base, known = fact.base, fact.known
-    if base is None or nothing_owed(known):
+    if base is None or is_finished(known):
         raise ValueError(f"message {fact.number} is not owed, or its base is not known")
     out = unsettled_attempts(known, 1 << 63)
-    may_have = sorted({*out, *([known.ran] if known.ran else [])})
+    may_have = sorted({*out, *([known.first_may_have_run] if known.first_may_have_run else [])})
     ran, last = (may_have[0], may_have[-1]) if may_have else ((0, 0), (0, 0))
     if last == ran:
         last = (0, 0)
@@ -303,15 +305,15 @@
         fact.number,
         base.id,
         base.key,
-        base.turn,
+        base.ordering_key,
         base.priority_class,
         base.tenant,
         base.destination,
         base.deadline,
         base.body,
-        min(attempts_of(known), MAX_ATTEMPTS),
+        min(total_attempts(known), MAX_ATTEMPTS),
         *ran,
         *last,
-        min(filter(None, (known.doubt, doubt_at)), default=0),
+        min(filter(None, (known.records_lost_since, doubt_at)), default=0),
         None if rank is EndRank.NONE else (rank is EndRank.RETURNED, wait),
     )
--- a/cedarwick/fleet/replication_pumps.py
+++ b/cedarwick/fleet/replication_pumps.py
@@ -23,13 +23,13 @@
         wanted = set(self._wanted_replicas(holding))
         for name in sorted(wanted | (successors & set(self.halls))):
             if (holding.partition, name) not in self.pumps:
-                follower = holding.log.followers.get(name) or holding.log.follow(name, now)
+                follower = holding.log.followers.get(name) or holding.log.add_follower(name, now)
                 self.pumps[holding.partition, name] = gevent.spawn(
                     self._pump, holding, holding.log.term, name, follower
                 )
         for name in set(holding.log.followers) - wanted - successors:
             # The old replica stays until a majority knows a set of successors without it.
-            holding.log.unfollow(name)
+            holding.log.remove_follower(name)
 
     def _pump(self, holding: LeasedPartition, term: int, name: str, follower: FollowerProgress) -> None:
         """Send a replica what it lacks, until it is not followed any more."""
@@ -39,7 +39,7 @@
                 self.store.replication_progress.clear()
                 self.store.replication_progress.wait(0.05)
                 continue
-            holding.sent_upto = max(holding.sent_upto, follower.sent)
+            holding.sent_upto = max(holding.sent_upto, follower.next_to_send)
             gevent.spawn(self._send, follower, name, message)
             gevent.sleep(0 if self.store.ack_after_replication else REPLICATE_PAUSE_S)
         self.pumps.pop((holding.partition, name), None)
@@ -106,9 +106,9 @@
         earlier ones.
         """
         bound, log = holding.adoption.holder.possible_successors, holding.log
-        joining = {name: holding.joining.get(name, (log.next, now)) for name in whole if name not in bound}
+        joining = {name: holding.joining.get(name, (log.next_index, now)) for name in whole if name not in bound}
         for name, (index, since) in joining.items():
-            if log.acked([name]) < index and now - since > STARVED_US:
+            if log.acked_by([name]) < index and now - since > STARVED_US:
                 self.replica_refused_at[name] = now  # it does not keep up: another one is asked
         if joining.keys() - holding.joining.keys() and holding.alone_since:
             logger.info("partition {}: replicas follow again", holding.partition)
@@ -117,7 +117,7 @@
         return [
             name
             for name in whole
-            if name in bound or name in holding.joining and log.acked([name]) >= holding.joining[name][0]
+            if name in bound or name in holding.joining and log.acked_by([name]) >= holding.joining[name][0]
         ]
 
     def _note_replication_timeout(self, holding: LeasedPartition) -> None:
@@ -145,7 +145,7 @@
                 holding.alone_since = now
                 holding.starved_at = holding.starved_at or now - STARVED_US
             return self.settings.alone == "own"
-        if holding.starved_at and holding.log.acked(successors) >= holding.log.next:
+        if holding.starved_at and holding.log.acked_by(successors) >= holding.log.next_index:
             if holding.alone_since or holding.is_starving(now):
                 logger.info("partition {}: replicas follow again", holding.partition)
             holding.starved_at = holding.alone_since = 0
--- a/cedarwick/fleet/request_handling.py
+++ b/cedarwick/fleet/request_handling.py
@@ -81,7 +81,7 @@
         raise UnknownPeerMessageError(f"a {type(body).__name__} from {sender!r}")
 
     def _replicate(self, body: ReplicateFacts | ReplicatePiece | Digests) -> Body:
-        holding = self.store.holdings.get(body.partition)
+        holding = self.store.leased_partitions.get(body.partition)
         if holding is not None and holding.adoption.stage in (TakeoverStage.HOLDING, TakeoverStage.CLOSING):
             # A former holder that was paused must not count this member as its replica: the partition is held here.
             if isinstance(body, Digests):
@@ -89,10 +89,12 @@
             return ReplicaAck(body.partition, holding.adoption.holder.term, 0, OLD_TERM)
         self.replica_written_at[body.partition] = monotonic_time()
         if isinstance(body, Digests):
-            return self.replicas.digests(body)
+            return self.replicas.compare_digests(body)
         if isinstance(body, ReplicateFacts):
             self._wait_for_earlier(body)
-        have = self.replicas.facts(body) if isinstance(body, ReplicateFacts) else self.replicas.piece(body)
+        have = (
+            self.replicas.receive_facts(body) if isinstance(body, ReplicateFacts) else self.replicas.receive_piece(body)
+        )
         if self.replicas.unsynced:
             self.replicas.flush(lambda sync, file: gevent.get_hub().threadpool.apply(sync, (file,)))
         if body.partition not in self.adoptions and self.replicas.replica(body.partition) is not None:
@@ -108,7 +110,7 @@
         while (
             (replica := self.replicas.replica(body.partition)) is not None
             and replica.position.term == body.term
-            and replica.position.next < body.first
+            and replica.position.next_index < body.first
             and monotonic_time() < until
         ):
             gevent.sleep(0.0005)
--- a/cedarwick/fleet/session_inheritance.py
+++ b/cedarwick/fleet/session_inheritance.py
@@ -71,7 +71,7 @@
         """Claim a session whose last holder's partition is held here; returns whether to rule on it again."""
         now, entry = monotonic_time(), self.directory.entry(key, monotonic_time())
         partition = self._newest_partition(entry.holder) if entry is not None else 0
-        inheritable, holding = self.inheritable_sessions.get(partition), self.store.holdings.get(partition)
+        inheritable, holding = self.inheritable_sessions.get(partition), self.store.leased_partitions.get(partition)
         if (
             entry is None
             or inheritable is None
@@ -124,7 +124,7 @@
         for fact in facts:
             stored, known = self.store.messages.get(fact.number), holding.ledger.known.get(fact.number)
             if known is None:
-                if fact.base is not None and fact.base.turn in inheritable.inherited_keys:
+                if fact.base is not None and fact.base.ordering_key in inheritable.inherited_keys:
                     continue  # no copy had it: its client saw no answer and may have come here with it
             elif stored is not None and stored.order_key in inheritable.inherited_keys and known.end[0] is EndRank.NONE:
                 withdrawn = fact.known.end[0] is EndRank.NOTIFIED and not (fact.known.move and fact.known.move[1])
--- a/cedarwick/fleet/session_migration.py
+++ b/cedarwick/fleet/session_migration.py
@@ -203,7 +203,8 @@
             return
         partitions = {number >> 32 for number in numbers}
         if not all(
-            partition in self.store.holdings and self.store.holdings[partition].serving for partition in partitions
+            partition in self.store.leased_partitions and self.store.leased_partitions[partition].serving
+            for partition in partitions
         ):
             return
         if not at_source and not self.store.replication_check(partitions)():
@@ -223,7 +224,7 @@
     def _answer_late(self) -> None:
         soon = self.clock.now() + ANSWER_AHEAD_US
         for number, (_, text) in list(self.store.migrating.items()):
-            stored, holding = self.store.messages.get(number), self.store.holdings.get(number >> 32)
+            stored, holding = self.store.messages.get(number), self.store.leased_partitions.get(number >> 32)
             if stored is None or stored.final_answer is not None or stored.deadline > soon or holding is None:
                 continue
             if holding.serving and self.moves.near_deadline(text[1:]) == "failed" and text[:1] == SOURCE_MARK:
--- a/cedarwick/fleet/session_routing.py
+++ b/cedarwick/fleet/session_routing.py
@@ -142,7 +142,10 @@
         if isinstance(body, ForwardedSubmit):
             return self._answer_forwarded(sender, body)
         if isinstance(body, SessionLocations):
-            first = self.fleet_files.first and self.first_incarnations.setdefault(sender, incarnation) == incarnation
+            first = (
+                self.fleet_files.is_first_boot
+                and self.first_incarnations.setdefault(sender, incarnation) == incarnation
+            )
             self._receive_locations(sender, body, now)
             return self._location_update((), first)
         if isinstance(body, SessionClaim | SessionInheritance):
@@ -206,7 +209,7 @@
                 gevent.spawn(self._send_locations, name, locations)
 
     def _send_locations(self, name: str, locations: tuple[SessionLocation, ...]) -> None:
-        first = self.fleet_files.first and name not in self.first_incarnations
+        first = self.fleet_files.is_first_boot and name not in self.first_incarnations
         answer = self._call(name, self._location_update(locations, first), LOCATIONS_INTERVAL_US / US_PER_S)
         if not isinstance(answer, SessionLocations):
             return
@@ -214,7 +217,7 @@
         self._receive_locations(name, answer, now)
         self.migrations.learned(name, answer.stamp)
         # Only if no member has run before: one that forgot sessions must wait until ids of that time cannot come again.
-        if answer.first and self.fleet_files.first:
+        if answer.first and self.fleet_files.is_first_boot:
             self.members_without_history.add(name)
             if len(self.members_without_history) == len(self.node.halls) - 1 and self.directory.grants_at > now:
                 self.directory.grants_at = now
--- a/cedarwick/fleet/takeover_offers.py
+++ b/cedarwick/fleet/takeover_offers.py
@@ -37,7 +37,7 @@
 
     def _send_offer(self, adoption: Takeover, to: str) -> None:
         """Offer what this member knows to the newer holder, in parts of `OFFER_PART_BYTES`."""
-        holding = self.store.holdings.get(adoption.partition)
+        holding = self.store.leased_partitions.get(adoption.partition)
         if holding is not None and not holding.ledger.term:
             # What an earlier process of this sender has taken or learned may be nowhere but in this store.
             self.store.resume_ledger(holding, self._recorded_term(adoption.partition))
@@ -70,7 +70,7 @@
 
     def _answer_offer(self, sender: str, body: TakeoverOffer) -> OfferReply:
         """Answer an earlier holder of a partition held here that offers what it knows."""
-        holding = self.store.holdings.get(body.partition)
+        holding = self.store.leased_partitions.get(body.partition)
         if holding is None and self.grantor.grant(lease_of(body.partition)).closed:
             return OfferReply(body.partition, body.part, PARTITION_CLOSED)
         if holding is None or not holding.imported or holding.adoption.stage is not TakeoverStage.HOLDING:
--- a/cedarwick/lab/fleetbench.py
+++ b/cedarwick/lab/fleetbench.py
@@ -27,7 +27,7 @@
 import psutil
 
 from cedarwick.fleet.messages import PeerBody, ReplicaAck, ReplicateFacts, ReplicatePiece, decode
-from cedarwick.fleet.replication import EVERYTHING
+from cedarwick.fleet.replication import MAX_MESSAGE_NUMBER
 from cedarwick.fleet.replication_facts import decode_facts
 from cedarwick.lab.ceiling import drive, program, steady
 from cedarwick.lab.fleet import Fleet
@@ -311,7 +311,7 @@
                 continue
             if isinstance(body, ReplicatePiece):
                 pieces.append((at, body))
-            elif pieces and body.covered == EVERYTHING:
+            elif pieces and body.covered == MAX_MESSAGE_NUMBER:
                 return pieces, at
         return pieces, 0
 
