--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -151,7 +151,7 @@
             + ", ".join(fault.on[:6])
             + (f" and {len(fault.on) - 6} more" if len(fault.on) > 6 else "")
         )
-    broken = result.verdict.broken()
+    broken = result.verdict.counts_by_rule()
     for rule in sorted(broken):
         first = next(each for each in result.verdict.findings if each.rule == rule)
         out.print(
--- a/cedarwick/lab/audit.py
+++ b/cedarwick/lab/audit.py
@@ -6,7 +6,7 @@
 
 from cedarwick.lab import audit_rules
 from cedarwick.lab.audit_account import account
-from cedarwick.lab.audit_cases import Lives, Verdict, cases_of
+from cedarwick.lab.audit_cases import ProcessTimes, Verdict, cases_of
 from cedarwick.lab.history import History
 from cedarwick.lab.scenario import Scenario
 
@@ -14,19 +14,19 @@
 def judge(scenario: Scenario, history: History, ended: int) -> Verdict:
     """Account for every message and judge the rules; `ended` is when the watching stopped, in microseconds."""
     cases = cases_of(history)
-    lives = Lives(history)
+    process_times = ProcessTimes(history)
     findings = [
-        *audit_rules.strangers(cases),
-        *audit_rules.lost(scenario, cases, lives, ended),
-        *audit_rules.sent_after_end(scenario, cases, lives),
-        *audit_rules.cut_off(cases, lives),
-        *audit_rules.effects(scenario, cases, lives),
-        *audit_rules.two_out(cases, lives),
-        *audit_rules.drains(scenario, history, lives),
-        *audit_rules.pushed_over(scenario, history),
-        *audit_rules.order(scenario, cases, lives),
-        *audit_rules.waits(scenario, history, lives),
-        *audit_rules.unowed(history, lives),
-        *audit_rules.crashed(history),
+        *audit_rules.unknown_messages(cases),
+        *audit_rules.overdue_messages(scenario, cases, process_times, ended),
+        *audit_rules.calls_after_final_answer(scenario, cases, process_times),
+        *audit_rules.unanswered_connections(cases, process_times),
+        *audit_rules.repeated_effects(scenario, cases, process_times),
+        *audit_rules.concurrent_attempts(cases, process_times),
+        *audit_rules.calls_while_draining(scenario, history, process_times),
+        *audit_rules.overloads_while_warming_up(scenario, history),
+        *audit_rules.order_violations(scenario, cases, process_times),
+        *audit_rules.calls_during_waits(scenario, history, process_times),
+        *audit_rules.unanswered_bad_clients(history, process_times),
+        *audit_rules.crashed_processes(history),
     ]
     return Verdict(account(scenario, cases, findings), findings)
--- a/cedarwick/lab/clients.py
+++ b/cedarwick/lab/clients.py
@@ -10,7 +10,7 @@
 import gevent.socket
 import xxhash
 
-from cedarwick.lab.day import Day, body_of
+from cedarwick.lab.day import Day, message_body
 from cedarwick.lab.history import Handed, Rude
 from cedarwick.lab.scenario import PriorityClass, Scenario
 from cedarwick.lab.senders import Instance
@@ -22,7 +22,7 @@
 CONNECT = 0.4
 
 
-def command(*parts: bytes) -> bytes:
+def encode_command(*parts: bytes) -> bytes:
     """An array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
@@ -73,7 +73,7 @@
         self.patience = scenario.clients.patience_ms / 1000
         self.idle: dict[tuple[str, int], list[gevent.socket.socket]] = {}
         self.returned: dict[str, Callable[[int], None]] = {}  # by id: what comes again if the platform says so
-        self.busy = 0
+        self.open_requests = 0
         self.done = False
 
     def run(self, arrivals: list[Arrival]) -> None:
@@ -108,7 +108,7 @@
         left = (outer - self.day.now()) // MS
         if left <= LEAST_LEFT // MS:
             return
-        self.busy += 1
+        self.open_requests += 1
         try:
             instance = self.sender_pool.choose(arrival.turn)
             handed = Handed(
@@ -124,7 +124,7 @@
                 instance.number,
                 again=again,
             )
-            self.day.sizes[id] = arrival.size
+            self.day.body_sizes[id] = arrival.size
             self.day.history.add(handed)
             if number + 1 < len(arrival.waits):
                 self.returned[id] = lambda after: self._later(arrival, number, max(after, arrival.waits[number]))
@@ -132,10 +132,12 @@
             marks = (",r=1" if refused else "") + (",again=1" if again else "") if self.scenario.clients.marks else ""
             pairs = f"c={arrival.priority_class},d={left},dest={arrival.destination}"
             pairs += (f",k={arrival.key}" if arrival.key else "") + marks
-            request = command(b"SUBMIT", arrival.turn.encode(), id.encode(), pairs.encode(), body_of(id, arrival.size))
+            request = encode_command(
+                b"SUBMIT", arrival.turn.encode(), id.encode(), pairs.encode(), message_body(id, arrival.size)
+            )
             self._ask(instance, request, handed)
         finally:
-            self.busy -= 1
+            self.open_requests -= 1
         if handed.answer != "ok" and number + 1 < len(arrival.waits):
             self.returned.pop(id, None)
             if handed.answer in ("none", "cut"):
@@ -214,7 +216,7 @@
             return None, False
 
 
-def rude_forms(priority_class: str) -> dict[str, bytes]:
+def bad_client_requests(priority_class: str) -> dict[str, bytes]:
     """What bad clients send, by name; each of these has to be answered by an error or a close."""
     submit = (b"SUBMIT", b"0" * 16)
     pairs = f"c={priority_class},d=4000,dest=0".encode()
@@ -224,18 +226,22 @@
         "a negative length": b"*-7\r\n",
         "a huge length": b"*2\r\n$6\r\nSUBMIT\r\n$99999999999\r\n",
         "a value of 2 MB": b"*2\r\n$6\r\nSUBMIT\r\n$2000000\r\n" + b"v" * 2_000_000,
-        "an unknown priority class": command(*submit, b"rude1", b"c=nobody,d=4000,dest=0", b"x"),
-        "an unknown destination": command(*submit, b"rude2", f"c={priority_class},d=4000,dest=999999".encode(), b"x"),
-        "a time that is no number": command(*submit, b"rude3", f"c={priority_class},d=soon,dest=0".encode(), b"x"),
-        "no id": command(b"SUBMIT", b"0" * 16, pairs, b"x"),
-        "an unknown command": command(b"FLUSHALL"),
-        "a hundred commands at once": command(b"WHO") * 100,
+        "an unknown priority class": encode_command(*submit, b"rude1", b"c=nobody,d=4000,dest=0", b"x"),
+        "an unknown destination": encode_command(
+            *submit, b"rude2", f"c={priority_class},d=4000,dest=999999".encode(), b"x"
+        ),
+        "a time that is no number": encode_command(
+            *submit, b"rude3", f"c={priority_class},d=soon,dest=0".encode(), b"x"
+        ),
+        "no id": encode_command(b"SUBMIT", b"0" * 16, pairs, b"x"),
+        "an unknown command": encode_command(b"FLUSHALL"),
+        "a hundred commands at once": encode_command(b"WHO") * 100,
         "silence": b"",
-        "half a command": command(*submit, b"rude4", pairs, b"x")[:-5],
+        "half a command": encode_command(*submit, b"rude4", pairs, b"x")[:-5],
     }
 
 
-def be_rude(day: Day, instance: Instance, form: str, request: bytes) -> None:
+def run_bad_client(day: Day, instance: Instance, form: str, request: bytes) -> None:
     """One bad client's connection; it reads whatever is sent to it."""
     record = Rude(instance.number, day.now(), form, -1, "")
     try:
--- a/cedarwick/lab/closed.py
+++ b/cedarwick/lab/closed.py
@@ -12,8 +12,8 @@
 import gevent
 import gevent.socket
 
-from cedarwick.lab.clients import command
-from cedarwick.lab.day import body_of
+from cedarwick.lab.clients import encode_command
+from cedarwick.lab.day import message_body
 
 
 def ask(
@@ -35,7 +35,7 @@
         number += 1
         id = f"{tag}{client:04x}{number:08x}"
         pairs = f"c={priority_class},d=20000,dest={(client + number) % destinations}".encode()
-        sock.sendall(command(b"SUBMIT", b"0" * 16, id.encode(), pairs, body_of(id, size)))
+        sock.sendall(encode_command(b"SUBMIT", b"0" * 16, id.encode(), pairs, message_body(id, size)))
         reply = sock.recv(256)
         if not reply:
             answers["cut"] += 1
--- a/cedarwick/lab/history.py
+++ b/cedarwick/lab/history.py
@@ -137,7 +137,7 @@
     by: int
 
 
-Any_ = Handed | Called | Noticed | Heard | Away | Gone | Life | Rude | Sampled | Late
+AnyRecord = Handed | Called | Noticed | Heard | Away | Gone | Life | Rude | Sampled | Late
 
 
 class History:
@@ -155,10 +155,10 @@
         self.sampled: list[Sampled] = []
         self.late: list[Late] = []
 
-    def add(self, record: Any_) -> None:
+    def add(self, record: AnyRecord) -> None:
         getattr(self, type(record).__name__.lower()).append(record)
 
-    def records(self) -> Iterator[Any_]:
+    def records(self) -> Iterator[AnyRecord]:
         for each in vars(self).values():
             yield from each
 
@@ -176,10 +176,10 @@
     remedy = "play the day again; the file that is named was cut or changed after it was written"
 
 
-def read(path: str) -> History:
+def read_history(path: str) -> History:
     """A history that was written before; `CorruptHistoryError` names the line that cannot be read."""
     history = History()
-    decoder: msgspec.json.Decoder[Any_] = msgspec.json.Decoder(Any_)
+    decoder: msgspec.json.Decoder[AnyRecord] = msgspec.json.Decoder(AnyRecord)
     with open(path, "rb") as file:
         for number, line in enumerate(file, 1):
             try:
--- a/cedarwick/lab/load.py
+++ b/cedarwick/lab/load.py
@@ -16,8 +16,8 @@
 import gevent.socket
 import msgspec
 
-from cedarwick.lab.clients import command
-from cedarwick.lab.day import Day, body_of
+from cedarwick.lab.clients import encode_command
+from cedarwick.lab.day import Day, message_body
 from cedarwick.lab.figures import LONGEST, Quantiles, quantiles, recorder
 from cedarwick.lab.workload import source
 from cedarwick.net.sockets import open_connection
@@ -120,7 +120,7 @@
             dict(self.answers),
             quantiles(self.took),
             quantiles(self.service),
-            round(self.day.worst_lag / 1000, 1),
+            round(self.day.worst_lag_us / 1000, 1),
             self.void(),
         )
 
@@ -144,7 +144,7 @@
         plan = self.plan
         id = f"{self.nonce}{number:08x}"
         pairs = f"c={plan.priority_class},d={plan.outer_ms},dest={plan.first + number % plan.destinations}".encode()
-        request = command(b"SUBMIT", b"0" * 16, id.encode(), pairs, body_of(id, plan.size))
+        request = encode_command(b"SUBMIT", b"0" * 16, id.encode(), pairs, message_body(id, plan.size))
         with line.room:  # waiting for a connection is part of the time
             sent = self.day.now()
             answer = self._ask(line, request)
@@ -186,7 +186,7 @@
     try:
         with gevent.socket.create_connection(address, seconds) as sock:
             sock.settimeout(seconds)
-            sock.sendall(command(b"PING"))
+            sock.sendall(encode_command(b"PING"))
             return bool(sock.recv(16).startswith(b"+PONG"))
     except OSError:
         return False
--- a/cedarwick/lab/message_story.py
+++ b/cedarwick/lab/message_story.py
@@ -31,7 +31,7 @@
 
 def day_offset(day: Day) -> int:
     """Microseconds to subtract from a wall-clock time for the time of the day."""
-    return (time.time_ns() - time.monotonic_ns() + day.begun) // 1000
+    return (time.time_ns() - time.monotonic_ns() + day.start_ns) // 1000
 
 
 def traced(log: str, id: str, sender: str, offset: int) -> list[StoryLine]:
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -94,7 +94,7 @@
         day.history,
         verdict,
         figures_of(scenario, day.history, drawn.length, verdict.account),
-        day.void(),
+        day.void_reason(),
         time.monotonic() - begun,
         out,
         versions(),
@@ -139,7 +139,7 @@
     while day.now() < last:
         gevent.sleep(LOOK)
         progress(day, clients, last)
-        owed = not clients.done or clients.busy or faults.under_way or _open(day.history)
+        owed = not clients.done or clients.open_requests or faults.under_way or _open(day.history)
         quiet_since = 0 if owed else quiet_since or day.now()
         if quiet_since and day.now() - quiet_since > WATCH_ON:
             break
--- a/cedarwick/lab/senders.py
+++ b/cedarwick/lab/senders.py
@@ -62,7 +62,7 @@
         self.process: subprocess.Popen[bytes] | None = None
         self.starts = 0
         self.expected_to_end: set[int] = set()  # processes, by id
-        self.held_down = 0  # faults that keep it from running
+        self.faults_holding_down = 0  # faults that keep it from running
         self.disk_mb = scenario.limits.disk_mb
         self.ready_at = -1
 
@@ -93,7 +93,7 @@
         gevent.spawn(self._reap, self.process)
         end_at = self.day.now() + round(READY_IN * 1_000_000)
         while not self._pongs():
-            if self.held_down:
+            if self.faults_holding_down:
                 return  # another fault has ended it meanwhile, and will start it again
             if (status := self.process.poll()) is not None:
                 raise self._not_ready(f"ended with status {status} before it answered PING")
@@ -105,7 +105,7 @@
 
     def take_down(self, gently: bool) -> None:
         """Begin a fault that ends the process, if one runs, and keeps it down until its `bring_up`."""
-        self.held_down += 1
+        self.faults_holding_down += 1
         process = self.process
         if process is None or process.poll() is not None:
             return
@@ -118,8 +118,8 @@
 
     def bring_up(self) -> None:
         """End such a fault; the last one of several that overlap starts the process again."""
-        self.held_down -= 1
-        if not self.held_down:
+        self.faults_holding_down -= 1
+        if not self.faults_holding_down:
             self.start()
 
     def _operator(self) -> dict[str, str]:
@@ -157,7 +157,7 @@
         self._life("stopped")
         self.send_signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """SIGCONT."""
         self.send_signal(signal.SIGCONT)
         self._life("continued")
--- a/cedarwick/lab/serve.py
+++ b/cedarwick/lab/serve.py
@@ -44,4 +44,4 @@
                 instance.end()
             environment.close()
     calls = sum(server.calls for server in environment.servers)
-    say(f"{calls} calls were answered; the emulator was at most {day.worst_lag / 1000:.0f} ms late")
+    say(f"{calls} calls were answered; the emulator was at most {day.worst_lag_us / 1000:.0f} ms late")
--- a/cedarwick/lab/virtual_faults.py
+++ b/cedarwick/lab/virtual_faults.py
@@ -11,7 +11,7 @@
 
 from cedarwick.lab.history import Gone
 from cedarwick.lab.relay import Fault
-from cedarwick.lab.schedule import LINKS, DrawnFault
+from cedarwick.lab.schedule import LINK_KINDS, DrawnFault
 from cedarwick.lab.virtual_network import Network
 from cedarwick.lab.virtual_senders import Sender
 from cedarwick.lab.virtual_state import LOOK, DayState, Pair, usual_disk
@@ -32,7 +32,7 @@
         self.day.sleep_until(begun + drawn.begin)
         logger.info("{}", drawn.line())
         end = begun + drawn.end
-        if drawn.kind in LINKS and drawn.fault is not None:
+        if drawn.kind in LINK_KINDS and drawn.fault is not None:
             with self._spoilt(drawn, drawn.fault, drawn.pairs):
                 self.day.sleep_until(end)
         elif drawn.kind == "split":
