--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -100,7 +100,7 @@
             time.monotonic() - begun,
             f"{chosen.name}: {day.now() / 1e6:5.1f} s of at most {last / 1e6:.0f}, "
             f"{len(history.handed)} handed in, {len(history.called)} calls, "
-            f"{len(history.noticed)} notices" + (", all have arrived" if clients.done else ""),
+            f"{len(history.noticed)} notices" + (", all have arrived" if clients.all_started else ""),
         )
 
     stop_on_signals(lambda: os._exit(1))
--- a/cedarwick/lab/audit.py
+++ b/cedarwick/lab/audit.py
@@ -6,14 +6,14 @@
 
 from cedarwick.lab import audit_rules
 from cedarwick.lab.audit_account import account
-from cedarwick.lab.audit_cases import ProcessTimes, Verdict, cases_of
+from cedarwick.lab.audit_cases import ProcessTimes, Verdict, cases_by_id
 from cedarwick.lab.history import History
 from cedarwick.lab.scenario import Scenario
 
 
 def judge(scenario: Scenario, history: History, ended: int) -> Verdict:
     """Account for every message and judge the rules; `ended` is when the watching stopped, in microseconds."""
-    cases = cases_of(history)
+    cases = cases_by_id(history)
     process_times = ProcessTimes(history)
     findings = [
         *audit_rules.unknown_messages(cases),
--- a/cedarwick/lab/audit_cases.py
+++ b/cedarwick/lab/audit_cases.py
@@ -13,7 +13,7 @@
 FOREVER = 1 << 62  # a time after all others
 ORDER_TOLERANCE_US = 20 * MS  # what one loop reads so close together has no order beyond doubt
 COMPLETE_REFUSALS = ("", "pieces", "last")  # refusals that came whole, if late
-NOT_RUN = (429, 503, 504, 410)
+NEVER_RAN_STATUSES = (429, 503, 504, 410)
 
 
 class Finding(msgspec.Struct, frozen=True):
@@ -80,7 +80,7 @@
         return min((call.ended for call in self.calls if call.status == 200), default=NEVER)
 
 
-def cases_of(history: History) -> dict[str, Case]:
+def cases_by_id(history: History) -> dict[str, Case]:
     """All that was seen of each message, by its id; its calls in the order in which they began."""
     cases: defaultdict[str, Case] = defaultdict(Case)
     for handed in history.handed:
@@ -130,7 +130,7 @@
         return due
 
 
-def finding(rule: int, text: str, *cases: Case, ids: Iterable[str] = ()) -> Finding:
+def make_finding(rule: int, text: str, *cases: Case, ids: Iterable[str] = ()) -> Finding:
     known = [case.handed.id if case.handed else case.calls[0].id for case in cases if case.handed or case.calls]
     return Finding(rule, tuple([*known, *ids]), text, tuple(each for case in cases for each in case.seen()))
 
@@ -141,4 +141,4 @@
 
 def may_have_run(call: Called) -> bool:
     """Whether the caller cannot know that the call never ran. A spoilt refusal says nothing."""
-    return call.status not in NOT_RUN or call.spoilt not in COMPLETE_REFUSALS
+    return call.status not in NEVER_RAN_STATUSES or call.spoilt not in COMPLETE_REFUSALS
--- a/cedarwick/lab/audit_subscribers.py
+++ b/cedarwick/lab/audit_subscribers.py
@@ -85,14 +85,18 @@
         for match in sorted(matches, key=lambda match: match.at):  # stable: what came at once stays as it came
             if match.number <= last:
                 how = "twice" if match.number in [each.number for each in matches if each is not match] else "late"
-                yield finding_of(15, f"{name} got number {match.number} of {source} {how}, after number {last}", match)
+                yield finding_on_record(
+                    15, f"{name} got number {match.number} of {source} {how}, after number {last}", match
+                )
             last = max(last, match.number)
             if source in sources and (name, source, match.number) not in meant:
-                yield finding_of(
+                yield finding_on_record(
                     15, f"{name} got number {match.number} of {source}, which its filter does not meet", match
                 )
             if name in over and match.at > over[name] + ORDER_TOLERANCE_US:
-                yield finding_of(16, f"{name} ended at {in_seconds(over[name])} and got an event afterwards", match)
+                yield finding_on_record(
+                    16, f"{name} ended at {in_seconds(over[name])} and got an event afterwards", match
+                )
     yield from missing(watched, got, over)
 
 
@@ -113,10 +117,10 @@
                 gap.subscription == name and gap.source == event.source and gap.first <= event.number <= gap.last
                 for gap in watched.gaps
             ):
-                yield finding_of(
+                yield finding_on_record(
                     15, f"{name} never got number {event.number} of {event.source}, and no gap tells of it", event
                 )
 
 
-def finding_of(rule: int, text: str, record: msgspec.Struct) -> Finding:
+def finding_on_record(rule: int, text: str, record: msgspec.Struct) -> Finding:
     return Finding(rule, (), text, (msgspec.to_builtins(record),))
--- a/cedarwick/lab/ceiling.py
+++ b/cedarwick/lab/ceiling.py
@@ -155,5 +155,5 @@
             gevent.sleep(0.05)
         yield process, instance.address
     finally:
-        instance.end()
+        instance.shut_down()
         agent.close()
--- a/cedarwick/lab/day.py
+++ b/cedarwick/lab/day.py
@@ -24,7 +24,7 @@
         self.body_sizes: dict[str, int] = {}  # the bodies' sizes by id, as submitted
         self.worst_lag_us = 0
         self.processor_waits_us: dict[str, int] = {}  # by sender: how long it waited for a processor, at most
-        self.failed = ""  # what the emulator itself could not do
+        self.failure = ""  # what the emulator itself could not do
 
     def begin(self) -> None:
         """Set the begin of the day to now; records made before it get negative times."""
@@ -50,8 +50,8 @@
 
     def void_reason(self) -> str:
         """Why this day says nothing about the senders; empty where it does."""
-        if self.failed:
-            return self.failed
+        if self.failure:
+            return self.failure
         if self.worst_lag_us > VOID:
             return f"the emulator's loop was {self.worst_lag_us / 1000:.0f} ms late"
         for name, waited in self.processor_waits_us.items():
--- a/cedarwick/lab/faults.py
+++ b/cedarwick/lab/faults.py
@@ -50,7 +50,7 @@
         try:
             on = self._one(fault)
         except (OSError, SenderNotReadyError) as error:
-            self.day.failed = f"the fault {fault.kind} could not be carried out: {describe(error)}"
+            self.day.failure = f"the fault {fault.kind} could not be carried out: {describe(error)}"
         finally:
             self.under_way -= 1
             self.day.history.add(Gone(fault.number, fault.kind, began, self.day.now(), on, fault.size))
--- a/cedarwick/lab/fleetbench.py
+++ b/cedarwick/lab/fleetbench.py
@@ -185,7 +185,7 @@
             ack="copy" if mode == "copy" else "own",
             command=command,
             relays=relays,
-            say=lambda _: None,
+            print_line=lambda _: None,
         ) as fleet,
     ):
         for server in fleet.environment.servers:
--- a/cedarwick/lab/invariants.py
+++ b/cedarwick/lab/invariants.py
@@ -30,9 +30,9 @@
     Finding,
     ProcessTimes,
     Verdict,
-    cases_of,
-    finding,
+    cases_by_id,
     in_seconds,
+    make_finding,
     may_have_run,
 )
 from cedarwick.lab.audit_subscribers import Watched
@@ -97,7 +97,7 @@
 
 def judge(scenario: Scenario, history: History, ended: int, terms: Terms, watched: Watched | None = None) -> Verdict:
     """Account for every message and judge rules and claims; `ended` is when the watching stopped, microseconds."""
-    cases = cases_of(history)
+    cases = cases_by_id(history)
     process_times = ProcessTimes(history)
     spans = spans_of(history, process_times)
     findings = [
@@ -143,12 +143,12 @@
         delivered, states = case.delivered(), {notice.state for notice in case.notices}
         others = {notice.state for notice in case.notices if not cut_off_answer(case, notice, spans)}
         if len(others) > 1:
-            yield finding(11, f"two different ends: {' and '.join(sorted(states))}", case)
+            yield make_finding(11, f"two different ends: {' and '.join(sorted(states))}", case)
         if delivered != NEVER and "failed" in states and not delivered_unheard(case):
             notified = min(notice.at for notice in case.notices)
             begun = min(call.first for call in case.calls if call.status == 200)
             if not any(span.begin <= max(notified, delivered) and begun <= span.end + adopt for span in spans):
-                yield finding(11, "delivered, and said to have failed, with no trouble between", case)
+                yield make_finding(11, "delivered, and said to have failed, with no trouble between", case)
         if handed.answer != "ok":
             continue
         due = handed.outer + grace
@@ -227,7 +227,7 @@
         good = [call for call in case.calls if call.status == 200]
         for call in case.calls:
             if notified != NEVER and call.first > notified + ORDER_TOLERANCE_US:
-                yield finding(
+                yield make_finding(
                     11, f"called at {in_seconds(call.first)}, after its notice at {in_seconds(notified)}", case
                 )
                 break
@@ -236,7 +236,7 @@
                 continue
             met = all(met_by_fault(spans, each.sender, each.first, call.first) for each in done)
             if priority_classes[case.handed.priority_class].repeat == "at-most-once" or not met:
-                yield finding(
+                yield make_finding(
                     11,
                     f"called at {in_seconds(call.first)}, after its delivery at {in_seconds(done[0].ended)}",
                     case,
@@ -279,7 +279,7 @@
                     for span in spans
                 )
                 if once or not let_go:
-                    yield finding(
+                    yield make_finding(
                         12,
                         f"n{later.sender} fired at {in_seconds(later.first)} while the attempt of n{earlier.sender} "
                         f"from {in_seconds(earlier.first)} was out",
@@ -306,7 +306,7 @@
         returned = [notice for notice in case.notices if notice.state == "returned"]
         ran = [call for call in case.calls if call.ran or may_have_run(call)]
         if returned and ran:
-            yield finding(
+            yield make_finding(
                 13,
                 f"returned at {in_seconds(returned[0].at)} by n{returned[0].sender}; the call of n{ran[0].sender} at "
                 f"{in_seconds(ran[0].first)} may have run",
@@ -346,5 +346,7 @@
                     span.begin <= begun and earlier.handed.answered <= span.end + adopt for span in spans
                 )
                 if not apart and not no_copy_yet(earlier, spans, terms):
-                    yield finding(14, f"overtaken: the later one was called at {in_seconds(begun)}", earlier, later)
+                    yield make_finding(
+                        14, f"overtaken: the later one was called at {in_seconds(begun)}", earlier, later
+                    )
                     break
--- a/cedarwick/lab/message_story.py
+++ b/cedarwick/lab/message_story.py
@@ -18,7 +18,7 @@
 ORDERED_BY = ("at", "ended_at", "answered", "ended", "first")  # the first of these that a record has places it
 
 
-class StoryLine(NamedTuple):
+class TimelineEntry(NamedTuple):
     """One thing that was seen or done."""
 
     at: int  # microseconds of the day
@@ -34,7 +34,7 @@
     return (time.time_ns() - time.monotonic_ns() + day.start_ns) // 1000
 
 
-def traced(log: str, id: str, sender: str, offset: int) -> list[StoryLine]:
+def traced(log: str, id: str, sender: str, offset: int) -> list[TimelineEntry]:
     """The lines of one sender's log on a message; its times become those of the day."""
     found = []
     for line in log.splitlines():
@@ -49,7 +49,7 @@
     return found
 
 
-def story(case: Case, id: str, logs: Iterable[tuple[str, str]], offset: int) -> list[StoryLine]:
+def message_timeline(case: Case, id: str, logs: Iterable[tuple[str, str]], offset: int) -> list[TimelineEntry]:
     """All that is known of a message, in the order of time. `logs`: each sender's name and its log."""
     lines = [_line(dict(record), "") for record in case.seen()]
     for sender, log in logs:
@@ -57,8 +57,8 @@
     return sorted(lines)
 
 
-def _line(record: dict[str, Any], source: str) -> StoryLine:
+def _line(record: dict[str, Any], source: str) -> TimelineEntry:
     at = next((record[key] for key in ORDERED_BY if record.get(key, -1) > 0), 0)
     name = record.pop("event", None) or record.pop("what", "")
     fields = " ".join(f"{key}={value}" for key, value in record.items() if key not in ("id", "at"))
-    return StoryLine(at, source, f"{name} {fields}")
+    return TimelineEntry(at, source, f"{name} {fields}")
--- a/cedarwick/lab/relay.py
+++ b/cedarwick/lab/relay.py
@@ -95,11 +95,11 @@
         target: tuple[str, int],
         seed: int,
         host: str = "127.0.0.1",
-        say: Callable[[str], None] = print,
+        print_line: Callable[[str], None] = print,
     ) -> None:
         self.name = name
         self.target = target
-        self.say = say
+        self.print_line = print_line
         self.rng = random.Random(f"{seed} {name}")
         self.faults: dict[int, Fault] = {}
         self.hits_left: dict[int, int] = {}  # by fault: how many messages it may still hit
@@ -121,7 +121,7 @@
         self.faults[number] = fault
         if fault.times:
             self.hits_left[number] = fault.times
-        self.say(f"{self.name}: {fault.describe()}")
+        self.print_line(f"{self.name}: {fault.describe()}")
         self._switched()
         return number
 
@@ -130,7 +130,7 @@
         fault = self.faults.pop(number, None)
         self.hits_left.pop(number, None)
         if fault is not None:
-            self.say(f"{self.name}: no more {fault.kind}")
+            self.print_line(f"{self.name}: no more {fault.kind}")
             self._switched()
 
     def heal(self) -> None:
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -79,7 +79,7 @@
             ended = _through(day, scenario, drawn, environment, instances, progress)
         finally:
             for instance in instances:
-                instance.end()
+                instance.shut_down()
             environment.close()
     for server in environment.servers:
         for away in server.aways():
@@ -117,7 +117,7 @@
     sender_pool = SenderPool(day, instances, scenario.clients.notice_s)
     clients = Clients(day, scenario, sender_pool)
     for agent in environment.agents:
-        agent.on_notice = clients.notice
+        agent.on_notice = clients.handle_notice
     gc.collect()
     gc.freeze()  # Danger: a collection over all that is drawn stops every party for a moment
     shift = day.now()
@@ -139,7 +139,7 @@
     while day.now() < last:
         gevent.sleep(LOOK)
         progress(day, clients, last)
-        owed = not clients.done or clients.open_requests or faults.under_way or _open(day.history)
+        owed = not clients.all_started or clients.open_requests or faults.under_way or _open(day.history)
         quiet_since = 0 if owed else quiet_since or day.now()
         if quiet_since and day.now() - quiet_since > WATCH_ON:
             break
--- a/cedarwick/lab/senders.py
+++ b/cedarwick/lab/senders.py
@@ -169,7 +169,7 @@
     def running(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """No process of this sender is left, and its port is free."""
         self.reserved.release()
         if self.running():
--- a/cedarwick/lab/serve.py
+++ b/cedarwick/lab/serve.py
@@ -41,7 +41,7 @@
             )
         finally:
             for instance in instances:
-                instance.end()
+                instance.shut_down()
             environment.close()
     calls = sum(server.calls for server in environment.servers)
     say(f"{calls} calls were answered; the emulator was at most {day.worst_lag_us / 1000:.0f} ms late")
--- a/cedarwick/lab/virtual_faults.py
+++ b/cedarwick/lab/virtual_faults.py
@@ -30,7 +30,7 @@
     def carry_out(self, drawn: DrawnFault, begun: int) -> None:
         """One of them, to its end; `begun`: when the load began, microseconds of virtual time."""
         self.day.sleep_until(begun + drawn.begin)
-        logger.info("{}", drawn.line())
+        logger.info("{}", drawn.format())
         end = begun + drawn.end
         if drawn.kind in LINK_KINDS and drawn.fault is not None:
             with self._spoilt(drawn, drawn.fault, drawn.pairs):
