--- a/cedarwick/cli/config.py
+++ b/cedarwick/cli/config.py
@@ -11,8 +11,7 @@
 from cedarwick.config import texts
 from cedarwick.config.files import ConfigFileError, read_toml
 from cedarwick.config.operator import Operator, load
-from cedarwick.lab.scenario import Scenario, sender_settings
-from cedarwick.lab.scenario import load as load_scenario
+from cedarwick.lab.scenario import Scenario, load_scenario, sender_settings
 from cedarwick.net.assignment import AssignmentError, read_assignment
 
 FILE_TYPES: dict[str, type[msgspec.Struct]] = {"operator": Operator, "scenario": Scenario}
--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -17,7 +17,7 @@
 from cedarwick.lab.audit_cases import Account
 from cedarwick.lab.clients import Clients
 from cedarwick.lab.day import Day
-from cedarwick.lab.run import Result, head_of, play, stop_on_signals
+from cedarwick.lab.run import Result, run_day, stop_on_signals, summarize_run
 from cedarwick.lab.senders import SenderNotReadyError
 
 RULES = {
@@ -40,8 +40,8 @@
 def list_() -> None:
     """The scenarios that come with the product."""
     table = Table("scenario", "length, s", "short, s", "senders", "about", box=None)
-    for name in scenarios.shipped():
-        each = scenarios.load(name)
+    for name in scenarios.shipped_scenarios():
+        each = scenarios.load_scenario(name)
         table.add_row(name, f"{each.length_s:g}", f"{each.short_s:g}", str(each.senders), each.about)
     console().print(table)
 
@@ -73,7 +73,7 @@
     the emulator itself ran late.
     """
     try:
-        chosen = scenarios.load(scenario)
+        chosen = scenarios.load_scenario(scenario)
     except ConfigFileError as error:
         unusable(error)
     if out and os.path.exists(os.path.join(out, "run.json")):
@@ -82,7 +82,7 @@
         out = os.path.join("lab-runs", f"{chosen.name}-{seed}-{time.strftime('%H%M%S')}")
     result = played(chosen, seed, senders, short, out or "")
     show(result, quiet=json_file == "-")
-    write_json(head_of(result), json_file)
+    write_json(summarize_run(result), json_file)
     if out and report is not False:
         from cedarwick.lab.report import make
 
@@ -105,7 +105,7 @@
 
     stop_on_signals(lambda: os._exit(1))
     try:
-        return play(chosen, seed, senders, short, out, progress=say)
+        return run_day(chosen, seed, senders, short, out, progress=say)
     except (SenderNotReadyError, OSError) as error:
         unusable(error, "the day could not begin")
     finally:
@@ -180,10 +180,10 @@
 @click.option("--out", type=click.Path(), help="Keep the runs below this folder.")
 def sweep(names: Sequence[str], seeds: int, jobs: int, short: bool, out: str | None) -> None:
     """Play scenarios (all, where none is named) over several seeds; a void day is played once more."""
-    days = [(name, seed) for name in names or scenarios.shipped() for seed in range(1, seeds + 1)]
+    days = [(name, seed) for name in names or scenarios.shipped_scenarios() for seed in range(1, seeds + 1)]
     try:
         for name in names:
-            scenarios.load(name)
+            scenarios.load_scenario(name)
     except ConfigFileError as error:
         unusable(error)
 
@@ -266,11 +266,11 @@
 
     Prints the senders' addresses, one a line, for `cedarwick load`. Calls are answered, not written down.
     """
-    from cedarwick.lab.serve import serve as until_ended
+    from cedarwick.lab.serve import serve_until_stopped
 
     try:
-        chosen = scenarios.load(scenario)
-        until_ended(chosen, seed, senders or chosen.senders, seconds, click.echo)
+        chosen = scenarios.load_scenario(scenario)
+        serve_until_stopped(chosen, seed, senders or chosen.senders, seconds, click.echo)
     except ConfigFileError as error:
         unusable(error)
     except (SenderNotReadyError, OSError) as error:
--- a/cedarwick/cli/load.py
+++ b/cedarwick/cli/load.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 
 from cedarwick.cli.say import Progress, console, unusable, write_json
-from cedarwick.lab.load import Loader, Plan, Report, pongs
+from cedarwick.lab.load import Loader, Plan, Report, answers_ping
 from cedarwick.net.assignment import parse_address
 
 PROGRESS_INTERVAL_S = 0.2  # between two updates of the progress line
@@ -55,7 +55,7 @@
     except ValueError as error:
         unusable(error)
     for place, text in zip(places, addresses, strict=True):
-        if not pongs(place):
+        if not answers_ping(place):
             unusable(f"{text}: no sender answers PING there")
     loader = Loader(
         Plan(places, rate, seconds, priority_class, destinations, size, outer_ms, patience_ms / 1000, connections, seed)
--- a/cedarwick/lab/listeners.py
+++ b/cedarwick/lab/listeners.py
@@ -15,7 +15,7 @@
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
 
 
-def host_of(sender: int) -> str:
+def sender_host(sender: int) -> str:
     """The loopback host at which a sender reaches all others."""
     return f"127.0.{10 + sender // 200}.{1 + sender % 200}"
 
@@ -44,7 +44,7 @@
     return sock
 
 
-def accepted(listener: gevent.socket.socket) -> Iterator[gevent.socket.socket]:
+def accept_connections(listener: gevent.socket.socket) -> Iterator[gevent.socket.socket]:
     """Each connection as it comes up, until the listener is closed."""
     while True:
         try:
@@ -90,7 +90,7 @@
     remedy = "end what listens on loopback addresses, an earlier day perhaps, and play again"
 
 
-def listen_at_all(hosts: list[str], port: int = 0) -> tuple[int, list[gevent.socket.socket]]:
+def listen_on_all(hosts: list[str], port: int = 0) -> tuple[int, list[gevent.socket.socket]]:
     """One port at several hosts; port 0 looks for one that is free at all of them."""
     for _ in range(PATIENCE):
         made: list[gevent.socket.socket] = []
@@ -107,7 +107,7 @@
     raise PortTakenError(f"no port is free at {hosts[0]} and all others" if not port else f"port {port} stays in use")
 
 
-def reset(sock: gevent.socket.socket) -> None:
+def reset_connection(sock: gevent.socket.socket) -> None:
     """End a connection as a process that died does."""
     with contextlib.suppress(OSError):
         sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_LINGER, RESET)
--- a/cedarwick/lab/quick.py
+++ b/cedarwick/lab/quick.py
@@ -16,7 +16,7 @@
 from cedarwick.lab.listeners import listen
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-STEP = 0.1  # seconds of one count
+COUNT_INTERVAL_S = 0.1  # seconds of one count
 
 
 def serve(listener: gevent.socket.socket, counts: Counter[int]) -> None:
@@ -39,7 +39,7 @@
                 if len(held) < end + 4 + size:
                     break
                 held = held[end + 4 + size :]
-                counts[int(time.time() / STEP)] += 1
+                counts[int(time.time() / COUNT_INTERVAL_S)] += 1
                 sock.sendall(ANSWER)
 
 
--- a/cedarwick/lab/restart_soak.py
+++ b/cedarwick/lab/restart_soak.py
@@ -192,10 +192,10 @@
     def _silent_list(self, begin_s: float, length_s: float) -> None:
         self._sleep_until(begin_s)
         for agent in self.fleet.environment.agents:
-            agent.hush(True)
+            agent.set_silent(True)
         gevent.sleep(length_s)
         for agent in self.fleet.environment.agents:
-            agent.hush(False)
+            agent.set_silent(False)
 
     def _crowd(self, member: Instance) -> None:
         """One idle client, for as long as the sender lets it be."""
--- a/cedarwick/lab/senders.py
+++ b/cedarwick/lab/senders.py
@@ -15,7 +15,7 @@
 from cedarwick.errors import CedarwickError
 from cedarwick.lab.day import Day
 from cedarwick.lab.history import Life, Sampled
-from cedarwick.lab.listeners import ReservedPort, host_of
+from cedarwick.lab.listeners import ReservedPort, sender_host
 from cedarwick.lab.register import Agent
 from cedarwick.lab.scenario import Scenario, sender_settings
 
@@ -58,7 +58,7 @@
         self.folder = os.path.join(folder, f"n{number}")
         self.log = os.path.join(folder, f"n{number}.log")
         os.makedirs(os.path.join(self.folder, "state"), exist_ok=True)
-        self.reserved = ReservedPort(host_of(number))
+        self.reserved = ReservedPort(sender_host(number))
         self.process: subprocess.Popen[bytes] | None = None
         self.starts = 0
         self.expected_to_end: set[int] = set()  # processes, by id
@@ -192,7 +192,7 @@
                 "sockets": limits.sockets,
                 "disk_mb": self.disk_mb,
             },
-            "known": self.agent.known(),
+            "known": self.agent.known_list(),
             "settings": sender_settings(self.scenario, self.senders),
             **changes,
         }
