--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -86,9 +86,9 @@
     print_result(result, quiet=json_file == "-")
     write_json(head_of(result), json_file)
     if out and report is not False:
-        from cedarwick.lab.report import make
+        from cedarwick.lab.report import write_report
 
-        click.echo(f"report: {make([out], out)}", err=json_file == "-")
+        click.echo(f"report: {write_report([out], out)}", err=json_file == "-")
     sys.exit(result.status)
 
 
@@ -233,10 +233,10 @@
 @click.option("--out", type=click.Path(), help="Folder for the page and its plots; default: that of the first run.")
 def report(folders: Sequence[str], out: str | None) -> None:
     """Create one HTML page and PNG plots that compare one or several runs."""
-    from cedarwick.lab.report import make
+    from cedarwick.lab.report import write_report
 
     try:
-        click.echo(make(list(folders), out or folders[0]))
+        click.echo(write_report(list(folders), out or folders[0]))
     except (OSError, ValueError, msgspec.DecodeError) as error:
         exit_with_error(error, "cannot read a run")
 
@@ -248,9 +248,9 @@
 @click.option("--json", "json_file", type=click.Path(), help="Write the results to this file; - for standard output.")
 def ceiling(seconds: float, json_file: str | None) -> None:
     """Measure the throughput of one sender on one core, compared with a bare loop with the same I/O."""
-    from cedarwick.lab.ceiling import measure
+    from cedarwick.lab.ceiling import measure_ceiling
 
-    measurements = measure(seconds, lambda text: click.echo(text, err=True))
+    measurements = measure_ceiling(seconds, lambda text: click.echo(text, err=True))
     table = Table("program", "calls/s", "of the bare loop", "core", "MB", "answers", box=None)
     for each in measurements:
         table.add_row(
@@ -301,11 +301,11 @@
 @click.option("--plot", "plot_file", type=click.Path(), help="Plot the results to this PNG file.")
 def folder(live: int, size: int, rounds: int, json_file: str | None, plot_file: str | None) -> None:
     """Measure the cost of the state folder: longest pause, throughput, write amplification, space, startup."""
-    from cedarwick.lab.folder import measure, plot
+    from cedarwick.lab.folder import measure_folder, plot_churn
 
-    measurements, start = measure(live, size, rounds)
+    measurements, start = measure_folder(live, size, rounds)
     if plot_file:
-        plot(measurements, plot_file)
+        plot_churn(measurements, plot_file)
     table = Table(
         "fill", "messages/s", "longest ms", "p99.9 ms", "amplification", "used", "on the spot", "refused", box=None
     )
--- a/cedarwick/lab/ceiling.py
+++ b/cedarwick/lab/ceiling.py
@@ -43,7 +43,7 @@
     memory_mb: float
 
 
-def measure(seconds: float, say: Callable[[str], None] = lambda _: None) -> list[Ceiling]:
+def measure_ceiling(seconds: float, say: Callable[[str], None] = lambda _: None) -> list[Ceiling]:
     """The bare loop first, then the sender, each alone with the same clients and partner."""
     found = []
     for name in ("bare loop", "sender"):
@@ -57,20 +57,22 @@
     host = host_of(0)
     cores = sorted(os.sched_getaffinity(0))
     with ReservedPort(host) as partner_port, ReservedPort(host) as port:
-        with program(["cedarwick.lab.quick", host, str(partner_port.number)], cores[1 % len(cores)]) as partner:
+        with run_program(["cedarwick.lab.quick", host, str(partner_port.number)], cores[1 % len(cores)]) as partner:
             if name == "sender":
                 with sender(folder, partner_port.number, cores[0]) as (process, address):
-                    answered, cpu, memory = drive(address, seconds, process, cores)
+                    answered, cpu, memory = run_closed_loop_clients(address, seconds, process, cores)
             else:
                 words = ["cedarwick.lab.bare", host, str(port.number), host, str(partner_port.number), folder]
-                with program(words, cores[0]) as bare:
-                    answered, cpu, memory = drive(port.address, seconds, psutil.Process(bare.pid), cores)
+                with run_program(words, cores[0]) as bare:
+                    answered, cpu, memory = run_closed_loop_clients(
+                        port.address, seconds, psutil.Process(bare.pid), cores
+                    )
             partner.terminate()
             counts = json.loads(partner.communicate(timeout=10)[0])
-    return Ceiling(name, steady(counts), round(cpu, 3), answered, round(memory, 1))
+    return Ceiling(name, steady_rate(counts), round(cpu, 3), answered, round(memory, 1))
 
 
-def steady(counts: list[list[int]]) -> float:
+def steady_rate(counts: list[list[int]]) -> float:
     """Calls a second between the ends that are left out."""
     if not counts:
         return 0.0
@@ -79,7 +81,7 @@
     return round(sum(count for at, count in counts if first <= at < last) / max(STEP, (last - first) * STEP), 1)
 
 
-def drive(
+def run_closed_loop_clients(
     address: tuple[str, int], seconds: float, process: psutil.Process, cores: list[int]
 ) -> tuple[dict[str, int], float, float]:
     """Clients back to back: what they were answered, the process's share of a core, its memory in MB."""
@@ -118,7 +120,7 @@
 
 
 @contextmanager
-def program(words: list[str], core: int) -> Iterator[subprocess.Popen[bytes]]:
+def run_program(words: list[str], core: int) -> Iterator[subprocess.Popen[bytes]]:
     """One of this package's programs on a core of its own, once it says that it is ready."""
     process = subprocess.Popen([sys.executable, "-m", *words], stdout=subprocess.PIPE)
     try:
--- a/cedarwick/lab/restart_soak.py
+++ b/cedarwick/lab/restart_soak.py
@@ -207,7 +207,7 @@
         self.fleet.day.sleep_until(round(seconds * SECOND))
 
 
-def served_after_the_end(history: History) -> list[str]:
+def calls_after_termination(history: History) -> list[str]:
     """Calls that began later than `LAST_ATTEMPT` after their sender's process was told to end."""
     found: list[str] = []
     for termed in (life for life in history.life if life.event == "termed"):
@@ -225,7 +225,7 @@
     return found
 
 
-def restarts(history: History, senders: int) -> tuple[int, int]:
+def count_restarts(history: History, senders: int) -> tuple[int, int]:
     """How many processes were started after the first ones, and how many of these got ready too late."""
     starts = slow = 0
     for sender in range(senders):
@@ -247,9 +247,9 @@
         day.play()
         verdict = fleet.judge()
         findings = [f"{each.rule}: {each.text}: {' '.join(each.ids)}" for each in verdict.findings]
-        findings += served_after_the_end(fleet.history)
+        findings += calls_after_termination(fleet.history)
         findings += [f"a start failed: {text}" for text in (*day.failed, *fleet.failed)]
-        starts, slow = restarts(fleet.history, len(SENDERS))
+        starts, slow = count_restarts(fleet.history, len(SENDERS))
         if starts - slow < READY_SHARE * starts:
             findings.append(f"{slow} of {starts} restarted processes were not ready within 10 s")
         return DayResult(seed, findings, fleet.day.void(), len(fleet.history.handed), starts, slow)
--- a/cedarwick/lab/run.py
+++ b/cedarwick/lab/run.py
@@ -19,7 +19,7 @@
 from cedarwick.lab.day import Day
 from cedarwick.lab.environment import Environment
 from cedarwick.lab.faults import Faults
-from cedarwick.lab.figures import Figures, figures_of
+from cedarwick.lab.figures import Figures, compute_figures
 from cedarwick.lab.history import History, write_lines
 from cedarwick.lab.scenario import Scenario
 from cedarwick.lab.senders import COMMAND, Instance
@@ -93,7 +93,7 @@
         drawn,
         day.history,
         verdict,
-        figures_of(scenario, day.history, drawn.length, verdict.account),
+        compute_figures(scenario, day.history, drawn.length, verdict.account),
         day.void(),
         time.monotonic() - begun,
         out,
