--- a/cedarwick/cli/lab.py
+++ b/cedarwick/cli/lab.py
@@ -102,7 +102,7 @@
             time.monotonic() - started_at,
             f"{chosen_scenario.name}: {day.now() / 1e6:5.1f} s of at most {last / 1e6:.0f}, "
             f"{len(history.handed)} handed in, {len(history.called)} calls, "
-            f"{len(history.noticed)} notices" + (", all have arrived" if clients.done else ""),
+            f"{len(history.noticed)} notices" + (", all have arrived" if clients.all_started else ""),
         )
 
     stop_on_signals(lambda: os._exit(1))
@@ -153,7 +153,7 @@
             + ", ".join(fault.on[:6])
             + (f" and {len(fault.on) - 6} more" if len(fault.on) > 6 else "")
         )
-    broken = result.verdict.broken()
+    broken = result.verdict.counts_by_rule()
     for rule in sorted(broken):
         first = next(each for each in result.verdict.findings if each.rule == rule)
         output.print(
--- a/cedarwick/lab/ceiling.py
+++ b/cedarwick/lab/ceiling.py
@@ -161,5 +161,5 @@
             gevent.sleep(0.05)
         yield process, instance.address
     finally:
-        instance.end()
+        instance.shut_down()
         agent.close()
