--- a/cedarwick/lab/restart_soak.py
+++ b/cedarwick/lab/restart_soak.py
@@ -199,10 +199,10 @@
         """Let the platform stop serving the endpoint list for some time."""
         self._sleep_until(begin_s)
         for agent in self.fleet.environment.agents:
-            agent.hush(True)
+            agent.set_silent(True)
         gevent.sleep(length_s)
         for agent in self.fleet.environment.agents:
-            agent.hush(False)
+            agent.set_silent(False)
 
     def _hold_idle_connection(self, member: Instance) -> None:
         """Keep one idle connection open until the sender closes it or `IDLE_CLIENT_TIMEOUT_S` has passed."""
